--- /dev/null
+++ b/internal/streamwire/fixture_test.go
@@ -0,0 +1,126 @@
+package streamwire
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"mulleinmux/confstream"
+	"mulleinmux/fleetconfig"
+	"mulleinmux/internal/fixture"
+)
+
+// Each message of the stream, in both directions, is on the wire (frames of the Connect protocol with protobuf in them) as it
+// was recorded, and recorded ones are read as what was sent.
+//
+// Recorded with: MULLEINMUX_RECORD=1 go test ./internal/streamwire -run Fixture
+func TestFixtureStream(t *testing.T) {
+	ref := confstream.Ref{Epoch: confstream.Epoch{Number: 2, ID: "one"}, Number: 7, Digest: confstream.Digest{1, 2, 3, 1 << 63}}
+	older := confstream.Ref{Number: 6, Digest: confstream.Digest{5}}
+	problems := []confstream.Problem{{Object: "plan/kati", Field: "rate", Text: "out of range"}, {Text: "no place"}}
+	fromFollower := []any{
+		confstream.Hello{Process: 1, Start: 2, Dial: 3, Running: &older, Since: 1500 * time.Millisecond, Format: 3,
+			Refused: []confstream.Refusal{{Ref: ref, Problems: problems, Unread: true}, {Ref: older, Problems: problems[1:]}}},
+		confstream.Hello{Process: 1, Start: 1, Dial: 1, Format: 1},
+		confstream.Report{Nonce: 4, Result: confstream.Applied, Ref: ref, Running: &ref},
+		confstream.Report{Nonce: 5, Result: confstream.Refused, Ref: ref, Running: &older, Problems: problems, Unread: true},
+		confstream.Report{Result: confstream.Stated, Ref: ref, Running: &ref}, confstream.Report{Nonce: 6, Result: confstream.NeedsFull, Ref: ref},
+		confstream.Report{Nonce: 7, Result: confstream.NotNewer, Ref: ref}, confstream.Report{Nonce: 8, Result: confstream.Unconfirmed, Ref: ref},
+		confstream.Report{Nonce: 9, Result: confstream.Foreign, Ref: ref}, uint64(12),
+	}
+	object := confstream.Object{Key: "plan/kati", Value: []byte(`{"rate":0,"burst":0,"price":1}`)}
+	hash := strings.Repeat("0123456789abcdef", 4)
+	fromMember := []any{
+		&confstream.Push{Nonce: 1, Body: &confstream.Body{Ref: ref, Format: fleetconfig.Format, Hash: hash, Homes: 3, Places: []string{"kati", "kubwa"}, Put: []confstream.Object{object}}, Confirmed: true},
+		&confstream.Push{Nonce: 2, Body: &confstream.Body{Ref: ref, Base: &older, Format: 1, Hash: hash, Homes: 3, Put: []confstream.Object{object}, Removed: []string{"plan/kubwa"}}},
+		&confstream.Pong{Seq: 12, Newest: ref, Homes: 3, Confirmed: true, Twin: "another process"}, &confstream.Pong{Seq: 13, Newest: older},
+	}
+
+	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+	defer cancel()
+	serve := func(h http.Handler) *httptest.Server {
+		srv := httptest.NewUnstartedServer(h)
+		srv.EnableHTTP2 = true
+		srv.StartTLS()
+		t.Cleanup(srv.Close)
+		return srv
+	}
+	check := func(got, want any, err error) {
+		t.Helper()
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%+v is read where %+v is sent: %v", got, want, err)
+		}
+	}
+
+	// A follower's messages, as a server that takes all of them sees them; it answers with the recorded ones of a member.
+	t.Run("follower", func(t *testing.T) {
+		body := make(chan []byte, 1)
+		srv := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			text, _ := io.ReadAll(r.Body)
+			body <- fmt.Appendf(nil, "%s %s\n%s", r.Method, r.URL.Path, append([]byte(r.Header.Get("Content-Type")+"\n"), text...))
+			w.Header().Set("Content-Type", r.Header.Get("Content-Type"))
+			w.Write(fixture.Read(t, "member.bin"))
+		}))
+		c := Dial(ctx, srv.Client(), strings.TrimPrefix(srv.URL, "https://"), cancel)
+		for _, m := range fromFollower {
+			if err := c.Send(m); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if err := c.bidi.CloseRequest(); err != nil {
+			t.Fatal(err)
+		}
+		fixture.Compare(t, "follower.bin", <-body)
+		for _, m := range fromMember {
+			got, err := c.Receive()
+			check(got, m, err)
+		}
+		if _, err := c.Receive(); Why(err) != "enough" {
+			t.Errorf("%v", err)
+		}
+	})
+
+	// A member's messages, as a bare client sees them, which sends the recorded ones of a follower.
+	t.Run("member", func(t *testing.T) {
+		srv := serve(Handler(func(_ context.Context, s *Stream) error {
+			for _, m := range fromFollower {
+				got, err := s.Receive()
+				check(got, m, err)
+			}
+			for _, m := range fromMember {
+				if p, ok := m.(*confstream.Push); ok {
+					m = Word(p, WordBody(p.Body))
+				}
+				if err := s.Send(m); err != nil {
+					return err
+				}
+			}
+			return Ended("enough")
+		}))
+		parts := bytes.SplitN(fixture.Read(t, "follower.bin"), []byte("\n"), 3)
+		method, path, _ := strings.Cut(string(parts[0]), " ")
+		q, err := http.NewRequestWithContext(ctx, method, srv.URL+path, bytes.NewReader(parts[2]))
+		if err != nil {
+			t.Fatal(err)
+		}
+		q.Header.Set("Content-Type", string(parts[1]))
+		q.Header.Set("Connect-Protocol-Version", "1")
+		resp, err := srv.Client().Do(q)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer resp.Body.Close()
+		text, err := io.ReadAll(resp.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fixture.Compare(t, "member.bin", text)
+	})
+}
