--- a/fleetconfig/objects.go
+++ b/clusterconfig/objects.go
@@ -1,4 +1,4 @@
-package fleetconfig
+package clusterconfig
 
 import (
 	"encoding/json"
--- a/fleetconfig/state.go
+++ b/clusterconfig/state.go
@@ -5,7 +5,7 @@
 // Invariant: the state is a function of the entries applied, in their order. [State.Apply]
 // therefore reads no clock and iterates no map in its own order, and what it refuses, it
 // refuses everywhere alike.
-package fleetconfig
+package clusterconfig
 
 import (
 	"bytes"
--- a/cmd/mulleinmux/main.go
+++ b/cmd/edgeproxy/main.go
@@ -1,4 +1,4 @@
-// Command mulleinmux is one edge node on real sockets.
+// Command edgeproxy runs one edge node on real sockets.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"mulleinmux/internal/node"
+	"mulleinmux/internal/edgeproxy"
 )
 
 // The collector's pace. The heap is a few megabytes, so that letting it grow
@@ -27,7 +27,7 @@
 	// while another is being served is kept, and the file is read once more.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	cfg, err := node.LoadConfig(os.Getenv)
+	cfg, err := edgeproxy.LoadConfig(os.Getenv)
 	if err != nil {
 		logger.Fatalf("configuration: %v", err)
 	}
@@ -38,7 +38,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if err := node.Run(ctx, cfg, reload, logger); err != nil {
+	if err := edgeproxy.Run(ctx, cfg, reload, logger); err != nil {
 		logger.Fatal(err)
 	}
 }
--- a/cmd/mulleingate/bench.go
+++ b/cmd/gateway/bench.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"mulleinmux/internal/bench"
+	"mulleinmux/internal/benchmark"
 )
 
 type benchCmd struct {
@@ -47,8 +47,8 @@
 	if c.Link {
 		return c.crossing(e, self)
 	}
-	var all []bench.Result
-	err = bench.Run(e.ctx, c.options(self), func(r bench.Result) {
+	var all []benchmark.Result
+	err = benchmark.Run(e.ctx, c.options(self), func(r benchmark.Result) {
 		all = append(all, r)
 		fmt.Fprintf(e.stderr, "%-12s %d procs: %8.0f requests/s, %6.1f us CPU and %5.1f allocations a request, p50 %.0f us, p99 %.0f us, %d other answers\n",
 			r.Front, r.Procs, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
@@ -61,7 +61,7 @@
 		enc.SetIndent("", "  ")
 		return enc.Encode(all)
 	}
-	median := func(front string, procs int, f func(bench.Result) float64) float64 {
+	median := func(front string, procs int, f func(benchmark.Result) float64) float64 {
 		var xs []float64
 		for _, r := range all {
 			if r.Front == front && r.Procs == procs {
@@ -71,8 +71,8 @@
 		slices.Sort(xs)
 		return xs[len(xs)/2]
 	}
-	perS := func(r bench.Result) float64 { return r.PerS }
-	cpu := func(r bench.Result) float64 { return r.CPU }
+	perS := func(r benchmark.Result) float64 { return r.PerS }
+	cpu := func(r benchmark.Result) float64 { return r.CPU }
 	fmt.Fprintf(e.stdout, "direct: %.0f requests/s\n", median("direct", 0, perS))
 	for _, p := range c.Procs {
 		g, rp := median("gateway", p, cpu), median("reverseproxy", p, cpu)
@@ -82,8 +82,8 @@
 	return nil
 }
 
-func (c *benchCmd) options(self string) bench.Options {
-	return bench.Options{Self: self, For: c.For, Conns: c.Conns, Rate: c.Rate, Procs: c.Procs, Rounds: c.Rounds, Profile: c.Profile}
+func (c *benchCmd) options(self string) benchmark.Options {
+	return benchmark.Options{Self: self, For: c.For, Conns: c.Conns, Rate: c.Rate, Procs: c.Procs, Rounds: c.Rounds, Profile: c.Profile}
 }
 
 // parts compares ways to share out servers, on no sockets.
@@ -91,10 +91,10 @@
 	if c.Size < 1 || c.Size > 1000 {
 		return usage{fmt.Errorf("--size: %d is not from 1 to 1000", c.Size)}
 	}
-	var all []bench.PartsResult
+	var all []benchmark.PartsResult
 	for _, nodes := range []int{10, 300, 1000} {
 		for _, servers := range []int{10, 30, 170, 1000} {
-			rows, err := bench.Parts(nodes, servers, c.Size, c.Seed)
+			rows, err := benchmark.Parts(nodes, servers, c.Size, c.Seed)
 			if err != nil {
 				return err
 			}
@@ -112,7 +112,7 @@
 }
 
 // turns are the ratios of each second measurement to the one before it, sorted.
-func turns(all []bench.Result, f func(bench.Result) float64) (ratios []float64) {
+func turns(all []benchmark.Result, f func(benchmark.Result) float64) (ratios []float64) {
 	for i := 0; i+1 < len(all); i += 2 {
 		ratios = append(ratios, f(all[i+1])/f(all[i]))
 	}
@@ -125,8 +125,8 @@
 	if c.Changes < time.Millisecond {
 		return usage{fmt.Errorf("--changes: %v is below 1ms", c.Changes)}
 	}
-	var all []bench.Result
-	if err := bench.Changes(e.ctx, c.options(self), c.Changes, func(r bench.Result, changes int) {
+	var all []benchmark.Result
+	if err := benchmark.Changes(e.ctx, c.options(self), c.Changes, func(r benchmark.Result, changes int) {
 		all = append(all, r)
 		fmt.Fprintf(e.stderr, "%-8s %8.0f requests/s, %6.1f us CPU a request, p50 %.0f us, p99 %.0f us, %d other answers, %d changes\n", r.Front, r.PerS, r.CPU, r.P50, r.P99, r.Other, changes)
 	}); err != nil {
@@ -135,15 +135,15 @@
 	if c.JSON {
 		return printJSON(e.stdout, all)
 	}
-	ratios := turns(all, func(r bench.Result) float64 { return r.PerS })
+	ratios := turns(all, func(r benchmark.Result) float64 { return r.PerS })
 	fmt.Fprintf(e.stdout, "with a change every %v: %.3f of the requests/s without (median of %d, from %.3f to %.3f)\n", c.Changes, ratios[len(ratios)/2], len(ratios), ratios[0], ratios[len(ratios)-1])
 	return nil
 }
 
 // crossing measures what the link between sites costs.
 func (c *benchCmd) crossing(e *env, self string) error {
-	var all []bench.Result
-	if err := bench.Crossing(e.ctx, c.options(self), func(r bench.Result) {
+	var all []benchmark.Result
+	if err := benchmark.Crossing(e.ctx, c.options(self), func(r benchmark.Result) {
 		all = append(all, r)
 		fmt.Fprintf(e.stderr, "%-8s %8.0f requests/s, %6.1f us CPU and %5.1f allocations a request, p50 %.0f us, p99 %.0f us, %d other answers\n", r.Front, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
 	}); err != nil {
@@ -152,16 +152,16 @@
 	if c.JSON {
 		return printJSON(e.stdout, all)
 	}
-	ratios := turns(all, func(r bench.Result) float64 { return r.CPU })
+	ratios := turns(all, func(r benchmark.Result) float64 { return r.CPU })
 	fmt.Fprintf(e.stdout, "a crossing costs %.2f times the CPU of a direct request (median of %d, from %.2f to %.2f)\n", ratios[len(ratios)/2], len(ratios), ratios[0], ratios[len(ratios)-1])
 	return nil
 }
 
 // followers measures what followers cost.
 func (c *benchCmd) followers(e *env, self string) error {
-	var all []bench.FollowersResult
+	var all []benchmark.FollowersResult
 	for _, full := range []bool{false, true} {
-		r, err := bench.Followers(e.ctx, c.options(self), c.Followers, followersChanges, full)
+		r, err := benchmark.Followers(e.ctx, c.options(self), c.Followers, followersChanges, full)
 		if err != nil {
 			return err
 		}
@@ -183,4 +183,4 @@
 	Part string `arg:""`
 }
 
-func (c *partCmd) Run(e *env) error { return bench.Play(e.ctx, c.Part, os.Stdin, e.stdout) }
+func (c *partCmd) Run(e *env) error { return benchmark.Play(e.ctx, c.Part, os.Stdin, e.stdout) }
--- a/cmd/mulleingate/certs.go
+++ b/cmd/gateway/certs.go
@@ -13,7 +13,7 @@
 	Dir       string   `help:"Folder to write to; it is made where it is not there." required:"" type:"path"`
 	Cluster   string   `help:"Name of a new cluster. Without it the folder's authority issues for further members."`
 	Members   []uint64 `help:"Numbers of the members."`
-	Operators []string `help:"Names of operators, who may then use mulleingate config."`
+	Operators []string `help:"Names of operators, who may then use gateway config."`
 	Followers []string `help:"Names of instances that are no members and follow."`
 }
 
--- a/cmd/mulleingate/cluster.go
+++ b/cmd/gateway/cluster.go
@@ -7,10 +7,10 @@
 	"log"
 	"os"
 
-	"mulleinmux/internal/fleet"
-	"mulleinmux/internal/gatefile"
-	"mulleinmux/internal/lab"
+	"mulleinmux/internal/cluster"
+	"mulleinmux/internal/gatewayconfig"
 	"mulleinmux/internal/raftnode"
+	"mulleinmux/internal/scenario"
 )
 
 type initCmd struct {
@@ -33,7 +33,7 @@
 		fmt.Fprintf(e.stdout, "%s: is taken for the newest of member %d\n", cfg.Data, cfg.Member)
 		return nil
 	}
-	if err := fleet.Init(cfg, c.Join); errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) {
+	if err := cluster.Init(cfg, c.Join); errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) {
 		return usage{err}
 	} else if err != nil {
 		return err
@@ -42,25 +42,25 @@
 	return nil
 }
 
-func clusterFile(config string) (*gatefile.File, error) {
+func clusterFile(config string) (*gatewayconfig.File, error) {
 	text, err := os.ReadFile(config)
 	if err != nil {
 		return nil, fmt.Errorf("--config: %w", err)
 	}
-	f, err := gatefile.Parse(config, text)
+	f, err := gatewayconfig.Parse(config, text)
 	if err == nil && f.Cluster == nil {
 		err = fmt.Errorf("%s: cluster: is missing: the instance is no member of one", config)
 	}
 	return f, err
 }
 
-func fleetConfig(config string, f *gatefile.File) *fleet.Config {
+func fleetConfig(config string, f *gatewayconfig.File) *cluster.Config {
 	c := f.Cluster
-	return &fleet.Config{Cluster: c.Name, Member: c.Member, Data: beside(config, c.Data), Members: c.Members, Tick: c.Tick, Stream: c.Stream, KeysAnywhere: c.KeysAnywhere}
+	return &cluster.Config{Cluster: c.Name, Member: c.Member, Data: beside(config, c.Data), Members: c.Members, Tick: c.Tick, Stream: c.Stream, KeysAnywhere: c.KeysAnywhere}
 }
 
 // member runs an instance as a member of a cluster.
-func (c *runCmd) member(e *env, f *gatefile.File, logger *log.Logger) error {
+func (c *runCmd) member(e *env, f *gatewayconfig.File, logger *log.Logger) error {
 	cfg := fleetConfig(c.Config, f)
 	creds, err := raftnode.LoadCredentials(beside(c.Config, f.Cluster.Certs), cfg.Member)
 	if err != nil {
@@ -68,25 +68,25 @@
 	}
 	cfg.Credentials = creds
 	if c.Chaos != 0 {
-		lab.Chaos(cfg, c.Chaos, logger)
+		scenario.Chaos(cfg, c.Chaos, logger)
 	}
-	err = fleet.Run(e.ctx, cfg, &f.Config, logger, func(*fleet.Fleet) {})
-	if errors.Is(err, fleet.ErrNoFile) || errors.Is(err, raftnode.ErrForeign) || errors.Is(err, raftnode.ErrDamaged) || errors.Is(err, raftnode.ErrRestored) {
+	err = cluster.Run(e.ctx, cfg, &f.Config, logger, func(*cluster.Fleet) {})
+	if errors.Is(err, cluster.ErrNoFile) || errors.Is(err, raftnode.ErrForeign) || errors.Is(err, raftnode.ErrDamaged) || errors.Is(err, raftnode.ErrRestored) {
 		return usage{err}
 	}
 	return err
 }
 
 // follower runs an instance that is told what a cluster's members agree on.
-func (c *runCmd) follower(e *env, f *gatefile.File, logger *log.Logger) error {
+func (c *runCmd) follower(e *env, f *gatewayconfig.File, logger *log.Logger) error {
 	k := f.Follow
 	creds, err := raftnode.LoadNamed(beside(c.Config, k.Certs), raftnode.FollowerFile(k.Name))
 	if err != nil {
-		return usage{fmt.Errorf("follow.certs: %w (made by mulleingate certs --followers %s)", err, k.Name)}
+		return usage{fmt.Errorf("follow.certs: %w (made by gateway certs --followers %s)", err, k.Name)}
 	}
-	cfg := &fleet.FollowerConfig{Cluster: k.Cluster, Name: k.Name, Data: beside(c.Config, k.Data), Credentials: creds, Members: k.Members, KeysAnywhere: k.KeysAnywhere}
-	err = fleet.RunFollower(e.ctx, cfg, &f.Config, logger, func(*fleet.Follower) {})
-	if errors.Is(err, fleet.ErrFollowerFile) {
+	cfg := &cluster.FollowerConfig{Cluster: k.Cluster, Name: k.Name, Data: beside(c.Config, k.Data), Credentials: creds, Members: k.Members, KeysAnywhere: k.KeysAnywhere}
+	err = cluster.RunFollower(e.ctx, cfg, &f.Config, logger, func(*cluster.Follower) {})
+	if errors.Is(err, cluster.ErrFollowerFile) {
 		return usage{err}
 	}
 	return err
--- a/cmd/mulleingate/cluster_test.go
+++ b/cmd/gateway/cluster_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"mulleinmux/deploy"
-	"mulleinmux/internal/lab"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/scenario"
+	"mulleinmux/internal/testserver"
 )
 
 // Processes that agree on their configuration, with traffic and several operators: each
@@ -31,7 +31,7 @@
 			s := run(context.Background(), []string{"lab", "--scenario", c.scenario, "--for", c.length, "--seed", fmt.Sprint(c.seed), "--json", "--logs", log}, &out, &errs)
 			text, _ := os.ReadFile(log)
 			logs.Write(text[max(len(text)-8000, 0):])
-			var v lab.Verdict
+			var v scenario.Verdict
 			if err := json.Unmarshal(out.Bytes(), &v); err != nil {
 				t.Fatalf("exit %d: %v: %s%s\n%s", s, err, out.String(), errs.String(), logs.String())
 			}
@@ -53,7 +53,7 @@
 func TestHallClosesBites(t *testing.T) {
 	var out, errs bytes.Buffer
 	s := run(context.Background(), []string{"lab", "--scenario", "hall-closes", "--for", "3s", "--keys-anywhere", "--json"}, &out, &errs)
-	var v lab.Verdict
+	var v scenario.Verdict
 	if err := json.Unmarshal(out.Bytes(), &v); err != nil || s != 1 || v.Duplicates == 0 || v.Rules["no_effect_twice"] == 0 {
 		t.Errorf("exit %d, %v: %s%s", s, err, out.String(), errs.String())
 	}
@@ -64,7 +64,7 @@
 func TestOperators(t *testing.T) {
 	dir := t.TempDir()
 	free := func() string {
-		addr, err := standin.FreeAddr("tcp")
+		addr, err := testserver.FreeAddr("tcp")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,7 +107,7 @@
 		config := file(t, dir, fmt.Sprintf("member-%d.toml", i), text)
 		must(0, "init", "--config", config, "--new-cluster")
 		go func() {
-			var errs standin.Log
+			var errs testserver.Log
 			s := run(ctx, []string{"run", "--config", config}, &errs, &errs)
 			if s != 0 {
 				t.Errorf("member %d: exit %d: %s", i, s, errs.String())
--- a/cmd/mulleingate/config.go
+++ b/cmd/gateway/config.go
@@ -16,9 +16,9 @@
 	"text/tabwriter"
 	"time"
 
-	"mulleinmux/fleetconfig"
-	"mulleinmux/internal/fleet"
-	"mulleinmux/internal/gatefile"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/cluster"
+	"mulleinmux/internal/gatewayconfig"
 	"mulleinmux/internal/raftnode"
 )
 
@@ -35,10 +35,10 @@
 type configCmd struct {
 	configAt
 
-	Get     getCmd     `cmd:"" help:"Show what is agreed on. Example: mulleingate config get plan kubwa"`
+	Get     getCmd     `cmd:"" help:"Show what is agreed on. Example: gateway config get plan kubwa"`
 	History historyCmd `cmd:"" help:"Show the versions: when, who, why and what."`
-	Diff    diffCmd    `cmd:"" help:"Show what a file would change; exits 1 if it would. Example: mulleingate config diff fleet.toml"`
-	Apply   applyCmd   `cmd:"" help:"Have the instances agree on what a file says. Example: mulleingate config apply fleet.toml --why 'new tariff' --wait applied-everywhere"`
+	Diff    diffCmd    `cmd:"" help:"Show what a file would change; exits 1 if it would. Example: gateway config diff fleet.toml"`
+	Apply   applyCmd   `cmd:"" help:"Have the instances agree on what a file says. Example: gateway config apply fleet.toml --why 'new tariff' --wait applied-everywhere"`
 	Members membersCmd `cmd:"" help:"Change the members."`
 	Epoch   epochCmd   `cmd:"" help:"Begin a new epoch of versions, after members were restored from a backup."`
 	Status  statusCmd  `cmd:"" help:"Show how each member stands."`
@@ -47,20 +47,20 @@
 // errDiffers is a file that would change something: what has been printed.
 var errDiffers = errors.New("the file differs from what is agreed on")
 
-func (c *configAt) client() (*fleet.Client, error) {
+func (c *configAt) client() (*cluster.Client, error) {
 	creds, err := raftnode.LoadNamed(c.Certs, raftnode.OperatorFile(c.Operator))
 	if err != nil {
-		return nil, usage{fmt.Errorf("--certs, --operator: %w (made by mulleingate certs --operators %s)", err, c.Operator)}
+		return nil, usage{fmt.Errorf("--certs, --operator: %w (made by gateway certs --operators %s)", err, c.Operator)}
 	}
 	h, err := creds.Holder()
 	if err != nil {
 		return nil, usage{fmt.Errorf("--certs: %w", err)}
 	}
-	return fleet.NewClient(h.Cluster, creds, c.At...), nil
+	return cluster.NewClient(h.Cluster, creds, c.At...), nil
 }
 
 // ask runs f with a client and a context that ends with the operator's patience.
-func (c *configAt) ask(e *env, f func(context.Context, *fleet.Client) error) error {
+func (c *configAt) ask(e *env, f func(context.Context, *cluster.Client) error) error {
 	if c.Timeout < 100*time.Millisecond || c.Timeout > 2*time.Minute {
 		return usage{fmt.Errorf("--timeout: %v is outside 100ms to 2m", c.Timeout)}
 	}
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(e.ctx, c.Timeout)
 	defer cancel()
 	err = f(ctx, cl)
-	if a, ok := errors.AsType[*fleet.AnswerError](err); ok && a.Status == 400 {
+	if a, ok := errors.AsType[*cluster.AnswerError](err); ok && a.Status == 400 {
 		return usage{err}
 	}
 	return err
@@ -91,7 +91,7 @@
 }
 
 func (c *getCmd) Run(e *env, cc *configCmd) error {
-	return cc.ask(e, func(ctx context.Context, cl *fleet.Client) error {
+	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
 		o, err := cl.Objects(ctx, c.Local)
 		if err != nil {
 			return err
@@ -122,7 +122,7 @@
 
 // short words a value for a line.
 func short(v json.RawMessage) string {
-	var d fleetconfig.Description
+	var d clusterconfig.Description
 	if json.Unmarshal(v, &d) == nil && d.Text != "" {
 		return fmt.Sprintf("{\"file\":%q, %d bytes}", d.File, len(d.Text))
 	}
@@ -134,7 +134,7 @@
 }
 
 func (c *historyCmd) Run(e *env, cc *configCmd) error {
-	return cc.ask(e, func(ctx context.Context, cl *fleet.Client) error {
+	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
 		h, err := cl.History(ctx)
 		if err != nil {
 			return err
@@ -160,20 +160,20 @@
 		return nil, err
 	}
 	if strings.HasSuffix(file, ".json") {
-		var o fleet.Objects
+		var o cluster.Objects
 		dec := json.NewDecoder(bytes.NewReader(text))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&o); err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 		for kind := range o.Objects {
-			if !slices.Contains(gatefile.FleetKinds, kind) && kind != "member" && kind != "lost" {
+			if !slices.Contains(gatewayconfig.FleetKinds, kind) && kind != "member" && kind != "lost" {
 				return nil, fmt.Errorf("%s: objects.%s: is no kind of this program", file, kind)
 			}
 		}
 		return o.Objects, nil
 	}
-	f, err := gatefile.ParseFleet(file, text)
+	f, err := gatewayconfig.ParseFleet(file, text)
 	if err != nil {
 		return nil, err
 	}
@@ -182,9 +182,9 @@
 		return nil, fmt.Errorf("%s: description: %w", file, err)
 	}
 	// Its places are told before anything is asked of the cluster.
-	var classes []fleetconfig.Class
+	var classes []clusterconfig.Class
 	for _, name := range slices.Sorted(maps.Keys(f.Objects["class"])) {
-		var k fleetconfig.Class
+		var k clusterconfig.Class
 		if err := json.Unmarshal(f.Objects["class"][name], &k); err != nil {
 			return nil, err
 		}
@@ -192,28 +192,28 @@
 		classes = append(classes, k)
 	}
 	most := 50
-	var l fleetconfig.Limit
+	var l clusterconfig.Limit
 	if text, ok := f.Objects["limit"]["units"]; ok && json.Unmarshal(text, &l) == nil {
 		most = l.Most
 	}
-	if err := fleet.Validate(beside(file, f.Description), string(doc), classes, most); err != nil {
+	if err := cluster.Validate(beside(file, f.Description), string(doc), classes, most); err != nil {
 		return nil, err
 	}
-	value, err := json.Marshal(fleetconfig.Description{File: f.Description, Text: string(doc)})
+	value, err := json.Marshal(clusterconfig.Description{File: f.Description, Text: string(doc)})
 	f.Objects["description"] = map[string]json.RawMessage{"booking": value}
 	return f.Objects, err
 }
 
 // changes are what makes what is agreed into what is wanted. Members are left alone.
-func changes(agreed fleet.Objects, want map[string]map[string]json.RawMessage) (cs []fleetconfig.Change, lines []string) {
-	for _, kind := range gatefile.FleetKinds {
+func changes(agreed cluster.Objects, want map[string]map[string]json.RawMessage) (cs []clusterconfig.Change, lines []string) {
+	for _, kind := range gatewayconfig.FleetKinds {
 		have := agreed.Objects[kind]
 		for _, name := range slices.Sorted(maps.Keys(want[kind])) {
 			before, ok := have[name]
 			if ok && sameJSON(before, want[kind][name]) {
 				continue
 			}
-			cs = append(cs, fleetconfig.Change{Op: "put", Kind: kind, Name: name, Value: want[kind][name]})
+			cs = append(cs, clusterconfig.Change{Op: "put", Kind: kind, Name: name, Value: want[kind][name]})
 			if !ok {
 				lines = append(lines, fmt.Sprintf("+ %s %s %s", kind, name, short(want[kind][name])))
 			} else {
@@ -222,7 +222,7 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(have)) {
 			if _, ok := want[kind][name]; !ok {
-				cs = append(cs, fleetconfig.Change{Op: "remove", Kind: kind, Name: name})
+				cs = append(cs, clusterconfig.Change{Op: "remove", Kind: kind, Name: name})
 				lines = append(lines, fmt.Sprintf("- %s %s %s", kind, name, short(have[name])))
 			}
 		}
@@ -250,7 +250,7 @@
 	if err != nil {
 		return usage{err}
 	}
-	return cc.ask(e, func(ctx context.Context, cl *fleet.Client) error {
+	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
 		o, err := cl.Objects(ctx, false)
 		if err != nil {
 			return err
@@ -303,15 +303,15 @@
 	if err != nil {
 		return usage{err}
 	}
-	return cc.ask(e, func(ctx context.Context, cl *fleet.Client) error {
+	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
 		o, err := cl.Objects(ctx, false)
 		if err != nil {
 			return err
 		}
 		cs, _ := changes(o, want)
-		out := fleetconfig.Outcome{Version: o.Version, Applied: true}
+		out := clusterconfig.Outcome{Version: o.Version, Applied: true}
 		if len(cs) > 0 {
-			p := &fleetconfig.Proposal{ID: c.ID, Base: &o.Version, Why: c.Why, Changes: cs}
+			p := &clusterconfig.Proposal{ID: c.ID, Base: &o.Version, Why: c.Why, Changes: cs}
 			if p.ID == "" {
 				p.ID = rand.Text()
 			}
@@ -345,7 +345,7 @@
 }
 
 type membersCmd struct {
-	Add      addMemberCmd      `cmd:"" help:"Add a member; it votes once it has caught up. It must run, see mulleingate init --join. Example: mulleingate config members add 4 --raft 10.0.0.4:7101 --admin 10.0.0.4:7201"`
+	Add      addMemberCmd      `cmd:"" help:"Add a member; it votes once it has caught up. It must run, see gateway init --join. Example: gateway config members add 4 --raft 10.0.0.4:7101 --admin 10.0.0.4:7201"`
 	Replace  replaceMemberCmd  `cmd:"" help:"Put a new member in the place of one, in one step: of one that is dead, say."`
 	Remove   removeMemberCmd   `cmd:"" help:"Remove a member. Its number is never used again."`
 	Transfer transferMemberCmd `cmd:"" help:"Have a member lead."`
@@ -373,23 +373,23 @@
 }
 
 func (c *addMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &fleet.MembersChange{Op: "add", Member: c.Member, At: &fleetconfig.Member{Raft: c.Raft, Admin: c.Admin}})
+	return cc.change(e, &cluster.MembersChange{Op: "add", Member: c.Member, At: &clusterconfig.Member{Raft: c.Raft, Admin: c.Admin}})
 }
 
 func (c *replaceMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &fleet.MembersChange{Op: "replace", Member: c.Member, With: c.With, At: &fleetconfig.Member{Raft: c.Raft, Admin: c.Admin}})
+	return cc.change(e, &cluster.MembersChange{Op: "replace", Member: c.Member, With: c.With, At: &clusterconfig.Member{Raft: c.Raft, Admin: c.Admin}})
 }
 
 func (c *removeMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &fleet.MembersChange{Op: "remove", Member: c.Member})
+	return cc.change(e, &cluster.MembersChange{Op: "remove", Member: c.Member})
 }
 
 func (c *transferMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &fleet.MembersChange{Op: "transfer", Member: c.Member})
+	return cc.change(e, &cluster.MembersChange{Op: "transfer", Member: c.Member})
 }
 
-func (c *configCmd) change(e *env, m *fleet.MembersChange) error {
-	return c.ask(e, func(ctx context.Context, cl *fleet.Client) error {
+func (c *configCmd) change(e *env, m *cluster.MembersChange) error {
+	return c.ask(e, func(ctx context.Context, cl *cluster.Client) error {
 		s, err := cl.Members(ctx, m)
 		if err != nil {
 			return err
@@ -405,7 +405,7 @@
 type statusCmd struct{}
 
 func (c *statusCmd) Run(e *env, cc *configCmd) error {
-	return cc.ask(e, func(ctx context.Context, cl *fleet.Client) error {
+	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
 		all, failed, err := cl.StatusOf(ctx)
 		if err != nil {
 			return err
--- a/cmd/mulleingate/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command mulleingate is the gateway between halls, and its operators' tool.
+// Command gateway is the gateway between halls, and its operators' tool.
 package main
 
 import (
@@ -14,20 +14,20 @@
 
 	"github.com/alecthomas/kong"
 
-	"mulleinmux/internal/lab"
+	"mulleinmux/internal/scenario"
 )
 
 // cli is the whole command line.
 type cli struct {
-	Lab    labCmd    `cmd:"" help:"Play a scenario: real instances on loopback between stand-in halls. Exits 0 only if every rule was kept. Example: mulleingate lab --scenario mixed --for 20s --seed 7 --json"`
-	Check  checkCmd  `cmd:"" help:"Check descriptions (YAML, JSON) and configurations (TOML) without starting anything. Example: mulleingate check deploy/booking.yaml deploy/gateway.toml"`
-	Bench  benchCmd  `cmd:"" help:"Measure CPU a request and requests a second beside httputil.ReverseProxy. Example: mulleingate bench --for 3s --procs 1,2"`
+	Lab    labCmd    `cmd:"" help:"Play a scenario: real instances on loopback between stand-in halls. Exits 0 only if every rule was kept. Example: gateway lab --scenario mixed --for 20s --seed 7 --json"`
+	Check  checkCmd  `cmd:"" help:"Check descriptions (YAML, JSON) and configurations (TOML) without starting anything. Example: gateway check deploy/booking.yaml deploy/gateway.toml"`
+	Bench  benchCmd  `cmd:"" help:"Measure CPU a request and requests a second beside httputil.ReverseProxy. Example: gateway bench --for 3s --procs 1,2"`
 	Part   partCmd   `cmd:"" name:"bench-part" hidden:""`
-	Certs  certsCmd  `cmd:"" help:"Make the certificates with which instances know each other. Example: mulleingate certs --cluster dodoma --members 1,2,3 --dir certs"`
-	Init   initCmd   `cmd:"" help:"Make the file of a member of a cluster, once. Example: mulleingate init --config gate-1.toml --new-cluster"`
+	Certs  certsCmd  `cmd:"" help:"Make the certificates with which instances know each other. Example: gateway certs --cluster dodoma --members 1,2,3 --dir certs"`
+	Init   initCmd   `cmd:"" help:"Make the file of a member of a cluster, once. Example: gateway init --config gate-1.toml --new-cluster"`
 	Config configCmd `cmd:"" help:"Ask and change what the instances of a cluster agree on."`
 	Stream streamCmd `cmd:"" help:"Ask how the instances that follow stand."`
-	Run    runCmd    `cmd:"" help:"Run one instance until SIGTERM. SIGHUP reads its description again. Example: mulleingate run --config deploy/gateway.toml"`
+	Run    runCmd    `cmd:"" help:"Run one instance until SIGTERM. SIGHUP reads its description again. Example: gateway run --config deploy/gateway.toml"`
 }
 
 type labCmd struct {
@@ -57,7 +57,7 @@
 
 func (c *labCmd) Run(e *env) error {
 	if c.List {
-		for _, s := range lab.Scenarios() {
+		for _, s := range scenario.Scenarios() {
 			fmt.Fprintf(e.stdout, "%-28s %s\n", s.Name, s.About)
 		}
 		return nil
@@ -65,10 +65,10 @@
 	if c.For < time.Second || c.For > time.Hour {
 		return usage{fmt.Errorf("--for: %v is outside 1s to 1h", c.For)}
 	}
-	opt := lab.Options{Scenario: c.Scenario, For: c.For, Seed: c.Seed, KeysAnywhere: c.KeysAnywhere, RampOff: c.RampOff,
+	opt := scenario.Options{Scenario: c.Scenario, For: c.For, Seed: c.Seed, KeysAnywhere: c.KeysAnywhere, RampOff: c.RampOff,
 		Progress: func(line string) { fmt.Fprintln(e.stderr, line) }}
 	if !known(c.Scenario) {
-		return usage{fmt.Errorf("--scenario: %q is unknown: see mulleingate lab --list", c.Scenario)}
+		return usage{fmt.Errorf("--scenario: %q is unknown: see gateway lab --list", c.Scenario)}
 	}
 	program, err := os.Executable()
 	if err != nil {
@@ -83,7 +83,7 @@
 		defer f.Close()
 		opt.Log = f
 	}
-	v, err := lab.Play(e.ctx, opt)
+	v, err := scenario.Play(e.ctx, opt)
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 }
 
 func known(name string) bool {
-	for _, s := range lab.Scenarios() {
+	for _, s := range scenario.Scenarios() {
 		if s.Name == name {
 			return true
 		}
@@ -126,10 +126,10 @@
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var c cli
 	exit := -1
-	parser, err := kong.New(&c, kong.Name("mulleingate"), kong.Description("A gateway between halls of booking servers, by an OpenAPI description."),
+	parser, err := kong.New(&c, kong.Name("gateway"), kong.Description("A gateway between halls of booking servers, by an OpenAPI description."),
 		kong.Writers(stdout, stderr), kong.Exit(func(code int) { exit = code }))
 	if err != nil {
-		fmt.Fprintln(stderr, "mulleingate:", err)
+		fmt.Fprintln(stderr, "gateway:", err)
 		return 1
 	}
 	parsed, err := parser.Parse(args)
@@ -137,7 +137,7 @@
 		return exit // help was asked for
 	}
 	if err != nil {
-		fmt.Fprintln(stderr, "mulleingate:", err)
+		fmt.Fprintln(stderr, "gateway:", err)
 		return 2
 	}
 	err = parsed.Run(&env{ctx, stdout, stderr, labEnv}, &c.Config, &c.Stream)
@@ -147,7 +147,7 @@
 	case errors.Is(err, errVerdict), errors.Is(err, errDiffers):
 		return 1
 	}
-	fmt.Fprintln(stderr, "mulleingate:", err)
+	fmt.Fprintln(stderr, "gateway:", err)
 	if _, ok := errors.AsType[usage](err); ok {
 		return 2
 	}
--- a/cmd/mulleingate/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"mulleinmux/deploy"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
 )
 
 // patience bounds every wait of a test; none is expected to come near it.
@@ -120,17 +120,17 @@
 		{[]string{"certs", "--followers", "edge-1", "--dir", filepath.Join(dir, "certs")}, 0, []string{"followers [edge-1]"}},
 		{[]string{"stream", "pin", "edge-1", "0"}, 2, []string{"version"}},
 		{[]string{"config", "apply", good, "--wait", "all-but-some"}, 2, []string{"all-but-N"}},
-		{[]string{"run", "--config", member}, 2, []string{"member-1.db", "mulleingate init"}},
+		{[]string{"run", "--config", member}, 2, []string{"member-1.db", "gateway init"}},
 		{[]string{"init", "--config", member}, 2, []string{"--new-cluster", "--join"}},
 		{[]string{"init", "--config", config, "--join"}, 2, []string{"cluster: is missing"}},
 		{[]string{"init", "--config", member, "--new-cluster"}, 0, []string{"member 1 of cluster dodoma"}},
 		{[]string{"init", "--config", member, "--join"}, 2, []string{"exists"}},
-		{[]string{"config", "--certs", filepath.Join(dir, "certs"), "--operator", "zuri", "status"}, 2, []string{"--operator", "zuri", "mulleingate certs"}},
+		{[]string{"config", "--certs", filepath.Join(dir, "certs"), "--operator", "zuri", "status"}, 2, []string{"--operator", "zuri", "gateway certs"}},
 		{[]string{"config", "--certs", filepath.Join(dir, "certs"), "--operator", "amina", "--at", "127.0.0.1:1", "status"}, 1, []string{"127.0.0.1:1", "refused"}},
 		{[]string{"config", "--timeout", "1h", "status"}, 2, []string{"--timeout"}},
 		{[]string{"config", "apply", file(t, dir, "empty.toml", "description = \"none.yaml\"\n")}, 2, []string{"empty.toml", "hall", "class"}},
 		{[]string{"nothing"}, 2, []string{"nothing"}},
-		{[]string{"--help"}, 0, []string{"mulleingate", "lab", "check", "run"}},
+		{[]string{"--help"}, 0, []string{"gateway", "lab", "check", "run"}},
 	} {
 		var out, errs bytes.Buffer
 		status := run(context.Background(), c.args, &out, &errs)
@@ -157,7 +157,7 @@
 	dir := t.TempDir()
 	text := string(deploy.Gateway)
 	for _, port := range []string{"8500", "8501"} {
-		reg, err := standin.NewRegister()
+		reg, err := testserver.NewRegister()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -170,7 +170,7 @@
 	config := file(t, dir, "gateway.toml", text)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	errs := &standin.Log{}
+	errs := &testserver.Log{}
 	done := make(chan int, 1)
 	go func() { done <- run(ctx, []string{"run", "--config", config}, io.Discard, errs) }()
 	log := func(pattern string) []string {
--- a/cmd/mulleingate/serve.go
+++ b/cmd/gateway/serve.go
@@ -13,11 +13,11 @@
 	"syscall"
 	"text/tabwriter"
 
-	"mulleinmux/contract"
 	"mulleinmux/deploy"
-	"mulleinmux/internal/gatefile"
 	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/gatewayconfig"
 	"mulleinmux/internal/openapi"
+	"mulleinmux/routing"
 )
 
 type checkCmd struct {
@@ -81,26 +81,26 @@
 }
 
 // classesOf returns what descriptions are compiled with.
-func classesOf(config string) (contract.Options, error) {
+func classesOf(config string) (routing.Options, error) {
 	text, name := deploy.Gateway, "gateway.toml"
 	if config != "" {
 		var err error
 		if text, err = os.ReadFile(config); err != nil {
-			return contract.Options{}, fmt.Errorf("--config: %w", err)
+			return routing.Options{}, fmt.Errorf("--config: %w", err)
 		}
 		name = config
 	}
-	f, err := gatefile.Parse(name, text)
+	f, err := gatewayconfig.Parse(name, text)
 	if err != nil {
-		return contract.Options{}, err
+		return routing.Options{}, err
 	}
 	return f.Config.Options(), nil
 }
 
-func checkFile(file string, opt contract.Options) (r checked) {
+func checkFile(file string, opt routing.Options) (r checked) {
 	r.File = file
 	fail := func(err error) checked {
-		ps, ok := errors.AsType[contract.Problems](err)
+		ps, ok := errors.AsType[routing.Problems](err)
 		if !ok {
 			r.Problems = append(r.Problems, problem{Text: err.Error(), shown: err.Error()})
 		}
@@ -115,7 +115,7 @@
 	}
 	description := file
 	if strings.HasSuffix(file, ".toml") {
-		f, err := gatefile.Parse(file, text)
+		f, err := gatewayconfig.Parse(file, text)
 		if err != nil {
 			return fail(err)
 		}
@@ -144,7 +144,7 @@
 	return r
 }
 
-func unitsText(u contract.Units) string {
+func unitsText(u routing.Units) string {
 	if u.Fixed > 0 {
 		return fmt.Sprint(u.Fixed)
 	}
@@ -194,7 +194,7 @@
 	if err != nil {
 		return usage{fmt.Errorf("--config: %w", err)}
 	}
-	f, err := gatefile.Parse(c.Config, text)
+	f, err := gatewayconfig.Parse(c.Config, text)
 	if err != nil {
 		return usage{err}
 	}
@@ -253,7 +253,7 @@
 }
 
 // load reads and compiles the description.
-func load(file string, cfg *gateway.Config) (*contract.Table, gateway.Checker, error) {
+func load(file string, cfg *gateway.Config) (*routing.Table, gateway.Checker, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, fmt.Errorf("description: %w", err)
--- a/cmd/mulleingate/stream.go
+++ b/cmd/gateway/stream.go
@@ -10,18 +10,18 @@
 	"text/tabwriter"
 	"time"
 
-	"mulleinmux/confstream"
-	"mulleinmux/fleetconfig"
-	"mulleinmux/internal/fleet"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/configstream"
+	"mulleinmux/internal/cluster"
 )
 
 // streamCmd asks members about the instances that follow.
 type streamCmd struct {
 	configAt
-	Status  streamStatusCmd  `cmd:"" help:"Show which version each follower runs. Example: mulleingate stream status --watch"`
-	Pin     streamPinCmd     `cmd:"" help:"Have a follower stay at a version, or go up to it and stay there. Example: mulleingate stream pin edge-7 41"`
+	Status  streamStatusCmd  `cmd:"" help:"Show which version each follower runs. Example: gateway stream status --watch"`
+	Pin     streamPinCmd     `cmd:"" help:"Have a follower stay at a version, or go up to it and stay there. Example: gateway stream pin edge-7 41"`
 	Unpin   streamUnpinCmd   `cmd:"" help:"Have it take the newest again."`
-	Explain streamExplainCmd `cmd:"" help:"Show why a follower does not run the newest version. Example: mulleingate stream explain edge-7"`
+	Explain streamExplainCmd `cmd:"" help:"Show why a follower does not run the newest version. Example: gateway stream explain edge-7"`
 }
 
 type streamStatusCmd struct {
@@ -31,7 +31,7 @@
 
 func (c *streamStatusCmd) Run(e *env, sc *streamCmd) error {
 	for {
-		if err := sc.ask(e, func(ctx context.Context, cl *fleet.Client) error {
+		if err := sc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
 			fs, err := cl.Followers(ctx)
 			if err != nil {
 				return err
@@ -61,12 +61,12 @@
 }
 
 func (c *streamExplainCmd) Run(e *env, sc *streamCmd) error {
-	return sc.ask(e, func(ctx context.Context, cl *fleet.Client) error {
+	return sc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
 		fs, err := cl.Followers(ctx)
 		if err != nil {
 			return err
 		}
-		i := slices.IndexFunc(fs.Followers, func(s confstream.Standing) bool { return s.Name == c.Follower })
+		i := slices.IndexFunc(fs.Followers, func(s configstream.Standing) bool { return s.Name == c.Follower })
 		if i < 0 {
 			return unknownFollower(c.Follower)
 		}
@@ -84,7 +84,7 @@
 }
 
 func (c *epochCmd) Run(e *env, cc *configCmd) error {
-	return amend(&cc.configAt, e, "epoch", "epoch", c.Why, func(epoch *fleetconfig.Epoch, _ uint64, _ bool) (string, error) {
+	return amend(&cc.configAt, e, "epoch", "epoch", c.Why, func(epoch *clusterconfig.Epoch, _ uint64, _ bool) (string, error) {
 		epoch.Number++
 		epoch.ID = rand.Text()
 		return fmt.Sprintf("begins epoch %d", epoch.Number), nil
@@ -113,7 +113,7 @@
 
 // pin agrees on the version that a follower stays at.
 func (sc *streamCmd) pin(e *env, name string, version uint64, why string) error {
-	return amend(&sc.configAt, e, "follower", name, why, func(f *fleetconfig.Follower, newest uint64, there bool) (string, error) {
+	return amend(&sc.configAt, e, "follower", name, why, func(f *clusterconfig.Follower, newest uint64, there bool) (string, error) {
 		switch {
 		case !there:
 			return "", unknownFollower(name)
@@ -126,13 +126,13 @@
 }
 
 func unknownFollower(name string) error {
-	return fmt.Errorf("no follower is called %q: those agreed on are in mulleingate config get follower", name)
+	return fmt.Errorf("no follower is called %q: those agreed on are in gateway config get follower", name)
 }
 
 // amend has the instances agree on one object as change leaves it, on the version that it was read at. change is told the
 // version and whether the object is there, and words what the new version does.
 func amend[T any](at *configAt, e *env, kind, name, why string, change func(v *T, version uint64, there bool) (string, error)) error {
-	return at.ask(e, func(ctx context.Context, cl *fleet.Client) error {
+	return at.ask(e, func(ctx context.Context, cl *cluster.Client) error {
 		o, err := cl.Objects(ctx, false)
 		if err != nil {
 			return err
@@ -148,7 +148,7 @@
 		if err != nil {
 			return err
 		}
-		out, err := cl.Propose(ctx, &fleetconfig.Proposal{ID: rand.Text(), Base: &o.Version, Why: why, Changes: []fleetconfig.Change{fleetconfig.Put(kind, name, v)}})
+		out, err := cl.Propose(ctx, &clusterconfig.Proposal{ID: rand.Text(), Base: &o.Version, Why: why, Changes: []clusterconfig.Change{clusterconfig.Put(kind, name, v)}})
 		if err != nil {
 			return err
 		}
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -10,8 +10,8 @@
 	"os"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/wire"
+	"mulleinmux/internal/simwire"
+	"mulleinmux/policy"
 )
 
 func main() {
@@ -23,16 +23,16 @@
 
 // host is the state of the process: its instances and the reply being written.
 type host struct {
-	gates map[int]*choice.Gateway
+	gates map[int]*policy.Gateway
 	now   time.Duration
 	open  bool // inside a batch
-	reply wire.Reply
+	reply simwire.Reply
 }
 
 func run(in io.Reader, out io.Writer) error {
-	r := wire.NewReader(in)
+	r := simwire.NewReader(in)
 	w := bufio.NewWriterSize(out, 1<<16)
-	h := host{gates: map[int]*choice.Gateway{}}
+	h := host{gates: map[int]*policy.Gateway{}}
 	for {
 		ev, err := r.Next()
 		if err == io.EOF && h.open {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		if _, ok := ev.(wire.Commit); ok {
+		if _, ok := ev.(simwire.Commit); ok {
 			w.Write(h.reply.Take())
 			if err := w.Flush(); err != nil {
 				return fmt.Errorf("writing the reply: %w", err)
@@ -61,7 +61,7 @@
 
 func (h *host) handle(ev any) error {
 	switch e := ev.(type) {
-	case wire.Clock:
+	case simwire.Clock:
 		if h.open {
 			return errors.New("CLOCK inside a batch")
 		}
@@ -75,44 +75,44 @@
 		return errors.New("message outside a batch")
 	}
 	switch e := ev.(type) {
-	case wire.Commit:
+	case simwire.Commit:
 		h.open = false
-	case wire.Launch:
-		g, err := choice.New(e.Settings, e.Seed)
+	case simwire.Launch:
+		g, err := policy.New(e.Settings, e.Seed)
 		if err != nil {
 			return err
 		}
 		h.gates[e.Inst] = g
-		return h.deliver(e.Inst, func(g *choice.Gateway) { g.Start(h.now, &h.reply) })
-	case wire.Halt:
+		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Start(h.now, &h.reply) })
+	case simwire.Halt:
 		if _, ok := h.gates[e.Inst]; !ok {
 			return fmt.Errorf("unknown instance %d", e.Inst)
 		}
 		delete(h.gates, e.Inst)
-	case wire.List:
-		return h.deliver(e.Inst, func(g *choice.Gateway) { g.List(h.now, e.Form, e.Servers, &h.reply) })
-	case wire.Accept:
-		return h.deliver(e.Inst, func(g *choice.Gateway) { g.Request(h.now, e.Request, &h.reply) })
-	case wire.Headers:
-		return h.deliver(e.Inst, func(g *choice.Gateway) { g.First(h.now, e.ID, e.Attempt, &h.reply) })
-	case wire.Completed:
-		return h.deliver(e.Inst, func(g *choice.Gateway) { g.Outcome(h.now, e.Outcome, &h.reply) })
-	case wire.Left:
-		return h.deliver(e.Inst, func(g *choice.Gateway) { g.Gone(h.now, e.ID, &h.reply) })
-	case wire.TimerFired:
-		return h.deliver(e.Inst, func(g *choice.Gateway) { g.Timer(h.now, e.Token, &h.reply) })
-	case wire.ProbeDone:
-		return h.deliver(e.Inst, func(g *choice.Gateway) { g.Probed(h.now, e.Server, e.Result, e.Load, &h.reply) })
-	case wire.Whisper:
-		return h.deliver(e.Inst, func(g *choice.Gateway) { g.Peer(h.now, e.From, e.Payload, &h.reply) })
-	case wire.Total:
-		return h.deliver(e.Inst, func(*choice.Gateway) {})
+	case simwire.List:
+		return h.deliver(e.Inst, func(g *policy.Gateway) { g.List(h.now, e.Form, e.Servers, &h.reply) })
+	case simwire.Accept:
+		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Request(h.now, e.Request, &h.reply) })
+	case simwire.Headers:
+		return h.deliver(e.Inst, func(g *policy.Gateway) { g.First(h.now, e.ID, e.Attempt, &h.reply) })
+	case simwire.Completed:
+		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Outcome(h.now, e.Outcome, &h.reply) })
+	case simwire.Left:
+		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Gone(h.now, e.ID, &h.reply) })
+	case simwire.TimerFired:
+		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Timer(h.now, e.Token, &h.reply) })
+	case simwire.ProbeDone:
+		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Probed(h.now, e.Server, e.Result, e.Load, &h.reply) })
+	case simwire.Whisper:
+		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Peer(h.now, e.From, e.Payload, &h.reply) })
+	case simwire.Total:
+		return h.deliver(e.Inst, func(*policy.Gateway) {})
 	}
 	return nil
 }
 
 // deliver hands one event to an instance; a panic of the module becomes BROKEN.
-func (h *host) deliver(inst int, f func(*choice.Gateway)) error {
+func (h *host) deliver(inst int, f func(*policy.Gateway)) error {
 	g, ok := h.gates[inst]
 	if !ok {
 		return fmt.Errorf("unknown instance %d", inst)
--- a/confstream/fixture_test.go
+++ b/configstream/fixture_test.go
@@ -1,4 +1,4 @@
-package confstream
+package configstream
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 	"mulleinmux/internal/fixture"
 )
 
@@ -19,9 +19,9 @@
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./confstream -run Fixture
 func TestFixtureWords(t *testing.T) {
-	s := fleetconfig.New(nil)
-	version := func(before *Version, id string, changes ...fleetconfig.Change) *Version {
-		entry, err := fleetconfig.Encode(&fleetconfig.Proposal{ID: id, Changes: changes})
+	s := clusterconfig.New(nil)
+	version := func(before *Version, id string, changes ...clusterconfig.Change) *Version {
+		entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: id, Changes: changes})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -30,10 +30,10 @@
 		}
 		return Of(s, before)
 	}
-	one := version(nil, "p1", fleetconfig.Put("epoch", "epoch", fleetconfig.Epoch{Number: 2, ID: "one"}), fleetconfig.Put("plan", "kati", fleetconfig.Plan{Price: 1}),
-		fleetconfig.Put("licensee", "a", fleetconfig.Licensee{Plan: "kati"}), fleetconfig.Put("hall", "hall-a", fleetconfig.Hall{Register: "127.0.0.1:1"}))
-	two := version(one, "p2", fleetconfig.Put("plan", "kubwa", fleetconfig.Plan{Price: 2}), fleetconfig.Put("licensee", "b", fleetconfig.Licensee{Plan: "kubwa"}),
-		fleetconfig.Change{Op: "remove", Kind: "licensee", Name: "a"})
+	one := version(nil, "p1", clusterconfig.Put("epoch", "epoch", clusterconfig.Epoch{Number: 2, ID: "one"}), clusterconfig.Put("plan", "kati", clusterconfig.Plan{Price: 1}),
+		clusterconfig.Put("licensee", "a", clusterconfig.Licensee{Plan: "kati"}), clusterconfig.Put("hall", "hall-a", clusterconfig.Hall{Register: "127.0.0.1:1"}))
+	two := version(one, "p2", clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Price: 2}), clusterconfig.Put("licensee", "b", clusterconfig.Licensee{Plan: "kubwa"}),
+		clusterconfig.Change{Op: "remove", Kind: "licensee", Name: "a"})
 	problems := []Problem{{"plan/kati", "rate", "out of range"}}
 	ref := one.Ref
 	standing := Standing{Name: "edge-1", State: "running", Running: &ref, Since: time.Minute, Offered: &two.Ref, Refused: &Refusal{Ref: two.Ref, Problems: problems},
--- a/confstream/follower.go
+++ b/configstream/follower.go
@@ -1,4 +1,4 @@
-package confstream
+package configstream
 
 import (
 	"fmt"
--- a/confstream/publisher.go
+++ b/configstream/publisher.go
@@ -1,4 +1,4 @@
-package confstream
+package configstream
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 )
 
 // PublisherConfig is what a member's side goes by.
@@ -175,7 +175,7 @@
 	clear(p.bodies)
 	clear(p.pins)
 	v.Tree.Root().WalkPrefix([]byte("follower/"), func(k []byte, text json.RawMessage) bool {
-		var f fleetconfig.Follower
+		var f clusterconfig.Follower
 		if json.Unmarshal(text, &f) == nil && f.Pin > 0 {
 			p.pins[string(k[len("follower/"):])] = f.Pin
 		}
--- a/confstream/seeds_test.go
+++ b/configstream/seeds_test.go
@@ -1,4 +1,4 @@
-package confstream
+package configstream
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 )
 
 // world plays members, followers and a network between them, from a seed, on a virtual clock.
@@ -24,7 +24,7 @@
 	queue     events
 	order     int
 	log       []*Version // agreed, by number from 1; of the newest epoch
-	state     *fleetconfig.State
+	state     *clusterconfig.State
 	members   []*member
 	followers []*follower
 	faults    bool
@@ -121,15 +121,15 @@
 }
 
 func newWorld(t *testing.T, seed uint64, followers int) *world {
-	w := &world{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), faults: true, state: fleetconfig.New(nil), agreed: map[Ref]agreement{}}
-	cs := []fleetconfig.Change{}
+	w := &world{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), faults: true, state: clusterconfig.New(nil), agreed: map[Ref]agreement{}}
+	cs := []clusterconfig.Change{}
 	for i := range followers {
 		f := &follower{name: fmt.Sprintf("f%d", i), disk: &Disk{}}
 		f.seat = NewSeat(SeatConfig{Name: f.name, Members: []uint64{1, 2, 3}, Least: 50 * time.Millisecond, Most: time.Second}, w.rng)
 		w.followers = append(w.followers, f)
-		cs = append(cs, fleetconfig.Put("follower", f.name, fleetconfig.Follower{}))
+		cs = append(cs, clusterconfig.Put("follower", f.name, clusterconfig.Follower{}))
 	}
-	w.agree(append(cs, fleetconfig.Put("epoch", "epoch", fleetconfig.Epoch{Number: 1, ID: "first"}))...)
+	w.agree(append(cs, clusterconfig.Put("epoch", "epoch", clusterconfig.Epoch{Number: 1, ID: "first"}))...)
 	for i := range uint64(3) {
 		w.members = append(w.members, &member{id: i + 1})
 		w.startMember(w.members[i])
@@ -141,10 +141,10 @@
 }
 
 // agree adds a version.
-func (w *world) agree(cs ...fleetconfig.Change) {
-	entry, err := fleetconfig.Encode(&fleetconfig.Proposal{ID: fmt.Sprint(w.rng.Uint64()), Changes: cs})
+func (w *world) agree(cs ...clusterconfig.Change) {
+	entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: fmt.Sprint(w.rng.Uint64()), Changes: cs})
 	if err == nil {
-		var o fleetconfig.Outcome
+		var o clusterconfig.Outcome
 		if _, o, err = w.state.Apply(entry); err == nil && !o.Applied {
 			err = errors.New(o.Refused)
 		}
@@ -170,15 +170,15 @@
 		price = []float64{oddPrice, oddPrice, checkPrice, installPrice}[w.rng.IntN(4)]
 	}
 	if _, ok := w.state.Get("plan", name); ok && w.rng.IntN(4) == 0 {
-		w.agree(fleetconfig.Change{Op: "remove", Kind: "plan", Name: name})
+		w.agree(clusterconfig.Change{Op: "remove", Kind: "plan", Name: name})
 		return
 	}
-	w.agree(fleetconfig.Put("plan", name, fleetconfig.Plan{Rate: float64(len(w.log)), Burst: 1, Price: price}))
+	w.agree(clusterconfig.Put("plan", name, clusterconfig.Plan{Rate: float64(len(w.log)), Burst: 1, Price: price}))
 }
 
 // restore has the service go back to an old version, in a new epoch.
 func (w *world) restore() {
-	s := fleetconfig.New(nil)
+	s := clusterconfig.New(nil)
 	old := w.log[w.rng.IntN(len(w.log))]
 	text, _ := json.Marshal(old.Places)
 	if err := s.Restore([]byte(fmt.Sprintf(`{"format":3,"version":%d,"hash":%q,"homes":%d,"places":%s,"objects":%s}`, old.Number, old.Hash, old.Homes, text, objectsOf(old)))); err != nil {
@@ -186,21 +186,21 @@
 	}
 	w.state, w.log = s, w.log[:old.Number]
 	e := w.epoch()
-	w.agree(fleetconfig.Put("epoch", "epoch", e))
+	w.agree(clusterconfig.Put("epoch", "epoch", e))
 	for _, m := range w.members {
 		m.applied = 0
 		w.startMember(m)
 	}
 }
 
-func (w *world) epoch() fleetconfig.Epoch {
+func (w *world) epoch() clusterconfig.Epoch {
 	highest := uint64(0)
 	for _, f := range w.followers {
 		if f.newest != nil {
 			highest = max(highest, f.newest.Epoch.Number)
 		}
 	}
-	return fleetconfig.Epoch{Number: max(highest, w.state.Epoch().Number) + 1, ID: fmt.Sprint(w.rng.Uint64())}
+	return clusterconfig.Epoch{Number: max(highest, w.state.Epoch().Number) + 1, ID: fmt.Sprint(w.rng.Uint64())}
 }
 
 func objectsOf(v *Version) string {
@@ -430,7 +430,7 @@
 // deadly tells whether a version has a plan of that price.
 func (w *world) deadly(v *Version, price int) (is bool) {
 	v.Tree.Root().WalkPrefix([]byte("plan/"), func(_ []byte, text json.RawMessage) bool {
-		var p fleetconfig.Plan
+		var p clusterconfig.Plan
 		is = is || json.Unmarshal(text, &p) == nil && int(p.Price) == price
 		return is
 	})
@@ -439,7 +439,7 @@
 
 func (w *world) problems(v *Version) (ps []Problem) {
 	v.Tree.Root().WalkPrefix([]byte("plan/"), func(k []byte, text json.RawMessage) bool {
-		var p fleetconfig.Plan
+		var p clusterconfig.Plan
 		if json.Unmarshal(text, &p) == nil && int(p.Price) == oddPrice {
 			ps = append(ps, Problem{Object: strings.Replace(string(k), "/", " ", 1), Field: "price", Text: "is odd"})
 		}
--- a/confstream/transcript_test.go
+++ b/configstream/transcript_test.go
@@ -1,4 +1,4 @@
-package confstream
+package configstream
 
 import (
 	"fmt"
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 )
 
 // agreed returns the versions that come of a list of changes, the first with a follower called f.
 func agreed(t *testing.T, n int) (vs []*Version) {
-	w := &world{t: t, state: fleetconfig.New(nil), agreed: map[Ref]agreement{}, rng: rand.New(rand.NewPCG(1, 1))}
-	w.agree(fleetconfig.Put("follower", "f", fleetconfig.Follower{}), fleetconfig.Put("plan", "big", fleetconfig.Plan{Rate: 1, Burst: 1}))
+	w := &world{t: t, state: clusterconfig.New(nil), agreed: map[Ref]agreement{}, rng: rand.New(rand.NewPCG(1, 1))}
+	w.agree(clusterconfig.Put("follower", "f", clusterconfig.Follower{}), clusterconfig.Put("plan", "big", clusterconfig.Plan{Rate: 1, Burst: 1}))
 	for i := range n - 1 {
-		w.agree(fleetconfig.Put("limit", "units", fleetconfig.Limit{Most: i + 1}))
+		w.agree(clusterconfig.Put("limit", "units", clusterconfig.Limit{Most: i + 1}))
 	}
 	return w.log
 }
@@ -119,11 +119,11 @@
 
 // A follower that is pinned goes up to that version and stays, and takes the newest once it is unpinned.
 func TestPin(t *testing.T) {
-	w := &world{t: t, state: fleetconfig.New(nil), agreed: map[Ref]agreement{}, rng: rand.New(rand.NewPCG(1, 1))}
-	w.agree(fleetconfig.Put("follower", "f", fleetconfig.Follower{}))
-	w.agree(fleetconfig.Put("limit", "units", fleetconfig.Limit{Most: 2}))
-	w.agree(fleetconfig.Put("follower", "f", fleetconfig.Follower{Pin: 2}))
-	w.agree(fleetconfig.Put("follower", "f", fleetconfig.Follower{}))
+	w := &world{t: t, state: clusterconfig.New(nil), agreed: map[Ref]agreement{}, rng: rand.New(rand.NewPCG(1, 1))}
+	w.agree(clusterconfig.Put("follower", "f", clusterconfig.Follower{}))
+	w.agree(clusterconfig.Put("limit", "units", clusterconfig.Limit{Most: 2}))
+	w.agree(clusterconfig.Put("follower", "f", clusterconfig.Follower{Pin: 2}))
+	w.agree(clusterconfig.Put("follower", "f", clusterconfig.Follower{}))
 	p := NewPublisher(PublisherConfig{Member: 1, Silence: time.Hour, Answer: time.Hour, Held: 9, Most: 9, Burst: 9}, 0)
 	p.Publish(0, w.log[0])
 	p.Hello(0, 1, Hello{Name: "f", Process: 1, Dial: 1, Running: &w.log[0].Ref})
--- a/confstream/version.go
+++ b/configstream/version.go
@@ -6,7 +6,7 @@
 // Invariants. No follower puts a version in force that it has refused, or one that is older than one that it had in force,
 // across restarts too. A version is in force only after it was checked and kept. What is said of a follower is what it said
 // itself, or "unknown".
-package confstream
+package configstream
 
 import (
 	"bytes"
@@ -20,14 +20,14 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 )
 
 // Format is the newest form of a version's content that this program knows. It is that of the agreed entries.
-const Format = fleetconfig.Format
+const Format = clusterconfig.Format
 
-// Epoch is one control service: see [fleetconfig.Epoch].
-type Epoch = fleetconfig.Epoch
+// Epoch is one control service: see [clusterconfig.Epoch].
+type Epoch = clusterconfig.Epoch
 
 // Digest tells contents apart.
 type Digest [4]uint64
@@ -109,13 +109,13 @@
 	Ref
 	Hash   string   // of the chain of entries up to it
 	Homes  uint64   // epoch of the homes of keys
-	Places []string // of plans: see [fleetconfig.State.Places]
-	Tree   *fleetconfig.Tree
+	Places []string // of plans: see [clusterconfig.State.Places]
+	Tree   *clusterconfig.Tree
 	sum    Digest // of the objects alone
 }
 
 // Of is the version that a state is. before, if not nil, is an earlier one, whose digest saves work.
-func Of(s *fleetconfig.State, before *Version) *Version {
+func Of(s *clusterconfig.State, before *Version) *Version {
 	v := &Version{Ref: Ref{Epoch: s.Epoch(), Number: s.Version()}, Hash: s.Hash(), Homes: s.Homes(), Places: s.Places(), Tree: s.Tree()}
 	empty := iradix.New[json.RawMessage]()
 	if before == nil {
@@ -128,8 +128,8 @@
 }
 
 // State is the configuration that a version is.
-func (v *Version) State() (*fleetconfig.State, error) {
-	return fleetconfig.Told(v.Number, v.Homes, v.Hash, v.Places, v.Tree)
+func (v *Version) State() (*clusterconfig.State, error) {
+	return clusterconfig.Told(v.Number, v.Homes, v.Hash, v.Places, v.Tree)
 }
 
 // replace has d count one value in place of another; nil is none. The digest of a set is the sum of its members' hashes, so
@@ -163,7 +163,7 @@
 }
 
 // diff calls f for each object that differs, in the order of keys; nil stands for none.
-func diff(a, b *fleetconfig.Tree, f func(key []byte, was, is json.RawMessage)) {
+func diff(a, b *clusterconfig.Tree, f func(key []byte, was, is json.RawMessage)) {
 	if a == b {
 		return
 	}
@@ -246,7 +246,7 @@
 			return
 		}
 		b.Put = append(b.Put, Object{string(key), is})
-		b.Format = max(b.Format, fleetconfig.FormatOf(string(key)))
+		b.Format = max(b.Format, clusterconfig.FormatOf(string(key)))
 	})
 	return b
 }
--- a/internal/bench/bench.go
+++ b/internal/benchmark/bench.go
@@ -2,7 +2,7 @@
 // second it takes, beside net/http/httputil's ReverseProxy and a direct call, all in one
 // run on the same stand-in servers. Each part is a process of its own, so that the CPU of
 // one is not taken for another's.
-package bench
+package benchmark
 
 import (
 	"bufio"
@@ -28,13 +28,13 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/contract"
+	"mulleinmux/clusterconfig"
 	"mulleinmux/deploy"
-	"mulleinmux/fleetconfig"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/httpwire"
 	"mulleinmux/internal/openapi"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/routing"
 )
 
 const (
@@ -76,10 +76,10 @@
 	Link string `json:"link,omitempty"` // where the far one is reached over the link
 
 	// Of a member.
-	Member  uint64                        `json:"member,omitempty"`
-	Dir     string                        `json:"dir,omitempty"` // with certificates
-	Members map[uint64]fleetconfig.Member `json:"members,omitempty"`
-	Stream  string                        `json:"stream,omitempty"` // for followers
+	Member  uint64                          `json:"member,omitempty"`
+	Dir     string                          `json:"dir,omitempty"` // with certificates
+	Members map[uint64]clusterconfig.Member `json:"members,omitempty"`
+	Stream  string                          `json:"stream,omitempty"` // for followers
 
 	StreamFull bool `json:"stream_full,omitempty"` // by whole versions alone
 }
@@ -186,16 +186,16 @@
 
 // startGateway starts one instance with the embedded description, quotas and rules; change may set what is its own.
 func startGateway(ctx context.Context, servers []string, change func(*gateway.Config)) ([]string, error) {
-	reg, err := standin.NewRegister()
+	reg, err := testserver.NewRegister()
 	if err != nil {
 		return nil, err
 	}
 	for i, s := range servers {
-		reg.Put(standin.Entry{InstanceID: fmt.Sprint("s", i), HostPort: s, Zone: "hall-a", MachineType: "k", Lifecycle: "up", Weight: 1})
+		reg.Put(testserver.Entry{InstanceID: fmt.Sprint("s", i), HostPort: s, Zone: "hall-a", MachineType: "k", Lifecycle: "up", Weight: 1})
 	}
-	classes := []contract.Class{{Name: "slot-check", Worth: 3, Aim: 2 * time.Second, Deadline: 4 * time.Second},
+	classes := []routing.Class{{Name: "slot-check", Worth: 3, Aim: 2 * time.Second, Deadline: 4 * time.Second},
 		{Name: "visit-book", Worth: 9, Aim: 2 * time.Second, Deadline: 4 * time.Second}}
-	table, _, err := openapi.Compile("booking.yaml", deploy.Booking, contract.Options{Classes: classes, MostUnits: 50})
+	table, _, err := openapi.Compile("booking.yaml", deploy.Booking, routing.Options{Classes: classes, MostUnits: 50})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/bench/changes.go
+++ b/internal/benchmark/changes.go
@@ -1,4 +1,4 @@
-package bench
+package benchmark
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"slices"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/clusterconfig"
 	"mulleinmux/deploy"
-	"mulleinmux/fleetconfig"
-	"mulleinmux/internal/fleet"
+	"mulleinmux/internal/cluster"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/policy"
 )
 
 const (
@@ -31,8 +31,8 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg := &fleet.Config{Cluster: "bench", Member: p.Member, Data: filepath.Join(p.Dir, fmt.Sprint(p.Member, ".db")), Credentials: creds, Members: p.Members, Stream: p.Stream, StreamFull: p.StreamFull}
-	if err := fleet.Init(cfg, false); err != nil {
+	cfg := &cluster.Config{Cluster: "bench", Member: p.Member, Data: filepath.Join(p.Dir, fmt.Sprint(p.Member, ".db")), Credentials: creds, Members: p.Members, Stream: p.Stream, StreamFull: p.StreamFull}
+	if err := cluster.Init(cfg, false); err != nil {
 		return nil, err
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,9 +42,9 @@
 	gate := &gateway.Config{Name: fmt.Sprint("gate-", p.Member), Settings: settings()}
 	gate.Settings.Plans = nil
 	gate.On(ln, nil)
-	begun, ended := make(chan *fleet.Fleet, 1), make(chan error, 1)
+	begun, ended := make(chan *cluster.Fleet, 1), make(chan error, 1)
 	go func() {
-		ended <- fleet.Run(ctx, cfg, gate, log.New(os.Stderr, "", 0), func(f *fleet.Fleet) { begun <- f })
+		ended <- cluster.Run(ctx, cfg, gate, log.New(os.Stderr, "", 0), func(f *cluster.Fleet) { begun <- f })
 	}()
 	select {
 	case err := <-ended:
@@ -55,12 +55,12 @@
 }
 
 // settings are those of an instance under measurement.
-func settings() choice.Settings {
-	return choice.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 5, Cancel: true,
+func settings() policy.Settings {
+	return policy.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 5, Cancel: true,
 		RetryAfter: true, MaxRetryAfter: 2 * time.Second, Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true,
-		Report: choice.ReportAnswers, MostUnits: 50, ColdFrom: 0.17, RampTime: 15 * time.Second, FallMultiple: 2.5, OverloadFor: 2 * time.Second,
+		Report: policy.ReportAnswers, MostUnits: 50, ColdFrom: 0.17, RampTime: 15 * time.Second, FallMultiple: 2.5, OverloadFor: 2 * time.Second,
 		DrainGrace: 250 * time.Millisecond, PriceCross: 0.01, PriceProbe: 0.01,
-		Plans: []choice.Plan{{Name: "kubwa", Rate: 1e5, Burst: 1e5, CeilingRate: 2e5, CeilingBurst: 2e5, Price: 1}}}
+		Plans: []policy.Plan{{Name: "kubwa", Rate: 1e5, Burst: 1e5, CeilingRate: 2e5, CeilingBurst: 2e5, Price: 1}}}
 }
 
 // Changes measures one of three instances that agree, by turns without changes of what is
@@ -99,7 +99,7 @@
 	auth    *raftnode.Authority
 	members []*process
 	streams map[uint64]string // addresses for followers
-	client  *fleet.Client
+	client  *cluster.Client
 	ends    []func() error
 }
 
@@ -119,7 +119,7 @@
 			err = errors.Join(err, c.end())
 		}
 	}()
-	if c.dir, err = os.MkdirTemp("", "mulleingate-bench-"); err != nil {
+	if c.dir, err = os.MkdirTemp("", "gateway-bench-"); err != nil {
 		return c, err
 	}
 	c.ends = append(c.ends, func() error { return os.RemoveAll(c.dir) })
@@ -134,23 +134,23 @@
 		return c, err
 	}
 	c.ends = append(c.ends, back.end)
-	reg, err := standin.NewRegister()
+	reg, err := testserver.NewRegister()
 	if err != nil {
 		return c, err
 	}
 	c.ends = append(c.ends, func() error { reg.Close(); return nil })
 	for i, s := range back.addrs {
-		reg.Put(standin.Entry{InstanceID: fmt.Sprint("s", i), HostPort: s, Zone: "hall-a", MachineType: "k", Lifecycle: "up", Weight: 1})
+		reg.Put(testserver.Entry{InstanceID: fmt.Sprint("s", i), HostPort: s, Zone: "hall-a", MachineType: "k", Lifecycle: "up", Weight: 1})
 	}
-	members, at := map[uint64]fleetconfig.Member{}, []string{}
+	members, at := map[uint64]clusterconfig.Member{}, []string{}
 	for id := uint64(1); id <= clusterSize; id++ {
 		var addrs [3]string
 		for i := range addrs {
-			if addrs[i], err = standin.FreeAddr("tcp"); err != nil {
+			if addrs[i], err = testserver.FreeAddr("tcp"); err != nil {
 				return c, err
 			}
 		}
-		members[id] = fleetconfig.Member{Raft: addrs[0], Admin: addrs[1]}
+		members[id] = clusterconfig.Member{Raft: addrs[0], Admin: addrs[1]}
 		if streams {
 			c.streams[id] = addrs[2]
 		}
@@ -175,20 +175,20 @@
 	if err != nil {
 		return c, err
 	}
-	c.client = fleet.NewClient("bench", creds, at...)
+	c.client = cluster.NewClient("bench", creds, at...)
 	c.ends = append(c.ends, func() error { c.client.Close(); return nil })
 	return c, agree(ctx, c.client, reg.Addr().String())
 }
 
 // agree has the instances agree on the bench's configuration and waits until it is in force.
-func agree(ctx context.Context, cl *fleet.Client, register string) error {
-	p := &fleetconfig.Proposal{ID: "first", Changes: []fleetconfig.Change{
-		fleetconfig.Put("class", "slot-check", fleetconfig.Class{Worth: 3, AimMs: 2000, DeadlineMs: 4000}), fleetconfig.Put("class", "visit-book", fleetconfig.Class{Worth: 9, AimMs: 2000, DeadlineMs: 4000}),
-		fleetconfig.Put("plan", "kubwa", fleetconfig.Plan{Rate: 1e5, Burst: 1e5, CeilingRate: 2e5, CeilingBurst: 2e5, Price: 1}),
-		fleetconfig.Put("hall", "hall-a", fleetconfig.Hall{Register: register}),
-		fleetconfig.Put("description", "booking", fleetconfig.Description{File: "booking.yaml", Text: string(deploy.Booking)})}}
+func agree(ctx context.Context, cl *cluster.Client, register string) error {
+	p := &clusterconfig.Proposal{ID: "first", Changes: []clusterconfig.Change{
+		clusterconfig.Put("class", "slot-check", clusterconfig.Class{Worth: 3, AimMs: 2000, DeadlineMs: 4000}), clusterconfig.Put("class", "visit-book", clusterconfig.Class{Worth: 9, AimMs: 2000, DeadlineMs: 4000}),
+		clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Rate: 1e5, Burst: 1e5, CeilingRate: 2e5, CeilingBurst: 2e5, Price: 1}),
+		clusterconfig.Put("hall", "hall-a", clusterconfig.Hall{Register: register}),
+		clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(deploy.Booking)})}}
 	for i := range 100 {
-		p.Changes = append(p.Changes, fleetconfig.Put("licensee", fmt.Sprint("licensee-", i), fleetconfig.Licensee{Plan: "kubwa"}))
+		p.Changes = append(p.Changes, clusterconfig.Put("licensee", fmt.Sprint("licensee-", i), clusterconfig.Licensee{Plan: "kubwa"}))
 	}
 	ctx, cancel := context.WithTimeout(ctx, agreeMost)
 	defer cancel()
@@ -206,7 +206,7 @@
 }
 
 // change changes a licensee at each gap until ctx ends, and counts.
-func change(ctx context.Context, cl *fleet.Client, gap time.Duration) (n int) {
+func change(ctx context.Context, cl *cluster.Client, gap time.Duration) (n int) {
 	tick := time.NewTicker(gap)
 	defer tick.Stop()
 	for i := 0; ; i++ {
@@ -215,7 +215,7 @@
 			return n
 		case <-tick.C:
 		}
-		p := &fleetconfig.Proposal{ID: fmt.Sprint(time.Now().UnixNano()), Changes: []fleetconfig.Change{fleetconfig.Put("licensee", fmt.Sprint("other-", i%50), fleetconfig.Licensee{Plan: "kubwa"})}}
+		p := &clusterconfig.Proposal{ID: fmt.Sprint(time.Now().UnixNano()), Changes: []clusterconfig.Change{clusterconfig.Put("licensee", fmt.Sprint("other-", i%50), clusterconfig.Licensee{Plan: "kubwa"})}}
 		if _, err := cl.Propose(ctx, p); err == nil {
 			n++
 		}
--- a/internal/bench/crossing.go
+++ b/internal/benchmark/crossing.go
@@ -1,4 +1,4 @@
-package bench
+package benchmark
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
 )
 
 // Members of the two sites: the near one, where clients come in, and the far one, which reaches the servers.
@@ -50,7 +50,7 @@
 // Crossing measures what a request costs that crosses the link between two sites, in CPU of both instances together, beside
 // one that an instance sends to a server itself. tell gets the results by turns, "direct" and "crossing".
 func Crossing(ctx context.Context, opt Options, tell func(Result)) (err error) {
-	dir, err := os.MkdirTemp("", "mulleingate-bench-")
+	dir, err := os.MkdirTemp("", "gateway-bench-")
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, back.end()) }()
-	at, err := standin.FreeAddr("tcp")
+	at, err := testserver.FreeAddr("tcp")
 	if err != nil {
 		return err
 	}
--- a/internal/bench/followers.go
+++ b/internal/benchmark/followers.go
@@ -1,4 +1,4 @@
-package bench
+package benchmark
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"mulleinmux/confstream"
-	"mulleinmux/fleetconfig"
-	"mulleinmux/internal/fleet"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/configstream"
+	"mulleinmux/internal/cluster"
 	"mulleinmux/internal/raftnode"
 )
 
@@ -34,7 +34,7 @@
 
 // quiet is a follower without an instance: it takes every version and keeps it in memory.
 type quiet struct {
-	feed *fleet.Feed
+	feed *cluster.Feed
 	mu   sync.Mutex
 	at   map[uint64]time.Time // by version, when it was in force
 }
@@ -52,9 +52,9 @@
 		}
 	}()
 	// One certificate for all would make twins of them: each has its own name.
-	p := &fleetconfig.Proposal{ID: "followers"}
+	p := &clusterconfig.Proposal{ID: "followers"}
 	for i := range n {
-		p.Changes = append(p.Changes, fleetconfig.Put("follower", followerName(i), fleetconfig.Follower{}))
+		p.Changes = append(p.Changes, clusterconfig.Put("follower", followerName(i), clusterconfig.Follower{}))
 	}
 	o, err := c.client.Propose(ctx, p)
 	if err != nil {
@@ -80,10 +80,15 @@
 			return r, err
 		}
 		q := &quiet{at: map[uint64]time.Time{}}
-		q.feed = fleet.NewFeed(&fleet.FollowerConfig{Cluster: "bench", Name: name, Credentials: creds, Members: c.streams}, confstream.Disk{Starts: 1}, fleet.Hands{
-			Keep:    func(*confstream.Disk) error { return nil },
-			Check:   func(*confstream.Version) []confstream.Problem { return nil },
-			Install: func(v *confstream.Version) error { q.mu.Lock(); q.at[v.Number] = time.Now(); q.mu.Unlock(); return nil },
+		q.feed = cluster.NewFeed(&cluster.FollowerConfig{Cluster: "bench", Name: name, Credentials: creds, Members: c.streams}, configstream.Disk{Starts: 1}, cluster.Hands{
+			Keep:  func(*configstream.Disk) error { return nil },
+			Check: func(*configstream.Version) []configstream.Problem { return nil },
+			Install: func(v *configstream.Version) error {
+				q.mu.Lock()
+				q.at[v.Number] = time.Now()
+				q.mu.Unlock()
+				return nil
+			},
 			Confirm: func(time.Time, time.Time, bool, bool) {},
 		}, log.New(io.Discard, "", 0))
 		qs[i] = q
@@ -140,9 +145,9 @@
 
 func followerName(i int) string { return fmt.Sprintf("follower-%04d", i) }
 
-func onePlan(i int) *fleetconfig.Proposal {
-	return &fleetconfig.Proposal{ID: fmt.Sprint("plan-", time.Now().UnixNano()), Changes: []fleetconfig.Change{
-		fleetconfig.Put("plan", "kubwa", fleetconfig.Plan{Rate: 1e5, Burst: 1e5, CeilingRate: 2e5, CeilingBurst: 2e5, Price: 1 + float64(i+1)/1000})}}
+func onePlan(i int) *clusterconfig.Proposal {
+	return &clusterconfig.Proposal{ID: fmt.Sprint("plan-", time.Now().UnixNano()), Changes: []clusterconfig.Change{
+		clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Rate: 1e5, Burst: 1e5, CeilingRate: 2e5, CeilingBurst: 2e5, Price: 1 + float64(i+1)/1000})}}
 }
 
 // coresAtTen is the processors that the first member takes at ten changes a second.
--- a/internal/bench/parts.go
+++ b/internal/benchmark/parts.go
@@ -1,4 +1,4 @@
-package bench
+package benchmark
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"mulleinmux/parts"
+	"mulleinmux/subset"
 )
 
 // PartsResult is what one way to share out servers comes to in a fleet of one size. Loads are of servers by their
@@ -28,18 +28,18 @@
 }
 
 // way forms the part of a node.
-type way func(list []parts.Server, nodes, node, size int, seed uint64) []parts.Member
+type way func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member
 
 // even gives the members shares by their sizes alone.
-func even(list []parts.Server, at []int) (members []parts.Member) {
+func even(list []subset.Server, at []int) (members []subset.Member) {
 	for _, i := range at {
-		members = append(members, parts.Member{Index: i, Share: list[i].Size})
+		members = append(members, subset.Member{Index: i, Share: list[i].Size})
 	}
-	return parts.Normalize(members)
+	return subset.Normalize(members)
 }
 
 // shuffled returns the places of the list in an order that depends on the servers' ids and a turn alone.
-func shuffled(list []parts.Server, turn, seed uint64) []int {
+func shuffled(list []subset.Server, turn, seed uint64) []int {
 	type key struct {
 		at   int
 		rank uint64
@@ -68,7 +68,7 @@
 }
 
 // laid cuts a node's stretch out of a row of sizes: the members that it covers, with the part covered of each.
-func laid(list []parts.Server, order []int, from, length, total float64) (members []parts.Member) {
+func laid(list []subset.Server, order []int, from, length, total float64) (members []subset.Member) {
 	for from >= total {
 		from -= total
 	}
@@ -76,35 +76,35 @@
 		for _, i := range order {
 			size := list[i].Size
 			if over := min(start+size, from+length) - max(start, from); over > 1e-9 {
-				members = append(members, parts.Member{Index: i, Share: over})
+				members = append(members, subset.Member{Index: i, Share: over})
 			}
 			start += size
 		}
 		length -= total - from
 		from = 0
 	}
-	return parts.Normalize(members)
+	return subset.Normalize(members)
 }
 
 var ways = []struct {
 	name string
 	form way
 }{
-	{"random", func(list []parts.Server, nodes, node, size int, seed uint64) []parts.Member {
+	{"random", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
 		// Another list is another draw: a node that draws by chance keeps nothing over a restart.
 		rng := rand.New(rand.NewPCG(seed+uint64(node), uint64(len(list)*1009+nodes)))
 		return even(list, rng.Perm(len(list))[:min(size, len(list))])
 	}},
-	{"rendezvous", func(list []parts.Server, nodes, node, size int, seed uint64) []parts.Member {
+	{"rendezvous", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
 		return even(list, shuffled(list, uint64(node)+1, seed)[:min(size, len(list))])
 	}},
-	{"rounds", func(list []parts.Server, nodes, node, size int, seed uint64) []parts.Member {
+	{"rounds", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
 		perRound := max(len(list)/size, 1)
 		order := shuffled(list, uint64(node/perRound)+1, seed)
 		at := (node % perRound) * size
 		return even(list, order[min(at, len(order)-1):min(at+size, len(order))])
 	}},
-	{"ring", func(list []parts.Server, nodes, node, size int, seed uint64) []parts.Member {
+	{"ring", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
 		var total float64
 		for _, s := range list {
 			total += s.Size
@@ -112,7 +112,7 @@
 		length := total * float64(size) / float64(len(list))
 		return laid(list, shuffled(list, 0, seed), total*float64(node)/float64(nodes), length, total)
 	}},
-	{"rings", func(list []parts.Server, nodes, node, size int, seed uint64) []parts.Member {
+	{"rings", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
 		var total float64
 		for _, s := range list {
 			total += s.Size
@@ -123,12 +123,12 @@
 		length := total / float64(perRing)
 		return laid(list, shuffled(list, uint64(node/perRing)+1, seed), length*float64(node%perRing), length, total)
 	}},
-	{"lots", func(list []parts.Server, nodes, node, size int, seed uint64) []parts.Member {
-		return parts.Fleet{Nodes: nodes, Seed: seed, Rule: parts.Rule{Servers: size}}.Form(list, node, 1)
+	{"lots", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
+		return subset.Fleet{Nodes: nodes, Seed: seed, Rule: subset.Rule{Servers: size}}.Form(list, node, 1)
 	}},
-	{"lots, uncounted", func(list []parts.Server, nodes, node, size int, seed uint64) []parts.Member {
+	{"lots, uncounted", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
 		var at []int
-		for _, m := range (parts.Fleet{Nodes: nodes, Seed: seed, Rule: parts.Rule{Servers: size}}).Form(list, node, 1) {
+		for _, m := range (subset.Fleet{Nodes: nodes, Seed: seed, Rule: subset.Rule{Servers: size}}).Form(list, node, 1) {
 			at = append(at, m.Index)
 		}
 		return even(list, at)
@@ -142,9 +142,9 @@
 	}
 	size = min(size, servers)
 	rng := rand.New(rand.NewPCG(seed, uint64(nodes)<<32|uint64(servers)))
-	list := make([]parts.Server, servers, servers+1)
+	list := make([]subset.Server, servers, servers+1)
 	for i := range list {
-		list[i] = parts.Server{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: []string{"a", "b"}[i%2], Size: 0.75 + rng.Float64()/2}
+		list[i] = subset.Server{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: []string{"a", "b"}[i%2], Size: 0.75 + rng.Float64()/2}
 	}
 	rates := make([]float64, nodes)
 	for i := range rates {
@@ -153,7 +153,7 @@
 	var all []PartsResult
 	for _, w := range ways {
 		r := PartsResult{Way: w.name, Nodes: nodes, Servers: servers, Fewest: servers}
-		base := make([][]parts.Member, nodes)
+		base := make([][]subset.Member, nodes)
 		held := make([]int, servers)
 		for node := range base {
 			base[node] = w.form(list, nodes, node, size, seed)
@@ -166,8 +166,8 @@
 		r.Held = slices.Max(held)
 		r.Spread, r.Most = load(list, base, nil, nil)
 		r.Uneven, _ = load(list, base, rates, nil)
-		_, r.Zone = load(list, base, nil, func(s parts.Server) bool { return s.Zone == "a" })
-		ids := func(list []parts.Server, of []parts.Member) map[string]bool {
+		_, r.Zone = load(list, base, nil, func(s subset.Server) bool { return s.Zone == "a" })
+		ids := func(list []subset.Server, of []subset.Member) map[string]bool {
 			set := map[string]bool{}
 			for _, m := range of {
 				set[list[m.Index].ID] = true
@@ -175,7 +175,7 @@
 			return set
 		}
 		// changed counts the members that are new to their nodes, as multiples of what one server's places come to.
-		changed := func(other []parts.Server, nodesToo int) (n float64) {
+		changed := func(other []subset.Server, nodesToo int) (n float64) {
 			for node := range base {
 				was := ids(list, base[node])
 				for id := range ids(other, w.form(other, nodesToo, node, size, seed)) {
@@ -189,7 +189,7 @@
 		for t := range tries {
 			k := (t*2 + 1) * servers / (2 * tries)
 			r.Gone += changed(slices.Delete(slices.Clone(list), k, k+1), nodes) / places / tries
-			come := append(slices.Clone(list), parts.Server{ID: fmt.Sprintf("new-%d", t), Zone: "a", Size: 1})
+			come := append(slices.Clone(list), subset.Server{ID: fmt.Sprintf("new-%d", t), Zone: "a", Size: 1})
 			r.Came += changed(come, nodes) / places / tries
 		}
 		r.Miscut = changed(list, nodes+(nodes+9)/10) / (r.Members * float64(nodes))
@@ -200,7 +200,7 @@
 
 // load is the standard deviation and the most of the servers' loads by their size. Nodes without rates have 1 each; a
 // node shares its load among the members that are not lost, or over all that are left if it has none.
-func load(list []parts.Server, of [][]parts.Member, rates []float64, lost func(parts.Server) bool) (dev, most float64) {
+func load(list []subset.Server, of [][]subset.Member, rates []float64, lost func(subset.Server) bool) (dev, most float64) {
 	work := make([]float64, len(list))
 	var left float64
 	for _, s := range list {
--- a/internal/bench/parts_test.go
+++ b/internal/benchmark/parts_test.go
@@ -1,4 +1,4 @@
-package bench
+package benchmark
 
 import (
 	"reflect"
--- a/internal/fleet/admin.go
+++ b/internal/cluster/admin.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/raftnode"
 )
@@ -47,13 +47,13 @@
 // Status is a member's view, as operators see it.
 type Status struct {
 	raftnode.Status
-	Cluster   string                        `json:"cluster"`
-	Installed uint64                        `json:"installed"` // version in force at the instance
-	AgeMs     int64                         `json:"age_ms"`    // since a quorum last confirmed it; -1: not since the start
-	Serves    bool                          `json:"serves"`
-	Note      string                        `json:"note,omitempty"`  // why what is agreed is not in force
-	Halls     map[string]string             `json:"halls,omitempty"` // what this instance makes of each
-	Members   map[uint64]fleetconfig.Member `json:"members"`
+	Cluster   string                          `json:"cluster"`
+	Installed uint64                          `json:"installed"` // version in force at the instance
+	AgeMs     int64                           `json:"age_ms"`    // since a quorum last confirmed it; -1: not since the start
+	Serves    bool                            `json:"serves"`
+	Note      string                          `json:"note,omitempty"`  // why what is agreed is not in force
+	Halls     map[string]string               `json:"halls,omitempty"` // what this instance makes of each
+	Members   map[uint64]clusterconfig.Member `json:"members"`
 }
 
 // Objects are the agreed objects of a version, by kind and name.
@@ -65,10 +65,10 @@
 
 // MembersChange changes the members.
 type MembersChange struct {
-	Op     string              `json:"op"` // "add", "remove", "replace" or "transfer"
-	Member uint64              `json:"member"`
-	With   uint64              `json:"with,omitempty"` // of replace: the new member
-	At     *fleetconfig.Member `json:"at,omitempty"`   // of add and replace: where the new member is reached
+	Op     string                `json:"op"` // "add", "remove", "replace" or "transfer"
+	Member uint64                `json:"member"`
+	With   uint64                `json:"with,omitempty"` // of replace: the new member
+	At     *clusterconfig.Member `json:"at,omitempty"`   // of add and replace: where the new member is reached
 }
 
 type failure struct {
@@ -86,7 +86,7 @@
 	handle("GET /v1/status", func(ctx context.Context, _ *http.Request) (any, error) { return f.status(ctx) })
 	handle("GET /v1/config", f.objects)
 	handle("GET /v1/history", func(ctx context.Context, _ *http.Request) (h any, err error) {
-		err = f.node.Read(ctx, func(s *fleetconfig.State) { h = s.History() })
+		err = f.node.Read(ctx, func(s *clusterconfig.State) { h = s.History() })
 		return h, err
 	})
 	handle("POST /v1/check", func(ctx context.Context, r *http.Request) (any, error) { return f.propose(ctx, r, true) })
@@ -192,7 +192,7 @@
 }
 
 func read(r *http.Request, to any) error {
-	dec := json.NewDecoder(io.LimitReader(r.Body, 2*fleetconfig.MaxProposal))
+	dec := json.NewDecoder(io.LimitReader(r.Body, 2*clusterconfig.MaxProposal))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(to); err != nil {
 		return bad("body: %v", err)
@@ -208,7 +208,7 @@
 	out := &Status{Status: s, Cluster: f.cfg.Cluster, AgeMs: -1}
 	f.mu.Lock()
 	in := f.in
-	out.Note, out.Members = f.note, map[uint64]fleetconfig.Member{}
+	out.Note, out.Members = f.note, map[uint64]clusterconfig.Member{}
 	for _, id := range slices.Concat(s.Voters, s.Learners) {
 		out.Members[id] = f.members[id]
 	}
@@ -225,12 +225,12 @@
 }
 
 func (f *Fleet) objects(ctx context.Context, r *http.Request) (any, error) {
-	var s *fleetconfig.State
+	var s *clusterconfig.State
 	var err error
 	if r.URL.Query().Get("local") != "" {
 		s, err = f.node.Freeze(ctx)
 	} else {
-		err = f.node.Read(ctx, func(now *fleetconfig.State) { s = now.Freeze() })
+		err = f.node.Read(ctx, func(now *clusterconfig.State) { s = now.Freeze() })
 	}
 	if err != nil {
 		return nil, err
@@ -248,7 +248,7 @@
 }
 
 func (f *Fleet) propose(ctx context.Context, r *http.Request, checkOnly bool) (any, error) {
-	p := &fleetconfig.Proposal{}
+	p := &clusterconfig.Proposal{}
 	if err := read(r, p); err != nil {
 		return nil, err
 	}
@@ -266,14 +266,14 @@
 		return nil, bad("id: 1 to 200 bytes are wanted")
 	}
 	if checkOnly {
-		var s *fleetconfig.State
-		if err := f.node.Read(ctx, func(now *fleetconfig.State) { s = now.Freeze() }); err != nil {
+		var s *clusterconfig.State
+		if err := f.node.Read(ctx, func(now *clusterconfig.State) { s = now.Freeze() }); err != nil {
 			return nil, err
 		}
 		if err := s.Check(p); err != nil {
-			return nil, &refusal{http.StatusConflict, fleetconfig.Outcome{Version: s.Version(), Refused: err.Error()}}
+			return nil, &refusal{http.StatusConflict, clusterconfig.Outcome{Version: s.Version(), Refused: err.Error()}}
 		}
-		return fleetconfig.Outcome{Version: s.Version(), Applied: true}, nil
+		return clusterconfig.Outcome{Version: s.Version(), Applied: true}, nil
 	}
 	// What can't be is not sent to all members. Whether this member's state is the newest is
 	// for the log to tell: a refusal here counts only if the quorum's state refuses as well.
@@ -282,10 +282,10 @@
 		return nil, err
 	}
 	if local.Check(p) != nil {
-		var s *fleetconfig.State
-		var before fleetconfig.Outcome
+		var s *clusterconfig.State
+		var before clusterconfig.Outcome
 		var known bool
-		if err := f.node.Read(ctx, func(now *fleetconfig.State) {
+		if err := f.node.Read(ctx, func(now *clusterconfig.State) {
 			s = now.Freeze()
 			before, known = now.Outcome(p.ID)
 		}); err != nil {
@@ -295,7 +295,7 @@
 			return outcome(before)
 		}
 		if err := s.Check(p); err != nil {
-			return outcome(fleetconfig.Outcome{Version: s.Version(), Refused: err.Error()})
+			return outcome(clusterconfig.Outcome{Version: s.Version(), Refused: err.Error()})
 		}
 	}
 	o, err := f.node.Propose(ctx, p)
@@ -305,7 +305,7 @@
 	return outcome(o)
 }
 
-func outcome(o fleetconfig.Outcome) (any, error) {
+func outcome(o clusterconfig.Outcome) (any, error) {
 	if !o.Applied {
 		return nil, &refusal{http.StatusConflict, o}
 	}
@@ -386,7 +386,7 @@
 }
 
 // add makes a member a learner, waits until it has caught up, and lets it vote.
-func (f *Fleet) add(ctx context.Context, id uint64, at *fleetconfig.Member, vote func(voters, learners []uint64) []*raftpb.ConfChangeSingle) error {
+func (f *Fleet) add(ctx context.Context, id uint64, at *clusterconfig.Member, vote func(voters, learners []uint64) []*raftpb.ConfChangeSingle) error {
 	if id == 0 || at == nil {
 		return bad("member and at: the number and the addresses of the new member are wanted")
 	}
@@ -418,11 +418,11 @@
 }
 
 // place has all members know where a member is reached, or forget it.
-func (f *Fleet) place(ctx context.Context, id uint64, at *fleetconfig.Member) error {
+func (f *Fleet) place(ctx context.Context, id uint64, at *clusterconfig.Member) error {
 	name := fmt.Sprint(id)
-	c := fleetconfig.Change{Op: "remove", Kind: "member", Name: name}
+	c := clusterconfig.Change{Op: "remove", Kind: "member", Name: name}
 	if at != nil {
-		c = fleetconfig.Put("member", name, at)
+		c = clusterconfig.Put("member", name, at)
 	}
 	s, err := f.node.Freeze(ctx)
 	if err != nil {
@@ -431,8 +431,8 @@
 	if before, ok := s.Get("member", name); at == nil && !ok || at != nil && ok && string(before) == string(c.Value) {
 		return nil
 	}
-	o, err := f.node.Propose(ctx, &fleetconfig.Proposal{ID: fmt.Sprintf("member-%d-%d", id, time.Now().UnixNano()), Author: fmt.Sprint("member ", f.cfg.Member),
-		Why: "change of members", AtMs: time.Now().UnixMilli(), Changes: []fleetconfig.Change{c}})
+	o, err := f.node.Propose(ctx, &clusterconfig.Proposal{ID: fmt.Sprintf("member-%d-%d", id, time.Now().UnixNano()), Author: fmt.Sprint("member ", f.cfg.Member),
+		Why: "change of members", AtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{c}})
 	if err == nil && !o.Applied {
 		err = bad("%s", o.Refused)
 	}
--- a/internal/fleet/client.go
+++ b/internal/cluster/client.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 	"mulleinmux/internal/raftnode"
 )
 
@@ -132,19 +132,19 @@
 }
 
 // History returns the versions kept, the oldest first.
-func (c *Client) History(ctx context.Context) (h []fleetconfig.Record, err error) {
+func (c *Client) History(ctx context.Context) (h []clusterconfig.Record, err error) {
 	err = c.any(ctx, http.MethodGet, "/v1/history", nil, &h)
 	return h, err
 }
 
 // Check asks what a proposal would come to.
-func (c *Client) Check(ctx context.Context, p *fleetconfig.Proposal) (o fleetconfig.Outcome, err error) {
+func (c *Client) Check(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
 	err = c.any(ctx, http.MethodPost, "/v1/check", p, &o)
 	return o, err
 }
 
 // Propose has a proposal applied. One that is refused is an [AnswerError] with status 409.
-func (c *Client) Propose(ctx context.Context, p *fleetconfig.Proposal) (o fleetconfig.Outcome, err error) {
+func (c *Client) Propose(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
 	err = c.any(ctx, http.MethodPost, "/v1/propose", p, &o)
 	return o, err
 }
--- a/internal/fleet/fleet.go
+++ b/internal/cluster/fleet.go
@@ -5,7 +5,7 @@
 // Invariant: an instance serves on a version only after a quorum has confirmed, since its
 // start, that this version was the newest then. So it never serves on an older version than
 // it has answered on before, across its restarts too.
-package fleet
+package cluster
 
 import (
 	"context"
@@ -25,11 +25,11 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/openapi"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/sites"
+	"mulleinmux/multisite"
 )
 
 // Config is what a member is told at its start.
@@ -38,13 +38,13 @@
 	Member       uint64
 	Data         string // its file
 	Credentials  raftnode.Credentials
-	Members      map[uint64]fleetconfig.Member // to begin with; those agreed on take their place
-	Listen       string                        // for the other members; Members has it where empty
-	Admin        string                        // for operators; likewise
-	Stream       string                        // for followers; empty: none are served
-	StreamFull   bool                          // pushes are whole versions, for comparison
-	KeysAnywhere bool                          // keyed requests have no home: see package sites
-	Tick         time.Duration                 // 50 ms where 0: an election comes after 10 to 20 ticks without a leader
+	Members      map[uint64]clusterconfig.Member // to begin with; those agreed on take their place
+	Listen       string                          // for the other members; Members has it where empty
+	Admin        string                          // for operators; likewise
+	Stream       string                          // for followers; empty: none are served
+	StreamFull   bool                            // pushes are whole versions, for comparison
+	KeysAnywhere bool                            // keyed requests have no home: see package sites
+	Tick         time.Duration                   // 50 ms where 0: an election comes after 10 to 20 ticks without a leader
 
 	// For the lab's faults, nil elsewhere.
 	Disk     func(raftnode.Disk) raftnode.Disk
@@ -53,7 +53,7 @@
 
 // ErrNoFile says that a member has no file yet. It must be made on purpose: a member that
 // began anew under its number could vote twice.
-var ErrNoFile = errors.New("there is no such file: make it once with mulleingate init, --new-cluster for the first members or --join for a further one")
+var ErrNoFile = errors.New("there is no such file: make it once with gateway init, --new-cluster for the first members or --join for a further one")
 
 const (
 	confirmEvery = 4               // ticks between two asks whether the version is the newest
@@ -62,7 +62,7 @@
 )
 
 // Validate checks a description as all members do.
-func Validate(file, text string, classes []fleetconfig.Class, most int) error {
+func Validate(file, text string, classes []clusterconfig.Class, most int) error {
 	_, _, err := openapi.Compile(file, []byte(text), compileOptions(classes, most))
 	return err
 }
@@ -98,8 +98,8 @@
 
 	mu       sync.Mutex
 	in       *gateway.Instance
-	members  map[uint64]fleetconfig.Member // as known
-	note     string                        // why what is agreed can't be served on
+	members  map[uint64]clusterconfig.Member // as known
+	note     string                          // why what is agreed can't be served on
 	installs atomic.Int64
 }
 
@@ -124,14 +124,14 @@
 		disk = cfg.Disk(bolt)
 	}
 	if !cfg.KeysAnywhere {
-		gate.Keys = &sites.Config{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
+		gate.Keys = &multisite.Config{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
 	}
 	if gate.Keys != nil {
-		gate.Health = &sites.HealthConfig{Me: cfg.Member, Least: hallLeast, LostAfter: hallLost, Fresh: hallFresh, Hold: hallHold,
+		gate.Health = &multisite.HealthConfig{Me: cfg.Member, Least: hallLeast, LostAfter: hallLost, Fresh: hallFresh, Hold: hallHold,
 			HoldMost: hallHoldMost, Calm: hallCalm, Ramp: gate.Settings.RampTime}
-		gate.Consent = &sites.ConsentConfig{Me: cfg.Member, Incarnation: bolt.Starts()}
+		gate.Consent = &multisite.ConsentConfig{Me: cfg.Member, Incarnation: bolt.Starts()}
 		if gate.Settings.FallMultiple > 0 && gate.Settings.RampTime > 0 {
-			gate.Ramp = &sites.RampConfig{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: rampLease, Fresh: hallFresh, Multiple: gate.Settings.ColdMultiple()}
+			gate.Ramp = &multisite.RampConfig{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: rampLease, Fresh: hallFresh, Multiple: gate.Settings.ColdMultiple()}
 		}
 	}
 	if l := gate.Link; l != nil {
@@ -265,7 +265,7 @@
 type confirmation struct {
 	at    time.Time
 	homes uint64 // epoch
-	state *fleetconfig.State
+	state *clusterconfig.State
 }
 
 // follow puts each version in force and has it confirmed now and then, until ctx ends.
@@ -278,7 +278,7 @@
 		for ctx.Err() == nil {
 			c := confirmation{at: time.Now()}
 			one, cancel := context.WithTimeout(ctx, 2*time.Second)
-			err := f.node.Read(one, func(s *fleetconfig.State) { c.state, c.homes = s.Freeze(), s.Homes() })
+			err := f.node.Read(one, func(s *clusterconfig.State) { c.state, c.homes = s.Freeze(), s.Homes() })
 			cancel()
 			if err == nil {
 				select {
@@ -333,7 +333,7 @@
 
 // install puts a version in force, unless it is; it is false if what is agreed can't be
 // served on.
-func (f *Fleet) install(s *fleetconfig.State) bool {
+func (f *Fleet) install(s *clusterconfig.State) bool {
 	if s.Version() == f.in.Version() && f.installs.Load() > 0 {
 		return true
 	}
@@ -364,8 +364,8 @@
 }
 
 // learnMembers takes over where the members are reached.
-func (f *Fleet) learnMembers(s *fleetconfig.State) {
-	agreed := fleetconfig.Read[fleetconfig.Member](s, "member")
+func (f *Fleet) learnMembers(s *clusterconfig.State) {
+	agreed := clusterconfig.Read[clusterconfig.Member](s, "member")
 	if len(agreed) == 0 {
 		return
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -21,11 +21,11 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"go.uber.org/goleak"
 
-	"mulleinmux/choice"
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/policy"
 )
 
 // patience bounds every wait of a test; none is expected to come near it.
@@ -49,9 +49,9 @@
 	t       *testing.T
 	dir     string
 	auth    *raftnode.Authority
-	hall    *standin.Register
+	hall    *testserver.Register
 	members map[uint64]*fleetMember
-	addrs   map[uint64]fleetconfig.Member
+	addrs   map[uint64]clusterconfig.Member
 	admin   *Client
 }
 
@@ -67,7 +67,7 @@
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	addr, err := standin.FreeAddr("tcp")
+	addr, err := testserver.FreeAddr("tcp")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,8 +80,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, dir: t.TempDir(), auth: auth, members: map[uint64]*fleetMember{}, addrs: map[uint64]fleetconfig.Member{}}
-	if r.hall, err = standin.NewRegister(); err != nil {
+	r := &rig{t: t, dir: t.TempDir(), auth: auth, members: map[uint64]*fleetMember{}, addrs: map[uint64]clusterconfig.Member{}}
+	if r.hall, err = testserver.NewRegister(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.hall.Close)
@@ -92,12 +92,12 @@
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { w.Write([]byte(q.Header.Get("X-Mulleinmux-Version"))) })}
 	go srv.Serve(ln)
 	t.Cleanup(func() { srv.Close() })
-	r.hall.Put(standin.Entry{InstanceID: "s", HostPort: ln.Addr().String(), Zone: "x", Lifecycle: "up", Weight: 1})
+	r.hall.Put(testserver.Entry{InstanceID: "s", HostPort: ln.Addr().String(), Zone: "x", Lifecycle: "up", Weight: 1})
 	if err := auth.WriteOperator(r.dir, "amina"); err != nil {
 		t.Fatal(err)
 	}
 	for id := uint64(1); id <= uint64(n); id++ {
-		r.addrs[id] = fleetconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
+		r.addrs[id] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
 	}
 	for id := uint64(1); id <= uint64(n); id++ {
 		r.member(id)
@@ -152,8 +152,8 @@
 	agreed := m.agreed
 	at := m.listen
 	gate := &gateway.Config{Name: fmt.Sprint("g", id), Seed: id, Agreed: &agreed, DrainFor: time.Millisecond,
-		Settings: choice.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-			Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true, Report: choice.ReportProbes}}
+		Settings: policy.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true, Report: policy.ReportProbes}}
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		r.t.Fatal(err)
@@ -234,26 +234,26 @@
 
 func (r *rig) ready(id uint64) bool { return r.ask(id, "/health/ready").status == 200 }
 
-func change(op, kind, name, value string) fleetconfig.Change {
-	c := fleetconfig.Change{Op: op, Kind: kind, Name: name}
+func change(op, kind, name, value string) clusterconfig.Change {
+	c := clusterconfig.Change{Op: op, Kind: kind, Name: name}
 	if value != "" {
 		c.Value = []byte(value)
 	}
 	return c
 }
 
-func describe(units int) fleetconfig.Change {
+func describe(units int) clusterconfig.Change {
 	return change("put", "description", "d", fmt.Sprintf(`{"file":"d.yaml","text":%s}`, strconv.Quote(fmt.Sprintf(description, units))))
 }
 
 // first is a first configuration.
-func (r *rig) first() *fleetconfig.Proposal {
-	return &fleetconfig.Proposal{ID: "first", Changes: []fleetconfig.Change{change("put", "class", "check", `{"worth":1,"aim_ms":5000,"deadline_ms":10000}`),
+func (r *rig) first() *clusterconfig.Proposal {
+	return &clusterconfig.Proposal{ID: "first", Changes: []clusterconfig.Change{change("put", "class", "check", `{"worth":1,"aim_ms":5000,"deadline_ms":10000}`),
 		change("put", "plan", "wide", `{"rate":1e6,"burst":1e6,"price":1}`), change("put", "licensee", "bahari", `{"plan":"wide"}`),
 		change("put", "hall", "hall-a", fmt.Sprintf(`{"register":%q}`, r.hall.Addr())), describe(1)}}
 }
 
-func (r *rig) propose(p *fleetconfig.Proposal) fleetconfig.Outcome {
+func (r *rig) propose(p *clusterconfig.Proposal) clusterconfig.Outcome {
 	r.t.Helper()
 	o, err := r.admin.Propose(r.ctx(), p)
 	if err != nil {
@@ -297,7 +297,7 @@
 		}
 	}
 	base := uint64(1)
-	p := &fleetconfig.Proposal{ID: "second", Base: &base, Author: "somebody else", Why: "dearer", Changes: []fleetconfig.Change{describe(7)}}
+	p := &clusterconfig.Proposal{ID: "second", Base: &base, Author: "somebody else", Why: "dearer", Changes: []clusterconfig.Change{describe(7)}}
 	for range 2 {
 		if o := r.propose(p); o.Version != 2 {
 			t.Errorf("%+v", o)
@@ -310,12 +310,12 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		p    *fleetconfig.Proposal
+		p    *clusterconfig.Proposal
 		want string
 	}{
-		"old base":    {&fleetconfig.Proposal{ID: "x1", Base: &base, Changes: []fleetconfig.Change{describe(8)}}, "version 2 is in force, not 1"},
-		"no plan":     {&fleetconfig.Proposal{ID: "x2", Changes: []fleetconfig.Change{change("put", "licensee", "l", `{"plan":"none"}`)}}, `plan "none" is not there`},
-		"description": {&fleetconfig.Proposal{ID: "x3", Changes: []fleetconfig.Change{describe(99)}}, "d.yaml:8"},
+		"old base":    {&clusterconfig.Proposal{ID: "x1", Base: &base, Changes: []clusterconfig.Change{describe(8)}}, "version 2 is in force, not 1"},
+		"no plan":     {&clusterconfig.Proposal{ID: "x2", Changes: []clusterconfig.Change{change("put", "licensee", "l", `{"plan":"none"}`)}}, `plan "none" is not there`},
+		"description": {&clusterconfig.Proposal{ID: "x3", Changes: []clusterconfig.Change{describe(99)}}, "d.yaml:8"},
 	} {
 		_, err := r.admin.Propose(r.ctx(), c.p)
 		if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 409 || !strings.Contains(a.Text, c.want) {
@@ -334,7 +334,7 @@
 		t.Errorf("%+v, %v", o, err)
 	}
 	// A hall and a licensee go at once.
-	r.propose(&fleetconfig.Proposal{ID: "third", Changes: []fleetconfig.Change{change("remove", "licensee", "bahari", "")}})
+	r.propose(&clusterconfig.Proposal{ID: "third", Changes: []clusterconfig.Change{change("remove", "licensee", "bahari", "")}})
 	r.everywhere(3)
 	if a := r.ask(2, "/slots"); a.status != 403 {
 		t.Errorf("a licensee that was removed: %+v", a)
@@ -376,11 +376,11 @@
 	r.everywhere(1)
 	r.served(1)
 	for i := range 5 { // what is known to be committed is written with the entry after it
-		r.propose(&fleetconfig.Proposal{ID: fmt.Sprint("more", i), Changes: []fleetconfig.Change{describe(2 + i)}})
+		r.propose(&clusterconfig.Proposal{ID: fmt.Sprint("more", i), Changes: []clusterconfig.Change{describe(2 + i)}})
 	}
 	r.everywhere(6)
 	r.halt(1)
-	r.propose(&fleetconfig.Proposal{ID: "newest", Changes: []fleetconfig.Change{describe(20)}})
+	r.propose(&clusterconfig.Proposal{ID: "newest", Changes: []clusterconfig.Change{describe(20)}})
 	r.halt(2)
 	r.halt(3)
 	r.start(1)
@@ -438,7 +438,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 600*time.Millisecond)
 	defer cancel()
-	_, err := r.admin.Propose(ctx, &fleetconfig.Proposal{ID: "late", Changes: []fleetconfig.Change{describe(3)}})
+	_, err := r.admin.Propose(ctx, &clusterconfig.Proposal{ID: "late", Changes: []clusterconfig.Change{describe(3)}})
 	if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 503 || !strings.Contains(a.Text, "member 1") {
 		t.Errorf("a change without a quorum: %v", err)
 	}
@@ -466,9 +466,9 @@
 	r.everywhere(1)
 	join := func(id uint64) {
 		t.Helper()
-		r.addrs[id] = fleetconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
+		r.addrs[id] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
 		m := r.member(id)
-		m.cfg.Members = map[uint64]fleetconfig.Member{}
+		m.cfg.Members = map[uint64]clusterconfig.Member{}
 		for n, a := range r.addrs {
 			m.cfg.Members[n] = a
 		}
@@ -477,11 +477,11 @@
 		}
 		r.start(id)
 	}
-	at := func(id uint64) *fleetconfig.Member { a := r.addrs[id]; return &a }
+	at := func(id uint64) *clusterconfig.Member { a := r.addrs[id]; return &a }
 	// One that does not run stays a learner and does not count for the quorum.
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	r.addrs[9] = fleetconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
+	r.addrs[9] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
 	_, err := r.admin.Members(ctx, &MembersChange{Op: "add", Member: 9, At: at(9)})
 	if err == nil || !strings.Contains(err.Error(), "learner") {
 		t.Errorf("a member that does not run: %v", err)
@@ -533,11 +533,11 @@
 	case <-time.After(patience):
 		t.Fatal("a removed member does not end")
 	}
-	var o fleetconfig.Outcome
+	var o clusterconfig.Outcome
 	r.await("a change without it", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		o, err = r.admin.Propose(ctx, &fleetconfig.Proposal{ID: "after", Changes: []fleetconfig.Change{describe(2)}})
+		o, err = r.admin.Propose(ctx, &clusterconfig.Proposal{ID: "after", Changes: []clusterconfig.Change{describe(2)}})
 		return err == nil
 	})
 	r.await("all that are left have it", func() bool {
@@ -568,7 +568,7 @@
 		t.Fatal(err)
 	}
 	cfg := &Config{Cluster: "test", Member: 1, Data: filepath.Join(t.TempDir(), "1.db"), Credentials: creds,
-		Members: map[uint64]fleetconfig.Member{1: {Raft: "127.0.0.1:0", Admin: "127.0.0.1:0"}}}
+		Members: map[uint64]clusterconfig.Member{1: {Raft: "127.0.0.1:0", Admin: "127.0.0.1:0"}}}
 	logger := log.New(io.Discard, "", 0)
 	if err := Run(context.Background(), cfg, &gateway.Config{}, logger, nil); !errors.Is(err, ErrNoFile) {
 		t.Errorf("without a file: %v", err)
@@ -622,7 +622,7 @@
 	var all sync.WaitGroup
 	for i := range 10 {
 		all.Go(func() {
-			p := &fleetconfig.Proposal{ID: fmt.Sprint("c", i), Changes: []fleetconfig.Change{describe(2 + i)}}
+			p := &clusterconfig.Proposal{ID: fmt.Sprint("c", i), Changes: []clusterconfig.Change{describe(2 + i)}}
 			for {
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 				o, err := r.admin.Propose(ctx, p)
--- a/internal/fleet/follower.go
+++ b/internal/cluster/follower.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"cmp"
@@ -15,11 +15,11 @@
 	"sync"
 	"time"
 
-	"mulleinmux/confstream"
+	"mulleinmux/configstream"
+	"mulleinmux/internal/configstreampb"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/internal/streamwire"
-	"mulleinmux/sites"
+	"mulleinmux/multisite"
 )
 
 // FollowerConfig is what a follower is told at its start.
@@ -51,21 +51,21 @@
 
 // FollowerStatus is how a follower stands, by itself.
 type FollowerStatus struct {
-	Name    string               `json:"name"`
-	Running *confstream.Ref      `json:"running,omitempty"`
-	Member  uint64               `json:"member,omitempty"` // that it hears; 0: none
-	AgeMs   int64                `json:"age_ms"`           // since a quorum last confirmed what runs; -1: not since it is in force
-	Serves  bool                 `json:"serves"`
-	Note    string               `json:"note,omitempty"`
-	Refused []confstream.Refusal `json:"refused,omitempty"`
+	Name    string                 `json:"name"`
+	Running *configstream.Ref      `json:"running,omitempty"`
+	Member  uint64                 `json:"member,omitempty"` // that it hears; 0: none
+	AgeMs   int64                  `json:"age_ms"`           // since a quorum last confirmed what runs; -1: not since it is in force
+	Serves  bool                   `json:"serves"`
+	Note    string                 `json:"note,omitempty"`
+	Refused []configstream.Refusal `json:"refused,omitempty"`
 }
 
 // Hands is what a [Feed] has others do. Keep, Check and Install are called one at a time and may take long.
 type Hands struct {
-	Keep    func(*confstream.Disk) error                    // returns once it is synced
-	Check   func(*confstream.Version) []confstream.Problem  // may it be put in force?
-	Install func(*confstream.Version) error                 // puts it in force
-	Confirm func(at, homes time.Time, sure, homesSure bool) // what runs, and its homes, were confirmed to be the newest then
+	Keep    func(*configstream.Disk) error                     // returns once it is synced
+	Check   func(*configstream.Version) []configstream.Problem // may it be put in force?
+	Install func(*configstream.Version) error                  // puts it in force
+	Confirm func(at, homes time.Time, sure, homesSure bool)    // what runs, and its homes, were confirmed to be the newest then
 }
 
 // Feed is a follower's end of the stream, without an instance.
@@ -76,19 +76,19 @@
 	begun time.Time
 
 	mu     sync.Mutex
-	f      *confstream.Follower
-	client *streamwire.Client // nil: no stream
+	f      *configstream.Follower
+	client *configstreampb.Client // nil: no stream
 	member uint64
-	hears  bool                   // it has said something on this stream
-	work   chan confstream.Action // Keep, Check and Install, of which one is under way
-	send   chan any               // of the stream
+	hears  bool                     // it has said something on this stream
+	work   chan configstream.Action // Keep, Check and Install, of which one is under way
+	send   chan any                 // of the stream
 }
 
 // NewFeed returns a feed of a follower that has kept a disk. It does nothing before [Feed.Run].
-func NewFeed(cfg *FollowerConfig, disk confstream.Disk, hands Hands, logger *log.Logger) *Feed {
-	f := &Feed{cfg: cfg, hands: hands, log: logger, begun: time.Now(), work: make(chan confstream.Action, 1), send: make(chan any, streamQueue)}
-	var first []confstream.Action
-	f.f, first = confstream.NewFollower(confstream.FollowerConfig{Name: cfg.Name, Process: rand.Uint64(), Beat: cmp.Or(cfg.Beat, streamBeat), Silence: min(quietBeats*cmp.Or(cfg.Beat, streamBeat), streamSilence), Tries: followerTries}, disk)
+func NewFeed(cfg *FollowerConfig, disk configstream.Disk, hands Hands, logger *log.Logger) *Feed {
+	f := &Feed{cfg: cfg, hands: hands, log: logger, begun: time.Now(), work: make(chan configstream.Action, 1), send: make(chan any, streamQueue)}
+	var first []configstream.Action
+	f.f, first = configstream.NewFollower(configstream.FollowerConfig{Name: cfg.Name, Process: rand.Uint64(), Beat: cmp.Or(cfg.Beat, streamBeat), Silence: min(quietBeats*cmp.Or(cfg.Beat, streamBeat), streamSilence), Tries: followerTries}, disk)
 	f.carry(first)
 	return f
 }
@@ -130,7 +130,7 @@
 		logger.Printf("follower %s: nothing is kept in %s: waits for a version that a quorum confirms", cfg.Name, cfg.Data)
 	}
 	if !cfg.KeysAnywhere {
-		gate.Keys = &sites.Config{Me: anyFollower, Incarnation: disk.Starts, Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
+		gate.Keys = &multisite.Config{Me: anyFollower, Incarnation: disk.Starts, Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
 	}
 	if gate.Agreed == nil {
 		gate.Agreed = &gateway.Agreed{}
@@ -167,7 +167,7 @@
 }
 
 // check has a version compiled.
-func (f *Follower) check(v *confstream.Version) []confstream.Problem {
+func (f *Follower) check(v *configstream.Version) []configstream.Problem {
 	state, err := v.State()
 	if err == nil {
 		f.ready, err = f.setup.of(state, f.gate.FullValidation)
@@ -179,7 +179,7 @@
 }
 
 // install puts a version in force at the instance.
-func (f *Follower) install(v *confstream.Version) error {
+func (f *Follower) install(v *configstream.Version) error {
 	state, err := v.State()
 	if err == nil && f.ready.Number != v.Number {
 		f.ready, err = f.setup.of(state, f.gate.FullValidation)
@@ -224,14 +224,14 @@
 func (f *Feed) now() time.Duration { return time.Since(f.begun) }
 
 // do has the follower's side decide, and carries out what comes of it.
-func (f *Feed) do(step func(f *confstream.Follower, now time.Duration) []confstream.Action) {
+func (f *Feed) do(step func(f *configstream.Follower, now time.Duration) []configstream.Action) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.carry(step(f.f, f.now()))
 }
 
 // carry hands actions on: nothing here waits. Called under the mutex.
-func (f *Feed) carry(as []confstream.Action) {
+func (f *Feed) carry(as []configstream.Action) {
 	for _, a := range as {
 		switch {
 		case a.Send != nil:
@@ -266,7 +266,7 @@
 // worker does what may take long: it writes, checks and installs.
 func (f *Feed) worker(ctx context.Context) {
 	for {
-		var a confstream.Action
+		var a configstream.Action
 		select {
 		case <-ctx.Done():
 			return
@@ -275,47 +275,49 @@
 		switch {
 		case a.Keep != nil:
 			err := f.hands.Keep(a.Keep)
-			f.do(func(f *confstream.Follower, now time.Duration) []confstream.Action { return f.Kept(now, err) })
+			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Kept(now, err) })
 		case a.Check != nil:
 			problems := f.hands.Check(a.Check)
-			f.do(func(f *confstream.Follower, now time.Duration) []confstream.Action { return f.Checked(now, problems) })
+			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action {
+				return f.Checked(now, problems)
+			})
 		case a.Install != nil:
 			err := f.hands.Install(a.Install)
 			if err == nil {
 				f.log.Printf("stream: version %v is in force", a.Install.Ref)
 			}
-			f.do(func(f *confstream.Follower, now time.Duration) []confstream.Action { return f.Installed(now, err) })
+			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Installed(now, err) })
 		}
 	}
 }
 
 // problemsOf words why a version can't be served on: "hall a: register: ..." names its object.
-func problemsOf(err error) []confstream.Problem {
-	p := confstream.Problem{Text: err.Error()}
+func problemsOf(err error) []configstream.Problem {
+	p := configstream.Problem{Text: err.Error()}
 	for _, kind := range kinds {
 		if rest, ok := strings.CutPrefix(p.Text, kind+" "); ok {
 			name, text, _ := strings.Cut(rest, ": ")
-			p = confstream.Problem{Object: kind + " " + name, Text: text}
+			p = configstream.Problem{Object: kind + " " + name, Text: text}
 			if field, text, ok := strings.Cut(text, ": "); ok && !strings.ContainsAny(field, " ") {
 				p.Field, p.Text = field, text
 			}
 			break
 		}
 	}
-	return []confstream.Problem{p}
+	return []configstream.Problem{p}
 }
 
 // stream keeps a stream to one member after the other until ctx ends.
 func (f *Feed) stream(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	seat := confstream.NewSeat(confstream.SeatConfig{Name: f.cfg.Name, Members: slices.Sorted(maps.Keys(f.cfg.Members)), Least: followerLeast, Most: followerMost}, rng)
+	seat := configstream.NewSeat(configstream.SeatConfig{Name: f.cfg.Name, Members: slices.Sorted(maps.Keys(f.cfg.Members)), Least: followerLeast, Most: followerMost}, rng)
 	for ctx.Err() == nil {
 		member := seat.Next()
 		heard, err := f.follow(ctx, member)
 		if ctx.Err() != nil {
 			return
 		}
-		why := streamwire.Why(err)
+		why := configstreampb.Why(err)
 		if why == "" {
 			why = err.Error()
 		}
@@ -336,7 +338,7 @@
 	tls.NextProtos = []string{"h2"}
 	t := &http.Transport{TLSClientConfig: tls, ForceAttemptHTTP2: true, TLSHandshakeTimeout: 2 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer t.CloseIdleConnections()
-	client := streamwire.Dial(ctx, &http.Client{Transport: t}, f.cfg.Members[member], cancel)
+	client := configstreampb.Dial(ctx, &http.Client{Transport: t}, f.cfg.Members[member], cancel)
 	f.mu.Lock()
 	for len(f.send) > 0 { // of the stream before
 		<-f.send
@@ -363,7 +365,7 @@
 			case <-ctx.Done():
 				err = ctx.Err()
 			case <-tick.C:
-				f.do(func(f *confstream.Follower, now time.Duration) []confstream.Action { return f.Tick(now) })
+				f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Tick(now) })
 			case msg := <-f.send:
 				err = client.Send(msg)
 			}
@@ -376,7 +378,7 @@
 		if err != nil {
 			cancel()
 			client.Close()
-			if e := <-sent; e != nil && !errors.Is(e, context.Canceled) && streamwire.Why(err) == "" {
+			if e := <-sent; e != nil && !errors.Is(e, context.Canceled) && configstreampb.Why(err) == "" {
 				err = e
 			}
 			return heard, err
@@ -388,10 +390,10 @@
 			f.mu.Unlock()
 		}
 		switch m := msg.(type) {
-		case *confstream.Push:
-			f.do(func(f *confstream.Follower, now time.Duration) []confstream.Action { return f.Received(now, m) })
-		case *confstream.Pong:
-			f.do(func(f *confstream.Follower, now time.Duration) []confstream.Action { return f.Pong(now, *m) })
+		case *configstream.Push:
+			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Received(now, m) })
+		case *configstream.Pong:
+			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Pong(now, *m) })
 			f.confirm()
 		}
 	}
--- a/internal/fleet/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/confstream"
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/configstream"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/policy"
 )
 
 // following is a follower in this process.
@@ -23,7 +23,7 @@
 	*fleetMember
 	cfg  *FollowerConfig
 	f    *Follower
-	logs *standin.Log
+	logs *testserver.Log
 }
 
 // follower describes one that does not run yet. Its id, above those of members, is for r.ask.
@@ -51,14 +51,14 @@
 	r.t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	gate := &gateway.Config{Name: f.cfg.Name, Seed: 9, DrainFor: time.Millisecond,
-		Settings: choice.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-			Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true, Report: choice.ReportProbes}}
+		Settings: policy.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true, Report: policy.ReportProbes}}
 	ln, err := net.Listen("tcp", f.listen)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	gate.On(ln, nil)
-	f.logs = &standin.Log{}
+	f.logs = &testserver.Log{}
 	f.done, f.stop = make(chan error, 1), stop
 	begun := make(chan *Follower, 1)
 	done := f.done
@@ -136,7 +136,7 @@
 		}
 	}
 	// One change, pushed, acknowledged by both and served on.
-	r.propose(&fleetconfig.Proposal{ID: "two", Changes: []fleetconfig.Change{describe(7)}})
+	r.propose(&clusterconfig.Proposal{ID: "two", Changes: []clusterconfig.Change{describe(7)}})
 	r.everywhere(2)
 	if a := r.ask(102, "/slots"); a.body != "2" || a.header.Get("X-Mulleinmux-Units") != "7" {
 		t.Errorf("%+v", a)
@@ -144,7 +144,7 @@
 	// A version that can't be served on: two descriptions. The follower says which object, and goes on; the next one mends it.
 	second := describe(8)
 	second.Name = "e"
-	r.propose(&fleetconfig.Proposal{ID: "three", Changes: []fleetconfig.Change{second}})
+	r.propose(&clusterconfig.Proposal{ID: "three", Changes: []clusterconfig.Change{second}})
 	r.stands("north", "refused 3")
 	r.stands("south", "2 descriptions are agreed on")
 	if a := r.ask(101, "/slots"); a.body != "2" {
@@ -171,7 +171,7 @@
 	for id := uint64(2); id <= 3; id++ { // the first stays dead
 		r.start(id)
 	}
-	r.propose(&fleetconfig.Proposal{ID: "four", Changes: []fleetconfig.Change{change("remove", "description", "e", "")}})
+	r.propose(&clusterconfig.Proposal{ID: "four", Changes: []clusterconfig.Change{change("remove", "description", "e", "")}})
 	r.stands("north", "runs 4")
 	r.stands("south", "runs 4")
 	if s := north.f.Status(); len(s.Refused) != 1 || strings.Contains(north.logs.String(), "version 3 is in force") {
@@ -195,7 +195,7 @@
 	r.halt(103)
 	r.stands("south", "runs 4")
 	// Taken out of the agreement, it is told nothing any more, and serves on.
-	r.propose(&fleetconfig.Proposal{ID: "five", Changes: []fleetconfig.Change{change("remove", "follower", "south", "")}})
+	r.propose(&clusterconfig.Proposal{ID: "five", Changes: []clusterconfig.Change{change("remove", "follower", "south", "")}})
 	r.await("it is turned away", func() bool { return strings.Contains(south.logs.String(), "not agreed on as a follower") })
 	if a := r.ask(102, "/slots"); a.status != 200 || a.body != "4" {
 		t.Errorf("%+v", a)
@@ -206,9 +206,9 @@
 		t.Errorf("a follower asks as an operator: %v", err)
 	}
 	for name, creds := range map[string]raftnode.Credentials{"a member": r.members[2].cfg.Credentials, "an operator": operator(t, r)} {
-		var logs standin.Log
+		var logs testserver.Log
 		ctx, stop := context.WithCancel(r.ctx())
-		feed := NewFeed(&FollowerConfig{Cluster: "test", Name: "north", Credentials: creds, Members: north.cfg.Members}, confstream.Disk{Starts: 1}, Hands{}, log.New(&logs, "", 0))
+		feed := NewFeed(&FollowerConfig{Cluster: "test", Name: "north", Credentials: creds, Members: north.cfg.Members}, configstream.Disk{Starts: 1}, Hands{}, log.New(&logs, "", 0))
 		done := make(chan struct{})
 		go func() { feed.Run(ctx); close(done) }()
 		r.await(name+" is told nothing", func() bool { return strings.Contains(logs.String(), "is not of a follower") })
--- a/internal/fleet/followerfile.go
+++ b/internal/cluster/followerfile.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"mulleinmux/confstream"
+	"mulleinmux/configstream"
 )
 
 // followerFile keeps what a follower must know after a restart: confstream's Disk. Contents of versions stand by their
@@ -36,21 +36,21 @@
 
 // fileDisk is the Disk without the contents.
 type fileDisk struct {
-	Starts   uint64               `json:"starts"`
-	Good     *confstream.Ref      `json:"good,omitempty"`
-	InForce  bool                 `json:"in_force,omitempty"`
-	Tries    int                  `json:"tries,omitempty"`
-	Previous *confstream.Ref      `json:"previous,omitempty"`
-	Received confstream.Ref       `json:"received"`
-	Checks   int                  `json:"checks,omitempty"`
-	Refused  []confstream.Refusal `json:"refused,omitempty"`
+	Starts   uint64                 `json:"starts"`
+	Good     *configstream.Ref      `json:"good,omitempty"`
+	InForce  bool                   `json:"in_force,omitempty"`
+	Tries    int                    `json:"tries,omitempty"`
+	Previous *configstream.Ref      `json:"previous,omitempty"`
+	Received configstream.Ref       `json:"received"`
+	Checks   int                    `json:"checks,omitempty"`
+	Refused  []configstream.Refusal `json:"refused,omitempty"`
 }
 
 // ErrFollowerFile says that a follower's file can't be used.
 var ErrFollowerFile = errors.New("is no file of this follower: move it away, and it begins with what a quorum confirms")
 
 // openFollowerFile opens a follower's file, or makes it, and counts the start.
-func openFollowerFile(path, cluster, name string) (f *followerFile, d confstream.Disk, err error) {
+func openFollowerFile(path, cluster, name string) (f *followerFile, d configstream.Disk, err error) {
 	defer func() {
 		if p := recover(); p != nil { // pages that can't be
 			err = fmt.Errorf("%s: %w: %v", path, ErrFollowerFile, p)
@@ -103,7 +103,7 @@
 func (f *followerFile) close() error { return f.db.Close() }
 
 // load reads the Disk. A content that does not make its version is damage.
-func (f *followerFile) load() (d confstream.Disk, err error) {
+func (f *followerFile) load() (d configstream.Disk, err error) {
 	err = f.db.View(func(tx *bbolt.Tx) error {
 		text := tx.Bucket(bucketFollower).Get(keyDisk)
 		if text == nil {
@@ -113,21 +113,21 @@
 		if err := json.Unmarshal(text, &in); err != nil {
 			return fmt.Errorf("%w: %w", ErrFollowerFile, err)
 		}
-		d = confstream.Disk{Starts: in.Starts, InForce: in.InForce, Tries: in.Tries, Received: in.Received, Checks: in.Checks, Refused: in.Refused}
+		d = configstream.Disk{Starts: in.Starts, InForce: in.InForce, Tries: in.Tries, Received: in.Received, Checks: in.Checks, Refused: in.Refused}
 		for _, v := range []struct {
-			ref *confstream.Ref
-			to  **confstream.Version
+			ref *configstream.Ref
+			to  **configstream.Version
 		}{{in.Good, &d.Good}, {in.Previous, &d.Previous}} {
 			if v.ref == nil {
 				continue
 			}
-			b := &confstream.Body{}
+			b := &configstream.Body{}
 			err := json.Unmarshal(tx.Bucket(bucketContents).Get([]byte(v.ref.Digest.String())), b)
 			if err == nil {
 				*v.to, err = b.Make(nil)
 			}
 			if err == nil && (*v.to).Ref != *v.ref {
-				err = confstream.ErrDamaged
+				err = configstream.ErrDamaged
 			}
 			if err != nil {
 				return fmt.Errorf("%w: version %v: %w", ErrFollowerFile, v.ref, err)
@@ -139,14 +139,14 @@
 }
 
 // keep writes the Disk and returns once it is synced.
-func (f *followerFile) keep(d *confstream.Disk) error {
+func (f *followerFile) keep(d *configstream.Disk) error {
 	out := fileDisk{Starts: d.Starts, InForce: d.InForce, Tries: d.Tries, Received: d.Received, Checks: d.Checks, Refused: d.Refused}
 	return f.db.Update(func(tx *bbolt.Tx) error {
 		contents := tx.Bucket(bucketContents)
 		wanted := map[string]bool{}
 		for _, v := range []struct {
-			version *confstream.Version
-			to      **confstream.Ref
+			version *configstream.Version
+			to      **configstream.Ref
 		}{{d.Good, &out.Good}, {d.Previous, &out.Previous}} {
 			if v.version == nil {
 				continue
--- a/internal/fleet/homes.go
+++ b/internal/cluster/homes.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"mulleinmux/fleetconfig"
-	"mulleinmux/sites"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/multisite"
 )
 
 // Figures of the homes of keys: see package sites. Clients wait for 2 s at the most over all
@@ -70,23 +70,23 @@
 }
 
 // proposeHall proposes that a hall is lost or back.
-func (f *Fleet) proposeHall(ctx context.Context, c sites.HallChange) error {
+func (f *Fleet) proposeHall(ctx context.Context, c multisite.HallChange) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	s, err := f.node.Freeze(ctx)
 	if err != nil {
 		return err
 	}
-	change := fleetconfig.Put("lost", c.Hall, fleetconfig.LostHall{Why: c.Why, Part: c.Part})
+	change := clusterconfig.Put("lost", c.Hall, clusterconfig.LostHall{Why: c.Why, Part: c.Part})
 	word := "lost"
 	switch {
 	case !c.Lost && c.Part == 0:
-		change, word = fleetconfig.Change{Op: "remove", Kind: "lost", Name: c.Hall}, "back"
+		change, word = clusterconfig.Change{Op: "remove", Kind: "lost", Name: c.Hall}, "back"
 	case !c.Lost:
 		word = fmt.Sprintf("back with %d of 8 of its keys", c.Part)
 	}
-	p := &fleetconfig.Proposal{ID: fmt.Sprintf("hall-%s-%v-%d-%d", c.Hall, c.Lost, c.Part, s.Homes()), Author: fmt.Sprint("member ", f.cfg.Member),
-		Why: c.Why, AtMs: time.Now().UnixMilli(), Changes: []fleetconfig.Change{change}}
+	p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%s-%v-%d-%d", c.Hall, c.Lost, c.Part, s.Homes()), Author: fmt.Sprint("member ", f.cfg.Member),
+		Why: c.Why, AtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{change}}
 	if err := s.Check(p); err != nil {
 		return err
 	}
@@ -115,21 +115,21 @@
 
 // homesOf are the homes of keys of a state, with the instances whose words on keys count, and which halls are agreed on and
 // lost. Followers tell nothing: as long as there are any, an instance that is never heard stands for them.
-func homesOf(s *fleetconfig.State, instances []uint64) (h sites.Homes, agreed []sites.Hall, parts map[string]int) {
-	h = sites.Homes{Epoch: s.Homes(), Instances: slices.Clone(instances)}
-	if len(fleetconfig.Read[fleetconfig.Follower](s, "follower")) > 0 && !slices.Contains(instances, anyFollower) {
+func homesOf(s *clusterconfig.State, instances []uint64) (h multisite.Homes, agreed []multisite.Hall, parts map[string]int) {
+	h = multisite.Homes{Epoch: s.Homes(), Instances: slices.Clone(instances)}
+	if len(clusterconfig.Read[clusterconfig.Follower](s, "follower")) > 0 && !slices.Contains(instances, anyFollower) {
 		h.Instances = append(h.Instances, anyFollower)
 	}
-	halls := fleetconfig.Read[fleetconfig.Hall](s, "hall")
-	lost := fleetconfig.Read[fleetconfig.LostHall](s, "lost")
+	halls := clusterconfig.Read[clusterconfig.Hall](s, "hall")
+	lost := clusterconfig.Read[clusterconfig.LostHall](s, "lost")
 	parts = map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(halls)) {
 		l, gone := lost[name]
 		if gone {
 			parts[name] = l.Part
 		}
-		h.Halls = append(h.Halls, sites.Hall{Name: name, Open: !halls[name].Closed && (!gone || l.Part > 0), Part: l.Part})
-		agreed = append(agreed, sites.Hall{Name: name, Open: !halls[name].Closed})
+		h.Halls = append(h.Halls, multisite.Hall{Name: name, Open: !halls[name].Closed && (!gone || l.Part > 0), Part: l.Part})
+		agreed = append(agreed, multisite.Hall{Name: name, Open: !halls[name].Closed})
 	}
 	return h, agreed, parts
 }
@@ -145,7 +145,7 @@
 		case <-tick.C:
 		}
 		for more := true; more; {
-			var m sites.Message
+			var m multisite.Message
 			m, more = f.in.TellKeys(keysWord, f.node.Fence)
 			text, err := json.Marshal(&m)
 			if err == nil {
@@ -166,7 +166,7 @@
 	f.mu.Lock()
 	in := f.in
 	f.mu.Unlock()
-	var m sites.Message
+	var m multisite.Message
 	if in == nil || f.gate.Keys == nil || json.Unmarshal(text, &m) != nil || m.From != from {
 		return // a gap in its words, as if it had been lost
 	}
--- a/internal/fleet/setup.go
+++ b/internal/cluster/setup.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"bytes"
@@ -10,22 +10,22 @@
 	"slices"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/contract"
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/discovery"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/openapi"
-	"mulleinmux/internal/register"
+	"mulleinmux/policy"
+	"mulleinmux/routing"
 )
 
 // errNothing says that there is nothing to serve yet.
-var errNothing = errors.New("no description is agreed on yet: mulleingate config apply")
+var errNothing = errors.New("no description is agreed on yet: gateway config apply")
 
 // setups turns agreed states into what an instance is told. It keeps what is dear to make
 // from one state to the next.
 type setups struct {
 	key       []byte // what the table was compiled of
-	table     *contract.Table
+	table     *routing.Table
 	check     gateway.Checker
 	licensees map[string]licensee
 }
@@ -35,17 +35,17 @@
 	value gateway.Licensee
 }
 
-func compileOptions(classes []fleetconfig.Class, most int) contract.Options {
-	opt := contract.Options{MostUnits: most}
+func compileOptions(classes []clusterconfig.Class, most int) routing.Options {
+	opt := routing.Options{MostUnits: most}
 	for _, c := range classes {
-		opt.Classes = append(opt.Classes, contract.Class{Name: c.Name, Worth: c.Worth, Late: c.Late,
+		opt.Classes = append(opt.Classes, routing.Class{Name: c.Name, Worth: c.Worth, Late: c.Late,
 			Aim: time.Duration(c.AimMs) * time.Millisecond, Deadline: time.Duration(c.DeadlineMs) * time.Millisecond})
 	}
 	return opt
 }
 
 // of returns the setup of a state.
-func (u *setups) of(s *fleetconfig.State, full bool) (out gateway.Setup, err error) {
+func (u *setups) of(s *clusterconfig.State, full bool) (out gateway.Setup, err error) {
 	key, n := binary.AppendVarint(nil, int64(s.MostUnits())), 0
 	s.Each("description", func(_ string, text json.RawMessage) { key, n = append(key, text...), n+1 })
 	s.Each("class", func(name string, text json.RawMessage) { key = append(append(key, name...), text...) })
@@ -55,17 +55,17 @@
 	if n > 1 {
 		return out, fmt.Errorf("%d descriptions are agreed on, and one is served: remove the others", n)
 	}
-	halls := fleetconfig.Read[fleetconfig.Hall](s, "hall")
+	halls := clusterconfig.Read[clusterconfig.Hall](s, "hall")
 	for _, name := range slices.Sorted(maps.Keys(halls)) {
-		at, err := register.Address("register", halls[name].Register)
+		at, err := discovery.Address("register", halls[name].Register)
 		if err != nil {
 			return out, fmt.Errorf("hall %s: %w", name, err)
 		}
 		out.Halls = append(out.Halls, gateway.Hall{Name: name, Register: at})
 	}
 	if !bytes.Equal(key, u.key) {
-		var d fleetconfig.Description
-		for _, d = range fleetconfig.Read[fleetconfig.Description](s, "description") {
+		var d clusterconfig.Description
+		for _, d = range clusterconfig.Read[clusterconfig.Description](s, "description") {
 		}
 		table, doc, err := openapi.Compile(d.File, []byte(d.Text), compileOptions(s.Classes(), s.MostUnits()))
 		if err != nil {
@@ -77,13 +77,13 @@
 		}
 	}
 	out.Number, out.Table, out.Check = s.Version(), u.table, u.check
-	plans := fleetconfig.Read[fleetconfig.Plan](s, "plan")
+	plans := clusterconfig.Read[clusterconfig.Plan](s, "plan")
 	for _, name := range s.Places() {
 		p, ok := plans[name]
 		if !ok { // its place stays; no licensee can have it
 			name = "/removed/" + name
 		}
-		out.Plans = append(out.Plans, choice.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, CeilingRate: p.CeilingRate,
+		out.Plans = append(out.Plans, policy.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, CeilingRate: p.CeilingRate,
 			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverWorth: p.OverWorth, OverCost: p.OverCost})
 	}
 	next := make(map[string]licensee, len(u.licensees))
@@ -91,7 +91,7 @@
 	s.Each("licensee", func(name string, text json.RawMessage) {
 		l, ok := u.licensees[name]
 		if !ok || !bytes.Equal(l.text, text) {
-			var v fleetconfig.Licensee
+			var v clusterconfig.Licensee
 			if json.Unmarshal(text, &v) != nil {
 				return // it was checked when it was put
 			}
--- a/internal/fleet/stream.go
+++ b/internal/cluster/stream.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"bytes"
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
-	"mulleinmux/confstream"
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/configstream"
+	"mulleinmux/internal/configstreampb"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/internal/streamwire"
 )
 
 // Figures of the stream: see package confstream.
@@ -47,11 +47,11 @@
 	begun time.Time
 
 	mu     sync.Mutex
-	pub    *confstream.Publisher
+	pub    *configstream.Publisher
 	conns  map[uint64]*conn
 	next   uint64
-	last   *confstream.Version
-	worded map[*confstream.Body]*streamwire.Push
+	last   *configstream.Version
+	worded map[*configstream.Body]*configstreampb.Push
 }
 
 // conn is a stream to a follower.
@@ -61,15 +61,15 @@
 }
 
 func newStreams(f *Fleet) *streams {
-	return &streams{f: f, begun: time.Now(), conns: map[uint64]*conn{}, worded: map[*confstream.Body]*streamwire.Push{},
-		pub: confstream.NewPublisher(confstream.PublisherConfig{Member: f.cfg.Member, Silence: streamSilence, Answer: streamAnswer, Unsure: streamUnsure,
+	return &streams{f: f, begun: time.Now(), conns: map[uint64]*conn{}, worded: map[*configstream.Body]*configstreampb.Push{},
+		pub: configstream.NewPublisher(configstream.PublisherConfig{Member: f.cfg.Member, Silence: streamSilence, Answer: streamAnswer, Unsure: streamUnsure,
 			Held: streamHeld, Most: streamMost, PerS: streamPerS, Burst: streamBurst, FullOnly: f.cfg.StreamFull}, rand.Uint64())}
 }
 
 func (s *streams) now() time.Duration { return time.Since(s.begun) }
 
 // do has the publisher decide, and sends what comes of it.
-func (s *streams) do(f func(p *confstream.Publisher, now time.Duration) []confstream.Out) {
+func (s *streams) do(f func(p *configstream.Publisher, now time.Duration) []configstream.Out) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range f(s.pub, s.now()) {
@@ -85,10 +85,10 @@
 		case o.Push != nil:
 			body, ok := s.worded[o.Push.Body]
 			if !ok {
-				body = streamwire.WordBody(o.Push.Body)
+				body = configstreampb.WordBody(o.Push.Body)
 				s.worded[o.Push.Body] = body
 			}
-			msg = streamwire.Word(o.Push, body)
+			msg = configstreampb.Word(o.Push, body)
 		default:
 			msg = o.Pong
 		}
@@ -108,7 +108,7 @@
 }
 
 // publish takes over a state that is agreed on.
-func (s *streams) publish(state *fleetconfig.State) {
+func (s *streams) publish(state *clusterconfig.State) {
 	if s == nil {
 		return
 	}
@@ -118,8 +118,8 @@
 	if state.Version() == 0 || last != nil && last.Number >= state.Version() {
 		return
 	}
-	v := confstream.Of(state, last)
-	s.do(func(p *confstream.Publisher, now time.Duration) []confstream.Out {
+	v := configstream.Of(state, last)
+	s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
 		if s.last == nil || v.Number > s.last.Number {
 			s.last = v
 			clear(s.worded)
@@ -134,7 +134,7 @@
 		return
 	}
 	s.publish(c.state)
-	s.do(func(p *confstream.Publisher, now time.Duration) []confstream.Out {
+	s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
 		if s.last == nil || s.last.Number != c.state.Version() {
 			return nil // what is newer was agreed on later, and is confirmed later
 		}
@@ -145,7 +145,7 @@
 // serve serves followers until ctx ends.
 func (s *streams) serve(ctx context.Context, ln net.Listener, side *sync.WaitGroup) *http.Server {
 	srv := &http.Server{ErrorLog: s.f.log, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, TLSConfig: s.f.cfg.Credentials.TLS(),
-		BaseContext: func(net.Listener) context.Context { return ctx }, Handler: streamwire.Handler(s.follow)}
+		BaseContext: func(net.Listener) context.Context { return ctx }, Handler: configstreampb.Handler(s.follow)}
 	side.Go(func() { srv.ServeTLS(admitted{ln, s}, "", "") }) // ends with Close
 	side.Go(func() {
 		tick, tell, stir := time.NewTicker(streamTick), time.NewTicker(streamTell), time.NewTicker(streamStir)
@@ -157,7 +157,7 @@
 			case <-ctx.Done():
 				return
 			case <-tick.C:
-				s.do(func(p *confstream.Publisher, now time.Duration) []confstream.Out { return p.Tick(now) })
+				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out { return p.Tick(now) })
 			case <-tell.C:
 				s.tell(true)
 			case <-stir.C:
@@ -210,7 +210,7 @@
 	if len(text) == 0 || text[0] != streamPrefix {
 		return false
 	}
-	var w confstream.Word
+	var w configstream.Word
 	if s != nil && json.NewDecoder(bytes.NewReader(text[1:])).Decode(&w) == nil && w.Member == from {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -220,10 +220,10 @@
 }
 
 // follow serves one follower.
-func (s *streams) follow(ctx context.Context, st *streamwire.Stream) error {
+func (s *streams) follow(ctx context.Context, st *configstreampb.Stream) error {
 	name, err := s.who(st.Request)
 	if err != nil {
-		return streamwire.Ended(err.Error())
+		return configstreampb.Ended(err.Error())
 	}
 	c := &conn{out: make(chan any, streamQueue), end: make(chan string, 1)}
 	received := make(chan any)
@@ -271,33 +271,33 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return streamwire.Ended("the member stops")
+			return configstreampb.Ended("the member stops")
 		case why := <-c.end:
-			return streamwire.Ended(why)
+			return configstreampb.Ended(why)
 		case <-late.C:
 			if id == 0 {
-				return streamwire.Ended("no hello came")
+				return configstreampb.Ended("no hello came")
 			}
 		case msg := <-received:
 			switch m := msg.(type) {
-			case confstream.Hello:
+			case configstream.Hello:
 				if id != 0 {
-					return streamwire.Ended("a second hello")
+					return configstreampb.Ended("a second hello")
 				}
 				m.Name = name
-				s.do(func(p *confstream.Publisher, now time.Duration) []confstream.Out {
+				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
 					s.next++
 					id = s.next
 					s.conns[id] = c
 					return p.Hello(now, id, m)
 				})
-			case confstream.Report:
-				if m.Result == confstream.Refused {
+			case configstream.Report:
+				if m.Result == configstream.Refused {
 					s.f.log.Printf("follower %s refuses version %v: %v", name, m.Ref, m.Problems)
 				}
-				s.do(func(p *confstream.Publisher, now time.Duration) []confstream.Out { return p.Hear(now, id, m) })
+				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out { return p.Hear(now, id, m) })
 			case uint64:
-				s.do(func(p *confstream.Publisher, now time.Duration) []confstream.Out { return p.Ping(now, id, m) })
+				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out { return p.Ping(now, id, m) })
 			}
 		}
 	}
@@ -320,9 +320,9 @@
 
 // Followers is what a member answers of the followers.
 type Followers struct {
-	Member    uint64                `json:"member"` // that was asked
-	Newest    uint64                `json:"newest"` // version here
-	Followers []confstream.Standing `json:"followers"`
+	Member    uint64                  `json:"member"` // that was asked
+	Newest    uint64                  `json:"newest"` // version here
+	Followers []configstream.Standing `json:"followers"`
 }
 
 func (f *Fleet) standings(ctx context.Context, _ *http.Request) (any, error) {
@@ -350,7 +350,7 @@
 		if st.Behind {
 			behind++
 		}
-		if st.Refused != nil && (st.Running == nil || st.Refused.Order(*st.Running) == confstream.Newer) {
+		if st.Refused != nil && (st.Running == nil || st.Refused.Order(*st.Running) == configstream.Newer) {
 			refusing++
 		}
 		if st.Twin != "" {
--- a/internal/streamwire/fixture_test.go
+++ b/internal/configstreampb/fixture_test.go
@@ -1,4 +1,4 @@
-package streamwire
+package configstreampb
 
 import (
 	"bytes"
@@ -12,35 +12,35 @@
 	"testing"
 	"time"
 
-	"mulleinmux/confstream"
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/configstream"
 	"mulleinmux/internal/fixture"
 )
 
 // Each message of the stream, in both directions, is on the wire (frames of the Connect protocol with protobuf in them) as it
 // was recorded, and recorded ones are read as what was sent.
 //
-// Recorded with: MULLEINMUX_RECORD=1 go test ./internal/streamwire -run Fixture
+// Recorded with: MULLEINMUX_RECORD=1 go test ./internal/configstreampb -run Fixture
 func TestFixtureStream(t *testing.T) {
-	ref := confstream.Ref{Epoch: confstream.Epoch{Number: 2, ID: "one"}, Number: 7, Digest: confstream.Digest{1, 2, 3, 1 << 63}}
-	older := confstream.Ref{Number: 6, Digest: confstream.Digest{5}}
-	problems := []confstream.Problem{{Object: "plan/kati", Field: "rate", Text: "out of range"}, {Text: "no place"}}
+	ref := configstream.Ref{Epoch: configstream.Epoch{Number: 2, ID: "one"}, Number: 7, Digest: configstream.Digest{1, 2, 3, 1 << 63}}
+	older := configstream.Ref{Number: 6, Digest: configstream.Digest{5}}
+	problems := []configstream.Problem{{Object: "plan/kati", Field: "rate", Text: "out of range"}, {Text: "no place"}}
 	fromFollower := []any{
-		confstream.Hello{Process: 1, Start: 2, Dial: 3, Running: &older, Since: 1500 * time.Millisecond, Format: 3,
-			Refused: []confstream.Refusal{{Ref: ref, Problems: problems, Unread: true}, {Ref: older, Problems: problems[1:]}}},
-		confstream.Hello{Process: 1, Start: 1, Dial: 1, Format: 1},
-		confstream.Report{Nonce: 4, Result: confstream.Applied, Ref: ref, Running: &ref},
-		confstream.Report{Nonce: 5, Result: confstream.Refused, Ref: ref, Running: &older, Problems: problems, Unread: true},
-		confstream.Report{Result: confstream.Stated, Ref: ref, Running: &ref}, confstream.Report{Nonce: 6, Result: confstream.NeedsFull, Ref: ref},
-		confstream.Report{Nonce: 7, Result: confstream.NotNewer, Ref: ref}, confstream.Report{Nonce: 8, Result: confstream.Unconfirmed, Ref: ref},
-		confstream.Report{Nonce: 9, Result: confstream.Foreign, Ref: ref}, uint64(12),
+		configstream.Hello{Process: 1, Start: 2, Dial: 3, Running: &older, Since: 1500 * time.Millisecond, Format: 3,
+			Refused: []configstream.Refusal{{Ref: ref, Problems: problems, Unread: true}, {Ref: older, Problems: problems[1:]}}},
+		configstream.Hello{Process: 1, Start: 1, Dial: 1, Format: 1},
+		configstream.Report{Nonce: 4, Result: configstream.Applied, Ref: ref, Running: &ref},
+		configstream.Report{Nonce: 5, Result: configstream.Refused, Ref: ref, Running: &older, Problems: problems, Unread: true},
+		configstream.Report{Result: configstream.Stated, Ref: ref, Running: &ref}, configstream.Report{Nonce: 6, Result: configstream.NeedsFull, Ref: ref},
+		configstream.Report{Nonce: 7, Result: configstream.NotNewer, Ref: ref}, configstream.Report{Nonce: 8, Result: configstream.Unconfirmed, Ref: ref},
+		configstream.Report{Nonce: 9, Result: configstream.Foreign, Ref: ref}, uint64(12),
 	}
-	object := confstream.Object{Key: "plan/kati", Value: []byte(`{"rate":0,"burst":0,"price":1}`)}
+	object := configstream.Object{Key: "plan/kati", Value: []byte(`{"rate":0,"burst":0,"price":1}`)}
 	hash := strings.Repeat("0123456789abcdef", 4)
 	fromMember := []any{
-		&confstream.Push{Nonce: 1, Body: &confstream.Body{Ref: ref, Format: fleetconfig.Format, Hash: hash, Homes: 3, Places: []string{"kati", "kubwa"}, Put: []confstream.Object{object}}, Confirmed: true},
-		&confstream.Push{Nonce: 2, Body: &confstream.Body{Ref: ref, Base: &older, Format: 1, Hash: hash, Homes: 3, Put: []confstream.Object{object}, Removed: []string{"plan/kubwa"}}},
-		&confstream.Pong{Seq: 12, Newest: ref, Homes: 3, Confirmed: true, Twin: "another process"}, &confstream.Pong{Seq: 13, Newest: older},
+		&configstream.Push{Nonce: 1, Body: &configstream.Body{Ref: ref, Format: clusterconfig.Format, Hash: hash, Homes: 3, Places: []string{"kati", "kubwa"}, Put: []configstream.Object{object}}, Confirmed: true},
+		&configstream.Push{Nonce: 2, Body: &configstream.Body{Ref: ref, Base: &older, Format: 1, Hash: hash, Homes: 3, Put: []configstream.Object{object}, Removed: []string{"plan/kubwa"}}},
+		&configstream.Pong{Seq: 12, Newest: ref, Homes: 3, Confirmed: true, Twin: "another process"}, &configstream.Pong{Seq: 13, Newest: older},
 	}
 
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -95,7 +95,7 @@
 				check(got, m, err)
 			}
 			for _, m := range fromMember {
-				if p, ok := m.(*confstream.Push); ok {
+				if p, ok := m.(*configstream.Push); ok {
 					m = Word(p, WordBody(p.Body))
 				}
 				if err := s.Send(m); err != nil {
--- a/internal/streamwire/gen/main.go
+++ b/internal/configstreampb/gen/main.go
@@ -1,4 +1,4 @@
-// Command gen makes the Go code of the stream's messages: go generate ./internal/streamwire. It needs no compiler of
+// Command gen makes the Go code of the stream's messages: go generate ./internal/configstreampb. It needs no compiler of
 // its own on the machine.
 package main
 
--- a/internal/streamwire/wire.go
+++ b/internal/configstreampb/wire.go
@@ -1,6 +1,6 @@
 // Package streamwire is the stream of configuration on the wire: messages in protobuf over the Connect protocol on HTTP/2,
 // each checked against the rules in stream.proto before it is used. Who follows is known by the certificate.
-package streamwire
+package configstreampb
 
 //go:generate go run ./gen
 
@@ -18,7 +18,7 @@
 	"connectrpc.com/connect"
 	"google.golang.org/protobuf/proto"
 
-	"mulleinmux/confstream"
+	"mulleinmux/configstream"
 )
 
 const (
@@ -90,13 +90,13 @@
 	return connect.NewError(connect.CodeUnavailable, errors.New(why))
 }
 
-// Send sends a [*Push] or a [*confstream.Pong].
+// Send sends a [*Push] or a [*configstream.Pong].
 func (s *Stream) Send(v any) error {
 	out := &FromMember{}
 	switch v := v.(type) {
 	case *Push: // worded before: see [Word]
 		out.Body = &FromMember_Push{v}
-	case *confstream.Pong:
+	case *configstream.Pong:
 		out.Body = &FromMember_Pong{&Pong{Seq: v.Seq, Newest: fromRef(&v.Newest), Homes: v.Homes, Confirmed: v.Confirmed, Twin: v.Twin}}
 	default:
 		return fmt.Errorf("a %T is no message of a member", v)
@@ -104,7 +104,7 @@
 	return s.bidi.Send(out)
 }
 
-// Receive returns a [confstream.Hello], a [confstream.Report] or the number of a sign of life.
+// Receive returns a [configstream.Hello], a [configstream.Report] or the number of a sign of life.
 func (s *Stream) Receive() (any, error) {
 	in, err := s.bidi.Receive()
 	if err != nil {
@@ -119,31 +119,31 @@
 	}
 	switch b := in.Body.(type) {
 	case *FromFollower_Hello:
-		h := confstream.Hello{Process: b.Hello.Process, Start: b.Hello.Start, Dial: b.Hello.Dial, Running: toRef(b.Hello.Running),
+		h := configstream.Hello{Process: b.Hello.Process, Start: b.Hello.Start, Dial: b.Hello.Dial, Running: toRef(b.Hello.Running),
 			Since: time.Duration(min(b.Hello.SinceMs, 1<<40)) * time.Millisecond, Format: int(b.Hello.Format)}
 		for _, r := range b.Hello.Refused {
-			h.Refused = append(h.Refused, confstream.Refusal{Ref: *toRef(r.Ref), Problems: toProblems(r.Problems), Unread: r.Unread})
+			h.Refused = append(h.Refused, configstream.Refusal{Ref: *toRef(r.Ref), Problems: toProblems(r.Problems), Unread: r.Unread})
 		}
 		return h, nil
 	case *FromFollower_Report:
-		return confstream.Report{Nonce: b.Report.Nonce, Result: confstream.Result(b.Report.Result), Ref: *toRef(b.Report.Ref), Running: toRef(b.Report.Running),
+		return configstream.Report{Nonce: b.Report.Nonce, Result: configstream.Result(b.Report.Result), Ref: *toRef(b.Report.Ref), Running: toRef(b.Report.Running),
 			Problems: toProblems(b.Report.Problems), Unread: b.Report.Unread}, nil
 	default:
 		return in.GetPing().Seq, nil
 	}
 }
 
-// Send sends a [confstream.Hello], a [confstream.Report] or the number of a sign of life.
+// Send sends a [configstream.Hello], a [configstream.Report] or the number of a sign of life.
 func (c *Client) Send(v any) error {
 	out := &FromFollower{}
 	switch v := v.(type) {
-	case confstream.Hello:
+	case configstream.Hello:
 		h := &Hello{Process: v.Process, Start: v.Start, Dial: v.Dial, Running: fromRef(v.Running), SinceMs: uint64(max(v.Since, 0).Milliseconds()), Format: uint32(v.Format)}
 		for _, r := range v.Refused {
 			h.Refused = append(h.Refused, &Refusal{Ref: fromRef(&r.Ref), Problems: fromProblems(r.Problems), Unread: r.Unread})
 		}
 		out.Body = &FromFollower_Hello{h}
-	case confstream.Report:
+	case configstream.Report:
 		out.Body = &FromFollower_Report{&Report{Nonce: v.Nonce, Result: Report_Result(v.Result), Ref: fromRef(&v.Ref), Running: fromRef(v.Running),
 			Problems: fromProblems(v.Problems), Unread: v.Unread}}
 	case uint64:
@@ -154,7 +154,7 @@
 	return c.bidi.Send(out)
 }
 
-// Receive returns a [*confstream.Push] or a [*confstream.Pong].
+// Receive returns a [*configstream.Push] or a [*configstream.Pong].
 func (c *Client) Receive() (any, error) {
 	in, err := c.bidi.Receive()
 	if err != nil {
@@ -168,24 +168,24 @@
 		return nil, err
 	}
 	if b, ok := in.Body.(*FromMember_Pong); ok {
-		return &confstream.Pong{Seq: b.Pong.Seq, Newest: *toRef(b.Pong.Newest), Homes: b.Pong.Homes, Confirmed: b.Pong.Confirmed, Twin: b.Pong.Twin}, nil
+		return &configstream.Pong{Seq: b.Pong.Seq, Newest: *toRef(b.Pong.Newest), Homes: b.Pong.Homes, Confirmed: b.Pong.Confirmed, Twin: b.Pong.Twin}, nil
 	}
 	p := in.GetPush()
-	b := &confstream.Body{Ref: *toRef(p.Ref), Base: toRef(p.Base), Format: int(p.Format), Hash: p.Hash, Homes: p.Homes, Places: p.Places, Removed: p.Removed}
+	b := &configstream.Body{Ref: *toRef(p.Ref), Base: toRef(p.Base), Format: int(p.Format), Hash: p.Hash, Homes: p.Homes, Places: p.Places, Removed: p.Removed}
 	for _, o := range p.Put {
-		b.Put = append(b.Put, confstream.Object{Key: o.Key, Value: json.RawMessage(o.Value)})
+		b.Put = append(b.Put, configstream.Object{Key: o.Key, Value: json.RawMessage(o.Value)})
 	}
-	return &confstream.Push{Nonce: p.Nonce, Body: b, Confirmed: p.Confirmed}, nil
+	return &configstream.Push{Nonce: p.Nonce, Body: b, Confirmed: p.Confirmed}, nil
 }
 
 // Word words a push. Pushes of one body share what is dear.
-func Word(p *confstream.Push, body *Push) *Push {
+func Word(p *configstream.Push, body *Push) *Push {
 	return &Push{Nonce: p.Nonce, Confirmed: p.Confirmed, Ref: body.Ref, Base: body.Base, Format: body.Format, Hash: body.Hash, Homes: body.Homes,
 		Places: body.Places, Put: body.Put, Removed: body.Removed}
 }
 
 // WordBody words what pushes of one body share.
-func WordBody(b *confstream.Body) *Push {
+func WordBody(b *configstream.Body) *Push {
 	out := &Push{Ref: fromRef(&b.Ref), Base: fromRef(b.Base), Format: uint32(b.Format), Hash: b.Hash, Homes: b.Homes, Places: b.Places, Removed: b.Removed}
 	for _, o := range b.Put {
 		out.Put = append(out.Put, &Object{Key: o.Key, Value: o.Value})
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func fromRef(r *confstream.Ref) *Ref {
+func fromRef(r *configstream.Ref) *Ref {
 	if r == nil {
 		return nil
 	}
@@ -215,11 +215,11 @@
 }
 
 // toRef reads one that is valid, or none.
-func toRef(r *Ref) *confstream.Ref {
+func toRef(r *Ref) *configstream.Ref {
 	if r == nil {
 		return nil
 	}
-	out := &confstream.Ref{Epoch: confstream.Epoch{Number: r.GetEpoch().GetNumber(), ID: r.GetEpoch().GetId()}, Number: r.Number}
+	out := &configstream.Ref{Epoch: configstream.Epoch{Number: r.GetEpoch().GetNumber(), ID: r.GetEpoch().GetId()}, Number: r.Number}
 	for i := range out.Digest {
 		out.Digest[i] = binary.BigEndian.Uint64(r.Digest[8*i:])
 	}
@@ -232,7 +232,7 @@
 	maxText     = 4000
 )
 
-func fromProblems(ps []confstream.Problem) (out []*Problem) {
+func fromProblems(ps []configstream.Problem) (out []*Problem) {
 	cut := func(s string, most int) string { return strings.ToValidUTF8(s[:min(len(s), most)], "?") }
 	for _, p := range ps[:min(len(ps), maxProblems)] {
 		out = append(out, &Problem{Object: cut(p.Object, 500), Field: cut(p.Field, 500), Text: cut(p.Text, maxText)})
@@ -240,9 +240,9 @@
 	return out
 }
 
-func toProblems(ps []*Problem) (out []confstream.Problem) {
+func toProblems(ps []*Problem) (out []configstream.Problem) {
 	for _, p := range ps {
-		out = append(out, confstream.Problem{Object: p.Object, Field: p.Field, Text: p.Text})
+		out = append(out, configstream.Problem{Object: p.Object, Field: p.Field, Text: p.Text})
 	}
 	return out
 }
--- a/internal/streamwire/wire_test.go
+++ b/internal/configstreampb/wire_test.go
@@ -1,4 +1,4 @@
-package streamwire
+package configstreampb
 
 import (
 	"fmt"
@@ -7,28 +7,28 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"mulleinmux/confstream"
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/configstream"
 )
 
 // agreed is a version with one plan.
-func agreed(t testing.TB) *confstream.Version {
+func agreed(t testing.TB) *configstream.Version {
 	t.Helper()
-	s := fleetconfig.New(nil)
-	entry, err := fleetconfig.Encode(&fleetconfig.Proposal{ID: "a", Changes: []fleetconfig.Change{fleetconfig.Put("plan", "kubwa", fleetconfig.Plan{Rate: 1, Burst: 1})}})
+	s := clusterconfig.New(nil)
+	entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: "a", Changes: []clusterconfig.Change{clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Rate: 1, Burst: 1})}})
 	if err == nil {
 		_, _, err = s.Apply(entry)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return confstream.Of(s.Freeze(), nil)
+	return configstream.Of(s.Freeze(), nil)
 }
 
 // A push arrives as it was sent, with fields of a newer program beside; one that breaks a rule of the schema is turned down.
 func TestPush(t *testing.T) {
 	v := agreed(t)
-	push := Word(&confstream.Push{Nonce: 7, Body: v.Body(nil), Confirmed: true}, WordBody(v.Body(nil)))
+	push := Word(&configstream.Push{Nonce: 7, Body: v.Body(nil), Confirmed: true}, WordBody(v.Body(nil)))
 	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{push}})
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	got, err := fromMember(&in)
-	p, ok := got.(*confstream.Push)
+	p, ok := got.(*configstream.Push)
 	if err != nil || !ok || p.Nonce != 7 || !p.Confirmed {
 		t.Fatalf("%+v, %v", got, err)
 	}
@@ -67,7 +67,7 @@
 // Whatever comes from a member is turned down or makes a version with the digest that it names.
 func FuzzPush(f *testing.F) {
 	v := agreed(f)
-	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{Word(&confstream.Push{Nonce: 7, Body: v.Body(nil)}, WordBody(v.Body(nil)))}})
+	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{Word(&configstream.Push{Nonce: 7, Body: v.Body(nil)}, WordBody(v.Body(nil)))}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -78,8 +78,8 @@
 			return
 		}
 		got, err := fromMember(&in)
-		if p, ok := got.(*confstream.Push); err == nil && ok {
-			for _, base := range []*confstream.Version{nil, v} {
+		if p, ok := got.(*configstream.Push); err == nil && ok {
+			for _, base := range []*configstream.Version{nil, v} {
 				if made, err := p.Body.Make(base); err == nil && made.Ref != p.Body.Ref {
 					t.Fatalf("%v is made of a push of %v", made.Ref, p.Body.Ref)
 				}
--- a/internal/register/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -1,4 +1,4 @@
-package register
+package discovery
 
 import (
 	"bytes"
--- a/internal/register/register.go
+++ b/internal/discovery/register.go
@@ -1,6 +1,6 @@
 // Package register follows a register of app servers: it reads the list and its changes
 // as the register's agent tells them (HTTP/1.1, one JSON object a line).
-package register
+package discovery
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"net/netip"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // List is one message of the register.
@@ -28,7 +28,7 @@
 
 // Instance is one app server and where it listens.
 type Instance struct {
-	choice.Server
+	policy.Server
 	Addr netip.AddrPort
 }
 
@@ -76,18 +76,18 @@
 		}
 		return Instance{}, err
 	}
-	s := Instance{Server: choice.Server{ID: e.InstanceID, Weight: e.Weight, Kind: e.MachineType, Zone: e.Zone,
+	s := Instance{Server: policy.Server{ID: e.InstanceID, Weight: e.Weight, Kind: e.MachineType, Zone: e.Zone,
 		Cell: e.Cell, Boot: time.Duration(e.StartedAtMs * float64(time.Millisecond))}}
 	if s.ID == "" {
 		return Instance{}, errors.New("instanceId: is empty")
 	}
 	switch e.Lifecycle {
 	case "up":
-		s.State = choice.Up
+		s.State = policy.Up
 	case "draining":
-		s.State = choice.Draining
+		s.State = policy.Draining
 	case "removed":
-		s.State = choice.Removed
+		s.State = policy.Removed
 	default:
 		return Instance{}, fmt.Errorf("lifecycle: unknown word %q", e.Lifecycle)
 	}
@@ -98,7 +98,7 @@
 		return Instance{}, fmt.Errorf("startedAtMs: %v is out of range", e.StartedAtMs)
 	}
 	var err error
-	if s.Addr, err = Address("hostPort", e.HostPort); err != nil && s.State != choice.Removed {
+	if s.Addr, err = Address("hostPort", e.HostPort); err != nil && s.State != policy.Removed {
 		return Instance{}, err
 	}
 	return s, nil
--- a/internal/node/config.go
+++ b/internal/edgeproxy/config.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"encoding/json"
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/register"
-	"mulleinmux/internal/wire"
+	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/simwire"
+	"mulleinmux/policy"
 )
 
 // Config is all that an edge node is told at its start.
@@ -32,9 +32,9 @@
 	Peers      []netip.AddrPort // by number, this node's own among them
 	PeersAll   netip.AddrPort   // every edge node of the tier
 
-	Known     register.List // the app servers as this node last had them
-	Settings  choice.Settings
-	Transport wire.Transport
+	Known     discovery.List // the app servers as this node last had them
+	Settings  policy.Settings
+	Transport simwire.Transport
 
 	reread    func() (*Config, error) // reads the configuration again, for a reload
 	left      []error                 // entries of Known that can't be
@@ -115,14 +115,14 @@
 		return nil, errors.New("name: is empty")
 	}
 	var err error
-	if c.Listen, err = register.Address("listen", raw.Listen); err != nil {
+	if c.Listen, err = discovery.Address("listen", raw.Listen); err != nil {
 		return nil, err
 	}
-	if c.Discovery, err = register.Address("discovery", raw.Discovery); err != nil {
+	if c.Discovery, err = discovery.Address("discovery", raw.Discovery); err != nil {
 		return nil, err
 	}
 	if raw.Management != "" {
-		if c.Manage, err = register.Address("management", raw.Management); err != nil {
+		if c.Manage, err = discovery.Address("management", raw.Management); err != nil {
 			return nil, err
 		}
 	}
@@ -150,7 +150,7 @@
 	if len(raw.Settings) == 0 {
 		return nil, errors.New("settings: is missing")
 	}
-	if c.Settings, c.Transport, err = wire.ParseSettings(raw.Settings); err != nil {
+	if c.Settings, c.Transport, err = simwire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if c.Transport.ConnIdle <= 0 {
@@ -161,25 +161,25 @@
 	}
 	c.Settings.ConnectWithin = c.Transport.ConnectTimeout
 	if c.Settings.Peers && c.Settings.Instances > 1 {
-		if c.PeerListen, err = register.Address("peer_listen", raw.PeerListen); err != nil {
+		if c.PeerListen, err = discovery.Address("peer_listen", raw.PeerListen); err != nil {
 			return nil, err
 		}
 		if len(raw.Peers) != c.Settings.Instances {
 			return nil, fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.Instances)
 		}
 		for i, p := range raw.Peers {
-			a, err := register.Address(fmt.Sprintf("peers[%d]", i), p)
+			a, err := discovery.Address(fmt.Sprintf("peers[%d]", i), p)
 			if err != nil {
 				return nil, err
 			}
 			c.Peers = append(c.Peers, a)
 		}
-		if c.PeersAll, err = register.Address("peers_all", raw.PeersAll); err != nil {
+		if c.PeersAll, err = discovery.Address("peers_all", raw.PeersAll); err != nil {
 			return nil, err
 		}
 	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.Known, c.left, err = register.ParseList(raw.Known); err != nil {
+		if c.Known, c.left, err = discovery.ParseList(raw.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/node/endings_test.go
+++ b/internal/edgeproxy/endings_test.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // gatedListener accepts nothing before its gate opens: the machine has accepted what the program has not come to.
@@ -338,7 +338,7 @@
 	m := get
 	m.gone = c.gone
 	_, res := u.exchange(t.Context(), "a", &m)
-	wantResult(t, res, choice.Moot)
+	wantResult(t, res, policy.Moot)
 	wantClosed(t, <-app.conns)
 	if len(app.requests()) != 0 || u.open != 0 {
 		t.Errorf("sent on: %q, %d connections counted", app.requests(), u.open)
@@ -356,7 +356,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, res := u.exchange(ctx, "a", &get)
-		wantResult(t, res, choice.Cancelled)
+		wantResult(t, res, policy.Cancelled)
 		for len(app.conns) > 0 {
 			wantClosed(t, <-app.conns)
 		}
@@ -374,12 +374,12 @@
 	m := get
 	m.gone = func() bool { // asked at that moment
 		drains := app.instance("a")
-		drains.State = choice.Draining
+		drains.State = policy.Draining
 		closeAll(u.update([]Instance{drains}, false))
 		return false
 	}
 	_, res := u.exchange(t.Context(), "a", &m)
-	wantResult(t, res, choice.ConnectFailed)
+	wantResult(t, res, policy.ConnectFailed)
 	wantClosed(t, <-app.conns)
 	if len(app.requests()) != 1 || u.open != 0 {
 		t.Errorf("requests %q, %d connections counted", app.requests(), u.open)
@@ -405,7 +405,7 @@
 	u.rest = time.Minute // a moment, however slow the machine
 	for range 5 {
 		rep, res := exchange(t, u, "a")
-		if wantResult(t, res, choice.OK); string(rep.body) != "body" {
+		if wantResult(t, res, policy.OK); string(rep.body) != "body" {
 			t.Fatalf("body %q", rep.body)
 		}
 	}
--- a/internal/node/front.go
+++ b/internal/edgeproxy/front.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/load"
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/policy"
 )
 
 const (
@@ -61,13 +61,13 @@
 	outMu        sync.Mutex
 	outEnd       chan struct{} // ends the drain by an operator's word; nil where there is none
 
-	classes map[string]choice.Class
+	classes map[string]policy.Class
 	plans   map[string]bool
 }
 
 func newFront(n *Node) *front {
 	f := &front{node: n, slots: newSlots(clientSockets(n.cfg.Sockets)),
-		classes: map[string]choice.Class{}, plans: map[string]bool{}, over: make(chan struct{})}
+		classes: map[string]policy.Class{}, plans: map[string]bool{}, over: make(chan struct{})}
 	for _, c := range n.cfg.Settings.Classes {
 		f.classes[c.Name] = c
 	}
@@ -316,7 +316,7 @@
 	case <-r.Context().Done():
 		f.node.abandon(fl)
 		if a = <-fl.answer; a.reply.rest != nil {
-			a.reply.rest.finish(choice.Cancelled)
+			a.reply.rest.finish(policy.Cancelled)
 		}
 		panic(http.ErrAbortHandler) // no answer is due, and the library would word an empty one
 	case <-late.C:
@@ -334,7 +334,7 @@
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeLimit))
 	}
 	if a.reply.rest != nil {
-		if result := f.relay(w, a.reply); result != choice.OK {
+		if result := f.relay(w, a.reply); result != policy.OK {
 			panic(http.ErrAbortHandler) // the client can tell that it is not whole
 		}
 		kind = served
@@ -366,7 +366,7 @@
 }
 
 // relay passes a long answer on as it comes.
-func (f *front) relay(w http.ResponseWriter, rep reply) choice.Result {
+func (f *front) relay(w http.ResponseWriter, rep reply) policy.Result {
 	setType(w.Header(), rep)
 	if rep.rest.length >= 0 {
 		w.Header()["Content-Length"] = []string{strconv.FormatInt(rep.rest.length, 10)}
@@ -493,7 +493,7 @@
 }
 
 // parse reads a request's head.
-func (f *front) parse(r *http.Request) (q choice.Request, m message, err error) {
+func (f *front) parse(r *http.Request) (q policy.Request, m message, err error) {
 	header := func(name string) string {
 		v := r.Header[name]
 		if len(v) != 1 || v[0] == "" {
@@ -521,7 +521,7 @@
 	case !f.plans[q.Plan]:
 		return q, m, bad("X-Contract: unknown plan")
 	}
-	seconds, ok := load.Decimal(expires)
+	seconds, ok := loadreport.Decimal(expires)
 	if !ok || seconds <= 0 {
 		return q, m, bad("X-Expires-In: malformed")
 	}
@@ -536,16 +536,16 @@
 	}
 	m = message{target: r.RequestURI, host: r.Host, id: q.ID, contentType: r.Header.Get("Content-Type")}
 	m.method = http.MethodPost
-	if class.Effect == choice.Safe {
+	if class.Effect == policy.Safe {
 		m.method = http.MethodGet
 	}
 	if r.Method != m.method {
 		return q, m, &badRequest{http.StatusMethodNotAllowed, "method: the class wants " + m.method, m.method}
 	}
-	if class.Effect == choice.Safe && r.ContentLength != 0 {
+	if class.Effect == policy.Safe && r.ContentLength != 0 {
 		return q, m, bad("body: the class has none")
 	}
-	if class.Effect == choice.Keyed {
+	if class.Effect == policy.Keyed {
 		m.key = header("Idempotency-Key")
 	} else {
 		m.key = r.Header.Get("Idempotency-Key")
@@ -580,10 +580,10 @@
 
 // metering takes units, spread and first from X-Metering. What can't be of a usual client
 // must not reach the module: it would mark the customer's store in everybody's name.
-func (f *front) metering(text string, q *choice.Request) error {
+func (f *front) metering(text string, q *policy.Request) error {
 	set := &f.node.cfg.Settings
 	number := func(val string, least, most int) (int, bool) {
-		x, ok := load.Decimal(val)
+		x, ok := loadreport.Decimal(val)
 		return int(x), ok && x == math.Trunc(x) && x >= float64(least) && x <= float64(most)
 	}
 	most := set.MostUnits
@@ -600,7 +600,7 @@
 		ok := true
 		switch name {
 		case "units":
-			q.Units, ok = load.Decimal(val)
+			q.Units, ok = loadreport.Decimal(val)
 			ok = ok && q.Units > 0 && q.Units <= most
 		case "spread":
 			q.Spread, ok = number(val, 1, set.Instances)
--- a/internal/node/front_test.go
+++ b/internal/edgeproxy/front_test.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
 )
 
 // What goes on to an app server is what the client sent, byte for byte, with the
@@ -293,7 +293,7 @@
 // A panic of the module costs one request, which is refused, since nothing of it was sent on, and is logged with its stack.
 func TestPanicIsAnswered(t *testing.T) {
 	f := idleFront(t, testConfig())
-	logs := &standin.Log{}
+	logs := &testserver.Log{}
 	f.node.log.SetOutput(logs)
 	f.node.gw = nil
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -367,7 +367,7 @@
 // idleFront is the client side of a node that has no goroutines of its own.
 func idleFront(t *testing.T, cfg *Config) *front {
 	t.Helper()
-	n, err := newNode(t.Context(), cfg, log.New(&standin.Log{}, "", 0))
+	n, err := newNode(t.Context(), cfg, log.New(&testserver.Log{}, "", 0))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/handover.go
+++ b/internal/edgeproxy/handover.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/internal/peers"
+	"mulleinmux/internal/gossip"
 )
 
 // An upgrade: a second process is started while the first still serves. Both have the
@@ -229,7 +229,7 @@
 }
 
 // giveAll sends all that comes before clients, and the word to go.
-func (h *heir) giveAll(state []byte, sock *peers.Socket) error {
+func (h *heir) giveAll(state []byte, sock *gossip.Socket) error {
 	if err := h.sendState(state); err != nil {
 		return err
 	}
--- a/internal/node/handover_test.go
+++ b/internal/edgeproxy/handover_test.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/policy"
 )
 
 var discard = log.New(io.Discard, "", 0)
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{addr: s.Addr().String(), stop: stop, done: make(chan error, 1), logs: &standin.Log{}}
+	r := &running{addr: s.Addr().String(), stop: stop, done: make(chan error, 1), logs: &testserver.Log{}}
 	go func() { r.done <- runOn(ctx, cfg, r.hup, log.New(r.logs, "", 0), ln) }()
 	t.Cleanup(stop)
 	return r
@@ -491,7 +491,7 @@
 	cfg.Settings.Instances, cfg.Settings.Peers, cfg.Settings.InboxPerS = 2, true, 1000
 	cfg.PeerListen, cfg.Peers = mine, []netip.AddrPort{mine, other.LocalAddr().(*net.UDPAddr).AddrPort()}
 	cfg.PeersAll = cfg.Peers[1]
-	cfg.Settings.Plans[1] = choice.Plan{Name: "tight", Rate: 0.001, Burst: 40, Price: 1}
+	cfg.Settings.Plans[1] = policy.Plan{Name: "tight", Rate: 0.001, Burst: 40, Price: 1}
 }
 
 // What a predecessor says that makes no sense, or that it dies over, is followed by a start from nothing, said in
--- a/internal/node/harness_test.go
+++ b/internal/edgeproxy/harness_test.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"bufio"
@@ -16,15 +16,15 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/register"
-	"mulleinmux/internal/standin"
-	"mulleinmux/internal/wire"
+	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/simwire"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/policy"
 )
 
 type (
-	List     = register.List
-	Instance = register.Instance
+	List     = discovery.List
+	Instance = discovery.Instance
 )
 
 // patience bounds every wait of a test; none is expected to come near it.
@@ -95,7 +95,7 @@
 }
 
 func (s *appServer) instance(id string) Instance {
-	return Instance{Server: choice.Server{ID: id, Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(s.ln)}
+	return Instance{Server: policy.Server{ID: id, Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(s.ln)}
 }
 
 func addrOf(ln net.Listener) netip.AddrPort { return ln.Addr().(*net.TCPAddr).AddrPort() }
@@ -116,16 +116,16 @@
 	return &Config{
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
 		Sockets: 256, Known: List{Generation: 7, Full: true, Servers: servers},
-		Transport: wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
-		Settings: choice.Settings{
+		Transport: simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
+		Settings: policy.Settings{
 			Instances: 1, Zone: "z", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond,
-			Classes: []choice.Class{
-				{Name: "check", Effect: choice.Safe, Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
-				{Name: "book", Effect: choice.Keyed, Group: choice.GroupZone, Window: 4 * time.Second,
+			Classes: []policy.Class{
+				{Name: "check", Effect: policy.Safe, Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
+				{Name: "book", Effect: policy.Keyed, Group: policy.GroupZone, Window: 4 * time.Second,
 					Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
 			},
-			Plans: []choice.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tight", Rate: 0.1, Burst: 1, Price: 1}},
+			Plans: []policy.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tight", Rate: 0.1, Burst: 1, Price: 1}},
 		},
 	}
 }
@@ -136,7 +136,7 @@
 	stop context.CancelFunc // a planned restart's SIGTERM
 	hup  chan os.Signal     // takes SIGHUP
 	done chan error
-	logs *standin.Log
+	logs *testserver.Log
 }
 
 func run(t testing.TB, cfg *Config) *running {
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{addr: ln.Addr().String(), stop: stop, done: make(chan error, 1), logs: &standin.Log{}, hup: make(chan os.Signal, 1)}
+	r := &running{addr: ln.Addr().String(), stop: stop, done: make(chan error, 1), logs: &testserver.Log{}, hup: make(chan os.Signal, 1)}
 	go func() { r.done <- runOn(ctx, cfg, r.hup, log.New(r.logs, "", 0), wrap(ln.(*net.TCPListener))) }()
 	t.Cleanup(func() {
 		stop()
@@ -262,7 +262,7 @@
 func listJSON(generation int, full bool, servers ...Instance) string {
 	type entry map[string]any
 	list := []entry{}
-	words := map[choice.ServerState]string{choice.Up: "up", choice.Draining: "draining", choice.Removed: "removed"}
+	words := map[policy.ServerState]string{policy.Up: "up", policy.Draining: "draining", policy.Removed: "removed"}
 	for _, s := range servers {
 		list = append(list, entry{"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone, "machineType": s.Kind,
 			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.Boot.Milliseconds()})
--- a/internal/node/node.go
+++ b/internal/edgeproxy/node.go
@@ -1,7 +1,7 @@
-// Package node is the real edge node: the host of a [choice.Gateway] on sockets.
+// Package node is the real edge node: the host of a [policy.Gateway] on sockets.
 // It moves bytes, keeps the clock and enforces what the module relies on; what is
 // sent where, refused or tried again is decided in package choice alone.
-package node
+package edgeproxy
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/load"
-	"mulleinmux/internal/peers"
-	"mulleinmux/internal/register"
+	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/gossip"
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/policy"
 )
 
 // Node hosts the gateway of one edge node. Its events come from many goroutines;
@@ -32,8 +32,8 @@
 	memory *budget
 
 	mu      sync.Mutex
-	gw      *choice.Gateway
-	peers   *peers.Socket // nil where edge nodes don't message each other, or another process does
+	gw      *policy.Gateway
+	peers   *gossip.Socket // nil where edge nodes don't message each other, or another process does
 	flights map[string]*flight
 	after   []func() // what the event under way leaves to do without the mutex
 	closed  bool     // no more events
@@ -80,7 +80,7 @@
 
 // newNode makes a node whose goroutines end with ctx.
 func newNode(ctx context.Context, cfg *Config, logger *log.Logger) (*Node, error) {
-	gw, err := choice.New(cfg.Settings, cfg.Seed)
+	gw, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 // event runs one event of the gateway, then what its actions left to do. It tells
 // whether the event came through: a panic of the module is logged, with the stack
 // that names its cause, and costs the one event.
-func (n *Node) event(f func(now time.Duration, out choice.Actions)) bool {
+func (n *Node) event(f func(now time.Duration, out policy.Actions)) bool {
 	n.mu.Lock()
 	ok := !n.closed && n.guarded(f)
 	after := n.after
@@ -119,7 +119,7 @@
 	return ok
 }
 
-func (n *Node) guarded(f func(now time.Duration, out choice.Actions)) (ok bool) {
+func (n *Node) guarded(f func(now time.Duration, out policy.Actions)) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := fmt.Sprintf("panic: %v\n%s", p, debug.Stack())
@@ -153,14 +153,14 @@
 }
 
 // join gives the node the socket on which its peers are heard.
-func (n *Node) join(sock *peers.Socket) {
+func (n *Node) join(sock *gossip.Socket) {
 	n.mu.Lock()
 	n.peers = sock
 	n.mu.Unlock()
 }
 
 // leavePeers takes the peers' socket away from the node.
-func (n *Node) leavePeers() *peers.Socket {
+func (n *Node) leavePeers() *gossip.Socket {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sock := n.peers
@@ -170,7 +170,7 @@
 
 // retire returns what the module hands to the process that takes over, and the peers'
 // socket, on which nothing is sent any more. The requests under way go on.
-func (n *Node) retire() (state []byte, sock *peers.Socket, err error) {
+func (n *Node) retire() (state []byte, sock *gossip.Socket, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sock, n.peers = n.peers, nil
@@ -211,44 +211,44 @@
 
 // boot starts the gateway with the saved list.
 func (n *Node) boot() {
-	n.event(func(now time.Duration, out choice.Actions) { n.gw.Start(now, out) })
-	n.list(n.cfg.Known, choice.ListSaved)
+	n.event(func(now time.Duration, out policy.Actions) { n.gw.Start(now, out) })
+	n.list(n.cfg.Known, policy.ListSaved)
 }
 
 // list hands a list to the connections and to the gateway, as one event.
-func (n *Node) list(l register.List, form choice.ListForm) {
-	servers := make([]choice.Server, len(l.Servers))
+func (n *Node) list(l discovery.List, form policy.ListForm) {
+	servers := make([]policy.Server, len(l.Servers))
 	for i, s := range l.Servers {
 		servers[i] = s.Server
 	}
-	n.event(func(now time.Duration, out choice.Actions) {
-		stale := n.up.update(l.Servers, form != choice.ListChanges)
+	n.event(func(now time.Duration, out policy.Actions) {
+		stale := n.up.update(l.Servers, form != policy.ListChanges)
 		n.after = append(n.after, func() { closeAll(stale) })
 		n.gw.List(now, form, servers, out)
 	})
 }
 
 // heard hands a message of discovery on.
-func (n *Node) heard(l register.List) {
-	form := choice.ListChanges
+func (n *Node) heard(l discovery.List) {
+	form := policy.ListChanges
 	if l.Full {
-		form = choice.ListFull
+		form = policy.ListFull
 	}
 	n.list(l, form)
 }
 
 // whisper hands a message of a peer on.
 func (n *Node) whisper(from int, message []byte) {
-	n.event(func(now time.Duration, out choice.Actions) { n.gw.Peer(now, from, message, out) })
+	n.event(func(now time.Duration, out policy.Actions) { n.gw.Peer(now, from, message, out) })
 }
 
 // begin takes a request of a client. It returns nil if its id is in use. The final
 // answer comes on the flight's channel, also where the gateway gives none in time.
-func (n *Node) begin(q choice.Request, m message, deadline time.Time, held int64) *flight {
+func (n *Node) begin(q policy.Request, m message, deadline time.Time, held int64) *flight {
 	fl := &flight{id: q.ID, msg: m, deadline: deadline, held: held, answer: make(chan answer, 1)}
 	fl.msg.left = &fl.left
 	taken := false
-	ok := n.event(func(now time.Duration, out choice.Actions) {
+	ok := n.event(func(now time.Duration, out policy.Actions) {
 		if taken = n.flights[q.ID] != nil; taken {
 			return
 		}
@@ -268,7 +268,7 @@
 // abandon ends a flight whose client has gone or for which no answer was given in time.
 func (n *Node) abandon(fl *flight) {
 	fl.left.Store(true)
-	n.event(func(now time.Duration, out choice.Actions) {
+	n.event(func(now time.Duration, out policy.Actions) {
 		n.end(fl, answer{kind: failed})
 		n.gw.Gone(now, fl.id, out)
 	})
@@ -277,12 +277,12 @@
 // expire ends a flight that can be waited for no longer, or that the module failed to answer: refused where trying again does
 // no harm, as at least for one that was never sent on.
 func (n *Node) expire(fl *flight) {
-	n.event(func(now time.Duration, out choice.Actions) {
+	n.event(func(now time.Duration, out policy.Actions) {
 		if !fl.done {
 			n.gw.Expire(now, fl.id, out)
 		}
 	})
-	n.event(func(now time.Duration, out choice.Actions) {
+	n.event(func(now time.Duration, out policy.Actions) {
 		if !fl.done && len(fl.attempts) == 0 {
 			n.end(fl, answer{kind: refused})
 		}
@@ -342,12 +342,12 @@
 		result = n.stream(fl, a, rep)
 	}
 	a.cancel()
-	n.event(func(now time.Duration, out choice.Actions) {
-		if result == choice.OK && rep.rest == nil {
+	n.event(func(now time.Duration, out policy.Actions) {
+		if result == policy.OK && rep.rest == nil {
 			n.end(fl, answer{kind: served, reply: rep})
 		}
 		fl.out--
-		n.gw.Outcome(now, choice.Outcome{ID: fl.id, Attempt: a.number, Closed: fl.done, Result: result,
+		n.gw.Outcome(now, policy.Outcome{ID: fl.id, Attempt: a.number, Closed: fl.done, Result: result,
 			Server: a.server, Took: took, Load: rep.load, Since: n.since(rep)}, out)
 		n.forget(fl)
 	})
@@ -355,16 +355,16 @@
 
 // stream gives the client an answer that goes on as it comes, and waits for its end. One for
 // which it comes too late is cut off.
-func (n *Node) stream(fl *flight, a *attempt, rep reply) choice.Result {
+func (n *Node) stream(fl *flight, a *attempt, rep reply) policy.Result {
 	taken := false
-	n.event(func(now time.Duration, out choice.Actions) {
+	n.event(func(now time.Duration, out policy.Actions) {
 		if taken = !fl.done; taken {
 			n.gw.First(now, fl.id, a.number, out)
 			n.end(fl, answer{kind: served, reply: rep})
 		}
 	})
 	if !taken {
-		rep.rest.finish(choice.Cancelled)
+		rep.rest.finish(policy.Cancelled)
 	}
 	return <-rep.rest.done
 }
@@ -385,9 +385,9 @@
 	rep, result := n.up.exchange(ctx, server, &message{method: "GET", target: loadPath})
 	report := rep.load
 	if report == nil {
-		report = load.Parse(string(rep.body))
+		report = loadreport.Parse(string(rep.body))
 	}
-	n.event(func(now time.Duration, out choice.Actions) { n.gw.Probed(now, server, result, report, out) })
+	n.event(func(now time.Duration, out policy.Actions) { n.gw.Probed(now, server, result, report, out) })
 }
 
 // actions carries out what the gateway asks for. All are called under the mutex.
@@ -434,7 +434,7 @@
 func (a *actions) SetTimer(token uint64, after time.Duration) {
 	n := (*Node)(a)
 	time.AfterFunc(after, func() {
-		n.event(func(now time.Duration, out choice.Actions) { n.gw.Timer(now, token, out) })
+		n.event(func(now time.Duration, out policy.Actions) { n.gw.Timer(now, token, out) })
 	})
 }
 
--- a/internal/node/quiet_test.go
+++ b/internal/edgeproxy/quiet_test.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // tellTale is the network between nodes: what one sends another goes through a socket of its own, which loses, doubles and delays some.
@@ -72,7 +72,7 @@
 	at    time.Time
 }
 
-func (q *trueQuota) takes(p choice.Plan) bool {
+func (q *trueQuota) takes(p policy.Plan) bool {
 	now := time.Now()
 	if q.at.IsZero() {
 		q.level = p.Burst
@@ -91,7 +91,7 @@
 func TestQuotasHoldOverSockets(t *testing.T) {
 	t.Parallel()
 	const nodes, customers = 3, 8
-	plan := choice.Plan{Name: "tight", Rate: 12, Burst: 12, Price: 1, OverCost: 1}
+	plan := policy.Plan{Name: "tight", Rate: 12, Burst: 12, Price: 1, OverCost: 1}
 	var mu sync.Mutex
 	passed, wanted := make([]trueQuota, customers), make([]trueQuota, customers)
 	var inside, beyond, offered float64
@@ -198,7 +198,7 @@
 	const burst = 12
 	var late []Instance // so many that no bound on the work out refuses one of the burst
 	for i := range 2 * burst {
-		late = append(late, Instance{Server: choice.Server{ID: fmt.Sprint("late-", i), Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(ln)})
+		late = append(late, Instance{Server: policy.Server{ID: fmt.Sprint("late-", i), Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(ln)})
 	}
 	cfg := testConfig(late...)
 	cfg.Manage = freeAddr(t)
@@ -262,14 +262,14 @@
 			t.Parallel()
 			ln, fillers := fullListener(t)
 			app := newAppServer(t, say(okAnswer))
-			late := Instance{Server: choice.Server{ID: "late", Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(ln)}
+			late := Instance{Server: policy.Server{ID: "late", Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(ln)}
 			add := make(chan bool)
 			cfg := testConfig(app.instance("a"))
 			cfg.Settings.Parallel, cfg.Settings.Cancel = true, cancels
 			for i := range cfg.Settings.Classes {
 				cfg.Settings.Classes[i].Aim = 100 * time.Millisecond
 			}
-			cfg.Discovery = discovery(t, func(n int, _ string, w io.Writer, ctx context.Context) {
+			cfg.Discovery = startDiscovery(t, func(n int, _ string, w io.Writer, ctx context.Context) {
 				fmt.Fprintf(w, "%s\n", listJSON(8, true, app.instance("a")))
 				<-add
 				fmt.Fprintf(w, "%s\n", listJSON(9, true, app.instance("a"), late))
--- a/internal/node/run.go
+++ b/internal/edgeproxy/run.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"mulleinmux/internal/peers"
-	"mulleinmux/internal/register"
+	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/gossip"
 )
 
 // Run runs an edge node until ctx ends, then drains it, or hands over to the process that
@@ -166,12 +166,12 @@
 		}
 		return nil
 	}
-	var sock *peers.Socket
+	var sock *gossip.Socket
 	if conn != nil {
-		sock = peers.On(conn, cfg.Settings.Me, cfg.Peers, cfg.PeersAll)
+		sock = gossip.On(conn, cfg.Settings.Me, cfg.Peers, cfg.PeersAll)
 	} else {
 		var err error
-		if sock, err = peers.Listen(cfg.PeerListen, cfg.Settings.Me, cfg.Peers, cfg.PeersAll); err != nil {
+		if sock, err = gossip.Listen(cfg.PeerListen, cfg.Settings.Me, cfg.Peers, cfg.PeersAll); err != nil {
 			return err
 		}
 	}
@@ -243,9 +243,9 @@
 	}
 	first, came := context.WithCancel(ctx)
 	w.first = first.Done()
-	reg := &register.Follower{Addr: addr, Silent: register.Silent, Last: from, Near: w.near, Logf: n.log.Printf,
-		Pace: register.NewPace(n.cfg.Settings.Instances, n.cfg.Seed),
-		Apply: func(l register.List) {
+	reg := &discovery.Follower{Addr: addr, Silent: discovery.Silent, Last: from, Near: w.near, Logf: n.log.Printf,
+		Pace: discovery.NewPace(n.cfg.Settings.Instances, n.cfg.Seed),
+		Apply: func(l discovery.List) {
 			n.heard(l)
 			came()
 		},
--- a/internal/node/side_test.go
+++ b/internal/edgeproxy/side_test.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/register"
+	"mulleinmux/internal/discovery"
+	"mulleinmux/policy"
 )
 
-// discovery is an agent that answers each watch with what script gives for it.
-func discovery(t *testing.T, script func(n int, from string, w io.Writer, ctx context.Context)) netip.AddrPort {
+// startDiscovery is an agent that answers each watch with what script gives for it.
+func startDiscovery(t *testing.T, script func(n int, from string, w io.Writer, ctx context.Context)) netip.AddrPort {
 	t.Helper()
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -48,13 +48,13 @@
 func follow(t *testing.T, silent time.Duration, script func(n int, w io.Writer, ctx context.Context)) (lists chan List, froms chan string) {
 	t.Helper()
 	lists, froms = make(chan List, 10), make(chan string, 100)
-	addr := discovery(t, func(n int, from string, w io.Writer, ctx context.Context) {
+	addr := startDiscovery(t, func(n int, from string, w io.Writer, ctx context.Context) {
 		froms <- from
 		script(n, w, ctx)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	r := &register.Follower{Addr: addr, Silent: silent, Last: 7, Apply: func(l List) { lists <- l }, Logf: t.Logf}
+	r := &discovery.Follower{Addr: addr, Silent: silent, Last: 7, Apply: func(l List) { lists <- l }, Logf: t.Logf}
 	go func() {
 		r.Run(ctx)
 		close(ended)
@@ -68,8 +68,8 @@
 
 // A watch goes on from the version held, on the same and on a new connection.
 func TestWatchResumes(t *testing.T) {
-	a := Instance{Server: choice.Server{ID: "a", Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, Boot: 5 * time.Second,
-		State: choice.Draining}, Addr: netip.MustParseAddrPort("127.0.0.1:9")}
+	a := Instance{Server: policy.Server{ID: "a", Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, Boot: 5 * time.Second,
+		State: policy.Draining}, Addr: netip.MustParseAddrPort("127.0.0.1:9")}
 	lists, froms := follow(t, patience, func(n int, w io.Writer, ctx context.Context) {
 		if n > 1 {
 			<-ctx.Done()
@@ -114,7 +114,7 @@
 // An entry that can't be costs no other: the rest of the list counts, and it is not asked
 // for again for ever.
 func TestBadEntriesAreLeftOut(t *testing.T) {
-	good := Instance{Server: choice.Server{ID: "good", State: choice.Up}, Addr: netip.MustParseAddrPort("127.0.0.1:9")}
+	good := Instance{Server: policy.Server{ID: "good", State: policy.Up}, Addr: netip.MustParseAddrPort("127.0.0.1:9")}
 	text := listJSON(8, true, good)
 	for _, entry := range []string{`{}`, `7`, `{"instanceId":"a","lifecycle":"odd","hostPort":"127.0.0.1:1"}`,
 		`{"instanceId":"a","lifecycle":"up","hostPort":"nowhere"}`, `{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":"x"}`,
@@ -144,11 +144,11 @@
 	called, release := make(chan string, 10), make(chan struct{})
 	cfg := testConfig(a.instance("a"), b.instance("b"))
 	cfg.firstList = patience
-	cfg.Discovery = discovery(t, func(n int, from string, w io.Writer, ctx context.Context) {
+	cfg.Discovery = startDiscovery(t, func(n int, from string, w io.Writer, ctx context.Context) {
 		called <- from
 		<-release
 		drains := a.instance("a")
-		drains.State = choice.Draining
+		drains.State = policy.Draining
 		fmt.Fprintln(w, listJSON(3, true, drains, b.instance("b")))
 		<-ctx.Done()
 	})
@@ -178,7 +178,7 @@
 	app := newAppServer(t, say(okAnswer))
 	cfg := testConfig(app.instance("a"))
 	cfg.firstList = 20 * time.Millisecond
-	cfg.Discovery = discovery(t, func(_ int, _ string, _ io.Writer, ctx context.Context) { <-ctx.Done() })
+	cfg.Discovery = startDiscovery(t, func(_ int, _ string, _ io.Writer, ctx context.Context) { <-ctx.Done() })
 	if r := dial(t, run(t, cfg).addr).ask(request("check", "x")); r.status != 200 {
 		t.Errorf("answered %d", r.status)
 	}
@@ -188,7 +188,7 @@
 func TestWatchMovesTraffic(t *testing.T) {
 	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	cfg := testConfig(old.instance("a"))
-	cfg.Discovery = discovery(t, func(n int, _ string, w io.Writer, ctx context.Context) {
+	cfg.Discovery = startDiscovery(t, func(n int, _ string, w io.Writer, ctx context.Context) {
 		fmt.Fprintf(w, "%s\n", listJSON(8, true, young.instance("b")))
 		<-ctx.Done()
 	})
@@ -212,14 +212,14 @@
 func TestReloadMovesTheWatch(t *testing.T) {
 	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	watched, left := make(chan struct{}), make(chan struct{})
-	first := discovery(t, func(_ int, _ string, w io.Writer, ctx context.Context) {
+	first := startDiscovery(t, func(_ int, _ string, w io.Writer, ctx context.Context) {
 		close(watched)
 		fmt.Fprintf(w, "%s\n", listJSON(900, true, old.instance("a")))
 		<-ctx.Done()
 		close(left)
 	})
 	froms := make(chan string, 1)
-	second := discovery(t, func(_ int, from string, w io.Writer, ctx context.Context) {
+	second := startDiscovery(t, func(_ int, from string, w io.Writer, ctx context.Context) {
 		froms <- from
 		fmt.Fprintf(w, "%s\n", listJSON(3, true, young.instance("b")))
 		<-ctx.Done()
--- a/internal/node/sides_test.go
+++ b/internal/edgeproxy/sides_test.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/wire"
+	"mulleinmux/internal/simwire"
+	"mulleinmux/policy"
 )
 
 // settingsOf is the settings object of one customer's deployment, as a node is told it.
-func settingsOf(t *testing.T, safe, other, effect, group, plan string, deadline, rate float64, probes bool, feedback string) (choice.Settings, wire.Transport) {
+func settingsOf(t *testing.T, safe, other, effect, group, plan string, deadline, rate float64, probes bool, feedback string) (policy.Settings, simwire.Transport) {
 	t.Helper()
-	set, tr, err := wire.ParseSettings(fmt.Appendf(nil, `{"instances":1,"me":0,"zone":"z","tick":0.001,"registryMode":"automatic",
+	set, tr, err := simwire.ParseSettings(fmt.Appendf(nil, `{"instances":1,"me":0,"zone":"z","tick":0.001,"registryMode":"automatic",
 		"feedback":{"how":%q},"lanes":[
 		{"name":%q,"idempotency":"retryable","keyScope":"all","deadline":%v,"onTime":%v,"worth":2},
 		{"name":%q,"idempotency":%q,"keyScope":%q,"memorySpan":4,"deadline":%v,"onTime":%v,"worth":7}],
--- a/internal/node/slots.go
+++ b/internal/edgeproxy/slots.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"bytes"
--- a/internal/node/stream.go
+++ b/internal/edgeproxy/stream.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // Long bodies. A request's body is held whole where memory allows that, so that a further
@@ -218,12 +218,12 @@
 	body   io.Reader
 	length int64 // of all; -1: not told
 	close  bool  // the connection ends with it
-	done   chan choice.Result
+	done   chan policy.Result
 }
 
 // finish ends the relay: with OK it was passed on to its end.
-func (rl *relay) finish(result choice.Result) {
-	if result == choice.OK && !rl.close && rl.c.br.Buffered() == 0 {
+func (rl *relay) finish(result policy.Result) {
+	if result == policy.OK && !rl.close && rl.c.br.Buffered() == 0 {
 		rl.c.in.settle()
 		rl.c.SetReadDeadline(time.Time{})
 		rl.up.giveBack(rl.c)
@@ -236,7 +236,7 @@
 var pieces = sync.Pool{New: func() any { b := make([]byte, relayPiece); return &b }}
 
 // relayTo passes a long answer on, each piece as it comes.
-func (rl *relay) relayTo(w http.ResponseWriter, first []byte) choice.Result {
+func (rl *relay) relayTo(w http.ResponseWriter, first []byte) policy.Result {
 	rc := http.NewResponseController(w)
 	in := rl.c.in
 	in.ctx, in.left, in.stall = context.Background(), maxStream, streamStall
@@ -253,21 +253,21 @@
 	}
 	if len(first) > 0 {
 		if write(first) != nil {
-			return choice.Cancelled
+			return policy.Cancelled
 		}
 	}
 	for {
 		n, err := rl.body.Read(*buf)
 		if n > 0 && write((*buf)[:n]) != nil {
-			return choice.Cancelled
+			return policy.Cancelled
 		}
 		switch {
 		case err == io.EOF:
-			return choice.OK
+			return policy.OK
 		case err != nil && in.err != nil && !errors.Is(in.err, os.ErrDeadlineExceeded):
-			return choice.Reset
+			return policy.Reset
 		case err != nil:
-			return choice.ErrorAnswer
+			return policy.ErrorAnswer
 		}
 	}
 }
