--- a/internal/node/upstream.go
+++ b/internal/edgeproxy/upstream.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"bufio"
@@ -20,10 +20,10 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/load"
-	"mulleinmux/internal/register"
-	"mulleinmux/internal/wire"
+	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/internal/simwire"
+	"mulleinmux/policy"
 )
 
 const (
@@ -77,7 +77,7 @@
 	body        []byte
 	rest        *relay // of a long one; nil: body is whole
 	contentType string
-	load        *choice.Load // nil: it carried no report
+	load        *policy.Load // nil: it carried no report
 	since       time.Time    // when the connection that it came on was made; zero: there was no answer
 }
 
@@ -169,7 +169,7 @@
 	}
 }
 
-func newUpstream(t wire.Transport, most int) *upstream {
+func newUpstream(t simwire.Transport, most int) *upstream {
 	return &upstream{
 		dialer:   net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1},
 		maxIdle:  time.Duration(idleShare * float64(t.ConnIdle)),
@@ -181,12 +181,12 @@
 // update takes in entries of the list and returns the idle connections that are of
 // no more use, for the caller to close. A server that drains, moved, restarted or
 // vanished from the list keeps none.
-func (u *upstream) update(entries []register.Instance, full bool) (stale []*conn) {
+func (u *upstream) update(entries []discovery.Instance, full bool) (stale []*conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := map[string]bool{}
 	for _, e := range entries {
-		if e.State == choice.Removed {
+		if e.State == policy.Removed {
 			if b := u.backends[e.ID]; b != nil {
 				stale = append(stale, u.drop(e.ID, b)...)
 			}
@@ -202,7 +202,7 @@
 			b = &backend{addr: e.Addr, boot: e.Boot}
 			u.backends[e.ID] = b
 		}
-		if b.up = e.State == choice.Up; !b.up {
+		if b.up = e.State == policy.Up; !b.up {
 			stale, b.idle = append(stale, b.idle...), nil
 		}
 	}
@@ -432,9 +432,9 @@
 
 // exchange writes the message to the server, once at most, and reads the whole
 // answer. It gives up when ctx ends, by closing the connection before it returns.
-func (u *upstream) exchange(ctx context.Context, server string, m *message) (reply, choice.Result) {
+func (u *upstream) exchange(ctx context.Context, server string, m *message) (reply, policy.Result) {
 	if m.more != nil && m.more.used.Load() {
-		return reply{}, choice.Moot // some of its body is gone
+		return reply{}, policy.Moot // some of its body is gone
 	}
 	c, err := u.take(ctx, server)
 	if err != nil {
@@ -481,21 +481,21 @@
 		u.sent(m.left != nil && m.left.Load())
 	}
 	rep, result, reuse := c.read(req)
-	if result == choice.Reset && !c.in.begun && c.rested >= leastKeep && time.Since(written) < staleWithin {
+	if result == policy.Reset && !c.in.begun && c.rested >= leastKeep && time.Since(written) < staleWithin {
 		u.stale(c)
 	}
 	if rep.rest != nil {
 		if !stop() { // given up: nothing of it goes on
 			u.discard(c)
-			return reply{}, choice.Cancelled
+			return reply{}, policy.Cancelled
 		}
 		rep.rest.up, rep.since = u, c.made
-		return rep, choice.OK
+		return rep, policy.OK
 	}
 	if m.more != nil {
 		c.SetReadDeadline(time.Time{})
-		if result == choice.Reset && errors.Is(c.in.err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
-			result = choice.TimedOut
+		if result == policy.Reset && errors.Is(c.in.err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
+			result = policy.TimedOut
 		}
 	}
 	// stop is false once the deadline has been tampered with.
@@ -504,20 +504,20 @@
 	} else {
 		u.discard(c)
 	}
-	if result == choice.Reset && ctx.Err() != nil {
+	if result == policy.Reset && ctx.Err() != nil {
 		switch {
 		case errors.Is(ctx.Err(), context.Canceled):
-			result = choice.Cancelled
+			result = policy.Cancelled
 		case c.in.begun: // half an answer is no silence
-			result = choice.ErrorAnswer
+			result = policy.ErrorAnswer
 		default:
-			result = choice.TimedOut
+			result = policy.TimedOut
 		}
 	}
 	switch result {
-	case choice.TimedOut:
+	case policy.TimedOut:
 		u.distrust(c.of)
-	case choice.OK, choice.Full, choice.ErrorAnswer:
+	case policy.OK, policy.Full, policy.ErrorAnswer:
 		rep.since = c.made
 	}
 	return rep, result
@@ -564,19 +564,19 @@
 
 // neverSent is the result of an attempt whose last byte was not written, for an error. Where its
 // own time ended first, that says nothing of the server.
-func neverSent(ctx context.Context, err error) choice.Result {
+func neverSent(ctx context.Context, err error) policy.Result {
 	for _, own := range []error{errBudget, syscall.EMFILE, syscall.ENFILE, errIntake, errGone, errOver} {
 		if errors.Is(err, own) {
-			return choice.Moot // no fault of the server's
+			return policy.Moot // no fault of the server's
 		}
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		return choice.Cancelled
+		return policy.Cancelled
 	case ctx.Err() != nil:
-		return choice.Moot
+		return policy.Moot
 	}
-	return choice.ConnectFailed
+	return policy.ConnectFailed
 }
 
 // request words the message. The target goes on as it came: as the opaque part of
@@ -614,12 +614,12 @@
 // An answer that came and can't be read is an error: only a connection that broke is
 // a reset, which hints at a server that has restarted. Nothing of a spoilt answer is
 // read to its end: the connection is closed instead.
-func (c *conn) read(req *http.Request) (rep reply, result choice.Result, reuse bool) {
-	failure := func() (reply, choice.Result, bool) {
+func (c *conn) read(req *http.Request) (rep reply, result policy.Result, reuse bool) {
+	failure := func() (reply, policy.Result, bool) {
 		if c.in.err == nil || c.in.hurried && errors.Is(c.in.err, os.ErrDeadlineExceeded) {
-			return reply{}, choice.ErrorAnswer, false
+			return reply{}, policy.ErrorAnswer, false
 		}
-		return reply{}, choice.Reset, false
+		return reply{}, policy.Reset, false
 	}
 	resp, err := http.ReadResponse(c.br, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
@@ -632,7 +632,7 @@
 	}
 	c.in.left = maxWire
 	if resp.ContentLength > maxStream {
-		return reply{}, choice.ErrorAnswer, false
+		return reply{}, policy.ErrorAnswer, false
 	}
 	// One that tells no length ends with its connection, by a close and not a reset.
 	var body []byte
@@ -650,27 +650,27 @@
 	rep = reply{body: body, contentType: resp.Header.Get("Content-Type")}
 	if long {
 		if resp.StatusCode != http.StatusOK {
-			return reply{}, choice.ErrorAnswer, false
+			return reply{}, policy.ErrorAnswer, false
 		}
-		rep.rest = &relay{c: c, body: resp.Body, length: resp.ContentLength, close: resp.Close, done: make(chan choice.Result, 1)}
+		rep.rest = &relay{c: c, body: resp.Body, length: resp.ContentLength, close: resp.Close, done: make(chan policy.Result, 1)}
 	}
 	if text := resp.Header.Get("Endpoint-Load-Metrics"); text != "" {
-		rep.load = load.Parse(text)
+		rep.load = loadreport.Parse(text)
 	}
 	if long {
-		return rep, choice.OK, false
+		return rep, policy.OK, false
 	}
 	c.in.settle()
 	// What stands behind the answer belongs to no request: the next one would take it for its own.
 	reuse = !resp.Close && c.br.Buffered() == 0
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		return rep, choice.OK, reuse
+		return rep, policy.OK, reuse
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Never-Ran") == "1":
-		return rep, choice.Full, reuse
+		return rep, policy.Full, reuse
 	}
-	return rep, choice.ErrorAnswer, reuse
+	return rep, policy.ErrorAnswer, reuse
 }
 
 // idleAll takes all idle connections out of their pools, for the caller to close.
--- a/internal/node/upstream_test.go
+++ b/internal/edgeproxy/upstream_test.go
@@ -1,4 +1,4 @@
-package node
+package edgeproxy
 
 import (
 	"context"
@@ -13,27 +13,27 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/load"
-	"mulleinmux/internal/wire"
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/internal/simwire"
+	"mulleinmux/policy"
 )
 
 func testUpstream(servers ...Instance) *upstream {
-	u := newUpstream(wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
+	u := newUpstream(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
 	u.update(servers, true)
 	return u
 }
 
 var get = message{method: "GET", target: "/check?customer=1", id: "t1"}
 
-func exchange(t *testing.T, u *upstream, server string) (reply, choice.Result) {
+func exchange(t *testing.T, u *upstream, server string) (reply, policy.Result) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	return u.exchange(ctx, server, &get)
 }
 
-func wantResult(t *testing.T, got, want choice.Result) {
+func wantResult(t *testing.T, got, want policy.Result) {
 	t.Helper()
 	if got != want {
 		t.Errorf("result %d, want %d", got, want)
@@ -61,23 +61,23 @@
 func TestResultsOfAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		want       choice.Result
+		want       policy.Result
 		reused     bool
 	}{
-		{"served", okAnswer, choice.OK, true},
-		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", choice.OK, true},
-		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, choice.OK, true},
-		{"last on its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", choice.OK, false},
-		{"more than asked for", okAnswer + okAnswer, choice.OK, false},
-		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", choice.ErrorAnswer, true},
-		{"turned away, 503", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", choice.Full, true},
-		{"turned away, 504", "HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", choice.Full, true},
-		{"503 that may have run", "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", choice.ErrorAnswer, true},
-		{"never ran, in other words", "HTTP/1.1 503 F\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", choice.ErrorAnswer, true},
-		{"500 that claims it never ran", "HTTP/1.1 500 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", choice.ErrorAnswer, true},
-		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", choice.ErrorAnswer, true},
-		{"ends with its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody", choice.OK, false},
-		{"long error", "HTTP/1.1 500 E\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), choice.ErrorAnswer, false},
+		{"served", okAnswer, policy.OK, true},
+		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", policy.OK, true},
+		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, policy.OK, true},
+		{"last on its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", policy.OK, false},
+		{"more than asked for", okAnswer + okAnswer, policy.OK, false},
+		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", policy.ErrorAnswer, true},
+		{"turned away, 503", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, true},
+		{"turned away, 504", "HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, true},
+		{"503 that may have run", "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", policy.ErrorAnswer, true},
+		{"never ran, in other words", "HTTP/1.1 503 F\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", policy.ErrorAnswer, true},
+		{"500 that claims it never ran", "HTTP/1.1 500 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.ErrorAnswer, true},
+		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", policy.ErrorAnswer, true},
+		{"ends with its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody", policy.OK, false},
+		{"long error", "HTTP/1.1 500 E\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), policy.ErrorAnswer, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -87,7 +87,7 @@
 			u := testUpstream(s.instance("a"))
 			rep, res := exchange(t, u, "a")
 			wantResult(t, res, c.want)
-			if res == choice.OK && string(rep.body) != "body" {
+			if res == policy.OK && string(rep.body) != "body" {
 				t.Errorf("body %q", rep.body)
 			}
 			if got := len(u.backends["a"].idle) == 1; got != c.reused {
@@ -108,7 +108,7 @@
 		})
 		u := testUpstream(s.instance("a"))
 		_, res := exchange(t, u, "a")
-		wantResult(t, res, choice.Reset)
+		wantResult(t, res, policy.Reset)
 	}
 }
 
@@ -166,14 +166,14 @@
 				t.Fatal(err)
 			}
 			_, res := exchange(t, u, "a")
-			wantResult(t, res, choice.ErrorAnswer)
+			wantResult(t, res, policy.ErrorAnswer)
 			u.giveBack(spare)
 			if b := u.backends["a"]; len(b.idle) != 1 || u.open != 1 {
 				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), u.open)
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			if _, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "fine"}); res != choice.OK {
+			if _, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "fine"}); res != policy.OK {
 				t.Errorf("the next request: result %d", res)
 			}
 		})
@@ -198,7 +198,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), restLimit/2)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get)
-	wantResult(t, res, choice.ErrorAnswer)
+	wantResult(t, res, policy.ErrorAnswer)
 	if len(u.backends["a"].idle) != 1 {
 		t.Error("the other idle connection is gone")
 	}
@@ -237,7 +237,7 @@
 			}
 			rest(c.rested)
 			_, res := exchange(t, u, "a")
-			wantResult(t, res, choice.Reset)
+			wantResult(t, res, policy.Reset)
 			if got := b.keep != 0; got != c.learns {
 				t.Fatalf("kept for %v, learned: %v, want %v", b.keep, got, c.learns)
 			}
@@ -264,7 +264,7 @@
 	})
 	u := testUpstream(s.instance("a"))
 	_, res := exchange(t, u, "a")
-	wantResult(t, res, choice.OK)
+	wantResult(t, res, policy.OK)
 }
 
 // An attempt whose own time ends before it is written says nothing of its server.
@@ -274,7 +274,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get)
-	wantResult(t, res, choice.Moot)
+	wantResult(t, res, policy.Moot)
 }
 
 // A kept connection that breaks under a request ends it as a reset. A client that
@@ -291,9 +291,9 @@
 	})
 	u := testUpstream(s.instance("a"))
 	_, res := exchange(t, u, "a")
-	wantResult(t, res, choice.OK)
+	wantResult(t, res, policy.OK)
 	_, res = exchange(t, u, "a")
-	wantResult(t, res, choice.Reset)
+	wantResult(t, res, policy.Reset)
 	if n := len(s.requests()); n != 2 {
 		t.Errorf("%d copies arrived of 2 requests", n)
 	}
@@ -307,7 +307,7 @@
 		return say(okAnswer)(c, nil, nil)
 	})
 	u := testUpstream(s.instance("a"))
-	done := make(chan choice.Result, 2)
+	done := make(chan policy.Result, 2)
 	for range 2 {
 		go func() {
 			_, res := u.exchange(context.Background(), "a", &get)
@@ -316,8 +316,8 @@
 	}
 	eventually(t, "two requests out", func() bool { return len(s.requests()) == 2 })
 	close(hold)
-	wantResult(t, <-done, choice.OK)
-	wantResult(t, <-done, choice.OK)
+	wantResult(t, <-done, policy.OK)
+	wantResult(t, <-done, policy.OK)
 	idle := u.backends["a"].idle
 	if len(idle) != 2 {
 		t.Fatalf("%d idle connections for two requests at once", len(idle))
@@ -339,7 +339,7 @@
 	c := u.backends["a"].idle[0]
 	eventually(t, "close arrived", func() bool { return !c.quiet() })
 	_, res := exchange(t, u, "a")
-	wantResult(t, res, choice.OK)
+	wantResult(t, res, policy.OK)
 	if u.open != 1 {
 		t.Errorf("%d connections counted, 1 open", u.open)
 	}
@@ -389,12 +389,12 @@
 // what it ends has never run.
 func TestDialIsBounded(t *testing.T) {
 	ln, _ := fullListener(t) // it drops what comes
-	u := newUpstream(wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	u.update([]Instance{{Server: choice.Server{ID: "a"}, Addr: addrOf(ln)}}, true)
+	u := newUpstream(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
+	u.update([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get)
-	wantResult(t, res, choice.ConnectFailed)
+	wantResult(t, res, policy.ConnectFailed)
 	if ctx.Err() != nil || u.open != 0 {
 		t.Errorf("context %v, %d connections counted", ctx.Err(), u.open)
 	}
@@ -404,13 +404,13 @@
 // would be a second copy.
 func TestGivingUpClosesTheConnection(t *testing.T) {
 	for _, c := range []struct {
-		want   choice.Result
+		want   policy.Result
 		giveUp func() (context.Context, context.CancelFunc)
 	}{
-		{choice.TimedOut, func() (context.Context, context.CancelFunc) {
+		{policy.TimedOut, func() (context.Context, context.CancelFunc) {
 			return context.WithTimeout(context.Background(), 100*time.Millisecond)
 		}},
-		{choice.Cancelled, func() (context.Context, context.CancelFunc) {
+		{policy.Cancelled, func() (context.Context, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(context.Background())
 			time.AfterFunc(100*time.Millisecond, cancel)
 			return ctx, cancel
@@ -448,7 +448,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "silent"})
-	wantResult(t, res, choice.TimedOut)
+	wantResult(t, res, policy.TimedOut)
 	wantClosed(t, <-s.conns)
 	wantClosed(t, <-s.conns)
 	if u.open != 0 {
@@ -465,8 +465,8 @@
 			return []Instance{i}, false
 		},
 		"restarted": func(i Instance) ([]Instance, bool) { i.Boot = time.Hour; return []Instance{i}, false },
-		"draining":  func(i Instance) ([]Instance, bool) { i.State = choice.Draining; return []Instance{i}, false },
-		"removed":   func(i Instance) ([]Instance, bool) { i.State = choice.Removed; return []Instance{i}, false },
+		"draining":  func(i Instance) ([]Instance, bool) { i.State = policy.Draining; return []Instance{i}, false },
+		"removed":   func(i Instance) ([]Instance, bool) { i.State = policy.Removed; return []Instance{i}, false },
 		"vanished":  func(Instance) ([]Instance, bool) { return nil, true },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -481,7 +481,7 @@
 			})
 			u := testUpstream(s.instance("a"))
 			exchange(t, u, "a") // leaves one idle
-			done := make(chan choice.Result)
+			done := make(chan policy.Result)
 			go func() {
 				_, res := u.exchange(context.Background(), "a", &get)
 				done <- res
@@ -489,7 +489,7 @@
 			eventually(t, "second request out", func() bool { return len(s.requests()) == 2 })
 			closeAll(u.update(change(s.instance("a"))))
 			close(hold)
-			wantResult(t, <-done, choice.OK)
+			wantResult(t, <-done, policy.OK)
 			wantClosed(t, <-s.conns)
 			if u.open != 0 {
 				t.Errorf("%d connections counted, none open", u.open)
@@ -504,14 +504,14 @@
 	u := testUpstream(s.instance("a"))
 	b := u.backends["a"]
 	drains := s.instance("a")
-	drains.State = choice.Draining
+	drains.State = policy.Draining
 	u.update([]Instance{drains}, false)
 	u.open++
 	if _, err := u.dial(context.Background(), b); err != errUnknown {
 		t.Errorf("error %v, want %v", err, errUnknown)
 	}
 	_, res := exchange(t, u, "a")
-	wantResult(t, res, choice.ConnectFailed)
+	wantResult(t, res, policy.ConnectFailed)
 	if len(s.requests()) != 0 || u.open != 0 {
 		t.Errorf("requests %q, %d connections counted", s.requests(), u.open)
 	}
@@ -525,14 +525,14 @@
 	u.most = 1
 	exchange(t, u, "a")
 	_, res := exchange(t, u, "b")
-	wantResult(t, res, choice.OK)
+	wantResult(t, res, policy.OK)
 	wantClosed(t, <-a.conns)
 	busy, err := u.take(context.Background(), "b")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, res = exchange(t, u, "a")
-	wantResult(t, res, choice.Moot)
+	wantResult(t, res, policy.Moot)
 	u.giveBack(busy)
 	if u.open != 1 {
 		t.Errorf("%d connections counted, 1 open", u.open)
@@ -540,7 +540,7 @@
 }
 
 func TestLoadReports(t *testing.T) {
-	for text, want := range map[string]*choice.Load{
+	for text, want := range map[string]*policy.Load{
 		"TEXT inflight=7, queue=2, util=0.61":     {InFlight: 7, Queue: 2, Util: 0.61},
 		"TEXT backlog=2,utilization=0.5,novel=1 ": {InFlight: -1, Queue: 2, Util: 0.5},
 		"TEXT util=x, queue=3":                    {InFlight: -1, Queue: 3, Util: -1},
@@ -550,7 +550,7 @@
 		"TEXT util=1.059, queue=1.674":            {InFlight: -1, Queue: 1.674, Util: 1.059},
 		"":                                        nil, "JSON {}": nil,
 	} {
-		got := load.Parse(text)
+		got := loadreport.Parse(text)
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
@@ -583,7 +583,7 @@
 	}
 	quick, slow := newAppServer(t, answers("quick", &gone)), newAppServer(t, answers("slow", nil))
 	cfg := testConfig(quick.instance("quick"), slow.instance("slow"))
-	cfg.Settings.Probes, cfg.Settings.Report = true, choice.ReportProbes
+	cfg.Settings.Probes, cfg.Settings.Report = true, policy.ReportProbes
 	r := run(t, cfg)
 	c, n := dial(t, r.addr), 0
 	ask := func() {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -11,9 +11,9 @@
 	"net/netip"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/contract"
-	"mulleinmux/sites"
+	"mulleinmux/multisite"
+	"mulleinmux/policy"
+	"mulleinmux/routing"
 )
 
 // Hall is a site's servers, which a register of their own lists.
@@ -32,8 +32,8 @@
 	PeerListen netip.AddrPort   // invalid: instances don't message each other
 	Peers      []netip.AddrPort // by number, this instance's own among them
 
-	Settings choice.Settings // without Classes, which follow from the description
-	Classes  []contract.Class
+	Settings policy.Settings // without Classes, which follow from the description
+	Classes  []routing.Class
 
 	Licensees map[string]Licensee // by name
 
@@ -42,16 +42,16 @@
 	Agreed *Agreed
 
 	// Keys, if set, keeps a keyed request to the hall that package sites gives it.
-	Keys *sites.Config
+	Keys *multisite.Config
 
 	// Health, if set, has the instance judge the halls: see package sites.
-	Health *sites.HealthConfig
+	Health *multisite.HealthConfig
 
 	// Consent, if set, has homes of keys confirmed by as many voters as no new homes can do without.
-	Consent *sites.ConsentConfig
+	Consent *multisite.ConsentConfig
 
 	// Ramp, if set, has the instances share out what cold servers may be sent: see package sites.
-	Ramp *sites.RampConfig
+	Ramp *multisite.RampConfig
 
 	// Link, if set, has the instance reach other sites' halls by way of their instances.
 	Link *LinkConfig
@@ -78,16 +78,16 @@
 
 // Setup is what an instance can be told anew while it runs.
 type Setup struct {
-	Number    uint64          // its version, which halls and clients are told
-	Table     *contract.Table // nil: as it is
-	Check     Checker         // with Table; nil: only what the cost depends on is checked
+	Number    uint64         // its version, which halls and clients are told
+	Table     *routing.Table // nil: as it is
+	Check     Checker        // with Table; nil: only what the cost depends on is checked
 	Licensees map[string]Licensee
-	Plans     []choice.Plan // by place, as [choice.Gateway.SetPlans] wants them
+	Plans     []policy.Plan // by place, as [policy.Gateway.SetPlans] wants them
 	Halls     []Hall
 }
 
 // Setup is the one that a configuration holds.
-func (c *Config) Setup(number uint64, table *contract.Table, check Checker) Setup {
+func (c *Config) Setup(number uint64, table *routing.Table, check Checker) Setup {
 	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees, Plans: c.Settings.Plans, Halls: c.Halls}
 }
 
@@ -102,8 +102,8 @@
 )
 
 // Options are what a description is compiled with.
-func (c *Config) Options() contract.Options {
-	return contract.Options{Classes: c.Classes, MostUnits: int(c.Settings.MostUnits)}
+func (c *Config) Options() routing.Options {
+	return routing.Options{Classes: c.Classes, MostUnits: int(c.Settings.MostUnits)}
 }
 
 // On has the instance serve on sockets that are open. conn is nil without peers.
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/contract"
 	"mulleinmux/internal/httpwire"
-	"mulleinmux/internal/load"
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/policy"
+	"mulleinmux/routing"
 )
 
 const (
@@ -257,7 +257,7 @@
 
 // parse finds a request's operation and what the module must know of it. The version in
 // force is read once: the request keeps it.
-func (f *front) parse(fl *flight, began time.Time) (q choice.Request, err error) {
+func (f *front) parse(fl *flight, began time.Time) (q policy.Request, err error) {
 	h := &fl.head
 	// First its standing, then the version: a version may be put in force in between, which is
 	// confirmed then as well.
@@ -287,15 +287,15 @@
 	}
 	op, allow, a := v.table.Match(h.Method, path)
 	switch a {
-	case contract.UnknownPath:
+	case routing.UnknownPath:
 		return q, &badRequest{status: http.StatusNotFound, text: "no operation has this path"}
-	case contract.UnknownMethod:
+	case routing.UnknownMethod:
 		return q, &badRequest{status: http.StatusMethodNotAllowed, text: "this path has no such method", allow: allow}
-	case contract.Preflight:
+	case routing.Preflight:
 		return q, &badRequest{status: http.StatusNoContent, allow: allow}
 	}
 	fl.op, fl.counters = op, v.ops[op.Index]
-	units, err := op.Charge(contract.Request{Query: query, Head: h, Body: fl.body})
+	units, err := op.Charge(routing.Request{Query: query, Head: h, Body: fl.body})
 	if err != nil {
 		return q, err
 	}
@@ -319,7 +319,7 @@
 	}
 	grace := op.Class.Deadline
 	if text, n := h.Values("X-Expires-In"); n > 0 {
-		s, ok := load.Decimal(text)
+		s, ok := loadreport.Decimal(text)
 		if !ok || s <= 0 || n > 1 {
 			return q, &badRequest{status: http.StatusBadRequest, text: "X-Expires-In: malformed"}
 		}
@@ -328,10 +328,10 @@
 		}
 	}
 	fl.units = units
-	if fl.homed = f.in.keys != nil && op.Key.In != contract.Nowhere; fl.homed {
-		fl.key = keyNumber(fl.licensee, op.KeyOf(contract.Request{Query: query, Head: h, Body: fl.body}, path))
+	if fl.homed = f.in.keys != nil && op.Key.In != routing.Nowhere; fl.homed {
+		fl.key = keyNumber(fl.licensee, op.KeyOf(routing.Request{Query: query, Head: h, Body: fl.body}, path))
 	}
-	return choice.Request{Class: op.Class.Name, Plan: l.Plan, Customer: l.Customer, Grace: grace - transit - time.Since(began),
+	return policy.Request{Class: op.Class.Name, Plan: l.Plan, Customer: l.Customer, Grace: grace - transit - time.Since(began),
 		Units: float64(units), Spread: f.in.cfg.Settings.Instances}, nil
 }
 
@@ -488,7 +488,7 @@
 // turnDown answers a request that is the client's mistake.
 func (c *client) turnDown(err error) bool {
 	e := &badRequest{status: http.StatusBadRequest, text: err.Error()}
-	if r, ok := errors.AsType[*contract.Refusal](err); ok {
+	if r, ok := errors.AsType[*routing.Refusal](err); ok {
 		e.status = r.Status
 	} else {
 		errors.As(err, &e)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 
-	"mulleinmux/contract"
+	"mulleinmux/routing"
 )
 
 // What is matched goes on byte for byte, under the version that it was matched with, and
@@ -553,7 +553,7 @@
 func TestTimersAndPanics(t *testing.T) {
 	h := newHalls(t)
 	g := start(t, h, 0, nil)
-	g.event(func(time.Duration, choice.Actions) { panic("on purpose") })
+	g.event(func(time.Duration, policy.Actions) { panic("on purpose") })
 	g.mu.Lock()
 	var ts timers
 	for _, at := range []time.Duration{5, 3, 9, 1, 7, 3} {
@@ -611,8 +611,8 @@
 		"a hall twice":  func(s *Setup) { s.Halls = append(s.Halls, s.Halls[0]) },
 		"a plan twice":  func(s *Setup) { s.Plans = append(s.Plans, s.Plans[0]) },
 		"a place gone":  func(s *Setup) { s.Plans = s.Plans[:1] },
-		"a class twice": func(s *Setup) { s.Table = &contract.Table{Classes: append(testClasses2(), testClasses2()...)} },
-		"a bad quota":   func(s *Setup) { s.Plans = []choice.Plan{{Name: "wide", Rate: -1}, s.Plans[1]} },
+		"a class twice": func(s *Setup) { s.Table = &routing.Table{Classes: append(testClasses2(), testClasses2()...)} },
+		"a bad quota":   func(s *Setup) { s.Plans = []policy.Plan{{Name: "wide", Rate: -1}, s.Plans[1]} },
 		"another order": func(s *Setup) { s.Halls, s.Plans = nil, nil },
 	} {
 		if err := install(9, change); err == nil || g.Version() != 3 {
@@ -632,6 +632,6 @@
 	}
 }
 
-func testClasses2() []choice.Class {
-	return []choice.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}
+func testClasses2() []policy.Class {
+	return []policy.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -15,11 +15,11 @@
 
 	"go.uber.org/goleak"
 
-	"mulleinmux/choice"
-	"mulleinmux/contract"
 	"mulleinmux/internal/openapi"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/policy"
+	"mulleinmux/routing"
 )
 
 // patience bounds every wait of a test; none is expected to come near it.
@@ -39,7 +39,7 @@
 // halls is a set of scripted servers, which hand each request to the test.
 type halls struct {
 	t         *testing.T
-	regs      map[string]*standin.Register
+	regs      map[string]*testserver.Register
 	authority *raftnode.Authority // of the link's certificates
 	came      chan *arrival
 	life      sync.WaitGroup
@@ -49,13 +49,13 @@
 }
 
 func newHalls(t *testing.T) *halls {
-	h := &halls{t: t, regs: map[string]*standin.Register{}, came: make(chan *arrival, 100), quit: make(chan struct{})}
+	h := &halls{t: t, regs: map[string]*testserver.Register{}, came: make(chan *arrival, 100), quit: make(chan struct{})}
 	t.Cleanup(func() {
 		close(h.quit)
 		h.life.Wait()
 	})
 	for _, name := range []string{"hall-a", "hall-b"} {
-		r, err := standin.NewRegister()
+		r, err := testserver.NewRegister()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -95,7 +95,7 @@
 }
 
 func (h *halls) list(hall, id, addr, lifecycle string) {
-	h.regs[hall].Put(standin.Entry{InstanceID: id, HostPort: addr, Zone: hall, MachineType: "k", Lifecycle: lifecycle, Weight: 1})
+	h.regs[hall].Put(testserver.Entry{InstanceID: id, HostPort: addr, Zone: hall, MachineType: "k", Lifecycle: lifecycle, Weight: 1})
 }
 
 func (h *halls) talk(c net.Conn, id string) {
@@ -196,14 +196,14 @@
       responses: {"200": {description: ok}}
 `
 
-func testClasses() []contract.Class {
-	return []contract.Class{{Name: "check", Worth: 3, Aim: 20 * time.Second, Deadline: 20 * time.Second},
+func testClasses() []routing.Class {
+	return []routing.Class{{Name: "check", Worth: 3, Aim: 20 * time.Second, Deadline: 20 * time.Second},
 		{Name: "book", Worth: 9, Aim: 20 * time.Second, Deadline: 20 * time.Second}}
 }
 
-func testTable(t testing.TB, text string) (*contract.Table, *openapi.Description) {
+func testTable(t testing.TB, text string) (*routing.Table, *openapi.Description) {
 	t.Helper()
-	tab, d, err := openapi.Compile("test.yaml", []byte(text), contract.Options{Classes: testClasses(), MostUnits: 100})
+	tab, d, err := openapi.Compile("test.yaml", []byte(text), routing.Options{Classes: testClasses(), MostUnits: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,10 +219,10 @@
 	done chan error
 }
 
-func testSettings() choice.Settings {
-	return choice.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true, Report: choice.ReportProbes, MostUnits: 100,
-		Plans: []choice.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tight", Rate: 0.1, Burst: 3, Price: 1}}}
+func testSettings() policy.Settings {
+	return policy.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true, Report: policy.ReportProbes, MostUnits: 100,
+		Plans: []policy.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tight", Rate: 0.1, Burst: 3, Price: 1}}}
 }
 
 // start starts an instance between the halls and waits until it knows so many servers.
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -16,13 +16,13 @@
 	"sync/atomic"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/contract"
+	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/gossip"
 	"mulleinmux/internal/httpwire"
-	"mulleinmux/internal/load"
-	"mulleinmux/internal/peers"
-	"mulleinmux/internal/register"
-	"mulleinmux/sites"
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/multisite"
+	"mulleinmux/policy"
+	"mulleinmux/routing"
 )
 
 // Instance is one instance of the gateway. The module's events come from many
@@ -37,7 +37,7 @@
 	start   time.Time // the clock reads Unix time at the start plus the monotonic time since
 	ctx     context.Context
 	servers *servers
-	peers   *peers.Socket // nil: there are none
+	peers   *gossip.Socket // nil: there are none
 	work    sync.WaitGroup
 
 	version atomic.Pointer[version] // in force
@@ -50,12 +50,12 @@
 	bad       atomic.Int64 // requests turned down before they were charged
 
 	mu       sync.Mutex
-	gw       *choice.Gateway
-	link     *link         // nil: it reaches all halls itself
-	keys     *sites.Keys   // nil: keyed requests are kept to a hall for one request only
-	health   *sites.Health // nil: halls are not judged
-	consent  *sites.Consent
-	ramp     *sites.Ramp // nil: what cold servers are sent is each instance's own guess
+	gw       *policy.Gateway
+	link     *link             // nil: it reaches all halls itself
+	keys     *multisite.Keys   // nil: keyed requests are kept to a hall for one request only
+	health   *multisite.Health // nil: halls are not judged
+	consent  *multisite.Consent
+	ramp     *multisite.Ramp // nil: what cold servers are sent is each instance's own guess
 	flights  map[string]*flight
 	after    []func() // what the event under way leaves to do without the mutex
 	closed   bool     // no more events
@@ -71,7 +71,7 @@
 // version is a setup in force and the counters of its operations.
 type version struct {
 	number    uint64
-	table     *contract.Table
+	table     *routing.Table
 	ops       []*Counters // by Operation.Index
 	check     Checker     // nil: only what the cost depends on is checked
 	licensees map[string]Licensee
@@ -94,7 +94,7 @@
 // Checker checks all that a description says of a request's parameters and body.
 type Checker interface {
 	// Check returns what is wrong with a request, or nil.
-	Check(op *contract.Operation, head *httpwire.Head, body []byte) error
+	Check(op *routing.Operation, head *httpwire.Head, body []byte) error
 }
 
 // Record is what became of one request that was charged or refused.
@@ -119,7 +119,7 @@
 	body     []byte
 	version  *version      // in force when it was matched: it keeps it
 	age      time.Duration // of the version's last confirmation, then
-	op       *contract.Operation
+	op       *routing.Operation
 	counters *Counters
 	licensee string
 	units    int
@@ -163,7 +163,7 @@
 func (k answerKind) String() string { return [...]string{"served", "refused", "failed"}[k] }
 
 // unused is a class that no operation has: the module wants one before there is a table.
-var unused = []choice.Class{{Name: "/none"}}
+var unused = []policy.Class{{Name: "/none"}}
 
 // newInstance makes an instance whose goroutines end with ctx. Without a table it refuses
 // all requests until one is installed.
@@ -173,14 +173,14 @@
 	}
 	set := cfg.Settings
 	set.Classes, set.Plans = unused, nil
-	gw, err := choice.New(set, cfg.Seed)
+	gw, err := policy.New(set, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	in := &Instance{cfg: cfg, log: logger, start: time.Now(), ctx: ctx, servers: newServers(cfg), gw: gw,
 		flights: map[string]*flight{}, known: map[string]map[string]bool{}, counters: map[string]*Counters{}, halls: map[string]*watch{}}
 	if cfg.Keys != nil {
-		if in.keys, err = sites.New(*cfg.Keys, in.now()); err != nil {
+		if in.keys, err = multisite.New(*cfg.Keys, in.now()); err != nil {
 			return nil, err
 		}
 	}
@@ -191,23 +191,23 @@
 		in.servers.secure = in.link.secure
 	}
 	if cfg.Health != nil {
-		if in.health, err = sites.NewHealth(*cfg.Health); err != nil {
+		if in.health, err = multisite.NewHealth(*cfg.Health); err != nil {
 			return nil, err
 		}
 	}
 	if cfg.Consent != nil {
-		if in.consent, err = sites.NewConsent(*cfg.Consent); err != nil {
+		if in.consent, err = multisite.NewConsent(*cfg.Consent); err != nil {
 			return nil, err
 		}
 	}
 	if cfg.Ramp != nil {
-		if in.ramp, err = sites.NewRamp(*cfg.Ramp); err != nil {
+		if in.ramp, err = multisite.NewRamp(*cfg.Ramp); err != nil {
 			return nil, err
 		}
 	}
 	in.alarm = time.AfterFunc(time.Hour, in.ring)
 	in.alarmAt = math.MaxInt64
-	in.version.Store(&version{table: &contract.Table{}})
+	in.version.Store(&version{table: &routing.Table{}})
 	return in, in.Install(setup)
 }
 
@@ -221,7 +221,7 @@
 		}
 	}
 	err := errors.New("the instance has ended")
-	in.event(func(now time.Duration, out choice.Actions) {
+	in.event(func(now time.Duration, out policy.Actions) {
 		old := in.version.Load()
 		if s.Table == nil {
 			s.Table, s.Check = old.table, old.check
@@ -269,7 +269,7 @@
 // watchHalls follows the registers of these halls and of no others. The servers of a hall
 // that is no longer there are gone; those of one whose register has moved stay until the
 // new one tells. Called under the mutex.
-func (in *Instance) watchHalls(now time.Duration, halls []Hall, out choice.Actions) {
+func (in *Instance) watchHalls(now time.Duration, halls []Hall, out policy.Actions) {
 	wanted := map[string]netip.AddrPort{}
 	for _, h := range halls {
 		wanted[h.Name] = h.Register
@@ -278,7 +278,7 @@
 		if at, ok := wanted[name]; ok && at == w.register {
 			continue
 		} else if !ok {
-			in.take(now, name, register.List{Full: true}, out)
+			in.take(now, name, discovery.List{Full: true}, out)
 			in.gw.DropZone(name)
 			delete(in.known, name)
 		}
@@ -296,8 +296,8 @@
 			in.take(now, h.Name, list, out)
 			continue
 		}
-		f := &register.Follower{Addr: h.Register, Silent: register.Silent,
-			Apply: func(l register.List) { in.list(ctx, h.Name, l) },
+		f := &discovery.Follower{Addr: h.Register, Silent: discovery.Silent,
+			Apply: func(l discovery.List) { in.list(ctx, h.Name, l) },
 			Logf:  func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
 		in.follow.Go(func() { f.Run(ctx) })
 	}
@@ -319,8 +319,8 @@
 
 // InstallHomes takes over an agreed epoch of homes: what an entry of the log, the voters of that moment (joint: they
 // change) and all before it come to.
-func (in *Instance) InstallHomes(h sites.Homes, index uint64, voters []uint64, joint bool) {
-	in.event(func(now time.Duration, _ choice.Actions) {
+func (in *Instance) InstallHomes(h multisite.Homes, index uint64, voters []uint64, joint bool) {
+	in.event(func(now time.Duration, _ policy.Actions) {
 		in.keys.Install(now, h)
 		if in.consent != nil {
 			in.consent.Agree(index, voters, joint)
@@ -330,15 +330,15 @@
 
 // ConfirmHomes tells that the epoch in force was confirmed by a quorum that was asked at a time.
 func (in *Instance) ConfirmHomes(asked time.Time) {
-	in.event(func(time.Duration, choice.Actions) {
+	in.event(func(time.Duration, policy.Actions) {
 		in.keys.Confirm(time.Duration(in.start.UnixNano()) + asked.Sub(in.start))
 	})
 }
 
-// TellKeys is [sites.Keys.Tell], with what else goes to the other instances. fence tells this member's: see
-// [sites.Consent].
-func (in *Instance) TellKeys(most int, fence func() uint64) (m sites.Message, more bool) {
-	in.event(func(now time.Duration, _ choice.Actions) {
+// TellKeys is [multisite.Keys.Tell], with what else goes to the other instances. fence tells this member's: see
+// [multisite.Consent].
+func (in *Instance) TellKeys(most int, fence func() uint64) (m multisite.Message, more bool) {
+	in.event(func(now time.Duration, _ policy.Actions) {
 		if m, more = in.keys.Tell(now, most); more {
 			return
 		}
@@ -374,22 +374,22 @@
 
 // climb has the module go by this instance's part in the ramps of the halls, and returns what to tell the others.
 // Called under the mutex.
-func (in *Instance) climb(now time.Duration) sites.RampWord {
-	var carried []sites.Carried
+func (in *Instance) climb(now time.Duration) multisite.RampWord {
+	var carried []multisite.Carried
 	for name := range in.halls {
 		if in.far(name) { // its own instances know which of its servers are cold
 			continue
 		}
 		if rate, util := in.gw.Warm(now, name); rate > 0 {
-			carried = append(carried, sites.Carried{Hall: name, Rate: rate, Util: util})
+			carried = append(carried, multisite.Carried{Hall: name, Rate: rate, Util: util})
 		}
 		servers, sent, short := in.gw.Cold(now, name)
-		in.ramp.Met(now, name, sites.ColdWork{Servers: servers, Sent: sent, Short: short})
+		in.ramp.Met(now, name, multisite.ColdWork{Servers: servers, Sent: sent, Short: short})
 	}
 	w := in.ramp.Tell(now, carried)
 	for name := range in.halls {
 		servers, near := in.health.Carried(now, name)
-		z := choice.Zone{Far: in.far(name), Part: 1 / float64(in.cfg.Settings.Instances), Back: servers}
+		z := policy.Zone{Far: in.far(name), Part: 1 / float64(in.cfg.Settings.Instances), Back: servers}
 		if !z.Far {
 			z.Ramp = rampFill / in.cfg.Settings.ColdMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
 			z.Part = 1 / float64(max(near, 1))
@@ -399,9 +399,9 @@
 	return w
 }
 
-// HearKeys is [sites.Keys.Hear].
-func (in *Instance) HearKeys(m sites.Message) {
-	in.event(func(now time.Duration, _ choice.Actions) {
+// HearKeys is [multisite.Keys.Hear].
+func (in *Instance) HearKeys(m multisite.Message) {
+	in.event(func(now time.Duration, _ policy.Actions) {
 		in.keys.Hear(now, m)
 		if in.health != nil && m.Views != nil {
 			in.health.Hear(now, m.From, m.Views)
@@ -424,8 +424,8 @@
 }
 
 // AgreeHalls takes over which halls there are, which of them are lost, and the members.
-func (in *Instance) AgreeHalls(halls []sites.Hall, lost map[string]int, members []uint64) {
-	in.event(func(now time.Duration, _ choice.Actions) {
+func (in *Instance) AgreeHalls(halls []multisite.Hall, lost map[string]int, members []uint64) {
+	in.event(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
 			in.health.Agree(now, halls, lost, members)
 		}
@@ -435,9 +435,9 @@
 	})
 }
 
-// JudgeHalls is [sites.Health.Judge].
-func (in *Instance) JudgeHalls() (c sites.HallChange, ok bool) {
-	in.event(func(now time.Duration, _ choice.Actions) {
+// JudgeHalls is [multisite.Health.Judge].
+func (in *Instance) JudgeHalls() (c multisite.HallChange, ok bool) {
+	in.event(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
 			c, ok = in.health.Judge(now)
 		}
@@ -448,7 +448,7 @@
 // HallStates tells what the instance makes of each hall that it has a register of.
 func (in *Instance) HallStates() map[string]string {
 	states := map[string]string{}
-	in.event(func(now time.Duration, _ choice.Actions) {
+	in.event(func(now time.Duration, _ policy.Actions) {
 		for name := range in.halls {
 			if in.health != nil {
 				states[name] = in.health.State(now, name).String()
@@ -459,15 +459,15 @@
 }
 
 // met notes what an attempt or a probe says of its server's hall. Called under the mutex.
-func (in *Instance) met(now time.Duration, server string, result choice.Result, sent time.Duration) {
+func (in *Instance) met(now time.Duration, server string, result policy.Result, sent time.Duration) {
 	if in.health == nil {
 		return
 	}
 	hall, _, _ := strings.Cut(server, "/")
 	switch result {
-	case choice.OK, choice.ErrorAnswer, choice.Full:
+	case policy.OK, policy.ErrorAnswer, policy.Full:
 		in.health.Heard(now, hall)
-	case choice.TimedOut, choice.ConnectFailed:
+	case policy.TimedOut, policy.ConnectFailed:
 		in.health.Missed(now, hall, sent)
 	}
 }
@@ -494,7 +494,7 @@
 func (in *Instance) Unconfirmed() int64 { return in.refused.Load() }
 
 // Table is the description in force.
-func (in *Instance) Table() *contract.Table { return in.version.Load().table }
+func (in *Instance) Table() *routing.Table { return in.version.Load().table }
 
 // Count calls f with the counters of each operation that was ever in force.
 func (in *Instance) Count(f func(operation string, c *Counters)) {
@@ -518,7 +518,7 @@
 }
 
 // event runs one event of the module, then what its actions left to do.
-func (in *Instance) event(f func(now time.Duration, out choice.Actions)) {
+func (in *Instance) event(f func(now time.Duration, out policy.Actions)) {
 	in.mu.Lock()
 	in.guarded(f)
 	after := in.after
@@ -531,7 +531,7 @@
 
 // guarded runs an event. A panic of the module is logged, with the stack that names its
 // cause, and costs the one event.
-func (in *Instance) guarded(f func(now time.Duration, out choice.Actions)) {
+func (in *Instance) guarded(f func(now time.Duration, out policy.Actions)) {
 	if in.closed {
 		return
 	}
@@ -545,7 +545,7 @@
 }
 
 // step runs an event of a flight's own and takes what comes next for it.
-func (in *Instance) step(fl *flight, f func(now time.Duration, out choice.Actions)) (next attempt, pending, done bool) {
+func (in *Instance) step(fl *flight, f func(now time.Duration, out policy.Actions)) (next attempt, pending, done bool) {
 	in.mu.Lock()
 	in.guarded(f)
 	after := in.after
@@ -568,8 +568,8 @@
 
 // carry takes a flight from its request to its final answer. gone tells whether the
 // client has left; it is asked before each further attempt.
-func (in *Instance) carry(fl *flight, q choice.Request, gone func() bool) {
-	at, pending, done := in.step(fl, func(now time.Duration, out choice.Actions) {
+func (in *Instance) carry(fl *flight, q policy.Request, gone func() bool) {
+	at, pending, done := in.step(fl, func(now time.Duration, out policy.Actions) {
 		in.number++
 		var b [20]byte
 		fl.id = string(strconv.AppendUint(b[:0], in.number, 36))
@@ -581,7 +581,7 @@
 		if fl.homed {
 			v := in.keys.Route(now, fl.key)
 			if v.Hall != "" && fl.linked && !in.link.owns(v.Hall) {
-				v = sites.Verdict{Wait: minWait, Why: "the sites differ on its home"} // the other site goes by older homes, or this one does
+				v = multisite.Verdict{Wait: minWait, Why: "the sites differ on its home"} // the other site goes by older homes, or this one does
 			}
 			if q.Zone = v.Hall; v.Hall == "" {
 				fl.why = v.Why
@@ -599,7 +599,7 @@
 		late := time.NewTimer(time.Until(fl.deadline))
 		select {
 		case <-fl.wake:
-			at, pending, done = in.step(fl, func(time.Duration, choice.Actions) {})
+			at, pending, done = in.step(fl, func(time.Duration, policy.Actions) {})
 		case <-late.C:
 			at, pending, done = in.abandon(fl)
 		case <-in.ctx.Done():
@@ -607,12 +607,12 @@
 		}
 		late.Stop()
 	}
-	in.event(func(time.Duration, choice.Actions) { delete(in.flights, fl.id) })
+	in.event(func(time.Duration, policy.Actions) { delete(in.flights, fl.id) })
 }
 
 // abandon ends a flight whose client has gone or for which no answer was given in time.
 func (in *Instance) abandon(fl *flight) (attempt, bool, bool) {
-	return in.step(fl, func(now time.Duration, out choice.Actions) {
+	return in.step(fl, func(now time.Duration, out policy.Actions) {
 		in.end(fl, failed, 0)
 		in.gw.Gone(now, fl.id, out)
 	})
@@ -620,7 +620,7 @@
 
 // try carries out one attempt and brings its outcome to the module.
 func (in *Instance) try(fl *flight, at attempt, gone func() bool) (attempt, bool, bool) {
-	var result choice.Result
+	var result policy.Result
 	sent := in.now()
 	fl.rep.whole, fl.rep.since = false, time.Time{}
 	let, full := true, false
@@ -630,7 +630,7 @@
 		}
 	}
 	if fl.homed && !full { // the homes may have changed since the request was admitted
-		in.event(func(now time.Duration, out choice.Actions) {
+		in.event(func(now time.Duration, out policy.Actions) {
 			hall, _, _ := strings.Cut(at.server, "/")
 			if let = in.keys.Send(now, fl.key, hall); !let && fl.sent {
 				in.end(fl, failed, 0)
@@ -641,20 +641,20 @@
 		})
 	}
 	if full {
-		result = choice.Full // no more may cross now
+		result = policy.Full // no more may cross now
 	} else if !let {
-		result = choice.Moot
+		result = policy.Moot
 	} else if fl.attempts > 1 && gone() {
-		result = choice.Moot
-		in.event(func(now time.Duration, out choice.Actions) { in.end(fl, failed, 0) })
+		result = policy.Moot
+		in.event(func(now time.Duration, out policy.Actions) { in.end(fl, failed, 0) })
 	} else {
 		result = in.servers.exchange(in.ctx, fl.call, at.server, at.until, fl.head.Method == "HEAD", &fl.rep,
 			func(b []byte) []byte { return fl.word(b, at.until) })
-		if fl.over && result == choice.Reset {
+		if fl.over && result == policy.Reset {
 			result = in.settle(fl, at)
 		}
 	}
-	fl.mayRun = fl.mayRun || fl.rep.whole && result != choice.Full
+	fl.mayRun = fl.mayRun || fl.rep.whole && result != policy.Full
 	if fl.rep.whole {
 		fl.counters.Attempts.Add(1)
 		if !fl.sent {
@@ -664,18 +664,18 @@
 		}
 	}
 	report := fl.rep.report()
-	return in.step(fl, func(now time.Duration, out choice.Actions) {
+	return in.step(fl, func(now time.Duration, out policy.Actions) {
 		fl.call = nil
-		if !fl.over || result != choice.Full && result != choice.ErrorAnswer { // the far instance's word says nothing of its hall
+		if !fl.over || result != policy.Full && result != policy.ErrorAnswer { // the far instance's word says nothing of its hall
 			in.met(now, at.server, result, sent)
 		}
 		if fl.homed && let && !full {
-			in.keys.Ended(fl.key, !fl.rep.whole || result == choice.Full || result == choice.ConnectFailed || result == choice.Moot)
+			in.keys.Ended(fl.key, !fl.rep.whole || result == policy.Full || result == policy.ConnectFailed || result == policy.Moot)
 		}
-		if result == choice.OK {
+		if result == policy.OK {
 			in.end(fl, served, 0)
 		}
-		o := choice.Outcome{ID: fl.id, Attempt: fl.attempts - 1, Closed: fl.done, Result: result, Server: at.server,
+		o := policy.Outcome{ID: fl.id, Attempt: fl.attempts - 1, Closed: fl.done, Result: result, Server: at.server,
 			Took: now - sent, Load: report}
 		if !fl.rep.since.IsZero() {
 			o.Since = time.Duration(in.start.UnixNano()) + fl.rep.since.Sub(in.start)
@@ -705,8 +705,8 @@
 }
 
 // list hands a hall's list on, unless its watch has ended.
-func (in *Instance) list(ctx context.Context, hall string, l register.List) {
-	in.event(func(now time.Duration, out choice.Actions) {
+func (in *Instance) list(ctx context.Context, hall string, l discovery.List) {
+	in.event(func(now time.Duration, out policy.Actions) {
 		if ctx.Err() == nil {
 			in.take(now, hall, l, out)
 		}
@@ -715,19 +715,19 @@
 
 // take hands a hall's list on as changes: the lists of the other halls stay as they are.
 // Called under the mutex.
-func (in *Instance) take(now time.Duration, hall string, l register.List, out choice.Actions) {
+func (in *Instance) take(now time.Duration, hall string, l discovery.List, out policy.Actions) {
 	known := in.known[hall]
 	if known == nil {
 		known = map[string]bool{}
 		in.known[hall] = known
 	}
-	entries := make([]register.Instance, 0, len(l.Servers))
+	entries := make([]discovery.Instance, 0, len(l.Servers))
 	listed := map[string]bool{}
 	for _, s := range l.Servers {
 		s.ID = hall + "/" + s.ID
 		s.Zone = hall
 		listed[s.ID] = true
-		if known[s.ID] = true; s.State == choice.Removed {
+		if known[s.ID] = true; s.State == policy.Removed {
 			delete(known, s.ID)
 		}
 		entries = append(entries, s)
@@ -736,22 +736,22 @@
 		for id := range known {
 			if !listed[id] {
 				delete(known, id)
-				entries = append(entries, register.Instance{Server: choice.Server{ID: id, State: choice.Removed, Zone: hall}})
+				entries = append(entries, discovery.Instance{Server: policy.Server{ID: id, State: policy.Removed, Zone: hall}})
 			}
 		}
 	}
 	stale := in.servers.update(entries)
 	in.after = append(in.after, func() { closeAll(stale) })
-	list := make([]choice.Server, len(entries))
+	list := make([]policy.Server, len(entries))
 	for i, s := range entries {
 		list[i] = s.Server
 	}
-	in.gw.List(now, choice.ListChanges, list, out)
+	in.gw.List(now, policy.ListChanges, list, out)
 }
 
 // whisper hands a message of a peer on.
 func (in *Instance) whisper(from int, message []byte) {
-	in.event(func(now time.Duration, out choice.Actions) { in.gw.Peer(now, from, message, out) })
+	in.event(func(now time.Duration, out policy.Actions) { in.gw.Peer(now, from, message, out) })
 }
 
 // probe asks a server for its load.
@@ -763,11 +763,11 @@
 		return append(b, "GET "+loadPath+" HTTP/1.1\r\nHost: hall\r\n\r\n"...)
 	})
 	report := rep.report()
-	if report == nil && result == choice.OK {
-		report = load.Parse(string(rep.body))
+	if report == nil && result == policy.OK {
+		report = loadreport.Parse(string(rep.body))
 	}
-	in.event(func(now time.Duration, out choice.Actions) {
-		if !crosses(id) || result != choice.OK {
+	in.event(func(now time.Duration, out policy.Actions) {
+		if !crosses(id) || result != policy.OK {
 			in.met(now, id, result, sent)
 		}
 		in.gw.Probed(now, id, result, report, out)
@@ -815,7 +815,7 @@
 
 // ring brings the module the timers that are due.
 func (in *Instance) ring() {
-	in.event(func(now time.Duration, out choice.Actions) {
+	in.event(func(now time.Duration, out policy.Actions) {
 		for len(in.timers) > 0 && in.timers[0].at <= now {
 			token := in.timers[0].token
 			n := len(in.timers) - 1
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/internal/discovery"
 	"mulleinmux/internal/httpwire"
-	"mulleinmux/internal/register"
-	"mulleinmux/sites"
+	"mulleinmux/multisite"
+	"mulleinmux/policy"
 )
 
 // The link between sites. An instance reaches the servers of its own halls itself; those of another site it
@@ -25,7 +25,7 @@
 // over mutual TLS as it came, with the id of its crossing. The far instance sends it on within its own halls alone, so
 // that nothing crosses twice, and says truthfully what became of it: an answer; "never ran" (503 with
 // X-Never-Ran); or that it may have run (502). Its units were counted where it entered. If the connection
-// breaks before the answer, the far instance is asked over another one: see [sites.Arrivals].
+// breaks before the answer, the far instance is asked over another one: see [multisite.Arrivals].
 
 // LinkConfig is an instance's part in the link.
 type LinkConfig struct {
@@ -65,8 +65,8 @@
 	cfg *LinkConfig
 
 	mu       sync.Mutex
-	arrivals *sites.Arrivals
-	budget   *sites.Budget
+	arrivals *multisite.Arrivals
+	budget   *multisite.Budget
 }
 
 // keptReply is what is kept of a crossing's answer.
@@ -82,10 +82,10 @@
 	}
 	l := &link{cfg: cfg}
 	var err error
-	if l.arrivals, err = sites.NewArrivals(arrivalLife, arrivalsMost); err != nil {
+	if l.arrivals, err = multisite.NewArrivals(arrivalLife, arrivalsMost); err != nil {
 		return nil, err
 	}
-	l.budget, err = sites.NewBudget(sites.BudgetConfig{Most: orDefault(cfg.Most, linkMost), Retries: linkRetries, Saved: linkSaved})
+	l.budget, err = multisite.NewBudget(multisite.BudgetConfig{Most: orDefault(cfg.Most, linkMost), Retries: linkRetries, Saved: linkSaved})
 	return l, err
 }
 
@@ -93,11 +93,11 @@
 func crosses(server string) bool { return strings.Contains(server, linkServerMark) }
 
 // far is what the module is told of a hall that is reached by way of its own site's instances.
-func (l *link) far(hall string) (list register.List, ok bool) {
+func (l *link) far(hall string) (list discovery.List, ok bool) {
 	peers, ok := l.cfg.Far[hall]
 	for _, p := range peers {
-		list.Servers = append(list.Servers, register.Instance{Addr: p.Addr,
-			Server: choice.Server{ID: "@" + strconv.FormatUint(p.Member, 10), Weight: 1, Kind: "instance", Zone: hall}})
+		list.Servers = append(list.Servers, discovery.Instance{Addr: p.Addr,
+			Server: policy.Server{ID: "@" + strconv.FormatUint(p.Member, 10), Weight: 1, Kind: "instance", Zone: hall}})
 	}
 	list.Full = true
 	return list, ok
@@ -163,7 +163,7 @@
 
 // fate asks a far instance, over another connection, what became of a crossing whose connection broke. It
 // asks until the answer is final or the attempt's time is over.
-func (in *Instance) fate(fl *flight, at attempt) (sites.Fate, *keptReply) {
+func (in *Instance) fate(fl *flight, at attempt) (multisite.Fate, *keptReply) {
 	id := fl.crossing()
 	for until := at.until; time.Now().Before(until); {
 		var rep reply
@@ -175,14 +175,14 @@
 			b = append(b, "GET "+fatePath+" HTTP/1.1\r\nHost: link\r\n"...)
 			return append(httpwire.AppendField(b, crossingField, id), "\r\n"...)
 		})
-		if result == choice.OK {
-			switch f := sites.ParseFate(rep.head.Get(fateField)); f {
-			case sites.Ran:
+		if result == policy.OK {
+			switch f := multisite.ParseFate(rep.head.Get(fateField)); f {
+			case multisite.Ran:
 				if rep.head.Status == http.StatusNoContent {
 					return f, nil
 				}
 				return f, &keptReply{rep.head.Status, rep.head.Get("Content-Type"), rep.body}
-			case sites.Underway:
+			case multisite.Underway:
 			default:
 				return f, nil
 			}
@@ -192,29 +192,29 @@
 		case <-pause.C:
 		case <-in.ctx.Done():
 			pause.Stop()
-			return sites.Unknown, nil
+			return multisite.Unknown, nil
 		}
 	}
-	return sites.Unknown, nil
+	return multisite.Unknown, nil
 }
 
 // settle finds out what became of an attempt whose connection over the link broke.
-func (in *Instance) settle(fl *flight, at attempt) choice.Result {
+func (in *Instance) settle(fl *flight, at attempt) policy.Result {
 	f, kept := in.fate(fl, at)
 	switch {
-	case f == sites.Never:
+	case f == multisite.Never:
 		fl.rep.whole = false // as if it had not been written; and the far instance lives
-		return choice.Full
-	case f == sites.Ran && kept != nil:
+		return policy.Full
+	case f == multisite.Ran && kept != nil:
 		h := &fl.rep.head
 		*h = httpwire.Head{Status: kept.status, Reason: http.StatusText(kept.status), Length: int64(len(kept.body))}
 		if kept.contentType != "" {
 			h.Fields = append(h.Fields, httpwire.Field{Name: "Content-Type", Value: kept.contentType})
 		}
 		fl.rep.body = kept.body
-		return choice.OK
+		return policy.OK
 	}
-	return choice.Reset
+	return policy.Reset
 }
 
 // tellFate answers another site's ask.
@@ -256,7 +256,7 @@
 		l.arrivals.Settled(c.crossed)
 	}
 	c.crossed = id
-	if fate, ok := l.arrivals.Come(time.Now(), id); !ok && fate == sites.Never {
+	if fate, ok := l.arrivals.Come(time.Now(), id); !ok && fate == multisite.Never {
 		return &badRequest{status: http.StatusConflict, text: "the crossing is void or can't be remembered"}
 	} else if !ok {
 		return &badRequest{status: http.StatusBadGateway, text: "the crossing has come before", mayRun: true}
@@ -268,15 +268,15 @@
 // left notes the fate of a crossing that has its final answer.
 func (c *client) left() {
 	l, fl := c.f.in.link, &c.fl
-	fate, kept := sites.Unknown, any(nil)
+	fate, kept := multisite.Unknown, any(nil)
 	switch {
 	case fl.answer == served:
-		fate = sites.Ran
+		fate = multisite.Ran
 		if h := &fl.rep.head; len(fl.rep.body) <= keptAnswer && fl.head.Method != http.MethodHead && h.Status != http.StatusNoContent && h.Status != http.StatusNotModified {
 			kept = &keptReply{h.Status, h.Get("Content-Type"), fl.rep.body}
 		}
 	case !fl.mayRun:
-		fate = sites.Never
+		fate = multisite.Never
 	}
 	l.mu.Lock()
 	l.arrivals.Ended(time.Now(), fl.crossingID, fate, kept)
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -13,7 +13,7 @@
 
 	"mulleinmux/internal/httpwire"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/sites"
+	"mulleinmux/multisite"
 )
 
 // way is the network between two sites: a forwarder whose connections can be broken, or kept from the far side
@@ -435,7 +435,7 @@
 	h := newHalls(t)
 	h.server("hall-a", "s1")
 	r := start(t, h, 1, func(c *Config) {
-		c.Keys = &sites.Config{Me: 1, Incarnation: 1, Lease: time.Second, Life: time.Second, Memory: time.Second, Most: 10}
+		c.Keys = &multisite.Config{Me: 1, Incarnation: 1, Lease: time.Second, Life: time.Second, Memory: time.Second, Most: 10}
 	})
 	f := &front{in: r.Instance}
 	number := func(body string, fields ...string) uint64 {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"mulleinmux/internal/peers"
+	"mulleinmux/internal/gossip"
 )
 
 // Licensee is what the configuration says of a licensee.
@@ -58,9 +58,9 @@
 	defer ln.Close()
 	switch {
 	case cfg.peerConn != nil:
-		in.peers = peers.On(cfg.peerConn, cfg.Settings.Me, cfg.Peers, cfg.PeerListen)
+		in.peers = gossip.On(cfg.peerConn, cfg.Settings.Me, cfg.Peers, cfg.PeerListen)
 	case cfg.PeerListen.IsValid():
-		if in.peers, err = peers.Listen(cfg.PeerListen, cfg.Settings.Me, cfg.Peers, cfg.PeerListen); err != nil {
+		if in.peers, err = gossip.Listen(cfg.PeerListen, cfg.Settings.Me, cfg.Peers, cfg.PeerListen); err != nil {
 			return err
 		}
 	}
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -13,10 +13,10 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/internal/discovery"
 	"mulleinmux/internal/httpwire"
-	"mulleinmux/internal/load"
-	"mulleinmux/internal/register"
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/policy"
 )
 
 const (
@@ -100,25 +100,25 @@
 
 // update takes in entries of a list and returns the connections that are of no more use,
 // for the caller to close. A server that drains, moved, restarted or is gone keeps none.
-func (u *servers) update(entries []register.Instance) (stale []*conn) {
+func (u *servers) update(entries []discovery.Instance) (stale []*conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, e := range entries {
 		s := u.byID[e.ID]
-		if s != nil && (e.State == choice.Removed || s.addr != e.Addr || s.boot != e.Boot) {
+		if s != nil && (e.State == policy.Removed || s.addr != e.Addr || s.boot != e.Boot) {
 			stale = append(stale, s.idle...)
 			s.up, s.idle = false, nil
 			delete(u.byID, e.ID)
 			s = nil
 		}
-		if e.State == choice.Removed {
+		if e.State == policy.Removed {
 			continue
 		}
 		if s == nil {
 			s = &server{id: e.ID, addr: e.Addr, boot: e.Boot}
 			u.byID[e.ID] = s
 		}
-		if s.up = e.State == choice.Up; !s.up {
+		if s.up = e.State == policy.Up; !s.up {
 			stale, s.idle = append(stale, s.idle...), nil
 		}
 	}
@@ -377,7 +377,7 @@
 // exchange writes a request to a server, once at most, and reads the whole answer into
 // rep. word appends the request to a buffer. It ends when until has come or k is given up;
 // the connection is closed by then.
-func (u *servers) exchange(ctx context.Context, k *call, id string, until time.Time, headOnly bool, rep *reply, word func([]byte) []byte) choice.Result {
+func (u *servers) exchange(ctx context.Context, k *call, id string, until time.Time, headOnly bool, rep *reply, word func([]byte) []byte) policy.Result {
 	rep.whole, rep.since, rep.body = false, time.Time{}, nil
 	dctx, cancel := ctx, context.CancelFunc(nil)
 	if time.Until(until) < u.dialer.Timeout {
@@ -386,14 +386,14 @@
 	}
 	c, err := u.take(dctx, id, k.dialing)
 	if errors.Is(err, errBudget) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-		return choice.Moot // no fault of the server's
+		return policy.Moot // no fault of the server's
 	}
 	if err != nil {
 		return neverSent(k, until)
 	}
 	if !k.begin(c, until) {
 		u.discard(c)
-		return choice.Cancelled
+		return policy.Cancelled
 	}
 	c.out = word(c.out[:0])
 	if _, err = c.nc.Write(c.out); err != nil {
@@ -413,17 +413,17 @@
 	if err != nil {
 		switch {
 		case !asWas:
-			result = choice.Cancelled
+			result = policy.Cancelled
 		case errors.Is(err, os.ErrDeadlineExceeded) && !c.got:
-			result = choice.TimedOut
+			result = policy.TimedOut
 			u.distrust(c.of)
 		case errors.Is(err, os.ErrDeadlineExceeded) || answered(err):
-			result = choice.ErrorAnswer // half an answer, or one that can't be read, is no silence
+			result = policy.ErrorAnswer // half an answer, or one that can't be read, is no silence
 		default:
-			result = choice.Reset
+			result = policy.Reset
 		}
 	}
-	if result == choice.OK || result == choice.Full || result == choice.ErrorAnswer {
+	if result == policy.OK || result == policy.Full || result == policy.ErrorAnswer {
 		rep.since = c.made
 	}
 	return result
@@ -441,22 +441,22 @@
 
 // neverSent is the result of an attempt whose last byte was not written. Where its own
 // time ended first, that says nothing of the server.
-func neverSent(k *call, until time.Time) choice.Result {
+func neverSent(k *call, until time.Time) policy.Result {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
 	case k.ended:
-		return choice.Cancelled
+		return policy.Cancelled
 	case !time.Now().Before(until):
-		return choice.Moot
+		return policy.Moot
 	}
-	return choice.ConnectFailed
+	return policy.ConnectFailed
 }
 
 var errNoLength = errors.New("answer does not tell its length")
 
 // read reads the whole answer and tells whether the connection can be used again.
-func (c *conn) read(rep *reply, headOnly bool) (result choice.Result, reuse bool, err error) {
+func (c *conn) read(rep *reply, headOnly bool) (result policy.Result, reuse bool, err error) {
 	for {
 		if err := c.rd.Answer(&rep.head); err != nil {
 			return 0, false, err
@@ -488,7 +488,7 @@
 		}
 	}
 	if h.Status < 200 {
-		return choice.ErrorAnswer, false, nil // 101: what follows is no HTTP
+		return policy.ErrorAnswer, false, nil // 101: what follows is no HTTP
 	}
 	// What stands behind the answer belongs to no request: the next one would take it for its own.
 	return judge(h), !h.Close && c.rd.Buffered() == 0, nil
@@ -496,24 +496,24 @@
 
 // judge says what an answer means. An answer that promises that trying again does no
 // harm is a server's to give only with the word that it never ran.
-func judge(h *httpwire.Head) choice.Result {
+func judge(h *httpwire.Head) policy.Result {
 	neverRan := h.Status == 429 || h.Status == 503 || h.Status == 504
 	switch {
 	case neverRan && h.Get("X-Never-Ran") == "1":
-		return choice.Full
+		return policy.Full
 	case neverRan || h.Status >= 500 || h.Status == 408:
-		return choice.ErrorAnswer
+		return policy.ErrorAnswer
 	}
-	return choice.OK
+	return policy.OK
 }
 
 // report returns an answer's load report, or nil.
-func (r *reply) report() *choice.Load {
+func (r *reply) report() *policy.Load {
 	if r.since.IsZero() {
 		return nil
 	}
 	if text, n := r.head.Values("Endpoint-Load-Metrics"); n > 0 {
-		return load.Parse(text)
+		return loadreport.Parse(text)
 	}
 	return nil
 }
--- a/internal/gatefile/fleet.go
+++ b/internal/gatewayconfig/fleet.go
@@ -1,4 +1,4 @@
-package gatefile
+package gatewayconfig
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 	"mulleinmux/internal/gateway"
 )
 
@@ -63,27 +63,27 @@
 		out.Objects[kind][name] = text
 	}
 	for i, h := range c.Halls {
-		put("hall", h.Name, fleetconfig.Hall{Register: h.Register.String(), Closed: in.Halls[i].Closed})
+		put("hall", h.Name, clusterconfig.Hall{Register: h.Register.String(), Closed: in.Halls[i].Closed})
 	}
 	for _, k := range c.Classes {
-		put("class", k.Name, fleetconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()})
+		put("class", k.Name, clusterconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()})
 	}
 	for _, p := range in.Plans {
-		put("plan", p.Name, fleetconfig.Plan{Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack,
+		put("plan", p.Name, clusterconfig.Plan{Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack,
 			Open: p.Open, Price: p.Price, OverWorth: p.OverWorth, OverCost: p.OverCost})
 	}
 	for name, l := range c.Licensees {
-		put("licensee", name, fleetconfig.Licensee{Plan: l.Plan})
+		put("licensee", name, clusterconfig.Licensee{Plan: l.Plan})
 	}
 	for i, f := range in.Followers {
 		if _, twice := out.Objects["follower"][f.Name]; f.Name == "" || twice {
 			r.bad(fmt.Sprintf("follower[%d].name", i), "%q is empty or stands twice", f.Name)
 			continue
 		}
-		put("follower", f.Name, fleetconfig.Follower{Note: f.Note, Pin: f.Pin})
+		put("follower", f.Name, clusterconfig.Follower{Note: f.Note, Pin: f.Pin})
 	}
 	if in.MostUnits > 0 {
-		put("limit", "units", fleetconfig.Limit{Most: in.MostUnits})
+		put("limit", "units", clusterconfig.Limit{Most: in.MostUnits})
 	}
 	if len(r.problems) > 0 {
 		return nil, r.problems
--- a/internal/gatefile/gatefile.go
+++ b/internal/gatewayconfig/gatefile.go
@@ -1,6 +1,6 @@
 // Package gatefile reads the operators' file of a gateway instance (TOML). An error names
 // the file, the line and the field, and nothing of a file that has one is used.
-package gatefile
+package gatewayconfig
 
 import (
 	"bytes"
@@ -13,11 +13,11 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"mulleinmux/choice"
-	"mulleinmux/contract"
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/discovery"
 	"mulleinmux/internal/gateway"
-	"mulleinmux/internal/register"
+	"mulleinmux/policy"
+	"mulleinmux/routing"
 )
 
 // File is a file that was read.
@@ -44,7 +44,7 @@
 	Member      uint64
 	Data, Certs string // file and folder, as written
 	Tick        time.Duration
-	Members     map[uint64]fleetconfig.Member
+	Members     map[uint64]clusterconfig.Member
 	Stream      string // address for followers; empty: none are served
 
 	KeysAnywhere bool
@@ -170,10 +170,10 @@
 type reader struct {
 	file     string
 	text     []byte
-	problems contract.Problems
+	problems routing.Problems
 }
 
-// Parse reads a file's text. The error is [contract.Problems].
+// Parse reads a file's text. The error is [routing.Problems].
 func Parse(file string, text []byte) (*File, error) {
 	r := &reader{file: file, text: text}
 	var in raw
@@ -195,22 +195,22 @@
 	if strict, ok := errors.AsType[*toml.StrictMissingError](err); ok {
 		for _, e := range strict.Errors {
 			row, col := e.Position()
-			r.problems = append(r.problems, contract.Problem{File: r.file, Pos: contract.Pos{Line: row, Column: col},
+			r.problems = append(r.problems, routing.Problem{File: r.file, Pos: routing.Pos{Line: row, Column: col},
 				Field: strings.Join(e.Key(), "."), Text: "is no field of this file"})
 		}
 		return
 	}
-	p := contract.Problem{File: r.file, Text: strings.TrimPrefix(err.Error(), "toml: ")}
+	p := routing.Problem{File: r.file, Text: strings.TrimPrefix(err.Error(), "toml: ")}
 	if e, ok := errors.AsType[*toml.DecodeError](err); ok {
 		row, col := e.Position()
-		p.Pos, p.Field = contract.Pos{Line: row, Column: col}, strings.Join(e.Key(), ".")
+		p.Pos, p.Field = routing.Pos{Line: row, Column: col}, strings.Join(e.Key(), ".")
 	}
 	r.problems = append(r.problems, p)
 }
 
 // bad adds a problem of a field such as "plan[2].rate".
 func (r *reader) bad(field, format string, args ...any) {
-	r.problems = append(r.problems, contract.Problem{File: r.file, Pos: contract.Pos{Line: locate(r.text, field)}, Field: field,
+	r.problems = append(r.problems, routing.Problem{File: r.file, Pos: routing.Pos{Line: locate(r.text, field)}, Field: field,
 		Text: fmt.Sprintf(format, args...)})
 }
 
@@ -250,7 +250,7 @@
 }
 
 func (r *reader) address(field, v string) netip.AddrPort {
-	a, err := register.Address(field, v)
+	a, err := discovery.Address(field, v)
 	if err != nil {
 		r.bad(field, "%q is no address with a port, such as \"127.0.0.1:8080\"", v)
 	}
@@ -318,7 +318,7 @@
 	}{{"description", in.Description != ""}, {"hall", len(in.Halls) > 0}, {"class", len(in.Classes) > 0}, {"plan", len(in.Plans) > 0},
 		{"licensee", len(in.Licensees) > 0}, {"limits.most_units", in.Limits.MostUnits != 0}} {
 		if f.there {
-			r.bad(f.field, "is agreed on by the cluster: it belongs into the file of mulleingate config apply")
+			r.bad(f.field, "is agreed on by the cluster: it belongs into the file of gateway config apply")
 		}
 	}
 	if in.Zone == "" {
@@ -382,7 +382,7 @@
 // cluster reads an instance's place in a cluster, which agrees on the rest.
 func (r *reader) cluster(in *raw, out *File) {
 	c := in.Cluster
-	k := &Cluster{Name: c.Name, Member: c.Number, Data: c.Data, Certs: c.Certs, Tick: c.Tick.d, Members: map[uint64]fleetconfig.Member{}}
+	k := &Cluster{Name: c.Name, Member: c.Number, Data: c.Data, Certs: c.Certs, Tick: c.Tick.d, Members: map[uint64]clusterconfig.Member{}}
 	out.Cluster = k
 	r.need("cluster", [][2]string{{"name", c.Name}, {"data", c.Data}, {"certs", c.Certs}})
 	if strings.Contains(c.Name, "/") {
@@ -393,7 +393,7 @@
 		if _, twice := k.Members[m.Number]; m.Number == 0 || twice {
 			r.bad(at+".number", "%d is 0 or stands twice", m.Number)
 		}
-		k.Members[m.Number] = fleetconfig.Member{Raft: r.address(at+".raft", m.Raft).String(), Admin: r.address(at+".admin", m.Admin).String()}
+		k.Members[m.Number] = clusterconfig.Member{Raft: r.address(at+".raft", m.Raft).String(), Admin: r.address(at+".admin", m.Admin).String()}
 	}
 	if _, ok := k.Members[c.Number]; !ok {
 		r.bad("cluster.number", "%d is no [[cluster.member]] of this file", c.Number)
@@ -463,10 +463,10 @@
 	}
 	c.MaxClients, c.MaxServers = l.Clients, l.Servers
 	c.ConnectTimeout, c.ConnIdle, c.DrainFor = l.ConnectTimeout.d, l.ConnIdle.d, l.DrainFor.d
-	c.Settings = choice.Settings{Me: in.Instance, Instances: n, Zone: in.Zone,
+	c.Settings = policy.Settings{Me: in.Instance, Instances: n, Zone: in.Zone,
 		AnswerSlack: l.AnswerSlack.d, DrainGrace: s.DrainGrace.d, ColdFrom: s.ColdFrom, RampTime: s.RampTime.d,
 		FallMultiple: s.FallMultiple, OverloadFor: s.OverloadFor.d, MaxAttempts: l.MaxAttempts, Cancel: true, Peers: n > 1, Probes: true,
-		RetryAfter: true, MaxRetryAfter: l.MaxRetryAfter.d, Report: choice.ReportProbes, InboxPerS: l.InboxPerS,
+		RetryAfter: true, MaxRetryAfter: l.MaxRetryAfter.d, Report: policy.ReportProbes, InboxPerS: l.InboxPerS,
 		MostUnits: float64(l.MostUnits), Tick: 2 * time.Millisecond, PriceCross: 0.01, PricePeer: 0.03, PriceProbe: 0.01, PriceWaste: 0.05}
 	if c.Settings.MaxRetryAfter == 0 {
 		c.Settings.MaxRetryAfter = 2 * time.Second
@@ -496,7 +496,7 @@
 			r.bad(at+".aim", "%v is past the deadline %v", k.Aim.d, k.Deadline.d)
 		}
 		names[k.Name] = true
-		c.Classes = append(c.Classes, contract.Class{Name: k.Name, Worth: k.Worth, Late: k.Late, Aim: k.Aim.d, Deadline: k.Deadline.d})
+		c.Classes = append(c.Classes, routing.Class{Name: k.Name, Worth: k.Worth, Late: k.Late, Aim: k.Aim.d, Deadline: k.Deadline.d})
 	}
 }
 
@@ -523,7 +523,7 @@
 		if p.CeilingRate > 0 && (p.CeilingBurst <= 0 || p.CeilingRate < p.Rate) {
 			r.bad(at+".ceiling_rate", "a ceiling needs a burst and lies above the rate")
 		}
-		c.Settings.Plans = append(c.Settings.Plans, choice.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, CeilingRate: p.CeilingRate,
+		c.Settings.Plans = append(c.Settings.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, CeilingRate: p.CeilingRate,
 			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverWorth: p.OverWorth, OverCost: p.OverCost})
 	}
 	c.Licensees = map[string]gateway.Licensee{}
--- a/internal/gatefile/link_test.go
+++ b/internal/gatewayconfig/link_test.go
@@ -1,4 +1,4 @@
-package gatefile
+package gatewayconfig
 
 import (
 	"slices"
--- a/internal/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -1,5 +1,5 @@
 // Package peers is the datagram socket over which the nodes of a tier message one another.
-package peers
+package gossip
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // errorPause is waited after an error of the socket.
@@ -68,7 +68,7 @@
 
 func (p *Socket) send(peer int, message []byte) error {
 	to := p.all
-	if peer != choice.AllPeers {
+	if peer != policy.AllPeers {
 		if peer < 0 || peer >= len(p.addrs) {
 			return fmt.Errorf("message to unknown peer %d", peer)
 		}
--- a/internal/peers/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // patience bounds every wait of a test; none is expected to come near it.
@@ -45,7 +45,7 @@
 		t.Errorf("heard %q, want the peer's message alone", got)
 	}
 
-	for peer, c := range map[int]*net.UDPConn{1: other, choice.AllPeers: all} {
+	for peer, c := range map[int]*net.UDPConn{1: other, policy.AllPeers: all} {
 		if err := p.send(peer, []byte("hello")); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/floors/floors_test.go
+++ b/internal/layering/layering_test.go
@@ -1,5 +1,5 @@
-// Package floors holds the repository to the order of its packages: see docs/ARCHITECTURE.md.
-package floors
+// Package layering holds the repository to the order of its packages: see docs/ARCHITECTURE.md.
+package layering
 
 import (
 	"go/ast"
@@ -15,15 +15,15 @@
 // floor of each package; a package may import those of its own floor and below, floor 1
 // only its own.
 var floor = map[string]int{
-	"choice": 1, "contract": 1, "parts": 1, "outage": 1, "internal/splitmix": 1, "confstream": 1, "fleetconfig": 1, "sites": 1,
-	"internal/wire": 2, "internal/httpwire": 2, "internal/load": 2, "internal/openapi": 2, "deploy": 2,
-	"internal/register": 3, "internal/peers": 3, "internal/node": 3, "internal/raftnode": 3, "internal/gateway": 3, "internal/gatefile": 3, "internal/standin": 3, "internal/fleet": 3, "internal/streamwire": 3,
-	"internal/lab": 4, "internal/bench": 4, "internal/floors": 4,
-	"cmd/mulleinmux": 5, "cmd/mulleingate": 5, "cmd/drill": 5, "internal/streamwire/gen": 5,
+	"policy": 1, "routing": 1, "subset": 1, "zonehealth": 1, "internal/splitmix": 1, "configstream": 1, "clusterconfig": 1, "multisite": 1,
+	"internal/simwire": 2, "internal/httpwire": 2, "internal/loadreport": 2, "internal/openapi": 2, "deploy": 2,
+	"internal/discovery": 3, "internal/gossip": 3, "internal/edgeproxy": 3, "internal/raftnode": 3, "internal/gateway": 3, "internal/gatewayconfig": 3, "internal/testserver": 3, "internal/fixture": 3, "internal/cluster": 3, "internal/configstreampb": 3,
+	"internal/scenario": 4, "internal/benchmark": 4, "internal/layering": 4,
+	"cmd/edgeproxy": 5, "cmd/gateway": 5, "cmd/simadapter": 5, "internal/configstreampb/gen": 5,
 }
 
 // rigs are used by tests and the lab alone.
-var rigs = []string{"internal/standin", "internal/lab", "internal/bench"}
+var rigs = []string{"internal/fixture", "internal/testserver", "internal/scenario", "internal/benchmark"}
 
 func list(t *testing.T, args ...string) []string {
 	t.Helper()
@@ -105,15 +105,15 @@
 
 // The edge node links nothing but this repository and the standard library.
 func TestEdgeNodeIsLean(t *testing.T) {
-	deps := list(t, "-deps", "mulleinmux/cmd/mulleinmux")
-	if !slices.Contains(deps, "mulleinmux/choice") {
+	deps := list(t, "-deps", "mulleinmux/cmd/edgeproxy")
+	if !slices.Contains(deps, "mulleinmux/policy") {
 		t.Fatalf("not the edge node: %v", deps)
 	}
 	for _, dep := range deps {
 		if first, _, _ := strings.Cut(dep, "/"); strings.Contains(first, ".") && first != "vendor" {
 			t.Errorf("links %s", dep)
 		}
-		if own, ours := strings.CutPrefix(dep, "mulleinmux/"); ours && (own == "contract" || own == "internal/gateway" || own == "internal/httpwire") {
+		if own, ours := strings.CutPrefix(dep, "mulleinmux/"); ours && (own == "routing" || own == "internal/gateway" || own == "internal/httpwire") {
 			t.Errorf("links %s", dep)
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/loadreport/load.go
@@ -1,11 +1,11 @@
 // Package load reads the load reports of app servers.
-package load
+package loadreport
 
 import (
 	"strconv"
 	"strings"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // Most that a figure of a load report can be: reports are noisy, but a core can't be
@@ -18,12 +18,12 @@
 // Parse parses a load report such as "TEXT inflight=7, queue=2, util=0.61".
 // Unknown names and figures that can't be are skipped; nil means that there is no
 // report in the text.
-func Parse(text string) *choice.Load {
+func Parse(text string) *policy.Load {
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT")
 	if !ok {
 		return nil
 	}
-	l := choice.Load{InFlight: -1, Queue: -1, Util: -1}
+	l := policy.Load{InFlight: -1, Queue: -1, Util: -1}
 	for _, pair := range strings.Split(text, ",") {
 		name, val, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		x, ok := Decimal(val)
--- a/internal/openapi/check.go
+++ b/internal/openapi/check.go
@@ -14,8 +14,8 @@
 	"github.com/getkin/kin-openapi/openapi3filter"
 	"github.com/getkin/kin-openapi/routers"
 
-	"mulleinmux/contract"
 	"mulleinmux/internal/httpwire"
+	"mulleinmux/routing"
 )
 
 // Checker checks requests against all that a description says of parameters and bodies.
@@ -39,7 +39,7 @@
 }
 
 // Check returns what is wrong with a request of an operation, or nil.
-func (c *Checker) Check(op *contract.Operation, head *httpwire.Head, body []byte) error {
+func (c *Checker) Check(op *routing.Operation, head *httpwire.Head, body []byte) error {
 	path, values := op.Path(head.Target)
 	route := c.routes[place{op.Method, path}]
 	if route == nil {
--- a/internal/openapi/read.go
+++ b/internal/openapi/read.go
@@ -15,7 +15,7 @@
 	"github.com/getkin/kin-openapi/openapi3"
 	"go.yaml.in/yaml/v4"
 
-	"mulleinmux/contract"
+	"mulleinmux/routing"
 )
 
 // Bounds on a description.
@@ -36,12 +36,12 @@
 
 // Description is a description that was read.
 type Description struct {
-	Doc  *contract.Document
+	Doc  *routing.Document
 	spec *openapi3.T
 }
 
 // Read parses and validates a description. file names it in problems. The error is
-// [contract.Problems].
+// [routing.Problems].
 func Read(file string, text []byte) (*Description, error) {
 	r := &reader{file: file, text: text, sizes: map[*yaml.Node]int{}}
 	if len(text) > MaxBytes {
@@ -84,12 +84,12 @@
 }
 
 // Compile reads a description and compiles it.
-func Compile(file string, text []byte, opt contract.Options) (*contract.Table, *Description, error) {
+func Compile(file string, text []byte, opt routing.Options) (*routing.Table, *Description, error) {
 	d, err := Read(file, text)
 	if err != nil {
 		return nil, nil, err
 	}
-	t, err := contract.Compile(d.Doc, opt)
+	t, err := routing.Compile(d.Doc, opt)
 	return t, d, err
 }
 
@@ -99,14 +99,14 @@
 	root     *yaml.Node         // nil once what is needed of it was taken
 	sizes    map[*yaml.Node]int // of what aliases stand for; -1 while being counted
 	total    int
-	problems contract.Problems
+	problems routing.Problems
 }
 
 // parse makes the tree.
 func (r *reader) parse() {
 	var root yaml.Node
 	if err := yaml.Unmarshal(r.text, &root); err != nil {
-		r.problems = append(r.problems, contract.Problem{File: r.file, Text: strings.TrimSpace(err.Error())})
+		r.problems = append(r.problems, routing.Problem{File: r.file, Text: strings.TrimSpace(err.Error())})
 		return
 	}
 	if root.Kind != yaml.DocumentNode || len(root.Content) != 1 || root.Content[0].Kind != yaml.MappingNode {
@@ -117,9 +117,9 @@
 }
 
 func (r *reader) problem(n *yaml.Node, field, format string, args ...any) {
-	p := contract.Problem{File: r.file, Field: field, Text: fmt.Sprintf(format, args...)}
+	p := routing.Problem{File: r.file, Field: field, Text: fmt.Sprintf(format, args...)}
 	if n != nil {
-		p.Pos = contract.Pos{Line: n.Line, Column: n.Column}
+		p.Pos = routing.Pos{Line: n.Line, Column: n.Column}
 	}
 	if len(r.problems) < mostTold {
 		r.problems = append(r.problems, p)
@@ -316,11 +316,11 @@
 	return b
 }
 
-func pos(n *yaml.Node) contract.Pos {
+func pos(n *yaml.Node) routing.Pos {
 	if n == nil {
-		return contract.Pos{}
+		return routing.Pos{}
 	}
-	return contract.Pos{Line: n.Line, Column: n.Column}
+	return routing.Pos{Line: n.Line, Column: n.Column}
 }
 
 // library takes over what the library found, each with the nearest place that its
@@ -370,19 +370,19 @@
 }
 
 // outline takes over places and extensions of all paths and operations.
-func (r *reader) outline() *contract.Document {
-	doc := &contract.Document{File: r.file, Rules: r.rules(r.root)}
+func (r *reader) outline() *routing.Document {
+	doc := &routing.Document{File: r.file, Rules: r.rules(r.root)}
 	paths := get(r.root, "paths")
 	if paths == nil || paths.Kind != yaml.MappingNode {
 		return doc
 	}
 	for i := 0; i+1 < len(paths.Content); i += 2 {
 		key, node := paths.Content[i], r.deref(paths.Content[i+1])
-		p := contract.Path{Template: key.Value, Pos: pos(key), Rules: r.rules(node)}
+		p := routing.Path{Template: key.Value, Pos: pos(key), Rules: r.rules(node)}
 		for j := 0; node != nil && node.Kind == yaml.MappingNode && j+1 < len(node.Content); j += 2 {
 			name := strings.ToUpper(node.Content[j].Value)
 			if slices.Contains(methods, name) && node.Content[j].Value == strings.ToLower(name) {
-				p.Methods = append(p.Methods, contract.Method{Name: name, Pos: pos(node.Content[j]), Rules: r.rules(plain(node.Content[j+1]))})
+				p.Methods = append(p.Methods, routing.Method{Name: name, Pos: pos(node.Content[j]), Rules: r.rules(plain(node.Content[j+1]))})
 			}
 		}
 		doc.Paths = append(doc.Paths, p)
@@ -393,7 +393,7 @@
 var methods = []string{"GET", "PUT", "POST", "DELETE", "OPTIONS", "HEAD", "PATCH", "TRACE"}
 
 // fill takes over the content from the library, with references resolved.
-func (r *reader) fill(doc *contract.Document, spec *openapi3.T) {
+func (r *reader) fill(doc *routing.Document, spec *openapi3.T) {
 	doc.Version = spec.Info.Version
 	known := doc.Paths[:0]
 	for _, p := range doc.Paths {
@@ -411,7 +411,7 @@
 	doc.Paths = known
 }
 
-func (r *reader) method(spec *openapi3.T, item *openapi3.PathItem, op *openapi3.Operation, m *contract.Method, path string) {
+func (r *reader) method(spec *openapi3.T, item *openapi3.PathItem, op *openapi3.Operation, m *routing.Method, path string) {
 	m.ID = op.OperationID
 	servers := spec.Servers
 	if len(item.Servers) > 0 {
@@ -423,7 +423,7 @@
 	for _, s := range servers {
 		base, err := basePath(s)
 		if err != nil {
-			r.problems = append(r.problems, contract.Problem{File: r.file, Pos: m.Pos,
+			r.problems = append(r.problems, routing.Problem{File: r.file, Pos: m.Pos,
 				Field: "paths." + path + "." + strings.ToLower(m.Name) + ".servers", Text: err.Error()})
 		}
 		m.Bases = append(m.Bases, base)
@@ -433,7 +433,7 @@
 		for _, ref := range params {
 			if p := ref.Value; p != nil && !seen[[2]string{p.In, p.Name}] {
 				seen[[2]string{p.In, p.Name}] = true
-				param := contract.Param{Name: p.Name, In: p.In}
+				param := routing.Param{Name: p.Name, In: p.In}
 				if s := schema(p.Schema, 0); s != nil {
 					param.Schema = *s
 				}
@@ -453,13 +453,13 @@
 
 // schema takes over a schema; its properties are looked up when they are asked for, so
 // that one which holds itself has an end.
-func schema(ref *openapi3.SchemaRef, depth int) *contract.Schema {
+func schema(ref *openapi3.SchemaRef, depth int) *routing.Schema {
 	if ref == nil || ref.Value == nil || depth > mostParts {
 		return nil
 	}
 	s := ref.Value
-	out := &contract.Schema{Integer: s.Type.Is("integer"), Minimum: s.Min, Maximum: s.Max}
-	out.Properties = func(name string) *contract.Schema {
+	out := &routing.Schema{Integer: s.Type.Is("integer"), Minimum: s.Min, Maximum: s.Max}
+	out.Properties = func(name string) *routing.Schema {
 		if p := s.Properties[name]; p != nil {
 			return schema(p, 0)
 		}
@@ -506,7 +506,7 @@
 }
 
 // rules returns a node's own extension, or nil.
-func (r *reader) rules(n *yaml.Node) *contract.Value {
+func (r *reader) rules(n *yaml.Node) *routing.Value {
 	_, val := entry(n, extension)
 	if val == nil {
 		return nil
@@ -515,26 +515,26 @@
 	return &v
 }
 
-func value(n *yaml.Node, depth int) contract.Value {
-	v := contract.Value{Pos: pos(n), Kind: contract.Other}
+func value(n *yaml.Node, depth int) routing.Value {
+	v := routing.Value{Pos: pos(n), Kind: routing.Other}
 	if n = plain(n); n == nil || depth > 8 {
 		return v
 	}
 	switch n.Kind {
 	case yaml.MappingNode:
-		v.Kind = contract.Mapping
+		v.Kind = routing.Mapping
 		for i := 0; i+1 < len(n.Content); i += 2 {
-			v.Fields = append(v.Fields, contract.Field{Name: n.Content[i].Value, Pos: pos(n.Content[i]), Value: value(n.Content[i+1], depth+1)})
+			v.Fields = append(v.Fields, routing.Field{Name: n.Content[i].Value, Pos: pos(n.Content[i]), Value: value(n.Content[i+1], depth+1)})
 		}
 	case yaml.ScalarNode:
 		v.Text = n.Value
 		switch n.ShortTag() {
 		case "!!int", "!!float":
-			v.Kind = contract.Number
+			v.Kind = routing.Number
 		case "!!bool":
-			v.Kind = contract.Bool
+			v.Kind = routing.Bool
 		case "!!str":
-			v.Kind = contract.Text
+			v.Kind = routing.Text
 		}
 	}
 	return v
--- a/internal/openapi/read_test.go
+++ b/internal/openapi/read_test.go
@@ -10,12 +10,12 @@
 	"syscall"
 	"testing"
 
-	"mulleinmux/contract"
 	"mulleinmux/internal/httpwire"
+	"mulleinmux/routing"
 )
 
-func options() contract.Options {
-	return contract.Options{Classes: []contract.Class{
+func options() routing.Options {
+	return routing.Options{Classes: []routing.Class{
 		{Name: "slot-check", Worth: 3, Aim: 400e6, Deadline: 2e9},
 		{Name: "visit-book", Worth: 9, Late: 0.2, Aim: 750e6, Deadline: 2e9}}, MostUnits: 50}
 }
@@ -98,7 +98,7 @@
 	if u := tab.Operations[0].Units; u.Least != 2 || u.Most != 7 {
 		t.Errorf("%+v", u)
 	}
-	if u := tab.Operations[1].Units; u.Source.In != contract.InBody || u.Most != 5 {
+	if u := tab.Operations[1].Units; u.Source.In != routing.InBody || u.Most != 5 {
 		t.Errorf("%+v", u)
 	}
 }
@@ -146,7 +146,7 @@
 		"a relative server":     {top + "servers: [{url: v1}]\npaths: {/a: {get: {" + ok + "}}}\n", "begins with a slash"},
 	} {
 		_, _, err := Compile("d.yaml", []byte(c.text), options())
-		if _, problems := errors.AsType[contract.Problems](err); !problems {
+		if _, problems := errors.AsType[routing.Problems](err); !problems {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
@@ -166,7 +166,7 @@
 		text += fmt.Sprintf("  /a%d: {get: {x-mulleinmux: {units: 0}, %s}}\n", i, ok)
 	}
 	_, _, err := Compile("d.yaml", []byte(text), options())
-	if ps, _ := errors.AsType[contract.Problems](err); len(ps) != 5 || ps[4].Pos.Line != 9 {
+	if ps, _ := errors.AsType[routing.Problems](err); len(ps) != 5 || ps[4].Pos.Line != 9 {
 		t.Errorf("%v", err)
 	}
 }
@@ -240,7 +240,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, _, err := Compile("d.yaml", text, options()); err != nil {
-			if _, problems := errors.AsType[contract.Problems](err); !problems {
+			if _, problems := errors.AsType[routing.Problems](err); !problems {
 				t.Errorf("%T: %v", err, err)
 			}
 		}
--- a/internal/raftnode/bolt.go
+++ b/internal/raftnode/bolt.go
@@ -50,7 +50,7 @@
 	ErrForeign = errors.New("the file belongs to another member or cluster")
 	// ErrRestored says that a file was put in its place after it was last written: an old
 	// copy may lack votes and entries that the member has promised to others.
-	ErrRestored = errors.New("the file was changed or put here after its member last wrote it: if it is an old copy, let this member join again under a new number; if it is the newest, moved here, say so with mulleingate init --adopt")
+	ErrRestored = errors.New("the file was changed or put here after its member last wrote it: if it is an old copy, let this member join again under a new number; if it is the newest, moved here, say so with gateway init --adopt")
 )
 
 // BoltDisk is a [Disk] in one file.
--- a/internal/raftnode/consent_test.go
+++ b/internal/raftnode/consent_test.go
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
-	"mulleinmux/fleetconfig"
-	"mulleinmux/sites"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/multisite"
 )
 
 // consenters are the members of a simulated cluster that confirm homes to each other, on the same faulty network.
 type consenters struct {
 	*cluster
 	starts   map[uint64]uint64
-	with     map[uint64]*sites.Consent
+	with     map[uint64]*multisite.Consent
 	of       map[uint64]*Core // the process that with belongs to
 	words    []consentLetter
 	moves    []uint64 // committed entries that change homes, by index
@@ -27,7 +27,7 @@
 type consentLetter struct {
 	at       int
 	from, to uint64
-	word     sites.ConsentWord
+	word     multisite.ConsentWord
 }
 
 func (c *consenters) clock(id uint64) time.Duration { // as differing as they come
@@ -53,7 +53,7 @@
 		}
 		if c.of[m.id] != m.core { // another process
 			c.starts[m.id]++
-			s, err := sites.NewConsent(sites.ConsentConfig{Me: m.id, Incarnation: c.starts[m.id]})
+			s, err := multisite.NewConsent(multisite.ConsentConfig{Me: m.id, Incarnation: c.starts[m.id]})
 			if err != nil {
 				c.fatalf("%v", err)
 			}
@@ -85,7 +85,7 @@
 		}
 		for last := m.core.rn.BasicStatus().GetCommit(); c.seen < last; {
 			c.seen++
-			if es, err := m.core.mem.Entries(c.seen, c.seen+1, 1<<30); err == nil && len(es) == 1 && len(es[0].GetData()) > 0 && fleetconfig.MovesHomes(es[0].GetData()) {
+			if es, err := m.core.mem.Entries(c.seen, c.seen+1, 1<<30); err == nil && len(es) == 1 && len(es[0].GetData()) > 0 && clusterconfig.MovesHomes(es[0].GetData()) {
 				c.moves = append(c.moves, c.seen)
 				c.commits[c.seen] = c.tick
 			}
@@ -94,7 +94,7 @@
 }
 
 // look checks the promise: no homes were agreed on by the time confirmed behind those in force.
-func (c *consenters) look(m *member, s *sites.Consent) {
+func (c *consenters) look(m *member, s *multisite.Consent) {
 	at, ok := s.Confirmed()
 	if !ok {
 		return
@@ -132,7 +132,7 @@
 	}
 	halves, confirms, moves := 0, 0, 0
 	for seed := range uint64(n) {
-		c := &consenters{cluster: newCluster(t, seed, 2+int(seed%4)), starts: map[uint64]uint64{}, with: map[uint64]*sites.Consent{}, of: map[uint64]*Core{}, commits: map[uint64]int{}}
+		c := &consenters{cluster: newCluster(t, seed, 2+int(seed%4)), starts: map[uint64]uint64{}, with: map[uint64]*multisite.Consent{}, of: map[uint64]*Core{}, commits: map[uint64]int{}}
 		ids := 0
 		for c.tick < 500 {
 			c.step()
@@ -150,9 +150,9 @@
 				ids++
 				p := proposal(fmt.Sprint("p", ids), "plan-1")
 				if c.rng.IntN(2) == 0 {
-					p.Changes = []fleetconfig.Change{{Op: "put", Kind: "hall", Name: "a", Value: json.RawMessage(fmt.Sprintf(`{"register":"127.0.0.1:%d"}`, 1+ids))}}
+					p.Changes = []clusterconfig.Change{{Op: "put", Kind: "hall", Name: "a", Value: json.RawMessage(fmt.Sprintf(`{"register":"127.0.0.1:%d"}`, 1+ids))}}
 				}
-				m.core.Propose(p, func(fleetconfig.Outcome, error) {})
+				m.core.Propose(p, func(clusterconfig.Outcome, error) {})
 				c.work(m)
 			}
 		}
--- a/internal/raftnode/core.go
+++ b/internal/raftnode/core.go
@@ -18,7 +18,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 )
 
 // Config is what a member is told at its start.
@@ -28,7 +28,7 @@
 	ElectionTicks int      // without a leader's message until an election; 10 where 0
 	SnapshotEvery uint64   // entries between snapshots; 2,000 where 0
 	KeepEntries   uint64   // behind a snapshot, for members that are a little late; 500 where 0
-	Validate      fleetconfig.Validator
+	Validate      clusterconfig.Validator
 	Logger        raft.Logger // nil: none
 }
 
@@ -67,7 +67,7 @@
 	rn      *raft.RawNode
 	mem     *raft.MemoryStorage // what disk holds, for the engine to read
 	disk    Disk
-	state   *fleetconfig.State
+	state   *clusterconfig.State
 	applied uint64
 	snapAt  uint64 // index of the last snapshot
 	snapNow bool   // the members have changed: a new one takes no snapshot that lacks it
@@ -79,13 +79,13 @@
 	ready   bool // a quorum has confirmed, since the start, a version that is applied here
 	reads   map[uint64]*read
 	readSeq uint64
-	waiting map[string][]func(fleetconfig.Outcome, error)
+	waiting map[string][]func(clusterconfig.Outcome, error)
 	changes map[string]func(error) // of members, by the context of the entry
 	sent    map[uint64]int         // ticks since a snapshot went to a member, until it is known what became of it
 	failed  error                  // why the member has stopped
 
 	// Applied, if set, is called after each entry of the state was applied.
-	Applied func(index uint64, id string, o fleetconfig.Outcome)
+	Applied func(index uint64, id string, o clusterconfig.Outcome)
 }
 
 // read is a read that waits for its index, and that index for being applied.
@@ -124,8 +124,8 @@
 	if cfg.Logger == nil {
 		cfg.Logger = quiet{}
 	}
-	c := &Core{cfg: cfg, mem: raft.NewMemoryStorage(), disk: disk, state: fleetconfig.New(cfg.Validate), conf: &pb.ConfState{},
-		reads: map[uint64]*read{}, waiting: map[string][]func(fleetconfig.Outcome, error){}, changes: map[string]func(error){}, sent: map[uint64]int{}}
+	c := &Core{cfg: cfg, mem: raft.NewMemoryStorage(), disk: disk, state: clusterconfig.New(cfg.Validate), conf: &pb.ConfState{},
+		reads: map[uint64]*read{}, waiting: map[string][]func(clusterconfig.Outcome, error){}, changes: map[string]func(error){}, sent: map[uint64]int{}}
 	if kept.HardState == nil && kept.Snapshot == nil && len(cfg.Voters) > 0 {
 		// Every member of a new cluster begins with the same snapshot of nothing, at index 1.
 		data, err := c.state.Snapshot()
@@ -169,7 +169,7 @@
 }
 
 // State is the configuration as applied here. It must not be changed.
-func (c *Core) State() *fleetconfig.State { return c.state }
+func (c *Core) State() *clusterconfig.State { return c.state }
 
 // Ready tells whether a quorum has confirmed, since this member's start, that the version
 // applied here was current then. Until it has, the member must send no traffic on.
@@ -258,8 +258,8 @@
 
 // Propose has a proposal applied, if it passes the check here. done is called with its
 // outcome once it is applied here, or with an error.
-func (c *Core) Propose(p *fleetconfig.Proposal, done func(fleetconfig.Outcome, error)) {
-	entry, err := fleetconfig.Encode(p)
+func (c *Core) Propose(p *clusterconfig.Proposal, done func(clusterconfig.Outcome, error)) {
+	entry, err := clusterconfig.Encode(p)
 	switch {
 	case err != nil:
 	case c.failed != nil:
@@ -274,7 +274,7 @@
 		}
 	}
 	if err != nil {
-		done(fleetconfig.Outcome{}, err)
+		done(clusterconfig.Outcome{}, err)
 		return
 	}
 	c.waiting[p.ID] = append(c.waiting[p.ID], done)
@@ -283,7 +283,7 @@
 // Forget ends the waiting for a proposal, whose outcome stays unknown here.
 func (c *Core) Forget(id string) {
 	for _, done := range c.waiting[id] {
-		done(fleetconfig.Outcome{}, ErrLost)
+		done(clusterconfig.Outcome{}, ErrLost)
 	}
 	delete(c.waiting, id)
 }
@@ -438,7 +438,7 @@
 		c.tail = slices.DeleteFunc(c.tail, func(i uint64) bool { return i >= first })
 	}
 	for _, e := range entries {
-		if e.GetType() != pb.EntryNormal || len(e.GetData()) > 0 && fleetconfig.MovesHomes(e.GetData()) {
+		if e.GetType() != pb.EntryNormal || len(e.GetData()) > 0 && clusterconfig.MovesHomes(e.GetData()) {
 			c.tail = append(c.tail, e.GetIndex())
 		}
 	}
@@ -555,7 +555,7 @@
 	for id, dones := range c.waiting {
 		delete(c.waiting, id)
 		for _, done := range dones {
-			done(fleetconfig.Outcome{}, errors.Join(ErrStopped, err))
+			done(clusterconfig.Outcome{}, errors.Join(ErrStopped, err))
 		}
 	}
 	for seq, r := range c.reads {
--- a/internal/raftnode/fixture_test.go
+++ b/internal/raftnode/fixture_test.go
@@ -17,7 +17,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 	"mulleinmux/internal/fixture"
 )
 
@@ -28,11 +28,11 @@
 func TestFixtureFile(t *testing.T) {
 	dir := t.TempDir()
 	fresh := filepath.Join(dir, "fresh.db")
-	text, err := fleetconfig.Encode(&fleetconfig.Proposal{ID: "p1", Changes: []fleetconfig.Change{fleetconfig.Put("plan", "kati", fleetconfig.Plan{Price: 1})}})
+	text, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: "p1", Changes: []clusterconfig.Change{clusterconfig.Put("plan", "kati", clusterconfig.Plan{Price: 1})}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := fleetconfig.New(nil)
+	state := clusterconfig.New(nil)
 	if _, _, err := state.Apply(text); err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 		!proto.Equal(k.Entries[0], entry(3, 4, "")) || !proto.Equal(k.Entries[1], entry(4, 4, "tail")) {
 		t.Errorf("start %d: %+v", d.Starts(), k)
 	}
-	if err := fleetconfig.New(nil).Restore(k.Snapshot.GetData()); err != nil {
+	if err := clusterconfig.New(nil).Restore(k.Snapshot.GetData()); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -13,7 +13,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 )
 
 // NodeConfig is what a [Node] is told.
@@ -82,7 +82,7 @@
 		n.send = cfg.Outgoing(n.net.send)
 	}
 	if cfg.Changed != nil {
-		core.Applied = func(uint64, string, fleetconfig.Outcome) { cfg.Changed() }
+		core.Applied = func(uint64, string, clusterconfig.Outcome) { cfg.Changed() }
 	}
 	n.net.start(ctx)
 	n.net.peers(cfg.Peers)
@@ -150,9 +150,9 @@
 
 // Propose has a proposal applied and returns its outcome. Where the answer is lost (a
 // leader that changed), it asks again under the same id until ctx ends: it is applied once.
-func (n *Node) Propose(ctx context.Context, p *fleetconfig.Proposal) (fleetconfig.Outcome, error) {
+func (n *Node) Propose(ctx context.Context, p *clusterconfig.Proposal) (clusterconfig.Outcome, error) {
 	type result struct {
-		o   fleetconfig.Outcome
+		o   clusterconfig.Outcome
 		err error
 	}
 	pause := 4 * n.cfg.Tick
@@ -167,9 +167,9 @@
 		got := make(chan result, 1)
 		var once sync.Once
 		if !n.do(ctx, func() {
-			n.core.Propose(p, func(o fleetconfig.Outcome, err error) { once.Do(func() { got <- result{o, err} }) })
+			n.core.Propose(p, func(o clusterconfig.Outcome, err error) { once.Do(func() { got <- result{o, err} }) })
 		}) {
-			return fleetconfig.Outcome{}, errors.Join(ErrStopped, last, ctx.Err())
+			return clusterconfig.Outcome{}, errors.Join(ErrStopped, last, ctx.Err())
 		}
 		again := time.NewTimer(patience)
 		select {
@@ -179,7 +179,7 @@
 				return r.o, nil
 			}
 			if !errors.Is(r.err, ErrNoLeader) && !errors.Is(r.err, ErrLost) {
-				return fleetconfig.Outcome{}, r.err
+				return clusterconfig.Outcome{}, r.err
 			}
 			last, away = r.err, away || errors.Is(r.err, ErrLost)
 			select {
@@ -198,14 +198,14 @@
 			if away {
 				last = ErrLost
 			}
-			return fleetconfig.Outcome{}, fmt.Errorf("%w: %w", last, ctx.Err())
+			return clusterconfig.Outcome{}, fmt.Errorf("%w: %w", last, ctx.Err())
 		}
 	}
 }
 
 // Read calls f with the state once all that was committed anywhere when it was asked is
 // applied here. f must not keep the state.
-func (n *Node) Read(ctx context.Context, f func(*fleetconfig.State)) error {
+func (n *Node) Read(ctx context.Context, f func(*clusterconfig.State)) error {
 	got := make(chan error, 1)
 	var mu sync.Mutex
 	over := false // f must not be called once Read has returned
@@ -266,8 +266,8 @@
 }
 
 // Freeze returns the configuration as applied here, without asking others.
-func (n *Node) Freeze(ctx context.Context) (*fleetconfig.State, error) {
-	var s *fleetconfig.State
+func (n *Node) Freeze(ctx context.Context) (*clusterconfig.State, error) {
+	var s *clusterconfig.State
 	err := n.ask(ctx, func() { s = n.core.State().Freeze() })
 	return s, err
 }
@@ -281,7 +281,7 @@
 }
 
 // FreezeWith is Freeze with the members of the same moment.
-func (n *Node) FreezeWith(ctx context.Context) (s *fleetconfig.State, m Moment, err error) {
+func (n *Node) FreezeWith(ctx context.Context) (s *clusterconfig.State, m Moment, err error) {
 	err = n.ask(ctx, func() {
 		v, _ := n.core.Members()
 		s, m = n.core.State().Freeze(), Moment{n.core.Index(), n.core.all(), slices.Clone(v), len(n.core.conf.GetVotersOutgoing()) > 0}
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -26,7 +26,7 @@
 	"go.uber.org/goleak"
 	"google.golang.org/protobuf/proto"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 )
 
 // patience bounds every wait of a test; none is expected to come near it.
@@ -141,7 +141,7 @@
 	}
 }
 
-func (r *real) propose(id uint64, p *fleetconfig.Proposal) fleetconfig.Outcome {
+func (r *real) propose(id uint64, p *clusterconfig.Proposal) clusterconfig.Outcome {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -152,8 +152,8 @@
 	return o
 }
 
-func planPut(id string, price int) *fleetconfig.Proposal {
-	return &fleetconfig.Proposal{ID: id, Changes: []fleetconfig.Change{{Op: "put", Kind: "plan", Name: "x", Value: json.RawMessage(fmt.Sprintf(`{"rate":0,"burst":0,"price":%d}`, price))}}}
+func planPut(id string, price int) *clusterconfig.Proposal {
+	return &clusterconfig.Proposal{ID: id, Changes: []clusterconfig.Change{{Op: "put", Kind: "plan", Name: "x", Value: json.RawMessage(fmt.Sprintf(`{"rate":0,"burst":0,"price":%d}`, price))}}}
 }
 
 // On real sockets and files: a leader that is killed under a stream of changes takes none
@@ -195,7 +195,7 @@
 	defer cancel()
 	for id := range r.nodes {
 		version := uint64(0)
-		if err := r.nodes[id].Read(ctx, func(s *fleetconfig.State) { version = s.Version() }); err != nil || version != 501 {
+		if err := r.nodes[id].Read(ctx, func(s *clusterconfig.State) { version = s.Version() }); err != nil || version != 501 {
 			t.Errorf("member %d reads version %d, error %v", id, version, err)
 		}
 	}
@@ -216,7 +216,7 @@
 	if _, err := r.nodes[1].Propose(ctx, planPut("b", 2)); err == nil || !strings.Contains(err.Error(), "leader") {
 		t.Errorf("a change by a minority: %v", err)
 	}
-	if err := r.nodes[1].Read(ctx, func(*fleetconfig.State) { t.Error("a read by a minority") }); err == nil {
+	if err := r.nodes[1].Read(ctx, func(*clusterconfig.State) { t.Error("a read by a minority") }); err == nil {
 		t.Error("a read by a minority is confirmed")
 	}
 	if s := r.status(1); s.Ready || s.Version > 1 {
@@ -398,12 +398,12 @@
 	r := newRealAt(t, 3, 200*time.Millisecond, 200) // an election must not come while 8 MB are written and read
 	r.await("ready", func(s Status) bool { return s.Ready })
 	text := strings.Repeat("x", 8<<20)
-	p := func(id, text string) *fleetconfig.Proposal {
-		v, err := json.Marshal(fleetconfig.Description{File: "d.yaml", Text: text})
+	p := func(id, text string) *clusterconfig.Proposal {
+		v, err := json.Marshal(clusterconfig.Description{File: "d.yaml", Text: text})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &fleetconfig.Proposal{ID: id, Changes: []fleetconfig.Change{{Op: "put", Kind: "description", Name: "d", Value: v}}}
+		return &clusterconfig.Proposal{ID: id, Changes: []clusterconfig.Change{{Op: "put", Kind: "description", Name: "d", Value: v}}}
 	}
 	if o := r.propose(2, p("a", text)); !o.Applied {
 		t.Errorf("%+v", o)
@@ -423,11 +423,11 @@
 	id := r.status(1).Leader%3 + 1
 	other := 6 - id - r.status(1).Leader
 	r.kill(id)
-	text, err := json.Marshal(fleetconfig.Description{File: "f", Text: strings.Repeat("x", 10*partSize)})
+	text, err := json.Marshal(clusterconfig.Description{File: "f", Text: strings.Repeat("x", 10*partSize)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.propose(other, &fleetconfig.Proposal{ID: "long", Changes: []fleetconfig.Change{{Op: "put", Kind: "description", Name: "d", Value: text}}})
+	r.propose(other, &clusterconfig.Proposal{ID: "long", Changes: []clusterconfig.Change{{Op: "put", Kind: "description", Name: "d", Value: text}}})
 	for i := range 60 { // past a snapshot and what is kept behind it
 		r.propose(other, planPut(fmt.Sprint("a", i), i))
 	}
--- a/internal/raftnode/sim_test.go
+++ b/internal/raftnode/sim_test.go
@@ -15,7 +15,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mulleinmux/fleetconfig"
+	"mulleinmux/clusterconfig"
 )
 
 // memDisk is a disk in memory, which keeps encoded copies: what a member does to a message
@@ -177,7 +177,7 @@
 		c.fatalf("member %d does not start: %v", m.id, err)
 	}
 	m.core, m.down = core, 0
-	core.Applied = func(index uint64, id string, o fleetconfig.Outcome) {
+	core.Applied = func(index uint64, id string, o clusterconfig.Outcome) {
 		hash := core.State().Hash()
 		if first, ok := c.hashes[index]; ok && first != hash {
 			c.fatalf("member %d has applied another entry at index %d", m.id, index)
@@ -378,7 +378,7 @@
 	busy    bool
 	id      int
 	in      input
-	p       *fleetconfig.Proposal
+	p       *clusterconfig.Proposal
 	since   int
 	version uint64 // last seen
 	at      *member
@@ -405,14 +405,14 @@
 }
 
 // proposal puts a plan, under a name of one length, whose price tells the value.
-func proposal(id, value string) *fleetconfig.Proposal {
+func proposal(id, value string) *clusterconfig.Proposal {
 	var n int
 	fmt.Sscanf(value, "plan-%d", &n)
-	return &fleetconfig.Proposal{ID: id, Changes: []fleetconfig.Change{{Op: "put", Kind: "plan", Name: "x", Value: json.RawMessage(fmt.Sprintf(`{"rate":0,"burst":0,"price":%d}`, n))}}}
+	return &clusterconfig.Proposal{ID: id, Changes: []clusterconfig.Change{{Op: "put", Kind: "plan", Name: "x", Value: json.RawMessage(fmt.Sprintf(`{"rate":0,"burst":0,"price":%d}`, n))}}}
 }
 
-func valueOf(s *fleetconfig.State) string {
-	if p, ok := fleetconfig.Read[fleetconfig.Plan](s, "plan")["x"]; ok {
+func valueOf(s *clusterconfig.State) string {
+	if p, ok := clusterconfig.Read[clusterconfig.Plan](s, "plan")["x"]; ok {
 		return fmt.Sprintf("plan-%d", int(p.Price))
 	}
 	return ""
@@ -434,7 +434,7 @@
 		})
 		return
 	}
-	core.Propose(cl.p, func(o fleetconfig.Outcome, err error) {
+	core.Propose(cl.p, func(o clusterconfig.Outcome, err error) {
 		if err == nil && cl.busy && cl.id == op {
 			c.done(cl, output{version: o.Version, refused: !o.Applied})
 		}
@@ -574,7 +574,7 @@
 // put has a change applied at a member.
 func (c *cluster) put(m *member, id string) {
 	done := false
-	m.core.Propose(planPut(id, 1), func(o fleetconfig.Outcome, err error) {
+	m.core.Propose(planPut(id, 1), func(o clusterconfig.Outcome, err error) {
 		if err != nil || !o.Applied {
 			c.fatalf("%s: %+v, %v", id, o, err)
 		}
@@ -674,7 +674,7 @@
 	c.cutOff(old, true)
 	var read, proposed bool
 	old.core.Read(func(err error) { read = err == nil })
-	old.core.Propose(planPut("lost", 9), func(o fleetconfig.Outcome, err error) { proposed = err == nil && o.Version == 2 })
+	old.core.Propose(planPut("lost", 9), func(o clusterconfig.Outcome, err error) { proposed = err == nil && o.Version == 2 })
 	c.work(old)
 	next := other(c, old)
 	for range 400 {
@@ -705,7 +705,7 @@
 	c, old := calmCluster(t, 14)
 	c.put(old, "before")
 	c.cutOff(old, true)
-	old.core.Propose(planPut("once", 7), func(o fleetconfig.Outcome, err error) {
+	old.core.Propose(planPut("once", 7), func(o clusterconfig.Outcome, err error) {
 		if err == nil {
 			c.fatalf("answered without a quorum: %+v", o)
 		}
--- a/internal/lab/booking.go
+++ b/internal/scenario/booking.go
@@ -1,10 +1,10 @@
-package lab
+package scenario
 
 import (
 	"net/http"
 	"time"
 
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
 )
 
 // Work of the two kinds of operations. It is a part of the real one, so that a short run
@@ -17,10 +17,10 @@
 // routes is the booking API as the halls know it, written by hand and not taken from the
 // description: what the gateway makes of that is held against it. With a price, an
 // operation's fixed units depend on the version of the description.
-func routes(price func(version int, operation string, units int) int) []standin.Route {
-	var rs []standin.Route
+func routes(price func(version int, operation string, units int) int) []testserver.Route {
+	var rs []testserver.Route
 	add := func(op, method, template, effect string, work time.Duration, units func(int, *http.Request, []byte) int) {
-		rs = append(rs, standin.Route{Operation: op, Method: method, Template: "/v1" + template, Effect: effect, Work: work, Units: units})
+		rs = append(rs, testserver.Route{Operation: op, Method: method, Template: "/v1" + template, Effect: effect, Work: work, Units: units})
 	}
 	fixed := func(op string, n int) func(int, *http.Request, []byte) int {
 		return func(version int, _ *http.Request, _ []byte) int { return price(version, op, n) }
@@ -28,16 +28,16 @@
 	read := func(op, template string, n int) { add(op, "GET", template, "safe", checkWork, fixed(op, n)) }
 	read("listDistricts", "/districts", 1)
 	read("getDistrict", "/districts/{district}", 1)
-	add("listDistrictSlots", "GET", "/districts/{district}/slots", "safe", checkWork, standin.QueryUnits("days", -1))
+	add("listDistrictSlots", "GET", "/districts/{district}/slots", "safe", checkWork, testserver.QueryUnits("days", -1))
 	read("getSlot", "/slots/{slot}", 1)
-	add("searchSlots", "POST", "/slots/search", "safe", checkWork, standin.BodyUnits(1, "filter", "districts"))
-	add("getAvailability", "GET", "/availability", "safe", checkWork, standin.HeaderUnits("X-Span-Weeks", 1))
-	add("listVisits", "GET", "/visits", "safe", checkWork, standin.QueryUnits("pages", 1))
-	add("bookVisit", "POST", "/visits", "keyed", bookWork, standin.BodyUnits(1, "installers"))
+	add("searchSlots", "POST", "/slots/search", "safe", checkWork, testserver.BodyUnits(1, "filter", "districts"))
+	add("getAvailability", "GET", "/availability", "safe", checkWork, testserver.HeaderUnits("X-Span-Weeks", 1))
+	add("listVisits", "GET", "/visits", "safe", checkWork, testserver.QueryUnits("pages", 1))
+	add("bookVisit", "POST", "/visits", "keyed", bookWork, testserver.BodyUnits(1, "installers"))
 	read("newVisitForm", "/visits/new", 1)
-	add("bookVisits", "POST", "/visits/batch", "keyed", bookWork, standin.BodyUnits(-1, "count"))
+	add("bookVisits", "POST", "/visits/batch", "keyed", bookWork, testserver.BodyUnits(-1, "count"))
 	read("getVisit", "/visits/{visit}", 1)
-	add("replaceVisit", "PUT", "/visits/{visit}", "keyed", bookWork, standin.BodyUnits(1, "installers"))
+	add("replaceVisit", "PUT", "/visits/{visit}", "keyed", bookWork, testserver.BodyUnits(1, "installers"))
 	add("changeVisit", "PATCH", "/visits/{visit}", "unsafe", bookWork, fixed("changeVisit", 2))
 	add("cancelVisit", "DELETE", "/visits/{visit}", "unsafe", bookWork, fixed("cancelVisit", 1))
 	add("confirmVisit", "POST", "/visits/{visit}/confirm", "keyed", bookWork, fixed("confirmVisit", 1))
@@ -53,17 +53,17 @@
 func sameUnits(_ int, _ string, units int) int { return units }
 
 // calmMix is the two operations that most licensees use.
-func calmMix() []standin.Ask {
-	return []standin.Ask{
+func calmMix() []testserver.Ask {
+	return []testserver.Ask{
 		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=2", Weight: 56, Repeat: true},
 		{Operation: "bookVisit", Method: "POST", Target: "/v1/visits", Header: "Idempotency-Key: {key}", Body: `{"district":"d{n}","installers":1}`, Weight: 44},
 	}
 }
 
 // mixedMix has all operations, with units from each place that may tell them.
-func mixedMix() []standin.Ask {
+func mixedMix() []testserver.Ask {
 	key := "Idempotency-Key: {key}"
-	return []standin.Ask{
+	return []testserver.Ask{
 		{Operation: "listDistricts", Method: "GET", Target: "/v1/districts", Weight: 4, Repeat: true},
 		{Operation: "getDistrict", Method: "GET", Target: "/v1/districts/Ilala%20{n}", Weight: 4, Repeat: true},
 		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=7", Weight: 8, Repeat: true},
--- a/internal/lab/chaos.go
+++ b/internal/scenario/chaos.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"mulleinmux/internal/fleet"
+	"mulleinmux/internal/cluster"
 	"mulleinmux/internal/raftnode"
 )
 
@@ -25,7 +25,7 @@
 
 // Chaos has a member's messages to others dropped, repeated, delayed and so reordered, and
 // syncs of its disk fail, by a seed.
-func Chaos(cfg *fleet.Config, seed uint64, logger *log.Logger) {
+func Chaos(cfg *cluster.Config, seed uint64, logger *log.Logger) {
 	rng := rand.New(rand.NewPCG(seed, cfg.Member)) // used by the member's goroutine alone
 	cfg.Outgoing = func(send func(*pb.Message)) func(*pb.Message) {
 		return func(m *pb.Message) {
--- a/internal/lab/cluster.go
+++ b/internal/scenario/cluster.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"bufio"
@@ -20,12 +20,12 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/confstream"
-	"mulleinmux/fleetconfig"
-	"mulleinmux/internal/fleet"
+	"mulleinmux/clusterconfig"
+	"mulleinmux/configstream"
+	"mulleinmux/internal/cluster"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
 )
 
 // The scenarios of this file run instances as processes of their own, which agree on their
@@ -44,16 +44,16 @@
 	drainMost   = 2500 * time.Millisecond // for an instance to finish what it has taken
 )
 
-// cluster is a scenario with processes under way.
-type cluster struct {
+// clusterRun is a scenario with processes under way.
+type clusterRun struct {
 	w       *world
 	dir     string
 	members []*member
-	follow  []*member        // instances that are no members and are told the configuration
-	streams map[[2]int]*link // from a follower to a member
-	links   map[[2]int]*link // from, to
-	ways    map[[2]int]*link // between sites, likewise
-	clients []*fleet.Client  // one for each operator
+	follow  []*member         // instances that are no members and are told the configuration
+	streams map[[2]int]*link  // from a follower to a member
+	links   map[[2]int]*link  // from, to
+	ways    map[[2]int]*link  // between sites, likewise
+	clients []*cluster.Client // one for each operator
 	chaos   bool
 	rng     *rand.Rand
 	closing func() // called when hallCloses has closed a hall; nil: nothing more
@@ -97,8 +97,8 @@
 
 // playCluster plays a scenario with processes.
 func (w *world) playCluster(ctx context.Context) (v *Verdict, err error) {
-	c := &cluster{w: w, streams: map[[2]int]*link{}, links: map[[2]int]*link{}, ways: map[[2]int]*link{}, rng: rand.New(rand.NewPCG(w.opt.Seed, 0xc1)), chaos: w.scenario.Name == "chaos-config"}
-	if c.dir, err = os.MkdirTemp("", "mulleingate-lab-"); err != nil {
+	c := &clusterRun{w: w, streams: map[[2]int]*link{}, links: map[[2]int]*link{}, ways: map[[2]int]*link{}, rng: rand.New(rand.NewPCG(w.opt.Seed, 0xc1)), chaos: w.scenario.Name == "chaos-config"}
+	if c.dir, err = os.MkdirTemp("", "gateway-lab-"); err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(c.dir)
@@ -125,7 +125,7 @@
 		}
 		m.up()
 	}
-	clients := &standin.Clients{Instances: w.addrs, Licensees: w.asking(), Mix: w.scenario.mix(), Tries: 3, Deadline: 2 * time.Second, Seed: w.opt.Seed, NoResend: true}
+	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.asking(), Mix: w.scenario.mix(), Tries: 3, Deadline: 2 * time.Second, Seed: w.opt.Seed, NoResend: true}
 	playing, end := context.WithTimeout(ctx, w.opt.For)
 	defer end()
 	changing, stopChanging := context.WithCancel(ctx)
@@ -149,10 +149,10 @@
 }
 
 // instances are all that serve: members and followers.
-func (c *cluster) instances() []*member { return slices.Concat(c.members, c.follow) }
+func (c *clusterRun) instances() []*member { return slices.Concat(c.members, c.follow) }
 
 // prepare makes certificates, links, files and addresses.
-func (c *cluster) prepare() error {
+func (c *clusterRun) prepare() error {
 	auth, err := raftnode.NewAuthority(clusterName)
 	if err != nil {
 		return err
@@ -170,11 +170,11 @@
 			m.follows = fmt.Sprint("edge-", m.id)
 		}
 		for _, at := range []*string{&m.listen, &m.admin, &m.raft, &m.site, &m.stream} {
-			if *at, err = standin.FreeAddr("tcp"); err != nil {
+			if *at, err = testserver.FreeAddr("tcp"); err != nil {
 				return err
 			}
 		}
-		if m.udp, err = standin.FreeAddr("udp"); err != nil {
+		if m.udp, err = testserver.FreeAddr("udp"); err != nil {
 			return err
 		}
 		if m.follows == "" {
@@ -235,7 +235,7 @@
 		for k := range c.members { // each begins with another one
 			at = append(at, c.members[(i+k)%len(c.members)].admin)
 		}
-		c.clients = append(c.clients, fleet.NewClient(clusterName, creds, at...))
+		c.clients = append(c.clients, cluster.NewClient(clusterName, creds, at...))
 	}
 	return nil
 }
@@ -243,7 +243,7 @@
 func (m *member) file() string { return fmt.Sprintf("gate-%d.toml", m.id) }
 
 // config words the file of a member.
-func (c *cluster) config(i int) string {
+func (c *clusterRun) config(i int) string {
 	m := c.instances()[i]
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"gate-%d\"\nlisten = %q\nzone = %q\ninstance = %d\npeer_listen = %q\npeers = [", m.id, m.listen, hallName(i%2), i, m.udp)
@@ -290,14 +290,14 @@
 	return b.String()
 }
 
-// command is mulleingate with arguments.
-func (c *cluster) command(args ...string) *exec.Cmd {
+// command is gateway with arguments.
+func (c *clusterRun) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(c.w.opt.Program, args...)
 	cmd.Env = append(os.Environ(), c.w.opt.Env...)
 	return cmd
 }
 
-func (c *cluster) start(m *member) error {
+func (c *clusterRun) start(m *member) error {
 	args := []string{"run", "--config", filepath.Join(c.dir, m.file())}
 	if m.runs++; c.chaos {
 		args = append(args, "--chaos", strconv.FormatUint(c.w.opt.Seed*1000+uint64(m.runs), 10))
@@ -355,7 +355,7 @@
 }
 
 // kill ends a member with SIGKILL.
-func (c *cluster) kill(m *member) {
+func (c *clusterRun) kill(m *member) {
 	m.setDown()
 	m.downMu.Lock()
 	m.killed = append(m.killed, time.Now())
@@ -369,7 +369,7 @@
 
 // restart starts a member that is down, again where it ends by itself (its disk may fail),
 // and waits until it is ready.
-func (c *cluster) restart(ctx context.Context, m *member) error {
+func (c *clusterRun) restart(ctx context.Context, m *member) error {
 	for {
 		if err := c.start(m); err != nil {
 			return err
@@ -402,7 +402,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (c *cluster) awaitReady(ctx context.Context, m *member) error {
+func (c *clusterRun) awaitReady(ctx context.Context, m *member) error {
 	for end := time.Now().Add(startMost); time.Now().Before(end); {
 		select {
 		case err := <-m.ended:
@@ -420,7 +420,7 @@
 }
 
 // close ends all processes.
-func (c *cluster) close() {
+func (c *clusterRun) close() {
 	for _, m := range c.instances() {
 		if m.cmd != nil && m.cmd.Process != nil {
 			m.cmd.Process.Kill()
@@ -442,25 +442,25 @@
 }
 
 // agree has the instances agree on what they serve at first.
-func (c *cluster) agree(ctx context.Context, halls []gateway.Hall) error {
-	p := &fleetconfig.Proposal{ID: "begin", Why: variantWhy(1)}
+func (c *clusterRun) agree(ctx context.Context, halls []gateway.Hall) error {
+	p := &clusterconfig.Proposal{ID: "begin", Why: variantWhy(1)}
 	for _, k := range classes() {
-		p.Changes = append(p.Changes, fleetconfig.Put("class", k.Name, fleetconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
+		p.Changes = append(p.Changes, clusterconfig.Put("class", k.Name, clusterconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
 	}
 	for _, pl := range settings(0).Plans {
-		p.Changes = append(p.Changes, fleetconfig.Put("plan", pl.Name, fleetconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, CeilingRate: pl.CeilingRate, CeilingBurst: pl.CeilingBurst,
+		p.Changes = append(p.Changes, clusterconfig.Put("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, CeilingRate: pl.CeilingRate, CeilingBurst: pl.CeilingBurst,
 			CeilingSlack: pl.CeilingSlack, Price: pl.Price, OverWorth: pl.OverWorth, OverCost: pl.OverCost}))
 	}
 	for _, l := range licensees() {
-		p.Changes = append(p.Changes, fleetconfig.Put("licensee", l.Name, fleetconfig.Licensee{Plan: l.Plan}))
+		p.Changes = append(p.Changes, clusterconfig.Put("licensee", l.Name, clusterconfig.Licensee{Plan: l.Plan}))
 	}
 	for _, m := range c.follow {
-		p.Changes = append(p.Changes, fleetconfig.Put("follower", m.follows, fleetconfig.Follower{}))
+		p.Changes = append(p.Changes, clusterconfig.Put("follower", m.follows, clusterconfig.Follower{}))
 	}
 	for _, h := range halls {
-		p.Changes = append(p.Changes, fleetconfig.Put("hall", h.Name, fleetconfig.Hall{Register: h.Register.String()}))
+		p.Changes = append(p.Changes, clusterconfig.Put("hall", h.Name, clusterconfig.Hall{Register: h.Register.String()}))
 	}
-	p.Changes = append(p.Changes, fleetconfig.Put("description", "booking", fleetconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
+	p.Changes = append(p.Changes, clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
 	ctx, cancel := context.WithTimeout(ctx, startMost)
 	defer cancel()
 	for {
@@ -482,7 +482,7 @@
 func variantWhy(n int) string { return "variant " + strconv.Itoa(n) }
 
 // variantOf is the variant of the description that is in force from a record on, or 0.
-func variantOf(r fleetconfig.Record) int {
+func variantOf(r clusterconfig.Record) int {
 	if text, ok := strings.CutPrefix(r.Why, "variant "); ok {
 		n, _ := strconv.Atoi(text)
 		return n
@@ -492,7 +492,7 @@
 
 // operate is one operator: it changes descriptions, plans and licensees at random moments,
 // some against the version it has read, some bad, and reads.
-func (c *cluster) operate(ctx context.Context, i int) {
+func (c *clusterRun) operate(ctx context.Context, i int) {
 	rng := rand.New(rand.NewPCG(c.w.opt.Seed, uint64(100+i)))
 	cl, gap := c.clients[i], operatorGap
 	if c.w.scenario.small {
@@ -505,39 +505,39 @@
 		case <-time.After(time.Duration(rng.ExpFloat64() * float64(gap))):
 		}
 		o := order{id: fmt.Sprintf("op%d-%d", i, n), call: time.Now()}
-		p := &fleetconfig.Proposal{ID: o.id}
+		p := &clusterconfig.Proposal{ID: o.id}
 		one, cancel := context.WithTimeout(ctx, 4*time.Second)
 		var err error
 		switch x := rng.Float64(); {
 		case x < 0.1:
-			var objects fleet.Objects
+			var objects cluster.Objects
 			objects, err = cl.Objects(one, false)
 			o.version, o.read = objects.Version, true
 		case x < 0.2: // a description: three prices, and a class that is new
 			v := 2 + rng.IntN(20)
 			p.Why = variantWhy(v)
-			p.Changes = []fleetconfig.Change{fleetconfig.Put("description", "booking", fleetconfig.Description{File: "booking.yaml", Text: string(variant(v, false))})}
+			p.Changes = []clusterconfig.Change{clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(v, false))})}
 		case x < 0.3: // bad: refused by all alike
-			p.Changes = []fleetconfig.Change{fleetconfig.Put("licensee", "bad", fleetconfig.Licensee{Plan: "none"})}
+			p.Changes = []clusterconfig.Change{clusterconfig.Put("licensee", "bad", clusterconfig.Licensee{Plan: "none"})}
 		case x < 0.5: // a plan that comes and goes
-			p.Changes = []fleetconfig.Change{fleetconfig.Put("plan", fmt.Sprint("trial-", rng.IntN(5)), fleetconfig.Plan{Rate: 1, Burst: 5, Price: 1})}
+			p.Changes = []clusterconfig.Change{clusterconfig.Put("plan", fmt.Sprint("trial-", rng.IntN(5)), clusterconfig.Plan{Rate: 1, Burst: 5, Price: 1})}
 		case x < 0.6:
-			p.Changes = []fleetconfig.Change{{Op: "remove", Kind: "plan", Name: fmt.Sprint("trial-", rng.IntN(5))}}
+			p.Changes = []clusterconfig.Change{{Op: "remove", Kind: "plan", Name: fmt.Sprint("trial-", rng.IntN(5))}}
 		case x < 0.8:
-			p.Changes = []fleetconfig.Change{fleetconfig.Put("plan", "msingi", fleetconfig.Plan{Rate: 6, Burst: 20 + float64(rng.IntN(8)), Price: 0.88, OverWorth: 0.3})}
+			p.Changes = []clusterconfig.Change{clusterconfig.Put("plan", "msingi", clusterconfig.Plan{Rate: 6, Burst: 20 + float64(rng.IntN(8)), Price: 0.88, OverWorth: 0.3})}
 		default: // against what it has read
-			var objects fleet.Objects
+			var objects cluster.Objects
 			if objects, err = cl.Objects(one, false); err == nil {
 				p.Base = &objects.Version
-				p.Changes = []fleetconfig.Change{fleetconfig.Put("licensee", fmt.Sprint("new-", i), fleetconfig.Licensee{Plan: "kati"})}
+				p.Changes = []clusterconfig.Change{clusterconfig.Put("licensee", fmt.Sprint("new-", i), clusterconfig.Licensee{Plan: "kati"})}
 			}
 		}
 		if err == nil && !o.read {
 			for { // until its answer is known: the same id, so that it takes place once
-				var out fleetconfig.Outcome
+				var out clusterconfig.Outcome
 				out, err = cl.Propose(one, p)
 				o.version, o.applied = out.Version, out.Applied
-				if a, ok := errors.AsType[*fleet.AnswerError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
+				if a, ok := errors.AsType[*cluster.AnswerError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
 					break
 				}
 				select {
@@ -555,7 +555,7 @@
 }
 
 // applied counts the changes that operators know to be applied, and the last of them.
-func (c *cluster) applied() (n int, last time.Time) {
+func (c *clusterRun) applied() (n int, last time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range c.orders {
@@ -569,14 +569,14 @@
 	return n, last
 }
 
-func (c *cluster) note(format string, args ...any) {
+func (c *clusterRun) note(format string, args ...any) {
 	c.w.mu.Lock()
 	c.w.notes = append(c.w.notes, fmt.Sprintf(format, args...))
 	c.w.mu.Unlock()
 }
 
 // leader finds the member that leads, by its own word.
-func (c *cluster) leader(ctx context.Context) *member {
+func (c *clusterRun) leader(ctx context.Context) *member {
 	for ctx.Err() == nil {
 		for _, m := range c.members {
 			if s, err := c.status(ctx, m); err == nil && s.Leader == m.id {
@@ -588,7 +588,7 @@
 	return nil
 }
 
-func (c *cluster) status(ctx context.Context, m *member) (fleet.Status, error) {
+func (c *clusterRun) status(ctx context.Context, m *member) (cluster.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	return c.clients[0].StatusAt(ctx, m.admin)
@@ -602,7 +602,7 @@
 }
 
 // cutOff cuts a member off from all others, or heals its links.
-func (c *cluster) cutOff(m *member, cut bool) {
+func (c *clusterRun) cutOff(m *member, cut bool) {
 	for way, l := range c.links {
 		if way[0] == int(m.id-1) || way[1] == int(m.id-1) {
 			l.setCut(cut)
@@ -611,7 +611,7 @@
 }
 
 // leaderLost kills the leader in the middle of changes, three times, and restarts it.
-func leaderLost(ctx context.Context, c *cluster) {
+func leaderLost(ctx context.Context, c *clusterRun) {
 	for range 3 {
 		pause(ctx, c.w.opt.For/6)
 		m := c.leader(ctx)
@@ -639,7 +639,7 @@
 }
 
 // minorityCut cuts off a member that then serves on and one that then refuses.
-func minorityCut(ctx context.Context, c *cluster) {
+func minorityCut(ctx context.Context, c *clusterRun) {
 	for _, i := range []int{0, len(c.members) - 1} {
 		m := c.members[i]
 		pause(ctx, c.w.opt.For/10)
@@ -676,7 +676,7 @@
 }
 
 // toldAge asks a member for a slot and returns the configuration's age that it tells.
-func (c *cluster) toldAge(ctx context.Context, m *member) float64 {
+func (c *clusterRun) toldAge(ctx context.Context, m *member) float64 {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -691,7 +691,7 @@
 }
 
 // rollingRestart restarts each member in turn, as for an update.
-func rollingRestart(ctx context.Context, c *cluster) {
+func rollingRestart(ctx context.Context, c *clusterRun) {
 	for _, m := range c.members {
 		pause(ctx, c.w.opt.For/12)
 		m.setDown()
@@ -713,7 +713,7 @@
 }
 
 // stubbornMix is calmMix with clients that repeat a booking after any failure, at any instance.
-func stubbornMix() []standin.Ask {
+func stubbornMix() []testserver.Ask {
 	asks := calmMix()
 	for i := range asks {
 		asks[i].Repeat = true
@@ -723,7 +723,7 @@
 
 // killedHoldingKeys is hallCloses with an instance killed as each hall closes: what it has sent
 // and not told dies with it.
-func killedHoldingKeys(ctx context.Context, c *cluster) {
+func killedHoldingKeys(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	strike, cancel := context.WithDeadline(ctx, until.Add(-c.w.opt.For/6))
 	defer cancel()
@@ -739,7 +739,7 @@
 }
 
 // hallCloses closes one hall after the other for keys, and opens it again.
-func hallCloses(ctx context.Context, c *cluster) {
+func hallCloses(ctx context.Context, c *clusterRun) {
 	for n := 0; ctx.Err() == nil; n++ {
 		h := c.w.halls[n%2]
 		for _, closed := range []bool{true, false} {
@@ -747,7 +747,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			p := &fleetconfig.Proposal{ID: fmt.Sprintf("hall-%d-%v", n, closed), Changes: []fleetconfig.Change{fleetconfig.Put("hall", h.Name, fleetconfig.Hall{Register: h.Register.Addr().String(), Closed: closed})}}
+			p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%d-%v", n, closed), Changes: []clusterconfig.Change{clusterconfig.Put("hall", h.Name, clusterconfig.Hall{Register: h.Register.Addr().String(), Closed: closed})}}
 			one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 4*time.Second)
 			_, err := c.clients[0].Propose(one, p)
 			if cancel(); err != nil {
@@ -762,18 +762,18 @@
 
 // hallLost has one hall fall silent after the other. The instances must find out, agree on it and
 // move its keys, and take it back once it answers again.
-func hallLost(ctx context.Context, c *cluster) {
+func hallLost(ctx context.Context, c *clusterRun) {
 	c.loseHalls(ctx, func(int) int { return []int{-1, perHall}[c.rng.IntN(2)] })
 }
 
 // hallReturnsEmpty is hallLost with halls that come back with cold servers alone: one, all, half of
 // them, and twice in a row.
-func hallReturnsEmpty(ctx context.Context, c *cluster) {
+func hallReturnsEmpty(ctx context.Context, c *clusterRun) {
 	c.loseHalls(ctx, func(n int) int { return []int{1, perHall, perHall / 2}[n%3] })
 }
 
 // serversReplaced has the warm servers of a hall end a moment after a cold one has come, with the crowd that they served.
-func serversReplaced(ctx context.Context, c *cluster) {
+func serversReplaced(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	h := c.w.halls[c.rng.IntN(2)]
 	pause(ctx, c.w.opt.For/2)
@@ -788,7 +788,7 @@
 }
 
 // flapping has one hall fall silent and come back by the seed, for as long as the scenario lasts.
-func flapping(ctx context.Context, c *cluster) {
+func flapping(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.w.opt.For / 4)
 	h := c.w.halls[c.rng.IntN(2)]
@@ -802,10 +802,10 @@
 
 // loseHalls has halls fall silent in turn and come back with as many cold servers as back tells,
 // or as they were where that is below 0.
-func (c *cluster) loseHalls(ctx context.Context, back func(n int) int) {
+func (c *clusterRun) loseHalls(ctx context.Context, back func(n int) int) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.w.opt.For / 8)
-	var last *standin.Hall
+	var last *testserver.Hall
 	for n := 0; ; n++ {
 		pause(ctx, time.Duration(1500+c.rng.IntN(1000))*time.Millisecond)
 		if time.Until(until) < 4*time.Second+time.Second<<n || ctx.Err() != nil { // the hold doubles
@@ -846,7 +846,7 @@
 }
 
 // linkDrops has the ways between the sites fall silent and break, each for itself, until the end is near.
-func linkDrops(ctx context.Context, c *cluster) {
+func linkDrops(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.w.opt.For / 6)
 	for time.Now().Before(until) && ctx.Err() == nil {
@@ -866,7 +866,7 @@
 
 // bothCut cuts the sites from each other, for clients' requests and for the members' own messages, in the middle third.
 // Each must go on with the bookings whose home is its own hall.
-func bothCut(ctx context.Context, c *cluster) {
+func bothCut(ctx context.Context, c *clusterRun) {
 	pause(ctx, c.w.opt.For/2)
 	c.cutSites(true)
 	pause(ctx, cutSettles)
@@ -882,7 +882,7 @@
 // cutSettles is how long after a cut nobody can be confirmed by a majority any more.
 const cutSettles = 1500 * time.Millisecond
 
-func (c *cluster) cutSites(cut bool) {
+func (c *clusterRun) cutSites(cut bool) {
 	for way, l := range c.links {
 		if way[0]%2 != way[1]%2 {
 			l.setCut(cut)
@@ -897,13 +897,13 @@
 const lossMost = 6 * time.Second
 
 // awaitLost waits until it is agreed whether a hall is lost.
-func (c *cluster) awaitLost(ctx context.Context, hall string, lost bool, began time.Time) (time.Duration, bool) {
+func (c *clusterRun) awaitLost(ctx context.Context, hall string, lost bool, began time.Time) (time.Duration, bool) {
 	for time.Since(began) < lossMost && ctx.Err() == nil {
 		one, cancel := context.WithTimeout(ctx, time.Second)
 		o, err := c.clients[0].Objects(one, false)
 		cancel()
 		text, is := o.Objects["lost"][hall]
-		var l fleetconfig.LostHall
+		var l clusterconfig.LostHall
 		if is && json.Unmarshal(text, &l) == nil && l.Part > 0 {
 			is = false // it takes a part of its keys again
 		}
@@ -916,7 +916,7 @@
 }
 
 // chaosConfig kills, cuts and heals by the seed until the time is over.
-func chaosConfig(ctx context.Context, c *cluster) {
+func chaosConfig(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.w.opt.For / 6)
 	after := context.WithoutCancel(ctx)
@@ -967,7 +967,7 @@
 	}
 }
 
-func (c *cluster) progress(ctx context.Context) {
+func (c *clusterRun) progress(ctx context.Context) {
 	for n := 1; ; n++ {
 		if pause(ctx, time.Second); ctx.Err() != nil {
 			return
@@ -984,7 +984,7 @@
 }
 
 // judge waits until all members are of one mind and judges the run.
-func (c *cluster) judge(ctx context.Context, tries []standin.Try, began time.Time) *Verdict {
+func (c *clusterRun) judge(ctx context.Context, tries []testserver.Try, began time.Time) *Verdict {
 	w := c.w
 	v := &Verdict{Scenario: w.scenario.Name, Seed: w.opt.Seed, Figures: map[string]float64{}, Rules: map[string]int{
 		"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
@@ -993,8 +993,8 @@
 	history := c.oneMind(ctx, j)
 	c.followed(ctx, j)
 	arrivals := w.ledger.Arrivals()
-	slices.SortStableFunc(arrivals, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
-	byTrace := map[string][]standin.Arrival{}
+	slices.SortStableFunc(arrivals, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
+	byTrace := map[string][]testserver.Arrival{}
 	for _, a := range arrivals {
 		byTrace[a.Trace] = append(byTrace[a.Trace], a)
 	}
@@ -1003,7 +1003,7 @@
 		at[m.listen] = m
 	}
 	excused := 0
-	j.answers(tries, func(t standin.Try) bool {
+	j.answers(tries, func(t testserver.Try) bool {
 		down := at[t.Instance].wasDown(t.At, t.Ended)
 		if down {
 			excused++
@@ -1064,7 +1064,7 @@
 }
 
 // judgeAlone wants bookings served at both halls while the sites were cut from each other.
-func (c *cluster) judgeAlone(j *judge, s span, arrivals []standin.Arrival) {
+func (c *clusterRun) judgeAlone(j *judge, s span, arrivals []testserver.Arrival) {
 	booked := map[string]int{}
 	for _, a := range arrivals {
 		if a.Effected && a.Effect == "keyed" && a.At.After(s.from) && a.At.Before(s.to) {
@@ -1079,7 +1079,7 @@
 }
 
 // oneMind waits until all members have the same version and chain, and returns the history.
-func (c *cluster) oneMind(ctx context.Context, j *judge) []fleetconfig.Record {
+func (c *clusterRun) oneMind(ctx context.Context, j *judge) []clusterconfig.Record {
 	for _, l := range c.links {
 		l.setCut(false)
 	}
@@ -1126,7 +1126,7 @@
 
 // followed waits until every member says of every follower that it runs the newest version, and holds that against what the
 // follower itself answers.
-func (c *cluster) followed(ctx context.Context, j *judge) {
+func (c *clusterRun) followed(ctx context.Context, j *judge) {
 	for _, l := range c.streams {
 		l.setCut(false)
 	}
@@ -1141,7 +1141,7 @@
 				said += err.Error() + "; "
 			}
 			for _, f := range c.follow {
-				i := slices.IndexFunc(fs.Followers, func(s confstream.Standing) bool { return s.Name == f.follows })
+				i := slices.IndexFunc(fs.Followers, func(s configstream.Standing) bool { return s.Name == f.follows })
 				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.Newest {
 					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.Member, fs.Newest, f.follows, fs.Followers)
 				} else if v, err := versionAt(ctx, f); err != nil || v != fs.Newest {
@@ -1187,7 +1187,7 @@
 }
 
 // streamBreaks has the ways from followers to members fall silent, each for itself.
-func streamBreaks(ctx context.Context, c *cluster) {
+func streamBreaks(ctx context.Context, c *clusterRun) {
 	for until := c.quietFrom(ctx); time.Now().Before(until) && ctx.Err() == nil; {
 		for _, l := range c.streams {
 			l.setCut(c.rng.IntN(3) == 0)
@@ -1197,14 +1197,14 @@
 }
 
 // quietFrom is when the faults of a scenario end.
-func (c *cluster) quietFrom(ctx context.Context) time.Time {
+func (c *clusterRun) quietFrom(ctx context.Context) time.Time {
 	until, _ := ctx.Deadline()
 	return until.Add(-c.w.opt.For / 4)
 }
 
 // killing kills one of some instances after the other, and starts it again.
-func killing(of func(c *cluster) []*member) func(context.Context, *cluster) {
-	return func(ctx context.Context, c *cluster) {
+func killing(of func(c *clusterRun) []*member) func(context.Context, *clusterRun) {
+	return func(ctx context.Context, c *clusterRun) {
 		for until := c.quietFrom(ctx); time.Now().Before(until) && ctx.Err() == nil; {
 			pause(ctx, time.Duration(200+c.rng.IntN(800))*time.Millisecond)
 			all := of(c)
@@ -1222,7 +1222,7 @@
 // charged holds the instances' records against the halls and the history: each request that
 // reached a hall was charged once, at the price of the version that it was matched with.
 // Records that a killed instance did not get to write are missed.
-func (c *cluster) charged(j *judge, byTrace map[string][]standin.Arrival, tries []standin.Try, at map[string]*member, history []fleetconfig.Record) {
+func (c *clusterRun) charged(j *judge, byTrace map[string][]testserver.Arrival, tries []testserver.Try, at map[string]*member, history []clusterconfig.Record) {
 	variants := map[uint64]int{}
 	now := 1
 	for _, r := range history {
@@ -1251,7 +1251,7 @@
 		}
 		f.Close()
 	}
-	by := map[string]standin.Try{}
+	by := map[string]testserver.Try{}
 	for _, t := range tries {
 		by[t.Trace] = t
 	}
@@ -1305,7 +1305,7 @@
 
 // versionOrder checks, on the halls' record, that no instance routes a request with an older
 // version than one that it had answered a client on before the request began.
-func versionOrder(j *judge, tries []standin.Try, byTrace map[string][]standin.Arrival) {
+func versionOrder(j *judge, tries []testserver.Try, byTrace map[string][]testserver.Arrival) {
 	type event struct {
 		at      time.Time
 		trace   string
@@ -1340,7 +1340,7 @@
 
 // judgeOrders checks operators' asks: what was answered as applied is in the history, once
 // and as the version told; asks are in the order of real time.
-func (c *cluster) judgeOrders(j *judge, history []fleetconfig.Record) {
+func (c *clusterRun) judgeOrders(j *judge, history []clusterconfig.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(history) == 0 {
--- a/internal/lab/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
+	"mulleinmux/clusterconfig"
 	"mulleinmux/deploy"
-	"mulleinmux/fleetconfig"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/openapi"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
 )
 
 // A scenario whose rules are broken on purpose fails: a booking is sent to both halls
@@ -57,52 +57,52 @@
 func TestChecksFind(t *testing.T) {
 	t0 := time.Now()
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	ran := func(trace, hall, effect string, from, to int) standin.Arrival {
-		return standin.Arrival{Hall: hall, Server: "s", Operation: "op", Effect: effect, Trace: trace, Key: "k-" + trace, Licensee: "kubwa-0", Version: 1, Units: 2,
+	ran := func(trace, hall, effect string, from, to int) testserver.Arrival {
+		return testserver.Arrival{Hall: hall, Server: "s", Operation: "op", Effect: effect, Trace: trace, Key: "k-" + trace, Licensee: "kubwa-0", Version: 1, Units: 2,
 			At: at(from), Ended: at(to), Ran: true}
 	}
-	effected := func(a standin.Arrival) standin.Arrival { a.Effected = true; return a }
-	unseen := func(a standin.Arrival) standin.Arrival { a.Ran = false; return a }
-	draining := func(a standin.Arrival, d time.Duration) standin.Arrival { a.Draining = d; return a }
+	effected := func(a testserver.Arrival) testserver.Arrival { a.Effected = true; return a }
+	unseen := func(a testserver.Arrival) testserver.Arrival { a.Ran = false; return a }
+	draining := func(a testserver.Arrival, d time.Duration) testserver.Arrival { a.Draining = d; return a }
 	rec := gateway.Record{Trace: "a", Operation: "op", Version: 1, Units: 2, Sent: true, Attempts: 2}
 	change := func(f func(*gateway.Record)) gateway.Record { r := rec; f(&r); return r }
-	try := standin.Try{Trace: "a", At: at(0), Ended: at(30), Answers: 1, Status: 200, Served: true}
+	try := testserver.Try{Trace: "a", At: at(0), Ended: at(30), Answers: 1, Status: 200, Served: true}
 	for _, c := range []struct {
 		name string
-		as   []standin.Arrival
+		as   []testserver.Arrival
 		rec  gateway.Record
-		try  standin.Try
+		try  testserver.Try
 		want string // rule; empty: none
 	}{
-		{"one attempt", []standin.Arrival{effected(ran("a", "A", "unsafe", 0, 10))}, rec, try, ""},
-		{"safe, again elsewhere", []standin.Arrival{ran("a", "A", "safe", 0, 10), ran("a", "B", "safe", 10, 20)}, rec, try, ""},
-		{"two at once", []standin.Arrival{ran("a", "A", "safe", 0, 100), ran("a", "B", "safe", 50, 120)}, rec, try, "no_effect_twice"},
-		{"unsafe, twice", []standin.Arrival{effected(ran("a", "A", "unsafe", 0, 10)), ran("a", "A", "unsafe", 20, 30)}, rec, try, "no_effect_twice"},
-		{"unsafe, never ran first", []standin.Arrival{unseen(ran("a", "A", "unsafe", 0, 10)), effected(ran("a", "A", "unsafe", 20, 30))}, rec, try, ""},
-		{"keyed, same hall", []standin.Arrival{effected(ran("a", "A", "keyed", 0, 10)), ran("a", "A", "keyed", 20, 30)}, rec, try, ""},
-		{"keyed, other hall", []standin.Arrival{ran("a", "A", "keyed", 0, 10), effected(ran("a", "B", "keyed", 20, 30))}, rec, try, "no_effect_twice"},
-		{"keyed, too late", []standin.Arrival{ran("a", "A", "keyed", 0, 10), ran("a", "A", "keyed", 4100, 4200)}, rec, try, "no_effect_twice"},
-		{"keyed, effect twice", []standin.Arrival{effected(ran("a", "A", "keyed", 0, 10)), effected(ran("a", "A", "keyed", 20, 30))}, rec, try, "no_effect_twice"},
-		{"to one that drains", []standin.Arrival{draining(ran("a", "A", "safe", 0, 10), 310*time.Millisecond)}, rec, try, "drains"},
-		{"within the grace", []standin.Arrival{draining(ran("a", "A", "safe", 0, 10), 240*time.Millisecond)}, rec, try, ""},
-		{"charged too little", []standin.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Units = 1 }), try, "units"},
-		{"not charged", []standin.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Sent = false }), try, "units"},
+		{"one attempt", []testserver.Arrival{effected(ran("a", "A", "unsafe", 0, 10))}, rec, try, ""},
+		{"safe, again elsewhere", []testserver.Arrival{ran("a", "A", "safe", 0, 10), ran("a", "B", "safe", 10, 20)}, rec, try, ""},
+		{"two at once", []testserver.Arrival{ran("a", "A", "safe", 0, 100), ran("a", "B", "safe", 50, 120)}, rec, try, "no_effect_twice"},
+		{"unsafe, twice", []testserver.Arrival{effected(ran("a", "A", "unsafe", 0, 10)), ran("a", "A", "unsafe", 20, 30)}, rec, try, "no_effect_twice"},
+		{"unsafe, never ran first", []testserver.Arrival{unseen(ran("a", "A", "unsafe", 0, 10)), effected(ran("a", "A", "unsafe", 20, 30))}, rec, try, ""},
+		{"keyed, same hall", []testserver.Arrival{effected(ran("a", "A", "keyed", 0, 10)), ran("a", "A", "keyed", 20, 30)}, rec, try, ""},
+		{"keyed, other hall", []testserver.Arrival{ran("a", "A", "keyed", 0, 10), effected(ran("a", "B", "keyed", 20, 30))}, rec, try, "no_effect_twice"},
+		{"keyed, too late", []testserver.Arrival{ran("a", "A", "keyed", 0, 10), ran("a", "A", "keyed", 4100, 4200)}, rec, try, "no_effect_twice"},
+		{"keyed, effect twice", []testserver.Arrival{effected(ran("a", "A", "keyed", 0, 10)), effected(ran("a", "A", "keyed", 20, 30))}, rec, try, "no_effect_twice"},
+		{"to one that drains", []testserver.Arrival{draining(ran("a", "A", "safe", 0, 10), 310*time.Millisecond)}, rec, try, "drains"},
+		{"within the grace", []testserver.Arrival{draining(ran("a", "A", "safe", 0, 10), 240*time.Millisecond)}, rec, try, ""},
+		{"charged too little", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Units = 1 }), try, "units"},
+		{"not charged", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Sent = false }), try, "units"},
 		{"charged for nothing", nil, rec, try, "units"},
-		{"an unknown attempt", []standin.Arrival{ran("a", "A", "safe", 0, 10), ran("a", "A", "safe", 20, 30)}, change(func(r *gateway.Record) { r.Attempts = 1 }), try, "units"},
-		{"another operation", []standin.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Operation = "cheap" }), try, "operations"},
-		{"another version", []standin.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Version = 2 }), try, "versions"},
-		{"no answer", []standin.Arrival{ran("a", "A", "safe", 0, 10)}, rec, standin.Try{Trace: "a", Cut: true}, "one_answer"},
-		{"two answers", []standin.Arrival{ran("a", "A", "safe", 0, 10)}, rec, standin.Try{Trace: "a", Answers: 2, Status: 200, Served: true}, "one_answer"},
-		{"another's answer", []standin.Arrival{ran("a", "A", "safe", 0, 10)}, rec, standin.Try{Trace: "a", Answers: 1, Status: 200, Served: true, Wrong: "x"}, "one_answer"},
-		{"a late answer", []standin.Arrival{ran("a", "A", "safe", 0, 10)}, rec, standin.Try{Trace: "a", At: at(0), Ended: at(2100), Answers: 1, Status: 502}, "one_answer"},
-		{"turned down", []standin.Arrival{ran("a", "A", "safe", 0, 10)}, rec, standin.Try{Trace: "a", Answers: 1, Status: 404}, "operations"},
+		{"an unknown attempt", []testserver.Arrival{ran("a", "A", "safe", 0, 10), ran("a", "A", "safe", 20, 30)}, change(func(r *gateway.Record) { r.Attempts = 1 }), try, "units"},
+		{"another operation", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Operation = "cheap" }), try, "operations"},
+		{"another version", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Version = 2 }), try, "versions"},
+		{"no answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Cut: true}, "one_answer"},
+		{"two answers", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Answers: 2, Status: 200, Served: true}, "one_answer"},
+		{"another's answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Answers: 1, Status: 200, Served: true, Wrong: "x"}, "one_answer"},
+		{"a late answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", At: at(0), Ended: at(2100), Answers: 1, Status: 502}, "one_answer"},
+		{"turned down", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Answers: 1, Status: 404}, "operations"},
 	} {
 		j := &judge{&Verdict{Rules: map[string]int{}}}
-		byTrace := map[string][]standin.Arrival{}
+		byTrace := map[string][]testserver.Arrival{}
 		if len(c.as) > 0 {
 			byTrace["a"] = c.as
 		}
-		j.answers([]standin.Try{c.try}, func(standin.Try) bool { return false })
+		j.answers([]testserver.Try{c.try}, func(testserver.Try) bool { return false })
 		j.effects(c.as, byTrace)
 		j.costs(byTrace, map[string]gateway.Record{"a": c.rec})
 		for rule, n := range j.v.Rules {
@@ -117,10 +117,10 @@
 	// The ceiling of kubwa: 300 at once and 180 a second, with a slack of 57.
 	for units, want := range map[int]bool{350: false, 370: true} {
 		j := &judge{&Verdict{Rules: map[string]int{}}}
-		byTrace := map[string][]standin.Arrival{}
+		byTrace := map[string][]testserver.Arrival{}
 		for i := range units / 2 {
 			name := fmt.Sprint("t", i)
-			byTrace[name] = []standin.Arrival{ran(name, "A", "safe", 0, 10)}
+			byTrace[name] = []testserver.Arrival{ran(name, "A", "safe", 0, 10)}
 		}
 		if j.ceilings(byTrace); (j.v.Rules["ceilings"] > 0) != want {
 			t.Errorf("%d units at once: %d violations", units, j.v.Rules["ceilings"])
@@ -161,7 +161,7 @@
 				continue
 			}
 			found++
-			hall := standin.Lookup(rs, r.Method, target, http.Header{})
+			hall := testserver.Lookup(rs, r.Method, target, http.Header{})
 			if hall == nil || hall.Operation != op.ID {
 				t.Fatalf("%s %s is charged as %s and reaches the hall as %+v", r.Method, path, op.ID, hall)
 			}
@@ -206,24 +206,24 @@
 func TestClusterJudge(t *testing.T) {
 	t0 := time.Unix(1e9, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	try := func(trace, instance string, from, to int) standin.Try {
-		return standin.Try{Trace: trace, Instance: instance, At: at(from), Ended: at(to), Answers: 1, Served: true, Status: 200}
+	try := func(trace, instance string, from, to int) testserver.Try {
+		return testserver.Try{Trace: trace, Instance: instance, At: at(from), Ended: at(to), Answers: 1, Served: true, Status: 200}
 	}
-	arrived := func(trace string, version int) []standin.Arrival {
-		return []standin.Arrival{{Trace: trace, Version: version}}
+	arrived := func(trace string, version int) []testserver.Arrival {
+		return []testserver.Arrival{{Trace: trace, Version: version}}
 	}
 	for name, c := range map[string]struct {
-		tries    []standin.Try
+		tries    []testserver.Try
 		versions map[string]int
 		broken   int
 	}{
-		"newer after older":       {[]standin.Try{try("a", "x", 0, 10), try("b", "x", 20, 30)}, map[string]int{"a": 1, "b": 2}, 0},
-		"older after newer":       {[]standin.Try{try("a", "x", 0, 10), try("b", "x", 20, 30)}, map[string]int{"a": 2, "b": 1}, 1},
-		"at another instance":     {[]standin.Try{try("a", "x", 0, 10), try("b", "y", 20, 30)}, map[string]int{"a": 2, "b": 1}, 0},
-		"begun before the answer": {[]standin.Try{try("a", "x", 0, 10), try("b", "x", 5, 30)}, map[string]int{"a": 2, "b": 1}, 0},
+		"newer after older":       {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 20, 30)}, map[string]int{"a": 1, "b": 2}, 0},
+		"older after newer":       {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 20, 30)}, map[string]int{"a": 2, "b": 1}, 1},
+		"at another instance":     {[]testserver.Try{try("a", "x", 0, 10), try("b", "y", 20, 30)}, map[string]int{"a": 2, "b": 1}, 0},
+		"begun before the answer": {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 5, 30)}, map[string]int{"a": 2, "b": 1}, 0},
 	} {
 		j := &judge{&Verdict{Rules: map[string]int{}}}
-		by := map[string][]standin.Arrival{}
+		by := map[string][]testserver.Arrival{}
 		for trace, v := range c.versions {
 			by[trace] = arrived(trace, v)
 		}
@@ -231,13 +231,13 @@
 			t.Errorf("%s: %v", name, j.v.Rules)
 		}
 	}
-	history := []fleetconfig.Record{{Version: 1, ID: "a"}, {Version: 2, ID: "b"}}
+	history := []clusterconfig.Record{{Version: 1, ID: "a"}, {Version: 2, ID: "b"}}
 	asked := func(id string, from, to int, version uint64, applied bool) order {
 		return order{id: id, call: at(from), ret: at(to), version: version, applied: applied, known: true}
 	}
 	for name, c := range map[string]struct {
 		orders  []order
-		history []fleetconfig.Record
+		history []clusterconfig.Record
 		broken  int
 	}{
 		"in order":           {[]order{asked("a", 0, 1, 1, true), asked("b", 2, 3, 2, true), asked("r", 4, 5, 2, false)}, history, 0},
@@ -246,10 +246,10 @@
 		"stale read":         {[]order{asked("b", 0, 1, 2, true), asked("r", 2, 3, 1, false)}, history, 1},
 		"against real time":  {[]order{asked("b", 0, 1, 2, true), asked("a", 2, 3, 1, true)}, history, 1},
 		"at once":            {[]order{asked("b", 0, 4, 2, true), asked("a", 2, 3, 1, true)}, history, 0},
-		"twice in the chain": {nil, append(history, fleetconfig.Record{Version: 3, ID: "a"}), 1},
+		"twice in the chain": {nil, append(history, clusterconfig.Record{Version: 3, ID: "a"}), 1},
 	} {
 		j := &judge{&Verdict{Rules: map[string]int{}}}
-		if (&cluster{orders: c.orders}).judgeOrders(j, c.history); j.v.Rules["changes"] != c.broken {
+		if (&clusterRun{orders: c.orders}).judgeOrders(j, c.history); j.v.Rules["changes"] != c.broken {
 			t.Errorf("%s: %v %v", name, j.v.Rules, j.v.Examples)
 		}
 	}
@@ -267,9 +267,9 @@
 // a killed instance can't have written is missed.
 func TestClusterCharges(t *testing.T) {
 	t0 := time.Now().Add(-time.Minute)
-	history := []fleetconfig.Record{{Version: 1, Why: variantWhy(1)}, {Version: 2, Why: variantWhy(3)}, {Version: 3, Why: "a plan"}}
-	by := map[string][]standin.Arrival{"a": {{Trace: "a", Operation: "getDayReport", Units: 5, Version: 3}}}
-	tries := []standin.Try{{Trace: "a", Instance: "x", At: t0, Ended: t0.Add(time.Millisecond)}}
+	history := []clusterconfig.Record{{Version: 1, Why: variantWhy(1)}, {Version: 2, Why: variantWhy(3)}, {Version: 3, Why: "a plan"}}
+	by := map[string][]testserver.Arrival{"a": {{Trace: "a", Operation: "getDayReport", Units: 5, Version: 3}}}
+	tries := []testserver.Try{{Trace: "a", Instance: "x", At: t0, Ended: t0.Add(time.Millisecond)}}
 	right := changingPrice(3, "getDayReport", 5)
 	for name, c := range map[string]struct {
 		line   string
@@ -294,7 +294,7 @@
 		}
 		m := &member{id: 1, killed: c.killed}
 		j := &judge{&Verdict{Rules: map[string]int{}, Figures: map[string]float64{}}}
-		(&cluster{dir: dir, members: []*member{m}}).charged(j, by, tries, map[string]*member{"x": m}, history)
+		(&clusterRun{dir: dir, members: []*member{m}}).charged(j, by, tries, map[string]*member{"x": m}, history)
 		for _, rule := range []string{"units", "versions", "operations", "one_answer"} {
 			if (j.v.Rules[rule] > 0) != (rule == c.broken) {
 				t.Errorf("%s: %v", name, j.v.Rules)
--- a/internal/lab/lab.go
+++ b/internal/scenario/lab.go
@@ -1,7 +1,7 @@
 // Package lab plays scenarios: real instances of the gateway on loopback sockets, between
 // stand-in halls and licensees' clients. When one ends, it holds what the halls recorded
 // against what the instances counted, and tells which rules were kept.
-package lab
+package scenario
 
 import (
 	"cmp"
@@ -16,12 +16,12 @@
 	"sync"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/contract"
 	"mulleinmux/deploy"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/openapi"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/policy"
+	"mulleinmux/routing"
 )
 
 // Options are an operator's choices.
@@ -31,7 +31,7 @@
 	Seed     uint64
 	Progress func(line string) // nil: none
 	Log      io.Writer         // of the instances; nil: dropped
-	Program  string            // mulleingate, for scenarios with processes
+	Program  string            // gateway, for scenarios with processes
 	Env      []string          // added to its environment
 
 	RampOff      bool // the instances take every server for warm: servers-replaced must then show a fallen one
@@ -43,15 +43,15 @@
 // Scenario is one that can be played.
 type Scenario struct {
 	Name, About string
-	mix         func() []standin.Ask
-	faults      standin.Faults
+	mix         func() []testserver.Ask
+	faults      testserver.Faults
 	price       func(version int, operation string, units int) int
-	during      func(context.Context, *world)   // runs beside the clients, until ctx ends
-	cluster     func(context.Context, *cluster) // likewise, with instances as processes that agree
-	rush        float64                         // times what licensees ask for otherwise; 0: as much, or twice where it is small
-	small       bool                            // halls of three servers with one core: one alone can't carry the load
-	followers   int                             // instances beside the members that are told the configuration
-	sites       bool                            // two instances at each of two sites; each reaches its own hall alone, the other over the link
+	during      func(context.Context, *world)      // runs beside the clients, until ctx ends
+	cluster     func(context.Context, *clusterRun) // likewise, with instances as processes that agree
+	rush        float64                            // times what licensees ask for otherwise; 0: as much, or twice where it is small
+	small       bool                               // halls of three servers with one core: one alone can't carry the load
+	followers   int                                // instances beside the members that are told the configuration
+	sites       bool                               // two instances at each of two sites; each reaches its own hall alone, the other over the link
 }
 
 // Scenarios are all that can be played.
@@ -60,34 +60,34 @@
 		{Name: "calm", About: "two operations, no faults", mix: calmMix, price: sameUnits},
 		{Name: "mixed", About: "all operations of the booking API; servers err, turn away, reset and fall silent", mix: mixedMix,
 			price:  sameUnits,
-			faults: standin.Faults{Error: 0.01, ErrorIdle: 0.01, Reset: 0.01, Silent: 0.004, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.01, ErrorIdle: 0.01, Reset: 0.01, Silent: 0.004, Refuse: 0.02}},
 		{Name: "contract-change", About: "the same while the description changes ten times, twice to a bad one", mix: mixedMix,
 			price: changingPrice, during: changeContract,
-			faults: standin.Faults{Error: 0.01, ErrorIdle: 0.01, Reset: 0.01, Silent: 0.004, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.01, ErrorIdle: 0.01, Reset: 0.01, Silent: 0.004, Refuse: 0.02}},
 		{Name: "leader-lost", About: "processes that agree; the leader is killed three times in the middle of changes", mix: mixedMix, price: sameUnits, cluster: leaderLost},
 		{Name: "minority-cut", About: "processes that agree; one is cut off and serves on, one is cut off and refuses past its bound", mix: mixedMix, price: sameUnits, cluster: minorityCut},
 		{Name: "rolling-restart", About: "processes that agree; each is restarted in turn", mix: mixedMix, price: sameUnits, cluster: rollingRestart},
 		{Name: "hall-closes", About: "processes that agree; halls are closed and opened for keyed requests, whose clients repeat them anywhere", mix: stubbornMix, price: sameUnits, cluster: hallCloses,
-			faults: standin.Faults{Error: 0.1, ErrorIdle: 0.02, Reset: 0.1, Silent: 0.03, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.1, ErrorIdle: 0.02, Reset: 0.1, Silent: 0.03, Refuse: 0.02}},
 		{Name: "instance-killed-holding-keys", About: "the same, and an instance is killed as each hall closes", mix: stubbornMix, price: sameUnits, cluster: killedHoldingKeys, sites: true,
-			faults: standin.Faults{Error: 0.1, ErrorIdle: 0.02, Reset: 0.1, Silent: 0.03, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.1, ErrorIdle: 0.02, Reset: 0.1, Silent: 0.03, Refuse: 0.02}},
 		{Name: "hall-lost", About: "processes that agree; a hall falls silent while it runs work, and comes back as it was or empty; nobody tells the instances", mix: stubbornMix, price: sameUnits, cluster: hallLost, sites: true,
-			faults: standin.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
 		{Name: "hall-returns-empty", About: "the same with halls that come back cold: with one server, with all, with half of them, twice in a row", mix: stubbornMix, price: sameUnits, cluster: hallReturnsEmpty, sites: true,
-			faults: standin.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
 		{Name: "flapping", About: "the same with a hall that falls silent and answers again all the time", mix: stubbornMix, price: sameUnits, cluster: flapping, sites: true,
-			faults: standin.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
-		{Name: "two-sites", About: "processes that agree, two at each of two sites, and no faults", mix: stubbornMix, price: sameUnits, cluster: func(ctx context.Context, _ *cluster) { <-ctx.Done() }, sites: true},
+			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+		{Name: "two-sites", About: "processes that agree, two at each of two sites, and no faults", mix: stubbornMix, price: sameUnits, cluster: func(ctx context.Context, _ *clusterRun) { <-ctx.Done() }, sites: true},
 		{Name: "hall-lost-surge", About: "a hall that carries half of the load is lost and comes back cold; what is served is held against an oracle", mix: stubbornMix, price: sameUnits, cluster: hallLostSurge, sites: true, small: true},
 		{Name: "servers-replaced", About: "a crowd asks for all that there is, and a hall's warm servers end a moment after a cold one has come", mix: stubbornMix, price: sameUnits, cluster: serversReplaced, sites: true, small: true, rush: 6},
 		{Name: "link-drops", About: "processes that agree, two at each of two sites; the way between the sites falls silent and breaks all the time", mix: stubbornMix, price: sameUnits, cluster: linkDrops, sites: true,
-			faults: standin.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
 		{Name: "both-cut", About: "the same, and all ways between the sites stay cut: each is alone", mix: stubbornMix, price: sameUnits, cluster: bothCut, sites: true,
-			faults: standin.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
-		{Name: "followers", About: "three members that agree and two instances that follow, and no faults", mix: mixedMix, price: sameUnits, cluster: func(ctx context.Context, _ *cluster) { <-ctx.Done() }, followers: 2},
+			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+		{Name: "followers", About: "three members that agree and two instances that follow, and no faults", mix: mixedMix, price: sameUnits, cluster: func(ctx context.Context, _ *clusterRun) { <-ctx.Done() }, followers: 2},
 		{Name: "stream-breaks", About: "three members that agree and two instances that follow; the ways between them fall silent all the time", mix: mixedMix, price: sameUnits, cluster: streamBreaks, followers: 2},
-		{Name: "follower-restarts", About: "the same; followers are killed and started again", mix: mixedMix, price: sameUnits, cluster: killing(func(c *cluster) []*member { return c.follow }), followers: 2},
-		{Name: "member-dies-with-followers", About: "the same; members are killed and started again", mix: mixedMix, price: sameUnits, cluster: killing(func(c *cluster) []*member { return c.members }), followers: 2},
+		{Name: "follower-restarts", About: "the same; followers are killed and started again", mix: mixedMix, price: sameUnits, cluster: killing(func(c *clusterRun) []*member { return c.follow }), followers: 2},
+		{Name: "member-dies-with-followers", About: "the same; members are killed and started again", mix: mixedMix, price: sameUnits, cluster: killing(func(c *clusterRun) []*member { return c.members }), followers: 2},
 		{Name: "chaos-config", About: "processes that agree; kills, cuts, lost, late and repeated messages, failing disks, by the seed", mix: mixedMix, price: sameUnits, cluster: chaosConfig},
 	}
 }
@@ -96,12 +96,12 @@
 type world struct {
 	opt       Options
 	scenario  Scenario
-	ledger    *standin.Ledger
-	halls     []*standin.Hall
+	ledger    *testserver.Ledger
+	halls     []*testserver.Hall
 	instances []*gateway.Instance
 	configs   []*gateway.Config
 	addrs     []string
-	compile   contract.Options
+	compile   routing.Options
 
 	mu      sync.Mutex
 	records []gateway.Record
@@ -118,7 +118,7 @@
 }
 
 // asking is what the licensees ask for: in a small scenario it takes nine tenths of what both halls can do.
-func (w *world) asking() []standin.Licensee {
+func (w *world) asking() []testserver.Licensee {
 	ls := licensees()
 	for i := range ls {
 		if w.scenario.small || w.scenario.rush > 0 {
@@ -152,17 +152,17 @@
 )
 
 // classes and plans are those of the booking platform, with rates for a short run.
-func classes() []contract.Class {
-	return []contract.Class{
+func classes() []routing.Class {
+	return []routing.Class{
 		{Name: "slot-check", Worth: 3, Aim: 400 * time.Millisecond, Deadline: 2 * time.Second},
 		{Name: "visit-book", Worth: 9, Late: 0.2, Aim: 750 * time.Millisecond, Deadline: 2 * time.Second},
 	}
 }
 
-func settings(me int) choice.Settings {
-	return choice.Settings{
+func settings(me int) policy.Settings {
+	return policy.Settings{
 		Me: me, Instances: instances, Zone: hallName(me % 2),
-		Plans: []choice.Plan{
+		Plans: []policy.Plan{
 			{Name: "msingi", Rate: 6, Burst: 24, Price: 0.88, OverWorth: 0.3},
 			{Name: "kati", Rate: 24, Burst: 60, Price: 1.1, OverCost: 0.6},
 			{Name: "kubwa", Rate: 90, Burst: 150, CeilingRate: 180, CeilingBurst: 300, CeilingSlack: 30, Price: 1.6, OverCost: 1},
@@ -170,25 +170,25 @@
 		AnswerSlack: 8 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
 		ColdFrom: 0.17, RampTime: 15 * time.Second, FallMultiple: 2.5, OverloadFor: 2 * time.Second,
 		MaxAttempts: 5, Cancel: true, Peers: true, Probes: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		Report: choice.ReportProbes, InboxPerS: 40, MostUnits: 50, Tick: 2 * time.Millisecond,
+		Report: policy.ReportProbes, InboxPerS: 40, MostUnits: 50, Tick: 2 * time.Millisecond,
 		PriceCross: 0.01, PricePeer: 0.03, PriceProbe: 0.01, PriceWaste: 0.05,
 	}
 }
 
 func hallName(i int) string { return [...]string{"hall-a", "hall-b"}[i] }
 
-func licensees() (ls []standin.Licensee) {
+func licensees() (ls []testserver.Licensee) {
 	for i := range 12 {
-		ls = append(ls, standin.Licensee{Name: fmt.Sprintf("msingi-%d", i), Plan: "msingi", Rate: 2})
+		ls = append(ls, testserver.Licensee{Name: fmt.Sprintf("msingi-%d", i), Plan: "msingi", Rate: 2})
 	}
 	for i := range 6 {
-		ls = append(ls, standin.Licensee{Name: fmt.Sprintf("kati-%d", i), Plan: "kati", Rate: 8})
+		ls = append(ls, testserver.Licensee{Name: fmt.Sprintf("kati-%d", i), Plan: "kati", Rate: 8})
 	}
 	for i := range 3 {
-		ls = append(ls, standin.Licensee{Name: fmt.Sprintf("kubwa-%d", i), Plan: "kubwa", Rate: 25})
+		ls = append(ls, testserver.Licensee{Name: fmt.Sprintf("kubwa-%d", i), Plan: "kubwa", Rate: 25})
 	}
 	// One asks for several times its quota.
-	return append(ls, standin.Licensee{Name: "kubwa-greedy", Plan: "kubwa", Rate: 120})
+	return append(ls, testserver.Licensee{Name: "kubwa-greedy", Plan: "kubwa", Rate: 120})
 }
 
 // Play plays a scenario and judges it. An error means that it could not be played.
@@ -203,8 +203,8 @@
 	if opt.Log == nil {
 		opt.Log = io.Discard
 	}
-	w := &world{opt: opt, scenario: Scenarios()[i], ledger: &standin.Ledger{}}
-	w.compile = contract.Options{Classes: classes(), MostUnits: 50}
+	w := &world{opt: opt, scenario: Scenarios()[i], ledger: &testserver.Ledger{}}
+	w.compile = routing.Options{Classes: classes(), MostUnits: 50}
 	if w.scenario.cluster != nil {
 		return w.playCluster(ctx)
 	}
@@ -227,7 +227,7 @@
 	if err != nil {
 		return nil, err
 	}
-	clients := &standin.Clients{Instances: w.addrs, Licensees: w.asking(), Mix: w.scenario.mix(), Tries: 3, Deadline: 2 * time.Second, Seed: w.opt.Seed}
+	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.asking(), Mix: w.scenario.mix(), Tries: 3, Deadline: 2 * time.Second, Seed: w.opt.Seed}
 	playing, end := context.WithTimeout(ctx, w.opt.For)
 	defer end()
 	var beside sync.WaitGroup
@@ -261,7 +261,7 @@
 		}
 	}
 	for i := range 2 {
-		h, err := standin.NewHall(hallName(i), routes(w.scenario.price), standin.Figures{Cores: w.cores(), Queue: 60, Memory: 4 * time.Second,
+		h, err := testserver.NewHall(hallName(i), routes(w.scenario.price), testserver.Figures{Cores: w.cores(), Queue: 60, Memory: 4 * time.Second,
 			ColdFrom: 0.17, Ramp: 15 * time.Second, FallMultiple: 2.5, FallWindow: 2 * time.Second,
 			Faults: w.scenario.faults, Seed: w.opt.Seed}, w.ledger)
 		if err != nil {
@@ -281,7 +281,7 @@
 }
 
 // start starts the instances and returns once all are ready.
-func (w *world) start(ctx context.Context, halls []gateway.Hall, table *contract.Table) (ended chan error, err error) {
+func (w *world) start(ctx context.Context, halls []gateway.Hall, table *routing.Table) (ended chan error, err error) {
 	var lns []net.Listener
 	var conns []*net.UDPConn
 	var addrs []netip.AddrPort
--- a/internal/lab/link.go
+++ b/internal/scenario/link.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"errors"
--- a/internal/lab/oracle.go
+++ b/internal/scenario/oracle.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/policy"
 )
 
 // The scenario hall-lost-surge loses a hall that is needed and has it back cold, and holds what was served against
@@ -32,7 +32,7 @@
 }
 
 // hallLostSurge has a hall that carries half of the load fall silent, and come back with cold servers alone.
-func hallLostSurge(ctx context.Context, c *cluster) {
+func hallLostSurge(ctx context.Context, c *clusterRun) {
 	began := time.Now()
 	until := func(share float64) {
 		pause(ctx, time.Until(began.Add(time.Duration(share*float64(c.w.opt.For)))))
@@ -69,7 +69,7 @@
 }
 
 // wishes joins tries to wishes. Units of a request that no hall has seen are those of its operation's others.
-func wishes(tries []standin.Try, byTrace map[string][]standin.Arrival) []*wish {
+func wishes(tries []testserver.Try, byTrace map[string][]testserver.Arrival) []*wish {
 	classes, plans, prices, units := classes(), map[string]string{}, map[string]float64{}, map[string]int{}
 	for _, l := range licensees() {
 		plans[l.Name] = l.Plan
@@ -127,7 +127,7 @@
 // what is worth most for its work is served first.
 func (s *surge) oracle(all []*wish, servers, cores int) (served map[*wish]bool) {
 	type store struct {
-		plan  choice.Plan
+		plan  policy.Plan
 		level float64
 		queue []*wish
 	}
@@ -200,7 +200,7 @@
 }
 
 // figures holds what was served against the oracle, and the time to full use against the shortest.
-func (s *surge) figures(j *judge, tries []standin.Try, arrivals []standin.Arrival, byTrace map[string][]standin.Arrival, servers, cores int) {
+func (s *surge) figures(j *judge, tries []testserver.Try, arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival, servers, cores int) {
 	all := wishes(tries, byTrace)
 	oracle := s.oracle(all, servers, cores)
 	share := func(name string, from, to time.Time) {
--- a/internal/lab/verdict.go
+++ b/internal/scenario/verdict.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"time"
 
 	"mulleinmux/internal/gateway"
-	"mulleinmux/internal/standin"
+	"mulleinmux/internal/testserver"
 )
 
 // Verdict is what came of a scenario. It is also its JSON.
@@ -63,14 +63,14 @@
 }
 
 // judge holds the account of the halls and of the clients against the instances' own.
-func (w *world) judge(tries []standin.Try, began time.Time) *Verdict {
+func (w *world) judge(tries []testserver.Try, began time.Time) *Verdict {
 	v := &Verdict{Scenario: w.scenario.Name, Seed: w.opt.Seed, Figures: map[string]float64{}, Rules: map[string]int{
 		"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
 		"units": 0, "operations": 0, "versions": 0, "scenario": 0}}
 	j := &judge{v}
 	arrivals := w.ledger.Arrivals()
-	slices.SortStableFunc(arrivals, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
-	byTrace := map[string][]standin.Arrival{}
+	slices.SortStableFunc(arrivals, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
+	byTrace := map[string][]testserver.Arrival{}
 	for _, a := range arrivals {
 		byTrace[a.Trace] = append(byTrace[a.Trace], a)
 	}
@@ -81,7 +81,7 @@
 		}
 		records[r.Trace] = r
 	}
-	j.answers(tries, func(standin.Try) bool { return false })
+	j.answers(tries, func(testserver.Try) bool { return false })
 	j.effects(arrivals, byTrace)
 	j.costs(byTrace, records)
 	for _, s := range w.ledger.Strays() {
@@ -105,7 +105,7 @@
 
 // answers checks that each try of a client had one whole answer, its own and in time. A try
 // without one is excused where its instance was down.
-func (j *judge) answers(tries []standin.Try, excused func(standin.Try) bool) {
+func (j *judge) answers(tries []testserver.Try, excused func(testserver.Try) bool) {
 	for _, t := range tries {
 		j.v.Requests++
 		switch {
@@ -136,7 +136,7 @@
 
 // effects checks what the attempts of each request did: no effect twice, repeats only
 // within their class, never two attempts at once, drains kept.
-func (j *judge) effects(arrivals []standin.Arrival, byTrace map[string][]standin.Arrival) {
+func (j *judge) effects(arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
 	done := map[string]string{}
 	for _, a := range arrivals {
 		if a.Draining > drainGrace {
@@ -156,7 +156,7 @@
 		done[name] = a.Hall + "/" + a.Server
 	}
 	for trace, as := range byTrace {
-		var ran *standin.Arrival // the first that may have run
+		var ran *testserver.Arrival // the first that may have run
 		for i := range as {
 			a := &as[i]
 			if i > 0 && a.At.Add(inFlightSlack).Before(as[i-1].Ended) {
@@ -181,7 +181,7 @@
 
 // costs checks that each request that reached a hall was charged once, as the operation
 // that the hall saw, at the price of one version.
-func (j *judge) costs(byTrace map[string][]standin.Arrival, records map[string]gateway.Record) {
+func (j *judge) costs(byTrace map[string][]testserver.Arrival, records map[string]gateway.Record) {
 	ops := map[string]*OperationFigures{}
 	op := func(name string) *OperationFigures {
 		if ops[name] == nil {
@@ -229,12 +229,12 @@
 
 // ceilings plays the ceilings' stores over the halls' record. The slack is that of the
 // plan or a tenth, whichever is more, and what the rate gives in 150 ms.
-func (j *judge) ceilings(byTrace map[string][]standin.Arrival) {
+func (j *judge) ceilings(byTrace map[string][]testserver.Arrival) {
 	plans := map[string]string{}
 	for _, l := range licensees() {
 		plans[l.Name] = l.Plan
 	}
-	firsts := map[string][]standin.Arrival{}
+	firsts := map[string][]testserver.Arrival{}
 	for _, as := range byTrace {
 		firsts[as[0].Licensee] = append(firsts[as[0].Licensee], as[0])
 	}
@@ -243,7 +243,7 @@
 			if p.Name != plans[name] || p.CeilingRate <= 0 {
 				continue
 			}
-			slices.SortFunc(as, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
+			slices.SortFunc(as, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
 			level, at := p.CeilingBurst, as[0].At
 			slack := math.Max(p.CeilingSlack, 0.1*p.CeilingBurst) + 0.15*p.CeilingRate
 			for _, a := range as {
@@ -284,7 +284,7 @@
 }
 
 // figures tells how well clients were served.
-func (j *judge) figures(tries []standin.Try, attempts int, took time.Duration) {
+func (j *judge) figures(tries []testserver.Try, attempts int, took time.Duration) {
 	var lat []float64
 	for _, t := range tries {
 		if t.Served {
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
 // Package wire is the codec of the simulator's line protocol: it turns lines
 // into typed events and the gateway's actions into lines. It decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // Events as they come off the wire, in order.
@@ -24,18 +24,18 @@
 	Launch struct {
 		Inst     int
 		Seed     uint64
-		Settings choice.Settings
+		Settings policy.Settings
 	}
 	Halt struct{ Inst int }
 	// List is a FLEET event with the entries of its table resolved.
 	List struct {
 		Inst    int
-		Form    choice.ListForm
-		Servers []choice.Server
+		Form    policy.ListForm
+		Servers []policy.Server
 	}
 	Accept struct {
 		Inst    int
-		Request choice.Request
+		Request policy.Request
 	}
 	Headers struct {
 		Inst    int
@@ -44,7 +44,7 @@
 	}
 	Completed struct {
 		Inst    int
-		Outcome choice.Outcome
+		Outcome policy.Outcome
 	}
 	Left struct {
 		Inst int
@@ -57,9 +57,9 @@
 	ProbeDone struct {
 		Inst   int
 		Server string
-		Result choice.Result
+		Result policy.Result
 		Took   time.Duration
-		Load   *choice.Load
+		Load   *policy.Load
 	}
 	Whisper struct {
 		Inst, From int
@@ -75,14 +75,14 @@
 type Reader struct {
 	s      *bufio.Scanner
 	line   int
-	tables map[int][]choice.Server
+	tables map[int][]policy.Server
 }
 
 // NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 1<<16), maxLine)
-	return &Reader{s: s, tables: map[int][]choice.Server{}}
+	return &Reader{s: s, tables: map[int][]policy.Server{}}
 }
 
 // Line returns the number of the line read last.
@@ -204,7 +204,7 @@
 	if table < 0 || table > 15 || rows < 0 {
 		return fmt.Errorf("PAGE: table %d or row count %d out of range", table, rows)
 	}
-	var list []choice.Server
+	var list []policy.Server
 	for i := 0; i < rows; i++ {
 		text, err := r.readLine()
 		if err != nil {
@@ -214,7 +214,7 @@
 		if e.vals[0] != "ITEM" {
 			return fmt.Errorf("expected ITEM, got %q", e.vals[0])
 		}
-		s := choice.Server{ID: e.str("server"), State: e.state("mode"), Weight: e.num("rating"), Kind: e.str("machine")}
+		s := policy.Server{ID: e.str("server"), State: e.state("mode"), Weight: e.num("rating"), Kind: e.str("machine")}
 		s.Zone, s.Cell, s.Boot = e.str("regionPart"), e.int("pod"), e.dur("bootTime")
 		if e.err == nil && len(e.vals) > e.next {
 			e.err = errors.New("too many values")
@@ -242,13 +242,13 @@
 	if f.err != nil {
 		return nil, nil // reported by the caller
 	}
-	forms := map[string]choice.ListForm{"Partial": choice.ListChanges, "Complete": choice.ListFull,
-		"Persisted": choice.ListSaved, "Error": choice.ListError}
+	forms := map[string]policy.ListForm{"Partial": policy.ListChanges, "Complete": policy.ListFull,
+		"Persisted": policy.ListSaved, "Error": policy.ListError}
 	var ok bool
 	if e.Form, ok = forms[form]; !ok {
 		return nil, fmt.Errorf("FLEET: unknown form %q", form)
 	}
-	if e.Form != choice.ListError {
+	if e.Form != policy.ListError {
 		table, err := strconv.Atoi(ref)
 		if err != nil {
 			return nil, fmt.Errorf("FLEET: bad table %q", ref)
@@ -352,51 +352,51 @@
 	return b
 }
 
-func (f *fields) state(what string) choice.ServerState {
+func (f *fields) state(what string) policy.ServerState {
 	switch v := f.str(what); v {
 	case "IN":
-		return choice.Up
+		return policy.Up
 	case "LAME":
-		return choice.Draining
+		return policy.Draining
 	case "OUT":
-		return choice.Removed
+		return policy.Removed
 	default:
 		f.bad(what, v)
-		return choice.Up
+		return policy.Up
 	}
 }
 
-func (f *fields) result(what string) choice.Result {
+func (f *fields) result(what string) policy.Result {
 	switch v := f.str(what); v {
 	case "0":
-		return choice.OK
+		return policy.OK
 	case "255":
-		return choice.ErrorAnswer
+		return policy.ErrorAnswer
 	case "254":
-		return choice.Full
+		return policy.Full
 	case "253":
-		return choice.TimedOut
+		return policy.TimedOut
 	case "252":
-		return choice.ConnectFailed
+		return policy.ConnectFailed
 	case "251":
-		return choice.Reset
+		return policy.Reset
 	case "250":
-		return choice.Cancelled
+		return policy.Cancelled
 	case "249":
-		return choice.Moot
+		return policy.Moot
 	default:
 		f.bad(what, v)
-		return choice.Moot
+		return policy.Moot
 	}
 }
 
 // load parses a load report. Unknown names are skipped.
-func (f *fields) load(what string) *choice.Load {
+func (f *fields) load(what string) *policy.Load {
 	v := f.str(what)
 	if v == "" {
 		return nil
 	}
-	l := choice.Load{InFlight: -1, Queue: -1, Util: -1}
+	l := policy.Load{InFlight: -1, Queue: -1, Util: -1}
 	for _, pair := range strings.Split(v, ",") {
 		name, val, ok := strings.Cut(pair, ":")
 		x, err := strconv.ParseFloat(val, 64)
@@ -479,19 +479,19 @@
 
 // ParseSettings parses the settings object, in the form in which both the
 // simulator and a real edge node's configuration give it.
-func ParseSettings(text []byte) (choice.Settings, Transport, error) {
+func ParseSettings(text []byte) (policy.Settings, Transport, error) {
 	var in info
 	if err := json.Unmarshal(text, &in); err != nil {
-		return choice.Settings{}, Transport{}, err
+		return policy.Settings{}, Transport{}, err
 	}
 	s, err := in.settings()
 	l := &in.PolicyLimits
 	return s, Transport{ConnIdle: seconds(l.ConnIdle), ConnectTimeout: seconds(l.ConnectTimeout)}, err
 }
 
-func (in *info) settings() (choice.Settings, error) {
+func (in *info) settings() (policy.Settings, error) {
 	l, r := &in.PolicyLimits, &in.Rules
-	s := choice.Settings{
+	s := policy.Settings{
 		Me: in.Me, Instances: in.Instances, Zone: in.Zone,
 		AnswerSlack: seconds(r.AnswerSlack), DrainGrace: seconds(r.DrainGrace),
 		ColdFrom: r.ColdFrom, RampTime: seconds(r.RampTime),
@@ -506,29 +506,29 @@
 	}
 	switch in.Feedback.How {
 	case "answers":
-		s.Report = choice.ReportAnswers
+		s.Report = policy.ReportAnswers
 	case "probe":
-		s.Report = choice.ReportProbes
+		s.Report = policy.ReportProbes
 	case "none", "":
 	default:
 		return s, fmt.Errorf("feedback.how: unknown word %q", in.Feedback.How)
 	}
 	for _, c := range in.Lanes {
-		k := choice.Class{Name: c.Name, Window: seconds(c.MemorySpan), Aim: seconds(c.OnTime),
+		k := policy.Class{Name: c.Name, Window: seconds(c.MemorySpan), Aim: seconds(c.OnTime),
 			Deadline: seconds(c.Deadline), Worth: c.Worth, Late: c.LateWorth, Stream: c.Streamed}
-		effects := map[string]choice.Effect{"retryable": choice.Safe, "dedup": choice.Keyed, "fragile": choice.Unsafe}
-		groups := map[string]choice.Group{"all": choice.GroupAll, "zone": choice.GroupZone, "cell": choice.GroupCell}
+		effects := map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
+		groups := map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
 		var ok bool
 		if k.Effect, ok = effects[c.Idempotency]; !ok {
 			return s, fmt.Errorf("lanes: unknown idempotency %q", c.Idempotency)
 		}
-		if k.Group, ok = groups[c.KeyScope]; !ok && k.Effect == choice.Keyed {
+		if k.Group, ok = groups[c.KeyScope]; !ok && k.Effect == policy.Keyed {
 			return s, fmt.Errorf("lanes: unknown keyScope %q", c.KeyScope)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range in.Tariffs {
-		s.Plans = append(s.Plans, choice.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, Open: t.MaxOut,
+		s.Plans = append(s.Plans, policy.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, Open: t.MaxOut,
 			CeilingRate: t.NeverOverRate, CeilingBurst: t.HardBurst, CeilingSlack: t.CapSlack,
 			Price: t.WorthFactor, OverWorth: t.ExtraWorth, OverCost: t.OverCost})
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 func all(text string) (events []any, err error) {
@@ -40,24 +40,24 @@
 		t.Errorf("clock %v", c.Now)
 	}
 	l := events[1].(Launch)
-	if s := l.Settings; l.Seed != 99 || s.Me != 1 || s.Classes[0].Effect != choice.Keyed || s.Classes[0].Group != choice.GroupCell ||
-		s.Plans[0].Open != 3 || s.Plans[0].Burst != 7 || s.Report != choice.ReportAnswers || s.DrainGrace != 2*time.Second {
+	if s := l.Settings; l.Seed != 99 || s.Me != 1 || s.Classes[0].Effect != policy.Keyed || s.Classes[0].Group != policy.GroupCell ||
+		s.Plans[0].Open != 3 || s.Plans[0].Burst != 7 || s.Report != policy.ReportAnswers || s.DrainGrace != 2*time.Second {
 		t.Errorf("launch %+v", l)
 	}
 	list := events[2].(List)
-	if len(list.Servers) != 2 || list.Servers[1].State != choice.Draining || list.Servers[1].Boot != 6100*time.Millisecond {
+	if len(list.Servers) != 2 || list.Servers[1].State != policy.Draining || list.Servers[1].Boot != 6100*time.Millisecond {
 		t.Errorf("list %+v", list)
 	}
 	if q := events[3].(Accept).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.Spread != 3 || q.First != 1 {
 		t.Errorf("request %+v", q)
 	}
-	if o := events[4].(Completed).Outcome; o.Result != choice.Full || !o.Closed || o.Load == nil || o.Load.Queue != 3 || o.Units != 3 {
+	if o := events[4].(Completed).Outcome; o.Result != policy.Full || !o.Closed || o.Load == nil || o.Load.Queue != 3 || o.Units != 3 {
 		t.Errorf("outcome %+v", o)
 	}
 	if w := events[6].(Whisper); string(w.Payload) != "hi 7" {
 		t.Errorf("payload %q", w.Payload)
 	}
-	if e := events[7].(List); e.Form != choice.ListError {
+	if e := events[7].(List); e.Form != policy.ListError {
 		t.Errorf("form %v", e.Form)
 	}
 }
@@ -85,7 +85,7 @@
 	r.Cancel("rq", 1)
 	r.SetTimer(77, 500*time.Millisecond)
 	r.Probe("s.a")
-	r.Tell(choice.AllPeers, []byte("hi 7"))
+	r.Tell(policy.AllPeers, []byte("hi 7"))
 	r.Tell(2, nil)
 	r.Watch(true)
 	r.Log("two\nlines")
--- a/internal/wire/writer.go
+++ b/internal/simwire/writer.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/base64"
--- a/internal/standin/ledger.go
+++ b/internal/testserver/ledger.go
@@ -2,7 +2,7 @@
 // registers, and licensees' clients. They run on loopback addresses, keep an exact account
 // of what reached them, and share no code for routes or costs with the gateway, so that
 // the account can be held against what the gateway counted.
-package standin
+package testserver
 
 import (
 	"encoding/json"
--- a/internal/standin/ports.go
+++ b/internal/testserver/ports.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"fmt"
--- a/sites/crossing_test.go
+++ b/multisite/crossing_test.go
@@ -1,4 +1,4 @@
-package sites
+package multisite
 
 import (
 	"fmt"
--- a/sites/keys.go
+++ b/multisite/keys.go
@@ -18,7 +18,7 @@
 // The package does no I/O and reads no clock. Times are readings of one clock of this instance
 // that never goes back; what instances tell each other holds durations alone, so that their
 // clocks may be hours apart.
-package sites
+package multisite
 
 import (
 	"errors"
--- a/choice/api.go
+++ b/policy/api.go
@@ -13,7 +13,7 @@
 // clock that never goes backwards; its origin does not matter. Events that
 // name an unknown or finished request, server, timer or attempt are ignored.
 // The gateway keeps no reference to slices that it is given.
-package choice
+package policy
 
 import "time"
 
--- a/choice/choice.go
+++ b/policy/choice.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 // A request meets its customer's quota, ARO, the choice of a server (pick), then maySend and mayRefuse.
 
--- a/choice/example_test.go
+++ b/policy/example_test.go
@@ -1,10 +1,10 @@
-package choice_test
+package policy_test
 
 import (
 	"fmt"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // printer is a host that only prints what it is asked to do.
@@ -21,12 +21,12 @@
 func (printer) Log(text string)                               { fmt.Println(text) }
 
 func Example() {
-	settings := choice.Settings{
+	settings := policy.Settings{
 		Instances: 1,
-		Classes:   []choice.Class{{Name: "read", Effect: choice.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:     []choice.Plan{{Name: "basic", Rate: 1, Burst: 2, Price: 1}},
+		Classes:   []policy.Class{{Name: "read", Effect: policy.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Plans:     []policy.Plan{{Name: "basic", Rate: 1, Burst: 2, Price: 1}},
 	}
-	g, err := choice.New(settings, 1)
+	g, err := policy.New(settings, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -34,12 +34,12 @@
 	var host printer
 	now := time.Duration(0)
 	g.Start(now, host)
-	g.List(now, choice.ListFull, []choice.Server{{ID: "alpha"}}, host)
+	g.List(now, policy.ListFull, []policy.Server{{ID: "alpha"}}, host)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		g.Request(now, choice.Request{ID: id, Class: "read", Plan: "basic", Customer: 7,
+		g.Request(now, policy.Request{ID: id, Class: "read", Plan: "basic", Customer: 7,
 			Grace: time.Second, Units: 1, Spread: 1}, host)
 	}
-	g.Outcome(now, choice.Outcome{ID: "r1", Result: choice.OK, Closed: true, Took: 20 * time.Millisecond}, host)
+	g.Outcome(now, policy.Outcome{ID: "r1", Result: policy.OK, Closed: true, Took: 20 * time.Millisecond}, host)
 	// Output:
 	// send r1 to alpha
 	// send r2 to alpha
--- a/choice/state.go
+++ b/policy/state.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"mulleinmux/outage"
-	"mulleinmux/parts"
+	"mulleinmux/subset"
+	"mulleinmux/zonehealth"
 )
 
 // What a gateway remembers. How it is used is decided in choice.go.
@@ -163,8 +163,8 @@
 	near    []*server // this gateway's part of them, or all
 	parted  bool      // the rule leaves servers out of the part
 	holders float64   // gateways that have a server of it in their part, on average
-	width   parts.Width
-	watch   *outage.Watch // over the zones, where gateways keep to parts
+	width   subset.Width
+	watch   *zonehealth.Watch // over the zones, where gateways keep to parts
 	byID    map[string]*server
 	reqs    map[string]*request
 	byNum   map[uint64]*request
@@ -233,7 +233,7 @@
 		set: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), byID: map[string]*server{}, reqs: map[string]*request{},
 		byNum: map[uint64]*request{}, class: map[string]int{}, plan: map[string]int{}, kinds: map[string]int{},
 		stores: map[uint64]*store{}, peers: make([]peer, s.Instances), lat: make([]classLatency, len(s.Classes)), cold: map[string]*coldZone{},
-		watch: outage.New(outage.Usual),
+		watch: zonehealth.New(zonehealth.Usual),
 	}
 	g.set.Classes = append([]Class(nil), s.Classes...)
 	g.set.Plans = append([]Plan(nil), s.Plans...)
@@ -564,11 +564,11 @@
 // partRule is how large a gateway's part of the servers is: 12 are enough to lose half of them, and few enough for
 // some requests a second to find a connection open; each server is in 16 parts or more, so that gateways with several
 // times the mean load do not weigh on single servers.
-var partRule = parts.Rule{Servers: 12, Holders: 16, Spare: 8}
+var partRule = subset.Rule{Servers: 12, Holders: 16, Spare: 8}
 
 // takePart forms this gateway's part of the servers that take requests.
 func (g *Gateway) takePart() {
-	fleet := parts.Fleet{Nodes: g.set.Instances, Seed: 1, Rule: partRule}
+	fleet := subset.Fleet{Nodes: g.set.Instances, Seed: 1, Rule: partRule}
 	takes := 0
 	for _, s := range g.servers {
 		takes += b2i(s.takes())
@@ -578,10 +578,10 @@
 	if g.parted = fleet.Size(takes) < takes; !g.parted {
 		return
 	}
-	at, list := make([]*server, 0, takes), make([]parts.Server, 0, takes)
+	at, list := make([]*server, 0, takes), make([]subset.Server, 0, takes)
 	for _, s := range g.servers {
 		if s.near = false; s.takes() {
-			at, list = append(at, s), append(list, parts.Server{ID: s.ID, Zone: s.Zone, Size: g.weight(s)})
+			at, list = append(at, s), append(list, subset.Server{ID: s.ID, Zone: s.Zone, Size: g.weight(s)})
 		}
 	}
 	members := fleet.Form(list, g.set.Me, g.width.Factor())
--- a/choice/tells.go
+++ b/policy/tells.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import (
 	"encoding/binary"
