--- a/contract/compile.go
+++ b/routing/compile.go
@@ -1,4 +1,4 @@
-package contract
+package routing
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // mostProblems bounds the problems that are told of one description.
@@ -257,7 +257,7 @@
 		f := found["aim"]
 		c.once(cmp.Or(f.Pos, m.Pos), cmp.Or(f.at, at), "the aim %v is past the deadline %v", cls.Aim, cls.Deadline)
 	}
-	if cls.Effect == choice.Keyed {
+	if cls.Effect == policy.Keyed {
 		cls.Group = d.group()
 		if cls.Window = d.duration("window", 0); cls.Window == 0 {
 			c.once(m.Pos, at+".x-mulleinmux.window", "a keyed operation must tell for how long a repeat is dropped, such as window: 4s")
@@ -272,7 +272,7 @@
 	}
 	op.Units = d.units()
 	for _, name := range []string{"class", "units"} {
-		if f, ok := found[name]; ok && f.at == "x-mulleinmux."+name && cls.Effect != choice.Safe {
+		if f, ok := found[name]; ok && f.at == "x-mulleinmux."+name && cls.Effect != policy.Safe {
 			op.Inherited = append(op.Inherited, name)
 		}
 	}
@@ -290,10 +290,10 @@
 
 // choiceClass gives each combination of class and figures a name of its own, the same
 // in every table, and lists it once.
-func (c *compiler) choiceClass(cls choice.Class) choice.Class {
+func (c *compiler) choiceClass(cls policy.Class) policy.Class {
 	effect := [...]string{"safe", "keyed", "unsafe"}[cls.Effect]
 	name := fmt.Sprintf("%s/%s/%v/%v", cls.Name, effect, cls.Aim, cls.Deadline)
-	if cls.Effect == choice.Keyed {
+	if cls.Effect == policy.Keyed {
 		name += fmt.Sprintf("/%s/%v", [...]string{"all", "zone", "cell"}[cls.Group], cls.Window)
 	}
 	cls.Name = name
@@ -329,7 +329,7 @@
 	return f.Value.Text, true
 }
 
-func (d *declarer) class() (cls choice.Class) {
+func (d *declarer) class() (cls policy.Class) {
 	var names []string
 	for _, k := range d.c.opt.Classes {
 		names = append(names, k.Name)
@@ -341,7 +341,7 @@
 	}
 	for _, k := range d.c.opt.Classes {
 		if f.Value.Kind == Text && k.Name == f.Value.Text {
-			return choice.Class{Name: k.Name, Worth: k.Worth, Late: k.Late, Aim: k.Aim, Deadline: k.Deadline}
+			return policy.Class{Name: k.Name, Worth: k.Worth, Late: k.Late, Aim: k.Aim, Deadline: k.Deadline}
 		}
 	}
 	d.bad(f, "class %q has no worth in the operator's file: one of %s is wanted", f.Value.Text, strings.Join(names, ", "))
@@ -352,7 +352,7 @@
 // meaning of the method holds (RFC 9110, 9.2), but a method that is idempotent by HTTP
 // and changes something counts as unsafe: a repeat that meets a change made in between
 // undoes it.
-func (d *declarer) effect() choice.Effect {
+func (d *declarer) effect() policy.Effect {
 	safe := d.m.Name == "GET" || d.m.Name == "HEAD" || d.m.Name == "OPTIONS" || d.m.Name == "TRACE"
 	f, ok := d.found["effect"]
 	if ok && !safe && !strings.HasPrefix(f.at, d.at+".") && f.Value.Text == "safe" {
@@ -367,35 +367,35 @@
 	}
 	if !ok {
 		if safe {
-			return choice.Safe
+			return policy.Safe
 		}
-		return choice.Unsafe
+		return policy.Unsafe
 	}
 	w, _ := d.word("effect", "safe", "keyed", "unsafe")
 	switch {
 	case w == "keyed":
-		return choice.Keyed
+		return policy.Keyed
 	case w == "unsafe":
-		return choice.Unsafe
+		return policy.Unsafe
 	case w == "safe" && !safe && !repeatable:
 		d.bad(f, "%s changes something by HTTP, so it is not safe to repeat: if it is here, add repeatable: true to this operation", d.m.Name)
 	}
-	return choice.Safe
+	return policy.Safe
 }
 
-func (d *declarer) group() choice.Group {
+func (d *declarer) group() policy.Group {
 	switch w, _ := d.word("group", "all", "zone", "cell"); w {
 	case "zone":
-		return choice.GroupZone
+		return policy.GroupZone
 	case "cell":
-		return choice.GroupCell
+		return policy.GroupCell
 	case "all":
-		return choice.GroupAll
+		return policy.GroupAll
 	}
 	if _, ok := d.found["group"]; !ok {
 		d.c.once(d.m.Pos, d.at+".x-mulleinmux.group", "a keyed operation must tell which servers drop a repeat: group: all, zone or cell")
 	}
-	return choice.GroupAll
+	return policy.GroupAll
 }
 
 // mostDuration bounds aims, deadlines and windows.
--- a/contract/contract_test.go
+++ b/routing/contract_test.go
@@ -1,4 +1,4 @@
-package contract
+package routing
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 func classOptions() Options {
@@ -263,9 +263,9 @@
 	for i, want := range []struct {
 		class    string
 		units    int
-		effect   choice.Effect
+		effect   policy.Effect
 		deadline time.Duration
-	}{{"check", 4, choice.Safe, 2e9}, {"book", 4, choice.Unsafe, 5e9}, {"check", 1, choice.Safe, 2e9}, {"check", 1, choice.Unsafe, 2e9}} {
+	}{{"check", 4, policy.Safe, 2e9}, {"book", 4, policy.Unsafe, 5e9}, {"check", 1, policy.Safe, 2e9}, {"check", 1, policy.Unsafe, 2e9}} {
 		o := tab.Operations[i]
 		if !strings.HasPrefix(o.Class.Name, want.class+"/") || o.Units.Fixed != want.units || o.Class.Effect != want.effect || o.Class.Deadline != want.deadline {
 			t.Errorf("%s: %+v, %d units; want %+v", o.ID, o.Class, o.Units.Fixed, want)
--- a/contract/document.go
+++ b/routing/document.go
@@ -7,7 +7,7 @@
 // [Operation.Charge] reads its units. The package does no I/O and keeps no
 // state: a table may be used by any number of goroutines, and a request that
 // holds its [Operation] keeps the version that it was matched with.
-package contract
+package routing
 
 import (
 	"fmt"
--- a/contract/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -1,4 +1,4 @@
-package contract
+package routing
 
 import (
 	"encoding/json"
--- a/contract/path.go
+++ b/routing/path.go
@@ -1,4 +1,4 @@
-package contract
+package routing
 
 // Which spellings of a path are let in. A hall may decode, merge or cut what it gets
 // before it looks for a route, and what it finds then must be what was charged for here.
--- a/contract/table.go
+++ b/routing/table.go
@@ -1,4 +1,4 @@
-package contract
+package routing
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"mulleinmux/choice"
+	"mulleinmux/policy"
 )
 
 // Class is what an operator's file says of a class: what its requests are worth, and
@@ -33,7 +33,7 @@
 	Template string // with its base path
 	Pos      Pos
 	Index    int // among the table's operations, from 0
-	Class    choice.Class
+	Class    policy.Class
 	Key      Source // where a keyed operation's key stands
 	Units    Units
 	// Inherited names what an operation that changes something takes from the document's
@@ -50,7 +50,7 @@
 	File       string
 	Version    string // info.version of the description
 	Operations []*Operation
-	Classes    []choice.Class // each named once
+	Classes    []policy.Class // each named once
 
 	static        map[string]*item // templates without parameters, by path
 	root          *node
--- a/parts/parts.go
+++ b/subset/parts.go
@@ -11,7 +11,7 @@
 // number: a server in few parts is asked more often by each.
 //
 // The package does no I/O, keeps no clock and draws no random numbers.
-package parts
+package subset
 
 import (
 	"hash/fnv"
--- a/parts/parts_test.go
+++ b/subset/parts_test.go
@@ -1,4 +1,4 @@
-package parts
+package subset
 
 import (
 	"fmt"
--- a/outage/outage.go
+++ b/zonehealth/outage.go
@@ -12,7 +12,7 @@
 // Peers that meet answers there end it as well, two of them, since a node that sends nothing there hears nothing.
 //
 // The package does no I/O, keeps no clock and draws no random numbers. Times are readings of any clock that does not go back.
-package outage
+package zonehealth
 
 import (
 	"maps"
--- a/outage/outage_test.go
+++ b/zonehealth/outage_test.go
@@ -1,4 +1,4 @@
-package outage
+package zonehealth
 
 import (
 	"fmt"
