--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -23,7 +23,7 @@
 
 // host is the state of the process: its instances and the reply being written.
 type host struct {
-	gates map[int]*policy.Gateway
+	gates map[int]*policy.Engine
 	now   time.Duration
 	open  bool // inside a batch
 	reply simwire.Reply
@@ -32,7 +32,7 @@
 func run(in io.Reader, out io.Writer) error {
 	r := simwire.NewReader(in)
 	w := bufio.NewWriterSize(out, 1<<16)
-	h := host{gates: map[int]*policy.Gateway{}}
+	h := host{gates: map[int]*policy.Engine{}}
 	for {
 		ev, err := r.Next()
 		if err == io.EOF && h.open {
@@ -83,36 +83,36 @@
 			return err
 		}
 		h.gates[e.Inst] = g
-		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Start(h.now, &h.reply) })
+		return h.deliver(e.Inst, func(g *policy.Engine) { g.Start(h.now, &h.reply) })
 	case simwire.Halt:
 		if _, ok := h.gates[e.Inst]; !ok {
 			return fmt.Errorf("unknown instance %d", e.Inst)
 		}
 		delete(h.gates, e.Inst)
 	case simwire.List:
-		return h.deliver(e.Inst, func(g *policy.Gateway) { g.List(h.now, e.Form, e.Servers, &h.reply) })
+		return h.deliver(e.Inst, func(g *policy.Engine) { g.EndpointsChanged(h.now, e.Form, e.Servers, &h.reply) })
 	case simwire.Accept:
-		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Request(h.now, e.Request, &h.reply) })
+		return h.deliver(e.Inst, func(g *policy.Engine) { g.RequestReceived(h.now, e.Request, &h.reply) })
 	case simwire.Headers:
-		return h.deliver(e.Inst, func(g *policy.Gateway) { g.First(h.now, e.ID, e.Attempt, &h.reply) })
+		return h.deliver(e.Inst, func(g *policy.Engine) { g.ResponseStarted(h.now, e.ID, e.Attempt, &h.reply) })
 	case simwire.Completed:
-		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Outcome(h.now, e.Outcome, &h.reply) })
+		return h.deliver(e.Inst, func(g *policy.Engine) { g.AttemptCompleted(h.now, e.Outcome, &h.reply) })
 	case simwire.Left:
-		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Gone(h.now, e.ID, &h.reply) })
+		return h.deliver(e.Inst, func(g *policy.Engine) { g.ClientDisconnected(h.now, e.ID, &h.reply) })
 	case simwire.TimerFired:
-		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Timer(h.now, e.Token, &h.reply) })
+		return h.deliver(e.Inst, func(g *policy.Engine) { g.TimerFired(h.now, e.Token, &h.reply) })
 	case simwire.ProbeDone:
-		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Probed(h.now, e.Server, e.Result, e.Load, &h.reply) })
+		return h.deliver(e.Inst, func(g *policy.Engine) { g.HealthCheckCompleted(h.now, e.Server, e.Result, e.Load, &h.reply) })
 	case simwire.Whisper:
-		return h.deliver(e.Inst, func(g *policy.Gateway) { g.Peer(h.now, e.From, e.Payload, &h.reply) })
+		return h.deliver(e.Inst, func(g *policy.Engine) { g.GossipReceived(h.now, e.From, e.Payload, &h.reply) })
 	case simwire.Total:
-		return h.deliver(e.Inst, func(*policy.Gateway) {})
+		return h.deliver(e.Inst, func(*policy.Engine) {})
 	}
 	return nil
 }
 
 // deliver hands one event to an instance; a panic of the module becomes BROKEN.
-func (h *host) deliver(inst int, f func(*policy.Gateway)) error {
+func (h *host) deliver(inst int, f func(*policy.Engine)) error {
 	g, ok := h.gates[inst]
 	if !ok {
 		return fmt.Errorf("unknown instance %d", inst)
--- a/internal/benchmark/changes.go
+++ b/internal/benchmark/changes.go
@@ -56,11 +56,11 @@
 
 // settings are those of an instance under measurement.
 func settings() policy.Settings {
-	return policy.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 5, Cancel: true,
-		RetryAfter: true, MaxRetryAfter: 2 * time.Second, Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true,
-		Report: policy.ReportAnswers, MostUnits: 50, ColdFrom: 0.17, RampTime: 15 * time.Second, FallMultiple: 2.5, OverloadFor: 2 * time.Second,
-		DrainGrace: 250 * time.Millisecond, PriceCross: 0.01, PriceProbe: 0.01,
-		Plans: []policy.Plan{{Name: "kubwa", Rate: 1e5, Burst: 1e5, CeilingRate: 2e5, CeilingBurst: 2e5, Price: 1}}}
+	return policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 5, AllowsCancel: true,
+		SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second, MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true,
+		LoadReports: policy.LoadReportsInResponses, MaxUnits: 50, SlowStartMinFraction: 0.17, SlowStartWindow: 15 * time.Second, ColdOverloadMultiple: 2.5, ColdOverloadWindow: 2 * time.Second,
+		DrainGracePeriod: 250 * time.Millisecond, CrossZonePrice: 0.01, HealthCheckPrice: 0.01,
+		Plans: []policy.Plan{{Name: "kubwa", Rate: 1e5, Burst: 1e5, HardLimitRate: 2e5, HardLimitBurst: 2e5, PriorityFactor: 1}}}
 }
 
 // Changes measures one of three instances that agree, by turns without changes of what is
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -152,8 +152,8 @@
 	agreed := m.agreed
 	at := m.listen
 	gate := &gateway.Config{Name: fmt.Sprint("g", id), Seed: id, Agreed: &agreed, DrainFor: time.Millisecond,
-		Settings: policy.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-			Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true, Report: policy.ReportProbes}}
+		Settings: policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true, LoadReports: policy.LoadReportsInHealthChecks}}
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		r.t.Fatal(err)
--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -83,8 +83,8 @@
 		if !ok { // its place stays; no licensee can have it
 			name = "/removed/" + name
 		}
-		out.Plans = append(out.Plans, policy.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, CeilingRate: p.CeilingRate,
-			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverWorth: p.OverWorth, OverCost: p.OverCost})
+		out.Plans = append(out.Plans, policy.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, MaxInFlight: p.Open, HardLimitRate: p.CeilingRate,
+			HardLimitBurst: p.CeilingBurst, HardLimitSlack: p.CeilingSlack, PriorityFactor: p.Price, OverQuotaFraction: p.OverWorth, OverQuotaCost: p.OverCost})
 	}
 	next := make(map[string]licensee, len(u.licensees))
 	out.Licensees = make(map[string]gateway.Licensee, len(u.licensees))
--- a/internal/discovery/register.go
+++ b/internal/discovery/register.go
@@ -77,7 +77,7 @@
 		return Instance{}, err
 	}
 	s := Instance{Server: policy.Server{ID: e.InstanceID, Weight: e.Weight, Kind: e.MachineType, Zone: e.Zone,
-		Cell: e.Cell, Boot: time.Duration(e.StartedAtMs * float64(time.Millisecond))}}
+		Cell: e.Cell, StartedAt: time.Duration(e.StartedAtMs * float64(time.Millisecond))}}
 	if s.ID == "" {
 		return Instance{}, errors.New("instanceId: is empty")
 	}
--- a/internal/edgeproxy/config.go
+++ b/internal/edgeproxy/config.go
@@ -159,13 +159,13 @@
 	if c.Transport.ConnectTimeout <= 0 {
 		c.Transport.ConnectTimeout = defaultConnectTimeout
 	}
-	c.Settings.ConnectWithin = c.Transport.ConnectTimeout
-	if c.Settings.Peers && c.Settings.Instances > 1 {
+	c.Settings.ConnectTimeout = c.Transport.ConnectTimeout
+	if c.Settings.AllowsGossip && c.Settings.InstanceCount > 1 {
 		if c.PeerListen, err = discovery.Address("peer_listen", raw.PeerListen); err != nil {
 			return nil, err
 		}
-		if len(raw.Peers) != c.Settings.Instances {
-			return nil, fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.Instances)
+		if len(raw.Peers) != c.Settings.InstanceCount {
+			return nil, fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.InstanceCount)
 		}
 		for i, p := range raw.Peers {
 			a, err := discovery.Address(fmt.Sprintf("peers[%d]", i), p)
--- a/internal/edgeproxy/endings_test.go
+++ b/internal/edgeproxy/endings_test.go
@@ -298,7 +298,7 @@
 		t.Run(name, func(t *testing.T) {
 			app := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 			cfg := testConfig(app.instance("a"))
-			cfg.Settings.Classes[0].Deadline, cfg.Settings.Classes[0].Aim = time.Hour, time.Hour
+			cfg.Settings.Classes[0].Deadline, cfg.Settings.Classes[0].LatencyObjective = time.Hour, time.Hour
 			n := run(t, cfg)
 			c := dial(t, n.addr)
 			c.send(request("check", "t1", "X-Expires-In", "3600"))
@@ -338,7 +338,7 @@
 	m := get
 	m.gone = c.gone
 	_, res := u.exchange(t.Context(), "a", &m)
-	wantResult(t, res, policy.Moot)
+	wantResult(t, res, policy.NotSent)
 	wantClosed(t, <-app.conns)
 	if len(app.requests()) != 0 || u.open != 0 {
 		t.Errorf("sent on: %q, %d connections counted", app.requests(), u.open)
--- a/internal/edgeproxy/front.go
+++ b/internal/edgeproxy/front.go
@@ -178,7 +178,7 @@
 }
 
 // longest is how long the last request taken may still be under way.
-func (f *front) longest() time.Duration { return f.deadline() + f.node.cfg.Settings.AnswerSlack }
+func (f *front) longest() time.Duration { return f.deadline() + f.node.cfg.Settings.ResponseSlack }
 
 // The platform kills a process that was told to end after the longest deadline, which it counts as killCounts at most, and
 // killGrace more.
@@ -278,8 +278,8 @@
 		return // closed for another: nothing was sent on
 	}
 	if left, bound := f.timeLeft(); bound {
-		q.Grace = min(q.Grace, left-f.node.cfg.Settings.AnswerSlack)
-		if q.Grace <= 0 {
+		q.Timeout = min(q.Timeout, left-f.node.cfg.Settings.ResponseSlack)
+		if q.Timeout <= 0 {
 			f.node.memory.release(held)
 			w.Header().Set("Connection", "close")
 			plain(w, http.StatusServiceUnavailable, "refused: ending")
@@ -291,14 +291,14 @@
 		panic(http.ErrAbortHandler) // its client has left: nothing is sent on
 	}
 	m.gone = slot.gone
-	wait := q.Grace + f.node.cfg.Settings.AnswerSlack // from the request's last byte
+	wait := q.Timeout + f.node.cfg.Settings.ResponseSlack // from the request's last byte
 	deadline := time.Now().Add(wait)
 	late := time.NewTimer(wait)
 	defer late.Stop()
 	if m.more != nil {
-		q.Body = m.more.longest()
-		deadline = deadline.Add(q.Body)
-		late.Reset(q.Body + wait)
+		q.BodyTimeout = m.more.longest()
+		deadline = deadline.Add(q.BodyTimeout)
+		late.Reset(q.BodyTimeout + wait)
 		m.more.grace, m.more.whole = wait, func() { late.Reset(wait) }
 		w.Header().Set("Connection", "close") // an answer may come before all of the body
 	}
@@ -527,7 +527,7 @@
 	}
 	// Nobody waits for longer than the class's clients do: requests must not pile up.
 	seconds = math.Min(seconds, class.Deadline.Seconds())
-	q.Grace = time.Duration(seconds*float64(time.Second)) - transit
+	q.Timeout = time.Duration(seconds*float64(time.Second)) - transit
 	if q.Customer, err = customer(r.URL.RawQuery); err != nil {
 		return q, m, err
 	}
@@ -536,16 +536,16 @@
 	}
 	m = message{target: r.RequestURI, host: r.Host, id: q.ID, contentType: r.Header.Get("Content-Type")}
 	m.method = http.MethodPost
-	if class.Effect == policy.Safe {
+	if class.Idempotency == policy.Idempotent {
 		m.method = http.MethodGet
 	}
 	if r.Method != m.method {
 		return q, m, &badRequest{http.StatusMethodNotAllowed, "method: the class wants " + m.method, m.method}
 	}
-	if class.Effect == policy.Safe && r.ContentLength != 0 {
+	if class.Idempotency == policy.Idempotent && r.ContentLength != 0 {
 		return q, m, bad("body: the class has none")
 	}
-	if class.Effect == policy.Keyed {
+	if class.Idempotency == policy.IdempotentWithKey {
 		m.key = header("Idempotency-Key")
 	} else {
 		m.key = r.Header.Get("Idempotency-Key")
@@ -586,7 +586,7 @@
 		x, ok := loadreport.Decimal(val)
 		return int(x), ok && x == math.Trunc(x) && x >= float64(least) && x <= float64(most)
 	}
-	most := set.MostUnits
+	most := set.MaxUnits
 	if most <= 0 {
 		most = mostUnits
 	}
@@ -603,9 +603,9 @@
 			q.Units, ok = loadreport.Decimal(val)
 			ok = ok && q.Units > 0 && q.Units <= most
 		case "spread":
-			q.Spread, ok = number(val, 1, set.Instances)
+			q.InstanceCount, ok = number(val, 1, set.InstanceCount)
 		case "first":
-			q.First, ok = number(val, 0, set.Instances-1)
+			q.FirstInstance, ok = number(val, 0, set.InstanceCount-1)
 		}
 		if !ok {
 			return bad("X-Metering: %s is malformed or out of range", name)
@@ -614,7 +614,7 @@
 	if !seen["units"] || !seen["spread"] || !seen["first"] {
 		return bad("X-Metering: units, spread or first is missing")
 	}
-	if (set.Me-q.First+set.Instances)%set.Instances >= q.Spread {
+	if (set.InstanceIndex-q.FirstInstance+set.InstanceCount)%set.InstanceCount >= q.InstanceCount {
 		return bad("X-Metering: the customer does not come through this node")
 	}
 	return nil
--- a/internal/edgeproxy/front_test.go
+++ b/internal/edgeproxy/front_test.go
@@ -53,7 +53,7 @@
 func TestBadRequests(t *testing.T) {
 	s := newAppServer(t, say(okAnswer))
 	cfg := testConfig(s.instance("a"))
-	cfg.Settings.Instances, cfg.Settings.MostUnits = 2, 8
+	cfg.Settings.InstanceCount, cfg.Settings.MaxUnits = 2, 8
 	n := run(t, cfg)
 	const path = "/check?customer=00000000b4d65521"
 	for _, c := range []struct {
@@ -403,7 +403,7 @@
 	}
 	none := func(string) string { return "" }
 	c, err := parseConfig(text("", ""), none)
-	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Known.Generation != 41 || c.Settings.Me != 1 || len(c.Peers) != 2 || c.MemoryMB != 192 {
+	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Known.Generation != 41 || c.Settings.InstanceIndex != 1 || len(c.Peers) != 2 || c.MemoryMB != 192 {
 		t.Fatalf("%+v, error %v", c, err)
 	}
 	for _, b := range [][3]string{
--- a/internal/edgeproxy/handover_test.go
+++ b/internal/edgeproxy/handover_test.go
@@ -488,10 +488,10 @@
 
 // withPeer makes the configuration one of two nodes, the other of which is the socket.
 func withPeer(cfg *Config, mine netip.AddrPort, other *net.UDPConn) {
-	cfg.Settings.Instances, cfg.Settings.Peers, cfg.Settings.InboxPerS = 2, true, 1000
+	cfg.Settings.InstanceCount, cfg.Settings.AllowsGossip, cfg.Settings.GossipInboxRate = 2, true, 1000
 	cfg.PeerListen, cfg.Peers = mine, []netip.AddrPort{mine, other.LocalAddr().(*net.UDPAddr).AddrPort()}
 	cfg.PeersAll = cfg.Peers[1]
-	cfg.Settings.Plans[1] = policy.Plan{Name: "tight", Rate: 0.001, Burst: 40, Price: 1}
+	cfg.Settings.Plans[1] = policy.Plan{Name: "tight", Rate: 0.001, Burst: 40, PriorityFactor: 1}
 }
 
 // What a predecessor says that makes no sense, or that it dies over, is followed by a start from nothing, said in
--- a/internal/edgeproxy/harness_test.go
+++ b/internal/edgeproxy/harness_test.go
@@ -118,14 +118,14 @@
 		Sockets: 256, Known: List{Generation: 7, Full: true, Servers: servers},
 		Transport: simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
 		Settings: policy.Settings{
-			Instances: 1, Zone: "z", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-			Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond,
+			InstanceCount: 1, Zone: "z", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond,
 			Classes: []policy.Class{
-				{Name: "check", Effect: policy.Safe, Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
-				{Name: "book", Effect: policy.Keyed, Group: policy.GroupZone, Window: 4 * time.Second,
-					Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
+				{Name: "check", Idempotency: policy.Idempotent, LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
+				{Name: "book", Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupZone, DedupWindow: 4 * time.Second,
+					LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
 			},
-			Plans: []policy.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tight", Rate: 0.1, Burst: 1, Price: 1}},
+			Plans: []policy.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}, {Name: "tight", Rate: 0.1, Burst: 1, PriorityFactor: 1}},
 		},
 	}
 }
@@ -265,7 +265,7 @@
 	words := map[policy.ServerState]string{policy.Up: "up", policy.Draining: "draining", policy.Removed: "removed"}
 	for _, s := range servers {
 		list = append(list, entry{"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone, "machineType": s.Kind,
-			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.Boot.Milliseconds()})
+			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.StartedAt.Milliseconds()})
 	}
 	b, err := json.Marshal(map[string]any{"generation": generation, "reset": full, "instances": list})
 	if err != nil {
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -1,4 +1,4 @@
-// Package node is the real edge node: the host of a [policy.Gateway] on sockets.
+// Package node is the real edge node: the host of a [policy.Engine] on sockets.
 // It moves bytes, keeps the clock and enforces what the module relies on; what is
 // sent where, refused or tried again is decided in package choice alone.
 package edgeproxy
@@ -32,7 +32,7 @@
 	memory *budget
 
 	mu      sync.Mutex
-	gw      *policy.Gateway
+	gw      *policy.Engine
 	peers   *gossip.Socket // nil where edge nodes don't message each other, or another process does
 	flights map[string]*flight
 	after   []func() // what the event under way leaves to do without the mutex
@@ -174,14 +174,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sock, n.peers = n.peers, nil
-	state, err = n.gw.HandOver(n.now())
+	state, err = n.gw.ExportState(n.now())
 	return state, sock, err
 }
 
 // takeOver goes on from what another process's module knew.
 func (n *Node) takeOver(state []byte) {
 	n.mu.Lock()
-	err := n.gw.TakeOver(n.now(), state)
+	err := n.gw.ImportState(n.now(), state)
 	n.mu.Unlock()
 	if err != nil {
 		n.log.Printf("handover: %v: beginning from nothing", err)
@@ -192,19 +192,19 @@
 func (n *Node) near() map[string]bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.gw.Near()
+	return n.gw.SubsetServerIDs()
 }
 
 // figures words what operators read.
 func (n *Node) figures() string {
 	n.mu.Lock()
-	size, unhealthy := n.gw.Servers(n.now())
-	part, doubted := n.gw.Part()
+	size, unhealthy := n.gw.ServerCounts(n.now())
+	part, doubted := n.gw.SubsetCounts()
 	var rules strings.Builder
 	fmt.Fprintf(&rules, "choice.part=%d\nchoice.part_doubted=%d\n", part, doubted)
-	n.gw.Refused(func(rule string, count uint64) { fmt.Fprintf(&rules, "choice.refused.%s=%d\n", rule, count) })
-	b := n.gw.Beyond()
-	fmt.Fprintf(&rules, "choice.beyond_quota.sent=%.0f\nchoice.beyond_quota.found=%.0f\n", b.Sent, b.Found)
+	n.gw.EachRejectionCount(func(rule string, count uint64) { fmt.Fprintf(&rules, "choice.refused.%s=%d\n", rule, count) })
+	b := n.gw.OverQuotaUnits()
+	fmt.Fprintf(&rules, "choice.beyond_quota.sent=%.0f\nchoice.beyond_quota.found=%.0f\n", b.Sent, b.Discovered)
 	n.mu.Unlock()
 	return n.counts.text(size, unhealthy) + rules.String()
 }
@@ -212,34 +212,34 @@
 // boot starts the gateway with the saved list.
 func (n *Node) boot() {
 	n.event(func(now time.Duration, out policy.Actions) { n.gw.Start(now, out) })
-	n.list(n.cfg.Known, policy.ListSaved)
+	n.list(n.cfg.Known, policy.EndpointsSaved)
 }
 
 // list hands a list to the connections and to the gateway, as one event.
-func (n *Node) list(l discovery.List, form policy.ListForm) {
+func (n *Node) list(l discovery.List, form policy.EndpointUpdateKind) {
 	servers := make([]policy.Server, len(l.Servers))
 	for i, s := range l.Servers {
 		servers[i] = s.Server
 	}
 	n.event(func(now time.Duration, out policy.Actions) {
-		stale := n.up.update(l.Servers, form != policy.ListChanges)
+		stale := n.up.update(l.Servers, form != policy.EndpointsDelta)
 		n.after = append(n.after, func() { closeAll(stale) })
-		n.gw.List(now, form, servers, out)
+		n.gw.EndpointsChanged(now, form, servers, out)
 	})
 }
 
 // heard hands a message of discovery on.
 func (n *Node) heard(l discovery.List) {
-	form := policy.ListChanges
+	form := policy.EndpointsDelta
 	if l.Full {
-		form = policy.ListFull
+		form = policy.EndpointsComplete
 	}
 	n.list(l, form)
 }
 
 // whisper hands a message of a peer on.
 func (n *Node) whisper(from int, message []byte) {
-	n.event(func(now time.Duration, out policy.Actions) { n.gw.Peer(now, from, message, out) })
+	n.event(func(now time.Duration, out policy.Actions) { n.gw.GossipReceived(now, from, message, out) })
 }
 
 // begin takes a request of a client. It returns nil if its id is in use. The final
@@ -253,7 +253,7 @@
 			return
 		}
 		n.flights[q.ID] = fl
-		n.gw.Request(now, q, out)
+		n.gw.RequestReceived(now, q, out)
 	})
 	if taken {
 		n.memory.release(held)
@@ -270,7 +270,7 @@
 	fl.left.Store(true)
 	n.event(func(now time.Duration, out policy.Actions) {
 		n.end(fl, answer{kind: failed})
-		n.gw.Gone(now, fl.id, out)
+		n.gw.ClientDisconnected(now, fl.id, out)
 	})
 }
 
@@ -279,7 +279,7 @@
 func (n *Node) expire(fl *flight) {
 	n.event(func(now time.Duration, out policy.Actions) {
 		if !fl.done {
-			n.gw.Expire(now, fl.id, out)
+			n.gw.DeadlineExceeded(now, fl.id, out)
 		}
 	})
 	n.event(func(now time.Duration, out policy.Actions) {
@@ -287,7 +287,7 @@
 			n.end(fl, answer{kind: refused})
 		}
 		n.end(fl, answer{kind: failed})
-		n.gw.Gone(now, fl.id, out)
+		n.gw.ClientDisconnected(now, fl.id, out)
 	})
 }
 
@@ -347,8 +347,8 @@
 			n.end(fl, answer{kind: served, reply: rep})
 		}
 		fl.out--
-		n.gw.Outcome(now, policy.Outcome{ID: fl.id, Attempt: a.number, Closed: fl.done, Result: result,
-			Server: a.server, Took: took, Load: rep.load, Since: n.since(rep)}, out)
+		n.gw.AttemptCompleted(now, policy.AttemptResult{ID: fl.id, Attempt: a.number, RequestAnswered: fl.done, Result: result,
+			Server: a.server, Latency: took, LoadReport: rep.load, ConnectedAt: n.since(rep)}, out)
 		n.forget(fl)
 	})
 }
@@ -359,7 +359,7 @@
 	taken := false
 	n.event(func(now time.Duration, out policy.Actions) {
 		if taken = !fl.done; taken {
-			n.gw.First(now, fl.id, a.number, out)
+			n.gw.ResponseStarted(now, fl.id, a.number, out)
 			n.end(fl, answer{kind: served, reply: rep})
 		}
 	})
@@ -387,14 +387,16 @@
 	if report == nil {
 		report = loadreport.Parse(string(rep.body))
 	}
-	n.event(func(now time.Duration, out policy.Actions) { n.gw.Probed(now, server, result, report, out) })
+	n.event(func(now time.Duration, out policy.Actions) {
+		n.gw.HealthCheckCompleted(now, server, result, report, out)
+	})
 }
 
 // actions carries out what the gateway asks for. All are called under the mutex.
 type actions Node
 
-// Send starts an attempt, bounded by its timeout and by the client's deadline.
-func (a *actions) Send(id, server string, timeout time.Duration) {
+// SendAttempt starts an attempt, bounded by its timeout and by the client's deadline.
+func (a *actions) SendAttempt(id, server string, timeout time.Duration) {
 	n := (*Node)(a)
 	fl := n.flights[id]
 	if fl == nil || fl.done {
@@ -413,19 +415,19 @@
 	go n.try(ctx, fl, at)
 }
 
-func (a *actions) Refuse(id string, retryAfter time.Duration) {
+func (a *actions) RejectRequest(id string, retryAfter time.Duration) {
 	if fl := a.flights[id]; fl != nil {
 		(*Node)(a).end(fl, answer{kind: refused, retryAfter: retryAfter})
 	}
 }
 
-func (a *actions) Fail(id string) {
+func (a *actions) FailRequest(id string) {
 	if fl := a.flights[id]; fl != nil {
 		(*Node)(a).end(fl, answer{kind: failed})
 	}
 }
 
-func (a *actions) Cancel(id string, attempt int) {
+func (a *actions) CancelAttempt(id string, attempt int) {
 	if fl := a.flights[id]; fl != nil && attempt >= 0 && attempt < len(fl.attempts) {
 		fl.attempts[attempt].cancel()
 	}
@@ -434,17 +436,17 @@
 func (a *actions) SetTimer(token uint64, after time.Duration) {
 	n := (*Node)(a)
 	time.AfterFunc(after, func() {
-		n.event(func(now time.Duration, out policy.Actions) { n.gw.Timer(now, token, out) })
+		n.event(func(now time.Duration, out policy.Actions) { n.gw.TimerFired(now, token, out) })
 	})
 }
 
-func (a *actions) Probe(server string) {
+func (a *actions) CheckHealth(server string) {
 	n := (*Node)(a)
 	n.work.Add(1)
 	go n.probe(server)
 }
 
-func (a *actions) Tell(peer int, message []byte) {
+func (a *actions) SendGossip(peer int, message []byte) {
 	n := (*Node)(a)
 	message = append([]byte(nil), message...)
 	if sock := n.peers; sock != nil {
@@ -452,8 +454,8 @@
 	}
 }
 
-// Watch has nothing to do: the list is always watched.
-func (a *actions) Watch(bool) {}
+// WatchEndpoints has nothing to do: the list is always watched.
+func (a *actions) WatchEndpoints(bool) {}
 
 func (a *actions) Log(text string) { (*Node)(a).logLater("module: %s", text) }
 
--- a/internal/edgeproxy/quiet_test.go
+++ b/internal/edgeproxy/quiet_test.go
@@ -91,7 +91,7 @@
 func TestQuotasHoldOverSockets(t *testing.T) {
 	t.Parallel()
 	const nodes, customers = 3, 8
-	plan := policy.Plan{Name: "tight", Rate: 12, Burst: 12, Price: 1, OverCost: 1}
+	plan := policy.Plan{Name: "tight", Rate: 12, Burst: 12, PriorityFactor: 1, OverQuotaCost: 1}
 	var mu sync.Mutex
 	passed, wanted := make([]trueQuota, customers), make([]trueQuota, customers)
 	var inside, beyond, offered float64
@@ -117,7 +117,7 @@
 	for i := range nodes {
 		cfg := testConfig(app.instance("a"))
 		cfg.Settings.Plans[1] = plan
-		cfg.Settings.Instances, cfg.Settings.Me, cfg.Settings.Peers, cfg.Settings.InboxPerS = nodes, i, true, 40
+		cfg.Settings.InstanceCount, cfg.Settings.InstanceIndex, cfg.Settings.AllowsGossip, cfg.Settings.GossipInboxRate = nodes, i, true, 40
 		cfg.PeerListen, cfg.Peers, cfg.PeersAll = listens[i], toPeers[i], toPeers[i][i]
 		running = append(running, run(t, cfg))
 	}
@@ -155,7 +155,7 @@
 		n.endsBefore(t)
 		found = max(found, n.endFigures(t)["choice.beyond_quota.found"])
 	}
-	cost := beyond * plan.OverCost / offered
+	cost := beyond * plan.OverQuotaCost / offered
 	t.Logf("%.0f of %.0f units passed inside quotas, %.0f beyond them at %.3f of the worth, of which the nodes found %d", inside, offered, beyond, cost, found)
 	if cost > 0.1 || 2*inside < offered {
 		t.Errorf("%.0f of %.0f units passed, %.0f beyond quotas at %.3f of the worth", inside, offered, beyond, cost)
@@ -265,9 +265,9 @@
 			late := Instance{Server: policy.Server{ID: "late", Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(ln)}
 			add := make(chan bool)
 			cfg := testConfig(app.instance("a"))
-			cfg.Settings.Parallel, cfg.Settings.Cancel = true, cancels
+			cfg.Settings.AllowsHedging, cfg.Settings.AllowsCancel = true, cancels
 			for i := range cfg.Settings.Classes {
-				cfg.Settings.Classes[i].Aim = 100 * time.Millisecond
+				cfg.Settings.Classes[i].LatencyObjective = 100 * time.Millisecond
 			}
 			cfg.Discovery = startDiscovery(t, func(n int, _ string, w io.Writer, ctx context.Context) {
 				fmt.Fprintf(w, "%s\n", listJSON(8, true, app.instance("a")))
@@ -288,7 +288,7 @@
 				if a := c.ask(request("check", fmt.Sprint("t", i))); a.status != 200 {
 					t.Fatalf("answered %d", a.status)
 				}
-				return time.Since(begun) >= cfg.Settings.Classes[0].Aim/4
+				return time.Since(begun) >= cfg.Settings.Classes[0].LatencyObjective/4
 			})
 			// Connections come up in the order in which they were asked for: what the node still waits for, then this.
 			mine, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK, 0)
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -168,10 +168,10 @@
 	}
 	var sock *gossip.Socket
 	if conn != nil {
-		sock = gossip.On(conn, cfg.Settings.Me, cfg.Peers, cfg.PeersAll)
+		sock = gossip.On(conn, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeersAll)
 	} else {
 		var err error
-		if sock, err = gossip.Listen(cfg.PeerListen, cfg.Settings.Me, cfg.Peers, cfg.PeersAll); err != nil {
+		if sock, err = gossip.Listen(cfg.PeerListen, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeersAll); err != nil {
 			return err
 		}
 	}
@@ -237,14 +237,14 @@
 // tells the whole list. An agent on this machine always does, at no cost: it may have begun its versions anew since.
 func startWatch(ctx context.Context, n *Node, addr netip.AddrPort, from uint64) *watch {
 	ctx, stop := context.WithCancel(ctx)
-	w := &watch{addr: addr, near: !n.cfg.Settings.AskList, stop: stop, done: make(chan struct{})}
+	w := &watch{addr: addr, near: !n.cfg.Settings.PollsEndpoints, stop: stop, done: make(chan struct{})}
 	if w.near {
 		from = 0
 	}
 	first, came := context.WithCancel(ctx)
 	w.first = first.Done()
 	reg := &discovery.Follower{Addr: addr, Silent: discovery.Silent, Last: from, Near: w.near, Logf: n.log.Printf,
-		Pace: discovery.NewPace(n.cfg.Settings.Instances, n.cfg.Seed),
+		Pace: discovery.NewPace(n.cfg.Settings.InstanceCount, n.cfg.Seed),
 		Apply: func(l discovery.List) {
 			n.heard(l)
 			came()
--- a/internal/edgeproxy/side_test.go
+++ b/internal/edgeproxy/side_test.go
@@ -68,7 +68,7 @@
 
 // A watch goes on from the version held, on the same and on a new connection.
 func TestWatchResumes(t *testing.T) {
-	a := Instance{Server: policy.Server{ID: "a", Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, Boot: 5 * time.Second,
+	a := Instance{Server: policy.Server{ID: "a", Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, StartedAt: 5 * time.Second,
 		State: policy.Draining}, Addr: netip.MustParseAddrPort("127.0.0.1:9")}
 	lists, froms := follow(t, patience, func(n int, w io.Writer, ctx context.Context) {
 		if n > 1 {
--- a/internal/edgeproxy/stream.go
+++ b/internal/edgeproxy/stream.go
@@ -265,9 +265,9 @@
 		case err == io.EOF:
 			return policy.OK
 		case err != nil && in.err != nil && !errors.Is(in.err, os.ErrDeadlineExceeded):
-			return policy.Reset
+			return policy.ConnectionReset
 		case err != nil:
-			return policy.ErrorAnswer
+			return policy.ErrorResponse
 		}
 	}
 }
--- a/internal/edgeproxy/upstream.go
+++ b/internal/edgeproxy/upstream.go
@@ -77,8 +77,8 @@
 	body        []byte
 	rest        *relay // of a long one; nil: body is whole
 	contentType string
-	load        *policy.Load // nil: it carried no report
-	since       time.Time    // when the connection that it came on was made; zero: there was no answer
+	load        *policy.LoadReport // nil: it carried no report
+	since       time.Time          // when the connection that it came on was made; zero: there was no answer
 }
 
 // upstream holds the connections to app servers. net/http's own client is not used:
@@ -194,12 +194,12 @@
 		}
 		listed[e.ID] = true
 		b := u.backends[e.ID]
-		if b != nil && (b.addr != e.Addr || b.boot != e.Boot) {
+		if b != nil && (b.addr != e.Addr || b.boot != e.StartedAt) {
 			stale = append(stale, u.drop(e.ID, b)...)
 			b = nil
 		}
 		if b == nil {
-			b = &backend{addr: e.Addr, boot: e.Boot}
+			b = &backend{addr: e.Addr, boot: e.StartedAt}
 			u.backends[e.ID] = b
 		}
 		if b.up = e.State == policy.Up; !b.up {
@@ -434,7 +434,7 @@
 // answer. It gives up when ctx ends, by closing the connection before it returns.
 func (u *upstream) exchange(ctx context.Context, server string, m *message) (reply, policy.Result) {
 	if m.more != nil && m.more.used.Load() {
-		return reply{}, policy.Moot // some of its body is gone
+		return reply{}, policy.NotSent // some of its body is gone
 	}
 	c, err := u.take(ctx, server)
 	if err != nil {
@@ -481,7 +481,7 @@
 		u.sent(m.left != nil && m.left.Load())
 	}
 	rep, result, reuse := c.read(req)
-	if result == policy.Reset && !c.in.begun && c.rested >= leastKeep && time.Since(written) < staleWithin {
+	if result == policy.ConnectionReset && !c.in.begun && c.rested >= leastKeep && time.Since(written) < staleWithin {
 		u.stale(c)
 	}
 	if rep.rest != nil {
@@ -494,7 +494,7 @@
 	}
 	if m.more != nil {
 		c.SetReadDeadline(time.Time{})
-		if result == policy.Reset && errors.Is(c.in.err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
+		if result == policy.ConnectionReset && errors.Is(c.in.err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			result = policy.TimedOut
 		}
 	}
@@ -504,12 +504,12 @@
 	} else {
 		u.discard(c)
 	}
-	if result == policy.Reset && ctx.Err() != nil {
+	if result == policy.ConnectionReset && ctx.Err() != nil {
 		switch {
 		case errors.Is(ctx.Err(), context.Canceled):
 			result = policy.Cancelled
 		case c.in.begun: // half an answer is no silence
-			result = policy.ErrorAnswer
+			result = policy.ErrorResponse
 		default:
 			result = policy.TimedOut
 		}
@@ -517,7 +517,7 @@
 	switch result {
 	case policy.TimedOut:
 		u.distrust(c.of)
-	case policy.OK, policy.Full, policy.ErrorAnswer:
+	case policy.OK, policy.RejectedByServer, policy.ErrorResponse:
 		rep.since = c.made
 	}
 	return rep, result
@@ -567,14 +567,14 @@
 func neverSent(ctx context.Context, err error) policy.Result {
 	for _, own := range []error{errBudget, syscall.EMFILE, syscall.ENFILE, errIntake, errGone, errOver} {
 		if errors.Is(err, own) {
-			return policy.Moot // no fault of the server's
+			return policy.NotSent // no fault of the server's
 		}
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return policy.Cancelled
 	case ctx.Err() != nil:
-		return policy.Moot
+		return policy.NotSent
 	}
 	return policy.ConnectFailed
 }
@@ -617,9 +617,9 @@
 func (c *conn) read(req *http.Request) (rep reply, result policy.Result, reuse bool) {
 	failure := func() (reply, policy.Result, bool) {
 		if c.in.err == nil || c.in.hurried && errors.Is(c.in.err, os.ErrDeadlineExceeded) {
-			return reply{}, policy.ErrorAnswer, false
+			return reply{}, policy.ErrorResponse, false
 		}
-		return reply{}, policy.Reset, false
+		return reply{}, policy.ConnectionReset, false
 	}
 	resp, err := http.ReadResponse(c.br, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
@@ -632,7 +632,7 @@
 	}
 	c.in.left = maxWire
 	if resp.ContentLength > maxStream {
-		return reply{}, policy.ErrorAnswer, false
+		return reply{}, policy.ErrorResponse, false
 	}
 	// One that tells no length ends with its connection, by a close and not a reset.
 	var body []byte
@@ -650,7 +650,7 @@
 	rep = reply{body: body, contentType: resp.Header.Get("Content-Type")}
 	if long {
 		if resp.StatusCode != http.StatusOK {
-			return reply{}, policy.ErrorAnswer, false
+			return reply{}, policy.ErrorResponse, false
 		}
 		rep.rest = &relay{c: c, body: resp.Body, length: resp.ContentLength, close: resp.Close, done: make(chan policy.Result, 1)}
 	}
@@ -668,9 +668,9 @@
 		return rep, policy.OK, reuse
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Never-Ran") == "1":
-		return rep, policy.Full, reuse
+		return rep, policy.RejectedByServer, reuse
 	}
-	return rep, policy.ErrorAnswer, reuse
+	return rep, policy.ErrorResponse, reuse
 }
 
 // idleAll takes all idle connections out of their pools, for the caller to close.
--- a/internal/edgeproxy/upstream_test.go
+++ b/internal/edgeproxy/upstream_test.go
@@ -69,15 +69,15 @@
 		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, policy.OK, true},
 		{"last on its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", policy.OK, false},
 		{"more than asked for", okAnswer + okAnswer, policy.OK, false},
-		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", policy.ErrorAnswer, true},
-		{"turned away, 503", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, true},
-		{"turned away, 504", "HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.Full, true},
-		{"503 that may have run", "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", policy.ErrorAnswer, true},
-		{"never ran, in other words", "HTTP/1.1 503 F\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", policy.ErrorAnswer, true},
-		{"500 that claims it never ran", "HTTP/1.1 500 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.ErrorAnswer, true},
-		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", policy.ErrorAnswer, true},
+		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse, true},
+		{"turned away, 503", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.RejectedByServer, true},
+		{"turned away, 504", "HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.RejectedByServer, true},
+		{"503 that may have run", "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse, true},
+		{"never ran, in other words", "HTTP/1.1 503 F\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse, true},
+		{"500 that claims it never ran", "HTTP/1.1 500 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse, true},
+		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", policy.ErrorResponse, true},
 		{"ends with its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody", policy.OK, false},
-		{"long error", "HTTP/1.1 500 E\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), policy.ErrorAnswer, false},
+		{"long error", "HTTP/1.1 500 E\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), policy.ErrorResponse, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -108,7 +108,7 @@
 		})
 		u := testUpstream(s.instance("a"))
 		_, res := exchange(t, u, "a")
-		wantResult(t, res, policy.Reset)
+		wantResult(t, res, policy.ConnectionReset)
 	}
 }
 
@@ -166,7 +166,7 @@
 				t.Fatal(err)
 			}
 			_, res := exchange(t, u, "a")
-			wantResult(t, res, policy.ErrorAnswer)
+			wantResult(t, res, policy.ErrorResponse)
 			u.giveBack(spare)
 			if b := u.backends["a"]; len(b.idle) != 1 || u.open != 1 {
 				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), u.open)
@@ -198,7 +198,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), restLimit/2)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get)
-	wantResult(t, res, policy.ErrorAnswer)
+	wantResult(t, res, policy.ErrorResponse)
 	if len(u.backends["a"].idle) != 1 {
 		t.Error("the other idle connection is gone")
 	}
@@ -237,7 +237,7 @@
 			}
 			rest(c.rested)
 			_, res := exchange(t, u, "a")
-			wantResult(t, res, policy.Reset)
+			wantResult(t, res, policy.ConnectionReset)
 			if got := b.keep != 0; got != c.learns {
 				t.Fatalf("kept for %v, learned: %v, want %v", b.keep, got, c.learns)
 			}
@@ -274,7 +274,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get)
-	wantResult(t, res, policy.Moot)
+	wantResult(t, res, policy.NotSent)
 }
 
 // A kept connection that breaks under a request ends it as a reset. A client that
@@ -293,7 +293,7 @@
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, policy.OK)
 	_, res = exchange(t, u, "a")
-	wantResult(t, res, policy.Reset)
+	wantResult(t, res, policy.ConnectionReset)
 	if n := len(s.requests()); n != 2 {
 		t.Errorf("%d copies arrived of 2 requests", n)
 	}
@@ -464,7 +464,7 @@
 			i.Addr = netip.MustParseAddrPort("127.0.0.1:1")
 			return []Instance{i}, false
 		},
-		"restarted": func(i Instance) ([]Instance, bool) { i.Boot = time.Hour; return []Instance{i}, false },
+		"restarted": func(i Instance) ([]Instance, bool) { i.StartedAt = time.Hour; return []Instance{i}, false },
 		"draining":  func(i Instance) ([]Instance, bool) { i.State = policy.Draining; return []Instance{i}, false },
 		"removed":   func(i Instance) ([]Instance, bool) { i.State = policy.Removed; return []Instance{i}, false },
 		"vanished":  func(Instance) ([]Instance, bool) { return nil, true },
@@ -532,7 +532,7 @@
 		t.Fatal(err)
 	}
 	_, res = exchange(t, u, "a")
-	wantResult(t, res, policy.Moot)
+	wantResult(t, res, policy.NotSent)
 	u.giveBack(busy)
 	if u.open != 1 {
 		t.Errorf("%d connections counted, 1 open", u.open)
@@ -540,14 +540,14 @@
 }
 
 func TestLoadReports(t *testing.T) {
-	for text, want := range map[string]*policy.Load{
-		"TEXT inflight=7, queue=2, util=0.61":     {InFlight: 7, Queue: 2, Util: 0.61},
-		"TEXT backlog=2,utilization=0.5,novel=1 ": {InFlight: -1, Queue: 2, Util: 0.5},
-		"TEXT util=x, queue=3":                    {InFlight: -1, Queue: 3, Util: -1},
-		"TEXT util=NaN, queue=-1":                 {InFlight: -1, Queue: -1, Util: -1},
-		"TEXT util=1e9, queue=0x1p4":              {InFlight: -1, Queue: -1, Util: -1},
-		"TEXT util=1000000, queue=999999999":      {InFlight: -1, Queue: -1, Util: -1},
-		"TEXT util=1.059, queue=1.674":            {InFlight: -1, Queue: 1.674, Util: 1.059},
+	for text, want := range map[string]*policy.LoadReport{
+		"TEXT inflight=7, queue=2, util=0.61":     {InFlight: 7, QueueLength: 2, Utilization: 0.61},
+		"TEXT backlog=2,utilization=0.5,novel=1 ": {InFlight: -1, QueueLength: 2, Utilization: 0.5},
+		"TEXT util=x, queue=3":                    {InFlight: -1, QueueLength: 3, Utilization: -1},
+		"TEXT util=NaN, queue=-1":                 {InFlight: -1, QueueLength: -1, Utilization: -1},
+		"TEXT util=1e9, queue=0x1p4":              {InFlight: -1, QueueLength: -1, Utilization: -1},
+		"TEXT util=1000000, queue=999999999":      {InFlight: -1, QueueLength: -1, Utilization: -1},
+		"TEXT util=1.059, queue=1.674":            {InFlight: -1, QueueLength: 1.674, Utilization: 1.059},
 		"":                                        nil, "JSON {}": nil,
 	} {
 		got := loadreport.Parse(text)
@@ -583,7 +583,7 @@
 	}
 	quick, slow := newAppServer(t, answers("quick", &gone)), newAppServer(t, answers("slow", nil))
 	cfg := testConfig(quick.instance("quick"), slow.instance("slow"))
-	cfg.Settings.Probes, cfg.Settings.Report = true, policy.ReportProbes
+	cfg.Settings.AllowsHealthChecks, cfg.Settings.LoadReports = true, policy.LoadReportsInHealthChecks
 	r := run(t, cfg)
 	c, n := dial(t, r.addr), 0
 	ask := func() {
@@ -625,8 +625,8 @@
 		return err == nil
 	})
 	cfg := testConfig(s.instance("a"))
-	cfg.Settings.RampTime, cfg.Settings.ColdFrom = time.Hour, 0.01
-	cfg.Settings.FallMultiple, cfg.Settings.OverloadFor = 2, time.Second
+	cfg.Settings.SlowStartWindow, cfg.Settings.SlowStartMinFraction = time.Hour, 0.01
+	cfg.Settings.ColdOverloadMultiple, cfg.Settings.ColdOverloadWindow = 2, time.Second
 	r := run(t, cfg)
 	c, other := dial(t, r.addr), dial(t, r.addr)
 	if a := c.ask(request("check", "first")); a.status != http.StatusOK {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -82,7 +82,7 @@
 	Table     *routing.Table // nil: as it is
 	Check     Checker        // with Table; nil: only what the cost depends on is checked
 	Licensees map[string]Licensee
-	Plans     []policy.Plan // by place, as [policy.Gateway.SetPlans] wants them
+	Plans     []policy.Plan // by place, as [policy.Engine.SetPlans] wants them
 	Halls     []Hall
 }
 
@@ -103,7 +103,7 @@
 
 // Options are what a description is compiled with.
 func (c *Config) Options() routing.Options {
-	return routing.Options{Classes: c.Classes, MostUnits: int(c.Settings.MostUnits)}
+	return routing.Options{Classes: c.Classes, MostUnits: int(c.Settings.MaxUnits)}
 }
 
 // On has the instance serve on sockets that are open. conn is nil without peers.
@@ -113,9 +113,9 @@
 	switch {
 	case c.Name == "":
 		return errors.New("name: is empty")
-	case c.PeerListen.IsValid() && len(c.Peers) != c.Settings.Instances:
-		return fmt.Errorf("peers: %d addresses for %d instances", len(c.Peers), c.Settings.Instances)
-	case !c.PeerListen.IsValid() && c.peerConn == nil && c.Settings.Instances > 1:
+	case c.PeerListen.IsValid() && len(c.Peers) != c.Settings.InstanceCount:
+		return fmt.Errorf("peers: %d addresses for %d instances", len(c.Peers), c.Settings.InstanceCount)
+	case !c.PeerListen.IsValid() && c.peerConn == nil && c.Settings.InstanceCount > 1:
 		return errors.New("peers: instances that share quotas must message each other")
 	}
 	c.MaxClients = orDefault(c.MaxClients, defaultClients)
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -213,7 +213,7 @@
 	if err != nil {
 		return c.turnDown(err)
 	}
-	fl.deadline = began.Add(q.Grace + c.f.in.cfg.Settings.AnswerSlack)
+	fl.deadline = began.Add(q.Timeout + c.f.in.cfg.Settings.ResponseSlack)
 	c.f.in.carry(fl, q, c.gone)
 	if c.linked {
 		c.left()
@@ -331,8 +331,8 @@
 	if fl.homed = f.in.keys != nil && op.Key.In != routing.Nowhere; fl.homed {
 		fl.key = keyNumber(fl.licensee, op.KeyOf(routing.Request{Query: query, Head: h, Body: fl.body}, path))
 	}
-	return policy.Request{Class: op.Class.Name, Plan: l.Plan, Customer: l.Customer, Grace: grace - transit - time.Since(began),
-		Units: float64(units), Spread: f.in.cfg.Settings.Instances}, nil
+	return policy.Request{Class: op.Class.Name, Plan: l.Plan, Customer: l.Customer, Timeout: grace - transit - time.Since(began),
+		Units: float64(units), InstanceCount: f.in.cfg.Settings.InstanceCount}, nil
 }
 
 // keyNumber gives a licensee's key its number, the same at every instance (FNV-1a).
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -380,7 +380,7 @@
 func TestUpgradedConnection(t *testing.T) {
 	h := newHalls(t)
 	h.server("hall-a", "s")
-	g := start(t, h, 1, func(c *Config) { c.Settings.Probes = false }) // which have connections of their own
+	g := start(t, h, 1, func(c *Config) { c.Settings.AllowsHealthChecks = false }) // which have connections of their own
 	c := dial(t, g.addr)
 	c.send(get("DELETE /visits/1"))
 	h.next().answer <- "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nContent-Length: 0\r\n\r\n"
@@ -633,5 +633,5 @@
 }
 
 func testClasses2() []policy.Class {
-	return []policy.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}
+	return []policy.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second}}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -220,9 +220,9 @@
 }
 
 func testSettings() policy.Settings {
-	return policy.Settings{Instances: 1, Zone: "hall-a", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond, Probes: true, Report: policy.ReportProbes, MostUnits: 100,
-		Plans: []policy.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tight", Rate: 0.1, Burst: 3, Price: 1}}}
+	return policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true, LoadReports: policy.LoadReportsInHealthChecks, MaxUnits: 100,
+		Plans: []policy.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}, {Name: "tight", Rate: 0.1, Burst: 3, PriorityFactor: 1}}}
 }
 
 // start starts an instance between the halls and waits until it knows so many servers.
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -50,7 +50,7 @@
 	bad       atomic.Int64 // requests turned down before they were charged
 
 	mu       sync.Mutex
-	gw       *policy.Gateway
+	gw       *policy.Engine
 	link     *link             // nil: it reaches all halls itself
 	keys     *multisite.Keys   // nil: keyed requests are kept to a hall for one request only
 	health   *multisite.Health // nil: halls are not judged
@@ -230,7 +230,7 @@
 		if len(classes) == 0 {
 			classes = unused
 		}
-		if err = in.gw.CheckTables(classes, s.Plans); err != nil {
+		if err = in.gw.ValidateTables(classes, s.Plans); err != nil {
 			return
 		}
 		if err = in.gw.SetPlans(now, s.Plans); err == nil && s.Table != old.table {
@@ -279,7 +279,7 @@
 			continue
 		} else if !ok {
 			in.take(now, name, discovery.List{Full: true}, out)
-			in.gw.DropZone(name)
+			in.gw.RemoveZoneLimits(name)
 			delete(in.known, name)
 		}
 		w.stop()
@@ -347,7 +347,7 @@
 				if in.far(name) {
 					in.health.Far(name, true)
 				} else {
-					in.health.Carries(name, in.gw.Carries(now, name))
+					in.health.Carries(name, in.gw.ZoneCapacity(now, name))
 				}
 			}
 			m.Views = in.health.Views(now)
@@ -380,21 +380,21 @@
 		if in.far(name) { // its own instances know which of its servers are cold
 			continue
 		}
-		if rate, util := in.gw.Warm(now, name); rate > 0 {
+		if rate, util := in.gw.WarmServerLoad(now, name); rate > 0 {
 			carried = append(carried, multisite.Carried{Hall: name, Rate: rate, Util: util})
 		}
-		servers, sent, short := in.gw.Cold(now, name)
+		servers, sent, short := in.gw.ColdServerWork(now, name)
 		in.ramp.Met(now, name, multisite.ColdWork{Servers: servers, Sent: sent, Short: short})
 	}
 	w := in.ramp.Tell(now, carried)
 	for name := range in.halls {
 		servers, near := in.health.Carried(now, name)
-		z := policy.Zone{Far: in.far(name), Part: 1 / float64(in.cfg.Settings.Instances), Back: servers}
-		if !z.Far {
-			z.Ramp = rampFill / in.cfg.Settings.ColdMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
-			z.Part = 1 / float64(max(near, 1))
+		z := policy.ZoneLimits{IsRemote: in.far(name), InFlightFraction: 1 / float64(in.cfg.Settings.InstanceCount), RemoteServerCount: servers}
+		if !z.IsRemote {
+			z.WarmServerRate = rampFill / in.cfg.Settings.ColdBudgetMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
+			z.InFlightFraction = 1 / float64(max(near, 1))
 		}
-		in.gw.SetZone(name, z)
+		in.gw.SetZoneLimits(name, z)
 	}
 	return w
 }
@@ -465,7 +465,7 @@
 	}
 	hall, _, _ := strings.Cut(server, "/")
 	switch result {
-	case policy.OK, policy.ErrorAnswer, policy.Full:
+	case policy.OK, policy.ErrorResponse, policy.RejectedByServer:
 		in.health.Heard(now, hall)
 	case policy.TimedOut, policy.ConnectFailed:
 		in.health.Missed(now, hall, sent)
@@ -576,7 +576,7 @@
 		q.ID = fl.id
 		in.flights[fl.id] = fl
 		if fl.linked { // nothing crosses twice
-			q.Zone, q.Paid = in.link.cfg.Own[0], true
+			q.Zone, q.IsCharged = in.link.cfg.Own[0], true
 		}
 		if fl.homed {
 			v := in.keys.Route(now, fl.key)
@@ -589,7 +589,7 @@
 				return
 			}
 		}
-		in.gw.Request(now, q, out)
+		in.gw.RequestReceived(now, q, out)
 	})
 	for !done {
 		if pending {
@@ -614,7 +614,7 @@
 func (in *Instance) abandon(fl *flight) (attempt, bool, bool) {
 	return in.step(fl, func(now time.Duration, out policy.Actions) {
 		in.end(fl, failed, 0)
-		in.gw.Gone(now, fl.id, out)
+		in.gw.ClientDisconnected(now, fl.id, out)
 	})
 }
 
@@ -641,20 +641,20 @@
 		})
 	}
 	if full {
-		result = policy.Full // no more may cross now
+		result = policy.RejectedByServer // no more may cross now
 	} else if !let {
-		result = policy.Moot
+		result = policy.NotSent
 	} else if fl.attempts > 1 && gone() {
-		result = policy.Moot
+		result = policy.NotSent
 		in.event(func(now time.Duration, out policy.Actions) { in.end(fl, failed, 0) })
 	} else {
 		result = in.servers.exchange(in.ctx, fl.call, at.server, at.until, fl.head.Method == "HEAD", &fl.rep,
 			func(b []byte) []byte { return fl.word(b, at.until) })
-		if fl.over && result == policy.Reset {
+		if fl.over && result == policy.ConnectionReset {
 			result = in.settle(fl, at)
 		}
 	}
-	fl.mayRun = fl.mayRun || fl.rep.whole && result != policy.Full
+	fl.mayRun = fl.mayRun || fl.rep.whole && result != policy.RejectedByServer
 	if fl.rep.whole {
 		fl.counters.Attempts.Add(1)
 		if !fl.sent {
@@ -666,21 +666,21 @@
 	report := fl.rep.report()
 	return in.step(fl, func(now time.Duration, out policy.Actions) {
 		fl.call = nil
-		if !fl.over || result != policy.Full && result != policy.ErrorAnswer { // the far instance's word says nothing of its hall
+		if !fl.over || result != policy.RejectedByServer && result != policy.ErrorResponse { // the far instance's word says nothing of its hall
 			in.met(now, at.server, result, sent)
 		}
 		if fl.homed && let && !full {
-			in.keys.Ended(fl.key, !fl.rep.whole || result == policy.Full || result == policy.ConnectFailed || result == policy.Moot)
+			in.keys.Ended(fl.key, !fl.rep.whole || result == policy.RejectedByServer || result == policy.ConnectFailed || result == policy.NotSent)
 		}
 		if result == policy.OK {
 			in.end(fl, served, 0)
 		}
-		o := policy.Outcome{ID: fl.id, Attempt: fl.attempts - 1, Closed: fl.done, Result: result, Server: at.server,
-			Took: now - sent, Load: report}
+		o := policy.AttemptResult{ID: fl.id, Attempt: fl.attempts - 1, RequestAnswered: fl.done, Result: result, Server: at.server,
+			Latency: now - sent, LoadReport: report}
 		if !fl.rep.since.IsZero() {
-			o.Since = time.Duration(in.start.UnixNano()) + fl.rep.since.Sub(in.start)
+			o.ConnectedAt = time.Duration(in.start.UnixNano()) + fl.rep.since.Sub(in.start)
 		}
-		in.gw.Outcome(now, o, out)
+		in.gw.AttemptCompleted(now, o, out)
 	})
 }
 
@@ -746,12 +746,12 @@
 	for i, s := range entries {
 		list[i] = s.Server
 	}
-	in.gw.List(now, policy.ListChanges, list, out)
+	in.gw.EndpointsChanged(now, policy.EndpointsDelta, list, out)
 }
 
 // whisper hands a message of a peer on.
 func (in *Instance) whisper(from int, message []byte) {
-	in.event(func(now time.Duration, out policy.Actions) { in.gw.Peer(now, from, message, out) })
+	in.event(func(now time.Duration, out policy.Actions) { in.gw.GossipReceived(now, from, message, out) })
 }
 
 // probe asks a server for its load.
@@ -770,7 +770,7 @@
 		if !crosses(id) || result != policy.OK {
 			in.met(now, id, result, sent)
 		}
-		in.gw.Probed(now, id, result, report, out)
+		in.gw.HealthCheckCompleted(now, id, result, report, out)
 	})
 }
 
@@ -823,7 +823,7 @@
 			if in.timers = in.timers[:n]; n > 0 {
 				heap.Fix(&in.timers, 0)
 			}
-			in.gw.Timer(now, token, out)
+			in.gw.TimerFired(now, token, out)
 		}
 		in.alarmAt = math.MaxInt64
 		in.setAlarm(now)
@@ -841,9 +841,9 @@
 // actions carries out what the module asks for. All are called under the mutex.
 type actions Instance
 
-// Send leaves word of the flight's next attempt, bounded by its timeout and by the
+// SendAttempt leaves word of the flight's next attempt, bounded by its timeout and by the
 // client's deadline. The flight's goroutine begins it once no other is out.
-func (a *actions) Send(id, server string, timeout time.Duration) {
+func (a *actions) SendAttempt(id, server string, timeout time.Duration) {
 	in := (*Instance)(a)
 	fl := in.flights[id]
 	if fl == nil || fl.done || fl.pending {
@@ -858,19 +858,19 @@
 	in.wake(fl)
 }
 
-func (a *actions) Refuse(id string, retryAfter time.Duration) {
+func (a *actions) RejectRequest(id string, retryAfter time.Duration) {
 	if fl := a.flights[id]; fl != nil {
 		(*Instance)(a).end(fl, refused, retryAfter)
 	}
 }
 
-func (a *actions) Fail(id string) {
+func (a *actions) FailRequest(id string) {
 	if fl := a.flights[id]; fl != nil {
 		(*Instance)(a).end(fl, failed, 0)
 	}
 }
 
-func (a *actions) Cancel(id string, attempt int) {
+func (a *actions) CancelAttempt(id string, attempt int) {
 	if fl := a.flights[id]; fl != nil && fl.call != nil && attempt == fl.attempts-1 {
 		a.after = append(a.after, fl.call.giveUp)
 	}
@@ -883,13 +883,13 @@
 	in.setAlarm(now)
 }
 
-func (a *actions) Probe(server string) {
+func (a *actions) CheckHealth(server string) {
 	in := (*Instance)(a)
 	in.work.Add(1)
 	go in.probe(server)
 }
 
-func (a *actions) Tell(peer int, message []byte) {
+func (a *actions) SendGossip(peer int, message []byte) {
 	in := (*Instance)(a)
 	message = append([]byte(nil), message...)
 	if in.peers != nil {
@@ -897,8 +897,8 @@
 	}
 }
 
-// Watch has nothing to do: the lists are always watched.
-func (a *actions) Watch(bool) {}
+// WatchEndpoints has nothing to do: the lists are always watched.
+func (a *actions) WatchEndpoints(bool) {}
 
 func (a *actions) Log(text string) { (*Instance)(a).logLater("module: %s", text) }
 
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -145,11 +145,11 @@
 	best := 0.0
 	worth := func(w float64, aim time.Duration) float64 { return w / max(aim.Seconds(), 1e-3) }
 	for _, k := range fl.version.table.Classes {
-		best = max(best, worth(k.Worth, k.Aim))
+		best = max(best, worth(k.PriorityWeight, k.LatencyObjective))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.budget.Take(fl.licensee, worth(fl.op.Class.Worth, fl.op.Class.Aim)/max(best, 1e-9), fl.attempts > 1)
+	return l.budget.Take(fl.licensee, worth(fl.op.Class.PriorityWeight, fl.op.Class.LatencyObjective)/max(best, 1e-9), fl.attempts > 1)
 }
 
 func (l *link) done(fl *flight) {
@@ -204,7 +204,7 @@
 	switch {
 	case f == multisite.Never:
 		fl.rep.whole = false // as if it had not been written; and the far instance lives
-		return policy.Full
+		return policy.RejectedByServer
 	case f == multisite.Ran && kept != nil:
 		h := &fl.rep.head
 		*h = httpwire.Head{Status: kept.status, Reason: http.StatusText(kept.status), Length: int64(len(kept.body))}
@@ -214,7 +214,7 @@
 		fl.rep.body = kept.body
 		return policy.OK
 	}
-	return policy.Reset
+	return policy.ConnectionReset
 }
 
 // tellFate answers another site's ask.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -58,9 +58,9 @@
 	defer ln.Close()
 	switch {
 	case cfg.peerConn != nil:
-		in.peers = gossip.On(cfg.peerConn, cfg.Settings.Me, cfg.Peers, cfg.PeerListen)
+		in.peers = gossip.On(cfg.peerConn, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeerListen)
 	case cfg.PeerListen.IsValid():
-		if in.peers, err = gossip.Listen(cfg.PeerListen, cfg.Settings.Me, cfg.Peers, cfg.PeerListen); err != nil {
+		if in.peers, err = gossip.Listen(cfg.PeerListen, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeerListen); err != nil {
 			return err
 		}
 	}
@@ -138,7 +138,7 @@
 	select {
 	case <-ended:
 		return
-	case <-time.After(longest + f.in.cfg.Settings.AnswerSlack + restLimit):
+	case <-time.After(longest + f.in.cfg.Settings.ResponseSlack + restLimit):
 	}
 	f.mu.Lock()
 	for c := range f.conns {
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -105,7 +105,7 @@
 	defer u.mu.Unlock()
 	for _, e := range entries {
 		s := u.byID[e.ID]
-		if s != nil && (e.State == policy.Removed || s.addr != e.Addr || s.boot != e.Boot) {
+		if s != nil && (e.State == policy.Removed || s.addr != e.Addr || s.boot != e.StartedAt) {
 			stale = append(stale, s.idle...)
 			s.up, s.idle = false, nil
 			delete(u.byID, e.ID)
@@ -115,7 +115,7 @@
 			continue
 		}
 		if s == nil {
-			s = &server{id: e.ID, addr: e.Addr, boot: e.Boot}
+			s = &server{id: e.ID, addr: e.Addr, boot: e.StartedAt}
 			u.byID[e.ID] = s
 		}
 		if s.up = e.State == policy.Up; !s.up {
@@ -386,7 +386,7 @@
 	}
 	c, err := u.take(dctx, id, k.dialing)
 	if errors.Is(err, errBudget) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-		return policy.Moot // no fault of the server's
+		return policy.NotSent // no fault of the server's
 	}
 	if err != nil {
 		return neverSent(k, until)
@@ -418,12 +418,12 @@
 			result = policy.TimedOut
 			u.distrust(c.of)
 		case errors.Is(err, os.ErrDeadlineExceeded) || answered(err):
-			result = policy.ErrorAnswer // half an answer, or one that can't be read, is no silence
+			result = policy.ErrorResponse // half an answer, or one that can't be read, is no silence
 		default:
-			result = policy.Reset
+			result = policy.ConnectionReset
 		}
 	}
-	if result == policy.OK || result == policy.Full || result == policy.ErrorAnswer {
+	if result == policy.OK || result == policy.RejectedByServer || result == policy.ErrorResponse {
 		rep.since = c.made
 	}
 	return result
@@ -448,7 +448,7 @@
 	case k.ended:
 		return policy.Cancelled
 	case !time.Now().Before(until):
-		return policy.Moot
+		return policy.NotSent
 	}
 	return policy.ConnectFailed
 }
@@ -488,7 +488,7 @@
 		}
 	}
 	if h.Status < 200 {
-		return policy.ErrorAnswer, false, nil // 101: what follows is no HTTP
+		return policy.ErrorResponse, false, nil // 101: what follows is no HTTP
 	}
 	// What stands behind the answer belongs to no request: the next one would take it for its own.
 	return judge(h), !h.Close && c.rd.Buffered() == 0, nil
@@ -500,15 +500,15 @@
 	neverRan := h.Status == 429 || h.Status == 503 || h.Status == 504
 	switch {
 	case neverRan && h.Get("X-Never-Ran") == "1":
-		return policy.Full
+		return policy.RejectedByServer
 	case neverRan || h.Status >= 500 || h.Status == 408:
-		return policy.ErrorAnswer
+		return policy.ErrorResponse
 	}
 	return policy.OK
 }
 
 // report returns an answer's load report, or nil.
-func (r *reply) report() *policy.Load {
+func (r *reply) report() *policy.LoadReport {
 	if r.since.IsZero() {
 		return nil
 	}
--- a/internal/gatewayconfig/gatefile.go
+++ b/internal/gatewayconfig/gatefile.go
@@ -463,16 +463,16 @@
 	}
 	c.MaxClients, c.MaxServers = l.Clients, l.Servers
 	c.ConnectTimeout, c.ConnIdle, c.DrainFor = l.ConnectTimeout.d, l.ConnIdle.d, l.DrainFor.d
-	c.Settings = policy.Settings{Me: in.Instance, Instances: n, Zone: in.Zone,
-		AnswerSlack: l.AnswerSlack.d, DrainGrace: s.DrainGrace.d, ColdFrom: s.ColdFrom, RampTime: s.RampTime.d,
-		FallMultiple: s.FallMultiple, OverloadFor: s.OverloadFor.d, MaxAttempts: l.MaxAttempts, Cancel: true, Peers: n > 1, Probes: true,
-		RetryAfter: true, MaxRetryAfter: l.MaxRetryAfter.d, Report: policy.ReportProbes, InboxPerS: l.InboxPerS,
-		MostUnits: float64(l.MostUnits), Tick: 2 * time.Millisecond, PriceCross: 0.01, PricePeer: 0.03, PriceProbe: 0.01, PriceWaste: 0.05}
+	c.Settings = policy.Settings{InstanceIndex: in.Instance, InstanceCount: n, Zone: in.Zone,
+		ResponseSlack: l.AnswerSlack.d, DrainGracePeriod: s.DrainGrace.d, SlowStartMinFraction: s.ColdFrom, SlowStartWindow: s.RampTime.d,
+		ColdOverloadMultiple: s.FallMultiple, ColdOverloadWindow: s.OverloadFor.d, MaxAttempts: l.MaxAttempts, AllowsCancel: true, AllowsGossip: n > 1, AllowsHealthChecks: true,
+		SendsRetryAfter: true, MaxRetryAfter: l.MaxRetryAfter.d, LoadReports: policy.LoadReportsInHealthChecks, GossipInboxRate: l.InboxPerS,
+		MaxUnits: float64(l.MostUnits), MinEventInterval: 2 * time.Millisecond, CrossZonePrice: 0.01, GossipPrice: 0.03, HealthCheckPrice: 0.01, WastedWorkPrice: 0.05}
 	if c.Settings.MaxRetryAfter == 0 {
 		c.Settings.MaxRetryAfter = 2 * time.Second
 	}
-	if c.Settings.InboxPerS == 0 {
-		c.Settings.InboxPerS = 40
+	if c.Settings.GossipInboxRate == 0 {
+		c.Settings.GossipInboxRate = 40
 	}
 }
 
@@ -523,8 +523,8 @@
 		if p.CeilingRate > 0 && (p.CeilingBurst <= 0 || p.CeilingRate < p.Rate) {
 			r.bad(at+".ceiling_rate", "a ceiling needs a burst and lies above the rate")
 		}
-		c.Settings.Plans = append(c.Settings.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, CeilingRate: p.CeilingRate,
-			CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack, Price: p.Price, OverWorth: p.OverWorth, OverCost: p.OverCost})
+		c.Settings.Plans = append(c.Settings.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, MaxInFlight: p.Open, HardLimitRate: p.CeilingRate,
+			HardLimitBurst: p.CeilingBurst, HardLimitSlack: p.CeilingSlack, PriorityFactor: p.Price, OverQuotaFraction: p.OverWorth, OverQuotaCost: p.OverCost})
 	}
 	c.Licensees = map[string]gateway.Licensee{}
 	for i, l := range in.Licensees {
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -68,7 +68,7 @@
 
 func (p *Socket) send(peer int, message []byte) error {
 	to := p.all
-	if peer != policy.AllPeers {
+	if peer != policy.AllInstances {
 		if peer < 0 || peer >= len(p.addrs) {
 			return fmt.Errorf("message to unknown peer %d", peer)
 		}
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("heard %q, want the peer's message alone", got)
 	}
 
-	for peer, c := range map[int]*net.UDPConn{1: other, policy.AllPeers: all} {
+	for peer, c := range map[int]*net.UDPConn{1: other, policy.AllInstances: all} {
 		if err := p.send(peer, []byte("hello")); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/loadreport/load.go
+++ b/internal/loadreport/load.go
@@ -18,12 +18,12 @@
 // Parse parses a load report such as "TEXT inflight=7, queue=2, util=0.61".
 // Unknown names and figures that can't be are skipped; nil means that there is no
 // report in the text.
-func Parse(text string) *policy.Load {
+func Parse(text string) *policy.LoadReport {
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT")
 	if !ok {
 		return nil
 	}
-	l := policy.Load{InFlight: -1, Queue: -1, Util: -1}
+	l := policy.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1}
 	for _, pair := range strings.Split(text, ",") {
 		name, val, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		x, ok := Decimal(val)
@@ -35,9 +35,9 @@
 		case name == "inflight" || name == "outstanding":
 			l.InFlight = x
 		case name == "queue" || name == "backlog":
-			l.Queue = x
+			l.QueueLength = x
 		case (name == "util" || name == "utilization") && x <= mostUtil:
-			l.Util = x
+			l.Utilization = x
 		}
 	}
 	return &l
--- a/internal/openapi/read_test.go
+++ b/internal/openapi/read_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("%d operations", n)
 	}
 	for _, o := range tab.Operations {
-		if len(o.Inherited) > 0 || o.Pos.Line == 0 || o.Class.Worth == 0 {
+		if len(o.Inherited) > 0 || o.Pos.Line == 0 || o.Class.PriorityWeight == 0 {
 			t.Errorf("%s: %+v", o.ID, o)
 		}
 	}
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -448,8 +448,8 @@
 		p.Changes = append(p.Changes, clusterconfig.Put("class", k.Name, clusterconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
 	}
 	for _, pl := range settings(0).Plans {
-		p.Changes = append(p.Changes, clusterconfig.Put("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, CeilingRate: pl.CeilingRate, CeilingBurst: pl.CeilingBurst,
-			CeilingSlack: pl.CeilingSlack, Price: pl.Price, OverWorth: pl.OverWorth, OverCost: pl.OverCost}))
+		p.Changes = append(p.Changes, clusterconfig.Put("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, CeilingRate: pl.HardLimitRate, CeilingBurst: pl.HardLimitBurst,
+			CeilingSlack: pl.HardLimitSlack, Price: pl.PriorityFactor, OverWorth: pl.OverQuotaFraction, OverCost: pl.OverQuotaCost}))
 	}
 	for _, l := range licensees() {
 		p.Changes = append(p.Changes, clusterconfig.Put("licensee", l.Name, clusterconfig.Licensee{Plan: l.Plan}))
--- a/internal/scenario/lab.go
+++ b/internal/scenario/lab.go
@@ -161,17 +161,17 @@
 
 func settings(me int) policy.Settings {
 	return policy.Settings{
-		Me: me, Instances: instances, Zone: hallName(me % 2),
+		InstanceIndex: me, InstanceCount: instances, Zone: hallName(me % 2),
 		Plans: []policy.Plan{
-			{Name: "msingi", Rate: 6, Burst: 24, Price: 0.88, OverWorth: 0.3},
-			{Name: "kati", Rate: 24, Burst: 60, Price: 1.1, OverCost: 0.6},
-			{Name: "kubwa", Rate: 90, Burst: 150, CeilingRate: 180, CeilingBurst: 300, CeilingSlack: 30, Price: 1.6, OverCost: 1},
+			{Name: "msingi", Rate: 6, Burst: 24, PriorityFactor: 0.88, OverQuotaFraction: 0.3},
+			{Name: "kati", Rate: 24, Burst: 60, PriorityFactor: 1.1, OverQuotaCost: 0.6},
+			{Name: "kubwa", Rate: 90, Burst: 150, HardLimitRate: 180, HardLimitBurst: 300, HardLimitSlack: 30, PriorityFactor: 1.6, OverQuotaCost: 1},
 		},
-		AnswerSlack: 8 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-		ColdFrom: 0.17, RampTime: 15 * time.Second, FallMultiple: 2.5, OverloadFor: 2 * time.Second,
-		MaxAttempts: 5, Cancel: true, Peers: true, Probes: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		Report: policy.ReportProbes, InboxPerS: 40, MostUnits: 50, Tick: 2 * time.Millisecond,
-		PriceCross: 0.01, PricePeer: 0.03, PriceProbe: 0.01, PriceWaste: 0.05,
+		ResponseSlack: 8 * time.Millisecond, DrainGracePeriod: 250 * time.Millisecond,
+		SlowStartMinFraction: 0.17, SlowStartWindow: 15 * time.Second, ColdOverloadMultiple: 2.5, ColdOverloadWindow: 2 * time.Second,
+		MaxAttempts: 5, AllowsCancel: true, AllowsGossip: true, AllowsHealthChecks: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		LoadReports: policy.LoadReportsInHealthChecks, GossipInboxRate: 40, MaxUnits: 50, MinEventInterval: 2 * time.Millisecond,
+		CrossZonePrice: 0.01, GossipPrice: 0.03, HealthCheckPrice: 0.01, WastedWorkPrice: 0.05,
 	}
 }
 
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -75,7 +75,7 @@
 		plans[l.Name] = l.Plan
 	}
 	for _, p := range settings(0).Plans {
-		prices[p.Name] = p.Price
+		prices[p.Name] = p.PriorityFactor
 	}
 	for _, as := range byTrace {
 		units[as[0].Operation] = as[0].Units
@@ -119,7 +119,7 @@
 
 func (s *surge) warmth(at time.Time) float64 {
 	set := settings(0)
-	return math.Min(set.ColdFrom+(1-set.ColdFrom)*at.Sub(s.back).Seconds()/set.RampTime.Seconds(), 1)
+	return math.Min(set.SlowStartMinFraction+(1-set.SlowStartMinFraction)*at.Sub(s.back).Seconds()/set.SlowStartWindow.Seconds(), 1)
 }
 
 // oracle plays the whole run: which wishes can be served within their aim. Each takes units of its licensee's store, in the
@@ -228,7 +228,7 @@
 	}
 	wanted := fullShare * done(s.calm, s.lost)
 	set := settings(0)
-	shortest := math.Max((wanted/float64(servers*cores)-set.ColdFrom)/(1-set.ColdFrom)*set.RampTime.Seconds(), 0)
+	shortest := math.Max((wanted/float64(servers*cores)-set.SlowStartMinFraction)/(1-set.SlowStartMinFraction)*set.SlowStartWindow.Seconds(), 0)
 	j.v.Figures["full_use_shortest_s"] = math.Round(shortest*10) / 10
 	for at := s.back; at.Add(time.Second).Before(s.end); at = at.Add(100 * time.Millisecond) {
 		if done(at, at.Add(time.Second)) >= wanted {
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -240,14 +240,14 @@
 	}
 	for name, as := range firsts {
 		for _, p := range settings(0).Plans {
-			if p.Name != plans[name] || p.CeilingRate <= 0 {
+			if p.Name != plans[name] || p.HardLimitRate <= 0 {
 				continue
 			}
 			slices.SortFunc(as, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
-			level, at := p.CeilingBurst, as[0].At
-			slack := math.Max(p.CeilingSlack, 0.1*p.CeilingBurst) + 0.15*p.CeilingRate
+			level, at := p.HardLimitBurst, as[0].At
+			slack := math.Max(p.HardLimitSlack, 0.1*p.HardLimitBurst) + 0.15*p.HardLimitRate
 			for _, a := range as {
-				level = math.Min(level+p.CeilingRate*a.At.Sub(at).Seconds(), p.CeilingBurst) - float64(a.Units)
+				level = math.Min(level+p.HardLimitRate*a.At.Sub(at).Seconds(), p.HardLimitBurst) - float64(a.Units)
 				if at = a.At; level < -slack {
 					j.broken("ceilings", "%s is %.0f units over its ceiling", name, -level)
 				}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -30,7 +30,7 @@
 	// List is a FLEET event with the entries of its table resolved.
 	List struct {
 		Inst    int
-		Form    policy.ListForm
+		Form    policy.EndpointUpdateKind
 		Servers []policy.Server
 	}
 	Accept struct {
@@ -44,7 +44,7 @@
 	}
 	Completed struct {
 		Inst    int
-		Outcome policy.Outcome
+		Outcome policy.AttemptResult
 	}
 	Left struct {
 		Inst int
@@ -59,7 +59,7 @@
 		Server string
 		Result policy.Result
 		Took   time.Duration
-		Load   *policy.Load
+		Load   *policy.LoadReport
 	}
 	Whisper struct {
 		Inst, From int
@@ -158,8 +158,8 @@
 		e := Accept{Inst: f.int("i")}
 		q := &e.Request
 		q.ID, q.Class, q.Plan = f.str("ref"), f.str("tierClass"), f.str("tier")
-		q.Customer, q.Grace, q.Units = f.uint("holder"), f.dur("grace"), f.num("weight")
-		q.Spread, q.First = f.int("entryPoints"), f.int("fromNo")
+		q.Customer, q.Timeout, q.Units = f.uint("holder"), f.dur("grace"), f.num("weight")
+		q.InstanceCount, q.FirstInstance = f.int("entryPoints"), f.int("fromNo")
 		f.uint("bits")
 		return e, nil
 	case "HEADERS":
@@ -170,10 +170,10 @@
 	case "COMPLETED":
 		e := Completed{Inst: f.int("i")}
 		o := &e.Outcome
-		o.ID, o.Closed, o.Result, o.Server = f.str("ref"), f.bool("closed"), f.result("reason"), f.str("server")
-		o.Took, o.Attempt = f.dur("spent"), f.int("roundNo")
+		o.ID, o.RequestAnswered, o.Result, o.Server = f.str("ref"), f.bool("closed"), f.result("reason"), f.str("server")
+		o.Latency, o.Attempt = f.dur("spent"), f.int("roundNo")
 		f.num("fleetUse")
-		o.Units, o.Load = f.num("actual"), f.load("feedback")
+		o.Units, o.LoadReport = f.num("actual"), f.load("feedback")
 		return e, nil
 	case "LEFT":
 		return Left{f.int("i"), f.str("ref")}, nil
@@ -215,7 +215,7 @@
 			return fmt.Errorf("expected ITEM, got %q", e.vals[0])
 		}
 		s := policy.Server{ID: e.str("server"), State: e.state("mode"), Weight: e.num("rating"), Kind: e.str("machine")}
-		s.Zone, s.Cell, s.Boot = e.str("regionPart"), e.int("pod"), e.dur("bootTime")
+		s.Zone, s.Cell, s.StartedAt = e.str("regionPart"), e.int("pod"), e.dur("bootTime")
 		if e.err == nil && len(e.vals) > e.next {
 			e.err = errors.New("too many values")
 		}
@@ -242,13 +242,13 @@
 	if f.err != nil {
 		return nil, nil // reported by the caller
 	}
-	forms := map[string]policy.ListForm{"Partial": policy.ListChanges, "Complete": policy.ListFull,
-		"Persisted": policy.ListSaved, "Error": policy.ListError}
+	forms := map[string]policy.EndpointUpdateKind{"Partial": policy.EndpointsDelta, "Complete": policy.EndpointsComplete,
+		"Persisted": policy.EndpointsSaved, "Error": policy.EndpointsUnavailable}
 	var ok bool
 	if e.Form, ok = forms[form]; !ok {
 		return nil, fmt.Errorf("FLEET: unknown form %q", form)
 	}
-	if e.Form != policy.ListError {
+	if e.Form != policy.EndpointsUnavailable {
 		table, err := strconv.Atoi(ref)
 		if err != nil {
 			return nil, fmt.Errorf("FLEET: bad table %q", ref)
@@ -371,32 +371,32 @@
 	case "0":
 		return policy.OK
 	case "255":
-		return policy.ErrorAnswer
+		return policy.ErrorResponse
 	case "254":
-		return policy.Full
+		return policy.RejectedByServer
 	case "253":
 		return policy.TimedOut
 	case "252":
 		return policy.ConnectFailed
 	case "251":
-		return policy.Reset
+		return policy.ConnectionReset
 	case "250":
 		return policy.Cancelled
 	case "249":
-		return policy.Moot
+		return policy.NotSent
 	default:
 		f.bad(what, v)
-		return policy.Moot
+		return policy.NotSent
 	}
 }
 
 // load parses a load report. Unknown names are skipped.
-func (f *fields) load(what string) *policy.Load {
+func (f *fields) load(what string) *policy.LoadReport {
 	v := f.str(what)
 	if v == "" {
 		return nil
 	}
-	l := policy.Load{InFlight: -1, Queue: -1, Util: -1}
+	l := policy.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1}
 	for _, pair := range strings.Split(v, ",") {
 		name, val, ok := strings.Cut(pair, ":")
 		x, err := strconv.ParseFloat(val, 64)
@@ -408,9 +408,9 @@
 		case "outstanding":
 			l.InFlight = x
 		case "backlog":
-			l.Queue = x
+			l.QueueLength = x
 		case "utilization":
-			l.Util = x
+			l.Utilization = x
 		}
 	}
 	return &l
@@ -492,45 +492,45 @@
 func (in *info) settings() (policy.Settings, error) {
 	l, r := &in.PolicyLimits, &in.Rules
 	s := policy.Settings{
-		Me: in.Me, Instances: in.Instances, Zone: in.Zone,
-		AnswerSlack: seconds(r.AnswerSlack), DrainGrace: seconds(r.DrainGrace),
-		ColdFrom: r.ColdFrom, RampTime: seconds(r.RampTime),
-		FallMultiple: r.FallMultiple, OverloadFor: seconds(r.OverloadFor),
-		MaxAttempts: l.MostTries, Parallel: l.ParallelTries, Cancel: l.Cancel, Peers: l.Peers, Probes: l.Probes,
-		RetryAfter: l.RetryAfter, MaxRetryAfter: seconds(l.MaxRetryAfter),
-		AskList: in.RegistryMode == "subscribe", AskWithin: seconds(r.AskWithin),
-		InboxPerS: in.FamilyInfo.InboxPerS, PostPaid: in.FamilyInfo.PostPaid, MostUnits: in.FamilyInfo.UnitsTop, Tick: seconds(in.Tick),
-		ConnectWithin: seconds(l.ConnectTimeout),
-		PriceCross:    in.Penalties.CrossZone, PricePeer: in.Penalties.Peer,
-		PriceProbe: in.Penalties.Probe, PriceWaste: in.Penalties.Waste,
+		InstanceIndex: in.Me, InstanceCount: in.Instances, Zone: in.Zone,
+		ResponseSlack: seconds(r.AnswerSlack), DrainGracePeriod: seconds(r.DrainGrace),
+		SlowStartMinFraction: r.ColdFrom, SlowStartWindow: seconds(r.RampTime),
+		ColdOverloadMultiple: r.FallMultiple, ColdOverloadWindow: seconds(r.OverloadFor),
+		MaxAttempts: l.MostTries, AllowsHedging: l.ParallelTries, AllowsCancel: l.Cancel, AllowsGossip: l.Peers, AllowsHealthChecks: l.Probes,
+		SendsRetryAfter: l.RetryAfter, MaxRetryAfter: seconds(l.MaxRetryAfter),
+		PollsEndpoints: in.RegistryMode == "subscribe", EndpointPollInterval: seconds(r.AskWithin),
+		GossipInboxRate: in.FamilyInfo.InboxPerS, SettlesUnits: in.FamilyInfo.PostPaid, MaxUnits: in.FamilyInfo.UnitsTop, MinEventInterval: seconds(in.Tick),
+		ConnectTimeout: seconds(l.ConnectTimeout),
+		CrossZonePrice: in.Penalties.CrossZone, GossipPrice: in.Penalties.Peer,
+		HealthCheckPrice: in.Penalties.Probe, WastedWorkPrice: in.Penalties.Waste,
 	}
 	switch in.Feedback.How {
 	case "answers":
-		s.Report = policy.ReportAnswers
+		s.LoadReports = policy.LoadReportsInResponses
 	case "probe":
-		s.Report = policy.ReportProbes
+		s.LoadReports = policy.LoadReportsInHealthChecks
 	case "none", "":
 	default:
 		return s, fmt.Errorf("feedback.how: unknown word %q", in.Feedback.How)
 	}
 	for _, c := range in.Lanes {
-		k := policy.Class{Name: c.Name, Window: seconds(c.MemorySpan), Aim: seconds(c.OnTime),
-			Deadline: seconds(c.Deadline), Worth: c.Worth, Late: c.LateWorth, Stream: c.Streamed}
-		effects := map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
-		groups := map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
+		k := policy.Class{Name: c.Name, DedupWindow: seconds(c.MemorySpan), LatencyObjective: seconds(c.OnTime),
+			Deadline: seconds(c.Deadline), PriorityWeight: c.Worth, LateFraction: c.LateWorth, IsStreaming: c.Streamed}
+		effects := map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentWithKey, "fragile": policy.NonIdempotent}
+		groups := map[string]policy.DedupScope{"all": policy.DedupAllServers, "zone": policy.DedupZone, "cell": policy.DedupCell}
 		var ok bool
-		if k.Effect, ok = effects[c.Idempotency]; !ok {
+		if k.Idempotency, ok = effects[c.Idempotency]; !ok {
 			return s, fmt.Errorf("lanes: unknown idempotency %q", c.Idempotency)
 		}
-		if k.Group, ok = groups[c.KeyScope]; !ok && k.Effect == policy.Keyed {
+		if k.DedupScope, ok = groups[c.KeyScope]; !ok && k.Idempotency == policy.IdempotentWithKey {
 			return s, fmt.Errorf("lanes: unknown keyScope %q", c.KeyScope)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range in.Tariffs {
-		s.Plans = append(s.Plans, policy.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, Open: t.MaxOut,
-			CeilingRate: t.NeverOverRate, CeilingBurst: t.HardBurst, CeilingSlack: t.CapSlack,
-			Price: t.WorthFactor, OverWorth: t.ExtraWorth, OverCost: t.OverCost})
+		s.Plans = append(s.Plans, policy.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, MaxInFlight: t.MaxOut,
+			HardLimitRate: t.NeverOverRate, HardLimitBurst: t.HardBurst, HardLimitSlack: t.CapSlack,
+			PriorityFactor: t.WorthFactor, OverQuotaFraction: t.ExtraWorth, OverQuotaCost: t.OverCost})
 	}
 	return s, nil
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -40,24 +40,24 @@
 		t.Errorf("clock %v", c.Now)
 	}
 	l := events[1].(Launch)
-	if s := l.Settings; l.Seed != 99 || s.Me != 1 || s.Classes[0].Effect != policy.Keyed || s.Classes[0].Group != policy.GroupCell ||
-		s.Plans[0].Open != 3 || s.Plans[0].Burst != 7 || s.Report != policy.ReportAnswers || s.DrainGrace != 2*time.Second {
+	if s := l.Settings; l.Seed != 99 || s.InstanceIndex != 1 || s.Classes[0].Idempotency != policy.IdempotentWithKey || s.Classes[0].DedupScope != policy.DedupCell ||
+		s.Plans[0].MaxInFlight != 3 || s.Plans[0].Burst != 7 || s.LoadReports != policy.LoadReportsInResponses || s.DrainGracePeriod != 2*time.Second {
 		t.Errorf("launch %+v", l)
 	}
 	list := events[2].(List)
-	if len(list.Servers) != 2 || list.Servers[1].State != policy.Draining || list.Servers[1].Boot != 6100*time.Millisecond {
+	if len(list.Servers) != 2 || list.Servers[1].State != policy.Draining || list.Servers[1].StartedAt != 6100*time.Millisecond {
 		t.Errorf("list %+v", list)
 	}
-	if q := events[3].(Accept).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.Spread != 3 || q.First != 1 {
+	if q := events[3].(Accept).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.InstanceCount != 3 || q.FirstInstance != 1 {
 		t.Errorf("request %+v", q)
 	}
-	if o := events[4].(Completed).Outcome; o.Result != policy.Full || !o.Closed || o.Load == nil || o.Load.Queue != 3 || o.Units != 3 {
+	if o := events[4].(Completed).Outcome; o.Result != policy.RejectedByServer || !o.RequestAnswered || o.LoadReport == nil || o.LoadReport.QueueLength != 3 || o.Units != 3 {
 		t.Errorf("outcome %+v", o)
 	}
 	if w := events[6].(Whisper); string(w.Payload) != "hi 7" {
 		t.Errorf("payload %q", w.Payload)
 	}
-	if e := events[7].(List); e.Form != policy.ListError {
+	if e := events[7].(List); e.Form != policy.EndpointsUnavailable {
 		t.Errorf("form %v", e.Form)
 	}
 }
@@ -79,15 +79,15 @@
 
 func TestWriteActions(t *testing.T) {
 	r := Reply{Inst: 3}
-	r.Send("rq", "s.a", 80*time.Millisecond)
-	r.Refuse("rq", 0)
-	r.Fail("rq")
-	r.Cancel("rq", 1)
+	r.SendAttempt("rq", "s.a", 80*time.Millisecond)
+	r.RejectRequest("rq", 0)
+	r.FailRequest("rq")
+	r.CancelAttempt("rq", 1)
 	r.SetTimer(77, 500*time.Millisecond)
-	r.Probe("s.a")
-	r.Tell(policy.AllPeers, []byte("hi 7"))
-	r.Tell(2, nil)
-	r.Watch(true)
+	r.CheckHealth("s.a")
+	r.SendGossip(policy.AllInstances, []byte("hi 7"))
+	r.SendGossip(2, nil)
+	r.WatchEndpoints(true)
 	r.Log("two\nlines")
 	want := "CALL_OUT 3 rq s.a 0.08\nTURN_AWAY 3 rq 0\nSURRENDER 3 rq\nWITHDRAW 3 rq 1\nSET_ALARM 3 77 0.5\nPROBE 3 s.a\n" +
 		"SIGNAL 3 all aGkgNw==\nSIGNAL 3 2 -\nSTREAM_CHANGES 3 1\nPRINT 3 two lines\nFINISHED\n"
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -45,7 +45,7 @@
 
 func (r *Reply) end() { r.buf = append(r.buf, '\n') }
 
-func (r *Reply) Send(id, server string, timeout time.Duration) {
+func (r *Reply) SendAttempt(id, server string, timeout time.Duration) {
 	r.begin("CALL_OUT")
 	r.str(id)
 	r.str(server)
@@ -53,20 +53,20 @@
 	r.end()
 }
 
-func (r *Reply) Refuse(id string, retryAfter time.Duration) {
+func (r *Reply) RejectRequest(id string, retryAfter time.Duration) {
 	r.begin("TURN_AWAY")
 	r.str(id)
 	r.dur(retryAfter)
 	r.end()
 }
 
-func (r *Reply) Fail(id string) {
+func (r *Reply) FailRequest(id string) {
 	r.begin("SURRENDER")
 	r.str(id)
 	r.end()
 }
 
-func (r *Reply) Cancel(id string, attempt int) {
+func (r *Reply) CancelAttempt(id string, attempt int) {
 	r.begin("WITHDRAW")
 	r.str(id)
 	r.int(int64(attempt))
@@ -80,13 +80,13 @@
 	r.end()
 }
 
-func (r *Reply) Probe(server string) {
+func (r *Reply) CheckHealth(server string) {
 	r.begin("PROBE")
 	r.str(server)
 	r.end()
 }
 
-func (r *Reply) Tell(peer int, message []byte) {
+func (r *Reply) SendGossip(peer int, message []byte) {
 	r.begin("SIGNAL")
 	if peer < 0 {
 		r.str("all")
@@ -102,7 +102,7 @@
 	r.end()
 }
 
-func (r *Reply) Watch(on bool) {
+func (r *Reply) WatchEndpoints(on bool) {
 	r.begin("STREAM_CHANGES")
 	if on {
 		r.int(1)
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -80,33 +80,33 @@
 )
 
 // Start begins the gateway's work. Call it once, before any other event.
-func (g *Gateway) Start(now time.Duration, out Actions) {
+func (g *Engine) Start(now time.Duration, out Actions) {
 	g.now, g.out, g.started, g.aro.f = now, out, now, 1
 	g.tellGap = probeEvery
-	if in := g.set.InboxPerS; in > 0 {
-		gap := time.Duration(inboxRoom * float64(g.set.Instances-1) / in * float64(time.Second))
-		g.tellGap = max(gap, g.set.Tick, tellFastest)
+	if in := g.set.GossipInboxRate; in > 0 {
+		gap := time.Duration(inboxRoom * float64(g.set.InstanceCount-1) / in * float64(time.Second))
+		g.tellGap = max(gap, g.set.MinEventInterval, tellFastest)
 	}
 	// Gateways started together must not beat in step.
 	g.out.SetTimer(timerProbe, time.Duration(g.rng.Int64N(int64(probeEvery))))
-	if g.set.Peers && g.set.Instances > 1 {
+	if g.set.AllowsGossip && g.set.InstanceCount > 1 {
 		g.out.SetTimer(timerTell, time.Duration(g.rng.Int64N(int64(g.tellGap))))
 	}
-	if g.set.AskList {
-		g.out.Watch(true)
+	if g.set.PollsEndpoints {
+		g.out.WatchEndpoints(true)
 	}
 }
 
-// List brings the list of servers or changes of it.
-func (g *Gateway) List(now time.Duration, form ListForm, entries []Server, out Actions) {
+// EndpointsChanged brings the list of servers or changes of it.
+func (g *Engine) EndpointsChanged(now time.Duration, form EndpointUpdateKind, entries []Server, out Actions) {
 	g.now, g.out = now, out
-	if form == ListError {
-		if g.set.AskList {
+	if form == EndpointsUnavailable {
+		if g.set.PollsEndpoints {
 			g.out.SetTimer(timerList, time.Second+time.Duration(g.rng.Int64N(int64(time.Second))))
 		}
 		return
 	}
-	if form != ListChanges {
+	if form != EndpointsDelta {
 		for _, s := range g.servers {
 			s.listed = false
 		}
@@ -118,7 +118,7 @@
 			g.byID[e.ID] = s
 			g.servers = append(g.servers, s)
 		}
-		if s.Boot != e.Boot {
+		if s.StartedAt != e.StartedAt {
 			// A restarted server is another one: nothing learned of it holds.
 			s.errs, s.strikes, s.ejected, s.lat, s.queue, s.credit, s.lost = 0, 0, 0, 1, -1, -1, false
 			s.conns = 0
@@ -132,37 +132,37 @@
 	g.recount()
 }
 
-// Request is a new try of a client: it is sent on or refused at once.
-func (g *Gateway) Request(now time.Duration, q Request, out Actions) {
+// RequestReceived is a new try of a client: it is sent on or refused at once.
+func (g *Engine) RequestReceived(now time.Duration, q Request, out Actions) {
 	g.now, g.out = now, out
 	if g.reqs[q.ID] != nil {
 		return
 	}
 	ci, okClass := g.class[q.Class]
 	pi, okPlan := g.plan[q.Plan]
-	if !okClass || !okPlan || q.Grace <= 0 {
+	if !okClass || !okPlan || q.Timeout <= 0 {
 		g.refuse(q.ID, 0, whyUnknown)
 		return
 	}
 	q.Units = math.Max(q.Units, 0)
-	q.Spread = min(max(q.Spread, 1), g.set.Instances)
-	st := g.storeFor(q.Customer, pi, q.Spread, q.First)
+	q.InstanceCount = min(max(q.InstanceCount, 1), g.set.InstanceCount)
+	st := g.storeFor(q.Customer, pi, q.InstanceCount, q.FirstInstance)
 	if st.plan != pi { // the customer has changed its plan
 		g.replan(st, g.set.Plans[st.plan], pi)
 	}
 	g.nextNum++
 	r := &request{Request: q, num: g.nextNum, class: ci, store: st}
-	r.ends = now + q.Body + q.Grace - 2*g.set.Tick
-	late, l := g.late(ci, q.Grace), &g.lat[ci]
-	wait, why := g.set.Classes[ci].Aim/comeBack, whyNot
+	r.ends = now + q.BodyTimeout + q.Timeout - 2*g.set.MinEventInterval
+	late, l := g.late(ci, q.Timeout), &g.lat[ci]
+	wait, why := g.set.Classes[ci].LatencyObjective/comeBack, whyNot
 	switch {
-	case g.jammed(ci, q.Zone, g.set.Plans[pi].Price):
+	case g.jammed(ci, q.Zone, g.set.Plans[pi].PriorityFactor):
 		why = whyJammed
 	case late && g.aro.rho >= pressed:
 		why = whyLate
-	case l.n >= batchLeast && q.Grace.Seconds() < l.mean:
+	case l.n >= batchLeast && q.Timeout.Seconds() < l.mean:
 		why = whyShort
-	case st.wide && !q.Paid && now < st.shut && g.set.Plans[pi].OverWorth == 0:
+	case st.wide && !q.IsCharged && now < st.shut && g.set.Plans[pi].OverQuotaFraction == 0:
 		wait, why = st.shut-now, whyQuota
 	}
 	if why != whyNot {
@@ -171,12 +171,12 @@
 	}
 	g.reqs[q.ID], g.byNum[r.num] = r, r
 	g.out.SetTimer(r.num<<timerBits|timerEnd, max(r.ends-now, 0))
-	if q.Paid {
+	if q.IsCharged {
 		r.Units, r.granted = 0, true
 		g.admit(r, true, 0)
 		return
 	}
-	if r.holder = g.holder(st); st.wide && r.holder != g.set.Me {
+	if r.holder = g.holder(st); st.wide && r.holder != g.set.InstanceIndex {
 		r.late = late
 		g.ask(r)
 		return
@@ -192,36 +192,36 @@
 // wait, of which a later try of the same client has less left. Where its answer would be worth little, it
 // gives way to those that can still be answered in time. Clients that give each try a wait of its own
 // look younger than they are: those are not held back.
-func (g *Gateway) late(class int, grace time.Duration) bool {
+func (g *Engine) late(class int, grace time.Duration) bool {
 	c, l := &g.set.Classes[class], &g.lat[class]
 	if l.fresh == 0 {
 		l.fresh = grace
 	}
 	// A high quantile, not the most: single clients must not make all others look late.
-	if step := c.Aim / freshParts; grace > l.fresh {
+	if step := c.LatencyObjective / freshParts; grace > l.fresh {
 		l.fresh += min(step, grace-l.fresh)
 	} else {
 		l.fresh -= min(step/freshDown, l.fresh-grace)
 	}
-	return (l.fresh-grace).Seconds()+l.mean > c.Aim.Seconds()
+	return (l.fresh-grace).Seconds()+l.mean > c.LatencyObjective.Seconds()
 }
 
 // admit goes on with a request once it is known whether it is inside the quota, which its units have left.
-func (g *Gateway) admit(r *request, in bool, wait time.Duration) {
+func (g *Engine) admit(r *request, in bool, wait time.Duration) {
 	st, p, ci := r.store, &g.set.Plans[r.store.plan], r.class
 	r.inQuota = in
 	why := whyQuota
 	var s *server
 	// Exception: beyond the quota only where that earns more than it costs and the back end is calm.
-	if !in && !(p.OverWorth > p.OverCost && g.aro.rho < g.spareBelow() && g.aro.f >= 1) {
-	} else if !r.granted && st.ceiling < r.Units && p.CeilingRate > 0 {
-		wait, why = fill(r.Units-st.ceiling, p.CeilingRate*st.ratePart), whyCeiling
+	if !in && !(p.OverQuotaFraction > p.OverQuotaCost && g.aro.rho < g.spareBelow() && g.aro.f >= 1) {
+	} else if !r.granted && st.ceiling < r.Units && p.HardLimitRate > 0 {
+		wait, why = fill(r.Units-st.ceiling, p.HardLimitRate*st.ratePart), whyCeiling
 		if st.dry += r.Units; !st.wide {
 			wait = min(wait, 2*g.tellGap) // a peer may lend
 		}
 		g.mark(st)
 	} else if why, g.aro.r = whyThrottled, g.aro.r+g.aro.f; g.aro.r < 1 {
-		wait = g.set.Classes[ci].Aim / comeBack
+		wait = g.set.Classes[ci].LatencyObjective / comeBack
 	} else {
 		g.aro.r--
 		wait, why = probesKept*probeEvery, whyNoServer
@@ -233,7 +233,7 @@
 		g.close(r)
 		return
 	}
-	if p.CeilingRate > 0 && !r.granted {
+	if p.HardLimitRate > 0 && !r.granted {
 		st.ceiling -= r.Units
 	}
 	st.opened++
@@ -246,7 +246,7 @@
 // Quotas.
 
 // storeFor returns the customer's store, filled up to now.
-func (g *Gateway) storeFor(key uint64, plan, spread, first int) *store {
+func (g *Engine) storeFor(key uint64, plan, spread, first int) *store {
 	st := g.stores[key]
 	p := &g.set.Plans[plan]
 	if st == nil {
@@ -257,8 +257,8 @@
 		if st.wide {
 			st.level = p.Burst / st.parts
 		}
-		st.ceiling = math.Min(p.CeilingBurst*st.burstPart,
-			p.CeilingRate*st.ratePart*(g.now-g.started).Seconds())
+		st.ceiling = math.Min(p.HardLimitBurst*st.burstPart,
+			p.HardLimitRate*st.ratePart*(g.now-g.started).Seconds())
 		g.stores[key] = st
 		g.order = append(g.order, st)
 	}
@@ -267,10 +267,11 @@
 }
 
 // split sets over how many gateways a store is split, and this one's parts.
-func (g *Gateway) split(st *store, p *Plan) {
-	if st.split = st.spread; g.set.Peers && st.spread > 1 && g.tellGap > probesKept*probeEvery {
+func (g *Engine) split(st *store, p *Plan) {
+	if st.split = st.spread; g.set.AllowsGossip && st.spread > 1 && g.tellGap > probesKept*probeEvery {
 		// As many holders as it takes for their inboxes to hold the asks.
-		st.wide, st.split = true, min(max(1, int(math.Ceil(p.Rate/(askShare*g.set.InboxPerS)))), st.spread)
+		holders := int(math.Ceil(p.Rate / (askShare * g.set.GossipInboxRate)))
+		st.wide, st.split = true, min(max(1, holders), st.spread)
 	}
 	// Rule 5: the parts of a ceiling sum to the whole. Each counts as empty at its gateway's start, since
 	// one killed before may have spent it, and has filled since. A holder has most of it, for its grants.
@@ -286,20 +287,20 @@
 
 // replan moves a store, filled up to now, from the figures of one plan to those of another. What was spent
 // stays spent, of the quota and of the ceiling; under a first ceiling the store begins empty, as at a start.
-func (g *Gateway) replan(st *store, old Plan, plan int) {
+func (g *Engine) replan(st *store, old Plan, plan int) {
 	p := &g.set.Plans[plan]
-	spent, over := old.Burst/st.parts-st.level, old.CeilingBurst*st.burstPart-st.ceiling
+	spent, over := old.Burst/st.parts-st.level, old.HardLimitBurst*st.burstPart-st.ceiling
 	st.plan = plan
 	g.split(st, p)
 	st.level = math.Max(p.Burst/st.parts-spent, -p.Burst)
-	if st.ceiling = p.CeilingBurst*st.burstPart - over; old.CeilingRate <= 0 {
+	if st.ceiling = p.HardLimitBurst*st.burstPart - over; old.HardLimitRate <= 0 {
 		st.ceiling = 0
 	}
 }
 
 // quota tells whether units are inside the customer's quota and, if not, when to come back. A late try takes
 // none of a customer that others were refused of late: it would cost one that can still be answered in time.
-func (g *Gateway) quota(st *store, units float64, late bool) (bool, time.Duration) {
+func (g *Engine) quota(st *store, units float64, late bool) (bool, time.Duration) {
 	p := &g.set.Plans[st.plan]
 	n := float64(st.split)
 	if st.wide {
@@ -309,11 +310,11 @@
 	if late && g.now < st.crowded {
 		return false, 0
 	}
-	if p.Open > 0 {
+	if p.MaxInFlight > 0 {
 		room := g.openRoom(st)
 		least := 1
 		if g.now < st.crowded && !st.wide {
-			least = max(min(st.spread, p.Open/2), 1)
+			least = max(min(st.spread, p.MaxInFlight/2), 1)
 		}
 		if room < least || st.opened > 0 && float64(st.opened+1) > float64(room+st.opened)/n {
 			st.crowded = g.now + crowdedFor
@@ -339,11 +340,11 @@
 }
 
 // openRoom is how many more attempts the customer may have out, as far as is known.
-func (g *Gateway) openRoom(st *store) int {
-	room := g.set.Plans[st.plan].Open - st.out
+func (g *Engine) openRoom(st *store) int {
+	room := g.set.Plans[st.plan].MaxInFlight - st.out
 	for i, l := range st.levels {
 		// An unheard peer counts as nought.
-		if i != g.set.Me && g.now-l.at < unheardGaps*g.tellGap {
+		if i != g.set.InstanceIndex && g.now-l.at < unheardGaps*g.tellGap {
 			room -= l.n
 		}
 	}
@@ -353,27 +354,27 @@
 
 // idle tells whether a store may be dropped: full for a burst's time, with nothing out and nothing to tell.
 // Memory stays bounded when customers come once only.
-func (g *Gateway) idle(st *store) bool {
+func (g *Engine) idle(st *store) bool {
 	p := &g.set.Plans[st.plan]
 	idle := idleOpen
 	if p.Rate > 0 {
 		idle = fill(2*p.Burst-st.level, p.Rate)
 	}
-	idle = max(idle, fillIf(p.CeilingBurst, p.CeilingRate), 2*g.lendTime())
+	idle = max(idle, fillIf(p.HardLimitBurst, p.HardLimitRate), 2*g.lendTime())
 	return st.out == 0 && !st.dirty && len(st.leases) == 0 && g.now-st.at >= idle
 }
 
 // Peers. A tell repeats the deltas of the one before: a peer that missed that learns them, and one
 // that comes late or twice is known by its number. Attempts out go as levels.
 
-func (g *Gateway) hear(from int, es []entry) {
+func (g *Engine) hear(from int, es []entry) {
 	for _, e := range es {
 		st := g.storeFor(e.key, e.plan, e.spread, e.first)
 		// Its plan may have changed at one gateway and not yet at the other: units spent count all the same.
 		g.spend(st, e.units)
-		if g.set.Plans[e.plan].Open > 0 {
+		if g.set.Plans[e.plan].MaxInFlight > 0 {
 			if st.levels == nil {
-				st.levels = make([]told, g.set.Instances)
+				st.levels = make([]told, g.set.InstanceCount)
 			}
 			st.levels[from] = told{e.out, g.now}
 		}
@@ -387,8 +388,8 @@
 // come, so that all parts together never hold more than the ceiling; units in a lost message are lost.
 
 // lack is how many units more the gateway's part of the ceiling should hold.
-func (g *Gateway) lack(st *store) float64 {
-	if g.set.Plans[st.plan].CeilingRate <= 0 || st.wide {
+func (g *Engine) lack(st *store) float64 {
+	if g.set.Plans[st.plan].HardLimitRate <= 0 || st.wide {
 		return 0
 	}
 	want := math.Min(lendAhead*st.since+st.dry, g.ceilingMost(st)) - st.ceiling
@@ -396,13 +397,13 @@
 }
 
 // spare is how many units the gateway's part of the ceiling can do without.
-func (g *Gateway) spare(st *store) float64 {
-	keep := math.Max(lendAhead*st.since+st.dry, lendKeep*g.set.Plans[st.plan].CeilingBurst*st.burstPart)
+func (g *Engine) spare(st *store) float64 {
+	keep := math.Max(lendAhead*st.since+st.dry, lendKeep*g.set.Plans[st.plan].HardLimitBurst*st.burstPart)
 	return math.Max(math.Floor(st.ceiling-keep), 0)
 }
 
 // lend takes units off the gateway's part of the ceiling for a peer that lacks them.
-func (g *Gateway) lend(st *store, to int) float64 {
+func (g *Engine) lend(st *store, to int) float64 {
 	if st.wants == nil || st.wide {
 		return 0
 	}
@@ -414,13 +415,13 @@
 }
 
 // heedLoan takes in the units that a peer lends, and what it lacks.
-func (g *Gateway) heedLoan(st *store, from int, e entry) {
-	if g.set.Plans[st.plan].CeilingRate <= 0 || st.wide {
+func (g *Engine) heedLoan(st *store, from int, e entry) {
+	if g.set.Plans[st.plan].HardLimitRate <= 0 || st.wide {
 		return
 	}
 	st.ceiling += e.lent // bounded when it next fills
 	if st.wants == nil && e.lacks > 0 {
-		st.wants = make([]float64, g.set.Instances)
+		st.wants = make([]float64, g.set.InstanceCount)
 	}
 	if st.wants != nil {
 		st.wants[from] = e.lacks
@@ -431,9 +432,9 @@
 }
 
 // tell tells each peer of the stores whose sets it is in, and returns the most messages that one was sent.
-func (g *Gateway) tell() (most int) {
+func (g *Engine) tell() (most int) {
 	for i := range g.peers {
-		if i != g.set.Me {
+		if i != g.set.InstanceIndex {
 			most = max(most, g.tellPeer(i, func(st *store) bool { return g.inSet(i, st.first, st.spread) }))
 		}
 	}
@@ -445,7 +446,7 @@
 			st.zeros = 0
 		}
 		// Levels are told until two tells have said that nothing is out.
-		if st.dirty = g.set.Plans[st.plan].Open > 0 && st.zeros < 3; st.dirty {
+		if st.dirty = g.set.Plans[st.plan].MaxInFlight > 0 && st.zeros < 3; st.dirty {
 			kept = append(kept, st)
 		}
 	}
@@ -453,10 +454,10 @@
 	return most
 }
 
-// Peer brings a message of another gateway. A malformed one is ignored whole.
-func (g *Gateway) Peer(now time.Duration, from int, message []byte, out Actions) {
+// GossipReceived brings a message of another gateway. A malformed one is ignored whole.
+func (g *Engine) GossipReceived(now time.Duration, from int, message []byte, out Actions) {
 	g.now, g.out = now, out
-	if from < 0 || from >= len(g.peers) || from == g.set.Me || len(message) == 0 {
+	if from < 0 || from >= len(g.peers) || from == g.set.InstanceIndex || len(message) == 0 {
 		return
 	}
 	g.inbox++
@@ -490,8 +491,8 @@
 // the set, by the customer's hash, holds the only store, and the others ask it. It covers wide sets in large
 // fleets; it costs two hops of waiting, and a holder that restarts begins with a full store.
 
-func (g *Gateway) ask(r *request) {
-	g.out.Tell(r.holder, g.encodeAsk(r, kindAsk))
+func (g *Engine) ask(r *request) {
+	g.out.SendGossip(r.holder, g.encodeAsk(r, kindAsk))
 	if g.peers[r.holder].unanswered >= silentAsks || g.deaf >= deafAsks {
 		g.unanswered(r)
 		return
@@ -502,19 +503,19 @@
 
 // unanswered goes by the share of asks that its holder granted of late, as far as heard. It covers lost
 // messages, holders that are down, stalled or flooded; it harms while that share changes unheard.
-func (g *Gateway) unanswered(r *request) {
+func (g *Engine) unanswered(r *request) {
 	r.drawn = true
 	g.peers[r.holder].unanswered++
 	g.deaf++
 	in := g.rng.Float64() < r.store.pass
 	g.admit(r, in, askWait)
 	if in && len(r.attempts) > 0 {
-		g.out.Tell(r.holder, g.encodeAsk(r, kindSpent))
+		g.out.SendGossip(r.holder, g.encodeAsk(r, kindSpent))
 	}
 }
 
 // heed takes an ask of a member, the answer of a holder, or what a member gives back.
-func (g *Gateway) heed(from int, message []byte) {
+func (g *Engine) heed(from int, message []byte) {
 	m, ok := g.decodeAsk(message)
 	if !ok {
 		return
@@ -525,7 +526,7 @@
 	}
 	switch m.kind {
 	case kindAsk, kindSpent:
-		if !g.inSet(from, m.first, m.spread) || !g.inSet(g.set.Me, m.first, m.spread) {
+		if !g.inSet(from, m.first, m.spread) || !g.inSet(g.set.InstanceIndex, m.first, m.spread) {
 			return
 		}
 		st := g.storeFor(m.key, m.plan, m.spread, m.first)
@@ -540,22 +541,22 @@
 			return
 		}
 		in, wait := g.quota(st, m.units, m.late)
-		if in = in && (g.set.Plans[m.plan].CeilingRate <= 0 || st.ceiling >= m.units); in {
+		if in = in && (g.set.Plans[m.plan].HardLimitRate <= 0 || st.ceiling >= m.units); in {
 			wait, st.ceiling = 0, st.ceiling-m.units
 			g.take(st, m.units)
-			if g.set.Plans[m.plan].Open > 0 {
+			if g.set.Plans[m.plan].MaxInFlight > 0 {
 				st.leases = append(st.leases, lease{from, m.num, g.now + g.longestAim()})
 			}
-		} else if g.inboxRate > askFlood*g.set.InboxPerS {
+		} else if g.inboxRate > askFlood*g.set.GossipInboxRate {
 			// More members ask in vain than the inbox takes: each pauses until it is their turn again. In
 			// large fleets a third of an inbox is what all customers' asks come to on a calm day.
-			wait = max(wait, fill(float64(st.spread/st.split), askShare*g.set.InboxPerS))
+			wait = max(wait, fill(float64(st.spread/st.split), askShare*g.set.GossipInboxRate))
 		}
 		st.pass += passShare * (b2f(in) - st.pass) * (1 - b2f(m.late))
 		if in {
 			st.note(from, m.num, g.now)
 		}
-		g.out.Tell(from, g.encodeAnswer(m.num, in, wait, st.pass))
+		g.out.SendGossip(from, g.encodeAnswer(m.num, in, wait, st.pass))
 	case kindAnswer:
 		g.peers[from].unanswered, g.deaf = 0, 0
 		r := g.byNum[m.num]
@@ -578,21 +579,21 @@
 }
 
 // giveBack returns units that were not sent, and a place under an open cap.
-func (g *Gateway) giveBack(r *request, units float64) {
-	open := g.set.Plans[r.store.plan].Open > 0
+func (g *Engine) giveBack(r *request, units float64) {
+	open := g.set.Plans[r.store.plan].MaxInFlight > 0
 	units *= 1 - b2f(r.drawn) // whether its ask was granted is not known: only the place is surely free
 	if !r.inQuota && !r.drawn || units == 0 && !open {
 		return
 	}
-	if !r.store.wide || r.holder == g.set.Me {
+	if !r.store.wide || r.holder == g.set.InstanceIndex {
 		g.fillUp(r.store)
 		g.take(r.store, -units)
 		return
 	}
 	msg := encodeBack(r.store.key, r.num, units)
-	g.out.Tell(r.holder, msg)
+	g.out.SendGossip(r.holder, msg)
 	if open && units == 0 {
-		g.out.Tell(r.holder, msg) // a lost one would block a place for long
+		g.out.SendGossip(r.holder, msg) // a lost one would block a place for long
 	}
 }
 
@@ -637,15 +638,15 @@
 // lost servers and retry storms alike; it harms where latency is long by nature, not by waiting.
 // Where requests are kept to zones, each zone has a bound of its own: work that piles up at one must not keep
 // others idle.
-func (g *Gateway) jammed(class int, zone string, price float64) bool {
+func (g *Engine) jammed(class int, zone string, price float64) bool {
 	c, value := &g.set.Classes[class], g.value(class)
 	if len(g.cold) > 0 {
-		return g.zonesJammed(zone, jamShare*(1+value*g.priced(price))/2*c.Aim.Seconds())
+		return g.zonesJammed(zone, jamShare*(1+value*g.priced(price))/2*c.LatencyObjective.Seconds())
 	}
-	answered := jamShare * (1 + value) / 2 * c.Aim.Seconds() // in which what is out must be answered
+	answered := jamShare * (1 + value) / 2 * c.LatencyObjective.Seconds() // for all that is out
 	bound := g.okRate * answered
 	out, servers := g.inReach()
-	floor := jamFloor * servers / float64(g.set.Instances)
+	floor := jamFloor * servers / float64(g.set.InstanceCount)
 	if bound < samplesLeast && g.inboxRate > 1 && out < jamSure*math.Max(bound, floor) {
 		// Few attempts are out by chance or not: the mean over the gateways it hears from must say so too.
 		// That comes seconds late: what can't be chance doesn't wait for it, or a burst would come in whole.
@@ -656,32 +657,33 @@
 }
 
 // value is what a class is worth for its work, as a share of the best class's.
-func (g *Gateway) value(class int) float64 {
+func (g *Engine) value(class int) float64 {
 	best := 0.0
 	for c := range g.set.Classes {
-		best = math.Max(best, g.set.Classes[c].Worth/g.work(c))
+		best = math.Max(best, g.set.Classes[c].PriorityWeight/g.work(c))
 	}
 	if best <= 0 {
 		return 1
 	}
-	return g.set.Classes[class].Worth / g.work(class) / best
+	return g.set.Classes[class].PriorityWeight / g.work(class) / best
 }
 
 // zonesJammed holds each zone to its own bound: what is out there must be answered within a time.
-func (g *Gateway) zonesJammed(zone string, answered float64) bool {
+func (g *Engine) zonesJammed(zone string, answered float64) bool {
 	jammed := true
 	for name, z := range g.cold {
-		z.jammed = z.servers == 0 || g.outAt(name) >= math.Max(z.okRate*answered, jamFloor*z.servers*z.Part)
+		bound := math.Max(z.okRate*answered, jamFloor*z.servers*z.InFlightFraction)
+		z.jammed = z.servers == 0 || g.outAt(name) >= bound
 		jammed = jammed && (z.jammed || zone != "" && zone != name)
 	}
 	return jammed
 }
 
 // priced is a plan's price as a share of the dearest.
-func (g *Gateway) priced(price float64) float64 {
+func (g *Engine) priced(price float64) float64 {
 	dearest := price
 	for p := range g.set.Plans {
-		dearest = math.Max(dearest, g.set.Plans[p].Price)
+		dearest = math.Max(dearest, g.set.Plans[p].PriorityFactor)
 	}
 	if dearest <= 0 {
 		return 1
@@ -690,7 +692,7 @@
 }
 
 // observe learns from one answered attempt.
-func (g *Gateway) observe(class int, s *server, took time.Duration) {
+func (g *Engine) observe(class int, s *server, took time.Duration) {
 	c := &g.lat[class]
 	x := took.Seconds()
 	if c.mean == 0 {
@@ -715,7 +717,7 @@
 		}
 		k.sum, k.n = 0, 0
 	}
-	if g.set.Report == ReportNone || g.unreported(s) {
+	if g.set.LoadReports == LoadReportsNone || g.unreported(s) {
 		if k.lowest > 0 {
 			// Each latency weighs by its length, which makes the mean over a probe 1 - lowest/mean.
 			g.aro.occ[g.aro.slot()] += x/k.lowest - 1
@@ -730,7 +732,7 @@
 
 // pick returns the server that the request goes to, or nil: one of this gateway's part of the servers or, if
 // none of these will do, one of all.
-func (g *Gateway) pick(r *request) *server {
+func (g *Engine) pick(r *request) *server {
 	s := g.best(r, g.near)
 	if !g.whole() && (s == nil || s.aside(g.now)) {
 		if other := g.best(r, g.servers); other != nil {
@@ -741,12 +743,12 @@
 }
 
 // best returns the one of some servers with the least expected delay that the request may go to, or nil.
-func (g *Gateway) best(r *request, from []*server) *server {
+func (g *Engine) best(r *request, from []*server) *server {
 	var best *server
 	var short *coldZone // of a server left out because it is cold
 	bestCost := math.Inf(1)
 	// Gateways that all took the best of all servers would crowd it. Each looks at a random part.
-	looks := max(len(g.servers)/g.set.Instances+1, 2)
+	looks := max(len(g.servers)/g.set.InstanceCount+1, 2)
 	for i := range from {
 		if best != nil && looks == 0 && !best.aside(g.now) {
 			break
@@ -790,7 +792,7 @@
 	return best
 }
 
-func (g *Gateway) cost(s *server) float64 {
+func (g *Engine) cost(s *server) float64 {
 	lat := s.lat
 	if s.out > 0 {
 		// Silence with work out counts as latency: it covers pauses, silent death and cut links alike.
@@ -804,7 +806,7 @@
 	} else if !s.stands(g.now) {
 		cost *= openWeight
 	}
-	if s.Zone != g.set.Zone && g.set.PriceCross > 0 {
+	if s.Zone != g.set.Zone && g.set.CrossZonePrice > 0 {
 		cost *= crossWeight
 	}
 	return cost
@@ -813,10 +815,10 @@
 // coldRoom keeps rule 4: this gateway sends a cold server part of the fall-over multiple of what a warm
 // one is seen to carry, which all together can't exceed the whole. The credit starts by chance: hundreds
 // of gateways with less than one request a window to send must not all send it at once.
-func (g *Gateway) coldRoom(s *server, class int) bool {
+func (g *Engine) coldRoom(s *server, class int) bool {
 	w := g.warmth(s)
 	c := g.cold[s.Zone]
-	if w >= 1 || c != nil && c.Far {
+	if w >= 1 || c != nil && c.IsRemote {
 		s.credit = -1
 		return true
 	}
@@ -827,17 +829,17 @@
 	// A server does at least a second's work a second, which counts where no warm one is seen.
 	carries := math.Max(g.warmRate, 1/g.holders) * s.lean / g.width.Factor()
 	if c != nil {
-		carries = c.Ramp
+		carries = c.WarmServerRate
 	}
-	rate := coldShare * g.set.FallMultiple * w * g.weight(s) * carries
-	most := math.Max(g.savedMost(class), rate*g.set.OverloadFor.Seconds()/2)
+	rate := coldShare * g.set.ColdOverloadMultiple * w * g.weight(s) * carries
+	most := math.Max(g.savedMost(class), rate*g.set.ColdOverloadWindow.Seconds()/2)
 	if s.credit < 0 {
 		s.credit = most * g.rng.Float64()
 	} else {
 		s.credit = math.Min(s.credit+rate*(g.now-s.credited).Seconds(), most)
 	}
 	s.credited = g.now
-	if c != nil && c.Ramp > 0 {
+	if c != nil && c.WarmServerRate > 0 {
 		// What is worth less for its work leaves the others room: it is mostly smaller, and would take all.
 		work += (1 - g.value(class)) * most / 2
 	}
@@ -845,15 +847,15 @@
 }
 
 // work is the work of one request of a class, in seconds of the lowest latency seen.
-func (g *Gateway) work(class int) float64 {
+func (g *Engine) work(class int) float64 {
 	if w := g.learnedWork(class); w > 0 {
 		return w
 	}
-	return g.set.Classes[class].Aim.Seconds() / 4
+	return g.set.Classes[class].LatencyObjective.Seconds() / 4
 }
 
 // share is the server's size: as listed or, where all are listed alike, by the speed of its kind.
-func (g *Gateway) share(s *server) float64 {
+func (g *Engine) share(s *server) float64 {
 	if k := g.kinds[s.Kind]; !g.sized && g.kindLat[k].n > 0 {
 		return g.weight(s) * s.lean * math.Min(1/g.kindLat[k].mean, 1)
 	}
@@ -863,24 +865,25 @@
 // Attempts.
 
 // neverRan tells which results prove that the attempt did not run.
-func neverRan(r Result) bool { return r == Full || r == ConnectFailed || r == Moot }
+func neverRan(r Result) bool { return r == RejectedByServer || r == ConnectFailed || r == NotSent }
 
 // maySend is rule 2 for a further attempt of the request at the server.
-func (g *Gateway) maySend(r *request, s *server) bool {
-	if r.closed || r.stream || r.out > 0 && !g.set.Parallel ||
+func (g *Engine) maySend(r *request, s *server) bool {
+	if r.closed || r.stream || r.out > 0 && !g.set.AllowsHedging ||
 		g.set.MaxAttempts > 0 && len(r.attempts) >= g.set.MaxAttempts {
 		return false
 	}
 	c := &g.set.Classes[r.class]
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if a.noRun || c.Effect == Safe {
+		if a.noRun || c.Idempotency == Idempotent {
 			continue
 		}
-		if c.Effect == Unsafe || g.now-a.sent > c.Window-2*g.set.Tick-g.set.ConnectWithin {
+		repeats := c.DedupWindow - 2*g.set.MinEventInterval - g.set.ConnectTimeout
+		if c.Idempotency == NonIdempotent || g.now-a.sent > repeats {
 			return false
 		}
-		if c.Group == GroupZone && a.zone != s.Zone || c.Group == GroupCell && a.cell != s.Cell {
+		if c.DedupScope == DedupZone && a.zone != s.Zone || c.DedupScope == DedupCell && a.cell != s.Cell {
 			return false
 		}
 	}
@@ -888,9 +891,9 @@
 }
 
 // mayRefuse is rule 2 for a refusal, which promises that trying again is harmless.
-func (g *Gateway) mayRefuse(r *request) bool {
+func (g *Engine) mayRefuse(r *request) bool {
 	c := &g.set.Classes[r.class]
-	if c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
+	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers {
 		return true
 	}
 	for i := range r.attempts {
@@ -901,16 +904,17 @@
 	return true
 }
 
-func (g *Gateway) send(r *request, s *server) {
+func (g *Engine) send(r *request, s *server) {
 	c := &g.set.Classes[r.class]
 	l := &g.lat[r.class]
-	timeout := max(r.ends-g.now, g.set.Tick)
+	timeout := max(r.ends-g.now, g.set.MinEventInterval)
 	more := g.set.MaxAttempts == 0 || len(r.attempts)+1 < g.set.MaxAttempts
-	if c.Effect != Unsafe && more && r.Body == 0 && l.n >= batchLeast && g.aro.rho < pressed {
-		slow := max(time.Duration((l.mean+slowDevs*l.dev)*float64(time.Second)), c.Aim/4)
-		if g.set.Parallel {
+	repeatable := c.Idempotency != NonIdempotent && more && r.BodyTimeout == 0
+	if repeatable && l.n >= batchLeast && g.aro.rho < pressed {
+		slow := max(time.Duration((l.mean+slowDevs*l.dev)*float64(time.Second)), c.LatencyObjective/4)
+		if g.set.AllowsHedging {
 			g.out.SetTimer(r.num<<timerBits|timerHedge, slow)
-		} else if slow < timeout/2 && slow < c.Aim {
+		} else if slow < timeout/2 && slow < c.LatencyObjective {
 			timeout = slow
 		}
 	}
@@ -921,7 +925,7 @@
 		s.conns = s.out + 1
 	}
 	// A body that is still coming is no work out yet, nor is an answer that has begun.
-	if r.Body == 0 {
+	if r.BodyTimeout == 0 {
 		s.out++
 		g.held++
 	}
@@ -934,13 +938,13 @@
 			c.sent += g.work(r.class)
 		}
 	}
-	a := attempt{server: s, sent: g.now, zone: s.Zone, cell: s.Cell, begun: r.Body > 0}
+	a := attempt{server: s, sent: g.now, zone: s.Zone, cell: s.Cell, begun: r.BodyTimeout > 0}
 	r.attempts = append(r.attempts, a)
-	g.out.Send(r.ID, s.ID, timeout)
+	g.out.SendAttempt(r.ID, s.ID, timeout)
 }
 
 // retry sends a further attempt if one is legal, affordable and of use.
-func (g *Gateway) retry(r *request) bool {
+func (g *Engine) retry(r *request) bool {
 	if g.retries < 1 || g.now+time.Duration(g.lat[r.class].mean*float64(time.Second)) > r.ends {
 		return false
 	}
@@ -953,21 +957,21 @@
 }
 
 // finish gives the final answer: a refusal where that promise holds.
-func (g *Gateway) finish(r *request) {
+func (g *Engine) finish(r *request) {
 	if r.closed {
 		return
 	}
 	if g.mayRefuse(r) {
 		g.refuse(r.ID, probesKept*probeEvery, whySpent)
 	} else {
-		g.out.Fail(r.ID)
+		g.out.FailRequest(r.ID)
 	}
 	g.close(r)
 	g.cancelAll(r)
 }
 
-// Outcome is the end of an attempt.
-func (g *Gateway) Outcome(now time.Duration, o Outcome, out Actions) {
+// AttemptCompleted is the end of an attempt.
+func (g *Engine) AttemptCompleted(now time.Duration, o AttemptResult, out Actions) {
 	g.now, g.out = now, out
 	r := g.reqs[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
@@ -981,7 +985,7 @@
 		g.held--
 	}
 	switch o.Result {
-	case OK, Full, ErrorAnswer:
+	case OK, RejectedByServer, ErrorResponse:
 		s.used = g.now
 	case TimedOut, ConnectFailed:
 		s.conns = 0 // the host closes the idle ones as well
@@ -992,12 +996,12 @@
 	r.store.out--
 	g.mark(r.store)
 	g.learn(r, s, o)
-	if o.Result == OK && g.set.PostPaid && o.Units > 0 && r.inQuota && !r.settled {
+	if o.Result == OK && g.set.SettlesUnits && o.Units > 0 && r.inQuota && !r.settled {
 		r.settled = true
 		g.fillUp(r.store)
 		g.giveBack(r, r.Units-o.Units)
 	}
-	if o.Closed || o.Result == OK {
+	if o.RequestAnswered || o.Result == OK {
 		g.close(r)
 	}
 	if r.closed {
@@ -1007,25 +1011,25 @@
 	if r.out > 0 {
 		return
 	}
-	if o.Result == Moot || !g.retry(r) {
+	if o.Result == NotSent || !g.retry(r) {
 		g.finish(r)
 	}
 }
 
 // learn keeps a server's health.
-func (g *Gateway) learn(r *request, s *server, o Outcome) {
-	if g.set.Report == ReportAnswers { // elsewhere an answer has none to give
-		g.report(s, o.Load)
+func (g *Engine) learn(r *request, s *server, o AttemptResult) {
+	if g.set.LoadReports == LoadReportsInResponses { // elsewhere an answer has none to give
+		g.report(s, o.LoadReport)
 	}
 	bad := 1.0
 	switch o.Result {
-	case OK, Full, ErrorAnswer:
+	case OK, RejectedByServer, ErrorResponse:
 		g.alive(s)
-		if o.Since > 0 {
-			s.upSince(o.Since)
+		if o.ConnectedAt > 0 {
+			s.upSince(o.ConnectedAt)
 		}
 	case TimedOut, ConnectFailed:
-		g.silent(s, g.now-o.Took)
+		g.silent(s, g.now-o.Latency)
 	}
 	switch o.Result {
 	case OK:
@@ -1035,7 +1039,7 @@
 		if c := g.cold[s.Zone]; c != nil {
 			c.oks++
 		}
-		g.observe(r.class, s, o.Took)
+		g.observe(r.class, s, o.Latency)
 		// Rule 4: only of servers that count in the mean, and only work that is known: answers of
 		// draining servers or a guess that proves too high would inflate what cold ones may be sent.
 		if g.warmth(s) >= 1 && s.takes() && s.near {
@@ -1044,11 +1048,11 @@
 				c.okWarm += g.learnedWork(r.class)
 			}
 		}
-	case Moot, Cancelled:
+	case NotSent, Cancelled:
 		return
-	case Full:
+	case RejectedByServer:
 		s.seen = g.now
-		if z := g.cold[s.Zone]; z != nil && z.Far {
+		if z := g.cold[s.Zone]; z != nil && z.IsRemote {
 			return // the other site's gateway refuses one request; it has room for others
 		}
 		g.aro.sample(1)
@@ -1056,9 +1060,9 @@
 		return
 	case TimedOut:
 		g.aro.sample(1)
-		s.lat += latencyShare * (o.Took.Seconds()/math.Max(g.lat[r.class].mean, 1e-3) - s.lat)
+		s.lat += latencyShare * (o.Latency.Seconds()/math.Max(g.lat[r.class].mean, 1e-3) - s.lat)
 		bad = 0.5
-	case ErrorAnswer:
+	case ErrorResponse:
 		s.seen = g.now
 	}
 	if o.Result == ConnectFailed {
@@ -1068,9 +1072,9 @@
 		// Single connections fail at servers that live too: an answer on one made before takes it back, or
 		// that to a probe sent at once, before any process could have started.
 		s.doubt(g.now)
-		if g.set.Probes && g.set.Report != ReportNone && s.check == 0 && s.takes() {
+		if g.mayProbe() && s.check == 0 && s.takes() {
 			s.check, s.probed = g.now, g.now
-			g.out.Probe(s.ID)
+			g.out.CheckHealth(s.ID)
 		}
 	}
 	s.errs += errorShare * (bad - s.errs)
@@ -1087,8 +1091,8 @@
 // it is heard again: probes find that out, where an ejection's end would risk a request, or several at once,
 // each time. It covers lost halls, single machines and cut links; it harms where servers answer nothing at
 // all for as long as a probe waits and then go on: for a round of probes the others carry their load.
-func (g *Gateway) silent(s *server, sent time.Duration) {
-	if !g.set.Probes || g.set.Report == ReportNone || s.heard >= sent {
+func (g *Engine) silent(s *server, sent time.Duration) {
+	if !g.mayProbe() || s.heard >= sent {
 		return
 	}
 	if g.failedZone(s, sent); s.lost {
@@ -1100,7 +1104,7 @@
 }
 
 // alive takes in an answer of any kind.
-func (g *Gateway) alive(s *server) {
+func (g *Engine) alive(s *server) {
 	if s.lost {
 		s.lost, s.ejected, s.strikes = false, 0, 0
 		g.noteServer(s, true)
@@ -1114,7 +1118,7 @@
 // it again. One voice counts for nothing, and two never put a server out: it gets no request while others of
 // the part will do, and a probe at once, whose end is this gateway's own evidence. Where half of the part is
 // in doubt, nothing more is believed: a spoilt gateway, or a cut between peers and servers, can't empty it.
-func (g *Gateway) heedNote(from int, n note) {
+func (g *Engine) heedNote(from int, n note) {
 	for _, s := range g.near {
 		if s.tag != n.tag || g.whole() {
 			continue
@@ -1129,15 +1133,15 @@
 		if !n.up {
 			s.suspect = g.now + noteLasts
 		}
-		if g.now-s.probed >= noteFresh && g.set.Probes {
+		if g.now-s.probed >= noteFresh && g.set.AllowsHealthChecks {
 			s.probed = g.now
-			g.out.Probe(s.ID)
+			g.out.CheckHealth(s.ID)
 		}
 	}
 }
 
-// Gone tells that a request is over without an answer of the gateway.
-func (g *Gateway) Gone(now time.Duration, id string, out Actions) {
+// ClientDisconnected tells that a request is over without an answer of the gateway.
+func (g *Engine) ClientDisconnected(now time.Duration, id string, out Actions) {
 	g.now, g.out = now, out
 	r := g.reqs[id]
 	if r == nil || r.closed {
@@ -1149,8 +1153,8 @@
 	}
 }
 
-// Probed brings the result of a probe.
-func (g *Gateway) Probed(now time.Duration, id string, res Result, l *Load, out Actions) {
+// HealthCheckCompleted brings the result of a probe.
+func (g *Engine) HealthCheckCompleted(now time.Duration, id string, res Result, l *LoadReport, out Actions) {
 	g.now, g.out = now, out
 	s := g.byID[id]
 	if s == nil {
@@ -1160,7 +1164,7 @@
 	case OK:
 		g.report(s, l)
 		fallthrough
-	case Full, ErrorAnswer:
+	case RejectedByServer, ErrorResponse:
 		g.alive(s)
 		s.conns, s.used = max(s.conns, s.out+1), g.now
 		if s.check > 0 {
@@ -1175,8 +1179,8 @@
 	s.check = 0
 }
 
-// Timer is the firing of a timer.
-func (g *Gateway) Timer(now time.Duration, token uint64, out Actions) {
+// TimerFired is the firing of a timer.
+func (g *Engine) TimerFired(now time.Duration, token uint64, out Actions) {
 	g.now, g.out = now, out
 	r := g.byNum[token>>timerBits]
 	switch token & (1<<timerBits - 1) {
@@ -1187,7 +1191,7 @@
 		// Each message takes its gap, so that long tells stay within the inbox limit too.
 		g.out.SetTimer(timerTell, g.tellGap*time.Duration(max(g.tell(), 1)))
 	case timerList:
-		g.out.Watch(true)
+		g.out.WatchEndpoints(true)
 	case timerEnd:
 		g.expire(r)
 	case timerAsk:
@@ -1197,7 +1201,7 @@
 	case timerHedge:
 		if r != nil && !r.closed && !r.stream && r.out == 1 && g.aro.rho < pressed {
 			// A second copy counts as out: it must not push the customer's next try beyond its cap.
-			if g.set.Plans[r.store.plan].Open == 0 || g.openRoom(r.store) > r.store.spread {
+			if g.set.Plans[r.store.plan].MaxInFlight == 0 || g.openRoom(r.store) > r.store.spread {
 				g.retry(r)
 			}
 		}
@@ -1205,7 +1209,7 @@
 }
 
 // tick is the work of each probe.
-func (g *Gateway) tick() {
+func (g *Engine) tick() {
 	f := g.aro.f
 	young, overdue, waits := g.ages(jamAge)
 	g.overdue = overdue
@@ -1240,7 +1244,7 @@
 	g.carried()
 	// Probes are priced and cost work: a gateway that sends seldom probes seldom.
 	g.probeDue = math.Min(g.probeDue+g.aro.pool[poolSent]*g.probeShare(), 1)
-	if g.set.Probes && g.set.Report != ReportNone && len(g.servers) > 0 && g.probeDue >= 1 {
+	if g.mayProbe() && len(g.servers) > 0 && g.probeDue >= 1 {
 		g.probeDue = 0
 		var next *server // the one whose last probe is longest ago; pick shuffles the servers
 		for _, s := range g.near {
@@ -1250,7 +1254,7 @@
 		}
 		if next != nil {
 			next.probed = g.now
-			g.out.Probe(next.ID)
+			g.out.CheckHealth(next.ID)
 		}
 	}
 }
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -22,17 +22,17 @@
 	after time.Duration
 }
 
-func (r *recorder) Send(id, server string, d time.Duration) { r.add("send %s %s", id, server) }
-func (r *recorder) Refuse(id string, d time.Duration)       { r.add("refuse %s", id) }
-func (r *recorder) Fail(id string)                          { r.add("fail %s", id) }
-func (r *recorder) Cancel(id string, n int)                 { r.add("cancel %s %d", id, n) }
+func (r *recorder) SendAttempt(id, server string, d time.Duration) { r.add("send %s %s", id, server) }
+func (r *recorder) RejectRequest(id string, d time.Duration)       { r.add("refuse %s", id) }
+func (r *recorder) FailRequest(id string)                          { r.add("fail %s", id) }
+func (r *recorder) CancelAttempt(id string, n int)                 { r.add("cancel %s %d", id, n) }
 func (r *recorder) SetTimer(token uint64, d time.Duration) {
 	r.timers = append(r.timers, timerSet{token, d})
 }
-func (r *recorder) Probe(server string) { r.add("probe %s", server) }
-func (r *recorder) Watch(on bool)       { r.add("watch %v", on) }
-func (r *recorder) Log(string)          {}
-func (r *recorder) Tell(p int, m []byte) {
+func (r *recorder) CheckHealth(server string) { r.add("probe %s", server) }
+func (r *recorder) WatchEndpoints(on bool)    { r.add("watch %v", on) }
+func (r *recorder) Log(string)                {}
+func (r *recorder) SendGossip(p int, m []byte) {
 	if r.tells == nil {
 		r.tells = map[int][][]byte{}
 	}
@@ -57,7 +57,7 @@
 
 const t0 = 1000 * time.Second
 
-func newGate(t *testing.T, s Settings, servers ...Server) (*Gateway, *recorder) {
+func newGate(t *testing.T, s Settings, servers ...Server) (*Engine, *recorder) {
 	t.Helper()
 	g, err := New(s, 1)
 	if err != nil {
@@ -65,13 +65,13 @@
 	}
 	r := &recorder{}
 	g.Start(t0, r)
-	g.List(t0, ListSaved, servers, r)
+	g.EndpointsChanged(t0, EndpointsSaved, servers, r)
 	return g, r
 }
 
 func newRequest(n int, class, plan string, customer uint64) Request {
 	return Request{ID: fmt.Sprintf("r%d", n), Class: class, Plan: plan, Customer: customer,
-		Grace: 2 * time.Second, Units: 1, Spread: 1}
+		Timeout: 2 * time.Second, Units: 1, InstanceCount: 1}
 }
 
 func fleet(n int) (list []Server) {
@@ -83,8 +83,8 @@
 
 // What may follow each outcome, by the effect of the class: rule 2.
 func TestAfterEachOutcome(t *testing.T) {
-	mayRun := map[Result]bool{OK: true, ErrorAnswer: true, TimedOut: true, Reset: true, Cancelled: true}
-	for res := OK; res <= Moot; res++ {
+	mayRun := map[Result]bool{OK: true, ErrorResponse: true, TimedOut: true, ConnectionReset: true, Cancelled: true}
+	for res := OK; res <= NotSent; res++ {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			for _, inGroup := range []bool{true, false} {
 				first := Server{ID: "s0", Kind: "k", Zone: "a"}
@@ -94,11 +94,11 @@
 				}
 				g, r := newGate(t, testSettings(), first)
 				g.retries = 5
-				g.Request(t0, newRequest(1, class, "rate", 1), r)
-				g.List(t0, ListFull, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r)
+				g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
+				g.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r)
 				r.acts = nil
-				g.Outcome(t0+ms, Outcome{ID: "r1", Result: res, Server: "s0", Closed: res == OK}, r)
-				again := res != OK && res != Moot && (!mayRun[res] || class == "safe" || class == "keyed" && inGroup)
+				g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0", RequestAnswered: res == OK}, r)
+				again := res != OK && res != NotSent && (!mayRun[res] || class == "safe" || class == "keyed" && inGroup)
 				want := "send r1 s1"
 				switch {
 				case res == OK:
@@ -119,8 +119,8 @@
 func TestKeyedNotSentAfterItsWindow(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(3)...)
 	g.retries = 5
-	g.Request(t0, newRequest(1, "keyed", "rate", 1), r)
-	g.Outcome(t0+300*ms, Outcome{ID: "r1", Result: Reset}, r)
+	g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
+	g.AttemptCompleted(t0+300*ms, AttemptResult{ID: "r1", Result: ConnectionReset}, r)
 	if r.last() != "fail r1" {
 		t.Errorf("got %q", r.last())
 	}
@@ -130,17 +130,17 @@
 func TestKeyedArrivesInItsWindow(t *testing.T) {
 	for connect, want := range map[time.Duration]int{0: 2, 150 * ms: 1} {
 		set := testSettings()
-		set.ConnectWithin = connect
+		set.ConnectTimeout = connect
 		for i := range set.Classes {
 			if set.Classes[i].Name == "keyed" {
-				set.Classes[i].Window, set.Classes[i].Group = 300*ms, GroupAll
+				set.Classes[i].DedupWindow, set.Classes[i].DedupScope = 300*ms, DedupAllServers
 			}
 		}
 		g, r := newGate(t, set, fleet(2)...)
 		g.retries = 5
-		g.Request(t0, newRequest(1, "keyed", "rate", 1), r)
+		g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
 		first := r.last()
-		g.Outcome(t0+200*ms, Outcome{ID: "r1", Result: Reset, Server: first[len(first)-2:]}, r)
+		g.AttemptCompleted(t0+200*ms, AttemptResult{ID: "r1", Result: ConnectionReset, Server: first[len(first)-2:]}, r)
 		if got := r.count("send"); got != want {
 			t.Errorf("connections within %v: sent %d times, want %d: %v", connect, got, want, r.acts)
 		}
@@ -155,7 +155,7 @@
 		{"unknown class", newRequest(1, "none", "rate", 1)},
 		{"unknown plan", newRequest(1, "safe", "none", 1)},
 		{"no grace", Request{ID: "r1", Class: "safe", Plan: "rate"}},
-		{"more than the burst", Request{ID: "r1", Class: "safe", Plan: "rate", Units: 41, Grace: time.Second}},
+		{"more than the burst", Request{ID: "r1", Class: "safe", Plan: "rate", Units: 41, Timeout: time.Second}},
 		{"no servers", newRequest(1, "safe", "rate", 1)},
 	}
 	for _, tt := range tests {
@@ -164,7 +164,7 @@
 			list = nil
 		}
 		g, r := newGate(t, testSettings(), list...)
-		g.Request(t0, tt.q, r)
+		g.RequestReceived(t0, tt.q, r)
 		if len(r.acts) != 1 || r.acts[0] != "refuse r1" {
 			t.Errorf("%s: %q", tt.name, r.acts)
 		}
@@ -172,28 +172,28 @@
 }
 
 // flood offers n requests of one customer at once and returns how many were sent.
-func flood(g *Gateway, r *recorder, now time.Duration, n int, q Request) int {
+func flood(g *Engine, r *recorder, now time.Duration, n int, q Request) int {
 	before := r.count("send")
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Customer, now, i)
 		q.Units = max(q.Units, 1)
 		g.held = 0 // the quota alone is looked at
-		g.Request(now, q, r)
+		g.RequestReceived(now, q, r)
 	}
 	return r.count("send") - before
 }
 
 func TestStoreSpendsItsShareBetweenTells(t *testing.T) {
 	s := testSettings()
-	s.Instances = 2
+	s.InstanceCount = 2
 	g, r := newGate(t, s, fleet(4)...)
 	q := newRequest(0, "safe", "rate", 1)
-	q.Spread = 2
+	q.InstanceCount = 2
 	// A new store holds 40/2; half of it may be spent before the next tell.
 	if n := flood(g, r, t0, 50, q); n != 10 {
 		t.Errorf("%d sent before the first tell, want 10", n)
 	}
-	g.Timer(t0, timerTell, r)
+	g.TimerFired(t0, timerTell, r)
 	if n := flood(g, r, t0, 50, q); n != 5 {
 		t.Errorf("%d sent before the second tell, want 5", n)
 	}
@@ -202,10 +202,10 @@
 // A split store smaller than a request must not starve its customer.
 func TestSmallStoreGivesOneRequest(t *testing.T) {
 	s := testSettings()
-	s.Instances, s.Plans[1].Rate, s.Plans[1].Burst = 3, 0.5, 2
+	s.InstanceCount, s.Plans[1].Rate, s.Plans[1].Burst = 3, 0.5, 2
 	g, r := newGate(t, s, fleet(4)...)
 	q := newRequest(0, "safe", "rate", 1)
-	q.Spread = 3
+	q.InstanceCount = 3
 	now := t0 + 4*time.Second
 	if n := flood(g, r, now, 5, q); n != 1 {
 		t.Errorf("%d sent, want 1", n)
@@ -217,19 +217,19 @@
 	orders := map[string][]int{"in order": {0, 1, 2}, "middle lost": {0, 2}, "twice": {0, 0, 1, 1, 2, 2}, "late": {1, 0, 2}}
 	for name, order := range orders {
 		s := testSettings()
-		s.Instances = 2
+		s.InstanceCount = 2
 		a, ra := newGate(t, s, fleet(4)...)
-		s.Me = 1
+		s.InstanceIndex = 1
 		b, rb := newGate(t, s, fleet(4)...)
 		q := newRequest(0, "safe", "rate", 1)
-		q.Spread = 2
+		q.InstanceCount = 2
 		for i := 0; i < 3; i++ {
 			now := t0 + time.Duration(i)*ms
 			flood(a, ra, now, 3, q)
-			a.Timer(now, timerTell, ra)
+			a.TimerFired(now, timerTell, ra)
 		}
 		for _, i := range order {
-			b.Peer(t0, 0, ra.tells[1][i], rb)
+			b.GossipReceived(t0, 0, ra.tells[1][i], rb)
 		}
 		if got := 20 - b.stores[1].level; got != 9 {
 			t.Errorf("%s: %v units taken, want 9", name, got)
@@ -240,22 +240,22 @@
 // A long tell must not lose the entries that its first message has no room for.
 func TestEveryEntryIsTold(t *testing.T) {
 	s := testSettings()
-	s.Instances = 2
+	s.InstanceCount = 2
 	a, ra := newGate(t, s, fleet(40)...)
-	s.Me = 1
+	s.InstanceIndex = 1
 	b, rb := newGate(t, s, fleet(4)...)
 	for c := uint64(0); c < 100; c++ {
 		q := newRequest(0, "safe", "rate", c<<25)
-		q.Spread = 2
+		q.InstanceCount = 2
 		flood(a, ra, t0, 1, q)
 		a.held = 0
 	}
-	a.Timer(t0, timerTell, ra)
+	a.TimerFired(t0, timerTell, ra)
 	for _, m := range ra.tells[1] {
 		if len(m) > messageMost {
 			t.Errorf("message of %d bytes", len(m))
 		}
-		b.Peer(t0, 0, m, rb)
+		b.GossipReceived(t0, 0, m, rb)
 	}
 	if len(b.stores) != 100 {
 		t.Errorf("%d of 100 customers heard of", len(b.stores))
@@ -265,23 +265,23 @@
 // What gateways overspend together must be paid back, not forgotten at nought.
 func TestHeardUnitsGoBelowNought(t *testing.T) {
 	s := testSettings()
-	s.Instances = 2
+	s.InstanceCount = 2
 	a, ra := newGate(t, s, fleet(4)...)
-	s.Me = 1
+	s.InstanceIndex = 1
 	b, rb := newGate(t, s, fleet(4)...)
 	q := newRequest(0, "safe", "rate", 1)
-	q.Spread = 2
+	q.InstanceCount = 2
 	for i := 0; i < 6; i++ {
 		flood(a, ra, t0, 9, q)
-		a.Timer(t0, timerTell, ra)
+		a.TimerFired(t0, timerTell, ra)
 		q.Customer = 1
 		q.ID = ""
 		q.Units = 1
 		flood(b, rb, t0+time.Duration(i)*ms, 9, q)
-		b.Timer(t0+time.Duration(i)*ms, timerTell, rb)
+		b.TimerFired(t0+time.Duration(i)*ms, timerTell, rb)
 	}
 	for _, m := range ra.tells[1] {
-		b.Peer(t0+6*ms, 0, m, rb)
+		b.GossipReceived(t0+6*ms, 0, m, rb)
 	}
 	if b.stores[1].level >= 0 {
 		t.Errorf("level %v after both spent most of it", b.stores[1].level)
@@ -291,13 +291,13 @@
 // A customer refused of late must not get one request from each gateway as soon as one is free.
 func TestCrowdedCustomerWaitsForItsShare(t *testing.T) {
 	s := testSettings()
-	s.Instances = 3
+	s.InstanceCount = 3
 	g, r := newGate(t, s, fleet(4)...)
 	q := newRequest(0, "safe", "rate", 1)
-	q.Spread = 3
+	q.InstanceCount = 3
 	flood(g, r, t0, 30, q)
 	g.stores[1].level = 1.5
-	g.Timer(t0, timerTell, r)
+	g.TimerFired(t0, timerTell, r)
 	if n := flood(g, r, t0+ms, 5, q); n != 0 {
 		t.Errorf("%d sent with units for one gateway of three", n)
 	}
@@ -311,10 +311,10 @@
 	g, r := newGate(t, testSettings(), fleet(4)...)
 	for i := 0; i < 200; i++ {
 		now := t0 + time.Duration(i)*ms
-		g.Request(now, newRequest(i, "safe", "rate", uint64(i)), r)
+		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		answer(g, r, now, ms, OK)
 		if i%100 == 99 {
-			g.Timer(now, timerProbe, r)
+			g.TimerFired(now, timerProbe, r)
 		}
 	}
 	if g.okRate < 500 {
@@ -334,14 +334,14 @@
 			g.now = t0
 		}
 		g.out = r
-		g.learn(q, s, Outcome{Result: ConnectFailed})
+		g.learn(q, s, AttemptResult{Result: ConnectFailed})
 		span := s.ejected - g.now
 		if span <= last && span != ejectMost {
 			t.Errorf("ejection %d lasts %v after %v", i, span, last)
 		}
 		last = span
 	}
-	g.learn(q, s, Outcome{Result: OK, Took: ms})
+	g.learn(q, s, AttemptResult{Result: OK, Latency: ms})
 	if s.strikes != 0 {
 		t.Errorf("%d strikes after an answer", s.strikes)
 	}
@@ -349,20 +349,20 @@
 
 func TestBadTellsChangeNothing(t *testing.T) {
 	s := testSettings()
-	s.Instances = 2
+	s.InstanceCount = 2
 	a, ra := newGate(t, s, fleet(4)...)
 	q := newRequest(0, "safe", "rate", 1)
-	q.Spread = 2
+	q.InstanceCount = 2
 	flood(a, ra, t0, 3, q)
-	a.Timer(t0, timerTell, ra)
+	a.TimerFired(t0, timerTell, ra)
 	good := ra.tells[1][0]
-	s.Me = 1
+	s.InstanceIndex = 1
 	for n := 0; n < len(good); n++ {
 		b, rb := newGate(t, s, fleet(4)...)
-		b.Peer(t0, 0, good[:n], rb)
-		b.Peer(t0, 7, good, rb)
-		b.Peer(t0, 1, good, rb)
-		b.Peer(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), rb)
+		b.GossipReceived(t0, 0, good[:n], rb)
+		b.GossipReceived(t0, 7, good, rb)
+		b.GossipReceived(t0, 1, good, rb)
+		b.GossipReceived(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), rb)
 		if len(b.stores) != 0 || len(rb.acts) != 0 {
 			t.Fatalf("%d bytes of %d were believed", n, len(good))
 		}
@@ -374,7 +374,7 @@
 	f.Add([]byte{1, 1, 1, 5, 0, 2, 0})
 	f.Add([]byte{1, 1, 255, 255, 255, 255, 15, 5, 0, 2, 0})
 	s := testSettings()
-	s.Instances = 3
+	s.InstanceCount = 3
 	f.Fuzz(func(t *testing.T, b []byte) {
 		g, err := New(s, 1)
 		if err != nil {
@@ -382,7 +382,7 @@
 		}
 		r := &recorder{}
 		g.Start(t0, r)
-		g.Peer(t0, 1, b, r)
+		g.GossipReceived(t0, 1, b, r)
 		if len(g.stores) > len(b) {
 			t.Errorf("%d stores from %d bytes", len(g.stores), len(b))
 		}
@@ -392,18 +392,18 @@
 // The cap on attempts open at once counts what peers told.
 func TestOpenCapCountsPeers(t *testing.T) {
 	s := testSettings()
-	s.Instances = 2
+	s.InstanceCount = 2
 	a, ra := newGate(t, s, fleet(4)...)
 	q := newRequest(0, "safe", "open", 1)
-	q.Spread = 2
+	q.InstanceCount = 2
 	sentA := flood(a, ra, t0, 9, q)
-	a.Timer(t0, timerTell, ra)
-	s.Me = 1
+	a.TimerFired(t0, timerTell, ra)
+	s.InstanceIndex = 1
 	b, rb := newGate(t, s, fleet(4)...)
-	b.Peer(t0, 0, ra.tells[1][0], rb)
+	b.GossipReceived(t0, 0, ra.tells[1][0], rb)
 	for i := 0; i < 9; i++ {
 		flood(b, rb, t0, 9, q)
-		b.Timer(t0, timerTell, rb)
+		b.TimerFired(t0, timerTell, rb)
 	}
 	if got := sentA + rb.count("send"); sentA == 0 || got < 5 || got > 6 {
 		t.Errorf("%d out, %d of them on the peer; want 5 or 6", got, sentA)
@@ -427,13 +427,13 @@
 func TestNoSecondCopyNearTheCap(t *testing.T) {
 	for plan, want := range map[string]int{"rate": 1, "open": 0} {
 		s := testSettings()
-		s.Parallel = true
-		s.Plans[2].Open = 2
+		s.AllowsHedging = true
+		s.Plans[2].MaxInFlight = 2
 		g, r := newGate(t, s, fleet(4)...)
 		g.retries = 5
-		g.Request(t0, newRequest(1, "safe", plan, 1), r)
+		g.RequestReceived(t0, newRequest(1, "safe", plan, 1), r)
 		r.acts = nil
-		g.Timer(t0+ms, g.nextNum<<timerBits|timerHedge, r)
+		g.TimerFired(t0+ms, g.nextNum<<timerBits|timerHedge, r)
 		if n := r.count("send"); n != want {
 			t.Errorf("%s: %d second copies, want %d", plan, n, want)
 		}
@@ -442,7 +442,7 @@
 
 func TestDrainsAtOnce(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(2)...)
-	g.List(t0, ListChanges, []Server{{ID: "s0", State: Draining}}, r)
+	g.EndpointsChanged(t0, EndpointsDelta, []Server{{ID: "s0", State: Draining}}, r)
 	q := newRequest(0, "safe", "rate", 1)
 	flood(g, r, t0, 20, q)
 	if r.count("send") == 0 {
@@ -453,7 +453,7 @@
 			t.Fatalf("%q", a)
 		}
 	}
-	g.List(t0, ListFull, nil, r)
+	g.EndpointsChanged(t0, EndpointsComplete, nil, r)
 	r.acts = nil
 	if n := flood(g, r, t0, 5, q); n != 0 {
 		t.Errorf("%d sent to servers gone from the list", n)
@@ -461,11 +461,11 @@
 }
 
 // answer gives an OK to each request that is out.
-func answer(g *Gateway, r *recorder, now, took time.Duration, res Result) {
+func answer(g *Engine, r *recorder, now, took time.Duration, res Result) {
 	for _, a := range r.acts {
 		var id, server string
 		if n, _ := fmt.Sscanf(a, "send %s %s", &id, &server); n == 2 {
-			g.Outcome(now, Outcome{ID: id, Result: res, Server: server, Closed: res == OK, Took: took}, r)
+			g.AttemptCompleted(now, AttemptResult{ID: id, Result: res, Server: server, RequestAnswered: res == OK, Latency: took}, r)
 		}
 	}
 	r.acts = nil
@@ -476,26 +476,26 @@
 func TestColdServerIsSpared(t *testing.T) {
 	for _, n := range []int{1, 3, 300} {
 		s := testSettings()
-		s.Instances = n
+		s.InstanceCount = n
 		work, sent := 0.0, 0
 		for me := 0; me < n; me++ {
-			s.Me = me
+			s.InstanceIndex = me
 			g, err := New(s, uint64(me))
 			if err != nil {
 				t.Fatal(err)
 			}
 			r := &recorder{}
 			g.Start(t0, r)
-			g.List(t0, ListFull, []Server{{ID: "cold", Kind: "k", Zone: "a", Boot: t0 - ms}}, r)
-			for at := time.Duration(0); at < s.OverloadFor; at += 50 * ms {
+			g.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "cold", Kind: "k", Zone: "a", StartedAt: t0 - ms}}, r)
+			for at := time.Duration(0); at < s.ColdOverloadWindow; at += 50 * ms {
 				sent += flood(g, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
 			}
 			work = float64(sent) * g.work(0)
 		}
 		// One core's work, the least that a server can do when warm, is what the budget is taken of.
-		share := s.ColdFrom + (1-s.ColdFrom)*s.OverloadFor.Seconds()/s.RampTime.Seconds()
-		budget := s.FallMultiple * share * s.OverloadFor.Seconds()
-		if sent == 0 && n > 100 || work > math.Max(budget, 2*s.Classes[0].Aim.Seconds()) {
+		share := s.SlowStartMinFraction + (1-s.SlowStartMinFraction)*s.ColdOverloadWindow.Seconds()/s.SlowStartWindow.Seconds()
+		budget := s.ColdOverloadMultiple * share * s.ColdOverloadWindow.Seconds()
+		if sent == 0 && n > 100 || work > math.Max(budget, 2*s.Classes[0].LatencyObjective.Seconds()) {
 			t.Errorf("%d gateways sent %d requests of work %.2f to a cold server, budget %.2f", n, sent, work, budget)
 		}
 	}
@@ -504,10 +504,10 @@
 // A connection that does not come up may mean a restart that the list tells later. One that
 // broke does not: connections break one by one as well, and all servers would count as cold.
 func TestRefusedConnectionCountsAsStart(t *testing.T) {
-	for res, cold := range map[Result]bool{ConnectFailed: true, Reset: false, ErrorAnswer: false} {
+	for res, cold := range map[Result]bool{ConnectFailed: true, ConnectionReset: false, ErrorResponse: false} {
 		g, r := newGate(t, testSettings(), fleet(1)...)
-		g.Request(t0, newRequest(1, "unsafe", "rate", 1), r)
-		g.Outcome(t0+ms, Outcome{ID: "r1", Result: res, Server: "s0"}, r)
+		g.RequestReceived(t0, newRequest(1, "unsafe", "rate", 1), r)
+		g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0"}, r)
 		if got := g.warmth(g.servers[0]) < 1; got != cold {
 			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
 		}
@@ -525,20 +525,20 @@
 	for i := 0; i < 400; i++ {
 		now := t0 + time.Duration(i)*20*ms
 		q := newRequest(i, "unsafe", "rate", uint64(i))
-		g.Request(now, q, r)
+		g.RequestReceived(now, q, r)
 		a := strings.Fields(r.last())
 		if a[0] == "send" && a[2] == "s0" {
 			bad++
-			g.Outcome(now+ms, Outcome{ID: q.ID, Result: ErrorAnswer, Server: "s0", Took: ms}, r)
+			g.AttemptCompleted(now+ms, AttemptResult{ID: q.ID, Result: ErrorResponse, Server: "s0", Latency: ms}, r)
 		} else {
-			g.Outcome(now+10*ms, Outcome{ID: q.ID, Result: OK, Closed: true, Server: a[2], Took: 50 * ms}, r)
+			g.AttemptCompleted(now+10*ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}, r)
 		}
 	}
 	if bad > 20 {
 		t.Errorf("%d of 400 requests went to the failing server", bad)
 	}
-	g.List(t0+9*time.Second, ListFull, fleet(1), r)
-	g.Request(t0+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
+	g.EndpointsChanged(t0+9*time.Second, EndpointsComplete, fleet(1), r)
+	g.RequestReceived(t0+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
 	if r.last() != "send r1000 s0" {
 		t.Errorf("the last server is not used: %q", r.last())
 	}
@@ -551,7 +551,7 @@
 	g, r := newGate(t, s, fleet(4)...)
 	sent := 0
 	for i := 0; i < 200; i++ {
-		g.Request(t0+time.Duration(i)*ms, newRequest(i, "safe", "rate", 1), r)
+		g.RequestReceived(t0+time.Duration(i)*ms, newRequest(i, "safe", "rate", 1), r)
 	}
 	if sent = r.count("send"); sent == 0 || sent > 8 {
 		t.Errorf("%d sent to 4 silent servers, want 1 to 8", sent)
@@ -568,12 +568,12 @@
 	for i := 0; i < 200; i++ {
 		now := t0 + time.Duration(i)*20*ms
 		q := newRequest(i, "unsafe", "rate", uint64(i))
-		g.Request(now, q, r)
+		g.RequestReceived(now, q, r)
 		a := strings.Fields(r.last())
 		if a[0] == "send" && a[2] == "s0" {
 			toSilent++
 		} else {
-			g.Outcome(now+10*ms, Outcome{ID: q.ID, Result: OK, Closed: true, Server: a[2], Took: 50 * ms}, r)
+			g.AttemptCompleted(now+10*ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}, r)
 		}
 	}
 	if toSilent > 10 {
@@ -587,7 +587,7 @@
 		"silent":    func(s *server) { s.seen = t0 - time.Second },
 		"failing":   func(s *server) { s.errs = 0.3 },
 		"slow":      func(s *server) { s.lat = 2 },
-		"cold":      func(s *server) { s.Boot = t0 - ms },
+		"cold":      func(s *server) { s.StartedAt = t0 - ms },
 		"queueing":  func(s *server) { s.queue = 3 },
 		"more out":  func(s *server) { s.out = 2 },
 		"was reset": func(s *server) { s.broke = t0 },
@@ -609,9 +609,9 @@
 func TestNoSecondCopyWhereForbidden(t *testing.T) {
 	for _, parallel := range []bool{false, true} {
 		s := testSettings()
-		s.Parallel = parallel
+		s.AllowsHedging = parallel
 		g, r := newGate(t, s, fleet(2)...)
-		g.Request(t0, newRequest(1, "safe", "rate", 1), r)
+		g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 		if got := g.maySend(g.reqs["r1"], g.servers[0]); got != parallel {
 			t.Errorf("parallel %v: second copy %v", parallel, got)
 		}
@@ -622,7 +622,7 @@
 func TestOwnTimerAnswersInTime(t *testing.T) {
 	for class, want := range map[string]string{"safe": "refuse r1", "keyed": "fail r1", "unsafe": "fail r1"} {
 		g, r := newGate(t, testSettings(), fleet(2)...)
-		g.Request(t0, newRequest(1, class, "rate", 1), r)
+		g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
 		var due timerSet
 		for _, ts := range r.timers {
 			if ts.token&7 == timerEnd {
@@ -633,12 +633,12 @@
 			t.Fatalf("timer after %v", due.after)
 		}
 		r.acts = nil
-		g.Timer(t0+due.after, due.token, r)
+		g.TimerFired(t0+due.after, due.token, r)
 		if r.count(want) != 1 || r.count("cancel r1 0") != 1 {
 			t.Errorf("%s: %q", class, r.acts)
 		}
-		g.Timer(t0+due.after, due.token, r)
-		g.Outcome(t0+due.after, Outcome{ID: "r1", Result: Cancelled}, r)
+		g.TimerFired(t0+due.after, due.token, r)
+		g.AttemptCompleted(t0+due.after, AttemptResult{ID: "r1", Result: Cancelled}, r)
 		if len(r.acts) != 2 || len(g.reqs) != 0 {
 			t.Errorf("%s: %q, %d requests kept", class, r.acts, len(g.reqs))
 		}
@@ -647,24 +647,24 @@
 
 func TestStrayEventsAreIgnored(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(2)...)
-	g.Request(t0, newRequest(1, "safe", "rate", 1), r)
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	r.acts = nil
-	g.Outcome(t0, Outcome{ID: "r1", Attempt: 1, Result: ErrorAnswer}, r)
-	g.Outcome(t0, Outcome{ID: "r1", Attempt: -1, Result: ErrorAnswer}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
 	if g.reqs["r1"] == nil || g.reqs["r1"].out != 1 {
 		t.Error("an attempt never made ended the request")
 	}
-	g.Outcome(t0, Outcome{ID: "r1", Result: OK, Closed: true, Server: "s0"}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Server: "s0"}, r)
 	r.acts = nil
-	g.Outcome(t0, Outcome{ID: "r1", Result: OK, Closed: true}, r)
-	g.Outcome(t0, Outcome{ID: "none", Attempt: 9}, r)
-	g.Outcome(t0, Outcome{ID: "r1", Attempt: -1}, r)
-	g.Gone(t0, "r1", r)
-	g.First(t0, "r1", 0, r)
-	g.Timer(t0, 1<<40|timerEnd, r)
-	g.Timer(t0, 7, r)
-	g.Probed(t0, "none", OK, &Load{Util: 1}, r)
-	g.List(t0, ListError, nil, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "none", Attempt: 9}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1}, r)
+	g.ClientDisconnected(t0, "r1", r)
+	g.ResponseStarted(t0, "r1", 0, r)
+	g.TimerFired(t0, 1<<40|timerEnd, r)
+	g.TimerFired(t0, 7, r)
+	g.HealthCheckCompleted(t0, "none", OK, &LoadReport{Utilization: 1}, r)
+	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
 	if len(r.acts) != 0 {
 		t.Errorf("%q", r.acts)
 	}
@@ -673,12 +673,12 @@
 // A stream that has begun belongs to the client: no deadline, no cancel.
 func TestStreamIsLeftAlone(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].Stream = true
+	s.Classes[0].IsStreaming = true
 	g, r := newGate(t, s, fleet(2)...)
-	g.Request(t0, newRequest(1, "safe", "rate", 1), r)
-	g.First(t0+ms, "r1", 0, r)
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	g.ResponseStarted(t0+ms, "r1", 0, r)
 	r.acts = nil
-	g.Timer(t0+2*time.Second, 1<<timerBits|timerEnd, r)
+	g.TimerFired(t0+2*time.Second, 1<<timerBits|timerEnd, r)
 	if len(r.acts) != 0 {
 		t.Errorf("%q", r.acts)
 	}
@@ -686,14 +686,14 @@
 
 func TestSubscribesWhereAsked(t *testing.T) {
 	s := testSettings()
-	s.AskList = true
+	s.PollsEndpoints = true
 	g, r := newGate(t, s)
 	if r.count("watch true") != 1 {
 		t.Fatalf("%q", r.acts)
 	}
-	g.List(t0, ListError, nil, r)
+	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
 	last := r.timers[len(r.timers)-1]
-	g.Timer(t0+last.after, last.token, r)
+	g.TimerFired(t0+last.after, last.token, r)
 	if r.count("watch true") != 2 {
 		t.Errorf("no new subscription after an error: %q", r.acts)
 	}
@@ -702,10 +702,10 @@
 // True units that come with the answer settle the store.
 func TestSettledUnits(t *testing.T) {
 	s := testSettings()
-	s.PostPaid = true
+	s.SettlesUnits = true
 	g, r := newGate(t, s, fleet(2)...)
-	g.Request(t0, newRequest(1, "safe", "rate", 1), r)
-	g.Outcome(t0, Outcome{ID: "r1", Result: OK, Closed: true, Units: 4}, r)
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Units: 4}, r)
 	if got := g.stores[1].level; got != 36 {
 		t.Errorf("level %v, want 36", got)
 	}
@@ -716,10 +716,10 @@
 	g, r := newGate(t, testSettings(), fleet(4)...)
 	for i := 0; i < 20000; i++ {
 		now := t0 + time.Duration(i)*ms
-		g.Request(now, newRequest(i, "safe", "rate", uint64(i)), r)
+		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		answer(g, r, now, ms, OK)
 		if i%100 == 0 {
-			g.Timer(now, timerProbe, r)
+			g.TimerFired(now, timerProbe, r)
 		}
 	}
 	if len(g.stores) > 5000 || len(g.stores) != len(g.order) {
@@ -729,11 +729,11 @@
 
 func TestInvalidSettings(t *testing.T) {
 	tests := map[string]func(*Settings){
-		"Instances":    func(s *Settings) { s.Instances = 0 },
-		"Me":           func(s *Settings) { s.Me = 3 },
+		"Instances":    func(s *Settings) { s.InstanceCount = 0 },
+		"Me":           func(s *Settings) { s.InstanceIndex = 3 },
 		"Classes":      func(s *Settings) { s.Classes = nil },
 		"Plans":        func(s *Settings) { s.Plans[0].Rate = -1 },
-		"FallMultiple": func(s *Settings) { s.FallMultiple = -1 },
+		"FallMultiple": func(s *Settings) { s.ColdOverloadMultiple = -1 },
 		"MaxAttempts":  func(s *Settings) { s.MaxAttempts = -1 },
 		"twice":        func(s *Settings) { s.Classes[1].Name = s.Classes[0].Name },
 	}
@@ -788,22 +788,22 @@
 }
 
 // wideGate is a gateway of a fleet of 300, whose sets are so wide that holders are asked.
-func wideGate(t *testing.T, me int) (*Gateway, *recorder) {
+func wideGate(t *testing.T, me int) (*Engine, *recorder) {
 	s := wideSettings()
-	s.Me = me
+	s.InstanceIndex = me
 	return newGate(t, s, fleet(4)...)
 }
 
 func wideSettings() Settings {
 	s := testSettings()
-	s.Instances, s.Peers, s.InboxPerS = 300, true, 40
+	s.InstanceCount, s.AllowsGossip, s.GossipInboxRate = 300, true, 40
 	return s
 }
 
 // wideRequest is of a customer that comes in through the gateways 10 to 109.
 func wideRequest(n int, customer uint64) Request {
 	q := newRequest(n, "safe", "rate", customer)
-	q.Spread, q.First = 100, 10
+	q.InstanceCount, q.FirstInstance = 100, 10
 	return q
 }
 
@@ -812,21 +812,21 @@
 	const customer = 77
 	member, r := wideGate(t, 10)
 	q := wideRequest(1, customer)
-	member.Request(t0, q, r)
+	member.RequestReceived(t0, q, r)
 	holder := member.holder(member.stores[customer])
-	if !member.inSet(holder, q.First, q.Spread) || r.count("send")+r.count("refuse") != 0 || r.tells[holder] == nil {
+	if !member.inSet(holder, q.FirstInstance, q.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.tells[holder] == nil {
 		t.Fatalf("holder %d, actions %v", holder, r.acts)
 	}
 	h, hr := wideGate(t, holder)
-	h.Peer(t0, 10, r.tells[holder][0], hr)
-	member.Peer(t0+20*ms, holder, hr.tells[10][0], r)
+	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
+	member.GossipReceived(t0+20*ms, holder, hr.tells[10][0], r)
 	if r.count("send") != 1 {
 		t.Errorf("not sent after a grant: %v", r.acts)
 	}
 	// An answer that comes again, from another gateway, or to a number unknown changes nothing.
 	r.acts = nil
 	for _, from := range []int{holder, 11, -1, 300} {
-		member.Peer(t0+30*ms, from, hr.tells[10][0], r)
+		member.GossipReceived(t0+30*ms, from, hr.tells[10][0], r)
 	}
 	if len(r.acts) != 0 {
 		t.Errorf("%v", r.acts)
@@ -838,21 +838,21 @@
 func TestClientLeavesWhileItsHolderIsAsked(t *testing.T) {
 	const customer = 77
 	for name, answer := range map[string]func(num uint64) []byte{
-		"granted": func(num uint64) []byte { return (&Gateway{}).encodeAnswer(num, true, 0, 1) },
-		"refused": func(num uint64) []byte { return (&Gateway{}).encodeAnswer(num, false, 0, 0) },
+		"granted": func(num uint64) []byte { return (&Engine{}).encodeAnswer(num, true, 0, 1) },
+		"refused": func(num uint64) []byte { return (&Engine{}).encodeAnswer(num, false, 0, 0) },
 		"silent":  nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			member, r := wideGate(t, 10)
-			member.Request(t0, wideRequest(1, customer), r)
+			member.RequestReceived(t0, wideRequest(1, customer), r)
 			holder, num := member.holder(member.stores[customer]), member.reqs["r1"].num
-			member.Gone(t0+10*ms, "r1", r)
+			member.ClientDisconnected(t0+10*ms, "r1", r)
 			r.tells = nil
 			if answer != nil {
-				member.Peer(t0+20*ms, holder, answer(num), r)
+				member.GossipReceived(t0+20*ms, holder, answer(num), r)
 			}
-			member.Timer(t0+askWait, num<<timerBits|timerAsk, r)
-			member.Peer(t0+askWait, holder, (&Gateway{}).encodeAnswer(num, true, 0, 1), r) // doubled, or too late
+			member.TimerFired(t0+askWait, num<<timerBits|timerAsk, r)
+			member.GossipReceived(t0+askWait, holder, (&Engine{}).encodeAnswer(num, true, 0, 1), r) // doubled, or too late
 			if r.count("send") != 0 || len(member.reqs)+len(member.byNum) != 0 {
 				t.Errorf("sent on, or %d requests kept: %v", len(member.reqs)+len(member.byNum), r.acts)
 			}
@@ -875,15 +875,15 @@
 	g, r := wideGate(t, 10)
 	g.storeFor(customer, g.plan["rate"], 100, 10).pass = 0 // what was heard last: nothing is granted
 	for n := range silentAsks + 1 {
-		g.Request(t0, wideRequest(n, customer), r)
+		g.RequestReceived(t0, wideRequest(n, customer), r)
 		for num := range g.byNum {
-			g.Timer(t0, num<<timerBits|timerAsk, r)
+			g.TimerFired(t0, num<<timerBits|timerAsk, r)
 		}
 	}
 	if r.count("refuse") != silentAsks+1 || len(r.timers) < silentAsks {
 		t.Fatalf("not refused without waiting: %v", r.acts)
 	}
-	g.Request(t0, wideRequest(silentAsks+1, customer), r)
+	g.RequestReceived(t0, wideRequest(silentAsks+1, customer), r)
 	if len(g.reqs)+len(g.byNum) != 0 {
 		t.Errorf("%d requests are kept", len(g.byNum))
 	}
@@ -893,7 +893,7 @@
 func TestHolderGrantsItsStoreOnce(t *testing.T) {
 	const customer = 77
 	first, r := wideGate(t, 10)
-	first.Request(t0, wideRequest(1, customer), r)
+	first.RequestReceived(t0, wideRequest(1, customer), r)
 	holder := first.holder(first.stores[customer])
 	h, hr := wideGate(t, holder)
 	sent := 0.0
@@ -907,10 +907,10 @@
 		}
 		for n := 0; n < 4; n++ {
 			r.tells, hr.tells = nil, nil
-			g.Request(t0, wideRequest(n, customer), r)
+			g.RequestReceived(t0, wideRequest(n, customer), r)
 			if r.tells != nil { // else refused of late
-				h.Peer(t0, me, r.tells[holder][0], hr)
-				g.Peer(t0, holder, hr.tells[me][0], r)
+				h.GossipReceived(t0, me, r.tells[holder][0], hr)
+				g.GossipReceived(t0, holder, hr.tells[me][0], r)
 			}
 		}
 		sent += float64(r.count("send"))
@@ -925,13 +925,13 @@
 func TestRefusedMembersComeBackSoon(t *testing.T) {
 	wait := func(inbox float64) time.Duration {
 		member, r := wideGate(t, 10)
-		member.Request(t0, wideRequest(1, 77), r)
+		member.RequestReceived(t0, wideRequest(1, 77), r)
 		to := member.holder(member.stores[77])
 		h, hr := wideGate(t, to)
 		h.inboxRate = inbox
 		h.storeFor(77, h.plan["rate"], 100, 10).level = 0
-		h.Peer(t0, 10, r.tells[to][0], hr)
-		member.Peer(t0, to, hr.tells[10][0], r)
+		h.GossipReceived(t0, 10, r.tells[to][0], hr)
+		member.GossipReceived(t0, to, hr.tells[10][0], r)
 		if r.count("refuse") != 1 {
 			t.Fatalf("%v", r.acts)
 		}
@@ -972,12 +972,12 @@
 	member, r := wideGate(t, 10)
 	ask := func(n int, late bool, at time.Duration) bool {
 		q := wideRequest(n, 77)
-		member.lat[member.class["safe"]].fresh = q.Grace
+		member.lat[member.class["safe"]].fresh = q.Timeout
 		if late {
-			q.Grace -= member.set.Classes[member.class["safe"]].Aim * 3 / 2
+			q.Timeout -= member.set.Classes[member.class["safe"]].LatencyObjective * 3 / 2
 		}
 		r.tells = nil
-		member.Request(at, q, r)
+		member.RequestReceived(at, q, r)
 		to := member.holder(member.stores[77])
 		if r.tells[to] == nil {
 			t.Fatalf("try %d was not asked for: %v", n, r.acts)
@@ -988,13 +988,13 @@
 		if n == 0 {
 			st.crowded = 0
 		}
-		h.Peer(at, 10, r.tells[to][0], hr)
+		h.GossipReceived(at, 10, r.tells[to][0], hr)
 		sent := r.count("send")
-		member.Peer(at, to, hr.tells[10][0], r)
+		member.GossipReceived(at, to, hr.tells[10][0], r)
 		if r.count("send") == sent {
 			return false
 		}
-		member.Outcome(at+ms, Outcome{ID: q.ID, Result: OK, Closed: true}, r)
+		member.AttemptCompleted(at+ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true}, r)
 		return true
 	}
 	if !ask(0, true, t0) {
@@ -1016,8 +1016,8 @@
 	for _, pass := range []float64{0, 1} {
 		g, r := wideGate(t, 10)
 		g.storeFor(77, g.plan["rate"], 100, 10).pass = pass
-		g.Request(t0, wideRequest(1, 77), r)
-		g.Timer(t0+askWait, g.nextNum<<timerBits|timerAsk, r)
+		g.RequestReceived(t0, wideRequest(1, 77), r)
+		g.TimerFired(t0+askWait, g.nextNum<<timerBits|timerAsk, r)
 		if got := r.count("send"); got != int(pass) || r.count("refuse") != 1-got {
 			t.Errorf("share %v: %v", pass, r.acts)
 		}
@@ -1027,20 +1027,20 @@
 // An ask for a customer whose set lacks the sender or the receiver changes nothing, nor does a malformed one.
 func TestBadAsksChangeNothing(t *testing.T) {
 	member, r := wideGate(t, 10)
-	member.Request(t0, wideRequest(1, 77), r)
+	member.RequestReceived(t0, wideRequest(1, 77), r)
 	good := r.tells[member.holder(member.stores[77])][0]
 	for _, c := range []struct{ me, from int }{{5, 10}, {20, 5}, {20, 250}} {
 		g, r := wideGate(t, c.me)
-		g.Peer(t0, c.from, good, r)
+		g.GossipReceived(t0, c.from, good, r)
 		if len(g.stores) != 0 || len(r.tells) != 0 {
 			t.Errorf("%+v: %d stores, %d answers", c, len(g.stores), len(r.tells))
 		}
 	}
 	g, gr := wideGate(t, 20)
 	for n := 0; n < len(good); n++ {
-		g.Peer(t0, 10, good[:n], gr)
+		g.GossipReceived(t0, 10, good[:n], gr)
 	}
-	g.Peer(t0, 10, append(append([]byte{}, good...), 0), gr)
+	g.GossipReceived(t0, 10, append(append([]byte{}, good...), 0), gr)
 	if len(g.stores) != 0 {
 		t.Error("a malformed ask made a store")
 	}
@@ -1072,8 +1072,8 @@
 // Attempts stuck at one silent server must not read as a jam of all.
 func TestOldAttemptsDoNotCountInThePool(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(4)...)
-	g.Request(t0, newRequest(1, "safe", "rate", 1), r)
-	aim := g.set.Classes[g.class["safe"]].Aim
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	aim := g.set.Classes[g.class["safe"]].LatencyObjective
 	if n, _, _ := g.ages(jamAge); n != 1 {
 		t.Errorf("%v young at once", n)
 	}
@@ -1088,17 +1088,17 @@
 func TestOverdueAttemptsAreNoJam(t *testing.T) {
 	g, r := newGate(t, probing(), fleet(2)...)
 	for i := 0; !g.jammed(g.class["safe"], "", 1); i++ {
-		g.Request(t0, newRequest(i, "safe", "rate", uint64(i)), r)
+		g.RequestReceived(t0, newRequest(i, "safe", "rate", uint64(i)), r)
 	}
-	now := t0 + g.set.Classes[g.class["safe"]].Aim + ms
-	g.Timer(now, timerProbe, r)
+	now := t0 + g.set.Classes[g.class["safe"]].LatencyObjective + ms
+	g.TimerFired(now, timerProbe, r)
 	if g.jammed(g.class["safe"], "", 1) {
 		t.Errorf("%d attempts past their aim read as a jam", g.held)
 	}
 	for _, s := range g.servers {
 		s.lost = true
 	}
-	if g.Timer(now+probeEvery, timerProbe, r); g.overdue != 0 {
+	if g.TimerFired(now+probeEvery, timerProbe, r); g.overdue != 0 {
 		t.Errorf("%v attempts at lost servers are taken off twice", g.overdue)
 	}
 }
@@ -1109,8 +1109,8 @@
 	c := &g.lat[g.class["safe"]]
 	c.n, c.mean, c.dev = batchLeast, 0.2, 0.01
 	q := newRequest(1, "safe", "rate", 1)
-	q.Grace = 100 * ms
-	g.Request(t0, q, r)
+	q.Timeout = 100 * ms
+	g.RequestReceived(t0, q, r)
 	if r.count("refuse") != 1 {
 		t.Errorf("%v", r.acts)
 	}
@@ -1122,23 +1122,23 @@
 	member, r := wideGate(t, 10)
 	q := wideRequest(1, 77)
 	q.Plan = "open"
-	member.Request(t0, q, r)
+	member.RequestReceived(t0, q, r)
 	holder := member.holder(member.stores[77])
 	h, hr := wideGate(t, holder)
-	h.Peer(t0, 10, r.tells[holder][0], hr)
+	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
 	if n := len(h.stores[77].leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
 	r.tells = nil
-	member.Timer(t0+askWait, member.nextNum<<timerBits|timerAsk, r)
+	member.TimerFired(t0+askWait, member.nextNum<<timerBits|timerAsk, r)
 	answer(member, r, t0+askWait+50*ms, 50*ms, OK)
 	for _, m := range r.tells[holder] {
-		h.Peer(t0+200*ms, 10, m, hr)
+		h.GossipReceived(t0+200*ms, 10, m, hr)
 	}
 	if n := len(h.stores[77].leases); n != 0 {
 		t.Errorf("%d leases after the answer", n)
 	}
-	h.stores[77].out = h.set.Plans[h.plan["open"]].Open
+	h.stores[77].out = h.set.Plans[h.plan["open"]].MaxInFlight
 	if in, wait := h.quota(h.stores[77], 1, false); in || wait > askWait {
 		t.Errorf("in %v, wait %v", in, wait)
 	}
@@ -1149,11 +1149,11 @@
 	member, r := wideGate(t, 10)
 	q := wideRequest(1, 77)
 	q.Plan = "hard"
-	member.Request(t0, q, r)
+	member.RequestReceived(t0, q, r)
 	holder := member.holder(member.stores[77])
 	h, hr := wideGate(t, holder)
-	h.Peer(t0, 10, r.tells[holder][0], hr)
-	member.Peer(t0+ms, holder, hr.tells[10][0], r)
+	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
+	member.GossipReceived(t0+ms, holder, hr.tells[10][0], r)
 	if r.count("send") != 0 {
 		t.Errorf("%v", r.acts)
 	}
@@ -1163,11 +1163,11 @@
 func TestWaitingRequestIsAnswered(t *testing.T) {
 	g, r := wideGate(t, 10)
 	q := wideRequest(1, 77)
-	q.Grace = 30 * ms
-	g.Request(t0, q, r)
+	q.Timeout = 30 * ms
+	g.RequestReceived(t0, q, r)
 	for _, s := range r.timers {
-		if s.token == g.nextNum<<timerBits|timerEnd && s.after < q.Grace {
-			g.Timer(t0+s.after, s.token, r)
+		if s.token == g.nextNum<<timerBits|timerEnd && s.after < q.Timeout {
+			g.TimerFired(t0+s.after, s.token, r)
 		}
 	}
 	if r.count("refuse") != 1 {
@@ -1180,16 +1180,16 @@
 // answered in time.
 func TestLateTriesGiveWay(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(9)...)
-	aim := g.set.Classes[g.class["safe"]].Aim
+	aim := g.set.Classes[g.class["safe"]].LatencyObjective
 	old := newRequest(0, "safe", "rate", 1)
-	old.Grace -= aim + aim/10
+	old.Timeout -= aim + aim/10
 	send := func(n int, q Request, at time.Duration) bool {
 		q.ID = fmt.Sprint("t", n)
 		r.acts = nil
-		g.Request(at, q, r)
+		g.RequestReceived(at, q, r)
 		sent := r.count("send") == 1
 		if sent {
-			g.Outcome(at+ms, Outcome{ID: q.ID, Result: OK, Closed: true}, r)
+			g.AttemptCompleted(at+ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true}, r)
 		}
 		return sent
 	}
@@ -1229,7 +1229,7 @@
 
 func probing() Settings {
 	s := testSettings()
-	s.Probes, s.Report = true, ReportProbes
+	s.AllowsHealthChecks, s.LoadReports = true, LoadReportsInHealthChecks
 	return s
 }
 
@@ -1242,30 +1242,30 @@
 		for i := range 30 {
 			now += 50 * ms
 			r.acts = nil
-			g.Request(now, newRequest(int(now/ms), "safe", "rate", uint64(i)), r)
+			g.RequestReceived(now, newRequest(int(now/ms), "safe", "rate", uint64(i)), r)
 			n += r.count(fmt.Sprintf("send r%d %s", now/ms, id))
 			answer(g, r, now, ms, OK)
 		}
 		return n
 	}
 	s.probed = now
-	g.Probed(now+ms, "s0", TimedOut, nil, r)
+	g.HealthCheckCompleted(now+ms, "s0", TimedOut, nil, r)
 	if n := sentTo("s0"); n != 0 {
 		t.Errorf("%d requests sent to a server that is silent to probes", n)
 	}
-	g.Probed(now, "s0", OK, nil, r)
+	g.HealthCheckCompleted(now, "s0", OK, nil, r)
 	if n := sentTo("s0"); n == 0 {
 		t.Error("no request sent to a server that answers again")
 	}
-	g.Request(now+ms, newRequest(1, "safe", "rate", 9), r)
+	g.RequestReceived(now+ms, newRequest(1, "safe", "rate", 9), r)
 	s.probed, s.heard = now, now+ms
-	g.Probed(now+2*ms, "s0", TimedOut, nil, r)
+	g.HealthCheckCompleted(now+2*ms, "s0", TimedOut, nil, r)
 	if s.lost {
 		t.Error("a server that has answered since the probe counts as silent")
 	}
 	// Nor does one that was restarted.
 	s.lost = true
-	g.List(now, ListChanges, []Server{{ID: "s0", Kind: "k", Zone: "a", Boot: now}}, r)
+	g.EndpointsChanged(now, EndpointsDelta, []Server{{ID: "s0", Kind: "k", Zone: "a", StartedAt: now}}, r)
 	if s.lost {
 		t.Error("a restarted server counts as silent")
 	}
@@ -1277,11 +1277,11 @@
 	probes := map[string]int{}
 	for i := range 200 {
 		now := t0 + time.Duration(i)*5*ms
-		g.Request(now, newRequest(i, "safe", "rate", uint64(i)), r)
+		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		answer(g, r, now, ms, OK)
 		if i%10 == 9 {
 			g.aro.pool[poolSent] = 2
-			g.Timer(now, timerProbe, r)
+			g.TimerFired(now, timerProbe, r)
 			for id := range g.byID {
 				probes[id] += r.count("probe " + id)
 			}
@@ -1298,7 +1298,7 @@
 // Servers that are out must not use up the looks: the choice among the others would be blind.
 func TestOutServersTakeNoLook(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(12)...)
-	g.set.Instances = 6
+	g.set.InstanceCount = 6
 	for i := range 9 {
 		g.byID[fmt.Sprintf("s%d", i)].ejected = t0 + time.Hour
 	}
@@ -1364,10 +1364,10 @@
 // A connection that failed is no restart where an answer on an older one, or to a probe sent
 // at once, shows the process up. What failed before that is still in doubt.
 func TestFailedConnectionIsChecked(t *testing.T) {
-	fail := func(g *Gateway, r *recorder, n int, at time.Duration) {
+	fail := func(g *Engine, r *recorder, n int, at time.Duration) {
 		r.acts = nil
-		g.Request(at, newRequest(n, "unsafe", "rate", uint64(n)), r)
-		g.Outcome(at, Outcome{ID: fmt.Sprint("r", n), Result: ConnectFailed, Server: "s0"}, r)
+		g.RequestReceived(at, newRequest(n, "unsafe", "rate", uint64(n)), r)
+		g.AttemptCompleted(at, AttemptResult{ID: fmt.Sprint("r", n), Result: ConnectFailed, Server: "s0"}, r)
 	}
 	g, r := newGate(t, probing(), fleet(1)...)
 	s := g.servers[0]
@@ -1375,16 +1375,16 @@
 	if r.count("probe s0") != 1 || g.warmth(s) == 1 {
 		t.Errorf("%d probes sent, warmth %v after a failed connection", r.count("probe s0"), g.warmth(s))
 	}
-	if g.Probed(t0+5*ms, "s0", OK, nil, r); g.warmth(s) != 1 {
+	if g.HealthCheckCompleted(t0+5*ms, "s0", OK, nil, r); g.warmth(s) != 1 {
 		t.Error("cold though a probe sent at once was answered")
 	}
 	if fail(g, r, 2, t0+time.Second); r.count("probe s0") != 1 {
 		t.Errorf("%d probes sent", r.count("probe s0"))
 	}
-	if g.Probed(t0+time.Second, "s0", ConnectFailed, nil, r); g.warmth(s) == 1 {
+	if g.HealthCheckCompleted(t0+time.Second, "s0", ConnectFailed, nil, r); g.warmth(s) == 1 {
 		t.Error("warm though the probe failed as well")
 	}
-	if g.Probed(t0+2*time.Second, "s0", OK, nil, r); g.warmth(s) == 1 {
+	if g.HealthCheckCompleted(t0+2*time.Second, "s0", OK, nil, r); g.warmth(s) == 1 {
 		t.Error("warm after a later probe's answer: the process may have started since")
 	}
 
@@ -1396,11 +1396,11 @@
 	g.now, g.out = t0+time.Second, r
 	g.observe(0, s, ms) // its class is known
 	q := &request{}
-	g.learn(q, s, Outcome{Result: OK, Took: ms, Since: t0 + 3*ms/2})
+	g.learn(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + 3*ms/2})
 	if s.broke != t0+ms {
 		t.Errorf("in doubt since %v, want the failure before the connection was made", s.broke-t0)
 	}
-	if g.learn(q, s, Outcome{Result: OK, Took: ms, Since: t0 + ms/2}); s.broke != 0 {
+	if g.learn(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + ms/2}); s.broke != 0 {
 		t.Error("cold after an answer on a connection older than all failures")
 	}
 }
@@ -1413,8 +1413,8 @@
 	g.inboxRate = 10
 	for i := range 200 {
 		q := newRequest(i, "safe", "rate", uint64(i))
-		q.Spread = 1
-		g.Request(t0, q, r)
+		q.InstanceCount = 1
+		g.RequestReceived(t0, q, r)
 	}
 	if got := r.count("send"); got <= jamFloor*n || got > jamSure*jamFloor*n {
 		t.Errorf("%d of a burst sent, want more than %v and at most %v", got, jamFloor*n, jamSure*jamFloor*n)
@@ -1425,12 +1425,12 @@
 // only when they have ended, and one that stays keeps what was learned.
 func TestClassesChange(t *testing.T) {
 	class := func(name string, aim time.Duration) Class {
-		return Class{Name: name, Aim: aim, Deadline: 2 * time.Second, Worth: 1}
+		return Class{Name: name, LatencyObjective: aim, Deadline: 2 * time.Second, PriorityWeight: 1}
 	}
-	s := Settings{Instances: 1, MaxAttempts: 3, Classes: []Class{class("a", time.Second), class("b", time.Second)},
-		Plans: []Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}}}
+	s := Settings{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{class("a", time.Second), class("b", time.Second)},
+		Plans: []Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}}}
 	g, r := newGate(t, s, fleet(4)...)
-	g.Request(t0, newRequest(1, "a", "wide", 7), r)
+	g.RequestReceived(t0, newRequest(1, "a", "wide", 7), r)
 	if got := r.last(); !strings.HasPrefix(got, "send") {
 		t.Fatal(got)
 	}
@@ -1439,19 +1439,19 @@
 		t.Fatal(err)
 	}
 	for n, want := range map[string]string{"a": "refuse", "b": "send", "c": "send"} {
-		g.Request(t0, newRequest(2+int(n[0]), n, "wide", 7), r)
+		g.RequestReceived(t0, newRequest(2+int(n[0]), n, "wide", 7), r)
 		if got := r.last(); !strings.HasPrefix(got, want) {
 			t.Errorf("class %s: %s, want %s", n, got, want)
 		}
 	}
-	if b := g.class["b"]; g.lat[b].mean != 0.25 || g.set.Classes[b].Aim != 2*time.Second {
+	if b := g.class["b"]; g.lat[b].mean != 0.25 || g.set.Classes[b].LatencyObjective != 2*time.Second {
 		t.Errorf("class b: %+v, %+v", g.lat[b], g.set.Classes[b])
 	}
 	if len(g.set.Classes) != 3 { // a's place is taken by the request under way
 		t.Errorf("%d places", len(g.set.Classes))
 	}
 	id := newRequest(1, "a", "wide", 7).ID
-	g.Outcome(t0+50*time.Millisecond, Outcome{ID: id, Result: OK, Closed: true, Took: 50 * time.Millisecond}, r)
+	g.AttemptCompleted(t0+50*time.Millisecond, AttemptResult{ID: id, Result: OK, RequestAnswered: true, Latency: 50 * time.Millisecond}, r)
 	for i := range 20 {
 		if err := g.SetClasses([]Class{class("b", time.Second), class("c", time.Second), class(fmt.Sprint("d", i), time.Second)}); err != nil {
 			t.Fatal(err)
@@ -1462,7 +1462,7 @@
 	}
 	// A class that comes back while a request of its first time is under way has two places; the plans may
 	// change meanwhile.
-	g.Request(t0, newRequest(9, "b", "wide", 7), r)
+	g.RequestReceived(t0, newRequest(9, "b", "wide", 7), r)
 	for _, cs := range [][]Class{{class("c", time.Second)}, {class("b", time.Second), class("c", time.Second), class("e", time.Second)}} {
 		if err := g.SetClasses(cs); err != nil {
 			t.Fatal(err)
@@ -1478,31 +1478,31 @@
 
 // A request that is kept to a zone goes to its servers alone, and to none where it has none.
 func TestZoneOnly(t *testing.T) {
-	s := Settings{Instances: 1, MaxAttempts: 3, Classes: []Class{{Name: "a", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
-		Plans: []Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}}}
+	s := Settings{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans: []Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}}}
 	g, r := newGate(t, s, Server{ID: "x", Kind: "k", Zone: "a"}, Server{ID: "y", Kind: "k", Zone: "b"})
 	for i := range 20 {
 		q := newRequest(i, "a", "wide", 7)
 		q.Zone = []string{"a", "b", "c"}[i%3]
 		want := []string{"send " + q.ID + " x", "send " + q.ID + " y", "refuse " + q.ID}[i%3]
-		if g.Request(t0, q, r); r.last() != want {
+		if g.RequestReceived(t0, q, r); r.last() != want {
 			t.Errorf("%s, want %s", r.last(), want)
 		}
-		g.Outcome(t0, Outcome{ID: q.ID, Result: OK, Closed: true, Took: ms}, r)
+		g.AttemptCompleted(t0, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Latency: ms}, r)
 	}
 }
 
 // A plan's new figures, and a customer's move to another plan, leave what was spent spent.
 func TestPlansChange(t *testing.T) {
-	s := Settings{Instances: 2, MaxAttempts: 3, Peers: true, Classes: []Class{{Name: "a", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
-		Plans: []Plan{{Name: "small", Rate: 10, Burst: 40}, {Name: "large", Rate: 20, Burst: 100, CeilingRate: 40, CeilingBurst: 120}}}
+	s := Settings{InstanceCount: 2, MaxAttempts: 3, AllowsGossip: true, Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans: []Plan{{Name: "small", Rate: 10, Burst: 40}, {Name: "large", Rate: 20, Burst: 100, HardLimitRate: 40, HardLimitBurst: 120}}}
 	now := t0
 	g, r := newGate(t, s, fleet(40)...)
 	now += time.Hour // full
 	ask := func(n int, plan string, units float64) string {
 		q := newRequest(n, "a", plan, 7)
-		q.Units, q.Spread = units, 2
-		g.Request(now, q, r)
+		q.Units, q.InstanceCount = units, 2
+		g.RequestReceived(now, q, r)
 		return r.last()
 	}
 	if got := ask(1, "small", 10); !strings.HasPrefix(got, "send") {
@@ -1526,7 +1526,7 @@
 	if ask(4, "large", 20); st.ceiling != 40 {
 		t.Fatalf("part of the ceiling %v, want 60-20", st.ceiling)
 	}
-	if err := g.SetPlans(now, []Plan{g.set.Plans[0], {Name: "large", Rate: 20, Burst: 100, CeilingRate: 30, CeilingBurst: 60}, g.set.Plans[2]}); err != nil || st.ceiling != 10 {
+	if err := g.SetPlans(now, []Plan{g.set.Plans[0], {Name: "large", Rate: 20, Burst: 100, HardLimitRate: 30, HardLimitBurst: 60}, g.set.Plans[2]}); err != nil || st.ceiling != 10 {
 		t.Errorf("part of the ceiling %v, want 30-20, error %v", st.ceiling, err)
 	}
 	// A place is kept for good, and what can't be is refused whole.
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -82,7 +82,7 @@
 	queue     queue
 	n         int
 	set       Settings
-	gates     []*Gateway
+	gates     []*Engine
 	lives     []int
 	acts      []*fleetActs
 	booths    []*booth
@@ -117,7 +117,7 @@
 
 func (a *fleetActs) live() bool { return a.s.lives[a.gate] == a.life }
 
-func (a *fleetActs) Send(id, server string, timeout time.Duration) {
+func (a *fleetActs) SendAttempt(id, server string, timeout time.Duration) {
 	s := a.s
 	r := s.reqs[id]
 	b := s.byID[server]
@@ -151,7 +151,7 @@
 			}
 			at.done = true
 			l.out--
-			if b != nil && (res == OK || res == Full) && !b.dead && !at.cancel {
+			if b != nil && (res == OK || res == RejectedByServer) && !b.dead && !at.cancel {
 				l.idle = append(l.idle, s.now)
 			} else if b != nil && res != ConnectFailed {
 				b.conns--
@@ -160,7 +160,7 @@
 				s.answer(r, true, 0)
 			}
 			if a.live() {
-				s.gates[a.gate].Outcome(s.now, Outcome{ID: id, Attempt: n, Closed: r.done, Result: res, Server: server, Took: s.now - at.at, Since: at.at}, a)
+				s.gates[a.gate].AttemptCompleted(s.now, AttemptResult{ID: id, Attempt: n, RequestAnswered: r.done, Result: res, Server: server, Latency: s.now - at.at, ConnectedAt: at.at}, a)
 			}
 		})
 	}
@@ -194,7 +194,7 @@
 		if b.held >= fleetQueue {
 			b.full++
 			s.total.full++
-			finish(Full, ms)
+			finish(RejectedByServer, ms)
 			return
 		}
 		b.held++
@@ -225,17 +225,17 @@
 func (b *booth) use(s *fleetSim, work float64) time.Duration {
 	warmth := 1.0
 	if b.boot > 0 {
-		warmth = min(s.set.ColdFrom+(1-s.set.ColdFrom)*float64(b.served)/200, 1)
+		warmth = min(s.set.SlowStartMinFraction+(1-s.set.SlowStartMinFraction)*float64(b.served)/200, 1)
 		// Rule 4: what was sent in a window against what the server could do in it.
 		b.sent, b.work = append(b.sent, s.now), append(b.work, work)
-		for s.now-b.sent[0] > s.set.OverloadFor {
+		for s.now-b.sent[0] > s.set.ColdOverloadWindow {
 			b.sent, b.work = b.sent[1:], b.work[1:]
 		}
 		sum := 0.0
 		for _, w := range b.work {
 			sum += w
 		}
-		if can := fleetCores * warmth * s.set.OverloadFor.Seconds(); warmth < 1 && sum > s.set.FallMultiple*can+0.5 && !b.fallen {
+		if can := fleetCores * warmth * s.set.ColdOverloadWindow.Seconds(); warmth < 1 && sum > s.set.ColdOverloadMultiple*can+0.5 && !b.fallen {
 			b.fallen = true
 			s.total.falls++
 		}
@@ -289,18 +289,18 @@
 	}
 }
 
-func (a *fleetActs) Refuse(id string, d time.Duration) { a.s.answer(a.s.reqs[id], false, d) }
-func (a *fleetActs) Fail(id string)                    { a.s.answer(a.s.reqs[id], false, 0) }
-func (a *fleetActs) Watch(bool)                        {}
-func (a *fleetActs) Log(string)                        {}
+func (a *fleetActs) RejectRequest(id string, d time.Duration) { a.s.answer(a.s.reqs[id], false, d) }
+func (a *fleetActs) FailRequest(id string)                    { a.s.answer(a.s.reqs[id], false, 0) }
+func (a *fleetActs) WatchEndpoints(bool)                      {}
+func (a *fleetActs) Log(string)                               {}
 func (a *fleetActs) SetTimer(t uint64, d time.Duration) {
 	a.s.after(d, func() {
 		if a.live() {
-			a.s.gates[a.gate].Timer(a.s.now, t, a)
+			a.s.gates[a.gate].TimerFired(a.s.now, t, a)
 		}
 	})
 }
-func (a *fleetActs) Cancel(id string, n int) {
+func (a *fleetActs) CancelAttempt(id string, n int) {
 	r := a.s.reqs[id]
 	at := &r.attempts[n]
 	if at.done {
@@ -311,11 +311,11 @@
 	at.server.conns--
 	a.s.after(0, func() {
 		if a.live() {
-			a.s.gates[a.gate].Outcome(a.s.now, Outcome{ID: id, Attempt: n, Closed: r.done, Result: Cancelled, Server: at.server.ID, Took: a.s.now - at.at}, a)
+			a.s.gates[a.gate].AttemptCompleted(a.s.now, AttemptResult{ID: id, Attempt: n, RequestAnswered: r.done, Result: Cancelled, Server: at.server.ID, Latency: a.s.now - at.at}, a)
 		}
 	})
 }
-func (a *fleetActs) Probe(server string) {
+func (a *fleetActs) CheckHealth(server string) {
 	s, b := a.s, a.s.byID[server]
 	s.total.probes++
 	l := s.link(a.gate, server)
@@ -332,7 +332,7 @@
 			b.use(s, 0.0015)
 		}
 	}
-	var load *Load
+	var load *LoadReport
 	if res == OK {
 		busy := 0.0
 		for _, f := range b.free {
@@ -346,22 +346,22 @@
 		for _, u := range b.reports {
 			util += u / 4
 		}
-		load = &Load{InFlight: -1, Util: util, Queue: max(float64(b.held-fleetCores), 0)}
+		load = &LoadReport{InFlight: -1, Utilization: util, QueueLength: max(float64(b.held-fleetCores), 0)}
 	}
 	s.after(took, func() {
 		if a.live() {
-			s.gates[a.gate].Probed(s.now, server, res, load, a)
+			s.gates[a.gate].HealthCheckCompleted(s.now, server, res, load, a)
 		}
 	})
 }
-func (a *fleetActs) Tell(peer int, m []byte) {
+func (a *fleetActs) SendGossip(peer int, m []byte) {
 	s := a.s
 	s.total.tells++
 	if s.deaf || s.rng.Float64() < s.loss {
 		return
 	}
 	m = append([]byte(nil), m...)
-	hear := func() { s.gates[peer].Peer(s.now, a.gate, m, s.acts[peer]) }
+	hear := func() { s.gates[peer].GossipReceived(s.now, a.gate, m, s.acts[peer]) }
 	took := time.Duration(1+s.rng.IntN(30)) * ms
 	if s.spoilt && s.rng.Float64() < 0.05 {
 		s.after(took+time.Duration(s.rng.IntN(300))*ms, hear)
@@ -390,12 +390,12 @@
 		if !r.done {
 			r.done = true
 			if s.lives[gate] >= 0 {
-				s.gates[gate].Gone(s.now, r.id, s.acts[gate])
+				s.gates[gate].ClientDisconnected(s.now, r.id, s.acts[gate])
 			}
 		}
 		delete(s.reqs, r.id)
 	})
-	s.gates[gate].Request(s.now, Request{ID: r.id, Class: class, Plan: "kubwa", Customer: uint64(customer + 1), Grace: grace, Units: 1, Spread: s.spreads[customer], First: s.firsts[customer]}, s.acts[gate])
+	s.gates[gate].RequestReceived(s.now, Request{ID: r.id, Class: class, Plan: "kubwa", Customer: uint64(customer + 1), Timeout: grace, Units: 1, InstanceCount: s.spreads[customer], FirstInstance: s.firsts[customer]}, s.acts[gate])
 }
 
 func (s *fleetSim) arrive() {
@@ -425,7 +425,7 @@
 // start starts a gateway anew, with the list as it is.
 func (s *fleetSim) start(gate int) {
 	set := s.set
-	set.Me, set.Zone = gate, []string{"a", "b"}[gate%2]
+	set.InstanceIndex, set.Zone = gate, []string{"a", "b"}[gate%2]
 	g, err := New(set, s.rng.Uint64())
 	if err != nil {
 		panic(err)
@@ -434,7 +434,7 @@
 	s.gates[gate], s.links[gate] = g, map[string]*link{}
 	s.acts[gate] = &fleetActs{s, gate, s.lives[gate]}
 	g.Start(s.now, s.acts[gate])
-	g.List(s.now, ListSaved, s.list(), s.acts[gate])
+	g.EndpointsChanged(s.now, EndpointsSaved, s.list(), s.acts[gate])
 }
 
 func (s *fleetSim) kill(gate int) {
@@ -467,7 +467,7 @@
 	for i := range s.gates {
 		s.after(s.listDelay+time.Duration(s.rng.IntN(700))*ms, func() {
 			if s.lives[i] >= 0 {
-				s.gates[i].List(s.now, ListFull, s.list(), s.acts[i])
+				s.gates[i].EndpointsChanged(s.now, EndpointsComplete, s.list(), s.acts[i])
 			}
 		})
 	}
@@ -478,7 +478,7 @@
 	k := len(s.booths)
 	b := &booth{n: k, cap: 200, Server: Server{ID: fmt.Sprintf("s-%04x", s.rng.IntN(1<<16)*1000+k), Kind: "k", Weight: 1, Zone: []string{"a", "b"}[k%2], Cell: k % 7}}
 	if cold {
-		b.boot, b.Boot = s.now, s.now
+		b.boot, b.StartedAt = s.now, s.now
 	}
 	s.booths = append(s.booths, b)
 	s.byID[b.ID] = b
@@ -486,16 +486,16 @@
 
 func newFleet(seed uint64, gates, servers int, share float64) *fleetSim {
 	s := &fleetSim{rng: rand.New(rand.NewPCG(seed, 7)), byID: map[string]*booth{}, reqs: map[string]*fleetTry{}, loss: 0.05, window: time.Second, honour: 0.6,
-		gates: make([]*Gateway, gates), lives: make([]int, gates), acts: make([]*fleetActs, gates), links: make([]map[string]*link, gates), byWindow: make([]fleetTotals, 2000)}
+		gates: make([]*Engine, gates), lives: make([]int, gates), acts: make([]*fleetActs, gates), links: make([]map[string]*link, gates), byWindow: make([]fleetTotals, 2000)}
 	s.now = 1000 * time.Second
 	s.set = testSettings()
-	s.set.Instances, s.set.InboxPerS, s.set.Probes, s.set.Report, s.set.Tick = gates, 40, true, ReportProbes, 2*ms
-	s.set.ColdFrom, s.set.RampTime, s.set.FallMultiple, s.set.OverloadFor, s.set.MaxAttempts = 0.3, 10*time.Second, 2.5, 2*time.Second, 5
+	s.set.InstanceCount, s.set.GossipInboxRate, s.set.AllowsHealthChecks, s.set.LoadReports, s.set.MinEventInterval = gates, 40, true, LoadReportsInHealthChecks, 2*ms
+	s.set.SlowStartMinFraction, s.set.SlowStartWindow, s.set.ColdOverloadMultiple, s.set.ColdOverloadWindow, s.set.MaxAttempts = 0.3, 10*time.Second, 2.5, 2*time.Second, 5
 	s.set.Classes = []Class{
-		{Name: "safe", Effect: Safe, Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 3},
-		{Name: "keyed", Effect: Keyed, Group: GroupZone, Window: 4 * time.Second, Aim: 750 * ms, Deadline: 2 * time.Second, Worth: 9, Late: 0.2}}
-	s.set.Plans = []Plan{{Name: "kubwa", Rate: 18, Burst: 36, CeilingRate: 40, CeilingBurst: 80, Price: 1.6, OverCost: 1}}
-	s.set.PriceCross, s.set.PriceProbe, s.set.PricePeer, s.set.PriceWaste = 0.01, 0.01, 0.03, 0.05
+		{Name: "safe", Idempotency: Idempotent, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
+		{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 4 * time.Second, LatencyObjective: 750 * ms, Deadline: 2 * time.Second, PriorityWeight: 9, LateFraction: 0.2}}
+	s.set.Plans = []Plan{{Name: "kubwa", Rate: 18, Burst: 36, HardLimitRate: 40, HardLimitBurst: 80, PriorityFactor: 1.6, OverQuotaCost: 1}}
+	s.set.CrossZonePrice, s.set.HealthCheckPrice, s.set.GossipPrice, s.set.WastedWorkPrice = 0.01, 0.01, 0.03, 0.05
 	rate := share * float64(servers) * fleetCores / 0.073
 	s.load = func(time.Duration) float64 { return rate }
 	sum := 0.0
@@ -570,7 +570,7 @@
 	for _, b := range s.booths {
 		if b.Zone == zone && !b.dead {
 			b.dead, b.conns = true, 0
-			s.after(d, func() { b.dead, b.boot, b.Boot, b.served = false, s.now, s.now, 0 })
+			s.after(d, func() { b.dead, b.boot, b.StartedAt, b.served = false, s.now, s.now, 0 })
 		}
 	}
 	s.after(d+ms, s.tellList)
@@ -664,9 +664,9 @@
 	for seed := uint64(2); seed < 4; seed++ {
 		_, after, _ := playFleet(t, seed, 1, 8, func(s *fleetSim) {
 			for _, g := range s.gates {
-				g.set.ColdFrom = 0.2
+				g.set.SlowStartMinFraction = 0.2
 			}
-			s.set.ColdFrom = 0.2
+			s.set.SlowStartMinFraction = 0.2
 			s.loseZone("a", 300*ms)
 			s.loseZone("b", 300*ms)
 		})
@@ -741,11 +741,11 @@
 }
 
 // partGate is gateway 5 of 300 over 170 servers, half of them in each of two zones.
-func partGate(t *testing.T) (*Gateway, *recorder) {
+func partGate(t *testing.T) (*Engine, *recorder) {
 	t.Helper()
 	set := newFleet(1, 1, 2, 0.1).set
-	set.Instances, set.Me = 300, 5
-	set.Plans[0].CeilingRate = 0
+	set.InstanceCount, set.InstanceIndex = 300, 5
+	set.Plans[0].HardLimitRate = 0
 	list := fleet(170)
 	for i := range list {
 		list[i].Zone = []string{"a", "b"}[i%2]
@@ -760,7 +760,7 @@
 		t.Fatal("the part is whole")
 	}
 	g.retries = 5
-	g.Request(t0, newRequest(1, "keyed", "kubwa", 1), r)
+	g.RequestReceived(t0, newRequest(1, "keyed", "kubwa", 1), r)
 	for _, a := range r.acts {
 		if strings.HasPrefix(a, "refuse") {
 			t.Fatal(a)
@@ -774,7 +774,7 @@
 		}
 	}
 	first.Server.State = Draining
-	g.Outcome(t0+ms, Outcome{ID: "r1", Result: ErrorAnswer, Server: first.ID}, r)
+	g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: ErrorResponse, Server: first.ID}, r)
 	at := g.reqs["r1"].attempts
 	if len(at) != 2 || at[1].server.Zone != first.Zone || at[1].server.near {
 		t.Fatalf("%d attempts, the last at %+v", len(at), at[len(at)-1].server.Server)
@@ -785,7 +785,7 @@
 func TestColdOutsideOfThePart(t *testing.T) {
 	g, _ := partGate(t)
 	for _, s := range g.servers {
-		s.Boot = t0 - 100*ms
+		s.StartedAt = t0 - 100*ms
 		if s.credit = 100; !s.near && g.coldRoom(s, 0) {
 			t.Fatalf("cold server %s has room and is not in the part", s.ID)
 		}
@@ -962,11 +962,11 @@
 	g.now, g.out, g.warmRate = t0+10*time.Second, r, 0.1
 	light, heavy := 0, 1
 	g.set.Classes = append([]Class{}, g.set.Classes[:2]...)
-	g.set.Classes[light].Aim, g.set.Classes[heavy].Aim = 400*ms, 800*ms // a quarter of it is the work until that is learned
+	g.set.Classes[light].LatencyObjective, g.set.Classes[heavy].LatencyObjective = 400*ms, 800*ms // a quarter of it is the work until that is learned
 	cold := map[string]bool{}
 	for i, s := range g.near {
 		if g.alive(s); i%2 == 0 {
-			s.Boot, s.credit, s.credited = g.now-g.set.RampTime/4, 0, g.now
+			s.StartedAt, s.credit, s.credited = g.now-g.set.SlowStartWindow/4, 0, g.now
 			cold[s.ID] = true
 		} else {
 			s.conns, s.used = 1, g.now
@@ -1007,22 +1007,22 @@
 func TestUnitsSentWithoutAnAnswerCount(t *testing.T) {
 	for _, lost := range []string{"ask", "answer"} {
 		member, r := wideGate(t, 10)
-		member.Request(t0, wideRequest(1, 77), r)
+		member.RequestReceived(t0, wideRequest(1, 77), r)
 		to := member.holder(member.stores[77])
 		holder, hr := wideGate(t, to)
 		if lost == "answer" {
-			holder.Peer(t0+ms, 10, r.tells[to][0], hr)
+			holder.GossipReceived(t0+ms, 10, r.tells[to][0], hr)
 		}
 		for _, timer := range r.timers {
 			if timer.token&(1<<timerBits-1) == timerAsk {
-				member.Timer(t0+askWait, timer.token, r)
+				member.TimerFired(t0+askWait, timer.token, r)
 			}
 		}
 		if len(r.tells[to]) != 2 || r.count("send") != 1 {
 			t.Fatalf("%s lost: %d messages, %v", lost, len(r.tells[to]), r.acts)
 		}
 		for range 3 {
-			holder.Peer(t0+ms, 10, r.tells[to][1], hr)
+			holder.GossipReceived(t0+ms, 10, r.tells[to][1], hr)
 		}
 		st := holder.stores[77]
 		p := &holder.set.Plans[st.plan]
@@ -1079,7 +1079,7 @@
 func TestReportsAloneTellTheOccupancy(t *testing.T) {
 	g, r := partGate(t)
 	g.now, g.out = t0, r
-	g.report(g.near[0], &Load{InFlight: -1, Queue: 0, Util: 0.9})
+	g.report(g.near[0], &LoadReport{InFlight: -1, QueueLength: 0, Utilization: 0.9})
 	for i := range 50 {
 		g.observe(0, g.near[1+i%8], 60*ms)
 	}
@@ -1116,7 +1116,7 @@
 	old.aro.heard = true
 	means := [poolSize]float64{0.5, 1, 2, 0.75, 1.25}
 	old.aro.pool = means
-	tell := func(from, to *Gateway) {
+	tell := func(from, to *Engine) {
 		m, ok := to.decodeAsk(from.encodeAnswer(7, true, 0, 1))
 		if !ok {
 			t.Fatal("malformed")
@@ -1195,9 +1195,9 @@
 	g, _ := partGate(t)
 	g.now = t0 + time.Second
 	held := map[string]int{}
-	for node := range g.set.Instances {
+	for node := range g.set.InstanceCount {
 		other := *g
-		other.set.Me = node
+		other.set.InstanceIndex = node
 		other.servers = nil
 		for _, s := range g.servers {
 			own := *s
@@ -1209,24 +1209,24 @@
 		}
 	}
 	for _, s := range g.near {
-		s.Boot, s.credit, s.credited = g.now, 0, g.now-10*ms
+		s.StartedAt, s.credit, s.credited = g.now, 0, g.now-10*ms
 		g.coldRoom(s, 0)
 		all := s.credit * float64(held[s.ID]) / 0.01
-		if most := coldShare * g.set.FallMultiple * g.warmth(s); math.Abs(all/most-1) > 0.15 {
+		if most := coldShare * g.set.ColdOverloadMultiple * g.warmth(s); math.Abs(all/most-1) > 0.15 {
 			t.Errorf("%s: %d holders may send it %.3f of a second's work a second, want %.3f", s.ID, held[s.ID], all, most)
 		}
 	}
 	g.lat[0].kinds = []kindLatency{{lowest: 0.05}}
 	r := &request{Request: Request{ID: "r"}, store: &store{}}
 	for _, s := range g.servers {
-		if s.Boot = 0; !s.near {
-			g.learn(r, s, Outcome{Result: OK, Took: 50 * ms})
+		if s.StartedAt = 0; !s.near {
+			g.learn(r, s, AttemptResult{Result: OK, Latency: 50 * ms})
 		}
 	}
 	if g.okWarm != 0 {
 		t.Error("work of servers outside of the part counts for what its members carry")
 	}
-	if g.learn(r, g.near[0], Outcome{Result: OK, Took: 50 * ms}); g.okWarm == 0 {
+	if g.learn(r, g.near[0], AttemptResult{Result: OK, Latency: 50 * ms}); g.okWarm == 0 {
 		t.Error("work of a member does not count")
 	}
 }
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -83,10 +83,10 @@
 	InEpoch, OldEpoch, InSeq uint64
 }
 
-// HandOver returns the text for [Gateway.TakeOver]. The gateway goes on with the requests that it has.
-func (g *Gateway) HandOver(now time.Duration) ([]byte, error) {
+// ExportState returns the text for [Engine.ImportState]. The gateway goes on with the requests that it has.
+func (g *Engine) ExportState(now time.Duration) ([]byte, error) {
 	g.now = now
-	h := handedOver{Form: handedForm, Instances: g.set.Instances, Me: g.set.Me, Started: g.started, Plans: g.set.Plans,
+	h := handedOver{Form: handedForm, Instances: g.set.InstanceCount, Me: g.set.InstanceIndex, Started: g.started, Plans: g.set.Plans,
 		Classes: map[string]latencyHanded{}, Kinds: make([]string, len(g.kinds)), Retries: g.retries,
 		InboxRate: g.inboxRate, OKRate: g.okRate, WarmRate: g.warmRate, ProbeDue: g.probeDue}
 	for name, i := range g.kinds {
@@ -118,7 +118,7 @@
 		h.Stores = append(h.Stores, s)
 	}
 	for _, s := range g.servers {
-		h.Servers = append(h.Servers, serverHanded{ID: s.ID, Boot: s.Boot, Seen: s.seen, Ejected: s.ejected,
+		h.Servers = append(h.Servers, serverHanded{ID: s.ID, Boot: s.StartedAt, Seen: s.seen, Ejected: s.ejected,
 			Credited: s.credited, Broke: s.broke, Breaks: s.breaks, Heard: s.heard, Probed: s.probed, Lat: s.lat,
 			Errs: s.errs, Queue: s.queue, Credit: s.credit, Strikes: s.strikes, Lost: s.lost})
 	}
@@ -131,9 +131,9 @@
 	return json.Marshal(h)
 }
 
-// TakeOver goes on where the gateway left off that handed the text over. Call it after [Gateway.Start] and
+// ImportState goes on where the gateway left off that handed the text over. Call it after [Engine.Start] and
 // the first list, before the first request. An error changes nothing: the gateway begins as after a start.
-func (g *Gateway) TakeOver(now time.Duration, text []byte) error {
+func (g *Engine) ImportState(now time.Duration, text []byte) error {
 	var h handedOver
 	if err := json.Unmarshal(text, &h); err != nil {
 		return fmt.Errorf("what was handed over: %w", err)
@@ -141,12 +141,12 @@
 	if h.Form > handedForm {
 		return fmt.Errorf("what was handed over has form %d, and %d is the latest known", h.Form, handedForm)
 	}
-	if h.Instances != g.set.Instances || h.Me != g.set.Me {
-		return fmt.Errorf("what was handed over is of gateway %d of %d, and this is %d of %d", h.Me, h.Instances, g.set.Me, g.set.Instances)
+	if h.Instances != g.set.InstanceCount || h.Me != g.set.InstanceIndex {
+		return fmt.Errorf("what was handed over is of gateway %d of %d, and this is %d of %d", h.Me, h.Instances, g.set.InstanceIndex, g.set.InstanceCount)
 	}
 	for _, s := range h.Stores {
-		if s.Plan < 0 || s.Plan >= len(h.Plans) || s.Spread < 1 || s.Spread > g.set.Instances || s.First < 0 ||
-			s.First >= g.set.Instances || len(s.LevelsN) != len(s.LevelsAt) || len(s.LevelsN) > g.set.Instances ||
+		if s.Plan < 0 || s.Plan >= len(h.Plans) || s.Spread < 1 || s.Spread > g.set.InstanceCount || s.First < 0 ||
+			s.First >= g.set.InstanceCount || len(s.LevelsN) != len(s.LevelsAt) || len(s.LevelsN) > g.set.InstanceCount ||
 			len(s.LeaseFrom) != len(s.LeaseNum) || len(s.LeaseFrom) != len(s.LeaseEnds) {
 			return fmt.Errorf("what was handed over has a customer's store that can't be: %+v", s)
 		}
@@ -163,7 +163,7 @@
 		st.opened, st.zeros = s.Opened, s.Zeros
 		st.lent, st.lentAt = [2]float64{s.Lent}, now
 		if len(s.LevelsN) > 0 {
-			st.levels = make([]told, g.set.Instances)
+			st.levels = make([]told, g.set.InstanceCount)
 			for i, n := range s.LevelsN {
 				st.levels[i] = told{n, s.LevelsAt[i]}
 			}
@@ -172,7 +172,7 @@
 			st.leases = append(st.leases, lease{from, s.LeaseNum[i], s.LeaseEnds[i]})
 		}
 		for range s.Out { // attempts that the other still has out
-			st.leases = append(st.leases, lease{g.set.Me, 0, now + g.longestAim()})
+			st.leases = append(st.leases, lease{g.set.InstanceIndex, 0, now + g.longestAim()})
 		}
 		g.stores[s.Key], g.order = st, append(g.order, st)
 		if h.Plans[s.Plan] != g.set.Plans[pi] {
@@ -206,7 +206,7 @@
 	}
 	for _, e := range h.Servers {
 		s := g.byID[e.ID]
-		if s == nil || s.Boot != e.Boot {
+		if s == nil || s.StartedAt != e.Boot {
 			continue
 		}
 		s.seen, s.ejected, s.credited, s.broke, s.breaks = e.Seen, e.Ejected, min(e.Credited, now), e.Broke, e.Breaks
@@ -227,7 +227,7 @@
 }
 
 // kindOf is the place of a kind of servers.
-func (g *Gateway) kindOf(name string) int {
+func (g *Engine) kindOf(name string) int {
 	if i, ok := g.kinds[name]; ok {
 		return i
 	}
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -10,44 +10,44 @@
 
 func handoverSettings() Settings {
 	s := testSettings()
-	s.Instances, s.Me, s.Peers, s.InboxPerS = 3, 1, true, 1000
+	s.InstanceCount, s.InstanceIndex, s.AllowsGossip, s.GossipInboxRate = 3, 1, true, 1000
 	s.Plans = []Plan{
-		{Name: "ceiled", Rate: 1, Burst: 6, CeilingRate: 6, CeilingBurst: 30, Price: 1},
-		{Name: "open", Open: 4, Price: 1},
+		{Name: "ceiled", Rate: 1, Burst: 6, HardLimitRate: 6, HardLimitBurst: 30, PriorityFactor: 1},
+		{Name: "open", MaxInFlight: 4, PriorityFactor: 1},
 	}
 	return s
 }
 
 // playForHandover gives a gateway a past: spent stores, a peer's tells, a server that is out.
-func playForHandover(t *testing.T) (*Gateway, *recorder) {
+func playForHandover(t *testing.T) (*Engine, *recorder) {
 	t.Helper()
 	g, r := newGate(t, handoverSettings(), fleet(4)...)
-	peer, rp := newGate(t, func() Settings { s := handoverSettings(); s.Me = 0; return s }(), fleet(4)...)
+	peer, rp := newGate(t, func() Settings { s := handoverSettings(); s.InstanceIndex = 0; return s }(), fleet(4)...)
 	q := newRequest(900, "safe", "ceiled", 1)
-	q.Spread = 3
-	peer.Request(t0, q, rp)
+	q.InstanceCount = 3
+	peer.RequestReceived(t0, q, rp)
 	for token := range map[uint64]bool{timerTell: true} {
-		peer.Timer(t0+ms, token, rp)
+		peer.TimerFired(t0+ms, token, rp)
 	}
 	for _, m := range rp.tells[1] {
-		g.Peer(t0+2*ms, 0, m, r)
+		g.GossipReceived(t0+2*ms, 0, m, r)
 	}
 	for i := range 40 {
 		now := t0 + time.Duration(i)*100*ms
 		q := newRequest(i, "safe", []string{"ceiled", "open"}[i%2], uint64(1+i%2))
-		q.Spread = 3
-		g.Request(now, q, r)
+		q.InstanceCount = 3
+		g.RequestReceived(now, q, r)
 		if last := r.last(); strings.HasPrefix(last, "send") && i%2 == 0 {
-			g.Outcome(now+20*ms, Outcome{ID: q.ID, Result: OK, Server: strings.Fields(last)[2], Took: 20 * ms, Closed: true}, r)
+			g.AttemptCompleted(now+20*ms, AttemptResult{ID: q.ID, Result: OK, Server: strings.Fields(last)[2], Latency: 20 * ms, RequestAnswered: true}, r)
 		}
-		g.Timer(now+50*ms, timerProbe, r)
+		g.TimerFired(now+50*ms, timerProbe, r)
 	}
 	g.servers[0].lost = true
 	return g, r
 }
 
 // newHeir is a gateway that starts now.
-func newHeir(t *testing.T, s Settings, now time.Duration, servers ...Server) (*Gateway, *recorder) {
+func newHeir(t *testing.T, s Settings, now time.Duration, servers ...Server) (*Engine, *recorder) {
 	t.Helper()
 	g, err := New(s, 2)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	r := &recorder{}
 	g.Start(now, r)
-	g.List(now, ListSaved, servers, r)
+	g.EndpointsChanged(now, EndpointsSaved, servers, r)
 	return g, r
 }
 
@@ -64,12 +64,12 @@
 func TestTakeOver(t *testing.T) {
 	g, r := playForHandover(t)
 	now := t0 + 4*time.Second
-	text, err := g.HandOver(now)
+	text, err := g.ExportState(now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next, rn := newHeir(t, handoverSettings(), now, fleet(4)...)
-	if err := next.TakeOver(now, text); err != nil {
+	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
 	for key, st := range g.stores {
@@ -90,7 +90,7 @@
 	if g.lat[0].mean != next.lat[0].mean || g.lat[0].mean == 0 || next.learnedWork(0) != g.learnedWork(0) {
 		t.Errorf("latency %+v went over as %+v", g.lat[0], next.lat[0])
 	}
-	if listed, avoided := next.Servers(now); listed != 4 || avoided != 1 {
+	if listed, avoided := next.ServerCounts(now); listed != 4 || avoided != 1 {
 		t.Errorf("%d servers, %d avoided", listed, avoided)
 	}
 	// A customer that neither remembers has what its store has filled to since the first one's start.
@@ -102,10 +102,10 @@
 	for i := range 30 {
 		at := now + time.Duration(i)*50*ms
 		q := newRequest(1000+i, "safe", "ceiled", 1)
-		q.Spread = 3
+		q.InstanceCount = 3
 		before, beforeNext := r.count("send"), rn.count("send")
-		g.Request(at, q, r)
-		next.Request(at, q, rn)
+		g.RequestReceived(at, q, r)
+		next.RequestReceived(at, q, rn)
 		if (r.count("send") > before) != (rn.count("send") > beforeNext) {
 			t.Fatalf("request %d: %q and %q", i, r.last(), rn.last())
 		}
@@ -116,9 +116,9 @@
 func TestTakeOverKnowsPeersNumbers(t *testing.T) {
 	g, _ := playForHandover(t)
 	now := t0 + 4*time.Second
-	text, _ := g.HandOver(now)
+	text, _ := g.ExportState(now)
 	next, rn := newHeir(t, handoverSettings(), now, fleet(4)...)
-	if err := next.TakeOver(now, text); err != nil {
+	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
 	if !g.peers[0].heard {
@@ -126,11 +126,11 @@
 	}
 	level := next.stores[1].level
 	body := next.appendEntry(nil, &store{key: 1, spread: 3, untold: 2}, 0)
-	next.Peer(now, 0, encodeTell(g.peers[0].inEpoch, g.peers[0].inSeq, 1, body, 0, nil), rn)
+	next.GossipReceived(now, 0, encodeTell(g.peers[0].inEpoch, g.peers[0].inSeq, 1, body, 0, nil), rn)
 	if next.stores[1].level != level {
 		t.Errorf("an old tell took %v", level-next.stores[1].level)
 	}
-	next.Peer(now, 0, encodeTell(g.peers[0].inEpoch, g.peers[0].inSeq+1, 1, body, 0, nil), rn)
+	next.GossipReceived(now, 0, encodeTell(g.peers[0].inEpoch, g.peers[0].inSeq+1, 1, body, 0, nil), rn)
 	if next.stores[1].level != level-2 {
 		t.Errorf("a new tell took %v of 2", level-next.stores[1].level)
 	}
@@ -141,17 +141,17 @@
 func TestTakeOverIntoOtherSettings(t *testing.T) {
 	g, _ := playForHandover(t)
 	now := t0 + 4*time.Second
-	text, _ := g.HandOver(now)
+	text, _ := g.ExportState(now)
 	s := handoverSettings()
-	s.Plans = []Plan{{Name: "novel", Rate: 1, Burst: 1}, {Name: "ceiled", Rate: 20, Burst: 60, CeilingRate: 40, CeilingBurst: 120, Price: 1}}
+	s.Plans = []Plan{{Name: "novel", Rate: 1, Burst: 1}, {Name: "ceiled", Rate: 20, Burst: 60, HardLimitRate: 40, HardLimitBurst: 120, PriorityFactor: 1}}
 	s.Classes = s.Classes[1:]
 	servers := fleet(4)
-	servers[0].Boot = now
+	servers[0].StartedAt = now
 	next, _ := newHeir(t, s, now, servers...)
-	if err := next.TakeOver(now, text); err != nil {
+	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
-	if _, avoided := next.Servers(now); avoided != 0 {
+	if _, avoided := next.ServerCounts(now); avoided != 0 {
 		t.Error("a server that has restarted since is avoided")
 	}
 	st, was := next.stores[1], g.stores[1]
@@ -170,9 +170,9 @@
 func TestTakeOverRefused(t *testing.T) {
 	g, _ := playForHandover(t)
 	now := t0 + 4*time.Second
-	text, _ := g.HandOver(now)
+	text, _ := g.ExportState(now)
 	other := handoverSettings()
-	other.Me = 2
+	other.InstanceIndex = 2
 	for name, c := range map[string]struct {
 		set  Settings
 		text string
@@ -183,7 +183,7 @@
 		"store that can't": {handoverSettings(), strings.Replace(string(text), `"Spread":3`, `"Spread":9`, 1)},
 	} {
 		next, _ := newGate(t, c.set, fleet(4)...)
-		if err := next.TakeOver(now, []byte(c.text)); err == nil || len(next.stores) != 0 || next.started != t0 {
+		if err := next.ImportState(now, []byte(c.text)); err == nil || len(next.stores) != 0 || next.started != t0 {
 			t.Errorf("%s: error %v, %d stores", name, err, len(next.stores))
 		}
 	}
