--- a/policy/ledger_test.go
+++ b/policy/ledger_test.go
@@ -59,7 +59,7 @@
 	case l.take(l.own, now, r.customer):
 		l.units[0]++
 	default:
-		l.beyond += worthOf(r) * l.plan.OverCost
+		l.beyond += worthOf(r) * l.plan.OverQuotaCost
 	}
 }
 
@@ -87,7 +87,7 @@
 		for seed := range uint64(3) {
 			s := newFleet(seed, c.gates, c.servers, 0.3)
 			s.loss, s.spoilt = 0.08, true
-			s.set.Plans[0].CeilingRate = 0 // nothing but the quota bounds what passes
+			s.set.Plans[0].HardLimitRate = 0 // nothing but the quota bounds what passes
 			s.heavy(8, 4)
 			for i := range s.gates {
 				s.start(i)
--- a/policy/lend_test.go
+++ b/policy/lend_test.go
@@ -12,7 +12,7 @@
 // under a ceiling whose requests come in bursts, now at one gateway and now at another.
 type lenders struct {
 	set    Settings
-	gates  []*Gateway
+	gates  []*Engine
 	outs   []*recorder
 	timers [][]timerSet // with the time at which each is due
 	wire   []parcel
@@ -31,10 +31,10 @@
 const lenderKey = 7
 
 func newLenders(t *testing.T, seed uint64, gates int) *lenders {
-	w := &lenders{set: testSettings(), now: t0, rng: rand.New(rand.NewPCG(seed, 4)), gates: make([]*Gateway, gates),
+	w := &lenders{set: testSettings(), now: t0, rng: rand.New(rand.NewPCG(seed, 4)), gates: make([]*Engine, gates),
 		outs: make([]*recorder, gates), timers: make([][]timerSet, gates)}
-	w.set.Instances = gates
-	w.set.Plans = []Plan{{Name: "hard", Rate: 1000, Burst: 1000, CeilingRate: 25, CeilingBurst: 24, Price: 1}}
+	w.set.InstanceCount = gates
+	w.set.Plans = []Plan{{Name: "hard", Rate: 1000, Burst: 1000, HardLimitRate: 25, HardLimitBurst: 24, PriorityFactor: 1}}
 	for i := range gates {
 		w.start(t, i)
 	}
@@ -42,14 +42,14 @@
 }
 
 func (w *lenders) start(t *testing.T, i int) {
-	w.set.Me = i
+	w.set.InstanceIndex = i
 	g, err := New(w.set, w.rng.Uint64())
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.gates[i], w.outs[i], w.timers[i] = g, &recorder{}, nil
 	g.Start(w.now, w.outs[i])
-	g.List(w.now, ListSaved, fleet(4), w.outs[i])
+	g.EndpointsChanged(w.now, EndpointsSaved, fleet(4), w.outs[i])
 	w.collect(i, 0)
 }
 
@@ -78,7 +78,7 @@
 			kept = append(kept, p)
 			continue
 		}
-		w.gates[p.to].Peer(w.now, p.from, p.msg, w.outs[p.to])
+		w.gates[p.to].GossipReceived(w.now, p.from, p.msg, w.outs[p.to])
 		w.collect(p.to, loss)
 	}
 	w.wire = kept
@@ -89,7 +89,7 @@
 			if tm.after > w.now {
 				w.timers[i] = append(w.timers[i], tm)
 			} else {
-				w.gates[i].Timer(w.now, tm.token, w.outs[i])
+				w.gates[i].TimerFired(w.now, tm.token, w.outs[i])
 				w.collect(i, loss)
 			}
 		}
@@ -100,13 +100,13 @@
 func (w *lenders) ask(i int) (sent bool) {
 	w.n++
 	q := newRequest(w.n, "safe", "hard", lenderKey)
-	q.Spread = len(w.gates)
+	q.InstanceCount = len(w.gates)
 	r := w.outs[i]
 	r.acts = nil
-	w.gates[i].Request(w.now, q, r)
+	w.gates[i].RequestReceived(w.now, q, r)
 	if sent = r.count("send") == 1; sent {
 		w.sent++
-		w.gates[i].Outcome(w.now, Outcome{ID: q.ID, Result: OK, Server: r.acts[0][len("send ")+len(q.ID)+1:], Took: ms, Closed: true}, r)
+		w.gates[i].AttemptCompleted(w.now, AttemptResult{ID: q.ID, Result: OK, Server: r.acts[0][len("send ")+len(q.ID)+1:], Latency: ms, RequestAnswered: true}, r)
 	}
 	return sent
 }
@@ -163,7 +163,7 @@
 				w.start(t, w.rng.IntN(3))
 			}
 			w.step(loss)
-			level = math.Min(level+p.CeilingRate/1000, p.CeilingBurst)
+			level = math.Min(level+p.HardLimitRate/1000, p.HardLimitBurst)
 			if w.rng.Float64() < rate {
 				i := busy
 				if w.rng.IntN(4) == 0 {
@@ -177,8 +177,8 @@
 				t.Fatalf("seed %d, %v: the ceiling is passed by %.2f units", seed, w.now-t0, -level)
 			}
 			if loss == 0 {
-				if sum := w.held(); sum > p.CeilingBurst+1e-6 {
-					t.Fatalf("seed %d, %v: parts hold %.2f of %v", seed, w.now-t0, sum, p.CeilingBurst)
+				if sum := w.held(); sum > p.HardLimitBurst+1e-6 {
+					t.Fatalf("seed %d, %v: parts hold %.2f of %v", seed, w.now-t0, sum, p.HardLimitBurst)
 				}
 			}
 			for _, g := range w.gates {
@@ -205,7 +205,7 @@
 			w.sent = 0
 		}
 	}
-	whole := 5 * w.set.Plans[0].CeilingRate
+	whole := 5 * w.set.Plans[0].HardLimitRate
 	if w.sent < 0.85*whole {
 		t.Errorf("%v units sent on in 5 s through one of three gateways, want nearly %v", w.sent, whole)
 	}
@@ -226,7 +226,7 @@
 	b.mark(b.stores[lenderKey])
 	b.tell()
 	tell := w.outs[1].tells[0][0]
-	a.Peer(w.now, 1, tell, w.outs[0])
+	a.GossipReceived(w.now, 1, tell, w.outs[0])
 	a.tell()
 	loan := w.outs[0].tells[1][0]
 	took := part - a.stores[lenderKey].ceiling
@@ -234,7 +234,7 @@
 		t.Fatalf("%v of %v lent where 3 are lacked", took, part)
 	}
 	for range 2 {
-		b.Peer(w.now, 0, loan, w.outs[1])
+		b.GossipReceived(w.now, 0, loan, w.outs[1])
 	}
 	if got := b.stores[lenderKey].ceiling; got != took {
 		t.Errorf("%v borrowed of %v lent", got, took)
@@ -247,12 +247,12 @@
 	w.start(t, 1)
 	reborn := w.gates[1]
 	repeat := w.outs[0].tells[1][1]
-	if reborn.Peer(w.now, 0, repeat, w.outs[1]); reborn.stores[lenderKey].ceiling != 0 {
+	if reborn.GossipReceived(w.now, 0, repeat, w.outs[1]); reborn.stores[lenderKey].ceiling != 0 {
 		t.Errorf("a gateway that has just started holds %v of the ceiling", reborn.stores[lenderKey].ceiling)
 	}
-	text, err := a.HandOver(a.now)
+	text, err := a.ExportState(a.now)
 	heir, _ := newHeir(t, a.set, a.now, fleet(4)...)
-	if err = errors.Join(err, heir.TakeOver(a.now, text)); err != nil || heir.ceilingMost(heir.stores[lenderKey]) != part-took {
+	if err = errors.Join(err, heir.ImportState(a.now, text)); err != nil || heir.ceilingMost(heir.stores[lenderKey]) != part-took {
 		t.Errorf("the loan is not handed over: %v, part of %v", err, heir.ceilingMost(heir.stores[lenderKey]))
 	}
 	if a.now += a.lendTime() / 2; a.storeFor(lenderKey, 0, 2, 0).ceiling > part-took {
@@ -276,7 +276,7 @@
 	had := a.storeFor(lenderKey, 0, 2, 0).level
 	old := encodeTell(3, 1, 1, entry[:len(entry)-2], 0, nil)
 	old[0] = kindOldTell
-	a.Peer(w.now, 1, old, w.outs[0])
+	a.GossipReceived(w.now, 1, old, w.outs[0])
 	if got := had - a.stores[lenderKey].level; got != 5 || before <= 0 {
 		t.Errorf("%v units heard of 5", got)
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -64,7 +64,7 @@
 	now     time.Duration
 	queue   queue
 	n       int
-	gates   []*Gateway
+	gates   []*Engine
 	lives   []int
 	reqs    map[string]*tracked
 	servers map[string]Server
@@ -101,7 +101,7 @@
 	p.w.log = append(p.w.log, fmt.Sprintf("%v %d ", p.w.now, p.gate)+fmt.Sprintf(format, args...))
 }
 
-func (p port) Send(id, server string, timeout time.Duration) {
+func (p port) SendAttempt(id, server string, timeout time.Duration) {
 	w := p.w
 	p.note("send %s %s %v", id, server, timeout)
 	r := w.reqs[id]
@@ -128,19 +128,19 @@
 		}
 		was, is := w.servers[a.server], w.servers[server]
 		switch {
-		case c.Effect == Unsafe:
+		case c.Idempotency == NonIdempotent:
 			w.fail("rule 2: unsafe %s sent again", id)
-		case c.Effect == Keyed && w.now-a.at > c.Window:
+		case c.Idempotency == IdempotentWithKey && w.now-a.at > c.DedupWindow:
 			w.fail("rule 2: keyed %s sent again after %v", id, w.now-a.at)
-		case c.Effect == Keyed && c.Group == GroupZone && was.Zone != is.Zone,
-			c.Effect == Keyed && c.Group == GroupCell && was.Cell != is.Cell:
+		case c.Idempotency == IdempotentWithKey && c.DedupScope == DedupZone && was.Zone != is.Zone,
+			c.Idempotency == IdempotentWithKey && c.DedupScope == DedupCell && was.Cell != is.Cell:
 			w.fail("rule 2: keyed %s sent outside its group", id)
 		}
 	}
-	if out > 0 && !w.set.Parallel {
+	if out > 0 && !w.set.AllowsHedging {
 		w.fail("rule 2: %s has two attempts out", id)
 	}
-	if at, ok := w.told[p.gate][server]; ok && w.now-at > w.set.DrainGrace {
+	if at, ok := w.told[p.gate][server]; ok && w.now-at > w.set.DrainGracePeriod {
 		w.fail("rule 3: send to %s %v after its drain was told", server, w.now-at)
 	}
 	if len(r.tries) == 0 {
@@ -148,23 +148,23 @@
 	}
 	w.checkCold(server)
 	n := len(r.tries)
-	end := r.at + r.q.Grace
+	end := r.at + r.q.Timeout
 	took := time.Duration(w.rng.ExpFloat64() * float64(60*ms))
 	res := OK
 	switch w.rng.IntN(24) {
 	case 0:
-		res = ErrorAnswer
+		res = ErrorResponse
 	case 1:
-		res, took = Full, ms
+		res, took = RejectedByServer, ms
 	case 2:
-		res = Reset
+		res = ConnectionReset
 	case 3:
 		res, took = ConnectFailed, 50*ms
 	case 4:
 		took = time.Hour
 	}
 	if w.overRate(server) {
-		res, took = Full, ms
+		res, took = RejectedByServer, ms
 	}
 	limit := end - w.now
 	if timeout > 0 {
@@ -192,7 +192,7 @@
 	if a.done {
 		return
 	}
-	a.done, a.noRun, a.end = true, res == Full || res == ConnectFailed || res == Moot, w.now
+	a.done, a.noRun, a.end = true, res == RejectedByServer || res == ConnectFailed || res == NotSent, w.now
 	if res == OK {
 		w.oks[a.server] = append(w.oks[a.server], w.now)
 		if r.final == 0 {
@@ -203,8 +203,8 @@
 	if r.killed || w.lives[p.gate] != p.life {
 		return
 	}
-	o := Outcome{ID: r.q.ID, Attempt: n, Closed: r.final > 0, Result: res, Server: a.server, Took: w.now - a.at}
-	w.gates[p.gate].Outcome(w.now, o, p)
+	o := AttemptResult{ID: r.q.ID, Attempt: n, RequestAnswered: r.final > 0, Result: res, Server: a.server, Latency: w.now - a.at}
+	w.gates[p.gate].AttemptCompleted(w.now, o, p)
 }
 
 // draw takes the first send of a try from its customer's ceiling: rule 5.
@@ -215,12 +215,12 @@
 	}
 	s := w.ceil[q.Customer]
 	if s == nil {
-		s = &ceilingStore{p.CeilingBurst, 0}
+		s = &ceilingStore{p.HardLimitBurst, 0}
 		w.ceil[q.Customer] = s
 	}
-	s.level = math.Min(p.CeilingBurst, s.level+p.CeilingRate*(w.now-s.at).Seconds()) - q.Units
+	s.level = math.Min(p.HardLimitBurst, s.level+p.HardLimitRate*(w.now-s.at).Seconds()) - q.Units
 	s.at = w.now
-	if s.level < -p.CeilingSlack-1e-6 {
+	if s.level < -p.HardLimitSlack-1e-6 {
 		w.fail("rule 5: ceiling of customer %d at %.2f", q.Customer, s.level)
 	}
 }
@@ -229,19 +229,19 @@
 func (w *world) checkCold(server string) {
 	w.sends[server] = append(w.sends[server], w.now)
 	boot, ok := w.boots[server]
-	if !ok || w.now-boot >= w.set.RampTime {
+	if !ok || w.now-boot >= w.set.SlowStartWindow {
 		return
 	}
-	age := (w.now - boot).Seconds() / w.set.RampTime.Seconds()
-	share := w.set.ColdFrom + (1-w.set.ColdFrom)*age
+	age := (w.now - boot).Seconds() / w.set.SlowStartWindow.Seconds()
+	share := w.set.SlowStartMinFraction + (1-w.set.SlowStartMinFraction)*age
 	n := 0.0
 	for _, at := range w.sends[server] {
-		if at >= boot && w.now-at <= w.set.OverloadFor {
+		if at >= boot && w.now-at <= w.set.ColdOverloadWindow {
 			n++
 		}
 	}
-	if n > w.set.FallMultiple*share*serverRate*w.set.OverloadFor.Seconds() {
-		w.fail("rule 4: %v sends in %v to cold %s at %.2f", n, w.set.OverloadFor, server, share)
+	if n > w.set.ColdOverloadMultiple*share*serverRate*w.set.ColdOverloadWindow.Seconds() {
+		w.fail("rule 4: %v sends in %v to cold %s at %.2f", n, w.set.ColdOverloadWindow, server, share)
 	}
 }
 
@@ -255,20 +255,20 @@
 	if r.final > 0 {
 		p.w.fail("rule 1: second answer to %s", id)
 	}
-	if p.w.now > r.at+r.q.Grace+p.w.set.AnswerSlack {
+	if p.w.now > r.at+r.q.Timeout+p.w.set.ResponseSlack {
 		p.w.fail("rule 1: answer to %s late", id)
 	}
 	r.final++
 	return r
 }
 
-func (p port) Refuse(id string, _ time.Duration) {
+func (p port) RejectRequest(id string, _ time.Duration) {
 	r := p.end(id, "refuse")
 	if r == nil {
 		return
 	}
 	for _, c := range p.w.set.Classes {
-		if c.Name != r.q.Class || c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
+		if c.Name != r.q.Class || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers {
 			continue
 		}
 		for _, a := range r.tries {
@@ -279,9 +279,9 @@
 	}
 }
 
-func (p port) Fail(id string) { p.end(id, "fail") }
+func (p port) FailRequest(id string) { p.end(id, "fail") }
 
-func (p port) Cancel(id string, n int) {
+func (p port) CancelAttempt(id string, n int) {
 	p.note("cancel %s %d", id, n)
 	r := p.w.reqs[id]
 	p.w.after(ms, func() { p.w.finish(p, r, n, Cancelled) })
@@ -290,14 +290,14 @@
 func (p port) SetTimer(token uint64, d time.Duration) {
 	p.w.after(d, func() {
 		if p.w.lives[p.gate] == p.life {
-			p.w.gates[p.gate].Timer(p.w.now, token, p)
+			p.w.gates[p.gate].TimerFired(p.w.now, token, p)
 		}
 	})
 }
 
-func (p port) Probe(string) {}
+func (p port) CheckHealth(string) {}
 
-func (p port) Tell(to int, m []byte) {
+func (p port) SendGossip(to int, m []byte) {
 	if len(m) > 256 {
 		p.w.fail("message of %d bytes", len(m))
 	}
@@ -308,13 +308,13 @@
 			continue
 		}
 		p.w.after(time.Duration(p.w.rng.IntN(150))*ms, func() {
-			p.w.gates[to].Peer(p.w.now, p.gate, b, port{p.w, to, p.w.lives[to]})
+			p.w.gates[to].GossipReceived(p.w.now, p.gate, b, port{p.w, to, p.w.lives[to]})
 		})
 	}
 }
 
-func (p port) Watch(bool) {}
-func (p port) Log(string) {}
+func (p port) WatchEndpoints(bool) {}
+func (p port) Log(string)          {}
 
 func (w *world) start(i int) {
 	w.lives[i]++
@@ -324,7 +324,7 @@
 		}
 	}
 	s := w.set
-	s.Me = i
+	s.InstanceIndex = i
 	g, err := New(s, w.rng.Uint64())
 	if err != nil {
 		w.t.Fatal(err)
@@ -332,10 +332,10 @@
 	w.gates[i] = g
 	p := port{w, i, w.lives[i]}
 	g.Start(w.now, p)
-	w.tellList(i, ListSaved, w.ids...)
+	w.tellList(i, EndpointsSaved, w.ids...)
 }
 
-func (w *world) tellList(i int, form ListForm, ids ...string) {
+func (w *world) tellList(i int, form EndpointUpdateKind, ids ...string) {
 	var list []Server
 	for _, id := range ids {
 		s := w.servers[id]
@@ -346,18 +346,18 @@
 			w.told[i][id] = w.now
 		}
 	}
-	w.gates[i].List(w.now, form, list, port{w, i, w.lives[i]})
+	w.gates[i].EndpointsChanged(w.now, form, list, port{w, i, w.lives[i]})
 }
 
 // play runs one random sequence on so many gateways and returns the gateways' actions.
-func play(t *testing.T, seed uint64, parallel bool, group Group, loss float64, gates int) *world {
+func play(t *testing.T, seed uint64, parallel bool, group DedupScope, loss float64, gates int) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), reqs: map[string]*tracked{}, servers: map[string]Server{},
 		boots: map[string]time.Duration{}, sends: map[string][]time.Duration{}, oks: map[string][]time.Duration{},
 		ceil: map[uint64]*ceilingStore{}, loss: loss}
 	w.set = testSettings()
-	w.set.Instances, w.set.Parallel = gates, parallel
-	w.set.Classes[1].Group = group
-	w.gates, w.lives = make([]*Gateway, gates), make([]int, gates)
+	w.set.InstanceCount, w.set.AllowsHedging = gates, parallel
+	w.set.Classes[1].DedupScope = group
+	w.gates, w.lives = make([]*Engine, gates), make([]int, gates)
 	for i := 0; i < 8; i++ {
 		id := fmt.Sprintf("s%d", i)
 		w.ids = append(w.ids, id)
@@ -375,7 +375,7 @@
 		}
 		w.after(time.Duration(w.rng.ExpFloat64()*float64(5*ms)), arrive)
 		q := Request{ID: fmt.Sprintf("r%d", w.n), Class: w.set.Classes[w.rng.IntN(3)].Name, Plan: w.set.Plans[w.rng.IntN(3)].Name,
-			Grace: time.Duration(300+w.rng.IntN(1700)) * ms, Units: float64(1 + w.rng.IntN(3)), Spread: min(gates, 12)}
+			Timeout: time.Duration(300+w.rng.IntN(1700)) * ms, Units: float64(1 + w.rng.IntN(3)), InstanceCount: min(gates, 12)}
 		q.Customer = uint64(w.rng.IntN(4))
 		if q.Plan != w.set.Plans[0].Name {
 			q.Customer += 100 * uint64(1+w.rng.IntN(2))
@@ -383,10 +383,10 @@
 				q.Customer += 1000
 			}
 		}
-		q.First = int(q.Customer*7) % gates
-		g := (q.First + w.rng.IntN(q.Spread)) % gates
+		q.FirstInstance = int(q.Customer*7) % gates
+		g := (q.FirstInstance + w.rng.IntN(q.InstanceCount)) % gates
 		w.reqs[q.ID] = &tracked{q: q, gate: g, life: w.lives[g], at: w.now}
-		w.gates[g].Request(w.now, q, port{w, g, w.lives[g]})
+		w.gates[g].RequestReceived(w.now, q, port{w, g, w.lives[g]})
 	}
 	w.after(0, arrive)
 	for i := 0; i < 14; i++ {
@@ -402,12 +402,12 @@
 			case 2:
 				s.State = Removed
 			case 3:
-				s.State, s.Boot = Up, w.now
+				s.State, s.StartedAt = Up, w.now
 				w.boots[id], w.oks[id] = w.now, nil
 			}
 			w.servers[id] = s
 			for g := range w.gates {
-				w.tellList(g, ListChanges, id)
+				w.tellList(g, EndpointsDelta, id)
 			}
 		})
 	}
@@ -426,20 +426,20 @@
 
 func testSettings() Settings {
 	return Settings{
-		Instances: 1, Zone: "a",
+		InstanceCount: 1, Zone: "a",
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "keyed", Effect: Keyed, Group: GroupZone, Window: 300 * ms, Aim: 800 * ms, Deadline: 2 * time.Second, Worth: 3},
-			{Name: "unsafe", Effect: Unsafe, Window: time.Second, Aim: 800 * ms, Deadline: 2 * time.Second, Worth: 3},
+			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 300 * ms, LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
+			{Name: "unsafe", Idempotency: NonIdempotent, DedupWindow: time.Second, LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
 		},
 		Plans: []Plan{
-			{Name: "hard", Rate: 20, Burst: 20, CeilingRate: 25, CeilingBurst: 24, CeilingSlack: 1, Price: 1},
-			{Name: "rate", Rate: 40, Burst: 40, Price: 1},
-			{Name: "open", Open: 6, Price: 1},
+			{Name: "hard", Rate: 20, Burst: 20, HardLimitRate: 25, HardLimitBurst: 24, HardLimitSlack: 1, PriorityFactor: 1},
+			{Name: "rate", Rate: 40, Burst: 40, PriorityFactor: 1},
+			{Name: "open", MaxInFlight: 6, PriorityFactor: 1},
 		},
-		AnswerSlack: 10 * ms, DrainGrace: 200 * ms, ColdFrom: 0.2, RampTime: 8 * time.Second, FallMultiple: 2,
-		OverloadFor: time.Second, MaxAttempts: 4, Cancel: true, Peers: true, RetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, InboxPerS: 60, Tick: ms,
+		ResponseSlack: 10 * ms, DrainGracePeriod: 200 * ms, SlowStartMinFraction: 0.2, SlowStartWindow: 8 * time.Second, ColdOverloadMultiple: 2,
+		ColdOverloadWindow: time.Second, MaxAttempts: 4, AllowsCancel: true, AllowsGossip: true, SendsRetryAfter: true,
+		MaxRetryAfter: 2 * time.Second, GossipInboxRate: 60, MinEventInterval: ms,
 	}
 }
 
@@ -456,7 +456,7 @@
 		if gates > 3 {
 			loss = []float64{0, 0.1, 1}[seed/6%3]
 		}
-		w := play(t, seed, seed%2 == 0, Group(seed%3), loss, gates)
+		w := play(t, seed, seed%2 == 0, DedupScope(seed%3), loss, gates)
 		served, total = served+w.served, total+len(w.reqs)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
@@ -468,7 +468,7 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	a, b := play(t, 7, true, GroupCell, 0.1, 3), play(t, 7, true, GroupCell, 0.1, 3)
+	a, b := play(t, 7, true, DedupCell, 0.1, 3), play(t, 7, true, DedupCell, 0.1, 3)
 	if len(a.log) < 1000 || len(a.log) != len(b.log) {
 		t.Fatalf("%d and %d actions", len(a.log), len(b.log))
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -8,15 +8,15 @@
 // validate returns an error that names the first field that can't be.
 func (s *Settings) validate() error {
 	switch {
-	case s.Instances < 1:
+	case s.InstanceCount < 1:
 		return errors.New("Instances is below 1")
-	case s.Me < 0 || s.Me >= s.Instances:
+	case s.InstanceIndex < 0 || s.InstanceIndex >= s.InstanceCount:
 		return errors.New("Me is outside Instances")
 	case len(s.Classes) == 0:
 		return errors.New("Classes is empty")
-	case s.ColdFrom < 0 || s.ColdFrom > 1 || s.FallMultiple < 0 || s.RampTime < 0 || s.OverloadFor < 0:
+	case s.SlowStartMinFraction < 0 || s.SlowStartMinFraction > 1 || s.ColdOverloadMultiple < 0 || s.SlowStartWindow < 0 || s.ColdOverloadWindow < 0:
 		return errors.New("ColdFrom, FallMultiple, RampTime or OverloadFor is out of range")
-	case s.MaxAttempts < 0 || s.InboxPerS < 0 || s.Tick < 0 || s.DrainGrace < 0:
+	case s.MaxAttempts < 0 || s.GossipInboxRate < 0 || s.MinEventInterval < 0 || s.DrainGracePeriod < 0:
 		return errors.New("MaxAttempts, InboxPerS, Tick or DrainGrace is negative")
 	}
 	names := map[string]bool{}
@@ -24,7 +24,7 @@
 		if names[c.Name] {
 			return fmt.Errorf("Classes: %q stands twice", c.Name)
 		}
-		if names[c.Name] = true; c.Aim < 0 || c.Deadline < 0 || c.Window < 0 || c.Worth < 0 {
+		if names[c.Name] = true; c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0 || c.PriorityWeight < 0 {
 			return fmt.Errorf("Classes: %q has a negative figure", c.Name)
 		}
 	}
@@ -34,12 +34,12 @@
 			return fmt.Errorf("Plans: %q stands twice", p.Name)
 		}
 		names[p.Name] = true
-		if p.Rate < 0 || p.Burst < 0 || p.Open < 0 || p.CeilingRate < 0 || p.CeilingBurst < 0 || p.CeilingSlack < 0 {
+		if p.Rate < 0 || p.Burst < 0 || p.MaxInFlight < 0 || p.HardLimitRate < 0 || p.HardLimitBurst < 0 || p.HardLimitSlack < 0 {
 			return fmt.Errorf("Plans: %q has a negative figure", p.Name)
 		}
 	}
 	return nil
 }
 
-// ColdMultiple is the multiple of what a cold server can take that gateways together send it at the most.
-func (s *Settings) ColdMultiple() float64 { return coldShare * s.FallMultiple }
+// ColdBudgetMultiple is the multiple of what a cold server can take that gateways together send it at the most.
+func (s *Settings) ColdBudgetMultiple() float64 { return coldShare * s.ColdOverloadMultiple }
--- a/policy/state.go
+++ b/policy/state.go
@@ -149,8 +149,8 @@
 	unanswered int // asks since its last answer
 }
 
-// Gateway decides for one edge node.
-type Gateway struct {
+// Engine decides for one edge node.
+type Engine struct {
 	set     Settings
 	rng     *rand.Rand
 	now     time.Duration
@@ -182,7 +182,7 @@
 	tellGap time.Duration
 
 	refused          [whyCount]uint64 // requests, by what they were refused for
-	beyond           Beyond
+	beyond           OverQuotaUnits
 	aro              aro
 	deaf             int     // asks in a row that no holder has answered
 	retries          float64 // further attempts saved up
@@ -225,14 +225,14 @@
 }
 
 // New returns a gateway for the settings, or an error that names a field that cannot be.
-func New(s Settings, seed uint64) (*Gateway, error) {
+func New(s Settings, seed uint64) (*Engine, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	g := &Gateway{
+	g := &Engine{
 		set: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), byID: map[string]*server{}, reqs: map[string]*request{},
 		byNum: map[uint64]*request{}, class: map[string]int{}, plan: map[string]int{}, kinds: map[string]int{},
-		stores: map[uint64]*store{}, peers: make([]peer, s.Instances), lat: make([]classLatency, len(s.Classes)), cold: map[string]*coldZone{},
+		stores: map[uint64]*store{}, peers: make([]peer, s.InstanceCount), lat: make([]classLatency, len(s.Classes)), cold: map[string]*coldZone{},
 		watch: zonehealth.New(zonehealth.Usual),
 	}
 	g.set.Classes = append([]Class(nil), s.Classes...)
@@ -280,27 +280,27 @@
 }
 
 // inSet tells whether a gateway is one of a customer's.
-func (g *Gateway) inSet(i, first, spread int) bool {
-	return (i-first+g.set.Instances)%g.set.Instances < spread
+func (g *Engine) inSet(i, first, spread int) bool {
+	return (i-first+g.set.InstanceCount)%g.set.InstanceCount < spread
 }
 
-func (g *Gateway) longestAim() (d time.Duration) {
+func (g *Engine) longestAim() (d time.Duration) {
 	for _, c := range g.set.Classes {
-		d = max(d, c.Aim)
+		d = max(d, c.LatencyObjective)
 	}
 	return d
 }
 
 func clamp(f float64) float64 { return math.Min(math.Max(f, fLeast), 1) }
 
-func (g *Gateway) weight(s *server) float64 {
+func (g *Engine) weight(s *server) float64 {
 	if s.Weight > 0 {
 		return s.Weight
 	}
 	return 1
 }
 
-func (g *Gateway) meanLatency() float64 {
+func (g *Engine) meanLatency() float64 {
 	var sum, n float64
 	for i := range g.lat {
 		if g.lat[i].mean > 0 {
@@ -311,7 +311,7 @@
 }
 
 // learnedWork is 0 as long as nothing is known of the class.
-func (g *Gateway) learnedWork(class int) float64 {
+func (g *Engine) learnedWork(class int) float64 {
 	least := 0.0
 	for _, k := range g.lat[class].kinds {
 		if k.lowest > 0 && (least == 0 || k.lowest < least) {
@@ -321,7 +321,7 @@
 	return least
 }
 
-func (g *Gateway) log(format string, args ...any) {
+func (g *Engine) log(format string, args ...any) {
 	if g.now-g.logAt >= time.Second {
 		g.logAt = g.now
 		g.out.Log(fmt.Sprintf(format, args...))
@@ -363,8 +363,8 @@
 	a.n[a.slot()]++
 }
 
-func (g *Gateway) mark(st *store) {
-	if !st.dirty && !st.wide && g.set.Peers && g.set.Instances > 1 {
+func (g *Engine) mark(st *store) {
+	if !st.dirty && !st.wide && g.set.AllowsGossip && g.set.InstanceCount > 1 {
 		st.dirty = true
 		g.dirty = append(g.dirty, st)
 	}
@@ -401,9 +401,9 @@
 // aside tells whether the server is kept for when no other is left.
 func (s *server) aside(now time.Duration) bool { return s.lost || now < s.ejected }
 
-// Servers counts the servers in the list, and those of them that get no request while others are left:
+// ServerCounts counts the servers in the list, and those of them that get no request while others are left:
 // silent, or ejected for their failures.
-func (g *Gateway) Servers(now time.Duration) (listed, avoided int) {
+func (g *Engine) ServerCounts(now time.Duration) (listed, avoided int) {
 	for _, s := range g.servers {
 		if s.listed {
 			listed++
@@ -413,8 +413,8 @@
 	return listed, avoided
 }
 
-// Carries is how many warm servers of unit weight those of a zone are worth that take requests and answer.
-func (g *Gateway) Carries(now time.Duration, zone string) (sum float64) {
+// ZoneCapacity is how many warm servers of unit weight those of a zone are worth that take requests and answer.
+func (g *Engine) ZoneCapacity(now time.Duration, zone string) (sum float64) {
 	g.now = now
 	for _, s := range g.servers {
 		if s.Zone == zone && s.takes() && !s.lost {
@@ -424,17 +424,17 @@
 	return sum
 }
 
-// Zone is what a host tells of a zone where gateways share out what its servers may be sent.
-type Zone struct {
-	Far  bool    // its servers are gateways of another site, which need no ramp
-	Ramp float64 // this gateway's part of what a warm server of unit weight can take, work a second (seconds of a request served alone)
-	Part float64 // this gateway's part of the attempts that may be out there
-	Back float64 // with Far: warm servers behind them all; 0: not known
+// ZoneLimits is what a host tells of a zone where gateways share out what its servers may be sent.
+type ZoneLimits struct {
+	IsRemote          bool    // its servers are gateways of another site, which need no ramp
+	WarmServerRate    float64 // this gateway's part of what a warm server of unit weight can take, work a second (seconds of a request served alone)
+	InFlightFraction  float64 // this gateway's part of the attempts that may be out there
+	RemoteServerCount float64 // with Far: warm servers behind them all; 0: not known
 }
 
 // coldZone is a zone that a host has told of, and what came of it.
 type coldZone struct {
-	Zone
+	ZoneLimits
 	jammed      bool    // as of the request under way
 	servers     float64 // warm ones, as of the last probe; a cold one as the part of one that it is
 	okWarm      float64 // work answered by warm servers since the last probe
@@ -443,24 +443,24 @@
 	sent, short float64 // work sent to cold servers, and work that found no room there, since the last Cold
 }
 
-// SetZone tells of a zone. For its cold servers the gateway goes by the ramp told instead of its own estimate, and the
+// SetZoneLimits tells of a zone. For its cold servers the gateway goes by the ramp told instead of its own estimate, and the
 // bound on work out is the zone's own. It is to be told of all zones or none, again whenever a figure changes; a host that has
 // nothing to go by any more tells of a ramp of 0.
-func (g *Gateway) SetZone(name string, z Zone) {
+func (g *Engine) SetZoneLimits(name string, z ZoneLimits) {
 	c := g.cold[name]
 	if c == nil {
 		c = &coldZone{okRate: g.okRate / float64(len(g.cold)+1)}
 		g.cold[name] = c
 		g.reachOf(name, c)
 	}
-	c.Zone = z
+	c.ZoneLimits = z
 }
 
-// DropZone forgets a zone.
-func (g *Gateway) DropZone(name string) { delete(g.cold, name) }
+// RemoveZoneLimits forgets a zone.
+func (g *Engine) RemoveZoneLimits(name string) { delete(g.cold, name) }
 
 // outAt counts the attempts out at servers of a zone that are held to be alive.
-func (g *Gateway) outAt(zone string) (out float64) {
+func (g *Engine) outAt(zone string) (out float64) {
 	for _, s := range g.servers {
 		if s.Zone == zone && !s.lost {
 			out += float64(s.out)
@@ -470,21 +470,21 @@
 }
 
 // reachOf counts the servers of a zone that take requests and answer.
-func (g *Gateway) reachOf(zone string, c *coldZone) {
+func (g *Engine) reachOf(zone string, c *coldZone) {
 	c.servers = 0
 	for _, s := range g.servers {
 		if s.Zone == zone && s.takes() && !s.lost {
 			c.servers += g.warmth(s)
 		}
 	}
-	if c.Far && c.servers > 0 && c.Back > 0 {
-		c.servers = c.Back
+	if c.IsRemote && c.servers > 0 && c.RemoteServerCount > 0 {
+		c.servers = c.RemoteServerCount
 	}
 }
 
-// Cold returns what the cold servers of a zone are worth, by weight and warmth; the work that was sent to them since it was last
+// ColdServerWork returns what the cold servers of a zone are worth, by weight and warmth; the work that was sent to them since it was last
 // called; and the work for which they had no room.
-func (g *Gateway) Cold(now time.Duration, zone string) (servers, sent, short float64) {
+func (g *Engine) ColdServerWork(now time.Duration, zone string) (servers, sent, short float64) {
 	g.now = now
 	for _, s := range g.servers {
 		if w := g.warmth(s); s.Zone == zone && s.takes() && !s.lost && w < 1 {
@@ -498,9 +498,9 @@
 	return servers, sent, short
 }
 
-// Warm returns the work a second that this gateway sends to a warm server of unit weight in a zone that it was told of by
+// WarmServerLoad returns the work a second that this gateway sends to a warm server of unit weight in a zone that it was told of by
 // SetZone, and the busy share that those there report, on average; below 0: none does.
-func (g *Gateway) Warm(now time.Duration, zone string) (rate, util float64) {
+func (g *Engine) WarmServerLoad(now time.Duration, zone string) (rate, util float64) {
 	g.now = now
 	n := 0.0
 	for _, s := range g.servers {
@@ -519,7 +519,7 @@
 }
 
 // carried learns, once a probe, what a warm server of each zone that was told of takes from this gateway.
-func (g *Gateway) carried() {
+func (g *Engine) carried() {
 	for zone, c := range g.cold {
 		var weight float64
 		for _, s := range g.servers {
@@ -553,10 +553,10 @@
 }
 
 // cancelAll asks to stop waiting for the attempts that are still out.
-func (g *Gateway) cancelAll(r *request) {
+func (g *Engine) cancelAll(r *request) {
 	for i := range r.attempts {
-		if g.set.Cancel && !r.attempts[i].done {
-			g.out.Cancel(r.ID, i)
+		if g.set.AllowsCancel && !r.attempts[i].done {
+			g.out.CancelAttempt(r.ID, i)
 		}
 	}
 }
@@ -567,14 +567,14 @@
 var partRule = subset.Rule{Servers: 12, Holders: 16, Spare: 8}
 
 // takePart forms this gateway's part of the servers that take requests.
-func (g *Gateway) takePart() {
-	fleet := subset.Fleet{Nodes: g.set.Instances, Seed: 1, Rule: partRule}
+func (g *Engine) takePart() {
+	fleet := subset.Fleet{Nodes: g.set.InstanceCount, Seed: 1, Rule: partRule}
 	takes := 0
 	for _, s := range g.servers {
 		takes += b2i(s.takes())
 		s.near, s.lean = true, 1
 	}
-	g.near, g.holders = g.servers, float64(g.set.Instances)
+	g.near, g.holders = g.servers, float64(g.set.InstanceCount)
 	if g.parted = fleet.Size(takes) < takes; !g.parted {
 		return
 	}
@@ -584,7 +584,7 @@
 			at, list = append(at, s), append(list, subset.Server{ID: s.ID, Zone: s.Zone, Size: g.weight(s)})
 		}
 	}
-	members := fleet.Form(list, g.set.Me, g.width.Factor())
+	members := fleet.Form(list, g.set.InstanceIndex, g.width.Factor())
 	g.near, g.holders = make([]*server, 0, len(members)), 0
 	for _, m := range members {
 		g.holders += float64(m.Held) / float64(len(members))
@@ -599,7 +599,7 @@
 }
 
 // widen tells whether the part has to be formed anew, for it can't carry what there is or need not be so large.
-func (g *Gateway) widen() bool {
+func (g *Engine) widen() bool {
 	var fit, all float64
 	for _, s := range g.near {
 		all += g.weight(s) * s.lean
@@ -611,10 +611,10 @@
 }
 
 // whole tells whether the rule gives this gateway all servers. A part that has widened to all of them is one still, and shrinks.
-func (g *Gateway) whole() bool { return !g.parted }
+func (g *Engine) whole() bool { return !g.parted }
 
 // probeShare is the probes for each request sent on.
-func (g *Gateway) probeShare() float64 {
+func (g *Engine) probeShare() float64 {
 	if g.whole() {
 		return probesSent
 	}
@@ -622,7 +622,7 @@
 }
 
 // spareBelow is the occupancy up to which spare capacity may go to extras.
-func (g *Gateway) spareBelow() float64 {
+func (g *Engine) spareBelow() float64 {
 	if g.whole() {
 		return calm
 	}
@@ -630,7 +630,7 @@
 }
 
 // turn orders servers by when they are to be probed: those of a part that are silent come earlier.
-func (g *Gateway) turn(s *server) time.Duration {
+func (g *Engine) turn(s *server) time.Duration {
 	if s.lost && !g.whole() {
 		return s.probed - lostEarly
 	}
@@ -648,7 +648,7 @@
 const notesMost = 4
 
 // noteServer keeps a finding for the next messages to peers.
-func (g *Gateway) noteServer(s *server, up bool) {
+func (g *Engine) noteServer(s *server, up bool) {
 	if g.whole() {
 		return
 	}
@@ -658,8 +658,8 @@
 	}
 }
 
-// Near names the servers of this gateway's part, to which the host keeps connections; nil stands for all.
-func (g *Gateway) Near() map[string]bool {
+// SubsetServerIDs names the servers of this gateway's part, to which the host keeps connections; nil stands for all.
+func (g *Engine) SubsetServerIDs() map[string]bool {
 	if g.whole() {
 		return nil
 	}
@@ -670,9 +670,9 @@
 	return near
 }
 
-// Part counts the servers of this gateway's part, and those of them that are held to be silent. Where it keeps to no part,
+// SubsetCounts counts the servers of this gateway's part, and those of them that are held to be silent. Where it keeps to no part,
 // both are 0.
-func (g *Gateway) Part() (servers, doubted int) {
+func (g *Engine) SubsetCounts() (servers, doubted int) {
 	if g.whole() {
 		return 0, 0
 	}
@@ -680,20 +680,20 @@
 }
 
 // heardZone and failedZone take in what was met at one server of a zone, for the watch over all of it.
-func (g *Gateway) heardZone(s *server) {
+func (g *Engine) heardZone(s *server) {
 	if !g.whole() {
 		g.watch.Heard(s.Zone, g.now)
 	}
 }
 
-func (g *Gateway) failedZone(s *server, sent time.Duration) {
+func (g *Engine) failedZone(s *server, sent time.Duration) {
 	if !g.whole() {
 		g.watch.Failed(s.Zone, uint64(s.tag), sent, g.now)
 	}
 }
 
 // toldZone takes in what a peer says of a server of this gateway's part.
-func (g *Gateway) toldZone(s *server, from int, up bool) {
+func (g *Engine) toldZone(s *server, from int, up bool) {
 	if up {
 		g.watch.Met(s.Zone, from, g.now)
 	} else {
@@ -703,7 +703,7 @@
 
 // outages puts in doubt the servers of zones that seem to be lost, so that they get no request while others will do, and the
 // bound on work out counts without them. It goes by the attempts that ages found unheard.
-func (g *Gateway) outages(waits []unheard) {
+func (g *Engine) outages(waits []unheard) {
 	if g.whole() {
 		return
 	}
@@ -729,7 +729,7 @@
 }
 
 // doubted counts the servers of the part that are silent to this gateway or, as peers say, to them.
-func (g *Gateway) doubted() (n int) {
+func (g *Engine) doubted() (n int) {
 	for _, s := range g.near {
 		n += b2i(s.lost || g.now < s.suspect)
 	}
@@ -787,7 +787,7 @@
 func (s *server) stands(now time.Duration) bool { return s.conns > s.out && now-s.used < connKept }
 
 // recount drops servers that are gone and holds what the list says of all that are up.
-func (g *Gateway) recount() {
+func (g *Engine) recount() {
 	kept := g.servers[:0]
 	g.topWeight, g.sized = 0, false
 	for _, s := range g.servers {
@@ -806,7 +806,7 @@
 }
 
 // sweep drops idle stores among the next eighth.
-func (g *Gateway) sweep() {
+func (g *Engine) sweep() {
 	for n := len(g.order)/8 + 1; n > 0 && len(g.order) > 0; n-- {
 		if g.sweepAt >= len(g.order) {
 			g.sweepAt = 0
@@ -823,17 +823,17 @@
 }
 
 // warmth is the least share of its capacity that a server can have by now.
-func (g *Gateway) warmth(s *server) float64 {
-	boot := max(s.Boot, s.broke)
+func (g *Engine) warmth(s *server) float64 {
+	boot := max(s.StartedAt, s.broke)
 	age := g.now - boot
-	if boot == 0 || age >= g.set.RampTime || g.set.RampTime == 0 {
+	if boot == 0 || age >= g.set.SlowStartWindow || g.set.SlowStartWindow == 0 {
 		return 1
 	}
-	share := g.set.ColdFrom + (1-g.set.ColdFrom)*math.Max(age.Seconds(), 0)/g.set.RampTime.Seconds()
+	share := g.set.SlowStartMinFraction + (1-g.set.SlowStartMinFraction)*math.Max(age.Seconds(), 0)/g.set.SlowStartWindow.Seconds()
 	return math.Max(share, 0.01)
 }
 
-func (g *Gateway) fillUp(st *store) {
+func (g *Engine) fillUp(st *store) {
 	p := &g.set.Plans[st.plan]
 	dt := (g.now - st.at).Seconds()
 	st.at = g.now
@@ -843,19 +843,19 @@
 	} else if age >= g.lendTime() {
 		st.lent, st.lentAt = [2]float64{0, st.lent[0]}, st.lentAt+g.lendTime()
 	}
-	st.ceiling = math.Min(st.ceiling+p.CeilingRate*st.ratePart*dt, g.ceilingMost(st))
+	st.ceiling = math.Min(st.ceiling+p.HardLimitRate*st.ratePart*dt, g.ceilingMost(st))
 }
 
 // ceilingMost is what this gateway's part of the ceiling holds at most: units that it has lent may be under way.
-func (g *Gateway) ceilingMost(st *store) float64 {
-	return g.set.Plans[st.plan].CeilingBurst*st.burstPart - st.lent[0] - st.lent[1]
+func (g *Engine) ceilingMost(st *store) float64 {
+	return g.set.Plans[st.plan].HardLimitBurst*st.burstPart - st.lent[0] - st.lent[1]
 }
 
 // lendTime is how long a tell, and its repeat in the next, may be under way.
-func (g *Gateway) lendTime() time.Duration { return max(lendLeast, lendGaps*g.tellGap) }
+func (g *Engine) lendTime() time.Duration { return max(lendLeast, lendGaps*g.tellGap) }
 
 // take takes units of a request inside the quota, now or when it settles.
-func (g *Gateway) take(st *store, units float64) {
+func (g *Engine) take(st *store, units float64) {
 	if g.set.Plans[st.plan].Rate > 0 {
 		st.level -= units
 		st.since += units
@@ -866,7 +866,7 @@
 
 // savedMost is the work that is saved up for a cold server at least, so that a request of the class can go there. With a part each
 // gateway saves for seconds for one request: a light class that looks in must not cut off what has been saved for a heavier one.
-func (g *Gateway) savedMost(class int) float64 {
+func (g *Engine) savedMost(class int) float64 {
 	most := g.work(class)
 	for c := range g.set.Classes {
 		if !g.whole() {
@@ -879,7 +879,7 @@
 // inReach counts the attempts out at servers that are held to be alive, overdue ones aside, and these servers,
 // a cold one as the part of one that it is. Of servers outside of its part a gateway knows nothing: they are held
 // to be as those of the part are.
-func (g *Gateway) inReach() (out, servers float64) {
+func (g *Engine) inReach() (out, servers float64) {
 	out = math.Max(float64(g.held)-g.overdue, 0)
 	take, near := 0.0, 0.0
 	for _, s := range g.servers {
@@ -901,7 +901,7 @@
 
 // unreported tells whether latency has to stand for a server's load report. With a part of the servers, each of which is
 // probed seldom, any report of late will do: latencies of a fleet under load have no lowest yet, and would outweigh the reports.
-func (g *Gateway) unreported(s *server) bool {
+func (g *Engine) unreported(s *server) bool {
 	if g.whole() {
 		return s.reported == 0
 	}
@@ -909,20 +909,20 @@
 }
 
 // report takes in a load report.
-func (g *Gateway) report(s *server, l *Load) {
+func (g *Engine) report(s *server, l *LoadReport) {
 	if l == nil {
 		return
 	}
-	if l.Queue >= 0 {
-		s.queue = l.Queue
+	if l.QueueLength >= 0 {
+		s.queue = l.QueueLength
 	}
-	if l.Util >= 0 {
+	if l.Utilization >= 0 {
 		s.reported, g.reported = g.now, g.now
 		if s.util < 0 {
-			s.util = l.Util
+			s.util = l.Utilization
 		}
-		s.util += utilShare * (math.Min(l.Util, 1) - s.util)
-		g.aro.sample(math.Min(l.Util, 1))
+		s.util += utilShare * (math.Min(l.Utilization, 1) - s.util)
+		g.aro.sample(math.Min(l.Utilization, 1))
 	}
 }
 
@@ -944,8 +944,8 @@
 // whyNames are the names of these, as operators read them.
 var whyNames = [whyCount]string{"", "unknown", "jammed", "late", "short", "quota", "ceiling", "throttled", "no_server", "attempts_spent"}
 
-// Refused tells how many requests were refused, by the rule that refused them.
-func (g *Gateway) Refused(each func(rule string, n uint64)) {
+// EachRejectionCount tells how many requests were refused, by the rule that refused them.
+func (g *Engine) EachRejectionCount(each func(rule string, n uint64)) {
 	for why, n := range g.refused {
 		if why != whyNot {
 			each(whyNames[why], n)
@@ -953,43 +953,43 @@
 	}
 }
 
-// Beyond counts units, since the start, that went to servers beyond customers' quotas.
-type Beyond struct {
-	Sent  float64 // by this gateway, which knew it: they earn more than they cost
-	Found float64 // by which stores were overdrawn once it was told what others had sent; all of a set find the same
+// OverQuotaUnits counts units, since the start, that went to servers beyond customers' quotas.
+type OverQuotaUnits struct {
+	Sent       float64 // by this gateway, which knew it: they earn more than they cost
+	Discovered float64 // by which stores were overdrawn once it was told what others had sent; all of a set find the same
 }
 
-// Beyond tells what went beyond quotas, as far as this gateway knows.
-func (g *Gateway) Beyond() Beyond { return g.beyond }
+// OverQuotaUnits tells what went beyond quotas, as far as this gateway knows.
+func (g *Engine) OverQuotaUnits() OverQuotaUnits { return g.beyond }
 
 // spend takes units off a customer's store that another gateway has sent.
-func (g *Gateway) spend(st *store, units float64) {
+func (g *Engine) spend(st *store, units float64) {
 	p := &g.set.Plans[st.plan]
 	if p.Rate <= 0 {
 		return
 	}
-	g.beyond.Found += math.Max(math.Min(units, units-st.level), 0)
+	g.beyond.Discovered += math.Max(math.Min(units, units-st.level), 0)
 	st.level = math.Max(st.level-units, -p.Burst)
 }
 
 // refuse refuses a request; trying it again is harmless.
-func (g *Gateway) refuse(id string, wait time.Duration, why int) {
+func (g *Engine) refuse(id string, wait time.Duration, why int) {
 	g.refused[why]++
-	if !g.set.RetryAfter {
+	if !g.set.SendsRetryAfter {
 		wait = 0
 	}
-	g.out.Refuse(id, min(wait, g.set.MaxRetryAfter))
+	g.out.RejectRequest(id, min(wait, g.set.MaxRetryAfter))
 }
 
 // close marks the request answered; it is kept until its attempts have ended.
-func (g *Gateway) close(r *request) {
+func (g *Engine) close(r *request) {
 	r.closed = true
 	if !r.asked { // else an answer may still grant it units, which are to be given back
 		delete(g.byNum, r.num)
 	}
 	if r.out == 0 {
 		delete(g.reqs, r.ID)
-		if len(r.attempts) > 0 && g.set.Plans[r.store.plan].Open > 0 && r.store.wide {
+		if len(r.attempts) > 0 && g.set.Plans[r.store.plan].MaxInFlight > 0 && r.store.wide {
 			g.giveBack(r, 0)
 		}
 	}
@@ -997,7 +997,7 @@
 
 // left takes in that its holder has answered a request, or will not, and tells whether its client has left meanwhile: then the
 // units that it was granted are given back.
-func (g *Gateway) left(r *request, granted bool) bool {
+func (g *Engine) left(r *request, granted bool) bool {
 	if r.asked = false; !r.closed {
 		return false
 	}
@@ -1007,21 +1007,21 @@
 	return true
 }
 
-// Expire tells that the host can wait for a request's answer no longer, as when its process ends: it gets it now.
-func (g *Gateway) Expire(now time.Duration, id string, out Actions) {
+// DeadlineExceeded tells that the host can wait for a request's answer no longer, as when its process ends: it gets it now.
+func (g *Engine) DeadlineExceeded(now time.Duration, id string, out Actions) {
 	g.now, g.out = now, out
 	g.expire(g.reqs[id])
 }
 
 // expire gives a request, if there is one, the answer that is due by now.
-func (g *Gateway) expire(r *request) {
+func (g *Engine) expire(r *request) {
 	if r != nil && !r.closed && !r.stream {
 		g.finish(r)
 	}
 }
 
-// First tells that the answer of an attempt has begun to stream: it is the client's now.
-func (g *Gateway) First(now time.Duration, id string, n int, out Actions) {
+// ResponseStarted tells that the answer of an attempt has begun to stream: it is the client's now.
+func (g *Engine) ResponseStarted(now time.Duration, id string, n int, out Actions) {
 	g.now, g.out = now, out
 	if r := g.reqs[id]; r != nil && n >= 0 && n < len(r.attempts) {
 		r.stream = true
@@ -1034,21 +1034,21 @@
 	}
 }
 
-func (g *Gateway) holderOf(st *store, part int) int {
+func (g *Engine) holderOf(st *store, part int) int {
 	x := (st.key + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>32) * 0xd6e8feb86659fd93
-	return (st.first + int((x^x>>32)%uint64(st.spread))) % g.set.Instances
+	return (st.first + int((x^x>>32)%uint64(st.spread))) % g.set.InstanceCount
 }
 
-func (g *Gateway) partsHeld(st *store) (n int) {
+func (g *Engine) partsHeld(st *store) (n int) {
 	for part := range st.split {
-		n += int(b2f(g.holderOf(st, part) == g.set.Me))
+		n += int(b2f(g.holderOf(st, part) == g.set.InstanceIndex))
 	}
 	return n
 }
 
-func (g *Gateway) holder(st *store) int {
-	return g.holderOf(st, g.set.Me%st.split)
+func (g *Engine) holder(st *store) int {
+	return g.holderOf(st, g.set.InstanceIndex%st.split)
 }
 
 // silentMeans is the mean latencies after which an attempt at a server that says nothing is no work out.
@@ -1063,14 +1063,14 @@
 
 // ages counts the attempts out that were sent less than a share of their class's aim ago, and those that are past
 // the aim at servers not known to be lost. Where the gateway keeps to a part it tells the unheard ones, in no order.
-func (g *Gateway) ages(share float64) (younger, overdue float64, waits []unheard) {
+func (g *Engine) ages(share float64) (younger, overdue float64, waits []unheard) {
 	for _, r := range g.reqs {
 		for i := range r.attempts {
 			a := &r.attempts[i]
 			if a.done || a.begun {
 				continue
 			}
-			age, aim := (g.now - a.sent).Seconds(), g.set.Classes[r.class].Aim.Seconds()
+			age, aim := (g.now - a.sent).Seconds(), g.set.Classes[r.class].LatencyObjective.Seconds()
 			// One at a server that has said nothing since, for several times as long as answers take, tells of that
 			// server and not of work that waits: where a fifth falls silent, the bound would refuse what the others can do.
 			silent := !g.whole() && a.server.heard < a.sent && age > math.Max(silentMeans*g.lat[r.class].mean, aim/4)
@@ -1084,8 +1084,8 @@
 	return younger, overdue, waits
 }
 
-// CheckTables tells whether classes and plans can be put in force.
-func (g *Gateway) CheckTables(classes []Class, plans []Plan) error {
+// ValidateTables tells whether classes and plans can be put in force.
+func (g *Engine) ValidateTables(classes []Class, plans []Plan) error {
 	set := g.set
 	set.Classes, set.Plans = classes, plans
 	if err := set.validate(); err != nil {
@@ -1100,8 +1100,8 @@
 // SetClasses replaces the table of classes while the gateway runs. A class that has the name of one in force
 // goes on with what was learned of it and takes over the new figures. One that is no longer there takes no
 // new request; those under way keep its figures. Its place is used again once the last of them has ended.
-func (g *Gateway) SetClasses(classes []Class) error {
-	if err := g.CheckTables(classes, g.set.Plans); err != nil {
+func (g *Engine) SetClasses(classes []Class) error {
+	if err := g.ValidateTables(classes, g.set.Plans); err != nil {
 		return err
 	}
 	used := make([]bool, len(g.set.Classes))
@@ -1117,7 +1117,7 @@
 	}
 	for name, i := range old {
 		if _, ok := g.class[name]; !ok {
-			g.set.Classes[i].Worth = 0 // what is no longer asked for is not weighed against the others
+			g.set.Classes[i].PriorityWeight = 0 // what is no longer asked for is not weighed against the others
 		}
 	}
 	free := 0
@@ -1139,8 +1139,8 @@
 // SetPlans replaces the table of plans while the gateway runs. Gateways name a plan to each other by its
 // place: all must have one order, in which a plan keeps its place for good. A customer's store goes over to
 // the new figures with what it has spent.
-func (g *Gateway) SetPlans(now time.Duration, plans []Plan) error {
-	if err := g.CheckTables([]Class{{}}, plans); err != nil {
+func (g *Engine) SetPlans(now time.Duration, plans []Plan) error {
+	if err := g.ValidateTables([]Class{{}}, plans); err != nil {
 		return err
 	}
 	g.now = now
@@ -1160,3 +1160,8 @@
 	}
 	return nil
 }
+
+// mayProbe tells whether health checks are allowed and answered with a load report.
+func (g *Engine) mayProbe() bool {
+	return g.set.AllowsHealthChecks && g.set.LoadReports != LoadReportsNone
+}
--- a/policy/tells.go
+++ b/policy/tells.go
@@ -46,14 +46,14 @@
 }
 
 // appendEntry words what is told of a store to a peer.
-func (g *Gateway) appendEntry(b []byte, st *store, peer int) []byte {
+func (g *Engine) appendEntry(b []byte, st *store, peer int) []byte {
 	b = binary.AppendUvarint(b, st.key)
 	b = binary.AppendUvarint(b, g.code(st))
 	b = binary.AppendVarint(b, int64(math.Round(st.untold)))
-	if g.set.Plans[st.plan].Open > 0 {
+	if g.set.Plans[st.plan].MaxInFlight > 0 {
 		b = binary.AppendUvarint(b, uint64(st.out))
 	}
-	if g.set.Plans[st.plan].CeilingRate > 0 {
+	if g.set.Plans[st.plan].HardLimitRate > 0 {
 		b = binary.AppendUvarint(b, uint64(g.lend(st, peer)))
 		b = binary.AppendUvarint(b, uint64(g.lack(st)))
 	}
@@ -70,7 +70,7 @@
 }
 
 // decodeTell decodes a tell; ok is false for one that is malformed in any part.
-func (g *Gateway) decodeTell(b []byte) (epoch, seq uint64, cur, prev []entry, ok bool) {
+func (g *Engine) decodeTell(b []byte) (epoch, seq uint64, cur, prev []entry, ok bool) {
 	r := reader{b: b[1:]}
 	part := func() (es []entry) {
 		for n := r.uint(); n > 0 && !r.bad; n-- {
@@ -80,10 +80,10 @@
 				return nil
 			}
 			e.units = float64(r.int())
-			if g.set.Plans[e.plan].Open > 0 {
+			if g.set.Plans[e.plan].MaxInFlight > 0 {
 				e.out = int(min(r.uint(), 1<<20))
 			}
-			if b[0] == kindTell && g.set.Plans[e.plan].CeilingRate > 0 {
+			if b[0] == kindTell && g.set.Plans[e.plan].HardLimitRate > 0 {
 				e.lent, e.lacks = float64(min(r.uint(), 1<<20)), float64(min(r.uint(), 1<<20))
 			}
 			es = append(es, e)
@@ -97,14 +97,14 @@
 }
 
 // code packs a store's plan, spread and first.
-func (g *Gateway) code(st *store) uint64 {
-	n := uint64(g.set.Instances)
-	return (uint64(st.plan)*n+uint64(st.spread-1))*n + uint64(st.first%g.set.Instances)
+func (g *Engine) code(st *store) uint64 {
+	n := uint64(g.set.InstanceCount)
+	return (uint64(st.plan)*n+uint64(st.spread-1))*n + uint64(st.first%g.set.InstanceCount)
 }
 
 // decode unpacks a code; it is false for one that names no plan.
-func (g *Gateway) decode(code uint64, plan, spread, first *int) bool {
-	n := uint64(g.set.Instances)
+func (g *Engine) decode(code uint64, plan, spread, first *int) bool {
+	n := uint64(g.set.InstanceCount)
 	if code/n/n >= uint64(len(g.set.Plans)) {
 		return false
 	}
@@ -133,7 +133,7 @@
 }
 
 // encodeAsk returns an ask: kind, number, customer, code of plan, spread and first, units.
-func (g *Gateway) encodeAsk(r *request, kind byte) []byte {
+func (g *Engine) encodeAsk(r *request, kind byte) []byte {
 	if kind == kindAsk && r.late {
 		kind = kindLate
 	}
@@ -144,7 +144,7 @@
 }
 
 // encodeAnswer returns an answer: kind, number, share of asks granted with 0 for granted or else 1 + the wait.
-func (g *Gateway) encodeAnswer(num uint64, granted bool, wait time.Duration, pass float64) []byte {
+func (g *Engine) encodeAnswer(num uint64, granted bool, wait time.Duration, pass float64) []byte {
 	x := uint64(math.Round(pass * passParts))
 	if !granted {
 		x += (1 + uint64(max(wait, 0)/waitUnit)) * (passParts + 1)
@@ -159,7 +159,7 @@
 }
 
 // decodeAsk decodes an ask, an answer or a return; ok is false for one that is malformed in any part.
-func (g *Gateway) decodeAsk(b []byte) (m ask, ok bool) {
+func (g *Engine) decodeAsk(b []byte) (m ask, ok bool) {
 	r := reader{b: b[1:]}
 	m.kind, m.num = b[0], r.uint()
 	switch m.kind {
@@ -204,7 +204,7 @@
 const poolParts = 256
 
 // appendPool ends a message with the pool and what the gateway found out of servers of late.
-func (g *Gateway) appendPool(b []byte) []byte {
+func (g *Engine) appendPool(b []byte) []byte {
 	for _, x := range g.aro.pool {
 		if !g.aro.knows() {
 			x = 0
@@ -253,13 +253,13 @@
 const tellMost = 180
 
 // tellPeer packs the stores to tell that about chooses, in as many messages as it takes, and returns their number.
-func (g *Gateway) tellPeer(peer int, about func(*store) bool) (sent int) {
+func (g *Engine) tellPeer(peer int, about func(*store) bool) (sent int) {
 	p, n := &g.peers[peer], 0
 	var body []byte
 	flush := func() {
 		if n > 0 || p.lastN > 0 {
 			p.seq++
-			g.out.Tell(peer, encodeTell(g.epoch, p.seq, n, body, p.lastN, p.last))
+			g.out.SendGossip(peer, encodeTell(g.epoch, p.seq, n, body, p.lastN, p.last))
 			p.last, p.lastN, body, n = body, n, nil, 0
 			sent++
 		}
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -9,28 +9,28 @@
 )
 
 // twoZones has a warm server in zone a, and one in zone b that started just now or, with far, stands for another site.
-func twoZones(t *testing.T, far bool) (*Gateway, *recorder) {
+func twoZones(t *testing.T, far bool) (*Engine, *recorder) {
 	boot := t0 - ms
 	if far {
 		boot = 0
 	}
-	g, r := newGate(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b", Boot: boot})
-	g.SetZone("a", Zone{Ramp: 1, Part: 1})
-	g.SetZone("b", Zone{Far: far, Ramp: 1, Part: 1, Back: 4})
+	g, r := newGate(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b", StartedAt: boot})
+	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
+	g.SetZoneLimits("b", ZoneLimits{IsRemote: far, WarmServerRate: 1, InFlightFraction: 1, RemoteServerCount: 4})
 	return g, r
 }
 
 // A cold server is sent what the ramp that is told allows, in proportion, and nothing without one.
 func TestRampAsTold(t *testing.T) {
 	sent := func(ramp float64, boot time.Duration, class string) float64 {
-		g, r := newGate(t, testSettings(), Server{ID: "s1", Kind: "k", Zone: "b", Boot: boot})
-		g.SetZone("b", Zone{Ramp: ramp, Part: 1})
+		g, r := newGate(t, testSettings(), Server{ID: "s1", Kind: "k", Zone: "b", StartedAt: boot})
+		g.SetZoneLimits("b", ZoneLimits{WarmServerRate: ramp, InFlightFraction: 1})
 		n := 0
 		for at := time.Duration(0); at < 6*time.Second; at += 20 * ms {
 			q := newRequest(int(at/ms), class, "rate", 1)
 			q.Zone = "b"
 			n += flood(g, r, t0+at, 1, q)
-			answer(g, r, t0+at, 10*ms, Full)
+			answer(g, r, t0+at, 10*ms, RejectedByServer)
 			g.byID["s1"].ejected = 0
 		}
 		return float64(n) * g.work(g.class[class])
@@ -53,15 +53,15 @@
 	q := newRequest(0, "keyed", "rate", 1)
 	q.Zone = "b"
 	n := flood(g, r, t0, 20, q)
-	servers, sent, short := g.Cold(t0, "b")
+	servers, sent, short := g.ColdServerWork(t0, "b")
 	w := g.work(g.class["keyed"])
 	if n == 20 || math.Abs(sent-float64(n)*w) > 1e-9 || short <= 0 || servers <= 0 || servers >= 1 {
 		t.Errorf("%d sent: worth %.2f, sent %.2f, short %.2f", n, servers, sent, short)
 	}
-	if _, sent, short = g.Cold(t0, "b"); sent != 0 || short != 0 {
+	if _, sent, short = g.ColdServerWork(t0, "b"); sent != 0 || short != 0 {
 		t.Errorf("told twice: %.2f, %.2f", sent, short)
 	}
-	if s, _, _ := g.Cold(t0, "a"); s != 0 {
+	if s, _, _ := g.ColdServerWork(t0, "a"); s != 0 {
 		t.Errorf("warm servers are told as cold ones: %.2f", s)
 	}
 }
@@ -70,7 +70,7 @@
 func TestColdRoomIsForTheWorthier(t *testing.T) {
 	g, r := twoZones(t, false)
 	s := g.byID["s1"]
-	g.SetZone("b", Zone{Ramp: 20, Part: 1}) // so that the store holds several requests
+	g.SetZoneLimits("b", ZoneLimits{WarmServerRate: 20, InFlightFraction: 1}) // so that the store holds several requests
 	g.now, g.out, s.credited = t0, r, t0
 	s.credit = 1.1 * g.work(g.class["keyed"])
 	if g.coldRoom(s, g.class["safe"]) || !g.coldRoom(s, g.class["keyed"]) {
@@ -99,12 +99,12 @@
 // A request that is let in for the sake of a zone with room goes to that zone.
 func TestJammedZoneGetsNoneOfIt(t *testing.T) {
 	g, r := newGate(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b"})
-	g.SetZone("a", Zone{Ramp: 1, Part: 1})
-	g.SetZone("b", Zone{Ramp: 1, Part: 1})
+	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
+	g.SetZoneLimits("b", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	s := g.byID["s1"]
 	s.out, s.lat, s.seen = 50, 0.0001, t0
 	g.byID["s0"].lat, g.byID["s0"].queue = 100, 100 // dearer by far
-	g.Request(t0, newRequest(1, "safe", "rate", 1), r)
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	if got := r.last(); !strings.HasPrefix(got, "send r1 s0") {
 		t.Errorf("%q", got)
 	}
@@ -114,7 +114,7 @@
 func TestLeastOutBehindFarGateways(t *testing.T) {
 	for _, part := range []float64{1, 0.5} {
 		g, _ := twoZones(t, true)
-		g.SetZone("b", Zone{Far: true, Part: part, Back: 4})
+		g.SetZoneLimits("b", ZoneLimits{IsRemote: true, InFlightFraction: part, RemoteServerCount: 4})
 		g.carried()
 		s := g.byID["s1"]
 		for s.out = 0; !g.jammed(0, "b", 1) && s.out < 1000; s.out++ {
@@ -131,13 +131,13 @@
 	for _, far := range []bool{true, false} {
 		g, r := twoZones(t, far)
 		if !far {
-			g.List(t0, ListChanges, []Server{{ID: "s1", Kind: "k", Zone: "b"}}, r)
+			g.EndpointsChanged(t0, EndpointsDelta, []Server{{ID: "s1", Kind: "k", Zone: "b"}}, r)
 		}
 		q := newRequest(1, "safe", "rate", 1)
 		q.Zone = "b"
-		g.Request(t0, q, r)
+		g.RequestReceived(t0, q, r)
 		n := g.aro.n[g.aro.slot()]
-		g.Outcome(t0+ms, Outcome{ID: "r1", Result: Full, Server: "s1"}, r)
+		g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: RejectedByServer, Server: "s1"}, r)
 		if s := g.byID["s1"]; far == s.aside(t0+2*ms) || far == (g.aro.n[g.aro.slot()] > n) {
 			t.Errorf("far %v: aside %v, %v samples of occupancy", far, s.aside(t0+2*ms), g.aro.n[g.aro.slot()]-n)
 		}
@@ -160,33 +160,33 @@
 // What a warm server carries is learned by zone, and how busy it is by reports.
 func TestWarmByZone(t *testing.T) {
 	set := testSettings()
-	set.Report = ReportAnswers
+	set.LoadReports = LoadReportsInResponses
 	g, r := newGate(t, set, Server{ID: "s0", Kind: "k", Zone: "a"})
-	g.SetZone("a", Zone{Ramp: 1, Part: 1})
-	if rate, util := g.Warm(t0, "a"); rate != 0 || util >= 0 {
+	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
+	if rate, util := g.WarmServerLoad(t0, "a"); rate != 0 || util >= 0 {
 		t.Errorf("%.2f, %.2f before anything was sent", rate, util)
 	}
 	for i := range 2000 {
 		now := t0 + time.Duration(i)*10*ms
 		q := newRequest(i, "safe", "rate", uint64(i))
 		q.Zone = "a"
-		g.Request(now, q, r)
+		g.RequestReceived(now, q, r)
 		for _, a := range r.acts {
 			var id, server string
 			if n, _ := fmt.Sscanf(a, "send %s %s", &id, &server); n == 2 {
-				g.Outcome(now, Outcome{ID: id, Result: OK, Server: server, Closed: true, Took: 20 * ms, Load: &Load{InFlight: -1, Queue: -1, Util: 0.5}}, r)
+				g.AttemptCompleted(now, AttemptResult{ID: id, Result: OK, Server: server, RequestAnswered: true, Latency: 20 * ms, LoadReport: &LoadReport{InFlight: -1, QueueLength: -1, Utilization: 0.5}}, r)
 			}
 		}
 		if r.acts = nil; i%int(probeEvery/(10*ms)) == 0 {
-			g.Timer(now, timerProbe, r)
+			g.TimerFired(now, timerProbe, r)
 		}
 	}
-	rate, util := g.Warm(t0+20*time.Second, "a")
+	rate, util := g.WarmServerLoad(t0+20*time.Second, "a")
 	if want := 100 * g.work(0); math.Abs(rate/want-1) > 0.15 || math.Abs(util-0.5) > 0.01 {
 		t.Errorf("%.2f a second and %.2f busy, want about %.2f and 0.5", rate, util, want)
 	}
-	g.DropZone("a")
-	if rate, _ := g.Warm(t0+20*time.Second, "a"); rate != 0 {
+	g.RemoveZoneLimits("a")
+	if rate, _ := g.WarmServerLoad(t0+20*time.Second, "a"); rate != 0 {
 		t.Error("a zone that was dropped is remembered")
 	}
 }
@@ -194,9 +194,9 @@
 // Of two requests of a class that with the higher price may come later into a zone that fills up.
 func TestPriceInAZone(t *testing.T) {
 	set := testSettings()
-	set.Plans[1].Price = 4
+	set.Plans[1].PriorityFactor = 4
 	g, _ := newGate(t, set, Server{ID: "s0", Kind: "k", Zone: "a"})
-	g.SetZone("a", Zone{Ramp: 1, Part: 1})
+	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	g.cold["a"].okRate = 100
 	keyed, s := g.class["keyed"], g.byID["s0"]
 	most := func(price float64) int {
--- a/routing/compile.go
+++ b/routing/compile.go
@@ -250,16 +250,16 @@
 	}
 	d := &declarer{c: c, found: found, m: m, at: at}
 	cls := d.class()
-	cls.Effect = d.effect()
-	cls.Aim = d.duration("aim", cls.Aim)
+	cls.Idempotency = d.effect()
+	cls.LatencyObjective = d.duration("aim", cls.LatencyObjective)
 	cls.Deadline = d.duration("deadline", cls.Deadline)
-	if cls.Aim > cls.Deadline {
+	if cls.LatencyObjective > cls.Deadline {
 		f := found["aim"]
-		c.once(cmp.Or(f.Pos, m.Pos), cmp.Or(f.at, at), "the aim %v is past the deadline %v", cls.Aim, cls.Deadline)
+		c.once(cmp.Or(f.Pos, m.Pos), cmp.Or(f.at, at), "the aim %v is past the deadline %v", cls.LatencyObjective, cls.Deadline)
 	}
-	if cls.Effect == policy.Keyed {
-		cls.Group = d.group()
-		if cls.Window = d.duration("window", 0); cls.Window == 0 {
+	if cls.Idempotency == policy.IdempotentWithKey {
+		cls.DedupScope = d.group()
+		if cls.DedupWindow = d.duration("window", 0); cls.DedupWindow == 0 {
 			c.once(m.Pos, at+".x-mulleinmux.window", "a keyed operation must tell for how long a repeat is dropped, such as window: 4s")
 		}
 		op.Key = d.key()
@@ -272,7 +272,7 @@
 	}
 	op.Units = d.units()
 	for _, name := range []string{"class", "units"} {
-		if f, ok := found[name]; ok && f.at == "x-mulleinmux."+name && cls.Effect != policy.Safe {
+		if f, ok := found[name]; ok && f.at == "x-mulleinmux."+name && cls.Idempotency != policy.Idempotent {
 			op.Inherited = append(op.Inherited, name)
 		}
 	}
@@ -291,10 +291,10 @@
 // choiceClass gives each combination of class and figures a name of its own, the same
 // in every table, and lists it once.
 func (c *compiler) choiceClass(cls policy.Class) policy.Class {
-	effect := [...]string{"safe", "keyed", "unsafe"}[cls.Effect]
-	name := fmt.Sprintf("%s/%s/%v/%v", cls.Name, effect, cls.Aim, cls.Deadline)
-	if cls.Effect == policy.Keyed {
-		name += fmt.Sprintf("/%s/%v", [...]string{"all", "zone", "cell"}[cls.Group], cls.Window)
+	effect := [...]string{"safe", "keyed", "unsafe"}[cls.Idempotency]
+	name := fmt.Sprintf("%s/%s/%v/%v", cls.Name, effect, cls.LatencyObjective, cls.Deadline)
+	if cls.Idempotency == policy.IdempotentWithKey {
+		name += fmt.Sprintf("/%s/%v", [...]string{"all", "zone", "cell"}[cls.DedupScope], cls.DedupWindow)
 	}
 	cls.Name = name
 	if !c.classes[name] {
@@ -341,7 +341,7 @@
 	}
 	for _, k := range d.c.opt.Classes {
 		if f.Value.Kind == Text && k.Name == f.Value.Text {
-			return policy.Class{Name: k.Name, Worth: k.Worth, Late: k.Late, Aim: k.Aim, Deadline: k.Deadline}
+			return policy.Class{Name: k.Name, PriorityWeight: k.Worth, LateFraction: k.Late, LatencyObjective: k.Aim, Deadline: k.Deadline}
 		}
 	}
 	d.bad(f, "class %q has no worth in the operator's file: one of %s is wanted", f.Value.Text, strings.Join(names, ", "))
@@ -352,7 +352,7 @@
 // meaning of the method holds (RFC 9110, 9.2), but a method that is idempotent by HTTP
 // and changes something counts as unsafe: a repeat that meets a change made in between
 // undoes it.
-func (d *declarer) effect() policy.Effect {
+func (d *declarer) effect() policy.Idempotency {
 	safe := d.m.Name == "GET" || d.m.Name == "HEAD" || d.m.Name == "OPTIONS" || d.m.Name == "TRACE"
 	f, ok := d.found["effect"]
 	if ok && !safe && !strings.HasPrefix(f.at, d.at+".") && f.Value.Text == "safe" {
@@ -367,35 +367,35 @@
 	}
 	if !ok {
 		if safe {
-			return policy.Safe
+			return policy.Idempotent
 		}
-		return policy.Unsafe
+		return policy.NonIdempotent
 	}
 	w, _ := d.word("effect", "safe", "keyed", "unsafe")
 	switch {
 	case w == "keyed":
-		return policy.Keyed
+		return policy.IdempotentWithKey
 	case w == "unsafe":
-		return policy.Unsafe
+		return policy.NonIdempotent
 	case w == "safe" && !safe && !repeatable:
 		d.bad(f, "%s changes something by HTTP, so it is not safe to repeat: if it is here, add repeatable: true to this operation", d.m.Name)
 	}
-	return policy.Safe
+	return policy.Idempotent
 }
 
-func (d *declarer) group() policy.Group {
+func (d *declarer) group() policy.DedupScope {
 	switch w, _ := d.word("group", "all", "zone", "cell"); w {
 	case "zone":
-		return policy.GroupZone
+		return policy.DedupZone
 	case "cell":
-		return policy.GroupCell
+		return policy.DedupCell
 	case "all":
-		return policy.GroupAll
+		return policy.DedupAllServers
 	}
 	if _, ok := d.found["group"]; !ok {
 		d.c.once(d.m.Pos, d.at+".x-mulleinmux.group", "a keyed operation must tell which servers drop a repeat: group: all, zone or cell")
 	}
-	return policy.GroupAll
+	return policy.DedupAllServers
 }
 
 // mostDuration bounds aims, deadlines and windows.
--- a/routing/contract_test.go
+++ b/routing/contract_test.go
@@ -263,11 +263,11 @@
 	for i, want := range []struct {
 		class    string
 		units    int
-		effect   policy.Effect
+		effect   policy.Idempotency
 		deadline time.Duration
-	}{{"check", 4, policy.Safe, 2e9}, {"book", 4, policy.Unsafe, 5e9}, {"check", 1, policy.Safe, 2e9}, {"check", 1, policy.Unsafe, 2e9}} {
+	}{{"check", 4, policy.Idempotent, 2e9}, {"book", 4, policy.NonIdempotent, 5e9}, {"check", 1, policy.Idempotent, 2e9}, {"check", 1, policy.NonIdempotent, 2e9}} {
 		o := tab.Operations[i]
-		if !strings.HasPrefix(o.Class.Name, want.class+"/") || o.Units.Fixed != want.units || o.Class.Effect != want.effect || o.Class.Deadline != want.deadline {
+		if !strings.HasPrefix(o.Class.Name, want.class+"/") || o.Units.Fixed != want.units || o.Class.Idempotency != want.effect || o.Class.Deadline != want.deadline {
 			t.Errorf("%s: %+v, %d units; want %+v", o.ID, o.Class, o.Units.Fixed, want)
 		}
 	}
--- a/routing/table.go
+++ b/routing/table.go
@@ -381,8 +381,8 @@
 func (t *Table) KeyLife() (deadline, window time.Duration) {
 	for _, op := range t.Operations {
 		if c := &op.Class; op.Key.In != Nowhere {
-			if deadline = max(deadline, c.Deadline); window == 0 || c.Window < window {
-				window = c.Window
+			if deadline = max(deadline, c.Deadline); window == 0 || c.DedupWindow < window {
+				window = c.DedupWindow
 			}
 		}
 	}
