--- /dev/null
+++ b/choice/fixture_test.go
@@ -0,0 +1,300 @@
+package choice_test
+
+import (
+	"bytes"
+	"container/heap"
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"mulleinmux/choice"
+)
+
+// What gateways say to one another and what one hands over to its successor is recorded under testdata, on
+// purpose alone, with
+//
+//	go test ./choice -run 'TestRecorded' -update
+var update = flag.Bool("update", false, "record testdata anew")
+
+// compareRecorded compares a text with the recorded one, byte for byte.
+func compareRecorded(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
+	for i := range min(len(gotLines), len(wantLines)) {
+		if !bytes.Equal(gotLines[i], wantLines[i]) {
+			t.Fatalf("%s, line %d:\n%s\nrecorded\n%s", name, i+1, gotLines[i], wantLines[i])
+		}
+	}
+	if len(gotLines) != len(wantLines) {
+		t.Fatalf("%s: %d lines, recorded %d", name, len(gotLines), len(wantLines))
+	}
+}
+
+// worldEvent is something that reaches a gateway at a time; order parts events of one time.
+type worldEvent struct {
+	at      time.Duration
+	order   int
+	deliver func()
+}
+
+type eventQueue []worldEvent
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(worldEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// world hosts a tier of gateways, in simulated time, with outcomes that are determined by counting.
+type world struct {
+	now        time.Duration
+	queue      eventQueue
+	order      int
+	gateways   []*choice.Gateway
+	attempts   map[string]int
+	outcomes   int
+	requests   int
+	transcript bytes.Buffer
+}
+
+const worldStart = 1000 * time.Second
+
+func worldSettings(me int, inboxPerS float64) choice.Settings {
+	return choice.Settings{
+		Me: me, Instances: 3, Zone: "a", Tick: time.Millisecond, MaxAttempts: 4, Cancel: true, Peers: true, Probes: true,
+		RetryAfter: true, MaxRetryAfter: 2 * time.Second, Report: choice.ReportAnswers, InboxPerS: inboxPerS, MostUnits: 3,
+		AnswerSlack: 8 * time.Millisecond, DrainGrace: time.Second, ColdFrom: 0.2, RampTime: 5 * time.Second,
+		FallMultiple: 2, OverloadFor: 2 * time.Second, PriceCross: 0.01, PricePeer: 0.01, PriceProbe: 0.01, PriceWaste: 0.05,
+		Classes: []choice.Class{
+			{Name: "safe", Effect: choice.Safe, Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1},
+			{Name: "keyed", Effect: choice.Keyed, Group: choice.GroupZone, Window: time.Second, Aim: 300 * time.Millisecond,
+				Deadline: time.Second, Worth: 2, Late: 0.2},
+			{Name: "unsafe", Effect: choice.Unsafe, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 3},
+		},
+		Plans: []choice.Plan{
+			{Name: "ceiled", Rate: 4, Burst: 6, CeilingRate: 8, CeilingBurst: 14, CeilingSlack: 2, Price: 1, OverWorth: 0.5, OverCost: 0.2},
+			{Name: "open", Open: 3, Price: 2},
+			{Name: "both", Rate: 10, Burst: 8, Open: 4, Price: 1, OverCost: 1},
+		},
+	}
+}
+
+func (w *world) after(d time.Duration, deliver func()) {
+	w.order++
+	heap.Push(&w.queue, worldEvent{w.now + d, w.order, deliver})
+}
+
+func (w *world) runUntil(end time.Duration) {
+	for len(w.queue) > 0 && w.queue[0].at <= end {
+		e := heap.Pop(&w.queue).(worldEvent)
+		w.now = e.at
+		e.deliver()
+	}
+	w.now = end
+}
+
+// newWorld starts three gateways with clients of six customers.
+func newWorld(t *testing.T, inboxPerS float64) *world {
+	t.Helper()
+	w := &world{now: worldStart, attempts: map[string]int{}}
+	var servers []choice.Server
+	for i := range 6 {
+		servers = append(servers, choice.Server{ID: fmt.Sprintf("s%d", i), Weight: float64(1 + i%2), Kind: []string{"k", "m"}[i%2],
+			Zone: []string{"a", "b"}[i/3], Cell: i})
+	}
+	servers[5].Boot = worldStart - time.Second
+	for i := range 3 {
+		g, err := choice.New(worldSettings(i, inboxPerS), uint64(i+1))
+		if err != nil {
+			t.Fatal(err)
+		}
+		w.gateways = append(w.gateways, g)
+		g.Start(w.now, worldHost{w, i})
+		g.List(w.now, choice.ListSaved, servers, worldHost{w, i})
+	}
+	w.after(0, w.arrive)
+	w.after(3*time.Second, func() {
+		servers[1].State = choice.Draining
+		for i, g := range w.gateways {
+			g.List(w.now, choice.ListChanges, servers[1:2], worldHost{w, i})
+		}
+	})
+	return w
+}
+
+func (w *world) arrive() {
+	n := w.requests
+	w.requests++
+	q := choice.Request{ID: fmt.Sprintf("r%d", n), Class: []string{"safe", "keyed", "unsafe"}[n%3],
+		Plan: []string{"ceiled", "open", "both"}[n/2%3], Customer: uint64(n/2%3 + 10*(n%2)), Grace: time.Second, Units: float64(1 + n%3), Spread: 3}
+	g := n * 7 % 5 % 3
+	w.gateways[g].Request(w.now, q, worldHost{w, g})
+	w.after(time.Duration(11+n%5)*time.Millisecond, w.arrive)
+}
+
+// worldHost carries out what one gateway asks for.
+type worldHost struct {
+	w  *world
+	me int
+}
+
+func (h worldHost) say(format string, args ...any) {
+	fmt.Fprintf(&h.w.transcript, "%v %d ", h.w.now-worldStart, h.me)
+	fmt.Fprintf(&h.w.transcript, format+"\n", args...)
+}
+
+func (h worldHost) Send(id, server string, timeout time.Duration) {
+	w := h.w
+	h.say("send %s %s %v", id, server, timeout)
+	o := choice.Outcome{ID: id, Attempt: w.attempts[id], Server: server, Took: time.Duration(20+w.outcomes%40) * time.Millisecond}
+	w.attempts[id]++
+	w.outcomes++
+	switch {
+	case server == "s4" && w.now > worldStart+time.Second:
+		o.Result, o.Took = choice.ConnectFailed, time.Millisecond
+	case server == "s2" && w.now > worldStart+2*time.Second:
+		o.Result, o.Took = choice.TimedOut, timeout
+	case w.outcomes%17 == 0:
+		o.Result = choice.Result(1 + w.outcomes/17%5)
+	default:
+		o.Closed, o.Load = true, &choice.Load{InFlight: 2, Queue: float64(w.outcomes % 5), Util: 0.6}
+	}
+	w.after(o.Took, func() { w.gateways[h.me].Outcome(w.now, o, h) })
+}
+
+func (h worldHost) Refuse(id string, retryAfter time.Duration) { h.say("refuse %s %v", id, retryAfter) }
+func (h worldHost) Fail(id string)                             { h.say("fail %s", id) }
+func (h worldHost) Cancel(id string, attempt int)              { h.say("cancel %s %d", id, attempt) }
+func (h worldHost) Watch(on bool)                              { h.say("watch %v", on) }
+func (h worldHost) Log(text string)                            { h.say("log %s", text) }
+
+func (h worldHost) SetTimer(token uint64, after time.Duration) {
+	h.say("timer %d %v", token, after)
+	h.w.after(after, func() { h.w.gateways[h.me].Timer(h.w.now, token, h) })
+}
+
+func (h worldHost) Probe(server string) {
+	h.say("probe %s", server)
+	result := choice.OK
+	if server == "s4" {
+		result = choice.ConnectFailed
+	}
+	h.w.after(5*time.Millisecond, func() {
+		h.w.gateways[h.me].Probed(h.w.now, server, result, &choice.Load{InFlight: 1, Queue: -1, Util: 0.4}, h)
+	})
+}
+
+// Tell delivers a message after a while; every eleventh is lost, and with it a gap in the numbers of tells.
+func (h worldHost) Tell(peer int, message []byte) {
+	w := h.w
+	h.say("tell %d %x", peer, message)
+	message = bytes.Clone(message)
+	for to, g := range w.gateways {
+		if to == h.me || peer != choice.AllPeers && peer != to {
+			continue
+		}
+		if w.order%11 == 0 {
+			w.order++
+			continue
+		}
+		w.after(3*time.Millisecond, func() { g.Peer(w.now, h.me, message, worldHost{w, to}) })
+	}
+}
+
+// TestRecordedMessages plays tiers whose inboxes are wide enough for tells, or so narrow that holders are asked, and
+// compares all that the gateways do, the bytes of their messages among it. At the end two
+// hear messages of each kind, that without loans among them, and what they do and know then is compared as well.
+func TestRecordedMessages(t *testing.T) {
+	for name, inboxPerS := range map[string]float64{"tells": 1000, "asks": 4} {
+		t.Run(name, func(t *testing.T) {
+			w := newWorld(t, inboxPerS)
+			w.runUntil(worldStart + 4*time.Second)
+			messages := [][]byte{
+				{0, 200, 1, 1, 1, 10, 6, 6, 0},                                 // an old tell of a plan with a ceiling: no loans
+				{0, 200, 1, 2, 1, 11, 15, 0, 2, 0},                             // one of a plan with open attempts
+				{0, 200, 1, 4, 1, 12, 24, 6, 1, 1, 12, 24, 8, 2},               // one lost, and the repeat of it
+				{0, 200, 1, 4, 0, 0},                                           // an old number
+				{4, 200, 1, 5, 1, 10, 6, 6, 4, 2, 0},                           // a tell with a loan
+				{1, 7, 10, 6, 2, 0, 0, 0, 0, 0},                                // an ask
+				{1, 8, 0, 6, 2, 2, 4, 6, 8, 10},                                // an ask with figures of the pool
+				{5, 9, 10, 6, 4, 0, 0, 0, 0, 0},                                // an ask of units that are spent
+				{6, 10, 10, 6, 2, 0, 0, 0, 0, 0},                               // an ask for a try that comes too late
+				{6, 11, 0, 6, 2, 0, 0, 0, 0, 0, 2, 4, 7},                       // one with notes of servers
+				{3, 8, 0, 2},                                                   // units given back
+				{0, 200}, {9, 1, 2}, {1, 1, 10, 255, 255, 1, 2}, {3, 8, 0}, {}, // malformed
+			}
+			for i, message := range messages {
+				for to := range 2 {
+					w.gateways[to].Peer(w.now, 2, message, worldHost{w, to})
+					text, err := w.gateways[to].HandOver(w.now)
+					if err != nil {
+						t.Fatal(err)
+					}
+					worldHost{w, to}.say("after message %d: state %x", i, sha256.Sum256(text))
+				}
+			}
+			w.runUntil(w.now + 500*time.Millisecond)
+			compareRecorded(t, "messages."+name+".txt", w.transcript.Bytes())
+		})
+	}
+}
+
+// TestRecordedHandOver compares what a gateway hands over, and what its successor hands over that has taken over
+// the recorded text: at once, and after it has gone on for a while.
+func TestRecordedHandOver(t *testing.T) {
+	for name, inboxPerS := range map[string]float64{"tells": 1000, "asks": 4} {
+		t.Run(name, func(t *testing.T) {
+			w := newWorld(t, inboxPerS)
+			w.runUntil(worldStart + 4*time.Second)
+			first, err := w.gateways[1].HandOver(w.now)
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareRecorded(t, "handover."+name+".json", first)
+			recorded, err := os.ReadFile(filepath.Join("testdata", "handover."+name+".json"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			next := newWorld(t, inboxPerS)
+			next.now = w.now
+			next.queue = nil
+			g := next.gateways[1]
+			if err := g.TakeOver(next.now, recorded); err != nil {
+				t.Fatal(err)
+			}
+			second, err := g.HandOver(next.now)
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareRecorded(t, "handover."+name+".again.json", second)
+			next.after(0, next.arrive)
+			next.runUntil(next.now + 700*time.Millisecond)
+			third, err := g.HandOver(next.now)
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareRecorded(t, "handover."+name+".later.json", third)
+		})
+	}
+}
