--- a/policy/fixture_test.go
+++ b/policy/fixture_test.go
@@ -17,7 +17,7 @@
 // What gateways say to one another and what one hands over to its successor is recorded under testdata, on
 // purpose alone, with
 //
-//	go test ./choice -run 'TestRecorded' -update
+//	go test ./policy -run 'TestRecorded' -update
 var update = flag.Bool("update", false, "record testdata anew")
 
 // compareRecorded compares a text with the recorded one, byte for byte.
@@ -90,7 +90,7 @@
 			{Name: "safe", Idempotency: policy.Idempotent, LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
 			{Name: "keyed", Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupZone, DedupWindow: time.Second, LatencyObjective: 300 * time.Millisecond,
 				Deadline: time.Second, PriorityWeight: 2, LateFraction: 0.2},
-			{Name: "unsafe", Idempotency: policy.NonIdempotent, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 3},
+			{Name: "unsafe", Idempotency: policy.NonIdempotent, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 3, IsStreaming: true},
 		},
 		Plans: []policy.Plan{
 			{Name: "ceiled", Rate: 4, Burst: 6, HardLimitRate: 8, HardLimitBurst: 14, HardLimitSlack: 2, PriorityFactor: 1, OverQuotaFraction: 0.5, OverQuotaCost: 0.2},
@@ -148,6 +148,9 @@
 	w.requests++
 	q := policy.Request{ID: fmt.Sprintf("r%d", n), Class: []string{"safe", "keyed", "unsafe"}[n%3],
 		Plan: []string{"ceiled", "open", "both"}[n/2%3], Customer: uint64(n/2%3 + 10*(n%2)), Timeout: time.Second, Units: float64(1 + n%3), InstanceCount: 3}
+	if n%7 == 3 {
+		q.Timeout = 400 * time.Millisecond // a client's later try, which comes too late for its aim
+	}
 	g := n * 7 % 5 % 3
 	w.gateways[g].RequestReceived(w.now, q, worldHost{w, g})
 	w.after(time.Duration(11+n%5)*time.Millisecond, w.arrive)
@@ -180,6 +183,12 @@
 	default:
 		o.RequestAnswered, o.LoadReport = true, &policy.LoadReport{InFlight: 2, QueueLength: float64(w.outcomes % 5), Utilization: 0.6}
 	}
+	if o.RequestAnswered {
+		w.after(o.Latency/2, func() { w.gateways[h.me].ResponseStarted(w.now, id, o.Attempt, h) })
+	}
+	if w.outcomes%29 == 0 {
+		w.after(o.Latency/3, func() { w.gateways[h.me].ClientDisconnected(w.now, id, h) })
+	}
 	w.after(o.Latency, func() { w.gateways[h.me].AttemptCompleted(w.now, o, h) })
 }
 
