--- a/choice/fixture_test.go
+++ b/choice/fixture_test.go
@@ -90,7 +90,7 @@
 			{Name: "safe", Effect: choice.Safe, Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1},
 			{Name: "keyed", Effect: choice.Keyed, Group: choice.GroupZone, Window: time.Second, Aim: 300 * time.Millisecond,
 				Deadline: time.Second, Worth: 2, Late: 0.2},
-			{Name: "unsafe", Effect: choice.Unsafe, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 3},
+			{Name: "unsafe", Effect: choice.Unsafe, Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 3, Stream: true},
 		},
 		Plans: []choice.Plan{
 			{Name: "ceiled", Rate: 4, Burst: 6, CeilingRate: 8, CeilingBurst: 14, CeilingSlack: 2, Price: 1, OverWorth: 0.5, OverCost: 0.2},
@@ -148,6 +148,9 @@
 	w.requests++
 	q := choice.Request{ID: fmt.Sprintf("r%d", n), Class: []string{"safe", "keyed", "unsafe"}[n%3],
 		Plan: []string{"ceiled", "open", "both"}[n/2%3], Customer: uint64(n/2%3 + 10*(n%2)), Grace: time.Second, Units: float64(1 + n%3), Spread: 3}
+	if n%7 == 3 {
+		q.Grace = 400 * time.Millisecond // a client's later try, which comes too late for its aim
+	}
 	g := n * 7 % 5 % 3
 	w.gateways[g].Request(w.now, q, worldHost{w, g})
 	w.after(time.Duration(11+n%5)*time.Millisecond, w.arrive)
@@ -180,6 +183,12 @@
 	default:
 		o.Closed, o.Load = true, &choice.Load{InFlight: 2, Queue: float64(w.outcomes % 5), Util: 0.6}
 	}
+	if o.Closed {
+		w.after(o.Took/2, func() { w.gateways[h.me].First(w.now, id, o.Attempt, h) })
+	}
+	if w.outcomes%29 == 0 {
+		w.after(o.Took/3, func() { w.gateways[h.me].Gone(w.now, id, h) })
+	}
 	w.after(o.Took, func() { w.gateways[h.me].Outcome(w.now, o, h) })
 }
 
