--- /dev/null
+++ b/cmd/mulleingate/fixture_test.go
@@ -0,0 +1,97 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io/fs"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"mulleinmux/internal/fixture"
+)
+
+// What commands print, on both outputs, and how they exit is as it was recorded: help, lists, mistakes, and each file of deploy/
+// as check sees it. Folders of the run are masked.
+//
+// Recorded with: MULLEINMUX_RECORD=1 go test ./cmd/mulleingate -run Fixture
+func TestFixtureCommands(t *testing.T) {
+	dir := t.TempDir()
+	var files []string
+	if err := fs.WalkDir(os.DirFS("../../deploy"), ".", func(path string, d fs.DirEntry, err error) error {
+		if ext := filepath.Ext(path); err == nil && (ext == ".toml" || ext == ".yaml") {
+			files = append(files, path)
+			var text []byte
+			if text, err = os.ReadFile(filepath.Join("../../deploy", path)); err == nil {
+				err = os.MkdirAll(filepath.Dir(filepath.Join(dir, path)), 0o755)
+			}
+			if err == nil {
+				err = os.WriteFile(filepath.Join(dir, path), text, 0o600)
+			}
+		}
+		return err
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if len(files) < 8 {
+		t.Fatalf("deploy/ holds %v", files)
+	}
+	in := func(name string) string { return filepath.Join(dir, name) }
+	edited := func(name, of, old, to string) string {
+		text, err := os.ReadFile(in(of))
+		if err != nil || !strings.Contains(string(text), old) {
+			t.Fatalf("%s lacks %q: %v", of, old, err)
+		}
+		return file(t, dir, name, strings.Replace(string(text), old, to, 1))
+	}
+	commands := [][]string{{"--help"}, {}, {"nothing"}, {"check"}, {"lab", "--list"}, {"lab", "--scenario", "storm"}, {"lab", "--for", "1ms"}, {"bench", "--rounds", "0"},
+		{"bench", "--parts", "--size", "0"}, {"run", "--config", in("none.toml")}, {"run", "--config", in("member.toml")}, {"init", "--config", in("member.toml")},
+		{"init", "--config", in("gateway.toml"), "--join"}, {"init", "--config", in("member.toml"), "--adopt"}, {"init", "--config", in("member.toml"), "--new-cluster"},
+		{"init", "--config", in("member.toml"), "--join"}, {"certs", "--dir", in("certs")}, {"certs", "--members", "0", "--dir", in("certs")}, {"certs", "--members", "1", "--dir", in("certs")},
+		{"certs", "--cluster", "dodoma", "--members", "1,2", "--operators", "amina", "--followers", "edge-1", "--dir", in("certs")},
+		{"certs", "--cluster", "other", "--members", "3", "--dir", in("certs")}, {"certs", "--members", "2", "--dir", in("certs")},
+		{"config", "--timeout", "1h", "status"}, {"config", "--certs", in("certs"), "--operator", "zuri", "status"}, {"config", "apply", in("fleet.toml"), "--wait", "all"},
+		{"config", "diff", edited("fleet-bad.toml", "fleet.toml", "rate = 18", "rate = -1")}, {"config", "apply", in("none.toml")}, {"stream", "pin", "edge-1", "0"},
+		{"check", "--json", in("booking.yaml"), edited("bad.yaml", "booking.yaml", "{class: visit-book, units: 2}", "{class: visit-bok, units: 0}")},
+		{"check", in("bad.yaml")}, {"check", edited("cheap.yaml", "booking.yaml", "x-mulleinmux: {class: visit-book, units: 2}\n", "description: cheap\n")},
+		{"check", edited("a.toml", "gateway.toml", `plan = "kubwa"`, `plan = "kubva"`)}, {"check", "--json", in("a.toml")},
+		{"check", edited("b.toml", "member.toml", `"serve"`, `"maybe"`)}, {"check", edited("c.toml", "follower.toml", `keys = "home"`, `keys = "here"`)}}
+	for _, c := range []string{"lab", "check", "bench", "certs", "init", "config", "config apply", "config members", "stream", "run"} {
+		commands = append(commands, append(strings.Fields(c), "--help"))
+	}
+	for _, name := range files {
+		commands = append(commands, []string{"check", in(name)}, []string{"check", "--json", in(name)})
+	}
+	var all bytes.Buffer
+	for _, args := range commands {
+		var out, errs bytes.Buffer
+		status := run(context.Background(), args, &out, &errs)
+		fmt.Fprintf(&all, "$ mulleingate %s\n%s", strings.Join(args, " "), &out)
+		if errs.Len() > 0 {
+			fmt.Fprintf(&all, "stderr: %s", &errs)
+		}
+		fmt.Fprintf(&all, "exit %d\n\n", status)
+	}
+	made := map[string]string{}
+	if err := filepath.WalkDir(in("certs"), func(path string, d fs.DirEntry, err error) error {
+		if err == nil {
+			info, e := d.Info()
+			made[path], err = fmt.Sprint(info.Mode()), e
+		}
+		return err
+	}); err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range slices.Sorted(maps.Keys(made)) {
+		fmt.Fprintln(&all, made[path], path)
+	}
+	got := bytes.ReplaceAll(all.Bytes(), []byte(dir), []byte("DIR"))
+	if wd, err := os.Getwd(); err == nil {
+		got = bytes.ReplaceAll(got, []byte(wd), []byte("HERE"))
+	}
+	fixture.Compare(t, "commands.txt.gz", got)
+}
