--- /dev/null
+++ b/internal/gateway/fixture_test.go
@@ -0,0 +1,28 @@
+package gateway
+
+import (
+	"bytes"
+	"fmt"
+	"regexp"
+	"testing"
+
+	"mulleinmux/internal/fixture"
+)
+
+// Lines of the access log, and the numbers of keys and of licensees, are as they were recorded. Times are masked.
+//
+// Recorded with: MULLEINMUX_RECORD=1 go test ./internal/gateway -run Fixture
+func TestFixtureAccessLogAndNumbers(t *testing.T) {
+	var out bytes.Buffer
+	l := NewAccessLog(&out)
+	l.Observe(Record{Trace: "t", Operation: "slots", Licensee: "bahari", Version: 3, Units: 2, Sent: true, Attempts: 2, Status: 200, Answer: "served"})
+	l.Observe(Record{Status: 503, Answer: "refused", Why: "its home is not known"})
+	l.dropped.Add(5)
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"", "bahari", "kilima"} {
+		fmt.Fprintln(&out, CustomerOf(name), keyNumber(name, ""), keyNumber(name, "key-1"), keyNumber("key-1", name))
+	}
+	fixture.Compare(t, "access.txt", regexp.MustCompile(`"time":"\d{4}-\d\d-\d\dT[0-9:.]+(Z|[+-]\d\d:\d\d)"`).ReplaceAll(out.Bytes(), []byte(`"time":"TIME"`)))
+}
