--- a/confstream/fixture_test.go
+++ b/confstream/fixture_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"math/rand/v2"
 	"reflect"
 	"slices"
 	"testing"
@@ -81,3 +82,18 @@
 		t.Errorf("%v, %v", second, err)
 	}
 }
+
+// Each follower's order of members, and its waits for fixed draws, are as they were recorded.
+//
+// Recorded with: MULLEINMUX_RECORD=1 go test ./confstream -run Fixture
+func TestFixtureSeats(t *testing.T) {
+	var out bytes.Buffer
+	for i := range 16 {
+		s := NewSeat(SeatConfig{Name: fmt.Sprintf("edge-%d", i), Members: []uint64{1, 2, 3, 4, 5, 300}, Least: 100 * time.Millisecond, Most: 10 * time.Second}, rand.New(rand.NewPCG(uint64(i), 1)))
+		for n := range 8 {
+			fmt.Fprint(&out, s.Next(), " ", s.Lost(n == 4), "; ")
+		}
+		fmt.Fprintln(&out)
+	}
+	fixture.Compare(t, "seats.txt", out.Bytes())
+}
