--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -31,19 +31,19 @@
 func TestFixtureFollowerFile(t *testing.T) {
 	s := clusterconfig.New(nil)
 	version := func(before *configstream.Version, id string, changes ...clusterconfig.Change) *configstream.Version {
-		entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: id, Changes: changes})
+		entry, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{ID: id, Changes: changes})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, o, err := s.Apply(entry); err != nil || !o.Applied {
+		if _, o, err := s.Apply(entry); err != nil || !o.IsApplied {
 			t.Fatal(o, err)
 		}
-		return configstream.Of(s.Freeze(), before)
+		return configstream.NewVersion(s.Freeze(), before)
 	}
-	one := version(nil, "p1", clusterconfig.Put("epoch", "epoch", clusterconfig.Epoch{Number: 2, ID: "one"}), clusterconfig.Put("plan", "kati", clusterconfig.Plan{Price: 1}),
-		clusterconfig.Put("hall", "hall-a", clusterconfig.Hall{Register: "127.0.0.1:1"}))
-	two := version(one, "p2", clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Price: 2}))
-	three := version(two, "p3", clusterconfig.Put("plan", "kati", clusterconfig.Plan{Price: 3}))
+	one := version(nil, "p1", clusterconfig.NewPutChange("epoch", "epoch", clusterconfig.Epoch{Number: 2, ID: "one"}), clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 1}),
+		clusterconfig.NewPutChange("hall", "hall-a", clusterconfig.Site{DiscoveryAddress: "127.0.0.1:1"}))
+	two := version(one, "p2", clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{PriorityFactor: 2}))
+	three := version(two, "p3", clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 3}))
 	dump := func(path string) []byte {
 		db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
 		if err != nil {
@@ -77,8 +77,8 @@
 	if f, d, err = openFollowerFile(fresh, "c", "edge-1"); err != nil {
 		t.Fatal(err)
 	}
-	d.Good, d.InForce, d.Tries, d.Previous, d.Received, d.Checks = two, true, 2, one, three.Ref, 1
-	d.Refused = []configstream.Refusal{{Ref: three.Ref, Problems: []configstream.Problem{{Object: "plan/kati", Field: "price", Text: "is odd"}}, Unread: true}}
+	d.Accepted, d.WasActivated, d.ActivationAttempts, d.Previous, d.Candidate, d.CheckAttempts = two, true, 2, one, three.Ref, 1
+	d.Rejections = []configstream.Rejection{{Ref: three.Ref, Problems: []configstream.Problem{{Object: "plan/kati", Field: "price", Text: "is odd"}}, IsUnsupportedFormat: true}}
 	if err := errors.Join(f.keep(&d), f.close()); err != nil {
 		t.Fatal(err)
 	}
@@ -99,11 +99,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Starts != d.Starts+1 || got.Good.Ref != two.Ref || got.Good.Hash != two.Hash || got.Previous.Ref != one.Ref || !got.InForce || got.Tries != 2 ||
-		got.Received != three.Ref || got.Checks != 1 || !reflect.DeepEqual(got.Refused, d.Refused) {
+	if got.StartCount != d.StartCount+1 || got.Accepted.Ref != two.Ref || got.Accepted.Hash != two.Hash || got.Previous.Ref != one.Ref || !got.WasActivated || got.ActivationAttempts != 2 ||
+		got.Candidate != three.Ref || got.CheckAttempts != 1 || !reflect.DeepEqual(got.Rejections, d.Rejections) {
 		t.Errorf("%+v", got)
 	}
-	got.Starts--
+	got.StartCount--
 	if err := errors.Join(f.keep(&got), f.close()); err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	r.await("it leads", func() bool { _, err := r.admin.Objects(r.ctx(), false); return err == nil })
 	r.propose(r.first())
 	r.everywhere(1)
-	r.propose(&clusterconfig.Proposal{ID: "second", Why: "a follower", Changes: []clusterconfig.Change{change("put", "follower", "edge-1", `{"note":"x"}`)}})
+	r.propose(&clusterconfig.Proposal{ID: "second", Reason: "a follower", Changes: []clusterconfig.Change{change("put", "follower", "edge-1", `{"note":"x"}`)}})
 	r.await("it has the second", func() bool { // the follower never comes
 		s, err := r.admin.Status(r.ctx())
 		return err == nil && s.Installed == 2
@@ -172,7 +172,7 @@
 		{"POST", "/v1/members", `{"op":"add","member":1}`}, {"POST", "/v1/members", `{"op":"transfer","member":9}`},
 		{"GET", "/v1/none", ""}, {"POST", "/v1/status", ""},
 	} {
-		req, err := http.NewRequestWithContext(r.ctx(), q.method, "https://"+r.addrs[1].Admin+q.path, strings.NewReader(q.body))
+		req, err := http.NewRequestWithContext(r.ctx(), q.method, "https://"+r.addrs[1].AdminAddress+q.path, strings.NewReader(q.body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -203,12 +203,12 @@
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureAnswers(t *testing.T) {
-	at := &clusterconfig.Member{Raft: "a", Admin: "b"}
+	at := &clusterconfig.Member{RaftAddress: "a", AdminAddress: "b"}
 	full := Status{Cluster: "c", Installed: 1, AgeMs: -1, Serves: true, Note: "note", Halls: map[string]string{"hall-a": "well"}, Members: map[uint64]clusterconfig.Member{1: *at}}
 	full.ID, full.Leader, full.Ready, full.Index, full.Version, full.Hash, full.Voters, full.Learners = 1, 2, true, 4, 5, "hash", []uint64{1}, []uint64{2}
 	w := httptest.NewRecorder()
 	for _, v := range []any{Status{}, full, Objects{}, MembersChange{}, MembersChange{Op: "add", Member: 1, With: 2, At: at}, failure{"why"}, Followers{},
-		Followers{Member: 1, Newest: 2, Followers: []configstream.Standing{{}}}, FollowerStatus{}} {
+		Followers{Member: 1, Newest: 2, Followers: []configstream.StreamStatus{{}}}, FollowerStatus{}} {
 		write(w, 200, v)
 	}
 	fixture.Compare(t, "answers.txt", w.Body.Bytes())
