--- a/clusterconfig/state.go
+++ b/clusterconfig/state.go
@@ -27,9 +27,9 @@
 // Format is the newest format of entries and snapshots that this program knows.
 const Format = 3
 
-// formatOf is the oldest format that knows a kind: older programs in a cluster go on until the
+// formatForKind is the oldest format that knows a kind: older programs in a cluster go on until the
 // first entry that they could not read.
-func formatOf(kind string) byte {
+func formatForKind(kind string) byte {
 	switch kind {
 	case "lost":
 		return 2
@@ -39,19 +39,19 @@
 	return 1
 }
 
-// FormatOf is the oldest format that knows the kind of an object, by its key "kind/name".
-func FormatOf(key string) int {
+// FormatForKey is the oldest format that knows the kind of an object, by its key "kind/name".
+func FormatForKey(key string) int {
 	kind, _, _ := strings.Cut(key, "/")
-	return int(formatOf(kind))
+	return int(formatForKind(kind))
 }
 
 // Bounds.
 const (
-	MaxProposal = 12 << 20 // bytes of an encoded proposal
-	maxChanges  = 10_000   // in one proposal
-	keptIDs     = 10_000   // request ids that are remembered, the oldest forgotten first
-	keptHistory = 2_000    // versions whose history is kept
-	maxPlaces   = 1_000    // plans that were ever put
+	MaxProposalBytes = 12 << 20 // bytes of an encoded proposal
+	maxChanges       = 10_000   // in one proposal
+	maxOutcomes      = 10_000   // request ids that are remembered, the oldest forgotten first
+	maxHistory       = 2_000    // versions whose history is kept
+	maxPlans         = 1_000    // plans that were ever put
 )
 
 // Errors.
@@ -71,9 +71,9 @@
 	Value json.RawMessage `json:"value,omitempty"` // of a put
 }
 
-// Put is the change that puts an object. It panics on a value that JSON can't hold, which
+// NewPutChange is the change that puts an object. It panics on a value that JSON can't hold, which
 // none of this package's kinds is.
-func Put(kind, name string, value any) Change {
+func NewPutChange(kind, name string, value any) Change {
 	text, err := json.Marshal(value)
 	if err != nil {
 		panic(fmt.Sprintf("fleetconfig: %s %s: %v", kind, name, err))
@@ -83,30 +83,30 @@
 
 // Proposal is what an operator asks for: all of its changes take place, or none.
 type Proposal struct {
-	ID      string   `json:"id"`             // of the request: a repeated one is applied once
-	Base    *uint64  `json:"base,omitempty"` // the version that the changes were made against; nil: any
-	Author  string   `json:"author,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	AtMs    int64    `json:"at_ms,omitempty"` // when it was proposed, by the proposer's clock; decides nothing
-	Changes []Change `json:"changes"`
+	ID           string   `json:"id"`             // of the request: a repeated one is applied once
+	BaseVersion  *uint64  `json:"base,omitempty"` // the version that the changes were made against; nil: any
+	Author       string   `json:"author,omitempty"`
+	Reason       string   `json:"why,omitempty"`
+	ProposedAtMs int64    `json:"at_ms,omitempty"` // when it was proposed, by the proposer's clock; decides nothing
+	Changes      []Change `json:"changes"`
 }
 
 // Outcome is what became of a proposal.
 type Outcome struct {
-	Version uint64 `json:"version"`           // in force after it
-	Applied bool   `json:"applied"`           // the version is the proposal's own
-	Refused string `json:"refused,omitempty"` // why not
+	Version         uint64 `json:"version"`           // in force after it
+	IsApplied       bool   `json:"applied"`           // the version is the proposal's own
+	RejectionReason string `json:"refused,omitempty"` // why not
 }
 
-// Record is one version in the history.
-type Record struct {
-	Version uint64   `json:"version"`
-	ID      string   `json:"id"`
-	Author  string   `json:"author,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	AtMs    int64    `json:"at_ms,omitempty"`
-	Changes []string `json:"changes"` // such as "put plan kubwa"
-	Hash    string   `json:"hash"`    // of the chain after it
+// HistoryRecord is one version in the history.
+type HistoryRecord struct {
+	Version      uint64   `json:"version"`
+	ID           string   `json:"id"`
+	Author       string   `json:"author,omitempty"`
+	Reason       string   `json:"why,omitempty"`
+	ProposedAtMs int64    `json:"at_ms,omitempty"`
+	Changes      []string `json:"changes"` // such as "put plan kubwa"
+	Hash         string   `json:"hash"`    // of the chain after it
 }
 
 // Validator checks a description against the classes and the limit of units in force. It
@@ -115,15 +115,15 @@
 
 // State is the agreed configuration. It is not safe for concurrent use.
 type State struct {
-	validate Validator
-	version  uint64
-	hash     [sha256.Size]byte // of all entries so far, refused ones too
-	objects  *Tree             // replaced by each change
-	homes    uint64            // version of the last change of a hall or a follower
-	places   []string          // of plans, in the order in which they were first put
-	outcomes map[string]Outcome
-	ids      []string // of outcomes, the oldest first
-	history  []Record
+	validate     Validator
+	version      uint64
+	hash         [sha256.Size]byte // of all entries so far, refused ones too
+	objects      *Tree             // replaced by each change
+	homes        uint64            // version of the last change of a hall or a follower
+	places       []string          // of plans, in the order in which they were first put
+	outcomes     map[string]Outcome
+	outcomeOrder []string // of outcomes, the oldest first
+	history      []HistoryRecord
 }
 
 // New returns an empty state at version 0.
@@ -139,9 +139,9 @@
 func (s *State) Hash() string { return hex.EncodeToString(s.hash[:]) }
 
 // History is the records kept, the oldest first.
-func (s *State) History() []Record { return slices.Clone(s.kept()) }
+func (s *State) History() []HistoryRecord { return slices.Clone(s.kept()) }
 
-func (s *State) kept() []Record { return s.history[max(len(s.history)-keptHistory, 0):] }
+func (s *State) kept() []HistoryRecord { return s.history[max(len(s.history)-maxHistory, 0):] }
 
 // Outcome is what became of a proposal, as long as its id is remembered.
 func (s *State) Outcome(id string) (Outcome, bool) {
@@ -157,9 +157,9 @@
 // Tree is the agreed objects. Nobody may change a value in it.
 func (s *State) Tree() *Tree { return s.objects }
 
-// Told is a configuration as [State.Freeze] returns it, from what was told of one: its version, hash, places and epoch
+// NewFrozenState is a configuration as [State.Freeze] returns it, from what was told of one: its version, hash, places and epoch
 // of homes, and its objects.
-func Told(version, homes uint64, hash string, places []string, objects *Tree) (*State, error) {
+func NewFrozenState(version, homes uint64, hash string, places []string, objects *Tree) (*State, error) {
 	s := &State{version: version, homes: homes, places: places, objects: objects, outcomes: map[string]Outcome{}}
 	if n, err := hex.Decode(s.hash[:], []byte(hash)); err != nil || n != len(s.hash) || len(hash) != 2*n {
 		return nil, fmt.Errorf("hash: %w", ErrMalformed)
@@ -167,13 +167,13 @@
 	return s, nil
 }
 
-// Places are the names of all plans that were ever put, removed ones too, in an order that
+// PlanOrder are the names of all plans that were ever put, removed ones too, in an order that
 // is the same at all instances and in which none moves: instances name plans to each other
 // by their place.
-func (s *State) Places() []string { return slices.Clone(s.places) }
+func (s *State) PlanOrder() []string { return slices.Clone(s.places) }
 
-// Homes is the version of the last change of a hall: an epoch of homes.
-func (s *State) Homes() uint64 { return s.homes }
+// PlacementVersion is the version of the last change of a hall: an epoch of homes.
+func (s *State) PlacementVersion() uint64 { return s.homes }
 
 // Freeze returns the configuration as it is now, without the history and the outcomes of
 // proposals. It stays as it is while s goes on, and may be read by others.
@@ -195,24 +195,24 @@
 
 func key(kind, name string) []byte { return []byte(kind + "/" + name) }
 
-// Encode words a proposal as an entry.
-func Encode(p *Proposal) ([]byte, error) {
+// EncodeProposal words a proposal as an entry.
+func EncodeProposal(p *Proposal) ([]byte, error) {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return nil, fmt.Errorf("proposal: %w", err)
 	}
-	if len(text) > MaxProposal {
-		return nil, fmt.Errorf("proposal: %d bytes: %d are the most", len(text), MaxProposal)
+	if len(text) > MaxProposalBytes {
+		return nil, fmt.Errorf("proposal: %d bytes: %d are the most", len(text), MaxProposalBytes)
 	}
 	format := byte(1)
 	for _, c := range p.Changes {
-		format = max(format, formatOf(c.Kind))
+		format = max(format, formatForKind(c.Kind))
 	}
 	return append([]byte{format}, text...), nil
 }
 
-// decode reads an entry.
-func decode(entry []byte) (*Proposal, error) {
+// decodeProposal reads an entry.
+func decodeProposal(entry []byte) (*Proposal, error) {
 	if len(entry) == 0 || entry[0] == 0 {
 		return nil, ErrMalformed
 	}
@@ -220,13 +220,13 @@
 		return nil, ErrNewerFormat
 	}
 	var p Proposal
-	if err := strict(entry[1:], &p); err != nil {
+	if err := decodeStrict(entry[1:], &p); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return &p, nil
 }
 
-func strict(text []byte, to any) error {
+func decodeStrict(text []byte, to any) error {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(to); err != nil {
@@ -245,12 +245,12 @@
 	return err
 }
 
-// MovesHomes tells whether an entry may change homes of keys once it is applied. One that can't be read may.
-func MovesHomes(entry []byte) bool {
+// ChangesPlacement tells whether an entry may change homes of keys once it is applied. One that can't be read may.
+func ChangesPlacement(entry []byte) bool {
 	if !bytes.Contains(entry, []byte(`"hall"`)) && !bytes.Contains(entry, []byte(`"lost"`)) && !bytes.Contains(entry, []byte(`"follower"`)) {
 		return false // a description may be long: it is read once, when it is applied
 	}
-	p, err := decode(entry)
+	p, err := decodeProposal(entry)
 	return err != nil || slices.ContainsFunc(p.Changes, func(c Change) bool { return c.movesHomes() })
 }
 
@@ -263,7 +263,7 @@
 // Apply applies the next entry. An error means that the entry can't be read: the state is
 // as it was, and the instance must stop, since others may have read it.
 func (s *State) Apply(entry []byte) (id string, o Outcome, err error) {
-	p, err := decode(entry)
+	p, err := decodeProposal(entry)
 	if err != nil {
 		return "", Outcome{}, err
 	}
@@ -273,7 +273,7 @@
 	objects, err := s.try(p)
 	s.chain(entry, err == nil)
 	if err != nil {
-		o = Outcome{Version: s.version, Refused: err.Error()}
+		o = Outcome{Version: s.version, RejectionReason: err.Error()}
 	} else {
 		s.version++
 		s.objects = objects
@@ -285,19 +285,19 @@
 				s.places = append(s.places, c.Name)
 			}
 		}
-		o = Outcome{Version: s.version, Applied: true}
-		r := Record{Version: s.version, ID: p.ID, Author: p.Author, Why: p.Why, AtMs: p.AtMs, Hash: s.Hash()}
+		o = Outcome{Version: s.version, IsApplied: true}
+		r := HistoryRecord{Version: s.version, ID: p.ID, Author: p.Author, Reason: p.Reason, ProposedAtMs: p.ProposedAtMs, Hash: s.Hash()}
 		for _, c := range p.Changes {
 			r.Changes = append(r.Changes, c.Op+" "+c.Kind+" "+c.Name)
 		}
-		if s.history = append(s.history, r); len(s.history) >= 2*keptHistory {
+		if s.history = append(s.history, r); len(s.history) >= 2*maxHistory {
 			s.history = slices.Clone(s.kept()) // now and then: not for each version
 		}
 	}
 	s.outcomes[p.ID] = o
-	if s.ids = append(s.ids, p.ID); len(s.ids) > keptIDs {
-		delete(s.outcomes, s.ids[0])
-		s.ids = s.ids[1:]
+	if s.outcomeOrder = append(s.outcomeOrder, p.ID); len(s.outcomeOrder) > maxOutcomes {
+		delete(s.outcomes, s.outcomeOrder[0])
+		s.outcomeOrder = s.outcomeOrder[1:]
 	}
 	return p.ID, o, nil
 }
@@ -321,8 +321,8 @@
 		return nil, errors.New("changes: none")
 	case len(p.Changes) > maxChanges:
 		return nil, fmt.Errorf("changes: %d are the most", maxChanges)
-	case p.Base != nil && *p.Base != s.version:
-		return nil, fmt.Errorf("base: version %d is in force, not %d: look at what changed and propose again", s.version, *p.Base)
+	case p.BaseVersion != nil && *p.BaseVersion != s.version:
+		return nil, fmt.Errorf("base: version %d is in force, not %d: look at what changed and propose again", s.version, *p.BaseVersion)
 	}
 	next := s.objects.Txn()
 	touched := map[string]bool{} // kinds and objects
@@ -358,8 +358,8 @@
 			return nil, fmt.Errorf("%s: op: put or remove is wanted", at)
 		}
 	}
-	if touched["plan"] && s.newPlaces(p) > maxPlaces {
-		return nil, fmt.Errorf("changes: more than %d plans were ever put: put one that was removed anew, under its name", maxPlaces)
+	if touched["plan"] && s.newPlaces(p) > maxPlans {
+		return nil, fmt.Errorf("changes: more than %d plans were ever put: put one that was removed anew, under its name", maxPlans)
 	}
 	objects := next.Commit()
 	return objects, s.consistent(objects, touched)
@@ -367,8 +367,8 @@
 
 // sameLoss tells whether two values of a lost hall differ in their words alone.
 func sameLoss(a, b json.RawMessage) bool {
-	var x, y LostHall
-	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && x.Part == y.Part
+	var x, y LostSite
+	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && x.RecoveredEighths == y.RecoveredEighths
 }
 
 // newPlaces counts the places that there would be.
@@ -395,7 +395,7 @@
 	Homes    uint64                     `json:"homes"`
 	IDs      []string                   `json:"ids"`
 	Outcomes []Outcome                  `json:"outcomes"` // in the order of IDs
-	History  []Record                   `json:"history"`
+	History  []HistoryRecord            `json:"history"`
 }
 
 // Snapshot words the state. The same state gives the same bytes.
@@ -403,11 +403,11 @@
 	format, objects := byte(1), make(map[string]json.RawMessage, s.objects.Len())
 	s.objects.Root().Walk(func(k []byte, v json.RawMessage) bool {
 		kind, _, _ := strings.Cut(string(k), "/")
-		format, objects[string(k)] = max(format, formatOf(kind)), v
+		format, objects[string(k)] = max(format, formatForKind(kind)), v
 		return false
 	})
-	snap := snapshot{Format: int(format), Version: s.version, Hash: s.Hash(), Objects: objects, Places: s.places, Homes: s.homes, IDs: s.ids, History: s.kept()}
-	for _, id := range s.ids {
+	snap := snapshot{Format: int(format), Version: s.version, Hash: s.Hash(), Objects: objects, Places: s.places, Homes: s.homes, IDs: s.outcomeOrder, History: s.kept()}
+	for _, id := range s.outcomeOrder {
 		snap.Outcomes = append(snap.Outcomes, s.outcomes[id])
 	}
 	return json.Marshal(snap)
@@ -425,14 +425,14 @@
 		return fmt.Errorf("snapshot: format %d: %w", form.Format, ErrNewerFormat)
 	}
 	var snap snapshot
-	if err := strict(text, &snap); err != nil {
+	if err := decodeStrict(text, &snap); err != nil {
 		return fmt.Errorf("snapshot: %w: %w", ErrMalformed, err)
 	}
 	hash, err := hex.DecodeString(snap.Hash)
 	if err != nil || len(hash) != sha256.Size || len(snap.IDs) != len(snap.Outcomes) || form.Format < 1 {
 		return fmt.Errorf("snapshot: %w", ErrMalformed)
 	}
-	*s = State{validate: s.validate, version: snap.Version, places: snap.Places, homes: snap.Homes, outcomes: map[string]Outcome{}, ids: snap.IDs, history: snap.History}
+	*s = State{validate: s.validate, version: snap.Version, places: snap.Places, homes: snap.Homes, outcomes: map[string]Outcome{}, outcomeOrder: snap.IDs, history: snap.History}
 	copy(s.hash[:], hash)
 	objects := iradix.New[json.RawMessage]().Txn()
 	for k, v := range snap.Objects {
--- a/configstream/race_test.go
+++ b/configstream/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package confstream
+package configstream
 
 const raceEnabled = true
--- a/internal/raftnode/consent_test.go
+++ b/internal/raftnode/consent_test.go
@@ -85,7 +85,7 @@
 		}
 		for last := m.core.rn.BasicStatus().GetCommit(); c.seen < last; {
 			c.seen++
-			if es, err := m.core.mem.Entries(c.seen, c.seen+1, 1<<30); err == nil && len(es) == 1 && len(es[0].GetData()) > 0 && clusterconfig.MovesHomes(es[0].GetData()) {
+			if es, err := m.core.mem.Entries(c.seen, c.seen+1, 1<<30); err == nil && len(es) == 1 && len(es[0].GetData()) > 0 && clusterconfig.ChangesPlacement(es[0].GetData()) {
 				c.moves = append(c.moves, c.seen)
 				c.commits[c.seen] = c.tick
 			}
--- a/internal/raftnode/core.go
+++ b/internal/raftnode/core.go
@@ -259,7 +259,7 @@
 // Propose has a proposal applied, if it passes the check here. done is called with its
 // outcome once it is applied here, or with an error.
 func (c *Core) Propose(p *clusterconfig.Proposal, done func(clusterconfig.Outcome, error)) {
-	entry, err := clusterconfig.Encode(p)
+	entry, err := clusterconfig.EncodeProposal(p)
 	switch {
 	case err != nil:
 	case c.failed != nil:
@@ -438,7 +438,7 @@
 		c.tail = slices.DeleteFunc(c.tail, func(i uint64) bool { return i >= first })
 	}
 	for _, e := range entries {
-		if e.GetType() != pb.EntryNormal || len(e.GetData()) > 0 && clusterconfig.MovesHomes(e.GetData()) {
+		if e.GetType() != pb.EntryNormal || len(e.GetData()) > 0 && clusterconfig.ChangesPlacement(e.GetData()) {
 			c.tail = append(c.tail, e.GetIndex())
 		}
 	}
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -165,18 +165,18 @@
 	leader := r.status(1).Leader
 	via := leader%3 + 1
 	for i := range 20 {
-		if o := r.propose(via, planPut(fmt.Sprint("a", i), i)); !o.Applied || o.Version != uint64(i+1) {
+		if o := r.propose(via, planPut(fmt.Sprint("a", i), i)); !o.IsApplied || o.Version != uint64(i+1) {
 			t.Fatalf("%+v", o)
 		}
 	}
 	r.kill(leader)
 	began := time.Now()
-	if o := r.propose(via, planPut("b", 1)); !o.Applied || o.Version != 21 {
+	if o := r.propose(via, planPut("b", 1)); !o.IsApplied || o.Version != 21 {
 		t.Fatalf("after the leader was lost: %+v", o)
 	}
 	t.Logf("the next change was applied %v after the leader was killed", time.Since(began))
 	// A repeated proposal comes to what it came to.
-	if o := r.propose(via, planPut("a3", 3)); !o.Applied || o.Version != 4 {
+	if o := r.propose(via, planPut("a3", 3)); !o.IsApplied || o.Version != 4 {
 		t.Errorf("repeated: %+v", o)
 	}
 	var all sync.WaitGroup
@@ -299,7 +299,7 @@
 	if s := r.status(1); s.Leader == 0 {
 		t.Errorf("%+v", s)
 	}
-	if o := r.propose(1, planPut("a", 1)); !o.Applied {
+	if o := r.propose(1, planPut("a", 1)); !o.IsApplied {
 		t.Errorf("%+v", o)
 	}
 }
@@ -350,7 +350,7 @@
 		t.Errorf("a new start is not heard: %v", err)
 	}
 	delete(net.seen, id)
-	if o := r.propose(other, planPut("b", 1)); !o.Applied {
+	if o := r.propose(other, planPut("b", 1)); !o.IsApplied {
 		t.Errorf("the others: %+v", o)
 	}
 	r.kill(id)
@@ -405,7 +405,7 @@
 		}
 		return &clusterconfig.Proposal{ID: id, Changes: []clusterconfig.Change{{Op: "put", Kind: "description", Name: "d", Value: v}}}
 	}
-	if o := r.propose(2, p("a", text)); !o.Applied {
+	if o := r.propose(2, p("a", text)); !o.IsApplied {
 		t.Errorf("%+v", o)
 	}
 	r.await("applied everywhere", func(s Status) bool { return s.Version == 1 })
--- a/internal/raftnode/sim_test.go
+++ b/internal/raftnode/sim_test.go
@@ -397,7 +397,7 @@
 		cl.p = proposal(fmt.Sprintf("op-%d", c.values), cl.in.value)
 		if cl.in.base >= 0 {
 			base := cl.version
-			cl.p.Base = &base
+			cl.p.BaseVersion = &base
 		}
 	}
 	c.events = append(c.events, porcupine.Event{ClientId: 0, Kind: porcupine.CallEvent, Value: cl.in, Id: cl.id})
@@ -412,8 +412,8 @@
 }
 
 func valueOf(s *clusterconfig.State) string {
-	if p, ok := clusterconfig.Read[clusterconfig.Plan](s, "plan")["x"]; ok {
-		return fmt.Sprintf("plan-%d", int(p.Price))
+	if p, ok := clusterconfig.ObjectsByName[clusterconfig.Plan](s, "plan")["x"]; ok {
+		return fmt.Sprintf("plan-%d", int(p.PriorityFactor))
 	}
 	return ""
 }
@@ -436,7 +436,7 @@
 	}
 	core.Propose(cl.p, func(o clusterconfig.Outcome, err error) {
 		if err == nil && cl.busy && cl.id == op {
-			c.done(cl, output{version: o.Version, refused: !o.Applied})
+			c.done(cl, output{version: o.Version, refused: !o.IsApplied})
 		}
 	})
 }
@@ -575,7 +575,7 @@
 func (c *cluster) put(m *member, id string) {
 	done := false
 	m.core.Propose(planPut(id, 1), func(o clusterconfig.Outcome, err error) {
-		if err != nil || !o.Applied {
+		if err != nil || !o.IsApplied {
 			c.fatalf("%s: %+v, %v", id, o, err)
 		}
 		done = true
