--- /dev/null
+++ b/clusterconfig/proposal_test.go
@@ -0,0 +1,253 @@
+package clusterconfig
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// Each applied proposal makes the next version, completely or not at all; an invalid one is rejected with the name of
+// the field.
+func TestProposals(t *testing.T) {
+	s := New(checkText)
+	base := func(v uint64) *uint64 { return &v }
+	for i, c := range []struct {
+		name      string
+		base      *uint64
+		changes   []Change
+		rejection string // a part of it; empty: applied
+	}{
+		{name: "first plan", changes: []Change{put("plan", "kati", planText)}},
+		{name: "licensee of a plan", changes: []Change{put("licensee", "a", `{"plan":"kati"}`)}},
+		{
+			name:      "licensee of a missing plan",
+			changes:   []Change{put("licensee", "b", `{"plan":"kubwa"}`)},
+			rejection: `plan "kubwa" is not there`,
+		},
+		{
+			name: "licensee before its plan in one proposal",
+			changes: []Change{
+				put("licensee", "b", `{"plan":"kubwa"}`),
+				put("plan", "kubwa", planText),
+			},
+		},
+		{
+			name:      "plan in use removed",
+			changes:   []Change{remove("plan", "kati")},
+			rejection: `licensee a: plan "kati"`,
+		},
+		{
+			name: "licensee and its plan removed",
+			changes: []Change{
+				remove("licensee", "a"),
+				remove("plan", "kati"),
+			},
+		},
+		{
+			name:      "missing plan removed",
+			changes:   []Change{remove("plan", "kati")},
+			rejection: "there is none",
+		},
+		{
+			name:    "current base version",
+			base:    base(4),
+			changes: []Change{put("hall", "a", `{"register":"127.0.0.1:1"}`)},
+		},
+		{
+			name:      "outdated base version",
+			base:      base(4),
+			changes:   []Change{put("hall", "b", `{"register":"127.0.0.1:1"}`)},
+			rejection: "version 5 is in force, not 4",
+		},
+		{
+			name:      "bad discovery address",
+			changes:   []Change{put("hall", "b", `{"register":"here"}`)},
+			rejection: "register",
+		},
+		{
+			name:      "only site lost",
+			changes:   []Change{put("lost", "a", `{"why":"silent"}`)},
+			rejection: "no other hall takes keys",
+		},
+		{
+			name:      "unknown site lost",
+			changes:   []Change{put("lost", "c", `{"why":"silent"}`)},
+			rejection: "there is no such hall",
+		},
+		{
+			name: "other site closed",
+			changes: []Change{
+				put("hall", "c", `{"register":"127.0.0.1:1","closed":true}`),
+				put("lost", "a", `{"why":"silent"}`),
+			},
+			rejection: "no other hall takes keys",
+		},
+		{
+			name: "site added with the loss",
+			changes: []Change{
+				put("hall", "c", `{"register":"127.0.0.1:1"}`),
+				put("lost", "a", `{"why":"silent"}`),
+			},
+		},
+		{
+			name:      "same loss again",
+			changes:   []Change{put("lost", "a", `{"why":"silent"}`)},
+			rejection: "it is so already",
+		},
+		{
+			name:      "recovered part out of range",
+			changes:   []Change{put("lost", "a", `{"why":"warm","part":9}`)},
+			rejection: "part",
+		},
+		{name: "site recovering", changes: []Change{put("lost", "a", `{"why":"warm","part":2}`)}},
+		{
+			name:    "second site lost while the first recovers",
+			changes: []Change{put("lost", "c", `{"why":"silent"}`)},
+		},
+		{
+			name: "losses exchanged",
+			changes: []Change{
+				remove("lost", "c"),
+				put("lost", "a", `{"why":"silent"}`),
+			},
+		},
+		{
+			name:      "last site that takes keys lost",
+			changes:   []Change{put("lost", "c", `{"why":"silent"}`)},
+			rejection: "no other hall takes keys",
+		},
+		{
+			name:      "loss without a reason",
+			changes:   []Change{put("lost", "c", `{"why":""}`)},
+			rejection: "why",
+		},
+		{name: "loss removed", changes: []Change{remove("lost", "a")}},
+		{
+			name:      "missing loss removed",
+			changes:   []Change{remove("lost", "a")},
+			rejection: "there is none",
+		},
+		{
+			name:      "rate without burst",
+			changes:   []Change{put("plan", "x", `{"rate":5,"price":1}`)},
+			rejection: "burst",
+		},
+		{
+			name:      "negative rate",
+			changes:   []Change{put("plan", "x", `{"rate":-5,"burst":1,"price":1}`)},
+			rejection: "rate: out of range",
+		},
+		{
+			name:      "hard limit below the rate",
+			changes:   []Change{put("plan", "x", `{"rate":5,"burst":10,"ceiling_rate":1,"ceiling_burst":9,"price":1}`)},
+			rejection: "ceiling_rate",
+		},
+		{
+			name:      "unknown field",
+			changes:   []Change{put("plan", "x", `{"rat":5}`)},
+			rejection: "unknown field",
+		},
+		{name: "empty value", changes: []Change{put("plan", "x", ``)}, rejection: "value"},
+		{name: "name with a slash", changes: []Change{put("plan", "x/y", planText)}, rejection: "name"},
+		{name: "unknown kind", changes: []Change{put("tariff", "x", planText)}, rejection: "kind"},
+		{
+			name:      "unknown operation",
+			changes:   []Change{{Op: "set", Kind: "plan", Name: "x"}},
+			rejection: "op",
+		},
+		{name: "no changes", rejection: "changes: none"},
+		{
+			name: "class and its description",
+			changes: []Change{
+				put("class", "c", classText),
+				put("description", "d", `{"file":"d.yaml","text":"c"}`),
+			},
+		},
+		{
+			name:      "description that the validator rejects",
+			changes:   []Change{put("description", "d", `{"file":"d.yaml","text":"bad"}`)},
+			rejection: "d.yaml: bad",
+		},
+		{name: "class in use removed", changes: []Change{remove("class", "c")}, rejection: "no class c"},
+	} {
+		before, hash := s.Version(), s.Hash()
+		o := apply(t, s, Proposal{ID: fmt.Sprint("p", i), BaseVersion: c.base, Changes: c.changes})
+		isRight := o.IsApplied && o.Version == before+1
+		if c.rejection != "" {
+			isRight = !o.IsApplied && o.Version == before && strings.Contains(o.RejectionReason, c.rejection)
+		}
+		if !isRight {
+			t.Errorf("%s: %+v, want rejection %q", c.name, o, c.rejection)
+		}
+		if s.Hash() == hash {
+			t.Errorf("%s: the hash of the chain has not changed", c.name)
+		}
+	}
+	h := s.History()
+	if len(h) != int(s.Version()) || h[3].Changes[1] != "remove plan kati" || h[len(h)-1].Version != s.Version() {
+		t.Errorf("%+v", h)
+	}
+	if _, ok := s.Get("plan", "kati"); ok {
+		t.Error("a removed plan is still there")
+	}
+}
+
+// A repeated proposal, whose answer was lost, has its first outcome: applied once, or rejected though it would be
+// applied by now.
+func TestRepeatedProposal(t *testing.T) {
+	s := New(nil)
+	p := Proposal{ID: "p", Changes: []Change{put("licensee", "a", `{"plan":"kati"}`)}}
+	first := apply(t, s, p)
+	apply(t, s, Proposal{ID: "q", Changes: []Change{put("plan", "kati", planText)}})
+	entry, _ := EncodeProposal(&p)
+	if _, o, _ := s.Apply(entry); o != first || o.IsApplied || s.Version() != 1 {
+		t.Errorf("%+v, first %+v", o, first)
+	}
+	hash := s.Hash()
+	q := Proposal{ID: "q", Changes: []Change{put("plan", "kati", planText)}}
+	entry, _ = EncodeProposal(&q)
+	if _, o, _ := s.Apply(entry); !o.IsApplied || o.Version != 1 || s.Version() != 1 || s.Hash() != hash {
+		t.Errorf("%+v", o)
+	}
+}
+
+// A proposer's clock decides nothing: one that jumps back an hour changes neither order nor outcome, and the history
+// has its times as they were proposed.
+func TestClockDecidesNothing(t *testing.T) {
+	run := func(times ...int64) *State {
+		s := New(nil)
+		for i, at := range times {
+			p := Proposal{
+				ID:           fmt.Sprint(i),
+				ProposedAtMs: at,
+				Changes:      []Change{put("plan", fmt.Sprint("p", i), `{"rate":1,"burst":1,"price":1}`)},
+			}
+			if o := apply(t, s, p); !o.IsApplied || o.Version != uint64(i+1) {
+				t.Fatalf("%+v", o)
+			}
+		}
+		return s
+	}
+	a, b := run(1_000, 2_000, 3_000), run(3_600_000, 0, 7_200_000)
+	if fmt.Sprint(a.PlanOrder()) != fmt.Sprint(b.PlanOrder()) || a.Version() != b.Version() {
+		t.Errorf("%v, %v", a.PlanOrder(), b.PlanOrder())
+	}
+	if h := b.History(); h[0].ProposedAtMs != 3_600_000 || h[1].ProposedAtMs != 0 {
+		t.Errorf("%+v", h)
+	}
+}
+
+// Any entry and any snapshot is applied or rejected, by two states alike.
+func FuzzApply(f *testing.F) {
+	entry, _ := EncodeProposal(&Proposal{ID: "q", Changes: []Change{put("plan", "kubwa", planText), remove("plan", "x")}})
+	f.Add(entry)
+	f.Fuzz(func(t *testing.T, entry []byte) {
+		a, b := New(checkText), New(checkText)
+		_, oa, ea := a.Apply(entry)
+		_, ob, eb := b.Apply(entry)
+		if oa != ob || (ea == nil) != (eb == nil) || a.Hash() != b.Hash() {
+			t.Errorf("%+v %v, %+v %v", oa, ea, ob, eb)
+		}
+		_ = a.Restore(entry)
+	})
+}
--- /dev/null
+++ b/clusterconfig/references.go
@@ -0,0 +1,122 @@
+package clusterconfig
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strconv"
+)
+
+// checkReferences checks names, and that the objects that others refer to exist. Only objects that depend on the
+// touched ones are checked, in the order of keys: all members must reject with the same text.
+func (s *State) checkReferences(objects *Tree, touched touchedSet) error {
+	for _, key := range affectedKeys(objects, touched) {
+		if err := s.checkObject(objects, touched, key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// affectedKeys returns the keys of the objects that a proposal touched and of those that may depend on them, sorted.
+func affectedKeys(objects *Tree, touched touchedSet) []string {
+	keys := []string{}
+	for key := range touched {
+		if _, exists := objects.Get([]byte(key)); exists {
+			keys = append(keys, key)
+		}
+	}
+	dependents := []string{KindDescription}
+	if touched.hasKind(KindPlan) {
+		dependents = append(dependents, KindLicensee)
+	}
+	for _, kind := range dependents {
+		forEachObject(objects, kind, func(name string, _ json.RawMessage) {
+			keys = append(keys, string(objectKey(kind, name)))
+		})
+	}
+	slices.Sort(keys)
+	return slices.Compact(keys)
+}
+
+func (s *State) checkObject(objects *Tree, touched touchedSet, key string) error {
+	kind, name := splitKey(key)
+	value, _ := objects.Get([]byte(key))
+	switch kind {
+	case KindLicensee:
+		return checkLicenseePlan(objects, name, value)
+	case KindMember:
+		return checkMemberName(name)
+	case KindLostSite:
+		return checkLostSite(objects, name, touched.hasKey(key))
+	case KindEpoch:
+		return s.checkEpoch(name, value)
+	case KindLimit:
+		if name != unitsLimitName {
+			return fmt.Errorf("limit %s: is not known: units is", name)
+		}
+	case KindDescription:
+		if touched.hasKind(KindDescription) || touched.hasKind(KindClass) || touched.hasKind(KindLimit) {
+			return s.checkDescription(objects, name, value)
+		}
+	}
+	return nil
+}
+
+func checkLicenseePlan(objects *Tree, name string, value json.RawMessage) error {
+	var l Licensee
+	if err := json.Unmarshal(value, &l); err != nil {
+		return err
+	}
+	if _, ok := objects.Get(objectKey(KindPlan, l.Plan)); !ok {
+		const text = "licensee %s: plan %q is not there: put it first, or in the same proposal"
+		return fmt.Errorf(text, name, l.Plan)
+	}
+	return nil
+}
+
+// checkMemberName checks that a member's name is its number, without leading zeros.
+func checkMemberName(name string) error {
+	n, err := strconv.ParseUint(name, 10, 64)
+	if err != nil || n == 0 || strconv.FormatUint(n, 10) != name {
+		return fmt.Errorf("member %s: name: a number from 1 is wanted", name)
+	}
+	return nil
+}
+
+// checkLostSite checks that the site exists and, if its loss is new, that another one takes its keys.
+func checkLostSite(objects *Tree, name string, isTouched bool) error {
+	if _, ok := objects.Get(objectKey(KindSite, name)); !ok {
+		return fmt.Errorf("lost %s: there is no such hall", name)
+	}
+	if isTouched && !hasAvailableSite(objects) {
+		return fmt.Errorf("lost %s: no other hall takes keys", name)
+	}
+	return nil
+}
+
+func (s *State) checkEpoch(name string, value json.RawMessage) error {
+	if name != epochName {
+		return fmt.Errorf("epoch %s: there is one, called epoch", name)
+	}
+	var e Epoch
+	current := s.Epoch().Number
+	if err := json.Unmarshal(value, &e); err != nil || e.Number <= current {
+		return fmt.Errorf("epoch: number: above %d is wanted", current)
+	}
+	return nil
+}
+
+func (s *State) checkDescription(objects *Tree, name string, value json.RawMessage) error {
+	if s.validate == nil {
+		return nil
+	}
+	var d Description
+	if err := json.Unmarshal(value, &d); err != nil {
+		return err
+	}
+	if err := s.validate(d.File, d.Text, classesOf(objects), maxUnits(objects)); err != nil {
+		return fmt.Errorf("description %s: %w", name, err)
+	}
+	return nil
+}
