--- /dev/null
+++ b/configstream/body.go
@@ -0,0 +1,114 @@
+package configstream
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+
+	iradix "github.com/hashicorp/go-immutable-radix/v2"
+
+	"mulleinmux/clusterconfig"
+)
+
+// ErrCorrupt reports that a body does not build the version that it names.
+var ErrCorrupt = errors.New("the content does not make the version that it is said to be")
+
+// Estimates of the encoding's overhead in [Body.Size], in bytes.
+const (
+	bodyOverhead   = 100
+	objectOverhead = 8
+	nameOverhead   = 4
+)
+
+// Object is one object of a body.
+type Object struct {
+	Key   string          `json:"Key"` // "kind/name"
+	Value json.RawMessage `json:"Value"`
+}
+
+// Body is the content of a version: all of it, or the difference to a base. It is shared by pushes and must not be
+// modified.
+type Body struct {
+	Ref
+	Base             *Ref     `json:"Base"`   // nil: the body is complete
+	Format           int      `json:"Format"` // the oldest one that contains all of it
+	Hash             string   `json:"Hash"`
+	PlacementVersion uint64   `json:"Homes"`
+	PlanOrder        []string `json:"Places"` // complete, or the names that the base lacks
+	Put              []Object `json:"Put"`
+	Removed          []string `json:"Removed"` // keys
+}
+
+// Size estimates the length of the encoded body in bytes.
+func (b *Body) Size() int {
+	size := bodyOverhead
+	for _, o := range b.Put {
+		size += len(o.Key) + len(o.Value) + objectOverhead
+	}
+	for _, key := range b.Removed {
+		size += len(key) + nameOverhead
+	}
+	for _, name := range b.PlanOrder {
+		size += len(name) + nameOverhead
+	}
+	return size
+}
+
+// Body returns the difference of v to base, or all of v where base is nil.
+func (v *Version) Body(base *Version) *Body {
+	b := &Body{
+		Ref:              v.Ref,
+		Format:           1,
+		Hash:             v.Hash,
+		PlacementVersion: v.PlacementVersion,
+		PlanOrder:        v.PlanOrder,
+	}
+	from := iradix.New[json.RawMessage]()
+	if base != nil {
+		from = base.Tree
+		ref := base.Ref
+		b.Base = &ref
+		b.PlanOrder = v.PlanOrder[min(len(base.PlanOrder), len(v.PlanOrder)):]
+	}
+	forEachDifference(from, v.Tree, func(key []byte, _, current json.RawMessage) {
+		if current == nil {
+			b.Removed = append(b.Removed, string(key))
+			return
+		}
+		b.Put = append(b.Put, Object{string(key), current})
+		b.Format = max(b.Format, clusterconfig.FormatForKey(string(key)))
+	})
+	return b
+}
+
+// Build returns the version whose content a body is, from base where the body has one. An error wraps [ErrCorrupt].
+func (b *Body) Build(base *Version) (*Version, error) {
+	v := &Version{Ref: b.Ref, Hash: b.Hash, PlacementVersion: b.PlacementVersion, PlanOrder: b.PlanOrder}
+	tree := iradix.New[json.RawMessage]()
+	if b.Base != nil {
+		if base == nil || base.Ref != *b.Base {
+			return nil, fmt.Errorf("made against version %v: %w", *b.Base, ErrCorrupt)
+		}
+		tree, v.objectsDigest = base.Tree, base.objectsDigest
+		v.PlanOrder = slices.Concat(base.PlanOrder, b.PlanOrder)
+	}
+	txn := tree.Txn()
+	for _, o := range b.Put {
+		old, _ := txn.Insert([]byte(o.Key), o.Value)
+		v.objectsDigest.replace([]byte(o.Key), old, o.Value)
+	}
+	for _, key := range b.Removed {
+		old, ok := txn.Delete([]byte(key))
+		if !ok {
+			return nil, fmt.Errorf("%s is to be removed and is not there: %w", key, ErrCorrupt)
+		}
+		v.objectsDigest.replace([]byte(key), old, nil)
+	}
+	v.Tree = txn.Commit()
+	v.setDigest()
+	if v.Digest != b.Digest {
+		return nil, ErrCorrupt
+	}
+	return v, nil
+}
--- /dev/null
+++ b/configstream/status.go
@@ -0,0 +1,154 @@
+package configstream
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"time"
+)
+
+// FollowerState is what the members know of a follower.
+type FollowerState string
+
+// States of followers.
+const (
+	StateRunning FollowerState = "running" // a version is in force
+	StateWaiting FollowerState = "waiting" // connected, nothing in force
+	StateUnknown FollowerState = "unknown" // not heard of for the silence timeout
+	StateNever   FollowerState = "never"   // never heard of
+)
+
+// String returns the state as operators see it.
+func (s FollowerState) String() string { return string(s) }
+
+// summaryPrecision is that of the durations in summaries.
+const summaryPrecision = 100 * time.Millisecond
+
+// StreamStatus is the status of a follower, as far as the members know.
+type StreamStatus struct {
+	Name            string        `json:"name"`
+	State           FollowerState `json:"state"`
+	Running         *Ref          `json:"running,omitempty"`
+	StateAge        time.Duration `json:"since_ns,omitempty"` // it runs that, or its state is unknown, for so long
+	Offered         *Ref          `json:"offered,omitempty"`  // the newest push to it
+	LatestRejection *Rejection    `json:"refused,omitempty"`
+	LastMember      uint64        `json:"member,omitempty"` // that served it last
+	IsBehind        bool          `json:"behind,omitempty"` // what it runs is not the newest
+	PinnedVersion   uint64        `json:"pinned,omitempty"` // the version that it is to stay at
+	NameConflict    string        `json:"twin,omitempty"`   // see [Pong]
+}
+
+// Statuses returns the statuses of all followers that are agreed on, in the order of names.
+func (p *Publisher) Statuses(now time.Duration) (all []StreamStatus) {
+	if p.newest == nil {
+		return nil
+	}
+	forEachFollower(p.newest, func(name string, _ json.RawMessage) {
+		all = append(all, p.status(now, name))
+	})
+	return all
+}
+
+func (p *Publisher) status(now time.Duration, name string) StreamStatus {
+	st := StreamStatus{Name: name, State: StateNever, PinnedVersion: p.pins[name]}
+	for _, s := range p.sessions.byName[name] {
+		st.NameConflict = cmp.Or(s.nameConflict, st.NameConflict)
+	}
+	latest, member, ok := p.latestObservation(now, name)
+	if !ok {
+		return st
+	}
+	st.LastMember, st.Running, st.StateAge = member, latest.Running, latest.RunningFor
+	st.Offered, st.LatestRejection = latest.Offered, latest.LatestRejection
+	switch {
+	case latest.SilentFor > p.cfg.SilenceTimeout:
+		st.State, st.StateAge = StateUnknown, latest.SilentFor
+	case latest.Running == nil:
+		st.State, st.StateAge = StateWaiting, latest.StreamAge
+	default:
+		st.State = StateRunning
+	}
+	st.IsBehind = st.State == StateRunning && p.newest.Compare(*st.Running) != OrderSame
+	return st
+}
+
+// latestObservation returns the observation of a follower that was heard last, of its last stream, and the member that
+// made it.
+func (p *Publisher) latestObservation(now time.Duration, name string) (latest ObservedStream, member uint64, ok bool) {
+	p.forEachObservation(now, name, func(from uint64, o ObservedStream) {
+		order := cmp.Or(cmp.Compare(latest.SilentFor, o.SilentFor), cmp.Compare(o.StreamNumber, latest.StreamNumber))
+		if !ok || order > 0 {
+			latest, member, ok = o, from, true
+		}
+	})
+	return latest, member, ok
+}
+
+// Summary describes the status for operators.
+func (s *StreamStatus) Summary() string {
+	text := s.stateSummary()
+	if s.PinnedVersion > 0 {
+		text += fmt.Sprintf(", pinned to %d", s.PinnedVersion)
+	}
+	if r := s.LatestRejection; r != nil && (s.Running == nil || r.Compare(*s.Running) == OrderNewer) {
+		text += fmt.Sprintf(", refused %v: %v", r.Ref, r.Problems)
+	}
+	return text
+}
+
+func (s *StreamStatus) stateSummary() string {
+	age := s.StateAge.Round(summaryPrecision)
+	switch {
+	case s.NameConflict != "":
+		return s.NameConflict
+	case s.State == StateRunning:
+		return fmt.Sprintf("runs %v since %v", *s.Running, age)
+	case s.State == StateUnknown && s.Running != nil:
+		return fmt.Sprintf("is unknown since %v; it ran %v", age, *s.Running)
+	case s.State == StateUnknown, s.State == StateWaiting:
+		return fmt.Sprintf("is %s since %v", s.State, age)
+	case s.State == StateNever:
+		return "was never heard of"
+	}
+	return s.State.String()
+}
+
+// Explain describes for operators why a follower does not run the newest version, whose number is given.
+func (s *StreamStatus) Explain(newest uint64) string {
+	text := s.Name + " " + s.Summary()
+	if reason := s.reason(newest); reason != "" {
+		text += ": " + reason
+	}
+	return text
+}
+
+// reason returns why a follower does not run the newest version; empty: that is not known.
+func (s *StreamStatus) reason(newest uint64) string {
+	const (
+		isOlder = "the members' newest is %d, which is older. " +
+			"A service that was restored needs a new epoch before followers take its versions"
+		isPinned = "it takes nothing newer until it is unpinned; what is older than what it runs it never takes"
+		isNever  = "no member has had a stream from it. " +
+			"Does it run, with a certificate of that name and the members' stream addresses?"
+	)
+	isRunning := s.State == StateRunning
+	switch {
+	case isRunning && s.Running.Number == newest && s.NameConflict == "":
+		return "that is the newest"
+	case s.PinnedVersion > 0 && isRunning && s.Running.Number >= s.PinnedVersion:
+		return isPinned
+	case isRunning && s.Running.Number > newest:
+		return fmt.Sprintf(isOlder, newest)
+	case s.LatestRejection != nil && s.LatestRejection.Number == newest:
+		return "it takes the next version that mends that"
+	case s.State == StateNever:
+		return isNever
+	case s.State == StateUnknown:
+		return "no member hears it. If it runs, it serves on what it had"
+	case s.State == StateWaiting:
+		return "it has kept nothing and waits for a version that a quorum confirms"
+	case s.Offered != nil && s.Offered.Number == newest:
+		return "it was offered the newest and has not replied yet"
+	}
+	return ""
+}
--- /dev/null
+++ b/configstream/update.go
@@ -0,0 +1,212 @@
+package configstream
+
+import (
+	"fmt"
+	"time"
+)
+
+// step is what an update waits for.
+type step int
+
+// Steps of an update: persist the candidate, check it, persist it as accepted, activate it, persist that it was
+// activated. A rejection is persisted, and the version before is activated again if need be.
+const (
+	stepIdle step = iota
+	stepPersistCandidate
+	stepCheck
+	stepPersistAccepted
+	stepActivate
+	stepPersistActivation
+	stepPersistRejection
+)
+
+var stepNames = [...]string{
+	"idle", "persist candidate", "check", "persist accepted", "activate", "persist activation", "persist rejection",
+}
+
+// String returns the step in lower case.
+func (s step) String() string { return stepNames[s] }
+
+// update is the work on one version. The zero update is none.
+type update struct {
+	step      step
+	version   *Version   // that step is about
+	nonce     uint64     // of the push that it came with; 0: none on this stream
+	rejection *Rejection // that is being persisted
+	fallback  *Version   // activated once the rejection is persisted; nil: none
+	isStartup bool       // the count of activation attempts is being persisted, version was before
+}
+
+// PushReceived takes in a push.
+func (f *Follower) PushReceived(now time.Duration, p *Push) []Action {
+	f.stream.heardAt = now
+	if f.update.step != stepIdle {
+		f.pendingPush = p // one that was pending already is older, or the member has lost count
+		return nil
+	}
+	b := p.Body
+	if result, rejection, isUnwanted := f.screen(p); isUnwanted {
+		return f.report(p.Nonce, result, b.Ref, rejection)
+	}
+	f.update.nonce = p.Nonce
+	if b.Format > Format {
+		const text = "it is in format %d, and this program knows up to %d: update it"
+		f.update.version = &Version{Ref: b.Ref}
+		return f.reject(Rejection{
+			Ref:                 b.Ref,
+			Problems:            []Problem{{Text: fmt.Sprintf(text, b.Format, Format)}},
+			IsUnsupportedFormat: true,
+		})
+	}
+	v, err := b.Build(f.running)
+	if err != nil { // the base is missing, or the body was damaged by the network or its author
+		return f.report(p.Nonce, ResultNeedsFull, b.Ref, nil)
+	}
+	f.update.version = v
+	f.update.step = stepPersistCandidate
+	f.durable.beginCheck(v.Ref)
+	return f.persist()
+}
+
+// screen reports whether a push is unwanted whatever its content. If so, it returns the result, and an earlier
+// rejection if that is why.
+func (f *Follower) screen(p *Push) (result Result, rejection *Rejection, isUnwanted bool) {
+	if f.running == nil && !p.IsConfirmed {
+		return ResultUnconfirmed, nil, true
+	}
+	if f.running != nil {
+		switch p.Body.Compare(f.running.Ref) {
+		case OrderSame, OrderOlder:
+			return ResultNotNewer, nil, true
+		case OrderDiverged:
+			return ResultDiverged, nil, true
+		}
+	}
+	if r := findRejection(f.durable.Rejections, p.Body.Ref); r != nil {
+		return ResultRejected, r, true
+	}
+	return 0, nil, false
+}
+
+// PersistCompleted reports that the last Persist is on the disk. An error means that it may not be: the follower goes
+// on with the version in force and takes no push until the next stream, since its promises would not survive a
+// restart.
+func (f *Follower) PersistCompleted(now time.Duration, err error) []Action {
+	u := &f.update
+	if err != nil && u.isStartup {
+		// A count that can't be written is no reason not to serve what was good before.
+		f.warning = err.Error()
+		return f.activate(u.version)
+	}
+	if err != nil {
+		f.update, f.pendingPush = update{}, nil
+		f.warning = fmt.Sprintf("its file can't be written: %v", err)
+		return []Action{{CloseStream: f.warning}}
+	}
+	switch u.step {
+	case stepPersistCandidate:
+		u.step = stepCheck
+		return []Action{{Check: u.version}}
+	case stepPersistAccepted:
+		return f.activate(u.version)
+	case stepPersistActivation:
+		return f.finish(now)
+	case stepPersistRejection:
+		if v := u.fallback; v != nil && (f.running == nil || f.running.Ref != v.Ref) {
+			return f.activate(v)
+		}
+		return f.finish(now)
+	}
+	return nil
+}
+
+// CheckCompleted takes in the result of a check: no problems, or why the version can't be put in force.
+func (f *Follower) CheckCompleted(_ time.Duration, problems []Problem) []Action {
+	if f.update.step != stepCheck {
+		return nil
+	}
+	if len(problems) > 0 {
+		return f.reject(Rejection{Ref: f.update.version.Ref, Problems: problems})
+	}
+	f.durable.accept(f.update.version)
+	f.update.step = stepPersistAccepted
+	return f.persist()
+}
+
+// ActivationCompleted reports whether the version is in force. On an error the one before it is again.
+func (f *Follower) ActivationCompleted(now time.Duration, err error) []Action {
+	u := &f.update
+	if u.step != stepActivate {
+		return nil
+	}
+	isFallback := u.rejection != nil
+	switch {
+	case err != nil && isFallback: // nothing is left to fall back to
+		f.warning = err.Error()
+		return f.finish(now)
+	case err != nil:
+		return f.rejectWithText(err.Error())
+	}
+	f.setRunning(now, u.version)
+	f.warning = ""
+	if isFallback || f.durable.WasActivated {
+		return f.finish(now)
+	}
+	f.durable.WasActivated, f.durable.ActivationAttempts = true, 0
+	u.step = stepPersistActivation
+	return f.persist()
+}
+
+func (f *Follower) persist() []Action {
+	durable := f.durable
+	return []Action{{Persist: &durable}}
+}
+
+func (f *Follower) activate(v *Version) []Action {
+	f.update.step, f.update.version, f.update.isStartup = stepActivate, v, false
+	return []Action{{Activate: v}}
+}
+
+// reject persists a rejection of the update's version, so that the version is never put in force, whoever pushes it,
+// after a restart either.
+func (f *Follower) reject(r Rejection) []Action {
+	f.update.fallback = f.durable.reject(r)
+	f.update.rejection = &r
+	f.update.step = stepPersistRejection
+	return f.persist()
+}
+
+// rejectWithText rejects the update's version for one problem that lies in no single object.
+func (f *Follower) rejectWithText(text string) []Action {
+	return f.reject(Rejection{Ref: f.update.version.Ref, Problems: []Problem{{Text: text}}})
+}
+
+// rejectFailedCandidate rejects a version that has ended the process too often while it was checked.
+func (f *Follower) rejectFailedCandidate() []Action {
+	if f.durable.CheckAttempts < f.cfg.MaxAttempts {
+		return nil
+	}
+	f.update.version = &Version{Ref: f.durable.Candidate}
+	const text = "the process ended %d times while this version was checked"
+	return f.rejectWithText(fmt.Sprintf(text, f.durable.CheckAttempts))
+}
+
+// finish ends the update, replies to its push and takes in the push that came meanwhile. The update's version may be
+// the fallback: the reply is about the rejected one.
+func (f *Follower) finish(now time.Duration) (actions []Action) {
+	result, ref, rejection := ResultApplied, f.update.version.Ref, f.update.rejection
+	if rejection != nil {
+		result, ref = ResultRejected, rejection.Ref
+		actions = append(actions, Action{Log: fmt.Sprintf("version %v is refused: %v", ref, rejection.Problems)})
+	}
+	actions = append(actions, f.report(f.update.nonce, result, ref, rejection)...)
+	f.update = update{}
+	if f.durable.CheckAttempts >= f.cfg.MaxAttempts {
+		return append(actions, f.rejectFailedCandidate()...)
+	}
+	if p := f.pendingPush; p != nil {
+		f.pendingPush = nil
+		actions = append(actions, f.PushReceived(now, p)...)
+	}
+	return actions
+}
