--- a/clusterconfig/proposal_test.go
+++ b/clusterconfig/proposal_test.go
@@ -6,170 +6,172 @@
 	"testing"
 )
 
+// proposalCases are proposals that are made one after the other.
+var proposalCases = []struct {
+	name      string
+	base      *uint64
+	changes   []Change
+	rejection string // a part of it; empty: applied
+}{
+	{name: "first plan", changes: []Change{put("plan", "kati", planText)}},
+	{name: "licensee of a plan", changes: []Change{put("licensee", "a", `{"plan":"kati"}`)}},
+	{
+		name:      "licensee of a missing plan",
+		changes:   []Change{put("licensee", "b", `{"plan":"kubwa"}`)},
+		rejection: `plan "kubwa" is not there`,
+	},
+	{
+		name: "licensee before its plan in one proposal",
+		changes: []Change{
+			put("licensee", "b", `{"plan":"kubwa"}`),
+			put("plan", "kubwa", planText),
+		},
+	},
+	{
+		name:      "plan in use removed",
+		changes:   []Change{remove("plan", "kati")},
+		rejection: `licensee a: plan "kati"`,
+	},
+	{
+		name: "licensee and its plan removed",
+		changes: []Change{
+			remove("licensee", "a"),
+			remove("plan", "kati"),
+		},
+	},
+	{
+		name:      "missing plan removed",
+		changes:   []Change{remove("plan", "kati")},
+		rejection: "there is none",
+	},
+	{
+		name:    "current base version",
+		base:    new(uint64(4)),
+		changes: []Change{put("hall", "a", `{"register":"127.0.0.1:1"}`)},
+	},
+	{
+		name:      "outdated base version",
+		base:      new(uint64(4)),
+		changes:   []Change{put("hall", "b", `{"register":"127.0.0.1:1"}`)},
+		rejection: "version 5 is in force, not 4",
+	},
+	{
+		name:      "bad discovery address",
+		changes:   []Change{put("hall", "b", `{"register":"here"}`)},
+		rejection: "register",
+	},
+	{
+		name:      "only site lost",
+		changes:   []Change{put("lost", "a", `{"why":"silent"}`)},
+		rejection: "no other hall takes keys",
+	},
+	{
+		name:      "unknown site lost",
+		changes:   []Change{put("lost", "c", `{"why":"silent"}`)},
+		rejection: "there is no such hall",
+	},
+	{
+		name: "other site closed",
+		changes: []Change{
+			put("hall", "c", `{"register":"127.0.0.1:1","closed":true}`),
+			put("lost", "a", `{"why":"silent"}`),
+		},
+		rejection: "no other hall takes keys",
+	},
+	{
+		name: "site added with the loss",
+		changes: []Change{
+			put("hall", "c", `{"register":"127.0.0.1:1"}`),
+			put("lost", "a", `{"why":"silent"}`),
+		},
+	},
+	{
+		name:      "same loss again",
+		changes:   []Change{put("lost", "a", `{"why":"silent"}`)},
+		rejection: "it is so already",
+	},
+	{
+		name:      "recovered part out of range",
+		changes:   []Change{put("lost", "a", `{"why":"warm","part":9}`)},
+		rejection: "part",
+	},
+	{name: "site recovering", changes: []Change{put("lost", "a", `{"why":"warm","part":2}`)}},
+	{
+		name:    "second site lost while the first recovers",
+		changes: []Change{put("lost", "c", `{"why":"silent"}`)},
+	},
+	{
+		name: "losses exchanged",
+		changes: []Change{
+			remove("lost", "c"),
+			put("lost", "a", `{"why":"silent"}`),
+		},
+	},
+	{
+		name:      "last site that takes keys lost",
+		changes:   []Change{put("lost", "c", `{"why":"silent"}`)},
+		rejection: "no other hall takes keys",
+	},
+	{
+		name:      "loss without a reason",
+		changes:   []Change{put("lost", "c", `{"why":""}`)},
+		rejection: "why",
+	},
+	{name: "loss removed", changes: []Change{remove("lost", "a")}},
+	{
+		name:      "missing loss removed",
+		changes:   []Change{remove("lost", "a")},
+		rejection: "there is none",
+	},
+	{
+		name:      "rate without burst",
+		changes:   []Change{put("plan", "x", `{"rate":5,"price":1}`)},
+		rejection: "burst",
+	},
+	{
+		name:      "negative rate",
+		changes:   []Change{put("plan", "x", `{"rate":-5,"burst":1,"price":1}`)},
+		rejection: "rate: out of range",
+	},
+	{
+		name:      "hard limit below the rate",
+		changes:   []Change{put("plan", "x", `{"rate":5,"burst":10,"ceiling_rate":1,"ceiling_burst":9,"price":1}`)},
+		rejection: "ceiling_rate",
+	},
+	{
+		name:      "unknown field",
+		changes:   []Change{put("plan", "x", `{"rat":5}`)},
+		rejection: "unknown field",
+	},
+	{name: "empty value", changes: []Change{put("plan", "x", ``)}, rejection: "value"},
+	{name: "name with a slash", changes: []Change{put("plan", "x/y", planText)}, rejection: "name"},
+	{name: "unknown kind", changes: []Change{put("tariff", "x", planText)}, rejection: "kind"},
+	{
+		name:      "unknown operation",
+		changes:   []Change{{Op: "set", Kind: "plan", Name: "x"}},
+		rejection: "op",
+	},
+	{name: "no changes", rejection: "changes: none"},
+	{
+		name: "class and its description",
+		changes: []Change{
+			put("class", "c", classText),
+			put("description", "d", `{"file":"d.yaml","text":"c"}`),
+		},
+	},
+	{
+		name:      "description that the validator rejects",
+		changes:   []Change{put("description", "d", `{"file":"d.yaml","text":"bad"}`)},
+		rejection: "d.yaml: bad",
+	},
+	{name: "class in use removed", changes: []Change{remove("class", "c")}, rejection: "no class c"},
+}
+
 // Each applied proposal makes the next version, completely or not at all; an invalid one is rejected with the name of
 // the field.
 func TestProposals(t *testing.T) {
 	s := New(checkText)
-	base := func(v uint64) *uint64 { return &v }
-	for i, c := range []struct {
-		name      string
-		base      *uint64
-		changes   []Change
-		rejection string // a part of it; empty: applied
-	}{
-		{name: "first plan", changes: []Change{put("plan", "kati", planText)}},
-		{name: "licensee of a plan", changes: []Change{put("licensee", "a", `{"plan":"kati"}`)}},
-		{
-			name:      "licensee of a missing plan",
-			changes:   []Change{put("licensee", "b", `{"plan":"kubwa"}`)},
-			rejection: `plan "kubwa" is not there`,
-		},
-		{
-			name: "licensee before its plan in one proposal",
-			changes: []Change{
-				put("licensee", "b", `{"plan":"kubwa"}`),
-				put("plan", "kubwa", planText),
-			},
-		},
-		{
-			name:      "plan in use removed",
-			changes:   []Change{remove("plan", "kati")},
-			rejection: `licensee a: plan "kati"`,
-		},
-		{
-			name: "licensee and its plan removed",
-			changes: []Change{
-				remove("licensee", "a"),
-				remove("plan", "kati"),
-			},
-		},
-		{
-			name:      "missing plan removed",
-			changes:   []Change{remove("plan", "kati")},
-			rejection: "there is none",
-		},
-		{
-			name:    "current base version",
-			base:    base(4),
-			changes: []Change{put("hall", "a", `{"register":"127.0.0.1:1"}`)},
-		},
-		{
-			name:      "outdated base version",
-			base:      base(4),
-			changes:   []Change{put("hall", "b", `{"register":"127.0.0.1:1"}`)},
-			rejection: "version 5 is in force, not 4",
-		},
-		{
-			name:      "bad discovery address",
-			changes:   []Change{put("hall", "b", `{"register":"here"}`)},
-			rejection: "register",
-		},
-		{
-			name:      "only site lost",
-			changes:   []Change{put("lost", "a", `{"why":"silent"}`)},
-			rejection: "no other hall takes keys",
-		},
-		{
-			name:      "unknown site lost",
-			changes:   []Change{put("lost", "c", `{"why":"silent"}`)},
-			rejection: "there is no such hall",
-		},
-		{
-			name: "other site closed",
-			changes: []Change{
-				put("hall", "c", `{"register":"127.0.0.1:1","closed":true}`),
-				put("lost", "a", `{"why":"silent"}`),
-			},
-			rejection: "no other hall takes keys",
-		},
-		{
-			name: "site added with the loss",
-			changes: []Change{
-				put("hall", "c", `{"register":"127.0.0.1:1"}`),
-				put("lost", "a", `{"why":"silent"}`),
-			},
-		},
-		{
-			name:      "same loss again",
-			changes:   []Change{put("lost", "a", `{"why":"silent"}`)},
-			rejection: "it is so already",
-		},
-		{
-			name:      "recovered part out of range",
-			changes:   []Change{put("lost", "a", `{"why":"warm","part":9}`)},
-			rejection: "part",
-		},
-		{name: "site recovering", changes: []Change{put("lost", "a", `{"why":"warm","part":2}`)}},
-		{
-			name:    "second site lost while the first recovers",
-			changes: []Change{put("lost", "c", `{"why":"silent"}`)},
-		},
-		{
-			name: "losses exchanged",
-			changes: []Change{
-				remove("lost", "c"),
-				put("lost", "a", `{"why":"silent"}`),
-			},
-		},
-		{
-			name:      "last site that takes keys lost",
-			changes:   []Change{put("lost", "c", `{"why":"silent"}`)},
-			rejection: "no other hall takes keys",
-		},
-		{
-			name:      "loss without a reason",
-			changes:   []Change{put("lost", "c", `{"why":""}`)},
-			rejection: "why",
-		},
-		{name: "loss removed", changes: []Change{remove("lost", "a")}},
-		{
-			name:      "missing loss removed",
-			changes:   []Change{remove("lost", "a")},
-			rejection: "there is none",
-		},
-		{
-			name:      "rate without burst",
-			changes:   []Change{put("plan", "x", `{"rate":5,"price":1}`)},
-			rejection: "burst",
-		},
-		{
-			name:      "negative rate",
-			changes:   []Change{put("plan", "x", `{"rate":-5,"burst":1,"price":1}`)},
-			rejection: "rate: out of range",
-		},
-		{
-			name:      "hard limit below the rate",
-			changes:   []Change{put("plan", "x", `{"rate":5,"burst":10,"ceiling_rate":1,"ceiling_burst":9,"price":1}`)},
-			rejection: "ceiling_rate",
-		},
-		{
-			name:      "unknown field",
-			changes:   []Change{put("plan", "x", `{"rat":5}`)},
-			rejection: "unknown field",
-		},
-		{name: "empty value", changes: []Change{put("plan", "x", ``)}, rejection: "value"},
-		{name: "name with a slash", changes: []Change{put("plan", "x/y", planText)}, rejection: "name"},
-		{name: "unknown kind", changes: []Change{put("tariff", "x", planText)}, rejection: "kind"},
-		{
-			name:      "unknown operation",
-			changes:   []Change{{Op: "set", Kind: "plan", Name: "x"}},
-			rejection: "op",
-		},
-		{name: "no changes", rejection: "changes: none"},
-		{
-			name: "class and its description",
-			changes: []Change{
-				put("class", "c", classText),
-				put("description", "d", `{"file":"d.yaml","text":"c"}`),
-			},
-		},
-		{
-			name:      "description that the validator rejects",
-			changes:   []Change{put("description", "d", `{"file":"d.yaml","text":"bad"}`)},
-			rejection: "d.yaml: bad",
-		},
-		{name: "class in use removed", changes: []Change{remove("class", "c")}, rejection: "no class c"},
-	} {
+	for i, c := range proposalCases {
 		before, hash := s.Version(), s.Hash()
 		o := apply(t, s, Proposal{ID: fmt.Sprint("p", i), BaseVersion: c.base, Changes: c.changes})
 		isRight := o.IsApplied && o.Version == before+1
--- /dev/null
+++ b/configstream/simulation_test.go
@@ -0,0 +1,247 @@
+package configstream
+
+import (
+	"container/heap"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"mulleinmux/clusterconfig"
+)
+
+// simulation runs members, followers and a network between them from a seed, on a virtual clock.
+type simulation struct {
+	t         *testing.T
+	seed      uint64
+	rng       *rand.Rand
+	now       time.Duration
+	queue     eventQueue
+	lastEvent int // its order
+	hasFaults bool
+	members   []*simMember
+	followers []*simFollower
+	lastID    uint64 // of streams
+
+	state  *clusterconfig.State
+	log    []*Version // agreed on, by number from 1; of the newest epoch
+	agreed map[Ref]agreement
+	all    []*Version // agreed on in all epochs
+
+	activationCount int
+	rejectionCount  int
+}
+
+// agreement is a version that was agreed on, and when.
+type agreement struct {
+	version *Version
+	at      time.Duration
+}
+
+// Sizes of a simulation.
+const (
+	simulatedMembers       = 3
+	simulatedFollowers     = 4
+	simulatedFaultDuration = 8 * time.Second
+	simulatedDuration      = 16 * time.Second
+)
+
+// Prices of plans that no follower can serve.
+const (
+	rejectedPrice        = 1 // a check finds it
+	checkCrashPrice      = 3 // ends the process that checks it
+	activationCrashPrice = 5 // ends the process that puts it in force
+)
+
+type event struct {
+	at    time.Duration
+	order int
+	do    func()
+}
+
+// eventQueue is a heap of events by time and order of scheduling.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
+	e := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return e
+}
+
+// newVersionLog returns a simulation without members and followers, for its log of versions.
+func newVersionLog(t *testing.T, rng *rand.Rand) *simulation {
+	return &simulation{t: t, rng: rng, state: clusterconfig.New(nil), agreed: map[Ref]agreement{}}
+}
+
+func newSimulation(t *testing.T, seed uint64, followers int) *simulation {
+	w := newVersionLog(t, rand.New(rand.NewPCG(seed, 7)))
+	w.seed, w.hasFaults = seed, true
+	changes := []clusterconfig.Change{}
+	for i := range followers {
+		f := &simFollower{name: fmt.Sprintf("f%d", i), disk: &DurableState{}}
+		f.selector = NewMemberSelector(MemberSelectorConfig{
+			Name:           f.name,
+			Members:        []uint64{1, 2, 3},
+			InitialBackoff: 50 * time.Millisecond,
+			MaxBackoff:     time.Second,
+		}, w.rng)
+		w.followers = append(w.followers, f)
+		changes = append(changes, clusterconfig.NewPutChange("follower", f.name, clusterconfig.Follower{}))
+	}
+	epoch := clusterconfig.Epoch{Number: 1, ID: "first"}
+	w.agree(append(changes, clusterconfig.NewPutChange("epoch", "epoch", epoch))...)
+	for i := range uint64(simulatedMembers) {
+		w.members = append(w.members, &simMember{id: i + 1})
+		w.startMember(w.members[i])
+	}
+	for _, f := range w.followers {
+		w.startFollower(f)
+	}
+	return w
+}
+
+// after schedules an event.
+func (w *simulation) after(d time.Duration, do func()) {
+	w.lastEvent++
+	heap.Push(&w.queue, event{w.now + d, w.lastEvent, do})
+}
+
+// every schedules an event at each interval, from a random phase on.
+func (w *simulation) every(d time.Duration, do func()) {
+	var again func()
+	again = func() { do(); w.after(d, again) }
+	w.after(w.randomDuration(d), again)
+}
+
+// runUntil runs the events up to a time.
+func (w *simulation) runUntil(end time.Duration) {
+	for len(w.queue) > 0 && w.now < end {
+		e := heap.Pop(&w.queue).(event)
+		w.now = e.at
+		e.do()
+	}
+}
+
+// randomDuration returns a duration from 0 up to a bound, exclusive.
+func (w *simulation) randomDuration(bound time.Duration) time.Duration {
+	return time.Duration(w.rng.Int64N(int64(bound)))
+}
+
+// randomMillis returns a number of whole milliseconds from 0 up to a bound, exclusive.
+func (w *simulation) randomMillis(bound int) time.Duration {
+	return time.Duration(w.rng.IntN(bound)) * time.Millisecond
+}
+
+// chance reports whether a fault with a probability happens.
+func (w *simulation) chance(p float64) bool { return w.hasFaults && w.rng.Float64() < p }
+
+func (w *simulation) fail(format string, args ...any) {
+	w.t.Helper()
+	w.t.Fatalf("seed %d, %v: %s", w.seed, w.now, fmt.Sprintf(format, args...))
+}
+
+// newest returns the newest version that is agreed on.
+func (w *simulation) newest() *Version { return w.log[len(w.log)-1] }
+
+// agree adds a version to the log.
+func (w *simulation) agree(changes ...clusterconfig.Change) {
+	w.t.Helper()
+	p := clusterconfig.Proposal{ID: fmt.Sprint(w.rng.Uint64()), Changes: changes}
+	if err := applyProposal(w.state, &p); err != nil {
+		w.fail("%v", err)
+	}
+	var before *Version
+	if len(w.log) > 0 {
+		before = w.newest()
+	}
+	v := NewVersion(w.state.Freeze(), before)
+	w.log = append(w.log, v)
+	w.all = append(w.all, v)
+	w.agreed[v.Ref] = agreement{v, w.now}
+}
+
+// applyProposal returns an error if the proposal is rejected.
+func applyProposal(s *clusterconfig.State, p *clusterconfig.Proposal) error {
+	entry, err := clusterconfig.EncodeProposal(p)
+	if err != nil {
+		return err
+	}
+	_, o, err := s.Apply(entry)
+	if err == nil && !o.IsApplied {
+		err = errors.New(o.RejectionReason)
+	}
+	return err
+}
+
+// agreeOnRandomChange agrees on a plan, by chance one that no follower can serve, or on the removal of one.
+func (w *simulation) agreeOnRandomChange() {
+	name := fmt.Sprintf("p%d", w.rng.IntN(6))
+	price := float64(2 * (1 + w.rng.IntN(50)))
+	if w.chance(0.2) {
+		prices := []float64{rejectedPrice, rejectedPrice, checkCrashPrice, activationCrashPrice}
+		price = prices[w.rng.IntN(4)]
+	}
+	if _, ok := w.state.Get("plan", name); ok && w.rng.IntN(4) == 0 {
+		w.agree(clusterconfig.Change{Op: "remove", Kind: "plan", Name: name})
+		return
+	}
+	plan := clusterconfig.Plan{Rate: float64(len(w.log)), Burst: 1, PriorityFactor: price}
+	w.agree(clusterconfig.NewPutChange("plan", name, plan))
+}
+
+// restoreOldVersion has the service go back to an old version, in a new epoch.
+func (w *simulation) restoreOldVersion() {
+	old := w.log[w.rng.IntN(len(w.log))]
+	w.state = w.stateOf(old)
+	w.log = w.log[:old.Number]
+	w.agree(clusterconfig.NewPutChange("epoch", "epoch", w.nextEpoch()))
+	for _, m := range w.members {
+		m.applied = 0
+		w.startMember(m)
+	}
+}
+
+// stateOf returns the state that a snapshot of a version restores.
+func (w *simulation) stateOf(v *Version) *clusterconfig.State {
+	objects := map[string]json.RawMessage{}
+	v.Tree.Root().Walk(func(key []byte, value json.RawMessage) bool {
+		objects[string(key)] = value
+		return false
+	})
+	text, err := json.Marshal(map[string]any{
+		"format":  3,
+		"version": v.Number,
+		"hash":    v.Hash,
+		"homes":   v.PlacementVersion,
+		"places":  v.PlanOrder,
+		"objects": objects,
+	})
+	if err != nil {
+		w.fail("%v", err)
+	}
+	s := clusterconfig.New(nil)
+	if err := s.Restore(text); err != nil {
+		w.fail("%v", err)
+	}
+	return s
+}
+
+// nextEpoch returns an epoch later than all that followers know.
+func (w *simulation) nextEpoch() clusterconfig.Epoch {
+	highest := w.state.Epoch().Number
+	for _, f := range w.followers {
+		if f.newest != nil {
+			highest = max(highest, f.newest.Epoch.Number)
+		}
+	}
+	return clusterconfig.Epoch{Number: highest + 1, ID: fmt.Sprint(w.rng.Uint64())}
+}
