--- a/configstream/status.go
+++ b/configstream/status.go
@@ -7,27 +7,21 @@
 	"time"
 )
 
-// FollowerState is what the members know of a follower.
-type FollowerState string
-
-// States of followers.
+// States of a [StreamStatus]. They are a part of the JSON that operators read.
 const (
-	StateRunning FollowerState = "running" // a version is in force
-	StateWaiting FollowerState = "waiting" // connected, nothing in force
-	StateUnknown FollowerState = "unknown" // not heard of for the silence timeout
-	StateNever   FollowerState = "never"   // never heard of
+	StateRunning = "running" // a version is in force
+	StateWaiting = "waiting" // connected, nothing in force
+	StateUnknown = "unknown" // not heard of for the silence timeout
+	StateNever   = "never"   // never heard of
 )
 
-// String returns the state as operators see it.
-func (s FollowerState) String() string { return string(s) }
-
 // summaryPrecision is that of the durations in summaries.
 const summaryPrecision = 100 * time.Millisecond
 
 // StreamStatus is the status of a follower, as far as the members know.
 type StreamStatus struct {
 	Name            string        `json:"name"`
-	State           FollowerState `json:"state"`
+	State           string        `json:"state"` // StateRunning, StateWaiting, StateUnknown or StateNever
 	Running         *Ref          `json:"running,omitempty"`
 	StateAge        time.Duration `json:"since_ns,omitempty"` // it runs that, or its state is unknown, for so long
 	Offered         *Ref          `json:"offered,omitempty"`  // the newest push to it
@@ -110,7 +104,7 @@
 	case s.State == StateNever:
 		return "was never heard of"
 	}
-	return s.State.String()
+	return s.State
 }
 
 // Explain describes for operators why a follower does not run the newest version, whose number is given.
