--- a/configstream/helpers_test.go
+++ b/configstream/helpers_test.go
@@ -16,11 +16,11 @@
 // agreedVersions returns the versions after each list of changes.
 func agreedVersions(t *testing.T, changes ...[]clusterconfig.Change) []*Version {
 	t.Helper()
-	w := newVersionLog(t, rand.New(rand.NewPCG(1, 1)))
+	sim := newVersionLog(t, rand.New(rand.NewPCG(1, 1)))
 	for _, cs := range changes {
-		w.agree(cs...)
+		sim.agree(cs...)
 	}
-	return w.log
+	return sim.log
 }
 
 // numberedVersions returns n versions that differ in a limit, the first with a follower called f.
--- a/configstream/publisher.go
+++ b/configstream/publisher.go
@@ -51,12 +51,6 @@
 	lastNonce    uint64
 }
 
-// confirmation is what a quorum has confirmed of a version.
-type confirmation struct {
-	askedAt time.Duration // as of then
-	isValid bool          // there is one
-}
-
 // NewPublisher returns a member's side without a version. seed makes its nonces differ from those of the member's
 // other processes.
 func NewPublisher(cfg PublisherConfig, seed uint64) *Publisher {
--- a/configstream/simulation_follower_test.go
+++ b/configstream/simulation_follower_test.go
@@ -19,105 +19,105 @@
 	running  *Ref // in force now
 }
 
-func (w *simulation) startFollower(f *simFollower) {
+func (sim *simulation) startFollower(f *simFollower) {
 	f.process++
 	f.isUp, f.running, f.stream = true, nil, nil
 	if f.disk.Accepted == nil && f.disk.Previous == nil {
-		f.firstRef, f.newest = w.newest().Ref, nil
+		f.firstRef, f.newest = sim.newest().Ref, nil
 	}
 	f.disk.StartCount++
 	var actions []Action
 	f.node, actions = NewFollower(FollowerConfig{
 		Name:              f.name,
-		ProcessID:         w.rng.Uint64(),
+		ProcessID:         sim.rng.Uint64(),
 		HeartbeatInterval: 200 * time.Millisecond,
 		SilenceTimeout:    time.Second,
 		MaxAttempts:       2,
 	}, *f.disk)
-	w.perform(f, actions)
-	w.connect(f, w.randomMillis(100))
+	sim.perform(f, actions)
+	sim.connect(f, sim.randomMillis(100))
 }
 
 // crash ends a follower's process; another one starts later, by chance on another machine.
-func (w *simulation) crash(f *simFollower) {
+func (sim *simulation) crash(f *simFollower) {
 	f.isUp = false
 	f.process++
-	w.breakStream(f.stream)
-	if w.chance(0.1) {
+	sim.breakStream(f.stream)
+	if sim.chance(0.1) {
 		f.disk = &DurableState{}
 	}
-	w.after(w.randomMillis(1500), func() {
+	sim.after(sim.randomMillis(1500), func() {
 		if !f.isUp {
-			w.startFollower(f)
+			sim.startFollower(f)
 		}
 	})
 }
 
 // scheduleFollower schedules a follower's regular work and its faults.
-func (w *simulation) scheduleFollower(f *simFollower) {
-	w.every(50*time.Millisecond, func() {
+func (sim *simulation) scheduleFollower(f *simFollower) {
+	sim.every(50*time.Millisecond, func() {
 		if f.isUp {
-			w.perform(f, f.node.Tick(w.now))
+			sim.perform(f, f.node.Tick(sim.now))
 		}
 	})
-	w.every(900*time.Millisecond, func() {
-		if f.isUp && w.chance(0.2) {
-			w.crash(f)
+	sim.every(900*time.Millisecond, func() {
+		if f.isUp && sim.chance(0.2) {
+			sim.crash(f)
 		}
 	})
-	w.every(300*time.Millisecond, func() {
-		if f.isUp && f.stream != nil && w.chance(0.1) {
-			w.perform(f, f.node.PushReceived(w.now, w.faultyPush()))
+	sim.every(300*time.Millisecond, func() {
+		if f.isUp && f.stream != nil && sim.chance(0.1) {
+			sim.perform(f, f.node.PushReceived(sim.now, sim.faultyPush()))
 		}
 	})
 }
 
 // faultyPush returns a push of a faulty member: any version, complete or a delta, by chance with another number or a
 // part of its content.
-func (w *simulation) faultyPush() *Push {
-	v := w.all[w.rng.IntN(len(w.all))]
+func (sim *simulation) faultyPush() *Push {
+	v := sim.all[sim.rng.IntN(len(sim.all))]
 	var base *Version
-	if w.rng.IntN(2) == 0 {
-		base = w.all[w.rng.IntN(len(w.all))]
+	if sim.rng.IntN(2) == 0 {
+		base = sim.all[sim.rng.IntN(len(sim.all))]
 	}
 	body := *v.Body(base)
-	if w.rng.IntN(3) == 0 {
-		body.Number += uint64(w.rng.IntN(5))
+	if sim.rng.IntN(3) == 0 {
+		body.Number += uint64(sim.rng.IntN(5))
 	}
-	if w.rng.IntN(3) == 0 {
+	if sim.rng.IntN(3) == 0 {
 		body.Put = body.Put[:len(body.Put)/2]
 	}
-	return &Push{Nonce: w.rng.Uint64(), Body: &body}
+	return &Push{Nonce: sim.rng.Uint64(), Body: &body}
 }
 
 // connect opens a stream after a while, and tries again until a member accepts it.
-func (w *simulation) connect(f *simFollower, wait time.Duration) {
+func (sim *simulation) connect(f *simFollower, wait time.Duration) {
 	process := f.process
-	w.after(wait, func() {
+	sim.after(wait, func() {
 		if !f.isUp || f.process != process || f.stream != nil {
 			return
 		}
-		m := w.members[f.selector.Member()-1]
-		if m.isDown || !m.publisher.Admit(w.now) {
-			w.connect(f, f.selector.StreamEnded(false))
+		m := sim.members[f.selector.Member()-1]
+		if m.isDown || !m.publisher.Admit(sim.now) {
+			sim.connect(f, f.selector.StreamEnded(false))
 			return
 		}
-		w.lastID++
-		s := &simStream{id: w.lastID, member: m, follower: f, memberProcess: m.process, followerProcess: f.process}
+		sim.lastID++
+		s := &simStream{id: sim.lastID, member: m, follower: f, memberProcess: m.process, followerProcess: f.process}
 		f.stream, m.streams[s.id] = s, s
-		hello := f.node.OpenStream(w.now)
-		w.after(5*time.Millisecond, func() {
+		hello := f.node.OpenStream(sim.now)
+		sim.after(5*time.Millisecond, func() {
 			if s.isMemberUp() {
-				w.deliver(m, m.publisher.OpenStream(w.now, s.id, hello))
+				sim.deliver(m, m.publisher.OpenStream(sim.now, s.id, hello))
 			}
 		})
 	})
 }
 
 // later schedules the end of a follower's action, unless the process ends before.
-func (w *simulation) later(f *simFollower, do func()) {
+func (sim *simulation) later(f *simFollower, do func()) {
 	process := f.process
-	w.after(w.randomMillis(30)+time.Millisecond, func() {
+	sim.after(sim.randomMillis(30)+time.Millisecond, func() {
 		if f.isUp && f.process == process {
 			do()
 		}
@@ -125,7 +125,7 @@
 }
 
 // perform carries out a follower's actions.
-func (w *simulation) perform(f *simFollower, actions []Action) {
+func (sim *simulation) perform(f *simFollower, actions []Action) {
 	process := f.process
 	for _, a := range actions {
 		if !f.isUp || f.process != process {
@@ -133,78 +133,78 @@
 		}
 		switch {
 		case a.Persist != nil:
-			w.performPersist(f, *a.Persist)
+			sim.performPersist(f, *a.Persist)
 		case a.Check != nil:
-			w.performCheck(f, a.Check)
+			sim.performCheck(f, a.Check)
 		case a.Activate != nil:
-			w.performActivate(f, a.Activate)
+			sim.performActivate(f, a.Activate)
 		case a.Send != nil:
 			report := *a.Send
-			w.sendToMember(f, func(s *simStream) []StreamAction {
-				return s.member.publisher.ReportReceived(w.now, s.id, report)
+			sim.sendToMember(f, func(s *simStream) []StreamAction {
+				return s.member.publisher.ReportReceived(sim.now, s.id, report)
 			})
 		case a.Ping != 0:
-			w.sendToMember(f, func(s *simStream) []StreamAction {
-				return s.member.publisher.PingReceived(w.now, s.id, a.Ping)
+			sim.sendToMember(f, func(s *simStream) []StreamAction {
+				return s.member.publisher.PingReceived(sim.now, s.id, a.Ping)
 			})
 		case a.CloseStream != "":
-			w.breakStream(f.stream)
+			sim.breakStream(f.stream)
 		}
 	}
 }
 
-func (w *simulation) performPersist(f *simFollower, durable DurableState) {
-	if w.chance(0.02) {
-		if w.rng.IntN(2) == 0 {
+func (sim *simulation) performPersist(f *simFollower, durable DurableState) {
+	if sim.chance(0.02) {
+		if sim.rng.IntN(2) == 0 {
 			f.disk = &durable
 		}
-		w.crash(f)
+		sim.crash(f)
 		return
 	}
-	hasFailed := w.chance(0.01)
-	w.later(f, func() {
+	hasFailed := sim.chance(0.01)
+	sim.later(f, func() {
 		var err error
 		if hasFailed {
 			err = errors.New("no space left")
 		} else {
 			f.disk = &durable
 		}
-		w.perform(f, f.node.PersistCompleted(w.now, err))
+		sim.perform(f, f.node.PersistCompleted(sim.now, err))
 	})
 }
 
-func (w *simulation) performCheck(f *simFollower, v *Version) {
-	w.later(f, func() {
-		if w.chance(0.02) || hasPlanWithPrice(v, checkCrashPrice) {
-			w.crash(f)
+func (sim *simulation) performCheck(f *simFollower, v *Version) {
+	sim.later(f, func() {
+		if sim.chance(0.02) || hasPlanWithPrice(v, checkCrashPrice) {
+			sim.crash(f)
 			return
 		}
-		w.perform(f, f.node.CheckCompleted(w.now, problemsOf(v)))
+		sim.perform(f, f.node.CheckCompleted(sim.now, problemsOf(v)))
 	})
 }
 
-func (w *simulation) performActivate(f *simFollower, v *Version) {
-	if w.chance(0.01) || hasPlanWithPrice(v, activationCrashPrice) {
-		w.crash(f)
+func (sim *simulation) performActivate(f *simFollower, v *Version) {
+	if sim.chance(0.01) || hasPlanWithPrice(v, activationCrashPrice) {
+		sim.crash(f)
 		return
 	}
-	if w.chance(0.01) {
-		w.later(f, func() { w.perform(f, f.node.ActivationCompleted(w.now, errors.New("could not"))) })
+	if sim.chance(0.01) {
+		sim.later(f, func() { sim.perform(f, f.node.ActivationCompleted(sim.now, errors.New("could not"))) })
 		return
 	}
-	w.checkActivation(f, v)
-	w.later(f, func() { w.perform(f, f.node.ActivationCompleted(w.now, nil)) })
+	sim.checkActivation(f, v)
+	sim.later(f, func() { sim.perform(f, f.node.ActivationCompleted(sim.now, nil)) })
 }
 
 // sendToMember has receive called at the member's end of the follower's stream, unless the message is lost.
-func (w *simulation) sendToMember(f *simFollower, receive func(*simStream) []StreamAction) {
+func (sim *simulation) sendToMember(f *simFollower, receive func(*simStream) []StreamAction) {
 	s := f.stream
 	if s == nil || s.isMute {
 		return
 	}
-	w.after(10*time.Millisecond, func() {
+	sim.after(10*time.Millisecond, func() {
 		if s.isMemberUp() {
-			w.deliver(s.member, receive(s))
+			sim.deliver(s.member, receive(s))
 		}
 	})
 }
--- a/configstream/simulation_member_test.go
+++ b/configstream/simulation_member_test.go
@@ -37,8 +37,8 @@
 	return f.isUp && f.process == s.followerProcess && f.stream == s
 }
 
-func (w *simulation) startMember(m *simMember) {
-	w.breakStreams(m)
+func (sim *simulation) startMember(m *simMember) {
+	sim.breakStreams(m)
 	m.process++
 	m.isDown, m.streams = false, map[uint64]*simStream{}
 	m.publisher = NewPublisher(PublisherConfig{
@@ -50,135 +50,135 @@
 		MaxFollowers:        100,
 		AdmissionRate:       20,
 		AdmissionBurst:      20,
-	}, w.rng.Uint64())
-	w.publish(m)
+	}, sim.rng.Uint64())
+	sim.publish(m)
 }
 
-func (w *simulation) publish(m *simMember) {
+func (sim *simulation) publish(m *simMember) {
 	if m.applied > 0 {
-		w.deliver(m, m.publisher.Publish(w.now, w.log[m.applied-1]))
+		sim.deliver(m, m.publisher.Publish(sim.now, sim.log[m.applied-1]))
 	}
 }
 
 // scheduleMember schedules a member's regular work and its faults.
-func (w *simulation) scheduleMember(m *simMember) {
-	w.every(60*time.Millisecond, func() { w.replicate(m) })
-	w.every(50*time.Millisecond, func() {
+func (sim *simulation) scheduleMember(m *simMember) {
+	sim.every(60*time.Millisecond, func() { sim.replicate(m) })
+	sim.every(50*time.Millisecond, func() {
 		if !m.isDown {
-			w.deliver(m, m.publisher.Tick(w.now))
+			sim.deliver(m, m.publisher.Tick(sim.now))
 		}
 	})
-	w.every(200*time.Millisecond, func() { w.gossip(m) })
-	w.every(700*time.Millisecond, func() {
+	sim.every(200*time.Millisecond, func() { sim.gossip(m) })
+	sim.every(700*time.Millisecond, func() {
 		switch {
-		case w.chance(0.15):
+		case sim.chance(0.15):
 			m.isDown = true
-			w.breakStreams(m)
-			w.after(w.randomMillis(1000), func() { w.startMember(m) })
-		case w.chance(0.2):
+			sim.breakStreams(m)
+			sim.after(sim.randomMillis(1000), func() { sim.startMember(m) })
+		case sim.chance(0.2):
 			m.isPartitioned = true
-			w.after(w.randomMillis(2000), func() { m.isPartitioned = false })
+			sim.after(sim.randomMillis(2000), func() { m.isPartitioned = false })
 		}
 	})
 }
 
 // replicate has a member apply what is agreed on, and a quorum confirm it.
-func (w *simulation) replicate(m *simMember) {
+func (sim *simulation) replicate(m *simMember) {
 	if m.isDown || m.isPartitioned {
 		return
 	}
-	askedAt, agreed, process := w.now, len(w.log), m.process
-	w.after(w.randomMillis(40), func() {
-		if m.isDown || m.isPartitioned || m.process != process || agreed > len(w.log) {
+	askedAt, agreed, process := sim.now, len(sim.log), m.process
+	sim.after(sim.randomMillis(40), func() {
+		if m.isDown || m.isPartitioned || m.process != process || agreed > len(sim.log) {
 			return
 		}
-		if w.rng.IntN(3) > 0 {
-			m.applied = max(m.applied, min(agreed, len(w.log)))
-			w.publish(m)
+		if sim.rng.IntN(3) > 0 {
+			m.applied = max(m.applied, min(agreed, len(sim.log)))
+			sim.publish(m)
 		}
 		if m.applied >= agreed {
-			w.deliver(m, m.publisher.Confirm(w.now, askedAt, w.log[m.applied-1].Ref))
+			sim.deliver(m, m.publisher.Confirm(sim.now, askedAt, sim.log[m.applied-1].Ref))
 		}
 	})
 }
 
 // gossip sends what a member knows to the others; messages get lost.
-func (w *simulation) gossip(m *simMember) {
+func (sim *simulation) gossip(m *simMember) {
 	if m.isDown {
 		return
 	}
-	isFull := int(w.now/(200*time.Millisecond))%3 == 0
-	for _, message := range m.publisher.GossipMessages(w.now, 2, isFull) {
-		for _, o := range w.members {
-			if o == m || w.chance(0.3) {
+	isFull := int(sim.now/(200*time.Millisecond))%3 == 0
+	for _, message := range m.publisher.GossipMessages(sim.now, 2, isFull) {
+		for _, o := range sim.members {
+			if o == m || sim.chance(0.3) {
 				continue
 			}
-			w.after(w.randomMillis(30), func() {
+			sim.after(sim.randomMillis(30), func() {
 				if !o.isDown {
-					o.publisher.GossipReceived(w.now, message)
+					o.publisher.GossipReceived(sim.now, message)
 				}
 			})
 		}
 	}
 }
 
-func (w *simulation) breakStreams(m *simMember) {
+func (sim *simulation) breakStreams(m *simMember) {
 	for _, id := range slices.Sorted(maps.Keys(m.streams)) {
-		w.breakStream(m.streams[id])
+		sim.breakStream(m.streams[id])
 	}
 }
 
 // breakStream ends a stream; the follower notices later, and connects again.
-func (w *simulation) breakStream(s *simStream) {
+func (sim *simulation) breakStream(s *simStream) {
 	if s == nil || s.isBroken {
 		return
 	}
 	if s.isMemberUp() {
-		s.member.publisher.StreamClosed(w.now, s.id)
+		s.member.publisher.StreamClosed(sim.now, s.id)
 		delete(s.member.streams, s.id)
 	}
 	s.isBroken = true
-	w.after(w.randomMillis(20), func() {
+	sim.after(sim.randomMillis(20), func() {
 		if s.isFollowerUp() {
 			s.follower.stream = nil
 			s.follower.node.StreamClosed()
-			w.connect(s.follower, s.follower.selector.StreamEnded(true))
+			sim.connect(s.follower, s.follower.selector.StreamEnded(true))
 		}
 	})
 }
 
 // deliver carries out a member's actions. Messages reach followers in their order unless the stream breaks.
-func (w *simulation) deliver(m *simMember, actions []StreamAction) {
+func (sim *simulation) deliver(m *simMember, actions []StreamAction) {
 	for _, a := range actions {
 		s := m.streams[a.SessionID]
 		if s == nil {
 			continue
 		}
 		if a.CloseReason != "" {
-			w.breakStream(s)
+			sim.breakStream(s)
 			continue
 		}
-		s.isMute = s.isMute || w.chance(0.005)
+		s.isMute = s.isMute || sim.chance(0.005)
 		if s.isMute {
 			continue
 		}
-		w.after(10*time.Millisecond, func() { w.deliverToFollower(s, a) })
+		sim.after(10*time.Millisecond, func() { sim.deliverToFollower(s, a) })
 	}
 }
 
-func (w *simulation) deliverToFollower(s *simStream, a StreamAction) {
+func (sim *simulation) deliverToFollower(s *simStream, a StreamAction) {
 	if s.isBroken || !s.isFollowerUp() {
 		return
 	}
-	if w.chance(0.01) {
-		w.breakStream(s)
+	if sim.chance(0.01) {
+		sim.breakStream(s)
 		return
 	}
 	f := s.follower
 	if a.Push != nil {
-		w.perform(f, f.node.PushReceived(w.now, a.Push))
+		sim.perform(f, f.node.PushReceived(sim.now, a.Push))
 		return
 	}
-	w.perform(f, f.node.PongReceived(w.now, *a.Pong))
-	w.checkConfirmation(f)
+	sim.perform(f, f.node.PongReceived(sim.now, *a.Pong))
+	sim.checkConfirmation(f)
 }
--- a/configstream/simulation_rules_test.go
+++ b/configstream/simulation_rules_test.go
@@ -41,114 +41,114 @@
 
 // checkConfirmation fails the test if a follower holds its version for confirmed as of a time when something newer had
 // been agreed on.
-func (w *simulation) checkConfirmation(f *simFollower) {
+func (sim *simulation) checkConfirmation(f *simFollower) {
 	at, ok := f.node.ConfirmedAt()
 	if !ok {
 		return
 	}
 	running := *f.node.Running()
-	for ref, a := range w.agreed {
+	for ref, a := range sim.agreed {
 		if a.at < at && ref.Compare(running) == OrderNewer {
 			const text = "%s holds %v for the newest as of %v, and %v was agreed on at %v"
-			w.fail(text, f.name, running, at, ref, a.at)
+			sim.fail(text, f.name, running, at, ref, a.at)
 		}
 	}
 }
 
 // checkActivation fails the test unless a version that is put in force was agreed on and persisted, is good, was never
 // rejected, and is not older than what was in force.
-func (w *simulation) checkActivation(f *simFollower, v *Version) {
-	w.activationCount++
+func (sim *simulation) checkActivation(f *simFollower, v *Version) {
+	sim.activationCount++
 	if problemsOf(v) != nil {
-		w.fail("%s: version %v is put in force and is none that it can serve", f.name, v.Ref)
+		sim.fail("%s: version %v is put in force and is none that it can serve", f.name, v.Ref)
 	}
-	agreed := w.agreed[v.Ref].version
+	agreed := sim.agreed[v.Ref].version
 	if agreed == nil {
-		w.fail("%s: version %v is put in force and was never agreed on", f.name, v.Ref)
+		sim.fail("%s: version %v is put in force and was never agreed on", f.name, v.Ref)
 	}
 	forEachDifference(agreed.Tree, v.Tree, func(key []byte, _, _ json.RawMessage) {
-		w.fail("%s: version %v is put in force with another %s than was agreed on", f.name, v.Ref, key)
+		sim.fail("%s: version %v is put in force with another %s than was agreed on", f.name, v.Ref, key)
 	})
 	if findRejection(f.disk.Rejections, v.Ref) != nil {
-		w.fail("%s: version %v was rejected and is put in force", f.name, v.Ref)
+		sim.fail("%s: version %v was rejected and is put in force", f.name, v.Ref)
 	}
 	isAccepted := f.disk.Accepted != nil && f.disk.Accepted.Ref == v.Ref
 	isPrevious := f.disk.Accepted != nil && f.disk.Previous != nil && f.disk.Previous.Ref == v.Ref
 	if !isAccepted && !isPrevious {
-		w.fail("%s: version %v is put in force and was not persisted", f.name, v.Ref)
+		sim.fail("%s: version %v is put in force and was not persisted", f.name, v.Ref)
 	}
-	w.checkActivationOrder(f, v)
+	sim.checkActivationOrder(f, v)
 	ref := v.Ref
 	f.newest, f.running = &ref, &ref
 }
 
 // checkActivationOrder fails the test if a version that is put in force is older than what was, unless that could not
 // be put in force, or older than what was agreed on when a follower with nothing persisted began.
-func (w *simulation) checkActivationOrder(f *simFollower, v *Version) {
+func (sim *simulation) checkActivationOrder(f *simFollower, v *Version) {
 	if f.newest == nil {
 		if v.Compare(f.firstRef) == OrderOlder && f.disk.StartCount == 1 {
 			const text = "%s: with nothing persisted it takes version %v, older than %v that was agreed on when it began"
-			w.fail(text, f.name, v.Ref, f.firstRef)
+			sim.fail(text, f.name, v.Ref, f.firstRef)
 		}
 		return
 	}
 	isFallback := findRejection(f.disk.Rejections, *f.newest) != nil
 	if v.Compare(*f.newest) == OrderOlder && !isFallback {
-		w.fail("%s: version %v is put in force after %v", f.name, v.Ref, *f.newest)
+		sim.fail("%s: version %v is put in force after %v", f.name, v.Ref, *f.newest)
 	}
 }
 
 // run runs a seed: faults for a while, then quiet until all must be well.
-func (w *simulation) run() {
-	for _, m := range w.members {
-		w.scheduleMember(m)
+func (sim *simulation) run() {
+	for _, m := range sim.members {
+		sim.scheduleMember(m)
 	}
-	for _, f := range w.followers {
-		w.scheduleFollower(f)
+	for _, f := range sim.followers {
+		sim.scheduleFollower(f)
 	}
-	w.every(150*time.Millisecond, func() {
-		if w.hasFaults && w.rng.IntN(2) == 0 {
-			w.agreeOnRandomChange()
+	sim.every(150*time.Millisecond, func() {
+		if sim.hasFaults && sim.rng.IntN(2) == 0 {
+			sim.agreeOnRandomChange()
 		}
 	})
-	w.after(time.Duration(2+w.rng.IntN(5))*time.Second, func() {
-		if w.rng.IntN(3) == 0 {
-			w.restoreOldVersion()
+	sim.after(time.Duration(2+sim.rng.IntN(5))*time.Second, func() {
+		if sim.rng.IntN(3) == 0 {
+			sim.restoreOldVersion()
 		}
 	})
-	w.after(simulatedFaultDuration, func() {
-		w.hasFaults = false
-		w.agreeOnRandomChange() // one that all can serve, unless a bad plan stands
+	sim.after(simulatedFaultDuration, func() {
+		sim.hasFaults = false
+		sim.agreeOnRandomChange() // one that all can serve, unless a bad plan stands
 	})
-	w.runUntil(simulatedDuration)
-	for _, f := range w.followers {
-		w.rejectionCount += len(f.node.Rejections())
-		w.checkRecovered(f)
+	sim.runUntil(simulatedDuration)
+	for _, f := range sim.followers {
+		sim.rejectionCount += len(f.node.Rejections())
+		sim.checkRecovered(f)
 	}
 }
 
 // checkRecovered fails the test unless a follower runs the newest version, or has rejected it with reason, and all
 // members know.
-func (w *simulation) checkRecovered(f *simFollower) {
-	newest := w.newest()
+func (sim *simulation) checkRecovered(f *simFollower) {
+	newest := sim.newest()
 	isRejected := findRejection(f.node.Rejections(), newest.Ref) != nil
 	isCurrent := f.running != nil && *f.running == newest.Ref
 	isWronglyRejected := isRejected && problemsOf(newest) == nil && f.disk.StartCount < 2
 	if !f.isUp || !isRejected && !isCurrent || isWronglyRejected {
 		const text = "%s runs %v after 8 s without faults, and %v is agreed on " +
 			"(rejected: %v, connected: %v, warning %q)"
-		w.fail(text, f.name, f.running, newest.Ref, isRejected, f.stream != nil, f.node.Warning())
+		sim.fail(text, f.name, f.running, newest.Ref, isRejected, f.stream != nil, f.node.Warning())
 	}
-	if at, ok := f.node.ConfirmedAt(); !isRejected && (!ok || w.now-at > time.Second) {
-		w.fail("%s: confirmed at %v: %v", f.name, at, ok)
+	if at, ok := f.node.ConfirmedAt(); !isRejected && (!ok || sim.now-at > time.Second) {
+		sim.fail("%s: confirmed at %v: %v", f.name, at, ok)
 	}
-	for _, m := range w.members {
-		st := m.publisher.status(w.now, f.name)
+	for _, m := range sim.members {
+		st := m.publisher.status(sim.now, f.name)
 		showsRunning := fmt.Sprint(st.Running) == fmt.Sprint(f.running)
 		showsState := f.running == nil || st.State == StateRunning
 		showsRejection := st.LatestRejection != nil && st.LatestRejection.Ref == newest.Ref
 		if !showsRunning || !showsState || st.NameConflict != "" || showsRejection != isRejected {
-			w.fail("member %d says of %s: %+v; it runs %v", m.id, f.name, st, f.running)
+			sim.fail("member %d says of %s: %+v; it runs %v", m.id, f.name, st, f.running)
 		}
 	}
 }
@@ -161,10 +161,10 @@
 	}
 	activations, rejections := 0, 0
 	for seed := range uint64(seeds) {
-		w := newSimulation(t, seed, simulatedFollowers)
-		w.run()
-		activations += w.activationCount
-		rejections += w.rejectionCount
+		sim := newSimulation(t, seed, simulatedFollowers)
+		sim.run()
+		activations += sim.activationCount
+		rejections += sim.rejectionCount
 	}
 	t.Logf("%d seeds: %d versions put in force, %d rejections retained", seeds, activations, rejections)
 	if activations < 10*seeds || rejections < seeds {
--- a/configstream/simulation_test.go
+++ b/configstream/simulation_test.go
@@ -83,8 +83,8 @@
 }
 
 func newSimulation(t *testing.T, seed uint64, followers int) *simulation {
-	w := newVersionLog(t, rand.New(rand.NewPCG(seed, 7)))
-	w.seed, w.hasFaults = seed, true
+	sim := newVersionLog(t, rand.New(rand.NewPCG(seed, 7)))
+	sim.seed, sim.hasFaults = seed, true
 	changes := []clusterconfig.Change{}
 	for i := range followers {
 		f := &simFollower{name: fmt.Sprintf("f%d", i), disk: &DurableState{}}
@@ -93,80 +93,80 @@
 			Members:        []uint64{1, 2, 3},
 			InitialBackoff: 50 * time.Millisecond,
 			MaxBackoff:     time.Second,
-		}, w.rng)
-		w.followers = append(w.followers, f)
+		}, sim.rng)
+		sim.followers = append(sim.followers, f)
 		changes = append(changes, clusterconfig.NewPutChange("follower", f.name, clusterconfig.Follower{}))
 	}
 	epoch := clusterconfig.Epoch{Number: 1, ID: "first"}
-	w.agree(append(changes, clusterconfig.NewPutChange("epoch", "epoch", epoch))...)
+	sim.agree(append(changes, clusterconfig.NewPutChange("epoch", "epoch", epoch))...)
 	for i := range uint64(simulatedMembers) {
-		w.members = append(w.members, &simMember{id: i + 1})
-		w.startMember(w.members[i])
+		sim.members = append(sim.members, &simMember{id: i + 1})
+		sim.startMember(sim.members[i])
 	}
-	for _, f := range w.followers {
-		w.startFollower(f)
+	for _, f := range sim.followers {
+		sim.startFollower(f)
 	}
-	return w
+	return sim
 }
 
 // after schedules an event.
-func (w *simulation) after(d time.Duration, do func()) {
-	w.lastEvent++
-	heap.Push(&w.queue, event{w.now + d, w.lastEvent, do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.lastEvent++
+	heap.Push(&sim.queue, event{sim.now + d, sim.lastEvent, do})
 }
 
 // every schedules an event at each interval, from a random phase on.
-func (w *simulation) every(d time.Duration, do func()) {
+func (sim *simulation) every(d time.Duration, do func()) {
 	var again func()
-	again = func() { do(); w.after(d, again) }
-	w.after(w.randomDuration(d), again)
+	again = func() { do(); sim.after(d, again) }
+	sim.after(sim.randomDuration(d), again)
 }
 
 // runUntil runs the events up to a time.
-func (w *simulation) runUntil(end time.Duration) {
-	for len(w.queue) > 0 && w.now < end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+func (sim *simulation) runUntil(end time.Duration) {
+	for len(sim.queue) > 0 && sim.now < end {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.do()
 	}
 }
 
 // randomDuration returns a duration from 0 up to a bound, exclusive.
-func (w *simulation) randomDuration(bound time.Duration) time.Duration {
-	return time.Duration(w.rng.Int64N(int64(bound)))
+func (sim *simulation) randomDuration(bound time.Duration) time.Duration {
+	return time.Duration(sim.rng.Int64N(int64(bound)))
 }
 
 // randomMillis returns a number of whole milliseconds from 0 up to a bound, exclusive.
-func (w *simulation) randomMillis(bound int) time.Duration {
-	return time.Duration(w.rng.IntN(bound)) * time.Millisecond
+func (sim *simulation) randomMillis(bound int) time.Duration {
+	return time.Duration(sim.rng.IntN(bound)) * time.Millisecond
 }
 
 // chance reports whether a fault with a probability happens.
-func (w *simulation) chance(p float64) bool { return w.hasFaults && w.rng.Float64() < p }
+func (sim *simulation) chance(p float64) bool { return sim.hasFaults && sim.rng.Float64() < p }
 
-func (w *simulation) fail(format string, args ...any) {
-	w.t.Helper()
-	w.t.Fatalf("seed %d, %v: %s", w.seed, w.now, fmt.Sprintf(format, args...))
+func (sim *simulation) fail(format string, args ...any) {
+	sim.t.Helper()
+	sim.t.Fatalf("seed %d, %v: %s", sim.seed, sim.now, fmt.Sprintf(format, args...))
 }
 
 // newest returns the newest version that is agreed on.
-func (w *simulation) newest() *Version { return w.log[len(w.log)-1] }
+func (sim *simulation) newest() *Version { return sim.log[len(sim.log)-1] }
 
 // agree adds a version to the log.
-func (w *simulation) agree(changes ...clusterconfig.Change) {
-	w.t.Helper()
-	p := clusterconfig.Proposal{ID: fmt.Sprint(w.rng.Uint64()), Changes: changes}
-	if err := applyProposal(w.state, &p); err != nil {
-		w.fail("%v", err)
+func (sim *simulation) agree(changes ...clusterconfig.Change) {
+	sim.t.Helper()
+	p := clusterconfig.Proposal{ID: fmt.Sprint(sim.rng.Uint64()), Changes: changes}
+	if err := applyProposal(sim.state, &p); err != nil {
+		sim.fail("%v", err)
 	}
 	var before *Version
-	if len(w.log) > 0 {
-		before = w.newest()
+	if len(sim.log) > 0 {
+		before = sim.newest()
 	}
-	v := NewVersion(w.state.Freeze(), before)
-	w.log = append(w.log, v)
-	w.all = append(w.all, v)
-	w.agreed[v.Ref] = agreement{v, w.now}
+	v := NewVersion(sim.state.Freeze(), before)
+	sim.log = append(sim.log, v)
+	sim.all = append(sim.all, v)
+	sim.agreed[v.Ref] = agreement{v, sim.now}
 }
 
 // applyProposal returns an error if the proposal is rejected.
@@ -183,35 +183,35 @@
 }
 
 // agreeOnRandomChange agrees on a plan, by chance one that no follower can serve, or on the removal of one.
-func (w *simulation) agreeOnRandomChange() {
-	name := fmt.Sprintf("p%d", w.rng.IntN(6))
-	price := float64(2 * (1 + w.rng.IntN(50)))
-	if w.chance(0.2) {
+func (sim *simulation) agreeOnRandomChange() {
+	name := fmt.Sprintf("p%d", sim.rng.IntN(6))
+	price := float64(2 * (1 + sim.rng.IntN(50)))
+	if sim.chance(0.2) {
 		prices := []float64{rejectedPrice, rejectedPrice, checkCrashPrice, activationCrashPrice}
-		price = prices[w.rng.IntN(4)]
+		price = prices[sim.rng.IntN(4)]
 	}
-	if _, ok := w.state.Get("plan", name); ok && w.rng.IntN(4) == 0 {
-		w.agree(clusterconfig.Change{Op: "remove", Kind: "plan", Name: name})
+	if _, ok := sim.state.Get("plan", name); ok && sim.rng.IntN(4) == 0 {
+		sim.agree(clusterconfig.Change{Op: "remove", Kind: "plan", Name: name})
 		return
 	}
-	plan := clusterconfig.Plan{Rate: float64(len(w.log)), Burst: 1, PriorityFactor: price}
-	w.agree(clusterconfig.NewPutChange("plan", name, plan))
+	plan := clusterconfig.Plan{Rate: float64(len(sim.log)), Burst: 1, PriorityFactor: price}
+	sim.agree(clusterconfig.NewPutChange("plan", name, plan))
 }
 
 // restoreOldVersion has the service go back to an old version, in a new epoch.
-func (w *simulation) restoreOldVersion() {
-	old := w.log[w.rng.IntN(len(w.log))]
-	w.state = w.stateOf(old)
-	w.log = w.log[:old.Number]
-	w.agree(clusterconfig.NewPutChange("epoch", "epoch", w.nextEpoch()))
-	for _, m := range w.members {
+func (sim *simulation) restoreOldVersion() {
+	old := sim.log[sim.rng.IntN(len(sim.log))]
+	sim.state = sim.stateOf(old)
+	sim.log = sim.log[:old.Number]
+	sim.agree(clusterconfig.NewPutChange("epoch", "epoch", sim.nextEpoch()))
+	for _, m := range sim.members {
 		m.applied = 0
-		w.startMember(m)
+		sim.startMember(m)
 	}
 }
 
 // stateOf returns the state that a snapshot of a version restores.
-func (w *simulation) stateOf(v *Version) *clusterconfig.State {
+func (sim *simulation) stateOf(v *Version) *clusterconfig.State {
 	objects := map[string]json.RawMessage{}
 	v.Tree.Root().Walk(func(key []byte, value json.RawMessage) bool {
 		objects[string(key)] = value
@@ -226,22 +226,22 @@
 		"objects": objects,
 	})
 	if err != nil {
-		w.fail("%v", err)
+		sim.fail("%v", err)
 	}
 	s := clusterconfig.New(nil)
 	if err := s.Restore(text); err != nil {
-		w.fail("%v", err)
+		sim.fail("%v", err)
 	}
 	return s
 }
 
 // nextEpoch returns an epoch later than all that followers know.
-func (w *simulation) nextEpoch() clusterconfig.Epoch {
-	highest := w.state.Epoch().Number
-	for _, f := range w.followers {
+func (sim *simulation) nextEpoch() clusterconfig.Epoch {
+	highest := sim.state.Epoch().Number
+	for _, f := range sim.followers {
 		if f.newest != nil {
 			highest = max(highest, f.newest.Epoch.Number)
 		}
 	}
-	return clusterconfig.Epoch{Number: highest + 1, ID: fmt.Sprint(w.rng.Uint64())}
+	return clusterconfig.Epoch{Number: highest + 1, ID: fmt.Sprint(sim.rng.Uint64())}
 }
