--- a/configstream/fixture_test.go
+++ b/configstream/fixture_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"math/rand/v2"
 	"reflect"
 	"slices"
 	"testing"
@@ -17,7 +18,7 @@
 // What members tell each other and what followers keep is as it was recorded: digests, keys of JSON, texts of results and
 // orders.
 //
-// Recorded with: MULLEINMUX_RECORD=1 go test ./confstream -run Fixture
+// Recorded with: MULLEINMUX_RECORD=1 go test ./configstream -run Fixture
 func TestFixtureWords(t *testing.T) {
 	s := clusterconfig.New(nil)
 	version := func(before *Version, id string, changes ...clusterconfig.Change) *Version {
@@ -81,3 +82,18 @@
 		t.Errorf("%v, %v", second, err)
 	}
 }
+
+// Each follower's order of members, and its waits for fixed draws, are as they were recorded.
+//
+// Recorded with: MULLEINMUX_RECORD=1 go test ./configstream -run Fixture
+func TestFixtureSeats(t *testing.T) {
+	var out bytes.Buffer
+	for i := range 16 {
+		s := NewMemberSelector(MemberSelectorConfig{Name: fmt.Sprintf("edge-%d", i), Members: []uint64{1, 2, 3, 4, 5, 300}, InitialBackoff: 100 * time.Millisecond, MaxBackoff: 10 * time.Second}, rand.New(rand.NewPCG(uint64(i), 1)))
+		for n := range 8 {
+			fmt.Fprint(&out, s.Member(), " ", s.StreamEnded(n == 4), "; ")
+		}
+		fmt.Fprintln(&out)
+	}
+	fixture.Compare(t, "seats.txt", out.Bytes())
+}
