--- a/configstream/update.go
+++ b/configstream/update.go
@@ -88,9 +88,8 @@
 	return 0, nil, false
 }
 
-// PersistCompleted reports that the last Persist is on the disk. An error means that it may not be: the follower goes
-// on with the version in force and takes no push until the next stream, since its promises would not survive a
-// restart.
+// PersistCompleted reports that the last Persist is on the disk. An error means that it may not be: the update ends, the
+// version in force stays, and the stream is closed, since what the follower reports would not hold after a restart.
 func (f *Follower) PersistCompleted(now time.Duration, err error) []Action {
 	u := &f.update
 	if err != nil && u.isStartup {
