--- a/clusterconfig/fixture_test.go
+++ b/clusterconfig/fixture_test.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p, err := decode(entry)
+		p, err := decodeProposal(entry)
 		if err != nil {
 			t.Fatal(err)
 		}
