--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -205,7 +205,7 @@
 func TestFixtureAnswers(t *testing.T) {
 	at := &clusterconfig.Member{RaftAddress: "a", AdminAddress: "b"}
 	full := Status{Cluster: "c", Installed: 1, AgeMs: -1, Serves: true, Note: "note", Halls: map[string]string{"hall-a": "well"}, Members: map[uint64]clusterconfig.Member{1: *at}}
-	full.ID, full.Leader, full.Ready, full.Index, full.Version, full.Hash, full.Voters, full.Learners = 1, 2, true, 4, 5, "hash", []uint64{1}, []uint64{2}
+	full.ID, full.Leader, full.Ready, full.AppliedIndex, full.Version, full.Hash, full.Voters, full.Learners = 1, 2, true, 4, 5, "hash", []uint64{1}, []uint64{2}
 	w := httptest.NewRecorder()
 	for _, v := range []any{Status{}, full, Objects{}, MembersChange{}, MembersChange{Op: "add", Member: 1, With: 2, At: at}, failure{"why"}, Followers{},
 		Followers{Member: 1, Newest: 2, Followers: []configstream.StreamStatus{{}}}, FollowerStatus{}} {
