--- a/cmd/gateway/config.go
+++ b/cmd/gateway/config.go
@@ -48,11 +48,11 @@
 var errDiffers = errors.New("the file differs from what is agreed on")
 
 func (c *configAt) client() (*cluster.Client, error) {
-	creds, err := raftnode.LoadNamed(c.Certs, raftnode.OperatorFile(c.Operator))
+	creds, err := raftnode.LoadCredentialFiles(c.Certs, raftnode.OperatorFilePrefix(c.Operator))
 	if err != nil {
 		return nil, usage{fmt.Errorf("--certs, --operator: %w (made by gateway certs --operators %s)", err, c.Operator)}
 	}
-	h, err := creds.Holder()
+	h, err := creds.Identity()
 	if err != nil {
 		return nil, usage{fmt.Errorf("--certs: %w", err)}
 	}
--- a/internal/benchmark/changes.go
+++ b/internal/benchmark/changes.go
@@ -27,7 +27,7 @@
 
 // startMember starts an instance that agrees with others on what it serves.
 func startMember(ctx context.Context, p *Part) ([]string, error) {
-	creds, err := raftnode.LoadCredentials(p.Dir, p.Member)
+	creds, err := raftnode.LoadMemberCredentials(p.Dir, p.Member)
 	if err != nil {
 		return nil, err
 	}
@@ -171,7 +171,7 @@
 		c.members = append(c.members, p)
 		c.ends = append(c.ends, func() error { p.end(); return nil }) // it may have been killed
 	}
-	creds, err := raftnode.LoadNamed(c.dir, raftnode.OperatorFile("op"))
+	creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.OperatorFilePrefix("op"))
 	if err != nil {
 		return c, err
 	}
--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -75,7 +75,7 @@
 		if err := c.auth.WriteFollower(c.dir, name); err != nil {
 			return r, err
 		}
-		creds, err := raftnode.LoadNamed(c.dir, raftnode.FollowerFile(name))
+		creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.FollowerFilePrefix(name))
 		if err != nil {
 			return r, err
 		}
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -34,7 +34,7 @@
 
 // NewClient returns a client. at are admin addresses of instances.
 func NewClient(cluster string, creds raftnode.Credentials, at ...string) *Client {
-	tls := creds.TLS()
+	tls := creds.TLSConfig()
 	return &Client{cluster: cluster, at: at, http: &http.Client{Transport: &http.Transport{TLSClientConfig: tls, TLSHandshakeTimeout: 2 * time.Second,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
 }
@@ -64,8 +64,8 @@
 	}
 	resp, err := c.http.Do(r)
 	if err != nil {
-		if errors.Is(err, raftnode.ErrAuthority) {
-			return fmt.Errorf("%s: is not of cluster %q: %w", at, c.cluster, raftnode.ErrAuthority)
+		if errors.Is(err, raftnode.ErrUnknownAuthority) {
+			return fmt.Errorf("%s: is not of cluster %q: %w", at, c.cluster, raftnode.ErrUnknownAuthority)
 		}
 		if strings.Contains(err.Error(), "remote error: tls") {
 			return fmt.Errorf("%s: does not take the certificate: is it of cluster %q? %w", at, c.cluster, err)
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -106,7 +106,7 @@
 		}
 		r.start(id)
 	}
-	creds, err := raftnode.LoadNamed(writeAuthority(t, auth, r.dir), raftnode.OperatorFile("amina"))
+	creds, err := raftnode.LoadCredentialFiles(writeAuthority(t, auth, r.dir), raftnode.OperatorFilePrefix("amina"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 // member describes a member that does not run yet.
 func (r *rig) member(id uint64) *fleetMember {
 	r.t.Helper()
-	creds, err := r.auth.Credentials(id)
+	creds, err := r.auth.IssueCredentials(id)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -345,19 +345,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		creds, err := stranger.Credentials(1)
+		creds, err := stranger.IssueCredentials(1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		cl := NewClient(name, creds, r.addrs[1].Admin)
-		if _, err := cl.Status(r.ctx()); !errors.Is(err, raftnode.ErrAuthority) || !strings.Contains(err.Error(), "is not of cluster") {
+		if _, err := cl.Status(r.ctx()); !errors.Is(err, raftnode.ErrUnknownAuthority) || !strings.Contains(err.Error(), "is not of cluster") {
 			t.Errorf("a stranger: %v", err)
 		}
 		cl.Close()
 	}
 	// The same authority with another cluster's name in the certificate.
 	r.auth.Cluster = "renamed"
-	creds, err := r.auth.Credentials(1)
+	creds, err := r.auth.IssueCredentials(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -418,8 +418,8 @@
 	r.served(2)
 	r.halt(3)
 	// Each on its own: the links between them go as well.
-	r.members[1].fleet.node.Peers(nil)
-	r.members[2].fleet.node.Peers(nil)
+	r.members[1].fleet.node.SetPeers(nil)
+	r.members[2].fleet.node.SetPeers(nil)
 	cut := time.Now()
 	if a := r.ask(2, "/slots"); a.status != 200 {
 		t.Errorf("within its bound: %+v", a)
@@ -451,7 +451,7 @@
 		for n, m := range r.addrs {
 			addrs[n] = m.Raft
 		}
-		r.members[id+1].fleet.node.Peers(addrs)
+		r.members[id+1].fleet.node.SetPeers(addrs)
 	}
 	r.await("both serve", func() bool {
 		return r.ready(1) && r.ready(2) && r.ask(1, "/slots").header.Get("X-Mulleinmux-Config-Age") == ""
@@ -563,7 +563,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	creds, err := auth.Credentials(1)
+	creds, err := auth.IssueCredentials(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -587,7 +587,7 @@
 
 // fullDisk is a disk that is full from a moment on.
 type fullDisk struct {
-	raftnode.Disk
+	raftnode.Storage
 	full *atomic.Bool
 }
 
@@ -595,7 +595,7 @@
 	if d.full.Load() && sync {
 		return syscall.ENOSPC
 	}
-	return d.Disk.Save(hs, entries, snap, sync)
+	return d.Storage.Save(hs, entries, snap, sync)
 }
 
 // A member whose disk is full ends with that as its reason, the leader above all; the others
@@ -607,7 +607,7 @@
 	var full [4]atomic.Bool
 	for id := uint64(1); id <= 3; id++ {
 		r.halt(id)
-		r.members[id].cfg.Disk = func(d raftnode.Disk) raftnode.Disk { return fullDisk{d, &full[id]} }
+		r.members[id].cfg.Disk = func(d raftnode.Storage) raftnode.Storage { return fullDisk{d, &full[id]} }
 		r.start(id)
 	}
 	var leader uint64
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -118,7 +118,7 @@
 // RunFollower runs a follower and its instance until ctx ends. What was in force before is served on with no word from
 // any member, as far as when_stale allows.
 func RunFollower(ctx context.Context, cfg *FollowerConfig, gate *gateway.Config, logger *log.Logger, begun func(*Follower)) (err error) {
-	if h, err := cfg.Credentials.Holder(); err != nil || h.Cluster != cfg.Cluster || h.Follower != cfg.Name {
+	if h, err := cfg.Credentials.Identity(); err != nil || h.Cluster != cfg.Cluster || h.Follower != cfg.Name {
 		return fmt.Errorf("certificate: is that of follower %q of %q, not of %q of %q: %w", h.Follower, h.Cluster, cfg.Name, cfg.Cluster, err)
 	}
 	file, disk, err := openFollowerFile(cfg.Data, cfg.Cluster, cfg.Name)
@@ -334,7 +334,7 @@
 func (f *Feed) follow(ctx context.Context, member uint64) (heard bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	tls := f.cfg.Credentials.TLS()
+	tls := f.cfg.Credentials.TLSConfig()
 	tls.NextProtos = []string{"h2"}
 	t := &http.Transport{TLSClientConfig: tls, ForceAttemptHTTP2: true, TLSHandshakeTimeout: 2 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer t.CloseIdleConnections()
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -32,7 +32,7 @@
 	if err := r.auth.WriteFollower(r.dir, name); err != nil {
 		r.t.Fatal(err)
 	}
-	creds, err := raftnode.LoadNamed(r.dir, raftnode.FollowerFile(name))
+	creds, err := raftnode.LoadCredentialFiles(r.dir, raftnode.FollowerFilePrefix(name))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 
 func operator(t *testing.T, r *rig) raftnode.Credentials {
 	t.Helper()
-	creds, err := raftnode.LoadNamed(r.dir, raftnode.OperatorFile("amina"))
+	creds, err := raftnode.LoadCredentialFiles(r.dir, raftnode.OperatorFilePrefix("amina"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/homes.go
+++ b/internal/cluster/homes.go
@@ -73,7 +73,7 @@
 func (f *Fleet) proposeHall(ctx context.Context, c multisite.HallChange) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	s, err := f.node.Freeze(ctx)
+	s, err := f.node.AppliedState(ctx)
 	if err != nil {
 		return err
 	}
@@ -103,12 +103,12 @@
 	if f.gate.Keys == nil {
 		return 0
 	}
-	s, m, err := f.node.FreezeWith(ctx)
+	s, m, err := f.node.AppliedStateAndMembership(ctx)
 	if err != nil {
 		return 0
 	}
 	h, agreed, parts := homesOf(s, m.Members)
-	f.in.InstallHomes(h, m.Index, m.Voters, m.Joint)
+	f.in.InstallHomes(h, m.AppliedIndex, m.Voters, m.IsJoint)
 	f.in.AgreeHalls(agreed, parts, m.Members)
 	return h.Epoch
 }
@@ -146,10 +146,10 @@
 		}
 		for more := true; more; {
 			var m multisite.Message
-			m, more = f.in.TellKeys(keysWord, f.node.Fence)
+			m, more = f.in.TellKeys(keysWord, f.node.FenceIndex)
 			text, err := json.Marshal(&m)
 			if err == nil {
-				err = f.node.Tell(text)
+				err = f.node.Broadcast(text)
 			}
 			if err != nil {
 				f.log.Printf("keys: %v", err)
--- a/internal/cluster/stream.go
+++ b/internal/cluster/stream.go
@@ -144,7 +144,7 @@
 
 // serve serves followers until ctx ends.
 func (s *streams) serve(ctx context.Context, ln net.Listener, side *sync.WaitGroup) *http.Server {
-	srv := &http.Server{ErrorLog: s.f.log, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, TLSConfig: s.f.cfg.Credentials.TLS(),
+	srv := &http.Server{ErrorLog: s.f.log, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, TLSConfig: s.f.cfg.Credentials.TLSConfig(),
 		BaseContext: func(net.Listener) context.Context { return ctx }, Handler: configstreampb.Handler(s.follow)}
 	side.Go(func() { srv.ServeTLS(admitted{ln, s}, "", "") }) // ends with Close
 	side.Go(func() {
@@ -197,7 +197,7 @@
 	for _, w := range words {
 		text, err := json.Marshal(w)
 		if err == nil {
-			err = s.f.node.Tell(append([]byte{streamPrefix}, text...))
+			err = s.f.node.Broadcast(append([]byte{streamPrefix}, text...))
 		}
 		if err != nil {
 			s.f.log.Printf("followers: %v", err)
@@ -308,7 +308,7 @@
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return "", errors.New("no certificate")
 	}
-	h, err := raftnode.HolderOf(r.TLS.PeerCertificates[0])
+	h, err := raftnode.IdentityOf(r.TLS.PeerCertificates[0])
 	if err != nil {
 		return "", err
 	}
--- a/internal/raftnode/bolt.go
+++ b/internal/raftnode/bolt.go
@@ -25,57 +25,57 @@
 //	      last, so that a tail that is not there is missed
 //	log   index (8 bytes, big-endian): Entry
 var (
-	bucketMeta  = []byte("meta")
-	bucketState = []byte("state")
-	bucketLog   = []byte("log")
-	keyHard     = []byte("hard")
-	keySnapshot = []byte("snapshot")
-	keyLast     = []byte("last")
-	keyStarts   = []byte("starts")
-	keyWritten  = []byte("written")
-	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
+	bucketMeta     = []byte("meta")
+	bucketState    = []byte("state")
+	bucketLog      = []byte("log")
+	keyHardState   = []byte("hard")
+	keySnapshot    = []byte("snapshot")
+	keyLastEntry   = []byte("last")
+	keyIncarnation = []byte("starts")
+	keyWrittenAt   = []byte("written")
+	castagnoli     = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// restoredAfter is how much later than its last write a file's status may have changed (its
+// maxStatusChangeDelay is how much later than its last write a file's status may have changed (its
 // ctime, which nobody can set).
-const restoredAfter = 30 * time.Second
+const maxStatusChangeDelay = 30 * time.Second
 
-// boltFormat is the newest format of the file that this program knows.
-const boltFormat = 1
+// formatVersion is the newest format of the file that this program knows.
+const formatVersion = 1
 
 // Errors of a file. Neither is got over by starting empty under the old identity: a member
 // that has forgotten its vote could vote twice. See docs/operators/cluster.md.
 var (
-	ErrDamaged = errors.New("the file is damaged: move it away and let this member join again under a new number")
-	ErrForeign = errors.New("the file belongs to another member or cluster")
-	// ErrRestored says that a file was put in its place after it was last written: an old
+	ErrCorruptFile = errors.New("the file is damaged: move it away and let this member join again under a new number")
+	ErrForeignFile = errors.New("the file belongs to another member or cluster")
+	// ErrRestoredFile says that a file was put in its place after it was last written: an old
 	// copy may lack votes and entries that the member has promised to others.
-	ErrRestored = errors.New("the file was changed or put here after its member last wrote it: if it is an old copy, let this member join again under a new number; if it is the newest, moved here, say so with gateway init --adopt")
+	ErrRestoredFile = errors.New("the file was changed or put here after its member last wrote it: if it is an old copy, let this member join again under a new number; if it is the newest, moved here, say so with gateway init --adopt")
 )
 
-// BoltDisk is a [Disk] in one file.
-type BoltDisk struct {
-	db     *bbolt.DB
-	starts uint64
+// BoltStorage is a [Storage] in one file.
+type BoltStorage struct {
+	db          *bbolt.DB
+	incarnation uint64
 }
 
-// OpenBolt opens a member's file, or makes one. A file that is damaged in any part, or that
+// OpenBoltStorage opens a member's file, or makes one. A file that is damaged in any part, or that
 // belongs to another member or cluster, is an error.
-func OpenBolt(path, cluster string, member uint64) (*BoltDisk, error) {
-	return openBolt(path, cluster, member, false)
+func OpenBoltStorage(path, cluster string, member uint64) (*BoltStorage, error) {
+	return openBoltStorage(path, cluster, member, false)
 }
 
-// Adopt takes a file that was moved for the newest of its member, which then opens.
-func Adopt(path, cluster string, member uint64) error {
-	d, err := openBolt(path, cluster, member, true)
+// AdoptFile takes a file that was moved for the newest of its member, which then opens.
+func AdoptFile(path, cluster string, member uint64) error {
+	d, err := openBoltStorage(path, cluster, member, true)
 	if err != nil {
 		return err
 	}
 	return d.Close()
 }
 
-func openBolt(path, cluster string, member uint64, adopt bool) (d *BoltDisk, err error) {
-	defer damage(&err, path)()
+func openBoltStorage(path, cluster string, member uint64, adopt bool) (d *BoltStorage, err error) {
+	defer recoverCorruption(&err, path)()
 	info, statErr := os.Stat(path)
 	isNew := errors.Is(statErr, os.ErrNotExist)
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType})
@@ -84,27 +84,27 @@
 	}
 	if err != nil {
 		if !isNew {
-			return nil, fmt.Errorf("%s: %w: %w", path, ErrDamaged, err)
+			return nil, fmt.Errorf("%s: %w: %w", path, ErrCorruptFile, err)
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	d = &BoltDisk{db: db}
+	d = &BoltStorage{db: db}
 	if isNew {
-		err = d.create(cluster, member)
+		err = d.initialize(cluster, member)
 	} else {
-		err = d.verify(cluster, member)
+		err = d.verifyIdentity(cluster, member)
 		if err == nil && !adopt {
-			err = d.original(info)
+			err = d.verifyNotRestored(info)
 		}
 	}
 	if err == nil {
 		err = d.update(func(tx *bbolt.Tx) error {
 			m := tx.Bucket(bucketMeta)
-			if text := m.Get(keyStarts); len(text) == 8 {
-				d.starts = binary.BigEndian.Uint64(text)
+			if text := m.Get(keyIncarnation); len(text) == 8 {
+				d.incarnation = binary.BigEndian.Uint64(text)
 			}
-			d.starts++
-			return m.Put(keyStarts, binary.BigEndian.AppendUint64(nil, d.starts))
+			d.incarnation++
+			return m.Put(keyIncarnation, binary.BigEndian.AppendUint64(nil, d.incarnation))
 		})
 	}
 	if err != nil {
@@ -113,55 +113,55 @@
 	return d, nil
 }
 
-// damage has what a damaged file does to its reader (bbolt panics on pages that can't be, and
+// recoverCorruption has what a damaged file does to its reader (bbolt panics on pages that can't be, and
 // a map of a file that is cut short faults) end as an error. Use: defer damage(&err, path)().
-func damage(err *error, path string) func() {
+func recoverCorruption(err *error, path string) func() {
 	before := debug.SetPanicOnFault(true)
 	return func() {
 		debug.SetPanicOnFault(before)
 		if p := recover(); p != nil {
-			*err = fmt.Errorf("%s: %w: %v", path, ErrDamaged, p)
+			*err = fmt.Errorf("%s: %w: %v", path, ErrCorruptFile, p)
 		}
 	}
 }
 
-// original tells whether a file is where its member wrote it last.
-func (d *BoltDisk) original(info os.FileInfo) error {
+// verifyNotRestored tells whether a file is where its member wrote it last.
+func (d *BoltStorage) verifyNotRestored(info os.FileInfo) error {
 	st, ok := info.Sys().(*syscall.Stat_t)
 	if !ok {
 		return nil // no such system: peers' memory of the member's starts is what is left
 	}
 	var written []byte
 	if err := d.db.View(func(tx *bbolt.Tx) error {
-		written = slices.Clone(tx.Bucket(bucketMeta).Get(keyWritten))
+		written = slices.Clone(tx.Bucket(bucketMeta).Get(keyWrittenAt))
 		return nil
 	}); err != nil {
 		return err
 	}
 	if len(written) != 8 {
-		return ErrDamaged
+		return ErrCorruptFile
 	}
 	last, changed := time.Unix(0, int64(binary.BigEndian.Uint64(written))), time.Unix(st.Ctim.Unix())
-	if changed.Sub(last) > restoredAfter {
-		return fmt.Errorf("written %s, changed %s: %w", last.UTC().Format(time.RFC3339), changed.UTC().Format(time.RFC3339), ErrRestored)
+	if changed.Sub(last) > maxStatusChangeDelay {
+		return fmt.Errorf("written %s, changed %s: %w", last.UTC().Format(time.RFC3339), changed.UTC().Format(time.RFC3339), ErrRestoredFile)
 	}
 	return nil
 }
 
-// Starts is how often the file was opened, this time included.
-func (d *BoltDisk) Starts() uint64 { return d.starts }
+// Incarnation is how often the file was opened, this time included.
+func (d *BoltStorage) Incarnation() uint64 { return d.incarnation }
 
 // update is a transaction that notes when it was.
-func (d *BoltDisk) update(f func(tx *bbolt.Tx) error) error {
+func (d *BoltStorage) update(f func(tx *bbolt.Tx) error) error {
 	return d.db.Update(func(tx *bbolt.Tx) error {
 		if err := f(tx); err != nil {
 			return err
 		}
-		return tx.Bucket(bucketMeta).Put(keyWritten, binary.BigEndian.AppendUint64(nil, uint64(time.Now().UnixNano())))
+		return tx.Bucket(bucketMeta).Put(keyWrittenAt, binary.BigEndian.AppendUint64(nil, uint64(time.Now().UnixNano())))
 	})
 }
 
-func (d *BoltDisk) create(cluster string, member uint64) error {
+func (d *BoltStorage) initialize(cluster string, member uint64) error {
 	return d.db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range [][]byte{bucketMeta, bucketState, bucketLog} {
 			if _, err := tx.CreateBucket(name); err != nil {
@@ -169,56 +169,56 @@
 			}
 		}
 		m := tx.Bucket(bucketMeta)
-		return errors.Join(m.Put([]byte("format"), binary.BigEndian.AppendUint32(nil, boltFormat)), m.Put([]byte("cluster"), []byte(cluster)),
+		return errors.Join(m.Put([]byte("format"), binary.BigEndian.AppendUint32(nil, formatVersion)), m.Put([]byte("cluster"), []byte(cluster)),
 			m.Put([]byte("member"), binary.BigEndian.AppendUint64(nil, member)))
 	})
 }
 
-func (d *BoltDisk) verify(cluster string, member uint64) error {
+func (d *BoltStorage) verifyIdentity(cluster string, member uint64) error {
 	return d.db.View(func(tx *bbolt.Tx) error {
 		// bbolt's own check runs in a goroutine whose faults end the process; Load reads and sums
 		// all that counts instead.
 		m := tx.Bucket(bucketMeta)
 		if m == nil || tx.Bucket(bucketState) == nil || tx.Bucket(bucketLog) == nil || len(m.Get([]byte("format"))) != 4 || len(m.Get([]byte("member"))) != 8 {
-			return ErrDamaged
+			return ErrCorruptFile
 		}
-		if f := binary.BigEndian.Uint32(m.Get([]byte("format"))); f > boltFormat {
+		if f := binary.BigEndian.Uint32(m.Get([]byte("format"))); f > formatVersion {
 			return fmt.Errorf("format %d is newer than this program knows: update it", f)
 		}
 		if c, n := string(m.Get([]byte("cluster"))), binary.BigEndian.Uint64(m.Get([]byte("member"))); c != cluster || n != member {
-			return fmt.Errorf("%w: member %d of %q, not %d of %q", ErrForeign, n, c, member, cluster)
+			return fmt.Errorf("%w: member %d of %q, not %d of %q", ErrForeignFile, n, c, member, cluster)
 		}
 		return nil
 	})
 }
 
 // Load reads all that is kept, and checks every sum and that no entry is missing.
-func (d *BoltDisk) Load() (k Kept, err error) {
-	defer damage(&err, d.db.Path())()
+func (d *BoltStorage) Load() (k PersistedState, err error) {
+	defer recoverCorruption(&err, d.db.Path())()
 	err = d.db.View(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(bucketState)
 		last := &pb.Entry{}
 		if err := state.ForEach(func(key, text []byte) error {
-			if string(key) == string(keyLast) {
-				return unseal(text, last)
+			if string(key) == string(keyLastEntry) {
+				return decodeChecksummed(text, last)
 			}
-			if string(key) != string(keyHard) && string(key) != string(keySnapshot) {
-				return fmt.Errorf("state %q: %w", key, ErrDamaged)
+			if string(key) != string(keyHardState) && string(key) != string(keySnapshot) {
+				return fmt.Errorf("state %q: %w", key, ErrCorruptFile)
 			}
 			return nil
 		}); err != nil {
 			return err
 		}
-		if text := state.Get(keyHard); text != nil {
+		if text := state.Get(keyHardState); text != nil {
 			k.HardState = &pb.HardState{}
-			if err := unseal(text, k.HardState); err != nil {
+			if err := decodeChecksummed(text, k.HardState); err != nil {
 				return fmt.Errorf("hard state: %w", err)
 			}
 		}
 		after := uint64(0)
 		if text := state.Get(keySnapshot); text != nil {
 			k.Snapshot = &pb.Snapshot{}
-			if err := unseal(text, k.Snapshot); err != nil {
+			if err := decodeChecksummed(text, k.Snapshot); err != nil {
 				return fmt.Errorf("snapshot: %w", err)
 			}
 			after = k.Snapshot.GetMetadata().GetIndex()
@@ -227,23 +227,23 @@
 		next := after + 1
 		for key, text := c.Seek(binary.BigEndian.AppendUint64(nil, next)); key != nil; key, text = c.Next() {
 			e := &pb.Entry{}
-			if err := unseal(text, e); err != nil {
+			if err := decodeChecksummed(text, e); err != nil {
 				return fmt.Errorf("entry %x: %w", key, err)
 			}
 			if e.GetIndex() != next || binary.BigEndian.Uint64(key) != next {
-				return fmt.Errorf("entry %d is missing: %w", next, ErrDamaged)
+				return fmt.Errorf("entry %d is missing: %w", next, ErrCorruptFile)
 			}
 			next++
 			k.Entries = append(k.Entries, e)
 		}
 		if k.HardState == nil && (k.Snapshot != nil || len(k.Entries) > 0 || last.GetIndex() > 0) {
-			return fmt.Errorf("the hard state is missing: %w", ErrDamaged)
+			return fmt.Errorf("the hard state is missing: %w", ErrCorruptFile)
 		}
 		if next <= last.GetIndex() {
-			return fmt.Errorf("the log ends at %d, not at %d: %w", next-1, last.GetIndex(), ErrDamaged)
+			return fmt.Errorf("the log ends at %d, not at %d: %w", next-1, last.GetIndex(), ErrCorruptFile)
 		}
 		if k.HardState.GetCommit() >= next {
-			return fmt.Errorf("entries up to %d were committed, and %d is missing: %w", k.HardState.GetCommit(), next, ErrDamaged)
+			return fmt.Errorf("entries up to %d were committed, and %d is missing: %w", k.HardState.GetCommit(), next, ErrCorruptFile)
 		}
 		return nil
 	})
@@ -252,25 +252,25 @@
 
 // Save writes one transaction, which bbolt syncs before it returns. What needs no sync (a
 // commit index alone) is not written: it is learned again from the leader.
-func (d *BoltDisk) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
+func (d *BoltStorage) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
 	if !sync {
 		return nil
 	}
 	return d.update(func(tx *bbolt.Tx) error {
 		state, log := tx.Bucket(bucketState), tx.Bucket(bucketLog)
 		if snap != nil {
-			if err := seal(state, keySnapshot, snap); err != nil {
+			if err := putChecksummed(state, keySnapshot, snap); err != nil {
 				return err
 			}
-			if err := cut(log, func(uint64) bool { return true }); err != nil {
+			if err := deletePrefix(log, func(uint64) bool { return true }); err != nil {
 				return err
 			}
-			if err := seal(state, keyLast, &pb.Entry{Index: proto.Uint64(snap.GetMetadata().GetIndex())}); err != nil {
+			if err := putChecksummed(state, keyLastEntry, &pb.Entry{Index: proto.Uint64(snap.GetMetadata().GetIndex())}); err != nil {
 				return err
 			}
 		}
 		if hs != nil {
-			if err := seal(state, keyHard, hs); err != nil {
+			if err := putChecksummed(state, keyHardState, hs); err != nil {
 				return err
 			}
 		}
@@ -284,31 +284,31 @@
 			}
 		}
 		for _, e := range entries {
-			if err := seal(log, binary.BigEndian.AppendUint64(nil, e.GetIndex()), e); err != nil {
+			if err := putChecksummed(log, binary.BigEndian.AppendUint64(nil, e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
 		if n := len(entries); n > 0 {
-			return seal(state, keyLast, &pb.Entry{Index: proto.Uint64(entries[n-1].GetIndex())})
+			return putChecksummed(state, keyLastEntry, &pb.Entry{Index: proto.Uint64(entries[n-1].GetIndex())})
 		}
 		return nil
 	})
 }
 
 // SaveSnapshot keeps a snapshot of the member's own.
-func (d *BoltDisk) SaveSnapshot(snap *pb.Snapshot) error {
-	return d.update(func(tx *bbolt.Tx) error { return seal(tx.Bucket(bucketState), keySnapshot, snap) })
+func (d *BoltStorage) SaveSnapshot(snap *pb.Snapshot) error {
+	return d.update(func(tx *bbolt.Tx) error { return putChecksummed(tx.Bucket(bucketState), keySnapshot, snap) })
 }
 
 // Compact drops entries up to an index.
-func (d *BoltDisk) Compact(index uint64) error {
+func (d *BoltStorage) Compact(index uint64) error {
 	return d.update(func(tx *bbolt.Tx) error {
-		return cut(tx.Bucket(bucketLog), func(i uint64) bool { return i <= index })
+		return deletePrefix(tx.Bucket(bucketLog), func(i uint64) bool { return i <= index })
 	})
 }
 
-// cut drops the entries at the log's beginning for which gone holds.
-func cut(log *bbolt.Bucket, gone func(uint64) bool) error {
+// deletePrefix drops the entries at the log's beginning for which gone holds.
+func deletePrefix(log *bbolt.Bucket, gone func(uint64) bool) error {
 	c := log.Cursor()
 	for k, _ := c.First(); k != nil && gone(binary.BigEndian.Uint64(k)); k, _ = c.First() {
 		if err := c.Delete(); err != nil {
@@ -319,9 +319,9 @@
 }
 
 // Close closes the file.
-func (d *BoltDisk) Close() error { return d.db.Close() }
+func (d *BoltStorage) Close() error { return d.db.Close() }
 
-func seal(b *bbolt.Bucket, key []byte, m proto.Message) error {
+func putChecksummed(b *bbolt.Bucket, key []byte, m proto.Message) error {
 	text, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, 4), m)
 	if err != nil {
 		return err
@@ -330,12 +330,12 @@
 	return b.Put(key, text)
 }
 
-func unseal(text []byte, m proto.Message) error {
+func decodeChecksummed(text []byte, m proto.Message) error {
 	if len(text) < 4 || binary.BigEndian.Uint32(text) != crc32.Checksum(text[4:], castagnoli) {
-		return ErrDamaged
+		return ErrCorruptFile
 	}
 	if err := proto.Unmarshal(text[4:], m); err != nil {
-		return fmt.Errorf("%w: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: %w", ErrCorruptFile, err)
 	}
 	return nil
 }
--- a/internal/raftnode/core.go
+++ b/internal/raftnode/core.go
@@ -23,19 +23,19 @@
 
 // Config is what a member is told at its start.
 type Config struct {
-	ID            uint64   // of this member, above 0, never used again after it was removed
-	Voters        []uint64 // of a new cluster; nil: this member joins one, or comes back
-	ElectionTicks int      // without a leader's message until an election; 10 where 0
-	SnapshotEvery uint64   // entries between snapshots; 2,000 where 0
-	KeepEntries   uint64   // behind a snapshot, for members that are a little late; 500 where 0
-	Validate      clusterconfig.Validator
-	Logger        raft.Logger // nil: none
+	ID                 uint64   // of this member, above 0, never used again after it was removed
+	Voters             []uint64 // of a new cluster; nil: this member joins one, or comes back
+	ElectionTicks      int      // without a leader's message until an election; 10 where 0
+	EntriesPerSnapshot uint64   // entries between snapshots; 2,000 where 0
+	CatchUpEntries     uint64   // behind a snapshot, for members that are a little late; 500 where 0
+	Validate           clusterconfig.Validator
+	Logger             raft.Logger // nil: none
 }
 
-// Disk keeps what a member must not forget. What Save was given is durable when it
+// Storage keeps what a member must not forget. What Save was given is durable when it
 // returns; after an error nothing that was promised with it may go out.
-type Disk interface {
-	Load() (Kept, error)
+type Storage interface {
+	Load() (PersistedState, error)
 	// Save keeps what is not nil. A snapshot here comes from the leader: it takes the place
 	// of the whole log, of which nothing may come back.
 	Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error
@@ -45,8 +45,8 @@
 	Compact(index uint64) error
 }
 
-// Kept is what a Disk holds.
-type Kept struct {
+// PersistedState is what a Disk holds.
+type PersistedState struct {
 	HardState *pb.HardState // nil: nothing was ever saved
 	Snapshot  *pb.Snapshot  // nil: none
 	Entries   []*pb.Entry   // behind the snapshot
@@ -54,60 +54,60 @@
 
 // Errors of a member.
 var (
-	ErrNoLeader = errors.New("no leader is known: a quorum of members is needed")
-	ErrStopped  = errors.New("the member has stopped")
-	ErrForgot   = errors.New("the member's file lacks what it has promised to others, as an old copy does: let it join again under a new number")
-	ErrRemoved  = errors.New("this member was removed from the cluster: its number is not used again")
-	ErrLost     = errors.New("the leader changed meanwhile: it is not known whether the proposal will be applied; repeat it with the same id")
+	ErrNoLeader       = errors.New("no leader is known: a quorum of members is needed")
+	ErrStopped        = errors.New("the member has stopped")
+	ErrStaleStorage   = errors.New("the member's file lacks what it has promised to others, as an old copy does: let it join again under a new number")
+	ErrRemoved        = errors.New("this member was removed from the cluster: its number is not used again")
+	ErrOutcomeUnknown = errors.New("the leader changed meanwhile: it is not known whether the proposal will be applied; repeat it with the same id")
 )
 
 // Core is one member. It is not safe for concurrent use.
 type Core struct {
-	cfg     Config
-	rn      *raft.RawNode
-	mem     *raft.MemoryStorage // what disk holds, for the engine to read
-	disk    Disk
-	state   *clusterconfig.State
-	applied uint64
-	snapAt  uint64 // index of the last snapshot
-	snapNow bool   // the members have changed: a new one takes no snapshot that lacks it
-	conf    *pb.ConfState
-	fence   uint64        // index of the last entry applied here that changed homes or members, or a later one
-	tail    []uint64      // of those saved behind the applied ones, in order
-	fenced  atomic.Uint64 // the last of all these, for [Core.Fence]
-
-	ready   bool // a quorum has confirmed, since the start, a version that is applied here
-	reads   map[uint64]*read
-	readSeq uint64
-	waiting map[string][]func(clusterconfig.Outcome, error)
-	changes map[string]func(error) // of members, by the context of the entry
-	sent    map[uint64]int         // ticks since a snapshot went to a member, until it is known what became of it
-	failed  error                  // why the member has stopped
+	cfg             Config
+	rawNode         *raft.RawNode
+	raftLog         *raft.MemoryStorage // what disk holds, for the engine to read
+	storage         Storage
+	state           *clusterconfig.State
+	appliedIndex    uint64
+	snapshotIndex   uint64 // index of the last snapshot
+	snapshotDue     bool   // the members have changed: a new one takes no snapshot that lacks it
+	confState       *pb.ConfState
+	appliedFence    uint64        // index of the last entry applied here that changed homes or members, or a later one
+	unappliedFences []uint64      // of those saved behind the applied ones, in order
+	fenceIndex      atomic.Uint64 // the last of all these, for [Core.FenceIndex]
+
+	quorumConfirmed   bool // a quorum has confirmed, since the start, a version that is applied here
+	pendingReads      map[uint64]*pendingRead
+	lastReadID        uint64
+	proposalWaiters   map[string][]func(clusterconfig.Outcome, error)
+	membershipWaiters map[string]func(error) // of members, by the context of the entry
+	snapshotsInFlight map[uint64]int         // ticks since a snapshot went to a member, until it is known what became of it
+	stopErr           error                  // why the member has stopped
 
 	// Applied, if set, is called after each entry of the state was applied.
-	Applied func(index uint64, id string, o clusterconfig.Outcome)
+	OnApplied func(index uint64, id string, o clusterconfig.Outcome)
 }
 
-// read is a read that waits for its index, and that index for being applied.
-type read struct {
-	index uint64 // 0: not confirmed
-	asked int    // ticks since it was asked
-	done  func(error)
+// pendingRead is a read that waits for its index, and that index for being applied.
+type pendingRead struct {
+	index        uint64 // 0: not confirmed
+	ticksWaiting int    // ticks since it was asked
+	done         func(error)
 }
 
 const (
-	maxPerMessage  = 1 << 20 // bytes of entries in one message; one entry may be longer
-	maxInflight    = 64      // messages of entries that a follower has not acknowledged
-	maxInflightB   = 32 << 20
-	maxUncommitted = 64 << 20 // bytes of proposals that wait for a quorum
-	maxWaiting     = 10_000   // proposals and reads under way
-	heartbeatTicks = 1
-
-	snapshotElections = 10 // election time-outs after which a snapshot is taken for lost
+	maxMessageBytes     = 1 << 20 // bytes of entries in one message; one entry may be longer
+	maxInflightMessages = 64      // messages of entries that a follower has not acknowledged
+	maxInflightBytes    = 32 << 20
+	maxUncommittedBytes = 64 << 20 // bytes of proposals that wait for a quorum
+	maxPendingRequests  = 10_000   // proposals and reads under way
+	heartbeatTicks      = 1
+
+	snapshotTimeoutElections = 10 // election time-outs after which a snapshot is taken for lost
 )
 
-// Open starts a member from its disk.
-func Open(cfg Config, disk Disk) (*Core, error) {
+// NewCore starts a member from its disk.
+func NewCore(cfg Config, disk Storage) (*Core, error) {
 	kept, err := disk.Load()
 	if err != nil {
 		return nil, err
@@ -115,17 +115,17 @@
 	if cfg.ElectionTicks == 0 {
 		cfg.ElectionTicks = 10
 	}
-	if cfg.SnapshotEvery == 0 {
-		cfg.SnapshotEvery = 2000
+	if cfg.EntriesPerSnapshot == 0 {
+		cfg.EntriesPerSnapshot = 2000
 	}
-	if cfg.KeepEntries == 0 {
-		cfg.KeepEntries = 500
+	if cfg.CatchUpEntries == 0 {
+		cfg.CatchUpEntries = 500
 	}
 	if cfg.Logger == nil {
-		cfg.Logger = quiet{}
+		cfg.Logger = silentLogger{}
 	}
-	c := &Core{cfg: cfg, mem: raft.NewMemoryStorage(), disk: disk, state: clusterconfig.New(cfg.Validate), conf: &pb.ConfState{},
-		reads: map[uint64]*read{}, waiting: map[string][]func(clusterconfig.Outcome, error){}, changes: map[string]func(error){}, sent: map[uint64]int{}}
+	c := &Core{cfg: cfg, raftLog: raft.NewMemoryStorage(), storage: disk, state: clusterconfig.New(cfg.Validate), confState: &pb.ConfState{},
+		pendingReads: map[uint64]*pendingRead{}, proposalWaiters: map[string][]func(clusterconfig.Outcome, error){}, membershipWaiters: map[string]func(error){}, snapshotsInFlight: map[uint64]int{}}
 	if kept.HardState == nil && kept.Snapshot == nil && len(cfg.Voters) > 0 {
 		// Every member of a new cluster begins with the same snapshot of nothing, at index 1.
 		data, err := c.state.Snapshot()
@@ -139,29 +139,29 @@
 		}
 	}
 	if kept.Snapshot != nil {
-		if err := c.restore(kept.Snapshot); err != nil {
+		if err := c.restoreSnapshot(kept.Snapshot); err != nil {
 			return nil, err
 		}
-		if err := c.mem.ApplySnapshot(kept.Snapshot); err != nil {
+		if err := c.raftLog.ApplySnapshot(kept.Snapshot); err != nil {
 			return nil, fmt.Errorf("snapshot: %w", err)
 		}
 	}
-	if hs := kept.HardState; hs != nil && hs.GetCommit() < c.snapAt {
+	if hs := kept.HardState; hs != nil && hs.GetCommit() < c.snapshotIndex {
 		// A commit index alone is not saved. What a snapshot of our own covers was committed.
-		hs.Commit = proto.Uint64(c.snapAt)
+		hs.Commit = proto.Uint64(c.snapshotIndex)
 	}
 	if kept.HardState != nil {
-		if err := c.mem.SetHardState(kept.HardState); err != nil {
+		if err := c.raftLog.SetHardState(kept.HardState); err != nil {
 			return nil, err
 		}
 	}
-	if err := c.mem.Append(kept.Entries); err != nil {
+	if err := c.raftLog.Append(kept.Entries); err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	c.fences(kept.Entries)
-	c.rn, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: cfg.ElectionTicks, HeartbeatTick: heartbeatTicks, Storage: c.mem, Applied: c.applied,
-		MaxSizePerMsg: maxPerMessage, MaxCommittedSizePerReady: 16 << 20, MaxUncommittedEntriesSize: maxUncommitted, MaxInflightMsgs: maxInflight,
-		MaxInflightBytes: maxInflightB, CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, StepDownOnRemoval: true, Logger: cfg.Logger})
+	c.recordFences(kept.Entries)
+	c.rawNode, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: cfg.ElectionTicks, HeartbeatTick: heartbeatTicks, Storage: c.raftLog, Applied: c.appliedIndex,
+		MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: 16 << 20, MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: maxInflightMessages,
+		MaxInflightBytes: maxInflightBytes, CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, StepDownOnRemoval: true, Logger: cfg.Logger})
 	if err != nil {
 		return nil, err
 	}
@@ -171,26 +171,28 @@
 // State is the configuration as applied here. It must not be changed.
 func (c *Core) State() *clusterconfig.State { return c.state }
 
-// Ready tells whether a quorum has confirmed, since this member's start, that the version
+// IsReady tells whether a quorum has confirmed, since this member's start, that the version
 // applied here was current then. Until it has, the member must send no traffic on.
-func (c *Core) Ready() bool { return c.ready }
+func (c *Core) IsReady() bool { return c.quorumConfirmed }
 
 // Leader is the member that leads as far as is known, or 0.
-func (c *Core) Leader() uint64 { return c.rn.BasicStatus().Lead }
+func (c *Core) Leader() uint64 { return c.rawNode.BasicStatus().Lead }
 
 // Members are the voters and learners of the configuration in force.
-func (c *Core) Members() (voters, learners []uint64) { return c.conf.GetVoters(), c.conf.GetLearners() }
+func (c *Core) Members() (voters, learners []uint64) {
+	return c.confState.GetVoters(), c.confState.GetLearners()
+}
 
-// all are all members: voters, those that are leaving, and learners.
-func (c *Core) all() []uint64 {
-	ids := slices.Concat(c.conf.GetVoters(), c.conf.GetVotersOutgoing(), c.conf.GetLearners(), c.conf.GetLearnersNext())
+// memberIDs are all members: voters, those that are leaving, and learners.
+func (c *Core) memberIDs() []uint64 {
+	ids := slices.Concat(c.confState.GetVoters(), c.confState.GetVotersOutgoing(), c.confState.GetLearners(), c.confState.GetLearnersNext())
 	slices.Sort(ids)
 	return slices.Compact(ids)
 }
 
-// holds tells whether a member is one of the configuration in force.
-func (c *Core) holds(id uint64) bool {
-	for _, ids := range [][]uint64{c.conf.GetVoters(), c.conf.GetVotersOutgoing(), c.conf.GetLearners(), c.conf.GetLearnersNext()} {
+// isMember tells whether a member is one of the configuration in force.
+func (c *Core) isMember(id uint64) bool {
+	for _, ids := range [][]uint64{c.confState.GetVoters(), c.confState.GetVotersOutgoing(), c.confState.GetLearners(), c.confState.GetLearnersNext()} {
 		if slices.Contains(ids, id) {
 			return true
 		}
@@ -198,10 +200,10 @@
 	return false
 }
 
-// Behind is how many entries a member is known to lack of those committed; only the leader
+// ReplicationLag is how many entries a member is known to lack of those committed; only the leader
 // knows.
-func (c *Core) Behind(id uint64) (entries uint64, known bool) {
-	s := c.rn.Status()
+func (c *Core) ReplicationLag(id uint64) (entries uint64, known bool) {
+	s := c.rawNode.Status()
 	p, ok := s.Progress[id]
 	if !ok || p.Match == 0 {
 		return 0, false
@@ -210,49 +212,49 @@
 	return commit - min(p.Match, commit), true
 }
 
-// Index is the index of the last entry applied.
-func (c *Core) Index() uint64 { return c.applied }
+// AppliedIndex is the index of the last entry applied.
+func (c *Core) AppliedIndex() uint64 { return c.appliedIndex }
 
 // Tick tells that a tick of the clock has passed.
 func (c *Core) Tick() {
-	if c.failed != nil {
+	if c.stopErr != nil {
 		return
 	}
-	c.rn.Tick()
-	for _, id := range slices.Sorted(maps.Keys(c.sent)) {
+	c.rawNode.Tick()
+	for _, id := range slices.Sorted(maps.Keys(c.snapshotsInFlight)) {
 		// The engine sends a member nothing more until it hears what became of its snapshot: one
 		// that was lost with the word of it would leave the member behind for good.
-		if c.sent[id]++; c.sent[id] > snapshotElections*c.cfg.ElectionTicks {
-			c.SnapshotSent(id, false)
+		if c.snapshotsInFlight[id]++; c.snapshotsInFlight[id] > snapshotTimeoutElections*c.cfg.ElectionTicks {
+			c.ReportSnapshot(id, false)
 		}
 	}
-	if !c.ready && len(c.reads) == 0 {
-		c.Read(func(err error) { c.ready = c.ready || err == nil })
+	if !c.quorumConfirmed && len(c.pendingReads) == 0 {
+		c.ReadIndex(func(err error) { c.quorumConfirmed = c.quorumConfirmed || err == nil })
 	}
-	for _, seq := range slices.Sorted(maps.Keys(c.reads)) { // one order: runs must be repeatable
-		r := c.reads[seq]
+	for _, seq := range slices.Sorted(maps.Keys(c.pendingReads)) { // one order: runs must be repeatable
+		r := c.pendingReads[seq]
 		// An ask is lost with a leader or a message: it is made again.
-		if r.asked++; r.index == 0 && r.asked%c.cfg.ElectionTicks == 0 {
-			c.askIndex(seq)
+		if r.ticksWaiting++; r.index == 0 && r.ticksWaiting%c.cfg.ElectionTicks == 0 {
+			c.requestReadIndex(seq)
 		}
 	}
 }
 
 // Step takes in a message of another member.
 func (c *Core) Step(m *pb.Message) {
-	if c.failed != nil || raft.IsLocalMsg(m.GetType()) {
+	if c.stopErr != nil || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
-	defer c.caught()
+	defer c.recoverEnginePanic()
 	// What can't be in place (from a removed member, or a late one) is dropped.
-	_ = c.rn.Step(m)
+	_ = c.rawNode.Step(m)
 }
 
-// caught has a panic of the engine, which finds that its log lacks what was committed, stop
+// recoverEnginePanic has a panic of the engine, which finds that its log lacks what was committed, stop
 // the member with a plain error.
-func (c *Core) caught() {
+func (c *Core) recoverEnginePanic() {
 	if p := recover(); p != nil {
-		c.fail(fmt.Errorf("%w (%v)", ErrForgot, p))
+		c.fail(fmt.Errorf("%w (%v)", ErrStaleStorage, p))
 	}
 }
 
@@ -262,14 +264,14 @@
 	entry, err := clusterconfig.Encode(p)
 	switch {
 	case err != nil:
-	case c.failed != nil:
-		err = c.failed
-	case len(c.waiting) >= maxWaiting:
+	case c.stopErr != nil:
+		err = c.stopErr
+	case len(c.proposalWaiters) >= maxPendingRequests:
 		err = errors.New("too many proposals are under way")
 	case c.Leader() == raft.None:
 		err = ErrNoLeader
 	default:
-		if err = c.rn.Propose(entry); errors.Is(err, raft.ErrProposalDropped) {
+		if err = c.rawNode.Propose(entry); errors.Is(err, raft.ErrProposalDropped) {
 			err = ErrNoLeader
 		}
 	}
@@ -277,123 +279,123 @@
 		done(clusterconfig.Outcome{}, err)
 		return
 	}
-	c.waiting[p.ID] = append(c.waiting[p.ID], done)
+	c.proposalWaiters[p.ID] = append(c.proposalWaiters[p.ID], done)
 }
 
-// Forget ends the waiting for a proposal, whose outcome stays unknown here.
-func (c *Core) Forget(id string) {
-	for _, done := range c.waiting[id] {
-		done(clusterconfig.Outcome{}, ErrLost)
+// AbandonProposal ends the waiting for a proposal, whose outcome stays unknown here.
+func (c *Core) AbandonProposal(id string) {
+	for _, done := range c.proposalWaiters[id] {
+		done(clusterconfig.Outcome{}, ErrOutcomeUnknown)
 	}
-	delete(c.waiting, id)
+	delete(c.proposalWaiters, id)
 }
 
-// Read calls done once all that was committed anywhere when it was asked is applied here
+// ReadIndex calls done once all that was committed anywhere when it was asked is applied here
 // (Raft's ReadIndex, section 6.4 of Ongaro's dissertation).
-func (c *Core) Read(done func(error)) {
-	if c.failed != nil || len(c.reads) >= maxWaiting {
-		done(errors.Join(ErrStopped, c.failed))
+func (c *Core) ReadIndex(done func(error)) {
+	if c.stopErr != nil || len(c.pendingReads) >= maxPendingRequests {
+		done(errors.Join(ErrStopped, c.stopErr))
 		return
 	}
-	c.readSeq++
-	c.reads[c.readSeq] = &read{done: done}
-	c.askIndex(c.readSeq)
+	c.lastReadID++
+	c.pendingReads[c.lastReadID] = &pendingRead{done: done}
+	c.requestReadIndex(c.lastReadID)
 }
 
-func (c *Core) askIndex(seq uint64) {
-	c.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, seq))
+func (c *Core) requestReadIndex(seq uint64) {
+	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, seq))
 }
 
-// Change changes the members: joint where several change at once. done is called when the
+// ProposeMembershipChange changes the members: joint where several change at once. done is called when the
 // change is applied here.
-func (c *Core) Change(id string, changes []*pb.ConfChangeSingle, done func(error)) {
-	if c.failed != nil {
-		done(c.failed)
+func (c *Core) ProposeMembershipChange(id string, changes []*pb.ConfChangeSingle, done func(error)) {
+	if c.stopErr != nil {
+		done(c.stopErr)
 		return
 	}
-	err := c.rn.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: []byte(id)})
+	err := c.rawNode.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: []byte(id)})
 	if err != nil {
 		done(ErrNoLeader)
 		return
 	}
-	c.changes[id] = done
+	c.membershipWaiters[id] = done
 }
 
-// ForgetChange ends the waiting for a change of members.
-func (c *Core) ForgetChange(id string) { delete(c.changes, id) }
+// AbandonMembershipChange ends the waiting for a change of members.
+func (c *Core) AbandonMembershipChange(id string) { delete(c.membershipWaiters, id) }
 
-// Transfer asks the leader to hand its lead to another member.
-func (c *Core) Transfer(to uint64) { c.rn.TransferLeader(to) }
+// TransferLeadership asks the leader to hand its lead to another member.
+func (c *Core) TransferLeadership(to uint64) { c.rawNode.TransferLeader(to) }
 
-// Unreachable tells that messages to a member don't go out.
-func (c *Core) Unreachable(id uint64) { c.rn.ReportUnreachable(id) }
+// ReportUnreachable tells that messages to a member don't go out.
+func (c *Core) ReportUnreachable(id uint64) { c.rawNode.ReportUnreachable(id) }
 
-// SnapshotSent tells what became of a snapshot to a member.
-func (c *Core) SnapshotSent(id uint64, ok bool) {
-	delete(c.sent, id)
+// ReportSnapshot tells what became of a snapshot to a member.
+func (c *Core) ReportSnapshot(id uint64, ok bool) {
+	delete(c.snapshotsInFlight, id)
 	status := raft.SnapshotFinish
 	if !ok {
 		status = raft.SnapshotFailure
 	}
-	c.rn.ReportSnapshot(id, status)
+	c.rawNode.ReportSnapshot(id, status)
 }
 
-// Work does what the member has to do and hands send the messages as soon as they may go
+// ProcessReady does what the member has to do and hands send the messages as soon as they may go
 // out: what a message promises of this member's disk is on it. A leader's entries go out
 // while it writes its own copy, which counts for the quorum only once it is written
 // (section 10.2.1 of Ongaro's dissertation). An error means that the member has stopped and must not be
 // driven further; another Open may bring it back.
-func (c *Core) Work(send func(*pb.Message)) error {
-	for c.failed == nil && c.rn.HasReady() {
-		rd := c.rn.Ready()
+func (c *Core) ProcessReady(send func(*pb.Message)) error {
+	for c.stopErr == nil && c.rawNode.HasReady() {
+		rd := c.rawNode.Ready()
 		for _, m := range rd.Messages {
-			if early(m) {
+			if isSendableBeforePersist(m) {
 				send(m)
 			}
 		}
-		if err := c.keep(&rd); err != nil {
+		if err := c.persist(&rd); err != nil {
 			return c.fail(err)
 		}
 		for _, m := range rd.Messages {
 			if m.GetType() == pb.MsgSnap {
-				c.sent[m.GetTo()] = 0
+				c.snapshotsInFlight[m.GetTo()] = 0
 			}
-			if !early(m) {
+			if !isSendableBeforePersist(m) {
 				send(m)
 			}
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := c.restore(rd.Snapshot); err != nil {
+			if err := c.restoreSnapshot(rd.Snapshot); err != nil {
 				return c.fail(err)
 			}
 		}
 		for _, e := range rd.CommittedEntries {
-			if err := c.apply(e); err != nil {
+			if err := c.applyEntry(e); err != nil {
 				return c.fail(err)
 			}
 		}
-		c.setFence()
+		c.updateFence()
 		for _, rs := range rd.ReadStates {
-			if r := c.reads[binary.BigEndian.Uint64(rs.RequestCtx)]; r != nil && r.index == 0 {
+			if r := c.pendingReads[binary.BigEndian.Uint64(rs.RequestCtx)]; r != nil && r.index == 0 {
 				r.index = max(rs.Index, 1)
 			}
 		}
-		c.rn.Advance(rd)
-		c.answerReads()
-		if err := c.snapshot(); err != nil {
+		c.rawNode.Advance(rd)
+		c.completeReads()
+		if err := c.snapshotIfDue(); err != nil {
 			return c.fail(err)
 		}
 	}
-	return c.failed
+	return c.stopErr
 }
 
-// early tells whether a message says nothing of its sender's disk: what a leader replicates.
-func early(m *pb.Message) bool {
+// isSendableBeforePersist tells whether a message says nothing of its sender's disk: what a leader replicates.
+func isSendableBeforePersist(m *pb.Message) bool {
 	return m.GetType() == pb.MsgApp || m.GetType() == pb.MsgHeartbeat
 }
 
-// keep saves what a Ready promises.
-func (c *Core) keep(rd *raft.Ready) error {
+// persist saves what a Ready promises.
+func (c *Core) persist(rd *raft.Ready) error {
 	var snap *pb.Snapshot
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		snap = rd.Snapshot
@@ -403,93 +405,93 @@
 	}
 	hs, sync := rd.HardState, rd.MustSync || snap != nil
 	if hs == nil && sync { // a commit index that came alone goes along, so that a restart knows it
-		if last, _, err := c.mem.InitialState(); err == nil && !raft.IsEmptyHardState(last) {
+		if last, _, err := c.raftLog.InitialState(); err == nil && !raft.IsEmptyHardState(last) {
 			hs = last
 		}
 	}
-	if err := c.disk.Save(hs, rd.Entries, snap, sync); err != nil {
+	if err := c.storage.Save(hs, rd.Entries, snap, sync); err != nil {
 		return fmt.Errorf("saving: %w", err)
 	}
 	if snap != nil {
-		if err := c.mem.ApplySnapshot(snap); err != nil {
+		if err := c.raftLog.ApplySnapshot(snap); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
 		}
 	}
 	if rd.HardState != nil {
-		if err := c.mem.SetHardState(rd.HardState); err != nil {
+		if err := c.raftLog.SetHardState(rd.HardState); err != nil {
 			return err
 		}
 	}
-	if err := c.mem.Append(rd.Entries); err != nil {
+	if err := c.raftLog.Append(rd.Entries); err != nil {
 		return err
 	}
-	c.fences(rd.Entries)
+	c.recordFences(rd.Entries)
 	return nil
 }
 
-// Fence is the index of the last entry saved here that changes homes of keys or members, committed or not. It is
+// FenceIndex is the index of the last entry saved here that changes homes of keys or members, committed or not. It is
 // told before any message goes out that acknowledges the entry. It may be called from any goroutine.
-func (c *Core) Fence() uint64 { return c.fenced.Load() }
+func (c *Core) FenceIndex() uint64 { return c.fenceIndex.Load() }
 
-// fences takes in entries that were saved: those behind the first of them are gone.
-func (c *Core) fences(entries []*pb.Entry) {
+// recordFences takes in entries that were saved: those behind the first of them are gone.
+func (c *Core) recordFences(entries []*pb.Entry) {
 	if len(entries) > 0 {
 		first := entries[0].GetIndex()
-		c.tail = slices.DeleteFunc(c.tail, func(i uint64) bool { return i >= first })
+		c.unappliedFences = slices.DeleteFunc(c.unappliedFences, func(i uint64) bool { return i >= first })
 	}
 	for _, e := range entries {
 		if e.GetType() != pb.EntryNormal || len(e.GetData()) > 0 && clusterconfig.MovesHomes(e.GetData()) {
-			c.tail = append(c.tail, e.GetIndex())
+			c.unappliedFences = append(c.unappliedFences, e.GetIndex())
 		}
 	}
-	c.setFence()
+	c.updateFence()
 }
 
-// setFence moves what is applied out of the tail.
-func (c *Core) setFence() {
+// updateFence moves what is applied out of the tail.
+func (c *Core) updateFence() {
 	n := 0
-	for ; n < len(c.tail) && c.tail[n] <= c.applied; n++ {
-		c.fence = max(c.fence, c.tail[n])
+	for ; n < len(c.unappliedFences) && c.unappliedFences[n] <= c.appliedIndex; n++ {
+		c.appliedFence = max(c.appliedFence, c.unappliedFences[n])
 	}
-	c.tail = c.tail[n:]
-	last := c.fence
-	if k := len(c.tail); k > 0 {
-		last = max(last, c.tail[k-1])
+	c.unappliedFences = c.unappliedFences[n:]
+	last := c.appliedFence
+	if k := len(c.unappliedFences); k > 0 {
+		last = max(last, c.unappliedFences[k-1])
 	}
-	c.fenced.Store(last)
+	c.fenceIndex.Store(last)
 }
 
-// restore takes over a snapshot.
-func (c *Core) restore(s *pb.Snapshot) error {
+// restoreSnapshot takes over a snapshot.
+func (c *Core) restoreSnapshot(s *pb.Snapshot) error {
 	if err := c.state.Restore(s.GetData()); err != nil {
 		return err
 	}
-	c.applied, c.snapAt, c.conf = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
-	c.fence = max(c.fence, c.snapAt) // which entry it was is not known any more
-	c.setFence()
+	c.appliedIndex, c.snapshotIndex, c.confState = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
+	c.appliedFence = max(c.appliedFence, c.snapshotIndex) // which entry it was is not known any more
+	c.updateFence()
 	return nil
 }
 
-// apply applies one committed entry.
-func (c *Core) apply(e *pb.Entry) error {
+// applyEntry applies one committed entry.
+func (c *Core) applyEntry(e *pb.Entry) error {
 	index := e.GetIndex()
-	if index <= c.applied {
+	if index <= c.appliedIndex {
 		return nil
 	}
-	c.applied = index
+	c.appliedIndex = index
 	switch e.GetType() {
 	case pb.EntryConfChange, pb.EntryConfChangeV2:
 		var cc pb.ConfChangeV2
 		if err := proto.Unmarshal(e.GetData(), &cc); err != nil {
 			return fmt.Errorf("entry %d: change of members: %w", index, err)
 		}
-		was := c.holds(c.cfg.ID)
-		c.conf, c.snapNow = c.rn.ApplyConfChange(&cc), true
-		if was && !c.holds(c.cfg.ID) {
+		was := c.isMember(c.cfg.ID)
+		c.confState, c.snapshotDue = c.rawNode.ApplyConfChange(&cc), true
+		if was && !c.isMember(c.cfg.ID) {
 			return ErrRemoved
 		}
-		if done := c.changes[string(cc.GetContext())]; done != nil {
-			delete(c.changes, string(cc.GetContext()))
+		if done := c.membershipWaiters[string(cc.GetContext())]; done != nil {
+			delete(c.membershipWaiters, string(cc.GetContext()))
 			done(nil)
 		}
 		return nil
@@ -501,86 +503,86 @@
 	if err != nil {
 		return fmt.Errorf("entry %d: %w", index, err)
 	}
-	if c.Applied != nil {
-		c.Applied(index, id, o)
+	if c.OnApplied != nil {
+		c.OnApplied(index, id, o)
 	}
-	for _, done := range c.waiting[id] {
+	for _, done := range c.proposalWaiters[id] {
 		done(o, nil)
 	}
-	delete(c.waiting, id)
+	delete(c.proposalWaiters, id)
 	return nil
 }
 
-// answerReads ends the reads whose index is applied.
-func (c *Core) answerReads() {
-	for _, seq := range slices.Sorted(maps.Keys(c.reads)) {
-		if r := c.reads[seq]; r.index > 0 && r.index <= c.applied {
-			delete(c.reads, seq)
+// completeReads ends the reads whose index is applied.
+func (c *Core) completeReads() {
+	for _, seq := range slices.Sorted(maps.Keys(c.pendingReads)) {
+		if r := c.pendingReads[seq]; r.index > 0 && r.index <= c.appliedIndex {
+			delete(c.pendingReads, seq)
 			r.done(nil)
 		}
 	}
 }
 
-// snapshot takes one when enough was applied since the last, and drops what it covers.
-func (c *Core) snapshot() error {
-	if c.applied-c.snapAt < c.cfg.SnapshotEvery && !(c.snapNow && c.applied > c.snapAt) {
+// snapshotIfDue takes one when enough was applied since the last, and drops what it covers.
+func (c *Core) snapshotIfDue() error {
+	if c.appliedIndex-c.snapshotIndex < c.cfg.EntriesPerSnapshot && !(c.snapshotDue && c.appliedIndex > c.snapshotIndex) {
 		return nil
 	}
-	c.snapNow = false
+	c.snapshotDue = false
 	data, err := c.state.Snapshot()
 	if err != nil {
 		return err
 	}
-	snap, err := c.mem.CreateSnapshot(c.applied, c.conf, data)
+	snap, err := c.raftLog.CreateSnapshot(c.appliedIndex, c.confState, data)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	if err := c.disk.SaveSnapshot(snap); err != nil {
+	if err := c.storage.SaveSnapshot(snap); err != nil {
 		return fmt.Errorf("saving a snapshot: %w", err)
 	}
-	c.snapAt = c.applied
-	if c.applied <= c.cfg.KeepEntries {
+	c.snapshotIndex = c.appliedIndex
+	if c.appliedIndex <= c.cfg.CatchUpEntries {
 		return nil
 	}
-	upTo := c.applied - c.cfg.KeepEntries
-	if err := c.mem.Compact(upTo); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	upTo := c.appliedIndex - c.cfg.CatchUpEntries
+	if err := c.raftLog.Compact(upTo); err != nil && !errors.Is(err, raft.ErrCompacted) {
 		return fmt.Errorf("log: %w", err)
 	}
-	return c.disk.Compact(upTo)
+	return c.storage.Compact(upTo)
 }
 
 // fail stops the member: all that waits is told.
 func (c *Core) fail(err error) error {
-	c.failed = err
-	for id, dones := range c.waiting {
-		delete(c.waiting, id)
+	c.stopErr = err
+	for id, dones := range c.proposalWaiters {
+		delete(c.proposalWaiters, id)
 		for _, done := range dones {
 			done(clusterconfig.Outcome{}, errors.Join(ErrStopped, err))
 		}
 	}
-	for seq, r := range c.reads {
-		delete(c.reads, seq)
+	for seq, r := range c.pendingReads {
+		delete(c.pendingReads, seq)
 		r.done(errors.Join(ErrStopped, err))
 	}
-	for id, done := range c.changes {
-		delete(c.changes, id)
+	for id, done := range c.membershipWaiters {
+		delete(c.membershipWaiters, id)
 		done(errors.Join(ErrStopped, err))
 	}
 	return err
 }
 
-// quiet is a logger of the engine that says nothing. Its panics stay.
-type quiet struct{}
-
-func (quiet) Debug(...any)                   {}
-func (quiet) Debugf(string, ...any)          {}
-func (quiet) Error(...any)                   {}
-func (quiet) Errorf(string, ...any)          {}
-func (quiet) Info(...any)                    {}
-func (quiet) Infof(string, ...any)           {}
-func (quiet) Warning(...any)                 {}
-func (quiet) Warningf(string, ...any)        {}
-func (quiet) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
-func (quiet) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+// silentLogger is a logger of the engine that says nothing. Its panics stay.
+type silentLogger struct{}
+
+func (silentLogger) Debug(...any)                   {}
+func (silentLogger) Debugf(string, ...any)          {}
+func (silentLogger) Error(...any)                   {}
+func (silentLogger) Errorf(string, ...any)          {}
+func (silentLogger) Info(...any)                    {}
+func (silentLogger) Infof(string, ...any)           {}
+func (silentLogger) Warning(...any)                 {}
+func (silentLogger) Warningf(string, ...any)        {}
+func (silentLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (silentLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (silentLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (silentLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/raftnode/fixture_test.go
+++ b/internal/raftnode/fixture_test.go
@@ -40,12 +40,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := OpenBolt(fresh, "c", 1)
+	d, err := OpenBoltStorage(fresh, "c", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(d.Save(hard(1, 2, 0), []*pb.Entry{entry(1, 1, ""), entry(2, 1, string(text)), entry(3, 1, "lost")}, nil, true),
-		d.Save(hard(4, 1, 3), []*pb.Entry{entry(3, 4, ""), entry(4, 4, "tail")}, nil, true), d.SaveSnapshot(snap(2, 1, string(agreed))), d.Compact(1), d.Close()); err != nil {
+	if err := errors.Join(d.Save(hardState(1, 2, 0), []*pb.Entry{entry(1, 1, ""), entry(2, 1, string(text)), entry(3, 1, "lost")}, nil, true),
+		d.Save(hardState(4, 1, 3), []*pb.Entry{entry(3, 4, ""), entry(4, 4, "tail")}, nil, true), d.SaveSnapshot(snapshotOf(2, 1, string(agreed))), d.Compact(1), d.Close()); err != nil {
 		t.Fatal(err)
 	}
 	// Times of writing and counts of starts are those of the run.
@@ -84,10 +84,10 @@
 		t.Fatal(err)
 	}
 	fixture.Compare(t, "member.txt", dump(old))
-	if err := Adopt(old, "c", 1); err != nil {
+	if err := AdoptFile(old, "c", 1); err != nil {
 		t.Fatal(err)
 	}
-	if d, err = OpenBolt(old, "c", 1); err != nil {
+	if d, err = OpenBoltStorage(old, "c", 1); err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
@@ -95,9 +95,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Starts() != 3 || !proto.Equal(k.HardState, hard(4, 1, 3)) || !proto.Equal(k.Snapshot, snap(2, 1, string(agreed))) || len(k.Entries) != 2 ||
+	if d.Incarnation() != 3 || !proto.Equal(k.HardState, hardState(4, 1, 3)) || !proto.Equal(k.Snapshot, snapshotOf(2, 1, string(agreed))) || len(k.Entries) != 2 ||
 		!proto.Equal(k.Entries[0], entry(3, 4, "")) || !proto.Equal(k.Entries[1], entry(4, 4, "tail")) {
-		t.Errorf("start %d: %+v", d.Starts(), k)
+		t.Errorf("start %d: %+v", d.Incarnation(), k)
 	}
 	if err := clusterconfig.New(nil).Restore(k.Snapshot.GetData()); err != nil {
 		t.Error(err)
@@ -114,7 +114,7 @@
 	}
 	var creds [2]Credentials
 	for i := range creds {
-		if creds[i], err = auth.Credentials(uint64(i + 1)); err != nil {
+		if creds[i], err = auth.IssueCredentials(uint64(i + 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -132,25 +132,25 @@
 	appends := message(pb.MsgApp, 5)
 	appends.Entries = []*pb.Entry{entry(6, 3, "one"), entry(7, 3, "two")}
 	snapshot := message(pb.MsgSnap, 0)
-	snapshot.Snapshot = snap(9, 2, string(bytes.Repeat([]byte("0123456789abcdef"), partSize/16+10)))
+	snapshot.Snapshot = snapshotOf(9, 2, string(bytes.Repeat([]byte("0123456789abcdef"), snapshotPartBytes/16+10)))
 	sends := []*pb.Message{message(pb.MsgHeartbeat, 0), appends, message(pb.MsgVote, 4), snapshot}
 
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	defer stop()
 	peer := listen()
 	defer peer.Close()
-	one := &transport{cluster: "c", me: 1, creds: creds[0], hello: hello{7, 8}, ln: listen(), heard: func(*pb.Message) {}, sent: func(*pb.Message, bool) {}, logf: t.Logf}
+	one := &transport{cluster: "c", memberID: 1, credentials: creds[0], hello: hello{7, 8}, listener: listen(), onMessage: func(*pb.Message) {}, onSendResult: func(*pb.Message, bool) {}, logf: t.Logf}
 	one.start(ctx)
 	defer one.wait()
 	defer stop()
-	one.peers(map[uint64]string{2: peer.Addr().String()})
+	one.setPeers(map[uint64]string{2: peer.Addr().String()})
 	nc, err := peer.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(30 * time.Second))
-	in := tls.Server(nc, creds[1].TLS())
+	in := tls.Server(nc, creds[1].TLSConfig())
 	var got bytes.Buffer
 	frame := func() { // one of them, so that the order of queues plays no part
 		var head [4]byte
@@ -167,18 +167,18 @@
 		frame()
 	}
 	frame() // the end of the snapshot
-	one.tell([]byte("a word"))
+	one.broadcast([]byte("a word"))
 	frame()
 	fixture.Compare(t, "frames.bin.gz", got.Bytes())
-	fixture.Compare(t, "names.txt", fmt.Appendln(nil, memberName("c", 12), in.ConnectionState().PeerCertificates[0].Subject, memberFile(3), OperatorFile("asha"), FollowerFile("edge-1"), authorityFile, authorityKeyFile))
+	fixture.Compare(t, "names.txt", fmt.Appendln(nil, memberCommonName("c", 12), in.ConnectionState().PeerCertificates[0].Subject, memberFilePrefix(3), OperatorFilePrefix("asha"), FollowerFilePrefix("edge-1"), authorityFile, authorityKeyFile))
 
 	heard, words := make(chan *pb.Message, len(sends)), make(chan string, 1)
-	two := &transport{cluster: "c", me: 2, creds: creds[1], ln: listen(), heard: func(m *pb.Message) { heard <- m }, sent: func(*pb.Message, bool) {}, logf: t.Logf,
-		word: func(from uint64, text []byte) { words <- fmt.Sprint(from, " ", string(text)) }}
+	two := &transport{cluster: "c", memberID: 2, credentials: creds[1], listener: listen(), onMessage: func(m *pb.Message) { heard <- m }, onSendResult: func(*pb.Message, bool) {}, logf: t.Logf,
+		onBroadcast: func(from uint64, text []byte) { words <- fmt.Sprint(from, " ", string(text)) }}
 	two.start(ctx)
 	defer two.wait()
 	defer stop()
-	out, err := tls.Dial("tcp", two.ln.Addr().String(), creds[0].TLS())
+	out, err := tls.Dial("tcp", two.listener.Addr().String(), creds[0].TLSConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/raftnode/sim_test.go
+++ b/internal/raftnode/sim_test.go
@@ -18,15 +18,15 @@
 	"mulleinmux/clusterconfig"
 )
 
-// memDisk is a disk in memory, which keeps encoded copies: what a member does to a message
+// memoryStorage is a disk in memory, which keeps encoded copies: what a member does to a message
 // later does not reach it.
-type memDisk struct {
+type memoryStorage struct {
 	hard, snap []byte
 	log        map[uint64][]byte
-	fail       func() bool // an fsync that fails; nil: none does
+	failsSync  func() bool // an fsync that fails; nil: none does
 }
 
-var errDisk = errors.New("fsync failed on purpose")
+var errSyncFailed = errors.New("fsync failed on purpose")
 
 func mustMarshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
@@ -36,7 +36,7 @@
 	return b
 }
 
-func (d *memDisk) Load() (k Kept, err error) {
+func (d *memoryStorage) Load() (k PersistedState, err error) {
 	if d.hard != nil {
 		k.HardState = &pb.HardState{}
 		err = proto.Unmarshal(d.hard, k.HardState)
@@ -55,12 +55,12 @@
 	return k, err
 }
 
-func (d *memDisk) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
+func (d *memoryStorage) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
 	if !sync {
 		return nil // may be lost, and is
 	}
-	if d.fail != nil && d.fail() {
-		return errDisk // nothing of it is kept
+	if d.failsSync != nil && d.failsSync() {
+		return errSyncFailed // nothing of it is kept
 	}
 	if snap != nil {
 		d.snap, d.log = mustMarshal(snap), map[uint64][]byte{}
@@ -82,80 +82,80 @@
 	return nil
 }
 
-func (d *memDisk) SaveSnapshot(snap *pb.Snapshot) error {
-	if d.fail != nil && d.fail() {
-		return errDisk
+func (d *memoryStorage) SaveSnapshot(snap *pb.Snapshot) error {
+	if d.failsSync != nil && d.failsSync() {
+		return errSyncFailed
 	}
 	d.snap = mustMarshal(snap)
 	return nil
 }
 
-func (d *memDisk) Compact(index uint64) error {
+func (d *memoryStorage) Compact(index uint64) error {
 	for i := index; d.log[i] != nil; i-- {
 		delete(d.log, i)
 	}
 	return nil
 }
 
-// seeded is a source of bytes for the engine's election jitter.
-type seeded struct{ rng *rand.Rand }
+// seededReader is a source of bytes for the engine's election jitter.
+type seededReader struct{ rng *rand.Rand }
 
-func (s seeded) Read(p []byte) (int, error) {
+func (s seededReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = byte(s.rng.Uint32())
 	}
 	return len(p), nil
 }
 
-// ownJitter has the engine's jitter follow from a seed while a test runs.
-func ownJitter(t testing.TB, seed uint64) {
+// seedElectionJitter has the engine's jitter follow from a seed while a test runs.
+func seedElectionJitter(t testing.TB, seed uint64) {
 	old := cryptorand.Reader
-	cryptorand.Reader = io.Reader(seeded{rand.New(rand.NewPCG(seed, 77))})
+	cryptorand.Reader = io.Reader(seededReader{rand.New(rand.NewPCG(seed, 77))})
 	t.Cleanup(func() { cryptorand.Reader = old })
 }
 
-// packet is a message on its way.
-type packet struct {
-	at, n int // tick of its arrival, and a number that breaks ties
-	text  []byte
+// inFlightMessage is a message on its way.
+type inFlightMessage struct {
+	arrivalTick, sequence int // tick of its arrival, and a number that breaks ties
+	encoded               []byte
 }
 
-// member is one member of a simulated cluster.
-type member struct {
-	id   uint64
-	core *Core
-	disk *memDisk
-	down int    // tick until which it is down; 0: it is up
-	told uint64 // the newest version that it has answered a client with
+// simMember is one member of a simulated cluster.
+type simMember struct {
+	id            uint64
+	core          *Core
+	storage       *memoryStorage
+	restartTick   int    // tick until which it is down; 0: it is up
+	servedVersion uint64 // the newest version that it has answered a client with
 }
 
-// cluster is a simulated cluster and its clients.
-type cluster struct {
-	t       testing.TB
-	seed    uint64
-	rng     *rand.Rand
-	members []*member
-	flying  []packet
-	packets int
-	tick    int
-	cut     map[[2]uint64]bool // one-way cuts
-	calm    bool               // no more faults
-	hashes  map[uint64]string  // of the chain, by index, as first seen
-	events  []porcupine.Event
-	ops     int
-	values  int
+// simCluster is a simulated cluster and its clients.
+type simCluster struct {
+	t              testing.TB
+	seed           uint64
+	rng            *rand.Rand
+	members        []*simMember
+	inFlight       []inFlightMessage
+	sentCount      int
+	tick           int
+	cutLinks       map[[2]uint64]bool // one-way cuts
+	faultsEnded    bool               // no more faults
+	hashByIndex    map[uint64]string  // of the chain, by index, as first seen
+	events         []porcupine.Event
+	operationCount int
+	valueCount     int
 }
 
-func (c *cluster) fatalf(format string, args ...any) {
+func (c *simCluster) fatalf(format string, args ...any) {
 	c.t.Helper()
 	c.t.Fatalf("seed %d, tick %d: %s", c.seed, c.tick, fmt.Sprintf(format, args...))
 }
 
-func newCluster(t testing.TB, seed uint64, n int) *cluster {
-	ownJitter(t, seed)
-	c := &cluster{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 5)), cut: map[[2]uint64]bool{}, hashes: map[uint64]string{}}
+func newSimCluster(t testing.TB, seed uint64, n int) *simCluster {
+	seedElectionJitter(t, seed)
+	c := &simCluster{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 5)), cutLinks: map[[2]uint64]bool{}, hashByIndex: map[uint64]string{}}
 	for i := range n {
-		m := &member{id: uint64(i + 1), disk: &memDisk{}}
+		m := &simMember{id: uint64(i + 1), storage: &memoryStorage{}}
 		c.members = append(c.members, m)
 	}
 	for _, m := range c.members {
@@ -164,82 +164,82 @@
 	return c
 }
 
-func (c *cluster) voters() (ids []uint64) {
+func (c *simCluster) voters() (ids []uint64) {
 	for _, m := range c.members {
 		ids = append(ids, m.id)
 	}
 	return ids
 }
 
-func (c *cluster) start(m *member) {
-	core, err := Open(Config{ID: m.id, Voters: c.voters(), SnapshotEvery: 20, KeepEntries: 5}, m.disk)
+func (c *simCluster) start(m *simMember) {
+	core, err := NewCore(Config{ID: m.id, Voters: c.voters(), EntriesPerSnapshot: 20, CatchUpEntries: 5}, m.storage)
 	if err != nil {
 		c.fatalf("member %d does not start: %v", m.id, err)
 	}
-	m.core, m.down = core, 0
-	core.Applied = func(index uint64, id string, o clusterconfig.Outcome) {
+	m.core, m.restartTick = core, 0
+	core.OnApplied = func(index uint64, id string, o clusterconfig.Outcome) {
 		hash := core.State().Hash()
-		if first, ok := c.hashes[index]; ok && first != hash {
+		if first, ok := c.hashByIndex[index]; ok && first != hash {
 			c.fatalf("member %d has applied another entry at index %d", m.id, index)
 		}
-		c.hashes[index] = hash
+		c.hashByIndex[index] = hash
 	}
 }
 
-// work has a member do its work; one whose disk fails goes down.
-func (c *cluster) work(m *member) {
-	if err := m.core.Work(c.send); err != nil {
-		if !errors.Is(err, errDisk) {
+// processReady has a member do its work; one whose disk fails goes down.
+func (c *simCluster) processReady(m *simMember) {
+	if err := m.core.ProcessReady(c.send); err != nil {
+		if !errors.Is(err, errSyncFailed) {
 			c.fatalf("member %d: %v", m.id, err)
 		}
 		c.kill(m)
 	}
 }
 
-func (c *cluster) kill(m *member) {
-	m.core, m.down = nil, c.tick+5+c.rng.IntN(60)
+func (c *simCluster) kill(m *simMember) {
+	m.core, m.restartTick = nil, c.tick+5+c.rng.IntN(60)
 }
 
-func (c *cluster) send(msg *pb.Message) {
+func (c *simCluster) send(msg *pb.Message) {
 	from, to := msg.GetFrom(), msg.GetTo()
-	if c.cut[[2]uint64{from, to}] || !c.calm && c.rng.Float64() < 0.05 {
+	if c.cutLinks[[2]uint64{from, to}] || !c.faultsEnded && c.rng.Float64() < 0.05 {
 		return
 	}
 	copies := 1
-	if !c.calm && c.rng.Float64() < 0.03 {
+	if !c.faultsEnded && c.rng.Float64() < 0.03 {
 		copies = 2
 	}
 	for range copies {
 		delay := 1
-		if !c.calm {
+		if !c.faultsEnded {
 			delay += c.rng.IntN(3)
 			if c.rng.Float64() < 0.05 {
 				delay += c.rng.IntN(30)
 			}
 		}
-		c.packets++
-		c.flying = append(c.flying, packet{c.tick + delay, c.packets, mustMarshal(msg)})
+		c.sentCount++
+		c.inFlight = append(c.inFlight, inFlightMessage{c.tick + delay, c.sentCount, mustMarshal(msg)})
 	}
 }
 
 // step is one tick of the world.
-func (c *cluster) step() {
+func (c *simCluster) step() {
 	c.tick++
-	c.faults()
-	var due []packet
-	rest := c.flying[:0]
-	for _, p := range c.flying {
-		if p.at <= c.tick {
+	c.injectFaults()
+	var due []inFlightMessage
+	rest := c.inFlight[:0]
+	for _, p := range c.inFlight {
+		if p.arrivalTick <= c.tick {
 			due = append(due, p)
 		} else {
 			rest = append(rest, p)
 		}
 	}
-	c.flying = rest
+	c.inFlight = rest
 	c.rng.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 	for _, p := range due {
 		msg := &pb.Message{}
-		if err := proto.Unmarshal(p.text, msg); err != nil {
+		if err := proto.Unmarshal(p.encoded, msg); err != nil {
 			c.fatalf("%v", err)
 		}
 		m := c.members[msg.GetTo()-1]
@@ -249,39 +249,39 @@
 		m.core.Step(msg)
 		if msg.GetType() == pb.MsgSnap { // the sender learns that it came
 			if s := c.members[msg.GetFrom()-1]; s.core != nil {
-				s.core.SnapshotSent(m.id, true)
+				s.core.ReportSnapshot(m.id, true)
 			}
 		}
-		c.work(m)
+		c.processReady(m)
 	}
 	for _, m := range c.members {
 		if m.core == nil {
-			if m.down <= c.tick {
+			if m.restartTick <= c.tick {
 				c.start(m)
 			}
 			continue
 		}
 		m.core.Tick()
-		c.work(m)
-		c.serve(m)
+		c.processReady(m)
+		c.checkServedVersion(m)
 	}
 }
 
-// serve checks the serving rule: a member that would send traffic on does so with a
+// checkServedVersion checks the serving rule: a member that would send traffic on does so with a
 // version no older than one it has answered with, across its restarts.
-func (c *cluster) serve(m *member) {
-	if m.core == nil || !m.core.Ready() {
+func (c *simCluster) checkServedVersion(m *simMember) {
+	if m.core == nil || !m.core.IsReady() {
 		return
 	}
 	v := m.core.State().Version()
-	if v < m.told {
-		c.fatalf("member %d serves on version %d after it has answered on %d", m.id, v, m.told)
+	if v < m.servedVersion {
+		c.fatalf("member %d serves on version %d after it has answered on %d", m.id, v, m.servedVersion)
 	}
-	m.told = v
+	m.servedVersion = v
 }
 
-func (c *cluster) faults() {
-	if c.calm {
+func (c *simCluster) injectFaults() {
+	if c.faultsEnded {
 		return
 	}
 	switch x := c.rng.Float64(); {
@@ -297,75 +297,75 @@
 		}
 	case x < 0.02: // cut links, one way or both
 		a, b := c.members[c.rng.IntN(len(c.members))].id, c.members[c.rng.IntN(len(c.members))].id
-		c.cut[[2]uint64{a, b}] = true
+		c.cutLinks[[2]uint64{a, b}] = true
 		if c.rng.Float64() < 0.5 {
-			c.cut[[2]uint64{b, a}] = true
+			c.cutLinks[[2]uint64{b, a}] = true
 		}
 	case x < 0.025: // cut one off altogether
 		a := c.members[c.rng.IntN(len(c.members))].id
 		for _, m := range c.members {
-			c.cut[[2]uint64{a, m.id}], c.cut[[2]uint64{m.id, a}] = true, true
+			c.cutLinks[[2]uint64{a, m.id}], c.cutLinks[[2]uint64{m.id, a}] = true, true
 		}
 	case x < 0.04:
-		clear(c.cut)
+		clear(c.cutLinks)
 	case x < 0.045:
 		m, left := c.members[c.rng.IntN(len(c.members))], 1+c.rng.IntN(3)
-		m.disk.fail = func() bool { left--; return left == 0 }
+		m.storage.failsSync = func() bool { left--; return left == 0 }
 	}
 }
 
-// heal ends all faults.
-func (c *cluster) heal() {
-	c.calm = true
-	clear(c.cut)
+// endFaults ends all faults.
+func (c *simCluster) endFaults() {
+	c.faultsEnded = true
+	clear(c.cutLinks)
 	for _, m := range c.members {
-		m.disk.fail = nil
+		m.storage.failsSync = nil
 		if m.core == nil {
-			m.down = c.tick
+			m.restartTick = c.tick
 		}
 	}
 }
 
 // The object that clients read and write, as porcupine sees it: a value, and the version
 // in force, since a proposal may say on which version it builds.
-type input struct {
+type registerRequest struct {
 	read  bool
 	value string
 	base  int64 // -1: any
 }
 
-type output struct {
-	value   string
-	version uint64
-	refused bool
-	unknown bool // it may have been applied, then or later, or never
+type registerResponse struct {
+	value    string
+	version  uint64
+	rejected bool
+	unknown  bool // it may have been applied, then or later, or never
 }
 
-type register struct {
+type registerState struct {
 	value   string
 	version uint64
 }
 
-var model = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{register{}} },
+var registerModel = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, request, answer any) []any {
-		s, in, out := state.(register), request.(input), answer.(output)
+		s, in, out := state.(registerState), request.(registerRequest), answer.(registerResponse)
 		if in.read {
 			if out.unknown || out.value == s.value && out.version == s.version {
 				return []any{s}
 			}
 			return nil
 		}
-		next := register{in.value, s.version + 1}
+		next := registerState{in.value, s.version + 1}
 		fits := in.base < 0 || uint64(in.base) == s.version
 		switch {
 		case out.unknown && fits:
 			return []any{s, next}
 		case out.unknown:
 			return []any{s}
-		case out.refused && !fits && out.version == s.version:
+		case out.rejected && !fits && out.version == s.version:
 			return []any{s}
-		case !out.refused && fits && out.version == next.version:
+		case !out.rejected && fits && out.version == next.version:
 			return []any{next}
 		}
 		return nil
@@ -373,39 +373,39 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// client is one operator, with one request under way at a time.
-type client struct {
-	busy    bool
-	id      int
-	in      input
-	p       *clusterconfig.Proposal
-	since   int
-	version uint64 // last seen
-	at      *member
-}
-
-func (c *cluster) begin(cl *client) {
-	cl.busy, cl.id, cl.since = true, c.ops, c.tick
-	c.ops++
-	cl.at = c.members[c.rng.IntN(len(c.members))]
-	if cl.in = (input{read: true}); c.rng.Float64() < 0.6 {
-		c.values++
-		cl.in = input{value: fmt.Sprintf("plan-%d", c.values), base: -1}
+// simClient is one operator, with one request under way at a time.
+type simClient struct {
+	isWaiting   bool
+	operationID int
+	request     registerRequest
+	proposal    *clusterconfig.Proposal
+	sentTick    int
+	version     uint64 // last seen
+	member      *simMember
+}
+
+func (c *simCluster) beginRequest(cl *simClient) {
+	cl.isWaiting, cl.operationID, cl.sentTick = true, c.operationCount, c.tick
+	c.operationCount++
+	cl.member = c.members[c.rng.IntN(len(c.members))]
+	if cl.request = (registerRequest{read: true}); c.rng.Float64() < 0.6 {
+		c.valueCount++
+		cl.request = registerRequest{value: fmt.Sprintf("plan-%d", c.valueCount), base: -1}
 		if c.rng.Float64() < 0.5 {
-			cl.in.base = int64(cl.version)
+			cl.request.base = int64(cl.version)
 		}
-		cl.p = proposal(fmt.Sprintf("op-%d", c.values), cl.in.value)
-		if cl.in.base >= 0 {
+		cl.proposal = planProposal(fmt.Sprintf("op-%d", c.valueCount), cl.request.value)
+		if cl.request.base >= 0 {
 			base := cl.version
-			cl.p.Base = &base
+			cl.proposal.Base = &base
 		}
 	}
-	c.events = append(c.events, porcupine.Event{ClientId: 0, Kind: porcupine.CallEvent, Value: cl.in, Id: cl.id})
-	c.ask(cl)
+	c.events = append(c.events, porcupine.Event{ClientId: 0, Kind: porcupine.CallEvent, Value: cl.request, Id: cl.operationID})
+	c.sendRequest(cl)
 }
 
-// proposal puts a plan, under a name of one length, whose price tells the value.
-func proposal(id, value string) *clusterconfig.Proposal {
+// planProposal puts a plan, under a name of one length, whose price tells the value.
+func planProposal(id, value string) *clusterconfig.Proposal {
 	var n int
 	fmt.Sscanf(value, "plan-%d", &n)
 	return &clusterconfig.Proposal{ID: id, Changes: []clusterconfig.Change{{Op: "put", Kind: "plan", Name: "x", Value: json.RawMessage(fmt.Sprintf(`{"rate":0,"burst":0,"price":%d}`, n))}}}
@@ -418,81 +418,81 @@
 	return ""
 }
 
-// ask sends the client's request to the member that it has chosen. A proposal whose answer
+// sendRequest sends the client's request to the member that it has chosen. A proposal whose answer
 // is lost is repeated, under its id, at another member.
-func (c *cluster) ask(cl *client) {
-	m, op := cl.at, cl.id
+func (c *simCluster) sendRequest(cl *simClient) {
+	m, op := cl.member, cl.operationID
 	if m.core == nil {
 		return
 	}
 	core := m.core
-	if cl.in.read {
-		core.Read(func(err error) {
-			if err == nil && cl.busy && cl.id == op {
-				c.done(cl, output{value: valueOf(core.State()), version: core.State().Version()})
+	if cl.request.read {
+		core.ReadIndex(func(err error) {
+			if err == nil && cl.isWaiting && cl.operationID == op {
+				c.completeRequest(cl, registerResponse{value: valueOf(core.State()), version: core.State().Version()})
 			}
 		})
 		return
 	}
-	core.Propose(cl.p, func(o clusterconfig.Outcome, err error) {
-		if err == nil && cl.busy && cl.id == op {
-			c.done(cl, output{version: o.Version, refused: !o.Applied})
+	core.Propose(cl.proposal, func(o clusterconfig.Outcome, err error) {
+		if err == nil && cl.isWaiting && cl.operationID == op {
+			c.completeRequest(cl, registerResponse{version: o.Version, rejected: !o.Applied})
 		}
 	})
 }
 
-func (c *cluster) done(cl *client, out output) {
-	cl.busy = false
+func (c *simCluster) completeRequest(cl *simClient, out registerResponse) {
+	cl.isWaiting = false
 	if !out.unknown {
 		cl.version = out.version
 	}
-	c.events = append(c.events, porcupine.Event{ClientId: 0, Kind: porcupine.ReturnEvent, Value: out, Id: cl.id})
+	c.events = append(c.events, porcupine.Event{ClientId: 0, Kind: porcupine.ReturnEvent, Value: out, Id: cl.operationID})
 }
 
-// play runs a cluster under faults with clients, then without faults until all agree, and
+// runSeed runs a cluster under faults with clients, then without faults until all agree, and
 // checks the history.
-func play(t testing.TB, seed uint64, ticks int) *cluster {
+func runSeed(t testing.TB, seed uint64, ticks int) *simCluster {
 	n := 3 + int(seed%2)*2
-	c := newCluster(t, seed, n)
-	clients := make([]*client, 4)
+	c := newSimCluster(t, seed, n)
+	clients := make([]*simClient, 4)
 	for i := range clients {
-		clients[i] = &client{}
+		clients[i] = &simClient{}
 	}
 	for c.tick < ticks {
 		c.step()
 		for _, cl := range clients {
 			switch {
-			case !cl.busy && c.rng.Float64() < 0.2:
-				c.begin(cl)
-			case cl.busy && (c.tick-cl.since)%40 == 39:
-				if cl.in.read && c.tick-cl.since > 100 {
-					c.done(cl, output{unknown: true})
+			case !cl.isWaiting && c.rng.Float64() < 0.2:
+				c.beginRequest(cl)
+			case cl.isWaiting && (c.tick-cl.sentTick)%40 == 39:
+				if cl.request.read && c.tick-cl.sentTick > 100 {
+					c.completeRequest(cl, registerResponse{unknown: true})
 					continue
 				}
-				cl.at = c.members[c.rng.IntN(n)]
-				c.ask(cl)
+				cl.member = c.members[c.rng.IntN(n)]
+				c.sendRequest(cl)
 			}
 		}
 	}
-	c.heal()
-	c.settle(clients, 400)
+	c.endFaults()
+	c.awaitConvergence(clients, 400)
 	for _, cl := range clients {
-		if cl.busy {
-			c.done(cl, output{unknown: true})
+		if cl.isWaiting {
+			c.completeRequest(cl, registerResponse{unknown: true})
 		}
 	}
-	c.check()
+	c.checkHistory()
 	return c
 }
 
-// settle waits until all members are up, ready and of one mind: it must come soon after the
+// awaitConvergence waits until all members are up, ready and of one mind: it must come soon after the
 // last fault.
-func (c *cluster) settle(clients []*client, most int) {
+func (c *simCluster) awaitConvergence(clients []*simClient, most int) {
 	for end := c.tick + most; ; {
 		c.step()
 		agreed := true
 		for _, m := range c.members {
-			agreed = agreed && m.core != nil && m.core.Ready() && m.core.Leader() != 0 && m.core.Index() == c.members[0].core.Index() &&
+			agreed = agreed && m.core != nil && m.core.IsReady() && m.core.Leader() != 0 && m.core.AppliedIndex() == c.members[0].core.AppliedIndex() &&
 				m.core.State().Hash() == c.members[0].core.State().Hash()
 		}
 		if agreed && c.tick > end-most+60 {
@@ -501,7 +501,7 @@
 		if c.tick > end {
 			for _, m := range c.members {
 				if m.core != nil {
-					c.t.Logf("member %d: leader %d, index %d, ready %v", m.id, m.core.Leader(), m.core.Index(), m.core.Ready())
+					c.t.Logf("member %d: leader %d, index %d, ready %v", m.id, m.core.Leader(), m.core.AppliedIndex(), m.core.IsReady())
 				}
 			}
 			c.fatalf("not of one mind %d ticks after the last fault", most)
@@ -509,18 +509,18 @@
 	}
 }
 
-func (c *cluster) check() {
+func (c *simCluster) checkHistory() {
 	events := c.events
-	res := porcupine.CheckEventsTimeout(model.ToModel(), events, 20*time.Second)
+	res := porcupine.CheckEventsTimeout(registerModel.ToModel(), events, 20*time.Second)
 	if res != porcupine.Ok {
-		c.fatalf("the history of %d operations is %s", c.ops, res)
+		c.fatalf("the history of %d operations is %s", c.operationCount, res)
 	}
 }
 
 // Under kills, cuts, loss, repeats, reordering and failing disks, all members apply the same
 // entries in the same order, histories are linearizable, none serves on an older version
 // than it has answered on, and soon after the last fault all agree.
-func TestSeeds(t *testing.T) {
+func TestLinearizableUnderFaults(t *testing.T) {
 	n := 500
 	if testing.Short() {
 		n = 20
@@ -529,8 +529,8 @@
 	}
 	ops, versions := 0, uint64(0)
 	for seed := range uint64(n) {
-		c := play(t, seed, 500)
-		ops, versions = ops+c.ops, versions+c.members[0].core.State().Version()
+		c := runSeed(t, seed, 500)
+		ops, versions = ops+c.operationCount, versions+c.members[0].core.State().Version()
 	}
 	t.Logf("%d seeds, %d operations, %d versions", n, ops, versions)
 	if versions < uint64(5*n) {
@@ -539,30 +539,30 @@
 }
 
 // A seed plays out the same every time.
-func TestSeedRepeats(t *testing.T) {
+func TestSeedIsDeterministic(t *testing.T) {
 	var hashes []string
 	for range 3 {
-		c := play(t, 11, 400)
-		hashes = append(hashes, fmt.Sprint(c.members[0].core.State().Hash(), c.packets, c.ops))
+		c := runSeed(t, 11, 400)
+		hashes = append(hashes, fmt.Sprint(c.members[0].core.State().Hash(), c.sentCount, c.operationCount))
 	}
 	if hashes[0] != hashes[1] || hashes[1] != hashes[2] {
 		t.Errorf("%v", hashes)
 	}
 }
 
-// calmCluster is a cluster without faults of its own, with a leader.
-func calmCluster(t *testing.T, seed uint64) (c *cluster, leader *member) {
-	c = newCluster(t, seed, 3)
-	c.calm = true
-	return c, c.leads()
+// newFaultlessCluster is a cluster without faults of its own, with a leader.
+func newFaultlessCluster(t *testing.T, seed uint64) (c *simCluster, leader *simMember) {
+	c = newSimCluster(t, seed, 3)
+	c.faultsEnded = true
+	return c, c.awaitLeader()
 }
 
-// leads steps until one member leads and all others follow it, of those that are not cut off.
-func (c *cluster) leads() *member {
+// awaitLeader steps until one member leads and all others follow it, of those that are not cut off.
+func (c *simCluster) awaitLeader() *simMember {
 	for range 2000 {
 		c.step()
 		for _, m := range c.members {
-			if m.core != nil && m.core.Leader() == m.id && m.core.Ready() {
+			if m.core != nil && m.core.Leader() == m.id && m.core.IsReady() {
 				return m
 			}
 		}
@@ -571,16 +571,16 @@
 	return nil
 }
 
-// put has a change applied at a member.
-func (c *cluster) put(m *member, id string) {
+// propose has a change applied at a member.
+func (c *simCluster) propose(m *simMember, id string) {
 	done := false
-	m.core.Propose(planPut(id, 1), func(o clusterconfig.Outcome, err error) {
+	m.core.Propose(putPlanProposal(id, 1), func(o clusterconfig.Outcome, err error) {
 		if err != nil || !o.Applied {
 			c.fatalf("%s: %+v, %v", id, o, err)
 		}
 		done = true
 	})
-	c.work(m)
+	c.processReady(m)
 	for range 200 {
 		if done {
 			return
@@ -590,13 +590,13 @@
 	c.fatalf("%s is not applied", id)
 }
 
-func (c *cluster) cutOff(m *member, cut bool) {
+func (c *simCluster) setIsolated(m *simMember, cut bool) {
 	for _, o := range c.members {
-		c.cut[[2]uint64{m.id, o.id}], c.cut[[2]uint64{o.id, m.id}] = cut, cut
+		c.cutLinks[[2]uint64{m.id, o.id}], c.cutLinks[[2]uint64{o.id, m.id}] = cut, cut
 	}
 }
 
-func other(c *cluster, than ...*member) *member {
+func otherMember(c *simCluster, than ...*simMember) *simMember {
 	for _, m := range c.members {
 		if !slices.Contains(than, m) {
 			return m
@@ -607,33 +607,33 @@
 
 // A member that was removed while it was cut off does not know it, and calls elections once
 // it can be heard again: the leader stays, in its term, and changes go on.
-func TestRemovedCallsElections(t *testing.T) {
-	c, leader := calmCluster(t, 11)
-	gone := other(c, leader)
-	c.cutOff(gone, true)
+func TestRemovedMemberCannotDisrupt(t *testing.T) {
+	c, leader := newFaultlessCluster(t, 11)
+	gone := otherMember(c, leader)
+	c.setIsolated(gone, true)
 	removed := false
-	leader.core.Change("remove", []*pb.ConfChangeSingle{{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(gone.id)}}, func(err error) {
+	leader.core.ProposeMembershipChange("remove", []*pb.ConfChangeSingle{{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(gone.id)}}, func(err error) {
 		if err != nil {
 			c.fatalf("%v", err)
 		}
 		removed = true
 	})
-	c.work(leader)
+	c.processReady(leader)
 	for range 200 {
 		c.step()
 	}
 	if !removed {
 		c.fatalf("the member is not removed")
 	}
-	term := leader.core.rn.BasicStatus().GetTerm()
-	c.cutOff(gone, false)
+	term := leader.core.rawNode.BasicStatus().GetTerm()
+	c.setIsolated(gone, false)
 	for i := range 10 {
 		for range 60 {
 			c.step()
 		}
-		c.put(leader, fmt.Sprint("a", i))
+		c.propose(leader, fmt.Sprint("a", i))
 	}
-	if now := leader.core.rn.BasicStatus().GetTerm(); now != term || leader.core.Leader() != leader.id {
+	if now := leader.core.rawNode.BasicStatus().GetTerm(); now != term || leader.core.Leader() != leader.id {
 		c.fatalf("term %d became %d, leader %d", term, now, leader.core.Leader())
 	}
 	if v, _ := gone.core.Members(); len(v) != 3 {
@@ -643,50 +643,50 @@
 
 // A member that was cut off until the log behind it was compacted gets a snapshot when the
 // cut heals, and serves on what it then has.
-func TestHealsAfterCompaction(t *testing.T) {
-	c, leader := calmCluster(t, 12)
-	late := other(c, leader)
-	c.cutOff(late, true)
-	had := late.core.Index()
+func TestSnapshotAfterCompaction(t *testing.T) {
+	c, leader := newFaultlessCluster(t, 12)
+	late := otherMember(c, leader)
+	c.setIsolated(late, true)
+	had := late.core.AppliedIndex()
 	for i := range 60 {
-		c.put(leader, fmt.Sprint("a", i))
+		c.propose(leader, fmt.Sprint("a", i))
 	}
-	if first, err := leader.core.mem.FirstIndex(); err != nil || first <= had+1 {
+	if first, err := leader.core.raftLog.FirstIndex(); err != nil || first <= had+1 {
 		c.fatalf("the log begins at %d, the late member ends at %d", first, had)
 	}
-	if late.core.Index() > had+1 {
-		c.fatalf("the cut member has got to %d", late.core.Index())
+	if late.core.AppliedIndex() > had+1 {
+		c.fatalf("the cut member has got to %d", late.core.AppliedIndex())
 	}
-	c.cutOff(late, false)
+	c.setIsolated(late, false)
 	for i := 0; late.core.State().Hash() != leader.core.State().Hash(); i++ {
 		if c.step(); i > 500 {
 			c.fatalf("the late member has version %d of %d", late.core.State().Version(), leader.core.State().Version())
 		}
 	}
-	c.put(late, "through the late one")
+	c.propose(late, "through the late one")
 }
 
 // A leader that was cut off and deposed, and does not know it, confirms no read, and takes no
 // change; what others have agreed on meanwhile stands.
 func TestDeposedLeader(t *testing.T) {
-	c, old := calmCluster(t, 13)
-	c.put(old, "before")
-	c.cutOff(old, true)
+	c, old := newFaultlessCluster(t, 13)
+	c.propose(old, "before")
+	c.setIsolated(old, true)
 	var read, proposed bool
-	old.core.Read(func(err error) { read = err == nil })
-	old.core.Propose(planPut("lost", 9), func(o clusterconfig.Outcome, err error) { proposed = err == nil && o.Version == 2 })
-	c.work(old)
-	next := other(c, old)
+	old.core.ReadIndex(func(err error) { read = err == nil })
+	old.core.Propose(putPlanProposal("lost", 9), func(o clusterconfig.Outcome, err error) { proposed = err == nil && o.Version == 2 })
+	c.processReady(old)
+	next := otherMember(c, old)
 	for range 400 {
 		if c.step(); next.core.Leader() != old.id && next.core.Leader() != 0 {
 			break
 		}
 	}
-	c.put(next, "after")
+	c.propose(next, "after")
 	if read || proposed {
 		c.fatalf("the deposed leader has confirmed a read (%v) or a change (%v)", read, proposed)
 	}
-	c.cutOff(old, false)
+	c.setIsolated(old, false)
 	for i := 0; old.core.State().Hash() != next.core.State().Hash(); i++ {
 		if c.step(); i > 500 {
 			c.fatalf("the deposed leader does not follow")
@@ -701,32 +701,32 @@
 // A leader is lost after a proposal is on its disk and before anyone else has it: the
 // proposal comes to nothing there, is applied once when its client repeats it, and the old
 // leader gives its entry up when it comes back.
-func TestLostBeforeCommit(t *testing.T) {
-	c, old := calmCluster(t, 14)
-	c.put(old, "before")
-	c.cutOff(old, true)
-	old.core.Propose(planPut("once", 7), func(o clusterconfig.Outcome, err error) {
+func TestUncommittedProposalIsRetried(t *testing.T) {
+	c, old := newFaultlessCluster(t, 14)
+	c.propose(old, "before")
+	c.setIsolated(old, true)
+	old.core.Propose(putPlanProposal("once", 7), func(o clusterconfig.Outcome, err error) {
 		if err == nil {
 			c.fatalf("answered without a quorum: %+v", o)
 		}
 	})
-	c.work(old)
-	last, err := old.core.mem.LastIndex()
-	if err != nil || old.disk.log[last] == nil {
+	c.processReady(old)
+	last, err := old.core.raftLog.LastIndex()
+	if err != nil || old.storage.log[last] == nil {
 		c.fatalf("the proposal is not on the leader's disk: index %d, %v", last, err)
 	}
 	c.kill(old)
-	next := other(c, old)
+	next := otherMember(c, old)
 	for range 400 {
 		if c.step(); next.core.Leader() != old.id && next.core.Leader() != 0 {
 			break
 		}
 	}
-	c.put(next, "meanwhile")
-	c.put(next, "once")
-	c.put(next, "once")
-	c.cutOff(old, false)
-	old.down = c.tick
+	c.propose(next, "meanwhile")
+	c.propose(next, "once")
+	c.propose(next, "once")
+	c.setIsolated(old, false)
+	old.restartTick = c.tick
 	for i := 0; old.core == nil || old.core.State().Hash() != next.core.State().Hash(); i++ {
 		if c.step(); i > 500 {
 			c.fatalf("the old leader does not follow")
--- a/internal/raftnode/transport.go
+++ b/internal/raftnode/transport.go
@@ -28,41 +28,41 @@
 // Bounds of the transport. One peer costs, at the most, a queue's messages on the way out
 // and a frame on the way in, whatever it does.
 const (
-	maxFrame       = 72 << 20 // bytes: a proposal of the largest size, or a snapshot
-	queueMessages  = 256
-	queueBytes     = 96 << 20
-	dialTimeout    = time.Second
-	handshakeLimit = 2 * time.Second
-	frameLimit     = 10 * time.Second // for a frame to be written, or to come to its end
-	redialLeast    = 50 * time.Millisecond
-	redialMost     = time.Second
-	acceptMost     = 64 // connections of peers at once
-	partSize       = 256 << 10
-	maxWord        = 64 << 10
-	queueWords     = 64
+	maxFrameBytes       = 72 << 20 // bytes: a proposal of the largest size, or a snapshot
+	maxQueuedMessages   = 256
+	maxQueuedBytes      = 96 << 20
+	dialTimeout         = time.Second
+	handshakeTimeout    = 2 * time.Second
+	frameTimeout        = 10 * time.Second // for a frame to be written, or to come to its end
+	minRedialDelay      = 50 * time.Millisecond
+	maxRedialDelay      = time.Second
+	maxAcceptedConns    = 64 // connections of peers at once
+	snapshotPartBytes   = 256 << 10
+	maxBroadcastBytes   = 64 << 10
+	maxQueuedBroadcasts = 64
 )
 
 // Kinds of frames.
 const (
-	frameMessage  = iota // a message
-	framePart            // of a snapshot's message
-	frameLastPart        // its end
-	frameHello           // the first: hello
-	frameWord            // a word of the instances to each other, not of the engine
+	frameMessage      = iota // a message
+	frameSnapshotPart        // of a snapshot's message
+	frameSnapshotEnd         // its end
+	frameHello               // the first: hello
+	frameBroadcast           // a word of the instances to each other, not of the engine
 )
 
 // hello tells how often a member's file was opened, and which process this is. A member whose
 // file is older than one that it came with before has forgotten what it promised since.
 type hello struct {
-	starts, process uint64
+	incarnation, processID uint64
 }
 
 func (h hello) encode() []byte {
-	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, h.starts), h.process)
+	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, h.incarnation), h.processID)
 }
 
-// memberName is the common name in a member's certificate.
-func memberName(cluster string, id uint64) string { return fmt.Sprintf("%s/%d", cluster, id) }
+// memberCommonName is the common name in a member's certificate.
+func memberCommonName(cluster string, id uint64) string { return fmt.Sprintf("%s/%d", cluster, id) }
 
 // Credentials are a member's certificate and key and its cluster's authority.
 type Credentials struct {
@@ -72,39 +72,39 @@
 
 // transport sends messages to the other members and receives theirs.
 type transport struct {
-	cluster string
-	me      uint64
-	creds   Credentials
-	hello   hello // starts 0: not known
-	ln      net.Listener
-	heard   func(*pb.Message)              // from a verified member
-	sent    func(m *pb.Message, ok bool)   // told for snapshots and for messages that could not go out
-	word    func(from uint64, text []byte) // from a verified member; nil: words are dropped
-	logf    func(format string, args ...any)
+	cluster      string
+	memberID     uint64
+	credentials  Credentials
+	hello        hello // starts 0: not known
+	listener     net.Listener
+	onMessage    func(*pb.Message)              // from a verified member
+	onSendResult func(m *pb.Message, ok bool)   // told for snapshots and for messages that could not go out
+	onBroadcast  func(from uint64, text []byte) // from a verified member; nil: words are dropped
+	logf         func(format string, args ...any)
 
-	mu    sync.Mutex
-	links map[uint64]*link
-	conns map[net.Conn]struct{} // accepted
-	seen  map[uint64]hello      // the newest of each member
-	ctx   context.Context
-	all   sync.WaitGroup
+	mu            sync.Mutex
+	senders       map[uint64]*peerSender
+	acceptedConns map[net.Conn]struct{} // accepted
+	newestHello   map[uint64]hello      // the newest of each member
+	ctx           context.Context
+	goroutines    sync.WaitGroup
 }
 
-// link is the way to one member.
-type link struct {
-	to    uint64
-	addr  string
-	queue chan *pb.Message
-	words chan []byte
-	stop  context.CancelFunc
-	mu    sync.Mutex
-	bytes int // in the queue
+// peerSender is the way to one member.
+type peerSender struct {
+	memberID    uint64
+	address     string
+	messages    chan *pb.Message
+	broadcasts  chan []byte
+	cancel      context.CancelFunc
+	mu          sync.Mutex
+	queuedBytes int // in the queue
 }
 
-// verify checks that the other side is a member of the cluster, and which. The chain was
+// verifyPeer checks that the other side is a member of the cluster, and which. The chain was
 // checked against the authority by the library; host names play no part.
-func (t *transport) verify(state tls.ConnectionState, want uint64) (uint64, error) {
-	id, err := MemberOf(t.cluster, state)
+func (t *transport) verifyPeer(state tls.ConnectionState, want uint64) (uint64, error) {
+	id, err := VerifyMember(t.cluster, state)
 	if err == nil && want != 0 && id != want {
 		err = fmt.Errorf("member %d answers where member %d is expected", id, want)
 	}
@@ -114,15 +114,15 @@
 	return id, nil
 }
 
-// MemberOf names the member of a cluster at the other end of a connection.
-func MemberOf(cluster string, state tls.ConnectionState) (uint64, error) {
+// VerifyMember names the member of a cluster at the other end of a connection.
+func VerifyMember(cluster string, state tls.ConnectionState) (uint64, error) {
 	if len(state.PeerCertificates) == 0 {
 		return 0, errors.New("no certificate")
 	}
 	name := state.PeerCertificates[0].Subject.CommonName
 	var id uint64
 	of, rest, ok := cutLast(name, '/')
-	if _, err := fmt.Sscanf(rest, "%d", &id); !ok || err != nil || of != cluster || name != memberName(cluster, id) {
+	if _, err := fmt.Sscanf(rest, "%d", &id); !ok || err != nil || of != cluster || name != memberCommonName(cluster, id) {
 		return 0, fmt.Errorf("certificate of %q, not of a member of %q", name, cluster)
 	}
 	return id, nil
@@ -139,14 +139,14 @@
 
 // start serves until ctx ends.
 func (t *transport) start(ctx context.Context) {
-	t.ctx, t.links, t.conns = ctx, map[uint64]*link{}, map[net.Conn]struct{}{}
-	t.seen = map[uint64]hello{}
-	t.all.Go(t.accept)
-	t.all.Go(func() {
+	t.ctx, t.senders, t.acceptedConns = ctx, map[uint64]*peerSender{}, map[net.Conn]struct{}{}
+	t.newestHello = map[uint64]hello{}
+	t.goroutines.Go(t.acceptConnections)
+	t.goroutines.Go(func() {
 		<-ctx.Done()
-		t.ln.Close()
+		t.listener.Close()
 		t.mu.Lock()
-		for c := range t.conns {
+		for c := range t.acceptedConns {
 			c.Close()
 		}
 		t.mu.Unlock()
@@ -154,51 +154,51 @@
 }
 
 // wait returns when all has ended.
-func (t *transport) wait() { t.all.Wait() }
+func (t *transport) wait() { t.goroutines.Wait() }
 
-// knows takes in a member's hello, unless its file is older than one that it had.
-func (t *transport) knows(from uint64, text []byte) error {
+// acceptHello takes in a member's hello, unless its file is older than one that it had.
+func (t *transport) acceptHello(from uint64, text []byte) error {
 	if len(text) != 16 {
 		return fmt.Errorf("member %d: malformed hello", from)
 	}
 	h := hello{binary.BigEndian.Uint64(text), binary.BigEndian.Uint64(text[8:])}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.seen[from]; h.starts > 0 && (h.starts < s.starts || h.starts == s.starts && h.process != s.process) {
+	if s := t.newestHello[from]; h.incarnation > 0 && (h.incarnation < s.incarnation || h.incarnation == s.incarnation && h.processID != s.processID) {
 		return fmt.Errorf("member %d comes with an old copy of its file and may have forgotten votes: it is not heard; replace it under a new number", from)
 	}
-	t.seen[from] = h
+	t.newestHello[from] = h
 	return nil
 }
 
-// peers sets the addresses of the other members.
-func (t *transport) peers(addrs map[uint64]string) {
+// setPeers sets the addresses of the other members.
+func (t *transport) setPeers(addrs map[uint64]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, l := range t.links {
-		if addrs[id] != l.addr {
-			l.stop()
-			delete(t.links, id)
+	for id, l := range t.senders {
+		if addrs[id] != l.address {
+			l.cancel()
+			delete(t.senders, id)
 		}
 	}
 	for id, addr := range addrs {
-		if id == t.me || t.links[id] != nil {
+		if id == t.memberID || t.senders[id] != nil {
 			continue
 		}
 		ctx, stop := context.WithCancel(t.ctx)
-		l := &link{to: id, addr: addr, queue: make(chan *pb.Message, queueMessages), words: make(chan []byte, queueWords), stop: stop}
-		t.links[id] = l
-		t.all.Go(func() { t.run(ctx, l) })
+		l := &peerSender{memberID: id, address: addr, messages: make(chan *pb.Message, maxQueuedMessages), broadcasts: make(chan []byte, maxQueuedBroadcasts), cancel: stop}
+		t.senders[id] = l
+		t.goroutines.Go(func() { t.runSender(ctx, l) })
 	}
 }
 
-// tell queues a word for all other members. One that finds a queue full is lost.
-func (t *transport) tell(text []byte) {
+// broadcast queues a word for all other members. One that finds a queue full is lost.
+func (t *transport) broadcast(text []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, l := range t.links {
+	for _, l := range t.senders {
 		select {
-		case l.words <- text:
+		case l.broadcasts <- text:
 		default:
 		}
 	}
@@ -207,44 +207,44 @@
 // send queues a message. One that finds the queue full is lost, as Raft allows.
 func (t *transport) send(m *pb.Message) {
 	t.mu.Lock()
-	l := t.links[m.GetTo()]
+	l := t.senders[m.GetTo()]
 	t.mu.Unlock()
 	if l == nil {
-		t.sent(m, false)
+		t.onSendResult(m, false)
 		return
 	}
 	size := proto.Size(m)
 	l.mu.Lock()
-	fits := l.bytes+size <= queueBytes
+	fits := l.queuedBytes+size <= maxQueuedBytes
 	if fits {
-		l.bytes += size
+		l.queuedBytes += size
 	}
 	l.mu.Unlock()
 	if fits {
 		select {
-		case l.queue <- m:
+		case l.messages <- m:
 			return
 		default:
-			l.took(size)
+			l.releaseBytes(size)
 		}
 	}
-	t.sent(m, false)
+	t.onSendResult(m, false)
 }
 
-func (l *link) took(size int) {
+func (l *peerSender) releaseBytes(size int) {
 	l.mu.Lock()
-	l.bytes -= size
+	l.queuedBytes -= size
 	l.mu.Unlock()
 }
 
-// run keeps a connection to a member up and writes what is queued.
-func (t *transport) run(ctx context.Context, l *link) {
-	pause, down := redialLeast, false
+// runSender keeps a connection to a member up and writes what is queued.
+func (t *transport) runSender(ctx context.Context, l *peerSender) {
+	pause, down := minRedialDelay, false
 	for ctx.Err() == nil {
 		c, err := t.dial(ctx, l)
 		if err == nil {
-			pause, down = redialLeast, false
-			err = t.write(ctx, l, c)
+			pause, down = minRedialDelay, false
+			err = t.writeFrames(ctx, l, c)
 			c.Close()
 		}
 		if ctx.Err() != nil {
@@ -252,40 +252,40 @@
 		}
 		if !down {
 			down = true
-			t.logf("member %d at %s: %v", l.to, l.addr, err)
+			t.logf("member %d at %s: %v", l.memberID, l.address, err)
 		}
-		t.drop(l)
+		t.dropQueued(l)
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, redialMost)
+		pause = min(2*pause, maxRedialDelay)
 	}
 }
 
-// drop empties the queue of a member that can't be reached: what waits in it is old.
-func (t *transport) drop(l *link) {
+// dropQueued empties the queue of a member that can't be reached: what waits in it is old.
+func (t *transport) dropQueued(l *peerSender) {
 	for {
 		select {
-		case m := <-l.queue:
-			l.took(proto.Size(m))
-			t.sent(m, false)
+		case m := <-l.messages:
+			l.releaseBytes(proto.Size(m))
+			t.onSendResult(m, false)
 		default:
 			return
 		}
 	}
 }
 
-func (t *transport) dial(ctx context.Context, l *link) (*tls.Conn, error) {
+func (t *transport) dial(ctx context.Context, l *peerSender) (*tls.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
-	nc, err := d.DialContext(ctx, "tcp", l.addr)
+	nc, err := d.DialContext(ctx, "tcp", l.address)
 	if err != nil {
 		return nil, err
 	}
-	c := tls.Client(nc, t.creds.TLS())
-	nc.SetDeadline(time.Now().Add(handshakeLimit))
+	c := tls.Client(nc, t.credentials.TLSConfig())
+	nc.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err = c.HandshakeContext(ctx); err == nil {
-		_, err = t.verify(c.ConnectionState(), l.to)
+		_, err = t.verifyPeer(c.ConnectionState(), l.memberID)
 	}
 	if err != nil {
 		nc.Close()
@@ -295,13 +295,13 @@
 	return c, nil
 }
 
-// write writes what is queued until the connection breaks. Messages that are queued by then
+// writeFrames writes what is queued until the connection breaks. Messages that are queued by then
 // go out together.
-func (t *transport) write(ctx context.Context, l *link, c *tls.Conn) error {
+func (t *transport) writeFrames(ctx context.Context, l *peerSender, c *tls.Conn) error {
 	defer context.AfterFunc(ctx, func() { c.NetConn().Close() })()
 	// Nothing comes back but the end of the connection.
 	gone := make(chan struct{})
-	t.all.Go(func() {
+	t.goroutines.Go(func() {
 		defer close(gone)
 		io.Copy(io.Discard, c)
 	})
@@ -311,7 +311,7 @@
 	}()
 	out := bufio.NewWriterSize(c, 64<<10)
 	frame := func(kind int, text []byte) error {
-		c.SetWriteDeadline(time.Now().Add(frameLimit))
+		c.SetWriteDeadline(time.Now().Add(frameTimeout))
 		if _, err := out.Write(binary.BigEndian.AppendUint32(nil, uint32(kind)<<28|uint32(len(text)))); err != nil {
 			return err
 		}
@@ -325,19 +325,19 @@
 	var rest []byte      // of it
 	defer func() {
 		if snap != nil {
-			t.sent(snap, false)
+			t.onSendResult(snap, false)
 		}
 	}()
 	for {
 		var m *pb.Message
 		var word []byte
-		if snap == nil && len(l.queue) == 0 && len(l.words) == 0 {
+		if snap == nil && len(l.messages) == 0 && len(l.broadcasts) == 0 {
 			if err := out.Flush(); err != nil {
 				return err
 			}
 			select {
-			case m = <-l.queue:
-			case word = <-l.words:
+			case m = <-l.messages:
+			case word = <-l.broadcasts:
 			case <-gone:
 				return errors.New("the connection has ended")
 			case <-ctx.Done():
@@ -345,23 +345,23 @@
 			}
 		} else {
 			select {
-			case m = <-l.queue:
-			case word = <-l.words:
+			case m = <-l.messages:
+			case word = <-l.broadcasts:
 			case <-gone:
 				return errors.New("the connection has ended")
 			default:
 			}
 		}
 		if word != nil {
-			if err := frame(frameWord, word); err != nil {
+			if err := frame(frameBroadcast, word); err != nil {
 				return err
 			}
 			continue
 		}
 		if m != nil {
-			l.took(proto.Size(m))
+			l.releaseBytes(proto.Size(m))
 			text, err := proto.Marshal(m)
-			if err == nil && len(text) > maxFrame {
+			if err == nil && len(text) > maxFrameBytes {
 				err = fmt.Errorf("message of %d bytes", len(text))
 			}
 			switch {
@@ -370,19 +370,19 @@
 			case err == nil && snap == nil:
 				snap, rest = m, text
 			case m.GetType() == pb.MsgSnap: // a second one meanwhile
-				t.sent(m, false)
+				t.onSendResult(m, false)
 			}
 			if err != nil {
-				t.sent(m, false)
+				t.onSendResult(m, false)
 				return err
 			}
 		}
 		if snap == nil {
 			continue
 		}
-		kind, n := framePart, partSize
+		kind, n := frameSnapshotPart, snapshotPartBytes
 		if len(rest) <= n {
-			kind, n = frameLastPart, len(rest)
+			kind, n = frameSnapshotEnd, len(rest)
 		}
 		err := frame(kind, rest[:n])
 		if err == nil {
@@ -391,17 +391,17 @@
 		if err != nil {
 			return err
 		}
-		if rest = rest[n:]; kind == frameLastPart {
-			t.sent(snap, true)
+		if rest = rest[n:]; kind == frameSnapshotEnd {
+			t.onSendResult(snap, true)
 			snap = nil
 		}
 	}
 }
 
-// accept takes in the connections of other members.
-func (t *transport) accept() {
+// acceptConnections takes in the connections of other members.
+func (t *transport) acceptConnections() {
 	for {
-		nc, err := t.ln.Accept()
+		nc, err := t.listener.Accept()
 		if err != nil {
 			if t.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
@@ -410,35 +410,35 @@
 			continue
 		}
 		t.mu.Lock()
-		full := len(t.conns) >= acceptMost || t.ctx.Err() != nil
+		full := len(t.acceptedConns) >= maxAcceptedConns || t.ctx.Err() != nil
 		if !full {
-			t.conns[nc] = struct{}{}
+			t.acceptedConns[nc] = struct{}{}
 		}
 		t.mu.Unlock()
 		if full {
 			nc.Close()
 			continue
 		}
-		t.all.Go(func() {
-			if err := t.read(nc); err != nil && t.ctx.Err() == nil && !errors.Is(err, io.EOF) {
+		t.goroutines.Go(func() {
+			if err := t.readFrames(nc); err != nil && t.ctx.Err() == nil && !errors.Is(err, io.EOF) {
 				t.logf("connection from %s: %v", nc.RemoteAddr(), err)
 			}
 			nc.Close()
 			t.mu.Lock()
-			delete(t.conns, nc)
+			delete(t.acceptedConns, nc)
 			t.mu.Unlock()
 		})
 	}
 }
 
-// read hands on what a member sends, which must be in its own name.
-func (t *transport) read(nc net.Conn) error {
-	c := tls.Server(nc, t.creds.TLS())
-	nc.SetDeadline(time.Now().Add(handshakeLimit))
+// readFrames hands on what a member sends, which must be in its own name.
+func (t *transport) readFrames(nc net.Conn) error {
+	c := tls.Server(nc, t.credentials.TLSConfig())
+	nc.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := c.HandshakeContext(t.ctx); err != nil {
 		return err
 	}
-	from, err := t.verify(c.ConnectionState(), 0)
+	from, err := t.verifyPeer(c.ConnectionState(), 0)
 	if err != nil {
 		return err
 	}
@@ -452,10 +452,10 @@
 		}
 		word := binary.BigEndian.Uint32(head[:])
 		kind, n := int(word>>28), int(word&(1<<28-1))
-		if n > maxFrame || kind > frameWord || kind == frameWord && n > maxWord || first != (kind == frameHello) || (kind == framePart || kind == frameLastPart) && (n > partSize || len(snap)+n > maxFrame) {
+		if n > maxFrameBytes || kind > frameBroadcast || kind == frameBroadcast && n > maxBroadcastBytes || first != (kind == frameHello) || (kind == frameSnapshotPart || kind == frameSnapshotEnd) && (n > snapshotPartBytes || len(snap)+n > maxFrameBytes) {
 			return fmt.Errorf("member %d sends a frame of kind %d with %d bytes", from, kind, n)
 		}
-		nc.SetReadDeadline(time.Now().Add(frameLimit))
+		nc.SetReadDeadline(time.Now().Add(frameTimeout))
 		// Memory follows what has come, not what the length promises.
 		text = text[:0]
 		for len(text) < n {
@@ -468,14 +468,14 @@
 		}
 		nc.SetReadDeadline(time.Time{})
 		if kind == frameHello {
-			if err := t.knows(from, text); err != nil {
+			if err := t.acceptHello(from, text); err != nil {
 				return err
 			}
 			continue
 		}
-		if kind == frameWord {
+		if kind == frameBroadcast {
 			t.mu.Lock()
-			word := t.word
+			word := t.onBroadcast
 			t.mu.Unlock()
 			if word != nil {
 				word(from, text)
@@ -484,7 +484,7 @@
 		}
 		whole := text
 		if kind != frameMessage {
-			if snap = append(snap, text...); kind == framePart {
+			if snap = append(snap, text...); kind == frameSnapshotPart {
 				continue
 			}
 			whole, snap = snap, nil
@@ -493,10 +493,10 @@
 		if err := proto.Unmarshal(whole, m); err != nil {
 			return fmt.Errorf("member %d: %w", from, err)
 		}
-		if m.GetFrom() != from || m.GetTo() != t.me {
+		if m.GetFrom() != from || m.GetTo() != t.memberID {
 			return fmt.Errorf("member %d sends in the name of %d to %d", from, m.GetFrom(), m.GetTo())
 		}
-		t.heard(m)
+		t.onMessage(m)
 		if cap(text) > 1<<20 {
 			text = nil
 		}
