--- /dev/null
+++ b/internal/raftnode/bolt_meta.go
@@ -0,0 +1,118 @@
+package raftnode
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+	"syscall"
+	"time"
+
+	"go.etcd.io/bbolt"
+)
+
+// maxStatusChangeDelay is how much later than its last write a file's status may have changed
+// (its ctime, which nobody can set).
+const maxStatusChangeDelay = 30 * time.Second
+
+// initialize creates the buckets of a new file and records whose it is.
+func (s *BoltStorage) initialize(cluster string, member uint64) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		for _, name := range [][]byte{bucketMeta, bucketState, bucketLog} {
+			if _, err := tx.CreateBucket(name); err != nil {
+				return err
+			}
+		}
+		meta := tx.Bucket(bucketMeta)
+		return errors.Join(
+			meta.Put(keyFormat, binary.BigEndian.AppendUint32(nil, formatVersion)),
+			meta.Put(keyCluster, []byte(cluster)),
+			meta.Put(keyMember, encodeUint64(member)),
+		)
+	})
+}
+
+// verifyIdentity verifies the file's format, and that it is of this member and cluster.
+// bbolt's own check runs in a goroutine, whose faults would end the process; Load verifies
+// the checksums of all that counts instead.
+func (s *BoltStorage) verifyIdentity(cluster string, member uint64) error {
+	return s.db.View(func(tx *bbolt.Tx) error {
+		meta := tx.Bucket(bucketMeta)
+		if meta == nil || tx.Bucket(bucketState) == nil || tx.Bucket(bucketLog) == nil {
+			return ErrCorruptFile
+		}
+		format := meta.Get(keyFormat)
+		storedMember := meta.Get(keyMember)
+		if len(format) != uint32Bytes || len(storedMember) != uint64Bytes {
+			return ErrCorruptFile
+		}
+		if version := binary.BigEndian.Uint32(format); version > formatVersion {
+			return fmt.Errorf("format %d is newer than this program knows: update it", version)
+		}
+		fileCluster := string(meta.Get(keyCluster))
+		fileMember := binary.BigEndian.Uint64(storedMember)
+		if fileCluster != cluster || fileMember != member {
+			return fmt.Errorf("%w: member %d of %q, not %d of %q", ErrForeignFile, fileMember, fileCluster, member, cluster)
+		}
+		return nil
+	})
+}
+
+// verifyNotRestored verifies that a file is where its member wrote it last: one that was
+// copied or restored has a status that changed later.
+func (s *BoltStorage) verifyNotRestored(info os.FileInfo) error {
+	stat, ok := info.Sys().(*syscall.Stat_t)
+	if !ok {
+		return nil // no such system: what is left is the peers' memory of the incarnation
+	}
+	writtenAt, err := s.writtenAt()
+	if err != nil {
+		return err
+	}
+	changedAt := time.Unix(stat.Ctim.Unix())
+	if changedAt.Sub(writtenAt) > maxStatusChangeDelay {
+		return fmt.Errorf("written %s, changed %s: %w",
+			writtenAt.UTC().Format(time.RFC3339), changedAt.UTC().Format(time.RFC3339), ErrRestoredFile)
+	}
+	return nil
+}
+
+// writtenAt returns the time of the file's last transaction.
+func (s *BoltStorage) writtenAt() (time.Time, error) {
+	var encoded []byte
+	err := s.db.View(func(tx *bbolt.Tx) error {
+		encoded = slices.Clone(tx.Bucket(bucketMeta).Get(keyWrittenAt))
+		return nil
+	})
+	if err != nil {
+		return time.Time{}, err
+	}
+	if len(encoded) != uint64Bytes {
+		return time.Time{}, ErrCorruptFile
+	}
+	return time.Unix(0, int64(binary.BigEndian.Uint64(encoded))), nil
+}
+
+// beginIncarnation counts that the file was opened.
+func (s *BoltStorage) beginIncarnation() error {
+	return s.update(func(tx *bbolt.Tx) error {
+		meta := tx.Bucket(bucketMeta)
+		if encoded := meta.Get(keyIncarnation); len(encoded) == uint64Bytes {
+			s.incarnation = binary.BigEndian.Uint64(encoded)
+		}
+		s.incarnation++
+		return meta.Put(keyIncarnation, encodeUint64(s.incarnation))
+	})
+}
+
+// update runs a read-write transaction, which also records its time.
+func (s *BoltStorage) update(change func(tx *bbolt.Tx) error) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		if err := change(tx); err != nil {
+			return err
+		}
+		now := uint64(time.Now().UnixNano())
+		return tx.Bucket(bucketMeta).Put(keyWrittenAt, encodeUint64(now))
+	})
+}
--- /dev/null
+++ b/internal/raftnode/bolt_storage.go
@@ -0,0 +1,106 @@
+package raftnode
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"runtime/debug"
+	"time"
+
+	"go.etcd.io/bbolt"
+)
+
+// lockTimeout is how long to wait for a file that another process has open.
+const lockTimeout = time.Second
+
+// BoltStorage is a [Storage] in one bbolt file; the package's comment has its format. Its
+// methods may be called from any goroutine.
+type BoltStorage struct {
+	db          *bbolt.DB
+	incarnation uint64
+}
+
+// OpenBoltStorage opens a member's file, or creates it. The error of a file that can't be
+// trusted wraps [ErrCorruptFile], [ErrForeignFile] or [ErrRestoredFile].
+func OpenBoltStorage(path, cluster string, member uint64) (*BoltStorage, error) {
+	return openBoltStorage(path, cluster, member, rejectRestored)
+}
+
+// AdoptFile accepts a file that was moved to path as the newest of its member, so that
+// [OpenBoltStorage] opens it. It is for an operator who knows that it is no old copy.
+func AdoptFile(path, cluster string, member uint64) error {
+	storage, err := openBoltStorage(path, cluster, member, acceptRestored)
+	if err != nil {
+		return err
+	}
+	return storage.Close()
+}
+
+// restoredFilePolicy says what to do with a file that was put in its place after it was
+// last written.
+type restoredFilePolicy int
+
+const (
+	rejectRestored restoredFilePolicy = iota
+	acceptRestored
+)
+
+func openBoltStorage(path, cluster string, member uint64, policy restoredFilePolicy) (storage *BoltStorage, err error) {
+	defer recoverCorruption(&err, path)()
+	info, statErr := os.Stat(path)
+	isNew := errors.Is(statErr, os.ErrNotExist)
+	db, err := openDatabase(path, isNew)
+	if err != nil {
+		return nil, err
+	}
+	storage = &BoltStorage{db: db}
+	if isNew {
+		err = storage.initialize(cluster, member)
+	} else {
+		err = storage.verifyIdentity(cluster, member)
+		if err == nil && policy == rejectRestored {
+			err = storage.verifyNotRestored(info)
+		}
+	}
+	if err == nil {
+		err = storage.beginIncarnation()
+	}
+	if err != nil {
+		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
+	}
+	return storage, nil
+}
+
+// openDatabase opens or creates a bbolt file. An existing one that does not open is corrupt.
+func openDatabase(path string, isNew bool) (*bbolt.DB, error) {
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
+	switch {
+	case err == nil:
+		return db, nil
+	case errors.Is(err, bbolt.ErrTimeout):
+		return nil, fmt.Errorf("%s: another process has it open", path)
+	case isNew:
+		return nil, fmt.Errorf("%s: %w", path, err)
+	default:
+		return nil, fmt.Errorf("%s: %w: %w", path, ErrCorruptFile, err)
+	}
+}
+
+// recoverCorruption turns into an error what a corrupt file does to its reader: bbolt panics
+// on impossible pages, and the memory map of a truncated file faults. Use:
+// defer recoverCorruption(&err, path)().
+func recoverCorruption(err *error, path string) func() {
+	before := debug.SetPanicOnFault(true)
+	return func() {
+		debug.SetPanicOnFault(before)
+		if p := recover(); p != nil {
+			*err = fmt.Errorf("%s: %w: %v", path, ErrCorruptFile, p)
+		}
+	}
+}
+
+// Incarnation returns how often the file was opened, this time included.
+func (s *BoltStorage) Incarnation() uint64 { return s.incarnation }
+
+// Close closes the file.
+func (s *BoltStorage) Close() error { return s.db.Close() }
--- a/internal/raftnode/core.go
+++ b/internal/raftnode/core.go
@@ -1,588 +1,151 @@
-// Package raftnode has the instances of a gateway agree on their configuration through the
-// Raft protocol (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-// Algorithm", 2014), with go.etcd.io/raft as the engine.
-//
-// [Core] is the whole of one member but for its clock and its network: ticks and messages
-// go in, messages come out. It starts no goroutine, so that a test can own the world.
 package raftnode
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
 	"sync/atomic"
 
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 
 	"mulleinmux/clusterconfig"
 )
 
-// Config is what a member is told at its start.
+// Config configures a [Core].
 type Config struct {
-	ID                 uint64   // of this member, above 0, never used again after it was removed
-	Voters             []uint64 // of a new cluster; nil: this member joins one, or comes back
-	ElectionTicks      int      // without a leader's message until an election; 10 where 0
-	EntriesPerSnapshot uint64   // entries between snapshots; 2,000 where 0
-	CatchUpEntries     uint64   // behind a snapshot, for members that are a little late; 500 where 0
+	ID                 uint64   // of this member, above 0, never reused after the member was removed
+	Voters             []uint64 // of a new cluster; nil: this member joins a cluster or restarts
+	ElectionTicks      int      // without a leader's message until an election; 0: defaultElectionTicks
+	EntriesPerSnapshot uint64   // applied between two snapshots; 0: defaultEntriesPerSnapshot
+	CatchUpEntries     uint64   // kept behind a snapshot for slow followers; 0: defaultCatchUpEntries
 	Validate           clusterconfig.Validator
-	Logger             raft.Logger // nil: none
-}
-
-// Storage keeps what a member must not forget. What Save was given is durable when it
-// returns; after an error nothing that was promised with it may go out.
-type Storage interface {
-	Load() (PersistedState, error)
-	// Save keeps what is not nil. A snapshot here comes from the leader: it takes the place
-	// of the whole log, of which nothing may come back.
-	Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error
-	// SaveSnapshot keeps a snapshot of the member's own beside its log.
-	SaveSnapshot(snap *pb.Snapshot) error
-	// Compact drops entries up to and with an index, which a saved snapshot covers.
-	Compact(index uint64) error
-}
-
-// PersistedState is what a Disk holds.
-type PersistedState struct {
-	HardState *pb.HardState // nil: nothing was ever saved
-	Snapshot  *pb.Snapshot  // nil: none
-	Entries   []*pb.Entry   // behind the snapshot
-}
-
-// Errors of a member.
-var (
-	ErrNoLeader       = errors.New("no leader is known: a quorum of members is needed")
-	ErrStopped        = errors.New("the member has stopped")
-	ErrStaleStorage   = errors.New("the member's file lacks what it has promised to others, as an old copy does: let it join again under a new number")
-	ErrRemoved        = errors.New("this member was removed from the cluster: its number is not used again")
-	ErrOutcomeUnknown = errors.New("the leader changed meanwhile: it is not known whether the proposal will be applied; repeat it with the same id")
-)
-
-// Core is one member. It is not safe for concurrent use.
-type Core struct {
-	cfg             Config
-	rawNode         *raft.RawNode
-	raftLog         *raft.MemoryStorage // what disk holds, for the engine to read
-	storage         Storage
-	state           *clusterconfig.State
-	appliedIndex    uint64
-	snapshotIndex   uint64 // index of the last snapshot
-	snapshotDue     bool   // the members have changed: a new one takes no snapshot that lacks it
-	confState       *pb.ConfState
-	appliedFence    uint64        // index of the last entry applied here that changed homes or members, or a later one
-	unappliedFences []uint64      // of those saved behind the applied ones, in order
-	fenceIndex      atomic.Uint64 // the last of all these, for [Core.FenceIndex]
-
-	quorumConfirmed   bool // a quorum has confirmed, since the start, a version that is applied here
-	pendingReads      map[uint64]*pendingRead
-	lastReadID        uint64
-	proposalWaiters   map[string][]func(clusterconfig.Outcome, error)
-	membershipWaiters map[string]func(error) // of members, by the context of the entry
-	snapshotsInFlight map[uint64]int         // ticks since a snapshot went to a member, until it is known what became of it
-	stopErr           error                  // why the member has stopped
-
-	// Applied, if set, is called after each entry of the state was applied.
-	OnApplied func(index uint64, id string, o clusterconfig.Outcome)
-}
-
-// pendingRead is a read that waits for its index, and that index for being applied.
-type pendingRead struct {
-	index        uint64 // 0: not confirmed
-	ticksWaiting int    // ticks since it was asked
-	done         func(error)
+	Logger             raft.Logger // of the protocol engine; nil: nothing is logged
 }
 
 const (
-	maxMessageBytes     = 1 << 20 // bytes of entries in one message; one entry may be longer
-	maxInflightMessages = 64      // messages of entries that a follower has not acknowledged
-	maxInflightBytes    = 32 << 20
-	maxUncommittedBytes = 64 << 20 // bytes of proposals that wait for a quorum
-	maxPendingRequests  = 10_000   // proposals and reads under way
-	heartbeatTicks      = 1
-
-	snapshotTimeoutElections = 10 // election time-outs after which a snapshot is taken for lost
+	defaultElectionTicks      = 10
+	defaultEntriesPerSnapshot = 2000
+	defaultCatchUpEntries     = 500
 )
 
-// NewCore starts a member from its disk.
-func NewCore(cfg Config, disk Storage) (*Core, error) {
-	kept, err := disk.Load()
-	if err != nil {
-		return nil, err
-	}
+// withDefaults returns the configuration with its zero values replaced.
+func (cfg Config) withDefaults() Config {
 	if cfg.ElectionTicks == 0 {
-		cfg.ElectionTicks = 10
+		cfg.ElectionTicks = defaultElectionTicks
 	}
 	if cfg.EntriesPerSnapshot == 0 {
-		cfg.EntriesPerSnapshot = 2000
+		cfg.EntriesPerSnapshot = defaultEntriesPerSnapshot
 	}
 	if cfg.CatchUpEntries == 0 {
-		cfg.CatchUpEntries = 500
+		cfg.CatchUpEntries = defaultCatchUpEntries
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = silentLogger{}
 	}
-	c := &Core{cfg: cfg, raftLog: raft.NewMemoryStorage(), storage: disk, state: clusterconfig.New(cfg.Validate), confState: &pb.ConfState{},
-		pendingReads: map[uint64]*pendingRead{}, proposalWaiters: map[string][]func(clusterconfig.Outcome, error){}, membershipWaiters: map[string]func(error){}, snapshotsInFlight: map[uint64]int{}}
-	if kept.HardState == nil && kept.Snapshot == nil && len(cfg.Voters) > 0 {
-		// Every member of a new cluster begins with the same snapshot of nothing, at index 1.
-		data, err := c.state.Snapshot()
-		if err != nil {
-			return nil, err
-		}
-		kept.Snapshot = &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: &pb.ConfState{Voters: cfg.Voters}, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
-		kept.HardState = &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
-		if err := disk.Save(kept.HardState, nil, kept.Snapshot, true); err != nil {
-			return nil, err
-		}
-	}
-	if kept.Snapshot != nil {
-		if err := c.restoreSnapshot(kept.Snapshot); err != nil {
-			return nil, err
-		}
-		if err := c.raftLog.ApplySnapshot(kept.Snapshot); err != nil {
-			return nil, fmt.Errorf("snapshot: %w", err)
-		}
-	}
-	if hs := kept.HardState; hs != nil && hs.GetCommit() < c.snapshotIndex {
-		// A commit index alone is not saved. What a snapshot of our own covers was committed.
-		hs.Commit = proto.Uint64(c.snapshotIndex)
-	}
-	if kept.HardState != nil {
-		if err := c.raftLog.SetHardState(kept.HardState); err != nil {
-			return nil, err
-		}
-	}
-	if err := c.raftLog.Append(kept.Entries); err != nil {
-		return nil, fmt.Errorf("log: %w", err)
-	}
-	c.recordFences(kept.Entries)
-	c.rawNode, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: cfg.ElectionTicks, HeartbeatTick: heartbeatTicks, Storage: c.raftLog, Applied: c.appliedIndex,
-		MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: 16 << 20, MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: maxInflightMessages,
-		MaxInflightBytes: maxInflightBytes, CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, StepDownOnRemoval: true, Logger: cfg.Logger})
-	if err != nil {
-		return nil, err
-	}
-	return c, nil
+	return cfg
+}
+
+// maxPendingRequests bounds the proposals, and also the reads, that wait for their answer.
+const maxPendingRequests = 10_000
+
+// Core is one member without its clock and its network. After any of its methods has been
+// called, [Core.ProcessReady] must be called to persist, send and apply what follows. It is
+// not safe for concurrent use, except for [Core.FenceIndex].
+type Core struct {
+	cfg     Config
+	rawNode *raft.RawNode
+	raftLog *raft.MemoryStorage // what storage holds, for rawNode to read
+	storage Storage
+	stopErr error // why the member has stopped; nil: it runs
+
+	state         *clusterconfig.State
+	appliedIndex  uint64
+	confState     *pb.ConfState // the membership in force
+	snapshotIndex uint64        // of the newest snapshot
+	snapshotDue   bool          // the membership has changed: a new member must get a snapshot that has it
+
+	appliedFence    uint64   // index of the last applied entry that changed owners or members, or a later one
+	unappliedFences []uint64 // indexes of the saved, not yet applied ones, ascending
+	fenceIndex      atomic.Uint64
+
+	quorumConfirmed   bool // see IsReady
+	pendingReads      map[uint64]*pendingRead
+	lastReadID        uint64
+	proposalWaiters   map[string][]func(clusterconfig.Outcome, error) // by proposal id
+	membershipWaiters map[string]func(error)                          // by the context of the entry
+	snapshotsInFlight map[uint64]int                                  // by receiver: ticks since it was sent
+
+	// OnApplied, if set, is called after each entry of the state was applied.
+	OnApplied func(index uint64, id string, o clusterconfig.Outcome)
 }
 
-// State is the configuration as applied here. It must not be changed.
+// State returns the configuration as applied here. It must not be changed.
 func (c *Core) State() *clusterconfig.State { return c.state }
 
-// IsReady tells whether a quorum has confirmed, since this member's start, that the version
-// applied here was current then. Until it has, the member must send no traffic on.
+// IsReady reports whether a quorum has confirmed, since this member's start, that the version
+// applied here was current. Until it has, the member must not forward traffic.
 func (c *Core) IsReady() bool { return c.quorumConfirmed }
 
-// Leader is the member that leads as far as is known, or 0.
+// Leader returns the id of the leader as known here, or 0.
 func (c *Core) Leader() uint64 { return c.rawNode.BasicStatus().Lead }
 
-// Members are the voters and learners of the configuration in force.
-func (c *Core) Members() (voters, learners []uint64) {
-	return c.confState.GetVoters(), c.confState.GetLearners()
-}
-
-// memberIDs are all members: voters, those that are leaving, and learners.
-func (c *Core) memberIDs() []uint64 {
-	ids := slices.Concat(c.confState.GetVoters(), c.confState.GetVotersOutgoing(), c.confState.GetLearners(), c.confState.GetLearnersNext())
-	slices.Sort(ids)
-	return slices.Compact(ids)
-}
-
-// isMember tells whether a member is one of the configuration in force.
-func (c *Core) isMember(id uint64) bool {
-	for _, ids := range [][]uint64{c.confState.GetVoters(), c.confState.GetVotersOutgoing(), c.confState.GetLearners(), c.confState.GetLearnersNext()} {
-		if slices.Contains(ids, id) {
-			return true
-		}
-	}
-	return false
-}
+// AppliedIndex returns the index of the last entry applied.
+func (c *Core) AppliedIndex() uint64 { return c.appliedIndex }
 
-// ReplicationLag is how many entries a member is known to lack of those committed; only the leader
-// knows.
+// ReplicationLag returns how many committed entries a member is known to lack. It is known
+// only to the leader, for members that have acknowledged an entry.
 func (c *Core) ReplicationLag(id uint64) (entries uint64, known bool) {
-	s := c.rawNode.Status()
-	p, ok := s.Progress[id]
-	if !ok || p.Match == 0 {
+	status := c.rawNode.Status()
+	progress, ok := status.Progress[id]
+	if !ok || progress.Match == 0 {
 		return 0, false
 	}
-	commit := s.HardState.GetCommit()
-	return commit - min(p.Match, commit), true
+	commit := status.HardState.GetCommit()
+	return commit - min(progress.Match, commit), true
 }
 
-// AppliedIndex is the index of the last entry applied.
-func (c *Core) AppliedIndex() uint64 { return c.appliedIndex }
-
-// Tick tells that a tick of the clock has passed.
+// Tick advances the member's clock by one tick.
 func (c *Core) Tick() {
 	if c.stopErr != nil {
 		return
 	}
 	c.rawNode.Tick()
-	for _, id := range slices.Sorted(maps.Keys(c.snapshotsInFlight)) {
-		// The engine sends a member nothing more until it hears what became of its snapshot: one
-		// that was lost with the word of it would leave the member behind for good.
-		if c.snapshotsInFlight[id]++; c.snapshotsInFlight[id] > snapshotTimeoutElections*c.cfg.ElectionTicks {
-			c.ReportSnapshot(id, false)
-		}
-	}
+	c.expireSnapshots()
 	if !c.quorumConfirmed && len(c.pendingReads) == 0 {
-		c.ReadIndex(func(err error) { c.quorumConfirmed = c.quorumConfirmed || err == nil })
-	}
-	for _, seq := range slices.Sorted(maps.Keys(c.pendingReads)) { // one order: runs must be repeatable
-		r := c.pendingReads[seq]
-		// An ask is lost with a leader or a message: it is made again.
-		if r.ticksWaiting++; r.index == 0 && r.ticksWaiting%c.cfg.ElectionTicks == 0 {
-			c.requestReadIndex(seq)
-		}
+		c.ReadIndex(func(err error) {
+			c.quorumConfirmed = c.quorumConfirmed || err == nil
+		})
 	}
+	c.repeatReadRequests()
 }
 
-// Step takes in a message of another member.
+// Step handles a message of another member.
 func (c *Core) Step(m *pb.Message) {
 	if c.stopErr != nil || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	defer c.recoverEnginePanic()
-	// What can't be in place (from a removed member, or a late one) is dropped.
+	// An error means that the message is out of place (of a removed member, or late): it is dropped.
 	_ = c.rawNode.Step(m)
 }
 
-// recoverEnginePanic has a panic of the engine, which finds that its log lacks what was committed, stop
-// the member with a plain error.
+// recoverEnginePanic stops the member where the engine panics, which it does when it finds
+// that its log lacks committed entries.
 func (c *Core) recoverEnginePanic() {
 	if p := recover(); p != nil {
 		c.fail(fmt.Errorf("%w (%v)", ErrStaleStorage, p))
 	}
 }
 
-// Propose has a proposal applied, if it passes the check here. done is called with its
-// outcome once it is applied here, or with an error.
-func (c *Core) Propose(p *clusterconfig.Proposal, done func(clusterconfig.Outcome, error)) {
-	entry, err := clusterconfig.Encode(p)
-	switch {
-	case err != nil:
-	case c.stopErr != nil:
-		err = c.stopErr
-	case len(c.proposalWaiters) >= maxPendingRequests:
-		err = errors.New("too many proposals are under way")
-	case c.Leader() == raft.None:
-		err = ErrNoLeader
-	default:
-		if err = c.rawNode.Propose(entry); errors.Is(err, raft.ErrProposalDropped) {
-			err = ErrNoLeader
-		}
-	}
-	if err != nil {
-		done(clusterconfig.Outcome{}, err)
-		return
-	}
-	c.proposalWaiters[p.ID] = append(c.proposalWaiters[p.ID], done)
-}
-
-// AbandonProposal ends the waiting for a proposal, whose outcome stays unknown here.
-func (c *Core) AbandonProposal(id string) {
-	for _, done := range c.proposalWaiters[id] {
-		done(clusterconfig.Outcome{}, ErrOutcomeUnknown)
-	}
-	delete(c.proposalWaiters, id)
-}
-
-// ReadIndex calls done once all that was committed anywhere when it was asked is applied here
-// (Raft's ReadIndex, section 6.4 of Ongaro's dissertation).
-func (c *Core) ReadIndex(done func(error)) {
-	if c.stopErr != nil || len(c.pendingReads) >= maxPendingRequests {
-		done(errors.Join(ErrStopped, c.stopErr))
-		return
-	}
-	c.lastReadID++
-	c.pendingReads[c.lastReadID] = &pendingRead{done: done}
-	c.requestReadIndex(c.lastReadID)
-}
-
-func (c *Core) requestReadIndex(seq uint64) {
-	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, seq))
-}
-
-// ProposeMembershipChange changes the members: joint where several change at once. done is called when the
-// change is applied here.
-func (c *Core) ProposeMembershipChange(id string, changes []*pb.ConfChangeSingle, done func(error)) {
-	if c.stopErr != nil {
-		done(c.stopErr)
-		return
-	}
-	err := c.rawNode.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: []byte(id)})
-	if err != nil {
-		done(ErrNoLeader)
-		return
-	}
-	c.membershipWaiters[id] = done
-}
-
-// AbandonMembershipChange ends the waiting for a change of members.
-func (c *Core) AbandonMembershipChange(id string) { delete(c.membershipWaiters, id) }
-
-// TransferLeadership asks the leader to hand its lead to another member.
-func (c *Core) TransferLeadership(to uint64) { c.rawNode.TransferLeader(to) }
-
-// ReportUnreachable tells that messages to a member don't go out.
+// ReportUnreachable reports that messages to a member can't be sent.
 func (c *Core) ReportUnreachable(id uint64) { c.rawNode.ReportUnreachable(id) }
 
-// ReportSnapshot tells what became of a snapshot to a member.
-func (c *Core) ReportSnapshot(id uint64, ok bool) {
-	delete(c.snapshotsInFlight, id)
-	status := raft.SnapshotFinish
-	if !ok {
-		status = raft.SnapshotFailure
-	}
-	c.rawNode.ReportSnapshot(id, status)
-}
-
-// ProcessReady does what the member has to do and hands send the messages as soon as they may go
-// out: what a message promises of this member's disk is on it. A leader's entries go out
-// while it writes its own copy, which counts for the quorum only once it is written
-// (section 10.2.1 of Ongaro's dissertation). An error means that the member has stopped and must not be
-// driven further; another Open may bring it back.
-func (c *Core) ProcessReady(send func(*pb.Message)) error {
-	for c.stopErr == nil && c.rawNode.HasReady() {
-		rd := c.rawNode.Ready()
-		for _, m := range rd.Messages {
-			if isSendableBeforePersist(m) {
-				send(m)
-			}
-		}
-		if err := c.persist(&rd); err != nil {
-			return c.fail(err)
-		}
-		for _, m := range rd.Messages {
-			if m.GetType() == pb.MsgSnap {
-				c.snapshotsInFlight[m.GetTo()] = 0
-			}
-			if !isSendableBeforePersist(m) {
-				send(m)
-			}
-		}
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := c.restoreSnapshot(rd.Snapshot); err != nil {
-				return c.fail(err)
-			}
-		}
-		for _, e := range rd.CommittedEntries {
-			if err := c.applyEntry(e); err != nil {
-				return c.fail(err)
-			}
-		}
-		c.updateFence()
-		for _, rs := range rd.ReadStates {
-			if r := c.pendingReads[binary.BigEndian.Uint64(rs.RequestCtx)]; r != nil && r.index == 0 {
-				r.index = max(rs.Index, 1)
-			}
-		}
-		c.rawNode.Advance(rd)
-		c.completeReads()
-		if err := c.snapshotIfDue(); err != nil {
-			return c.fail(err)
-		}
-	}
-	return c.stopErr
-}
-
-// isSendableBeforePersist tells whether a message says nothing of its sender's disk: what a leader replicates.
-func isSendableBeforePersist(m *pb.Message) bool {
-	return m.GetType() == pb.MsgApp || m.GetType() == pb.MsgHeartbeat
-}
-
-// persist saves what a Ready promises.
-func (c *Core) persist(rd *raft.Ready) error {
-	var snap *pb.Snapshot
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		snap = rd.Snapshot
-	}
-	if rd.HardState == nil && len(rd.Entries) == 0 && snap == nil {
-		return nil
-	}
-	hs, sync := rd.HardState, rd.MustSync || snap != nil
-	if hs == nil && sync { // a commit index that came alone goes along, so that a restart knows it
-		if last, _, err := c.raftLog.InitialState(); err == nil && !raft.IsEmptyHardState(last) {
-			hs = last
-		}
-	}
-	if err := c.storage.Save(hs, rd.Entries, snap, sync); err != nil {
-		return fmt.Errorf("saving: %w", err)
-	}
-	if snap != nil {
-		if err := c.raftLog.ApplySnapshot(snap); err != nil {
-			return fmt.Errorf("snapshot: %w", err)
-		}
-	}
-	if rd.HardState != nil {
-		if err := c.raftLog.SetHardState(rd.HardState); err != nil {
-			return err
-		}
-	}
-	if err := c.raftLog.Append(rd.Entries); err != nil {
-		return err
-	}
-	c.recordFences(rd.Entries)
-	return nil
-}
-
-// FenceIndex is the index of the last entry saved here that changes homes of keys or members, committed or not. It is
-// told before any message goes out that acknowledges the entry. It may be called from any goroutine.
-func (c *Core) FenceIndex() uint64 { return c.fenceIndex.Load() }
-
-// recordFences takes in entries that were saved: those behind the first of them are gone.
-func (c *Core) recordFences(entries []*pb.Entry) {
-	if len(entries) > 0 {
-		first := entries[0].GetIndex()
-		c.unappliedFences = slices.DeleteFunc(c.unappliedFences, func(i uint64) bool { return i >= first })
-	}
-	for _, e := range entries {
-		if e.GetType() != pb.EntryNormal || len(e.GetData()) > 0 && clusterconfig.MovesHomes(e.GetData()) {
-			c.unappliedFences = append(c.unappliedFences, e.GetIndex())
-		}
-	}
-	c.updateFence()
-}
-
-// updateFence moves what is applied out of the tail.
-func (c *Core) updateFence() {
-	n := 0
-	for ; n < len(c.unappliedFences) && c.unappliedFences[n] <= c.appliedIndex; n++ {
-		c.appliedFence = max(c.appliedFence, c.unappliedFences[n])
-	}
-	c.unappliedFences = c.unappliedFences[n:]
-	last := c.appliedFence
-	if k := len(c.unappliedFences); k > 0 {
-		last = max(last, c.unappliedFences[k-1])
-	}
-	c.fenceIndex.Store(last)
-}
-
-// restoreSnapshot takes over a snapshot.
-func (c *Core) restoreSnapshot(s *pb.Snapshot) error {
-	if err := c.state.Restore(s.GetData()); err != nil {
-		return err
-	}
-	c.appliedIndex, c.snapshotIndex, c.confState = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
-	c.appliedFence = max(c.appliedFence, c.snapshotIndex) // which entry it was is not known any more
-	c.updateFence()
-	return nil
-}
-
-// applyEntry applies one committed entry.
-func (c *Core) applyEntry(e *pb.Entry) error {
-	index := e.GetIndex()
-	if index <= c.appliedIndex {
-		return nil
-	}
-	c.appliedIndex = index
-	switch e.GetType() {
-	case pb.EntryConfChange, pb.EntryConfChangeV2:
-		var cc pb.ConfChangeV2
-		if err := proto.Unmarshal(e.GetData(), &cc); err != nil {
-			return fmt.Errorf("entry %d: change of members: %w", index, err)
-		}
-		was := c.isMember(c.cfg.ID)
-		c.confState, c.snapshotDue = c.rawNode.ApplyConfChange(&cc), true
-		if was && !c.isMember(c.cfg.ID) {
-			return ErrRemoved
-		}
-		if done := c.membershipWaiters[string(cc.GetContext())]; done != nil {
-			delete(c.membershipWaiters, string(cc.GetContext()))
-			done(nil)
-		}
-		return nil
-	}
-	if len(e.GetData()) == 0 {
-		return nil // a new leader's first
-	}
-	id, o, err := c.state.Apply(e.GetData())
-	if err != nil {
-		return fmt.Errorf("entry %d: %w", index, err)
-	}
-	if c.OnApplied != nil {
-		c.OnApplied(index, id, o)
-	}
-	for _, done := range c.proposalWaiters[id] {
-		done(o, nil)
-	}
-	delete(c.proposalWaiters, id)
-	return nil
-}
-
-// completeReads ends the reads whose index is applied.
-func (c *Core) completeReads() {
-	for _, seq := range slices.Sorted(maps.Keys(c.pendingReads)) {
-		if r := c.pendingReads[seq]; r.index > 0 && r.index <= c.appliedIndex {
-			delete(c.pendingReads, seq)
-			r.done(nil)
-		}
-	}
-}
-
-// snapshotIfDue takes one when enough was applied since the last, and drops what it covers.
-func (c *Core) snapshotIfDue() error {
-	if c.appliedIndex-c.snapshotIndex < c.cfg.EntriesPerSnapshot && !(c.snapshotDue && c.appliedIndex > c.snapshotIndex) {
-		return nil
-	}
-	c.snapshotDue = false
-	data, err := c.state.Snapshot()
-	if err != nil {
-		return err
-	}
-	snap, err := c.raftLog.CreateSnapshot(c.appliedIndex, c.confState, data)
-	if err != nil {
-		return fmt.Errorf("snapshot: %w", err)
-	}
-	if err := c.storage.SaveSnapshot(snap); err != nil {
-		return fmt.Errorf("saving a snapshot: %w", err)
-	}
-	c.snapshotIndex = c.appliedIndex
-	if c.appliedIndex <= c.cfg.CatchUpEntries {
-		return nil
-	}
-	upTo := c.appliedIndex - c.cfg.CatchUpEntries
-	if err := c.raftLog.Compact(upTo); err != nil && !errors.Is(err, raft.ErrCompacted) {
-		return fmt.Errorf("log: %w", err)
-	}
-	return c.storage.Compact(upTo)
-}
-
-// fail stops the member: all that waits is told.
+// fail stops the member: all waiting requests end with the error.
 func (c *Core) fail(err error) error {
 	c.stopErr = err
-	for id, dones := range c.proposalWaiters {
-		delete(c.proposalWaiters, id)
-		for _, done := range dones {
-			done(clusterconfig.Outcome{}, errors.Join(ErrStopped, err))
-		}
-	}
-	for seq, r := range c.pendingReads {
-		delete(c.pendingReads, seq)
-		r.done(errors.Join(ErrStopped, err))
-	}
-	for id, done := range c.membershipWaiters {
-		delete(c.membershipWaiters, id)
-		done(errors.Join(ErrStopped, err))
-	}
+	reason := errors.Join(ErrStopped, err)
+	c.failProposals(reason)
+	c.failReads(reason)
+	c.failMembershipChanges(reason)
 	return err
 }
-
-// silentLogger is a logger of the engine that says nothing. Its panics stay.
-type silentLogger struct{}
-
-func (silentLogger) Debug(...any)                   {}
-func (silentLogger) Debugf(string, ...any)          {}
-func (silentLogger) Error(...any)                   {}
-func (silentLogger) Errorf(string, ...any)          {}
-func (silentLogger) Info(...any)                    {}
-func (silentLogger) Infof(string, ...any)           {}
-func (silentLogger) Warning(...any)                 {}
-func (silentLogger) Warningf(string, ...any)        {}
-func (silentLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (silentLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
-func (silentLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (silentLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- /dev/null
+++ b/internal/raftnode/core_start.go
@@ -0,0 +1,125 @@
+package raftnode
+
+import (
+	"fmt"
+
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"mulleinmux/clusterconfig"
+)
+
+// Tuning of the protocol engine; sizes are in bytes.
+const (
+	heartbeatTicks      = 1
+	maxMessageBytes     = 1 << 20 // of entries in one message; a single entry may be longer
+	maxCommittedBytes   = 16 << 20
+	maxInflightMessages = 64 // with entries, not yet acknowledged by a follower
+	maxInflightBytes    = 32 << 20
+	maxUncommittedBytes = 64 << 20 // of proposals that wait for a quorum
+)
+
+// A new cluster's members all begin with the same empty snapshot, at this index and term.
+const (
+	bootstrapIndex = 1
+	bootstrapTerm  = 1
+)
+
+// NewCore starts a member from its storage.
+func NewCore(cfg Config, storage Storage) (*Core, error) {
+	persisted, err := storage.Load()
+	if err != nil {
+		return nil, err
+	}
+	cfg = cfg.withDefaults()
+	c := &Core{
+		cfg:               cfg,
+		raftLog:           raft.NewMemoryStorage(),
+		storage:           storage,
+		state:             clusterconfig.New(cfg.Validate),
+		confState:         &pb.ConfState{},
+		pendingReads:      map[uint64]*pendingRead{},
+		proposalWaiters:   map[string][]func(clusterconfig.Outcome, error){},
+		membershipWaiters: map[string]func(error){},
+		snapshotsInFlight: map[uint64]int{},
+	}
+	if persisted.HardState == nil && persisted.Snapshot == nil && len(cfg.Voters) > 0 {
+		if err := c.bootstrap(&persisted); err != nil {
+			return nil, err
+		}
+	}
+	if err := c.restorePersisted(&persisted); err != nil {
+		return nil, err
+	}
+	c.rawNode, err = raft.NewRawNode(c.engineConfig())
+	if err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// bootstrap stores the initial snapshot of a new cluster.
+func (c *Core) bootstrap(persisted *PersistedState) error {
+	data, err := c.state.Snapshot()
+	if err != nil {
+		return err
+	}
+	persisted.Snapshot = &pb.Snapshot{
+		Data: data,
+		Metadata: &pb.SnapshotMetadata{
+			ConfState: &pb.ConfState{Voters: c.cfg.Voters},
+			Index:     proto.Uint64(bootstrapIndex),
+			Term:      proto.Uint64(bootstrapTerm),
+		},
+	}
+	persisted.HardState = &pb.HardState{Term: proto.Uint64(bootstrapTerm), Commit: proto.Uint64(bootstrapIndex)}
+	return c.storage.Save(persisted.HardState, nil, persisted.Snapshot, true)
+}
+
+// restorePersisted brings the state and the engine's log to what is stored.
+func (c *Core) restorePersisted(persisted *PersistedState) error {
+	if persisted.Snapshot != nil {
+		if err := c.restoreSnapshot(persisted.Snapshot); err != nil {
+			return err
+		}
+		if err := c.raftLog.ApplySnapshot(persisted.Snapshot); err != nil {
+			return fmt.Errorf("snapshot: %w", err)
+		}
+	}
+	if hs := persisted.HardState; hs != nil {
+		// A commit index alone is not saved; but what a snapshot of our own covers was committed.
+		if hs.GetCommit() < c.snapshotIndex {
+			hs.Commit = proto.Uint64(c.snapshotIndex)
+		}
+		if err := c.raftLog.SetHardState(hs); err != nil {
+			return err
+		}
+	}
+	if err := c.raftLog.Append(persisted.Entries); err != nil {
+		return fmt.Errorf("log: %w", err)
+	}
+	c.recordFences(persisted.Entries)
+	return nil
+}
+
+// engineConfig returns the configuration of the protocol engine.
+func (c *Core) engineConfig() *raft.Config {
+	return &raft.Config{
+		ID:                        c.cfg.ID,
+		ElectionTick:              c.cfg.ElectionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   c.raftLog,
+		Applied:                   c.appliedIndex,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxCommittedSizePerReady:  maxCommittedBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		MaxInflightBytes:          maxInflightBytes,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		ReadOnlyOption:            raft.ReadOnlySafe,
+		StepDownOnRemoval:         true,
+		Logger:                    c.cfg.Logger,
+	}
+}
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -3,12 +3,9 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log"
 	"math/rand/v2"
 	"net"
-	"slices"
-	"sync"
 	"time"
 
 	pb "go.etcd.io/raft/v3/raftpb"
@@ -16,69 +13,66 @@
 	"mulleinmux/clusterconfig"
 )
 
-// NodeConfig is what a [Node] is told.
+// NodeConfig configures a [Node].
 type NodeConfig struct {
 	Config
-	Cluster       string // its name; a member of another one is never taken in
+	Cluster       string // name; a certificate of another cluster's member is rejected
 	Credentials   Credentials
-	Incarnation   uint64            // of its file: see [BoltStorage.Incarnation]; 0: not known
-	TickInterval  time.Duration     // 50 ms where 0: an election comes after 10 to 20 ticks without a leader
-	PeerAddresses map[uint64]string // addresses of all members
+	Incarnation   uint64            // of the member's file, see [BoltStorage.Incarnation]; 0: not known
+	TickInterval  time.Duration     // 0: defaultTickInterval; see [Config.ElectionTicks]
+	PeerAddresses map[uint64]string // of all members, by id
 	Logger        *log.Logger
 
-	// Changed, if set, is called after the state has changed. It must not block.
+	// OnChange, if set, is called after the state has changed. It must not block.
 	OnChange func()
-	// Word, if set, is called with what another member's [Node.Broadcast] told. It must not keep text.
+	// OnBroadcast, if set, is called with another member's [Node.Broadcast]. It must not retain text.
 	OnBroadcast func(from uint64, text []byte)
-	// Outgoing, if set, stands between the member and its network: what it does not hand on is lost.
+	// WrapSend, if set, wraps the sending of messages, for instance to drop some in a test.
 	WrapSend func(send func(*pb.Message)) func(*pb.Message)
 }
 
-// Node is a member on real time, sockets and disk. Its methods may be called from any
-// goroutine; the member itself is touched by one.
+const (
+	// defaultTickInterval has an election come after 0.5 to 1 s without a leader.
+	defaultTickInterval = 50 * time.Millisecond
+	eventQueueSize      = 1024
+	// maxEventBatch bounds the events that are handled before the Core's Ready is processed:
+	// proposals of one batch are synced together.
+	maxEventBatch = 256
+)
+
+// Node is a member on real time, sockets and storage. Its methods may be called from any
+// goroutine. Its event loop, one goroutine from [Start] until [Node.Done], alone uses the Core.
 type Node struct {
 	cfg       NodeConfig
-	core      *Core
+	core      *Core // of the event loop
 	transport *transport
 	send      func(*pb.Message)
-	events    chan func()
+	events    chan func() // run by the event loop
 	cancel    context.CancelFunc
-	done      chan struct{}
-	err       error // why it ended, once it has
+	done      chan struct{} // closed when the event loop and the transport have ended
+	err       error         // why the event loop has ended; written before done is closed
 }
 
-const (
-	defaultTickInterval = 50 * time.Millisecond
-	eventQueueSize      = 1024
-	maxEventBatch       = 256 // events between two turns of the member's work: what they propose is synced together
-)
-
 // Start starts a member on a listener, which it closes at its end.
-func Start(cfg NodeConfig, disk Storage, ln net.Listener) (*Node, error) {
+func Start(cfg NodeConfig, storage Storage, listener net.Listener) (*Node, error) {
 	if cfg.TickInterval == 0 {
 		cfg.TickInterval = defaultTickInterval
 	}
-	core, err := NewCore(cfg.Config, disk)
+	core, err := NewCore(cfg.Config, storage)
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	n := &Node{cfg: cfg, core: core, events: make(chan func(), eventQueueSize), cancel: stop, done: make(chan struct{})}
-	n.transport = &transport{cluster: cfg.Cluster, memberID: cfg.ID, credentials: cfg.Credentials, hello: hello{cfg.Incarnation, rand.Uint64()}, listener: ln, onBroadcast: cfg.OnBroadcast, logf: cfg.Logger.Printf,
-		onMessage: func(m *pb.Message) { n.enqueue(ctx, func() { core.Step(m) }) },
-		onSendResult: func(m *pb.Message, ok bool) {
-			// Told from the transport's goroutines, and from the member's own while it sends.
-			n.transport.goroutines.Go(func() {
-				n.enqueue(ctx, func() {
-					if m.GetType() == pb.MsgSnap {
-						core.ReportSnapshot(m.GetTo(), ok)
-					} else if !ok {
-						core.ReportUnreachable(m.GetTo())
-					}
-				})
-			})
-		}}
-	if n.send = n.transport.send; cfg.WrapSend != nil {
+	ctx, cancel := context.WithCancel(context.Background())
+	n := &Node{
+		cfg:    cfg,
+		core:   core,
+		events: make(chan func(), eventQueueSize),
+		cancel: cancel,
+		done:   make(chan struct{}),
+	}
+	n.transport = n.newTransport(ctx, listener)
+	n.send = n.transport.send
+	if cfg.WrapSend != nil {
 		n.send = cfg.WrapSend(n.transport.send)
 	}
 	if cfg.OnChange != nil {
@@ -86,41 +80,60 @@
 	}
 	n.transport.start(ctx)
 	n.transport.setPeers(cfg.PeerAddresses)
-	go n.run(ctx)
+	go n.runEventLoop(ctx)
 	return n, nil
 }
 
-// enqueue has the member's goroutine run f; it is false once the node ends.
-func (n *Node) enqueue(ctx context.Context, f func()) bool {
-	select {
-	case n.events <- f:
-		return true
-	case <-ctx.Done():
-	case <-n.done:
+// newTransport returns a transport whose callbacks run on the event loop.
+func (n *Node) newTransport(ctx context.Context, listener net.Listener) *transport {
+	return &transport{
+		cluster:     n.cfg.Cluster,
+		memberID:    n.cfg.ID,
+		credentials: n.cfg.Credentials,
+		hello:       hello{incarnation: n.cfg.Incarnation, processID: rand.Uint64()},
+		listener:    listener,
+		onBroadcast: n.cfg.OnBroadcast,
+		logf:        n.cfg.Logger.Printf,
+		onMessage: func(m *pb.Message) {
+			n.enqueue(ctx, func() { n.core.Step(m) })
+		},
+		onSendResult: func(m *pb.Message, ok bool) {
+			// The event loop itself calls this while it sends: it must not wait for its own queue.
+			n.transport.goroutines.Go(func() {
+				n.enqueue(ctx, func() { n.reportSendResult(m, ok) })
+			})
+		},
+	}
+}
+
+// reportSendResult reports to the Core what became of a message. It runs on the event loop.
+func (n *Node) reportSendResult(m *pb.Message, ok bool) {
+	if m.GetType() == pb.MsgSnap {
+		n.core.ReportSnapshot(m.GetTo(), ok)
+	} else if !ok {
+		n.core.ReportUnreachable(m.GetTo())
 	}
-	return false
 }
 
-func (n *Node) run(ctx context.Context) {
+// runEventLoop drives the Core until ctx ends or the Core fails.
+func (n *Node) runEventLoop(ctx context.Context) {
 	defer close(n.done)
 	defer n.transport.wait()
 	defer n.cancel()
-	tick := time.NewTicker(n.cfg.TickInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(n.cfg.TickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			n.core.fail(ErrStopped)
 			n.err = ErrStopped
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			n.core.Tick()
-		case f := <-n.events:
-			f()
-		}
-		for i := 0; i < maxEventBatch && len(n.events) > 0; i++ {
-			(<-n.events)()
+		case event := <-n.events:
+			event()
 		}
+		n.runQueuedEvents()
 		if err := n.core.ProcessReady(n.send); err != nil {
 			n.cfg.Logger.Printf("member %d stops: %v", n.cfg.ID, err)
 			n.err = err
@@ -129,268 +142,63 @@
 	}
 }
 
-// Stop ends the node and waits until it has ended.
-func (n *Node) Stop() {
-	n.cancel()
-	<-n.done
-}
-
-// Done is closed when the node has ended; Err tells why.
-func (n *Node) Done() <-chan struct{} { return n.done }
-
-// Err is why the node has ended, once it has.
-func (n *Node) Err() error {
-	select {
-	case <-n.done:
-		return n.err
-	default:
-		return nil
-	}
-}
-
-// Propose has a proposal applied and returns its outcome. Where the answer is lost (a
-// leader that changed), it asks again under the same id until ctx ends: it is applied once.
-func (n *Node) Propose(ctx context.Context, p *clusterconfig.Proposal) (clusterconfig.Outcome, error) {
-	type result struct {
-		o   clusterconfig.Outcome
-		err error
-	}
-	pause := 4 * n.cfg.TickInterval
-	last, away := error(ErrNoLeader), false // away: it may have reached a leader
-	// A long one takes its time; repeated too soon it would add to what holds it up.
-	size := 0
-	for _, c := range p.Changes {
-		size += len(c.Value)
-	}
-	patience := time.Duration((3+size>>20)*n.core.cfg.ElectionTicks) * n.cfg.TickInterval
-	for {
-		got := make(chan result, 1)
-		var once sync.Once
-		if !n.enqueue(ctx, func() {
-			n.core.Propose(p, func(o clusterconfig.Outcome, err error) { once.Do(func() { got <- result{o, err} }) })
-		}) {
-			return clusterconfig.Outcome{}, errors.Join(ErrStopped, last, ctx.Err())
-		}
-		again := time.NewTimer(patience)
-		select {
-		case r := <-got:
-			again.Stop()
-			if r.err == nil {
-				return r.o, nil
-			}
-			if !errors.Is(r.err, ErrNoLeader) && !errors.Is(r.err, ErrOutcomeUnknown) {
-				return clusterconfig.Outcome{}, r.err
-			}
-			last, away = r.err, away || errors.Is(r.err, ErrOutcomeUnknown)
-			select {
-			case <-ctx.Done():
-			case <-time.After(pause):
-			}
-		case <-again.C:
-			last, away = ErrOutcomeUnknown, true
-			patience *= 2
-		case <-ctx.Done():
-			again.Stop()
-			away = true
-		}
-		if ctx.Err() != nil {
-			n.enqueue(context.Background(), func() { n.core.AbandonProposal(p.ID) })
-			if away {
-				last = ErrOutcomeUnknown
-			}
-			return clusterconfig.Outcome{}, fmt.Errorf("%w: %w", last, ctx.Err())
-		}
-	}
-}
-
-// LinearizableRead calls f with the state once all that was committed anywhere when it was asked is
-// applied here. f must not keep the state.
-func (n *Node) LinearizableRead(ctx context.Context, f func(*clusterconfig.State)) error {
-	got := make(chan error, 1)
-	var mu sync.Mutex
-	over := false // f must not be called once Read has returned
-	defer func() {
-		mu.Lock()
-		over = true
-		mu.Unlock()
-	}()
-	if !n.enqueue(ctx, func() {
-		n.core.ReadIndex(func(err error) {
-			mu.Lock()
-			defer mu.Unlock()
-			if err == nil && !over {
-				f(n.core.State())
-			}
-			got <- err
-		})
-	}) {
-		return errors.Join(ErrStopped, ctx.Err())
-	}
-	select {
-	case err := <-got:
-		return err
-	case <-ctx.Done():
-		return fmt.Errorf("%w: %w", ErrNoLeader, ctx.Err())
+// runQueuedEvents runs a batch of the events that are queued.
+func (n *Node) runQueuedEvents() {
+	for i := 0; i < maxEventBatch && len(n.events) > 0; i++ {
+		event := <-n.events
+		event()
 	}
 }
 
-// Status is a member's view.
-type Status struct {
-	ID           uint64   `json:"id"`
-	Leader       uint64   `json:"leader"` // 0: none is known
-	Ready        bool     `json:"ready"`
-	Version      uint64   `json:"version"`
-	AppliedIndex uint64   `json:"index"`
-	Hash         string   `json:"hash"`
-	Voters       []uint64 `json:"voters"`
-	Learners     []uint64 `json:"learners"`
-}
-
-// Status tells how the member stands, without asking others.
-func (n *Node) Status(ctx context.Context) (s Status, err error) {
-	got := make(chan Status, 1)
-	if !n.enqueue(ctx, func() {
-		v, l := n.core.Members()
-		got <- Status{n.cfg.ID, n.core.Leader(), n.core.IsReady(), n.core.State().Version(), n.core.AppliedIndex(), n.core.State().Hash(), v, l}
-	}) {
-		return s, errors.Join(ErrStopped, ctx.Err())
-	}
+// enqueue queues an event for the event loop. It returns false, without having queued it,
+// when ctx or the event loop has ended.
+func (n *Node) enqueue(ctx context.Context, event func()) bool {
 	select {
-	case s = <-got:
-		return s, nil
+	case n.events <- event:
+		return true
 	case <-ctx.Done():
-		return s, ctx.Err()
 	case <-n.done:
-		return s, ErrStopped
 	}
+	return false
 }
 
-// AppliedState returns the configuration as applied here, without asking others.
-func (n *Node) AppliedState(ctx context.Context) (*clusterconfig.State, error) {
-	var s *clusterconfig.State
-	err := n.runOnLoop(ctx, func() { s = n.core.State().Freeze() })
-	return s, err
-}
-
-// Membership is what was in force at one moment.
-type Membership struct {
-	AppliedIndex uint64 // of the last entry applied
-	Members      []uint64
-	Voters       []uint64
-	IsJoint      bool // voters are changing, in two steps
-}
-
-// AppliedStateAndMembership is Freeze with the members of the same moment.
-func (n *Node) AppliedStateAndMembership(ctx context.Context) (s *clusterconfig.State, m Membership, err error) {
-	err = n.runOnLoop(ctx, func() {
-		v, _ := n.core.Members()
-		s, m = n.core.State().Freeze(), Membership{n.core.AppliedIndex(), n.core.memberIDs(), slices.Clone(v), len(n.core.confState.GetVotersOutgoing()) > 0}
-	})
-	return s, m, err
-}
-
-// FenceIndex is [Core.FenceIndex].
-func (n *Node) FenceIndex() uint64 { return n.core.FenceIndex() }
-
-// runOnLoop runs f on the member's goroutine and waits for its end.
+// runOnLoop runs f on the event loop and waits for its end. ctx bounds only the wait for a
+// place in the queue: f may use the caller's variables.
 func (n *Node) runOnLoop(ctx context.Context, f func()) error {
-	done := make(chan struct{})
-	if !n.enqueue(ctx, func() {
+	finished := make(chan struct{})
+	event := func() {
 		f()
-		close(done)
-	}) {
+		close(finished)
+	}
+	if !n.enqueue(ctx, event) {
 		return errors.Join(ErrStopped, ctx.Err())
 	}
 	select {
-	case <-done:
+	case <-finished:
 		return nil
 	case <-n.done:
 		return ErrStopped
 	}
 }
 
-// Broadcast tells all other members a word of up to 64 KiB, which may be lost and is told in order.
-func (n *Node) Broadcast(text []byte) error {
-	if len(text) > maxBroadcastBytes {
-		return fmt.Errorf("a word of %d bytes: %d are the most", len(text), maxBroadcastBytes)
-	}
-	n.transport.broadcast(text)
-	return nil
+// Stop ends the node and waits until it has ended.
+func (n *Node) Stop() {
+	n.cancel()
+	<-n.done
 }
 
-// SetPeers sets the addresses of all members.
-func (n *Node) SetPeers(addrs map[uint64]string) { n.transport.setPeers(addrs) }
+// Done is closed when the node has ended; [Node.Err] tells why.
+func (n *Node) Done() <-chan struct{} { return n.done }
 
-// ChangeMembership changes the members: change is asked for what is still to be done, given voters
-// and learners, until it has nothing left. Several at once are a joint change. It is safe
-// to ask again for a change whose answer was lost.
-func (n *Node) ChangeMembership(ctx context.Context, change func(voters, learners []uint64) []*pb.ConfChangeSingle) error {
-	for round := 0; ; round++ {
-		var left []*pb.ConfChangeSingle
-		got := make(chan error, 1)
-		id := fmt.Sprintf("%d-%d-%d", n.cfg.ID, time.Now().UnixNano(), round)
-		if err := n.runOnLoop(ctx, func() {
-			v, l := n.core.Members()
-			if left = change(v, l); len(left) > 0 {
-				var once sync.Once
-				n.core.ProposeMembershipChange(id, left, func(err error) { once.Do(func() { got <- err }) })
-			}
-		}); err != nil {
-			return err
-		}
-		if len(left) == 0 {
-			return nil
-		}
-		// One that was lost, or that another change was under way for, is asked for again.
-		again := time.NewTimer(time.Duration(n.core.cfg.ElectionTicks) * n.cfg.TickInterval)
-		var err error
-		select {
-		case err = <-got:
-			if err != nil && !errors.Is(err, ErrNoLeader) {
-				again.Stop()
-				return err
-			}
-			if err != nil {
-				<-again.C
-			}
-		case <-again.C:
-		case <-ctx.Done():
-		}
-		again.Stop()
-		n.enqueue(context.Background(), func() { n.core.AbandonMembershipChange(id) })
-		if ctx.Err() != nil {
-			if err != nil {
-				return fmt.Errorf("%w: %w", err, ctx.Err())
-			}
-			return fmt.Errorf("no quorum has taken the change so far: %w", ctx.Err())
-		}
+// Err returns why the node has ended, or nil while it runs.
+func (n *Node) Err() error {
+	select {
+	case <-n.done:
+		return n.err
+	default:
+		return nil
 	}
 }
 
-// ReplicationLag is [Core.ReplicationLag].
-func (n *Node) ReplicationLag(ctx context.Context, member uint64) (entries uint64, known bool, err error) {
-	err = n.runOnLoop(ctx, func() { entries, known = n.core.ReplicationLag(member) })
-	return entries, known, err
-}
-
-// TransferLeadership has the leader hand its lead to a voter and waits until it has, as seen here.
-func (n *Node) TransferLeadership(ctx context.Context, to uint64) error {
-	for {
-		var leader uint64
-		if err := n.runOnLoop(ctx, func() {
-			if leader = n.core.Leader(); leader != to && leader != 0 {
-				n.core.TransferLeadership(to)
-			}
-		}); err != nil {
-			return err
-		}
-		if leader == to {
-			return nil
-		}
-		select {
-		case <-ctx.Done():
-			return fmt.Errorf("member %d does not lead yet: %w", to, ctx.Err())
-		case <-time.After(2 * n.cfg.TickInterval):
-		}
-	}
-}
+// SetPeers sets the addresses of all members.
+func (n *Node) SetPeers(addresses map[uint64]string) { n.transport.setPeers(addresses) }
--- /dev/null
+++ b/internal/raftnode/node_broadcast.go
@@ -0,0 +1,13 @@
+package raftnode
+
+import "fmt"
+
+// Broadcast sends a text of up to 64 KiB to all other members, which are called with it in
+// [NodeConfig.OnBroadcast]. Texts may be lost, but are not reordered.
+func (n *Node) Broadcast(text []byte) error {
+	if len(text) > maxBroadcastBytes {
+		return fmt.Errorf("a word of %d bytes: %d are the most", len(text), maxBroadcastBytes)
+	}
+	n.transport.broadcast(text)
+	return nil
+}
--- /dev/null
+++ b/internal/raftnode/node_membership.go
@@ -0,0 +1,107 @@
+package raftnode
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+)
+
+// transferPollTicks are the ticks between two looks at whether a leadership was transferred.
+const transferPollTicks = 2
+
+// ChangeMembership changes the membership. remaining is called, on the event loop, with the
+// voters and learners in force and returns the changes that are still to be made; it is
+// called until it returns none. Several changes at once are a joint one. It is safe to repeat
+// a call whose answer was lost.
+func (n *Node) ChangeMembership(ctx context.Context,
+	remaining func(voters, learners []uint64) []*pb.ConfChangeSingle) error {
+	for round := 0; ; round++ {
+		id := fmt.Sprintf("%d-%d-%d", n.cfg.ID, time.Now().UnixNano(), round)
+		results := make(chan error, 1)
+		changeCount, err := n.proposeRemaining(ctx, id, remaining, results)
+		if err != nil {
+			return err
+		}
+		if changeCount == 0 {
+			return nil
+		}
+		err = n.awaitMembershipChange(ctx, results)
+		if err != nil && !errors.Is(err, ErrNoLeader) {
+			return err
+		}
+		n.enqueue(context.Background(), func() { n.core.AbandonMembershipChange(id) })
+		if ctx.Err() == nil {
+			continue
+		}
+		if err != nil {
+			return fmt.Errorf("%w: %w", err, ctx.Err())
+		}
+		return fmt.Errorf("no quorum has taken the change so far: %w", ctx.Err())
+	}
+}
+
+// proposeRemaining proposes the changes that are still to be made, and returns their number.
+// The proposal's result is sent to results.
+func (n *Node) proposeRemaining(ctx context.Context, id string,
+	remaining func(voters, learners []uint64) []*pb.ConfChangeSingle, results chan<- error) (int, error) {
+	changeCount := 0
+	err := n.runOnLoop(ctx, func() {
+		changes := remaining(n.core.Members())
+		changeCount = len(changes)
+		if changeCount == 0 {
+			return
+		}
+		var once sync.Once
+		n.core.ProposeMembershipChange(id, changes, func(err error) {
+			once.Do(func() { results <- err })
+		})
+	})
+	return changeCount, err
+}
+
+// awaitMembershipChange waits for the result of a membership change for an election timeout
+// at most: one that was lost, or that had to give way to another change under way, is to be
+// proposed again. Where no leader is known it waits out that time before it says so.
+func (n *Node) awaitMembershipChange(ctx context.Context, results <-chan error) error {
+	timer := time.NewTimer(time.Duration(n.core.cfg.ElectionTicks) * n.cfg.TickInterval)
+	defer timer.Stop()
+	select {
+	case err := <-results:
+		if errors.Is(err, ErrNoLeader) {
+			<-timer.C
+		}
+		return err
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return nil
+	}
+}
+
+// TransferLeadership has the leader hand its leadership to a voter and waits until it has, as
+// seen here.
+func (n *Node) TransferLeadership(ctx context.Context, to uint64) error {
+	for {
+		var leader uint64
+		err := n.runOnLoop(ctx, func() {
+			leader = n.core.Leader()
+			if leader != to && leader != 0 {
+				n.core.TransferLeadership(to)
+			}
+		})
+		if err != nil {
+			return err
+		}
+		if leader == to {
+			return nil
+		}
+		sleepContext(ctx, transferPollTicks*n.cfg.TickInterval)
+		if ctx.Err() != nil {
+			return fmt.Errorf("member %d does not lead yet: %w", to, ctx.Err())
+		}
+	}
+}
--- /dev/null
+++ b/internal/raftnode/node_read.go
@@ -0,0 +1,127 @@
+package raftnode
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+
+	"mulleinmux/clusterconfig"
+)
+
+// LinearizableRead calls read with the state once all that was committed anywhere when it was
+// called is applied here. read runs on the event loop: it must not block, nor retain the
+// state. It is not called after LinearizableRead has returned.
+func (n *Node) LinearizableRead(ctx context.Context, read func(*clusterconfig.State)) error {
+	results := make(chan error, 1)
+	var mu sync.Mutex // guards hasReturned, and read against the return
+	hasReturned := false
+	defer func() {
+		mu.Lock()
+		defer mu.Unlock()
+		hasReturned = true
+	}()
+	done := func(err error) {
+		mu.Lock()
+		defer mu.Unlock()
+		if err == nil && !hasReturned {
+			read(n.core.State())
+		}
+		results <- err
+	}
+	if !n.enqueue(ctx, func() { n.core.ReadIndex(done) }) {
+		return errors.Join(ErrStopped, ctx.Err())
+	}
+	select {
+	case err := <-results:
+		return err
+	case <-ctx.Done():
+		return fmt.Errorf("%w: %w", ErrNoLeader, ctx.Err())
+	}
+}
+
+// Status is a member's local view.
+type Status struct {
+	ID           uint64   `json:"id"`
+	Leader       uint64   `json:"leader"` // 0: none is known
+	Ready        bool     `json:"ready"`  // see [Core.IsReady]
+	Version      uint64   `json:"version"`
+	AppliedIndex uint64   `json:"index"`
+	Hash         string   `json:"hash"`
+	Voters       []uint64 `json:"voters"`
+	Learners     []uint64 `json:"learners"`
+}
+
+// Status returns the member's local view, without asking others.
+func (n *Node) Status(ctx context.Context) (Status, error) {
+	statuses := make(chan Status, 1)
+	if !n.enqueue(ctx, func() { statuses <- n.core.status() }) {
+		return Status{}, errors.Join(ErrStopped, ctx.Err())
+	}
+	select {
+	case status := <-statuses:
+		return status, nil
+	case <-ctx.Done():
+		return Status{}, ctx.Err()
+	case <-n.done:
+		return Status{}, ErrStopped
+	}
+}
+
+// status returns the member's view.
+func (c *Core) status() Status {
+	voters, learners := c.Members()
+	return Status{
+		ID:           c.cfg.ID,
+		Leader:       c.Leader(),
+		Ready:        c.IsReady(),
+		Version:      c.state.Version(),
+		AppliedIndex: c.appliedIndex,
+		Hash:         c.state.Hash(),
+		Voters:       voters,
+		Learners:     learners,
+	}
+}
+
+// AppliedState returns the configuration as applied here, without asking others.
+func (n *Node) AppliedState(ctx context.Context) (*clusterconfig.State, error) {
+	var state *clusterconfig.State
+	err := n.runOnLoop(ctx, func() { state = n.core.State().Freeze() })
+	return state, err
+}
+
+// Membership is the membership in force at an index of the log.
+type Membership struct {
+	AppliedIndex uint64
+	Members      []uint64 // voters and learners
+	Voters       []uint64
+	IsJoint      bool // a joint configuration: the voters are changing
+}
+
+// AppliedStateAndMembership returns what [Node.AppliedState] does, and the membership in force at the
+// same index.
+func (n *Node) AppliedStateAndMembership(ctx context.Context) (*clusterconfig.State, Membership, error) {
+	var state *clusterconfig.State
+	var membership Membership
+	err := n.runOnLoop(ctx, func() {
+		voters, _ := n.core.Members()
+		state = n.core.State().Freeze()
+		membership = Membership{
+			AppliedIndex: n.core.AppliedIndex(),
+			Members:      n.core.memberIDs(),
+			Voters:       slices.Clone(voters),
+			IsJoint:      n.core.isJoint(),
+		}
+	})
+	return state, membership, err
+}
+
+// FenceIndex is [Core.FenceIndex].
+func (n *Node) FenceIndex() uint64 { return n.core.FenceIndex() }
+
+// ReplicationLag is [Core.ReplicationLag].
+func (n *Node) ReplicationLag(ctx context.Context, member uint64) (entries uint64, known bool, err error) {
+	err = n.runOnLoop(ctx, func() { entries, known = n.core.ReplicationLag(member) })
+	return entries, known, err
+}
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -268,7 +268,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return append(append(binary.BigEndian.AppendUint32(nil, frameHello<<28|16), hello{}.encode()...), append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)...)
+		return append(append(binary.BigEndian.AppendUint32(nil, uint32(frameHello)<<28|16), hello{}.encode()...), append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)...)
 	}
 	vote := &pb.Message{Type: pb.MsgVote.Enum(), From: proto.Uint64(3), To: proto.Uint64(1), Term: proto.Uint64(1 << 40)}
 	for name, c := range map[string]struct {
@@ -281,7 +281,7 @@
 		"in another's name":   {r.authority, 2, frame(vote)},
 		"a frame without end": {r.authority, 2, binary.BigEndian.AppendUint32(nil, 1<<31)},
 		"noise":               {r.authority, 2, []byte{0, 0, 0, 3, 0xff, 0xff, 0xff}},
-		"a word too long":     {r.authority, 3, append(frame(vote)[:20:20], binary.BigEndian.AppendUint32(nil, frameBroadcast<<28|maxBroadcastBytes+1)...)},
+		"a word too long":     {r.authority, 3, append(frame(vote)[:20:20], binary.BigEndian.AppendUint32(nil, uint32(frameBroadcast)<<28|maxBroadcastBytes+1)...)},
 		"no hello":            {r.authority, 3, frame(vote)[20:]},
 	} {
 		creds, err := c.auth.IssueCredentials(c.id)
--- /dev/null
+++ b/internal/raftnode/peer_sender.go
@@ -0,0 +1,157 @@
+package raftnode
+
+import (
+	"context"
+	"crypto/tls"
+	"net"
+	"sync"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// Bounds of one peer's queues.
+const (
+	maxQueuedMessages   = 256
+	maxQueuedBytes      = 96 << 20 // of the queued messages
+	maxQueuedBroadcasts = 64
+)
+
+// Timing of connections to a peer.
+const (
+	dialTimeout      = time.Second
+	handshakeTimeout = 2 * time.Second
+	minRedialDelay   = 50 * time.Millisecond
+	maxRedialDelay   = time.Second
+)
+
+// peerSender is the bounded queues of messages and broadcasts to one member. One goroutine,
+// [transport.runSender], takes from them.
+type peerSender struct {
+	memberID   uint64
+	address    string
+	messages   chan *pb.Message
+	broadcasts chan []byte
+	cancel     context.CancelFunc // ends runSender
+
+	mu          sync.Mutex // guards the field below
+	queuedBytes int        // of the queued messages
+}
+
+// newPeerSender returns the queues to a member; cancel ends the goroutine that takes from them.
+func newPeerSender(memberID uint64, address string, cancel context.CancelFunc) *peerSender {
+	return &peerSender{
+		memberID:   memberID,
+		address:    address,
+		messages:   make(chan *pb.Message, maxQueuedMessages),
+		broadcasts: make(chan []byte, maxQueuedBroadcasts),
+		cancel:     cancel,
+	}
+}
+
+// enqueue queues a message of size bytes and reports whether there was room for it.
+func (s *peerSender) enqueue(m *pb.Message, size int) bool {
+	if !s.reserveBytes(size) {
+		return false
+	}
+	select {
+	case s.messages <- m:
+		return true
+	default:
+		s.releaseBytes(size)
+		return false
+	}
+}
+
+// reserveBytes counts bytes as queued and reports whether they fit in the queue.
+func (s *peerSender) reserveBytes(size int) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.queuedBytes+size > maxQueuedBytes {
+		return false
+	}
+	s.queuedBytes += size
+	return true
+}
+
+// releaseBytes counts bytes as no longer queued.
+func (s *peerSender) releaseBytes(size int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.queuedBytes -= size
+}
+
+// isEmpty reports whether nothing is queued.
+func (s *peerSender) isEmpty() bool { return len(s.messages) == 0 && len(s.broadcasts) == 0 }
+
+// runSender keeps a connection to a member and writes what is queued, until ctx ends. It logs
+// the first failure after a connection, not those of the attempts that follow.
+func (t *transport) runSender(ctx context.Context, sender *peerSender) {
+	redialDelay := minRedialDelay
+	isFailureLogged := false
+	for ctx.Err() == nil {
+		conn, err := t.dial(ctx, sender)
+		if err == nil {
+			redialDelay = minRedialDelay
+			isFailureLogged = false
+			err = t.writeFrames(ctx, sender, conn)
+			conn.Close()
+		}
+		if ctx.Err() != nil {
+			return
+		}
+		if !isFailureLogged {
+			isFailureLogged = true
+			t.logf("member %d at %s: %v", sender.memberID, sender.address, err)
+		}
+		t.dropQueued(sender)
+		sleepContext(ctx, redialDelay)
+		redialDelay = min(2*redialDelay, maxRedialDelay)
+	}
+}
+
+// sleepContext returns after a delay, or when ctx ends.
+func sleepContext(ctx context.Context, delay time.Duration) {
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
+
+// dropQueued drops the queued messages of a member that can't be reached: they are outdated
+// by the time it can.
+func (t *transport) dropQueued(sender *peerSender) {
+	for {
+		select {
+		case m := <-sender.messages:
+			sender.releaseBytes(proto.Size(m))
+			t.onSendResult(m, false)
+		default:
+			return
+		}
+	}
+}
+
+// dial connects to a member and verifies that it is the one expected.
+func (t *transport) dial(ctx context.Context, sender *peerSender) (*tls.Conn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	rawConn, err := dialer.DialContext(ctx, "tcp", sender.address)
+	if err != nil {
+		return nil, err
+	}
+	conn := tls.Client(rawConn, t.credentials.TLSConfig())
+	rawConn.SetDeadline(time.Now().Add(handshakeTimeout))
+	if err := conn.HandshakeContext(ctx); err != nil {
+		rawConn.Close()
+		return nil, err
+	}
+	if _, err := t.verifyPeer(conn.ConnectionState(), sender.memberID); err != nil {
+		rawConn.Close()
+		return nil, err
+	}
+	rawConn.SetDeadline(time.Time{})
+	return conn, nil
+}
--- /dev/null
+++ b/internal/raftnode/silent_logger.go
@@ -0,0 +1,20 @@
+package raftnode
+
+import "fmt"
+
+// silentLogger is a [raft.Logger] that logs nothing. Fatal and Panic still panic, as the
+// engine relies on.
+type silentLogger struct{}
+
+func (silentLogger) Debug(...any)                   {}
+func (silentLogger) Debugf(string, ...any)          {}
+func (silentLogger) Error(...any)                   {}
+func (silentLogger) Errorf(string, ...any)          {}
+func (silentLogger) Info(...any)                    {}
+func (silentLogger) Infof(string, ...any)           {}
+func (silentLogger) Warning(...any)                 {}
+func (silentLogger) Warningf(string, ...any)        {}
+func (silentLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (silentLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (silentLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (silentLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
