--- /dev/null
+++ b/internal/raftnode/bolt_storage_test.go
@@ -0,0 +1,211 @@
+package raftnode
+
+import (
+	"errors"
+	"fmt"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+func entry(index, term uint64, data string) *pb.Entry {
+	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte(data)}
+}
+
+func hardState(term, vote, commit uint64) *pb.HardState {
+	return &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(vote), Commit: proto.Uint64(commit)}
+}
+
+func snapshotOf(index, term uint64, data string) *pb.Snapshot {
+	return &pb.Snapshot{
+		Data: []byte(data),
+		Metadata: &pb.SnapshotMetadata{
+			Index:     proto.Uint64(index),
+			Term:      proto.Uint64(term),
+			ConfState: &pb.ConfState{Voters: []uint64{1}},
+		},
+	}
+}
+
+// openStorage opens the file of member 1 of cluster "c".
+func openStorage(t *testing.T, path string) *BoltStorage {
+	t.Helper()
+	storage, err := OpenBoltStorage(path, "c", 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return storage
+}
+
+// must fails the test on an error.
+func must(t *testing.T, errs ...error) {
+	t.Helper()
+	if err := errors.Join(errs...); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// What was saved is there after a restart: the newest hard state, a log whose tail was
+// replaced, and of a leader's snapshot nothing that it has replaced.
+func TestBoltStoragePersists(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "raft.db")
+	storage := openStorage(t, path)
+	reopen := func() PersistedState {
+		t.Helper()
+		must(t, storage.Close())
+		storage = openStorage(t, path)
+		persisted, err := storage.Load()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return persisted
+	}
+	if p := reopen(); p.HardState != nil || p.Snapshot != nil || p.Entries != nil {
+		t.Errorf("a new file holds %+v", p)
+	}
+	must(t,
+		storage.Save(hardState(1, 2, 0), []*pb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}, nil, true),
+		storage.Save(hardState(2, 3, 1), []*pb.Entry{entry(2, 2, "B")}, nil, true),
+	)
+	p := reopen()
+	if len(p.Entries) != 2 || string(p.Entries[1].GetData()) != "B" || p.HardState.GetVote() != 3 {
+		t.Errorf("%+v", p)
+	}
+	must(t, storage.SaveSnapshot(snapshotOf(1, 1, "own")), storage.Compact(1))
+	if p = reopen(); len(p.Entries) != 1 || string(p.Snapshot.GetData()) != "own" {
+		t.Errorf("%+v", p)
+	}
+	must(t, storage.Save(hardState(3, 0, 9), nil, snapshotOf(1, 3, "leader's"), true))
+	// The old entry 2 must not stand behind the snapshot, though its index would fit.
+	must(t, storage.Save(hardState(3, 0, 1), nil, nil, true))
+	if p = reopen(); len(p.Entries) != 0 || string(p.Snapshot.GetData()) != "leader's" {
+		t.Errorf("%+v", p)
+	}
+	must(t, storage.Close())
+}
+
+// writeSample writes a file of member 1 of cluster "c" with two entries, and returns its content.
+func writeSample(t *testing.T, path string) []byte {
+	t.Helper()
+	storage := openStorage(t, path)
+	must(t,
+		storage.Save(hardState(2, 1, 2), []*pb.Entry{entry(1, 1, "first entry"), entry(2, 2, "second entry")}, nil, true),
+		storage.SaveSnapshot(snapshotOf(0, 0, "nothing")),
+		storage.Close(),
+	)
+	return readFile(t, path)
+}
+
+// A file that is open, or that belongs to another member or cluster, does not open.
+func TestBoltStorageRejectsForeignFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "raft.db")
+	writeSample(t, path)
+	storage := openStorage(t, path)
+	if _, err := OpenBoltStorage(path, "c", 1); err == nil {
+		t.Error("two have it open")
+	}
+	must(t, storage.Close())
+	for _, test := range []struct {
+		name    string
+		cluster string
+		member  uint64
+	}{
+		{"another cluster", "other", 1},
+		{"another member", "c", 2},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := OpenBoltStorage(path, test.cluster, test.member); !errors.Is(err, ErrForeignFile) {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// loadCopy loads a file's content from a file of its own: one that made bbolt panic stays
+// locked in this process.
+func loadCopy(t *testing.T, content []byte) (PersistedState, error) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "copy.db")
+	writeFile(t, path, content)
+	storage, err := OpenBoltStorage(path, "c", 1)
+	if err != nil {
+		return PersistedState{}, err
+	}
+	persisted, err := storage.Load()
+	return persisted, errors.Join(err, storage.Close())
+}
+
+// A file that is cut short is rejected or complete all the same, and never taken for empty.
+func TestBoltStorageDetectsTruncation(t *testing.T) {
+	content := writeSample(t, filepath.Join(t.TempDir(), "raft.db"))
+	for _, length := range []int{0, 1, 100, 4096, 4097, len(content) / 2, len(content) - 1} {
+		t.Run(fmt.Sprint(length), func(t *testing.T) {
+			if p, err := loadCopy(t, content[:length]); err == nil && (len(p.Entries) != 2 || length == 0) {
+				t.Errorf("cut to %d of %d bytes: taken as %+v", length, len(content), p)
+			}
+		})
+	}
+}
+
+// A file in which a bit has flipped is rejected, or the flip is in a page that is not in use
+// and changes nothing.
+func TestBoltStorageDetectsBitFlips(t *testing.T) {
+	const stride = 67 // bytes between two flips
+	content := writeSample(t, filepath.Join(t.TempDir(), "raft.db"))
+	intact, err := loadCopy(t, content)
+	if err != nil {
+		t.Fatal(err)
+	}
+	detected := 0
+	for i := 0; i < len(content); i += stride {
+		flipped := append([]byte(nil), content...)
+		flipped[i] ^= 0x10
+		p, err := loadCopy(t, flipped)
+		if err != nil {
+			detected++
+			continue
+		}
+		if !proto.Equal(p.HardState, intact.HardState) || len(p.Entries) != 2 ||
+			!proto.Equal(p.Entries[0], intact.Entries[0]) || !proto.Equal(p.Entries[1], intact.Entries[1]) {
+			t.Fatalf("a bit of byte %d flipped: taken as %+v", i, p)
+		}
+	}
+	if detected == 0 {
+		t.Error("no flip was found")
+	}
+	t.Logf("%d flips found of %d", detected, len(content)/stride)
+}
+
+// A file whose status changed long after its member last wrote it was put there: it is an old
+// copy, as far as can be known, until an operator says that it was only moved.
+func TestBoltStorageDetectsRestoredFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "raft.db")
+	storage := openStorage(t, path)
+	must(t, storage.Save(hardState(3, 2, 0), nil, nil, true), storage.Close())
+	storage = openStorage(t, path)
+	if storage.Incarnation() != 2 {
+		t.Errorf("incarnation %d", storage.Incarnation())
+	}
+	// As if all of this had been written an hour ago and the file put here now.
+	must(t, storage.db.Update(func(tx *bbolt.Tx) error {
+		writtenAt := time.Now().Add(-time.Hour).UnixNano()
+		return tx.Bucket(bucketMeta).Put(keyWrittenAt, encodeUint64(uint64(writtenAt)))
+	}))
+	must(t, storage.Close())
+	if _, err := OpenBoltStorage(path, "c", 1); !errors.Is(err, ErrRestoredFile) {
+		t.Fatalf("an old copy opens: %v", err)
+	}
+	if err := AdoptFile(path, "c", 2); !errors.Is(err, ErrForeignFile) {
+		t.Errorf("another member's file is adopted: %v", err)
+	}
+	must(t, AdoptFile(path, "c", 1))
+	storage = openStorage(t, path)
+	if p, err := storage.Load(); err != nil || p.HardState.GetVote() != 2 {
+		t.Errorf("%+v, %v", p, err)
+	}
+	must(t, storage.Close())
+}
--- a/internal/raftnode/consent_test.go
+++ b/internal/raftnode/consent_test.go
@@ -10,82 +10,117 @@
 	"mulleinmux/multisite"
 )
 
-// consentCluster are the members of a simulated cluster that confirm homes to each other, on the same faulty network.
+// consentCluster is a simulated cluster whose members confirm key owners to each other, on
+// the same faulty network.
 type consentCluster struct {
 	*simCluster
-	incarnations          map[uint64]uint64
-	consents              map[uint64]*multisite.Consent
-	processes             map[uint64]*Core // the process that with belongs to
-	messages              []consentMessage
-	moves                 []uint64 // committed entries that change homes, by index
-	commitTicks           map[uint64]int
-	checkedIndex          uint64 // commit index looked at
-	minorityConfirmations int    // confirmations while no majority was in reach
+	incarnations map[uint64]uint64             // by member id
+	consents     map[uint64]*multisite.Consent // by member id
+	processes    map[uint64]*Core              // that the consents belong to
+	messages     []consentMessage              // on their way
+
+	moves        []uint64       // indexes of the committed entries that change key owners
+	commitTicks  map[uint64]int // by index of the moves
+	checkedIndex uint64         // up to which entries were looked at
+
 	confirmations         int
+	minorityConfirmations int // while no majority was reachable
+	proposalCount         int
 }
 
+// consentMessage is a message between consents, on its way.
 type consentMessage struct {
 	arrivalTick int
 	from, to    uint64
 	word        multisite.ConsentWord
 }
 
-func (c *consentCluster) clock(id uint64) time.Duration { // as differing as they come
+func newConsentCluster(t testing.TB, seed uint64, memberCount int) *consentCluster {
+	return &consentCluster{
+		simCluster:   newSimCluster(t, seed, memberCount),
+		incarnations: map[uint64]uint64{},
+		consents:     map[uint64]*multisite.Consent{},
+		processes:    map[uint64]*Core{},
+		commitTicks:  map[uint64]int{},
+	}
+}
+
+// clock returns a member's time. The members' clocks differ by hours.
+func (c *consentCluster) clock(id uint64) time.Duration {
 	return time.Duration(c.tick)*time.Millisecond + time.Duration(id)*time.Hour
 }
 
-// exchangeConsent has each member take in what has come, tell its word and look at what is confirmed.
+// exchangeConsent has each member receive what has arrived, send its message and check what
+// is confirmed.
 func (c *consentCluster) exchangeConsent() {
 	c.recordCommits()
-	left := c.messages[:0:0]
-	for _, l := range c.messages {
-		switch m := c.members[l.to-1]; {
-		case l.arrivalTick > c.tick:
-			left = append(left, l)
-		case m.core != nil && c.processes[l.to] == m.core:
-			c.consents[l.to].Hear(l.from, l.word)
-		}
-	}
-	c.messages = left
+	c.deliverConsentMessages()
 	for _, m := range c.members {
 		if m.core == nil {
 			continue
 		}
-		if c.processes[m.id] != m.core { // another process
-			c.incarnations[m.id]++
-			s, err := multisite.NewConsent(multisite.ConsentConfig{Me: m.id, Incarnation: c.incarnations[m.id]})
-			if err != nil {
-				c.fatalf("%v", err)
-			}
-			c.consents[m.id], c.processes[m.id] = s, m.core
+		if c.processes[m.id] != m.core {
+			c.restartConsent(m)
 		}
-		s := c.consents[m.id]
-		v, _ := m.core.Members()
-		s.Agree(m.core.AppliedIndex(), v, len(m.core.confState.GetVotersOutgoing()) > 0)
-		word := s.Tell(c.clock(m.id), m.core.FenceIndex())
-		for _, o := range c.members {
-			if o.id == m.id || c.cutLinks[[2]uint64{m.id, o.id}] || c.rng.Float64() < 0.1 {
-				continue
-			}
-			late := 1
-			if c.rng.Float64() < 0.1 {
-				late += c.rng.IntN(60)
-			}
-			c.messages = append(c.messages, consentMessage{c.tick + late, m.id, o.id, word})
+		consent := c.consents[m.id]
+		voters, _ := m.core.Members()
+		consent.Agree(m.core.AppliedIndex(), voters, m.core.isJoint())
+		c.sendConsentMessage(m, consent.Tell(c.clock(m.id), m.core.FenceIndex()))
+		c.checkConfirmation(m, consent)
+	}
+}
+
+// deliverConsentMessages delivers what has arrived. What was sent to a process that has ended
+// is lost.
+func (c *consentCluster) deliverConsentMessages() {
+	remaining := c.messages[:0:0]
+	for _, message := range c.messages {
+		receiver := c.members[message.to-1]
+		switch {
+		case message.arrivalTick > c.tick:
+			remaining = append(remaining, message)
+		case receiver.core != nil && c.processes[message.to] == receiver.core:
+			c.consents[message.to].Hear(message.from, message.word)
+		}
+	}
+	c.messages = remaining
+}
+
+// restartConsent begins a member's next incarnation.
+func (c *consentCluster) restartConsent(m *simMember) {
+	c.incarnations[m.id]++
+	consent, err := multisite.NewConsent(multisite.ConsentConfig{Me: m.id, Incarnation: c.incarnations[m.id]})
+	if err != nil {
+		c.fatalf("%v", err)
+	}
+	c.consents[m.id] = consent
+	c.processes[m.id] = m.core
+}
+
+// sendConsentMessage sends a message to all other members, which may be lost or late.
+func (c *consentCluster) sendConsentMessage(m *simMember, word multisite.ConsentWord) {
+	for _, other := range c.members {
+		if other.id == m.id || c.cutLinks[link{m.id, other.id}] || c.rng.Float64() < 0.1 {
+			continue
 		}
-		c.checkConfirmation(m, s)
+		delay := 1
+		if c.rng.Float64() < 0.1 {
+			delay += c.rng.IntN(60)
+		}
+		c.messages = append(c.messages, consentMessage{c.tick + delay, m.id, other.id, word})
 	}
 }
 
-// recordCommits notes when entries that change homes were committed, as far as any member knows.
+// recordCommits records when entries that change key owners were committed, as far as any
+// member knows.
 func (c *consentCluster) recordCommits() {
 	for _, m := range c.members {
 		if m.core == nil {
 			continue
 		}
-		for last := m.core.rawNode.BasicStatus().GetCommit(); c.checkedIndex < last; {
+		for commit := m.core.rawNode.BasicStatus().GetCommit(); c.checkedIndex < commit; {
 			c.checkedIndex++
-			if es, err := m.core.raftLog.Entries(c.checkedIndex, c.checkedIndex+1, 1<<30); err == nil && len(es) == 1 && len(es[0].GetData()) > 0 && clusterconfig.MovesHomes(es[0].GetData()) {
+			if movesOwners(m.core, c.checkedIndex) {
 				c.moves = append(c.moves, c.checkedIndex)
 				c.commitTicks[c.checkedIndex] = c.tick
 			}
@@ -93,73 +128,104 @@
 	}
 }
 
-// checkConfirmation checks the promise: no homes were agreed on by the time confirmed behind those in force.
-func (c *consentCluster) checkConfirmation(m *simMember, s *multisite.Consent) {
-	at, ok := s.Confirmed()
+// movesOwners reports whether a member's log has an entry at an index that changes key owners.
+func movesOwners(core *Core, index uint64) bool {
+	entries, err := core.raftLog.Entries(index, index+1, 1<<30)
+	if err != nil || len(entries) != 1 || len(entries[0].GetData()) == 0 {
+		return false
+	}
+	return clusterconfig.MovesHomes(entries[0].GetData())
+}
+
+// checkConfirmation checks the promise: no owners were agreed on, by the time confirmed, after
+// those in force.
+func (c *consentCluster) checkConfirmation(m *simMember, consent *multisite.Consent) {
+	confirmedAt, ok := consent.Confirmed()
 	if !ok {
 		return
 	}
-	tick := int((at - c.clock(m.id)) / time.Millisecond)
-	tick += c.tick
+	confirmedTick := c.tick + int((confirmedAt-c.clock(m.id))/time.Millisecond)
 	for _, index := range c.moves {
-		if index > m.core.AppliedIndex() && c.commitTicks[index] < tick {
-			c.fatalf("member %d has homes of entry %d confirmed as of tick %d; entry %d moved them at tick %d", m.id, m.core.AppliedIndex(), tick, index, c.commitTicks[index])
+		if index > m.core.AppliedIndex() && c.commitTicks[index] < confirmedTick {
+			c.fatalf("member %d has homes of entry %d confirmed as of tick %d; entry %d moved them at tick %d",
+				m.id, m.core.AppliedIndex(), confirmedTick, index, c.commitTicks[index])
 		}
 	}
-	if c.confirmations++; c.tick-tick < 20 && c.reachableCount(m) <= len(c.members)/2 {
+	c.confirmations++
+	if c.tick-confirmedTick < 20 && c.reachableCount(m) <= len(c.members)/2 {
 		c.minorityConfirmations++
 	}
 }
 
-// reachableCount counts the members that one can talk with, itself among them.
-func (c *consentCluster) reachableCount(m *simMember) (n int) {
-	for _, o := range c.members {
-		if o == m || o.core != nil && !c.cutLinks[[2]uint64{m.id, o.id}] && !c.cutLinks[[2]uint64{o.id, m.id}] {
-			n++
+// reachableCount returns the number of members that one can talk with, itself among them.
+func (c *consentCluster) reachableCount(m *simMember) int {
+	count := 0
+	for _, other := range c.members {
+		isCut := c.cutLinks[link{m.id, other.id}] || c.cutLinks[link{other.id, m.id}]
+		if other == m || other.core != nil && !isCut {
+			count++
+		}
+	}
+	return count
+}
+
+// cutSites cuts the members with odd ids from those with even ids, as two sites.
+func (c *consentCluster) cutSites() {
+	for _, a := range c.members {
+		for _, b := range c.members {
+			if a.id%2 != b.id%2 {
+				c.cutLinks[link{a.id, b.id}] = true
+			}
 		}
 	}
-	return n
 }
 
-// Homes that are confirmed by half of an even number of members, or a majority of an odd one, are the newest as of then,
-// while the members are killed, cut from each other (half from half more often than not) and change homes.
+// proposeRandom has a random member, in one tick of five, propose a change: in half of the
+// cases one of key owners.
+func (c *consentCluster) proposeRandom() {
+	m := c.randomMember()
+	if m.core == nil || c.rng.Float64() >= 0.2 {
+		return
+	}
+	c.proposalCount++
+	proposal := putPlanProposal(fmt.Sprint("p", c.proposalCount), 1)
+	if c.rng.IntN(2) == 0 {
+		hall := json.RawMessage(fmt.Sprintf(`{"register":"127.0.0.1:%d"}`, 1+c.proposalCount))
+		proposal.Changes = []clusterconfig.Change{{Op: "put", Kind: "hall", Name: "a", Value: hall}}
+	}
+	m.core.Propose(proposal, func(clusterconfig.Outcome, error) {})
+	c.processReady(m)
+}
+
+// Key owners that are confirmed by half of an even number of members, or a majority of an odd
+// one, are the newest as of then, while the members are killed, cut from each other (half
+// from half more often than not) and change owners.
 func TestConsentUnderPartitions(t *testing.T) {
-	n := 300
+	seedCount := 300
 	if testing.Short() {
-		n = 20
+		seedCount = 20
 	} else if raceEnabled {
-		n = 25
+		seedCount = 25
 	}
-	halves, confirms, moves := 0, 0, 0
-	for seed := range uint64(n) {
-		c := &consentCluster{simCluster: newSimCluster(t, seed, 2+int(seed%4)), incarnations: map[uint64]uint64{}, consents: map[uint64]*multisite.Consent{}, processes: map[uint64]*Core{}, commitTicks: map[uint64]int{}}
-		ids := 0
+	var minorityConfirmations, confirmations, moves int
+	for seed := range uint64(seedCount) {
+		c := newConsentCluster(t, seed, 2+int(seed%4))
 		for c.tick < 500 {
 			c.step()
 			c.exchangeConsent()
-			if k := len(c.members); c.rng.Float64() < 0.01 && k > 2 { // two sites cut from each other
-				for _, a := range c.members {
-					for _, b := range c.members {
-						if a.id%2 != b.id%2 {
-							c.cutLinks[[2]uint64{a.id, b.id}] = true
-						}
-					}
-				}
-			}
-			if m := c.members[c.rng.IntN(len(c.members))]; m.core != nil && c.rng.Float64() < 0.2 {
-				ids++
-				p := planProposal(fmt.Sprint("p", ids), "plan-1")
-				if c.rng.IntN(2) == 0 {
-					p.Changes = []clusterconfig.Change{{Op: "put", Kind: "hall", Name: "a", Value: json.RawMessage(fmt.Sprintf(`{"register":"127.0.0.1:%d"}`, 1+ids))}}
-				}
-				m.core.Propose(p, func(clusterconfig.Outcome, error) {})
-				c.processReady(m)
+			if c.rng.Float64() < 0.01 && len(c.members) > 2 {
+				c.cutSites()
 			}
+			c.proposeRandom()
 		}
-		halves, confirms, moves = halves+c.minorityConfirmations, confirms+c.confirmations, moves+len(c.moves)
+		minorityConfirmations += c.minorityConfirmations
+		confirmations += c.confirmations
+		moves += len(c.moves)
 	}
-	t.Logf("%d seeds: %d changes of homes, %d confirmations, %d of them without a majority in reach", n, moves, confirms, halves)
-	if moves < 5*n || halves < 20*n {
-		t.Errorf("%d changes of homes and %d confirmations without a majority put too little to the test", moves, halves)
+	t.Logf("%d seeds: %d changes of homes, %d confirmations, %d of them without a majority in reach",
+		seedCount, moves, confirmations, minorityConfirmations)
+	if moves < 5*seedCount || minorityConfirmations < 20*seedCount {
+		t.Errorf("%d changes of homes and %d confirmations without a majority put too little to the test",
+			moves, minorityConfirmations)
 	}
 }
