--- a/internal/raftnode/certificate_files.go
+++ b/internal/raftnode/certificate_files.go
@@ -36,7 +36,7 @@
 func roleFilePrefix(role, name string) string { return role + "-" + name }
 
 // Write writes the authority's certificate and key into a directory. An existing file is
-// never overwritten: the error is then [fs.ErrExist].
+// never overwritten: the error is then [os.ErrExist].
 func (a *Authority) Write(dir string) error {
 	key, err := encodePrivateKey(a.key)
 	if err != nil {
--- a/internal/raftnode/doc.go
+++ b/internal/raftnode/doc.go
@@ -1,5 +1,5 @@
-// Package raftnode replicates a cluster's configuration ([clusterconfig.State]) among the
-// gateway instances that are its members, through the Raft protocol (Ongaro and Ousterhout,
+// Package raftnode replicates a cluster's configuration ([mulleinmux/clusterconfig.State])
+// among the gateway instances that are its members, through the Raft protocol (Ongaro and Ousterhout,
 // "In Search of an Understandable Consensus Algorithm", 2014). The protocol itself is
 // go.etcd.io/raft; this package owns all around it: persistence, transport, timers,
 // proposals, linearizable reads, membership changes and the members' certificates.
--- a/internal/raftnode/silent_logger.go
+++ b/internal/raftnode/silent_logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// silentLogger is a [raft.Logger] that logs nothing. Fatal and Panic still panic, as the
-// engine relies on.
+// silentLogger is a logger of the protocol engine that logs nothing. Fatal and Panic still
+// panic, as the engine relies on.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)                   {}
--- a/internal/raftnode/sim_test.go
+++ b/internal/raftnode/sim_test.go
@@ -74,7 +74,7 @@
 // Under kills, cuts, loss, duplicates, reordering and failing fsyncs, all members apply the
 // same entries in the same order, histories are linearizable, none serves on an older version
 // than it has answered on, and soon after the last fault all agree.
-func TestLinearizableUnderFaults(t *testing.T) {
+func TestSeedsAreLinearizable(t *testing.T) {
 	seedCount := 500
 	if testing.Short() {
 		seedCount = 20
