--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -192,7 +192,7 @@
 }
 
 func read(r *http.Request, to any) error {
-	dec := json.NewDecoder(io.LimitReader(r.Body, 2*clusterconfig.MaxProposal))
+	dec := json.NewDecoder(io.LimitReader(r.Body, 2*clusterconfig.MaxProposalBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(to); err != nil {
 		return bad("body: %v", err)
@@ -259,8 +259,8 @@
 	if p.Author = who.Operator; p.Author == "" {
 		p.Author = fmt.Sprint("member ", who.Member)
 	}
-	if p.AtMs == 0 {
-		p.AtMs = time.Now().UnixMilli()
+	if p.ProposedAtMs == 0 {
+		p.ProposedAtMs = time.Now().UnixMilli()
 	}
 	if len(p.ID) == 0 || len(p.ID) > 200 {
 		return nil, bad("id: 1 to 200 bytes are wanted")
@@ -271,9 +271,9 @@
 			return nil, err
 		}
 		if err := s.Check(p); err != nil {
-			return nil, &refusal{http.StatusConflict, clusterconfig.Outcome{Version: s.Version(), Refused: err.Error()}}
+			return nil, &refusal{http.StatusConflict, clusterconfig.Outcome{Version: s.Version(), RejectionReason: err.Error()}}
 		}
-		return clusterconfig.Outcome{Version: s.Version(), Applied: true}, nil
+		return clusterconfig.Outcome{Version: s.Version(), IsApplied: true}, nil
 	}
 	// What can't be is not sent to all members. Whether this member's state is the newest is
 	// for the log to tell: a refusal here counts only if the quorum's state refuses as well.
@@ -295,7 +295,7 @@
 			return outcome(before)
 		}
 		if err := s.Check(p); err != nil {
-			return outcome(clusterconfig.Outcome{Version: s.Version(), Refused: err.Error()})
+			return outcome(clusterconfig.Outcome{Version: s.Version(), RejectionReason: err.Error()})
 		}
 	}
 	o, err := f.node.Propose(ctx, p)
@@ -306,7 +306,7 @@
 }
 
 func outcome(o clusterconfig.Outcome) (any, error) {
-	if !o.Applied {
+	if !o.IsApplied {
 		return nil, &refusal{http.StatusConflict, o}
 	}
 	return o, nil
@@ -422,7 +422,7 @@
 	name := fmt.Sprint(id)
 	c := clusterconfig.Change{Op: "remove", Kind: "member", Name: name}
 	if at != nil {
-		c = clusterconfig.Put("member", name, at)
+		c = clusterconfig.NewPutChange("member", name, at)
 	}
 	s, err := f.node.AppliedState(ctx)
 	if err != nil {
@@ -432,9 +432,9 @@
 		return nil
 	}
 	o, err := f.node.Propose(ctx, &clusterconfig.Proposal{ID: fmt.Sprintf("member-%d-%d", id, time.Now().UnixNano()), Author: fmt.Sprint("member ", f.cfg.Member),
-		Why: "change of members", AtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{c}})
-	if err == nil && !o.Applied {
-		err = bad("%s", o.Refused)
+		Reason: "change of members", ProposedAtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{c}})
+	if err == nil && !o.IsApplied {
+		err = bad("%s", o.RejectionReason)
 	}
 	return err
 }
@@ -442,7 +442,7 @@
 // pass asks the leader instead, once.
 func (f *Fleet) pass(ctx context.Context, leader uint64, r *http.Request, c *MembersChange) (any, error) {
 	f.mu.Lock()
-	at := f.members[leader].Admin
+	at := f.members[leader].AdminAddress
 	f.mu.Unlock()
 	if r.Header.Get("X-Passed") != "" || at == "" {
 		return nil, fmt.Errorf("member %d leads, at %q: ask there", leader, at)
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -159,7 +159,7 @@
 			ln.Close()
 		}
 	}
-	ln, admin := listen("cluster", orElse(cfg.Listen, own.Raft)), listen("admin", orElse(cfg.Admin, own.Admin))
+	ln, admin := listen("cluster", orElse(cfg.Listen, own.RaftAddress)), listen("admin", orElse(cfg.Admin, own.AdminAddress))
 	var followers net.Listener
 	if cfg.Stream != "" {
 		followers = listen("stream", cfg.Stream)
@@ -171,7 +171,7 @@
 	f := &Fleet{cfg: cfg, gate: gate, log: logger, wake: make(chan struct{}, 1), members: maps.Clone(cfg.Members), begun: time.Now()}
 	addrs := map[uint64]string{}
 	for id, m := range cfg.Members {
-		addrs[id] = m.Raft
+		addrs[id] = m.RaftAddress
 	}
 	if followers != nil {
 		f.streams = newStreams(f)
@@ -278,7 +278,7 @@
 		for ctx.Err() == nil {
 			c := confirmation{at: time.Now()}
 			one, cancel := context.WithTimeout(ctx, 2*time.Second)
-			err := f.node.LinearizableRead(one, func(s *clusterconfig.State) { c.state, c.homes = s.Freeze(), s.Homes() })
+			err := f.node.LinearizableRead(one, func(s *clusterconfig.State) { c.state, c.homes = s.Freeze(), s.PlacementVersion() })
 			cancel()
 			if err == nil {
 				select {
@@ -365,7 +365,7 @@
 
 // learnMembers takes over where the members are reached.
 func (f *Fleet) learnMembers(s *clusterconfig.State) {
-	agreed := clusterconfig.Read[clusterconfig.Member](s, "member")
+	agreed := clusterconfig.ObjectsByName[clusterconfig.Member](s, "member")
 	if len(agreed) == 0 {
 		return
 	}
@@ -377,7 +377,7 @@
 	}
 	addrs := map[uint64]string{}
 	for id, m := range f.members {
-		addrs[id] = m.Raft
+		addrs[id] = m.RaftAddress
 	}
 	f.mu.Unlock()
 	f.node.SetPeers(addrs)
--- a/internal/cluster/homes.go
+++ b/internal/cluster/homes.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	change := clusterconfig.Put("lost", c.Hall, clusterconfig.LostHall{Why: c.Why, Part: c.Part})
+	change := clusterconfig.NewPutChange("lost", c.Hall, clusterconfig.LostSite{Reason: c.Why, RecoveredEighths: c.Part})
 	word := "lost"
 	switch {
 	case !c.Lost && c.Part == 0:
@@ -85,13 +85,13 @@
 	case !c.Lost:
 		word = fmt.Sprintf("back with %d of 8 of its keys", c.Part)
 	}
-	p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%s-%v-%d-%d", c.Hall, c.Lost, c.Part, s.Homes()), Author: fmt.Sprint("member ", f.cfg.Member),
-		Why: c.Why, AtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{change}}
+	p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%s-%v-%d-%d", c.Hall, c.Lost, c.Part, s.PlacementVersion()), Author: fmt.Sprint("member ", f.cfg.Member),
+		Reason: c.Why, ProposedAtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{change}}
 	if err := s.Check(p); err != nil {
 		return err
 	}
 	o, err := f.node.Propose(ctx, p)
-	if err == nil && o.Applied {
+	if err == nil && o.IsApplied {
 		f.log.Printf("hall %s is agreed to be %s: %s", c.Hall, word, c.Why)
 	}
 	return err
@@ -116,20 +116,20 @@
 // homesOf are the homes of keys of a state, with the instances whose words on keys count, and which halls are agreed on and
 // lost. Followers tell nothing: as long as there are any, an instance that is never heard stands for them.
 func homesOf(s *clusterconfig.State, instances []uint64) (h multisite.Homes, agreed []multisite.Hall, parts map[string]int) {
-	h = multisite.Homes{Epoch: s.Homes(), Instances: slices.Clone(instances)}
-	if len(clusterconfig.Read[clusterconfig.Follower](s, "follower")) > 0 && !slices.Contains(instances, anyFollower) {
+	h = multisite.Homes{Epoch: s.PlacementVersion(), Instances: slices.Clone(instances)}
+	if len(clusterconfig.ObjectsByName[clusterconfig.Follower](s, "follower")) > 0 && !slices.Contains(instances, anyFollower) {
 		h.Instances = append(h.Instances, anyFollower)
 	}
-	halls := clusterconfig.Read[clusterconfig.Hall](s, "hall")
-	lost := clusterconfig.Read[clusterconfig.LostHall](s, "lost")
+	halls := clusterconfig.ObjectsByName[clusterconfig.Site](s, "hall")
+	lost := clusterconfig.ObjectsByName[clusterconfig.LostSite](s, "lost")
 	parts = map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(halls)) {
 		l, gone := lost[name]
 		if gone {
-			parts[name] = l.Part
+			parts[name] = l.RecoveredEighths
 		}
-		h.Halls = append(h.Halls, multisite.Hall{Name: name, Open: !halls[name].Closed && (!gone || l.Part > 0), Part: l.Part})
-		agreed = append(agreed, multisite.Hall{Name: name, Open: !halls[name].Closed})
+		h.Halls = append(h.Halls, multisite.Hall{Name: name, Open: !halls[name].IsClosed && (!gone || l.RecoveredEighths > 0), Part: l.RecoveredEighths})
+		agreed = append(agreed, multisite.Hall{Name: name, Open: !halls[name].IsClosed})
 	}
 	return h, agreed, parts
 }
--- a/internal/raftnode/consent_test.go
+++ b/internal/raftnode/consent_test.go
@@ -134,7 +134,7 @@
 	if err != nil || len(entries) != 1 || len(entries[0].GetData()) == 0 {
 		return false
 	}
-	return clusterconfig.MovesHomes(entries[0].GetData())
+	return clusterconfig.ChangesPlacement(entries[0].GetData())
 }
 
 // checkConfirmation checks the promise: no owners were agreed on, by the time confirmed, after
--- a/internal/raftnode/fence.go
+++ b/internal/raftnode/fence.go
@@ -33,7 +33,7 @@
 	if entry.GetType() != pb.EntryNormal {
 		return true
 	}
-	return len(entry.GetData()) > 0 && clusterconfig.MovesHomes(entry.GetData())
+	return len(entry.GetData()) > 0 && clusterconfig.ChangesPlacement(entry.GetData())
 }
 
 // updateFence takes the applied entries out of the unapplied ones and publishes the index.
--- a/internal/raftnode/fixture_test.go
+++ b/internal/raftnode/fixture_test.go
@@ -28,7 +28,7 @@
 func TestFixtureFile(t *testing.T) {
 	dir := t.TempDir()
 	fresh := filepath.Join(dir, "fresh.db")
-	text, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: "p1", Changes: []clusterconfig.Change{clusterconfig.Put("plan", "kati", clusterconfig.Plan{Price: 1})}})
+	text, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{ID: "p1", Changes: []clusterconfig.Change{clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 1})}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -20,18 +20,18 @@
 	leader := c.status(1).Leader
 	via := leader%3 + 1
 	for i := range 20 {
-		if o := c.propose(via, putPlanProposal(fmt.Sprint("a", i), i)); !o.Applied || o.Version != uint64(i+1) {
+		if o := c.propose(via, putPlanProposal(fmt.Sprint("a", i), i)); !o.IsApplied || o.Version != uint64(i+1) {
 			t.Fatalf("%+v", o)
 		}
 	}
 	c.stop(leader)
 	stoppedAt := time.Now()
-	if o := c.propose(via, putPlanProposal("b", 1)); !o.Applied || o.Version != 21 {
+	if o := c.propose(via, putPlanProposal("b", 1)); !o.IsApplied || o.Version != 21 {
 		t.Fatalf("after the leader was lost: %+v", o)
 	}
 	t.Logf("the next change was applied %v after the leader was stopped", time.Since(stoppedAt))
 	// A repeated proposal has the outcome that it had.
-	if o := c.propose(via, putPlanProposal("a3", 3)); !o.Applied || o.Version != 4 {
+	if o := c.propose(via, putPlanProposal("a3", 3)); !o.IsApplied || o.Version != 4 {
 		t.Errorf("repeated: %+v", o)
 	}
 	var operators sync.WaitGroup
@@ -94,7 +94,7 @@
 	c.await("ready", isReady)
 	text := strings.Repeat("x", 8<<20)
 	proposal := putDescriptionProposal(t, "a", clusterconfig.Description{File: "d.yaml", Text: text})
-	if o := c.propose(2, proposal); !o.Applied {
+	if o := c.propose(2, proposal); !o.IsApplied {
 		t.Errorf("%+v", o)
 	}
 	c.await("applied everywhere", func(s Status) bool { return s.Version == 1 })
--- a/internal/raftnode/proposals.go
+++ b/internal/raftnode/proposals.go
@@ -20,7 +20,7 @@
 
 // proposeEntry hands a proposal to the engine.
 func (c *Core) proposeEntry(p *clusterconfig.Proposal) error {
-	entry, err := clusterconfig.Encode(p)
+	entry, err := clusterconfig.EncodeProposal(p)
 	if err != nil {
 		return err
 	}
--- a/internal/raftnode/sim_client_test.go
+++ b/internal/raftnode/sim_client_test.go
@@ -100,7 +100,7 @@
 	if c.rng.Float64() < 0.5 {
 		base := client.version
 		client.request.base = int64(base)
-		client.proposal.Base = &base
+		client.proposal.BaseVersion = &base
 	}
 }
 
@@ -123,7 +123,7 @@
 	}
 	core.Propose(client.proposal, func(o clusterconfig.Outcome, err error) {
 		if err == nil && isCurrent() {
-			c.completeRequest(client, registerResponse{version: o.Version, rejected: !o.Applied})
+			c.completeRequest(client, registerResponse{version: o.Version, rejected: !o.IsApplied})
 		}
 	})
 }
@@ -168,8 +168,8 @@
 
 // valueOf returns the register's value in a state.
 func valueOf(s *clusterconfig.State) string {
-	if plan, ok := clusterconfig.Read[clusterconfig.Plan](s, "plan")["x"]; ok {
-		return fmt.Sprintf("plan-%d", int(plan.Price))
+	if plan, ok := clusterconfig.ObjectsByName[clusterconfig.Plan](s, "plan")["x"]; ok {
+		return fmt.Sprintf("plan-%d", int(plan.PriorityFactor))
 	}
 	return ""
 }
--- a/internal/raftnode/sim_cluster_test.go
+++ b/internal/raftnode/sim_cluster_test.go
@@ -267,7 +267,7 @@
 func (c *simCluster) propose(m *simMember, id string) {
 	isApplied := false
 	m.core.Propose(putPlanProposal(id, 1), func(o clusterconfig.Outcome, err error) {
-		if err != nil || !o.Applied {
+		if err != nil || !o.IsApplied {
 			c.fatalf("%s: %+v, %v", id, o, err)
 		}
 		isApplied = true
--- a/internal/raftnode/transport_test.go
+++ b/internal/raftnode/transport_test.go
@@ -75,7 +75,7 @@
 	if s := c.status(1); s.Leader == 0 {
 		t.Errorf("%+v", s)
 	}
-	if o := c.propose(1, putPlanProposal("a", 1)); !o.Applied {
+	if o := c.propose(1, putPlanProposal("a", 1)); !o.IsApplied {
 		t.Errorf("%+v", o)
 	}
 }
@@ -107,7 +107,7 @@
 		t.Fatal("a member with an old copy goes on")
 	}
 	c.checkHelloIsRemembered(other, id)
-	if o := c.propose(other, putPlanProposal("b", 1)); !o.Applied {
+	if o := c.propose(other, putPlanProposal("b", 1)); !o.IsApplied {
 		t.Errorf("the others: %+v", o)
 	}
 	c.stop(id)
