--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -115,12 +115,12 @@
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureWordOnKeys(t *testing.T) {
 	var out bytes.Buffer
-	full := multisite.Message{From: 1, Incarnation: 2, Seq: 3, Age: 4, Epoch: 5, Sent: []multisite.Sent{{Key: 6, Hall: "hall-a", Ago: 7}}, Full: true, Life: 8,
-		Views: []multisite.View{{Hall: "hall-a", Silent: true, For: 9, Carry: 1.5}, {Hall: "hall-b", For: -1, Far: true}},
-		Ramp: &multisite.RampWord{Ask: 10, Carried: []multisite.Carried{{Hall: "hall-a", Rate: 2.5, Util: 0.5}}, Asks: []multisite.RampAsk{{Hall: "hall-b", Share: 0.25}},
-			Grants: []multisite.RampGrant{{Hall: "hall-b", To: 11, Ask: 12, Share: 0.125}}},
-		Consent: &multisite.ConsentWord{Ask: 13, Fence: 14, Heard: []multisite.ConsentAnswer{{Of: 15, Ask: 16}}}}
-	all := []multisite.Message{{}, full, {Ramp: &multisite.RampWord{}, Consent: &multisite.ConsentWord{}}}
+	full := multisite.Message{From: 1, Incarnation: 2, SequenceNumber: 3, Uptime: 4, Epoch: 5, SentKeys: []multisite.SentKey{{Key: 6, Site: "hall-a", SinceFirstSend: 7}}, HasUnrecordedKeys: true, KeyTTL: 8,
+		Views: []multisite.SiteView{{Site: "hall-a", IsSilent: true, Duration: 9, Capacity: 1.5}, {Site: "hall-b", Duration: -1, IsRemote: true}},
+		Ramp: &multisite.RampMessage{RequestID: 10, Loads: []multisite.WarmLoad{{Site: "hall-a", Rate: 2.5, Utilization: 0.5}}, Requests: []multisite.ShareRequest{{Site: "hall-b", Share: 0.25}},
+			Grants: []multisite.ShareGrant{{Site: "hall-b", Borrower: 11, RequestID: 12, Share: 0.125}}},
+		Confirmation: &multisite.ConfirmationMessage{RequestID: 13, Fence: 14, Answers: []multisite.ConfirmationAnswer{{Requester: 15, RequestID: 16}}}}
+	all := []multisite.Message{{}, full, {Ramp: &multisite.RampMessage{}, Confirmation: &multisite.ConfirmationMessage{}}}
 	for _, m := range all {
 		if err := json.NewEncoder(&out).Encode(&m); err != nil {
 			t.Fatal(err)
--- a/internal/raftnode/consent_test.go
+++ b/internal/raftnode/consent_test.go
@@ -14,10 +14,10 @@
 // the same faulty network.
 type consentCluster struct {
 	*simCluster
-	incarnations map[uint64]uint64             // by member id
-	consents     map[uint64]*multisite.Consent // by member id
-	processes    map[uint64]*Core              // that the consents belong to
-	messages     []consentMessage              // on their way
+	incarnations map[uint64]uint64                        // by member id
+	consents     map[uint64]*multisite.QuorumConfirmation // by member id
+	processes    map[uint64]*Core                         // that the consents belong to
+	messages     []consentMessage                         // on their way
 
 	moves        []uint64       // indexes of the committed entries that change key owners
 	commitTicks  map[uint64]int // by index of the moves
@@ -32,14 +32,14 @@
 type consentMessage struct {
 	arrivalTick int
 	from, to    uint64
-	word        multisite.ConsentWord
+	word        multisite.ConfirmationMessage
 }
 
 func newConsentCluster(t testing.TB, seed uint64, memberCount int) *consentCluster {
 	return &consentCluster{
 		simCluster:   newSimCluster(t, seed, memberCount),
 		incarnations: map[uint64]uint64{},
-		consents:     map[uint64]*multisite.Consent{},
+		consents:     map[uint64]*multisite.QuorumConfirmation{},
 		processes:    map[uint64]*Core{},
 		commitTicks:  map[uint64]int{},
 	}
@@ -64,8 +64,8 @@
 		}
 		consent := c.consents[m.id]
 		voters, _ := m.core.Members()
-		consent.Agree(m.core.AppliedIndex(), voters, m.core.isJoint())
-		c.sendConsentMessage(m, consent.Tell(c.clock(m.id), m.core.FenceIndex()))
+		consent.ApplyAgreed(m.core.AppliedIndex(), voters, m.core.isJoint())
+		c.sendConsentMessage(m, consent.NextBroadcast(c.clock(m.id), m.core.FenceIndex()))
 		c.checkConfirmation(m, consent)
 	}
 }
@@ -80,7 +80,7 @@
 		case message.arrivalTick > c.tick:
 			remaining = append(remaining, message)
 		case receiver.core != nil && c.processes[message.to] == receiver.core:
-			c.consents[message.to].Hear(message.from, message.word)
+			c.consents[message.to].Receive(message.from, message.word)
 		}
 	}
 	c.messages = remaining
@@ -89,7 +89,7 @@
 // restartConsent begins a member's next incarnation.
 func (c *consentCluster) restartConsent(m *simMember) {
 	c.incarnations[m.id]++
-	consent, err := multisite.NewConsent(multisite.ConsentConfig{Me: m.id, Incarnation: c.incarnations[m.id]})
+	consent, err := multisite.NewQuorumConfirmation(multisite.ConfirmationConfig{InstanceID: m.id, Incarnation: c.incarnations[m.id]})
 	if err != nil {
 		c.fatalf("%v", err)
 	}
@@ -98,7 +98,7 @@
 }
 
 // sendConsentMessage sends a message to all other members, which may be lost or late.
-func (c *consentCluster) sendConsentMessage(m *simMember, word multisite.ConsentWord) {
+func (c *consentCluster) sendConsentMessage(m *simMember, word multisite.ConfirmationMessage) {
 	for _, other := range c.members {
 		if other.id == m.id || c.cutLinks[link{m.id, other.id}] || c.rng.Float64() < 0.1 {
 			continue
@@ -139,8 +139,8 @@
 
 // checkConfirmation checks the promise: no owners were agreed on, by the time confirmed, after
 // those in force.
-func (c *consentCluster) checkConfirmation(m *simMember, consent *multisite.Consent) {
-	confirmedAt, ok := consent.Confirmed()
+func (c *consentCluster) checkConfirmation(m *simMember, consent *multisite.QuorumConfirmation) {
+	confirmedAt, ok := consent.ConfirmedAt()
 	if !ok {
 		return
 	}
