--- a/multisite/health_test.go
+++ b/multisite/health_test.go
@@ -309,6 +309,7 @@
 	if testing.Short() || raceEnabled {
 		seeds = 60
 	}
+	changes, losses := 0, 0
 	for seed := range seeds {
 		w := newHealthWorld(seed, 3+int(seed%3), "a", "b", "c")
 		if seed%2 == 1 { // two sites; c is reached from both
@@ -335,6 +336,7 @@
 		}
 		// Holds of 1, 2, 4, 8, 8 ... s while losses are of late: 10 in a minute at the most.
 		for hall, n := range w.lossOf {
+			losses += n
 			if n > 10 {
 				t.Errorf("seed %d: %s was lost %d times in a minute", seed, hall, n)
 			}
@@ -358,7 +360,9 @@
 		if t.Failed() {
 			return
 		}
+		changes += w.changes
 	}
+	t.Logf("%d seeds: %d changes, %d losses", seeds, changes, losses)
 }
 
 // A hall of one site is lost when those that reach it say so, to the others as well; not when the way between the sites
--- a/multisite/ramp_test.go
+++ b/multisite/ramp_test.go
@@ -152,6 +152,7 @@
 			}
 		}
 	}
+	t.Logf("%d seeds: the whole was in use in %d steps", seeds, full)
 	if full < seeds*8 {
 		t.Errorf("the whole was in use in %d steps of %d alone: nothing was put to the test", full, seeds*150)
 	}
