--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -124,14 +124,14 @@
 		disk = cfg.Disk(bolt)
 	}
 	if !cfg.KeysAnywhere {
-		gate.Keys = &multisite.Config{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
+		gate.Keys = &multisite.KeyConfig{InstanceID: cfg.Member, Incarnation: bolt.Starts(), LeaseTTL: keyLease, KeyTTL: keyLife, DeduplicationWindow: keyMemory, MaxKeys: keysMost}
 	}
 	if gate.Keys != nil {
-		gate.Health = &multisite.HealthConfig{Me: cfg.Member, Least: hallLeast, LostAfter: hallLost, Fresh: hallFresh, Hold: hallHold,
-			HoldMost: hallHoldMost, Calm: hallCalm, Ramp: gate.Settings.SlowStartWindow}
-		gate.Consent = &multisite.ConsentConfig{Me: cfg.Member, Incarnation: bolt.Starts()}
+		gate.Health = &multisite.HealthConfig{InstanceID: cfg.Member, MinMisses: hallLeast, LossTimeout: hallLost, ViewTTL: hallFresh, RecoveryDelay: hallHold,
+			MaxRecoveryDelay: hallHoldMost, LossWindow: hallCalm, WarmUpWindow: gate.Settings.SlowStartWindow}
+		gate.Consent = &multisite.ConfirmationConfig{InstanceID: cfg.Member, Incarnation: bolt.Starts()}
 		if gate.Settings.ColdOverloadMultiple > 0 && gate.Settings.SlowStartWindow > 0 {
-			gate.Ramp = &multisite.RampConfig{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: rampLease, Fresh: hallFresh, Multiple: gate.Settings.ColdBudgetMultiple()}
+			gate.Ramp = &multisite.RampConfig{InstanceID: cfg.Member, Incarnation: bolt.Starts(), LoanTTL: rampLease, LoadTTL: hallFresh, BudgetMultiple: gate.Settings.ColdBudgetMultiple()}
 		}
 	}
 	if l := gate.Link; l != nil {
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -130,7 +130,7 @@
 		logger.Printf("follower %s: nothing is kept in %s: waits for a version that a quorum confirms", cfg.Name, cfg.Data)
 	}
 	if !cfg.KeysAnywhere {
-		gate.Keys = &multisite.Config{Me: anyFollower, Incarnation: disk.Starts, Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
+		gate.Keys = &multisite.KeyConfig{InstanceID: anyFollower, Incarnation: disk.Starts, LeaseTTL: keyLease, KeyTTL: keyLife, DeduplicationWindow: keyMemory, MaxKeys: keysMost}
 	}
 	if gate.Agreed == nil {
 		gate.Agreed = &gateway.Agreed{}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -42,13 +42,13 @@
 	Agreed *Agreed
 
 	// Keys, if set, keeps a keyed request to the hall that package sites gives it.
-	Keys *multisite.Config
+	Keys *multisite.KeyConfig
 
 	// Health, if set, has the instance judge the halls: see package sites.
 	Health *multisite.HealthConfig
 
 	// Consent, if set, has homes of keys confirmed by as many voters as no new homes can do without.
-	Consent *multisite.ConsentConfig
+	Consent *multisite.ConfirmationConfig
 
 	// Ramp, if set, has the instances share out what cold servers may be sent: see package sites.
 	Ramp *multisite.RampConfig
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -435,7 +435,7 @@
 	h := newHalls(t)
 	h.server("hall-a", "s1")
 	r := start(t, h, 1, func(c *Config) {
-		c.Keys = &multisite.Config{Me: 1, Incarnation: 1, Lease: time.Second, Life: time.Second, Memory: time.Second, Most: 10}
+		c.Keys = &multisite.KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: time.Second, KeyTTL: time.Second, DeduplicationWindow: time.Second, MaxKeys: 10}
 	})
 	f := &front{in: r.Instance}
 	number := func(body string, fields ...string) uint64 {
--- /dev/null
+++ b/multisite/execution_status.go
@@ -0,0 +1,31 @@
+package multisite
+
+// ExecutionStatus is what a site can say of a request that was forwarded to it.
+type ExecutionStatus int
+
+// The statuses of a forwarded request. Their texts are sent between sites.
+const (
+	// NeverExecuted: it did not run here and never will; if it still arrives it is rejected.
+	NeverExecuted ExecutionStatus = iota
+	// Executing: it has arrived and has no final answer yet.
+	Executing
+	// Executed: it was served; its answer may have been retained.
+	Executed
+	// ExecutionUnknown: it may have run.
+	ExecutionUnknown
+)
+
+// String returns the text that is sent between sites.
+func (s ExecutionStatus) String() string {
+	return [...]string{"never", "underway", "ran", "unknown"}[s]
+}
+
+// ParseExecutionStatus is the inverse of [ExecutionStatus.String]; a text that it does not know is ExecutionUnknown.
+func ParseExecutionStatus(text string) ExecutionStatus {
+	for s := NeverExecuted; s < ExecutionUnknown; s++ {
+		if s.String() == text {
+			return s
+		}
+	}
+	return ExecutionUnknown
+}
--- /dev/null
+++ b/multisite/health_monitor.go
@@ -0,0 +1,212 @@
+package multisite
+
+import (
+	"errors"
+	"slices"
+	"strings"
+	"time"
+)
+
+// HealthConfig holds what a [HealthMonitor] needs to know of its instance.
+type HealthConfig struct {
+	InstanceID       uint64
+	MinMisses        int           // attempts or health checks in a row without an answer that count as silence
+	LossTimeout      time.Duration // silence to a majority for so long is a loss
+	ViewTTL          time.Duration // another instance's view is out of date after this
+	RecoveryDelay    time.Duration // for which a lost site must answer before it counts as recovered
+	MaxRecoveryDelay time.Duration // that RecoveryDelay grows to
+	LossWindow       time.Duration // after which a loss no longer lengthens RecoveryDelay
+	WarmUpWindow     time.Duration // for which a recovered site counts as warming up
+}
+
+// HealthMonitor is one instance's view of the health of all sites. What it proposes follows from the views of a
+// majority of the members, so that a fault near one instance moves no keys.
+//
+// It is not safe for concurrent use.
+type HealthMonitor struct {
+	cfg      HealthConfig
+	members  []uint64
+	sites    map[string]*agreedSite
+	own      map[string]*ownObservation
+	isRemote map[string]bool // sites that this instance reaches only through others
+	peers    map[uint64]map[string]observation
+	heardAt  map[uint64]time.Duration // when a member last announced its views
+}
+
+// agreedSite is what was agreed on of a site.
+type agreedSite struct {
+	isClosed    bool
+	isLost      bool // it owns only a part of its keys: keyEighths of them, or none
+	keyEighths  int
+	changedAt   time.Duration   // when keyEighths last changed
+	lossTimes   []time.Duration // within LossWindow
+	recoveredAt time.Duration   // when the last loss ended; 0: there was none
+}
+
+// hasNoKeys tells whether the site was lost and has not begun to recover.
+func (a *agreedSite) hasNoKeys() bool { return a.isLost && a.keyEighths == 0 }
+
+// NewHealthMonitor returns a monitor without sites. An error names the figure that is out of range.
+func NewHealthMonitor(cfg HealthConfig) (*HealthMonitor, error) {
+	if cfg.MinMisses < 1 || cfg.LossTimeout <= 0 || cfg.ViewTTL <= 0 || cfg.RecoveryDelay <= 0 ||
+		cfg.MaxRecoveryDelay < cfg.RecoveryDelay {
+		return nil, errors.New("multisite: MinMisses, LossTimeout, ViewTTL and RecoveryDelay must be above 0, " +
+			"MaxRecoveryDelay at least RecoveryDelay")
+	}
+	return &HealthMonitor{
+		cfg:      cfg,
+		sites:    map[string]*agreedSite{},
+		own:      map[string]*ownObservation{},
+		isRemote: map[string]bool{},
+		peers:    map[uint64]map[string]observation{},
+		heardAt:  map[uint64]time.Duration{},
+	}, nil
+}
+
+// ApplyAgreed takes over what is agreed on: the sites, of which the open ones are not closed by operators; the lost
+// ones with the eighths of their keys that they take again; and the members.
+func (h *HealthMonitor) ApplyAgreed(now time.Duration, sites []Site, lost map[string]int, members []uint64) {
+	h.members = slices.Clone(members)
+	isListed := map[string]bool{}
+	for _, site := range sites {
+		isListed[site.Name] = true
+		agreed := h.sites[site.Name]
+		if agreed == nil {
+			agreed = &agreedSite{}
+			h.sites[site.Name] = agreed
+		}
+		agreed.isClosed = !site.IsOpen
+		keyEighths, isLost := lost[site.Name]
+		agreed.update(now, isLost, keyEighths)
+	}
+	for name := range h.sites {
+		if !isListed[name] {
+			delete(h.sites, name)
+			delete(h.own, name)
+		}
+	}
+	for member := range h.peers {
+		if !slices.Contains(members, member) {
+			delete(h.peers, member)
+			delete(h.heardAt, member)
+		}
+	}
+}
+
+func (a *agreedSite) update(now time.Duration, isLost bool, keyEighths int) {
+	if isLost && keyEighths == 0 && !a.hasNoKeys() {
+		a.lossTimes = append(a.lossTimes, now)
+	}
+	if keyEighths != a.keyEighths {
+		a.changedAt = now
+	}
+	if !isLost && a.isLost {
+		a.recoveredAt = now
+	}
+	a.isLost, a.keyEighths = isLost, keyEighths
+}
+
+// SetRemote tells whether this instance reaches a site only through another site's instances. What it observes of the
+// site then says as much of the path as of the site.
+func (h *HealthMonitor) SetRemote(site string, isRemote bool) {
+	h.isRemote[site] = isRemote
+	if o := h.ownObservation(site); o != nil {
+		o.isRemote = isRemote
+	}
+}
+
+// RecordAnswer notes an answer of any kind from a site.
+func (h *HealthMonitor) RecordAnswer(now time.Duration, site string) {
+	if o := h.ownObservation(site); o != nil {
+		o.recordAnswer(now)
+	}
+}
+
+// RecordMiss notes that what was sent to a site at a time was not answered.
+func (h *HealthMonitor) RecordMiss(now time.Duration, site string, sentAt time.Duration) {
+	if o := h.ownObservation(site); o != nil {
+		o.recordMiss(now, sentAt, h.cfg.MinMisses)
+	}
+}
+
+// RecordCapacity notes the capacity of a site, in warm servers.
+func (h *HealthMonitor) RecordCapacity(site string, warmServers float64) {
+	if o := h.ownObservation(site); o != nil {
+		o.capacity = warmServers
+	}
+}
+
+// ownObservation is this instance's observation of a site; nil for a site that is not agreed on.
+func (h *HealthMonitor) ownObservation(site string) *ownObservation {
+	o := h.own[site]
+	if o == nil && h.sites[site] != nil {
+		o = &ownObservation{}
+		h.own[site] = o
+	}
+	return o
+}
+
+// Views returns what to announce to the other instances, by the sites' names.
+func (h *HealthMonitor) Views(now time.Duration) (views []SiteView) {
+	for site, o := range h.own {
+		if o.isCurrent(now, h.cfg.ViewTTL) {
+			views = append(views, SiteView{
+				Site:     site,
+				IsSilent: o.isSilent,
+				Duration: max(now-o.since, 0),
+				Capacity: o.capacity,
+				IsRemote: o.isRemote,
+			})
+		} else if o.isRemote { // it follows those that know
+			views = append(views, SiteView{Site: site, Duration: -1, IsRemote: true})
+		}
+	}
+	slices.SortFunc(views, func(a, b SiteView) int { return strings.Compare(a.Site, b.Site) })
+	return views
+}
+
+// Receive takes in what another member announced.
+func (h *HealthMonitor) Receive(now time.Duration, from uint64, views []SiteView) {
+	if from == h.cfg.InstanceID || !slices.Contains(h.members, from) {
+		return
+	}
+	observations := make(map[string]observation, len(views))
+	for _, v := range views {
+		if h.sites[v.Site] == nil {
+			continue
+		}
+		observations[v.Site] = observation{
+			isKnown:    v.Duration >= 0,
+			isSilent:   v.IsSilent,
+			since:      now - v.Duration,
+			observedAt: now,
+			capacity:   v.Capacity,
+			isRemote:   v.IsRemote,
+		}
+	}
+	h.peers[from], h.heardAt[from] = observations, now
+}
+
+// State tells what this instance makes of a site.
+func (h *HealthMonitor) State(now time.Duration, site string) SiteState {
+	agreed := h.sites[site]
+	if agreed == nil {
+		return SiteHealthy
+	}
+	votes := h.votes(now, site, 0, 0)
+	own := h.own[site]
+	switch {
+	case agreed.hasNoKeys() && h.isMajority(votes.answering):
+		return SiteRecovering
+	case agreed.hasNoKeys():
+		return SiteLost
+	case own != nil && own.isSilent && own.isCurrent(now, h.cfg.ViewTTL):
+		if now-own.since >= h.cfg.LossTimeout && !h.isMajority(votes.silent) {
+			return SitePartitioned
+		}
+		return SiteSuspected
+	case agreed.isLost, agreed.recoveredAt > 0 && now-agreed.recoveredAt < h.cfg.WarmUpWindow:
+		return SiteWarmingUp
+	}
+	return SiteHealthy
+}
--- /dev/null
+++ b/multisite/key_lifetimes.go
@@ -0,0 +1,69 @@
+package multisite
+
+import (
+	"slices"
+	"time"
+)
+
+// lifetimes are a key TTL and a deduplication window that were in force.
+type lifetimes struct {
+	keyTTL              time.Duration
+	deduplicationWindow time.Duration
+	until               time.Duration // they count until then
+}
+
+// SetLifetimes changes for how long clients repeat keys and for how long sites remember them. A longer TTL and a
+// shorter deduplication window count at once; the TTL in force before counts until nothing that was sent by it can
+// arrive any more. Other instances may go by it for longer: each announces its own TTL, and the longest counts.
+func (k *KeyTable) SetLifetimes(now, keyTTL, deduplicationWindow time.Duration) {
+	if keyTTL <= 0 || deduplicationWindow <= 0 {
+		return
+	}
+	if keyTTL == k.cfg.KeyTTL && deduplicationWindow == k.cfg.DeduplicationWindow {
+		return
+	}
+	k.previousLifetimes = append(k.previousLifetimes, lifetimes{
+		keyTTL:              k.cfg.KeyTTL,
+		deduplicationWindow: k.cfg.DeduplicationWindow,
+		until:               now + k.cfg.LeaseTTL + k.cfg.KeyTTL,
+	})
+	k.cfg.KeyTTL, k.cfg.DeduplicationWindow = keyTTL, deduplicationWindow
+}
+
+// ownKeyTTL is the longest TTL of the keys that this instance has sent recently.
+func (k *KeyTable) ownKeyTTL(now time.Duration) time.Duration {
+	k.previousLifetimes = slices.DeleteFunc(k.previousLifetimes, func(l lifetimes) bool { return now >= l.until })
+	ttl := k.cfg.KeyTTL
+	for _, l := range k.previousLifetimes {
+		ttl = max(ttl, l.keyTTL)
+	}
+	return ttl
+}
+
+// maxKeyTTL is the longest TTL over all instances, as far as they have announced theirs.
+func (k *KeyTable) maxKeyTTL(now time.Duration) time.Duration {
+	ttl := k.ownKeyTTL(now)
+	for _, p := range k.peers {
+		ttl = max(ttl, p.keyTTL)
+	}
+	return ttl
+}
+
+// minDeduplicationWindow is for how long every site can be trusted to remember a key.
+func (k *KeyTable) minDeduplicationWindow() time.Duration {
+	window := k.cfg.DeduplicationWindow
+	for _, l := range k.previousLifetimes {
+		window = min(window, l.deduplicationWindow)
+	}
+	return window
+}
+
+// retention is for how long a key stays in the ledger: while its site remembers it and, after that, as long as its
+// client may repeat it.
+func (k *KeyTable) retention(now time.Duration) time.Duration {
+	window := k.cfg.DeduplicationWindow
+	for _, l := range k.previousLifetimes {
+		window = max(window, l.deduplicationWindow)
+	}
+	return window + k.maxKeyTTL(now)
+}
--- /dev/null
+++ b/multisite/key_routing.go
@@ -0,0 +1,64 @@
+package multisite
+
+import (
+	"slices"
+	"time"
+)
+
+// unknownEndDelay is when to retry where routing may become possible at any moment.
+const unknownEndDelay = 100 * time.Millisecond
+
+// RoutingDecision says where a request may go.
+type RoutingDecision struct {
+	Site       string        // empty: nowhere
+	RetryAfter time.Duration // without a site: after which a retry may help; 0: never
+	Reason     string        // without a site: why, for the access log
+}
+
+// Route tells where a request with a key may go now. [KeyTable.BeginAttempt] asks again before each attempt.
+func (k *KeyTable) Route(now time.Duration, key uint64) RoutingDecision {
+	switch {
+	case k.epoch == nil || !slices.Contains(k.epoch.Instances, k.cfg.InstanceID):
+		return RoutingDecision{RetryAfter: k.cfg.LeaseTTL, Reason: "this instance has no part in the homes"}
+	case !k.hasLease(now):
+		return RoutingDecision{RetryAfter: unknownEndDelay, Reason: "the homes are not confirmed"}
+	}
+	if entry, isKnown := k.ledger.entries[key]; isKnown {
+		return k.routeSentKey(now, entry)
+	}
+	return k.routeNewKey(now, key)
+}
+
+// routeSentKey sends a key that may have run to the same site or nowhere.
+func (k *KeyTable) routeSentKey(now time.Duration, entry ledgerEntry) RoutingDecision {
+	site := k.ledger.siteNames[entry.site]
+	switch {
+	case now-entry.firstSentAt > k.minDeduplicationWindow():
+		return RoutingDecision{Reason: "it may have run so long ago that its hall no longer knows it"}
+	case !k.epoch.isOpen(site):
+		return RoutingDecision{
+			RetryAfter: k.cfg.LeaseTTL,
+			Reason:     "it may have run at " + site + ", which takes no keys",
+		}
+	}
+	return RoutingDecision{Site: site}
+}
+
+// routeNewKey sends a key that is not in the ledger to its owner, once no other site can have it.
+func (k *KeyTable) routeNewKey(now time.Duration, key uint64) RoutingDecision {
+	owner := k.epoch.owner(key)
+	if owner == "" {
+		return RoutingDecision{RetryAfter: k.cfg.LeaseTTL, Reason: "no hall takes keys"}
+	}
+	k.dropEndedEpochs(now)
+	for _, previous := range k.previousEpochs {
+		if previous.hasOwner(key, owner) || k.hasHeardAll(now, previous.epoch) {
+			continue
+		}
+		return RoutingDecision{
+			RetryAfter: min(unknownEndDelay, previous.endedAt+k.cfg.LeaseTTL+k.maxKeyTTL(now)-now),
+			Reason:     "its home has moved, and it may have been sent to the old one",
+		}
+	}
+	return RoutingDecision{Site: owner}
+}
--- /dev/null
+++ b/multisite/ownership.go
@@ -0,0 +1,70 @@
+package multisite
+
+import (
+	"slices"
+
+	"mulleinmux/internal/splitmix"
+)
+
+// Constants of the 64-bit FNV-1a hash (Fowler, Noll and Vo).
+const (
+	fnvOffset64 = 14695981039346656037
+	fnvPrime64  = 1099511628211
+)
+
+// hashEighthShift reduces a 64-bit hash to its upper three bits: one of eight equal parts.
+const hashEighthShift = 61
+
+// OwnershipEpoch is an agreed assignment of keys to sites.
+type OwnershipEpoch struct {
+	Number    uint64 // a later epoch has a higher number
+	Sites     []Site // in any order
+	Instances []uint64
+}
+
+func (e *OwnershipEpoch) clone() *OwnershipEpoch {
+	return &OwnershipEpoch{
+		Number:    e.Number,
+		Sites:     slices.Clone(e.Sites),
+		Instances: slices.Clone(e.Instances),
+	}
+}
+
+// owner is the open site with the highest weight for a key among those that take it; empty if no site is open. A
+// recovering site takes a part of its keys: the same ones as with a smaller part, and more. What it does not take yet
+// goes to the next site by weight. The arithmetic is exact, as all instances must find the same owner.
+func (e *OwnershipEpoch) owner(key uint64) string {
+	best, bestWeight, bestTakes := "", uint64(0), false
+	for i := range e.Sites {
+		site := &e.Sites[i]
+		if !site.IsOpen {
+			continue
+		}
+		weight := rendezvousWeight(site.Name, key)
+		takes := site.takes(key)
+		isHeavier := weight > bestWeight || weight == bestWeight && site.Name < best
+		if best == "" || takes && !bestTakes || takes == bestTakes && isHeavier {
+			best, bestWeight, bestTakes = site.Name, weight, takes
+		}
+	}
+	return best
+}
+
+func (e *OwnershipEpoch) isOpen(name string) bool {
+	return slices.ContainsFunc(e.Sites, func(site Site) bool { return site.Name == name && site.IsOpen })
+}
+
+// takes tells whether a key is in the part of its keys that a site takes. The key's complement is hashed, so that the
+// part does not depend on the weight.
+func (s *Site) takes(key uint64) bool {
+	return s.KeyEighths == 0 || int(rendezvousWeight(s.Name, ^key)>>hashEighthShift) < s.KeyEighths
+}
+
+// rendezvousWeight mixes a site's name (by FNV-1a) with a key.
+func rendezvousWeight(name string, key uint64) uint64 {
+	hash := uint64(fnvOffset64)
+	for i := range len(name) {
+		hash = (hash ^ uint64(name[i])) * fnvPrime64
+	}
+	return splitmix.Mix(hash ^ key)
+}
--- /dev/null
+++ b/multisite/quorum_confirmation.go
@@ -0,0 +1,158 @@
+package multisite
+
+import (
+	"cmp"
+	"errors"
+	"slices"
+	"time"
+)
+
+// QuorumConfirmation confirms the ownership epoch in force without a leader. A new epoch needs a majority of the voters
+// to have it in their logs, so that n-q+1 of n voters, where q are a majority, are enough to say that there is none:
+// one of them would have it. For an odd number that is a majority again; of an even number it is one half. So two sites
+// with as many voters each, partitioned from each other, both go on with the keys that they own, and neither can move
+// any: that takes more than half.
+//
+// A voter announces its fence, which is the last entry of its log that changes sites or voters, committed or not, and
+// which request of each other voter it had received before it looked. So its word holds for the time of that request,
+// by the requester's clock; no two clocks are compared. A voter must announce an entry before it acknowledges the entry
+// to a leader.
+//
+// It is not safe for concurrent use.
+type QuorumConfirmation struct {
+	cfg      ConfirmationConfig
+	index    uint64 // of the log entry whose sites and voters are in force
+	voters   []uint64
+	isJoint  bool
+	requests requestIDs
+	own      fenceReport
+	peers    map[uint64]peerConfirmation
+}
+
+// ConfirmationConfig holds what a [QuorumConfirmation] needs to know of its instance.
+type ConfirmationConfig struct {
+	InstanceID  uint64
+	Incarnation uint64 // of this process: above those of the processes before it, below maxIncarnation
+}
+
+// ConfirmationMessage is the part of a [Message] for a [QuorumConfirmation]. Its JSON is read by instances of other
+// versions.
+type ConfirmationMessage struct {
+	RequestID uint64               `json:"Ask"`
+	Fence     uint64               `json:"Fence"` // index of the last entry of its log that changes sites or voters
+	Answers   []ConfirmationAnswer `json:"Heard,omitempty"`
+}
+
+// ConfirmationAnswer names the newest request of another instance that one has received.
+type ConfirmationAnswer struct {
+	Requester uint64 `json:"Of"`
+	RequestID uint64 `json:"Ask"`
+}
+
+// fenceReport is a voter's fence as of a time.
+type fenceReport struct {
+	fence   uint64
+	at      time.Duration
+	isKnown bool
+}
+
+// peerConfirmation is what another voter has announced.
+type peerConfirmation struct {
+	report            fenceReport // with the newest of this instance's requests that it answers
+	lastRequestID     uint64      // of its own requests
+	answeredRequestID uint64      // of this instance's requests
+}
+
+// maxIncarnation is above all incarnations, so that request IDs stay below 1<<63.
+const maxIncarnation = 1 << 31
+
+// NewQuorumConfirmation returns a confirmation without voters. An error names the figure that is out of range.
+func NewQuorumConfirmation(cfg ConfirmationConfig) (*QuorumConfirmation, error) {
+	if cfg.InstanceID == 0 || cfg.Incarnation >= maxIncarnation {
+		return nil, errors.New("multisite: InstanceID must be above 0 and Incarnation below 1<<31")
+	}
+	return &QuorumConfirmation{
+		cfg:      cfg,
+		requests: newRequestIDs(cfg.Incarnation),
+		peers:    map[uint64]peerConfirmation{},
+	}, nil
+}
+
+// ApplyAgreed takes over what is in force: the voters as of an entry of the log. While voters change in two steps
+// (joint consensus) nothing is confirmed here.
+func (c *QuorumConfirmation) ApplyAgreed(index uint64, voters []uint64, isJoint bool) {
+	if index < c.index {
+		return
+	}
+	c.index, c.voters, c.isJoint = index, slices.Clone(voters), isJoint
+	for id := range c.peers {
+		if !slices.Contains(voters, id) {
+			delete(c.peers, id)
+		}
+	}
+}
+
+// NextBroadcast returns what to send to the other voters; fence is this instance's own, read now or later.
+func (c *QuorumConfirmation) NextBroadcast(now time.Duration, fence uint64) ConfirmationMessage {
+	c.own = fenceReport{fence: fence, at: now, isKnown: true}
+	m := ConfirmationMessage{RequestID: c.requests.next(now), Fence: fence}
+	for id, p := range c.peers {
+		m.Answers = append(m.Answers, ConfirmationAnswer{id, p.lastRequestID})
+	}
+	slices.SortFunc(m.Answers, func(a, b ConfirmationAnswer) int { return cmp.Compare(a.Requester, b.Requester) })
+	return m
+}
+
+// Receive takes in another voter's message.
+func (c *QuorumConfirmation) Receive(from uint64, m ConfirmationMessage) {
+	if from == c.cfg.InstanceID || !slices.Contains(c.voters, from) {
+		return
+	}
+	p := c.peers[from]
+	p.lastRequestID = max(p.lastRequestID, m.RequestID)
+	for _, answer := range m.Answers {
+		if answer.Requester != c.cfg.InstanceID || answer.RequestID <= p.answeredRequestID {
+			continue
+		}
+		if requestedAt, ok := c.ownRequestTime(answer.RequestID); ok {
+			p.answeredRequestID = answer.RequestID
+			p.report = fenceReport{fence: m.Fence, at: requestedAt, isKnown: true}
+		}
+	}
+	c.peers[from] = p
+}
+
+// ownRequestTime is when this process made a request; false for one of the process before it.
+func (c *QuorumConfirmation) ownRequestTime(id uint64) (at time.Duration, ok bool) {
+	if id <= c.cfg.Incarnation<<incarnationShift {
+		return 0, false
+	}
+	return c.requests.madeAt(id)
+}
+
+// ConfirmedAt is the latest time at which the epoch in force is known to have been the newest.
+func (c *QuorumConfirmation) ConfirmedAt() (at time.Duration, ok bool) {
+	if c.isJoint || !slices.Contains(c.voters, c.cfg.InstanceID) {
+		return 0, false
+	}
+	var times []time.Duration
+	for _, voter := range c.voters {
+		if r := c.reportOf(voter); r.isKnown && r.fence <= c.index {
+			times = append(times, r.at)
+		}
+	}
+	majority := len(c.voters)/2 + 1
+	needed := len(c.voters) - majority + 1
+	if len(times) < needed {
+		return 0, false
+	}
+	slices.Sort(times)
+	return times[len(times)-needed], true
+}
+
+func (c *QuorumConfirmation) reportOf(voter uint64) fenceReport {
+	if voter == c.cfg.InstanceID {
+		return c.own
+	}
+	return c.peers[voter].report
+}
--- /dev/null
+++ b/multisite/site_change.go
@@ -0,0 +1,137 @@
+package multisite
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// SiteChange is a loss or a recovery that the members should agree on.
+type SiteChange struct {
+	Site       string
+	IsLost     bool // else it recovers
+	KeyEighths int  // eighths of its keys that a recovering site takes; 0: all of them
+	Reason     string
+}
+
+// ProposeChange returns what should be agreed on now, at most one change: the next is judged by what this one comes to.
+// The last site that takes keys is never given up, as moving all keys nowhere helps nobody.
+func (h *HealthMonitor) ProposeChange(now time.Duration) (c SiteChange, ok bool) {
+	for _, site := range slices.Sorted(maps.Keys(h.sites)) {
+		agreed := h.sites[site]
+		if agreed.hasNoKeys() {
+			c, ok = h.proposeRecovery(now, site, agreed)
+		} else if c, ok = h.proposeLoss(now, site); !ok {
+			c, ok = h.proposeMoreKeys(now, site, agreed)
+		}
+		if ok {
+			return c, true
+		}
+	}
+	return SiteChange{}, false
+}
+
+// proposeRecovery proposes that a lost site takes keys again once a majority was answered for the recovery delay.
+func (h *HealthMonitor) proposeRecovery(now time.Duration, site string, agreed *agreedSite) (c SiteChange, ok bool) {
+	delay := h.recoveryDelay(now, agreed)
+	votes := h.votes(now, site, 0, delay)
+	if !h.isMajority(votes.answering) {
+		return SiteChange{}, false
+	}
+	reason := fmt.Sprintf("%d of %d members have heard it for %v", votes.answering, len(h.members), delay)
+	return newRecovery(site, h.keyEighths(now, site), reason), true
+}
+
+// proposeLoss proposes that a site is lost once a majority was not answered for the loss timeout.
+func (h *HealthMonitor) proposeLoss(now time.Duration, site string) (c SiteChange, ok bool) {
+	votes := h.votes(now, site, h.cfg.LossTimeout, 0)
+	if !h.isMajority(votes.silent) || !h.hasAlternative(now, site) {
+		return SiteChange{}, false
+	}
+	reason := fmt.Sprintf("%d of %d members have met silence for %v", votes.silent, len(h.members), h.cfg.LossTimeout)
+	return SiteChange{Site: site, IsLost: true, Reason: reason}, true
+}
+
+// proposeMoreKeys proposes that a recovering site takes more keys once its capacity has grown.
+func (h *HealthMonitor) proposeMoreKeys(now time.Duration, site string, agreed *agreedSite) (c SiteChange, ok bool) {
+	if !agreed.isLost || now-agreed.changedAt < h.cfg.RecoveryDelay {
+		return SiteChange{}, false
+	}
+	eighths := h.keyEighths(now, site)
+	if eighths <= agreed.keyEighths {
+		return SiteChange{}, false
+	}
+	return newRecovery(site, eighths, fmt.Sprintf("it can carry %d of 8", eighths)), true
+}
+
+// newRecovery is the change by which a site takes eighths of its keys, 1 to 8, again.
+func newRecovery(site string, eighths int, reason string) SiteChange {
+	return SiteChange{Site: site, KeyEighths: eighths % fullKeyEighths, Reason: reason}
+}
+
+// hasAlternative tells whether another site takes keys and answers a majority.
+func (h *HealthMonitor) hasAlternative(now time.Duration, lostSite string) bool {
+	for site, agreed := range h.sites {
+		if site == lostSite || agreed.hasNoKeys() || agreed.isClosed {
+			continue
+		}
+		if votes := h.votes(now, site, 0, 0); h.isMajority(votes.answering) {
+			return true
+		}
+	}
+	return false
+}
+
+// recoveryDelay is for how long a lost site must answer before it counts as recovered. It doubles with each recent
+// loss, so that a site that flaps changes the ownership of keys ever more seldom.
+func (h *HealthMonitor) recoveryDelay(now time.Duration, agreed *agreedSite) time.Duration {
+	agreed.lossTimes = slices.DeleteFunc(agreed.lossTimes, func(at time.Duration) bool {
+		return now-at > h.cfg.LossWindow
+	})
+	delay := h.cfg.RecoveryDelay
+	for i := 1; i < len(agreed.lossTimes) && delay < h.cfg.MaxRecoveryDelay; i++ {
+		delay *= 2
+	}
+	return min(delay, h.cfg.MaxRecoveryDelay)
+}
+
+// keyEighths is how many eighths of its keys a site can take, 1 to 8, so that all sites that take keys are equally
+// busy: it may have come back with cold servers or with few. Where no capacity is known it is all of them.
+func (h *HealthMonitor) keyEighths(now time.Duration, site string) int {
+	total, count := 0.0, 0
+	for name, agreed := range h.sites {
+		capacity, _ := h.Capacity(now, name)
+		if name == site || capacity > 0 && !agreed.isClosed && !agreed.hasNoKeys() {
+			total += capacity
+			count++
+		}
+	}
+	if total <= 0 {
+		return fullKeyEighths
+	}
+	capacity, _ := h.Capacity(now, site)
+	eighths := int(fullKeyEighths*capacity*float64(count)/total + 0.5)
+	return min(max(eighths, 1), fullKeyEighths)
+}
+
+// Capacity is a site's capacity in warm servers, as the median over the members that reach it directly (0: not known),
+// and how many these are.
+func (h *HealthMonitor) Capacity(now time.Duration, site string) (warmServers float64, directCount int) {
+	var known []float64
+	for _, member := range h.members {
+		o := h.observationOf(member, site)
+		if o.isRemote || !o.isCurrent(now, h.cfg.ViewTTL) {
+			continue
+		}
+		directCount++
+		if o.capacity > 0 {
+			known = append(known, o.capacity)
+		}
+	}
+	if len(known) == 0 {
+		return 0, directCount
+	}
+	slices.Sort(known)
+	return known[len(known)/2], directCount
+}
--- /dev/null
+++ b/multisite/site_votes.go
@@ -0,0 +1,76 @@
+package multisite
+
+import "time"
+
+// siteVotes counts members by what they observe of a site.
+type siteVotes struct {
+	silent    int // the site does not answer
+	answering int
+}
+
+// add counts an observation whose period has lasted long enough, as far as it was seen.
+func (v *siteVotes) add(o observation, minSilence, minAnswering time.Duration) {
+	switch age := o.observedAt - o.since; {
+	case o.isSilent && age >= minSilence:
+		v.silent++
+	case !o.isSilent && age >= minAnswering:
+		v.answering++
+	}
+}
+
+// votes counts the members that have not been answered by a site for minSilence, and those that have been for
+// minAnswering. A member that reaches the site only through others follows those that reach it directly, as long as
+// any of them is heard: it counts as answered if one of them is, and as unanswered if all of them are. Where none is
+// heard, what it has observed itself counts.
+func (h *HealthMonitor) votes(now time.Duration, site string, minSilence, minAnswering time.Duration) siteVotes {
+	var direct, remote siteVotes
+	directCount, remoteCount := 0, 0
+	for _, member := range h.members {
+		if !h.isHeard(now, member) {
+			continue
+		}
+		o := h.observationOf(member, site)
+		isCurrent := o.isCurrent(now, h.cfg.ViewTTL)
+		if o.isRemote {
+			remoteCount++
+			if isCurrent {
+				remote.add(o, minSilence, minAnswering)
+			}
+		} else if isCurrent {
+			directCount++
+			direct.add(o, minSilence, minAnswering)
+		}
+	}
+	switch {
+	case directCount == 0:
+		return remote
+	case direct.answering > 0:
+		direct.answering += remoteCount
+	case direct.silent == directCount:
+		direct.silent += remoteCount
+	}
+	return direct
+}
+
+// isHeard tells whether a member has announced its views recently.
+func (h *HealthMonitor) isHeard(now time.Duration, member uint64) bool {
+	if member == h.cfg.InstanceID {
+		return true
+	}
+	at, wasHeard := h.heardAt[member]
+	return wasHeard && now-at <= h.cfg.ViewTTL
+}
+
+// observationOf is what a member observes of a site, as it has announced or, of this one, as it has met itself.
+func (h *HealthMonitor) observationOf(member uint64, site string) (o observation) {
+	if member != h.cfg.InstanceID {
+		return h.peers[member][site]
+	}
+	if own := h.own[site]; own != nil {
+		o = own.observation
+	}
+	o.isRemote = h.isRemote[site]
+	return o
+}
+
+func (h *HealthMonitor) isMajority(count int) bool { return 2*count > len(h.members) }
--- a/multisite/wire_test.go
+++ b/multisite/wire_test.go
@@ -11,11 +11,11 @@
 // read what this one writes, and the other way round. The texts are recorded; they don't follow renamed fields.
 func TestMessageJSON(t *testing.T) {
 	full := Message{
-		From: 3, Incarnation: 5, Seq: 7, Age: time.Minute, Epoch: 11,
-		Sent: []Sent{{13, "east", 17 * time.Millisecond}}, Full: true, Life: time.Hour,
-		Views:   []View{{"east", true, time.Second, 2.5, true}, {"west", false, -1, 0, false}},
-		Ramp:    &RampWord{19, []Carried{{"east", 1.5, -1}}, []RampAsk{{"east", 0.25}}, []RampGrant{{"west", 2, 23, 0.125}}},
-		Consent: &ConsentWord{29, 31, []ConsentAnswer{{2, 37}}},
+		From: 3, Incarnation: 5, SequenceNumber: 7, Uptime: time.Minute, Epoch: 11,
+		SentKeys: []SentKey{{13, "east", 17 * time.Millisecond}}, HasUnrecordedKeys: true, KeyTTL: time.Hour,
+		Views:        []SiteView{{"east", true, time.Second, 2.5, true}, {"west", false, -1, 0, false}},
+		Ramp:         &RampMessage{19, []WarmLoad{{"east", 1.5, -1}}, []ShareRequest{{"east", 0.25}}, []ShareGrant{{"west", 2, 23, 0.125}}},
+		Confirmation: &ConfirmationMessage{29, 31, []ConfirmationAnswer{{2, 37}}},
 	}
 	for _, c := range []struct {
 		name  string
@@ -32,14 +32,14 @@
 				`"Consent":{"Ask":29,"Fence":31,"Heard":[{"Of":2,"Ask":37}]}}`},
 		{"an empty message", Message{},
 			`{"From":0,"Incarnation":0,"Seq":0,"Age":0,"Epoch":0,"Sent":null,"Full":false,"Life":0}`},
-		{"a sent key", Sent{1, "a", 2}, `{"Key":1,"Hall":"a","Ago":2}`},
-		{"an empty view", View{}, `{"Hall":"","Silent":false,"For":0,"Carry":0}`},
-		{"an empty ramp message", RampWord{}, `{"Ask":0}`},
-		{"an empty load of warm servers", Carried{}, `{"Hall":"","Rate":0,"Util":0}`},
-		{"an empty request for a share", RampAsk{}, `{"Hall":"","Share":0}`},
-		{"an empty grant of a share", RampGrant{}, `{"Hall":"","To":0,"Ask":0,"Share":0}`},
-		{"an empty confirmation message", ConsentWord{}, `{"Ask":0,"Fence":0}`},
-		{"an empty confirmation answer", ConsentAnswer{}, `{"Of":0,"Ask":0}`},
+		{"a sent key", SentKey{1, "a", 2}, `{"Key":1,"Hall":"a","Ago":2}`},
+		{"an empty view", SiteView{}, `{"Hall":"","Silent":false,"For":0,"Carry":0}`},
+		{"an empty ramp message", RampMessage{}, `{"Ask":0}`},
+		{"an empty load of warm servers", WarmLoad{}, `{"Hall":"","Rate":0,"Util":0}`},
+		{"an empty request for a share", ShareRequest{}, `{"Hall":"","Share":0}`},
+		{"an empty grant of a share", ShareGrant{}, `{"Hall":"","To":0,"Ask":0,"Share":0}`},
+		{"an empty confirmation message", ConfirmationMessage{}, `{"Ask":0,"Fence":0}`},
+		{"an empty confirmation answer", ConfirmationAnswer{}, `{"Of":0,"Ask":0}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			text, err := json.Marshal(c.value)
@@ -62,19 +62,19 @@
 
 // TestStatusTexts pins the texts that sites exchange in a header and that operators read.
 func TestStatusTexts(t *testing.T) {
-	for fate, want := range map[Fate]string{Never: "never", Underway: "underway", Ran: "ran", Unknown: "unknown"} {
+	for fate, want := range map[ExecutionStatus]string{NeverExecuted: "never", Executing: "underway", Executed: "ran", ExecutionUnknown: "unknown"} {
 		if got := fate.String(); got != want {
 			t.Errorf("status %d is %q, want %q", int(fate), got, want)
 		}
-		if got := ParseFate(want); got != fate {
+		if got := ParseExecutionStatus(want); got != fate {
 			t.Errorf("%q is parsed as %v", want, got)
 		}
 	}
-	if got := ParseFate("else"); got != Unknown {
+	if got := ParseExecutionStatus("else"); got != ExecutionUnknown {
 		t.Errorf("an unknown text is parsed as %v", got)
 	}
-	for state, want := range map[HallState]string{
-		Well: "well", Doubted: "doubted", CutOff: "cut off", Lost: "lost", Returning: "returning", Cold: "cold",
+	for state, want := range map[SiteState]string{
+		SiteHealthy: "well", SiteSuspected: "doubted", SitePartitioned: "cut off", SiteLost: "lost", SiteRecovering: "returning", SiteWarmingUp: "cold",
 	} {
 		if got := state.String(); got != want {
 			t.Errorf("state %d is %q, want %q", int(state), got, want)
