--- /dev/null
+++ b/multisite/site_health_simulation_test.go
@@ -0,0 +1,314 @@
+package multisite
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+const healthStep = 20 * time.Millisecond
+
+func testHealthConfig(id uint64) HealthConfig {
+	return HealthConfig{
+		InstanceID:       id,
+		MinMisses:        3,
+		LossTimeout:      500 * time.Millisecond,
+		ViewTTL:          time.Second,
+		RecoveryDelay:    time.Second,
+		MaxRecoveryDelay: 8 * time.Second,
+		LossWindow:       time.Minute,
+		WarmUpWindow:     5 * time.Second,
+	}
+}
+
+// healthSimulation has instances that send attempts to sites, announce their views to each other and agree on changes.
+// Each has a clock of its own.
+type healthSimulation struct {
+	t        *testing.T
+	rng      *rand.Rand
+	now      time.Duration
+	sites    []string
+	members  []uint64
+	skew     map[uint64]time.Duration
+	monitors map[uint64]*HealthMonitor
+
+	reaches  map[uint64]map[string]bool // by member: the sites that it reaches
+	hears    map[[2]uint64]bool         // whether the first member hears the second
+	isPaused map[uint64]bool
+	direct   map[string][]uint64 // by site: the members that reach it directly; nil: all do
+	capacity map[string]float64  // by site; 0: the members don't know
+
+	lost        map[string]int // agreed: eighths of the keys of lost sites
+	changeCount int
+	lossCount   map[string]int // by site
+}
+
+func newHealthSimulation(t *testing.T, seed uint64, memberCount int, sites ...string) *healthSimulation {
+	t.Helper()
+	s := &healthSimulation{
+		t:         t,
+		rng:       rand.New(rand.NewPCG(seed, 7)),
+		sites:     sites,
+		skew:      map[uint64]time.Duration{},
+		monitors:  map[uint64]*HealthMonitor{},
+		reaches:   map[uint64]map[string]bool{},
+		hears:     map[[2]uint64]bool{},
+		isPaused:  map[uint64]bool{},
+		capacity:  map[string]float64{},
+		lost:      map[string]int{},
+		lossCount: map[string]int{},
+	}
+	for id := uint64(1); id <= uint64(memberCount); id++ {
+		s.members = append(s.members, id)
+		s.skew[id] = time.Duration(s.rng.IntN(7200)) * time.Second
+	}
+	for _, id := range s.members {
+		monitor, err := NewHealthMonitor(testHealthConfig(id))
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.monitors[id], s.reaches[id] = monitor, map[string]bool{}
+	}
+	for _, site := range sites {
+		s.setReachable(site, true)
+	}
+	s.resumeAll()
+	s.applyAgreed()
+	return s
+}
+
+func (s *healthSimulation) clock(id uint64) time.Duration { return s.now + s.skew[id] }
+
+func (s *healthSimulation) anyMember() uint64 { return s.members[s.rng.IntN(len(s.members))] }
+
+func (s *healthSimulation) anySite() string { return s.sites[s.rng.IntN(len(s.sites))] }
+
+func (s *healthSimulation) anyBool() bool { return s.rng.IntN(2) == 0 }
+
+func (s *healthSimulation) stateAt(id uint64, site string) SiteState {
+	return s.monitors[id].State(s.clock(id), site)
+}
+
+// setReachable sets whether any member reaches a site.
+func (s *healthSimulation) setReachable(site string, isReachable bool) {
+	for _, id := range s.members {
+		s.reaches[id][site] = isReachable
+	}
+}
+
+// cutOff has some members no longer reach a site.
+func (s *healthSimulation) cutOff(site string, members ...uint64) {
+	for _, id := range members {
+		s.reaches[id][site] = false
+	}
+}
+
+// resumeAll ends all pauses and has all members hear each other.
+func (s *healthSimulation) resumeAll() {
+	for _, id := range s.members {
+		s.isPaused[id] = false
+		for _, other := range s.members {
+			s.hears[[2]uint64{id, other}] = true
+		}
+	}
+}
+
+func (s *healthSimulation) applyAgreed() {
+	for _, id := range s.members {
+		s.monitors[id].ApplyAgreed(s.clock(id), openSites(s.sites...), s.lost, s.members)
+	}
+}
+
+func (s *healthSimulation) isLost(site string) bool {
+	_, isLost := s.lost[site]
+	return isLost
+}
+
+func (s *healthSimulation) isRemote(id uint64, site string) bool {
+	return s.direct[site] != nil && !slices.Contains(s.direct[site], id)
+}
+
+// isAnswered tells whether what a member sends to a site is answered: a remote one needs a member that reaches the site
+// directly.
+func (s *healthSimulation) isAnswered(id uint64, site string) bool {
+	if !s.isRemote(id, site) {
+		return s.reaches[id][site]
+	}
+	return s.reaches[id][site] && slices.ContainsFunc(s.direct[site], func(other uint64) bool {
+		return s.reaches[other][site] && !s.isPaused[other]
+	})
+}
+
+// run takes steps for a while or until a condition holds, and returns for how long it was.
+func (s *healthSimulation) run(leader uint64, length time.Duration, until func() bool) time.Duration {
+	startedAt := s.now
+	for s.now-startedAt < length && !until() {
+		s.step(leader)
+	}
+	return s.now - startedAt
+}
+
+func (s *healthSimulation) runFor(leader uint64, length time.Duration) {
+	s.run(leader, length, func() bool { return false })
+}
+
+// runUntilRecovered runs until no site is lost.
+func (s *healthSimulation) runUntilRecovered(leader uint64, length time.Duration) time.Duration {
+	return s.run(leader, length, func() bool { return len(s.lost) == 0 })
+}
+
+// runUntilLoss runs until a site is lost.
+func (s *healthSimulation) runUntilLoss(leader uint64, length time.Duration) time.Duration {
+	return s.run(leader, length, func() bool { return len(s.lost) > 0 })
+}
+
+// step is some attempts and views of each member, and the leader's proposal.
+func (s *healthSimulation) step(leader uint64) {
+	s.now += healthStep
+	for _, id := range s.members {
+		if s.isPaused[id] {
+			continue
+		}
+		for _, site := range s.sites {
+			s.monitors[id].SetRemote(site, s.isRemote(id, site))
+			s.sendAttempts(id, site)
+		}
+		for _, site := range s.sites {
+			if !s.isRemote(id, site) {
+				s.monitors[id].RecordCapacity(site, s.capacity[site])
+			}
+		}
+		s.announce(id)
+	}
+	if s.isPaused[leader] {
+		return
+	}
+	if change, ok := s.monitors[leader].ProposeChange(s.clock(leader)); ok {
+		s.agreeOn(change)
+	}
+}
+
+func (s *healthSimulation) sendAttempts(id uint64, site string) {
+	monitor, now := s.monitors[id], s.clock(id)
+	switch s.rng.IntN(3) {
+	case 0:
+		if s.isAnswered(id, site) {
+			monitor.RecordAnswer(now, site)
+		} else {
+			monitor.RecordMiss(now, site, now-250*time.Millisecond)
+		}
+	case 1: // one that was lost says nothing where others are answered
+		if s.isAnswered(id, site) && s.rng.IntN(10) == 0 {
+			monitor.RecordAnswer(now-5*time.Millisecond, site)
+			monitor.RecordMiss(now, site, now-250*time.Millisecond)
+		}
+	}
+}
+
+// announce sends a member's views to the others; some are lost.
+func (s *healthSimulation) announce(id uint64) {
+	views := s.monitors[id].Views(s.clock(id))
+	for _, to := range s.members {
+		if to != id && !s.isPaused[to] && s.hears[[2]uint64{to, id}] && s.rng.IntN(10) > 0 {
+			s.monitors[to].Receive(s.clock(to), id, views)
+		}
+	}
+}
+
+// agreeOn agrees on a change, which must be one, and must leave a site that takes keys.
+func (s *healthSimulation) agreeOn(c SiteChange) {
+	s.t.Helper()
+	s.changeCount++
+	eighths, isLost := s.lost[c.Site]
+	if c.IsLost && isLost && eighths == 0 || !c.IsLost && (!isLost || c.KeyEighths > 0 && c.KeyEighths <= eighths) {
+		s.t.Errorf("%v: %+v is proposed, and it was so", s.now, c)
+	}
+	switch {
+	case c.IsLost:
+		s.lost[c.Site] = 0
+		s.lossCount[c.Site]++
+	case c.KeyEighths > 0:
+		s.lost[c.Site] = c.KeyEighths
+	default:
+		delete(s.lost, c.Site)
+	}
+	if s.sitesWithoutKeys() == len(s.sites) {
+		s.t.Errorf("%v: every site is lost", s.now)
+	}
+	s.applyAgreed()
+}
+
+func (s *healthSimulation) sitesWithoutKeys() (count int) {
+	for _, eighths := range s.lost {
+		if eighths == 0 {
+			count++
+		}
+	}
+	return count
+}
+
+// injectFault breaks or mends something at random and returns the leader from here on.
+func (s *healthSimulation) injectFault(leader uint64) uint64 {
+	switch s.rng.IntN(6) {
+	case 0, 1:
+		s.setReachable(s.anySite(), s.anyBool())
+	case 2:
+		id := s.anyMember()
+		site := s.anySite()
+		s.reaches[id][site] = s.anyBool()
+	case 3:
+		site := s.anySite()
+		s.capacity[site] = float64(s.rng.IntN(6))
+		id := s.anyMember()
+		s.isPaused[id] = s.anyBool()
+	case 4:
+		hearer, sender := s.anyMember(), s.anyMember()
+		s.hears[[2]uint64{hearer, sender}] = s.anyBool()
+	default:
+		return s.anyMember()
+	}
+	return leader
+}
+
+// TestSiteHealthSeeds runs faults from a seed: sites that flap, paths that break, lost messages, pauses and changes of
+// the leader. Whatever happens, not every site is lost, nothing is proposed twice, and a flapping site changes
+// ownership no more often than its recovery delay allows; and once the faults end, all sites recover.
+func TestSiteHealthSeeds(t *testing.T) {
+	seeds := uint64(1000)
+	if testing.Short() || raceEnabled {
+		seeds = 60
+	}
+	changes, losses := 0, 0
+	for seed := range seeds {
+		s := newHealthSimulation(t, seed, 3+int(seed%3), "a", "b", "c")
+		if seed%2 == 1 { // two sites of instances; c is reached from both
+			s.direct = map[string][]uint64{"a": {1, 2}, "b": {3, 4, 5}}
+		}
+		leader := uint64(1)
+		for s.now < time.Minute {
+			leader = s.injectFault(leader)
+			s.runFor(leader, time.Duration(s.rng.IntN(1500))*time.Millisecond)
+		}
+		// Delays of 1, 2, 4, 8, 8 ... s while losses are recent: 10 in a minute at the most.
+		for site, count := range s.lossCount {
+			losses += count
+			if count > 10 {
+				t.Errorf("%s was lost %d times in a minute", site, count)
+			}
+		}
+		s.resumeAll()
+		for _, site := range s.sites {
+			s.setReachable(site, true)
+			s.capacity[site] = 5
+		}
+		if s.runUntilRecovered(leader, 30*time.Second); len(s.lost) > 0 {
+			t.Errorf("%v still lost", s.lost)
+		}
+		if t.Failed() {
+			t.Fatalf("at seed %d", seed)
+		}
+		changes += s.changeCount
+	}
+	t.Logf("%d seeds: %d changes, %d losses", seeds, changes, losses)
+}
