--- a/multisite/epoch_change.go
+++ b/multisite/epoch_change.go
@@ -33,7 +33,7 @@
 	k.hasConfirmation = true
 }
 
-// hasLease tells whether the epoch in force may be routed by.
+// hasLease reports whether the epoch in force may be routed by.
 func (k *KeyTable) hasLease(now time.Duration) bool {
 	return k.hasConfirmation && now-k.confirmationAt <= k.cfg.LeaseTTL
 }
@@ -47,7 +47,7 @@
 	})
 }
 
-// hasHeardAll tells whether all other instances, those of a previous epoch and those of the one in force, send by the
+// hasHeardAll reports whether all other instances, those of a previous epoch and those of the one in force, send by the
 // latter and have announced all that they sent before.
 func (k *KeyTable) hasHeardAll(now time.Duration, previous *OwnershipEpoch) bool {
 	maxKeyTTL := k.maxKeyTTL(now)
@@ -63,7 +63,7 @@
 	return all(previous.Instances, isHeard)
 }
 
-// hasHeard tells whether an instance has announced the epoch in force and all keys that clients may still repeat.
+// hasHeard reports whether an instance has announced the epoch in force and all keys that clients may still repeat.
 func (k *KeyTable) hasHeard(now time.Duration, instance uint64, maxKeyTTL time.Duration) bool {
 	if instance == k.cfg.InstanceID {
 		// What the process before this one sent is not known.
--- a/multisite/forwarded_requests.go
+++ b/multisite/forwarded_requests.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// ResolveStatus tells what became of a request, and what was retained of its answer. One that has not arrived is void
+// ResolveStatus returns what became of a request, and what was retained of its answer. One that has not arrived is void
 // from here on.
 func (f *ForwardedRequests) ResolveStatus(now time.Time, id string) (status ExecutionStatus, answer any) {
 	f.expire(now)
--- a/multisite/health_monitor.go
+++ b/multisite/health_monitor.go
@@ -43,7 +43,7 @@
 	recoveredAt time.Duration   // when the last loss ended; 0: there was none
 }
 
-// hasNoKeys tells whether the site was lost and has not begun to recover.
+// hasNoKeys reports whether the site was lost and has not begun to recover.
 func (a *agreedSite) hasNoKeys() bool { return a.isLost && a.keyEighths == 0 }
 
 // NewHealthMonitor returns a monitor without sites. An error names the figure that is out of range.
@@ -106,7 +106,7 @@
 	a.isLost, a.keyEighths = isLost, keyEighths
 }
 
-// SetRemote tells whether this instance reaches a site only through another site's instances. What it observes of the
+// SetRemote sets whether this instance reaches a site only through another site's instances. What it observes of the
 // site then says as much of the path as of the site.
 func (h *HealthMonitor) SetRemote(site string, isRemote bool) {
 	h.isRemote[site] = isRemote
@@ -187,7 +187,7 @@
 	h.peers[from], h.heardAt[from] = observations, now
 }
 
-// State tells what this instance makes of a site.
+// State returns what this instance makes of a site.
 func (h *HealthMonitor) State(now time.Duration, site string) SiteState {
 	agreed := h.sites[site]
 	if agreed == nil {
--- a/multisite/key_routing.go
+++ b/multisite/key_routing.go
@@ -1,12 +1,23 @@
 package multisite
 
 import (
+	"fmt"
 	"slices"
 	"time"
 )
 
-// unknownEndDelay is when to retry where routing may become possible at any moment.
-const unknownEndDelay = 100 * time.Millisecond
+// shortRetryDelay is when to retry where routing may become possible at any moment.
+const shortRetryDelay = 100 * time.Millisecond
+
+// The reasons of rejections, as operators read them in the access log.
+const (
+	reasonNotListed      = "this instance has no part in the homes"
+	reasonNotConfirmed   = "the homes are not confirmed"
+	reasonWindowPassed   = "it may have run so long ago that its hall no longer knows it"
+	reasonSiteClosed     = "it may have run at %s, which takes no keys"
+	reasonNoOpenSite     = "no hall takes keys"
+	reasonOwnerJustMoved = "its home has moved, and it may have been sent to the old one"
+)
 
 // RoutingDecision says where a request may go.
 type RoutingDecision struct {
@@ -15,13 +26,13 @@
 	Reason     string        // without a site: why, for the access log
 }
 
-// Route tells where a request with a key may go now. [KeyTable.BeginAttempt] asks again before each attempt.
+// Route returns where a request with a key may go now. [KeyTable.BeginAttempt] asks again before each attempt.
 func (k *KeyTable) Route(now time.Duration, key uint64) RoutingDecision {
 	switch {
 	case k.epoch == nil || !slices.Contains(k.epoch.Instances, k.cfg.InstanceID):
-		return RoutingDecision{RetryAfter: k.cfg.LeaseTTL, Reason: "this instance has no part in the homes"}
+		return RoutingDecision{RetryAfter: k.cfg.LeaseTTL, Reason: reasonNotListed}
 	case !k.hasLease(now):
-		return RoutingDecision{RetryAfter: unknownEndDelay, Reason: "the homes are not confirmed"}
+		return RoutingDecision{RetryAfter: shortRetryDelay, Reason: reasonNotConfirmed}
 	}
 	if entry, isKnown := k.ledger.entries[key]; isKnown {
 		return k.routeSentKey(now, entry)
@@ -34,11 +45,11 @@
 	site := k.ledger.siteNames[entry.site]
 	switch {
 	case now-entry.firstSentAt > k.minDeduplicationWindow():
-		return RoutingDecision{Reason: "it may have run so long ago that its hall no longer knows it"}
+		return RoutingDecision{Reason: reasonWindowPassed}
 	case !k.epoch.isOpen(site):
 		return RoutingDecision{
 			RetryAfter: k.cfg.LeaseTTL,
-			Reason:     "it may have run at " + site + ", which takes no keys",
+			Reason:     fmt.Sprintf(reasonSiteClosed, site),
 		}
 	}
 	return RoutingDecision{Site: site}
@@ -48,7 +59,7 @@
 func (k *KeyTable) routeNewKey(now time.Duration, key uint64) RoutingDecision {
 	owner := k.epoch.owner(key)
 	if owner == "" {
-		return RoutingDecision{RetryAfter: k.cfg.LeaseTTL, Reason: "no hall takes keys"}
+		return RoutingDecision{RetryAfter: k.cfg.LeaseTTL, Reason: reasonNoOpenSite}
 	}
 	k.dropEndedEpochs(now)
 	for _, previous := range k.previousEpochs {
@@ -56,8 +67,8 @@
 			continue
 		}
 		return RoutingDecision{
-			RetryAfter: min(unknownEndDelay, previous.endedAt+k.cfg.LeaseTTL+k.maxKeyTTL(now)-now),
-			Reason:     "its home has moved, and it may have been sent to the old one",
+			RetryAfter: min(shortRetryDelay, previous.endedAt+k.cfg.LeaseTTL+k.maxKeyTTL(now)-now),
+			Reason:     reasonOwnerJustMoved,
 		}
 	}
 	return RoutingDecision{Site: owner}
--- a/multisite/key_simulation_test.go
+++ b/multisite/key_simulation_test.go
@@ -60,7 +60,7 @@
 	skew          time.Duration // its clock's offset
 }
 
-// runs tells whether a process of the instance still runs.
+// runs reports whether a process of the instance still runs.
 func (i *simulatedInstance) runs(incarnation uint64) bool {
 	return !i.isDown && i.incarnation == incarnation
 }
--- a/multisite/key_table.go
+++ b/multisite/key_table.go
@@ -84,7 +84,7 @@
 	return true
 }
 
-// beginUnrecorded tells whether a key that the ledger has no room for may be sent. Its owner is safe as long as
+// beginUnrecorded reports whether a key that the ledger has no room for may be sent. Its owner is safe as long as
 // ownership stays; when it moves, the passing of time is all that counts. A site that forgets the key sooner than its
 // client does must not get it.
 func (k *KeyTable) beginUnrecorded(now time.Duration) bool {
--- a/multisite/wire_test.go
+++ b/multisite/messages_test.go
@@ -13,8 +13,13 @@
 	full := Message{
 		From: 3, Incarnation: 5, SequenceNumber: 7, Uptime: time.Minute, Epoch: 11,
 		SentKeys: []SentKey{{13, "east", 17 * time.Millisecond}}, HasUnrecordedKeys: true, KeyTTL: time.Hour,
-		Views:        []SiteView{{"east", true, time.Second, 2.5, true}, {"west", false, -1, 0, false}},
-		Ramp:         &RampMessage{19, []WarmLoad{{"east", 1.5, -1}}, []ShareRequest{{"east", 0.25}}, []ShareGrant{{"west", 2, 23, 0.125}}},
+		Views: []SiteView{{"east", true, time.Second, 2.5, true}, {"west", false, -1, 0, false}},
+		Ramp: &RampMessage{
+			RequestID: 19,
+			Loads:     []WarmLoad{{"east", 1.5, -1}},
+			Requests:  []ShareRequest{{"east", 0.25}},
+			Grants:    []ShareGrant{{"west", 2, 23, 0.125}},
+		},
 		Confirmation: &ConfirmationMessage{29, 31, []ConfirmationAnswer{{2, 37}}},
 	}
 	for _, c := range []struct {
@@ -60,21 +65,35 @@
 	}
 }
 
-// TestStatusTexts pins the texts that sites exchange in a header and that operators read.
-func TestStatusTexts(t *testing.T) {
-	for fate, want := range map[ExecutionStatus]string{NeverExecuted: "never", Executing: "underway", Executed: "ran", ExecutionUnknown: "unknown"} {
-		if got := fate.String(); got != want {
-			t.Errorf("status %d is %q, want %q", int(fate), got, want)
+// TestExecutionStatusTexts pins the texts that sites exchange in a header.
+func TestExecutionStatusTexts(t *testing.T) {
+	for status, want := range map[ExecutionStatus]string{
+		NeverExecuted:    "never",
+		Executing:        "underway",
+		Executed:         "ran",
+		ExecutionUnknown: "unknown",
+	} {
+		if got := status.String(); got != want {
+			t.Errorf("status %d is %q, want %q", int(status), got, want)
 		}
-		if got := ParseExecutionStatus(want); got != fate {
+		if got := ParseExecutionStatus(want); got != status {
 			t.Errorf("%q is parsed as %v", want, got)
 		}
 	}
 	if got := ParseExecutionStatus("else"); got != ExecutionUnknown {
 		t.Errorf("an unknown text is parsed as %v", got)
 	}
+}
+
+// TestSiteStateTexts pins the texts of management answers.
+func TestSiteStateTexts(t *testing.T) {
 	for state, want := range map[SiteState]string{
-		SiteHealthy: "well", SiteSuspected: "doubted", SitePartitioned: "cut off", SiteLost: "lost", SiteRecovering: "returning", SiteWarmingUp: "cold",
+		SiteHealthy:     "well",
+		SiteSuspected:   "doubted",
+		SitePartitioned: "cut off",
+		SiteLost:        "lost",
+		SiteRecovering:  "returning",
+		SiteWarmingUp:   "cold",
 	} {
 		if got := state.String(); got != want {
 			t.Errorf("state %d is %q, want %q", int(state), got, want)
--- a/multisite/ownership.go
+++ b/multisite/ownership.go
@@ -54,7 +54,7 @@
 	return slices.ContainsFunc(e.Sites, func(site Site) bool { return site.Name == name && site.IsOpen })
 }
 
-// takes tells whether a key is in the part of its keys that a site takes. The key's complement is hashed, so that the
+// takes reports whether a key is in the part of its keys that a site takes. The key's complement is hashed, so that the
 // part does not depend on the weight.
 func (s *Site) takes(key uint64) bool {
 	return s.KeyEighths == 0 || int(rendezvousWeight(s.Name, ^key)>>hashEighthShift) < s.KeyEighths
--- a/multisite/quorum_confirmation.go
+++ b/multisite/quorum_confirmation.go
@@ -14,7 +14,7 @@
 // any: that takes more than half.
 //
 // A voter announces its fence, which is the last entry of its log that changes sites or voters, committed or not, and
-// which request of each other voter it had received before it looked. So its word holds for the time of that request,
+// which request of each other voter it had received before it looked. So its report holds for the time of that request,
 // by the requester's clock; no two clocks are compared. A voter must announce an entry before it acknowledges the entry
 // to a leader.
 //
--- a/multisite/relay_budget.go
+++ b/multisite/relay_budget.go
@@ -53,7 +53,7 @@
 	return true
 }
 
-// hasPlace tells whether the bounds for a class of a value and for a customer leave a place.
+// hasPlace reports whether the bounds for a class of a value and for a customer leave a place.
 func (b *RelayBudget) hasPlace(customer string, value float64) bool {
 	inFlight, half := float64(b.inFlight), float64(b.cfg.MaxInFlight)/2
 	if inFlight >= half+half*value {
--- a/multisite/site_change.go
+++ b/multisite/site_change.go
@@ -15,6 +15,13 @@
 	Reason     string
 }
 
+// The reasons of changes, which are agreed on and stored with them.
+const (
+	reasonRecovered = "%d of %d members have heard it for %v"
+	reasonSilent    = "%d of %d members have met silence for %v"
+	reasonCapacity  = "it can carry %d of 8"
+)
+
 // ProposeChange returns what should be agreed on now, at most one change: the next is judged by what this one comes to.
 // The last site that takes keys is never given up, as moving all keys nowhere helps nobody.
 func (h *HealthMonitor) ProposeChange(now time.Duration) (c SiteChange, ok bool) {
@@ -39,7 +46,7 @@
 	if !h.isMajority(votes.answering) {
 		return SiteChange{}, false
 	}
-	reason := fmt.Sprintf("%d of %d members have heard it for %v", votes.answering, len(h.members), delay)
+	reason := fmt.Sprintf(reasonRecovered, votes.answering, len(h.members), delay)
 	return newRecovery(site, h.keyEighths(now, site), reason), true
 }
 
@@ -49,7 +56,7 @@
 	if !h.isMajority(votes.silent) || !h.hasAlternative(now, site) {
 		return SiteChange{}, false
 	}
-	reason := fmt.Sprintf("%d of %d members have met silence for %v", votes.silent, len(h.members), h.cfg.LossTimeout)
+	reason := fmt.Sprintf(reasonSilent, votes.silent, len(h.members), h.cfg.LossTimeout)
 	return SiteChange{Site: site, IsLost: true, Reason: reason}, true
 }
 
@@ -62,7 +69,7 @@
 	if eighths <= agreed.keyEighths {
 		return SiteChange{}, false
 	}
-	return newRecovery(site, eighths, fmt.Sprintf("it can carry %d of 8", eighths)), true
+	return newRecovery(site, eighths, fmt.Sprintf(reasonCapacity, eighths)), true
 }
 
 // newRecovery is the change by which a site takes eighths of its keys, 1 to 8, again.
@@ -70,7 +77,7 @@
 	return SiteChange{Site: site, KeyEighths: eighths % fullKeyEighths, Reason: reason}
 }
 
-// hasAlternative tells whether another site takes keys and answers a majority.
+// hasAlternative reports whether another site takes keys and answers a majority.
 func (h *HealthMonitor) hasAlternative(now time.Duration, lostSite string) bool {
 	for site, agreed := range h.sites {
 		if site == lostSite || agreed.hasNoKeys() || agreed.isClosed {
--- a/multisite/site_health_simulation_test.go
+++ b/multisite/site_health_simulation_test.go
@@ -129,8 +129,8 @@
 	return s.direct[site] != nil && !slices.Contains(s.direct[site], id)
 }
 
-// isAnswered tells whether what a member sends to a site is answered: a remote one needs a member that reaches the site
-// directly.
+// isAnswered reports whether what a member sends to a site is answered: a remote one needs a member that reaches the
+// site directly.
 func (s *healthSimulation) isAnswered(id uint64, site string) bool {
 	if !s.isRemote(id, site) {
 		return s.reaches[id][site]
--- a/multisite/site_view.go
+++ b/multisite/site_view.go
@@ -21,7 +21,7 @@
 	isRemote   bool
 }
 
-// isCurrent tells whether the observation says anything of now.
+// isCurrent reports whether the observation says anything of now.
 func (o *observation) isCurrent(now, viewTTL time.Duration) bool {
 	return o.isKnown && now-o.observedAt <= viewTTL
 }
--- a/multisite/site_votes.go
+++ b/multisite/site_votes.go
@@ -52,7 +52,7 @@
 	return direct
 }
 
-// isHeard tells whether a member has announced its views recently.
+// isHeard reports whether a member has announced its views recently.
 func (h *HealthMonitor) isHeard(now time.Duration, member uint64) bool {
 	if member == h.cfg.InstanceID {
 		return true
--- /dev/null
+++ b/multisite/warm_capacity_test.go
@@ -0,0 +1,42 @@
+package multisite
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// What a warm server can take follows from what all send to one and how busy that makes it.
+func TestWarmServerCapacity(t *testing.T) {
+	r, err := NewRecoveryRamp(RampConfig{
+		InstanceID: 1, LoanTTL: time.Second, LoadTTL: time.Second, BudgetMultiple: rampTestMultiple,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.ApplyAgreed(0, []Site{{Name: "a"}, {Name: "b"}}, []uint64{1, 2, 3})
+	for _, c := range []struct {
+		name                 string
+		own, other           WarmLoad
+		now                  time.Duration
+		capacityA, capacityB float64
+	}{
+		{"nothing is known: a second's work a second", WarmLoad{"a", 0, -1}, WarmLoad{"a", 0, -1}, 0, 1, 1},
+		{"busy", WarmLoad{"a", 0.5, 0.5}, WarmLoad{"a", 0.7, 0.6}, 100 * time.Millisecond, 2, 2},
+		{"idle: as learned before", WarmLoad{"a", 0.1, 0.1}, WarmLoad{"a", 0.1, 0.1}, 200 * time.Millisecond, 2, 2},
+		{"another site's servers are larger",
+			WarmLoad{"b", 1, 0.25}, WarmLoad{"b", 3, 0.5}, 300 * time.Millisecond, 2, 8},
+		{"no reports: at least what they are sent",
+			WarmLoad{"a", 3, -1}, WarmLoad{"a", 3, -1}, 400 * time.Millisecond, 6, 8},
+	} {
+		r.Receive(c.now, 2, RampMessage{Loads: []WarmLoad{c.other}})
+		r.NextBroadcast(c.now, []WarmLoad{c.own})
+		got := fmt.Sprintf("%.2f %.2f", r.WarmServerCapacity(c.now, "a"), r.WarmServerCapacity(c.now, "b"))
+		if want := fmt.Sprintf("%.2f %.2f", c.capacityA, c.capacityB); got != want {
+			t.Errorf("%s: %s, want %s", c.name, got, want)
+		}
+	}
+	if got := r.WarmServerCapacity(5*time.Second, "a"); got != 2 { // loads that are out of date
+		t.Errorf("%.2f with old loads, want 2", got)
+	}
+}
