--- a/multisite/quorum_confirmation.go
+++ b/multisite/quorum_confirmation.go
@@ -32,7 +32,7 @@
 // ConfirmationConfig holds what a [QuorumConfirmation] needs to know of its instance.
 type ConfirmationConfig struct {
 	InstanceID  uint64
-	Incarnation uint64 // of this process: above those of the processes before it, below maxIncarnation
+	Incarnation uint64 // of this process: above those of the processes before it, below 1<<31
 }
 
 // ConfirmationMessage is the part of a [Message] for a [QuorumConfirmation]. Its JSON is read by instances of other
--- a/multisite/recovery_ramp.go
+++ b/multisite/recovery_ramp.go
@@ -25,7 +25,7 @@
 //     lender's time ends later, with no clock compared. One request is granted once.
 //   - When members come or go, an instance owns the least of its shares by the member counts of the last LoanTTL.
 //
-// A member that was removed and does not know it yet adds its own share until its knowledge ends. Clocks must run
+// A member that was removed and does not know it yet adds its own share until it stops. Clocks must run
 // equally fast to within loanMargin in a LoanTTL.
 //
 // The capacity of a warm server is learned together too: see warmCapacity.
