--- a/internal/raftnode/consent_test.go
+++ b/internal/raftnode/consent_test.go
@@ -61,8 +61,8 @@
 		}
 		s := c.with[m.id]
 		v, _ := m.core.Members()
-		s.ApplyAgreed(m.core.Index(), v, len(m.core.conf.GetVotersOutgoing()) > 0)
-		word := s.NextBroadcast(c.clock(m.id), m.core.Fence())
+		s.ApplyAgreed(m.core.AppliedIndex(), v, len(m.core.conf.GetVotersOutgoing()) > 0)
+		word := s.NextBroadcast(c.clock(m.id), m.core.FenceIndex())
 		for _, o := range c.members {
 			if o.id == m.id || c.cut[[2]uint64{m.id, o.id}] || c.rng.Float64() < 0.1 {
 				continue
@@ -85,7 +85,7 @@
 		}
 		for last := m.core.rn.BasicStatus().GetCommit(); c.seen < last; {
 			c.seen++
-			if es, err := m.core.mem.Entries(c.seen, c.seen+1, 1<<30); err == nil && len(es) == 1 && len(es[0].GetData()) > 0 && clusterconfig.MovesHomes(es[0].GetData()) {
+			if es, err := m.core.mem.Entries(c.seen, c.seen+1, 1<<30); err == nil && len(es) == 1 && len(es[0].GetData()) > 0 && clusterconfig.ChangesPlacement(es[0].GetData()) {
 				c.moves = append(c.moves, c.seen)
 				c.commits[c.seen] = c.tick
 			}
@@ -102,8 +102,8 @@
 	tick := int((at - c.clock(m.id)) / time.Millisecond)
 	tick += c.tick
 	for _, index := range c.moves {
-		if index > m.core.Index() && c.commits[index] < tick {
-			c.fatalf("member %d has homes of entry %d confirmed as of tick %d; entry %d moved them at tick %d", m.id, m.core.Index(), tick, index, c.commits[index])
+		if index > m.core.AppliedIndex() && c.commits[index] < tick {
+			c.fatalf("member %d has homes of entry %d confirmed as of tick %d; entry %d moved them at tick %d", m.id, m.core.AppliedIndex(), tick, index, c.commits[index])
 		}
 	}
 	if c.confirms++; c.tick-tick < 20 && c.reach(m) <= len(c.members)/2 {
