--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -97,18 +97,18 @@
 	Check(op *routing.Operation, head *httpwire.Head, body []byte) error
 }
 
-// Record is what became of one request that was charged or refused.
-type Record struct {
-	Trace     string `json:"trace"` // X-Trace-Id
-	Operation string `json:"operation"`
-	Licensee  string `json:"licensee"`
-	Version   uint64 `json:"version"` // of the setup that it was matched with
-	Units     int    `json:"units"`
-	Sent      bool   `json:"sent"` // an attempt was written whole: the units count
-	Attempts  int    `json:"attempts"`
-	Status    int    `json:"status"`        // of the final answer
-	Answer    string `json:"answer"`        // "served", "refused" or "failed"
-	Why       string `json:"why,omitempty"` // a request with a key was refused for the sake of its key
+// RequestRecord is what became of one request that was charged or refused.
+type RequestRecord struct {
+	Trace        string `json:"trace"` // X-Trace-Id
+	Operation    string `json:"operation"`
+	Licensee     string `json:"licensee"`
+	Version      uint64 `json:"version"` // of the setup that it was matched with
+	Units        int    `json:"units"`
+	Sent         bool   `json:"sent"` // an attempt was written whole: the units count
+	Attempts     int    `json:"attempts"`
+	Status       int    `json:"status"`        // of the final answer
+	Answer       string `json:"answer"`        // "served", "refused" or "failed"
+	KeyRejection string `json:"why,omitempty"` // a request with a key was refused for the sake of its key
 }
 
 // flight is a request of a client until it has its final answer.
@@ -184,8 +184,8 @@
 			return nil, err
 		}
 	}
-	if cfg.Link != nil {
-		if in.link, err = newLink(cfg.Link); err != nil {
+	if cfg.Relay != nil {
+		if in.link, err = newLink(cfg.Relay); err != nil {
 			return nil, err
 		}
 		in.servers.secure = in.link.secure
@@ -195,13 +195,13 @@
 			return nil, err
 		}
 	}
-	if cfg.Consent != nil {
-		if in.consent, err = multisite.NewQuorumConfirmation(*cfg.Consent); err != nil {
+	if cfg.QuorumConfirmation != nil {
+		if in.consent, err = multisite.NewQuorumConfirmation(*cfg.QuorumConfirmation); err != nil {
 			return nil, err
 		}
 	}
-	if cfg.Ramp != nil {
-		if in.ramp, err = multisite.NewRecoveryRamp(*cfg.Ramp); err != nil {
+	if cfg.RecoveryRamp != nil {
+		if in.ramp, err = multisite.NewRecoveryRamp(*cfg.RecoveryRamp); err != nil {
 			return nil, err
 		}
 	}
@@ -215,8 +215,8 @@
 // it; those matched before keep theirs to their final answer. With an error nothing has
 // changed.
 func (in *Instance) Install(s Setup) error {
-	for i, h := range s.Halls {
-		if slices.ContainsFunc(s.Halls[:i], func(o Hall) bool { return o.Name == h.Name }) {
+	for i, h := range s.Sites {
+		if slices.ContainsFunc(s.Sites[:i], func(o Site) bool { return o.Name == h.Name }) {
 			return fmt.Errorf("halls: %q stands twice", h.Name)
 		}
 	}
@@ -243,7 +243,7 @@
 		if deadline, window := s.Table.KeyLife(); in.keys != nil && deadline > 0 {
 			in.keys.SetLifetimes(now, deadline+keyWay, window)
 		}
-		in.watchHalls(now, s.Halls, out)
+		in.watchHalls(now, s.Sites, out)
 	})
 	return err
 }
@@ -269,10 +269,10 @@
 // watchHalls follows the registers of these halls and of no others. The servers of a hall
 // that is no longer there are gone; those of one whose register has moved stay until the
 // new one tells. Called under the mutex.
-func (in *Instance) watchHalls(now time.Duration, halls []Hall, out policy.Actions) {
+func (in *Instance) watchHalls(now time.Duration, halls []Site, out policy.Actions) {
 	wanted := map[string]netip.AddrPort{}
 	for _, h := range halls {
-		wanted[h.Name] = h.Register
+		wanted[h.Name] = h.Discovery
 	}
 	for name, w := range in.halls {
 		if at, ok := wanted[name]; ok && at == w.register {
@@ -290,22 +290,22 @@
 			continue
 		}
 		ctx, stop := context.WithCancel(in.ctx)
-		in.halls[h.Name] = &watch{h.Register, stop}
+		in.halls[h.Name] = &watch{h.Discovery, stop}
 		if in.far(h.Name) {
 			list, _ := in.link.far(h.Name)
 			in.take(now, h.Name, list, out)
 			continue
 		}
-		f := &discovery.Follower{Addr: h.Register, Silent: discovery.Silent,
+		f := &discovery.Follower{Addr: h.Discovery, Silent: discovery.Silent,
 			Apply: func(l discovery.List) { in.list(ctx, h.Name, l) },
 			Logf:  func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
 		in.follow.Go(func() { f.Run(ctx) })
 	}
 }
 
-// Confirm tells that a quorum has confirmed at a time that the setup in force is the one
+// ConfirmVersion tells that a quorum has confirmed at a time that the setup in force is the one
 // that is agreed on.
-func (in *Instance) Confirm(at time.Time) {
+func (in *Instance) ConfirmVersion(at time.Time) {
 	since := max(int64(at.Sub(in.start)), 1)
 	for was := in.confirmed.Load(); since > was && !in.confirmed.CompareAndSwap(was, since); was = in.confirmed.Load() {
 	}
@@ -317,9 +317,9 @@
 // minWait is the least that a client is told to wait where its key has no hall now.
 const minWait = 50 * time.Millisecond
 
-// InstallHomes takes over an agreed epoch of homes: what an entry of the log, the voters of that moment (joint: they
+// InstallKeyOwners takes over an agreed epoch of homes: what an entry of the log, the voters of that moment (joint: they
 // change) and all before it come to.
-func (in *Instance) InstallHomes(h multisite.OwnershipEpoch, index uint64, voters []uint64, joint bool) {
+func (in *Instance) InstallKeyOwners(h multisite.OwnershipEpoch, index uint64, voters []uint64, joint bool) {
 	in.event(func(now time.Duration, _ policy.Actions) {
 		in.keys.InstallEpoch(now, h)
 		if in.consent != nil {
@@ -328,16 +328,16 @@
 	})
 }
 
-// ConfirmHomes tells that the epoch in force was confirmed by a quorum that was asked at a time.
-func (in *Instance) ConfirmHomes(asked time.Time) {
+// ConfirmKeyOwners tells that the epoch in force was confirmed by a quorum that was asked at a time.
+func (in *Instance) ConfirmKeyOwners(asked time.Time) {
 	in.event(func(time.Duration, policy.Actions) {
 		in.keys.ConfirmEpoch(time.Duration(in.start.UnixNano()) + asked.Sub(in.start))
 	})
 }
 
-// TellKeys is [multisite.KeyTable.NextBroadcast], with what else goes to the other instances. fence tells this member's: see
+// NextMessage is [multisite.KeyTable.NextBroadcast], with what else goes to the other instances. fence tells this member's: see
 // [multisite.QuorumConfirmation].
-func (in *Instance) TellKeys(most int, fence func() uint64) (m multisite.Message, more bool) {
+func (in *Instance) NextMessage(most int, fence func() uint64) (m multisite.Message, more bool) {
 	in.event(func(now time.Duration, _ policy.Actions) {
 		if m, more = in.keys.NextBroadcast(now, most); more {
 			return
@@ -399,8 +399,8 @@
 	return w
 }
 
-// HearKeys is [multisite.KeyTable.Receive].
-func (in *Instance) HearKeys(m multisite.Message) {
+// ReceiveMessage is [multisite.KeyTable.Receive].
+func (in *Instance) ReceiveMessage(m multisite.Message) {
 	in.event(func(now time.Duration, _ policy.Actions) {
 		in.keys.Receive(now, m)
 		if in.health != nil && m.Views != nil {
@@ -423,8 +423,8 @@
 	}
 }
 
-// AgreeHalls takes over which halls there are, which of them are lost, and the members.
-func (in *Instance) AgreeHalls(halls []multisite.Site, lost map[string]int, members []uint64) {
+// SetAgreedSites takes over which halls there are, which of them are lost, and the members.
+func (in *Instance) SetAgreedSites(halls []multisite.Site, lost map[string]int, members []uint64) {
 	in.event(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
 			in.health.ApplyAgreed(now, halls, lost, members)
@@ -435,8 +435,8 @@
 	})
 }
 
-// JudgeHalls is [multisite.HealthMonitor.ProposeChange].
-func (in *Instance) JudgeHalls() (c multisite.SiteChange, ok bool) {
+// ProposeSiteChange is [multisite.HealthMonitor.ProposeChange].
+func (in *Instance) ProposeSiteChange() (c multisite.SiteChange, ok bool) {
 	in.event(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
 			c, ok = in.health.ProposeChange(now)
@@ -445,8 +445,8 @@
 	return c, ok
 }
 
-// HallStates tells what the instance makes of each hall that it has a register of.
-func (in *Instance) HallStates() map[string]string {
+// SiteStates tells what the instance makes of each hall that it has a register of.
+func (in *Instance) SiteStates() map[string]string {
 	states := map[string]string{}
 	in.event(func(now time.Duration, _ policy.Actions) {
 		for name := range in.halls {
@@ -472,10 +472,10 @@
 	}
 }
 
-// Standing tells how long ago the setup in force was confirmed, and whether requests are
+// Confirmation tells how long ago the setup in force was confirmed, and whether requests are
 // served on it.
-func (in *Instance) Standing(now time.Time) (age time.Duration, serves bool) {
-	a := in.cfg.Agreed
+func (in *Instance) Confirmation(now time.Time) (age time.Duration, serves bool) {
+	a := in.cfg.Agreement
 	if a == nil {
 		return 0, true
 	}
@@ -484,20 +484,20 @@
 		return 0, false
 	}
 	age = now.Sub(in.start) - time.Duration(c)
-	return age, !a.Refuse || age <= a.StaleAfter
+	return age, !a.RejectsStale || age <= a.StaleAfter
 }
 
 // Version is the number of the setup in force.
 func (in *Instance) Version() uint64 { return in.version.Load().number }
 
-// Unconfirmed is the number of requests refused because the setup was not confirmed.
-func (in *Instance) Unconfirmed() int64 { return in.refused.Load() }
+// UnconfirmedCount is the number of requests refused because the setup was not confirmed.
+func (in *Instance) UnconfirmedCount() int64 { return in.refused.Load() }
 
 // Table is the description in force.
 func (in *Instance) Table() *routing.Table { return in.version.Load().table }
 
-// Count calls f with the counters of each operation that was ever in force.
-func (in *Instance) Count(f func(operation string, c *Counters)) {
+// EachOperation calls f with the counters of each operation that was ever in force.
+func (in *Instance) EachOperation(f func(operation string, c *Counters)) {
 	in.mu.Lock()
 	all := make(map[string]*Counters, len(in.counters))
 	for id, c := range in.counters {
@@ -509,8 +509,8 @@
 	}
 }
 
-// Bad is the number of requests that were turned down before they were charged.
-func (in *Instance) Bad() int64 { return in.bad.Load() }
+// BadRequestCount is the number of requests that were turned down before they were charged.
+func (in *Instance) BadRequestCount() int64 { return in.bad.Load() }
 
 // now reads the clock: Unix time, so that start times in lists convert, which never goes back.
 func (in *Instance) now() time.Duration {
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -27,19 +27,19 @@
 // X-Never-Ran); or that it may have run (502). Its units were counted where it entered. If the connection
 // breaks before the answer, the far instance is asked over another one: see [multisite.ForwardedRequests].
 
-// LinkConfig is an instance's part in the link.
-type LinkConfig struct {
-	Own      []string                                  // halls whose servers it reaches itself
-	Listen   netip.AddrPort                            // where other sites' instances come in
-	Far      map[string][]LinkPeer                     // by hall of another site: the instances that reach it
-	TLS      *tls.Config                               // for both sides: mutual, with session tickets off
-	Verify   func(tls.ConnectionState) (uint64, error) // names the member at the other end
-	Most     int                                       // crossings out at once; 64 where 0
-	listener net.Listener                              // open, in tests and the lab
+// RelayConfig is an instance's part in the link.
+type RelayConfig struct {
+	Own         []string                                  // halls whose servers it reaches itself
+	Listen      netip.AddrPort                            // where other sites' instances come in
+	Remote      map[string][]RelayPeer                    // by hall of another site: the instances that reach it
+	TLS         *tls.Config                               // for both sides: mutual, with session tickets off
+	Verify      func(tls.ConnectionState) (uint64, error) // names the member at the other end
+	MaxInFlight int                                       // crossings out at once; 64 where 0
+	listener    net.Listener                              // open, in tests and the lab
 }
 
-// LinkPeer is an instance of another site.
-type LinkPeer struct {
+// RelayPeer is an instance of another site.
+type RelayPeer struct {
 	Member uint64
 	Addr   netip.AddrPort
 }
@@ -62,7 +62,7 @@
 
 // link is an instance's part in the link, at work.
 type link struct {
-	cfg *LinkConfig
+	cfg *RelayConfig
 
 	mu       sync.Mutex
 	arrivals *multisite.ForwardedRequests
@@ -76,7 +76,7 @@
 	body        []byte
 }
 
-func newLink(cfg *LinkConfig) (*link, error) {
+func newLink(cfg *RelayConfig) (*link, error) {
 	if len(cfg.Own) == 0 || cfg.TLS == nil || cfg.Verify == nil {
 		return nil, errors.New("link: a hall of its own, certificates and a check of them are needed")
 	}
@@ -85,7 +85,7 @@
 	if l.arrivals, err = multisite.NewForwardedRequests(arrivalLife, arrivalsMost); err != nil {
 		return nil, err
 	}
-	l.budget, err = multisite.NewRelayBudget(multisite.RelayBudgetConfig{MaxInFlight: orDefault(cfg.Most, linkMost), RetryRatio: linkRetries, MaxSavedRetries: linkSaved})
+	l.budget, err = multisite.NewRelayBudget(multisite.RelayBudgetConfig{MaxInFlight: orDefault(cfg.MaxInFlight, linkMost), RetryRatio: linkRetries, MaxSavedRetries: linkSaved})
 	return l, err
 }
 
@@ -94,7 +94,7 @@
 
 // far is what the module is told of a hall that is reached by way of its own site's instances.
 func (l *link) far(hall string) (list discovery.List, ok bool) {
-	peers, ok := l.cfg.Far[hall]
+	peers, ok := l.cfg.Remote[hall]
 	for _, p := range peers {
 		list.Servers = append(list.Servers, discovery.Instance{Addr: p.Addr,
 			Server: policy.Server{ID: "@" + strconv.FormatUint(p.Member, 10), Weight: 1, Kind: "instance", Zone: hall}})
--- a/internal/gatewayconfig/fleet.go
+++ b/internal/gatewayconfig/fleet.go
@@ -62,8 +62,8 @@
 		}
 		out.Objects[kind][name] = text
 	}
-	for i, h := range c.Halls {
-		put("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Register.String(), IsClosed: in.Halls[i].Closed})
+	for i, h := range c.Sites {
+		put("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Discovery.String(), IsClosed: in.Halls[i].Closed})
 	}
 	for _, k := range c.Classes {
 		put("class", k.Name, clusterconfig.Class{PriorityWeight: k.Worth, LateFraction: k.Late, LatencyObjectiveMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()})
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -442,7 +442,7 @@
 }
 
 // agree has the instances agree on what they serve at first.
-func (c *clusterRun) agree(ctx context.Context, halls []gateway.Hall) error {
+func (c *clusterRun) agree(ctx context.Context, halls []gateway.Site) error {
 	p := &clusterconfig.Proposal{ID: "begin", Reason: variantWhy(1)}
 	for _, k := range classes() {
 		p.Changes = append(p.Changes, clusterconfig.NewPutChange("class", k.Name, clusterconfig.Class{PriorityWeight: k.Worth, LateFraction: k.Late, LatencyObjectiveMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
@@ -458,7 +458,7 @@
 		p.Changes = append(p.Changes, clusterconfig.NewPutChange("follower", m.follows, clusterconfig.Follower{}))
 	}
 	for _, h := range halls {
-		p.Changes = append(p.Changes, clusterconfig.NewPutChange("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Register.String()}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Discovery.String()}))
 	}
 	p.Changes = append(p.Changes, clusterconfig.NewPutChange("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
 	ctx, cancel := context.WithTimeout(ctx, startMost)
@@ -1231,7 +1231,7 @@
 		}
 		variants[r.Version] = now
 	}
-	records := map[string]gateway.Record{}
+	records := map[string]gateway.RequestRecord{}
 	for _, m := range c.instances() {
 		f, err := os.Open(filepath.Join(c.dir, fmt.Sprintf("access-%d.jsonl", m.id)))
 		if err != nil {
@@ -1240,7 +1240,7 @@
 		}
 		lines := bufio.NewScanner(f)
 		for lines.Scan() {
-			var r gateway.Record
+			var r gateway.RequestRecord
 			if json.Unmarshal(lines.Bytes(), &r) != nil || r.Trace == "" {
 				continue // the half of a line, of an instance that was killed
 			}
@@ -1258,7 +1258,7 @@
 	keyed, forKey := 0, 0
 	for _, t := range tries {
 		if t.Operation == "bookVisit" && t.At.Sub(tries[0].At) > startsWithout {
-			if keyed++; records[t.Trace].Why != "" {
+			if keyed++; records[t.Trace].KeyRejection != "" {
 				forKey++
 			}
 		}
