--- a/internal/benchmark/changes.go
+++ b/internal/benchmark/changes.go
@@ -41,7 +41,7 @@
 	}
 	gate := &gateway.Config{Name: fmt.Sprint("gate-", p.Member), Settings: settings()}
 	gate.Settings.Plans = nil
-	gate.On(ln, nil)
+	gate.UseSockets(ln, nil)
 	begun, ended := make(chan *cluster.Fleet, 1), make(chan error, 1)
 	go func() {
 		ended <- cluster.Run(ctx, cfg, gate, log.New(os.Stderr, "", 0), func(f *cluster.Fleet) { begun <- f })
--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -215,9 +215,9 @@
 	f.mu.Unlock()
 	if in != nil {
 		out.Installed = in.Version()
-		out.Halls = in.HallStates()
+		out.Halls = in.SiteStates()
 		var age time.Duration
-		if age, out.Serves = in.Standing(time.Now()); age > 0 {
+		if age, out.Serves = in.Confirmation(time.Now()); age > 0 {
 			out.AgeMs = age.Milliseconds()
 		}
 	}
@@ -486,10 +486,10 @@
 	if in == nil {
 		return
 	}
-	gauge("mulleingate_requests_unconfirmed", "Requests refused because the configuration was not confirmed.", in.Unconfirmed())
+	gauge("mulleingate_requests_unconfirmed", "Requests refused because the configuration was not confirmed.", in.UnconfirmedCount())
 	type figures struct{ served, refused, failed, units int64 }
 	all := map[string]figures{}
-	in.Count(func(op string, c *gateway.Counters) {
+	in.EachOperation(func(op string, c *gateway.Counters) {
 		all[op] = figures{c.Served.Load(), c.Refused.Load(), c.Failed.Load(), c.Units.Load()}
 	})
 	fmt.Fprintf(w, "# TYPE mulleingate_requests_total counter\n")
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -140,8 +140,8 @@
 		l.TLS.SessionTicketsDisabled = true
 		l.Verify = func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf(cfg.Cluster, s) }
 	}
-	if gate.Agreed == nil {
-		gate.Agreed = &gateway.Agreed{}
+	if gate.Agreement == nil {
+		gate.Agreement = &gateway.Agreement{}
 	}
 	own := cfg.Members[cfg.Member]
 	var opened []net.Listener
@@ -304,9 +304,9 @@
 		case c := <-confirmed:
 			f.streams.confirm(c)
 			if f.install(c.state) {
-				f.in.Confirm(c.at)
+				f.in.ConfirmVersion(c.at)
 				if f.gate.Keys != nil && f.takeHomes(ctx) >= c.homes {
-					f.in.ConfirmHomes(c.at)
+					f.in.ConfirmKeyOwners(c.at)
 				}
 			}
 		case <-f.wake:
@@ -316,7 +316,7 @@
 				f.takeHomes(ctx)
 			}
 		case now := <-stale.C:
-			if age, serves := f.in.Standing(now); age > 2*time.Second && now.Sub(told) > staleLog {
+			if age, serves := f.in.Confirmation(now); age > 2*time.Second && now.Sub(told) > staleLog {
 				told = now
 				f.log.Printf("cut off: version %d was last confirmed %.1f s ago; served on: %v", f.in.Version(), age.Seconds(), serves)
 			}
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -57,7 +57,7 @@
 
 type fleetMember struct {
 	cfg    *Config
-	agreed gateway.Agreed
+	agreed gateway.Agreement
 	listen string
 	link   *gateway.LinkConfig
 	fleet  *Fleet
@@ -151,7 +151,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	agreed := m.agreed
 	at := m.listen
-	gate := &gateway.Config{Name: fmt.Sprint("g", id), Seed: id, Agreed: &agreed, DrainFor: time.Millisecond,
+	gate := &gateway.Config{Name: fmt.Sprint("g", id), Seed: id, Agreement: &agreed, DrainFor: time.Millisecond,
 		Settings: policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true, LoadReports: policy.LoadReportsInHealthChecks}}
 	ln, err := net.Listen("tcp", at)
@@ -159,7 +159,7 @@
 		r.t.Fatal(err)
 	}
 	gate.Link = m.link
-	gate.On(ln, nil)
+	gate.UseSockets(ln, nil)
 	m.stop, m.done = stop, make(chan error, 1)
 	begun := make(chan *Fleet, 1)
 	go func() { m.done <- Run(ctx, m.cfg, gate, log.New(io.Discard, "", 0), func(f *Fleet) { begun <- f }) }()
@@ -407,7 +407,7 @@
 // past the bound it does what was chosen. When the quorum is back, both serve.
 func TestCutOff(t *testing.T) {
 	r := newRig(t, 3)
-	for id, a := range map[uint64]gateway.Agreed{1: {StaleAfter: time.Second}, 2: {StaleAfter: time.Second, Refuse: true}} {
+	for id, a := range map[uint64]gateway.Agreement{1: {StaleAfter: time.Second}, 2: {StaleAfter: time.Second, Refuse: true}} {
 		r.halt(id)
 		r.members[id].agreed = a
 		r.start(id)
@@ -680,7 +680,7 @@
 	r.everywhere(o.Version)
 	r.served(1)
 	n := int64(0)
-	r.members[2].fleet.Instance().Count(func(_ string, c *gateway.Counters) { n += c.Sent.Load() })
+	r.members[2].fleet.Instance().EachOperation(func(_ string, c *gateway.Counters) { n += c.Sent.Load() })
 	if n != 0 {
 		t.Errorf("the far member counts %d requests that entered at the other", n)
 	}
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -132,8 +132,8 @@
 	if !cfg.KeysAnywhere {
 		gate.Keys = &multisite.Config{Me: anyFollower, Incarnation: disk.Starts, Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
 	}
-	if gate.Agreed == nil {
-		gate.Agreed = &gateway.Agreed{}
+	if gate.Agreement == nil {
+		gate.Agreement = &gateway.Agreement{}
 	}
 	serving, drain := context.WithCancel(context.Background())
 	defer drain()
@@ -192,11 +192,11 @@
 	}
 	if f.gate.Keys != nil {
 		h, _, _ := homesOf(state, []uint64{anyFollower, anyMember})
-		f.in.InstallHomes(h, 0, nil, false)
+		f.in.InstallKeyOwners(h, 0, nil, false)
 	}
 	if f.kept {
 		f.kept = false
-		f.in.Confirm(f.feed.begun) // what was in force before is served on, for as long as when_stale allows
+		f.in.ConfirmVersion(f.feed.begun) // what was in force before is served on, for as long as when_stale allows
 	}
 	return nil
 }
@@ -204,10 +204,10 @@
 // confirm tells the instance what a quorum has confirmed.
 func (f *Follower) confirm(at, homes time.Time, sure, homesSure bool) {
 	if sure {
-		f.in.Confirm(at)
+		f.in.ConfirmVersion(at)
 	}
 	if homesSure && f.gate.Keys != nil {
-		f.in.ConfirmHomes(homes)
+		f.in.ConfirmKeyOwners(homes)
 	}
 }
 
@@ -217,7 +217,7 @@
 // Status is how the follower stands.
 func (f *Follower) Status() FollowerStatus {
 	s := f.feed.Status()
-	_, s.Serves = f.in.Standing(time.Now())
+	_, s.Serves = f.in.Confirmation(time.Now())
 	return s
 }
 
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	gate.On(ln, nil)
+	gate.UseSockets(ln, nil)
 	f.logs = &testserver.Log{}
 	f.done, f.stop = make(chan error, 1), stop
 	begun := make(chan *Follower, 1)
--- a/internal/cluster/homes.go
+++ b/internal/cluster/homes.go
@@ -48,14 +48,14 @@
 			return
 		case <-tick.C:
 		}
-		now := f.in.HallStates()
+		now := f.in.SiteStates()
 		for name, s := range now {
 			if was, ok := states[name]; ok && was != s {
 				f.log.Printf("hall %s is %s (was %s)", name, s, was)
 			}
 		}
 		states = now
-		change, ok := f.in.JudgeHalls()
+		change, ok := f.in.ProposeSiteChange()
 		if !ok {
 			continue
 		}
@@ -108,8 +108,8 @@
 		return 0
 	}
 	h, agreed, parts := homesOf(s, m.Members)
-	f.in.InstallHomes(h, m.Index, m.Voters, m.Joint)
-	f.in.AgreeHalls(agreed, parts, m.Members)
+	f.in.InstallKeyOwners(h, m.Index, m.Voters, m.Joint)
+	f.in.SetAgreedSites(agreed, parts, m.Members)
 	return h.Epoch
 }
 
@@ -146,7 +146,7 @@
 		}
 		for more := true; more; {
 			var m multisite.Message
-			m, more = f.in.TellKeys(keysWord, f.node.Fence)
+			m, more = f.in.NextMessage(keysWord, f.node.Fence)
 			text, err := json.Marshal(&m)
 			if err == nil {
 				err = f.node.Tell(text)
@@ -170,5 +170,5 @@
 	if in == nil || f.gate.Keys == nil || json.Unmarshal(text, &m) != nil || m.From != from {
 		return // a gap in its words, as if it had been lost
 	}
-	in.HearKeys(m)
+	in.ReceiveMessage(m)
 }
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -20,7 +20,7 @@
 
 type accessLine struct {
 	Time time.Time `json:"time"`
-	Record
+	RequestRecord
 }
 
 const (
@@ -36,7 +36,7 @@
 }
 
 // Observe takes a record; it is a [Config.Observe].
-func (l *AccessLog) Observe(r Record) {
+func (l *AccessLog) Observe(r RequestRecord) {
 	select {
 	case l.lines <- accessLine{time.Now(), r}:
 	default:
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -33,8 +33,8 @@
 	slack      = 5 * time.Second         // by which idleLimit and writeLimit may come early: saves setting them for each request
 )
 
-// front is the client side.
-type front struct {
+// clientServer is the client side.
+type clientServer struct {
 	in       *Instance
 	ready    atomic.Bool
 	draining atomic.Bool
@@ -43,16 +43,16 @@
 	link net.Listener // of other sites' instances; nil: none come
 
 	mu    sync.Mutex
-	conns map[*client]struct{}
+	conns map[*clientConn]struct{}
 }
 
-// client is a connection of a client.
-type client struct {
-	f       *front
+// clientConn is a connection of a client.
+type clientConn struct {
+	f       *clientServer
 	nc      net.Conn
 	raw     syscall.RawConn
 	rd      *httpwire.Reader
-	fl      flight
+	fl      pendingRequest
 	out     []byte
 	reads   int       // since the request under way began
 	idleBy  time.Time // read deadline in force
@@ -63,8 +63,8 @@
 }
 
 // serve answers clients until the listener closes.
-func (f *front) serve(ln net.Listener) error {
-	_, linked := ln.(linkListener)
+func (f *clientServer) serve(ln net.Listener) error {
+	_, linked := ln.(relayListener)
 	for {
 		nc, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -77,7 +77,7 @@
 		if err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
-		c := &client{f: f, nc: nc, linked: linked}
+		c := &clientConn{f: f, nc: nc, linked: linked}
 		c.rd = httpwire.NewReader(c)
 		c.fl.wake = make(chan struct{}, 1)
 		if c.raw, err = raw(nc); err != nil {
@@ -100,13 +100,13 @@
 			nc.Close()
 			continue
 		}
-		f.handlers.Go(c.loop)
+		f.handlers.Go(c.serve)
 	}
 }
 
 // Read counts the reads of a request: one that does not come whole in the first gets a
 // deadline of its own, so that none holds a connection by sending slowly.
-func (c *client) Read(p []byte) (int, error) {
+func (c *clientConn) Read(p []byte) (int, error) {
 	if c.reads == 1 {
 		c.idleBy = time.Now().Add(restLimit)
 		c.nc.SetReadDeadline(c.idleBy)
@@ -115,15 +115,15 @@
 	return c.nc.Read(p)
 }
 
-// loop answers the requests of one connection.
-func (c *client) loop() {
+// serve answers the requests of one connection.
+func (c *clientConn) serve() {
 	defer func() {
 		c.nc.Close()
 		c.f.mu.Lock()
 		delete(c.f.conns, c)
 		c.f.mu.Unlock()
 	}()
-	if c.linked && !c.shows() {
+	if c.linked && !c.verifyPeer() {
 		return
 	}
 	// A connection that was made while the instance drains is answered once.
@@ -137,7 +137,7 @@
 			return
 		}
 		c.busy.Store(true)
-		again := c.one()
+		again := c.serveOne()
 		c.busy.Store(false)
 		if !again {
 			return
@@ -161,11 +161,11 @@
 // errUnconfirmed refuses a request: what is agreed is not known well enough to serve on.
 var errUnconfirmed = &badRequest{status: http.StatusServiceUnavailable, text: "refused: trying again at another instance does no harm", wait: time.Second}
 
-// one answers one request; it is false if the connection is to be closed.
-func (c *client) one() (again bool) {
+// serveOne answers one request; it is false if the connection is to be closed.
+func (c *clientConn) serveOne() (again bool) {
 	fl := &c.fl
-	fl.body, fl.done, fl.pending, fl.waiting, fl.sent, fl.attempts, fl.call = nil, false, false, false, false, 0, nil
-	fl.mayRun, fl.linked, fl.over, fl.why = false, c.linked, false, ""
+	fl.body, fl.isAnswered, fl.hasNext, fl.isWaiting, fl.wasSent, fl.attempts, fl.call = nil, false, false, false, false, 0, nil
+	fl.mayRun, fl.cameByRelay, fl.isRelayed, fl.keyRejection = false, c.linked, false, ""
 	select {
 	case <-fl.wake: // crossed with the end of the last request's time
 	default:
@@ -176,53 +176,53 @@
 			again = false
 		}
 	}()
-	err := c.rd.Request(&fl.head)
+	err := c.rd.Request(&fl.requestHead)
 	began := time.Now()
 	if err != nil {
-		return c.unreadable(err)
+		return c.rejectUnreadable(err)
 	}
-	if fl.head.Chunked {
-		return c.turnDown(&badRequest{status: http.StatusLengthRequired, text: "Content-Length is wanted, not Transfer-Encoding", close: true})
+	if fl.requestHead.Chunked {
+		return c.rejectBadRequest(&badRequest{status: http.StatusLengthRequired, text: "Content-Length is wanted, not Transfer-Encoding", close: true})
 	}
-	if fl.head.Length > maxBody {
-		return c.turnDown(&badRequest{status: http.StatusRequestEntityTooLarge, text: "body: over 64 KiB", close: true})
+	if fl.requestHead.Length > maxBody {
+		return c.rejectBadRequest(&badRequest{status: http.StatusRequestEntityTooLarge, text: "body: over 64 KiB", close: true})
 	}
-	if fl.head.Length > 0 {
-		if e, n := fl.head.Values("Expect"); n > 0 && strings.EqualFold(e, "100-continue") && c.rd.Buffered() == 0 {
+	if fl.requestHead.Length > 0 {
+		if e, n := fl.requestHead.Values("Expect"); n > 0 && strings.EqualFold(e, "100-continue") && c.rd.Buffered() == 0 {
 			c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
-		fl.body = make([]byte, fl.head.Length)
+		fl.body = make([]byte, fl.requestHead.Length)
 		if err := c.rd.Body(fl.body); err != nil {
-			return c.turnDown(&badRequest{status: http.StatusBadRequest, text: "body: incomplete", close: true})
+			return c.rejectBadRequest(&badRequest{status: http.StatusBadRequest, text: "body: incomplete", close: true})
 		}
 	}
-	if fl.head.Target == readyPath && fl.head.Method == "GET" {
-		return c.health()
+	if fl.requestHead.Target == readyPath && fl.requestHead.Method == "GET" {
+		return c.serveHealth()
 	}
-	if c.linked && fl.head.Method == "GET" && fl.head.Target == fatePath {
-		return c.tellFate()
+	if c.linked && fl.requestHead.Method == "GET" && fl.requestHead.Target == fatePath {
+		return c.serveExecutionStatus()
 	}
-	if c.linked && fl.head.Method == "GET" && fl.head.Target == loadPath { // this instance lives
-		return c.finish(c.begin(http.StatusOK, "OK"), nil, 0)
+	if c.linked && fl.requestHead.Method == "GET" && fl.requestHead.Target == loadPath { // this instance lives
+		return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), nil, 0)
 	}
 	q, err := c.f.parse(fl, began)
 	if err == nil && c.linked {
 		fl.counters = &Counters{} // it counts where it entered
-		err = c.come()
+		err = c.acceptRelayed()
 	}
 	if err != nil {
-		return c.turnDown(err)
+		return c.rejectBadRequest(err)
 	}
 	fl.deadline = began.Add(q.Timeout + c.f.in.cfg.Settings.ResponseSlack)
-	c.f.in.carry(fl, q, c.gone)
+	c.f.in.serveRequest(fl, q, c.hasDisconnected)
 	if c.linked {
-		c.left()
+		c.finishRelayed()
 	}
-	return c.answer()
+	return c.writeAnswer()
 }
 
-// unreadable answers a head that can't be read, if there is one.
-func (c *client) unreadable(err error) bool {
+// rejectUnreadable answers a head that can't be read, if there is one.
+func (c *clientConn) rejectUnreadable(err error) bool {
 	status := http.StatusBadRequest
 	switch {
 	case errors.Is(err, httpwire.ErrTooLarge):
@@ -237,11 +237,11 @@
 	default: // the connection broke
 		return false
 	}
-	return c.turnDown(&badRequest{status: status, text: err.Error(), close: true})
+	return c.rejectBadRequest(&badRequest{status: status, text: err.Error(), close: true})
 }
 
-// gone tells whether the client has closed its connection.
-func (c *client) gone() bool {
+// hasDisconnected tells whether the client has closed its connection.
+func (c *clientConn) hasDisconnected() bool {
 	if c.rd.Buffered() > 0 {
 		return false
 	}
@@ -257,15 +257,15 @@
 
 // parse finds a request's operation and what the module must know of it. The version in
 // force is read once: the request keeps it.
-func (f *front) parse(fl *flight, began time.Time) (q policy.Request, err error) {
-	h := &fl.head
+func (f *clientServer) parse(fl *pendingRequest, began time.Time) (q policy.Request, err error) {
+	h := &fl.requestHead
 	// First its standing, then the version: a version may be put in force in between, which is
 	// confirmed then as well.
-	fl.age, fl.version = 0, nil
-	if f.in.cfg.Agreed != nil {
+	fl.confirmationAge, fl.version = 0, nil
+	if f.in.cfg.Agreement != nil {
 		var serves bool
-		if fl.age, serves = f.in.Standing(began); !serves {
-			f.in.refused.Add(1)
+		if fl.confirmationAge, serves = f.in.Confirmation(began); !serves {
+			f.in.unconfirmedCount.Add(1)
 			return q, errUnconfirmed
 		}
 	}
@@ -282,7 +282,7 @@
 		// A field that Connection names is dropped on the way: the cost could stand in it.
 		return q, &badRequest{status: http.StatusBadRequest, text: "Connection: names other fields than close and keep-alive"}
 	}
-	if err := overrides(h, query); err != nil {
+	if err := overridesTarget(h, query); err != nil {
 		return q, err
 	}
 	op, allow, a := v.table.Match(h.Method, path)
@@ -328,7 +328,7 @@
 		}
 	}
 	fl.units = units
-	if fl.homed = f.in.keys != nil && op.Key.In != routing.Nowhere; fl.homed {
+	if fl.hasKeyOwner = f.in.keys != nil && op.Key.In != routing.Nowhere; fl.hasKeyOwner {
 		fl.key = keyNumber(fl.licensee, op.KeyOf(routing.Request{Query: query, Head: h, Body: fl.body}, path))
 	}
 	return policy.Request{Class: op.Class.Name, Plan: l.Plan, Customer: l.Customer, Timeout: grace - transit - time.Since(began),
@@ -344,9 +344,9 @@
 	return h.Sum64()
 }
 
-// overrides turns down what makes a server take a request for another than its line
+// overridesTarget turns down what makes a server take a request for another than its line
 // says.
-func overrides(h *httpwire.Head, query string) error {
+func overridesTarget(h *httpwire.Head, query string) error {
 	for i := range h.Fields {
 		switch n := h.Fields[i].Name; len(n) {
 		case 13, 17, 22, 14:
@@ -373,23 +373,23 @@
 	return len(id) > 0 && len(id) <= 64
 }
 
-// begin starts an answer.
-func (c *client) begin(status int, reason string) []byte {
-	c.fl.head.Close = c.fl.head.Close || c.f.draining.Load()
+// appendStatusLine starts an answer.
+func (c *clientConn) appendStatusLine(status int, reason string) []byte {
+	c.fl.requestHead.Close = c.fl.requestHead.Close || c.f.draining.Load()
 	b := append(c.out[:0], "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
 	b = append(b, reason...)
 	b = append(b, "\r\n"...)
-	if c.fl.head.Close {
+	if c.fl.requestHead.Close {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return b
 }
 
-// finish ends an answer with its body and sends it; it is false if the connection is to
+// writeResponse ends an answer with its body and sends it; it is false if the connection is to
 // be closed.
-func (c *client) finish(b, body []byte, length int) bool {
+func (c *clientConn) writeResponse(b, body []byte, length int) bool {
 	if length >= 0 {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(length), 10)
@@ -400,10 +400,10 @@
 	if c.out = b[:0]; cap(c.out) > keptBuffer {
 		c.out = nil
 	}
-	return c.write(b) == nil && !c.fl.head.Close
+	return c.write(b) == nil && !c.fl.requestHead.Close
 }
 
-func (c *client) write(b []byte) error {
+func (c *clientConn) write(b []byte) error {
 	if now := time.Now(); c.writeBy.Sub(now) < writeLimit-slack {
 		c.writeBy = now.Add(writeLimit)
 		c.nc.SetWriteDeadline(c.writeBy)
@@ -412,41 +412,41 @@
 	return err
 }
 
-// answer words the final answer of the flight.
-func (c *client) answer() bool {
+// writeAnswer words the final answer of the flight.
+func (c *clientConn) writeAnswer() bool {
 	fl := &c.fl
-	rec := Record{Trace: fl.trace, Operation: fl.op.ID, Licensee: fl.licensee, Version: fl.version.number, Units: fl.units,
-		Sent: fl.sent, Attempts: fl.attempts, Answer: fl.answer.String(), Why: fl.why}
+	rec := RequestRecord{Trace: fl.trace, Operation: fl.op.ID, Licensee: fl.licensee, Version: fl.version.number, Units: fl.units,
+		Sent: fl.wasSent, Attempts: fl.attempts, Answer: fl.answer.String(), Why: fl.keyRejection}
 	var b, body []byte
 	length := 0
 	switch fl.answer {
 	case served:
 		fl.counters.Served.Add(1)
-		h := &fl.rep.head
+		h := &fl.response.head
 		rec.Status = h.Status
-		b = c.begin(h.Status, h.Reason)
+		b = c.appendStatusLine(h.Status, h.Reason)
 		for i := range h.Fields {
 			f := &h.Fields[i]
 			if !httpwire.HopByHop(f.Name) && !strings.EqualFold(f.Name, "Endpoint-Load-Metrics") && !strings.EqualFold(f.Name, "X-Never-Ran") {
 				b = httpwire.AppendField(b, f.Name, f.Value)
 			}
 		}
-		body, length = fl.rep.body, len(fl.rep.body)
-		if fl.head.Method == "HEAD" || h.Status == 304 {
+		body, length = fl.response.body, len(fl.response.body)
+		if fl.requestHead.Method == "HEAD" || h.Status == 304 {
 			length = int(h.Length)
 		} else if h.Status == 204 {
 			length = -1
 		}
-	case refused:
+	case rejected:
 		fl.counters.Refused.Add(1)
 		if c.linked && !fl.mayRun {
-			return c.neverRan("refused", fl.wait)
+			return c.neverRan("refused", fl.retryAfter)
 		}
 		rec.Status = http.StatusTooManyRequests
-		b = c.begin(rec.Status, "Too Many Requests")
-		if fl.wait > 0 {
+		b = c.appendStatusLine(rec.Status, "Too Many Requests")
+		if fl.retryAfter > 0 {
 			b = append(b, "Retry-After: "...)
-			b = appendSeconds(b, fl.wait)
+			b = appendSeconds(b, fl.retryAfter)
 			b = append(b, "\r\n"...)
 		}
 		body = []byte("refused: trying again does no harm\n")
@@ -456,37 +456,37 @@
 			return c.neverRan("failed: nothing was sent on", 0)
 		}
 		rec.Status = http.StatusBadGateway
-		b = c.begin(rec.Status, "Bad Gateway")
+		b = c.appendStatusLine(rec.Status, "Bad Gateway")
 		body = []byte("failed: it may have run\n")
-		if !fl.sent {
+		if !fl.wasSent {
 			body = []byte("failed: nothing was sent on\n")
 		}
 	}
 	if fl.answer != served {
 		b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
 		length = len(body)
-		if fl.head.Method == "HEAD" {
+		if fl.requestHead.Method == "HEAD" {
 			body = nil
 		}
 	}
-	if _, n := fl.head.Values("X-Mulleinmux-Explain"); n > 0 {
+	if _, n := fl.requestHead.Values("X-Mulleinmux-Explain"); n > 0 {
 		b = fmt.Appendf(b, "X-Mulleinmux-Version: %d\r\nX-Mulleinmux-Operation: %s\r\nX-Mulleinmux-Units: %d\r\nX-Mulleinmux-Attempts: %d\r\n",
 			rec.Version, rec.Operation, rec.Units, rec.Attempts)
 	}
-	if fl.age > tellAge { // cut off: what clients are told may be old
+	if fl.confirmationAge > tellAge { // cut off: what clients are told may be old
 		b = append(b, "X-Mulleinmux-Config-Age: "...)
-		b = appendSeconds(b, fl.age)
+		b = appendSeconds(b, fl.confirmationAge)
 		b = append(b, "\r\n"...)
 	}
 	if c.f.in.cfg.Observe != nil && !c.linked {
 		c.f.in.cfg.Observe(rec)
 	}
-	fl.rep.body = nil
-	return c.finish(b, body, length)
+	fl.response.body = nil
+	return c.writeResponse(b, body, length)
 }
 
-// turnDown answers a request that is the client's mistake.
-func (c *client) turnDown(err error) bool {
+// rejectBadRequest answers a request that is the client's mistake.
+func (c *clientConn) rejectBadRequest(err error) bool {
 	e := &badRequest{status: http.StatusBadRequest, text: err.Error()}
 	if r, ok := errors.AsType[*routing.Refusal](err); ok {
 		e.status = r.Status
@@ -494,15 +494,15 @@
 		errors.As(err, &e)
 	}
 	if e.close {
-		c.fl.head.Close = true
+		c.fl.requestHead.Close = true
 	}
 	if c.linked && !e.close && !e.mayRun { // whatever it is, it did not run here, and the client is not ours to tell
 		return c.neverRan(e.text, e.wait)
 	}
 	if e.status != http.StatusNoContent && e.wait == 0 {
-		c.f.in.bad.Add(1)
+		c.f.in.badRequestCount.Add(1)
 	}
-	b := c.begin(e.status, http.StatusText(e.status))
+	b := c.appendStatusLine(e.status, http.StatusText(e.status))
 	if e.wait > 0 {
 		b = append(b, "Retry-After: "...)
 		b = appendSeconds(b, e.wait)
@@ -512,33 +512,33 @@
 		b = httpwire.AppendField(b, "Allow", e.allow)
 	}
 	if e.status == http.StatusNoContent {
-		return c.finish(b, nil, -1)
+		return c.writeResponse(b, nil, -1)
 	}
 	b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
 	body := []byte(e.text + "\n")
 	n := len(body)
-	if c.fl.head.Method == "HEAD" {
+	if c.fl.requestHead.Method == "HEAD" {
 		body = nil
 	}
-	again := c.finish(b, body, n)
+	again := c.writeResponse(b, body, n)
 	if e.close {
-		c.linger()
+		c.discardInput()
 	}
 	return again
 }
 
-// linger reads what a client still sends for a moment, since closing on it could reset
+// discardInput reads what a client still sends for a moment, since closing on it could reset
 // the connection before the client has read the answer.
-func (c *client) linger() {
+func (c *clientConn) discardInput() {
 	if tc, ok := c.nc.(*net.TCPConn); ok && tc.CloseWrite() == nil {
 		c.nc.SetReadDeadline(time.Now().Add(restLimit / 6))
 		io.CopyN(io.Discard, c.nc, 256<<10)
 	}
 }
 
-func (c *client) health() bool {
-	if _, serves := c.f.in.Standing(time.Now()); serves && c.f.ready.Load() {
-		return c.finish(c.begin(http.StatusOK, "OK"), []byte("ready\n"), 6)
+func (c *clientConn) serveHealth() bool {
+	if _, serves := c.f.in.Confirmation(time.Now()); serves && c.f.ready.Load() {
+		return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), []byte("ready\n"), 6)
 	}
-	return c.finish(c.begin(http.StatusServiceUnavailable, "Service Unavailable"), []byte("not ready\n"), 10)
+	return c.writeResponse(c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable"), []byte("not ready\n"), 10)
 }
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -32,40 +32,40 @@
 // A request's own goroutine carries out its attempts, one after the other, so that no two
 // can be out at once: an action of the module only leaves word of what is to come next.
 type Instance struct {
-	cfg     *Config
-	log     *log.Logger
-	start   time.Time // the clock reads Unix time at the start plus the monotonic time since
-	ctx     context.Context
-	servers *servers
-	peers   *gossip.Socket // nil: there are none
-	work    sync.WaitGroup
+	cfg          *Config
+	log          *log.Logger
+	start        time.Time // the clock reads Unix time at the start plus the monotonic time since
+	ctx          context.Context
+	servers      *serverPool
+	peers        *gossip.Socket // nil: there are none
+	healthChecks sync.WaitGroup
 
-	version atomic.Pointer[version] // in force
-	follow  sync.WaitGroup          // followers of registers
+	version            atomic.Pointer[version] // in force
+	discoveryFollowers sync.WaitGroup          // followers of registers
 
 	// When a quorum last confirmed the version in force, by the monotonic clock since start;
 	// 0: not since the start. Only with Config.Agreed.
-	confirmed atomic.Int64
-	refused   atomic.Int64 // requests refused because of that
-	bad       atomic.Int64 // requests turned down before they were charged
-
-	mu       sync.Mutex
-	gw       *policy.Engine
-	link     *link             // nil: it reaches all halls itself
-	keys     *multisite.Keys   // nil: keyed requests are kept to a hall for one request only
-	health   *multisite.Health // nil: halls are not judged
-	consent  *multisite.Consent
-	ramp     *multisite.Ramp // nil: what cold servers are sent is each instance's own guess
-	flights  map[string]*flight
-	after    []func() // what the event under way leaves to do without the mutex
-	closed   bool     // no more events
-	number   uint64   // of the last flight
-	timers   timers
-	alarm    *time.Timer // at the earliest of timers
-	alarmAt  time.Duration
-	known    map[string]map[string]bool // servers by hall
-	halls    map[string]*watch
-	counters map[string]*Counters // by operation, over all versions
+	confirmedAt      atomic.Int64
+	unconfirmedCount atomic.Int64 // requests refused because of that
+	badRequestCount  atomic.Int64 // requests turned down before they were charged
+
+	mu                sync.Mutex
+	engine            *policy.Engine
+	link              *relay            // nil: it reaches all halls itself
+	keys              *multisite.Keys   // nil: keyed requests are kept to a hall for one request only
+	health            *multisite.Health // nil: halls are not judged
+	confirmation      *multisite.Consent
+	ramp              *multisite.Ramp // nil: what cold servers are sent is each instance's own guess
+	requests          map[string]*pendingRequest
+	deferred          []func() // what the event under way leaves to do without the mutex
+	isClosed          bool     // no more events
+	lastRequestNumber uint64   // of the last flight
+	timers            timerQueue
+	timer             *time.Timer // at the earliest of timers
+	timerAt           time.Duration
+	serversBySite     map[string]map[string]bool // servers by hall
+	siteWatches       map[string]*siteWatch
+	counters          map[string]*Counters // by operation, over all versions
 }
 
 // version is a setup in force and the counters of its operations.
@@ -77,8 +77,8 @@
 	licensees map[string]Licensee
 }
 
-// watch is a follower of a hall's register.
-type watch struct {
+// siteWatch is a follower of a hall's register.
+type siteWatch struct {
 	register netip.AddrPort
 	stop     context.CancelFunc
 }
@@ -97,8 +97,8 @@
 	Check(op *routing.Operation, head *httpwire.Head, body []byte) error
 }
 
-// Record is what became of one request that was charged or refused.
-type Record struct {
+// RequestRecord is what became of one request that was charged or refused.
+type RequestRecord struct {
 	Trace     string `json:"trace"` // X-Trace-Id
 	Operation string `json:"operation"`
 	Licensee  string `json:"licensee"`
@@ -111,40 +111,40 @@
 	Why       string `json:"why,omitempty"` // a request with a key was refused for the sake of its key
 }
 
-// flight is a request of a client until it has its final answer.
-type flight struct {
-	id       string // the module's
-	trace    string // X-Trace-Id
-	head     httpwire.Head
-	body     []byte
-	version  *version      // in force when it was matched: it keeps it
-	age      time.Duration // of the version's last confirmation, then
-	op       *routing.Operation
-	counters *Counters
-	licensee string
-	units    int
-	deadline time.Time
-	sent     bool   // an attempt was written whole
-	key      uint64 // of a keyed request that sites decides on
-	homed    bool   // it is one
-	mayRun   bool   // an attempt may have run
-
-	linked     bool   // it came over the link
-	crossingID string // then
-	over       bool   // the attempt under way crosses the link
+// pendingRequest is a request of a client until it has its final answer.
+type pendingRequest struct {
+	id              string // the module's
+	trace           string // X-Trace-Id
+	requestHead     httpwire.Head
+	body            []byte
+	version         *version      // in force when it was matched: it keeps it
+	confirmationAge time.Duration // of the version's last confirmation, then
+	op              *routing.Operation
+	counters        *Counters
+	licensee        string
+	units           int
+	deadline        time.Time
+	wasSent         bool   // an attempt was written whole
+	key             uint64 // of a keyed request that sites decides on
+	hasKeyOwner     bool   // it is one
+	mayRun          bool   // an attempt may have run
+
+	cameByRelay bool   // it came over the link
+	relayID     string // then
+	isRelayed   bool   // the attempt under way crosses the link
 
 	// Under the instance's mutex:
-	done     bool // answer is final
-	answer   answerKind
-	wait     time.Duration // of a refusal
-	why      string        // of one for the sake of its key
-	next     attempt       // asked for and not begun
-	pending  bool          // next is set
-	call     *call         // the attempt under way
-	attempts int
-	waiting  bool // its goroutine waits for wake
-	wake     chan struct{}
-	rep      reply // of the latest attempt
+	isAnswered   bool // answer is final
+	answer       outcome
+	retryAfter   time.Duration   // of a refusal
+	keyRejection string          // of one for the sake of its key
+	next         attempt         // asked for and not begun
+	hasNext      bool            // next is set
+	call         *attemptControl // the attempt under way
+	attempts     int
+	isWaiting    bool // its goroutine waits for wake
+	wake         chan struct{}
+	response     response // of the latest attempt
 }
 
 type attempt struct {
@@ -152,18 +152,18 @@
 	until  time.Time
 }
 
-type answerKind int
+type outcome int
 
 const (
-	served answerKind = iota
-	refused
+	served outcome = iota
+	rejected
 	failed
 )
 
-func (k answerKind) String() string { return [...]string{"served", "refused", "failed"}[k] }
+func (k outcome) String() string { return [...]string{"served", "refused", "failed"}[k] }
 
-// unused is a class that no operation has: the module wants one before there is a table.
-var unused = []policy.Class{{Name: "/none"}}
+// placeholderClasses is a class that no operation has: the module wants one before there is a table.
+var placeholderClasses = []policy.Class{{Name: "/none"}}
 
 // newInstance makes an instance whose goroutines end with ctx. Without a table it refuses
 // all requests until one is installed.
@@ -172,13 +172,13 @@
 		return nil, err
 	}
 	set := cfg.Settings
-	set.Classes, set.Plans = unused, nil
+	set.Classes, set.Plans = placeholderClasses, nil
 	gw, err := policy.New(set, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	in := &Instance{cfg: cfg, log: logger, start: time.Now(), ctx: ctx, servers: newServers(cfg), gw: gw,
-		flights: map[string]*flight{}, known: map[string]map[string]bool{}, counters: map[string]*Counters{}, halls: map[string]*watch{}}
+	in := &Instance{cfg: cfg, log: logger, start: time.Now(), ctx: ctx, servers: newServers(cfg), engine: gw,
+		requests: map[string]*pendingRequest{}, serversBySite: map[string]map[string]bool{}, counters: map[string]*Counters{}, siteWatches: map[string]*siteWatch{}}
 	if cfg.Keys != nil {
 		if in.keys, err = multisite.New(*cfg.Keys, in.now()); err != nil {
 			return nil, err
@@ -196,7 +196,7 @@
 		}
 	}
 	if cfg.Consent != nil {
-		if in.consent, err = multisite.NewConsent(*cfg.Consent); err != nil {
+		if in.confirmation, err = multisite.NewConsent(*cfg.Consent); err != nil {
 			return nil, err
 		}
 	}
@@ -205,8 +205,8 @@
 			return nil, err
 		}
 	}
-	in.alarm = time.AfterFunc(time.Hour, in.ring)
-	in.alarmAt = math.MaxInt64
+	in.timer = time.AfterFunc(time.Hour, in.fireTimers)
+	in.timerAt = math.MaxInt64
 	in.version.Store(&version{table: &routing.Table{}})
 	return in, in.Install(setup)
 }
@@ -215,41 +215,41 @@
 // it; those matched before keep theirs to their final answer. With an error nothing has
 // changed.
 func (in *Instance) Install(s Setup) error {
-	for i, h := range s.Halls {
-		if slices.ContainsFunc(s.Halls[:i], func(o Hall) bool { return o.Name == h.Name }) {
+	for i, h := range s.Sites {
+		if slices.ContainsFunc(s.Sites[:i], func(o Site) bool { return o.Name == h.Name }) {
 			return fmt.Errorf("halls: %q stands twice", h.Name)
 		}
 	}
 	err := errors.New("the instance has ended")
-	in.event(func(now time.Duration, out policy.Actions) {
+	in.handleEvent(func(now time.Duration, out policy.Actions) {
 		old := in.version.Load()
 		if s.Table == nil {
 			s.Table, s.Check = old.table, old.check
 		}
 		classes := s.Table.Classes
 		if len(classes) == 0 {
-			classes = unused
+			classes = placeholderClasses
 		}
-		if err = in.gw.ValidateTables(classes, s.Plans); err != nil {
+		if err = in.engine.ValidateTables(classes, s.Plans); err != nil {
 			return
 		}
-		if err = in.gw.SetPlans(now, s.Plans); err == nil && s.Table != old.table {
-			err = in.gw.SetClasses(classes)
+		if err = in.engine.SetPlans(now, s.Plans); err == nil && s.Table != old.table {
+			err = in.engine.SetClasses(classes)
 		}
 		if err != nil {
 			return
 		}
-		in.version.Store(in.prepare(s, old))
+		in.version.Store(in.newVersion(s, old))
 		if deadline, window := s.Table.KeyLife(); in.keys != nil && deadline > 0 {
-			in.keys.SetLife(now, deadline+keyWay, window)
+			in.keys.SetLife(now, deadline+maxRequestTransit, window)
 		}
-		in.watchHalls(now, s.Halls, out)
+		in.watchSites(now, s.Sites, out)
 	})
 	return err
 }
 
-// prepare makes a version of a setup. Called under the mutex.
-func (in *Instance) prepare(s Setup, old *version) *version {
+// newVersion makes a version of a setup. Called under the mutex.
+func (in *Instance) newVersion(s Setup, old *version) *version {
 	v := &version{number: s.Number, table: s.Table, check: s.Check, licensees: s.Licensees}
 	if s.Table == old.table {
 		v.ops = old.ops
@@ -266,142 +266,142 @@
 	return v
 }
 
-// watchHalls follows the registers of these halls and of no others. The servers of a hall
+// watchSites follows the registers of these halls and of no others. The servers of a hall
 // that is no longer there are gone; those of one whose register has moved stay until the
 // new one tells. Called under the mutex.
-func (in *Instance) watchHalls(now time.Duration, halls []Hall, out policy.Actions) {
+func (in *Instance) watchSites(now time.Duration, halls []Site, out policy.Actions) {
 	wanted := map[string]netip.AddrPort{}
 	for _, h := range halls {
 		wanted[h.Name] = h.Register
 	}
-	for name, w := range in.halls {
+	for name, w := range in.siteWatches {
 		if at, ok := wanted[name]; ok && at == w.register {
 			continue
 		} else if !ok {
-			in.take(now, name, discovery.List{Full: true}, out)
-			in.gw.RemoveZoneLimits(name)
-			delete(in.known, name)
+			in.applyEndpoints(now, name, discovery.List{Full: true}, out)
+			in.engine.RemoveZoneLimits(name)
+			delete(in.serversBySite, name)
 		}
 		w.stop()
-		delete(in.halls, name)
+		delete(in.siteWatches, name)
 	}
 	for _, h := range halls {
-		if in.halls[h.Name] != nil {
+		if in.siteWatches[h.Name] != nil {
 			continue
 		}
 		ctx, stop := context.WithCancel(in.ctx)
-		in.halls[h.Name] = &watch{h.Register, stop}
-		if in.far(h.Name) {
-			list, _ := in.link.far(h.Name)
-			in.take(now, h.Name, list, out)
+		in.siteWatches[h.Name] = &siteWatch{h.Register, stop}
+		if in.isRemote(h.Name) {
+			list, _ := in.link.remoteServers(h.Name)
+			in.applyEndpoints(now, h.Name, list, out)
 			continue
 		}
 		f := &discovery.Follower{Addr: h.Register, Silent: discovery.Silent,
-			Apply: func(l discovery.List) { in.list(ctx, h.Name, l) },
+			Apply: func(l discovery.List) { in.endpointsReceived(ctx, h.Name, l) },
 			Logf:  func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
-		in.follow.Go(func() { f.Run(ctx) })
+		in.discoveryFollowers.Go(func() { f.Run(ctx) })
 	}
 }
 
-// Confirm tells that a quorum has confirmed at a time that the setup in force is the one
+// ConfirmVersion tells that a quorum has confirmed at a time that the setup in force is the one
 // that is agreed on.
-func (in *Instance) Confirm(at time.Time) {
+func (in *Instance) ConfirmVersion(at time.Time) {
 	since := max(int64(at.Sub(in.start)), 1)
-	for was := in.confirmed.Load(); since > was && !in.confirmed.CompareAndSwap(was, since); was = in.confirmed.Load() {
+	for was := in.confirmedAt.Load(); since > was && !in.confirmedAt.CompareAndSwap(was, since); was = in.confirmedAt.Load() {
 	}
 }
 
-// keyWay is how long a request may be on its way beyond its client's deadline.
-const keyWay = 500 * time.Millisecond
+// maxRequestTransit is how long a request may be on its way beyond its client's deadline.
+const maxRequestTransit = 500 * time.Millisecond
 
-// minWait is the least that a client is told to wait where its key has no hall now.
-const minWait = 50 * time.Millisecond
+// minRetryAfter is the least that a client is told to wait where its key has no hall now.
+const minRetryAfter = 50 * time.Millisecond
 
-// InstallHomes takes over an agreed epoch of homes: what an entry of the log, the voters of that moment (joint: they
+// InstallKeyOwners takes over an agreed epoch of homes: what an entry of the log, the voters of that moment (joint: they
 // change) and all before it come to.
-func (in *Instance) InstallHomes(h multisite.Homes, index uint64, voters []uint64, joint bool) {
-	in.event(func(now time.Duration, _ policy.Actions) {
+func (in *Instance) InstallKeyOwners(h multisite.Homes, index uint64, voters []uint64, joint bool) {
+	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		in.keys.Install(now, h)
-		if in.consent != nil {
-			in.consent.Agree(index, voters, joint)
+		if in.confirmation != nil {
+			in.confirmation.Agree(index, voters, joint)
 		}
 	})
 }
 
-// ConfirmHomes tells that the epoch in force was confirmed by a quorum that was asked at a time.
-func (in *Instance) ConfirmHomes(asked time.Time) {
-	in.event(func(time.Duration, policy.Actions) {
+// ConfirmKeyOwners tells that the epoch in force was confirmed by a quorum that was asked at a time.
+func (in *Instance) ConfirmKeyOwners(asked time.Time) {
+	in.handleEvent(func(time.Duration, policy.Actions) {
 		in.keys.Confirm(time.Duration(in.start.UnixNano()) + asked.Sub(in.start))
 	})
 }
 
-// TellKeys is [multisite.Keys.Tell], with what else goes to the other instances. fence tells this member's: see
+// NextMessage is [multisite.Keys.Tell], with what else goes to the other instances. fence tells this member's: see
 // [multisite.Consent].
-func (in *Instance) TellKeys(most int, fence func() uint64) (m multisite.Message, more bool) {
-	in.event(func(now time.Duration, _ policy.Actions) {
+func (in *Instance) NextMessage(most int, fence func() uint64) (m multisite.Message, more bool) {
+	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		if m, more = in.keys.Tell(now, most); more {
 			return
 		}
 		if in.health != nil {
-			for name := range in.halls {
-				if in.far(name) {
+			for name := range in.siteWatches {
+				if in.isRemote(name) {
 					in.health.Far(name, true)
 				} else {
-					in.health.Carries(name, in.gw.ZoneCapacity(now, name))
+					in.health.Carries(name, in.engine.ZoneCapacity(now, name))
 				}
 			}
 			m.Views = in.health.Views(now)
 		}
 		if in.ramp != nil && in.health != nil {
-			w := in.climb(now)
+			w := in.updateRecoveryRamp(now)
 			m.Ramp = &w
 		}
-		if in.consent != nil {
-			w := in.consent.Tell(now, fence())
+		if in.confirmation != nil {
+			w := in.confirmation.Tell(now, fence())
 			m.Consent = &w
-			in.agreeHomes()
+			in.confirmByQuorum()
 		}
 	})
 	return m, more
 }
 
-// far tells whether a hall is reached by way of another site's instances alone.
-func (in *Instance) far(hall string) bool { return in.link != nil && !in.link.owns(hall) }
+// isRemote tells whether a hall is reached by way of another site's instances alone.
+func (in *Instance) isRemote(hall string) bool { return in.link != nil && !in.link.ownsSite(hall) }
 
-// rampFill is the multiple of what a cold server can take, as warm as it must be, that all instances together send it at the
+// coldBudgetFactor is the multiple of what a cold server can take, as warm as it must be, that all instances together send it at the
 // most: half as much again may be saved up, and the whole stays below what pushes it over.
-const rampFill = 1.4
+const coldBudgetFactor = 1.4
 
-// climb has the module go by this instance's part in the ramps of the halls, and returns what to tell the others.
+// updateRecoveryRamp has the module go by this instance's part in the ramps of the halls, and returns what to tell the others.
 // Called under the mutex.
-func (in *Instance) climb(now time.Duration) multisite.RampWord {
+func (in *Instance) updateRecoveryRamp(now time.Duration) multisite.RampWord {
 	var carried []multisite.Carried
-	for name := range in.halls {
-		if in.far(name) { // its own instances know which of its servers are cold
+	for name := range in.siteWatches {
+		if in.isRemote(name) { // its own instances know which of its servers are cold
 			continue
 		}
-		if rate, util := in.gw.WarmServerLoad(now, name); rate > 0 {
+		if rate, util := in.engine.WarmServerLoad(now, name); rate > 0 {
 			carried = append(carried, multisite.Carried{Hall: name, Rate: rate, Util: util})
 		}
-		servers, sent, short := in.gw.ColdServerWork(now, name)
+		servers, sent, short := in.engine.ColdServerWork(now, name)
 		in.ramp.Met(now, name, multisite.ColdWork{Servers: servers, Sent: sent, Short: short})
 	}
 	w := in.ramp.Tell(now, carried)
-	for name := range in.halls {
+	for name := range in.siteWatches {
 		servers, near := in.health.Carried(now, name)
-		z := policy.ZoneLimits{IsRemote: in.far(name), InFlightFraction: 1 / float64(in.cfg.Settings.InstanceCount), RemoteServerCount: servers}
+		z := policy.ZoneLimits{IsRemote: in.isRemote(name), InFlightFraction: 1 / float64(in.cfg.Settings.InstanceCount), RemoteServerCount: servers}
 		if !z.IsRemote {
-			z.WarmServerRate = rampFill / in.cfg.Settings.ColdBudgetMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
+			z.WarmServerRate = coldBudgetFactor / in.cfg.Settings.ColdBudgetMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
 			z.InFlightFraction = 1 / float64(max(near, 1))
 		}
-		in.gw.SetZoneLimits(name, z)
+		in.engine.SetZoneLimits(name, z)
 	}
 	return w
 }
 
-// HearKeys is [multisite.Keys.Hear].
-func (in *Instance) HearKeys(m multisite.Message) {
-	in.event(func(now time.Duration, _ policy.Actions) {
+// ReceiveMessage is [multisite.Keys.Hear].
+func (in *Instance) ReceiveMessage(m multisite.Message) {
+	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		in.keys.Hear(now, m)
 		if in.health != nil && m.Views != nil {
 			in.health.Hear(now, m.From, m.Views)
@@ -409,23 +409,23 @@
 		if in.ramp != nil && m.Ramp != nil {
 			in.ramp.Hear(now, m.From, *m.Ramp)
 		}
-		if in.consent != nil && m.Consent != nil {
-			in.consent.Hear(m.From, *m.Consent)
-			in.agreeHomes()
+		if in.confirmation != nil && m.Consent != nil {
+			in.confirmation.Hear(m.From, *m.Consent)
+			in.confirmByQuorum()
 		}
 	})
 }
 
-// agreeHomes confirms the homes in force where enough others consent. Called under the mutex.
-func (in *Instance) agreeHomes() {
-	if at, ok := in.consent.Confirmed(); ok {
+// confirmByQuorum confirms the homes in force where enough others consent. Called under the mutex.
+func (in *Instance) confirmByQuorum() {
+	if at, ok := in.confirmation.Confirmed(); ok {
 		in.keys.Confirm(at)
 	}
 }
 
-// AgreeHalls takes over which halls there are, which of them are lost, and the members.
-func (in *Instance) AgreeHalls(halls []multisite.Hall, lost map[string]int, members []uint64) {
-	in.event(func(now time.Duration, _ policy.Actions) {
+// SetAgreedSites takes over which halls there are, which of them are lost, and the members.
+func (in *Instance) SetAgreedSites(halls []multisite.Hall, lost map[string]int, members []uint64) {
+	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
 			in.health.Agree(now, halls, lost, members)
 		}
@@ -435,9 +435,9 @@
 	})
 }
 
-// JudgeHalls is [multisite.Health.Judge].
-func (in *Instance) JudgeHalls() (c multisite.HallChange, ok bool) {
-	in.event(func(now time.Duration, _ policy.Actions) {
+// ProposeSiteChange is [multisite.Health.Judge].
+func (in *Instance) ProposeSiteChange() (c multisite.HallChange, ok bool) {
+	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
 			c, ok = in.health.Judge(now)
 		}
@@ -445,11 +445,11 @@
 	return c, ok
 }
 
-// HallStates tells what the instance makes of each hall that it has a register of.
-func (in *Instance) HallStates() map[string]string {
+// SiteStates tells what the instance makes of each hall that it has a register of.
+func (in *Instance) SiteStates() map[string]string {
 	states := map[string]string{}
-	in.event(func(now time.Duration, _ policy.Actions) {
-		for name := range in.halls {
+	in.handleEvent(func(now time.Duration, _ policy.Actions) {
+		for name := range in.siteWatches {
 			if in.health != nil {
 				states[name] = in.health.State(now, name).String()
 			}
@@ -458,8 +458,8 @@
 	return states
 }
 
-// met notes what an attempt or a probe says of its server's hall. Called under the mutex.
-func (in *Instance) met(now time.Duration, server string, result policy.Result, sent time.Duration) {
+// recordSiteHealth notes what an attempt or a probe says of its server's hall. Called under the mutex.
+func (in *Instance) recordSiteHealth(now time.Duration, server string, result policy.Result, sent time.Duration) {
 	if in.health == nil {
 		return
 	}
@@ -472,14 +472,14 @@
 	}
 }
 
-// Standing tells how long ago the setup in force was confirmed, and whether requests are
+// Confirmation tells how long ago the setup in force was confirmed, and whether requests are
 // served on it.
-func (in *Instance) Standing(now time.Time) (age time.Duration, serves bool) {
-	a := in.cfg.Agreed
+func (in *Instance) Confirmation(now time.Time) (age time.Duration, serves bool) {
+	a := in.cfg.Agreement
 	if a == nil {
 		return 0, true
 	}
-	c := in.confirmed.Load()
+	c := in.confirmedAt.Load()
 	if c == 0 {
 		return 0, false
 	}
@@ -490,14 +490,14 @@
 // Version is the number of the setup in force.
 func (in *Instance) Version() uint64 { return in.version.Load().number }
 
-// Unconfirmed is the number of requests refused because the setup was not confirmed.
-func (in *Instance) Unconfirmed() int64 { return in.refused.Load() }
+// UnconfirmedCount is the number of requests refused because the setup was not confirmed.
+func (in *Instance) UnconfirmedCount() int64 { return in.unconfirmedCount.Load() }
 
 // Table is the description in force.
 func (in *Instance) Table() *routing.Table { return in.version.Load().table }
 
-// Count calls f with the counters of each operation that was ever in force.
-func (in *Instance) Count(f func(operation string, c *Counters)) {
+// EachOperation calls f with the counters of each operation that was ever in force.
+func (in *Instance) EachOperation(f func(operation string, c *Counters)) {
 	in.mu.Lock()
 	all := make(map[string]*Counters, len(in.counters))
 	for id, c := range in.counters {
@@ -509,56 +509,56 @@
 	}
 }
 
-// Bad is the number of requests that were turned down before they were charged.
-func (in *Instance) Bad() int64 { return in.bad.Load() }
+// BadRequestCount is the number of requests that were turned down before they were charged.
+func (in *Instance) BadRequestCount() int64 { return in.badRequestCount.Load() }
 
 // now reads the clock: Unix time, so that start times in lists convert, which never goes back.
 func (in *Instance) now() time.Duration {
 	return time.Duration(in.start.UnixNano()) + time.Since(in.start)
 }
 
-// event runs one event of the module, then what its actions left to do.
-func (in *Instance) event(f func(now time.Duration, out policy.Actions)) {
+// handleEvent runs one event of the module, then what its actions left to do.
+func (in *Instance) handleEvent(f func(now time.Duration, out policy.Actions)) {
 	in.mu.Lock()
-	in.guarded(f)
-	after := in.after
-	in.after = nil
+	in.runEvent(f)
+	after := in.deferred
+	in.deferred = nil
 	in.mu.Unlock()
 	for _, do := range after {
 		do()
 	}
 }
 
-// guarded runs an event. A panic of the module is logged, with the stack that names its
+// runEvent runs an event. A panic of the module is logged, with the stack that names its
 // cause, and costs the one event.
-func (in *Instance) guarded(f func(now time.Duration, out policy.Actions)) {
-	if in.closed {
+func (in *Instance) runEvent(f func(now time.Duration, out policy.Actions)) {
+	if in.isClosed {
 		return
 	}
 	defer func() {
 		if p := recover(); p != nil {
 			text := fmt.Sprintf("panic: %v\n%s", p, debug.Stack())
-			in.after = append(in.after, func() { in.log.Print(text) })
+			in.deferred = append(in.deferred, func() { in.log.Print(text) })
 		}
 	}()
 	f(in.now(), (*actions)(in))
 }
 
-// step runs an event of a flight's own and takes what comes next for it.
-func (in *Instance) step(fl *flight, f func(now time.Duration, out policy.Actions)) (next attempt, pending, done bool) {
+// handleRequestEvent runs an event of a flight's own and takes what comes next for it.
+func (in *Instance) handleRequestEvent(fl *pendingRequest, f func(now time.Duration, out policy.Actions)) (next attempt, pending, done bool) {
 	in.mu.Lock()
-	in.guarded(f)
-	after := in.after
-	in.after = nil
-	if in.closed {
-		in.end(fl, failed, 0)
-	}
-	next, pending, done = fl.next, fl.pending, fl.done
-	if fl.pending = false; pending && !done {
-		fl.call = &call{}
+	in.runEvent(f)
+	after := in.deferred
+	in.deferred = nil
+	if in.isClosed {
+		in.answer(fl, failed, 0)
+	}
+	next, pending, done = fl.next, fl.hasNext, fl.isAnswered
+	if fl.hasNext = false; pending && !done {
+		fl.call = &attemptControl{}
 		fl.attempts++
 	}
-	fl.waiting = !pending && !done
+	fl.isWaiting = !pending && !done
 	in.mu.Unlock()
 	for _, do := range after {
 		do()
@@ -566,77 +566,77 @@
 	return next, pending, done
 }
 
-// carry takes a flight from its request to its final answer. gone tells whether the
+// serveRequest takes a flight from its request to its final answer. gone tells whether the
 // client has left; it is asked before each further attempt.
-func (in *Instance) carry(fl *flight, q policy.Request, gone func() bool) {
-	at, pending, done := in.step(fl, func(now time.Duration, out policy.Actions) {
-		in.number++
+func (in *Instance) serveRequest(fl *pendingRequest, q policy.Request, gone func() bool) {
+	at, pending, done := in.handleRequestEvent(fl, func(now time.Duration, out policy.Actions) {
+		in.lastRequestNumber++
 		var b [20]byte
-		fl.id = string(strconv.AppendUint(b[:0], in.number, 36))
+		fl.id = string(strconv.AppendUint(b[:0], in.lastRequestNumber, 36))
 		q.ID = fl.id
-		in.flights[fl.id] = fl
-		if fl.linked { // nothing crosses twice
+		in.requests[fl.id] = fl
+		if fl.cameByRelay { // nothing crosses twice
 			q.Zone, q.IsCharged = in.link.cfg.Own[0], true
 		}
-		if fl.homed {
+		if fl.hasKeyOwner {
 			v := in.keys.Route(now, fl.key)
-			if v.Hall != "" && fl.linked && !in.link.owns(v.Hall) {
-				v = multisite.Verdict{Wait: minWait, Why: "the sites differ on its home"} // the other site goes by older homes, or this one does
+			if v.Hall != "" && fl.cameByRelay && !in.link.ownsSite(v.Hall) {
+				v = multisite.Verdict{Wait: minRetryAfter, Why: "the sites differ on its home"} // the other site goes by older homes, or this one does
 			}
 			if q.Zone = v.Hall; v.Hall == "" {
-				fl.why = v.Why
-				in.end(fl, refused, min(max(v.Wait, minWait), in.cfg.Settings.MaxRetryAfter))
+				fl.keyRejection = v.Why
+				in.answer(fl, rejected, min(max(v.Wait, minRetryAfter), in.cfg.Settings.MaxRetryAfter))
 				return
 			}
 		}
-		in.gw.RequestReceived(now, q, out)
+		in.engine.RequestReceived(now, q, out)
 	})
 	for !done {
 		if pending {
-			at, pending, done = in.try(fl, at, gone)
+			at, pending, done = in.runAttempt(fl, at, gone)
 			continue
 		}
 		late := time.NewTimer(time.Until(fl.deadline))
 		select {
 		case <-fl.wake:
-			at, pending, done = in.step(fl, func(time.Duration, policy.Actions) {})
+			at, pending, done = in.handleRequestEvent(fl, func(time.Duration, policy.Actions) {})
 		case <-late.C:
-			at, pending, done = in.abandon(fl)
+			at, pending, done = in.clientDisconnected(fl)
 		case <-in.ctx.Done():
-			at, pending, done = in.abandon(fl)
+			at, pending, done = in.clientDisconnected(fl)
 		}
 		late.Stop()
 	}
-	in.event(func(time.Duration, policy.Actions) { delete(in.flights, fl.id) })
+	in.handleEvent(func(time.Duration, policy.Actions) { delete(in.requests, fl.id) })
 }
 
-// abandon ends a flight whose client has gone or for which no answer was given in time.
-func (in *Instance) abandon(fl *flight) (attempt, bool, bool) {
-	return in.step(fl, func(now time.Duration, out policy.Actions) {
-		in.end(fl, failed, 0)
-		in.gw.ClientDisconnected(now, fl.id, out)
+// clientDisconnected ends a flight whose client has gone or for which no answer was given in time.
+func (in *Instance) clientDisconnected(fl *pendingRequest) (attempt, bool, bool) {
+	return in.handleRequestEvent(fl, func(now time.Duration, out policy.Actions) {
+		in.answer(fl, failed, 0)
+		in.engine.ClientDisconnected(now, fl.id, out)
 	})
 }
 
-// try carries out one attempt and brings its outcome to the module.
-func (in *Instance) try(fl *flight, at attempt, gone func() bool) (attempt, bool, bool) {
+// runAttempt carries out one attempt and brings its outcome to the module.
+func (in *Instance) runAttempt(fl *pendingRequest, at attempt, gone func() bool) (attempt, bool, bool) {
 	var result policy.Result
 	sent := in.now()
-	fl.rep.whole, fl.rep.since = false, time.Time{}
+	fl.response.wasWritten, fl.response.connectedAt = false, time.Time{}
 	let, full := true, false
-	if fl.over = crosses(at.server); fl.over {
-		if full = !in.link.take(fl); !full {
-			defer in.link.done(fl)
+	if fl.isRelayed = isRemoteServer(at.server); fl.isRelayed {
+		if full = !in.link.acquire(fl); !full {
+			defer in.link.release(fl)
 		}
 	}
-	if fl.homed && !full { // the homes may have changed since the request was admitted
-		in.event(func(now time.Duration, out policy.Actions) {
+	if fl.hasKeyOwner && !full { // the homes may have changed since the request was admitted
+		in.handleEvent(func(now time.Duration, out policy.Actions) {
 			hall, _, _ := strings.Cut(at.server, "/")
-			if let = in.keys.Send(now, fl.key, hall); !let && fl.sent {
-				in.end(fl, failed, 0)
+			if let = in.keys.Send(now, fl.key, hall); !let && fl.wasSent {
+				in.answer(fl, failed, 0)
 			} else if !let {
-				fl.why = "its home has moved meanwhile"
-				in.end(fl, refused, minWait)
+				fl.keyRejection = "its home has moved meanwhile"
+				in.answer(fl, rejected, minRetryAfter)
 			}
 		})
 	}
@@ -646,80 +646,80 @@
 		result = policy.NotSent
 	} else if fl.attempts > 1 && gone() {
 		result = policy.NotSent
-		in.event(func(now time.Duration, out policy.Actions) { in.end(fl, failed, 0) })
+		in.handleEvent(func(now time.Duration, out policy.Actions) { in.answer(fl, failed, 0) })
 	} else {
-		result = in.servers.exchange(in.ctx, fl.call, at.server, at.until, fl.head.Method == "HEAD", &fl.rep,
-			func(b []byte) []byte { return fl.word(b, at.until) })
-		if fl.over && result == policy.ConnectionReset {
-			result = in.settle(fl, at)
+		result = in.servers.exchange(in.ctx, fl.call, at.server, at.until, fl.requestHead.Method == "HEAD", &fl.response,
+			func(b []byte) []byte { return fl.appendRequest(b, at.until) })
+		if fl.isRelayed && result == policy.ConnectionReset {
+			result = in.resolveRelayed(fl, at)
 		}
 	}
-	fl.mayRun = fl.mayRun || fl.rep.whole && result != policy.RejectedByServer
-	if fl.rep.whole {
+	fl.mayRun = fl.mayRun || fl.response.wasWritten && result != policy.RejectedByServer
+	if fl.response.wasWritten {
 		fl.counters.Attempts.Add(1)
-		if !fl.sent {
-			fl.sent = true
+		if !fl.wasSent {
+			fl.wasSent = true
 			fl.counters.Sent.Add(1)
 			fl.counters.Units.Add(int64(fl.units))
 		}
 	}
-	report := fl.rep.report()
-	return in.step(fl, func(now time.Duration, out policy.Actions) {
+	report := fl.response.report()
+	return in.handleRequestEvent(fl, func(now time.Duration, out policy.Actions) {
 		fl.call = nil
-		if !fl.over || result != policy.RejectedByServer && result != policy.ErrorResponse { // the far instance's word says nothing of its hall
-			in.met(now, at.server, result, sent)
+		if !fl.isRelayed || result != policy.RejectedByServer && result != policy.ErrorResponse { // the far instance's word says nothing of its hall
+			in.recordSiteHealth(now, at.server, result, sent)
 		}
-		if fl.homed && let && !full {
-			in.keys.Ended(fl.key, !fl.rep.whole || result == policy.RejectedByServer || result == policy.ConnectFailed || result == policy.NotSent)
+		if fl.hasKeyOwner && let && !full {
+			in.keys.Ended(fl.key, !fl.response.wasWritten || result == policy.RejectedByServer || result == policy.ConnectFailed || result == policy.NotSent)
 		}
 		if result == policy.OK {
-			in.end(fl, served, 0)
+			in.answer(fl, served, 0)
 		}
-		o := policy.AttemptResult{ID: fl.id, Attempt: fl.attempts - 1, RequestAnswered: fl.done, Result: result, Server: at.server,
+		o := policy.AttemptResult{ID: fl.id, Attempt: fl.attempts - 1, RequestAnswered: fl.isAnswered, Result: result, Server: at.server,
 			Latency: now - sent, LoadReport: report}
-		if !fl.rep.since.IsZero() {
-			o.ConnectedAt = time.Duration(in.start.UnixNano()) + fl.rep.since.Sub(in.start)
+		if !fl.response.connectedAt.IsZero() {
+			o.ConnectedAt = time.Duration(in.start.UnixNano()) + fl.response.connectedAt.Sub(in.start)
 		}
-		in.gw.AttemptCompleted(now, o, out)
+		in.engine.AttemptCompleted(now, o, out)
 	})
 }
 
-// end gives a flight its final answer unless it has one. Called under the mutex.
-func (in *Instance) end(fl *flight, k answerKind, wait time.Duration) {
-	if fl.done {
+// answer gives a flight its final answer unless it has one. Called under the mutex.
+func (in *Instance) answer(fl *pendingRequest, k outcome, wait time.Duration) {
+	if fl.isAnswered {
 		return
 	}
-	fl.done, fl.answer, fl.wait = true, k, wait
+	fl.isAnswered, fl.answer, fl.retryAfter = true, k, wait
 	if k := fl.call; k != nil { // no answer of the attempt under way counts any more
-		in.after = append(in.after, k.giveUp)
+		in.deferred = append(in.deferred, k.abort)
 	}
-	in.wake(fl)
+	in.wakeRequest(fl)
 }
 
-// wake has a flight's goroutine look at what is next. Called under the mutex.
-func (in *Instance) wake(fl *flight) {
-	if fl.waiting {
-		fl.waiting = false
+// wakeRequest has a flight's goroutine look at what is next. Called under the mutex.
+func (in *Instance) wakeRequest(fl *pendingRequest) {
+	if fl.isWaiting {
+		fl.isWaiting = false
 		fl.wake <- struct{}{} // there is room: it is told once for each wait
 	}
 }
 
-// list hands a hall's list on, unless its watch has ended.
-func (in *Instance) list(ctx context.Context, hall string, l discovery.List) {
-	in.event(func(now time.Duration, out policy.Actions) {
+// endpointsReceived hands a hall's list on, unless its watch has ended.
+func (in *Instance) endpointsReceived(ctx context.Context, hall string, l discovery.List) {
+	in.handleEvent(func(now time.Duration, out policy.Actions) {
 		if ctx.Err() == nil {
-			in.take(now, hall, l, out)
+			in.applyEndpoints(now, hall, l, out)
 		}
 	})
 }
 
-// take hands a hall's list on as changes: the lists of the other halls stay as they are.
+// applyEndpoints hands a hall's list on as changes: the lists of the other halls stay as they are.
 // Called under the mutex.
-func (in *Instance) take(now time.Duration, hall string, l discovery.List, out policy.Actions) {
-	known := in.known[hall]
+func (in *Instance) applyEndpoints(now time.Duration, hall string, l discovery.List, out policy.Actions) {
+	known := in.serversBySite[hall]
 	if known == nil {
 		known = map[string]bool{}
-		in.known[hall] = known
+		in.serversBySite[hall] = known
 	}
 	entries := make([]discovery.Instance, 0, len(l.Servers))
 	listed := map[string]bool{}
@@ -741,36 +741,36 @@
 		}
 	}
 	stale := in.servers.update(entries)
-	in.after = append(in.after, func() { closeAll(stale) })
+	in.deferred = append(in.deferred, func() { closeAll(stale) })
 	list := make([]policy.Server, len(entries))
 	for i, s := range entries {
 		list[i] = s.Server
 	}
-	in.gw.EndpointsChanged(now, policy.EndpointsDelta, list, out)
+	in.engine.EndpointsChanged(now, policy.EndpointsDelta, list, out)
 }
 
-// whisper hands a message of a peer on.
-func (in *Instance) whisper(from int, message []byte) {
-	in.event(func(now time.Duration, out policy.Actions) { in.gw.GossipReceived(now, from, message, out) })
+// gossipReceived hands a message of a peer on.
+func (in *Instance) gossipReceived(from int, message []byte) {
+	in.handleEvent(func(now time.Duration, out policy.Actions) { in.engine.GossipReceived(now, from, message, out) })
 }
 
-// probe asks a server for its load.
-func (in *Instance) probe(id string) {
-	defer in.work.Done()
-	var rep reply
+// checkHealth asks a server for its load.
+func (in *Instance) checkHealth(id string) {
+	defer in.healthChecks.Done()
+	var rep response
 	sent := in.now()
-	result := in.servers.exchange(in.ctx, &call{}, id, time.Now().Add(probeTimeout), false, &rep, func(b []byte) []byte {
+	result := in.servers.exchange(in.ctx, &attemptControl{}, id, time.Now().Add(probeTimeout), false, &rep, func(b []byte) []byte {
 		return append(b, "GET "+loadPath+" HTTP/1.1\r\nHost: hall\r\n\r\n"...)
 	})
 	report := rep.report()
 	if report == nil && result == policy.OK {
 		report = loadreport.Parse(string(rep.body))
 	}
-	in.event(func(now time.Duration, out policy.Actions) {
-		if !crosses(id) || result != policy.OK {
-			in.met(now, id, result, sent)
+	in.handleEvent(func(now time.Duration, out policy.Actions) {
+		if !isRemoteServer(id) || result != policy.OK {
+			in.recordSiteHealth(now, id, result, sent)
 		}
-		in.gw.HealthCheckCompleted(now, id, result, report, out)
+		in.engine.HealthCheckCompleted(now, id, result, report, out)
 	})
 }
 
@@ -778,29 +778,29 @@
 // the followers of its halls' registers.
 func (in *Instance) close() {
 	in.mu.Lock()
-	in.closed = true
-	in.alarm.Stop()
-	for _, w := range in.halls {
+	in.isClosed = true
+	in.timer.Stop()
+	for _, w := range in.siteWatches {
 		w.stop()
 	}
 	in.mu.Unlock()
-	in.work.Wait()
-	in.follow.Wait()
+	in.healthChecks.Wait()
+	in.discoveryFollowers.Wait()
 }
 
-// timers are the module's timers, the earliest first.
-type timers []timer
+// timerQueue are the module's timers, the earliest first.
+type timerQueue []timer
 
 type timer struct {
 	at    time.Duration
 	token uint64
 }
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
+func (t timerQueue) Len() int           { return len(t) }
+func (t timerQueue) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t timerQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *timerQueue) Push(x any)        { *t = append(*t, x.(timer)) }
+func (t *timerQueue) Pop() any {
 	old := *t
 	x := old[len(old)-1]
 	*t = old[:len(old)-1]
@@ -808,14 +808,14 @@
 }
 
 // push is heap.Push without the allocation.
-func (t *timers) push(x timer) {
+func (t *timerQueue) push(x timer) {
 	*t = append(*t, x)
 	heap.Fix(t, len(*t)-1)
 }
 
-// ring brings the module the timers that are due.
-func (in *Instance) ring() {
-	in.event(func(now time.Duration, out policy.Actions) {
+// fireTimers brings the module the timers that are due.
+func (in *Instance) fireTimers() {
+	in.handleEvent(func(now time.Duration, out policy.Actions) {
 		for len(in.timers) > 0 && in.timers[0].at <= now {
 			token := in.timers[0].token
 			n := len(in.timers) - 1
@@ -823,18 +823,18 @@
 			if in.timers = in.timers[:n]; n > 0 {
 				heap.Fix(&in.timers, 0)
 			}
-			in.gw.TimerFired(now, token, out)
+			in.engine.TimerFired(now, token, out)
 		}
-		in.alarmAt = math.MaxInt64
-		in.setAlarm(now)
+		in.timerAt = math.MaxInt64
+		in.scheduleTimer(now)
 	})
 }
 
-// setAlarm has ring called at the earliest timer. Called under the mutex.
-func (in *Instance) setAlarm(now time.Duration) {
-	if len(in.timers) > 0 && in.timers[0].at < in.alarmAt {
-		in.alarmAt = in.timers[0].at
-		in.alarm.Reset(max(in.alarmAt-now, 0))
+// scheduleTimer has ring called at the earliest timer. Called under the mutex.
+func (in *Instance) scheduleTimer(now time.Duration) {
+	if len(in.timers) > 0 && in.timers[0].at < in.timerAt {
+		in.timerAt = in.timers[0].at
+		in.timer.Reset(max(in.timerAt-now, 0))
 	}
 }
 
@@ -845,8 +845,8 @@
 // client's deadline. The flight's goroutine begins it once no other is out.
 func (a *actions) SendAttempt(id, server string, timeout time.Duration) {
 	in := (*Instance)(a)
-	fl := in.flights[id]
-	if fl == nil || fl.done || fl.pending {
+	fl := in.requests[id]
+	if fl == nil || fl.isAnswered || fl.hasNext {
 		in.logLater("module: send for %s, which is not open for one", id)
 		return
 	}
@@ -854,25 +854,25 @@
 	if t := time.Now().Add(timeout); timeout != 0 && t.Before(until) {
 		until = t
 	}
-	fl.next, fl.pending = attempt{server, until}, true
-	in.wake(fl)
+	fl.next, fl.hasNext = attempt{server, until}, true
+	in.wakeRequest(fl)
 }
 
 func (a *actions) RejectRequest(id string, retryAfter time.Duration) {
-	if fl := a.flights[id]; fl != nil {
-		(*Instance)(a).end(fl, refused, retryAfter)
+	if fl := a.requests[id]; fl != nil {
+		(*Instance)(a).answer(fl, rejected, retryAfter)
 	}
 }
 
 func (a *actions) FailRequest(id string) {
-	if fl := a.flights[id]; fl != nil {
-		(*Instance)(a).end(fl, failed, 0)
+	if fl := a.requests[id]; fl != nil {
+		(*Instance)(a).answer(fl, failed, 0)
 	}
 }
 
 func (a *actions) CancelAttempt(id string, attempt int) {
-	if fl := a.flights[id]; fl != nil && fl.call != nil && attempt == fl.attempts-1 {
-		a.after = append(a.after, fl.call.giveUp)
+	if fl := a.requests[id]; fl != nil && fl.call != nil && attempt == fl.attempts-1 {
+		a.deferred = append(a.deferred, fl.call.abort)
 	}
 }
 
@@ -880,20 +880,20 @@
 	in := (*Instance)(a)
 	now := in.now()
 	in.timers.push(timer{now + after, token})
-	in.setAlarm(now)
+	in.scheduleTimer(now)
 }
 
 func (a *actions) CheckHealth(server string) {
 	in := (*Instance)(a)
-	in.work.Add(1)
-	go in.probe(server)
+	in.healthChecks.Add(1)
+	go in.checkHealth(server)
 }
 
 func (a *actions) SendGossip(peer int, message []byte) {
 	in := (*Instance)(a)
 	message = append([]byte(nil), message...)
 	if in.peers != nil {
-		in.after = append(in.after, func() { in.peers.Tell(peer, message, in.log.Printf) })
+		in.deferred = append(in.deferred, func() { in.peers.Tell(peer, message, in.log.Printf) })
 	}
 }
 
@@ -903,7 +903,7 @@
 func (a *actions) Log(text string) { (*Instance)(a).logLater("module: %s", text) }
 
 func (in *Instance) logLater(format string, args ...any) {
-	in.after = append(in.after, func() { in.log.Printf(format, args...) })
+	in.deferred = append(in.deferred, func() { in.log.Printf(format, args...) })
 }
 
 // AwaitServers waits until so many servers are known, over all halls.
@@ -915,7 +915,7 @@
 	for {
 		in.mu.Lock()
 		have := 0
-		for _, k := range in.known {
+		for _, k := range in.serversBySite {
 			have += len(k)
 		}
 		in.mu.Unlock()
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -60,8 +60,8 @@
 	linkServerMark = "/@"                   // in the module's name of a far instance
 )
 
-// link is an instance's part in the link, at work.
-type link struct {
+// relay is an instance's part in the link, at work.
+type relay struct {
 	cfg *LinkConfig
 
 	mu       sync.Mutex
@@ -69,18 +69,18 @@
 	budget   *multisite.Budget
 }
 
-// keptReply is what is kept of a crossing's answer.
-type keptReply struct {
+// retainedResponse is what is kept of a crossing's answer.
+type retainedResponse struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-func newLink(cfg *LinkConfig) (*link, error) {
+func newLink(cfg *LinkConfig) (*relay, error) {
 	if len(cfg.Own) == 0 || cfg.TLS == nil || cfg.Verify == nil {
 		return nil, errors.New("link: a hall of its own, certificates and a check of them are needed")
 	}
-	l := &link{cfg: cfg}
+	l := &relay{cfg: cfg}
 	var err error
 	if l.arrivals, err = multisite.NewArrivals(arrivalLife, arrivalsMost); err != nil {
 		return nil, err
@@ -89,11 +89,11 @@
 	return l, err
 }
 
-// crosses tells whether a server, as the module names it, is an instance of another site.
-func crosses(server string) bool { return strings.Contains(server, linkServerMark) }
+// isRemoteServer tells whether a server, as the module names it, is an instance of another site.
+func isRemoteServer(server string) bool { return strings.Contains(server, linkServerMark) }
 
-// far is what the module is told of a hall that is reached by way of its own site's instances.
-func (l *link) far(hall string) (list discovery.List, ok bool) {
+// remoteServers is what the module is told of a hall that is reached by way of its own site's instances.
+func (l *relay) remoteServers(hall string) (list discovery.List, ok bool) {
 	peers, ok := l.cfg.Far[hall]
 	for _, p := range peers {
 		list.Servers = append(list.Servers, discovery.Instance{Addr: p.Addr,
@@ -103,8 +103,8 @@
 	return list, ok
 }
 
-// owns tells whether this instance reaches a hall's servers itself.
-func (l *link) owns(hall string) bool {
+// ownsSite tells whether this instance reaches a hall's servers itself.
+func (l *relay) ownsSite(hall string) bool {
 	for _, o := range l.cfg.Own {
 		if o == hall {
 			return true
@@ -114,7 +114,7 @@
 }
 
 // secure makes a connection to a far instance one of the link.
-func (l *link) secure(ctx context.Context, server string, nc net.Conn) (net.Conn, error) {
+func (l *relay) secure(ctx context.Context, server string, nc net.Conn) (net.Conn, error) {
 	_, number, _ := strings.Cut(server, linkServerMark)
 	want, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
@@ -140,8 +140,8 @@
 	return nc.(syscall.Conn).SyscallConn()
 }
 
-// take and done hold the budget of crossings.
-func (l *link) take(fl *flight) bool {
+// acquire and done hold the budget of crossings.
+func (l *relay) acquire(fl *pendingRequest) bool {
 	best := 0.0
 	worth := func(w float64, aim time.Duration) float64 { return w / max(aim.Seconds(), 1e-3) }
 	for _, k := range fl.version.table.Classes {
@@ -152,26 +152,26 @@
 	return l.budget.Take(fl.licensee, worth(fl.op.Class.PriorityWeight, fl.op.Class.LatencyObjective)/max(best, 1e-9), fl.attempts > 1)
 }
 
-func (l *link) done(fl *flight) {
+func (l *relay) release(fl *pendingRequest) {
 	l.mu.Lock()
 	l.budget.Done(fl.licensee)
 	l.mu.Unlock()
 }
 
-// crossing is the id of the attempt under way.
-func (fl *flight) crossing() string { return fl.trace + "." + strconv.Itoa(fl.attempts) }
+// nextRelayID is the id of the attempt under way.
+func (fl *pendingRequest) nextRelayID() string { return fl.trace + "." + strconv.Itoa(fl.attempts) }
 
-// fate asks a far instance, over another connection, what became of a crossing whose connection broke. It
+// executionStatus asks a far instance, over another connection, what became of a crossing whose connection broke. It
 // asks until the answer is final or the attempt's time is over.
-func (in *Instance) fate(fl *flight, at attempt) (multisite.Fate, *keptReply) {
-	id := fl.crossing()
+func (in *Instance) executionStatus(fl *pendingRequest, at attempt) (multisite.Fate, *retainedResponse) {
+	id := fl.nextRelayID()
 	for until := at.until; time.Now().Before(until); {
-		var rep reply
+		var rep response
 		by := time.Now().Add(fatePatience)
 		if until.Before(by) {
 			by = until
 		}
-		result := in.servers.exchange(in.ctx, &call{}, at.server, by, false, &rep, func(b []byte) []byte {
+		result := in.servers.exchange(in.ctx, &attemptControl{}, at.server, by, false, &rep, func(b []byte) []byte {
 			b = append(b, "GET "+fatePath+" HTTP/1.1\r\nHost: link\r\n"...)
 			return append(httpwire.AppendField(b, crossingField, id), "\r\n"...)
 		})
@@ -181,7 +181,7 @@
 				if rep.head.Status == http.StatusNoContent {
 					return f, nil
 				}
-				return f, &keptReply{rep.head.Status, rep.head.Get("Content-Type"), rep.body}
+				return f, &retainedResponse{rep.head.Status, rep.head.Get("Content-Type"), rep.body}
 			case multisite.Underway:
 			default:
 				return f, nil
@@ -198,41 +198,41 @@
 	return multisite.Unknown, nil
 }
 
-// settle finds out what became of an attempt whose connection over the link broke.
-func (in *Instance) settle(fl *flight, at attempt) policy.Result {
-	f, kept := in.fate(fl, at)
+// resolveRelayed finds out what became of an attempt whose connection over the link broke.
+func (in *Instance) resolveRelayed(fl *pendingRequest, at attempt) policy.Result {
+	f, kept := in.executionStatus(fl, at)
 	switch {
 	case f == multisite.Never:
-		fl.rep.whole = false // as if it had not been written; and the far instance lives
+		fl.response.wasWritten = false // as if it had not been written; and the far instance lives
 		return policy.RejectedByServer
 	case f == multisite.Ran && kept != nil:
-		h := &fl.rep.head
+		h := &fl.response.head
 		*h = httpwire.Head{Status: kept.status, Reason: http.StatusText(kept.status), Length: int64(len(kept.body))}
 		if kept.contentType != "" {
 			h.Fields = append(h.Fields, httpwire.Field{Name: "Content-Type", Value: kept.contentType})
 		}
-		fl.rep.body = kept.body
+		fl.response.body = kept.body
 		return policy.OK
 	}
 	return policy.ConnectionReset
 }
 
-// tellFate answers another site's ask.
-func (c *client) tellFate() bool {
+// serveExecutionStatus answers another site's ask.
+func (c *clientConn) serveExecutionStatus() bool {
 	l := c.f.in.link
-	id, n := c.fl.head.Values(crossingField)
+	id, n := c.fl.requestHead.Values(crossingField)
 	if n != 1 || id == "" {
-		return c.turnDown(&badRequest{status: http.StatusBadRequest, text: crossingField + ": one is wanted"})
+		return c.rejectBadRequest(&badRequest{status: http.StatusBadRequest, text: crossingField + ": one is wanted"})
 	}
 	l.mu.Lock()
 	f, kept := l.arrivals.Ask(time.Now(), id)
 	l.mu.Unlock()
 	status, body := http.StatusNoContent, []byte(nil)
-	k, ok := kept.(*keptReply)
+	k, ok := kept.(*retainedResponse)
 	if ok && k != nil {
 		status, body = k.status, k.body
 	}
-	b := httpwire.AppendField(c.begin(status, http.StatusText(status)), fateField, f.String())
+	b := httpwire.AppendField(c.appendStatusLine(status, http.StatusText(status)), fateField, f.String())
 	if ok && k != nil && k.contentType != "" {
 		b = httpwire.AppendField(b, "Content-Type", k.contentType)
 	}
@@ -240,13 +240,13 @@
 	if status == http.StatusNoContent {
 		length = -1
 	}
-	return c.finish(b, body, length)
+	return c.writeResponse(b, body, length)
 }
 
-// come takes in a crossing; an error turns it down.
-func (c *client) come() error {
+// acceptRelayed takes in a crossing; an error turns it down.
+func (c *clientConn) acceptRelayed() error {
 	l, fl := c.f.in.link, &c.fl
-	id, n := fl.head.Values(crossingField)
+	id, n := fl.requestHead.Values(crossingField)
 	if n != 1 || id == "" {
 		return &badRequest{status: http.StatusBadRequest, text: crossingField + ": one is wanted"}
 	}
@@ -261,31 +261,31 @@
 	} else if !ok {
 		return &badRequest{status: http.StatusBadGateway, text: "the crossing has come before", mayRun: true}
 	}
-	fl.crossingID = id
+	fl.relayID = id
 	return nil
 }
 
-// left notes the fate of a crossing that has its final answer.
-func (c *client) left() {
+// finishRelayed notes the fate of a crossing that has its final answer.
+func (c *clientConn) finishRelayed() {
 	l, fl := c.f.in.link, &c.fl
 	fate, kept := multisite.Unknown, any(nil)
 	switch {
 	case fl.answer == served:
 		fate = multisite.Ran
-		if h := &fl.rep.head; len(fl.rep.body) <= keptAnswer && fl.head.Method != http.MethodHead && h.Status != http.StatusNoContent && h.Status != http.StatusNotModified {
-			kept = &keptReply{h.Status, h.Get("Content-Type"), fl.rep.body}
+		if h := &fl.response.head; len(fl.response.body) <= keptAnswer && fl.requestHead.Method != http.MethodHead && h.Status != http.StatusNoContent && h.Status != http.StatusNotModified {
+			kept = &retainedResponse{h.Status, h.Get("Content-Type"), fl.response.body}
 		}
 	case !fl.mayRun:
 		fate = multisite.Never
 	}
 	l.mu.Lock()
-	l.arrivals.Ended(time.Now(), fl.crossingID, fate, kept)
+	l.arrivals.Ended(time.Now(), fl.relayID, fate, kept)
 	l.mu.Unlock()
 }
 
 // neverRan words that a crossing did not run here.
-func (c *client) neverRan(text string, wait time.Duration) bool {
-	b := c.begin(http.StatusServiceUnavailable, "Service Unavailable")
+func (c *clientConn) neverRan(text string, wait time.Duration) bool {
+	b := c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable")
 	b = append(b, "X-Never-Ran: 1\r\n"...)
 	if wait > 0 {
 		b = append(b, "Retry-After: "...)
@@ -293,16 +293,16 @@
 		b = append(b, "\r\n"...)
 	}
 	body := []byte(text + "\n")
-	return c.finish(b, body, len(body))
+	return c.writeResponse(b, body, len(body))
 }
 
-// linkListener accepts connections of other sites' instances; each shows its certificate before its first request.
-type linkListener struct {
+// relayListener accepts connections of other sites' instances; each shows its certificate before its first request.
+type relayListener struct {
 	net.Listener
-	link *link
+	link *relay
 }
 
-func (l linkListener) Accept() (net.Conn, error) {
+func (l relayListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -310,8 +310,8 @@
 	return tls.Server(nc, l.link.cfg.TLS), nil
 }
 
-// shows checks the certificate at the other end of a connection of the link.
-func (c *client) shows() bool {
+// verifyPeer checks the certificate at the other end of a connection of the link.
+func (c *clientConn) verifyPeer() bool {
 	t, ok := c.nc.(*tls.Conn)
 	if !ok {
 		return false
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -437,16 +437,16 @@
 	r := start(t, h, 1, func(c *Config) {
 		c.Keys = &multisite.Config{Me: 1, Incarnation: 1, Lease: time.Second, Life: time.Second, Memory: time.Second, Most: 10}
 	})
-	f := &front{in: r.Instance}
+	f := &clientServer{in: r.Instance}
 	number := func(body string, fields ...string) uint64 {
 		t.Helper()
-		var fl flight
-		if err := httpwire.NewReader(strings.NewReader(post("POST /visits", body, fields...))).Request(&fl.head); err != nil {
+		var fl pendingRequest
+		if err := httpwire.NewReader(strings.NewReader(post("POST /visits", body, fields...))).Request(&fl.requestHead); err != nil {
 			t.Fatal(err)
 		}
 		fl.body = []byte(body)
-		if _, err := f.parse(&fl, time.Now()); err != nil || !fl.homed {
-			t.Fatalf("%v, homed %v", err, fl.homed)
+		if _, err := f.parse(&fl, time.Now()); err != nil || !fl.hasKeyOwner {
+			t.Fatalf("%v, homed %v", err, fl.hasKeyOwner)
 		}
 		return fl.key
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -67,14 +67,14 @@
 	var side sync.WaitGroup
 	defer side.Wait()
 	defer stop()
-	in.event(in.gw.Start)
+	in.handleEvent(in.engine.Start)
 	if in.peers != nil {
 		defer in.peers.Close()
-		side.Go(func() { in.peers.Receive(in.whisper) })
+		side.Go(func() { in.peers.Receive(in.gossipReceived) })
 	}
-	side.Go(func() { in.servers.reap(life) })
+	side.Go(func() { in.servers.pruneIdle(life) })
 
-	f := &front{in: in, conns: map[*client]struct{}{}}
+	f := &clientServer{in: in, conns: map[*clientConn]struct{}{}}
 	failed := make(chan error, 2)
 	side.Go(func() { failed <- f.serve(ln) })
 	if cfg.Link != nil {
@@ -87,7 +87,7 @@
 		}
 		f.link = lln
 		defer lln.Close()
-		side.Go(func() { failed <- f.serve(linkListener{lln, in.link}) })
+		side.Go(func() { failed <- f.serve(relayListener{lln, in.link}) })
 	}
 	f.ready.Store(true)
 	if setup.Table != nil {
@@ -111,7 +111,7 @@
 
 // drain ends serving. Clients still come for a while and are answered, on connections
 // that close behind the answer; then the listener closes, and what was taken is finished.
-func (f *front) drain(ln net.Listener) {
+func (f *clientServer) drain(ln net.Listener) {
 	f.ready.Store(false)
 	f.draining.Store(true)
 	<-time.After(f.in.cfg.DrainFor)
@@ -122,7 +122,7 @@
 	f.mu.Lock()
 	for c := range f.conns {
 		if !c.busy.Load() {
-			c.nc.SetReadDeadline(past)
+			c.nc.SetReadDeadline(pastDeadline)
 		}
 	}
 	f.mu.Unlock()
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -29,49 +29,49 @@
 	keptBuffer   = 16 << 10               // bytes of a buffer that an idle connection keeps
 )
 
-var past = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
-// reply is a server's whole answer.
-type reply struct {
-	head  httpwire.Head
-	body  []byte
-	since time.Time // when the connection that it came on was made; zero: there was no answer
-	whole bool      // the request was written whole
+// response is a server's whole answer.
+type response struct {
+	head        httpwire.Head
+	body        []byte
+	connectedAt time.Time // when the connection that it came on was made; zero: there was no answer
+	wasWritten  bool      // the request was written whole
 }
 
-// servers holds the connections to the servers of all halls. A connection carries one
+// serverPool holds the connections to the servers of all halls. A connection carries one
 // request at a time, and a call of exchange writes a request once at most.
-type servers struct {
+type serverPool struct {
 	dialer  net.Dialer
 	maxIdle time.Duration
 	most    int
 	secure  func(ctx context.Context, server string, nc net.Conn) (net.Conn, error) // for instances of other sites
 
 	mu   sync.Mutex
-	byID map[string]*server
+	byID map[string]*serverConns
 	open int
 }
 
-// server is a server and its idle connections, the latest used last.
-type server struct {
+// serverConns is a server and its idle connections, the latest used last.
+type serverConns struct {
 	id   string
 	addr netip.AddrPort
 	boot time.Duration
 	up   bool
-	idle []*conn
+	idle []*serverConn
 }
 
-// conn is a connection to a server.
-type conn struct {
+// serverConn is a connection to a server.
+type serverConn struct {
 	nc      net.Conn
 	raw     syscall.RawConn
 	rd      *httpwire.Reader
 	left    int // bytes that the answer under way may still take
 	got     bool
-	hurried bool   // the rest of the answer has a deadline of its own
-	call    *call  // under way
-	out     []byte // the request under way
-	of      *server
+	hurried bool            // the rest of the answer has a deadline of its own
+	call    *attemptControl // under way
+	out     []byte          // the request under way
+	of      *serverConns
 	idle    time.Time
 	made    time.Time
 }
@@ -79,13 +79,13 @@
 var errTooLong = errors.New("answer too long")
 
 // Read bounds what an answer takes.
-func (c *conn) Read(p []byte) (int, error) {
+func (c *serverConn) Read(p []byte) (int, error) {
 	if c.left <= 0 {
 		return 0, errTooLong
 	}
 	if c.got && !c.hurried { // most answers come whole in the first read
 		c.hurried = true
-		c.call.hurry(c)
+		c.call.limitRest(c)
 	}
 	n, err := c.nc.Read(p[:min(len(p), c.left)])
 	c.left -= n
@@ -93,14 +93,14 @@
 	return n, err
 }
 
-func newServers(cfg *Config) *servers {
-	return &servers{dialer: net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1},
-		maxIdle: time.Duration(idleShare * float64(cfg.ConnIdle)), most: cfg.MaxServers, byID: map[string]*server{}}
+func newServers(cfg *Config) *serverPool {
+	return &serverPool{dialer: net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1},
+		maxIdle: time.Duration(idleShare * float64(cfg.ConnIdle)), most: cfg.MaxServers, byID: map[string]*serverConns{}}
 }
 
 // update takes in entries of a list and returns the connections that are of no more use,
 // for the caller to close. A server that drains, moved, restarted or is gone keeps none.
-func (u *servers) update(entries []discovery.Instance) (stale []*conn) {
+func (u *serverPool) update(entries []discovery.Instance) (stale []*serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, e := range entries {
@@ -115,7 +115,7 @@
 			continue
 		}
 		if s == nil {
-			s = &server{id: e.ID, addr: e.Addr, boot: e.StartedAt}
+			s = &serverConns{id: e.ID, addr: e.Addr, boot: e.StartedAt}
 			u.byID[e.ID] = s
 		}
 		if s.up = e.State == policy.Up; !s.up {
@@ -126,8 +126,8 @@
 	return stale
 }
 
-// reap closes what has been idle for too long, until ctx ends, then all that is idle.
-func (u *servers) reap(ctx context.Context) {
+// pruneIdle closes what has been idle for too long, until ctx ends, then all that is idle.
+func (u *serverPool) pruneIdle(ctx context.Context) {
 	tick := time.NewTicker(max(u.maxIdle/8, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
@@ -137,7 +137,7 @@
 			keep = 0
 		case <-tick.C:
 		}
-		var stale []*conn
+		var stale []*serverConn
 		u.mu.Lock()
 		for _, s := range u.byID {
 			n := 0
@@ -145,7 +145,7 @@
 				n++
 			}
 			stale = append(stale, s.idle[:n]...)
-			s.idle = append([]*conn(nil), s.idle[n:]...)
+			s.idle = append([]*serverConn(nil), s.idle[n:]...)
 		}
 		u.open -= len(stale)
 		u.mu.Unlock()
@@ -156,7 +156,7 @@
 	}
 }
 
-func closeAll(conns []*conn) {
+func closeAll(conns []*serverConn) {
 	for _, c := range conns {
 		c.nc.Close()
 	}
@@ -167,9 +167,9 @@
 	errBudget  = errors.New("no connection left")
 )
 
-// take returns a connection to a server: the idle one used last, if it still lives, or a
+// acquire returns a connection to a server: the idle one used last, if it still lives, or a
 // new one.
-func (u *servers) take(ctx context.Context, id string, begin func(context.CancelFunc)) (*conn, error) {
+func (u *serverPool) acquire(ctx context.Context, id string, begin func(context.CancelFunc)) (*serverConn, error) {
 	for {
 		u.mu.Lock()
 		s := u.byID[id]
@@ -181,13 +181,13 @@
 			c := s.idle[n-1]
 			s.idle = s.idle[:n-1]
 			u.mu.Unlock()
-			if time.Since(c.idle) < u.maxIdle && c.quiet() {
+			if time.Since(c.idle) < u.maxIdle && c.isIdleClean() {
 				return c, nil
 			}
 			u.discard(c)
 			continue
 		}
-		var spare *conn
+		var spare *serverConn
 		if u.open >= u.most {
 			if spare = u.longestIdle(); spare == nil {
 				u.mu.Unlock()
@@ -206,8 +206,8 @@
 
 // longestIdle takes the connection that has been idle for longest, or nil. Called under
 // the mutex.
-func (u *servers) longestIdle() (c *conn) {
-	var of *server
+func (u *serverPool) longestIdle() (c *serverConn) {
+	var of *serverConns
 	for _, s := range u.byID {
 		if len(s.idle) > 0 && (of == nil || s.idle[0].idle.Before(of.idle[0].idle)) {
 			of = s
@@ -220,7 +220,7 @@
 }
 
 // dial makes a connection, which is already counted. begin takes what calls it off.
-func (u *servers) dial(ctx context.Context, s *server, begin func(context.CancelFunc)) (*conn, error) {
+func (u *serverPool) dial(ctx context.Context, s *serverConns, begin func(context.CancelFunc)) (*serverConn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	begin(cancel)
@@ -232,15 +232,15 @@
 		u.mu.Unlock()
 		return nil, err
 	}
-	if u.secure != nil && crosses(s.id) {
+	if u.secure != nil && isRemoteServer(s.id) {
 		safe, err := u.secure(ctx, s.id, nc)
 		if err != nil {
-			u.discard(&conn{nc: nc})
+			u.discard(&serverConn{nc: nc})
 			return nil, err
 		}
 		nc = safe
 	}
-	c := &conn{nc: nc, of: s, made: time.Now()}
+	c := &serverConn{nc: nc, of: s, made: time.Now()}
 	c.rd = httpwire.NewReader(c)
 	if c.raw, err = raw(nc); err != nil {
 		u.discard(c)
@@ -256,15 +256,15 @@
 	return c, nil
 }
 
-func (u *servers) discard(c *conn) {
+func (u *serverPool) discard(c *serverConn) {
 	c.nc.Close()
 	u.mu.Lock()
 	u.open--
 	u.mu.Unlock()
 }
 
-// giveBack returns a connection whose exchange is over to its pool.
-func (u *servers) giveBack(c *conn) {
+// release returns a connection whose exchange is over to its pool.
+func (u *serverPool) release(c *serverConn) {
 	if cap(c.out) > keptBuffer {
 		c.out = nil
 	}
@@ -279,9 +279,9 @@
 	u.discard(c)
 }
 
-// distrust closes a server's idle connections after silence on one: a machine that
+// shortenIdleTimeout closes a server's idle connections after silence on one: a machine that
 // vanished leaves all of them open and silent.
-func (u *servers) distrust(s *server) {
+func (u *serverPool) shortenIdleTimeout(s *serverConns) {
 	u.mu.Lock()
 	stale := s.idle
 	s.idle = nil
@@ -290,9 +290,9 @@
 	closeAll(stale)
 }
 
-// quiet tells whether an idle connection is open with nothing to read. A request written
+// isIdleClean tells whether an idle connection is open with nothing to read. A request written
 // to any other would end as a reset, which may not be repeated freely.
-func (c *conn) quiet() bool {
+func (c *serverConn) isIdleClean() bool {
 	var b [1]byte
 	quiet := false
 	err := c.raw.Read(func(fd uintptr) bool {
@@ -303,30 +303,30 @@
 	return err == nil && quiet
 }
 
-// call is an exchange as those see it who may want to end it before its time.
-type call struct {
+// attemptControl is an exchange as those see it who may want to end it before its time.
+type attemptControl struct {
 	mu     sync.Mutex
-	conn   *conn              // on which it is under way
+	conn   *serverConn        // on which it is under way
 	cancel context.CancelFunc // of the connection that is being made
 	until  time.Time
 	ended  bool // given up
 }
 
-// giveUp ends the exchange at once.
-func (k *call) giveUp() {
+// abort ends the exchange at once.
+func (k *attemptControl) abort() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ended = true
 	if k.conn != nil {
-		k.conn.nc.SetDeadline(past)
+		k.conn.nc.SetDeadline(pastDeadline)
 	}
 	if k.cancel != nil {
 		k.cancel()
 	}
 }
 
-// begin sets the connection under way; it is false if the exchange was given up.
-func (k *call) begin(c *conn, until time.Time) bool {
+// start sets the connection under way; it is false if the exchange was given up.
+func (k *attemptControl) start(c *serverConn, until time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ended {
@@ -338,9 +338,9 @@
 	return true
 }
 
-// hurry bounds the rest of an answer that has begun: servers write it in one piece, and
+// limitRest bounds the rest of an answer that has begun: servers write it in one piece, and
 // half a one must not take all of the time that another attempt would need.
-func (k *call) hurry(c *conn) {
+func (k *attemptControl) limitRest(c *serverConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if rest := time.Now().Add(answerRest); !k.ended && rest.Before(k.until) {
@@ -348,8 +348,8 @@
 	}
 }
 
-// relax takes the bound of hurry off.
-func (k *call) relax(c *conn) {
+// restoreDeadline takes the bound of hurry off.
+func (k *attemptControl) restoreDeadline(c *serverConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.ended {
@@ -357,16 +357,16 @@
 	}
 }
 
-// end takes the connection back; it is false if the exchange was given up, which has
+// finish takes the connection back; it is false if the exchange was given up, which has
 // left the connection with a deadline.
-func (k *call) end() bool {
+func (k *attemptControl) finish() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.conn = nil
 	return !k.ended
 }
 
-func (k *call) dialing(cancel context.CancelFunc) {
+func (k *attemptControl) setDialCancel(cancel context.CancelFunc) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.cancel = cancel; cancel != nil && k.ended {
@@ -377,36 +377,36 @@
 // exchange writes a request to a server, once at most, and reads the whole answer into
 // rep. word appends the request to a buffer. It ends when until has come or k is given up;
 // the connection is closed by then.
-func (u *servers) exchange(ctx context.Context, k *call, id string, until time.Time, headOnly bool, rep *reply, word func([]byte) []byte) policy.Result {
-	rep.whole, rep.since, rep.body = false, time.Time{}, nil
+func (u *serverPool) exchange(ctx context.Context, k *attemptControl, id string, until time.Time, headOnly bool, rep *response, word func([]byte) []byte) policy.Result {
+	rep.wasWritten, rep.connectedAt, rep.body = false, time.Time{}, nil
 	dctx, cancel := ctx, context.CancelFunc(nil)
 	if time.Until(until) < u.dialer.Timeout {
 		dctx, cancel = context.WithDeadline(ctx, until)
 		defer cancel()
 	}
-	c, err := u.take(dctx, id, k.dialing)
+	c, err := u.acquire(dctx, id, k.setDialCancel)
 	if errors.Is(err, errBudget) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return policy.NotSent // no fault of the server's
 	}
 	if err != nil {
 		return neverSent(k, until)
 	}
-	if !k.begin(c, until) {
+	if !k.start(c, until) {
 		u.discard(c)
 		return policy.Cancelled
 	}
 	c.out = word(c.out[:0])
 	if _, err = c.nc.Write(c.out); err != nil {
 		// A server begins a request when its last byte has come, and that was not written.
-		k.end()
+		k.finish()
 		u.discard(c)
 		return neverSent(k, until)
 	}
-	rep.whole = true
+	rep.wasWritten = true
 	result, reuse, err := c.read(rep, headOnly)
-	asWas := k.end()
+	asWas := k.finish()
 	if asWas && reuse {
-		u.giveBack(c)
+		u.release(c)
 	} else {
 		u.discard(c)
 	}
@@ -416,21 +416,21 @@
 			result = policy.Cancelled
 		case errors.Is(err, os.ErrDeadlineExceeded) && !c.got:
 			result = policy.TimedOut
-			u.distrust(c.of)
-		case errors.Is(err, os.ErrDeadlineExceeded) || answered(err):
+			u.shortenIdleTimeout(c.of)
+		case errors.Is(err, os.ErrDeadlineExceeded) || wasAnswered(err):
 			result = policy.ErrorResponse // half an answer, or one that can't be read, is no silence
 		default:
 			result = policy.ConnectionReset
 		}
 	}
 	if result == policy.OK || result == policy.RejectedByServer || result == policy.ErrorResponse {
-		rep.since = c.made
+		rep.connectedAt = c.made
 	}
 	return result
 }
 
-// answered tells whether an answer came that can't be read, rather than none.
-func answered(err error) bool {
+// wasAnswered tells whether an answer came that can't be read, rather than none.
+func wasAnswered(err error) bool {
 	for _, e := range []error{httpwire.ErrMalformed, httpwire.ErrTooLarge, httpwire.ErrLength, httpwire.ErrCoding, errTooLong, errNoLength} {
 		if errors.Is(err, e) {
 			return true
@@ -441,7 +441,7 @@
 
 // neverSent is the result of an attempt whose last byte was not written. Where its own
 // time ended first, that says nothing of the server.
-func neverSent(k *call, until time.Time) policy.Result {
+func neverSent(k *attemptControl, until time.Time) policy.Result {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
@@ -456,7 +456,7 @@
 var errNoLength = errors.New("answer does not tell its length")
 
 // read reads the whole answer and tells whether the connection can be used again.
-func (c *conn) read(rep *reply, headOnly bool) (result policy.Result, reuse bool, err error) {
+func (c *serverConn) read(rep *response, headOnly bool) (result policy.Result, reuse bool, err error) {
 	for {
 		if err := c.rd.Answer(&rep.head); err != nil {
 			return 0, false, err
@@ -467,7 +467,7 @@
 		c.got = c.rd.Buffered() > 0 // the answer that counts may come later
 		if c.hurried {
 			c.hurried = false
-			c.call.relax(c)
+			c.call.restoreDeadline(c)
 		}
 	}
 	h := &rep.head
@@ -491,12 +491,12 @@
 		return policy.ErrorResponse, false, nil // 101: what follows is no HTTP
 	}
 	// What stands behind the answer belongs to no request: the next one would take it for its own.
-	return judge(h), !h.Close && c.rd.Buffered() == 0, nil
+	return resultOf(h), !h.Close && c.rd.Buffered() == 0, nil
 }
 
-// judge says what an answer means. An answer that promises that trying again does no
+// resultOf says what an answer means. An answer that promises that trying again does no
 // harm is a server's to give only with the word that it never ran.
-func judge(h *httpwire.Head) policy.Result {
+func resultOf(h *httpwire.Head) policy.Result {
 	neverRan := h.Status == 429 || h.Status == 503 || h.Status == 504
 	switch {
 	case neverRan && h.Get("X-Never-Ran") == "1":
@@ -508,8 +508,8 @@
 }
 
 // report returns an answer's load report, or nil.
-func (r *reply) report() *policy.LoadReport {
-	if r.since.IsZero() {
+func (r *response) report() *policy.LoadReport {
+	if r.connectedAt.IsZero() {
 		return nil
 	}
 	if text, n := r.head.Values("Endpoint-Load-Metrics"); n > 0 {
@@ -523,16 +523,16 @@
 	return strconv.AppendFloat(b, math.Max(d.Seconds(), 0.001), 'f', 3, 64)
 }
 
-// word appends the request to b, for an attempt that ends at until.
-func (fl *flight) word(b []byte, until time.Time) []byte {
-	h := &fl.head
+// appendRequest appends the request to b, for an attempt that ends at until.
+func (fl *pendingRequest) appendRequest(b []byte, until time.Time) []byte {
+	h := &fl.requestHead
 	b = append(b, h.Method...)
 	b = append(b, ' ')
 	b = append(b, h.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	for i := range h.Fields {
 		f := &h.Fields[i]
-		if httpwire.HopByHop(f.Name) || ownField(f.Name) {
+		if httpwire.HopByHop(f.Name) || isOwnField(f.Name) {
 			continue
 		}
 		b = httpwire.AppendField(b, f.Name, f.Value)
@@ -540,12 +540,12 @@
 	b = httpwire.AppendField(b, "X-Trace-Id", fl.trace)
 	b = append(b, "X-Expires-In: "...)
 	b = appendSeconds(b, time.Until(until))
-	if fl.over {
+	if fl.isRelayed {
 		b = append(b, "\r\n"+crossingField+": "...)
-		b = append(b, fl.crossing()...)
+		b = append(b, fl.nextRelayID()...)
 	}
 	b = append(b, "\r\nX-Mulleinmux-Version: "...)
-	if from, n := h.Values("X-Mulleinmux-Version"); fl.linked && n == 1 {
+	if from, n := h.Values("X-Mulleinmux-Version"); fl.cameByRelay && n == 1 {
 		b = append(b, from...) // it keeps the version that it was matched with where it entered
 	} else {
 		b = strconv.AppendUint(b, fl.version.number, 10)
@@ -560,8 +560,8 @@
 	return append(b, fl.body...)
 }
 
-// ownField tells whether a field is one that the gateway words anew.
-func ownField(name string) bool {
+// isOwnField tells whether a field is one that the gateway words anew.
+func isOwnField(name string) bool {
 	switch len(name) {
 	case 10:
 		return strings.EqualFold(name, "X-Trace-Id")
--- a/internal/gatewayconfig/gatefile.go
+++ b/internal/gatewayconfig/gatefile.go
@@ -302,7 +302,7 @@
 		r.bad("description", "is missing: the file name of an OpenAPI description")
 	}
 	r.halls(&in.shared, c)
-	if len(in.Halls) > 0 && !slices.ContainsFunc(c.Halls, func(h gateway.Hall) bool { return h.Name == in.Zone }) {
+	if len(in.Halls) > 0 && !slices.ContainsFunc(c.Halls, func(h gateway.Site) bool { return h.Name == in.Zone }) {
 		r.bad("zone", "%q is no hall's name", in.Zone)
 	}
 	r.classes(&in.shared, c)
@@ -336,8 +336,8 @@
 }
 
 // stale reads what an instance does whose configuration was not confirmed of late.
-func (r *reader) stale(section string, after duration, when string) *gateway.Agreed {
-	agreed := &gateway.Agreed{StaleAfter: after.d}
+func (r *reader) stale(section string, after duration, when string) *gateway.Agreement {
+	agreed := &gateway.Agreement{StaleAfter: after.d}
 	switch when {
 	case "", "serve":
 	case "refuse":
@@ -375,7 +375,7 @@
 	if len(c.Members) == 0 {
 		r.bad("follow.member", "none is named: add a [[follow.member]] with number and stream")
 	}
-	out.Config.Agreed = r.stale("follow", c.StaleAfter, c.WhenStale)
+	out.Config.Agreement = r.stale("follow", c.StaleAfter, c.WhenStale)
 	k.KeysAnywhere = r.keys("follow", c.Keys)
 }
 
@@ -401,7 +401,7 @@
 	if c.Tick.d != 0 && (c.Tick.d < time.Millisecond || c.Tick.d > time.Second) {
 		r.bad("cluster.tick", "%v is outside 1ms to 1s", c.Tick.d)
 	}
-	out.Config.Agreed = r.stale("cluster", c.StaleAfter, c.WhenStale)
+	out.Config.Agreement = r.stale("cluster", c.StaleAfter, c.WhenStale)
 	k.KeysAnywhere = r.keys("cluster", c.Keys)
 	if c.Stream != "" {
 		k.Stream = r.address("cluster.stream", c.Stream).String()
@@ -440,7 +440,7 @@
 			r.bad(at+".name", "%q is empty, stands twice or has a slash", h.Name)
 		}
 		zones[h.Name] = true
-		c.Halls = append(c.Halls, gateway.Hall{Name: h.Name, Register: r.address(at+".register", h.Register)})
+		c.Halls = append(c.Halls, gateway.Site{Name: h.Name, Register: r.address(at+".register", h.Register)})
 	}
 	if len(in.Halls) == 0 {
 		r.bad("hall", "none is described: add a [[hall]] with name and register")
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -442,7 +442,7 @@
 }
 
 // agree has the instances agree on what they serve at first.
-func (c *clusterRun) agree(ctx context.Context, halls []gateway.Hall) error {
+func (c *clusterRun) agree(ctx context.Context, halls []gateway.Site) error {
 	p := &clusterconfig.Proposal{ID: "begin", Why: variantWhy(1)}
 	for _, k := range classes() {
 		p.Changes = append(p.Changes, clusterconfig.Put("class", k.Name, clusterconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
@@ -1231,7 +1231,7 @@
 		}
 		variants[r.Version] = now
 	}
-	records := map[string]gateway.Record{}
+	records := map[string]gateway.RequestRecord{}
 	for _, m := range c.instances() {
 		f, err := os.Open(filepath.Join(c.dir, fmt.Sprintf("access-%d.jsonl", m.id)))
 		if err != nil {
@@ -1240,7 +1240,7 @@
 		}
 		lines := bufio.NewScanner(f)
 		for lines.Scan() {
-			var r gateway.Record
+			var r gateway.RequestRecord
 			if json.Unmarshal(lines.Bytes(), &r) != nil || r.Trace == "" {
 				continue // the half of a line, of an instance that was killed
 			}
