--- /dev/null
+++ b/internal/gateway/exchange.go
@@ -0,0 +1,239 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"mulleinmux/internal/httpwire"
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/policy"
+)
+
+// attemptControl is an exchange as those see it who may want to end it before its time.
+type attemptControl struct {
+	mu     sync.Mutex
+	conn   *serverConn        // on which it is under way
+	cancel context.CancelFunc // of the connection that is being made
+	until  time.Time
+	ended  bool // given up
+}
+
+// abort ends the exchange at once.
+func (k *attemptControl) abort() {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.ended = true
+	if k.conn != nil {
+		k.conn.nc.SetDeadline(pastDeadline)
+	}
+	if k.cancel != nil {
+		k.cancel()
+	}
+}
+
+// start sets the connection under way; it is false if the exchange was given up.
+func (k *attemptControl) start(c *serverConn, until time.Time) bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.ended {
+		return false
+	}
+	k.conn, k.until = c, until
+	c.left, c.got, c.hurried, c.call = maxAnswer, false, false, k
+	c.nc.SetDeadline(until)
+	return true
+}
+
+// limitRest bounds the rest of an answer that has begun: servers write it in one piece, and
+// half a one must not take all of the time that another attempt would need.
+func (k *attemptControl) limitRest(c *serverConn) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if rest := time.Now().Add(answerRest); !k.ended && rest.Before(k.until) {
+		c.nc.SetReadDeadline(rest)
+	}
+}
+
+// restoreDeadline takes the bound of hurry off.
+func (k *attemptControl) restoreDeadline(c *serverConn) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if !k.ended {
+		c.nc.SetReadDeadline(k.until)
+	}
+}
+
+// finish takes the connection back; it is false if the exchange was given up, which has
+// left the connection with a deadline.
+func (k *attemptControl) finish() bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.conn = nil
+	return !k.ended
+}
+
+func (k *attemptControl) setDialCancel(cancel context.CancelFunc) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.cancel = cancel; cancel != nil && k.ended {
+		cancel()
+	}
+}
+
+// exchange writes a request to a server, once at most, and reads the whole answer into
+// rep. word appends the request to a buffer. It ends when until has come or k is given up;
+// the connection is closed by then.
+func (u *serverPool) exchange(ctx context.Context, k *attemptControl, id string, until time.Time, headOnly bool, rep *response, word func([]byte) []byte) policy.Result {
+	rep.wasWritten, rep.connectedAt, rep.body = false, time.Time{}, nil
+	dctx, cancel := ctx, context.CancelFunc(nil)
+	if time.Until(until) < u.dialer.Timeout {
+		dctx, cancel = context.WithDeadline(ctx, until)
+		defer cancel()
+	}
+	c, err := u.acquire(dctx, id, k.setDialCancel)
+	if errors.Is(err, errBudget) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
+		return policy.NotSent // no fault of the server's
+	}
+	if err != nil {
+		return neverSent(k, until)
+	}
+	if !k.start(c, until) {
+		u.discard(c)
+		return policy.Cancelled
+	}
+	c.out = word(c.out[:0])
+	if _, err = c.nc.Write(c.out); err != nil {
+		// A server begins a request when its last byte has come, and that was not written.
+		k.finish()
+		u.discard(c)
+		return neverSent(k, until)
+	}
+	rep.wasWritten = true
+	result, reuse, err := c.read(rep, headOnly)
+	asWas := k.finish()
+	if asWas && reuse {
+		u.release(c)
+	} else {
+		u.discard(c)
+	}
+	if err != nil {
+		switch {
+		case !asWas:
+			result = policy.Cancelled
+		case errors.Is(err, os.ErrDeadlineExceeded) && !c.got:
+			result = policy.TimedOut
+			u.shortenIdleTimeout(c.of)
+		case errors.Is(err, os.ErrDeadlineExceeded) || wasAnswered(err):
+			result = policy.ErrorResponse // half an answer, or one that can't be read, is no silence
+		default:
+			result = policy.ConnectionReset
+		}
+	}
+	if result == policy.OK || result == policy.RejectedByServer || result == policy.ErrorResponse {
+		rep.connectedAt = c.made
+	}
+	return result
+}
+
+// wasAnswered tells whether an answer came that can't be read, rather than none.
+func wasAnswered(err error) bool {
+	for _, e := range []error{httpwire.ErrMalformed, httpwire.ErrTooLarge, httpwire.ErrLength, httpwire.ErrCoding, errTooLong, errNoLength} {
+		if errors.Is(err, e) {
+			return true
+		}
+	}
+	return false
+}
+
+// neverSent is the result of an attempt whose last byte was not written. Where its own
+// time ended first, that says nothing of the server.
+func neverSent(k *attemptControl, until time.Time) policy.Result {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	switch {
+	case k.ended:
+		return policy.Cancelled
+	case !time.Now().Before(until):
+		return policy.NotSent
+	}
+	return policy.ConnectFailed
+}
+
+var errNoLength = errors.New("answer does not tell its length")
+
+var errTooLong = errors.New("answer too long")
+
+// response is a server's whole answer.
+type response struct {
+	head        httpwire.Head
+	body        []byte
+	connectedAt time.Time // when the connection that it came on was made; zero: there was no answer
+	wasWritten  bool      // the request was written whole
+}
+
+// read reads the whole answer and tells whether the connection can be used again.
+func (c *serverConn) read(rep *response, headOnly bool) (result policy.Result, reuse bool, err error) {
+	for {
+		if err := c.rd.Answer(&rep.head); err != nil {
+			return 0, false, err
+		}
+		if rep.head.Status >= 200 || rep.head.Status == 101 {
+			break
+		}
+		c.got = c.rd.Buffered() > 0 // the answer that counts may come later
+		if c.hurried {
+			c.hurried = false
+			c.call.restoreDeadline(c)
+		}
+	}
+	h := &rep.head
+	switch {
+	case headOnly || h.Status == 204 || h.Status == 304:
+	case h.Chunked:
+		if rep.body, err = c.rd.Chunked(maxReply); err != nil {
+			return 0, false, err
+		}
+	case h.Length < 0: // it ends with its connection: whether it is whole can't be told
+		return 0, false, errNoLength
+	case h.Length > maxReply:
+		return 0, false, errTooLong
+	case h.Length > 0:
+		rep.body = make([]byte, h.Length)
+		if err = c.rd.Body(rep.body); err != nil {
+			return 0, false, err
+		}
+	}
+	if h.Status < 200 {
+		return policy.ErrorResponse, false, nil // 101: what follows is no HTTP
+	}
+	// What stands behind the answer belongs to no request: the next one would take it for its own.
+	return resultOf(h), !h.Close && c.rd.Buffered() == 0, nil
+}
+
+// resultOf says what an answer means. An answer that promises that trying again does no
+// harm is a server's to give only with the word that it never ran.
+func resultOf(h *httpwire.Head) policy.Result {
+	neverRan := h.Status == 429 || h.Status == 503 || h.Status == 504
+	switch {
+	case neverRan && h.Get("X-Never-Ran") == "1":
+		return policy.RejectedByServer
+	case neverRan || h.Status >= 500 || h.Status == 408:
+		return policy.ErrorResponse
+	}
+	return policy.OK
+}
+
+// report returns an answer's load report, or nil.
+func (r *response) report() *policy.LoadReport {
+	if r.connectedAt.IsZero() {
+		return nil
+	}
+	if text, n := r.head.Values("Endpoint-Load-Metrics"); n > 0 {
+		return loadreport.Parse(text)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/gateway/sites.go
@@ -0,0 +1,208 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"net/netip"
+	"strings"
+	"time"
+
+	"mulleinmux/internal/discovery"
+	"mulleinmux/multisite"
+	"mulleinmux/policy"
+)
+
+// siteWatch is a follower of a hall's register.
+type siteWatch struct {
+	register netip.AddrPort
+	stop     context.CancelFunc
+}
+
+// watchSites follows the registers of these halls and of no others. The servers of a hall
+// that is no longer there are gone; those of one whose register has moved stay until the
+// new one tells. Called under the mutex.
+func (in *Instance) watchSites(now time.Duration, halls []Site, out policy.Actions) {
+	wanted := map[string]netip.AddrPort{}
+	for _, h := range halls {
+		wanted[h.Name] = h.Register
+	}
+	for name, w := range in.siteWatches {
+		if at, ok := wanted[name]; ok && at == w.register {
+			continue
+		} else if !ok {
+			in.applyEndpoints(now, name, discovery.List{Full: true}, out)
+			in.engine.RemoveZoneLimits(name)
+			delete(in.serversBySite, name)
+		}
+		w.stop()
+		delete(in.siteWatches, name)
+	}
+	for _, h := range halls {
+		if in.siteWatches[h.Name] != nil {
+			continue
+		}
+		ctx, stop := context.WithCancel(in.ctx)
+		in.siteWatches[h.Name] = &siteWatch{h.Register, stop}
+		if in.isRemote(h.Name) {
+			list, _ := in.link.remoteServers(h.Name)
+			in.applyEndpoints(now, h.Name, list, out)
+			continue
+		}
+		f := &discovery.Follower{Addr: h.Register, Silent: discovery.Silent,
+			Apply: func(l discovery.List) { in.endpointsReceived(ctx, h.Name, l) },
+			Logf:  func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
+		in.discoveryFollowers.Go(func() { f.Run(ctx) })
+	}
+}
+
+// endpointsReceived hands a hall's list on, unless its watch has ended.
+func (in *Instance) endpointsReceived(ctx context.Context, hall string, l discovery.List) {
+	in.handleEvent(func(now time.Duration, out policy.Actions) {
+		if ctx.Err() == nil {
+			in.applyEndpoints(now, hall, l, out)
+		}
+	})
+}
+
+// applyEndpoints hands a hall's list on as changes: the lists of the other halls stay as they are.
+// Called under the mutex.
+func (in *Instance) applyEndpoints(now time.Duration, hall string, l discovery.List, out policy.Actions) {
+	known := in.serversBySite[hall]
+	if known == nil {
+		known = map[string]bool{}
+		in.serversBySite[hall] = known
+	}
+	entries := make([]discovery.Instance, 0, len(l.Servers))
+	listed := map[string]bool{}
+	for _, s := range l.Servers {
+		s.ID = hall + "/" + s.ID
+		s.Zone = hall
+		listed[s.ID] = true
+		if known[s.ID] = true; s.State == policy.Removed {
+			delete(known, s.ID)
+		}
+		entries = append(entries, s)
+	}
+	if l.Full {
+		for id := range known {
+			if !listed[id] {
+				delete(known, id)
+				entries = append(entries, discovery.Instance{Server: policy.Server{ID: id, State: policy.Removed, Zone: hall}})
+			}
+		}
+	}
+	stale := in.servers.update(entries)
+	in.deferred = append(in.deferred, func() { closeAll(stale) })
+	list := make([]policy.Server, len(entries))
+	for i, s := range entries {
+		list[i] = s.Server
+	}
+	in.engine.EndpointsChanged(now, policy.EndpointsDelta, list, out)
+}
+
+// isRemote tells whether a hall is reached by way of another site's instances alone.
+func (in *Instance) isRemote(hall string) bool { return in.link != nil && !in.link.ownsSite(hall) }
+
+// recordSiteHealth notes what an attempt or a probe says of its server's hall. Called under the mutex.
+func (in *Instance) recordSiteHealth(now time.Duration, server string, result policy.Result, sent time.Duration) {
+	if in.health == nil {
+		return
+	}
+	hall, _, _ := strings.Cut(server, "/")
+	switch result {
+	case policy.OK, policy.ErrorResponse, policy.RejectedByServer:
+		in.health.Heard(now, hall)
+	case policy.TimedOut, policy.ConnectFailed:
+		in.health.Missed(now, hall, sent)
+	}
+}
+
+// SetAgreedSites takes over which halls there are, which of them are lost, and the members.
+func (in *Instance) SetAgreedSites(halls []multisite.Hall, lost map[string]int, members []uint64) {
+	in.handleEvent(func(now time.Duration, _ policy.Actions) {
+		if in.health != nil {
+			in.health.Agree(now, halls, lost, members)
+		}
+		if in.ramp != nil {
+			in.ramp.Agree(now, halls, members)
+		}
+	})
+}
+
+// ProposeSiteChange is [multisite.Health.Judge].
+func (in *Instance) ProposeSiteChange() (c multisite.HallChange, ok bool) {
+	in.handleEvent(func(now time.Duration, _ policy.Actions) {
+		if in.health != nil {
+			c, ok = in.health.Judge(now)
+		}
+	})
+	return c, ok
+}
+
+// SiteStates tells what the instance makes of each hall that it has a register of.
+func (in *Instance) SiteStates() map[string]string {
+	states := map[string]string{}
+	in.handleEvent(func(now time.Duration, _ policy.Actions) {
+		for name := range in.siteWatches {
+			if in.health != nil {
+				states[name] = in.health.State(now, name).String()
+			}
+		}
+	})
+	return states
+}
+
+// updateRecoveryRamp has the module go by this instance's part in the ramps of the halls, and returns what to tell the others.
+// Called under the mutex.
+func (in *Instance) updateRecoveryRamp(now time.Duration) multisite.RampWord {
+	var carried []multisite.Carried
+	for name := range in.siteWatches {
+		if in.isRemote(name) { // its own instances know which of its servers are cold
+			continue
+		}
+		if rate, util := in.engine.WarmServerLoad(now, name); rate > 0 {
+			carried = append(carried, multisite.Carried{Hall: name, Rate: rate, Util: util})
+		}
+		servers, sent, short := in.engine.ColdServerWork(now, name)
+		in.ramp.Met(now, name, multisite.ColdWork{Servers: servers, Sent: sent, Short: short})
+	}
+	w := in.ramp.Tell(now, carried)
+	for name := range in.siteWatches {
+		servers, near := in.health.Carried(now, name)
+		z := policy.ZoneLimits{IsRemote: in.isRemote(name), InFlightFraction: 1 / float64(in.cfg.Settings.InstanceCount), RemoteServerCount: servers}
+		if !z.IsRemote {
+			z.WarmServerRate = coldBudgetFactor / in.cfg.Settings.ColdBudgetMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
+			z.InFlightFraction = 1 / float64(max(near, 1))
+		}
+		in.engine.SetZoneLimits(name, z)
+	}
+	return w
+}
+
+// coldBudgetFactor is the multiple of what a cold server can take, as warm as it must be, that all instances together send it at the
+// most: half as much again may be saved up, and the whole stays below what pushes it over.
+const coldBudgetFactor = 1.4
+
+// AwaitServers waits until so many servers are known, over all halls.
+func (in *Instance) AwaitServers(ctx context.Context, n int, most time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, most)
+	defer cancel()
+	tick := time.NewTicker(5 * time.Millisecond)
+	defer tick.Stop()
+	for {
+		in.mu.Lock()
+		have := 0
+		for _, k := range in.serversBySite {
+			have += len(k)
+		}
+		in.mu.Unlock()
+		if have >= n {
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return fmt.Errorf("%s: %d servers known of %d: %w", in.cfg.Name, have, n, ctx.Err())
+		case <-tick.C:
+		}
+	}
+}
