--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -129,12 +129,12 @@
 	if gate.Keys != nil {
 		gate.Health = &multisite.HealthConfig{Me: cfg.Member, Least: hallLeast, LostAfter: hallLost, Fresh: hallFresh, Hold: hallHold,
 			HoldMost: hallHoldMost, Calm: hallCalm, Ramp: gate.Settings.SlowStartWindow}
-		gate.Consent = &multisite.ConsentConfig{Me: cfg.Member, Incarnation: bolt.Starts()}
+		gate.QuorumConfirmation = &multisite.ConsentConfig{Me: cfg.Member, Incarnation: bolt.Starts()}
 		if gate.Settings.ColdOverloadMultiple > 0 && gate.Settings.SlowStartWindow > 0 {
-			gate.Ramp = &multisite.RampConfig{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: rampLease, Fresh: hallFresh, Multiple: gate.Settings.ColdBudgetMultiple()}
+			gate.RecoveryRamp = &multisite.RampConfig{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: rampLease, Fresh: hallFresh, Multiple: gate.Settings.ColdBudgetMultiple()}
 		}
 	}
-	if l := gate.Link; l != nil {
+	if l := gate.Relay; l != nil {
 		l.TLS = cfg.Credentials.TLS()
 		// A ticket that is not read yet would make an idle connection look used.
 		l.TLS.SessionTicketsDisabled = true
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -59,7 +59,7 @@
 	cfg    *Config
 	agreed gateway.Agreement
 	listen string
-	link   *gateway.LinkConfig
+	link   *gateway.RelayConfig
 	fleet  *Fleet
 	stop   context.CancelFunc
 	done   chan error
@@ -151,14 +151,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	agreed := m.agreed
 	at := m.listen
-	gate := &gateway.Config{Name: fmt.Sprint("g", id), Seed: id, Agreement: &agreed, DrainFor: time.Millisecond,
+	gate := &gateway.Config{Name: fmt.Sprint("g", id), Seed: id, Agreement: &agreed, DrainTimeout: time.Millisecond,
 		Settings: policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true, LoadReports: policy.LoadReportsInHealthChecks}}
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	gate.Link = m.link
+	gate.Relay = m.link
 	gate.UseSockets(ln, nil)
 	m.stop, m.done = stop, make(chan error, 1)
 	begun := make(chan *Fleet, 1)
@@ -407,7 +407,7 @@
 // past the bound it does what was chosen. When the quorum is back, both serve.
 func TestCutOff(t *testing.T) {
 	r := newRig(t, 3)
-	for id, a := range map[uint64]gateway.Agreement{1: {StaleAfter: time.Second}, 2: {StaleAfter: time.Second, Refuse: true}} {
+	for id, a := range map[uint64]gateway.Agreement{1: {StaleAfter: time.Second}, 2: {StaleAfter: time.Second, RejectsStale: true}} {
 		r.halt(id)
 		r.members[id].agreed = a
 		r.start(id)
@@ -667,8 +667,8 @@
 func TestLinkOfMembers(t *testing.T) {
 	r := newRig(t, 2)
 	addr := netip.MustParseAddrPort(freeAddr(t))
-	for id, l := range map[uint64]*gateway.LinkConfig{
-		1: {Own: []string{"hall-z"}, Listen: netip.MustParseAddrPort(freeAddr(t)), Far: map[string][]gateway.LinkPeer{"hall-a": {{Member: 2, Addr: addr}}}},
+	for id, l := range map[uint64]*gateway.RelayConfig{
+		1: {Own: []string{"hall-z"}, Listen: netip.MustParseAddrPort(freeAddr(t)), Remote: map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: addr}}}},
 		2: {Own: []string{"hall-a"}, Listen: addr},
 	} {
 		r.halt(id)
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -50,7 +50,7 @@
 func (r *rig) follow(f *following) error {
 	r.t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	gate := &gateway.Config{Name: f.cfg.Name, Seed: 9, DrainFor: time.Millisecond,
+	gate := &gateway.Config{Name: f.cfg.Name, Seed: 9, DrainTimeout: time.Millisecond,
 		Settings: policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true, LoadReports: policy.LoadReportsInHealthChecks}}
 	ln, err := net.Listen("tcp", f.listen)
--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -61,7 +61,7 @@
 		if err != nil {
 			return out, fmt.Errorf("hall %s: %w", name, err)
 		}
-		out.Sites = append(out.Sites, gateway.Site{Name: name, Register: at})
+		out.Sites = append(out.Sites, gateway.Site{Name: name, Discovery: at})
 	}
 	if !bytes.Equal(key, u.key) {
 		var d clusterconfig.Description
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -35,8 +35,8 @@
 	return l
 }
 
-// Observe takes a record; it is a [Config.Observe].
-func (l *AccessLog) Observe(r RequestRecord) {
+// Record takes a record; it is a [Config.Observe].
+func (l *AccessLog) Record(r RequestRecord) {
 	select {
 	case l.lines <- accessLine{time.Now(), r}:
 	default:
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	readyPath  = "/health/ready"
-	maxBody    = 64 << 10                // bytes that the body of a request may hold
-	transit    = 10 * time.Millisecond   // taken off a client's wait, which counts from its send
-	restLimit  = 1500 * time.Millisecond // for a request, from its first bytes to its last
-	idleLimit  = 30 * time.Second        // for a connection between requests
-	writeLimit = 10 * time.Second        // for an answer
-	tellAge    = 2 * time.Second         // of a setup that was not confirmed since: answers tell it
-	slack      = 5 * time.Second         // by which idleLimit and writeLimit may come early: saves setting them for each request
+	readyPath          = "/health/ready"
+	maxRequestBody     = 64 << 10                // bytes that the body of a request may hold
+	clientTransit      = 10 * time.Millisecond   // taken off a client's wait, which counts from its send
+	requestReadTimeout = 1500 * time.Millisecond // for a request, from its first bytes to its last
+	clientIdleTimeout  = 30 * time.Second        // for a connection between requests
+	clientWriteTimeout = 10 * time.Second        // for an answer
+	minConfigAgeShown  = 2 * time.Second         // of a setup that was not confirmed since: answers tell it
+	deadlineSlack      = 5 * time.Second         // by which idleLimit and writeLimit may come early: saves setting them for each request
 )
 
 // clientServer is the client side.
 type clientServer struct {
-	in       *Instance
-	ready    atomic.Bool
-	draining atomic.Bool
-	handlers sync.WaitGroup
+	instance   *Instance
+	isReady    atomic.Bool
+	isDraining atomic.Bool
+	handlers   sync.WaitGroup
 
-	link net.Listener // of other sites' instances; nil: none come
+	relayListener net.Listener // of other sites' instances; nil: none come
 
 	mu    sync.Mutex
 	conns map[*clientConn]struct{}
@@ -42,18 +42,18 @@
 
 // clientConn is a connection of a client.
 type clientConn struct {
-	f       *clientServer
-	nc      net.Conn
-	raw     syscall.RawConn
-	rd      *httpwire.Reader
-	fl      pendingRequest
-	out     []byte
-	reads   int       // since the request under way began
-	idleBy  time.Time // read deadline in force
-	writeBy time.Time // write deadline in force
-	busy    atomic.Bool
-	linked  bool   // it is of another site's instance
-	crossed string // then, the last crossing that came on it
+	server        *clientServer
+	nc            net.Conn
+	raw           syscall.RawConn
+	reader        *httpwire.Reader
+	request       pendingRequest
+	buffer        []byte
+	readCount     int       // since the request under way began
+	readDeadline  time.Time // read deadline in force
+	writeDeadline time.Time // write deadline in force
+	isBusy        atomic.Bool
+	isRelay       bool   // it is of another site's instance
+	lastRelayID   string // then, the last crossing that came on it
 }
 
 // serve answers clients until the listener closes.
@@ -71,15 +71,15 @@
 		if err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
-		c := &clientConn{f: f, nc: nc, linked: linked}
-		c.rd = httpwire.NewReader(c)
-		c.fl.wake = make(chan struct{}, 1)
+		c := &clientConn{server: f, nc: nc, isRelay: linked}
+		c.reader = httpwire.NewReader(c)
+		c.request.wake = make(chan struct{}, 1)
 		if c.raw, err = raw(nc); err != nil {
 			nc.Close()
 			continue
 		}
 		f.mu.Lock()
-		full := len(f.conns) >= f.in.cfg.MaxClients
+		full := len(f.conns) >= f.instance.config.MaxClientConns
 		if !full {
 			f.conns[c] = struct{}{}
 		}
@@ -89,7 +89,7 @@
 			continue
 		}
 		if full {
-			nc.SetDeadline(time.Now().Add(restLimit))
+			nc.SetDeadline(time.Now().Add(requestReadTimeout))
 			io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			nc.Close()
 			continue
@@ -101,11 +101,11 @@
 // Read counts the reads of a request: one that does not come whole in the first gets a
 // deadline of its own, so that none holds a connection by sending slowly.
 func (c *clientConn) Read(p []byte) (int, error) {
-	if c.reads == 1 {
-		c.idleBy = time.Now().Add(restLimit)
-		c.nc.SetReadDeadline(c.idleBy)
+	if c.readCount == 1 {
+		c.readDeadline = time.Now().Add(requestReadTimeout)
+		c.nc.SetReadDeadline(c.readDeadline)
 	}
-	c.reads++
+	c.readCount++
 	return c.nc.Read(p)
 }
 
@@ -113,26 +113,26 @@
 func (c *clientConn) serve() {
 	defer func() {
 		c.nc.Close()
-		c.f.mu.Lock()
-		delete(c.f.conns, c)
-		c.f.mu.Unlock()
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
+		c.server.mu.Unlock()
 	}()
-	if c.linked && !c.verifyPeer() {
+	if c.isRelay && !c.verifyPeer() {
 		return
 	}
 	// A connection that was made while the instance drains is answered once.
-	for first := true; first || !c.f.draining.Load(); first = false {
-		if now := time.Now(); c.reads > 1 || c.idleBy.Sub(now) < idleLimit-slack {
-			c.idleBy = now.Add(idleLimit)
-			c.nc.SetReadDeadline(c.idleBy)
+	for first := true; first || !c.server.isDraining.Load(); first = false {
+		if now := time.Now(); c.readCount > 1 || c.readDeadline.Sub(now) < clientIdleTimeout-deadlineSlack {
+			c.readDeadline = now.Add(clientIdleTimeout)
+			c.nc.SetReadDeadline(c.readDeadline)
 		}
-		c.reads = 0
-		if c.rd.Fill() != nil {
+		c.readCount = 0
+		if c.reader.Fill() != nil {
 			return
 		}
-		c.busy.Store(true)
+		c.isBusy.Store(true)
 		again := c.serveOne()
-		c.busy.Store(false)
+		c.isBusy.Store(false)
 		if !again {
 			return
 		}
@@ -141,20 +141,20 @@
 
 // serveOne answers one request; it is false if the connection is to be closed.
 func (c *clientConn) serveOne() (again bool) {
-	fl := &c.fl
-	fl.body, fl.isAnswered, fl.hasNext, fl.isWaiting, fl.wasSent, fl.attempts, fl.call = nil, false, false, false, false, 0, nil
-	fl.mayRun, fl.cameByRelay, fl.isRelayed, fl.keyRejection = false, c.linked, false, ""
+	fl := &c.request
+	fl.body, fl.isAnswered, fl.hasNext, fl.isWaiting, fl.wasSent, fl.attempts, fl.current = nil, false, false, false, false, 0, nil
+	fl.mayRun, fl.cameByRelay, fl.isRelayed, fl.keyRejection = false, c.isRelay, false, ""
 	select {
 	case <-fl.wake: // crossed with the end of the last request's time
 	default:
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			c.f.in.log.Printf("panic: %v\n%s", p, debug.Stack())
+			c.server.instance.log.Printf("panic: %v\n%s", p, debug.Stack())
 			again = false
 		}
 	}()
-	err := c.rd.Request(&fl.requestHead)
+	err := c.reader.Request(&fl.requestHead)
 	began := time.Now()
 	if err != nil {
 		return c.rejectUnreadable(err)
@@ -162,38 +162,38 @@
 	if fl.requestHead.Chunked {
 		return c.rejectBadRequest(&badRequest{status: http.StatusLengthRequired, text: "Content-Length is wanted, not Transfer-Encoding", close: true})
 	}
-	if fl.requestHead.Length > maxBody {
+	if fl.requestHead.Length > maxRequestBody {
 		return c.rejectBadRequest(&badRequest{status: http.StatusRequestEntityTooLarge, text: "body: over 64 KiB", close: true})
 	}
 	if fl.requestHead.Length > 0 {
-		if e, n := fl.requestHead.Values("Expect"); n > 0 && strings.EqualFold(e, "100-continue") && c.rd.Buffered() == 0 {
+		if e, n := fl.requestHead.Values("Expect"); n > 0 && strings.EqualFold(e, "100-continue") && c.reader.Buffered() == 0 {
 			c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 		fl.body = make([]byte, fl.requestHead.Length)
-		if err := c.rd.Body(fl.body); err != nil {
+		if err := c.reader.Body(fl.body); err != nil {
 			return c.rejectBadRequest(&badRequest{status: http.StatusBadRequest, text: "body: incomplete", close: true})
 		}
 	}
 	if fl.requestHead.Target == readyPath && fl.requestHead.Method == "GET" {
 		return c.serveHealth()
 	}
-	if c.linked && fl.requestHead.Method == "GET" && fl.requestHead.Target == fatePath {
+	if c.isRelay && fl.requestHead.Method == "GET" && fl.requestHead.Target == executionStatusPath {
 		return c.serveExecutionStatus()
 	}
-	if c.linked && fl.requestHead.Method == "GET" && fl.requestHead.Target == loadPath { // this instance lives
+	if c.isRelay && fl.requestHead.Method == "GET" && fl.requestHead.Target == healthCheckPath { // this instance lives
 		return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), nil, 0)
 	}
-	q, err := c.f.parse(fl, began)
-	if err == nil && c.linked {
+	q, err := c.server.parse(fl, began)
+	if err == nil && c.isRelay {
 		fl.counters = &Counters{} // it counts where it entered
 		err = c.acceptRelayed()
 	}
 	if err != nil {
 		return c.rejectBadRequest(err)
 	}
-	fl.deadline = began.Add(q.Timeout + c.f.in.cfg.Settings.ResponseSlack)
-	c.f.in.serveRequest(fl, q, c.hasDisconnected)
-	if c.linked {
+	fl.deadline = began.Add(q.Timeout + c.server.instance.config.Settings.ResponseSlack)
+	c.server.instance.serveRequest(fl, q, c.hasDisconnected)
+	if c.isRelay {
 		c.finishRelayed()
 	}
 	return c.writeAnswer()
@@ -201,7 +201,7 @@
 
 // hasDisconnected tells whether the client has closed its connection.
 func (c *clientConn) hasDisconnected() bool {
-	if c.rd.Buffered() > 0 {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	gone := false
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -18,8 +18,8 @@
 
 // Site is a site's servers, which a register of their own lists.
 type Site struct {
-	Name     string         // the zone of its servers
-	Register netip.AddrPort // its agent: the protocol of package register
+	Name      string         // the zone of its servers
+	Discovery netip.AddrPort // its agent: the protocol of package register
 }
 
 // Config is all that an instance is told at its start.
@@ -27,7 +27,7 @@
 	Name   string
 	Listen netip.AddrPort
 	Seed   uint64
-	Halls  []Site
+	Sites  []Site
 
 	PeerListen netip.AddrPort   // invalid: instances don't message each other
 	Peers      []netip.AddrPort // by number, this instance's own among them
@@ -48,20 +48,20 @@
 	Health *multisite.HealthConfig
 
 	// Consent, if set, has homes of keys confirmed by as many voters as no new homes can do without.
-	Consent *multisite.ConsentConfig
+	QuorumConfirmation *multisite.ConsentConfig
 
 	// Ramp, if set, has the instances share out what cold servers may be sent: see package sites.
-	Ramp *multisite.RampConfig
+	RecoveryRamp *multisite.RampConfig
 
 	// Link, if set, has the instance reach other sites' halls by way of their instances.
-	Link *LinkConfig
+	Relay *RelayConfig
 
-	MaxClients     int           // connections of clients
-	MaxServers     int           // connections to servers
-	ConnectTimeout time.Duration // for a connection to a server
-	ConnIdle       time.Duration // after which a server may close an idle connection
-	DrainFor       time.Duration // for which a draining instance still takes requests
-	FullValidation bool          // all parameters and bodies are checked against their schemas
+	MaxClientConns    int           // connections of clients
+	MaxServerConns    int           // connections to servers
+	ConnectTimeout    time.Duration // for a connection to a server
+	ServerIdleTimeout time.Duration // after which a server may close an idle connection
+	DrainTimeout      time.Duration // for which a draining instance still takes requests
+	FullValidation    bool          // all parameters and bodies are checked against their schemas
 
 	// Observe is called with each final answer, if set; it must not block.
 	Observe func(RequestRecord)
@@ -72,8 +72,8 @@
 
 // Agreement is how an instance deals with a setup that may no longer be the one in force.
 type Agreement struct {
-	StaleAfter time.Duration // since it was last confirmed; 30 s where 0
-	Refuse     bool          // then requests are refused; else they are served on
+	StaleAfter   time.Duration // since it was last confirmed; 30 s where 0
+	RejectsStale bool          // then requests are refused; else they are served on
 }
 
 // Setup is what an instance can be told anew while it runs.
@@ -88,7 +88,7 @@
 
 // Setup is the one that a configuration holds.
 func (c *Config) Setup(number uint64, table *routing.Table, check Checker) Setup {
-	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees, Plans: c.Settings.Plans, Sites: c.Halls}
+	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees, Plans: c.Settings.Plans, Sites: c.Sites}
 }
 
 // Defaults of a [Config].
@@ -118,11 +118,11 @@
 	case !c.PeerListen.IsValid() && c.peerConn == nil && c.Settings.InstanceCount > 1:
 		return errors.New("peers: instances that share quotas must message each other")
 	}
-	c.MaxClients = orDefault(c.MaxClients, defaultClients)
-	c.MaxServers = orDefault(c.MaxServers, defaultServers)
+	c.MaxClientConns = orDefault(c.MaxClientConns, defaultClients)
+	c.MaxServerConns = orDefault(c.MaxServerConns, defaultServers)
 	c.ConnectTimeout = orDefault(c.ConnectTimeout, defaultConnect)
-	c.ConnIdle = orDefault(c.ConnIdle, defaultIdle)
-	c.DrainFor = orDefault(c.DrainFor, defaultDrain)
+	c.ServerIdleTimeout = orDefault(c.ServerIdleTimeout, defaultIdle)
+	c.DrainTimeout = orDefault(c.DrainTimeout, defaultDrain)
 	if c.Agreement != nil {
 		c.Agreement.StaleAfter = orDefault(c.Agreement.StaleAfter, defaultStale)
 	}
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -14,16 +14,16 @@
 
 // RequestRecord is what became of one request that was charged or refused.
 type RequestRecord struct {
-	Trace     string `json:"trace"` // X-Trace-Id
-	Operation string `json:"operation"`
-	Licensee  string `json:"licensee"`
-	Version   uint64 `json:"version"` // of the setup that it was matched with
-	Units     int    `json:"units"`
-	Sent      bool   `json:"sent"` // an attempt was written whole: the units count
-	Attempts  int    `json:"attempts"`
-	Status    int    `json:"status"`        // of the final answer
-	Answer    string `json:"answer"`        // "served", "refused" or "failed"
-	Why       string `json:"why,omitempty"` // a request with a key was refused for the sake of its key
+	Trace        string `json:"trace"` // X-Trace-Id
+	Operation    string `json:"operation"`
+	Licensee     string `json:"licensee"`
+	Version      uint64 `json:"version"` // of the setup that it was matched with
+	Units        int    `json:"units"`
+	Sent         bool   `json:"sent"` // an attempt was written whole: the units count
+	Attempts     int    `json:"attempts"`
+	Status       int    `json:"status"`        // of the final answer
+	Answer       string `json:"answer"`        // "served", "refused" or "failed"
+	KeyRejection string `json:"why,omitempty"` // a request with a key was refused for the sake of its key
 }
 
 // EachOperation calls f with the counters of each operation that was ever in force.
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -11,7 +11,7 @@
 
 // now reads the clock: Unix time, so that start times in lists convert, which never goes back.
 func (in *Instance) now() time.Duration {
-	return time.Duration(in.start.UnixNano()) + time.Since(in.start)
+	return time.Duration(in.startedAt.UnixNano()) + time.Since(in.startedAt)
 }
 
 // handleEvent runs one event of the module, then what its actions left to do.
@@ -52,7 +52,7 @@
 	}
 	next, pending, done = fl.next, fl.hasNext, fl.isAnswered
 	if fl.hasNext = false; pending && !done {
-		fl.call = &attemptControl{}
+		fl.current = &attemptControl{}
 		fl.attempts++
 	}
 	fl.isWaiting = !pending && !done
@@ -96,8 +96,8 @@
 }
 
 func (a *actions) CancelAttempt(id string, attempt int) {
-	if fl := a.requests[id]; fl != nil && fl.call != nil && attempt == fl.attempts-1 {
-		a.deferred = append(a.deferred, fl.call.abort)
+	if fl := a.requests[id]; fl != nil && fl.current != nil && attempt == fl.attempts-1 {
+		a.deferred = append(a.deferred, fl.current.abort)
 	}
 }
 
@@ -141,8 +141,8 @@
 	defer in.healthChecks.Done()
 	var rep response
 	sent := in.now()
-	result := in.servers.exchange(in.ctx, &attemptControl{}, id, time.Now().Add(probeTimeout), false, &rep, func(b []byte) []byte {
-		return append(b, "GET "+loadPath+" HTTP/1.1\r\nHost: hall\r\n\r\n"...)
+	result := in.servers.exchange(in.ctx, &attemptControl{}, id, time.Now().Add(healthCheckTimeout), false, &rep, func(b []byte) []byte {
+		return append(b, "GET "+healthCheckPath+" HTTP/1.1\r\nHost: hall\r\n\r\n"...)
 	})
 	report := rep.report()
 	if report == nil && result == policy.OK {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -15,23 +15,23 @@
 
 // attemptControl is an exchange as those see it who may want to end it before its time.
 type attemptControl struct {
-	mu     sync.Mutex
-	conn   *serverConn        // on which it is under way
-	cancel context.CancelFunc // of the connection that is being made
-	until  time.Time
-	ended  bool // given up
+	mu         sync.Mutex
+	conn       *serverConn        // on which it is under way
+	cancelDial context.CancelFunc // of the connection that is being made
+	deadline   time.Time
+	isAborted  bool // given up
 }
 
 // abort ends the exchange at once.
 func (k *attemptControl) abort() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.ended = true
+	k.isAborted = true
 	if k.conn != nil {
 		k.conn.nc.SetDeadline(pastDeadline)
 	}
-	if k.cancel != nil {
-		k.cancel()
+	if k.cancelDial != nil {
+		k.cancelDial()
 	}
 }
 
@@ -39,11 +39,11 @@
 func (k *attemptControl) start(c *serverConn, until time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.ended {
+	if k.isAborted {
 		return false
 	}
-	k.conn, k.until = c, until
-	c.left, c.got, c.hurried, c.call = maxAnswer, false, false, k
+	k.conn, k.deadline = c, until
+	c.remaining, c.hasBytes, c.hasRestDeadline, c.attempt = maxResponseSize, false, false, k
 	c.nc.SetDeadline(until)
 	return true
 }
@@ -53,7 +53,7 @@
 func (k *attemptControl) limitRest(c *serverConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if rest := time.Now().Add(answerRest); !k.ended && rest.Before(k.until) {
+	if rest := time.Now().Add(responseRestTimeout); !k.isAborted && rest.Before(k.deadline) {
 		c.nc.SetReadDeadline(rest)
 	}
 }
@@ -62,8 +62,8 @@
 func (k *attemptControl) restoreDeadline(c *serverConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.ended {
-		c.nc.SetReadDeadline(k.until)
+	if !k.isAborted {
+		c.nc.SetReadDeadline(k.deadline)
 	}
 }
 
@@ -73,13 +73,13 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.conn = nil
-	return !k.ended
+	return !k.isAborted
 }
 
 func (k *attemptControl) setDialCancel(cancel context.CancelFunc) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.cancel = cancel; cancel != nil && k.ended {
+	if k.cancelDial = cancel; cancel != nil && k.isAborted {
 		cancel()
 	}
 }
@@ -95,7 +95,7 @@
 		defer cancel()
 	}
 	c, err := u.acquire(dctx, id, k.setDialCancel)
-	if errors.Is(err, errBudget) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
+	if errors.Is(err, errNoCapacity) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return policy.NotSent // no fault of the server's
 	}
 	if err != nil {
@@ -105,8 +105,8 @@
 		u.discard(c)
 		return policy.Cancelled
 	}
-	c.out = word(c.out[:0])
-	if _, err = c.nc.Write(c.out); err != nil {
+	c.buffer = word(c.buffer[:0])
+	if _, err = c.nc.Write(c.buffer); err != nil {
 		// A server begins a request when its last byte has come, and that was not written.
 		k.finish()
 		u.discard(c)
@@ -124,9 +124,9 @@
 		switch {
 		case !asWas:
 			result = policy.Cancelled
-		case errors.Is(err, os.ErrDeadlineExceeded) && !c.got:
+		case errors.Is(err, os.ErrDeadlineExceeded) && !c.hasBytes:
 			result = policy.TimedOut
-			u.shortenIdleTimeout(c.of)
+			u.shortenIdleTimeout(c.server)
 		case errors.Is(err, os.ErrDeadlineExceeded) || wasAnswered(err):
 			result = policy.ErrorResponse // half an answer, or one that can't be read, is no silence
 		default:
@@ -134,7 +134,7 @@
 		}
 	}
 	if result == policy.OK || result == policy.RejectedByServer || result == policy.ErrorResponse {
-		rep.connectedAt = c.made
+		rep.connectedAt = c.connectedAt
 	}
 	return result
 }
@@ -155,7 +155,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case k.ended:
+	case k.isAborted:
 		return policy.Cancelled
 	case !time.Now().Before(until):
 		return policy.NotSent
@@ -178,32 +178,32 @@
 // read reads the whole answer and tells whether the connection can be used again.
 func (c *serverConn) read(rep *response, headOnly bool) (result policy.Result, reuse bool, err error) {
 	for {
-		if err := c.rd.Answer(&rep.head); err != nil {
+		if err := c.reader.Answer(&rep.head); err != nil {
 			return 0, false, err
 		}
 		if rep.head.Status >= 200 || rep.head.Status == 101 {
 			break
 		}
-		c.got = c.rd.Buffered() > 0 // the answer that counts may come later
-		if c.hurried {
-			c.hurried = false
-			c.call.restoreDeadline(c)
+		c.hasBytes = c.reader.Buffered() > 0 // the answer that counts may come later
+		if c.hasRestDeadline {
+			c.hasRestDeadline = false
+			c.attempt.restoreDeadline(c)
 		}
 	}
 	h := &rep.head
 	switch {
 	case headOnly || h.Status == 204 || h.Status == 304:
 	case h.Chunked:
-		if rep.body, err = c.rd.Chunked(maxReply); err != nil {
+		if rep.body, err = c.reader.Chunked(maxResponseBody); err != nil {
 			return 0, false, err
 		}
 	case h.Length < 0: // it ends with its connection: whether it is whole can't be told
 		return 0, false, errNoLength
-	case h.Length > maxReply:
+	case h.Length > maxResponseBody:
 		return 0, false, errTooLong
 	case h.Length > 0:
 		rep.body = make([]byte, h.Length)
-		if err = c.rd.Body(rep.body); err != nil {
+		if err = c.reader.Body(rep.body); err != nil {
 			return 0, false, err
 		}
 	}
@@ -211,7 +211,7 @@
 		return policy.ErrorResponse, false, nil // 101: what follows is no HTTP
 	}
 	// What stands behind the answer belongs to no request: the next one would take it for its own.
-	return resultOf(h), !h.Close && c.rd.Buffered() == 0, nil
+	return resultOf(h), !h.Close && c.reader.Buffered() == 0, nil
 }
 
 // resultOf says what an answer means. An answer that promises that trying again does no
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -450,7 +450,7 @@
 func TestDrain(t *testing.T) {
 	h := newHalls(t)
 	h.server("hall-a", "s")
-	g := start(t, h, 1, func(c *Config) { c.DrainFor = 300 * time.Millisecond })
+	g := start(t, h, 1, func(c *Config) { c.DrainTimeout = 300 * time.Millisecond })
 	idle, c := dial(t, g.addr), dial(t, g.addr)
 	c.send(get("GET /visits/1"))
 	a := h.next()
@@ -537,7 +537,7 @@
 // Beyond its connections an instance says so, instead of holding them unanswered.
 func TestTooManyConnections(t *testing.T) {
 	h := newHalls(t)
-	g := start(t, h, 0, func(c *Config) { c.MaxClients = 2 })
+	g := start(t, h, 0, func(c *Config) { c.MaxClientConns = 2 })
 	kept := []*asker{dial(t, g.addr), dial(t, g.addr)}
 	for _, c := range kept {
 		if r := c.ask(get("GET /health/ready")); r.status != 200 {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -110,7 +110,7 @@
 		if err != nil {
 			return
 		}
-		if r.URL.Path == loadPath {
+		if r.URL.Path == healthCheckPath {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nTEXT queue=0, util=0.10")
 			continue
 		}
@@ -233,10 +233,10 @@
 		t.Fatal(err)
 	}
 	tab, d := testTable(t, description)
-	cfg := &Config{Name: "g", Settings: testSettings(), Classes: testClasses(), DrainFor: 10 * time.Millisecond,
+	cfg := &Config{Name: "g", Settings: testSettings(), Classes: testClasses(), DrainTimeout: 10 * time.Millisecond,
 		Licensees: map[string]Licensee{"honest": {"wide", 1}, "small": {"tight", 2}}}
 	for _, name := range []string{"hall-a", "hall-b"} {
-		cfg.Halls = append(cfg.Halls, Site{name, h.regs[name].Addr()})
+		cfg.Sites = append(cfg.Sites, Site{name, h.regs[name].Addr()})
 	}
 	if change != nil {
 		change(cfg)
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -25,9 +25,9 @@
 // A request's own goroutine carries out its attempts, one after the other, so that no two
 // can be out at once: an action of the module only leaves word of what is to come next.
 type Instance struct {
-	cfg          *Config
+	config       *Config
 	log          *log.Logger
-	start        time.Time // the clock reads Unix time at the start plus the monotonic time since
+	startedAt    time.Time // the clock reads Unix time at the start plus the monotonic time since
 	ctx          context.Context
 	servers      *serverPool
 	peers        *gossip.Socket // nil: there are none
@@ -44,7 +44,7 @@
 
 	mu                sync.Mutex
 	engine            *policy.Engine
-	link              *relay            // nil: it reaches all halls itself
+	relay             *relay            // nil: it reaches all halls itself
 	keys              *multisite.Keys   // nil: keyed requests are kept to a hall for one request only
 	health            *multisite.Health // nil: halls are not judged
 	confirmation      *multisite.Consent
@@ -65,8 +65,8 @@
 type version struct {
 	number    uint64
 	table     *routing.Table
-	ops       []*Counters // by Operation.Index
-	check     Checker     // nil: only what the cost depends on is checked
+	counters  []*Counters // by Operation.Index
+	checker   Checker     // nil: only what the cost depends on is checked
 	licensees map[string]Licensee
 }
 
@@ -91,31 +91,31 @@
 	if err != nil {
 		return nil, err
 	}
-	in := &Instance{cfg: cfg, log: logger, start: time.Now(), ctx: ctx, servers: newServers(cfg), engine: gw,
+	in := &Instance{config: cfg, log: logger, startedAt: time.Now(), ctx: ctx, servers: newServerPool(cfg), engine: gw,
 		requests: map[string]*pendingRequest{}, serversBySite: map[string]map[string]bool{}, counters: map[string]*Counters{}, siteWatches: map[string]*siteWatch{}}
 	if cfg.Keys != nil {
 		if in.keys, err = multisite.New(*cfg.Keys, in.now()); err != nil {
 			return nil, err
 		}
 	}
-	if cfg.Link != nil {
-		if in.link, err = newLink(cfg.Link); err != nil {
+	if cfg.Relay != nil {
+		if in.relay, err = newRelay(cfg.Relay); err != nil {
 			return nil, err
 		}
-		in.servers.secure = in.link.secure
+		in.servers.secure = in.relay.secure
 	}
 	if cfg.Health != nil {
 		if in.health, err = multisite.NewHealth(*cfg.Health); err != nil {
 			return nil, err
 		}
 	}
-	if cfg.Consent != nil {
-		if in.confirmation, err = multisite.NewConsent(*cfg.Consent); err != nil {
+	if cfg.QuorumConfirmation != nil {
+		if in.confirmation, err = multisite.NewConsent(*cfg.QuorumConfirmation); err != nil {
 			return nil, err
 		}
 	}
-	if cfg.Ramp != nil {
-		if in.ramp, err = multisite.NewRamp(*cfg.Ramp); err != nil {
+	if cfg.RecoveryRamp != nil {
+		if in.ramp, err = multisite.NewRamp(*cfg.RecoveryRamp); err != nil {
 			return nil, err
 		}
 	}
@@ -138,7 +138,7 @@
 	in.handleEvent(func(now time.Duration, out policy.Actions) {
 		old := in.version.Load()
 		if s.Table == nil {
-			s.Table, s.Check = old.table, old.check
+			s.Table, s.Check = old.table, old.checker
 		}
 		classes := s.Table.Classes
 		if len(classes) == 0 {
@@ -164,9 +164,9 @@
 
 // newVersion makes a version of a setup. Called under the mutex.
 func (in *Instance) newVersion(s Setup, old *version) *version {
-	v := &version{number: s.Number, table: s.Table, check: s.Check, licensees: s.Licensees}
+	v := &version{number: s.Number, table: s.Table, checker: s.Check, licensees: s.Licensees}
 	if s.Table == old.table {
-		v.ops = old.ops
+		v.counters = old.counters
 		return v
 	}
 	for _, op := range s.Table.Operations {
@@ -175,7 +175,7 @@
 			c = &Counters{}
 			in.counters[op.ID] = c
 		}
-		v.ops = append(v.ops, c)
+		v.counters = append(v.counters, c)
 	}
 	return v
 }
@@ -183,7 +183,7 @@
 // ConfirmVersion tells that a quorum has confirmed at a time that the setup in force is the one
 // that is agreed on.
 func (in *Instance) ConfirmVersion(at time.Time) {
-	since := max(int64(at.Sub(in.start)), 1)
+	since := max(int64(at.Sub(in.startedAt)), 1)
 	for was := in.confirmedAt.Load(); since > was && !in.confirmedAt.CompareAndSwap(was, since); was = in.confirmedAt.Load() {
 	}
 }
@@ -191,7 +191,7 @@
 // Confirmation tells how long ago the setup in force was confirmed, and whether requests are
 // served on it.
 func (in *Instance) Confirmation(now time.Time) (age time.Duration, serves bool) {
-	a := in.cfg.Agreement
+	a := in.config.Agreement
 	if a == nil {
 		return 0, true
 	}
@@ -199,8 +199,8 @@
 	if c == 0 {
 		return 0, false
 	}
-	age = now.Sub(in.start) - time.Duration(c)
-	return age, !a.Refuse || age <= a.StaleAfter
+	age = now.Sub(in.startedAt) - time.Duration(c)
+	return age, !a.RejectsStale || age <= a.StaleAfter
 }
 
 // Version is the number of the setup in force.
--- a/internal/gateway/key_owners.go
+++ b/internal/gateway/key_owners.go
@@ -27,7 +27,7 @@
 // ConfirmKeyOwners tells that the epoch in force was confirmed by a quorum that was asked at a time.
 func (in *Instance) ConfirmKeyOwners(asked time.Time) {
 	in.handleEvent(func(time.Duration, policy.Actions) {
-		in.keys.Confirm(time.Duration(in.start.UnixNano()) + asked.Sub(in.start))
+		in.keys.Confirm(time.Duration(in.startedAt.UnixNano()) + asked.Sub(in.startedAt))
 	})
 }
 
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -27,42 +27,42 @@
 // X-Never-Ran); or that it may have run (502). Its units were counted where it entered. If the connection
 // breaks before the answer, the far instance is asked over another one: see [multisite.Arrivals].
 
-// LinkConfig is an instance's part in the link.
-type LinkConfig struct {
-	Own      []string                                  // halls whose servers it reaches itself
-	Listen   netip.AddrPort                            // where other sites' instances come in
-	Far      map[string][]LinkPeer                     // by hall of another site: the instances that reach it
-	TLS      *tls.Config                               // for both sides: mutual, with session tickets off
-	Verify   func(tls.ConnectionState) (uint64, error) // names the member at the other end
-	Most     int                                       // crossings out at once; 64 where 0
-	listener net.Listener                              // open, in tests and the lab
+// RelayConfig is an instance's part in the link.
+type RelayConfig struct {
+	Own         []string                                  // halls whose servers it reaches itself
+	Listen      netip.AddrPort                            // where other sites' instances come in
+	Remote      map[string][]RelayPeer                    // by hall of another site: the instances that reach it
+	TLS         *tls.Config                               // for both sides: mutual, with session tickets off
+	Verify      func(tls.ConnectionState) (uint64, error) // names the member at the other end
+	MaxInFlight int                                       // crossings out at once; 64 where 0
+	listener    net.Listener                              // open, in tests and the lab
 }
 
-// LinkPeer is an instance of another site.
-type LinkPeer struct {
+// RelayPeer is an instance of another site.
+type RelayPeer struct {
 	Member uint64
 	Addr   netip.AddrPort
 }
 
 const (
-	crossingField  = "X-Mulleinmux-Crossing"
-	fateField      = "X-Mulleinmux-Fate"
-	fatePath       = "/link/fate"
-	linkMost       = 64
-	linkRetries    = 0.1 // further crossings that a first one earns
-	linkSaved      = 10
-	linkHandshake  = time.Second
-	arrivalLife    = 30 * time.Second // a broken connection delivers nothing for so long
-	arrivalsMost   = 1 << 16
-	keptAnswer     = 16 << 10               // bytes of an answer's body that is kept
-	fateEvery      = 20 * time.Millisecond  // between two asks for one that is under way
-	fatePatience   = 300 * time.Millisecond // for the answer to one ask
-	linkServerMark = "/@"                   // in the module's name of a far instance
+	relayIDField          = "X-Mulleinmux-Crossing"
+	executionStatusField  = "X-Mulleinmux-Fate"
+	executionStatusPath   = "/link/fate"
+	defaultMaxRelayed     = 64
+	relayRetryTokens      = 0.1 // further crossings that a first one earns
+	maxRelayRetryTokens   = 10
+	relayHandshakeTimeout = time.Second
+	arrivalTTL            = 30 * time.Second // a broken connection delivers nothing for so long
+	maxArrivals           = 1 << 16
+	maxRetainedBody       = 16 << 10               // bytes of an answer's body that is kept
+	statusPollInterval    = 20 * time.Millisecond  // between two asks for one that is under way
+	statusTimeout         = 300 * time.Millisecond // for the answer to one ask
+	remoteServerMark      = "/@"                   // in the module's name of a far instance
 )
 
 // relay is an instance's part in the link, at work.
 type relay struct {
-	cfg *LinkConfig
+	cfg *RelayConfig
 
 	mu       sync.Mutex
 	arrivals *multisite.Arrivals
@@ -76,25 +76,25 @@
 	body        []byte
 }
 
-func newLink(cfg *LinkConfig) (*relay, error) {
+func newRelay(cfg *RelayConfig) (*relay, error) {
 	if len(cfg.Own) == 0 || cfg.TLS == nil || cfg.Verify == nil {
 		return nil, errors.New("link: a hall of its own, certificates and a check of them are needed")
 	}
 	l := &relay{cfg: cfg}
 	var err error
-	if l.arrivals, err = multisite.NewArrivals(arrivalLife, arrivalsMost); err != nil {
+	if l.arrivals, err = multisite.NewArrivals(arrivalTTL, maxArrivals); err != nil {
 		return nil, err
 	}
-	l.budget, err = multisite.NewBudget(multisite.BudgetConfig{Most: orDefault(cfg.Most, linkMost), Retries: linkRetries, Saved: linkSaved})
+	l.budget, err = multisite.NewBudget(multisite.BudgetConfig{Most: orDefault(cfg.MaxInFlight, defaultMaxRelayed), Retries: relayRetryTokens, Saved: maxRelayRetryTokens})
 	return l, err
 }
 
 // isRemoteServer tells whether a server, as the module names it, is an instance of another site.
-func isRemoteServer(server string) bool { return strings.Contains(server, linkServerMark) }
+func isRemoteServer(server string) bool { return strings.Contains(server, remoteServerMark) }
 
 // remoteServers is what the module is told of a hall that is reached by way of its own site's instances.
 func (l *relay) remoteServers(hall string) (list discovery.List, ok bool) {
-	peers, ok := l.cfg.Far[hall]
+	peers, ok := l.cfg.Remote[hall]
 	for _, p := range peers {
 		list.Servers = append(list.Servers, discovery.Instance{Addr: p.Addr,
 			Server: policy.Server{ID: "@" + strconv.FormatUint(p.Member, 10), Weight: 1, Kind: "instance", Zone: hall}})
@@ -115,12 +115,12 @@
 
 // secure makes a connection to a far instance one of the link.
 func (l *relay) secure(ctx context.Context, server string, nc net.Conn) (net.Conn, error) {
-	_, number, _ := strings.Cut(server, linkServerMark)
+	_, number, _ := strings.Cut(server, remoteServerMark)
 	want, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
 		return nil, fmt.Errorf("link: %q is no instance", server)
 	}
-	ctx, cancel := context.WithTimeout(ctx, linkHandshake)
+	ctx, cancel := context.WithTimeout(ctx, relayHandshakeTimeout)
 	defer cancel()
 	c := tls.Client(nc, l.cfg.TLS)
 	if err := c.HandshakeContext(ctx); err != nil {
@@ -149,7 +149,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.budget.Take(fl.licensee, worth(fl.op.Class.PriorityWeight, fl.op.Class.LatencyObjective)/max(best, 1e-9), fl.attempts > 1)
+	return l.budget.Take(fl.licensee, worth(fl.operation.Class.PriorityWeight, fl.operation.Class.LatencyObjective)/max(best, 1e-9), fl.attempts > 1)
 }
 
 func (l *relay) release(fl *pendingRequest) {
@@ -165,18 +165,18 @@
 // asks until the answer is final or the attempt's time is over.
 func (in *Instance) executionStatus(fl *pendingRequest, at attempt) (multisite.Fate, *retainedResponse) {
 	id := fl.nextRelayID()
-	for until := at.until; time.Now().Before(until); {
+	for until := at.deadline; time.Now().Before(until); {
 		var rep response
-		by := time.Now().Add(fatePatience)
+		by := time.Now().Add(statusTimeout)
 		if until.Before(by) {
 			by = until
 		}
 		result := in.servers.exchange(in.ctx, &attemptControl{}, at.server, by, false, &rep, func(b []byte) []byte {
-			b = append(b, "GET "+fatePath+" HTTP/1.1\r\nHost: link\r\n"...)
-			return append(httpwire.AppendField(b, crossingField, id), "\r\n"...)
+			b = append(b, "GET "+executionStatusPath+" HTTP/1.1\r\nHost: link\r\n"...)
+			return append(httpwire.AppendField(b, relayIDField, id), "\r\n"...)
 		})
 		if result == policy.OK {
-			switch f := multisite.ParseFate(rep.head.Get(fateField)); f {
+			switch f := multisite.ParseFate(rep.head.Get(executionStatusField)); f {
 			case multisite.Ran:
 				if rep.head.Status == http.StatusNoContent {
 					return f, nil
@@ -187,7 +187,7 @@
 				return f, nil
 			}
 		}
-		pause := time.NewTimer(fateEvery)
+		pause := time.NewTimer(statusPollInterval)
 		select {
 		case <-pause.C:
 		case <-in.ctx.Done():
@@ -219,10 +219,10 @@
 
 // serveExecutionStatus answers another site's ask.
 func (c *clientConn) serveExecutionStatus() bool {
-	l := c.f.in.link
-	id, n := c.fl.requestHead.Values(crossingField)
+	l := c.server.instance.relay
+	id, n := c.request.requestHead.Values(relayIDField)
 	if n != 1 || id == "" {
-		return c.rejectBadRequest(&badRequest{status: http.StatusBadRequest, text: crossingField + ": one is wanted"})
+		return c.rejectBadRequest(&badRequest{status: http.StatusBadRequest, text: relayIDField + ": one is wanted"})
 	}
 	l.mu.Lock()
 	f, kept := l.arrivals.Ask(time.Now(), id)
@@ -232,7 +232,7 @@
 	if ok && k != nil {
 		status, body = k.status, k.body
 	}
-	b := httpwire.AppendField(c.appendStatusLine(status, http.StatusText(status)), fateField, f.String())
+	b := httpwire.AppendField(c.appendStatusLine(status, http.StatusText(status)), executionStatusField, f.String())
 	if ok && k != nil && k.contentType != "" {
 		b = httpwire.AppendField(b, "Content-Type", k.contentType)
 	}
@@ -245,17 +245,17 @@
 
 // acceptRelayed takes in a crossing; an error turns it down.
 func (c *clientConn) acceptRelayed() error {
-	l, fl := c.f.in.link, &c.fl
-	id, n := fl.requestHead.Values(crossingField)
+	l, fl := c.server.instance.relay, &c.request
+	id, n := fl.requestHead.Values(relayIDField)
 	if n != 1 || id == "" {
-		return &badRequest{status: http.StatusBadRequest, text: crossingField + ": one is wanted"}
+		return &badRequest{status: http.StatusBadRequest, text: relayIDField + ": one is wanted"}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.crossed != "" && c.crossed != id { // a connection carries one after the other: the last answer has been read
-		l.arrivals.Settled(c.crossed)
+	if c.lastRelayID != "" && c.lastRelayID != id { // a connection carries one after the other: the last answer has been read
+		l.arrivals.Settled(c.lastRelayID)
 	}
-	c.crossed = id
+	c.lastRelayID = id
 	if fate, ok := l.arrivals.Come(time.Now(), id); !ok && fate == multisite.Never {
 		return &badRequest{status: http.StatusConflict, text: "the crossing is void or can't be remembered"}
 	} else if !ok {
@@ -267,12 +267,12 @@
 
 // finishRelayed notes the fate of a crossing that has its final answer.
 func (c *clientConn) finishRelayed() {
-	l, fl := c.f.in.link, &c.fl
+	l, fl := c.server.instance.relay, &c.request
 	fate, kept := multisite.Unknown, any(nil)
 	switch {
 	case fl.answer == served:
 		fate = multisite.Ran
-		if h := &fl.response.head; len(fl.response.body) <= keptAnswer && fl.requestHead.Method != http.MethodHead && h.Status != http.StatusNoContent && h.Status != http.StatusNotModified {
+		if h := &fl.response.head; len(fl.response.body) <= maxRetainedBody && fl.requestHead.Method != http.MethodHead && h.Status != http.StatusNoContent && h.Status != http.StatusNotModified {
 			kept = &retainedResponse{h.Status, h.Get("Content-Type"), fl.response.body}
 		}
 	case !fl.mayRun:
@@ -316,14 +316,14 @@
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(c.f.in.ctx, linkHandshake)
+	ctx, cancel := context.WithTimeout(c.server.instance.ctx, relayHandshakeTimeout)
 	defer cancel()
 	err := t.HandshakeContext(ctx)
 	if err == nil {
-		_, err = c.f.in.link.cfg.Verify(t.ConnectionState())
+		_, err = c.server.instance.relay.cfg.Verify(t.ConnectionState())
 	}
 	if err != nil {
-		c.f.in.log.Printf("link: connection from %s: %v", c.nc.RemoteAddr(), err)
+		c.server.instance.log.Printf("link: connection from %s: %v", c.nc.RemoteAddr(), err)
 	}
 	return err == nil
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -109,20 +109,20 @@
 }
 
 // twoSites starts an instance of each site, a link between them, and a server at the far hall alone.
-func twoSites(t *testing.T, h *halls, change func(near, far *LinkConfig)) (near, far *running, w *way) {
+func twoSites(t *testing.T, h *halls, change func(near, far *RelayConfig)) (near, far *running, w *way) {
 	auth, err := raftnode.NewAuthority("test")
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.authority = auth
-	part := func(member uint64, own string) *LinkConfig {
+	part := func(member uint64, own string) *RelayConfig {
 		creds, err := auth.Credentials(member)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c := creds.TLS()
 		c.SessionTicketsDisabled = true
-		return &LinkConfig{Own: []string{own}, TLS: c, Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf("test", s) }}
+		return &RelayConfig{Own: []string{own}, TLS: c, Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf("test", s) }}
 	}
 	a, b := part(1, "hall-a"), part(2, "hall-b")
 	if b.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -132,13 +132,13 @@
 		t.Fatal(err)
 	}
 	w = newWay(t, b.listener.Addr().String())
-	a.Far = map[string][]LinkPeer{"hall-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
+	a.Remote = map[string][]RelayPeer{"hall-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
 	if change != nil {
 		change(a, b)
 	}
 	h.server("hall-b", "s1")
-	far = start(t, h, 1, func(c *Config) { c.Link = b })
-	near = start(t, h, 1, func(c *Config) { c.Link = a })
+	far = start(t, h, 1, func(c *Config) { c.Relay = b })
+	near = start(t, h, 1, func(c *Config) { c.Relay = a })
 	return near, far, w
 }
 
@@ -152,7 +152,7 @@
 	if left := a.header.Get("X-Expires-In"); a.server != "hall-b/s1" || left < "0.5" || left > "0.985" {
 		t.Errorf("reached %s with %s s left of 1", a.server, left)
 	}
-	if a.header.Get(crossingField) != "" {
+	if a.header.Get(relayIDField) != "" {
 		t.Error("the crossing's id goes on to the hall")
 	}
 	a.answer <- answerText(200, "X-Of-Hall: 1\r\n", "slots")
@@ -179,7 +179,7 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	l := far.link
+	l := far.relay
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n := l.arrivals.Len(); n == 0 || n > 2 {
@@ -227,7 +227,7 @@
 	c.send(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: k"))
 	a := h.next()
 	w.breakAll()
-	time.Sleep(2 * fateEvery) // it is asked for while it is under way
+	time.Sleep(2 * statusPollInterval) // it is asked for while it is under way
 	a.answer <- answerText(201, "Content-Type: text/plain\r\n", "booked")
 	if got := c.read(); got.status != 201 || got.body != "booked" || got.header.Get("Content-Type") != "text/plain" {
 		t.Errorf("%+v", got)
@@ -264,9 +264,9 @@
 		t.Fatal(err)
 	}
 	defer third.Close()
-	near, _, _ := twoSites(t, h, func(_, far *LinkConfig) {
+	near, _, _ := twoSites(t, h, func(_, far *RelayConfig) {
 		// The far site's instance could go on to a third site.
-		far.Far = map[string][]LinkPeer{"hall-a": {{9, third.Addr().(*net.TCPAddr).AddrPort()}}}
+		far.Remote = map[string][]RelayPeer{"hall-a": {{9, third.Addr().(*net.TCPAddr).AddrPort()}}}
 	})
 	h.list("hall-b", "s1", "127.0.0.1:1", "removed")
 	c := dial(t, near.addr)
@@ -291,7 +291,7 @@
 	h := newHalls(t)
 	var as *tls.Config
 	var door string
-	twoSites(t, h, func(a, b *LinkConfig) { as, door = a.TLS, b.listener.Addr().String() })
+	twoSites(t, h, func(a, b *RelayConfig) { as, door = a.TLS, b.listener.Addr().String() })
 	tc, err := tls.Dial("tcp", door, as)
 	if err != nil {
 		t.Fatal(err)
@@ -300,13 +300,13 @@
 	tc.SetDeadline(time.Now().Add(patience))
 	c := &asker{tc, bufio.NewReader(tc), t, ""}
 	fate := func(id string) string {
-		return c.ask(get("GET "+fatePath, crossingField+": "+id)).header.Get(fateField)
+		return c.ask(get("GET "+executionStatusPath, relayIDField+": "+id)).header.Get(executionStatusField)
 	}
-	got := c.ask(get("GET /unknown", crossingField+": a.1"))
+	got := c.ask(get("GET /unknown", relayIDField+": a.1"))
 	if got.status != 503 || got.header.Get("X-Never-Ran") != "1" || fate("a.1") != "never" {
 		t.Errorf("an operation that is not known here: %+v", got)
 	}
-	c.send(get("GET /visits/new", crossingField+": b.1"))
+	c.send(get("GET /visits/new", relayIDField+": b.1"))
 	tries := make(chan bool)
 	go func() { // a safe request may be tried again, and refused after it ran
 		defer close(tries)
@@ -325,7 +325,7 @@
 	if got.status == 200 || got.header.Get("X-Never-Ran") != "" || fate("b.1") != "unknown" {
 		t.Errorf("refused after it may have run: %+v", got)
 	}
-	if got := c.ask(get("GET /visits/new", crossingField+": b.1")); got.status != 502 || got.header.Get("X-Never-Ran") != "" {
+	if got := c.ask(get("GET /visits/new", relayIDField+": b.1")); got.status != 502 || got.header.Get("X-Never-Ran") != "" {
 		t.Errorf("a second copy: %+v", got)
 	}
 	h.none()
@@ -337,9 +337,9 @@
 	var door string
 	dir := t.TempDir()
 	var operator *tls.Config
-	near, _, _ := twoSites(t, h, func(a, b *LinkConfig) {
+	near, _, _ := twoSites(t, h, func(a, b *RelayConfig) {
 		door = b.listener.Addr().String()
-		a.Far["hall-b"][0].Member = 7
+		a.Remote["hall-b"][0].Member = 7
 		auth := h.authority
 		if err := errors.Join(auth.Write(dir), auth.WriteOperator(dir, "op")); err != nil {
 			t.Fatal(err)
@@ -360,7 +360,7 @@
 		}
 		defer c.Close() // in TLS 1.3 the client learns of it with its first read
 		c.SetDeadline(time.Now().Add(patience))
-		io.WriteString(c, strings.Replace(get("GET /visits/new"), "\r\n\r\n", "\r\n"+crossingField+": x.1\r\n\r\n", 1))
+		io.WriteString(c, strings.Replace(get("GET /visits/new"), "\r\n\r\n", "\r\n"+relayIDField+": x.1\r\n\r\n", 1))
 		if n, err := c.Read(make([]byte, 1)); err == nil {
 			t.Errorf("%d bytes for %s", n, name)
 		}
@@ -399,7 +399,7 @@
 // No more crosses at once than the budget allows: the surplus is refused at once, and a place that is free again is used.
 func TestCrossingsAreBounded(t *testing.T) {
 	h := newHalls(t)
-	near, _, _ := twoSites(t, h, func(near, _ *LinkConfig) { near.Most = 2 })
+	near, _, _ := twoSites(t, h, func(near, _ *RelayConfig) { near.MaxInFlight = 2 })
 	for began := time.Now(); time.Since(began) < 300*time.Millisecond; {
 		near.warm(h, 1) // or the module would take two out at one server for a jam
 	}
@@ -437,7 +437,7 @@
 	r := start(t, h, 1, func(c *Config) {
 		c.Keys = &multisite.Config{Me: 1, Incarnation: 1, Lease: time.Second, Life: time.Second, Memory: time.Second, Most: 10}
 	})
-	f := &clientServer{in: r.Instance}
+	f := &clientServer{instance: r.Instance}
 	number := func(body string, fields ...string) uint64 {
 		t.Helper()
 		var fl pendingRequest
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -19,7 +19,7 @@
 	body            []byte
 	version         *version      // in force when it was matched: it keeps it
 	confirmationAge time.Duration // of the version's last confirmation, then
-	op              *routing.Operation
+	operation       *routing.Operation
 	counters        *Counters
 	licensee        string
 	units           int
@@ -40,7 +40,7 @@
 	keyRejection string          // of one for the sake of its key
 	next         attempt         // asked for and not begun
 	hasNext      bool            // next is set
-	call         *attemptControl // the attempt under way
+	current      *attemptControl // the attempt under way
 	attempts     int
 	isWaiting    bool // its goroutine waits for wake
 	wake         chan struct{}
@@ -48,8 +48,8 @@
 }
 
 type attempt struct {
-	server string
-	until  time.Time
+	server   string
+	deadline time.Time
 }
 
 type outcome int
@@ -72,16 +72,16 @@
 		q.ID = fl.id
 		in.requests[fl.id] = fl
 		if fl.cameByRelay { // nothing crosses twice
-			q.Zone, q.IsCharged = in.link.cfg.Own[0], true
+			q.Zone, q.IsCharged = in.relay.cfg.Own[0], true
 		}
 		if fl.hasKeyOwner {
 			v := in.keys.Route(now, fl.key)
-			if v.Hall != "" && fl.cameByRelay && !in.link.ownsSite(v.Hall) {
+			if v.Hall != "" && fl.cameByRelay && !in.relay.ownsSite(v.Hall) {
 				v = multisite.Verdict{Wait: minRetryAfter, Why: "the sites differ on its home"} // the other site goes by older homes, or this one does
 			}
 			if q.Zone = v.Hall; v.Hall == "" {
 				fl.keyRejection = v.Why
-				in.answer(fl, rejected, min(max(v.Wait, minRetryAfter), in.cfg.Settings.MaxRetryAfter))
+				in.answer(fl, rejected, min(max(v.Wait, minRetryAfter), in.config.Settings.MaxRetryAfter))
 				return
 			}
 		}
@@ -121,8 +121,8 @@
 	fl.response.wasWritten, fl.response.connectedAt = false, time.Time{}
 	let, full := true, false
 	if fl.isRelayed = isRemoteServer(at.server); fl.isRelayed {
-		if full = !in.link.acquire(fl); !full {
-			defer in.link.release(fl)
+		if full = !in.relay.acquire(fl); !full {
+			defer in.relay.release(fl)
 		}
 	}
 	if fl.hasKeyOwner && !full { // the homes may have changed since the request was admitted
@@ -144,8 +144,8 @@
 		result = policy.NotSent
 		in.handleEvent(func(now time.Duration, out policy.Actions) { in.answer(fl, failed, 0) })
 	} else {
-		result = in.servers.exchange(in.ctx, fl.call, at.server, at.until, fl.requestHead.Method == "HEAD", &fl.response,
-			func(b []byte) []byte { return fl.appendRequest(b, at.until) })
+		result = in.servers.exchange(in.ctx, fl.current, at.server, at.deadline, fl.requestHead.Method == "HEAD", &fl.response,
+			func(b []byte) []byte { return fl.appendRequest(b, at.deadline) })
 		if fl.isRelayed && result == policy.ConnectionReset {
 			result = in.resolveRelayed(fl, at)
 		}
@@ -161,7 +161,7 @@
 	}
 	report := fl.response.report()
 	return in.handleRequestEvent(fl, func(now time.Duration, out policy.Actions) {
-		fl.call = nil
+		fl.current = nil
 		if !fl.isRelayed || result != policy.RejectedByServer && result != policy.ErrorResponse { // the far instance's word says nothing of its hall
 			in.recordSiteHealth(now, at.server, result, sent)
 		}
@@ -174,7 +174,7 @@
 		o := policy.AttemptResult{ID: fl.id, Attempt: fl.attempts - 1, RequestAnswered: fl.isAnswered, Result: result, Server: at.server,
 			Latency: now - sent, LoadReport: report}
 		if !fl.response.connectedAt.IsZero() {
-			o.ConnectedAt = time.Duration(in.start.UnixNano()) + fl.response.connectedAt.Sub(in.start)
+			o.ConnectedAt = time.Duration(in.startedAt.UnixNano()) + fl.response.connectedAt.Sub(in.startedAt)
 		}
 		in.engine.AttemptCompleted(now, o, out)
 	})
@@ -186,7 +186,7 @@
 		return
 	}
 	fl.isAnswered, fl.answer, fl.retryAfter = true, k, wait
-	if k := fl.call; k != nil { // no answer of the attempt under way counts any more
+	if k := fl.current; k != nil { // no answer of the attempt under way counts any more
 		in.deferred = append(in.deferred, k.abort)
 	}
 	in.wakeRequest(fl)
--- a/internal/gateway/request_parse.go
+++ b/internal/gateway/request_parse.go
@@ -19,14 +19,14 @@
 	// First its standing, then the version: a version may be put in force in between, which is
 	// confirmed then as well.
 	fl.confirmationAge, fl.version = 0, nil
-	if f.in.cfg.Agreement != nil {
+	if f.instance.config.Agreement != nil {
 		var serves bool
-		if fl.confirmationAge, serves = f.in.Confirmation(began); !serves {
-			f.in.unconfirmedCount.Add(1)
+		if fl.confirmationAge, serves = f.instance.Confirmation(began); !serves {
+			f.instance.unconfirmedCount.Add(1)
 			return q, errUnconfirmed
 		}
 	}
-	v := f.in.version.Load()
+	v := f.instance.version.Load()
 	fl.version = v
 	path, query, _ := strings.Cut(h.Target, "?")
 	if reason := v.table.CheckPath(path); reason != "" {
@@ -51,13 +51,13 @@
 	case routing.Preflight:
 		return q, &badRequest{status: http.StatusNoContent, allow: allow}
 	}
-	fl.op, fl.counters = op, v.ops[op.Index]
+	fl.operation, fl.counters = op, v.counters[op.Index]
 	units, err := op.Charge(routing.Request{Query: query, Head: h, Body: fl.body})
 	if err != nil {
 		return q, err
 	}
-	if v.check != nil {
-		if err := v.check.Check(op, h, fl.body); err != nil {
+	if v.checker != nil {
+		if err := v.checker.Check(op, h, fl.body); err != nil {
 			return q, &badRequest{status: http.StatusBadRequest, text: err.Error()}
 		}
 	}
@@ -85,11 +85,11 @@
 		}
 	}
 	fl.units = units
-	if fl.hasKeyOwner = f.in.keys != nil && op.Key.In != routing.Nowhere; fl.hasKeyOwner {
+	if fl.hasKeyOwner = f.instance.keys != nil && op.Key.In != routing.Nowhere; fl.hasKeyOwner {
 		fl.key = keyNumber(fl.licensee, op.KeyOf(routing.Request{Query: query, Head: h, Body: fl.body}, path))
 	}
-	return policy.Request{Class: op.Class.Name, Plan: l.Plan, Customer: l.Customer, Timeout: grace - transit - time.Since(began),
-		Units: float64(units), InstanceCount: f.in.cfg.Settings.InstanceCount}, nil
+	return policy.Request{Class: op.Class.Name, Plan: l.Plan, Customer: l.Customer, Timeout: grace - clientTransit - time.Since(began),
+		Units: float64(units), InstanceCount: f.instance.config.Settings.InstanceCount}, nil
 }
 
 // keyNumber gives a licensee's key its number, the same at every instance (FNV-1a).
--- a/internal/gateway/request_write.go
+++ b/internal/gateway/request_write.go
@@ -32,7 +32,7 @@
 	b = append(b, "X-Expires-In: "...)
 	b = appendSeconds(b, time.Until(until))
 	if fl.isRelayed {
-		b = append(b, "\r\n"+crossingField+": "...)
+		b = append(b, "\r\n"+relayIDField+": "...)
 		b = append(b, fl.nextRelayID()...)
 	}
 	b = append(b, "\r\nX-Mulleinmux-Version: "...)
@@ -58,8 +58,8 @@
 		return strings.EqualFold(name, "X-Trace-Id")
 	case 12:
 		return strings.EqualFold(name, "X-Expires-In")
-	case len(crossingField):
-		return strings.EqualFold(name, crossingField)
+	case len(relayIDField):
+		return strings.EqualFold(name, relayIDField)
 	case 20:
 		return strings.EqualFold(name, "X-Mulleinmux-Version") || strings.EqualFold(name, "X-Mulleinmux-Explain")
 	}
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -33,13 +33,13 @@
 
 // appendStatusLine starts an answer.
 func (c *clientConn) appendStatusLine(status int, reason string) []byte {
-	c.fl.requestHead.Close = c.fl.requestHead.Close || c.f.draining.Load()
-	b := append(c.out[:0], "HTTP/1.1 "...)
+	c.request.requestHead.Close = c.request.requestHead.Close || c.server.isDraining.Load()
+	b := append(c.buffer[:0], "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
 	b = append(b, reason...)
 	b = append(b, "\r\n"...)
-	if c.fl.requestHead.Close {
+	if c.request.requestHead.Close {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return b
@@ -55,16 +55,16 @@
 	}
 	b = append(b, "\r\n"...)
 	b = append(b, body...)
-	if c.out = b[:0]; cap(c.out) > keptBuffer {
-		c.out = nil
+	if c.buffer = b[:0]; cap(c.buffer) > maxRetainedBuffer {
+		c.buffer = nil
 	}
-	return c.write(b) == nil && !c.fl.requestHead.Close
+	return c.write(b) == nil && !c.request.requestHead.Close
 }
 
 func (c *clientConn) write(b []byte) error {
-	if now := time.Now(); c.writeBy.Sub(now) < writeLimit-slack {
-		c.writeBy = now.Add(writeLimit)
-		c.nc.SetWriteDeadline(c.writeBy)
+	if now := time.Now(); c.writeDeadline.Sub(now) < clientWriteTimeout-deadlineSlack {
+		c.writeDeadline = now.Add(clientWriteTimeout)
+		c.nc.SetWriteDeadline(c.writeDeadline)
 	}
 	_, err := c.nc.Write(b)
 	return err
@@ -72,9 +72,9 @@
 
 // writeAnswer words the final answer of the flight.
 func (c *clientConn) writeAnswer() bool {
-	fl := &c.fl
-	rec := RequestRecord{Trace: fl.trace, Operation: fl.op.ID, Licensee: fl.licensee, Version: fl.version.number, Units: fl.units,
-		Sent: fl.wasSent, Attempts: fl.attempts, Answer: fl.answer.String(), Why: fl.keyRejection}
+	fl := &c.request
+	rec := RequestRecord{Trace: fl.trace, Operation: fl.operation.ID, Licensee: fl.licensee, Version: fl.version.number, Units: fl.units,
+		Sent: fl.wasSent, Attempts: fl.attempts, Answer: fl.answer.String(), KeyRejection: fl.keyRejection}
 	var b, body []byte
 	length := 0
 	switch fl.answer {
@@ -97,7 +97,7 @@
 		}
 	case rejected:
 		fl.counters.Refused.Add(1)
-		if c.linked && !fl.mayRun {
+		if c.isRelay && !fl.mayRun {
 			return c.neverRan("refused", fl.retryAfter)
 		}
 		rec.Status = http.StatusTooManyRequests
@@ -110,7 +110,7 @@
 		body = []byte("refused: trying again does no harm\n")
 	default:
 		fl.counters.Failed.Add(1)
-		if c.linked && !fl.mayRun {
+		if c.isRelay && !fl.mayRun {
 			return c.neverRan("failed: nothing was sent on", 0)
 		}
 		rec.Status = http.StatusBadGateway
@@ -131,13 +131,13 @@
 		b = fmt.Appendf(b, "X-Mulleinmux-Version: %d\r\nX-Mulleinmux-Operation: %s\r\nX-Mulleinmux-Units: %d\r\nX-Mulleinmux-Attempts: %d\r\n",
 			rec.Version, rec.Operation, rec.Units, rec.Attempts)
 	}
-	if fl.confirmationAge > tellAge { // cut off: what clients are told may be old
+	if fl.confirmationAge > minConfigAgeShown { // cut off: what clients are told may be old
 		b = append(b, "X-Mulleinmux-Config-Age: "...)
 		b = appendSeconds(b, fl.confirmationAge)
 		b = append(b, "\r\n"...)
 	}
-	if c.f.in.cfg.Observe != nil && !c.linked {
-		c.f.in.cfg.Observe(rec)
+	if c.server.instance.config.Observe != nil && !c.isRelay {
+		c.server.instance.config.Observe(rec)
 	}
 	fl.response.body = nil
 	return c.writeResponse(b, body, length)
@@ -152,13 +152,13 @@
 		errors.As(err, &e)
 	}
 	if e.close {
-		c.fl.requestHead.Close = true
+		c.request.requestHead.Close = true
 	}
-	if c.linked && !e.close && !e.mayRun { // whatever it is, it did not run here, and the client is not ours to tell
+	if c.isRelay && !e.close && !e.mayRun { // whatever it is, it did not run here, and the client is not ours to tell
 		return c.neverRan(e.text, e.wait)
 	}
 	if e.status != http.StatusNoContent && e.wait == 0 {
-		c.f.in.badRequestCount.Add(1)
+		c.server.instance.badRequestCount.Add(1)
 	}
 	b := c.appendStatusLine(e.status, http.StatusText(e.status))
 	if e.wait > 0 {
@@ -175,7 +175,7 @@
 	b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
 	body := []byte(e.text + "\n")
 	n := len(body)
-	if c.fl.requestHead.Method == "HEAD" {
+	if c.request.requestHead.Method == "HEAD" {
 		body = nil
 	}
 	again := c.writeResponse(b, body, n)
@@ -208,13 +208,13 @@
 // the connection before the client has read the answer.
 func (c *clientConn) discardInput() {
 	if tc, ok := c.nc.(*net.TCPConn); ok && tc.CloseWrite() == nil {
-		c.nc.SetReadDeadline(time.Now().Add(restLimit / 6))
+		c.nc.SetReadDeadline(time.Now().Add(requestReadTimeout / 6))
 		io.CopyN(io.Discard, c.nc, 256<<10)
 	}
 }
 
 func (c *clientConn) serveHealth() bool {
-	if _, serves := c.f.in.Confirmation(time.Now()); serves && c.f.ready.Load() {
+	if _, serves := c.server.instance.Confirmation(time.Now()); serves && c.server.isReady.Load() {
 		return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), []byte("ready\n"), 6)
 	}
 	return c.writeResponse(c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable"), []byte("not ready\n"), 10)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -74,22 +74,22 @@
 	}
 	side.Go(func() { in.servers.pruneIdle(life) })
 
-	f := &clientServer{in: in, conns: map[*clientConn]struct{}{}}
+	f := &clientServer{instance: in, conns: map[*clientConn]struct{}{}}
 	failed := make(chan error, 2)
 	side.Go(func() { failed <- f.serve(ln) })
-	if cfg.Link != nil {
-		lln := cfg.Link.listener
+	if cfg.Relay != nil {
+		lln := cfg.Relay.listener
 		if lln == nil {
-			if lln, err = net.Listen("tcp", cfg.Link.Listen.String()); err != nil {
+			if lln, err = net.Listen("tcp", cfg.Relay.Listen.String()); err != nil {
 				ln.Close()
 				return fmt.Errorf("link: %w", err)
 			}
 		}
-		f.link = lln
+		f.relayListener = lln
 		defer lln.Close()
-		side.Go(func() { failed <- f.serve(relayListener{lln, in.link}) })
+		side.Go(func() { failed <- f.serve(relayListener{lln, in.relay}) })
 	}
-	f.ready.Store(true)
+	f.isReady.Store(true)
 	if setup.Table != nil {
 		logger.Printf("%s: ready on %s, %d operations", cfg.Name, ln.Addr(), len(setup.Table.Operations))
 	} else {
@@ -112,16 +112,16 @@
 // drain ends serving. Clients still come for a while and are answered, on connections
 // that close behind the answer; then the listener closes, and what was taken is finished.
 func (f *clientServer) drain(ln net.Listener) {
-	f.ready.Store(false)
-	f.draining.Store(true)
-	<-time.After(f.in.cfg.DrainFor)
+	f.isReady.Store(false)
+	f.isDraining.Store(true)
+	<-time.After(f.instance.config.DrainTimeout)
 	ln.Close()
-	if f.link != nil {
-		f.link.Close()
+	if f.relayListener != nil {
+		f.relayListener.Close()
 	}
 	f.mu.Lock()
 	for c := range f.conns {
-		if !c.busy.Load() {
+		if !c.isBusy.Load() {
 			c.nc.SetReadDeadline(pastDeadline)
 		}
 	}
@@ -132,13 +132,13 @@
 		close(ended)
 	}()
 	longest := time.Duration(0)
-	for _, c := range f.in.Table().Classes {
+	for _, c := range f.instance.Table().Classes {
 		longest = max(longest, c.Deadline)
 	}
 	select {
 	case <-ended:
 		return
-	case <-time.After(longest + f.in.cfg.Settings.ResponseSlack + restLimit):
+	case <-time.After(longest + f.instance.config.Settings.ResponseSlack + requestReadTimeout):
 	}
 	f.mu.Lock()
 	for c := range f.conns {
--- a/internal/gateway/server_pool.go
+++ b/internal/gateway/server_pool.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	loadPath     = "/stats"
-	probeTimeout = 500 * time.Millisecond
-	idleShare    = 0.8                    // of ConnIdle after which an idle connection is not used again
-	maxReply     = 1 << 20                // bytes that the body of an answer may hold
-	maxAnswer    = maxReply + 64<<10      // bytes of a whole answer, with heads, chunk sizes and 1xx answers ahead
-	answerRest   = 250 * time.Millisecond // from an answer's first bytes to its last
-	keptBuffer   = 16 << 10               // bytes of a buffer that an idle connection keeps
+	healthCheckPath     = "/stats"
+	healthCheckTimeout  = 500 * time.Millisecond
+	idleTimeoutFraction = 0.8                      // of ConnIdle after which an idle connection is not used again
+	maxResponseBody     = 1 << 20                  // bytes that the body of an answer may hold
+	maxResponseSize     = maxResponseBody + 64<<10 // bytes of a whole answer, with heads, chunk sizes and 1xx answers ahead
+	responseRestTimeout = 250 * time.Millisecond   // from an answer's first bytes to its last
+	maxRetainedBuffer   = 16 << 10                 // bytes of a buffer that an idle connection keeps
 )
 
 var pastDeadline = time.Unix(1, 0)
@@ -29,58 +29,58 @@
 // serverPool holds the connections to the servers of all halls. A connection carries one
 // request at a time, and a call of exchange writes a request once at most.
 type serverPool struct {
-	dialer  net.Dialer
-	maxIdle time.Duration
-	most    int
-	secure  func(ctx context.Context, server string, nc net.Conn) (net.Conn, error) // for instances of other sites
+	dialer      net.Dialer
+	idleTimeout time.Duration
+	maxOpen     int
+	secure      func(ctx context.Context, server string, nc net.Conn) (net.Conn, error) // for instances of other sites
 
-	mu   sync.Mutex
-	byID map[string]*serverConns
-	open int
+	mu        sync.Mutex
+	byID      map[string]*serverConns
+	openCount int
 }
 
 // serverConns is a server and its idle connections, the latest used last.
 type serverConns struct {
-	id   string
-	addr netip.AddrPort
-	boot time.Duration
-	up   bool
-	idle []*serverConn
+	id        string
+	addr      netip.AddrPort
+	startedAt time.Duration
+	isUp      bool
+	idle      []*serverConn
 }
 
 // serverConn is a connection to a server.
 type serverConn struct {
-	nc      net.Conn
-	raw     syscall.RawConn
-	rd      *httpwire.Reader
-	left    int // bytes that the answer under way may still take
-	got     bool
-	hurried bool            // the rest of the answer has a deadline of its own
-	call    *attemptControl // under way
-	out     []byte          // the request under way
-	of      *serverConns
-	idle    time.Time
-	made    time.Time
+	nc              net.Conn
+	raw             syscall.RawConn
+	reader          *httpwire.Reader
+	remaining       int // bytes that the answer under way may still take
+	hasBytes        bool
+	hasRestDeadline bool            // the rest of the answer has a deadline of its own
+	attempt         *attemptControl // under way
+	buffer          []byte          // the request under way
+	server          *serverConns
+	idleSince       time.Time
+	connectedAt     time.Time
 }
 
 // Read bounds what an answer takes.
 func (c *serverConn) Read(p []byte) (int, error) {
-	if c.left <= 0 {
+	if c.remaining <= 0 {
 		return 0, errTooLong
 	}
-	if c.got && !c.hurried { // most answers come whole in the first read
-		c.hurried = true
-		c.call.limitRest(c)
+	if c.hasBytes && !c.hasRestDeadline { // most answers come whole in the first read
+		c.hasRestDeadline = true
+		c.attempt.limitRest(c)
 	}
-	n, err := c.nc.Read(p[:min(len(p), c.left)])
-	c.left -= n
-	c.got = c.got || n > 0
+	n, err := c.nc.Read(p[:min(len(p), c.remaining)])
+	c.remaining -= n
+	c.hasBytes = c.hasBytes || n > 0
 	return n, err
 }
 
-func newServers(cfg *Config) *serverPool {
+func newServerPool(cfg *Config) *serverPool {
 	return &serverPool{dialer: net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1},
-		maxIdle: time.Duration(idleShare * float64(cfg.ConnIdle)), most: cfg.MaxServers, byID: map[string]*serverConns{}}
+		idleTimeout: time.Duration(idleTimeoutFraction * float64(cfg.ServerIdleTimeout)), maxOpen: cfg.MaxServerConns, byID: map[string]*serverConns{}}
 }
 
 // update takes in entries of a list and returns the connections that are of no more use,
@@ -90,9 +90,9 @@
 	defer u.mu.Unlock()
 	for _, e := range entries {
 		s := u.byID[e.ID]
-		if s != nil && (e.State == policy.Removed || s.addr != e.Addr || s.boot != e.StartedAt) {
+		if s != nil && (e.State == policy.Removed || s.addr != e.Addr || s.startedAt != e.StartedAt) {
 			stale = append(stale, s.idle...)
-			s.up, s.idle = false, nil
+			s.isUp, s.idle = false, nil
 			delete(u.byID, e.ID)
 			s = nil
 		}
@@ -100,23 +100,23 @@
 			continue
 		}
 		if s == nil {
-			s = &serverConns{id: e.ID, addr: e.Addr, boot: e.StartedAt}
+			s = &serverConns{id: e.ID, addr: e.Addr, startedAt: e.StartedAt}
 			u.byID[e.ID] = s
 		}
-		if s.up = e.State == policy.Up; !s.up {
+		if s.isUp = e.State == policy.Up; !s.isUp {
 			stale, s.idle = append(stale, s.idle...), nil
 		}
 	}
-	u.open -= len(stale)
+	u.openCount -= len(stale)
 	return stale
 }
 
 // pruneIdle closes what has been idle for too long, until ctx ends, then all that is idle.
 func (u *serverPool) pruneIdle(ctx context.Context) {
-	tick := time.NewTicker(max(u.maxIdle/8, 10*time.Millisecond))
+	tick := time.NewTicker(max(u.idleTimeout/8, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
-		keep := u.maxIdle
+		keep := u.idleTimeout
 		select {
 		case <-ctx.Done():
 			keep = 0
@@ -126,13 +126,13 @@
 		u.mu.Lock()
 		for _, s := range u.byID {
 			n := 0
-			for n < len(s.idle) && time.Since(s.idle[n].idle) >= keep {
+			for n < len(s.idle) && time.Since(s.idle[n].idleSince) >= keep {
 				n++
 			}
 			stale = append(stale, s.idle[:n]...)
 			s.idle = append([]*serverConn(nil), s.idle[n:]...)
 		}
-		u.open -= len(stale)
+		u.openCount -= len(stale)
 		u.mu.Unlock()
 		closeAll(stale)
 		if keep == 0 {
@@ -148,8 +148,8 @@
 }
 
 var (
-	errUnknown = errors.New("server is not up in the list")
-	errBudget  = errors.New("no connection left")
+	errUnknownServer = errors.New("server is not up in the list")
+	errNoCapacity    = errors.New("no connection left")
 )
 
 // acquire returns a connection to a server: the idle one used last, if it still lives, or a
@@ -158,29 +158,29 @@
 	for {
 		u.mu.Lock()
 		s := u.byID[id]
-		if s == nil || !s.up {
+		if s == nil || !s.isUp {
 			u.mu.Unlock()
-			return nil, errUnknown
+			return nil, errUnknownServer
 		}
 		if n := len(s.idle); n > 0 {
 			c := s.idle[n-1]
 			s.idle = s.idle[:n-1]
 			u.mu.Unlock()
-			if time.Since(c.idle) < u.maxIdle && c.isIdleClean() {
+			if time.Since(c.idleSince) < u.idleTimeout && c.isIdleClean() {
 				return c, nil
 			}
 			u.discard(c)
 			continue
 		}
 		var spare *serverConn
-		if u.open >= u.most {
+		if u.openCount >= u.maxOpen {
 			if spare = u.longestIdle(); spare == nil {
 				u.mu.Unlock()
-				return nil, errBudget
+				return nil, errNoCapacity
 			}
-			u.open--
+			u.openCount--
 		}
-		u.open++
+		u.openCount++
 		u.mu.Unlock()
 		if spare != nil {
 			spare.nc.Close()
@@ -194,7 +194,7 @@
 func (u *serverPool) longestIdle() (c *serverConn) {
 	var of *serverConns
 	for _, s := range u.byID {
-		if len(s.idle) > 0 && (of == nil || s.idle[0].idle.Before(of.idle[0].idle)) {
+		if len(s.idle) > 0 && (of == nil || s.idle[0].idleSince.Before(of.idle[0].idleSince)) {
 			of = s
 		}
 	}
@@ -213,7 +213,7 @@
 	nc, err := u.dialer.DialContext(ctx, "tcp", s.addr.String())
 	if err != nil {
 		u.mu.Lock()
-		u.open--
+		u.openCount--
 		u.mu.Unlock()
 		return nil, err
 	}
@@ -225,18 +225,18 @@
 		}
 		nc = safe
 	}
-	c := &serverConn{nc: nc, of: s, made: time.Now()}
-	c.rd = httpwire.NewReader(c)
+	c := &serverConn{nc: nc, server: s, connectedAt: time.Now()}
+	c.reader = httpwire.NewReader(c)
 	if c.raw, err = raw(nc); err != nil {
 		u.discard(c)
 		return nil, err
 	}
 	u.mu.Lock()
-	up := s.up
+	up := s.isUp
 	u.mu.Unlock()
 	if !up { // the list changed meanwhile: nothing new may go there
 		u.discard(c)
-		return nil, errUnknown
+		return nil, errUnknownServer
 	}
 	return c, nil
 }
@@ -244,19 +244,19 @@
 func (u *serverPool) discard(c *serverConn) {
 	c.nc.Close()
 	u.mu.Lock()
-	u.open--
+	u.openCount--
 	u.mu.Unlock()
 }
 
 // release returns a connection whose exchange is over to its pool.
 func (u *serverPool) release(c *serverConn) {
-	if cap(c.out) > keptBuffer {
-		c.out = nil
+	if cap(c.buffer) > maxRetainedBuffer {
+		c.buffer = nil
 	}
 	u.mu.Lock()
-	if c.of.up {
-		c.idle = time.Now()
-		c.of.idle = append(c.of.idle, c)
+	if c.server.isUp {
+		c.idleSince = time.Now()
+		c.server.idle = append(c.server.idle, c)
 		u.mu.Unlock()
 		return
 	}
@@ -270,7 +270,7 @@
 	u.mu.Lock()
 	stale := s.idle
 	s.idle = nil
-	u.open -= len(stale)
+	u.openCount -= len(stale)
 	u.mu.Unlock()
 	closeAll(stale)
 }
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -24,7 +24,7 @@
 func (in *Instance) watchSites(now time.Duration, halls []Site, out policy.Actions) {
 	wanted := map[string]netip.AddrPort{}
 	for _, h := range halls {
-		wanted[h.Name] = h.Register
+		wanted[h.Name] = h.Discovery
 	}
 	for name, w := range in.siteWatches {
 		if at, ok := wanted[name]; ok && at == w.register {
@@ -42,13 +42,13 @@
 			continue
 		}
 		ctx, stop := context.WithCancel(in.ctx)
-		in.siteWatches[h.Name] = &siteWatch{h.Register, stop}
+		in.siteWatches[h.Name] = &siteWatch{h.Discovery, stop}
 		if in.isRemote(h.Name) {
-			list, _ := in.link.remoteServers(h.Name)
+			list, _ := in.relay.remoteServers(h.Name)
 			in.applyEndpoints(now, h.Name, list, out)
 			continue
 		}
-		f := &discovery.Follower{Addr: h.Register, Silent: discovery.Silent,
+		f := &discovery.Follower{Addr: h.Discovery, Silent: discovery.Silent,
 			Apply: func(l discovery.List) { in.endpointsReceived(ctx, h.Name, l) },
 			Logf:  func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
 		in.discoveryFollowers.Go(func() { f.Run(ctx) })
@@ -101,7 +101,7 @@
 }
 
 // isRemote tells whether a hall is reached by way of another site's instances alone.
-func (in *Instance) isRemote(hall string) bool { return in.link != nil && !in.link.ownsSite(hall) }
+func (in *Instance) isRemote(hall string) bool { return in.relay != nil && !in.relay.ownsSite(hall) }
 
 // recordSiteHealth notes what an attempt or a probe says of its server's hall. Called under the mutex.
 func (in *Instance) recordSiteHealth(now time.Duration, server string, result policy.Result, sent time.Duration) {
@@ -169,9 +169,9 @@
 	w := in.ramp.Tell(now, carried)
 	for name := range in.siteWatches {
 		servers, near := in.health.Carried(now, name)
-		z := policy.ZoneLimits{IsRemote: in.isRemote(name), InFlightFraction: 1 / float64(in.cfg.Settings.InstanceCount), RemoteServerCount: servers}
+		z := policy.ZoneLimits{IsRemote: in.isRemote(name), InFlightFraction: 1 / float64(in.config.Settings.InstanceCount), RemoteServerCount: servers}
 		if !z.IsRemote {
-			z.WarmServerRate = coldBudgetFactor / in.cfg.Settings.ColdBudgetMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
+			z.WarmServerRate = coldBudgetFactor / in.config.Settings.ColdBudgetMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
 			z.InFlightFraction = 1 / float64(max(near, 1))
 		}
 		in.engine.SetZoneLimits(name, z)
@@ -201,7 +201,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %d servers known of %d: %w", in.cfg.Name, have, n, ctx.Err())
+			return fmt.Errorf("%s: %d servers known of %d: %w", in.config.Name, have, n, ctx.Err())
 		case <-tick.C:
 		}
 	}
--- a/internal/gatewayconfig/fleet.go
+++ b/internal/gatewayconfig/fleet.go
@@ -62,8 +62,8 @@
 		}
 		out.Objects[kind][name] = text
 	}
-	for i, h := range c.Halls {
-		put("hall", h.Name, clusterconfig.Hall{Register: h.Register.String(), Closed: in.Halls[i].Closed})
+	for i, h := range c.Sites {
+		put("hall", h.Name, clusterconfig.Hall{Register: h.Discovery.String(), Closed: in.Halls[i].Closed})
 	}
 	for _, k := range c.Classes {
 		put("class", k.Name, clusterconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()})
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -458,7 +458,7 @@
 		p.Changes = append(p.Changes, clusterconfig.Put("follower", m.follows, clusterconfig.Follower{}))
 	}
 	for _, h := range halls {
-		p.Changes = append(p.Changes, clusterconfig.Put("hall", h.Name, clusterconfig.Hall{Register: h.Register.String()}))
+		p.Changes = append(p.Changes, clusterconfig.Put("hall", h.Name, clusterconfig.Hall{Register: h.Discovery.String()}))
 	}
 	p.Changes = append(p.Changes, clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
 	ctx, cancel := context.WithTimeout(ctx, startMost)
@@ -1258,7 +1258,7 @@
 	keyed, forKey := 0, 0
 	for _, t := range tries {
 		if t.Operation == "bookVisit" && t.At.Sub(tries[0].At) > startsWithout {
-			if keyed++; records[t.Trace].Why != "" {
+			if keyed++; records[t.Trace].KeyRejection != "" {
 				forKey++
 			}
 		}
--- a/internal/scenario/lab.go
+++ b/internal/scenario/lab.go
@@ -275,7 +275,7 @@
 				return nil, nil, err
 			}
 		}
-		halls = append(halls, gateway.Site{Name: h.Name, Register: h.Register.Addr()})
+		halls = append(halls, gateway.Site{Name: h.Name, Discovery: h.Register.Addr()})
 	}
 	return halls, closeAll, nil
 }
@@ -305,8 +305,8 @@
 	ended = make(chan error, instances)
 	ready := make(chan *gateway.Instance, instances)
 	for i := range instances {
-		cfg := &gateway.Config{Name: fmt.Sprintf("gate-%d", i), Seed: w.opt.Seed + uint64(i), Halls: halls, Peers: addrs,
-			Settings: settings(i), Classes: classes(), Licensees: known, Observe: w.observe, DrainFor: 50 * time.Millisecond}
+		cfg := &gateway.Config{Name: fmt.Sprintf("gate-%d", i), Seed: w.opt.Seed + uint64(i), Sites: halls, Peers: addrs,
+			Settings: settings(i), Classes: classes(), Licensees: known, Observe: w.observe, DrainTimeout: 50 * time.Millisecond}
 		cfg.UseSockets(lns[i], conns[i])
 		w.configs = append(w.configs, cfg)
 		logger := log.New(w.opt.Log, cfg.Name+" ", log.LstdFlags|log.Lmicroseconds)
