--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -79,50 +79,60 @@
 // placeholderClasses is a class that no operation has: the module wants one before there is a table.
 var placeholderClasses = []policy.Class{{Name: "/none"}}
 
-// newInstance makes an instance whose goroutines end with ctx. Without a table it refuses
-// all requests until one is installed.
-func newInstance(ctx context.Context, cfg *Config, setup Setup, logger *log.Logger) (*Instance, error) {
-	if err := cfg.check(); err != nil {
+// newInstance makes an instance whose goroutines end with ctx. Without a table it rejects all requests until one is
+// installed.
+func newInstance(ctx context.Context, config *Config, setup Setup, logger *log.Logger) (*Instance, error) {
+	if err := config.check(); err != nil {
 		return nil, err
 	}
-	set := cfg.Settings
-	set.Classes, set.Plans = placeholderClasses, nil
-	gw, err := policy.New(set, cfg.Seed)
+	settings := config.Settings
+	settings.Classes, settings.Plans = placeholderClasses, nil
+	engine, err := policy.New(settings, config.Seed)
 	if err != nil {
 		return nil, err
 	}
-	in := &Instance{config: cfg, log: logger, startedAt: time.Now(), ctx: ctx, servers: newServerPool(cfg), engine: gw,
-		requests: map[string]*pendingRequest{}, serversBySite: map[string]map[string]bool{}, counters: map[string]*Counters{}, siteWatches: map[string]*siteWatch{}}
-	if cfg.Keys != nil {
-		if in.keys, err = multisite.New(*cfg.Keys, in.now()); err != nil {
-			return nil, err
+	in := &Instance{
+		config: config, log: logger, startedAt: time.Now(), ctx: ctx, servers: newServerPool(config), engine: engine,
+		requests: map[string]*pendingRequest{}, serversBySite: map[string]map[string]bool{},
+		counters: map[string]*Counters{}, siteWatches: map[string]*siteWatch{},
+	}
+	if err := in.addMultisite(); err != nil {
+		return nil, err
+	}
+	in.timer = time.AfterFunc(time.Hour, in.fireTimers)
+	in.timerAt = math.MaxInt64
+	in.version.Store(&version{table: &routing.Table{}})
+	return in, in.Install(setup)
+}
+
+// addMultisite makes the parts that decide between sites, as far as the configuration has them.
+func (in *Instance) addMultisite() (err error) {
+	config := in.config
+	if config.Keys != nil {
+		if in.keys, err = multisite.New(*config.Keys, in.now()); err != nil {
+			return err
 		}
 	}
-	if cfg.Relay != nil {
-		if in.relay, err = newRelay(cfg.Relay); err != nil {
-			return nil, err
+	if config.Relay != nil {
+		if in.relay, err = newRelay(config.Relay); err != nil {
+			return err
 		}
 		in.servers.secure = in.relay.secure
 	}
-	if cfg.Health != nil {
-		if in.health, err = multisite.NewHealth(*cfg.Health); err != nil {
-			return nil, err
+	if config.Health != nil {
+		if in.health, err = multisite.NewHealth(*config.Health); err != nil {
+			return err
 		}
 	}
-	if cfg.QuorumConfirmation != nil {
-		if in.confirmation, err = multisite.NewConsent(*cfg.QuorumConfirmation); err != nil {
-			return nil, err
+	if config.QuorumConfirmation != nil {
+		if in.confirmation, err = multisite.NewConsent(*config.QuorumConfirmation); err != nil {
+			return err
 		}
 	}
-	if cfg.RecoveryRamp != nil {
-		if in.ramp, err = multisite.NewRamp(*cfg.RecoveryRamp); err != nil {
-			return nil, err
-		}
+	if config.RecoveryRamp != nil {
+		in.ramp, err = multisite.NewRamp(*config.RecoveryRamp)
 	}
-	in.timer = time.AfterFunc(time.Hour, in.fireTimers)
-	in.timerAt = math.MaxInt64
-	in.version.Store(&version{table: &routing.Table{}})
-	return in, in.Install(setup)
+	return err
 }
 
 // Install puts a setup in force at one moment: requests that are matched from then on obey
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -62,7 +62,7 @@
 
 // relay is an instance's part in the link, at work.
 type relay struct {
-	cfg *RelayConfig
+	config *RelayConfig
 
 	mu       sync.Mutex
 	arrivals *multisite.Arrivals
@@ -80,7 +80,7 @@
 	if len(cfg.Own) == 0 || cfg.TLS == nil || cfg.Verify == nil {
 		return nil, errors.New("link: a hall of its own, certificates and a check of them are needed")
 	}
-	l := &relay{cfg: cfg}
+	l := &relay{config: cfg}
 	var err error
 	if l.arrivals, err = multisite.NewArrivals(arrivalTTL, maxArrivals); err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 
 // remoteServers is what the module is told of a hall that is reached by way of its own site's instances.
 func (l *relay) remoteServers(hall string) (list discovery.List, ok bool) {
-	peers, ok := l.cfg.Remote[hall]
+	peers, ok := l.config.Remote[hall]
 	for _, p := range peers {
 		list.Servers = append(list.Servers, discovery.Instance{Addr: p.Addr,
 			Server: policy.Server{ID: "@" + strconv.FormatUint(p.Member, 10), Weight: 1, Kind: "instance", Zone: hall}})
@@ -105,7 +105,7 @@
 
 // ownsSite tells whether this instance reaches a hall's servers itself.
 func (l *relay) ownsSite(hall string) bool {
-	for _, o := range l.cfg.Own {
+	for _, o := range l.config.Own {
 		if o == hall {
 			return true
 		}
@@ -122,11 +122,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayHandshakeTimeout)
 	defer cancel()
-	c := tls.Client(nc, l.cfg.TLS)
+	c := tls.Client(nc, l.config.TLS)
 	if err := c.HandshakeContext(ctx); err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	if got, err := l.cfg.Verify(c.ConnectionState()); err != nil || got != want {
+	if got, err := l.config.Verify(c.ConnectionState()); err != nil || got != want {
 		return nil, fmt.Errorf("link: member %d answers where member %d is expected: %w", got, want, err)
 	}
 	return c, nil
@@ -307,7 +307,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return tls.Server(nc, l.link.cfg.TLS), nil
+	return tls.Server(nc, l.link.config.TLS), nil
 }
 
 // verifyPeer checks the certificate at the other end of a connection of the link.
@@ -320,7 +320,7 @@
 	defer cancel()
 	err := t.HandshakeContext(ctx)
 	if err == nil {
-		_, err = c.server.instance.relay.cfg.Verify(t.ConnectionState())
+		_, err = c.server.instance.relay.config.Verify(t.ConnectionState())
 	}
 	if err != nil {
 		c.server.instance.log.Printf("link: connection from %s: %v", c.nc.RemoteAddr(), err)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -62,140 +62,194 @@
 	failed
 )
 
-// serveRequest takes a flight from its request to its final answer. gone tells whether the
-// client has left; it is asked before each further attempt.
-func (in *Instance) serveRequest(fl *pendingRequest, q policy.Request, gone func() bool) {
-	at, pending, done := in.handleRequestEvent(fl, func(now time.Duration, out policy.Actions) {
-		in.lastRequestNumber++
-		var b [20]byte
-		fl.id = string(strconv.AppendUint(b[:0], in.lastRequestNumber, 36))
-		q.ID = fl.id
-		in.requests[fl.id] = fl
-		if fl.cameByRelay { // nothing crosses twice
-			q.Zone, q.IsCharged = in.relay.cfg.Own[0], true
-		}
-		if fl.hasKeyOwner {
-			v := in.keys.Route(now, fl.key)
-			if v.Hall != "" && fl.cameByRelay && !in.relay.ownsSite(v.Hall) {
-				v = multisite.Verdict{Wait: minRetryAfter, Why: "the sites differ on its home"} // the other site goes by older homes, or this one does
-			}
-			if q.Zone = v.Hall; v.Hall == "" {
-				fl.keyRejection = v.Why
-				in.answer(fl, rejected, min(max(v.Wait, minRetryAfter), in.config.Settings.MaxRetryAfter))
-				return
-			}
-		}
-		in.engine.RequestReceived(now, q, out)
+// serveRequest takes a request to its final answer. hasDisconnected tells whether the client has closed its connection;
+// it is asked before each retry.
+func (in *Instance) serveRequest(r *pendingRequest, q policy.Request, hasDisconnected func() bool) {
+	next, hasNext, isAnswered := in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
+		in.admit(r, q, now, out)
 	})
-	for !done {
-		if pending {
-			at, pending, done = in.runAttempt(fl, at, gone)
+	for !isAnswered {
+		if hasNext {
+			next, hasNext, isAnswered = in.runAttempt(r, next, hasDisconnected)
 			continue
 		}
-		late := time.NewTimer(time.Until(fl.deadline))
+		late := time.NewTimer(time.Until(r.deadline))
 		select {
-		case <-fl.wake:
-			at, pending, done = in.handleRequestEvent(fl, func(time.Duration, policy.Actions) {})
+		case <-r.wake:
+			next, hasNext, isAnswered = in.handleRequestEvent(r, func(time.Duration, policy.Actions) {})
 		case <-late.C:
-			at, pending, done = in.clientDisconnected(fl)
+			next, hasNext, isAnswered = in.clientDisconnected(r)
 		case <-in.ctx.Done():
-			at, pending, done = in.clientDisconnected(fl)
+			next, hasNext, isAnswered = in.clientDisconnected(r)
 		}
 		late.Stop()
 	}
-	in.handleEvent(func(time.Duration, policy.Actions) { delete(in.requests, fl.id) })
+	in.handleEvent(func(time.Duration, policy.Actions) { delete(in.requests, r.id) })
+}
+
+// admit registers a request and brings it to the engine, unless its key has no owner now. Called under the mutex.
+func (in *Instance) admit(r *pendingRequest, q policy.Request, now time.Duration, out policy.Actions) {
+	in.lastRequestNumber++
+	var b [20]byte
+	r.id = string(strconv.AppendUint(b[:0], in.lastRequestNumber, 36))
+	q.ID = r.id
+	in.requests[r.id] = r
+	if r.cameByRelay { // nothing is relayed twice
+		q.Zone, q.IsCharged = in.relay.config.Own[0], true
+	}
+	if r.hasKeyOwner {
+		verdict := in.routeKey(r, now)
+		if verdict.Hall == "" {
+			r.keyRejection = verdict.Why
+			in.answer(r, rejected, min(max(verdict.Wait, minRetryAfter), in.config.Settings.MaxRetryAfter))
+			return
+		}
+		q.Zone = verdict.Hall
+	}
+	in.engine.RequestReceived(now, q, out)
+}
+
+// routeKey returns the site that owns a request's key. A relayed request whose key this site does not own is rejected: one of
+// the two sites goes by older key owners. Called under the mutex.
+func (in *Instance) routeKey(r *pendingRequest, now time.Duration) multisite.Verdict {
+	verdict := in.keys.Route(now, r.key)
+	if verdict.Hall != "" && r.cameByRelay && !in.relay.ownsSite(verdict.Hall) {
+		return multisite.Verdict{Wait: minRetryAfter, Why: "the sites differ on its home"}
+	}
+	return verdict
 }
 
-// clientDisconnected ends a flight whose client has gone or for which no answer was given in time.
-func (in *Instance) clientDisconnected(fl *pendingRequest) (attempt, bool, bool) {
-	return in.handleRequestEvent(fl, func(now time.Duration, out policy.Actions) {
-		in.answer(fl, failed, 0)
-		in.engine.ClientDisconnected(now, fl.id, out)
+// clientDisconnected ends a request whose client has gone or for which no answer was given in time.
+func (in *Instance) clientDisconnected(r *pendingRequest) (next attempt, hasNext, isAnswered bool) {
+	return in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
+		in.answer(r, failed, 0)
+		in.engine.ClientDisconnected(now, r.id, out)
 	})
 }
 
-// runAttempt carries out one attempt and brings its outcome to the module.
-func (in *Instance) runAttempt(fl *pendingRequest, at attempt, gone func() bool) (attempt, bool, bool) {
-	var result policy.Result
-	sent := in.now()
-	fl.response.wasWritten, fl.response.connectedAt = false, time.Time{}
-	let, full := true, false
-	if fl.isRelayed = isRemoteServer(at.server); fl.isRelayed {
-		if full = !in.relay.acquire(fl); !full {
-			defer in.relay.release(fl)
+// runAttempt carries out one attempt and brings its result to the engine.
+func (in *Instance) runAttempt(r *pendingRequest, a attempt, hasDisconnected func() bool) (next attempt, hasNext, isAnswered bool) {
+	sentAt := in.now()
+	r.response.wasWritten, r.response.connectedAt = false, time.Time{}
+	r.isRelayed = isRemoteServer(a.server)
+	hasCapacity := true
+	if r.isRelayed {
+		if hasCapacity = in.relay.acquire(r); hasCapacity {
+			defer in.relay.release(r)
 		}
 	}
-	if fl.hasKeyOwner && !full { // the homes may have changed since the request was admitted
-		in.handleEvent(func(now time.Duration, out policy.Actions) {
-			hall, _, _ := strings.Cut(at.server, "/")
-			if let = in.keys.Send(now, fl.key, hall); !let && fl.wasSent {
-				in.answer(fl, failed, 0)
-			} else if !let {
-				fl.keyRejection = "its home has moved meanwhile"
-				in.answer(fl, rejected, minRetryAfter)
-			}
-		})
+	ownsKey := true
+	if r.hasKeyOwner && hasCapacity {
+		ownsKey = in.confirmKeyOwner(r, a)
 	}
-	if full {
-		result = policy.RejectedByServer // no more may cross now
-	} else if !let {
+	var result policy.Result
+	switch {
+	case !hasCapacity:
+		result = policy.RejectedByServer // no more may be relayed now
+	case !ownsKey:
 		result = policy.NotSent
-	} else if fl.attempts > 1 && gone() {
+	case r.attempts > 1 && hasDisconnected():
 		result = policy.NotSent
-		in.handleEvent(func(now time.Duration, out policy.Actions) { in.answer(fl, failed, 0) })
-	} else {
-		result = in.servers.exchange(in.ctx, fl.current, at.server, at.deadline, fl.requestHead.Method == "HEAD", &fl.response,
-			func(b []byte) []byte { return fl.appendRequest(b, at.deadline) })
-		if fl.isRelayed && result == policy.ConnectionReset {
-			result = in.resolveRelayed(fl, at)
-		}
-	}
-	fl.mayRun = fl.mayRun || fl.response.wasWritten && result != policy.RejectedByServer
-	if fl.response.wasWritten {
-		fl.counters.Attempts.Add(1)
-		if !fl.wasSent {
-			fl.wasSent = true
-			fl.counters.Sent.Add(1)
-			fl.counters.Units.Add(int64(fl.units))
-		}
+		in.handleEvent(func(now time.Duration, out policy.Actions) { in.answer(r, failed, 0) })
+	default:
+		result = in.send(r, a)
 	}
-	report := fl.response.report()
-	return in.handleRequestEvent(fl, func(now time.Duration, out policy.Actions) {
-		fl.current = nil
-		if !fl.isRelayed || result != policy.RejectedByServer && result != policy.ErrorResponse { // the far instance's word says nothing of its hall
-			in.recordSiteHealth(now, at.server, result, sent)
+	r.countAttempt(result)
+	report := r.response.report()
+	return in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
+		r.current = nil
+		if !r.isRelayed || result != policy.RejectedByServer && result != policy.ErrorResponse {
+			in.recordSiteHealth(now, a.server, result, sentAt) // what a remote instance rejects says nothing of its site
 		}
-		if fl.hasKeyOwner && let && !full {
-			in.keys.Ended(fl.key, !fl.response.wasWritten || result == policy.RejectedByServer || result == policy.ConnectFailed || result == policy.NotSent)
+		if r.hasKeyOwner && ownsKey && hasCapacity {
+			in.keys.Ended(r.key, r.neverExecuted(result))
 		}
 		if result == policy.OK {
-			in.answer(fl, served, 0)
+			in.answer(r, served, 0)
 		}
-		o := policy.AttemptResult{ID: fl.id, Attempt: fl.attempts - 1, RequestAnswered: fl.isAnswered, Result: result, Server: at.server,
-			Latency: now - sent, LoadReport: report}
-		if !fl.response.connectedAt.IsZero() {
-			o.ConnectedAt = time.Duration(in.startedAt.UnixNano()) + fl.response.connectedAt.Sub(in.startedAt)
+		in.engine.AttemptCompleted(now, in.attemptResult(r, a, result, now-sentAt, report), out)
+	})
+}
+
+// confirmKeyOwner tells whether the attempt's site still owns the request's key: key owners may have changed since the request
+// was admitted. If not, the request is answered.
+func (in *Instance) confirmKeyOwner(r *pendingRequest, a attempt) (isOwner bool) {
+	isOwner = true
+	in.handleEvent(func(now time.Duration, out policy.Actions) {
+		site, _, _ := strings.Cut(a.server, "/")
+		isOwner = in.keys.Send(now, r.key, site)
+		switch {
+		case isOwner:
+		case r.wasSent:
+			in.answer(r, failed, 0)
+		default:
+			r.keyRejection = "its home has moved meanwhile"
+			in.answer(r, rejected, minRetryAfter)
 		}
-		in.engine.AttemptCompleted(now, o, out)
 	})
+	return isOwner
+}
+
+// send exchanges an attempt with its server. A relayed one whose connection broke is asked for at the other site.
+func (in *Instance) send(r *pendingRequest, a attempt) policy.Result {
+	result := in.servers.exchange(in.ctx, r.current, a.server, a.deadline, r.requestHead.Method == "HEAD", &r.response,
+		func(b []byte) []byte { return r.appendRequest(b, a.deadline) })
+	if r.isRelayed && result == policy.ConnectionReset {
+		return in.resolveRelayed(r, a)
+	}
+	return result
+}
+
+// countAttempt counts an attempt that was written whole, and the request's units with the first of these.
+func (r *pendingRequest) countAttempt(result policy.Result) {
+	if !r.response.wasWritten {
+		return
+	}
+	r.mayRun = r.mayRun || result != policy.RejectedByServer
+	r.counters.Attempts.Add(1)
+	if !r.wasSent {
+		r.wasSent = true
+		r.counters.Sent.Add(1)
+		r.counters.Units.Add(int64(r.units))
+	}
+}
+
+// neverExecuted tells whether the latest attempt surely never ran.
+func (r *pendingRequest) neverExecuted(result policy.Result) bool {
+	switch result {
+	case policy.RejectedByServer, policy.ConnectFailed, policy.NotSent:
+		return true
+	}
+	return !r.response.wasWritten
+}
+
+// attemptResult is what the engine is told of an attempt's end.
+func (in *Instance) attemptResult(r *pendingRequest, a attempt, result policy.Result, latency time.Duration,
+	report *policy.LoadReport) policy.AttemptResult {
+	end := policy.AttemptResult{ID: r.id, Attempt: r.attempts - 1, RequestAnswered: r.isAnswered, Result: result,
+		Server: a.server, Latency: latency, LoadReport: report}
+	if !r.response.connectedAt.IsZero() {
+		end.ConnectedAt = time.Duration(in.startedAt.UnixNano()) + r.response.connectedAt.Sub(in.startedAt)
+	}
+	return end
 }
 
-// answer gives a flight its final answer unless it has one. Called under the mutex.
-func (in *Instance) answer(fl *pendingRequest, k outcome, wait time.Duration) {
-	if fl.isAnswered {
+// answer gives a request its final answer unless it has one. Called under the mutex.
+func (in *Instance) answer(r *pendingRequest, result outcome, retryAfter time.Duration) {
+	if r.isAnswered {
 		return
 	}
-	fl.isAnswered, fl.answer, fl.retryAfter = true, k, wait
-	if k := fl.current; k != nil { // no answer of the attempt under way counts any more
-		in.deferred = append(in.deferred, k.abort)
+	r.isAnswered, r.answer, r.retryAfter = true, result, retryAfter
+	if r.current != nil { // no response to the attempt in flight counts any more
+		in.deferred = append(in.deferred, r.current.abort)
 	}
-	in.wakeRequest(fl)
+	in.wakeRequest(r)
 }
 
-// wakeRequest has a flight's goroutine look at what is next. Called under the mutex.
-func (in *Instance) wakeRequest(fl *pendingRequest) {
-	if fl.isWaiting {
-		fl.isWaiting = false
-		fl.wake <- struct{}{} // there is room: it is told once for each wait
+// wakeRequest has a request's goroutine look at what is next. Called under the mutex.
+func (in *Instance) wakeRequest(r *pendingRequest) {
+	if r.isWaiting {
+		r.isWaiting = false
+		r.wake <- struct{}{} // never blocks: its buffer holds one, and one is sent for each wait
 	}
 }
