--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -141,64 +141,79 @@
 
 // serveOne answers one request; it is false if the connection is to be closed.
 func (c *clientConn) serveOne() (again bool) {
-	fl := &c.request
-	fl.body, fl.isAnswered, fl.hasNext, fl.isWaiting, fl.wasSent, fl.attempts, fl.current = nil, false, false, false, false, 0, nil
-	fl.mayRun, fl.cameByRelay, fl.isRelayed, fl.keyRejection = false, c.isRelay, false, ""
-	select {
-	case <-fl.wake: // crossed with the end of the last request's time
-	default:
-	}
+	r := &c.request
+	r.reset(c.isRelay)
 	defer func() {
 		if p := recover(); p != nil {
 			c.server.instance.log.Printf("panic: %v\n%s", p, debug.Stack())
 			again = false
 		}
 	}()
-	err := c.reader.Request(&fl.requestHead)
+	err := c.reader.Request(&r.requestHead)
 	began := time.Now()
 	if err != nil {
 		return c.rejectUnreadable(err)
 	}
-	if fl.requestHead.Chunked {
-		return c.rejectBadRequest(&badRequest{status: http.StatusLengthRequired, text: "Content-Length is wanted, not Transfer-Encoding", close: true})
-	}
-	if fl.requestHead.Length > maxRequestBody {
-		return c.rejectBadRequest(&badRequest{status: http.StatusRequestEntityTooLarge, text: "body: over 64 KiB", close: true})
-	}
-	if fl.requestHead.Length > 0 {
-		if e, n := fl.requestHead.Values("Expect"); n > 0 && strings.EqualFold(e, "100-continue") && c.reader.Buffered() == 0 {
-			c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-		}
-		fl.body = make([]byte, fl.requestHead.Length)
-		if err := c.reader.Body(fl.body); err != nil {
-			return c.rejectBadRequest(&badRequest{status: http.StatusBadRequest, text: "body: incomplete", close: true})
-		}
-	}
-	if fl.requestHead.Target == readyPath && fl.requestHead.Method == "GET" {
-		return c.serveHealth()
-	}
-	if c.isRelay && fl.requestHead.Method == "GET" && fl.requestHead.Target == executionStatusPath {
-		return c.serveExecutionStatus()
+	if err := c.readBody(); err != nil {
+		return c.rejectBadRequest(err)
 	}
-	if c.isRelay && fl.requestHead.Method == "GET" && fl.requestHead.Target == healthCheckPath { // this instance lives
-		return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), nil, 0)
+	if handler := c.ownHandler(); handler != nil {
+		return handler()
 	}
-	q, err := c.server.parse(fl, began)
+	q, err := c.server.parse(r, began)
 	if err == nil && c.isRelay {
-		fl.counters = &Counters{} // it counts where it entered
+		r.counters = &Counters{} // it counts where it entered
 		err = c.acceptRelayed()
 	}
 	if err != nil {
 		return c.rejectBadRequest(err)
 	}
-	fl.deadline = began.Add(q.Timeout + c.server.instance.config.Settings.ResponseSlack)
-	c.server.instance.serveRequest(fl, q, c.hasDisconnected)
+	r.deadline = began.Add(q.Timeout + c.server.instance.config.Settings.ResponseSlack)
+	c.server.instance.serveRequest(r, q, c.hasDisconnected)
 	if c.isRelay {
 		c.finishRelayed()
 	}
 	return c.writeAnswer()
 }
 
+// ownHandler returns what answers a request to the instance itself, or nil for one that is to be forwarded.
+func (c *clientConn) ownHandler() func() bool {
+	head := &c.request.requestHead
+	if head.Method != http.MethodGet {
+		return nil
+	}
+	switch {
+	case head.Target == readyPath:
+		return c.serveHealth
+	case c.isRelay && head.Target == executionStatusPath:
+		return c.serveExecutionStatus
+	case c.isRelay && head.Target == healthCheckPath:
+		return c.serveRelayHealth
+	}
+	return nil
+}
+
+// readBody reads the body of the request whose head has been read. Its error is a *badRequest or nil.
+func (c *clientConn) readBody() error {
+	head := &c.request.requestHead
+	switch {
+	case head.Chunked:
+		return &badRequest{status: http.StatusLengthRequired, text: "Content-Length is wanted, not Transfer-Encoding", close: true}
+	case head.Length > maxRequestBody:
+		return &badRequest{status: http.StatusRequestEntityTooLarge, text: "body: over 64 KiB", close: true}
+	case head.Length <= 0:
+		return nil
+	}
+	if expect, n := head.Values("Expect"); n > 0 && strings.EqualFold(expect, "100-continue") && c.reader.Buffered() == 0 {
+		c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+	c.request.body = make([]byte, head.Length)
+	if err := c.reader.Body(c.request.body); err != nil {
+		return &badRequest{status: http.StatusBadRequest, text: "body: incomplete", close: true}
+	}
+	return nil
+}
+
 // hasDisconnected tells whether the client has closed its connection.
 func (c *clientConn) hasDisconnected() bool {
 	if c.reader.Buffered() > 0 {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -47,6 +47,19 @@
 	response     response // of the latest attempt
 }
 
+// reset makes the request ready for the next one on its connection. Nothing else may use it any more.
+func (r *pendingRequest) reset(cameByRelay bool) {
+	r.body, r.current, r.attempts = nil, nil, 0
+	r.isAnswered, r.hasNext, r.isWaiting = false, false, false
+	r.wasSent, r.mayRun, r.isRelayed = false, false, false
+	r.cameByRelay, r.keyRejection = cameByRelay, ""
+	select {
+	case <-r.wake: // crossed with the end of the last request's time
+	default:
+	}
+}
+
+// attempt is one send of a request to a server.
 type attempt struct {
 	server   string
 	deadline time.Time
--- a/internal/gateway/request_parse.go
+++ b/internal/gateway/request_parse.go
@@ -12,84 +12,133 @@
 	"mulleinmux/routing"
 )
 
-// parse finds a request's operation and what the module must know of it. The version in
-// force is read once: the request keeps it.
-func (f *clientServer) parse(fl *pendingRequest, began time.Time) (q policy.Request, err error) {
-	h := &fl.requestHead
-	// First its standing, then the version: a version may be put in force in between, which is
-	// confirmed then as well.
-	fl.confirmationAge, fl.version = 0, nil
+// parse finds a request's operation and what the engine must know of it. The version in force is read once: the request
+// keeps it.
+func (f *clientServer) parse(r *pendingRequest, began time.Time) (q policy.Request, err error) {
+	if err := f.takeVersion(r, began); err != nil {
+		return q, err
+	}
+	head := &r.requestHead
+	path, query, _ := strings.Cut(head.Target, "?")
+	if err := r.match(path, query); err != nil {
+		return q, err
+	}
+	call := routing.Request{Query: query, Head: head, Body: r.body}
+	if r.units, err = r.operation.Charge(call); err != nil {
+		return q, err
+	}
+	if checker := r.version.checker; checker != nil {
+		if err := checker.Check(r.operation, head, r.body); err != nil {
+			return q, &badRequest{status: http.StatusBadRequest, text: err.Error()}
+		}
+	}
+	licensee, err := r.identifyLicensee()
+	if err != nil {
+		return q, err
+	}
+	if err := r.takeTrace(); err != nil {
+		return q, err
+	}
+	timeout, err := r.clientTimeout()
+	if err != nil {
+		return q, err
+	}
+	r.hasKeyOwner = f.instance.keys != nil && r.operation.Key.In != routing.Nowhere
+	if r.hasKeyOwner {
+		r.key = keyNumber(r.licensee, r.operation.KeyOf(call, path))
+	}
+	return policy.Request{Class: r.operation.Class.Name, Plan: licensee.Plan, Customer: licensee.Customer,
+		Timeout: timeout - clientTransit - time.Since(began), Units: float64(r.units),
+		InstanceCount: f.instance.config.Settings.InstanceCount}, nil
+}
+
+// takeVersion gives the request the version in force. Its confirmation is read before it: a version that is put in force in
+// between is confirmed as well.
+func (f *clientServer) takeVersion(r *pendingRequest, now time.Time) error {
+	r.confirmationAge, r.version = 0, nil
 	if f.instance.config.Agreement != nil {
-		var serves bool
-		if fl.confirmationAge, serves = f.instance.Confirmation(began); !serves {
+		age, serves := f.instance.Confirmation(now)
+		r.confirmationAge = age
+		if !serves {
 			f.instance.unconfirmedCount.Add(1)
-			return q, errUnconfirmed
+			return errUnconfirmed
 		}
 	}
-	v := f.instance.version.Load()
-	fl.version = v
-	path, query, _ := strings.Cut(h.Target, "?")
-	if reason := v.table.CheckPath(path); reason != "" {
-		return q, &badRequest{status: http.StatusBadRequest, text: reason}
+	r.version = f.instance.version.Load()
+	return nil
+}
+
+// match finds the operation of a request whose target can be read in one way only.
+func (r *pendingRequest) match(path, query string) error {
+	head, table := &r.requestHead, r.version.table
+	if reason := table.CheckPath(path); reason != "" {
+		return &badRequest{status: http.StatusBadRequest, text: reason}
 	}
 	if strings.IndexByte(query, '#') >= 0 {
-		return q, &badRequest{status: http.StatusBadRequest, text: "the target has a fragment"}
+		return &badRequest{status: http.StatusBadRequest, text: "the target has a fragment"}
 	}
-	if h.Nominated {
+	if head.Nominated {
 		// A field that Connection names is dropped on the way: the cost could stand in it.
-		return q, &badRequest{status: http.StatusBadRequest, text: "Connection: names other fields than close and keep-alive"}
+		return &badRequest{status: http.StatusBadRequest, text: "Connection: names other fields than close and keep-alive"}
 	}
-	if err := overridesTarget(h, query); err != nil {
-		return q, err
+	if err := overridesTarget(head, query); err != nil {
+		return err
 	}
-	op, allow, a := v.table.Match(h.Method, path)
-	switch a {
+	operation, allow, result := table.Match(head.Method, path)
+	switch result {
 	case routing.UnknownPath:
-		return q, &badRequest{status: http.StatusNotFound, text: "no operation has this path"}
+		return &badRequest{status: http.StatusNotFound, text: "no operation has this path"}
 	case routing.UnknownMethod:
-		return q, &badRequest{status: http.StatusMethodNotAllowed, text: "this path has no such method", allow: allow}
+		return &badRequest{status: http.StatusMethodNotAllowed, text: "this path has no such method", allow: allow}
 	case routing.Preflight:
-		return q, &badRequest{status: http.StatusNoContent, allow: allow}
+		return &badRequest{status: http.StatusNoContent, allow: allow}
 	}
-	fl.operation, fl.counters = op, v.counters[op.Index]
-	units, err := op.Charge(routing.Request{Query: query, Head: h, Body: fl.body})
-	if err != nil {
-		return q, err
+	r.operation, r.counters = operation, r.version.counters[operation.Index]
+	return nil
+}
+
+// identifyLicensee finds the customer that the request names.
+func (r *pendingRequest) identifyLicensee() (Licensee, error) {
+	name, n := r.requestHead.Values("X-Licensee")
+	r.licensee = name
+	if n != 1 || name == "" {
+		return Licensee{}, &badRequest{status: http.StatusBadRequest, text: "X-Licensee: one is wanted"}
+	}
+	licensee, ok := r.version.licensees[name]
+	if !ok {
+		return Licensee{}, &badRequest{status: http.StatusForbidden, text: "X-Licensee: is not known"}
 	}
-	if v.checker != nil {
-		if err := v.checker.Check(op, h, fl.body); err != nil {
-			return q, &badRequest{status: http.StatusBadRequest, text: err.Error()}
-		}
+	return licensee, nil
+}
+
+// takeTrace takes the request's trace id, or makes one.
+func (r *pendingRequest) takeTrace() error {
+	trace, n := r.requestHead.Values("X-Trace-Id")
+	r.trace = trace
+	switch {
+	case n == 0:
+		r.trace = newTrace()
+	case n > 1 || !validTrace(trace):
+		return &badRequest{status: http.StatusBadRequest, text: "X-Trace-Id: malformed"}
 	}
-	var n int
-	if fl.licensee, n = h.Values("X-Licensee"); n != 1 || fl.licensee == "" {
-		return q, &badRequest{status: http.StatusBadRequest, text: "X-Licensee: one is wanted"}
+	return nil
+}
+
+// clientTimeout is how long the client waits: what it tells, or the class's deadline where that is shorter or nothing is told.
+func (r *pendingRequest) clientTimeout() (time.Duration, error) {
+	timeout := r.operation.Class.Deadline
+	text, n := r.requestHead.Values("X-Expires-In")
+	if n == 0 {
+		return timeout, nil
 	}
-	l, ok := v.licensees[fl.licensee]
-	if !ok {
-		return q, &badRequest{status: http.StatusForbidden, text: "X-Licensee: is not known"}
-	}
-	if fl.trace, n = h.Values("X-Trace-Id"); n > 1 || n == 1 && !validTrace(fl.trace) {
-		return q, &badRequest{status: http.StatusBadRequest, text: "X-Trace-Id: malformed"}
-	} else if n == 0 {
-		fl.trace = newTrace()
-	}
-	grace := op.Class.Deadline
-	if text, n := h.Values("X-Expires-In"); n > 0 {
-		s, ok := loadreport.Decimal(text)
-		if !ok || s <= 0 || n > 1 {
-			return q, &badRequest{status: http.StatusBadRequest, text: "X-Expires-In: malformed"}
-		}
-		if s < grace.Seconds() { // nobody waits for longer than the class's clients do
-			grace = time.Duration(s * float64(time.Second))
-		}
+	seconds, ok := loadreport.Decimal(text)
+	if !ok || seconds <= 0 || n > 1 {
+		return 0, &badRequest{status: http.StatusBadRequest, text: "X-Expires-In: malformed"}
 	}
-	fl.units = units
-	if fl.hasKeyOwner = f.instance.keys != nil && op.Key.In != routing.Nowhere; fl.hasKeyOwner {
-		fl.key = keyNumber(fl.licensee, op.KeyOf(routing.Request{Query: query, Head: h, Body: fl.body}, path))
+	if seconds < timeout.Seconds() {
+		timeout = time.Duration(seconds * float64(time.Second))
 	}
-	return policy.Request{Class: op.Class.Name, Plan: l.Plan, Customer: l.Customer, Timeout: grace - clientTransit - time.Since(began),
-		Units: float64(units), InstanceCount: f.instance.config.Settings.InstanceCount}, nil
+	return timeout, nil
 }
 
 // keyNumber gives a licensee's key its number, the same at every instance (FNV-1a).
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -70,77 +70,100 @@
 	return err
 }
 
-// writeAnswer words the final answer of the flight.
+// writeAnswer writes the final answer of the request and counts it.
 func (c *clientConn) writeAnswer() bool {
-	fl := &c.request
-	rec := RequestRecord{Trace: fl.trace, Operation: fl.operation.ID, Licensee: fl.licensee, Version: fl.version.number, Units: fl.units,
-		Sent: fl.wasSent, Attempts: fl.attempts, Answer: fl.answer.String(), KeyRejection: fl.keyRejection}
+	r := &c.request
+	record := RequestRecord{Trace: r.trace, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number, Units: r.units,
+		Sent: r.wasSent, Attempts: r.attempts, Answer: r.answer.String(), KeyRejection: r.keyRejection}
 	var b, body []byte
-	length := 0
-	switch fl.answer {
+	var length int
+	switch r.answer {
 	case served:
-		fl.counters.Served.Add(1)
-		h := &fl.response.head
-		rec.Status = h.Status
-		b = c.appendStatusLine(h.Status, h.Reason)
-		for i := range h.Fields {
-			f := &h.Fields[i]
-			if !httpwire.HopByHop(f.Name) && !strings.EqualFold(f.Name, "Endpoint-Load-Metrics") && !strings.EqualFold(f.Name, "X-Never-Ran") {
-				b = httpwire.AppendField(b, f.Name, f.Value)
-			}
-		}
-		body, length = fl.response.body, len(fl.response.body)
-		if fl.requestHead.Method == "HEAD" || h.Status == 304 {
-			length = int(h.Length)
-		} else if h.Status == 204 {
-			length = -1
-		}
+		r.counters.Served.Add(1)
+		record.Status = r.response.head.Status
+		b, body, length = c.appendServed()
 	case rejected:
-		fl.counters.Refused.Add(1)
-		if c.isRelay && !fl.mayRun {
-			return c.neverRan("refused", fl.retryAfter)
-		}
-		rec.Status = http.StatusTooManyRequests
-		b = c.appendStatusLine(rec.Status, "Too Many Requests")
-		if fl.retryAfter > 0 {
-			b = append(b, "Retry-After: "...)
-			b = appendSeconds(b, fl.retryAfter)
-			b = append(b, "\r\n"...)
+		r.counters.Refused.Add(1)
+		if c.isRelay && !r.mayRun {
+			return c.neverRan("refused", r.retryAfter)
 		}
-		body = []byte("refused: trying again does no harm\n")
+		record.Status = http.StatusTooManyRequests
+		b, body, length = c.appendOwn(record.Status, r.retryAfter, "refused: trying again does no harm\n")
 	default:
-		fl.counters.Failed.Add(1)
-		if c.isRelay && !fl.mayRun {
+		r.counters.Failed.Add(1)
+		if c.isRelay && !r.mayRun {
 			return c.neverRan("failed: nothing was sent on", 0)
 		}
-		rec.Status = http.StatusBadGateway
-		b = c.appendStatusLine(rec.Status, "Bad Gateway")
-		body = []byte("failed: it may have run\n")
-		if !fl.wasSent {
-			body = []byte("failed: nothing was sent on\n")
+		record.Status = http.StatusBadGateway
+		text := "failed: it may have run\n"
+		if !r.wasSent {
+			text = "failed: nothing was sent on\n"
 		}
+		b, body, length = c.appendOwn(record.Status, 0, text)
 	}
-	if fl.answer != served {
-		b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
-		length = len(body)
-		if fl.requestHead.Method == "HEAD" {
-			body = nil
+	b = c.appendExplanation(b, &record)
+	if observe := c.server.instance.config.Observe; observe != nil && !c.isRelay {
+		observe(record)
+	}
+	r.response.body = nil
+	return c.writeResponse(b, body, length)
+}
+
+// appendServed starts an answer with the head of a server's response. It returns the body to write and the length to tell, which
+// differ for HEAD; a length below 0 is not told.
+func (c *clientConn) appendServed() (b, body []byte, length int) {
+	r := &c.request
+	head := &r.response.head
+	b = c.appendStatusLine(head.Status, head.Reason)
+	for i := range head.Fields {
+		f := &head.Fields[i]
+		if !httpwire.HopByHop(f.Name) && !strings.EqualFold(f.Name, "Endpoint-Load-Metrics") && !strings.EqualFold(f.Name, "X-Never-Ran") {
+			b = httpwire.AppendField(b, f.Name, f.Value)
 		}
 	}
-	if _, n := fl.requestHead.Values("X-Mulleinmux-Explain"); n > 0 {
-		b = fmt.Appendf(b, "X-Mulleinmux-Version: %d\r\nX-Mulleinmux-Operation: %s\r\nX-Mulleinmux-Units: %d\r\nX-Mulleinmux-Attempts: %d\r\n",
-			rec.Version, rec.Operation, rec.Units, rec.Attempts)
+	body, length = r.response.body, len(r.response.body)
+	switch {
+	case r.requestHead.Method == http.MethodHead || head.Status == http.StatusNotModified:
+		length = int(head.Length)
+	case head.Status == http.StatusNoContent:
+		length = -1
+	}
+	return b, body, length
+}
+
+// appendOwn starts an answer of the gateway's own, with a line of text as its body.
+func (c *clientConn) appendOwn(status int, retryAfter time.Duration, text string) (b, body []byte, length int) {
+	b = c.appendStatusLine(status, http.StatusText(status))
+	b = appendRetryAfter(b, retryAfter)
+	b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
+	if c.request.requestHead.Method == http.MethodHead {
+		return b, nil, len(text)
+	}
+	return b, []byte(text), len(text)
+}
+
+// appendRetryAfter appends the field unless there is nothing to wait for.
+func appendRetryAfter(b []byte, wait time.Duration) []byte {
+	if wait <= 0 {
+		return b
+	}
+	b = append(b, "Retry-After: "...)
+	b = appendSeconds(b, wait)
+	return append(b, "\r\n"...)
+}
+
+// appendExplanation appends what a client asked to be told of its request, and the age of a configuration that may be old.
+func (c *clientConn) appendExplanation(b []byte, record *RequestRecord) []byte {
+	if _, n := c.request.requestHead.Values("X-Mulleinmux-Explain"); n > 0 {
+		b = fmt.Appendf(b, "X-Mulleinmux-Version: %d\r\nX-Mulleinmux-Operation: %s\r\n", record.Version, record.Operation)
+		b = fmt.Appendf(b, "X-Mulleinmux-Units: %d\r\nX-Mulleinmux-Attempts: %d\r\n", record.Units, record.Attempts)
 	}
-	if fl.confirmationAge > minConfigAgeShown { // cut off: what clients are told may be old
+	if c.request.confirmationAge > minConfigAgeShown {
 		b = append(b, "X-Mulleinmux-Config-Age: "...)
-		b = appendSeconds(b, fl.confirmationAge)
+		b = appendSeconds(b, c.request.confirmationAge)
 		b = append(b, "\r\n"...)
 	}
-	if c.server.instance.config.Observe != nil && !c.isRelay {
-		c.server.instance.config.Observe(rec)
-	}
-	fl.response.body = nil
-	return c.writeResponse(b, body, length)
+	return b
 }
 
 // rejectBadRequest answers a request that is the client's mistake.
@@ -161,11 +184,7 @@
 		c.server.instance.badRequestCount.Add(1)
 	}
 	b := c.appendStatusLine(e.status, http.StatusText(e.status))
-	if e.wait > 0 {
-		b = append(b, "Retry-After: "...)
-		b = appendSeconds(b, e.wait)
-		b = append(b, "\r\n"...)
-	}
+	b = appendRetryAfter(b, e.wait)
 	if e.allow != "" {
 		b = httpwire.AppendField(b, "Allow", e.allow)
 	}
@@ -219,3 +238,8 @@
 	}
 	return c.writeResponse(c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable"), []byte("not ready\n"), 10)
 }
+
+// serveRelayHealth tells another site's instance that this one lives.
+func (c *clientConn) serveRelayHealth() bool {
+	return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), nil, 0)
+}
