--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,7 +1,7 @@
 // Package gateway is one instance of the gateway on sockets: it reads clients' requests,
-// finds their operation in the description in force, asks the decision module what is to
-// become of them, and carries that out. Routes and costs are decided in package contract,
-// admission, servers and repeats in package choice; here bytes are moved.
+// finds their operation in the description in force, asks the policy engine what is to
+// become of them, and carries that out. Routes and costs are decided in package routing,
+// admission, servers and retries in package policy; here bytes are moved.
 package gateway
 
 import (
@@ -37,23 +37,23 @@
 
 	Licensees map[string]Licensee // by name
 
-	// Agreed, if set, has the instance serve only on a setup whose standing it is told
+	// Agreement, if set, has the instance serve only on a setup whose standing it is told
 	// (see [Instance.ConfirmVersion]): instances agree on it.
 	Agreement *Agreement
 
-	// Keys, if set, keeps a keyed request to the hall that package sites gives it.
+	// Keys, if set, keeps a keyed request to the site that package multisite gives it.
 	Keys *multisite.Config
 
-	// Health, if set, has the instance judge the halls: see package sites.
+	// Health, if set, has the instance judge the sites: see package multisite.
 	Health *multisite.HealthConfig
 
-	// Consent, if set, has homes of keys confirmed by as many voters as no new homes can do without.
+	// QuorumConfirmation, if set, has key owners confirmed by as many voters as no newer key owners can do without.
 	QuorumConfirmation *multisite.ConsentConfig
 
-	// Ramp, if set, has the instances share out what cold servers may be sent: see package sites.
+	// RecoveryRamp, if set, has the instances share out what cold servers may be sent: see package multisite.
 	RecoveryRamp *multisite.RampConfig
 
-	// Link, if set, has the instance reach other sites' halls by way of their instances.
+	// Relay, if set, has the instance reach other sites by way of their instances.
 	Relay *RelayConfig
 
 	MaxClientConns    int           // connections of clients
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -14,7 +14,7 @@
 	return time.Duration(in.startedAt.UnixNano()) + time.Since(in.startedAt)
 }
 
-// handleEvent runs one event of the module, then what its actions left to do.
+// handleEvent runs one event of the engine, then what its actions left to do.
 func (in *Instance) handleEvent(f func(now time.Duration, out policy.Actions)) {
 	in.mu.Lock()
 	in.runEvent(f)
@@ -26,7 +26,7 @@
 	}
 }
 
-// runEvent runs an event. A panic of the module is logged, with the stack that names its
+// runEvent runs an event. A panic of the engine is logged, with the stack that names its
 // cause, and costs the one event.
 func (in *Instance) runEvent(f func(now time.Duration, out policy.Actions)) {
 	if in.isClosed {
@@ -41,7 +41,7 @@
 	f(in.now(), (*actions)(in))
 }
 
-// handleRequestEvent runs an event of a flight's own and takes what comes next for it.
+// handleRequestEvent runs an event of one request and takes what comes next for it.
 func (in *Instance) handleRequestEvent(fl *pendingRequest, f func(now time.Duration, out policy.Actions)) (next attempt, pending, done bool) {
 	in.mu.Lock()
 	in.runEvent(f)
@@ -66,8 +66,8 @@
 // actions carries out what the module asks for. All are called under the mutex.
 type actions Instance
 
-// SendAttempt leaves word of the flight's next attempt, bounded by its timeout and by the
-// client's deadline. The flight's goroutine begins it once no other is out.
+// SendAttempt leaves word of the request's next attempt, bounded by its timeout and by the
+// client's deadline. The request's goroutine begins it once no other is out.
 func (a *actions) SendAttempt(id, server string, timeout time.Duration) {
 	in := (*Instance)(a)
 	fl := in.requests[id]
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -84,54 +84,44 @@
 	}
 }
 
-// exchange writes a request to a server, once at most, and reads the whole answer into
-// rep. word appends the request to a buffer. It ends when until has come or k is given up;
-// the connection is closed by then.
-func (u *serverPool) exchange(ctx context.Context, k *attemptControl, id string, until time.Time, headOnly bool, rep *response, word func([]byte) []byte) policy.Result {
+// exchange writes a request to a server, once at most, and reads the whole response. appendRequest appends the request to a
+// buffer. It ends at the deadline or when control is aborted; the connection is closed by then.
+func (u *serverPool) exchange(ctx context.Context, control *attemptControl, id string, deadline time.Time, headOnly bool,
+	rep *response, appendRequest func([]byte) []byte) policy.Result {
 	rep.wasWritten, rep.connectedAt, rep.body = false, time.Time{}, nil
-	dctx, cancel := ctx, context.CancelFunc(nil)
-	if time.Until(until) < u.dialer.Timeout {
-		dctx, cancel = context.WithDeadline(ctx, until)
+	dialCtx, cancel := ctx, context.CancelFunc(nil)
+	if time.Until(deadline) < u.dialer.Timeout {
+		dialCtx, cancel = context.WithDeadline(ctx, deadline)
 		defer cancel()
 	}
-	c, err := u.acquire(dctx, id, k.setDialCancel)
+	c, err := u.acquire(dialCtx, id, control.setDialCancel)
 	if errors.Is(err, errNoCapacity) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return policy.NotSent // no fault of the server's
 	}
 	if err != nil {
-		return neverSent(k, until)
+		return neverSent(control, deadline)
 	}
-	if !k.start(c, until) {
+	if !control.start(c, deadline) {
 		u.discard(c)
 		return policy.Cancelled
 	}
-	c.buffer = word(c.buffer[:0])
+	c.buffer = appendRequest(c.buffer[:0])
 	if _, err = c.nc.Write(c.buffer); err != nil {
 		// A server begins a request when its last byte has come, and that was not written.
-		k.finish()
+		control.finish()
 		u.discard(c)
-		return neverSent(k, until)
+		return neverSent(control, deadline)
 	}
 	rep.wasWritten = true
-	result, reuse, err := c.read(rep, headOnly)
-	asWas := k.finish()
-	if asWas && reuse {
+	result, isReusable, err := c.read(rep, headOnly)
+	isAborted := !control.finish()
+	if isReusable && !isAborted {
 		u.release(c)
 	} else {
 		u.discard(c)
 	}
 	if err != nil {
-		switch {
-		case !asWas:
-			result = policy.Cancelled
-		case errors.Is(err, os.ErrDeadlineExceeded) && !c.hasBytes:
-			result = policy.TimedOut
-			u.shortenIdleTimeout(c.server)
-		case errors.Is(err, os.ErrDeadlineExceeded) || wasAnswered(err):
-			result = policy.ErrorResponse // half an answer, or one that can't be read, is no silence
-		default:
-			result = policy.ConnectionReset
-		}
+		result = u.failedRead(c, err, isAborted)
 	}
 	if result == policy.OK || result == policy.RejectedByServer || result == policy.ErrorResponse {
 		rep.connectedAt = c.connectedAt
@@ -139,6 +129,20 @@
 	return result
 }
 
+// failedRead is the result of an attempt that was written whole and whose response could not be read.
+func (u *serverPool) failedRead(c *serverConn, err error, isAborted bool) policy.Result {
+	switch {
+	case isAborted:
+		return policy.Cancelled
+	case errors.Is(err, os.ErrDeadlineExceeded) && !c.hasBytes:
+		u.shortenIdleTimeout(c.server)
+		return policy.TimedOut
+	case errors.Is(err, os.ErrDeadlineExceeded) || wasAnswered(err):
+		return policy.ErrorResponse // half a response, or one that can't be read, is no silence
+	}
+	return policy.ConnectionReset
+}
+
 // wasAnswered tells whether an answer came that can't be read, rather than none.
 func wasAnswered(err error) bool {
 	for _, e := range []error{httpwire.ErrMalformed, httpwire.ErrTooLarge, httpwire.ErrLength, httpwire.ErrCoding, errTooLong, errNoLength} {
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -18,12 +18,12 @@
 	"mulleinmux/routing"
 )
 
-// Instance is one instance of the gateway. The module's events come from many
-// goroutines; one mutex makes them one sequence. The module's actions change the books
+// Instance is one instance of the gateway. The engine's events come from many
+// goroutines; one mutex makes them one sequence. The engine's actions change the request table
 // under the mutex; what does I/O runs after it is released.
 //
 // A request's own goroutine carries out its attempts, one after the other, so that no two
-// can be out at once: an action of the module only leaves word of what is to come next.
+// can be in flight at once: an action of the engine only notes what comes next.
 type Instance struct {
 	config       *Config
 	log          *log.Logger
@@ -34,29 +34,29 @@
 	healthChecks sync.WaitGroup
 
 	version            atomic.Pointer[version] // in force
-	discoveryFollowers sync.WaitGroup          // followers of registers
+	discoveryFollowers sync.WaitGroup          // of sites
 
 	// When a quorum last confirmed the version in force, by the monotonic clock since start;
-	// 0: not since the start. Only with Config.Agreed.
+	// 0: not since the start. Only with Config.Agreement.
 	confirmedAt      atomic.Int64
 	unconfirmedCount atomic.Int64 // requests refused because of that
 	badRequestCount  atomic.Int64 // requests turned down before they were charged
 
 	mu                sync.Mutex
 	engine            *policy.Engine
-	relay             *relay            // nil: it reaches all halls itself
-	keys              *multisite.Keys   // nil: keyed requests are kept to a hall for one request only
-	health            *multisite.Health // nil: halls are not judged
+	relay             *relay            // nil: it reaches all sites itself
+	keys              *multisite.Keys   // nil: keyed requests are kept to a site for one request only
+	health            *multisite.Health // nil: site health is not judged
 	confirmation      *multisite.Consent
 	ramp              *multisite.Ramp // nil: what cold servers are sent is each instance's own guess
 	requests          map[string]*pendingRequest
 	deferred          []func() // what the event under way leaves to do without the mutex
 	isClosed          bool     // no more events
-	lastRequestNumber uint64   // of the last flight
+	lastRequestNumber uint64   // of the last request
 	timers            timerQueue
 	timer             *time.Timer // at the earliest of timers
 	timerAt           time.Duration
-	serversBySite     map[string]map[string]bool // servers by hall
+	serversBySite     map[string]map[string]bool // server IDs by site
 	siteWatches       map[string]*siteWatch
 	counters          map[string]*Counters // by operation, over all versions
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -89,6 +89,18 @@
 	return l, err
 }
 
+// listen returns the listener for other sites' instances.
+func (c *RelayConfig) listen() (net.Listener, error) {
+	if c.listener != nil {
+		return c.listener, nil
+	}
+	ln, err := net.Listen("tcp", c.Listen.String())
+	if err != nil {
+		return nil, fmt.Errorf("link: %w", err)
+	}
+	return ln, nil
+}
+
 // isRemoteServer tells whether a server, as the module names it, is an instance of another site.
 func isRemoteServer(server string) bool { return strings.Contains(server, remoteServerMark) }
 
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -11,7 +11,7 @@
 	"mulleinmux/routing"
 )
 
-// pendingRequest is a request of a client until it has its final answer.
+// pendingRequest is a client's request until it has its final answer.
 type pendingRequest struct {
 	id              string // the module's
 	trace           string // X-Trace-Id
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"mulleinmux/internal/gossip"
+	"mulleinmux/routing"
 )
 
 // Licensee is what the configuration says of a licensee.
@@ -34,14 +35,13 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Run runs an instance until ctx ends, then drains it: it takes requests for DrainFor
-// more, finishes what it has taken, within the longest deadline, and returns. begun is
-// called once the instance listens. With Config.Agreed it is ready when a setup with a
-// table has been installed and confirmed, else at once.
-func Run(ctx context.Context, cfg *Config, setup Setup, logger *log.Logger, begun func(*Instance)) error {
+// Run runs an instance until ctx ends, then drains it: it takes requests for DrainTimeout more, finishes what it has taken,
+// within the longest deadline, and returns. onListening is called once the instance listens. With Config.Agreement it is ready
+// when a setup with a table has been installed and confirmed, else at once.
+func Run(ctx context.Context, config *Config, setup Setup, logger *log.Logger, onListening func(*Instance)) error {
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
-	in, err := newInstance(life, cfg, setup, logger)
+	in, err := newInstance(life, config, setup, logger)
 	if err != nil {
 		return err
 	}
@@ -49,68 +49,76 @@
 		stop()
 		in.close()
 	}()
-	ln := cfg.listener
+	ln := config.listener
 	if ln == nil {
-		if ln, err = net.Listen("tcp", cfg.Listen.String()); err != nil {
+		if ln, err = net.Listen("tcp", config.Listen.String()); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
 	}
 	defer ln.Close()
-	switch {
-	case cfg.peerConn != nil:
-		in.peers = gossip.On(cfg.peerConn, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeerListen)
-	case cfg.PeerListen.IsValid():
-		if in.peers, err = gossip.Listen(cfg.PeerListen, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeerListen); err != nil {
-			return err
-		}
+	if err := in.openGossip(); err != nil {
+		return err
 	}
-	var side sync.WaitGroup
-	defer side.Wait()
+	var background sync.WaitGroup
+	defer background.Wait()
 	defer stop()
 	in.handleEvent(in.engine.Start)
 	if in.peers != nil {
 		defer in.peers.Close()
-		side.Go(func() { in.peers.Receive(in.gossipReceived) })
+		background.Go(func() { in.peers.Receive(in.gossipReceived) })
 	}
-	side.Go(func() { in.servers.pruneIdle(life) })
+	background.Go(func() { in.servers.pruneIdle(life) })
 
 	f := &clientServer{instance: in, conns: map[*clientConn]struct{}{}}
 	failed := make(chan error, 2)
-	side.Go(func() { failed <- f.serve(ln) })
-	if cfg.Relay != nil {
-		lln := cfg.Relay.listener
-		if lln == nil {
-			if lln, err = net.Listen("tcp", cfg.Relay.Listen.String()); err != nil {
-				ln.Close()
-				return fmt.Errorf("link: %w", err)
-			}
+	background.Go(func() { failed <- f.serve(ln) })
+	if config.Relay != nil {
+		if f.relayListener, err = config.Relay.listen(); err != nil {
+			ln.Close()
+			return err
 		}
-		f.relayListener = lln
-		defer lln.Close()
-		side.Go(func() { failed <- f.serve(relayListener{lln, in.relay}) })
+		defer f.relayListener.Close()
+		background.Go(func() { failed <- f.serve(relayListener{f.relayListener, in.relay}) })
 	}
 	f.isReady.Store(true)
-	if setup.Table != nil {
-		logger.Printf("%s: ready on %s, %d operations", cfg.Name, ln.Addr(), len(setup.Table.Operations))
-	} else {
-		logger.Printf("%s: listens on %s, and waits for what is agreed", cfg.Name, ln.Addr())
-	}
-	begun(in)
+	in.logListening(ln.Addr(), setup.Table)
+	onListening(in)
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
-	logger.Printf("%s: draining", cfg.Name)
+	logger.Printf("%s: draining", config.Name)
 	f.drain(ln)
 	stop()
 	in.close()
-	logger.Printf("%s: drained", cfg.Name)
+	logger.Printf("%s: drained", config.Name)
 	return nil
 }
 
-// drain ends serving. Clients still come for a while and are answered, on connections
-// that close behind the answer; then the listener closes, and what was taken is finished.
+// openGossip opens the socket for messages between instances, if they send any.
+func (in *Instance) openGossip() (err error) {
+	config := in.config
+	switch {
+	case config.peerConn != nil:
+		in.peers = gossip.On(config.peerConn, config.Settings.InstanceIndex, config.Peers, config.PeerListen)
+	case config.PeerListen.IsValid():
+		in.peers, err = gossip.Listen(config.PeerListen, config.Settings.InstanceIndex, config.Peers, config.PeerListen)
+	}
+	return err
+}
+
+// logListening tells operators that the instance serves, or what it waits for.
+func (in *Instance) logListening(addr net.Addr, table *routing.Table) {
+	if table == nil {
+		in.log.Printf("%s: listens on %s, and waits for what is agreed", in.config.Name, addr)
+		return
+	}
+	in.log.Printf("%s: ready on %s, %d operations", in.config.Name, addr, len(table.Operations))
+}
+
+// drain ends serving. Clients still come for a while and are answered, on connections that close behind the answer; then the
+// listeners close, and what was taken is finished.
 func (f *clientServer) drain(ln net.Listener) {
 	f.isReady.Store(false)
 	f.isDraining.Store(true)
@@ -119,13 +127,11 @@
 	if f.relayListener != nil {
 		f.relayListener.Close()
 	}
-	f.mu.Lock()
-	for c := range f.conns {
+	f.eachConn(func(c *clientConn) {
 		if !c.isBusy.Load() {
 			c.nc.SetReadDeadline(pastDeadline)
 		}
-	}
-	f.mu.Unlock()
+	})
 	ended := make(chan struct{})
 	go func() {
 		f.handlers.Wait()
@@ -140,10 +146,15 @@
 		return
 	case <-time.After(longest + f.instance.config.Settings.ResponseSlack + requestReadTimeout):
 	}
+	f.eachConn(func(c *clientConn) { c.nc.Close() })
+	<-ended
+}
+
+// eachConn calls do with each connection of a client, under the mutex.
+func (f *clientServer) eachConn(do func(*clientConn)) {
 	f.mu.Lock()
+	defer f.mu.Unlock()
 	for c := range f.conns {
-		c.nc.Close()
+		do(c)
 	}
-	f.mu.Unlock()
-	<-ended
 }
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -12,15 +12,15 @@
 	"mulleinmux/policy"
 )
 
-// siteWatch is a follower of a hall's register.
+// siteWatch follows the service discovery of a site.
 type siteWatch struct {
 	register netip.AddrPort
 	stop     context.CancelFunc
 }
 
-// watchSites follows the registers of these halls and of no others. The servers of a hall
-// that is no longer there are gone; those of one whose register has moved stay until the
-// new one tells. Called under the mutex.
+// watchSites follows the service discovery of these sites and of no others. The servers of a site
+// that is no longer there are gone; those of one whose discovery has moved stay until the
+// new one answers. Called under the mutex.
 func (in *Instance) watchSites(now time.Duration, halls []Site, out policy.Actions) {
 	wanted := map[string]netip.AddrPort{}
 	for _, h := range halls {
@@ -55,7 +55,7 @@
 	}
 }
 
-// endpointsReceived hands a hall's list on, unless its watch has ended.
+// endpointsReceived takes in a site's endpoint list, unless its watch has ended.
 func (in *Instance) endpointsReceived(ctx context.Context, hall string, l discovery.List) {
 	in.handleEvent(func(now time.Duration, out policy.Actions) {
 		if ctx.Err() == nil {
@@ -64,7 +64,7 @@
 	})
 }
 
-// applyEndpoints hands a hall's list on as changes: the lists of the other halls stay as they are.
+// applyEndpoints brings a site's endpoint list to the engine as changes: the lists of the other sites stay as they are.
 // Called under the mutex.
 func (in *Instance) applyEndpoints(now time.Duration, hall string, l discovery.List, out policy.Actions) {
 	known := in.serversBySite[hall]
