--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// AccessLog writes a line of JSON for each request that was charged or refused. It never
+// AccessLog writes a line of JSON for each request that was charged or rejected. It never
 // holds a request up: a line that finds the queue full is dropped and counted.
 type AccessLog struct {
 	lines   chan accessLine
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -53,7 +53,7 @@
 	writeDeadline time.Time // write deadline in force
 	isBusy        atomic.Bool
 	isRelay       bool   // it is of another site's instance
-	lastRelayID   string // then, the last crossing that came on it
+	lastRelayID   string // then, the last relayed request that came on it
 }
 
 // serve answers clients until the listener closes.
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -16,10 +16,10 @@
 	"mulleinmux/routing"
 )
 
-// Site is a site's servers, which a register of their own lists.
+// Site is a site's servers, which a service discovery of their own lists.
 type Site struct {
 	Name      string         // the zone of its servers
-	Discovery netip.AddrPort // its agent: the protocol of package register
+	Discovery netip.AddrPort // its agent: the protocol of package service discovery
 }
 
 // Config is all that an instance is told at its start.
@@ -66,19 +66,19 @@
 	// Observe is called with each final answer, if set; it must not block.
 	Observe func(RequestRecord)
 
-	listener net.Listener // open, in tests and the lab
+	listener net.Listener // open, in tests and scenarios
 	peerConn *net.UDPConn
 }
 
 // Agreement is how an instance deals with a setup that may no longer be the one in force.
 type Agreement struct {
 	StaleAfter   time.Duration // since it was last confirmed; 30 s where 0
-	RejectsStale bool          // then requests are refused; else they are served on
+	RejectsStale bool          // then requests are rejected; else they are served on
 }
 
 // Setup is what an instance can be told anew while it runs.
 type Setup struct {
-	Number    uint64         // its version, which halls and clients are told
+	Number    uint64         // its version, which sites and clients are told
 	Table     *routing.Table // nil: as it is
 	Check     Checker        // with Table; nil: only what the cost depends on is checked
 	Licensees map[string]Licensee
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -12,7 +12,7 @@
 	Attempts                atomic.Int64 // written whole
 }
 
-// RequestRecord is what became of one request that was charged or refused.
+// RequestRecord is what became of one request that was charged or rejected.
 type RequestRecord struct {
 	Trace        string `json:"trace"` // X-Trace-Id
 	Operation    string `json:"operation"`
@@ -23,7 +23,7 @@
 	Attempts     int    `json:"attempts"`
 	Status       int    `json:"status"`        // of the final answer
 	Answer       string `json:"answer"`        // "served", "refused" or "failed"
-	KeyRejection string `json:"why,omitempty"` // a request with a key was refused for the sake of its key
+	KeyRejection string `json:"why,omitempty"` // a request with a key was rejected for the sake of its key
 }
 
 // EachOperation calls f with the counters of each operation that was ever in force.
@@ -39,8 +39,8 @@
 	}
 }
 
-// BadRequestCount is the number of requests that were turned down before they were charged.
+// BadRequestCount is the number of requests that were rejected before they were charged.
 func (in *Instance) BadRequestCount() int64 { return in.badRequestCount.Load() }
 
-// UnconfirmedCount is the number of requests refused because the setup was not confirmed.
+// UnconfirmedCount is the number of requests rejected because the setup was not confirmed.
 func (in *Instance) UnconfirmedCount() int64 { return in.unconfirmedCount.Load() }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -42,20 +42,20 @@
 }
 
 // handleRequestEvent runs an event of one request and takes what comes next for it.
-func (in *Instance) handleRequestEvent(fl *pendingRequest, f func(now time.Duration, out policy.Actions)) (next attempt, pending, done bool) {
+func (in *Instance) handleRequestEvent(r *pendingRequest, f func(now time.Duration, out policy.Actions)) (next attempt, pending, done bool) {
 	in.mu.Lock()
 	in.runEvent(f)
 	after := in.deferred
 	in.deferred = nil
 	if in.isClosed {
-		in.answer(fl, failed, 0)
+		in.answer(r, failed, 0)
 	}
-	next, pending, done = fl.next, fl.hasNext, fl.isAnswered
-	if fl.hasNext = false; pending && !done {
-		fl.current = &attemptControl{}
-		fl.attempts++
+	next, pending, done = r.next, r.hasNext, r.isAnswered
+	if r.hasNext = false; pending && !done {
+		r.current = &attemptControl{}
+		r.attempts++
 	}
-	fl.isWaiting = !pending && !done
+	r.isWaiting = !pending && !done
 	in.mu.Unlock()
 	for _, do := range after {
 		do()
@@ -63,41 +63,41 @@
 	return next, pending, done
 }
 
-// actions carries out what the module asks for. All are called under the mutex.
+// actions carries out what the engine asks for. All are called under the mutex.
 type actions Instance
 
 // SendAttempt leaves word of the request's next attempt, bounded by its timeout and by the
 // client's deadline. The request's goroutine begins it once no other is out.
 func (a *actions) SendAttempt(id, server string, timeout time.Duration) {
 	in := (*Instance)(a)
-	fl := in.requests[id]
-	if fl == nil || fl.isAnswered || fl.hasNext {
+	r := in.requests[id]
+	if r == nil || r.isAnswered || r.hasNext {
 		in.logLater("module: send for %s, which is not open for one", id)
 		return
 	}
-	until := fl.deadline
+	until := r.deadline
 	if t := time.Now().Add(timeout); timeout != 0 && t.Before(until) {
 		until = t
 	}
-	fl.next, fl.hasNext = attempt{server, until}, true
-	in.wakeRequest(fl)
+	r.next, r.hasNext = attempt{server, until}, true
+	in.wakeRequest(r)
 }
 
 func (a *actions) RejectRequest(id string, retryAfter time.Duration) {
-	if fl := a.requests[id]; fl != nil {
-		(*Instance)(a).answer(fl, rejected, retryAfter)
+	if r := a.requests[id]; r != nil {
+		(*Instance)(a).answer(r, rejected, retryAfter)
 	}
 }
 
 func (a *actions) FailRequest(id string) {
-	if fl := a.requests[id]; fl != nil {
-		(*Instance)(a).answer(fl, failed, 0)
+	if r := a.requests[id]; r != nil {
+		(*Instance)(a).answer(r, failed, 0)
 	}
 }
 
 func (a *actions) CancelAttempt(id string, attempt int) {
-	if fl := a.requests[id]; fl != nil && fl.current != nil && attempt == fl.attempts-1 {
-		a.deferred = append(a.deferred, fl.current.abort)
+	if r := a.requests[id]; r != nil && r.current != nil && attempt == r.attempts-1 {
+		a.deferred = append(a.deferred, r.current.abort)
 	}
 }
 
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -23,7 +23,7 @@
 // under the mutex; what does I/O runs after it is released.
 //
 // A request's own goroutine carries out its attempts, one after the other, so that no two
-// can be in flight at once: an action of the engine only notes what comes next.
+// can be in request at once: an action of the engine only notes what comes next.
 type Instance struct {
 	config       *Config
 	log          *log.Logger
@@ -39,8 +39,8 @@
 	// When a quorum last confirmed the version in force, by the monotonic clock since start;
 	// 0: not since the start. Only with Config.Agreement.
 	confirmedAt      atomic.Int64
-	unconfirmedCount atomic.Int64 // requests refused because of that
-	badRequestCount  atomic.Int64 // requests turned down before they were charged
+	unconfirmedCount atomic.Int64 // requests rejected because of that
+	badRequestCount  atomic.Int64 // requests rejected before they were charged
 
 	mu                sync.Mutex
 	engine            *policy.Engine
@@ -76,7 +76,7 @@
 	Check(op *routing.Operation, head *httpwire.Head, body []byte) error
 }
 
-// placeholderClasses is a class that no operation has: the module wants one before there is a table.
+// placeholderClasses is a class that no operation has: the engine wants one before there is a table.
 var placeholderClasses = []policy.Class{{Name: "/none"}}
 
 // newInstance makes an instance whose goroutines end with ctx. Without a table it rejects all requests until one is
@@ -219,8 +219,8 @@
 // Table is the description in force.
 func (in *Instance) Table() *routing.Table { return in.version.Load().table }
 
-// close ends the instance's events, then waits for its probes, whose context has ended, and
-// the followers of its halls' registers.
+// close ends the instance's events, then waits for its health checks, whose context has ended, and
+// the followers of its sites' service discovery.
 func (in *Instance) close() {
 	in.mu.Lock()
 	in.isClosed = true
--- a/internal/gateway/key_owners.go
+++ b/internal/gateway/key_owners.go
@@ -10,10 +10,10 @@
 // maxRequestTransit is how long a request may be on its way beyond its client's deadline.
 const maxRequestTransit = 500 * time.Millisecond
 
-// minRetryAfter is the least that a client is told to wait where its key has no hall now.
+// minRetryAfter is the least that a client is told to wait where its key has no site now.
 const minRetryAfter = 50 * time.Millisecond
 
-// InstallKeyOwners takes over an agreed epoch of homes: what an entry of the log, the voters of that moment (joint: they
+// InstallKeyOwners takes over an agreed epoch of key owners: what an entry of the log, the voters of that moment (joint: they
 // change) and all before it come to.
 func (in *Instance) InstallKeyOwners(h multisite.Homes, index uint64, voters []uint64, joint bool) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
@@ -78,7 +78,7 @@
 	})
 }
 
-// confirmByQuorum confirms the homes in force where enough others consent. Called under the mutex.
+// confirmByQuorum confirms the key owners in force where enough others consent. Called under the mutex.
 func (in *Instance) confirmByQuorum() {
 	if at, ok := in.confirmation.Confirmed(); ok {
 		in.keys.Confirm(at)
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -20,22 +20,22 @@
 	"mulleinmux/policy"
 )
 
-// The link between sites. An instance reaches the servers of its own halls itself; those of another site it
-// reaches by way of that site's instances, which to the module are servers of that hall. A request crosses
-// over mutual TLS as it came, with the id of its crossing. The far instance sends it on within its own halls alone, so
+// The link between sites. An instance reaches the servers of its own sites itself; those of another site it
+// reaches by way of that site's instances, which to the engine are servers of that site. A request is relayed
+// over mutual TLS as it came, with the id of its relayed request. The remote instance sends it on within its own sites alone, so
 // that nothing crosses twice, and says truthfully what became of it: an answer; "never ran" (503 with
 // X-Never-Ran); or that it may have run (502). Its units were counted where it entered. If the connection
-// breaks before the answer, the far instance is asked over another one: see [multisite.Arrivals].
+// breaks before the answer, the remote instance is asked over another one: see [multisite.Arrivals].
 
 // RelayConfig is an instance's part in the link.
 type RelayConfig struct {
-	Own         []string                                  // halls whose servers it reaches itself
+	Own         []string                                  // sites whose servers it reaches itself
 	Listen      netip.AddrPort                            // where other sites' instances come in
-	Remote      map[string][]RelayPeer                    // by hall of another site: the instances that reach it
+	Remote      map[string][]RelayPeer                    // by site of another site: the instances that reach it
 	TLS         *tls.Config                               // for both sides: mutual, with session tickets off
 	Verify      func(tls.ConnectionState) (uint64, error) // names the member at the other end
-	MaxInFlight int                                       // crossings out at once; 64 where 0
-	listener    net.Listener                              // open, in tests and the lab
+	MaxInFlight int                                       // relayed requests out at once; 64 where 0
+	listener    net.Listener                              // open, in tests and scenarios
 }
 
 // RelayPeer is an instance of another site.
@@ -49,7 +49,7 @@
 	executionStatusField  = "X-Mulleinmux-Fate"
 	executionStatusPath   = "/link/fate"
 	defaultMaxRelayed     = 64
-	relayRetryTokens      = 0.1 // further crossings that a first one earns
+	relayRetryTokens      = 0.1 // further relayed requests that a first one earns
 	maxRelayRetryTokens   = 10
 	relayHandshakeTimeout = time.Second
 	arrivalTTL            = 30 * time.Second // a broken connection delivers nothing for so long
@@ -57,7 +57,7 @@
 	maxRetainedBody       = 16 << 10               // bytes of an answer's body that is kept
 	statusPollInterval    = 20 * time.Millisecond  // between two asks for one that is under way
 	statusTimeout         = 300 * time.Millisecond // for the answer to one ask
-	remoteServerMark      = "/@"                   // in the module's name of a far instance
+	remoteServerMark      = "/@"                   // in the engine's name of a remote instance
 )
 
 // relay is an instance's part in the link, at work.
@@ -69,7 +69,7 @@
 	budget   *multisite.Budget
 }
 
-// retainedResponse is what is kept of a crossing's answer.
+// retainedResponse is what is kept of a relayed request's answer.
 type retainedResponse struct {
 	status      int
 	contentType string
@@ -101,10 +101,10 @@
 	return ln, nil
 }
 
-// isRemoteServer tells whether a server, as the module names it, is an instance of another site.
+// isRemoteServer tells whether a server, as the engine names it, is an instance of another site.
 func isRemoteServer(server string) bool { return strings.Contains(server, remoteServerMark) }
 
-// remoteServers is what the module is told of a hall that is reached by way of its own site's instances.
+// remoteServers is what the engine is told of a site that is reached by way of its own site's instances.
 func (l *relay) remoteServers(hall string) (list discovery.List, ok bool) {
 	peers, ok := l.config.Remote[hall]
 	for _, p := range peers {
@@ -115,7 +115,7 @@
 	return list, ok
 }
 
-// ownsSite tells whether this instance reaches a hall's servers itself.
+// ownsSite tells whether this instance reaches a site's servers itself.
 func (l *relay) ownsSite(hall string) bool {
 	for _, o := range l.config.Own {
 		if o == hall {
@@ -125,7 +125,7 @@
 	return false
 }
 
-// secure makes a connection to a far instance one of the link.
+// secure makes a connection to a remote instance one of the link.
 func (l *relay) secure(ctx context.Context, server string, nc net.Conn) (net.Conn, error) {
 	_, number, _ := strings.Cut(server, remoteServerMark)
 	want, err := strconv.ParseUint(number, 10, 64)
@@ -152,31 +152,31 @@
 	return nc.(syscall.Conn).SyscallConn()
 }
 
-// acquire and done hold the budget of crossings.
-func (l *relay) acquire(fl *pendingRequest) bool {
+// acquire and done hold the budget of relayed requests.
+func (l *relay) acquire(r *pendingRequest) bool {
 	best := 0.0
 	worth := func(w float64, aim time.Duration) float64 { return w / max(aim.Seconds(), 1e-3) }
-	for _, k := range fl.version.table.Classes {
+	for _, k := range r.version.table.Classes {
 		best = max(best, worth(k.PriorityWeight, k.LatencyObjective))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.budget.Take(fl.licensee, worth(fl.operation.Class.PriorityWeight, fl.operation.Class.LatencyObjective)/max(best, 1e-9), fl.attempts > 1)
+	return l.budget.Take(r.licensee, worth(r.operation.Class.PriorityWeight, r.operation.Class.LatencyObjective)/max(best, 1e-9), r.attempts > 1)
 }
 
-func (l *relay) release(fl *pendingRequest) {
+func (l *relay) release(r *pendingRequest) {
 	l.mu.Lock()
-	l.budget.Done(fl.licensee)
+	l.budget.Done(r.licensee)
 	l.mu.Unlock()
 }
 
 // nextRelayID is the id of the attempt under way.
-func (fl *pendingRequest) nextRelayID() string { return fl.trace + "." + strconv.Itoa(fl.attempts) }
+func (r *pendingRequest) nextRelayID() string { return r.trace + "." + strconv.Itoa(r.attempts) }
 
-// executionStatus asks a far instance, over another connection, what became of a crossing whose connection broke. It
+// executionStatus asks a remote instance, over another connection, what became of a relayed request whose connection broke. It
 // asks until the answer is final or the attempt's time is over.
-func (in *Instance) executionStatus(fl *pendingRequest, at attempt) (multisite.Fate, *retainedResponse) {
-	id := fl.nextRelayID()
+func (in *Instance) executionStatus(r *pendingRequest, at attempt) (multisite.Fate, *retainedResponse) {
+	id := r.nextRelayID()
 	for until := at.deadline; time.Now().Before(until); {
 		var rep response
 		by := time.Now().Add(statusTimeout)
@@ -211,19 +211,19 @@
 }
 
 // resolveRelayed finds out what became of an attempt whose connection over the link broke.
-func (in *Instance) resolveRelayed(fl *pendingRequest, at attempt) policy.Result {
-	f, kept := in.executionStatus(fl, at)
+func (in *Instance) resolveRelayed(r *pendingRequest, at attempt) policy.Result {
+	f, kept := in.executionStatus(r, at)
 	switch {
 	case f == multisite.Never:
-		fl.response.wasWritten = false // as if it had not been written; and the far instance lives
+		r.response.wasWritten = false // as if it had not been written; and the remote instance lives
 		return policy.RejectedByServer
 	case f == multisite.Ran && kept != nil:
-		h := &fl.response.head
+		h := &r.response.head
 		*h = httpwire.Head{Status: kept.status, Reason: http.StatusText(kept.status), Length: int64(len(kept.body))}
 		if kept.contentType != "" {
 			h.Fields = append(h.Fields, httpwire.Field{Name: "Content-Type", Value: kept.contentType})
 		}
-		fl.response.body = kept.body
+		r.response.body = kept.body
 		return policy.OK
 	}
 	return policy.ConnectionReset
@@ -255,10 +255,10 @@
 	return c.writeResponse(b, body, length)
 }
 
-// acceptRelayed takes in a crossing; an error turns it down.
+// acceptRelayed takes in a relayed request; an error turns it down.
 func (c *clientConn) acceptRelayed() error {
-	l, fl := c.server.instance.relay, &c.request
-	id, n := fl.requestHead.Values(relayIDField)
+	l, r := c.server.instance.relay, &c.request
+	id, n := r.requestHead.Values(relayIDField)
 	if n != 1 || id == "" {
 		return &badRequest{status: http.StatusBadRequest, text: relayIDField + ": one is wanted"}
 	}
@@ -273,29 +273,29 @@
 	} else if !ok {
 		return &badRequest{status: http.StatusBadGateway, text: "the crossing has come before", mayRun: true}
 	}
-	fl.relayID = id
+	r.relayID = id
 	return nil
 }
 
-// finishRelayed notes the fate of a crossing that has its final answer.
+// finishRelayed notes the fate of a relayed request that has its final answer.
 func (c *clientConn) finishRelayed() {
-	l, fl := c.server.instance.relay, &c.request
+	l, r := c.server.instance.relay, &c.request
 	fate, kept := multisite.Unknown, any(nil)
 	switch {
-	case fl.answer == served:
+	case r.answer == served:
 		fate = multisite.Ran
-		if h := &fl.response.head; len(fl.response.body) <= maxRetainedBody && fl.requestHead.Method != http.MethodHead && h.Status != http.StatusNoContent && h.Status != http.StatusNotModified {
-			kept = &retainedResponse{h.Status, h.Get("Content-Type"), fl.response.body}
+		if h := &r.response.head; len(r.response.body) <= maxRetainedBody && r.requestHead.Method != http.MethodHead && h.Status != http.StatusNoContent && h.Status != http.StatusNotModified {
+			kept = &retainedResponse{h.Status, h.Get("Content-Type"), r.response.body}
 		}
-	case !fl.mayRun:
+	case !r.mayRun:
 		fate = multisite.Never
 	}
 	l.mu.Lock()
-	l.arrivals.Ended(time.Now(), fl.relayID, fate, kept)
+	l.arrivals.Ended(time.Now(), r.relayID, fate, kept)
 	l.mu.Unlock()
 }
 
-// neverRan words that a crossing did not run here.
+// neverRan words that a relayed request did not run here.
 func (c *clientConn) neverRan(text string, wait time.Duration) bool {
 	b := c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable")
 	b = append(b, "X-Never-Ran: 1\r\n"...)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -13,7 +13,7 @@
 
 // pendingRequest is a client's request until it has its final answer.
 type pendingRequest struct {
-	id              string // the module's
+	id              string // the engine's
 	trace           string // X-Trace-Id
 	requestHead     httpwire.Head
 	body            []byte
@@ -31,7 +31,7 @@
 
 	cameByRelay bool   // it came over the link
 	relayID     string // then
-	isRelayed   bool   // the attempt under way crosses the link
+	isRelayed   bool   // the attempt under way is relayed the link
 
 	// Under the instance's mutex:
 	isAnswered   bool // answer is final
@@ -100,7 +100,7 @@
 	in.handleEvent(func(time.Duration, policy.Actions) { delete(in.requests, r.id) })
 }
 
-// admit registers a request and brings it to the engine, unless its key has no owner now. Called under the mutex.
+// admit service discovery a request and brings it to the engine, unless its key has no owner now. Called under the mutex.
 func (in *Instance) admit(r *pendingRequest, q policy.Request, now time.Duration, out policy.Actions) {
 	in.lastRequestNumber++
 	var b [20]byte
@@ -253,7 +253,7 @@
 		return
 	}
 	r.isAnswered, r.answer, r.retryAfter = true, result, retryAfter
-	if r.current != nil { // no response to the attempt in flight counts any more
+	if r.current != nil { // no response to the attempt in request counts any more
 		in.deferred = append(in.deferred, r.current.abort)
 	}
 	in.wakeRequest(r)
--- a/internal/gateway/request_write.go
+++ b/internal/gateway/request_write.go
@@ -15,8 +15,8 @@
 }
 
 // appendRequest appends the request to b, for an attempt that ends at until.
-func (fl *pendingRequest) appendRequest(b []byte, until time.Time) []byte {
-	h := &fl.requestHead
+func (r *pendingRequest) appendRequest(b []byte, until time.Time) []byte {
+	h := &r.requestHead
 	b = append(b, h.Method...)
 	b = append(b, ' ')
 	b = append(b, h.Target...)
@@ -28,27 +28,27 @@
 		}
 		b = httpwire.AppendField(b, f.Name, f.Value)
 	}
-	b = httpwire.AppendField(b, "X-Trace-Id", fl.trace)
+	b = httpwire.AppendField(b, "X-Trace-Id", r.trace)
 	b = append(b, "X-Expires-In: "...)
 	b = appendSeconds(b, time.Until(until))
-	if fl.isRelayed {
+	if r.isRelayed {
 		b = append(b, "\r\n"+relayIDField+": "...)
-		b = append(b, fl.nextRelayID()...)
+		b = append(b, r.nextRelayID()...)
 	}
 	b = append(b, "\r\nX-Mulleinmux-Version: "...)
-	if from, n := h.Values("X-Mulleinmux-Version"); fl.cameByRelay && n == 1 {
+	if from, n := h.Values("X-Mulleinmux-Version"); r.cameByRelay && n == 1 {
 		b = append(b, from...) // it keeps the version that it was matched with where it entered
 	} else {
-		b = strconv.AppendUint(b, fl.version.number, 10)
+		b = strconv.AppendUint(b, r.version.number, 10)
 	}
 	b = append(b, "\r\n"...)
-	if len(fl.body) > 0 || h.Length >= 0 {
+	if len(r.body) > 0 || h.Length >= 0 {
 		b = append(b, "Content-Length: "...)
-		b = strconv.AppendInt(b, int64(len(fl.body)), 10)
+		b = strconv.AppendInt(b, int64(len(r.body)), 10)
 		b = append(b, "\r\n"...)
 	}
 	b = append(b, "\r\n"...)
-	return append(b, fl.body...)
+	return append(b, r.body...)
 }
 
 // isOwnField tells whether a field is one that the gateway words anew.
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -28,7 +28,7 @@
 
 func (e *badRequest) Error() string { return e.text }
 
-// errUnconfirmed refuses a request: what is agreed is not known well enough to serve on.
+// errUnconfirmed rejects a request: what is agreed is not known well enough to serve on.
 var errUnconfirmed = &badRequest{status: http.StatusServiceUnavailable, text: "refused: trying again at another instance does no harm", wait: time.Second}
 
 // appendStatusLine starts an answer.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -18,7 +18,7 @@
 // Licensee is what the configuration says of a licensee.
 type Licensee struct {
 	Plan     string
-	Customer uint64 // the module's name for it, the same at every instance
+	Customer uint64 // the engine's name for it, the same at every instance
 }
 
 // CustomerOf gives a licensee its number.
--- a/internal/gateway/server_pool.go
+++ b/internal/gateway/server_pool.go
@@ -26,7 +26,7 @@
 
 var pastDeadline = time.Unix(1, 0)
 
-// serverPool holds the connections to the servers of all halls. A connection carries one
+// serverPool holds the connections to the servers of all sites. A connection carries one
 // request at a time, and a call of exchange writes a request once at most.
 type serverPool struct {
 	dialer      net.Dialer
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -100,10 +100,10 @@
 	in.engine.EndpointsChanged(now, policy.EndpointsDelta, list, out)
 }
 
-// isRemote tells whether a hall is reached by way of another site's instances alone.
+// isRemote tells whether a site is reached by way of another site's instances alone.
 func (in *Instance) isRemote(hall string) bool { return in.relay != nil && !in.relay.ownsSite(hall) }
 
-// recordSiteHealth notes what an attempt or a probe says of its server's hall. Called under the mutex.
+// recordSiteHealth notes what an attempt or a health check says of its server's site. Called under the mutex.
 func (in *Instance) recordSiteHealth(now time.Duration, server string, result policy.Result, sent time.Duration) {
 	if in.health == nil {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// SetAgreedSites takes over which halls there are, which of them are lost, and the members.
+// SetAgreedSites takes over which sites there are, which of them are lost, and the members.
 func (in *Instance) SetAgreedSites(halls []multisite.Hall, lost map[string]int, members []uint64) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
@@ -139,7 +139,7 @@
 	return c, ok
 }
 
-// SiteStates tells what the instance makes of each hall that it has a register of.
+// SiteStates tells what the instance makes of each site that it has a service discovery of.
 func (in *Instance) SiteStates() map[string]string {
 	states := map[string]string{}
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
@@ -152,7 +152,7 @@
 	return states
 }
 
-// updateRecoveryRamp has the module go by this instance's part in the ramps of the halls, and returns what to tell the others.
+// updateRecoveryRamp has the engine go by this instance's part in the ramps of the sites, and returns what to tell the others.
 // Called under the mutex.
 func (in *Instance) updateRecoveryRamp(now time.Duration) multisite.RampWord {
 	var carried []multisite.Carried
@@ -183,7 +183,7 @@
 // most: half as much again may be saved up, and the whole stays below what pushes it over.
 const coldBudgetFactor = 1.4
 
-// AwaitServers waits until so many servers are known, over all halls.
+// AwaitServers waits until so many servers are known, over all sites.
 func (in *Instance) AwaitServers(ctx context.Context, n int, most time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -8,7 +8,7 @@
 	"mulleinmux/policy"
 )
 
-// timerQueue are the module's timers, the earliest first.
+// timerQueue are the engine's timers, the earliest first.
 type timerQueue []timer
 
 type timer struct {
@@ -37,7 +37,7 @@
 	heap.Fix(t, len(*t)-1)
 }
 
-// fireTimers brings the module the timers that are due.
+// fireTimers brings the engine the timers that are due.
 func (in *Instance) fireTimers() {
 	in.handleEvent(func(now time.Duration, out policy.Actions) {
 		for len(in.timers) > 0 && in.timers[0].at <= now {
