--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -24,10 +24,14 @@
 	clientIdleTimeout  = 30 * time.Second        // for a connection between requests
 	clientWriteTimeout = 10 * time.Second        // for an answer
 	minConfigAgeShown  = 2 * time.Second         // of a setup that was not confirmed since: answers tell it
-	deadlineSlack      = 5 * time.Second         // by which idleLimit and writeLimit may come early: saves setting them for each request
+	// By which idleLimit and writeLimit may come early: saves setting them for each request.
+	deadlineSlack = 5 * time.Second
 )
 
-// clientServer is the client side.
+// tooManyConnections answers a connection beyond the limit.
+const tooManyConnections = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+
+// clientServer accepts the connections of clients, and of other sites' instances.
 type clientServer struct {
 	instance   *Instance
 	isReady    atomic.Bool
@@ -90,7 +94,7 @@
 		}
 		if full {
 			nc.SetDeadline(time.Now().Add(requestReadTimeout))
-			io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+			io.WriteString(nc, tooManyConnections)
 			nc.Close()
 			continue
 		}
@@ -198,13 +202,15 @@
 	head := &c.request.requestHead
 	switch {
 	case head.Chunked:
-		return &badRequest{status: http.StatusLengthRequired, text: "Content-Length is wanted, not Transfer-Encoding", close: true}
+		return &badRequest{status: http.StatusLengthRequired, close: true,
+			text: "Content-Length is wanted, not Transfer-Encoding"}
 	case head.Length > maxRequestBody:
 		return &badRequest{status: http.StatusRequestEntityTooLarge, text: "body: over 64 KiB", close: true}
 	case head.Length <= 0:
 		return nil
 	}
-	if expect, n := head.Values("Expect"); n > 0 && strings.EqualFold(expect, "100-continue") && c.reader.Buffered() == 0 {
+	expect, n := head.Values("Expect")
+	if n > 0 && strings.EqualFold(expect, "100-continue") && c.reader.Buffered() == 0 {
 		c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	c.request.body = make([]byte, head.Length)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -88,7 +88,8 @@
 
 // Setup is the one that a configuration holds.
 func (c *Config) Setup(number uint64, table *routing.Table, check Checker) Setup {
-	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees, Plans: c.Settings.Plans, Sites: c.Sites}
+	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees,
+		Plans: c.Settings.Plans, Sites: c.Sites}
 }
 
 // Defaults of a [Config].
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -42,7 +42,9 @@
 }
 
 // handleRequestEvent runs an event of one request and takes what comes next for it.
-func (in *Instance) handleRequestEvent(r *pendingRequest, f func(now time.Duration, out policy.Actions)) (next attempt, pending, done bool) {
+func (in *Instance) handleRequestEvent(r *pendingRequest, f func(now time.Duration, out policy.Actions)) (
+	next attempt, pending, done bool,
+) {
 	in.mu.Lock()
 	in.runEvent(f)
 	after := in.deferred
@@ -141,7 +143,8 @@
 	defer in.healthChecks.Done()
 	var rep response
 	sent := in.now()
-	result := in.servers.exchange(in.ctx, &attemptControl{}, id, time.Now().Add(healthCheckTimeout), false, &rep, func(b []byte) []byte {
+	deadline := time.Now().Add(healthCheckTimeout)
+	result := in.servers.exchange(in.ctx, &attemptControl{}, id, deadline, false, &rep, func(b []byte) []byte {
 		return append(b, "GET "+healthCheckPath+" HTTP/1.1\r\nHost: hall\r\n\r\n"...)
 	})
 	report := rep.report()
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -84,10 +84,11 @@
 	}
 }
 
-// exchange writes a request to a server, once at most, and reads the whole response. appendRequest appends the request to a
-// buffer. It ends at the deadline or when control is aborted; the connection is closed by then.
+// exchange writes a request to a server, once at most, and reads the whole response. appendRequest appends the
+// request to a buffer. It ends at the deadline or when control is aborted; the connection is closed by then.
 func (u *serverPool) exchange(ctx context.Context, control *attemptControl, id string, deadline time.Time, headOnly bool,
-	rep *response, appendRequest func([]byte) []byte) policy.Result {
+	rep *response, appendRequest func([]byte) []byte,
+) policy.Result {
 	rep.wasWritten, rep.connectedAt, rep.body = false, time.Time{}, nil
 	dialCtx, cancel := ctx, context.CancelFunc(nil)
 	if time.Until(deadline) < u.dialer.Timeout {
@@ -145,7 +146,8 @@
 
 // wasAnswered tells whether an answer came that can't be read, rather than none.
 func wasAnswered(err error) bool {
-	for _, e := range []error{httpwire.ErrMalformed, httpwire.ErrTooLarge, httpwire.ErrLength, httpwire.ErrCoding, errTooLong, errNoLength} {
+	unreadable := []error{httpwire.ErrMalformed, httpwire.ErrTooLarge, httpwire.ErrLength, httpwire.ErrCoding, errTooLong, errNoLength}
+	for _, e := range unreadable {
 		if errors.Is(err, e) {
 			return true
 		}
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -194,7 +194,11 @@
 // that is agreed on.
 func (in *Instance) ConfirmVersion(at time.Time) {
 	since := max(int64(at.Sub(in.startedAt)), 1)
-	for was := in.confirmedAt.Load(); since > was && !in.confirmedAt.CompareAndSwap(was, since); was = in.confirmedAt.Load() {
+	for {
+		was := in.confirmedAt.Load()
+		if since <= was || in.confirmedAt.CompareAndSwap(was, since) {
+			return
+		}
 	}
 }
 
--- a/internal/gateway/key_owners.go
+++ b/internal/gateway/key_owners.go
@@ -13,8 +13,8 @@
 // minRetryAfter is the least that a client is told to wait where its key has no site now.
 const minRetryAfter = 50 * time.Millisecond
 
-// InstallKeyOwners takes over an agreed epoch of key owners: what an entry of the log, the voters of that moment (joint: they
-// change) and all before it come to.
+// InstallKeyOwners takes over an agreed epoch of key owners: what an entry of the log, the voters of that moment
+// (joint: they change) and all before it come to.
 func (in *Instance) InstallKeyOwners(h multisite.Homes, index uint64, voters []uint64, joint bool) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		in.keys.Install(now, h)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -75,8 +75,8 @@
 	failed
 )
 
-// serveRequest takes a request to its final answer. hasDisconnected tells whether the client has closed its connection;
-// it is asked before each retry.
+// serveRequest takes a request to its final answer. hasDisconnected tells whether the client has closed its
+// connection; it is asked before each retry.
 func (in *Instance) serveRequest(r *pendingRequest, q policy.Request, hasDisconnected func() bool) {
 	next, hasNext, isAnswered := in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
 		in.admit(r, q, now, out)
@@ -100,7 +100,8 @@
 	in.handleEvent(func(time.Duration, policy.Actions) { delete(in.requests, r.id) })
 }
 
-// admit service discovery a request and brings it to the engine, unless its key has no owner now. Called under the mutex.
+// admit service discovery a request and brings it to the engine, unless its key has no owner now. Called under the
+// mutex.
 func (in *Instance) admit(r *pendingRequest, q policy.Request, now time.Duration, out policy.Actions) {
 	in.lastRequestNumber++
 	var b [20]byte
@@ -122,8 +123,8 @@
 	in.engine.RequestReceived(now, q, out)
 }
 
-// routeKey returns the site that owns a request's key. A relayed request whose key this site does not own is rejected: one of
-// the two sites goes by older key owners. Called under the mutex.
+// routeKey returns the site that owns a request's key. A relayed request whose key this site does not own is
+// rejected: one of the two sites goes by older key owners. Called under the mutex.
 func (in *Instance) routeKey(r *pendingRequest, now time.Duration) multisite.Verdict {
 	verdict := in.keys.Route(now, r.key)
 	if verdict.Hall != "" && r.cameByRelay && !in.relay.ownsSite(verdict.Hall) {
@@ -141,7 +142,9 @@
 }
 
 // runAttempt carries out one attempt and brings its result to the engine.
-func (in *Instance) runAttempt(r *pendingRequest, a attempt, hasDisconnected func() bool) (next attempt, hasNext, isAnswered bool) {
+func (in *Instance) runAttempt(r *pendingRequest, a attempt, hasDisconnected func() bool) (
+	next attempt, hasNext, isAnswered bool,
+) {
 	sentAt := in.now()
 	r.response.wasWritten, r.response.connectedAt = false, time.Time{}
 	r.isRelayed = isRemoteServer(a.server)
@@ -172,7 +175,8 @@
 	return in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
 		r.current = nil
 		if !r.isRelayed || result != policy.RejectedByServer && result != policy.ErrorResponse {
-			in.recordSiteHealth(now, a.server, result, sentAt) // what a remote instance rejects says nothing of its site
+			// What a remote instance rejects says nothing of its site.
+			in.recordSiteHealth(now, a.server, result, sentAt)
 		}
 		if r.hasKeyOwner && ownsKey && hasCapacity {
 			in.keys.Ended(r.key, r.neverExecuted(result))
@@ -184,8 +188,8 @@
 	})
 }
 
-// confirmKeyOwner tells whether the attempt's site still owns the request's key: key owners may have changed since the request
-// was admitted. If not, the request is answered.
+// confirmKeyOwner tells whether the attempt's site still owns the request's key: key owners may have changed since
+// the request was admitted. If not, the request is answered.
 func (in *Instance) confirmKeyOwner(r *pendingRequest, a attempt) (isOwner bool) {
 	isOwner = true
 	in.handleEvent(func(now time.Duration, out policy.Actions) {
@@ -238,7 +242,8 @@
 
 // attemptResult is what the engine is told of an attempt's end.
 func (in *Instance) attemptResult(r *pendingRequest, a attempt, result policy.Result, latency time.Duration,
-	report *policy.LoadReport) policy.AttemptResult {
+	report *policy.LoadReport,
+) policy.AttemptResult {
 	end := policy.AttemptResult{ID: r.id, Attempt: r.attempts - 1, RequestAnswered: r.isAnswered, Result: result,
 		Server: a.server, Latency: latency, LoadReport: report}
 	if !r.response.connectedAt.IsZero() {
--- a/internal/gateway/request_parse.go
+++ b/internal/gateway/request_parse.go
@@ -12,8 +12,8 @@
 	"mulleinmux/routing"
 )
 
-// parse finds a request's operation and what the engine must know of it. The version in force is read once: the request
-// keeps it.
+// parse finds a request's operation and what the engine must know of it. The version in force is read once: the
+// request keeps it.
 func (f *clientServer) parse(r *pendingRequest, began time.Time) (q policy.Request, err error) {
 	if err := f.takeVersion(r, began); err != nil {
 		return q, err
@@ -52,8 +52,8 @@
 		InstanceCount: f.instance.config.Settings.InstanceCount}, nil
 }
 
-// takeVersion gives the request the version in force. Its confirmation is read before it: a version that is put in force in
-// between is confirmed as well.
+// takeVersion gives the request the version in force. Its confirmation is read before it: a version that is put in
+// force in between is confirmed as well.
 func (f *clientServer) takeVersion(r *pendingRequest, now time.Time) error {
 	r.confirmationAge, r.version = 0, nil
 	if f.instance.config.Agreement != nil {
@@ -79,7 +79,8 @@
 	}
 	if head.Nominated {
 		// A field that Connection names is dropped on the way: the cost could stand in it.
-		return &badRequest{status: http.StatusBadRequest, text: "Connection: names other fields than close and keep-alive"}
+		return &badRequest{status: http.StatusBadRequest,
+			text: "Connection: names other fields than close and keep-alive"}
 	}
 	if err := overridesTarget(head, query); err != nil {
 		return err
@@ -124,7 +125,8 @@
 	return nil
 }
 
-// clientTimeout is how long the client waits: what it tells, or the class's deadline where that is shorter or nothing is told.
+// clientTimeout is how long the client waits: what it tells, or the class's deadline where that is shorter or nothing
+// is told.
 func (r *pendingRequest) clientTimeout() (time.Duration, error) {
 	timeout := r.operation.Class.Deadline
 	text, n := r.requestHead.Values("X-Expires-In")
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -29,7 +29,8 @@
 func (e *badRequest) Error() string { return e.text }
 
 // errUnconfirmed rejects a request: what is agreed is not known well enough to serve on.
-var errUnconfirmed = &badRequest{status: http.StatusServiceUnavailable, text: "refused: trying again at another instance does no harm", wait: time.Second}
+var errUnconfirmed = &badRequest{status: http.StatusServiceUnavailable, wait: time.Second,
+	text: "refused: trying again at another instance does no harm"}
 
 // appendStatusLine starts an answer.
 func (c *clientConn) appendStatusLine(status int, reason string) []byte {
@@ -73,8 +74,8 @@
 // writeAnswer writes the final answer of the request and counts it.
 func (c *clientConn) writeAnswer() bool {
 	r := &c.request
-	record := RequestRecord{Trace: r.trace, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number, Units: r.units,
-		Sent: r.wasSent, Attempts: r.attempts, Answer: r.answer.String(), KeyRejection: r.keyRejection}
+	record := RequestRecord{Trace: r.trace, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number,
+		Units: r.units, Sent: r.wasSent, Attempts: r.attempts, Answer: r.answer.String(), KeyRejection: r.keyRejection}
 	var b, body []byte
 	var length int
 	switch r.answer {
@@ -109,15 +110,16 @@
 	return c.writeResponse(b, body, length)
 }
 
-// appendServed starts an answer with the head of a server's response. It returns the body to write and the length to tell, which
-// differ for HEAD; a length below 0 is not told.
+// appendServed starts an answer with the head of a server's response. It returns the body to write and the length to
+// tell, which differ for HEAD; a length below 0 is not told.
 func (c *clientConn) appendServed() (b, body []byte, length int) {
 	r := &c.request
 	head := &r.response.head
 	b = c.appendStatusLine(head.Status, head.Reason)
 	for i := range head.Fields {
 		f := &head.Fields[i]
-		if !httpwire.HopByHop(f.Name) && !strings.EqualFold(f.Name, "Endpoint-Load-Metrics") && !strings.EqualFold(f.Name, "X-Never-Ran") {
+		isOurs := strings.EqualFold(f.Name, "Endpoint-Load-Metrics") || strings.EqualFold(f.Name, "X-Never-Ran")
+		if !isOurs && !httpwire.HopByHop(f.Name) {
 			b = httpwire.AppendField(b, f.Name, f.Value)
 		}
 	}
@@ -152,7 +154,8 @@
 	return append(b, "\r\n"...)
 }
 
-// appendExplanation appends what a client asked to be told of its request, and the age of a configuration that may be old.
+// appendExplanation appends what a client asked to be told of its request, and the age of a configuration that may be
+// old.
 func (c *clientConn) appendExplanation(b []byte, record *RequestRecord) []byte {
 	if _, n := c.request.requestHead.Values("X-Mulleinmux-Explain"); n > 0 {
 		b = fmt.Appendf(b, "X-Mulleinmux-Version: %d\r\nX-Mulleinmux-Operation: %s\r\n", record.Version, record.Operation)
@@ -236,7 +239,8 @@
 	if _, serves := c.server.instance.Confirmation(time.Now()); serves && c.server.isReady.Load() {
 		return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), []byte("ready\n"), 6)
 	}
-	return c.writeResponse(c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable"), []byte("not ready\n"), 10)
+	b := c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable")
+	return c.writeResponse(b, []byte("not ready\n"), 10)
 }
 
 // serveRelayHealth tells another site's instance that this one lives.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -35,9 +35,9 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Run runs an instance until ctx ends, then drains it: it takes requests for DrainTimeout more, finishes what it has taken,
-// within the longest deadline, and returns. onListening is called once the instance listens. With Config.Agreement it is ready
-// when a setup with a table has been installed and confirmed, else at once.
+// Run runs an instance until ctx ends, then drains it: it takes requests for DrainTimeout more, finishes what it has
+// taken, within the longest deadline, and returns. onListening is called once the instance listens. With
+// Config.Agreement it is ready when a setup with a table has been installed and confirmed, else at once.
 func Run(ctx context.Context, config *Config, setup Setup, logger *log.Logger, onListening func(*Instance)) error {
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -117,8 +117,8 @@
 	in.log.Printf("%s: ready on %s, %d operations", in.config.Name, addr, len(table.Operations))
 }
 
-// drain ends serving. Clients still come for a while and are answered, on connections that close behind the answer; then the
-// listeners close, and what was taken is finished.
+// drain ends serving. Clients still come for a while and are answered, on connections that close behind the answer;
+// then the listeners close, and what was taken is finished.
 func (f *clientServer) drain(ln net.Listener) {
 	f.isReady.Store(false)
 	f.isDraining.Store(true)
--- a/internal/gateway/server_pool.go
+++ b/internal/gateway/server_pool.go
@@ -17,11 +17,12 @@
 const (
 	healthCheckPath     = "/stats"
 	healthCheckTimeout  = 500 * time.Millisecond
-	idleTimeoutFraction = 0.8                      // of ConnIdle after which an idle connection is not used again
-	maxResponseBody     = 1 << 20                  // bytes that the body of an answer may hold
-	maxResponseSize     = maxResponseBody + 64<<10 // bytes of a whole answer, with heads, chunk sizes and 1xx answers ahead
-	responseRestTimeout = 250 * time.Millisecond   // from an answer's first bytes to its last
-	maxRetainedBuffer   = 16 << 10                 // bytes of a buffer that an idle connection keeps
+	idleTimeoutFraction = 0.8     // of ConnIdle after which an idle connection is not used again
+	maxResponseBody     = 1 << 20 // bytes that the body of an answer may hold
+	// Bytes of a whole answer, with heads, chunk sizes and 1xx answers ahead.
+	maxResponseSize     = maxResponseBody + 64<<10
+	responseRestTimeout = 250 * time.Millisecond // from an answer's first bytes to its last
+	maxRetainedBuffer   = 16 << 10               // bytes of a buffer that an idle connection keeps
 )
 
 var pastDeadline = time.Unix(1, 0)
@@ -80,7 +81,8 @@
 
 func newServerPool(cfg *Config) *serverPool {
 	return &serverPool{dialer: net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1},
-		idleTimeout: time.Duration(idleTimeoutFraction * float64(cfg.ServerIdleTimeout)), maxOpen: cfg.MaxServerConns, byID: map[string]*serverConns{}}
+		idleTimeout: time.Duration(idleTimeoutFraction * float64(cfg.ServerIdleTimeout)),
+		maxOpen:     cfg.MaxServerConns, byID: map[string]*serverConns{}}
 }
 
 // update takes in entries of a list and returns the connections that are of no more use,
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// applyEndpoints brings a site's endpoint list to the engine as changes: the lists of the other sites stay as they are.
-// Called under the mutex.
+// applyEndpoints brings a site's endpoint list to the engine as changes: the lists of the other sites stay as they
+// are. Called under the mutex.
 func (in *Instance) applyEndpoints(now time.Duration, hall string, l discovery.List, out policy.Actions) {
 	known := in.serversBySite[hall]
 	if known == nil {
@@ -87,7 +87,8 @@
 		for id := range known {
 			if !listed[id] {
 				delete(known, id)
-				entries = append(entries, discovery.Instance{Server: policy.Server{ID: id, State: policy.Removed, Zone: hall}})
+				gone := policy.Server{ID: id, State: policy.Removed, Zone: hall}
+				entries = append(entries, discovery.Instance{Server: gone})
 			}
 		}
 	}
@@ -152,8 +153,8 @@
 	return states
 }
 
-// updateRecoveryRamp has the engine go by this instance's part in the ramps of the sites, and returns what to tell the others.
-// Called under the mutex.
+// updateRecoveryRamp has the engine go by this instance's part in the ramps of the sites, and returns what to tell
+// the others. Called under the mutex.
 func (in *Instance) updateRecoveryRamp(now time.Duration) multisite.RampWord {
 	var carried []multisite.Carried
 	for name := range in.siteWatches {
@@ -169,9 +170,11 @@
 	w := in.ramp.Tell(now, carried)
 	for name := range in.siteWatches {
 		servers, near := in.health.Carried(now, name)
-		z := policy.ZoneLimits{IsRemote: in.isRemote(name), InFlightFraction: 1 / float64(in.config.Settings.InstanceCount), RemoteServerCount: servers}
+		z := policy.ZoneLimits{IsRemote: in.isRemote(name), RemoteServerCount: servers}
+		z.InFlightFraction = 1 / float64(in.config.Settings.InstanceCount)
 		if !z.IsRemote {
-			z.WarmServerRate = coldBudgetFactor / in.config.Settings.ColdBudgetMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
+			factor := coldBudgetFactor / in.config.Settings.ColdBudgetMultiple()
+			z.WarmServerRate = factor * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
 			z.InFlightFraction = 1 / float64(max(near, 1))
 		}
 		in.engine.SetZoneLimits(name, z)
@@ -179,8 +182,8 @@
 	return w
 }
 
-// coldBudgetFactor is the multiple of what a cold server can take, as warm as it must be, that all instances together send it at the
-// most: half as much again may be saved up, and the whole stays below what pushes it over.
+// coldBudgetFactor is the multiple of what a cold server can take, as warm as it must be, that all instances together
+// send it at the most: half as much again may be saved up, and the whole stays below what pushes it over.
 const coldBudgetFactor = 1.4
 
 // AwaitServers waits until so many servers are known, over all sites.
