--- a/internal/scenario/booking.go
+++ b/internal/scenario/booking.go
@@ -14,7 +14,7 @@
 	bookWork  = 20 * time.Millisecond
 )
 
-// routes is the booking API as the halls know it, written by hand and not taken from the
+// routes is the booking API as the sites know it, written by hand and not taken from the
 // description: what the gateway makes of that is held against it. With a price, an
 // operation's fixed units depend on the version of the description.
 func routes(price func(version int, operation string, units int) int) []testserver.Route {
--- /dev/null
+++ b/internal/scenario/cluster_charges.go
@@ -0,0 +1,180 @@
+package scenario
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/testserver"
+)
+
+// checkCharges holds the instances' records against the sites and the history: each request that
+// reached a site was charged once, at the price of the version that it was matched with.
+// Records that a killed instance did not get to write are missed.
+func (c *clusterRun) checkCharges(j *ruleChecker, byTrace map[string][]testserver.Arrival, tries []testserver.Try, at map[string]*member, history []clusterconfig.Record) {
+	variants := map[uint64]int{}
+	now := 1
+	for _, r := range history {
+		if v := variantOf(r); v > 0 {
+			now = v
+		}
+		variants[r.Version] = now
+	}
+	records := map[string]gateway.RequestRecord{}
+	for _, m := range c.instances() {
+		f, err := os.Open(filepath.Join(c.dir, fmt.Sprintf("access-%d.jsonl", m.id)))
+		if err != nil {
+			j.violation("scenario", "%v", err)
+			continue
+		}
+		lines := bufio.NewScanner(f)
+		for lines.Scan() {
+			var r gateway.RequestRecord
+			if json.Unmarshal(lines.Bytes(), &r) != nil || r.Trace == "" {
+				continue // the half of a line, of an instance that was killed
+			}
+			if _, twice := records[r.Trace]; twice {
+				j.violation("one_answer", "%s was answered twice by the instances", r.Trace)
+			}
+			records[r.Trace] = r
+		}
+		f.Close()
+	}
+	by := map[string]testserver.Try{}
+	for _, t := range tries {
+		by[t.Trace] = t
+	}
+	keyed, forKey := 0, 0
+	for _, t := range tries {
+		if t.Operation == "bookVisit" && t.At.Sub(tries[0].At) > keyHoldAfterStart {
+			if keyed++; records[t.Trace].KeyRejection != "" {
+				forKey++
+			}
+		}
+	}
+	if keyed > 0 {
+		j.v.Figures["refused_for_key_share"] = math.Round(float64(forKey)/float64(keyed)*10000) / 10000
+	}
+	missed := 0
+	for trace, as := range byTrace {
+		first := as[0]
+		r, ok := records[trace]
+		if t, asked := by[trace]; !ok && asked {
+			m := at[t.Instance]
+			m.downMu.Lock()
+			lost := slices.ContainsFunc(m.killed, func(k time.Time) bool { return t.At.Before(k) && k.Sub(t.Ended) < lostLog })
+			m.downMu.Unlock()
+			if missed++; !lost && time.Since(t.Ended) > lostLog {
+				j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Hall)
+			}
+			continue
+		} else if !asked {
+			continue // a scenario's own
+		}
+		variant, known := variants[r.Version]
+		want := changingPrice(variant, first.Operation, first.Units)
+		j.v.UnitsDeclared += want
+		j.v.UnitsCounted += r.Units
+		switch {
+		case !known:
+			j.violation("versions", "%s was matched with version %d, which is not in the history", trace, r.Version)
+		case !r.Sent || r.Operation != first.Operation:
+			j.violation("operations", "%s was charged as %s (sent: %v) and reached %s as %s", trace, r.Operation, r.Sent, first.Hall, first.Operation)
+		case r.Units != want:
+			j.violation("units", "%s (%s, version %d, variant %d) was charged %d units; %d are right", trace, r.Operation, r.Version, variant, r.Units, want)
+		}
+		for _, a := range as {
+			if uint64(a.Version) != r.Version {
+				j.violation("versions", "%s was matched with version %d and sent on with %d", trace, r.Version, a.Version)
+			}
+		}
+	}
+	j.v.Figures["records_lost_with_kills"] = float64(missed)
+}
+
+// checkVersionOrder checks, on the sites' record, that no instance routes a request with an older
+// version than one that it had answered a client on before the request began.
+func checkVersionOrder(j *ruleChecker, tries []testserver.Try, byTrace map[string][]testserver.Arrival) {
+	type event struct {
+		at      time.Time
+		trace   string
+		version int
+		ended   bool
+	}
+	byInstance := map[string][]event{}
+	for _, t := range tries {
+		as := byTrace[t.Trace]
+		if len(as) == 0 {
+			continue
+		}
+		for _, a := range as {
+			byInstance[t.Instance] = append(byInstance[t.Instance], event{t.At, t.Trace, a.Version, false})
+		}
+		if t.Served {
+			byInstance[t.Instance] = append(byInstance[t.Instance], event{t.Ended, t.Trace, as[len(as)-1].Version, true})
+		}
+	}
+	for name, es := range byInstance {
+		slices.SortStableFunc(es, func(a, b event) int { return a.at.Compare(b.at) })
+		newest := 0
+		for _, e := range es {
+			if e.ended {
+				newest = max(newest, e.version)
+			} else if e.version < newest {
+				j.violation("versions", "%s was routed with version %d at %s, which had answered on %d", e.trace, e.version, name, newest)
+			}
+		}
+	}
+}
+
+// checkConfigChanges checks operators' asks: what was answered as applied is in the history, once
+// and as the version told; asks are in the order of real time.
+func (c *clusterRun) checkConfigChanges(j *ruleChecker, history []clusterconfig.Record) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(history) == 0 {
+		return
+	}
+	version := map[string]uint64{}
+	for _, r := range history {
+		if _, twice := version[r.ID]; twice {
+			j.violation("changes", "%s stands twice in the history", r.ID)
+		}
+		version[r.ID] = r.Version
+	}
+	type event struct {
+		at  time.Time
+		o   configChange
+		ret bool
+	}
+	var es []event
+	for _, o := range c.orders {
+		if !o.known {
+			continue
+		}
+		if o.applied && version[o.id] != o.version && o.version >= history[0].Version {
+			j.violation("changes", "%s was answered as version %d; the history has it as %d (0: lost)", o.id, o.version, version[o.id])
+		}
+		es = append(es, event{o.call, o, false}, event{o.ret, o, true})
+	}
+	slices.SortStableFunc(es, func(a, b event) int { return a.at.Compare(b.at) })
+	newest := uint64(0)
+	floor := map[string]uint64{}
+	for _, e := range es {
+		if !e.ret {
+			floor[e.o.id] = newest
+			continue
+		}
+		if e.o.version < floor[e.o.id] || e.o.applied && e.o.version == floor[e.o.id] {
+			j.violation("changes", "%s was answered version %d after another ask had ended on %d", e.o.id, e.o.version, floor[e.o.id])
+		}
+		newest = max(newest, e.o.version)
+	}
+}
--- /dev/null
+++ b/internal/scenario/cluster_operators.go
@@ -0,0 +1,185 @@
+package scenario
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/cluster"
+	"mulleinmux/internal/gateway"
+)
+
+// configChange is one ask of an operator.
+type configChange struct {
+	id          string
+	call, ret   time.Time
+	version     uint64
+	applied     bool
+	read, known bool
+}
+
+// applyFirstConfig has the instances agree on what they serve at first.
+func (c *clusterRun) applyFirstConfig(ctx context.Context, halls []gateway.Site) error {
+	p := &clusterconfig.Proposal{ID: "begin", Why: variantWhy(1)}
+	for _, k := range classes() {
+		p.Changes = append(p.Changes, clusterconfig.Put("class", k.Name, clusterconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
+	}
+	for _, pl := range settings(0).Plans {
+		p.Changes = append(p.Changes, clusterconfig.Put("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, CeilingRate: pl.HardLimitRate, CeilingBurst: pl.HardLimitBurst,
+			CeilingSlack: pl.HardLimitSlack, Price: pl.PriorityFactor, OverWorth: pl.OverQuotaFraction, OverCost: pl.OverQuotaCost}))
+	}
+	for _, l := range allLicensees() {
+		p.Changes = append(p.Changes, clusterconfig.Put("licensee", l.Name, clusterconfig.Licensee{Plan: l.Plan}))
+	}
+	for _, m := range c.followers {
+		p.Changes = append(p.Changes, clusterconfig.Put("follower", m.follows, clusterconfig.Follower{}))
+	}
+	for _, h := range halls {
+		p.Changes = append(p.Changes, clusterconfig.Put("hall", h.Name, clusterconfig.Hall{Register: h.Discovery.String()}))
+	}
+	p.Changes = append(p.Changes, clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
+	ctx, cancel := context.WithTimeout(ctx, startMost)
+	defer cancel()
+	for {
+		o, err := c.clients[0].Propose(ctx, p)
+		if err == nil && !o.Applied {
+			err = errors.New(o.Refused)
+		}
+		if err == nil {
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return fmt.Errorf("the first configuration: %w", err)
+		case <-time.After(50 * time.Millisecond):
+		}
+	}
+}
+
+func variantWhy(n int) string { return "variant " + strconv.Itoa(n) }
+
+// variantOf is the variant of the description that is in force from a record on, or 0.
+func variantOf(r clusterconfig.Record) int {
+	if text, ok := strings.CutPrefix(r.Why, "variant "); ok {
+		n, _ := strconv.Atoi(text)
+		return n
+	}
+	return 0
+}
+
+// runOperator is one operator: it changes descriptions, plans and licensees at random moments,
+// some against the version it has read, some bad, and reads.
+func (c *clusterRun) runOperator(ctx context.Context, i int) {
+	rng := rand.New(rand.NewPCG(c.environment.options.Seed, uint64(100+i)))
+	cl, gap := c.clients[i], operatorGap
+	if c.environment.scenario.small {
+		gap *= 10
+	}
+	for n := 0; ; n++ {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(time.Duration(rng.ExpFloat64() * float64(gap))):
+		}
+		o := configChange{id: fmt.Sprintf("op%d-%d", i, n), call: time.Now()}
+		p := &clusterconfig.Proposal{ID: o.id}
+		one, cancel := context.WithTimeout(ctx, 4*time.Second)
+		var err error
+		switch x := rng.Float64(); {
+		case x < 0.1:
+			var objects cluster.Objects
+			objects, err = cl.Objects(one, false)
+			o.version, o.read = objects.Version, true
+		case x < 0.2: // a description: three prices, and a class that is new
+			v := 2 + rng.IntN(20)
+			p.Why = variantWhy(v)
+			p.Changes = []clusterconfig.Change{clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(v, false))})}
+		case x < 0.3: // bad: refused by all alike
+			p.Changes = []clusterconfig.Change{clusterconfig.Put("licensee", "bad", clusterconfig.Licensee{Plan: "none"})}
+		case x < 0.5: // a plan that comes and goes
+			p.Changes = []clusterconfig.Change{clusterconfig.Put("plan", fmt.Sprint("trial-", rng.IntN(5)), clusterconfig.Plan{Rate: 1, Burst: 5, Price: 1})}
+		case x < 0.6:
+			p.Changes = []clusterconfig.Change{{Op: "remove", Kind: "plan", Name: fmt.Sprint("trial-", rng.IntN(5))}}
+		case x < 0.8:
+			p.Changes = []clusterconfig.Change{clusterconfig.Put("plan", "msingi", clusterconfig.Plan{Rate: 6, Burst: 20 + float64(rng.IntN(8)), Price: 0.88, OverWorth: 0.3})}
+		default: // against what it has read
+			var objects cluster.Objects
+			if objects, err = cl.Objects(one, false); err == nil {
+				p.Base = &objects.Version
+				p.Changes = []clusterconfig.Change{clusterconfig.Put("licensee", fmt.Sprint("new-", i), clusterconfig.Licensee{Plan: "kati"})}
+			}
+		}
+		if err == nil && !o.read {
+			for { // until its answer is known: the same id, so that it takes place once
+				var out clusterconfig.Outcome
+				out, err = cl.Propose(one, p)
+				o.version, o.applied = out.Version, out.Applied
+				if a, ok := errors.AsType[*cluster.AnswerError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
+					break
+				}
+				select {
+				case <-one.Done():
+				case <-time.After(20 * time.Millisecond):
+				}
+			}
+		}
+		cancel()
+		o.ret, o.known = time.Now(), err == nil
+		c.mu.Lock()
+		c.orders = append(c.orders, o)
+		c.mu.Unlock()
+	}
+}
+
+// countApplied counts the changes that operators know to be applied, and the last of them.
+func (c *clusterRun) countApplied() (n int, last time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, o := range c.orders {
+		if o.applied {
+			n++
+			if o.ret.After(last) {
+				last = o.ret
+			}
+		}
+	}
+	return n, last
+}
+
+func (c *clusterRun) logf(format string, args ...any) {
+	c.environment.mu.Lock()
+	c.environment.notes = append(c.environment.notes, fmt.Sprintf(format, args...))
+	c.environment.mu.Unlock()
+}
+
+// leader finds the member that leads, by its own word.
+func (c *clusterRun) leader(ctx context.Context) *member {
+	for ctx.Err() == nil {
+		for _, m := range c.members {
+			if s, err := c.status(ctx, m); err == nil && s.Leader == m.id {
+				return m
+			}
+		}
+		pause(ctx, 10*time.Millisecond)
+	}
+	return nil
+}
+
+func (c *clusterRun) status(ctx context.Context, m *member) (cluster.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	return c.clients[0].StatusAt(ctx, m.admin)
+}
+
+func pause(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
--- /dev/null
+++ b/internal/scenario/cluster_process.go
@@ -0,0 +1,215 @@
+package scenario
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// member is one instance.
+type member struct {
+	id                 uint64
+	listen, admin, udp string
+	raft, site, stream string
+	follows            string // name of a follower; empty: it is a member
+	cmd                *exec.Cmd
+	ended              chan error
+	runs               int
+
+	downMu sync.Mutex
+	down   []interval // when it could not be expected to answer
+	killed []time.Time
+}
+
+func (m *member) file() string { return fmt.Sprintf("gate-%d.toml", m.id) }
+
+// config words the file of a member.
+func (c *clusterRun) config(i int) string {
+	m := c.instances()[i]
+	var b strings.Builder
+	fmt.Fprintf(&b, "name = \"gate-%d\"\nlisten = %q\nzone = %q\ninstance = %d\npeer_listen = %q\npeers = [", m.id, m.listen, siteName(i%2), i, m.udp)
+	for _, o := range c.instances() {
+		fmt.Fprintf(&b, "%q, ", o.udp)
+	}
+	fmt.Fprintf(&b, "]\naccess_log = \"access-%d.jsonl\"\n[limits]\ndrain_for = \"50ms\"\nanswer_slack = \"8ms\"\nmax_attempts = 5\n", m.id)
+	b.WriteString("[servers]\ndrain_grace = \"250ms\"\n")
+	if !c.environment.options.RampOff { // without these every server is warm, and sites have no bounds of their own
+		b.WriteString("cold_from = 0.17\nramp_time = \"15s\"\nfall_multiple = 2.5\noverload_for = \"2s\"\n")
+	}
+	if m.follows != "" {
+		fmt.Fprintf(&b, "[follow]\ncluster = %q\nname = %q\ndata = \"gate-%d.db\"\ncerts = \"certs\"\n", clusterName, m.follows, m.id)
+		for j, o := range c.members {
+			fmt.Fprintf(&b, "[[follow.member]]\nnumber = %d\nstream = %q\n", o.id, c.streams[[2]int{i - len(c.members), j}].addr())
+		}
+		return b.String()
+	}
+	fmt.Fprintf(&b, "[cluster]\nname = %q\nnumber = %d\ndata = \"gate-%d.db\"\ncerts = \"certs\"\ntick = %q\n", clusterName, m.id, m.id, memberTick)
+	if c.environment.options.KeysAnywhere {
+		b.WriteString("keys = \"anywhere\"\n")
+	}
+	if len(c.followers) > 0 {
+		fmt.Fprintf(&b, "stream = %q\n", m.stream)
+	}
+	if i == len(c.members)-1 && !c.environment.scenario.sites {
+		fmt.Fprintf(&b, "stale_after = %q\nwhen_stale = \"refuse\"\n", shortStale)
+	}
+	if c.environment.scenario.sites {
+		fmt.Fprintf(&b, "[cluster.link]\nlisten = %q\n", m.site)
+		for j, o := range c.members {
+			if way := c.ways[[2]int{i, j}]; way != nil {
+				fmt.Fprintf(&b, "[[cluster.link.far]]\nhall = %q\nmember = %d\naddress = %q\n", siteName(j%2), o.id, way.addr())
+			}
+		}
+	}
+	for j, o := range c.members {
+		raft := o.raft
+		if l := c.links[[2]int{i, j}]; l != nil {
+			raft = l.addr()
+		}
+		fmt.Fprintf(&b, "[[cluster.member]]\nnumber = %d\nraft = %q\nadmin = %q\n", o.id, raft, o.admin)
+	}
+	return b.String()
+}
+
+// command is gateway with arguments.
+func (c *clusterRun) command(args ...string) *exec.Cmd {
+	cmd := exec.Command(c.environment.options.Program, args...)
+	cmd.Env = append(os.Environ(), c.environment.options.Env...)
+	return cmd
+}
+
+func (c *clusterRun) start(m *member) error {
+	args := []string{"run", "--config", filepath.Join(c.dir, m.file())}
+	if m.runs++; c.chaos {
+		args = append(args, "--chaos", strconv.FormatUint(c.environment.options.Seed*1000+uint64(m.runs), 10))
+	}
+	m.cmd = c.command(args...)
+	m.cmd.Stdout, m.cmd.Stderr = io.Discard, c.environment.options.Log
+	// The instance must not outlive a scenario.
+	m.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	m.markDown()
+	if err := m.cmd.Start(); err != nil {
+		return err
+	}
+	m.ended = make(chan error, 1)
+	cmd, ended := m.cmd, m.ended
+	go func() {
+		err := cmd.Wait()
+		m.markEndedAt(time.Now())
+		ended <- err
+		close(ended) // whoever waits later does not wait for ever
+	}()
+	return nil
+}
+
+// markEndedAt notes that a member has ended. One that did so by itself closed its door a while
+// before: it drained.
+func (m *member) markEndedAt(at time.Time) {
+	m.downMu.Lock()
+	defer m.downMu.Unlock()
+	if n := len(m.down); n == 0 || !m.down[n-1].to.IsZero() {
+		m.down = append(m.down, interval{from: at.Add(-drainMost)})
+	}
+}
+
+// markDown and up note when a member can't be expected to answer.
+func (m *member) markDown() {
+	m.downMu.Lock()
+	defer m.downMu.Unlock()
+	if n := len(m.down); n == 0 || !m.down[n-1].to.IsZero() {
+		m.down = append(m.down, interval{from: time.Now()})
+	}
+}
+
+func (m *member) markUp() {
+	m.downMu.Lock()
+	defer m.downMu.Unlock()
+	if n := len(m.down); n > 0 && m.down[n-1].to.IsZero() {
+		m.down[n-1].to = time.Now()
+	}
+}
+
+// wasDown tells whether a member was down at any time of a span.
+func (m *member) wasDown(from, to time.Time) bool {
+	m.downMu.Lock()
+	defer m.downMu.Unlock()
+	return slices.ContainsFunc(m.down, func(s interval) bool { return s.from.Before(to) && (s.to.IsZero() || from.Before(s.to)) })
+}
+
+// kill ends a member with SIGKILL.
+func (c *clusterRun) kill(m *member) {
+	m.markDown()
+	m.downMu.Lock()
+	m.killed = append(m.killed, time.Now())
+	m.downMu.Unlock()
+	m.cmd.Process.Kill()
+	<-m.ended
+	c.mu.Lock()
+	c.kills++
+	c.mu.Unlock()
+}
+
+// restart starts a member that is down, again where it ends by itself (its disk may fail),
+// and waits until it is ready.
+func (c *clusterRun) restart(ctx context.Context, m *member) error {
+	for {
+		if err := c.start(m); err != nil {
+			return err
+		}
+		if err := c.awaitReady(ctx, m); !errors.Is(err, errEnded) {
+			if err == nil {
+				m.markUp()
+			}
+			return err
+		}
+	}
+}
+
+var errEnded = errors.New("the instance has ended")
+
+// ready asks a member's /health/ready.
+func ready(ctx context.Context, m *member) bool {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.listen+"/health/ready", nil)
+	if err != nil {
+		return false
+	}
+	r.Close = true
+	resp, err := http.DefaultClient.Do(r)
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+func (c *clusterRun) awaitReady(ctx context.Context, m *member) error {
+	for end := time.Now().Add(startMost); time.Now().Before(end); {
+		select {
+		case err := <-m.ended:
+			m.ended <- err
+			return fmt.Errorf("member %d: %w: %w", m.id, errEnded, err)
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(10 * time.Millisecond):
+		}
+		if ready(ctx, m) {
+			return nil
+		}
+	}
+	return fmt.Errorf("member %d does not become ready", m.id)
+}
+
+type interval struct{ from, to time.Time }
--- /dev/null
+++ b/internal/scenario/cluster_verdict.go
@@ -0,0 +1,219 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"math"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/configstream"
+	"mulleinmux/internal/testserver"
+)
+
+// checkRules waits until all members are of one mind and judges the run.
+func (c *clusterRun) checkRules(ctx context.Context, tries []testserver.Try, began time.Time) *Verdict {
+	w := c.environment
+	v := &Verdict{Scenario: w.scenario.Name, Seed: w.options.Seed, Figures: map[string]float64{}, Rules: map[string]int{
+		"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
+		"units": 0, "operations": 0, "versions": 0, "one_mind": 0, "changes": 0, "scenario": 0}}
+	j := &ruleChecker{v}
+	history := c.checkAgreement(ctx, j)
+	c.checkFollowers(ctx, j)
+	arrivals := w.ledger.Arrivals()
+	slices.SortStableFunc(arrivals, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
+	byTrace := map[string][]testserver.Arrival{}
+	for _, a := range arrivals {
+		byTrace[a.Trace] = append(byTrace[a.Trace], a)
+	}
+	at := map[string]*member{}
+	for _, m := range c.instances() {
+		at[m.listen] = m
+	}
+	excused := 0
+	j.checkAnswers(tries, func(t testserver.Try) bool {
+		down := at[t.Instance].wasDown(t.At, t.Ended)
+		if down {
+			excused++
+		}
+		return down
+	})
+	j.checkEffects(arrivals, byTrace)
+	for _, s := range w.ledger.Strays() {
+		j.violation("operations", "the halls know no operation for %s", s)
+	}
+	for _, s := range w.ledger.Fallen() {
+		j.violation("cold_servers", "%s was pushed over", s)
+	}
+	j.checkHardLimits(byTrace)
+	c.checkCharges(j, byTrace, tries, at, history)
+	checkVersionOrder(j, tries, byTrace)
+	c.checkConfigChanges(j, history)
+	for _, n := range w.notes {
+		j.violation("scenario", "%s", n)
+	}
+	j.addFigures(tries, len(arrivals), time.Since(began))
+	n, _ := c.countApplied()
+	v.Figures["changes"], v.Figures["kills"], v.Figures["no_answer_while_down"] = float64(n), float64(c.kills), float64(excused)
+	v.Figures["disks_failed"] = float64(c.failed)
+	for i, g := range c.gaps {
+		v.Figures[fmt.Sprint("kill_to_change_ms_", i+1)] = math.Round(g.Seconds() * 1000)
+	}
+	for i, l := range c.losses {
+		v.Figures[fmt.Sprint("hall_lost_ms_", i+1)] = math.Round(l[0].Seconds() * 1000)
+		v.Figures[fmt.Sprint("hall_back_ms_", i+1)] = math.Round(l[1].Seconds() * 1000)
+	}
+	if c.surge != nil {
+		c.surge.figures(j, tries, arrivals, byTrace, w.serverCount(), w.coreCount())
+	}
+	for _, s := range c.alone {
+		c.checkIsolated(j, s, arrivals)
+	}
+	if c.flaps > 0 && w.scenario.Name == "flapping" {
+		// A loss takes half a second of silence, a return a hold that doubles.
+		lost, most := 0, 0
+		for _, r := range history {
+			if slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") }) && strings.Contains(r.Why, "silence") {
+				lost++
+			}
+		}
+		for spent := time.Duration(0); spent < w.options.For; most++ {
+			spent += 500*time.Millisecond + time.Second<<min(most, 5)
+		}
+		if v.Figures["flaps"], v.Figures["losses_agreed"], v.Figures["losses_at_most"] = float64(c.flaps), float64(lost), float64(most); lost > most {
+			j.violation("scenario", "the halls were agreed to be lost %d times; their holds allow %d", lost, most)
+		}
+	}
+	v.OK = true
+	for _, n := range v.Rules {
+		v.OK = v.OK && n == 0
+	}
+	return v
+}
+
+// checkIsolated wants bookings served at both sites while the sites were cut from each other.
+func (c *clusterRun) checkIsolated(j *ruleChecker, s interval, arrivals []testserver.Arrival) {
+	booked := map[string]int{}
+	for _, a := range arrivals {
+		if a.Effected && a.Effect == "keyed" && a.At.After(s.from) && a.At.Before(s.to) {
+			booked[a.Hall]++
+		}
+	}
+	for _, h := range c.environment.halls {
+		if j.v.Figures["booked_alone_"+h.Name] = float64(booked[h.Name]); booked[h.Name] == 0 {
+			j.violation("scenario", "%s took no bookings while the sites were cut from each other", h.Name)
+		}
+	}
+}
+
+// checkAgreement waits until all members have the same version and chain, and returns the history.
+func (c *clusterRun) checkAgreement(ctx context.Context, j *ruleChecker) []clusterconfig.Record {
+	for _, l := range c.links {
+		l.setCut(false)
+	}
+	ctx, cancel := context.WithTimeout(ctx, settle)
+	defer cancel()
+	for {
+		seen, same := "", 0
+		for _, m := range c.members {
+			select {
+			case err := <-m.ended: // its disk failed of late
+				if m.ended <- err; c.chaos {
+					c.failed++
+					m.markDown()
+					if err := c.start(m); err != nil {
+						j.violation("one_mind", "%v", err)
+					}
+				}
+			default:
+			}
+			s, err := c.status(ctx, m)
+			if err != nil || s.Installed != s.Version {
+				break
+			}
+			mind := fmt.Sprintf("%d %s", s.Version, s.Hash)
+			if same == 0 || mind == seen {
+				seen = mind
+				same++
+			}
+		}
+		if same == len(c.members) {
+			break
+		}
+		if pause(ctx, 20*time.Millisecond); ctx.Err() != nil {
+			j.violation("one_mind", "the members are not of one mind %v after the last change: the last seen is %s", settle, seen)
+			return nil
+		}
+	}
+	h, err := c.clients[0].History(ctx)
+	if err != nil {
+		j.violation("one_mind", "history: %v", err)
+	}
+	return h
+}
+
+// checkFollowers waits until every member says of every follower that it runs the newest version, and holds that
+// against what the follower itself answers.
+func (c *clusterRun) checkFollowers(ctx context.Context, j *ruleChecker) {
+	for _, l := range c.streams {
+		l.setCut(false)
+	}
+	began := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, settle)
+	defer cancel()
+	for len(c.followers) > 0 {
+		said := ""
+		for _, cl := range c.clients { // each asks another member first
+			fs, err := cl.Followers(ctx)
+			if err != nil {
+				said += err.Error() + "; "
+			}
+			for _, f := range c.followers {
+				i := slices.IndexFunc(fs.Followers, func(s configstream.Standing) bool { return s.Name == f.follows })
+				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.Newest {
+					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.Member, fs.Newest, f.follows, fs.Followers)
+				} else if v, err := versionAt(ctx, f); err != nil || v != fs.Newest {
+					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.Member, f.follows, fs.Newest, v, err)
+				}
+			}
+		}
+		if said == "" {
+			j.v.Figures["followed_s"] = math.Round(time.Since(began).Seconds()*10) / 10
+			return
+		}
+		if pause(ctx, 50*time.Millisecond); ctx.Err() != nil {
+			j.violation("one_mind", "the followers do not run what the members agree on %v after the last fault: %s", settle, said)
+			return
+		}
+	}
+}
+
+// versionAt asks an instance which version it serves on.
+func versionAt(ctx context.Context, m *member) (uint64, error) {
+	h, err := m.configHeaders(ctx)
+	if err != nil {
+		return 0, err
+	}
+	return strconv.ParseUint(h.Get("X-Mulleinmux-Version"), 10, 64)
+}
+
+// configHeaders asks an instance for an installer and returns what its answer tells of the configuration.
+func (m *member) configHeaders(ctx context.Context) (http.Header, error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.listen+"/v1/installers/i1", nil)
+	if err != nil {
+		return nil, err
+	}
+	r.Close = true
+	r.Header.Set("X-Licensee", "kati-0")
+	r.Header.Set("X-Mulleinmux-Explain", "1")
+	resp, err := http.DefaultClient.Do(r)
+	if err != nil {
+		return nil, err
+	}
+	resp.Body.Close()
+	return resp.Header, nil
+}
--- a/internal/scenario/contract.go
+++ b/internal/scenario/contract.go
@@ -27,7 +27,7 @@
 }
 
 // variant writes version n of the description: three prices and an aim differ in each, the
-// aim making a class that the module has not met. With bad, it is one that must be refused.
+// aim making a class that the engine has not met. With bad, it is one that must be rejected.
 func variant(n int, bad bool) []byte {
 	text := string(deploy.Booking)
 	swap := func(old, to string) {
@@ -46,8 +46,8 @@
 }
 
 // changeContract puts new descriptions in force at all instances, spread over the run.
-func changeContract(ctx context.Context, w *world) {
-	gap := w.opt.For / (changes + 1)
+func changeContract(ctx context.Context, w *environment) {
+	gap := w.options.For / (changes + 1)
 	number := 1
 	for n := 1; n <= changes; n++ {
 		select {
--- /dev/null
+++ b/internal/scenario/faults_members.go
@@ -0,0 +1,204 @@
+package scenario
+
+import (
+	"context"
+	"strconv"
+	"syscall"
+	"time"
+)
+
+// cutOff cuts a member off from all others, or heals its links.
+func (c *clusterRun) cutOff(m *member, cut bool) {
+	for way, l := range c.links {
+		if way[0] == int(m.id-1) || way[1] == int(m.id-1) {
+			l.setCut(cut)
+		}
+	}
+}
+
+// leaderLost kills the leader in the middle of changes, three times, and restarts it.
+func leaderLost(ctx context.Context, c *clusterRun) {
+	for range 3 {
+		pause(ctx, c.environment.options.For/6)
+		m := c.leader(ctx)
+		if m == nil || ctx.Err() != nil {
+			return
+		}
+		before, _ := c.countApplied()
+		c.kill(m)
+		at := time.Now()
+		for n, last := c.countApplied(); n <= before || !last.After(at); n, last = c.countApplied() {
+			if pause(ctx, 2*time.Millisecond); ctx.Err() != nil || time.Since(at) > 5*time.Second {
+				c.logf("no change was applied within %v of the leader's kill", time.Since(at))
+				return
+			}
+		}
+		c.mu.Lock()
+		c.gaps = append(c.gaps, time.Since(at))
+		c.mu.Unlock()
+		pause(ctx, c.environment.options.For/12)
+		if err := c.restart(context.WithoutCancel(ctx), m); err != nil {
+			c.logf("%v", err)
+			return
+		}
+	}
+}
+
+// minorityCut cuts off a member that then serves on and one that then refuses.
+func minorityCut(ctx context.Context, c *clusterRun) {
+	for _, i := range []int{0, len(c.members) - 1} {
+		m := c.members[i]
+		pause(ctx, c.environment.options.For/10)
+		c.cutOff(m, true)
+		if i == 0 {
+			pause(ctx, shortStale+500*time.Millisecond)
+			if age := c.configAge(ctx, m); ctx.Err() == nil && age < shortStale.Seconds() {
+				c.logf("member %d is cut off for %v and tells an age of %v s", m.id, shortStale, age)
+			}
+			if !ready(ctx, m) && ctx.Err() == nil {
+				c.logf("member %d is cut off, may serve on and does not", m.id)
+			}
+		} else {
+			if !ready(ctx, m) && ctx.Err() == nil {
+				c.logf("member %d refuses before its bound", m.id)
+			}
+			pause(ctx, shortStale+500*time.Millisecond)
+			if ready(ctx, m) && ctx.Err() == nil {
+				c.logf("member %d serves past its bound", m.id)
+			}
+		}
+		c.cutOff(m, false)
+		healed := time.Now()
+		for ctx.Err() == nil {
+			if s, err := c.status(ctx, m); err == nil && s.Serves && s.AgeMs < 500 {
+				break
+			}
+			if pause(ctx, 5*time.Millisecond); time.Since(healed) > 3*time.Second {
+				c.logf("member %d does not catch up after its links healed", m.id)
+				return
+			}
+		}
+	}
+}
+
+// configAge asks a member for a slot and returns the configuration's age that it tells.
+func (c *clusterRun) configAge(ctx context.Context, m *member) float64 {
+	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+	defer cancel()
+	for ctx.Err() == nil {
+		if h, err := m.configHeaders(ctx); err == nil {
+			if age, err := strconv.ParseFloat(h.Get("X-Mulleinmux-Config-Age"), 64); err == nil {
+				return age
+			}
+		}
+		pause(ctx, 50*time.Millisecond)
+	}
+	return -1
+}
+
+// rollingRestart restarts each member in turn, as for an update.
+func rollingRestart(ctx context.Context, c *clusterRun) {
+	for _, m := range c.members {
+		pause(ctx, c.environment.options.For/12)
+		m.markDown()
+		m.cmd.Process.Signal(syscall.SIGTERM)
+		select {
+		case err := <-m.ended:
+			if m.ended <- err; err != nil {
+				c.logf("member %d: %v", m.id, err)
+			}
+		case <-time.After(10 * time.Second):
+			c.logf("member %d does not end", m.id)
+			return
+		}
+		if err := c.restart(context.WithoutCancel(ctx), m); err != nil {
+			c.logf("%v", err)
+			return
+		}
+	}
+}
+
+// chaosConfig kills, cuts and heals by the seed until the time is over.
+func chaosConfig(ctx context.Context, c *clusterRun) {
+	until, _ := ctx.Deadline()
+	until = until.Add(-c.environment.options.For / 6)
+	after := context.WithoutCancel(ctx)
+	for time.Now().Before(until) && ctx.Err() == nil {
+		for _, m := range c.members { // one whose disk failed has ended
+			select {
+			case err := <-m.ended:
+				m.ended <- err
+				c.failed++
+				m.markDown()
+				if err := c.restart(after, m); err != nil {
+					c.logf("%v", err)
+					return
+				}
+			default:
+			}
+		}
+		m := c.members[c.rng.IntN(len(c.members))]
+		other := (int(m.id) + c.rng.IntN(len(c.members)-1)) % len(c.members)
+		switch c.rng.IntN(4) {
+		case 0:
+			c.kill(m)
+			pause(ctx, time.Duration(c.rng.IntN(400))*time.Millisecond)
+			if err := c.restart(after, m); err != nil {
+				c.logf("%v", err)
+				return
+			}
+		case 1: // one-way
+			c.links[[2]int{int(m.id - 1), other}].setCut(true)
+			pause(ctx, time.Duration(300+c.rng.IntN(700))*time.Millisecond)
+			c.links[[2]int{int(m.id - 1), other}].setCut(false)
+		case 2:
+			c.cutOff(m, true)
+			pause(ctx, time.Duration(300+c.rng.IntN(700))*time.Millisecond)
+			c.cutOff(m, false)
+		default: // a kill while the others are cut from each other
+			l := c.links[[2]int{other, int(m.id - 1)}]
+			l.setCut(true)
+			pause(ctx, 200*time.Millisecond)
+			c.kill(c.members[other])
+			l.setCut(false)
+			if err := c.restart(after, c.members[other]); err != nil {
+				c.logf("%v", err)
+				return
+			}
+		}
+		pause(ctx, time.Duration(100+c.rng.IntN(300))*time.Millisecond)
+	}
+}
+
+// killMembers kills one of some instances after the other, and starts it again.
+func killMembers(of func(c *clusterRun) []*member) func(context.Context, *clusterRun) {
+	return func(ctx context.Context, c *clusterRun) {
+		for until := c.awaitQuiet(ctx); time.Now().Before(until) && ctx.Err() == nil; {
+			pause(ctx, time.Duration(200+c.rng.IntN(800))*time.Millisecond)
+			all := of(c)
+			m := all[c.rng.IntN(len(all))]
+			c.kill(m)
+			pause(ctx, time.Duration(c.rng.IntN(1000))*time.Millisecond)
+			if err := c.restart(context.WithoutCancel(ctx), m); err != nil {
+				c.logf("%v", err)
+				return
+			}
+		}
+	}
+}
+
+// streamBreaks has the ways from followers to members fall silent, each for itself.
+func streamBreaks(ctx context.Context, c *clusterRun) {
+	for until := c.awaitQuiet(ctx); time.Now().Before(until) && ctx.Err() == nil; {
+		for _, l := range c.streams {
+			l.setCut(c.rng.IntN(3) == 0)
+		}
+		pause(ctx, time.Duration(100+c.rng.IntN(500))*time.Millisecond)
+	}
+}
+
+// awaitQuiet is when the faults of a scenario end.
+func (c *clusterRun) awaitQuiet(ctx context.Context) time.Time {
+	until, _ := ctx.Deadline()
+	return until.Add(-c.environment.options.For / 4)
+}
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -19,11 +19,11 @@
 	"mulleinmux/internal/testserver"
 )
 
-// A scenario whose rules are broken on purpose fails: a booking is sent to both halls
+// A scenario whose rules are broken on purpose fails: a booking is sent to both sites
 // past the gateway.
 func TestBrokenOnPurpose(t *testing.T) {
 	t.Parallel()
-	v, err := Play(context.Background(), Options{Scenario: "calm", For: 2 * time.Second, Seed: 7, breakRule: func(w *world) {
+	v, err := Run(context.Background(), Options{Scenario: "calm", For: 2 * time.Second, Seed: 7, breakRule: func(w *environment) {
 		for _, h := range w.halls {
 			for _, addr := range h.Addrs() {
 				r, err := http.NewRequest("POST", "http://"+addr+"/v1/visits", strings.NewReader(`{"installers":2}`))
@@ -97,14 +97,14 @@
 		{"a late answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", At: at(0), Ended: at(2100), Answers: 1, Status: 502}, "one_answer"},
 		{"turned down", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Answers: 1, Status: 404}, "operations"},
 	} {
-		j := &judge{&Verdict{Rules: map[string]int{}}}
+		j := &ruleChecker{&Verdict{Rules: map[string]int{}}}
 		byTrace := map[string][]testserver.Arrival{}
 		if len(c.as) > 0 {
 			byTrace["a"] = c.as
 		}
-		j.answers([]testserver.Try{c.try}, func(testserver.Try) bool { return false })
-		j.effects(c.as, byTrace)
-		j.costs(byTrace, map[string]gateway.RequestRecord{"a": c.rec})
+		j.checkAnswers([]testserver.Try{c.try}, func(testserver.Try) bool { return false })
+		j.checkEffects(c.as, byTrace)
+		j.checkCosts(byTrace, map[string]gateway.RequestRecord{"a": c.rec})
 		for rule, n := range j.v.Rules {
 			if rule != c.want && n > 0 {
 				t.Errorf("%s: %v", c.name, j.v.Examples)
@@ -116,19 +116,19 @@
 	}
 	// The ceiling of kubwa: 300 at once and 180 a second, with a slack of 57.
 	for units, want := range map[int]bool{350: false, 370: true} {
-		j := &judge{&Verdict{Rules: map[string]int{}}}
+		j := &ruleChecker{&Verdict{Rules: map[string]int{}}}
 		byTrace := map[string][]testserver.Arrival{}
 		for i := range units / 2 {
 			name := fmt.Sprint("t", i)
 			byTrace[name] = []testserver.Arrival{ran(name, "A", "safe", 0, 10)}
 		}
-		if j.ceilings(byTrace); (j.v.Rules["ceilings"] > 0) != want {
+		if j.checkHardLimits(byTrace); (j.v.Rules["ceilings"] > 0) != want {
 			t.Errorf("%d units at once: %d violations", units, j.v.Rules["ceilings"])
 		}
 	}
 }
 
-// No spelling of a path reaches a hall as another operation than the one charged: a hall
+// No spelling of a path reaches a site as another operation than the one charged: a site
 // that decodes, cleans and cuts whatever it can finds the same one.
 func FuzzSpelling(f *testing.F) {
 	for seed := range uint64(300) {
@@ -172,7 +172,7 @@
 	})
 }
 
-// respell writes a path in another way, which a hall may or may not take for the same.
+// respell writes a path in another way, which a site may or may not take for the same.
 func respell(rng *rand.Rand, path string) string {
 	i := 1 + rng.IntN(len(path)-1)
 	switch rng.IntN(12) {
@@ -222,43 +222,43 @@
 		"at another instance":     {[]testserver.Try{try("a", "x", 0, 10), try("b", "y", 20, 30)}, map[string]int{"a": 2, "b": 1}, 0},
 		"begun before the answer": {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 5, 30)}, map[string]int{"a": 2, "b": 1}, 0},
 	} {
-		j := &judge{&Verdict{Rules: map[string]int{}}}
+		j := &ruleChecker{&Verdict{Rules: map[string]int{}}}
 		by := map[string][]testserver.Arrival{}
 		for trace, v := range c.versions {
 			by[trace] = arrived(trace, v)
 		}
-		if versionOrder(j, c.tries, by); j.v.Rules["versions"] != c.broken {
+		if checkVersionOrder(j, c.tries, by); j.v.Rules["versions"] != c.broken {
 			t.Errorf("%s: %v", name, j.v.Rules)
 		}
 	}
 	history := []clusterconfig.Record{{Version: 1, ID: "a"}, {Version: 2, ID: "b"}}
-	asked := func(id string, from, to int, version uint64, applied bool) order {
-		return order{id: id, call: at(from), ret: at(to), version: version, applied: applied, known: true}
+	asked := func(id string, from, to int, version uint64, applied bool) configChange {
+		return configChange{id: id, call: at(from), ret: at(to), version: version, applied: applied, known: true}
 	}
 	for name, c := range map[string]struct {
-		orders  []order
+		orders  []configChange
 		history []clusterconfig.Record
 		broken  int
 	}{
-		"in order":           {[]order{asked("a", 0, 1, 1, true), asked("b", 2, 3, 2, true), asked("r", 4, 5, 2, false)}, history, 0},
-		"lost":               {[]order{asked("c", 0, 1, 2, true)}, history, 1},
-		"told wrong":         {[]order{asked("a", 0, 1, 2, true)}, history, 1},
-		"stale read":         {[]order{asked("b", 0, 1, 2, true), asked("r", 2, 3, 1, false)}, history, 1},
-		"against real time":  {[]order{asked("b", 0, 1, 2, true), asked("a", 2, 3, 1, true)}, history, 1},
-		"at once":            {[]order{asked("b", 0, 4, 2, true), asked("a", 2, 3, 1, true)}, history, 0},
+		"in order":           {[]configChange{asked("a", 0, 1, 1, true), asked("b", 2, 3, 2, true), asked("r", 4, 5, 2, false)}, history, 0},
+		"lost":               {[]configChange{asked("c", 0, 1, 2, true)}, history, 1},
+		"told wrong":         {[]configChange{asked("a", 0, 1, 2, true)}, history, 1},
+		"stale read":         {[]configChange{asked("b", 0, 1, 2, true), asked("r", 2, 3, 1, false)}, history, 1},
+		"against real time":  {[]configChange{asked("b", 0, 1, 2, true), asked("a", 2, 3, 1, true)}, history, 1},
+		"at once":            {[]configChange{asked("b", 0, 4, 2, true), asked("a", 2, 3, 1, true)}, history, 0},
 		"twice in the chain": {nil, append(history, clusterconfig.Record{Version: 3, ID: "a"}), 1},
 	} {
-		j := &judge{&Verdict{Rules: map[string]int{}}}
-		if (&clusterRun{orders: c.orders}).judgeOrders(j, c.history); j.v.Rules["changes"] != c.broken {
+		j := &ruleChecker{&Verdict{Rules: map[string]int{}}}
+		if (&clusterRun{orders: c.orders}).checkConfigChanges(j, c.history); j.v.Rules["changes"] != c.broken {
 			t.Errorf("%s: %v %v", name, j.v.Rules, j.v.Examples)
 		}
 	}
 	m := &member{}
-	m.setDown()
+	m.markDown()
 	if !m.wasDown(time.Now(), time.Now().Add(time.Second)) {
 		t.Error("a member that is down is held to answer")
 	}
-	if m.up(); m.wasDown(time.Now().Add(time.Second), time.Now().Add(2*time.Second)) {
+	if m.markUp(); m.wasDown(time.Now().Add(time.Second), time.Now().Add(2*time.Second)) {
 		t.Error("a member that is up is excused")
 	}
 }
@@ -293,8 +293,8 @@
 			t.Fatal(err)
 		}
 		m := &member{id: 1, killed: c.killed}
-		j := &judge{&Verdict{Rules: map[string]int{}, Figures: map[string]float64{}}}
-		(&clusterRun{dir: dir, members: []*member{m}}).charged(j, by, tries, map[string]*member{"x": m}, history)
+		j := &ruleChecker{&Verdict{Rules: map[string]int{}, Figures: map[string]float64{}}}
+		(&clusterRun{dir: dir, members: []*member{m}}).checkCharges(j, by, tries, map[string]*member{"x": m}, history)
 		for _, rule := range []string{"units", "versions", "operations", "one_answer"} {
 			if (j.v.Rules[rule] > 0) != (rule == c.broken) {
 				t.Errorf("%s: %v", name, j.v.Rules)
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -11,33 +11,33 @@
 	"mulleinmux/policy"
 )
 
-// The scenario hall-lost-surge loses a hall that is needed and has it back cold, and holds what was served against
-// an oracle that knows the true state of all servers at once, has no wait between sites, and chooses among all that was
+// The scenario site-lost-surge loses a site that is needed and has it back cold, and holds what was served against an
+// oracle that knows the true state of all servers at once, has no wait between sites, and chooses among all that was
 // asked for. No gateway can serve more than it.
 
-// Moments of the scenario, as shares of its length: a hall is lost, and returns.
+// Moments of the scenario, as shares of its length: a site is lost, and returns.
 const (
 	surgeLost   = 0.2
 	surgeBack   = 0.48
 	surgeAfter  = 10 * time.Second // looked at after the loss, at most until the return
 	surgeReturn = 20 * time.Second // after the return, at most until the end
 	oracleStep  = 20 * time.Millisecond
-	fullShare   = 0.9 // of what a hall did before it was lost: full use
+	fullShare   = 0.9 // of what a site did before it was lost: full use
 )
 
-// surge is what happened to the hall.
+// surge is what happened to the site.
 type surge struct {
 	hall                  string
 	calm, lost, back, end time.Time
 }
 
-// hallLostSurge has a hall that carries half of the load fall silent, and come back with cold servers alone.
+// hallLostSurge has a site that carries half of the load fall silent, and come back with cold servers alone.
 func hallLostSurge(ctx context.Context, c *clusterRun) {
 	began := time.Now()
 	until := func(share float64) {
-		pause(ctx, time.Until(began.Add(time.Duration(share*float64(c.w.opt.For)))))
+		pause(ctx, time.Until(began.Add(time.Duration(share*float64(c.environment.options.For)))))
 	}
-	h := c.w.halls[c.rng.IntN(2)]
+	h := c.environment.halls[c.rng.IntN(2)]
 	s := &surge{hall: h.Name}
 	until(surgeLost / 2)
 	s.calm = time.Now()
@@ -45,9 +45,9 @@
 	s.lost = time.Now()
 	h.Cut(true)
 	until(surgeBack)
-	ids := []string{"cold-0", "cold-1", "cold-2", "cold-3", "cold-4"}[:c.w.servers()]
+	ids := []string{"cold-0", "cold-1", "cold-2", "cold-3", "cold-4"}[:c.environment.serverCount()]
 	if err := h.Empty(ids...); err != nil {
-		c.note("%v", err)
+		c.logf("%v", err)
 	}
 	s.back = time.Now()
 	h.Cut(false)
@@ -68,10 +68,10 @@
 	served   time.Time
 }
 
-// wishes joins tries to wishes. Units of a request that no hall has seen are those of its operation's others.
+// wishes joins tries to wishes. Units of a request that no site has seen are those of its operation's others.
 func wishes(tries []testserver.Try, byTrace map[string][]testserver.Arrival) []*wish {
 	classes, plans, prices, units := classes(), map[string]string{}, map[string]float64{}, map[string]int{}
-	for _, l := range licensees() {
+	for _, l := range allLicensees() {
 		plans[l.Name] = l.Plan
 	}
 	for _, p := range settings(0).Plans {
@@ -105,7 +105,7 @@
 	return all
 }
 
-// capacity is the seconds of work a second that all halls can do at a moment, as the stand-ins have it.
+// capacity is the seconds of work a second that all sites can do at a moment, as the test server have it.
 func (s *surge) capacity(at time.Time, servers, cores int) float64 {
 	full := float64(servers * cores)
 	switch {
@@ -122,9 +122,9 @@
 	return math.Min(set.SlowStartMinFraction+(1-set.SlowStartMinFraction)*at.Sub(s.back).Seconds()/set.SlowStartWindow.Seconds(), 1)
 }
 
-// oracle plays the whole run: which wishes can be served within their aim. Each takes units of its licensee's store, in the
-// order in which they come, and waits for them within its aim, as a client does that tries again; of those that have them,
-// what is worth most for its work is served first.
+// oracle runs the whole run: which wishes can be served within their aim. Each takes units of its licensee's store,
+// in the order in which they come, and waits for them within its aim, as a client does that tries again; of those
+// that have them, what is worth most for its work is served first.
 func (s *surge) oracle(all []*wish, servers, cores int) (served map[*wish]bool) {
 	type store struct {
 		plan  policy.Plan
@@ -133,7 +133,7 @@
 	}
 	var stores []*store
 	byName := map[string]*store{}
-	for _, l := range licensees() {
+	for _, l := range allLicensees() {
 		for _, p := range settings(0).Plans {
 			if p.Name == l.Plan {
 				byName[l.Name] = &store{plan: p, level: p.Burst}
@@ -200,7 +200,7 @@
 }
 
 // figures holds what was served against the oracle, and the time to full use against the shortest.
-func (s *surge) figures(j *judge, tries []testserver.Try, arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival, servers, cores int) {
+func (s *surge) figures(j *ruleChecker, tries []testserver.Try, arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival, servers, cores int) {
 	all := wishes(tries, byTrace)
 	oracle := s.oracle(all, servers, cores)
 	share := func(name string, from, to time.Time) {
@@ -217,7 +217,7 @@
 	share("worth_after_loss_of_oracle", s.lost, earliest(s.lost.Add(surgeAfter), s.back))
 	share("worth_after_return_of_oracle", s.back, earliest(s.back.Add(surgeReturn), s.end))
 
-	// Work done at the hall, by second.
+	// Work done at the site, by second.
 	done := func(from, to time.Time) (work float64) {
 		for _, a := range arrivals {
 			if a.Hall == s.hall && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
--- a/internal/scenario/lab.go
+++ b/internal/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package lab plays scenarios: real instances of the gateway on loopback sockets, between
-// stand-in halls and licensees' clients. When one ends, it holds what the halls recorded
+// Package scenario runs scenarios: real instances of the gateway on loopback sockets, between
+// test server sites and licensees' clients. When one ends, it holds what the sites recorded
 // against what the instances counted, and tells which rules were kept.
 package scenario
 
@@ -35,9 +35,9 @@
 	Env      []string          // added to its environment
 
 	RampOff      bool // the instances take every server for warm: servers-replaced must then show a fallen one
-	KeysAnywhere bool // without the guard of keys: hall-closes must then show double bookings
+	KeysAnywhere bool // without the guard of keys: site-closes must then show double bookings
 
-	breakRule func(*world) // a test breaks a rule on purpose
+	breakRule func(*environment) // a test breaks a rule on purpose
 }
 
 // Scenario is one that can be played.
@@ -46,12 +46,15 @@
 	mix         func() []testserver.Ask
 	faults      testserver.Faults
 	price       func(version int, operation string, units int) int
-	during      func(context.Context, *world)      // runs beside the clients, until ctx ends
-	cluster     func(context.Context, *clusterRun) // likewise, with instances as processes that agree
-	rush        float64                            // times what licensees ask for otherwise; 0: as much, or twice where it is small
-	small       bool                               // halls of three servers with one core: one alone can't carry the load
-	followers   int                                // instances beside the members that are told the configuration
-	sites       bool                               // two instances at each of two sites; each reaches its own hall alone, the other over the link
+	during      func(context.Context, *environment) // runs beside the clients, until ctx ends
+	cluster     func(context.Context, *clusterRun)  // likewise, with instances as processes that agree
+	// Times what licensees ask for otherwise; 0: as much, or twice where it is small.
+	rush float64
+	// Sites of three servers with one core: one alone can't carry the load.
+	small     bool
+	followers int // instances beside the members that are told the configuration
+	// Two instances at each of two sites; each reaches its own site alone, the other over the link.
+	sites bool
 }
 
 // Scenarios are all that can be played.
@@ -67,34 +70,34 @@
 		{Name: "leader-lost", About: "processes that agree; the leader is killed three times in the middle of changes", mix: mixedMix, price: sameUnits, cluster: leaderLost},
 		{Name: "minority-cut", About: "processes that agree; one is cut off and serves on, one is cut off and refuses past its bound", mix: mixedMix, price: sameUnits, cluster: minorityCut},
 		{Name: "rolling-restart", About: "processes that agree; each is restarted in turn", mix: mixedMix, price: sameUnits, cluster: rollingRestart},
-		{Name: "hall-closes", About: "processes that agree; halls are closed and opened for keyed requests, whose clients repeat them anywhere", mix: stubbornMix, price: sameUnits, cluster: hallCloses,
+		{Name: "hall-closes", About: "processes that agree; halls are closed and opened for keyed requests, whose clients repeat them anywhere", mix: persistentClients, price: sameUnits, cluster: siteCloses,
 			faults: testserver.Faults{Error: 0.1, ErrorIdle: 0.02, Reset: 0.1, Silent: 0.03, Refuse: 0.02}},
-		{Name: "instance-killed-holding-keys", About: "the same, and an instance is killed as each hall closes", mix: stubbornMix, price: sameUnits, cluster: killedHoldingKeys, sites: true,
+		{Name: "instance-killed-holding-keys", About: "the same, and an instance is killed as each hall closes", mix: persistentClients, price: sameUnits, cluster: killedHoldingKeys, sites: true,
 			faults: testserver.Faults{Error: 0.1, ErrorIdle: 0.02, Reset: 0.1, Silent: 0.03, Refuse: 0.02}},
-		{Name: "hall-lost", About: "processes that agree; a hall falls silent while it runs work, and comes back as it was or empty; nobody tells the instances", mix: stubbornMix, price: sameUnits, cluster: hallLost, sites: true,
+		{Name: "hall-lost", About: "processes that agree; a hall falls silent while it runs work, and comes back as it was or empty; nobody tells the instances", mix: persistentClients, price: sameUnits, cluster: siteLost, sites: true,
 			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
-		{Name: "hall-returns-empty", About: "the same with halls that come back cold: with one server, with all, with half of them, twice in a row", mix: stubbornMix, price: sameUnits, cluster: hallReturnsEmpty, sites: true,
+		{Name: "hall-returns-empty", About: "the same with halls that come back cold: with one server, with all, with half of them, twice in a row", mix: persistentClients, price: sameUnits, cluster: siteReturnsEmpty, sites: true,
 			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
-		{Name: "flapping", About: "the same with a hall that falls silent and answers again all the time", mix: stubbornMix, price: sameUnits, cluster: flapping, sites: true,
+		{Name: "flapping", About: "the same with a hall that falls silent and answers again all the time", mix: persistentClients, price: sameUnits, cluster: flapping, sites: true,
 			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
-		{Name: "two-sites", About: "processes that agree, two at each of two sites, and no faults", mix: stubbornMix, price: sameUnits, cluster: func(ctx context.Context, _ *clusterRun) { <-ctx.Done() }, sites: true},
-		{Name: "hall-lost-surge", About: "a hall that carries half of the load is lost and comes back cold; what is served is held against an oracle", mix: stubbornMix, price: sameUnits, cluster: hallLostSurge, sites: true, small: true},
-		{Name: "servers-replaced", About: "a crowd asks for all that there is, and a hall's warm servers end a moment after a cold one has come", mix: stubbornMix, price: sameUnits, cluster: serversReplaced, sites: true, small: true, rush: 6},
-		{Name: "link-drops", About: "processes that agree, two at each of two sites; the way between the sites falls silent and breaks all the time", mix: stubbornMix, price: sameUnits, cluster: linkDrops, sites: true,
+		{Name: "two-sites", About: "processes that agree, two at each of two sites, and no faults", mix: persistentClients, price: sameUnits, cluster: func(ctx context.Context, _ *clusterRun) { <-ctx.Done() }, sites: true},
+		{Name: "hall-lost-surge", About: "a hall that carries half of the load is lost and comes back cold; what is served is held against an oracle", mix: persistentClients, price: sameUnits, cluster: hallLostSurge, sites: true, small: true},
+		{Name: "servers-replaced", About: "a crowd asks for all that there is, and a hall's warm servers end a moment after a cold one has come", mix: persistentClients, price: sameUnits, cluster: serversReplaced, sites: true, small: true, rush: 6},
+		{Name: "link-drops", About: "processes that agree, two at each of two sites; the way between the sites falls silent and breaks all the time", mix: persistentClients, price: sameUnits, cluster: linkDrops, sites: true,
 			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
-		{Name: "both-cut", About: "the same, and all ways between the sites stay cut: each is alone", mix: stubbornMix, price: sameUnits, cluster: bothCut, sites: true,
+		{Name: "both-cut", About: "the same, and all ways between the sites stay cut: each is alone", mix: persistentClients, price: sameUnits, cluster: bothCut, sites: true,
 			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
 		{Name: "followers", About: "three members that agree and two instances that follow, and no faults", mix: mixedMix, price: sameUnits, cluster: func(ctx context.Context, _ *clusterRun) { <-ctx.Done() }, followers: 2},
 		{Name: "stream-breaks", About: "three members that agree and two instances that follow; the ways between them fall silent all the time", mix: mixedMix, price: sameUnits, cluster: streamBreaks, followers: 2},
-		{Name: "follower-restarts", About: "the same; followers are killed and started again", mix: mixedMix, price: sameUnits, cluster: killing(func(c *clusterRun) []*member { return c.follow }), followers: 2},
-		{Name: "member-dies-with-followers", About: "the same; members are killed and started again", mix: mixedMix, price: sameUnits, cluster: killing(func(c *clusterRun) []*member { return c.members }), followers: 2},
+		{Name: "follower-restarts", About: "the same; followers are killed and started again", mix: mixedMix, price: sameUnits, cluster: killMembers(func(c *clusterRun) []*member { return c.followers }), followers: 2},
+		{Name: "member-dies-with-followers", About: "the same; members are killed and started again", mix: mixedMix, price: sameUnits, cluster: killMembers(func(c *clusterRun) []*member { return c.members }), followers: 2},
 		{Name: "chaos-config", About: "processes that agree; kills, cuts, lost, late and repeated messages, failing disks, by the seed", mix: mixedMix, price: sameUnits, cluster: chaosConfig},
 	}
 }
 
-// world is a scenario under way.
-type world struct {
-	opt       Options
+// environment is a scenario under way.
+type environment struct {
+	options   Options
 	scenario  Scenario
 	ledger    *testserver.Ledger
 	halls     []*testserver.Hall
@@ -109,17 +112,17 @@
 	notes   []string // what a scenario found wrong
 }
 
-// members is the number of instances: two at each of two sites, or three that reach both halls.
-func (w *world) members() int {
+// memberCount is the number of instances: two at each of two sites, or three that reach both sites.
+func (w *environment) memberCount() int {
 	if w.scenario.sites {
 		return 4
 	}
 	return instances
 }
 
-// asking is what the licensees ask for: in a small scenario it takes nine tenths of what both halls can do.
-func (w *world) asking() []testserver.Licensee {
-	ls := licensees()
+// licensees is what the licensees ask for: in a small scenario it takes nine tenths of what both sites can do.
+func (w *environment) licensees() []testserver.Licensee {
+	ls := allLicensees()
 	for i := range ls {
 		if w.scenario.small || w.scenario.rush > 0 {
 			ls[i].Rate *= cmp.Or(w.scenario.rush, 2)
@@ -128,22 +131,22 @@
 	return ls
 }
 
-// servers and cores are the size of a hall.
-func (w *world) servers() int {
+// serverCount and cores are the size of a site.
+func (w *environment) serverCount() int {
 	if w.scenario.small {
 		return 3
 	}
 	return perHall
 }
 
-func (w *world) cores() int {
+func (w *environment) coreCount() int {
 	if w.scenario.small {
 		return 1
 	}
 	return 2
 }
 
-// Figures of the lab.
+// Sizes and times of a scenario.
 const (
 	instances  = 3
 	perHall    = 5
@@ -161,7 +164,7 @@
 
 func settings(me int) policy.Settings {
 	return policy.Settings{
-		InstanceIndex: me, InstanceCount: instances, Zone: hallName(me % 2),
+		InstanceIndex: me, InstanceCount: instances, Zone: siteName(me % 2),
 		Plans: []policy.Plan{
 			{Name: "msingi", Rate: 6, Burst: 24, PriorityFactor: 0.88, OverQuotaFraction: 0.3},
 			{Name: "kati", Rate: 24, Burst: 60, PriorityFactor: 1.1, OverQuotaCost: 0.6},
@@ -175,9 +178,9 @@
 	}
 }
 
-func hallName(i int) string { return [...]string{"hall-a", "hall-b"}[i] }
+func siteName(i int) string { return [...]string{"hall-a", "hall-b"}[i] }
 
-func licensees() (ls []testserver.Licensee) {
+func allLicensees() (ls []testserver.Licensee) {
 	for i := range 12 {
 		ls = append(ls, testserver.Licensee{Name: fmt.Sprintf("msingi-%d", i), Plan: "msingi", Rate: 2})
 	}
@@ -191,8 +194,8 @@
 	return append(ls, testserver.Licensee{Name: "kubwa-greedy", Plan: "kubwa", Rate: 120})
 }
 
-// Play plays a scenario and judges it. An error means that it could not be played.
-func Play(ctx context.Context, opt Options) (*Verdict, error) {
+// Run runs a scenario and judges it. An error means that it could not be played.
+func Run(ctx context.Context, opt Options) (*Verdict, error) {
 	i := slices.IndexFunc(Scenarios(), func(s Scenario) bool { return s.Name == opt.Scenario })
 	if i < 0 {
 		return nil, fmt.Errorf("scenario %q is unknown: see --list", opt.Scenario)
@@ -203,16 +206,16 @@
 	if opt.Log == nil {
 		opt.Log = io.Discard
 	}
-	w := &world{opt: opt, scenario: Scenarios()[i], ledger: &testserver.Ledger{}}
+	w := &environment{options: opt, scenario: Scenarios()[i], ledger: &testserver.Ledger{}}
 	w.compile = routing.Options{Classes: classes(), MostUnits: 50}
 	if w.scenario.cluster != nil {
-		return w.playCluster(ctx)
+		return w.runCluster(ctx)
 	}
-	return w.play(ctx)
+	return w.run(ctx)
 }
 
-func (w *world) play(ctx context.Context) (*Verdict, error) {
-	halls, closeHalls, err := w.startHalls()
+func (w *environment) run(ctx context.Context) (*Verdict, error) {
+	halls, closeHalls, err := w.startSites()
 	if err != nil {
 		return nil, err
 	}
@@ -227,15 +230,15 @@
 	if err != nil {
 		return nil, err
 	}
-	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.asking(), Mix: w.scenario.mix(), Tries: 3, Deadline: 2 * time.Second, Seed: w.opt.Seed}
-	playing, end := context.WithTimeout(ctx, w.opt.For)
+	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.licensees(), Mix: w.scenario.mix(), Tries: 3, Deadline: 2 * time.Second, Seed: w.options.Seed}
+	playing, end := context.WithTimeout(ctx, w.options.For)
 	defer end()
 	var beside sync.WaitGroup
 	if w.scenario.during != nil {
 		beside.Go(func() { w.scenario.during(playing, w) })
 	}
-	if w.opt.breakRule != nil {
-		beside.Go(func() { w.opt.breakRule(w) })
+	if w.options.breakRule != nil {
+		beside.Go(func() { w.options.breakRule(w) })
 	}
 	beside.Go(func() { w.progress(playing) })
 	began := time.Now()
@@ -250,26 +253,26 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return w.judge(tries, began), nil
+	return w.checkRules(tries, began), nil
 }
 
-// startHalls starts the halls and their servers.
-func (w *world) startHalls() (halls []gateway.Site, closeAll func(), err error) {
+// startSites starts the sites and their servers.
+func (w *environment) startSites() (halls []gateway.Site, closeAll func(), err error) {
 	closeAll = func() {
 		for _, h := range w.halls {
 			h.Close()
 		}
 	}
 	for i := range 2 {
-		h, err := testserver.NewHall(hallName(i), routes(w.scenario.price), testserver.Figures{Cores: w.cores(), Queue: 60, Memory: 4 * time.Second,
+		h, err := testserver.NewHall(siteName(i), routes(w.scenario.price), testserver.Figures{Cores: w.coreCount(), Queue: 60, Memory: 4 * time.Second,
 			ColdFrom: 0.17, Ramp: 15 * time.Second, FallMultiple: 2.5, FallWindow: 2 * time.Second,
-			Faults: w.scenario.faults, Seed: w.opt.Seed}, w.ledger)
+			Faults: w.scenario.faults, Seed: w.options.Seed}, w.ledger)
 		if err != nil {
 			closeAll()
 			return nil, nil, err
 		}
 		w.halls = append(w.halls, h)
-		for n := range w.servers() {
+		for n := range w.serverCount() {
 			if _, err := h.Start(fmt.Sprintf("s%d", n), false); err != nil {
 				closeAll()
 				return nil, nil, err
@@ -281,7 +284,7 @@
 }
 
 // start starts the instances and returns once all are ready.
-func (w *world) start(ctx context.Context, halls []gateway.Site, table *routing.Table) (ended chan error, err error) {
+func (w *environment) start(ctx context.Context, halls []gateway.Site, table *routing.Table) (ended chan error, err error) {
 	var lns []net.Listener
 	var conns []*net.UDPConn
 	var addrs []netip.AddrPort
@@ -299,17 +302,17 @@
 		addrs = append(addrs, conn.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
 	known := map[string]gateway.Licensee{}
-	for _, l := range licensees() {
+	for _, l := range allLicensees() {
 		known[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerOf(l.Name)}
 	}
 	ended = make(chan error, instances)
 	ready := make(chan *gateway.Instance, instances)
 	for i := range instances {
-		cfg := &gateway.Config{Name: fmt.Sprintf("gate-%d", i), Seed: w.opt.Seed + uint64(i), Sites: halls, Peers: addrs,
+		cfg := &gateway.Config{Name: fmt.Sprintf("gate-%d", i), Seed: w.options.Seed + uint64(i), Sites: halls, Peers: addrs,
 			Settings: settings(i), Classes: classes(), Licensees: known, Observe: w.observe, DrainTimeout: 50 * time.Millisecond}
 		cfg.UseSockets(lns[i], conns[i])
 		w.configs = append(w.configs, cfg)
-		logger := log.New(w.opt.Log, cfg.Name+" ", log.LstdFlags|log.Lmicroseconds)
+		logger := log.New(w.options.Log, cfg.Name+" ", log.LstdFlags|log.Lmicroseconds)
 		go func() {
 			ended <- gateway.Run(ctx, cfg, cfg.Setup(1, table, nil), logger, func(in *gateway.Instance) { ready <- in })
 		}()
@@ -325,21 +328,21 @@
 		}
 	}
 	for _, in := range w.instances {
-		if err := in.AwaitServers(ctx, 2*w.servers(), startWait); err != nil {
+		if err := in.AwaitServers(ctx, 2*w.serverCount(), startWait); err != nil {
 			return nil, err
 		}
 	}
 	return ended, nil
 }
 
-func (w *world) observe(r gateway.RequestRecord) {
+func (w *environment) observe(r gateway.RequestRecord) {
 	w.mu.Lock()
 	w.records = append(w.records, r)
 	w.mu.Unlock()
 }
 
 // progress tells how far a scenario has come, once a second.
-func (w *world) progress(ctx context.Context) {
+func (w *environment) progress(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for n := 1; ; n++ {
@@ -348,7 +351,7 @@
 			return
 		case <-tick.C:
 		}
-		if w.opt.Progress == nil {
+		if w.options.Progress == nil {
 			continue
 		}
 		var served, refused, failed int64
@@ -360,10 +363,10 @@
 		w.mu.Lock()
 		changes := w.changes
 		w.mu.Unlock()
-		line := fmt.Sprintf("%s %ds of %v: %d served, %d refused, %d failed", w.scenario.Name, n, w.opt.For, served, refused, failed)
+		line := fmt.Sprintf("%s %ds of %v: %d served, %d refused, %d failed", w.scenario.Name, n, w.options.For, served, refused, failed)
 		if changes > 0 {
 			line += fmt.Sprintf(", %d changes of the description", changes)
 		}
-		w.opt.Progress(line)
+		w.options.Progress(line)
 	}
 }
--- a/internal/scenario/lab_test.go
+++ b/internal/scenario/scenario_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Each scenario keeps every rule, and the halls' account agrees with the instances' to
+// Each scenario keeps every rule, and the sites' account agrees with the instances' to
 // the unit.
 func TestScenarios(t *testing.T) {
 	for _, s := range Scenarios() {
@@ -15,7 +15,7 @@
 		}
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			v, err := Play(context.Background(), Options{Scenario: s.Name, For: 4 * time.Second, Seed: 7})
+			v, err := Run(context.Background(), Options{Scenario: s.Name, For: 4 * time.Second, Seed: 7})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -24,7 +24,7 @@
 	Served        int                `json:"served"`
 	Refused       int                `json:"refused"`
 	Failed        int                `json:"failed"`
-	UnitsDeclared int                `json:"units_declared"` // by what the halls read of each request that reached them
+	UnitsDeclared int                `json:"units_declared"` // by what the sites read of each request that reached them
 	UnitsCounted  int                `json:"units_counted"`  // by the instances
 	Duplicates    int                `json:"duplicates"`
 	Unanswered    int                `json:"unanswered"`
@@ -36,7 +36,7 @@
 // OperationFigures are those of one operation.
 type OperationFigures struct {
 	Operation string `json:"operation"`
-	Sent      int    `json:"sent"` // requests that reached a hall
+	Sent      int    `json:"sent"` // requests that reached a site
 	Attempts  int    `json:"attempts"`
 	Declared  int    `json:"units_declared"`
 	Counted   int    `json:"units_counted"`
@@ -44,30 +44,30 @@
 
 // Tolerances of the rules: what a record's time may be off.
 const (
-	inFlightSlack = 25 * time.Millisecond // until a hall sees that a connection has ended
+	inFlightSlack = 25 * time.Millisecond // until a site sees that a connection has ended
 	drainGrace    = 250*time.Millisecond + 50*time.Millisecond
 	lateSlack     = 60 * time.Millisecond
 	windowSlack   = 50 * time.Millisecond
 	mostExamples  = 12
 )
 
-type judge struct {
+type ruleChecker struct {
 	v *Verdict
 }
 
-func (j *judge) broken(rule, format string, args ...any) {
+func (j *ruleChecker) violation(rule, format string, args ...any) {
 	j.v.Rules[rule]++
 	if len(j.v.Examples) < mostExamples {
 		j.v.Examples = append(j.v.Examples, rule+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// judge holds the account of the halls and of the clients against the instances' own.
-func (w *world) judge(tries []testserver.Try, began time.Time) *Verdict {
-	v := &Verdict{Scenario: w.scenario.Name, Seed: w.opt.Seed, Figures: map[string]float64{}, Rules: map[string]int{
+// checkRules holds the account of the sites and of the clients against the instances' own.
+func (w *environment) checkRules(tries []testserver.Try, began time.Time) *Verdict {
+	v := &Verdict{Scenario: w.scenario.Name, Seed: w.options.Seed, Figures: map[string]float64{}, Rules: map[string]int{
 		"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
 		"units": 0, "operations": 0, "versions": 0, "scenario": 0}}
-	j := &judge{v}
+	j := &ruleChecker{v}
 	arrivals := w.ledger.Arrivals()
 	slices.SortStableFunc(arrivals, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
 	byTrace := map[string][]testserver.Arrival{}
@@ -77,25 +77,25 @@
 	records := map[string]gateway.RequestRecord{}
 	for _, r := range w.records {
 		if _, twice := records[r.Trace]; twice {
-			j.broken("one_answer", "%s was answered twice by the instances", r.Trace)
+			j.violation("one_answer", "%s was answered twice by the instances", r.Trace)
 		}
 		records[r.Trace] = r
 	}
-	j.answers(tries, func(testserver.Try) bool { return false })
-	j.effects(arrivals, byTrace)
-	j.costs(byTrace, records)
+	j.checkAnswers(tries, func(testserver.Try) bool { return false })
+	j.checkEffects(arrivals, byTrace)
+	j.checkCosts(byTrace, records)
 	for _, s := range w.ledger.Strays() {
-		j.broken("operations", "the halls know no operation for %s", s)
+		j.violation("operations", "the halls know no operation for %s", s)
 	}
 	for _, s := range w.ledger.Fallen() {
-		j.broken("cold_servers", "%s was pushed over", s)
+		j.violation("cold_servers", "%s was pushed over", s)
 	}
-	j.ceilings(byTrace)
-	w.counters(j)
+	j.checkHardLimits(byTrace)
+	w.checkCounters(j)
 	for _, n := range w.notes {
-		j.broken("scenario", "%s", n)
+		j.violation("scenario", "%s", n)
 	}
-	j.figures(tries, len(arrivals), time.Since(began))
+	j.addFigures(tries, len(arrivals), time.Since(began))
 	v.OK = true
 	for _, n := range v.Rules {
 		v.OK = v.OK && n == 0
@@ -103,9 +103,9 @@
 	return v
 }
 
-// answers checks that each try of a client had one whole answer, its own and in time. A try
+// checkAnswers checks that each try of a client had one whole answer, its own and in time. A try
 // without one is excused where its instance was down.
-func (j *judge) answers(tries []testserver.Try, excused func(testserver.Try) bool) {
+func (j *ruleChecker) checkAnswers(tries []testserver.Try, excused func(testserver.Try) bool) {
 	for _, t := range tries {
 		j.v.Requests++
 		switch {
@@ -120,27 +120,27 @@
 		case t.Answers == 0 && excused(t):
 		case t.Answers == 0:
 			j.v.Unanswered++
-			j.broken("one_answer", "%s (%s) had no answer", t.Trace, t.Operation)
+			j.violation("one_answer", "%s (%s) had no answer", t.Trace, t.Operation)
 		case t.Answers > 1:
-			j.broken("one_answer", "%s (%s) had more than one answer", t.Trace, t.Operation)
+			j.violation("one_answer", "%s (%s) had more than one answer", t.Trace, t.Operation)
 		case t.Wrong != "":
-			j.broken("one_answer", "%s: %s", t.Trace, t.Wrong)
+			j.violation("one_answer", "%s: %s", t.Trace, t.Wrong)
 		case t.Ended.Sub(t.At) > 2*time.Second+lateSlack:
-			j.broken("one_answer", "%s was answered after %v", t.Trace, t.Ended.Sub(t.At))
+			j.violation("one_answer", "%s was answered after %v", t.Trace, t.Ended.Sub(t.At))
 		}
 		if t.Status == 400 || t.Status == 404 || t.Status == 405 || t.Status == 403 {
-			j.broken("operations", "%s (%s) was turned down with %d", t.Trace, t.Operation, t.Status)
+			j.violation("operations", "%s (%s) was turned down with %d", t.Trace, t.Operation, t.Status)
 		}
 	}
 }
 
-// effects checks what the attempts of each request did: no effect twice, repeats only
+// checkEffects checks what the attempts of each request did: no effect twice, repeats only
 // within their class, never two attempts at once, drains kept.
-func (j *judge) effects(arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
+func (j *ruleChecker) checkEffects(arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
 	done := map[string]string{}
 	for _, a := range arrivals {
 		if a.Draining > drainGrace {
-			j.broken("drains", "%s came to %s %v after it drained", a.Trace, a.Server, a.Draining)
+			j.violation("drains", "%s came to %s %v after it drained", a.Trace, a.Server, a.Draining)
 		}
 		if !a.Effected || a.Effect == "safe" {
 			continue
@@ -151,7 +151,7 @@
 		}
 		if before, twice := done[name]; twice {
 			j.v.Duplicates++
-			j.broken("no_effect_twice", "%s (%s) had its effect at %s and at %s", name, a.Operation, before, a.Hall+"/"+a.Server)
+			j.violation("no_effect_twice", "%s (%s) had its effect at %s and at %s", name, a.Operation, before, a.Hall+"/"+a.Server)
 		}
 		done[name] = a.Hall + "/" + a.Server
 	}
@@ -160,16 +160,16 @@
 		for i := range as {
 			a := &as[i]
 			if i > 0 && a.At.Add(inFlightSlack).Before(as[i-1].Ended) {
-				j.broken("no_effect_twice", "%s had two attempts out for %v", trace, as[i-1].Ended.Sub(a.At))
+				j.violation("no_effect_twice", "%s had two attempts out for %v", trace, as[i-1].Ended.Sub(a.At))
 			}
 			if ran != nil {
 				switch {
 				case a.Effect == "unsafe":
-					j.broken("no_effect_twice", "%s (%s) is unsafe, may have run and was sent again", trace, a.Operation)
+					j.violation("no_effect_twice", "%s (%s) is unsafe, may have run and was sent again", trace, a.Operation)
 				case a.Effect == "keyed" && a.Hall != ran.Hall:
-					j.broken("no_effect_twice", "%s (%s) may have run at %s and was sent to %s", trace, a.Operation, ran.Hall, a.Hall)
+					j.violation("no_effect_twice", "%s (%s) may have run at %s and was sent to %s", trace, a.Operation, ran.Hall, a.Hall)
 				case a.Effect == "keyed" && a.At.Sub(ran.At) > 4*time.Second+windowSlack:
-					j.broken("no_effect_twice", "%s (%s) was sent again after %v", trace, a.Operation, a.At.Sub(ran.At))
+					j.violation("no_effect_twice", "%s (%s) was sent again after %v", trace, a.Operation, a.At.Sub(ran.At))
 				}
 			}
 			if ran == nil && a.Ran {
@@ -179,9 +179,9 @@
 	}
 }
 
-// costs checks that each request that reached a hall was charged once, as the operation
-// that the hall saw, at the price of one version.
-func (j *judge) costs(byTrace map[string][]testserver.Arrival, records map[string]gateway.RequestRecord) {
+// checkCosts checks that each request that reached a site was charged once, as the operation
+// that the site saw, at the price of one version.
+func (j *ruleChecker) checkCosts(byTrace map[string][]testserver.Arrival, records map[string]gateway.RequestRecord) {
 	ops := map[string]*OperationFigures{}
 	op := func(name string) *OperationFigures {
 		if ops[name] == nil {
@@ -198,27 +198,27 @@
 		j.v.UnitsDeclared += first.Units
 		r, ok := records[trace]
 		if !ok || !r.Sent {
-			j.broken("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Hall)
+			j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Hall)
 			continue
 		}
 		if r.Operation != first.Operation {
-			j.broken("operations", "%s was charged as %s and reached %s as %s", trace, r.Operation, first.Hall, first.Operation)
+			j.violation("operations", "%s was charged as %s and reached %s as %s", trace, r.Operation, first.Hall, first.Operation)
 		}
 		if r.Units != first.Units {
-			j.broken("units", "%s (%s, version %d) was charged %d units; %d were declared", trace, r.Operation, r.Version, r.Units, first.Units)
+			j.violation("units", "%s (%s, version %d) was charged %d units; %d were declared", trace, r.Operation, r.Version, r.Units, first.Units)
 		}
 		if r.Attempts < len(as) {
-			j.broken("units", "%s: the instance knows of %d attempts of %d", trace, r.Attempts, len(as))
+			j.violation("units", "%s: the instance knows of %d attempts of %d", trace, r.Attempts, len(as))
 		}
 		for _, a := range as {
 			if uint64(a.Version) != r.Version {
-				j.broken("versions", "%s was matched with version %d and sent on with %d", trace, r.Version, a.Version)
+				j.violation("versions", "%s was matched with version %d and sent on with %d", trace, r.Version, a.Version)
 			}
 		}
 	}
 	for trace, r := range records {
 		if r.Sent && byTrace[trace] == nil {
-			j.broken("units", "%s (%s) was charged and reached no hall", trace, r.Operation)
+			j.violation("units", "%s (%s) was charged and reached no hall", trace, r.Operation)
 		}
 	}
 	for _, f := range ops {
@@ -227,11 +227,11 @@
 	slices.SortFunc(j.v.Operations, func(a, b OperationFigures) int { return cmp.Compare(a.Operation, b.Operation) })
 }
 
-// ceilings plays the ceilings' stores over the halls' record. The slack is that of the
+// checkHardLimits runs the ceilings' stores over the sites' record. The slack is that of the
 // plan or a tenth, whichever is more, and what the rate gives in 150 ms.
-func (j *judge) ceilings(byTrace map[string][]testserver.Arrival) {
+func (j *ruleChecker) checkHardLimits(byTrace map[string][]testserver.Arrival) {
 	plans := map[string]string{}
-	for _, l := range licensees() {
+	for _, l := range allLicensees() {
 		plans[l.Name] = l.Plan
 	}
 	firsts := map[string][]testserver.Arrival{}
@@ -249,15 +249,15 @@
 			for _, a := range as {
 				level = math.Min(level+p.HardLimitRate*a.At.Sub(at).Seconds(), p.HardLimitBurst) - float64(a.Units)
 				if at = a.At; level < -slack {
-					j.broken("ceilings", "%s is %.0f units over its ceiling", name, -level)
+					j.violation("ceilings", "%s is %.0f units over its ceiling", name, -level)
 				}
 			}
 		}
 	}
 }
 
-// counters holds the instances' counters against the records and the halls.
-func (w *world) counters(j *judge) {
+// checkCounters holds the instances' counters against the records and the sites.
+func (w *environment) checkCounters(j *ruleChecker) {
 	counted := map[string]int{}
 	answers := map[string]int{}
 	for _, in := range w.instances {
@@ -272,19 +272,19 @@
 	for i := range j.v.Operations {
 		f := &j.v.Operations[i]
 		if f.Counted = counted[f.Operation]; f.Counted != f.Declared {
-			j.broken("units", "%s: %d units counted, %d declared", f.Operation, f.Counted, f.Declared)
+			j.violation("units", "%s: %d units counted, %d declared", f.Operation, f.Counted, f.Declared)
 		}
 	}
 	if j.v.UnitsCounted != j.v.UnitsDeclared {
-		j.broken("units", "%d units counted in all, %d declared", j.v.UnitsCounted, j.v.UnitsDeclared)
+		j.violation("units", "%d units counted in all, %d declared", j.v.UnitsCounted, j.v.UnitsDeclared)
 	}
 	if answers["served"] != j.v.Served || answers["refused"] != j.v.Refused || answers["failed"] != j.v.Failed {
-		j.broken("one_answer", "the instances count %v; clients had %d served, %d refused, %d failed", answers, j.v.Served, j.v.Refused, j.v.Failed)
+		j.violation("one_answer", "the instances count %v; clients had %d served, %d refused, %d failed", answers, j.v.Served, j.v.Refused, j.v.Failed)
 	}
 }
 
-// figures tells how well clients were served.
-func (j *judge) figures(tries []testserver.Try, attempts int, took time.Duration) {
+// addFigures tells how well clients were served.
+func (j *ruleChecker) addFigures(tries []testserver.Try, attempts int, took time.Duration) {
 	var lat []float64
 	for _, t := range tries {
 		if t.Served {
