--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -206,7 +206,7 @@
 	for _, m := range c.instances() {
 		if m.cmd != nil && m.cmd.Process != nil {
 			m.cmd.Process.Kill()
-			<-m.ended
+			<-m.ended.done
 		}
 	}
 	for _, l := range c.links {
--- a/internal/scenario/cluster_process.go
+++ b/internal/scenario/cluster_process.go
@@ -24,7 +24,7 @@
 	raft, site, stream string
 	follows            string // name of a follower; empty: it is a member
 	cmd                *exec.Cmd
-	ended              chan error
+	ended              *processEnd // of the latest start
 	runs               int
 
 	downMu sync.Mutex
@@ -102,13 +102,13 @@
 	if err := m.cmd.Start(); err != nil {
 		return err
 	}
-	m.ended = make(chan error, 1)
-	cmd, ended := m.cmd, m.ended
+	process := &processEnd{done: make(chan struct{})}
+	m.ended = process
+	cmd := m.cmd
 	go func() {
-		err := cmd.Wait()
+		process.err = cmd.Wait()
 		m.markEndedAt(time.Now())
-		ended <- err
-		close(ended) // whoever waits later does not wait for ever
+		close(process.done)
 	}()
 	return nil
 }
@@ -154,7 +154,7 @@
 	m.killed = append(m.killed, time.Now())
 	m.downMu.Unlock()
 	m.cmd.Process.Kill()
-	<-m.ended
+	<-m.ended.done
 	c.mu.Lock()
 	c.kills++
 	c.mu.Unlock()
@@ -198,9 +198,8 @@
 func (c *clusterRun) awaitReady(ctx context.Context, m *member) error {
 	for end := time.Now().Add(startMost); time.Now().Before(end); {
 		select {
-		case err := <-m.ended:
-			m.ended <- err
-			return fmt.Errorf("member %d: %w: %w", m.id, errEnded, err)
+		case <-m.ended.done:
+			return fmt.Errorf("member %d: %w: %w", m.id, errEnded, m.ended.err)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(10 * time.Millisecond):
@@ -212,4 +211,10 @@
 	return fmt.Errorf("member %d does not become ready", m.id)
 }
 
+// processEnd is the end of a process, for any number of those who wait for it.
+type processEnd struct {
+	done chan struct{} // closed at the end
+	err  error         // of the process, once done is closed
+}
+
 type interval struct{ from, to time.Time }
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -121,8 +121,8 @@
 		seen, same := "", 0
 		for _, m := range c.members {
 			select {
-			case err := <-m.ended: // its disk failed of late
-				if m.ended <- err; c.chaos {
+			case <-m.ended.done: // its disk failed of late
+				if c.chaos {
 					c.failed++
 					m.markDown()
 					if err := c.start(m); err != nil {
--- a/internal/scenario/faults_members.go
+++ b/internal/scenario/faults_members.go
@@ -103,8 +103,8 @@
 		m.markDown()
 		m.cmd.Process.Signal(syscall.SIGTERM)
 		select {
-		case err := <-m.ended:
-			if m.ended <- err; err != nil {
+		case <-m.ended.done:
+			if err := m.ended.err; err != nil {
 				c.logf("member %d: %v", m.id, err)
 			}
 		case <-time.After(10 * time.Second):
@@ -126,8 +126,7 @@
 	for time.Now().Before(until) && ctx.Err() == nil {
 		for _, m := range c.members { // one whose disk failed has ended
 			select {
-			case err := <-m.ended:
-				m.ended <- err
+			case <-m.ended.done:
 				c.failed++
 				m.markDown()
 				if err := c.restart(after, m); err != nil {
