--- a/internal/benchmark/crossing.go
+++ b/internal/benchmark/crossing.go
@@ -29,11 +29,11 @@
 	if p.Role == "near" {
 		member = nearMember
 	}
-	creds, err := raftnode.LoadCredentials(p.Dir, member)
+	creds, err := raftnode.LoadMemberCredentials(p.Dir, member)
 	if err != nil {
 		return nil, err
 	}
-	link := &gateway.RelayConfig{Own: []string{"hall-a"}, Listen: at, TLS: creds.TLS(), Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf("bench", s) }}
+	link := &gateway.RelayConfig{Own: []string{"hall-a"}, Listen: at, TLS: creds.TLSConfig(), Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("bench", s) }}
 	link.TLS.SessionTicketsDisabled = true
 	if p.Role == "near" {
 		link.Own, link.Listen = []string{"hall-b"}, netip.MustParseAddrPort("127.0.0.1:0")
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -42,13 +42,13 @@
 	Agreement *Agreement
 
 	// Keys, if set, keeps a keyed request to the site that package multisite gives it.
-	Keys *multisite.Config
+	Keys *multisite.KeyConfig
 
 	// Health, if set, has the instance judge the sites: see package multisite.
 	Health *multisite.HealthConfig
 
 	// QuorumConfirmation, if set, has key owners confirmed by as many voters as no newer key owners can do without.
-	QuorumConfirmation *multisite.ConsentConfig
+	QuorumConfirmation *multisite.ConfirmationConfig
 
 	// RecoveryRamp, if set, has the instances share out what cold servers may be sent: see package multisite.
 	RecoveryRamp *multisite.RampConfig
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -44,11 +44,11 @@
 
 	mu                sync.Mutex
 	engine            *policy.Engine
-	relay             *relay            // nil: it reaches all sites itself
-	keys              *multisite.Keys   // nil: keyed requests are kept to a site for one request only
-	health            *multisite.Health // nil: site health is not judged
-	confirmation      *multisite.Consent
-	ramp              *multisite.Ramp // nil: what cold servers are sent is each instance's own guess
+	relay             *relay                   // nil: it reaches all sites itself
+	keys              *multisite.KeyTable      // nil: keyed requests are kept to a site for one request only
+	health            *multisite.HealthMonitor // nil: site health is not judged
+	confirmation      *multisite.QuorumConfirmation
+	ramp              *multisite.RecoveryRamp // nil: what cold servers are sent is each instance's own guess
 	requests          map[string]*pendingRequest
 	deferred          []func() // what the event under way leaves to do without the mutex
 	isClosed          bool     // no more events
@@ -109,7 +109,7 @@
 func (in *Instance) addMultisite() (err error) {
 	config := in.config
 	if config.Keys != nil {
-		if in.keys, err = multisite.New(*config.Keys, in.now()); err != nil {
+		if in.keys, err = multisite.NewKeyTable(*config.Keys, in.now()); err != nil {
 			return err
 		}
 	}
@@ -120,17 +120,17 @@
 		in.servers.secure = in.relay.secure
 	}
 	if config.Health != nil {
-		if in.health, err = multisite.NewHealth(*config.Health); err != nil {
+		if in.health, err = multisite.NewHealthMonitor(*config.Health); err != nil {
 			return err
 		}
 	}
 	if config.QuorumConfirmation != nil {
-		if in.confirmation, err = multisite.NewConsent(*config.QuorumConfirmation); err != nil {
+		if in.confirmation, err = multisite.NewQuorumConfirmation(*config.QuorumConfirmation); err != nil {
 			return err
 		}
 	}
 	if config.RecoveryRamp != nil {
-		in.ramp, err = multisite.NewRamp(*config.RecoveryRamp)
+		in.ramp, err = multisite.NewRecoveryRamp(*config.RecoveryRamp)
 	}
 	return err
 }
@@ -165,7 +165,7 @@
 		}
 		in.version.Store(in.newVersion(s, old))
 		if deadline, window := s.Table.KeyLife(); in.keys != nil && deadline > 0 {
-			in.keys.SetLife(now, deadline+maxRequestTransit, window)
+			in.keys.SetLifetimes(now, deadline+maxRequestTransit, window)
 		}
 		in.watchSites(now, s.Sites, out)
 	})
--- a/internal/gateway/key_owners.go
+++ b/internal/gateway/key_owners.go
@@ -15,11 +15,11 @@
 
 // InstallKeyOwners takes over an agreed epoch of key owners: what an entry of the log, the voters of that moment
 // (joint: they change) and all before it come to.
-func (in *Instance) InstallKeyOwners(h multisite.Homes, index uint64, voters []uint64, joint bool) {
+func (in *Instance) InstallKeyOwners(h multisite.OwnershipEpoch, index uint64, voters []uint64, joint bool) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
-		in.keys.Install(now, h)
+		in.keys.InstallEpoch(now, h)
 		if in.confirmation != nil {
-			in.confirmation.Agree(index, voters, joint)
+			in.confirmation.ApplyAgreed(index, voters, joint)
 		}
 	})
 }
@@ -27,23 +27,23 @@
 // ConfirmKeyOwners tells that the epoch in force was confirmed by a quorum that was asked at a time.
 func (in *Instance) ConfirmKeyOwners(asked time.Time) {
 	in.handleEvent(func(time.Duration, policy.Actions) {
-		in.keys.Confirm(time.Duration(in.startedAt.UnixNano()) + asked.Sub(in.startedAt))
+		in.keys.ConfirmEpoch(time.Duration(in.startedAt.UnixNano()) + asked.Sub(in.startedAt))
 	})
 }
 
-// NextMessage is [multisite.Keys.Tell], with what else goes to the other instances. fence tells this member's: see
-// [multisite.Consent].
+// NextMessage is [multisite.KeyTable.NextBroadcast], with what else goes to the other instances. fence tells this member's: see
+// [multisite.QuorumConfirmation].
 func (in *Instance) NextMessage(most int, fence func() uint64) (m multisite.Message, more bool) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
-		if m, more = in.keys.Tell(now, most); more {
+		if m, more = in.keys.NextBroadcast(now, most); more {
 			return
 		}
 		if in.health != nil {
 			for name := range in.siteWatches {
 				if in.isRemote(name) {
-					in.health.Far(name, true)
+					in.health.SetRemote(name, true)
 				} else {
-					in.health.Carries(name, in.engine.ZoneCapacity(now, name))
+					in.health.RecordCapacity(name, in.engine.ZoneCapacity(now, name))
 				}
 			}
 			m.Views = in.health.Views(now)
@@ -53,26 +53,26 @@
 			m.Ramp = &w
 		}
 		if in.confirmation != nil {
-			w := in.confirmation.Tell(now, fence())
-			m.Consent = &w
+			w := in.confirmation.NextBroadcast(now, fence())
+			m.Confirmation = &w
 			in.confirmByQuorum()
 		}
 	})
 	return m, more
 }
 
-// ReceiveMessage is [multisite.Keys.Hear].
+// ReceiveMessage is [multisite.KeyTable.Receive].
 func (in *Instance) ReceiveMessage(m multisite.Message) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
-		in.keys.Hear(now, m)
+		in.keys.Receive(now, m)
 		if in.health != nil && m.Views != nil {
-			in.health.Hear(now, m.From, m.Views)
+			in.health.Receive(now, m.From, m.Views)
 		}
 		if in.ramp != nil && m.Ramp != nil {
-			in.ramp.Hear(now, m.From, *m.Ramp)
+			in.ramp.Receive(now, m.From, *m.Ramp)
 		}
-		if in.confirmation != nil && m.Consent != nil {
-			in.confirmation.Hear(m.From, *m.Consent)
+		if in.confirmation != nil && m.Confirmation != nil {
+			in.confirmation.Receive(m.From, *m.Confirmation)
 			in.confirmByQuorum()
 		}
 	})
@@ -80,7 +80,7 @@
 
 // confirmByQuorum confirms the key owners in force where enough others consent. Called under the mutex.
 func (in *Instance) confirmByQuorum() {
-	if at, ok := in.confirmation.Confirmed(); ok {
-		in.keys.Confirm(at)
+	if at, ok := in.confirmation.ConfirmedAt(); ok {
+		in.keys.ConfirmEpoch(at)
 	}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -23,7 +23,7 @@
 // as it came, with the id of its relayed request. The remote instance sends it on within its own sites alone, so that
 // nothing crosses twice, and says truthfully what became of it: an answer; "never ran" (503 with X-Never-Ran); or
 // that it may have run (502). Its units were counted where it entered. If the connection breaks before the answer,
-// the remote instance is asked over another one: see [multisite.Arrivals].
+// the remote instance is asked over another one: see [multisite.ForwardedRequests].
 
 // RelayConfig is an instance's part in the link.
 type RelayConfig struct {
@@ -63,8 +63,8 @@
 	config *RelayConfig
 
 	mu       sync.Mutex
-	arrivals *multisite.Arrivals
-	budget   *multisite.Budget
+	arrivals *multisite.ForwardedRequests
+	budget   *multisite.RelayBudget
 }
 
 func newRelay(cfg *RelayConfig) (*relay, error) {
@@ -73,13 +73,13 @@
 	}
 	l := &relay{config: cfg}
 	var err error
-	if l.arrivals, err = multisite.NewArrivals(arrivalTTL, maxArrivals); err != nil {
+	if l.arrivals, err = multisite.NewForwardedRequests(arrivalTTL, maxArrivals); err != nil {
 		return nil, err
 	}
-	l.budget, err = multisite.NewBudget(multisite.BudgetConfig{
-		Most:    orDefault(cfg.MaxInFlight, defaultMaxRelayed),
-		Retries: relayRetryTokens,
-		Saved:   maxRelayRetryTokens,
+	l.budget, err = multisite.NewRelayBudget(multisite.RelayBudgetConfig{
+		MaxInFlight:     orDefault(cfg.MaxInFlight, defaultMaxRelayed),
+		RetryRatio:      relayRetryTokens,
+		MaxSavedRetries: maxRelayRetryTokens,
 	})
 	return l, err
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -116,13 +116,13 @@
 	}
 	h.authority = auth
 	part := func(member uint64, own string) *RelayConfig {
-		creds, err := auth.Credentials(member)
+		creds, err := auth.IssueCredentials(member)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := creds.TLS()
+		c := creds.TLSConfig()
 		c.SessionTicketsDisabled = true
-		return &RelayConfig{Own: []string{own}, TLS: c, Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf("test", s) }}
+		return &RelayConfig{Own: []string{own}, TLS: c, Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("test", s) }}
 	}
 	a, b := part(1, "hall-a"), part(2, "hall-b")
 	if b.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -344,11 +344,11 @@
 		if err := errors.Join(auth.Write(dir), auth.WriteOperator(dir, "op")); err != nil {
 			t.Fatal(err)
 		}
-		creds, err := raftnode.LoadNamed(dir, raftnode.OperatorFile("op"))
+		creds, err := raftnode.LoadCredentialFiles(dir, raftnode.OperatorFilePrefix("op"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		operator = creds.TLS()
+		operator = creds.TLSConfig()
 	})
 	if got := dial(t, near.addr).ask(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: k")); got.status != 429 {
 		t.Errorf("by a member that is not the one expected: %+v", got)
@@ -435,7 +435,7 @@
 	h := newHalls(t)
 	h.server("hall-a", "s1")
 	r := start(t, h, 1, func(c *Config) {
-		c.Keys = &multisite.Config{Me: 1, Incarnation: 1, Lease: time.Second, Life: time.Second, Memory: time.Second, Most: 10}
+		c.Keys = &multisite.KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: time.Second, KeyTTL: time.Second, DeduplicationWindow: time.Second, MaxKeys: 10}
 	})
 	f := &clientServer{instance: r.Instance}
 	number := func(body string, fields ...string) uint64 {
--- a/internal/gateway/relayed_request.go
+++ b/internal/gateway/relayed_request.go
@@ -24,12 +24,12 @@
 	value := relativeValue(&r.operation.Class) / max(best, 1e-9)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.budget.Take(r.licensee, value, r.attempts > 1)
+	return l.budget.Acquire(r.licensee, value, r.attempts > 1)
 }
 
 func (l *relay) release(r *pendingRequest) {
 	l.mu.Lock()
-	l.budget.Done(r.licensee)
+	l.budget.Release(r.licensee)
 	l.mu.Unlock()
 }
 
@@ -38,7 +38,7 @@
 
 // executionStatus asks a remote instance, over another connection, what became of a relayed request whose connection
 // broke. It asks until the answer is final or the attempt's time is over.
-func (in *Instance) executionStatus(r *pendingRequest, at attempt) (multisite.Fate, *retainedResponse) {
+func (in *Instance) executionStatus(r *pendingRequest, at attempt) (multisite.ExecutionStatus, *retainedResponse) {
 	id := r.nextRelayID()
 	for until := at.deadline; time.Now().Before(until); {
 		var rep response
@@ -51,13 +51,13 @@
 			return append(httpwire.AppendField(b, relayIDField, id), "\r\n"...)
 		})
 		if result == policy.OK {
-			switch f := multisite.ParseFate(rep.head.Get(executionStatusField)); f {
-			case multisite.Ran:
+			switch f := multisite.ParseExecutionStatus(rep.head.Get(executionStatusField)); f {
+			case multisite.Executed:
 				if rep.head.Status == http.StatusNoContent {
 					return f, nil
 				}
 				return f, &retainedResponse{rep.head.Status, rep.head.Get("Content-Type"), rep.body}
-			case multisite.Underway:
+			case multisite.Executing:
 			default:
 				return f, nil
 			}
@@ -67,20 +67,20 @@
 		case <-pause.C:
 		case <-in.ctx.Done():
 			pause.Stop()
-			return multisite.Unknown, nil
+			return multisite.ExecutionUnknown, nil
 		}
 	}
-	return multisite.Unknown, nil
+	return multisite.ExecutionUnknown, nil
 }
 
 // resolveRelayed finds out what became of an attempt whose connection over the link broke.
 func (in *Instance) resolveRelayed(r *pendingRequest, at attempt) policy.Result {
 	f, kept := in.executionStatus(r, at)
 	switch {
-	case f == multisite.Never:
+	case f == multisite.NeverExecuted:
 		r.response.wasWritten = false // as if it had not been written; and the remote instance lives
 		return policy.RejectedByServer
-	case f == multisite.Ran && kept != nil:
+	case f == multisite.Executed && kept != nil:
 		h := &r.response.head
 		*h = httpwire.Head{Status: kept.status, Reason: http.StatusText(kept.status), Length: int64(len(kept.body))}
 		if kept.contentType != "" {
@@ -100,7 +100,7 @@
 		return c.rejectBadRequest(&badRequest{status: http.StatusBadRequest, text: relayIDField + ": one is wanted"})
 	}
 	l.mu.Lock()
-	f, kept := l.arrivals.Ask(time.Now(), id)
+	f, kept := l.arrivals.ResolveStatus(time.Now(), id)
 	l.mu.Unlock()
 	status, body := http.StatusNoContent, []byte(nil)
 	k, ok := kept.(*retainedResponse)
@@ -129,10 +129,10 @@
 	defer l.mu.Unlock()
 	// A connection carries one after the other: the last answer has been read.
 	if c.lastRelayID != "" && c.lastRelayID != id {
-		l.arrivals.Settled(c.lastRelayID)
+		l.arrivals.Acknowledge(c.lastRelayID)
 	}
 	c.lastRelayID = id
-	if fate, ok := l.arrivals.Come(time.Now(), id); !ok && fate == multisite.Never {
+	if fate, ok := l.arrivals.Admit(time.Now(), id); !ok && fate == multisite.NeverExecuted {
 		return &badRequest{status: http.StatusConflict, text: "the crossing is void or can't be remembered"}
 	} else if !ok {
 		return &badRequest{status: http.StatusBadGateway, text: "the crossing has come before", mayRun: true}
@@ -144,19 +144,19 @@
 // finishRelayed notes the fate of a relayed request that has its final answer.
 func (c *clientConn) finishRelayed() {
 	l, r := c.server.instance.relay, &c.request
-	fate, kept := multisite.Unknown, any(nil)
+	fate, kept := multisite.ExecutionUnknown, any(nil)
 	switch {
 	case r.answer == served:
-		fate = multisite.Ran
+		fate = multisite.Executed
 		if r.isRetainable() {
 			h := &r.response.head
 			kept = &retainedResponse{h.Status, h.Get("Content-Type"), r.response.body}
 		}
 	case !r.mayRun:
-		fate = multisite.Never
+		fate = multisite.NeverExecuted
 	}
 	l.mu.Lock()
-	l.arrivals.Ended(time.Now(), r.relayID, fate, kept)
+	l.arrivals.Complete(time.Now(), r.relayID, fate, kept)
 	l.mu.Unlock()
 }
 
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -113,22 +113,22 @@
 	}
 	if r.hasKeyOwner {
 		verdict := in.routeKey(r, now)
-		if verdict.Hall == "" {
-			r.keyRejection = verdict.Why
-			in.answer(r, rejected, min(max(verdict.Wait, minRetryAfter), in.config.Settings.MaxRetryAfter))
+		if verdict.Site == "" {
+			r.keyRejection = verdict.Reason
+			in.answer(r, rejected, min(max(verdict.RetryAfter, minRetryAfter), in.config.Settings.MaxRetryAfter))
 			return
 		}
-		q.Zone = verdict.Hall
+		q.Zone = verdict.Site
 	}
 	in.engine.RequestReceived(now, q, out)
 }
 
 // routeKey returns the site that owns a request's key. A relayed request whose key this site does not own is
 // rejected: one of the two sites goes by older key owners. Called under the mutex.
-func (in *Instance) routeKey(r *pendingRequest, now time.Duration) multisite.Verdict {
+func (in *Instance) routeKey(r *pendingRequest, now time.Duration) multisite.RoutingDecision {
 	verdict := in.keys.Route(now, r.key)
-	if verdict.Hall != "" && r.cameByRelay && !in.relay.ownsSite(verdict.Hall) {
-		return multisite.Verdict{Wait: minRetryAfter, Why: "the sites differ on its home"}
+	if verdict.Site != "" && r.cameByRelay && !in.relay.ownsSite(verdict.Site) {
+		return multisite.RoutingDecision{RetryAfter: minRetryAfter, Reason: "the sites differ on its home"}
 	}
 	return verdict
 }
@@ -179,7 +179,7 @@
 			in.recordSiteHealth(now, a.server, result, sentAt)
 		}
 		if r.hasKeyOwner && ownsKey && hasCapacity {
-			in.keys.Ended(r.key, r.neverExecuted(result))
+			in.keys.EndAttempt(r.key, r.neverExecuted(result))
 		}
 		if result == policy.OK {
 			in.answer(r, served, 0)
@@ -194,7 +194,7 @@
 	isOwner = true
 	in.handleEvent(func(now time.Duration, out policy.Actions) {
 		site, _, _ := strings.Cut(a.server, "/")
-		isOwner = in.keys.Send(now, r.key, site)
+		isOwner = in.keys.BeginAttempt(now, r.key, site)
 		switch {
 		case isOwner:
 		case r.wasSent:
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -112,29 +112,29 @@
 	hall, _, _ := strings.Cut(server, "/")
 	switch result {
 	case policy.OK, policy.ErrorResponse, policy.RejectedByServer:
-		in.health.Heard(now, hall)
+		in.health.RecordAnswer(now, hall)
 	case policy.TimedOut, policy.ConnectFailed:
-		in.health.Missed(now, hall, sent)
+		in.health.RecordMiss(now, hall, sent)
 	}
 }
 
 // SetAgreedSites takes over which sites there are, which of them are lost, and the members.
-func (in *Instance) SetAgreedSites(halls []multisite.Hall, lost map[string]int, members []uint64) {
+func (in *Instance) SetAgreedSites(halls []multisite.Site, lost map[string]int, members []uint64) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
-			in.health.Agree(now, halls, lost, members)
+			in.health.ApplyAgreed(now, halls, lost, members)
 		}
 		if in.ramp != nil {
-			in.ramp.Agree(now, halls, members)
+			in.ramp.ApplyAgreed(now, halls, members)
 		}
 	})
 }
 
-// ProposeSiteChange is [multisite.Health.Judge].
-func (in *Instance) ProposeSiteChange() (c multisite.HallChange, ok bool) {
+// ProposeSiteChange is [multisite.HealthMonitor.ProposeChange].
+func (in *Instance) ProposeSiteChange() (c multisite.SiteChange, ok bool) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
-			c, ok = in.health.Judge(now)
+			c, ok = in.health.ProposeChange(now)
 		}
 	})
 	return c, ok
@@ -155,26 +155,26 @@
 
 // updateRecoveryRamp has the engine go by this instance's part in the ramps of the sites, and returns what to tell
 // the others. Called under the mutex.
-func (in *Instance) updateRecoveryRamp(now time.Duration) multisite.RampWord {
-	var carried []multisite.Carried
+func (in *Instance) updateRecoveryRamp(now time.Duration) multisite.RampMessage {
+	var carried []multisite.WarmLoad
 	for name := range in.siteWatches {
 		if in.isRemote(name) { // its own instances know which of its servers are cold
 			continue
 		}
 		if rate, util := in.engine.WarmServerLoad(now, name); rate > 0 {
-			carried = append(carried, multisite.Carried{Hall: name, Rate: rate, Util: util})
+			carried = append(carried, multisite.WarmLoad{Site: name, Rate: rate, Utilization: util})
 		}
 		servers, sent, short := in.engine.ColdServerWork(now, name)
-		in.ramp.Met(now, name, multisite.ColdWork{Servers: servers, Sent: sent, Short: short})
+		in.ramp.RecordWarmUpLoad(now, name, multisite.WarmUpLoad{ServerWeight: servers, SentWork: sent, RejectedWork: short})
 	}
-	w := in.ramp.Tell(now, carried)
+	w := in.ramp.NextBroadcast(now, carried)
 	for name := range in.siteWatches {
-		servers, near := in.health.Carried(now, name)
+		servers, near := in.health.Capacity(now, name)
 		z := policy.ZoneLimits{IsRemote: in.isRemote(name), RemoteServerCount: servers}
 		z.InFlightFraction = 1 / float64(in.config.Settings.InstanceCount)
 		if !z.IsRemote {
 			factor := coldBudgetFactor / in.config.Settings.ColdBudgetMultiple()
-			z.WarmServerRate = factor * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
+			z.WarmServerRate = factor * in.ramp.WarmServerCapacity(now, name) * in.ramp.Share(now, name)
 			z.InFlightFraction = 1 / float64(max(near, 1))
 		}
 		in.engine.SetZoneLimits(name, z)
--- a/internal/gatewayconfig/gatefile.go
+++ b/internal/gatewayconfig/gatefile.go
@@ -393,7 +393,7 @@
 		if _, twice := k.Members[m.Number]; m.Number == 0 || twice {
 			r.bad(at+".number", "%d is 0 or stands twice", m.Number)
 		}
-		k.Members[m.Number] = clusterconfig.Member{Raft: r.address(at+".raft", m.Raft).String(), Admin: r.address(at+".admin", m.Admin).String()}
+		k.Members[m.Number] = clusterconfig.Member{RaftAddress: r.address(at+".raft", m.Raft).String(), AdminAddress: r.address(at+".admin", m.Admin).String()}
 	}
 	if _, ok := k.Members[c.Number]; !ok {
 		r.bad("cluster.number", "%d is no [[cluster.member]] of this file", c.Number)
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -188,7 +188,7 @@
 		if err := auth.WriteOperator(certs, name); err != nil {
 			return err
 		}
-		creds, err := raftnode.LoadNamed(certs, raftnode.OperatorFile(name))
+		creds, err := raftnode.LoadCredentialFiles(certs, raftnode.OperatorFilePrefix(name))
 		if err != nil {
 			return err
 		}
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -18,7 +18,7 @@
 // checkCharges holds the instances' records against the sites and the history: each request that
 // reached a site was charged once, at the price of the version that it was matched with.
 // Records that a killed instance did not get to write are missed.
-func (c *clusterRun) checkCharges(j *ruleChecker, byTrace map[string][]testserver.Arrival, tries []testserver.Try, at map[string]*member, history []clusterconfig.Record) {
+func (c *clusterRun) checkCharges(j *ruleChecker, byTrace map[string][]testserver.Arrival, tries []testserver.Try, at map[string]*member, history []clusterconfig.HistoryRecord) {
 	variants := map[uint64]int{}
 	now := 1
 	for _, r := range history {
@@ -136,7 +136,7 @@
 
 // checkConfigChanges checks operators' asks: what was answered as applied is in the history, once
 // and as the version told; asks are in the order of real time.
-func (c *clusterRun) checkConfigChanges(j *ruleChecker, history []clusterconfig.Record) {
+func (c *clusterRun) checkConfigChanges(j *ruleChecker, history []clusterconfig.HistoryRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(history) == 0 {
--- a/internal/scenario/cluster_operators.go
+++ b/internal/scenario/cluster_operators.go
@@ -26,30 +26,30 @@
 
 // applyFirstConfig has the instances agree on what they serve at first.
 func (c *clusterRun) applyFirstConfig(ctx context.Context, halls []gateway.Site) error {
-	p := &clusterconfig.Proposal{ID: "begin", Why: variantWhy(1)}
+	p := &clusterconfig.Proposal{ID: "begin", Reason: variantWhy(1)}
 	for _, k := range classes() {
-		p.Changes = append(p.Changes, clusterconfig.Put("class", k.Name, clusterconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("class", k.Name, clusterconfig.Class{PriorityWeight: k.Worth, LateFraction: k.Late, LatencyObjectiveMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
 	}
 	for _, pl := range settings(0).Plans {
-		p.Changes = append(p.Changes, clusterconfig.Put("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, CeilingRate: pl.HardLimitRate, CeilingBurst: pl.HardLimitBurst,
-			CeilingSlack: pl.HardLimitSlack, Price: pl.PriorityFactor, OverWorth: pl.OverQuotaFraction, OverCost: pl.OverQuotaCost}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, HardLimitRate: pl.HardLimitRate, HardLimitBurst: pl.HardLimitBurst,
+			HardLimitSlack: pl.HardLimitSlack, PriorityFactor: pl.PriorityFactor, OverQuotaFraction: pl.OverQuotaFraction, OverQuotaCost: pl.OverQuotaCost}))
 	}
 	for _, l := range allLicensees() {
-		p.Changes = append(p.Changes, clusterconfig.Put("licensee", l.Name, clusterconfig.Licensee{Plan: l.Plan}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("licensee", l.Name, clusterconfig.Licensee{Plan: l.Plan}))
 	}
 	for _, m := range c.followers {
-		p.Changes = append(p.Changes, clusterconfig.Put("follower", m.follows, clusterconfig.Follower{}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("follower", m.follows, clusterconfig.Follower{}))
 	}
 	for _, h := range halls {
-		p.Changes = append(p.Changes, clusterconfig.Put("hall", h.Name, clusterconfig.Hall{Register: h.Discovery.String()}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Discovery.String()}))
 	}
-	p.Changes = append(p.Changes, clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
+	p.Changes = append(p.Changes, clusterconfig.NewPutChange("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
 	ctx, cancel := context.WithTimeout(ctx, startMost)
 	defer cancel()
 	for {
 		o, err := c.clients[0].Propose(ctx, p)
-		if err == nil && !o.Applied {
-			err = errors.New(o.Refused)
+		if err == nil && !o.IsApplied {
+			err = errors.New(o.RejectionReason)
 		}
 		if err == nil {
 			return nil
@@ -65,8 +65,8 @@
 func variantWhy(n int) string { return "variant " + strconv.Itoa(n) }
 
 // variantOf is the variant of the description that is in force from a record on, or 0.
-func variantOf(r clusterconfig.Record) int {
-	if text, ok := strings.CutPrefix(r.Why, "variant "); ok {
+func variantOf(r clusterconfig.HistoryRecord) int {
+	if text, ok := strings.CutPrefix(r.Reason, "variant "); ok {
 		n, _ := strconv.Atoi(text)
 		return n
 	}
@@ -98,28 +98,28 @@
 			o.version, o.read = objects.Version, true
 		case x < 0.2: // a description: three prices, and a class that is new
 			v := 2 + rng.IntN(20)
-			p.Why = variantWhy(v)
-			p.Changes = []clusterconfig.Change{clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(v, false))})}
+			p.Reason = variantWhy(v)
+			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(v, false))})}
 		case x < 0.3: // bad: refused by all alike
-			p.Changes = []clusterconfig.Change{clusterconfig.Put("licensee", "bad", clusterconfig.Licensee{Plan: "none"})}
+			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("licensee", "bad", clusterconfig.Licensee{Plan: "none"})}
 		case x < 0.5: // a plan that comes and goes
-			p.Changes = []clusterconfig.Change{clusterconfig.Put("plan", fmt.Sprint("trial-", rng.IntN(5)), clusterconfig.Plan{Rate: 1, Burst: 5, Price: 1})}
+			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("plan", fmt.Sprint("trial-", rng.IntN(5)), clusterconfig.Plan{Rate: 1, Burst: 5, PriorityFactor: 1})}
 		case x < 0.6:
 			p.Changes = []clusterconfig.Change{{Op: "remove", Kind: "plan", Name: fmt.Sprint("trial-", rng.IntN(5))}}
 		case x < 0.8:
-			p.Changes = []clusterconfig.Change{clusterconfig.Put("plan", "msingi", clusterconfig.Plan{Rate: 6, Burst: 20 + float64(rng.IntN(8)), Price: 0.88, OverWorth: 0.3})}
+			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("plan", "msingi", clusterconfig.Plan{Rate: 6, Burst: 20 + float64(rng.IntN(8)), PriorityFactor: 0.88, OverQuotaFraction: 0.3})}
 		default: // against what it has read
 			var objects cluster.Objects
 			if objects, err = cl.Objects(one, false); err == nil {
-				p.Base = &objects.Version
-				p.Changes = []clusterconfig.Change{clusterconfig.Put("licensee", fmt.Sprint("new-", i), clusterconfig.Licensee{Plan: "kati"})}
+				p.BaseVersion = &objects.Version
+				p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("licensee", fmt.Sprint("new-", i), clusterconfig.Licensee{Plan: "kati"})}
 			}
 		}
 		if err == nil && !o.read {
 			for { // until its answer is known: the same id, so that it takes place once
 				var out clusterconfig.Outcome
 				out, err = cl.Propose(one, p)
-				o.version, o.applied = out.Version, out.Applied
+				o.version, o.applied = out.Version, out.IsApplied
 				if a, ok := errors.AsType[*cluster.AnswerError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
 					break
 				}
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -77,7 +77,7 @@
 		// A loss takes half a second of silence, a return a hold that doubles.
 		lost, most := 0, 0
 		for _, r := range history {
-			if slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") }) && strings.Contains(r.Why, "silence") {
+			if slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") }) && strings.Contains(r.Reason, "silence") {
 				lost++
 			}
 		}
@@ -111,7 +111,7 @@
 }
 
 // checkAgreement waits until all members have the same version and chain, and returns the history.
-func (c *clusterRun) checkAgreement(ctx context.Context, j *ruleChecker) []clusterconfig.Record {
+func (c *clusterRun) checkAgreement(ctx context.Context, j *ruleChecker) []clusterconfig.HistoryRecord {
 	for _, l := range c.links {
 		l.setCut(false)
 	}
@@ -173,7 +173,7 @@
 				said += err.Error() + "; "
 			}
 			for _, f := range c.followers {
-				i := slices.IndexFunc(fs.Followers, func(s configstream.Standing) bool { return s.Name == f.follows })
+				i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool { return s.Name == f.follows })
 				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.Newest {
 					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.Member, fs.Newest, f.follows, fs.Followers)
 				} else if v, err := versionAt(ctx, f); err != nil || v != fs.Newest {
--- a/internal/scenario/faults_sites.go
+++ b/internal/scenario/faults_sites.go
@@ -45,7 +45,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%d-%v", n, closed), Changes: []clusterconfig.Change{clusterconfig.Put("hall", h.Name, clusterconfig.Hall{Register: h.Register.Addr().String(), Closed: closed})}}
+			p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%d-%v", n, closed), Changes: []clusterconfig.Change{clusterconfig.NewPutChange("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Register.Addr().String(), IsClosed: closed})}}
 			one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 4*time.Second)
 			_, err := c.clients[0].Propose(one, p)
 			if cancel(); err != nil {
@@ -203,8 +203,8 @@
 		o, err := c.clients[0].Objects(one, false)
 		cancel()
 		text, is := o.Objects["lost"][hall]
-		var l clusterconfig.LostHall
-		if is && json.Unmarshal(text, &l) == nil && l.Part > 0 {
+		var l clusterconfig.LostSite
+		if is && json.Unmarshal(text, &l) == nil && l.RecoveredEighths > 0 {
 			is = false // it takes a part of its keys again
 		}
 		if err == nil && is == lost {
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -231,13 +231,13 @@
 			t.Errorf("%s: %v", name, j.v.Rules)
 		}
 	}
-	history := []clusterconfig.Record{{Version: 1, ID: "a"}, {Version: 2, ID: "b"}}
+	history := []clusterconfig.HistoryRecord{{Version: 1, ID: "a"}, {Version: 2, ID: "b"}}
 	asked := func(id string, from, to int, version uint64, applied bool) configChange {
 		return configChange{id: id, call: at(from), ret: at(to), version: version, applied: applied, known: true}
 	}
 	for name, c := range map[string]struct {
 		orders  []configChange
-		history []clusterconfig.Record
+		history []clusterconfig.HistoryRecord
 		broken  int
 	}{
 		"in order":           {[]configChange{asked("a", 0, 1, 1, true), asked("b", 2, 3, 2, true), asked("r", 4, 5, 2, false)}, history, 0},
@@ -246,7 +246,7 @@
 		"stale read":         {[]configChange{asked("b", 0, 1, 2, true), asked("r", 2, 3, 1, false)}, history, 1},
 		"against real time":  {[]configChange{asked("b", 0, 1, 2, true), asked("a", 2, 3, 1, true)}, history, 1},
 		"at once":            {[]configChange{asked("b", 0, 4, 2, true), asked("a", 2, 3, 1, true)}, history, 0},
-		"twice in the chain": {nil, append(history, clusterconfig.Record{Version: 3, ID: "a"}), 1},
+		"twice in the chain": {nil, append(history, clusterconfig.HistoryRecord{Version: 3, ID: "a"}), 1},
 	} {
 		j := &ruleChecker{&Verdict{Rules: map[string]int{}}}
 		if (&clusterRun{orders: c.orders}).checkConfigChanges(j, c.history); j.v.Rules["changes"] != c.broken {
@@ -267,7 +267,7 @@
 // a killed instance can't have written is missed.
 func TestClusterCharges(t *testing.T) {
 	t0 := time.Now().Add(-time.Minute)
-	history := []clusterconfig.Record{{Version: 1, Why: variantWhy(1)}, {Version: 2, Why: variantWhy(3)}, {Version: 3, Why: "a plan"}}
+	history := []clusterconfig.HistoryRecord{{Version: 1, Reason: variantWhy(1)}, {Version: 2, Reason: variantWhy(3)}, {Version: 3, Reason: "a plan"}}
 	by := map[string][]testserver.Arrival{"a": {{Trace: "a", Operation: "getDayReport", Units: 5, Version: 3}}}
 	tries := []testserver.Try{{Trace: "a", Instance: "x", At: t0, Ended: t0.Add(time.Millisecond)}}
 	right := changingPrice(3, "getDayReport", 5)
