--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,7 +1,7 @@
 // Package gateway is one instance of the gateway on sockets: it reads clients' requests,
-// finds their operation in the description in force, asks the decision module what is to
-// become of them, and carries that out. Routes and costs are decided in package contract,
-// admission, servers and repeats in package choice; here bytes are moved.
+// finds their operation in the description in force, asks the policy engine what is to
+// become of them, and carries that out. Routes and costs are decided in package routing,
+// admission, servers and retries in package policy; here bytes are moved.
 package gateway
 
 import (
@@ -16,10 +16,10 @@
 	"mulleinmux/routing"
 )
 
-// Site is a site's servers, which a register of their own lists.
+// Site is a site's servers, which a service discovery of their own lists.
 type Site struct {
 	Name      string         // the zone of its servers
-	Discovery netip.AddrPort // its agent: the protocol of package register
+	Discovery netip.AddrPort // its agent: the protocol of package service discovery
 }
 
 // Config is all that an instance is told at its start.
@@ -37,23 +37,23 @@
 
 	Licensees map[string]Licensee // by name
 
-	// Agreed, if set, has the instance serve only on a setup whose standing it is told
+	// Agreement, if set, has the instance serve only on a setup whose standing it is told
 	// (see [Instance.ConfirmVersion]): instances agree on it.
 	Agreement *Agreement
 
-	// Keys, if set, keeps a keyed request to the hall that package sites gives it.
+	// Keys, if set, keeps a keyed request to the site that package multisite gives it.
 	Keys *multisite.KeyConfig
 
-	// Health, if set, has the instance judge the halls: see package sites.
+	// Health, if set, has the instance judge the sites: see package multisite.
 	Health *multisite.HealthConfig
 
-	// Consent, if set, has homes of keys confirmed by as many voters as no new homes can do without.
+	// QuorumConfirmation, if set, has key owners confirmed by as many voters as no newer key owners can do without.
 	QuorumConfirmation *multisite.ConfirmationConfig
 
-	// Ramp, if set, has the instances share out what cold servers may be sent: see package sites.
+	// RecoveryRamp, if set, has the instances share out what cold servers may be sent: see package multisite.
 	RecoveryRamp *multisite.RampConfig
 
-	// Link, if set, has the instance reach other sites' halls by way of their instances.
+	// Relay, if set, has the instance reach other sites by way of their instances.
 	Relay *RelayConfig
 
 	MaxClientConns    int           // connections of clients
@@ -66,19 +66,19 @@
 	// Observe is called with each final answer, if set; it must not block.
 	Observe func(RequestRecord)
 
-	listener net.Listener // open, in tests and the lab
+	listener net.Listener // open, in tests and scenarios
 	peerConn *net.UDPConn
 }
 
 // Agreement is how an instance deals with a setup that may no longer be the one in force.
 type Agreement struct {
 	StaleAfter   time.Duration // since it was last confirmed; 30 s where 0
-	RejectsStale bool          // then requests are refused; else they are served on
+	RejectsStale bool          // then requests are rejected; else they are served on
 }
 
 // Setup is what an instance can be told anew while it runs.
 type Setup struct {
-	Number    uint64         // its version, which halls and clients are told
+	Number    uint64         // its version, which sites and clients are told
 	Table     *routing.Table // nil: as it is
 	Check     Checker        // with Table; nil: only what the cost depends on is checked
 	Licensees map[string]Licensee
@@ -88,7 +88,8 @@
 
 // Setup is the one that a configuration holds.
 func (c *Config) Setup(number uint64, table *routing.Table, check Checker) Setup {
-	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees, Plans: c.Settings.Plans, Sites: c.Sites}
+	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees,
+		Plans: c.Settings.Plans, Sites: c.Sites}
 }
 
 // Defaults of a [Config].
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -553,9 +553,9 @@
 func TestTimersAndPanics(t *testing.T) {
 	h := newHalls(t)
 	g := start(t, h, 0, nil)
-	g.event(func(time.Duration, policy.Actions) { panic("on purpose") })
+	g.handleEvent(func(time.Duration, policy.Actions) { panic("on purpose") })
 	g.mu.Lock()
-	var ts timers
+	var ts timerQueue
 	for _, at := range []time.Duration{5, 3, 9, 1, 7, 3} {
 		ts.push(timer{at: at})
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -110,7 +110,7 @@
 		if err != nil {
 			return
 		}
-		if r.URL.Path == loadPath {
+		if r.URL.Path == healthCheckPath {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nTEXT queue=0, util=0.10")
 			continue
 		}
@@ -155,7 +155,7 @@
 	h.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		g.mu.Lock()
-		n := len(g.known[hall])
+		n := len(g.serversBySite[hall])
 		g.mu.Unlock()
 		if n == left {
 			return
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/relay_test.go
@@ -152,7 +152,7 @@
 	if left := a.header.Get("X-Expires-In"); a.server != "hall-b/s1" || left < "0.5" || left > "0.985" {
 		t.Errorf("reached %s with %s s left of 1", a.server, left)
 	}
-	if a.header.Get(crossingField) != "" {
+	if a.header.Get(relayIDField) != "" {
 		t.Error("the crossing's id goes on to the hall")
 	}
 	a.answer <- answerText(200, "X-Of-Hall: 1\r\n", "slots")
@@ -179,7 +179,7 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	l := far.link
+	l := far.relay
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n := l.arrivals.Len(); n == 0 || n > 2 {
@@ -227,7 +227,7 @@
 	c.send(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: k"))
 	a := h.next()
 	w.breakAll()
-	time.Sleep(2 * fateEvery) // it is asked for while it is under way
+	time.Sleep(2 * statusPollInterval) // it is asked for while it is under way
 	a.answer <- answerText(201, "Content-Type: text/plain\r\n", "booked")
 	if got := c.read(); got.status != 201 || got.body != "booked" || got.header.Get("Content-Type") != "text/plain" {
 		t.Errorf("%+v", got)
@@ -300,13 +300,13 @@
 	tc.SetDeadline(time.Now().Add(patience))
 	c := &asker{tc, bufio.NewReader(tc), t, ""}
 	fate := func(id string) string {
-		return c.ask(get("GET "+fatePath, crossingField+": "+id)).header.Get(fateField)
+		return c.ask(get("GET "+executionStatusPath, relayIDField+": "+id)).header.Get(executionStatusField)
 	}
-	got := c.ask(get("GET /unknown", crossingField+": a.1"))
+	got := c.ask(get("GET /unknown", relayIDField+": a.1"))
 	if got.status != 503 || got.header.Get("X-Never-Ran") != "1" || fate("a.1") != "never" {
 		t.Errorf("an operation that is not known here: %+v", got)
 	}
-	c.send(get("GET /visits/new", crossingField+": b.1"))
+	c.send(get("GET /visits/new", relayIDField+": b.1"))
 	tries := make(chan bool)
 	go func() { // a safe request may be tried again, and refused after it ran
 		defer close(tries)
@@ -325,7 +325,7 @@
 	if got.status == 200 || got.header.Get("X-Never-Ran") != "" || fate("b.1") != "unknown" {
 		t.Errorf("refused after it may have run: %+v", got)
 	}
-	if got := c.ask(get("GET /visits/new", crossingField+": b.1")); got.status != 502 || got.header.Get("X-Never-Ran") != "" {
+	if got := c.ask(get("GET /visits/new", relayIDField+": b.1")); got.status != 502 || got.header.Get("X-Never-Ran") != "" {
 		t.Errorf("a second copy: %+v", got)
 	}
 	h.none()
@@ -360,7 +360,7 @@
 		}
 		defer c.Close() // in TLS 1.3 the client learns of it with its first read
 		c.SetDeadline(time.Now().Add(patience))
-		io.WriteString(c, strings.Replace(get("GET /visits/new"), "\r\n\r\n", "\r\n"+crossingField+": x.1\r\n\r\n", 1))
+		io.WriteString(c, strings.Replace(get("GET /visits/new"), "\r\n\r\n", "\r\n"+relayIDField+": x.1\r\n\r\n", 1))
 		if n, err := c.Read(make([]byte, 1)); err == nil {
 			t.Errorf("%d bytes for %s", n, name)
 		}
@@ -437,16 +437,16 @@
 	r := start(t, h, 1, func(c *Config) {
 		c.Keys = &multisite.KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: time.Second, KeyTTL: time.Second, DeduplicationWindow: time.Second, MaxKeys: 10}
 	})
-	f := &front{in: r.Instance}
+	f := &clientServer{instance: r.Instance}
 	number := func(body string, fields ...string) uint64 {
 		t.Helper()
-		var fl flight
-		if err := httpwire.NewReader(strings.NewReader(post("POST /visits", body, fields...))).Request(&fl.head); err != nil {
+		var fl pendingRequest
+		if err := httpwire.NewReader(strings.NewReader(post("POST /visits", body, fields...))).Request(&fl.requestHead); err != nil {
 			t.Fatal(err)
 		}
 		fl.body = []byte(body)
-		if _, err := f.parse(&fl, time.Now()); err != nil || !fl.homed {
-			t.Fatalf("%v, homed %v", err, fl.homed)
+		if _, err := f.parse(&fl, time.Now()); err != nil || !fl.hasKeyOwner {
+			t.Fatalf("%v, homed %v", err, fl.hasKeyOwner)
 		}
 		return fl.key
 	}
--- /dev/null
+++ b/internal/gateway/request_parse.go
@@ -0,0 +1,182 @@
+package gateway
+
+import (
+	"hash/fnv"
+	"net/http"
+	"strings"
+	"time"
+
+	"mulleinmux/internal/httpwire"
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/policy"
+	"mulleinmux/routing"
+)
+
+// parse finds a request's operation and what the engine must know of it. The version in force is read once: the
+// request keeps it.
+func (f *clientServer) parse(r *pendingRequest, began time.Time) (q policy.Request, err error) {
+	if err := f.takeVersion(r, began); err != nil {
+		return q, err
+	}
+	head := &r.requestHead
+	path, query, _ := strings.Cut(head.Target, "?")
+	if err := r.match(path, query); err != nil {
+		return q, err
+	}
+	call := routing.Request{Query: query, Head: head, Body: r.body}
+	if r.units, err = r.operation.Charge(call); err != nil {
+		return q, err
+	}
+	if checker := r.version.checker; checker != nil {
+		if err := checker.Check(r.operation, head, r.body); err != nil {
+			return q, &badRequest{status: http.StatusBadRequest, text: err.Error()}
+		}
+	}
+	licensee, err := r.identifyLicensee()
+	if err != nil {
+		return q, err
+	}
+	if err := r.takeTrace(); err != nil {
+		return q, err
+	}
+	timeout, err := r.clientTimeout()
+	if err != nil {
+		return q, err
+	}
+	r.hasKeyOwner = f.instance.keys != nil && r.operation.Key.In != routing.Nowhere
+	if r.hasKeyOwner {
+		r.key = keyNumber(r.licensee, r.operation.KeyOf(call, path))
+	}
+	return policy.Request{Class: r.operation.Class.Name, Plan: licensee.Plan, Customer: licensee.Customer,
+		Timeout: timeout - clientTransit - time.Since(began), Units: float64(r.units),
+		InstanceCount: f.instance.config.Settings.InstanceCount}, nil
+}
+
+// takeVersion gives the request the version in force. Its confirmation is read before it: a version that is put in
+// force in between is confirmed as well.
+func (f *clientServer) takeVersion(r *pendingRequest, now time.Time) error {
+	r.confirmationAge, r.version = 0, nil
+	if f.instance.config.Agreement != nil {
+		age, serves := f.instance.Confirmation(now)
+		r.confirmationAge = age
+		if !serves {
+			f.instance.unconfirmedCount.Add(1)
+			return errUnconfirmed
+		}
+	}
+	r.version = f.instance.version.Load()
+	return nil
+}
+
+// match finds the operation of a request whose target can be read in one way only.
+func (r *pendingRequest) match(path, query string) error {
+	head, table := &r.requestHead, r.version.table
+	if reason := table.CheckPath(path); reason != "" {
+		return &badRequest{status: http.StatusBadRequest, text: reason}
+	}
+	if strings.IndexByte(query, '#') >= 0 {
+		return &badRequest{status: http.StatusBadRequest, text: "the target has a fragment"}
+	}
+	if head.Nominated {
+		// A field that Connection names is dropped on the way: the cost could stand in it.
+		return &badRequest{status: http.StatusBadRequest,
+			text: "Connection: names other fields than close and keep-alive"}
+	}
+	if err := overridesTarget(head, query); err != nil {
+		return err
+	}
+	operation, allow, result := table.Match(head.Method, path)
+	switch result {
+	case routing.UnknownPath:
+		return &badRequest{status: http.StatusNotFound, text: "no operation has this path"}
+	case routing.UnknownMethod:
+		return &badRequest{status: http.StatusMethodNotAllowed, text: "this path has no such method", allow: allow}
+	case routing.Preflight:
+		return &badRequest{status: http.StatusNoContent, allow: allow}
+	}
+	r.operation, r.counters = operation, r.version.counters[operation.Index]
+	return nil
+}
+
+// identifyLicensee finds the customer that the request names.
+func (r *pendingRequest) identifyLicensee() (Licensee, error) {
+	name, n := r.requestHead.Values("X-Licensee")
+	r.licensee = name
+	if n != 1 || name == "" {
+		return Licensee{}, &badRequest{status: http.StatusBadRequest, text: "X-Licensee: one is wanted"}
+	}
+	licensee, ok := r.version.licensees[name]
+	if !ok {
+		return Licensee{}, &badRequest{status: http.StatusForbidden, text: "X-Licensee: is not known"}
+	}
+	return licensee, nil
+}
+
+// takeTrace takes the request's trace id, or makes one.
+func (r *pendingRequest) takeTrace() error {
+	trace, n := r.requestHead.Values("X-Trace-Id")
+	r.trace = trace
+	switch {
+	case n == 0:
+		r.trace = newTrace()
+	case n > 1 || !validTrace(trace):
+		return &badRequest{status: http.StatusBadRequest, text: "X-Trace-Id: malformed"}
+	}
+	return nil
+}
+
+// clientTimeout is how long the client waits: what it tells, or the class's deadline where that is shorter or nothing
+// is told.
+func (r *pendingRequest) clientTimeout() (time.Duration, error) {
+	timeout := r.operation.Class.Deadline
+	text, n := r.requestHead.Values("X-Expires-In")
+	if n == 0 {
+		return timeout, nil
+	}
+	seconds, ok := loadreport.Decimal(text)
+	if !ok || seconds <= 0 || n > 1 {
+		return 0, &badRequest{status: http.StatusBadRequest, text: "X-Expires-In: malformed"}
+	}
+	if seconds < timeout.Seconds() {
+		timeout = time.Duration(seconds * float64(time.Second))
+	}
+	return timeout, nil
+}
+
+// keyNumber gives a licensee's key its number, the same at every instance (FNV-1a).
+func keyNumber(licensee, key string) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(licensee))
+	h.Write([]byte{0})
+	h.Write([]byte(key))
+	return h.Sum64()
+}
+
+// overridesTarget turns down what makes a server take a request for another than its line
+// says.
+func overridesTarget(h *httpwire.Head, query string) error {
+	for i := range h.Fields {
+		switch n := h.Fields[i].Name; len(n) {
+		case 13, 17, 22, 14:
+			for _, o := range [...]string{"X-HTTP-Method", "X-Method-Override", "X-HTTP-Method-Override", "X-Original-URL", "X-Rewrite-URL"} {
+				if len(o) == len(n) && (strings.EqualFold(n, o) || strings.EqualFold(strings.ReplaceAll(n, "_", "-"), o)) {
+					return &badRequest{status: http.StatusBadRequest, text: o + ": the method and path are those of the request's line"}
+				}
+			}
+		}
+	}
+	if strings.Contains(query, "_method") {
+		return &badRequest{status: http.StatusBadRequest, text: "_method: the method is that of the request's line"}
+	}
+	return nil
+}
+
+func validTrace(id string) bool {
+	for i := range len(id) {
+		c := id[i]
+		if !('0' <= c && c <= '9' || 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || c == '-' || c == '_' || c == '.') {
+			return false
+		}
+	}
+	return len(id) > 0 && len(id) <= 64
+}
--- a/internal/scenario/lab_test.go
+++ b/internal/scenario/scenario_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Each scenario keeps every rule, and the halls' account agrees with the instances' to
+// Each scenario keeps every rule, and the sites' account agrees with the instances' to
 // the unit.
 func TestScenarios(t *testing.T) {
 	for _, s := range Scenarios() {
