--- a/internal/edgeproxy/drain.go
+++ b/internal/edgeproxy/drain.go
@@ -7,27 +7,27 @@
 // on using the connections that they have. So idle ones stay open for the next request at
 // first, which loses nothing; then those that nobody used go, and soon the rest.
 const (
-	shedEvery  = 50 * time.Millisecond
-	shedFrom   = 600 * time.Millisecond  // from the word; no new client comes any more
-	shedIdle   = 1 * time.Second         // idle for so long goes from then on
-	shedAll    = 1700 * time.Millisecond // every idle connection goes from then on: a request that still came
-	shedSilent = 400 * time.Millisecond  // on one would keep the node from being empty
+	evictionInterval   = 50 * time.Millisecond
+	evictionDelay      = 600 * time.Millisecond  // from the word; no new client comes any more
+	evictionIdleTime   = 1 * time.Second         // idle for so long goes from then on
+	evictAllDelay      = 1700 * time.Millisecond // every idle connection goes from then on: a request that still came
+	evictionSilentTime = 400 * time.Millisecond  // on one would keep the node from being empty
 )
 
-// leave takes the node out of service until enter. It does not wait for the node to be
+// takeOutOfService takes the node out of service until enter. It does not wait for the node to be
 // empty; a second call changes nothing.
-func (f *front) leave() {
-	f.outMu.Lock()
-	defer f.outMu.Unlock()
-	if f.outEnd != nil {
+func (f *clientServer) takeOutOfService() {
+	f.maintenanceMu.Lock()
+	defer f.maintenanceMu.Unlock()
+	if f.maintenanceEnd != nil {
 		return
 	}
 	end := make(chan struct{})
-	f.outEnd = end
-	f.outOfService.Store(true)
+	f.maintenanceEnd = end
+	f.isOutOfService.Store(true)
 	f.node.log.Printf("out of service")
 	f.node.spawn(func() {
-		began, tick := time.Now(), time.NewTicker(shedEvery)
+		began, tick := time.Now(), time.NewTicker(evictionInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -37,35 +37,37 @@
 				return
 			case <-tick.C:
 			}
-			idle := shedIdle
+			idle := evictionIdleTime
 			switch age := time.Since(began); {
-			case age < shedFrom:
+			case age < evictionDelay:
 				continue
-			case age >= shedAll:
+			case age >= evictAllDelay:
 				idle = 0
 			}
-			for _, c := range f.slots.shed(idle, shedSilent) {
+			for _, c := range f.limiter.evictIdle(idle, evictionSilentTime) {
 				c.Conn.Close()
 			}
 		}
 	})
 }
 
-// enter ends a drain: the node is ready again.
-func (f *front) enter() {
-	f.outMu.Lock()
-	defer f.outMu.Unlock()
-	if f.outEnd == nil {
+// returnToService ends a drain: the node is ready again.
+func (f *clientServer) returnToService() {
+	f.maintenanceMu.Lock()
+	defer f.maintenanceMu.Unlock()
+	if f.maintenanceEnd == nil {
 		return
 	}
-	close(f.outEnd)
-	f.outEnd = nil
-	f.outOfService.Store(false)
+	close(f.maintenanceEnd)
+	f.maintenanceEnd = nil
+	f.isOutOfService.Store(false)
 	f.node.log.Printf("in service")
 }
 
-// empties tells whether answers should close their connections.
-func (f *front) empties() bool { return f.draining.Load() || f.outOfService.Load() }
+// closesConnections tells whether answers should close their connections.
+func (f *clientServer) closesConnections() bool {
+	return f.isDraining.Load() || f.isOutOfService.Load()
+}
 
-// takes tells whether the front may send clients here.
-func (f *front) takes() bool { return f.ready.Load() && !f.outOfService.Load() }
+// isAvailable tells whether the front may send clients here.
+func (f *clientServer) isAvailable() bool { return f.isReady.Load() && !f.isOutOfService.Load() }
--- a/internal/edgeproxy/endings_test.go
+++ b/internal/edgeproxy/endings_test.go
@@ -117,7 +117,7 @@
 func TestAcceptedByTheMachineAlone(t *testing.T) {
 	app := newAppServer(t, say(okAnswer))
 	cfg := testConfig(app.instance("a"))
-	cfg.drainFor = 50 * time.Millisecond
+	cfg.drainDelay = 50 * time.Millisecond
 	n := runOver(t, cfg, func(ln *net.TCPListener) net.Listener {
 		return &gatedListener{TCPListener: ln, gate: make(chan struct{}), closed: make(chan struct{})}
 	})
@@ -143,7 +143,7 @@
 		t.Run(name, func(t *testing.T) {
 			app := newAppServer(t, say(okAnswer))
 			cfg := testConfig(app.instance("a"))
-			cfg.drainFor = 2 * writtenFor
+			cfg.drainDelay = 2 * writtenGrace
 			l := &slowReader{takes: takes, gated: make(chan struct{}), gate: make(chan struct{})}
 			n := runOver(t, cfg, func(ln *net.TCPListener) net.Listener {
 				l.TCPListener = ln
@@ -157,7 +157,7 @@
 			c.send(request("check", "t2"))
 			n.stop()
 			refuses(t, n.addr)
-			time.Sleep(10 * drainPoll) // what closes it without a look has done so by then
+			time.Sleep(10 * drainPollInterval) // what closes it without a look has done so by then
 			close(l.gate)
 			if a := c.read(); a.status != 200 || !a.close {
 				t.Errorf("answered %d, close %v", a.status, a.close)
@@ -177,7 +177,7 @@
 		return say(okAnswer)(c, r, body)
 	})
 	cfg := testConfig(app.instance("a"))
-	cfg.drainFor = 50 * time.Millisecond
+	cfg.drainDelay = 50 * time.Millisecond
 	n := run(t, cfg)
 	hangs, half, silent, late := dial(t, n.addr), dial(t, n.addr), dial(t, n.addr), dial(t, n.addr)
 	hangs.send(request("book", "t1"))
@@ -222,7 +222,7 @@
 	}
 	clients[0].send(request("check", "t2", "", "GET /check/hold?customer=00000000b4d65521 HTTP/1.1"))
 	<-held
-	f.begin()
+	f.startShutdownTimer()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -243,7 +243,7 @@
 func TestTwoAtOnceDuringADrain(t *testing.T) {
 	app := newAppServer(t, say(okAnswer))
 	cfg := testConfig(app.instance("a"))
-	cfg.drainFor = 2 * time.Second
+	cfg.drainDelay = 2 * time.Second
 	n := run(t, cfg)
 	c := dial(t, n.addr)
 	c.ask(request("check", "t0"))
@@ -259,11 +259,11 @@
 
 // The time between requests ends just as one comes: it is read all the same.
 func TestRequestAtTheIdleTimeout(t *testing.T) {
-	s := newSlots(2)
+	s := newConnectionLimiter(2)
 	far, c := slotPair(t, s)
 	s.add(c)
 	far.send(readyRequest)
-	eventually(t, "arrived", c.more)
+	eventually(t, "arrived", c.hasNextRequest)
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 	buf := make([]byte, 100)
 	if n, err := c.Read(buf); n != len(readyRequest) || err != nil {
@@ -273,20 +273,20 @@
 
 // Of two heads that are slow to come, one whose rest is in the socket is no slow one.
 func TestUnreadRestGivesNotWay(t *testing.T) {
-	s := newSlots(2)
+	s := newConnectionLimiter(2)
 	asks, first := slotPair(t, s)
 	_, second := slotPair(t, s)
 	_, third := slotPair(t, s)
 	s.add(first)
 	s.add(second)
-	first.become(reading)
-	second.become(reading)
-	s.age(reading, time.Minute)
+	first.setState(stateReading)
+	second.setState(stateReading)
+	s.age(stateReading, time.Minute)
 	s.mu.Lock()
-	second.since = second.since.Add(time.Second) // the younger: the other would go first
+	second.stateSince = second.stateSince.Add(time.Second) // the younger: the other would go first
 	s.mu.Unlock()
 	asks.send(readyRequest)
-	eventually(t, "arrived", first.more)
+	eventually(t, "arrived", first.hasNextRequest)
 	if spare := s.add(third); spare != second {
 		t.Errorf("the one whose request has come gave way, or none: %v", spare)
 	}
@@ -315,7 +315,7 @@
 
 // One that sends more than is read ahead is seen to have left when something is to be sent on.
 func TestClientLeavesAfterSendingMuch(t *testing.T) {
-	s := newSlots(2)
+	s := newConnectionLimiter(2)
 	far, c := slotPair(t, s)
 	s.add(c)
 	far.send(readyRequest)
@@ -323,25 +323,25 @@
 		t.Fatal(err)
 	}
 	c.takeHead()
-	c.become(open)
-	far.send(strings.Repeat("x", aheadMost+4<<10))
+	c.setState(stateActive)
+	far.send(strings.Repeat("x", maxReadAhead+4<<10))
 	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
 		t.Fatalf("the watch ended with %d, %v", n, err)
 	}
-	if c.gone() {
+	if c.isClientGone() {
 		t.Error("gone, and the client is there")
 	}
 	far.Close()
-	eventually(t, "seen to have left", c.gone)
+	eventually(t, "seen to have left", c.isClientGone)
 	app := newAppServer(t, say(okAnswer))
 	u := testUpstream(app.instance("a"))
 	m := get
-	m.gone = c.gone
+	m.isClientGone = c.isClientGone
 	_, res := u.exchange(t.Context(), "a", &m)
 	wantResult(t, res, policy.NotSent)
 	wantClosed(t, <-app.conns)
-	if len(app.requests()) != 0 || u.open != 0 {
-		t.Errorf("sent on: %q, %d connections counted", app.requests(), u.open)
+	if len(app.requests()) != 0 || u.openCount != 0 {
+		t.Errorf("sent on: %q, %d connections counted", app.requests(), u.openCount)
 	}
 }
 
@@ -372,17 +372,17 @@
 	u := testUpstream(app.instance("a"))
 	exchange(t, u, "a")
 	m := get
-	m.gone = func() bool { // asked at that moment
+	m.isClientGone = func() bool { // asked at that moment
 		drains := app.instance("a")
 		drains.State = policy.Draining
-		closeAll(u.update([]Instance{drains}, false))
+		closeConns(u.updateEndpoints([]Instance{drains}, false))
 		return false
 	}
 	_, res := u.exchange(t.Context(), "a", &m)
 	wantResult(t, res, policy.ConnectFailed)
 	wantClosed(t, <-app.conns)
-	if len(app.requests()) != 1 || u.open != 0 {
-		t.Errorf("requests %q, %d connections counted", app.requests(), u.open)
+	if len(app.requests()) != 1 || u.openCount != 0 {
+		t.Errorf("requests %q, %d connections counted", app.requests(), u.openCount)
 	}
 }
 
@@ -402,27 +402,27 @@
 		return err == nil
 	})
 	u := testUpstream(app.instance("a"))
-	u.rest = time.Minute // a moment, however slow the machine
+	u.minIdleTime = time.Minute // a moment, however slow the machine
 	for range 5 {
 		rep, res := exchange(t, u, "a")
 		if wantResult(t, res, policy.OK); string(rep.body) != "body" {
 			t.Fatalf("body %q", rep.body)
 		}
 	}
-	c, err := u.take(t.Context(), "a")
+	c, err := u.acquire(t.Context(), "a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.giveBack(c)
+	u.release(c)
 	u.mu.Lock()
-	for i := range u.backends["a"].idle {
-		u.backends["a"].idle[i].idle = time.Now().Add(-2 * u.rest)
+	for i := range u.servers["a"].idle {
+		u.servers["a"].idle[i].idleSince = time.Now().Add(-2 * u.minIdleTime)
 	}
-	idle := u.backends["a"].idle
+	idle := u.servers["a"].idle
 	want := idle[len(idle)-1]
 	u.mu.Unlock()
-	u.maxIdle = time.Hour
-	if got, err := u.take(t.Context(), "a"); got != want || err != nil {
+	u.maxIdleTimeout = time.Hour
+	if got, err := u.acquire(t.Context(), "a"); got != want || err != nil {
 		t.Errorf("one that has stood idle is not used again: %v", err)
 	}
 }
@@ -434,17 +434,17 @@
 	for _, c := range []struct {
 		attempts []*attempt
 		want     answerKind
-	}{{nil, refused}, {[]*attempt{{leave: newLeave(), cancel: func() {}}}, failed}} {
-		fl := &flight{id: "t1", answer: make(chan answer, 1), attempts: c.attempts}
-		f.node.flights["t1"] = fl
-		f.node.expire(fl)
+	}{{nil, answerRejected}, {[]*attempt{{permit: newSendPermit(), cancel: func() {}}}, answerFailed}} {
+		fl := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: c.attempts}
+		f.node.requests["t1"] = fl
+		f.node.deadlineExceeded(fl)
 		if a := <-fl.answer; a.kind != c.want {
 			t.Errorf("%d attempts: answer %v, want %v", len(c.attempts), a.kind, c.want)
 		}
-		if len(f.node.flights) != 0 {
+		if len(f.node.requests) != 0 {
 			t.Error("the flight is still held")
 		}
-		if f.node.expire(fl); len(fl.answer) != 0 {
+		if f.node.deadlineExceeded(fl); len(fl.answer) != 0 {
 			t.Error("a second final answer")
 		}
 	}
@@ -456,20 +456,20 @@
 	f := idleFront(t, testConfig())
 	cancelled := map[string]bool{}
 	at := func(name string) *attempt {
-		return &attempt{leave: newLeave(), cancel: func() { cancelled[name] = true }}
+		return &attempt{permit: newSendPermit(), cancel: func() { cancelled[name] = true }}
 	}
 	waits, writing, written := at("waits"), at("writing"), at("written")
-	if !writing.leave.take() || !written.leave.take() {
+	if !writing.permit.use() || !written.permit.use() {
 		t.Fatal("no leave at first")
 	}
-	close(written.leave.over)
-	fl := &flight{id: "t1", answer: make(chan answer, 1), attempts: []*attempt{waits, writing, written}}
-	f.node.end(fl, answer{kind: served})
+	close(written.permit.done)
+	fl := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: []*attempt{waits, writing, written}}
+	f.node.finishRequest(fl, finalAnswer{kind: answerServed})
 	a := <-fl.answer
-	if len(a.writes) != 1 || a.writes[0] != writing.leave || a.kind != served {
-		t.Errorf("the answer waits for %d attempts, want the one that is being written", len(a.writes))
+	if len(a.pendingWrites) != 1 || a.pendingWrites[0] != writing.permit || a.kind != answerServed {
+		t.Errorf("the answer waits for %d attempts, want the one that is being written", len(a.pendingWrites))
 	}
-	if waits.leave.take() {
+	if waits.permit.use() {
 		t.Error("sent on after the final answer")
 	}
 	if !cancelled["waits"] || !cancelled["writing"] || cancelled["written"] {
@@ -480,7 +480,7 @@
 // A process that hands its clients over counts one until it is handed over: it ends once it has none left, and what it was just sending to its
 // successor would be dropped.
 func TestAConnectionCountsUntilItIsHandedOver(t *testing.T) {
-	s := newSlots(2)
+	s := newConnectionLimiter(2)
 	_, c := slotPair(t, s)
 	s.add(c)
 	begun, sent, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -488,7 +488,7 @@
 		defer close(ended)
 		c.Read(make([]byte, 1))
 	}()
-	s.moveAll(func(*slotConn) error {
+	s.startHandOver(func(*clientConn) error {
 		close(begun)
 		<-sent
 		return nil
--- a/internal/edgeproxy/front_test.go
+++ b/internal/edgeproxy/front_test.go
@@ -145,8 +145,8 @@
 // socket for a bounded time.
 func TestHalfSentRequestsEnd(t *testing.T) {
 	t.Parallel()
-	if headLimit >= 3*time.Second || bodyGrace >= 3*time.Second {
-		t.Errorf("limits of %v and %v: an error or a close is owed within 3 s", headLimit, bodyGrace)
+	if readHeaderTimeout >= 3*time.Second || minBodyTimeout >= 3*time.Second {
+		t.Errorf("limits of %v and %v: an error or a close is owed within 3 s", readHeaderTimeout, minBodyTimeout)
 	}
 	n := run(t, testConfig())
 	whole := request("book", "t1")
@@ -209,16 +209,16 @@
 // A request that the module sits on gets its answer from the host all the same.
 func TestHeldRequestIsAnswered(t *testing.T) {
 	cfg := testConfig()
-	front, fl := idleFront(t, cfg), &flight{id: "t1", answer: make(chan answer, 1)}
-	front.node.flights["t1"] = fl
-	front.node.abandon(fl)
-	if a := <-fl.answer; a.kind != failed {
+	front, fl := idleFront(t, cfg), &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1)}
+	front.node.requests["t1"] = fl
+	front.node.clientDisconnected(fl)
+	if a := <-fl.answer; a.kind != answerFailed {
 		t.Errorf("answer %+v", a)
 	}
-	if len(front.node.flights) != 0 {
+	if len(front.node.requests) != 0 {
 		t.Error("the flight is still held")
 	}
-	if front.node.abandon(fl); len(fl.answer) != 0 {
+	if front.node.clientDisconnected(fl); len(fl.answer) != 0 {
 		t.Error("a second final answer")
 	}
 }
@@ -295,15 +295,15 @@
 	f := idleFront(t, testConfig())
 	logs := &testserver.Log{}
 	f.node.log.SetOutput(logs)
-	f.node.gw = nil
+	f.node.engine = nil
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go f.serve(ln)
-	t.Cleanup(func() { f.srv.Close() })
+	t.Cleanup(func() { f.httpServer.Close() })
 	a := dial(t, ln.Addr().String()).ask(request("check", "t1"))
-	if a.status != 429 || !strings.Contains(logs.String(), "choice.(*Gateway).Request") {
+	if a.status != 429 || !strings.Contains(logs.String(), "policy.(*Engine).RequestReceived") {
 		t.Errorf("status %d, logged %q", a.status, logs.String())
 	}
 	// One of the host's own.
@@ -324,7 +324,7 @@
 		return say(okAnswer)(c, r, body)
 	})
 	cfg := testConfig(s.instance("a"))
-	cfg.drainFor = 2 * time.Second // a process has 3.55 s in all
+	cfg.drainDelay = 2 * time.Second // a process has 3.55 s in all
 	n := run(t, cfg)
 	idle, held := dial(t, n.addr), dial(t, n.addr)
 	if a := idle.ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.status != 200 || a.close {
@@ -365,20 +365,20 @@
 }
 
 // idleFront is the client side of a node that has no goroutines of its own.
-func idleFront(t *testing.T, cfg *Config) *front {
+func idleFront(t *testing.T, cfg *Config) *clientServer {
 	t.Helper()
 	n, err := newNode(t.Context(), cfg, log.New(&testserver.Log{}, "", 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.boot()
-	return newFront(n)
+	n.startEngine()
+	return newClientServer(n)
 }
 
 // The descriptors of both sides and the rest stay inside the limit together.
 func TestDescriptorShares(t *testing.T) {
-	for _, all := range []int{leastSockets, 1024} {
-		if c, s := clientSockets(all), serverSockets(all); c < 1 || s < c || c+s+otherFiles > all {
+	for _, all := range []int{minSockets, 1024} {
+		if c, s := maxClientConns(all), maxServerConns(all); c < 1 || s < c || c+s+reservedDescriptors > all {
 			t.Errorf("of %d: %d for clients, %d for servers", all, c, s)
 		}
 	}
@@ -403,7 +403,7 @@
 	}
 	none := func(string) string { return "" }
 	c, err := parseConfig(text("", ""), none)
-	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Known.Generation != 41 || c.Settings.InstanceIndex != 1 || len(c.Peers) != 2 || c.MemoryMB != 192 {
+	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.SavedEndpoints.Generation != 41 || c.Settings.InstanceIndex != 1 || len(c.GossipPeers) != 2 || c.MemoryMB != 192 {
 		t.Fatalf("%+v, error %v", c, err)
 	}
 	for _, b := range [][3]string{
--- a/internal/edgeproxy/handover.go
+++ b/internal/edgeproxy/handover.go
@@ -27,42 +27,42 @@
 // with all that it had: it drains as at a planned restart. The messages are datagrams of one kind
 // each, with the descriptor beside them where there is one.
 const (
-	handoverName  = "mulleinmux-handover"
-	handoverLimit = 2 * time.Second // for one message: the other process is alive, if busy
-	handoverForm  = 1               // of the successor's side; 0 said nothing and did not answer
-	chunkMost     = 32 << 10
+	handoverSocketName     = "mulleinmux-handover"
+	handoverMessageTimeout = 2 * time.Second // for one message: the other process is alive, if busy
+	handoverVersion        = 1               // of the successor's side; 0 said nothing and did not answer
+	maxStateChunk          = 32 << 10
 
-	msgState  = 's' // a part of the module's state
-	msgPeers  = 'p' // the peers' socket
-	msgGo     = 'g' // all of the above has come: serve
-	msgClient = 'c' // a client's connection
+	msgState        = 's' // a part of the module's state
+	msgGossipSocket = 'p' // the peers' socket
+	msgGo           = 'g' // all of the above has come: serve
+	msgClient       = 'c' // a client's connection
 
-	msgHello  = 'h' // from the successor: the form that it knows
-	msgServes = 'y' // from the successor: it has taken over
+	msgHello     = 'h' // from the successor: the form that it knows
+	msgTakenOver = 'y' // from the successor: it has taken over
 )
 
-// heir is the predecessor's side.
-type heir struct {
-	ln  *net.UnixListener
-	log *log.Logger
+// successorListener is the predecessor's side.
+type successorListener struct {
+	listener *net.UnixListener
+	logger   *log.Logger
 
-	mu   sync.Mutex
-	next *successor // the one that came last and has not gone; nil: none
-	end  bool
-	work sync.WaitGroup
+	mu        sync.Mutex
+	successor *successorConn // the one that came last and has not gone; nil: none
+	isClosed  bool
+	work      sync.WaitGroup
 }
 
-// successor is a process that waits to take over.
-type successor struct {
-	conn   *net.UnixConn
-	form   atomic.Int32
-	serves chan struct{} // closed once it has taken over
-	gone   chan struct{} // closed once it has ended
+// successorConn is a process that waits to take over.
+type successorConn struct {
+	conn      *net.UnixConn
+	version   atomic.Int32
+	takenOver chan struct{} // closed once it has taken over
+	gone      chan struct{} // closed once it has ended
 }
 
-// awaitHeir listens for a successor until close. A socket that a process left that was
+// listenForSuccessor listens for a successor until close. A socket that a process left that was
 // killed is replaced.
-func awaitHeir(path string, logger *log.Logger) (*heir, error) {
+func listenForSuccessor(path string, logger *log.Logger) (*successorListener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -70,34 +70,34 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	return &heir{ln: ln, log: logger}, nil
+	return &successorListener{listener: ln, logger: logger}, nil
 }
 
-// meet accepts successors until close. A second one takes the first one's place.
-func (h *heir) meet() {
+// acceptSuccessors accepts successors until close. A second one takes the first one's place.
+func (h *successorListener) acceptSuccessors() {
 	defer h.work.Wait()
 	for {
-		c, err := h.ln.AcceptUnix()
+		c, err := h.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		s := &successor{conn: c, serves: make(chan struct{}), gone: make(chan struct{})}
+		s := &successorConn{conn: c, takenOver: make(chan struct{}), gone: make(chan struct{})}
 		h.mu.Lock()
-		old := h.next
-		if h.next = s; h.end {
-			old, h.next = s, nil
+		old := h.successor
+		if h.successor = s; h.isClosed {
+			old, h.successor = s, nil
 		}
 		h.mu.Unlock()
 		if old != nil {
 			old.conn.Close()
 		}
-		h.work.Go(func() { h.follow(s) })
-		h.log.Printf("handover: a successor waits")
+		h.work.Go(func() { h.readMessages(s) })
+		h.logger.Printf("handover: a successor waits")
 	}
 }
 
-// follow reads what a successor says until it has gone.
-func (h *heir) follow(s *successor) {
+// readMessages reads what a successor says until it has gone.
+func (h *successorListener) readMessages(s *successorConn) {
 	defer close(s.gone)
 	buf, serves := make([]byte, 16), false
 	for {
@@ -107,57 +107,57 @@
 		}
 		switch {
 		case buf[0] == msgHello && n == 2:
-			s.form.Store(int32(buf[1]))
-		case buf[0] == msgServes && !serves:
+			s.version.Store(int32(buf[1]))
+		case buf[0] == msgTakenOver && !serves:
 			serves = true
-			close(s.serves)
+			close(s.takenOver)
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.next == s {
-		h.next = nil
+	if h.successor == s {
+		h.successor = nil
 		s.conn.Close()
 		if !serves {
-			h.log.Printf("handover: the successor has gone")
+			h.logger.Printf("handover: the successor has gone")
 		}
 	}
 }
 
-// present tells whether a successor waits.
-func (h *heir) present() bool {
+// hasSuccessor tells whether a successor waits.
+func (h *successorListener) hasSuccessor() bool {
 	if h == nil {
 		return false
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.next != nil
+	return h.successor != nil
 }
 
-// answered waits until the successor has taken over. One that has gone before is an error; one
+// awaitTakeover waits until the successor has taken over. One that has gone before is an error; one
 // that is silent for long lives, and has the word to go, so that nothing may be taken back.
-func (h *heir) answered() error {
+func (h *successorListener) awaitTakeover() error {
 	h.mu.Lock()
-	s := h.next
+	s := h.successor
 	h.mu.Unlock()
 	if s == nil {
 		return errNoSuccessor
 	}
-	if s.form.Load() == 0 {
+	if s.version.Load() == 0 {
 		return nil // of a version that does not answer
 	}
-	late := time.NewTimer(handoverLimit)
+	late := time.NewTimer(handoverMessageTimeout)
 	defer late.Stop()
 	select {
-	case <-s.serves:
+	case <-s.takenOver:
 		return nil
 	case <-s.gone:
 	case <-late.C:
-		h.log.Printf("handover: the successor does not say that it serves")
+		h.logger.Printf("handover: the successor does not say that it serves")
 		return nil
 	}
 	select {
-	case <-s.serves: // it said so, and went
+	case <-s.takenOver: // it said so, and went
 		return nil
 	default:
 		return errNoSuccessor
@@ -166,36 +166,36 @@
 
 var errNoSuccessor = errors.New("handover: no successor")
 
-// retire ends the listening, so that the successor can take the path; what is to be handed
+// stopListening ends the listening, so that the successor can take the path; what is to be handed
 // over still can be.
-func (h *heir) retire() {
+func (h *successorListener) stopListening() {
 	h.mu.Lock()
-	h.end = true
+	h.isClosed = true
 	h.mu.Unlock()
-	h.ln.Close()
+	h.listener.Close()
 }
 
 // close ends it all.
-func (h *heir) close() {
-	h.retire()
+func (h *successorListener) close() {
+	h.stopListening()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.next != nil {
-		h.next.conn.Close()
-		h.next = nil
+	if h.successor != nil {
+		h.successor.conn.Close()
+		h.successor = nil
 	}
 }
 
 // send sends one message, with the descriptor of rc beside it if there is one.
-func (h *heir) send(kind byte, body []byte, rc syscall.RawConn) error {
+func (h *successorListener) send(kind byte, body []byte, rc syscall.RawConn) error {
 	h.mu.Lock()
-	next := h.next
+	next := h.successor
 	h.mu.Unlock()
 	if next == nil {
 		return errNoSuccessor
 	}
 	msg := append([]byte{kind}, body...)
-	next.conn.SetWriteDeadline(time.Now().Add(handoverLimit))
+	next.conn.SetWriteDeadline(time.Now().Add(handoverMessageTimeout))
 	write := func(rights []byte) error {
 		_, _, err := next.conn.WriteMsgUnix(msg, rights, nil)
 		return err
@@ -213,13 +213,13 @@
 }
 
 // sendState sends what the module knows, in parts, with their whole length first.
-func (h *heir) sendState(state []byte) error {
+func (h *successorListener) sendState(state []byte) error {
 	size := binary.BigEndian.AppendUint32(nil, uint32(len(state)))
 	if err := h.send(msgState, size, nil); err != nil {
 		return err
 	}
 	for len(state) > 0 {
-		n := min(len(state), chunkMost)
+		n := min(len(state), maxStateChunk)
 		if err := h.send(msgState, state[:n], nil); err != nil {
 			return err
 		}
@@ -228,15 +228,15 @@
 	return nil
 }
 
-// giveAll sends all that comes before clients, and the word to go.
-func (h *heir) giveAll(state []byte, sock *gossip.Socket) error {
+// sendInheritedState sends all that comes before clients, and the word to go.
+func (h *successorListener) sendInheritedState(state []byte, sock *gossip.Socket) error {
 	if err := h.sendState(state); err != nil {
 		return err
 	}
 	if sock != nil {
 		rc, err := sock.RawConn()
 		if err == nil {
-			err = h.send(msgPeers, nil, rc)
+			err = h.send(msgGossipSocket, nil, rc)
 		}
 		if err != nil {
 			return err
@@ -245,55 +245,55 @@
 	return h.send(msgGo, nil, nil)
 }
 
-// legacy is the successor's side.
-type legacy struct {
+// predecessor is the successor's side.
+type predecessor struct {
 	conn *net.UnixConn
 	buf  []byte
 }
 
 // findPredecessor meets the process that serves. It returns nil where there is none; with
 // an error, where something stands in its place.
-func findPredecessor(path string) (*legacy, error) {
-	c, err := net.DialTimeout("unixpacket", path, handoverLimit)
+func findPredecessor(path string) (*predecessor, error) {
+	c, err := net.DialTimeout("unixpacket", path, handoverMessageTimeout)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err == nil {
-		if _, err = c.Write([]byte{msgHello, handoverForm}); err != nil {
+		if _, err = c.Write([]byte{msgHello, handoverVersion}); err != nil {
 			c.Close()
 		}
 	}
 	if err != nil {
 		return nil, fmt.Errorf("handover: no predecessor: %w", err)
 	}
-	return &legacy{conn: c.(*net.UnixConn), buf: make([]byte, chunkMost+1)}, nil
+	return &predecessor{conn: c.(*net.UnixConn), buf: make([]byte, maxStateChunk+1)}, nil
 }
 
-// serves tells the predecessor that its place is taken.
-func (l *legacy) serves() {
+// confirmTakeover tells the predecessor that its place is taken.
+func (l *predecessor) confirmTakeover() {
 	// One that has gone meanwhile has nothing to be told.
-	_, _ = l.conn.Write([]byte{msgServes})
+	_, _ = l.conn.Write([]byte{msgTakenOver})
 }
 
-// inheritance is what comes before the word to go.
-type inheritance struct {
-	state []byte
-	peers *net.UDPConn // nil: none came
+// inheritedState is what comes before the word to go.
+type inheritedState struct {
+	engineState []byte
+	gossipConn  *net.UDPConn // nil: none came
 }
 
-// await waits for the predecessor's word to go. Its error means that the predecessor has
+// awaitState waits for the predecessor's word to go. Its error means that the predecessor has
 // ended without one, or that ctx has.
-func (l *legacy) await(ctx context.Context) (in inheritance, err error) {
+func (l *predecessor) awaitState(ctx context.Context) (in inheritedState, err error) {
 	stop := context.AfterFunc(ctx, func() { l.conn.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
 	defer func() {
-		if err != nil && in.peers != nil {
-			in.peers.Close()
+		if err != nil && in.gossipConn != nil {
+			in.gossipConn.Close()
 		}
 	}()
 	size := -1
 	for {
-		kind, body, file, err := l.next()
+		kind, body, file, err := l.readMessage()
 		if err != nil {
 			return in, err
 		}
@@ -301,21 +301,21 @@
 		case kind == msgState && size < 0 && len(body) == 4:
 			size = int(binary.BigEndian.Uint32(body))
 		case kind == msgState:
-			if in.state = append(in.state, body...); len(in.state) > size {
+			if in.engineState = append(in.engineState, body...); len(in.engineState) > size {
 				return in, errors.New("handover: more state than was announced")
 			}
-		case kind == msgPeers && file != nil:
+		case kind == msgGossipSocket && file != nil:
 			pc, err := net.FilePacketConn(file)
 			file.Close()
 			if err != nil {
 				return in, fmt.Errorf("handover: peers' socket: %w", err)
 			}
 			var ok bool
-			if in.peers, ok = pc.(*net.UDPConn); !ok {
+			if in.gossipConn, ok = pc.(*net.UDPConn); !ok {
 				pc.Close()
 				return in, errors.New("handover: peers' socket is none")
 			}
-		case kind == msgGo && len(in.state) == size:
+		case kind == msgGo && len(in.engineState) == size:
 			return in, nil
 		default:
 			if file != nil {
@@ -326,8 +326,8 @@
 	}
 }
 
-// next reads one message.
-func (l *legacy) next() (kind byte, body []byte, file *os.File, err error) {
+// readMessage reads one message.
+func (l *predecessor) readMessage() (kind byte, body []byte, file *os.File, err error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	n, oobn, flags, _, err := l.conn.ReadMsgUnix(l.buf, oob)
 	if err == nil && n == 0 {
@@ -340,15 +340,15 @@
 		return 0, nil, nil, fmt.Errorf("handover: %w", err)
 	}
 	if oobn > 0 {
-		if file, err = rights(oob[:oobn]); err != nil {
+		if file, err = receivedDescriptor(oob[:oobn]); err != nil {
 			return 0, nil, nil, fmt.Errorf("handover: %w", err)
 		}
 	}
 	return l.buf[0], l.buf[1:n], file, nil
 }
 
-// rights returns the descriptor that came beside a message.
-func rights(oob []byte) (*os.File, error) {
+// receivedDescriptor returns the descriptor that came beside a message.
+func receivedDescriptor(oob []byte) (*os.File, error) {
 	msgs, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil || len(msgs) != 1 {
 		return nil, errors.Join(errors.New("no descriptor where one was announced"), err)
@@ -363,9 +363,9 @@
 
 // Accept returns the next client's connection that the predecessor hands over. With it a
 // legacy is a listener; its error is final.
-func (l *legacy) Accept() (net.Conn, error) {
+func (l *predecessor) Accept() (net.Conn, error) {
 	for {
-		kind, _, file, err := l.next()
+		kind, _, file, err := l.readMessage()
 		if err != nil {
 			return nil, err
 		}
@@ -385,13 +385,13 @@
 }
 
 // Close ends what the predecessor hands over.
-func (l *legacy) Close() error { return l.conn.Close() }
+func (l *predecessor) Close() error { return l.conn.Close() }
 
 // Addr is the address of the socket between both.
-func (l *legacy) Addr() net.Addr { return l.conn.LocalAddr() }
+func (l *predecessor) Addr() net.Addr { return l.conn.LocalAddr() }
 
-// inherited is a listening socket that the process was started with.
-func inherited(fd int) (net.Listener, error) {
+// inheritedListener is a listening socket that the process was started with.
+func inheritedListener(fd int) (net.Listener, error) {
 	// Before os.NewFile, which would own, and some day close, what is not ours.
 	switch accepts, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); {
 	case err != nil:
--- a/internal/edgeproxy/handover_test.go
+++ b/internal/edgeproxy/handover_test.go
@@ -75,9 +75,9 @@
 // upgradable is a configuration with which a successor can take over.
 func upgradable(t *testing.T, dir string, servers ...Instance) *Config {
 	cfg := testConfig(servers...)
-	cfg.Handover = filepath.Join(dir, handoverName)
-	cfg.Manage = freeAddr(t)
-	cfg.drainFor = 0
+	cfg.HandoverSocket = filepath.Join(dir, handoverSocketName)
+	cfg.AdminListen = freeAddr(t)
+	cfg.drainDelay = 0
 	return cfg
 }
 
@@ -113,7 +113,7 @@
 	next := door.start(t, cfg)
 	next.says(t, "waiting for the predecessor")
 	old.says(t, "a successor waits")
-	if status, _ := call(t, "GET", cfg.Manage, readyCall); status != 200 {
+	if status, _ := call(t, "GET", cfg.AdminListen, adminReadyPath); status != 200 {
 		t.Errorf("the successor is not ready: %d", status)
 	}
 	if strings.Contains(next.logs.String(), "ready on") {
@@ -166,7 +166,7 @@
 // checksOf is how many checks an instance has answered and deferred, by its own figures.
 func checksOf(t *testing.T, cfg *Config) (answered, deferred int) {
 	t.Helper()
-	_, text := call(t, "GET", cfg.Manage, countersCall)
+	_, text := call(t, "GET", cfg.AdminListen, adminCountersPath)
 	for _, line := range strings.Fields(text) {
 		fmt.Sscanf(line, "app.answered.check=%d", &answered)
 		fmt.Sscanf(line, "app.deferred.check=%d", &deferred)
@@ -205,7 +205,7 @@
 func TestPredecessorDies(t *testing.T) {
 	app := newAppServer(t, say(okAnswer))
 	dir, door := t.TempDir(), newShared(t)
-	path := filepath.Join(dir, handoverName)
+	path := filepath.Join(dir, handoverSocketName)
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
@@ -343,7 +343,7 @@
 	second.stop()
 	third.says(t, "ready on")
 	idle.ask(request("check", "d"))
-	time.Sleep(20 * leavePoll) // in which the second one would end if it waited for its own clients alone
+	time.Sleep(20 * handOverPollInterval) // in which the second one would end if it waited for its own clients alone
 	close(hold)
 	if a := busy.read(); a.status != 200 || a.close {
 		t.Fatalf("what was under way: %d, close %v", a.status, a.close)
@@ -398,7 +398,7 @@
 func (h half) readTo(kind byte) {
 	h.t.Helper()
 	h.SetReadDeadline(time.Now().Add(patience))
-	buf := make([]byte, chunkMost+1)
+	buf := make([]byte, maxStateChunk+1)
 	for buf[0] != kind {
 		if n, err := h.Read(buf); n == 0 || err != nil {
 			h.t.Fatalf("message %q never came: %v", kind, err)
@@ -444,7 +444,7 @@
 			}
 			defer other.Close()
 			cfg := upgradable(t, dir, app.instance("a"))
-			cfg.drainFor = 3 * time.Second
+			cfg.drainDelay = 3 * time.Second
 			withPeer(cfg, freeUDP(t), other)
 			old := door.start(t, cfg)
 			old.says(t, "ready on")
@@ -453,7 +453,7 @@
 			if a := kept.ask(request("check", "a", spender...)); a.status != 200 {
 				t.Fatalf("status %d", a.status)
 			}
-			h := meetAs(t, cfg.Handover, hello)
+			h := meetAs(t, cfg.HandoverSocket, hello)
 			old.says(t, "a successor waits")
 			dies(old, h)
 			old.says(t, "draining")
@@ -489,8 +489,8 @@
 // withPeer makes the configuration one of two nodes, the other of which is the socket.
 func withPeer(cfg *Config, mine netip.AddrPort, other *net.UDPConn) {
 	cfg.Settings.InstanceCount, cfg.Settings.AllowsGossip, cfg.Settings.GossipInboxRate = 2, true, 1000
-	cfg.PeerListen, cfg.Peers = mine, []netip.AddrPort{mine, other.LocalAddr().(*net.UDPAddr).AddrPort()}
-	cfg.PeersAll = cfg.Peers[1]
+	cfg.GossipListen, cfg.GossipPeers = mine, []netip.AddrPort{mine, other.LocalAddr().(*net.UDPAddr).AddrPort()}
+	cfg.GossipBroadcast = cfg.GossipPeers[1]
 	cfg.Settings.Plans[1] = policy.Plan{Name: "tight", Rate: 0.001, Burst: 40, PriorityFactor: 1}
 }
 
@@ -504,8 +504,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was.boot()
-	good, _, err := was.retire()
+	was.startEngine()
+	good, _, err := was.exportState()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -528,7 +528,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir, door := t.TempDir(), newShared(t)
-			ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: filepath.Join(dir, handoverName), Net: "unixpacket"})
+			ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: filepath.Join(dir, handoverSocketName), Net: "unixpacket"})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -587,7 +587,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := upgradable(t, dir, app.instance("a"))
-			cfg.Handover = c.path
+			cfg.HandoverSocket = c.path
 			n := newShared(t).start(t, cfg)
 			n.says(t, "ready on")
 			if !strings.Contains(n.logs.String(), c.log) {
@@ -621,7 +621,7 @@
 	}
 	defer socket.Close()
 	for name, fd := range map[string]uintptr{"closed": 60000, "a file": file.Fd(), "a connection": socket.Fd()} {
-		if ln, err := inherited(int(fd)); err == nil || !strings.Contains(err.Error(), fmt.Sprint("PROXY_ACCEPT_FD: descriptor ", fd)) {
+		if ln, err := inheritedListener(int(fd)); err == nil || !strings.Contains(err.Error(), fmt.Sprint("PROXY_ACCEPT_FD: descriptor ", fd)) {
 			t.Errorf("%s: %v, error %v", name, ln, err)
 		}
 	}
@@ -641,7 +641,7 @@
 	kept := dial(t, old.addr)
 	kept.ask(request("check", "a"))
 	for range 2 {
-		if s, _ := call(t, "POST", oldCfg.Manage, outCall); s != 200 {
+		if s, _ := call(t, "POST", oldCfg.AdminListen, adminOutOfServicePath); s != 200 {
 			t.Fatalf("out: %d", s)
 		}
 	}
@@ -665,7 +665,7 @@
 
 	last := door.start(t, lastCfg)
 	next.says(t, "a successor waits")
-	if s, _ := call(t, "POST", lastCfg.Manage, outCall); s != 200 {
+	if s, _ := call(t, "POST", lastCfg.AdminListen, adminOutOfServicePath); s != 200 {
 		t.Fatalf("out of the one that waits: %d", s)
 	}
 	next.stop()
@@ -674,11 +674,11 @@
 	if s := health(); s != 503 {
 		t.Errorf("told to be out of service before it served: %d", s)
 	}
-	if s, _ := call(t, "POST", lastCfg.Manage, inCall); s != 200 || health() != 200 {
+	if s, _ := call(t, "POST", lastCfg.AdminListen, adminInServicePath); s != 200 || health() != 200 {
 		t.Error("not back in service")
 	}
 	// And while SIGTERM comes.
-	call(t, "POST", lastCfg.Manage, outCall)
+	call(t, "POST", lastCfg.AdminListen, adminOutOfServicePath)
 	last.stop()
 	last.ends(t)
 }
@@ -691,15 +691,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFront(n)
+	f := newClientServer(n)
 	n.close()
 	began := make(chan bool, 1)
 	if n.spawn(func() { began <- true }) || len(began) > 0 {
 		t.Fatal("a goroutine was started in a node that is closed")
 	}
-	f.leave()
+	f.takeOutOfService()
 	n.work.Wait()
-	if f.takes() {
+	if f.isAvailable() {
 		t.Error("out of service, and takes clients")
 	}
 }
--- a/internal/edgeproxy/manage_test.go
+++ b/internal/edgeproxy/manage_test.go
@@ -33,7 +33,7 @@
 // shows tells whether a node's figures have a line.
 func shows(t *testing.T, at netip.AddrPort, line string) func() bool {
 	return func() bool {
-		_, text := call(t, "GET", at, countersCall)
+		_, text := call(t, "GET", at, adminCountersPath)
 		return strings.Contains("\n"+text, "\n"+line+"\n")
 	}
 }
@@ -42,19 +42,19 @@
 func managed(t *testing.T, serve func(net.Conn, *http.Request, []byte) bool, change func(*Config)) (*running, netip.AddrPort) {
 	t.Helper()
 	cfg := testConfig(newAppServer(t, serve).instance("a"))
-	cfg.Manage = freeAddr(t)
+	cfg.AdminListen = freeAddr(t)
 	if change != nil {
 		change(cfg)
 	}
 	n := run(t, cfg)
 	eventually(t, "ready", func() bool {
-		c, err := net.Dial("tcp", cfg.Manage.String())
+		c, err := net.Dial("tcp", cfg.AdminListen.String())
 		if err == nil {
 			c.Close()
 		}
 		return err == nil && strings.Contains(n.logs.String(), "ready on")
 	})
-	return n, cfg.Manage
+	return n, cfg.AdminListen
 }
 
 // The figures are those of what clients and app servers saw.
@@ -66,7 +66,7 @@
 			<-hold
 		case strings.Contains(r.RequestURI, "broken"):
 			return false
-		case r.RequestURI == loadPath:
+		case r.RequestURI == loadReportPath:
 			return say("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")(c, r, body)
 		}
 		return say(okAnswer)(c, r, body)
@@ -93,7 +93,7 @@
 		eventually(t, line, want(line))
 	}
 	// The broken one's further attempts count as well: a keyed request may be sent three times.
-	_, text := call(t, "GET", at, countersCall)
+	_, text := call(t, "GET", at, adminCountersPath)
 	if !strings.Contains(text, "app.sends=5\n") && !strings.Contains(text, "app.sends=6\n") && !strings.Contains(text, "app.sends=7\n") {
 		t.Errorf("sends of five requests sent on:\n%s", text)
 	}
@@ -103,16 +103,16 @@
 func TestFiguresOfServers(t *testing.T) {
 	gone := freeAddr(t)
 	n, at := managed(t, say(okAnswer), func(cfg *Config) {
-		dead := cfg.Known.Servers[0]
+		dead := cfg.SavedEndpoints.Servers[0]
 		dead.ID, dead.Addr = "dead", gone
-		cfg.Known.Servers = append(cfg.Known.Servers, dead)
+		cfg.SavedEndpoints.Servers = append(cfg.SavedEndpoints.Servers, dead)
 	})
 	c := dial(t, n.addr)
 	i := 0
 	eventually(t, "one of two is out", func() bool {
 		i++
 		c.ask(request("check", fmt.Sprint("r", i)))
-		_, text := call(t, "GET", at, countersCall)
+		_, text := call(t, "GET", at, adminCountersPath)
 		return strings.Contains(text, "app.cluster_size=2\napp.cluster_unhealthy=1\nchoice.part=0\n")
 	})
 }
@@ -127,18 +127,18 @@
 		}
 	}
 	began := time.Now()
-	if status, _ := call(t, "GET", at, readyCall); status != 200 || time.Since(began) > time.Second {
+	if status, _ := call(t, "GET", at, adminReadyPath); status != 200 || time.Since(began) > time.Second {
 		t.Errorf("status %d after %v", status, time.Since(began))
 	}
 	for _, bad := range []struct {
 		method, path string
 		status       int
-	}{{"POST", readyCall, 405}, {"GET", outCall, 405}, {"GET", "/control/novel", 404}, {"POST", "/", 404}} {
+	}{{"POST", adminReadyPath, 405}, {"GET", adminOutOfServicePath, 405}, {"GET", "/control/novel", 404}, {"POST", "/", 404}} {
 		if status, _ := call(t, bad.method, at, bad.path); status != bad.status {
 			t.Errorf("%s %s: %d, want %d", bad.method, bad.path, status, bad.status)
 		}
 	}
-	if status, text := call(t, "GET", at, readyCall); status != 200 || text != "ready\n" {
+	if status, text := call(t, "GET", at, adminReadyPath); status != 200 || text != "ready\n" {
 		t.Errorf("after what can't be: %d %q", status, text)
 	}
 }
@@ -157,7 +157,7 @@
 		t.Fatalf("ready: %d", s)
 	}
 	for range 2 { // the second call changes nothing
-		if status, _ := call(t, "POST", at, outCall); status != 200 {
+		if status, _ := call(t, "POST", at, adminOutOfServicePath); status != 200 {
 			t.Fatalf("out: %d", status)
 		}
 	}
@@ -165,7 +165,7 @@
 	if s := health(); s != 503 {
 		t.Errorf("health while out: %d", s)
 	}
-	if status, _ := call(t, "GET", at, readyCall); status != 503 {
+	if status, _ := call(t, "GET", at, adminReadyPath); status != 503 {
 		t.Errorf("ready while out: %d", status)
 	}
 	if a := used.ask(request("check", "c")); a.status != 200 || !a.close {
@@ -176,10 +176,10 @@
 			t.Errorf("%s: %v, want EOF", name, err)
 		}
 	}
-	if d := time.Since(began); d < shedFrom || d > 3500*time.Millisecond {
+	if d := time.Since(began); d < evictionDelay || d > 3500*time.Millisecond {
 		t.Errorf("connections ended after %v", d)
 	}
-	if status, _ := call(t, "POST", at, inCall); status != 200 || health() != 200 {
+	if status, _ := call(t, "POST", at, adminInServicePath); status != 200 || health() != 200 {
 		t.Error("not back in service")
 	}
 	kept := dial(t, n.addr)
@@ -201,7 +201,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Manage = addrOf(taken)
+	cfg.AdminListen = addrOf(taken)
 	if err := runOn(context.Background(), cfg, nil, discard, ln); err == nil || !strings.Contains(err.Error(), "management") {
 		t.Errorf("error %v", err)
 	}
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -22,7 +22,7 @@
 	var ln net.Listener
 	var err error
 	if cfg.AcceptFD != 0 {
-		ln, err = inherited(cfg.AcceptFD)
+		ln, err = inheritedListener(cfg.AcceptFD)
 	} else {
 		ln, err = net.Listen("tcp", cfg.Listen.String())
 	}
@@ -43,40 +43,40 @@
 	}
 	var side sync.WaitGroup
 	defer side.Wait()
-	var before *legacy
-	if cfg.Handover != "" {
-		if before, err = findPredecessor(cfg.Handover); err != nil {
+	var before *predecessor
+	if cfg.HandoverSocket != "" {
+		if before, err = findPredecessor(cfg.HandoverSocket); err != nil {
 			logger.Printf("%v: beginning from nothing", err)
 		}
 	}
 	if before == nil {
-		if err := n.listenToPeers(&side, nil); err != nil {
+		if err := n.startGossip(&side, nil); err != nil {
 			return err
 		}
 	}
 	defer func() {
-		if sock := n.leavePeers(); sock != nil {
+		if sock := n.takeGossipSocket(); sock != nil {
 			sock.Close()
 		}
 	}()
-	if len(cfg.left) > 0 {
-		logger.Printf("known: %d entries left out, the first: %v", len(cfg.left), cfg.left[0])
+	if len(cfg.skippedEndpoints) > 0 {
+		logger.Printf("known: %d entries left out, the first: %v", len(cfg.skippedEndpoints), cfg.skippedEndpoints[0])
 	}
-	n.boot()
-	watch := startWatch(life, n, cfg.Discovery, cfg.Known.Generation)
-	defer func() { watch.end() }()
-	side.Go(func() { n.up.reap(life) })
+	n.startEngine()
+	watch := startWatch(life, n, cfg.Discovery, cfg.SavedEndpoints.Generation)
+	defer func() { watch.stop() }()
+	side.Go(func() { n.pool.runIdlePruning(life) })
 	defer stop() // before the wait for what life owns
 
-	f := newFront(n)
+	f := newClientServer(n)
 	failed := make(chan error, 3)
 	var waits atomic.Bool // for the predecessor's word
-	if cfg.Manage.IsValid() {
-		mln, err := net.Listen("tcp", cfg.Manage.String())
+	if cfg.AdminListen.IsValid() {
+		mln, err := net.Listen("tcp", cfg.AdminListen.String())
 		if err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
-		m := newManager(f, func() bool { return waits.Load() || f.takes() })
+		m := newAdminServer(f, func() bool { return waits.Load() || f.isAvailable() })
 		side.Go(func() {
 			if err := m.serve(mln); err != nil {
 				failed <- err
@@ -86,11 +86,11 @@
 	}
 	// What the agent has counts as told from the first moment, and the saved list may be old. With the agent
 	// down the saved list serves.
-	watch.awaitFirst(ctx, cfg.firstList)
+	watch.awaitFirst(ctx, cfg.firstListTimeout)
 	if before != nil {
 		logger.Printf("%s: waiting for the predecessor's end", cfg.Name)
 		waits.Store(true)
-		in, err := n.succeed(ctx, before, reload, &watch)
+		in, err := n.awaitTakeover(ctx, before, reload, &watch)
 		if ctx.Err() != nil {
 			before.Close()
 			return nil // told to end before it served
@@ -100,34 +100,34 @@
 			before.Close()
 			before = nil
 		}
-		if err := n.listenToPeers(&side, in.peers); err != nil {
+		if err := n.startGossip(&side, in.gossipConn); err != nil {
 			return err
 		}
 	}
-	var h *heir
-	if cfg.Handover != "" {
+	var h *successorListener
+	if cfg.HandoverSocket != "" {
 		// Without it the node serves all the same; only the next upgrade would be a restart.
-		if h, err = awaitHeir(cfg.Handover, logger); err != nil {
+		if h, err = listenForSuccessor(cfg.HandoverSocket, logger); err != nil {
 			logger.Printf("%v", err)
 		} else {
 			defer h.close()
-			side.Go(h.meet)
+			side.Go(h.acceptSuccessors)
 		}
 	}
 	if before != nil {
 		defer before.Close()
-		before.serves()
-		f.inherits.Store(true)
-		side.Go(func() { f.serveLegacy(before) })
+		before.confirmTakeover()
+		f.hasPredecessor.Store(true)
+		side.Go(func() { f.servePredecessor(before) })
 	}
 	side.Go(func() { failed <- f.serve(ln) })
-	f.ready.Store(true)
+	f.isReady.Store(true)
 	waits.Store(false)
-	logger.Printf("%s: ready on %s, %d app servers known", cfg.Name, cfg.Listen, len(cfg.Known.Servers))
+	logger.Printf("%s: ready on %s, %d app servers known", cfg.Name, cfg.Listen, len(cfg.SavedEndpoints.Servers))
 	for draining := false; !draining; {
 		select {
 		case err := <-failed:
-			f.srv.Close()
+			f.httpServer.Close()
 			return err
 		case <-reload:
 			watch = watch.reload(life, n)
@@ -135,9 +135,9 @@
 			draining = true
 		}
 	}
-	f.begin()
-	still := cfg.drainFor
-	if h.present() {
+	f.startShutdownTimer()
+	still := cfg.drainDelay
+	if h.hasSuccessor() {
 		logger.Printf("%s: handing over", cfg.Name)
 		again, err := f.handOver(h, ln)
 		if err != nil {
@@ -153,14 +153,14 @@
 	f.drain(still)
 	stop()
 	n.close()
-	logger.Printf("%s: drained, figures at the end: %s", cfg.Name, strings.Join(strings.Fields(n.figures()), " "))
+	logger.Printf("%s: drained, figures at the end: %s", cfg.Name, strings.Join(strings.Fields(n.metricsText()), " "))
 	return nil
 }
 
-// listenToPeers opens the peers' socket, or takes the one that was handed over.
-func (n *Node) listenToPeers(side *sync.WaitGroup, conn *net.UDPConn) error {
+// startGossip opens the peers' socket, or takes the one that was handed over.
+func (n *Node) startGossip(side *sync.WaitGroup, conn *net.UDPConn) error {
 	cfg := n.cfg
-	if !cfg.PeerListen.IsValid() {
+	if !cfg.GossipListen.IsValid() {
 		if conn != nil {
 			conn.Close()
 		}
@@ -168,28 +168,28 @@
 	}
 	var sock *gossip.Socket
 	if conn != nil {
-		sock = gossip.On(conn, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeersAll)
+		sock = gossip.On(conn, cfg.Settings.InstanceIndex, cfg.GossipPeers, cfg.GossipBroadcast)
 	} else {
 		var err error
-		if sock, err = gossip.Listen(cfg.PeerListen, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeersAll); err != nil {
+		if sock, err = gossip.Listen(cfg.GossipListen, cfg.Settings.InstanceIndex, cfg.GossipPeers, cfg.GossipBroadcast); err != nil {
 			return err
 		}
 	}
-	n.join(sock)
-	side.Go(func() { sock.Receive(n.whisper) })
+	n.setGossipSocket(sock)
+	side.Go(func() { sock.Receive(n.gossipReceived) })
 	return nil
 }
 
-// succeed waits for the predecessor's word to go and takes over what its module knew. A
+// awaitTakeover waits for the predecessor's word to go and takes over what its module knew. A
 // reload in the meantime counts.
-func (n *Node) succeed(ctx context.Context, before *legacy, reload <-chan os.Signal, w **watch) (inheritance, error) {
+func (n *Node) awaitTakeover(ctx context.Context, before *predecessor, reload <-chan os.Signal, w **discoveryWatch) (inheritedState, error) {
 	type result struct {
-		in  inheritance
+		in  inheritedState
 		err error
 	}
 	came := make(chan result, 1)
 	go func() {
-		in, err := before.await(ctx)
+		in, err := before.awaitState(ctx)
 		came <- result{in, err}
 	}()
 	for {
@@ -198,36 +198,36 @@
 			*w = (*w).reload(n.ctx, n)
 		case r := <-came:
 			if r.err == nil {
-				n.takeOver(r.in.state)
+				n.importState(r.in.engineState)
 			}
 			return r.in, r.err
 		}
 	}
 }
 
-// watch is the following of one discovery agent.
-type watch struct {
-	addr netip.AddrPort
-	near bool // an agent on this machine, to which lists are pushed
-	stop context.CancelFunc
-	done chan struct{}
+// discoveryWatch is the following of one discovery agent.
+type discoveryWatch struct {
+	addr    netip.AddrPort
+	isLocal bool // an agent on this machine, to which lists are pushed
+	cancel  context.CancelFunc
+	done    chan struct{}
 
-	first <-chan struct{} // closed once a list has come, the first call for it has failed, or the watch has ended
+	firstCall <-chan struct{} // closed once a list has come, the first call for it has failed, or the watch has ended
 }
 
-// firstList is how long a node waits for its agent's list before it is ready: an agent answers at once.
-const firstList = 300 * time.Millisecond
+// defaultFirstListTimeout is how long a node waits for its agent's list before it is ready: an agent answers at once.
+const defaultFirstListTimeout = 300 * time.Millisecond
 
 // awaitFirst waits until a list has come from an agent or is known not to, for a time at most. A register that a fleet asks may be slow: it
 // is not waited for.
-func (w *watch) awaitFirst(ctx context.Context, most time.Duration) {
-	if !w.near {
+func (w *discoveryWatch) awaitFirst(ctx context.Context, most time.Duration) {
+	if !w.isLocal {
 		return
 	}
 	late := time.NewTimer(most)
 	defer late.Stop()
 	select {
-	case <-w.first:
+	case <-w.firstCall:
 	case <-late.C:
 	case <-ctx.Done():
 	}
@@ -235,18 +235,18 @@
 
 // startWatch follows an agent from a version of the list that came from it; from 0 it
 // tells the whole list. An agent on this machine always does, at no cost: it may have begun its versions anew since.
-func startWatch(ctx context.Context, n *Node, addr netip.AddrPort, from uint64) *watch {
+func startWatch(ctx context.Context, n *Node, addr netip.AddrPort, from uint64) *discoveryWatch {
 	ctx, stop := context.WithCancel(ctx)
-	w := &watch{addr: addr, near: !n.cfg.Settings.PollsEndpoints, stop: stop, done: make(chan struct{})}
-	if w.near {
+	w := &discoveryWatch{addr: addr, isLocal: !n.cfg.Settings.PollsEndpoints, cancel: stop, done: make(chan struct{})}
+	if w.isLocal {
 		from = 0
 	}
 	first, came := context.WithCancel(ctx)
-	w.first = first.Done()
-	reg := &discovery.Follower{Addr: addr, Silent: discovery.Silent, Last: from, Near: w.near, Logf: n.log.Printf,
+	w.firstCall = first.Done()
+	reg := &discovery.Follower{Addr: addr, Silent: discovery.Silent, Last: from, Near: w.isLocal, Logf: n.log.Printf,
 		Pace: discovery.NewPace(n.cfg.Settings.InstanceCount, n.cfg.Seed),
 		Apply: func(l discovery.List) {
-			n.heard(l)
+			n.endpointsReceived(l)
 			came()
 		},
 		Failed: came}
@@ -258,16 +258,16 @@
 	return w
 }
 
-// end ends the watch; nothing is heard from its agent afterwards.
-func (w *watch) end() {
-	w.stop()
+// stop ends the watch; nothing is heard from its agent afterwards.
+func (w *discoveryWatch) stop() {
+	w.cancel()
 	<-w.done
 }
 
 // reload reads the configuration again and moves the watch if it names another
 // discovery agent. What else it says holds from the next start. A configuration that
 // can't be is logged, and the one in force stays.
-func (w *watch) reload(ctx context.Context, n *Node) *watch {
+func (w *discoveryWatch) reload(ctx context.Context, n *Node) *discoveryWatch {
 	cfg, err := n.cfg.reread()
 	if err != nil {
 		n.log.Printf("reload: the configuration in force stays: %v", err)
@@ -278,7 +278,7 @@
 		return w
 	}
 	n.log.Printf("reload: discovery moves from %s to %s", w.addr, cfg.Discovery)
-	w.end()
+	w.stop()
 	// Another agent may count its versions in another way.
 	return startWatch(ctx, n, cfg.Discovery, 0)
 }
--- a/internal/edgeproxy/side_test.go
+++ b/internal/edgeproxy/side_test.go
@@ -143,7 +143,7 @@
 	a, b := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	called, release := make(chan string, 10), make(chan struct{})
 	cfg := testConfig(a.instance("a"), b.instance("b"))
-	cfg.firstList = patience
+	cfg.firstListTimeout = patience
 	cfg.Discovery = startDiscovery(t, func(n int, from string, w io.Writer, ctx context.Context) {
 		called <- from
 		<-release
@@ -177,7 +177,7 @@
 func TestASilentAgentAtTheStart(t *testing.T) {
 	app := newAppServer(t, say(okAnswer))
 	cfg := testConfig(app.instance("a"))
-	cfg.firstList = 20 * time.Millisecond
+	cfg.firstListTimeout = 20 * time.Millisecond
 	cfg.Discovery = startDiscovery(t, func(_ int, _ string, _ io.Writer, ctx context.Context) { <-ctx.Done() })
 	if r := dial(t, run(t, cfg).addr).ask(request("check", "x")); r.status != 200 {
 		t.Errorf("answered %d", r.status)
--- a/internal/edgeproxy/slots.go
+++ b/internal/edgeproxy/slots.go
@@ -13,98 +13,98 @@
 	"time"
 )
 
-// slots bounds the connections of clients, so that descriptors never run out. A new
+// connectionLimiter bounds the connections of clients, so that descriptors never run out. A new
 // connection is accepted first; if it is one too many, the one that can best be spared
 // is closed, and never one on which a request is open.
-type slots struct {
-	most  int
-	eager bool // of those without a request the eldest goes, whatever it is at
+type connectionLimiter struct {
+	maxConns     int
+	evictsOldest bool // of those without a request the eldest goes, whatever it is at
 
-	mu     sync.Mutex
-	conns  map[*slotConn]struct{}
-	silent int // of them, those on which nothing has come
+	mu          sync.Mutex
+	conns       map[*clientConn]struct{}
+	silentCount int // of them, those on which nothing has come
 
-	mover  func(*slotConn) error // hands a connection to the process that takes over; nil: none does
-	moving int                   // connections that it is handing over just now
+	handOver      func(*clientConn) error // hands a connection to the process that takes over; nil: none does
+	handOverCount int                     // connections that it is handing over just now
 }
 
-// crowded tells whether answers should close their connections. To close one that has
+// isCrowded tells whether answers should close their connections. To close one that has
 // been idle for a moment costs its client the next request, and a new connection, for
 // which another would be closed; one that is told of the close with its answer loses
 // nothing. Silent connections don't count: they give way at no cost.
-func (s *slots) crowded() bool {
+func (s *connectionLimiter) isCrowded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return (len(s.conns)-s.silent)*4 >= s.most*3
+	return (len(s.conns)-s.silentCount)*4 >= s.maxConns*3
 }
 
-// slotState is what a client's connection is at.
-type slotState int
+// clientConnState is what a client's connection is at.
+type clientConnState int
 
 const (
-	silent  slotState = iota // new: nothing has come on it
-	reading                  // something has come, but no whole head
-	open                     // a request is open
-	idle                     // between requests, or closing after the last
-	ended                    // closed
+	stateSilent  clientConnState = iota // new: nothing has come on it
+	stateReading                        // something has come, but no whole head
+	stateActive                         // a request is open
+	stateIdle                           // between requests, or closing after the last
+	stateClosed                         // closed
 )
 
 // Ages past which a connection is spared more easily.
 const (
-	silentFor  = 100 * time.Millisecond // clients that mean to ask do so as soon as they have connected
-	idleFor    = 2 * time.Second        // a client's due
-	readingFor = 500 * time.Millisecond // between the pieces of a head
-	writtenFor = 100 * time.Millisecond // after it an answer is on its way
+	silentGrace  = 100 * time.Millisecond // clients that mean to ask do so as soon as they have connected
+	idleGrace    = 2 * time.Second        // a client's due
+	readingGrace = 500 * time.Millisecond // between the pieces of a head
+	writtenGrace = 100 * time.Millisecond // after it an answer is on its way
 )
 
-func newSlots(n int) *slots {
-	return &slots{most: n, conns: map[*slotConn]struct{}{}}
+func newConnectionLimiter(n int) *connectionLimiter {
+	return &connectionLimiter{maxConns: n, conns: map[*clientConn]struct{}{}}
 }
 
 // add takes in a new connection and returns the one to be closed for it, if any,
 // which is the new one where no other can be spared.
-func (s *slots) add(c *slotConn) (spare *slotConn) {
+func (s *connectionLimiter) add(c *clientConn) (spare *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	c.since = now
-	for spare == nil && len(s.conns) >= s.most {
+	c.stateSince = now
+	for spare == nil && len(s.conns) >= s.maxConns {
 		best := 0
 		for o := range s.conns {
-			if r := o.rank(now); r > best || r == best && r > 0 && o.since.Before(spare.since) {
+			if r := o.evictionPriority(now); r > best || r == best && r > 0 && o.stateSince.Before(spare.stateSince) {
 				best, spare = r, o
 			}
 		}
 		switch {
 		case spare == nil:
-			c.state = ended
+			c.state = stateClosed
 			return c
-		case (spare.state != reading || !s.eager) && spare.waiting():
+		case (spare.state != stateReading || !s.evictsOldest) && spare.hasUnreadData():
 			// A request has come that was not read yet: one client more that means to ask. The rest of a head may have
 			// come as well while its goroutine waits for the core: then it is whole, and the node's to answer.
-			s.leave(spare, reading)
-			spare.since, spare.last, spare = now, now, nil
+			s.changeState(spare, stateReading)
+			spare.stateSince, spare.lastReadAt, spare = now, now, nil
 		default:
-			s.leave(spare, ended)
+			s.changeState(spare, stateClosed)
 			delete(s.conns, spare)
 		}
 	}
 	s.conns[c] = struct{}{}
-	s.silent++
+	s.silentCount++
 	return spare
 }
 
-// shed ends connections on which no request is open, for a drain: those idle, or silent since
+// evictIdle ends connections on which no request is open, for a drain: those idle, or silent since
 // they came, for at least the given times. A request that has come on one and was not read
 // keeps it. The caller closes what is returned.
-func (s *slots) shed(idleFor, silentFor time.Duration) (shed []*slotConn) {
+func (s *connectionLimiter) evictIdle(idleFor, silentFor time.Duration) (shed []*clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for c := range s.conns {
-		age := now.Sub(c.since)
-		if (c.state == idle && age >= max(idleFor, writtenFor) || c.state == silent && age >= silentFor) && !c.waiting() {
-			s.leave(c, ended)
+		age := now.Sub(c.stateSince)
+		if (c.state == stateIdle && age >= max(idleFor, writtenGrace) || c.state == stateSilent && age >= silentFor) && !c.hasUnreadData() {
+			s.changeState(c, stateClosed)
 			delete(s.conns, c)
 			shed = append(shed, c)
 		}
@@ -112,50 +112,50 @@
 	return shed
 }
 
-// leave changes the state of a connection that counts. Called under the mutex.
-func (s *slots) leave(c *slotConn, to slotState) {
-	if c.state == silent {
-		s.silent--
+// changeState changes the state of a connection that counts. Called under the mutex.
+func (s *connectionLimiter) changeState(c *clientConn, to clientConnState) {
+	if c.state == stateSilent {
+		s.silentCount--
 	}
 	c.state = to
 }
 
-// rank tells how easily a connection is spared; 0 is never. Those that came by hundreds
+// evictionPriority tells how easily a connection is spared; 0 is never. Those that came by hundreds
 // and say nothing go first, then what has been idle for its due or is slow to send, and
 // only then the rest. Called under the mutex.
-func (c *slotConn) rank(now time.Time) int {
-	age := now.Sub(c.since)
+func (c *clientConn) evictionPriority(now time.Time) int {
+	age := now.Sub(c.stateSince)
 	switch {
-	case c.slots.eager:
-		if c.state == open {
+	case c.limiter.evictsOldest:
+		if c.state == stateActive {
 			return 0
 		}
 		return 1
-	case c.state == silent && age >= silentFor:
+	case c.state == stateSilent && age >= silentGrace:
 		return 6
-	case c.state == idle && age >= idleFor:
+	case c.state == stateIdle && age >= idleGrace:
 		return 5
-	case c.state == reading && age >= readingFor && now.Sub(c.last) >= readingFor:
+	case c.state == stateReading && age >= readingGrace && now.Sub(c.lastReadAt) >= readingGrace:
 		return 4
-	case c.state == silent:
+	case c.state == stateSilent:
 		return 3
-	case c.state == idle && age >= writtenFor:
+	case c.state == stateIdle && age >= writtenGrace:
 		return 2
-	case c.state == reading && age >= readingFor:
+	case c.state == stateReading && age >= readingGrace:
 		return 1 // it still writes a request, if slowly
 	}
 	return 0
 }
 
-// waiting tells whether something has come that was not read, or was read a moment ago and is not noted yet. It does not
+// hasUnreadData tells whether something has come that was not read, or was read a moment ago and is not noted yet. It does not
 // wait for the goroutine that reads. Called under the mutex.
-func (c *slotConn) waiting() bool {
-	if len(c.ahead) > 0 || c.taken {
+func (c *clientConn) hasUnreadData() bool {
+	if len(c.readAhead) > 0 || c.hasUnrecordedData {
 		return true
 	}
 	waiting := false
 	var b [1]byte
-	err := onSocket(c.Conn, func(fd int) {
+	err := controlSocket(c.Conn, func(fd int) {
 		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		waiting = err == nil && n > 0
 	})
@@ -164,9 +164,9 @@
 
 var errNoSocket = errors.New("no socket")
 
-// onSocket calls f with the descriptor of a connection or a listener. The error is errNoSocket where it has none; any
+// controlSocket calls f with the descriptor of a connection or a listener. The error is errNoSocket where it has none; any
 // other means that it is closed.
-func onSocket(of any, f func(fd int)) error {
+func controlSocket(of any, f func(fd int)) error {
 	sc, ok := of.(syscall.Conn)
 	if !ok {
 		return errNoSocket
@@ -178,29 +178,29 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// slotListener counts what it accepts.
-type slotListener struct {
+// limitedListener counts what it accepts.
+type limitedListener struct {
 	net.Listener
-	slots *slots
+	limiter *connectionLimiter
 
-	mu    sync.Mutex
-	ended bool          // by finish
-	rest  []net.Conn    // accepted by finish
-	done  chan struct{} // closed once nothing more is accepted; nil where nobody waits for that
+	mu         sync.Mutex
+	isFinished bool          // by finish
+	backlog    []net.Conn    // accepted by finish
+	done       chan struct{} // closed once nothing more is accepted; nil where nobody waits for that
 }
 
 // finish ends the listening. What the machine has accepted by then is the node's to answer, also where the program has not
 // come to it: closing at once would reset it.
-func (l *slotListener) finish() {
+func (l *limitedListener) finish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = true
-	_ = onSocket(l.Listener, func(fd int) { l.rest = acceptAll(fd) }) // of one that is closed there is no rest
+	l.isFinished = true
+	_ = controlSocket(l.Listener, func(fd int) { l.backlog = acceptPending(fd) }) // of one that is closed there is no rest
 	l.Listener.Close()
 }
 
-// acceptAll accepts the connections that wait at a listening socket, without waiting for more.
-func acceptAll(fd int) (all []net.Conn) {
+// acceptPending accepts the connections that wait at a listening socket, without waiting for more.
+func acceptPending(fd int) (all []net.Conn) {
 	for {
 		n, _, err := syscall.Accept4(fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		if err == syscall.EINTR || err == syscall.ECONNABORTED {
@@ -217,8 +217,8 @@
 	}
 }
 
-// accept returns the next connection, those of finish last.
-func (l *slotListener) accept() (net.Conn, error) {
+// acceptNext returns the next connection, those of finish last.
+func (l *limitedListener) acceptNext() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err == nil {
 		return nc, nil
@@ -226,23 +226,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case !l.ended:
+	case !l.isFinished:
 		return nil, err
-	case len(l.rest) == 0:
+	case len(l.backlog) == 0:
 		return nil, http.ErrServerClosed
 	}
-	nc, l.rest = l.rest[0], l.rest[1:]
+	nc, l.backlog = l.backlog[0], l.backlog[1:]
 	return nc, nil
 }
 
-func (l *slotListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
-		nc, err := l.accept()
+		nc, err := l.acceptNext()
 		if err != nil {
 			return nil, err
 		}
-		c := newSlotConn(nc, l.slots)
-		spare := l.slots.add(c)
+		c := newClientConn(nc, l.limiter)
+		spare := l.limiter.add(c)
 		if spare != nil {
 			spare.Conn.Close()
 		}
@@ -252,47 +252,47 @@
 	}
 }
 
-// slotConn is a connection that counts until it is closed.
-type slotConn struct {
+// clientConn is a connection that counts until it is closed.
+type clientConn struct {
 	net.Conn
-	raw   syscall.RawConn // nil where Conn has no socket
-	slots *slots
-	taken bool      // what came is out of the socket and not yet noted here; under slots.mu
-	state slotState // under slots.mu
-	since time.Time // of the state, under slots.mu
-	rests bool      // idle, and its last answer is written to the end; under slots.mu
-	head  []byte    // of the request being read, as it came; under slots.mu
-	heads bool      // more of it is to come
-	early []byte    // what came of the next request while one was open, and was given to the library
-	ahead []byte    // what came behind that and the library has not got; under slots.mu
-	blind bool      // more than ahead may hold came: that the client leaves is no longer noticed; under slots.mu
-	last  time.Time // when something came; under slots.mu
-}
-
-func newSlotConn(nc net.Conn, s *slots) *slotConn {
-	c := &slotConn{Conn: nc, slots: s}
+	raw               syscall.RawConn // nil where Conn has no socket
+	limiter           *connectionLimiter
+	hasUnrecordedData bool            // what came is out of the socket and not yet noted here; under slots.mu
+	state             clientConnState // under slots.mu
+	stateSince        time.Time       // of the state, under slots.mu
+	isResponseWritten bool            // idle, and its last answer is written to the end; under slots.mu
+	head              []byte          // of the request being read, as it came; under slots.mu
+	isReadingHead     bool            // more of it is to come
+	earlyBytes        []byte          // what came of the next request while one was open, and was given to the library
+	readAhead         []byte          // what came behind that and the library has not got; under slots.mu
+	isWatchEnded      bool            // more than ahead may hold came: that the client leaves is no longer noticed; under slots.mu
+	lastReadAt        time.Time       // when something came; under slots.mu
+}
+
+func newClientConn(nc net.Conn, s *connectionLimiter) *clientConn {
+	c := &clientConn{Conn: nc, limiter: s}
 	if sc, ok := nc.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn() // of one that is closed already there is nothing to read
 	}
 	return c
 }
 
-// recv reads from the socket. Between the moment at which something leaves the socket and that at which its reader notes it
+// readSocket reads from the socket. Between the moment at which something leaves the socket and that at which its reader notes it
 // the connection would look idle, with nothing to read; whoever closed it then would lose a request that was taken. So
 // that it has taken something is noted with it, under the mutex (the call never waits), until become or keepAhead note the rest.
-func (c *slotConn) recv(p []byte) (n int, err error) {
+func (c *clientConn) readSocket(p []byte) (n int, err error) {
 	if c.raw == nil {
 		return c.Conn.Read(p)
 	}
 	ended := c.raw.Read(func(fd uintptr) bool {
-		c.slots.mu.Lock()
-		defer c.slots.mu.Unlock()
+		c.limiter.mu.Lock()
+		defer c.limiter.mu.Unlock()
 		for {
 			if n, err = syscall.Read(int(fd), p); err != syscall.EINTR {
 				break
 			}
 		}
-		c.taken = n > 0
+		c.hasUnrecordedData = n > 0
 		return err != syscall.EAGAIN
 	})
 	switch {
@@ -306,13 +306,13 @@
 	return n, nil
 }
 
-// moveAll has every connection handed over by move as soon as no request is on it.
-func (s *slots) moveAll(move func(*slotConn) error) {
+// startHandOver has every connection handed over by move as soon as no request is on it.
+func (s *connectionLimiter) startHandOver(move func(*clientConn) error) {
 	s.mu.Lock()
-	s.mover = move
-	var resting []*slotConn
+	s.handOver = move
+	var resting []*clientConn
 	for c := range s.conns {
-		if c.movable() {
+		if c.canHandOver() {
 			resting = append(resting, c)
 		}
 	}
@@ -323,42 +323,42 @@
 }
 
 // count is the number of connections, with those that are just being handed over: a process that ended now would drop them.
-func (s *slots) count() int {
+func (s *connectionLimiter) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns) + s.moving
+	return len(s.conns) + s.handOverCount
 }
 
-// movable tells whether nothing of a request has come on it. Called under slots.mu.
-func (c *slotConn) movable() bool {
-	return (c.state == silent || c.state == idle && c.rests) && len(c.ahead) == 0 && !c.taken
+// canHandOver tells whether nothing of a request has come on it. Called under slots.mu.
+func (c *clientConn) canHandOver() bool {
+	return (c.state == stateSilent || c.state == stateIdle && c.isResponseWritten) && len(c.readAhead) == 0 && !c.hasUnrecordedData
 }
 
-// rest notes that the last answer is written to the end.
-func (c *slotConn) rest() {
-	c.slots.mu.Lock()
-	c.rests = c.state == idle
-	c.slots.mu.Unlock()
+// markResponseWritten notes that the last answer is written to the end.
+func (c *clientConn) markResponseWritten() {
+	c.limiter.mu.Lock()
+	c.isResponseWritten = c.state == stateIdle
+	c.limiter.mu.Unlock()
 }
 
-// leave hands the connection over if that is wanted and can be, and tells whether it has.
-func (c *slotConn) leave() bool {
-	s := c.slots
+// handOverIfPossible hands the connection over if that is wanted and can be, and tells whether it has.
+func (c *clientConn) handOverIfPossible() bool {
+	s := c.limiter
 	s.mu.Lock()
-	if s.mover == nil || !c.movable() {
+	if s.handOver == nil || !c.canHandOver() {
 		s.mu.Unlock()
 		return false
 	}
-	s.leave(c, ended)
+	s.changeState(c, stateClosed)
 	delete(s.conns, c)
-	move := s.mover
-	s.moving++
+	move := s.handOver
+	s.handOverCount++
 	s.mu.Unlock()
 	// One that can't be handed over is closed: a client sends what crosses that again.
 	_ = move(c)
 	c.Conn.Close()
 	s.mu.Lock()
-	s.moving--
+	s.handOverCount--
 	s.mu.Unlock()
 	return true
 }
@@ -366,116 +366,116 @@
 // Read notes that something has come. What comes after the connection was given up is
 // not taken in: the client can tell that it was not read. One that is to be handed over is
 // handed over here, where nothing else can read from it any more.
-func (c *slotConn) Read(p []byte) (int, error) {
-	if c.leave() {
+func (c *clientConn) Read(p []byte) (int, error) {
+	if c.handOverIfPossible() {
 		return 0, io.EOF
 	}
-	if len(p) == 1 && c.watched() {
-		return c.watch(p)
+	if len(p) == 1 && c.isDisconnectWatch() {
+		return c.watchForDisconnect(p)
 	}
-	n := c.fromAhead(p)
+	n := c.takeReadAhead(p)
 	var err error
 	if n == 0 {
-		n, err = c.recv(p)
+		n, err = c.readSocket(p)
 	}
-	if n == 0 && err != nil && c.leave() {
+	if n == 0 && err != nil && c.handOverIfPossible() {
 		return 0, io.EOF
 	}
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.crossed() {
-		c.Conn.SetReadDeadline(time.Now().Add(headLimit))
-		n, err = c.recv(p)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.hasLateRequest() {
+		c.Conn.SetReadDeadline(time.Now().Add(readHeaderTimeout))
+		n, err = c.readSocket(p)
 	}
-	if n > 0 && !c.become(reading) {
+	if n > 0 && !c.setState(stateReading) {
 		return 0, net.ErrClosed
 	}
-	c.keepHead(p[:n], len(p) == 1)
+	c.recordHead(p[:n], len(p) == 1)
 	return n, err
 }
 
-// aheadMost bounds what is read of later requests while one is open.
-const aheadMost = 16 << 10
+// maxReadAhead bounds what is read of later requests while one is open.
+const maxReadAhead = 16 << 10
 
-// watched tells whether a read of one byte is the library's watch on a connection whose request has come whole.
-func (c *slotConn) watched() bool {
-	c.slots.mu.Lock()
-	defer c.slots.mu.Unlock()
-	return (c.state == open || c.state == reading) && !c.heads && !c.blind
+// isDisconnectWatch tells whether a read of one byte is the library's watch on a connection whose request has come whole.
+func (c *clientConn) isDisconnectWatch() bool {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	return (c.state == stateActive || c.state == stateReading) && !c.isReadingHead && !c.isWatchEnded
 }
 
-// watch waits until the client leaves or the library ends its watch. The library's own watch ends with the first byte that a
+// watchForDisconnect waits until the client leaves or the library ends its watch. The library's own watch ends with the first byte that a
 // client sends behind its request; a client that leaves after that would go unnoticed, and its request be sent on.
 // So what comes is kept here, for the reads of the next request.
-func (c *slotConn) watch(p []byte) (int, error) {
+func (c *clientConn) watchForDisconnect(p []byte) (int, error) {
 	var buf []byte
 	for {
 		if buf == nil {
 			// Most clients send nothing: one byte is enough to wait with.
-			n, err := c.recv(p)
-			if c.keepAhead(p[:n]); err != nil {
+			n, err := c.readSocket(p)
+			if c.appendReadAhead(p[:n]); err != nil {
 				return 0, err
 			}
 			buf = make([]byte, 2<<10)
 		}
-		n, err := c.recv(buf)
-		full := c.keepAhead(buf[:n])
+		n, err := c.readSocket(buf)
+		full := c.appendReadAhead(buf[:n])
 		if err != nil {
 			return 0, err
 		}
 		if full {
-			c.slots.mu.Lock()
-			defer c.slots.mu.Unlock()
-			c.blind = true
-			p[0], c.ahead = c.ahead[0], c.ahead[1:]
-			c.early = append(c.early, p[0])
+			c.limiter.mu.Lock()
+			defer c.limiter.mu.Unlock()
+			c.isWatchEnded = true
+			p[0], c.readAhead = c.readAhead[0], c.readAhead[1:]
+			c.earlyBytes = append(c.earlyBytes, p[0])
 			return 1, nil
 		}
 	}
 }
 
-// keepAhead keeps what came of later requests and tells whether that is as much as it may be.
-func (c *slotConn) keepAhead(p []byte) (full bool) {
-	c.slots.mu.Lock()
-	defer c.slots.mu.Unlock()
-	c.ahead, c.taken = append(c.ahead, p...), false
-	return len(c.ahead) >= aheadMost
+// appendReadAhead keeps what came of later requests and tells whether that is as much as it may be.
+func (c *clientConn) appendReadAhead(p []byte) (full bool) {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	c.readAhead, c.hasUnrecordedData = append(c.readAhead, p...), false
+	return len(c.readAhead) >= maxReadAhead
 }
 
-// fromAhead gives what is kept of later requests.
-func (c *slotConn) fromAhead(p []byte) int {
-	c.slots.mu.Lock()
-	defer c.slots.mu.Unlock()
-	n := copy(p, c.ahead)
-	if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-		c.ahead = nil
+// takeReadAhead gives what is kept of later requests.
+func (c *clientConn) takeReadAhead(p []byte) int {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	n := copy(p, c.readAhead)
+	if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+		c.readAhead = nil
 	}
 	return n
 }
 
-// more tells whether something of a later request has come.
-func (c *slotConn) more() bool {
-	c.slots.mu.Lock()
-	defer c.slots.mu.Unlock()
-	return len(c.early) > 0 || c.waiting()
+// hasNextRequest tells whether something of a later request has come.
+func (c *clientConn) hasNextRequest() bool {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	return len(c.earlyBytes) > 0 || c.hasUnreadData()
 }
 
-// crossed tells whether a request came at the moment at which the connection's time between requests ended: it
+// hasLateRequest tells whether a request came at the moment at which the connection's time between requests ended: it
 // is the node's to answer.
-func (c *slotConn) crossed() bool {
-	c.slots.mu.Lock()
-	defer c.slots.mu.Unlock()
-	return (c.state == idle || c.state == silent) && c.waiting()
+func (c *clientConn) hasLateRequest() bool {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	return (c.state == stateIdle || c.state == stateSilent) && c.hasUnreadData()
 }
 
-// gone tells whether the client of the open request has left, where the library's watch has ended before that.
-func (c *slotConn) gone() bool {
-	c.slots.mu.Lock()
-	blind := c.blind
-	c.slots.mu.Unlock()
+// isClientGone tells whether the client of the open request has left, where the library's watch has ended before that.
+func (c *clientConn) isClientGone() bool {
+	c.limiter.mu.Lock()
+	blind := c.isWatchEnded
+	c.limiter.mu.Unlock()
 	if !blind {
 		return false
 	}
 	gone := false
-	err := onSocket(c.Conn, func(fd int) {
+	err := controlSocket(c.Conn, func(fd int) {
 		info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		state := info & 0xff // its first byte
 		gone = err == nil && (state == tcpClose || state == tcpCloseWait || state == tcpLastAck)
@@ -490,93 +490,93 @@
 	tcpLastAck   = 9
 )
 
-// headMost bounds what is kept of a head; the library takes no longer one.
-const headMost = 32 << 10
+// maxRecordedHead bounds what is kept of a head; the library takes no longer one.
+const maxRecordedHead = 32 << 10
 
-// keepHead keeps a head as it comes, for what the library does not tell of it. It may keep
+// recordHead keeps a head as it comes, for what the library does not tell of it. It may keep
 // more than the head, and never less. While a request is open the library looks for the first
 // byte of the next one, which comes early where a client has its answer before its handler ends.
-func (c *slotConn) keepHead(p []byte, one bool) {
-	c.slots.mu.Lock()
-	defer c.slots.mu.Unlock()
-	if one && c.state == open {
-		c.early = append(c.early, p...)
+func (c *clientConn) recordHead(p []byte, one bool) {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	if one && c.state == stateActive {
+		c.earlyBytes = append(c.earlyBytes, p...)
 		return
 	}
-	if !c.heads {
+	if !c.isReadingHead {
 		return
 	}
 	from := max(len(c.head)-3, 0)
 	c.head = append(c.head, p...)
-	if bytes.Contains(c.head[from:], []byte("\r\n\r\n")) || len(c.head) > headMost {
-		c.heads = false
+	if bytes.Contains(c.head[from:], []byte("\r\n\r\n")) || len(c.head) > maxRecordedHead {
+		c.isReadingHead = false
 	}
 }
 
-// keepEarly notes what the library has of the next request.
-func (c *slotConn) keepEarly(p []byte) {
+// recordEarlyBytes notes what the library has of the next request.
+func (c *clientConn) recordEarlyBytes(p []byte) {
 	if len(p) > 0 {
-		c.slots.mu.Lock()
-		c.early = append(c.early, p...)
-		c.slots.mu.Unlock()
+		c.limiter.mu.Lock()
+		c.earlyBytes = append(c.earlyBytes, p...)
+		c.limiter.mu.Unlock()
 	}
 }
 
 // takeHead returns the head of the request whose handler calls, or nil if it was not kept
 // whole, and when its first byte came.
-func (c *slotConn) takeHead() ([]byte, time.Time) {
-	c.slots.mu.Lock()
-	defer c.slots.mu.Unlock()
+func (c *clientConn) takeHead() ([]byte, time.Time) {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
 	head := bytes.TrimLeft(c.head, "\r\n")
 	c.head = nil
-	if c.heads || len(head) > headMost {
-		c.heads = false
-		return nil, c.since
+	if c.isReadingHead || len(head) > maxRecordedHead {
+		c.isReadingHead = false
+		return nil, c.stateSince
 	}
-	return head, c.since
+	return head, c.stateSince
 }
 
-// become changes the state; it is false once the connection has ended. What comes while
+// setState changes the state; it is false once the connection has ended. What comes while
 // a request is open, or while a head is being read, changes nothing.
-func (c *slotConn) become(state slotState) bool {
-	c.slots.mu.Lock()
-	defer c.slots.mu.Unlock()
-	if c.state == ended {
+func (c *clientConn) setState(state clientConnState) bool {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	if c.state == stateClosed {
 		return false
 	}
-	if state == reading {
-		c.last, c.taken = time.Now(), false
+	if state == stateReading {
+		c.lastReadAt, c.hasUnrecordedData = time.Now(), false
 	}
-	begins := state == reading && (c.state == silent || c.state == idle) || state == idle && len(c.early)+len(c.ahead) > 0
+	begins := state == stateReading && (c.state == stateSilent || c.state == stateIdle) || state == stateIdle && len(c.earlyBytes)+len(c.readAhead) > 0
 	if begins { // the first bytes of a request
-		state = reading
-		c.head, c.heads, c.early, c.blind = c.early, !bytes.Contains(c.early, []byte("\r\n\r\n")), nil, false
+		state = stateReading
+		c.head, c.isReadingHead, c.earlyBytes, c.isWatchEnded = c.earlyBytes, !bytes.Contains(c.earlyBytes, []byte("\r\n\r\n")), nil, false
 	}
-	if state != reading || begins {
-		c.slots.leave(c, state)
-		c.since, c.rests = time.Now(), false
+	if state != stateReading || begins {
+		c.limiter.changeState(c, state)
+		c.stateSince, c.isResponseWritten = time.Now(), false
 	}
 	return true
 }
 
-func (c *slotConn) Close() error {
-	c.slots.mu.Lock()
-	if c.state != ended {
-		c.slots.leave(c, ended)
-		delete(c.slots.conns, c)
+func (c *clientConn) Close() error {
+	c.limiter.mu.Lock()
+	if c.state != stateClosed {
+		c.limiter.changeState(c, stateClosed)
+		delete(c.limiter.conns, c)
 	}
-	c.slots.mu.Unlock()
+	c.limiter.mu.Unlock()
 	return c.Conn.Close()
 }
 
-type slotKey struct{}
+type clientConnKey struct{}
 
-// withSlot lets a request find its connection.
-func withSlot(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, slotKey{}, c)
+// withClientConn lets a request find its connection.
+func withClientConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
-// slotOf returns the connection of a request.
-func slotOf(r *http.Request) *slotConn {
-	return r.Context().Value(slotKey{}).(*slotConn)
+// clientConnOf returns the connection of a request.
+func clientConnOf(r *http.Request) *clientConn {
+	return r.Context().Value(clientConnKey{}).(*clientConn)
 }
--- a/internal/edgeproxy/slots_test.go
+++ b/internal/edgeproxy/slots_test.go
@@ -12,27 +12,27 @@
 )
 
 // slotFront serves clients with room for most connections.
-func slotFront(t *testing.T, most int, servers ...Instance) (*front, string) {
+func slotFront(t *testing.T, most int, servers ...Instance) (*clientServer, string) {
 	t.Helper()
 	f := idleFront(t, testConfig(servers...))
-	f.slots.most = most
-	f.ready.Store(true)
+	f.limiter.maxConns = most
+	f.isReady.Store(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go f.serve(ln)
-	t.Cleanup(func() { f.srv.Close() })
+	t.Cleanup(func() { f.httpServer.Close() })
 	return f, ln.Addr().String()
 }
 
 // age makes all connections in a state older and returns their number.
-func (s *slots) age(state slotState, by time.Duration) (n int) {
+func (s *connectionLimiter) age(state clientConnState, by time.Duration) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		if c.state == state {
-			c.since, c.last = c.since.Add(-by), c.last.Add(-by)
+			c.stateSince, c.lastReadAt = c.stateSince.Add(-by), c.lastReadAt.Add(-by)
 			n++
 		}
 	}
@@ -74,9 +74,9 @@
 	if a := kept.ask(request("check", "kept")); a.status != 200 {
 		t.Errorf("on the connection kept: %+v", a)
 	}
-	f.slots.mu.Lock()
-	defer f.slots.mu.Unlock()
-	if n := len(f.slots.conns); n > 8 {
+	f.limiter.mu.Lock()
+	defer f.limiter.mu.Unlock()
+	if n := len(f.limiter.conns); n > 8 {
 		t.Errorf("%d connections for 8 slots", n)
 	}
 }
@@ -92,9 +92,9 @@
 	}
 	silents := func(n int) func() bool {
 		return func() bool {
-			f.slots.mu.Lock()
-			defer f.slots.mu.Unlock()
-			return f.slots.silent == n
+			f.limiter.mu.Lock()
+			defer f.limiter.mu.Unlock()
+			return f.limiter.silentCount == n
 		}
 	}
 	eventually(t, "all accepted", silents(4))
@@ -112,12 +112,12 @@
 		c.Close()
 	}
 	eventually(t, "all gone", func() bool {
-		f.slots.mu.Lock()
-		defer f.slots.mu.Unlock()
-		return len(f.slots.conns) == 0
+		f.limiter.mu.Lock()
+		defer f.limiter.mu.Unlock()
+		return len(f.limiter.conns) == 0
 	})
 	if !silents(0)() {
-		t.Errorf("%d silent connections counted, none open", f.slots.silent)
+		t.Errorf("%d silent connections counted, none open", f.limiter.silentCount)
 	}
 }
 
@@ -136,14 +136,14 @@
 	busy.send(request("check", "t1"))
 	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
 	half.send("GET /check")
-	eventually(t, "head begun", func() bool { return f.slots.age(reading, readingFor) == 1 })
+	eventually(t, "head begun", func() bool { return f.limiter.age(stateReading, readingGrace) == 1 })
 	if a := rested.ask(readyRequest); a.status != 200 {
 		t.Errorf("%+v", a)
 	}
-	eventually(t, "idle", func() bool { return f.slots.age(idle, idleFor) == 1 })
-	f.slots.mu.Lock()
-	f.slots.most = 3
-	f.slots.mu.Unlock()
+	eventually(t, "idle", func() bool { return f.limiter.age(stateIdle, idleGrace) == 1 })
+	f.limiter.mu.Lock()
+	f.limiter.maxConns = 3
+	f.limiter.mu.Unlock()
 	second := dial(t, addr)
 	second.send(request("check", "t2"))
 	wantEOF(t, "the idle one", rested)
@@ -161,7 +161,7 @@
 }
 
 // slotPair is a connection, as its client has it and as slots have it, which it is not added to.
-func slotPair(t *testing.T, s *slots) (far *client, near *slotConn) {
+func slotPair(t *testing.T, s *connectionLimiter) (far *client, near *clientConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -174,25 +174,25 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	return far, newSlotConn(nc, s)
+	return far, newClientConn(nc, s)
 }
 
 // A connection on which a request has come that was not read yet is not taken for a
 // silent one: its goroutine may not have had its turn.
 func TestUnreadRequestIsNoSilence(t *testing.T) {
-	s := newSlots(2)
+	s := newConnectionLimiter(2)
 	asks, first := slotPair(t, s)
 	_, second := slotPair(t, s)
 	_, third := slotPair(t, s)
 	s.add(first)
 	s.add(second)
 	asks.send(readyRequest)
-	eventually(t, "request arrived", first.waiting)
+	eventually(t, "request arrived", first.hasUnreadData)
 	if spare := s.add(third); spare != second {
 		t.Errorf("the one with a request gave way, or none: %v", spare)
 	}
 	// What was given up takes nothing in.
-	if second.become(open) {
+	if second.setState(stateActive) {
 		t.Error("a request was opened on a connection that was given up")
 	}
 	buf := make([]byte, 10)
@@ -207,8 +207,8 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	s := newSlots(4)
-	c := newSlotConn(near, s)
+	s := newConnectionLimiter(4)
+	c := newClientConn(near, s)
 	s.add(c)
 	written := make(chan struct{})
 	go func() {
@@ -222,7 +222,7 @@
 	if head, _ := c.takeHead(); string(head) != "GET / HTTP/1.1\r\n\r\n" {
 		t.Fatalf("first head %q", head)
 	}
-	c.become(open)
+	c.setState(stateActive)
 	// As the library's background reader does, which ends once the handler has: it waits on for the client to leave.
 	watch := make(chan error, 1)
 	go func() {
@@ -230,15 +230,15 @@
 		watch <- err
 	}()
 	<-written
-	c.become(idle)
+	c.setState(stateIdle)
 	near.SetReadDeadline(time.Unix(1, 0))
 	if err := <-watch; !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("the watch ended with %v", err)
 	}
 	near.SetReadDeadline(time.Time{})
-	c.rest()
-	if s.mu.Lock(); c.state != reading || c.movable() {
-		t.Errorf("state %d, movable %v", c.state, c.movable())
+	c.markResponseWritten()
+	if s.mu.Lock(); c.state != stateReading || c.canHandOver() {
+		t.Errorf("state %d, movable %v", c.state, c.canHandOver())
 	}
 	s.mu.Unlock()
 	if _, err := io.ReadFull(c, make([]byte, 26)); err != nil {
@@ -251,31 +251,31 @@
 
 // Of two requests that are slow to come the one that has stopped gives way, though the other began earlier.
 func TestStoppedGivesWayFirst(t *testing.T) {
-	s := newSlots(2)
-	var conns []*slotConn
+	s := newConnectionLimiter(2)
+	var conns []*clientConn
 	for range 3 {
 		near, far := net.Pipe()
 		defer near.Close()
 		defer far.Close()
-		conns = append(conns, newSlotConn(near, s))
+		conns = append(conns, newClientConn(near, s))
 	}
 	writes, stopped := conns[0], conns[1]
 	s.add(writes)
 	s.add(stopped)
-	writes.become(reading)
-	stopped.become(reading)
-	s.age(reading, 3*readingFor)
-	writes.since = writes.since.Add(-time.Second)
-	writes.become(reading) // a further piece has come
+	writes.setState(stateReading)
+	stopped.setState(stateReading)
+	s.age(stateReading, 3*readingGrace)
+	writes.stateSince = writes.stateSince.Add(-time.Second)
+	writes.setState(stateReading) // a further piece has come
 	if got := s.add(conns[2]); got != stopped {
 		t.Error("the wrong one was closed")
 	}
 	// Where no other is left it gives way as well: a trickle must not keep others out.
-	conns[2].become(open)
+	conns[2].setState(stateActive)
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	if got := s.add(newSlotConn(near, s)); got != writes {
+	if got := s.add(newClientConn(near, s)); got != writes {
 		t.Error("a slow writer keeps a new client out")
 	}
 }
--- a/internal/edgeproxy/stream.go
+++ b/internal/edgeproxy/stream.go
@@ -21,114 +21,114 @@
 // too long for that is asked for with its first part and goes on as it comes: once some of it is
 // gone there is no further attempt. An answer of more than maxReply goes on as it comes, too.
 const (
-	holdMost   = 2 << 20                 // bytes of one request's body that are held
-	holdShare  = 0.15                    // of the node's memory that all held bodies may take
-	bodyMost   = 40 << 20                // bytes of a request's body
-	bodyGrace  = 2300 * time.Millisecond // for a body that is short; clients may write one in 2 s
-	bodyStall  = 1500 * time.Millisecond // without a byte of a longer one
-	bodyRate   = 16 << 10                // bytes a second that a longer one must keep
-	passStall  = 5 * time.Second         // for an app server to take a piece of a body
-	relayStall = 30 * time.Second        // for a client to take a piece of an answer
-	relayPiece = 16 << 10                // bytes
+	maxBufferedBody            = 2 << 20                 // bytes of one request's body that are held
+	bufferedBodyMemoryFraction = 0.15                    // of the node's memory that all held bodies may take
+	maxRequestBody             = 40 << 20                // bytes of a request's body
+	minBodyTimeout             = 2300 * time.Millisecond // for a body that is short; clients may write one in 2 s
+	bodyStallTimeout           = 1500 * time.Millisecond // without a byte of a longer one
+	minBodyRate                = 16 << 10                // bytes a second that a longer one must keep
+	forwardWriteTimeout        = 5 * time.Second         // for an app server to take a piece of a body
+	streamWriteTimeout         = 30 * time.Second        // for a client to take a piece of an answer
+	streamBufferSize           = 16 << 10                // bytes
 )
 
-// budget is the memory that held bodies may take.
-type budget struct{ left atomic.Int64 }
+// memoryBudget is the memory that held bodies may take.
+type memoryBudget struct{ available atomic.Int64 }
 
-func newBudget(memoryMB int) *budget {
+func newMemoryBudget(memoryMB int) *memoryBudget {
 	if memoryMB == 0 {
 		memoryMB = 64
 	}
-	b := &budget{}
-	b.left.Store(int64(holdShare * float64(memoryMB) * (1 << 20)))
+	b := &memoryBudget{}
+	b.available.Store(int64(bufferedBodyMemoryFraction * float64(memoryMB) * (1 << 20)))
 	return b
 }
 
 // reserve takes n bytes, or none and returns false.
-func (b *budget) reserve(n int64) bool {
-	if b.left.Add(-n) >= 0 {
+func (b *memoryBudget) reserve(n int64) bool {
+	if b.available.Add(-n) >= 0 {
 		return true
 	}
-	b.left.Add(n)
+	b.available.Add(n)
 	return false
 }
 
-func (b *budget) release(n int64) {
+func (b *memoryBudget) release(n int64) {
 	if n != 0 {
-		b.left.Add(n)
+		b.available.Add(n)
 	}
 }
 
-// errIntake is the error of a body that the client does not send to its end, or that is gone.
-var errIntake = errors.New("body: incomplete")
+// errBodyIncomplete is the error of a body that the client does not send to its end, or that is gone.
+var errBodyIncomplete = errors.New("body: incomplete")
 
-// intake is a request's body as it comes from the client.
-type intake struct {
-	body   io.Reader
-	rc     *http.ResponseController
-	began  time.Time // when the request's first byte came
-	got    int64
-	length int64         // of all, also of what is held already; -1: not told
-	grace  time.Duration // of the client, from the last byte
-	whole  func()        // called once the last byte has gone on
+// requestBody is a request's body as it comes from the client.
+type requestBody struct {
+	source          io.Reader
+	controller      *http.ResponseController
+	startedAt       time.Time // when the request's first byte came
+	received        int64
+	length          int64         // of all, also of what is held already; -1: not told
+	responseTimeout time.Duration // of the client, from the last byte
+	onForwarded     func()        // called once the last byte has gone on
 
-	used    atomic.Bool // some of it has gone on
-	passing atomic.Bool // an attempt has it
-	broken  atomic.Bool // its client has stopped sending
-	passed  time.Time   // when the last byte had gone on
+	isUsed       atomic.Bool // some of it has gone on
+	isForwarding atomic.Bool // an attempt has it
+	isBroken     atomic.Bool // its client has stopped sending
+	forwardedAt  time.Time   // when the last byte had gone on
 }
 
 // Read waits for as long as the client keeps sending.
-func (in *intake) Read(p []byte) (int, error) {
+func (in *requestBody) Read(p []byte) (int, error) {
 	now := time.Now()
-	least := in.began.Add(bodyGrace)
-	until := least.Add(time.Duration(in.got) * time.Second / bodyRate)
-	if stall := now.Add(bodyStall); until.After(stall) {
+	least := in.startedAt.Add(minBodyTimeout)
+	until := least.Add(time.Duration(in.received) * time.Second / minBodyRate)
+	if stall := now.Add(bodyStallTimeout); until.After(stall) {
 		until = stall
 	}
 	if until.Before(least) {
 		until = least
 	}
-	if err := in.rc.SetReadDeadline(until); err != nil {
-		return 0, errors.Join(errIntake, err)
+	if err := in.controller.SetReadDeadline(until); err != nil {
+		return 0, errors.Join(errBodyIncomplete, err)
 	}
-	n, err := in.body.Read(p)
-	if in.got += int64(n); in.got > bodyMost {
-		in.broken.Store(true)
-		return 0, errTooLarge
+	n, err := in.source.Read(p)
+	if in.received += int64(n); in.received > maxRequestBody {
+		in.isBroken.Store(true)
+		return 0, errBodyTooLarge
 	}
 	if err != nil && err != io.EOF {
-		in.broken.Store(true)
-		err = errors.Join(errIntake, err)
+		in.isBroken.Store(true)
+		err = errors.Join(errBodyIncomplete, err)
 	}
 	return n, err
 }
 
-// longest is how long the rest may take at the most.
-func (in *intake) longest() time.Duration {
-	left := bodyMost - in.got
+// maxRemainingTime is how long the rest may take at the most.
+func (in *requestBody) maxRemainingTime() time.Duration {
+	left := maxRequestBody - in.received
 	if in.length >= 0 {
-		left = in.length - in.got
+		left = in.length - in.received
 	}
-	return bodyGrace + bodyStall + time.Duration(left)*time.Second/bodyRate
+	return minBodyTimeout + bodyStallTimeout + time.Duration(left)*time.Second/minBodyRate
 }
 
 // discard reads the rest and drops it: the client has its answer, and might not look for it
 // before it has sent all.
-func (in *intake) discard() {
-	if !in.passing.Load() {
+func (in *requestBody) discard() {
+	if !in.isForwarding.Load() {
 		io.Copy(io.Discard, in)
 	}
 }
 
-var errTooLarge = fmt.Errorf("%w: over %d MiB", errIntake, bodyMost>>20)
+var errBodyTooLarge = fmt.Errorf("%w: over %d MiB", errBodyIncomplete, maxRequestBody>>20)
 
-// pass writes a request whose body comes from the intake.
-func (in *intake) pass(req *http.Request, c net.Conn) error {
-	in.used.Store(true)
-	in.passing.Store(true)
-	defer in.passing.Store(false)
-	w := bufio.NewWriterSize(&pieceWriter{c, passStall}, relayPiece)
+// forward writes a request whose body comes from the intake.
+func (in *requestBody) forward(req *http.Request, c net.Conn) error {
+	in.isUsed.Store(true)
+	in.isForwarding.Store(true)
+	defer in.isForwarding.Store(false)
+	w := bufio.NewWriterSize(&chunkWriter{c, forwardWriteTimeout}, streamBufferSize)
 	err := req.Write(w)
 	if err == nil {
 		err = w.Flush()
@@ -137,48 +137,48 @@
 		return err
 	}
 	c.SetWriteDeadline(time.Time{})
-	in.passed = time.Now()
-	in.whole()
+	in.forwardedAt = time.Now()
+	in.onForwarded()
 	return nil
 }
 
-// pieceWriter gives each write a time of its own.
-type pieceWriter struct {
+// chunkWriter gives each write a time of its own.
+type chunkWriter struct {
 	net.Conn
-	stall time.Duration
+	timeout time.Duration
 }
 
-func (w *pieceWriter) Write(p []byte) (int, error) {
-	w.SetWriteDeadline(time.Now().Add(w.stall))
+func (w *chunkWriter) Write(p []byte) (int, error) {
+	w.SetWriteDeadline(time.Now().Add(w.timeout))
 	return w.Conn.Write(p)
 }
 
 // readBody reads a request's body: whole, or the first of one too long to be held, with the
 // rest in more. began is when the request's first byte came. held is what the body takes of the
 // budget, also beside an error.
-func readBody(w http.ResponseWriter, r *http.Request, began time.Time, mem *budget) (body []byte, more *intake, held int64, err error) {
+func readBody(w http.ResponseWriter, r *http.Request, began time.Time, mem *memoryBudget) (body []byte, more *requestBody, held int64, err error) {
 	if r.ContentLength == 0 {
 		return nil, nil, 0, nil
 	}
-	tooLarge := &badRequest{status: http.StatusRequestEntityTooLarge, text: fmt.Sprintf("body: over %d MiB", bodyMost>>20)}
-	if r.ContentLength > bodyMost {
+	tooLarge := &badRequestError{status: http.StatusRequestEntityTooLarge, text: fmt.Sprintf("body: over %d MiB", maxRequestBody>>20)}
+	if r.ContentLength > maxRequestBody {
 		return nil, nil, 0, tooLarge
 	}
-	in := &intake{body: r.Body, rc: http.NewResponseController(w), began: began, length: r.ContentLength}
+	in := &requestBody{source: r.Body, controller: http.NewResponseController(w), startedAt: began, length: r.ContentLength}
 	defer func() {
 		if err == nil && more == nil {
-			err = in.rc.SetReadDeadline(time.Time{})
+			err = in.controller.SetReadDeadline(time.Time{})
 		}
-		if errors.Is(err, errTooLarge) {
+		if errors.Is(err, errBodyTooLarge) {
 			err = tooLarge
 		} else if err != nil {
-			err = bad("body: incomplete")
+			err = badRequestf("body: incomplete")
 		}
 	}()
 	if n := r.ContentLength; n > 0 {
-		if n > maxBody {
-			if n > holdMost || !mem.reserve(n) {
-				body = make([]byte, maxBody)
+		if n > alwaysBufferedBody {
+			if n > maxBufferedBody || !mem.reserve(n) {
+				body = make([]byte, alwaysBufferedBody)
 				_, err = io.ReadFull(in, body)
 				return body, in, 0, err
 			}
@@ -192,8 +192,8 @@
 	body = make([]byte, 0, 2<<10)
 	for {
 		if len(body) == cap(body) {
-			if want := int64(2 * cap(body)); want > maxBody {
-				if want > holdMost || !mem.reserve(want-held) {
+			if want := int64(2 * cap(body)); want > alwaysBufferedBody {
+				if want > maxBufferedBody || !mem.reserve(want-held) {
 					return body, in, held, nil
 				}
 				held = want
@@ -211,39 +211,39 @@
 	}
 }
 
-// relay is a long answer as it comes from an app server. Who has it calls finish once.
-type relay struct {
-	c      *conn
-	up     *upstream
-	body   io.Reader
-	length int64 // of all; -1: not told
-	close  bool  // the connection ends with it
-	done   chan policy.Result
+// responseStream is a long answer as it comes from an app server. Who has it calls finish once.
+type responseStream struct {
+	conn       *serverConn
+	pool       *serverPool
+	body       io.Reader
+	length     int64 // of all; -1: not told
+	closesConn bool  // the connection ends with it
+	result     chan policy.Result
 }
 
 // finish ends the relay: with OK it was passed on to its end.
-func (rl *relay) finish(result policy.Result) {
-	if result == policy.OK && !rl.close && rl.c.br.Buffered() == 0 {
-		rl.c.in.settle()
-		rl.c.SetReadDeadline(time.Time{})
-		rl.up.giveBack(rl.c)
+func (rl *responseStream) finish(result policy.Result) {
+	if result == policy.OK && !rl.closesConn && rl.conn.buffered.Buffered() == 0 {
+		rl.conn.reader.clearPieceDeadline()
+		rl.conn.SetReadDeadline(time.Time{})
+		rl.pool.release(rl.conn)
 	} else {
-		rl.up.discard(rl.c)
+		rl.pool.discard(rl.conn)
 	}
-	rl.done <- result
+	rl.result <- result
 }
 
-var pieces = sync.Pool{New: func() any { b := make([]byte, relayPiece); return &b }}
+var streamBuffers = sync.Pool{New: func() any { b := make([]byte, streamBufferSize); return &b }}
 
-// relayTo passes a long answer on, each piece as it comes.
-func (rl *relay) relayTo(w http.ResponseWriter, first []byte) policy.Result {
+// copyTo passes a long answer on, each piece as it comes.
+func (rl *responseStream) copyTo(w http.ResponseWriter, first []byte) policy.Result {
 	rc := http.NewResponseController(w)
-	in := rl.c.in
-	in.ctx, in.left, in.stall = context.Background(), maxStream, streamStall
-	buf := pieces.Get().(*[]byte)
-	defer pieces.Put(buf)
+	in := rl.conn.reader
+	in.ctx, in.remainingBytes, in.pieceTimeout = context.Background(), maxStreamedResponse, streamPieceTimeout
+	buf := streamBuffers.Get().(*[]byte)
+	defer streamBuffers.Put(buf)
 	write := func(p []byte) error {
-		if err := rc.SetWriteDeadline(time.Now().Add(relayStall)); err != nil {
+		if err := rc.SetWriteDeadline(time.Now().Add(streamWriteTimeout)); err != nil {
 			return err
 		}
 		if _, err := w.Write(p); err != nil {
--- a/internal/edgeproxy/stream_test.go
+++ b/internal/edgeproxy/stream_test.go
@@ -48,7 +48,7 @@
 			t.Parallel()
 			begun := make(chan bool)
 			app := newAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-				if r.RequestURI == loadPath {
+				if r.RequestURI == loadReportPath {
 					return say("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")(c, r, nil)
 				}
 				first, rest := string(whole[:1<<20]), string(whole[1<<20:])
@@ -104,7 +104,7 @@
 			t.Errorf("%d bytes were read as a whole answer", len(got))
 		}
 		eventually(t, "counted as failed", func() bool {
-			_, text := call(t, "GET", at, countersCall)
+			_, text := call(t, "GET", at, adminCountersPath)
 			return strings.Contains(text, "app.errored.check=1\n") && strings.Contains(text, "app.current=0\n")
 		})
 	}
@@ -123,7 +123,7 @@
 func TestLongBodies(t *testing.T) {
 	sums := make(chan [32]byte, 1)
 	app := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.RequestURI != loadPath {
+		if r.RequestURI != loadReportPath {
 			sums <- sha256.Sum256(body)
 		}
 		return say(okAnswer)(c, r, body)
@@ -131,7 +131,7 @@
 	cfg := testConfig(app.instance("a"))
 	cfg.MemoryMB = 32
 	n := run(t, cfg)
-	for i, size := range []int{1, 4, maxBody - 1, maxBody, maxBody + 1, 100000, holdMost, holdMost + 1, 6 << 20} {
+	for i, size := range []int{1, 4, alwaysBufferedBody - 1, alwaysBufferedBody, alwaysBufferedBody + 1, 100000, maxBufferedBody, maxBufferedBody + 1, 6 << 20} {
 		for _, inChunks := range []bool{false, true} {
 			body := pattern(size)
 			c := dial(t, n.addr)
@@ -152,15 +152,15 @@
 	if a := dial(t, n.addr).ask(longBody("y", []byte(looks), true)); a.status != 200 || <-sums != sha256.Sum256([]byte(looks)) {
 		t.Errorf("a body like a head: %d %s", a.status, a.body)
 	}
-	if a := dial(t, n.addr).ask(request("book", "z", "Content-Length", strconv.Itoa(bodyMost+1))); a.status != 413 {
+	if a := dial(t, n.addr).ask(request("book", "z", "Content-Length", strconv.Itoa(maxRequestBody+1))); a.status != 413 {
 		t.Errorf("a body over the limit: %d", a.status)
 	}
 }
 
 // The memory that bodies hold is bounded: one that finds none left goes on as it comes.
 func TestBudget(t *testing.T) {
-	b := newBudget(1)
-	all := b.left.Load()
+	b := newMemoryBudget(1)
+	all := b.available.Load()
 	if !b.reserve(all) || b.reserve(1) {
 		t.Error("more was given than there is")
 	}
@@ -191,7 +191,7 @@
 	app := newAppServer(t, say(okAnswer))
 	n := run(t, testConfig(app.instance("a")))
 	dial(t, n.addr).ask(request("check", "a", "X-Contract", "tight"))
-	text := request("book", "b", "X-Contract", "tight", "Content-Length", strconv.Itoa(holdMost+1), "body", string(pattern(holdMost+1)))
+	text := request("book", "b", "X-Contract", "tight", "Content-Length", strconv.Itoa(maxBufferedBody+1), "body", string(pattern(maxBufferedBody+1)))
 	c := dial(t, n.addr)
 	c.send(text[:len(text)-100])
 	if a := c.read(); a.status != 429 || a.header.Get("Retry-After") == "" || !a.close {
@@ -209,7 +209,7 @@
 	dead := discovery.Instance{Addr: freeAddr(t)}
 	dead.ID, dead.Weight, dead.Kind, dead.Zone = "dead", 1, "k", "z"
 	n := run(t, testConfig(dead))
-	if a := dial(t, n.addr).ask(longBody("a", pattern(holdMost+1), false)); a.status != 429 {
+	if a := dial(t, n.addr).ask(longBody("a", pattern(maxBufferedBody+1), false)); a.status != 429 {
 		t.Errorf("status %d", a.status)
 	}
 	// Both servers break off half way; the first meets it, and no other is asked.
@@ -269,9 +269,9 @@
 func TestLongBodyStops(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, say(okAnswer))
-	n, at := managed(t, say(okAnswer), func(cfg *Config) { cfg.Known.Servers[0] = app.instance("a") })
+	n, at := managed(t, say(okAnswer), func(cfg *Config) { cfg.SavedEndpoints.Servers[0] = app.instance("a") })
 	c, began := dial(t, n.addr), time.Now()
-	text := longBody("a", pattern(holdMost+1), false)
+	text := longBody("a", pattern(maxBufferedBody+1), false)
 	c.send(text[:len(text)/2])
 	if rest, err := io.ReadAll(c.br); err == nil && strings.Contains(string(rest), " 200 ") {
 		t.Errorf("answered %q", rest)
@@ -283,7 +283,7 @@
 		t.Error("half a body went on as a whole one")
 	}
 	eventually(t, "nothing is under way", func() bool {
-		_, text := call(t, "GET", at, countersCall)
+		_, text := call(t, "GET", at, adminCountersPath)
 		return strings.Contains(text, "app.current=0\n")
 	})
 }
--- a/internal/edgeproxy/upstream_test.go
+++ b/internal/edgeproxy/upstream_test.go
@@ -18,15 +18,15 @@
 	"mulleinmux/policy"
 )
 
-func testUpstream(servers ...Instance) *upstream {
-	u := newUpstream(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
-	u.update(servers, true)
+func testUpstream(servers ...Instance) *serverPool {
+	u := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
+	u.updateEndpoints(servers, true)
 	return u
 }
 
-var get = message{method: "GET", target: "/check?customer=1", id: "t1"}
+var get = serverRequest{method: "GET", target: "/check?customer=1", id: "t1"}
 
-func exchange(t *testing.T, u *upstream, server string) (reply, policy.Result) {
+func exchange(t *testing.T, u *serverPool, server string) (serverResponse, policy.Result) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -90,7 +90,7 @@
 			if res == policy.OK && string(rep.body) != "body" {
 				t.Errorf("body %q", rep.body)
 			}
-			if got := len(u.backends["a"].idle) == 1; got != c.reused {
+			if got := len(u.servers["a"].idle) == 1; got != c.reused {
 				t.Errorf("kept: %v, want %v", got, c.reused)
 			}
 		})
@@ -161,19 +161,19 @@
 				return c.serve(conn, r, body)
 			})
 			u := testUpstream(s.instance("a"))
-			spare, err := u.take(context.Background(), "a")
+			spare, err := u.acquire(context.Background(), "a")
 			if err != nil {
 				t.Fatal(err)
 			}
 			_, res := exchange(t, u, "a")
 			wantResult(t, res, policy.ErrorResponse)
-			u.giveBack(spare)
-			if b := u.backends["a"]; len(b.idle) != 1 || u.open != 1 {
-				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), u.open)
+			u.release(spare)
+			if b := u.servers["a"]; len(b.idle) != 1 || u.openCount != 1 {
+				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), u.openCount)
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			if _, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "fine"}); res != policy.OK {
+			if _, res := u.exchange(ctx, "a", &serverRequest{method: "GET", target: "/check", id: "fine"}); res != policy.OK {
 				t.Errorf("the next request: result %d", res)
 			}
 		})
@@ -184,22 +184,22 @@
 func TestHalfAnAnswerIsNoSilence(t *testing.T) {
 	s := newAppServer(t, say("HTTP/1.1 200 OK\r\n"))
 	u := testUpstream(s.instance("a"))
-	spare, err := u.take(context.Background(), "a")
+	spare, err := u.acquire(context.Background(), "a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.giveBack(spare)
-	other, err := u.dial(context.Background(), u.backends["a"])
+	u.release(spare)
+	other, err := u.dial(context.Background(), u.servers["a"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.open++
-	u.giveBack(other)
-	ctx, cancel := context.WithTimeout(context.Background(), restLimit/2)
+	u.openCount++
+	u.release(other)
+	ctx, cancel := context.WithTimeout(context.Background(), responsePieceTimeout/2)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get)
 	wantResult(t, res, policy.ErrorResponse)
-	if len(u.backends["a"].idle) != 1 {
+	if len(u.servers["a"].idle) != 1 {
 		t.Error("the other idle connection is gone")
 	}
 }
@@ -212,10 +212,10 @@
 		rested, answer time.Duration
 		learns         bool
 	}{
-		"stale":           {10 * leastKeep, 0, true},
+		"stale":           {10 * minIdleTimeout, 0, true},
 		"just used":       {0, 0, false},
-		"at the work":     {10 * leastKeep, 2 * staleWithin, false},
-		"not much rested": {leastKeep / 2, 0, false},
+		"at the work":     {10 * minIdleTimeout, 2 * staleResetWindow, false},
+		"not much rested": {minIdleTimeout / 2, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -227,19 +227,19 @@
 				return false
 			})
 			u := testUpstream(s.instance("a"))
-			b := u.backends["a"]
-			fine := &message{method: "GET", target: "/check", id: "fine"}
+			b := u.servers["a"]
+			fine := &serverRequest{method: "GET", target: "/check", id: "fine"}
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
 			rest := func(d time.Duration) {
 				u.exchange(ctx, "a", fine)
-				b.idle[0].idle = time.Now().Add(-d)
+				b.idle[0].idleSince = time.Now().Add(-d)
 			}
 			rest(c.rested)
 			_, res := exchange(t, u, "a")
 			wantResult(t, res, policy.ConnectionReset)
-			if got := b.keep != 0; got != c.learns {
-				t.Fatalf("kept for %v, learned: %v, want %v", b.keep, got, c.learns)
+			if got := b.learnedIdleTimeout != 0; got != c.learns {
+				t.Fatalf("kept for %v, learned: %v, want %v", b.learnedIdleTimeout, got, c.learns)
 			}
 			rest(c.rested)
 			old := b.idle[0]
@@ -247,9 +247,9 @@
 			if again := b.idle[0] == old; again == c.learns {
 				t.Errorf("used again: %v", again)
 			}
-			b.keepAt = time.Now().Add(-12 * keepDoubles)
-			if keep := u.keepFor(b); keep != u.maxIdle {
-				t.Errorf("kept for %v long after, want %v", keep, u.maxIdle)
+			b.learnedAt = time.Now().Add(-12 * idleTimeoutDoublingInterval)
+			if keep := u.idleTimeout(b); keep != u.maxIdleTimeout {
+				t.Errorf("kept for %v long after, want %v", keep, u.maxIdleTimeout)
 			}
 		})
 	}
@@ -259,7 +259,7 @@
 func TestInterimAnswerThenAPause(t *testing.T) {
 	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
-		time.Sleep(restLimit * 3 / 2) // the server at work
+		time.Sleep(responsePieceTimeout * 3 / 2) // the server at work
 		return say(okAnswer)(c, r, body)
 	})
 	u := testUpstream(s.instance("a"))
@@ -318,13 +318,13 @@
 	close(hold)
 	wantResult(t, <-done, policy.OK)
 	wantResult(t, <-done, policy.OK)
-	idle := u.backends["a"].idle
+	idle := u.servers["a"].idle
 	if len(idle) != 2 {
 		t.Fatalf("%d idle connections for two requests at once", len(idle))
 	}
 	older, last := idle[0], idle[1]
 	exchange(t, u, "a")
-	if idle = u.backends["a"].idle; len(idle) != 2 || idle[0] != older || idle[1] != last {
+	if idle = u.servers["a"].idle; len(idle) != 2 || idle[0] != older || idle[1] != last {
 		t.Error("another connection was used than the last")
 	}
 }
@@ -336,12 +336,12 @@
 	u := testUpstream(s.instance("a"))
 	exchange(t, u, "a")
 	(<-s.conns).Close()
-	c := u.backends["a"].idle[0]
-	eventually(t, "close arrived", func() bool { return !c.quiet() })
+	c := u.servers["a"].idle[0]
+	eventually(t, "close arrived", func() bool { return !c.isQuiet() })
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, policy.OK)
-	if u.open != 1 {
-		t.Errorf("%d connections counted, 1 open", u.open)
+	if u.openCount != 1 {
+		t.Errorf("%d connections counted, 1 open", u.openCount)
 	}
 }
 
@@ -350,19 +350,19 @@
 	s := newAppServer(t, say(okAnswer))
 	u := testUpstream(s.instance("a"))
 	exchange(t, u, "a")
-	u.backends["a"].idle[0].idle = time.Now().Add(-u.maxIdle)
+	u.servers["a"].idle[0].idleSince = time.Now().Add(-u.maxIdleTimeout)
 	exchange(t, u, "a")
 	wantClosed(t, <-s.conns)
-	u.backends["a"].idle[0].idle = time.Now().Add(-u.maxIdle)
-	u.maxIdle = 50 * time.Millisecond // sets the reaper's pace
+	u.servers["a"].idle[0].idleSince = time.Now().Add(-u.maxIdleTimeout)
+	u.maxIdleTimeout = 50 * time.Millisecond // sets the reaper's pace
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go u.reap(ctx)
+	go u.runIdlePruning(ctx)
 	wantClosed(t, <-s.conns)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.open != 0 {
-		t.Errorf("%d connections counted, none open", u.open)
+	if u.openCount != 0 {
+		t.Errorf("%d connections counted, none open", u.openCount)
 	}
 }
 
@@ -372,16 +372,16 @@
 	u := testUpstream(near.instance("near"), far.instance("far"))
 	for _, id := range []string{"near", "far"} {
 		exchange(t, u, id)
-		u.backends[id].idle[0].idle = time.Now().Add(-farIdle)
+		u.servers[id].idle[0].idleSince = time.Now().Add(-outsideSubsetIdleTimeout)
 	}
-	if stale := u.stand(); len(stale) != 0 {
+	if stale := u.pruneIdle(); len(stale) != 0 {
 		t.Fatalf("without a part %d connections are closed", len(stale))
 	}
-	u.near = func() map[string]bool { return map[string]bool{"near": true} }
-	closeAll(u.stand())
+	u.subsetServers = func() map[string]bool { return map[string]bool{"near": true} }
+	closeConns(u.pruneIdle())
 	wantClosed(t, <-far.conns)
-	if u.open != 1 || len(u.backends["near"].idle) != 1 {
-		t.Errorf("%d connections counted, the one in the part is open", u.open)
+	if u.openCount != 1 || len(u.servers["near"].idle) != 1 {
+		t.Errorf("%d connections counted, the one in the part is open", u.openCount)
 	}
 }
 
@@ -389,14 +389,14 @@
 // what it ends has never run.
 func TestDialIsBounded(t *testing.T) {
 	ln, _ := fullListener(t) // it drops what comes
-	u := newUpstream(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	u.update([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, true)
+	u := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
+	u.updateEndpoints([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get)
 	wantResult(t, res, policy.ConnectFailed)
-	if ctx.Err() != nil || u.open != 0 {
-		t.Errorf("context %v, %d connections counted", ctx.Err(), u.open)
+	if ctx.Err() != nil || u.openCount != 0 {
+		t.Errorf("context %v, %d connections counted", ctx.Err(), u.openCount)
 	}
 }
 
@@ -423,8 +423,8 @@
 		cancel()
 		wantResult(t, res, c.want)
 		wantClosed(t, <-s.conns)
-		if u.open != 0 {
-			t.Errorf("%d connections counted, none open", u.open)
+		if u.openCount != 0 {
+			t.Errorf("%d connections counted, none open", u.openCount)
 		}
 	}
 }
@@ -439,20 +439,20 @@
 		return say(okAnswer)(c, r, body)
 	})
 	u := testUpstream(s.instance("a"))
-	c, err := u.take(context.Background(), "a")
+	c, err := u.acquire(context.Background(), "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	exchange(t, u, "a")
-	u.giveBack(c)
+	u.release(c)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	_, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "silent"})
+	_, res := u.exchange(ctx, "a", &serverRequest{method: "GET", target: "/check", id: "silent"})
 	wantResult(t, res, policy.TimedOut)
 	wantClosed(t, <-s.conns)
 	wantClosed(t, <-s.conns)
-	if u.open != 0 {
-		t.Errorf("%d connections counted, none open", u.open)
+	if u.openCount != 0 {
+		t.Errorf("%d connections counted, none open", u.openCount)
 	}
 }
 
@@ -487,12 +487,12 @@
 				done <- res
 			}()
 			eventually(t, "second request out", func() bool { return len(s.requests()) == 2 })
-			closeAll(u.update(change(s.instance("a"))))
+			closeConns(u.updateEndpoints(change(s.instance("a"))))
 			close(hold)
 			wantResult(t, <-done, policy.OK)
 			wantClosed(t, <-s.conns)
-			if u.open != 0 {
-				t.Errorf("%d connections counted, none open", u.open)
+			if u.openCount != 0 {
+				t.Errorf("%d connections counted, none open", u.openCount)
 			}
 		})
 	}
@@ -502,18 +502,18 @@
 func TestDrainDuringDial(t *testing.T) {
 	s := newAppServer(t, say(okAnswer))
 	u := testUpstream(s.instance("a"))
-	b := u.backends["a"]
+	b := u.servers["a"]
 	drains := s.instance("a")
 	drains.State = policy.Draining
-	u.update([]Instance{drains}, false)
-	u.open++
-	if _, err := u.dial(context.Background(), b); err != errUnknown {
-		t.Errorf("error %v, want %v", err, errUnknown)
+	u.updateEndpoints([]Instance{drains}, false)
+	u.openCount++
+	if _, err := u.dial(context.Background(), b); err != errServerNotUp {
+		t.Errorf("error %v, want %v", err, errServerNotUp)
 	}
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, policy.ConnectFailed)
-	if len(s.requests()) != 0 || u.open != 0 {
-		t.Errorf("requests %q, %d connections counted", s.requests(), u.open)
+	if len(s.requests()) != 0 || u.openCount != 0 {
+		t.Errorf("requests %q, %d connections counted", s.requests(), u.openCount)
 	}
 }
 
@@ -522,20 +522,20 @@
 func TestDescriptorsAreBudgeted(t *testing.T) {
 	a, b := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	u := testUpstream(a.instance("a"), b.instance("b"))
-	u.most = 1
+	u.maxConns = 1
 	exchange(t, u, "a")
 	_, res := exchange(t, u, "b")
 	wantResult(t, res, policy.OK)
 	wantClosed(t, <-a.conns)
-	busy, err := u.take(context.Background(), "b")
+	busy, err := u.acquire(context.Background(), "b")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, res = exchange(t, u, "a")
 	wantResult(t, res, policy.NotSent)
-	u.giveBack(busy)
-	if u.open != 1 {
-		t.Errorf("%d connections counted, 1 open", u.open)
+	u.release(busy)
+	if u.openCount != 1 {
+		t.Errorf("%d connections counted, 1 open", u.openCount)
 	}
 }
 
@@ -567,7 +567,7 @@
 		return func(c net.Conn, r *http.Request, _ []byte) bool {
 			text := okAnswer
 			switch {
-			case r.RequestURI == loadPath:
+			case r.RequestURI == loadReportPath:
 				text = stats
 			case name == "quick":
 				met.Add(1)
