--- a/internal/edgeproxy/config.go
+++ b/internal/edgeproxy/config.go
@@ -16,38 +16,41 @@
 	"mulleinmux/policy"
 )
 
-// Config is all that an edge node is told at its start.
+// Config is what an edge node is configured with at its start.
 type Config struct {
 	Name           string
 	Listen         netip.AddrPort // where clients connect
-	Discovery      netip.AddrPort // the agent of the server register
+	Discovery      netip.AddrPort // the agent or service that tells the endpoint list
 	AdminListen    netip.AddrPort // where operators call; invalid where they don't
 	AcceptFD       int            // the descriptor of a clients' listening socket that the platform holds; 0: none
-	HandoverSocket string         // the socket on which a successor takes over; empty: none does
-	Seed           uint64
-	MemoryMB       int // 0: no limit told
-	MaxSockets     int // descriptors that the process may hold
+	HandoverSocket string         // path of the socket on which a successor takes over; empty: none does
+	Seed           uint64         // of the engine's random draws
+	MemoryMB       int            // the node's memory in MiB; 0: no limit is known
+	MaxSockets     int            // descriptors that the process may hold
 
-	GossipListen    netip.AddrPort   // invalid where edge nodes may not message each other
-	GossipPeers     []netip.AddrPort // by number, this node's own among them
-	GossipBroadcast netip.AddrPort   // every edge node of the tier
+	GossipListen    netip.AddrPort   // invalid where edge nodes may not gossip
+	GossipPeers     []netip.AddrPort // by instance index, this node's own among them
+	GossipBroadcast netip.AddrPort   // reaches every edge node of the tier
 
 	SavedEndpoints discovery.List // the app servers as this node last had them
 	Settings       policy.Settings
 	Transport      simwire.Transport
 
 	reread           func() (*Config, error) // reads the configuration again, for a reload
-	skippedEndpoints []error                 // entries of Known that can't be
-	drainDelay       time.Duration           // drainTime but in tests
-	firstListTimeout time.Duration           // firstList but in tests; 0: it is not waited for
-	minIdleTime      time.Duration           // restLeast but in tests
+	skippedEndpoints []error                 // invalid entries of the saved list
+	drainDelay       time.Duration           // defaultDrainDelay but in tests
+	firstListTimeout time.Duration           // defaultFirstListTimeout but in tests; 0: it is not waited for
+	minIdleTime      time.Duration           // defaultMinIdleTime but in tests
 }
 
-// defaultSockets is the descriptor budget where no limit is told.
-const defaultSockets = 1024
-
-// minSockets is the smallest budget that leaves room for clients and servers.
-const minSockets = 64
+const (
+	defaultSockets = 1024    // descriptors where the configuration names no limit
+	minSockets     = 64      // leaves enough for clients and servers
+	maxSockets     = 1 << 20 // more is taken as a mistake
+	maxMemoryMB    = 1 << 20 // likewise
+	minInheritedFD = 3       // after standard input, output and error
+	maxInheritedFD = 1 << 16
+)
 
 // defaultConnIdle and defaultConnectTimeout hold where the settings are silent.
 const (
@@ -87,71 +90,133 @@
 	return c, nil
 }
 
+// rawConfig is the configuration file. It and rawLimits are aliases, as the errors of encoding/json tell a type's name.
+type rawConfig = struct {
+	Name, Listen, Discovery, Seed, Management string
+	Limits                                    rawLimits
+	PeerListen                                string `json:"peer_listen"`
+	Peers                                     []string
+	PeersAll                                  string `json:"peers_all"`
+	Known                                     json.RawMessage
+	Settings                                  json.RawMessage
+}
+
+// rawLimits is what the platform lets the process use.
+type rawLimits = struct {
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  float64
+}
+
 // parseConfig validates the configuration; an error names the field at fault.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
-	var raw struct {
-		Name, Listen, Discovery, Seed, Management string
-		Limits                                    struct {
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  float64
-		}
-		PeerListen string `json:"peer_listen"`
-		Peers      []string
-		PeersAll   string `json:"peers_all"`
-		Known      json.RawMessage
-		Settings   json.RawMessage
-	}
+	var raw rawConfig
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
-	for env, field := range map[string]*string{"PROXY_NAME": &raw.Name, "PROXY_LISTEN": &raw.Listen,
-		"PROXY_DISCOVERY": &raw.Discovery, "PROXY_MANAGEMENT": &raw.Management} {
-		if v := getenv(env); v != "" {
-			*field = v
-		}
+	applyEnvironment(&raw, getenv)
+	c := &Config{
+		Name:             raw.Name,
+		drainDelay:       defaultDrainDelay,
+		firstListTimeout: defaultFirstListTimeout,
+		minIdleTime:      defaultMinIdleTime,
 	}
-	c := &Config{Name: raw.Name, drainDelay: defaultDrainDelay, firstListTimeout: defaultFirstListTimeout, minIdleTime: defaultMinIdleTime}
 	if c.Name == "" {
 		return nil, errors.New("name: is empty")
 	}
+	if err := c.setAddresses(&raw); err != nil {
+		return nil, err
+	}
+	if err := c.setInheritance(getenv); err != nil {
+		return nil, err
+	}
 	var err error
-	if c.Listen, err = discovery.Address("listen", raw.Listen); err != nil {
+	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed: %q is not a 64-bit hex number", raw.Seed)
+	}
+	if err := c.setLimits(raw.Limits); err != nil {
 		return nil, err
 	}
-	if c.Discovery, err = discovery.Address("discovery", raw.Discovery); err != nil {
+	if err := c.setSettings(raw.Settings); err != nil {
 		return nil, err
 	}
-	if raw.Management != "" {
-		if c.AdminListen, err = discovery.Address("management", raw.Management); err != nil {
+	if c.Settings.AllowsGossip && c.Settings.InstanceCount > 1 {
+		if err := c.setGossip(&raw); err != nil {
 			return nil, err
 		}
 	}
-	if text := getenv("PROXY_ACCEPT_FD"); text != "" {
-		if c.AcceptFD, err = strconv.Atoi(text); err != nil || c.AcceptFD < 3 || c.AcceptFD > 1<<16 {
-			return nil, fmt.Errorf("PROXY_ACCEPT_FD: %q is not the number of an inherited descriptor", text)
+	if len(raw.Known) > 0 && string(raw.Known) != "null" {
+		if c.SavedEndpoints, c.skippedEndpoints, err = discovery.ParseList(raw.Known); err != nil {
+			return nil, fmt.Errorf("known: %w", err)
 		}
-		if dir := getenv("TMPDIR"); dir != "" {
-			c.HandoverSocket = filepath.Join(dir, handoverSocketName)
+	}
+	return c, nil
+}
+
+// applyEnvironment replaces what the environment says in place of the file.
+func applyEnvironment(raw *rawConfig, getenv func(string) string) {
+	for env, field := range map[string]*string{"PROXY_NAME": &raw.Name, "PROXY_LISTEN": &raw.Listen,
+		"PROXY_DISCOVERY": &raw.Discovery, "PROXY_MANAGEMENT": &raw.Management} {
+		if v := getenv(env); v != "" {
+			*field = v
 		}
 	}
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is not a 64-bit hex number", raw.Seed)
+}
+
+// setAddresses reads the addresses of clients, discovery and operators.
+func (c *Config) setAddresses(raw *rawConfig) error {
+	var err error
+	if c.Listen, err = discovery.Address("listen", raw.Listen); err != nil {
+		return err
+	}
+	if c.Discovery, err = discovery.Address("discovery", raw.Discovery); err != nil {
+		return err
+	}
+	if raw.Management == "" {
+		return nil
+	}
+	c.AdminListen, err = discovery.Address("management", raw.Management)
+	return err
+}
+
+// setInheritance reads what a process inherits for a hot restart.
+func (c *Config) setInheritance(getenv func(string) string) error {
+	text := getenv("PROXY_ACCEPT_FD")
+	if text == "" {
+		return nil
 	}
-	if m := raw.Limits.MemoryMB; m < 0 || m > 1<<20 || math.IsNaN(m) {
-		return nil, fmt.Errorf("limits.memory_mb: %v is out of range", m)
+	var err error
+	if c.AcceptFD, err = strconv.Atoi(text); err != nil || c.AcceptFD < minInheritedFD || c.AcceptFD > maxInheritedFD {
+		return fmt.Errorf("PROXY_ACCEPT_FD: %q is not the number of an inherited descriptor", text)
 	}
-	c.MemoryMB = int(raw.Limits.MemoryMB)
-	if c.MaxSockets = int(raw.Limits.Sockets); c.MaxSockets == 0 {
+	if dir := getenv("TMPDIR"); dir != "" {
+		c.HandoverSocket = filepath.Join(dir, handoverSocketName)
+	}
+	return nil
+}
+
+// setLimits reads the limits of memory and descriptors.
+func (c *Config) setLimits(limits rawLimits) error {
+	if m := limits.MemoryMB; m < 0 || m > maxMemoryMB || math.IsNaN(m) {
+		return fmt.Errorf("limits.memory_mb: %v is out of range", m)
+	}
+	c.MemoryMB = int(limits.MemoryMB)
+	if c.MaxSockets = int(limits.Sockets); c.MaxSockets == 0 {
 		c.MaxSockets = defaultSockets
 	}
-	if c.MaxSockets < minSockets || c.MaxSockets > 1<<20 {
-		return nil, fmt.Errorf("limits.sockets: %v is out of range", raw.Limits.Sockets)
+	if c.MaxSockets < minSockets || c.MaxSockets > maxSockets {
+		return fmt.Errorf("limits.sockets: %v is out of range", limits.Sockets)
 	}
-	if len(raw.Settings) == 0 {
-		return nil, errors.New("settings: is missing")
+	return nil
+}
+
+// setSettings reads the settings of the engine and of the transport to app servers.
+func (c *Config) setSettings(text json.RawMessage) error {
+	if len(text) == 0 {
+		return errors.New("settings: is missing")
 	}
-	if c.Settings, c.Transport, err = simwire.ParseSettings(raw.Settings); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+	var err error
+	if c.Settings, c.Transport, err = simwire.ParseSettings(text); err != nil {
+		return fmt.Errorf("settings: %w", err)
 	}
 	if c.Transport.ConnIdle <= 0 {
 		c.Transport.ConnIdle = defaultConnIdle
@@ -160,28 +225,25 @@
 		c.Transport.ConnectTimeout = defaultConnectTimeout
 	}
 	c.Settings.ConnectTimeout = c.Transport.ConnectTimeout
-	if c.Settings.AllowsGossip && c.Settings.InstanceCount > 1 {
-		if c.GossipListen, err = discovery.Address("peer_listen", raw.PeerListen); err != nil {
-			return nil, err
-		}
-		if len(raw.Peers) != c.Settings.InstanceCount {
-			return nil, fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.InstanceCount)
-		}
-		for i, p := range raw.Peers {
-			a, err := discovery.Address(fmt.Sprintf("peers[%d]", i), p)
-			if err != nil {
-				return nil, err
-			}
-			c.GossipPeers = append(c.GossipPeers, a)
-		}
-		if c.GossipBroadcast, err = discovery.Address("peers_all", raw.PeersAll); err != nil {
-			return nil, err
-		}
+	return nil
+}
+
+// setGossip reads the addresses on which edge nodes gossip.
+func (c *Config) setGossip(raw *rawConfig) error {
+	var err error
+	if c.GossipListen, err = discovery.Address("peer_listen", raw.PeerListen); err != nil {
+		return err
 	}
-	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.SavedEndpoints, c.skippedEndpoints, err = discovery.ParseList(raw.Known); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
+	if len(raw.Peers) != c.Settings.InstanceCount {
+		return fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.InstanceCount)
+	}
+	for i, text := range raw.Peers {
+		address, err := discovery.Address(fmt.Sprintf("peers[%d]", i), text)
+		if err != nil {
+			return err
 		}
+		c.GossipPeers = append(c.GossipPeers, address)
 	}
-	return c, nil
+	c.GossipBroadcast, err = discovery.Address("peers_all", raw.PeersAll)
+	return err
 }
--- a/internal/edgeproxy/endings_test.go
+++ b/internal/edgeproxy/endings_test.go
@@ -435,16 +435,16 @@
 		attempts []*attempt
 		want     answerKind
 	}{{nil, answerRejected}, {[]*attempt{{permit: newSendPermit(), cancel: func() {}}}, answerFailed}} {
-		fl := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: c.attempts}
-		f.node.requests["t1"] = fl
-		f.node.deadlineExceeded(fl)
-		if a := <-fl.answer; a.kind != c.want {
+		pending := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: c.attempts}
+		f.node.requests["t1"] = pending
+		f.node.deadlineExceeded(pending)
+		if a := <-pending.answer; a.kind != c.want {
 			t.Errorf("%d attempts: answer %v, want %v", len(c.attempts), a.kind, c.want)
 		}
 		if len(f.node.requests) != 0 {
 			t.Error("the flight is still held")
 		}
-		if f.node.deadlineExceeded(fl); len(fl.answer) != 0 {
+		if f.node.deadlineExceeded(pending); len(pending.answer) != 0 {
 			t.Error("a second final answer")
 		}
 	}
@@ -463,9 +463,9 @@
 		t.Fatal("no leave at first")
 	}
 	close(written.permit.done)
-	fl := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: []*attempt{waits, writing, written}}
-	f.node.finishRequest(fl, finalAnswer{kind: answerServed})
-	a := <-fl.answer
+	pending := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: []*attempt{waits, writing, written}}
+	f.node.finishRequest(pending, finalAnswer{kind: answerServed})
+	a := <-pending.answer
 	if len(a.pendingWrites) != 1 || a.pendingWrites[0] != writing.permit || a.kind != answerServed {
 		t.Errorf("the answer waits for %d attempts, want the one that is being written", len(a.pendingWrites))
 	}
--- /dev/null
+++ b/internal/edgeproxy/exchange.go
@@ -0,0 +1,237 @@
+package edgeproxy
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"math"
+	"net/http"
+	"net/url"
+	"os"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// exchange writes the request to the server, once at most, and reads the whole
+// response. It gives up when ctx ends, by closing the connection before it returns.
+func (p *serverPool) exchange(ctx context.Context, server string, r *serverRequest) (serverResponse, policy.Result) {
+	if r.rest != nil && r.rest.isUsed.Load() {
+		return serverResponse{}, policy.NotSent // some of its body is gone
+	}
+	c, err := p.acquire(ctx, server)
+	if err != nil {
+		return serverResponse{}, unsentResult(ctx, err)
+	}
+	c.reader.expect(ctx)
+	stop := context.AfterFunc(ctx, func() { c.SetDeadline(expiredDeadline) })
+	req := r.httpRequest(ctx)
+	err = p.checkBeforeSend(ctx, c, r)
+	if err == nil {
+		err = r.writeTo(c, req)
+	}
+	if err != nil {
+		// A server begins a request when its last byte has come, and that was not written.
+		stop()
+		p.discard(c)
+		return serverResponse{}, unsentResult(ctx, err)
+	}
+	if r.rest != nil {
+		c.startResponseTimeout(ctx, r.rest.responseTimeout)
+	}
+	writtenAt := time.Now()
+	if p.onSent != nil && r.id != "" {
+		p.onSent(r.clientLeft != nil && r.clientLeft.Load())
+	}
+	response, result, isReusable := c.readResponse(req)
+	if result == policy.ConnectionReset && c.isStaleReset(writtenAt) {
+		p.shortenIdleTimeout(c)
+	}
+	if response.stream != nil {
+		return p.startStream(c, response, stop)
+	}
+	if r.rest != nil {
+		c.SetReadDeadline(time.Time{})
+		if result == policy.ConnectionReset && errors.Is(c.reader.err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
+			result = policy.TimedOut
+		}
+	}
+	// stop is false once the deadline has been changed.
+	if stop() && isReusable {
+		p.release(c)
+	} else {
+		p.discard(c)
+	}
+	if result == policy.ConnectionReset && ctx.Err() != nil {
+		result = c.resultAtEnd(ctx)
+	}
+	switch result {
+	case policy.TimedOut:
+		p.closeIdleOf(c.server)
+	case policy.OK, policy.RejectedByServer, policy.ErrorResponse:
+		response.connectedAt = c.connectedAt
+	}
+	return response, result
+}
+
+// writeTo writes the request to a connection and ends its permit once nothing more is written; with a streamed body it
+// ends before, for a response may come before all of a long body.
+func (r *serverRequest) writeTo(c *serverConn, req *http.Request) error {
+	if r.rest != nil {
+		r.endPermit()
+		return r.rest.forward(req, c)
+	}
+	var out bytes.Buffer
+	err := req.Write(&out)
+	if err == nil {
+		_, err = c.Write(out.Bytes())
+	}
+	r.endPermit()
+	return err
+}
+
+// endPermit says that nothing more is written under the request's permit, if it has one.
+func (r *serverRequest) endPermit() {
+	if r.permit != nil {
+		close(r.permit.done)
+	}
+}
+
+// startStream returns a response that is streamed, unless the exchange was given up: stop is that of its context.
+func (p *serverPool) startStream(c *serverConn, response serverResponse, stop func() bool) (serverResponse, policy.Result) {
+	if !stop() { // given up: nothing of it is forwarded
+		p.discard(c)
+		return serverResponse{}, policy.Cancelled
+	}
+	response.stream.pool = p
+	response.connectedAt = c.connectedAt
+	return response, policy.OK
+}
+
+// startResponseTimeout begins the client's wait for the response to a streamed body, of which ctx, which was made before,
+// knows nothing.
+func (c *serverConn) startResponseTimeout(ctx context.Context, timeout time.Duration) {
+	c.reader.deadline = time.Now().Add(timeout)
+	c.SetReadDeadline(c.reader.deadline)
+	if ctx.Err() != nil {
+		c.SetDeadline(expiredDeadline)
+	}
+}
+
+// isStaleReset tells whether a reset is that of a connection which the server had closed as idle.
+func (c *serverConn) isStaleReset(writtenAt time.Time) bool {
+	return !c.reader.hasBegun && c.idleTime >= minIdleTimeout && time.Since(writtenAt) < staleResetWindow
+}
+
+// resultAtEnd is the result of an exchange that failed since its context has ended.
+func (c *serverConn) resultAtEnd(ctx context.Context) policy.Result {
+	switch {
+	case errors.Is(ctx.Err(), context.Canceled):
+		return policy.Cancelled
+	case c.reader.hasBegun: // half a response is no silence
+		return policy.ErrorResponse
+	default:
+		return policy.TimedOut
+	}
+}
+
+// checkBeforeSend is asked right before an attempt's first byte. Since the connection was asked for its client may have left or its time have ended,
+// which another goroutine brings to the connection later, or the list may have said that the server drains.
+func (p *serverPool) checkBeforeSend(ctx context.Context, c *serverConn, m *serverRequest) error {
+	if m.isClientGone != nil && m.isClientGone() {
+		return errClientGone
+	}
+	if !p.isUp(c.server) {
+		return errServerNotUp
+	}
+	if err := ctx.Err(); err != nil {
+		return err
+	}
+	if m.permit != nil && !m.permit.use() {
+		return errAlreadyAnswered
+	}
+	return nil
+}
+
+// unsentResult is the result of an attempt whose last byte was not written, for an error. Where its
+// own time ended first, that says nothing of the server.
+func unsentResult(ctx context.Context, err error) policy.Result {
+	for _, own := range []error{errNoDescriptor, syscall.EMFILE, syscall.ENFILE, errBodyIncomplete, errClientGone, errAlreadyAnswered} {
+		if errors.Is(err, own) {
+			return policy.NotSent // no fault of the server's
+		}
+	}
+	switch {
+	case errors.Is(ctx.Err(), context.Canceled):
+		return policy.Cancelled
+	case ctx.Err() != nil:
+		return policy.NotSent
+	}
+	return policy.ConnectFailed
+}
+
+// serverRequest is what goes on to an app server.
+type serverRequest struct {
+	method       string
+	target       string // path and query, byte for byte as the client sent them
+	host         string
+	id           string // X-Trace-Id
+	key          string // Idempotency-Key
+	contentType  string
+	body         []byte       // whole, or what is held of it
+	rest         *requestBody // where the rest comes from; nil: body is whole
+	isClientGone func() bool  // whether its client has left, unnoticed by others; nil: not known
+	clientLeft   *atomic.Bool // set once its client is known to have left; nil: it has none
+	permit       *sendPermit  // this attempt's, to be written; nil: nobody takes it back
+}
+
+// httpRequest words the message. The target goes on as it came: as the opaque part of
+// an address it is not encoded anew.
+func (r *serverRequest) httpRequest(ctx context.Context) *http.Request {
+	path, query, force := strings.Cut(r.target, "?")
+	h := http.Header{"User-Agent": {""}} // none, rather than the library's own
+	if r.id != "" {
+		h["X-Trace-Id"] = []string{r.id}
+	}
+	if r.key != "" {
+		h["Idempotency-Key"] = []string{r.key}
+	}
+	if r.contentType != "" {
+		h["Content-Type"] = []string{r.contentType}
+	}
+	if until, ok := ctx.Deadline(); ok {
+		left := math.Max(time.Until(until).Seconds(), 0.001)
+		h["X-Expires-In"] = []string{strconv.FormatFloat(left, 'f', 3, 64)}
+	}
+	req := &http.Request{Method: r.method, Host: r.host, Header: h,
+		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: force}}
+	if req.Host == "" {
+		req.Host = "app.svc"
+	}
+	if r.rest != nil {
+		req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(r.body), r.rest)), r.rest.length
+	} else if len(r.body) > 0 {
+		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(r.body)), int64(len(r.body))
+	}
+	return req
+}
+
+// sendPermit is an attempt's leave to be written, which ends with the request's final answer: an attempt whose connection comes up
+// later than that is not sent on, and the answer waits for one that is just being written.
+type sendPermit struct {
+	state atomic.Int32  // 0: may be written; 1: is being written, or was; 2: will not be
+	done  chan struct{} // closed once nothing more of it is written
+}
+
+func newSendPermit() *sendPermit { return &sendPermit{done: make(chan struct{})} }
+
+// use uses the leave, and is false where that is gone.
+func (p *sendPermit) use() bool { return p.state.CompareAndSwap(0, 1) }
+
+// revoke takes the leave back, and is false where it was used.
+func (p *sendPermit) revoke() bool { return p.state.CompareAndSwap(0, 2) }
--- a/internal/edgeproxy/front_test.go
+++ b/internal/edgeproxy/front_test.go
@@ -209,16 +209,16 @@
 // A request that the module sits on gets its answer from the host all the same.
 func TestHeldRequestIsAnswered(t *testing.T) {
 	cfg := testConfig()
-	front, fl := idleFront(t, cfg), &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1)}
-	front.node.requests["t1"] = fl
-	front.node.clientDisconnected(fl)
-	if a := <-fl.answer; a.kind != answerFailed {
+	front, pending := idleFront(t, cfg), &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1)}
+	front.node.requests["t1"] = pending
+	front.node.clientDisconnected(pending)
+	if a := <-pending.answer; a.kind != answerFailed {
 		t.Errorf("answer %+v", a)
 	}
 	if len(front.node.requests) != 0 {
 		t.Error("the flight is still held")
 	}
-	if front.node.clientDisconnected(fl); len(fl.answer) != 0 {
+	if front.node.clientDisconnected(pending); len(pending.answer) != 0 {
 		t.Error("a second final answer")
 	}
 }
--- /dev/null
+++ b/internal/edgeproxy/health_check.go
@@ -0,0 +1,29 @@
+package edgeproxy
+
+import (
+	"context"
+	"time"
+
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/policy"
+)
+
+const (
+	loadReportPath     = "/stats"               // an app server's load report
+	healthCheckTimeout = 500 * time.Millisecond // a check that takes longer tells nothing of the present
+)
+
+// checkHealth asks a server for its load.
+func (n *Node) checkHealth(server string) {
+	defer n.work.Done()
+	ctx, cancel := context.WithTimeout(n.ctx, healthCheckTimeout)
+	defer cancel()
+	rep, result := n.pool.exchange(ctx, server, &serverRequest{method: "GET", target: loadReportPath})
+	report := rep.loadReport
+	if report == nil {
+		report = loadreport.Parse(string(rep.body))
+	}
+	n.handleEvent(func(now time.Duration, out policy.Actions) {
+		n.engine.HealthCheckCompleted(now, server, result, report, out)
+	})
+}
--- a/internal/edgeproxy/drain.go
+++ b/internal/edgeproxy/maintenance.go
@@ -1,6 +1,8 @@
 package edgeproxy
 
-import "time"
+import (
+	"time"
+)
 
 // A drain by an operator's word: the node is no longer ready and each answer closes its
 // connection. The front notices within 0.1 s and clients still come for 0.2 s more; they go
@@ -16,24 +18,24 @@
 
 // takeOutOfService takes the node out of service until enter. It does not wait for the node to be
 // empty; a second call changes nothing.
-func (f *clientServer) takeOutOfService() {
-	f.maintenanceMu.Lock()
-	defer f.maintenanceMu.Unlock()
-	if f.maintenanceEnd != nil {
+func (s *clientServer) takeOutOfService() {
+	s.maintenanceMu.Lock()
+	defer s.maintenanceMu.Unlock()
+	if s.maintenanceEnd != nil {
 		return
 	}
 	end := make(chan struct{})
-	f.maintenanceEnd = end
-	f.isOutOfService.Store(true)
-	f.node.log.Printf("out of service")
-	f.node.spawn(func() {
+	s.maintenanceEnd = end
+	s.isOutOfService.Store(true)
+	s.node.log.Printf("out of service")
+	s.node.spawn(func() {
 		began, tick := time.Now(), time.NewTicker(evictionInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-end:
 				return
-			case <-f.node.ctx.Done():
+			case <-s.node.ctx.Done():
 				return
 			case <-tick.C:
 			}
@@ -44,7 +46,7 @@
 			case age >= evictAllDelay:
 				idle = 0
 			}
-			for _, c := range f.limiter.evictIdle(idle, evictionSilentTime) {
+			for _, c := range s.limiter.evictIdle(idle, evictionSilentTime) {
 				c.Conn.Close()
 			}
 		}
@@ -52,22 +54,14 @@
 }
 
 // returnToService ends a drain: the node is ready again.
-func (f *clientServer) returnToService() {
-	f.maintenanceMu.Lock()
-	defer f.maintenanceMu.Unlock()
-	if f.maintenanceEnd == nil {
+func (s *clientServer) returnToService() {
+	s.maintenanceMu.Lock()
+	defer s.maintenanceMu.Unlock()
+	if s.maintenanceEnd == nil {
 		return
 	}
-	close(f.maintenanceEnd)
-	f.maintenanceEnd = nil
-	f.isOutOfService.Store(false)
-	f.node.log.Printf("in service")
-}
-
-// closesConnections tells whether answers should close their connections.
-func (f *clientServer) closesConnections() bool {
-	return f.isDraining.Load() || f.isOutOfService.Load()
+	close(s.maintenanceEnd)
+	s.maintenanceEnd = nil
+	s.isOutOfService.Store(false)
+	s.node.log.Printf("in service")
 }
-
-// isAvailable tells whether the front may send clients here.
-func (f *clientServer) isAvailable() bool { return f.isReady.Load() && !f.isOutOfService.Load() }
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -2,17 +2,15 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log"
 	"net"
-	"net/netip"
 	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
-	"time"
 
-	"mulleinmux/internal/discovery"
 	"mulleinmux/internal/gossip"
 )
 
@@ -32,134 +30,105 @@
 	return runOn(ctx, cfg, reload, logger, ln)
 }
 
+// errStoppedBeforeServing says that a process was told to end while it waited for its predecessor.
+var errStoppedBeforeServing = errors.New("stopped before serving")
+
+// maxServeErrors is how many goroutines may report that they can't serve: calls, clients, and clients after a hot restart
+// that failed.
+const maxServeErrors = 3
+
+// process is one run of an edge node: what its start-up steps make and its end takes down.
+type process struct {
+	cfg        *Config
+	logger     *log.Logger
+	reload     <-chan os.Signal
+	lifetime   context.Context // of what runs in the background
+	background sync.WaitGroup  // its goroutines, which end with lifetime or with what they serve
+	failed     chan error      // takes the error of one that can't go on serving
+
+	node    *Node
+	clients *clientServer
+	watch   *discoveryWatch
+
+	predecessor          *predecessor // nil: there is none
+	isPredecessorAwaited atomic.Bool
+	successors           *successorListener // nil: no successor can take over
+}
+
 // runOn is Run on a listener that is open.
-func runOn(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *log.Logger, ln net.Listener) error {
+func runOn(
+	ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *log.Logger, ln net.Listener,
+) error {
 	defer ln.Close()
-	life, stop := context.WithCancel(context.Background())
+	lifetime, stop := context.WithCancel(context.Background())
 	defer stop()
-	n, err := newNode(life, cfg, logger)
+	n, err := newNode(lifetime, cfg, logger)
 	if err != nil {
 		return err
 	}
-	var side sync.WaitGroup
-	defer side.Wait()
-	var before *predecessor
-	if cfg.HandoverSocket != "" {
-		if before, err = findPredecessor(cfg.HandoverSocket); err != nil {
-			logger.Printf("%v: beginning from nothing", err)
-		}
-	}
-	if before == nil {
-		if err := n.startGossip(&side, nil); err != nil {
-			return err
-		}
-	}
-	defer func() {
-		if sock := n.takeGossipSocket(); sock != nil {
-			sock.Close()
-		}
-	}()
-	if len(cfg.skippedEndpoints) > 0 {
-		logger.Printf("known: %d entries left out, the first: %v", len(cfg.skippedEndpoints), cfg.skippedEndpoints[0])
+	p := &process{cfg: cfg, logger: logger, reload: reload, lifetime: lifetime, node: n, failed: make(chan error, maxServeErrors)}
+	defer p.background.Wait()
+	if err := p.joinGossip(); err != nil {
+		return err
 	}
-	n.startEngine()
-	watch := startWatch(life, n, cfg.Discovery, cfg.SavedEndpoints.Generation)
-	defer func() { watch.stop() }()
-	side.Go(func() { n.pool.runIdlePruning(life) })
-	defer stop() // before the wait for what life owns
+	defer p.leaveGossip()
+	p.startDecisions()
+	defer func() { p.watch.stop() }()
+	p.background.Go(func() { n.pool.runIdlePruning(lifetime) })
+	defer stop() // before the wait for what lifetime owns
 
-	f := newClientServer(n)
-	failed := make(chan error, 3)
-	var waits atomic.Bool // for the predecessor's word
-	if cfg.AdminListen.IsValid() {
-		mln, err := net.Listen("tcp", cfg.AdminListen.String())
-		if err != nil {
-			return fmt.Errorf("management: %w", err)
-		}
-		m := newAdminServer(f, func() bool { return waits.Load() || f.isAvailable() })
-		side.Go(func() {
-			if err := m.serve(mln); err != nil {
-				failed <- err
-			}
-		})
-		defer m.close()
+	p.clients = newClientServer(n)
+	admin, err := p.startAdmin()
+	if err != nil {
+		return err
+	}
+	if admin != nil {
+		defer admin.close()
 	}
 	// What the agent has counts as told from the first moment, and the saved list may be old. With the agent
 	// down the saved list serves.
-	watch.awaitFirst(ctx, cfg.firstListTimeout)
-	if before != nil {
-		logger.Printf("%s: waiting for the predecessor's end", cfg.Name)
-		waits.Store(true)
-		in, err := n.awaitTakeover(ctx, before, reload, &watch)
-		if ctx.Err() != nil {
-			before.Close()
-			return nil // told to end before it served
-		}
-		if err != nil {
-			logger.Printf("%v: beginning from nothing", err)
-			before.Close()
-			before = nil
-		}
-		if err := n.startGossip(&side, in.gossipConn); err != nil {
-			return err
-		}
-	}
-	var h *successorListener
-	if cfg.HandoverSocket != "" {
-		// Without it the node serves all the same; only the next upgrade would be a restart.
-		if h, err = listenForSuccessor(cfg.HandoverSocket, logger); err != nil {
-			logger.Printf("%v", err)
-		} else {
-			defer h.close()
-			side.Go(h.acceptSuccessors)
-		}
+	p.watch.awaitFirst(ctx, cfg.firstListTimeout)
+	if err := p.takeOver(ctx); errors.Is(err, errStoppedBeforeServing) {
+		return nil
+	} else if err != nil {
+		return err
 	}
-	if before != nil {
-		defer before.Close()
-		before.confirmTakeover()
-		f.hasPredecessor.Store(true)
-		side.Go(func() { f.servePredecessor(before) })
+	p.listenForSuccessor()
+	if p.successors != nil {
+		defer p.successors.close()
 	}
-	side.Go(func() { failed <- f.serve(ln) })
-	f.isReady.Store(true)
-	waits.Store(false)
-	logger.Printf("%s: ready on %s, %d app servers known", cfg.Name, cfg.Listen, len(cfg.SavedEndpoints.Servers))
-	for draining := false; !draining; {
-		select {
-		case err := <-failed:
-			f.httpServer.Close()
-			return err
-		case <-reload:
-			watch = watch.reload(life, n)
-		case <-ctx.Done():
-			draining = true
-		}
+	p.servePredecessorClients()
+	if p.predecessor != nil {
+		defer p.predecessor.Close()
 	}
-	f.startShutdownTimer()
-	still := cfg.drainDelay
-	if h.hasSuccessor() {
-		logger.Printf("%s: handing over", cfg.Name)
-		again, err := f.handOver(h, ln)
-		if err != nil {
-			logger.Printf("%v: not handed over", err)
-		} else {
-			still = 0
-		}
-		if again != nil {
-			side.Go(func() { failed <- f.serve(again) })
-		}
+	p.startServing(ln)
+	if isStopped, err := p.awaitEnd(ctx); !isStopped {
+		return err
 	}
-	logger.Printf("%s: draining", cfg.Name)
-	f.drain(still)
+	p.shutDown(ln)
 	stop()
 	n.close()
 	logger.Printf("%s: drained, figures at the end: %s", cfg.Name, strings.Join(strings.Fields(n.metricsText()), " "))
 	return nil
 }
 
-// startGossip opens the peers' socket, or takes the one that was handed over.
-func (n *Node) startGossip(side *sync.WaitGroup, conn *net.UDPConn) error {
-	cfg := n.cfg
+// joinGossip looks for a predecessor, and opens the gossip socket where there is none that holds it.
+func (p *process) joinGossip() error {
+	if p.cfg.HandoverSocket != "" {
+		var err error
+		if p.predecessor, err = findPredecessor(p.cfg.HandoverSocket); err != nil {
+			p.logger.Printf("%v: beginning from nothing", err)
+		}
+	}
+	if p.predecessor != nil {
+		return nil
+	}
+	return p.startGossip(nil)
+}
+
+// startGossip opens the gossip socket, or takes the one that was handed over, and receives on it until it is closed.
+func (p *process) startGossip(conn *net.UDPConn) error {
+	cfg := p.cfg
 	if !cfg.GossipListen.IsValid() {
 		if conn != nil {
 			conn.Close()
@@ -175,110 +144,160 @@
 			return err
 		}
 	}
-	n.setGossipSocket(sock)
-	side.Go(func() { sock.Receive(n.gossipReceived) })
+	p.node.setGossipSocket(sock)
+	p.background.Go(func() { sock.Receive(p.node.gossipReceived) })
 	return nil
 }
 
-// awaitTakeover waits for the predecessor's word to go and takes over what its module knew. A
-// reload in the meantime counts.
-func (n *Node) awaitTakeover(ctx context.Context, before *predecessor, reload <-chan os.Signal, w **discoveryWatch) (inheritedState, error) {
+// leaveGossip closes the gossip socket, unless it was handed over.
+func (p *process) leaveGossip() {
+	if sock := p.node.takeGossipSocket(); sock != nil {
+		sock.Close()
+	}
+}
+
+// startDecisions starts the engine on the saved list, and the watch of the endpoint list.
+func (p *process) startDecisions() {
+	if skipped := p.cfg.skippedEndpoints; len(skipped) > 0 {
+		p.logger.Printf("known: %d entries left out, the first: %v", len(skipped), skipped[0])
+	}
+	p.node.startEngine()
+	p.watch = startWatch(p.lifetime, p.node, p.cfg.Discovery, p.cfg.SavedEndpoints.Generation)
+}
+
+// startAdmin answers operators' calls until the server that it returns is closed; nil where the configuration names no
+// address for them.
+func (p *process) startAdmin() (*adminServer, error) {
+	if !p.cfg.AdminListen.IsValid() {
+		return nil, nil
+	}
+	ln, err := net.Listen("tcp", p.cfg.AdminListen.String())
+	if err != nil {
+		return nil, fmt.Errorf("management: %w", err)
+	}
+	admin := newAdminServer(p.clients, func() bool { return p.isPredecessorAwaited.Load() || p.clients.isAvailable() })
+	p.background.Go(func() {
+		if err := admin.serve(ln); err != nil {
+			p.failed <- err
+		}
+	})
+	return admin, nil
+}
+
+// takeOver waits until the predecessor ends, if there is one, and goes on from its state and gossip socket. Without a
+// predecessor that hands over the node begins from nothing. It returns errStoppedBeforeServing where ctx ends before.
+func (p *process) takeOver(ctx context.Context) error {
+	if p.predecessor == nil {
+		return nil
+	}
+	p.logger.Printf("%s: waiting for the predecessor's end", p.cfg.Name)
+	p.isPredecessorAwaited.Store(true)
+	in, err := p.awaitPredecessorState(ctx)
+	if ctx.Err() != nil {
+		p.predecessor.Close()
+		return errStoppedBeforeServing
+	}
+	if err != nil {
+		p.logger.Printf("%v: beginning from nothing", err)
+		p.predecessor.Close()
+		p.predecessor = nil
+	}
+	return p.startGossip(in.gossipConn)
+}
+
+// awaitPredecessorState waits for the predecessor's word to go and imports its engine's state. A reload in the meantime
+// counts.
+func (p *process) awaitPredecessorState(ctx context.Context) (inheritedState, error) {
 	type result struct {
-		in  inheritedState
-		err error
+		state inheritedState
+		err   error
 	}
-	came := make(chan result, 1)
-	go func() {
-		in, err := before.awaitState(ctx)
-		came <- result{in, err}
+	received := make(chan result, 1)
+	go func() { // ends with ctx, or with the predecessor
+		state, err := p.predecessor.awaitState(ctx)
+		received <- result{state, err}
 	}()
 	for {
 		select {
-		case <-reload:
-			*w = (*w).reload(n.ctx, n)
-		case r := <-came:
+		case <-p.reload:
+			p.watch = p.watch.reload(p.lifetime, p.node)
+		case r := <-received:
 			if r.err == nil {
-				n.importState(r.in.engineState)
+				p.node.importState(r.state.engineState)
 			}
-			return r.in, r.err
+			return r.state, r.err
 		}
 	}
 }
 
-// discoveryWatch is the following of one discovery agent.
-type discoveryWatch struct {
-	addr    netip.AddrPort
-	isLocal bool // an agent on this machine, to which lists are pushed
-	cancel  context.CancelFunc
-	done    chan struct{}
-
-	firstCall <-chan struct{} // closed once a list has come, the first call for it has failed, or the watch has ended
-}
-
-// defaultFirstListTimeout is how long a node waits for its agent's list before it is ready: an agent answers at once.
-const defaultFirstListTimeout = 300 * time.Millisecond
-
-// awaitFirst waits until a list has come from an agent or is known not to, for a time at most. A register that a fleet asks may be slow: it
-// is not waited for.
-func (w *discoveryWatch) awaitFirst(ctx context.Context, most time.Duration) {
-	if !w.isLocal {
+// listenForSuccessor lets a successor take over. Without that the node serves all the same; only the next upgrade would be
+// a restart.
+func (p *process) listenForSuccessor() {
+	if p.cfg.HandoverSocket == "" {
 		return
 	}
-	late := time.NewTimer(most)
-	defer late.Stop()
-	select {
-	case <-w.firstCall:
-	case <-late.C:
-	case <-ctx.Done():
+	successors, err := listenForSuccessor(p.cfg.HandoverSocket, p.logger)
+	if err != nil {
+		p.logger.Printf("%v", err)
+		return
 	}
+	p.successors = successors
+	p.background.Go(successors.acceptSuccessors)
 }
 
-// startWatch follows an agent from a version of the list that came from it; from 0 it
-// tells the whole list. An agent on this machine always does, at no cost: it may have begun its versions anew since.
-func startWatch(ctx context.Context, n *Node, addr netip.AddrPort, from uint64) *discoveryWatch {
-	ctx, stop := context.WithCancel(ctx)
-	w := &discoveryWatch{addr: addr, isLocal: !n.cfg.Settings.PollsEndpoints, cancel: stop, done: make(chan struct{})}
-	if w.isLocal {
-		from = 0
+// servePredecessorClients tells the predecessor, if there is one, that its place is taken, and serves the clients that it
+// hands over.
+func (p *process) servePredecessorClients() {
+	before := p.predecessor
+	if before == nil {
+		return
 	}
-	first, came := context.WithCancel(ctx)
-	w.firstCall = first.Done()
-	reg := &discovery.Follower{Addr: addr, Silent: discovery.Silent, Last: from, Near: w.isLocal, Logf: n.log.Printf,
-		Pace: discovery.NewPace(n.cfg.Settings.InstanceCount, n.cfg.Seed),
-		Apply: func(l discovery.List) {
-			n.endpointsReceived(l)
-			came()
-		},
-		Failed: came}
-	go func() {
-		defer close(w.done)
-		defer came()
-		reg.Run(ctx)
-	}()
-	return w
+	before.confirmTakeover()
+	p.clients.hasPredecessor.Store(true)
+	p.background.Go(func() { p.clients.servePredecessor(before) })
 }
 
-// stop ends the watch; nothing is heard from its agent afterwards.
-func (w *discoveryWatch) stop() {
-	w.cancel()
-	<-w.done
+// startServing answers clients on a listener, and says that the node is ready.
+func (p *process) startServing(ln net.Listener) {
+	p.background.Go(func() { p.failed <- p.clients.serve(ln) })
+	p.clients.isReady.Store(true)
+	p.isPredecessorAwaited.Store(false)
+	p.logger.Printf("%s: ready on %s, %d app servers known", p.cfg.Name, p.cfg.Listen, len(p.cfg.SavedEndpoints.Servers))
 }
 
-// reload reads the configuration again and moves the watch if it names another
-// discovery agent. What else it says holds from the next start. A configuration that
-// can't be is logged, and the one in force stays.
-func (w *discoveryWatch) reload(ctx context.Context, n *Node) *discoveryWatch {
-	cfg, err := n.cfg.reread()
-	if err != nil {
-		n.log.Printf("reload: the configuration in force stays: %v", err)
-		return w
+// awaitEnd serves until ctx ends, which stops the process in order, or until something can't go on serving, whose error it
+// returns.
+func (p *process) awaitEnd(ctx context.Context) (isStopped bool, err error) {
+	for {
+		select {
+		case err := <-p.failed:
+			p.clients.httpServer.Close()
+			return false, err
+		case <-p.reload:
+			p.watch = p.watch.reload(p.lifetime, p.node)
+		case <-ctx.Done():
+			return true, nil
+		}
 	}
-	if cfg.Discovery == w.addr {
-		n.log.Printf("reload: discovery stays at %s", w.addr)
-		return w
+}
+
+// shutDown hands over to a successor that waits, or else lets clients come for a while, and answers all that has come. ln is
+// the listener on which clients are accepted.
+func (p *process) shutDown(ln net.Listener) {
+	p.clients.startShutdownTimer()
+	drainDelay := p.cfg.drainDelay
+	if p.successors.hasSuccessor() {
+		p.logger.Printf("%s: handing over", p.cfg.Name)
+		again, err := p.clients.handOver(p.successors, ln)
+		if err != nil {
+			p.logger.Printf("%v: not handed over", err)
+		} else {
+			drainDelay = 0
+		}
+		if again != nil {
+			p.background.Go(func() { p.failed <- p.clients.serve(again) })
+		}
 	}
-	n.log.Printf("reload: discovery moves from %s to %s", w.addr, cfg.Discovery)
-	w.stop()
-	// Another agent may count its versions in another way.
-	return startWatch(ctx, n, cfg.Discovery, 0)
+	p.logger.Printf("%s: draining", p.cfg.Name)
+	p.clients.drain(drainDelay)
 }
--- /dev/null
+++ b/internal/edgeproxy/serve_request.go
@@ -0,0 +1,168 @@
+package edgeproxy
+
+import (
+	"net/http"
+	"runtime/debug"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// ServeHTTP answers one request of a client. It runs in a goroutine of net/http's, which ends with the client's connection.
+func (s *clientServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	defer s.recoverPanic(w)
+	takenAt := time.Now()
+	conn := clientConnOf(r)
+	defer conn.setState(stateIdle)
+	head, firstByteAt := conn.takeHead()
+	conn.recordEarlyBytes(pipelinedBytes(r, head))
+	s.setConnectionClose(w, conn)
+	if err := checkFraming(r, head); err != nil {
+		s.writeBadRequest(w, r, err)
+		return
+	}
+	if r.URL.Path == readyPath && r.ContentLength == 0 {
+		s.serveReadiness(w)
+		return
+	}
+	q, m, err := s.parseRequest(r)
+	var reservedBytes int64
+	if err == nil {
+		m.body, m.rest, reservedBytes, err = readBody(w, r, firstByteAt, s.node.memory)
+	}
+	if err != nil {
+		s.node.memory.release(reservedBytes)
+		s.writeBadRequest(w, r, err)
+		return
+	}
+	if !conn.setState(stateActive) {
+		s.node.memory.release(reservedBytes)
+		return // evicted for another: nothing was forwarded
+	}
+	if !s.limitToShutdown(&q) {
+		s.node.memory.release(reservedBytes)
+		w.Header().Set("Connection", "close")
+		writeText(w, http.StatusServiceUnavailable, "refused: ending")
+		return
+	}
+	if r.Context().Err() != nil {
+		s.node.memory.release(reservedBytes)
+		panic(http.ErrAbortHandler) // its client has left: nothing is forwarded
+	}
+	m.isClientGone = conn.isClientGone
+	s.serveRequest(w, r, &q, &m, requestArrival{conn: conn, at: takenAt, reservedBytes: reservedBytes})
+}
+
+// requestArrival is how a request came.
+type requestArrival struct {
+	conn          *clientConn
+	at            time.Time // when its head had come
+	reservedBytes int64     // of the memory budget, by its body
+}
+
+// serveRequest has the engine decide on a request that is read, and writes its final answer. q is what the engine is told,
+// m what is forwarded.
+func (s *clientServer) serveRequest(
+	w http.ResponseWriter, r *http.Request, q *policy.Request, m *serverRequest, arrival requestArrival,
+) {
+	timeout := q.Timeout + s.node.cfg.Settings.ResponseSlack // from the request's last byte
+	deadline := time.Now().Add(timeout)
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	if m.rest != nil {
+		q.BodyTimeout = m.rest.maxRemainingTime()
+		deadline = deadline.Add(q.BodyTimeout)
+		timer.Reset(q.BodyTimeout + timeout)
+		m.rest.responseTimeout, m.rest.onForwarded = timeout, func() { timer.Reset(timeout) }
+		w.Header().Set("Connection", "close") // an answer may come before all of the body
+	}
+	pending := s.node.beginRequest(*q, *m, deadline, arrival.reservedBytes)
+	if pending == nil {
+		writeText(w, http.StatusConflict, "X-Trace-Id is in use")
+		return
+	}
+	s.node.metrics.requestStarted()
+	kind := answerFailed
+	defer func() { s.node.metrics.requestEnded(q.Class, kind) }()
+	a := s.awaitAnswer(r, pending, timer.C)
+	for _, permit := range a.pendingWrites {
+		<-permit.done
+	}
+	s.setConnectionClose(w, arrival.conn) // a drain may have begun since
+	if time.Since(arrival.at) > writeTimeout/4 {
+		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	}
+	if a.response.stream != nil {
+		if result := s.streamResponse(w, a.response); result != policy.OK {
+			panic(http.ErrAbortHandler) // the client can tell that it is not complete
+		}
+		kind = answerServed
+		return
+	}
+	kind = a.kind
+	s.writeAnswer(w, a)
+	if m.rest != nil && kind != answerServed {
+		http.NewResponseController(w).Flush()
+		m.rest.discard()
+	}
+}
+
+// awaitAnswer waits for the final answer, which comes at the latest when the request's timer fires or the process ends.
+// Where the client leaves before, it panics with http.ErrAbortHandler: no answer is due, and net/http would write an
+// empty one.
+func (s *clientServer) awaitAnswer(r *http.Request, pending *pendingRequest, timeout <-chan time.Time) finalAnswer {
+	select {
+	case a := <-pending.answer:
+		return a
+	case <-r.Context().Done():
+		s.node.clientDisconnected(pending)
+		if a := <-pending.answer; a.response.stream != nil {
+			a.response.stream.finish(policy.Cancelled)
+		}
+		panic(http.ErrAbortHandler)
+	case <-timeout:
+	case <-s.shutdownExpired:
+	}
+	s.node.deadlineExceeded(pending)
+	return <-pending.answer
+}
+
+// limitToShutdown shortens a request's timeout to the end of the process, if that has begun, and tells whether any is left.
+func (s *clientServer) limitToShutdown(q *policy.Request) bool {
+	left, isBound := s.timeUntilShutdown()
+	if !isBound {
+		return true
+	}
+	q.Timeout = min(q.Timeout, left-s.node.cfg.Settings.ResponseSlack)
+	return q.Timeout > 0
+}
+
+// recoverPanic is deferred: a panic costs the one request, which is answered as an internal error, and is logged.
+func (s *clientServer) recoverPanic(w http.ResponseWriter) {
+	p := recover()
+	if p == nil {
+		return
+	}
+	if p == http.ErrAbortHandler {
+		panic(p)
+	}
+	s.node.log.Printf("panic: %v\n%s", p, debug.Stack())
+	writeText(w, http.StatusInternalServerError, "internal error")
+}
+
+// setConnectionClose has an answer close its connection where that is wanted. A client that has sent its next request is
+// owed an answer to that as well: then a later one closes it.
+func (s *clientServer) setConnectionClose(w http.ResponseWriter, conn *clientConn) {
+	if (s.closesConnections() || s.limiter.isCrowded()) && !conn.hasNextRequest() {
+		w.Header().Set("Connection", "close")
+	}
+}
+
+// serveReadiness answers the load balancer's health check.
+func (s *clientServer) serveReadiness(w http.ResponseWriter) {
+	if s.isAvailable() {
+		writeText(w, http.StatusOK, "ready")
+	} else {
+		writeText(w, http.StatusServiceUnavailable, "not ready")
+	}
+}
--- a/internal/edgeproxy/slots_test.go
+++ b/internal/edgeproxy/slots_test.go
@@ -27,10 +27,10 @@
 }
 
 // age makes all connections in a state older and returns their number.
-func (s *connectionLimiter) age(state clientConnState, by time.Duration) (n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
+func (l *connectionLimiter) age(state clientConnState, by time.Duration) (n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
 		if c.state == state {
 			c.stateSince, c.lastReadAt = c.stateSince.Add(-by), c.lastReadAt.Add(-by)
 			n++
