--- a/internal/edgeproxy/admin_server.go
+++ b/internal/edgeproxy/admin_server.go
@@ -10,53 +10,62 @@
 	"time"
 )
 
-// Where operators call.
+// Paths and limits of operators' calls.
 const (
 	adminReadyPath        = "/control/ready"
 	adminCountersPath     = "/control/counters"
 	adminOutOfServicePath = "/control/out-of-service"
 	adminInServicePath    = "/control/in-service"
 
-	maxAdminConns     = 12                     // calls under way at once; one more closes the one that can best be spared
-	adminReadTimeout  = 800 * time.Millisecond // for a call's head; who takes longer is not answered
-	adminWriteTimeout = 2 * time.Second
+	maxAdminConns       = 12                     // calls at once; one more evicts the oldest
+	adminReadTimeout    = 800 * time.Millisecond // for a call's head; a slower one is not answered
+	adminWriteTimeout   = 2 * time.Second
+	maxAdminHeaderBytes = 8 << 10
 )
 
-// adminServer answers operators' calls on an address of its own, one a connection. The
-// calls have few descriptors of their own and take none from clients; nor does a
-// crowd of clients keep a call waiting.
+// adminMethods has the method of each call.
+var adminMethods = map[string]string{
+	adminReadyPath:        http.MethodGet,
+	adminCountersPath:     http.MethodGet,
+	adminOutOfServicePath: http.MethodPost,
+	adminInServicePath:    http.MethodPost,
+}
+
+// adminServer answers operators' calls on an address of its own, one a connection. The calls have a few descriptors
+// of their own and take none from clients; nor does a crowd of clients keep a call waiting.
 type adminServer struct {
 	clients    *clientServer
 	isReady    func() bool // whether this process is ready to serve
 	httpServer *http.Server
 }
 
-func newAdminServer(f *clientServer, ready func() bool) *adminServer {
-	m := &adminServer{clients: f, isReady: ready}
-	m.httpServer = &http.Server{
-		Handler:           m,
+// newAdminServer returns a server of the calls about clients; isReady tells whether the process is ready to serve.
+func newAdminServer(clients *clientServer, isReady func() bool) *adminServer {
+	s := &adminServer{clients: clients, isReady: isReady}
+	s.httpServer = &http.Server{
+		Handler:           s,
 		ReadHeaderTimeout: adminReadTimeout,
 		ReadTimeout:       adminReadTimeout,
 		WriteTimeout:      adminWriteTimeout,
-		MaxHeaderBytes:    8 << 10,
+		MaxHeaderBytes:    maxAdminHeaderBytes,
 		ConnContext:       withClientConn,
-		ErrorLog:          f.node.log,
+		ErrorLog:          clients.node.log,
 	}
-	m.httpServer.SetKeepAlivesEnabled(false)
-	return m
+	s.httpServer.SetKeepAlivesEnabled(false)
+	return s
 }
 
 // serve answers calls until close.
 func (s *adminServer) serve(ln net.Listener) error {
 	l := &limitedListener{Listener: ln, limiter: newConnectionLimiter(maxAdminConns)}
-	l.limiter.evictsOldest = true // a call comes in one piece
+	l.limiter.evictsOldest = true // a call is sent in one piece
 	if err := s.httpServer.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("management: %w", err)
 	}
 	return nil
 }
 
-// close ends the calls: those that were taken are answered.
+// close ends serving: the calls that were accepted are answered.
 func (s *adminServer) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), adminReadTimeout)
 	defer cancel()
@@ -65,15 +74,15 @@
 	}
 }
 
+// ServeHTTP answers one call.
 func (s *adminServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	slot := clientConnOf(r)
-	slot.setState(stateActive)
-	defer slot.setState(stateIdle)
-	want, known := map[string]string{adminReadyPath: http.MethodGet, adminCountersPath: http.MethodGet,
-		adminOutOfServicePath: http.MethodPost, adminInServicePath: http.MethodPost}[r.URL.Path]
-	if known && r.Method != want {
-		w.Header().Set("Allow", want)
-		writeText(w, http.StatusMethodNotAllowed, "method: the call wants "+want)
+	conn := clientConnOf(r)
+	conn.setState(stateActive)
+	defer conn.setState(stateIdle)
+	method, isKnown := adminMethods[r.URL.Path]
+	if isKnown && r.Method != method {
+		w.Header().Set("Allow", method)
+		writeText(w, http.StatusMethodNotAllowed, "method: the call wants "+method)
 		return
 	}
 	switch r.URL.Path {
@@ -92,6 +101,7 @@
 		s.clients.returnToService()
 		writeText(w, http.StatusOK, "in service")
 	default:
-		writeText(w, http.StatusNotFound, "calls: "+strings.Join([]string{adminReadyPath, adminCountersPath, adminOutOfServicePath, adminInServicePath}, ", "))
+		paths := []string{adminReadyPath, adminCountersPath, adminOutOfServicePath, adminInServicePath}
+		writeText(w, http.StatusNotFound, "calls: "+strings.Join(paths, ", "))
 	}
 }
--- a/internal/edgeproxy/answer_writing.go
+++ b/internal/edgeproxy/answer_writing.go
@@ -13,7 +13,7 @@
 // unreadBodyTimeout bounds the wait for the rest of a body that is not needed any more.
 const unreadBodyTimeout = 250 * time.Millisecond
 
-// writeAnswer words a final answer.
+// writeAnswer writes a final answer that is not streamed.
 func (s *clientServer) writeAnswer(w http.ResponseWriter, a finalAnswer) {
 	h := w.Header()
 	switch a.kind {
@@ -21,7 +21,7 @@
 		setContentType(h, a.response)
 		h["Content-Length"] = []string{strconv.Itoa(len(a.response.body))}
 		w.WriteHeader(http.StatusOK)
-		w.Write(a.response.body) // a client that is gone by now has nothing to be told
+		w.Write(a.response.body) // a client that has disconnected by now misses nothing
 	case answerRejected:
 		if a.retryAfter > 0 {
 			h["Retry-After"] = []string{strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64)}
@@ -32,8 +32,8 @@
 	}
 }
 
-// writeBadRequest answers a request that is the client's mistake. A body that was not read is
-// not waited for: what is left of it would be read as the next request.
+// writeBadRequest answers a request that is the client's mistake. A body that was not read is not waited for: the
+// connection closes, or what is left of the body would be read as the next request.
 func (s *clientServer) writeBadRequest(w http.ResponseWriter, r *http.Request, err error) {
 	bad := &badRequestError{status: http.StatusBadRequest}
 	if errors.As(err, &bad); bad.allow != "" {
@@ -41,14 +41,14 @@
 	}
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
-		// The library reads a short rest before it closes, or the client could miss the answer.
-		// Half a body would keep it reading for ever.
+		// net/http reads a short rest before it closes, or the client could miss the response. Half a body would keep
+		// it reading for ever.
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadBodyTimeout))
 	}
 	writeText(w, bad.status, err.Error())
 }
 
-// streamResponse passes a long answer on as it comes.
+// streamResponse forwards a long response as it is received, and returns how that ended.
 func (s *clientServer) streamResponse(w http.ResponseWriter, rep serverResponse) policy.Result {
 	setContentType(w.Header(), rep)
 	if rep.stream.length >= 0 {
@@ -60,7 +60,7 @@
 	return result
 }
 
-// setContentType passes an answer's type on. Where it has none the library must not guess one.
+// setContentType forwards a response's Content-Type. If it has none, net/http must not guess one.
 func setContentType(h http.Header, rep serverResponse) {
 	h["Content-Type"] = nil
 	if rep.contentType != "" {
@@ -68,6 +68,7 @@
 	}
 }
 
+// writeText writes a response of one line.
 func writeText(w http.ResponseWriter, status int, text string) {
 	h := w.Header()
 	h["Content-Type"] = []string{"text/plain; charset=utf-8"}
--- a/internal/edgeproxy/client_conn.go
+++ b/internal/edgeproxy/client_conn.go
@@ -12,45 +12,48 @@
 	"time"
 )
 
-// clientConnState is what a client's connection is at.
+// clientConnState is the state of a client's connection.
 type clientConnState int
 
 const (
-	stateSilent  clientConnState = iota // new: nothing has come on it
-	stateReading                        // something has come, but no whole head
-	stateActive                         // a request is open
+	stateSilent  clientConnState = iota // new: nothing has been received
+	stateReading                        // part of a request's head has been received
+	stateActive                         // a request is being served
 	stateIdle                           // between requests, or closing after the last
 	stateClosed                         // closed
 )
 
-// clientConn is a connection that counts until it is closed.
+// clientConn is a client's connection, which counts at its limiter until it is closed or handed over. One goroutine of
+// net/http's reads from it; others look at its state.
 type clientConn struct {
 	net.Conn
-	raw               syscall.RawConn // nil where Conn has no socket
-	limiter           *connectionLimiter
-	hasUnrecordedData bool            // what came is out of the socket and not yet noted here; under slots.mu
-	state             clientConnState // under slots.mu
-	stateSince        time.Time       // of the state, under slots.mu
-	isResponseWritten bool            // idle, and its last answer is written to the end; under slots.mu
-	head              []byte          // of the request being read, as it came; under slots.mu
-	isReadingHead     bool            // more of it is to come
-	earlyBytes        []byte          // what came of the next request while one was open, and was given to the library
-	readAhead         []byte          // what came behind that and the library has not got; under slots.mu
-	isWatchEnded      bool            // more than ahead may hold came: that the client leaves is no longer noticed; under slots.mu
-	lastReadAt        time.Time       // when something came; under slots.mu
+	raw     syscall.RawConn // nil where Conn has no socket
+	limiter *connectionLimiter
+
+	// Guarded by limiter.mu.
+	state             clientConnState
+	stateSince        time.Time
+	lastReadAt        time.Time // when something was last received
+	hasUnrecordedData bool      // data has left the socket and is not recorded here yet
+	isResponseWritten bool      // idle, and its last response is written to the end
+	head              []byte    // of the request being read, as received
+	isReadingHead     bool      // more of head is to come
+	earlyBytes        []byte    // of the next request, received while one was active, and given to net/http
+	readAhead         []byte    // received behind earlyBytes; net/http has not got it
+	isWatchEnded      bool      // readAhead is full: that the client disconnects goes unnoticed
 }
 
-func newClientConn(nc net.Conn, s *connectionLimiter) *clientConn {
-	c := &clientConn{Conn: nc, limiter: s}
+func newClientConn(nc net.Conn, l *connectionLimiter) *clientConn {
+	c := &clientConn{Conn: nc, limiter: l}
 	if sc, ok := nc.(syscall.Conn); ok {
-		c.raw, _ = sc.SyscallConn() // of one that is closed already there is nothing to read
+		c.raw, _ = sc.SyscallConn() // a connection that is closed already has nothing to read
 	}
 	return c
 }
 
-// Read notes that something has come. What comes after the connection was given up is
-// not taken in: the client can tell that it was not read. One that is to be handed over is
-// handed over here, where nothing else can read from it any more.
+// Read records what it receives. What is received after the connection was evicted is not returned: the client can
+// tell that it was not read. A connection that is to be handed over is handed over here, where nothing else can
+// read from it any more.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.handOverIfPossible() {
 		return 0, io.EOF
@@ -73,10 +76,12 @@
 	if n > 0 && !c.setState(stateReading) {
 		return 0, net.ErrClosed
 	}
-	c.recordHead(p[:n], len(p) == 1)
+	isOneByteRead := len(p) == 1
+	c.recordHead(p[:n], isOneByteRead)
 	return n, err
 }
 
+// Close closes the connection, which counts no more.
 func (c *clientConn) Close() error {
 	c.limiter.mu.Lock()
 	if c.state != stateClosed {
@@ -87,8 +92,8 @@
 	return c.Conn.Close()
 }
 
-// setState changes the state; it is false once the connection has ended. What comes while
-// a request is open, or while a head is being read, changes nothing.
+// setState changes the state and returns false if the connection has been closed. Data that is received while a
+// request is active, or while a head is being read, changes nothing.
 func (c *clientConn) setState(state clientConnState) bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -98,37 +103,42 @@
 	if state == stateReading {
 		c.lastReadAt, c.hasUnrecordedData = time.Now(), false
 	}
-	begins := state == stateReading && (c.state == stateSilent || c.state == stateIdle) || state == stateIdle && len(c.earlyBytes)+len(c.readAhead) > 0
-	if begins { // the first bytes of a request
+	startsRequest := state == stateReading && (c.state == stateSilent || c.state == stateIdle) ||
+		state == stateIdle && len(c.earlyBytes)+len(c.readAhead) > 0
+	if startsRequest {
 		state = stateReading
-		c.head, c.isReadingHead, c.earlyBytes, c.isWatchEnded = c.earlyBytes, !bytes.Contains(c.earlyBytes, []byte("\r\n\r\n")), nil, false
+		c.head = c.earlyBytes
+		c.isReadingHead = !bytes.Contains(c.earlyBytes, []byte("\r\n\r\n"))
+		c.earlyBytes = nil
+		c.isWatchEnded = false
 	}
-	if state != stateReading || begins {
+	if state != stateReading || startsRequest {
 		c.limiter.changeState(c, state)
 		c.stateSince, c.isResponseWritten = time.Now(), false
 	}
 	return true
 }
 
-// hasUnreadData tells whether something has come that was not read, or was read a moment ago and is not noted yet. It does not
-// wait for the goroutine that reads. Called under the mutex.
+// hasUnreadData tells whether something was received that net/http has not read, or read a moment ago and is not
+// recorded yet. It does not wait for the goroutine that reads. Called under limiter.mu.
 func (c *clientConn) hasUnreadData() bool {
 	if len(c.readAhead) > 0 || c.hasUnrecordedData {
 		return true
 	}
-	waiting := false
+	hasData := false
 	var b [1]byte
 	err := controlSocket(c.Conn, func(fd int) {
 		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waiting = err == nil && n > 0
+		hasData = err == nil && n > 0
 	})
-	return err == nil && waiting
+	return err == nil && hasData
 }
 
+// errNoSocket is the error of a connection or listener without a descriptor.
 var errNoSocket = errors.New("no socket")
 
-// controlSocket calls f with the descriptor of a connection or a listener. The error is errNoSocket where it has none; any
-// other means that it is closed.
+// controlSocket calls f with the descriptor of a connection or a listener. The error is errNoSocket if it has none;
+// any other error means that it is closed.
 func controlSocket(of any, f func(fd int)) error {
 	sc, ok := of.(syscall.Conn)
 	if !ok {
@@ -141,14 +151,15 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// readSocket reads from the socket. Between the moment at which something leaves the socket and that at which its reader notes it
-// the connection would look idle, with nothing to read; whoever closed it then would lose a request that was taken. So
-// that it has taken something is noted with it, under the mutex (the call never waits), until become or keepAhead note the rest.
+// readSocket reads from the socket. Between the moment at which data leaves the socket and the moment at which its
+// reader records it, the connection would look idle with nothing to read; closing it then would lose a request that
+// was received. So the read and hasUnrecordedData change together, under the mutex (the call never waits), until
+// setState or appendReadAhead records the rest.
 func (c *clientConn) readSocket(p []byte) (n int, err error) {
 	if c.raw == nil {
 		return c.Conn.Read(p)
 	}
-	ended := c.raw.Read(func(fd uintptr) bool {
+	rawErr := c.raw.Read(func(fd uintptr) bool {
 		c.limiter.mu.Lock()
 		defer c.limiter.mu.Unlock()
 		for {
@@ -160,61 +171,65 @@
 		return err != syscall.EAGAIN
 	})
 	switch {
-	case ended != nil:
-		return 0, ended
+	case rawErr != nil:
+		return 0, rawErr
 	case err != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(),
+			Err: os.NewSyscallError("read", err)}
 	case n == 0 && len(p) > 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// hasLateRequest tells whether a request came at the moment at which the connection's time between requests ended: it
-// is the node's to answer.
+// hasLateRequest tells whether a request was received just as the connection's idle timeout expired: it has to be
+// answered.
 func (c *clientConn) hasLateRequest() bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	return (c.state == stateIdle || c.state == stateSilent) && c.hasUnreadData()
 }
 
-// canHandOver tells whether nothing of a request has come on it. Called under slots.mu.
+// canHandOver tells whether no part of a request was received. Called under limiter.mu.
 func (c *clientConn) canHandOver() bool {
-	return (c.state == stateSilent || c.state == stateIdle && c.isResponseWritten) && len(c.readAhead) == 0 && !c.hasUnrecordedData
+	hasNoRequest := c.state == stateSilent || c.state == stateIdle && c.isResponseWritten
+	return hasNoRequest && len(c.readAhead) == 0 && !c.hasUnrecordedData
 }
 
-// markResponseWritten notes that the last answer is written to the end.
+// markResponseWritten records that the last response is written to the end.
 func (c *clientConn) markResponseWritten() {
 	c.limiter.mu.Lock()
 	c.isResponseWritten = c.state == stateIdle
 	c.limiter.mu.Unlock()
 }
 
-// handOverIfPossible hands the connection over if that is wanted and can be, and tells whether it has.
+// handOverIfPossible hands the connection to the successor process if that was asked for and no request is on it,
+// and tells whether it has.
 func (c *clientConn) handOverIfPossible() bool {
-	s := c.limiter
-	s.mu.Lock()
-	if s.handOver == nil || !c.canHandOver() {
-		s.mu.Unlock()
+	l := c.limiter
+	l.mu.Lock()
+	if l.handOver == nil || !c.canHandOver() {
+		l.mu.Unlock()
 		return false
 	}
-	s.changeState(c, stateClosed)
-	delete(s.conns, c)
-	move := s.handOver
-	s.handOverCount++
-	s.mu.Unlock()
-	// One that can't be handed over is closed: a client sends what crosses that again.
-	_ = move(c)
+	l.changeState(c, stateClosed)
+	delete(l.conns, c)
+	handOver := l.handOver
+	l.handOverCount++
+	l.mu.Unlock()
+	// A connection that can't be handed over is closed: a client retries what it sends at that moment.
+	_ = handOver(c)
 	c.Conn.Close()
-	s.mu.Lock()
-	s.handOverCount--
-	s.mu.Unlock()
+	l.mu.Lock()
+	l.handOverCount--
+	l.mu.Unlock()
 	return true
 }
 
+// clientConnKey is the context key of a request's connection.
 type clientConnKey struct{}
 
-// withClientConn lets a request find its connection.
+// withClientConn adds a connection to the context of its requests.
 func withClientConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, c)
 }
--- a/internal/edgeproxy/client_server.go
+++ b/internal/edgeproxy/client_server.go
@@ -13,51 +13,58 @@
 )
 
 const (
-	readyPath           = "/health/ready"
-	readHeaderTimeout   = 2500 * time.Millisecond // for a request's header, from the connection's start or the first byte
-	writeTimeout        = 10 * time.Second        // from a request's header to the end of its answer
-	clientIdleTimeout   = 30 * time.Second        // for a connection between requests
-	reservedDescriptors = 48                      // descriptors that are neither a client's nor an app server's
+	readyPath         = "/health/ready"         // of the load balancer's health check
+	readHeaderTimeout = 2500 * time.Millisecond // for a request's header, from the connection's start or the first byte
+	writeTimeout      = 10 * time.Second        // from a request's header to the end of its response
+	clientIdleTimeout = 30 * time.Second        // for a connection between requests
+	maxHeaderBytes    = 16 << 10
+
+	reservedDescriptors = 48 // descriptors that are neither a client's nor an app server's
 )
 
-// clientServer is the client side.
+// clientServer accepts clients' connections, reads their requests and writes the final answers.
 type clientServer struct {
 	node           *Node
 	httpServer     *http.Server
 	limiter        *connectionLimiter
+	classes        map[string]policy.Class // by name
+	plans          map[string]bool         // names
 	isReady        atomic.Bool
 	isDraining     atomic.Bool
 	hasPredecessor atomic.Bool // a predecessor still hands clients over
 
-	shutdownAt      atomic.Int64  // Unix time in ns at which all has to be answered, once the end has begun
+	shutdownAt      atomic.Int64  // Unix time in ns at which all has to be answered; 0 before the shutdown begins
 	shutdownExpired chan struct{} // closed then
 
 	listenersMu sync.Mutex
 	listeners   []*limitedListener // on which it accepts, or did
 
-	isOutOfService atomic.Bool // by an operator's word
+	isOutOfService atomic.Bool // by an operator's call; changes under maintenanceMu
 	maintenanceMu  sync.Mutex
-	maintenanceEnd chan struct{} // ends the drain by an operator's word; nil where there is none
-
-	classes map[string]policy.Class
-	plans   map[string]bool
+	maintenanceEnd chan struct{} // closed by the call that ends the maintenance; nil: the node is in service
 }
 
+// newClientServer returns the server of a node's clients, which is not ready yet.
 func newClientServer(n *Node) *clientServer {
-	f := &clientServer{node: n, limiter: newConnectionLimiter(maxClientConns(n.cfg.MaxSockets)),
-		classes: map[string]policy.Class{}, plans: map[string]bool{}, shutdownExpired: make(chan struct{})}
+	s := &clientServer{
+		node:            n,
+		limiter:         newConnectionLimiter(maxClientConns(n.cfg.MaxSockets)),
+		classes:         map[string]policy.Class{},
+		plans:           map[string]bool{},
+		shutdownExpired: make(chan struct{}),
+	}
 	for _, c := range n.cfg.Settings.Classes {
-		f.classes[c.Name] = c
+		s.classes[c.Name] = c
 	}
 	for _, p := range n.cfg.Settings.Plans {
-		f.plans[p.Name] = true
+		s.plans[p.Name] = true
 	}
-	f.httpServer = &http.Server{
-		Handler:           f,
+	s.httpServer = &http.Server{
+		Handler:           s,
 		ReadHeaderTimeout: readHeaderTimeout,
 		WriteTimeout:      writeTimeout,
 		IdleTimeout:       clientIdleTimeout,
-		MaxHeaderBytes:    16 << 10,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext:       withClientConn,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateIdle {
@@ -66,10 +73,10 @@
 		},
 		ErrorLog: n.log,
 	}
-	return f
+	return s
 }
 
-// serve answers clients until drain has ended.
+// serve answers clients that a listener accepts, until drain has ended.
 func (s *clientServer) serve(ln net.Listener) error {
 	l := &limitedListener{Listener: ln, limiter: s.limiter, done: make(chan struct{})}
 	defer close(l.done)
@@ -88,7 +95,7 @@
 	s.serve(before)
 }
 
-// longestDeadline is the longest of all classes.
+// longestDeadline is the longest deadline of all classes.
 func (s *clientServer) longestDeadline() (d time.Duration) {
 	for _, c := range s.node.cfg.Settings.Classes {
 		d = max(d, c.Deadline)
@@ -96,22 +103,22 @@
 	return d
 }
 
-// longestRequest is how long the last request taken may still be under way.
+// longestRequest is how long the last request that was accepted may still take.
 func (s *clientServer) longestRequest() time.Duration {
 	return s.longestDeadline() + s.node.cfg.Settings.ResponseSlack
 }
 
-// maxServerConns and clientSockets share out the descriptors. A request has one
-// attempt out at most, so as many connections to app servers as to clients are
-// enough.
-func maxServerConns(all int) int { return (all - reservedDescriptors) / 2 }
+// maxServerConns is the number of connections to app servers with maxSockets descriptors. A request has one attempt
+// in flight at most, so as many connections to app servers as to clients are enough.
+func maxServerConns(maxSockets int) int { return (maxSockets - reservedDescriptors) / 2 }
 
-func maxClientConns(all int) int { return (all - reservedDescriptors) / 2 }
+// maxClientConns is the number of connections of clients with maxSockets descriptors.
+func maxClientConns(maxSockets int) int { return (maxSockets - reservedDescriptors) / 2 }
 
-// closesConnections tells whether answers should close their connections.
+// closesConnections tells whether responses should close their connections.
 func (s *clientServer) closesConnections() bool {
 	return s.isDraining.Load() || s.isOutOfService.Load()
 }
 
-// isAvailable tells whether the front may send clients here.
+// isAvailable tells whether the load balancer may send clients here.
 func (s *clientServer) isAvailable() bool { return s.isReady.Load() && !s.isOutOfService.Load() }
--- a/internal/edgeproxy/client_watch.go
+++ b/internal/edgeproxy/client_watch.go
@@ -4,24 +4,25 @@
 	"syscall"
 )
 
-// maxReadAhead bounds what is read of later requests while one is open.
+// maxReadAhead limits the bytes that are read of later requests while one is active.
 const maxReadAhead = 16 << 10
 
-// isDisconnectWatch tells whether a read of one byte is the library's watch on a connection whose request has come whole.
+// isDisconnectWatch tells whether a read of one byte is that by which net/http notices that the client of a
+// complete request disconnects.
 func (c *clientConn) isDisconnectWatch() bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	return (c.state == stateActive || c.state == stateReading) && !c.isReadingHead && !c.isWatchEnded
 }
 
-// watchForDisconnect waits until the client leaves or the library ends its watch. The library's own watch ends with the first byte that a
-// client sends behind its request; a client that leaves after that would go unnoticed, and its request be sent on.
-// So what comes is kept here, for the reads of the next request.
+// watchForDisconnect waits until the client disconnects or net/http ends its watch. The watch of net/http itself
+// ends with the first byte that a client sends behind its request; a client that disconnects after that would go
+// unnoticed, and its request be forwarded. So what is received is kept here, for the reads of the next request.
 func (c *clientConn) watchForDisconnect(p []byte) (int, error) {
 	var buf []byte
 	for {
 		if buf == nil {
-			// Most clients send nothing: one byte is enough to wait with.
+			// Most clients send nothing: a buffer of one byte is enough to wait with.
 			n, err := c.readSocket(p)
 			if c.appendReadAhead(p[:n]); err != nil {
 				return 0, err
@@ -29,11 +30,11 @@
 			buf = make([]byte, 2<<10)
 		}
 		n, err := c.readSocket(buf)
-		full := c.appendReadAhead(buf[:n])
+		isFull := c.appendReadAhead(buf[:n])
 		if err != nil {
 			return 0, err
 		}
-		if full {
+		if isFull {
 			c.limiter.mu.Lock()
 			defer c.limiter.mu.Unlock()
 			c.isWatchEnded = true
@@ -44,15 +45,15 @@
 	}
 }
 
-// appendReadAhead keeps what came of later requests and tells whether that is as much as it may be.
-func (c *clientConn) appendReadAhead(p []byte) (full bool) {
+// appendReadAhead keeps what was received of later requests and tells whether the limit is reached.
+func (c *clientConn) appendReadAhead(p []byte) (isFull bool) {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	c.readAhead, c.hasUnrecordedData = append(c.readAhead, p...), false
 	return len(c.readAhead) >= maxReadAhead
 }
 
-// takeReadAhead gives what is kept of later requests.
+// takeReadAhead copies what is kept of later requests to p and returns its length.
 func (c *clientConn) takeReadAhead(p []byte) int {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -63,24 +64,25 @@
 	return n
 }
 
-// isClientGone tells whether the client of the open request has left, where the library's watch has ended before that.
+// isClientGone tells whether the client of the active request has disconnected, where the watch has ended before
+// that.
 func (c *clientConn) isClientGone() bool {
 	c.limiter.mu.Lock()
-	blind := c.isWatchEnded
+	isWatchEnded := c.isWatchEnded
 	c.limiter.mu.Unlock()
-	if !blind {
+	if !isWatchEnded {
 		return false
 	}
-	gone := false
+	isGone := false
 	err := controlSocket(c.Conn, func(fd int) {
 		info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		state := info & 0xff // its first byte
-		gone = err == nil && (state == tcpClose || state == tcpCloseWait || state == tcpLastAck)
+		isGone = err == nil && (state == tcpClose || state == tcpCloseWait || state == tcpLastAck)
 	})
-	return gone || err != nil && err != errNoSocket
+	return isGone || err != nil && err != errNoSocket
 }
 
-// States of a TCP connection, as Linux numbers them: reset, and closed by the peer.
+// States of a TCP connection in Linux: reset, and closed by the peer (TCP_CLOSE, TCP_CLOSE_WAIT and TCP_LAST_ACK).
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
--- a/internal/edgeproxy/connection_limiter.go
+++ b/internal/edgeproxy/connection_limiter.go
@@ -5,84 +5,96 @@
 	"time"
 )
 
-// connectionLimiter bounds the connections of clients, so that descriptors never run out. A new
-// connection is accepted first; if it is one too many, the one that can best be spared
-// is closed, and never one on which a request is open.
+// connectionLimiter limits the connections of clients, so that descriptors never run out. A new connection is
+// accepted first; if it is one too many, the one with the highest eviction priority is closed, and never one on which
+// a request is active.
 type connectionLimiter struct {
 	maxConns     int
-	evictsOldest bool // of those without a request the eldest goes, whatever it is at
+	evictsOldest bool // whatever its state is, unless a request is active
 
-	mu          sync.Mutex
-	conns       map[*clientConn]struct{}
-	silentCount int // of them, those on which nothing has come
-
-	handOver      func(*clientConn) error // hands a connection to the process that takes over; nil: none does
-	handOverCount int                     // connections that it is handing over just now
+	mu            sync.Mutex // also guards the state of each connection
+	conns         map[*clientConn]struct{}
+	silentCount   int                     // connections of conns in stateSilent
+	handOver      func(*clientConn) error // gives a connection to the successor process; nil: there is no handover
+	handOverCount int                     // connections that are being handed over
 }
 
-// isCrowded tells whether answers should close their connections. To close one that has
-// been idle for a moment costs its client the next request, and a new connection, for
-// which another would be closed; one that is told of the close with its answer loses
-// nothing. Silent connections don't count: they give way at no cost.
+// isCrowded tells whether responses should close their connections. To close a connection that has been idle for a
+// moment costs its client the next request, and a new connection, for which another would be closed; a client whose
+// response announces the close loses nothing. Silent connections don't count: they are evicted at no cost.
 func (l *connectionLimiter) isCrowded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return (len(l.conns)-l.silentCount)*4 >= l.maxConns*3
+	return (len(l.conns)-l.silentCount)*4 >= l.maxConns*3 // three quarters
 }
 
-func newConnectionLimiter(n int) *connectionLimiter {
-	return &connectionLimiter{maxConns: n, conns: map[*clientConn]struct{}{}}
+// newConnectionLimiter returns a limiter of maxConns connections.
+func newConnectionLimiter(maxConns int) *connectionLimiter {
+	return &connectionLimiter{maxConns: maxConns, conns: map[*clientConn]struct{}{}}
 }
 
-// add takes in a new connection and returns the one to be closed for it, if any,
-// which is the new one where no other can be spared.
-func (l *connectionLimiter) add(c *clientConn) (spare *clientConn) {
+// add counts a new connection and returns the one to be closed for it, if any, which is the new one if no other can
+// be evicted. The caller closes it.
+func (l *connectionLimiter) add(c *clientConn) (evicted *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	c.stateSince = now
-	for spare == nil && len(l.conns) >= l.maxConns {
-		best := 0
-		for o := range l.conns {
-			if r := o.evictionPriority(now); r > best || r == best && r > 0 && o.stateSince.Before(spare.stateSince) {
-				best, spare = r, o
-			}
-		}
+	for evicted == nil && len(l.conns) >= l.maxConns {
+		evicted = l.evictionCandidate(now)
 		switch {
-		case spare == nil:
+		case evicted == nil:
 			c.state = stateClosed
 			return c
-		case (spare.state != stateReading || !l.evictsOldest) && spare.hasUnreadData():
-			// A request has come that was not read yet: one client more that means to ask. The rest of a head may have
-			// come as well while its goroutine waits for the core: then it is whole, and the node's to answer.
-			l.changeState(spare, stateReading)
-			spare.stateSince, spare.lastReadAt, spare = now, now, nil
+		case (evicted.state != stateReading || !l.evictsOldest) && evicted.hasUnreadData():
+			// A request was received that is not read yet: one client more that is about to ask. The rest of a head
+			// may have been received as well while its goroutine waits for the CPU: then it is complete and has to be
+			// answered.
+			l.changeState(evicted, stateReading)
+			evicted.stateSince, evicted.lastReadAt = now, now
+			evicted = nil
 		default:
-			l.changeState(spare, stateClosed)
-			delete(l.conns, spare)
+			l.changeState(evicted, stateClosed)
+			delete(l.conns, evicted)
 		}
 	}
 	l.conns[c] = struct{}{}
 	l.silentCount++
-	return spare
+	return evicted
 }
 
-// evictIdle ends connections on which no request is open, for a drain: those idle, or silent since
-// they came, for at least the given times. A request that has come on one and was not read
-// keeps it. The caller closes what is returned.
-func (l *connectionLimiter) evictIdle(idleFor, silentFor time.Duration) (shed []*clientConn) {
+// evictionCandidate returns the connection with the highest eviction priority, the oldest of several, or nil if none
+// can be evicted. Called under the mutex.
+func (l *connectionLimiter) evictionCandidate(now time.Time) (candidate *clientConn) {
+	highest := evictNever
+	for c := range l.conns {
+		priority := c.evictionPriority(now)
+		isOlder := priority == highest && priority > evictNever && c.stateSince.Before(candidate.stateSince)
+		if priority > highest || isOlder {
+			highest, candidate = priority, c
+		}
+	}
+	return candidate
+}
+
+// evictIdle takes out connections on which no request is active, for a drain: those idle, or silent since they were
+// accepted, for at least the given times. A request that was received on a connection and not read keeps it. The
+// caller closes what is returned.
+func (l *connectionLimiter) evictIdle(minIdle, minSilent time.Duration) (evicted []*clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	for c := range l.conns {
 		age := now.Sub(c.stateSince)
-		if (c.state == stateIdle && age >= max(idleFor, writtenGrace) || c.state == stateSilent && age >= silentFor) && !c.hasUnreadData() {
+		isIdle := c.state == stateIdle && age >= max(minIdle, writtenGrace)
+		isSilent := c.state == stateSilent && age >= minSilent
+		if (isIdle || isSilent) && !c.hasUnreadData() {
 			l.changeState(c, stateClosed)
 			delete(l.conns, c)
-			shed = append(shed, c)
+			evicted = append(evicted, c)
 		}
 	}
-	return shed
+	return evicted
 }
 
 // changeState changes the state of a connection that counts. Called under the mutex.
@@ -93,60 +105,73 @@
 	c.state = to
 }
 
-// startHandOver has every connection handed over by move as soon as no request is on it.
-func (l *connectionLimiter) startHandOver(move func(*clientConn) error) {
+// startHandOver has every connection handed over by handOver as soon as no request is on it.
+func (l *connectionLimiter) startHandOver(handOver func(*clientConn) error) {
 	l.mu.Lock()
-	l.handOver = move
-	var resting []*clientConn
+	l.handOver = handOver
+	var idle []*clientConn
 	for c := range l.conns {
 		if c.canHandOver() {
-			resting = append(resting, c)
+			idle = append(idle, c)
 		}
 	}
 	l.mu.Unlock()
-	for _, c := range resting {
+	for _, c := range idle {
 		c.Conn.SetReadDeadline(expiredDeadline) // ends its Read, which hands it over
 	}
 }
 
-// count is the number of connections, with those that are just being handed over: a process that ended now would drop them.
+// count returns the number of connections, with those that are being handed over: a process that ended now would
+// drop them.
 func (l *connectionLimiter) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns) + l.handOverCount
 }
 
-// Ages past which a connection is spared more easily.
+// Ages of a state from which a connection is evicted more easily.
 const (
-	silentGrace  = 100 * time.Millisecond // clients that mean to ask do so as soon as they have connected
-	idleGrace    = 2 * time.Second        // a client's due
+	silentGrace  = 100 * time.Millisecond // most clients send a request as soon as they have connected
+	idleGrace    = 2 * time.Second        // for which a client may expect an idle connection to stay open
 	readingGrace = 500 * time.Millisecond // between the pieces of a head
-	writtenGrace = 100 * time.Millisecond // after it an answer is on its way
+	writtenGrace = 100 * time.Millisecond // by then the last response has reached the client
+)
+
+// evictionPriority orders connections by how easily they are evicted.
+type evictionPriority int
+
+const (
+	evictNever       evictionPriority = iota
+	evictSlowHead                     // still sends a request, if slowly
+	evictIdleShort                    // idle, and its last response has reached the client
+	evictSilent                       // silent
+	evictStalledHead                  // has stopped in the middle of a head
+	evictIdleLong                     // idle for longer than a client may expect
+	evictSilentLong                   // silent for longer than a client that is about to ask
 )
 
-// evictionPriority tells how easily a connection is spared; 0 is never. Those that came by hundreds
-// and say nothing go first, then what has been idle for its due or is slow to send, and
-// only then the rest. Called under the mutex.
-func (c *clientConn) evictionPriority(now time.Time) int {
+// evictionPriority tells how easily a connection is evicted. Those that were opened by hundreds and send nothing go
+// first, then those idle for long or slow to send, and only then the rest. Called under the mutex.
+func (c *clientConn) evictionPriority(now time.Time) evictionPriority {
 	age := now.Sub(c.stateSince)
 	switch {
 	case c.limiter.evictsOldest:
 		if c.state == stateActive {
-			return 0
+			return evictNever
 		}
-		return 1
+		return evictSlowHead
 	case c.state == stateSilent && age >= silentGrace:
-		return 6
+		return evictSilentLong
 	case c.state == stateIdle && age >= idleGrace:
-		return 5
+		return evictIdleLong
 	case c.state == stateReading && age >= readingGrace && now.Sub(c.lastReadAt) >= readingGrace:
-		return 4
+		return evictStalledHead
 	case c.state == stateSilent:
-		return 3
+		return evictSilent
 	case c.state == stateIdle && age >= writtenGrace:
-		return 2
+		return evictIdleShort
 	case c.state == stateReading && age >= readingGrace:
-		return 1 // it still writes a request, if slowly
+		return evictSlowHead
 	}
-	return 0
+	return evictNever
 }
--- a/internal/edgeproxy/discovery_watch.go
+++ b/internal/edgeproxy/discovery_watch.go
@@ -8,68 +8,74 @@
 	"mulleinmux/internal/discovery"
 )
 
-// discoveryWatch is the following of one discovery agent.
+// discoveryWatch follows the endpoint list of one discovery agent.
 type discoveryWatch struct {
 	addr    netip.AddrPort
-	isLocal bool // an agent on this machine, to which lists are pushed
+	isLocal bool // the agent is on this machine, and lists are pushed to it
 	cancel  context.CancelFunc
 	done    chan struct{}
 
 	firstCall <-chan struct{} // closed once a list has come, the first call for it has failed, or the watch has ended
 }
 
-// defaultFirstListTimeout is how long a node waits for its agent's list before it is ready: an agent answers at once.
+// defaultFirstListTimeout is how long a node waits for its agent's list before it is ready: an agent answers at
+// once.
 const defaultFirstListTimeout = 300 * time.Millisecond
 
-// awaitFirst waits until a list has come from an agent or is known not to, for a time at most. A register that a fleet asks may be slow: it
-// is not waited for.
-func (w *discoveryWatch) awaitFirst(ctx context.Context, most time.Duration) {
+// awaitFirst waits until a list was received from an agent on this machine or is known not to be, for the timeout
+// at most. A service that a whole fleet polls may be slow: it is not waited for.
+func (w *discoveryWatch) awaitFirst(ctx context.Context, timeout time.Duration) {
 	if !w.isLocal {
 		return
 	}
-	late := time.NewTimer(most)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-w.firstCall:
-	case <-late.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// startWatch follows an agent from a version of the list that came from it; from 0 it
-// tells the whole list. An agent on this machine always does, at no cost: it may have begun its versions anew since.
+// startWatch follows an agent from a version of the list that it has told before; from 0 it tells the complete
+// list. An agent on this machine always does, at no cost: it may have begun its versions anew since.
 func startWatch(ctx context.Context, n *Node, addr netip.AddrPort, from uint64) *discoveryWatch {
-	ctx, stop := context.WithCancel(ctx)
-	w := &discoveryWatch{addr: addr, isLocal: !n.cfg.Settings.PollsEndpoints, cancel: stop, done: make(chan struct{})}
+	ctx, cancel := context.WithCancel(ctx)
+	w := &discoveryWatch{addr: addr, isLocal: !n.cfg.Settings.PollsEndpoints, cancel: cancel, done: make(chan struct{})}
 	if w.isLocal {
 		from = 0
 	}
-	first, came := context.WithCancel(ctx)
-	w.firstCall = first.Done()
-	reg := &discovery.Follower{Addr: addr, Silent: discovery.Silent, Last: from, Near: w.isLocal, Logf: n.log.Printf,
-		Pace: discovery.NewPace(n.cfg.Settings.InstanceCount, n.cfg.Seed),
+	firstCall, endFirstCall := context.WithCancel(ctx)
+	w.firstCall = firstCall.Done()
+	follower := &discovery.Follower{
+		Addr:   addr,
+		Silent: discovery.Silent,
+		Last:   from,
+		Near:   w.isLocal,
+		Logf:   n.log.Printf,
+		Pace:   discovery.NewPace(n.cfg.Settings.InstanceCount, n.cfg.Seed),
 		Apply: func(l discovery.List) {
 			n.endpointsReceived(l)
-			came()
+			endFirstCall()
 		},
-		Failed: came}
-	go func() {
+		Failed: endFirstCall,
+	}
+	go func() { // ends with ctx; stop waits for it
 		defer close(w.done)
-		defer came()
-		reg.Run(ctx)
+		defer endFirstCall()
+		follower.Run(ctx)
 	}()
 	return w
 }
 
-// stop ends the watch; nothing is heard from its agent afterwards.
+// stop ends the watch; nothing is received from its agent afterwards.
 func (w *discoveryWatch) stop() {
 	w.cancel()
 	<-w.done
 }
 
-// reload reads the configuration again and moves the watch if it names another
-// discovery agent. What else it says holds from the next start. A configuration that
-// can't be is logged, and the one in force stays.
+// reload reads the configuration again and moves the watch if it names another discovery agent. What else has
+// changed takes effect at the next start. An invalid configuration is logged, and the one in force stays.
 func (w *discoveryWatch) reload(ctx context.Context, n *Node) *discoveryWatch {
 	cfg, err := n.cfg.reread()
 	if err != nil {
@@ -82,6 +88,6 @@
 	}
 	n.log.Printf("reload: discovery moves from %s to %s", w.addr, cfg.Discovery)
 	w.stop()
-	// Another agent may count its versions in another way.
+	// Another agent may count its versions differently.
 	return startWatch(ctx, n, cfg.Discovery, 0)
 }
--- a/internal/edgeproxy/endings_test.go
+++ b/internal/edgeproxy/endings_test.go
@@ -375,7 +375,7 @@
 	m.isClientGone = func() bool { // asked at that moment
 		drains := app.instance("a")
 		drains.State = policy.Draining
-		closeConns(u.updateEndpoints([]Instance{drains}, false))
+		closeConns(u.updateEndpoints([]Instance{drains}, policy.EndpointsDelta))
 		return false
 	}
 	_, res := u.exchange(t.Context(), "a", &m)
--- a/internal/edgeproxy/engine_actions.go
+++ b/internal/edgeproxy/engine_actions.go
@@ -7,10 +7,11 @@
 	"mulleinmux/policy"
 )
 
-// engineActions carries out what the gateway asks for. All are called under the mutex.
+// engineActions carries out what the engine asks for. All methods are called under the node's mutex.
 type engineActions Node
 
-// SendAttempt starts an attempt, bounded by its timeout and by the client's deadline.
+// SendAttempt starts an attempt, bounded by its timeout (0: none) and by the client's deadline. Its goroutine ends
+// with the attempt; close waits for it.
 func (a *engineActions) SendAttempt(id, server string, timeout time.Duration) {
 	n := (*Node)(a)
 	pending := n.requests[id]
@@ -18,11 +19,11 @@
 		n.logLater("module: send for %s, which is not open", id)
 		return
 	}
-	until := pending.deadline
-	if t := time.Now().Add(timeout); timeout != 0 && t.Before(until) {
-		until = t
+	deadline := pending.deadline
+	if end := time.Now().Add(timeout); timeout != 0 && end.Before(deadline) {
+		deadline = end
 	}
-	ctx, cancel := context.WithDeadline(n.ctx, until)
+	ctx, cancel := context.WithDeadline(n.ctx, deadline)
 	at := &attempt{number: len(pending.attempts), server: server, sentAt: n.now(), cancel: cancel, permit: newSendPermit()}
 	pending.attempts = append(pending.attempts, at)
 	pending.inFlight++
@@ -30,24 +31,28 @@
 	go n.runAttempt(ctx, pending, at)
 }
 
+// RejectRequest ends a request with a rejection, which a client may retry after a while.
 func (a *engineActions) RejectRequest(id string, retryAfter time.Duration) {
 	if pending := a.requests[id]; pending != nil {
 		(*Node)(a).finishRequest(pending, finalAnswer{kind: answerRejected, retryAfter: retryAfter})
 	}
 }
 
+// FailRequest ends a request with a failure.
 func (a *engineActions) FailRequest(id string) {
 	if pending := a.requests[id]; pending != nil {
 		(*Node)(a).finishRequest(pending, finalAnswer{kind: answerFailed})
 	}
 }
 
+// CancelAttempt gives an attempt up.
 func (a *engineActions) CancelAttempt(id string, attempt int) {
 	if pending := a.requests[id]; pending != nil && attempt >= 0 && attempt < len(pending.attempts) {
 		pending.attempts[attempt].cancel()
 	}
 }
 
+// SetTimer fires the timer with a token after a time.
 func (a *engineActions) SetTimer(token uint64, after time.Duration) {
 	n := (*Node)(a)
 	time.AfterFunc(after, func() {
@@ -55,25 +60,30 @@
 	})
 }
 
+// CheckHealth starts a health check. Its goroutine ends at its timeout; close waits for it.
 func (a *engineActions) CheckHealth(server string) {
 	n := (*Node)(a)
 	n.work.Add(1)
 	go n.checkHealth(server)
 }
 
+// SendGossip sends a message to a peer once the event is over. The message is copied: the engine uses its buffer
+// again.
 func (a *engineActions) SendGossip(peer int, message []byte) {
 	n := (*Node)(a)
 	message = append([]byte(nil), message...)
-	if sock := n.gossipSocket; sock != nil {
-		n.afterEvent = append(n.afterEvent, func() { sock.Tell(peer, message, n.log.Printf) })
+	if socket := n.gossipSocket; socket != nil {
+		n.afterEvent = append(n.afterEvent, func() { socket.Tell(peer, message, n.log.Printf) })
 	}
 }
 
-// WatchEndpoints has nothing to do: the list is always watched.
+// WatchEndpoints has nothing to do: the endpoint list is always watched.
 func (a *engineActions) WatchEndpoints(bool) {}
 
+// Log logs what the engine reports.
 func (a *engineActions) Log(text string) { (*Node)(a).logLater("module: %s", text) }
 
+// logLater logs once the event is over. Called under the mutex.
 func (n *Node) logLater(format string, args ...any) {
 	n.afterEvent = append(n.afterEvent, func() { n.log.Printf(format, args...) })
 }
--- a/internal/edgeproxy/exchange.go
+++ b/internal/edgeproxy/exchange.go
@@ -102,8 +102,10 @@
 	}
 }
 
-// startStream returns a response that is streamed, unless the exchange was given up: stop is that of its context.
-func (p *serverPool) startStream(c *serverConn, response serverResponse, stop func() bool) (serverResponse, policy.Result) {
+// startStream returns a response that is streamed, unless the exchange was given up; stop is that of its context.
+func (p *serverPool) startStream(
+	c *serverConn, response serverResponse, stop func() bool,
+) (serverResponse, policy.Result) {
 	if !stop() { // given up: nothing of it is forwarded
 		p.discard(c)
 		return serverResponse{}, policy.Cancelled
@@ -113,8 +115,8 @@
 	return response, policy.OK
 }
 
-// startResponseTimeout begins the client's wait for the response to a streamed body, of which ctx, which was made before,
-// knows nothing.
+// startResponseTimeout begins the client's wait for the response to a streamed body, of which ctx, which was made
+// before, knows nothing.
 func (c *serverConn) startResponseTimeout(ctx context.Context, timeout time.Duration) {
 	c.reader.deadline = time.Now().Add(timeout)
 	c.SetReadDeadline(c.reader.deadline)
@@ -140,10 +142,11 @@
 	}
 }
 
-// checkBeforeSend is asked right before an attempt's first byte. Since the connection was asked for its client may have left or its time have ended,
-// which another goroutine brings to the connection later, or the list may have said that the server drains.
-func (p *serverPool) checkBeforeSend(ctx context.Context, c *serverConn, m *serverRequest) error {
-	if m.isClientGone != nil && m.isClientGone() {
+// checkBeforeSend is called right before an attempt's first byte. Since the connection was acquired the client may
+// have disconnected or the attempt's time have expired, which another goroutine brings to the connection later, or
+// the server may have begun to drain.
+func (p *serverPool) checkBeforeSend(ctx context.Context, c *serverConn, r *serverRequest) error {
+	if r.isClientGone != nil && r.isClientGone() {
 		return errClientGone
 	}
 	if !p.isUp(c.server) {
@@ -152,18 +155,23 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if m.permit != nil && !m.permit.use() {
+	if r.permit != nil && !r.permit.use() {
 		return errAlreadyAnswered
 	}
 	return nil
 }
 
-// unsentResult is the result of an attempt whose last byte was not written, for an error. Where its
-// own time ended first, that says nothing of the server.
+// localErrors are those for which an attempt was not sent by no fault of the server's.
+var localErrors = []error{
+	errNoDescriptor, syscall.EMFILE, syscall.ENFILE, errBodyIncomplete, errClientGone, errAlreadyAnswered,
+}
+
+// unsentResult is the result of an attempt whose last byte was not written because of an error. If its own time
+// expired first, that says nothing of the server.
 func unsentResult(ctx context.Context, err error) policy.Result {
-	for _, own := range []error{errNoDescriptor, syscall.EMFILE, syscall.ENFILE, errBodyIncomplete, errClientGone, errAlreadyAnswered} {
-		if errors.Is(err, own) {
-			return policy.NotSent // no fault of the server's
+	for _, local := range localErrors {
+		if errors.Is(err, local) {
+			return policy.NotSent
 		}
 	}
 	switch {
@@ -175,26 +183,32 @@
 	return policy.ConnectFailed
 }
 
-// serverRequest is what goes on to an app server.
+// serverRequest is what is forwarded to an app server.
 type serverRequest struct {
 	method       string
 	target       string // path and query, byte for byte as the client sent them
 	host         string
-	id           string // X-Trace-Id
+	id           string // X-Trace-Id; empty: a health check
 	key          string // Idempotency-Key
 	contentType  string
-	body         []byte       // whole, or what is held of it
-	rest         *requestBody // where the rest comes from; nil: body is whole
-	isClientGone func() bool  // whether its client has left, unnoticed by others; nil: not known
-	clientLeft   *atomic.Bool // set once its client is known to have left; nil: it has none
-	permit       *sendPermit  // this attempt's, to be written; nil: nobody takes it back
+	body         []byte       // complete, or its first part
+	rest         *requestBody // from which the rest is read; nil: body is complete
+	isClientGone func() bool  // tells whether the client has disconnected unnoticed; nil: not known
+	clientLeft   *atomic.Bool // set once the client is known to have disconnected; nil: there is no client
+	permit       *sendPermit  // of this attempt; nil: nobody revokes it
 }
 
-// httpRequest words the message. The target goes on as it came: as the opaque part of
-// an address it is not encoded anew.
+// Headers and host that are forwarded without having come from the client.
+const (
+	minExpiresIn = 0.001 // seconds
+	defaultHost  = "app.svc"
+)
+
+// httpRequest returns the request as net/http writes it. The target is forwarded as received: as the opaque part of
+// a URL it is not encoded anew.
 func (r *serverRequest) httpRequest(ctx context.Context) *http.Request {
 	path, query, force := strings.Cut(r.target, "?")
-	h := http.Header{"User-Agent": {""}} // none, rather than the library's own
+	h := http.Header{"User-Agent": {""}} // none, rather than that of net/http
 	if r.id != "" {
 		h["X-Trace-Id"] = []string{r.id}
 	}
@@ -205,13 +219,13 @@
 		h["Content-Type"] = []string{r.contentType}
 	}
 	if until, ok := ctx.Deadline(); ok {
-		left := math.Max(time.Until(until).Seconds(), 0.001)
+		left := math.Max(time.Until(until).Seconds(), minExpiresIn)
 		h["X-Expires-In"] = []string{strconv.FormatFloat(left, 'f', 3, 64)}
 	}
 	req := &http.Request{Method: r.method, Host: r.host, Header: h,
 		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: force}}
 	if req.Host == "" {
-		req.Host = "app.svc"
+		req.Host = defaultHost
 	}
 	if r.rest != nil {
 		req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(r.body), r.rest)), r.rest.length
@@ -221,17 +235,24 @@
 	return req
 }
 
-// sendPermit is an attempt's leave to be written, which ends with the request's final answer: an attempt whose connection comes up
-// later than that is not sent on, and the answer waits for one that is just being written.
+// sendPermit permits an attempt to be written until the request has its final answer: an attempt whose connection is
+// established later is not sent, and the answer waits for one that is just being written.
 type sendPermit struct {
-	state atomic.Int32  // 0: may be written; 1: is being written, or was; 2: will not be
-	done  chan struct{} // closed once nothing more of it is written
+	state atomic.Int32  // one of the permit states
+	done  chan struct{} // closed once nothing more of the attempt is written
 }
 
+// States of a permit.
+const (
+	permitUnused int32 = iota
+	permitUsed         // the attempt is being written, or was
+	permitRevoked
+)
+
 func newSendPermit() *sendPermit { return &sendPermit{done: make(chan struct{})} }
 
-// use uses the leave, and is false where that is gone.
-func (p *sendPermit) use() bool { return p.state.CompareAndSwap(0, 1) }
+// use uses the permit and returns false if it was revoked.
+func (p *sendPermit) use() bool { return p.state.CompareAndSwap(permitUnused, permitUsed) }
 
-// revoke takes the leave back, and is false where it was used.
-func (p *sendPermit) revoke() bool { return p.state.CompareAndSwap(0, 2) }
+// revoke revokes the permit and returns false if it was used.
+func (p *sendPermit) revoke() bool { return p.state.CompareAndSwap(permitUnused, permitRevoked) }
--- a/internal/edgeproxy/framing.go
+++ b/internal/edgeproxy/framing.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// checkFraming turns down what can be read in two ways. A request with a Transfer-Encoding as well
-// as a Content-Length can hide another one in its body; the library lets the first win and
-// hides the second, and ignores the first below HTTP/1.1. So the head is looked at as it came.
+// checkFraming rejects a request that can be read in two ways. One with a Transfer-Encoding as well as a
+// Content-Length can hide another one in its body; net/http lets the first win and hides the second, and ignores
+// the first below HTTP/1.1. So the head is looked at as received.
 func checkFraming(r *http.Request, head []byte) error {
 	if r.ProtoMajor != 1 || r.ProtoMinor != 1 {
 		return &badRequestError{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 is spoken here"}
@@ -16,13 +16,16 @@
 		return nil
 	}
 	if len(r.TransferEncoding) != 1 || r.TransferEncoding[0] != "chunked" || !isPlainlyChunked(r, head) {
-		return &badRequestError{status: http.StatusLengthRequired, text: "Transfer-Encoding: one \"chunked\" without a Content-Length is wanted"}
+		return &badRequestError{
+			status: http.StatusLengthRequired,
+			text:   "Transfer-Encoding: one \"chunked\" without a Content-Length is wanted",
+		}
 	}
 	return nil
 }
 
-// isPlainlyChunked tells whether a head is that of the request and has one Transfer-Encoding and
-// no Content-Length. What stands behind its empty line is body, whatever it looks like.
+// isPlainlyChunked tells whether a head is that of the request and has one Transfer-Encoding and no Content-Length.
+// What stands behind its empty line is body, whatever it looks like.
 func isPlainlyChunked(r *http.Request, head []byte) bool {
 	if !isHeadOf(r, head) {
 		return false
@@ -48,7 +51,8 @@
 	return bytes.HasPrefix(head, []byte(r.Method+" "+r.RequestURI+" "))
 }
 
-// pipelinedBytes is what came in one piece with a request, whose head is given as it came, and is of the next one.
+// pipelinedBytes returns what was received in one piece with a request, whose head is given as received, and is
+// part of the next one.
 func pipelinedBytes(r *http.Request, head []byte) []byte {
 	end := bytes.Index(head, []byte("\r\n\r\n")) + 4
 	if end < 4 || r.ContentLength < 0 || int64(len(head)-end) <= r.ContentLength || !isHeadOf(r, head) {
--- a/internal/edgeproxy/health_check.go
+++ b/internal/edgeproxy/health_check.go
@@ -13,15 +13,15 @@
 	healthCheckTimeout = 500 * time.Millisecond // a check that takes longer tells nothing of the present
 )
 
-// checkHealth asks a server for its load.
+// checkHealth asks a server for its load and tells the engine the result.
 func (n *Node) checkHealth(server string) {
 	defer n.work.Done()
 	ctx, cancel := context.WithTimeout(n.ctx, healthCheckTimeout)
 	defer cancel()
-	rep, result := n.pool.exchange(ctx, server, &serverRequest{method: "GET", target: loadReportPath})
-	report := rep.loadReport
+	response, result := n.pool.exchange(ctx, server, &serverRequest{method: "GET", target: loadReportPath})
+	report := response.loadReport
 	if report == nil {
-		report = loadreport.Parse(string(rep.body))
+		report = loadreport.Parse(string(response.body))
 	}
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
 		n.engine.HealthCheckCompleted(now, server, result, report, out)
--- a/internal/edgeproxy/idle_conns.go
+++ b/internal/edgeproxy/idle_conns.go
@@ -12,87 +12,88 @@
 	staleResetWindow            = 20 * time.Millisecond // from the write to the reset of a connection closed as idle
 	idleTimeoutDoublingInterval = 10 * time.Second      // after which a shortened idle timeout doubles
 	maxIdleTimeoutDoublings     = 20                    // by then any shortened timeout is over the configured one
+	prunesPerIdleTimeout        = 8
 	minPruneInterval            = 10 * time.Millisecond
 )
 
-// runIdlePruning closes what has been idle for too long, once every period until ctx ends.
+// runIdlePruning closes connections that have been idle for too long, at intervals until ctx ends.
 func (p *serverPool) runIdlePruning(ctx context.Context) {
-	tick := time.NewTicker(max(p.maxIdleTimeout/8, minPruneInterval))
-	defer tick.Stop()
+	ticker := time.NewTicker(max(p.maxIdleTimeout/prunesPerIdleTimeout, minPruneInterval))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		closeConns(p.pruneIdle())
 	}
 }
 
-// pruneIdle takes the connections that have been idle for too long out of their pools, for the caller to close: at servers
-// outside of this node's part soon, for each server holds only so many and a fleet's nodes are many.
+// pruneIdle takes out the connections that have been idle for too long, for the caller to close: those to servers
+// outside of this node's subset soon, for each server accepts only so many and a fleet has many nodes.
 func (p *serverPool) pruneIdle() (stale []*serverConn) {
-	var near map[string]bool
+	var subset map[string]bool
 	if p.subsetServers != nil {
-		near = p.subsetServers()
+		subset = p.subsetServers()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, b := range p.servers {
-		most := p.maxIdleTimeout
-		if near != nil && !near[id] {
-			most = min(most, outsideSubsetIdleTimeout)
+	for id, server := range p.servers {
+		timeout := p.maxIdleTimeout
+		if subset != nil && !subset[id] {
+			timeout = min(timeout, outsideSubsetIdleTimeout)
 		}
-		fresh := 0
-		for fresh < len(b.idle) && time.Since(b.idle[fresh].idleSince) >= most {
-			fresh++
+		staleCount := 0
+		for staleCount < len(server.idle) && time.Since(server.idle[staleCount].idleSince) >= timeout {
+			staleCount++
 		}
-		stale = append(stale, b.idle[:fresh]...)
-		b.idle = append([]*serverConn(nil), b.idle[fresh:]...)
+		stale = append(stale, server.idle[:staleCount]...)
+		server.idle = append([]*serverConn(nil), server.idle[staleCount:]...)
 	}
 	p.openCount -= len(stale)
 	return stale
 }
 
-// shortenIdleTimeout learns from a kept connection that was reset as soon as it was written to: the
-// server, or something on the way, gives idle connections up sooner than it tells. A
-// request that meets one may have run. From then on the server's connections are kept
-// for half as long as this one stood idle, which doubles again in time.
+// shortenIdleTimeout learns from an idle connection that was reset as soon as it was written to: the server, or a
+// proxy in between, closes idle connections sooner than the settings say, and a request that meets one may have
+// run. From then on the server's connections are kept for half as long as this one was idle, which doubles again in
+// time.
 func (p *serverPool) shortenIdleTimeout(c *serverConn) {
 	p.mu.Lock()
-	b := c.server
-	b.learnedIdleTimeout, b.learnedAt = max(c.idleTime/2, minIdleTimeout), time.Now()
+	server := c.server
+	server.learnedIdleTimeout = max(c.idleTime/2, minIdleTimeout)
+	server.learnedAt = time.Now()
 	p.mu.Unlock()
-	p.closeIdleOf(b)
+	p.closeIdleOf(server)
 }
 
-// idleTimeout is how long an idle connection of the backend may be used again. Called under
-// the mutex.
-func (p *serverPool) idleTimeout(b *serverConns) time.Duration {
-	if b.learnedIdleTimeout == 0 {
+// idleTimeout is how long an idle connection of a server may be used again. Called under the mutex.
+func (p *serverPool) idleTimeout(server *serverConns) time.Duration {
+	if server.learnedIdleTimeout == 0 {
 		return p.maxIdleTimeout
 	}
-	doubled := time.Since(b.learnedAt) / idleTimeoutDoublingInterval
-	if doubled > maxIdleTimeoutDoublings || b.learnedIdleTimeout<<doubled >= p.maxIdleTimeout {
-		b.learnedIdleTimeout = 0
+	doublings := time.Since(server.learnedAt) / idleTimeoutDoublingInterval
+	if doublings > maxIdleTimeoutDoublings || server.learnedIdleTimeout<<doublings >= p.maxIdleTimeout {
+		server.learnedIdleTimeout = 0
 		return p.maxIdleTimeout
 	}
-	return b.learnedIdleTimeout << doubled
+	return server.learnedIdleTimeout << doublings
 }
 
-// closeIdleOf closes a backend's idle connections after silence on one. A machine that
-// vanished or is cut off leaves all of them open and silent; a request written to one
-// more would time out as well and might have run, while a new connection that does
-// not come up proves that it has not.
-func (p *serverPool) closeIdleOf(b *serverConns) {
+// closeIdleOf closes a server's idle connections after one was unresponsive. A machine that vanished or is cut off
+// leaves all of them open and silent; a request written to another would time out as well and might have run, while
+// a new connection that can't be established proves that it has not.
+func (p *serverPool) closeIdleOf(server *serverConns) {
 	p.mu.Lock()
-	stale := b.idle
-	b.idle = nil
+	stale := server.idle
+	server.idle = nil
 	p.openCount -= len(stale)
 	p.mu.Unlock()
 	closeConns(stale)
 }
 
-// defaultMinIdleTime is how long a connection stands idle before its next request. A server's, or a proxy's, fault may send an answer twice, the second
-// some milliseconds late: what comes meanwhile shows in quiet, where later it would be taken for the next request's answer.
+// defaultMinIdleTime is how long a connection is idle before its next request. A faulty server or proxy may send a
+// response twice, the second some milliseconds late: isQuiet finds what is received meanwhile, where later it would
+// be taken for the response to the next request.
 const defaultMinIdleTime = 50 * time.Millisecond
--- a/internal/edgeproxy/limited_listener.go
+++ b/internal/edgeproxy/limited_listener.go
@@ -8,28 +8,30 @@
 	"syscall"
 )
 
-// limitedListener counts what it accepts.
+// limitedListener accepts connections that count at a limiter.
 type limitedListener struct {
 	net.Listener
 	limiter *connectionLimiter
 
+	done chan struct{} // closed once nothing more is accepted; nil where nobody waits for that
+
 	mu         sync.Mutex
-	isFinished bool          // by finish
-	backlog    []net.Conn    // accepted by finish
-	done       chan struct{} // closed once nothing more is accepted; nil where nobody waits for that
+	isFinished bool
+	backlog    []net.Conn // accepted by finish
 }
 
-// finish ends the listening. What the machine has accepted by then is the node's to answer, also where the program has not
-// come to it: closing at once would reset it.
+// finish ends the listening. Connections that the kernel has accepted by then have to be served, also if this
+// process has not accepted them yet: closing at once would reset them.
 func (l *limitedListener) finish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.isFinished = true
-	_ = controlSocket(l.Listener, func(fd int) { l.backlog = acceptPending(fd) }) // of one that is closed there is no rest
+	// A listener that is closed already has no backlog.
+	_ = controlSocket(l.Listener, func(fd int) { l.backlog = acceptPending(fd) })
 	l.Listener.Close()
 }
 
-// acceptNext returns the next connection, those of finish last.
+// acceptNext returns the next connection, those of the backlog last.
 func (l *limitedListener) acceptNext() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err == nil {
@@ -47,6 +49,7 @@
 	return nc, nil
 }
 
+// Accept returns the next connection that is within the limit; a connection that is evicted for it is closed.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.acceptNext()
@@ -54,11 +57,11 @@
 			return nil, err
 		}
 		c := newClientConn(nc, l.limiter)
-		spare := l.limiter.add(c)
-		if spare != nil {
-			spare.Conn.Close()
+		evicted := l.limiter.add(c)
+		if evicted != nil {
+			evicted.Conn.Close()
 		}
-		if spare != c {
+		if evicted != c {
 			return c, nil
 		}
 	}
--- a/internal/edgeproxy/memory_budget.go
+++ b/internal/edgeproxy/memory_budget.go
@@ -10,9 +10,10 @@
 // defaultMemoryMB is the node's memory where the configuration names no limit.
 const defaultMemoryMB = 64
 
-// memoryBudget is the memory that held bodies may take.
+// memoryBudget limits the memory that buffered request bodies take.
 type memoryBudget struct{ available atomic.Int64 }
 
+// newMemoryBudget returns the budget of a node with so many MiB of memory; 0: no limit is known.
 func newMemoryBudget(memoryMB int) *memoryBudget {
 	if memoryMB == 0 {
 		memoryMB = defaultMemoryMB
@@ -31,6 +32,7 @@
 	return false
 }
 
+// release gives n bytes back.
 func (b *memoryBudget) release(n int64) {
 	if n != 0 {
 		b.available.Add(n)
--- a/internal/edgeproxy/metrics.go
+++ b/internal/edgeproxy/metrics.go
@@ -7,36 +7,38 @@
 	"sync"
 )
 
-// metrics are what operators read: requests by class and outcome since the start.
+// metrics count requests by class and outcome since the start, for operators.
 type metrics struct {
+	classes []string // sorted
+
 	mu             sync.Mutex
-	classes        []string // sorted
-	outcomes       map[string]*outcomeCounts
-	inFlight       int   // requests taken and not yet ended
-	sentAttempts   int64 // attempts written whole
-	sentAfterLeave int64 // of these, such as were written for a client that was known to have left
+	outcomes       map[string]*outcomeCounts // by class
+	inFlight       int                       // requests received and not yet ended
+	sentAttempts   int64                     // attempts written to the end
+	sentAfterLeave int64                     // of these, those whose client was known to have disconnected
 }
 
-// outcomeCounts counts the final answers that one class's requests had.
+// outcomeCounts counts the final answers to one class's requests.
 type outcomeCounts struct{ served, rejected, failed int64 }
 
+// newMetrics returns the metrics of some classes, by name.
 func newMetrics(classes []string) *metrics {
-	c := &metrics{classes: append([]string(nil), classes...), outcomes: map[string]*outcomeCounts{}}
-	sort.Strings(c.classes)
-	for _, name := range c.classes {
-		c.outcomes[name] = &outcomeCounts{}
+	m := &metrics{classes: append([]string(nil), classes...), outcomes: map[string]*outcomeCounts{}}
+	sort.Strings(m.classes)
+	for _, name := range m.classes {
+		m.outcomes[name] = &outcomeCounts{}
 	}
-	return c
+	return m
 }
 
-// requestStarted counts a request that has come whole.
+// requestStarted counts a request that was received completely.
 func (m *metrics) requestStarted() {
 	m.mu.Lock()
 	m.inFlight++
 	m.mu.Unlock()
 }
 
-// requestEnded counts a request as ended, once its last byte is written or its client has gone.
+// requestEnded counts a request as ended, once its last byte is written or its client has disconnected.
 func (m *metrics) requestEnded(class string, kind answerKind) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,16 +53,16 @@
 	}
 }
 
-// attemptSent counts an attempt whose last byte is written, and whether its client had left by then.
-func (m *metrics) attemptSent(left bool) {
+// attemptSent counts an attempt whose last byte is written, and whether its client had disconnected by then.
+func (m *metrics) attemptSent(clientLeft bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.sentAttempts++; left {
+	if m.sentAttempts++; clientLeft {
 		m.sentAfterLeave++
 	}
 }
 
-// text words the figures, one a line.
+// text returns the metrics as operators read them, one key=value a line.
 func (m *metrics) text(size, unhealthy int) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,21 +72,24 @@
 		fmt.Fprintf(&b, "app.answered.%s=%d\napp.deferred.%s=%d\napp.errored.%s=%d\n",
 			name, o.served, name, o.rejected, name, o.failed)
 	}
-	fmt.Fprintf(&b, "app.sends=%d\napp.sends_after_leave=%d\napp.current=%d\napp.cluster_size=%d\napp.cluster_unhealthy=%d\n",
-		m.sentAttempts, m.sentAfterLeave, m.inFlight, size, unhealthy)
+	fmt.Fprintf(&b, "app.sends=%d\napp.sends_after_leave=%d\n", m.sentAttempts, m.sentAfterLeave)
+	fmt.Fprintf(&b, "app.current=%d\napp.cluster_size=%d\napp.cluster_unhealthy=%d\n", m.inFlight, size, unhealthy)
 	return b.String()
 }
 
-// metricsText words what operators read.
+// metricsText returns the metrics of the node and of its engine, one key=value a line.
 func (n *Node) metricsText() string {
 	n.mu.Lock()
 	size, unhealthy := n.engine.ServerCounts(n.now())
-	part, doubted := n.engine.SubsetCounts()
-	var rules strings.Builder
-	fmt.Fprintf(&rules, "choice.part=%d\nchoice.part_doubted=%d\n", part, doubted)
-	n.engine.EachRejectionCount(func(rule string, count uint64) { fmt.Fprintf(&rules, "choice.refused.%s=%d\n", rule, count) })
-	b := n.engine.OverQuotaUnits()
-	fmt.Fprintf(&rules, "choice.beyond_quota.sent=%.0f\nchoice.beyond_quota.found=%.0f\n", b.Sent, b.Discovered)
+	subsetSize, suspectedCount := n.engine.SubsetCounts()
+	var b strings.Builder
+	fmt.Fprintf(&b, "choice.part=%d\nchoice.part_doubted=%d\n", subsetSize, suspectedCount)
+	n.engine.EachRejectionCount(func(rule string, count uint64) {
+		fmt.Fprintf(&b, "choice.refused.%s=%d\n", rule, count)
+	})
+	overQuota := n.engine.OverQuotaUnits()
+	fmt.Fprintf(&b, "choice.beyond_quota.sent=%.0f\n", overQuota.Sent)
+	fmt.Fprintf(&b, "choice.beyond_quota.found=%.0f\n", overQuota.Discovered)
 	n.mu.Unlock()
-	return n.metrics.text(size, unhealthy) + rules.String()
+	return n.metrics.text(size, unhealthy) + b.String()
 }
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -1,6 +1,23 @@
-// Package node is the real edge node: the host of a [policy.Engine] on sockets.
-// It moves bytes, keeps the clock and enforces what the module relies on; what is
-// sent where, refused or tried again is decided in package choice alone.
+// Package edgeproxy is the edge node: the host of a [policy.Engine] on sockets. It moves bytes, keeps the clock and
+// enforces what the engine relies on; which request is admitted, where it is forwarded and whether it is retried is
+// decided in package policy alone.
+//
+// It owns the clients' connections, the connections to app servers, the requests under way, the watch of the endpoint
+// list, the gossip socket, the calls of operators and the hot restart. The way of a request:
+//
+//   - limited_listener.go accepts the connection, which counts in connection_limiter.go; client_conn.go reads from it,
+//     client_watch.go notices that the client disconnects.
+//   - serve_request.go has the request checked (framing.go on the head that request_head.go keeps, request_parsing.go)
+//     and its body read (request_body.go, within memory_budget.go).
+//   - request_table.go records it and asks the engine, whose decision engine_actions.go carries out.
+//   - exchange.go writes an attempt to a connection of server_pool.go and reads the response (server_conn.go);
+//     idle_conns.go keeps connections between exchanges, health_check.go asks for a server's load.
+//   - request_table.go tells the engine the result; answer_writing.go writes the final answer, and response_stream.go
+//     forwards a long response.
+//
+// run.go starts and ends a process (shutdown.go); maintenance.go drains it by an operator's call (admin_server.go,
+// with the figures of metrics.go); hot_restart.go describes how a process takes over from another
+// (successor_listener.go, predecessor.go); discovery_watch.go follows the endpoint list.
 package edgeproxy
 
 import (
@@ -16,45 +33,51 @@
 	"mulleinmux/policy"
 )
 
-// Node hosts the gateway of one edge node. Its events come from many goroutines;
-// one mutex makes them one sequence. The gateway's actions change the books under
-// the mutex; what does I/O runs after it is released or in a goroutine of its own.
+// Node hosts the engine of one edge node. Its events come from many goroutines; one mutex makes them one sequence.
+// The engine's actions change the request table under the mutex; what does I/O runs after it is released or in a
+// goroutine of its own.
 type Node struct {
 	cfg     *Config
 	log     *log.Logger
-	start   time.Time // the clock reads Unix time at the start plus the monotonic time since
-	ctx     context.Context
+	start   time.Time       // the clock reads Unix time at the start plus the monotonic time since
+	ctx     context.Context // ends attempts and health checks
 	pool    *serverPool
 	metrics *metrics
 	memory  *memoryBudget
+	work    sync.WaitGroup // attempts, health checks and spawned goroutines; close waits for them
 
 	mu           sync.Mutex
 	engine       *policy.Engine
-	gossipSocket *gossip.Socket // nil where edge nodes don't message each other, or another process does
-	requests     map[string]*pendingRequest
-	afterEvent   []func() // what the event under way leaves to do without the mutex
-	isClosed     bool     // no more events
-	work         sync.WaitGroup
+	gossipSocket *gossip.Socket             // nil where edge nodes may not gossip, or another process does
+	requests     map[string]*pendingRequest // by ID
+	afterEvent   []func()                   // what the event under way leaves to do without the mutex
+	isClosed     bool                       // no more events
 }
 
-// newNode makes a node whose goroutines end with ctx.
+// newNode returns a node whose goroutines end with ctx.
 func newNode(ctx context.Context, cfg *Config, logger *log.Logger) (*Node, error) {
-	gw, err := policy.New(cfg.Settings, cfg.Seed)
+	engine, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	var classes []string
-	for _, c := range cfg.Settings.Classes {
-		classes = append(classes, c.Name)
+	for _, class := range cfg.Settings.Classes {
+		classes = append(classes, class.Name)
 	}
 	n := &Node{
-		metrics: newMetrics(classes),
-		memory:  newMemoryBudget(cfg.MemoryMB),
-		cfg:     cfg, log: logger, start: time.Now(), ctx: ctx, engine: gw, requests: map[string]*pendingRequest{},
-		pool: newServerPool(cfg.Transport, maxServerConns(cfg.MaxSockets)),
+		cfg:      cfg,
+		log:      logger,
+		start:    time.Now(),
+		ctx:      ctx,
+		pool:     newServerPool(cfg.Transport, maxServerConns(cfg.MaxSockets)),
+		metrics:  newMetrics(classes),
+		memory:   newMemoryBudget(cfg.MemoryMB),
+		engine:   engine,
+		requests: map[string]*pendingRequest{},
 	}
 	n.pool.minIdleTime = cfg.minIdleTime
-	n.pool.onSent, n.pool.subsetServers = n.metrics.attemptSent, n.subsetServers
+	n.pool.onSent = n.metrics.attemptSent
+	n.pool.subsetServers = n.subsetServers
 	return n, nil
 }
 
@@ -63,9 +86,8 @@
 	return time.Duration(n.start.UnixNano()) + time.Since(n.start)
 }
 
-// handleEvent runs one event of the gateway, then what its actions left to do. It tells
-// whether the event came through: a panic of the module is logged, with the stack
-// that names its cause, and costs the one event.
+// handleEvent runs one event of the engine, then what its actions left to do. It tells whether the event was
+// handled: a panic of the engine is logged, with the stack that names its cause, and costs the one event.
 func (n *Node) handleEvent(f func(now time.Duration, out policy.Actions)) bool {
 	n.mu.Lock()
 	ok := !n.isClosed && n.runGuarded(f)
@@ -78,6 +100,7 @@
 	return ok
 }
 
+// runGuarded runs an event and tells whether it did not panic. Called under the mutex.
 func (n *Node) runGuarded(f func(now time.Duration, out policy.Actions)) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -89,8 +112,7 @@
 	return true
 }
 
-// close ends the node's events, then waits for its attempts and probes, whose context
-// has ended.
+// close ends the node's events, then waits for its attempts and health checks, whose context has ended.
 func (n *Node) close() {
 	n.mu.Lock()
 	n.isClosed = true
@@ -99,8 +121,8 @@
 	n.pool.close()
 }
 
-// spawn runs f in a goroutine that close waits for; f ends with the node's context. It is false
-// once the node is closed.
+// spawn runs f in a goroutine that close waits for; f ends with the node's context. It returns false if the node is
+// closed.
 func (n *Node) spawn(f func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,33 +133,33 @@
 	return true
 }
 
-// setGossipSocket gives the node the socket on which its peers are heard.
-func (n *Node) setGossipSocket(sock *gossip.Socket) {
+// setGossipSocket gives the node the socket on which it gossips.
+func (n *Node) setGossipSocket(socket *gossip.Socket) {
 	n.mu.Lock()
-	n.gossipSocket = sock
+	n.gossipSocket = socket
 	n.mu.Unlock()
 }
 
-// takeGossipSocket takes the peers' socket away from the node.
+// takeGossipSocket takes the gossip socket away from the node.
 func (n *Node) takeGossipSocket() *gossip.Socket {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	sock := n.gossipSocket
+	socket := n.gossipSocket
 	n.gossipSocket = nil
-	return sock
+	return socket
 }
 
-// exportState returns what the module hands to the process that takes over, and the peers'
-// socket, on which nothing is sent any more. The requests under way go on.
-func (n *Node) exportState() (state []byte, sock *gossip.Socket, err error) {
+// exportState returns the engine's state for the successor process, and the gossip socket, on which nothing is sent
+// any more. The requests in flight go on.
+func (n *Node) exportState() (state []byte, socket *gossip.Socket, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	sock, n.gossipSocket = n.gossipSocket, nil
+	socket, n.gossipSocket = n.gossipSocket, nil
 	state, err = n.engine.ExportState(n.now())
-	return state, sock, err
+	return state, socket, err
 }
 
-// importState goes on from what another process's module knew.
+// importState goes on from the state of another process's engine. One that is invalid is logged, and not used.
 func (n *Node) importState(state []byte) {
 	n.mu.Lock()
 	err := n.engine.ImportState(n.now(), state)
@@ -147,42 +169,42 @@
 	}
 }
 
-// subsetServers names the servers to which connections are kept.
+// subsetServers returns the IDs of the servers to which idle connections are kept; nil: all.
 func (n *Node) subsetServers() map[string]bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.engine.SubsetServerIDs()
 }
 
-// startEngine starts the gateway with the saved list.
+// startEngine starts the engine with the saved endpoint list.
 func (n *Node) startEngine() {
 	n.handleEvent(func(now time.Duration, out policy.Actions) { n.engine.Start(now, out) })
 	n.updateEndpoints(n.cfg.SavedEndpoints, policy.EndpointsSaved)
 }
 
-// updateEndpoints hands a list to the connections and to the gateway, as one event.
-func (n *Node) updateEndpoints(l discovery.List, form policy.EndpointUpdateKind) {
+// updateEndpoints hands an endpoint list to the server pool and to the engine, as one event.
+func (n *Node) updateEndpoints(l discovery.List, kind policy.EndpointUpdateKind) {
 	servers := make([]policy.Server, len(l.Servers))
 	for i, s := range l.Servers {
 		servers[i] = s.Server
 	}
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
-		stale := n.pool.updateEndpoints(l.Servers, form != policy.EndpointsDelta)
+		stale := n.pool.updateEndpoints(l.Servers, kind)
 		n.afterEvent = append(n.afterEvent, func() { closeConns(stale) })
-		n.engine.EndpointsChanged(now, form, servers, out)
+		n.engine.EndpointsChanged(now, kind, servers, out)
 	})
 }
 
-// endpointsReceived hands a message of discovery on.
+// endpointsReceived hands a list from discovery on.
 func (n *Node) endpointsReceived(l discovery.List) {
-	form := policy.EndpointsDelta
+	kind := policy.EndpointsDelta
 	if l.Full {
-		form = policy.EndpointsComplete
+		kind = policy.EndpointsComplete
 	}
-	n.updateEndpoints(l, form)
+	n.updateEndpoints(l, kind)
 }
 
-// gossipReceived hands a message of a peer on.
+// gossipReceived hands a peer's message on.
 func (n *Node) gossipReceived(from int, message []byte) {
 	n.handleEvent(func(now time.Duration, out policy.Actions) { n.engine.GossipReceived(now, from, message, out) })
 }
--- a/internal/edgeproxy/predecessor.go
+++ b/internal/edgeproxy/predecessor.go
@@ -10,14 +10,20 @@
 	"syscall"
 )
 
-// predecessor is the successor's side.
+const (
+	stateSizeLength  = 4 // bytes of the first state message
+	descriptorLength = 4 // bytes of a descriptor in a control message
+)
+
+// predecessor is the successor's side of a hot restart: the connection to the process that serves. As a listener it
+// accepts the clients that this process hands over.
 type predecessor struct {
 	conn *net.UnixConn
 	buf  []byte
 }
 
-// findPredecessor meets the process that serves. It returns nil where there is none; with
-// an error, where something stands in its place.
+// findPredecessor connects to the process that serves. It returns nil if there is none, with an error if something
+// else stands at the path.
 func findPredecessor(path string) (*predecessor, error) {
 	c, err := net.DialTimeout("unixpacket", path, handoverMessageTimeout)
 	if errors.Is(err, os.ErrNotExist) {
@@ -34,66 +40,76 @@
 	return &predecessor{conn: c.(*net.UnixConn), buf: make([]byte, maxStateChunk+1)}, nil
 }
 
-// confirmTakeover tells the predecessor that its place is taken.
+// confirmTakeover tells the predecessor that this process has taken over.
 func (p *predecessor) confirmTakeover() {
-	// One that has gone meanwhile has nothing to be told.
+	// A predecessor that has gone meanwhile needs no answer.
 	_, _ = p.conn.Write([]byte{msgTakenOver})
 }
 
-// inheritedState is what comes before the word to go.
+// inheritedState is what a predecessor sends before clients.
 type inheritedState struct {
 	engineState []byte
-	gossipConn  *net.UDPConn // nil: none came
+	gossipConn  *net.UDPConn // nil: it sent none
 }
 
-// awaitState waits for the predecessor's word to go. Its error means that the predecessor has
-// ended without one, or that ctx has.
-func (p *predecessor) awaitState(ctx context.Context) (in inheritedState, err error) {
+// awaitState waits for the predecessor's state until the successor may go. Its error means that the predecessor has
+// ended before, or that ctx has.
+func (p *predecessor) awaitState(ctx context.Context) (state inheritedState, err error) {
 	stop := context.AfterFunc(ctx, func() { p.conn.SetReadDeadline(expiredDeadline) })
 	defer stop()
 	defer func() {
-		if err != nil && in.gossipConn != nil {
-			in.gossipConn.Close()
+		if err != nil && state.gossipConn != nil {
+			state.gossipConn.Close()
 		}
 	}()
-	size := -1
+	stateSize := -1 // not known yet
 	for {
 		kind, body, file, err := p.readMessage()
 		if err != nil {
-			return in, err
+			return state, err
 		}
 		switch {
-		case kind == msgState && size < 0 && len(body) == 4:
-			size = int(binary.BigEndian.Uint32(body))
+		case kind == msgState && stateSize < 0 && len(body) == stateSizeLength:
+			stateSize = int(binary.BigEndian.Uint32(body))
 		case kind == msgState:
-			if in.engineState = append(in.engineState, body...); len(in.engineState) > size {
-				return in, errors.New("handover: more state than was announced")
+			state.engineState = append(state.engineState, body...)
+			if len(state.engineState) > stateSize {
+				return state, errors.New("handover: more state than was announced")
 			}
 		case kind == msgGossipSocket && file != nil:
-			pc, err := net.FilePacketConn(file)
-			file.Close()
-			if err != nil {
-				return in, fmt.Errorf("handover: peers' socket: %w", err)
+			if err := state.takeGossipSocket(file); err != nil {
+				return state, err
 			}
-			var ok bool
-			if in.gossipConn, ok = pc.(*net.UDPConn); !ok {
-				pc.Close()
-				return in, errors.New("handover: peers' socket is none")
-			}
-		case kind == msgGo && len(in.engineState) == size:
-			return in, nil
+		case kind == msgGo && len(state.engineState) == stateSize:
+			return state, nil
 		default:
 			if file != nil {
 				file.Close()
 			}
-			return in, fmt.Errorf("handover: message %q of %d bytes out of place", kind, len(body))
+			return state, fmt.Errorf("handover: message %q of %d bytes out of place", kind, len(body))
 		}
 	}
 }
 
-// readMessage reads one message.
+// takeGossipSocket takes the gossip socket from its descriptor, which it closes.
+func (s *inheritedState) takeGossipSocket(file *os.File) error {
+	conn, err := net.FilePacketConn(file)
+	file.Close()
+	if err != nil {
+		return fmt.Errorf("handover: peers' socket: %w", err)
+	}
+	var isUDP bool
+	if s.gossipConn, isUDP = conn.(*net.UDPConn); !isUDP {
+		conn.Close()
+		return errors.New("handover: peers' socket is none")
+	}
+	return nil
+}
+
+// readMessage reads one message. Its body is valid until the next one is read; file is the descriptor beside it,
+// nil if there is none.
 func (p *predecessor) readMessage() (kind byte, body []byte, file *os.File, err error) {
-	oob := make([]byte, syscall.CmsgSpace(4))
+	oob := make([]byte, syscall.CmsgSpace(descriptorLength))
 	n, oobn, flags, _, err := p.conn.ReadMsgUnix(p.buf, oob)
 	if err == nil && n == 0 {
 		err = net.ErrClosed
@@ -112,7 +128,7 @@
 	return p.buf[0], p.buf[1:n], file, nil
 }
 
-// receivedDescriptor returns the descriptor that came beside a message.
+// receivedDescriptor returns the descriptor that was received beside a message.
 func receivedDescriptor(oob []byte) (*os.File, error) {
 	msgs, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil || len(msgs) != 1 {
@@ -126,8 +142,7 @@
 	return os.NewFile(uintptr(fds[0]), "inherited"), nil
 }
 
-// Accept returns the next client's connection that the predecessor hands over. With it a
-// legacy is a listener; its error is final.
+// Accept returns the next client's connection that the predecessor hands over. Its error is final.
 func (p *predecessor) Accept() (net.Conn, error) {
 	for {
 		kind, _, file, err := p.readMessage()
@@ -140,7 +155,7 @@
 		c, err := net.FileConn(file)
 		file.Close()
 		if err != nil {
-			continue // the client has gone
+			continue // the client has disconnected
 		}
 		if kind == msgClient {
 			return c, nil
@@ -149,15 +164,15 @@
 	}
 }
 
-// Close ends what the predecessor hands over.
+// Close closes the connection to the predecessor.
 func (p *predecessor) Close() error { return p.conn.Close() }
 
-// Addr is the address of the socket between both.
+// Addr is the address of the socket between both processes.
 func (p *predecessor) Addr() net.Addr { return p.conn.LocalAddr() }
 
-// inheritedListener is a listening socket that the process was started with.
+// inheritedListener returns the listening socket that the process was started with.
 func inheritedListener(fd int) (net.Listener, error) {
-	// Before os.NewFile, which would own, and some day close, what is not ours.
+	// Checked before os.NewFile, which would own, and some day close, a descriptor that is not ours.
 	switch accepts, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); {
 	case err != nil:
 		return nil, fmt.Errorf("PROXY_ACCEPT_FD: descriptor %d: %w", fd, err)
--- a/internal/edgeproxy/request_body.go
+++ b/internal/edgeproxy/request_body.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// A request's body is buffered whole where memory allows that, so that a retry can send it again and the engine is asked
-// when the client's wait begins. For a longer one the engine is asked with its first part, and the rest is streamed: once
-// some of that is forwarded there is no retry.
+// A request's body is buffered where memory allows that, so that a retry can send it again and the engine is asked
+// when the client's wait begins. For a longer one the engine is asked with its first part, and the rest is streamed:
+// once some of that is forwarded there is no retry.
 const (
 	alwaysBufferedBody  = 64 << 10                // bytes of a request's body that is buffered whatever memory is left
 	maxBufferedBody     = 2 << 20                 // bytes of one request's body that are buffered
@@ -22,36 +22,38 @@
 	bodyStallTimeout    = 1500 * time.Millisecond // without a byte of a longer one
 	minBodyRate         = 16 << 10                // bytes a second that a longer one must keep
 	forwardWriteTimeout = 5 * time.Second         // for an app server to accept a chunk of a body
+	initialChunkedBody  = 2 << 10                 // bytes of the first buffer for a body of unknown length
 )
 
-// requestBody is a request's body as it comes from the client.
+// requestBody is a request's body as it is received from the client.
 type requestBody struct {
 	source          io.Reader
 	controller      *http.ResponseController
-	startedAt       time.Time // when the request's first byte came
-	received        int64
-	length          int64         // of all, also of what is held already; -1: not told
-	responseTimeout time.Duration // of the client, from the last byte
-	onForwarded     func()        // called once the last byte has gone on
+	startedAt       time.Time     // when the request's first byte was received
+	received        int64         // bytes
+	length          int64         // bytes, with those that are buffered already; -1: not known
+	responseTimeout time.Duration // that the client waits, from the last byte
+	onForwarded     func()        // called once the last byte is forwarded
 
-	isUsed       atomic.Bool // some of it has gone on
-	isForwarding atomic.Bool // an attempt has it
+	isUsed       atomic.Bool // some of it is forwarded
+	isForwarding atomic.Bool // an attempt reads it
 	isBroken     atomic.Bool // its client has stopped sending
-	forwardedAt  time.Time   // when the last byte had gone on
+	forwardedAt  time.Time   // when the last byte was forwarded
 }
 
-// Read waits for as long as the client keeps sending.
+// Read waits for as long as the client keeps sending. Errors are errBodyIncomplete, or errBodyTooLarge which wraps
+// it.
 func (b *requestBody) Read(p []byte) (int, error) {
 	now := time.Now()
-	least := b.startedAt.Add(minBodyTimeout)
-	until := least.Add(time.Duration(b.received) * time.Second / minBodyRate)
-	if stall := now.Add(bodyStallTimeout); until.After(stall) {
-		until = stall
+	earliest := b.startedAt.Add(minBodyTimeout)
+	deadline := earliest.Add(time.Duration(b.received) * time.Second / minBodyRate)
+	if stall := now.Add(bodyStallTimeout); deadline.After(stall) {
+		deadline = stall
 	}
-	if until.Before(least) {
-		until = least
+	if deadline.Before(earliest) {
+		deadline = earliest
 	}
-	if err := b.controller.SetReadDeadline(until); err != nil {
+	if err := b.controller.SetReadDeadline(deadline); err != nil {
 		return 0, errors.Join(errBodyIncomplete, err)
 	}
 	n, err := b.source.Read(p)
@@ -66,24 +68,23 @@
 	return n, err
 }
 
-// maxRemainingTime is how long the rest may take at the most.
+// maxRemainingTime is how long the rest may take at most.
 func (b *requestBody) maxRemainingTime() time.Duration {
-	left := maxRequestBody - b.received
+	remaining := maxRequestBody - b.received
 	if b.length >= 0 {
-		left = b.length - b.received
+		remaining = b.length - b.received
 	}
-	return minBodyTimeout + bodyStallTimeout + time.Duration(left)*time.Second/minBodyRate
+	return minBodyTimeout + bodyStallTimeout + time.Duration(remaining)*time.Second/minBodyRate
 }
 
-// discard reads the rest and drops it: the client has its answer, and might not look for it
-// before it has sent all.
+// discard reads the rest and drops it: the client has its response, and might not read it before it has sent all.
 func (b *requestBody) discard() {
 	if !b.isForwarding.Load() {
 		io.Copy(io.Discard, b)
 	}
 }
 
-// forward writes a request whose body comes from the intake.
+// forward writes a request whose body it is.
 func (b *requestBody) forward(req *http.Request, c net.Conn) error {
 	b.isUsed.Store(true)
 	b.isForwarding.Store(true)
@@ -102,76 +103,98 @@
 	return nil
 }
 
-// errBodyIncomplete is the error of a body that the client does not send to its end, or that is gone.
+// errBodyIncomplete is the error of a body that the client does not send to its end, or that was read already.
 var errBodyIncomplete = errors.New("body: incomplete")
 
+// errBodyTooLarge is the error of a body of more than maxRequestBody bytes.
 var errBodyTooLarge = fmt.Errorf("%w: over %d MiB", errBodyIncomplete, maxRequestBody>>20)
 
-// chunkWriter gives each write a time of its own.
+// chunkWriter gives each write a timeout of its own.
 type chunkWriter struct {
 	net.Conn
 	timeout time.Duration
 }
 
+// Write writes a chunk within the timeout.
 func (w *chunkWriter) Write(p []byte) (int, error) {
 	w.SetWriteDeadline(time.Now().Add(w.timeout))
 	return w.Conn.Write(p)
 }
 
-// readBody reads a request's body: whole, or the first of one too long to be held, with the
-// rest in more. began is when the request's first byte came. held is what the body takes of the
-// budget, also beside an error.
-func readBody(w http.ResponseWriter, r *http.Request, began time.Time, mem *memoryBudget) (body []byte, more *requestBody, held int64, err error) {
+// readBody reads a request's body: complete, or the first part of one too long to be buffered, with the rest in rest.
+// startedAt is when the request's first byte was received. reserved is what the body takes of the budget, also beside
+// an error.
+func readBody(w http.ResponseWriter, r *http.Request, startedAt time.Time, budget *memoryBudget) (
+	body []byte, rest *requestBody, reserved int64, err error,
+) {
 	if r.ContentLength == 0 {
 		return nil, nil, 0, nil
 	}
-	tooLarge := &badRequestError{status: http.StatusRequestEntityTooLarge, text: fmt.Sprintf("body: over %d MiB", maxRequestBody>>20)}
+	tooLarge := &badRequestError{
+		status: http.StatusRequestEntityTooLarge,
+		text:   fmt.Sprintf("body: over %d MiB", maxRequestBody>>20),
+	}
 	if r.ContentLength > maxRequestBody {
 		return nil, nil, 0, tooLarge
 	}
-	in := &requestBody{source: r.Body, controller: http.NewResponseController(w), startedAt: began, length: r.ContentLength}
-	defer func() {
-		if err == nil && more == nil {
-			err = in.controller.SetReadDeadline(time.Time{})
-		}
-		if errors.Is(err, errBodyTooLarge) {
-			err = tooLarge
-		} else if err != nil {
-			err = badRequestf("body: incomplete")
-		}
-	}()
-	if n := r.ContentLength; n > 0 {
-		if n > alwaysBufferedBody {
-			if n > maxBufferedBody || !mem.reserve(n) {
-				body = make([]byte, alwaysBufferedBody)
-				_, err = io.ReadFull(in, body)
-				return body, in, 0, err
-			}
-			held = n
+	source := &requestBody{
+		source:     r.Body,
+		controller: http.NewResponseController(w),
+		startedAt:  startedAt,
+		length:     r.ContentLength,
+	}
+	if r.ContentLength > 0 {
+		body, rest, reserved, err = source.readSized(budget)
+	} else {
+		body, rest, reserved, err = source.readChunked(budget)
+	}
+	if err == nil && rest == nil {
+		err = source.controller.SetReadDeadline(time.Time{})
+	}
+	if errors.Is(err, errBodyTooLarge) {
+		err = tooLarge
+	} else if err != nil {
+		err = badRequestf("body: incomplete")
+	}
+	return body, rest, reserved, err
+}
+
+// readSized reads a body whose length is known. Its results are those of readBody.
+func (b *requestBody) readSized(budget *memoryBudget) (body []byte, rest *requestBody, reserved int64, err error) {
+	if b.length > alwaysBufferedBody {
+		if b.length > maxBufferedBody || !budget.reserve(b.length) {
+			body = make([]byte, alwaysBufferedBody)
+			_, err = io.ReadFull(b, body)
+			return body, b, 0, err
 		}
-		body = make([]byte, n)
-		_, err = io.ReadFull(in, body)
-		return body, nil, held, err
+		reserved = b.length
 	}
-	// Chunked: its length is not known.
-	body = make([]byte, 0, 2<<10)
+	body = make([]byte, b.length)
+	_, err = io.ReadFull(b, body)
+	return body, nil, reserved, err
+}
+
+// readChunked reads a body whose length is not known. Its results are those of readBody.
+func (b *requestBody) readChunked(budget *memoryBudget) (body []byte, rest *requestBody, reserved int64, err error) {
+	body = make([]byte, 0, initialChunkedBody)
 	for {
 		if len(body) == cap(body) {
-			if want := int64(2 * cap(body)); want > alwaysBufferedBody {
-				if want > maxBufferedBody || !mem.reserve(want-held) {
-					return body, in, held, nil
+			doubled := int64(2 * cap(body))
+			if doubled > alwaysBufferedBody {
+				if doubled > maxBufferedBody || !budget.reserve(doubled-reserved) {
+					return body, b, reserved, nil
 				}
-				held = want
+				reserved = doubled
 			}
 			body = append(make([]byte, 0, 2*cap(body)), body...)
 		}
-		n, err := in.Read(body[len(body):cap(body)])
+		n, err := b.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		if err == io.EOF {
-			return body, nil, held, nil
+			return body, nil, reserved, nil
 		}
 		if err != nil {
-			return nil, nil, held, err
+			return nil, nil, reserved, err
 		}
 	}
 }
--- a/internal/edgeproxy/request_head.go
+++ b/internal/edgeproxy/request_head.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// maxRecordedHead bounds what is kept of a head; the library takes no longer one.
+// maxRecordedHead limits the bytes that are kept of a head; net/http accepts no longer one.
 const maxRecordedHead = 32 << 10
 
-// recordHead keeps a head as it comes, for what the library does not tell of it. It may keep
-// more than the head, and never less. While a request is open the library looks for the first
-// byte of the next one, which comes early where a client has its answer before its handler ends.
-func (c *clientConn) recordHead(p []byte, one bool) {
+// recordHead keeps a head as received, for what net/http does not tell of it. It may keep more than the head, and
+// never less. While a request is active net/http reads the first byte of the next one, which comes early if a
+// client has its response before the handler returns.
+func (c *clientConn) recordHead(p []byte, isOneByteRead bool) {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
-	if one && c.state == stateActive {
+	if isOneByteRead && c.state == stateActive {
 		c.earlyBytes = append(c.earlyBytes, p...)
 		return
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-// recordEarlyBytes notes what the library has of the next request.
+// recordEarlyBytes records what net/http has of the next request.
 func (c *clientConn) recordEarlyBytes(p []byte) {
 	if len(p) > 0 {
 		c.limiter.mu.Lock()
@@ -37,8 +37,8 @@
 	}
 }
 
-// takeHead returns the head of the request whose handler calls, or nil if it was not kept
-// whole, and when its first byte came.
+// takeHead returns the head of the request whose handler calls, or nil if it was not kept whole, and when its first
+// byte was received.
 func (c *clientConn) takeHead() ([]byte, time.Time) {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -51,7 +51,7 @@
 	return head, c.stateSince
 }
 
-// hasNextRequest tells whether something of a later request has come.
+// hasNextRequest tells whether part of a later request was received.
 func (c *clientConn) hasNextRequest() bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
--- a/internal/edgeproxy/request_parsing.go
+++ b/internal/edgeproxy/request_parsing.go
@@ -17,40 +17,38 @@
 	clientTransitDelay = 10 * time.Millisecond // taken off a client's timeout, which counts from its send
 	defaultMaxUnits    = 1e6                   // of one request, where the settings name no limit
 	maxIDLength        = 64
+	customerDigits     = 16 // hexadecimal
 	maxCustomerBits    = 33
 )
 
-// parseRequest reads a request's head.
+// parseRequest reads a request's head: q is what the engine is asked, m what is forwarded, still without the body.
+// Its error is a badRequestError.
 func (s *clientServer) parseRequest(r *http.Request) (q policy.Request, m serverRequest, err error) {
-	header := func(name string) string {
-		v := r.Header[name]
-		if len(v) != 1 || v[0] == "" {
-			if err == nil {
-				err = badRequestf("%s: %d values where one is wanted", name, len(v))
-			}
-			return ""
+	header := func(name string) (value string) {
+		if err == nil {
+			value, err = singleHeader(r, name)
 		}
-		return v[0]
+		return value
 	}
 	q.ID, q.Class, q.Plan = header("X-Trace-Id"), header("X-Qos"), header("X-Contract")
 	expires, metering := header("X-Expires-In"), header("X-Metering")
 	if err != nil {
 		return q, m, err
 	}
-	class, known := s.classes[q.Class]
+	class, isKnown := s.classes[q.Class]
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
 	case !isValidID(q.ID):
 		return q, m, badRequestf("X-Trace-Id: malformed")
-	case !known:
+	case !isKnown:
 		return q, m, badRequestf("X-Qos: unknown class")
 	case first != q.Class || !strings.HasPrefix(r.RequestURI, "/"):
 		return q, m, badRequestf("path: does not begin with the class")
 	case !s.plans[q.Plan]:
 		return q, m, badRequestf("X-Contract: unknown plan")
 	}
-	seconds, ok := loadreport.Decimal(expires)
-	if !ok || seconds <= 0 {
+	seconds, isNumber := loadreport.Decimal(expires)
+	if !isNumber || seconds <= 0 {
 		return q, m, badRequestf("X-Expires-In: malformed")
 	}
 	// Nobody waits for longer than the class's clients do: requests must not pile up.
@@ -62,26 +60,42 @@
 	if err = s.parseMetering(metering, &q); err != nil {
 		return q, m, err
 	}
-	m = serverRequest{target: r.RequestURI, host: r.Host, id: q.ID, contentType: r.Header.Get("Content-Type")}
+	m, err = forwardedRequest(r, q.ID, class.Idempotency)
+	return q, m, err
+}
+
+// singleHeader returns the value of a header that must have one.
+func singleHeader(r *http.Request, name string) (string, error) {
+	values := r.Header[name]
+	if len(values) != 1 || values[0] == "" {
+		return "", badRequestf("%s: %d values where one is wanted", name, len(values))
+	}
+	return values[0], nil
+}
+
+// forwardedRequest returns what is forwarded of a request, without its body, after a check of method and headers
+// against the idempotency of its class.
+func forwardedRequest(r *http.Request, id string, idempotency policy.Idempotency) (m serverRequest, err error) {
+	m = serverRequest{target: r.RequestURI, host: r.Host, id: id, contentType: r.Header.Get("Content-Type")}
 	m.method = http.MethodPost
-	if class.Idempotency == policy.Idempotent {
+	if idempotency == policy.Idempotent {
 		m.method = http.MethodGet
 	}
 	if r.Method != m.method {
-		return q, m, &badRequestError{http.StatusMethodNotAllowed, "method: the class wants " + m.method, m.method}
+		return m, &badRequestError{http.StatusMethodNotAllowed, "method: the class wants " + m.method, m.method}
 	}
-	if class.Idempotency == policy.Idempotent && r.ContentLength != 0 {
-		return q, m, badRequestf("body: the class has none")
+	if idempotency == policy.Idempotent && r.ContentLength != 0 {
+		return m, badRequestf("body: the class has none")
 	}
-	if class.Idempotency == policy.IdempotentWithKey {
-		m.key = header("Idempotency-Key")
+	if idempotency == policy.IdempotentWithKey {
+		m.key, err = singleHeader(r, "Idempotency-Key")
 	} else {
 		m.key = r.Header.Get("Idempotency-Key")
 	}
-	return q, m, err
+	return m, err
 }
 
-// isValidID tells whether an id is one word of ordinary characters.
+// isValidID tells whether an ID is one word of letters, digits and "-_.".
 func isValidID(id string) bool {
 	for i := 0; i < len(id); i++ {
 		c := id[i]
@@ -92,71 +106,76 @@
 	return len(id) > 0 && len(id) <= maxIDLength
 }
 
-// parseCustomer takes the customer from the query: 16 hex digits, a number below 2^33.
+// parseCustomer reads the customer from the query: 16 hex digits, a number below 2^33.
 func parseCustomer(query string) (uint64, error) {
-	vals, err := url.ParseQuery(query)
-	if err != nil || len(vals["customer"]) != 1 {
+	values, err := url.ParseQuery(query)
+	if err != nil || len(values["customer"]) != 1 {
 		return 0, badRequestf("customer: missing or malformed")
 	}
-	v := vals["customer"][0]
-	x, err := strconv.ParseUint(v, 16, 64)
-	if err != nil || len(v) != 16 || x >= 1<<maxCustomerBits {
+	text := values["customer"][0]
+	x, err := strconv.ParseUint(text, 16, 64)
+	if err != nil || len(text) != customerDigits || x >= 1<<maxCustomerBits {
 		return 0, badRequestf("customer: missing or malformed")
 	}
 	return x, nil
 }
 
-// parseMetering takes units, spread and first from X-Metering. What can't be of a usual client
-// must not reach the module: it would mark the customer's store in everybody's name.
+// parseMetering reads units, spread and first from X-Metering. What can't be of a valid client must not reach the
+// engine: it would count for the customer's quota at every node.
 func (s *clientServer) parseMetering(text string, q *policy.Request) error {
-	set := &s.node.cfg.Settings
-	number := func(val string, least, most int) (int, bool) {
-		x, ok := loadreport.Decimal(val)
-		return int(x), ok && x == math.Trunc(x) && x >= float64(least) && x <= float64(most)
-	}
-	most := set.MaxUnits
-	if most <= 0 {
-		most = defaultMaxUnits
+	settings := &s.node.cfg.Settings
+	maxUnits := settings.MaxUnits
+	if maxUnits <= 0 {
+		maxUnits = defaultMaxUnits
 	}
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(text, ",") {
-		name, val, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if seen[name] {
 			return badRequestf("X-Metering: %q stands twice", name)
 		}
 		seen[name] = true
-		ok := true
+		isValid := true
 		switch name {
 		case "units":
-			q.Units, ok = loadreport.Decimal(val)
-			ok = ok && q.Units > 0 && q.Units <= most
+			q.Units, isValid = loadreport.Decimal(value)
+			isValid = isValid && q.Units > 0 && q.Units <= maxUnits
 		case "spread":
-			q.InstanceCount, ok = number(val, 1, set.InstanceCount)
+			q.InstanceCount, isValid = parseIntIn(value, 1, settings.InstanceCount)
 		case "first":
-			q.FirstInstance, ok = number(val, 0, set.InstanceCount-1)
+			q.FirstInstance, isValid = parseIntIn(value, 0, settings.InstanceCount-1)
 		}
-		if !ok {
+		if !isValid {
 			return badRequestf("X-Metering: %s is malformed or out of range", name)
 		}
 	}
 	if !seen["units"] || !seen["spread"] || !seen["first"] {
 		return badRequestf("X-Metering: units, spread or first is missing")
 	}
-	if (set.InstanceIndex-q.FirstInstance+set.InstanceCount)%set.InstanceCount >= q.InstanceCount {
+	offset := (settings.InstanceIndex - q.FirstInstance + settings.InstanceCount) % settings.InstanceCount
+	if offset >= q.InstanceCount {
 		return badRequestf("X-Metering: the customer does not come through this node")
 	}
 	return nil
 }
 
-// badRequestError is an error in what a client sent. None is worded as a refusal.
+// parseIntIn reads a whole number and tells whether it is one within the limits.
+func parseIntIn(text string, smallest, largest int) (int, bool) {
+	x, isNumber := loadreport.Decimal(text)
+	return int(x), isNumber && x == math.Trunc(x) && x >= float64(smallest) && x <= float64(largest)
+}
+
+// badRequestError is a mistake in what a client sent. None is answered as a rejection.
 type badRequestError struct {
 	status int
 	text   string
-	allow  string // the method that the class wants
+	allow  string // the method of the class, for the header Allow; empty: none
 }
 
+// Error returns the text that the client is answered.
 func (e *badRequestError) Error() string { return e.text }
 
+// badRequestf returns an error that is answered with 400 Bad Request.
 func badRequestf(format string, args ...any) error {
 	return &badRequestError{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
 }
--- a/internal/edgeproxy/request_table.go
+++ b/internal/edgeproxy/request_table.go
@@ -8,7 +8,8 @@
 	"mulleinmux/policy"
 )
 
-// pendingRequest is a request of a client until it is answered and its attempts have ended.
+// pendingRequest is a client's request until it is answered and its attempts have ended. All but its channel and atomic
+// fields change under the node's mutex.
 type pendingRequest struct {
 	id            string
 	request       serverRequest
@@ -17,27 +18,28 @@
 	isAnswered    bool
 	attempts      []*attempt
 	inFlight      int         // attempts that have not ended
-	reservedBytes int64       // of the budget, by its body
-	clientLeft    atomic.Bool // its client has
+	reservedBytes int64       // of the memory budget, by its body
+	clientLeft    atomic.Bool // its client has disconnected
 }
 
-// attempt is one attempt of a flight.
+// attempt is one attempt of a request.
 type attempt struct {
 	number int
 	server string
-	sentAt time.Duration
+	sentAt time.Duration // by the node's clock
 	cancel context.CancelFunc
 	permit *sendPermit
 }
 
-// finalAnswer is a final answer.
+// finalAnswer is the final answer to a request.
 type finalAnswer struct {
 	kind          answerKind
-	retryAfter    time.Duration  // of a refusal
-	response      serverResponse // of a served one
-	pendingWrites []*sendPermit  // attempts that were just being written: it is given once they are
+	retryAfter    time.Duration  // of a rejection; 0: none
+	response      serverResponse // of a served request
+	pendingWrites []*sendPermit  // of attempts that were just being written: the client is answered once they are
 }
 
+// answerKind says how a request ended.
 type answerKind int
 
 const (
@@ -46,30 +48,50 @@
 	answerFailed
 )
 
-// beginRequest takes a request of a client. It returns nil if its id is in use. The final
-// answer comes on the flight's channel, also where the gateway gives none in time.
-func (n *Node) beginRequest(q policy.Request, m serverRequest, deadline time.Time, held int64) *pendingRequest {
-	pending := &pendingRequest{id: q.ID, request: m, deadline: deadline, reservedBytes: held, answer: make(chan finalAnswer, 1)}
+// String returns the kind in one word.
+func (k answerKind) String() string {
+	switch k {
+	case answerServed:
+		return "served"
+	case answerRejected:
+		return "rejected"
+	default:
+		return "failed"
+	}
+}
+
+// beginRequest records a client's request and asks the engine. It returns nil if its ID is in use. The final answer
+// is sent on the pending request's channel, also if the engine gives none in time.
+func (n *Node) beginRequest(
+	q policy.Request, m serverRequest, deadline time.Time, reservedBytes int64,
+) *pendingRequest {
+	pending := &pendingRequest{
+		id:            q.ID,
+		request:       m,
+		deadline:      deadline,
+		answer:        make(chan finalAnswer, 1),
+		reservedBytes: reservedBytes,
+	}
 	pending.request.clientLeft = &pending.clientLeft
-	taken := false
-	ok := n.handleEvent(func(now time.Duration, out policy.Actions) {
-		if taken = n.requests[q.ID] != nil; taken {
+	isInUse := false
+	isHandled := n.handleEvent(func(now time.Duration, out policy.Actions) {
+		if isInUse = n.requests[q.ID] != nil; isInUse {
 			return
 		}
 		n.requests[q.ID] = pending
 		n.engine.RequestReceived(now, q, out)
 	})
-	if taken {
-		n.memory.release(held)
+	if isInUse {
+		n.memory.release(reservedBytes)
 		return nil
 	}
-	if !ok {
+	if !isHandled {
 		n.deadlineExceeded(pending)
 	}
 	return pending
 }
 
-// clientDisconnected ends a flight whose client has gone or for which no answer was given in time.
+// clientDisconnected ends a request whose client has disconnected.
 func (n *Node) clientDisconnected(pending *pendingRequest) {
 	pending.clientLeft.Store(true)
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
@@ -78,8 +100,8 @@
 	})
 }
 
-// deadlineExceeded ends a flight that can be waited for no longer, or that the module failed to answer: refused where trying again does
-// no harm, as at least for one that was never sent on.
+// deadlineExceeded ends a request that can't wait any longer, or that the engine failed to answer: it is rejected
+// if a retry does no harm, as at least for one that was never forwarded.
 func (n *Node) deadlineExceeded(pending *pendingRequest) {
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
 		if !pending.isAnswered {
@@ -95,15 +117,15 @@
 	})
 }
 
-// finishRequest gives a flight its final answer unless it has one. Called under the mutex.
+// finishRequest gives a request its final answer unless it has one. Called under the mutex.
 func (n *Node) finishRequest(pending *pendingRequest, a finalAnswer) {
 	if pending.isAnswered {
 		return
 	}
 	pending.isAnswered = true
 	for _, at := range pending.attempts {
-		// Nothing goes on after the final answer: neither a second copy, nor an attempt for a client that has left, whose
-		// connection comes up late.
+		// Nothing is sent after the final answer: neither a hedged request, nor an attempt for a client that has
+		// disconnected, whose connection is established late.
 		if at.permit.revoke() {
 			at.cancel()
 			continue
@@ -119,7 +141,7 @@
 	n.removeIfEnded(pending)
 }
 
-// removeIfEnded drops a flight once it is over in every respect. Called under the mutex.
+// removeIfEnded removes a request once it is answered and its attempts have ended. Called under the mutex.
 func (n *Node) removeIfEnded(pending *pendingRequest) {
 	if pending.isAnswered && pending.inFlight == 0 && n.requests[pending.id] == pending {
 		delete(n.requests, pending.id)
@@ -128,55 +150,63 @@
 	}
 }
 
-// runAttempt carries out one attempt and brings its outcome to the gateway.
+// runAttempt carries out one attempt and tells the engine its result.
 func (n *Node) runAttempt(ctx context.Context, pending *pendingRequest, a *attempt) {
 	defer n.work.Done()
-	msg := pending.request
-	msg.permit = a.permit
-	rep, result := n.pool.exchange(ctx, a.server, &msg)
-	took := n.now() - a.sentAt
-	if more := pending.request.rest; more != nil {
-		if !more.forwardedAt.IsZero() {
-			took = time.Since(more.forwardedAt)
-		} else if more.isBroken.Load() {
+	request := pending.request
+	request.permit = a.permit
+	response, result := n.pool.exchange(ctx, a.server, &request)
+	latency := n.now() - a.sentAt
+	if rest := pending.request.rest; rest != nil {
+		if !rest.forwardedAt.IsZero() {
+			latency = time.Since(rest.forwardedAt)
+		} else if rest.isBroken.Load() {
 			n.clientDisconnected(pending) // its client sends no more of it
 		}
 	}
-	if rep.stream != nil {
-		result = n.streamAnswer(pending, a, rep)
+	if response.stream != nil {
+		result = n.streamAnswer(pending, a, response)
 	}
 	a.cancel()
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
-		if result == policy.OK && rep.stream == nil {
-			n.finishRequest(pending, finalAnswer{kind: answerServed, response: rep})
+		if result == policy.OK && response.stream == nil {
+			n.finishRequest(pending, finalAnswer{kind: answerServed, response: response})
 		}
 		pending.inFlight--
-		n.engine.AttemptCompleted(now, policy.AttemptResult{ID: pending.id, Attempt: a.number, RequestAnswered: pending.isAnswered, Result: result,
-			Server: a.server, Latency: took, LoadReport: rep.loadReport, ConnectedAt: n.connectedAt(rep)}, out)
+		n.engine.AttemptCompleted(now, policy.AttemptResult{
+			ID:              pending.id,
+			Attempt:         a.number,
+			RequestAnswered: pending.isAnswered,
+			Result:          result,
+			Server:          a.server,
+			Latency:         latency,
+			LoadReport:      response.loadReport,
+			ConnectedAt:     n.connectedAt(response),
+		}, out)
 		n.removeIfEnded(pending)
 	})
 }
 
-// streamAnswer gives the client an answer that goes on as it comes, and waits for its end. One for
-// which it comes too late is cut off.
-func (n *Node) streamAnswer(pending *pendingRequest, a *attempt, rep serverResponse) policy.Result {
-	taken := false
+// streamAnswer answers the client with a streamed response, and waits for its end. If the request has its final
+// answer already, the response is cut off.
+func (n *Node) streamAnswer(pending *pendingRequest, a *attempt, response serverResponse) policy.Result {
+	isTaken := false
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
-		if taken = !pending.isAnswered; taken {
+		if isTaken = !pending.isAnswered; isTaken {
 			n.engine.ResponseStarted(now, pending.id, a.number, out)
-			n.finishRequest(pending, finalAnswer{kind: answerServed, response: rep})
+			n.finishRequest(pending, finalAnswer{kind: answerServed, response: response})
 		}
 	})
-	if !taken {
-		rep.stream.finish(policy.Cancelled)
+	if !isTaken {
+		response.stream.finish(policy.Cancelled)
 	}
-	return <-rep.stream.result
+	return <-response.stream.result
 }
 
-// connectedAt is the clock's reading when the connection of an answer was made, 0 where there was none.
-func (n *Node) connectedAt(rep serverResponse) time.Duration {
-	if rep.connectedAt.IsZero() {
+// connectedAt is the clock's reading when the connection of a response was established, 0 if there was no response.
+func (n *Node) connectedAt(response serverResponse) time.Duration {
+	if response.connectedAt.IsZero() {
 		return 0
 	}
-	return time.Duration(n.start.UnixNano()) + rep.connectedAt.Sub(n.start)
+	return time.Duration(n.start.UnixNano()) + response.connectedAt.Sub(n.start)
 }
--- a/internal/edgeproxy/response_stream.go
+++ b/internal/edgeproxy/response_stream.go
@@ -18,17 +18,17 @@
 	streamPieceTimeout = 10 * time.Second // between the pieces of a response of which some is forwarded
 )
 
-// responseStream is a long answer as it comes from an app server. Who has it calls finish once.
+// responseStream is a long response as it is received from an app server. Its owner calls finish once.
 type responseStream struct {
 	conn       *serverConn
 	pool       *serverPool
 	body       io.Reader
-	length     int64 // of all; -1: not told
-	closesConn bool  // the connection ends with it
-	result     chan policy.Result
+	length     int64              // bytes; -1: not known
+	closesConn bool               // the connection ends with it
+	result     chan policy.Result // takes the result of finish
 }
 
-// finish ends the relay: with OK it was passed on to its end.
+// finish ends the stream: with OK it was forwarded to its end.
 func (s *responseStream) finish(result policy.Result) {
 	if result == policy.OK && !s.closesConn && s.conn.buffered.Buffered() == 0 {
 		s.conn.reader.clearPieceDeadline()
@@ -40,36 +40,37 @@
 	s.result <- result
 }
 
-// copyTo passes a long answer on, each piece as it comes.
+// copyTo forwards a response, first its first part, then each piece as it is received. The result is Cancelled if
+// the client does not take it.
 func (s *responseStream) copyTo(w http.ResponseWriter, first []byte) policy.Result {
-	rc := http.NewResponseController(w)
-	in := s.conn.reader
-	in.ctx, in.remainingBytes, in.pieceTimeout = context.Background(), maxStreamedResponse, streamPieceTimeout
-	buf := streamBuffers.Get().(*[]byte)
-	defer streamBuffers.Put(buf)
+	controller := http.NewResponseController(w)
+	reader := s.conn.reader
+	reader.ctx = context.Background()
+	reader.remainingBytes = maxStreamedResponse
+	reader.pieceTimeout = streamPieceTimeout
+	buffer := streamBuffers.Get().(*[]byte)
+	defer streamBuffers.Put(buffer)
 	write := func(p []byte) error {
-		if err := rc.SetWriteDeadline(time.Now().Add(streamWriteTimeout)); err != nil {
+		if err := controller.SetWriteDeadline(time.Now().Add(streamWriteTimeout)); err != nil {
 			return err
 		}
 		if _, err := w.Write(p); err != nil {
 			return err
 		}
-		return rc.Flush()
+		return controller.Flush()
 	}
-	if len(first) > 0 {
-		if write(first) != nil {
-			return policy.Cancelled
-		}
+	if len(first) > 0 && write(first) != nil {
+		return policy.Cancelled
 	}
 	for {
-		n, err := s.body.Read(*buf)
-		if n > 0 && write((*buf)[:n]) != nil {
+		n, err := s.body.Read(*buffer)
+		if n > 0 && write((*buffer)[:n]) != nil {
 			return policy.Cancelled
 		}
 		switch {
 		case err == io.EOF:
 			return policy.OK
-		case err != nil && in.err != nil && !errors.Is(in.err, os.ErrDeadlineExceeded):
+		case err != nil && reader.err != nil && !errors.Is(reader.err, os.ErrDeadlineExceeded):
 			return policy.ConnectionReset
 		case err != nil:
 			return policy.ErrorResponse
@@ -77,4 +78,8 @@
 	}
 }
 
-var streamBuffers = sync.Pool{New: func() any { b := make([]byte, streamBufferSize); return &b }}
+// streamBuffers holds the buffers of streams, as *[]byte.
+var streamBuffers = sync.Pool{New: func() any {
+	buffer := make([]byte, streamBufferSize)
+	return &buffer
+}}
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -33,8 +33,8 @@
 // errStoppedBeforeServing says that a process was told to end while it waited for its predecessor.
 var errStoppedBeforeServing = errors.New("stopped before serving")
 
-// maxServeErrors is how many goroutines may report that they can't serve: calls, clients, and clients after a hot restart
-// that failed.
+// maxServeErrors is how many goroutines may report that they can't serve: calls, clients, and clients after a hot
+// restart that failed.
 const maxServeErrors = 3
 
 // process is one run of an edge node: what its start-up steps make and its end takes down.
@@ -55,6 +55,24 @@
 	successors           *successorListener // nil: no successor can take over
 }
 
+// newProcess returns a process whose background ends with lifetime, and of which nothing runs yet.
+func newProcess(
+	lifetime context.Context, cfg *Config, reload <-chan os.Signal, logger *log.Logger,
+) (*process, error) {
+	n, err := newNode(lifetime, cfg, logger)
+	if err != nil {
+		return nil, err
+	}
+	return &process{
+		cfg:      cfg,
+		logger:   logger,
+		reload:   reload,
+		lifetime: lifetime,
+		failed:   make(chan error, maxServeErrors),
+		node:     n,
+	}, nil
+}
+
 // runOn is Run on a listener that is open.
 func runOn(
 	ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *log.Logger, ln net.Listener,
@@ -62,11 +80,10 @@
 	defer ln.Close()
 	lifetime, stop := context.WithCancel(context.Background())
 	defer stop()
-	n, err := newNode(lifetime, cfg, logger)
+	p, err := newProcess(lifetime, cfg, reload, logger)
 	if err != nil {
 		return err
 	}
-	p := &process{cfg: cfg, logger: logger, reload: reload, lifetime: lifetime, node: n, failed: make(chan error, maxServeErrors)}
 	defer p.background.Wait()
 	if err := p.joinGossip(); err != nil {
 		return err
@@ -74,10 +91,10 @@
 	defer p.leaveGossip()
 	p.startDecisions()
 	defer func() { p.watch.stop() }()
-	p.background.Go(func() { n.pool.runIdlePruning(lifetime) })
+	p.background.Go(func() { p.node.pool.runIdlePruning(lifetime) })
 	defer stop() // before the wait for what lifetime owns
 
-	p.clients = newClientServer(n)
+	p.clients = newClientServer(p.node)
 	admin, err := p.startAdmin()
 	if err != nil {
 		return err
@@ -107,8 +124,8 @@
 	}
 	p.shutDown(ln)
 	stop()
-	n.close()
-	logger.Printf("%s: drained, figures at the end: %s", cfg.Name, strings.Join(strings.Fields(n.metricsText()), " "))
+	p.node.close()
+	logger.Printf("%s: drained, figures at the end: %s", cfg.Name, strings.Join(strings.Fields(p.node.metricsText()), " "))
 	return nil
 }
 
@@ -135,24 +152,26 @@
 		}
 		return nil
 	}
-	var sock *gossip.Socket
+	index := cfg.Settings.InstanceIndex
+	var socket *gossip.Socket
 	if conn != nil {
-		sock = gossip.On(conn, cfg.Settings.InstanceIndex, cfg.GossipPeers, cfg.GossipBroadcast)
+		socket = gossip.On(conn, index, cfg.GossipPeers, cfg.GossipBroadcast)
 	} else {
 		var err error
-		if sock, err = gossip.Listen(cfg.GossipListen, cfg.Settings.InstanceIndex, cfg.GossipPeers, cfg.GossipBroadcast); err != nil {
+		socket, err = gossip.Listen(cfg.GossipListen, index, cfg.GossipPeers, cfg.GossipBroadcast)
+		if err != nil {
 			return err
 		}
 	}
-	p.node.setGossipSocket(sock)
-	p.background.Go(func() { sock.Receive(p.node.gossipReceived) })
+	p.node.setGossipSocket(socket)
+	p.background.Go(func() { socket.Receive(p.node.gossipReceived) })
 	return nil
 }
 
 // leaveGossip closes the gossip socket, unless it was handed over.
 func (p *process) leaveGossip() {
-	if sock := p.node.takeGossipSocket(); sock != nil {
-		sock.Close()
+	if socket := p.node.takeGossipSocket(); socket != nil {
+		socket.Close()
 	}
 }
 
@@ -205,8 +224,8 @@
 	return p.startGossip(in.gossipConn)
 }
 
-// awaitPredecessorState waits for the predecessor's word to go and imports its engine's state. A reload in the meantime
-// counts.
+// awaitPredecessorState waits for the predecessor's state until this process may go on, and imports its engine's
+// state. A reload in the meantime counts.
 func (p *process) awaitPredecessorState(ctx context.Context) (inheritedState, error) {
 	type result struct {
 		state inheritedState
@@ -230,8 +249,8 @@
 	}
 }
 
-// listenForSuccessor lets a successor take over. Without that the node serves all the same; only the next upgrade would be
-// a restart.
+// listenForSuccessor lets a successor take over. Without that the node serves all the same; only the next upgrade
+// would be a restart.
 func (p *process) listenForSuccessor() {
 	if p.cfg.HandoverSocket == "" {
 		return
@@ -245,8 +264,8 @@
 	p.background.Go(successors.acceptSuccessors)
 }
 
-// servePredecessorClients tells the predecessor, if there is one, that its place is taken, and serves the clients that it
-// hands over.
+// servePredecessorClients tells the predecessor, if there is one, that its place is taken, and serves the clients
+// that it hands over.
 func (p *process) servePredecessorClients() {
 	before := p.predecessor
 	if before == nil {
@@ -265,8 +284,8 @@
 	p.logger.Printf("%s: ready on %s, %d app servers known", p.cfg.Name, p.cfg.Listen, len(p.cfg.SavedEndpoints.Servers))
 }
 
-// awaitEnd serves until ctx ends, which stops the process in order, or until something can't go on serving, whose error it
-// returns.
+// awaitEnd serves until ctx ends, which stops the process in order, or until something can't go on serving, whose
+// error it returns.
 func (p *process) awaitEnd(ctx context.Context) (isStopped bool, err error) {
 	for {
 		select {
@@ -281,8 +300,8 @@
 	}
 }
 
-// shutDown hands over to a successor that waits, or else lets clients come for a while, and answers all that has come. ln is
-// the listener on which clients are accepted.
+// shutDown hands over to a successor that waits, or else lets clients come for a while, and answers all that has
+// come. ln is the listener on which clients are accepted.
 func (p *process) shutDown(ln net.Listener) {
 	p.clients.startShutdownTimer()
 	drainDelay := p.cfg.drainDelay
--- a/internal/edgeproxy/serve_request.go
+++ b/internal/edgeproxy/serve_request.go
@@ -8,7 +8,8 @@
 	"mulleinmux/policy"
 )
 
-// ServeHTTP answers one request of a client. It runs in a goroutine of net/http's, which ends with the client's connection.
+// ServeHTTP answers one request of a client. It runs in a goroutine of net/http's, which ends with the client's
+// connection.
 func (s *clientServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer s.recoverPanic(w)
 	takenAt := time.Now()
@@ -60,8 +61,8 @@
 	reservedBytes int64     // of the memory budget, by its body
 }
 
-// serveRequest has the engine decide on a request that is read, and writes its final answer. q is what the engine is told,
-// m what is forwarded.
+// serveRequest has the engine decide on a request that is read, and writes its final answer. q is what the engine is
+// told, m what is forwarded.
 func (s *clientServer) serveRequest(
 	w http.ResponseWriter, r *http.Request, q *policy.Request, m *serverRequest, arrival requestArrival,
 ) {
@@ -127,7 +128,8 @@
 	return <-pending.answer
 }
 
-// limitToShutdown shortens a request's timeout to the end of the process, if that has begun, and tells whether any is left.
+// limitToShutdown shortens a request's timeout to the end of the process, if that has begun, and tells whether any is
+// left.
 func (s *clientServer) limitToShutdown(q *policy.Request) bool {
 	left, isBound := s.timeUntilShutdown()
 	if !isBound {
@@ -150,8 +152,8 @@
 	writeText(w, http.StatusInternalServerError, "internal error")
 }
 
-// setConnectionClose has an answer close its connection where that is wanted. A client that has sent its next request is
-// owed an answer to that as well: then a later one closes it.
+// setConnectionClose has an answer close its connection where that is wanted. A client that has sent its next request
+// is owed an answer to that as well: then a later one closes it.
 func (s *clientServer) setConnectionClose(w http.ResponseWriter, conn *clientConn) {
 	if (s.closesConnections() || s.limiter.isCrowded()) && !conn.hasNextRequest() {
 		w.Header().Set("Connection", "close")
--- a/internal/edgeproxy/server_conn.go
+++ b/internal/edgeproxy/server_conn.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxBufferedResponse     = 64 << 10                // bytes of a body up to which it is read whole before any is forwarded
+	maxBufferedResponse     = 64 << 10                // bytes of a body that is read whole before any is forwarded
 	maxResponseHeads        = 96 << 10                // bytes of a response's head, with those of interim (1xx) responses
 	maxBufferedResponseWire = 4 * maxBufferedResponse // bytes of a buffered body with the heads of its chunks
 	maxStreamedResponse     = 64 << 20                // bytes of a response; no server makes a longer one
@@ -26,37 +26,37 @@
 // expiredDeadline ends the reads and writes of a connection that are under way.
 var expiredDeadline = time.Unix(1, 0)
 
-// serverConn is a connection to a backend. It carries one request at a time.
+// serverConn is a connection to an app server. It carries one request at a time; between exchanges it is in the pool,
+// whose mutex guards idleSince.
 type serverConn struct {
 	net.Conn
 	raw         syscall.RawConn
 	reader      *responseReader
-	buffered    *bufio.Reader // over in
-	server      *serverConns  // to which it may return; connections of a moved or restarted server belong to none
-	idleSince   time.Time
+	buffered    *bufio.Reader // over reader
+	server      *serverConns  // to which it may return; one that moved or restarted is not in the pool any more
 	connectedAt time.Time
-
-	idleTime time.Duration // how long it stood idle before the exchange under way; 0 for a new one
+	idleSince   time.Time
+	idleTime    time.Duration // how long it was idle before the exchange under way; 0 for a new one
 }
 
-// isQuiet tells whether an idle connection is as it was left: open, with nothing to
-// read. One that the server has closed, or on which something came unasked, would
-// end a request written to it as a reset, which may not be repeated freely.
+// isQuiet tells whether an idle connection is as it was left: open, with nothing to read. If the server has closed
+// it, or sent something unasked, a request written to it would end as a reset, after which not every request may be
+// retried.
 func (c *serverConn) isQuiet() bool {
 	var b [1]byte
-	quiet := false
+	isQuiet := false
 	err := c.raw.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		isQuiet = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && isQuiet
 }
 
-// readResponse reads the whole answer and tells whether the connection can be used again.
-// An answer that came and can't be read is an error: only a connection that broke is
-// a reset, which hints at a server that has restarted. Nothing of a spoilt answer is
-// read to its end: the connection is closed instead.
+// readResponse reads the complete response, or the first part of one to be streamed, and tells whether the
+// connection can be used again. A response that was received and can't be read is an error response: only a
+// connection that broke is a reset, which hints at a server that has restarted. An invalid response is not read to
+// its end: the connection is closed.
 func (c *serverConn) readResponse(req *http.Request) (response serverResponse, result policy.Result, isReusable bool) {
 	resp, err := c.readFinalHead(req)
 	if err != nil {
@@ -101,8 +101,8 @@
 	return resp, err
 }
 
-// readFirstBody reads the body of a response, or the first part of one that is too long to be buffered. A body without a
-// length ends with its connection, by a close and not a reset.
+// readFirstBody reads the body of a response, or the first part of one that is too long to be buffered. A body
+// without a length ends with its connection, by a close and not a reset.
 func readFirstBody(resp *http.Response) (body []byte, isLong bool, err error) {
 	if resp.ContentLength < 0 {
 		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
@@ -137,31 +137,37 @@
 	return policy.ErrorResponse
 }
 
-// responseReader is what comes in on a connection, bounded for each answer: by bytes against
-// heads and bodies without end, and by time against half an answer.
+// responseReader reads from a connection, with limits for each response: of bytes against heads and bodies without
+// end, and of time against a response that stops half-way.
 type responseReader struct {
 	conn             net.Conn
 	ctx              context.Context // of the exchange
-	remainingBytes   int             // bytes that the answer may still take
-	hasBegun         bool            // some of the answer has come
-	hasPieceDeadline bool            // the next piece has a deadline of its own
-	deadline         time.Time       // when to give up waiting, beside the exchange's end; zero: no such time
+	remainingBytes   int             // that the response may still take
+	hasBegun         bool            // part of the response was received
+	hasPieceDeadline bool            // the connection's deadline is that of the next piece
+	deadline         time.Time       // of the response, beside the exchange's; zero: none
 	pieceTimeout     time.Duration   // between pieces
 	err              error           // how the connection failed
 }
 
+// errResponseTooLong is the error of a response over its limit of bytes.
 var errResponseTooLong = errors.New("answer too long")
 
-// expect prepares for an answer.
+// expect prepares for a response.
 func (r *responseReader) expect(ctx context.Context) {
-	r.ctx, r.remainingBytes, r.hasBegun, r.pieceTimeout, r.deadline = ctx, maxResponseHeads, false, responsePieceTimeout, time.Time{}
+	r.ctx = ctx
+	r.remainingBytes = maxResponseHeads
+	r.hasBegun = false
+	r.pieceTimeout = responsePieceTimeout
+	r.deadline = time.Time{}
 }
 
+// Read reads within the limits. From the second read of a response on each has a deadline of its own.
 func (r *responseReader) Read(p []byte) (int, error) {
 	if r.remainingBytes <= 0 {
 		return 0, errResponseTooLong
 	}
-	if r.hasBegun { // most answers come whole in the first read
+	if r.hasBegun { // most responses are complete after the first read
 		r.hasPieceDeadline = true
 		r.conn.SetReadDeadline(time.Now().Add(r.pieceTimeout))
 		if r.ctx.Err() != nil { // the end of ctx set a deadline that this one has replaced
@@ -177,7 +183,7 @@
 	return n, err
 }
 
-// clearPieceDeadline takes the deadline of a rest off.
+// clearPieceDeadline replaces the deadline of a piece by that of the response.
 func (r *responseReader) clearPieceDeadline() {
 	if r.hasPieceDeadline {
 		r.hasPieceDeadline = false
@@ -185,11 +191,11 @@
 	}
 }
 
-// serverResponse is an app server's answer: whole, or as much as has come of a long one.
+// serverResponse is an app server's response: complete, or the first part of one that is streamed.
 type serverResponse struct {
 	body        []byte
-	stream      *responseStream // of a long one; nil: body is whole
+	stream      *responseStream // from which the rest is read; nil: body is complete
 	contentType string
 	loadReport  *policy.LoadReport // nil: it carried no report
-	connectedAt time.Time          // when the connection that it came on was made; zero: there was no answer
+	connectedAt time.Time          // when its connection was established; zero: there was no response
 }
--- a/internal/edgeproxy/server_pool.go
+++ b/internal/edgeproxy/server_pool.go
@@ -15,63 +15,74 @@
 	"mulleinmux/policy"
 )
 
-// serverPool holds the connections to app servers. net/http's own client is not used:
-// it silently sends a request again when a kept connection turns out dead, which
-// would be a second copy. Here one call of exchange writes a request once at most.
+// serverPool holds the connections to app servers. net/http's own client is not used: it silently sends a request
+// again when a connection from its pool turns out dead, which would be an attempt that nobody counts. Here one call
+// of exchange writes a request once at most.
 type serverPool struct {
 	dialer         net.Dialer
-	maxIdleTimeout time.Duration
-	minIdleTime    time.Duration          // that a connection stands idle at least before its next request
+	maxIdleTimeout time.Duration          // of a server whose connections were not reset
+	minIdleTime    time.Duration          // that a connection is idle at least before its next request
 	maxConns       int                    // connections open at once, descriptors being limited
 	subsetServers  func() map[string]bool // servers to which idle connections are kept; nil, or a nil map: all
-	onSent         func(left bool)        // called when the last byte of an attempt, not of a probe, is written, telling whether its client had left; may be nil
+
+	// onSent is called when the last byte of an attempt, not of a health check, is written, with whether its client had
+	// disconnected; may be nil.
+	onSent func(clientLeft bool)
 
 	mu        sync.Mutex
-	servers   map[string]*serverConns
-	openCount int
+	servers   map[string]*serverConns // by ID
+	openCount int                     // connections, idle or not
 }
 
-func newServerPool(t simwire.Transport, most int) *serverPool {
+// serverConns is an app server and its idle connections. Guarded by the pool's mutex, but for addr and startedAt, which
+// don't change.
+type serverConns struct {
+	addr      netip.AddrPort
+	startedAt time.Duration
+	isUp      bool
+	idle      []*serverConn // the one used last at the end
+
+	learnedIdleTimeout time.Duration // shorter than maxIdleTimeout, at learnedAt; 0: nothing was learned
+	learnedAt          time.Time
+}
+
+var (
+	errServerNotUp     = errors.New("server is not up in the list")
+	errNoDescriptor    = errors.New("no descriptor left for a connection")
+	errClientGone      = errors.New("the client has left")
+	errAlreadyAnswered = errors.New("the request has its final answer")
+)
+
+// newServerPool returns a pool of maxConns connections, to no server yet.
+func newServerPool(t simwire.Transport, maxConns int) *serverPool {
 	return &serverPool{
 		dialer:         net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1},
 		maxIdleTimeout: time.Duration(idleTimeoutFraction * float64(t.ConnIdle)),
-		maxConns:       most,
+		maxConns:       maxConns,
 		servers:        map[string]*serverConns{},
 	}
 }
 
-// updateEndpoints takes in entries of the list and returns the idle connections that are of
-// no more use, for the caller to close. A server that drains, moved, restarted or
-// vanished from the list keeps none.
-func (p *serverPool) updateEndpoints(entries []discovery.Instance, full bool) (stale []*serverConn) {
+// updateEndpoints takes in entries of the endpoint list and returns the idle connections that are of no more use, for
+// the caller to close. A server that drains, moved, restarted or is not in the list any more keeps none.
+func (p *serverPool) updateEndpoints(
+	entries []discovery.Instance, kind policy.EndpointUpdateKind,
+) (stale []*serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := map[string]bool{}
-	for _, e := range entries {
-		if e.State == policy.Removed {
-			if b := p.servers[e.ID]; b != nil {
-				stale = append(stale, p.removeServer(e.ID, b)...)
-			}
+	for _, entry := range entries {
+		if entry.State == policy.Removed {
+			stale = append(stale, p.removeServer(entry.ID)...)
 			continue
 		}
-		listed[e.ID] = true
-		b := p.servers[e.ID]
-		if b != nil && (b.addr != e.Addr || b.startedAt != e.StartedAt) {
-			stale = append(stale, p.removeServer(e.ID, b)...)
-			b = nil
-		}
-		if b == nil {
-			b = &serverConns{addr: e.Addr, startedAt: e.StartedAt}
-			p.servers[e.ID] = b
-		}
-		if b.isUp = e.State == policy.Up; !b.isUp {
-			stale, b.idle = append(stale, b.idle...), nil
-		}
+		listed[entry.ID] = true
+		stale = append(stale, p.updateServer(entry)...)
 	}
-	if full {
-		for id, b := range p.servers {
+	if kind != policy.EndpointsDelta {
+		for id := range p.servers {
 			if !listed[id] {
-				stale = append(stale, p.removeServer(id, b)...)
+				stale = append(stale, p.removeServer(id)...)
 			}
 		}
 	}
@@ -79,44 +90,68 @@
 	return stale
 }
 
-// removeServer forgets a backend and returns its idle connections.
-func (p *serverPool) removeServer(id string, b *serverConns) []*serverConn {
-	idle := b.idle
-	b.isUp, b.idle = false, nil
+// updateServer takes in the entry of one server and returns the connections that it keeps no longer. Called under the
+// mutex.
+func (p *serverPool) updateServer(entry discovery.Instance) (stale []*serverConn) {
+	server := p.servers[entry.ID]
+	if server != nil && (server.addr != entry.Addr || server.startedAt != entry.StartedAt) {
+		stale = p.removeServer(entry.ID)
+		server = nil
+	}
+	if server == nil {
+		server = &serverConns{addr: entry.Addr, startedAt: entry.StartedAt}
+		p.servers[entry.ID] = server
+	}
+	server.isUp = entry.State == policy.Up
+	if !server.isUp {
+		stale = append(stale, server.idle...)
+		server.idle = nil
+	}
+	return stale
+}
+
+// removeServer removes a server, if it is there, and returns its idle connections. Called under the mutex.
+func (p *serverPool) removeServer(id string) []*serverConn {
+	server := p.servers[id]
+	if server == nil {
+		return nil
+	}
+	idle := server.idle
+	server.isUp, server.idle = false, nil
 	delete(p.servers, id)
 	return idle
 }
 
+// closeConns closes connections that are out of the pool.
 func closeConns(conns []*serverConn) {
 	for _, c := range conns {
 		c.Close()
 	}
 }
 
-// acquire returns a connection to the server: the idle one used last, if it still
-// lives, or a new one.
-func (p *serverPool) acquire(ctx context.Context, server string) (*serverConn, error) {
+// acquire returns a connection to a server: the idle one used last, if it is still good, or a new one.
+func (p *serverPool) acquire(ctx context.Context, id string) (*serverConn, error) {
 	for {
 		p.mu.Lock()
-		b := p.servers[server]
-		if b == nil || !b.isUp {
+		server := p.servers[id]
+		if server == nil || !server.isUp {
 			p.mu.Unlock()
 			return nil, errServerNotUp
 		}
-		if n := b.latestReusable(p.minIdleTime); n >= 0 {
-			c := b.idle[n]
-			b.idle = slices.Delete(b.idle, n, n+1)
-			keep := p.idleTimeout(b)
+		if n := server.latestReusable(p.minIdleTime); n >= 0 {
+			c := server.idle[n]
+			server.idle = slices.Delete(server.idle, n, n+1)
+			idleTimeout := p.idleTimeout(server)
 			p.mu.Unlock()
-			if c.idleTime = time.Since(c.idleSince); c.idleTime < keep && c.isQuiet() {
+			if c.idleTime = time.Since(c.idleSince); c.idleTime < idleTimeout && c.isQuiet() {
 				return c, nil
 			}
 			p.discard(c)
 			continue
 		}
-		var spare *serverConn
+		var evicted *serverConn
 		if p.openCount >= p.maxConns {
-			if spare = p.takeLongestIdle(); spare == nil {
+			if evicted = p.takeLongestIdle(); evicted == nil {
 				p.mu.Unlock()
 				return nil, errNoDescriptor
 			}
@@ -124,70 +159,77 @@
 		}
 		p.openCount++
 		p.mu.Unlock()
-		if spare != nil {
-			spare.Close()
+		if evicted != nil {
+			evicted.Close()
 		}
-		return p.dial(ctx, b)
+		return p.dial(ctx, server)
 	}
 }
 
-// takeLongestIdle takes the connection that has been idle for longest out of its pool,
-// or returns nil. Called under the mutex.
+// takeLongestIdle takes out the connection that has been idle for longest, or returns nil. Called under the mutex.
 func (p *serverPool) takeLongestIdle() *serverConn {
-	var of *serverConns
-	for _, b := range p.servers {
-		if len(b.idle) > 0 && (of == nil || b.idle[0].idleSince.Before(of.idle[0].idleSince)) {
-			of = b
+	var longest *serverConns
+	for _, server := range p.servers {
+		if len(server.idle) > 0 && (longest == nil || server.idle[0].idleSince.Before(longest.idle[0].idleSince)) {
+			longest = server
 		}
 	}
-	if of == nil {
+	if longest == nil {
 		return nil
 	}
-	c := of.idle[0]
-	of.idle = of.idle[1:]
+	c := longest.idle[0]
+	longest.idle = longest.idle[1:]
 	return c
 }
 
-// dial makes a connection, which is already counted.
-func (p *serverPool) dial(ctx context.Context, b *serverConns) (*serverConn, error) {
-	nc, err := p.dialer.DialContext(ctx, "tcp", b.addr.String())
+// dial makes a new connection, which is counted already.
+func (p *serverPool) dial(ctx context.Context, server *serverConns) (*serverConn, error) {
+	nc, err := p.dialer.DialContext(ctx, "tcp", server.addr.String())
 	if err != nil {
 		p.decrementOpen()
 		return nil, err
 	}
-	in := &responseReader{conn: nc}
-	c := &serverConn{Conn: nc, reader: in, buffered: bufio.NewReader(in), server: b, connectedAt: time.Now()}
+	reader := &responseReader{conn: nc}
+	c := &serverConn{
+		Conn:        nc,
+		reader:      reader,
+		buffered:    bufio.NewReader(reader),
+		server:      server,
+		connectedAt: time.Now(),
+	}
 	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
 		p.discard(c)
 		return nil, err
 	}
-	if !p.isUp(b) {
-		// The list changed while the connection came up: nothing new may go there.
+	if !p.isUp(server) {
+		// The list changed while the connection was established: nothing new may be sent there.
 		p.discard(c)
 		return nil, errServerNotUp
 	}
 	return c, nil
 }
 
-// isUp tells whether the list says that something new may go to a backend.
-func (p *serverPool) isUp(b *serverConns) bool {
+// isUp tells whether something new may be sent to a server, by the endpoint list.
+func (p *serverPool) isUp(server *serverConns) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return b.isUp
+	return server.isUp
 }
 
+// decrementOpen counts a connection as closed.
 func (p *serverPool) decrementOpen() {
 	p.mu.Lock()
 	p.openCount--
 	p.mu.Unlock()
 }
 
+// discard closes a connection that is out of the pool.
 func (p *serverPool) discard(c *serverConn) {
 	c.Close()
 	p.decrementOpen()
 }
 
-// release returns a connection whose exchange is over to its pool.
+// release returns a connection whose exchange is over to the pool.
 func (p *serverPool) release(c *serverConn) {
 	p.mu.Lock()
 	if c.server.isUp {
@@ -200,48 +242,31 @@
 	p.discard(c)
 }
 
-// takeAllIdle takes all idle connections out of their pools, for the caller to close.
+// takeAllIdle takes out all idle connections, for the caller to close.
 func (p *serverPool) takeAllIdle() (idle []*serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, b := range p.servers {
-		idle = append(idle, b.idle...)
-		b.idle = nil
+	for _, server := range p.servers {
+		idle = append(idle, server.idle...)
+		server.idle = nil
 	}
 	p.openCount -= len(idle)
 	return idle
 }
 
-// close closes all idle connections.
+// close closes all idle connections and removes all servers.
 func (p *serverPool) close() {
-	stale := p.updateEndpoints(nil, true)
+	stale := p.updateEndpoints(nil, policy.EndpointsComplete)
 	closeConns(stale)
 }
 
-// serverConns is an app server and its idle connections, the latest used last.
-type serverConns struct {
-	addr      netip.AddrPort
-	startedAt time.Duration
-	isUp      bool
-	idle      []*serverConn
-
-	learnedIdleTimeout time.Duration // for which its idle connections have proved good, from keepAt; 0: for maxIdle
-	learnedAt          time.Time
-}
-
-// latestReusable is the place of the idle connection used last that may be used again, -1 where there is none. Called under the mutex.
-func (b *serverConns) latestReusable(least time.Duration) int {
-	for n := len(b.idle) - 1; n >= 0; n-- {
-		if time.Since(b.idle[n].idleSince) >= least {
+// latestReusable is the index of the idle connection used last that has been idle for long enough, -1 if there is
+// none. Called under the mutex.
+func (s *serverConns) latestReusable(minIdleTime time.Duration) int {
+	for n := len(s.idle) - 1; n >= 0; n-- {
+		if time.Since(s.idle[n].idleSince) >= minIdleTime {
 			return n
 		}
 	}
 	return -1
 }
-
-var (
-	errServerNotUp     = errors.New("server is not up in the list")
-	errNoDescriptor    = errors.New("no descriptor left for a connection")
-	errClientGone      = errors.New("the client has left")
-	errAlreadyAnswered = errors.New("the request has its final answer")
-)
--- a/internal/edgeproxy/successor_listener.go
+++ b/internal/edgeproxy/successor_listener.go
@@ -15,27 +15,32 @@
 	"mulleinmux/internal/gossip"
 )
 
-// successorListener is the predecessor's side.
+// successorListener is the predecessor's side of a hot restart: it accepts a process that waits to take over.
 type successorListener struct {
 	listener *net.UnixListener
 	logger   *log.Logger
+	readers  sync.WaitGroup // goroutines that read from successors; acceptSuccessors waits for them
 
 	mu        sync.Mutex
-	successor *successorConn // the one that came last and has not gone; nil: none
+	successor *successorConn // the latest one, unless it has gone; nil: none
 	isClosed  bool
-	work      sync.WaitGroup
 }
 
-// successorConn is a process that waits to take over.
+// successorConn is the connection to a process that waits to take over.
 type successorConn struct {
 	conn      *net.UnixConn
-	version   atomic.Int32
+	version   atomic.Int32  // of the protocol that it knows
 	takenOver chan struct{} // closed once it has taken over
 	gone      chan struct{} // closed once it has ended
 }
 
-// listenForSuccessor listens for a successor until close. A socket that a process left that was
-// killed is replaced.
+// maxSuccessorMessage is the size of a buffer for a successor's messages, which have two bytes.
+const maxSuccessorMessage = 16
+
+// errNoSuccessor says that no successor waits, or that it has gone.
+var errNoSuccessor = errors.New("handover: no successor")
+
+// listenForSuccessor listens for successors until close. The socket of a process that was killed is replaced.
 func listenForSuccessor(path string, logger *log.Logger) (*successorListener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -47,9 +52,10 @@
 	return &successorListener{listener: ln, logger: logger}, nil
 }
 
-// acceptSuccessors accepts successors until close. A second one takes the first one's place.
+// acceptSuccessors accepts successors until stopListening, and waits until the last has gone. A second one replaces
+// the first.
 func (l *successorListener) acceptSuccessors() {
-	defer l.work.Wait()
+	defer l.readers.Wait()
 	for {
 		c, err := l.listener.AcceptUnix()
 		if err != nil {
@@ -57,23 +63,24 @@
 		}
 		s := &successorConn{conn: c, takenOver: make(chan struct{}), gone: make(chan struct{})}
 		l.mu.Lock()
-		old := l.successor
+		replaced := l.successor
 		if l.successor = s; l.isClosed {
-			old, l.successor = s, nil
+			replaced, l.successor = s, nil
 		}
 		l.mu.Unlock()
-		if old != nil {
-			old.conn.Close()
+		if replaced != nil {
+			replaced.conn.Close()
 		}
-		l.work.Go(func() { l.readMessages(s) })
+		l.readers.Go(func() { l.readMessages(s) })
 		l.logger.Printf("handover: a successor waits")
 	}
 }
 
-// readMessages reads what a successor says until it has gone.
+// readMessages reads what a successor sends until it has gone.
 func (l *successorListener) readMessages(s *successorConn) {
 	defer close(s.gone)
-	buf, serves := make([]byte, 16), false
+	buf := make([]byte, maxSuccessorMessage)
+	hasTakenOver := false
 	for {
 		n, err := s.conn.Read(buf)
 		if n == 0 || err != nil {
@@ -82,8 +89,8 @@
 		switch {
 		case buf[0] == msgHello && n == 2:
 			s.version.Store(int32(buf[1]))
-		case buf[0] == msgTakenOver && !serves:
-			serves = true
+		case buf[0] == msgTakenOver && !hasTakenOver:
+			hasTakenOver = true
 			close(s.takenOver)
 		}
 	}
@@ -92,13 +99,13 @@
 	if l.successor == s {
 		l.successor = nil
 		s.conn.Close()
-		if !serves {
+		if !hasTakenOver {
 			l.logger.Printf("handover: the successor has gone")
 		}
 	}
 }
 
-// hasSuccessor tells whether a successor waits.
+// hasSuccessor tells whether a successor waits. A nil listener has none.
 func (l *successorListener) hasSuccessor() bool {
 	if l == nil {
 		return false
@@ -108,8 +115,8 @@
 	return l.successor != nil
 }
 
-// awaitTakeover waits until the successor has taken over. One that has gone before is an error; one
-// that is silent for long lives, and has the word to go, so that nothing may be taken back.
+// awaitTakeover waits until the successor has taken over. One that has gone before is an error; one that does not
+// answer in time lives and may go, so that nothing may be taken back.
 func (l *successorListener) awaitTakeover() error {
 	l.mu.Lock()
 	s := l.successor
@@ -118,30 +125,27 @@
 		return errNoSuccessor
 	}
 	if s.version.Load() == 0 {
-		return nil // of a version that does not answer
+		return nil // it does not answer
 	}
-	late := time.NewTimer(handoverMessageTimeout)
-	defer late.Stop()
+	timer := time.NewTimer(handoverMessageTimeout)
+	defer timer.Stop()
 	select {
 	case <-s.takenOver:
 		return nil
 	case <-s.gone:
-	case <-late.C:
+	case <-timer.C:
 		l.logger.Printf("handover: the successor does not say that it serves")
 		return nil
 	}
 	select {
-	case <-s.takenOver: // it said so, and went
+	case <-s.takenOver: // it answered, and went
 		return nil
 	default:
 		return errNoSuccessor
 	}
 }
 
-var errNoSuccessor = errors.New("handover: no successor")
-
-// stopListening ends the listening, so that the successor can take the path; what is to be handed
-// over still can be.
+// stopListening ends the listening, so that the successor can take the path; messages can still be sent.
 func (l *successorListener) stopListening() {
 	l.mu.Lock()
 	l.isClosed = true
@@ -149,7 +153,7 @@
 	l.listener.Close()
 }
 
-// close ends it all.
+// close ends the listening and the connection to the successor.
 func (l *successorListener) close() {
 	l.stopListening()
 	l.mu.Lock()
@@ -160,25 +164,28 @@
 	}
 }
 
-// send sends one message, with the descriptor of rc beside it if there is one.
+// send sends one message, with the descriptor of rc beside it unless that is nil.
 func (l *successorListener) send(kind byte, body []byte, rc syscall.RawConn) error {
 	l.mu.Lock()
-	next := l.successor
+	successor := l.successor
 	l.mu.Unlock()
-	if next == nil {
+	if successor == nil {
 		return errNoSuccessor
 	}
-	msg := append([]byte{kind}, body...)
-	next.conn.SetWriteDeadline(time.Now().Add(handoverMessageTimeout))
+	message := append([]byte{kind}, body...)
+	successor.conn.SetWriteDeadline(time.Now().Add(handoverMessageTimeout))
 	write := func(rights []byte) error {
-		_, _, err := next.conn.WriteMsgUnix(msg, rights, nil)
+		_, _, err := successor.conn.WriteMsgUnix(message, rights, nil)
 		return err
 	}
 	var err error
 	if rc == nil {
 		err = write(nil)
-	} else if e := rc.Control(func(fd uintptr) { err = write(syscall.UnixRights(int(fd))) }); e != nil {
-		err = e
+	} else {
+		controlErr := rc.Control(func(fd uintptr) { err = write(syscall.UnixRights(int(fd))) })
+		if controlErr != nil {
+			err = controlErr
+		}
 	}
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -186,7 +193,7 @@
 	return nil
 }
 
-// sendState sends what the module knows, in parts, with their whole length first.
+// sendState sends the engine's state, in parts after its size.
 func (l *successorListener) sendState(state []byte) error {
 	size := binary.BigEndian.AppendUint32(nil, uint32(len(state)))
 	if err := l.send(msgState, size, nil); err != nil {
@@ -202,7 +209,7 @@
 	return nil
 }
 
-// sendInheritedState sends all that comes before clients, and the word to go.
+// sendInheritedState sends everything that precedes clients, and that the successor may go.
 func (l *successorListener) sendInheritedState(state []byte, sock *gossip.Socket) error {
 	if err := l.sendState(state); err != nil {
 		return err
--- a/internal/edgeproxy/upstream_test.go
+++ b/internal/edgeproxy/upstream_test.go
@@ -20,7 +20,7 @@
 
 func testUpstream(servers ...Instance) *serverPool {
 	u := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
-	u.updateEndpoints(servers, true)
+	u.updateEndpoints(servers, policy.EndpointsComplete)
 	return u
 }
 
@@ -390,7 +390,7 @@
 func TestDialIsBounded(t *testing.T) {
 	ln, _ := fullListener(t) // it drops what comes
 	u := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	u.updateEndpoints([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, true)
+	u.updateEndpoints([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, policy.EndpointsComplete)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get)
@@ -459,15 +459,24 @@
 // A server that moved, restarted, drains or is gone keeps no connection, neither an
 // idle one nor one that was busy when the list changed.
 func TestListDropsConnections(t *testing.T) {
-	for name, change := range map[string]func(Instance) ([]Instance, bool){
-		"moved": func(i Instance) ([]Instance, bool) {
+	for name, change := range map[string]func(Instance) ([]Instance, policy.EndpointUpdateKind){
+		"moved": func(i Instance) ([]Instance, policy.EndpointUpdateKind) {
 			i.Addr = netip.MustParseAddrPort("127.0.0.1:1")
-			return []Instance{i}, false
+			return []Instance{i}, policy.EndpointsDelta
 		},
-		"restarted": func(i Instance) ([]Instance, bool) { i.StartedAt = time.Hour; return []Instance{i}, false },
-		"draining":  func(i Instance) ([]Instance, bool) { i.State = policy.Draining; return []Instance{i}, false },
-		"removed":   func(i Instance) ([]Instance, bool) { i.State = policy.Removed; return []Instance{i}, false },
-		"vanished":  func(Instance) ([]Instance, bool) { return nil, true },
+		"restarted": func(i Instance) ([]Instance, policy.EndpointUpdateKind) {
+			i.StartedAt = time.Hour
+			return []Instance{i}, policy.EndpointsDelta
+		},
+		"draining": func(i Instance) ([]Instance, policy.EndpointUpdateKind) {
+			i.State = policy.Draining
+			return []Instance{i}, policy.EndpointsDelta
+		},
+		"removed": func(i Instance) ([]Instance, policy.EndpointUpdateKind) {
+			i.State = policy.Removed
+			return []Instance{i}, policy.EndpointsDelta
+		},
+		"vanished": func(Instance) ([]Instance, policy.EndpointUpdateKind) { return nil, policy.EndpointsComplete },
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold := make(chan struct{})
@@ -505,7 +514,7 @@
 	b := u.servers["a"]
 	drains := s.instance("a")
 	drains.State = policy.Draining
-	u.updateEndpoints([]Instance{drains}, false)
+	u.updateEndpoints([]Instance{drains}, policy.EndpointsDelta)
 	u.openCount++
 	if _, err := u.dial(context.Background(), b); err != errServerNotUp {
 		t.Errorf("error %v, want %v", err, errServerNotUp)
