--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -13,18 +13,18 @@
 	"mulleinmux/internal/edgeproxy"
 )
 
-// The collector's pace. The heap is a few megabytes, so that letting it grow
-// fivefold between collections costs little memory; the limit, a share of what the
-// node may use, makes collections more frequent before that runs out.
+// The garbage collector's settings. The heap is a few megabytes, so that letting it grow fivefold between collections
+// costs little memory; the limit, a fraction of what the node may use, makes collections more frequent before that runs
+// out.
 const (
-	gcPercent   = 400
-	memoryShare = 0.6
+	gcPercent      = 400
+	memoryFraction = 0.6
 )
 
 func main() {
 	logger := log.New(os.Stderr, "", log.LstdFlags|log.Lmicroseconds)
-	// From the first moment: SIGHUP ends a program that does not handle it. One that comes
-	// while another is being served is kept, and the file is read once more.
+	// Handled from the first moment: SIGHUP ends a program that does not handle it. One that is received while another is
+	// being handled is kept, and the file is read once more.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	cfg, err := edgeproxy.LoadConfig(os.Getenv)
@@ -34,7 +34,7 @@
 	runtime.GOMAXPROCS(1) // the node has one core
 	debug.SetGCPercent(gcPercent)
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(cfg.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryFraction * float64(cfg.MemoryMB) * (1 << 20)))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/cmd/edgeproxy/main_test.go
+++ b/cmd/edgeproxy/main_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain lets the test binary run as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("MULLEINMUX_TEST_PROGRAM") != "" {
 		main()
@@ -22,8 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// program is the program with a configuration, and what it has logged so far; it is
-// ended with the test.
+// program is the program with a configuration, and what it has logged so far; it ends with the test.
 func program(t *testing.T, config string) (*exec.Cmd, func() string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -47,7 +46,7 @@
 	}
 }
 
-// A configuration that can't be ends the program with a code and the field's name.
+// An invalid configuration ends the program with a code and the field's name.
 func TestBadConfigExits(t *testing.T) {
 	cmd, logs := program(t, `{"name":"n0","listen":"nowhere"}`)
 	if err := cmd.Run(); cmd.ProcessState.ExitCode() != 1 || !strings.Contains(logs(), "listen") {
@@ -125,9 +124,9 @@
 	}
 }
 
-// Three processes on one socket that the platform holds as descriptor 5: the first is killed while the second waits, which then
-// serves from nothing, and hands over to the third.
-func TestUpgradesOfProcesses(t *testing.T) {
+// Three processes on one socket that the platform holds as descriptor 5: the first is killed while the second waits,
+// which then begins from nothing, and hands over to the third.
+func TestHotRestartOfProcesses(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edgeproxy/manage_test.go
+++ b/internal/edgeproxy/admin_server_test.go
@@ -1,75 +1,28 @@
 package edgeproxy
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"net/netip"
 	"strings"
 	"testing"
 	"time"
 )
 
-// freeAddr is an address on which nothing listens.
-func freeAddr(t *testing.T) netip.AddrPort {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return addrOf(ln)
-}
-
-// call is an operator's call.
-func call(t *testing.T, method string, addr netip.AddrPort, path string) (int, string) {
-	t.Helper()
-	a := dial(t, addr.String()).ask(method + " " + path + " HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n")
-	return a.status, a.body
-}
-
-// shows tells whether a node's figures have a line.
-func shows(t *testing.T, at netip.AddrPort, line string) func() bool {
-	return func() bool {
-		_, text := call(t, "GET", at, adminCountersPath)
-		return strings.Contains("\n"+text, "\n"+line+"\n")
-	}
-}
-
-// managed runs a node with a management address; it has one app server.
-func managed(t *testing.T, serve func(net.Conn, *http.Request, []byte) bool, change func(*Config)) (*running, netip.AddrPort) {
-	t.Helper()
-	cfg := testConfig(newAppServer(t, serve).instance("a"))
-	cfg.AdminListen = freeAddr(t)
-	if change != nil {
-		change(cfg)
-	}
-	n := run(t, cfg)
-	eventually(t, "ready", func() bool {
-		c, err := net.Dial("tcp", cfg.AdminListen.String())
-		if err == nil {
-			c.Close()
-		}
-		return err == nil && strings.Contains(n.logs.String(), "ready on")
-	})
-	return n, cfg.AdminListen
-}
-
-// The figures are those of what clients and app servers saw.
-func TestFigures(t *testing.T) {
+// The metrics are those of what clients and app servers saw.
+func TestMetrics(t *testing.T) {
 	hold := make(chan bool)
-	n, at := managed(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	n, at := runNodeWithAdmin(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		switch {
 		case strings.Contains(r.RequestURI, "hold"):
 			<-hold
 		case strings.Contains(r.RequestURI, "broken"):
 			return false
 		case r.RequestURI == loadReportPath:
-			return say("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")(c, r, body)
+			return respondWith("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")(c, r, body)
 		}
-		return say(okAnswer)(c, r, body)
+		return respondWith(okAnswer)(c, r, body)
 	}, nil)
 	c := dial(t, n.addr)
 	c.ask(request("check", "a"))
@@ -83,7 +36,7 @@
 	}
 	c.ask(request("check", "f", "X-Qos", "novel")) // a client's mistake counts nowhere
 	c.send(request("check", "g", "", "GET /check/hold?customer=00000000b4d65521 HTTP/1.1"))
-	want := func(line string) func() bool { return shows(t, at, line) }
+	want := func(line string) func() bool { return hasMetric(t, at, line) }
 	eventually(t, "one under way", want("app.current=1"))
 	close(hold)
 	c.read()
@@ -93,16 +46,17 @@
 		eventually(t, line, want(line))
 	}
 	// The broken one's further attempts count as well: a keyed request may be sent three times.
-	_, text := call(t, "GET", at, adminCountersPath)
-	if !strings.Contains(text, "app.sends=5\n") && !strings.Contains(text, "app.sends=6\n") && !strings.Contains(text, "app.sends=7\n") {
+	_, text := callAdmin(t, "GET", at, adminCountersPath)
+	if !strings.Contains(text, "app.sends=5\n") && !strings.Contains(text, "app.sends=6\n") &&
+		!strings.Contains(text, "app.sends=7\n") {
 		t.Errorf("sends of five requests sent on:\n%s", text)
 	}
 }
 
-// A server that is out counts as unhealthy, and one that is no longer listed as neither.
-func TestFiguresOfServers(t *testing.T) {
+// A server that is ejected counts as unhealthy, and one that is no longer listed as neither.
+func TestServerMetrics(t *testing.T) {
 	gone := freeAddr(t)
-	n, at := managed(t, say(okAnswer), func(cfg *Config) {
+	n, at := runNodeWithAdmin(t, respondWith(okAnswer), func(cfg *Config) {
 		dead := cfg.SavedEndpoints.Servers[0]
 		dead.ID, dead.Addr = "dead", gone
 		cfg.SavedEndpoints.Servers = append(cfg.SavedEndpoints.Servers, dead)
@@ -112,14 +66,14 @@
 	eventually(t, "one of two is out", func() bool {
 		i++
 		c.ask(request("check", fmt.Sprint("r", i)))
-		_, text := call(t, "GET", at, adminCountersPath)
+		_, text := callAdmin(t, "GET", at, adminCountersPath)
 		return strings.Contains(text, "app.cluster_size=2\napp.cluster_unhealthy=1\nchoice.part=0\n")
 	})
 }
 
-// Callers who say nothing or half a call, more than there are descriptors for, keep nobody waiting.
-func TestCallsBesideStuckOnes(t *testing.T) {
-	_, at := managed(t, say(okAnswer), nil)
+// Operators who send nothing or half a call, more than there are descriptors for, keep nobody waiting.
+func TestStuckAdminCalls(t *testing.T) {
+	_, at := runNodeWithAdmin(t, respondWith(okAnswer), nil)
 	for i := range 200 {
 		c := dial(t, at.String())
 		if i%2 == 0 {
@@ -127,26 +81,31 @@
 		}
 	}
 	began := time.Now()
-	if status, _ := call(t, "GET", at, adminReadyPath); status != 200 || time.Since(began) > time.Second {
+	if status, _ := callAdmin(t, "GET", at, adminReadyPath); status != 200 || time.Since(began) > time.Second {
 		t.Errorf("status %d after %v", status, time.Since(began))
 	}
 	for _, bad := range []struct {
 		method, path string
 		status       int
-	}{{"POST", adminReadyPath, 405}, {"GET", adminOutOfServicePath, 405}, {"GET", "/control/novel", 404}, {"POST", "/", 404}} {
-		if status, _ := call(t, bad.method, at, bad.path); status != bad.status {
+	}{
+		{"POST", adminReadyPath, 405},
+		{"GET", adminOutOfServicePath, 405},
+		{"GET", "/control/novel", 404},
+		{"POST", "/", 404},
+	} {
+		if status, _ := callAdmin(t, bad.method, at, bad.path); status != bad.status {
 			t.Errorf("%s %s: %d, want %d", bad.method, bad.path, status, bad.status)
 		}
 	}
-	if status, text := call(t, "GET", at, adminReadyPath); status != 200 || text != "ready\n" {
+	if status, text := callAdmin(t, "GET", at, adminReadyPath); status != 200 || text != "ready\n" {
 		t.Errorf("after what can't be: %d %q", status, text)
 	}
 }
 
-// Out of service the node answers what still comes and ends every connection: one that is
-// used with the answer, one that is not within 2 s. It does not exit, and comes back.
+// Out of service the node answers new requests and ends every connection: one that is used with the response, one
+// that is not within 2 s. The process does not end, and the node comes back.
 func TestOutOfService(t *testing.T) {
-	n, at := managed(t, say(okAnswer), nil)
+	n, at := runNodeWithAdmin(t, respondWith(okAnswer), nil)
 	health := func() int {
 		return dial(t, n.addr).ask("GET /health/ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n").status
 	}
@@ -157,7 +116,7 @@
 		t.Fatalf("ready: %d", s)
 	}
 	for range 2 { // the second call changes nothing
-		if status, _ := call(t, "POST", at, adminOutOfServicePath); status != 200 {
+		if status, _ := callAdmin(t, "POST", at, adminOutOfServicePath); status != 200 {
 			t.Fatalf("out: %d", status)
 		}
 	}
@@ -165,7 +124,7 @@
 	if s := health(); s != 503 {
 		t.Errorf("health while out: %d", s)
 	}
-	if status, _ := call(t, "GET", at, adminReadyPath); status != 503 {
+	if status, _ := callAdmin(t, "GET", at, adminReadyPath); status != 503 {
 		t.Errorf("ready while out: %d", status)
 	}
 	if a := used.ask(request("check", "c")); a.status != 200 || !a.close {
@@ -179,7 +138,7 @@
 	if d := time.Since(began); d < evictionDelay || d > 3500*time.Millisecond {
 		t.Errorf("connections ended after %v", d)
 	}
-	if status, _ := call(t, "POST", at, adminInServicePath); status != 200 || health() != 200 {
+	if status, _ := callAdmin(t, "POST", at, adminInServicePath); status != 200 || health() != 200 {
 		t.Error("not back in service")
 	}
 	kept := dial(t, n.addr)
@@ -188,21 +147,3 @@
 		t.Errorf("back in service: %d, close %v", a.status, a.close)
 	}
 }
-
-// An address that can't be is named.
-func TestBadManagement(t *testing.T) {
-	cfg := testConfig()
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer taken.Close()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	cfg.AdminListen = addrOf(taken)
-	if err := runOn(context.Background(), cfg, nil, discard, ln); err == nil || !strings.Contains(err.Error(), "management") {
-		t.Errorf("error %v", err)
-	}
-}
--- a/internal/edgeproxy/side_test.go
+++ b/internal/edgeproxy/discovery_watch_test.go
@@ -44,8 +44,10 @@
 	return n, err
 }
 
-// follow runs a registry against the script and gives the lists and starting versions.
-func follow(t *testing.T, silent time.Duration, script func(n int, w io.Writer, ctx context.Context)) (lists chan List, froms chan string) {
+// followScript runs a registry against the script and gives the lists and starting versions.
+func followScript(
+	t *testing.T, silent time.Duration, script func(n int, w io.Writer, ctx context.Context),
+) (lists chan List, froms chan string) {
 	t.Helper()
 	lists, froms = make(chan List, 10), make(chan string, 100)
 	addr := startDiscovery(t, func(n int, from string, w io.Writer, ctx context.Context) {
@@ -66,11 +68,11 @@
 	return lists, froms
 }
 
-// A watch goes on from the version held, on the same and on a new connection.
+// A watch resumes from the version held, on the same and on a new connection.
 func TestWatchResumes(t *testing.T) {
 	a := Instance{Server: policy.Server{ID: "a", Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, StartedAt: 5 * time.Second,
 		State: policy.Draining}, Addr: netip.MustParseAddrPort("127.0.0.1:9")}
-	lists, froms := follow(t, patience, func(n int, w io.Writer, ctx context.Context) {
+	lists, froms := followScript(t, testTimeout, func(n int, w io.Writer, ctx context.Context) {
 		if n > 1 {
 			<-ctx.Done()
 			return
@@ -89,17 +91,16 @@
 	}
 }
 
-// A watch can die without a word, with its connection open: silence well past the
-// heartbeat is taken for that.
+// A watch can die with its connection open: silence well past the heartbeat is taken for that.
 func TestSilentWatchIsReopened(t *testing.T) {
-	_, froms := follow(t, 100*time.Millisecond, func(n int, w io.Writer, ctx context.Context) { <-ctx.Done() })
+	_, froms := followScript(t, 100*time.Millisecond, func(n int, w io.Writer, ctx context.Context) { <-ctx.Done() })
 	<-froms
 	<-froms
 }
 
-// What a malformed line said is lost: the whole list is asked for.
-func TestMalformedListIsAskedForAnew(t *testing.T) {
-	_, froms := follow(t, patience, func(n int, w io.Writer, ctx context.Context) {
+// The content of a malformed line is lost: the complete list is requested.
+func TestMalformedListIsRequestedAgain(t *testing.T) {
+	_, froms := followScript(t, testTimeout, func(n int, w io.Writer, ctx context.Context) {
 		if n == 1 {
 			io.WriteString(w, `{"generation":8,"instances":[{"instanceId":"a",`+"\n")
 			return
@@ -111,18 +112,18 @@
 	}
 }
 
-// An entry that can't be costs no other: the rest of the list counts, and it is not asked
-// for again for ever.
-func TestBadEntriesAreLeftOut(t *testing.T) {
+// An invalid entry costs no other: the rest of the list holds, and it is not requested again for ever.
+func TestInvalidEntriesAreSkipped(t *testing.T) {
 	good := Instance{Server: policy.Server{ID: "good", State: policy.Up}, Addr: netip.MustParseAddrPort("127.0.0.1:9")}
 	text := listJSON(8, true, good)
 	for _, entry := range []string{`{}`, `7`, `{"instanceId":"a","lifecycle":"odd","hostPort":"127.0.0.1:1"}`,
-		`{"instanceId":"a","lifecycle":"up","hostPort":"nowhere"}`, `{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":"x"}`,
+		`{"instanceId":"a","lifecycle":"up","hostPort":"nowhere"}`,
+		`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":"x"}`,
 		`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":-1}`,
 		`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":1e300}`} {
 		text = strings.Replace(text, "[", "["+entry+",", 1)
 	}
-	lists, froms := follow(t, patience, func(n int, w io.Writer, ctx context.Context) {
+	lists, froms := followScript(t, testTimeout, func(n int, w io.Writer, ctx context.Context) {
 		fmt.Fprintf(w, "%s\n%s\n", text, listJSON(9, false))
 		<-ctx.Done()
 	})
@@ -137,13 +138,13 @@
 	}
 }
 
-// What the agent has counts as told from a new process's first moment: nothing is sent by a saved list that it contradicts, and its
-// versions may be another agent's than those of the saved list.
-func TestTheAgentsListComesBeforeTheFirstRequest(t *testing.T) {
-	a, b := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
+// The agent's list holds from a new process's first moment: nothing is sent by a saved list that it contradicts,
+// and its versions may be another agent's than those of the saved list.
+func TestAgentListPrecedesFirstRequest(t *testing.T) {
+	a, b := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
 	called, release := make(chan string, 10), make(chan struct{})
 	cfg := testConfig(a.instance("a"), b.instance("b"))
-	cfg.firstListTimeout = patience
+	cfg.firstListTimeout = testTimeout
 	cfg.Discovery = startDiscovery(t, func(n int, from string, w io.Writer, ctx context.Context) {
 		called <- from
 		<-release
@@ -152,7 +153,7 @@
 		fmt.Fprintln(w, listJSON(3, true, drains, b.instance("b")))
 		<-ctx.Done()
 	})
-	n := run(t, cfg)
+	n := runNode(t, cfg)
 	if from := <-called; from != "0" {
 		t.Errorf("the whole list is wanted, and not what came after version %s of whatever agent", from)
 	}
@@ -173,26 +174,26 @@
 	}
 }
 
-// An agent that is silent at the start keeps the node waiting for a moment only.
-func TestASilentAgentAtTheStart(t *testing.T) {
-	app := newAppServer(t, say(okAnswer))
+// An agent that does not answer at the start keeps the node waiting for a moment only.
+func TestUnresponsiveAgentAtStart(t *testing.T) {
+	app := newAppServer(t, respondWith(okAnswer))
 	cfg := testConfig(app.instance("a"))
 	cfg.firstListTimeout = 20 * time.Millisecond
 	cfg.Discovery = startDiscovery(t, func(_ int, _ string, _ io.Writer, ctx context.Context) { <-ctx.Done() })
-	if r := dial(t, run(t, cfg).addr).ask(request("check", "x")); r.status != 200 {
+	if r := dial(t, runNode(t, cfg).addr).ask(request("check", "x")); r.status != 200 {
 		t.Errorf("answered %d", r.status)
 	}
 }
 
-// What discovery tells reaches the choice of a server.
+// What discovery tells reaches server selection.
 func TestWatchMovesTraffic(t *testing.T) {
-	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
+	old, young := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
 	cfg := testConfig(old.instance("a"))
 	cfg.Discovery = startDiscovery(t, func(n int, _ string, w io.Writer, ctx context.Context) {
 		fmt.Fprintf(w, "%s\n", listJSON(8, true, young.instance("b")))
 		<-ctx.Done()
 	})
-	n := run(t, cfg)
+	n := runNode(t, cfg)
 	c := dial(t, n.addr)
 	i := 0
 	eventually(t, "new server used", func() bool {
@@ -207,10 +208,10 @@
 	}
 }
 
-// A reload moves the watch at once and asks the new agent for the whole list: its versions
-// are its own. A configuration that can't be changes nothing.
+// A reload moves the watch at once and requests the complete list from the new agent: its versions are its own. An
+// invalid configuration changes nothing.
 func TestReloadMovesTheWatch(t *testing.T) {
-	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
+	old, young := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
 	watched, left := make(chan struct{}), make(chan struct{})
 	first := startDiscovery(t, func(_ int, _ string, w io.Writer, ctx context.Context) {
 		close(watched)
@@ -232,11 +233,13 @@
 		moved.Discovery = second
 		return &moved, <-next
 	}
-	n := run(t, cfg)
+	n := runNode(t, cfg)
 	<-watched // else the first agent may not have been called yet when the watch moves
 	next <- errors.New("discovery: no port")
 	n.hup <- syscall.SIGHUP
-	eventually(t, "bad configuration logged", func() bool { return strings.Contains(n.logs.String(), "discovery: no port") })
+	eventually(t, "bad configuration logged", func() bool {
+		return strings.Contains(n.logs.String(), "discovery: no port")
+	})
 	select {
 	case <-left:
 		t.Fatal("the watch was left for a configuration that can't be")
@@ -257,9 +260,8 @@
 	})
 }
 
-// The environment's address is that of the start: on a reload the file's counts, or no
-// reload could ever move the watch.
-func TestReloadTakesTheFilesDiscovery(t *testing.T) {
+// The environment's address is that of the start: on a reload the file's counts, or none could ever move the watch.
+func TestReloadReadsDiscoveryFromFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
 		t.Helper()
@@ -286,12 +288,12 @@
 	}
 }
 
-// The clock is Unix time, so that a server's start converts to the gateway's.
-func TestClock(t *testing.T) {
-	f := idleFront(t, testConfig())
-	before := time.Duration(time.Now().UnixNano())
-	now := f.node.now()
-	if d := now - before; d < -time.Second || d > patience || f.node.now() < now {
-		t.Errorf("the clock reads %v past Unix time", d)
+// The saved list serves while discovery is down.
+func TestSavedEndpointsServe(t *testing.T) {
+	s := newAppServer(t, respondWith(okAnswer))
+	n := runNode(t, testConfig(s.instance("a"))) // its discovery refuses connections
+	eventually(t, "discovery found down", func() bool { return strings.Contains(n.logs.String(), "discovery:") })
+	if a := dial(t, n.addr).ask(request("check", "t1")); a.status != 200 {
+		t.Errorf("status %d", a.status)
 	}
 }
--- /dev/null
+++ b/internal/edgeproxy/exchange_test.go
@@ -0,0 +1,363 @@
+package edgeproxy
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/policy"
+)
+
+func TestExchangeResults(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		want       policy.Result
+		reused     bool
+	}{
+		{"served", okAnswer, policy.OK, true},
+		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", policy.OK, true},
+		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, policy.OK, true},
+		{"last on its connection",
+			"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", policy.OK, false},
+		{"more than asked for", okAnswer + okAnswer, policy.OK, false},
+		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse, true},
+		{"turned away, 503",
+			"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.RejectedByServer, true},
+		{"turned away, 504",
+			"HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.RejectedByServer, true},
+		{"503 that may have run", "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse, true},
+		{"never ran, in other words",
+			"HTTP/1.1 503 F\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse, true},
+		{"500 that claims it never ran",
+			"HTTP/1.1 500 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse, true},
+		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", policy.ErrorResponse, true},
+		{"ends with its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody", policy.OK, false},
+		{"long error",
+			"HTTP/1.1 500 E\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), policy.ErrorResponse, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			s := newAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+				return respondWith(c.text)(conn, r, body) && !strings.Contains(c.text, "Connection: close")
+			})
+			pool := newTestPool(s.instance("a"))
+			rep, res := runExchange(t, pool, "a")
+			wantResult(t, res, c.want)
+			if res == policy.OK && string(rep.body) != "body" {
+				t.Errorf("body %q", rep.body)
+			}
+			if got := len(pool.servers["a"].idle) == 1; got != c.reused {
+				t.Errorf("kept: %v, want %v", got, c.reused)
+			}
+		})
+	}
+}
+
+// A connection that breaks is a reset, whichever part of the response it cuts: forwarded in part, it could not be
+// retried.
+func TestBrokenResponseIsReset(t *testing.T) {
+	for _, text := range []string{"", "HTTP/1.1 200", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n"} {
+		s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+			io.WriteString(c, text)
+			return false
+		})
+		pool := newTestPool(s.instance("a"))
+		_, res := runExchange(t, pool, "a")
+		wantResult(t, res, policy.ConnectionReset)
+	}
+}
+
+// endless serves a response with a line that is repeated without end.
+func endless(line string) func(net.Conn, *http.Request, []byte) bool {
+	return func(c net.Conn, _ *http.Request, _ []byte) bool {
+		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n")
+		for err == nil {
+			_, err = io.WriteString(c, line)
+		}
+		return false
+	}
+}
+
+const bodyAfterHead = "\r\n\r\nbody"
+
+// invalidResponses are responses that can't be read.
+var invalidResponses = []struct {
+	name  string
+	serve func(net.Conn, *http.Request, []byte) bool
+}{
+	{"noise", respondWith("\x85\x14\xe8 no HTTP\r\n\r\n")},
+	{"another protocol", respondWith("ICY 200 OK\r\nContent-Length: 4" + bodyAfterHead)},
+	{"status no number", respondWith("HTTP/1.1 2x0 OK\r\nContent-Length: 4" + bodyAfterHead)},
+	{"line without colon", respondWith("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4" + bodyAfterHead)},
+	{"two lengths", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4" + bodyAfterHead)},
+	{"negative length", respondWith("HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 4" + bodyAfterHead)},
+	{"bad chunk",
+		respondWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n")},
+	{"no length", respondWith("HTTP/1.1 200 OK" + bodyAfterHead)},
+	{"length too large", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 5" + bodyAfterHead)},
+	{"half a head", respondWith("HTTP/1.1 200 OK\r\nContent-")},
+	{"endless head", endless("X-Pad: pppppppppppppppppppppppp\r\n")},
+	{"endless line", endless("pppppppppppppppppppppppp")},
+	{"endless 1xx answers", func(c net.Conn, _ *http.Request, _ []byte) bool {
+		_, err := io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
+		for err == nil {
+			_, err = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
+		}
+		return false
+	}},
+	{"endless body", endless("Content-Length: 3000000000\r\n\r\n")},
+	{"endless chunks' heads",
+		endless("Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1;"+strings.Repeat("x", 500)+"\r\nx\r\n", 1000))},
+}
+
+// A response that can't be read is an error that may have run, known at once: not a reset, which would make a warm
+// server count as restarted and cold, and not a timeout, which would count as overload and cost the server its idle
+// connections.
+func TestInvalidResponses(t *testing.T) {
+	for _, c := range invalidResponses {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			s := newAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+				if r.Header.Get("X-Trace-Id") == "fine" {
+					return respondWith(okAnswer)(conn, r, body)
+				}
+				return c.serve(conn, r, body)
+			})
+			pool := newTestPool(s.instance("a"))
+			spare, err := pool.acquire(context.Background(), "a")
+			if err != nil {
+				t.Fatal(err)
+			}
+			_, res := runExchange(t, pool, "a")
+			wantResult(t, res, policy.ErrorResponse)
+			pool.release(spare)
+			if b := pool.servers["a"]; len(b.idle) != 1 || pool.openCount != 1 {
+				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), pool.openCount)
+			}
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+			defer cancel()
+			if _, res := pool.exchange(ctx, "a", &serverRequest{method: "GET", target: "/check", id: "fine"}); res != policy.OK {
+				t.Errorf("the next request: result %d", res)
+			}
+		})
+	}
+}
+
+// Half a response when the attempt's time expires is an error response, not a timeout.
+func TestHalfResponseIsNoTimeout(t *testing.T) {
+	s := newAppServer(t, respondWith("HTTP/1.1 200 OK\r\n"))
+	pool := newTestPool(s.instance("a"))
+	spare, err := pool.acquire(context.Background(), "a")
+	if err != nil {
+		t.Fatal(err)
+	}
+	pool.release(spare)
+	other, err := pool.dial(context.Background(), pool.servers["a"])
+	if err != nil {
+		t.Fatal(err)
+	}
+	pool.openCount++
+	pool.release(other)
+	ctx, cancel := context.WithTimeout(context.Background(), responsePieceTimeout/2)
+	defer cancel()
+	_, res := pool.exchange(ctx, "a", &get)
+	wantResult(t, res, policy.ErrorResponse)
+	if len(pool.servers["a"].idle) != 1 {
+		t.Error("the other idle connection is gone")
+	}
+}
+
+// An interim (1xx) response is no part of the final one, which may come as late as it likes.
+func TestInterimResponse(t *testing.T) {
+	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
+		time.Sleep(responsePieceTimeout * 3 / 2) // the server at work
+		return respondWith(okAnswer)(c, r, body)
+	})
+	pool := newTestPool(s.instance("a"))
+	_, res := runExchange(t, pool, "a")
+	wantResult(t, res, policy.OK)
+}
+
+// An attempt whose own time expires before it is written says nothing of its server.
+func TestAttemptTimesOutBeforeSend(t *testing.T) {
+	s := newAppServer(t, respondWith(okAnswer))
+	pool := newTestPool(s.instance("a"))
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
+	defer cancel()
+	_, res := pool.exchange(ctx, "a", &get)
+	wantResult(t, res, policy.NotSent)
+}
+
+// A pooled connection that breaks under a request ends it as a reset. A client that resends by itself would make an
+// attempt that nobody counts.
+func TestNothingIsResent(t *testing.T) {
+	first := true
+	s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+		if first {
+			first = false
+			io.WriteString(c, okAnswer)
+			return true
+		}
+		return false
+	})
+	pool := newTestPool(s.instance("a"))
+	_, res := runExchange(t, pool, "a")
+	wantResult(t, res, policy.OK)
+	_, res = runExchange(t, pool, "a")
+	wantResult(t, res, policy.ConnectionReset)
+	if n := len(s.requests()); n != 2 {
+		t.Errorf("%d copies arrived of 2 requests", n)
+	}
+}
+
+// Giving up closes the connection before the result is known, or the next attempt would run beside this one.
+func TestCancelClosesConnection(t *testing.T) {
+	for _, c := range []struct {
+		want   policy.Result
+		giveUp func() (context.Context, context.CancelFunc)
+	}{
+		{policy.TimedOut, func() (context.Context, context.CancelFunc) {
+			return context.WithTimeout(context.Background(), 100*time.Millisecond)
+		}},
+		{policy.Cancelled, func() (context.Context, context.CancelFunc) {
+			ctx, cancel := context.WithCancel(context.Background())
+			time.AfterFunc(100*time.Millisecond, cancel)
+			return ctx, cancel
+		}},
+	} {
+		s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+		pool := newTestPool(s.instance("a"))
+		ctx, cancel := c.giveUp()
+		_, res := pool.exchange(ctx, "a", &get)
+		cancel()
+		wantResult(t, res, c.want)
+		wantClosed(t, <-s.conns)
+		if pool.openCount != 0 {
+			t.Errorf("%d connections counted, none open", pool.openCount)
+		}
+	}
+}
+
+// A request whose time or client has gone while it waited is not written, also to a connection that is ready: the
+// deadline that ends its I/O is set by another goroutine, which comes later.
+func TestNothingIsSentAfterDeadlineOrDisconnect(t *testing.T) {
+	app := newAppServer(t, respondWith(okAnswer))
+	pool := newTestPool(app.instance("a"))
+	for range 20 {
+		runExchange(t, pool, "a")
+		sent := len(app.requests())
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		_, res := pool.exchange(ctx, "a", &get)
+		wantResult(t, res, policy.Cancelled)
+		for len(app.conns) > 0 {
+			wantClosed(t, <-app.conns)
+		}
+		if n := len(app.requests()); n != sent {
+			t.Fatal("a request was sent on after its end")
+		}
+	}
+}
+
+// The endpoint list says that a server drains between the acquisition of its connection and the first byte.
+func TestNothingIsSentToDrainingServer(t *testing.T) {
+	app := newAppServer(t, respondWith(okAnswer))
+	pool := newTestPool(app.instance("a"))
+	runExchange(t, pool, "a")
+	m := get
+	m.isClientGone = func() bool { // asked at that moment
+		drains := app.instance("a")
+		drains.State = policy.Draining
+		closeConns(pool.updateEndpoints([]Instance{drains}, policy.EndpointsDelta))
+		return false
+	}
+	_, res := pool.exchange(t.Context(), "a", &m)
+	wantResult(t, res, policy.ConnectFailed)
+	wantClosed(t, <-app.conns)
+	if len(app.requests()) != 1 || pool.openCount != 0 {
+		t.Errorf("requests %q, %d connections counted", app.requests(), pool.openCount)
+	}
+}
+
+// A response that is sent twice, the second some milliseconds late, is not taken for that of the next request.
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
+	var mu sync.Mutex
+	asked := map[net.Conn]int{}
+	app := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+		mu.Lock()
+		asked[c]++
+		second := asked[c] > 1
+		mu.Unlock()
+		if second { // what came late for the first request comes now
+			io.WriteString(c, strings.Replace(okAnswer, "body", "evil", 1))
+		}
+		_, err := io.WriteString(c, okAnswer)
+		return err == nil
+	})
+	pool := newTestPool(app.instance("a"))
+	pool.minIdleTime = time.Minute // a moment, however slow the machine
+	for range 5 {
+		rep, res := runExchange(t, pool, "a")
+		if wantResult(t, res, policy.OK); string(rep.body) != "body" {
+			t.Fatalf("body %q", rep.body)
+		}
+	}
+	c, err := pool.acquire(t.Context(), "a")
+	if err != nil {
+		t.Fatal(err)
+	}
+	pool.release(c)
+	pool.mu.Lock()
+	for i := range pool.servers["a"].idle {
+		pool.servers["a"].idle[i].idleSince = time.Now().Add(-2 * pool.minIdleTime)
+	}
+	idle := pool.servers["a"].idle
+	want := idle[len(idle)-1]
+	pool.mu.Unlock()
+	pool.maxIdleTimeout = time.Hour
+	if got, err := pool.acquire(t.Context(), "a"); got != want || err != nil {
+		t.Errorf("one that has stood idle is not used again: %v", err)
+	}
+}
+
+func TestLoadReports(t *testing.T) {
+	for text, want := range map[string]*policy.LoadReport{
+		"TEXT inflight=7, queue=2, util=0.61":     {InFlight: 7, QueueLength: 2, Utilization: 0.61},
+		"TEXT backlog=2,utilization=0.5,novel=1 ": {InFlight: -1, QueueLength: 2, Utilization: 0.5},
+		"TEXT util=x, queue=3":                    {InFlight: -1, QueueLength: 3, Utilization: -1},
+		"TEXT util=NaN, queue=-1":                 {InFlight: -1, QueueLength: -1, Utilization: -1},
+		"TEXT util=1e9, queue=0x1p4":              {InFlight: -1, QueueLength: -1, Utilization: -1},
+		"TEXT util=1000000, queue=999999999":      {InFlight: -1, QueueLength: -1, Utilization: -1},
+		"TEXT util=1.059, queue=1.674":            {InFlight: -1, QueueLength: 1.674, Utilization: 1.059},
+		"":                                        nil, "JSON {}": nil,
+	} {
+		got := loadreport.Parse(text)
+		if (got == nil) != (want == nil) || got != nil && *got != *want {
+			t.Errorf("%q: %v, want %v", text, got, want)
+		}
+	}
+}
+
+func runExchange(t *testing.T, u *serverPool, server string) (serverResponse, policy.Result) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	defer cancel()
+	return u.exchange(ctx, server, &get)
+}
+
+func wantResult(t *testing.T, got, want policy.Result) {
+	t.Helper()
+	if got != want {
+		t.Errorf("result %d, want %d", got, want)
+	}
+}
+
+var get = serverRequest{method: "GET", target: "/check?customer=1", id: "t1"}
--- a/internal/edgeproxy/fixture_test.go
+++ b/internal/edgeproxy/fixture_test.go
@@ -58,7 +58,7 @@
 // TestRecordedCalls compares the answers to operators' calls and to the front's check, before requests, after them
 // and out of service.
 func TestRecordedCalls(t *testing.T) {
-	n, at := managed(t, say(okAnswer), nil)
+	n, at := runNodeWithAdmin(t, respondWith(okAnswer), nil)
 	text := rawAnswer(t, at.String(), "GET", "/control/ready") + rawAnswer(t, at.String(), "GET", "/control/counters") +
 		rawAnswer(t, n.addr, "GET", "/health/ready")
 	c := dial(t, n.addr)
@@ -66,8 +66,8 @@
 	c.ask(request("book", "b"))
 	c.ask(request("check", "c", "X-Contract", "tight"))
 	c.ask(request("check", "d", "X-Contract", "tight"))
-	eventually(t, "all counted", shows(t, at, "app.current=0"))
-	eventually(t, "the refusal counted", shows(t, at, "app.deferred.check=1"))
+	eventually(t, "all counted", hasMetric(t, at, "app.current=0"))
+	eventually(t, "the refusal counted", hasMetric(t, at, "app.deferred.check=1"))
 	text += rawAnswer(t, at.String(), "GET", "/control/counters") +
 		rawAnswer(t, at.String(), "POST", "/control/ready") + rawAnswer(t, at.String(), "GET", "/control/in-service") +
 		rawAnswer(t, at.String(), "GET", "/control/novel") + rawAnswer(t, at.String(), "POST", "/control/out-of-service") +
@@ -80,7 +80,7 @@
 func packetOf(t *testing.T, c net.Conn) string {
 	t.Helper()
 	buf := make([]byte, 64<<10)
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	n, err := c.Read(buf)
 	if err != nil {
 		t.Fatal(err)
@@ -91,13 +91,13 @@
 // TestRecordedPredecessor plays a predecessor to a node: what it is sent is recorded text.
 func TestRecordedPredecessor(t *testing.T) {
 	dir := t.TempDir()
-	cfg := upgradable(t, dir, newAppServer(t, say(okAnswer)).instance("a"))
+	cfg := hotRestartConfig(t, dir, newAppServer(t, respondWith(okAnswer)).instance("a"))
 	ln, err := net.Listen("unixpacket", cfg.HandoverSocket)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	next := newShared(t).start(t, cfg)
+	next := newSharedListener(t).start(t, cfg)
 	c, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	if got := packetOf(t, c); got != "y" {
 		t.Errorf("the successor answers %q", got)
 	}
-	next.says(t, "ready on")
+	next.awaitLog(t, "ready on")
 	spender := dial(t, next.addr)
 	line := "GET /check/a?customer=0000000000000007 HTTP/1.1"
 	if a := spender.ask(request("check", "a", "X-Contract", "tight", "", line)); a.status != 429 {
@@ -137,9 +137,9 @@
 // state but for its numbers.
 func TestRecordedSuccessor(t *testing.T) {
 	dir := t.TempDir()
-	cfg := upgradable(t, dir, newAppServer(t, say(okAnswer)).instance("a"))
-	old := newShared(t).start(t, cfg)
-	old.says(t, "ready on")
+	cfg := hotRestartConfig(t, dir, newAppServer(t, respondWith(okAnswer)).instance("a"))
+	old := newSharedListener(t).start(t, cfg)
+	old.awaitLog(t, "ready on")
 	client := dial(t, old.addr)
 	client.ask(request("check", "a"))
 	client.ask(request("check", "b", "X-Contract", "tight"))
@@ -151,7 +151,7 @@
 	if _, err := io.WriteString(c, "h\x01"); err != nil {
 		t.Fatal(err)
 	}
-	old.says(t, "a successor waits")
+	old.awaitLog(t, "a successor waits")
 	old.stop()
 	size := packetOf(t, c)
 	if len(size) != 5 || size[0] != 's' {
@@ -184,8 +184,8 @@
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	for _, v := range []any{c.Name, c.Listen, c.Discovery, c.AdminListen, c.AcceptFD, c.HandoverSocket, c.Seed, c.MemoryMB, c.MaxSockets,
-		c.GossipListen, c.GossipPeers, c.GossipBroadcast, c.SavedEndpoints, c.Settings, c.Transport} {
+	for _, v := range []any{c.Name, c.Listen, c.Discovery, c.AdminListen, c.AcceptFD, c.HandoverSocket, c.Seed, c.MemoryMB,
+		c.MaxSockets, c.GossipListen, c.GossipPeers, c.GossipBroadcast, c.SavedEndpoints, c.Settings, c.Transport} {
 		writeValues(&b, reflect.ValueOf(v))
 		b.WriteString("\n")
 	}
--- a/internal/edgeproxy/harness_test.go
+++ b/internal/edgeproxy/harness_test.go
@@ -11,8 +11,10 @@
 	"net/http"
 	"net/netip"
 	"os"
+	"strconv"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -27,8 +29,8 @@
 	Instance = discovery.Instance
 )
 
-// patience bounds every wait of a test; none is expected to come near it.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of a test; none is expected to come near it.
+const testTimeout = 30 * time.Second
 
 // appServer is an app server on a loopback socket. serve answers one request that
 // has come whole; it returns false to have the connection closed.
@@ -100,8 +102,8 @@
 
 func addrOf(ln net.Listener) netip.AddrPort { return ln.Addr().(*net.TCPAddr).AddrPort() }
 
-// say returns a serve function that writes the text and keeps the connection.
-func say(text string) func(net.Conn, *http.Request, []byte) bool {
+// respondWith returns a serve function that writes the text and keeps the connection.
+func respondWith(text string) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
@@ -118,20 +120,25 @@
 		MaxSockets: 256, SavedEndpoints: List{Generation: 7, Full: true, Servers: servers},
 		Transport: simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
 		Settings: policy.Settings{
-			InstanceCount: 1, Zone: "z", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			InstanceCount: 1, Zone: "z", MaxAttempts: 3, AllowsCancel: true,
+			SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond,
 			Classes: []policy.Class{
-				{Name: "check", Idempotency: policy.Idempotent, LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
+				{Name: "check", Idempotency: policy.Idempotent,
+					LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
 				{Name: "book", Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupZone, DedupWindow: 4 * time.Second,
 					LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
 			},
-			Plans: []policy.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}, {Name: "tight", Rate: 0.1, Burst: 1, PriorityFactor: 1}},
+			Plans: []policy.Plan{
+				{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1},
+				{Name: "tight", Rate: 0.1, Burst: 1, PriorityFactor: 1},
+			},
 		},
 	}
 }
 
-// running is a node that runs in this process.
-type running struct {
+// runningNode is a node that runs in this process.
+type runningNode struct {
 	addr string
 	stop context.CancelFunc // a planned restart's SIGTERM
 	hup  chan os.Signal     // takes SIGHUP
@@ -139,20 +146,26 @@
 	logs *testserver.Log
 }
 
-func run(t testing.TB, cfg *Config) *running {
+func runNode(t testing.TB, cfg *Config) *runningNode {
 	t.Helper()
-	return runOver(t, cfg, func(ln *net.TCPListener) net.Listener { return ln })
+	return runNodeOver(t, cfg, func(ln *net.TCPListener) net.Listener { return ln })
 }
 
-// runOver is run with the clients' listener wrapped.
-func runOver(t testing.TB, cfg *Config, wrap func(*net.TCPListener) net.Listener) *running {
+// runNodeOver is run with the clients' listener wrapped.
+func runNodeOver(t testing.TB, cfg *Config, wrap func(*net.TCPListener) net.Listener) *runningNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{addr: ln.Addr().String(), stop: stop, done: make(chan error, 1), logs: &testserver.Log{}, hup: make(chan os.Signal, 1)}
+	r := &runningNode{
+		addr: ln.Addr().String(),
+		stop: stop,
+		hup:  make(chan os.Signal, 1),
+		done: make(chan error, 1),
+		logs: &testserver.Log{},
+	}
 	go func() { r.done <- runOn(ctx, cfg, r.hup, log.New(r.logs, "", 0), wrap(ln.(*net.TCPListener))) }()
 	t.Cleanup(func() {
 		stop()
@@ -161,7 +174,7 @@
 			if err != nil {
 				t.Errorf("run: %v", err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("the node does not end")
 		}
 	})
@@ -182,12 +195,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{Conn: c, br: bufio.NewReader(c), t: t}
 }
 
-// answered is an answer as a client reads it.
-type answered struct {
+// clientResponse is an answer as a client reads it.
+type clientResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -201,7 +214,7 @@
 	}
 }
 
-func (c *client) read() answered {
+func (c *client) read() clientResponse {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
@@ -211,10 +224,10 @@
 	if err != nil {
 		c.t.Fatalf("reading the answer's body: %v", err)
 	}
-	return answered{resp.StatusCode, resp.Header, string(body), resp.Close}
+	return clientResponse{resp.StatusCode, resp.Header, string(body), resp.Close}
 }
 
-func (c *client) ask(text string) answered {
+func (c *client) ask(text string) clientResponse {
 	c.t.Helper()
 	c.send(text)
 	return c.read()
@@ -252,7 +265,7 @@
 // eventually waits for a condition that other goroutines bring about.
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !cond(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !cond(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -273,3 +286,144 @@
 	}
 	return string(b)
 }
+
+// awaitEndBeforeCleanup waits for the node's end, before the clean-up does.
+func (r *runningNode) awaitEndBeforeCleanup(t *testing.T) {
+	t.Helper()
+	r.awaitEnd(t)
+	r.done <- nil
+}
+
+func (r *runningNode) awaitLog(t *testing.T, what string) {
+	t.Helper()
+	eventually(t, what, func() bool { return strings.Contains(r.logs.String(), what) })
+}
+
+func (r *runningNode) awaitEnd(t *testing.T) {
+	t.Helper()
+	select {
+	case err := <-r.done:
+		if err != nil {
+			t.Fatalf("ended with %v", err)
+		}
+	case <-time.After(testTimeout):
+		t.Fatal("does not end")
+	}
+}
+
+// finalMetrics are the figures that a node logs as it ends.
+func (r *runningNode) finalMetrics(t *testing.T) map[string]int {
+	t.Helper()
+	_, text, ok := strings.Cut(r.logs.String(), "figures at the end: ")
+	if !ok {
+		t.Fatalf("no figures in the log:\n%s", r.logs)
+	}
+	figures := map[string]int{}
+	for _, f := range strings.Fields(text) {
+		name, val, _ := strings.Cut(f, "=")
+		n, err := strconv.Atoi(val)
+		if err != nil {
+			t.Fatalf("figure %q: %v", f, err)
+		}
+		figures[name] = n
+	}
+	return figures
+}
+
+func awaitRefused(t *testing.T, addr string) {
+	t.Helper()
+	eventually(t, "listener closed", func() bool {
+		c, err := net.Dial("tcp", addr)
+		if err == nil {
+			c.Close()
+		}
+		return err != nil
+	})
+}
+
+func wantEOF(t *testing.T, what string, c *client) {
+	t.Helper()
+	if _, err := c.br.ReadByte(); err == nil {
+		t.Errorf("%s: something came, want a close", what)
+	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
+		t.Errorf("%s: still open", what)
+	}
+}
+
+// newBlockingServer is an app server that says on held that it has a request with "hold" in its target, and
+// answers that one once hold is closed.
+func newBlockingServer(t *testing.T) (app *appServer, held, hold chan bool) {
+	hold, held = make(chan bool), make(chan bool, 1)
+	return newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		if strings.Contains(r.RequestURI, "hold") {
+			held <- true
+			<-hold
+		}
+		return respondWith(okAnswer)(c, r, body)
+	}), held, hold
+}
+
+// wantClosed waits until the peer has closed its end.
+func wantClosed(t *testing.T, c net.Conn) {
+	t.Helper()
+	eventually(t, "connection closed by the node", func() bool {
+		raw, err := c.(*net.TCPConn).SyscallConn()
+		if err != nil {
+			return true
+		}
+		closed := false
+		err = raw.Control(func(fd uintptr) {
+			var b [1]byte
+			n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+			closed = err == nil && n == 0 || err == syscall.ECONNRESET
+		})
+		return err != nil || closed
+	})
+}
+
+// freeAddr is an address on which nothing listens.
+func freeAddr(t *testing.T) netip.AddrPort {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	return addrOf(ln)
+}
+
+// callAdmin is an operator's call.
+func callAdmin(t *testing.T, method string, addr netip.AddrPort, path string) (int, string) {
+	t.Helper()
+	a := dial(t, addr.String()).ask(method + " " + path + " HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n")
+	return a.status, a.body
+}
+
+// hasMetric tells whether a node's figures have a line.
+func hasMetric(t *testing.T, at netip.AddrPort, line string) func() bool {
+	return func() bool {
+		_, text := callAdmin(t, "GET", at, adminCountersPath)
+		return strings.Contains("\n"+text, "\n"+line+"\n")
+	}
+}
+
+// runNodeWithAdmin runs a node with a management address; it has one app server.
+func runNodeWithAdmin(
+	t *testing.T, serve func(net.Conn, *http.Request, []byte) bool, change func(*Config),
+) (*runningNode, netip.AddrPort) {
+	t.Helper()
+	cfg := testConfig(newAppServer(t, serve).instance("a"))
+	cfg.AdminListen = freeAddr(t)
+	if change != nil {
+		change(cfg)
+	}
+	n := runNode(t, cfg)
+	eventually(t, "ready", func() bool {
+		c, err := net.Dial("tcp", cfg.AdminListen.String())
+		if err == nil {
+			c.Close()
+		}
+		return err == nil && strings.Contains(n.logs.String(), "ready on")
+	})
+	return n, cfg.AdminListen
+}
--- /dev/null
+++ b/internal/edgeproxy/health_check_test.go
@@ -0,0 +1,106 @@
+package edgeproxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// A machine that has vanished leaves its connections open and silent, and the list says so late. The health check
+// that finds it must keep clients' requests away until it answers again.
+func TestUnresponsiveServerGetsNoRequest(t *testing.T) {
+	const stats = "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nTEXT util=0.1,queue="
+	var gone atomic.Bool
+	var met atomic.Int32 // requests of clients that the silent server has read
+	answers := func(name string, silent *atomic.Bool) func(net.Conn, *http.Request, []byte) bool {
+		return func(c net.Conn, r *http.Request, _ []byte) bool {
+			text := okAnswer
+			switch {
+			case r.RequestURI == loadReportPath:
+				text = stats
+			case name == "quick":
+				met.Add(1)
+			default:
+				time.Sleep(5 * time.Millisecond) // the slower of the two: the other one is preferred
+			}
+			if silent != nil && silent.Load() {
+				return true
+			}
+			_, err := io.WriteString(c, text)
+			return err == nil
+		}
+	}
+	quick, slow := newAppServer(t, answers("quick", &gone)), newAppServer(t, answers("slow", nil))
+	cfg := testConfig(quick.instance("quick"), slow.instance("slow"))
+	cfg.Settings.AllowsHealthChecks, cfg.Settings.LoadReports = true, policy.LoadReportsInHealthChecks
+	r := runNode(t, cfg)
+	c, n := dial(t, r.addr), 0
+	ask := func() {
+		n++
+		if a := c.ask(request("check", fmt.Sprint("q", n))); a.status != http.StatusOK {
+			t.Fatalf("request %d: %d", n, a.status)
+		}
+	}
+	for n < 300 || met.Load() < 100 {
+		ask()
+	}
+	gone.Store(true)
+	eventually(t, "a probe finds the silent server", func() bool { return strings.Contains(r.logs.String(), "silent") })
+	before := met.Load()
+	for range 30 {
+		ask()
+	}
+	if got := met.Load() - before; got != 0 {
+		t.Errorf("%d requests went to a silent server", got)
+	}
+	gone.Store(false)
+	for end := time.Now().Add(testTimeout); met.Load() == before; ask() {
+		if time.Now().After(end) {
+			t.Fatal("the server answers again and gets no request")
+		}
+	}
+}
+
+// A server that refuses a new connection and goes on answering on an old one has not restarted: it must not count
+// as cold, which would keep most requests from it.
+func TestRefusedConnectionAtLiveServer(t *testing.T) {
+	held, release := make(chan struct{}), make(chan struct{})
+	s := newAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
+		if r.Header.Get("X-Trace-Id") == "held" {
+			close(held)
+			<-release
+		}
+		_, err := io.WriteString(c, okAnswer)
+		return err == nil
+	})
+	cfg := testConfig(s.instance("a"))
+	cfg.Settings.SlowStartWindow, cfg.Settings.SlowStartMinFraction = time.Hour, 0.01
+	cfg.Settings.ColdOverloadMultiple, cfg.Settings.ColdOverloadWindow = 2, time.Second
+	r := runNode(t, cfg)
+	c, other := dial(t, r.addr), dial(t, r.addr)
+	if a := c.ask(request("check", "first")); a.status != http.StatusOK {
+		t.Fatalf("first request: %d", a.status)
+	}
+	c.send(request("check", "held"))
+	<-held
+	s.ln.Close()
+	if a := other.ask(request("check", "refused")); a.status != http.StatusTooManyRequests {
+		t.Fatalf("with no connection to be had: %d", a.status)
+	}
+	close(release)
+	if a := c.read(); a.status != http.StatusOK {
+		t.Fatalf("the request held: %d", a.status)
+	}
+	for i := range 20 {
+		if a := c.ask(request("check", fmt.Sprint("next", i))); a.status != http.StatusOK {
+			t.Fatalf("request %d after the old connection's answer: %d", i, a.status)
+		}
+	}
+}
--- a/internal/edgeproxy/stream_test.go
+++ b/internal/edgeproxy/request_body_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
 	"crypto/sha256"
 	"fmt"
 	"io"
@@ -36,80 +35,6 @@
 	return b.String() + "0\r\nX-Sum: 1\r\n\r\n"
 }
 
-// A long answer goes on as it comes, whatever the form that tells its end.
-func TestLongAnswers(t *testing.T) {
-	whole := pattern(3 << 20)
-	for name, head := range map[string]string{
-		"length":  "Content-Length: " + strconv.Itoa(len(whole)) + "\r\n\r\n",
-		"chunked": "Transfer-Encoding: chunked\r\n\r\n",
-		"close":   "Connection: close\r\n\r\n",
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			begun := make(chan bool)
-			app := newAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-				if r.RequestURI == loadReportPath {
-					return say("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")(c, r, nil)
-				}
-				first, rest := string(whole[:1<<20]), string(whole[1<<20:])
-				if name == "chunked" {
-					first, rest = strings.TrimSuffix(chunked(whole[:1<<20], 7000), "0\r\nX-Sum: 1\r\n\r\n"), chunked(whole[1<<20:], 7000)
-				}
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n"+head+first)
-				<-begun
-				io.WriteString(c, rest)
-				return name != "close"
-			})
-			n := run(t, testConfig(app.instance("a")))
-			c := dial(t, n.addr)
-			for range 2 {
-				c.send(request("check", "t1"))
-				resp, err := http.ReadResponse(c.br, nil)
-				if err != nil {
-					t.Fatal(err)
-				}
-				got := make([]byte, 1<<19)
-				if _, err := io.ReadFull(resp.Body, got); err != nil {
-					t.Fatalf("the first part, while the rest is still to come: %v", err)
-				}
-				begun <- true
-				rest, err := io.ReadAll(resp.Body)
-				if got = append(got, rest...); err != nil || !bytes.Equal(got, whole) || resp.Header.Get("Content-Type") != "a/b" {
-					t.Fatalf("%d of %d bytes, error %v, header %v", len(got), len(whole), err, resp.Header)
-				}
-			}
-			if got := len(app.conns); name != "close" && got != 1 {
-				t.Errorf("%d connections for two answers, want one", got)
-			}
-		})
-	}
-}
-
-// A long answer that breaks off has failed, and the client can tell; no other is sent after it.
-func TestLongAnswerBreaks(t *testing.T) {
-	for _, head := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nf4240\r\n"} {
-		n, at := managed(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
-			c.Write(pattern(200000))
-			c.(*net.TCPConn).SetLinger(0)
-			return false
-		}, nil)
-		c := dial(t, n.addr)
-		c.send(request("check", "t1"))
-		resp, err := http.ReadResponse(c.br, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got, err := io.ReadAll(resp.Body); err == nil {
-			t.Errorf("%d bytes were read as a whole answer", len(got))
-		}
-		eventually(t, "counted as failed", func() bool {
-			_, text := call(t, "GET", at, adminCountersPath)
-			return strings.Contains(text, "app.errored.check=1\n") && strings.Contains(text, "app.current=0\n")
-		})
-	}
-}
-
 // longBody sends a body with a declared length or in chunks.
 func longBody(id string, body []byte, inChunks bool) string {
 	if inChunks {
@@ -118,20 +43,23 @@
 	return request("book", id, "Content-Length", strconv.Itoa(len(body)), "body", string(body))
 }
 
-// Bodies of every length and form arrive as they were sent: those that are held, and those
-// that go on as they come. What they took of the memory is given back.
-func TestLongBodies(t *testing.T) {
+// Bodies of every length and framing arrive as they were sent: those that are buffered, and those that are
+// streamed. The memory that they took is released.
+func TestLongRequestBodies(t *testing.T) {
 	sums := make(chan [32]byte, 1)
 	app := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.RequestURI != loadReportPath {
 			sums <- sha256.Sum256(body)
 		}
-		return say(okAnswer)(c, r, body)
+		return respondWith(okAnswer)(c, r, body)
 	})
 	cfg := testConfig(app.instance("a"))
 	cfg.MemoryMB = 32
-	n := run(t, cfg)
-	for i, size := range []int{1, 4, alwaysBufferedBody - 1, alwaysBufferedBody, alwaysBufferedBody + 1, 100000, maxBufferedBody, maxBufferedBody + 1, 6 << 20} {
+	n := runNode(t, cfg)
+	for i, size := range []int{
+		1, 4, alwaysBufferedBody - 1, alwaysBufferedBody, alwaysBufferedBody + 1, 100000,
+		maxBufferedBody, maxBufferedBody + 1, 6 << 20,
+	} {
 		for _, inChunks := range []bool{false, true} {
 			body := pattern(size)
 			c := dial(t, n.addr)
@@ -149,7 +77,8 @@
 	}
 	// A body may look like a head.
 	looks := "a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
-	if a := dial(t, n.addr).ask(longBody("y", []byte(looks), true)); a.status != 200 || <-sums != sha256.Sum256([]byte(looks)) {
+	a := dial(t, n.addr).ask(longBody("y", []byte(looks), true))
+	if a.status != 200 || <-sums != sha256.Sum256([]byte(looks)) {
 		t.Errorf("a body like a head: %d %s", a.status, a.body)
 	}
 	if a := dial(t, n.addr).ask(request("book", "z", "Content-Length", strconv.Itoa(maxRequestBody+1))); a.status != 413 {
@@ -157,8 +86,8 @@
 	}
 }
 
-// The memory that bodies hold is bounded: one that finds none left goes on as it comes.
-func TestBudget(t *testing.T) {
+// The memory that bodies take is limited: one that finds none left is streamed.
+func TestMemoryBudget(t *testing.T) {
 	b := newMemoryBudget(1)
 	all := b.available.Load()
 	if !b.reserve(all) || b.reserve(1) {
@@ -168,11 +97,11 @@
 	hold := make(chan bool)
 	app := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-hold
-		return say(okAnswer)(c, r, body)
+		return respondWith(okAnswer)(c, r, body)
 	})
 	cfg := testConfig(app.instance("a"))
 	cfg.MemoryMB = 1 // 157,286 bytes for bodies
-	r := run(t, cfg)
+	r := runNode(t, cfg)
 	first, second := dial(t, r.addr), dial(t, r.addr)
 	first.send(longBody("a", pattern(100000), false))
 	second.send(longBody("b", pattern(100000), true))
@@ -185,13 +114,13 @@
 	}
 }
 
-// A body that goes on as it comes is refused at once, before its end, and its rest is read so
-// that the client finds the answer.
-func TestLongBodyRefused(t *testing.T) {
-	app := newAppServer(t, say(okAnswer))
-	n := run(t, testConfig(app.instance("a")))
+// A streamed body is rejected at once, before its end, and its rest is read so that the client finds the response.
+func TestLongBodyRejected(t *testing.T) {
+	app := newAppServer(t, respondWith(okAnswer))
+	n := runNode(t, testConfig(app.instance("a")))
 	dial(t, n.addr).ask(request("check", "a", "X-Contract", "tight"))
-	text := request("book", "b", "X-Contract", "tight", "Content-Length", strconv.Itoa(maxBufferedBody+1), "body", string(pattern(maxBufferedBody+1)))
+	text := request("book", "b", "X-Contract", "tight",
+		"Content-Length", strconv.Itoa(maxBufferedBody+1), "body", string(pattern(maxBufferedBody+1)))
 	c := dial(t, n.addr)
 	c.send(text[:len(text)-100])
 	if a := c.read(); a.status != 429 || a.header.Get("Retry-After") == "" || !a.close {
@@ -203,12 +132,12 @@
 	}
 }
 
-// A long body whose server can't be reached never ran: the client is told that it may try
-// again. Once some of it is gone there is no second attempt.
+// A long body whose server can't be reached never ran: the client is told that it may retry. Once some of it is
+// forwarded there is no second attempt.
 func TestLongBodyUnsent(t *testing.T) {
 	dead := discovery.Instance{Addr: freeAddr(t)}
 	dead.ID, dead.Weight, dead.Kind, dead.Zone = "dead", 1, "k", "z"
-	n := run(t, testConfig(dead))
+	n := runNode(t, testConfig(dead))
 	if a := dial(t, n.addr).ask(longBody("a", pattern(maxBufferedBody+1), false)); a.status != 429 {
 		t.Errorf("status %d", a.status)
 	}
@@ -253,7 +182,7 @@
 		s.ID, s.Addr = id, addrOf(breaks())
 		list = append(list, s)
 	}
-	n = run(t, testConfig(list...))
+	n = runNode(t, testConfig(list...))
 	for i := range 20 { // they earn further attempts
 		dial(t, n.addr).ask(request("check", fmt.Sprint("e", i)))
 	}
@@ -265,11 +194,13 @@
 	}
 }
 
-// A client that stops in the middle of a long body is not waited for, and its request reaches no server whole.
-func TestLongBodyStops(t *testing.T) {
+// A client that stalls in the middle of a long body is not waited for, and its request reaches no server complete.
+func TestLongBodyStalls(t *testing.T) {
 	t.Parallel()
-	app := newAppServer(t, say(okAnswer))
-	n, at := managed(t, say(okAnswer), func(cfg *Config) { cfg.SavedEndpoints.Servers[0] = app.instance("a") })
+	app := newAppServer(t, respondWith(okAnswer))
+	n, at := runNodeWithAdmin(t, respondWith(okAnswer), func(cfg *Config) {
+		cfg.SavedEndpoints.Servers[0] = app.instance("a")
+	})
 	c, began := dial(t, n.addr), time.Now()
 	text := longBody("a", pattern(maxBufferedBody+1), false)
 	c.send(text[:len(text)/2])
@@ -283,16 +214,16 @@
 		t.Error("half a body went on as a whole one")
 	}
 	eventually(t, "nothing is under way", func() bool {
-		_, text := call(t, "GET", at, adminCountersPath)
+		_, text := callAdmin(t, "GET", at, adminCountersPath)
 		return strings.Contains(text, "app.current=0\n")
 	})
 }
 
-// A request that is written slowly, but written, is served; its wait begins with its last byte.
+// A request that is sent slowly, but sent, is served; its wait begins with its last byte.
 func TestSlowRequest(t *testing.T) {
 	t.Parallel()
-	app := newAppServer(t, say(okAnswer))
-	n := run(t, testConfig(app.instance("a")))
+	app := newAppServer(t, respondWith(okAnswer))
+	n := runNode(t, testConfig(app.instance("a")))
 	c, text := dial(t, n.addr), request("book", "a", "X-Expires-In", "0.5")
 	for i := range len(text) {
 		c.send(text[i : i+1])
@@ -304,18 +235,3 @@
 		t.Errorf("status %d", a.status)
 	}
 }
-
-// An answer in pieces is waited for while they come.
-func TestAnswerInPieces(t *testing.T) {
-	app := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		for _, b := range []byte(okAnswer) {
-			c.Write([]byte{b})
-			time.Sleep(6 * time.Millisecond) // the server is slow, which is what is tested
-		}
-		return true
-	})
-	n := run(t, testConfig(app.instance("a")))
-	if a := dial(t, n.addr).ask(request("check", "a")); a.status != 200 || a.body != "body" {
-		t.Errorf("%+v", a)
-	}
-}
--- /dev/null
+++ b/internal/edgeproxy/serve_request_test.go
@@ -0,0 +1,199 @@
+package edgeproxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// What is forwarded to an app server is what the client sent, byte for byte, with the time that is left; headers
+// that concern one connection alone are not forwarded.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	got := make(chan *http.Request, 1)
+	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		got <- r
+		return respondWith("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Secret: 1\r\nContent-Length: 4\r\n\r\nbody")(c, r, body)
+	})
+	n := runNode(t, testConfig(s.instance("a")))
+	a := dial(t, n.addr).ask(request("book", "t1", "Connection", "keep-alive, X-Hop", "X-Hop", "1", "TE", "trailers"))
+	if a.status != 200 || a.body != "body" || a.header.Get("Content-Type") != "a/b" {
+		t.Errorf("answer %+v", a)
+	}
+	r := <-got
+	want := []string{"POST /book/a%2fb?customer=00000000b4d65521&x=%41+ slot"}
+	if fmt.Sprint(s.requests()) != fmt.Sprint(want) {
+		t.Errorf("%q arrived, want %q", s.requests(), want)
+	}
+	if r.Header.Get("X-Trace-Id") != "t1" || r.Header.Get("Idempotency-Key") != "key-t1" {
+		t.Errorf("header %v", r.Header)
+	}
+	for _, hop := range []string{"Connection", "X-Hop", "TE"} {
+		if v := r.Header.Get(hop); v != "" {
+			t.Errorf("%s: %s went on", hop, v)
+		}
+	}
+	left, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
+	if err != nil || left <= 0 || left >= 20 {
+		t.Errorf("X-Expires-In %q of 20", r.Header.Get("X-Expires-In"))
+	}
+}
+
+const checkPath = "/check?customer=00000000b4d65521"
+
+// badRequests are requests that are the client's mistake, each by what it replaces in a good one.
+var badRequests = []struct {
+	name    string
+	class   string
+	replace []string
+	status  int
+}{
+	{"no id", "check", []string{"X-Trace-Id", ""}, 400},
+	{"malformed id", "check", []string{"X-Trace-Id", "a b"}, 400},
+	{"id too long", "check", []string{"X-Trace-Id", strings.Repeat("a", 65)}, 400},
+	{"no class", "check", []string{"X-Qos", ""}, 400},
+	{"unknown class", "check", []string{"X-Qos", "novel"}, 400},
+	{"class not that of the path", "check", []string{"X-Qos", "book"}, 400},
+	{"no plan", "check", []string{"X-Contract", ""}, 400},
+	{"unknown plan", "check", []string{"X-Contract", "novel"}, 400},
+	{"no deadline", "check", []string{"X-Expires-In", ""}, 400},
+	{"malformed deadline", "check", []string{"X-Expires-In", "soon"}, 400},
+	{"NaN deadline", "check", []string{"X-Expires-In", "NaN"}, 400},
+	{"endless deadline", "check", []string{"X-Expires-In", "1e99"}, 400},
+	{"infinite deadline", "check", []string{"X-Expires-In", "inf"}, 400},
+	{"hex deadline", "check", []string{"X-Expires-In", "0x1p3"}, 400},
+	{"past deadline", "check", []string{"X-Expires-In", "-1"}, 400},
+	{"no metering", "check", []string{"X-Metering", ""}, 400},
+	{"metering in part", "check", []string{"X-Metering", "units=1,spread=1"}, 400},
+	{"metering twice", "check", []string{"X-Metering", "units=1,units=1,spread=1,first=0"}, 400},
+	{"malformed metering", "check", []string{"X-Metering", "units=1,spread=one,first=0"}, 400},
+	{"no units", "check", []string{"X-Metering", "units=0,spread=1,first=0"}, 400},
+	{"more units than a request has", "check", []string{"X-Metering", "units=9,spread=1,first=0"}, 400},
+	{"units no number", "check", []string{"X-Metering", "units=NaN,spread=1,first=0"}, 400},
+	{"infinite units", "check", []string{"X-Metering", "units=inf,spread=1,first=0"}, 400},
+	{"hex units", "check", []string{"X-Metering", "units=0x1,spread=1,first=0"}, 400},
+	{"set in parts", "check", []string{"X-Metering", "units=1,spread=1.5,first=0"}, 400},
+	{"negative first", "check", []string{"X-Metering", "units=1,spread=1,first=-1"}, 400},
+	{"set without this node", "check", []string{"X-Metering", "units=1,spread=1,first=1"}, 400},
+	{"negative units", "check", []string{"X-Metering", "units=-1,spread=1,first=0"}, 400},
+	{"spread over all", "check", []string{"X-Metering", "units=1,spread=3,first=0"}, 400},
+	{"first over all", "check", []string{"X-Metering", "units=1,spread=1,first=2"}, 400},
+	{"no customer", "check", []string{"", "GET /check HTTP/1.1"}, 400},
+	{"short customer", "check", []string{"", "GET /check?customer=b4d65521 HTTP/1.1"}, 400},
+	{"customer too large", "check", []string{"", "GET /check?customer=0000000200000000 HTTP/1.1"}, 400},
+	{"two customers", "check", []string{"", "GET " + checkPath + "&customer=00000000b4d65521 HTTP/1.1"}, 400},
+	{"whole address", "check", []string{"", "GET http://app.svc" + checkPath + " HTTP/1.1"}, 400},
+	{"no key", "book", []string{"Idempotency-Key", ""}, 400},
+	{"body where there is none", "check", []string{"Content-Length", "4", "body", "slot"}, 400},
+	{"body that stands behind two lengths", "book",
+		[]string{"Transfer-Encoding", "chunked", "body", "0\r\n\r\n" + request("check", "hidden")}, 411},
+	{"two encodings", "book",
+		[]string{"Content-Length", "", "Transfer-Encoding", "gzip, chunked", "body", "4\r\nslot\r\n0\r\n\r\n"}, 501},
+	{"half a chunk", "book", []string{"Content-Length", "", "Transfer-Encoding", "chunked", "body", "4\r\nsl"}, 400},
+	{"chunk that is none", "book",
+		[]string{"Content-Length", "", "Transfer-Encoding", "chunked", "body", "x\r\nslot\r\n0\r\n\r\n"}, 400},
+	{"both lengths below HTTP/1.1", "book",
+		[]string{"", "POST /book?customer=00000000b4d65521 HTTP/1.0", "Transfer-Encoding", "chunked",
+			"body", "0\r\n\r\n"}, 505},
+	{"negative length", "book", []string{"Content-Length", "-4"}, 400},
+	{"bad head with half a body", "book", []string{"X-Contract", "novel", "Content-Length", "9"}, 400},
+	{"half a body", "book", []string{"Content-Length", "9"}, 400},
+	{"60 MB", "book", []string{"Content-Length", "60000000"}, 413},
+	{"method of another class", "check",
+		[]string{"", "POST " + checkPath + " HTTP/1.1", "Content-Length", "4", "body", "slot"}, 405},
+}
+
+// A client's mistake is its own: a plain 4xx that no client takes for a rejection, nothing forwarded, and the
+// connection good for the next request.
+func TestBadRequests(t *testing.T) {
+	s := newAppServer(t, respondWith(okAnswer))
+	cfg := testConfig(s.instance("a"))
+	cfg.Settings.InstanceCount, cfg.Settings.MaxUnits = 2, 8
+	n := runNode(t, cfg)
+	for _, c := range badRequests {
+		client := dial(t, n.addr)
+		if a := client.ask(request(c.class, "t1", c.replace...)); a.status != c.status {
+			t.Errorf("%s: status %d, want %d: %s", c.name, a.status, c.status, a.body)
+		} else if c.status == 405 && a.header.Get("Allow") != "GET" {
+			t.Errorf("%s: Allow %q", c.name, a.header.Get("Allow"))
+		} else if len(s.requests()) != 0 {
+			t.Fatalf("%s: %q went on", c.name, s.requests())
+		} else if a.close {
+			if _, err := client.br.ReadByte(); err != io.EOF {
+				t.Errorf("%s: after the last answer: %v, want EOF", c.name, err)
+			}
+		} else if a := client.ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.status != 200 {
+			t.Errorf("%s: next request on the connection: status %d", c.name, a.status)
+		}
+	}
+}
+
+func TestOversizedRequestHead(t *testing.T) {
+	n := runNode(t, testConfig())
+	c := dial(t, n.addr)
+	c.send("GET /check HTTP/1.1\r\n")
+	go func() {
+		for err := error(nil); err == nil; {
+			_, err = io.WriteString(c, "X-Pad: pppppppppppppppppppppppp\r\n")
+		}
+	}()
+	if line, err := c.br.ReadString('\n'); err != nil || !strings.Contains(line, "431") {
+		t.Errorf("%q, %v", line, err)
+	}
+}
+
+// A header or body that stalls, or a silent connection, holds its socket for a limited time.
+func TestIncompleteRequestsTimeOut(t *testing.T) {
+	t.Parallel()
+	if readHeaderTimeout >= 3*time.Second || minBodyTimeout >= 3*time.Second {
+		t.Errorf("limits of %v and %v: an error or a close is owed within 3 s", readHeaderTimeout, minBodyTimeout)
+	}
+	n := runNode(t, testConfig())
+	whole := request("book", "t1")
+	var clients []*client
+	for _, part := range []string{"", whole[:40], whole[:len(whole)-2]} {
+		c := dial(t, n.addr)
+		c.send(part)
+		clients = append(clients, c)
+	}
+	for i, c := range clients {
+		if _, err := io.ReadAll(c.br); err != nil {
+			t.Errorf("part %d: %v", i, err)
+		}
+	}
+}
+
+// No client waits for longer than its class allows, so that requests can't pile up.
+func TestTimeoutIsLimitedByClassDeadline(t *testing.T) {
+	s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+	cfg := testConfig(s.instance("a"))
+	cfg.Settings.Classes[0].Deadline = 100 * time.Millisecond
+	n := runNode(t, cfg)
+	c := dial(t, n.addr)
+	c.SetDeadline(time.Now().Add(testTimeout))
+	if a := c.ask(request("check", "t1", "X-Expires-In", "1000000")); a.status != 429 && a.status != 502 {
+		t.Errorf("status %d", a.status)
+	}
+}
+
+// Over its quota a customer is rejected at once, with a Retry-After.
+func TestRejection(t *testing.T) {
+	s := newAppServer(t, respondWith(okAnswer))
+	n := runNode(t, testConfig(s.instance("a")))
+	c := dial(t, n.addr)
+	if a := c.ask(request("check", "t1", "X-Contract", "tight")); a.status != 200 {
+		t.Errorf("inside the quota: status %d", a.status)
+	}
+	a := c.ask(request("check", "t2", "X-Contract", "tight"))
+	wait, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
+	if a.status != 429 || err != nil || wait <= 0 || wait > 2 {
+		t.Errorf("beyond it: status %d, Retry-After %q", a.status, a.header.Get("Retry-After"))
+	}
+	if got := len(s.requests()); got != 1 {
+		t.Errorf("%d requests went on, want 1", got)
+	}
+}
--- /dev/null
+++ b/internal/edgeproxy/successor_listener_test.go
@@ -0,0 +1,170 @@
+package edgeproxy
+
+import (
+	"io"
+	"log"
+	"net"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+var discard = log.New(io.Discard, "", 0)
+
+// A successor that dies before it is needed leaves an ordinary drain.
+func TestSuccessorDies(t *testing.T) {
+	app := newAppServer(t, respondWith(okAnswer))
+	dir, door := t.TempDir(), newSharedListener(t)
+	old := door.start(t, hotRestartConfig(t, dir, app.instance("a")))
+	old.awaitLog(t, "ready on")
+	next := door.start(t, hotRestartConfig(t, dir, app.instance("a")))
+	old.awaitLog(t, "a successor waits")
+	next.stop()
+	next.awaitEnd(t)
+	c := dial(t, old.addr)
+	if a := c.ask(request("check", "a")); a.status != 200 || a.close {
+		t.Errorf("status %d, close %v", a.status, a.close)
+	}
+	old.stop()
+	old.awaitEnd(t)
+}
+
+// handoverPeer is the test's own side of a handover.
+type handoverPeer struct {
+	*net.UnixConn
+	t *testing.T
+}
+
+// connectAsSuccessor meets the process that serves, as a new one would.
+func connectAsSuccessor(t *testing.T, path string, says ...string) handoverPeer {
+	t.Helper()
+	c, err := net.Dial("unixpacket", path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	h := handoverPeer{c.(*net.UnixConn), t}
+	for _, text := range says {
+		h.send(text)
+	}
+	return h
+}
+
+func (h handoverPeer) send(text string) {
+	h.t.Helper()
+	if _, err := h.Write([]byte(text)); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// readUntil reads up to the first message of a kind.
+func (h handoverPeer) readUntil(kind byte) {
+	h.t.Helper()
+	h.SetReadDeadline(time.Now().Add(testTimeout))
+	buf := make([]byte, maxStateChunk+1)
+	for buf[0] != kind {
+		if n, err := h.Read(buf); n == 0 || err != nil {
+			h.t.Fatalf("message %q never came: %v", kind, err)
+		}
+	}
+}
+
+const hello = string(msgHello) + "\x01"
+
+// requireDrainWithoutSuccessor has a successor die and checks that the old process drains with all that it had.
+func requireDrainWithoutSuccessor(
+	t *testing.T, app *appServer, dies func(*runningNode, handoverPeer), wantsHandover bool,
+) {
+	t.Helper()
+	dir, door := t.TempDir(), newSharedListener(t)
+	other, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	cfg := hotRestartConfig(t, dir, app.instance("a"))
+	cfg.drainDelay = 3 * time.Second
+	addPeer(cfg, freeUDP(t), other)
+	old := door.start(t, cfg)
+	old.awaitLog(t, "ready on")
+	kept := dial(t, old.addr)
+	spender := []string{"X-Contract", "tight", "X-Metering", "units=1,spread=2,first=0"}
+	if a := kept.ask(request("check", "a", spender...)); a.status != 200 {
+		t.Fatalf("status %d", a.status)
+	}
+	h := connectAsSuccessor(t, cfg.HandoverSocket, hello)
+	old.awaitLog(t, "a successor waits")
+	dies(old, h)
+	old.awaitLog(t, "draining")
+	if tried := strings.Contains(old.logs.String(), "handing over"); tried != wantsHandover {
+		t.Errorf("a handover was tried: %v", tried)
+	}
+	for len(drainUDP(other)) > 0 { // what was told before
+	}
+	if a := kept.ask(request("check", "b", spender...)); a.status != 200 {
+		t.Errorf("on a kept connection: %d", a.status)
+	}
+	fresh := dial(t, old.addr)
+	if a := fresh.ask(request("check", "c")); a.status != 200 || !a.close {
+		t.Errorf("on a new connection: %d, close %v", a.status, a.close)
+	}
+	other.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, _, err := other.ReadFromUDPAddrPort(make([]byte, 300)); err != nil {
+		t.Errorf("peers are told nothing any more: %v", err)
+	}
+	old.awaitEnd(t)
+}
+
+// A successor that dies, at whatever point before it serves, leaves the old process with all that it had: it is
+// ready until it is told to end, and after that it drains as at a planned restart, with its listening socket, its
+// clients and its gossip.
+func TestSuccessorDiesDuringHandover(t *testing.T) {
+	app := newAppServer(t, respondWith(okAnswer))
+	for name, dies := range map[string]func(old *runningNode, h handoverPeer){
+		"before its yes": func(old *runningNode, h handoverPeer) {
+			h.Close()
+			old.awaitLog(t, "the successor has gone")
+			if s := dial(t, old.addr).ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n").status; s != 200 {
+				t.Errorf("the old process is not ready: %d", s)
+			}
+			old.stop()
+		},
+		"as the old process hands over": func(old *runningNode, h handoverPeer) {
+			old.stop()
+			h.readUntil(msgState)
+			h.Close()
+			old.awaitLog(t, "not handed over")
+		},
+		"with the word to go": func(old *runningNode, h handoverPeer) {
+			old.stop()
+			h.readUntil(msgGo)
+			h.Close()
+			old.awaitLog(t, "not handed over")
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			wantsHandover := name != "before its yes"
+			requireDrainWithoutSuccessor(t, app, dies, wantsHandover)
+		})
+	}
+}
+
+// drainUDP reads what has come.
+func drainUDP(c *net.UDPConn) []byte {
+	buf := make([]byte, 300)
+	c.SetReadDeadline(time.Now().Add(time.Millisecond))
+	n, _, _ := c.ReadFromUDPAddrPort(buf)
+	return buf[:n]
+}
+
+// addPeer makes the configuration one of two nodes, the other of which is the socket.
+func addPeer(cfg *Config, mine netip.AddrPort, other *net.UDPConn) {
+	cfg.Settings.InstanceCount, cfg.Settings.AllowsGossip, cfg.Settings.GossipInboxRate = 2, true, 1000
+	cfg.GossipListen, cfg.GossipPeers = mine, []netip.AddrPort{mine, other.LocalAddr().(*net.UDPAddr).AddrPort()}
+	cfg.GossipBroadcast = cfg.GossipPeers[1]
+	cfg.Settings.Plans[1] = policy.Plan{Name: "tight", Rate: 0.001, Burst: 40, PriorityFactor: 1}
+}
