--- a/internal/edgeproxy/exchange.go
+++ b/internal/edgeproxy/exchange.go
@@ -18,63 +18,65 @@
 	"mulleinmux/policy"
 )
 
-// exchange writes the request to the server, once at most, and reads the whole
-// response. It gives up when ctx ends, by closing the connection before it returns.
-func (p *serverPool) exchange(ctx context.Context, server string, r *serverRequest) (serverResponse, policy.Result) {
-	if r.rest != nil && r.rest.isUsed.Load() {
+// exchange writes the request to the server, once at most, and reads the complete response, or the first part of one
+// that is streamed. It gives up when ctx ends, by closing the connection before it returns.
+func (p *serverPool) exchange(
+	ctx context.Context, server string, request *serverRequest,
+) (serverResponse, policy.Result) {
+	if request.rest != nil && request.rest.isUsed.Load() {
 		return serverResponse{}, policy.NotSent // some of its body is gone
 	}
-	c, err := p.acquire(ctx, server)
+	conn, err := p.acquire(ctx, server)
 	if err != nil {
 		return serverResponse{}, unsentResult(ctx, err)
 	}
-	c.reader.expect(ctx)
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(expiredDeadline) })
-	req := r.httpRequest(ctx)
-	err = p.checkBeforeSend(ctx, c, r)
+	conn.reader.expect(ctx)
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(expiredDeadline) })
+	req := request.httpRequest(ctx)
+	err = p.checkBeforeSend(ctx, conn, request)
 	if err == nil {
-		err = r.writeTo(c, req)
+		err = request.writeTo(conn, req)
 	}
 	if err != nil {
-		// A server begins a request when its last byte has come, and that was not written.
+		// A server begins a request when it has received the last byte, and that was not written.
 		stop()
-		p.discard(c)
+		p.discard(conn)
 		return serverResponse{}, unsentResult(ctx, err)
 	}
-	if r.rest != nil {
-		c.startResponseTimeout(ctx, r.rest.responseTimeout)
+	if request.rest != nil {
+		conn.startResponseTimeout(ctx, request.rest.responseTimeout)
 	}
 	writtenAt := time.Now()
-	if p.onSent != nil && r.id != "" {
-		p.onSent(r.clientLeft != nil && r.clientLeft.Load())
+	if p.onSent != nil && request.id != "" {
+		p.onSent(request.clientLeft != nil && request.clientLeft.Load())
 	}
-	response, result, isReusable := c.readResponse(req)
-	if result == policy.ConnectionReset && c.isStaleReset(writtenAt) {
-		p.shortenIdleTimeout(c)
+	response, result, isReusable := conn.readResponse(req)
+	if result == policy.ConnectionReset && conn.isStaleReset(writtenAt) {
+		p.shortenIdleTimeout(conn)
 	}
 	if response.stream != nil {
-		return p.startStream(c, response, stop)
+		return p.startStream(conn, response, stop)
 	}
-	if r.rest != nil {
-		c.SetReadDeadline(time.Time{})
-		if result == policy.ConnectionReset && errors.Is(c.reader.err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
+	if request.rest != nil {
+		conn.SetReadDeadline(time.Time{})
+		if result == policy.ConnectionReset && errors.Is(conn.reader.err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			result = policy.TimedOut
 		}
 	}
 	// stop is false once the deadline has been changed.
 	if stop() && isReusable {
-		p.release(c)
+		p.release(conn)
 	} else {
-		p.discard(c)
+		p.discard(conn)
 	}
 	if result == policy.ConnectionReset && ctx.Err() != nil {
-		result = c.resultAtEnd(ctx)
+		result = conn.resultAtEnd(ctx)
 	}
 	switch result {
 	case policy.TimedOut:
-		p.closeIdleOf(c.server)
+		p.closeIdleOf(conn.server)
 	case policy.OK, policy.RejectedByServer, policy.ErrorResponse:
-		response.connectedAt = c.connectedAt
+		response.connectedAt = conn.connectedAt
 	}
 	return response, result
 }
--- a/internal/edgeproxy/exchange_test.go
+++ b/internal/edgeproxy/exchange_test.go
@@ -346,11 +346,11 @@
 	}
 }
 
-func runExchange(t *testing.T, u *serverPool, server string) (serverResponse, policy.Result) {
+func runExchange(t *testing.T, pool *serverPool, server string) (serverResponse, policy.Result) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return u.exchange(ctx, server, &get)
+	return pool.exchange(ctx, server, &get)
 }
 
 func wantResult(t *testing.T, got, want policy.Result) {
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -88,9 +88,9 @@
 
 // handleEvent runs one event of the engine, then what its actions left to do. It tells whether the event was
 // handled: a panic of the engine is logged, with the stack that names its cause, and costs the one event.
-func (n *Node) handleEvent(f func(now time.Duration, out policy.Actions)) bool {
+func (n *Node) handleEvent(event func(now time.Duration, out policy.Actions)) bool {
 	n.mu.Lock()
-	ok := !n.isClosed && n.runGuarded(f)
+	ok := !n.isClosed && n.runGuarded(event)
 	after := n.afterEvent
 	n.afterEvent = nil
 	n.mu.Unlock()
@@ -101,14 +101,14 @@
 }
 
 // runGuarded runs an event and tells whether it did not panic. Called under the mutex.
-func (n *Node) runGuarded(f func(now time.Duration, out policy.Actions)) (ok bool) {
+func (n *Node) runGuarded(event func(now time.Duration, out policy.Actions)) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := fmt.Sprintf("panic: %v\n%s", p, debug.Stack())
 			n.afterEvent = append(n.afterEvent, func() { n.log.Print(text) })
 		}
 	}()
-	f(n.now(), (*engineActions)(n))
+	event(n.now(), (*engineActions)(n))
 	return true
 }
 
--- a/internal/edgeproxy/request_parsing.go
+++ b/internal/edgeproxy/request_parsing.go
@@ -21,47 +21,49 @@
 	maxCustomerBits    = 33
 )
 
-// parseRequest reads a request's head: q is what the engine is asked, m what is forwarded, still without the body.
-// Its error is a badRequestError.
-func (s *clientServer) parseRequest(r *http.Request) (q policy.Request, m serverRequest, err error) {
+// parseRequest reads a request's head: engineRequest is what the engine is asked, forwarded what an app server is
+// sent, still without the body. Its error is a badRequestError.
+func (s *clientServer) parseRequest(r *http.Request) (
+	engineRequest policy.Request, forwarded serverRequest, err error,
+) {
 	header := func(name string) (value string) {
 		if err == nil {
 			value, err = singleHeader(r, name)
 		}
 		return value
 	}
-	q.ID, q.Class, q.Plan = header("X-Trace-Id"), header("X-Qos"), header("X-Contract")
+	engineRequest.ID, engineRequest.Class, engineRequest.Plan = header("X-Trace-Id"), header("X-Qos"), header("X-Contract")
 	expires, metering := header("X-Expires-In"), header("X-Metering")
 	if err != nil {
-		return q, m, err
+		return engineRequest, forwarded, err
 	}
-	class, isKnown := s.classes[q.Class]
+	class, isKnown := s.classes[engineRequest.Class]
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
-	case !isValidID(q.ID):
-		return q, m, badRequestf("X-Trace-Id: malformed")
+	case !isValidID(engineRequest.ID):
+		return engineRequest, forwarded, badRequestf("X-Trace-Id: malformed")
 	case !isKnown:
-		return q, m, badRequestf("X-Qos: unknown class")
-	case first != q.Class || !strings.HasPrefix(r.RequestURI, "/"):
-		return q, m, badRequestf("path: does not begin with the class")
-	case !s.plans[q.Plan]:
-		return q, m, badRequestf("X-Contract: unknown plan")
+		return engineRequest, forwarded, badRequestf("X-Qos: unknown class")
+	case first != engineRequest.Class || !strings.HasPrefix(r.RequestURI, "/"):
+		return engineRequest, forwarded, badRequestf("path: does not begin with the class")
+	case !s.plans[engineRequest.Plan]:
+		return engineRequest, forwarded, badRequestf("X-Contract: unknown plan")
 	}
 	seconds, isNumber := loadreport.Decimal(expires)
 	if !isNumber || seconds <= 0 {
-		return q, m, badRequestf("X-Expires-In: malformed")
+		return engineRequest, forwarded, badRequestf("X-Expires-In: malformed")
 	}
 	// Nobody waits for longer than the class's clients do: requests must not pile up.
 	seconds = math.Min(seconds, class.Deadline.Seconds())
-	q.Timeout = time.Duration(seconds*float64(time.Second)) - clientTransitDelay
-	if q.Customer, err = parseCustomer(r.URL.RawQuery); err != nil {
-		return q, m, err
+	engineRequest.Timeout = time.Duration(seconds*float64(time.Second)) - clientTransitDelay
+	if engineRequest.Customer, err = parseCustomer(r.URL.RawQuery); err != nil {
+		return engineRequest, forwarded, err
 	}
-	if err = s.parseMetering(metering, &q); err != nil {
-		return q, m, err
+	if err = s.parseMetering(metering, &engineRequest); err != nil {
+		return engineRequest, forwarded, err
 	}
-	m, err = forwardedRequest(r, q.ID, class.Idempotency)
-	return q, m, err
+	forwarded, err = forwardedRequest(r, engineRequest.ID, class.Idempotency)
+	return engineRequest, forwarded, err
 }
 
 // singleHeader returns the value of a header that must have one.
@@ -75,24 +77,28 @@
 
 // forwardedRequest returns what is forwarded of a request, without its body, after a check of method and headers
 // against the idempotency of its class.
-func forwardedRequest(r *http.Request, id string, idempotency policy.Idempotency) (m serverRequest, err error) {
-	m = serverRequest{target: r.RequestURI, host: r.Host, id: id, contentType: r.Header.Get("Content-Type")}
-	m.method = http.MethodPost
+func forwardedRequest(r *http.Request, id string, idempotency policy.Idempotency) (forwarded serverRequest, err error) {
+	forwarded = serverRequest{target: r.RequestURI, host: r.Host, id: id, contentType: r.Header.Get("Content-Type")}
+	forwarded.method = http.MethodPost
 	if idempotency == policy.Idempotent {
-		m.method = http.MethodGet
+		forwarded.method = http.MethodGet
 	}
-	if r.Method != m.method {
-		return m, &badRequestError{http.StatusMethodNotAllowed, "method: the class wants " + m.method, m.method}
+	if r.Method != forwarded.method {
+		return forwarded, &badRequestError{
+			status: http.StatusMethodNotAllowed,
+			text:   "method: the class wants " + forwarded.method,
+			allow:  forwarded.method,
+		}
 	}
 	if idempotency == policy.Idempotent && r.ContentLength != 0 {
-		return m, badRequestf("body: the class has none")
+		return forwarded, badRequestf("body: the class has none")
 	}
 	if idempotency == policy.IdempotentWithKey {
-		m.key, err = singleHeader(r, "Idempotency-Key")
+		forwarded.key, err = singleHeader(r, "Idempotency-Key")
 	} else {
-		m.key = r.Header.Get("Idempotency-Key")
+		forwarded.key = r.Header.Get("Idempotency-Key")
 	}
-	return m, err
+	return forwarded, err
 }
 
 // isValidID tells whether an ID is one word of letters, digits and "-_.".
@@ -122,7 +128,7 @@
 
 // parseMetering reads units, spread and first from X-Metering. What can't be of a valid client must not reach the
 // engine: it would count for the customer's quota at every node.
-func (s *clientServer) parseMetering(text string, q *policy.Request) error {
+func (s *clientServer) parseMetering(text string, engineRequest *policy.Request) error {
 	settings := &s.node.cfg.Settings
 	maxUnits := settings.MaxUnits
 	if maxUnits <= 0 {
@@ -138,12 +144,12 @@
 		isValid := true
 		switch name {
 		case "units":
-			q.Units, isValid = loadreport.Decimal(value)
-			isValid = isValid && q.Units > 0 && q.Units <= maxUnits
+			engineRequest.Units, isValid = loadreport.Decimal(value)
+			isValid = isValid && engineRequest.Units > 0 && engineRequest.Units <= maxUnits
 		case "spread":
-			q.InstanceCount, isValid = parseIntIn(value, 1, settings.InstanceCount)
+			engineRequest.InstanceCount, isValid = parseIntIn(value, 1, settings.InstanceCount)
 		case "first":
-			q.FirstInstance, isValid = parseIntIn(value, 0, settings.InstanceCount-1)
+			engineRequest.FirstInstance, isValid = parseIntIn(value, 0, settings.InstanceCount-1)
 		}
 		if !isValid {
 			return badRequestf("X-Metering: %s is malformed or out of range", name)
@@ -152,8 +158,8 @@
 	if !seen["units"] || !seen["spread"] || !seen["first"] {
 		return badRequestf("X-Metering: units, spread or first is missing")
 	}
-	offset := (settings.InstanceIndex - q.FirstInstance + settings.InstanceCount) % settings.InstanceCount
-	if offset >= q.InstanceCount {
+	offset := (settings.InstanceIndex - engineRequest.FirstInstance + settings.InstanceCount) % settings.InstanceCount
+	if offset >= engineRequest.InstanceCount {
 		return badRequestf("X-Metering: the customer does not come through this node")
 	}
 	return nil
--- a/internal/edgeproxy/request_table.go
+++ b/internal/edgeproxy/request_table.go
@@ -48,26 +48,14 @@
 	answerFailed
 )
 
-// String returns the kind in one word.
-func (k answerKind) String() string {
-	switch k {
-	case answerServed:
-		return "served"
-	case answerRejected:
-		return "rejected"
-	default:
-		return "failed"
-	}
-}
-
 // beginRequest records a client's request and asks the engine. It returns nil if its ID is in use. The final answer
 // is sent on the pending request's channel, also if the engine gives none in time.
 func (n *Node) beginRequest(
-	q policy.Request, m serverRequest, deadline time.Time, reservedBytes int64,
+	engineRequest policy.Request, forwarded serverRequest, deadline time.Time, reservedBytes int64,
 ) *pendingRequest {
 	pending := &pendingRequest{
-		id:            q.ID,
-		request:       m,
+		id:            engineRequest.ID,
+		request:       forwarded,
 		deadline:      deadline,
 		answer:        make(chan finalAnswer, 1),
 		reservedBytes: reservedBytes,
@@ -75,11 +63,11 @@
 	pending.request.clientLeft = &pending.clientLeft
 	isInUse := false
 	isHandled := n.handleEvent(func(now time.Duration, out policy.Actions) {
-		if isInUse = n.requests[q.ID] != nil; isInUse {
+		if isInUse = n.requests[engineRequest.ID] != nil; isInUse {
 			return
 		}
-		n.requests[q.ID] = pending
-		n.engine.RequestReceived(now, q, out)
+		n.requests[engineRequest.ID] = pending
+		n.engine.RequestReceived(now, engineRequest, out)
 	})
 	if isInUse {
 		n.memory.release(reservedBytes)
--- a/internal/edgeproxy/serve_request.go
+++ b/internal/edgeproxy/serve_request.go
@@ -26,10 +26,10 @@
 		s.serveReadiness(w)
 		return
 	}
-	q, m, err := s.parseRequest(r)
+	engineRequest, forwarded, err := s.parseRequest(r)
 	var reservedBytes int64
 	if err == nil {
-		m.body, m.rest, reservedBytes, err = readBody(w, r, firstByteAt, s.node.memory)
+		forwarded.body, forwarded.rest, reservedBytes, err = readBody(w, r, firstByteAt, s.node.memory)
 	}
 	if err != nil {
 		s.node.memory.release(reservedBytes)
@@ -40,7 +40,7 @@
 		s.node.memory.release(reservedBytes)
 		return // evicted for another: nothing was forwarded
 	}
-	if !s.limitToShutdown(&q) {
+	if !s.limitToShutdown(&engineRequest) {
 		s.node.memory.release(reservedBytes)
 		w.Header().Set("Connection", "close")
 		writeText(w, http.StatusServiceUnavailable, "refused: ending")
@@ -50,8 +50,8 @@
 		s.node.memory.release(reservedBytes)
 		panic(http.ErrAbortHandler) // its client has left: nothing is forwarded
 	}
-	m.isClientGone = conn.isClientGone
-	s.serveRequest(w, r, &q, &m, requestArrival{conn: conn, at: takenAt, reservedBytes: reservedBytes})
+	forwarded.isClientGone = conn.isClientGone
+	s.serveRequest(w, r, &engineRequest, &forwarded, requestArrival{conn: conn, at: takenAt, reservedBytes: reservedBytes})
 }
 
 // requestArrival is how a request came.
@@ -61,50 +61,51 @@
 	reservedBytes int64     // of the memory budget, by its body
 }
 
-// serveRequest has the engine decide on a request that is read, and writes its final answer. q is what the engine is
-// told, m what is forwarded.
+// serveRequest has the engine decide on a request that is read, and writes its final answer. engineRequest is what
+// the engine is asked, forwarded what an app server is sent.
 func (s *clientServer) serveRequest(
-	w http.ResponseWriter, r *http.Request, q *policy.Request, m *serverRequest, arrival requestArrival,
+	w http.ResponseWriter, r *http.Request,
+	engineRequest *policy.Request, forwarded *serverRequest, arrival requestArrival,
 ) {
-	timeout := q.Timeout + s.node.cfg.Settings.ResponseSlack // from the request's last byte
+	timeout := engineRequest.Timeout + s.node.cfg.Settings.ResponseSlack // from the request's last byte
 	deadline := time.Now().Add(timeout)
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	if m.rest != nil {
-		q.BodyTimeout = m.rest.maxRemainingTime()
-		deadline = deadline.Add(q.BodyTimeout)
-		timer.Reset(q.BodyTimeout + timeout)
-		m.rest.responseTimeout, m.rest.onForwarded = timeout, func() { timer.Reset(timeout) }
+	if forwarded.rest != nil {
+		engineRequest.BodyTimeout = forwarded.rest.maxRemainingTime()
+		deadline = deadline.Add(engineRequest.BodyTimeout)
+		timer.Reset(engineRequest.BodyTimeout + timeout)
+		forwarded.rest.responseTimeout, forwarded.rest.onForwarded = timeout, func() { timer.Reset(timeout) }
 		w.Header().Set("Connection", "close") // an answer may come before all of the body
 	}
-	pending := s.node.beginRequest(*q, *m, deadline, arrival.reservedBytes)
+	pending := s.node.beginRequest(*engineRequest, *forwarded, deadline, arrival.reservedBytes)
 	if pending == nil {
 		writeText(w, http.StatusConflict, "X-Trace-Id is in use")
 		return
 	}
 	s.node.metrics.requestStarted()
 	kind := answerFailed
-	defer func() { s.node.metrics.requestEnded(q.Class, kind) }()
-	a := s.awaitAnswer(r, pending, timer.C)
-	for _, permit := range a.pendingWrites {
+	defer func() { s.node.metrics.requestEnded(engineRequest.Class, kind) }()
+	answer := s.awaitAnswer(r, pending, timer.C)
+	for _, permit := range answer.pendingWrites {
 		<-permit.done
 	}
 	s.setConnectionClose(w, arrival.conn) // a drain may have begun since
 	if time.Since(arrival.at) > writeTimeout/4 {
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	}
-	if a.response.stream != nil {
-		if result := s.streamResponse(w, a.response); result != policy.OK {
+	if answer.response.stream != nil {
+		if result := s.streamResponse(w, answer.response); result != policy.OK {
 			panic(http.ErrAbortHandler) // the client can tell that it is not complete
 		}
 		kind = answerServed
 		return
 	}
-	kind = a.kind
-	s.writeAnswer(w, a)
-	if m.rest != nil && kind != answerServed {
+	kind = answer.kind
+	s.writeAnswer(w, answer)
+	if forwarded.rest != nil && kind != answerServed {
 		http.NewResponseController(w).Flush()
-		m.rest.discard()
+		forwarded.rest.discard()
 	}
 }
 
@@ -130,13 +131,13 @@
 
 // limitToShutdown shortens a request's timeout to the end of the process, if that has begun, and tells whether any is
 // left.
-func (s *clientServer) limitToShutdown(q *policy.Request) bool {
+func (s *clientServer) limitToShutdown(engineRequest *policy.Request) bool {
 	left, isBound := s.timeUntilShutdown()
 	if !isBound {
 		return true
 	}
-	q.Timeout = min(q.Timeout, left-s.node.cfg.Settings.ResponseSlack)
-	return q.Timeout > 0
+	engineRequest.Timeout = min(engineRequest.Timeout, left-s.node.cfg.Settings.ResponseSlack)
+	return engineRequest.Timeout > 0
 }
 
 // recoverPanic is deferred: a panic costs the one request, which is answered as an internal error, and is logged.
--- a/internal/edgeproxy/server_pool_test.go
+++ b/internal/edgeproxy/server_pool_test.go
@@ -13,9 +13,9 @@
 )
 
 func newTestPool(servers ...Instance) *serverPool {
-	u := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
-	u.updateEndpoints(servers, policy.EndpointsComplete)
-	return u
+	pool := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
+	pool.updateEndpoints(servers, policy.EndpointsComplete)
+	return pool
 }
 
 // The connection used last is used next, so that with little traffic the others time out.
