--- a/internal/edgeproxy/server_pool_test.go
+++ b/internal/edgeproxy/server_pool_test.go
@@ -160,13 +160,13 @@
 // run.
 func TestDialTimeout(t *testing.T) {
 	ln, _ := fullListener(t) // it drops what comes
-	u := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	u.updateEndpoints([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, policy.EndpointsComplete)
+	pool := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
+	pool.updateEndpoints([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, policy.EndpointsComplete)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	_, res := u.exchange(ctx, "a", &get)
+	_, res := pool.exchange(ctx, "a", &get)
 	wantResult(t, res, policy.ConnectFailed)
-	if ctx.Err() != nil || u.openCount != 0 {
-		t.Errorf("context %v, %d connections counted", ctx.Err(), u.openCount)
+	if ctx.Err() != nil || pool.openCount != 0 {
+		t.Errorf("context %v, %d connections counted", ctx.Err(), pool.openCount)
 	}
 }
