--- /dev/null
+++ b/internal/edgeproxy/admin_server.go
@@ -0,0 +1,107 @@
+package edgeproxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+)
+
+// Paths and limits of operators' calls.
+const (
+	adminReadyPath        = "/control/ready"
+	adminCountersPath     = "/control/counters"
+	adminOutOfServicePath = "/control/out-of-service"
+	adminInServicePath    = "/control/in-service"
+
+	maxAdminConns       = 12                     // calls at once; one more evicts the oldest
+	adminReadTimeout    = 800 * time.Millisecond // for a call's head; a slower one is not answered
+	adminWriteTimeout   = 2 * time.Second
+	maxAdminHeaderBytes = 8 << 10
+)
+
+// adminMethods has the method of each call.
+var adminMethods = map[string]string{
+	adminReadyPath:        http.MethodGet,
+	adminCountersPath:     http.MethodGet,
+	adminOutOfServicePath: http.MethodPost,
+	adminInServicePath:    http.MethodPost,
+}
+
+// adminServer answers operators' calls on an address of its own, one a connection. The calls have a few descriptors
+// of their own and take none from clients; nor does a crowd of clients keep a call waiting.
+type adminServer struct {
+	clients    *clientServer
+	isReady    func() bool // whether this process is ready to serve
+	httpServer *http.Server
+}
+
+// newAdminServer returns a server of the calls about clients; isReady tells whether the process is ready to serve.
+func newAdminServer(clients *clientServer, isReady func() bool) *adminServer {
+	s := &adminServer{clients: clients, isReady: isReady}
+	s.httpServer = &http.Server{
+		Handler:           s,
+		ReadHeaderTimeout: adminReadTimeout,
+		ReadTimeout:       adminReadTimeout,
+		WriteTimeout:      adminWriteTimeout,
+		MaxHeaderBytes:    maxAdminHeaderBytes,
+		ConnContext:       withClientConn,
+		ErrorLog:          clients.node.log,
+	}
+	s.httpServer.SetKeepAlivesEnabled(false)
+	return s
+}
+
+// serve answers calls until close.
+func (s *adminServer) serve(ln net.Listener) error {
+	l := &limitedListener{Listener: ln, limiter: newConnectionLimiter(maxAdminConns)}
+	l.limiter.evictsOldest = true // a call is sent in one piece
+	if err := s.httpServer.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("management: %w", err)
+	}
+	return nil
+}
+
+// close ends serving: the calls that were accepted are answered.
+func (s *adminServer) close() {
+	ctx, cancel := context.WithTimeout(context.Background(), adminReadTimeout)
+	defer cancel()
+	if s.httpServer.Shutdown(ctx) != nil {
+		s.httpServer.Close()
+	}
+}
+
+// ServeHTTP answers one call.
+func (s *adminServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	conn := clientConnOf(r)
+	conn.setState(stateActive)
+	defer conn.setState(stateIdle)
+	method, isKnown := adminMethods[r.URL.Path]
+	if isKnown && r.Method != method {
+		w.Header().Set("Allow", method)
+		writeText(w, http.StatusMethodNotAllowed, "method: the call wants "+method)
+		return
+	}
+	switch r.URL.Path {
+	case adminReadyPath:
+		if s.isReady() {
+			writeText(w, http.StatusOK, "ready")
+		} else {
+			writeText(w, http.StatusServiceUnavailable, "not ready")
+		}
+	case adminCountersPath:
+		writeText(w, http.StatusOK, strings.TrimSuffix(s.clients.node.metricsText(), "\n"))
+	case adminOutOfServicePath:
+		s.clients.takeOutOfService()
+		writeText(w, http.StatusOK, "out of service: clients' connections end within 2 s")
+	case adminInServicePath:
+		s.clients.returnToService()
+		writeText(w, http.StatusOK, "in service")
+	default:
+		paths := []string{adminReadyPath, adminCountersPath, adminOutOfServicePath, adminInServicePath}
+		writeText(w, http.StatusNotFound, "calls: "+strings.Join(paths, ", "))
+	}
+}
--- /dev/null
+++ b/internal/edgeproxy/client_server.go
@@ -0,0 +1,124 @@
+package edgeproxy
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+const (
+	readyPath         = "/health/ready"         // of the load balancer's health check
+	readHeaderTimeout = 2500 * time.Millisecond // for a request's header, from the connection's start or the first byte
+	writeTimeout      = 10 * time.Second        // from a request's header to the end of its response
+	clientIdleTimeout = 30 * time.Second        // for a connection between requests
+	maxHeaderBytes    = 16 << 10
+
+	reservedDescriptors = 48 // descriptors that are neither a client's nor an app server's
+)
+
+// clientServer accepts clients' connections, reads their requests and writes the final answers.
+type clientServer struct {
+	node           *Node
+	httpServer     *http.Server
+	limiter        *connectionLimiter
+	classes        map[string]policy.Class // by name
+	plans          map[string]bool         // names
+	isReady        atomic.Bool
+	isDraining     atomic.Bool
+	hasPredecessor atomic.Bool // a predecessor still hands clients over
+
+	shutdownAt      atomic.Int64  // Unix time in ns at which all has to be answered; 0 before the shutdown begins
+	shutdownExpired chan struct{} // closed then
+
+	listenersMu sync.Mutex
+	listeners   []*limitedListener // on which it accepts, or did
+
+	isOutOfService atomic.Bool // by an operator's call; changes under maintenanceMu
+	maintenanceMu  sync.Mutex
+	maintenanceEnd chan struct{} // closed by the call that ends the maintenance; nil: the node is in service
+}
+
+// newClientServer returns the server of a node's clients, which is not ready yet.
+func newClientServer(n *Node) *clientServer {
+	s := &clientServer{
+		node:            n,
+		limiter:         newConnectionLimiter(maxClientConns(n.cfg.MaxSockets)),
+		classes:         map[string]policy.Class{},
+		plans:           map[string]bool{},
+		shutdownExpired: make(chan struct{}),
+	}
+	for _, c := range n.cfg.Settings.Classes {
+		s.classes[c.Name] = c
+	}
+	for _, p := range n.cfg.Settings.Plans {
+		s.plans[p.Name] = true
+	}
+	s.httpServer = &http.Server{
+		Handler:           s,
+		ReadHeaderTimeout: readHeaderTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       clientIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnContext:       withClientConn,
+		ConnState: func(c net.Conn, state http.ConnState) {
+			if state == http.StateIdle {
+				c.(*clientConn).markResponseWritten()
+			}
+		},
+		ErrorLog: n.log,
+	}
+	return s
+}
+
+// serve answers clients that a listener accepts, until drain has ended.
+func (s *clientServer) serve(ln net.Listener) error {
+	l := &limitedListener{Listener: ln, limiter: s.limiter, done: make(chan struct{})}
+	defer close(l.done)
+	s.listenersMu.Lock()
+	s.listeners = append(s.listeners, l)
+	s.listenersMu.Unlock()
+	if err := s.httpServer.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("listen: %w", err)
+	}
+	return nil
+}
+
+// servePredecessor answers the clients that a predecessor hands over, until it has none left.
+func (s *clientServer) servePredecessor(before *predecessor) {
+	defer s.hasPredecessor.Store(false)
+	s.serve(before)
+}
+
+// longestDeadline is the longest deadline of all classes.
+func (s *clientServer) longestDeadline() (d time.Duration) {
+	for _, c := range s.node.cfg.Settings.Classes {
+		d = max(d, c.Deadline)
+	}
+	return d
+}
+
+// longestRequest is how long the last request that was accepted may still take.
+func (s *clientServer) longestRequest() time.Duration {
+	return s.longestDeadline() + s.node.cfg.Settings.ResponseSlack
+}
+
+// maxServerConns is the number of connections to app servers with maxSockets descriptors. A request has one attempt
+// in flight at most, so as many connections to app servers as to clients are enough.
+func maxServerConns(maxSockets int) int { return (maxSockets - reservedDescriptors) / 2 }
+
+// maxClientConns is the number of connections of clients with maxSockets descriptors.
+func maxClientConns(maxSockets int) int { return (maxSockets - reservedDescriptors) / 2 }
+
+// closesConnections tells whether responses should close their connections.
+func (s *clientServer) closesConnections() bool {
+	return s.isDraining.Load() || s.isOutOfService.Load()
+}
+
+// isAvailable tells whether the load balancer may send clients here.
+func (s *clientServer) isAvailable() bool { return s.isReady.Load() && !s.isOutOfService.Load() }
--- /dev/null
+++ b/internal/edgeproxy/memory_budget.go
@@ -0,0 +1,40 @@
+package edgeproxy
+
+import (
+	"sync/atomic"
+)
+
+// bufferedBodyMemoryFraction is the fraction of the node's memory that all buffered request bodies may take.
+const bufferedBodyMemoryFraction = 0.15
+
+// defaultMemoryMB is the node's memory where the configuration names no limit.
+const defaultMemoryMB = 64
+
+// memoryBudget limits the memory that buffered request bodies take.
+type memoryBudget struct{ available atomic.Int64 }
+
+// newMemoryBudget returns the budget of a node with so many MiB of memory; 0: no limit is known.
+func newMemoryBudget(memoryMB int) *memoryBudget {
+	if memoryMB == 0 {
+		memoryMB = defaultMemoryMB
+	}
+	b := &memoryBudget{}
+	b.available.Store(int64(bufferedBodyMemoryFraction * float64(memoryMB) * (1 << 20)))
+	return b
+}
+
+// reserve takes n bytes, or none and returns false.
+func (b *memoryBudget) reserve(n int64) bool {
+	if b.available.Add(-n) >= 0 {
+		return true
+	}
+	b.available.Add(n)
+	return false
+}
+
+// release gives n bytes back.
+func (b *memoryBudget) release(n int64) {
+	if n != 0 {
+		b.available.Add(n)
+	}
+}
--- /dev/null
+++ b/internal/edgeproxy/request_parsing.go
@@ -0,0 +1,187 @@
+package edgeproxy
+
+import (
+	"fmt"
+	"math"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"mulleinmux/internal/loadreport"
+	"mulleinmux/policy"
+)
+
+const (
+	clientTransitDelay = 10 * time.Millisecond // taken off a client's timeout, which counts from its send
+	defaultMaxUnits    = 1e6                   // of one request, where the settings name no limit
+	maxIDLength        = 64
+	customerDigits     = 16 // hexadecimal
+	maxCustomerBits    = 33
+)
+
+// parseRequest reads a request's head: engineRequest is what the engine is asked, forwarded what an app server is
+// sent, still without the body. Its error is a badRequestError.
+func (s *clientServer) parseRequest(r *http.Request) (
+	engineRequest policy.Request, forwarded serverRequest, err error,
+) {
+	header := func(name string) (value string) {
+		if err == nil {
+			value, err = singleHeader(r, name)
+		}
+		return value
+	}
+	engineRequest.ID, engineRequest.Class, engineRequest.Plan = header("X-Trace-Id"), header("X-Qos"), header("X-Contract")
+	expires, metering := header("X-Expires-In"), header("X-Metering")
+	if err != nil {
+		return engineRequest, forwarded, err
+	}
+	class, isKnown := s.classes[engineRequest.Class]
+	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	switch {
+	case !isValidID(engineRequest.ID):
+		return engineRequest, forwarded, badRequestf("X-Trace-Id: malformed")
+	case !isKnown:
+		return engineRequest, forwarded, badRequestf("X-Qos: unknown class")
+	case first != engineRequest.Class || !strings.HasPrefix(r.RequestURI, "/"):
+		return engineRequest, forwarded, badRequestf("path: does not begin with the class")
+	case !s.plans[engineRequest.Plan]:
+		return engineRequest, forwarded, badRequestf("X-Contract: unknown plan")
+	}
+	seconds, isNumber := loadreport.Decimal(expires)
+	if !isNumber || seconds <= 0 {
+		return engineRequest, forwarded, badRequestf("X-Expires-In: malformed")
+	}
+	// Nobody waits for longer than the class's clients do: requests must not pile up.
+	seconds = math.Min(seconds, class.Deadline.Seconds())
+	engineRequest.Timeout = time.Duration(seconds*float64(time.Second)) - clientTransitDelay
+	if engineRequest.Customer, err = parseCustomer(r.URL.RawQuery); err != nil {
+		return engineRequest, forwarded, err
+	}
+	if err = s.parseMetering(metering, &engineRequest); err != nil {
+		return engineRequest, forwarded, err
+	}
+	forwarded, err = forwardedRequest(r, engineRequest.ID, class.Idempotency)
+	return engineRequest, forwarded, err
+}
+
+// singleHeader returns the value of a header that must have one.
+func singleHeader(r *http.Request, name string) (string, error) {
+	values := r.Header[name]
+	if len(values) != 1 || values[0] == "" {
+		return "", badRequestf("%s: %d values where one is wanted", name, len(values))
+	}
+	return values[0], nil
+}
+
+// forwardedRequest returns what is forwarded of a request, without its body, after a check of method and headers
+// against the idempotency of its class.
+func forwardedRequest(r *http.Request, id string, idempotency policy.Idempotency) (forwarded serverRequest, err error) {
+	forwarded = serverRequest{target: r.RequestURI, host: r.Host, id: id, contentType: r.Header.Get("Content-Type")}
+	forwarded.method = http.MethodPost
+	if idempotency == policy.Idempotent {
+		forwarded.method = http.MethodGet
+	}
+	if r.Method != forwarded.method {
+		return forwarded, &badRequestError{
+			status: http.StatusMethodNotAllowed,
+			text:   "method: the class wants " + forwarded.method,
+			allow:  forwarded.method,
+		}
+	}
+	if idempotency == policy.Idempotent && r.ContentLength != 0 {
+		return forwarded, badRequestf("body: the class has none")
+	}
+	if idempotency == policy.IdempotentWithKey {
+		forwarded.key, err = singleHeader(r, "Idempotency-Key")
+	} else {
+		forwarded.key = r.Header.Get("Idempotency-Key")
+	}
+	return forwarded, err
+}
+
+// isValidID tells whether an ID is one word of letters, digits and "-_.".
+func isValidID(id string) bool {
+	for i := 0; i < len(id); i++ {
+		c := id[i]
+		if !('0' <= c && c <= '9' || 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || c == '-' || c == '_' || c == '.') {
+			return false
+		}
+	}
+	return len(id) > 0 && len(id) <= maxIDLength
+}
+
+// parseCustomer reads the customer from the query: 16 hex digits, a number below 2^33.
+func parseCustomer(query string) (uint64, error) {
+	values, err := url.ParseQuery(query)
+	if err != nil || len(values["customer"]) != 1 {
+		return 0, badRequestf("customer: missing or malformed")
+	}
+	text := values["customer"][0]
+	x, err := strconv.ParseUint(text, 16, 64)
+	if err != nil || len(text) != customerDigits || x >= 1<<maxCustomerBits {
+		return 0, badRequestf("customer: missing or malformed")
+	}
+	return x, nil
+}
+
+// parseMetering reads units, spread and first from X-Metering. What can't be of a valid client must not reach the
+// engine: it would count for the customer's quota at every node.
+func (s *clientServer) parseMetering(text string, engineRequest *policy.Request) error {
+	settings := &s.node.cfg.Settings
+	maxUnits := settings.MaxUnits
+	if maxUnits <= 0 {
+		maxUnits = defaultMaxUnits
+	}
+	seen := map[string]bool{}
+	for _, pair := range strings.Split(text, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		if seen[name] {
+			return badRequestf("X-Metering: %q stands twice", name)
+		}
+		seen[name] = true
+		isValid := true
+		switch name {
+		case "units":
+			engineRequest.Units, isValid = loadreport.Decimal(value)
+			isValid = isValid && engineRequest.Units > 0 && engineRequest.Units <= maxUnits
+		case "spread":
+			engineRequest.InstanceCount, isValid = parseIntIn(value, 1, settings.InstanceCount)
+		case "first":
+			engineRequest.FirstInstance, isValid = parseIntIn(value, 0, settings.InstanceCount-1)
+		}
+		if !isValid {
+			return badRequestf("X-Metering: %s is malformed or out of range", name)
+		}
+	}
+	if !seen["units"] || !seen["spread"] || !seen["first"] {
+		return badRequestf("X-Metering: units, spread or first is missing")
+	}
+	offset := (settings.InstanceIndex - engineRequest.FirstInstance + settings.InstanceCount) % settings.InstanceCount
+	if offset >= engineRequest.InstanceCount {
+		return badRequestf("X-Metering: the customer does not come through this node")
+	}
+	return nil
+}
+
+// parseIntIn reads a whole number and tells whether it is one within the limits.
+func parseIntIn(text string, smallest, largest int) (int, bool) {
+	x, isNumber := loadreport.Decimal(text)
+	return int(x), isNumber && x == math.Trunc(x) && x >= float64(smallest) && x <= float64(largest)
+}
+
+// badRequestError is a mistake in what a client sent. None is answered as a rejection.
+type badRequestError struct {
+	status int
+	text   string
+	allow  string // the method of the class, for the header Allow; empty: none
+}
+
+// Error returns the text that the client is answered.
+func (e *badRequestError) Error() string { return e.text }
+
+// badRequestf returns an error that is answered with 400 Bad Request.
+func badRequestf(format string, args ...any) error {
+	return &badRequestError{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
+}
