--- a/policy/api.go
+++ b/policy/api.go
@@ -1,18 +1,3 @@
-// Package choice decides, for one edge node of a gateway tier, what happens to
-// each request: whether its customer's quota admits it, whether the back end
-// can take it, which server serves it, and what follows each outcome.
-//
-// The host owns the network, the clock and the timers. It makes one [Engine]
-// per edge node with [New], calls [Engine.Start] once, then one method per
-// event, and carries out what the gateway asks for through [Actions]. The
-// decisions are all in choice.go; this file is the whole interface.
-//
-// A Gateway is not safe for concurrent use: the host makes one call at a time.
-// Actions are called synchronously, in the order they are to take effect, and
-// must not call back into the gateway. Times passed in are readings of one
-// clock that never goes backwards; its origin does not matter. Events that
-// name an unknown or finished request, server, timer or attempt are ignored.
-// The gateway keeps no reference to slices that it is given.
 package policy
 
 import "time"
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"math"
 	"os"
+	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 	"time"
@@ -93,7 +95,7 @@
 					other.Zone = "a"
 				}
 				g, r := newGate(t, testSettings(), first)
-				g.retries = 5
+				g.retryTokens = 5
 				g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
 				g.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r)
 				r.acts = nil
@@ -118,7 +120,7 @@
 
 func TestKeyedNotSentAfterItsWindow(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(3)...)
-	g.retries = 5
+	g.retryTokens = 5
 	g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
 	g.AttemptCompleted(t0+300*ms, AttemptResult{ID: "r1", Result: ConnectionReset}, r)
 	if r.last() != "fail r1" {
@@ -137,7 +139,7 @@
 			}
 		}
 		g, r := newGate(t, set, fleet(2)...)
-		g.retries = 5
+		g.retryTokens = 5
 		g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
 		first := r.last()
 		g.AttemptCompleted(t0+200*ms, AttemptResult{ID: "r1", Result: ConnectionReset, Server: first[len(first)-2:]}, r)
@@ -177,7 +179,7 @@
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Customer, now, i)
 		q.Units = max(q.Units, 1)
-		g.held = 0 // the quota alone is looked at
+		g.inFlight = 0 // the quota alone is looked at
 		g.RequestReceived(now, q, r)
 	}
 	return r.count("send") - before
@@ -193,7 +195,7 @@
 	if n := flood(g, r, t0, 50, q); n != 10 {
 		t.Errorf("%d sent before the first tell, want 10", n)
 	}
-	g.TimerFired(t0, timerTell, r)
+	g.TimerFired(t0, timerGossip, r)
 	if n := flood(g, r, t0, 50, q); n != 5 {
 		t.Errorf("%d sent before the second tell, want 5", n)
 	}
@@ -226,12 +228,12 @@
 		for i := 0; i < 3; i++ {
 			now := t0 + time.Duration(i)*ms
 			flood(a, ra, now, 3, q)
-			a.TimerFired(now, timerTell, ra)
+			a.TimerFired(now, timerGossip, ra)
 		}
 		for _, i := range order {
 			b.GossipReceived(t0, 0, ra.tells[1][i], rb)
 		}
-		if got := 20 - b.stores[1].level; got != 9 {
+		if got := 20 - b.quotas[1].tokens; got != 9 {
 			t.Errorf("%s: %v units taken, want 9", name, got)
 		}
 	}
@@ -248,17 +250,17 @@
 		q := newRequest(0, "safe", "rate", c<<25)
 		q.InstanceCount = 2
 		flood(a, ra, t0, 1, q)
-		a.held = 0
+		a.inFlight = 0
 	}
-	a.TimerFired(t0, timerTell, ra)
+	a.TimerFired(t0, timerGossip, ra)
 	for _, m := range ra.tells[1] {
-		if len(m) > messageMost {
+		if len(m) > maxMessageSize {
 			t.Errorf("message of %d bytes", len(m))
 		}
 		b.GossipReceived(t0, 0, m, rb)
 	}
-	if len(b.stores) != 100 {
-		t.Errorf("%d of 100 customers heard of", len(b.stores))
+	if len(b.quotas) != 100 {
+		t.Errorf("%d of 100 customers heard of", len(b.quotas))
 	}
 }
 
@@ -273,18 +275,18 @@
 	q.InstanceCount = 2
 	for i := 0; i < 6; i++ {
 		flood(a, ra, t0, 9, q)
-		a.TimerFired(t0, timerTell, ra)
+		a.TimerFired(t0, timerGossip, ra)
 		q.Customer = 1
 		q.ID = ""
 		q.Units = 1
 		flood(b, rb, t0+time.Duration(i)*ms, 9, q)
-		b.TimerFired(t0+time.Duration(i)*ms, timerTell, rb)
+		b.TimerFired(t0+time.Duration(i)*ms, timerGossip, rb)
 	}
 	for _, m := range ra.tells[1] {
 		b.GossipReceived(t0+6*ms, 0, m, rb)
 	}
-	if b.stores[1].level >= 0 {
-		t.Errorf("level %v after both spent most of it", b.stores[1].level)
+	if b.quotas[1].tokens >= 0 {
+		t.Errorf("level %v after both spent most of it", b.quotas[1].tokens)
 	}
 }
 
@@ -296,8 +298,8 @@
 	q := newRequest(0, "safe", "rate", 1)
 	q.InstanceCount = 3
 	flood(g, r, t0, 30, q)
-	g.stores[1].level = 1.5
-	g.TimerFired(t0, timerTell, r)
+	g.quotas[1].tokens = 1.5
+	g.TimerFired(t0, timerGossip, r)
 	if n := flood(g, r, t0+ms, 5, q); n != 0 {
 		t.Errorf("%d sent with units for one gateway of three", n)
 	}
@@ -314,36 +316,36 @@
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		answer(g, r, now, ms, OK)
 		if i%100 == 99 {
-			g.TimerFired(now, timerProbe, r)
+			g.TimerFired(now, timerSample, r)
 		}
 	}
-	if g.okRate < 500 {
-		t.Errorf("rate %v after 200 ms at 1000 a second", g.okRate)
+	if g.responseRate < 500 {
+		t.Errorf("rate %v after 200 ms at 1000 a second", g.responseRate)
 	}
 }
 
 // A refused connection ejects at once, for longer each time, and an answer ends it.
 func TestEjectionGrows(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(2)...)
-	s := g.byID["s0"]
+	s := g.serverByID["s0"]
 	q := &request{}
 	var last time.Duration
 	for i := 1; i <= 6; i++ {
-		g.now = s.ejected
+		g.now = s.ejectedUntil
 		if i == 1 {
 			g.now = t0
 		}
-		g.out = r
-		g.learn(q, s, AttemptResult{Result: ConnectFailed})
-		span := s.ejected - g.now
-		if span <= last && span != ejectMost {
+		g.actions = r
+		g.updateHealth(q, s, AttemptResult{Result: ConnectFailed})
+		span := s.ejectedUntil - g.now
+		if span <= last && span != maxEjectionTime {
 			t.Errorf("ejection %d lasts %v after %v", i, span, last)
 		}
 		last = span
 	}
-	g.learn(q, s, AttemptResult{Result: OK, Latency: ms})
-	if s.strikes != 0 {
-		t.Errorf("%d strikes after an answer", s.strikes)
+	g.updateHealth(q, s, AttemptResult{Result: OK, Latency: ms})
+	if s.consecutiveEjections != 0 {
+		t.Errorf("%d strikes after an answer", s.consecutiveEjections)
 	}
 }
 
@@ -354,7 +356,7 @@
 	q := newRequest(0, "safe", "rate", 1)
 	q.InstanceCount = 2
 	flood(a, ra, t0, 3, q)
-	a.TimerFired(t0, timerTell, ra)
+	a.TimerFired(t0, timerGossip, ra)
 	good := ra.tells[1][0]
 	s.InstanceIndex = 1
 	for n := 0; n < len(good); n++ {
@@ -363,7 +365,7 @@
 		b.GossipReceived(t0, 7, good, rb)
 		b.GossipReceived(t0, 1, good, rb)
 		b.GossipReceived(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), rb)
-		if len(b.stores) != 0 || len(rb.acts) != 0 {
+		if len(b.quotas) != 0 || len(rb.acts) != 0 {
 			t.Fatalf("%d bytes of %d were believed", n, len(good))
 		}
 	}
@@ -383,8 +385,8 @@
 		r := &recorder{}
 		g.Start(t0, r)
 		g.GossipReceived(t0, 1, b, r)
-		if len(g.stores) > len(b) {
-			t.Errorf("%d stores from %d bytes", len(g.stores), len(b))
+		if len(g.quotas) > len(b) {
+			t.Errorf("%d stores from %d bytes", len(g.quotas), len(b))
 		}
 	})
 }
@@ -397,13 +399,13 @@
 	q := newRequest(0, "safe", "open", 1)
 	q.InstanceCount = 2
 	sentA := flood(a, ra, t0, 9, q)
-	a.TimerFired(t0, timerTell, ra)
+	a.TimerFired(t0, timerGossip, ra)
 	s.InstanceIndex = 1
 	b, rb := newGate(t, s, fleet(4)...)
 	b.GossipReceived(t0, 0, ra.tells[1][0], rb)
 	for i := 0; i < 9; i++ {
 		flood(b, rb, t0, 9, q)
-		b.TimerFired(t0, timerTell, rb)
+		b.TimerFired(t0, timerGossip, rb)
 	}
 	if got := sentA + rb.count("send"); sentA == 0 || got < 5 || got > 6 {
 		t.Errorf("%d out, %d of them on the peer; want 5 or 6", got, sentA)
@@ -430,10 +432,10 @@
 		s.AllowsHedging = true
 		s.Plans[2].MaxInFlight = 2
 		g, r := newGate(t, s, fleet(4)...)
-		g.retries = 5
+		g.retryTokens = 5
 		g.RequestReceived(t0, newRequest(1, "safe", plan, 1), r)
 		r.acts = nil
-		g.TimerFired(t0+ms, g.nextNum<<timerBits|timerHedge, r)
+		g.TimerFired(t0+ms, g.lastRequestNumber<<timerBits|timerHedge, r)
 		if n := r.count("send"); n != want {
 			t.Errorf("%s: %d second copies, want %d", plan, n, want)
 		}
@@ -490,7 +492,7 @@
 			for at := time.Duration(0); at < s.ColdOverloadWindow; at += 50 * ms {
 				sent += flood(g, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
 			}
-			work = float64(sent) * g.work(0)
+			work = float64(sent) * g.expectedWork(0)
 		}
 		// One core's work, the least that a server can do when warm, is what the budget is taken of.
 		share := s.SlowStartMinFraction + (1-s.SlowStartMinFraction)*s.ColdOverloadWindow.Seconds()/s.SlowStartWindow.Seconds()
@@ -508,7 +510,7 @@
 		g, r := newGate(t, testSettings(), fleet(1)...)
 		g.RequestReceived(t0, newRequest(1, "unsafe", "rate", 1), r)
 		g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0"}, r)
-		if got := g.warmth(g.servers[0]) < 1; got != cold {
+		if got := g.capacityFraction(g.servers[0]) < 1; got != cold {
 			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
 		}
 		r.acts = nil
@@ -584,20 +586,20 @@
 // Of two servers alike, the silent, the failing, the slow, the cold and the full one costs more.
 func TestCostOfSymptoms(t *testing.T) {
 	for name, spoil := range map[string]func(*server){
-		"silent":    func(s *server) { s.seen = t0 - time.Second },
-		"failing":   func(s *server) { s.errs = 0.3 },
-		"slow":      func(s *server) { s.lat = 2 },
+		"silent":    func(s *server) { s.lastProgressAt = t0 - time.Second },
+		"failing":   func(s *server) { s.failureRate = 0.3 },
+		"slow":      func(s *server) { s.latencyRatio = 2 },
 		"cold":      func(s *server) { s.StartedAt = t0 - ms },
-		"queueing":  func(s *server) { s.queue = 3 },
-		"more out":  func(s *server) { s.out = 2 },
-		"was reset": func(s *server) { s.broke = t0 },
+		"queueing":  func(s *server) { s.queueLength = 3 },
+		"more out":  func(s *server) { s.inFlight = 2 },
+		"was reset": func(s *server) { s.connectFailedAt = t0 },
 	} {
 		g, _ := newGate(t, testSettings(), fleet(2)...)
 		a, b := g.servers[0], g.servers[1]
 		for _, s := range g.servers {
-			s.out, s.seen = 1, t0
+			s.inFlight, s.lastProgressAt = 1, t0
 		}
-		g.lat[0].mean = 0.1
+		g.latencies[0].mean = 0.1
 		spoil(b)
 		if g.cost(b) < 1.3*g.cost(a) {
 			t.Errorf("%s: cost %v against %v", name, g.cost(b), g.cost(a))
@@ -612,7 +614,7 @@
 		s.AllowsHedging = parallel
 		g, r := newGate(t, s, fleet(2)...)
 		g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
-		if got := g.maySend(g.reqs["r1"], g.servers[0]); got != parallel {
+		if got := g.mayAttempt(g.requests["r1"], g.servers[0]); got != parallel {
 			t.Errorf("parallel %v: second copy %v", parallel, got)
 		}
 	}
@@ -625,7 +627,7 @@
 		g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
 		var due timerSet
 		for _, ts := range r.timers {
-			if ts.token&7 == timerEnd {
+			if ts.token&7 == timerDeadline {
 				due = ts
 			}
 		}
@@ -639,8 +641,8 @@
 		}
 		g.TimerFired(t0+due.after, due.token, r)
 		g.AttemptCompleted(t0+due.after, AttemptResult{ID: "r1", Result: Cancelled}, r)
-		if len(r.acts) != 2 || len(g.reqs) != 0 {
-			t.Errorf("%s: %q, %d requests kept", class, r.acts, len(g.reqs))
+		if len(r.acts) != 2 || len(g.requests) != 0 {
+			t.Errorf("%s: %q, %d requests kept", class, r.acts, len(g.requests))
 		}
 	}
 }
@@ -651,7 +653,7 @@
 	r.acts = nil
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
-	if g.reqs["r1"] == nil || g.reqs["r1"].out != 1 {
+	if g.requests["r1"] == nil || g.requests["r1"].inFlight != 1 {
 		t.Error("an attempt never made ended the request")
 	}
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Server: "s0"}, r)
@@ -661,7 +663,7 @@
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1}, r)
 	g.ClientDisconnected(t0, "r1", r)
 	g.ResponseStarted(t0, "r1", 0, r)
-	g.TimerFired(t0, 1<<40|timerEnd, r)
+	g.TimerFired(t0, 1<<40|timerDeadline, r)
 	g.TimerFired(t0, 7, r)
 	g.HealthCheckCompleted(t0, "none", OK, &LoadReport{Utilization: 1}, r)
 	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
@@ -678,7 +680,7 @@
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	g.ResponseStarted(t0+ms, "r1", 0, r)
 	r.acts = nil
-	g.TimerFired(t0+2*time.Second, 1<<timerBits|timerEnd, r)
+	g.TimerFired(t0+2*time.Second, 1<<timerBits|timerDeadline, r)
 	if len(r.acts) != 0 {
 		t.Errorf("%q", r.acts)
 	}
@@ -706,7 +708,7 @@
 	g, r := newGate(t, s, fleet(2)...)
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Units: 4}, r)
-	if got := g.stores[1].level; got != 36 {
+	if got := g.quotas[1].tokens; got != 36 {
 		t.Errorf("level %v, want 36", got)
 	}
 }
@@ -719,11 +721,11 @@
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		answer(g, r, now, ms, OK)
 		if i%100 == 0 {
-			g.TimerFired(now, timerProbe, r)
+			g.TimerFired(now, timerSample, r)
 		}
 	}
-	if len(g.stores) > 5000 || len(g.stores) != len(g.order) {
-		t.Errorf("%d stores, %d in order", len(g.stores), len(g.order))
+	if len(g.quotas) > 5000 || len(g.quotas) != len(g.quotaList) {
+		t.Errorf("%d stores, %d in order", len(g.quotas), len(g.quotaList))
 	}
 }
 
@@ -748,43 +750,70 @@
 
 // ARO: full refusals drive f down, calm brings it back, and the throttle is even.
 func TestOverloadControl(t *testing.T) {
-	a := aro{f: 1}
+	a := overloadController{admitFraction: 1}
 	for i := 0; i < 50; i++ {
-		a.sent[a.slot()] = 10
-		a.sample(1)
-		a.assess(0, 0)
+		a.sent[a.sampleIndex()] = 10
+		a.addOccupancy(1)
+		a.closeSample(0, 0)
 	}
-	if a.f > 0.9 {
-		t.Errorf("f %v after 5 s at occupancy 1", a.f)
+	if a.admitFraction > 0.9 {
+		t.Errorf("f %v after 5 s at occupancy 1", a.admitFraction)
 	}
-	low := a.f
+	low := a.admitFraction
 	for i := 0; i < 50; i++ {
-		a.sample(0.3)
-		a.assess(0, 0)
+		a.addOccupancy(0.3)
+		a.closeSample(0, 0)
 	}
-	if a.f != 1 || low < fLeast {
-		t.Errorf("f %v after 5 s of calm, least %v", a.f, low)
+	if a.admitFraction != 1 || low < minAdmitFraction {
+		t.Errorf("f %v after 5 s of calm, least %v", a.admitFraction, low)
 	}
 }
 
 func TestSizeOfTheModule(t *testing.T) {
-	f, err := os.Open("choice.go")
+	const maxLines, maxColumns = 1200, 110
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := regexp.MustCompile(`(?m)^policy = \[([^\]]*)\]`).FindSubmatch(deploy)
+	if list == nil {
+		t.Fatal("deploy/balancer.toml has no list of the policy's files")
+	}
+	files := regexp.MustCompile(`"([^"]*)"`).FindAllSubmatch(list[1], -1)
+	if len(files) == 0 {
+		t.Fatal("deploy/balancer.toml lists no file of the policy")
+	}
+	lines := 0
+	for _, file := range files {
+		lines += countLines(t, string(file[1]), maxColumns)
+	}
+	if lines > maxLines {
+		t.Errorf("%d lines, at most %d", lines, maxLines)
+	}
+}
+
+// countLines returns how many lines of a file are not blank, and reports those that are too wide.
+func countLines(t *testing.T, path string, maxColumns int) int {
+	t.Helper()
+	f, err := os.Open(filepath.Join("..", path))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	lines := 0
-	for s := bufio.NewScanner(f); s.Scan(); {
+	s := bufio.NewScanner(f)
+	for s.Scan() {
 		if strings.TrimSpace(s.Text()) != "" {
 			lines++
 		}
-		if n := len(strings.ReplaceAll(s.Text(), "\t", "    ")); n > 110 {
-			t.Errorf("%d columns: %s", n, s.Text())
+		if n := len(strings.ReplaceAll(s.Text(), "\t", "    ")); n > maxColumns {
+			t.Errorf("%s: %d columns: %s", path, n, s.Text())
 		}
 	}
-	if lines > 1200 {
-		t.Errorf("%d lines, at most 1200", lines)
+	if err := s.Err(); err != nil {
+		t.Fatal(err)
 	}
+	return lines
 }
 
 // wideGate is a gateway of a fleet of 300, whose sets are so wide that holders are asked.
@@ -813,8 +842,8 @@
 	member, r := wideGate(t, 10)
 	q := wideRequest(1, customer)
 	member.RequestReceived(t0, q, r)
-	holder := member.holder(member.stores[customer])
-	if !member.inSet(holder, q.FirstInstance, q.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.tells[holder] == nil {
+	holder := member.ownerFor(member.quotas[customer])
+	if !member.isCustomerInstance(holder, q.FirstInstance, q.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.tells[holder] == nil {
 		t.Fatalf("holder %d, actions %v", holder, r.acts)
 	}
 	h, hr := wideGate(t, holder)
@@ -838,31 +867,31 @@
 func TestClientLeavesWhileItsHolderIsAsked(t *testing.T) {
 	const customer = 77
 	for name, answer := range map[string]func(num uint64) []byte{
-		"granted": func(num uint64) []byte { return (&Engine{}).encodeAnswer(num, true, 0, 1) },
-		"refused": func(num uint64) []byte { return (&Engine{}).encodeAnswer(num, false, 0, 0) },
+		"granted": func(num uint64) []byte { return (&Engine{}).encodeQuotaResponse(num, true, 0, 1) },
+		"refused": func(num uint64) []byte { return (&Engine{}).encodeQuotaResponse(num, false, 0, 0) },
 		"silent":  nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			member, r := wideGate(t, 10)
 			member.RequestReceived(t0, wideRequest(1, customer), r)
-			holder, num := member.holder(member.stores[customer]), member.reqs["r1"].num
+			holder, num := member.ownerFor(member.quotas[customer]), member.requests["r1"].number
 			member.ClientDisconnected(t0+10*ms, "r1", r)
 			r.tells = nil
 			if answer != nil {
 				member.GossipReceived(t0+20*ms, holder, answer(num), r)
 			}
-			member.TimerFired(t0+askWait, num<<timerBits|timerAsk, r)
-			member.GossipReceived(t0+askWait, holder, (&Engine{}).encodeAnswer(num, true, 0, 1), r) // doubled, or too late
-			if r.count("send") != 0 || len(member.reqs)+len(member.byNum) != 0 {
-				t.Errorf("sent on, or %d requests kept: %v", len(member.reqs)+len(member.byNum), r.acts)
+			member.TimerFired(t0+ownerTimeout, num<<timerBits|timerOwnerTimeout, r)
+			member.GossipReceived(t0+ownerTimeout, holder, (&Engine{}).encodeQuotaResponse(num, true, 0, 1), r) // doubled, or too late
+			if r.count("send") != 0 || len(member.requests)+len(member.requestByNumber) != 0 {
+				t.Errorf("sent on, or %d requests kept: %v", len(member.requests)+len(member.requestByNumber), r.acts)
 			}
-			var backs []ask
+			var backs []quotaMessage
 			for _, m := range r.tells[holder] {
-				if b, ok := member.decodeAsk(m); ok && b.kind == kindBack {
+				if b, ok := member.decodeQuotaMessage(m); ok && b.kind == kindQuotaReturn {
 					backs = append(backs, b)
 				}
 			}
-			if name == "granted" && (len(backs) != 1 || backs[0].num != num || backs[0].units != 1) || name != "granted" && len(backs) != 0 {
+			if name == "granted" && (len(backs) != 1 || backs[0].number != num || backs[0].units != 1) || name != "granted" && len(backs) != 0 {
 				t.Errorf("given back: %+v", backs)
 			}
 		})
@@ -873,19 +902,19 @@
 func TestNoWaitForASilentHolder(t *testing.T) {
 	const customer = 77
 	g, r := wideGate(t, 10)
-	g.storeFor(customer, g.plan["rate"], 100, 10).pass = 0 // what was heard last: nothing is granted
-	for n := range silentAsks + 1 {
+	g.quotaFor(customer, g.planIndex["rate"], 100, 10).grantFraction = 0 // what was heard last: nothing is granted
+	for n := range maxOwnerTimeouts + 1 {
 		g.RequestReceived(t0, wideRequest(n, customer), r)
-		for num := range g.byNum {
-			g.TimerFired(t0, num<<timerBits|timerAsk, r)
+		for num := range g.requestByNumber {
+			g.TimerFired(t0, num<<timerBits|timerOwnerTimeout, r)
 		}
 	}
-	if r.count("refuse") != silentAsks+1 || len(r.timers) < silentAsks {
+	if r.count("refuse") != maxOwnerTimeouts+1 || len(r.timers) < maxOwnerTimeouts {
 		t.Fatalf("not refused without waiting: %v", r.acts)
 	}
-	g.RequestReceived(t0, wideRequest(silentAsks+1, customer), r)
-	if len(g.reqs)+len(g.byNum) != 0 {
-		t.Errorf("%d requests are kept", len(g.byNum))
+	g.RequestReceived(t0, wideRequest(maxOwnerTimeouts+1, customer), r)
+	if len(g.requests)+len(g.requestByNumber) != 0 {
+		t.Errorf("%d requests are kept", len(g.requestByNumber))
 	}
 }
 
@@ -894,7 +923,7 @@
 	const customer = 77
 	first, r := wideGate(t, 10)
 	first.RequestReceived(t0, wideRequest(1, customer), r)
-	holder := first.holder(first.stores[customer])
+	holder := first.ownerFor(first.quotas[customer])
 	h, hr := wideGate(t, holder)
 	sent := 0.0
 	for me := 10; me < 110; me++ {
@@ -902,7 +931,7 @@
 			continue
 		}
 		g, r := wideGate(t, me)
-		if g.holder(g.storeFor(customer, g.plan["rate"], 100, 10)) != holder {
+		if g.ownerFor(g.quotaFor(customer, g.planIndex["rate"], 100, 10)) != holder {
 			continue // another part of the holder's
 		}
 		for n := 0; n < 4; n++ {
@@ -915,7 +944,7 @@
 		}
 		sent += float64(r.count("send"))
 	}
-	if burst := h.set.Plans[h.plan["rate"]].Burst; sent == 0 || sent > burst {
+	if burst := h.settings.Plans[h.planIndex["rate"]].Burst; sent == 0 || sent > burst {
 		t.Errorf("%v sent of a burst of %v", sent, burst)
 	}
 }
@@ -926,25 +955,25 @@
 	wait := func(inbox float64) time.Duration {
 		member, r := wideGate(t, 10)
 		member.RequestReceived(t0, wideRequest(1, 77), r)
-		to := member.holder(member.stores[77])
+		to := member.ownerFor(member.quotas[77])
 		h, hr := wideGate(t, to)
-		h.inboxRate = inbox
-		h.storeFor(77, h.plan["rate"], 100, 10).level = 0
+		h.gossipRate = inbox
+		h.quotaFor(77, h.planIndex["rate"], 100, 10).tokens = 0
 		h.GossipReceived(t0, 10, r.tells[to][0], hr)
 		member.GossipReceived(t0, to, hr.tells[10][0], r)
 		if r.count("refuse") != 1 {
 			t.Fatalf("%v", r.acts)
 		}
-		return member.stores[77].shut - t0
+		return member.quotas[77].rejectedUntil - t0
 	}
 	p := wideSettings().Plans
 	one := time.Duration(0)
 	for i := range p {
 		if p[i].Name == "rate" {
-			one = fill(1, p[i].Rate/math.Ceil(p[i].Rate/(askShare*40)))
+			one = refillTime(1, p[i].Rate/math.Ceil(p[i].Rate/(ownerInboxFraction*40)))
 		}
 	}
-	if w := wait(14); w > max(one, askWait)+waitUnit {
+	if w := wait(14); w > max(one, ownerTimeout)+retryAfterUnit {
 		t.Errorf("a calm holder shuts a member out for %v, its store fills by one in %v", w, one)
 	}
 	if w := wait(39); w < 2*time.Second {
@@ -955,13 +984,13 @@
 // A customer stays crowded for as long as its store takes to fill in two tries, which may be more than a second.
 func TestSlowStoresStayCrowded(t *testing.T) {
 	h, _ := wideGate(t, 10)
-	h.set.Plans[h.plan["rate"]].Rate = 0.5
-	st := h.storeFor(77, h.plan["rate"], 100, 10)
-	if st.level = 0; !st.wide {
+	h.settings.Plans[h.planIndex["rate"]].Rate = 0.5
+	st := h.quotaFor(77, h.planIndex["rate"], 100, 10)
+	if st.tokens = 0; !st.usesOwner {
 		t.Fatal("no holder is asked for this customer")
 	}
-	h.quota(st, 1, false)
-	if d := st.crowded - h.now; d != 4*time.Second {
+	h.checkQuota(st, 1, false)
+	if d := st.contendedUntil - h.now; d != 4*time.Second {
 		t.Errorf("crowded for %v, it fills by two in 4 s", d)
 	}
 }
@@ -972,21 +1001,21 @@
 	member, r := wideGate(t, 10)
 	ask := func(n int, late bool, at time.Duration) bool {
 		q := wideRequest(n, 77)
-		member.lat[member.class["safe"]].fresh = q.Timeout
+		member.latencies[member.classIndex["safe"]].firstTryTimeout = q.Timeout
 		if late {
-			q.Timeout -= member.set.Classes[member.class["safe"]].LatencyObjective * 3 / 2
+			q.Timeout -= member.settings.Classes[member.classIndex["safe"]].LatencyObjective * 3 / 2
 		}
 		r.tells = nil
 		member.RequestReceived(at, q, r)
-		to := member.holder(member.stores[77])
+		to := member.ownerFor(member.quotas[77])
 		if r.tells[to] == nil {
 			t.Fatalf("try %d was not asked for: %v", n, r.acts)
 		}
 		h, hr := wideGate(t, to)
-		st := h.storeFor(77, h.plan["rate"], 100, 10)
-		st.level, st.crowded = 5, at+time.Second
+		st := h.quotaFor(77, h.planIndex["rate"], 100, 10)
+		st.tokens, st.contendedUntil = 5, at+time.Second
 		if n == 0 {
-			st.crowded = 0
+			st.contendedUntil = 0
 		}
 		h.GossipReceived(at, 10, r.tells[to][0], hr)
 		sent := r.count("send")
@@ -1015,9 +1044,9 @@
 func TestUnansweredAskGoesByTheShareGranted(t *testing.T) {
 	for _, pass := range []float64{0, 1} {
 		g, r := wideGate(t, 10)
-		g.storeFor(77, g.plan["rate"], 100, 10).pass = pass
+		g.quotaFor(77, g.planIndex["rate"], 100, 10).grantFraction = pass
 		g.RequestReceived(t0, wideRequest(1, 77), r)
-		g.TimerFired(t0+askWait, g.nextNum<<timerBits|timerAsk, r)
+		g.TimerFired(t0+ownerTimeout, g.lastRequestNumber<<timerBits|timerOwnerTimeout, r)
 		if got := r.count("send"); got != int(pass) || r.count("refuse") != 1-got {
 			t.Errorf("share %v: %v", pass, r.acts)
 		}
@@ -1028,12 +1057,12 @@
 func TestBadAsksChangeNothing(t *testing.T) {
 	member, r := wideGate(t, 10)
 	member.RequestReceived(t0, wideRequest(1, 77), r)
-	good := r.tells[member.holder(member.stores[77])][0]
+	good := r.tells[member.ownerFor(member.quotas[77])][0]
 	for _, c := range []struct{ me, from int }{{5, 10}, {20, 5}, {20, 250}} {
 		g, r := wideGate(t, c.me)
 		g.GossipReceived(t0, c.from, good, r)
-		if len(g.stores) != 0 || len(r.tells) != 0 {
-			t.Errorf("%+v: %d stores, %d answers", c, len(g.stores), len(r.tells))
+		if len(g.quotas) != 0 || len(r.tells) != 0 {
+			t.Errorf("%+v: %d stores, %d answers", c, len(g.quotas), len(r.tells))
 		}
 	}
 	g, gr := wideGate(t, 20)
@@ -1041,7 +1070,7 @@
 		g.GossipReceived(t0, 10, good[:n], gr)
 	}
 	g.GossipReceived(t0, 10, append(append([]byte{}, good...), 0), gr)
-	if len(g.stores) != 0 {
+	if len(g.quotas) != 0 {
 		t.Error("a malformed ask made a store")
 	}
 }
@@ -1051,8 +1080,8 @@
 	burst, rate := 0.0, 0.0
 	for me := 10; me < 110; me++ {
 		g, _ := wideGate(t, me)
-		st := g.storeFor(77, g.plan["rate"], 100, 10)
-		burst, rate = burst+st.burstPart, rate+st.ratePart
+		st := g.quotaFor(77, g.planIndex["rate"], 100, 10)
+		burst, rate = burst+st.burstFraction, rate+st.rateFraction
 	}
 	if math.Abs(burst-1) > 1e-9 || math.Abs(rate-1) > 1e-9 {
 		t.Errorf("parts sum to %v of the burst and %v of the rate", burst, rate)
@@ -1062,10 +1091,10 @@
 // Sums of occupancy below nought, as latencies under the lowest mean give, must reach peers as they are.
 func TestPoolIsPackedSigned(t *testing.T) {
 	g, _ := wideGate(t, 10)
-	g.aro.heard, g.aro.pool = true, [poolSize]float64{-0.5, 0.25, 2, 0, 1}
-	m, ok := g.decodeAsk(g.encodeAnswer(1, true, 0, 1))
-	if !ok || m.pool != g.aro.pool {
-		t.Errorf("%v came as %v", g.aro.pool, m.pool)
+	g.overload.hasPeerMeans, g.overload.fleetMeans = true, [fleetMeanCount]float64{-0.5, 0.25, 2, 0, 1}
+	m, ok := g.decodeQuotaMessage(g.encodeQuotaResponse(1, true, 0, 1))
+	if !ok || m.fleetMeans != g.overload.fleetMeans {
+		t.Errorf("%v came as %v", g.overload.fleetMeans, m.fleetMeans)
 	}
 }
 
@@ -1073,12 +1102,12 @@
 func TestOldAttemptsDoNotCountInThePool(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(4)...)
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
-	aim := g.set.Classes[g.class["safe"]].LatencyObjective
-	if n, _, _ := g.ages(jamAge); n != 1 {
+	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
+	if n, _, _ := g.attemptAges(youngAttemptFraction); n != 1 {
 		t.Errorf("%v young at once", n)
 	}
 	g.now = t0 + aim
-	if n, _, _ := g.ages(jamAge); n != 0 {
+	if n, _, _ := g.attemptAges(youngAttemptFraction); n != 0 {
 		t.Errorf("%v young after the aim", n)
 	}
 }
@@ -1087,18 +1116,18 @@
 // their aim must not keep new requests out. A server held for lost has its own taken off already.
 func TestOverdueAttemptsAreNoJam(t *testing.T) {
 	g, r := newGate(t, probing(), fleet(2)...)
-	for i := 0; !g.jammed(g.class["safe"], "", 1); i++ {
+	for i := 0; !g.isOverloaded(g.classIndex["safe"], "", 1); i++ {
 		g.RequestReceived(t0, newRequest(i, "safe", "rate", uint64(i)), r)
 	}
-	now := t0 + g.set.Classes[g.class["safe"]].LatencyObjective + ms
-	g.TimerFired(now, timerProbe, r)
-	if g.jammed(g.class["safe"], "", 1) {
-		t.Errorf("%d attempts past their aim read as a jam", g.held)
+	now := t0 + g.settings.Classes[g.classIndex["safe"]].LatencyObjective + ms
+	g.TimerFired(now, timerSample, r)
+	if g.isOverloaded(g.classIndex["safe"], "", 1) {
+		t.Errorf("%d attempts past their aim read as a jam", g.inFlight)
 	}
 	for _, s := range g.servers {
-		s.lost = true
+		s.isUnresponsive = true
 	}
-	if g.TimerFired(now+probeEvery, timerProbe, r); g.overdue != 0 {
+	if g.TimerFired(now+sampleInterval, timerSample, r); g.overdue != 0 {
 		t.Errorf("%v attempts at lost servers are taken off twice", g.overdue)
 	}
 }
@@ -1106,8 +1135,8 @@
 // A try whose client leaves before answers usually come is refused at once.
 func TestShortPatienceIsRefused(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(4)...)
-	c := &g.lat[g.class["safe"]]
-	c.n, c.mean, c.dev = batchLeast, 0.2, 0.01
+	c := &g.latencies[g.classIndex["safe"]]
+	c.samples, c.mean, c.deviation = minBatchSamples, 0.2, 0.01
 	q := newRequest(1, "safe", "rate", 1)
 	q.Timeout = 100 * ms
 	g.RequestReceived(t0, q, r)
@@ -1123,23 +1152,23 @@
 	q := wideRequest(1, 77)
 	q.Plan = "open"
 	member.RequestReceived(t0, q, r)
-	holder := member.holder(member.stores[77])
+	holder := member.ownerFor(member.quotas[77])
 	h, hr := wideGate(t, holder)
 	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
-	if n := len(h.stores[77].leases); n != 1 {
+	if n := len(h.quotas[77].leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
 	r.tells = nil
-	member.TimerFired(t0+askWait, member.nextNum<<timerBits|timerAsk, r)
-	answer(member, r, t0+askWait+50*ms, 50*ms, OK)
+	member.TimerFired(t0+ownerTimeout, member.lastRequestNumber<<timerBits|timerOwnerTimeout, r)
+	answer(member, r, t0+ownerTimeout+50*ms, 50*ms, OK)
 	for _, m := range r.tells[holder] {
 		h.GossipReceived(t0+200*ms, 10, m, hr)
 	}
-	if n := len(h.stores[77].leases); n != 0 {
+	if n := len(h.quotas[77].leases); n != 0 {
 		t.Errorf("%d leases after the answer", n)
 	}
-	h.stores[77].out = h.set.Plans[h.plan["open"]].MaxInFlight
-	if in, wait := h.quota(h.stores[77], 1, false); in || wait > askWait {
+	h.quotas[77].inFlight = h.settings.Plans[h.planIndex["open"]].MaxInFlight
+	if in, wait := h.checkQuota(h.quotas[77], 1, false); in || wait > ownerTimeout {
 		t.Errorf("in %v, wait %v", in, wait)
 	}
 }
@@ -1150,7 +1179,7 @@
 	q := wideRequest(1, 77)
 	q.Plan = "hard"
 	member.RequestReceived(t0, q, r)
-	holder := member.holder(member.stores[77])
+	holder := member.ownerFor(member.quotas[77])
 	h, hr := wideGate(t, holder)
 	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
 	member.GossipReceived(t0+ms, holder, hr.tells[10][0], r)
@@ -1166,7 +1195,7 @@
 	q.Timeout = 30 * ms
 	g.RequestReceived(t0, q, r)
 	for _, s := range r.timers {
-		if s.token == g.nextNum<<timerBits|timerEnd && s.after < q.Timeout {
+		if s.token == g.lastRequestNumber<<timerBits|timerDeadline && s.after < q.Timeout {
 			g.TimerFired(t0+s.after, s.token, r)
 		}
 	}
@@ -1180,7 +1209,7 @@
 // answered in time.
 func TestLateTriesGiveWay(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(9)...)
-	aim := g.set.Classes[g.class["safe"]].LatencyObjective
+	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
 	old := newRequest(0, "safe", "rate", 1)
 	old.Timeout -= aim + aim/10
 	send := func(n int, q Request, at time.Duration) bool {
@@ -1200,11 +1229,11 @@
 	}
 	for n = 2; send(n, fresh, at+2*ms); n++ { // until the store is empty
 	}
-	p := g.set.Plans[g.plan["rate"]]
+	p := g.settings.Plans[g.planIndex["rate"]]
 	for refill := time.Duration(2.5 / p.Rate * float64(time.Second)); n < 100; n += 4 {
 		send(n, fresh, at+2*ms) // refused
 		at = g.now + refill
-		g.stores[1].crowded = at + time.Second
+		g.quotas[1].contendedUntil = at + time.Second
 		if send(n+1, old, at) {
 			t.Fatal("a late try took the units of a crowded store")
 		}
@@ -1219,10 +1248,10 @@
 func TestOneLongWaitMakesNobodyLate(t *testing.T) {
 	g, _ := newGate(t, testSettings())
 	for range 1000 {
-		g.late(0, time.Second)
+		g.isTooLate(0, time.Second)
 	}
-	g.late(0, time.Hour)
-	if g.late(0, time.Second) {
+	g.isTooLate(0, time.Hour)
+	if g.isTooLate(0, time.Second) {
 		t.Error("all others count as late after one long wait")
 	}
 }
@@ -1237,7 +1266,7 @@
 // one; an answer that came meanwhile tells that it lives.
 func TestSilentServerIsOutUntilItAnswers(t *testing.T) {
 	g, r := newGate(t, probing(), fleet(2)...)
-	s, now := g.byID["s0"], t0
+	s, now := g.serverByID["s0"], t0
 	sentTo := func(id string) (n int) {
 		for i := range 30 {
 			now += 50 * ms
@@ -1248,7 +1277,7 @@
 		}
 		return n
 	}
-	s.probed = now
+	s.lastHealthCheckAt = now
 	g.HealthCheckCompleted(now+ms, "s0", TimedOut, nil, r)
 	if n := sentTo("s0"); n != 0 {
 		t.Errorf("%d requests sent to a server that is silent to probes", n)
@@ -1258,15 +1287,15 @@
 		t.Error("no request sent to a server that answers again")
 	}
 	g.RequestReceived(now+ms, newRequest(1, "safe", "rate", 9), r)
-	s.probed, s.heard = now, now+ms
+	s.lastHealthCheckAt, s.lastHeardAt = now, now+ms
 	g.HealthCheckCompleted(now+2*ms, "s0", TimedOut, nil, r)
-	if s.lost {
+	if s.isUnresponsive {
 		t.Error("a server that has answered since the probe counts as silent")
 	}
 	// Nor does one that was restarted.
-	s.lost = true
+	s.isUnresponsive = true
 	g.EndpointsChanged(now, EndpointsDelta, []Server{{ID: "s0", Kind: "k", Zone: "a", StartedAt: now}}, r)
-	if s.lost {
+	if s.isUnresponsive {
 		t.Error("a restarted server counts as silent")
 	}
 }
@@ -1280,15 +1309,15 @@
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		answer(g, r, now, ms, OK)
 		if i%10 == 9 {
-			g.aro.pool[poolSent] = 2
-			g.TimerFired(now, timerProbe, r)
-			for id := range g.byID {
+			g.overload.fleetMeans[meanForwarded] = 2
+			g.TimerFired(now, timerSample, r)
+			for id := range g.serverByID {
 				probes[id] += r.count("probe " + id)
 			}
 			r.acts = nil
 		}
 	}
-	for id := range g.byID {
+	for id := range g.serverByID {
 		if probes[id] != 2 {
 			t.Errorf("%d probes of %s, want 2 of each in 20", probes[id], id)
 		}
@@ -1298,17 +1327,17 @@
 // Servers that are out must not use up the looks: the choice among the others would be blind.
 func TestOutServersTakeNoLook(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(12)...)
-	g.set.InstanceCount = 6
+	g.settings.InstanceCount = 6
 	for i := range 9 {
-		g.byID[fmt.Sprintf("s%d", i)].ejected = t0 + time.Hour
+		g.serverByID[fmt.Sprintf("s%d", i)].ejectedUntil = t0 + time.Hour
 	}
 	for _, id := range []string{"s9", "s10"} {
-		g.byID[id].out, g.byID[id].seen = 9, t0
+		g.serverByID[id].inFlight, g.serverByID[id].lastProgressAt = 9, t0
 	}
 	blind := 0
 	for i := range 100 {
-		g.out, g.now = r, t0
-		if s := g.pick(&request{num: uint64(i)}); s.ID != "s11" {
+		g.actions, g.now = r, t0
+		if s := g.selectServer(&request{number: uint64(i)}); s.ID != "s11" {
 			blind++
 		}
 	}
@@ -1320,12 +1349,12 @@
 // Attempts at silent servers wait for nothing that the others do.
 func TestSilentServersAreNoJam(t *testing.T) {
 	g, _ := newGate(t, probing(), fleet(2)...)
-	g.byID["s0"].out, g.held = 9, 9
-	if !g.jammed(0, "", 1) {
+	g.serverByID["s0"].inFlight, g.inFlight = 9, 9
+	if !g.isOverloaded(0, "", 1) {
 		t.Fatal("9 attempts out at two servers are no jam")
 	}
-	g.byID["s0"].lost = true
-	if g.jammed(0, "", 1) {
+	g.serverByID["s0"].isUnresponsive = true
+	if g.isOverloaded(0, "", 1) {
 		t.Error("attempts at a silent server read as a jam of all")
 	}
 }
@@ -1336,27 +1365,27 @@
 	const n = 12
 	g, _ := newGate(t, probing(), fleet(n)...)
 	most := func() (out int) {
-		for g.held = 0; !g.jammed(0, "", 1); g.held++ {
+		for g.inFlight = 0; !g.isOverloaded(0, "", 1); g.inFlight++ {
 		}
-		return g.held
+		return g.inFlight
 	}
-	if got := most(); got != jamFloor*n {
-		t.Errorf("%d out with all servers up, want %v", got, jamFloor*n)
+	if got := most(); got != minInFlightPerServer*n {
+		t.Errorf("%d out with all servers up, want %v", got, minInFlightPerServer*n)
 	}
 	for i := range n / 2 {
-		g.byID[fmt.Sprintf("s%d", i)].lost = true
+		g.serverByID[fmt.Sprintf("s%d", i)].isUnresponsive = true
 	}
-	if got := most(); got != jamFloor*n/2 {
-		t.Errorf("%d out with half of the servers silent, want %v", got, jamFloor*n/2)
+	if got := most(); got != minInFlightPerServer*n/2 {
+		t.Errorf("%d out with half of the servers silent, want %v", got, minInFlightPerServer*n/2)
 	}
 	g.now = t0
 	for _, s := range g.servers {
-		s.lost = false
+		s.isUnresponsive = false
 		if s.ID < "s5" {
-			s.broke = t0
+			s.connectFailedAt = t0
 		}
 	}
-	if got := most(); got >= jamFloor*n {
+	if got := most(); got >= minInFlightPerServer*n {
 		t.Errorf("%d out with some servers cold, as many as with all warm", got)
 	}
 }
@@ -1372,35 +1401,35 @@
 	g, r := newGate(t, probing(), fleet(1)...)
 	s := g.servers[0]
 	fail(g, r, 1, t0)
-	if r.count("probe s0") != 1 || g.warmth(s) == 1 {
-		t.Errorf("%d probes sent, warmth %v after a failed connection", r.count("probe s0"), g.warmth(s))
+	if r.count("probe s0") != 1 || g.capacityFraction(s) == 1 {
+		t.Errorf("%d probes sent, warmth %v after a failed connection", r.count("probe s0"), g.capacityFraction(s))
 	}
-	if g.HealthCheckCompleted(t0+5*ms, "s0", OK, nil, r); g.warmth(s) != 1 {
+	if g.HealthCheckCompleted(t0+5*ms, "s0", OK, nil, r); g.capacityFraction(s) != 1 {
 		t.Error("cold though a probe sent at once was answered")
 	}
 	if fail(g, r, 2, t0+time.Second); r.count("probe s0") != 1 {
 		t.Errorf("%d probes sent", r.count("probe s0"))
 	}
-	if g.HealthCheckCompleted(t0+time.Second, "s0", ConnectFailed, nil, r); g.warmth(s) == 1 {
+	if g.HealthCheckCompleted(t0+time.Second, "s0", ConnectFailed, nil, r); g.capacityFraction(s) == 1 {
 		t.Error("warm though the probe failed as well")
 	}
-	if g.HealthCheckCompleted(t0+2*time.Second, "s0", OK, nil, r); g.warmth(s) == 1 {
+	if g.HealthCheckCompleted(t0+2*time.Second, "s0", OK, nil, r); g.capacityFraction(s) == 1 {
 		t.Error("warm after a later probe's answer: the process may have started since")
 	}
 
 	g, r = newGate(t, testSettings(), fleet(1)...)
 	s = g.servers[0]
-	for i := range 2 * breaksKept {
-		s.doubt(t0 + time.Duration(i+1)*ms)
+	for i := range 2 * maxConnectFailures {
+		s.recordConnectFailure(t0 + time.Duration(i+1)*ms)
 	}
-	g.now, g.out = t0+time.Second, r
-	g.observe(0, s, ms) // its class is known
+	g.now, g.actions = t0+time.Second, r
+	g.recordLatency(0, s, ms) // its class is known
 	q := &request{}
-	g.learn(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + 3*ms/2})
-	if s.broke != t0+ms {
-		t.Errorf("in doubt since %v, want the failure before the connection was made", s.broke-t0)
+	g.updateHealth(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + 3*ms/2})
+	if s.connectFailedAt != t0+ms {
+		t.Errorf("in doubt since %v, want the failure before the connection was made", s.connectFailedAt-t0)
 	}
-	if g.learn(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + ms/2}); s.broke != 0 {
+	if g.updateHealth(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + ms/2}); s.connectFailedAt != 0 {
 		t.Error("cold after an answer on a connection older than all failures")
 	}
 }
@@ -1410,14 +1439,14 @@
 func TestBurstIsNotLetInWhole(t *testing.T) {
 	const n = 4
 	g, r := newGate(t, testSettings(), fleet(n)...)
-	g.inboxRate = 10
+	g.gossipRate = 10
 	for i := range 200 {
 		q := newRequest(i, "safe", "rate", uint64(i))
 		q.InstanceCount = 1
 		g.RequestReceived(t0, q, r)
 	}
-	if got := r.count("send"); got <= jamFloor*n || got > jamSure*jamFloor*n {
-		t.Errorf("%d of a burst sent, want more than %v and at most %v", got, jamFloor*n, jamSure*jamFloor*n)
+	if got := r.count("send"); got <= minInFlightPerServer*n || got > certainOverloadFactor*minInFlightPerServer*n {
+		t.Errorf("%d of a burst sent, want more than %v and at most %v", got, minInFlightPerServer*n, certainOverloadFactor*minInFlightPerServer*n)
 	}
 }
 
@@ -1434,7 +1463,7 @@
 	if got := r.last(); !strings.HasPrefix(got, "send") {
 		t.Fatal(got)
 	}
-	g.lat[g.class["b"]].mean = 0.25
+	g.latencies[g.classIndex["b"]].mean = 0.25
 	if err := g.SetClasses([]Class{class("b", 2*time.Second), class("c", time.Second)}); err != nil {
 		t.Fatal(err)
 	}
@@ -1444,11 +1473,11 @@
 			t.Errorf("class %s: %s, want %s", n, got, want)
 		}
 	}
-	if b := g.class["b"]; g.lat[b].mean != 0.25 || g.set.Classes[b].LatencyObjective != 2*time.Second {
-		t.Errorf("class b: %+v, %+v", g.lat[b], g.set.Classes[b])
+	if b := g.classIndex["b"]; g.latencies[b].mean != 0.25 || g.settings.Classes[b].LatencyObjective != 2*time.Second {
+		t.Errorf("class b: %+v, %+v", g.latencies[b], g.settings.Classes[b])
 	}
-	if len(g.set.Classes) != 3 { // a's place is taken by the request under way
-		t.Errorf("%d places", len(g.set.Classes))
+	if len(g.settings.Classes) != 3 { // a's place is taken by the request under way
+		t.Errorf("%d places", len(g.settings.Classes))
 	}
 	id := newRequest(1, "a", "wide", 7).ID
 	g.AttemptCompleted(t0+50*time.Millisecond, AttemptResult{ID: id, Result: OK, RequestAnswered: true, Latency: 50 * time.Millisecond}, r)
@@ -1457,8 +1486,8 @@
 			t.Fatal(err)
 		}
 	}
-	if len(g.set.Classes) != 3 || len(g.lat) != 3 {
-		t.Errorf("%d places after twenty changes", len(g.set.Classes))
+	if len(g.settings.Classes) != 3 || len(g.latencies) != 3 {
+		t.Errorf("%d places after twenty changes", len(g.settings.Classes))
 	}
 	// A class that comes back while a request of its first time is under way has two places; the plans may
 	// change meanwhile.
@@ -1471,8 +1500,8 @@
 			t.Error(err)
 		}
 	}
-	if err := g.SetClasses([]Class{class("x", time.Second), class("x", time.Second)}); err == nil || len(g.class) != 3 {
-		t.Errorf("a name twice: %v, %v", err, g.class)
+	if err := g.SetClasses([]Class{class("x", time.Second), class("x", time.Second)}); err == nil || len(g.classIndex) != 3 {
+		t.Errorf("a name twice: %v, %v", err, g.classIndex)
 	}
 }
 
@@ -1508,30 +1537,30 @@
 	if got := ask(1, "small", 10); !strings.HasPrefix(got, "send") {
 		t.Fatal(got)
 	}
-	st := g.stores[7]
-	if err := g.SetPlans(now, []Plan{{Name: "small", Rate: 10, Burst: 15}, s.Plans[1], {Name: "new", Rate: 1, Burst: 1}}); err != nil || st.level != 5 {
-		t.Fatalf("level %v after 10 units of what is now 15, error %v", st.level, err)
+	st := g.quotas[7]
+	if err := g.SetPlans(now, []Plan{{Name: "small", Rate: 10, Burst: 15}, s.Plans[1], {Name: "new", Rate: 1, Burst: 1}}); err != nil || st.tokens != 5 {
+		t.Fatalf("level %v after 10 units of what is now 15, error %v", st.tokens, err)
 	}
 	if got := ask(2, "small", 10); !strings.HasPrefix(got, "refuse") {
 		t.Errorf("15 units are the burst and 20 were sent: %s", got)
 	}
-	if ask(3, "large", 10); st.plan != 1 || st.level != 90 || st.ceiling != 0 { // its first ceiling begins empty
+	if ask(3, "large", 10); st.plan != 1 || st.tokens != 90 || st.hardLimitTokens != 0 { // its first ceiling begins empty
 		t.Errorf("on the larger plan: %+v", st)
 	}
 	// A peer that has not yet heard of the move tells units under the old plan: they count.
-	if g.hear(1, []entry{{key: 7, plan: 0, spread: 2, units: 30}}); st.level != 60 || st.plan != 1 {
-		t.Errorf("level %v, plan %d after 30 units at a peer", st.level, st.plan)
+	if g.receiveEntries(1, []gossipEntry{{key: 7, plan: 0, instanceCount: 2, units: 30}}); st.tokens != 60 || st.plan != 1 {
+		t.Errorf("level %v, plan %d after 30 units at a peer", st.tokens, st.plan)
 	}
 	now += time.Hour
-	if ask(4, "large", 20); st.ceiling != 40 {
-		t.Fatalf("part of the ceiling %v, want 60-20", st.ceiling)
+	if ask(4, "large", 20); st.hardLimitTokens != 40 {
+		t.Fatalf("part of the ceiling %v, want 60-20", st.hardLimitTokens)
 	}
-	if err := g.SetPlans(now, []Plan{g.set.Plans[0], {Name: "large", Rate: 20, Burst: 100, HardLimitRate: 30, HardLimitBurst: 60}, g.set.Plans[2]}); err != nil || st.ceiling != 10 {
-		t.Errorf("part of the ceiling %v, want 30-20, error %v", st.ceiling, err)
+	if err := g.SetPlans(now, []Plan{g.settings.Plans[0], {Name: "large", Rate: 20, Burst: 100, HardLimitRate: 30, HardLimitBurst: 60}, g.settings.Plans[2]}); err != nil || st.hardLimitTokens != 10 {
+		t.Errorf("part of the ceiling %v, want 30-20, error %v", st.hardLimitTokens, err)
 	}
 	// A place is kept for good, and what can't be is refused whole.
-	if g.SetPlans(now, g.set.Plans[:2]) == nil || g.SetPlans(now, []Plan{{Name: "x"}, {Name: "x"}, {Name: "y"}}) == nil || len(g.plan) != 3 {
-		t.Errorf("plans %v", g.plan)
+	if g.SetPlans(now, g.settings.Plans[:2]) == nil || g.SetPlans(now, []Plan{{Name: "x"}, {Name: "x"}, {Name: "y"}}) == nil || len(g.planIndex) != 3 {
+		t.Errorf("plans %v", g.planIndex)
 	}
 	if got := ask(5, "gone", 1); !strings.HasPrefix(got, "refuse") {
 		t.Errorf("an unknown plan: %s", got)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -518,22 +518,22 @@
 // told sums up what happened since it was last asked, and begins anew.
 func (s *fleetSim) told() string {
 	t := s.total
-	var refused [whyCount]uint64
+	var refused [rejectReasonCount]uint64
 	f, rho, n := 0.0, 0.0, 0.0
 	for i, g := range s.gates {
 		if s.lives[i] < 0 {
 			continue
 		}
-		for why, k := range g.refused {
+		for why, k := range g.rejections {
 			refused[why] += k
 		}
-		g.refused = [whyCount]uint64{}
-		f, rho, n = f+g.aro.f, rho+g.aro.rho, n+1
+		g.rejections = [rejectReasonCount]uint64{}
+		f, rho, n = f+g.overload.admitFraction, rho+g.overload.occupancy, n+1
 	}
 	var out []string
 	for why, k := range refused {
 		if k > 0 {
-			out = append(out, fmt.Sprintf("%s %d", whyNames[why], k))
+			out = append(out, fmt.Sprintf("%s %d", rejectReasonNames[why], k))
 		}
 	}
 	work, open, busy := 0.0, 0, 0.0
@@ -587,9 +587,9 @@
 
 // withParts plays f with another rule for parts.
 func withParts(rule subset.Rule, f func()) {
-	was := partRule
-	partRule = rule
-	defer func() { partRule = was }()
+	was := subsetRule
+	subsetRule = rule
+	defer func() { subsetRule = was }()
 	f()
 }
 
@@ -664,7 +664,7 @@
 	for seed := uint64(2); seed < 4; seed++ {
 		_, after, _ := playFleet(t, seed, 1, 8, func(s *fleetSim) {
 			for _, g := range s.gates {
-				g.set.SlowStartMinFraction = 0.2
+				g.settings.SlowStartMinFraction = 0.2
 			}
 			s.set.SlowStartMinFraction = 0.2
 			s.loseZone("a", 300*ms)
@@ -725,7 +725,7 @@
 func TestFleetSmall(t *testing.T) {
 	for _, size := range [][2]int{{300, 3}, {3, 200}, {4, 20}} {
 		var got [2]string
-		for i, rule := range []subset.Rule{partRule, {}} {
+		for i, rule := range []subset.Rule{subsetRule, {}} {
 			withParts(rule, func() {
 				s := newFleet(7, size[0], size[1], 0.5)
 				s.run(s.now + time.Second)
@@ -756,27 +756,27 @@
 // A keyed request that may have run at a server of zone a goes on only there, outside of the part if need be.
 func TestKeyedOutsideOfThePart(t *testing.T) {
 	g, r := partGate(t)
-	if g.whole() {
+	if g.usesAllServers() {
 		t.Fatal("the part is whole")
 	}
-	g.retries = 5
+	g.retryTokens = 5
 	g.RequestReceived(t0, newRequest(1, "keyed", "kubwa", 1), r)
 	for _, a := range r.acts {
 		if strings.HasPrefix(a, "refuse") {
 			t.Fatal(a)
 		}
 	}
-	first := g.reqs["r1"].attempts[0].server
-	for _, s := range g.near {
+	first := g.requests["r1"].attempts[0].server
+	for _, s := range g.subset {
 		if s.Zone == first.Zone {
-			s.lost = s != first
+			s.isUnresponsive = s != first
 			s.Server.State = map[bool]ServerState{true: Up, false: Draining}[s == first]
 		}
 	}
 	first.Server.State = Draining
 	g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: ErrorResponse, Server: first.ID}, r)
-	at := g.reqs["r1"].attempts
-	if len(at) != 2 || at[1].server.Zone != first.Zone || at[1].server.near {
+	at := g.requests["r1"].attempts
+	if len(at) != 2 || at[1].server.Zone != first.Zone || at[1].server.inSubset {
 		t.Fatalf("%d attempts, the last at %+v", len(at), at[len(at)-1].server.Server)
 	}
 }
@@ -786,7 +786,7 @@
 	g, _ := partGate(t)
 	for _, s := range g.servers {
 		s.StartedAt = t0 - 100*ms
-		if s.credit = 100; !s.near && g.coldRoom(s, 0) {
+		if s.warmupBudget = 100; !s.inSubset && g.hasWarmupBudget(s, 0) {
 			t.Fatalf("cold server %s has room and is not in the part", s.ID)
 		}
 	}
@@ -799,19 +799,19 @@
 	g.now = t0 + 10*time.Second
 	say := func(from int, up bool) {
 		for _, s := range g.servers {
-			g.heedNote(from, note{tag: s.tag, up: up})
+			g.receiveFinding(from, serverFinding{serverID: s.gossipID, isUp: up})
 		}
 	}
 	suspects := func() (n int) {
-		for _, s := range g.near {
-			n += b2i(g.now < s.suspect)
-			if s.lost {
+		for _, s := range g.subset {
+			n += boolToInt(g.now < s.suspectedUntil)
+			if s.isUnresponsive {
 				t.Fatalf("%s counts as silent by hearsay", s.ID)
 			}
 		}
 		return n
 	}
-	g.out = r
+	g.actions = r
 	for range 5 {
 		say(9, false)
 	}
@@ -819,16 +819,16 @@
 		t.Fatalf("one voice: %d servers in doubt, %d probes", n, r.count("probe"))
 	}
 	say(10, false)
-	if n := suspects(); n == 0 || 2*n > len(g.near)+1 || r.count("probe") == 0 {
-		t.Fatalf("two voices: %d of %d servers in doubt, %d probes", n, len(g.near), r.count("probe"))
+	if n := suspects(); n == 0 || 2*n > len(g.subset)+1 || r.count("probe") == 0 {
+		t.Fatalf("two voices: %d of %d servers in doubt, %d probes", n, len(g.subset), r.count("probe"))
 	}
 	for range 40 {
-		if s := g.pick(&request{Request: Request{ID: "x"}}); s == nil || g.now < s.suspect {
+		if s := g.selectServer(&request{Request: Request{ID: "x"}}); s == nil || g.now < s.suspectedUntil {
 			t.Fatalf("a server in doubt was chosen: %+v", s)
 		}
 	}
-	for _, s := range g.near {
-		g.alive(s)
+	for _, s := range g.subset {
+		g.serverResponded(s)
 	}
 	if n := suspects(); n != 0 {
 		t.Errorf("%d servers in doubt that have answered since", n)
@@ -838,8 +838,8 @@
 	if n := suspects(); n != 0 {
 		t.Errorf("an old voice counted: %d servers in doubt", n)
 	}
-	for _, s := range g.near {
-		s.heard = g.now - noteFresh/2
+	for _, s := range g.subset {
+		s.lastHeardAt = g.now - freshEvidenceAge/2
 	}
 	if say(10, false); suspects() != 0 {
 		t.Error("peers count for more than what was heard a moment ago")
@@ -850,21 +850,21 @@
 func TestNotesGoWithAsks(t *testing.T) {
 	g, _ := partGate(t)
 	g.now = t0 + 10*time.Second
-	for i, s := range g.near[:6] {
-		g.noteServer(s, i%2 == 0)
+	for i, s := range g.subset[:6] {
+		g.addFinding(s, i%2 == 0)
 	}
-	read := func() []note {
-		m, ok := g.decodeAsk(g.encodeAnswer(7, true, 0, 1))
+	read := func() []serverFinding {
+		m, ok := g.decodeQuotaMessage(g.encodeQuotaResponse(7, true, 0, 1))
 		if !ok {
 			t.Fatal("an answer with notes is malformed")
 		}
-		return m.notes
+		return m.findings
 	}
 	got := read()
-	if len(got) != notesMost || got[3].tag != g.near[5].tag || got[3].up {
+	if len(got) != maxFindings || got[3].serverID != g.subset[5].gossipID || got[3].isUp {
 		t.Fatalf("notes %+v", got)
 	}
-	g.now += noteLasts
+	g.now += findingTTL
 	if got := read(); len(got) != 0 {
 		t.Errorf("old notes are told: %+v", got)
 	}
@@ -875,24 +875,24 @@
 func TestTheBoundCountsServersByThePart(t *testing.T) {
 	g, _ := partGate(t)
 	g.now = t0 + 10*time.Second
-	if _, n := g.inReach(); n != 170 {
+	if _, n := g.reachableInFlight(); n != 170 {
 		t.Errorf("%v of 170 servers in reach", n)
 	}
-	for i, s := range g.near {
+	for i, s := range g.subset {
 		switch i % 4 {
 		case 0:
-			s.lost = true
+			s.isUnresponsive = true
 		case 1:
-			s.suspect = g.now + time.Second
+			s.suspectedUntil = g.now + time.Second
 		}
 	}
 	left := 0
-	for _, s := range g.near {
-		left += b2i(!s.lost && g.now >= s.suspect)
+	for _, s := range g.subset {
+		left += boolToInt(!s.isUnresponsive && g.now >= s.suspectedUntil)
 	}
-	want := 170 * float64(left) / float64(len(g.near))
-	if _, n := g.inReach(); math.Abs(n-want) > 1e-9 {
-		t.Errorf("%v servers in reach with %d of the part's %d left, want %v", n, left, len(g.near), want)
+	want := 170 * float64(left) / float64(len(g.subset))
+	if _, n := g.reachableInFlight(); math.Abs(n-want) > 1e-9 {
+		t.Errorf("%v servers in reach with %d of the part's %d left, want %v", n, left, len(g.subset), want)
 	}
 }
 
@@ -901,20 +901,20 @@
 func TestAZoneThatFallsSilent(t *testing.T) {
 	g, r := partGate(t)
 	g.now = t0 + 10*time.Second
-	g.out = r
+	g.actions = r
 	var in [2][]*server
-	for _, s := range g.near {
-		in[b2i(s.Zone == "b")] = append(in[b2i(s.Zone == "b")], s)
-		g.alive(s)
+	for _, s := range g.subset {
+		in[boolToInt(s.Zone == "b")] = append(in[boolToInt(s.Zone == "b")], s)
+		g.serverResponded(s)
 	}
 	step := func(d time.Duration) {
 		g.now += d
-		g.alive(in[0][0])
-		g.tick()
+		g.serverResponded(in[0][0])
+		g.runSample()
 	}
 	asked := func() (n int) {
 		for range 100 {
-			n += b2i(g.pick(&request{Request: Request{ID: "x"}}).Zone == "b")
+			n += boolToInt(g.selectServer(&request{Request: Request{ID: "x"}}).Zone == "b")
 		}
 		return n
 	}
@@ -924,23 +924,23 @@
 	}
 	sent := g.now
 	step(300 * ms)
-	g.silent(in[1][0], sent)
-	g.silent(in[1][0], sent)
+	g.attemptUnanswered(in[1][0], sent)
+	g.attemptUnanswered(in[1][0], sent)
 	if step(100 * ms); asked() == 0 {
 		t.Fatal("one silent server put its zone out")
 	}
-	g.silent(in[1][1], sent)
+	g.attemptUnanswered(in[1][1], sent)
 	if step(100 * ms); asked() > 0 {
 		t.Errorf("%d of 100 requests go to a zone of which nothing is heard", asked())
 	}
-	want := 170 * float64(len(in[0])) / float64(len(g.near))
-	if _, n := g.inReach(); math.Abs(n-want) > 1e-9 {
+	want := 170 * float64(len(in[0])) / float64(len(g.subset))
+	if _, n := g.reachableInFlight(); math.Abs(n-want) > 1e-9 {
 		t.Errorf("%v servers in reach, want %v", n, want)
 	}
 	if step(5 * time.Second); asked() > 0 {
 		t.Error("the zone is back by itself")
 	}
-	if g.alive(in[1][2]); true {
+	if g.serverResponded(in[1][2]); true {
 		step(300 * ms)
 	}
 	if asked() == 0 {
@@ -948,7 +948,7 @@
 	}
 	step(time.Second)
 	for peer := range 3 {
-		g.heedNote(peer+10, note{tag: in[1][peer+3].tag})
+		g.receiveFinding(peer+10, serverFinding{serverID: in[1][peer+3].gossipID})
 	}
 	if step(100 * ms); asked() > 0 {
 		t.Error("what three peers say of a zone of which nothing is heard counts for nothing")
@@ -959,46 +959,46 @@
 // what has been saved for bookings, which are heavier.
 func TestColdServersOfAPartGetWhatTheyMay(t *testing.T) {
 	g, r := partGate(t)
-	g.now, g.out, g.warmRate = t0+10*time.Second, r, 0.1
+	g.now, g.actions, g.warmRate = t0+10*time.Second, r, 0.1
 	light, heavy := 0, 1
-	g.set.Classes = append([]Class{}, g.set.Classes[:2]...)
-	g.set.Classes[light].LatencyObjective, g.set.Classes[heavy].LatencyObjective = 400*ms, 800*ms // a quarter of it is the work until that is learned
+	g.settings.Classes = append([]Class{}, g.settings.Classes[:2]...)
+	g.settings.Classes[light].LatencyObjective, g.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms // a quarter of it is the work until that is learned
 	cold := map[string]bool{}
-	for i, s := range g.near {
-		if g.alive(s); i%2 == 0 {
-			s.StartedAt, s.credit, s.credited = g.now-g.set.SlowStartWindow/4, 0, g.now
+	for i, s := range g.subset {
+		if g.serverResponded(s); i%2 == 0 {
+			s.StartedAt, s.warmupBudget, s.budgetUpdatedAt = g.now-g.settings.SlowStartWindow/4, 0, g.now
 			cold[s.ID] = true
 		} else {
-			s.conns, s.used = 1, g.now
+			s.expectedConnections, s.lastUsedAt = 1, g.now
 		}
 	}
 	for range 40 {
 		g.now += 100 * ms
-		for _, s := range g.near {
+		for _, s := range g.subset {
 			if cold[s.ID] {
-				g.coldRoom(s, light)
+				g.hasWarmupBudget(s, light)
 			}
 		}
 	}
 	ready := 0
-	for _, s := range g.near {
-		s.used = g.now
-		ready += b2i(cold[s.ID] && g.coldRoom(s, heavy))
+	for _, s := range g.subset {
+		s.lastUsedAt = g.now
+		ready += boolToInt(cold[s.ID] && g.hasWarmupBudget(s, heavy))
 	}
 	if ready < len(cold)/2 {
 		t.Fatalf("%d of %d cold servers may be sent a heavy request after 4 s", ready, len(cold))
 	}
 	asked, toCold := 0, 0
 	for ; toCold < ready && asked < 100; asked++ { // two warm ones may be looked at first
-		if s := g.pick(&request{Request: Request{ID: "x"}, class: heavy}); cold[s.ID] {
+		if s := g.selectServer(&request{Request: Request{ID: "x"}, class: heavy}); cold[s.ID] {
 			toCold++
-			s.credit = 0
+			s.warmupBudget = 0
 		}
 	}
 	if toCold < ready || asked > 2*ready {
 		t.Errorf("%d of %d requests go to cold servers that may be sent %d", toCold, asked, ready)
 	}
-	if s := g.pick(&request{Request: Request{ID: "x"}, class: heavy}); cold[s.ID] {
+	if s := g.selectServer(&request{Request: Request{ID: "x"}, class: heavy}); cold[s.ID] {
 		t.Error("a cold server is sent more than it may")
 	}
 }
@@ -1008,14 +1008,14 @@
 	for _, lost := range []string{"ask", "answer"} {
 		member, r := wideGate(t, 10)
 		member.RequestReceived(t0, wideRequest(1, 77), r)
-		to := member.holder(member.stores[77])
+		to := member.ownerFor(member.quotas[77])
 		holder, hr := wideGate(t, to)
 		if lost == "answer" {
 			holder.GossipReceived(t0+ms, 10, r.tells[to][0], hr)
 		}
 		for _, timer := range r.timers {
-			if timer.token&(1<<timerBits-1) == timerAsk {
-				member.TimerFired(t0+askWait, timer.token, r)
+			if timer.token&(1<<timerBits-1) == timerOwnerTimeout {
+				member.TimerFired(t0+ownerTimeout, timer.token, r)
 			}
 		}
 		if len(r.tells[to]) != 2 || r.count("send") != 1 {
@@ -1024,9 +1024,9 @@
 		for range 3 {
 			holder.GossipReceived(t0+ms, 10, r.tells[to][1], hr)
 		}
-		st := holder.stores[77]
-		p := &holder.set.Plans[st.plan]
-		if spent := p.Burst/st.parts - st.level; math.Abs(spent-1) > 0.2 {
+		st := holder.quotas[77]
+		p := &holder.settings.Plans[st.plan]
+		if spent := p.Burst/st.ownerCount - st.tokens; math.Abs(spent-1) > 0.2 {
 			t.Errorf("%s lost: %.2f units taken, want 1", lost, spent)
 		}
 	}
@@ -1035,22 +1035,22 @@
 // Of two servers alike, one to which a connection stands is chosen.
 func TestStandingConnectionsFirst(t *testing.T) {
 	g, r := partGate(t)
-	g.now, g.out = t0+time.Second, r
-	for i, s := range g.near {
+	g.now, g.actions = t0+time.Second, r
+	for i, s := range g.subset {
 		if i%2 == 0 {
-			s.conns, s.used = 1, g.now
+			s.expectedConnections, s.lastUsedAt = 1, g.now
 		}
 	}
 	stand := 0
 	for range 400 {
-		stand += b2i(g.pick(&request{Request: Request{ID: "x"}}).stands(g.now))
+		stand += boolToInt(g.selectServer(&request{Request: Request{ID: "x"}}).hasIdleConnection(g.now))
 	}
 	if stand < 260 {
 		t.Errorf("%d of 400 went where a connection stood, and to half of the part one does", stand)
 	}
-	s := g.near[0]
-	s.conns, s.used = 1, g.now-connKept
-	if s.stands(g.now) {
+	s := g.subset[0]
+	s.expectedConnections, s.lastUsedAt = 1, g.now-idleConnectionTimeout
+	if s.hasIdleConnection(g.now) {
 		t.Error("a connection idle for long counts as standing")
 	}
 }
@@ -1058,19 +1058,19 @@
 // An attempt at a server that says nothing is no work that waits; one at a server that answers others is.
 func TestSilentAttemptsAreNoWork(t *testing.T) {
 	g, r := partGate(t)
-	g.lat[0] = classLatency{mean: 0.05, n: 100}
-	quiet, busy := g.near[0], g.near[1]
+	g.latencies[0] = classLatency{mean: 0.05, samples: 100}
+	quiet, busy := g.subset[0], g.subset[1]
 	for i, s := range []*server{quiet, busy} {
 		id := fmt.Sprint("r", i)
-		g.reqs[id] = &request{Request: Request{ID: id}, attempts: []attempt{{server: s, sent: t0}}}
+		g.requests[id] = &request{Request: Request{ID: id}, attempts: []attempt{{server: s, sentAt: t0}}}
 	}
-	g.now, g.out = t0+180*ms, r
-	busy.heard = t0 + 100*ms
-	if young, overdue, _ := g.ages(jamAge); young != 1 || overdue != 1 {
+	g.now, g.actions = t0+180*ms, r
+	busy.lastHeardAt = t0 + 100*ms
+	if young, overdue, _ := g.attemptAges(youngAttemptFraction); young != 1 || overdue != 1 {
 		t.Errorf("%.0f count as work, %.0f as overdue, want 1 and 1", young, overdue)
 	}
 	g.now = t0 + 90*ms
-	if young, overdue, _ := g.ages(jamAge); young != 2 || overdue != 0 {
+	if young, overdue, _ := g.attemptAges(youngAttemptFraction); young != 2 || overdue != 0 {
 		t.Errorf("early on %.0f count as work, %.0f as overdue, want 2 and 0", young, overdue)
 	}
 }
@@ -1078,16 +1078,16 @@
 // Once any server has reported, latencies stand for no report: they would outweigh the reports, and read too low.
 func TestReportsAloneTellTheOccupancy(t *testing.T) {
 	g, r := partGate(t)
-	g.now, g.out = t0, r
-	g.report(g.near[0], &LoadReport{InFlight: -1, QueueLength: 0, Utilization: 0.9})
+	g.now, g.actions = t0, r
+	g.recordLoadReport(g.subset[0], &LoadReport{InFlight: -1, QueueLength: 0, Utilization: 0.9})
 	for i := range 50 {
-		g.observe(0, g.near[1+i%8], 60*ms)
+		g.recordLatency(0, g.subset[1+i%8], 60*ms)
 	}
-	if slot := g.aro.slot(); g.aro.n[slot] != 1 || g.aro.occ[slot] != 0.9 {
-		t.Errorf("%.1f samples that sum to %.2f, want the report's alone", g.aro.n[slot], g.aro.occ[slot])
+	if slot := g.overload.sampleIndex(); g.overload.occupancySamples[slot] != 1 || g.overload.occupancySums[slot] != 0.9 {
+		t.Errorf("%.1f samples that sum to %.2f, want the report's alone", g.overload.occupancySamples[slot], g.overload.occupancySums[slot])
 	}
-	g.now += forgetAfter + ms
-	if g.observe(0, g.near[1], 60*ms); g.aro.n[g.aro.slot()] == 1 {
+	g.now += decayTime + ms
+	if g.recordLatency(0, g.subset[1], 60*ms); g.overload.occupancySamples[g.overload.sampleIndex()] == 1 {
 		t.Error("without reports for long, latencies don't count")
 	}
 }
@@ -1095,14 +1095,14 @@
 // A silent server's turn to be probed comes earlier.
 func TestSilentServersAreProbedEarlier(t *testing.T) {
 	g, r := partGate(t)
-	g.now, g.out = t0+10*time.Second, r
-	for _, s := range g.near {
-		s.probed = g.now - time.Second
-	}
-	g.near[3].lost, g.near[3].probed = true, g.now-ms
-	want := "probe " + g.near[3].ID
-	g.probeDue = 1
-	g.tick()
+	g.now, g.actions = t0+10*time.Second, r
+	for _, s := range g.subset {
+		s.lastHealthCheckAt = g.now - time.Second
+	}
+	g.subset[3].isUnresponsive, g.subset[3].lastHealthCheckAt = true, g.now-ms
+	want := "probe " + g.subset[3].ID
+	g.healthCheckCredit = 1
+	g.runSample()
 	if r.count(want) != 1 {
 		t.Errorf("%v, want %s", r.acts, want)
 	}
@@ -1111,32 +1111,32 @@
 // A gateway that has just started tells no means of its own, and takes the first that it hears as they are.
 func TestMeansAfterAHerd(t *testing.T) {
 	fresh, _ := partGate(t)
-	fresh.aro.mix(1, [poolSize]float64{0.01, 0.02, 0.1, 0.1, 0.1})
+	fresh.overload.mergeMeans(1, [fleetMeanCount]float64{0.01, 0.02, 0.1, 0.1, 0.1})
 	old, _ := partGate(t)
-	old.aro.heard = true
-	means := [poolSize]float64{0.5, 1, 2, 0.75, 1.25}
-	old.aro.pool = means
+	old.overload.hasPeerMeans = true
+	means := [fleetMeanCount]float64{0.5, 1, 2, 0.75, 1.25}
+	old.overload.fleetMeans = means
 	tell := func(from, to *Engine) {
-		m, ok := to.decodeAsk(from.encodeAnswer(7, true, 0, 1))
+		m, ok := to.decodeQuotaMessage(from.encodeQuotaResponse(7, true, 0, 1))
 		if !ok {
 			t.Fatal("malformed")
 		}
-		to.aro.hear(m.pool)
+		to.overload.receiveMeans(m.fleetMeans)
 	}
-	if tell(fresh, old); old.aro.pool != means {
-		t.Errorf("a fresh gateway made %v of the means", old.aro.pool)
+	if tell(fresh, old); old.overload.fleetMeans != means {
+		t.Errorf("a fresh gateway made %v of the means", old.overload.fleetMeans)
 	}
-	if tell(old, fresh); fresh.aro.pool != means {
-		t.Errorf("a fresh gateway has %v, and heard %v", fresh.aro.pool, means)
+	if tell(old, fresh); fresh.overload.fleetMeans != means {
+		t.Errorf("a fresh gateway has %v, and heard %v", fresh.overload.fleetMeans, means)
 	}
-	if tell(old, fresh); !fresh.aro.knows() {
+	if tell(old, fresh); !fresh.overload.hasMeans() {
 		t.Error("it has heard means and does not know them")
 	}
 	alone, _ := partGate(t)
-	for range knowsAfter {
-		alone.aro.assess(1, 1)
+	for range minMeanSamples {
+		alone.overload.closeSample(1, 1)
 	}
-	if !alone.aro.knows() || alone.aro.heard {
+	if !alone.overload.hasMeans() || alone.overload.hasPeerMeans {
 		t.Error("what it measured for two seconds is not told")
 	}
 }
@@ -1146,20 +1146,20 @@
 func TestWidePartsShrink(t *testing.T) {
 	for _, why := range []string{"silent", "load"} {
 		g, r := partGate(t)
-		g.now, g.out = t0, r
-		narrow, widest := len(g.near), 0
+		g.now, g.actions = t0, r
+		narrow, widest := len(g.subset), 0
 		step := func(pressed bool) {
-			g.now += probeEvery
+			g.now += sampleInterval
 			for _, s := range g.servers {
-				s.lost = pressed && why == "silent"
+				s.isUnresponsive = pressed && why == "silent"
 			}
-			if g.held = 0; pressed && why == "load" {
-				g.held = 8 * narrow
+			if g.inFlight = 0; pressed && why == "load" {
+				g.inFlight = 8 * narrow
 			}
-			if g.widen() {
-				g.takePart()
+			if g.needsNewSubset() {
+				g.formSubset()
 			}
-			widest = max(widest, len(g.near))
+			widest = max(widest, len(g.subset))
 		}
 		for range 100 {
 			step(true)
@@ -1170,8 +1170,8 @@
 		for range 600 {
 			step(false)
 		}
-		if len(g.near) != narrow {
-			t.Errorf("%s: a minute later the part has %d servers, not %d", why, len(g.near), narrow)
+		if len(g.subset) != narrow {
+			t.Errorf("%s: a minute later the part has %d servers, not %d", why, len(g.subset), narrow)
 		}
 	}
 }
@@ -1195,38 +1195,38 @@
 	g, _ := partGate(t)
 	g.now = t0 + time.Second
 	held := map[string]int{}
-	for node := range g.set.InstanceCount {
+	for node := range g.settings.InstanceCount {
 		other := *g
-		other.set.InstanceIndex = node
+		other.settings.InstanceIndex = node
 		other.servers = nil
 		for _, s := range g.servers {
 			own := *s
 			other.servers = append(other.servers, &own)
 		}
-		other.takePart()
-		for _, s := range other.near {
+		other.formSubset()
+		for _, s := range other.subset {
 			held[s.ID]++
 		}
 	}
-	for _, s := range g.near {
-		s.StartedAt, s.credit, s.credited = g.now, 0, g.now-10*ms
-		g.coldRoom(s, 0)
-		all := s.credit * float64(held[s.ID]) / 0.01
-		if most := coldShare * g.set.ColdOverloadMultiple * g.warmth(s); math.Abs(all/most-1) > 0.15 {
+	for _, s := range g.subset {
+		s.StartedAt, s.warmupBudget, s.budgetUpdatedAt = g.now, 0, g.now-10*ms
+		g.hasWarmupBudget(s, 0)
+		all := s.warmupBudget * float64(held[s.ID]) / 0.01
+		if most := coldBudgetFraction * g.settings.ColdOverloadMultiple * g.capacityFraction(s); math.Abs(all/most-1) > 0.15 {
 			t.Errorf("%s: %d holders may send it %.3f of a second's work a second, want %.3f", s.ID, held[s.ID], all, most)
 		}
 	}
-	g.lat[0].kinds = []kindLatency{{lowest: 0.05}}
-	r := &request{Request: Request{ID: "r"}, store: &store{}}
+	g.latencies[0].kinds = []kindLatency{{lowest: 0.05}}
+	r := &request{Request: Request{ID: "r"}, quota: &customerQuota{}}
 	for _, s := range g.servers {
-		if s.StartedAt = 0; !s.near {
-			g.learn(r, s, AttemptResult{Result: OK, Latency: 50 * ms})
+		if s.StartedAt = 0; !s.inSubset {
+			g.updateHealth(r, s, AttemptResult{Result: OK, Latency: 50 * ms})
 		}
 	}
-	if g.okWarm != 0 {
+	if g.warmWork != 0 {
 		t.Error("work of servers outside of the part counts for what its members carry")
 	}
-	if g.learn(r, g.near[0], AttemptResult{Result: OK, Latency: 50 * ms}); g.okWarm == 0 {
+	if g.updateHealth(r, g.subset[0], AttemptResult{Result: OK, Latency: 50 * ms}); g.warmWork == 0 {
 		t.Error("work of a member does not count")
 	}
 }
--- /dev/null
+++ b/policy/retry.go
@@ -0,0 +1,129 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	slowAttemptDeviations = 10 // mean deviations over the mean at which an attempt counts as slow
+	retryTokensPerRequest = 0.2
+	maxRetryTokens        = 20
+)
+
+// mayAttempt is rule 2 for a further attempt of the request at the server.
+func (e *Engine) mayAttempt(r *request, s *server) bool {
+	if r.isAnswered || r.isStreaming || r.inFlight > 0 && !e.settings.AllowsHedging ||
+		e.settings.MaxAttempts > 0 && len(r.attempts) >= e.settings.MaxAttempts {
+		return false
+	}
+	c := &e.settings.Classes[r.class]
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if a.neverExecuted || c.Idempotency == Idempotent {
+			continue
+		}
+		repeats := c.DedupWindow - 2*e.settings.MinEventInterval - e.settings.ConnectTimeout
+		if c.Idempotency == NonIdempotent || e.now-a.sentAt > repeats {
+			return false
+		}
+		if c.DedupScope == DedupZone && a.zone != s.Zone || c.DedupScope == DedupCell && a.cell != s.Cell {
+			return false
+		}
+	}
+	return true
+}
+
+// mayReject is rule 2 for a refusal, which promises that trying again is harmless.
+func (e *Engine) mayReject(r *request) bool {
+	c := &e.settings.Classes[r.class]
+	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers {
+		return true
+	}
+	for i := range r.attempts {
+		if !r.attempts[i].neverExecuted {
+			return false
+		}
+	}
+	return true
+}
+
+func (e *Engine) startAttempt(r *request, s *server) {
+	c := &e.settings.Classes[r.class]
+	l := &e.latencies[r.class]
+	timeout := max(r.deadline-e.now, e.settings.MinEventInterval)
+	more := e.settings.MaxAttempts == 0 || len(r.attempts)+1 < e.settings.MaxAttempts
+	repeatable := c.Idempotency != NonIdempotent && more && r.BodyTimeout == 0
+	if repeatable && l.samples >= minBatchSamples && e.overload.occupancy < highOccupancy {
+		slow := time.Duration((l.mean + slowAttemptDeviations*l.deviation) * float64(time.Second))
+		slow = max(slow, c.LatencyObjective/4)
+		if e.settings.AllowsHedging {
+			e.actions.SetTimer(r.number<<timerBits|timerHedge, slow)
+		} else if slow < timeout/2 && slow < c.LatencyObjective {
+			timeout = slow
+		}
+	}
+	if s.inFlight == 0 {
+		s.lastProgressAt = e.now
+	}
+	if !s.hasIdleConnection(e.now) {
+		s.expectedConnections = s.inFlight + 1
+	}
+	// A body that is still coming is no work out yet, nor is an answer that has begun.
+	if r.BodyTimeout == 0 {
+		s.inFlight++
+		e.inFlight++
+	}
+	r.inFlight++
+	r.quota.inFlight++
+	e.markForGossip(r.quota)
+	if e.capacityFraction(s) < 1 {
+		s.warmupBudget = math.Max(s.warmupBudget-e.expectedWork(r.class), 0)
+		if c := e.zones[s.Zone]; c != nil {
+			c.sentWork += e.expectedWork(r.class)
+		}
+	}
+	a := attempt{server: s, sentAt: e.now, zone: s.Zone, cell: s.Cell, isStreaming: r.BodyTimeout > 0}
+	r.attempts = append(r.attempts, a)
+	e.actions.SendAttempt(r.ID, s.ID, timeout)
+}
+
+// retry sends a further attempt if one is legal, affordable and of use.
+func (e *Engine) retry(r *request) bool {
+	if e.retryTokens < 1 || e.now+time.Duration(e.latencies[r.class].mean*float64(time.Second)) > r.deadline {
+		return false
+	}
+	s := e.selectServer(r)
+	if s != nil {
+		e.retryTokens--
+		e.startAttempt(r, s)
+	}
+	return s != nil
+}
+
+// mayHedge tells whether a second attempt of a request may be in flight now. It must not push the customer's
+// next request beyond its limit.
+func (e *Engine) mayHedge(r *request) bool {
+	if r.isAnswered || r.isStreaming || r.inFlight != 1 || e.overload.occupancy >= highOccupancy {
+		return false
+	}
+	limit := e.settings.Plans[r.quota.plan].MaxInFlight
+	return limit == 0 || e.inFlightCapacity(r.quota) > r.quota.instanceCount
+}
+
+// finish gives the final answer: a refusal where that promise holds.
+func (e *Engine) finish(r *request) {
+	if r.isAnswered {
+		return
+	}
+	if e.mayReject(r) {
+		e.reject(r.ID, samplesPerAssessment*sampleInterval, rejectAttemptsSpent)
+	} else {
+		e.actions.FailRequest(r.ID)
+	}
+	e.closeRequest(r)
+	e.cancelAttempts(r)
+}
+
+// neverExecuted tells which results prove that the attempt did not run.
+func neverExecuted(r Result) bool { return r == RejectedByServer || r == ConnectFailed || r == NotSent }
