--- a/policy/admission.go
+++ b/policy/admission.go
@@ -60,7 +60,7 @@
 	}
 	st.startedSinceGossip++
 	e.overQuota.Sent += r.Units * boolToFloat(!in)
-	e.overload.sent[e.overload.sampleIndex()]++
+	e.overload.countAccepted()
 	e.retryTokens = math.Min(e.retryTokens+retryTokensPerRequest, maxRetryTokens)
 	e.startAttempt(r, s)
 }
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -752,7 +752,7 @@
 func TestOverloadControl(t *testing.T) {
 	a := overloadController{admitFraction: 1}
 	for i := 0; i < 50; i++ {
-		a.sent[a.sampleIndex()] = 10
+		a.accepted[a.sampleIndex()] = 10
 		a.addOccupancy(1)
 		a.closeSample(0, 0)
 	}
@@ -1309,7 +1309,7 @@
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		answer(g, r, now, ms, OK)
 		if i%10 == 9 {
-			g.overload.fleetMeans[meanForwarded] = 2
+			g.overload.fleetMeans[meanAccepted] = 2
 			g.TimerFired(now, timerSample, r)
 			for id := range g.serverByID {
 				probes[id] += r.count("probe " + id)
--- a/policy/events.go
+++ b/policy/events.go
@@ -231,7 +231,7 @@
 	e.warmWork, e.responses, e.gossipReceived = 0, 0, 0
 	e.updateZoneRates()
 	// Probes are priced and cost work: a gateway that sends seldom probes seldom.
-	earned := e.overload.fleetMeans[meanForwarded] * e.healthChecksPerRequest()
+	earned := e.overload.fleetMeans[meanAccepted] * e.healthChecksPerRequest()
 	e.healthCheckCredit = math.Min(e.healthCheckCredit+earned, 1)
 	if e.mayCheckHealth() && len(e.servers) > 0 && e.healthCheckCredit >= 1 {
 		e.healthCheckCredit = 0
--- a/policy/fleet_means.go
+++ b/policy/fleet_means.go
@@ -6,30 +6,30 @@
 )
 
 // mergeMeans takes figures of this or another gateway into the mean that goes with asks and answers.
-func (a *overloadController) mergeMeans(share float64, x [fleetMeanCount]float64) {
+func (c *overloadController) mergeMeans(share float64, x [fleetMeanCount]float64) {
 	for i := range x {
-		a.fleetMeans[i] += share * (x[i] - a.fleetMeans[i])
+		c.fleetMeans[i] += share * (x[i] - c.fleetMeans[i])
 	}
 }
 
 // receiveMeans takes in a peer's figures. The first that a gateway hears it takes as they are: after a herd
 // of starts, means that all begin at nought would let all in at the same moment, and those of gateways that
 // know nothing yet, which are told as noughts, would lower what the others know.
-func (a *overloadController) receiveMeans(x [fleetMeanCount]float64) {
+func (c *overloadController) receiveMeans(x [fleetMeanCount]float64) {
 	if x == [fleetMeanCount]float64{} {
 		return
 	}
 	share := peerMeansWeight
-	if !a.hasPeerMeans {
-		a.hasPeerMeans, share = true, 1
+	if !c.hasPeerMeans {
+		c.hasPeerMeans, share = true, 1
 	}
-	a.mergeMeans(share, x)
+	c.mergeMeans(share, x)
 }
 
 // hasMeans tells whether the gateway's means are worth telling: it has heard some, or measured for long
 // enough.
-func (a *overloadController) hasMeans() bool {
-	return a.hasPeerMeans || a.sampleCount >= minMeanSamples
+func (c *overloadController) hasMeans() bool {
+	return c.hasPeerMeans || c.sampleCount >= minMeanSamples
 }
 
 // minMeanSamples is the probes after which a gateway's own means are worth telling: two seconds.
@@ -39,7 +39,7 @@
 const (
 	meanOccupancySum     = iota // sum of the samples of the occupancy
 	meanOccupancySamples        // their number
-	meanForwarded
+	meanAccepted
 	meanResponses
 	meanInFlight
 	fleetMeanCount
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -123,7 +123,7 @@
 			Errs: s.failureRate, Queue: s.queueLength, Credit: s.warmupBudget, Strikes: s.consecutiveEjections, Lost: s.isUnresponsive})
 	}
 	a := &e.overload
-	h.ARO = overloadState{F: a.admitFraction, R: a.throttleCredit, Occ: a.occupancySums, N: a.occupancySamples, Sent: a.sent, Probes: a.sampleCount, Rho: a.occupancy, Alpha: a.forwardRate,
+	h.ARO = overloadState{F: a.admitFraction, R: a.throttleCredit, Occ: a.occupancySums, N: a.occupancySamples, Sent: a.accepted, Probes: a.sampleCount, Rho: a.occupancy, Alpha: a.acceptanceRate,
 		Mu: a.maxThroughput, Pool: a.fleetMeans}
 	for _, p := range e.peers {
 		h.Peers = append(h.Peers, peerState{Heard: p.isKnown, InEpoch: p.epoch, OldEpoch: p.previousEpoch, InSeq: p.receivedSequence})
@@ -214,8 +214,8 @@
 		s.warmupBudget, s.consecutiveEjections, s.isUnresponsive = saved.Credit, saved.Strikes, saved.Lost
 	}
 	a := h.ARO
-	e.overload = overloadController{admitFraction: clampFraction(a.F), throttleCredit: a.R, occupancySums: a.Occ, occupancySamples: a.N, sent: a.Sent, sampleCount: max(a.Probes, 0), occupancy: a.Rho,
-		forwardRate: a.Alpha, maxThroughput: a.Mu, fleetMeans: a.Pool}
+	e.overload = overloadController{admitFraction: clampFraction(a.F), throttleCredit: a.R, occupancySums: a.Occ, occupancySamples: a.N, accepted: a.Sent, sampleCount: max(a.Probes, 0), occupancy: a.Rho,
+		acceptanceRate: a.Alpha, maxThroughput: a.Mu, fleetMeans: a.Pool}
 	for i, p := range h.Peers {
 		if i < len(e.peers) {
 			q := &e.peers[i]
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -61,10 +61,9 @@
 	if e.settings.LoadReports == LoadReportsNone || e.lacksLoadReport(s) {
 		if k.lowest > 0 {
 			// Each latency weighs by its length, which makes the mean over a probe 1 - lowest/mean.
-			e.overload.occupancySums[e.overload.sampleIndex()] += x/k.lowest - 1
-			e.overload.occupancySamples[e.overload.sampleIndex()] += x / k.lowest
+			e.overload.addOccupancies(x/k.lowest-1, x/k.lowest)
 		} else {
-			e.overload.occupancySamples[e.overload.sampleIndex()]++ // or a few full refusals would be all there is
+			e.overload.addOccupancy(0) // or a few rejections by servers would be all there is
 		}
 	}
 }
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -5,88 +5,85 @@
 	"time"
 )
 
-// Overload control, after the paper "ARO"; its figures where the paper gives them.
+// Overload control: ARO, "Acceptance-Rate Occupancy", of "Fast and robust signaling overload control",
+// section 4.3, with the deterministic throttling of section 4.4. The paper's names stand in the comments.
 const (
-	sampleInterval        = 100 * time.Millisecond // between samples of the occupancy: the paper's figure
-	samplesPerAssessment  = 5                      // the paper's k: half a second follows short bursts
-	occupancyTarget       = 0.95                   // the paper's figure
-	maxGrowth             = 1.3                    // the paper's phi max: growth of f in one assessment
-	minAdmitFraction      = 0.1                    // the paper's f min, so that recovery is always seen
-	throughputWeight      = 0.1                    // of a new sample in the average of mu max
-	highOccupancy         = 0.8                    // from here on fA, by the throughput, acts as well
+	sampleInterval        = 100 * time.Millisecond // the paper's probe interval
+	samplesPerAssessment  = 5                      // k: half a second follows short bursts
+	occupancyTarget       = 0.95                   // rho targ
+	maxGrowth             = 1.3                    // phi max, growth of f in one assessment
+	minAdmitFraction      = 0.1                    // f min, so that recovery is always seen
+	highOccupancy         = 0.8                    // from here on fA acts as well as fO
 	lowOccupancy          = 0.5                    // up to here spare capacity may go to extras
 	lowSubsetOccupancy    = 0.7                    // the same with a subset of the servers
-	minLearnOccupancy     = 0.1                    // from here on mu max is sampled
-	minOwnSamples         = 10                     // with fewer of its own a node goes by the fleet's means
 	queueTimeFraction     = 0.3                    // of a latency objective that those in flight may take
 	minInFlightPerServer  = 2.0                    // that the bound always leaves, over all nodes
 	certainOverloadFactor = 3.0                    // times the bound that cannot be in flight by chance
 )
 
-// overloadController is the state of the overload control.
+// overloadController is ARO: of what quotas admit, it lets the fraction f pass that the servers can take.
+// Invariant: minAdmitFraction <= admitFraction <= 1 from the start on, and 0 <= throttleCredit < 1 between
+// requests. A node that sees too little of its own goes by the means over the fleet.
 type overloadController struct {
-	admitFraction, throttleCredit   float64
-	occupancySums, occupancySamples [samplesPerAssessment]float64
-	sent                            [samplesPerAssessment]float64
-	sampleCount                     int
-	occupancy, forwardRate          float64
-	maxThroughput                   float64
-	hasPeerMeans                    bool
-	fleetMeans                      [fleetMeanCount]float64 // per sample, over this node and its peers
+	admitFraction  float64 // f, the fraction allowed
+	throttleCredit float64 // r, of the deterministic throttling
+	occupancy      float64 // rho, as of the last assessment
+	acceptanceRate float64 // alpha, requests accepted in a sample, as of the last assessment
+	maxThroughput  float64 // mu max, moving average; 0: not learned
+
+	sampleCount      int                           // samples closed so far
+	occupancySums    [samplesPerAssessment]float64 // of each sample: sum of the readings of the occupancy
+	occupancySamples [samplesPerAssessment]float64 // their number
+	accepted         [samplesPerAssessment]float64 // requests accepted
+
+	hasPeerMeans bool
+	fleetMeans   [fleetMeanCount]float64 // per sample, over this node and its peers
 }
 
-// admit takes one request's part of the admit fraction and tells whether the request may go on.
-func (a *overloadController) admit() bool {
-	a.throttleCredit += a.admitFraction
-	if a.throttleCredit < 1 {
+// admit takes one request's part of f and tells whether the request may pass.
+func (c *overloadController) admit() bool {
+	c.throttleCredit += c.admitFraction
+	if c.throttleCredit < 1 {
 		return false
 	}
-	a.throttleCredit--
+	c.throttleCredit--
 	return true
 }
 
-// closeSample closes a probe, and every k probes sets f.
-func (a *overloadController) closeSample(oks, held float64) {
-	i := a.sampleIndex()
-	own := [fleetMeanCount]float64{a.occupancySums[i], a.occupancySamples[i], a.sent[i], oks, held}
-	a.mergeMeans(ownMeansWeight, own)
-	if a.sampleCount++; a.sampleIndex() == 0 {
-		var occ, n, sent float64
-		for i := range a.occupancySums {
-			occ, n, sent = occ+a.occupancySums[i], n+a.occupancySamples[i], sent+a.sent[i]
-		}
-		a.forwardRate = sent / samplesPerAssessment
-		if n < minOwnSamples { // too few of its own: by the mean over the gateways it hears from
-			occ, n = a.fleetMeans[meanOccupancySum], a.fleetMeans[meanOccupancySamples]
-			a.forwardRate = a.fleetMeans[meanForwarded]
-		}
-		if a.occupancy = 0; n > minOwnSamples*ownMeansWeight/25 {
-			a.occupancy = math.Min(occ/n, 1)
-		}
-		growth := math.Min(occupancyTarget/math.Max(a.occupancy, 1e-9), maxGrowth)
-		fO := clampFraction(growth * a.admitFraction)
-		fA := 1.0
-		if a.maxThroughput > 0 && a.occupancy >= highOccupancy && a.forwardRate > 0 {
-			fA = clampFraction(occupancyTarget * a.maxThroughput / a.forwardRate * a.admitFraction)
-		}
-		a.admitFraction = math.Min(fA, fO)
-		if a.occupancy >= minLearnOccupancy {
-			if mu := a.forwardRate / a.occupancy; a.maxThroughput == 0 {
-				a.maxThroughput = mu
-			} else {
-				a.maxThroughput += throughputWeight * (mu - a.maxThroughput)
-			}
-		}
+// closeSample ends a sample, and with every k-th one assesses the load.
+func (c *overloadController) closeSample(responses, inFlight float64) {
+	i := c.sampleIndex()
+	own := [...]float64{c.occupancySums[i], c.occupancySamples[i], c.accepted[i], responses, inFlight}
+	c.mergeMeans(ownMeansWeight, own)
+	c.sampleCount++
+	if c.sampleIndex() == 0 {
+		c.assess()
 	}
-	a.occupancySums[a.sampleIndex()], a.occupancySamples[a.sampleIndex()], a.sent[a.sampleIndex()] = 0, 0, 0
+	i = c.sampleIndex()
+	c.occupancySums[i], c.occupancySamples[i], c.accepted[i] = 0, 0, 0
 }
 
-func (a *overloadController) sampleIndex() int { return a.sampleCount % samplesPerAssessment }
+// assess sets f to the least of fA and fO.
+func (c *overloadController) assess() {
+	c.estimate()
+	fO := c.fractionByOccupancy()
+	fA := c.fractionByAcceptanceRate()
+	c.admitFraction = math.Min(fA, fO)
+	c.learnThroughput()
+}
 
-// addOccupancy enters one reading of the occupancy into the present probe.
-func (a *overloadController) addOccupancy(rho float64) {
-	a.occupancySums[a.sampleIndex()] += rho
-	a.occupancySamples[a.sampleIndex()]++
+// fractionByOccupancy is fO.
+func (c *overloadController) fractionByOccupancy() float64 {
+	phi := math.Min(occupancyTarget/math.Max(c.occupancy, 1e-9), maxGrowth)
+	return clampFraction(phi * c.admitFraction)
+}
+
+// fractionByAcceptanceRate is fA, for an alpha targ of rho targ times mu max. It acts only under pressure.
+func (c *overloadController) fractionByAcceptanceRate() float64 {
+	if c.maxThroughput <= 0 || c.occupancy < highOccupancy || c.acceptanceRate <= 0 {
+		return 1
+	}
+	return clampFraction(occupancyTarget * c.maxThroughput / c.acceptanceRate * c.admitFraction)
 }
 
 func clampFraction(f float64) float64 { return math.Min(math.Max(f, minAdmitFraction), 1) }
