--- a/policy/admission.go
+++ b/policy/admission.go
@@ -16,7 +16,7 @@
 // response would be worth little, it gives way to those that can still be answered in time. Clients that
 // give each try a timeout of its own look younger than they are: those are not held back.
 func (e *Engine) isTooLate(class int, grace time.Duration) bool {
-	c, l := &e.settings.Classes[class], &e.latencies[class]
+	c, l := &e.settings.Classes[class], &e.latencies.classes[class]
 	if l.firstTryTimeout == 0 {
 		l.firstTryTimeout = grace
 	}
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -599,7 +599,7 @@
 		for _, s := range g.servers {
 			s.inFlight, s.lastProgressAt = 1, t0
 		}
-		g.latencies[0].mean = 0.1
+		g.latencies.classes[0].mean = 0.1
 		spoil(b)
 		if g.cost(b) < 1.3*g.cost(a) {
 			t.Errorf("%s: cost %v against %v", name, g.cost(b), g.cost(a))
@@ -1001,7 +1001,7 @@
 	member, r := wideGate(t, 10)
 	ask := func(n int, late bool, at time.Duration) bool {
 		q := wideRequest(n, 77)
-		member.latencies[member.classIndex["safe"]].firstTryTimeout = q.Timeout
+		member.latencies.classes[member.classIndex["safe"]].firstTryTimeout = q.Timeout
 		if late {
 			q.Timeout -= member.settings.Classes[member.classIndex["safe"]].LatencyObjective * 3 / 2
 		}
@@ -1135,7 +1135,7 @@
 // A try whose client leaves before answers usually come is refused at once.
 func TestShortPatienceIsRefused(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(4)...)
-	c := &g.latencies[g.classIndex["safe"]]
+	c := &g.latencies.classes[g.classIndex["safe"]]
 	c.samples, c.mean, c.deviation = minBatchSamples, 0.2, 0.01
 	q := newRequest(1, "safe", "rate", 1)
 	q.Timeout = 100 * ms
@@ -1463,7 +1463,7 @@
 	if got := r.last(); !strings.HasPrefix(got, "send") {
 		t.Fatal(got)
 	}
-	g.latencies[g.classIndex["b"]].mean = 0.25
+	g.latencies.classes[g.classIndex["b"]].mean = 0.25
 	if err := g.SetClasses([]Class{class("b", 2*time.Second), class("c", time.Second)}); err != nil {
 		t.Fatal(err)
 	}
@@ -1473,8 +1473,8 @@
 			t.Errorf("class %s: %s, want %s", n, got, want)
 		}
 	}
-	if b := g.classIndex["b"]; g.latencies[b].mean != 0.25 || g.settings.Classes[b].LatencyObjective != 2*time.Second {
-		t.Errorf("class b: %+v, %+v", g.latencies[b], g.settings.Classes[b])
+	if b := g.classIndex["b"]; g.latencies.classes[b].mean != 0.25 || g.settings.Classes[b].LatencyObjective != 2*time.Second {
+		t.Errorf("class b: %+v, %+v", g.latencies.classes[b], g.settings.Classes[b])
 	}
 	if len(g.settings.Classes) != 3 { // a's place is taken by the request under way
 		t.Errorf("%d places", len(g.settings.Classes))
@@ -1486,7 +1486,7 @@
 			t.Fatal(err)
 		}
 	}
-	if len(g.settings.Classes) != 3 || len(g.latencies) != 3 {
+	if len(g.settings.Classes) != 3 || len(g.latencies.classes) != 3 {
 		t.Errorf("%d places after twenty changes", len(g.settings.Classes))
 	}
 	// A class that comes back while a request of its first time is under way has two places; the plans may
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -32,10 +32,7 @@
 			s.expectedConnections = 0
 		}
 		s.Server, s.isListed = listed, listed.State != Removed
-		if _, ok := e.kindIndex[listed.Kind]; !ok {
-			e.kindIndex[listed.Kind] = len(e.kindIndex)
-			e.kindRatios = append(e.kindRatios, &kindRatio{mean: 1})
-		}
+		e.latencies.addKind(listed.Kind)
 	}
 	e.updateServers()
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -26,7 +26,7 @@
 	e.lastRequestNumber++
 	r := &request{Request: q, number: e.lastRequestNumber, class: ci, quota: st}
 	r.deadline = now + q.BodyTimeout + q.Timeout - 2*e.settings.MinEventInterval
-	late, l := e.isTooLate(ci, q.Timeout), &e.latencies[ci]
+	late, l := e.isTooLate(ci, q.Timeout), &e.latencies.classes[ci]
 	wait, why := e.settings.Classes[ci].LatencyObjective/throttleRetryFraction, rejectNone
 	switch {
 	case e.isOverloaded(ci, q.Zone, e.settings.Plans[pi].PriorityFactor):
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -1058,7 +1058,7 @@
 // An attempt at a server that says nothing is no work that waits; one at a server that answers others is.
 func TestSilentAttemptsAreNoWork(t *testing.T) {
 	g, r := partGate(t)
-	g.latencies[0] = classLatency{mean: 0.05, samples: 100}
+	g.latencies.classes[0] = classLatency{mean: 0.05, samples: 100}
 	quiet, busy := g.subset[0], g.subset[1]
 	for i, s := range []*server{quiet, busy} {
 		id := fmt.Sprint("r", i)
@@ -1216,7 +1216,7 @@
 			t.Errorf("%s: %d holders may send it %.3f of a second's work a second, want %.3f", s.ID, held[s.ID], all, most)
 		}
 	}
-	g.latencies[0].kinds = []kindLatency{{lowest: 0.05}}
+	g.latencies.classes[0].kinds = []kindLatency{{lowest: 0.05}}
 	r := &request{Request: Request{ID: "r"}, quota: &customerQuota{}}
 	for _, s := range g.servers {
 		if s.StartedAt = 0; !s.inSubset {
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -87,8 +87,8 @@
 	if a, b := fmt.Sprintf("%+v", g.overload), fmt.Sprintf("%+v", next.overload); a != b {
 		t.Errorf("load control\n%s went over as\n%s", a, b)
 	}
-	if g.latencies[0].mean != next.latencies[0].mean || g.latencies[0].mean == 0 || next.learnedWork(0) != g.learnedWork(0) {
-		t.Errorf("latency %+v went over as %+v", g.latencies[0], next.latencies[0])
+	if g.latencies.classes[0].mean != next.latencies.classes[0].mean || g.latencies.classes[0].mean == 0 || next.latencies.learnedWork(0) != g.latencies.learnedWork(0) {
+		t.Errorf("latency %+v went over as %+v", g.latencies.classes[0], next.latencies.classes[0])
 	}
 	if listed, avoided := next.ServerCounts(now); listed != 4 || avoided != 1 {
 		t.Errorf("%d servers, %d avoided", listed, avoided)
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -87,16 +87,16 @@
 func (e *Engine) ExportState(now time.Duration) ([]byte, error) {
 	e.now = now
 	h := engineState{Form: stateFormat, Instances: e.settings.InstanceCount, Me: e.settings.InstanceIndex, Started: e.startedAt, Plans: e.settings.Plans,
-		Classes: map[string]latencyState{}, Kinds: make([]string, len(e.kindIndex)), Retries: e.retryTokens,
+		Classes: map[string]latencyState{}, Kinds: make([]string, len(e.latencies.kindIndex)), Retries: e.retryTokens,
 		InboxRate: e.gossipRate, OKRate: e.responseRate, WarmRate: e.warmRate, ProbeDue: e.healthCheckCredit}
-	for name, i := range e.kindIndex {
+	for name, i := range e.latencies.kindIndex {
 		h.Kinds[i] = name
 	}
-	for _, k := range e.kindRatios {
+	for _, k := range e.latencies.kindRatios {
 		h.KindMean, h.KindN = append(h.KindMean, k.mean), append(h.KindN, k.n)
 	}
 	for name, i := range e.classIndex {
-		l := &e.latencies[i]
+		l := &e.latencies.classes[i]
 		c := latencyState{Mean: l.mean, Dev: l.deviation, N: l.samples, Fresh: l.firstTryTimeout}
 		for _, k := range l.kinds {
 			c.Lowest = append(c.Lowest, k.lowest)
@@ -184,14 +184,14 @@
 	}
 	for name, l := range h.Classes {
 		if i, ok := e.classIndex[name]; ok {
-			c := &e.latencies[i]
+			c := &e.latencies.classes[i]
 			c.mean, c.deviation, c.samples, c.firstTryTimeout = l.Mean, l.Dev, l.N, l.Fresh
 			c.kinds = nil
 			for k, lowest := range l.Lowest {
 				if k >= len(h.Kinds) {
 					break
 				}
-				at := e.kindIndexOf(h.Kinds[k])
+				at := e.latencies.addKind(h.Kinds[k])
 				for len(c.kinds) <= at {
 					c.kinds = append(c.kinds, kindLatency{})
 				}
@@ -201,7 +201,7 @@
 	}
 	for k, name := range h.Kinds {
 		if k < len(h.KindMean) && k < len(h.KindN) {
-			*e.kindRatios[e.kindIndexOf(name)] = kindRatio{h.KindMean[k], h.KindN[k]}
+			*e.latencies.kindRatios[e.latencies.addKind(name)] = kindRatio{h.KindMean[k], h.KindN[k]}
 		}
 	}
 	for _, saved := range h.Servers {
--- a/policy/in_flight.go
+++ b/policy/in_flight.go
@@ -43,7 +43,7 @@
 			// One at a server that has said nothing since, for several times as long as answers take, tells
 			// of that server and not of work that waits: where a fifth falls silent, the bound would refuse
 			// what the others can do.
-			silent := !e.usesAllServers() && a.server.lastHeardAt < a.sentAt && age > math.Max(unansweredLatencyFactor*e.latencies[r.class].mean, aim/4)
+			silent := !e.usesAllServers() && a.server.lastHeardAt < a.sentAt && age > math.Max(unansweredLatencyFactor*e.latencies.classes[r.class].mean, aim/4)
 			if silent {
 				waits = append(waits, unansweredAttempt{a, r.number})
 			}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -14,74 +14,107 @@
 	lowestLatencyDrift = 0.01            // by which the lowest latency creeps up at each batch
 )
 
+// latencyTable holds the latencies learned per class and per machine kind.
+// Invariant: kindRatios and kindIndex have one entry per kind ever listed, and a kind keeps its place.
+type latencyTable struct {
+	classes    []classLatency
+	kindIndex  map[string]int
+	kindRatios []*kindRatio
+}
+
 // classLatency is the latency learned for a class.
 type classLatency struct {
 	mean, deviation float64 // seconds
 	samples         int
 	kinds           []kindLatency
-	firstTryTimeout time.Duration // wait that a client's first try has left
+	firstTryTimeout time.Duration // that a client's first try has left
 }
 
 // kindLatency finds the lowest mean latency of a class on one kind of server.
 type kindLatency struct {
 	sum     float64
 	samples int
-	lowest  float64
+	lowest  float64 // seconds; 0: not known
 }
 
 // kindRatio is the latency of a kind as a multiple of the mean.
 type kindRatio struct{ mean, n float64 }
 
-// recordLatency learns from one answered attempt.
-func (e *Engine) recordLatency(class int, s *server, took time.Duration) {
-	c := &e.latencies[class]
-	x := took.Seconds()
-	if c.mean == 0 {
-		c.mean, c.deviation = x, x/2
+func newLatencyTable(classCount int) latencyTable {
+	return latencyTable{classes: make([]classLatency, classCount), kindIndex: map[string]int{}}
+}
+
+// addKind returns the place of a kind, and makes one for a new kind.
+func (t *latencyTable) addKind(name string) int {
+	if i, ok := t.kindIndex[name]; ok {
+		return i
 	}
-	c.samples++
-	c.deviation += slowMeanWeight * (math.Abs(x-c.mean) - c.deviation)
-	c.mean += slowMeanWeight * (x - c.mean)
-	s.latencyRatio += latencyWeight * (x/math.Max(c.mean, 1e-6) - s.latencyRatio)
-	for len(c.kinds) <= e.kindIndex[s.Kind] {
+	i := len(t.kindRatios)
+	t.kindIndex[name] = i
+	t.kindRatios = append(t.kindRatios, &kindRatio{mean: 1})
+	return i
+}
+
+// record learns from the latency, in seconds, of one response of a class from a kind. It returns the latency
+// as a multiple of the class's mean, and the lowest latency known of the class on the kind.
+func (t *latencyTable) record(class int, kind string, seconds float64) (ratio, lowest float64) {
+	c := &t.classes[class]
+	c.record(seconds)
+	ratio = seconds / math.Max(c.mean, 1e-6)
+	i := t.kindIndex[kind]
+	t.kindRatios[i].record(ratio)
+	for len(c.kinds) <= i {
 		c.kinds = append(c.kinds, kindLatency{})
 	}
-	l := e.kindRatios[e.kindIndex[s.Kind]]
-	l.n++
-	l.mean += math.Max(1/(l.n+1), slowMeanWeight) * (x/math.Max(c.mean, 1e-6) - l.mean)
-	k := &c.kinds[e.kindIndex[s.Kind]]
-	k.sum += x
-	if k.samples++; k.samples >= minBatchSamples {
-		k.lowest *= 1 + lowestLatencyDrift
-		if m := k.sum / float64(k.samples); k.lowest == 0 || m < k.lowest {
-			k.lowest = m
-		}
-		k.sum, k.samples = 0, 0
+	c.kinds[i].record(seconds)
+	return ratio, c.kinds[i].lowest
+}
+
+func (c *classLatency) record(seconds float64) {
+	if c.mean == 0 {
+		c.mean, c.deviation = seconds, seconds/2
 	}
-	if e.settings.LoadReports == LoadReportsNone || e.lacksLoadReport(s) {
-		if k.lowest > 0 {
-			// Each latency weighs by its length, which makes the mean over a probe 1 - lowest/mean.
-			e.overload.addOccupancies(x/k.lowest-1, x/k.lowest)
-		} else {
-			e.overload.addOccupancy(0) // or a few rejections by servers would be all there is
-		}
+	c.samples++
+	c.deviation += slowMeanWeight * (math.Abs(seconds-c.mean) - c.deviation)
+	c.mean += slowMeanWeight * (seconds - c.mean)
+}
+
+func (r *kindRatio) record(ratio float64) {
+	r.n++
+	r.mean += math.Max(1/(r.n+1), slowMeanWeight) * (ratio - r.mean)
+}
+
+// record adds to a batch. The mean of a full one may be the lowest, which creeps up at each batch so that a
+// change of the servers is found in time.
+func (k *kindLatency) record(seconds float64) {
+	k.sum += seconds
+	k.samples++
+	if k.samples < minBatchSamples {
+		return
 	}
+	k.lowest *= 1 + lowestLatencyDrift
+	mean := k.sum / float64(k.samples)
+	if k.lowest == 0 || mean < k.lowest {
+		k.lowest = mean
+	}
+	k.sum, k.samples = 0, 0
 }
 
-func (e *Engine) meanLatency() float64 {
+// mean is the mean latency over the classes, in seconds; 0: nothing is known.
+func (t *latencyTable) mean() float64 {
 	var sum, n float64
-	for i := range e.latencies {
-		if e.latencies[i].mean > 0 {
-			sum, n = sum+e.latencies[i].mean, n+1
+	for i := range t.classes {
+		if t.classes[i].mean > 0 {
+			sum, n = sum+t.classes[i].mean, n+1
 		}
 	}
 	return sum / math.Max(n, 1)
 }
 
-// learnedWork is 0 as long as nothing is known of the class.
-func (e *Engine) learnedWork(class int) float64 {
+// learnedWork is the work of one request of a class, in seconds of the lowest latency seen; 0: not known.
+func (t *latencyTable) learnedWork(class int) float64 {
 	least := 0.0
-	for _, k := range e.latencies[class].kinds {
+	for _, k := range t.classes[class].kinds {
 		if k.lowest > 0 && (least == 0 || k.lowest < least) {
 			least = k.lowest
 		}
@@ -89,27 +122,49 @@
 	return least
 }
 
-// expectedWork is the work of one request of a class, in seconds of the lowest latency seen.
-func (e *Engine) expectedWork(class int) float64 {
-	if w := e.learnedWork(class); w > 0 {
+// expectedWork is the learned work of one request of a class or, as long as it is not known, a guess by the
+// class's latency objective.
+func (t *latencyTable) expectedWork(class int, objective time.Duration) float64 {
+	if w := t.learnedWork(class); w > 0 {
 		return w
 	}
-	return e.settings.Classes[class].LatencyObjective.Seconds() / 4
+	return objective.Seconds() / 4
 }
 
-// kindIndexOf is the place of a kind of servers.
-func (e *Engine) kindIndexOf(name string) int {
-	if i, ok := e.kindIndex[name]; ok {
-		return i
+// kindSpeed is the speed of a kind against the mean, at most 1; isKnown is false for one not measured.
+func (t *latencyTable) kindSpeed(kind string) (speed float64, isKnown bool) {
+	r := t.kindRatios[t.kindIndex[kind]]
+	if r.n <= 0 {
+		return 1, false
+	}
+	return math.Min(1/r.mean, 1), true
+}
+
+// expectedWork is the work of one request of a class, in seconds of a request served alone.
+func (e *Engine) expectedWork(class int) float64 {
+	return e.latencies.expectedWork(class, e.settings.Classes[class].LatencyObjective)
+}
+
+// recordLatency learns from one response. Where no load report tells a server's occupancy, latency stands for
+// it: each latency weighs by its length, which makes the mean over a sample 1 - lowest/mean.
+func (e *Engine) recordLatency(class int, s *server, latency time.Duration) {
+	seconds := latency.Seconds()
+	ratio, lowest := e.latencies.record(class, s.Kind, seconds)
+	s.latencyRatio += latencyWeight * (ratio - s.latencyRatio)
+	if e.settings.LoadReports != LoadReportsNone && !e.lacksLoadReport(s) {
+		return
+	}
+	if lowest > 0 {
+		e.overload.addOccupancies(seconds/lowest-1, seconds/lowest)
+	} else {
+		e.overload.addOccupancy(0) // or a few rejections by servers would be all there is
 	}
-	e.kindIndex[name] = len(e.kindRatios)
-	e.kindRatios = append(e.kindRatios, &kindRatio{mean: 1})
-	return len(e.kindRatios) - 1
 }
 
-func (e *Engine) maxLatencyObjective() (d time.Duration) {
+// maxLatencyObjective is the longest latency objective of all classes.
+func (e *Engine) maxLatencyObjective() (longest time.Duration) {
 	for _, c := range e.settings.Classes {
-		d = max(d, c.LatencyObjective)
+		longest = max(longest, c.LatencyObjective)
 	}
-	return d
+	return longest
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -41,9 +41,9 @@
 		// Rule 4: only of servers that count in the mean, and only work that is known: answers of
 		// draining servers or a guess that proves too high would inflate what cold ones may be sent.
 		if e.capacityFraction(s) >= 1 && s.acceptsRequests() && s.inSubset {
-			e.warmWork += e.learnedWork(r.class)
+			e.warmWork += e.latencies.learnedWork(r.class)
 			if c := e.zones[s.Zone]; c != nil {
-				c.warmWork += e.learnedWork(r.class)
+				c.warmWork += e.latencies.learnedWork(r.class)
 			}
 		}
 	case NotSent, Cancelled:
@@ -58,7 +58,7 @@
 		return
 	case TimedOut:
 		e.overload.addOccupancy(1)
-		ratio := o.Latency.Seconds() / math.Max(e.latencies[r.class].mean, 1e-3)
+		ratio := o.Latency.Seconds() / math.Max(e.latencies.classes[r.class].mean, 1e-3)
 		s.latencyRatio += latencyWeight * (ratio - s.latencyRatio)
 		bad = 0.5
 	case ErrorResponse:
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -31,8 +31,7 @@
 	lastRequestNumber uint64
 	classIndex        map[string]int
 	planIndex         map[string]int
-	kindIndex         map[string]int
-	latencies         []classLatency
+	latencies         latencyTable
 
 	quotas         map[uint64]*customerQuota
 	quotaList      []*customerQuota // the stores, for sweeping
@@ -58,7 +57,6 @@
 	healthCheckCredit          float64       // probes earned by sends
 	maxServerWeight            float64       // the largest of their weights
 	weightsDiffer              bool          // their weights differ
-	kindRatios                 []*kindRatio
 	lastLogAt                  time.Duration
 }
 
@@ -69,8 +67,8 @@
 	}
 	e := &Engine{
 		settings: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), serverByID: map[string]*server{}, requests: map[string]*request{},
-		requestByNumber: map[uint64]*request{}, classIndex: map[string]int{}, planIndex: map[string]int{}, kindIndex: map[string]int{},
-		quotas: map[uint64]*customerQuota{}, peers: make([]peer, s.InstanceCount), latencies: make([]classLatency, len(s.Classes)), zones: map[string]*zoneState{},
+		requestByNumber: map[uint64]*request{}, classIndex: map[string]int{}, planIndex: map[string]int{},
+		quotas: map[uint64]*customerQuota{}, peers: make([]peer, s.InstanceCount), latencies: newLatencyTable(len(s.Classes)), zones: map[string]*zoneState{},
 		zoneWatch: zonehealth.New(zonehealth.Usual),
 	}
 	e.settings.Classes = append([]Class(nil), s.Classes...)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -50,7 +50,7 @@
 
 func (e *Engine) startAttempt(r *request, s *server) {
 	c := &e.settings.Classes[r.class]
-	l := &e.latencies[r.class]
+	l := &e.latencies.classes[r.class]
 	timeout := max(r.deadline-e.now, e.settings.MinEventInterval)
 	more := e.settings.MaxAttempts == 0 || len(r.attempts)+1 < e.settings.MaxAttempts
 	repeatable := c.Idempotency != NonIdempotent && more && r.BodyTimeout == 0
@@ -90,7 +90,8 @@
 
 // retry sends a further attempt if one is legal, affordable and of use.
 func (e *Engine) retry(r *request) bool {
-	if e.retryTokens < 1 || e.now+time.Duration(e.latencies[r.class].mean*float64(time.Second)) > r.deadline {
+	mean := time.Duration(e.latencies.classes[r.class].mean * float64(time.Second))
+	if e.retryTokens < 1 || e.now+mean > r.deadline {
 		return false
 	}
 	s := e.selectServer(r)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -79,7 +79,7 @@
 	lat := s.latencyRatio
 	if s.inFlight > 0 {
 		// Silence with work out counts as latency: it covers pauses, silent death and cut links alike.
-		lat = math.Max(lat, (e.now-s.lastProgressAt).Seconds()/math.Max(e.meanLatency(), 1e-3))
+		lat = math.Max(lat, (e.now-s.lastProgressAt).Seconds()/math.Max(e.latencies.mean(), 1e-3))
 	}
 	queue := 1 + float64(s.inFlight) + math.Max(s.queueLength, 0)
 	cost := math.Max(lat, 0.1) * queue * (1 + failureCostFactor*s.failureRate)
@@ -98,8 +98,9 @@
 
 // serverSize is the server's size: as listed or, where all are listed alike, by the speed of its kind.
 func (e *Engine) serverSize(s *server) float64 {
-	if k := e.kindIndex[s.Kind]; !e.weightsDiffer && e.kindRatios[k].n > 0 {
-		return e.serverWeight(s) * s.subsetCorrection * math.Min(1/e.kindRatios[k].mean, 1)
+	size := e.serverWeight(s) * s.subsetCorrection
+	if speed, isKnown := e.latencies.kindSpeed(s.Kind); isKnown && !e.weightsDiffer {
+		return size * speed
 	}
-	return e.serverWeight(s) * s.subsetCorrection
+	return size
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -15,34 +15,48 @@
 		return errors.New("Me is outside Instances")
 	case len(s.Classes) == 0:
 		return errors.New("Classes is empty")
-	case s.SlowStartMinFraction < 0 || s.SlowStartMinFraction > 1 || s.ColdOverloadMultiple < 0 || s.SlowStartWindow < 0 || s.ColdOverloadWindow < 0:
+	case s.SlowStartMinFraction < 0 || s.SlowStartMinFraction > 1 || s.SlowStartWindow < 0 ||
+		s.ColdOverloadMultiple < 0 || s.ColdOverloadWindow < 0:
 		return errors.New("ColdFrom, FallMultiple, RampTime or OverloadFor is out of range")
 	case s.MaxAttempts < 0 || s.GossipInboxRate < 0 || s.MinEventInterval < 0 || s.DrainGracePeriod < 0:
 		return errors.New("MaxAttempts, InboxPerS, Tick or DrainGrace is negative")
 	}
+	if err := validateClasses(s.Classes); err != nil {
+		return err
+	}
+	return validatePlans(s.Plans)
+}
+
+func validateClasses(classes []Class) error {
 	names := map[string]bool{}
-	for _, c := range s.Classes {
+	for _, c := range classes {
 		if names[c.Name] {
 			return fmt.Errorf("Classes: %q stands twice", c.Name)
 		}
-		if names[c.Name] = true; c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0 || c.PriorityWeight < 0 {
+		names[c.Name] = true
+		if c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0 || c.PriorityWeight < 0 {
 			return fmt.Errorf("Classes: %q has a negative figure", c.Name)
 		}
 	}
-	names = map[string]bool{}
-	for _, p := range s.Plans {
+	return nil
+}
+
+func validatePlans(plans []Plan) error {
+	names := map[string]bool{}
+	for _, p := range plans {
 		if names[p.Name] {
 			return fmt.Errorf("Plans: %q stands twice", p.Name)
 		}
 		names[p.Name] = true
-		if p.Rate < 0 || p.Burst < 0 || p.MaxInFlight < 0 || p.HardLimitRate < 0 || p.HardLimitBurst < 0 || p.HardLimitSlack < 0 {
+		if p.Rate < 0 || p.Burst < 0 || p.MaxInFlight < 0 ||
+			p.HardLimitRate < 0 || p.HardLimitBurst < 0 || p.HardLimitSlack < 0 {
 			return fmt.Errorf("Plans: %q has a negative figure", p.Name)
 		}
 	}
 	return nil
 }
 
-// ValidateTables tells whether classes and plans can be put in force.
+// ValidateTables tells whether classes and plans can be put in force: the error names what cannot.
 func (e *Engine) ValidateTables(classes []Class, plans []Plan) error {
 	set := e.settings
 	set.Classes, set.Plans = classes, plans
@@ -55,9 +69,9 @@
 	return nil
 }
 
-// SetClasses replaces the table of classes while the gateway runs. A class that has the name of one in force
+// SetClasses replaces the table of classes while the engine runs. A class that has the name of one in force
 // goes on with what was learned of it and takes over the new figures. One that is no longer there takes no
-// new request; those under way keep its figures. Its place is used again once the last of them has ended.
+// new request; those in flight keep its figures. Its place is used again once the last of them has ended.
 func (e *Engine) SetClasses(classes []Class) error {
 	if err := e.ValidateTables(classes, e.settings.Plans); err != nil {
 		return err
@@ -75,9 +89,15 @@
 	}
 	for name, i := range old {
 		if _, ok := e.classIndex[name]; !ok {
-			e.settings.Classes[i].PriorityWeight = 0 // what is no longer asked for is not weighed against the others
+			e.settings.Classes[i].PriorityWeight = 0 // or it would be weighed against the others
 		}
 	}
+	e.addClasses(classes, used)
+	return nil
+}
+
+// addClasses gives each new class a place that is not used, the lowest first.
+func (e *Engine) addClasses(classes []Class, used []bool) {
 	free := 0
 	for _, c := range classes {
 		if _, ok := e.classIndex[c.Name]; ok {
@@ -87,16 +107,19 @@
 			free++
 		}
 		if free == len(e.settings.Classes) {
-			e.settings.Classes, e.latencies, used = append(e.settings.Classes, c), append(e.latencies, classLatency{}), append(used, true)
+			e.settings.Classes = append(e.settings.Classes, Class{})
+			e.latencies.classes = append(e.latencies.classes, classLatency{})
+			used = append(used, false)
 		}
-		e.classIndex[c.Name], e.settings.Classes[free], e.latencies[free], used[free] = free, c, classLatency{}, true
+		e.classIndex[c.Name], used[free] = free, true
+		e.settings.Classes[free] = c
+		e.latencies.classes[free] = classLatency{}
 	}
-	return nil
 }
 
-// SetPlans replaces the table of plans while the gateway runs. Gateways name a plan to each other by its
-// place: all must have one order, in which a plan keeps its place for good. A customer's store goes over to
-// the new figures with what it has spent.
+// SetPlans replaces the table of plans while the engine runs. Nodes name a plan to each other by its place:
+// all must have one order, in which a plan keeps its place for good. A customer's quota goes over to the new
+// figures with what it has spent.
 func (e *Engine) SetPlans(now time.Duration, plans []Plan) error {
 	if err := e.ValidateTables([]Class{{}}, plans); err != nil {
 		return err
