--- /dev/null
+++ b/policy/admission_test.go
@@ -0,0 +1,162 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestRefusals(t *testing.T) {
+	tests := []struct {
+		name string
+		q    Request
+	}{
+		{"unknown class", newRequest(1, "none", "rate", 1)},
+		{"unknown plan", newRequest(1, "safe", "none", 1)},
+		{"no grace", Request{ID: "r1", Class: "safe", Plan: "rate"}},
+		{"more than the burst", Request{ID: "r1", Class: "safe", Plan: "rate", Units: 41, Timeout: time.Second}},
+		{"no servers", newRequest(1, "safe", "rate", 1)},
+	}
+	for _, tt := range tests {
+		list := fleet(2)
+		if tt.name == "no servers" {
+			list = nil
+		}
+		g, r := newGate(t, testSettings(), list...)
+		g.RequestReceived(t0, tt.q, r)
+		if len(r.acts) != 1 || r.acts[0] != "refuse r1" {
+			t.Errorf("%s: %q", tt.name, r.acts)
+		}
+	}
+}
+
+// A try whose client leaves before answers usually come is refused at once.
+func TestShortPatienceIsRefused(t *testing.T) {
+	g, r := newGate(t, testSettings(), fleet(4)...)
+	c := &g.lat[g.class["safe"]]
+	c.n, c.mean, c.dev = batchLeast, 0.2, 0.01
+	q := newRequest(1, "safe", "rate", 1)
+	q.Timeout = 100 * ms
+	g.RequestReceived(t0, q, r)
+	if r.count("refuse") != 1 {
+		t.Errorf("%v", r.acts)
+	}
+}
+
+// A try whose client has waited for longer than its class's aim gives way where the customer
+// asks for more than its quota, and only there: a store's units go to those that can still be
+// answered in time.
+func TestLateTriesGiveWay(t *testing.T) {
+	g, r := newGate(t, testSettings(), fleet(9)...)
+	aim := g.set.Classes[g.class["safe"]].LatencyObjective
+	old := newRequest(0, "safe", "rate", 1)
+	old.Timeout -= aim + aim/10
+	send := func(n int, q Request, at time.Duration) bool {
+		q.ID = fmt.Sprint("t", n)
+		r.acts = nil
+		g.RequestReceived(at, q, r)
+		sent := r.count("send") == 1
+		if sent {
+			g.AttemptCompleted(at+ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true}, r)
+		}
+		return sent
+	}
+	fresh := newRequest(0, "safe", "rate", 1)
+	n, at := 0, t0
+	if send(n, fresh, at); !send(n+1, old, at+ms) {
+		t.Error("a late try was refused with room for all")
+	}
+	for n = 2; send(n, fresh, at+2*ms); n++ { // until the store is empty
+	}
+	p := g.set.Plans[g.plan["rate"]]
+	for refill := time.Duration(2.5 / p.Rate * float64(time.Second)); n < 100; n += 4 {
+		send(n, fresh, at+2*ms) // refused
+		at = g.now + refill
+		g.stores[1].crowded = at + time.Second
+		if send(n+1, old, at) {
+			t.Fatal("a late try took the units of a crowded store")
+		}
+		if !send(n+2, fresh, at+ms) {
+			t.Fatal("a fresh try was refused in its place")
+		}
+		send(n+3, fresh, at+2*ms)
+	}
+}
+
+// What is held for a fresh try's wait follows what most tell, not the most that one tells.
+func TestOneLongWaitMakesNobodyLate(t *testing.T) {
+	g, _ := newGate(t, testSettings())
+	for range 1000 {
+		g.late(0, time.Second)
+	}
+	g.late(0, time.Hour)
+	if g.late(0, time.Second) {
+		t.Error("all others count as late after one long wait")
+	}
+}
+
+// Deadlines: a request without an answer ends in time by its own timer.
+func TestOwnTimerAnswersInTime(t *testing.T) {
+	for class, want := range map[string]string{"safe": "refuse r1", "keyed": "fail r1", "unsafe": "fail r1"} {
+		g, r := newGate(t, testSettings(), fleet(2)...)
+		g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
+		var due timerSet
+		for _, ts := range r.timers {
+			if ts.token&7 == timerEnd {
+				due = ts
+			}
+		}
+		if due.after <= 0 || due.after >= 2*time.Second {
+			t.Fatalf("timer after %v", due.after)
+		}
+		r.acts = nil
+		g.TimerFired(t0+due.after, due.token, r)
+		if r.count(want) != 1 || r.count("cancel r1 0") != 1 {
+			t.Errorf("%s: %q", class, r.acts)
+		}
+		g.TimerFired(t0+due.after, due.token, r)
+		g.AttemptCompleted(t0+due.after, AttemptResult{ID: "r1", Result: Cancelled}, r)
+		if len(r.acts) != 2 || len(g.reqs) != 0 {
+			t.Errorf("%s: %q, %d requests kept", class, r.acts, len(g.reqs))
+		}
+	}
+}
+
+func TestStrayEventsAreIgnored(t *testing.T) {
+	g, r := newGate(t, testSettings(), fleet(2)...)
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	r.acts = nil
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
+	if g.reqs["r1"] == nil || g.reqs["r1"].out != 1 {
+		t.Error("an attempt never made ended the request")
+	}
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Server: "s0"}, r)
+	r.acts = nil
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "none", Attempt: 9}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1}, r)
+	g.ClientDisconnected(t0, "r1", r)
+	g.ResponseStarted(t0, "r1", 0, r)
+	g.TimerFired(t0, 1<<40|timerEnd, r)
+	g.TimerFired(t0, 7, r)
+	g.HealthCheckCompleted(t0, "none", OK, &LoadReport{Utilization: 1}, r)
+	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
+	if len(r.acts) != 0 {
+		t.Errorf("%q", r.acts)
+	}
+}
+
+// A stream that has begun belongs to the client: no deadline, no cancel.
+func TestStreamIsLeftAlone(t *testing.T) {
+	s := testSettings()
+	s.Classes[0].IsStreaming = true
+	g, r := newGate(t, s, fleet(2)...)
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	g.ResponseStarted(t0+ms, "r1", 0, r)
+	r.acts = nil
+	g.TimerFired(t0+2*time.Second, 1<<timerBits|timerEnd, r)
+	if len(r.acts) != 0 {
+		t.Errorf("%q", r.acts)
+	}
+}
--- /dev/null
+++ b/policy/gossip_test.go
@@ -0,0 +1,158 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// Units told must be taken from the peer's store once: whether tells are lost, repeated or late.
+func TestTellsSurviveLossAndOrder(t *testing.T) {
+	orders := map[string][]int{"in order": {0, 1, 2}, "middle lost": {0, 2}, "twice": {0, 0, 1, 1, 2, 2}, "late": {1, 0, 2}}
+	for name, order := range orders {
+		s := testSettings()
+		s.InstanceCount = 2
+		a, ra := newGate(t, s, fleet(4)...)
+		s.InstanceIndex = 1
+		b, rb := newGate(t, s, fleet(4)...)
+		q := newRequest(0, "safe", "rate", 1)
+		q.InstanceCount = 2
+		for i := 0; i < 3; i++ {
+			now := t0 + time.Duration(i)*ms
+			flood(a, ra, now, 3, q)
+			a.TimerFired(now, timerTell, ra)
+		}
+		for _, i := range order {
+			b.GossipReceived(t0, 0, ra.tells[1][i], rb)
+		}
+		if got := 20 - b.stores[1].level; got != 9 {
+			t.Errorf("%s: %v units taken, want 9", name, got)
+		}
+	}
+}
+
+// A long tell must not lose the entries that its first message has no room for.
+func TestEveryEntryIsTold(t *testing.T) {
+	s := testSettings()
+	s.InstanceCount = 2
+	a, ra := newGate(t, s, fleet(40)...)
+	s.InstanceIndex = 1
+	b, rb := newGate(t, s, fleet(4)...)
+	for c := uint64(0); c < 100; c++ {
+		q := newRequest(0, "safe", "rate", c<<25)
+		q.InstanceCount = 2
+		flood(a, ra, t0, 1, q)
+		a.held = 0
+	}
+	a.TimerFired(t0, timerTell, ra)
+	for _, m := range ra.tells[1] {
+		if len(m) > messageMost {
+			t.Errorf("message of %d bytes", len(m))
+		}
+		b.GossipReceived(t0, 0, m, rb)
+	}
+	if len(b.stores) != 100 {
+		t.Errorf("%d of 100 customers heard of", len(b.stores))
+	}
+}
+
+// What gateways overspend together must be paid back, not forgotten at nought.
+func TestHeardUnitsGoBelowNought(t *testing.T) {
+	s := testSettings()
+	s.InstanceCount = 2
+	a, ra := newGate(t, s, fleet(4)...)
+	s.InstanceIndex = 1
+	b, rb := newGate(t, s, fleet(4)...)
+	q := newRequest(0, "safe", "rate", 1)
+	q.InstanceCount = 2
+	for i := 0; i < 6; i++ {
+		flood(a, ra, t0, 9, q)
+		a.TimerFired(t0, timerTell, ra)
+		q.Customer = 1
+		q.ID = ""
+		q.Units = 1
+		flood(b, rb, t0+time.Duration(i)*ms, 9, q)
+		b.TimerFired(t0+time.Duration(i)*ms, timerTell, rb)
+	}
+	for _, m := range ra.tells[1] {
+		b.GossipReceived(t0+6*ms, 0, m, rb)
+	}
+	if b.stores[1].level >= 0 {
+		t.Errorf("level %v after both spent most of it", b.stores[1].level)
+	}
+}
+
+func TestBadTellsChangeNothing(t *testing.T) {
+	s := testSettings()
+	s.InstanceCount = 2
+	a, ra := newGate(t, s, fleet(4)...)
+	q := newRequest(0, "safe", "rate", 1)
+	q.InstanceCount = 2
+	flood(a, ra, t0, 3, q)
+	a.TimerFired(t0, timerTell, ra)
+	good := ra.tells[1][0]
+	s.InstanceIndex = 1
+	for n := 0; n < len(good); n++ {
+		b, rb := newGate(t, s, fleet(4)...)
+		b.GossipReceived(t0, 0, good[:n], rb)
+		b.GossipReceived(t0, 7, good, rb)
+		b.GossipReceived(t0, 1, good, rb)
+		b.GossipReceived(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), rb)
+		if len(b.stores) != 0 || len(rb.acts) != 0 {
+			t.Fatalf("%d bytes of %d were believed", n, len(good))
+		}
+	}
+}
+
+func FuzzPeer(f *testing.F) {
+	f.Add([]byte{})
+	f.Add([]byte{1, 1, 1, 5, 0, 2, 0})
+	f.Add([]byte{1, 1, 255, 255, 255, 255, 15, 5, 0, 2, 0})
+	s := testSettings()
+	s.InstanceCount = 3
+	f.Fuzz(func(t *testing.T, b []byte) {
+		g, err := New(s, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r := &recorder{}
+		g.Start(t0, r)
+		g.GossipReceived(t0, 1, b, r)
+		if len(g.stores) > len(b) {
+			t.Errorf("%d stores from %d bytes", len(g.stores), len(b))
+		}
+	})
+}
+
+// Sums of occupancy below nought, as latencies under the lowest mean give, must reach peers as they are.
+func TestPoolIsPackedSigned(t *testing.T) {
+	g, _ := wideGate(t, 10)
+	g.aro.heard, g.aro.pool = true, [poolSize]float64{-0.5, 0.25, 2, 0, 1}
+	m, ok := g.decodeAsk(g.encodeAnswer(1, true, 0, 1))
+	if !ok || m.pool != g.aro.pool {
+		t.Errorf("%v came as %v", g.aro.pool, m.pool)
+	}
+}
+
+// What a gateway finds out goes with its next asks, for a while, and is understood.
+func TestNotesGoWithAsks(t *testing.T) {
+	g, _ := partGate(t)
+	g.now = t0 + 10*time.Second
+	for i, s := range g.near[:6] {
+		g.noteServer(s, i%2 == 0)
+	}
+	read := func() []note {
+		m, ok := g.decodeAsk(g.encodeAnswer(7, true, 0, 1))
+		if !ok {
+			t.Fatal("an answer with notes is malformed")
+		}
+		return m.notes
+	}
+	got := read()
+	if len(got) != notesMost || got[3].tag != g.near[5].tag || got[3].up {
+		t.Fatalf("notes %+v", got)
+	}
+	g.now += noteLasts
+	if got := read(); len(got) != 0 {
+		t.Errorf("old notes are told: %+v", got)
+	}
+}
--- /dev/null
+++ b/policy/quota_owner_test.go
@@ -0,0 +1,367 @@
+package policy
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// wideGate is a gateway of a fleet of 300, whose sets are so wide that holders are asked.
+func wideGate(t *testing.T, me int) (*Engine, *recorder) {
+	s := wideSettings()
+	s.InstanceIndex = me
+	return newGate(t, s, fleet(4)...)
+}
+
+func wideSettings() Settings {
+	s := testSettings()
+	s.InstanceCount, s.AllowsGossip, s.GossipInboxRate = 300, true, 40
+	return s
+}
+
+// wideRequest is of a customer that comes in through the gateways 10 to 109.
+func wideRequest(n int, customer uint64) Request {
+	q := newRequest(n, "safe", "rate", customer)
+	q.InstanceCount, q.FirstInstance = 100, 10
+	return q
+}
+
+// Tells to a hundred gateways come seconds late: the customer's holder is asked, and its answer decides.
+func TestHolderIsAsked(t *testing.T) {
+	const customer = 77
+	member, r := wideGate(t, 10)
+	q := wideRequest(1, customer)
+	member.RequestReceived(t0, q, r)
+	holder := member.holder(member.stores[customer])
+	if !member.inSet(holder, q.FirstInstance, q.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.tells[holder] == nil {
+		t.Fatalf("holder %d, actions %v", holder, r.acts)
+	}
+	h, hr := wideGate(t, holder)
+	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
+	member.GossipReceived(t0+20*ms, holder, hr.tells[10][0], r)
+	if r.count("send") != 1 {
+		t.Errorf("not sent after a grant: %v", r.acts)
+	}
+	// An answer that comes again, from another gateway, or to a number unknown changes nothing.
+	r.acts = nil
+	for _, from := range []int{holder, 11, -1, 300} {
+		member.GossipReceived(t0+30*ms, from, hr.tells[10][0], r)
+	}
+	if len(r.acts) != 0 {
+		t.Errorf("%v", r.acts)
+	}
+}
+
+// A client that leaves while its holder is asked has its units given back once they are granted; nothing is sent on. Where they
+// are refused, or no answer comes, nothing is given back, and nothing is kept of the request.
+func TestClientLeavesWhileItsHolderIsAsked(t *testing.T) {
+	const customer = 77
+	for name, answer := range map[string]func(num uint64) []byte{
+		"granted": func(num uint64) []byte { return (&Engine{}).encodeAnswer(num, true, 0, 1) },
+		"refused": func(num uint64) []byte { return (&Engine{}).encodeAnswer(num, false, 0, 0) },
+		"silent":  nil,
+	} {
+		t.Run(name, func(t *testing.T) {
+			member, r := wideGate(t, 10)
+			member.RequestReceived(t0, wideRequest(1, customer), r)
+			holder, num := member.holder(member.stores[customer]), member.reqs["r1"].num
+			member.ClientDisconnected(t0+10*ms, "r1", r)
+			r.tells = nil
+			if answer != nil {
+				member.GossipReceived(t0+20*ms, holder, answer(num), r)
+			}
+			member.TimerFired(t0+askWait, num<<timerBits|timerAsk, r)
+			member.GossipReceived(t0+askWait, holder, (&Engine{}).encodeAnswer(num, true, 0, 1), r) // doubled, or too late
+			if r.count("send") != 0 || len(member.reqs)+len(member.byNum) != 0 {
+				t.Errorf("sent on, or %d requests kept: %v", len(member.reqs)+len(member.byNum), r.acts)
+			}
+			var backs []ask
+			for _, m := range r.tells[holder] {
+				if b, ok := member.decodeAsk(m); ok && b.kind == kindBack {
+					backs = append(backs, b)
+				}
+			}
+			if name == "granted" && (len(backs) != 1 || backs[0].num != num || backs[0].units != 1) || name != "granted" && len(backs) != 0 {
+				t.Errorf("given back: %+v", backs)
+			}
+		})
+	}
+}
+
+// A request whose holder is not waited for, having said nothing of late, is not kept for an answer once it has its own.
+func TestNoWaitForASilentHolder(t *testing.T) {
+	const customer = 77
+	g, r := wideGate(t, 10)
+	g.storeFor(customer, g.plan["rate"], 100, 10).pass = 0 // what was heard last: nothing is granted
+	for n := range silentAsks + 1 {
+		g.RequestReceived(t0, wideRequest(n, customer), r)
+		for num := range g.byNum {
+			g.TimerFired(t0, num<<timerBits|timerAsk, r)
+		}
+	}
+	if r.count("refuse") != silentAsks+1 || len(r.timers) < silentAsks {
+		t.Fatalf("not refused without waiting: %v", r.acts)
+	}
+	g.RequestReceived(t0, wideRequest(silentAsks+1, customer), r)
+	if len(g.reqs)+len(g.byNum) != 0 {
+		t.Errorf("%d requests are kept", len(g.byNum))
+	}
+}
+
+// All members together must not be granted more than the store holds.
+func TestHolderGrantsItsStoreOnce(t *testing.T) {
+	const customer = 77
+	first, r := wideGate(t, 10)
+	first.RequestReceived(t0, wideRequest(1, customer), r)
+	holder := first.holder(first.stores[customer])
+	h, hr := wideGate(t, holder)
+	sent := 0.0
+	for me := 10; me < 110; me++ {
+		if me == holder {
+			continue
+		}
+		g, r := wideGate(t, me)
+		if g.holder(g.storeFor(customer, g.plan["rate"], 100, 10)) != holder {
+			continue // another part of the holder's
+		}
+		for n := 0; n < 4; n++ {
+			r.tells, hr.tells = nil, nil
+			g.RequestReceived(t0, wideRequest(n, customer), r)
+			if r.tells != nil { // else refused of late
+				h.GossipReceived(t0, me, r.tells[holder][0], hr)
+				g.GossipReceived(t0, holder, hr.tells[me][0], r)
+			}
+		}
+		sent += float64(r.count("send"))
+	}
+	if burst := h.set.Plans[h.plan["rate"]].Burst; sent == 0 || sent > burst {
+		t.Errorf("%v sent of a burst of %v", sent, burst)
+	}
+}
+
+// A calm day's asks must not look like a flood: a member refused by a holder whose inbox is a third full comes back as soon as the
+// store has filled, not in the seconds after which it would be its turn if all members asked in vain.
+func TestRefusedMembersComeBackSoon(t *testing.T) {
+	wait := func(inbox float64) time.Duration {
+		member, r := wideGate(t, 10)
+		member.RequestReceived(t0, wideRequest(1, 77), r)
+		to := member.holder(member.stores[77])
+		h, hr := wideGate(t, to)
+		h.inboxRate = inbox
+		h.storeFor(77, h.plan["rate"], 100, 10).level = 0
+		h.GossipReceived(t0, 10, r.tells[to][0], hr)
+		member.GossipReceived(t0, to, hr.tells[10][0], r)
+		if r.count("refuse") != 1 {
+			t.Fatalf("%v", r.acts)
+		}
+		return member.stores[77].shut - t0
+	}
+	p := wideSettings().Plans
+	one := time.Duration(0)
+	for i := range p {
+		if p[i].Name == "rate" {
+			one = fill(1, p[i].Rate/math.Ceil(p[i].Rate/(askShare*40)))
+		}
+	}
+	if w := wait(14); w > max(one, askWait)+waitUnit {
+		t.Errorf("a calm holder shuts a member out for %v, its store fills by one in %v", w, one)
+	}
+	if w := wait(39); w < 2*time.Second {
+		t.Errorf("a flooded holder has a member come back after %v", w)
+	}
+}
+
+// A customer stays crowded for as long as its store takes to fill in two tries, which may be more than a second.
+func TestSlowStoresStayCrowded(t *testing.T) {
+	h, _ := wideGate(t, 10)
+	h.set.Plans[h.plan["rate"]].Rate = 0.5
+	st := h.storeFor(77, h.plan["rate"], 100, 10)
+	if st.level = 0; !st.wide {
+		t.Fatal("no holder is asked for this customer")
+	}
+	h.quota(st, 1, false)
+	if d := st.crowded - h.now; d != 4*time.Second {
+		t.Errorf("crowded for %v, it fills by two in 4 s", d)
+	}
+}
+
+// A holder gives no units of a customer whose tries it has to refuse to one that comes too late for its aim; the
+// member that sent it may go on asking for others.
+func TestHoldersRefuseLateTries(t *testing.T) {
+	member, r := wideGate(t, 10)
+	ask := func(n int, late bool, at time.Duration) bool {
+		q := wideRequest(n, 77)
+		member.lat[member.class["safe"]].fresh = q.Timeout
+		if late {
+			q.Timeout -= member.set.Classes[member.class["safe"]].LatencyObjective * 3 / 2
+		}
+		r.tells = nil
+		member.RequestReceived(at, q, r)
+		to := member.holder(member.stores[77])
+		if r.tells[to] == nil {
+			t.Fatalf("try %d was not asked for: %v", n, r.acts)
+		}
+		h, hr := wideGate(t, to)
+		st := h.storeFor(77, h.plan["rate"], 100, 10)
+		st.level, st.crowded = 5, at+time.Second
+		if n == 0 {
+			st.crowded = 0
+		}
+		h.GossipReceived(at, 10, r.tells[to][0], hr)
+		sent := r.count("send")
+		member.GossipReceived(at, to, hr.tells[10][0], r)
+		if r.count("send") == sent {
+			return false
+		}
+		member.AttemptCompleted(at+ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true}, r)
+		return true
+	}
+	if !ask(0, true, t0) {
+		t.Error("a late try was refused with room for all")
+	}
+	for n := 1; n < 7; n += 2 {
+		at := t0 + time.Duration(n)*time.Second
+		if ask(n, true, at) {
+			t.Error("a late try took the units of a crowded customer")
+		}
+		if !ask(n+1, false, at) {
+			t.Error("a fresh try was refused in its place")
+		}
+	}
+}
+
+// A holder that is down must cost a wait, not the customer.
+func TestUnansweredAskGoesByTheShareGranted(t *testing.T) {
+	for _, pass := range []float64{0, 1} {
+		g, r := wideGate(t, 10)
+		g.storeFor(77, g.plan["rate"], 100, 10).pass = pass
+		g.RequestReceived(t0, wideRequest(1, 77), r)
+		g.TimerFired(t0+askWait, g.nextNum<<timerBits|timerAsk, r)
+		if got := r.count("send"); got != int(pass) || r.count("refuse") != 1-got {
+			t.Errorf("share %v: %v", pass, r.acts)
+		}
+	}
+}
+
+// An ask for a customer whose set lacks the sender or the receiver changes nothing, nor does a malformed one.
+func TestBadAsksChangeNothing(t *testing.T) {
+	member, r := wideGate(t, 10)
+	member.RequestReceived(t0, wideRequest(1, 77), r)
+	good := r.tells[member.holder(member.stores[77])][0]
+	for _, c := range []struct{ me, from int }{{5, 10}, {20, 5}, {20, 250}} {
+		g, r := wideGate(t, c.me)
+		g.GossipReceived(t0, c.from, good, r)
+		if len(g.stores) != 0 || len(r.tells) != 0 {
+			t.Errorf("%+v: %d stores, %d answers", c, len(g.stores), len(r.tells))
+		}
+	}
+	g, gr := wideGate(t, 20)
+	for n := 0; n < len(good); n++ {
+		g.GossipReceived(t0, 10, good[:n], gr)
+	}
+	g.GossipReceived(t0, 10, append(append([]byte{}, good...), 0), gr)
+	if len(g.stores) != 0 {
+		t.Error("a malformed ask made a store")
+	}
+}
+
+// Rule 5: the parts of a ceiling over all gateways of a set must not sum to more than the whole.
+func TestPartsOfACeilingSumToTheWhole(t *testing.T) {
+	burst, rate := 0.0, 0.0
+	for me := 10; me < 110; me++ {
+		g, _ := wideGate(t, me)
+		st := g.storeFor(77, g.plan["rate"], 100, 10)
+		burst, rate = burst+st.burstPart, rate+st.ratePart
+	}
+	if math.Abs(burst-1) > 1e-9 || math.Abs(rate-1) > 1e-9 {
+		t.Errorf("parts sum to %v of the burst and %v of the rate", burst, rate)
+	}
+}
+
+// A place under an open cap must be free again soon, also where the answer to the ask was lost, and a refusal
+// must not keep the customer out for longer than an ask takes.
+func TestPlacesUnderACapComeBack(t *testing.T) {
+	member, r := wideGate(t, 10)
+	q := wideRequest(1, 77)
+	q.Plan = "open"
+	member.RequestReceived(t0, q, r)
+	holder := member.holder(member.stores[77])
+	h, hr := wideGate(t, holder)
+	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
+	if n := len(h.stores[77].leases); n != 1 {
+		t.Fatalf("%d leases", n)
+	}
+	r.tells = nil
+	member.TimerFired(t0+askWait, member.nextNum<<timerBits|timerAsk, r)
+	answer(member, r, t0+askWait+50*ms, 50*ms, OK)
+	for _, m := range r.tells[holder] {
+		h.GossipReceived(t0+200*ms, 10, m, hr)
+	}
+	if n := len(h.stores[77].leases); n != 0 {
+		t.Errorf("%d leases after the answer", n)
+	}
+	h.stores[77].out = h.set.Plans[h.plan["open"]].MaxInFlight
+	if in, wait := h.quota(h.stores[77], 1, false); in || wait > askWait {
+		t.Errorf("in %v, wait %v", in, wait)
+	}
+}
+
+// Rule 5: a holder that has just started must not grant what one before it may have spent.
+func TestNewHolderGrantsNoCeiling(t *testing.T) {
+	member, r := wideGate(t, 10)
+	q := wideRequest(1, 77)
+	q.Plan = "hard"
+	member.RequestReceived(t0, q, r)
+	holder := member.holder(member.stores[77])
+	h, hr := wideGate(t, holder)
+	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
+	member.GossipReceived(t0+ms, holder, hr.tells[10][0], r)
+	if r.count("send") != 0 {
+		t.Errorf("%v", r.acts)
+	}
+}
+
+// Rule 1: a request that waits for its holder longer than its client must be answered in time.
+func TestWaitingRequestIsAnswered(t *testing.T) {
+	g, r := wideGate(t, 10)
+	q := wideRequest(1, 77)
+	q.Timeout = 30 * ms
+	g.RequestReceived(t0, q, r)
+	for _, s := range r.timers {
+		if s.token == g.nextNum<<timerBits|timerEnd && s.after < q.Timeout {
+			g.TimerFired(t0+s.after, s.token, r)
+		}
+	}
+	if r.count("refuse") != 1 {
+		t.Errorf("%v", r.acts)
+	}
+}
+
+// Units that were sent without their holder's answer are taken from the store once, whether the ask or its answer was lost.
+func TestUnitsSentWithoutAnAnswerCount(t *testing.T) {
+	for _, lost := range []string{"ask", "answer"} {
+		member, r := wideGate(t, 10)
+		member.RequestReceived(t0, wideRequest(1, 77), r)
+		to := member.holder(member.stores[77])
+		holder, hr := wideGate(t, to)
+		if lost == "answer" {
+			holder.GossipReceived(t0+ms, 10, r.tells[to][0], hr)
+		}
+		for _, timer := range r.timers {
+			if timer.token&(1<<timerBits-1) == timerAsk {
+				member.TimerFired(t0+askWait, timer.token, r)
+			}
+		}
+		if len(r.tells[to]) != 2 || r.count("send") != 1 {
+			t.Fatalf("%s lost: %d messages, %v", lost, len(r.tells[to]), r.acts)
+		}
+		for range 3 {
+			holder.GossipReceived(t0+ms, 10, r.tells[to][1], hr)
+		}
+		st := holder.stores[77]
+		p := &holder.set.Plans[st.plan]
+		if spent := p.Burst/st.parts - st.level; math.Abs(spent-1) > 0.2 {
+			t.Errorf("%s lost: %.2f units taken, want 1", lost, spent)
+		}
+	}
+}
--- /dev/null
+++ b/policy/quota_test.go
@@ -0,0 +1,115 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestStoreSpendsItsShareBetweenTells(t *testing.T) {
+	s := testSettings()
+	s.InstanceCount = 2
+	g, r := newGate(t, s, fleet(4)...)
+	q := newRequest(0, "safe", "rate", 1)
+	q.InstanceCount = 2
+	// A new store holds 40/2; half of it may be spent before the next tell.
+	if n := flood(g, r, t0, 50, q); n != 10 {
+		t.Errorf("%d sent before the first tell, want 10", n)
+	}
+	g.TimerFired(t0, timerTell, r)
+	if n := flood(g, r, t0, 50, q); n != 5 {
+		t.Errorf("%d sent before the second tell, want 5", n)
+	}
+}
+
+// A split store smaller than a request must not starve its customer.
+func TestSmallStoreGivesOneRequest(t *testing.T) {
+	s := testSettings()
+	s.InstanceCount, s.Plans[1].Rate, s.Plans[1].Burst = 3, 0.5, 2
+	g, r := newGate(t, s, fleet(4)...)
+	q := newRequest(0, "safe", "rate", 1)
+	q.InstanceCount = 3
+	now := t0 + 4*time.Second
+	if n := flood(g, r, now, 5, q); n != 1 {
+		t.Errorf("%d sent, want 1", n)
+	}
+}
+
+// A customer refused of late must not get one request from each gateway as soon as one is free.
+func TestCrowdedCustomerWaitsForItsShare(t *testing.T) {
+	s := testSettings()
+	s.InstanceCount = 3
+	g, r := newGate(t, s, fleet(4)...)
+	q := newRequest(0, "safe", "rate", 1)
+	q.InstanceCount = 3
+	flood(g, r, t0, 30, q)
+	g.stores[1].level = 1.5
+	g.TimerFired(t0, timerTell, r)
+	if n := flood(g, r, t0+ms, 5, q); n != 0 {
+		t.Errorf("%d sent with units for one gateway of three", n)
+	}
+	if n := flood(g, r, t0+60*ms, 5, q); n != 1 {
+		t.Errorf("%d sent with units for all, want 1", n)
+	}
+}
+
+// The cap on attempts open at once counts what peers told.
+func TestOpenCapCountsPeers(t *testing.T) {
+	s := testSettings()
+	s.InstanceCount = 2
+	a, ra := newGate(t, s, fleet(4)...)
+	q := newRequest(0, "safe", "open", 1)
+	q.InstanceCount = 2
+	sentA := flood(a, ra, t0, 9, q)
+	a.TimerFired(t0, timerTell, ra)
+	s.InstanceIndex = 1
+	b, rb := newGate(t, s, fleet(4)...)
+	b.GossipReceived(t0, 0, ra.tells[1][0], rb)
+	for i := 0; i < 9; i++ {
+		flood(b, rb, t0, 9, q)
+		b.TimerFired(t0, timerTell, rb)
+	}
+	if got := sentA + rb.count("send"); sentA == 0 || got < 5 || got > 6 {
+		t.Errorf("%d out, %d of them on the peer; want 5 or 6", got, sentA)
+	}
+}
+
+// Rule 5: a gateway that just started may be the successor of one that spent its part.
+func TestCeilingStartsEmpty(t *testing.T) {
+	s := testSettings()
+	g, r := newGate(t, s, fleet(4)...)
+	q := newRequest(0, "safe", "hard", 1)
+	if n := flood(g, r, t0, 30, q); n != 0 {
+		t.Errorf("%d sent at the start", n)
+	}
+	if n := flood(g, r, t0+200*ms, 30, q); n != 5 {
+		t.Errorf("%d sent after 200 ms at 25 a second, want 5", n)
+	}
+}
+
+// True units that come with the answer settle the store.
+func TestSettledUnits(t *testing.T) {
+	s := testSettings()
+	s.SettlesUnits = true
+	g, r := newGate(t, s, fleet(2)...)
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Units: 4}, r)
+	if got := g.stores[1].level; got != 36 {
+		t.Errorf("level %v, want 36", got)
+	}
+}
+
+// Customers seen once must not fill the memory.
+func TestFloodOfCustomersIsForgotten(t *testing.T) {
+	g, r := newGate(t, testSettings(), fleet(4)...)
+	for i := 0; i < 20000; i++ {
+		now := t0 + time.Duration(i)*ms
+		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
+		answer(g, r, now, ms, OK)
+		if i%100 == 0 {
+			g.TimerFired(now, timerProbe, r)
+		}
+	}
+	if len(g.stores) > 5000 || len(g.stores) != len(g.order) {
+		t.Errorf("%d stores, %d in order", len(g.stores), len(g.order))
+	}
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,102 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// What may follow each outcome, by the effect of the class: rule 2.
+func TestAfterEachOutcome(t *testing.T) {
+	mayRun := map[Result]bool{OK: true, ErrorResponse: true, TimedOut: true, ConnectionReset: true, Cancelled: true}
+	for res := OK; res <= NotSent; res++ {
+		for _, class := range []string{"safe", "keyed", "unsafe"} {
+			for _, inGroup := range []bool{true, false} {
+				first := Server{ID: "s0", Kind: "k", Zone: "a"}
+				other := Server{ID: "s1", Kind: "k", Zone: "b"}
+				if inGroup {
+					other.Zone = "a"
+				}
+				g, r := newGate(t, testSettings(), first)
+				g.retries = 5
+				g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
+				g.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r)
+				r.acts = nil
+				g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0", RequestAnswered: res == OK}, r)
+				again := res != OK && res != NotSent && (!mayRun[res] || class == "safe" || class == "keyed" && inGroup)
+				want := "send r1 s1"
+				switch {
+				case res == OK:
+					want = ""
+				case !again && (class == "safe" || !mayRun[res]):
+					want = "refuse r1"
+				case !again:
+					want = "fail r1"
+				}
+				if got := r.last(); got != want {
+					t.Errorf("%s after result %d, same group %v: %q, want %q", class, res, inGroup, got, want)
+				}
+			}
+		}
+	}
+}
+
+func TestKeyedNotSentAfterItsWindow(t *testing.T) {
+	g, r := newGate(t, testSettings(), fleet(3)...)
+	g.retries = 5
+	g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
+	g.AttemptCompleted(t0+300*ms, AttemptResult{ID: "r1", Result: ConnectionReset}, r)
+	if r.last() != "fail r1" {
+		t.Errorf("got %q", r.last())
+	}
+}
+
+// Its window counts to the repeat's arrival, which a connection that comes up late puts off.
+func TestKeyedArrivesInItsWindow(t *testing.T) {
+	for connect, want := range map[time.Duration]int{0: 2, 150 * ms: 1} {
+		set := testSettings()
+		set.ConnectTimeout = connect
+		for i := range set.Classes {
+			if set.Classes[i].Name == "keyed" {
+				set.Classes[i].DedupWindow, set.Classes[i].DedupScope = 300*ms, DedupAllServers
+			}
+		}
+		g, r := newGate(t, set, fleet(2)...)
+		g.retries = 5
+		g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
+		first := r.last()
+		g.AttemptCompleted(t0+200*ms, AttemptResult{ID: "r1", Result: ConnectionReset, Server: first[len(first)-2:]}, r)
+		if got := r.count("send"); got != want {
+			t.Errorf("connections within %v: sent %d times, want %d: %v", connect, got, want, r.acts)
+		}
+	}
+}
+
+// A second copy counts as out: it must not take a capped customer's last places.
+func TestNoSecondCopyNearTheCap(t *testing.T) {
+	for plan, want := range map[string]int{"rate": 1, "open": 0} {
+		s := testSettings()
+		s.AllowsHedging = true
+		s.Plans[2].MaxInFlight = 2
+		g, r := newGate(t, s, fleet(4)...)
+		g.retries = 5
+		g.RequestReceived(t0, newRequest(1, "safe", plan, 1), r)
+		r.acts = nil
+		g.TimerFired(t0+ms, g.nextNum<<timerBits|timerHedge, r)
+		if n := r.count("send"); n != want {
+			t.Errorf("%s: %d second copies, want %d", plan, n, want)
+		}
+	}
+}
+
+// One attempt at a time where the site has it so.
+func TestNoSecondCopyWhereForbidden(t *testing.T) {
+	for _, parallel := range []bool{false, true} {
+		s := testSettings()
+		s.AllowsHedging = parallel
+		g, r := newGate(t, s, fleet(2)...)
+		g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+		if got := g.maySend(g.reqs["r1"], g.servers[0]); got != parallel {
+			t.Errorf("parallel %v: second copy %v", parallel, got)
+		}
+	}
+}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -13,8 +13,6 @@
 // what they do is held against the text of the five rules. Outcomes are drawn
 // at random; there is no model of how servers perform.
 
-const ms = time.Millisecond
-
 type sent struct {
 	server  string
 	at      time.Duration
@@ -34,24 +32,6 @@
 	killed bool
 }
 
-type event struct {
-	at  time.Duration
-	n   int
-	run func()
-}
-
-type queue []event
-
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n }
-func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)        { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	x := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return x
-}
-
 type ceilingStore struct {
 	level float64
 	at    time.Duration
@@ -424,25 +404,6 @@
 	return w
 }
 
-func testSettings() Settings {
-	return Settings{
-		InstanceCount: 1, Zone: "a",
-		Classes: []Class{
-			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
-			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 300 * ms, LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
-			{Name: "unsafe", Idempotency: NonIdempotent, DedupWindow: time.Second, LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
-		},
-		Plans: []Plan{
-			{Name: "hard", Rate: 20, Burst: 20, HardLimitRate: 25, HardLimitBurst: 24, HardLimitSlack: 1, PriorityFactor: 1},
-			{Name: "rate", Rate: 40, Burst: 40, PriorityFactor: 1},
-			{Name: "open", MaxInFlight: 6, PriorityFactor: 1},
-		},
-		ResponseSlack: 10 * ms, DrainGracePeriod: 200 * ms, SlowStartMinFraction: 0.2, SlowStartWindow: 8 * time.Second, ColdOverloadMultiple: 2,
-		ColdOverloadWindow: time.Second, MaxAttempts: 4, AllowsCancel: true, AllowsGossip: true, SendsRetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, GossipInboxRate: 60, MinEventInterval: ms,
-	}
-}
-
 func TestRulesHoldOnRandomSequences(t *testing.T) {
 	t.Parallel()
 	served, total := 0, 0
--- /dev/null
+++ b/policy/selection_test.go
@@ -0,0 +1,174 @@
+package policy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestDrainsAtOnce(t *testing.T) {
+	g, r := newGate(t, testSettings(), fleet(2)...)
+	g.EndpointsChanged(t0, EndpointsDelta, []Server{{ID: "s0", State: Draining}}, r)
+	q := newRequest(0, "safe", "rate", 1)
+	flood(g, r, t0, 20, q)
+	if r.count("send") == 0 {
+		t.Fatal("nothing sent")
+	}
+	for _, a := range r.acts {
+		if strings.HasSuffix(a, " s0") {
+			t.Fatalf("%q", a)
+		}
+	}
+	g.EndpointsChanged(t0, EndpointsComplete, nil, r)
+	r.acts = nil
+	if n := flood(g, r, t0, 5, q); n != 0 {
+		t.Errorf("%d sent to servers gone from the list", n)
+	}
+}
+
+// Of two servers alike, the silent, the failing, the slow, the cold and the full one costs more.
+func TestCostOfSymptoms(t *testing.T) {
+	for name, spoil := range map[string]func(*server){
+		"silent":    func(s *server) { s.seen = t0 - time.Second },
+		"failing":   func(s *server) { s.errs = 0.3 },
+		"slow":      func(s *server) { s.lat = 2 },
+		"cold":      func(s *server) { s.StartedAt = t0 - ms },
+		"queueing":  func(s *server) { s.queue = 3 },
+		"more out":  func(s *server) { s.out = 2 },
+		"was reset": func(s *server) { s.broke = t0 },
+	} {
+		g, _ := newGate(t, testSettings(), fleet(2)...)
+		a, b := g.servers[0], g.servers[1]
+		for _, s := range g.servers {
+			s.out, s.seen = 1, t0
+		}
+		g.lat[0].mean = 0.1
+		spoil(b)
+		if g.cost(b) < 1.3*g.cost(a) {
+			t.Errorf("%s: cost %v against %v", name, g.cost(b), g.cost(a))
+		}
+	}
+}
+
+// A server that fails fast must not draw traffic; the last one must not be ejected.
+func TestFastErrorsAreShunned(t *testing.T) {
+	g, r := newGate(t, testSettings(), fleet(4)...)
+	bad := 0
+	for i := 0; i < 400; i++ {
+		now := t0 + time.Duration(i)*20*ms
+		q := newRequest(i, "unsafe", "rate", uint64(i))
+		g.RequestReceived(now, q, r)
+		a := strings.Fields(r.last())
+		if a[0] == "send" && a[2] == "s0" {
+			bad++
+			g.AttemptCompleted(now+ms, AttemptResult{ID: q.ID, Result: ErrorResponse, Server: "s0", Latency: ms}, r)
+		} else {
+			g.AttemptCompleted(now+10*ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}, r)
+		}
+	}
+	if bad > 20 {
+		t.Errorf("%d of 400 requests went to the failing server", bad)
+	}
+	g.EndpointsChanged(t0+9*time.Second, EndpointsComplete, fleet(1), r)
+	g.RequestReceived(t0+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
+	if r.last() != "send r1000 s0" {
+		t.Errorf("the last server is not used: %q", r.last())
+	}
+}
+
+// Silence with work out counts as latency.
+func TestSilentServerIsAvoided(t *testing.T) {
+	g, r := newGate(t, testSettings(), fleet(2)...)
+	toSilent := 0
+	for i := 0; i < 200; i++ {
+		now := t0 + time.Duration(i)*20*ms
+		q := newRequest(i, "unsafe", "rate", uint64(i))
+		g.RequestReceived(now, q, r)
+		a := strings.Fields(r.last())
+		if a[0] == "send" && a[2] == "s0" {
+			toSilent++
+		} else {
+			g.AttemptCompleted(now+10*ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}, r)
+		}
+	}
+	if toSilent > 10 {
+		t.Errorf("%d of 200 requests went to the silent server", toSilent)
+	}
+}
+
+// Servers that are out must not use up the looks: the choice among the others would be blind.
+func TestOutServersTakeNoLook(t *testing.T) {
+	g, r := newGate(t, testSettings(), fleet(12)...)
+	g.set.InstanceCount = 6
+	for i := range 9 {
+		g.byID[fmt.Sprintf("s%d", i)].ejected = t0 + time.Hour
+	}
+	for _, id := range []string{"s9", "s10"} {
+		g.byID[id].out, g.byID[id].seen = 9, t0
+	}
+	blind := 0
+	for i := range 100 {
+		g.out, g.now = r, t0
+		if s := g.pick(&request{num: uint64(i)}); s.ID != "s11" {
+			blind++
+		}
+	}
+	if blind > 5 {
+		t.Errorf("%d of 100 went past the idle server of three", blind)
+	}
+}
+
+// Of two servers alike, one to which a connection stands is chosen.
+func TestStandingConnectionsFirst(t *testing.T) {
+	g, r := partGate(t)
+	g.now, g.out = t0+time.Second, r
+	for i, s := range g.near {
+		if i%2 == 0 {
+			s.conns, s.used = 1, g.now
+		}
+	}
+	stand := 0
+	for range 400 {
+		stand += b2i(g.pick(&request{Request: Request{ID: "x"}}).stands(g.now))
+	}
+	if stand < 260 {
+		t.Errorf("%d of 400 went where a connection stood, and to half of the part one does", stand)
+	}
+	s := g.near[0]
+	s.conns, s.used = 1, g.now-connKept
+	if s.stands(g.now) {
+		t.Error("a connection idle for long counts as standing")
+	}
+}
+
+// A request that is kept to a zone goes to its servers alone, and to none where it has none.
+func TestZoneOnly(t *testing.T) {
+	s := Settings{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans: []Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}}}
+	g, r := newGate(t, s, Server{ID: "x", Kind: "k", Zone: "a"}, Server{ID: "y", Kind: "k", Zone: "b"})
+	for i := range 20 {
+		q := newRequest(i, "a", "wide", 7)
+		q.Zone = []string{"a", "b", "c"}[i%3]
+		want := []string{"send " + q.ID + " x", "send " + q.ID + " y", "refuse " + q.ID}[i%3]
+		if g.RequestReceived(t0, q, r); r.last() != want {
+			t.Errorf("%s, want %s", r.last(), want)
+		}
+		g.AttemptCompleted(t0, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Latency: ms}, r)
+	}
+}
+
+func TestSubscribesWhereAsked(t *testing.T) {
+	s := testSettings()
+	s.PollsEndpoints = true
+	g, r := newGate(t, s)
+	if r.count("watch true") != 1 {
+		t.Fatalf("%q", r.acts)
+	}
+	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
+	last := r.timers[len(r.timers)-1]
+	g.TimerFired(t0+last.after, last.token, r)
+	if r.count("watch true") != 2 {
+		t.Errorf("no new subscription after an error: %q", r.acts)
+	}
+}
--- /dev/null
+++ b/policy/subset_test.go
@@ -0,0 +1,82 @@
+package policy
+
+import (
+	"strings"
+	"testing"
+)
+
+// partGate is gateway 5 of 300 over 170 servers, half of them in each of two zones.
+func partGate(t *testing.T) (*Engine, *recorder) {
+	t.Helper()
+	set := newFleet(1, 1, 2, 0.1).set
+	set.InstanceCount, set.InstanceIndex = 300, 5
+	set.Plans[0].HardLimitRate = 0
+	list := fleet(170)
+	for i := range list {
+		list[i].Zone = []string{"a", "b"}[i%2]
+	}
+	return newGate(t, set, list...)
+}
+
+// A keyed request that may have run at a server of zone a goes on only there, outside of the part if need be.
+func TestKeyedOutsideOfThePart(t *testing.T) {
+	g, r := partGate(t)
+	if g.whole() {
+		t.Fatal("the part is whole")
+	}
+	g.retries = 5
+	g.RequestReceived(t0, newRequest(1, "keyed", "kubwa", 1), r)
+	for _, a := range r.acts {
+		if strings.HasPrefix(a, "refuse") {
+			t.Fatal(a)
+		}
+	}
+	first := g.reqs["r1"].attempts[0].server
+	for _, s := range g.near {
+		if s.Zone == first.Zone {
+			s.lost = s != first
+			s.Server.State = map[bool]ServerState{true: Up, false: Draining}[s == first]
+		}
+	}
+	first.Server.State = Draining
+	g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: ErrorResponse, Server: first.ID}, r)
+	at := g.reqs["r1"].attempts
+	if len(at) != 2 || at[1].server.Zone != first.Zone || at[1].server.near {
+		t.Fatalf("%d attempts, the last at %+v", len(at), at[len(at)-1].server.Server)
+	}
+}
+
+// A part that has widened to all servers, since all seemed silent, shrinks again when they are not; so does that of a node
+// with more attempts out than its part has servers.
+func TestWidePartsShrink(t *testing.T) {
+	for _, why := range []string{"silent", "load"} {
+		g, r := partGate(t)
+		g.now, g.out = t0, r
+		narrow, widest := len(g.near), 0
+		step := func(pressed bool) {
+			g.now += probeEvery
+			for _, s := range g.servers {
+				s.lost = pressed && why == "silent"
+			}
+			if g.held = 0; pressed && why == "load" {
+				g.held = 8 * narrow
+			}
+			if g.widen() {
+				g.takePart()
+			}
+			widest = max(widest, len(g.near))
+		}
+		for range 100 {
+			step(true)
+		}
+		if want := map[string]int{"silent": 170, "load": 4 * narrow}[why]; widest < want {
+			t.Errorf("%s: the part grew from %d to %d servers, want %d", why, narrow, widest, want)
+		}
+		for range 600 {
+			step(false)
+		}
+		if len(g.near) != narrow {
+			t.Errorf("%s: a minute later the part has %d servers, not %d", why, len(g.near), narrow)
+		}
+	}
+}
