--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRefusals(t *testing.T) {
+func TestRejections(t *testing.T) {
 	tests := []struct {
 		name string
 		q    Request
@@ -18,42 +18,42 @@
 		{"no servers", newRequest(1, "safe", "rate", 1)},
 	}
 	for _, tt := range tests {
-		list := fleet(2)
+		list := testServers(2)
 		if tt.name == "no servers" {
 			list = nil
 		}
-		g, r := newGate(t, testSettings(), list...)
+		g, r := newEngine(t, testSettings(), list...)
 		g.RequestReceived(t0, tt.q, r)
-		if len(r.acts) != 1 || r.acts[0] != "refuse r1" {
-			t.Errorf("%s: %q", tt.name, r.acts)
+		if len(r.actions) != 1 || r.actions[0] != "refuse r1" {
+			t.Errorf("%s: %q", tt.name, r.actions)
 		}
 	}
 }
 
 // A try whose client leaves before answers usually come is refused at once.
-func TestShortPatienceIsRefused(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(4)...)
+func TestTimeoutBelowMeanLatencyIsRejected(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(4)...)
 	c := &g.latencies[g.classIndex["safe"]]
 	c.samples, c.mean, c.deviation = minBatchSamples, 0.2, 0.01
 	q := newRequest(1, "safe", "rate", 1)
 	q.Timeout = 100 * ms
 	g.RequestReceived(t0, q, r)
 	if r.count("refuse") != 1 {
-		t.Errorf("%v", r.acts)
+		t.Errorf("%v", r.actions)
 	}
 }
 
 // A try whose client has waited for longer than its class's aim gives way where the customer
 // asks for more than its quota, and only there: a store's units go to those that can still be
 // answered in time.
-func TestLateTriesGiveWay(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(9)...)
+func TestLateRequestsYieldQuotaToFreshOnes(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(9)...)
 	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
 	old := newRequest(0, "safe", "rate", 1)
 	old.Timeout -= aim + aim/10
 	send := func(n int, q Request, at time.Duration) bool {
 		q.ID = fmt.Sprint("t", n)
-		r.acts = nil
+		r.actions = nil
 		g.RequestReceived(at, q, r)
 		sent := r.count("send") == 1
 		if sent {
@@ -84,8 +84,8 @@
 }
 
 // What is held for a fresh try's wait follows what most tell, not the most that one tells.
-func TestOneLongWaitMakesNobodyLate(t *testing.T) {
-	g, _ := newGate(t, testSettings())
+func TestOneLongTimeoutMakesNoOtherLate(t *testing.T) {
+	g, _ := newEngine(t, testSettings())
 	for range 1000 {
 		g.isTooLate(0, time.Second)
 	}
@@ -96,11 +96,11 @@
 }
 
 // Deadlines: a request without an answer ends in time by its own timer.
-func TestOwnTimerAnswersInTime(t *testing.T) {
+func TestDeadlineTimerAnswersInTime(t *testing.T) {
 	for class, want := range map[string]string{"safe": "refuse r1", "keyed": "fail r1", "unsafe": "fail r1"} {
-		g, r := newGate(t, testSettings(), fleet(2)...)
+		g, r := newEngine(t, testSettings(), testServers(2)...)
 		g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
-		var due timerSet
+		var due timerRequest
 		for _, ts := range r.timers {
 			if ts.token&7 == timerDeadline {
 				due = ts
@@ -109,30 +109,30 @@
 		if due.after <= 0 || due.after >= 2*time.Second {
 			t.Fatalf("timer after %v", due.after)
 		}
-		r.acts = nil
+		r.actions = nil
 		g.TimerFired(t0+due.after, due.token, r)
 		if r.count(want) != 1 || r.count("cancel r1 0") != 1 {
-			t.Errorf("%s: %q", class, r.acts)
+			t.Errorf("%s: %q", class, r.actions)
 		}
 		g.TimerFired(t0+due.after, due.token, r)
 		g.AttemptCompleted(t0+due.after, AttemptResult{ID: "r1", Result: Cancelled}, r)
-		if len(r.acts) != 2 || len(g.requests) != 0 {
-			t.Errorf("%s: %q, %d requests kept", class, r.acts, len(g.requests))
+		if len(r.actions) != 2 || len(g.requests) != 0 {
+			t.Errorf("%s: %q, %d requests kept", class, r.actions, len(g.requests))
 		}
 	}
 }
 
-func TestStrayEventsAreIgnored(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(2)...)
+func TestUnknownEventsAreIgnored(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(2)...)
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
-	r.acts = nil
+	r.actions = nil
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
 	if g.requests["r1"] == nil || g.requests["r1"].inFlight != 1 {
 		t.Error("an attempt never made ended the request")
 	}
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Server: "s0"}, r)
-	r.acts = nil
+	r.actions = nil
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true}, r)
 	g.AttemptCompleted(t0, AttemptResult{ID: "none", Attempt: 9}, r)
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1}, r)
@@ -142,21 +142,21 @@
 	g.TimerFired(t0, 7, r)
 	g.HealthCheckCompleted(t0, "none", OK, &LoadReport{Utilization: 1}, r)
 	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
-	if len(r.acts) != 0 {
-		t.Errorf("%q", r.acts)
+	if len(r.actions) != 0 {
+		t.Errorf("%q", r.actions)
 	}
 }
 
 // A stream that has begun belongs to the client: no deadline, no cancel.
-func TestStreamIsLeftAlone(t *testing.T) {
+func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].IsStreaming = true
-	g, r := newGate(t, s, fleet(2)...)
+	g, r := newEngine(t, s, testServers(2)...)
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	g.ResponseStarted(t0+ms, "r1", 0, r)
-	r.acts = nil
+	r.actions = nil
 	g.TimerFired(t0+2*time.Second, 1<<timerBits|timerDeadline, r)
-	if len(r.acts) != 0 {
-		t.Errorf("%q", r.acts)
+	if len(r.actions) != 0 {
+		t.Errorf("%q", r.actions)
 	}
 }
--- a/policy/fleet_host_test.go
+++ b/policy/fleet_host_test.go
@@ -4,64 +4,64 @@
 	"time"
 )
 
-type fleetActs struct {
-	s    *fleetSim
-	gate int
-	life int
+type fleetHost struct {
+	sim         *fleetSim
+	engine      int
+	incarnation int
 }
 
-func (a *fleetActs) live() bool { return a.s.lives[a.gate] == a.life }
+func (a *fleetHost) isLive() bool { return a.sim.incarnations[a.engine] == a.incarnation }
 
-func (a *fleetActs) SendAttempt(id, server string, timeout time.Duration) {
-	s := a.s
-	r := s.reqs[id]
+func (a *fleetHost) SendAttempt(id, server string, timeout time.Duration) {
+	s := a.sim
+	r := s.requests[id]
 	b := s.byID[server]
 	n := len(r.attempts)
-	r.attempts = append(r.attempts, fleetAttempt{server: b, life: a.life, at: s.now})
+	r.attempts = append(r.attempts, fleetAttempt{server: b, incarnation: a.incarnation, sentAt: s.now})
 	if n == 0 {
-		s.total.wait += s.now - r.at
-		s.ledger.sent(s.now, r)
+		s.total.firstAttemptDelay += s.now - r.at
+		s.ledger.requestForwarded(s.now, r)
 	}
 	s.total.attempts++
-	if timeout <= 0 || timeout > r.ends-s.now {
-		timeout = r.ends - s.now
+	if timeout <= 0 || timeout > r.deadline-s.now {
+		timeout = r.deadline - s.now
 	}
-	l := s.link(a.gate, server)
-	l.out++
-	for len(l.idle) > 0 {
-		last := l.idle[len(l.idle)-1]
-		if l.idle = l.idle[:len(l.idle)-1]; s.now-last < fleetIdle && b != nil && !b.dead && (b.boot == 0 || last > b.boot) {
-			r.attempts[n].reused = true
+	l := s.pool(a.engine, server)
+	l.inUse++
+	for len(l.idleSince) > 0 {
+		last := l.idleSince[len(l.idleSince)-1]
+		if l.idleSince = l.idleSince[:len(l.idleSince)-1]; s.now-last < fleetIdleTimeout && b != nil && !b.isDown && (b.bootedAt == 0 || last > b.bootedAt) {
+			r.attempts[n].reusesConnection = true
 			break
 		}
 		if b != nil {
-			b.conns--
+			b.connections--
 		}
 	}
 	finish := func(res Result, took time.Duration) {
 		s.after(took, func() {
 			at := &r.attempts[n]
-			if at.done {
+			if at.isDone {
 				return
 			}
-			at.done = true
-			l.out--
-			if b != nil && (res == OK || res == RejectedByServer) && !b.dead && !at.cancel {
-				l.idle = append(l.idle, s.now)
+			at.isDone = true
+			l.inUse--
+			if b != nil && (res == OK || res == RejectedByServer) && !b.isDown && !at.isCancelled {
+				l.idleSince = append(l.idleSince, s.now)
 			} else if b != nil && res != ConnectFailed {
-				b.conns--
+				b.connections--
 			}
-			if res == OK && !r.done {
+			if res == OK && !r.isDone {
 				s.answer(r, true, 0)
 			}
-			if a.live() {
-				s.gates[a.gate].AttemptCompleted(s.now, AttemptResult{ID: id, Attempt: n, RequestAnswered: r.done, Result: res, Server: server, Latency: s.now - at.at, ConnectedAt: at.at}, a)
+			if a.isLive() {
+				s.engines[a.engine].AttemptCompleted(s.now, AttemptResult{ID: id, Attempt: n, RequestAnswered: r.isDone, Result: res, Server: server, Latency: s.now - at.sentAt, ConnectedAt: at.sentAt}, a)
 			}
 		})
 	}
-	if b == nil || b.dead {
-		s.total.noConn++
-		if b == nil || r.attempts[n].reused {
+	if b == nil || b.isDown {
+		s.total.connectionsFailed++
+		if b == nil || r.attempts[n].reusesConnection {
 			finish(TimedOut, timeout)
 		} else {
 			finish(ConnectFailed, min(timeout, 250*ms))
@@ -69,38 +69,38 @@
 		return
 	}
 	delay := ms
-	if !r.attempts[n].reused {
-		s.total.opened++
-		if b.conns >= b.cap {
-			s.total.noConn++
+	if !r.attempts[n].reusesConnection {
+		s.total.connectionsOpened++
+		if b.connections >= b.maxConnections {
+			s.total.connectionsFailed++
 			finish(ConnectFailed, ms)
 			return
 		}
-		b.conns++
-		delay += fleetShake
+		b.connections++
+		delay += connectTime
 		b.use(s, 0.0015)
 	}
-	boot := b.boot
+	boot := b.bootedAt
 	s.after(delay, func() {
 		at := &r.attempts[n]
-		if at.done {
+		if at.isDone {
 			return
 		}
-		if b.held >= fleetQueue {
-			b.full++
-			s.total.full++
+		if b.inFlight >= fleetQueue {
+			b.rejections++
+			s.total.serverRejections++
 			finish(RejectedByServer, ms)
 			return
 		}
-		b.held++
+		b.inFlight++
 		end := b.use(s, s.work(r.class))
 		s.after(end-s.now, func() {
-			b.held--
-			if b.boot == boot && !b.dead {
+			b.inFlight--
+			if b.bootedAt == boot && !b.isDown {
 				b.served++
 			}
 		})
-		if left := at.at + timeout - s.now; end-s.now > left || b.fallen {
+		if left := at.sentAt + timeout - s.now; end-s.now > left || b.isOverloaded {
 			finish(TimedOut, left)
 		} else {
 			finish(OK, end-s.now+ms)
@@ -108,59 +108,61 @@
 	})
 }
 
-func (a *fleetActs) RejectRequest(id string, d time.Duration) { a.s.answer(a.s.reqs[id], false, d) }
+func (a *fleetHost) RejectRequest(id string, d time.Duration) {
+	a.sim.answer(a.sim.requests[id], false, d)
+}
 
-func (a *fleetActs) FailRequest(id string) { a.s.answer(a.s.reqs[id], false, 0) }
+func (a *fleetHost) FailRequest(id string) { a.sim.answer(a.sim.requests[id], false, 0) }
 
-func (a *fleetActs) WatchEndpoints(bool) {}
+func (a *fleetHost) WatchEndpoints(bool) {}
 
-func (a *fleetActs) Log(string) {}
+func (a *fleetHost) Log(string) {}
 
-func (a *fleetActs) SetTimer(t uint64, d time.Duration) {
-	a.s.after(d, func() {
-		if a.live() {
-			a.s.gates[a.gate].TimerFired(a.s.now, t, a)
+func (a *fleetHost) SetTimer(t uint64, d time.Duration) {
+	a.sim.after(d, func() {
+		if a.isLive() {
+			a.sim.engines[a.engine].TimerFired(a.sim.now, t, a)
 		}
 	})
 }
 
-func (a *fleetActs) CancelAttempt(id string, n int) {
-	r := a.s.reqs[id]
+func (a *fleetHost) CancelAttempt(id string, n int) {
+	r := a.sim.requests[id]
 	at := &r.attempts[n]
-	if at.done {
+	if at.isDone {
 		return
 	}
-	at.done, at.cancel = true, true
-	a.s.link(a.gate, at.server.ID).out--
-	at.server.conns--
-	a.s.after(0, func() {
-		if a.live() {
-			a.s.gates[a.gate].AttemptCompleted(a.s.now, AttemptResult{ID: id, Attempt: n, RequestAnswered: r.done, Result: Cancelled, Server: at.server.ID, Latency: a.s.now - at.at}, a)
+	at.isDone, at.isCancelled = true, true
+	a.sim.pool(a.engine, at.server.ID).inUse--
+	at.server.connections--
+	a.sim.after(0, func() {
+		if a.isLive() {
+			a.sim.engines[a.engine].AttemptCompleted(a.sim.now, AttemptResult{ID: id, Attempt: n, RequestAnswered: r.isDone, Result: Cancelled, Server: at.server.ID, Latency: a.sim.now - at.sentAt}, a)
 		}
 	})
 }
 
-func (a *fleetActs) CheckHealth(server string) {
-	s, b := a.s, a.s.byID[server]
-	s.total.probes++
-	l := s.link(a.gate, server)
+func (a *fleetHost) CheckHealth(server string) {
+	s, b := a.sim, a.sim.byID[server]
+	s.total.healthChecks++
+	l := s.pool(a.engine, server)
 	res, took := OK, 4*ms
-	if b == nil || b.dead {
+	if b == nil || b.isDown {
 		res, took = ConnectFailed, 250*ms
-	} else if len(l.idle) == 0 {
-		if b.conns >= b.cap {
+	} else if len(l.idleSince) == 0 {
+		if b.connections >= b.maxConnections {
 			res = ConnectFailed
 		} else {
-			b.conns++
-			s.total.opened++
-			l.idle = append(l.idle, s.now)
+			b.connections++
+			s.total.connectionsOpened++
+			l.idleSince = append(l.idleSince, s.now)
 			b.use(s, 0.0015)
 		}
 	}
 	var load *LoadReport
 	if res == OK {
 		busy := 0.0
-		for _, f := range b.free {
+		for _, f := range b.coreFreeAt {
 			if f > s.now {
 				busy += 1.0 / fleetCores
 			}
@@ -171,28 +173,28 @@
 		for _, u := range b.reports {
 			util += u / 4
 		}
-		load = &LoadReport{InFlight: -1, Utilization: util, QueueLength: max(float64(b.held-fleetCores), 0)}
+		load = &LoadReport{InFlight: -1, Utilization: util, QueueLength: max(float64(b.inFlight-fleetCores), 0)}
 	}
 	s.after(took, func() {
-		if a.live() {
-			s.gates[a.gate].HealthCheckCompleted(s.now, server, res, load, a)
+		if a.isLive() {
+			s.engines[a.engine].HealthCheckCompleted(s.now, server, res, load, a)
 		}
 	})
 }
 
-func (a *fleetActs) SendGossip(peer int, m []byte) {
-	s := a.s
-	s.total.tells++
-	if s.deaf || s.rng.Float64() < s.loss {
+func (a *fleetHost) SendGossip(peer int, m []byte) {
+	s := a.sim
+	s.total.gossipMessages++
+	if s.dropsGossip || s.rng.Float64() < s.loss {
 		return
 	}
 	m = append([]byte(nil), m...)
-	hear := func() { s.gates[peer].GossipReceived(s.now, a.gate, m, s.acts[peer]) }
+	hear := func() { s.engines[peer].GossipReceived(s.now, a.engine, m, s.hosts[peer]) }
 	took := time.Duration(1+s.rng.IntN(30)) * ms
-	if s.spoilt && s.rng.Float64() < 0.05 {
+	if s.reordersGossip && s.rng.Float64() < 0.05 {
 		s.after(took+time.Duration(s.rng.IntN(300))*ms, hear)
 	}
-	if s.spoilt && s.rng.Float64() < 0.05 {
+	if s.reordersGossip && s.rng.Float64() < 0.05 {
 		took += time.Duration(s.rng.IntN(300)) * ms
 	}
 	s.after(took, hear)
--- a/policy/fleet_servers_test.go
+++ b/policy/fleet_servers_test.go
@@ -6,64 +6,64 @@
 )
 
 const (
-	fleetCores   = 2
-	fleetQueue   = 30
-	fleetIdle    = 30 * time.Second
-	fleetShake   = 3 * ms // until a new connection stands
-	fleetConfirm = 400 * ms
+	fleetCores       = 2
+	fleetQueue       = 30
+	fleetIdleTimeout = 30 * time.Second
+	connectTime      = 3 * ms // until a new connection stands
+	fleetConfirm     = 400 * ms
 )
 
-type booth struct {
+type simServer struct {
 	Server
-	n       int
-	free    [fleetCores]time.Duration // when each core is
-	held    int                       // requests
-	conns   int                       // connections
-	cap     int
-	boot    time.Duration // 0: long ago
-	dead    bool
-	served  int
-	sent    []time.Duration // work begun of late, while cold: at
-	work    []float64
-	fallen  bool
-	got     float64 // work in all
-	full    int
-	reports [4]float64 // busy share, of late
+	index          int
+	coreFreeAt     [fleetCores]time.Duration // when each core is
+	inFlight       int                       // requests
+	connections    int                       // connections
+	maxConnections int
+	bootedAt       time.Duration // 0: long ago
+	isDown         bool
+	served         int
+	warmupSentAt   []time.Duration // work begun of late, while cold: at
+	warmupWork     []float64
+	isOverloaded   bool
+	workReceived   float64 // work in all
+	rejections     int
+	reports        [4]float64 // busy share, of late
 }
 
-type link struct {
-	idle []time.Duration // since when
-	out  int
+type connectionPool struct {
+	idleSince []time.Duration // since when
+	inUse     int
 }
 
 // use takes work, in seconds of a warm core, and returns when it is done.
-func (b *booth) use(s *fleetSim, work float64) time.Duration {
+func (b *simServer) use(s *fleetSim, work float64) time.Duration {
 	warmth := 1.0
-	if b.boot > 0 {
-		warmth = min(s.set.SlowStartMinFraction+(1-s.set.SlowStartMinFraction)*float64(b.served)/200, 1)
+	if b.bootedAt > 0 {
+		warmth = min(s.settings.SlowStartMinFraction+(1-s.settings.SlowStartMinFraction)*float64(b.served)/200, 1)
 		// Rule 4: what was sent in a window against what the server could do in it.
-		b.sent, b.work = append(b.sent, s.now), append(b.work, work)
-		for s.now-b.sent[0] > s.set.ColdOverloadWindow {
-			b.sent, b.work = b.sent[1:], b.work[1:]
+		b.warmupSentAt, b.warmupWork = append(b.warmupSentAt, s.now), append(b.warmupWork, work)
+		for s.now-b.warmupSentAt[0] > s.settings.ColdOverloadWindow {
+			b.warmupSentAt, b.warmupWork = b.warmupSentAt[1:], b.warmupWork[1:]
 		}
 		sum := 0.0
-		for _, w := range b.work {
+		for _, w := range b.warmupWork {
 			sum += w
 		}
-		if can := fleetCores * warmth * s.set.ColdOverloadWindow.Seconds(); warmth < 1 && sum > s.set.ColdOverloadMultiple*can+0.5 && !b.fallen {
-			b.fallen = true
-			s.total.falls++
+		if can := fleetCores * warmth * s.settings.ColdOverloadWindow.Seconds(); warmth < 1 && sum > s.settings.ColdOverloadMultiple*can+0.5 && !b.isOverloaded {
+			b.isOverloaded = true
+			s.total.serversOverloaded++
 		}
 	}
-	b.got += work
+	b.workReceived += work
 	core := 0
-	for c := range b.free {
-		if b.free[c] < b.free[core] {
+	for c := range b.coreFreeAt {
+		if b.coreFreeAt[c] < b.coreFreeAt[core] {
 			core = c
 		}
 	}
-	b.free[core] = max(b.free[core], s.now) + time.Duration(work/warmth*float64(time.Second))
-	return b.free[core]
+	b.coreFreeAt[core] = max(b.coreFreeAt[core], s.now) + time.Duration(work/warmth*float64(time.Second))
+	return b.coreFreeAt[core]
 }
 
 func (s *fleetSim) work(class string) float64 {
@@ -74,40 +74,40 @@
 	return mean * s.rng.ExpFloat64()
 }
 
-func (s *fleetSim) link(gate int, server string) *link {
-	l := s.links[gate][server]
+func (s *fleetSim) pool(gate int, server string) *connectionPool {
+	l := s.pools[gate][server]
 	if l == nil {
-		l = &link{}
-		s.links[gate][server] = l
+		l = &connectionPool{}
+		s.pools[gate][server] = l
 	}
 	return l
 }
 
 // add brings a server; one that is cold has just started.
 func (s *fleetSim) add(cold bool) {
-	k := len(s.booths)
-	b := &booth{n: k, cap: 200, Server: Server{ID: fmt.Sprintf("s-%04x", s.rng.IntN(1<<16)*1000+k), Kind: "k", Weight: 1, Zone: []string{"a", "b"}[k%2], Cell: k % 7}}
+	k := len(s.servers)
+	b := &simServer{index: k, maxConnections: 200, Server: Server{ID: fmt.Sprintf("s-%04x", s.rng.IntN(1<<16)*1000+k), Kind: "k", Weight: 1, Zone: []string{"a", "b"}[k%2], Cell: k % 7}}
 	if cold {
-		b.boot, b.StartedAt = s.now, s.now
+		b.bootedAt, b.StartedAt = s.now, s.now
 	}
-	s.booths = append(s.booths, b)
+	s.servers = append(s.servers, b)
 	s.byID[b.ID] = b
 }
 
 func (s *fleetSim) list() (l []Server) {
-	for _, b := range s.booths {
-		if !b.dead {
+	for _, b := range s.servers {
+		if !b.isDown {
 			l = append(l, b.Server)
 		}
 	}
 	return l
 }
 
-func (s *fleetSim) tellList() {
-	for i := range s.gates {
+func (s *fleetSim) sendEndpoints() {
+	for i := range s.engines {
 		s.after(s.listDelay+time.Duration(s.rng.IntN(700))*ms, func() {
-			if s.lives[i] >= 0 {
-				s.gates[i].EndpointsChanged(s.now, EndpointsComplete, s.list(), s.acts[i])
+			if s.incarnations[i] >= 0 {
+				s.engines[i].EndpointsChanged(s.now, EndpointsComplete, s.list(), s.hosts[i])
 			}
 		})
 	}
@@ -117,24 +117,24 @@
 func (s *fleetSim) replaceServers(n int, within time.Duration) {
 	for k := range n {
 		s.after(within*time.Duration(k)/time.Duration(n), func() {
-			b := s.booths[k]
+			b := s.servers[k]
 			b.State = Draining
 			s.add(true)
-			s.booths[len(s.booths)-1].Zone = b.Zone
-			s.after(2*time.Second, func() { b.dead = true })
+			s.servers[len(s.servers)-1].Zone = b.Zone
+			s.after(2*time.Second, func() { b.isDown = true })
 		})
 	}
 	for at := time.Duration(0); at < within+3*time.Second; at += 300 * ms {
-		s.after(at, s.tellList)
+		s.after(at, s.sendEndpoints)
 	}
 }
 
 func (s *fleetSim) loseZone(zone string, d time.Duration) {
-	for _, b := range s.booths {
-		if b.Zone == zone && !b.dead {
-			b.dead, b.conns = true, 0
-			s.after(d, func() { b.dead, b.boot, b.StartedAt, b.served = false, s.now, s.now, 0 })
+	for _, b := range s.servers {
+		if b.Zone == zone && !b.isDown {
+			b.isDown, b.connections = true, 0
+			s.after(d, func() { b.isDown, b.bootedAt, b.StartedAt, b.served = false, s.now, s.now, 0 })
 		}
 	}
-	s.after(d+ms, s.tellList)
+	s.after(d+ms, s.sendEndpoints)
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -13,9 +13,9 @@
 
 // recorder keeps actions as text.
 type recorder struct {
-	acts   []string
-	timers []timerSet
-	tells  map[int][][]byte
+	actions []string
+	timers  []timerRequest
+	gossip  map[int][][]byte
 }
 
 func (r *recorder) SendAttempt(id, server string, d time.Duration) { r.add("send %s %s", id, server) }
@@ -27,7 +27,7 @@
 func (r *recorder) CancelAttempt(id string, n int) { r.add("cancel %s %d", id, n) }
 
 func (r *recorder) SetTimer(token uint64, d time.Duration) {
-	r.timers = append(r.timers, timerSet{token, d})
+	r.timers = append(r.timers, timerRequest{token, d})
 }
 
 func (r *recorder) CheckHealth(server string) { r.add("probe %s", server) }
@@ -37,17 +37,17 @@
 func (r *recorder) Log(string) {}
 
 func (r *recorder) SendGossip(p int, m []byte) {
-	if r.tells == nil {
-		r.tells = map[int][][]byte{}
+	if r.gossip == nil {
+		r.gossip = map[int][][]byte{}
 	}
-	r.tells[p] = append(r.tells[p], append([]byte(nil), m...))
+	r.gossip[p] = append(r.gossip[p], append([]byte(nil), m...))
 }
 
-func (r *recorder) add(f string, a ...any) { r.acts = append(r.acts, fmt.Sprintf(f, a...)) }
+func (r *recorder) add(f string, a ...any) { r.actions = append(r.actions, fmt.Sprintf(f, a...)) }
 
 func (r *recorder) count(prefix string) int {
 	n := 0
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if strings.HasPrefix(a, prefix) {
 			n++
 		}
@@ -56,18 +56,18 @@
 }
 
 func (r *recorder) last() string {
-	if len(r.acts) == 0 {
+	if len(r.actions) == 0 {
 		return ""
 	}
-	return r.acts[len(r.acts)-1]
+	return r.actions[len(r.actions)-1]
 }
 
-type timerSet struct {
+type timerRequest struct {
 	token uint64
 	after time.Duration
 }
 
-func newGate(t *testing.T, s Settings, servers ...Server) (*Engine, *recorder) {
+func newEngine(t *testing.T, s Settings, servers ...Server) (*Engine, *recorder) {
 	t.Helper()
 	g, err := New(s, 1)
 	if err != nil {
@@ -79,20 +79,36 @@
 	return g, r
 }
 
+// newInstance returns one of several instances that share each customer's quota.
+func newInstance(t *testing.T, index, count int) (*Engine, *recorder) {
+	t.Helper()
+	s := testSettings()
+	s.InstanceIndex, s.InstanceCount = index, count
+	return newEngine(t, s, testServers(4)...)
+}
+
+// newSharedRequest returns an idempotent request of a customer whose traffic is spread over several instances.
+func newSharedRequest(plan string, customer uint64, instances int) Request {
+	q := newRequest(0, "safe", plan, customer)
+	q.InstanceCount = instances
+	return q
+}
+
+// newRequest returns a request of one unit, of a customer that comes in through one instance alone.
 func newRequest(n int, class, plan string, customer uint64) Request {
 	return Request{ID: fmt.Sprintf("r%d", n), Class: class, Plan: plan, Customer: customer,
 		Timeout: 2 * time.Second, Units: 1, InstanceCount: 1}
 }
 
-func fleet(n int) (list []Server) {
+func testServers(n int) (list []Server) {
 	for i := 0; i < n; i++ {
 		list = append(list, Server{ID: fmt.Sprintf("s%d", i), Kind: "k", Zone: "a", Cell: 1})
 	}
 	return list
 }
 
-// flood offers n requests of one customer at once and returns how many were sent.
-func flood(g *Engine, r *recorder, now time.Duration, n int, q Request) int {
+// offerRequests offers n requests of one customer at once and returns how many were sent.
+func offerRequests(g *Engine, r *recorder, now time.Duration, n int, q Request) int {
 	before := r.count("send")
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Customer, now, i)
@@ -103,15 +119,15 @@
 	return r.count("send") - before
 }
 
-// answer gives an OK to each request that is out.
-func answer(g *Engine, r *recorder, now, took time.Duration, res Result) {
-	for _, a := range r.acts {
+// completeAttempts gives an OK to each request that is out.
+func completeAttempts(g *Engine, r *recorder, now, took time.Duration, res Result) {
+	for _, a := range r.actions {
 		var id, server string
 		if n, _ := fmt.Sscanf(a, "send %s %s", &id, &server); n == 2 {
 			g.AttemptCompleted(now, AttemptResult{ID: id, Result: res, Server: server, RequestAnswered: res == OK, Latency: took}, r)
 		}
 	}
-	r.acts = nil
+	r.actions = nil
 }
 
 func testSettings() Settings {
@@ -133,29 +149,31 @@
 	}
 }
 
-func probing() Settings {
+func healthCheckSettings() Settings {
 	s := testSettings()
 	s.AllowsHealthChecks, s.LoadReports = true, LoadReportsInHealthChecks
 	return s
 }
 
-type event struct {
-	at  time.Duration
-	n   int
-	run func()
+type simEvent struct {
+	at    time.Duration
+	order int
+	run   func()
 }
 
-type queue []event
+type simQueue []simEvent
 
-func (q queue) Len() int { return len(q) }
+func (q simQueue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n }
+func (q simQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+}
 
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q simQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *simQueue) Push(x any) { *q = append(*q, x.(simEvent)) }
 
-func (q *queue) Pop() any {
+func (q *simQueue) Pop() any {
 	x := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return x
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -8,8 +8,8 @@
 )
 
 // A refused connection ejects at once, for longer each time, and an answer ends it.
-func TestEjectionGrows(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(2)...)
+func TestEjectionTimeDoubles(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(2)...)
 	s := g.serverByID["s0"]
 	q := &request{}
 	var last time.Duration
@@ -34,16 +34,16 @@
 
 // A server that is silent to a probe and to all else since gets no request until it answers
 // one; an answer that came meanwhile tells that it lives.
-func TestSilentServerIsOutUntilItAnswers(t *testing.T) {
-	g, r := newGate(t, probing(), fleet(2)...)
+func TestUnresponsiveServerIsOutUntilItAnswers(t *testing.T) {
+	g, r := newEngine(t, healthCheckSettings(), testServers(2)...)
 	s, now := g.serverByID["s0"], t0
 	sentTo := func(id string) (n int) {
 		for i := range 30 {
 			now += 50 * ms
-			r.acts = nil
+			r.actions = nil
 			g.RequestReceived(now, newRequest(int(now/ms), "safe", "rate", uint64(i)), r)
 			n += r.count(fmt.Sprintf("send r%d %s", now/ms, id))
-			answer(g, r, now, ms, OK)
+			completeAttempts(g, r, now, ms, OK)
 		}
 		return n
 	}
@@ -71,20 +71,20 @@
 }
 
 // Probes reach all servers in turn, though the choice of a server shuffles them.
-func TestProbesReachAllInTurn(t *testing.T) {
-	g, r := newGate(t, probing(), fleet(10)...)
+func TestHealthChecksRotate(t *testing.T) {
+	g, r := newEngine(t, healthCheckSettings(), testServers(10)...)
 	probes := map[string]int{}
 	for i := range 200 {
 		now := t0 + time.Duration(i)*5*ms
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
-		answer(g, r, now, ms, OK)
+		completeAttempts(g, r, now, ms, OK)
 		if i%10 == 9 {
 			g.overload.fleetMeans[meanForwarded] = 2
 			g.TimerFired(now, timerSample, r)
 			for id := range g.serverByID {
 				probes[id] += r.count("probe " + id)
 			}
-			r.acts = nil
+			r.actions = nil
 		}
 	}
 	for id := range g.serverByID {
@@ -98,11 +98,11 @@
 // at once, shows the process up. What failed before that is still in doubt.
 func TestFailedConnectionIsChecked(t *testing.T) {
 	fail := func(g *Engine, r *recorder, n int, at time.Duration) {
-		r.acts = nil
+		r.actions = nil
 		g.RequestReceived(at, newRequest(n, "unsafe", "rate", uint64(n)), r)
 		g.AttemptCompleted(at, AttemptResult{ID: fmt.Sprint("r", n), Result: ConnectFailed, Server: "s0"}, r)
 	}
-	g, r := newGate(t, probing(), fleet(1)...)
+	g, r := newEngine(t, healthCheckSettings(), testServers(1)...)
 	s := g.servers[0]
 	fail(g, r, 1, t0)
 	if r.count("probe s0") != 1 || g.capacityFraction(s) == 1 {
@@ -121,7 +121,7 @@
 		t.Error("warm after a later probe's answer: the process may have started since")
 	}
 
-	g, r = newGate(t, testSettings(), fleet(1)...)
+	g, r = newEngine(t, testSettings(), testServers(1)...)
 	s = g.servers[0]
 	for i := range 2 * maxConnectFailures {
 		s.recordConnectFailure(t0 + time.Duration(i+1)*ms)
@@ -140,8 +140,8 @@
 
 // One gateway that says that all servers are silent changes nothing. Two put no server out: a probe goes to each, and
 // no more than half of the part is passed over for it.
-func TestNotesOfServers(t *testing.T) {
-	g, r := partGate(t)
+func TestSuspicionNeedsTwoPeers(t *testing.T) {
+	g, r := newSubsetEngine(t)
 	g.now = t0 + 10*time.Second
 	say := func(from int, up bool) {
 		for _, s := range g.servers {
@@ -194,8 +194,8 @@
 
 // A zone that falls silent gets no more requests as soon as two of its servers have failed, though the gateway has met none of the others,
 // and the bound counts without it; one answer from any of them brings it back.
-func TestAZoneThatFallsSilent(t *testing.T) {
-	g, r := partGate(t)
+func TestUnresponsiveZone(t *testing.T) {
+	g, r := newSubsetEngine(t)
 	g.now = t0 + 10*time.Second
 	g.actions = r
 	var in [2][]*server
@@ -252,8 +252,8 @@
 }
 
 // A silent server's turn to be probed comes earlier.
-func TestSilentServersAreProbedEarlier(t *testing.T) {
-	g, r := partGate(t)
+func TestUnresponsiveServersAreCheckedEarlier(t *testing.T) {
+	g, r := newSubsetEngine(t)
 	g.now, g.actions = t0+10*time.Second, r
 	for _, s := range g.subset {
 		s.lastHealthCheckAt = g.now - time.Second
@@ -263,6 +263,6 @@
 	g.healthCheckCredit = 1
 	g.runSample()
 	if r.count(want) != 1 {
-		t.Errorf("%v, want %s", r.acts, want)
+		t.Errorf("%v, want %s", r.actions, want)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -8,7 +8,7 @@
 )
 
 // ARO: full refusals drive f down, calm brings it back, and the throttle is even.
-func TestOverloadControl(t *testing.T) {
+func TestAdmitFractionFollowsOccupancy(t *testing.T) {
 	a := overloadController{admitFraction: 1}
 	for i := 0; i < 50; i++ {
 		a.sent[a.sampleIndex()] = 10
@@ -29,10 +29,10 @@
 }
 
 // Work that piles up unanswered must be bounded before latencies tell of it.
-func TestPiledUpWorkIsRefused(t *testing.T) {
+func TestQueuedWorkIsBounded(t *testing.T) {
 	s := testSettings()
 	s.Plans[1].Burst = 1e6
-	g, r := newGate(t, s, fleet(4)...)
+	g, r := newEngine(t, s, testServers(4)...)
 	sent := 0
 	for i := 0; i < 200; i++ {
 		g.RequestReceived(t0+time.Duration(i)*ms, newRequest(i, "safe", "rate", 1), r)
@@ -46,12 +46,12 @@
 }
 
 // The bound on piled-up work must not refuse the first second after a start.
-func TestRateIsKnownSoonAfterStart(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(4)...)
+func TestResponseRateIsKnownSoonAfterStart(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(4)...)
 	for i := 0; i < 200; i++ {
 		now := t0 + time.Duration(i)*ms
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
-		answer(g, r, now, ms, OK)
+		completeAttempts(g, r, now, ms, OK)
 		if i%100 == 99 {
 			g.TimerFired(now, timerSample, r)
 		}
@@ -62,8 +62,8 @@
 }
 
 // Attempts stuck at one silent server must not read as a jam of all.
-func TestOldAttemptsDoNotCountInThePool(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(4)...)
+func TestOldAttemptsDoNotCountAsInFlight(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(4)...)
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
 	if n, _, _ := g.attemptAges(youngAttemptFraction); n != 1 {
@@ -77,8 +77,8 @@
 
 // Attempts that a server leaves unanswered for good, while it answers others, are no work that waits: those past
 // their aim must not keep new requests out. A server held for lost has its own taken off already.
-func TestOverdueAttemptsAreNoJam(t *testing.T) {
-	g, r := newGate(t, probing(), fleet(2)...)
+func TestOverdueAttemptsAreNotOverload(t *testing.T) {
+	g, r := newEngine(t, healthCheckSettings(), testServers(2)...)
 	for i := 0; !g.isOverloaded(g.classIndex["safe"], "", 1); i++ {
 		g.RequestReceived(t0, newRequest(i, "safe", "rate", uint64(i)), r)
 	}
@@ -96,8 +96,8 @@
 }
 
 // Attempts at silent servers wait for nothing that the others do.
-func TestSilentServersAreNoJam(t *testing.T) {
-	g, _ := newGate(t, probing(), fleet(2)...)
+func TestUnresponsiveServersAreNotOverload(t *testing.T) {
+	g, _ := newEngine(t, healthCheckSettings(), testServers(2)...)
 	g.serverByID["s0"].inFlight, g.inFlight = 9, 9
 	if !g.isOverloaded(0, "", 1) {
 		t.Fatal("9 attempts out at two servers are no jam")
@@ -110,9 +110,9 @@
 
 // What a jam may leave out at least follows the servers that are alive, each as warm as it
 // is, not the list, which tells of a lost hall seconds late.
-func TestLeastWorkOutFollowsServersAlive(t *testing.T) {
+func TestMinInFlightFollowsResponsiveServers(t *testing.T) {
 	const n = 12
-	g, _ := newGate(t, probing(), fleet(n)...)
+	g, _ := newEngine(t, healthCheckSettings(), testServers(n)...)
 	most := func() (out int) {
 		for g.inFlight = 0; !g.isOverloaded(0, "", 1); g.inFlight++ {
 		}
@@ -141,9 +141,9 @@
 
 // Where few attempts are out, the mean that tells chance from a jam comes seconds late: a
 // burst that can't be chance must not wait for it.
-func TestBurstIsNotLetInWhole(t *testing.T) {
+func TestBurstIsPartlyRejected(t *testing.T) {
 	const n = 4
-	g, r := newGate(t, testSettings(), fleet(n)...)
+	g, r := newEngine(t, testSettings(), testServers(n)...)
 	g.gossipRate = 10
 	for i := range 200 {
 		q := newRequest(i, "safe", "rate", uint64(i))
@@ -156,8 +156,8 @@
 }
 
 // An attempt at a server that says nothing is no work that waits; one at a server that answers others is.
-func TestSilentAttemptsAreNoWork(t *testing.T) {
-	g, r := partGate(t)
+func TestUnansweredAttemptsAreNotLoad(t *testing.T) {
+	g, r := newSubsetEngine(t)
 	g.latencies[0] = classLatency{mean: 0.05, samples: 100}
 	quiet, busy := g.subset[0], g.subset[1]
 	for i, s := range []*server{quiet, busy} {
@@ -176,8 +176,8 @@
 }
 
 // Once any server has reported, latencies stand for no report: they would outweigh the reports, and read too low.
-func TestReportsAloneTellTheOccupancy(t *testing.T) {
-	g, r := partGate(t)
+func TestLoadReportsAloneSetOccupancy(t *testing.T) {
+	g, r := newSubsetEngine(t)
 	g.now, g.actions = t0, r
 	g.recordLoadReport(g.subset[0], &LoadReport{InFlight: -1, QueueLength: 0, Utilization: 0.9})
 	for i := range 50 {
@@ -193,10 +193,10 @@
 }
 
 // A gateway that has just started tells no means of its own, and takes the first that it hears as they are.
-func TestMeansAfterAHerd(t *testing.T) {
-	fresh, _ := partGate(t)
+func TestFleetMeansAfterMassRestart(t *testing.T) {
+	fresh, _ := newSubsetEngine(t)
 	fresh.overload.mergeMeans(1, [fleetMeanCount]float64{0.01, 0.02, 0.1, 0.1, 0.1})
-	old, _ := partGate(t)
+	old, _ := newSubsetEngine(t)
 	old.overload.hasPeerMeans = true
 	means := [fleetMeanCount]float64{0.5, 1, 2, 0.75, 1.25}
 	old.overload.fleetMeans = means
@@ -216,7 +216,7 @@
 	if tell(old, fresh); !fresh.overload.hasMeans() {
 		t.Error("it has heard means and does not know them")
 	}
-	alone, _ := partGate(t)
+	alone, _ := newSubsetEngine(t)
 	for range minMeanSamples {
 		alone.overload.closeSample(1, 1)
 	}
@@ -227,8 +227,8 @@
 
 // The bound on work out counts what servers are left by the part: the others are held to be as those are, not to be well because
 // they are never met.
-func TestTheBoundCountsServersByThePart(t *testing.T) {
-	g, _ := partGate(t)
+func TestInFlightBoundScalesWithSubset(t *testing.T) {
+	g, _ := newSubsetEngine(t)
 	g.now = t0 + 10*time.Second
 	if _, n := g.reachableInFlight(); n != 170 {
 		t.Errorf("%v of 170 servers in reach", n)
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// wideGate is a gateway of a fleet of 300, whose sets are so wide that holders are asked.
-func wideGate(t *testing.T, me int) (*Engine, *recorder) {
-	s := wideSettings()
+// newOwnerEngine is a gateway of a fleet of 300, whose sets are so wide that holders are asked.
+func newOwnerEngine(t *testing.T, me int) (*Engine, *recorder) {
+	s := ownerSettings()
 	s.InstanceIndex = me
-	return newGate(t, s, fleet(4)...)
+	return newEngine(t, s, testServers(4)...)
 }
 
-func wideSettings() Settings {
+func ownerSettings() Settings {
 	s := testSettings()
 	s.InstanceCount, s.AllowsGossip, s.GossipInboxRate = 300, true, 40
 	return s
 }
 
-// wideRequest is of a customer that comes in through the gateways 10 to 109.
-func wideRequest(n int, customer uint64) Request {
+// ownerRequest is of a customer that comes in through the gateways 10 to 109.
+func ownerRequest(n int, customer uint64) Request {
 	q := newRequest(n, "safe", "rate", customer)
 	q.InstanceCount, q.FirstInstance = 100, 10
 	return q
 }
 
 // Tells to a hundred gateways come seconds late: the customer's holder is asked, and its answer decides.
-func TestHolderIsAsked(t *testing.T) {
+func TestOwnerIsAsked(t *testing.T) {
 	const customer = 77
-	member, r := wideGate(t, 10)
-	q := wideRequest(1, customer)
+	member, r := newOwnerEngine(t, 10)
+	q := ownerRequest(1, customer)
 	member.RequestReceived(t0, q, r)
 	holder := member.ownerFor(member.quotas[customer])
-	if !member.isCustomerInstance(holder, q.FirstInstance, q.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.tells[holder] == nil {
-		t.Fatalf("holder %d, actions %v", holder, r.acts)
+	if !member.isCustomerInstance(holder, q.FirstInstance, q.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.gossip[holder] == nil {
+		t.Fatalf("holder %d, actions %v", holder, r.actions)
 	}
-	h, hr := wideGate(t, holder)
-	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
-	member.GossipReceived(t0+20*ms, holder, hr.tells[10][0], r)
+	h, hr := newOwnerEngine(t, holder)
+	h.GossipReceived(t0, 10, r.gossip[holder][0], hr)
+	member.GossipReceived(t0+20*ms, holder, hr.gossip[10][0], r)
 	if r.count("send") != 1 {
-		t.Errorf("not sent after a grant: %v", r.acts)
+		t.Errorf("not sent after a grant: %v", r.actions)
 	}
 	// An answer that comes again, from another gateway, or to a number unknown changes nothing.
-	r.acts = nil
+	r.actions = nil
 	for _, from := range []int{holder, 11, -1, 300} {
-		member.GossipReceived(t0+30*ms, from, hr.tells[10][0], r)
+		member.GossipReceived(t0+30*ms, from, hr.gossip[10][0], r)
 	}
-	if len(r.acts) != 0 {
-		t.Errorf("%v", r.acts)
+	if len(r.actions) != 0 {
+		t.Errorf("%v", r.actions)
 	}
 }
 
 // A client that leaves while its holder is asked has its units given back once they are granted; nothing is sent on. Where they
 // are refused, or no answer comes, nothing is given back, and nothing is kept of the request.
-func TestClientLeavesWhileItsHolderIsAsked(t *testing.T) {
+func TestClientDisconnectsDuringQuotaRequest(t *testing.T) {
 	const customer = 77
 	for name, answer := range map[string]func(num uint64) []byte{
 		"granted": func(num uint64) []byte { return (&Engine{}).encodeQuotaResponse(num, true, 0, 1) },
@@ -62,21 +62,21 @@
 		"silent":  nil,
 	} {
 		t.Run(name, func(t *testing.T) {
-			member, r := wideGate(t, 10)
-			member.RequestReceived(t0, wideRequest(1, customer), r)
+			member, r := newOwnerEngine(t, 10)
+			member.RequestReceived(t0, ownerRequest(1, customer), r)
 			holder, num := member.ownerFor(member.quotas[customer]), member.requests["r1"].number
 			member.ClientDisconnected(t0+10*ms, "r1", r)
-			r.tells = nil
+			r.gossip = nil
 			if answer != nil {
 				member.GossipReceived(t0+20*ms, holder, answer(num), r)
 			}
 			member.TimerFired(t0+ownerTimeout, num<<timerBits|timerOwnerTimeout, r)
 			member.GossipReceived(t0+ownerTimeout, holder, (&Engine{}).encodeQuotaResponse(num, true, 0, 1), r) // doubled, or too late
 			if r.count("send") != 0 || len(member.requests)+len(member.requestByNumber) != 0 {
-				t.Errorf("sent on, or %d requests kept: %v", len(member.requests)+len(member.requestByNumber), r.acts)
+				t.Errorf("sent on, or %d requests kept: %v", len(member.requests)+len(member.requestByNumber), r.actions)
 			}
 			var backs []quotaMessage
-			for _, m := range r.tells[holder] {
+			for _, m := range r.gossip[holder] {
 				if b, ok := member.decodeQuotaMessage(m); ok && b.kind == kindQuotaReturn {
 					backs = append(backs, b)
 				}
@@ -89,47 +89,47 @@
 }
 
 // A request whose holder is not waited for, having said nothing of late, is not kept for an answer once it has its own.
-func TestNoWaitForASilentHolder(t *testing.T) {
+func TestNoWaitForUnresponsiveOwner(t *testing.T) {
 	const customer = 77
-	g, r := wideGate(t, 10)
+	g, r := newOwnerEngine(t, 10)
 	g.quotaFor(customer, g.planIndex["rate"], 100, 10).grantFraction = 0 // what was heard last: nothing is granted
 	for n := range maxOwnerTimeouts + 1 {
-		g.RequestReceived(t0, wideRequest(n, customer), r)
+		g.RequestReceived(t0, ownerRequest(n, customer), r)
 		for num := range g.requestByNumber {
 			g.TimerFired(t0, num<<timerBits|timerOwnerTimeout, r)
 		}
 	}
 	if r.count("refuse") != maxOwnerTimeouts+1 || len(r.timers) < maxOwnerTimeouts {
-		t.Fatalf("not refused without waiting: %v", r.acts)
+		t.Fatalf("not refused without waiting: %v", r.actions)
 	}
-	g.RequestReceived(t0, wideRequest(maxOwnerTimeouts+1, customer), r)
+	g.RequestReceived(t0, ownerRequest(maxOwnerTimeouts+1, customer), r)
 	if len(g.requests)+len(g.requestByNumber) != 0 {
 		t.Errorf("%d requests are kept", len(g.requestByNumber))
 	}
 }
 
 // All members together must not be granted more than the store holds.
-func TestHolderGrantsItsStoreOnce(t *testing.T) {
+func TestOwnerGrantsItsTokensOnce(t *testing.T) {
 	const customer = 77
-	first, r := wideGate(t, 10)
-	first.RequestReceived(t0, wideRequest(1, customer), r)
+	first, r := newOwnerEngine(t, 10)
+	first.RequestReceived(t0, ownerRequest(1, customer), r)
 	holder := first.ownerFor(first.quotas[customer])
-	h, hr := wideGate(t, holder)
+	h, hr := newOwnerEngine(t, holder)
 	sent := 0.0
 	for me := 10; me < 110; me++ {
 		if me == holder {
 			continue
 		}
-		g, r := wideGate(t, me)
+		g, r := newOwnerEngine(t, me)
 		if g.ownerFor(g.quotaFor(customer, g.planIndex["rate"], 100, 10)) != holder {
 			continue // another part of the holder's
 		}
 		for n := 0; n < 4; n++ {
-			r.tells, hr.tells = nil, nil
-			g.RequestReceived(t0, wideRequest(n, customer), r)
-			if r.tells != nil { // else refused of late
-				h.GossipReceived(t0, me, r.tells[holder][0], hr)
-				g.GossipReceived(t0, holder, hr.tells[me][0], r)
+			r.gossip, hr.gossip = nil, nil
+			g.RequestReceived(t0, ownerRequest(n, customer), r)
+			if r.gossip != nil { // else refused of late
+				h.GossipReceived(t0, me, r.gossip[holder][0], hr)
+				g.GossipReceived(t0, holder, hr.gossip[me][0], r)
 			}
 		}
 		sent += float64(r.count("send"))
@@ -141,22 +141,22 @@
 
 // A calm day's asks must not look like a flood: a member refused by a holder whose inbox is a third full comes back as soon as the
 // store has filled, not in the seconds after which it would be its turn if all members asked in vain.
-func TestRefusedMembersComeBackSoon(t *testing.T) {
+func TestRejectedMembersRetrySoon(t *testing.T) {
 	wait := func(inbox float64) time.Duration {
-		member, r := wideGate(t, 10)
-		member.RequestReceived(t0, wideRequest(1, 77), r)
+		member, r := newOwnerEngine(t, 10)
+		member.RequestReceived(t0, ownerRequest(1, 77), r)
 		to := member.ownerFor(member.quotas[77])
-		h, hr := wideGate(t, to)
+		h, hr := newOwnerEngine(t, to)
 		h.gossipRate = inbox
 		h.quotaFor(77, h.planIndex["rate"], 100, 10).tokens = 0
-		h.GossipReceived(t0, 10, r.tells[to][0], hr)
-		member.GossipReceived(t0, to, hr.tells[10][0], r)
+		h.GossipReceived(t0, 10, r.gossip[to][0], hr)
+		member.GossipReceived(t0, to, hr.gossip[10][0], r)
 		if r.count("refuse") != 1 {
-			t.Fatalf("%v", r.acts)
+			t.Fatalf("%v", r.actions)
 		}
 		return member.quotas[77].rejectedUntil - t0
 	}
-	p := wideSettings().Plans
+	p := ownerSettings().Plans
 	one := time.Duration(0)
 	for i := range p {
 		if p[i].Name == "rate" {
@@ -172,8 +172,8 @@
 }
 
 // A customer stays crowded for as long as its store takes to fill in two tries, which may be more than a second.
-func TestSlowStoresStayCrowded(t *testing.T) {
-	h, _ := wideGate(t, 10)
+func TestSlowQuotasStayContended(t *testing.T) {
+	h, _ := newOwnerEngine(t, 10)
 	h.settings.Plans[h.planIndex["rate"]].Rate = 0.5
 	st := h.quotaFor(77, h.planIndex["rate"], 100, 10)
 	if st.tokens = 0; !st.usesOwner {
@@ -187,29 +187,29 @@
 
 // A holder gives no units of a customer whose tries it has to refuse to one that comes too late for its aim; the
 // member that sent it may go on asking for others.
-func TestHoldersRefuseLateTries(t *testing.T) {
-	member, r := wideGate(t, 10)
+func TestOwnersRejectLateRequests(t *testing.T) {
+	member, r := newOwnerEngine(t, 10)
 	ask := func(n int, late bool, at time.Duration) bool {
-		q := wideRequest(n, 77)
+		q := ownerRequest(n, 77)
 		member.latencies[member.classIndex["safe"]].firstTryTimeout = q.Timeout
 		if late {
 			q.Timeout -= member.settings.Classes[member.classIndex["safe"]].LatencyObjective * 3 / 2
 		}
-		r.tells = nil
+		r.gossip = nil
 		member.RequestReceived(at, q, r)
 		to := member.ownerFor(member.quotas[77])
-		if r.tells[to] == nil {
-			t.Fatalf("try %d was not asked for: %v", n, r.acts)
+		if r.gossip[to] == nil {
+			t.Fatalf("try %d was not asked for: %v", n, r.actions)
 		}
-		h, hr := wideGate(t, to)
+		h, hr := newOwnerEngine(t, to)
 		st := h.quotaFor(77, h.planIndex["rate"], 100, 10)
 		st.tokens, st.contendedUntil = 5, at+time.Second
 		if n == 0 {
 			st.contendedUntil = 0
 		}
-		h.GossipReceived(at, 10, r.tells[to][0], hr)
+		h.GossipReceived(at, 10, r.gossip[to][0], hr)
 		sent := r.count("send")
-		member.GossipReceived(at, to, hr.tells[10][0], r)
+		member.GossipReceived(at, to, hr.gossip[10][0], r)
 		if r.count("send") == sent {
 			return false
 		}
@@ -231,31 +231,31 @@
 }
 
 // A holder that is down must cost a wait, not the customer.
-func TestUnansweredAskGoesByTheShareGranted(t *testing.T) {
+func TestOwnerTimeoutUsesGrantFraction(t *testing.T) {
 	for _, pass := range []float64{0, 1} {
-		g, r := wideGate(t, 10)
+		g, r := newOwnerEngine(t, 10)
 		g.quotaFor(77, g.planIndex["rate"], 100, 10).grantFraction = pass
-		g.RequestReceived(t0, wideRequest(1, 77), r)
+		g.RequestReceived(t0, ownerRequest(1, 77), r)
 		g.TimerFired(t0+ownerTimeout, g.lastRequestNumber<<timerBits|timerOwnerTimeout, r)
 		if got := r.count("send"); got != int(pass) || r.count("refuse") != 1-got {
-			t.Errorf("share %v: %v", pass, r.acts)
+			t.Errorf("share %v: %v", pass, r.actions)
 		}
 	}
 }
 
 // An ask for a customer whose set lacks the sender or the receiver changes nothing, nor does a malformed one.
-func TestBadAsksChangeNothing(t *testing.T) {
-	member, r := wideGate(t, 10)
-	member.RequestReceived(t0, wideRequest(1, 77), r)
-	good := r.tells[member.ownerFor(member.quotas[77])][0]
+func TestInvalidQuotaRequestsChangeNothing(t *testing.T) {
+	member, r := newOwnerEngine(t, 10)
+	member.RequestReceived(t0, ownerRequest(1, 77), r)
+	good := r.gossip[member.ownerFor(member.quotas[77])][0]
 	for _, c := range []struct{ me, from int }{{5, 10}, {20, 5}, {20, 250}} {
-		g, r := wideGate(t, c.me)
+		g, r := newOwnerEngine(t, c.me)
 		g.GossipReceived(t0, c.from, good, r)
-		if len(g.quotas) != 0 || len(r.tells) != 0 {
-			t.Errorf("%+v: %d stores, %d answers", c, len(g.quotas), len(r.tells))
+		if len(g.quotas) != 0 || len(r.gossip) != 0 {
+			t.Errorf("%+v: %d stores, %d answers", c, len(g.quotas), len(r.gossip))
 		}
 	}
-	g, gr := wideGate(t, 20)
+	g, gr := newOwnerEngine(t, 20)
 	for n := 0; n < len(good); n++ {
 		g.GossipReceived(t0, 10, good[:n], gr)
 	}
@@ -266,10 +266,10 @@
 }
 
 // Rule 5: the parts of a ceiling over all gateways of a set must not sum to more than the whole.
-func TestPartsOfACeilingSumToTheWhole(t *testing.T) {
+func TestHardLimitFractionsSumToOne(t *testing.T) {
 	burst, rate := 0.0, 0.0
 	for me := 10; me < 110; me++ {
-		g, _ := wideGate(t, me)
+		g, _ := newOwnerEngine(t, me)
 		st := g.quotaFor(77, g.planIndex["rate"], 100, 10)
 		burst, rate = burst+st.burstFraction, rate+st.rateFraction
 	}
@@ -280,21 +280,21 @@
 
 // A place under an open cap must be free again soon, also where the answer to the ask was lost, and a refusal
 // must not keep the customer out for longer than an ask takes.
-func TestPlacesUnderACapComeBack(t *testing.T) {
-	member, r := wideGate(t, 10)
-	q := wideRequest(1, 77)
+func TestInFlightLeasesAreReleased(t *testing.T) {
+	member, r := newOwnerEngine(t, 10)
+	q := ownerRequest(1, 77)
 	q.Plan = "open"
 	member.RequestReceived(t0, q, r)
 	holder := member.ownerFor(member.quotas[77])
-	h, hr := wideGate(t, holder)
-	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
+	h, hr := newOwnerEngine(t, holder)
+	h.GossipReceived(t0, 10, r.gossip[holder][0], hr)
 	if n := len(h.quotas[77].leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
-	r.tells = nil
+	r.gossip = nil
 	member.TimerFired(t0+ownerTimeout, member.lastRequestNumber<<timerBits|timerOwnerTimeout, r)
-	answer(member, r, t0+ownerTimeout+50*ms, 50*ms, OK)
-	for _, m := range r.tells[holder] {
+	completeAttempts(member, r, t0+ownerTimeout+50*ms, 50*ms, OK)
+	for _, m := range r.gossip[holder] {
 		h.GossipReceived(t0+200*ms, 10, m, hr)
 	}
 	if n := len(h.quotas[77].leases); n != 0 {
@@ -307,24 +307,24 @@
 }
 
 // Rule 5: a holder that has just started must not grant what one before it may have spent.
-func TestNewHolderGrantsNoCeiling(t *testing.T) {
-	member, r := wideGate(t, 10)
-	q := wideRequest(1, 77)
+func TestNewOwnerGrantsNoHardLimitTokens(t *testing.T) {
+	member, r := newOwnerEngine(t, 10)
+	q := ownerRequest(1, 77)
 	q.Plan = "hard"
 	member.RequestReceived(t0, q, r)
 	holder := member.ownerFor(member.quotas[77])
-	h, hr := wideGate(t, holder)
-	h.GossipReceived(t0, 10, r.tells[holder][0], hr)
-	member.GossipReceived(t0+ms, holder, hr.tells[10][0], r)
+	h, hr := newOwnerEngine(t, holder)
+	h.GossipReceived(t0, 10, r.gossip[holder][0], hr)
+	member.GossipReceived(t0+ms, holder, hr.gossip[10][0], r)
 	if r.count("send") != 0 {
-		t.Errorf("%v", r.acts)
+		t.Errorf("%v", r.actions)
 	}
 }
 
 // Rule 1: a request that waits for its holder longer than its client must be answered in time.
-func TestWaitingRequestIsAnswered(t *testing.T) {
-	g, r := wideGate(t, 10)
-	q := wideRequest(1, 77)
+func TestRequestAwaitingOwnerIsAnswered(t *testing.T) {
+	g, r := newOwnerEngine(t, 10)
+	q := ownerRequest(1, 77)
 	q.Timeout = 30 * ms
 	g.RequestReceived(t0, q, r)
 	for _, s := range r.timers {
@@ -333,30 +333,30 @@
 		}
 	}
 	if r.count("refuse") != 1 {
-		t.Errorf("%v", r.acts)
+		t.Errorf("%v", r.actions)
 	}
 }
 
 // Units that were sent without their holder's answer are taken from the store once, whether the ask or its answer was lost.
-func TestUnitsSentWithoutAnAnswerCount(t *testing.T) {
+func TestUnitsSentWithoutResponseAreCharged(t *testing.T) {
 	for _, lost := range []string{"ask", "answer"} {
-		member, r := wideGate(t, 10)
-		member.RequestReceived(t0, wideRequest(1, 77), r)
+		member, r := newOwnerEngine(t, 10)
+		member.RequestReceived(t0, ownerRequest(1, 77), r)
 		to := member.ownerFor(member.quotas[77])
-		holder, hr := wideGate(t, to)
+		holder, hr := newOwnerEngine(t, to)
 		if lost == "answer" {
-			holder.GossipReceived(t0+ms, 10, r.tells[to][0], hr)
+			holder.GossipReceived(t0+ms, 10, r.gossip[to][0], hr)
 		}
 		for _, timer := range r.timers {
 			if timer.token&(1<<timerBits-1) == timerOwnerTimeout {
 				member.TimerFired(t0+ownerTimeout, timer.token, r)
 			}
 		}
-		if len(r.tells[to]) != 2 || r.count("send") != 1 {
-			t.Fatalf("%s lost: %d messages, %v", lost, len(r.tells[to]), r.acts)
+		if len(r.gossip[to]) != 2 || r.count("send") != 1 {
+			t.Fatalf("%s lost: %d messages, %v", lost, len(r.gossip[to]), r.actions)
 		}
 		for range 3 {
-			holder.GossipReceived(t0+ms, 10, r.tells[to][1], hr)
+			holder.GossipReceived(t0+ms, 10, r.gossip[to][1], hr)
 		}
 		st := holder.quotas[77]
 		p := &holder.settings.Plans[st.plan]
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,67 +5,56 @@
 	"time"
 )
 
-func TestStoreSpendsItsShareBetweenTells(t *testing.T) {
-	s := testSettings()
-	s.InstanceCount = 2
-	g, r := newGate(t, s, fleet(4)...)
-	q := newRequest(0, "safe", "rate", 1)
-	q.InstanceCount = 2
+func TestQuotaSpendsItsFractionBetweenBroadcasts(t *testing.T) {
+	g, r := newInstance(t, 0, 2)
+	q := newSharedRequest("rate", 1, 2)
 	// A new store holds 40/2; half of it may be spent before the next tell.
-	if n := flood(g, r, t0, 50, q); n != 10 {
+	if n := offerRequests(g, r, t0, 50, q); n != 10 {
 		t.Errorf("%d sent before the first tell, want 10", n)
 	}
 	g.TimerFired(t0, timerGossip, r)
-	if n := flood(g, r, t0, 50, q); n != 5 {
+	if n := offerRequests(g, r, t0, 50, q); n != 5 {
 		t.Errorf("%d sent before the second tell, want 5", n)
 	}
 }
 
 // A split store smaller than a request must not starve its customer.
-func TestSmallStoreGivesOneRequest(t *testing.T) {
+func TestSmallQuotaAdmitsOneRequest(t *testing.T) {
 	s := testSettings()
 	s.InstanceCount, s.Plans[1].Rate, s.Plans[1].Burst = 3, 0.5, 2
-	g, r := newGate(t, s, fleet(4)...)
-	q := newRequest(0, "safe", "rate", 1)
-	q.InstanceCount = 3
+	g, r := newEngine(t, s, testServers(4)...)
+	q := newSharedRequest("rate", 1, 3)
 	now := t0 + 4*time.Second
-	if n := flood(g, r, now, 5, q); n != 1 {
+	if n := offerRequests(g, r, now, 5, q); n != 1 {
 		t.Errorf("%d sent, want 1", n)
 	}
 }
 
 // A customer refused of late must not get one request from each gateway as soon as one is free.
-func TestCrowdedCustomerWaitsForItsShare(t *testing.T) {
-	s := testSettings()
-	s.InstanceCount = 3
-	g, r := newGate(t, s, fleet(4)...)
-	q := newRequest(0, "safe", "rate", 1)
-	q.InstanceCount = 3
-	flood(g, r, t0, 30, q)
+func TestContendedCustomerWaitsForItsFraction(t *testing.T) {
+	g, r := newInstance(t, 0, 3)
+	q := newSharedRequest("rate", 1, 3)
+	offerRequests(g, r, t0, 30, q)
 	g.quotas[1].tokens = 1.5
 	g.TimerFired(t0, timerGossip, r)
-	if n := flood(g, r, t0+ms, 5, q); n != 0 {
+	if n := offerRequests(g, r, t0+ms, 5, q); n != 0 {
 		t.Errorf("%d sent with units for one gateway of three", n)
 	}
-	if n := flood(g, r, t0+60*ms, 5, q); n != 1 {
+	if n := offerRequests(g, r, t0+60*ms, 5, q); n != 1 {
 		t.Errorf("%d sent with units for all, want 1", n)
 	}
 }
 
 // The cap on attempts open at once counts what peers told.
-func TestOpenCapCountsPeers(t *testing.T) {
-	s := testSettings()
-	s.InstanceCount = 2
-	a, ra := newGate(t, s, fleet(4)...)
-	q := newRequest(0, "safe", "open", 1)
-	q.InstanceCount = 2
-	sentA := flood(a, ra, t0, 9, q)
+func TestInFlightLimitCountsPeers(t *testing.T) {
+	a, ra := newInstance(t, 0, 2)
+	q := newSharedRequest("open", 1, 2)
+	sentA := offerRequests(a, ra, t0, 9, q)
 	a.TimerFired(t0, timerGossip, ra)
-	s.InstanceIndex = 1
-	b, rb := newGate(t, s, fleet(4)...)
-	b.GossipReceived(t0, 0, ra.tells[1][0], rb)
+	b, rb := newInstance(t, 1, 2)
+	b.GossipReceived(t0, 0, ra.gossip[1][0], rb)
 	for i := 0; i < 9; i++ {
-		flood(b, rb, t0, 9, q)
+		offerRequests(b, rb, t0, 9, q)
 		b.TimerFired(t0, timerGossip, rb)
 	}
 	if got := sentA + rb.count("send"); sentA == 0 || got < 5 || got > 6 {
@@ -74,14 +63,14 @@
 }
 
 // Rule 5: a gateway that just started may be the successor of one that spent its part.
-func TestCeilingStartsEmpty(t *testing.T) {
+func TestHardLimitStartsEmpty(t *testing.T) {
 	s := testSettings()
-	g, r := newGate(t, s, fleet(4)...)
+	g, r := newEngine(t, s, testServers(4)...)
 	q := newRequest(0, "safe", "hard", 1)
-	if n := flood(g, r, t0, 30, q); n != 0 {
+	if n := offerRequests(g, r, t0, 30, q); n != 0 {
 		t.Errorf("%d sent at the start", n)
 	}
-	if n := flood(g, r, t0+200*ms, 30, q); n != 5 {
+	if n := offerRequests(g, r, t0+200*ms, 30, q); n != 5 {
 		t.Errorf("%d sent after 200 ms at 25 a second, want 5", n)
 	}
 }
@@ -90,7 +79,7 @@
 func TestSettledUnits(t *testing.T) {
 	s := testSettings()
 	s.SettlesUnits = true
-	g, r := newGate(t, s, fleet(2)...)
+	g, r := newEngine(t, s, testServers(2)...)
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Units: 4}, r)
 	if got := g.quotas[1].tokens; got != 36 {
@@ -99,12 +88,12 @@
 }
 
 // Customers seen once must not fill the memory.
-func TestFloodOfCustomersIsForgotten(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(4)...)
+func TestIdleQuotasAreDropped(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(4)...)
 	for i := 0; i < 20000; i++ {
 		now := t0 + time.Duration(i)*ms
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
-		answer(g, r, now, ms, OK)
+		completeAttempts(g, r, now, ms, OK)
 		if i%100 == 0 {
 			g.TimerFired(now, timerSample, r)
 		}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,7 +6,7 @@
 )
 
 // What may follow each outcome, by the effect of the class: rule 2.
-func TestAfterEachOutcome(t *testing.T) {
+func TestActionAfterEachAttemptResult(t *testing.T) {
 	mayRun := map[Result]bool{OK: true, ErrorResponse: true, TimedOut: true, ConnectionReset: true, Cancelled: true}
 	for res := OK; res <= NotSent; res++ {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
@@ -16,11 +16,11 @@
 				if inGroup {
 					other.Zone = "a"
 				}
-				g, r := newGate(t, testSettings(), first)
+				g, r := newEngine(t, testSettings(), first)
 				g.retryTokens = 5
 				g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
 				g.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r)
-				r.acts = nil
+				r.actions = nil
 				g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0", RequestAnswered: res == OK}, r)
 				again := res != OK && res != NotSent && (!mayRun[res] || class == "safe" || class == "keyed" && inGroup)
 				want := "send r1 s1"
@@ -40,8 +40,8 @@
 	}
 }
 
-func TestKeyedNotSentAfterItsWindow(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(3)...)
+func TestNoRetryAfterDedupWindow(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(3)...)
 	g.retryTokens = 5
 	g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
 	g.AttemptCompleted(t0+300*ms, AttemptResult{ID: "r1", Result: ConnectionReset}, r)
@@ -51,7 +51,7 @@
 }
 
 // Its window counts to the repeat's arrival, which a connection that comes up late puts off.
-func TestKeyedArrivesInItsWindow(t *testing.T) {
+func TestRetryArrivesWithinDedupWindow(t *testing.T) {
 	for connect, want := range map[time.Duration]int{0: 2, 150 * ms: 1} {
 		set := testSettings()
 		set.ConnectTimeout = connect
@@ -60,27 +60,27 @@
 				set.Classes[i].DedupWindow, set.Classes[i].DedupScope = 300*ms, DedupAllServers
 			}
 		}
-		g, r := newGate(t, set, fleet(2)...)
+		g, r := newEngine(t, set, testServers(2)...)
 		g.retryTokens = 5
 		g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
 		first := r.last()
 		g.AttemptCompleted(t0+200*ms, AttemptResult{ID: "r1", Result: ConnectionReset, Server: first[len(first)-2:]}, r)
 		if got := r.count("send"); got != want {
-			t.Errorf("connections within %v: sent %d times, want %d: %v", connect, got, want, r.acts)
+			t.Errorf("connections within %v: sent %d times, want %d: %v", connect, got, want, r.actions)
 		}
 	}
 }
 
 // A second copy counts as out: it must not take a capped customer's last places.
-func TestNoSecondCopyNearTheCap(t *testing.T) {
+func TestNoHedgingNearInFlightLimit(t *testing.T) {
 	for plan, want := range map[string]int{"rate": 1, "open": 0} {
 		s := testSettings()
 		s.AllowsHedging = true
 		s.Plans[2].MaxInFlight = 2
-		g, r := newGate(t, s, fleet(4)...)
+		g, r := newEngine(t, s, testServers(4)...)
 		g.retryTokens = 5
 		g.RequestReceived(t0, newRequest(1, "safe", plan, 1), r)
-		r.acts = nil
+		r.actions = nil
 		g.TimerFired(t0+ms, g.lastRequestNumber<<timerBits|timerHedge, r)
 		if n := r.count("send"); n != want {
 			t.Errorf("%s: %d second copies, want %d", plan, n, want)
@@ -89,11 +89,11 @@
 }
 
 // One attempt at a time where the site has it so.
-func TestNoSecondCopyWhereForbidden(t *testing.T) {
+func TestNoHedgingWhereNotAllowed(t *testing.T) {
 	for _, parallel := range []bool{false, true} {
 		s := testSettings()
 		s.AllowsHedging = parallel
-		g, r := newGate(t, s, fleet(2)...)
+		g, r := newEngine(t, s, testServers(2)...)
 		g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 		if got := g.mayAttempt(g.requests["r1"], g.servers[0]); got != parallel {
 			t.Errorf("parallel %v: second copy %v", parallel, got)
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-func TestDrainsAtOnce(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(2)...)
+func TestDrainingServerGetsNoRequests(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(2)...)
 	g.EndpointsChanged(t0, EndpointsDelta, []Server{{ID: "s0", State: Draining}}, r)
 	q := newRequest(0, "safe", "rate", 1)
-	flood(g, r, t0, 20, q)
+	offerRequests(g, r, t0, 20, q)
 	if r.count("send") == 0 {
 		t.Fatal("nothing sent")
 	}
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if strings.HasSuffix(a, " s0") {
 			t.Fatalf("%q", a)
 		}
 	}
 	g.EndpointsChanged(t0, EndpointsComplete, nil, r)
-	r.acts = nil
-	if n := flood(g, r, t0, 5, q); n != 0 {
+	r.actions = nil
+	if n := offerRequests(g, r, t0, 5, q); n != 0 {
 		t.Errorf("%d sent to servers gone from the list", n)
 	}
 }
 
 // Of two servers alike, the silent, the failing, the slow, the cold and the full one costs more.
-func TestCostOfSymptoms(t *testing.T) {
+func TestServerCostRisesWithSymptoms(t *testing.T) {
 	for name, spoil := range map[string]func(*server){
 		"silent":    func(s *server) { s.lastProgressAt = t0 - time.Second },
 		"failing":   func(s *server) { s.failureRate = 0.3 },
@@ -38,7 +38,7 @@
 		"more out":  func(s *server) { s.inFlight = 2 },
 		"was reset": func(s *server) { s.connectFailedAt = t0 },
 	} {
-		g, _ := newGate(t, testSettings(), fleet(2)...)
+		g, _ := newEngine(t, testSettings(), testServers(2)...)
 		a, b := g.servers[0], g.servers[1]
 		for _, s := range g.servers {
 			s.inFlight, s.lastProgressAt = 1, t0
@@ -52,8 +52,8 @@
 }
 
 // A server that fails fast must not draw traffic; the last one must not be ejected.
-func TestFastErrorsAreShunned(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(4)...)
+func TestFastFailingServerIsAvoided(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(4)...)
 	bad := 0
 	for i := 0; i < 400; i++ {
 		now := t0 + time.Duration(i)*20*ms
@@ -70,7 +70,7 @@
 	if bad > 20 {
 		t.Errorf("%d of 400 requests went to the failing server", bad)
 	}
-	g.EndpointsChanged(t0+9*time.Second, EndpointsComplete, fleet(1), r)
+	g.EndpointsChanged(t0+9*time.Second, EndpointsComplete, testServers(1), r)
 	g.RequestReceived(t0+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
 	if r.last() != "send r1000 s0" {
 		t.Errorf("the last server is not used: %q", r.last())
@@ -78,8 +78,8 @@
 }
 
 // Silence with work out counts as latency.
-func TestSilentServerIsAvoided(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(2)...)
+func TestUnresponsiveServerIsAvoided(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(2)...)
 	toSilent := 0
 	for i := 0; i < 200; i++ {
 		now := t0 + time.Duration(i)*20*ms
@@ -98,8 +98,8 @@
 }
 
 // Servers that are out must not use up the looks: the choice among the others would be blind.
-func TestOutServersTakeNoLook(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(12)...)
+func TestEjectedServersUseNoCandidateSlot(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(12)...)
 	g.settings.InstanceCount = 6
 	for i := range 9 {
 		g.serverByID[fmt.Sprintf("s%d", i)].ejectedUntil = t0 + time.Hour
@@ -120,8 +120,8 @@
 }
 
 // Of two servers alike, one to which a connection stands is chosen.
-func TestStandingConnectionsFirst(t *testing.T) {
-	g, r := partGate(t)
+func TestIdleConnectionsArePreferred(t *testing.T) {
+	g, r := newSubsetEngine(t)
 	g.now, g.actions = t0+time.Second, r
 	for i, s := range g.subset {
 		if i%2 == 0 {
@@ -143,10 +143,10 @@
 }
 
 // A request that is kept to a zone goes to its servers alone, and to none where it has none.
-func TestZoneOnly(t *testing.T) {
+func TestRequestRestrictedToZone(t *testing.T) {
 	s := Settings{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
 		Plans: []Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}}}
-	g, r := newGate(t, s, Server{ID: "x", Kind: "k", Zone: "a"}, Server{ID: "y", Kind: "k", Zone: "b"})
+	g, r := newEngine(t, s, Server{ID: "x", Kind: "k", Zone: "a"}, Server{ID: "y", Kind: "k", Zone: "b"})
 	for i := range 20 {
 		q := newRequest(i, "a", "wide", 7)
 		q.Zone = []string{"a", "b", "c"}[i%3]
@@ -158,17 +158,17 @@
 	}
 }
 
-func TestSubscribesWhereAsked(t *testing.T) {
+func TestWatchesEndpointsWhenPolling(t *testing.T) {
 	s := testSettings()
 	s.PollsEndpoints = true
-	g, r := newGate(t, s)
+	g, r := newEngine(t, s)
 	if r.count("watch true") != 1 {
-		t.Fatalf("%q", r.acts)
+		t.Fatalf("%q", r.actions)
 	}
 	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
 	last := r.timers[len(r.timers)-1]
 	g.TimerFired(t0+last.after, last.token, r)
 	if r.count("watch true") != 2 {
-		t.Errorf("no new subscription after an error: %q", r.acts)
+		t.Errorf("no new subscription after an error: %q", r.actions)
 	}
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -28,13 +28,13 @@
 
 // A class that leaves the table takes no new request and keeps those under way; its place goes to a new one
 // only when they have ended, and one that stays keeps what was learned.
-func TestClassesChange(t *testing.T) {
+func TestSetClasses(t *testing.T) {
 	class := func(name string, aim time.Duration) Class {
 		return Class{Name: name, LatencyObjective: aim, Deadline: 2 * time.Second, PriorityWeight: 1}
 	}
 	s := Settings{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{class("a", time.Second), class("b", time.Second)},
 		Plans: []Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}}}
-	g, r := newGate(t, s, fleet(4)...)
+	g, r := newEngine(t, s, testServers(4)...)
 	g.RequestReceived(t0, newRequest(1, "a", "wide", 7), r)
 	if got := r.last(); !strings.HasPrefix(got, "send") {
 		t.Fatal(got)
@@ -82,11 +82,11 @@
 }
 
 // A plan's new figures, and a customer's move to another plan, leave what was spent spent.
-func TestPlansChange(t *testing.T) {
+func TestSetPlans(t *testing.T) {
 	s := Settings{InstanceCount: 2, MaxAttempts: 3, AllowsGossip: true, Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
 		Plans: []Plan{{Name: "small", Rate: 10, Burst: 40}, {Name: "large", Rate: 20, Burst: 100, HardLimitRate: 40, HardLimitBurst: 120}}}
 	now := t0
-	g, r := newGate(t, s, fleet(40)...)
+	g, r := newEngine(t, s, testServers(40)...)
 	now += time.Hour // full
 	ask := func(n int, plan string, units float64) string {
 		q := newRequest(n, "a", plan, 7)
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -8,7 +8,7 @@
 
 // Rule 4: all gateways together must keep a cold server within the budget, also when there are hundreds that
 // each would send it one request, when nothing is known of its size, and when all servers are cold.
-func TestColdServerIsSpared(t *testing.T) {
+func TestWarmingServerStaysWithinBudget(t *testing.T) {
 	for _, n := range []int{1, 3, 300} {
 		s := testSettings()
 		s.InstanceCount = n
@@ -23,7 +23,7 @@
 			g.Start(t0, r)
 			g.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "cold", Kind: "k", Zone: "a", StartedAt: t0 - ms}}, r)
 			for at := time.Duration(0); at < s.ColdOverloadWindow; at += 50 * ms {
-				sent += flood(g, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
+				sent += offerRequests(g, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
 			}
 			work = float64(sent) * g.expectedWork(0)
 		}
@@ -38,24 +38,24 @@
 
 // A connection that does not come up may mean a restart that the list tells later. One that
 // broke does not: connections break one by one as well, and all servers would count as cold.
-func TestRefusedConnectionCountsAsStart(t *testing.T) {
+func TestRefusedConnectionStartsWarmUp(t *testing.T) {
 	for res, cold := range map[Result]bool{ConnectFailed: true, ConnectionReset: false, ErrorResponse: false} {
-		g, r := newGate(t, testSettings(), fleet(1)...)
+		g, r := newEngine(t, testSettings(), testServers(1)...)
 		g.RequestReceived(t0, newRequest(1, "unsafe", "rate", 1), r)
 		g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0"}, r)
 		if got := g.capacityFraction(g.servers[0]) < 1; got != cold {
 			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
 		}
-		r.acts = nil
-		if n := flood(g, r, t0+2*ms, 30, newRequest(0, "safe", "rate", 2)); cold && n > 1 {
+		r.actions = nil
+		if n := offerRequests(g, r, t0+2*ms, 30, newRequest(0, "safe", "rate", 2)); cold && n > 1 {
 			t.Errorf("%d sent after the refused connection, want 1 at most", n)
 		}
 	}
 }
 
 // A cold server is its holders' to warm up: others would add to what these send, which is all that it can bear.
-func TestColdOutsideOfThePart(t *testing.T) {
-	g, _ := partGate(t)
+func TestNoWarmupBudgetOutsideSubset(t *testing.T) {
+	g, _ := newSubsetEngine(t)
 	for _, s := range g.servers {
 		s.StartedAt = t0 - 100*ms
 		if s.warmupBudget = 100; !s.inSubset && g.hasWarmupBudget(s, 0) {
@@ -66,8 +66,8 @@
 
 // Part of the servers is new and cold: what may be sent there is sent there, before warm servers get it, and look-ups that look in don't cut off
 // what has been saved for bookings, which are heavier.
-func TestColdServersOfAPartGetWhatTheyMay(t *testing.T) {
-	g, r := partGate(t)
+func TestWarmingServersOfSubsetGetTheirBudget(t *testing.T) {
+	g, r := newSubsetEngine(t)
 	g.now, g.actions, g.warmRate = t0+10*time.Second, r, 0.1
 	light, heavy := 0, 1
 	g.settings.Classes = append([]Class{}, g.settings.Classes[:2]...)
@@ -114,8 +114,8 @@
 
 // What a cold server may be sent is shared out among those that have it in their part: they do all the work of a warm one,
 // and no others take of it. Where nothing is known that is a second's work a second over them all.
-func TestHoldersShareARamp(t *testing.T) {
-	g, _ := partGate(t)
+func TestSubsetHoldersShareWarmupBudget(t *testing.T) {
+	g, _ := newSubsetEngine(t)
 	g.now = t0 + time.Second
 	held := map[string]int{}
 	for node := range g.settings.InstanceCount {
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -5,28 +5,28 @@
 	"testing"
 )
 
-// partGate is gateway 5 of 300 over 170 servers, half of them in each of two zones.
-func partGate(t *testing.T) (*Engine, *recorder) {
+// newSubsetEngine is gateway 5 of 300 over 170 servers, half of them in each of two zones.
+func newSubsetEngine(t *testing.T) (*Engine, *recorder) {
 	t.Helper()
-	set := newFleet(1, 1, 2, 0.1).set
+	set := newFleet(1, 1, 2, 0.1).settings
 	set.InstanceCount, set.InstanceIndex = 300, 5
 	set.Plans[0].HardLimitRate = 0
-	list := fleet(170)
+	list := testServers(170)
 	for i := range list {
 		list[i].Zone = []string{"a", "b"}[i%2]
 	}
-	return newGate(t, set, list...)
+	return newEngine(t, set, list...)
 }
 
 // A keyed request that may have run at a server of zone a goes on only there, outside of the part if need be.
-func TestKeyedOutsideOfThePart(t *testing.T) {
-	g, r := partGate(t)
+func TestKeyedRetryLeavesSubset(t *testing.T) {
+	g, r := newSubsetEngine(t)
 	if g.usesAllServers() {
 		t.Fatal("the part is whole")
 	}
 	g.retryTokens = 5
 	g.RequestReceived(t0, newRequest(1, "keyed", "kubwa", 1), r)
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if strings.HasPrefix(a, "refuse") {
 			t.Fatal(a)
 		}
@@ -48,9 +48,9 @@
 
 // A part that has widened to all servers, since all seemed silent, shrinks again when they are not; so does that of a node
 // with more attempts out than its part has servers.
-func TestWidePartsShrink(t *testing.T) {
+func TestWidenedSubsetShrinks(t *testing.T) {
 	for _, why := range []string{"silent", "load"} {
-		g, r := partGate(t)
+		g, r := newSubsetEngine(t)
 		g.now, g.actions = t0, r
 		narrow, widest := len(g.subset), 0
 		step := func(pressed bool) {
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// twoZones has a warm server in zone a, and one in zone b that started just now or, with far, stands for another site.
-func twoZones(t *testing.T, far bool) (*Engine, *recorder) {
+// newTwoZoneEngine has a warm server in zone a, and one in zone b that started just now or, with far, stands for another site.
+func newTwoZoneEngine(t *testing.T, far bool) (*Engine, *recorder) {
 	boot := t0 - ms
 	if far {
 		boot = 0
 	}
-	g, r := newGate(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b", StartedAt: boot})
+	g, r := newEngine(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b", StartedAt: boot})
 	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	g.SetZoneLimits("b", ZoneLimits{IsRemote: far, WarmServerRate: 1, InFlightFraction: 1, RemoteServerCount: 4})
 	return g, r
 }
 
 // A cold server is sent what the ramp that is told allows, in proportion, and nothing without one.
-func TestRampAsTold(t *testing.T) {
+func TestWarmupFollowsZoneLimits(t *testing.T) {
 	sent := func(ramp float64, boot time.Duration, class string) float64 {
-		g, r := newGate(t, testSettings(), Server{ID: "s1", Kind: "k", Zone: "b", StartedAt: boot})
+		g, r := newEngine(t, testSettings(), Server{ID: "s1", Kind: "k", Zone: "b", StartedAt: boot})
 		g.SetZoneLimits("b", ZoneLimits{WarmServerRate: ramp, InFlightFraction: 1})
 		n := 0
 		for at := time.Duration(0); at < 6*time.Second; at += 20 * ms {
 			q := newRequest(int(at/ms), class, "rate", 1)
 			q.Zone = "b"
-			n += flood(g, r, t0+at, 1, q)
-			answer(g, r, t0+at, 10*ms, RejectedByServer)
+			n += offerRequests(g, r, t0+at, 1, q)
+			completeAttempts(g, r, t0+at, 10*ms, RejectedByServer)
 			g.serverByID["s1"].ejectedUntil = 0
 		}
 		return float64(n) * g.expectedWork(g.classIndex[class])
@@ -48,11 +48,11 @@
 }
 
 // What found no room at cold servers is told, with what they are worth and what was sent.
-func TestColdTells(t *testing.T) {
-	g, r := twoZones(t, false)
+func TestColdServerWork(t *testing.T) {
+	g, r := newTwoZoneEngine(t, false)
 	q := newRequest(0, "keyed", "rate", 1)
 	q.Zone = "b"
-	n := flood(g, r, t0, 20, q)
+	n := offerRequests(g, r, t0, 20, q)
 	servers, sent, short := g.ColdServerWork(t0, "b")
 	w := g.expectedWork(g.classIndex["keyed"])
 	if n == 20 || math.Abs(sent-float64(n)*w) > 1e-9 || short <= 0 || servers <= 0 || servers >= 1 {
@@ -67,8 +67,8 @@
 }
 
 // The class that is worth less for its work leaves a cold server's room to the others.
-func TestColdRoomIsForTheWorthier(t *testing.T) {
-	g, r := twoZones(t, false)
+func TestWarmupBudgetPrefersHigherPriority(t *testing.T) {
+	g, r := newTwoZoneEngine(t, false)
 	s := g.serverByID["s1"]
 	g.SetZoneLimits("b", ZoneLimits{WarmServerRate: 20, InFlightFraction: 1}) // so that the store holds several requests
 	g.now, g.actions, s.budgetUpdatedAt = t0, r, t0
@@ -82,9 +82,9 @@
 }
 
 // Work that piles up at one zone keeps requests from that one alone.
-func TestJamOfOneZone(t *testing.T) {
+func TestOverloadOfOneZone(t *testing.T) {
 	for _, far := range []bool{false, true} {
-		g, _ := twoZones(t, far)
+		g, _ := newTwoZoneEngine(t, far)
 		g.serverByID["s1"].inFlight, g.inFlight = 50, 50
 		safe := g.classIndex["safe"]
 		if !g.isOverloaded(safe, "b", 1) || g.isOverloaded(safe, "a", 1) || g.isOverloaded(safe, "", 1) {
@@ -97,8 +97,8 @@
 }
 
 // A request that is let in for the sake of a zone with room goes to that zone.
-func TestJammedZoneGetsNoneOfIt(t *testing.T) {
-	g, r := newGate(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b"})
+func TestOverloadedZoneIsAvoided(t *testing.T) {
+	g, r := newEngine(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b"})
 	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	g.SetZoneLimits("b", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	s := g.serverByID["s1"]
@@ -111,9 +111,9 @@
 }
 
 // The least that may be out behind a far gateway follows the servers there, and this gateway's part of them.
-func TestLeastOutBehindFarGateways(t *testing.T) {
+func TestMinInFlightOfRemoteZone(t *testing.T) {
 	for _, part := range []float64{1, 0.5} {
-		g, _ := twoZones(t, true)
+		g, _ := newTwoZoneEngine(t, true)
 		g.SetZoneLimits("b", ZoneLimits{IsRemote: true, InFlightFraction: part, RemoteServerCount: 4})
 		g.updateZoneRates()
 		s := g.serverByID["s1"]
@@ -127,9 +127,9 @@
 
 // A far gateway that refuses one request is not overloaded for others, needs no ramp after a failed connection, and
 // stays in the choice. A server is and does.
-func TestFarRefusalIsNoOverload(t *testing.T) {
+func TestRemoteRejectionIsNotOverload(t *testing.T) {
 	for _, far := range []bool{true, false} {
-		g, r := twoZones(t, far)
+		g, r := newTwoZoneEngine(t, far)
 		if !far {
 			g.EndpointsChanged(t0, EndpointsDelta, []Server{{ID: "s1", Kind: "k", Zone: "b"}}, r)
 		}
@@ -158,10 +158,10 @@
 }
 
 // What a warm server carries is learned by zone, and how busy it is by reports.
-func TestWarmByZone(t *testing.T) {
+func TestWarmServerLoadByZone(t *testing.T) {
 	set := testSettings()
 	set.LoadReports = LoadReportsInResponses
-	g, r := newGate(t, set, Server{ID: "s0", Kind: "k", Zone: "a"})
+	g, r := newEngine(t, set, Server{ID: "s0", Kind: "k", Zone: "a"})
 	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	if rate, util := g.WarmServerLoad(t0, "a"); rate != 0 || util >= 0 {
 		t.Errorf("%.2f, %.2f before anything was sent", rate, util)
@@ -171,13 +171,13 @@
 		q := newRequest(i, "safe", "rate", uint64(i))
 		q.Zone = "a"
 		g.RequestReceived(now, q, r)
-		for _, a := range r.acts {
+		for _, a := range r.actions {
 			var id, server string
 			if n, _ := fmt.Sscanf(a, "send %s %s", &id, &server); n == 2 {
 				g.AttemptCompleted(now, AttemptResult{ID: id, Result: OK, Server: server, RequestAnswered: true, Latency: 20 * ms, LoadReport: &LoadReport{InFlight: -1, QueueLength: -1, Utilization: 0.5}}, r)
 			}
 		}
-		if r.acts = nil; i%int(sampleInterval/(10*ms)) == 0 {
+		if r.actions = nil; i%int(sampleInterval/(10*ms)) == 0 {
 			g.TimerFired(now, timerSample, r)
 		}
 	}
@@ -192,10 +192,10 @@
 }
 
 // Of two requests of a class that with the higher price may come later into a zone that fills up.
-func TestPriceInAZone(t *testing.T) {
+func TestPriorityFactorInZone(t *testing.T) {
 	set := testSettings()
 	set.Plans[1].PriorityFactor = 4
-	g, _ := newGate(t, set, Server{ID: "s0", Kind: "k", Zone: "a"})
+	g, _ := newEngine(t, set, Server{ID: "s0", Kind: "k", Zone: "a"})
 	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	g.zones["a"].responseRate = 100
 	keyed, s := g.classIndex["keyed"], g.serverByID["s0"]
