--- /dev/null
+++ b/policy/admission_test.go
@@ -0,0 +1,162 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestRejections(t *testing.T) {
+	tests := []struct {
+		name string
+		q    Request
+	}{
+		{"unknown class", newRequest(1, "none", "rate", 1)},
+		{"unknown plan", newRequest(1, "safe", "none", 1)},
+		{"no grace", Request{ID: "r1", Class: "safe", Plan: "rate"}},
+		{"more than the burst", Request{ID: "r1", Class: "safe", Plan: "rate", Units: 41, Timeout: time.Second}},
+		{"no servers", newRequest(1, "safe", "rate", 1)},
+	}
+	for _, tt := range tests {
+		list := testServers(2)
+		if tt.name == "no servers" {
+			list = nil
+		}
+		g, r := newEngine(t, testSettings(), list...)
+		g.RequestReceived(t0, tt.q, r)
+		if len(r.actions) != 1 || r.actions[0] != "refuse r1" {
+			t.Errorf("%s: %q", tt.name, r.actions)
+		}
+	}
+}
+
+// A try whose client leaves before answers usually come is refused at once.
+func TestTimeoutBelowMeanLatencyIsRejected(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(4)...)
+	c := &g.latencies.classes[g.classIndex["safe"]]
+	c.samples, c.mean, c.deviation = minBatchSamples, 0.2, 0.01
+	q := newRequest(1, "safe", "rate", 1)
+	q.Timeout = 100 * ms
+	g.RequestReceived(t0, q, r)
+	if r.count("refuse") != 1 {
+		t.Errorf("%v", r.actions)
+	}
+}
+
+// A try whose client has waited for longer than its class's aim gives way where the customer
+// asks for more than its quota, and only there: a store's units go to those that can still be
+// answered in time.
+func TestLateRequestsYieldQuotaToFreshOnes(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(9)...)
+	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
+	old := newRequest(0, "safe", "rate", 1)
+	old.Timeout -= aim + aim/10
+	send := func(n int, q Request, at time.Duration) bool {
+		q.ID = fmt.Sprint("t", n)
+		r.actions = nil
+		g.RequestReceived(at, q, r)
+		sent := r.count("send") == 1
+		if sent {
+			g.AttemptCompleted(at+ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true}, r)
+		}
+		return sent
+	}
+	fresh := newRequest(0, "safe", "rate", 1)
+	n, at := 0, t0
+	if send(n, fresh, at); !send(n+1, old, at+ms) {
+		t.Error("a late try was refused with room for all")
+	}
+	for n = 2; send(n, fresh, at+2*ms); n++ { // until the store is empty
+	}
+	p := g.settings.Plans[g.planIndex["rate"]]
+	for refill := time.Duration(2.5 / p.Rate * float64(time.Second)); n < 100; n += 4 {
+		send(n, fresh, at+2*ms) // refused
+		at = g.now + refill
+		g.quotas[1].contendedUntil = at + time.Second
+		if send(n+1, old, at) {
+			t.Fatal("a late try took the units of a crowded store")
+		}
+		if !send(n+2, fresh, at+ms) {
+			t.Fatal("a fresh try was refused in its place")
+		}
+		send(n+3, fresh, at+2*ms)
+	}
+}
+
+// What is held for a fresh try's wait follows what most tell, not the most that one tells.
+func TestOneLongTimeoutMakesNoOtherLate(t *testing.T) {
+	g, _ := newEngine(t, testSettings())
+	for range 1000 {
+		g.isTooLate(0, time.Second)
+	}
+	g.isTooLate(0, time.Hour)
+	if g.isTooLate(0, time.Second) {
+		t.Error("all others count as late after one long wait")
+	}
+}
+
+// Deadlines: a request without an answer ends in time by its own timer.
+func TestDeadlineTimerAnswersInTime(t *testing.T) {
+	for class, want := range map[string]string{"safe": "refuse r1", "keyed": "fail r1", "unsafe": "fail r1"} {
+		g, r := newEngine(t, testSettings(), testServers(2)...)
+		g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
+		var due timerRequest
+		for _, ts := range r.timers {
+			if ts.token&7 == timerDeadline {
+				due = ts
+			}
+		}
+		if due.after <= 0 || due.after >= 2*time.Second {
+			t.Fatalf("timer after %v", due.after)
+		}
+		r.actions = nil
+		g.TimerFired(t0+due.after, due.token, r)
+		if r.count(want) != 1 || r.count("cancel r1 0") != 1 {
+			t.Errorf("%s: %q", class, r.actions)
+		}
+		g.TimerFired(t0+due.after, due.token, r)
+		g.AttemptCompleted(t0+due.after, AttemptResult{ID: "r1", Result: Cancelled}, r)
+		if len(r.actions) != 2 || len(g.requests) != 0 {
+			t.Errorf("%s: %q, %d requests kept", class, r.actions, len(g.requests))
+		}
+	}
+}
+
+func TestUnknownEventsAreIgnored(t *testing.T) {
+	g, r := newEngine(t, testSettings(), testServers(2)...)
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	r.actions = nil
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
+	if g.requests["r1"] == nil || g.requests["r1"].inFlight != 1 {
+		t.Error("an attempt never made ended the request")
+	}
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Server: "s0"}, r)
+	r.actions = nil
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "none", Attempt: 9}, r)
+	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1}, r)
+	g.ClientDisconnected(t0, "r1", r)
+	g.ResponseStarted(t0, "r1", 0, r)
+	g.TimerFired(t0, 1<<40|timerDeadline, r)
+	g.TimerFired(t0, 7, r)
+	g.HealthCheckCompleted(t0, "none", OK, &LoadReport{Utilization: 1}, r)
+	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
+	if len(r.actions) != 0 {
+		t.Errorf("%q", r.actions)
+	}
+}
+
+// A stream that has begun belongs to the client: no deadline, no cancel.
+func TestStartedStreamIsNotInterrupted(t *testing.T) {
+	s := testSettings()
+	s.Classes[0].IsStreaming = true
+	g, r := newEngine(t, s, testServers(2)...)
+	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	g.ResponseStarted(t0+ms, "r1", 0, r)
+	r.actions = nil
+	g.TimerFired(t0+2*time.Second, 1<<timerBits|timerDeadline, r)
+	if len(r.actions) != 0 {
+		t.Errorf("%q", r.actions)
+	}
+}
--- /dev/null
+++ b/policy/fleet_harness_test.go
@@ -0,0 +1,312 @@
+package policy
+
+import (
+	"container/heap"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"sort"
+	"strings"
+	"testing"
+	"time"
+
+	"mulleinmux/subset"
+)
+
+// A fleet on a virtual clock: gateways as they are, over servers that work, queue, hold only so many connections,
+// start cold and fall over. Unlike the rule checker's world, this one has servers that get slower for what is sent.
+
+type fleetRequest struct {
+	id           string
+	engine       int
+	class        string
+	customer     int
+	at, deadline time.Duration
+	tryCount     int
+	firstTryAt   time.Duration
+	isDone       bool
+	attempts     []fleetAttempt
+}
+
+type fleetAttempt struct {
+	server           *simServer
+	incarnation      int
+	isCancelled      bool
+	isDone           bool
+	reusesConnection bool
+	sentAt           time.Duration
+}
+
+type fleetTotals struct {
+	offeredValue, servedValue                                              float64 // worth
+	requests, tries, succeeded, rejected                                   int
+	attempts, connectionsOpened, healthChecks                              int
+	gossipMessages, connectionsFailed, serverRejections, serversOverloaded int
+	firstAttemptDelay                                                      time.Duration // until first attempts, summed
+}
+
+func (t fleetTotals) servedFraction() float64 { return t.servedValue / t.offeredValue }
+
+func sumTotals(all []fleetTotals) (sum fleetTotals) {
+	for _, t := range all {
+		sum.offeredValue, sum.servedValue = sum.offeredValue+t.offeredValue, sum.servedValue+t.servedValue
+		sum.attempts, sum.connectionsOpened, sum.connectionsFailed, sum.serversOverloaded = sum.attempts+t.attempts, sum.connectionsOpened+t.connectionsOpened, sum.connectionsFailed+t.connectionsFailed, sum.serversOverloaded+t.serversOverloaded
+		sum.healthChecks, sum.tries, sum.rejected, sum.firstAttemptDelay = sum.healthChecks+t.healthChecks, sum.tries+t.tries, sum.rejected+t.rejected, sum.firstAttemptDelay+t.firstAttemptDelay
+	}
+	return sum
+}
+
+type fleetSim struct {
+	rng                *rand.Rand
+	now                time.Duration
+	queue              simQueue
+	events             int
+	settings           Settings
+	engines            []*Engine
+	incarnations       []int
+	hosts              []*fleetHost
+	servers            []*simServer
+	byID               map[string]*simServer
+	pools              []map[string]*connectionPool
+	requests           map[string]*fleetRequest
+	loss               float64
+	cumulativeRates    []float64 // of customers
+	firstInstances     []int
+	instanceCounts     []int
+	load               func(at time.Duration) float64 // requests a second
+	total              fleetTotals
+	byWindow           []fleetTotals
+	window             time.Duration
+	dropsGossip        bool // peers don't hear each other
+	retryAfterFraction float64
+	listDelay          time.Duration
+	reordersGossip     bool         // some messages come doubled, and some late
+	ledger             *fleetLedger // of units let through; nil: none is kept
+}
+
+func (s *fleetSim) after(d time.Duration, run func()) {
+	s.events++
+	heap.Push(&s.queue, simEvent{s.now + max(d, 0), s.events, run})
+}
+
+func (s *fleetSim) answer(r *fleetRequest, ok bool, wait time.Duration) {
+	if r.isDone {
+		return
+	}
+	r.isDone = true
+	w := &s.byWindow[int(s.now/s.window)]
+	worth, aim := 3.0, 400*ms
+	if r.class == "keyed" {
+		worth, aim = 9, 750*ms
+	}
+	if ok {
+		s.total.succeeded++
+		if s.now-r.firstTryAt <= aim {
+			s.total.servedValue += worth
+			w.servedValue += worth
+		}
+		return
+	}
+	s.total.rejected++
+	w.rejected++
+	if r.tryCount < 3 {
+		pause := time.Duration((0.05 + 0.1*s.rng.Float64()) * float64(time.Second))
+		if s.rng.Float64() < s.retryAfterFraction {
+			pause = max(pause, wait)
+		}
+		s.after(pause, func() { s.try(r.class, r.customer, r.firstTryAt, r.tryCount+1) })
+	}
+}
+
+func (s *fleetSim) try(class string, customer int, first time.Duration, n int) {
+	s.events++
+	grace := 2*time.Second - (s.now - first)
+	if grace < 20*ms {
+		return
+	}
+	gate := (s.firstInstances[customer] + s.rng.IntN(s.instanceCounts[customer])) % len(s.engines)
+	if s.incarnations[gate] < 0 {
+		return
+	}
+	r := &fleetRequest{id: fmt.Sprintf("r%d", s.events), engine: gate, class: class, customer: customer, at: s.now, firstTryAt: first, deadline: s.now + grace, tryCount: n}
+	s.requests[r.id] = r
+	s.total.tries++
+	s.ledger.requestReceived(s.now, r)
+	s.after(grace, func() {
+		if !r.isDone {
+			r.isDone = true
+			if s.incarnations[gate] >= 0 {
+				s.engines[gate].ClientDisconnected(s.now, r.id, s.hosts[gate])
+			}
+		}
+		delete(s.requests, r.id)
+	})
+	s.engines[gate].RequestReceived(s.now, Request{ID: r.id, Class: class, Plan: "kubwa", Customer: uint64(customer + 1), Timeout: grace, Units: 1, InstanceCount: s.instanceCounts[customer], FirstInstance: s.firstInstances[customer]}, s.hosts[gate])
+}
+
+func (s *fleetSim) arrive() {
+	rate := s.load(s.now)
+	s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+		class, worth := "safe", 3.0
+		if s.rng.Float64() < 0.43 {
+			class, worth = "keyed", 9
+		}
+		s.total.requests++
+		s.total.offeredValue += worth
+		s.byWindow[int(s.now/s.window)].offeredValue += worth
+		s.try(class, sort.SearchFloat64s(s.cumulativeRates, s.rng.Float64()*s.cumulativeRates[len(s.cumulativeRates)-1]), s.now, 1)
+		s.arrive()
+	})
+}
+
+func (s *fleetSim) run(until time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at <= until {
+		e := heap.Pop(&s.queue).(simEvent)
+		s.now = e.at
+		e.run()
+	}
+	s.now = until
+}
+
+// start starts a gateway anew, with the list as it is.
+func (s *fleetSim) start(gate int) {
+	set := s.settings
+	set.InstanceIndex, set.Zone = gate, []string{"a", "b"}[gate%2]
+	g, err := New(set, s.rng.Uint64())
+	if err != nil {
+		panic(err)
+	}
+	s.incarnations[gate] = max(s.incarnations[gate], -s.incarnations[gate]) + 1
+	s.engines[gate], s.pools[gate] = g, map[string]*connectionPool{}
+	s.hosts[gate] = &fleetHost{s, gate, s.incarnations[gate]}
+	g.Start(s.now, s.hosts[gate])
+	g.EndpointsChanged(s.now, EndpointsSaved, s.list(), s.hosts[gate])
+}
+
+func (s *fleetSim) kill(gate int) {
+	s.incarnations[gate] = -s.incarnations[gate]
+	for id, l := range s.pools[gate] {
+		if b := s.byID[id]; b != nil {
+			b.connections -= len(l.idleSince) + l.inUse
+		}
+	}
+	for _, r := range s.requests {
+		if r.engine == gate {
+			r.isDone = true
+			for i := range r.attempts {
+				r.attempts[i].isDone = true
+			}
+		}
+	}
+}
+
+func newFleet(seed uint64, gates, servers int, share float64) *fleetSim {
+	s := &fleetSim{rng: rand.New(rand.NewPCG(seed, 7)), byID: map[string]*simServer{}, requests: map[string]*fleetRequest{}, loss: 0.05, window: time.Second, retryAfterFraction: 0.6,
+		engines: make([]*Engine, gates), incarnations: make([]int, gates), hosts: make([]*fleetHost, gates), pools: make([]map[string]*connectionPool, gates), byWindow: make([]fleetTotals, 2000)}
+	s.now = 1000 * time.Second
+	s.settings = testSettings()
+	s.settings.InstanceCount, s.settings.GossipInboxRate, s.settings.AllowsHealthChecks, s.settings.LoadReports, s.settings.MinEventInterval = gates, 40, true, LoadReportsInHealthChecks, 2*ms
+	s.settings.SlowStartMinFraction, s.settings.SlowStartWindow, s.settings.ColdOverloadMultiple, s.settings.ColdOverloadWindow, s.settings.MaxAttempts = 0.3, 10*time.Second, 2.5, 2*time.Second, 5
+	s.settings.Classes = []Class{
+		{Name: "safe", Idempotency: Idempotent, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
+		{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 4 * time.Second, LatencyObjective: 750 * ms, Deadline: 2 * time.Second, PriorityWeight: 9, LateFraction: 0.2}}
+	s.settings.Plans = []Plan{{Name: "kubwa", Rate: 18, Burst: 36, HardLimitRate: 40, HardLimitBurst: 80, PriorityFactor: 1.6, OverQuotaCost: 1}}
+	s.settings.CrossZonePrice, s.settings.HealthCheckPrice, s.settings.GossipPrice, s.settings.WastedWorkPrice = 0.01, 0.01, 0.03, 0.05
+	rate := share * float64(servers) * fleetCores / 0.073
+	s.load = func(time.Duration) float64 { return rate }
+	sum := 0.0
+	for range max(int(rate/9), 1) {
+		sum += 0.3 + s.rng.ExpFloat64()
+		s.cumulativeRates = append(s.cumulativeRates, sum)
+		s.instanceCounts = append(s.instanceCounts, max(1, int(float64(gates)*(0.05+0.1*s.rng.Float64()))))
+		s.firstInstances = append(s.firstInstances, s.rng.IntN(gates))
+	}
+	for range servers {
+		s.add(false)
+	}
+	for i := range s.engines {
+		s.start(i)
+	}
+	s.arrive()
+	return s
+}
+
+// summary sums up what happened since it was last asked, and begins anew.
+func (s *fleetSim) summary() string {
+	t := s.total
+	var refused [rejectReasonCount]uint64
+	f, rho, n := 0.0, 0.0, 0.0
+	for i, g := range s.engines {
+		if s.incarnations[i] < 0 {
+			continue
+		}
+		for why, k := range g.rejections {
+			refused[why] += k
+		}
+		g.rejections = [rejectReasonCount]uint64{}
+		f, rho, n = f+g.overload.admitFraction, rho+g.overload.occupancy, n+1
+	}
+	var out []string
+	for why, k := range refused {
+		if k > 0 {
+			out = append(out, fmt.Sprintf("%s %d", rejectReasonNames[why], k))
+		}
+	}
+	work, open, busy := 0.0, 0, 0.0
+	for _, b := range s.servers {
+		work, open = work+b.workReceived, open+b.connections
+		for _, c := range b.coreFreeAt {
+			busy = math.Max(busy, (c - s.now).Seconds())
+		}
+		b.workReceived = 0
+	}
+	s.total = fleetTotals{}
+	return fmt.Sprintf("worth %.3f; asked %d, %.2f tries each, %d attempts, %.2f connections each, %d open, %d probes, %d not made, %d full, %d fallen; first attempt after %.0f ms; work %.0f s, longest queue %.1f s; f %.2f, occupancy %.2f; refused: %s",
+		t.servedValue/t.offeredValue, t.requests, float64(t.tries)/float64(t.requests), t.attempts, float64(t.connectionsOpened)/float64(max(t.attempts, 1)), open, t.healthChecks, t.connectionsFailed, t.serverRejections, t.serversOverloaded,
+		float64(t.firstAttemptDelay/ms)/float64(max(t.tries-t.rejected, 1)), work, busy, f/n, rho/n, strings.Join(out, ", "))
+}
+
+func (s *fleetSim) killEngines(part float64, back time.Duration) {
+	for i := range s.engines {
+		if s.rng.Float64() < part {
+			s.kill(i)
+			s.after(back+time.Duration(s.rng.IntN(500))*ms, func() { s.start(i) })
+		}
+	}
+}
+
+// withSubsetRule plays f with another rule for parts.
+func withSubsetRule(rule subset.Rule, f func()) {
+	was := subsetRule
+	subsetRule = rule
+	defer func() { subsetRule = was }()
+	f()
+}
+
+// runFleet lets a fleet of 70 gateways over 40 servers run, does something and returns what came of it in each second after.
+func runFleet(t *testing.T, seed uint64, load float64, seconds int, do func(*fleetSim)) (before fleetTotals, after []fleetTotals, s *fleetSim) {
+	s = newFleet(seed, 70, 40, load)
+	for _, b := range s.servers {
+		b.maxConnections = 42
+	}
+	s.run(s.now + 3*time.Second)
+	before = s.total
+	t.Log("before: ", s.summary())
+	do(s)
+	for range seconds {
+		s.run(s.now + time.Second)
+		after = append(after, s.total)
+		t.Log(s.summary())
+	}
+	return before, after, s
+}
+
+// withAndWithoutSubsets plays with parts and without.
+func withAndWithoutSubsets(t *testing.T, f func() fleetTotals) (with, without fleetTotals) {
+	t.Helper()
+	with = f()
+	withSubsetRule(subset.Rule{}, func() { without = f() })
+	t.Logf("with parts %.3f of the worth, %d connections opened, %d not made, %d probes; without %.3f, %d, %d, %d", with.servedFraction(), with.connectionsOpened, with.connectionsFailed, with.healthChecks,
+		without.servedFraction(), without.connectionsOpened, without.connectionsFailed, without.healthChecks)
+	return with, without
+}
--- /dev/null
+++ b/policy/gossip_test.go
@@ -0,0 +1,144 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// Units told must be taken from the peer's store once: whether tells are lost, repeated or late.
+func TestGossipSurvivesLossAndReordering(t *testing.T) {
+	orders := map[string][]int{"in order": {0, 1, 2}, "middle lost": {0, 2}, "twice": {0, 0, 1, 1, 2, 2}, "late": {1, 0, 2}}
+	for name, order := range orders {
+		a, ra := newInstance(t, 0, 2)
+		b, rb := newInstance(t, 1, 2)
+		q := newSharedRequest("rate", 1, 2)
+		for i := 0; i < 3; i++ {
+			now := t0 + time.Duration(i)*ms
+			offerRequests(a, ra, now, 3, q)
+			a.TimerFired(now, timerGossip, ra)
+		}
+		for _, i := range order {
+			b.GossipReceived(t0, 0, ra.gossip[1][i], rb)
+		}
+		if got := 20 - b.quotas[1].tokens; got != 9 {
+			t.Errorf("%s: %v units taken, want 9", name, got)
+		}
+	}
+}
+
+// A long tell must not lose the entries that its first message has no room for.
+func TestEveryEntryIsBroadcast(t *testing.T) {
+	s := testSettings()
+	s.InstanceCount = 2
+	a, ra := newEngine(t, s, testServers(40)...)
+	b, rb := newInstance(t, 1, 2)
+	for c := uint64(0); c < 100; c++ {
+		q := newSharedRequest("rate", c<<25, 2)
+		offerRequests(a, ra, t0, 1, q)
+		a.inFlight = 0
+	}
+	a.TimerFired(t0, timerGossip, ra)
+	for _, m := range ra.gossip[1] {
+		if len(m) > maxMessageSize {
+			t.Errorf("message of %d bytes", len(m))
+		}
+		b.GossipReceived(t0, 0, m, rb)
+	}
+	if len(b.quotas) != 100 {
+		t.Errorf("%d of 100 customers heard of", len(b.quotas))
+	}
+}
+
+// What gateways overspend together must be paid back, not forgotten at nought.
+func TestRemoteUnitsOverdrawTokens(t *testing.T) {
+	a, ra := newInstance(t, 0, 2)
+	b, rb := newInstance(t, 1, 2)
+	q := newSharedRequest("rate", 1, 2)
+	for i := 0; i < 6; i++ {
+		offerRequests(a, ra, t0, 9, q)
+		a.TimerFired(t0, timerGossip, ra)
+		q.Customer = 1
+		q.ID = ""
+		q.Units = 1
+		offerRequests(b, rb, t0+time.Duration(i)*ms, 9, q)
+		b.TimerFired(t0+time.Duration(i)*ms, timerGossip, rb)
+	}
+	for _, m := range ra.gossip[1] {
+		b.GossipReceived(t0+6*ms, 0, m, rb)
+	}
+	if b.quotas[1].tokens >= 0 {
+		t.Errorf("level %v after both spent most of it", b.quotas[1].tokens)
+	}
+}
+
+func TestMalformedGossipChangesNothing(t *testing.T) {
+	a, ra := newInstance(t, 0, 2)
+	q := newSharedRequest("rate", 1, 2)
+	offerRequests(a, ra, t0, 3, q)
+	a.TimerFired(t0, timerGossip, ra)
+	good := ra.gossip[1][0]
+	for n := 0; n < len(good); n++ {
+		b, rb := newInstance(t, 1, 2)
+		b.GossipReceived(t0, 0, good[:n], rb)
+		b.GossipReceived(t0, 7, good, rb)
+		b.GossipReceived(t0, 1, good, rb)
+		b.GossipReceived(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), rb)
+		if len(b.quotas) != 0 || len(rb.actions) != 0 {
+			t.Fatalf("%d bytes of %d were believed", n, len(good))
+		}
+	}
+}
+
+func FuzzGossipReceived(f *testing.F) {
+	f.Add([]byte{})
+	f.Add([]byte{1, 1, 1, 5, 0, 2, 0})
+	f.Add([]byte{1, 1, 255, 255, 255, 255, 15, 5, 0, 2, 0})
+	s := testSettings()
+	s.InstanceCount = 3
+	f.Fuzz(func(t *testing.T, b []byte) {
+		g, err := New(s, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r := &recorder{}
+		g.Start(t0, r)
+		g.GossipReceived(t0, 1, b, r)
+		if len(g.quotas) > len(b) {
+			t.Errorf("%d stores from %d bytes", len(g.quotas), len(b))
+		}
+	})
+}
+
+// Sums of occupancy below nought, as latencies under the lowest mean give, must reach peers as they are.
+func TestFleetMeansAreEncodedSigned(t *testing.T) {
+	g, _ := newOwnerEngine(t, 10)
+	g.overload.hasPeerMeans, g.overload.fleetMeans = true, [fleetMeanCount]float64{-0.5, 0.25, 2, 0, 1}
+	m, ok := g.decodeQuotaMessage(g.encodeQuotaResponse(1, true, 0, 1))
+	if !ok || m.fleetMeans != g.overload.fleetMeans {
+		t.Errorf("%v came as %v", g.overload.fleetMeans, m.fleetMeans)
+	}
+}
+
+// What a gateway finds out goes with its next asks, for a while, and is understood.
+func TestFindingsTravelWithQuotaMessages(t *testing.T) {
+	g, _ := newSubsetEngine(t)
+	g.now = t0 + 10*time.Second
+	for i, s := range g.subset[:6] {
+		g.addFinding(s, i%2 == 0)
+	}
+	read := func() []serverFinding {
+		m, ok := g.decodeQuotaMessage(g.encodeQuotaResponse(7, true, 0, 1))
+		if !ok {
+			t.Fatal("an answer with notes is malformed")
+		}
+		return m.findings
+	}
+	got := read()
+	if len(got) != maxFindings || got[3].serverID != g.subset[5].gossipID || got[3].isUp {
+		t.Fatalf("notes %+v", got)
+	}
+	g.now += findingTTL
+	if got := read(); len(got) != 0 {
+		t.Errorf("old notes are told: %+v", got)
+	}
+}
--- a/policy/handover_test.go
+++ b/policy/hot_restart_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func handoverSettings() Settings {
+func hotRestartSettings() Settings {
 	s := testSettings()
 	s.InstanceCount, s.InstanceIndex, s.AllowsGossip, s.GossipInboxRate = 3, 1, true, 1000
 	s.Plans = []Plan{
@@ -18,18 +18,18 @@
 	return s
 }
 
-// playForHandover gives a gateway a past: spent stores, a peer's tells, a server that is out.
-func playForHandover(t *testing.T) (*Engine, *recorder) {
+// newUsedEngine gives a gateway a past: spent stores, a peer's tells, a server that is out.
+func newUsedEngine(t *testing.T) (*Engine, *recorder) {
 	t.Helper()
-	g, r := newGate(t, handoverSettings(), fleet(4)...)
-	peer, rp := newGate(t, func() Settings { s := handoverSettings(); s.InstanceIndex = 0; return s }(), fleet(4)...)
+	g, r := newEngine(t, hotRestartSettings(), testServers(4)...)
+	peer, rp := newEngine(t, func() Settings { s := hotRestartSettings(); s.InstanceIndex = 0; return s }(), testServers(4)...)
 	q := newRequest(900, "safe", "ceiled", 1)
 	q.InstanceCount = 3
 	peer.RequestReceived(t0, q, rp)
 	for token := range map[uint64]bool{timerGossip: true} {
 		peer.TimerFired(t0+ms, token, rp)
 	}
-	for _, m := range rp.tells[1] {
+	for _, m := range rp.gossip[1] {
 		g.GossipReceived(t0+2*ms, 0, m, r)
 	}
 	for i := range 40 {
@@ -46,8 +46,8 @@
 	return g, r
 }
 
-// newHeir is a gateway that starts now.
-func newHeir(t *testing.T, s Settings, now time.Duration, servers ...Server) (*Engine, *recorder) {
+// newSuccessor is a gateway that starts now.
+func newSuccessor(t *testing.T, s Settings, now time.Duration, servers ...Server) (*Engine, *recorder) {
 	t.Helper()
 	g, err := New(s, 2)
 	if err != nil {
@@ -61,14 +61,14 @@
 
 // The successor admits just what the predecessor would have: of quota, ceiling and open
 // attempts nothing is there twice.
-func TestTakeOver(t *testing.T) {
-	g, r := playForHandover(t)
+func TestSuccessorContinues(t *testing.T) {
+	g, r := newUsedEngine(t)
 	now := t0 + 4*time.Second
 	text, err := g.ExportState(now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, rn := newHeir(t, handoverSettings(), now, fleet(4)...)
+	next, rn := newSuccessor(t, hotRestartSettings(), now, testServers(4)...)
 	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
@@ -113,11 +113,11 @@
 }
 
 // A peer's tell that the predecessor has heard is not counted again.
-func TestTakeOverKnowsPeersNumbers(t *testing.T) {
-	g, _ := playForHandover(t)
+func TestSuccessorKeepsGossipSequence(t *testing.T) {
+	g, _ := newUsedEngine(t)
 	now := t0 + 4*time.Second
 	text, _ := g.ExportState(now)
-	next, rn := newHeir(t, handoverSettings(), now, fleet(4)...)
+	next, rn := newSuccessor(t, hotRestartSettings(), now, testServers(4)...)
 	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
@@ -138,16 +138,16 @@
 
 // A changed plan goes over with what was spent; one that is gone is left out, and so are a
 // server that has restarted since and a class unknown.
-func TestTakeOverIntoOtherSettings(t *testing.T) {
-	g, _ := playForHandover(t)
+func TestSuccessorWithOtherSettings(t *testing.T) {
+	g, _ := newUsedEngine(t)
 	now := t0 + 4*time.Second
 	text, _ := g.ExportState(now)
-	s := handoverSettings()
+	s := hotRestartSettings()
 	s.Plans = []Plan{{Name: "novel", Rate: 1, Burst: 1}, {Name: "ceiled", Rate: 20, Burst: 60, HardLimitRate: 40, HardLimitBurst: 120, PriorityFactor: 1}}
 	s.Classes = s.Classes[1:]
-	servers := fleet(4)
+	servers := testServers(4)
 	servers[0].StartedAt = now
-	next, _ := newHeir(t, s, now, servers...)
+	next, _ := newSuccessor(t, s, now, servers...)
 	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
@@ -167,22 +167,22 @@
 }
 
 // What can't be taken over changes nothing.
-func TestTakeOverRefused(t *testing.T) {
-	g, _ := playForHandover(t)
+func TestInvalidStateIsRejected(t *testing.T) {
+	g, _ := newUsedEngine(t)
 	now := t0 + 4*time.Second
 	text, _ := g.ExportState(now)
-	other := handoverSettings()
+	other := hotRestartSettings()
 	other.InstanceIndex = 2
 	for name, c := range map[string]struct {
 		set  Settings
 		text string
 	}{
-		"cut short":        {handoverSettings(), string(text[:len(text)/2])},
+		"cut short":        {hotRestartSettings(), string(text[:len(text)/2])},
 		"another's":        {other, string(text)},
-		"nothing":          {handoverSettings(), ""},
-		"store that can't": {handoverSettings(), strings.Replace(string(text), `"Spread":3`, `"Spread":9`, 1)},
+		"nothing":          {hotRestartSettings(), ""},
+		"store that can't": {hotRestartSettings(), strings.Replace(string(text), `"Spread":3`, `"Spread":9`, 1)},
 	} {
-		next, _ := newGate(t, c.set, fleet(4)...)
+		next, _ := newEngine(t, c.set, testServers(4)...)
 		if err := next.ImportState(now, []byte(c.text)); err == nil || len(next.quotas) != 0 || next.startedAt != t0 {
 			t.Errorf("%s: error %v, %d stores", name, err, len(next.quotas))
 		}
--- /dev/null
+++ b/policy/quota_transfer_test.go
@@ -0,0 +1,283 @@
+package policy
+
+import (
+	"errors"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// transferSim are gateways whose messages take time, get lost and come in another order, and one customer
+// under a ceiling whose requests come in bursts, now at one gateway and now at another.
+type transferSim struct {
+	settings     Settings
+	engines      []*Engine
+	recorders    []*recorder
+	timers       [][]timerRequest // with the time at which each is due
+	network      []datagram
+	now          time.Duration
+	requestCount int
+	unitsSent    float64 // units sent on
+	rng          *rand.Rand
+}
+
+type datagram struct {
+	at       time.Duration
+	from, to int
+	message  []byte
+}
+
+const transferCustomer = 7
+
+func newTransferSim(t *testing.T, seed uint64, gates int) *transferSim {
+	w := &transferSim{settings: testSettings(), now: t0, rng: rand.New(rand.NewPCG(seed, 4)), engines: make([]*Engine, gates),
+		recorders: make([]*recorder, gates), timers: make([][]timerRequest, gates)}
+	w.settings.InstanceCount = gates
+	w.settings.Plans = []Plan{{Name: "hard", Rate: 1000, Burst: 1000, HardLimitRate: 25, HardLimitBurst: 24, PriorityFactor: 1}}
+	for i := range gates {
+		w.start(t, i)
+	}
+	return w
+}
+
+func (w *transferSim) start(t *testing.T, i int) {
+	w.settings.InstanceIndex = i
+	g, err := New(w.settings, w.rng.Uint64())
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.engines[i], w.recorders[i], w.timers[i] = g, &recorder{}, nil
+	g.Start(w.now, w.recorders[i])
+	g.EndpointsChanged(w.now, EndpointsSaved, testServers(4), w.recorders[i])
+	w.collect(i, 0)
+}
+
+// collect takes up what a gateway asked for: a share of its messages is lost.
+func (w *transferSim) collect(i int, loss float64) {
+	r := w.recorders[i]
+	for _, tm := range r.timers {
+		w.timers[i] = append(w.timers[i], timerRequest{tm.token, w.now + tm.after})
+	}
+	for to, msgs := range r.gossip {
+		for _, m := range msgs {
+			if w.rng.Float64() >= loss {
+				w.network = append(w.network, datagram{w.now + time.Duration(1+w.rng.IntN(60))*ms, i, to, m})
+			}
+		}
+	}
+	r.timers, r.gossip = nil, nil
+}
+
+// step moves the clock by a millisecond.
+func (w *transferSim) step(loss float64) {
+	w.now += ms
+	kept := w.network[:0]
+	for _, p := range w.network {
+		if p.at > w.now {
+			kept = append(kept, p)
+			continue
+		}
+		w.engines[p.to].GossipReceived(w.now, p.from, p.message, w.recorders[p.to])
+		w.collect(p.to, loss)
+	}
+	w.network = kept
+	for i := range w.engines {
+		due := w.timers[i]
+		w.timers[i] = nil
+		for _, tm := range due {
+			if tm.after > w.now {
+				w.timers[i] = append(w.timers[i], tm)
+			} else {
+				w.engines[i].TimerFired(w.now, tm.token, w.recorders[i])
+				w.collect(i, loss)
+			}
+		}
+	}
+}
+
+// offer sends a request of the customer through a gateway and ends what it sent on at once.
+func (w *transferSim) offer(i int) (sent bool) {
+	w.requestCount++
+	q := newRequest(w.requestCount, "safe", "hard", transferCustomer)
+	q.InstanceCount = len(w.engines)
+	r := w.recorders[i]
+	r.actions = nil
+	w.engines[i].RequestReceived(w.now, q, r)
+	if sent = r.count("send") == 1; sent {
+		w.unitsSent++
+		w.engines[i].AttemptCompleted(w.now, AttemptResult{ID: q.ID, Result: OK, Server: r.actions[0][len("send ")+len(q.ID)+1:], Latency: ms, RequestAnswered: true}, r)
+	}
+	return sent
+}
+
+// hardLimitTokens is what all parts hold, what is under way to a gateway that can take it among it.
+func (w *transferSim) hardLimitTokens() (units float64) {
+	for _, g := range w.engines {
+		if st := g.quotas[transferCustomer]; st != nil {
+			g.now = w.now
+			g.refill(st)
+			units += st.hardLimitTokens
+		}
+	}
+	type tell struct {
+		from, to int
+		epoch    uint64
+		seq      uint64
+	}
+	seen := map[tell]bool{}
+	for _, p := range w.network {
+		epoch, seq, cur, prev, _ := w.engines[p.to].decodeGossip(p.message)
+		by := &w.engines[p.to].peers[p.from]
+		known := by.isKnown && epoch == by.epoch
+		for i, es := range [][]gossipEntry{cur, prev} {
+			k := tell{p.from, p.to, epoch, seq - uint64(i)}
+			if seen[k] || known && k.seq <= by.receivedSequence || i == 1 && !known {
+				continue
+			}
+			seen[k] = true
+			for _, e := range es {
+				units += e.transferred
+			}
+		}
+	}
+	return units
+}
+
+// All parts of a ceiling, with the units that are under way between them, hold no more than the whole, and what is
+// sent on never passes what the ceiling gives, whatever is lost, late or started again.
+func TestTransfersKeepTheHardLimit(t *testing.T) {
+	t.Parallel()
+	lent := 0.0
+	for seed := uint64(1); seed <= 40; seed++ {
+		w := newTransferSim(t, seed, 3)
+		p := w.settings.Plans[0]
+		loss := []float64{0, 0.1, 0.4}[seed%3]
+		busy, rate := 0, 0.0
+		level := 0.0 // of the true ceiling, were it empty at the start as the parts are
+		for w.now < t0+8*time.Second {
+			if w.rng.IntN(300) == 0 {
+				busy, rate = w.rng.IntN(3), []float64{0, 0.02, 0.3}[w.rng.IntN(3)]
+			}
+			if w.rng.IntN(4000) == 0 {
+				w.start(t, w.rng.IntN(3))
+			}
+			w.step(loss)
+			level = math.Min(level+p.HardLimitRate/1000, p.HardLimitBurst)
+			if w.rng.Float64() < rate {
+				i := busy
+				if w.rng.IntN(4) == 0 {
+					i = w.rng.IntN(3)
+				}
+				if w.offer(i) {
+					level--
+				}
+			}
+			if level < -1e-6 {
+				t.Fatalf("seed %d, %v: the ceiling is passed by %.2f units", seed, w.now-t0, -level)
+			}
+			if loss == 0 {
+				if sum := w.hardLimitTokens(); sum > p.HardLimitBurst+1e-6 {
+					t.Fatalf("seed %d, %v: parts hold %.2f of %v", seed, w.now-t0, sum, p.HardLimitBurst)
+				}
+			}
+			for _, g := range w.engines {
+				if st := g.quotas[transferCustomer]; st != nil {
+					lent = math.Max(lent, st.unitsInTransit[0])
+				}
+			}
+		}
+	}
+	if lent == 0 {
+		t.Error("nothing was lent: the sequences exercise nothing")
+	}
+}
+
+// A customer whose requests all come through one gateway has nearly all of its ceiling's rate there.
+func TestBusyInstanceReceivesTransfers(t *testing.T) {
+	w := newTransferSim(t, 1, 3)
+	for w.now < t0+6*time.Second {
+		w.step(0)
+		if w.now%(10*ms) == 0 {
+			w.offer(2)
+		}
+		if w.now == t0+time.Second {
+			w.unitsSent = 0
+		}
+	}
+	whole := 5 * w.settings.Plans[0].HardLimitRate
+	if w.unitsSent < 0.85*whole {
+		t.Errorf("%v units sent on in 5 s through one of three gateways, want nearly %v", w.unitsSent, whole)
+	}
+}
+
+// What a part of a ceiling lacks goes with the tell; a loan taken twice, or one that a gateway does not have, would
+// pass the ceiling.
+func TestTransferIsReceivedOnce(t *testing.T) {
+	w := newTransferSim(t, 1, 2)
+	a, b := w.engines[0], w.engines[1]
+	for _, g := range w.engines {
+		g.now = t0 + 20*time.Second
+		g.quotaFor(transferCustomer, 0, 2, 0)
+	}
+	w.now = t0 + 20*time.Second
+	part := a.quotas[transferCustomer].hardLimitTokens
+	b.quotas[transferCustomer].hardLimitTokens, b.quotas[transferCustomer].unmetUnits = 0, 3
+	b.markForGossip(b.quotas[transferCustomer])
+	b.broadcast()
+	tell := w.recorders[1].gossip[0][0]
+	a.GossipReceived(w.now, 1, tell, w.recorders[0])
+	a.broadcast()
+	loan := w.recorders[0].gossip[1][0]
+	took := part - a.quotas[transferCustomer].hardLimitTokens
+	if took < 3 || took > part {
+		t.Fatalf("%v of %v lent where 3 are lacked", took, part)
+	}
+	for range 2 {
+		b.GossipReceived(w.now, 0, loan, w.recorders[1])
+	}
+	if got := b.quotas[transferCustomer].hardLimitTokens; got != took {
+		t.Errorf("%v borrowed of %v lent", got, took)
+	}
+	a.markForGossip(a.quotas[transferCustomer])
+	if a.broadcast(); part-a.quotas[transferCustomer].hardLimitTokens != took {
+		t.Error("what was lacked once is lent twice")
+	}
+	// The repeat is for one that was there: an earlier life may have spent the loan.
+	w.start(t, 1)
+	reborn := w.engines[1]
+	repeat := w.recorders[0].gossip[1][1]
+	if reborn.GossipReceived(w.now, 0, repeat, w.recorders[1]); reborn.quotas[transferCustomer].hardLimitTokens != 0 {
+		t.Errorf("a gateway that has just started holds %v of the ceiling", reborn.quotas[transferCustomer].hardLimitTokens)
+	}
+	text, err := a.ExportState(a.now)
+	heir, _ := newSuccessor(t, a.settings, a.now, testServers(4)...)
+	if err = errors.Join(err, heir.ImportState(a.now, text)); err != nil || heir.hardLimitCapacity(heir.quotas[transferCustomer]) != part-took {
+		t.Errorf("the loan is not handed over: %v, part of %v", err, heir.hardLimitCapacity(heir.quotas[transferCustomer]))
+	}
+	if a.now += a.transferTimeout() / 2; a.quotaFor(transferCustomer, 0, 2, 0).hardLimitTokens > part-took {
+		t.Error("a lender's part is whole again while its loan may be under way")
+	}
+	if a.now += 2 * a.transferTimeout(); a.quotaFor(transferCustomer, 0, 2, 0).hardLimitTokens != part {
+		t.Error("a lender's part stays smaller for good")
+	}
+}
+
+// Tells of before loans are heard: nodes are upgraded one after the other.
+func TestGossipV1WithoutTransfersIsReceived(t *testing.T) {
+	w := newTransferSim(t, 1, 2)
+	a, b := w.engines[0], w.engines[1]
+	b.now = w.now
+	st := b.quotaFor(transferCustomer, 0, 2, 0)
+	before := st.tokens
+	st.pendingUnits = 5
+	entry := b.appendEntry(nil, st, 0)
+	a.now = w.now
+	had := a.quotaFor(transferCustomer, 0, 2, 0).tokens
+	old := encodeGossip(3, 1, 1, entry[:len(entry)-2], 0, nil)
+	old[0] = kindGossipV1
+	a.GossipReceived(w.now, 1, old, w.recorders[0])
+	if got := had - a.quotas[transferCustomer].tokens; got != 5 || before <= 0 {
+		t.Errorf("%v units heard of 5", got)
+	}
+}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -13,142 +13,122 @@
 // what they do is held against the text of the five rules. Outcomes are drawn
 // at random; there is no model of how servers perform.
 
-const ms = time.Millisecond
-
-type sent struct {
-	server  string
-	at      time.Duration
-	done    bool
-	noRun   bool
-	timeout time.Duration
-	end     time.Duration
+type ruleAttempt struct {
+	server        string
+	sentAt        time.Duration
+	isDone        bool
+	neverExecuted bool
+	timeout       time.Duration
+	endedAt       time.Duration
 }
 
-type tracked struct {
-	q      Request
-	gate   int
-	life   int // incarnation of the gateway
-	at     time.Duration
-	tries  []sent
-	final  int
-	killed bool
+type ruleRequest struct {
+	request      Request
+	engine       int
+	incarnation  int // incarnation of the gateway
+	receivedAt   time.Duration
+	attempts     []ruleAttempt
+	finalAnswers int
+	isKilled     bool
 }
 
-type event struct {
-	at  time.Duration
-	n   int
-	run func()
+type trueHardLimit struct {
+	tokens     float64
+	refilledAt time.Duration
 }
 
-type queue []event
-
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n }
-func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)        { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	x := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return x
-}
-
-type ceilingStore struct {
-	level float64
-	at    time.Duration
-}
-
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	set     Settings
-	now     time.Duration
-	queue   queue
-	n       int
-	gates   []*Engine
-	lives   []int
-	reqs    map[string]*tracked
-	servers map[string]Server
-	ids     []string
-	told    []map[string]time.Duration // per gateway: when a server was told not to take work
-	boots   map[string]time.Duration
-	sends   map[string][]time.Duration // to each server
-	oks     map[string][]time.Duration
-	ceil    map[uint64]*ceilingStore
-	loss    float64
-	log     []string
-	served  int
+type ruleChecker struct {
+	t               *testing.T
+	rng             *rand.Rand
+	settings        Settings
+	now             time.Duration
+	queue           simQueue
+	events          int
+	engines         []*Engine
+	incarnations    []int
+	requests        map[string]*ruleRequest
+	servers         map[string]Server
+	serverIDs       []string
+	drainNotifiedAt []map[string]time.Duration // per gateway: when a server was told not to take work
+	bootedAt        map[string]time.Duration
+	sendsTo         map[string][]time.Duration // to each server
+	responsesOf     map[string][]time.Duration
+	hardLimits      map[uint64]*trueHardLimit
+	loss            float64
+	log             []string
+	served          int
 }
 
 const serverRate = 40 // requests a second that a warm server answers; more is turned away as Full
 
-type port struct {
-	w    *world
-	gate int
-	life int
+type ruleHost struct {
+	checker     *ruleChecker
+	engine      int
+	incarnation int
 }
 
-func (w *world) after(d time.Duration, run func()) {
-	w.n++
-	heap.Push(&w.queue, event{w.now + max(d, ms), w.n, run})
+func (w *ruleChecker) after(d time.Duration, run func()) {
+	w.events++
+	heap.Push(&w.queue, simEvent{w.now + max(d, ms), w.events, run})
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *ruleChecker) fail(format string, args ...any) {
 	w.t.Helper()
 	w.t.Errorf("at %v: %s", w.now, fmt.Sprintf(format, args...))
 }
 
-func (p port) note(format string, args ...any) {
-	p.w.log = append(p.w.log, fmt.Sprintf("%v %d ", p.w.now, p.gate)+fmt.Sprintf(format, args...))
+func (p ruleHost) record(format string, args ...any) {
+	p.checker.log = append(p.checker.log, fmt.Sprintf("%v %d ", p.checker.now, p.engine)+fmt.Sprintf(format, args...))
 }
 
-func (p port) SendAttempt(id, server string, timeout time.Duration) {
-	w := p.w
-	p.note("send %s %s %v", id, server, timeout)
-	r := w.reqs[id]
-	if r == nil || r.gate != p.gate {
+func (p ruleHost) SendAttempt(id, server string, timeout time.Duration) {
+	w := p.checker
+	p.record("send %s %s %v", id, server, timeout)
+	r := w.requests[id]
+	if r == nil || r.engine != p.engine {
 		w.fail("send of unknown request %s", id)
 		return
 	}
-	if r.final > 0 {
+	if r.finalAnswers > 0 {
 		w.fail("rule 1: %s sent after its final answer", id)
 	}
-	c := w.set.Classes[0]
-	for _, k := range w.set.Classes {
-		if k.Name == r.q.Class {
+	c := w.settings.Classes[0]
+	for _, k := range w.settings.Classes {
+		if k.Name == r.request.Class {
 			c = k
 		}
 	}
 	out := 0
-	for _, a := range r.tries {
-		if !a.done {
+	for _, a := range r.attempts {
+		if !a.isDone {
 			out++
 		}
-		if a.noRun {
+		if a.neverExecuted {
 			continue
 		}
 		was, is := w.servers[a.server], w.servers[server]
 		switch {
 		case c.Idempotency == NonIdempotent:
 			w.fail("rule 2: unsafe %s sent again", id)
-		case c.Idempotency == IdempotentWithKey && w.now-a.at > c.DedupWindow:
-			w.fail("rule 2: keyed %s sent again after %v", id, w.now-a.at)
+		case c.Idempotency == IdempotentWithKey && w.now-a.sentAt > c.DedupWindow:
+			w.fail("rule 2: keyed %s sent again after %v", id, w.now-a.sentAt)
 		case c.Idempotency == IdempotentWithKey && c.DedupScope == DedupZone && was.Zone != is.Zone,
 			c.Idempotency == IdempotentWithKey && c.DedupScope == DedupCell && was.Cell != is.Cell:
 			w.fail("rule 2: keyed %s sent outside its group", id)
 		}
 	}
-	if out > 0 && !w.set.AllowsHedging {
+	if out > 0 && !w.settings.AllowsHedging {
 		w.fail("rule 2: %s has two attempts out", id)
 	}
-	if at, ok := w.told[p.gate][server]; ok && w.now-at > w.set.DrainGracePeriod {
+	if at, ok := w.drainNotifiedAt[p.engine][server]; ok && w.now-at > w.settings.DrainGracePeriod {
 		w.fail("rule 3: send to %s %v after its drain was told", server, w.now-at)
 	}
-	if len(r.tries) == 0 {
-		w.draw(r.q)
+	if len(r.attempts) == 0 {
+		w.chargeHardLimit(r.request)
 	}
 	w.checkCold(server)
-	n := len(r.tries)
-	end := r.at + r.q.Timeout
+	n := len(r.attempts)
+	end := r.receivedAt + r.request.Timeout
 	took := time.Duration(w.rng.ExpFloat64() * float64(60*ms))
 	res := OK
 	switch w.rng.IntN(24) {
@@ -163,7 +143,7 @@
 	case 4:
 		took = time.Hour
 	}
-	if w.overRate(server) {
+	if w.isOverRate(server) {
 		res, took = RejectedByServer, ms
 	}
 	limit := end - w.now
@@ -173,13 +153,13 @@
 	if took > limit {
 		res, took = TimedOut, limit
 	}
-	r.tries = append(r.tries, sent{server: server, at: w.now})
+	r.attempts = append(r.attempts, ruleAttempt{server: server, sentAt: w.now})
 	w.after(took, func() { w.finish(p, r, n, res) })
 }
 
-func (w *world) overRate(server string) bool {
+func (w *ruleChecker) isOverRate(server string) bool {
 	n := 0
-	for _, at := range w.oks[server] {
+	for _, at := range w.responsesOf[server] {
 		if w.now-at < time.Second {
 			n++
 		}
@@ -187,184 +167,184 @@
 	return n >= serverRate
 }
 
-func (w *world) finish(p port, r *tracked, n int, res Result) {
-	a := &r.tries[n]
-	if a.done {
+func (w *ruleChecker) finish(p ruleHost, r *ruleRequest, n int, res Result) {
+	a := &r.attempts[n]
+	if a.isDone {
 		return
 	}
-	a.done, a.noRun, a.end = true, res == RejectedByServer || res == ConnectFailed || res == NotSent, w.now
+	a.isDone, a.neverExecuted, a.endedAt = true, res == RejectedByServer || res == ConnectFailed || res == NotSent, w.now
 	if res == OK {
-		w.oks[a.server] = append(w.oks[a.server], w.now)
-		if r.final == 0 {
-			r.final++
+		w.responsesOf[a.server] = append(w.responsesOf[a.server], w.now)
+		if r.finalAnswers == 0 {
+			r.finalAnswers++
 			w.served++
 		}
 	}
-	if r.killed || w.lives[p.gate] != p.life {
+	if r.isKilled || w.incarnations[p.engine] != p.incarnation {
 		return
 	}
-	o := AttemptResult{ID: r.q.ID, Attempt: n, RequestAnswered: r.final > 0, Result: res, Server: a.server, Latency: w.now - a.at}
-	w.gates[p.gate].AttemptCompleted(w.now, o, p)
+	o := AttemptResult{ID: r.request.ID, Attempt: n, RequestAnswered: r.finalAnswers > 0, Result: res, Server: a.server, Latency: w.now - a.sentAt}
+	w.engines[p.engine].AttemptCompleted(w.now, o, p)
 }
 
-// draw takes the first send of a try from its customer's ceiling: rule 5.
-func (w *world) draw(q Request) {
-	p := w.set.Plans[0]
+// chargeHardLimit takes the first send of a try from its customer's ceiling: rule 5.
+func (w *ruleChecker) chargeHardLimit(q Request) {
+	p := w.settings.Plans[0]
 	if q.Plan != p.Name {
 		return
 	}
-	s := w.ceil[q.Customer]
+	s := w.hardLimits[q.Customer]
 	if s == nil {
-		s = &ceilingStore{p.HardLimitBurst, 0}
-		w.ceil[q.Customer] = s
+		s = &trueHardLimit{p.HardLimitBurst, 0}
+		w.hardLimits[q.Customer] = s
 	}
-	s.level = math.Min(p.HardLimitBurst, s.level+p.HardLimitRate*(w.now-s.at).Seconds()) - q.Units
-	s.at = w.now
-	if s.level < -p.HardLimitSlack-1e-6 {
-		w.fail("rule 5: ceiling of customer %d at %.2f", q.Customer, s.level)
+	s.tokens = math.Min(p.HardLimitBurst, s.tokens+p.HardLimitRate*(w.now-s.refilledAt).Seconds()) - q.Units
+	s.refilledAt = w.now
+	if s.tokens < -p.HardLimitSlack-1e-6 {
+		w.fail("rule 5: ceiling of customer %d at %.2f", q.Customer, s.tokens)
 	}
 }
 
 // checkCold counts what all gateways send a cold server in any window: rule 4.
-func (w *world) checkCold(server string) {
-	w.sends[server] = append(w.sends[server], w.now)
-	boot, ok := w.boots[server]
-	if !ok || w.now-boot >= w.set.SlowStartWindow {
+func (w *ruleChecker) checkCold(server string) {
+	w.sendsTo[server] = append(w.sendsTo[server], w.now)
+	boot, ok := w.bootedAt[server]
+	if !ok || w.now-boot >= w.settings.SlowStartWindow {
 		return
 	}
-	age := (w.now - boot).Seconds() / w.set.SlowStartWindow.Seconds()
-	share := w.set.SlowStartMinFraction + (1-w.set.SlowStartMinFraction)*age
+	age := (w.now - boot).Seconds() / w.settings.SlowStartWindow.Seconds()
+	share := w.settings.SlowStartMinFraction + (1-w.settings.SlowStartMinFraction)*age
 	n := 0.0
-	for _, at := range w.sends[server] {
-		if at >= boot && w.now-at <= w.set.ColdOverloadWindow {
+	for _, at := range w.sendsTo[server] {
+		if at >= boot && w.now-at <= w.settings.ColdOverloadWindow {
 			n++
 		}
 	}
-	if n > w.set.ColdOverloadMultiple*share*serverRate*w.set.ColdOverloadWindow.Seconds() {
-		w.fail("rule 4: %v sends in %v to cold %s at %.2f", n, w.set.ColdOverloadWindow, server, share)
+	if n > w.settings.ColdOverloadMultiple*share*serverRate*w.settings.ColdOverloadWindow.Seconds() {
+		w.fail("rule 4: %v sends in %v to cold %s at %.2f", n, w.settings.ColdOverloadWindow, server, share)
 	}
 }
 
-func (p port) end(id, how string) *tracked {
-	r := p.w.reqs[id]
-	p.note("%s %s", how, id)
-	if r == nil || r.gate != p.gate {
-		p.w.fail("answer to unknown request %s", id)
+func (p ruleHost) finalAnswer(id, how string) *ruleRequest {
+	r := p.checker.requests[id]
+	p.record("%s %s", how, id)
+	if r == nil || r.engine != p.engine {
+		p.checker.fail("answer to unknown request %s", id)
 		return nil
 	}
-	if r.final > 0 {
-		p.w.fail("rule 1: second answer to %s", id)
+	if r.finalAnswers > 0 {
+		p.checker.fail("rule 1: second answer to %s", id)
 	}
-	if p.w.now > r.at+r.q.Timeout+p.w.set.ResponseSlack {
-		p.w.fail("rule 1: answer to %s late", id)
+	if p.checker.now > r.receivedAt+r.request.Timeout+p.checker.settings.ResponseSlack {
+		p.checker.fail("rule 1: answer to %s late", id)
 	}
-	r.final++
+	r.finalAnswers++
 	return r
 }
 
-func (p port) RejectRequest(id string, _ time.Duration) {
-	r := p.end(id, "refuse")
+func (p ruleHost) RejectRequest(id string, _ time.Duration) {
+	r := p.finalAnswer(id, "refuse")
 	if r == nil {
 		return
 	}
-	for _, c := range p.w.set.Classes {
-		if c.Name != r.q.Class || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers {
+	for _, c := range p.checker.settings.Classes {
+		if c.Name != r.request.Class || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers {
 			continue
 		}
-		for _, a := range r.tries {
-			if !a.noRun {
-				p.w.fail("rule 2: %s refused though it may have run", id)
+		for _, a := range r.attempts {
+			if !a.neverExecuted {
+				p.checker.fail("rule 2: %s refused though it may have run", id)
 			}
 		}
 	}
 }
 
-func (p port) FailRequest(id string) { p.end(id, "fail") }
+func (p ruleHost) FailRequest(id string) { p.finalAnswer(id, "fail") }
 
-func (p port) CancelAttempt(id string, n int) {
-	p.note("cancel %s %d", id, n)
-	r := p.w.reqs[id]
-	p.w.after(ms, func() { p.w.finish(p, r, n, Cancelled) })
+func (p ruleHost) CancelAttempt(id string, n int) {
+	p.record("cancel %s %d", id, n)
+	r := p.checker.requests[id]
+	p.checker.after(ms, func() { p.checker.finish(p, r, n, Cancelled) })
 }
 
-func (p port) SetTimer(token uint64, d time.Duration) {
-	p.w.after(d, func() {
-		if p.w.lives[p.gate] == p.life {
-			p.w.gates[p.gate].TimerFired(p.w.now, token, p)
+func (p ruleHost) SetTimer(token uint64, d time.Duration) {
+	p.checker.after(d, func() {
+		if p.checker.incarnations[p.engine] == p.incarnation {
+			p.checker.engines[p.engine].TimerFired(p.checker.now, token, p)
 		}
 	})
 }
 
-func (p port) CheckHealth(string) {}
+func (p ruleHost) CheckHealth(string) {}
 
-func (p port) SendGossip(to int, m []byte) {
+func (p ruleHost) SendGossip(to int, m []byte) {
 	if len(m) > 256 {
-		p.w.fail("message of %d bytes", len(m))
+		p.checker.fail("message of %d bytes", len(m))
 	}
 	b := append([]byte(nil), m...)
-	p.note("tell %d %x", to, b)
-	for k := p.w.rng.IntN(2); k >= 0; k-- { // some come twice
-		if p.w.rng.Float64() < p.w.loss {
+	p.record("tell %d %x", to, b)
+	for k := p.checker.rng.IntN(2); k >= 0; k-- { // some come twice
+		if p.checker.rng.Float64() < p.checker.loss {
 			continue
 		}
-		p.w.after(time.Duration(p.w.rng.IntN(150))*ms, func() {
-			p.w.gates[to].GossipReceived(p.w.now, p.gate, b, port{p.w, to, p.w.lives[to]})
+		p.checker.after(time.Duration(p.checker.rng.IntN(150))*ms, func() {
+			p.checker.engines[to].GossipReceived(p.checker.now, p.engine, b, ruleHost{p.checker, to, p.checker.incarnations[to]})
 		})
 	}
 }
 
-func (p port) WatchEndpoints(bool) {}
-func (p port) Log(string)          {}
+func (p ruleHost) WatchEndpoints(bool) {}
+func (p ruleHost) Log(string)          {}
 
-func (w *world) start(i int) {
-	w.lives[i]++
-	for _, r := range w.reqs {
-		if r.gate == i && r.final == 0 {
-			r.killed = true
+func (w *ruleChecker) start(i int) {
+	w.incarnations[i]++
+	for _, r := range w.requests {
+		if r.engine == i && r.finalAnswers == 0 {
+			r.isKilled = true
 		}
 	}
-	s := w.set
+	s := w.settings
 	s.InstanceIndex = i
 	g, err := New(s, w.rng.Uint64())
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.gates[i] = g
-	p := port{w, i, w.lives[i]}
+	w.engines[i] = g
+	p := ruleHost{w, i, w.incarnations[i]}
 	g.Start(w.now, p)
-	w.tellList(i, EndpointsSaved, w.ids...)
+	w.sendEndpoints(i, EndpointsSaved, w.serverIDs...)
 }
 
-func (w *world) tellList(i int, form EndpointUpdateKind, ids ...string) {
+func (w *ruleChecker) sendEndpoints(i int, form EndpointUpdateKind, ids ...string) {
 	var list []Server
 	for _, id := range ids {
 		s := w.servers[id]
 		list = append(list, s)
 		if s.State == Up {
-			delete(w.told[i], id)
-		} else if _, ok := w.told[i][id]; !ok {
-			w.told[i][id] = w.now
+			delete(w.drainNotifiedAt[i], id)
+		} else if _, ok := w.drainNotifiedAt[i][id]; !ok {
+			w.drainNotifiedAt[i][id] = w.now
 		}
 	}
-	w.gates[i].EndpointsChanged(w.now, form, list, port{w, i, w.lives[i]})
+	w.engines[i].EndpointsChanged(w.now, form, list, ruleHost{w, i, w.incarnations[i]})
 }
 
-// play runs one random sequence on so many gateways and returns the gateways' actions.
-func play(t *testing.T, seed uint64, parallel bool, group DedupScope, loss float64, gates int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), reqs: map[string]*tracked{}, servers: map[string]Server{},
-		boots: map[string]time.Duration{}, sends: map[string][]time.Duration{}, oks: map[string][]time.Duration{},
-		ceil: map[uint64]*ceilingStore{}, loss: loss}
-	w.set = testSettings()
-	w.set.InstanceCount, w.set.AllowsHedging = gates, parallel
-	w.set.Classes[1].DedupScope = group
-	w.gates, w.lives = make([]*Engine, gates), make([]int, gates)
+// runRandomSequence runs one random sequence on so many gateways and returns the gateways' actions.
+func runRandomSequence(t *testing.T, seed uint64, parallel bool, group DedupScope, loss float64, gates int) *ruleChecker {
+	w := &ruleChecker{t: t, rng: rand.New(rand.NewPCG(seed, 1)), requests: map[string]*ruleRequest{}, servers: map[string]Server{},
+		bootedAt: map[string]time.Duration{}, sendsTo: map[string][]time.Duration{}, responsesOf: map[string][]time.Duration{},
+		hardLimits: map[uint64]*trueHardLimit{}, loss: loss}
+	w.settings = testSettings()
+	w.settings.InstanceCount, w.settings.AllowsHedging = gates, parallel
+	w.settings.Classes[1].DedupScope = group
+	w.engines, w.incarnations = make([]*Engine, gates), make([]int, gates)
 	for i := 0; i < 8; i++ {
 		id := fmt.Sprintf("s%d", i)
-		w.ids = append(w.ids, id)
+		w.serverIDs = append(w.serverIDs, id)
 		w.servers[id] = Server{ID: id, Kind: "k", Zone: []string{"a", "b"}[i%2], Cell: i / 3}
 	}
-	for i := range w.gates {
-		w.told = append(w.told, map[string]time.Duration{})
+	for i := range w.engines {
+		w.drainNotifiedAt = append(w.drainNotifiedAt, map[string]time.Duration{})
 		w.start(i)
 	}
 	const day = 12 * time.Second
@@ -374,24 +354,24 @@
 			return
 		}
 		w.after(time.Duration(w.rng.ExpFloat64()*float64(5*ms)), arrive)
-		q := Request{ID: fmt.Sprintf("r%d", w.n), Class: w.set.Classes[w.rng.IntN(3)].Name, Plan: w.set.Plans[w.rng.IntN(3)].Name,
+		q := Request{ID: fmt.Sprintf("r%d", w.events), Class: w.settings.Classes[w.rng.IntN(3)].Name, Plan: w.settings.Plans[w.rng.IntN(3)].Name,
 			Timeout: time.Duration(300+w.rng.IntN(1700)) * ms, Units: float64(1 + w.rng.IntN(3)), InstanceCount: min(gates, 12)}
 		q.Customer = uint64(w.rng.IntN(4))
-		if q.Plan != w.set.Plans[0].Name {
+		if q.Plan != w.settings.Plans[0].Name {
 			q.Customer += 100 * uint64(1+w.rng.IntN(2))
-			if q.Plan == w.set.Plans[2].Name {
+			if q.Plan == w.settings.Plans[2].Name {
 				q.Customer += 1000
 			}
 		}
 		q.FirstInstance = int(q.Customer*7) % gates
 		g := (q.FirstInstance + w.rng.IntN(q.InstanceCount)) % gates
-		w.reqs[q.ID] = &tracked{q: q, gate: g, life: w.lives[g], at: w.now}
-		w.gates[g].RequestReceived(w.now, q, port{w, g, w.lives[g]})
+		w.requests[q.ID] = &ruleRequest{request: q, engine: g, incarnation: w.incarnations[g], receivedAt: w.now}
+		w.engines[g].RequestReceived(w.now, q, ruleHost{w, g, w.incarnations[g]})
 	}
 	w.after(0, arrive)
 	for i := 0; i < 14; i++ {
 		w.after(time.Duration(w.rng.Int64N(int64(day))), func() {
-			id := w.ids[w.rng.IntN(len(w.ids))]
+			id := w.serverIDs[w.rng.IntN(len(w.serverIDs))]
 			s := w.servers[id]
 			switch w.rng.IntN(4) {
 			case 0:
@@ -403,46 +383,27 @@
 				s.State = Removed
 			case 3:
 				s.State, s.StartedAt = Up, w.now
-				w.boots[id], w.oks[id] = w.now, nil
+				w.bootedAt[id], w.responsesOf[id] = w.now, nil
 			}
 			w.servers[id] = s
-			for g := range w.gates {
-				w.tellList(g, EndpointsDelta, id)
+			for g := range w.engines {
+				w.sendEndpoints(g, EndpointsDelta, id)
 			}
 		})
 	}
 	for w.queue.Len() > 0 && w.now < day+5*time.Second {
-		e := heap.Pop(&w.queue).(event)
+		e := heap.Pop(&w.queue).(simEvent)
 		w.now = e.at
 		e.run()
 	}
-	for id, r := range w.reqs {
-		if r.final != 1 && !r.killed {
-			w.fail("rule 1: %s has %d final answers", id, r.final)
+	for id, r := range w.requests {
+		if r.finalAnswers != 1 && !r.isKilled {
+			w.fail("rule 1: %s has %d final answers", id, r.finalAnswers)
 		}
 	}
 	return w
 }
 
-func testSettings() Settings {
-	return Settings{
-		InstanceCount: 1, Zone: "a",
-		Classes: []Class{
-			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
-			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 300 * ms, LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
-			{Name: "unsafe", Idempotency: NonIdempotent, DedupWindow: time.Second, LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
-		},
-		Plans: []Plan{
-			{Name: "hard", Rate: 20, Burst: 20, HardLimitRate: 25, HardLimitBurst: 24, HardLimitSlack: 1, PriorityFactor: 1},
-			{Name: "rate", Rate: 40, Burst: 40, PriorityFactor: 1},
-			{Name: "open", MaxInFlight: 6, PriorityFactor: 1},
-		},
-		ResponseSlack: 10 * ms, DrainGracePeriod: 200 * ms, SlowStartMinFraction: 0.2, SlowStartWindow: 8 * time.Second, ColdOverloadMultiple: 2,
-		ColdOverloadWindow: time.Second, MaxAttempts: 4, AllowsCancel: true, AllowsGossip: true, SendsRetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, GossipInboxRate: 60, MinEventInterval: ms,
-	}
-}
-
 func TestRulesHoldOnRandomSequences(t *testing.T) {
 	t.Parallel()
 	served, total := 0, 0
@@ -456,8 +417,8 @@
 		if gates > 3 {
 			loss = []float64{0, 0.1, 1}[seed/6%3]
 		}
-		w := play(t, seed, seed%2 == 0, DedupScope(seed%3), loss, gates)
-		served, total = served+w.served, total+len(w.reqs)
+		w := runRandomSequence(t, seed, seed%2 == 0, DedupScope(seed%3), loss, gates)
+		served, total = served+w.served, total+len(w.requests)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
@@ -468,7 +429,7 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	a, b := play(t, 7, true, DedupCell, 0.1, 3), play(t, 7, true, DedupCell, 0.1, 3)
+	a, b := runRandomSequence(t, 7, true, DedupCell, 0.1, 3), runRandomSequence(t, 7, true, DedupCell, 0.1, 3)
 	if len(a.log) < 1000 || len(a.log) != len(b.log) {
 		t.Fatalf("%d and %d actions", len(a.log), len(b.log))
 	}
