--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"math"
 	"time"
 )
 
@@ -29,42 +28,92 @@
 	return (l.firstTryTimeout-grace).Seconds()+l.mean > c.LatencyObjective.Seconds()
 }
 
-// admit goes on with a request once it is known whether it is inside the quota, which its units have left.
-func (e *Engine) admit(r *request, in bool, wait time.Duration) {
-	st, p, ci := r.quota, &e.settings.Plans[r.quota.plan], r.class
-	r.inQuota = in
-	why := rejectQuota
-	var s *server
-	// Exception: beyond the quota only where that earns more than it costs and the back end is calm.
-	if !in && !e.mayExceedQuota(p) {
-	} else if !r.isGranted && st.hardLimitTokens < r.Units && p.HardLimitRate > 0 {
-		wait, why = refillTime(r.Units-st.hardLimitTokens, p.HardLimitRate*st.rateFraction), rejectHardLimit
-		if st.unmetUnits += r.Units; !st.usesOwner {
-			wait = min(wait, 2*e.gossipInterval) // a peer may lend
-		}
-		e.markForGossip(st)
-	} else if !e.overload.admit() {
-		wait, why = e.settings.Classes[ci].LatencyObjective/throttleRetryFraction, rejectThrottled
-	} else {
-		wait, why = samplesPerAssessment*sampleInterval, rejectNoServer
-		s = e.selectServer(r)
+// rejectEarly returns why a request has to be rejected before its quota is looked at, and when to retry.
+func (e *Engine) rejectEarly(r *request) (time.Duration, rejectReason) {
+	l, plan := &e.latencies.classes[r.class], &e.settings.Plans[r.quota.plan]
+	wait := e.settings.Classes[r.class].LatencyObjective / throttleRetryFraction
+	switch {
+	case e.isOverloaded(r.class, r.Zone, plan.PriorityFactor):
+		return wait, rejectOverloaded
+	case r.isLate && e.overload.occupancy >= highOccupancy:
+		return wait, rejectLate
+	case l.samples >= minBatchSamples && r.Timeout.Seconds() < l.mean:
+		return wait, rejectShortTimeout
+	case r.quota.usesOwner && !r.IsCharged && e.now < r.quota.rejectedUntil && plan.OverQuotaFraction == 0:
+		return r.quota.rejectedUntil - e.now, rejectQuota
+	}
+	return 0, rejectNone
+}
+
+// checkRequestQuota asks whoever knows whether a request is inside its customer's quota.
+func (e *Engine) checkRequestQuota(r *request) {
+	if r.IsCharged {
+		r.Units, r.isGranted = 0, true
+		e.admit(r, true, 0)
+		return
 	}
+	r.owner = e.ownerFor(r.quota)
+	if r.quota.usesOwner && r.owner != e.settings.InstanceIndex {
+		e.requestQuota(r)
+		return
+	}
+	inQuota, wait := e.checkQuota(r.quota, r.Units, r.isLate)
+	if inQuota {
+		e.takeUnits(r.quota, r.Units)
+	}
+	e.admit(r, inQuota, wait)
+}
+
+// admit goes on with a request once it is known whether it is inside the quota, which its units have left.
+func (e *Engine) admit(r *request, inQuota bool, quotaWait time.Duration) {
+	r.inQuota = inQuota
+	s, wait, why := e.chooseServer(r, quotaWait)
 	if s == nil {
 		e.returnUnits(r, r.Units)
 		e.reject(r.ID, wait, why)
 		e.closeRequest(r)
 		return
 	}
-	if p.HardLimitRate > 0 && !r.isGranted {
-		st.hardLimitTokens -= r.Units
+	if e.settings.Plans[r.quota.plan].HardLimitRate > 0 && !r.isGranted {
+		r.quota.hardLimitTokens -= r.Units
+	}
+	r.quota.startedSinceGossip++
+	if !inQuota {
+		e.overQuota.Sent += r.Units
 	}
-	st.startedSinceGossip++
-	e.overQuota.Sent += r.Units * boolToFloat(!in)
 	e.overload.countAccepted()
-	e.retryTokens = math.Min(e.retryTokens+retryTokensPerRequest, maxRetryTokens)
+	e.retries.earn()
 	e.startAttempt(r, s)
 }
 
+// chooseServer returns the server for a request's first attempt or, where it has to be rejected, why and when
+// to retry: quota, then hard limit, then overload control, then the servers.
+func (e *Engine) chooseServer(r *request, quotaWait time.Duration) (*server, time.Duration, rejectReason) {
+	plan := &e.settings.Plans[r.quota.plan]
+	if !r.inQuota && !e.mayExceedQuota(plan) {
+		return nil, quotaWait, rejectQuota
+	}
+	if !r.isGranted && plan.HardLimitRate > 0 && r.quota.hardLimitTokens < r.Units {
+		return nil, e.missHardLimit(r.quota, r.Units), rejectHardLimit
+	}
+	if !e.overload.admit() {
+		return nil, e.settings.Classes[r.class].LatencyObjective / throttleRetryFraction, rejectThrottled
+	}
+	return e.selectServer(r), samplesPerAssessment * sampleInterval, rejectNoServer
+}
+
+// missHardLimit notes units that this node's part of a hard limit lacks, and returns when it may have them.
+func (e *Engine) missHardLimit(quota *customerQuota, units float64) time.Duration {
+	rate := e.settings.Plans[quota.plan].HardLimitRate * quota.rateFraction
+	wait := refillTime(units-quota.hardLimitTokens, rate)
+	quota.unmetUnits += units
+	e.markForGossip(quota)
+	if quota.usesOwner {
+		return wait
+	}
+	return min(wait, 2*e.gossipInterval) // a peer may transfer some
+}
+
 // mayExceedQuota tells whether a request beyond the quota may go on: only where that earns more than it costs
 // and the servers have capacity to spare.
 func (e *Engine) mayExceedQuota(p *Plan) bool {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -102,7 +102,7 @@
 		g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
 		var due timerRequest
 		for _, ts := range r.timers {
-			if ts.token&7 == timerDeadline {
+			if timerKind(ts.token&7) == timerDeadline {
 				due = ts
 			}
 		}
@@ -116,8 +116,8 @@
 		}
 		g.TimerFired(t0+due.after, due.token, r)
 		g.AttemptCompleted(t0+due.after, AttemptResult{ID: "r1", Result: Cancelled}, r)
-		if len(r.actions) != 2 || len(g.requests) != 0 {
-			t.Errorf("%s: %q, %d requests kept", class, r.actions, len(g.requests))
+		if len(r.actions) != 2 || len(g.requests.byID) != 0 {
+			t.Errorf("%s: %q, %d requests kept", class, r.actions, len(g.requests.byID))
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	r.actions = nil
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
-	if g.requests["r1"] == nil || g.requests["r1"].inFlight != 1 {
+	if g.requests.byID["r1"] == nil || g.requests.byID["r1"].inFlight != 1 {
 		t.Error("an attempt never made ended the request")
 	}
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Server: "s0"}, r)
@@ -138,7 +138,7 @@
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1}, r)
 	g.ClientDisconnected(t0, "r1", r)
 	g.ResponseStarted(t0, "r1", 0, r)
-	g.TimerFired(t0, 1<<40|timerDeadline, r)
+	g.TimerFired(t0, 1<<40|uint64(timerDeadline), r)
 	g.TimerFired(t0, 7, r)
 	g.HealthCheckCompleted(t0, "none", OK, &LoadReport{Utilization: 1}, r)
 	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
@@ -155,7 +155,7 @@
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	g.ResponseStarted(t0+ms, "r1", 0, r)
 	r.actions = nil
-	g.TimerFired(t0+2*time.Second, 1<<timerBits|timerDeadline, r)
+	g.TimerFired(t0+2*time.Second, timerToken(timerDeadline, 1), r)
 	if len(r.actions) != 0 {
 		t.Errorf("%q", r.actions)
 	}
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -6,6 +6,9 @@
 
 const idleConnectionTimeout = 10 * time.Second // a connection idle for so long may have been closed
 
+// maxConnectFailures is how many failed connections are remembered of a server.
+const maxConnectFailures = 8
+
 // recordConnectFailure takes in a connection that did not come up: the process may have restarted.
 func (s *server) recordConnectFailure(now time.Duration) {
 	if len(s.connectFailures) == maxConnectFailures {
@@ -15,9 +18,12 @@
 	s.connectFailedAt = now
 }
 
-// confirmUpSince takes in that the process has been up since a time: connections that failed from then on
-// were no sign of a restart.
+// confirmUpSince takes in that the process has been up since a time, if one is told: connections that failed
+// from then on were no sign of a restart.
 func (s *server) confirmUpSince(at time.Duration) {
+	if at <= 0 {
+		return
+	}
 	n := len(s.connectFailures)
 	for n > 0 && s.connectFailures[n-1] >= at {
 		n--
@@ -26,15 +32,38 @@
 		return
 	}
 	s.connectFailures = s.connectFailures[:n]
-	if s.connectFailedAt = 0; n > 0 {
+	s.connectFailedAt = 0
+	if n > 0 {
 		s.connectFailedAt = s.connectFailures[n-1]
 	}
 }
 
-// maxConnectFailures is the most failed connections that are remembered of a server.
-const maxConnectFailures = 8
-
-// hasIdleConnection tells whether a connection to the server should stand open and idle.
+// hasIdleConnection tells whether a connection to the server should be open and idle.
 func (s *server) hasIdleConnection(now time.Duration) bool {
 	return s.expectedConnections > s.inFlight && now-s.lastUsedAt < idleConnectionTimeout
 }
+
+// connectionUsed takes in that an attempt begins, which needs a connection.
+func (s *server) connectionUsed(now time.Duration) {
+	if !s.hasIdleConnection(now) {
+		s.expectedConnections = s.inFlight + 1
+	}
+}
+
+// connectionEnded takes in how the attempt on a connection ended.
+func (s *server) connectionEnded(now time.Duration, result Result) {
+	switch result {
+	case OK, RejectedByServer, ErrorResponse:
+		s.lastUsedAt = now
+	case TimedOut, ConnectFailed:
+		s.expectedConnections = 0 // the host closes the idle ones as well
+	default:
+		s.expectedConnections = max(s.expectedConnections-1, 0)
+	}
+}
+
+// connectionChecked takes in that a health check was answered, on a connection of its own.
+func (s *server) connectionChecked(now time.Duration) {
+	s.expectedConnections = max(s.expectedConnections, s.inFlight+1)
+	s.lastUsedAt = now
+}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -10,7 +10,8 @@
 	e.now, e.actions = now, out
 	if form == EndpointsUnavailable {
 		if e.settings.PollsEndpoints {
-			e.actions.SetTimer(timerEndpointPoll, time.Second+time.Duration(e.rng.Int64N(int64(time.Second))))
+			delay := time.Second + time.Duration(e.rng.Int64N(int64(time.Second)))
+			e.actions.SetTimer(timerToken(timerEndpointPoll, 0), delay)
 		}
 		return
 	}
@@ -22,16 +23,11 @@
 	for _, listed := range entries {
 		s := e.serverByID[listed.ID]
 		if s == nil {
-			s = &server{latencyRatio: 1, queueLength: -1, warmupBudget: -1, utilization: -1, subsetCorrection: 1, gossipID: gossipIDOf(listed.ID)}
+			s = newServer(listed.ID)
 			e.serverByID[listed.ID] = s
 			e.servers = append(e.servers, s)
 		}
-		if s.StartedAt != listed.StartedAt {
-			// A restarted server is another one: nothing learned of it holds.
-			s.failureRate, s.consecutiveEjections, s.ejectedUntil, s.latencyRatio, s.queueLength, s.warmupBudget, s.isUnresponsive = 0, 0, 0, 1, -1, -1, false
-			s.expectedConnections = 0
-		}
-		s.Server, s.isListed = listed, listed.State != Removed
+		s.update(listed)
 		e.latencies.addKind(listed.Kind)
 	}
 	e.updateServers()
@@ -48,8 +44,8 @@
 		}
 		kept = append(kept, s)
 		if s.acceptsRequests() {
-			e.weightsDiffer = e.weightsDiffer || e.maxServerWeight > 0 && e.serverWeight(s) != e.maxServerWeight
-			e.maxServerWeight = math.Max(e.maxServerWeight, e.serverWeight(s))
+			e.weightsDiffer = e.weightsDiffer || e.maxServerWeight > 0 && s.weight() != e.maxServerWeight
+			e.maxServerWeight = math.Max(e.maxServerWeight, s.weight())
 		}
 	}
 	e.servers = kept
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,98 +1,44 @@
 package policy
 
 import (
-	"math"
 	"time"
 )
 
-// RequestReceived is a new try of a client: it is sent on or refused at once.
+// RequestReceived is a new request of a client: it is forwarded or rejected at once, or once the owner of its
+// customer's quota has answered.
 func (e *Engine) RequestReceived(now time.Duration, q Request, out Actions) {
 	e.now, e.actions = now, out
-	if e.requests[q.ID] != nil {
+	if e.requests.byID[q.ID] != nil {
 		return
 	}
-	ci, okClass := e.classIndex[q.Class]
-	pi, okPlan := e.planIndex[q.Plan]
-	if !okClass || !okPlan || q.Timeout <= 0 {
+	class, hasClass := e.classIndex[q.Class]
+	plan, hasPlan := e.planIndex[q.Plan]
+	if !hasClass || !hasPlan || q.Timeout <= 0 {
 		e.reject(q.ID, 0, rejectUnknown)
 		return
 	}
-	q.Units = math.Max(q.Units, 0)
-	q.InstanceCount = min(max(q.InstanceCount, 1), e.settings.InstanceCount)
-	st := e.quotaFor(q.Customer, pi, q.InstanceCount, q.FirstInstance)
-	if st.plan != pi { // the customer has changed its plan
-		e.changePlan(st, e.settings.Plans[st.plan], pi)
-	}
-	e.lastRequestNumber++
-	r := &request{Request: q, number: e.lastRequestNumber, class: ci, quota: st}
-	r.deadline = now + q.BodyTimeout + q.Timeout - 2*e.settings.MinEventInterval
-	late, l := e.isTooLate(ci, q.Timeout), &e.latencies.classes[ci]
-	wait, why := e.settings.Classes[ci].LatencyObjective/throttleRetryFraction, rejectNone
-	switch {
-	case e.isOverloaded(ci, q.Zone, e.settings.Plans[pi].PriorityFactor):
-		why = rejectOverloaded
-	case late && e.overload.occupancy >= highOccupancy:
-		why = rejectLate
-	case l.samples >= minBatchSamples && q.Timeout.Seconds() < l.mean:
-		why = rejectShortTimeout
-	case st.usesOwner && !q.IsCharged && now < st.rejectedUntil &&
-		e.settings.Plans[pi].OverQuotaFraction == 0:
-		wait, why = st.rejectedUntil-now, rejectQuota
-	}
-	if why != rejectNone {
-		e.reject(q.ID, wait, why)
+	r := e.newRequest(q, class, plan)
+	r.isLate = e.isTooLate(class, q.Timeout)
+	if wait, why := e.rejectEarly(r); why != rejectNone {
+		e.reject(r.ID, wait, why)
 		return
 	}
-	e.requests[q.ID], e.requestByNumber[r.number] = r, r
-	e.actions.SetTimer(r.number<<timerBits|timerDeadline, max(r.deadline-now, 0))
-	if q.IsCharged {
-		r.Units, r.isGranted = 0, true
-		e.admit(r, true, 0)
-		return
-	}
-	if r.owner = e.ownerFor(st); st.usesOwner && r.owner != e.settings.InstanceIndex {
-		r.isLate = late
-		e.requestQuota(r)
-		return
-	}
-	in, wait := e.checkQuota(st, q.Units, late)
-	if in {
-		e.takeUnits(st, q.Units)
-	}
-	e.admit(r, in, wait)
+	e.requests.add(r)
+	e.actions.SetTimer(timerToken(timerDeadline, r.number), max(r.deadline-now, 0))
+	e.checkRequestQuota(r)
 }
 
 // AttemptCompleted is the end of an attempt.
 func (e *Engine) AttemptCompleted(now time.Duration, o AttemptResult, out Actions) {
 	e.now, e.actions = now, out
-	r := e.requests[o.ID]
+	r := e.requests.byID[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].isDone {
 		return
 	}
 	a := &r.attempts[o.Attempt]
-	a.isDone, a.result, a.neverExecuted = true, o.Result, neverExecuted(o.Result)
-	s := a.server
-	if !a.isStreaming {
-		s.inFlight--
-		e.inFlight--
-	}
-	switch o.Result {
-	case OK, RejectedByServer, ErrorResponse:
-		s.lastUsedAt = e.now
-	case TimedOut, ConnectFailed:
-		s.expectedConnections = 0 // the host closes the idle ones as well
-	default:
-		s.expectedConnections = max(s.expectedConnections-1, 0)
-	}
-	r.inFlight--
-	r.quota.inFlight--
-	e.markForGossip(r.quota)
-	e.updateHealth(r, s, o)
-	if o.Result == OK && e.settings.SettlesUnits && o.Units > 0 && r.inQuota && !r.isSettled {
-		r.isSettled = true
-		e.refill(r.quota)
-		e.returnUnits(r, r.Units-o.Units)
-	}
+	e.endAttempt(r, a, o.Result)
+	e.updateHealth(r, a.server, o)
+	e.settleUnits(r, o)
 	if o.RequestAnswered || o.Result == OK {
 		e.closeRequest(r)
 	}
@@ -108,7 +54,7 @@
 	}
 }
 
-// HealthCheckCompleted brings the result of a probe.
+// HealthCheckCompleted brings the result of a health check.
 func (e *Engine) HealthCheckCompleted(now time.Duration, id string, res Result, l *LoadReport, out Actions) {
 	e.now, e.actions = now, out
 	s := e.serverByID[id]
@@ -116,28 +62,26 @@
 		return
 	}
 	switch res {
-	case OK:
-		e.recordLoadReport(s, l)
-		fallthrough
-	case RejectedByServer, ErrorResponse:
-		e.serverResponded(s)
-		s.expectedConnections, s.lastUsedAt = max(s.expectedConnections, s.inFlight+1), e.now
-		if s.healthCheckSince > 0 {
-			s.confirmUpSince(s.healthCheckSince)
+	case OK, RejectedByServer, ErrorResponse:
+		if res == OK {
+			e.recordLoadReport(s, l)
 		}
+		e.serverResponded(s)
+		s.connectionChecked(now)
+		s.confirmUpSince(s.healthCheckSince)
 	case ConnectFailed:
-		s.recordConnectFailure(e.now)
-		fallthrough
+		s.recordConnectFailure(now)
+		e.attemptUnanswered(s, s.lastHealthCheckAt)
 	case TimedOut:
 		e.attemptUnanswered(s, s.lastHealthCheckAt)
 	}
 	s.healthCheckSince = 0
 }
 
-// ClientDisconnected tells that a request is over without an answer of the gateway.
+// ClientDisconnected tells that a request is over without a response of the node.
 func (e *Engine) ClientDisconnected(now time.Duration, id string, out Actions) {
 	e.now, e.actions = now, out
-	r := e.requests[id]
+	r := e.requests.byID[id]
 	if r == nil || r.isAnswered {
 		return
 	}
@@ -147,38 +91,42 @@
 	}
 }
 
-// DeadlineExceeded tells that the host can wait for a request's answer no longer, as when its process ends:
-// it gets it now.
+// DeadlineExceeded tells that the host can wait for a request's response no longer, as when its process ends:
+// the request gets its answer now.
 func (e *Engine) DeadlineExceeded(now time.Duration, id string, out Actions) {
 	e.now, e.actions = now, out
-	e.expireRequest(e.requests[id])
+	e.expireRequest(e.requests.byID[id])
 }
 
-// ResponseStarted tells that the answer of an attempt has begun to stream: it is the client's now.
+// ResponseStarted tells that the response of an attempt has begun to stream: it is the client's now.
 func (e *Engine) ResponseStarted(now time.Duration, id string, n int, out Actions) {
 	e.now, e.actions = now, out
-	if r := e.requests[id]; r != nil && n >= 0 && n < len(r.attempts) {
-		r.isStreaming = true
-		a := &r.attempts[n]
-		if a.server.lastProgressAt = now; !a.isStreaming && !a.isDone {
-			a.isStreaming = true
-			a.server.inFlight--
-			e.inFlight--
-		}
+	r := e.requests.byID[id]
+	if r == nil || n < 0 || n >= len(r.attempts) {
+		return
+	}
+	r.isStreaming = true
+	a := &r.attempts[n]
+	a.server.lastProgressAt = now
+	if !a.isStreaming && !a.isDone {
+		a.isStreaming = true
+		e.releaseServer(a.server)
 	}
 }
 
 // TimerFired is the firing of a timer.
 func (e *Engine) TimerFired(now time.Duration, token uint64, out Actions) {
 	e.now, e.actions = now, out
-	r := e.requestByNumber[token>>timerBits]
-	switch token & (1<<timerBits - 1) {
+	kind, number := parseTimerToken(token)
+	r := e.requests.byNumber[number]
+	switch kind {
 	case timerSample:
 		e.runSample()
-		e.actions.SetTimer(timerSample, sampleInterval)
+		e.actions.SetTimer(timerToken(timerSample, 0), sampleInterval)
 	case timerGossip:
-		// Each message takes its gap, so that long tells stay within the inbox limit too.
-		e.actions.SetTimer(timerGossip, e.gossipInterval*time.Duration(max(e.broadcast(), 1)))
+		// Each message takes its interval, so that long rounds stay within the inbox limit too.
+		messages := max(e.broadcast(), 1)
+		e.actions.SetTimer(timerToken(timerGossip, 0), e.gossipInterval*time.Duration(messages))
 	case timerEndpointPoll:
 		e.actions.WatchEndpoints(true)
 	case timerDeadline:
@@ -194,56 +142,23 @@
 	}
 }
 
-// runSample is the work of each probe.
+// runSample is the work of each sample interval: assess the load, then health, quotas, subset and rates.
 func (e *Engine) runSample() {
-	f := e.overload.admitFraction
-	young, overdue, waits := e.attemptAges(youngAttemptFraction)
-	e.overdue = overdue
+	ages := e.attemptAges(youngAttemptFraction)
+	e.overdue = ages.overdue
+	before := e.overload.admitFraction
 	// Attempts at a few unresponsive servers must not read as an overload of all.
-	e.overload.closeSample(e.responses, young)
-	if f >= 1 && e.overload.admitFraction < 1 {
+	e.overload.closeSample(e.responses, ages.young)
+	if before >= 1 && e.overload.admitFraction < 1 {
 		e.log("overload: sending on %.2f of what quotas admit, occupancy %.2f",
 			e.overload.admitFraction, e.overload.occupancy)
 	}
-	e.updateZoneHealth(waits)
+	e.updateZoneHealth(ages.unanswered)
 	e.dropIdleQuotas()
 	if e.needsNewSubset() {
 		e.formSubset()
 	}
-	var weight float64
-	keep := math.Exp(-sampleInterval.Seconds() / decayTime.Seconds())
-	for _, s := range e.servers {
-		if s.acceptsRequests() && s.inSubset && e.capacityFraction(s) >= 1 {
-			weight += e.serverWeight(s) * s.subsetCorrection
-		}
-		if s.inFlight == 0 {
-			s.latencyRatio = 1 + (s.latencyRatio-1)*keep
-			s.failureRate *= keep
-		}
-	}
-	if weight > 0 {
-		e.warmRate += slowMeanWeight * (e.warmWork/weight/sampleInterval.Seconds() - e.warmRate)
-	}
-	// After a start the average is over what there is, or the first second would be refused.
-	share := math.Max(rateWeight, 1/(1+float64(e.now-e.startedAt)/float64(sampleInterval)))
-	e.responseRate += share * (e.responses/sampleInterval.Seconds() - e.responseRate)
-	e.gossipRate += rateWeight * (e.gossipReceived/sampleInterval.Seconds() - e.gossipRate)
-	e.warmWork, e.responses, e.gossipReceived = 0, 0, 0
+	e.updateRates()
 	e.updateZoneRates()
-	// Probes are priced and cost work: a gateway that sends seldom probes seldom.
-	earned := e.overload.fleetMeans[meanAccepted] * e.healthChecksPerRequest()
-	e.healthCheckCredit = math.Min(e.healthCheckCredit+earned, 1)
-	if e.mayCheckHealth() && len(e.servers) > 0 && e.healthCheckCredit >= 1 {
-		e.healthCheckCredit = 0
-		var next *server // the one whose last probe is longest ago; pick shuffles the servers
-		for _, s := range e.subset {
-			if s.acceptsRequests() && (next == nil || e.healthCheckOrder(s) < e.healthCheckOrder(next)) {
-				next = s
-			}
-		}
-		if next != nil {
-			next.lastHealthCheckAt = e.now
-			e.actions.CheckHealth(next.ID)
-		}
-	}
+	e.runHealthCheck()
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -15,7 +15,7 @@
 		for i := 0; i < 3; i++ {
 			now := t0 + time.Duration(i)*ms
 			offerRequests(a, ra, now, 3, q)
-			a.TimerFired(now, timerGossip, ra)
+			a.TimerFired(now, timerToken(timerGossip, 0), ra)
 		}
 		for _, i := range order {
 			b.GossipReceived(t0, 0, ra.gossip[1][i], rb)
@@ -37,7 +37,7 @@
 		offerRequests(a, ra, t0, 1, q)
 		a.inFlight = 0
 	}
-	a.TimerFired(t0, timerGossip, ra)
+	a.TimerFired(t0, timerToken(timerGossip, 0), ra)
 	for _, m := range ra.gossip[1] {
 		if len(m) > maxMessageSize {
 			t.Errorf("message of %d bytes", len(m))
@@ -56,12 +56,12 @@
 	q := newSharedRequest("rate", 1, 2)
 	for i := 0; i < 6; i++ {
 		offerRequests(a, ra, t0, 9, q)
-		a.TimerFired(t0, timerGossip, ra)
+		a.TimerFired(t0, timerToken(timerGossip, 0), ra)
 		q.Customer = 1
 		q.ID = ""
 		q.Units = 1
 		offerRequests(b, rb, t0+time.Duration(i)*ms, 9, q)
-		b.TimerFired(t0+time.Duration(i)*ms, timerGossip, rb)
+		b.TimerFired(t0+time.Duration(i)*ms, timerToken(timerGossip, 0), rb)
 	}
 	for _, m := range ra.gossip[1] {
 		b.GossipReceived(t0+6*ms, 0, m, rb)
@@ -75,7 +75,7 @@
 	a, ra := newInstance(t, 0, 2)
 	q := newSharedRequest("rate", 1, 2)
 	offerRequests(a, ra, t0, 3, q)
-	a.TimerFired(t0, timerGossip, ra)
+	a.TimerFired(t0, timerToken(timerGossip, 0), ra)
 	good := ra.gossip[1][0]
 	for n := 0; n < len(good); n++ {
 		b, rb := newInstance(t, 1, 2)
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"time"
 )
 
@@ -10,20 +11,61 @@
 	unresponsiveCheckLead        = 3 * time.Second // an unresponsive server's check comes earlier by so much
 )
 
-// healthChecksPerRequest is the probes for each request sent on.
-func (e *Engine) healthChecksPerRequest() float64 {
-	if e.usesAllServers() {
-		return healthChecksPerForward
+// healthChecker spaces out the scheduled health checks. They are priced and cost the servers work, so a node
+// that forwards little checks seldom. Invariant: 0 <= credit <= 1, where 1 is one check.
+type healthChecker struct{ credit float64 }
+
+// earn adds to the credit what the requests forwarded in a sample have earned.
+func (h *healthChecker) earn(checks float64) { h.credit = math.Min(h.credit+checks, 1) }
+
+// take tells whether a check is due, and takes its credit.
+func (h *healthChecker) take() bool {
+	if h.credit < 1 {
+		return false
 	}
-	return subsetHealthChecksPerForward
+	h.credit = 0
+	return true
 }
 
-// healthCheckOrder orders servers by when they are to be checked: unresponsive ones of a subset come earlier.
-func (e *Engine) healthCheckOrder(s *server) time.Duration {
-	if s.isUnresponsive && !e.usesAllServers() {
-		return s.lastHealthCheckAt - unresponsiveCheckLead
+// runHealthCheck checks the server whose turn it is, if a check is due.
+func (e *Engine) runHealthCheck() {
+	perForward, lead := healthChecksPerForward, time.Duration(0)
+	if !e.usesAllServers() {
+		perForward, lead = subsetHealthChecksPerForward, unresponsiveCheckLead
+	}
+	e.healthChecks.earn(e.overload.fleetMeans[meanAccepted] * perForward)
+	if !e.mayCheckHealth() || len(e.servers) == 0 || !e.healthChecks.take() {
+		return
 	}
-	return s.lastHealthCheckAt
+	if next := nextHealthCheck(e.subset, lead); next != nil {
+		e.checkHealth(next)
+	}
+}
+
+// nextHealthCheck returns the server whose last check is longest ago, or nil; an unresponsive one's counts as
+// longer ago by the lead. Server selection shuffles the servers, so ties go by chance.
+func nextHealthCheck(servers []*server, lead time.Duration) *server {
+	var next *server
+	var nextAt time.Duration
+	for _, s := range servers {
+		if !s.acceptsRequests() {
+			continue
+		}
+		at := s.lastHealthCheckAt
+		if s.isUnresponsive {
+			at -= lead
+		}
+		if next == nil || at < nextAt {
+			next, nextAt = s, at
+		}
+	}
+	return next
+}
+
+// checkHealth sends a server a health check.
+func (e *Engine) checkHealth(s *server) {
+	s.lastHealthCheckAt = e.now
+	e.actions.CheckHealth(s.ID)
 }
 
 // mayCheckHealth tells whether health checks are allowed and answered with a load report.
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -87,8 +87,8 @@
 func (e *Engine) ExportState(now time.Duration) ([]byte, error) {
 	e.now = now
 	h := engineState{Form: stateFormat, Instances: e.settings.InstanceCount, Me: e.settings.InstanceIndex, Started: e.startedAt, Plans: e.settings.Plans,
-		Classes: map[string]latencyState{}, Kinds: make([]string, len(e.latencies.kindIndex)), Retries: e.retryTokens,
-		InboxRate: e.gossipRate, OKRate: e.responseRate, WarmRate: e.warmRate, ProbeDue: e.healthCheckCredit}
+		Classes: map[string]latencyState{}, Kinds: make([]string, len(e.latencies.kindIndex)), Retries: e.retries.tokens,
+		InboxRate: e.gossipRate, OKRate: e.responseRate, WarmRate: e.warmRate, ProbeDue: e.healthChecks.credit}
 	for name, i := range e.latencies.kindIndex {
 		h.Kinds[i] = name
 	}
@@ -119,8 +119,8 @@
 	}
 	for _, s := range e.servers {
 		h.Servers = append(h.Servers, serverStateSnapshot{ID: s.ID, Boot: s.StartedAt, Seen: s.lastProgressAt, Ejected: s.ejectedUntil,
-			Credited: s.budgetUpdatedAt, Broke: s.connectFailedAt, Breaks: s.connectFailures, Heard: s.lastHeardAt, Probed: s.lastHealthCheckAt, Lat: s.latencyRatio,
-			Errs: s.failureRate, Queue: s.queueLength, Credit: s.warmupBudget, Strikes: s.consecutiveEjections, Lost: s.isUnresponsive})
+			Credited: s.warmup.updatedAt, Broke: s.connectFailedAt, Breaks: s.connectFailures, Heard: s.lastHeardAt, Probed: s.lastHealthCheckAt, Lat: s.latencyRatio,
+			Errs: s.failureRate, Queue: s.queueLength, Credit: s.warmup.work, Strikes: s.consecutiveEjections, Lost: s.isUnresponsive})
 	}
 	a := &e.overload
 	h.ARO = overloadState{F: a.admitFraction, R: a.throttleCredit, Occ: a.occupancySums, N: a.occupancySamples, Sent: a.accepted, Probes: a.sampleCount, Rho: a.occupancy, Alpha: a.acceptanceRate,
@@ -209,9 +209,9 @@
 		if s == nil || s.StartedAt != saved.Boot {
 			continue
 		}
-		s.lastProgressAt, s.ejectedUntil, s.budgetUpdatedAt, s.connectFailedAt, s.connectFailures = saved.Seen, saved.Ejected, min(saved.Credited, now), saved.Broke, saved.Breaks
+		s.lastProgressAt, s.ejectedUntil, s.warmup.updatedAt, s.connectFailedAt, s.connectFailures = saved.Seen, saved.Ejected, min(saved.Credited, now), saved.Broke, saved.Breaks
 		s.lastHeardAt, s.lastHealthCheckAt, s.latencyRatio, s.failureRate, s.queueLength = saved.Heard, saved.Probed, saved.Lat, saved.Errs, saved.Queue
-		s.warmupBudget, s.consecutiveEjections, s.isUnresponsive = saved.Credit, saved.Strikes, saved.Lost
+		s.warmup.work, s.consecutiveEjections, s.isUnresponsive = saved.Credit, saved.Strikes, saved.Lost
 	}
 	a := h.ARO
 	e.overload = overloadController{admitFraction: clampFraction(a.F), throttleCredit: a.R, occupancySums: a.Occ, occupancySamples: a.N, accepted: a.Sent, sampleCount: max(a.Probes, 0), occupancy: a.Rho,
@@ -222,6 +222,6 @@
 			q.isKnown, q.epoch, q.previousEpoch, q.receivedSequence = p.Heard, p.InEpoch, p.OldEpoch, p.InSeq
 		}
 	}
-	e.retryTokens, e.gossipRate, e.responseRate, e.warmRate, e.healthCheckCredit = h.Retries, h.InboxRate, h.OKRate, h.WarmRate, h.ProbeDue
+	e.retries.tokens, e.gossipRate, e.responseRate, e.warmRate, e.healthChecks.credit = h.Retries, h.InboxRate, h.OKRate, h.WarmRate, h.ProbeDue
 	return nil
 }
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -26,7 +26,7 @@
 	q := newRequest(900, "safe", "ceiled", 1)
 	q.InstanceCount = 3
 	peer.RequestReceived(t0, q, rp)
-	for token := range map[uint64]bool{timerGossip: true} {
+	for token := range map[uint64]bool{timerToken(timerGossip, 0): true} {
 		peer.TimerFired(t0+ms, token, rp)
 	}
 	for _, m := range rp.gossip[1] {
@@ -40,7 +40,7 @@
 		if last := r.last(); strings.HasPrefix(last, "send") && i%2 == 0 {
 			g.AttemptCompleted(now+20*ms, AttemptResult{ID: q.ID, Result: OK, Server: strings.Fields(last)[2], Latency: 20 * ms, RequestAnswered: true}, r)
 		}
-		g.TimerFired(now+50*ms, timerSample, r)
+		g.TimerFired(now+50*ms, timerToken(timerSample, 0), r)
 	}
 	g.servers[0].isUnresponsive = true
 	return g, r
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,12 +6,9 @@
 )
 
 const (
-	latencyWeight      = 0.15            // of a new sample in a server's latency ratio
-	slowMeanWeight     = 0.05            // of a new sample in the slow moving averages
-	rateWeight         = 0.1             // of a sample in the rate of responses: about a second
-	decayTime          = 5 * time.Second // time constant for forgetting what was learned of a server
-	minBatchSamples    = 16              // in a mean that may count as the lowest latency
-	lowestLatencyDrift = 0.01            // by which the lowest latency creeps up at each batch
+	latencyWeight      = 0.15 // of a new sample in a server's latency ratio
+	minBatchSamples    = 16   // in a mean that may count as the lowest latency
+	lowestLatencyDrift = 0.01 // by which the lowest latency creeps up at each batch
 )
 
 // latencyTable holds the latencies learned per class and per machine kind.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -14,77 +14,82 @@
 	findingTTL        = 2 * time.Second        // peers' findings count for so long
 )
 
-// updateHealth keeps a server's health.
+// updateHealth learns of a server from the end of an attempt.
 func (e *Engine) updateHealth(r *request, s *server, o AttemptResult) {
-	if e.settings.LoadReports == LoadReportsInResponses { // elsewhere an answer has none to give
+	if e.settings.LoadReports == LoadReportsInResponses { // elsewhere a response has none to give
 		e.recordLoadReport(s, o.LoadReport)
 	}
-	bad := 1.0
 	switch o.Result {
+	case NotSent, Cancelled:
+		return
 	case OK, RejectedByServer, ErrorResponse:
 		e.serverResponded(s)
-		if o.ConnectedAt > 0 {
-			s.confirmUpSince(o.ConnectedAt)
-		}
+		s.confirmUpSince(o.ConnectedAt)
+		s.lastProgressAt = e.now
 	case TimedOut, ConnectFailed:
 		e.attemptUnanswered(s, e.now-o.Latency)
 	}
 	switch o.Result {
 	case OK:
-		bad = 0
-		s.lastProgressAt, s.consecutiveEjections = e.now, 0
-		e.responses++
-		if c := e.zones[s.Zone]; c != nil {
-			c.responses++
-		}
-		e.recordLatency(r.class, s, o.Latency)
-		// Rule 4: only of servers that count in the mean, and only work that is known: answers of
-		// draining servers or a guess that proves too high would inflate what cold ones may be sent.
-		if e.capacityFraction(s) >= 1 && s.acceptsRequests() && s.inSubset {
-			e.warmWork += e.latencies.learnedWork(r.class)
-			if c := e.zones[s.Zone]; c != nil {
-				c.warmWork += e.latencies.learnedWork(r.class)
-			}
-		}
-	case NotSent, Cancelled:
-		return
+		s.consecutiveEjections = 0
+		e.recordSuccess(r.class, s, o.Latency)
 	case RejectedByServer:
-		s.lastProgressAt = e.now
-		if z := e.zones[s.Zone]; z != nil && z.IsRemote {
-			return // the other site's gateway refuses one request; it has room for others
-		}
-		e.overload.addOccupancy(1)
-		s.ejectedUntil = max(s.ejectedUntil, e.now+sampleInterval)
+		e.serverRejected(s)
 		return
 	case TimedOut:
 		e.overload.addOccupancy(1)
 		ratio := o.Latency.Seconds() / math.Max(e.latencies.classes[r.class].mean, 1e-3)
 		s.latencyRatio += latencyWeight * (ratio - s.latencyRatio)
-		bad = 0.5
-	case ErrorResponse:
-		s.lastProgressAt = e.now
+	case ConnectFailed:
+		e.connectFailed(s)
 	}
-	if o.Result == ConnectFailed {
-		// The process may have restarted and be cold, long before the list says so. Also covers one
-		// that comes back after a cut. A reset alone is no sign: where connections break one by one,
-		// all servers would count as cold, and one that dies refuses new connections as well.
-		// Single connections fail at servers that live too: an answer on one made before takes it back, or
-		// that to a probe sent at once, before any process could have started.
-		s.recordConnectFailure(e.now)
-		if e.mayCheckHealth() && s.healthCheckSince == 0 && s.acceptsRequests() {
-			s.healthCheckSince, s.lastHealthCheckAt = e.now, e.now
-			e.actions.CheckHealth(s.ID)
-		}
-	}
-	s.failureRate += failureWeight * (bad - s.failureRate)
-	if (s.failureRate > ejectionThreshold || o.Result == ConnectFailed) && e.now >= s.ejectedUntil {
-		s.ejectedUntil = e.now + min(minEjectionTime<<min(s.consecutiveEjections, 10), maxEjectionTime)
-		s.consecutiveEjections++
-		s.failureRate = ejectionThreshold / 2
+	if s.recordOutcome(e.now, o.Result) {
 		e.log("ejected server %s after result %d, strike %d", s.ID, o.Result, s.consecutiveEjections)
 	}
 }
 
+// serverRejected goes by a server's rejection: it is full. The gateway of another site that rejects one
+// request has capacity for others.
+func (e *Engine) serverRejected(s *server) {
+	if z := e.zones[s.Zone]; z != nil && z.IsRemote {
+		return
+	}
+	e.overload.addOccupancy(1)
+	s.ejectedUntil = max(s.ejectedUntil, e.now+sampleInterval)
+}
+
+// connectFailed goes by a connection that did not come up. The process may have restarted and be cold, long
+// before the endpoint list says so. This also covers a server that comes back after a cut. A reset alone is
+// no sign: where connections break one by one, all servers would count as cold, and one that dies refuses
+// new connections as well. Single connections fail at servers that live too: a response on one made before
+// takes it back, or that to a check sent at once, before any process could have started.
+func (e *Engine) connectFailed(s *server) {
+	s.recordConnectFailure(e.now)
+	if e.mayCheckHealth() && s.healthCheckSince == 0 && s.acceptsRequests() {
+		s.healthCheckSince = e.now
+		e.checkHealth(s)
+	}
+}
+
+// recordOutcome takes an outcome into the failure rate, and tells whether it ejects the server.
+func (s *server) recordOutcome(now time.Duration, result Result) (ejected bool) {
+	failure := 1.0
+	switch result {
+	case OK:
+		failure = 0
+	case TimedOut:
+		failure = 0.5
+	}
+	s.failureRate += failureWeight * (failure - s.failureRate)
+	if now < s.ejectedUntil || s.failureRate <= ejectionThreshold && result != ConnectFailed {
+		return false
+	}
+	s.ejectedUntil = now + min(minEjectionTime<<min(s.consecutiveEjections, 10), maxEjectionTime)
+	s.consecutiveEjections++
+	s.failureRate = ejectionThreshold / 2
+	return true
+}
+
 // attemptUnanswered takes in that something sent to the server at a time came to nothing. If all else sent
 // since did as well, the machine has died, vanished or is cut off, long before the endpoint list says so.
 // It gets no request until it responds again: health checks find that out, where an ejection's end would
@@ -95,7 +100,8 @@
 	if !e.mayCheckHealth() || s.lastHeardAt >= sent {
 		return
 	}
-	if e.zoneFailed(s, sent); s.isUnresponsive {
+	e.zoneFailed(s, sent)
+	if s.isUnresponsive {
 		return
 	}
 	s.isUnresponsive = true
@@ -103,7 +109,7 @@
 	e.log("server %s is silent: out until it answers a probe", s.ID)
 }
 
-// serverResponded takes in an answer of any kind.
+// serverResponded takes in a response of any kind.
 func (e *Engine) serverResponded(s *server) {
 	if s.isUnresponsive {
 		s.isUnresponsive, s.ejectedUntil, s.consecutiveEjections = false, 0, 0
@@ -119,24 +125,30 @@
 // others of the subset will do, and a health check at once, whose end is this node's own evidence. Where half
 // of the subset is suspected, nothing more is believed: a faulty node, or a cut between peers and servers,
 // cannot empty it.
-func (e *Engine) receiveFinding(from int, n serverFinding) {
+func (e *Engine) receiveFinding(from int, finding serverFinding) {
+	if e.usesAllServers() {
+		return
+	}
 	for _, s := range e.subset {
-		if s.gossipID != n.serverID || e.usesAllServers() {
-			continue
+		if s.gossipID == finding.serverID {
+			e.receiveServerFinding(s, from, finding)
 		}
-		e.zoneReported(s, from, n.isUp)
-		if !s.suspicionReports[boolToInt(n.isUp)].confirms(from, e.now) || s.isUnresponsive != n.isUp {
-			continue
-		}
-		if !n.isUp && (e.now-s.lastHeardAt < freshEvidenceAge || 2*e.suspectedCount() >= len(e.subset)) {
-			continue
-		}
-		if !n.isUp {
-			s.suspectedUntil = e.now + findingTTL
-		}
-		if e.now-s.lastHealthCheckAt >= freshEvidenceAge && e.settings.AllowsHealthChecks {
-			s.lastHealthCheckAt = e.now
-			e.actions.CheckHealth(s.ID)
+	}
+}
+
+func (e *Engine) receiveServerFinding(s *server, from int, finding serverFinding) {
+	e.zoneReported(s, from, finding.isUp)
+	reports := &s.suspicionReports[boolToInt(finding.isUp)]
+	if !reports.confirms(from, e.now) || s.isUnresponsive != finding.isUp {
+		return
+	}
+	if !finding.isUp {
+		if e.now-s.lastHeardAt < freshEvidenceAge || 2*e.suspectedCount() >= len(e.subset) {
+			return
 		}
+		s.suspectedUntil = e.now + findingTTL
+	}
+	if e.now-s.lastHealthCheckAt >= freshEvidenceAge && e.settings.AllowsHealthChecks {
+		e.checkHealth(s)
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -80,7 +80,7 @@
 		completeAttempts(g, r, now, ms, OK)
 		if i%10 == 9 {
 			g.overload.fleetMeans[meanAccepted] = 2
-			g.TimerFired(now, timerSample, r)
+			g.TimerFired(now, timerToken(timerSample, 0), r)
 			for id := range g.serverByID {
 				probes[id] += r.count("probe " + id)
 			}
@@ -260,7 +260,7 @@
 	}
 	g.subset[3].isUnresponsive, g.subset[3].lastHealthCheckAt = true, g.now-ms
 	want := "probe " + g.subset[3].ID
-	g.healthCheckCredit = 1
+	g.healthChecks.credit = 1
 	g.runSample()
 	if r.count(want) != 1 {
 		t.Errorf("%v, want %s", r.actions, want)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -53,7 +53,7 @@
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		completeAttempts(g, r, now, ms, OK)
 		if i%100 == 99 {
-			g.TimerFired(now, timerSample, r)
+			g.TimerFired(now, timerToken(timerSample, 0), r)
 		}
 	}
 	if g.responseRate < 500 {
@@ -66,11 +66,11 @@
 	g, r := newEngine(t, testSettings(), testServers(4)...)
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
-	if n, _, _ := g.attemptAges(youngAttemptFraction); n != 1 {
+	if n := g.attemptAges(youngAttemptFraction).young; n != 1 {
 		t.Errorf("%v young at once", n)
 	}
 	g.now = t0 + aim
-	if n, _, _ := g.attemptAges(youngAttemptFraction); n != 0 {
+	if n := g.attemptAges(youngAttemptFraction).young; n != 0 {
 		t.Errorf("%v young after the aim", n)
 	}
 }
@@ -83,14 +83,14 @@
 		g.RequestReceived(t0, newRequest(i, "safe", "rate", uint64(i)), r)
 	}
 	now := t0 + g.settings.Classes[g.classIndex["safe"]].LatencyObjective + ms
-	g.TimerFired(now, timerSample, r)
+	g.TimerFired(now, timerToken(timerSample, 0), r)
 	if g.isOverloaded(g.classIndex["safe"], "", 1) {
 		t.Errorf("%d attempts past their aim read as a jam", g.inFlight)
 	}
 	for _, s := range g.servers {
 		s.isUnresponsive = true
 	}
-	if g.TimerFired(now+sampleInterval, timerSample, r); g.overdue != 0 {
+	if g.TimerFired(now+sampleInterval, timerToken(timerSample, 0), r); g.overdue != 0 {
 		t.Errorf("%v attempts at lost servers are taken off twice", g.overdue)
 	}
 }
@@ -162,16 +162,16 @@
 	quiet, busy := g.subset[0], g.subset[1]
 	for i, s := range []*server{quiet, busy} {
 		id := fmt.Sprint("r", i)
-		g.requests[id] = &request{Request: Request{ID: id}, attempts: []attempt{{server: s, sentAt: t0}}}
+		g.requests.byID[id] = &request{Request: Request{ID: id}, attempts: []attempt{{server: s, sentAt: t0}}}
 	}
 	g.now, g.actions = t0+180*ms, r
 	busy.lastHeardAt = t0 + 100*ms
-	if young, overdue, _ := g.attemptAges(youngAttemptFraction); young != 1 || overdue != 1 {
-		t.Errorf("%.0f count as work, %.0f as overdue, want 1 and 1", young, overdue)
+	if ages := g.attemptAges(youngAttemptFraction); ages.young != 1 || ages.overdue != 1 {
+		t.Errorf("%.0f count as work, %.0f as overdue, want 1 and 1", ages.young, ages.overdue)
 	}
 	g.now = t0 + 90*ms
-	if young, overdue, _ := g.attemptAges(youngAttemptFraction); young != 2 || overdue != 0 {
-		t.Errorf("early on %.0f count as work, %.0f as overdue, want 2 and 0", young, overdue)
+	if ages := g.attemptAges(youngAttemptFraction); ages.young != 2 || ages.overdue != 0 {
+		t.Errorf("early on %.0f count as work, %.0f as overdue, want 2 and 0", ages.young, ages.overdue)
 	}
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -26,9 +26,7 @@
 	subsetWidth       subset.Width
 	zoneWatch         *zonehealth.Watch // over the zones, where gateways keep to parts
 	serverByID        map[string]*server
-	requests          map[string]*request
-	requestByNumber   map[uint64]*request
-	lastRequestNumber uint64
+	requests          requestTable
 	classIndex        map[string]int
 	planIndex         map[string]int
 	latencies         latencyTable
@@ -43,8 +41,8 @@
 	rejections                 [rejectReasonCount]uint64 // requests, by what they were refused for
 	overQuota                  OverQuotaUnits
 	overload                   overloadController
-	unansweredByAnyOwner       int     // asks in a row that no holder has answered
-	retryTokens                float64 // further attempts saved up
+	unansweredByAnyOwner       int // asks in a row that no holder has answered
+	retries                    retryBudget
 	gossipReceived, gossipRate float64 // messages taken in since the last probe, and per second
 	inFlight                   int     // attempts out
 	overdue                    float64 // of these, as of the last probe: past their aim, at servers that are not lost
@@ -54,9 +52,9 @@
 	warmWork                   float64       // work answered by warm servers since the last probe
 	warmRate                   float64       // work answered per second and unit of weight of a warm server, by this gateway
 	lastLoadReportAt           time.Duration // last load report of any server
-	healthCheckCredit          float64       // probes earned by sends
-	maxServerWeight            float64       // the largest of their weights
-	weightsDiffer              bool          // their weights differ
+	healthChecks               healthChecker
+	maxServerWeight            float64 // the largest of their weights
+	weightsDiffer              bool    // their weights differ
 	lastLogAt                  time.Duration
 }
 
@@ -66,8 +64,8 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	e := &Engine{
-		settings: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), serverByID: map[string]*server{}, requests: map[string]*request{},
-		requestByNumber: map[uint64]*request{}, classIndex: map[string]int{}, planIndex: map[string]int{},
+		settings: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), serverByID: map[string]*server{},
+		classIndex: map[string]int{}, planIndex: map[string]int{},
 		quotas: map[uint64]*customerQuota{}, peers: make([]peer, s.InstanceCount), latencies: newLatencyTable(len(s.Classes)), zones: map[string]*zoneState{},
 		zoneWatch: zonehealth.New(zonehealth.Usual),
 	}
@@ -80,7 +78,7 @@
 		e.planIndex[p.Name] = i
 	}
 	e.epoch = uint64(e.rng.Uint32() >> 16)
-	e.lastRequestNumber = uint64(e.rng.Uint32() >> 12) // so that answers to a gateway before its restart match nothing
+	e.requests = newRequestTable(uint64(e.rng.Uint32() >> 12))
 	return e, nil
 }
 
@@ -93,9 +91,9 @@
 		e.gossipInterval = max(gap, e.settings.MinEventInterval, minGossipInterval)
 	}
 	// Gateways started together must not beat in step.
-	e.actions.SetTimer(timerSample, time.Duration(e.rng.Int64N(int64(sampleInterval))))
+	e.actions.SetTimer(timerToken(timerSample, 0), time.Duration(e.rng.Int64N(int64(sampleInterval))))
 	if e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
-		e.actions.SetTimer(timerGossip, time.Duration(e.rng.Int64N(int64(e.gossipInterval))))
+		e.actions.SetTimer(timerToken(timerGossip, 0), time.Duration(e.rng.Int64N(int64(e.gossipInterval))))
 	}
 	if e.settings.PollsEndpoints {
 		e.actions.WatchEndpoints(true)
--- a/policy/quota_owner.go
+++ b/policy/quota_owner.go
@@ -25,7 +25,7 @@
 		return
 	}
 	r.awaitsOwner = true
-	e.actions.SetTimer(r.number<<timerBits|timerOwnerTimeout, ownerTimeout)
+	e.actions.SetTimer(timerToken(timerOwnerTimeout, r.number), ownerTimeout)
 }
 
 // ownerTimedOut goes by the share of asks that its holder granted of late, as far as heard. It covers lost
@@ -89,7 +89,7 @@
 		e.actions.SendGossip(from, e.encodeQuotaResponse(m.number, in, wait, st.grantFraction))
 	case kindQuotaResponse:
 		e.peers[from].unansweredRequests, e.unansweredByAnyOwner = 0, 0
-		r := e.requestByNumber[m.number]
+		r := e.requests.byNumber[m.number]
 		if r == nil || r.owner != from || len(r.attempts) > 0 || e.clientLeft(r, m.isGranted) {
 			return
 		}
@@ -136,6 +136,6 @@
 	}
 	r.inQuota = granted
 	e.returnUnits(r, r.Units)
-	delete(e.requestByNumber, r.number)
+	delete(e.requests.byNumber, r.number)
 	return true
 }
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -64,16 +64,16 @@
 		t.Run(name, func(t *testing.T) {
 			member, r := newOwnerEngine(t, 10)
 			member.RequestReceived(t0, ownerRequest(1, customer), r)
-			holder, num := member.ownerFor(member.quotas[customer]), member.requests["r1"].number
+			holder, num := member.ownerFor(member.quotas[customer]), member.requests.byID["r1"].number
 			member.ClientDisconnected(t0+10*ms, "r1", r)
 			r.gossip = nil
 			if answer != nil {
 				member.GossipReceived(t0+20*ms, holder, answer(num), r)
 			}
-			member.TimerFired(t0+ownerTimeout, num<<timerBits|timerOwnerTimeout, r)
+			member.TimerFired(t0+ownerTimeout, timerToken(timerOwnerTimeout, num), r)
 			member.GossipReceived(t0+ownerTimeout, holder, (&Engine{}).encodeQuotaResponse(num, true, 0, 1), r) // doubled, or too late
-			if r.count("send") != 0 || len(member.requests)+len(member.requestByNumber) != 0 {
-				t.Errorf("sent on, or %d requests kept: %v", len(member.requests)+len(member.requestByNumber), r.actions)
+			if r.count("send") != 0 || len(member.requests.byID)+len(member.requests.byNumber) != 0 {
+				t.Errorf("sent on, or %d requests kept: %v", len(member.requests.byID)+len(member.requests.byNumber), r.actions)
 			}
 			var backs []quotaMessage
 			for _, m := range r.gossip[holder] {
@@ -95,16 +95,16 @@
 	g.quotaFor(customer, g.planIndex["rate"], 100, 10).grantFraction = 0 // what was heard last: nothing is granted
 	for n := range maxOwnerTimeouts + 1 {
 		g.RequestReceived(t0, ownerRequest(n, customer), r)
-		for num := range g.requestByNumber {
-			g.TimerFired(t0, num<<timerBits|timerOwnerTimeout, r)
+		for num := range g.requests.byNumber {
+			g.TimerFired(t0, timerToken(timerOwnerTimeout, num), r)
 		}
 	}
 	if r.count("refuse") != maxOwnerTimeouts+1 || len(r.timers) < maxOwnerTimeouts {
 		t.Fatalf("not refused without waiting: %v", r.actions)
 	}
 	g.RequestReceived(t0, ownerRequest(maxOwnerTimeouts+1, customer), r)
-	if len(g.requests)+len(g.requestByNumber) != 0 {
-		t.Errorf("%d requests are kept", len(g.requestByNumber))
+	if len(g.requests.byID)+len(g.requests.byNumber) != 0 {
+		t.Errorf("%d requests are kept", len(g.requests.byNumber))
 	}
 }
 
@@ -236,7 +236,7 @@
 		g, r := newOwnerEngine(t, 10)
 		g.quotaFor(77, g.planIndex["rate"], 100, 10).grantFraction = pass
 		g.RequestReceived(t0, ownerRequest(1, 77), r)
-		g.TimerFired(t0+ownerTimeout, g.lastRequestNumber<<timerBits|timerOwnerTimeout, r)
+		g.TimerFired(t0+ownerTimeout, timerToken(timerOwnerTimeout, g.requests.lastNumber), r)
 		if got := r.count("send"); got != int(pass) || r.count("refuse") != 1-got {
 			t.Errorf("share %v: %v", pass, r.actions)
 		}
@@ -292,7 +292,7 @@
 		t.Fatalf("%d leases", n)
 	}
 	r.gossip = nil
-	member.TimerFired(t0+ownerTimeout, member.lastRequestNumber<<timerBits|timerOwnerTimeout, r)
+	member.TimerFired(t0+ownerTimeout, timerToken(timerOwnerTimeout, member.requests.lastNumber), r)
 	completeAttempts(member, r, t0+ownerTimeout+50*ms, 50*ms, OK)
 	for _, m := range r.gossip[holder] {
 		h.GossipReceived(t0+200*ms, 10, m, hr)
@@ -328,7 +328,7 @@
 	q.Timeout = 30 * ms
 	g.RequestReceived(t0, q, r)
 	for _, s := range r.timers {
-		if s.token == g.lastRequestNumber<<timerBits|timerDeadline && s.after < q.Timeout {
+		if s.token == timerToken(timerDeadline, g.requests.lastNumber) && s.after < q.Timeout {
 			g.TimerFired(t0+s.after, s.token, r)
 		}
 	}
@@ -348,7 +348,7 @@
 			holder.GossipReceived(t0+ms, 10, r.gossip[to][0], hr)
 		}
 		for _, timer := range r.timers {
-			if timer.token&(1<<timerBits-1) == timerOwnerTimeout {
+			if timerKind(timer.token&(1<<timerBits-1)) == timerOwnerTimeout {
 				member.TimerFired(t0+ownerTimeout, timer.token, r)
 			}
 		}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -12,7 +12,7 @@
 	if n := offerRequests(g, r, t0, 50, q); n != 10 {
 		t.Errorf("%d sent before the first tell, want 10", n)
 	}
-	g.TimerFired(t0, timerGossip, r)
+	g.TimerFired(t0, timerToken(timerGossip, 0), r)
 	if n := offerRequests(g, r, t0, 50, q); n != 5 {
 		t.Errorf("%d sent before the second tell, want 5", n)
 	}
@@ -36,7 +36,7 @@
 	q := newSharedRequest("rate", 1, 3)
 	offerRequests(g, r, t0, 30, q)
 	g.quotas[1].tokens = 1.5
-	g.TimerFired(t0, timerGossip, r)
+	g.TimerFired(t0, timerToken(timerGossip, 0), r)
 	if n := offerRequests(g, r, t0+ms, 5, q); n != 0 {
 		t.Errorf("%d sent with units for one gateway of three", n)
 	}
@@ -50,12 +50,12 @@
 	a, ra := newInstance(t, 0, 2)
 	q := newSharedRequest("open", 1, 2)
 	sentA := offerRequests(a, ra, t0, 9, q)
-	a.TimerFired(t0, timerGossip, ra)
+	a.TimerFired(t0, timerToken(timerGossip, 0), ra)
 	b, rb := newInstance(t, 1, 2)
 	b.GossipReceived(t0, 0, ra.gossip[1][0], rb)
 	for i := 0; i < 9; i++ {
 		offerRequests(b, rb, t0, 9, q)
-		b.TimerFired(t0, timerGossip, rb)
+		b.TimerFired(t0, timerToken(timerGossip, 0), rb)
 	}
 	if got := sentA + rb.count("send"); sentA == 0 || got < 5 || got > 6 {
 		t.Errorf("%d out, %d of them on the peer; want 5 or 6", got, sentA)
@@ -95,7 +95,7 @@
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		completeAttempts(g, r, now, ms, OK)
 		if i%100 == 0 {
-			g.TimerFired(now, timerSample, r)
+			g.TimerFired(now, timerToken(timerSample, 0), r)
 		}
 	}
 	if len(g.quotas) > 5000 || len(g.quotas) != len(g.quotaList) {
--- a/policy/rejections.go
+++ b/policy/rejections.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// reject refuses a request; trying it again is harmless.
-func (e *Engine) reject(id string, wait time.Duration, why int) {
+// reject gives a request its final answer: nothing happened, and trying again is harmless.
+func (e *Engine) reject(id string, wait time.Duration, why rejectReason) {
 	e.rejections[why]++
 	if !e.settings.SendsRetryAfter {
 		wait = 0
@@ -13,29 +13,44 @@
 	e.actions.RejectRequest(id, min(wait, e.settings.MaxRetryAfter))
 }
 
-// What a request was refused for.
+// rejectReason says by which rule a request was rejected.
+type rejectReason int
+
 const (
-	rejectNone          = iota
-	rejectUnknown       // class, plan or wait that can't be
-	rejectOverloaded    // the bound on work out
-	rejectLate          // a late try, under pressure
-	rejectShortTimeout  // less wait left than answers take
-	rejectQuota         // beyond the quota
-	rejectHardLimit     // beyond this gateway's part of the ceiling
-	rejectThrottled     // the throttle
-	rejectNoServer      // no server that it may go to
-	rejectAttemptsSpent // its attempts came to nothing
+	rejectNone          rejectReason = iota
+	rejectUnknown                    // class, plan or timeout that cannot be
+	rejectOverloaded                 // the bound on work in flight
+	rejectLate                       // a late try, under pressure
+	rejectShortTimeout               // less time left than responses take
+	rejectQuota                      // beyond the quota
+	rejectHardLimit                  // beyond this node's part of the hard limit
+	rejectThrottled                  // overload control
+	rejectNoServer                   // no server that it may go to
+	rejectAttemptsSpent              // its attempts came to nothing
 	rejectReasonCount
 )
 
-// rejectReasonNames are the names of these, as operators read them.
-var rejectReasonNames = [rejectReasonCount]string{"", "unknown", "jammed", "late", "short", "quota", "ceiling", "throttled", "no_server", "attempts_spent"}
+// rejectReasonNames are the names of the reasons, as operators read them.
+var rejectReasonNames = [rejectReasonCount]string{
+	rejectUnknown:       "unknown",
+	rejectOverloaded:    "jammed",
+	rejectLate:          "late",
+	rejectShortTimeout:  "short",
+	rejectQuota:         "quota",
+	rejectHardLimit:     "ceiling",
+	rejectThrottled:     "throttled",
+	rejectNoServer:      "no_server",
+	rejectAttemptsSpent: "attempts_spent",
+}
+
+// String returns the reason's name.
+func (r rejectReason) String() string { return rejectReasonNames[r] }
 
-// EachRejectionCount tells how many requests were refused, by the rule that refused them.
+// EachRejectionCount tells how many requests were rejected, by the rule that rejected them.
 func (e *Engine) EachRejectionCount(each func(rule string, n uint64)) {
-	for why, n := range e.rejections {
-		if why != rejectNone {
-			each(rejectReasonNames[why], n)
+	for i, n := range e.rejections {
+		if why := rejectReason(i); why != rejectNone {
+			each(why.String(), n)
 		}
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,15 +1,11 @@
 package policy
 
 import (
-	"math"
 	"time"
 )
 
-const (
-	slowAttemptDeviations = 10 // mean deviations over the mean at which an attempt counts as slow
-	retryTokensPerRequest = 0.2
-	maxRetryTokens        = 20
-)
+// slowAttemptDeviations is how many mean deviations over the mean make an attempt count as slow.
+const slowAttemptDeviations = 10
 
 // mayAttempt is rule 2 for a further attempt of the request at the server.
 func (e *Engine) mayAttempt(r *request, s *server) bool {
@@ -48,58 +44,69 @@
 	return true
 }
 
+// startAttempt sends a request to a server.
 func (e *Engine) startAttempt(r *request, s *server) {
-	c := &e.settings.Classes[r.class]
-	l := &e.latencies.classes[r.class]
-	timeout := max(r.deadline-e.now, e.settings.MinEventInterval)
-	more := e.settings.MaxAttempts == 0 || len(r.attempts)+1 < e.settings.MaxAttempts
-	repeatable := c.Idempotency != NonIdempotent && more && r.BodyTimeout == 0
-	if repeatable && l.samples >= minBatchSamples && e.overload.occupancy < highOccupancy {
-		slow := time.Duration((l.mean + slowAttemptDeviations*l.deviation) * float64(time.Second))
-		slow = max(slow, c.LatencyObjective/4)
-		if e.settings.AllowsHedging {
-			e.actions.SetTimer(r.number<<timerBits|timerHedge, slow)
-		} else if slow < timeout/2 && slow < c.LatencyObjective {
-			timeout = slow
-		}
-	}
+	timeout := e.planHedge(r)
 	if s.inFlight == 0 {
 		s.lastProgressAt = e.now
 	}
-	if !s.hasIdleConnection(e.now) {
-		s.expectedConnections = s.inFlight + 1
-	}
-	// A body that is still coming is no work out yet, nor is an answer that has begun.
+	s.connectionUsed(e.now)
+	// A body that is still coming is no work in flight yet, nor is a response that has begun.
 	if r.BodyTimeout == 0 {
-		s.inFlight++
-		e.inFlight++
+		e.occupyServer(s)
 	}
 	r.inFlight++
 	r.quota.inFlight++
 	e.markForGossip(r.quota)
 	if e.capacityFraction(s) < 1 {
-		s.warmupBudget = math.Max(s.warmupBudget-e.expectedWork(r.class), 0)
-		if c := e.zones[s.Zone]; c != nil {
-			c.sentWork += e.expectedWork(r.class)
+		work := e.expectedWork(r.class)
+		s.warmup.spend(work)
+		if zone := e.zones[s.Zone]; zone != nil {
+			zone.sentWork += work
 		}
 	}
-	a := attempt{server: s, sentAt: e.now, zone: s.Zone, cell: s.Cell, isStreaming: r.BodyTimeout > 0}
-	r.attempts = append(r.attempts, a)
+	r.attempts = append(r.attempts, attempt{
+		server: s, sentAt: e.now, zone: s.Zone, cell: s.Cell, isStreaming: r.BodyTimeout > 0,
+	})
 	e.actions.SendAttempt(r.ID, s.ID, timeout)
 }
 
+// planHedge returns the timeout of a request's next attempt. Where the request may be repeated and the
+// servers are not under pressure, a slow attempt gives way to another: beside it if hedging is allowed, or
+// after it.
+func (e *Engine) planHedge(r *request) time.Duration {
+	c, l := &e.settings.Classes[r.class], &e.latencies.classes[r.class]
+	timeout := max(r.deadline-e.now, e.settings.MinEventInterval)
+	hasMore := e.settings.MaxAttempts == 0 || len(r.attempts)+1 < e.settings.MaxAttempts
+	if c.Idempotency == NonIdempotent || !hasMore || r.BodyTimeout != 0 ||
+		l.samples < minBatchSamples || e.overload.occupancy >= highOccupancy {
+		return timeout
+	}
+	slow := time.Duration((l.mean + slowAttemptDeviations*l.deviation) * float64(time.Second))
+	slow = max(slow, c.LatencyObjective/4)
+	if e.settings.AllowsHedging {
+		e.actions.SetTimer(timerToken(timerHedge, r.number), slow)
+		return timeout
+	}
+	if slow < timeout/2 && slow < c.LatencyObjective {
+		return slow
+	}
+	return timeout
+}
+
 // retry sends a further attempt if one is legal, affordable and of use.
 func (e *Engine) retry(r *request) bool {
 	mean := time.Duration(e.latencies.classes[r.class].mean * float64(time.Second))
-	if e.retryTokens < 1 || e.now+mean > r.deadline {
+	if !e.retries.allows() || e.now+mean > r.deadline {
 		return false
 	}
 	s := e.selectServer(r)
-	if s != nil {
-		e.retryTokens--
-		e.startAttempt(r, s)
+	if s == nil {
+		return false
 	}
-	return s != nil
+	e.retries.spend()
+	e.startAttempt(r, s)
+	return true
 }
 
 // mayHedge tells whether a second attempt of a request may be in flight now. It must not push the customer's
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -17,7 +17,7 @@
 					other.Zone = "a"
 				}
 				g, r := newEngine(t, testSettings(), first)
-				g.retryTokens = 5
+				g.retries.tokens = 5
 				g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
 				g.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r)
 				r.actions = nil
@@ -42,7 +42,7 @@
 
 func TestNoRetryAfterDedupWindow(t *testing.T) {
 	g, r := newEngine(t, testSettings(), testServers(3)...)
-	g.retryTokens = 5
+	g.retries.tokens = 5
 	g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
 	g.AttemptCompleted(t0+300*ms, AttemptResult{ID: "r1", Result: ConnectionReset}, r)
 	if r.last() != "fail r1" {
@@ -61,7 +61,7 @@
 			}
 		}
 		g, r := newEngine(t, set, testServers(2)...)
-		g.retryTokens = 5
+		g.retries.tokens = 5
 		g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
 		first := r.last()
 		g.AttemptCompleted(t0+200*ms, AttemptResult{ID: "r1", Result: ConnectionReset, Server: first[len(first)-2:]}, r)
@@ -78,10 +78,10 @@
 		s.AllowsHedging = true
 		s.Plans[2].MaxInFlight = 2
 		g, r := newEngine(t, s, testServers(4)...)
-		g.retryTokens = 5
+		g.retries.tokens = 5
 		g.RequestReceived(t0, newRequest(1, "safe", plan, 1), r)
 		r.actions = nil
-		g.TimerFired(t0+ms, g.lastRequestNumber<<timerBits|timerHedge, r)
+		g.TimerFired(t0+ms, timerToken(timerHedge, g.requests.lastNumber), r)
 		if n := r.count("send"); n != want {
 			t.Errorf("%s: %d second copies, want %d", plan, n, want)
 		}
@@ -95,7 +95,7 @@
 		s.AllowsHedging = parallel
 		g, r := newEngine(t, s, testServers(2)...)
 		g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
-		if got := g.mayAttempt(g.requests["r1"], g.servers[0]); got != parallel {
+		if got := g.mayAttempt(g.requests.byID["r1"], g.servers[0]); got != parallel {
 			t.Errorf("parallel %v: second copy %v", parallel, got)
 		}
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -98,7 +98,7 @@
 
 // serverSize is the server's size: as listed or, where all are listed alike, by the speed of its kind.
 func (e *Engine) serverSize(s *server) float64 {
-	size := e.serverWeight(s) * s.subsetCorrection
+	size := s.weight() * s.subsetCorrection
 	if speed, isKnown := e.latencies.kindSpeed(s.Kind); isKnown && !e.weightsDiffer {
 		return size * speed
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	used := make([]bool, len(e.settings.Classes))
-	for _, r := range e.requests {
+	for _, r := range e.requests.byID {
 		used[r.class] = true
 	}
 	old := e.classIndex
@@ -141,3 +141,6 @@
 	}
 	return nil
 }
+
+// ColdBudgetMultiple is the multiple of what a cold server can take that all nodes together send it at most.
+func (s *Settings) ColdBudgetMultiple() float64 { return coldBudgetFraction * s.ColdOverloadMultiple }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -58,7 +58,7 @@
 	g, _ := newSubsetEngine(t)
 	for _, s := range g.servers {
 		s.StartedAt = t0 - 100*ms
-		if s.warmupBudget = 100; !s.inSubset && g.hasWarmupBudget(s, 0) {
+		if s.warmup.work = 100; !s.inSubset && g.hasWarmupBudget(s, 0) {
 			t.Fatalf("cold server %s has room and is not in the part", s.ID)
 		}
 	}
@@ -75,7 +75,7 @@
 	cold := map[string]bool{}
 	for i, s := range g.subset {
 		if g.serverResponded(s); i%2 == 0 {
-			s.StartedAt, s.warmupBudget, s.budgetUpdatedAt = g.now-g.settings.SlowStartWindow/4, 0, g.now
+			s.StartedAt, s.warmup.work, s.warmup.updatedAt = g.now-g.settings.SlowStartWindow/4, 0, g.now
 			cold[s.ID] = true
 		} else {
 			s.expectedConnections, s.lastUsedAt = 1, g.now
@@ -101,7 +101,7 @@
 	for ; toCold < ready && asked < 100; asked++ { // two warm ones may be looked at first
 		if s := g.selectServer(&request{Request: Request{ID: "x"}, class: heavy}); cold[s.ID] {
 			toCold++
-			s.warmupBudget = 0
+			s.warmup.work = 0
 		}
 	}
 	if toCold < ready || asked > 2*ready {
@@ -132,9 +132,9 @@
 		}
 	}
 	for _, s := range g.subset {
-		s.StartedAt, s.warmupBudget, s.budgetUpdatedAt = g.now, 0, g.now-10*ms
+		s.StartedAt, s.warmup.work, s.warmup.updatedAt = g.now, 0, g.now-10*ms
 		g.hasWarmupBudget(s, 0)
-		all := s.warmupBudget * float64(held[s.ID]) / 0.01
+		all := s.warmup.work * float64(held[s.ID]) / 0.01
 		if most := coldBudgetFraction * g.settings.ColdOverloadMultiple * g.capacityFraction(s); math.Abs(all/most-1) > 0.15 {
 			t.Errorf("%s: %d holders may send it %.3f of a second's work a second, want %.3f", s.ID, held[s.ID], all, most)
 		}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -26,7 +26,7 @@
 	at, list := make([]*server, 0, takes), make([]subset.Server, 0, takes)
 	for _, s := range e.servers {
 		if s.inSubset = false; s.acceptsRequests() {
-			at, list = append(at, s), append(list, subset.Server{ID: s.ID, Zone: s.Zone, Size: e.serverWeight(s)})
+			at, list = append(at, s), append(list, subset.Server{ID: s.ID, Zone: s.Zone, Size: s.weight()})
 		}
 	}
 	members := fleet.Form(list, e.settings.InstanceIndex, e.subsetWidth.Factor())
@@ -39,7 +39,7 @@
 		s := at[m.Index]
 		s.inSubset, s.subsetCorrection = true, e.meanSubsetHolders/float64(m.Held)
 		e.subset = append(e.subset, s)
-		e.maxServerWeight = math.Max(e.maxServerWeight, e.serverWeight(s)*s.subsetCorrection)
+		e.maxServerWeight = math.Max(e.maxServerWeight, s.weight()*s.subsetCorrection)
 	}
 }
 
@@ -48,9 +48,9 @@
 func (e *Engine) needsNewSubset() bool {
 	var fit, all float64
 	for _, s := range e.subset {
-		all += e.serverWeight(s) * s.subsetCorrection
+		all += s.weight() * s.subsetCorrection
 		if !s.isEjected(e.now) {
-			fit += e.serverWeight(s) * s.subsetCorrection * e.capacityFraction(s)
+			fit += s.weight() * s.subsetCorrection * e.capacityFraction(s)
 		}
 	}
 	return all > 0 && !e.usesAllServers() && e.subsetWidth.Now(e.now, fit/all, len(e.subset), float64(e.inFlight))
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -24,14 +24,14 @@
 	if g.usesAllServers() {
 		t.Fatal("the part is whole")
 	}
-	g.retryTokens = 5
+	g.retries.tokens = 5
 	g.RequestReceived(t0, newRequest(1, "keyed", "kubwa", 1), r)
 	for _, a := range r.actions {
 		if strings.HasPrefix(a, "refuse") {
 			t.Fatal(a)
 		}
 	}
-	first := g.requests["r1"].attempts[0].server
+	first := g.requests.byID["r1"].attempts[0].server
 	for _, s := range g.subset {
 		if s.Zone == first.Zone {
 			s.isUnresponsive = s != first
@@ -40,7 +40,7 @@
 	}
 	first.Server.State = Draining
 	g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: ErrorResponse, Server: first.ID}, r)
-	at := g.requests["r1"].attempts
+	at := g.requests.byID["r1"].attempts
 	if len(at) != 2 || at[1].server.Zone != first.Zone || at[1].server.inSubset {
 		t.Fatalf("%d attempts, the last at %+v", len(at), at[len(at)-1].server.Server)
 	}
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -20,8 +20,11 @@
 	if e.usesAllServers() {
 		return
 	}
-	e.findings = slices.DeleteFunc(e.findings, func(n serverFinding) bool { return n.serverID == s.gossipID || e.now-n.foundAt >= findingTTL })
-	if e.findings = append(e.findings, serverFinding{s.gossipID, up, e.now}); len(e.findings) > maxFindings {
+	e.findings = slices.DeleteFunc(e.findings, func(f serverFinding) bool {
+		return f.serverID == s.gossipID || e.now-f.foundAt >= findingTTL
+	})
+	e.findings = append(e.findings, serverFinding{s.gossipID, up, e.now})
+	if len(e.findings) > maxFindings {
 		e.findings = e.findings[1:]
 	}
 }
@@ -29,7 +32,7 @@
 // suspectedCount counts the servers of the part that are silent to this gateway or, as peers say, to them.
 func (e *Engine) suspectedCount() (n int) {
 	for _, s := range e.subset {
-		n += boolToInt(s.isUnresponsive || e.now < s.suspectedUntil)
+		n += boolToInt(s.isSuspected(e.now))
 	}
 	return n
 }
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -68,7 +68,7 @@
 	e.now = now
 	for _, s := range e.servers {
 		if w := e.capacityFraction(s); s.Zone == zone && s.acceptsRequests() && !s.isUnresponsive && w < 1 {
-			servers += e.serverWeight(s) * w
+			servers += s.weight() * w
 		}
 	}
 	if c := e.zones[zone]; c != nil {
@@ -106,7 +106,7 @@
 		var weight float64
 		for _, s := range e.servers {
 			if s.Zone == zone && s.acceptsRequests() && !s.isUnresponsive && e.capacityFraction(s) >= 1 {
-				weight += e.serverWeight(s)
+				weight += s.weight()
 			}
 		}
 		if weight > 0 {
@@ -126,7 +126,7 @@
 	e.now = now
 	for _, s := range e.servers {
 		if s.Zone == zone && s.acceptsRequests() && !s.isUnresponsive {
-			sum += e.serverWeight(s) * e.capacityFraction(s)
+			sum += s.weight() * e.capacityFraction(s)
 		}
 	}
 	return sum
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -71,12 +71,12 @@
 	g, r := newTwoZoneEngine(t, false)
 	s := g.serverByID["s1"]
 	g.SetZoneLimits("b", ZoneLimits{WarmServerRate: 20, InFlightFraction: 1}) // so that the store holds several requests
-	g.now, g.actions, s.budgetUpdatedAt = t0, r, t0
-	s.warmupBudget = 1.1 * g.expectedWork(g.classIndex["keyed"])
+	g.now, g.actions, s.warmup.updatedAt = t0, r, t0
+	s.warmup.work = 1.1 * g.expectedWork(g.classIndex["keyed"])
 	if g.hasWarmupBudget(s, g.classIndex["safe"]) || !g.hasWarmupBudget(s, g.classIndex["keyed"]) {
-		t.Errorf("room of %.2f goes to the class of work %.2f that is worth least, before %.2f", s.warmupBudget, g.expectedWork(g.classIndex["safe"]), g.expectedWork(g.classIndex["keyed"]))
+		t.Errorf("room of %.2f goes to the class of work %.2f that is worth least, before %.2f", s.warmup.work, g.expectedWork(g.classIndex["safe"]), g.expectedWork(g.classIndex["keyed"]))
 	}
-	if s.warmupBudget = 100; !g.hasWarmupBudget(s, g.classIndex["safe"]) {
+	if s.warmup.work = 100; !g.hasWarmupBudget(s, g.classIndex["safe"]) {
 		t.Error("room that nobody needs is kept")
 	}
 }
@@ -147,7 +147,7 @@
 		room := 0
 		for range 50 {
 			if g.hasWarmupBudget(s, 0) {
-				s.warmupBudget -= g.expectedWork(0)
+				s.warmup.work -= g.expectedWork(0)
 				room++
 			}
 		}
@@ -178,7 +178,7 @@
 			}
 		}
 		if r.actions = nil; i%int(sampleInterval/(10*ms)) == 0 {
-			g.TimerFired(now, timerSample, r)
+			g.TimerFired(now, timerToken(timerSample, 0), r)
 		}
 	}
 	rate, util := g.WarmServerLoad(t0+20*time.Second, "a")
