--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -33,7 +33,7 @@
 // A try whose client leaves before answers usually come is refused at once.
 func TestTimeoutBelowMeanLatencyIsRejected(t *testing.T) {
 	g, r := newEngine(t, testSettings(), testServers(4)...)
-	c := &g.latencies[g.classIndex["safe"]]
+	c := &g.latencies.classes[g.classIndex["safe"]]
 	c.samples, c.mean, c.deviation = minBatchSamples, 0.2, 0.01
 	q := newRequest(1, "safe", "rate", 1)
 	q.Timeout = 100 * ms
--- a/policy/events.go
+++ b/policy/events.go
@@ -26,7 +26,7 @@
 	e.lastRequestNumber++
 	r := &request{Request: q, number: e.lastRequestNumber, class: ci, quota: st}
 	r.deadline = now + q.BodyTimeout + q.Timeout - 2*e.settings.MinEventInterval
-	late, l := e.isTooLate(ci, q.Timeout), &e.latencies[ci]
+	late, l := e.isTooLate(ci, q.Timeout), &e.latencies.classes[ci]
 	wait, why := e.settings.Classes[ci].LatencyObjective/throttleRetryFraction, rejectNone
 	switch {
 	case e.isOverloaded(ci, q.Zone, e.settings.Plans[pi].PriorityFactor):
@@ -231,7 +231,7 @@
 	e.warmWork, e.responses, e.gossipReceived = 0, 0, 0
 	e.updateZoneRates()
 	// Probes are priced and cost work: a gateway that sends seldom probes seldom.
-	earned := e.overload.fleetMeans[meanForwarded] * e.healthChecksPerRequest()
+	earned := e.overload.fleetMeans[meanAccepted] * e.healthChecksPerRequest()
 	e.healthCheckCredit = math.Min(e.healthCheckCredit+earned, 1)
 	if e.mayCheckHealth() && len(e.servers) > 0 && e.healthCheckCredit >= 1 {
 		e.healthCheckCredit = 0
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -79,7 +79,7 @@
 		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		completeAttempts(g, r, now, ms, OK)
 		if i%10 == 9 {
-			g.overload.fleetMeans[meanForwarded] = 2
+			g.overload.fleetMeans[meanAccepted] = 2
 			g.TimerFired(now, timerSample, r)
 			for id := range g.serverByID {
 				probes[id] += r.count("probe " + id)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -11,7 +11,7 @@
 func TestAdmitFractionFollowsOccupancy(t *testing.T) {
 	a := overloadController{admitFraction: 1}
 	for i := 0; i < 50; i++ {
-		a.sent[a.sampleIndex()] = 10
+		a.accepted[a.sampleIndex()] = 10
 		a.addOccupancy(1)
 		a.closeSample(0, 0)
 	}
@@ -158,7 +158,7 @@
 // An attempt at a server that says nothing is no work that waits; one at a server that answers others is.
 func TestUnansweredAttemptsAreNotLoad(t *testing.T) {
 	g, r := newSubsetEngine(t)
-	g.latencies[0] = classLatency{mean: 0.05, samples: 100}
+	g.latencies.classes[0] = classLatency{mean: 0.05, samples: 100}
 	quiet, busy := g.subset[0], g.subset[1]
 	for i, s := range []*server{quiet, busy} {
 		id := fmt.Sprint("r", i)
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -191,7 +191,7 @@
 	member, r := newOwnerEngine(t, 10)
 	ask := func(n int, late bool, at time.Duration) bool {
 		q := ownerRequest(n, 77)
-		member.latencies[member.classIndex["safe"]].firstTryTimeout = q.Timeout
+		member.latencies.classes[member.classIndex["safe"]].firstTryTimeout = q.Timeout
 		if late {
 			q.Timeout -= member.settings.Classes[member.classIndex["safe"]].LatencyObjective * 3 / 2
 		}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -43,7 +43,7 @@
 		for _, s := range g.servers {
 			s.inFlight, s.lastProgressAt = 1, t0
 		}
-		g.latencies[0].mean = 0.1
+		g.latencies.classes[0].mean = 0.1
 		spoil(b)
 		if g.cost(b) < 1.3*g.cost(a) {
 			t.Errorf("%s: cost %v against %v", name, g.cost(b), g.cost(a))
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -39,7 +39,7 @@
 	if got := r.last(); !strings.HasPrefix(got, "send") {
 		t.Fatal(got)
 	}
-	g.latencies[g.classIndex["b"]].mean = 0.25
+	g.latencies.classes[g.classIndex["b"]].mean = 0.25
 	if err := g.SetClasses([]Class{class("b", 2*time.Second), class("c", time.Second)}); err != nil {
 		t.Fatal(err)
 	}
@@ -49,8 +49,8 @@
 			t.Errorf("class %s: %s, want %s", n, got, want)
 		}
 	}
-	if b := g.classIndex["b"]; g.latencies[b].mean != 0.25 || g.settings.Classes[b].LatencyObjective != 2*time.Second {
-		t.Errorf("class b: %+v, %+v", g.latencies[b], g.settings.Classes[b])
+	if b := g.classIndex["b"]; g.latencies.classes[b].mean != 0.25 || g.settings.Classes[b].LatencyObjective != 2*time.Second {
+		t.Errorf("class b: %+v, %+v", g.latencies.classes[b], g.settings.Classes[b])
 	}
 	if len(g.settings.Classes) != 3 { // a's place is taken by the request under way
 		t.Errorf("%d places", len(g.settings.Classes))
@@ -62,7 +62,7 @@
 			t.Fatal(err)
 		}
 	}
-	if len(g.settings.Classes) != 3 || len(g.latencies) != 3 {
+	if len(g.settings.Classes) != 3 || len(g.latencies.classes) != 3 {
 		t.Errorf("%d places after twenty changes", len(g.settings.Classes))
 	}
 	// A class that comes back while a request of its first time is under way has two places; the plans may
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -139,7 +139,7 @@
 			t.Errorf("%s: %d holders may send it %.3f of a second's work a second, want %.3f", s.ID, held[s.ID], all, most)
 		}
 	}
-	g.latencies[0].kinds = []kindLatency{{lowest: 0.05}}
+	g.latencies.classes[0].kinds = []kindLatency{{lowest: 0.05}}
 	r := &request{Request: Request{ID: "r"}, quota: &customerQuota{}}
 	for _, s := range g.servers {
 		if s.StartedAt = 0; !s.inSubset {
