--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -72,7 +72,7 @@
 	for refill := time.Duration(2.5 / p.Rate * float64(time.Second)); n < 100; n += 4 {
 		send(n, fresh, at+2*ms) // refused
 		at = g.now + refill
-		g.quotas[1].contendedUntil = at + time.Second
+		g.quotas.byCustomer[1].contendedUntil = at + time.Second
 		if send(n+1, old, at) {
 			t.Fatal("a late try took the units of a crowded store")
 		}
--- a/policy/events.go
+++ b/policy/events.go
@@ -19,7 +19,8 @@
 	}
 	q.Units = math.Max(q.Units, 0)
 	q.InstanceCount = min(max(q.InstanceCount, 1), e.settings.InstanceCount)
-	st := e.quotaFor(q.Customer, pi, q.InstanceCount, q.FirstInstance)
+	scope := quotaScope{plan: pi, instanceCount: q.InstanceCount, firstInstance: q.FirstInstance}
+	st := e.quotaFor(q.Customer, scope)
 	if st.plan != pi { // the customer has changed its plan
 		e.changePlan(st, e.settings.Plans[st.plan], pi)
 	}
@@ -55,7 +56,7 @@
 		e.requestQuota(r)
 		return
 	}
-	in, wait := e.checkQuota(st, q.Units, late)
+	in, wait := e.checkQuota(st, quotaDemand{q.Units, late})
 	if in {
 		e.takeUnits(st, q.Units)
 	}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -1,7 +1,7 @@
 package policy
 
-// Gossip between nodes. A message repeats the deltas of the one before: a peer that missed that learns them, and
-// one that comes late or twice is known by its sequence number. Attempts in flight go as levels.
+// Gossip between instances: what each has spent of a customer's quota goes as differences, its attempts in flight as
+// absolute counts.
 
 import (
 	"math"
@@ -11,130 +11,119 @@
 const (
 	minGossipInterval    = 40 * time.Millisecond
 	gossipIntervalFactor = 1.3 // interval as a multiple of what the inbox limit allows
+	maxIdleGossipRounds  = 3   // messages that report nothing in flight, so that a lost one does no harm
 )
 
-func (e *Engine) receiveEntries(from int, es []gossipEntry) {
-	for _, entry := range es {
-		st := e.quotaFor(entry.key, entry.plan, entry.instanceCount, entry.firstInstance)
-		// Its plan may have changed at one gateway and not yet at the other: units spent count all the same.
-		e.chargeRemoteUnits(st, entry.units)
-		if e.settings.Plans[entry.plan].MaxInFlight > 0 {
-			if st.peerInFlight == nil {
-				st.peerInFlight = make([]peerCount, e.settings.InstanceCount)
-			}
-			st.peerInFlight[from] = peerCount{entry.inFlight, e.now}
-		}
-		e.receiveTransfer(st, from, entry)
+// GossipReceived brings a message of another instance. A malformed one is ignored whole.
+func (e *Engine) GossipReceived(now time.Duration, from int, message []byte, out Actions) {
+	e.now, e.actions = now, out
+	if from < 0 || from >= len(e.peers) || from == e.settings.InstanceIndex || len(message) == 0 {
+		return
+	}
+	e.gossipReceived++
+	if message[0] != kindGossip && message[0] != kindGossipV1 {
+		e.receiveQuotaMessage(from, message)
+		return
+	}
+	decoded, err := e.codec().decodeGossip(message)
+	if err != nil {
+		return
 	}
+	e.receiveEntries(from, e.peers[from].newEntries(decoded))
 }
 
-// broadcast tells each peer of the stores whose sets it is in, and returns the most messages that one was
-// sent.
-func (e *Engine) broadcast() (most int) {
-	for i := range e.peers {
-		if i != e.settings.InstanceIndex {
-			most = max(most, e.broadcastTo(i, func(st *customerQuota) bool { return e.isCustomerInstance(i, st.firstInstance, st.instanceCount) }))
+// receiveEntries takes in what a peer tells of customers. Its plan of a customer may have changed and this instance's
+// not yet, or the other way round: the units spent count all the same.
+func (e *Engine) receiveEntries(from int, entries []gossipEntry) {
+	for _, entry := range entries {
+		quota := e.quotaFor(entry.customer, entry.scope)
+		e.chargeRemoteUnits(quota, entry.units)
+		if e.settings.Plans[entry.scope.plan].MaxInFlight > 0 {
+			e.receivePeerCount(quota, from, entry.inFlight)
 		}
+		e.receiveTransfer(quota, from, entry)
+	}
+}
+
+func (e *Engine) receivePeerCount(quota *customerQuota, from, inFlight int) {
+	if quota.peerInFlight == nil {
+		quota.peerInFlight = make([]peerCount, e.settings.InstanceCount)
 	}
-	kept := e.gossipPending[:0]
-	for _, st := range e.gossipPending {
-		st.pendingUnits -= math.Round(st.pendingUnits)
-		st.unitsSinceGossip, st.startedSinceGossip, st.unmetUnits = 0, 0, 0
-		if st.idleGossipRounds++; st.inFlight > 0 {
-			st.idleGossipRounds = 0
+	quota.peerInFlight[from] = peerCount{inFlight, e.now}
+}
+
+// markForGossip adds a quota to those that the next broadcast tells of.
+func (e *Engine) markForGossip(quota *customerQuota) {
+	if !quota.needsGossip && !quota.usesOwner && e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
+		quota.needsGossip = true
+		e.gossipPending = append(e.gossipPending, quota)
+	}
+}
+
+// broadcast tells each peer of the pending quotas whose customers it serves, and returns the most messages that one
+// was sent.
+func (e *Engine) broadcast() (maxMessages int) {
+	for peer := range e.peers {
+		if peer != e.settings.InstanceIndex {
+			maxMessages = max(maxMessages, e.broadcastTo(peer))
 		}
-		// Levels are told until two tells have said that nothing is out.
-		if st.needsGossip = e.settings.Plans[st.plan].MaxInFlight > 0 && st.idleGossipRounds < 3; st.needsGossip {
-			kept = append(kept, st)
+	}
+	pending := e.gossipPending[:0]
+	for _, quota := range e.gossipPending {
+		quota.recordBroadcast(e.planOf(quota))
+		if quota.needsGossip {
+			pending = append(pending, quota)
 		}
 	}
-	e.gossipPending = kept
-	return most
+	e.gossipPending = pending
+	return maxMessages
 }
 
-// broadcastTo packs the stores to tell that about chooses, in as many messages as it takes, and returns
-// their number.
-func (e *Engine) broadcastTo(peer int, about func(*customerQuota) bool) (sent int) {
-	p, n := &e.peers[peer], 0
-	var body []byte
+// broadcastTo tells a peer of the pending quotas, in as many messages as it takes, and returns their number.
+func (e *Engine) broadcastTo(instance int) (messages int) {
+	codec, receiver := e.codec(), &e.peers[instance]
+	var entries encodedEntries
 	flush := func() {
-		if n > 0 || p.lastEntryCount > 0 {
-			p.sequence++
-			e.actions.SendGossip(peer, encodeGossip(e.epoch, p.sequence, n, body, p.lastEntryCount, p.lastEntries))
-			p.lastEntries, p.lastEntryCount, body, n = body, n, nil, 0
-			sent++
+		if receiver.hasNews(entries) {
+			e.actions.SendGossip(instance, receiver.nextMessage(e.epoch, entries))
+			entries = encodedEntries{}
+			messages++
 		}
 	}
-	for _, st := range e.gossipPending {
-		if about(st) {
-			n++
-			if body = e.appendEntry(body, st, peer); len(body) > maxNewEntriesSize-maxEntrySize {
-				flush()
-			}
+	for _, quota := range e.gossipPending {
+		if !quota.includes(instance, e.settings.InstanceCount) {
+			continue
+		}
+		entries.count++
+		entries.bytes = codec.appendEntry(entries.bytes, e.gossipEntryFor(quota, instance))
+		if len(entries.bytes) > maxNewEntriesSize-maxEntrySize {
+			flush()
 		}
 	}
-	if n > 0 || sent == 0 {
+	if entries.count > 0 || messages == 0 {
 		flush()
 	}
-	return sent
+	return messages
 }
 
-func (e *Engine) markForGossip(st *customerQuota) {
-	if !st.needsGossip && !st.usesOwner && e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
-		st.needsGossip = true
-		e.gossipPending = append(e.gossipPending, st)
+// gossipEntryFor returns what a peer is told of a quota. It takes the units for it that it is sent.
+func (e *Engine) gossipEntryFor(quota *customerQuota, peer int) gossipEntry {
+	entry := gossipEntry{customer: quota.key, scope: quota.quotaScope, units: quota.pendingUnits, inFlight: quota.inFlight}
+	if e.planOf(quota).HardLimitRate > 0 {
+		entry.transferred = e.transferQuota(quota, peer)
+		entry.deficit = e.quotaDeficit(quota)
 	}
+	return entry
 }
 
-type peerCount struct {
-	inFlight   int
-	receivedAt time.Duration
-}
-
-// peer is the state of tells to and from one peer.
-type peer struct {
-	sequence           uint64
-	lastEntries        []byte // entries of the last tell
-	lastEntryCount     int
-	isKnown            bool
-	epoch              uint64
-	previousEpoch      uint64
-	receivedSequence   uint64
-	unansweredRequests int // asks since its last answer
-}
-
-// maxNewEntriesSize is the bytes of new entries in a tell; the repeat follows if it fits.
-const maxNewEntriesSize = 180
-
-// GossipReceived brings a message of another gateway. A malformed one is ignored whole.
-func (e *Engine) GossipReceived(now time.Duration, from int, message []byte, out Actions) {
-	e.now, e.actions = now, out
-	if from < 0 || from >= len(e.peers) || from == e.settings.InstanceIndex || len(message) == 0 {
-		return
-	}
-	e.gossipReceived++
-	if message[0] != kindGossip && message[0] != kindGossipV1 {
-		e.receiveQuotaMessage(from, message)
-		return
-	}
-	epoch, seq, cur, prev, ok := e.decodeGossip(message)
-	p := &e.peers[from]
-	if !ok || p.isKnown && epoch == p.previousEpoch && epoch != p.epoch {
-		return
-	}
-	if !p.isKnown || epoch != p.epoch {
-		// The peer has restarted: its numbers begin anew, and what still comes from before is ignored.
-		p.previousEpoch, p.epoch, p.receivedSequence, p.isKnown = p.epoch, epoch, 0, true
-		for i := range prev {
-			prev[i].transferred = 0 // an earlier life of this gateway may have taken and spent it
-		}
-	}
-	if seq <= p.receivedSequence {
-		return
-	}
-	if seq > p.receivedSequence+1 {
-		e.receiveEntries(from, prev)
+// recordBroadcast notes that all peers have been told of the quota. Counts in flight are told until several messages
+// have said that there are none.
+func (q *customerQuota) recordBroadcast(plan *Plan) {
+	q.pendingUnits -= math.Round(q.pendingUnits)
+	q.unitsSinceGossip, q.startedSinceGossip, q.unmetUnits = 0, 0, 0
+	q.idleGossipRounds++
+	if q.inFlight > 0 {
+		q.idleGossipRounds = 0
 	}
-	p.receivedSequence = seq
-	e.receiveEntries(from, cur)
+	q.needsGossip = plan.MaxInFlight > 0 && q.idleGossipRounds < maxIdleGossipRounds
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -20,7 +20,7 @@
 		for _, i := range order {
 			b.GossipReceived(t0, 0, ra.gossip[1][i], rb)
 		}
-		if got := 20 - b.quotas[1].tokens; got != 9 {
+		if got := 20 - b.quotas.byCustomer[1].tokens; got != 9 {
 			t.Errorf("%s: %v units taken, want 9", name, got)
 		}
 	}
@@ -44,8 +44,8 @@
 		}
 		b.GossipReceived(t0, 0, m, rb)
 	}
-	if len(b.quotas) != 100 {
-		t.Errorf("%d of 100 customers heard of", len(b.quotas))
+	if len(b.quotas.byCustomer) != 100 {
+		t.Errorf("%d of 100 customers heard of", len(b.quotas.byCustomer))
 	}
 }
 
@@ -66,8 +66,8 @@
 	for _, m := range ra.gossip[1] {
 		b.GossipReceived(t0+6*ms, 0, m, rb)
 	}
-	if b.quotas[1].tokens >= 0 {
-		t.Errorf("level %v after both spent most of it", b.quotas[1].tokens)
+	if b.quotas.byCustomer[1].tokens >= 0 {
+		t.Errorf("level %v after both spent most of it", b.quotas.byCustomer[1].tokens)
 	}
 }
 
@@ -83,7 +83,7 @@
 		b.GossipReceived(t0, 7, good, rb)
 		b.GossipReceived(t0, 1, good, rb)
 		b.GossipReceived(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), rb)
-		if len(b.quotas) != 0 || len(rb.actions) != 0 {
+		if len(b.quotas.byCustomer) != 0 || len(rb.actions) != 0 {
 			t.Fatalf("%d bytes of %d were believed", n, len(good))
 		}
 	}
@@ -103,19 +103,29 @@
 		r := &recorder{}
 		g.Start(t0, r)
 		g.GossipReceived(t0, 1, b, r)
-		if len(g.quotas) > len(b) {
-			t.Errorf("%d stores from %d bytes", len(g.quotas), len(b))
+		if len(g.quotas.byCustomer) > len(b) {
+			t.Errorf("%d stores from %d bytes", len(g.quotas.byCustomer), len(b))
 		}
 	})
 }
 
+// sentReport is the report of a quota response of one instance as another one decodes it.
+func sentReport(t *testing.T, from, to *Engine) peerReport {
+	t.Helper()
+	encoded := from.codec().encodeQuotaResponse(quotaResponse{number: 7, isGranted: true, grantFraction: 1}, from.peerReport())
+	_, report, err := to.codec().decodeQuotaMessage(encoded)
+	if err != nil {
+		t.Fatalf("a response with a report is malformed: %v", err)
+	}
+	return report
+}
+
 // Sums of occupancy below nought, as latencies under the lowest mean give, must reach peers as they are.
 func TestFleetMeansAreEncodedSigned(t *testing.T) {
 	g, _ := newOwnerEngine(t, 10)
 	g.overload.hasPeerMeans, g.overload.fleetMeans = true, [fleetMeanCount]float64{-0.5, 0.25, 2, 0, 1}
-	m, ok := g.decodeQuotaMessage(g.encodeQuotaResponse(1, true, 0, 1))
-	if !ok || m.fleetMeans != g.overload.fleetMeans {
-		t.Errorf("%v came as %v", g.overload.fleetMeans, m.fleetMeans)
+	if got := sentReport(t, g, g).fleetMeans; got != g.overload.fleetMeans {
+		t.Errorf("%v came as %v", g.overload.fleetMeans, got)
 	}
 }
 
@@ -126,13 +136,7 @@
 	for i, s := range g.subset[:6] {
 		g.addFinding(s, i%2 == 0)
 	}
-	read := func() []serverFinding {
-		m, ok := g.decodeQuotaMessage(g.encodeQuotaResponse(7, true, 0, 1))
-		if !ok {
-			t.Fatal("an answer with notes is malformed")
-		}
-		return m.findings
-	}
+	read := func() []serverFinding { return sentReport(t, g, g).findings }
 	got := read()
 	if len(got) != maxFindings || got[3].serverID != g.subset[5].gossipID || got[3].isUp {
 		t.Fatalf("notes %+v", got)
--- /dev/null
+++ b/policy/hot_restart_learned.go
@@ -0,0 +1,173 @@
+package policy
+
+import "time"
+
+// latencyState is what was learned of a class.
+type latencyState struct {
+	Mean            float64
+	Deviation       float64       `json:"Dev"`
+	Samples         int           `json:"N"`
+	Lowest          []float64     // by index in the exported kinds
+	FirstTryTimeout time.Duration `json:"Fresh"`
+}
+
+func (c *classLatency) export() latencyState {
+	state := latencyState{Mean: c.mean, Deviation: c.deviation, Samples: c.samples, FirstTryTimeout: c.firstTryTimeout}
+	for _, kind := range c.kinds {
+		state.Lowest = append(state.Lowest, kind.lowest)
+	}
+	return state
+}
+
+// restoreClass sets what was saved of a class, with the names of the kinds in the order of the export.
+func (t *latencyTable) restoreClass(class int, saved latencyState, kinds []string) {
+	c := &t.classes[class]
+	c.mean, c.deviation, c.samples = saved.Mean, saved.Deviation, saved.Samples
+	c.firstTryTimeout = saved.FirstTryTimeout
+	c.kinds = nil
+	for k := range min(len(saved.Lowest), len(kinds)) {
+		i := t.addKind(kinds[k])
+		for len(c.kinds) <= i {
+			c.kinds = append(c.kinds, kindLatency{})
+		}
+		c.kinds[i].lowest = saved.Lowest[k]
+	}
+}
+
+// kindNames returns the names of the kinds by their index.
+func (t *latencyTable) kindNames() []string {
+	names := make([]string, len(t.kindIndex))
+	for name, i := range t.kindIndex {
+		names[i] = name
+	}
+	return names
+}
+
+// restoreKinds sets what was saved of the kinds.
+func (t *latencyTable) restoreKinds(state *engineState) {
+	for k, name := range state.Kinds {
+		if k < len(state.KindRatios) && k < len(state.KindSamples) {
+			*t.kindRatios[t.addKind(name)] = kindRatio{state.KindRatios[k], state.KindSamples[k]}
+		}
+	}
+}
+
+// savedServer is what was learned of a server.
+type savedServer struct {
+	ID                   string
+	StartedAt            time.Duration   `json:"Boot"`
+	LastProgressAt       time.Duration   `json:"Seen"`
+	EjectedUntil         time.Duration   `json:"Ejected"`
+	BudgetUpdatedAt      time.Duration   `json:"Credited"`
+	ConnectFailedAt      time.Duration   `json:"Broke"`
+	ConnectFailures      []time.Duration `json:"Breaks"`
+	LastHeardAt          time.Duration   `json:"Heard"`
+	LastHealthCheckAt    time.Duration   `json:"Probed"`
+	LatencyRatio         float64         `json:"Lat"`
+	FailureRate          float64         `json:"Errs"`
+	QueueLength          float64         `json:"Queue"`
+	WarmupBudget         float64         `json:"Credit"`
+	ConsecutiveEjections int             `json:"Strikes"`
+	IsUnresponsive       bool            `json:"Lost"`
+}
+
+func (s *server) export() savedServer {
+	return savedServer{
+		ID:                   s.ID,
+		StartedAt:            s.StartedAt,
+		LastProgressAt:       s.lastProgressAt,
+		EjectedUntil:         s.ejectedUntil,
+		BudgetUpdatedAt:      s.budgetUpdatedAt,
+		ConnectFailedAt:      s.connectFailedAt,
+		ConnectFailures:      s.connectFailures,
+		LastHeardAt:          s.lastHeardAt,
+		LastHealthCheckAt:    s.lastHealthCheckAt,
+		LatencyRatio:         s.latencyRatio,
+		FailureRate:          s.failureRate,
+		QueueLength:          s.queueLength,
+		WarmupBudget:         s.warmupBudget,
+		ConsecutiveEjections: s.consecutiveEjections,
+		IsUnresponsive:       s.isUnresponsive,
+	}
+}
+
+// restore sets what was saved of the same process of the server.
+func (s *server) restore(saved savedServer, now time.Duration) {
+	s.lastProgressAt = saved.LastProgressAt
+	s.ejectedUntil = saved.EjectedUntil
+	s.budgetUpdatedAt = min(saved.BudgetUpdatedAt, now)
+	s.connectFailedAt, s.connectFailures = saved.ConnectFailedAt, saved.ConnectFailures
+	s.lastHeardAt, s.lastHealthCheckAt = saved.LastHeardAt, saved.LastHealthCheckAt
+	s.latencyRatio, s.failureRate = saved.LatencyRatio, saved.FailureRate
+	s.queueLength = saved.QueueLength
+	s.warmupBudget = saved.WarmupBudget
+	s.consecutiveEjections = saved.ConsecutiveEjections
+	s.isUnresponsive = saved.IsUnresponsive
+}
+
+// overloadState is the state of the overload control.
+type overloadState struct {
+	AdmitFraction    float64                       `json:"F"`
+	ThrottleCredit   float64                       `json:"R"`
+	OccupancySums    [samplesPerAssessment]float64 `json:"Occ"`
+	OccupancySamples [samplesPerAssessment]float64 `json:"N"`
+	Accepted         [samplesPerAssessment]float64 `json:"Sent"`
+	SampleCount      int                           `json:"Probes"`
+	Occupancy        float64                       `json:"Rho"`
+	AcceptanceRate   float64                       `json:"Alpha"`
+	MaxThroughput    float64                       `json:"Mu"`
+	FleetMeans       [fleetMeanCount]float64       `json:"Pool"`
+}
+
+func (c *overloadController) export() overloadState {
+	return overloadState{
+		AdmitFraction:    c.admitFraction,
+		ThrottleCredit:   c.throttleCredit,
+		OccupancySums:    c.occupancySums,
+		OccupancySamples: c.occupancySamples,
+		Accepted:         c.accepted,
+		SampleCount:      c.sampleCount,
+		Occupancy:        c.occupancy,
+		AcceptanceRate:   c.acceptanceRate,
+		MaxThroughput:    c.maxThroughput,
+		FleetMeans:       c.fleetMeans,
+	}
+}
+
+func restoredOverloadController(saved overloadState) overloadController {
+	return overloadController{
+		admitFraction:    clampFraction(saved.AdmitFraction),
+		throttleCredit:   saved.ThrottleCredit,
+		occupancySums:    saved.OccupancySums,
+		occupancySamples: saved.OccupancySamples,
+		accepted:         saved.Accepted,
+		sampleCount:      max(saved.SampleCount, 0),
+		occupancy:        saved.Occupancy,
+		acceptanceRate:   saved.AcceptanceRate,
+		maxThroughput:    saved.MaxThroughput,
+		fleetMeans:       saved.FleetMeans,
+	}
+}
+
+// peerState is a peer's gossip numbering.
+type peerState struct {
+	IsKnown          bool   `json:"Heard"`
+	Epoch            uint64 `json:"InEpoch"`
+	PreviousEpoch    uint64 `json:"OldEpoch"`
+	ReceivedSequence uint64 `json:"InSeq"`
+}
+
+func (p *peer) export() peerState {
+	return peerState{
+		IsKnown:          p.isKnown,
+		Epoch:            p.epoch,
+		PreviousEpoch:    p.previousEpoch,
+		ReceivedSequence: p.receivedSequence,
+	}
+}
+
+func (p *peer) restore(saved peerState) {
+	p.isKnown = saved.IsKnown
+	p.epoch, p.previousEpoch = saved.Epoch, saved.PreviousEpoch
+	p.receivedSequence = saved.ReceivedSequence
+}
--- /dev/null
+++ b/policy/hot_restart_quotas.go
@@ -0,0 +1,124 @@
+package policy
+
+import "time"
+
+// quotaState is a customer's quota.
+type quotaState struct {
+	Customer           uint64        `json:"Key"`
+	Plan               int           // index in the exported plans
+	InstanceCount      int           `json:"Spread"`
+	FirstInstance      int           `json:"First"`
+	RefilledAt         time.Duration `json:"At"`
+	RejectedUntil      time.Duration `json:"Shut"`
+	ContendedUntil     time.Duration `json:"Crowded"`
+	Tokens             float64       `json:"Level"`
+	HardLimitTokens    float64       `json:"Ceiling"`
+	UnitsSinceGossip   float64       `json:"Since"`
+	PendingUnits       float64       `json:"Untold"`
+	InFlight           int           `json:"Out"`
+	StartedSinceGossip int           `json:"Opened"`
+	IdleGossipRounds   int           `json:"Zeros"`
+	NeedsGossip        bool          `json:"Dirty"`
+	GrantFraction      float64       `json:"Pass"`
+	UnitsInTransit     float64       `json:"Lent,omitempty"` // of the hard limit
+
+	PeerInFlight   []int           `json:"LevelsN,omitempty"` // by instance
+	PeerReceivedAt []time.Duration `json:"LevelsAt,omitempty"`
+	LeaseFrom      []int           `json:",omitempty"`
+	LeaseNumber    []uint64        `json:"LeaseNum,omitempty"`
+	LeaseExpiresAt []time.Duration `json:"LeaseEnds,omitempty"`
+}
+
+// isValid reports whether the state can be one of a quota under one of so many plans.
+func (s *quotaState) isValid(planCount, fleetSize int) bool {
+	hasPlan := s.Plan >= 0 && s.Plan < planCount
+	hasInstances := s.InstanceCount >= 1 && s.InstanceCount <= fleetSize && s.FirstInstance >= 0 && s.FirstInstance < fleetSize
+	hasPeers := len(s.PeerInFlight) == len(s.PeerReceivedAt) && len(s.PeerInFlight) <= fleetSize
+	hasLeases := len(s.LeaseFrom) == len(s.LeaseNumber) && len(s.LeaseFrom) == len(s.LeaseExpiresAt)
+	return hasPlan && hasInstances && hasPeers && hasLeases
+}
+
+// exportQuotas returns all quotas, refilled up to now.
+func (e *Engine) exportQuotas() (states []quotaState) {
+	for _, quota := range e.quotas.list {
+		e.refill(quota)
+		states = append(states, quota.export())
+	}
+	return states
+}
+
+func (q *customerQuota) export() quotaState {
+	state := quotaState{
+		Customer:           q.key,
+		Plan:               q.plan,
+		InstanceCount:      q.instanceCount,
+		FirstInstance:      q.firstInstance,
+		RefilledAt:         q.refilledAt,
+		RejectedUntil:      q.rejectedUntil,
+		ContendedUntil:     q.contendedUntil,
+		Tokens:             q.tokens,
+		HardLimitTokens:    q.hardLimitTokens,
+		UnitsSinceGossip:   q.unitsSinceGossip,
+		PendingUnits:       q.pendingUnits,
+		InFlight:           q.inFlight,
+		StartedSinceGossip: q.startedSinceGossip,
+		IdleGossipRounds:   q.idleGossipRounds,
+		NeedsGossip:        q.needsGossip,
+		GrantFraction:      q.grantFraction,
+		UnitsInTransit:     q.unitsInTransit[0] + q.unitsInTransit[1],
+	}
+	for _, count := range q.peerInFlight {
+		state.PeerInFlight = append(state.PeerInFlight, count.inFlight)
+		state.PeerReceivedAt = append(state.PeerReceivedAt, count.receivedAt)
+	}
+	for _, l := range q.leases {
+		state.LeaseFrom = append(state.LeaseFrom, l.from)
+		state.LeaseNumber = append(state.LeaseNumber, l.number)
+		state.LeaseExpiresAt = append(state.LeaseExpiresAt, l.expiresAt)
+	}
+	return state
+}
+
+// importQuota takes over a quota that was bounded by a plan of the predecessor. One whose plan is gone is left out.
+func (e *Engine) importQuota(saved quotaState, oldPlan *Plan) {
+	plan, ok := e.planIndex[oldPlan.Name]
+	if !ok || e.quotas.byCustomer[saved.Customer] != nil {
+		return
+	}
+	quota := &customerQuota{
+		quotaScope: quotaScope{plan: plan, instanceCount: saved.InstanceCount, firstInstance: saved.FirstInstance},
+		key:        saved.Customer,
+	}
+	e.splitQuota(quota, oldPlan)
+	quota.restore(saved, e.now, e.settings.InstanceCount)
+	for range saved.InFlight { // attempts that the predecessor still has in flight
+		quota.leases = append(quota.leases, lease{from: e.settings.InstanceIndex, expiresAt: e.now + e.maxLatencyObjective()})
+	}
+	e.quotas.add(quota)
+	if *oldPlan != e.settings.Plans[plan] {
+		e.changePlan(quota, *oldPlan, plan)
+	}
+	if saved.NeedsGossip {
+		e.markForGossip(quota)
+	}
+}
+
+// restore sets what was saved of the quota, but for its pending gossip and attempts in flight.
+func (q *customerQuota) restore(saved quotaState, now time.Duration, fleetSize int) {
+	q.refilledAt = min(saved.RefilledAt, now)
+	q.rejectedUntil, q.contendedUntil = saved.RejectedUntil, saved.ContendedUntil
+	q.tokens, q.hardLimitTokens = saved.Tokens, saved.HardLimitTokens
+	q.unitsSinceGossip, q.pendingUnits = saved.UnitsSinceGossip, saved.PendingUnits
+	q.startedSinceGossip, q.idleGossipRounds = saved.StartedSinceGossip, saved.IdleGossipRounds
+	q.grantFraction = saved.GrantFraction
+	q.unitsInTransit, q.transitSince = [2]float64{saved.UnitsInTransit}, now
+	if len(saved.PeerInFlight) > 0 {
+		q.peerInFlight = make([]peerCount, fleetSize)
+	}
+	for i, count := range saved.PeerInFlight {
+		q.peerInFlight[i] = peerCount{count, saved.PeerReceivedAt[i]}
+	}
+	for i, from := range saved.LeaseFrom {
+		q.leases = append(q.leases, lease{from, saved.LeaseNumber[i], saved.LeaseExpiresAt[i]})
+	}
+}
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -72,16 +72,16 @@
 	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
-	for key, st := range g.quotas {
-		to := next.quotas[key]
+	for key, st := range g.quotas.byCustomer {
+		to := next.quotas.byCustomer[key]
 		if to == nil || to.tokens != st.tokens || to.hardLimitTokens != st.hardLimitTokens || to.pendingUnits != st.pendingUnits || to.needsGossip != st.needsGossip {
 			t.Fatalf("store %d: %+v went over as %+v", key, st, to)
 		}
 	}
-	if g.quotas[1].hardLimitTokens > 7.9 || g.quotas[1].tokens > 5.5 {
-		t.Fatalf("nothing was spent: %+v", g.quotas[1])
+	if g.quotas.byCustomer[1].hardLimitTokens > 7.9 || g.quotas.byCustomer[1].tokens > 5.5 {
+		t.Fatalf("nothing was spent: %+v", g.quotas.byCustomer[1])
 	}
-	if got, want := next.inFlightCapacity(next.quotas[2]), g.inFlightCapacity(g.quotas[2]); got != want || want == 4 {
+	if got, want := next.inFlightCapacity(next.quotas.byCustomer[2]), g.inFlightCapacity(g.quotas.byCustomer[2]); got != want || want == 4 {
 		t.Errorf("room for open attempts %d, want %d", got, want)
 	}
 	if a, b := fmt.Sprintf("%+v", g.overload), fmt.Sprintf("%+v", next.overload); a != b {
@@ -94,8 +94,8 @@
 		t.Errorf("%d servers, %d avoided", listed, avoided)
 	}
 	// A customer that neither remembers has what its store has filled to since the first one's start.
-	fresh := next.quotaFor(77, 0, 3, 0)
-	if was := g.quotaFor(77, 0, 3, 0); math.Abs(fresh.tokens-was.tokens) > 1e-9 || math.Abs(fresh.hardLimitTokens-was.hardLimitTokens) > 1e-9 {
+	fresh := next.quotaFor(77, quotaScope{instanceCount: 3})
+	if was := g.quotaFor(77, quotaScope{instanceCount: 3}); math.Abs(fresh.tokens-was.tokens) > 1e-9 || math.Abs(fresh.hardLimitTokens-was.hardLimitTokens) > 1e-9 {
 		t.Errorf("unknown customer: %+v, was %+v", fresh, was)
 	}
 	// The two decide alike from here on.
@@ -124,15 +124,16 @@
 	if !g.peers[0].isKnown {
 		t.Fatal("no tell was heard")
 	}
-	level := next.quotas[1].tokens
-	body := next.appendEntry(nil, &customerQuota{key: 1, instanceCount: 3, pendingUnits: 2}, 0)
-	next.GossipReceived(now, 0, encodeGossip(g.peers[0].epoch, g.peers[0].receivedSequence, 1, body, 0, nil), rn)
-	if next.quotas[1].tokens != level {
-		t.Errorf("an old tell took %v", level-next.quotas[1].tokens)
+	level := next.quotas.byCustomer[1].tokens
+	entry := next.gossipEntryFor(&customerQuota{key: 1, quotaScope: quotaScope{instanceCount: 3}, pendingUnits: 2}, 0)
+	entries := encodedEntries{count: 1, bytes: next.codec().appendEntry(nil, entry)}
+	next.GossipReceived(now, 0, encodeGossip(g.peers[0].epoch, g.peers[0].receivedSequence, entries, encodedEntries{}), rn)
+	if next.quotas.byCustomer[1].tokens != level {
+		t.Errorf("an old tell took %v", level-next.quotas.byCustomer[1].tokens)
 	}
-	next.GossipReceived(now, 0, encodeGossip(g.peers[0].epoch, g.peers[0].receivedSequence+1, 1, body, 0, nil), rn)
-	if next.quotas[1].tokens != level-2 {
-		t.Errorf("a new tell took %v of 2", level-next.quotas[1].tokens)
+	next.GossipReceived(now, 0, encodeGossip(g.peers[0].epoch, g.peers[0].receivedSequence+1, entries, encodedEntries{}), rn)
+	if next.quotas.byCustomer[1].tokens != level-2 {
+		t.Errorf("a new tell took %v of 2", level-next.quotas.byCustomer[1].tokens)
 	}
 }
 
@@ -154,8 +155,8 @@
 	if _, avoided := next.ServerCounts(now); avoided != 0 {
 		t.Error("a server that has restarted since is avoided")
 	}
-	st, was := next.quotas[1], g.quotas[1]
-	if next.quotas[2] != nil || st == nil || st.plan != 1 {
+	st, was := next.quotas.byCustomer[1], g.quotas.byCustomer[1]
+	if next.quotas.byCustomer[2] != nil || st == nil || st.plan != 1 {
 		t.Fatalf("stores %v", next.quotas)
 	}
 	if spent, want := 60-st.tokens, 6-was.tokens; math.Abs(spent-want) > 1e-9 {
@@ -183,8 +184,8 @@
 		"store that can't": {hotRestartSettings(), strings.Replace(string(text), `"Spread":3`, `"Spread":9`, 1)},
 	} {
 		next, _ := newEngine(t, c.set, testServers(4)...)
-		if err := next.ImportState(now, []byte(c.text)); err == nil || len(next.quotas) != 0 || next.startedAt != t0 {
-			t.Errorf("%s: error %v, %d stores", name, err, len(next.quotas))
+		if err := next.ImportState(now, []byte(c.text)); err == nil || len(next.quotas.byCustomer) != 0 || next.startedAt != t0 {
+			t.Errorf("%s: error %v, %d stores", name, err, len(next.quotas.byCustomer))
 		}
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -201,11 +201,7 @@
 	means := [fleetMeanCount]float64{0.5, 1, 2, 0.75, 1.25}
 	old.overload.fleetMeans = means
 	tell := func(from, to *Engine) {
-		m, ok := to.decodeQuotaMessage(from.encodeQuotaResponse(7, true, 0, 1))
-		if !ok {
-			t.Fatal("malformed")
-		}
-		to.overload.receiveMeans(m.fleetMeans)
+		to.overload.receiveMeans(sentReport(t, from, to).fleetMeans)
 	}
 	if tell(fresh, old); old.overload.fleetMeans != means {
 		t.Errorf("a fresh gateway made %v of the means", old.overload.fleetMeans)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -33,17 +33,15 @@
 	planIndex         map[string]int
 	latencies         latencyTable
 
-	quotas         map[uint64]*customerQuota
-	quotaList      []*customerQuota // the stores, for sweeping
-	sweepAt        int
-	gossipPending  []*customerQuota // stores to tell of
-	peers          []peer
+	quotas         quotaTable
+	gossipPending  []*customerQuota // to tell peers of: those with needsGossip
+	peers          []peer           // by instance
 	gossipInterval time.Duration
+	ownerTimeouts  ownerTimeouts
 
 	rejections                 [rejectReasonCount]uint64 // requests, by what they were refused for
 	overQuota                  OverQuotaUnits
 	overload                   overloadController
-	unansweredByAnyOwner       int     // asks in a row that no holder has answered
 	retryTokens                float64 // further attempts saved up
 	gossipReceived, gossipRate float64 // messages taken in since the last probe, and per second
 	inFlight                   int     // attempts out
@@ -68,8 +66,9 @@
 	e := &Engine{
 		settings: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), serverByID: map[string]*server{}, requests: map[string]*request{},
 		requestByNumber: map[uint64]*request{}, classIndex: map[string]int{}, planIndex: map[string]int{},
-		quotas: map[uint64]*customerQuota{}, peers: make([]peer, s.InstanceCount), latencies: newLatencyTable(len(s.Classes)), zones: map[string]*zoneState{},
-		zoneWatch: zonehealth.New(zonehealth.Usual),
+		quotas: newQuotaTable(), peers: make([]peer, s.InstanceCount), latencies: newLatencyTable(len(s.Classes)), zones: map[string]*zoneState{},
+		ownerTimeouts: ownerTimeouts{byOwner: make([]int, s.InstanceCount)},
+		zoneWatch:     zonehealth.New(zonehealth.Usual),
 	}
 	e.settings.Classes = append([]Class(nil), s.Classes...)
 	e.settings.Plans = append([]Plan(nil), s.Plans...)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,5 +1,7 @@
 package policy
 
+// What a customer's quota admits.
+
 import (
 	"math"
 	"time"
@@ -14,81 +16,97 @@
 	ownerInboxFraction    = 0.3         // of an inbox for one customer's quota requests
 )
 
-// splitQuota sets over how many gateways a store is split, and this one's parts.
-func (e *Engine) splitQuota(st *customerQuota, p *Plan) {
-	st.instanceSplit = st.instanceCount
+// splitQuota sets over how many instances a quota is split, and this one's fractions of it.
+func (e *Engine) splitQuota(quota *customerQuota, plan *Plan) {
+	quota.instanceSplit = quota.instanceCount
 	gossipIsLate := e.gossipInterval > samplesPerAssessment*sampleInterval
-	if e.settings.AllowsGossip && st.instanceCount > 1 && gossipIsLate {
-		// As many holders as it takes for their inboxes to hold the asks.
-		holders := int(math.Ceil(p.Rate / (ownerInboxFraction * e.settings.GossipInboxRate)))
-		st.usesOwner, st.instanceSplit = true, min(max(1, holders), st.instanceCount)
+	if e.settings.AllowsGossip && quota.instanceCount > 1 && gossipIsLate {
+		// As many owners as it takes for their inboxes to hold the requests.
+		owners := int(math.Ceil(plan.Rate / (ownerInboxFraction * e.settings.GossipInboxRate)))
+		quota.usesOwner, quota.instanceSplit = true, min(max(1, owners), quota.instanceCount)
 	}
-	// Rule 5: the parts of a ceiling sum to the whole. Each counts as empty at its gateway's start, since
-	// one killed before may have spent it, and has filled since. A holder has most of it, for its grants.
-	st.ownerCount, st.burstFraction = 1, 1/float64(st.instanceCount)
-	st.rateFraction = st.burstFraction
-	if st.usesOwner {
-		st.ownerCount = float64(st.instanceSplit)
-		held := float64(e.ownedParts(st)) / st.ownerCount
-		st.burstFraction = memberBurstFraction*st.burstFraction + (1-memberBurstFraction)*held
-		st.rateFraction = memberRateFraction*st.rateFraction + (1-memberRateFraction)*held
+	// Rule 5: the fractions of a hard limit sum to one. Each part counts as empty at its instance's start,
+	// since one killed before may have spent it, and has filled since. An owner has most, for its grants.
+	evenFraction := 1 / float64(quota.instanceCount)
+	quota.ownerCount, quota.burstFraction, quota.rateFraction = 1, evenFraction, evenFraction
+	if quota.usesOwner {
+		quota.ownerCount = float64(quota.instanceSplit)
+		owned := float64(e.ownedParts(quota)) / quota.ownerCount
+		quota.burstFraction = memberBurstFraction*evenFraction + (1-memberBurstFraction)*owned
+		quota.rateFraction = memberRateFraction*evenFraction + (1-memberRateFraction)*owned
 	}
 }
 
-// checkQuota tells whether units are inside the customer's quota and, if not, when to come back. A late
+// quotaDemand is what a request asks of its customer's quota.
+type quotaDemand struct {
+	units  float64
+	isLate bool // it is known to come too late for its latency objective
+}
+
+// checkQuota decides whether a demand is inside the customer's quota and, if not, when to retry. A late
 // request takes none of a customer that others were rejected for recently: it would cost one that can still
 // be answered in time.
-func (e *Engine) checkQuota(st *customerQuota, units float64, late bool) (bool, time.Duration) {
-	p := &e.settings.Plans[st.plan]
-	n := float64(st.instanceSplit)
-	if st.usesOwner {
-		n = 1
-		st.unitsSinceGossip, st.startedSinceGossip = 0, 0 // nothing is spent here without the store's knowing
+func (e *Engine) checkQuota(quota *customerQuota, demand quotaDemand) (isInside bool, wait time.Duration) {
+	if quota.usesOwner { // nothing is spent here without the bucket's knowing
+		quota.unitsSinceGossip, quota.startedSinceGossip = 0, 0
 	}
-	if late && e.now < st.contendedUntil {
+	if demand.isLate && e.now < quota.contendedUntil {
 		return false, 0
 	}
-	if p.MaxInFlight > 0 {
-		room := e.inFlightCapacity(st)
-		least := 1
-		if e.now < st.contendedUntil && !st.usesOwner {
-			least = max(min(st.instanceCount, p.MaxInFlight/2), 1)
-		}
-		started := st.startedSinceGossip
-		if room < least || started > 0 && float64(started+1) > float64(room+started)/n {
-			st.contendedUntil = e.now + contentionWindow
-			return false, min(e.gossipInterval, ownerTimeout)
-		}
+	plan := e.planOf(quota)
+	if plan.MaxInFlight > 0 && !e.hasInFlightCapacity(quota, plan) {
+		quota.contendedUntil = e.now + contentionWindow
+		return false, min(e.gossipInterval, ownerTimeout)
 	}
-	if p.Rate > 0 {
-		room := (st.tokens + st.unitsSinceGossip) / n
-		// Exception: one request between tells needs only its units, or the split of a small
-		// store would hold none. Not so for a customer that was refused of late: its gateways
-		// would all send that one. There the store must have it for each, as far as it can.
-		least := units
-		if e.now < st.contendedUntil {
-			least = math.Max(units, math.Min(units*n, p.Burst/2))
-		}
-		if st.tokens < least || st.unitsSinceGossip > 0 && st.unitsSinceGossip+units > room {
-			// A store that fills slowly is waited for for longer.
-			slow := refillTimeIf(contentionTries*units, p.Rate*boolToFloat(st.usesOwner)/st.ownerCount)
-			st.contendedUntil = e.now + max(contentionWindow, slow)
-			wait := refillTime(units-st.tokens, p.Rate/st.ownerCount)
-			return false, max(wait, min(e.gossipInterval, ownerTimeout))
+	if plan.Rate > 0 && !e.hasTokens(quota, plan, demand.units) {
+		// A bucket that fills slowly is contended for longer.
+		window, rate := contentionWindow, plan.Rate/quota.ownerCount
+		if quota.usesOwner {
+			window = max(window, refillTime(contentionTries*demand.units, rate))
 		}
+		quota.contendedUntil = e.now + window
+		return false, max(refillTime(demand.units-quota.tokens, rate), min(e.gossipInterval, ownerTimeout))
 	}
 	return true, 0
 }
 
-// inFlightCapacity is how many more attempts the customer may have out, as far as is known.
-func (e *Engine) inFlightCapacity(st *customerQuota) int {
-	room := e.settings.Plans[st.plan].MaxInFlight - st.inFlight
-	for i, l := range st.peerInFlight {
-		// An unheard peer counts as nought.
-		if i != e.settings.InstanceIndex && e.now-l.receivedAt < peerCountTTLIntervals*e.gossipInterval {
-			room -= l.inFlight
-		}
+// splitBetweenGossip returns the parts of what is left that one instance may spend before the others learn
+// of it.
+func (q *customerQuota) splitBetweenGossip() float64 {
+	if q.usesOwner {
+		return 1
+	}
+	return float64(q.instanceSplit)
+}
+
+// hasInFlightCapacity decides whether one more attempt stays within the limit in flight.
+func (e *Engine) hasInFlightCapacity(quota *customerQuota, plan *Plan) bool {
+	capacity := e.inFlightCapacity(quota)
+	needed := 1
+	if e.now < quota.contendedUntil && !quota.usesOwner {
+		needed = max(min(quota.instanceCount, plan.MaxInFlight/2), 1)
+	}
+	if capacity < needed {
+		return false
+	}
+	started := quota.startedSinceGossip
+	allowance := float64(capacity+started) / quota.splitBetweenGossip()
+	return started == 0 || float64(started+1) <= allowance
+}
+
+// hasTokens decides whether units are left for one more request. As an exception, one request between
+// gossip needs only its units, or the split of a small quota would admit none. Not so for a customer that
+// was rejected recently: its instances would all send that one. There the quota must hold it for each, as
+// far as it can.
+func (e *Engine) hasTokens(quota *customerQuota, plan *Plan, units float64) bool {
+	split := quota.splitBetweenGossip()
+	needed := units
+	if e.now < quota.contendedUntil {
+		needed = math.Max(units, math.Min(units*split, plan.Burst/2))
+	}
+	if quota.tokens < needed {
+		return false
 	}
-	st.dropLeases(func(l lease) bool { return e.now >= l.expiresAt })
-	return room - len(st.leases)
+	allowance := (quota.tokens + quota.unitsSinceGossip) / split
+	return quota.unitsSinceGossip <= 0 || quota.unitsSinceGossip+units <= allowance
 }
--- /dev/null
+++ b/policy/quota_exchange.go
@@ -0,0 +1,84 @@
+package policy
+
+// The exchange between the instances of a customer and the owner of its quota: what arrives is checked and booked
+// here. What the owner grants, and what a member does without a response, is decided in quota_owner.go.
+
+// receiveQuotaMessage takes in a message of a member to the owner, or of the owner to a member. A malformed
+// one is ignored whole.
+func (e *Engine) receiveQuotaMessage(from int, encoded []byte) {
+	message, report, err := e.codec().decodeQuotaMessage(encoded)
+	if err != nil {
+		return
+	}
+	e.receivePeerReport(from, report)
+	switch m := message.(type) {
+	case quotaRequest:
+		e.receiveQuotaRequest(from, m)
+	case quotaSpent:
+		e.receiveQuotaSpent(from, m)
+	case quotaResponse:
+		e.receiveQuotaResponse(from, m)
+	case quotaReturn:
+		e.receiveQuotaReturn(from, m)
+	}
+}
+
+// ownedQuota returns the quota that a member's message is about, or nil if this instance cannot own it: either
+// is not one of the customer's instances, or the two differ in what they know of the customer.
+func (e *Engine) ownedQuota(from int, m quotaUnits) *customerQuota {
+	fleetSize := e.settings.InstanceCount
+	if !m.scope.includes(from, fleetSize) || !m.scope.includes(e.settings.InstanceIndex, fleetSize) {
+		return nil
+	}
+	quota := e.quotaFor(m.customer, m.scope)
+	if quota.plan != m.scope.plan || !quota.usesOwner {
+		return nil
+	}
+	return quota
+}
+
+// grant takes the units of a member's request, and a place under the limit in flight.
+func (e *Engine) grant(quota *customerQuota, from int, m quotaUnits) {
+	quota.hardLimitTokens -= m.units
+	e.takeUnits(quota, m.units)
+	if e.planOf(quota).MaxInFlight > 0 {
+		expiresAt := e.now + e.maxLatencyObjective()
+		quota.leases = append(quota.leases, lease{from, m.number, expiresAt})
+	}
+	quota.recordGrant(from, m.number, e.now)
+}
+
+// receiveQuotaSpent charges units that a member sent without the response. If its request came, that has taken
+// them already.
+func (e *Engine) receiveQuotaSpent(from int, m quotaSpent) {
+	quota := e.ownedQuota(from, m.quotaUnits)
+	if quota == nil || quota.hasGrant(from, m.number) {
+		return
+	}
+	quota.recordGrant(from, m.number, e.now)
+	e.chargeRemoteUnits(quota, m.units)
+}
+
+// receiveQuotaReturn takes back units that a member has not used, and its place under the limit in flight.
+func (e *Engine) receiveQuotaReturn(from int, m quotaReturn) {
+	quota := e.quotas.byCustomer[m.customer]
+	if quota == nil || !quota.usesOwner {
+		return
+	}
+	e.refill(quota)
+	quota.giveBack(e.planOf(quota), m.units)
+	quota.dropLeases(func(l lease) bool { return l.from == from && l.number == m.number })
+}
+
+// clientLeft notes that the owner has answered a request, or will not, and reports whether its client has left
+// meanwhile: then the units that it was granted are returned.
+func (e *Engine) clientLeft(r *request, isGranted bool) bool {
+	r.awaitsOwner = false
+	if !r.isAnswered {
+		return false
+	}
+	r.inQuota = isGranted
+	e.returnUnits(r, r.Units)
+	delete(e.requestByNumber, r.number)
+	return true
+}
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -19,6 +19,11 @@
 	return s
 }
 
+// ownerScope is that of the customers of ownerRequest.
+func ownerScope(g *Engine) quotaScope {
+	return quotaScope{plan: g.planIndex["rate"], instanceCount: 100, firstInstance: 10}
+}
+
 // ownerRequest is of a customer that comes in through the gateways 10 to 109.
 func ownerRequest(n int, customer uint64) Request {
 	q := newRequest(n, "safe", "rate", customer)
@@ -32,8 +37,8 @@
 	member, r := newOwnerEngine(t, 10)
 	q := ownerRequest(1, customer)
 	member.RequestReceived(t0, q, r)
-	holder := member.ownerFor(member.quotas[customer])
-	if !member.isCustomerInstance(holder, q.FirstInstance, q.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.gossip[holder] == nil {
+	holder := member.ownerFor(member.quotas.byCustomer[customer])
+	if !ownerScope(member).includes(holder, member.settings.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.gossip[holder] == nil {
 		t.Fatalf("holder %d, actions %v", holder, r.actions)
 	}
 	h, hr := newOwnerEngine(t, holder)
@@ -56,28 +61,34 @@
 // are refused, or no answer comes, nothing is given back, and nothing is kept of the request.
 func TestClientDisconnectsDuringQuotaRequest(t *testing.T) {
 	const customer = 77
+	granted := func(num uint64) []byte {
+		return gossipCodec{}.encodeQuotaResponse(quotaResponse{number: num, isGranted: true, grantFraction: 1}, peerReport{})
+	}
 	for name, answer := range map[string]func(num uint64) []byte{
-		"granted": func(num uint64) []byte { return (&Engine{}).encodeQuotaResponse(num, true, 0, 1) },
-		"refused": func(num uint64) []byte { return (&Engine{}).encodeQuotaResponse(num, false, 0, 0) },
-		"silent":  nil,
+		"granted": granted,
+		"refused": func(num uint64) []byte {
+			return gossipCodec{}.encodeQuotaResponse(quotaResponse{number: num}, peerReport{})
+		},
+		"silent": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			member, r := newOwnerEngine(t, 10)
 			member.RequestReceived(t0, ownerRequest(1, customer), r)
-			holder, num := member.ownerFor(member.quotas[customer]), member.requests["r1"].number
+			holder, num := member.ownerFor(member.quotas.byCustomer[customer]), member.requests["r1"].number
 			member.ClientDisconnected(t0+10*ms, "r1", r)
 			r.gossip = nil
 			if answer != nil {
 				member.GossipReceived(t0+20*ms, holder, answer(num), r)
 			}
 			member.TimerFired(t0+ownerTimeout, num<<timerBits|timerOwnerTimeout, r)
-			member.GossipReceived(t0+ownerTimeout, holder, (&Engine{}).encodeQuotaResponse(num, true, 0, 1), r) // doubled, or too late
+			member.GossipReceived(t0+ownerTimeout, holder, granted(num), r) // doubled, or too late
 			if r.count("send") != 0 || len(member.requests)+len(member.requestByNumber) != 0 {
 				t.Errorf("sent on, or %d requests kept: %v", len(member.requests)+len(member.requestByNumber), r.actions)
 			}
-			var backs []quotaMessage
+			var backs []quotaReturn
 			for _, m := range r.gossip[holder] {
-				if b, ok := member.decodeQuotaMessage(m); ok && b.kind == kindQuotaReturn {
+				decoded, _, err := member.codec().decodeQuotaMessage(m)
+				if b, ok := decoded.(quotaReturn); ok && err == nil {
 					backs = append(backs, b)
 				}
 			}
@@ -92,7 +103,7 @@
 func TestNoWaitForUnresponsiveOwner(t *testing.T) {
 	const customer = 77
 	g, r := newOwnerEngine(t, 10)
-	g.quotaFor(customer, g.planIndex["rate"], 100, 10).grantFraction = 0 // what was heard last: nothing is granted
+	g.quotaFor(customer, ownerScope(g)).grantFraction = 0 // what was heard last: nothing is granted
 	for n := range maxOwnerTimeouts + 1 {
 		g.RequestReceived(t0, ownerRequest(n, customer), r)
 		for num := range g.requestByNumber {
@@ -113,7 +124,7 @@
 	const customer = 77
 	first, r := newOwnerEngine(t, 10)
 	first.RequestReceived(t0, ownerRequest(1, customer), r)
-	holder := first.ownerFor(first.quotas[customer])
+	holder := first.ownerFor(first.quotas.byCustomer[customer])
 	h, hr := newOwnerEngine(t, holder)
 	sent := 0.0
 	for me := 10; me < 110; me++ {
@@ -121,7 +132,7 @@
 			continue
 		}
 		g, r := newOwnerEngine(t, me)
-		if g.ownerFor(g.quotaFor(customer, g.planIndex["rate"], 100, 10)) != holder {
+		if g.ownerFor(g.quotaFor(customer, ownerScope(g))) != holder {
 			continue // another part of the holder's
 		}
 		for n := 0; n < 4; n++ {
@@ -145,16 +156,16 @@
 	wait := func(inbox float64) time.Duration {
 		member, r := newOwnerEngine(t, 10)
 		member.RequestReceived(t0, ownerRequest(1, 77), r)
-		to := member.ownerFor(member.quotas[77])
+		to := member.ownerFor(member.quotas.byCustomer[77])
 		h, hr := newOwnerEngine(t, to)
 		h.gossipRate = inbox
-		h.quotaFor(77, h.planIndex["rate"], 100, 10).tokens = 0
+		h.quotaFor(77, ownerScope(h)).tokens = 0
 		h.GossipReceived(t0, 10, r.gossip[to][0], hr)
 		member.GossipReceived(t0, to, hr.gossip[10][0], r)
 		if r.count("refuse") != 1 {
 			t.Fatalf("%v", r.actions)
 		}
-		return member.quotas[77].rejectedUntil - t0
+		return member.quotas.byCustomer[77].rejectedUntil - t0
 	}
 	p := ownerSettings().Plans
 	one := time.Duration(0)
@@ -175,11 +186,11 @@
 func TestSlowQuotasStayContended(t *testing.T) {
 	h, _ := newOwnerEngine(t, 10)
 	h.settings.Plans[h.planIndex["rate"]].Rate = 0.5
-	st := h.quotaFor(77, h.planIndex["rate"], 100, 10)
+	st := h.quotaFor(77, ownerScope(h))
 	if st.tokens = 0; !st.usesOwner {
 		t.Fatal("no holder is asked for this customer")
 	}
-	h.checkQuota(st, 1, false)
+	h.checkQuota(st, quotaDemand{units: 1})
 	if d := st.contendedUntil - h.now; d != 4*time.Second {
 		t.Errorf("crowded for %v, it fills by two in 4 s", d)
 	}
@@ -197,12 +208,12 @@
 		}
 		r.gossip = nil
 		member.RequestReceived(at, q, r)
-		to := member.ownerFor(member.quotas[77])
+		to := member.ownerFor(member.quotas.byCustomer[77])
 		if r.gossip[to] == nil {
 			t.Fatalf("try %d was not asked for: %v", n, r.actions)
 		}
 		h, hr := newOwnerEngine(t, to)
-		st := h.quotaFor(77, h.planIndex["rate"], 100, 10)
+		st := h.quotaFor(77, ownerScope(h))
 		st.tokens, st.contendedUntil = 5, at+time.Second
 		if n == 0 {
 			st.contendedUntil = 0
@@ -234,7 +245,7 @@
 func TestOwnerTimeoutUsesGrantFraction(t *testing.T) {
 	for _, pass := range []float64{0, 1} {
 		g, r := newOwnerEngine(t, 10)
-		g.quotaFor(77, g.planIndex["rate"], 100, 10).grantFraction = pass
+		g.quotaFor(77, ownerScope(g)).grantFraction = pass
 		g.RequestReceived(t0, ownerRequest(1, 77), r)
 		g.TimerFired(t0+ownerTimeout, g.lastRequestNumber<<timerBits|timerOwnerTimeout, r)
 		if got := r.count("send"); got != int(pass) || r.count("refuse") != 1-got {
@@ -247,12 +258,12 @@
 func TestInvalidQuotaRequestsChangeNothing(t *testing.T) {
 	member, r := newOwnerEngine(t, 10)
 	member.RequestReceived(t0, ownerRequest(1, 77), r)
-	good := r.gossip[member.ownerFor(member.quotas[77])][0]
+	good := r.gossip[member.ownerFor(member.quotas.byCustomer[77])][0]
 	for _, c := range []struct{ me, from int }{{5, 10}, {20, 5}, {20, 250}} {
 		g, r := newOwnerEngine(t, c.me)
 		g.GossipReceived(t0, c.from, good, r)
-		if len(g.quotas) != 0 || len(r.gossip) != 0 {
-			t.Errorf("%+v: %d stores, %d answers", c, len(g.quotas), len(r.gossip))
+		if len(g.quotas.byCustomer) != 0 || len(r.gossip) != 0 {
+			t.Errorf("%+v: %d stores, %d answers", c, len(g.quotas.byCustomer), len(r.gossip))
 		}
 	}
 	g, gr := newOwnerEngine(t, 20)
@@ -260,7 +271,7 @@
 		g.GossipReceived(t0, 10, good[:n], gr)
 	}
 	g.GossipReceived(t0, 10, append(append([]byte{}, good...), 0), gr)
-	if len(g.quotas) != 0 {
+	if len(g.quotas.byCustomer) != 0 {
 		t.Error("a malformed ask made a store")
 	}
 }
@@ -270,7 +281,7 @@
 	burst, rate := 0.0, 0.0
 	for me := 10; me < 110; me++ {
 		g, _ := newOwnerEngine(t, me)
-		st := g.quotaFor(77, g.planIndex["rate"], 100, 10)
+		st := g.quotaFor(77, ownerScope(g))
 		burst, rate = burst+st.burstFraction, rate+st.rateFraction
 	}
 	if math.Abs(burst-1) > 1e-9 || math.Abs(rate-1) > 1e-9 {
@@ -285,10 +296,10 @@
 	q := ownerRequest(1, 77)
 	q.Plan = "open"
 	member.RequestReceived(t0, q, r)
-	holder := member.ownerFor(member.quotas[77])
+	holder := member.ownerFor(member.quotas.byCustomer[77])
 	h, hr := newOwnerEngine(t, holder)
 	h.GossipReceived(t0, 10, r.gossip[holder][0], hr)
-	if n := len(h.quotas[77].leases); n != 1 {
+	if n := len(h.quotas.byCustomer[77].leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
 	r.gossip = nil
@@ -297,11 +308,11 @@
 	for _, m := range r.gossip[holder] {
 		h.GossipReceived(t0+200*ms, 10, m, hr)
 	}
-	if n := len(h.quotas[77].leases); n != 0 {
+	if n := len(h.quotas.byCustomer[77].leases); n != 0 {
 		t.Errorf("%d leases after the answer", n)
 	}
-	h.quotas[77].inFlight = h.settings.Plans[h.planIndex["open"]].MaxInFlight
-	if in, wait := h.checkQuota(h.quotas[77], 1, false); in || wait > ownerTimeout {
+	h.quotas.byCustomer[77].inFlight = h.settings.Plans[h.planIndex["open"]].MaxInFlight
+	if in, wait := h.checkQuota(h.quotas.byCustomer[77], quotaDemand{units: 1}); in || wait > ownerTimeout {
 		t.Errorf("in %v, wait %v", in, wait)
 	}
 }
@@ -312,7 +323,7 @@
 	q := ownerRequest(1, 77)
 	q.Plan = "hard"
 	member.RequestReceived(t0, q, r)
-	holder := member.ownerFor(member.quotas[77])
+	holder := member.ownerFor(member.quotas.byCustomer[77])
 	h, hr := newOwnerEngine(t, holder)
 	h.GossipReceived(t0, 10, r.gossip[holder][0], hr)
 	member.GossipReceived(t0+ms, holder, hr.gossip[10][0], r)
@@ -342,7 +353,7 @@
 	for _, lost := range []string{"ask", "answer"} {
 		member, r := newOwnerEngine(t, 10)
 		member.RequestReceived(t0, ownerRequest(1, 77), r)
-		to := member.ownerFor(member.quotas[77])
+		to := member.ownerFor(member.quotas.byCustomer[77])
 		holder, hr := newOwnerEngine(t, to)
 		if lost == "answer" {
 			holder.GossipReceived(t0+ms, 10, r.gossip[to][0], hr)
@@ -358,7 +369,7 @@
 		for range 3 {
 			holder.GossipReceived(t0+ms, 10, r.gossip[to][1], hr)
 		}
-		st := holder.quotas[77]
+		st := holder.quotas.byCustomer[77]
 		p := &holder.settings.Plans[st.plan]
 		if spent := p.Burst/st.ownerCount - st.tokens; math.Abs(spent-1) > 0.2 {
 			t.Errorf("%s lost: %.2f units taken, want 1", lost, spent)
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -35,7 +35,7 @@
 	g, r := newInstance(t, 0, 3)
 	q := newSharedRequest("rate", 1, 3)
 	offerRequests(g, r, t0, 30, q)
-	g.quotas[1].tokens = 1.5
+	g.quotas.byCustomer[1].tokens = 1.5
 	g.TimerFired(t0, timerGossip, r)
 	if n := offerRequests(g, r, t0+ms, 5, q); n != 0 {
 		t.Errorf("%d sent with units for one gateway of three", n)
@@ -82,7 +82,7 @@
 	g, r := newEngine(t, s, testServers(2)...)
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Units: 4}, r)
-	if got := g.quotas[1].tokens; got != 36 {
+	if got := g.quotas.byCustomer[1].tokens; got != 36 {
 		t.Errorf("level %v, want 36", got)
 	}
 }
@@ -98,7 +98,7 @@
 			g.TimerFired(now, timerSample, r)
 		}
 	}
-	if len(g.quotas) > 5000 || len(g.quotas) != len(g.quotaList) {
-		t.Errorf("%d stores, %d in order", len(g.quotas), len(g.quotaList))
+	if len(g.quotas.byCustomer) > 5000 || len(g.quotas.byCustomer) != len(g.quotas.list) {
+		t.Errorf("%d stores, %d in order", len(g.quotas.byCustomer), len(g.quotas.list))
 	}
 }
--- a/policy/quota_transfer.go
+++ b/policy/quota_transfer.go
@@ -1,10 +1,10 @@
 package policy
 
-// Transfer of quota. Each node's part of a hard limit is empty at its start and fills at a fixed share of
-// the rate, while a customer's requests come unevenly. A node tells what its part lacks, and a peer whose
-// part has a surplus takes units off it and sends them with its next gossip. It holds that much less until
-// they must have come, so that all parts together never hold more than the limit; units in a lost message
-// are lost.
+// Transfer of quota. Each instance's part of a hard limit is empty at its start and fills at a fixed
+// fraction of the rate, while a customer's requests come unevenly. An instance gossips the deficit of its
+// part, and a peer whose part has a surplus takes units off it and sends them with its next gossip. It holds
+// that much less until they must have arrived, so that all parts together never hold more than the limit;
+// units in a lost message are lost.
 
 import (
 	"math"
@@ -18,54 +18,57 @@
 	transferTimeoutIntervals = 3                      // or for so many gossip intervals
 )
 
-// quotaDeficit is how many units more the gateway's part of the ceiling should hold.
-func (e *Engine) quotaDeficit(st *customerQuota) float64 {
-	if e.settings.Plans[st.plan].HardLimitRate <= 0 || st.usesOwner {
+// transfersHardLimit reports whether parts of the customer's hard limit are moved between instances. Where an
+// owner is asked, it grants units instead.
+func (e *Engine) transfersHardLimit(quota *customerQuota) bool {
+	return e.planOf(quota).HardLimitRate > 0 && !quota.usesOwner
+}
+
+// expectedDemand returns the units that a part should hold for the next gossip intervals.
+func (q *customerQuota) expectedDemand() float64 {
+	return transferAheadIntervals*q.unitsSinceGossip + q.unmetUnits
+}
+
+// quotaDeficit returns how many units more this instance's part of the hard limit should hold.
+func (e *Engine) quotaDeficit(quota *customerQuota) float64 {
+	if !e.transfersHardLimit(quota) {
 		return 0
 	}
-	ahead := transferAheadIntervals*st.unitsSinceGossip + st.unmetUnits
-	want := math.Min(ahead, e.hardLimitCapacity(st))
-	return math.Max(math.Ceil(want-st.hardLimitTokens), 0)
+	wanted := math.Min(quota.expectedDemand(), quota.hardLimitCapacity(e.planOf(quota)))
+	return math.Max(math.Ceil(wanted-quota.hardLimitTokens), 0)
 }
 
-// quotaSurplus is how many units the gateway's part of the ceiling can do without.
-func (e *Engine) quotaSurplus(st *customerQuota) float64 {
-	ahead := transferAheadIntervals*st.unitsSinceGossip + st.unmetUnits
-	reserve := transferReserveFraction * e.settings.Plans[st.plan].HardLimitBurst * st.burstFraction
-	keep := math.Max(ahead, reserve)
-	return math.Max(math.Floor(st.hardLimitTokens-keep), 0)
+// quotaSurplus returns how many units this instance's part of the hard limit can do without.
+func (e *Engine) quotaSurplus(quota *customerQuota) float64 {
+	reserve := transferReserveFraction * e.planOf(quota).HardLimitBurst * quota.burstFraction
+	kept := math.Max(quota.expectedDemand(), reserve)
+	return math.Max(math.Floor(quota.hardLimitTokens-kept), 0)
 }
 
-// transferQuota takes units off the gateway's part of the ceiling for a peer that lacks them.
-func (e *Engine) transferQuota(st *customerQuota, to int) float64 {
-	if st.peerDeficits == nil || st.usesOwner {
+// transferQuota takes units off this instance's part of the hard limit for a peer that lacks them.
+func (e *Engine) transferQuota(quota *customerQuota, peer int) float64 {
+	if quota.peerDeficits == nil || quota.usesOwner {
 		return 0
 	}
-	units := math.Min(st.peerDeficits[to], math.Ceil(e.quotaSurplus(st)/2))
-	st.peerDeficits[to] = 0
-	st.hardLimitTokens -= units
-	st.unitsInTransit[0] += units
+	units := math.Min(quota.peerDeficits[peer], math.Ceil(e.quotaSurplus(quota)/2))
+	quota.peerDeficits[peer] = 0
+	quota.sendUnits(units)
 	return units
 }
 
-// receiveTransfer takes in the units that a peer lends, and what it lacks.
-func (e *Engine) receiveTransfer(st *customerQuota, from int, entry gossipEntry) {
-	if e.settings.Plans[st.plan].HardLimitRate <= 0 || st.usesOwner {
+// receiveTransfer takes in the units that a peer has sent, and its deficit.
+func (e *Engine) receiveTransfer(quota *customerQuota, from int, entry gossipEntry) {
+	if !e.transfersHardLimit(quota) {
 		return
 	}
-	st.hardLimitTokens += entry.transferred // bounded when it next fills
-	if st.peerDeficits == nil && entry.deficit > 0 {
-		st.peerDeficits = make([]float64, e.settings.InstanceCount)
+	quota.hardLimitTokens += entry.transferred // bounded at the next refill
+	if quota.peerDeficits == nil && entry.deficit > 0 {
+		quota.peerDeficits = make([]float64, e.settings.InstanceCount)
 	}
-	if st.peerDeficits != nil {
-		st.peerDeficits[from] = entry.deficit
+	if quota.peerDeficits != nil {
+		quota.peerDeficits[from] = entry.deficit
 	}
-	if entry.deficit > 0 && e.quotaSurplus(st) > 0 {
-		e.markForGossip(st)
+	if entry.deficit > 0 && e.quotaSurplus(quota) > 0 {
+		e.markForGossip(quota)
 	}
 }
-
-// transferTimeout is how long a tell, and its repeat in the next, may be under way.
-func (e *Engine) transferTimeout() time.Duration {
-	return max(minTransferTimeout, transferTimeoutIntervals*e.gossipInterval)
-}
--- a/policy/quota_transfer_test.go
+++ b/policy/quota_transfer_test.go
@@ -114,7 +114,7 @@
 // hardLimitTokens is what all parts hold, what is under way to a gateway that can take it among it.
 func (w *transferSim) hardLimitTokens() (units float64) {
 	for _, g := range w.engines {
-		if st := g.quotas[transferCustomer]; st != nil {
+		if st := g.quotas.byCustomer[transferCustomer]; st != nil {
 			g.now = w.now
 			g.refill(st)
 			units += st.hardLimitTokens
@@ -127,11 +127,11 @@
 	}
 	seen := map[tell]bool{}
 	for _, p := range w.network {
-		epoch, seq, cur, prev, _ := w.engines[p.to].decodeGossip(p.message)
+		m, _ := w.engines[p.to].codec().decodeGossip(p.message)
 		by := &w.engines[p.to].peers[p.from]
-		known := by.isKnown && epoch == by.epoch
-		for i, es := range [][]gossipEntry{cur, prev} {
-			k := tell{p.from, p.to, epoch, seq - uint64(i)}
+		known := by.isKnown && m.epoch == by.epoch
+		for i, es := range [][]gossipEntry{m.entries, m.previousEntries} {
+			k := tell{p.from, p.to, m.epoch, m.sequence - uint64(i)}
 			if seen[k] || known && k.seq <= by.receivedSequence || i == 1 && !known {
 				continue
 			}
@@ -182,7 +182,7 @@
 				}
 			}
 			for _, g := range w.engines {
-				if st := g.quotas[transferCustomer]; st != nil {
+				if st := g.quotas.byCustomer[transferCustomer]; st != nil {
 					lent = math.Max(lent, st.unitsInTransit[0])
 				}
 			}
@@ -218,47 +218,47 @@
 	a, b := w.engines[0], w.engines[1]
 	for _, g := range w.engines {
 		g.now = t0 + 20*time.Second
-		g.quotaFor(transferCustomer, 0, 2, 0)
+		g.quotaFor(transferCustomer, quotaScope{instanceCount: 2})
 	}
 	w.now = t0 + 20*time.Second
-	part := a.quotas[transferCustomer].hardLimitTokens
-	b.quotas[transferCustomer].hardLimitTokens, b.quotas[transferCustomer].unmetUnits = 0, 3
-	b.markForGossip(b.quotas[transferCustomer])
+	part := a.quotas.byCustomer[transferCustomer].hardLimitTokens
+	b.quotas.byCustomer[transferCustomer].hardLimitTokens, b.quotas.byCustomer[transferCustomer].unmetUnits = 0, 3
+	b.markForGossip(b.quotas.byCustomer[transferCustomer])
 	b.broadcast()
 	tell := w.recorders[1].gossip[0][0]
 	a.GossipReceived(w.now, 1, tell, w.recorders[0])
 	a.broadcast()
 	loan := w.recorders[0].gossip[1][0]
-	took := part - a.quotas[transferCustomer].hardLimitTokens
+	took := part - a.quotas.byCustomer[transferCustomer].hardLimitTokens
 	if took < 3 || took > part {
 		t.Fatalf("%v of %v lent where 3 are lacked", took, part)
 	}
 	for range 2 {
 		b.GossipReceived(w.now, 0, loan, w.recorders[1])
 	}
-	if got := b.quotas[transferCustomer].hardLimitTokens; got != took {
+	if got := b.quotas.byCustomer[transferCustomer].hardLimitTokens; got != took {
 		t.Errorf("%v borrowed of %v lent", got, took)
 	}
-	a.markForGossip(a.quotas[transferCustomer])
-	if a.broadcast(); part-a.quotas[transferCustomer].hardLimitTokens != took {
+	a.markForGossip(a.quotas.byCustomer[transferCustomer])
+	if a.broadcast(); part-a.quotas.byCustomer[transferCustomer].hardLimitTokens != took {
 		t.Error("what was lacked once is lent twice")
 	}
 	// The repeat is for one that was there: an earlier life may have spent the loan.
 	w.start(t, 1)
 	reborn := w.engines[1]
 	repeat := w.recorders[0].gossip[1][1]
-	if reborn.GossipReceived(w.now, 0, repeat, w.recorders[1]); reborn.quotas[transferCustomer].hardLimitTokens != 0 {
-		t.Errorf("a gateway that has just started holds %v of the ceiling", reborn.quotas[transferCustomer].hardLimitTokens)
+	if reborn.GossipReceived(w.now, 0, repeat, w.recorders[1]); reborn.quotas.byCustomer[transferCustomer].hardLimitTokens != 0 {
+		t.Errorf("a gateway that has just started holds %v of the ceiling", reborn.quotas.byCustomer[transferCustomer].hardLimitTokens)
 	}
 	text, err := a.ExportState(a.now)
 	heir, _ := newSuccessor(t, a.settings, a.now, testServers(4)...)
-	if err = errors.Join(err, heir.ImportState(a.now, text)); err != nil || heir.hardLimitCapacity(heir.quotas[transferCustomer]) != part-took {
-		t.Errorf("the loan is not handed over: %v, part of %v", err, heir.hardLimitCapacity(heir.quotas[transferCustomer]))
+	if err = errors.Join(err, heir.ImportState(a.now, text)); err != nil || heir.quotas.byCustomer[transferCustomer].hardLimitCapacity(&heir.settings.Plans[0]) != part-took {
+		t.Errorf("the loan is not handed over: %v, part of %v", err, heir.quotas.byCustomer[transferCustomer].hardLimitCapacity(&heir.settings.Plans[0]))
 	}
-	if a.now += a.transferTimeout() / 2; a.quotaFor(transferCustomer, 0, 2, 0).hardLimitTokens > part-took {
+	if a.now += a.transferTimeout() / 2; a.quotaFor(transferCustomer, quotaScope{instanceCount: 2}).hardLimitTokens > part-took {
 		t.Error("a lender's part is whole again while its loan may be under way")
 	}
-	if a.now += 2 * a.transferTimeout(); a.quotaFor(transferCustomer, 0, 2, 0).hardLimitTokens != part {
+	if a.now += 2 * a.transferTimeout(); a.quotaFor(transferCustomer, quotaScope{instanceCount: 2}).hardLimitTokens != part {
 		t.Error("a lender's part stays smaller for good")
 	}
 }
@@ -268,16 +268,16 @@
 	w := newTransferSim(t, 1, 2)
 	a, b := w.engines[0], w.engines[1]
 	b.now = w.now
-	st := b.quotaFor(transferCustomer, 0, 2, 0)
+	st := b.quotaFor(transferCustomer, quotaScope{instanceCount: 2})
 	before := st.tokens
 	st.pendingUnits = 5
-	entry := b.appendEntry(nil, st, 0)
+	entry := b.codec().appendEntry(nil, b.gossipEntryFor(st, 0))
 	a.now = w.now
-	had := a.quotaFor(transferCustomer, 0, 2, 0).tokens
-	old := encodeGossip(3, 1, 1, entry[:len(entry)-2], 0, nil)
+	had := a.quotaFor(transferCustomer, quotaScope{instanceCount: 2}).tokens
+	old := encodeGossip(3, 1, encodedEntries{count: 1, bytes: entry[:len(entry)-2]}, encodedEntries{})
 	old[0] = kindGossipV1
 	a.GossipReceived(w.now, 1, old, w.recorders[0])
-	if got := had - a.quotas[transferCustomer].tokens; got != 5 || before <= 0 {
+	if got := had - a.quotas.byCustomer[transferCustomer].tokens; got != 5 || before <= 0 {
 		t.Errorf("%v units heard of 5", got)
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -125,7 +125,7 @@
 		return err
 	}
 	e.now = now
-	for _, st := range e.quotaList {
+	for _, st := range e.quotas.list {
 		e.refill(st)
 	}
 	old := e.settings.Plans
@@ -134,7 +134,7 @@
 	for i, p := range plans {
 		e.planIndex[p.Name] = i
 	}
-	for _, st := range e.quotaList {
+	for _, st := range e.quotas.list {
 		if old[st.plan] != plans[st.plan] {
 			e.changePlan(st, old[st.plan], st.plan)
 		}
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -97,7 +97,7 @@
 	if got := ask(1, "small", 10); !strings.HasPrefix(got, "send") {
 		t.Fatal(got)
 	}
-	st := g.quotas[7]
+	st := g.quotas.byCustomer[7]
 	if err := g.SetPlans(now, []Plan{{Name: "small", Rate: 10, Burst: 15}, s.Plans[1], {Name: "new", Rate: 1, Burst: 1}}); err != nil || st.tokens != 5 {
 		t.Fatalf("level %v after 10 units of what is now 15, error %v", st.tokens, err)
 	}
@@ -108,7 +108,7 @@
 		t.Errorf("on the larger plan: %+v", st)
 	}
 	// A peer that has not yet heard of the move tells units under the old plan: they count.
-	if g.receiveEntries(1, []gossipEntry{{key: 7, plan: 0, instanceCount: 2, units: 30}}); st.tokens != 60 || st.plan != 1 {
+	if g.receiveEntries(1, []gossipEntry{{customer: 7, scope: quotaScope{instanceCount: 2}, units: 30}}); st.tokens != 60 || st.plan != 1 {
 		t.Errorf("level %v, plan %d after 30 units at a peer", st.tokens, st.plan)
 	}
 	now += time.Hour
