--- a/policy/admission.go
+++ b/policy/admission.go
@@ -57,7 +57,7 @@
 		e.requestQuota(r)
 		return
 	}
-	inQuota, wait := e.checkQuota(r.quota, r.Units, r.isLate)
+	inQuota, wait := e.checkQuota(r.quota, quotaDemand{r.Units, r.isLate})
 	if inQuota {
 		e.takeUnits(r.quota, r.Units)
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -31,17 +31,15 @@
 	planIndex         map[string]int
 	latencies         latencyTable
 
-	quotas         map[uint64]*customerQuota
-	quotaList      []*customerQuota // the stores, for sweeping
-	sweepAt        int
-	gossipPending  []*customerQuota // stores to tell of
-	peers          []peer
+	quotas         quotaTable
+	gossipPending  []*customerQuota // to tell peers of: those with needsGossip
+	peers          []peer           // by instance
 	gossipInterval time.Duration
+	ownerTimeouts  ownerTimeouts
 
 	rejections                 [rejectReasonCount]uint64 // requests, by what they were refused for
 	overQuota                  OverQuotaUnits
 	overload                   overloadController
-	unansweredByAnyOwner       int // asks in a row that no holder has answered
 	retries                    retryBudget
 	gossipReceived, gossipRate float64 // messages taken in since the last probe, and per second
 	inFlight                   int     // attempts out
@@ -64,10 +62,17 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	e := &Engine{
-		settings: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), serverByID: map[string]*server{},
-		classIndex: map[string]int{}, planIndex: map[string]int{},
-		quotas: map[uint64]*customerQuota{}, peers: make([]peer, s.InstanceCount), latencies: newLatencyTable(len(s.Classes)), zones: map[string]*zoneState{},
-		zoneWatch: zonehealth.New(zonehealth.Usual),
+		settings:      s,
+		rng:           rand.New(rand.NewPCG(seed, 0x5ea)),
+		serverByID:    map[string]*server{},
+		classIndex:    map[string]int{},
+		planIndex:     map[string]int{},
+		latencies:     newLatencyTable(len(s.Classes)),
+		quotas:        newQuotaTable(),
+		peers:         make([]peer, s.InstanceCount),
+		ownerTimeouts: ownerTimeouts{byOwner: make([]int, s.InstanceCount)},
+		zones:         map[string]*zoneState{},
+		zoneWatch:     zonehealth.New(zonehealth.Usual),
 	}
 	e.settings.Classes = append([]Class(nil), s.Classes...)
 	e.settings.Plans = append([]Plan(nil), s.Plans...)
--- a/policy/request.go
+++ b/policy/request.go
@@ -129,7 +129,8 @@
 func (e *Engine) newRequest(q Request, class, plan int) *request {
 	q.Units = math.Max(q.Units, 0)
 	q.InstanceCount = min(max(q.InstanceCount, 1), e.settings.InstanceCount)
-	quota := e.quotaFor(q.Customer, plan, q.InstanceCount, q.FirstInstance)
+	scope := quotaScope{plan: plan, instanceCount: q.InstanceCount, firstInstance: q.FirstInstance}
+	quota := e.quotaFor(q.Customer, scope)
 	if quota.plan != plan { // the customer has changed its plan
 		e.changePlan(quota, e.settings.Plans[quota.plan], plan)
 	}
