--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -133,12 +133,12 @@
 func TestFindingsTravelWithQuotaMessages(t *testing.T) {
 	g, _ := newSubsetEngine(t)
 	g.now = t0 + 10*time.Second
-	for i, s := range g.subset[:6] {
+	for i, s := range g.subset.members[:6] {
 		g.addFinding(s, i%2 == 0)
 	}
 	read := func() []serverFinding { return sentReport(t, g, g).findings }
 	got := read()
-	if len(got) != maxFindings || got[3].serverID != g.subset[5].gossipID || got[3].isUp {
+	if len(got) != maxFindings || got[3].serverID != g.subset.members[5].gossipID || got[3].isUp {
 		t.Fatalf("notes %+v", got)
 	}
 	g.now += findingTTL
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -37,7 +37,7 @@
 	if !e.mayCheckHealth() || len(e.servers) == 0 || !e.healthChecks.take() {
 		return
 	}
-	if next := nextHealthCheck(e.subset, lead); next != nil {
+	if next := nextHealthCheck(e.subset.members, lead); next != nil {
 		e.checkHealth(next)
 	}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -129,7 +129,7 @@
 	if e.usesAllServers() {
 		return
 	}
-	for _, s := range e.subset {
+	for _, s := range e.subset.members {
 		if s.gossipID == finding.serverID {
 			e.receiveServerFinding(s, from, finding)
 		}
@@ -137,13 +137,13 @@
 }
 
 func (e *Engine) receiveServerFinding(s *server, from int, finding serverFinding) {
-	e.zoneReported(s, from, finding.isUp)
+	e.zoneReported(s, from, finding)
 	reports := &s.suspicionReports[boolToInt(finding.isUp)]
 	if !reports.confirms(from, e.now) || s.isUnresponsive != finding.isUp {
 		return
 	}
 	if !finding.isUp {
-		if e.now-s.lastHeardAt < freshEvidenceAge || 2*e.suspectedCount() >= len(e.subset) {
+		if e.now-s.lastHeardAt < freshEvidenceAge || 2*e.suspectedCount() >= len(e.subset.members) {
 			return
 		}
 		s.suspectedUntil = e.now + findingTTL
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -149,7 +149,7 @@
 		}
 	}
 	suspects := func() (n int) {
-		for _, s := range g.subset {
+		for _, s := range g.subset.members {
 			n += boolToInt(g.now < s.suspectedUntil)
 			if s.isUnresponsive {
 				t.Fatalf("%s counts as silent by hearsay", s.ID)
@@ -165,15 +165,15 @@
 		t.Fatalf("one voice: %d servers in doubt, %d probes", n, r.count("probe"))
 	}
 	say(10, false)
-	if n := suspects(); n == 0 || 2*n > len(g.subset)+1 || r.count("probe") == 0 {
-		t.Fatalf("two voices: %d of %d servers in doubt, %d probes", n, len(g.subset), r.count("probe"))
+	if n := suspects(); n == 0 || 2*n > len(g.subset.members)+1 || r.count("probe") == 0 {
+		t.Fatalf("two voices: %d of %d servers in doubt, %d probes", n, len(g.subset.members), r.count("probe"))
 	}
 	for range 40 {
 		if s := g.selectServer(&request{Request: Request{ID: "x"}}); s == nil || g.now < s.suspectedUntil {
 			t.Fatalf("a server in doubt was chosen: %+v", s)
 		}
 	}
-	for _, s := range g.subset {
+	for _, s := range g.subset.members {
 		g.serverResponded(s)
 	}
 	if n := suspects(); n != 0 {
@@ -184,7 +184,7 @@
 	if n := suspects(); n != 0 {
 		t.Errorf("an old voice counted: %d servers in doubt", n)
 	}
-	for _, s := range g.subset {
+	for _, s := range g.subset.members {
 		s.lastHeardAt = g.now - freshEvidenceAge/2
 	}
 	if say(10, false); suspects() != 0 {
@@ -199,7 +199,7 @@
 	g.now = t0 + 10*time.Second
 	g.actions = r
 	var in [2][]*server
-	for _, s := range g.subset {
+	for _, s := range g.subset.members {
 		in[boolToInt(s.Zone == "b")] = append(in[boolToInt(s.Zone == "b")], s)
 		g.serverResponded(s)
 	}
@@ -229,7 +229,7 @@
 	if step(100 * ms); asked() > 0 {
 		t.Errorf("%d of 100 requests go to a zone of which nothing is heard", asked())
 	}
-	want := 170 * float64(len(in[0])) / float64(len(g.subset))
+	want := 170 * float64(len(in[0])) / float64(len(g.subset.members))
 	if _, n := g.reachableInFlight(); math.Abs(n-want) > 1e-9 {
 		t.Errorf("%v servers in reach, want %v", n, want)
 	}
@@ -255,11 +255,11 @@
 func TestUnresponsiveServersAreCheckedEarlier(t *testing.T) {
 	g, r := newSubsetEngine(t)
 	g.now, g.actions = t0+10*time.Second, r
-	for _, s := range g.subset {
+	for _, s := range g.subset.members {
 		s.lastHealthCheckAt = g.now - time.Second
 	}
-	g.subset[3].isUnresponsive, g.subset[3].lastHealthCheckAt = true, g.now-ms
-	want := "probe " + g.subset[3].ID
+	g.subset.members[3].isUnresponsive, g.subset.members[3].lastHealthCheckAt = true, g.now-ms
+	want := "probe " + g.subset.members[3].ID
 	g.healthChecks.credit = 1
 	g.runSample()
 	if r.count(want) != 1 {
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -159,7 +159,7 @@
 func TestUnansweredAttemptsAreNotLoad(t *testing.T) {
 	g, r := newSubsetEngine(t)
 	g.latencies.classes[0] = classLatency{mean: 0.05, samples: 100}
-	quiet, busy := g.subset[0], g.subset[1]
+	quiet, busy := g.subset.members[0], g.subset.members[1]
 	for i, s := range []*server{quiet, busy} {
 		id := fmt.Sprint("r", i)
 		g.requests.byID[id] = &request{Request: Request{ID: id}, attempts: []attempt{{server: s, sentAt: t0}}}
@@ -179,15 +179,15 @@
 func TestLoadReportsAloneSetOccupancy(t *testing.T) {
 	g, r := newSubsetEngine(t)
 	g.now, g.actions = t0, r
-	g.recordLoadReport(g.subset[0], &LoadReport{InFlight: -1, QueueLength: 0, Utilization: 0.9})
+	g.recordLoadReport(g.subset.members[0], &LoadReport{InFlight: -1, QueueLength: 0, Utilization: 0.9})
 	for i := range 50 {
-		g.recordLatency(0, g.subset[1+i%8], 60*ms)
+		g.recordLatency(0, g.subset.members[1+i%8], 60*ms)
 	}
 	if slot := g.overload.sampleIndex(); g.overload.occupancySamples[slot] != 1 || g.overload.occupancySums[slot] != 0.9 {
 		t.Errorf("%.1f samples that sum to %.2f, want the report's alone", g.overload.occupancySamples[slot], g.overload.occupancySums[slot])
 	}
 	g.now += decayTime + ms
-	if g.recordLatency(0, g.subset[1], 60*ms); g.overload.occupancySamples[g.overload.sampleIndex()] == 1 {
+	if g.recordLatency(0, g.subset.members[1], 60*ms); g.overload.occupancySamples[g.overload.sampleIndex()] == 1 {
 		t.Error("without reports for long, latencies don't count")
 	}
 }
@@ -229,7 +229,7 @@
 	if _, n := g.reachableInFlight(); n != 170 {
 		t.Errorf("%v of 170 servers in reach", n)
 	}
-	for i, s := range g.subset {
+	for i, s := range g.subset.members {
 		switch i % 4 {
 		case 0:
 			s.isUnresponsive = true
@@ -238,11 +238,11 @@
 		}
 	}
 	left := 0
-	for _, s := range g.subset {
+	for _, s := range g.subset.members {
 		left += boolToInt(!s.isUnresponsive && g.now >= s.suspectedUntil)
 	}
-	want := 170 * float64(left) / float64(len(g.subset))
+	want := 170 * float64(left) / float64(len(g.subset.members))
 	if _, n := g.reachableInFlight(); math.Abs(n-want) > 1e-9 {
-		t.Errorf("%v servers in reach with %d of the part's %d left, want %v", n, left, len(g.subset), want)
+		t.Errorf("%v servers in reach with %d of the part's %d left, want %v", n, left, len(g.subset.members), want)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -5,55 +5,65 @@
 	"math/rand/v2"
 	"time"
 
-	"mulleinmux/subset"
 	"mulleinmux/zonehealth"
 )
 
-// Engine decides for one edge node.
+// Engine decides for one edge node. It is made of parts that each own their state; its methods are the events
+// of the host, and the questions that need several of the parts.
 type Engine struct {
 	settings  Settings
 	rng       *rand.Rand
-	now       time.Duration
-	actions   Actions
 	startedAt time.Duration
-	epoch     uint64
 
-	servers           []*server
-	findings          []serverFinding // what it found out of late
-	subset            []*server       // this gateway's part of them, or all
-	usesSubset        bool            // the rule leaves servers out of the part
-	meanSubsetHolders float64         // gateways that have a server of it in their part, on average
-	subsetWidth       subset.Width
-	zoneWatch         *zonehealth.Watch // over the zones, where gateways keep to parts
-	serverByID        map[string]*server
-	requests          requestTable
-	classIndex        map[string]int
-	planIndex         map[string]int
-	latencies         latencyTable
+	// Of the event in hand.
+	now     time.Duration
+	actions Actions
 
-	quotas         quotaTable
-	gossipPending  []*customerQuota // to tell peers of: those with needsGossip
-	peers          []peer           // by instance
+	// Tables of the settings, by name.
+	classIndex map[string]int
+	planIndex  map[string]int
+
+	// Requests.
+	requests   requestTable
+	retries    retryBudget
+	rejections [rejectReasonCount]uint64 // requests rejected, by reason
+
+	// Servers.
+	servers         []*server
+	serverByID      map[string]*server
+	maxServerWeight float64 // of those that server selection draws from
+	weightsDiffer   bool    // between the servers listed
+	subset          serverSubset
+	zones           map[string]*zoneState // those that the host has told limits of
+	zoneWatch       *zonehealth.Watch     // over all zones; used with a subset only
+	healthChecks    healthChecker
+	findings        []serverFinding // found out of late, for the next messages to peers
+
+	// Load.
+	overload         overloadController
+	latencies        latencyTable
+	inFlight         int           // attempts at work at servers
+	overdue          float64       // of these, as of the last sample: past their objective, at responsive servers
+	responses        float64       // good ones in this sample
+	responseRate     float64       // a second, moving average
+	warmWork         float64       // work answered by warm servers in this sample, in seconds
+	warmRate         float64       // by one of unit weight a second, moving average
+	lastLoadReportAt time.Duration // of any server
+
+	// Quotas.
+	quotas        quotaTable
+	overQuota     OverQuotaUnits
+	ownerTimeouts ownerTimeouts
+
+	// Gossip.
+	epoch          uint64 // tells this process from those before it
+	peers          []peer
 	gossipInterval time.Duration
-	ownerTimeouts  ownerTimeouts
+	gossipPending  []*customerQuota // to be told with the next gossip
+	gossipReceived float64          // messages in this sample
+	gossipRate     float64          // a second, moving average
 
-	rejections                 [rejectReasonCount]uint64 // requests, by what they were refused for
-	overQuota                  OverQuotaUnits
-	overload                   overloadController
-	retries                    retryBudget
-	gossipReceived, gossipRate float64 // messages taken in since the last probe, and per second
-	inFlight                   int     // attempts out
-	overdue                    float64 // of these, as of the last probe: past their aim, at servers that are not lost
-	responses                  float64 // answers since the last probe
-	responseRate               float64 // answers per second, averaged
-	zones                      map[string]*zoneState
-	warmWork                   float64       // work answered by warm servers since the last probe
-	warmRate                   float64       // work answered per second and unit of weight of a warm server, by this gateway
-	lastLoadReportAt           time.Duration // last load report of any server
-	healthChecks               healthChecker
-	maxServerWeight            float64 // the largest of their weights
-	weightsDiffer              bool    // their weights differ
-	lastLogAt                  time.Duration
+	lastLogAt time.Duration
 }
 
 // New returns a gateway for the settings, or an error that names a field that cannot be.
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -123,7 +123,7 @@
 func TestIdleConnectionsArePreferred(t *testing.T) {
 	g, r := newSubsetEngine(t)
 	g.now, g.actions = t0+time.Second, r
-	for i, s := range g.subset {
+	for i, s := range g.subset.members {
 		if i%2 == 0 {
 			s.expectedConnections, s.lastUsedAt = 1, g.now
 		}
@@ -135,7 +135,7 @@
 	if stand < 260 {
 		t.Errorf("%d of 400 went where a connection stood, and to half of the part one does", stand)
 	}
-	s := g.subset[0]
+	s := g.subset.members[0]
 	s.expectedConnections, s.lastUsedAt = 1, g.now-idleConnectionTimeout
 	if s.hasIdleConnection(g.now) {
 		t.Error("a connection idle for long counts as standing")
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -73,7 +73,7 @@
 	g.settings.Classes = append([]Class{}, g.settings.Classes[:2]...)
 	g.settings.Classes[light].LatencyObjective, g.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms // a quarter of it is the work until that is learned
 	cold := map[string]bool{}
-	for i, s := range g.subset {
+	for i, s := range g.subset.members {
 		if g.serverResponded(s); i%2 == 0 {
 			s.StartedAt, s.warmup.work, s.warmup.updatedAt = g.now-g.settings.SlowStartWindow/4, 0, g.now
 			cold[s.ID] = true
@@ -83,14 +83,14 @@
 	}
 	for range 40 {
 		g.now += 100 * ms
-		for _, s := range g.subset {
+		for _, s := range g.subset.members {
 			if cold[s.ID] {
 				g.hasWarmupBudget(s, light)
 			}
 		}
 	}
 	ready := 0
-	for _, s := range g.subset {
+	for _, s := range g.subset.members {
 		s.lastUsedAt = g.now
 		ready += boolToInt(cold[s.ID] && g.hasWarmupBudget(s, heavy))
 	}
@@ -127,11 +127,11 @@
 			other.servers = append(other.servers, &own)
 		}
 		other.formSubset()
-		for _, s := range other.subset {
+		for _, s := range other.subset.members {
 			held[s.ID]++
 		}
 	}
-	for _, s := range g.subset {
+	for _, s := range g.subset.members {
 		s.StartedAt, s.warmup.work, s.warmup.updatedAt = g.now, 0, g.now-10*ms
 		g.hasWarmupBudget(s, 0)
 		all := s.warmup.work * float64(held[s.ID]) / 0.01
@@ -149,7 +149,7 @@
 	if g.warmWork != 0 {
 		t.Error("work of servers outside of the part counts for what its members carry")
 	}
-	if g.updateHealth(r, g.subset[0], AttemptResult{Result: OK, Latency: 50 * ms}); g.warmWork == 0 {
+	if g.updateHealth(r, g.subset.members[0], AttemptResult{Result: OK, Latency: 50 * ms}); g.warmWork == 0 {
 		t.Error("work of a member does not count")
 	}
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,78 +6,103 @@
 	"mulleinmux/subset"
 )
 
-// subsetRule is how large a gateway's part of the servers is: 12 are enough to lose half of them, and few
-// enough for some requests a second to find a connection open; each server is in 16 parts or more, so that
-// gateways with several times the mean load do not weigh on single servers.
+// subsetRule is how large a node's subset is: 12 servers are enough to lose half of them, and few enough for
+// some requests a second to find a connection open; each server is in 16 subsets or more, so that nodes with
+// several times the mean load do not weigh on single servers.
 var subsetRule = subset.Rule{Servers: 12, Holders: 16, Spare: 8}
 
-// formSubset forms this gateway's part of the servers that take requests.
+// subsetSeed is the same at all nodes of a fleet, which form their subsets alike.
+const subsetSeed = 1
+
+// serverSubset is the servers that a node sends to as long as they will do (deterministic subsetting).
+// Invariant: inSubset holds for the members and for no other server.
+type serverSubset struct {
+	members     []*server // or all servers, where the rule leaves none out
+	isPartial   bool      // the rule leaves servers out
+	meanHolders float64   // nodes that have a server of it in their subset, on average
+	width       subset.Width
+}
+
+// formSubset forms this node's subset of the servers that accept requests.
 func (e *Engine) formSubset() {
-	fleet := subset.Fleet{Nodes: e.settings.InstanceCount, Seed: 1, Rule: subsetRule}
-	takes := 0
+	accepting := 0
 	for _, s := range e.servers {
-		takes += boolToInt(s.acceptsRequests())
+		accepting += boolToInt(s.acceptsRequests())
 		s.inSubset, s.subsetCorrection = true, 1
 	}
-	e.subset, e.meanSubsetHolders = e.servers, float64(e.settings.InstanceCount)
-	if e.usesSubset = fleet.Size(takes) < takes; !e.usesSubset {
-		return
+	fleet := subset.Fleet{Nodes: e.settings.InstanceCount, Seed: subsetSeed, Rule: subsetRule}
+	e.subset.members, e.subset.meanHolders = e.servers, float64(e.settings.InstanceCount)
+	e.subset.isPartial = fleet.Size(accepting) < accepting
+	if e.subset.isPartial {
+		e.maxServerWeight = e.subset.formPartial(e.servers, fleet, e.settings.InstanceIndex)
 	}
-	at, list := make([]*server, 0, takes), make([]subset.Server, 0, takes)
-	for _, s := range e.servers {
-		if s.inSubset = false; s.acceptsRequests() {
-			at, list = append(at, s), append(list, subset.Server{ID: s.ID, Zone: s.Zone, Size: s.weight()})
+}
+
+// formPartial takes a node's members out of all servers, and returns their largest weight.
+func (p *serverSubset) formPartial(servers []*server, fleet subset.Fleet, instance int) (maxWeight float64) {
+	var accepting []*server
+	var list []subset.Server
+	for _, s := range servers {
+		s.inSubset = false
+		if s.acceptsRequests() {
+			accepting = append(accepting, s)
+			list = append(list, subset.Server{ID: s.ID, Zone: s.Zone, Size: s.weight()})
 		}
 	}
-	members := fleet.Form(list, e.settings.InstanceIndex, e.subsetWidth.Factor())
-	e.subset, e.meanSubsetHolders = make([]*server, 0, len(members)), 0
+	members := fleet.Form(list, instance, p.width.Factor())
+	p.meanHolders = 0
 	for _, m := range members {
-		e.meanSubsetHolders += float64(m.Held) / float64(len(members))
+		p.meanHolders += float64(m.Held) / float64(len(members))
 	}
-	e.maxServerWeight = 0
+	p.members = make([]*server, 0, len(members))
 	for _, m := range members {
-		s := at[m.Index]
-		s.inSubset, s.subsetCorrection = true, e.meanSubsetHolders/float64(m.Held)
-		e.subset = append(e.subset, s)
-		e.maxServerWeight = math.Max(e.maxServerWeight, s.weight()*s.subsetCorrection)
+		s := accepting[m.Index]
+		s.inSubset, s.subsetCorrection = true, p.meanHolders/float64(m.Held)
+		p.members = append(p.members, s)
+		maxWeight = math.Max(maxWeight, s.weight()*s.subsetCorrection)
 	}
+	return maxWeight
 }
 
-// needsNewSubset tells whether the part has to be formed anew, for it can't carry what there is or need not
-// be so large.
+// needsNewSubset tells whether the subset has to be formed anew: it cannot carry the load, or need not be so
+// large.
 func (e *Engine) needsNewSubset() bool {
 	var fit, all float64
-	for _, s := range e.subset {
-		all += s.weight() * s.subsetCorrection
+	for _, s := range e.subset.members {
+		weight := s.weight() * s.subsetCorrection
+		all += weight
 		if !s.isEjected(e.now) {
-			fit += s.weight() * s.subsetCorrection * e.capacityFraction(s)
+			fit += weight * e.capacityFraction(s)
 		}
 	}
-	return all > 0 && !e.usesAllServers() && e.subsetWidth.Now(e.now, fit/all, len(e.subset), float64(e.inFlight))
+	if all <= 0 || e.usesAllServers() {
+		return false
+	}
+	return e.subset.width.Now(e.now, fit/all, len(e.subset.members), float64(e.inFlight))
 }
 
-// usesAllServers tells whether the rule gives this gateway all servers. A part that has widened to all of
-// them is one still, and shrinks.
-func (e *Engine) usesAllServers() bool { return !e.usesSubset }
+// usesAllServers tells whether the rule gives this node all servers. A subset that has widened to all of them
+// is one still, and shrinks.
+func (e *Engine) usesAllServers() bool { return !e.subset.isPartial }
 
-// SubsetServerIDs names the servers of this gateway's part, to which the host keeps connections; nil stands
-// for all.
+// SubsetServerIDs names the servers of this node's subset, to which the host keeps connections; nil stands for
+// all.
 func (e *Engine) SubsetServerIDs() map[string]bool {
 	if e.usesAllServers() {
 		return nil
 	}
-	near := make(map[string]bool, len(e.subset))
-	for _, s := range e.subset {
-		near[s.ID] = true
+	ids := make(map[string]bool, len(e.subset.members))
+	for _, s := range e.subset.members {
+		ids[s.ID] = true
 	}
-	return near
+	return ids
 }
 
-// SubsetCounts counts the servers of this gateway's part, and those of them that are held to be silent.
-// Where it keeps to no part, both are 0.
-func (e *Engine) SubsetCounts() (servers, doubted int) {
+// SubsetCounts counts the servers of this node's subset, and those of them that are held to be down. Where it
+// has no subset, both are 0.
+func (e *Engine) SubsetCounts() (servers, suspected int) {
 	if e.usesAllServers() {
 		return 0, 0
 	}
-	return len(e.subset), e.suspectedCount()
+	return len(e.subset.members), e.suspectedCount()
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	first := g.requests.byID["r1"].attempts[0].server
-	for _, s := range g.subset {
+	for _, s := range g.subset.members {
 		if s.Zone == first.Zone {
 			s.isUnresponsive = s != first
 			s.Server.State = map[bool]ServerState{true: Up, false: Draining}[s == first]
@@ -52,7 +52,7 @@
 	for _, why := range []string{"silent", "load"} {
 		g, r := newSubsetEngine(t)
 		g.now, g.actions = t0, r
-		narrow, widest := len(g.subset), 0
+		narrow, widest := len(g.subset.members), 0
 		step := func(pressed bool) {
 			g.now += sampleInterval
 			for _, s := range g.servers {
@@ -64,7 +64,7 @@
 			if g.needsNewSubset() {
 				g.formSubset()
 			}
-			widest = max(widest, len(g.subset))
+			widest = max(widest, len(g.subset.members))
 		}
 		for range 100 {
 			step(true)
@@ -75,8 +75,8 @@
 		for range 600 {
 			step(false)
 		}
-		if len(g.subset) != narrow {
-			t.Errorf("%s: a minute later the part has %d servers, not %d", why, len(g.subset), narrow)
+		if len(g.subset.members) != narrow {
+			t.Errorf("%s: a minute later the part has %d servers, not %d", why, len(g.subset.members), narrow)
 		}
 	}
 }
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -31,7 +31,7 @@
 
 // suspectedCount counts the servers of the part that are silent to this gateway or, as peers say, to them.
 func (e *Engine) suspectedCount() (n int) {
-	for _, s := range e.subset {
+	for _, s := range e.subset.members {
 		n += boolToInt(s.isSuspected(e.now))
 	}
 	return n
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -6,52 +6,63 @@
 	"time"
 )
 
-// zoneResponded and failedZone take in what was met at one server of a zone, for the watch over all of it.
+// The watch over whole zones is kept by nodes with a subset alone: those that see all servers need none.
+
+// zoneSuspicion is how long a lost zone's servers are suspected for, unless the watch renews it.
+const zoneSuspicion = 2 * sampleInterval
+
+// zoneResponded takes in that a server of a zone responded.
 func (e *Engine) zoneResponded(s *server) {
 	if !e.usesAllServers() {
 		e.zoneWatch.Heard(s.Zone, e.now)
 	}
 }
 
+// zoneFailed takes in that something sent to a server of a zone came to nothing.
 func (e *Engine) zoneFailed(s *server, sent time.Duration) {
 	if !e.usesAllServers() {
 		e.zoneWatch.Failed(s.Zone, uint64(s.gossipID), sent, e.now)
 	}
 }
 
-// zoneReported takes in what a peer says of a server of this gateway's part.
-func (e *Engine) zoneReported(s *server, from int, up bool) {
-	if up {
+// zoneReported takes in what a peer says of a server of this node's subset.
+func (e *Engine) zoneReported(s *server, from int, finding serverFinding) {
+	if finding.isUp {
 		e.zoneWatch.Met(s.Zone, from, e.now)
 	} else {
 		e.zoneWatch.Told(s.Zone, uint64(s.gossipID), from, e.now)
 	}
 }
 
-// updateZoneHealth puts in doubt the servers of zones that seem to be lost, so that they get no request
-// while others will do, and the bound on work out counts without them. It goes by the attempts that ages
-// found unheard.
-func (e *Engine) updateZoneHealth(waits []unansweredAttempt) {
+// updateZoneHealth suspects the servers of zones that seem to be lost, so that they get no request while others
+// will do, and the bound on work in flight counts without them. It goes by the unanswered attempts.
+func (e *Engine) updateZoneHealth(unanswered []unansweredAttempt) {
 	if e.usesAllServers() {
 		return
 	}
-	slices.SortStableFunc(waits, func(a, b unansweredAttempt) int { return cmp.Compare(a.requestNumber, b.requestNumber) }) // not in a map's order
-	for _, w := range waits {
-		e.zoneWatch.Waits(w.zone, uint64(w.server.gossipID), w.sentAt, e.now)
+	slices.SortStableFunc(unanswered, func(a, b unansweredAttempt) int { // not in a map's order
+		return cmp.Compare(a.requestNumber, b.requestNumber)
+	})
+	for _, a := range unanswered {
+		e.zoneWatch.Waits(a.zone, uint64(a.server.gossipID), a.sentAt, e.now)
 	}
-	seen := map[string]bool{}
-	for _, s := range e.subset {
-		down, ok := seen[s.Zone]
-		if !ok {
-			var found bool
-			if down, found = e.zoneWatch.Down(s.Zone, e.now); found {
-				e.actions.Log("zone " + s.Zone + " is silent: its servers are held to be lost until one answers")
-			}
-			seen[s.Zone] = down
+	isDown := map[string]bool{} // by zone
+	for _, s := range e.subset.members {
+		if _, isKnown := isDown[s.Zone]; !isKnown {
+			isDown[s.Zone] = e.isZoneDown(s.Zone)
 		}
-		if down {
-			s.suspectedUntil = max(s.suspectedUntil, e.now+2*sampleInterval)
+		if isDown[s.Zone] {
+			s.suspectedUntil = max(s.suspectedUntil, e.now+zoneSuspicion)
 		}
 	}
-	e.zoneWatch.Keep(seen)
+	e.zoneWatch.Keep(isDown)
+}
+
+// isZoneDown asks the watch, and logs what it has just found.
+func (e *Engine) isZoneDown(zone string) bool {
+	isDown, isNew := e.zoneWatch.Down(zone, e.now)
+	if isNew {
+		e.actions.Log("zone " + zone + " is silent: its servers are held to be lost until one answers")
+	}
+	return isDown
 }
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -1,133 +1,157 @@
 package policy
 
 import (
+	"iter"
 	"time"
 )
 
-// ZoneLimits is what a host tells of a zone where gateways share out what its servers may be sent.
+// ZoneLimits is what a host tells of a zone where nodes share out what its servers may be sent.
 type ZoneLimits struct {
-	IsRemote          bool    // its servers are gateways of another site, which need no ramp
-	WarmServerRate    float64 // this gateway's part of what a warm server of unit weight can take, work a second (seconds of a request served alone)
-	InFlightFraction  float64 // this gateway's part of the attempts that may be out there
-	RemoteServerCount float64 // with Far: warm servers behind them all; 0: not known
+	IsRemote          bool    // its servers are gateways of another site, which need no slow start
+	WarmServerRate    float64 // of one of unit weight: seconds of work a second, this node's part
+	InFlightFraction  float64 // this node's part of the attempts that may be in flight there
+	RemoteServerCount float64 // with IsRemote: warm servers behind them all; 0: not known
 }
 
-// zoneState is a zone that a host has told of, and what came of it.
+// zoneState is a zone that a host has told of, and what came of it. Invariant: servers is 0 where none accepts
+// requests; the counts begin anew with each sample or each call of [Engine.ColdServerWork].
 type zoneState struct {
 	ZoneLimits
-	isOverloaded            bool    // as of the request under way
-	servers                 float64 // warm ones, as of the last probe; a cold one as the part of one that it is
-	warmWork                float64 // work answered by warm servers since the last probe
-	warmRate                float64 // per second and unit of weight, averaged
-	responses, responseRate float64 // answers since the last probe, and per second, averaged
-	sentWork, unmetWork     float64 // work sent to cold servers, and work that found no room there, since the last Cold
+	isOverloaded bool    // as of the request in hand
+	servers      float64 // warm ones, as of the last sample; a cold one as the fraction of one that it is
+
+	warmWork     float64 // work answered by warm servers in this sample
+	warmRate     float64 // a second and unit of weight, moving average
+	responses    float64 // in this sample
+	responseRate float64 // a second, moving average
+
+	sentWork  float64 // to cold servers, since the last call of ColdServerWork
+	unmetWork float64 // for which they had no budget, likewise
 }
 
-// SetZoneLimits tells of a zone. For its cold servers the gateway goes by the ramp told instead of its own
-// estimate, and the bound on work out is the zone's own. It is to be told of all zones or none, again
-// whenever a figure changes; a host that has nothing to go by any more tells of a ramp of 0.
-func (e *Engine) SetZoneLimits(name string, z ZoneLimits) {
-	c := e.zones[name]
-	if c == nil {
-		c = &zoneState{responseRate: e.responseRate / float64(len(e.zones)+1)}
-		e.zones[name] = c
-		e.countZoneServers(name, c)
+// SetZoneLimits tells of a zone. For its cold servers the engine goes by the limits told instead of its own
+// estimate, and the bound on work in flight is the zone's own. It is to be told of all zones or none, again
+// whenever a figure changes; a host that has nothing to go by any more tells of a rate of 0.
+func (e *Engine) SetZoneLimits(name string, limits ZoneLimits) {
+	zone := e.zones[name]
+	if zone == nil {
+		zone = &zoneState{responseRate: e.responseRate / float64(len(e.zones)+1)}
+		e.zones[name] = zone
+		e.countZoneServers(name, zone)
 	}
-	c.ZoneLimits = z
+	zone.ZoneLimits = limits
 }
 
 // RemoveZoneLimits forgets a zone.
 func (e *Engine) RemoveZoneLimits(name string) { delete(e.zones, name) }
 
-// zoneInFlight counts the attempts out at servers of a zone that are held to be alive.
-func (e *Engine) zoneInFlight(zone string) (out float64) {
-	for _, s := range e.servers {
-		if s.Zone == zone && !s.isUnresponsive {
-			out += float64(s.inFlight)
+// availableServers yields the servers of a zone that accept requests and respond, with their fraction of
+// capacity.
+func (e *Engine) availableServers(zone string) iter.Seq2[*server, float64] {
+	return func(yield func(*server, float64) bool) {
+		for _, s := range e.servers {
+			if s.Zone != zone || !s.acceptsRequests() || s.isUnresponsive {
+				continue
+			}
+			if !yield(s, e.capacityFraction(s)) {
+				return
+			}
 		}
 	}
-	return out
 }
 
-// countZoneServers counts the servers of a zone that take requests and answer.
-func (e *Engine) countZoneServers(zone string, c *zoneState) {
-	c.servers = 0
+// zoneInFlight counts the attempts in flight at servers of a zone that are held to be up.
+func (e *Engine) zoneInFlight(zone string) (inFlight float64) {
 	for _, s := range e.servers {
-		if s.Zone == zone && s.acceptsRequests() && !s.isUnresponsive {
-			c.servers += e.capacityFraction(s)
+		if s.Zone == zone && !s.isUnresponsive {
+			inFlight += float64(s.inFlight)
 		}
 	}
-	if c.IsRemote && c.servers > 0 && c.RemoteServerCount > 0 {
-		c.servers = c.RemoteServerCount
+	return inFlight
+}
+
+// countZoneServers counts the servers of a zone that accept requests and respond.
+func (e *Engine) countZoneServers(name string, zone *zoneState) {
+	zone.servers = 0
+	for _, capacity := range e.availableServers(name) {
+		zone.servers += capacity
+	}
+	if zone.IsRemote && zone.servers > 0 && zone.RemoteServerCount > 0 {
+		zone.servers = zone.RemoteServerCount
 	}
 }
 
-// ColdServerWork returns what the cold servers of a zone are worth, by weight and warmth; the work that was
-// sent to them since it was last called; and the work for which they had no room.
+// ColdServerWork returns the capacity of the cold servers of a zone, by weight; the work that was sent to them
+// since it was last called, in seconds; and the work for which they had no budget.
 func (e *Engine) ColdServerWork(now time.Duration, zone string) (servers, sent, short float64) {
 	e.now = now
-	for _, s := range e.servers {
-		if w := e.capacityFraction(s); s.Zone == zone && s.acceptsRequests() && !s.isUnresponsive && w < 1 {
-			servers += s.weight() * w
+	for s, capacity := range e.availableServers(zone) {
+		if capacity < 1 {
+			servers += s.weight() * capacity
 		}
 	}
-	if c := e.zones[zone]; c != nil {
-		sent, short = c.sentWork, c.unmetWork
-		c.sentWork, c.unmetWork = 0, 0
+	if z := e.zones[zone]; z != nil {
+		sent, short = z.sentWork, z.unmetWork
+		z.sentWork, z.unmetWork = 0, 0
 	}
 	return servers, sent, short
 }
 
-// WarmServerLoad returns the work a second that this gateway sends to a warm server of unit weight in a
-// zone that it was told of by SetZone, and the busy share that those there report, on average; below 0:
+// WarmServerLoad returns the work a second that this node sends to a warm server of unit weight in a zone that
+// it was told of by [Engine.SetZoneLimits], and the utilization that those there report, on average; below 0:
 // none does.
-func (e *Engine) WarmServerLoad(now time.Duration, zone string) (rate, util float64) {
+func (e *Engine) WarmServerLoad(now time.Duration, zone string) (rate, utilization float64) {
 	e.now = now
-	n := 0.0
+	reports := 0.0
 	for _, s := range e.servers {
-		if s.Zone == zone && s.acceptsRequests() && e.capacityFraction(s) >= 1 && s.utilization >= 0 && now-s.reportedAt < decayTime {
-			util += s.utilization
-			n++
+		if s.Zone != zone || !s.acceptsRequests() || e.capacityFraction(s) < 1 {
+			continue
+		}
+		if s.utilization >= 0 && now-s.reportedAt < decayTime {
+			utilization += s.utilization
+			reports++
 		}
 	}
-	if c := e.zones[zone]; c != nil {
-		rate = c.warmRate
+	if z := e.zones[zone]; z != nil {
+		rate = z.warmRate
 	}
-	if n == 0 {
+	if reports == 0 {
 		return rate, -1
 	}
-	return rate, util / n
+	return rate, utilization / reports
 }
 
-// updateZoneRates learns, once a probe, what a warm server of each zone that was told of takes from this
-// gateway.
+// updateZoneRates takes what was counted in a sample into each zone's rates.
 func (e *Engine) updateZoneRates() {
-	for zone, c := range e.zones {
+	for name, zone := range e.zones {
 		var weight float64
-		for _, s := range e.servers {
-			if s.Zone == zone && s.acceptsRequests() && !s.isUnresponsive && e.capacityFraction(s) >= 1 {
+		for s, capacity := range e.availableServers(name) {
+			if capacity >= 1 {
 				weight += s.weight()
 			}
 		}
-		if weight > 0 {
-			c.warmRate += slowMeanWeight * (c.warmWork/weight/sampleInterval.Seconds() - c.warmRate)
-		} else {
-			c.warmRate = 0
-		}
-		c.responseRate += rateWeight * (c.responses/sampleInterval.Seconds() - c.responseRate)
-		c.warmWork, c.responses = 0, 0
-		e.countZoneServers(zone, c)
+		zone.updateRates(weight)
+		e.countZoneServers(name, zone)
 	}
 }
 
-// ZoneCapacity is how many warm servers of unit weight those of a zone are worth that take requests and
-// answer.
-func (e *Engine) ZoneCapacity(now time.Duration, zone string) (sum float64) {
+// updateRates ends a sample, in which warm servers of some weight together were available.
+func (z *zoneState) updateRates(warmWeight float64) {
+	if warmWeight > 0 {
+		z.warmRate += slowMeanWeight * (z.warmWork/warmWeight/sampleInterval.Seconds() - z.warmRate)
+	} else {
+		z.warmRate = 0
+	}
+	z.responseRate += rateWeight * (z.responses/sampleInterval.Seconds() - z.responseRate)
+	z.warmWork, z.responses = 0, 0
+}
+
+// ZoneCapacity is how many warm servers of unit weight those of a zone are worth that accept requests and
+// respond.
+func (e *Engine) ZoneCapacity(now time.Duration, zone string) (capacity float64) {
 	e.now = now
-	for _, s := range e.servers {
-		if s.Zone == zone && s.acceptsRequests() && !s.isUnresponsive {
-			sum += s.weight() * e.capacityFraction(s)
-		}
+	for s, fraction := range e.availableServers(zone) {
+		capacity += s.weight() * fraction
 	}
-	return sum
+	return capacity
 }
