--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,6 +6,102 @@
 	"time"
 )
 
+// Idempotency says what repeating a request of a class does.
+type Idempotency int
+
+// The kinds of idempotency.
+const (
+	Idempotent        Idempotency = iota // may be repeated freely
+	IdempotentWithKey                    // a repeat is dropped inside its scope while remembered
+	NonIdempotent                        // must never run twice
+)
+
+// DedupScope says which servers share the memory of the idempotency keys of a class.
+type DedupScope int
+
+// The scopes of that memory.
+const (
+	DedupAllServers DedupScope = iota // all servers
+	DedupZone                         // the servers of one zone
+	DedupCell                         // the servers of one cell
+)
+
+// Class describes one class of requests.
+type Class struct {
+	Name             string
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // for IdempotentWithKey
+	DedupWindow      time.Duration // likewise: how long a server remembers, from the first send that may have run
+	LatencyObjective time.Duration // responses up to here earn the full priority weight
+	Deadline         time.Duration // the client's whole wait over all its tries
+	PriorityWeight   float64       // of one request
+	LateFraction     float64       // of the weight, earned between LatencyObjective and Deadline
+	IsStreaming      bool          // responses arrive as streams: see [Engine.ResponseStarted]
+}
+
+// Plan describes the quotas of each customer of one plan, over all nodes together.
+type Plan struct {
+	Name              string
+	Rate              float64 // units per second; 0: no quota on the rate
+	Burst             float64 // units that the quota's bucket holds
+	MaxInFlight       int     `json:"Open"`         // attempts in flight at once; 0: no such quota
+	HardLimitRate     float64 `json:"CeilingRate"`  // units per second; 0: no hard limit
+	HardLimitBurst    float64 `json:"CeilingBurst"` // units that the hard limit's bucket holds
+	HardLimitSlack    float64 `json:"CeilingSlack"` // units that the bucket may fall below zero
+	PriorityFactor    float64 `json:"Price"`        // on the priority weight
+	OverQuotaFraction float64 `json:"OverWorth"`    // of the weight, earned beyond the quota
+	OverQuotaCost     float64 `json:"OverCost"`     // of the weight, charged for each try sent beyond the quota
+}
+
+// LoadReportMode says how servers report their load.
+type LoadReportMode int
+
+// The modes of load reports.
+const (
+	LoadReportsNone           LoadReportMode = iota // never
+	LoadReportsInResponses                          // in responses and health checks
+	LoadReportsInHealthChecks                       // in health checks only
+)
+
+// Settings is all that an engine is told at its start. The zero value of a field means that the feature is
+// absent, unless noted otherwise.
+type Settings struct {
+	InstanceIndex int    // this node's index, from 0
+	InstanceCount int    // number of nodes, at least 1
+	Zone          string // this node's zone
+	Classes       []Class
+	Plans         []Plan
+
+	ResponseSlack        time.Duration // a final answer this late past the deadline still counts
+	DrainGracePeriod     time.Duration // sends to a draining server must have stopped by then
+	SlowStartMinFraction float64       // a started server has at least this fraction of its capacity
+	SlowStartWindow      time.Duration // and is warm within this time
+	ColdOverloadMultiple float64       // sent more than this multiple of its present capacity
+	ColdOverloadWindow   time.Duration // for this long, a cold server fails
+
+	MaxAttempts        int  // per request; 0: no limit
+	AllowsHedging      bool // two attempts of one request may be in flight at once
+	AllowsCancel       bool // [Actions.CancelAttempt] is allowed
+	AllowsGossip       bool // [Actions.SendGossip] is allowed
+	AllowsHealthChecks bool // [Actions.CheckHealth] is allowed
+	SendsRetryAfter    bool // clients receive the Retry-After of a rejection
+	MaxRetryAfter      time.Duration
+
+	LoadReports          LoadReportMode
+	PollsEndpoints       bool          // the list must be subscribed to with [Actions.WatchEndpoints]
+	EndpointPollInterval time.Duration // with PollsEndpoints: how often an unsubscribed node must poll
+	GossipInboxRate      float64       // gossip messages per second that a node takes in
+	SettlesUnits         bool          // units are a guess until the first good response
+	MaxUnits             float64       // of one request; 0: not told
+	MinEventInterval     time.Duration // the shortest time between events
+	ConnectTimeout       time.Duration // what is sent may arrive so much later
+
+	CrossZonePrice   float64 // points per attempt to another zone, as a fraction of requests
+	GossipPrice      float64 // points per full gossip message a request
+	HealthCheckPrice float64 // points per health check a request
+	WastedWorkPrice  float64 // points for wasted server work
+}
+
 // validate returns an error that names the first field that can't be.
 func (s *Settings) validate() error {
 	switch {
@@ -56,91 +152,5 @@
 	return nil
 }
 
-// ValidateTables tells whether classes and plans can be put in force: the error names what cannot.
-func (e *Engine) ValidateTables(classes []Class, plans []Plan) error {
-	set := e.settings
-	set.Classes, set.Plans = classes, plans
-	if err := set.validate(); err != nil {
-		return err
-	}
-	if len(plans) < len(e.settings.Plans) {
-		return fmt.Errorf("Plans: %d, and %d have a place", len(plans), len(e.settings.Plans))
-	}
-	return nil
-}
-
-// SetClasses replaces the table of classes while the engine runs. A class that has the name of one in force
-// goes on with what was learned of it and takes over the new figures. One that is no longer there takes no
-// new request; those in flight keep its figures. Its place is used again once the last of them has ended.
-func (e *Engine) SetClasses(classes []Class) error {
-	if err := e.ValidateTables(classes, e.settings.Plans); err != nil {
-		return err
-	}
-	used := make([]bool, len(e.settings.Classes))
-	for _, r := range e.requests.byID {
-		used[r.class] = true
-	}
-	old := e.classIndex
-	e.classIndex = make(map[string]int, len(classes))
-	for _, c := range classes {
-		if i, ok := old[c.Name]; ok {
-			e.classIndex[c.Name], used[i], e.settings.Classes[i] = i, true, c
-		}
-	}
-	for name, i := range old {
-		if _, ok := e.classIndex[name]; !ok {
-			e.settings.Classes[i].PriorityWeight = 0 // or it would be weighed against the others
-		}
-	}
-	e.addClasses(classes, used)
-	return nil
-}
-
-// addClasses gives each new class a place that is not used, the lowest first.
-func (e *Engine) addClasses(classes []Class, used []bool) {
-	free := 0
-	for _, c := range classes {
-		if _, ok := e.classIndex[c.Name]; ok {
-			continue
-		}
-		for free < len(used) && used[free] {
-			free++
-		}
-		if free == len(e.settings.Classes) {
-			e.settings.Classes = append(e.settings.Classes, Class{})
-			e.latencies.classes = append(e.latencies.classes, classLatency{})
-			used = append(used, false)
-		}
-		e.classIndex[c.Name], used[free] = free, true
-		e.settings.Classes[free] = c
-		e.latencies.classes[free] = classLatency{}
-	}
-}
-
-// SetPlans replaces the table of plans while the engine runs. Nodes name a plan to each other by its place:
-// all must have one order, in which a plan keeps its place for good. A customer's quota goes over to the new
-// figures with what it has spent.
-func (e *Engine) SetPlans(now time.Duration, plans []Plan) error {
-	if err := e.ValidateTables([]Class{{}}, plans); err != nil {
-		return err
-	}
-	e.now = now
-	for _, st := range e.quotas.list {
-		e.refill(st)
-	}
-	old := e.settings.Plans
-	e.settings.Plans = append([]Plan(nil), plans...)
-	e.planIndex = make(map[string]int, len(plans))
-	for i, p := range plans {
-		e.planIndex[p.Name] = i
-	}
-	for _, st := range e.quotas.list {
-		if old[st.plan] != plans[st.plan] {
-			e.changePlan(st, old[st.plan], st.plan)
-		}
-	}
-	return nil
-}
-
 // ColdBudgetMultiple is the multiple of what a cold server can take that all nodes together send it at most.
 func (s *Settings) ColdBudgetMultiple() float64 { return coldBudgetFraction * s.ColdOverloadMultiple }
