--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -222,7 +222,7 @@
 		s.firstInstances = append(s.firstInstances, s.rng.IntN(gates))
 	}
 	for range servers {
-		s.add(false)
+		s.addServer()
 	}
 	for i := range s.engines {
 		s.start(i)
--- a/policy/fleet_host_test.go
+++ b/policy/fleet_host_test.go
@@ -1,201 +1,252 @@
 package policy
 
 import (
+	"bytes"
 	"time"
 )
 
+const (
+	fleetDialTimeout   = 250 * ms // a connection to a server that is down fails then
+	fleetDialWork      = 0.0015   // of a new connection, in seconds of a core
+	fleetCheckWork     = 0.0002   // of a health check
+	fleetCheckTime     = 4 * ms
+	fleetDisorderShare = 0.05 // of messages that are doubled, and of those that are late
+)
+
+// fleetHost carries out what one process of an engine asks for.
 type fleetHost struct {
 	sim         *fleetSim
 	engine      int
 	incarnation int
 }
 
-func (a *fleetHost) isLive() bool { return a.sim.incarnations[a.engine] == a.incarnation }
+func (h *fleetHost) isLive() bool { return h.sim.incarnations[h.engine] == h.incarnation }
+
+// afterIfLive calls back the engine, if its process still runs then.
+func (h *fleetHost) afterIfLive(d time.Duration, call func(e *Engine)) {
+	h.sim.after(d, func() {
+		if h.isLive() {
+			call(h.sim.engines[h.engine])
+		}
+	})
+}
+
+// attemptRun is one attempt on its way to a server, which is nil if there is none of that name.
+type attemptRun struct {
+	host     *fleetHost
+	request  *fleetRequest
+	index    int // among the request's attempts
+	serverID string
+	server   *simServer
+	pool     *connectionPool
+	timeout  time.Duration
+	bootedAt time.Duration // of the server's process when the attempt was sent
+}
 
-func (a *fleetHost) SendAttempt(id, server string, timeout time.Duration) {
-	s := a.sim
-	r := s.requests[id]
-	b := s.byID[server]
-	n := len(r.attempts)
-	r.attempts = append(r.attempts, fleetAttempt{server: b, incarnation: a.incarnation, sentAt: s.now})
-	if n == 0 {
+func (a *attemptRun) state() *fleetAttempt { return &a.request.attempts[a.index] }
+
+func (h *fleetHost) SendAttempt(id, server string, timeout time.Duration) {
+	s, r := h.sim, h.sim.requests[id]
+	run := &attemptRun{host: h, request: r, index: len(r.attempts), serverID: server, server: s.byID[server]}
+	r.attempts = append(r.attempts, fleetAttempt{server: run.server, incarnation: h.incarnation, sentAt: s.now})
+	if run.index == 0 {
 		s.total.firstAttemptDelay += s.now - r.at
 		s.ledger.requestForwarded(s.now, r)
 	}
 	s.total.attempts++
+	run.timeout = timeout
 	if timeout <= 0 || timeout > r.deadline-s.now {
-		timeout = r.deadline - s.now
-	}
-	l := s.pool(a.engine, server)
-	l.inUse++
-	for len(l.idleSince) > 0 {
-		last := l.idleSince[len(l.idleSince)-1]
-		if l.idleSince = l.idleSince[:len(l.idleSince)-1]; s.now-last < fleetIdleTimeout && b != nil && !b.isDown && (b.bootedAt == 0 || last > b.bootedAt) {
-			r.attempts[n].reusesConnection = true
-			break
+		run.timeout = r.deadline - s.now
+	}
+	run.pool = s.pool(h.engine, server)
+	run.pool.inUse++
+	run.takeIdleConnection()
+	run.connect()
+}
+
+// takeIdleConnection takes the latest idle connection that still stands, and drops the others met on the way.
+func (a *attemptRun) takeIdleConnection() {
+	s, server := a.host.sim, a.server
+	for len(a.pool.idleSince) > 0 {
+		last := len(a.pool.idleSince) - 1
+		since := a.pool.idleSince[last]
+		a.pool.idleSince = a.pool.idleSince[:last]
+		isKept := s.now-since < fleetIdleTimeout
+		if isKept && server != nil && !server.isDown && (server.bootedAt == 0 || since > server.bootedAt) {
+			a.state().reusesConnection = true
+			return
 		}
-		if b != nil {
-			b.connections--
+		if server != nil {
+			server.connections--
 		}
 	}
-	finish := func(res Result, took time.Duration) {
-		s.after(took, func() {
-			at := &r.attempts[n]
-			if at.isDone {
-				return
-			}
-			at.isDone = true
-			l.inUse--
-			if b != nil && (res == OK || res == RejectedByServer) && !b.isDown && !at.isCancelled {
-				l.idleSince = append(l.idleSince, s.now)
-			} else if b != nil && res != ConnectFailed {
-				b.connections--
-			}
-			if res == OK && !r.isDone {
-				s.answer(r, true, 0)
-			}
-			if a.isLive() {
-				s.engines[a.engine].AttemptCompleted(s.now, AttemptResult{ID: id, Attempt: n, RequestAnswered: r.isDone, Result: res, Server: server, Latency: s.now - at.sentAt, ConnectedAt: at.sentAt}, a)
-			}
-		})
-	}
-	if b == nil || b.isDown {
+}
+
+// connect makes a connection if none is reused, and sends the request.
+func (a *attemptRun) connect() {
+	s, server := a.host.sim, a.server
+	reuses := a.state().reusesConnection
+	switch {
+	case server == nil || server.isDown && reuses:
 		s.total.connectionsFailed++
-		if b == nil || r.attempts[n].reusesConnection {
-			finish(TimedOut, timeout)
-		} else {
-			finish(ConnectFailed, min(timeout, 250*ms))
-		}
-		return
-	}
-	delay := ms
-	if !r.attempts[n].reusesConnection {
+		a.finish(TimedOut, a.timeout)
+	case server.isDown:
+		s.total.connectionsFailed++
+		a.finish(ConnectFailed, min(a.timeout, fleetDialTimeout))
+	case reuses:
+		a.bootedAt = server.bootedAt
+		s.after(ms, a.arrive)
+	default:
 		s.total.connectionsOpened++
-		if b.connections >= b.maxConnections {
+		if server.connections >= server.maxConnections {
 			s.total.connectionsFailed++
-			finish(ConnectFailed, ms)
+			a.finish(ConnectFailed, ms)
 			return
 		}
-		b.connections++
-		delay += connectTime
-		b.use(s, 0.0015)
-	}
-	boot := b.bootedAt
-	s.after(delay, func() {
-		at := &r.attempts[n]
-		if at.isDone {
-			return
+		server.connections++
+		server.use(s, fleetDialWork)
+		a.bootedAt = server.bootedAt
+		s.after(ms+fleetConnectTime, a.arrive)
+	}
+}
+
+// arrive is the request's arrival at the server.
+func (a *attemptRun) arrive() {
+	s, server := a.host.sim, a.server
+	if a.state().isDone {
+		return
+	}
+	if server.inFlight >= fleetQueue {
+		server.rejections++
+		s.total.serverRejections++
+		a.finish(RejectedByServer, ms)
+		return
+	}
+	server.inFlight++
+	bootedAt := a.bootedAt
+	took := server.use(s, s.work(a.request.class)) - s.now
+	s.after(took, func() {
+		server.inFlight--
+		if server.bootedAt == bootedAt && !server.isDown {
+			server.served++
 		}
-		if b.inFlight >= fleetQueue {
-			b.rejections++
-			s.total.serverRejections++
-			finish(RejectedByServer, ms)
+	})
+	left := a.state().sentAt + a.timeout - s.now
+	if took > left || server.isOverloaded {
+		a.finish(TimedOut, left)
+	} else {
+		a.finish(OK, took+ms)
+	}
+}
+
+// finish ends the attempt after a while, unless it was cancelled before.
+func (a *attemptRun) finish(result Result, took time.Duration) {
+	s, server := a.host.sim, a.server
+	s.after(took, func() {
+		state := a.state()
+		if state.isDone {
 			return
 		}
-		b.inFlight++
-		end := b.use(s, s.work(r.class))
-		s.after(end-s.now, func() {
-			b.inFlight--
-			if b.bootedAt == boot && !b.isDown {
-				b.served++
-			}
-		})
-		if left := at.sentAt + timeout - s.now; end-s.now > left || b.isOverloaded {
-			finish(TimedOut, left)
-		} else {
-			finish(OK, end-s.now+ms)
+		state.isDone = true
+		a.pool.inUse--
+		hasAnswer := result == OK || result == RejectedByServer
+		if server != nil && hasAnswer && !server.isDown && !state.isCancelled {
+			a.pool.idleSince = append(a.pool.idleSince, s.now)
+		} else if server != nil && result != ConnectFailed {
+			server.connections--
 		}
+		if result == OK && !a.request.isDone {
+			s.answer(a.request, true, 0)
+		}
+		a.host.completeAttempt(a, result)
 	})
 }
 
-func (a *fleetHost) RejectRequest(id string, d time.Duration) {
-	a.sim.answer(a.sim.requests[id], false, d)
+// completeAttempt tells the engine, if its process still runs, of the end of an attempt.
+func (h *fleetHost) completeAttempt(a *attemptRun, result Result) {
+	if !h.isLive() {
+		return
+	}
+	s, sentAt := h.sim, a.state().sentAt
+	completed := AttemptResult{ID: a.request.id, Attempt: a.index, RequestAnswered: a.request.isDone, Result: result,
+		Server: a.serverID, Latency: s.now - sentAt}
+	if result != Cancelled {
+		completed.ConnectedAt = sentAt
+	}
+	s.engines[h.engine].AttemptCompleted(s.now, completed, h)
 }
 
-func (a *fleetHost) FailRequest(id string) { a.sim.answer(a.sim.requests[id], false, 0) }
+func (h *fleetHost) CancelAttempt(id string, n int) {
+	s, r := h.sim, h.sim.requests[id]
+	state := &r.attempts[n]
+	if state.isDone {
+		return
+	}
+	state.isDone, state.isCancelled = true, true
+	s.pool(h.engine, state.server.ID).inUse--
+	state.server.connections--
+	run := &attemptRun{host: h, request: r, index: n, serverID: state.server.ID}
+	s.after(0, func() { h.completeAttempt(run, Cancelled) })
+}
 
-func (a *fleetHost) WatchEndpoints(bool) {}
+func (h *fleetHost) RejectRequest(id string, retryAfter time.Duration) {
+	h.sim.answer(h.sim.requests[id], false, retryAfter)
+}
 
-func (a *fleetHost) Log(string) {}
+func (h *fleetHost) FailRequest(id string) { h.sim.answer(h.sim.requests[id], false, 0) }
 
-func (a *fleetHost) SetTimer(t uint64, d time.Duration) {
-	a.sim.after(d, func() {
-		if a.isLive() {
-			a.sim.engines[a.engine].TimerFired(a.sim.now, t, a)
-		}
-	})
+func (h *fleetHost) WatchEndpoints(bool) {}
+
+func (h *fleetHost) Log(string) {}
+
+func (h *fleetHost) SetTimer(token uint64, d time.Duration) {
+	h.afterIfLive(d, func(e *Engine) { e.TimerFired(h.sim.now, token, h) })
 }
 
-func (a *fleetHost) CancelAttempt(id string, n int) {
-	r := a.sim.requests[id]
-	at := &r.attempts[n]
-	if at.isDone {
-		return
+func (h *fleetHost) CheckHealth(id string) {
+	s, server := h.sim, h.sim.byID[id]
+	s.total.healthChecks++
+	result, took := h.checkConnection(server, s.pool(h.engine, id))
+	var report *LoadReport
+	if result == OK {
+		report = server.loadReport(s)
 	}
-	at.isDone, at.isCancelled = true, true
-	a.sim.pool(a.engine, at.server.ID).inUse--
-	at.server.connections--
-	a.sim.after(0, func() {
-		if a.isLive() {
-			a.sim.engines[a.engine].AttemptCompleted(a.sim.now, AttemptResult{ID: id, Attempt: n, RequestAnswered: r.isDone, Result: Cancelled, Server: at.server.ID, Latency: a.sim.now - at.sentAt}, a)
-		}
-	})
+	h.afterIfLive(took, func(e *Engine) { e.HealthCheckCompleted(s.now, id, result, report, h) })
 }
 
-func (a *fleetHost) CheckHealth(server string) {
-	s, b := a.sim, a.sim.byID[server]
-	s.total.healthChecks++
-	l := s.pool(a.engine, server)
-	res, took := OK, 4*ms
-	if b == nil || b.isDown {
-		res, took = ConnectFailed, 250*ms
-	} else if len(l.idleSince) == 0 {
-		if b.connections >= b.maxConnections {
-			res = ConnectFailed
-		} else {
-			b.connections++
-			s.total.connectionsOpened++
-			l.idleSince = append(l.idleSince, s.now)
-			b.use(s, 0.0015)
-		}
+// checkConnection finds or makes the connection that a health check goes over.
+func (h *fleetHost) checkConnection(server *simServer, pool *connectionPool) (Result, time.Duration) {
+	s := h.sim
+	if server == nil || server.isDown {
+		return ConnectFailed, fleetDialTimeout
 	}
-	var load *LoadReport
-	if res == OK {
-		busy := 0.0
-		for _, f := range b.coreFreeAt {
-			if f > s.now {
-				busy += 1.0 / fleetCores
-			}
-		}
-		b.use(s, 0.0002)
-		b.reports[s.rng.IntN(4)] = busy
-		util := 0.0
-		for _, u := range b.reports {
-			util += u / 4
-		}
-		load = &LoadReport{InFlight: -1, Utilization: util, QueueLength: max(float64(b.inFlight-fleetCores), 0)}
+	if len(pool.idleSince) > 0 {
+		return OK, fleetCheckTime
 	}
-	s.after(took, func() {
-		if a.isLive() {
-			s.engines[a.engine].HealthCheckCompleted(s.now, server, res, load, a)
-		}
-	})
+	if server.connections >= server.maxConnections {
+		return ConnectFailed, fleetCheckTime
+	}
+	server.connections++
+	s.total.connectionsOpened++
+	pool.idleSince = append(pool.idleSince, s.now)
+	server.use(s, fleetDialWork)
+	return OK, fleetCheckTime
 }
 
-func (a *fleetHost) SendGossip(peer int, m []byte) {
-	s := a.sim
+func (h *fleetHost) SendGossip(peer int, message []byte) {
+	s := h.sim
 	s.total.gossipMessages++
 	if s.dropsGossip || s.rng.Float64() < s.loss {
 		return
 	}
-	m = append([]byte(nil), m...)
-	hear := func() { s.engines[peer].GossipReceived(s.now, a.engine, m, s.hosts[peer]) }
+	message = bytes.Clone(message)
+	receive := func() { s.engines[peer].GossipReceived(s.now, h.engine, message, s.hosts[peer]) }
 	took := time.Duration(1+s.rng.IntN(30)) * ms
-	if s.reordersGossip && s.rng.Float64() < 0.05 {
-		s.after(took+time.Duration(s.rng.IntN(300))*ms, hear)
+	if s.reordersGossip && s.rng.Float64() < fleetDisorderShare {
+		s.after(took+time.Duration(s.rng.IntN(300))*ms, receive)
 	}
-	if s.reordersGossip && s.rng.Float64() < 0.05 {
+	if s.reordersGossip && s.rng.Float64() < fleetDisorderShare {
 		took += time.Duration(s.rng.IntN(300)) * ms
 	}
-	s.after(took, hear)
+	s.after(took, receive)
 }
--- a/policy/fleet_servers_test.go
+++ b/policy/fleet_servers_test.go
@@ -7,53 +7,43 @@
 
 const (
 	fleetCores       = 2
-	fleetQueue       = 30
+	fleetQueue       = 30 // requests that a server holds at most
 	fleetIdleTimeout = 30 * time.Second
-	connectTime      = 3 * ms // until a new connection stands
-	fleetConfirm     = 400 * ms
+	fleetConnectTime = 3 * ms // until a new connection stands
+	fleetWarmAfter   = 200    // requests served
 )
 
+// simServer is a server that works, queues, holds only so many connections, starts cold and falls over.
 type simServer struct {
 	Server
-	index          int
-	coreFreeAt     [fleetCores]time.Duration // when each core is
-	inFlight       int                       // requests
-	connections    int                       // connections
+	coreFreeAt     [fleetCores]time.Duration
+	inFlight       int // requests
+	connections    int
 	maxConnections int
 	bootedAt       time.Duration // 0: long ago
 	isDown         bool
 	served         int
-	warmupSentAt   []time.Duration // work begun of late, while cold: at
-	warmupWork     []float64
-	isOverloaded   bool
-	workReceived   float64 // work in all
+	warmupSentAt   []time.Duration // while cold: when work of the latest window began
+	warmupWork     []float64       // and how much
+	isOverloaded   bool            // it was sent more than it could take while cold
+	workReceived   float64         // since the last summary
 	rejections     int
-	reports        [4]float64 // busy share, of late
+	utilizations   [4]float64 // samples of health checks
 }
 
+// connectionPool is an engine's connections to one server.
 type connectionPool struct {
-	idleSince []time.Duration // since when
+	idleSince []time.Duration
 	inUse     int
 }
 
 // use takes work, in seconds of a warm core, and returns when it is done.
 func (b *simServer) use(s *fleetSim, work float64) time.Duration {
-	warmth := 1.0
+	capacity := 1.0
 	if b.bootedAt > 0 {
-		warmth = min(s.settings.SlowStartMinFraction+(1-s.settings.SlowStartMinFraction)*float64(b.served)/200, 1)
-		// Rule 4: what was sent in a window against what the server could do in it.
-		b.warmupSentAt, b.warmupWork = append(b.warmupSentAt, s.now), append(b.warmupWork, work)
-		for s.now-b.warmupSentAt[0] > s.settings.ColdOverloadWindow {
-			b.warmupSentAt, b.warmupWork = b.warmupSentAt[1:], b.warmupWork[1:]
-		}
-		sum := 0.0
-		for _, w := range b.warmupWork {
-			sum += w
-		}
-		if can := fleetCores * warmth * s.settings.ColdOverloadWindow.Seconds(); warmth < 1 && sum > s.settings.ColdOverloadMultiple*can+0.5 && !b.isOverloaded {
-			b.isOverloaded = true
-			s.total.serversOverloaded++
-		}
+		least := s.settings.SlowStartMinFraction
+		capacity = min(least+(1-least)*float64(b.served)/fleetWarmAfter, 1)
+		b.recordWarmupWork(s, work, capacity)
 	}
 	b.workReceived += work
 	core := 0
@@ -62,10 +52,45 @@
 			core = c
 		}
 	}
-	b.coreFreeAt[core] = max(b.coreFreeAt[core], s.now) + time.Duration(work/warmth*float64(time.Second))
+	b.coreFreeAt[core] = max(b.coreFreeAt[core], s.now) + time.Duration(work/capacity*float64(time.Second))
 	return b.coreFreeAt[core]
 }
 
+// recordWarmupWork holds what was sent in a window against what the server could do in it: rule 4.
+func (b *simServer) recordWarmupWork(s *fleetSim, work, capacity float64) {
+	b.warmupSentAt, b.warmupWork = append(b.warmupSentAt, s.now), append(b.warmupWork, work)
+	for s.now-b.warmupSentAt[0] > s.settings.ColdOverloadWindow {
+		b.warmupSentAt, b.warmupWork = b.warmupSentAt[1:], b.warmupWork[1:]
+	}
+	sum := 0.0
+	for _, w := range b.warmupWork {
+		sum += w
+	}
+	possible := fleetCores * capacity * s.settings.ColdOverloadWindow.Seconds()
+	if capacity < 1 && sum > s.settings.ColdOverloadMultiple*possible+0.5 && !b.isOverloaded {
+		b.isOverloaded = true
+		s.total.serversOverloaded++
+	}
+}
+
+// loadReport is what a health check brings, which costs work itself.
+func (b *simServer) loadReport(s *fleetSim) *LoadReport {
+	busy := 0.0
+	for _, freeAt := range b.coreFreeAt {
+		if freeAt > s.now {
+			busy += 1.0 / fleetCores
+		}
+	}
+	b.use(s, fleetCheckWork)
+	b.utilizations[s.rng.IntN(len(b.utilizations))] = busy
+	mean := 0.0
+	for _, u := range b.utilizations {
+		mean += u / float64(len(b.utilizations))
+	}
+	return &LoadReport{InFlight: -1, Utilization: mean, QueueLength: max(float64(b.inFlight-fleetCores), 0)}
+}
+
+// work draws the work of a request, in seconds of a warm core.
 func (s *fleetSim) work(class string) float64 {
 	mean := 0.06
 	if class == "keyed" {
@@ -74,35 +99,37 @@
 	return mean * s.rng.ExpFloat64()
 }
 
-func (s *fleetSim) pool(gate int, server string) *connectionPool {
-	l := s.pools[gate][server]
-	if l == nil {
-		l = &connectionPool{}
-		s.pools[gate][server] = l
+// pool returns an engine's connections to a server.
+func (s *fleetSim) pool(engine int, server string) *connectionPool {
+	pool := s.pools[engine][server]
+	if pool == nil {
+		pool = &connectionPool{}
+		s.pools[engine][server] = pool
 	}
-	return l
+	return pool
 }
 
-// add brings a server; one that is cold has just started.
-func (s *fleetSim) add(cold bool) {
+// addServer adds a server that has run for long.
+func (s *fleetSim) addServer() *simServer {
 	k := len(s.servers)
-	b := &simServer{index: k, maxConnections: 200, Server: Server{ID: fmt.Sprintf("s-%04x", s.rng.IntN(1<<16)*1000+k), Kind: "k", Weight: 1, Zone: []string{"a", "b"}[k%2], Cell: k % 7}}
-	if cold {
-		b.bootedAt, b.StartedAt = s.now, s.now
-	}
+	id := fmt.Sprintf("s-%04x", s.rng.IntN(1<<16)*1000+k)
+	b := &simServer{maxConnections: 200, Server: Server{ID: id, Kind: "k", Weight: 1, Zone: []string{"a", "b"}[k%2], Cell: k % 7}}
 	s.servers = append(s.servers, b)
 	s.byID[b.ID] = b
+	return b
 }
 
-func (s *fleetSim) list() (l []Server) {
+// list is what discovery knows.
+func (s *fleetSim) list() (servers []Server) {
 	for _, b := range s.servers {
 		if !b.isDown {
-			l = append(l, b.Server)
+			servers = append(servers, b.Server)
 		}
 	}
-	return l
+	return servers
 }
 
+// sendEndpoints sends each engine the list, some time later.
 func (s *fleetSim) sendEndpoints() {
 	for i := range s.engines {
 		s.after(s.listDelay+time.Duration(s.rng.IntN(700))*ms, func() {
@@ -117,11 +144,12 @@
 func (s *fleetSim) replaceServers(n int, within time.Duration) {
 	for k := range n {
 		s.after(within*time.Duration(k)/time.Duration(n), func() {
-			b := s.servers[k]
-			b.State = Draining
-			s.add(true)
-			s.servers[len(s.servers)-1].Zone = b.Zone
-			s.after(2*time.Second, func() { b.isDown = true })
+			old := s.servers[k]
+			old.State = Draining
+			next := s.addServer()
+			next.Zone = old.Zone
+			next.bootedAt, next.StartedAt = s.now, s.now
+			s.after(2*time.Second, func() { old.isDown = true })
 		})
 	}
 	for at := time.Duration(0); at < within+3*time.Second; at += 300 * ms {
@@ -129,6 +157,7 @@
 	}
 }
 
+// loseZone has the servers of a zone down for a while; they start again cold.
 func (s *fleetSim) loseZone(zone string, d time.Duration) {
 	for _, b := range s.servers {
 		if b.Zone == zone && !b.isDown {
