--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -49,11 +49,11 @@
 		Classes:           map[string]latencyState{},
 		Kinds:             e.latencies.kindNames(),
 		Overload:          e.overload.export(),
-		RetryTokens:       e.retryTokens,
+		RetryTokens:       e.retries.tokens,
 		GossipRate:        e.gossipRate,
 		ResponseRate:      e.responseRate,
 		WarmRate:          e.warmRate,
-		HealthCheckCredit: e.healthCheckCredit,
+		HealthCheckCredit: e.healthChecks.credit,
 	}
 	for name, i := range e.classIndex {
 		state.Classes[name] = e.latencies.classes[i].export()
@@ -100,11 +100,11 @@
 	for i := range min(len(state.Peers), len(e.peers)) {
 		e.peers[i].restore(state.Peers[i])
 	}
-	e.retryTokens = state.RetryTokens
+	e.retries.tokens = state.RetryTokens
 	e.gossipRate = state.GossipRate
 	e.responseRate = state.ResponseRate
 	e.warmRate = state.WarmRate
-	e.healthCheckCredit = state.HealthCheckCredit
+	e.healthChecks.credit = state.HealthCheckCredit
 	return nil
 }
 
--- a/policy/hot_restart_learned.go
+++ b/policy/hot_restart_learned.go
@@ -77,7 +77,7 @@
 		StartedAt:            s.StartedAt,
 		LastProgressAt:       s.lastProgressAt,
 		EjectedUntil:         s.ejectedUntil,
-		BudgetUpdatedAt:      s.budgetUpdatedAt,
+		BudgetUpdatedAt:      s.warmup.updatedAt,
 		ConnectFailedAt:      s.connectFailedAt,
 		ConnectFailures:      s.connectFailures,
 		LastHeardAt:          s.lastHeardAt,
@@ -85,7 +85,7 @@
 		LatencyRatio:         s.latencyRatio,
 		FailureRate:          s.failureRate,
 		QueueLength:          s.queueLength,
-		WarmupBudget:         s.warmupBudget,
+		WarmupBudget:         s.warmup.work,
 		ConsecutiveEjections: s.consecutiveEjections,
 		IsUnresponsive:       s.isUnresponsive,
 	}
@@ -95,12 +95,12 @@
 func (s *server) restore(saved savedServer, now time.Duration) {
 	s.lastProgressAt = saved.LastProgressAt
 	s.ejectedUntil = saved.EjectedUntil
-	s.budgetUpdatedAt = min(saved.BudgetUpdatedAt, now)
+	s.warmup.updatedAt = min(saved.BudgetUpdatedAt, now)
 	s.connectFailedAt, s.connectFailures = saved.ConnectFailedAt, saved.ConnectFailures
 	s.lastHeardAt, s.lastHealthCheckAt = saved.LastHeardAt, saved.LastHealthCheckAt
 	s.latencyRatio, s.failureRate = saved.LatencyRatio, saved.FailureRate
 	s.queueLength = saved.QueueLength
-	s.warmupBudget = saved.WarmupBudget
+	s.warmup.work = saved.WarmupBudget
 	s.consecutiveEjections = saved.ConsecutiveEjections
 	s.isUnresponsive = saved.IsUnresponsive
 }
--- a/policy/quota_exchange.go
+++ b/policy/quota_exchange.go
@@ -79,6 +79,6 @@
 	}
 	r.inQuota = isGranted
 	e.returnUnits(r, r.Units)
-	delete(e.requestByNumber, r.number)
+	delete(e.requests.byNumber, r.number)
 	return true
 }
--- a/policy/quota_owner.go
+++ b/policy/quota_owner.go
@@ -25,7 +25,7 @@
 		return
 	}
 	r.awaitsOwner = true
-	e.actions.SetTimer(r.number<<timerBits|timerOwnerTimeout, ownerTimeout)
+	e.actions.SetTimer(timerToken(timerOwnerTimeout, r.number), ownerTimeout)
 }
 
 // ownerTimedOut goes by the fraction of requests that the owner granted recently, as far as it is known. It
@@ -73,7 +73,7 @@
 // receiveQuotaResponse goes on with the request that has waited for its owner.
 func (e *Engine) receiveQuotaResponse(from int, m quotaResponse) {
 	e.ownerTimeouts.recordResponse(from)
-	r := e.requestByNumber[m.number]
+	r := e.requests.byNumber[m.number]
 	if r == nil || r.owner != from || len(r.attempts) > 0 || e.clientLeft(r, m.isGranted) {
 		return
 	}
