--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,7 +10,7 @@
 	throttleRetryFraction = 4  // a throttled client should retry after the latency objective divided by this
 )
 
-// isTooLate tells whether a request is known to come too late for its latency objective. Each try of a
+// isTooLate reports whether a request is known to come too late for its latency objective. Each try of a
 // class begins with the same timeout, of which a later try of the same client has less left. Where its
 // response would be worth little, it gives way to those that can still be answered in time. Clients that
 // give each try a timeout of its own look younger than they are: those are not held back.
@@ -114,8 +114,8 @@
 	return min(wait, 2*e.gossipInterval) // a peer may transfer some
 }
 
-// mayExceedQuota tells whether a request beyond the quota may go on: only where that earns more than it costs
-// and the servers have capacity to spare.
+// mayExceedQuota reports whether a request beyond the quota may go on: only where that earns more than it
+// costs and the servers have capacity to spare.
 func (e *Engine) mayExceedQuota(p *Plan) bool {
 	return p.OverQuotaFraction > p.OverQuotaCost && e.overload.occupancy < e.spareCapacityOccupancy() &&
 		e.overload.admitFraction >= 1
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// hasIdleConnection tells whether a connection to the server should be open and idle.
+// hasIdleConnection reports whether a connection to the server should be open and idle.
 func (s *server) hasIdleConnection(now time.Duration) bool {
 	return s.expectedConnections > s.inFlight && now-s.lastUsedAt < idleConnectionTimeout
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// EndpointsChanged brings the list of servers or changes of it.
-func (e *Engine) EndpointsChanged(now time.Duration, form EndpointUpdateKind, entries []Server, out Actions) {
+// EndpointsChanged brings the endpoint list or changes of it.
+func (e *Engine) EndpointsChanged(now time.Duration, kind EndpointUpdateKind, entries []Server, out Actions) {
 	e.now, e.actions = now, out
-	if form == EndpointsUnavailable {
+	if kind == EndpointsUnavailable {
 		if e.settings.PollsEndpoints {
 			delay := time.Second + time.Duration(e.rng.Int64N(int64(time.Second)))
 			e.actions.SetTimer(timerToken(timerEndpointPoll, 0), delay)
 		}
 		return
 	}
-	if form != EndpointsDelta {
+	if kind != EndpointsDelta {
 		for _, s := range e.servers {
 			s.isListed = false
 		}
@@ -33,7 +33,7 @@
 	e.updateServers()
 }
 
-// updateServers drops servers that are gone and holds what the list says of all that are up.
+// updateServers drops servers that are gone, weighs those that accept requests and forms the subset of them.
 func (e *Engine) updateServers() {
 	kept := e.servers[:0]
 	e.maxServerWeight, e.weightsDiffer = 0, false
--- a/policy/fleet_means.go
+++ b/policy/fleet_means.go
@@ -3,44 +3,43 @@
 const (
 	ownMeansWeight  = 0.05 // of an own sample in the fleet's means: about two seconds
 	peerMeansWeight = 0.3  // of a peer's means in them
+	minMeanSamples  = 20   // after which own means are worth sending: two seconds
 )
 
-// mergeMeans takes figures of this or another gateway into the mean that goes with asks and answers.
-func (c *overloadController) mergeMeans(share float64, x [fleetMeanCount]float64) {
-	for i := range x {
-		c.fleetMeans[i] += share * (x[i] - c.fleetMeans[i])
+// The figures of the fleet's means, per sample. Their order is that of the messages.
+const (
+	meanOccupancySum     = iota // sum of the readings of the occupancy
+	meanOccupancySamples        // their number
+	meanAccepted
+	meanResponses
+	meanInFlight
+	fleetMeanCount
+)
+
+// mergeMeans takes figures of this or another node into the fleet's means.
+func (c *overloadController) mergeMeans(weight float64, means [fleetMeanCount]float64) {
+	for i := range means {
+		c.fleetMeans[i] += weight * (means[i] - c.fleetMeans[i])
 	}
 }
 
-// receiveMeans takes in a peer's figures. The first that a gateway hears it takes as they are: after a herd
-// of starts, means that all begin at nought would let all in at the same moment, and those of gateways that
-// know nothing yet, which are told as noughts, would lower what the others know.
-func (c *overloadController) receiveMeans(x [fleetMeanCount]float64) {
-	if x == [fleetMeanCount]float64{} {
+// receiveMeans takes in a peer's means. The first that a node receives it takes as they are: after a herd of
+// starts, means that all begin at zero would admit all at the same moment, and those of nodes that know nothing
+// yet, which are sent as zeros, would lower what the others know.
+func (c *overloadController) receiveMeans(means [fleetMeanCount]float64) {
+	if means == [fleetMeanCount]float64{} {
 		return
 	}
-	share := peerMeansWeight
 	if !c.hasPeerMeans {
-		c.hasPeerMeans, share = true, 1
+		c.hasPeerMeans = true
+		c.mergeMeans(1, means)
+		return
 	}
-	c.mergeMeans(share, x)
+	c.mergeMeans(peerMeansWeight, means)
 }
 
-// hasMeans tells whether the gateway's means are worth telling: it has heard some, or measured for long
+// hasMeans reports whether the node's means are worth sending: it has received some, or measured for long
 // enough.
 func (c *overloadController) hasMeans() bool {
 	return c.hasPeerMeans || c.sampleCount >= minMeanSamples
 }
-
-// minMeanSamples is the probes after which a gateway's own means are worth telling: two seconds.
-const minMeanSamples = 20
-
-// What goes into the pool.
-const (
-	meanOccupancySum     = iota // sum of the samples of the occupancy
-	meanOccupancySamples        // their number
-	meanAccepted
-	meanResponses
-	meanInFlight
-	fleetMeanCount
-)
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"math"
 	"time"
 )
 
@@ -11,22 +10,6 @@
 	unresponsiveCheckLead        = 3 * time.Second // an unresponsive server's check comes earlier by so much
 )
 
-// healthChecker spaces out the scheduled health checks. They are priced and cost the servers work, so a node
-// that forwards little checks seldom. Invariant: 0 <= credit <= 1, where 1 is one check.
-type healthChecker struct{ credit float64 }
-
-// earn adds to the credit what the requests forwarded in a sample have earned.
-func (h *healthChecker) earn(checks float64) { h.credit = math.Min(h.credit+checks, 1) }
-
-// take tells whether a check is due, and takes its credit.
-func (h *healthChecker) take() bool {
-	if h.credit < 1 {
-		return false
-	}
-	h.credit = 0
-	return true
-}
-
 // runHealthCheck checks the server whose turn it is, if a check is due.
 func (e *Engine) runHealthCheck() {
 	perForward, lead := healthChecksPerForward, time.Duration(0)
@@ -68,7 +51,7 @@
 	e.actions.CheckHealth(s.ID)
 }
 
-// mayCheckHealth tells whether health checks are allowed and answered with a load report.
+// mayCheckHealth reports whether health checks are allowed and answered with a load report.
 func (e *Engine) mayCheckHealth() bool {
 	return e.settings.AllowsHealthChecks && e.settings.LoadReports != LoadReportsNone
 }
--- a/policy/in_flight.go
+++ b/policy/in_flight.go
@@ -70,7 +70,7 @@
 	return ages
 }
 
-// isUnanswered tells whether an attempt tells of its server and not of work that waits: the server has said
+// isUnanswered reports whether an attempt tells of its server and not of work that waits: the server has said
 // nothing since, for several times as long as responses take. Where a fifth of the servers falls silent, the
 // bound on work in flight would reject what the others can do.
 func (e *Engine) isUnanswered(r *request, a *attempt, age float64) bool {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -37,6 +37,7 @@
 // kindRatio is the latency of a kind as a multiple of the mean.
 type kindRatio struct{ mean, n float64 }
 
+// newLatencyTable returns a table in which nothing is known.
 func newLatencyTable(classCount int) latencyTable {
 	return latencyTable{classes: make([]classLatency, classCount), kindIndex: map[string]int{}}
 }
@@ -67,6 +68,7 @@
 	return ratio, c.kinds[i].lowest
 }
 
+// record learns from the latency of one response.
 func (c *classLatency) record(seconds float64) {
 	if c.mean == 0 {
 		c.mean, c.deviation = seconds, seconds/2
@@ -76,6 +78,7 @@
 	c.mean += slowMeanWeight * (seconds - c.mean)
 }
 
+// record learns from one latency as a multiple of its class's mean.
 func (r *kindRatio) record(ratio float64) {
 	r.n++
 	r.mean += math.Max(1/(r.n+1), slowMeanWeight) * (ratio - r.mean)
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -1,14 +1,13 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
-const utilizationWeight = 0.3 // of a new report in a server's utilization
+// utilizationWeight is the weight of a new report in a server's utilization.
+const utilizationWeight = 0.3
 
-// lacksLoadReport tells whether latency has to stand for a server's load report. With a part of the
-// servers, each of which is probed seldom, any report of late will do: latencies of a fleet under load have
-// no lowest yet, and would outweigh the reports.
+// lacksLoadReport reports whether latency has to stand for a server's load report. With a subset of the
+// servers, each of which is checked seldom, any recent report will do: latencies of a fleet under load have no
+// lowest yet, and would outweigh the reports.
 func (e *Engine) lacksLoadReport(s *server) bool {
 	if e.usesAllServers() {
 		return s.reportedAt == 0
@@ -16,20 +15,22 @@
 	return e.lastLoadReportAt == 0 || e.now-e.lastLoadReportAt > decayTime
 }
 
-// recordLoadReport takes in a load report.
-func (e *Engine) recordLoadReport(s *server, l *LoadReport) {
-	if l == nil {
+// recordLoadReport takes in a load report, if one came.
+func (e *Engine) recordLoadReport(s *server, report *LoadReport) {
+	if report == nil {
 		return
 	}
-	if l.QueueLength >= 0 {
-		s.queueLength = l.QueueLength
+	if report.QueueLength >= 0 {
+		s.queueLength = report.QueueLength
 	}
-	if l.Utilization >= 0 {
-		s.reportedAt, e.lastLoadReportAt = e.now, e.now
-		if s.utilization < 0 {
-			s.utilization = l.Utilization
-		}
-		s.utilization += utilizationWeight * (math.Min(l.Utilization, 1) - s.utilization)
-		e.overload.addOccupancy(math.Min(l.Utilization, 1))
+	if report.Utilization < 0 {
+		return
+	}
+	s.reportedAt, e.lastLoadReportAt = e.now, e.now
+	if s.utilization < 0 {
+		s.utilization = report.Utilization
 	}
+	utilization := math.Min(report.Utilization, 1)
+	s.utilization += utilizationWeight * (utilization - s.utilization)
+	e.overload.addOccupancy(utilization)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// recordOutcome takes an outcome into the failure rate, and tells whether it ejects the server.
+// recordOutcome takes an outcome into the failure rate, and reports whether it ejects the server.
 func (s *server) recordOutcome(now time.Duration, result Result) (ejected bool) {
 	failure := 1.0
 	switch result {
@@ -136,6 +136,7 @@
 	}
 }
 
+// receiveServerFinding takes in a finding of one server.
 func (e *Engine) receiveServerFinding(s *server, from int, finding serverFinding) {
 	e.zoneReported(s, from, finding)
 	reports := &s.suspicionReports[boolToInt(finding.isUp)]
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -40,7 +40,7 @@
 	fleetMeans   [fleetMeanCount]float64 // per sample, over this node and its peers
 }
 
-// admit takes one request's part of f and tells whether the request may pass.
+// admit takes one request's part of f and reports whether the request may pass.
 func (c *overloadController) admit() bool {
 	c.throttleCredit += c.admitFraction
 	if c.throttleCredit < 1 {
@@ -86,42 +86,52 @@
 	return clampFraction(occupancyTarget * c.maxThroughput / c.acceptanceRate * c.admitFraction)
 }
 
+// clampFraction holds f between f min and 1.
 func clampFraction(f float64) float64 { return math.Min(math.Max(f, minAdmitFraction), 1) }
 
-// isOverloaded is an exception to ARO, whose f follows what has been answered and so comes late when work
-// piles up. By Little's law the attempts out over the answers per second are the delay that a new
-// request meets; where that leaves no hope of its aim, it is refused. It covers overload, stalls,
-// lost servers and retry storms alike; it harms where latency is long by nature, not by waiting.
-// Where requests are kept to zones, each zone has a bound of its own: work that piles up at one must not keep
-// others idle.
-func (e *Engine) isOverloaded(class int, zone string, price float64) bool {
-	c, value := &e.settings.Classes[class], e.relativeValue(class)
+// isOverloaded reports whether too much work is in flight for a new request: an exception to ARO, whose f
+// follows what has been answered and so comes late when work piles up. By Little's law the attempts in
+// flight over the responses per second are the delay that a new request meets; where that leaves no hope of
+// its latency objective, it is rejected. It covers overload, stalls, lost servers and retry storms alike;
+// it harms where latency is long by nature, not by waiting. Where requests are kept to zones, each zone has
+// a bound of its own: work that piles up at one must not keep others idle.
+func (e *Engine) isOverloaded(class int, zone string, priorityFactor float64) bool {
+	value := e.relativeValue(class)
 	if len(e.zones) > 0 {
-		value *= e.relativePriority(price)
-		return e.areZonesOverloaded(zone, queueTimeFraction*(1+value)/2*c.LatencyObjective.Seconds())
+		value *= e.relativePriority(priorityFactor)
 	}
-	answered := queueTimeFraction * (1 + value) / 2 * c.LatencyObjective.Seconds() // for all that is out
-	bound := e.responseRate * answered
-	out, servers := e.reachableInFlight()
+	objective := e.settings.Classes[class].LatencyObjective.Seconds()
+	queueTime := queueTimeFraction * (1 + value) / 2 * objective // for all that is in flight
+	if len(e.zones) > 0 {
+		return e.areZonesOverloaded(zone, queueTime)
+	}
+	inFlight, servers := e.reachableInFlight()
 	floor := minInFlightPerServer * servers / float64(e.settings.InstanceCount)
-	if bound < minOwnSamples && e.gossipRate > 1 && out < certainOverloadFactor*math.Max(bound, floor) {
-		// Few attempts are out by chance or not: the mean over the gateways it hears from must say so too.
-		// That comes seconds late: what can't be chance doesn't wait for it, or a burst would come in whole.
-		bound = e.overload.fleetMeans[meanResponses] / sampleInterval.Seconds() * answered
-		return out >= math.Max(bound, floor) && e.overload.fleetMeans[meanInFlight] >= math.Max(bound, floor)
+	bound := e.responseRate * queueTime
+	isCertain := inFlight >= certainOverloadFactor*math.Max(bound, floor)
+	if bound < minOwnSamples && e.gossipRate > 1 && !isCertain {
+		// Few attempts are in flight by chance or not: the fleet's means must say so too. They come seconds
+		// late: what cannot be chance does not wait for them, or a burst would come in whole.
+		responseRate := e.overload.fleetMeans[meanResponses] / sampleInterval.Seconds()
+		fleetBound := math.Max(responseRate*queueTime, floor)
+		return inFlight >= fleetBound && e.overload.fleetMeans[meanInFlight] >= fleetBound
 	}
-	return out >= math.Max(bound, floor)
+	return inFlight >= math.Max(bound, floor)
 }
 
-// areZonesOverloaded holds each zone to its own bound: what is out there must be answered within a time.
-func (e *Engine) areZonesOverloaded(zone string, answered float64) bool {
-	jammed := true
+// areZonesOverloaded holds each zone to its own bound: what is in flight there must be answered within a
+// time. It reports whether all the zones are overloaded that a request may go to: one, or all if none is
+// named.
+func (e *Engine) areZonesOverloaded(zone string, queueTime float64) bool {
+	areOverloaded := true
 	for name, z := range e.zones {
-		bound := math.Max(z.responseRate*answered, minInFlightPerServer*z.servers*z.InFlightFraction)
+		bound := math.Max(z.responseRate*queueTime, minInFlightPerServer*z.servers*z.InFlightFraction)
 		z.isOverloaded = z.servers == 0 || e.zoneInFlight(name) >= bound
-		jammed = jammed && (z.isOverloaded || zone != "" && zone != name)
+		if zone == "" || zone == name {
+			areOverloaded = areOverloaded && z.isOverloaded
+		}
 	}
-	return jammed
+	return areOverloaded
 }
 
 // relativeValue is what a class is worth for its work, as a share of the best class's.
@@ -136,16 +146,16 @@
 	return e.settings.Classes[class].PriorityWeight / e.expectedWork(class) / best
 }
 
-// relativePriority is a plan's price as a share of the dearest.
-func (e *Engine) relativePriority(price float64) float64 {
-	dearest := price
+// relativePriority is a plan's priority factor as a share of the highest.
+func (e *Engine) relativePriority(priorityFactor float64) float64 {
+	highest := priorityFactor
 	for p := range e.settings.Plans {
-		dearest = math.Max(dearest, e.settings.Plans[p].PriorityFactor)
+		highest = math.Max(highest, e.settings.Plans[p].PriorityFactor)
 	}
-	if dearest <= 0 {
+	if highest <= 0 {
 		return 1
 	}
-	return price / dearest
+	return priorityFactor / highest
 }
 
 // spareCapacityOccupancy is the occupancy up to which spare capacity may go to extras.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -66,7 +66,8 @@
 	lastLogAt time.Duration
 }
 
-// New returns a gateway for the settings, or an error that names a field that cannot be.
+// New returns an engine for the settings, or an error that names a field that cannot be. The seed is of all its
+// random draws: two engines with one seed and the same events act alike.
 func New(s Settings, seed uint64) (*Engine, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -97,15 +98,16 @@
 	return e, nil
 }
 
-// Start begins the gateway's work. Call it once, before any other event.
+// Start begins the engine's work. Call it once, before any other event.
 func (e *Engine) Start(now time.Duration, out Actions) {
 	e.now, e.actions, e.startedAt, e.overload.admitFraction = now, out, now, 1
 	e.gossipInterval = sampleInterval
-	if in := e.settings.GossipInboxRate; in > 0 {
-		gap := time.Duration(gossipIntervalFactor * float64(e.settings.InstanceCount-1) / in * float64(time.Second))
-		e.gossipInterval = max(gap, e.settings.MinEventInterval, minGossipInterval)
+	if inboxRate := e.settings.GossipInboxRate; inboxRate > 0 {
+		seconds := gossipIntervalFactor * float64(e.settings.InstanceCount-1) / inboxRate
+		interval := time.Duration(seconds * float64(time.Second))
+		e.gossipInterval = max(interval, e.settings.MinEventInterval, minGossipInterval)
 	}
-	// Gateways started together must not beat in step.
+	// Nodes started together must not beat in step.
 	e.actions.SetTimer(timerToken(timerSample, 0), time.Duration(e.rng.Int64N(int64(sampleInterval))))
 	if e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
 		e.actions.SetTimer(timerToken(timerGossip, 0), time.Duration(e.rng.Int64N(int64(e.gossipInterval))))
@@ -115,6 +117,7 @@
 	}
 }
 
+// log adds a line for the operators, at most one a second.
 func (e *Engine) log(format string, args ...any) {
 	if e.now-e.lastLogAt >= time.Second {
 		e.lastLogAt = e.now
--- a/policy/request.go
+++ b/policy/request.go
@@ -53,11 +53,13 @@
 	return requestTable{byID: map[string]*request{}, byNumber: map[uint64]*request{}, lastNumber: lastNumber}
 }
 
+// nextNumber returns the number of a new request.
 func (t *requestTable) nextNumber() uint64 {
 	t.lastNumber++
 	return t.lastNumber
 }
 
+// add puts a request under its ID and its number.
 func (t *requestTable) add(r *request) { t.byID[r.ID], t.byNumber[r.number] = r, r }
 
 // endAttempt books the end of an attempt.
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,7 +7,8 @@
 // slowAttemptDeviations is how many mean deviations over the mean make an attempt count as slow.
 const slowAttemptDeviations = 10
 
-// mayAttempt is rule 2 for a further attempt of the request at the server.
+// mayAttempt reports whether a further attempt of the request at the server is safe: no request runs twice
+// unless its class allows it.
 func (e *Engine) mayAttempt(r *request, s *server) bool {
 	if r.isAnswered || r.isStreaming || r.inFlight > 0 && !e.settings.AllowsHedging ||
 		e.settings.MaxAttempts > 0 && len(r.attempts) >= e.settings.MaxAttempts {
@@ -30,7 +31,7 @@
 	return true
 }
 
-// mayReject is rule 2 for a refusal, which promises that trying again is harmless.
+// mayReject reports whether a request may be rejected, which promises that trying again is harmless.
 func (e *Engine) mayReject(r *request) bool {
 	c := &e.settings.Classes[r.class]
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers {
@@ -109,8 +110,8 @@
 	return true
 }
 
-// mayHedge tells whether a second attempt of a request may be in flight now. It must not push the customer's
-// next request beyond its limit.
+// mayHedge reports whether a second attempt of a request may be in flight now. It must not push the
+// customer's next request beyond its limit.
 func (e *Engine) mayHedge(r *request) bool {
 	if r.isAnswered || r.isStreaming || r.inFlight != 1 || e.overload.occupancy >= highOccupancy {
 		return false
@@ -119,7 +120,7 @@
 	return limit == 0 || e.inFlightCapacity(r.quota) > r.quota.instanceCount
 }
 
-// finish gives the final answer: a refusal where that promise holds.
+// finish gives the final answer: a rejection where its promise holds.
 func (e *Engine) finish(r *request) {
 	if r.isAnswered {
 		return
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -14,7 +14,7 @@
 // earn adds what a request forwarded earns.
 func (b *retryBudget) earn() { b.tokens = math.Min(b.tokens+retryTokensPerRequest, maxRetryTokens) }
 
-// allows tells whether the budget has a further attempt.
+// allows reports whether the budget has a further attempt.
 func (b *retryBudget) allows() bool { return b.tokens >= 1 }
 
 // spend takes a further attempt.
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -71,7 +71,7 @@
 	return best
 }
 
-// mayServe tells whether the request may go to the server at all.
+// mayServe reports whether the request may go to the server at all.
 func (e *Engine) mayServe(r *request, s *server) bool {
 	if r.Zone != "" && s.Zone != r.Zone || !s.acceptsRequests() || !e.mayAttempt(r, s) {
 		return false
--- a/policy/server.go
+++ b/policy/server.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-const minCapacityFraction = 0.01 // of a server that has just started
+// minCapacityFraction is what a server that has just started has at least.
+const minCapacityFraction = 0.01
 
 // server is what is known of one server.
 // Invariant: inFlight counts the attempts that it is at work on; what was learned of it is of the process that
@@ -49,6 +50,7 @@
 	subsetCorrection float64 // how much oftener it is chosen than by weight, as fewer nodes have it in theirs
 }
 
+// newServer returns a server of which nothing is known.
 func newServer(id string) *server {
 	return &server{
 		latencyRatio:     1,
@@ -73,15 +75,15 @@
 	s.Server, s.isListed = listed, listed.State != Removed
 }
 
-// isEjected tells whether the server is kept for when no other is left.
+// isEjected reports whether the server is kept for when no other is left.
 func (s *server) isEjected(now time.Duration) bool { return s.isUnresponsive || now < s.ejectedUntil }
 
-// isSuspected tells whether the server is held to be down, by this node or by its peers.
+// isSuspected reports whether the server is held to be down, by this node or by its peers.
 func (s *server) isSuspected(now time.Duration) bool {
 	return s.isUnresponsive || now < s.suspectedUntil
 }
 
-// acceptsRequests tells whether the server is in the list and not draining.
+// acceptsRequests reports whether the server is in the list and not draining.
 func (s *server) acceptsRequests() bool { return s.isListed && s.State == Up }
 
 // weight is the server's relative size as listed.
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -123,6 +123,7 @@
 	return validatePlans(s.Plans)
 }
 
+// validateClasses returns an error that names the first class that cannot be.
 func validateClasses(classes []Class) error {
 	names := map[string]bool{}
 	for _, c := range classes {
@@ -137,6 +138,7 @@
 	return nil
 }
 
+// validatePlans returns an error that names the first plan that cannot be.
 func validatePlans(plans []Plan) error {
 	names := map[string]bool{}
 	for _, p := range plans {
--- a/policy/settings_update.go
+++ b/policy/settings_update.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ValidateTables tells whether classes and plans can be put in force: the error names what cannot.
+// ValidateTables reports whether classes and plans can be put in force: the error names what cannot.
 func (e *Engine) ValidateTables(classes []Class, plans []Plan) error {
 	set := e.settings
 	set.Classes, set.Plans = classes, plans
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,7 +6,7 @@
 
 const coldBudgetFraction = 0.5 // of the overload budget that is used: work varies
 
-// hasWarmupBudget tells whether a request of a class may be sent to a server that may be warming up. This
+// hasWarmupBudget reports whether a request of a class may be sent to a server that may be warming up. This
 // node sends a cold server part of the overload multiple of what a warm one is seen to serve, which all
 // nodes together cannot exceed.
 func (e *Engine) hasWarmupBudget(s *server, class int) bool {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -64,7 +64,7 @@
 	return maxWeight
 }
 
-// needsNewSubset tells whether the subset has to be formed anew: it cannot carry the load, or need not be so
+// needsNewSubset reports whether the subset has to be formed anew: it cannot carry the load, or need not be so
 // large.
 func (e *Engine) needsNewSubset() bool {
 	var fit, all float64
@@ -81,7 +81,7 @@
 	return e.subset.width.Now(e.now, fit/all, len(e.subset.members), float64(e.inFlight))
 }
 
-// usesAllServers tells whether the rule gives this node all servers. A subset that has widened to all of them
+// usesAllServers reports whether the rule gives this node all servers. A subset that has widened to all of them
 // is one still, and shrinks.
 func (e *Engine) usesAllServers() bool { return !e.subset.isPartial }
 
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// serverFinding is what a gateway found out of a server: that it is silent, or that it answers again.
+// serverFinding is what a node found out of a server: that it is unresponsive, or that it responds again.
 type serverFinding struct {
 	serverID uint16
 	isUp     bool
-	foundAt  time.Duration // of its own notes: when
+	foundAt  time.Duration // of an own finding
 }
 
-// maxFindings is the most notes in a message, the latest of those kept.
+// maxFindings is how many findings a message holds at most: the latest.
 const maxFindings = 4
 
 // addFinding keeps a finding for the next messages to peers.
@@ -29,7 +29,7 @@
 	}
 }
 
-// suspectedCount counts the servers of the part that are silent to this gateway or, as peers say, to them.
+// suspectedCount counts the servers of the subset that are held to be down, by this node or by its peers.
 func (e *Engine) suspectedCount() (n int) {
 	for _, s := range e.subset.members {
 		n += boolToInt(s.isSuspected(e.now))
@@ -37,19 +37,27 @@
 	return n
 }
 
-// suspicionReports are the two peers that said something last.
+// suspicionReports are the two peers that reported one finding of a server last. Invariant: they differ.
 type suspicionReports struct {
 	from       [2]int
-	reportedAt [2]time.Duration
+	reportedAt [2]time.Duration // 0: none
 }
 
-// confirms takes in that a peer says it, and tells whether another one did so of late.
-func (v *suspicionReports) confirms(from int, now time.Duration) bool {
-	k := 0
-	if v.reportedAt[0] != 0 && v.from[0] != from && (v.from[1] == from || v.reportedAt[1] < v.reportedAt[0]) {
-		k = 1
+// confirms takes in a peer's report, and reports whether another peer made the same of late.
+func (r *suspicionReports) confirms(from int, now time.Duration) bool {
+	i := r.placeFor(from)
+	r.from[i], r.reportedAt[i] = from, now
+	other := r.reportedAt[1-i]
+	return other != 0 && r.from[1-i] != from && now-other < findingTTL
+}
+
+// placeFor returns the place of a peer's report: its own, or the free or older one.
+func (r *suspicionReports) placeFor(from int) int {
+	if r.reportedAt[0] == 0 || r.from[0] == from {
+		return 0
+	}
+	if r.from[1] == from || r.reportedAt[1] < r.reportedAt[0] {
+		return 1
 	}
-	v.from[k], v.reportedAt[k] = from, now
-	other := v.reportedAt[1-k]
-	return other != 0 && v.from[1-k] != from && now-other < findingTTL
+	return 0
 }
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -16,10 +16,12 @@
 // timerBits is how many bits of a token hold the kind.
 const timerBits = 3
 
+// timerToken returns the token of a timer.
 func timerToken(kind timerKind, requestNumber uint64) uint64 {
 	return requestNumber<<timerBits | uint64(kind)
 }
 
+// parseTimerToken takes a token apart.
 func parseTimerToken(token uint64) (kind timerKind, requestNumber uint64) {
 	return timerKind(token & (1<<timerBits - 1)), token >> timerBits
 }
