--- a/policy/admission.go
+++ b/policy/admission.go
@@ -111,7 +111,7 @@
 	if quota.usesOwner {
 		return wait
 	}
-	return min(wait, 2*e.gossipInterval) // a peer may transfer some
+	return min(wait, 2*e.gossip.interval) // a peer may transfer some
 }
 
 // mayExceedQuota tells whether a request beyond the quota may go on: only where that earns more than it costs
--- a/policy/events.go
+++ b/policy/events.go
@@ -126,7 +126,7 @@
 	case timerGossip:
 		// Each message takes its interval, so that long rounds stay within the inbox limit too.
 		messages := max(e.broadcast(), 1)
-		e.actions.SetTimer(timerToken(timerGossip, 0), e.gossipInterval*time.Duration(messages))
+		e.actions.SetTimer(timerToken(timerGossip, 0), e.gossip.interval*time.Duration(messages))
 	case timerEndpointPoll:
 		e.actions.WatchEndpoints(true)
 	case timerDeadline:
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -8,19 +8,16 @@
 	"time"
 )
 
-const (
-	minGossipInterval    = 40 * time.Millisecond
-	gossipIntervalFactor = 1.3 // interval as a multiple of what the inbox limit allows
-	maxIdleGossipRounds  = 3   // messages that report nothing in flight, so that a lost one does no harm
-)
+// maxIdleGossipRounds is the messages that report nothing in flight, so that a lost one does no harm.
+const maxIdleGossipRounds = 3
 
 // GossipReceived brings a message of another instance. A malformed one is ignored whole.
 func (e *Engine) GossipReceived(now time.Duration, from int, message []byte, out Actions) {
 	e.now, e.actions = now, out
-	if from < 0 || from >= len(e.peers) || from == e.settings.InstanceIndex || len(message) == 0 {
+	if from < 0 || from >= len(e.gossip.peers) || from == e.settings.InstanceIndex || len(message) == 0 {
 		return
 	}
-	e.gossipReceived++
+	e.gossip.received++
 	if message[0] != kindGossip && message[0] != kindGossipV1 {
 		e.receiveQuotaMessage(from, message)
 		return
@@ -29,7 +26,7 @@
 	if err != nil {
 		return
 	}
-	e.receiveEntries(from, e.peers[from].newEntries(decoded))
+	e.receiveEntries(from, e.gossip.peers[from].newEntries(decoded))
 }
 
 // receiveEntries takes in what a peer tells of customers. Its plan of a customer may have changed and this instance's
@@ -52,45 +49,37 @@
 	quota.peerInFlight[from] = peerCount{inFlight, e.now}
 }
 
-// markForGossip adds a quota to those that the next broadcast tells of.
+// markForGossip has the next broadcast tell of a quota, unless its owner is asked.
 func (e *Engine) markForGossip(quota *customerQuota) {
-	if !quota.needsGossip && !quota.usesOwner && e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
-		quota.needsGossip = true
-		e.gossipPending = append(e.gossipPending, quota)
+	if !quota.usesOwner && e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
+		e.gossip.mark(quota)
 	}
 }
 
 // broadcast tells each peer of the pending quotas whose customers it serves, and returns the most messages that one
 // was sent.
 func (e *Engine) broadcast() (maxMessages int) {
-	for peer := range e.peers {
+	for peer := range e.gossip.peers {
 		if peer != e.settings.InstanceIndex {
 			maxMessages = max(maxMessages, e.broadcastTo(peer))
 		}
 	}
-	pending := e.gossipPending[:0]
-	for _, quota := range e.gossipPending {
-		quota.recordBroadcast(e.planOf(quota))
-		if quota.needsGossip {
-			pending = append(pending, quota)
-		}
-	}
-	e.gossipPending = pending
+	e.gossip.endBroadcast(e.settings.Plans)
 	return maxMessages
 }
 
 // broadcastTo tells a peer of the pending quotas, in as many messages as it takes, and returns their number.
 func (e *Engine) broadcastTo(instance int) (messages int) {
-	codec, receiver := e.codec(), &e.peers[instance]
+	codec, receiver := e.codec(), &e.gossip.peers[instance]
 	var entries encodedEntries
 	flush := func() {
 		if receiver.hasNews(entries) {
-			e.actions.SendGossip(instance, receiver.nextMessage(e.epoch, entries))
+			e.actions.SendGossip(instance, receiver.nextMessage(e.gossip.epoch, entries))
 			entries = encodedEntries{}
 			messages++
 		}
 	}
-	for _, quota := range e.gossipPending {
+	for _, quota := range e.gossip.pending {
 		if !quota.includes(instance, e.settings.InstanceCount) {
 			continue
 		}
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -50,7 +50,7 @@
 		Kinds:             e.latencies.kindNames(),
 		Overload:          e.overload.export(),
 		RetryTokens:       e.retries.tokens,
-		GossipRate:        e.gossipRate,
+		GossipRate:        e.gossip.rate,
 		ResponseRate:      e.responseRate,
 		WarmRate:          e.warmRate,
 		HealthCheckCredit: e.healthChecks.credit,
@@ -65,8 +65,8 @@
 	for _, s := range e.servers {
 		state.Servers = append(state.Servers, s.export())
 	}
-	for i := range e.peers {
-		state.Peers = append(state.Peers, e.peers[i].export())
+	for i := range e.gossip.peers {
+		state.Peers = append(state.Peers, e.gossip.peers[i].export())
 	}
 	return json.Marshal(state)
 }
@@ -97,11 +97,11 @@
 		}
 	}
 	e.overload = restoredOverloadController(state.Overload)
-	for i := range min(len(state.Peers), len(e.peers)) {
-		e.peers[i].restore(state.Peers[i])
+	for i := range min(len(state.Peers), len(e.gossip.peers)) {
+		e.gossip.peers[i].restore(state.Peers[i])
 	}
 	e.retries.tokens = state.RetryTokens
-	e.gossipRate = state.GossipRate
+	e.gossip.rate = state.GossipRate
 	e.responseRate = state.ResponseRate
 	e.warmRate = state.WarmRate
 	e.healthChecks.credit = state.HealthCheckCredit
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -121,17 +121,17 @@
 	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
-	if !g.peers[0].isKnown {
+	if !g.gossip.peers[0].isKnown {
 		t.Fatal("no tell was heard")
 	}
 	level := next.quotas.byCustomer[1].tokens
 	entry := next.gossipEntryFor(&customerQuota{key: 1, quotaScope: quotaScope{instanceCount: 3}, pendingUnits: 2}, 0)
 	entries := encodedEntries{count: 1, bytes: next.codec().appendEntry(nil, entry)}
-	next.GossipReceived(now, 0, encodeGossip(g.peers[0].epoch, g.peers[0].receivedSequence, entries, encodedEntries{}), rn)
+	next.GossipReceived(now, 0, encodeGossip(g.gossip.peers[0].epoch, g.gossip.peers[0].receivedSequence, entries, encodedEntries{}), rn)
 	if next.quotas.byCustomer[1].tokens != level {
 		t.Errorf("an old tell took %v", level-next.quotas.byCustomer[1].tokens)
 	}
-	next.GossipReceived(now, 0, encodeGossip(g.peers[0].epoch, g.peers[0].receivedSequence+1, entries, encodedEntries{}), rn)
+	next.GossipReceived(now, 0, encodeGossip(g.gossip.peers[0].epoch, g.gossip.peers[0].receivedSequence+1, entries, encodedEntries{}), rn)
 	if next.quotas.byCustomer[1].tokens != level-2 {
 		t.Errorf("a new tell took %v of 2", level-next.quotas.byCustomer[1].tokens)
 	}
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -104,7 +104,7 @@
 	bound := e.responseRate * answered
 	out, servers := e.reachableInFlight()
 	floor := minInFlightPerServer * servers / float64(e.settings.InstanceCount)
-	if bound < minOwnSamples && e.gossipRate > 1 && out < certainOverloadFactor*math.Max(bound, floor) {
+	if bound < minOwnSamples && e.gossip.rate > 1 && out < certainOverloadFactor*math.Max(bound, floor) {
 		// Few attempts are out by chance or not: the mean over the gateways it hears from must say so too.
 		// That comes seconds late: what can't be chance doesn't wait for it, or a burst would come in whole.
 		bound = e.overload.fleetMeans[meanResponses] / sampleInterval.Seconds() * answered
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -144,7 +144,7 @@
 func TestBurstIsPartlyRejected(t *testing.T) {
 	const n = 4
 	g, r := newEngine(t, testSettings(), testServers(n)...)
-	g.gossipRate = 10
+	g.gossip.rate = 10
 	for i := range 200 {
 		q := newRequest(i, "safe", "rate", uint64(i))
 		q.InstanceCount = 1
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -55,13 +55,7 @@
 	overQuota     OverQuotaUnits
 	ownerTimeouts ownerTimeouts
 
-	// Gossip.
-	epoch          uint64 // tells this process from those before it
-	peers          []peer
-	gossipInterval time.Duration
-	gossipPending  []*customerQuota // to be told with the next gossip
-	gossipReceived float64          // messages in this sample
-	gossipRate     float64          // a second, moving average
+	gossip gossipState
 
 	lastLogAt time.Duration
 }
@@ -79,7 +73,6 @@
 		planIndex:     map[string]int{},
 		latencies:     newLatencyTable(len(s.Classes)),
 		quotas:        newQuotaTable(),
-		peers:         make([]peer, s.InstanceCount),
 		ownerTimeouts: ownerTimeouts{byOwner: make([]int, s.InstanceCount)},
 		zones:         map[string]*zoneState{},
 		zoneWatch:     zonehealth.New(zonehealth.Usual),
@@ -92,7 +85,7 @@
 	for i, p := range s.Plans {
 		e.planIndex[p.Name] = i
 	}
-	e.epoch = uint64(e.rng.Uint32() >> 16)
+	e.gossip = newGossipState(uint64(e.rng.Uint32()>>16), s.InstanceCount)
 	e.requests = newRequestTable(uint64(e.rng.Uint32() >> 12))
 	return e, nil
 }
@@ -100,15 +93,11 @@
 // Start begins the gateway's work. Call it once, before any other event.
 func (e *Engine) Start(now time.Duration, out Actions) {
 	e.now, e.actions, e.startedAt, e.overload.admitFraction = now, out, now, 1
-	e.gossipInterval = sampleInterval
-	if in := e.settings.GossipInboxRate; in > 0 {
-		gap := time.Duration(gossipIntervalFactor * float64(e.settings.InstanceCount-1) / in * float64(time.Second))
-		e.gossipInterval = max(gap, e.settings.MinEventInterval, minGossipInterval)
-	}
+	e.gossip.interval = e.settings.gossipInterval()
 	// Gateways started together must not beat in step.
 	e.actions.SetTimer(timerToken(timerSample, 0), time.Duration(e.rng.Int64N(int64(sampleInterval))))
 	if e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
-		e.actions.SetTimer(timerToken(timerGossip, 0), time.Duration(e.rng.Int64N(int64(e.gossipInterval))))
+		e.actions.SetTimer(timerToken(timerGossip, 0), time.Duration(e.rng.Int64N(int64(e.gossip.interval))))
 	}
 	if e.settings.PollsEndpoints {
 		e.actions.WatchEndpoints(true)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -19,7 +19,7 @@
 // splitQuota sets over how many instances a quota is split, and this one's fractions of it.
 func (e *Engine) splitQuota(quota *customerQuota, plan *Plan) {
 	quota.instanceSplit = quota.instanceCount
-	gossipIsLate := e.gossipInterval > samplesPerAssessment*sampleInterval
+	gossipIsLate := e.gossip.interval > samplesPerAssessment*sampleInterval
 	if e.settings.AllowsGossip && quota.instanceCount > 1 && gossipIsLate {
 		// As many owners as it takes for their inboxes to hold the requests.
 		owners := int(math.Ceil(plan.Rate / (ownerInboxFraction * e.settings.GossipInboxRate)))
@@ -56,7 +56,7 @@
 	plan := e.planOf(quota)
 	if plan.MaxInFlight > 0 && !e.hasInFlightCapacity(quota, plan) {
 		quota.contendedUntil = e.now + contentionWindow
-		return false, min(e.gossipInterval, ownerTimeout)
+		return false, min(e.gossip.interval, ownerTimeout)
 	}
 	if plan.Rate > 0 && !e.hasTokens(quota, plan, demand.units) {
 		// A bucket that fills slowly is contended for longer.
@@ -65,7 +65,7 @@
 			window = max(window, refillTime(contentionTries*demand.units, rate))
 		}
 		quota.contendedUntil = e.now + window
-		return false, max(refillTime(demand.units-quota.tokens, rate), min(e.gossipInterval, ownerTimeout))
+		return false, max(refillTime(demand.units-quota.tokens, rate), min(e.gossip.interval, ownerTimeout))
 	}
 	return true, 0
 }
--- a/policy/quota_owner.go
+++ b/policy/quota_owner.go
@@ -57,7 +57,7 @@
 	case isGranted:
 		wait = 0
 		e.grant(quota, from, m.quotaUnits)
-	case e.gossipRate > ownerOverloadFraction*e.settings.GossipInboxRate:
+	case e.gossip.rate > ownerOverloadFraction*e.settings.GossipInboxRate:
 		// More members ask in vain than the inbox takes: each pauses until it is its turn again. In large
 		// fleets a third of an inbox is what all customers' requests come to at normal load.
 		turns := float64(quota.instanceCount / quota.instanceSplit)
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -158,7 +158,7 @@
 		member.RequestReceived(t0, ownerRequest(1, 77), r)
 		to := member.ownerFor(member.quotas.byCustomer[77])
 		h, hr := newOwnerEngine(t, to)
-		h.gossipRate = inbox
+		h.gossip.rate = inbox
 		h.quotaFor(77, ownerScope(h)).tokens = 0
 		h.GossipReceived(t0, 10, r.gossip[to][0], hr)
 		member.GossipReceived(t0, to, hr.gossip[10][0], r)
--- a/policy/quota_table.go
+++ b/policy/quota_table.go
@@ -90,7 +90,7 @@
 
 // inFlightCapacity returns how many more attempts the customer may have in flight, as far as is known.
 func (e *Engine) inFlightCapacity(quota *customerQuota) int {
-	peerCountTTL := peerCountTTLIntervals * e.gossipInterval
+	peerCountTTL := peerCountTTLIntervals * e.gossip.interval
 	return quota.inFlightCapacity(e.planOf(quota), e.settings.InstanceIndex, e.now, peerCountTTL)
 }
 
@@ -103,7 +103,7 @@
 
 // transferTimeout returns how long a gossip message, and its repeat in the next, may be in transit.
 func (e *Engine) transferTimeout() time.Duration {
-	return max(minTransferTimeout, transferTimeoutIntervals*e.gossipInterval)
+	return max(minTransferTimeout, transferTimeoutIntervals*e.gossip.interval)
 }
 
 // OverQuotaUnits counts units, since the start, that went to servers beyond customers' quotas.
--- a/policy/quota_transfer_test.go
+++ b/policy/quota_transfer_test.go
@@ -128,7 +128,7 @@
 	seen := map[tell]bool{}
 	for _, p := range w.network {
 		m, _ := w.engines[p.to].codec().decodeGossip(p.message)
-		by := &w.engines[p.to].peers[p.from]
+		by := &w.engines[p.to].gossip.peers[p.from]
 		known := by.isKnown && m.epoch == by.epoch
 		for i, es := range [][]gossipEntry{m.entries, m.previousEntries} {
 			k := tell{p.from, p.to, m.epoch, m.sequence - uint64(i)}
--- a/policy/rates.go
+++ b/policy/rates.go
@@ -47,6 +47,6 @@
 	// After a start the average is over what there is, or the first second would be rejected.
 	share := math.Max(rateWeight, 1/(1+float64(e.now-e.startedAt)/float64(sampleInterval)))
 	e.responseRate += share * (e.responses/sampleInterval.Seconds() - e.responseRate)
-	e.gossipRate += rateWeight * (e.gossipReceived/sampleInterval.Seconds() - e.gossipRate)
-	e.warmWork, e.responses, e.gossipReceived = 0, 0, 0
+	e.gossip.closeSample()
+	e.warmWork, e.responses = 0, 0
 }
