--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -10,7 +10,7 @@
 	e.now, e.actions = now, out
 	if kind == EndpointsUnavailable {
 		if e.settings.PollsEndpoints {
-			delay := time.Second + time.Duration(e.rng.Int64N(int64(time.Second)))
+			delay := time.Second + e.randomDelay(time.Second)
 			e.actions.SetTimer(timerToken(timerEndpointPoll, 0), delay)
 		}
 		return
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -109,7 +109,7 @@
 	floor := minInFlightPerServer * servers / float64(e.settings.InstanceCount)
 	bound := e.responseRate * queueTime
 	isCertain := inFlight >= certainOverloadFactor*math.Max(bound, floor)
-	if bound < minOwnSamples && e.gossipRate > 1 && !isCertain {
+	if bound < minOwnSamples && e.gossip.rate > 1 && !isCertain {
 		// Few attempts are in flight by chance or not: the fleet's means must say so too. They come seconds
 		// late: what cannot be chance does not wait for them, or a burst would come in whole.
 		responseRate := e.overload.fleetMeans[meanResponses] / sampleInterval.Seconds()
