--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 // EndpointsChanged brings the endpoint list or changes of it.
 func (e *Engine) EndpointsChanged(now time.Duration, kind EndpointUpdateKind, entries []Server, out Actions) {
@@ -15,39 +12,9 @@
 		}
 		return
 	}
-	if kind != EndpointsDelta {
-		for _, s := range e.servers {
-			s.isListed = false
-		}
-	}
-	for _, listed := range entries {
-		s := e.serverByID[listed.ID]
-		if s == nil {
-			s = newServer(listed.ID)
-			e.serverByID[listed.ID] = s
-			e.servers = append(e.servers, s)
-		}
-		s.update(listed)
-		e.latencies.addKind(listed.Kind)
-	}
-	e.updateServers()
-}
-
-// updateServers drops servers that are gone, weighs those that accept requests and forms the subset of them.
-func (e *Engine) updateServers() {
-	kept := e.servers[:0]
-	e.maxServerWeight, e.weightsDiffer = 0, false
-	for _, s := range e.servers {
-		if !s.isListed && s.inFlight == 0 {
-			delete(e.serverByID, s.ID)
-			continue
-		}
-		kept = append(kept, s)
-		if s.acceptsRequests() {
-			e.weightsDiffer = e.weightsDiffer || e.maxServerWeight > 0 && s.weight() != e.maxServerWeight
-			e.maxServerWeight = math.Max(e.maxServerWeight, s.weight())
-		}
+	for _, entry := range entries {
+		e.latencies.addKind(entry.Kind)
 	}
-	e.servers = kept
+	e.servers.update(kind, entries)
 	e.formSubset()
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -57,7 +57,7 @@
 // HealthCheckCompleted brings the result of a health check.
 func (e *Engine) HealthCheckCompleted(now time.Duration, id string, res Result, l *LoadReport, out Actions) {
 	e.now, e.actions = now, out
-	s := e.serverByID[id]
+	s := e.servers.byID[id]
 	if s == nil {
 		return
 	}
@@ -145,10 +145,10 @@
 // runSample is the work of each sample interval: assess the load, then health, quotas, subset and rates.
 func (e *Engine) runSample() {
 	ages := e.attemptAges(youngAttemptFraction)
-	e.overdue = ages.overdue
+	e.load.overdue = ages.overdue
 	before := e.overload.admitFraction
 	// Attempts at a few unresponsive servers must not read as an overload of all.
-	e.overload.closeSample(e.responses, ages.young)
+	e.overload.closeSample(e.load.responses, ages.young)
 	if before >= 1 && e.overload.admitFraction < 1 {
 		e.log("overload: sending on %.2f of what quotas admit, occupancy %.2f",
 			e.overload.admitFraction, e.overload.occupancy)
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -35,7 +35,7 @@
 	for c := uint64(0); c < 100; c++ {
 		q := newSharedRequest("rate", c<<25, 2)
 		offerRequests(a, ra, t0, 1, q)
-		a.inFlight = 0
+		a.load.inFlight = 0
 	}
 	a.TimerFired(t0, timerToken(timerGossip, 0), ra)
 	for _, m := range ra.gossip[1] {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -113,7 +113,7 @@
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Customer, now, i)
 		q.Units = max(q.Units, 1)
-		g.inFlight = 0 // the quota alone is looked at
+		g.load.inFlight = 0 // the quota alone is looked at
 		g.RequestReceived(now, q, r)
 	}
 	return r.count("send") - before
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -17,7 +17,7 @@
 		perForward, lead = subsetHealthChecksPerForward, unresponsiveCheckLead
 	}
 	e.healthChecks.earn(e.overload.fleetMeans[meanAccepted] * perForward)
-	if !e.mayCheckHealth() || len(e.servers) == 0 || !e.healthChecks.take() {
+	if !e.mayCheckHealth() || len(e.servers.list) == 0 || !e.healthChecks.take() {
 		return
 	}
 	if next := nextHealthCheck(e.subset.members, lead); next != nil {
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -51,8 +51,8 @@
 		Overload:          e.overload.export(),
 		RetryTokens:       e.retries.tokens,
 		GossipRate:        e.gossip.rate,
-		ResponseRate:      e.responseRate,
-		WarmRate:          e.warmRate,
+		ResponseRate:      e.load.responseRate,
+		WarmRate:          e.load.warmRate,
 		HealthCheckCredit: e.healthChecks.credit,
 	}
 	for name, i := range e.classIndex {
@@ -62,7 +62,7 @@
 		state.KindRatios = append(state.KindRatios, kind.mean)
 		state.KindSamples = append(state.KindSamples, kind.n)
 	}
-	for _, s := range e.servers {
+	for _, s := range e.servers.list {
 		state.Servers = append(state.Servers, s.export())
 	}
 	for i := range e.gossip.peers {
@@ -92,7 +92,7 @@
 	}
 	e.latencies.restoreKinds(&state)
 	for _, saved := range state.Servers {
-		if s := e.serverByID[saved.ID]; s != nil && s.StartedAt == saved.StartedAt {
+		if s := e.servers.byID[saved.ID]; s != nil && s.StartedAt == saved.StartedAt {
 			s.restore(saved, now)
 		}
 	}
@@ -102,8 +102,8 @@
 	}
 	e.retries.tokens = state.RetryTokens
 	e.gossip.rate = state.GossipRate
-	e.responseRate = state.ResponseRate
-	e.warmRate = state.WarmRate
+	e.load.responseRate = state.ResponseRate
+	e.load.warmRate = state.WarmRate
 	e.healthChecks.credit = state.HealthCheckCredit
 	return nil
 }
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -42,7 +42,7 @@
 		}
 		g.TimerFired(now+50*ms, timerToken(timerSample, 0), r)
 	}
-	g.servers[0].isUnresponsive = true
+	g.servers.list[0].isUnresponsive = true
 	return g, r
 }
 
--- a/policy/in_flight.go
+++ b/policy/in_flight.go
@@ -28,9 +28,9 @@
 // these servers, a cold one as the fraction of one that it is. Of servers outside of its subset a node knows
 // nothing: they are held to be as those of the subset are.
 func (e *Engine) reachableInFlight() (inFlight, servers float64) {
-	inFlight = math.Max(float64(e.inFlight)-e.overdue, 0)
+	inFlight = math.Max(float64(e.load.inFlight)-e.load.overdue, 0)
 	accepting, inSubset := 0.0, 0.0
-	for _, s := range e.servers {
+	for _, s := range e.servers.list {
 		if s.isUnresponsive {
 			inFlight -= float64(s.inFlight)
 		}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -10,7 +10,7 @@
 // A refused connection ejects at once, for longer each time, and an answer ends it.
 func TestEjectionTimeDoubles(t *testing.T) {
 	g, r := newEngine(t, testSettings(), testServers(2)...)
-	s := g.serverByID["s0"]
+	s := g.servers.byID["s0"]
 	q := &request{}
 	var last time.Duration
 	for i := 1; i <= 6; i++ {
@@ -36,7 +36,7 @@
 // one; an answer that came meanwhile tells that it lives.
 func TestUnresponsiveServerIsOutUntilItAnswers(t *testing.T) {
 	g, r := newEngine(t, healthCheckSettings(), testServers(2)...)
-	s, now := g.serverByID["s0"], t0
+	s, now := g.servers.byID["s0"], t0
 	sentTo := func(id string) (n int) {
 		for i := range 30 {
 			now += 50 * ms
@@ -81,13 +81,13 @@
 		if i%10 == 9 {
 			g.overload.fleetMeans[meanAccepted] = 2
 			g.TimerFired(now, timerToken(timerSample, 0), r)
-			for id := range g.serverByID {
+			for id := range g.servers.byID {
 				probes[id] += r.count("probe " + id)
 			}
 			r.actions = nil
 		}
 	}
-	for id := range g.serverByID {
+	for id := range g.servers.byID {
 		if probes[id] != 2 {
 			t.Errorf("%d probes of %s, want 2 of each in 20", probes[id], id)
 		}
@@ -103,7 +103,7 @@
 		g.AttemptCompleted(at, AttemptResult{ID: fmt.Sprint("r", n), Result: ConnectFailed, Server: "s0"}, r)
 	}
 	g, r := newEngine(t, healthCheckSettings(), testServers(1)...)
-	s := g.servers[0]
+	s := g.servers.list[0]
 	fail(g, r, 1, t0)
 	if r.count("probe s0") != 1 || g.capacityFraction(s) == 1 {
 		t.Errorf("%d probes sent, warmth %v after a failed connection", r.count("probe s0"), g.capacityFraction(s))
@@ -122,7 +122,7 @@
 	}
 
 	g, r = newEngine(t, testSettings(), testServers(1)...)
-	s = g.servers[0]
+	s = g.servers.list[0]
 	for i := range 2 * maxConnectFailures {
 		s.recordConnectFailure(t0 + time.Duration(i+1)*ms)
 	}
@@ -144,7 +144,7 @@
 	g, r := newSubsetEngine(t)
 	g.now = t0 + 10*time.Second
 	say := func(from int, up bool) {
-		for _, s := range g.servers {
+		for _, s := range g.servers.list {
 			g.receiveFinding(from, serverFinding{serverID: s.gossipID, isUp: up})
 		}
 	}
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -107,7 +107,7 @@
 	}
 	inFlight, servers := e.reachableInFlight()
 	floor := minInFlightPerServer * servers / float64(e.settings.InstanceCount)
-	bound := e.responseRate * queueTime
+	bound := e.load.responseRate * queueTime
 	isCertain := inFlight >= certainOverloadFactor*math.Max(bound, floor)
 	if bound < minOwnSamples && e.gossip.rate > 1 && !isCertain {
 		// Few attempts are in flight by chance or not: the fleet's means must say so too. They come seconds
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -56,8 +56,8 @@
 			g.TimerFired(now, timerToken(timerSample, 0), r)
 		}
 	}
-	if g.responseRate < 500 {
-		t.Errorf("rate %v after 200 ms at 1000 a second", g.responseRate)
+	if g.load.responseRate < 500 {
+		t.Errorf("rate %v after 200 ms at 1000 a second", g.load.responseRate)
 	}
 }
 
@@ -85,24 +85,24 @@
 	now := t0 + g.settings.Classes[g.classIndex["safe"]].LatencyObjective + ms
 	g.TimerFired(now, timerToken(timerSample, 0), r)
 	if g.isOverloaded(g.classIndex["safe"], "", 1) {
-		t.Errorf("%d attempts past their aim read as a jam", g.inFlight)
+		t.Errorf("%d attempts past their aim read as a jam", g.load.inFlight)
 	}
-	for _, s := range g.servers {
+	for _, s := range g.servers.list {
 		s.isUnresponsive = true
 	}
-	if g.TimerFired(now+sampleInterval, timerToken(timerSample, 0), r); g.overdue != 0 {
-		t.Errorf("%v attempts at lost servers are taken off twice", g.overdue)
+	if g.TimerFired(now+sampleInterval, timerToken(timerSample, 0), r); g.load.overdue != 0 {
+		t.Errorf("%v attempts at lost servers are taken off twice", g.load.overdue)
 	}
 }
 
 // Attempts at silent servers wait for nothing that the others do.
 func TestUnresponsiveServersAreNotOverload(t *testing.T) {
 	g, _ := newEngine(t, healthCheckSettings(), testServers(2)...)
-	g.serverByID["s0"].inFlight, g.inFlight = 9, 9
+	g.servers.byID["s0"].inFlight, g.load.inFlight = 9, 9
 	if !g.isOverloaded(0, "", 1) {
 		t.Fatal("9 attempts out at two servers are no jam")
 	}
-	g.serverByID["s0"].isUnresponsive = true
+	g.servers.byID["s0"].isUnresponsive = true
 	if g.isOverloaded(0, "", 1) {
 		t.Error("attempts at a silent server read as a jam of all")
 	}
@@ -114,21 +114,21 @@
 	const n = 12
 	g, _ := newEngine(t, healthCheckSettings(), testServers(n)...)
 	most := func() (out int) {
-		for g.inFlight = 0; !g.isOverloaded(0, "", 1); g.inFlight++ {
+		for g.load.inFlight = 0; !g.isOverloaded(0, "", 1); g.load.inFlight++ {
 		}
-		return g.inFlight
+		return g.load.inFlight
 	}
 	if got := most(); got != minInFlightPerServer*n {
 		t.Errorf("%d out with all servers up, want %v", got, minInFlightPerServer*n)
 	}
 	for i := range n / 2 {
-		g.serverByID[fmt.Sprintf("s%d", i)].isUnresponsive = true
+		g.servers.byID[fmt.Sprintf("s%d", i)].isUnresponsive = true
 	}
 	if got := most(); got != minInFlightPerServer*n/2 {
 		t.Errorf("%d out with half of the servers silent, want %v", got, minInFlightPerServer*n/2)
 	}
 	g.now = t0
-	for _, s := range g.servers {
+	for _, s := range g.servers.list {
 		s.isUnresponsive = false
 		if s.ID < "s5" {
 			s.connectFailedAt = t0
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -29,25 +29,17 @@
 	rejections [rejectReasonCount]uint64 // requests rejected, by reason
 
 	// Servers.
-	servers         []*server
-	serverByID      map[string]*server
-	maxServerWeight float64 // of those that server selection draws from
-	weightsDiffer   bool    // between the servers listed
-	subset          serverSubset
-	zones           map[string]*zoneState // those that the host has told limits of
-	zoneWatch       *zonehealth.Watch     // over all zones; used with a subset only
-	healthChecks    healthChecker
-	findings        []serverFinding // found out of late, for the next messages to peers
+	servers      serverTable
+	subset       serverSubset
+	zones        map[string]*zoneState // those that the host has told limits of
+	zoneWatch    *zonehealth.Watch     // over all zones; used with a subset only
+	healthChecks healthChecker
+	findings     []serverFinding // found out of late, for the next messages to peers
 
 	// Load.
 	overload         overloadController
 	latencies        latencyTable
-	inFlight         int           // attempts at work at servers
-	overdue          float64       // of these, as of the last sample: past their objective, at responsive servers
-	responses        float64       // good ones in this sample
-	responseRate     float64       // a second, moving average
-	warmWork         float64       // work answered by warm servers in this sample, in seconds
-	warmRate         float64       // by one of unit weight a second, moving average
+	load             loadMeter
 	lastLoadReportAt time.Duration // of any server
 
 	// Quotas.
@@ -69,7 +61,7 @@
 	e := &Engine{
 		settings:      s,
 		rng:           rand.New(rand.NewPCG(seed, 0x5ea)),
-		serverByID:    map[string]*server{},
+		servers:       serverTable{byID: map[string]*server{}},
 		classIndex:    map[string]int{},
 		planIndex:     map[string]int{},
 		latencies:     newLatencyTable(len(s.Classes)),
--- a/policy/rates.go
+++ b/policy/rates.go
@@ -16,7 +16,7 @@
 // proves too high, would inflate what cold ones may be sent.
 func (e *Engine) recordSuccess(class int, s *server, latency time.Duration) {
 	zone := e.zones[s.Zone]
-	e.responses++
+	e.load.responses++
 	if zone != nil {
 		zone.responses++
 	}
@@ -25,7 +25,7 @@
 		return
 	}
 	work := e.latencies.learnedWork(class)
-	e.warmWork += work
+	e.load.warmWork += work
 	if zone != nil {
 		zone.warmWork += work
 	}
@@ -33,20 +33,14 @@
 
 // updateRates takes what was counted in a sample into the rates, and lets fade what was learned of servers.
 func (e *Engine) updateRates() {
-	var weight float64
+	var warmWeight float64
 	keep := math.Exp(-sampleInterval.Seconds() / decayTime.Seconds())
-	for _, s := range e.servers {
+	for _, s := range e.servers.list {
 		if s.acceptsRequests() && s.inSubset && e.capacityFraction(s) >= 1 {
-			weight += s.weight() * s.subsetCorrection
+			warmWeight += s.weight() * s.subsetCorrection
 		}
 		s.decay(keep)
 	}
-	if weight > 0 {
-		e.warmRate += slowMeanWeight * (e.warmWork/weight/sampleInterval.Seconds() - e.warmRate)
-	}
-	// After a start the average is over what there is, or the first second would be rejected.
-	share := math.Max(rateWeight, 1/(1+float64(e.now-e.startedAt)/float64(sampleInterval)))
-	e.responseRate += share * (e.responses/sampleInterval.Seconds() - e.responseRate)
+	e.load.updateRates(warmWeight, float64(e.now-e.startedAt)/float64(sampleInterval))
 	e.gossip.closeSample()
-	e.warmWork, e.responses = 0, 0
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -87,13 +87,13 @@
 // occupyServer counts an attempt as work in flight at a server.
 func (e *Engine) occupyServer(s *server) {
 	s.inFlight++
-	e.inFlight++
+	e.load.inFlight++
 }
 
 // releaseServer ends that.
 func (e *Engine) releaseServer(s *server) {
 	s.inFlight--
-	e.inFlight--
+	e.load.inFlight--
 }
 
 // cancelAttempts asks to stop waiting for the attempts that are still in flight.
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -95,7 +95,7 @@
 		s.AllowsHedging = parallel
 		g, r := newEngine(t, s, testServers(2)...)
 		g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
-		if got := g.mayAttempt(g.requests.byID["r1"], g.servers[0]); got != parallel {
+		if got := g.mayAttempt(g.requests.byID["r1"], g.servers.list[0]); got != parallel {
 			t.Errorf("parallel %v: second copy %v", parallel, got)
 		}
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -27,7 +27,7 @@
 	if e.usesAllServers() || s != nil && !s.isEjected(e.now) {
 		return s
 	}
-	if other := e.bestOf(r, e.servers); other != nil {
+	if other := e.bestOf(r, e.servers.list); other != nil {
 		return other
 	}
 	return s
@@ -39,7 +39,7 @@
 	var best *server
 	var fullZone *zoneState // of a server left out because it is cold
 	bestCost := math.Inf(1)
-	looks := max(len(e.servers)/e.settings.InstanceCount+1, 2)
+	looks := max(len(e.servers.list)/e.settings.InstanceCount+1, 2)
 	for i := range from {
 		if best != nil && looks == 0 && !best.isEjected(e.now) {
 			break
@@ -88,7 +88,7 @@
 	switch {
 	case s.isEjected(e.now):
 		cost += ejectedCost
-	case e.now < s.suspectedUntil, e.rng.Float64()*e.maxServerWeight > e.serverSize(s):
+	case e.now < s.suspectedUntil, e.rng.Float64()*e.subset.maxWeight > e.serverSize(s):
 		cost += notDrawnCost
 	default:
 		isLook = e.usesAllServers() || e.capacityFraction(s) >= 1
@@ -129,7 +129,7 @@
 // serverSize is the server's size: as listed or, where all are listed alike, by the speed of its kind.
 func (e *Engine) serverSize(s *server) float64 {
 	size := s.weight() * s.subsetCorrection
-	if speed, isKnown := e.latencies.kindSpeed(s.Kind); isKnown && !e.weightsDiffer {
+	if speed, isKnown := e.latencies.kindSpeed(s.Kind); isKnown && !e.servers.weightsDiffer {
 		return size * speed
 	}
 	return size
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -39,8 +39,8 @@
 		"was reset": func(s *server) { s.connectFailedAt = t0 },
 	} {
 		g, _ := newEngine(t, testSettings(), testServers(2)...)
-		a, b := g.servers[0], g.servers[1]
-		for _, s := range g.servers {
+		a, b := g.servers.list[0], g.servers.list[1]
+		for _, s := range g.servers.list {
 			s.inFlight, s.lastProgressAt = 1, t0
 		}
 		g.latencies.classes[0].mean = 0.1
@@ -102,10 +102,10 @@
 	g, r := newEngine(t, testSettings(), testServers(12)...)
 	g.settings.InstanceCount = 6
 	for i := range 9 {
-		g.serverByID[fmt.Sprintf("s%d", i)].ejectedUntil = t0 + time.Hour
+		g.servers.byID[fmt.Sprintf("s%d", i)].ejectedUntil = t0 + time.Hour
 	}
 	for _, id := range []string{"s9", "s10"} {
-		g.serverByID[id].inFlight, g.serverByID[id].lastProgressAt = 9, t0
+		g.servers.byID[id].inFlight, g.servers.byID[id].lastProgressAt = 9, t0
 	}
 	blind := 0
 	for i := range 100 {
--- a/policy/server.go
+++ b/policy/server.go
@@ -102,18 +102,6 @@
 	}
 }
 
-// ServerCounts counts the servers in the list, and those of them that get no request while others are left:
-// unresponsive, or ejected for their failures.
-func (e *Engine) ServerCounts(now time.Duration) (listed, avoided int) {
-	for _, s := range e.servers {
-		if s.isListed {
-			listed++
-			avoided += boolToInt(s.isEjected(now))
-		}
-	}
-	return listed, avoided
-}
-
 // gossipIDOf names a server in findings. Two that share an ID are checked for each other's sake, and no more.
 func gossipIDOf(id string) uint16 {
 	f := fnv.New32a()
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -37,7 +37,7 @@
 		return zone.WarmServerRate
 	}
 	// A server does at least a second's work a second, which counts where no warm one is seen.
-	return math.Max(e.warmRate, 1/e.subset.meanHolders) * s.subsetCorrection / e.subset.width.Factor()
+	return math.Max(e.load.warmRate, 1/e.subset.meanHolders) * s.subsetCorrection / e.subset.width.Factor()
 }
 
 // minWarmupBudget is the work that is saved up for a cold server at least, so that a request of the class can
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -43,7 +43,7 @@
 		g, r := newEngine(t, testSettings(), testServers(1)...)
 		g.RequestReceived(t0, newRequest(1, "unsafe", "rate", 1), r)
 		g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0"}, r)
-		if got := g.capacityFraction(g.servers[0]) < 1; got != cold {
+		if got := g.capacityFraction(g.servers.list[0]) < 1; got != cold {
 			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
 		}
 		r.actions = nil
@@ -56,7 +56,7 @@
 // A cold server is its holders' to warm up: others would add to what these send, which is all that it can bear.
 func TestNoWarmupBudgetOutsideSubset(t *testing.T) {
 	g, _ := newSubsetEngine(t)
-	for _, s := range g.servers {
+	for _, s := range g.servers.list {
 		s.StartedAt = t0 - 100*ms
 		if s.warmup.work = 100; !s.inSubset && g.hasWarmupBudget(s, 0) {
 			t.Fatalf("cold server %s has room and is not in the part", s.ID)
@@ -68,7 +68,7 @@
 // what has been saved for bookings, which are heavier.
 func TestWarmingServersOfSubsetGetTheirBudget(t *testing.T) {
 	g, r := newSubsetEngine(t)
-	g.now, g.actions, g.warmRate = t0+10*time.Second, r, 0.1
+	g.now, g.actions, g.load.warmRate = t0+10*time.Second, r, 0.1
 	light, heavy := 0, 1
 	g.settings.Classes = append([]Class{}, g.settings.Classes[:2]...)
 	g.settings.Classes[light].LatencyObjective, g.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms // a quarter of it is the work until that is learned
@@ -121,10 +121,10 @@
 	for node := range g.settings.InstanceCount {
 		other := *g
 		other.settings.InstanceIndex = node
-		other.servers = nil
-		for _, s := range g.servers {
+		other.servers.list = nil
+		for _, s := range g.servers.list {
 			own := *s
-			other.servers = append(other.servers, &own)
+			other.servers.list = append(other.servers.list, &own)
 		}
 		other.formSubset()
 		for _, s := range other.subset.members {
@@ -141,15 +141,15 @@
 	}
 	g.latencies.classes[0].kinds = []kindLatency{{lowest: 0.05}}
 	r := &request{Request: Request{ID: "r"}, quota: &customerQuota{}}
-	for _, s := range g.servers {
+	for _, s := range g.servers.list {
 		if s.StartedAt = 0; !s.inSubset {
 			g.updateHealth(r, s, AttemptResult{Result: OK, Latency: 50 * ms})
 		}
 	}
-	if g.warmWork != 0 {
+	if g.load.warmWork != 0 {
 		t.Error("work of servers outside of the part counts for what its members carry")
 	}
-	if g.updateHealth(r, g.subset.members[0], AttemptResult{Result: OK, Latency: 50 * ms}); g.warmWork == 0 {
+	if g.updateHealth(r, g.subset.members[0], AttemptResult{Result: OK, Latency: 50 * ms}); g.load.warmWork == 0 {
 		t.Error("work of a member does not count")
 	}
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -20,26 +20,35 @@
 	members     []*server // or all servers, where the rule leaves none out
 	isPartial   bool      // the rule leaves servers out
 	meanHolders float64   // nodes that have a server of it in their subset, on average
+	maxWeight   float64   // of the members that accept requests
 	width       subset.Width
 }
 
 // formSubset forms this node's subset of the servers that accept requests.
 func (e *Engine) formSubset() {
+	e.subset.form(e.servers.list, e.settings.InstanceCount, e.settings.InstanceIndex)
+}
+
+// form takes an instance's members out of all servers.
+func (p *serverSubset) form(servers []*server, instanceCount, instance int) {
 	accepting := 0
-	for _, s := range e.servers {
-		accepting += boolToInt(s.acceptsRequests())
+	p.members, p.meanHolders, p.maxWeight = servers, float64(instanceCount), 0
+	for _, s := range servers {
 		s.inSubset, s.subsetCorrection = true, 1
+		if s.acceptsRequests() {
+			accepting++
+			p.maxWeight = math.Max(p.maxWeight, s.weight())
+		}
 	}
-	fleet := subset.Fleet{Nodes: e.settings.InstanceCount, Seed: subsetSeed, Rule: subsetRule}
-	e.subset.members, e.subset.meanHolders = e.servers, float64(e.settings.InstanceCount)
-	e.subset.isPartial = fleet.Size(accepting) < accepting
-	if e.subset.isPartial {
-		e.maxServerWeight = e.subset.formPartial(e.servers, fleet, e.settings.InstanceIndex)
+	fleet := subset.Fleet{Nodes: instanceCount, Seed: subsetSeed, Rule: subsetRule}
+	p.isPartial = fleet.Size(accepting) < accepting
+	if p.isPartial {
+		p.formPartial(servers, fleet, instance)
 	}
 }
 
-// formPartial takes a node's members out of all servers, and returns their largest weight.
-func (p *serverSubset) formPartial(servers []*server, fleet subset.Fleet, instance int) (maxWeight float64) {
+// formPartial is form where the rule leaves servers out.
+func (p *serverSubset) formPartial(servers []*server, fleet subset.Fleet, instance int) {
 	var accepting []*server
 	var list []subset.Server
 	for _, s := range servers {
@@ -54,14 +63,13 @@
 	for _, m := range members {
 		p.meanHolders += float64(m.Held) / float64(len(members))
 	}
-	p.members = make([]*server, 0, len(members))
+	p.members, p.maxWeight = make([]*server, 0, len(members)), 0
 	for _, m := range members {
 		s := accepting[m.Index]
 		s.inSubset, s.subsetCorrection = true, p.meanHolders/float64(m.Held)
 		p.members = append(p.members, s)
-		maxWeight = math.Max(maxWeight, s.weight()*s.subsetCorrection)
+		p.maxWeight = math.Max(p.maxWeight, s.weight()*s.subsetCorrection)
 	}
-	return maxWeight
 }
 
 // needsNewSubset reports whether the subset has to be formed anew: it cannot carry the load, or need not be so
@@ -78,7 +86,7 @@
 	if all <= 0 || e.usesAllServers() {
 		return false
 	}
-	return e.subset.width.Now(e.now, fit/all, len(e.subset.members), float64(e.inFlight))
+	return e.subset.width.Now(e.now, fit/all, len(e.subset.members), float64(e.load.inFlight))
 }
 
 // usesAllServers reports whether the rule gives this node all servers. A subset that has widened to all of them
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -55,11 +55,11 @@
 		narrow, widest := len(g.subset.members), 0
 		step := func(pressed bool) {
 			g.now += sampleInterval
-			for _, s := range g.servers {
+			for _, s := range g.servers.list {
 				s.isUnresponsive = pressed && why == "silent"
 			}
-			if g.inFlight = 0; pressed && why == "load" {
-				g.inFlight = 8 * narrow
+			if g.load.inFlight = 0; pressed && why == "load" {
+				g.load.inFlight = 8 * narrow
 			}
 			if g.needsNewSubset() {
 				g.formSubset()
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -35,7 +35,7 @@
 func (e *Engine) SetZoneLimits(name string, limits ZoneLimits) {
 	zone := e.zones[name]
 	if zone == nil {
-		zone = &zoneState{responseRate: e.responseRate / float64(len(e.zones)+1)}
+		zone = &zoneState{responseRate: e.load.responseRate / float64(len(e.zones)+1)}
 		e.zones[name] = zone
 		e.countZoneServers(name, zone)
 	}
@@ -49,7 +49,7 @@
 // capacity.
 func (e *Engine) availableServers(zone string) iter.Seq2[*server, float64] {
 	return func(yield func(*server, float64) bool) {
-		for _, s := range e.servers {
+		for _, s := range e.servers.list {
 			if s.Zone != zone || !s.acceptsRequests() || s.isUnresponsive {
 				continue
 			}
@@ -62,7 +62,7 @@
 
 // zoneInFlight counts the attempts in flight at servers of a zone that are held to be up.
 func (e *Engine) zoneInFlight(zone string) (inFlight float64) {
-	for _, s := range e.servers {
+	for _, s := range e.servers.list {
 		if s.Zone == zone && !s.isUnresponsive {
 			inFlight += float64(s.inFlight)
 		}
@@ -103,7 +103,7 @@
 func (e *Engine) WarmServerLoad(now time.Duration, zone string) (rate, utilization float64) {
 	e.now = now
 	reports := 0.0
-	for _, s := range e.servers {
+	for _, s := range e.servers.list {
 		if s.Zone != zone || !s.acceptsRequests() || e.capacityFraction(s) < 1 {
 			continue
 		}
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -31,7 +31,7 @@
 			q.Zone = "b"
 			n += offerRequests(g, r, t0+at, 1, q)
 			completeAttempts(g, r, t0+at, 10*ms, RejectedByServer)
-			g.serverByID["s1"].ejectedUntil = 0
+			g.servers.byID["s1"].ejectedUntil = 0
 		}
 		return float64(n) * g.expectedWork(g.classIndex[class])
 	}
@@ -69,7 +69,7 @@
 // The class that is worth less for its work leaves a cold server's room to the others.
 func TestWarmupBudgetPrefersHigherPriority(t *testing.T) {
 	g, r := newTwoZoneEngine(t, false)
-	s := g.serverByID["s1"]
+	s := g.servers.byID["s1"]
 	g.SetZoneLimits("b", ZoneLimits{WarmServerRate: 20, InFlightFraction: 1}) // so that the store holds several requests
 	g.now, g.actions, s.warmup.updatedAt = t0, r, t0
 	s.warmup.work = 1.1 * g.expectedWork(g.classIndex["keyed"])
@@ -85,12 +85,12 @@
 func TestOverloadOfOneZone(t *testing.T) {
 	for _, far := range []bool{false, true} {
 		g, _ := newTwoZoneEngine(t, far)
-		g.serverByID["s1"].inFlight, g.inFlight = 50, 50
+		g.servers.byID["s1"].inFlight, g.load.inFlight = 50, 50
 		safe := g.classIndex["safe"]
 		if !g.isOverloaded(safe, "b", 1) || g.isOverloaded(safe, "a", 1) || g.isOverloaded(safe, "", 1) {
 			t.Errorf("far %v: 50 attempts out at b: jammed there %v, at a %v, at both %v", far, g.isOverloaded(safe, "b", 1), g.isOverloaded(safe, "a", 1), g.isOverloaded(safe, "", 1))
 		}
-		if g.serverByID["s0"].inFlight = 50; !g.isOverloaded(safe, "", 1) {
+		if g.servers.byID["s0"].inFlight = 50; !g.isOverloaded(safe, "", 1) {
 			t.Errorf("far %v: 50 attempts out at each", far)
 		}
 	}
@@ -101,9 +101,9 @@
 	g, r := newEngine(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b"})
 	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	g.SetZoneLimits("b", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
-	s := g.serverByID["s1"]
+	s := g.servers.byID["s1"]
 	s.inFlight, s.latencyRatio, s.lastProgressAt = 50, 0.0001, t0
-	g.serverByID["s0"].latencyRatio, g.serverByID["s0"].queueLength = 100, 100 // dearer by far
+	g.servers.byID["s0"].latencyRatio, g.servers.byID["s0"].queueLength = 100, 100 // dearer by far
 	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	if got := r.last(); !strings.HasPrefix(got, "send r1 s0") {
 		t.Errorf("%q", got)
@@ -116,7 +116,7 @@
 		g, _ := newTwoZoneEngine(t, true)
 		g.SetZoneLimits("b", ZoneLimits{IsRemote: true, InFlightFraction: part, RemoteServerCount: 4})
 		g.updateZoneRates()
-		s := g.serverByID["s1"]
+		s := g.servers.byID["s1"]
 		for s.inFlight = 0; !g.isOverloaded(0, "b", 1) && s.inFlight < 1000; s.inFlight++ {
 		}
 		if want := int(minInFlightPerServer * 4 * part); s.inFlight != want {
@@ -138,10 +138,10 @@
 		g.RequestReceived(t0, q, r)
 		n := g.overload.occupancySamples[g.overload.sampleIndex()]
 		g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: RejectedByServer, Server: "s1"}, r)
-		if s := g.serverByID["s1"]; far == s.isEjected(t0+2*ms) || far == (g.overload.occupancySamples[g.overload.sampleIndex()] > n) {
+		if s := g.servers.byID["s1"]; far == s.isEjected(t0+2*ms) || far == (g.overload.occupancySamples[g.overload.sampleIndex()] > n) {
 			t.Errorf("far %v: aside %v, %v samples of occupancy", far, s.isEjected(t0+2*ms), g.overload.occupancySamples[g.overload.sampleIndex()]-n)
 		}
-		s := g.serverByID["s1"]
+		s := g.servers.byID["s1"]
 		s.recordConnectFailure(t0)
 		g.actions = r
 		room := 0
@@ -198,7 +198,7 @@
 	g, _ := newEngine(t, set, Server{ID: "s0", Kind: "k", Zone: "a"})
 	g.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	g.zones["a"].responseRate = 100
-	keyed, s := g.classIndex["keyed"], g.serverByID["s0"]
+	keyed, s := g.classIndex["keyed"], g.servers.byID["s0"]
 	most := func(price float64) int {
 		for s.inFlight = 0; !g.isOverloaded(keyed, "a", price); s.inFlight++ {
 		}
