--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -22,84 +22,83 @@
 		if tt.name == "no servers" {
 			list = nil
 		}
-		g, r := newEngine(t, testSettings(), list...)
-		g.RequestReceived(t0, tt.q, r)
+		e, r := newEngine(t, testSettings(), list...)
+		e.RequestReceived(t0, tt.q, r)
 		if len(r.actions) != 1 || r.actions[0] != "refuse r1" {
 			t.Errorf("%s: %q", tt.name, r.actions)
 		}
 	}
 }
 
-// A try whose client leaves before answers usually come is refused at once.
+// A request whose timeout is below the mean latency is rejected at once.
 func TestTimeoutBelowMeanLatencyIsRejected(t *testing.T) {
-	g, r := newEngine(t, testSettings(), testServers(4)...)
-	c := &g.latencies.classes[g.classIndex["safe"]]
+	e, r := newEngine(t, testSettings(), testServers(4)...)
+	c := &e.latencies.classes[e.classIndex["safe"]]
 	c.samples, c.mean, c.deviation = minBatchSamples, 0.2, 0.01
 	q := newRequest(1, "safe", "rate", 1)
 	q.Timeout = 100 * ms
-	g.RequestReceived(t0, q, r)
+	e.RequestReceived(t0, q, r)
 	if r.count("refuse") != 1 {
 		t.Errorf("%v", r.actions)
 	}
 }
 
-// A try whose client has waited for longer than its class's aim gives way where the customer
-// asks for more than its quota, and only there: a store's units go to those that can still be
-// answered in time.
+// A request whose client has waited for longer than its class's latency objective gives way where the customer
+// exceeds its quota, and only there: the units go to requests that can still be answered in time.
 func TestLateRequestsYieldQuotaToFreshOnes(t *testing.T) {
-	g, r := newEngine(t, testSettings(), testServers(9)...)
-	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
+	e, r := newEngine(t, testSettings(), testServers(9)...)
+	objective := e.settings.Classes[e.classIndex["safe"]].LatencyObjective
 	old := newRequest(0, "safe", "rate", 1)
-	old.Timeout -= aim + aim/10
+	old.Timeout -= objective + objective/10
 	send := func(n int, q Request, at time.Duration) bool {
 		q.ID = fmt.Sprint("t", n)
 		r.actions = nil
-		g.RequestReceived(at, q, r)
+		e.RequestReceived(at, q, r)
 		sent := r.count("send") == 1
 		if sent {
-			g.AttemptCompleted(at+ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true}, r)
+			e.AttemptCompleted(at+ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true}, r)
 		}
 		return sent
 	}
 	fresh := newRequest(0, "safe", "rate", 1)
 	n, at := 0, t0
 	if send(n, fresh, at); !send(n+1, old, at+ms) {
-		t.Error("a late try was refused with room for all")
+		t.Error("a late request was rejected with room for all")
 	}
-	for n = 2; send(n, fresh, at+2*ms); n++ { // until the store is empty
+	for n = 2; send(n, fresh, at+2*ms); n++ { // until the quota is empty
 	}
-	p := g.settings.Plans[g.planIndex["rate"]]
+	p := e.settings.Plans[e.planIndex["rate"]]
 	for refill := time.Duration(2.5 / p.Rate * float64(time.Second)); n < 100; n += 4 {
-		send(n, fresh, at+2*ms) // refused
-		at = g.now + refill
-		g.quotas.byCustomer[1].contendedUntil = at + time.Second
+		send(n, fresh, at+2*ms) // rejected
+		at = e.now + refill
+		e.quotas.byCustomer[1].contendedUntil = at + time.Second
 		if send(n+1, old, at) {
-			t.Fatal("a late try took the units of a crowded store")
+			t.Fatal("a late request took the units of a contended quota")
 		}
 		if !send(n+2, fresh, at+ms) {
-			t.Fatal("a fresh try was refused in its place")
+			t.Fatal("a fresh request was rejected in its place")
 		}
 		send(n+3, fresh, at+2*ms)
 	}
 }
 
-// What is held for a fresh try's wait follows what most tell, not the most that one tells.
+// The timeout that counts as a first try's follows what most clients have, not the longest one.
 func TestOneLongTimeoutMakesNoOtherLate(t *testing.T) {
-	g, _ := newEngine(t, testSettings())
+	e, _ := newEngine(t, testSettings())
 	for range 1000 {
-		g.isTooLate(0, time.Second)
+		e.isTooLate(0, time.Second)
 	}
-	g.isTooLate(0, time.Hour)
-	if g.isTooLate(0, time.Second) {
-		t.Error("all others count as late after one long wait")
+	e.isTooLate(0, time.Hour)
+	if e.isTooLate(0, time.Second) {
+		t.Error("all others count as late after one long timeout")
 	}
 }
 
 // Deadlines: a request without an answer ends in time by its own timer.
 func TestDeadlineTimerAnswersInTime(t *testing.T) {
 	for class, want := range map[string]string{"safe": "refuse r1", "keyed": "fail r1", "unsafe": "fail r1"} {
-		g, r := newEngine(t, testSettings(), testServers(2)...)
-		g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
+		e, r := newEngine(t, testSettings(), testServers(2)...)
+		e.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
 		var due timerRequest
 		for _, ts := range r.timers {
 			if timerKind(ts.token&7) == timerDeadline {
@@ -110,38 +109,38 @@
 			t.Fatalf("timer after %v", due.after)
 		}
 		r.actions = nil
-		g.TimerFired(t0+due.after, due.token, r)
+		e.TimerFired(t0+due.after, due.token, r)
 		if r.count(want) != 1 || r.count("cancel r1 0") != 1 {
 			t.Errorf("%s: %q", class, r.actions)
 		}
-		g.TimerFired(t0+due.after, due.token, r)
-		g.AttemptCompleted(t0+due.after, AttemptResult{ID: "r1", Result: Cancelled}, r)
-		if len(r.actions) != 2 || len(g.requests.byID) != 0 {
-			t.Errorf("%s: %q, %d requests kept", class, r.actions, len(g.requests.byID))
+		e.TimerFired(t0+due.after, due.token, r)
+		e.AttemptCompleted(t0+due.after, AttemptResult{ID: "r1", Result: Cancelled}, r)
+		if len(r.actions) != 2 || len(e.requests.byID) != 0 {
+			t.Errorf("%s: %q, %d requests kept", class, r.actions, len(e.requests.byID))
 		}
 	}
 }
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
-	g, r := newEngine(t, testSettings(), testServers(2)...)
-	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	e, r := newEngine(t, testSettings(), testServers(2)...)
+	e.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	r.actions = nil
-	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
-	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
-	if g.requests.byID["r1"] == nil || g.requests.byID["r1"].inFlight != 1 {
+	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
+	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
+	if e.requests.byID["r1"] == nil || e.requests.byID["r1"].inFlight != 1 {
 		t.Error("an attempt never made ended the request")
 	}
-	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Server: "s0"}, r)
+	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Server: "s0"}, r)
 	r.actions = nil
-	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true}, r)
-	g.AttemptCompleted(t0, AttemptResult{ID: "none", Attempt: 9}, r)
-	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1}, r)
-	g.ClientDisconnected(t0, "r1", r)
-	g.ResponseStarted(t0, "r1", 0, r)
-	g.TimerFired(t0, 1<<40|uint64(timerDeadline), r)
-	g.TimerFired(t0, 7, r)
-	g.HealthCheckCompleted(t0, "none", OK, &LoadReport{Utilization: 1}, r)
-	g.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
+	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true}, r)
+	e.AttemptCompleted(t0, AttemptResult{ID: "none", Attempt: 9}, r)
+	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1}, r)
+	e.ClientDisconnected(t0, "r1", r)
+	e.ResponseStarted(t0, "r1", 0, r)
+	e.TimerFired(t0, 1<<40|uint64(timerDeadline), r)
+	e.TimerFired(t0, 7, r)
+	e.HealthCheckCompleted(t0, "none", OK, &LoadReport{Utilization: 1}, r)
+	e.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
 	if len(r.actions) != 0 {
 		t.Errorf("%q", r.actions)
 	}
@@ -151,11 +150,11 @@
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].IsStreaming = true
-	g, r := newEngine(t, s, testServers(2)...)
-	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
-	g.ResponseStarted(t0+ms, "r1", 0, r)
+	e, r := newEngine(t, s, testServers(2)...)
+	e.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	e.ResponseStarted(t0+ms, "r1", 0, r)
 	r.actions = nil
-	g.TimerFired(t0+2*time.Second, timerToken(timerDeadline, 1), r)
+	e.TimerFired(t0+2*time.Second, timerToken(timerDeadline, 1), r)
 	if len(r.actions) != 0 {
 		t.Errorf("%q", r.actions)
 	}
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -13,8 +13,8 @@
 	"mulleinmux/subset"
 )
 
-// A fleet on a virtual clock: gateways as they are, over servers that work, queue, hold only so many connections,
-// start cold and fall over. Unlike the rule checker's world, this one has servers that get slower for what is sent.
+// A fleet on a virtual clock: real engines over servers that work, queue, hold only so many connections,
+// start cold and fall over. Unlike the rule checker, it has servers that get slower with their load.
 
 type fleetRequest struct {
 	id           string
@@ -38,11 +38,11 @@
 }
 
 type fleetTotals struct {
-	offeredValue, servedValue                                              float64 // worth
+	offeredValue, servedValue                                              float64
 	requests, tries, succeeded, rejected                                   int
 	attempts, connectionsOpened, healthChecks                              int
 	gossipMessages, connectionsFailed, serverRejections, serversOverloaded int
-	firstAttemptDelay                                                      time.Duration // until first attempts, summed
+	firstAttemptDelay                                                      time.Duration // until first attempts, summed up
 }
 
 func (t fleetTotals) servedFraction() float64 { return t.servedValue / t.offeredValue }
@@ -77,11 +77,11 @@
 	total              fleetTotals
 	byWindow           []fleetTotals
 	window             time.Duration
-	dropsGossip        bool // peers don't hear each other
+	dropsGossip        bool // peers receive nothing from each other
 	retryAfterFraction float64
 	listDelay          time.Duration
-	reordersGossip     bool         // some messages come doubled, and some late
-	ledger             *fleetLedger // of units let through; nil: none is kept
+	reordersGossip     bool         // some messages come twice, and some late
+	ledger             *fleetLedger // of units admitted; nil: none is kept
 }
 
 func (s *fleetSim) after(d time.Duration, run func()) {
@@ -95,15 +95,15 @@
 	}
 	r.isDone = true
 	w := &s.byWindow[int(s.now/s.window)]
-	worth, aim := 3.0, 400*ms
+	value, objective := 3.0, 400*ms
 	if r.class == "keyed" {
-		worth, aim = 9, 750*ms
+		value, objective = 9, 750*ms
 	}
 	if ok {
 		s.total.succeeded++
-		if s.now-r.firstTryAt <= aim {
-			s.total.servedValue += worth
-			w.servedValue += worth
+		if s.now-r.firstTryAt <= objective {
+			s.total.servedValue += value
+			w.servedValue += value
 		}
 		return
 	}
@@ -120,40 +120,40 @@
 
 func (s *fleetSim) try(class string, customer int, first time.Duration, n int) {
 	s.events++
-	grace := 2*time.Second - (s.now - first)
-	if grace < 20*ms {
+	timeout := 2*time.Second - (s.now - first)
+	if timeout < 20*ms {
 		return
 	}
-	gate := (s.firstInstances[customer] + s.rng.IntN(s.instanceCounts[customer])) % len(s.engines)
-	if s.incarnations[gate] < 0 {
+	instance := (s.firstInstances[customer] + s.rng.IntN(s.instanceCounts[customer])) % len(s.engines)
+	if s.incarnations[instance] < 0 {
 		return
 	}
-	r := &fleetRequest{id: fmt.Sprintf("r%d", s.events), engine: gate, class: class, customer: customer, at: s.now, firstTryAt: first, deadline: s.now + grace, tryCount: n}
+	r := &fleetRequest{id: fmt.Sprintf("r%d", s.events), engine: instance, class: class, customer: customer, at: s.now, firstTryAt: first, deadline: s.now + timeout, tryCount: n}
 	s.requests[r.id] = r
 	s.total.tries++
 	s.ledger.requestReceived(s.now, r)
-	s.after(grace, func() {
+	s.after(timeout, func() {
 		if !r.isDone {
 			r.isDone = true
-			if s.incarnations[gate] >= 0 {
-				s.engines[gate].ClientDisconnected(s.now, r.id, s.hosts[gate])
+			if s.incarnations[instance] >= 0 {
+				s.engines[instance].ClientDisconnected(s.now, r.id, s.hosts[instance])
 			}
 		}
 		delete(s.requests, r.id)
 	})
-	s.engines[gate].RequestReceived(s.now, Request{ID: r.id, Class: class, Plan: "kubwa", Customer: uint64(customer + 1), Timeout: grace, Units: 1, InstanceCount: s.instanceCounts[customer], FirstInstance: s.firstInstances[customer]}, s.hosts[gate])
+	s.engines[instance].RequestReceived(s.now, Request{ID: r.id, Class: class, Plan: "kubwa", Customer: uint64(customer + 1), Timeout: timeout, Units: 1, InstanceCount: s.instanceCounts[customer], FirstInstance: s.firstInstances[customer]}, s.hosts[instance])
 }
 
 func (s *fleetSim) arrive() {
 	rate := s.load(s.now)
 	s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		class, worth := "safe", 3.0
+		class, value := "safe", 3.0
 		if s.rng.Float64() < 0.43 {
-			class, worth = "keyed", 9
+			class, value = "keyed", 9
 		}
 		s.total.requests++
-		s.total.offeredValue += worth
-		s.byWindow[int(s.now/s.window)].offeredValue += worth
+		s.total.offeredValue += value
+		s.byWindow[int(s.now/s.window)].offeredValue += value
 		s.try(class, sort.SearchFloat64s(s.cumulativeRates, s.rng.Float64()*s.cumulativeRates[len(s.cumulativeRates)-1]), s.now, 1)
 		s.arrive()
 	})
@@ -168,30 +168,30 @@
 	s.now = until
 }
 
-// start starts a gateway anew, with the list as it is.
-func (s *fleetSim) start(gate int) {
+// start starts a new process of an engine, with the list as it is.
+func (s *fleetSim) start(instance int) {
 	set := s.settings
-	set.InstanceIndex, set.Zone = gate, []string{"a", "b"}[gate%2]
-	g, err := New(set, s.rng.Uint64())
+	set.InstanceIndex, set.Zone = instance, []string{"a", "b"}[instance%2]
+	e, err := New(set, s.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	s.incarnations[gate] = max(s.incarnations[gate], -s.incarnations[gate]) + 1
-	s.engines[gate], s.pools[gate] = g, map[string]*connectionPool{}
-	s.hosts[gate] = &fleetHost{s, gate, s.incarnations[gate]}
-	g.Start(s.now, s.hosts[gate])
-	g.EndpointsChanged(s.now, EndpointsSaved, s.list(), s.hosts[gate])
+	s.incarnations[instance] = max(s.incarnations[instance], -s.incarnations[instance]) + 1
+	s.engines[instance], s.pools[instance] = e, map[string]*connectionPool{}
+	s.hosts[instance] = &fleetHost{s, instance, s.incarnations[instance]}
+	e.Start(s.now, s.hosts[instance])
+	e.EndpointsChanged(s.now, EndpointsSaved, s.list(), s.hosts[instance])
 }
 
-func (s *fleetSim) kill(gate int) {
-	s.incarnations[gate] = -s.incarnations[gate]
-	for id, l := range s.pools[gate] {
+func (s *fleetSim) kill(instance int) {
+	s.incarnations[instance] = -s.incarnations[instance]
+	for id, l := range s.pools[instance] {
 		if b := s.byID[id]; b != nil {
 			b.connections -= len(l.idleSince) + l.inUse
 		}
 	}
 	for _, r := range s.requests {
-		if r.engine == gate {
+		if r.engine == instance {
 			r.isDone = true
 			for i := range r.attempts {
 				r.attempts[i].isDone = true
@@ -231,23 +231,23 @@
 	return s
 }
 
-// summary sums up what happened since it was last asked, and begins anew.
+// summary returns what happened since the summary before.
 func (s *fleetSim) summary() string {
 	t := s.total
-	var refused [rejectReasonCount]uint64
+	var rejections [rejectReasonCount]uint64
 	f, rho, n := 0.0, 0.0, 0.0
-	for i, g := range s.engines {
+	for i, e := range s.engines {
 		if s.incarnations[i] < 0 {
 			continue
 		}
-		for why, k := range g.rejections {
-			refused[why] += k
+		for why, k := range e.rejections {
+			rejections[why] += k
 		}
-		g.rejections = [rejectReasonCount]uint64{}
-		f, rho, n = f+g.overload.admitFraction, rho+g.overload.occupancy, n+1
+		e.rejections = [rejectReasonCount]uint64{}
+		f, rho, n = f+e.overload.admitFraction, rho+e.overload.occupancy, n+1
 	}
 	var out []string
-	for why, k := range refused {
+	for why, k := range rejections {
 		if k > 0 {
 			out = append(out, fmt.Sprintf("%s %d", rejectReasonNames[why], k))
 		}
@@ -275,7 +275,7 @@
 	}
 }
 
-// withSubsetRule plays f with another rule for parts.
+// withSubsetRule runs f under another rule for subsets.
 func withSubsetRule(rule subset.Rule, f func()) {
 	was := subsetRule
 	subsetRule = rule
@@ -283,7 +283,8 @@
 	f()
 }
 
-// runFleet lets a fleet of 70 gateways over 40 servers run, does something and returns what came of it in each second after.
+// runFleet runs a fleet of 70 engines over 40 servers, does something to it and returns the totals of each second
+// after that.
 func runFleet(t *testing.T, seed uint64, load float64, seconds int, do func(*fleetSim)) (before fleetTotals, after []fleetTotals, s *fleetSim) {
 	s = newFleet(seed, 70, 40, load)
 	for _, b := range s.servers {
@@ -301,12 +302,12 @@
 	return before, after, s
 }
 
-// withAndWithoutSubsets plays with parts and without.
+// withAndWithoutSubsets runs f with subsets and without.
 func withAndWithoutSubsets(t *testing.T, f func() fleetTotals) (with, without fleetTotals) {
 	t.Helper()
 	with = f()
 	withSubsetRule(subset.Rule{}, func() { without = f() })
-	t.Logf("with parts %.3f of the worth, %d connections opened, %d not made, %d probes; without %.3f, %d, %d, %d", with.servedFraction(), with.connectionsOpened, with.connectionsFailed, with.healthChecks,
+	t.Logf("with subsets %.3f of the value, %d connections opened, %d not made, %d health checks; without %.3f, %d, %d, %d", with.servedFraction(), with.connectionsOpened, with.connectionsFailed, with.healthChecks,
 		without.servedFraction(), without.connectionsOpened, without.connectionsFailed, without.healthChecks)
 	return with, without
 }
--- a/policy/fleet_quota_test.go
+++ b/policy/fleet_quota_test.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// fleetLedger holds what a fleet lets through against each customer's quota as it is.
+// fleetLedger compares what a fleet admits with each customer's true quota.
 type fleetLedger struct {
 	plan          Plan
 	fleetQuotas   map[int]*trueQuota // filled and spent as by the fleet
-	idealQuotas   map[int]*trueQuota // as by one gateway that sees all tries and lets in what the quota holds
-	idealValue    float64            // worth that the latter lets in
-	overQuotaCost float64            // what the fleet let through beyond quotas costs
-	units         [2]int             // that were let through inside the quotas, by each
+	idealQuotas   map[int]*trueQuota // as by one instance that sees all requests
+	idealValue    float64            // value that the latter admits
+	overQuotaCost float64            // what the fleet admitted beyond quotas costs
+	units         [2]int             // admitted inside the quotas, by each
 }
 
-// trueQuota is a customer's quota over all gateways together.
+// trueQuota is a customer's quota over all instances together.
 type trueQuota struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// take takes a unit of the customer's store if it holds one, and tells whether it did.
+// take takes a unit of the customer's quota and reports whether there was one.
 func (l *fleetLedger) take(of map[int]*trueQuota, now time.Duration, customer int) bool {
-	st := of[customer]
-	if st == nil {
-		st = &trueQuota{tokens: l.plan.Burst, refilledAt: now}
-		of[customer] = st
+	quota := of[customer]
+	if quota == nil {
+		quota = &trueQuota{tokens: l.plan.Burst, refilledAt: now}
+		of[customer] = quota
 	}
-	st.tokens = math.Min(st.tokens+l.plan.Rate*(now-st.refilledAt).Seconds(), l.plan.Burst)
-	if st.refilledAt = now; st.tokens < 1 {
+	quota.tokens = math.Min(quota.tokens+l.plan.Rate*(now-quota.refilledAt).Seconds(), l.plan.Burst)
+	if quota.refilledAt = now; quota.tokens < 1 {
 		return false
 	}
-	st.tokens--
+	quota.tokens--
 	return true
 }
 
@@ -44,7 +44,7 @@
 	return 3
 }
 
-// requestReceived takes in a try of a client.
+// requestReceived records a request of a client.
 func (l *fleetLedger) requestReceived(now time.Duration, r *fleetRequest) {
 	if l != nil && l.take(l.idealQuotas, now, r.customer) {
 		l.units[1]++
@@ -52,7 +52,7 @@
 	}
 }
 
-// requestForwarded takes in a try that is sent on.
+// requestForwarded records a request that is forwarded.
 func (l *fleetLedger) requestForwarded(now time.Duration, r *fleetRequest) {
 	switch {
 	case l == nil:
@@ -63,7 +63,7 @@
 	}
 }
 
-// makeCustomersHeavy has each so many-th customer ask for several times as much, on top of the rest.
+// makeCustomersHeavy has one in so many customers send several times as much, on top of the rest.
 func (s *fleetSim) makeCustomersHeavy(each int, times float64) {
 	was, sum, last := s.cumulativeRates[len(s.cumulativeRates)-1], 0.0, 0.0
 	for i, upTo := range s.cumulativeRates {
@@ -79,13 +79,13 @@
 	s.load = func(at time.Duration) float64 { return load(at) * sum / was }
 }
 
-// On a quiet day, on which each eighth customer asks for four times as much as the others, with messages lost, late and doubled, what
-// passes beyond the quotas costs at most 0.1 of the worth: it may be 0.1 more than under a policy that sees the true state late, which is
-// held to cost nothing here.
+// At normal load, with one in eight customers sending four times as much as the others and messages lost, late and
+// doubled, what passes beyond the quotas costs at most 0.1 of the value: it may be 0.1 more than under a policy
+// that sees the true state late, which counts as costing nothing here.
 func TestQuotasHoldOnAQuietDay(t *testing.T) {
-	for _, c := range []struct{ gates, servers int }{{3, 12}, {8, 16}, {70, 40}} {
+	for _, c := range []struct{ engines, servers int }{{3, 12}, {8, 16}, {70, 40}} {
 		for seed := range uint64(3) {
-			s := newFleet(seed, c.gates, c.servers, 0.3)
+			s := newFleet(seed, c.engines, c.servers, 0.3)
 			s.loss, s.reordersGossip = 0.08, true
 			s.settings.Plans[0].HardLimitRate = 0 // nothing but the quota bounds what passes
 			s.makeCustomersHeavy(8, 4)
@@ -96,9 +96,9 @@
 			s.ledger = l
 			s.run(s.now + 20*time.Second)
 			cost := l.overQuotaCost / l.idealValue
-			t.Logf("%d gateways: %d of %d units let through inside quotas, beyond them at %.3f of the worth", c.gates, l.units[0], l.units[1], cost)
+			t.Logf("%d instances: %d of %d units admitted inside quotas, beyond them at %.3f of the value", c.engines, l.units[0], l.units[1], cost)
 			if cost > 0.1 || 2*l.units[0] < l.units[1] {
-				t.Errorf("%d gateways: %d of %d units, beyond quotas at %.3f of the worth", c.gates, l.units[0], l.units[1], cost)
+				t.Errorf("%d instances: %d of %d units, beyond quotas at %.3f of the value", c.engines, l.units[0], l.units[1], cost)
 			}
 		}
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -7,7 +7,8 @@
 	"mulleinmux/subset"
 )
 
-// Servers that hold 42 connections each, for 70 gateways: with parts none is turned away, and few attempts open one.
+// Servers that hold 42 connections each, for 70 instances: with subsets no connection is refused, and few attempts
+// open one.
 func TestFleetWithFewConnectionsPerServer(t *testing.T) {
 	with, without := withAndWithoutSubsets(t, func() fleetTotals {
 		_, after, _ := runFleet(t, 1, 0.6, 5, func(*fleetSim) {})
@@ -17,53 +18,54 @@
 		t.Errorf("%d connections opened for %d attempts, %d not made", with.connectionsOpened, with.attempts, with.connectionsFailed)
 	}
 	if without.connectionsOpened < 2*with.connectionsOpened || without.connectionsFailed == 0 {
-		t.Error("it is no better than without parts")
+		t.Error("it is no better than without subsets")
 	}
 }
 
-// All servers are replaced by cold ones within 7 s: parts move, no cold server is pushed over, and the fleet serves on.
+// All servers are replaced by cold ones within 7 s: subsets move, no server is overloaded while cold, and the
+// fleet goes on serving.
 func TestFleetReplacedInSevenSeconds(t *testing.T) {
 	with, without := withAndWithoutSubsets(t, func() fleetTotals {
 		_, after, _ := runFleet(t, 2, 0.4, 12, func(s *fleetSim) { s.replaceServers(40, 7*time.Second) })
 		return sumTotals(after)
 	})
 	if with.serversOverloaded > 0 || with.servedFraction() < without.servedFraction()+0.05 {
-		t.Errorf("%d servers were pushed over, %.2f of the worth served", with.serversOverloaded, with.servedFraction())
+		t.Errorf("%d servers were overloaded while cold, %.2f of the value served", with.serversOverloaded, with.servedFraction())
 	}
 }
 
-// All servers restart at once under full load: each part is cold, and widens. The ramp holds over all gateways together, and lets the
-// fleet come back.
+// All servers restart at once under full load: each subset is cold, and widens. The warm-up budget holds over all
+// instances together, and lets the fleet recover.
 func TestFleetAllColdAtOnce(t *testing.T) {
 	var first, last fleetTotals
 	for seed := uint64(2); seed < 4; seed++ {
 		_, after, _ := runFleet(t, seed, 1, 8, func(s *fleetSim) {
-			for _, g := range s.engines {
-				g.settings.SlowStartMinFraction = 0.2
+			for _, e := range s.engines {
+				e.settings.SlowStartMinFraction = 0.2
 			}
 			s.settings.SlowStartMinFraction = 0.2
 			s.loseZone("a", 300*ms)
 			s.loseZone("b", 300*ms)
 		})
 		if all := sumTotals(after); all.serversOverloaded > 0 {
-			t.Errorf("seed %d: %d servers were pushed over", seed, all.serversOverloaded)
+			t.Errorf("seed %d: %d servers were overloaded while cold", seed, all.serversOverloaded)
 		}
 		first, last = sumTotals(append(after[1:3], first)), sumTotals(append(after[6:], last))
 	}
 	if last.servedFraction() < 1.3*first.servedFraction() {
-		t.Errorf("%.2f of the worth served at first, %.2f at the end", first.servedFraction(), last.servedFraction())
+		t.Errorf("%.2f of the value served at first, %.2f at the end", first.servedFraction(), last.servedFraction())
 	}
 }
 
-// Two in three gateways are killed and back within a second, with nothing known: the others and they go on at once.
+// Two in three instances are killed and start again within a second, knowing nothing: the fleet goes on at once.
 func TestFleetMassRestart(t *testing.T) {
 	before, after, _ := runFleet(t, 4, 0.55, 6, func(s *fleetSim) { s.killEngines(0.67, 500*ms) })
 	if w := sumTotals(after[2:]).servedFraction(); w < 0.9*before.servedFraction() {
-		t.Errorf("from the third second on %.2f of the worth is served, %.2f before", w, before.servedFraction())
+		t.Errorf("from the third second on %.2f of the value is served, %.2f before", w, before.servedFraction())
 	}
 }
 
-// Three times the load for 2 s: when it is over, what was served before is served again, and soon.
+// Three times the load for 2 s: soon after it, as much is served as before.
 func TestFleetRecoversAfterSurge(t *testing.T) {
 	var calm, back fleetTotals
 	for seed := uint64(5); seed < 7; seed++ { // one fleet's second is 500 requests, and few of them decide
@@ -79,11 +81,11 @@
 		calm, back = sumTotals([]fleetTotals{calm, before}), sumTotals(append(after[3:], back))
 	}
 	if w := back.servedFraction(); w < 0.95*calm.servedFraction() {
-		t.Errorf("from the second second after it %.2f of the worth is served, %.2f before", w, calm.servedFraction())
+		t.Errorf("from the second second after it %.2f of the value is served, %.2f before", w, calm.servedFraction())
 	}
 }
 
-// Peers don't hear each other and the list is late: once that is known, no request waits for an answer that does not come.
+// No gossip arrives and the list is late: once that is known, no request waits for a response that does not come.
 func TestFleetWithoutGossip(t *testing.T) {
 	_, after, _ := runFleet(t, 6, 0.5, 5, func(s *fleetSim) { s.dropsGossip, s.listDelay = true, 5*time.Second })
 	all := sumTotals(after[1:])
@@ -91,12 +93,12 @@
 		t.Errorf("first attempts wait for %v on average", wait)
 	}
 	if all.servedFraction() < 0.75 {
-		t.Errorf("%.2f of the worth is served", all.servedFraction())
+		t.Errorf("%.2f of the value is served", all.servedFraction())
 	}
 }
 
-// Where the rule gives every gateway all servers, nothing differs from a fleet without parts: few servers for many
-// gateways, and many for few.
+// Where the rule gives every instance all servers, nothing differs from a fleet without subsets: few servers for many
+// instances, and many for few.
 func TestFleetWhereSubsetIsAllServers(t *testing.T) {
 	for _, size := range [][2]int{{300, 3}, {3, 200}, {4, 20}} {
 		var got [2]string
@@ -110,12 +112,12 @@
 			})
 		}
 		if got[0] != got[1] {
-			t.Errorf("%d gateways, %d servers: with a part %s\nwithout %s", size[0], size[1], got[0], got[1])
+			t.Errorf("%d instances, %d servers: with the rule %s\nwithout %s", size[0], size[1], got[0], got[1])
 		}
 	}
 }
 
-// One server takes 30 connections, and there are 300 gateways: with parts few of them come to it.
+// One server takes 30 connections, and there are 300 instances: with subsets few of them use it.
 func TestFleetWithOneServerOfThirtyConnections(t *testing.T) {
 	with, without := withAndWithoutSubsets(t, func() fleetTotals {
 		s := newFleet(9, 300, 170, 0.5)
@@ -124,6 +126,6 @@
 		return s.total
 	})
 	if without.connectionsFailed == 0 || 4*with.connectionsFailed > without.connectionsFailed {
-		t.Errorf("%d connections not made, %d without parts", with.connectionsFailed, without.connectionsFailed)
+		t.Errorf("%d connections not made, %d without subsets", with.connectionsFailed, without.connectionsFailed)
 	}
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Units told must be taken from the peer's store once: whether tells are lost, repeated or late.
+// Gossiped units are charged at the peer once, whether messages are lost, repeated or late.
 func TestGossipSurvivesLossAndReordering(t *testing.T) {
 	orders := map[string][]int{"in order": {0, 1, 2}, "middle lost": {0, 2}, "twice": {0, 0, 1, 1, 2, 2}, "late": {1, 0, 2}}
 	for name, order := range orders {
@@ -26,7 +26,7 @@
 	}
 }
 
-// A long tell must not lose the entries that its first message has no room for.
+// A broadcast must not lose the entries that its first message has no room for.
 func TestEveryEntryIsBroadcast(t *testing.T) {
 	s := testSettings()
 	s.InstanceCount = 2
@@ -45,11 +45,11 @@
 		b.GossipReceived(t0, 0, m, rb)
 	}
 	if len(b.quotas.byCustomer) != 100 {
-		t.Errorf("%d of 100 customers heard of", len(b.quotas.byCustomer))
+		t.Errorf("%d of 100 customers received", len(b.quotas.byCustomer))
 	}
 }
 
-// What gateways overspend together must be paid back, not forgotten at nought.
+// What instances overspend together is paid back: tokens go below zero.
 func TestRemoteUnitsOverdrawTokens(t *testing.T) {
 	a, ra := newInstance(t, 0, 2)
 	b, rb := newInstance(t, 1, 2)
@@ -67,7 +67,7 @@
 		b.GossipReceived(t0+6*ms, 0, m, rb)
 	}
 	if b.quotas.byCustomer[1].tokens >= 0 {
-		t.Errorf("level %v after both spent most of it", b.quotas.byCustomer[1].tokens)
+		t.Errorf("%v tokens after both spent most of the quota", b.quotas.byCustomer[1].tokens)
 	}
 }
 
@@ -84,7 +84,7 @@
 		b.GossipReceived(t0, 1, good, rb)
 		b.GossipReceived(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), rb)
 		if len(b.quotas.byCustomer) != 0 || len(rb.actions) != 0 {
-			t.Fatalf("%d bytes of %d were believed", n, len(good))
+			t.Fatalf("%d bytes of %d were accepted", n, len(good))
 		}
 	}
 }
@@ -96,15 +96,15 @@
 	s := testSettings()
 	s.InstanceCount = 3
 	f.Fuzz(func(t *testing.T, b []byte) {
-		g, err := New(s, 1)
+		e, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		r := &recorder{}
-		g.Start(t0, r)
-		g.GossipReceived(t0, 1, b, r)
-		if len(g.quotas.byCustomer) > len(b) {
-			t.Errorf("%d stores from %d bytes", len(g.quotas.byCustomer), len(b))
+		e.Start(t0, r)
+		e.GossipReceived(t0, 1, b, r)
+		if len(e.quotas.byCustomer) > len(b) {
+			t.Errorf("%d quotas from %d bytes", len(e.quotas.byCustomer), len(b))
 		}
 	})
 }
@@ -120,29 +120,29 @@
 	return report
 }
 
-// Sums of occupancy below nought, as latencies under the lowest mean give, must reach peers as they are.
+// Sums of occupancy below zero, as latencies under the lowest mean give, must reach peers as they are.
 func TestFleetMeansAreEncodedSigned(t *testing.T) {
-	g, _ := newOwnerEngine(t, 10)
-	g.overload.hasPeerMeans, g.overload.fleetMeans = true, [fleetMeanCount]float64{-0.5, 0.25, 2, 0, 1}
-	if got := sentReport(t, g, g).fleetMeans; got != g.overload.fleetMeans {
-		t.Errorf("%v came as %v", g.overload.fleetMeans, got)
+	e, _ := newOwnerEngine(t, 10)
+	e.overload.hasPeerMeans, e.overload.fleetMeans = true, [fleetMeanCount]float64{-0.5, 0.25, 2, 0, 1}
+	if got := sentReport(t, e, e).fleetMeans; got != e.overload.fleetMeans {
+		t.Errorf("%v arrived as %v", e.overload.fleetMeans, got)
 	}
 }
 
-// What a gateway finds out goes with its next asks, for a while, and is understood.
+// What an instance finds out of servers travels with its quota messages, for a while.
 func TestFindingsTravelWithQuotaMessages(t *testing.T) {
-	g, _ := newSubsetEngine(t)
-	g.now = t0 + 10*time.Second
-	for i, s := range g.subset.members[:6] {
-		g.addFinding(s, i%2 == 0)
+	e, _ := newSubsetEngine(t)
+	e.now = t0 + 10*time.Second
+	for i, s := range e.subset.members[:6] {
+		e.addFinding(s, i%2 == 0)
 	}
-	read := func() []serverFinding { return sentReport(t, g, g).findings }
+	read := func() []serverFinding { return sentReport(t, e, e).findings }
 	got := read()
-	if len(got) != maxFindings || got[3].serverID != g.subset.members[5].gossipID || got[3].isUp {
-		t.Fatalf("notes %+v", got)
+	if len(got) != maxFindings || got[3].serverID != e.subset.members[5].gossipID || got[3].isUp {
+		t.Fatalf("findings %+v", got)
 	}
-	g.now += findingTTL
+	e.now += findingTTL
 	if got := read(); len(got) != 0 {
-		t.Errorf("old notes are told: %+v", got)
+		t.Errorf("old findings are sent: %+v", got)
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -11,7 +11,7 @@
 
 const t0 = 1000 * time.Second
 
-// recorder keeps actions as text.
+// recorder keeps an engine's actions as text.
 type recorder struct {
 	actions []string
 	timers  []timerRequest
@@ -69,14 +69,14 @@
 
 func newEngine(t *testing.T, s Settings, servers ...Server) (*Engine, *recorder) {
 	t.Helper()
-	g, err := New(s, 1)
+	e, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &recorder{}
-	g.Start(t0, r)
-	g.EndpointsChanged(t0, EndpointsSaved, servers, r)
-	return g, r
+	e.Start(t0, r)
+	e.EndpointsChanged(t0, EndpointsSaved, servers, r)
+	return e, r
 }
 
 // newInstance returns one of several instances that share each customer's quota.
@@ -108,23 +108,23 @@
 }
 
 // offerRequests offers n requests of one customer at once and returns how many were sent.
-func offerRequests(g *Engine, r *recorder, now time.Duration, n int, q Request) int {
+func offerRequests(e *Engine, r *recorder, now time.Duration, n int, q Request) int {
 	before := r.count("send")
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Customer, now, i)
 		q.Units = max(q.Units, 1)
-		g.inFlight = 0 // the quota alone is looked at
-		g.RequestReceived(now, q, r)
+		e.inFlight = 0 // only the quota counts
+		e.RequestReceived(now, q, r)
 	}
 	return r.count("send") - before
 }
 
-// completeAttempts gives an OK to each request that is out.
-func completeAttempts(g *Engine, r *recorder, now, took time.Duration, res Result) {
+// completeAttempts ends all attempts since the last call with a result.
+func completeAttempts(e *Engine, r *recorder, now, took time.Duration, res Result) {
 	for _, a := range r.actions {
 		var id, server string
 		if n, _ := fmt.Sscanf(a, "send %s %s", &id, &server); n == 2 {
-			g.AttemptCompleted(now, AttemptResult{ID: id, Result: res, Server: server, RequestAnswered: res == OK, Latency: took}, r)
+			e.AttemptCompleted(now, AttemptResult{ID: id, Result: res, Server: server, RequestAnswered: res == OK, Latency: took}, r)
 		}
 	}
 	r.actions = nil
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -18,10 +18,10 @@
 	return s
 }
 
-// newUsedEngine gives a gateway a past: spent stores, a peer's tells, a server that is out.
+// newUsedEngine returns an engine with a past: spent quotas, gossip of a peer, an unresponsive server.
 func newUsedEngine(t *testing.T) (*Engine, *recorder) {
 	t.Helper()
-	g, r := newEngine(t, hotRestartSettings(), testServers(4)...)
+	e, r := newEngine(t, hotRestartSettings(), testServers(4)...)
 	peer, rp := newEngine(t, func() Settings { s := hotRestartSettings(); s.InstanceIndex = 0; return s }(), testServers(4)...)
 	q := newRequest(900, "safe", "ceiled", 1)
 	q.InstanceCount = 3
@@ -30,41 +30,41 @@
 		peer.TimerFired(t0+ms, token, rp)
 	}
 	for _, m := range rp.gossip[1] {
-		g.GossipReceived(t0+2*ms, 0, m, r)
+		e.GossipReceived(t0+2*ms, 0, m, r)
 	}
 	for i := range 40 {
 		now := t0 + time.Duration(i)*100*ms
 		q := newRequest(i, "safe", []string{"ceiled", "open"}[i%2], uint64(1+i%2))
 		q.InstanceCount = 3
-		g.RequestReceived(now, q, r)
+		e.RequestReceived(now, q, r)
 		if last := r.last(); strings.HasPrefix(last, "send") && i%2 == 0 {
-			g.AttemptCompleted(now+20*ms, AttemptResult{ID: q.ID, Result: OK, Server: strings.Fields(last)[2], Latency: 20 * ms, RequestAnswered: true}, r)
+			e.AttemptCompleted(now+20*ms, AttemptResult{ID: q.ID, Result: OK, Server: strings.Fields(last)[2], Latency: 20 * ms, RequestAnswered: true}, r)
 		}
-		g.TimerFired(now+50*ms, timerToken(timerSample, 0), r)
+		e.TimerFired(now+50*ms, timerToken(timerSample, 0), r)
 	}
-	g.servers[0].isUnresponsive = true
-	return g, r
+	e.servers[0].isUnresponsive = true
+	return e, r
 }
 
-// newSuccessor is a gateway that starts now.
+// newSuccessor returns an engine that starts now.
 func newSuccessor(t *testing.T, s Settings, now time.Duration, servers ...Server) (*Engine, *recorder) {
 	t.Helper()
-	g, err := New(s, 2)
+	e, err := New(s, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &recorder{}
-	g.Start(now, r)
-	g.EndpointsChanged(now, EndpointsSaved, servers, r)
-	return g, r
+	e.Start(now, r)
+	e.EndpointsChanged(now, EndpointsSaved, servers, r)
+	return e, r
 }
 
-// The successor admits just what the predecessor would have: of quota, ceiling and open
-// attempts nothing is there twice.
+// The successor admits just what the predecessor would have: nothing of quota, hard limit and attempts in flight
+// is there twice.
 func TestSuccessorContinues(t *testing.T) {
-	g, r := newUsedEngine(t)
+	e, r := newUsedEngine(t)
 	now := t0 + 4*time.Second
-	text, err := g.ExportState(now)
+	text, err := e.ExportState(now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,30 +72,30 @@
 	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
-	for key, st := range g.quotas.byCustomer {
+	for key, quota := range e.quotas.byCustomer {
 		to := next.quotas.byCustomer[key]
-		if to == nil || to.tokens != st.tokens || to.hardLimitTokens != st.hardLimitTokens || to.pendingUnits != st.pendingUnits || to.needsGossip != st.needsGossip {
-			t.Fatalf("store %d: %+v went over as %+v", key, st, to)
+		if to == nil || to.tokens != quota.tokens || to.hardLimitTokens != quota.hardLimitTokens || to.pendingUnits != quota.pendingUnits || to.needsGossip != quota.needsGossip {
+			t.Fatalf("quota %d: %+v became %+v", key, quota, to)
 		}
 	}
-	if g.quotas.byCustomer[1].hardLimitTokens > 7.9 || g.quotas.byCustomer[1].tokens > 5.5 {
-		t.Fatalf("nothing was spent: %+v", g.quotas.byCustomer[1])
+	if e.quotas.byCustomer[1].hardLimitTokens > 7.9 || e.quotas.byCustomer[1].tokens > 5.5 {
+		t.Fatalf("nothing was spent: %+v", e.quotas.byCustomer[1])
 	}
-	if got, want := next.inFlightCapacity(next.quotas.byCustomer[2]), g.inFlightCapacity(g.quotas.byCustomer[2]); got != want || want == 4 {
-		t.Errorf("room for open attempts %d, want %d", got, want)
+	if got, want := next.inFlightCapacity(next.quotas.byCustomer[2]), e.inFlightCapacity(e.quotas.byCustomer[2]); got != want || want == 4 {
+		t.Errorf("capacity in flight %d, want %d", got, want)
 	}
-	if a, b := fmt.Sprintf("%+v", g.overload), fmt.Sprintf("%+v", next.overload); a != b {
-		t.Errorf("load control\n%s went over as\n%s", a, b)
+	if a, b := fmt.Sprintf("%+v", e.overload), fmt.Sprintf("%+v", next.overload); a != b {
+		t.Errorf("overload control\n%s became\n%s", a, b)
 	}
-	if g.latencies.classes[0].mean != next.latencies.classes[0].mean || g.latencies.classes[0].mean == 0 || next.latencies.learnedWork(0) != g.latencies.learnedWork(0) {
-		t.Errorf("latency %+v went over as %+v", g.latencies.classes[0], next.latencies.classes[0])
+	if e.latencies.classes[0].mean != next.latencies.classes[0].mean || e.latencies.classes[0].mean == 0 || next.latencies.learnedWork(0) != e.latencies.learnedWork(0) {
+		t.Errorf("latency %+v became %+v", e.latencies.classes[0], next.latencies.classes[0])
 	}
 	if listed, avoided := next.ServerCounts(now); listed != 4 || avoided != 1 {
 		t.Errorf("%d servers, %d avoided", listed, avoided)
 	}
-	// A customer that neither remembers has what its store has filled to since the first one's start.
+	// A customer that neither remembers has what its quota has filled to since the first one's start.
 	fresh := next.quotaFor(77, quotaScope{instanceCount: 3})
-	if was := g.quotaFor(77, quotaScope{instanceCount: 3}); math.Abs(fresh.tokens-was.tokens) > 1e-9 || math.Abs(fresh.hardLimitTokens-was.hardLimitTokens) > 1e-9 {
+	if was := e.quotaFor(77, quotaScope{instanceCount: 3}); math.Abs(fresh.tokens-was.tokens) > 1e-9 || math.Abs(fresh.hardLimitTokens-was.hardLimitTokens) > 1e-9 {
 		t.Errorf("unknown customer: %+v, was %+v", fresh, was)
 	}
 	// The two decide alike from here on.
@@ -104,7 +104,7 @@
 		q := newRequest(1000+i, "safe", "ceiled", 1)
 		q.InstanceCount = 3
 		before, beforeNext := r.count("send"), rn.count("send")
-		g.RequestReceived(at, q, r)
+		e.RequestReceived(at, q, r)
 		next.RequestReceived(at, q, rn)
 		if (r.count("send") > before) != (rn.count("send") > beforeNext) {
 			t.Fatalf("request %d: %q and %q", i, r.last(), rn.last())
@@ -112,37 +112,37 @@
 	}
 }
 
-// A peer's tell that the predecessor has heard is not counted again.
+// Gossip that the predecessor has received is not charged again.
 func TestSuccessorKeepsGossipSequence(t *testing.T) {
-	g, _ := newUsedEngine(t)
+	e, _ := newUsedEngine(t)
 	now := t0 + 4*time.Second
-	text, _ := g.ExportState(now)
+	text, _ := e.ExportState(now)
 	next, rn := newSuccessor(t, hotRestartSettings(), now, testServers(4)...)
 	if err := next.ImportState(now, text); err != nil {
 		t.Fatal(err)
 	}
-	if !g.gossip.peers[0].isKnown {
-		t.Fatal("no tell was heard")
+	if !e.gossip.peers[0].isKnown {
+		t.Fatal("no gossip was received")
 	}
 	level := next.quotas.byCustomer[1].tokens
 	entry := next.gossipEntryFor(&customerQuota{key: 1, quotaScope: quotaScope{instanceCount: 3}, pendingUnits: 2}, 0)
 	entries := encodedEntries{count: 1, bytes: next.codec().appendEntry(nil, entry)}
-	next.GossipReceived(now, 0, encodeGossip(g.gossip.peers[0].epoch, g.gossip.peers[0].receivedSequence, entries, encodedEntries{}), rn)
+	next.GossipReceived(now, 0, encodeGossip(e.gossip.peers[0].epoch, e.gossip.peers[0].receivedSequence, entries, encodedEntries{}), rn)
 	if next.quotas.byCustomer[1].tokens != level {
-		t.Errorf("an old tell took %v", level-next.quotas.byCustomer[1].tokens)
+		t.Errorf("an old message took %v", level-next.quotas.byCustomer[1].tokens)
 	}
-	next.GossipReceived(now, 0, encodeGossip(g.gossip.peers[0].epoch, g.gossip.peers[0].receivedSequence+1, entries, encodedEntries{}), rn)
+	next.GossipReceived(now, 0, encodeGossip(e.gossip.peers[0].epoch, e.gossip.peers[0].receivedSequence+1, entries, encodedEntries{}), rn)
 	if next.quotas.byCustomer[1].tokens != level-2 {
-		t.Errorf("a new tell took %v of 2", level-next.quotas.byCustomer[1].tokens)
+		t.Errorf("a new message took %v of 2", level-next.quotas.byCustomer[1].tokens)
 	}
 }
 
-// A changed plan goes over with what was spent; one that is gone is left out, and so are a
-// server that has restarted since and a class unknown.
+// Under a changed plan what was spent stays spent; a plan that is gone is left out, and so are a server that has
+// restarted since and an unknown class.
 func TestSuccessorWithOtherSettings(t *testing.T) {
-	g, _ := newUsedEngine(t)
+	e, _ := newUsedEngine(t)
 	now := t0 + 4*time.Second
-	text, _ := g.ExportState(now)
+	text, _ := e.ExportState(now)
 	s := hotRestartSettings()
 	s.Plans = []Plan{{Name: "novel", Rate: 1, Burst: 1}, {Name: "ceiled", Rate: 20, Burst: 60, HardLimitRate: 40, HardLimitBurst: 120, PriorityFactor: 1}}
 	s.Classes = s.Classes[1:]
@@ -155,23 +155,23 @@
 	if _, avoided := next.ServerCounts(now); avoided != 0 {
 		t.Error("a server that has restarted since is avoided")
 	}
-	st, was := next.quotas.byCustomer[1], g.quotas.byCustomer[1]
-	if next.quotas.byCustomer[2] != nil || st == nil || st.plan != 1 {
-		t.Fatalf("stores %v", next.quotas)
+	quota, was := next.quotas.byCustomer[1], e.quotas.byCustomer[1]
+	if next.quotas.byCustomer[2] != nil || quota == nil || quota.plan != 1 {
+		t.Fatalf("quotas %v", next.quotas)
 	}
-	if spent, want := 60-st.tokens, 6-was.tokens; math.Abs(spent-want) > 1e-9 {
+	if spent, want := 60-quota.tokens, 6-was.tokens; math.Abs(spent-want) > 1e-9 {
 		t.Errorf("spent %v of the quota, was %v", spent, want)
 	}
-	if spent, want := 120*st.burstFraction-st.hardLimitTokens, 30*was.burstFraction-was.hardLimitTokens; math.Abs(spent-want) > 1e-9 {
-		t.Errorf("spent %v of the ceiling, was %v", spent, want)
+	if spent, want := 120*quota.burstFraction-quota.hardLimitTokens, 30*was.burstFraction-was.hardLimitTokens; math.Abs(spent-want) > 1e-9 {
+		t.Errorf("spent %v of the hard limit, was %v", spent, want)
 	}
 }
 
-// What can't be taken over changes nothing.
+// A state that cannot be taken over changes nothing.
 func TestInvalidStateIsRejected(t *testing.T) {
-	g, _ := newUsedEngine(t)
+	e, _ := newUsedEngine(t)
 	now := t0 + 4*time.Second
-	text, _ := g.ExportState(now)
+	text, _ := e.ExportState(now)
 	other := hotRestartSettings()
 	other.InstanceIndex = 2
 	for name, c := range map[string]struct {
@@ -185,7 +185,7 @@
 	} {
 		next, _ := newEngine(t, c.set, testServers(4)...)
 		if err := next.ImportState(now, []byte(c.text)); err == nil || len(next.quotas.byCustomer) != 0 || next.startedAt != t0 {
-			t.Errorf("%s: error %v, %d stores", name, err, len(next.quotas.byCustomer))
+			t.Errorf("%s: error %v, %d quotas", name, err, len(next.quotas.byCustomer))
 		}
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// ARO: full refusals drive f down, calm brings it back, and the throttle is even.
+// ARO: full rejections drive f down, calm brings it back, and the throttle is even.
 func TestAdmitFractionFollowsOccupancy(t *testing.T) {
 	a := overloadController{admitFraction: 1}
 	for i := 0; i < 50; i++ {
@@ -28,127 +28,127 @@
 	}
 }
 
-// Work that piles up unanswered must be bounded before latencies tell of it.
+// Work that queues up must be bounded before latencies show it.
 func TestQueuedWorkIsBounded(t *testing.T) {
 	s := testSettings()
 	s.Plans[1].Burst = 1e6
-	g, r := newEngine(t, s, testServers(4)...)
+	e, r := newEngine(t, s, testServers(4)...)
 	sent := 0
 	for i := 0; i < 200; i++ {
-		g.RequestReceived(t0+time.Duration(i)*ms, newRequest(i, "safe", "rate", 1), r)
+		e.RequestReceived(t0+time.Duration(i)*ms, newRequest(i, "safe", "rate", 1), r)
 	}
 	if sent = r.count("send"); sent == 0 || sent > 8 {
-		t.Errorf("%d sent to 4 silent servers, want 1 to 8", sent)
+		t.Errorf("%d sent to 4 unresponsive servers, want 1 to 8", sent)
 	}
 	if r.count("refuse") != 200-sent {
-		t.Errorf("%d refused", r.count("refuse"))
+		t.Errorf("%d rejected", r.count("refuse"))
 	}
 }
 
-// The bound on piled-up work must not refuse the first second after a start.
+// The bound on queued work must not reject the first second after a start.
 func TestResponseRateIsKnownSoonAfterStart(t *testing.T) {
-	g, r := newEngine(t, testSettings(), testServers(4)...)
+	e, r := newEngine(t, testSettings(), testServers(4)...)
 	for i := 0; i < 200; i++ {
 		now := t0 + time.Duration(i)*ms
-		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
-		completeAttempts(g, r, now, ms, OK)
+		e.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
+		completeAttempts(e, r, now, ms, OK)
 		if i%100 == 99 {
-			g.TimerFired(now, timerToken(timerSample, 0), r)
+			e.TimerFired(now, timerToken(timerSample, 0), r)
 		}
 	}
-	if g.responseRate < 500 {
-		t.Errorf("rate %v after 200 ms at 1000 a second", g.responseRate)
+	if e.responseRate < 500 {
+		t.Errorf("rate %v after 200 ms at 1000 a second", e.responseRate)
 	}
 }
 
-// Attempts stuck at one silent server must not read as a jam of all.
+// Attempts stuck at one unresponsive server must not read as an overload of all.
 func TestOldAttemptsDoNotCountAsInFlight(t *testing.T) {
-	g, r := newEngine(t, testSettings(), testServers(4)...)
-	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
-	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
-	if n := g.attemptAges(youngAttemptFraction).young; n != 1 {
+	e, r := newEngine(t, testSettings(), testServers(4)...)
+	e.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	objective := e.settings.Classes[e.classIndex["safe"]].LatencyObjective
+	if n := e.attemptAges(youngAttemptFraction).young; n != 1 {
 		t.Errorf("%v young at once", n)
 	}
-	g.now = t0 + aim
-	if n := g.attemptAges(youngAttemptFraction).young; n != 0 {
-		t.Errorf("%v young after the aim", n)
+	e.now = t0 + objective
+	if n := e.attemptAges(youngAttemptFraction).young; n != 0 {
+		t.Errorf("%v young after the latency objective", n)
 	}
 }
 
-// Attempts that a server leaves unanswered for good, while it answers others, are no work that waits: those past
-// their aim must not keep new requests out. A server held for lost has its own taken off already.
+// Attempts that a server never answers, while it answers others, are no queued work: those past their latency
+// objective must not keep new requests out. Those at an unresponsive server are not counted in the first place.
 func TestOverdueAttemptsAreNotOverload(t *testing.T) {
-	g, r := newEngine(t, healthCheckSettings(), testServers(2)...)
-	for i := 0; !g.isOverloaded(g.classIndex["safe"], "", 1); i++ {
-		g.RequestReceived(t0, newRequest(i, "safe", "rate", uint64(i)), r)
+	e, r := newEngine(t, healthCheckSettings(), testServers(2)...)
+	for i := 0; !e.isOverloaded(e.classIndex["safe"], "", 1); i++ {
+		e.RequestReceived(t0, newRequest(i, "safe", "rate", uint64(i)), r)
 	}
-	now := t0 + g.settings.Classes[g.classIndex["safe"]].LatencyObjective + ms
-	g.TimerFired(now, timerToken(timerSample, 0), r)
-	if g.isOverloaded(g.classIndex["safe"], "", 1) {
-		t.Errorf("%d attempts past their aim read as a jam", g.inFlight)
+	now := t0 + e.settings.Classes[e.classIndex["safe"]].LatencyObjective + ms
+	e.TimerFired(now, timerToken(timerSample, 0), r)
+	if e.isOverloaded(e.classIndex["safe"], "", 1) {
+		t.Errorf("%d attempts past their latency objective read as an overload", e.inFlight)
 	}
-	for _, s := range g.servers {
+	for _, s := range e.servers {
 		s.isUnresponsive = true
 	}
-	if g.TimerFired(now+sampleInterval, timerToken(timerSample, 0), r); g.overdue != 0 {
-		t.Errorf("%v attempts at lost servers are taken off twice", g.overdue)
+	if e.TimerFired(now+sampleInterval, timerToken(timerSample, 0), r); e.overdue != 0 {
+		t.Errorf("%v attempts at unresponsive servers are subtracted twice", e.overdue)
 	}
 }
 
-// Attempts at silent servers wait for nothing that the others do.
+// Attempts at unresponsive servers do not count as load of the others.
 func TestUnresponsiveServersAreNotOverload(t *testing.T) {
-	g, _ := newEngine(t, healthCheckSettings(), testServers(2)...)
-	g.serverByID["s0"].inFlight, g.inFlight = 9, 9
-	if !g.isOverloaded(0, "", 1) {
-		t.Fatal("9 attempts out at two servers are no jam")
+	e, _ := newEngine(t, healthCheckSettings(), testServers(2)...)
+	e.serverByID["s0"].inFlight, e.inFlight = 9, 9
+	if !e.isOverloaded(0, "", 1) {
+		t.Fatal("9 attempts in flight at two servers are no overload")
 	}
-	g.serverByID["s0"].isUnresponsive = true
-	if g.isOverloaded(0, "", 1) {
-		t.Error("attempts at a silent server read as a jam of all")
+	e.serverByID["s0"].isUnresponsive = true
+	if e.isOverloaded(0, "", 1) {
+		t.Error("attempts at an unresponsive server read as an overload of all")
 	}
 }
 
-// What a jam may leave out at least follows the servers that are alive, each as warm as it
-// is, not the list, which tells of a lost hall seconds late.
+// The minimum in flight follows the servers that respond, each with its present capacity, not the list, which
+// shows a lost zone seconds late.
 func TestMinInFlightFollowsResponsiveServers(t *testing.T) {
 	const n = 12
-	g, _ := newEngine(t, healthCheckSettings(), testServers(n)...)
+	e, _ := newEngine(t, healthCheckSettings(), testServers(n)...)
 	most := func() (out int) {
-		for g.inFlight = 0; !g.isOverloaded(0, "", 1); g.inFlight++ {
+		for e.inFlight = 0; !e.isOverloaded(0, "", 1); e.inFlight++ {
 		}
-		return g.inFlight
+		return e.inFlight
 	}
 	if got := most(); got != minInFlightPerServer*n {
-		t.Errorf("%d out with all servers up, want %v", got, minInFlightPerServer*n)
+		t.Errorf("%d in flight with all servers up, want %v", got, minInFlightPerServer*n)
 	}
 	for i := range n / 2 {
-		g.serverByID[fmt.Sprintf("s%d", i)].isUnresponsive = true
+		e.serverByID[fmt.Sprintf("s%d", i)].isUnresponsive = true
 	}
 	if got := most(); got != minInFlightPerServer*n/2 {
-		t.Errorf("%d out with half of the servers silent, want %v", got, minInFlightPerServer*n/2)
+		t.Errorf("%d in flight with half of the servers unresponsive, want %v", got, minInFlightPerServer*n/2)
 	}
-	g.now = t0
-	for _, s := range g.servers {
+	e.now = t0
+	for _, s := range e.servers {
 		s.isUnresponsive = false
 		if s.ID < "s5" {
 			s.connectFailedAt = t0
 		}
 	}
 	if got := most(); got >= minInFlightPerServer*n {
-		t.Errorf("%d out with some servers cold, as many as with all warm", got)
+		t.Errorf("%d in flight with some servers cold, as many as with all warm", got)
 	}
 }
 
-// Where few attempts are out, the mean that tells chance from a jam comes seconds late: a
-// burst that can't be chance must not wait for it.
+// Where few attempts are in flight, the mean that tells chance from an overload comes seconds late: a burst that
+// cannot be chance must not wait for it.
 func TestBurstIsPartlyRejected(t *testing.T) {
 	const n = 4
-	g, r := newEngine(t, testSettings(), testServers(n)...)
-	g.gossip.rate = 10
+	e, r := newEngine(t, testSettings(), testServers(n)...)
+	e.gossip.rate = 10
 	for i := range 200 {
 		q := newRequest(i, "safe", "rate", uint64(i))
 		q.InstanceCount = 1
-		g.RequestReceived(t0, q, r)
+		e.RequestReceived(t0, q, r)
 	}
 	if got := r.count("send"); got <= minInFlightPerServer*n || got > certainOverloadFactor*minInFlightPerServer*n {
 		t.Errorf("%d of a burst sent, want more than %v and at most %v", got, minInFlightPerServer*n, certainOverloadFactor*minInFlightPerServer*n)
@@ -157,42 +157,42 @@
 
 // An attempt at a server that says nothing is no work that waits; one at a server that answers others is.
 func TestUnansweredAttemptsAreNotLoad(t *testing.T) {
-	g, r := newSubsetEngine(t)
-	g.latencies.classes[0] = classLatency{mean: 0.05, samples: 100}
-	quiet, busy := g.subset.members[0], g.subset.members[1]
+	e, r := newSubsetEngine(t)
+	e.latencies.classes[0] = classLatency{mean: 0.05, samples: 100}
+	quiet, busy := e.subset.members[0], e.subset.members[1]
 	for i, s := range []*server{quiet, busy} {
 		id := fmt.Sprint("r", i)
-		g.requests.byID[id] = &request{Request: Request{ID: id}, attempts: []attempt{{server: s, sentAt: t0}}}
+		e.requests.byID[id] = &request{Request: Request{ID: id}, attempts: []attempt{{server: s, sentAt: t0}}}
 	}
-	g.now, g.actions = t0+180*ms, r
+	e.now, e.actions = t0+180*ms, r
 	busy.lastHeardAt = t0 + 100*ms
-	if ages := g.attemptAges(youngAttemptFraction); ages.young != 1 || ages.overdue != 1 {
+	if ages := e.attemptAges(youngAttemptFraction); ages.young != 1 || ages.overdue != 1 {
 		t.Errorf("%.0f count as work, %.0f as overdue, want 1 and 1", ages.young, ages.overdue)
 	}
-	g.now = t0 + 90*ms
-	if ages := g.attemptAges(youngAttemptFraction); ages.young != 2 || ages.overdue != 0 {
+	e.now = t0 + 90*ms
+	if ages := e.attemptAges(youngAttemptFraction); ages.young != 2 || ages.overdue != 0 {
 		t.Errorf("early on %.0f count as work, %.0f as overdue, want 2 and 0", ages.young, ages.overdue)
 	}
 }
 
 // Once any server has reported, latencies stand for no report: they would outweigh the reports, and read too low.
 func TestLoadReportsAloneSetOccupancy(t *testing.T) {
-	g, r := newSubsetEngine(t)
-	g.now, g.actions = t0, r
-	g.recordLoadReport(g.subset.members[0], &LoadReport{InFlight: -1, QueueLength: 0, Utilization: 0.9})
+	e, r := newSubsetEngine(t)
+	e.now, e.actions = t0, r
+	e.recordLoadReport(e.subset.members[0], &LoadReport{InFlight: -1, QueueLength: 0, Utilization: 0.9})
 	for i := range 50 {
-		g.recordLatency(0, g.subset.members[1+i%8], 60*ms)
+		e.recordLatency(0, e.subset.members[1+i%8], 60*ms)
 	}
-	if slot := g.overload.sampleIndex(); g.overload.occupancySamples[slot] != 1 || g.overload.occupancySums[slot] != 0.9 {
-		t.Errorf("%.1f samples that sum to %.2f, want the report's alone", g.overload.occupancySamples[slot], g.overload.occupancySums[slot])
+	if slot := e.overload.sampleIndex(); e.overload.occupancySamples[slot] != 1 || e.overload.occupancySums[slot] != 0.9 {
+		t.Errorf("%.1f samples that sum to %.2f, want the report's alone", e.overload.occupancySamples[slot], e.overload.occupancySums[slot])
 	}
-	g.now += decayTime + ms
-	if g.recordLatency(0, g.subset.members[1], 60*ms); g.overload.occupancySamples[g.overload.sampleIndex()] == 1 {
+	e.now += decayTime + ms
+	if e.recordLatency(0, e.subset.members[1], 60*ms); e.overload.occupancySamples[e.overload.sampleIndex()] == 1 {
 		t.Error("without reports for long, latencies don't count")
 	}
 }
 
-// A gateway that has just started tells no means of its own, and takes the first that it hears as they are.
+// An instance that has just started sends no means of its own, and takes the first that it receives as they are.
 func TestFleetMeansAfterMassRestart(t *testing.T) {
 	fresh, _ := newSubsetEngine(t)
 	fresh.overload.mergeMeans(1, [fleetMeanCount]float64{0.01, 0.02, 0.1, 0.1, 0.1})
@@ -204,45 +204,45 @@
 		to.overload.receiveMeans(sentReport(t, from, to).fleetMeans)
 	}
 	if tell(fresh, old); old.overload.fleetMeans != means {
-		t.Errorf("a fresh gateway made %v of the means", old.overload.fleetMeans)
+		t.Errorf("a new instance made %v of the means", old.overload.fleetMeans)
 	}
 	if tell(old, fresh); fresh.overload.fleetMeans != means {
-		t.Errorf("a fresh gateway has %v, and heard %v", fresh.overload.fleetMeans, means)
+		t.Errorf("a new instance has %v, and received %v", fresh.overload.fleetMeans, means)
 	}
 	if tell(old, fresh); !fresh.overload.hasMeans() {
-		t.Error("it has heard means and does not know them")
+		t.Error("it has received means and does not use them")
 	}
 	alone, _ := newSubsetEngine(t)
 	for range minMeanSamples {
 		alone.overload.closeSample(1, 1)
 	}
 	if !alone.overload.hasMeans() || alone.overload.hasPeerMeans {
-		t.Error("what it measured for two seconds is not told")
+		t.Error("what it measured for two seconds is not sent")
 	}
 }
 
-// The bound on work out counts what servers are left by the part: the others are held to be as those are, not to be well because
-// they are never met.
+// The bound on work in flight counts the responsive servers by the subset: the others count as like those, not as
+// responsive because nothing is sent to them.
 func TestInFlightBoundScalesWithSubset(t *testing.T) {
-	g, _ := newSubsetEngine(t)
-	g.now = t0 + 10*time.Second
-	if _, n := g.reachableInFlight(); n != 170 {
+	e, _ := newSubsetEngine(t)
+	e.now = t0 + 10*time.Second
+	if _, n := e.reachableInFlight(); n != 170 {
 		t.Errorf("%v of 170 servers in reach", n)
 	}
-	for i, s := range g.subset.members {
+	for i, s := range e.subset.members {
 		switch i % 4 {
 		case 0:
 			s.isUnresponsive = true
 		case 1:
-			s.suspectedUntil = g.now + time.Second
+			s.suspectedUntil = e.now + time.Second
 		}
 	}
 	left := 0
-	for _, s := range g.subset.members {
-		left += boolToInt(!s.isUnresponsive && g.now >= s.suspectedUntil)
+	for _, s := range e.subset.members {
+		left += boolToInt(!s.isUnresponsive && e.now >= s.suspectedUntil)
 	}
-	want := 170 * float64(left) / float64(len(g.subset.members))
-	if _, n := g.reachableInFlight(); math.Abs(n-want) > 1e-9 {
-		t.Errorf("%v servers in reach with %d of the part's %d left, want %v", n, left, len(g.subset.members), want)
+	want := 170 * float64(left) / float64(len(e.subset.members))
+	if _, n := e.reachableInFlight(); math.Abs(n-want) > 1e-9 {
+		t.Errorf("%v servers in reach with %d of the subset's %d left, want %v", n, left, len(e.subset.members), want)
 	}
 }
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newOwnerEngine is a gateway of a fleet of 300, whose sets are so wide that holders are asked.
+// newOwnerEngine returns an instance of a fleet of 300, whose customers use so many that owners are asked.
 func newOwnerEngine(t *testing.T, me int) (*Engine, *recorder) {
 	s := ownerSettings()
 	s.InstanceIndex = me
@@ -20,45 +20,46 @@
 }
 
 // ownerScope is that of the customers of ownerRequest.
-func ownerScope(g *Engine) quotaScope {
-	return quotaScope{plan: g.planIndex["rate"], instanceCount: 100, firstInstance: 10}
+func ownerScope(e *Engine) quotaScope {
+	return quotaScope{plan: e.planIndex["rate"], instanceCount: 100, firstInstance: 10}
 }
 
-// ownerRequest is of a customer that comes in through the gateways 10 to 109.
+// ownerRequest returns a request of a customer that comes in through the instances 10 to 109.
 func ownerRequest(n int, customer uint64) Request {
 	q := newRequest(n, "safe", "rate", customer)
 	q.InstanceCount, q.FirstInstance = 100, 10
 	return q
 }
 
-// Tells to a hundred gateways come seconds late: the customer's holder is asked, and its answer decides.
+// Gossip to a hundred instances comes seconds late: the customer's owner is asked, and its response decides.
 func TestOwnerIsAsked(t *testing.T) {
 	const customer = 77
 	member, r := newOwnerEngine(t, 10)
 	q := ownerRequest(1, customer)
 	member.RequestReceived(t0, q, r)
-	holder := member.ownerFor(member.quotas.byCustomer[customer])
-	if !ownerScope(member).includes(holder, member.settings.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.gossip[holder] == nil {
-		t.Fatalf("holder %d, actions %v", holder, r.actions)
+	ownerIndex := member.ownerFor(member.quotas.byCustomer[customer])
+	if !ownerScope(member).includes(ownerIndex, member.settings.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.gossip[ownerIndex] == nil {
+		t.Fatalf("owner %d, actions %v", ownerIndex, r.actions)
 	}
-	h, hr := newOwnerEngine(t, holder)
-	h.GossipReceived(t0, 10, r.gossip[holder][0], hr)
-	member.GossipReceived(t0+20*ms, holder, hr.gossip[10][0], r)
+	owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
+	owner.GossipReceived(t0, 10, r.gossip[ownerIndex][0], ownerRecorder)
+	member.GossipReceived(t0+20*ms, ownerIndex, ownerRecorder.gossip[10][0], r)
 	if r.count("send") != 1 {
 		t.Errorf("not sent after a grant: %v", r.actions)
 	}
-	// An answer that comes again, from another gateway, or to a number unknown changes nothing.
+	// A response that comes again, from another instance, or to an unknown number changes nothing.
 	r.actions = nil
-	for _, from := range []int{holder, 11, -1, 300} {
-		member.GossipReceived(t0+30*ms, from, hr.gossip[10][0], r)
+	for _, from := range []int{ownerIndex, 11, -1, 300} {
+		member.GossipReceived(t0+30*ms, from, ownerRecorder.gossip[10][0], r)
 	}
 	if len(r.actions) != 0 {
 		t.Errorf("%v", r.actions)
 	}
 }
 
-// A client that leaves while its holder is asked has its units given back once they are granted; nothing is sent on. Where they
-// are refused, or no answer comes, nothing is given back, and nothing is kept of the request.
+// Where a client disconnects while the owner is asked, its units are returned once they are granted, and nothing
+// is forwarded. Where they are rejected, or no response comes, nothing is returned, and nothing is kept of the
+// request.
 func TestClientDisconnectsDuringQuotaRequest(t *testing.T) {
 	const customer = 77
 	granted := func(num uint64) []byte {
@@ -74,94 +75,95 @@
 		t.Run(name, func(t *testing.T) {
 			member, r := newOwnerEngine(t, 10)
 			member.RequestReceived(t0, ownerRequest(1, customer), r)
-			holder, num := member.ownerFor(member.quotas.byCustomer[customer]), member.requests.byID["r1"].number
+			ownerIndex, num := member.ownerFor(member.quotas.byCustomer[customer]), member.requests.byID["r1"].number
 			member.ClientDisconnected(t0+10*ms, "r1", r)
 			r.gossip = nil
 			if answer != nil {
-				member.GossipReceived(t0+20*ms, holder, answer(num), r)
+				member.GossipReceived(t0+20*ms, ownerIndex, answer(num), r)
 			}
 			member.TimerFired(t0+ownerTimeout, timerToken(timerOwnerTimeout, num), r)
-			member.GossipReceived(t0+ownerTimeout, holder, granted(num), r) // doubled, or too late
+			member.GossipReceived(t0+ownerTimeout, ownerIndex, granted(num), r) // repeated, or too late
 			if r.count("send") != 0 || len(member.requests.byID)+len(member.requests.byNumber) != 0 {
-				t.Errorf("sent on, or %d requests kept: %v", len(member.requests.byID)+len(member.requests.byNumber), r.actions)
+				t.Errorf("forwarded, or %d requests kept: %v", len(member.requests.byID)+len(member.requests.byNumber), r.actions)
 			}
-			var backs []quotaReturn
-			for _, m := range r.gossip[holder] {
+			var returned []quotaReturn
+			for _, m := range r.gossip[ownerIndex] {
 				decoded, _, err := member.codec().decodeQuotaMessage(m)
 				if b, ok := decoded.(quotaReturn); ok && err == nil {
-					backs = append(backs, b)
+					returned = append(returned, b)
 				}
 			}
-			if name == "granted" && (len(backs) != 1 || backs[0].number != num || backs[0].units != 1) || name != "granted" && len(backs) != 0 {
-				t.Errorf("given back: %+v", backs)
+			if name == "granted" && (len(returned) != 1 || returned[0].number != num || returned[0].units != 1) || name != "granted" && len(returned) != 0 {
+				t.Errorf("returned: %+v", returned)
 			}
 		})
 	}
 }
 
-// A request whose holder is not waited for, having said nothing of late, is not kept for an answer once it has its own.
+// A request whose owner is not waited for, since it has not responded recently, is not kept for its response.
 func TestNoWaitForUnresponsiveOwner(t *testing.T) {
 	const customer = 77
-	g, r := newOwnerEngine(t, 10)
-	g.quotaFor(customer, ownerScope(g)).grantFraction = 0 // what was heard last: nothing is granted
+	e, r := newOwnerEngine(t, 10)
+	e.quotaFor(customer, ownerScope(e)).grantFraction = 0 // as of the last response: nothing is granted
 	for n := range maxOwnerTimeouts + 1 {
-		g.RequestReceived(t0, ownerRequest(n, customer), r)
-		for num := range g.requests.byNumber {
-			g.TimerFired(t0, timerToken(timerOwnerTimeout, num), r)
+		e.RequestReceived(t0, ownerRequest(n, customer), r)
+		for num := range e.requests.byNumber {
+			e.TimerFired(t0, timerToken(timerOwnerTimeout, num), r)
 		}
 	}
 	if r.count("refuse") != maxOwnerTimeouts+1 || len(r.timers) < maxOwnerTimeouts {
-		t.Fatalf("not refused without waiting: %v", r.actions)
+		t.Fatalf("not rejected without waiting: %v", r.actions)
 	}
-	g.RequestReceived(t0, ownerRequest(maxOwnerTimeouts+1, customer), r)
-	if len(g.requests.byID)+len(g.requests.byNumber) != 0 {
-		t.Errorf("%d requests are kept", len(g.requests.byNumber))
+	e.RequestReceived(t0, ownerRequest(maxOwnerTimeouts+1, customer), r)
+	if len(e.requests.byID)+len(e.requests.byNumber) != 0 {
+		t.Errorf("%d requests are kept", len(e.requests.byNumber))
 	}
 }
 
-// All members together must not be granted more than the store holds.
+// All members together must not be granted more than the quota holds.
 func TestOwnerGrantsItsTokensOnce(t *testing.T) {
 	const customer = 77
 	first, r := newOwnerEngine(t, 10)
 	first.RequestReceived(t0, ownerRequest(1, customer), r)
-	holder := first.ownerFor(first.quotas.byCustomer[customer])
-	h, hr := newOwnerEngine(t, holder)
+	ownerIndex := first.ownerFor(first.quotas.byCustomer[customer])
+	owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
 	sent := 0.0
 	for me := 10; me < 110; me++ {
-		if me == holder {
+		if me == ownerIndex {
 			continue
 		}
-		g, r := newOwnerEngine(t, me)
-		if g.ownerFor(g.quotaFor(customer, ownerScope(g))) != holder {
-			continue // another part of the holder's
+		e, r := newOwnerEngine(t, me)
+		if e.ownerFor(e.quotaFor(customer, ownerScope(e))) != ownerIndex {
+			continue // asks the owner of another part
 		}
 		for n := 0; n < 4; n++ {
-			r.gossip, hr.gossip = nil, nil
-			g.RequestReceived(t0, ownerRequest(n, customer), r)
-			if r.gossip != nil { // else refused of late
-				h.GossipReceived(t0, me, r.gossip[holder][0], hr)
-				g.GossipReceived(t0, holder, hr.gossip[me][0], r)
+			r.gossip, ownerRecorder.gossip = nil, nil
+			e.RequestReceived(t0, ownerRequest(n, customer), r)
+			if r.gossip != nil { // else rejected recently
+				owner.GossipReceived(t0, me, r.gossip[ownerIndex][0], ownerRecorder)
+				e.GossipReceived(t0, ownerIndex, ownerRecorder.gossip[me][0], r)
 			}
 		}
 		sent += float64(r.count("send"))
 	}
-	if burst := h.settings.Plans[h.planIndex["rate"]].Burst; sent == 0 || sent > burst {
+	if burst := owner.settings.Plans[owner.planIndex["rate"]].Burst; sent == 0 || sent > burst {
 		t.Errorf("%v sent of a burst of %v", sent, burst)
 	}
 }
 
-// A calm day's asks must not look like a flood: a member refused by a holder whose inbox is a third full comes back as soon as the
-// store has filled, not in the seconds after which it would be its turn if all members asked in vain.
+// Normal load must not look like an overload of the owner: a member rejected by an owner whose inbox is a third
+// full retries as soon as the quota has filled, not in the seconds after which it would be its turn if all members
+// asked in vain.
 func TestRejectedMembersRetrySoon(t *testing.T) {
 	wait := func(inbox float64) time.Duration {
 		member, r := newOwnerEngine(t, 10)
 		member.RequestReceived(t0, ownerRequest(1, 77), r)
 		to := member.ownerFor(member.quotas.byCustomer[77])
-		h, hr := newOwnerEngine(t, to)
-		h.gossip.rate = inbox
-		h.quotaFor(77, ownerScope(h)).tokens = 0
-		h.GossipReceived(t0, 10, r.gossip[to][0], hr)
-		member.GossipReceived(t0, to, hr.gossip[10][0], r)
+		owner, ownerRecorder := newOwnerEngine(t, to)
+		owner.gossip.rate = inbox
+		owner.quotaFor(77, ownerScope(owner)).tokens = 0
+		owner.GossipReceived(t0, 10, r.gossip[to][0], ownerRecorder)
+		member.GossipReceived(t0, to, ownerRecorder.gossip[10][0], r)
 		if r.count("refuse") != 1 {
 			t.Fatalf("%v", r.actions)
 		}
@@ -175,28 +177,28 @@
 		}
 	}
 	if w := wait(14); w > max(one, ownerTimeout)+retryAfterUnit {
-		t.Errorf("a calm holder shuts a member out for %v, its store fills by one in %v", w, one)
+		t.Errorf("an owner at normal load rejects a member for %v, its quota fills by one in %v", w, one)
 	}
 	if w := wait(39); w < 2*time.Second {
-		t.Errorf("a flooded holder has a member come back after %v", w)
+		t.Errorf("an overloaded owner has a member retry after %v", w)
 	}
 }
 
-// A customer stays crowded for as long as its store takes to fill in two tries, which may be more than a second.
+// A customer stays contended for as long as its quota takes to refill two requests, which may be more than a second.
 func TestSlowQuotasStayContended(t *testing.T) {
 	h, _ := newOwnerEngine(t, 10)
 	h.settings.Plans[h.planIndex["rate"]].Rate = 0.5
-	st := h.quotaFor(77, ownerScope(h))
-	if st.tokens = 0; !st.usesOwner {
-		t.Fatal("no holder is asked for this customer")
+	quota := h.quotaFor(77, ownerScope(h))
+	if quota.tokens = 0; !quota.usesOwner {
+		t.Fatal("no owner is asked for this customer")
 	}
-	h.checkQuota(st, quotaDemand{units: 1})
-	if d := st.contendedUntil - h.now; d != 4*time.Second {
-		t.Errorf("crowded for %v, it fills by two in 4 s", d)
+	h.checkQuota(quota, quotaDemand{units: 1})
+	if d := quota.contendedUntil - h.now; d != 4*time.Second {
+		t.Errorf("contended for %v, it fills by two in 4 s", d)
 	}
 }
 
-// A holder gives no units of a customer whose tries it has to refuse to one that comes too late for its aim; the
+// An owner of a contended quota grants nothing to a request that comes too late for its latency objective; the
 // member that sent it may go on asking for others.
 func TestOwnersRejectLateRequests(t *testing.T) {
 	member, r := newOwnerEngine(t, 10)
@@ -210,17 +212,17 @@
 		member.RequestReceived(at, q, r)
 		to := member.ownerFor(member.quotas.byCustomer[77])
 		if r.gossip[to] == nil {
-			t.Fatalf("try %d was not asked for: %v", n, r.actions)
+			t.Fatalf("the owner was not asked for request %d: %v", n, r.actions)
 		}
-		h, hr := newOwnerEngine(t, to)
-		st := h.quotaFor(77, ownerScope(h))
-		st.tokens, st.contendedUntil = 5, at+time.Second
+		owner, ownerRecorder := newOwnerEngine(t, to)
+		quota := owner.quotaFor(77, ownerScope(owner))
+		quota.tokens, quota.contendedUntil = 5, at+time.Second
 		if n == 0 {
-			st.contendedUntil = 0
+			quota.contendedUntil = 0
 		}
-		h.GossipReceived(at, 10, r.gossip[to][0], hr)
+		owner.GossipReceived(at, 10, r.gossip[to][0], ownerRecorder)
 		sent := r.count("send")
-		member.GossipReceived(at, to, hr.gossip[10][0], r)
+		member.GossipReceived(at, to, ownerRecorder.gossip[10][0], r)
 		if r.count("send") == sent {
 			return false
 		}
@@ -228,119 +230,120 @@
 		return true
 	}
 	if !ask(0, true, t0) {
-		t.Error("a late try was refused with room for all")
+		t.Error("a late request was rejected with room for all")
 	}
 	for n := 1; n < 7; n += 2 {
 		at := t0 + time.Duration(n)*time.Second
 		if ask(n, true, at) {
-			t.Error("a late try took the units of a crowded customer")
+			t.Error("a late request took the units of a contended customer")
 		}
 		if !ask(n+1, false, at) {
-			t.Error("a fresh try was refused in its place")
+			t.Error("a fresh request was rejected in its place")
 		}
 	}
 }
 
-// A holder that is down must cost a wait, not the customer.
+// An owner that is down costs a wait: the fraction granted recently decides.
 func TestOwnerTimeoutUsesGrantFraction(t *testing.T) {
 	for _, pass := range []float64{0, 1} {
-		g, r := newOwnerEngine(t, 10)
-		g.quotaFor(77, ownerScope(g)).grantFraction = pass
-		g.RequestReceived(t0, ownerRequest(1, 77), r)
-		g.TimerFired(t0+ownerTimeout, timerToken(timerOwnerTimeout, g.requests.lastNumber), r)
+		e, r := newOwnerEngine(t, 10)
+		e.quotaFor(77, ownerScope(e)).grantFraction = pass
+		e.RequestReceived(t0, ownerRequest(1, 77), r)
+		e.TimerFired(t0+ownerTimeout, timerToken(timerOwnerTimeout, e.requests.lastNumber), r)
 		if got := r.count("send"); got != int(pass) || r.count("refuse") != 1-got {
 			t.Errorf("share %v: %v", pass, r.actions)
 		}
 	}
 }
 
-// An ask for a customer whose set lacks the sender or the receiver changes nothing, nor does a malformed one.
+// A quota request of which the sender or the receiver is none of the customer's instances changes nothing, nor
+// does a malformed one.
 func TestInvalidQuotaRequestsChangeNothing(t *testing.T) {
 	member, r := newOwnerEngine(t, 10)
 	member.RequestReceived(t0, ownerRequest(1, 77), r)
 	good := r.gossip[member.ownerFor(member.quotas.byCustomer[77])][0]
 	for _, c := range []struct{ me, from int }{{5, 10}, {20, 5}, {20, 250}} {
-		g, r := newOwnerEngine(t, c.me)
-		g.GossipReceived(t0, c.from, good, r)
-		if len(g.quotas.byCustomer) != 0 || len(r.gossip) != 0 {
-			t.Errorf("%+v: %d stores, %d answers", c, len(g.quotas.byCustomer), len(r.gossip))
+		e, r := newOwnerEngine(t, c.me)
+		e.GossipReceived(t0, c.from, good, r)
+		if len(e.quotas.byCustomer) != 0 || len(r.gossip) != 0 {
+			t.Errorf("%+v: %d quotas, %d responses", c, len(e.quotas.byCustomer), len(r.gossip))
 		}
 	}
-	g, gr := newOwnerEngine(t, 20)
+	e, gr := newOwnerEngine(t, 20)
 	for n := 0; n < len(good); n++ {
-		g.GossipReceived(t0, 10, good[:n], gr)
+		e.GossipReceived(t0, 10, good[:n], gr)
 	}
-	g.GossipReceived(t0, 10, append(append([]byte{}, good...), 0), gr)
-	if len(g.quotas.byCustomer) != 0 {
-		t.Error("a malformed ask made a store")
+	e.GossipReceived(t0, 10, append(append([]byte{}, good...), 0), gr)
+	if len(e.quotas.byCustomer) != 0 {
+		t.Error("a malformed request made a quota")
 	}
 }
 
-// Rule 5: the parts of a ceiling over all gateways of a set must not sum to more than the whole.
+// Rule 5: the fractions of a hard limit over all instances of a customer sum to one.
 func TestHardLimitFractionsSumToOne(t *testing.T) {
 	burst, rate := 0.0, 0.0
 	for me := 10; me < 110; me++ {
-		g, _ := newOwnerEngine(t, me)
-		st := g.quotaFor(77, ownerScope(g))
-		burst, rate = burst+st.burstFraction, rate+st.rateFraction
+		e, _ := newOwnerEngine(t, me)
+		quota := e.quotaFor(77, ownerScope(e))
+		burst, rate = burst+quota.burstFraction, rate+quota.rateFraction
 	}
 	if math.Abs(burst-1) > 1e-9 || math.Abs(rate-1) > 1e-9 {
-		t.Errorf("parts sum to %v of the burst and %v of the rate", burst, rate)
+		t.Errorf("fractions sum to %v of the burst and %v of the rate", burst, rate)
 	}
 }
 
-// A place under an open cap must be free again soon, also where the answer to the ask was lost, and a refusal
-// must not keep the customer out for longer than an ask takes.
+// A place under a limit in flight is free again soon, also where the owner's response was lost, and a rejection
+// does not keep the customer out for longer than a quota request takes.
 func TestInFlightLeasesAreReleased(t *testing.T) {
 	member, r := newOwnerEngine(t, 10)
 	q := ownerRequest(1, 77)
 	q.Plan = "open"
 	member.RequestReceived(t0, q, r)
-	holder := member.ownerFor(member.quotas.byCustomer[77])
-	h, hr := newOwnerEngine(t, holder)
-	h.GossipReceived(t0, 10, r.gossip[holder][0], hr)
-	if n := len(h.quotas.byCustomer[77].leases); n != 1 {
+	ownerIndex := member.ownerFor(member.quotas.byCustomer[77])
+	owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
+	owner.GossipReceived(t0, 10, r.gossip[ownerIndex][0], ownerRecorder)
+	if n := len(owner.quotas.byCustomer[77].leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
 	r.gossip = nil
 	member.TimerFired(t0+ownerTimeout, timerToken(timerOwnerTimeout, member.requests.lastNumber), r)
 	completeAttempts(member, r, t0+ownerTimeout+50*ms, 50*ms, OK)
-	for _, m := range r.gossip[holder] {
-		h.GossipReceived(t0+200*ms, 10, m, hr)
+	for _, m := range r.gossip[ownerIndex] {
+		owner.GossipReceived(t0+200*ms, 10, m, ownerRecorder)
 	}
-	if n := len(h.quotas.byCustomer[77].leases); n != 0 {
-		t.Errorf("%d leases after the answer", n)
+	if n := len(owner.quotas.byCustomer[77].leases); n != 0 {
+		t.Errorf("%d leases after the response", n)
 	}
-	h.quotas.byCustomer[77].inFlight = h.settings.Plans[h.planIndex["open"]].MaxInFlight
-	if in, wait := h.checkQuota(h.quotas.byCustomer[77], quotaDemand{units: 1}); in || wait > ownerTimeout {
+	owner.quotas.byCustomer[77].inFlight = owner.settings.Plans[owner.planIndex["open"]].MaxInFlight
+	if in, wait := owner.checkQuota(owner.quotas.byCustomer[77], quotaDemand{units: 1}); in || wait > ownerTimeout {
 		t.Errorf("in %v, wait %v", in, wait)
 	}
 }
 
-// Rule 5: a holder that has just started must not grant what one before it may have spent.
+// Rule 5: an owner that has just started does not grant what the process before it may have spent.
 func TestNewOwnerGrantsNoHardLimitTokens(t *testing.T) {
 	member, r := newOwnerEngine(t, 10)
 	q := ownerRequest(1, 77)
 	q.Plan = "hard"
 	member.RequestReceived(t0, q, r)
-	holder := member.ownerFor(member.quotas.byCustomer[77])
-	h, hr := newOwnerEngine(t, holder)
-	h.GossipReceived(t0, 10, r.gossip[holder][0], hr)
-	member.GossipReceived(t0+ms, holder, hr.gossip[10][0], r)
+	ownerIndex := member.ownerFor(member.quotas.byCustomer[77])
+	owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
+	owner.GossipReceived(t0, 10, r.gossip[ownerIndex][0], ownerRecorder)
+	member.GossipReceived(t0+ms, ownerIndex, ownerRecorder.gossip[10][0], r)
 	if r.count("send") != 0 {
 		t.Errorf("%v", r.actions)
 	}
 }
 
-// Rule 1: a request that waits for its holder longer than its client must be answered in time.
+// Rule 1: a request whose client waits less long than its owner takes is answered in time.
 func TestRequestAwaitingOwnerIsAnswered(t *testing.T) {
-	g, r := newOwnerEngine(t, 10)
+	e, r := newOwnerEngine(t, 10)
 	q := ownerRequest(1, 77)
 	q.Timeout = 30 * ms
-	g.RequestReceived(t0, q, r)
+	e.RequestReceived(t0, q, r)
 	for _, s := range r.timers {
-		if s.token == timerToken(timerDeadline, g.requests.lastNumber) && s.after < q.Timeout {
-			g.TimerFired(t0+s.after, s.token, r)
+		if s.token == timerToken(timerDeadline, e.requests.lastNumber) && s.after < q.Timeout {
+			e.TimerFired(t0+s.after, s.token, r)
 		}
 	}
 	if r.count("refuse") != 1 {
@@ -348,15 +351,15 @@
 	}
 }
 
-// Units that were sent without their holder's answer are taken from the store once, whether the ask or its answer was lost.
+// Units that were sent without the owner's response are charged once, whether the request or the response was lost.
 func TestUnitsSentWithoutResponseAreCharged(t *testing.T) {
-	for _, lost := range []string{"ask", "answer"} {
+	for _, lost := range []string{"request", "response"} {
 		member, r := newOwnerEngine(t, 10)
 		member.RequestReceived(t0, ownerRequest(1, 77), r)
 		to := member.ownerFor(member.quotas.byCustomer[77])
-		holder, hr := newOwnerEngine(t, to)
-		if lost == "answer" {
-			holder.GossipReceived(t0+ms, 10, r.gossip[to][0], hr)
+		ownerIndex, hr := newOwnerEngine(t, to)
+		if lost == "response" {
+			ownerIndex.GossipReceived(t0+ms, 10, r.gossip[to][0], hr)
 		}
 		for _, timer := range r.timers {
 			if timerKind(timer.token&(1<<timerBits-1)) == timerOwnerTimeout {
@@ -367,11 +370,11 @@
 			t.Fatalf("%s lost: %d messages, %v", lost, len(r.gossip[to]), r.actions)
 		}
 		for range 3 {
-			holder.GossipReceived(t0+ms, 10, r.gossip[to][1], hr)
+			ownerIndex.GossipReceived(t0+ms, 10, r.gossip[to][1], hr)
 		}
-		st := holder.quotas.byCustomer[77]
-		p := &holder.settings.Plans[st.plan]
-		if spent := p.Burst/st.ownerCount - st.tokens; math.Abs(spent-1) > 0.2 {
+		quota := ownerIndex.quotas.byCustomer[77]
+		p := &ownerIndex.settings.Plans[quota.plan]
+		if spent := p.Burst/quota.ownerCount - quota.tokens; math.Abs(spent-1) > 0.2 {
 			t.Errorf("%s lost: %.2f units taken, want 1", lost, spent)
 		}
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -6,46 +6,46 @@
 )
 
 func TestQuotaSpendsItsFractionBetweenBroadcasts(t *testing.T) {
-	g, r := newInstance(t, 0, 2)
+	e, r := newInstance(t, 0, 2)
 	q := newSharedRequest("rate", 1, 2)
-	// A new store holds 40/2; half of it may be spent before the next tell.
-	if n := offerRequests(g, r, t0, 50, q); n != 10 {
-		t.Errorf("%d sent before the first tell, want 10", n)
+	// A new quota holds 40/2; half of it may be spent before the next broadcast.
+	if n := offerRequests(e, r, t0, 50, q); n != 10 {
+		t.Errorf("%d sent before the first broadcast, want 10", n)
 	}
-	g.TimerFired(t0, timerToken(timerGossip, 0), r)
-	if n := offerRequests(g, r, t0, 50, q); n != 5 {
-		t.Errorf("%d sent before the second tell, want 5", n)
+	e.TimerFired(t0, timerToken(timerGossip, 0), r)
+	if n := offerRequests(e, r, t0, 50, q); n != 5 {
+		t.Errorf("%d sent before the second broadcast, want 5", n)
 	}
 }
 
-// A split store smaller than a request must not starve its customer.
+// A split quota smaller than a request must not starve its customer.
 func TestSmallQuotaAdmitsOneRequest(t *testing.T) {
 	s := testSettings()
 	s.InstanceCount, s.Plans[1].Rate, s.Plans[1].Burst = 3, 0.5, 2
-	g, r := newEngine(t, s, testServers(4)...)
+	e, r := newEngine(t, s, testServers(4)...)
 	q := newSharedRequest("rate", 1, 3)
 	now := t0 + 4*time.Second
-	if n := offerRequests(g, r, now, 5, q); n != 1 {
+	if n := offerRequests(e, r, now, 5, q); n != 1 {
 		t.Errorf("%d sent, want 1", n)
 	}
 }
 
-// A customer refused of late must not get one request from each gateway as soon as one is free.
+// A customer that was rejected must not get one request from each instance as soon as one unit is free.
 func TestContendedCustomerWaitsForItsFraction(t *testing.T) {
-	g, r := newInstance(t, 0, 3)
+	e, r := newInstance(t, 0, 3)
 	q := newSharedRequest("rate", 1, 3)
-	offerRequests(g, r, t0, 30, q)
-	g.quotas.byCustomer[1].tokens = 1.5
-	g.TimerFired(t0, timerToken(timerGossip, 0), r)
-	if n := offerRequests(g, r, t0+ms, 5, q); n != 0 {
-		t.Errorf("%d sent with units for one gateway of three", n)
+	offerRequests(e, r, t0, 30, q)
+	e.quotas.byCustomer[1].tokens = 1.5
+	e.TimerFired(t0, timerToken(timerGossip, 0), r)
+	if n := offerRequests(e, r, t0+ms, 5, q); n != 0 {
+		t.Errorf("%d sent with units for one instance of three", n)
 	}
-	if n := offerRequests(g, r, t0+60*ms, 5, q); n != 1 {
+	if n := offerRequests(e, r, t0+60*ms, 5, q); n != 1 {
 		t.Errorf("%d sent with units for all, want 1", n)
 	}
 }
 
-// The cap on attempts open at once counts what peers told.
+// The limit in flight counts the attempts that peers report.
 func TestInFlightLimitCountsPeers(t *testing.T) {
 	a, ra := newInstance(t, 0, 2)
 	q := newSharedRequest("open", 1, 2)
@@ -58,47 +58,47 @@
 		b.TimerFired(t0, timerToken(timerGossip, 0), rb)
 	}
 	if got := sentA + rb.count("send"); sentA == 0 || got < 5 || got > 6 {
-		t.Errorf("%d out, %d of them on the peer; want 5 or 6", got, sentA)
+		t.Errorf("%d in flight, %d of them on the peer; want 5 or 6", got, sentA)
 	}
 }
 
-// Rule 5: a gateway that just started may be the successor of one that spent its part.
+// Rule 5: an instance that has just started may replace one that spent its part.
 func TestHardLimitStartsEmpty(t *testing.T) {
 	s := testSettings()
-	g, r := newEngine(t, s, testServers(4)...)
+	e, r := newEngine(t, s, testServers(4)...)
 	q := newRequest(0, "safe", "hard", 1)
-	if n := offerRequests(g, r, t0, 30, q); n != 0 {
+	if n := offerRequests(e, r, t0, 30, q); n != 0 {
 		t.Errorf("%d sent at the start", n)
 	}
-	if n := offerRequests(g, r, t0+200*ms, 30, q); n != 5 {
+	if n := offerRequests(e, r, t0+200*ms, 30, q); n != 5 {
 		t.Errorf("%d sent after 200 ms at 25 a second, want 5", n)
 	}
 }
 
-// True units that come with the answer settle the store.
+// The true units that come with the response settle the quota.
 func TestSettledUnits(t *testing.T) {
 	s := testSettings()
 	s.SettlesUnits = true
-	g, r := newEngine(t, s, testServers(2)...)
-	g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
-	g.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Units: 4}, r)
-	if got := g.quotas.byCustomer[1].tokens; got != 36 {
-		t.Errorf("level %v, want 36", got)
+	e, r := newEngine(t, s, testServers(2)...)
+	e.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Units: 4}, r)
+	if got := e.quotas.byCustomer[1].tokens; got != 36 {
+		t.Errorf("%v tokens, want 36", got)
 	}
 }
 
-// Customers seen once must not fill the memory.
+// Customers seen once only must not fill the memory.
 func TestIdleQuotasAreDropped(t *testing.T) {
-	g, r := newEngine(t, testSettings(), testServers(4)...)
+	e, r := newEngine(t, testSettings(), testServers(4)...)
 	for i := 0; i < 20000; i++ {
 		now := t0 + time.Duration(i)*ms
-		g.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
-		completeAttempts(g, r, now, ms, OK)
+		e.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
+		completeAttempts(e, r, now, ms, OK)
 		if i%100 == 0 {
-			g.TimerFired(now, timerToken(timerSample, 0), r)
+			e.TimerFired(now, timerToken(timerSample, 0), r)
 		}
 	}
-	if len(g.quotas.byCustomer) > 5000 || len(g.quotas.byCustomer) != len(g.quotas.list) {
-		t.Errorf("%d stores, %d in order", len(g.quotas.byCustomer), len(g.quotas.list))
+	if len(e.quotas.byCustomer) > 5000 || len(e.quotas.byCustomer) != len(e.quotas.list) {
+		t.Errorf("%d quotas, %d in order", len(e.quotas.byCustomer), len(e.quotas.list))
 	}
 }
--- a/policy/quota_transfer_test.go
+++ b/policy/quota_transfer_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// transferSim are gateways whose messages take time, get lost and come in another order, and one customer
-// under a ceiling whose requests come in bursts, now at one gateway and now at another.
+// transferSim is a fleet whose messages take time, get lost and are reordered, and one customer under a hard limit
+// whose requests come in bursts, now at one instance and now at another.
 type transferSim struct {
 	settings     Settings
 	engines      []*Engine
@@ -18,7 +18,7 @@
 	network      []datagram
 	now          time.Duration
 	requestCount int
-	unitsSent    float64 // units sent on
+	unitsSent    float64 // units forwarded
 	rng          *rand.Rand
 }
 
@@ -43,17 +43,17 @@
 
 func (w *transferSim) start(t *testing.T, i int) {
 	w.settings.InstanceIndex = i
-	g, err := New(w.settings, w.rng.Uint64())
+	e, err := New(w.settings, w.rng.Uint64())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.engines[i], w.recorders[i], w.timers[i] = g, &recorder{}, nil
-	g.Start(w.now, w.recorders[i])
-	g.EndpointsChanged(w.now, EndpointsSaved, testServers(4), w.recorders[i])
+	w.engines[i], w.recorders[i], w.timers[i] = e, &recorder{}, nil
+	e.Start(w.now, w.recorders[i])
+	e.EndpointsChanged(w.now, EndpointsSaved, testServers(4), w.recorders[i])
 	w.collect(i, 0)
 }
 
-// collect takes up what a gateway asked for: a share of its messages is lost.
+// collect carries out what an instance asked for: a fraction of its messages is lost.
 func (w *transferSim) collect(i int, loss float64) {
 	r := w.recorders[i]
 	for _, tm := range r.timers {
@@ -96,7 +96,7 @@
 	}
 }
 
-// offer sends a request of the customer through a gateway and ends what it sent on at once.
+// offer sends a request of the customer through an instance and completes what it forwards at once.
 func (w *transferSim) offer(i int) (sent bool) {
 	w.requestCount++
 	q := newRequest(w.requestCount, "safe", "hard", transferCustomer)
@@ -111,13 +111,13 @@
 	return sent
 }
 
-// hardLimitTokens is what all parts hold, what is under way to a gateway that can take it among it.
+// hardLimitTokens returns what all parts hold, with what is in transit to an instance that can receive it.
 func (w *transferSim) hardLimitTokens() (units float64) {
 	for _, g := range w.engines {
-		if st := g.quotas.byCustomer[transferCustomer]; st != nil {
+		if quota := g.quotas.byCustomer[transferCustomer]; quota != nil {
 			g.now = w.now
-			g.refill(st)
-			units += st.hardLimitTokens
+			g.refill(quota)
+			units += quota.hardLimitTokens
 		}
 	}
 	type tell struct {
@@ -144,8 +144,8 @@
 	return units
 }
 
-// All parts of a ceiling, with the units that are under way between them, hold no more than the whole, and what is
-// sent on never passes what the ceiling gives, whatever is lost, late or started again.
+// All parts of a hard limit, with the units in transit between them, hold no more than the whole, and what is
+// forwarded never exceeds the hard limit, whatever is lost, late or restarted.
 func TestTransfersKeepTheHardLimit(t *testing.T) {
 	t.Parallel()
 	lent := 0.0
@@ -154,7 +154,7 @@
 		p := w.settings.Plans[0]
 		loss := []float64{0, 0.1, 0.4}[seed%3]
 		busy, rate := 0, 0.0
-		level := 0.0 // of the true ceiling, were it empty at the start as the parts are
+		level := 0.0 // of the true hard limit, were it empty at the start as the parts are
 		for w.now < t0+8*time.Second {
 			if w.rng.IntN(300) == 0 {
 				busy, rate = w.rng.IntN(3), []float64{0, 0.02, 0.3}[w.rng.IntN(3)]
@@ -174,26 +174,26 @@
 				}
 			}
 			if level < -1e-6 {
-				t.Fatalf("seed %d, %v: the ceiling is passed by %.2f units", seed, w.now-t0, -level)
+				t.Fatalf("seed %d, %v: the hard limit is exceeded by %.2f units", seed, w.now-t0, -level)
 			}
 			if loss == 0 {
 				if sum := w.hardLimitTokens(); sum > p.HardLimitBurst+1e-6 {
 					t.Fatalf("seed %d, %v: parts hold %.2f of %v", seed, w.now-t0, sum, p.HardLimitBurst)
 				}
 			}
-			for _, g := range w.engines {
-				if st := g.quotas.byCustomer[transferCustomer]; st != nil {
-					lent = math.Max(lent, st.unitsInTransit[0])
+			for _, e := range w.engines {
+				if quota := e.quotas.byCustomer[transferCustomer]; quota != nil {
+					lent = math.Max(lent, quota.unitsInTransit[0])
 				}
 			}
 		}
 	}
 	if lent == 0 {
-		t.Error("nothing was lent: the sequences exercise nothing")
+		t.Error("nothing was transferred: the sequences exercise nothing")
 	}
 }
 
-// A customer whose requests all come through one gateway has nearly all of its ceiling's rate there.
+// A customer whose requests all come through one instance has nearly all of its hard limit's rate there.
 func TestBusyInstanceReceivesTransfers(t *testing.T) {
 	w := newTransferSim(t, 1, 3)
 	for w.now < t0+6*time.Second {
@@ -207,18 +207,18 @@
 	}
 	whole := 5 * w.settings.Plans[0].HardLimitRate
 	if w.unitsSent < 0.85*whole {
-		t.Errorf("%v units sent on in 5 s through one of three gateways, want nearly %v", w.unitsSent, whole)
+		t.Errorf("%v units forwarded in 5 s through one of three instances, want nearly %v", w.unitsSent, whole)
 	}
 }
 
-// What a part of a ceiling lacks goes with the tell; a loan taken twice, or one that a gateway does not have, would
-// pass the ceiling.
+// The deficit of a part goes with the gossip; a transfer received twice, or one that an instance does not have,
+// would exceed the hard limit.
 func TestTransferIsReceivedOnce(t *testing.T) {
 	w := newTransferSim(t, 1, 2)
 	a, b := w.engines[0], w.engines[1]
-	for _, g := range w.engines {
-		g.now = t0 + 20*time.Second
-		g.quotaFor(transferCustomer, quotaScope{instanceCount: 2})
+	for _, e := range w.engines {
+		e.now = t0 + 20*time.Second
+		e.quotaFor(transferCustomer, quotaScope{instanceCount: 2})
 	}
 	w.now = t0 + 20*time.Second
 	part := a.quotas.byCustomer[transferCustomer].hardLimitTokens
@@ -231,53 +231,53 @@
 	loan := w.recorders[0].gossip[1][0]
 	took := part - a.quotas.byCustomer[transferCustomer].hardLimitTokens
 	if took < 3 || took > part {
-		t.Fatalf("%v of %v lent where 3 are lacked", took, part)
+		t.Fatalf("%v of %v transferred where 3 are lacked", took, part)
 	}
 	for range 2 {
 		b.GossipReceived(w.now, 0, loan, w.recorders[1])
 	}
 	if got := b.quotas.byCustomer[transferCustomer].hardLimitTokens; got != took {
-		t.Errorf("%v borrowed of %v lent", got, took)
+		t.Errorf("%v received of %v transferred", got, took)
 	}
 	a.markForGossip(a.quotas.byCustomer[transferCustomer])
 	if a.broadcast(); part-a.quotas.byCustomer[transferCustomer].hardLimitTokens != took {
-		t.Error("what was lacked once is lent twice")
+		t.Error("one deficit is transferred twice")
 	}
-	// The repeat is for one that was there: an earlier life may have spent the loan.
+	// The repeat is for a process that was there before: it may have spent the transfer.
 	w.start(t, 1)
-	reborn := w.engines[1]
+	restarted := w.engines[1]
 	repeat := w.recorders[0].gossip[1][1]
-	if reborn.GossipReceived(w.now, 0, repeat, w.recorders[1]); reborn.quotas.byCustomer[transferCustomer].hardLimitTokens != 0 {
-		t.Errorf("a gateway that has just started holds %v of the ceiling", reborn.quotas.byCustomer[transferCustomer].hardLimitTokens)
+	if restarted.GossipReceived(w.now, 0, repeat, w.recorders[1]); restarted.quotas.byCustomer[transferCustomer].hardLimitTokens != 0 {
+		t.Errorf("an instance that has just started holds %v of the hard limit", restarted.quotas.byCustomer[transferCustomer].hardLimitTokens)
 	}
 	text, err := a.ExportState(a.now)
-	heir, _ := newSuccessor(t, a.settings, a.now, testServers(4)...)
-	if err = errors.Join(err, heir.ImportState(a.now, text)); err != nil || heir.quotas.byCustomer[transferCustomer].hardLimitCapacity(&heir.settings.Plans[0]) != part-took {
-		t.Errorf("the loan is not handed over: %v, part of %v", err, heir.quotas.byCustomer[transferCustomer].hardLimitCapacity(&heir.settings.Plans[0]))
+	successor, _ := newSuccessor(t, a.settings, a.now, testServers(4)...)
+	if err = errors.Join(err, successor.ImportState(a.now, text)); err != nil || successor.quotas.byCustomer[transferCustomer].hardLimitCapacity(&successor.settings.Plans[0]) != part-took {
+		t.Errorf("the transfer in transit is not exported: %v, part of %v", err, successor.quotas.byCustomer[transferCustomer].hardLimitCapacity(&successor.settings.Plans[0]))
 	}
 	if a.now += a.transferTimeout() / 2; a.quotaFor(transferCustomer, quotaScope{instanceCount: 2}).hardLimitTokens > part-took {
-		t.Error("a lender's part is whole again while its loan may be under way")
+		t.Error("a sender's part is whole again while its transfer may be in transit")
 	}
 	if a.now += 2 * a.transferTimeout(); a.quotaFor(transferCustomer, quotaScope{instanceCount: 2}).hardLimitTokens != part {
-		t.Error("a lender's part stays smaller for good")
+		t.Error("a sender's part stays smaller for good")
 	}
 }
 
-// Tells of before loans are heard: nodes are upgraded one after the other.
+// Gossip of the version before transfers is received: instances are upgraded one after the other.
 func TestGossipV1WithoutTransfersIsReceived(t *testing.T) {
 	w := newTransferSim(t, 1, 2)
 	a, b := w.engines[0], w.engines[1]
 	b.now = w.now
-	st := b.quotaFor(transferCustomer, quotaScope{instanceCount: 2})
-	before := st.tokens
-	st.pendingUnits = 5
-	entry := b.codec().appendEntry(nil, b.gossipEntryFor(st, 0))
+	quota := b.quotaFor(transferCustomer, quotaScope{instanceCount: 2})
+	before := quota.tokens
+	quota.pendingUnits = 5
+	entry := b.codec().appendEntry(nil, b.gossipEntryFor(quota, 0))
 	a.now = w.now
 	had := a.quotaFor(transferCustomer, quotaScope{instanceCount: 2}).tokens
 	old := encodeGossip(3, 1, encodedEntries{count: 1, bytes: entry[:len(entry)-2]}, encodedEntries{})
 	old[0] = kindGossipV1
 	a.GossipReceived(w.now, 1, old, w.recorders[0])
 	if got := had - a.quotas.byCustomer[transferCustomer].tokens; got != 5 || before <= 0 {
-		t.Errorf("%v units heard of 5", got)
+		t.Errorf("%v units received of 5", got)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What may follow each outcome, by the effect of the class: rule 2.
+// Rule 2: what may follow each result of an attempt, by the idempotency of the class.
 func TestActionAfterEachAttemptResult(t *testing.T) {
 	mayRun := map[Result]bool{OK: true, ErrorResponse: true, TimedOut: true, ConnectionReset: true, Cancelled: true}
 	for res := OK; res <= NotSent; res++ {
@@ -16,12 +16,12 @@
 				if inGroup {
 					other.Zone = "a"
 				}
-				g, r := newEngine(t, testSettings(), first)
-				g.retries.tokens = 5
-				g.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
-				g.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r)
+				e, r := newEngine(t, testSettings(), first)
+				e.retries.tokens = 5
+				e.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
+				e.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r)
 				r.actions = nil
-				g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0", RequestAnswered: res == OK}, r)
+				e.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0", RequestAnswered: res == OK}, r)
 				again := res != OK && res != NotSent && (!mayRun[res] || class == "safe" || class == "keyed" && inGroup)
 				want := "send r1 s1"
 				switch {
@@ -41,16 +41,16 @@
 }
 
 func TestNoRetryAfterDedupWindow(t *testing.T) {
-	g, r := newEngine(t, testSettings(), testServers(3)...)
-	g.retries.tokens = 5
-	g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
-	g.AttemptCompleted(t0+300*ms, AttemptResult{ID: "r1", Result: ConnectionReset}, r)
+	e, r := newEngine(t, testSettings(), testServers(3)...)
+	e.retries.tokens = 5
+	e.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
+	e.AttemptCompleted(t0+300*ms, AttemptResult{ID: "r1", Result: ConnectionReset}, r)
 	if r.last() != "fail r1" {
 		t.Errorf("got %q", r.last())
 	}
 }
 
-// Its window counts to the repeat's arrival, which a connection that comes up late puts off.
+// The dedup window counts to the retry's arrival, which a slow connection delays.
 func TestRetryArrivesWithinDedupWindow(t *testing.T) {
 	for connect, want := range map[time.Duration]int{0: 2, 150 * ms: 1} {
 		set := testSettings()
@@ -60,43 +60,43 @@
 				set.Classes[i].DedupWindow, set.Classes[i].DedupScope = 300*ms, DedupAllServers
 			}
 		}
-		g, r := newEngine(t, set, testServers(2)...)
-		g.retries.tokens = 5
-		g.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
+		e, r := newEngine(t, set, testServers(2)...)
+		e.retries.tokens = 5
+		e.RequestReceived(t0, newRequest(1, "keyed", "rate", 1), r)
 		first := r.last()
-		g.AttemptCompleted(t0+200*ms, AttemptResult{ID: "r1", Result: ConnectionReset, Server: first[len(first)-2:]}, r)
+		e.AttemptCompleted(t0+200*ms, AttemptResult{ID: "r1", Result: ConnectionReset, Server: first[len(first)-2:]}, r)
 		if got := r.count("send"); got != want {
 			t.Errorf("connections within %v: sent %d times, want %d: %v", connect, got, want, r.actions)
 		}
 	}
 }
 
-// A second copy counts as out: it must not take a capped customer's last places.
+// A hedged request counts as in flight: it must not take a limited customer's last places.
 func TestNoHedgingNearInFlightLimit(t *testing.T) {
 	for plan, want := range map[string]int{"rate": 1, "open": 0} {
 		s := testSettings()
 		s.AllowsHedging = true
 		s.Plans[2].MaxInFlight = 2
-		g, r := newEngine(t, s, testServers(4)...)
-		g.retries.tokens = 5
-		g.RequestReceived(t0, newRequest(1, "safe", plan, 1), r)
+		e, r := newEngine(t, s, testServers(4)...)
+		e.retries.tokens = 5
+		e.RequestReceived(t0, newRequest(1, "safe", plan, 1), r)
 		r.actions = nil
-		g.TimerFired(t0+ms, timerToken(timerHedge, g.requests.lastNumber), r)
+		e.TimerFired(t0+ms, timerToken(timerHedge, e.requests.lastNumber), r)
 		if n := r.count("send"); n != want {
-			t.Errorf("%s: %d second copies, want %d", plan, n, want)
+			t.Errorf("%s: %d hedged requests, want %d", plan, n, want)
 		}
 	}
 }
 
-// One attempt at a time where the site has it so.
+// One attempt at a time where hedging is not allowed.
 func TestNoHedgingWhereNotAllowed(t *testing.T) {
 	for _, parallel := range []bool{false, true} {
 		s := testSettings()
 		s.AllowsHedging = parallel
-		g, r := newEngine(t, s, testServers(2)...)
-		g.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
-		if got := g.mayAttempt(g.requests.byID["r1"], g.servers[0]); got != parallel {
-			t.Errorf("parallel %v: second copy %v", parallel, got)
+		e, r := newEngine(t, s, testServers(2)...)
+		e.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
+		if got := e.mayAttempt(e.requests.byID["r1"], e.servers[0]); got != parallel {
+			t.Errorf("parallel %v: hedged request %v", parallel, got)
 		}
 	}
 }
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -327,13 +327,13 @@
 	}
 	s := w.settings
 	s.InstanceIndex = i
-	g, err := New(s, w.rng.Uint64())
+	e, err := New(s, w.rng.Uint64())
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.engines[i] = g
+	w.engines[i] = e
 	p := ruleHost{w, i, w.incarnations[i]}
-	g.Start(w.now, p)
+	e.Start(w.now, p)
 	w.sendEndpoints(i, EndpointsSaved, w.serverIDs...)
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rule 4: all gateways together must keep a cold server within the budget, also when there are hundreds that
+// Rule 4: all instances together must keep a cold server within the budget, also when there are hundreds that
 // each would send it one request, when nothing is known of its size, and when all servers are cold.
 func TestWarmingServerStaysWithinBudget(t *testing.T) {
 	for _, n := range []int{1, 3, 300} {
@@ -15,114 +15,115 @@
 		work, sent := 0.0, 0
 		for me := 0; me < n; me++ {
 			s.InstanceIndex = me
-			g, err := New(s, uint64(me))
+			e, err := New(s, uint64(me))
 			if err != nil {
 				t.Fatal(err)
 			}
 			r := &recorder{}
-			g.Start(t0, r)
-			g.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "cold", Kind: "k", Zone: "a", StartedAt: t0 - ms}}, r)
+			e.Start(t0, r)
+			e.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "cold", Kind: "k", Zone: "a", StartedAt: t0 - ms}}, r)
 			for at := time.Duration(0); at < s.ColdOverloadWindow; at += 50 * ms {
-				sent += offerRequests(g, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
+				sent += offerRequests(e, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
 			}
-			work = float64(sent) * g.expectedWork(0)
+			work = float64(sent) * e.expectedWork(0)
 		}
 		// One core's work, the least that a server can do when warm, is what the budget is taken of.
 		share := s.SlowStartMinFraction + (1-s.SlowStartMinFraction)*s.ColdOverloadWindow.Seconds()/s.SlowStartWindow.Seconds()
 		budget := s.ColdOverloadMultiple * share * s.ColdOverloadWindow.Seconds()
 		if sent == 0 && n > 100 || work > math.Max(budget, 2*s.Classes[0].LatencyObjective.Seconds()) {
-			t.Errorf("%d gateways sent %d requests of work %.2f to a cold server, budget %.2f", n, sent, work, budget)
+			t.Errorf("%d instances sent %d requests of work %.2f to a cold server, budget %.2f", n, sent, work, budget)
 		}
 	}
 }
 
-// A connection that does not come up may mean a restart that the list tells later. One that
-// broke does not: connections break one by one as well, and all servers would count as cold.
+// A connection that is refused may mean a restart that the list shows later. One that was reset does not:
+// connections break one by one as well, and all servers would count as cold.
 func TestRefusedConnectionStartsWarmUp(t *testing.T) {
 	for res, cold := range map[Result]bool{ConnectFailed: true, ConnectionReset: false, ErrorResponse: false} {
-		g, r := newEngine(t, testSettings(), testServers(1)...)
-		g.RequestReceived(t0, newRequest(1, "unsafe", "rate", 1), r)
-		g.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0"}, r)
-		if got := g.capacityFraction(g.servers[0]) < 1; got != cold {
+		e, r := newEngine(t, testSettings(), testServers(1)...)
+		e.RequestReceived(t0, newRequest(1, "unsafe", "rate", 1), r)
+		e.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0"}, r)
+		if got := e.capacityFraction(e.servers[0]) < 1; got != cold {
 			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
 		}
 		r.actions = nil
-		if n := offerRequests(g, r, t0+2*ms, 30, newRequest(0, "safe", "rate", 2)); cold && n > 1 {
+		if n := offerRequests(e, r, t0+2*ms, 30, newRequest(0, "safe", "rate", 2)); cold && n > 1 {
 			t.Errorf("%d sent after the refused connection, want 1 at most", n)
 		}
 	}
 }
 
-// A cold server is its holders' to warm up: others would add to what these send, which is all that it can bear.
+// Only the instances that have a cold server in their subset warm it up: others would add to what these send,
+// which is all that it can take.
 func TestNoWarmupBudgetOutsideSubset(t *testing.T) {
-	g, _ := newSubsetEngine(t)
-	for _, s := range g.servers {
+	e, _ := newSubsetEngine(t)
+	for _, s := range e.servers {
 		s.StartedAt = t0 - 100*ms
-		if s.warmup.work = 100; !s.inSubset && g.hasWarmupBudget(s, 0) {
-			t.Fatalf("cold server %s has room and is not in the part", s.ID)
+		if s.warmup.work = 100; !s.inSubset && e.hasWarmupBudget(s, 0) {
+			t.Fatalf("cold server %s has budget and is not in the subset", s.ID)
 		}
 	}
 }
 
-// Part of the servers is new and cold: what may be sent there is sent there, before warm servers get it, and look-ups that look in don't cut off
-// what has been saved for bookings, which are heavier.
+// Where some servers of the subset are cold, their budget is used before warm servers get requests, and light
+// requests do not use up what has been saved for heavier ones.
 func TestWarmingServersOfSubsetGetTheirBudget(t *testing.T) {
-	g, r := newSubsetEngine(t)
-	g.now, g.actions, g.warmRate = t0+10*time.Second, r, 0.1
+	e, r := newSubsetEngine(t)
+	e.now, e.actions, e.warmRate = t0+10*time.Second, r, 0.1
 	light, heavy := 0, 1
-	g.settings.Classes = append([]Class{}, g.settings.Classes[:2]...)
-	g.settings.Classes[light].LatencyObjective, g.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms // a quarter of it is the work until that is learned
+	e.settings.Classes = append([]Class{}, e.settings.Classes[:2]...)
+	e.settings.Classes[light].LatencyObjective, e.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms // a quarter of it is the work until that is learned
 	cold := map[string]bool{}
-	for i, s := range g.subset.members {
-		if g.serverResponded(s); i%2 == 0 {
-			s.StartedAt, s.warmup.work, s.warmup.updatedAt = g.now-g.settings.SlowStartWindow/4, 0, g.now
+	for i, s := range e.subset.members {
+		if e.serverResponded(s); i%2 == 0 {
+			s.StartedAt, s.warmup.work, s.warmup.updatedAt = e.now-e.settings.SlowStartWindow/4, 0, e.now
 			cold[s.ID] = true
 		} else {
-			s.expectedConnections, s.lastUsedAt = 1, g.now
+			s.expectedConnections, s.lastUsedAt = 1, e.now
 		}
 	}
 	for range 40 {
-		g.now += 100 * ms
-		for _, s := range g.subset.members {
+		e.now += 100 * ms
+		for _, s := range e.subset.members {
 			if cold[s.ID] {
-				g.hasWarmupBudget(s, light)
+				e.hasWarmupBudget(s, light)
 			}
 		}
 	}
 	ready := 0
-	for _, s := range g.subset.members {
-		s.lastUsedAt = g.now
-		ready += boolToInt(cold[s.ID] && g.hasWarmupBudget(s, heavy))
+	for _, s := range e.subset.members {
+		s.lastUsedAt = e.now
+		ready += boolToInt(cold[s.ID] && e.hasWarmupBudget(s, heavy))
 	}
 	if ready < len(cold)/2 {
 		t.Fatalf("%d of %d cold servers may be sent a heavy request after 4 s", ready, len(cold))
 	}
 	asked, toCold := 0, 0
 	for ; toCold < ready && asked < 100; asked++ { // two warm ones may be looked at first
-		if s := g.selectServer(&request{Request: Request{ID: "x"}, class: heavy}); cold[s.ID] {
+		if s := e.selectServer(&request{Request: Request{ID: "x"}, class: heavy}); cold[s.ID] {
 			toCold++
 			s.warmup.work = 0
 		}
 	}
 	if toCold < ready || asked > 2*ready {
-		t.Errorf("%d of %d requests go to cold servers that may be sent %d", toCold, asked, ready)
+		t.Errorf("%d of %d requests go to cold servers with budget for %d", toCold, asked, ready)
 	}
-	if s := g.selectServer(&request{Request: Request{ID: "x"}, class: heavy}); cold[s.ID] {
-		t.Error("a cold server is sent more than it may")
+	if s := e.selectServer(&request{Request: Request{ID: "x"}, class: heavy}); cold[s.ID] {
+		t.Error("a cold server is sent more than its budget")
 	}
 }
 
-// What a cold server may be sent is shared out among those that have it in their part: they do all the work of a warm one,
-// and no others take of it. Where nothing is known that is a second's work a second over them all.
+// The warm-up budget of a server is shared by the instances that have it in their subset, and by no others. Where
+// nothing is known it is a second's work a second over them all.
 func TestSubsetHoldersShareWarmupBudget(t *testing.T) {
-	g, _ := newSubsetEngine(t)
-	g.now = t0 + time.Second
+	e, _ := newSubsetEngine(t)
+	e.now = t0 + time.Second
 	held := map[string]int{}
-	for node := range g.settings.InstanceCount {
-		other := *g
+	for node := range e.settings.InstanceCount {
+		other := *e
 		other.settings.InstanceIndex = node
 		other.servers = nil
-		for _, s := range g.servers {
+		for _, s := range e.servers {
 			own := *s
 			other.servers = append(other.servers, &own)
 		}
@@ -131,25 +132,25 @@
 			held[s.ID]++
 		}
 	}
-	for _, s := range g.subset.members {
-		s.StartedAt, s.warmup.work, s.warmup.updatedAt = g.now, 0, g.now-10*ms
-		g.hasWarmupBudget(s, 0)
+	for _, s := range e.subset.members {
+		s.StartedAt, s.warmup.work, s.warmup.updatedAt = e.now, 0, e.now-10*ms
+		e.hasWarmupBudget(s, 0)
 		all := s.warmup.work * float64(held[s.ID]) / 0.01
-		if most := coldBudgetFraction * g.settings.ColdOverloadMultiple * g.capacityFraction(s); math.Abs(all/most-1) > 0.15 {
+		if most := coldBudgetFraction * e.settings.ColdOverloadMultiple * e.capacityFraction(s); math.Abs(all/most-1) > 0.15 {
 			t.Errorf("%s: %d holders may send it %.3f of a second's work a second, want %.3f", s.ID, held[s.ID], all, most)
 		}
 	}
-	g.latencies.classes[0].kinds = []kindLatency{{lowest: 0.05}}
+	e.latencies.classes[0].kinds = []kindLatency{{lowest: 0.05}}
 	r := &request{Request: Request{ID: "r"}, quota: &customerQuota{}}
-	for _, s := range g.servers {
+	for _, s := range e.servers {
 		if s.StartedAt = 0; !s.inSubset {
-			g.updateHealth(r, s, AttemptResult{Result: OK, Latency: 50 * ms})
+			e.updateHealth(r, s, AttemptResult{Result: OK, Latency: 50 * ms})
 		}
 	}
-	if g.warmWork != 0 {
-		t.Error("work of servers outside of the part counts for what its members carry")
+	if e.warmWork != 0 {
+		t.Error("work of servers outside of the subset counts for what its members carry")
 	}
-	if g.updateHealth(r, g.subset.members[0], AttemptResult{Result: OK, Latency: 50 * ms}); g.warmWork == 0 {
+	if e.updateHealth(r, e.subset.members[0], AttemptResult{Result: OK, Latency: 50 * ms}); e.warmWork == 0 {
 		t.Error("work of a member does not count")
 	}
 }
