--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -16,6 +16,7 @@
 // A fleet on a virtual clock: real engines over servers that work, queue, hold only so many connections,
 // start cold and fall over. Unlike the rule checker, it has servers that get slower with their load.
 
+// fleetRequest is one try of a client.
 type fleetRequest struct {
 	id           string
 	engine       int
@@ -28,6 +29,7 @@
 	attempts     []fleetAttempt
 }
 
+// fleetAttempt is one attempt of an engine at a server.
 type fleetAttempt struct {
 	server           *simServer
 	incarnation      int
@@ -37,25 +39,37 @@
 	sentAt           time.Duration
 }
 
+// fleetTotals counts what happened in a fleet over some time.
 type fleetTotals struct {
-	offeredValue, servedValue                                              float64
-	requests, tries, succeeded, rejected                                   int
-	attempts, connectionsOpened, healthChecks                              int
-	gossipMessages, connectionsFailed, serverRejections, serversOverloaded int
-	firstAttemptDelay                                                      time.Duration // until first attempts, summed up
+	offeredValue, servedValue            float64
+	requests, tries, succeeded, rejected int
+	attempts, healthChecks               int
+	connectionsOpened, connectionsFailed int
+	serverRejections, serversOverloaded  int
+	gossipMessages                       int
+	firstAttemptDelay                    time.Duration // until first attempts, summed up
 }
 
+// servedFraction returns the fraction of the offered value that was served.
 func (t fleetTotals) servedFraction() float64 { return t.servedValue / t.offeredValue }
 
 func sumTotals(all []fleetTotals) (sum fleetTotals) {
 	for _, t := range all {
-		sum.offeredValue, sum.servedValue = sum.offeredValue+t.offeredValue, sum.servedValue+t.servedValue
-		sum.attempts, sum.connectionsOpened, sum.connectionsFailed, sum.serversOverloaded = sum.attempts+t.attempts, sum.connectionsOpened+t.connectionsOpened, sum.connectionsFailed+t.connectionsFailed, sum.serversOverloaded+t.serversOverloaded
-		sum.healthChecks, sum.tries, sum.rejected, sum.firstAttemptDelay = sum.healthChecks+t.healthChecks, sum.tries+t.tries, sum.rejected+t.rejected, sum.firstAttemptDelay+t.firstAttemptDelay
+		sum.offeredValue += t.offeredValue
+		sum.servedValue += t.servedValue
+		sum.tries += t.tries
+		sum.rejected += t.rejected
+		sum.attempts += t.attempts
+		sum.connectionsOpened += t.connectionsOpened
+		sum.connectionsFailed += t.connectionsFailed
+		sum.serversOverloaded += t.serversOverloaded
+		sum.healthChecks += t.healthChecks
+		sum.firstAttemptDelay += t.firstAttemptDelay
 	}
 	return sum
 }
 
+// fleetSim is a fleet of engines, servers and clients on one clock.
 type fleetSim struct {
 	rng                *rand.Rand
 	now                time.Duration
@@ -128,7 +142,8 @@
 	if s.incarnations[instance] < 0 {
 		return
 	}
-	r := &fleetRequest{id: fmt.Sprintf("r%d", s.events), engine: instance, class: class, customer: customer, at: s.now, firstTryAt: first, deadline: s.now + timeout, tryCount: n}
+	r := &fleetRequest{id: fmt.Sprintf("r%d", s.events), engine: instance, class: class, customer: customer,
+		at: s.now, firstTryAt: first, deadline: s.now + timeout, tryCount: n}
 	s.requests[r.id] = r
 	s.total.tries++
 	s.ledger.requestReceived(s.now, r)
@@ -141,7 +156,9 @@
 		}
 		delete(s.requests, r.id)
 	})
-	s.engines[instance].RequestReceived(s.now, Request{ID: r.id, Class: class, Plan: "kubwa", Customer: uint64(customer + 1), Timeout: timeout, Units: 1, InstanceCount: s.instanceCounts[customer], FirstInstance: s.firstInstances[customer]}, s.hosts[instance])
+	q := Request{ID: r.id, Class: class, Plan: "kubwa", Customer: uint64(customer + 1), Timeout: timeout, Units: 1,
+		InstanceCount: s.instanceCounts[customer], FirstInstance: s.firstInstances[customer]}
+	s.engines[instance].RequestReceived(s.now, q, s.hosts[instance])
 }
 
 func (s *fleetSim) arrive() {
@@ -154,7 +171,8 @@
 		s.total.requests++
 		s.total.offeredValue += value
 		s.byWindow[int(s.now/s.window)].offeredValue += value
-		s.try(class, sort.SearchFloat64s(s.cumulativeRates, s.rng.Float64()*s.cumulativeRates[len(s.cumulativeRates)-1]), s.now, 1)
+		x := s.rng.Float64() * s.cumulativeRates[len(s.cumulativeRates)-1]
+		s.try(class, sort.SearchFloat64s(s.cumulativeRates, x), s.now, 1)
 		s.arrive()
 	})
 }
@@ -200,27 +218,26 @@
 	}
 }
 
-func newFleet(seed uint64, gates, servers int, share float64) *fleetSim {
-	s := &fleetSim{rng: rand.New(rand.NewPCG(seed, 7)), byID: map[string]*simServer{}, requests: map[string]*fleetRequest{}, loss: 0.05, window: time.Second, retryAfterFraction: 0.6,
-		engines: make([]*Engine, gates), incarnations: make([]int, gates), hosts: make([]*fleetHost, gates), pools: make([]map[string]*connectionPool, gates), byWindow: make([]fleetTotals, 2000)}
-	s.now = 1000 * time.Second
-	s.settings = testSettings()
-	s.settings.InstanceCount, s.settings.GossipInboxRate, s.settings.AllowsHealthChecks, s.settings.LoadReports, s.settings.MinEventInterval = gates, 40, true, LoadReportsInHealthChecks, 2*ms
-	s.settings.SlowStartMinFraction, s.settings.SlowStartWindow, s.settings.ColdOverloadMultiple, s.settings.ColdOverloadWindow, s.settings.MaxAttempts = 0.3, 10*time.Second, 2.5, 2*time.Second, 5
-	s.settings.Classes = []Class{
-		{Name: "safe", Idempotency: Idempotent, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
-		{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 4 * time.Second, LatencyObjective: 750 * ms, Deadline: 2 * time.Second, PriorityWeight: 9, LateFraction: 0.2}}
-	s.settings.Plans = []Plan{{Name: "kubwa", Rate: 18, Burst: 36, HardLimitRate: 40, HardLimitBurst: 80, PriorityFactor: 1.6, OverQuotaCost: 1}}
-	s.settings.CrossZonePrice, s.settings.HealthCheckPrice, s.settings.GossipPrice, s.settings.WastedWorkPrice = 0.01, 0.01, 0.03, 0.05
-	rate := share * float64(servers) * fleetCores / 0.073
-	s.load = func(time.Duration) float64 { return rate }
-	sum := 0.0
-	for range max(int(rate/9), 1) {
-		sum += 0.3 + s.rng.ExpFloat64()
-		s.cumulativeRates = append(s.cumulativeRates, sum)
-		s.instanceCounts = append(s.instanceCounts, max(1, int(float64(gates)*(0.05+0.1*s.rng.Float64()))))
-		s.firstInstances = append(s.firstInstances, s.rng.IntN(gates))
+// newFleet starts a fleet under a load that is a fraction of what its servers can do.
+func newFleet(seed uint64, engines, servers int, load float64) *fleetSim {
+	s := &fleetSim{
+		rng:                rand.New(rand.NewPCG(seed, 7)),
+		now:                1000 * time.Second,
+		settings:           fleetSettings(engines),
+		engines:            make([]*Engine, engines),
+		incarnations:       make([]int, engines),
+		hosts:              make([]*fleetHost, engines),
+		pools:              make([]map[string]*connectionPool, engines),
+		byID:               map[string]*simServer{},
+		requests:           map[string]*fleetRequest{},
+		loss:               0.05,
+		retryAfterFraction: 0.6,
+		window:             time.Second,
+		byWindow:           make([]fleetTotals, 2000),
 	}
+	rate := load * float64(servers) * fleetCores / 0.073
+	s.load = func(time.Duration) float64 { return rate }
+	s.addCustomers(max(int(rate/9), 1))
 	for range servers {
 		s.addServer()
 	}
@@ -231,6 +248,38 @@
 	return s
 }
 
+// addCustomers draws the customers' rates, and the engines that they come in through.
+func (s *fleetSim) addCustomers(n int) {
+	sum := 0.0
+	for range n {
+		sum += 0.3 + s.rng.ExpFloat64()
+		instances := int(float64(len(s.engines)) * (0.05 + 0.1*s.rng.Float64()))
+		s.cumulativeRates = append(s.cumulativeRates, sum)
+		s.instanceCounts = append(s.instanceCounts, max(1, instances))
+		s.firstInstances = append(s.firstInstances, s.rng.IntN(len(s.engines)))
+	}
+}
+
+// fleetSettings returns the settings of each engine of a fleet.
+func fleetSettings(engines int) Settings {
+	set := testSettings()
+	set.InstanceCount, set.GossipInboxRate, set.MinEventInterval = engines, 40, 2*ms
+	set.AllowsHealthChecks, set.LoadReports = true, LoadReportsInHealthChecks
+	set.SlowStartMinFraction, set.SlowStartWindow = 0.3, 10*time.Second
+	set.ColdOverloadMultiple, set.ColdOverloadWindow = 2.5, 2*time.Second
+	set.MaxAttempts = 5
+	set.Classes = []Class{
+		{Name: "safe", Idempotency: Idempotent, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
+		{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 4 * time.Second,
+			LatencyObjective: 750 * ms, Deadline: 2 * time.Second, PriorityWeight: 9, LateFraction: 0.2},
+	}
+	set.Plans = []Plan{{Name: "kubwa", Rate: 18, Burst: 36, HardLimitRate: 40, HardLimitBurst: 80,
+		PriorityFactor: 1.6, OverQuotaCost: 1}}
+	set.CrossZonePrice, set.HealthCheckPrice = 0.01, 0.01
+	set.GossipPrice, set.WastedWorkPrice = 0.03, 0.05
+	return set
+}
+
 // summary returns what happened since the summary before.
 func (s *fleetSim) summary() string {
 	t := s.total
@@ -261,11 +310,21 @@
 		b.workReceived = 0
 	}
 	s.total = fleetTotals{}
-	return fmt.Sprintf("worth %.3f; asked %d, %.2f tries each, %d attempts, %.2f connections each, %d open, %d probes, %d not made, %d full, %d fallen; first attempt after %.0f ms; work %.0f s, longest queue %.1f s; f %.2f, occupancy %.2f; refused: %s",
-		t.servedValue/t.offeredValue, t.requests, float64(t.tries)/float64(t.requests), t.attempts, float64(t.connectionsOpened)/float64(max(t.attempts, 1)), open, t.healthChecks, t.connectionsFailed, t.serverRejections, t.serversOverloaded,
-		float64(t.firstAttemptDelay/ms)/float64(max(t.tries-t.rejected, 1)), work, busy, f/n, rho/n, strings.Join(out, ", "))
+	return strings.Join([]string{
+		fmt.Sprintf("value %.3f", t.servedFraction()),
+		fmt.Sprintf("requests %d, %.2f tries each", t.requests, float64(t.tries)/float64(t.requests)),
+		fmt.Sprintf("%d attempts, %.2f connections each", t.attempts, float64(t.connectionsOpened)/float64(max(t.attempts, 1))),
+		fmt.Sprintf("%d connections open, %d failed", open, t.connectionsFailed),
+		fmt.Sprintf("%d health checks", t.healthChecks),
+		fmt.Sprintf("%d rejections by servers, %d servers overloaded", t.serverRejections, t.serversOverloaded),
+		fmt.Sprintf("first attempt after %.0f ms", float64(t.firstAttemptDelay/ms)/float64(max(t.tries-t.rejected, 1))),
+		fmt.Sprintf("work %.0f s, longest queue %.1f s", work, busy),
+		fmt.Sprintf("admit fraction %.2f, occupancy %.2f", f/n, rho/n),
+		"rejected: " + strings.Join(out, ", "),
+	}, "; ")
 }
 
+// killEngines kills a part of the engines, which start again some time later.
 func (s *fleetSim) killEngines(part float64, back time.Duration) {
 	for i := range s.engines {
 		if s.rng.Float64() < part {
@@ -285,8 +344,9 @@
 
 // runFleet runs a fleet of 70 engines over 40 servers, does something to it and returns the totals of each second
 // after that.
-func runFleet(t *testing.T, seed uint64, load float64, seconds int, do func(*fleetSim)) (before fleetTotals, after []fleetTotals, s *fleetSim) {
-	s = newFleet(seed, 70, 40, load)
+func runFleet(t *testing.T, seed uint64, load float64, seconds int, do func(*fleetSim)) (before fleetTotals, after []fleetTotals) {
+	t.Helper()
+	s := newFleet(seed, 70, 40, load)
 	for _, b := range s.servers {
 		b.maxConnections = 42
 	}
@@ -299,7 +359,7 @@
 		after = append(after, s.total)
 		t.Log(s.summary())
 	}
-	return before, after, s
+	return before, after
 }
 
 // withAndWithoutSubsets runs f with subsets and without.
@@ -307,7 +367,10 @@
 	t.Helper()
 	with = f()
 	withSubsetRule(subset.Rule{}, func() { without = f() })
-	t.Logf("with subsets %.3f of the value, %d connections opened, %d not made, %d health checks; without %.3f, %d, %d, %d", with.servedFraction(), with.connectionsOpened, with.connectionsFailed, with.healthChecks,
-		without.servedFraction(), without.connectionsOpened, without.connectionsFailed, without.healthChecks)
+	for i, totals := range []fleetTotals{with, without} {
+		t.Logf("%s subsets %.3f of the value, %d connections opened, %d not made, %d health checks",
+			[]string{"with", "without"}[i], totals.servedFraction(), totals.connectionsOpened, totals.connectionsFailed,
+			totals.healthChecks)
+	}
 	return with, without
 }
--- a/policy/fleet_quota_test.go
+++ b/policy/fleet_quota_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"fmt"
 	"math"
 	"testing"
 	"time"
@@ -96,9 +97,11 @@
 			s.ledger = l
 			s.run(s.now + 20*time.Second)
 			cost := l.overQuotaCost / l.idealValue
-			t.Logf("%d instances: %d of %d units admitted inside quotas, beyond them at %.3f of the value", c.engines, l.units[0], l.units[1], cost)
+			result := fmt.Sprintf("%d instances: %d of %d units admitted inside quotas, beyond them at %.3f of the value",
+				c.engines, l.units[0], l.units[1], cost)
+			t.Log(result)
 			if cost > 0.1 || 2*l.units[0] < l.units[1] {
-				t.Errorf("%d instances: %d of %d units, beyond quotas at %.3f of the value", c.engines, l.units[0], l.units[1], cost)
+				t.Error(result)
 			}
 		}
 	}
--- a/policy/fleet_servers_test.go
+++ b/policy/fleet_servers_test.go
@@ -113,7 +113,8 @@
 func (s *fleetSim) addServer() *simServer {
 	k := len(s.servers)
 	id := fmt.Sprintf("s-%04x", s.rng.IntN(1<<16)*1000+k)
-	b := &simServer{maxConnections: 200, Server: Server{ID: id, Kind: "k", Weight: 1, Zone: []string{"a", "b"}[k%2], Cell: k % 7}}
+	listed := Server{ID: id, Kind: "k", Weight: 1, Zone: []string{"a", "b"}[k%2], Cell: k % 7}
+	b := &simServer{Server: listed, maxConnections: 200}
 	s.servers = append(s.servers, b)
 	s.byID[b.ID] = b
 	return b
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -11,11 +11,12 @@
 // open one.
 func TestFleetWithFewConnectionsPerServer(t *testing.T) {
 	with, without := withAndWithoutSubsets(t, func() fleetTotals {
-		_, after, _ := runFleet(t, 1, 0.6, 5, func(*fleetSim) {})
+		_, after := runFleet(t, 1, 0.6, 5, func(*fleetSim) {})
 		return sumTotals(after)
 	})
 	if with.connectionsFailed > 0 || float64(with.connectionsOpened) > 0.2*float64(with.attempts) {
-		t.Errorf("%d connections opened for %d attempts, %d not made", with.connectionsOpened, with.attempts, with.connectionsFailed)
+		t.Errorf("%d connections opened for %d attempts, %d not made",
+			with.connectionsOpened, with.attempts, with.connectionsFailed)
 	}
 	if without.connectionsOpened < 2*with.connectionsOpened || without.connectionsFailed == 0 {
 		t.Error("it is no better than without subsets")
@@ -26,11 +27,12 @@
 // fleet goes on serving.
 func TestFleetReplacedInSevenSeconds(t *testing.T) {
 	with, without := withAndWithoutSubsets(t, func() fleetTotals {
-		_, after, _ := runFleet(t, 2, 0.4, 12, func(s *fleetSim) { s.replaceServers(40, 7*time.Second) })
+		_, after := runFleet(t, 2, 0.4, 12, func(s *fleetSim) { s.replaceServers(40, 7*time.Second) })
 		return sumTotals(after)
 	})
 	if with.serversOverloaded > 0 || with.servedFraction() < without.servedFraction()+0.05 {
-		t.Errorf("%d servers were overloaded while cold, %.2f of the value served", with.serversOverloaded, with.servedFraction())
+		t.Errorf("%d servers were overloaded while cold, %.2f of the value served",
+			with.serversOverloaded, with.servedFraction())
 	}
 }
 
@@ -39,7 +41,7 @@
 func TestFleetAllColdAtOnce(t *testing.T) {
 	var first, last fleetTotals
 	for seed := uint64(2); seed < 4; seed++ {
-		_, after, _ := runFleet(t, seed, 1, 8, func(s *fleetSim) {
+		_, after := runFleet(t, seed, 1, 8, func(s *fleetSim) {
 			for _, e := range s.engines {
 				e.settings.SlowStartMinFraction = 0.2
 			}
@@ -59,7 +61,7 @@
 
 // Two in three instances are killed and start again within a second, knowing nothing: the fleet goes on at once.
 func TestFleetMassRestart(t *testing.T) {
-	before, after, _ := runFleet(t, 4, 0.55, 6, func(s *fleetSim) { s.killEngines(0.67, 500*ms) })
+	before, after := runFleet(t, 4, 0.55, 6, func(s *fleetSim) { s.killEngines(0.67, 500*ms) })
 	if w := sumTotals(after[2:]).servedFraction(); w < 0.9*before.servedFraction() {
 		t.Errorf("from the third second on %.2f of the value is served, %.2f before", w, before.servedFraction())
 	}
@@ -69,7 +71,7 @@
 func TestFleetRecoversAfterSurge(t *testing.T) {
 	var calm, back fleetTotals
 	for seed := uint64(5); seed < 7; seed++ { // one fleet's second is 500 requests, and few of them decide
-		before, after, _ := runFleet(t, seed, 0.5, 6, func(s *fleetSim) {
+		before, after := runFleet(t, seed, 0.5, 6, func(s *fleetSim) {
 			rate, from := s.load(0), s.now
 			s.load = func(at time.Duration) float64 {
 				if at < from+2*time.Second {
@@ -87,7 +89,7 @@
 
 // No gossip arrives and the list is late: once that is known, no request waits for a response that does not come.
 func TestFleetWithoutGossip(t *testing.T) {
-	_, after, _ := runFleet(t, 6, 0.5, 5, func(s *fleetSim) { s.dropsGossip, s.listDelay = true, 5*time.Second })
+	_, after := runFleet(t, 6, 0.5, 5, func(s *fleetSim) { s.dropsGossip, s.listDelay = true, 5*time.Second })
 	all := sumTotals(after[1:])
 	if wait := all.firstAttemptDelay / time.Duration(max(all.tries-all.rejected, 1)); wait > 10*ms {
 		t.Errorf("first attempts wait for %v on average", wait)
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -8,7 +8,7 @@
 // newSubsetEngine returns instance 5 of 300 over 170 servers, half of them in each of two zones.
 func newSubsetEngine(t *testing.T) (*Engine, *recorder) {
 	t.Helper()
-	set := newFleet(1, 1, 2, 0.1).settings
+	set := fleetSettings(1)
 	set.InstanceCount, set.InstanceIndex = 300, 5
 	set.Plans[0].HardLimitRate = 0
 	list := testServers(170)
