--- a/policy/admission.go
+++ b/policy/admission.go
@@ -28,28 +28,28 @@
 	return (l.firstTryTimeout-grace).Seconds()+l.mean > c.LatencyObjective.Seconds()
 }
 
-// rejectEarly returns why a request has to be rejected before its quota is looked at, and when to retry.
-func (e *Engine) rejectEarly(r *request) (time.Duration, rejectReason) {
+// rejectEarly returns whether a request has to be rejected before its quota is looked at.
+func (e *Engine) rejectEarly(r *request) rejection {
 	l, plan := &e.latencies.classes[r.class], &e.settings.Plans[r.quota.plan]
-	wait := e.settings.Classes[r.class].LatencyObjective / throttleRetryFraction
+	retryAfter := e.settings.Classes[r.class].LatencyObjective / throttleRetryFraction
 	switch {
 	case e.isOverloaded(r.class, r.Zone, plan.PriorityFactor):
-		return wait, rejectOverloaded
+		return rejection{rejectOverloaded, retryAfter}
 	case r.isLate && e.overload.occupancy >= highOccupancy:
-		return wait, rejectLate
+		return rejection{rejectLate, retryAfter}
 	case l.samples >= minBatchSamples && r.Timeout.Seconds() < l.mean:
-		return wait, rejectShortTimeout
+		return rejection{rejectShortTimeout, retryAfter}
 	case r.quota.usesOwner && !r.IsCharged && e.now < r.quota.rejectedUntil && plan.OverQuotaFraction == 0:
-		return r.quota.rejectedUntil - e.now, rejectQuota
+		return rejection{rejectQuota, r.quota.rejectedUntil - e.now}
 	}
-	return 0, rejectNone
+	return rejection{reason: rejectNone}
 }
 
 // checkRequestQuota asks whoever knows whether a request is inside its customer's quota.
 func (e *Engine) checkRequestQuota(r *request) {
 	if r.IsCharged {
 		r.Units, r.isGranted = 0, true
-		e.admit(r, true, 0)
+		e.admit(r, quotaDecision{isInside: true})
 		return
 	}
 	r.owner = e.ownerFor(r.quota)
@@ -57,28 +57,28 @@
 		e.requestQuota(r)
 		return
 	}
-	inQuota, wait := e.checkQuota(r.quota, quotaDemand{r.Units, r.isLate})
-	if inQuota {
+	decision := e.checkQuota(r.quota, quotaDemand{r.Units, r.isLate})
+	if decision.isInside {
 		e.takeUnits(r.quota, r.Units)
 	}
-	e.admit(r, inQuota, wait)
+	e.admit(r, decision)
 }
 
 // admit goes on with a request once it is known whether it is inside the quota, which its units have left.
-func (e *Engine) admit(r *request, inQuota bool, quotaWait time.Duration) {
-	r.inQuota = inQuota
-	s, wait, why := e.chooseServer(r, quotaWait)
+func (e *Engine) admit(r *request, decision quotaDecision) {
+	r.inQuota = decision.isInside
+	s, why := e.chooseServer(r, decision.retryAfter)
 	if s == nil {
 		e.returnUnits(r, r.Units)
-		e.reject(r.ID, wait, why)
+		e.reject(r.ID, why)
 		e.closeRequest(r)
 		return
 	}
-	if e.settings.Plans[r.quota.plan].HardLimitRate > 0 && !r.isGranted {
+	if e.planOf(r.quota).HardLimitRate > 0 && !r.isGranted {
 		r.quota.hardLimitTokens -= r.Units
 	}
 	r.quota.startedSinceGossip++
-	if !inQuota {
+	if !r.inQuota {
 		e.overQuota.Sent += r.Units
 	}
 	e.overload.countAccepted()
@@ -86,25 +86,26 @@
 	e.startAttempt(r, s)
 }
 
-// chooseServer returns the server for a request's first attempt or, where it has to be rejected, why and when
-// to retry: quota, then hard limit, then overload control, then the servers.
-func (e *Engine) chooseServer(r *request, quotaWait time.Duration) (*server, time.Duration, rejectReason) {
-	plan := &e.settings.Plans[r.quota.plan]
+// chooseServer returns the server for a request's first attempt or, where there is none, how to reject it:
+// quota, then hard limit, then overload control, then the servers.
+func (e *Engine) chooseServer(r *request, quotaWait time.Duration) (*server, rejection) {
+	plan := e.planOf(r.quota)
 	if !r.inQuota && !e.mayExceedQuota(plan) {
-		return nil, quotaWait, rejectQuota
+		return nil, rejection{rejectQuota, quotaWait}
 	}
 	if !r.isGranted && plan.HardLimitRate > 0 && r.quota.hardLimitTokens < r.Units {
-		return nil, e.missHardLimit(r.quota, r.Units), rejectHardLimit
+		return nil, rejection{rejectHardLimit, e.missHardLimit(r.quota, r.Units)}
 	}
 	if !e.overload.admit() {
-		return nil, e.settings.Classes[r.class].LatencyObjective / throttleRetryFraction, rejectThrottled
+		objective := e.settings.Classes[r.class].LatencyObjective
+		return nil, rejection{rejectThrottled, objective / throttleRetryFraction}
 	}
-	return e.selectServer(r), samplesPerAssessment * sampleInterval, rejectNoServer
+	return e.selectServer(r), rejection{rejectNoServer, assessmentInterval}
 }
 
 // missHardLimit notes units that this node's part of a hard limit lacks, and returns when it may have them.
 func (e *Engine) missHardLimit(quota *customerQuota, units float64) time.Duration {
-	rate := e.settings.Plans[quota.plan].HardLimitRate * quota.rateFraction
+	rate := e.planOf(quota).HardLimitRate * quota.rateFraction
 	wait := refillTime(units-quota.hardLimitTokens, rate)
 	quota.unmetUnits += units
 	e.markForGossip(quota)
--- a/policy/events.go
+++ b/policy/events.go
@@ -14,13 +14,13 @@
 	class, hasClass := e.classIndex[q.Class]
 	plan, hasPlan := e.planIndex[q.Plan]
 	if !hasClass || !hasPlan || q.Timeout <= 0 {
-		e.reject(q.ID, 0, rejectUnknown)
+		e.reject(q.ID, rejection{reason: rejectUnknown})
 		return
 	}
 	r := e.newRequest(q, class, plan)
 	r.isLate = e.isTooLate(class, q.Timeout)
-	if wait, why := e.rejectEarly(r); why != rejectNone {
-		e.reject(r.ID, wait, why)
+	if why := e.rejectEarly(r); why.reason != rejectNone {
+		e.reject(r.ID, why)
 		return
 	}
 	e.requests.add(r)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -105,7 +105,7 @@
 		return
 	}
 	s.isUnresponsive = true
-	e.addFinding(s, false)
+	e.addFinding(serverFinding{serverID: s.gossipID, isUp: false, foundAt: e.now})
 	e.log("server %s is silent: out until it answers a probe", s.ID)
 }
 
@@ -113,7 +113,7 @@
 func (e *Engine) serverResponded(s *server) {
 	if s.isUnresponsive {
 		s.isUnresponsive, s.ejectedUntil, s.consecutiveEjections = false, 0, 0
-		e.addFinding(s, true)
+		e.addFinding(serverFinding{serverID: s.gossipID, isUp: true, foundAt: e.now})
 		e.log("server %s answers again", s.ID)
 	}
 	s.lastHeardAt, s.suspectedUntil = e.now, 0
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -21,6 +21,9 @@
 	certainOverloadFactor = 3.0                    // times the bound that cannot be in flight by chance
 )
 
+// assessmentInterval is how long an assessment of the load holds.
+const assessmentInterval = samplesPerAssessment * sampleInterval
+
 // overloadController is ARO: of what quotas admit, it lets the fraction f pass that the servers can take.
 // Invariant: minAdmitFraction <= admitFraction <= 1 from the start on, and 0 <= throttleCredit < 1 between
 // requests. A node that sees too little of its own goes by the means over the fleet.
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -19,7 +19,7 @@
 // splitQuota sets over how many instances a quota is split, and this one's fractions of it.
 func (e *Engine) splitQuota(quota *customerQuota, plan *Plan) {
 	quota.instanceSplit = quota.instanceCount
-	gossipIsLate := e.gossip.interval > samplesPerAssessment*sampleInterval
+	gossipIsLate := e.gossip.interval > assessmentInterval
 	if e.settings.AllowsGossip && quota.instanceCount > 1 && gossipIsLate {
 		// As many owners as it takes for their inboxes to hold the requests.
 		owners := int(math.Ceil(plan.Rate / (ownerInboxFraction * e.settings.GossipInboxRate)))
@@ -43,20 +43,26 @@
 	isLate bool // it is known to come too late for its latency objective
 }
 
+// quotaDecision says whether a request is inside its customer's quota and, if not, when to retry.
+type quotaDecision struct {
+	isInside   bool
+	retryAfter time.Duration
+}
+
 // checkQuota decides whether a demand is inside the customer's quota and, if not, when to retry. A late
 // request takes none of a customer that others were rejected for recently: it would cost one that can still
 // be answered in time.
-func (e *Engine) checkQuota(quota *customerQuota, demand quotaDemand) (isInside bool, wait time.Duration) {
+func (e *Engine) checkQuota(quota *customerQuota, demand quotaDemand) quotaDecision {
 	if quota.usesOwner { // nothing is spent here without the bucket's knowing
 		quota.unitsSinceGossip, quota.startedSinceGossip = 0, 0
 	}
 	if demand.isLate && e.now < quota.contendedUntil {
-		return false, 0
+		return quotaDecision{}
 	}
 	plan := e.planOf(quota)
 	if plan.MaxInFlight > 0 && !e.hasInFlightCapacity(quota, plan) {
 		quota.contendedUntil = e.now + contentionWindow
-		return false, min(e.gossip.interval, ownerTimeout)
+		return quotaDecision{retryAfter: min(e.gossip.interval, ownerTimeout)}
 	}
 	if plan.Rate > 0 && !e.hasTokens(quota, plan, demand.units) {
 		// A bucket that fills slowly is contended for longer.
@@ -65,18 +71,10 @@
 			window = max(window, refillTime(contentionTries*demand.units, rate))
 		}
 		quota.contendedUntil = e.now + window
-		return false, max(refillTime(demand.units-quota.tokens, rate), min(e.gossip.interval, ownerTimeout))
-	}
-	return true, 0
-}
-
-// splitBetweenGossip returns the parts of what is left that one instance may spend before the others learn
-// of it.
-func (q *customerQuota) splitBetweenGossip() float64 {
-	if q.usesOwner {
-		return 1
+		refilled := refillTime(demand.units-quota.tokens, rate)
+		return quotaDecision{retryAfter: max(refilled, min(e.gossip.interval, ownerTimeout))}
 	}
-	return float64(q.instanceSplit)
+	return quotaDecision{isInside: true}
 }
 
 // hasInFlightCapacity decides whether one more attempt stays within the limit in flight.
--- a/policy/quota_bucket.go
+++ b/policy/quota_bucket.go
@@ -192,3 +192,12 @@
 	}
 	return refillTime(units, rate)
 }
+
+// splitBetweenGossip returns the parts of what is left that one instance may spend before the others learn
+// of it.
+func (q *customerQuota) splitBetweenGossip() float64 {
+	if q.usesOwner {
+		return 1
+	}
+	return float64(q.instanceSplit)
+}
--- a/policy/quota_owner.go
+++ b/policy/quota_owner.go
@@ -35,7 +35,7 @@
 	r.ownerUnreachable = true
 	e.ownerTimeouts.recordTimeout(r.owner)
 	isAdmitted := e.rng.Float64() < r.quota.grantFraction
-	e.admit(r, isAdmitted, ownerTimeout)
+	e.admit(r, quotaDecision{isAdmitted, ownerTimeout})
 	if isAdmitted && len(r.attempts) > 0 {
 		message := quotaSpent{quotaUnitsOf(r)}
 		e.actions.SendGossip(r.owner, e.codec().encodeQuotaSpent(message, e.peerReport()))
@@ -49,7 +49,8 @@
 		return
 	}
 	plan := e.planOf(quota)
-	isGranted, wait := e.checkQuota(quota, quotaDemand{m.units, m.isLate})
+	decision := e.checkQuota(quota, quotaDemand{m.units, m.isLate})
+	isGranted, wait := decision.isInside, decision.retryAfter
 	if plan.HardLimitRate > 0 && quota.hardLimitTokens < m.units {
 		isGranted = false
 	}
@@ -82,7 +83,7 @@
 		r.quota.rejectedUntil = e.now + m.wait
 	}
 	r.isGranted = m.isGranted
-	e.admit(r, m.isGranted, m.wait)
+	e.admit(r, quotaDecision{m.isGranted, m.wait})
 }
 
 // returnUnits returns units that were not sent, and a place under the limit in flight. Whether an unanswered
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -315,8 +315,8 @@
 		t.Errorf("%d leases after the response", n)
 	}
 	owner.quotas.byCustomer[77].inFlight = owner.settings.Plans[owner.planIndex["open"]].MaxInFlight
-	if in, wait := owner.checkQuota(owner.quotas.byCustomer[77], quotaDemand{units: 1}); in || wait > ownerTimeout {
-		t.Errorf("in %v, wait %v", in, wait)
+	if d := owner.checkQuota(owner.quotas.byCustomer[77], quotaDemand{units: 1}); d.isInside || d.retryAfter > ownerTimeout {
+		t.Errorf("in %v, wait %v", d.isInside, d.retryAfter)
 	}
 }
 
--- a/policy/rejections.go
+++ b/policy/rejections.go
@@ -4,13 +4,20 @@
 	"time"
 )
 
+// rejection says why a request is rejected, and after how long its client should retry.
+type rejection struct {
+	reason     rejectReason
+	retryAfter time.Duration
+}
+
 // reject gives a request its final answer: nothing happened, and trying again is harmless.
-func (e *Engine) reject(id string, wait time.Duration, why rejectReason) {
-	e.rejections[why]++
+func (e *Engine) reject(id string, why rejection) {
+	e.rejections[why.reason]++
+	retryAfter := why.retryAfter
 	if !e.settings.SendsRetryAfter {
-		wait = 0
+		retryAfter = 0
 	}
-	e.actions.RejectRequest(id, min(wait, e.settings.MaxRetryAfter))
+	e.actions.RejectRequest(id, min(retryAfter, e.settings.MaxRetryAfter))
 }
 
 // rejectReason says by which rule a request was rejected.
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -126,7 +126,7 @@
 		return
 	}
 	if e.mayReject(r) {
-		e.reject(r.ID, samplesPerAssessment*sampleInterval, rejectAttemptsSpent)
+		e.reject(r.ID, rejection{rejectAttemptsSpent, assessmentInterval})
 	} else {
 		e.actions.FailRequest(r.ID)
 	}
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -16,14 +16,14 @@
 const maxFindings = 4
 
 // addFinding keeps a finding for the next messages to peers.
-func (e *Engine) addFinding(s *server, up bool) {
+func (e *Engine) addFinding(finding serverFinding) {
 	if e.usesAllServers() {
 		return
 	}
 	e.findings = slices.DeleteFunc(e.findings, func(f serverFinding) bool {
-		return f.serverID == s.gossipID || e.now-f.foundAt >= findingTTL
+		return f.serverID == finding.serverID || e.now-f.foundAt >= findingTTL
 	})
-	e.findings = append(e.findings, serverFinding{s.gossipID, up, e.now})
+	e.findings = append(e.findings, finding)
 	if len(e.findings) > maxFindings {
 		e.findings = e.findings[1:]
 	}
