--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -113,7 +113,7 @@
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Customer, now, i)
 		q.Units = max(q.Units, 1)
-		e.inFlight = 0 // only the quota counts
+		e.load.inFlight = 0 // only the quota counts
 		e.RequestReceived(now, q, r)
 	}
 	return r.count("send") - before
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -42,7 +42,7 @@
 		}
 		e.TimerFired(now+50*ms, timerToken(timerSample, 0), r)
 	}
-	e.servers[0].isUnresponsive = true
+	e.servers.list[0].isUnresponsive = true
 	return e, r
 }
 
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -10,7 +10,7 @@
 // A refused connection ejects at once, for longer each time, and a response ends that.
 func TestEjectionTimeDoubles(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(2)...)
-	s := e.serverByID["s0"]
+	s := e.servers.byID["s0"]
 	q := &request{}
 	var last time.Duration
 	for i := 1; i <= 6; i++ {
@@ -36,7 +36,7 @@
 // response that came meanwhile shows that it is up.
 func TestUnresponsiveServerIsOutUntilItAnswers(t *testing.T) {
 	e, r := newEngine(t, healthCheckSettings(), testServers(2)...)
-	s, now := e.serverByID["s0"], t0
+	s, now := e.servers.byID["s0"], t0
 	sentTo := func(id string) (n int) {
 		for i := range 30 {
 			now += 50 * ms
@@ -81,13 +81,13 @@
 		if i%10 == 9 {
 			e.overload.fleetMeans[meanAccepted] = 2
 			e.TimerFired(now, timerToken(timerSample, 0), r)
-			for id := range e.serverByID {
+			for id := range e.servers.byID {
 				probes[id] += r.count("probe " + id)
 			}
 			r.actions = nil
 		}
 	}
-	for id := range e.serverByID {
+	for id := range e.servers.byID {
 		if probes[id] != 2 {
 			t.Errorf("%d health checks of %s, want 2 of each in 20", probes[id], id)
 		}
@@ -103,7 +103,7 @@
 		e.AttemptCompleted(at, AttemptResult{ID: fmt.Sprint("r", n), Result: ConnectFailed, Server: "s0"}, r)
 	}
 	e, r := newEngine(t, healthCheckSettings(), testServers(1)...)
-	s := e.servers[0]
+	s := e.servers.list[0]
 	fail(e, r, 1, t0)
 	if r.count("probe s0") != 1 || e.capacityFraction(s) == 1 {
 		t.Errorf("%d health checks sent, capacity fraction %v after a failed connection", r.count("probe s0"), e.capacityFraction(s))
@@ -122,7 +122,7 @@
 	}
 
 	e, r = newEngine(t, testSettings(), testServers(1)...)
-	s = e.servers[0]
+	s = e.servers.list[0]
 	for i := range 2 * maxConnectFailures {
 		s.recordConnectFailure(t0 + time.Duration(i+1)*ms)
 	}
@@ -144,7 +144,7 @@
 	e, r := newSubsetEngine(t)
 	e.now = t0 + 10*time.Second
 	say := func(from int, up bool) {
-		for _, s := range e.servers {
+		for _, s := range e.servers.list {
 			e.receiveFinding(from, serverFinding{serverID: s.gossipID, isUp: up})
 		}
 	}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -56,8 +56,8 @@
 			e.TimerFired(now, timerToken(timerSample, 0), r)
 		}
 	}
-	if e.responseRate < 500 {
-		t.Errorf("rate %v after 200 ms at 1000 a second", e.responseRate)
+	if e.load.responseRate < 500 {
+		t.Errorf("rate %v after 200 ms at 1000 a second", e.load.responseRate)
 	}
 }
 
@@ -85,24 +85,24 @@
 	now := t0 + e.settings.Classes[e.classIndex["safe"]].LatencyObjective + ms
 	e.TimerFired(now, timerToken(timerSample, 0), r)
 	if e.isOverloaded(e.classIndex["safe"], "", 1) {
-		t.Errorf("%d attempts past their latency objective read as an overload", e.inFlight)
+		t.Errorf("%d attempts past their latency objective read as an overload", e.load.inFlight)
 	}
-	for _, s := range e.servers {
+	for _, s := range e.servers.list {
 		s.isUnresponsive = true
 	}
-	if e.TimerFired(now+sampleInterval, timerToken(timerSample, 0), r); e.overdue != 0 {
-		t.Errorf("%v attempts at unresponsive servers are subtracted twice", e.overdue)
+	if e.TimerFired(now+sampleInterval, timerToken(timerSample, 0), r); e.load.overdue != 0 {
+		t.Errorf("%v attempts at unresponsive servers are subtracted twice", e.load.overdue)
 	}
 }
 
 // Attempts at unresponsive servers do not count as load of the others.
 func TestUnresponsiveServersAreNotOverload(t *testing.T) {
 	e, _ := newEngine(t, healthCheckSettings(), testServers(2)...)
-	e.serverByID["s0"].inFlight, e.inFlight = 9, 9
+	e.servers.byID["s0"].inFlight, e.load.inFlight = 9, 9
 	if !e.isOverloaded(0, "", 1) {
 		t.Fatal("9 attempts in flight at two servers are no overload")
 	}
-	e.serverByID["s0"].isUnresponsive = true
+	e.servers.byID["s0"].isUnresponsive = true
 	if e.isOverloaded(0, "", 1) {
 		t.Error("attempts at an unresponsive server read as an overload of all")
 	}
@@ -114,21 +114,21 @@
 	const n = 12
 	e, _ := newEngine(t, healthCheckSettings(), testServers(n)...)
 	most := func() (out int) {
-		for e.inFlight = 0; !e.isOverloaded(0, "", 1); e.inFlight++ {
+		for e.load.inFlight = 0; !e.isOverloaded(0, "", 1); e.load.inFlight++ {
 		}
-		return e.inFlight
+		return e.load.inFlight
 	}
 	if got := most(); got != minInFlightPerServer*n {
 		t.Errorf("%d in flight with all servers up, want %v", got, minInFlightPerServer*n)
 	}
 	for i := range n / 2 {
-		e.serverByID[fmt.Sprintf("s%d", i)].isUnresponsive = true
+		e.servers.byID[fmt.Sprintf("s%d", i)].isUnresponsive = true
 	}
 	if got := most(); got != minInFlightPerServer*n/2 {
 		t.Errorf("%d in flight with half of the servers unresponsive, want %v", got, minInFlightPerServer*n/2)
 	}
 	e.now = t0
-	for _, s := range e.servers {
+	for _, s := range e.servers.list {
 		s.isUnresponsive = false
 		if s.ID < "s5" {
 			s.connectFailedAt = t0
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -29,25 +29,17 @@
 	rejections [rejectReasonCount]uint64 // requests rejected, by reason
 
 	// Servers.
-	servers         []*server
-	serverByID      map[string]*server
-	maxServerWeight float64 // of those that server selection draws from
-	weightsDiffer   bool    // between the servers listed
-	subset          serverSubset
-	zones           map[string]*zoneState // those that the host has told limits of
-	zoneWatch       *zonehealth.Watch     // over all zones; used with a subset only
-	healthChecks    healthChecker
-	findings        []serverFinding // found out of late, for the next messages to peers
+	servers      serverTable
+	subset       serverSubset
+	zones        map[string]*zoneState // those that the host has told limits of
+	zoneWatch    *zonehealth.Watch     // over all zones; used with a subset only
+	healthChecks healthChecker
+	findings     []serverFinding // found out of late, for the next messages to peers
 
 	// Load.
 	overload         overloadController
 	latencies        latencyTable
-	inFlight         int           // attempts at work at servers
-	overdue          float64       // of these, as of the last sample: past their objective, at responsive servers
-	responses        float64       // good ones in this sample
-	responseRate     float64       // a second, moving average
-	warmWork         float64       // work answered by warm servers in this sample, in seconds
-	warmRate         float64       // by one of unit weight a second, moving average
+	load             loadMeter
 	lastLoadReportAt time.Duration // of any server
 
 	// Quotas.
@@ -60,7 +52,8 @@
 	lastLogAt time.Duration
 }
 
-// New returns a gateway for the settings, or an error that names a field that cannot be.
+// New returns an engine for the settings, or an error that names a field that cannot be. The seed is of all its
+// random draws: two engines with one seed and the same events act alike.
 func New(s Settings, seed uint64) (*Engine, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -68,7 +61,7 @@
 	e := &Engine{
 		settings:      s,
 		rng:           rand.New(rand.NewPCG(seed, 0x5ea)),
-		serverByID:    map[string]*server{},
+		servers:       serverTable{byID: map[string]*server{}},
 		classIndex:    map[string]int{},
 		planIndex:     map[string]int{},
 		latencies:     newLatencyTable(len(s.Classes)),
@@ -90,20 +83,26 @@
 	return e, nil
 }
 
-// Start begins the gateway's work. Call it once, before any other event.
+// Start begins the engine's work. Call it once, before any other event.
 func (e *Engine) Start(now time.Duration, out Actions) {
 	e.now, e.actions, e.startedAt, e.overload.admitFraction = now, out, now, 1
 	e.gossip.interval = e.settings.gossipInterval()
-	// Gateways started together must not beat in step.
-	e.actions.SetTimer(timerToken(timerSample, 0), time.Duration(e.rng.Int64N(int64(sampleInterval))))
+	// Nodes started together must not beat in step.
+	e.actions.SetTimer(timerToken(timerSample, 0), e.randomDelay(sampleInterval))
 	if e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
-		e.actions.SetTimer(timerToken(timerGossip, 0), time.Duration(e.rng.Int64N(int64(e.gossip.interval))))
+		e.actions.SetTimer(timerToken(timerGossip, 0), e.randomDelay(e.gossip.interval))
 	}
 	if e.settings.PollsEndpoints {
 		e.actions.WatchEndpoints(true)
 	}
 }
 
+// randomDelay returns a delay below a limit.
+func (e *Engine) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(e.rng.Int64N(int64(limit)))
+}
+
+// log adds a line for the operators, at most one a second.
 func (e *Engine) log(format string, args ...any) {
 	if e.now-e.lastLogAt >= time.Second {
 		e.lastLogAt = e.now
--- a/policy/request.go
+++ b/policy/request.go
@@ -53,11 +53,13 @@
 	return requestTable{byID: map[string]*request{}, byNumber: map[uint64]*request{}, lastNumber: lastNumber}
 }
 
+// nextNumber returns the number of a new request.
 func (t *requestTable) nextNumber() uint64 {
 	t.lastNumber++
 	return t.lastNumber
 }
 
+// add puts a request under its ID and its number.
 func (t *requestTable) add(r *request) { t.byID[r.ID], t.byNumber[r.number] = r, r }
 
 // endAttempt books the end of an attempt.
@@ -85,13 +87,13 @@
 // occupyServer counts an attempt as work in flight at a server.
 func (e *Engine) occupyServer(s *server) {
 	s.inFlight++
-	e.inFlight++
+	e.load.inFlight++
 }
 
 // releaseServer ends that.
 func (e *Engine) releaseServer(s *server) {
 	s.inFlight--
-	e.inFlight--
+	e.load.inFlight--
 }
 
 // cancelAttempts asks to stop waiting for the attempts that are still in flight.
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -39,8 +39,8 @@
 		"was reset": func(s *server) { s.connectFailedAt = t0 },
 	} {
 		e, _ := newEngine(t, testSettings(), testServers(2)...)
-		a, b := e.servers[0], e.servers[1]
-		for _, s := range e.servers {
+		a, b := e.servers.list[0], e.servers.list[1]
+		for _, s := range e.servers.list {
 			s.inFlight, s.lastProgressAt = 1, t0
 		}
 		e.latencies.classes[0].mean = 0.1
@@ -102,10 +102,10 @@
 	e, r := newEngine(t, testSettings(), testServers(12)...)
 	e.settings.InstanceCount = 6
 	for i := range 9 {
-		e.serverByID[fmt.Sprintf("s%d", i)].ejectedUntil = t0 + time.Hour
+		e.servers.byID[fmt.Sprintf("s%d", i)].ejectedUntil = t0 + time.Hour
 	}
 	for _, id := range []string{"s9", "s10"} {
-		e.serverByID[id].inFlight, e.serverByID[id].lastProgressAt = 9, t0
+		e.servers.byID[id].inFlight, e.servers.byID[id].lastProgressAt = 9, t0
 	}
 	blind := 0
 	for i := range 100 {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,7 +6,7 @@
 
 const coldBudgetFraction = 0.5 // of the overload budget that is used: work varies
 
-// hasWarmupBudget tells whether a request of a class may be sent to a server that may be warming up. This
+// hasWarmupBudget reports whether a request of a class may be sent to a server that may be warming up. This
 // node sends a cold server part of the overload multiple of what a warm one is seen to serve, which all
 // nodes together cannot exceed.
 func (e *Engine) hasWarmupBudget(s *server, class int) bool {
@@ -37,7 +37,7 @@
 		return zone.WarmServerRate
 	}
 	// A server does at least a second's work a second, which counts where no warm one is seen.
-	return math.Max(e.warmRate, 1/e.subset.meanHolders) * s.subsetCorrection / e.subset.width.Factor()
+	return math.Max(e.load.warmRate, 1/e.subset.meanHolders) * s.subsetCorrection / e.subset.width.Factor()
 }
 
 // minWarmupBudget is the work that is saved up for a cold server at least, so that a request of the class can
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -43,7 +43,7 @@
 		e, r := newEngine(t, testSettings(), testServers(1)...)
 		e.RequestReceived(t0, newRequest(1, "unsafe", "rate", 1), r)
 		e.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0"}, r)
-		if got := e.capacityFraction(e.servers[0]) < 1; got != cold {
+		if got := e.capacityFraction(e.servers.list[0]) < 1; got != cold {
 			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
 		}
 		r.actions = nil
@@ -57,7 +57,7 @@
 // which is all that it can take.
 func TestNoWarmupBudgetOutsideSubset(t *testing.T) {
 	e, _ := newSubsetEngine(t)
-	for _, s := range e.servers {
+	for _, s := range e.servers.list {
 		s.StartedAt = t0 - 100*ms
 		if s.warmup.work = 100; !s.inSubset && e.hasWarmupBudget(s, 0) {
 			t.Fatalf("cold server %s has budget and is not in the subset", s.ID)
@@ -69,7 +69,7 @@
 // requests do not use up what has been saved for heavier ones.
 func TestWarmingServersOfSubsetGetTheirBudget(t *testing.T) {
 	e, r := newSubsetEngine(t)
-	e.now, e.actions, e.warmRate = t0+10*time.Second, r, 0.1
+	e.now, e.actions, e.load.warmRate = t0+10*time.Second, r, 0.1
 	light, heavy := 0, 1
 	e.settings.Classes = append([]Class{}, e.settings.Classes[:2]...)
 	e.settings.Classes[light].LatencyObjective, e.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms // a quarter of it is the work until that is learned
@@ -122,10 +122,10 @@
 	for node := range e.settings.InstanceCount {
 		other := *e
 		other.settings.InstanceIndex = node
-		other.servers = nil
-		for _, s := range e.servers {
+		other.servers.list = nil
+		for _, s := range e.servers.list {
 			own := *s
-			other.servers = append(other.servers, &own)
+			other.servers.list = append(other.servers.list, &own)
 		}
 		other.formSubset()
 		for _, s := range other.subset.members {
@@ -142,15 +142,15 @@
 	}
 	e.latencies.classes[0].kinds = []kindLatency{{lowest: 0.05}}
 	r := &request{Request: Request{ID: "r"}, quota: &customerQuota{}}
-	for _, s := range e.servers {
+	for _, s := range e.servers.list {
 		if s.StartedAt = 0; !s.inSubset {
 			e.updateHealth(r, s, AttemptResult{Result: OK, Latency: 50 * ms})
 		}
 	}
-	if e.warmWork != 0 {
+	if e.load.warmWork != 0 {
 		t.Error("work of servers outside of the subset counts for what its members carry")
 	}
-	if e.updateHealth(r, e.subset.members[0], AttemptResult{Result: OK, Latency: 50 * ms}); e.warmWork == 0 {
+	if e.updateHealth(r, e.subset.members[0], AttemptResult{Result: OK, Latency: 50 * ms}); e.load.warmWork == 0 {
 		t.Error("work of a member does not count")
 	}
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -55,11 +55,11 @@
 		narrow, widest := len(e.subset.members), 0
 		step := func(pressed bool) {
 			e.now += sampleInterval
-			for _, s := range e.servers {
+			for _, s := range e.servers.list {
 				s.isUnresponsive = pressed && why == "silent"
 			}
-			if e.inFlight = 0; pressed && why == "load" {
-				e.inFlight = 8 * narrow
+			if e.load.inFlight = 0; pressed && why == "load" {
+				e.load.inFlight = 8 * narrow
 			}
 			if e.needsNewSubset() {
 				e.formSubset()
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -32,7 +32,7 @@
 			q.Zone = "b"
 			n += offerRequests(e, r, t0+at, 1, q)
 			completeAttempts(e, r, t0+at, 10*ms, RejectedByServer)
-			e.serverByID["s1"].ejectedUntil = 0
+			e.servers.byID["s1"].ejectedUntil = 0
 		}
 		return float64(n) * e.expectedWork(e.classIndex[class])
 	}
@@ -70,7 +70,7 @@
 // The class of the least priority for its work leaves a cold server's budget to the others.
 func TestWarmupBudgetPrefersHigherPriority(t *testing.T) {
 	e, r := newTwoZoneEngine(t, false)
-	s := e.serverByID["s1"]
+	s := e.servers.byID["s1"]
 	e.SetZoneLimits("b", ZoneLimits{WarmServerRate: 20, InFlightFraction: 1}) // so that the budget holds several requests
 	e.now, e.actions, s.warmup.updatedAt = t0, r, t0
 	s.warmup.work = 1.1 * e.expectedWork(e.classIndex["keyed"])
@@ -86,12 +86,12 @@
 func TestOverloadOfOneZone(t *testing.T) {
 	for _, isRemote := range []bool{false, true} {
 		e, _ := newTwoZoneEngine(t, isRemote)
-		e.serverByID["s1"].inFlight, e.inFlight = 50, 50
+		e.servers.byID["s1"].inFlight, e.load.inFlight = 50, 50
 		safe := e.classIndex["safe"]
 		if !e.isOverloaded(safe, "b", 1) || e.isOverloaded(safe, "a", 1) || e.isOverloaded(safe, "", 1) {
 			t.Errorf("remote %v: 50 attempts in flight at b: overloaded there %v, at a %v, at both %v", isRemote, e.isOverloaded(safe, "b", 1), e.isOverloaded(safe, "a", 1), e.isOverloaded(safe, "", 1))
 		}
-		if e.serverByID["s0"].inFlight = 50; !e.isOverloaded(safe, "", 1) {
+		if e.servers.byID["s0"].inFlight = 50; !e.isOverloaded(safe, "", 1) {
 			t.Errorf("remote %v: 50 attempts in flight at each", isRemote)
 		}
 	}
@@ -102,9 +102,9 @@
 	e, r := newEngine(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b"})
 	e.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	e.SetZoneLimits("b", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
-	s := e.serverByID["s1"]
+	s := e.servers.byID["s1"]
 	s.inFlight, s.latencyRatio, s.lastProgressAt = 50, 0.0001, t0
-	e.serverByID["s0"].latencyRatio, e.serverByID["s0"].queueLength = 100, 100 // the costlier by a wide margin
+	e.servers.byID["s0"].latencyRatio, e.servers.byID["s0"].queueLength = 100, 100 // the costlier by a wide margin
 	e.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	if got := r.last(); !strings.HasPrefix(got, "send r1 s0") {
 		t.Errorf("%q", got)
@@ -117,7 +117,7 @@
 		e, _ := newTwoZoneEngine(t, true)
 		e.SetZoneLimits("b", ZoneLimits{IsRemote: true, InFlightFraction: part, RemoteServerCount: 4})
 		e.updateZoneRates()
-		s := e.serverByID["s1"]
+		s := e.servers.byID["s1"]
 		for s.inFlight = 0; !e.isOverloaded(0, "b", 1) && s.inFlight < 1000; s.inFlight++ {
 		}
 		if want := int(minInFlightPerServer * 4 * part); s.inFlight != want {
@@ -139,10 +139,10 @@
 		e.RequestReceived(t0, q, r)
 		n := e.overload.occupancySamples[e.overload.sampleIndex()]
 		e.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: RejectedByServer, Server: "s1"}, r)
-		if s := e.serverByID["s1"]; isRemote == s.isEjected(t0+2*ms) || isRemote == (e.overload.occupancySamples[e.overload.sampleIndex()] > n) {
+		if s := e.servers.byID["s1"]; isRemote == s.isEjected(t0+2*ms) || isRemote == (e.overload.occupancySamples[e.overload.sampleIndex()] > n) {
 			t.Errorf("remote %v: ejected %v, %v samples of occupancy", isRemote, s.isEjected(t0+2*ms), e.overload.occupancySamples[e.overload.sampleIndex()]-n)
 		}
-		s := e.serverByID["s1"]
+		s := e.servers.byID["s1"]
 		s.recordConnectFailure(t0)
 		e.actions = r
 		room := 0
@@ -199,7 +199,7 @@
 	e, _ := newEngine(t, set, Server{ID: "s0", Kind: "k", Zone: "a"})
 	e.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	e.zones["a"].responseRate = 100
-	keyed, s := e.classIndex["keyed"], e.serverByID["s0"]
+	keyed, s := e.classIndex["keyed"], e.servers.byID["s0"]
 	most := func(price float64) int {
 		for s.inFlight = 0; !e.isOverloaded(keyed, "a", price); s.inFlight++ {
 		}
