--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -25,23 +25,25 @@
 func Example() {
 	settings := policy.Settings{
 		InstanceCount: 1,
-		Classes:       []policy.Class{{Name: "read", Idempotency: policy.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Plans:         []policy.Plan{{Name: "basic", Rate: 1, Burst: 2, PriorityFactor: 1}},
+		Classes: []policy.Class{{Name: "read", Idempotency: policy.Idempotent,
+			LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans: []policy.Plan{{Name: "basic", Rate: 1, Burst: 2, PriorityFactor: 1}},
 	}
-	g, err := policy.New(settings, 1)
+	engine, err := policy.New(settings, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	var host printer
 	now := time.Duration(0)
-	g.Start(now, host)
-	g.EndpointsChanged(now, policy.EndpointsComplete, []policy.Server{{ID: "alpha"}}, host)
+	engine.Start(now, host)
+	engine.EndpointsChanged(now, policy.EndpointsComplete, []policy.Server{{ID: "alpha"}}, host)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		g.RequestReceived(now, policy.Request{ID: id, Class: "read", Plan: "basic", Customer: 7,
+		engine.RequestReceived(now, policy.Request{ID: id, Class: "read", Plan: "basic", Customer: 7,
 			Timeout: time.Second, Units: 1, InstanceCount: 1}, host)
 	}
-	g.AttemptCompleted(now, policy.AttemptResult{ID: "r1", Result: policy.OK, RequestAnswered: true, Latency: 20 * time.Millisecond}, host)
+	engine.AttemptCompleted(now, policy.AttemptResult{ID: "r1", Result: policy.OK, RequestAnswered: true,
+		Latency: 20 * time.Millisecond}, host)
 	// Output:
 	// send r1 to alpha
 	// send r2 to alpha
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -7,7 +7,12 @@
 
 // Gossiped units are charged at the peer once, whether messages are lost, repeated or late.
 func TestGossipSurvivesLossAndReordering(t *testing.T) {
-	orders := map[string][]int{"in order": {0, 1, 2}, "middle lost": {0, 2}, "twice": {0, 0, 1, 1, 2, 2}, "late": {1, 0, 2}}
+	orders := map[string][]int{
+		"in order":    {0, 1, 2},
+		"middle lost": {0, 2},
+		"twice":       {0, 0, 1, 1, 2, 2},
+		"late":        {1, 0, 2},
+	}
 	for name, order := range orders {
 		a, ra := newInstance(t, 0, 2)
 		b, rb := newInstance(t, 1, 2)
@@ -112,7 +117,8 @@
 // sentReport is the report of a quota response of one instance as another one decodes it.
 func sentReport(t *testing.T, from, to *Engine) peerReport {
 	t.Helper()
-	encoded := from.codec().encodeQuotaResponse(quotaResponse{number: 7, isGranted: true, grantFraction: 1}, from.peerReport())
+	response := quotaResponse{number: 7, isGranted: true, grantFraction: 1}
+	encoded := from.codec().encodeQuotaResponse(response, from.peerReport())
 	_, report, err := to.codec().decodeQuotaMessage(encoded)
 	if err != nil {
 		t.Fatalf("a response with a report is malformed: %v", err)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -1,15 +1,17 @@
 package policy
 
 import (
+	"bytes"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
 )
 
-const ms = time.Millisecond
-
-const t0 = 1000 * time.Second
+const (
+	ms = time.Millisecond
+	t0 = 1000 * time.Second // the engines' start
+)
 
 // recorder keeps an engine's actions as text.
 type recorder struct {
@@ -36,15 +38,16 @@
 
 func (r *recorder) Log(string) {}
 
-func (r *recorder) SendGossip(p int, m []byte) {
+func (r *recorder) SendGossip(peer int, message []byte) {
 	if r.gossip == nil {
 		r.gossip = map[int][][]byte{}
 	}
-	r.gossip[p] = append(r.gossip[p], append([]byte(nil), m...))
+	r.gossip[peer] = append(r.gossip[peer], bytes.Clone(message))
 }
 
 func (r *recorder) add(f string, a ...any) { r.actions = append(r.actions, fmt.Sprintf(f, a...)) }
 
+// count returns how many actions begin with a prefix.
 func (r *recorder) count(prefix string) int {
 	n := 0
 	for _, a := range r.actions {
@@ -55,6 +58,7 @@
 	return n
 }
 
+// last returns the latest action, if any.
 func (r *recorder) last() string {
 	if len(r.actions) == 0 {
 		return ""
@@ -62,11 +66,13 @@
 	return r.actions[len(r.actions)-1]
 }
 
+// timerRequest is a timer that an engine has set.
 type timerRequest struct {
 	token uint64
 	after time.Duration
 }
 
+// newEngine returns an engine that was started at t0 with a list of servers, and the recorder of its actions.
 func newEngine(t *testing.T, s Settings, servers ...Server) (*Engine, *recorder) {
 	t.Helper()
 	e, err := New(s, 1)
@@ -100,6 +106,7 @@
 		Timeout: 2 * time.Second, Units: 1, InstanceCount: 1}
 }
 
+// testServers returns a list of servers of one kind and zone.
 func testServers(n int) (list []Server) {
 	for i := 0; i < n; i++ {
 		list = append(list, Server{ID: fmt.Sprintf("s%d", i), Kind: "k", Zone: "a", Cell: 1})
@@ -124,43 +131,55 @@
 	for _, a := range r.actions {
 		var id, server string
 		if n, _ := fmt.Sscanf(a, "send %s %s", &id, &server); n == 2 {
-			e.AttemptCompleted(now, AttemptResult{ID: id, Result: res, Server: server, RequestAnswered: res == OK, Latency: took}, r)
+			completed := AttemptResult{ID: id, Result: res, Server: server, RequestAnswered: res == OK, Latency: took}
+			e.AttemptCompleted(now, completed, r)
 		}
 	}
 	r.actions = nil
 }
 
+// testSettings returns settings with a class of each idempotency, and plans with a hard limit, a rate alone and a
+// limit in flight.
 func testSettings() Settings {
 	return Settings{
 		InstanceCount: 1, Zone: "a",
 		Classes: []Class{
-			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
-			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 300 * ms, LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
-			{Name: "unsafe", Idempotency: NonIdempotent, DedupWindow: time.Second, LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
+			{Name: "safe", Idempotency: Idempotent,
+				LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 300 * ms,
+				LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
+			{Name: "unsafe", Idempotency: NonIdempotent, DedupWindow: time.Second,
+				LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
 		},
 		Plans: []Plan{
 			{Name: "hard", Rate: 20, Burst: 20, HardLimitRate: 25, HardLimitBurst: 24, HardLimitSlack: 1, PriorityFactor: 1},
 			{Name: "rate", Rate: 40, Burst: 40, PriorityFactor: 1},
 			{Name: "open", MaxInFlight: 6, PriorityFactor: 1},
 		},
-		ResponseSlack: 10 * ms, DrainGracePeriod: 200 * ms, SlowStartMinFraction: 0.2, SlowStartWindow: 8 * time.Second, ColdOverloadMultiple: 2,
-		ColdOverloadWindow: time.Second, MaxAttempts: 4, AllowsCancel: true, AllowsGossip: true, SendsRetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, GossipInboxRate: 60, MinEventInterval: ms,
+		ResponseSlack: 10 * ms, DrainGracePeriod: 200 * ms,
+		SlowStartMinFraction: 0.2, SlowStartWindow: 8 * time.Second,
+		ColdOverloadMultiple: 2, ColdOverloadWindow: time.Second,
+		MaxAttempts: 4, AllowsCancel: true, AllowsGossip: true,
+		SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		GossipInboxRate: 60, MinEventInterval: ms,
 	}
 }
 
+// healthCheckSettings returns testSettings with health checks that bring load reports.
 func healthCheckSettings() Settings {
 	s := testSettings()
 	s.AllowsHealthChecks, s.LoadReports = true, LoadReportsInHealthChecks
 	return s
 }
 
+// simEvent is something that happens in simulated time; order parts events of one time.
 type simEvent struct {
 	at    time.Duration
 	order int
 	run   func()
 }
 
+// simQueue is a heap of the events to come.
 type simQueue []simEvent
 
 func (q simQueue) Len() int { return len(q) }
--- a/policy/hot_restart_quotas.go
+++ b/policy/hot_restart_quotas.go
@@ -32,10 +32,11 @@
 // isValid reports whether the state can be one of a quota under one of so many plans.
 func (s *quotaState) isValid(planCount, fleetSize int) bool {
 	hasPlan := s.Plan >= 0 && s.Plan < planCount
-	hasInstances := s.InstanceCount >= 1 && s.InstanceCount <= fleetSize && s.FirstInstance >= 0 && s.FirstInstance < fleetSize
+	hasCount := s.InstanceCount >= 1 && s.InstanceCount <= fleetSize
+	hasFirst := s.FirstInstance >= 0 && s.FirstInstance < fleetSize
 	hasPeers := len(s.PeerInFlight) == len(s.PeerReceivedAt) && len(s.PeerInFlight) <= fleetSize
 	hasLeases := len(s.LeaseFrom) == len(s.LeaseNumber) && len(s.LeaseFrom) == len(s.LeaseExpiresAt)
-	return hasPlan && hasInstances && hasPeers && hasLeases
+	return hasPlan && hasCount && hasFirst && hasPeers && hasLeases
 }
 
 // exportQuotas returns all quotas, refilled up to now.
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -22,13 +22,13 @@
 func newUsedEngine(t *testing.T) (*Engine, *recorder) {
 	t.Helper()
 	e, r := newEngine(t, hotRestartSettings(), testServers(4)...)
-	peer, rp := newEngine(t, func() Settings { s := hotRestartSettings(); s.InstanceIndex = 0; return s }(), testServers(4)...)
+	peerSettings := hotRestartSettings()
+	peerSettings.InstanceIndex = 0
+	peer, rp := newEngine(t, peerSettings, testServers(4)...)
 	q := newRequest(900, "safe", "ceiled", 1)
 	q.InstanceCount = 3
 	peer.RequestReceived(t0, q, rp)
-	for token := range map[uint64]bool{timerToken(timerGossip, 0): true} {
-		peer.TimerFired(t0+ms, token, rp)
-	}
+	peer.TimerFired(t0+ms, timerToken(timerGossip, 0), rp)
 	for _, m := range rp.gossip[1] {
 		e.GossipReceived(t0+2*ms, 0, m, r)
 	}
@@ -38,7 +38,9 @@
 		q.InstanceCount = 3
 		e.RequestReceived(now, q, r)
 		if last := r.last(); strings.HasPrefix(last, "send") && i%2 == 0 {
-			e.AttemptCompleted(now+20*ms, AttemptResult{ID: q.ID, Result: OK, Server: strings.Fields(last)[2], Latency: 20 * ms, RequestAnswered: true}, r)
+			server := strings.Fields(last)[2]
+			completed := AttemptResult{ID: q.ID, Result: OK, Server: server, Latency: 20 * ms, RequestAnswered: true}
+			e.AttemptCompleted(now+20*ms, completed, r)
 		}
 		e.TimerFired(now+50*ms, timerToken(timerSample, 0), r)
 	}
@@ -74,28 +76,32 @@
 	}
 	for key, quota := range e.quotas.byCustomer {
 		to := next.quotas.byCustomer[key]
-		if to == nil || to.tokens != quota.tokens || to.hardLimitTokens != quota.hardLimitTokens || to.pendingUnits != quota.pendingUnits || to.needsGossip != quota.needsGossip {
+		if to == nil || to.tokens != quota.tokens || to.hardLimitTokens != quota.hardLimitTokens ||
+			to.pendingUnits != quota.pendingUnits || to.needsGossip != quota.needsGossip {
 			t.Fatalf("quota %d: %+v became %+v", key, quota, to)
 		}
 	}
 	if e.quotas.byCustomer[1].hardLimitTokens > 7.9 || e.quotas.byCustomer[1].tokens > 5.5 {
 		t.Fatalf("nothing was spent: %+v", e.quotas.byCustomer[1])
 	}
-	if got, want := next.inFlightCapacity(next.quotas.byCustomer[2]), e.inFlightCapacity(e.quotas.byCustomer[2]); got != want || want == 4 {
+	got, want := next.inFlightCapacity(next.quotas.byCustomer[2]), e.inFlightCapacity(e.quotas.byCustomer[2])
+	if got != want || want == 4 {
 		t.Errorf("capacity in flight %d, want %d", got, want)
 	}
 	if a, b := fmt.Sprintf("%+v", e.overload), fmt.Sprintf("%+v", next.overload); a != b {
 		t.Errorf("overload control\n%s became\n%s", a, b)
 	}
-	if e.latencies.classes[0].mean != next.latencies.classes[0].mean || e.latencies.classes[0].mean == 0 || next.latencies.learnedWork(0) != e.latencies.learnedWork(0) {
-		t.Errorf("latency %+v became %+v", e.latencies.classes[0], next.latencies.classes[0])
+	latency, nextLatency := e.latencies.classes[0], next.latencies.classes[0]
+	hasSameWork := next.latencies.learnedWork(0) == e.latencies.learnedWork(0)
+	if latency.mean != nextLatency.mean || latency.mean == 0 || !hasSameWork {
+		t.Errorf("latency %+v became %+v", latency, nextLatency)
 	}
 	if listed, avoided := next.ServerCounts(now); listed != 4 || avoided != 1 {
 		t.Errorf("%d servers, %d avoided", listed, avoided)
 	}
 	// A customer that neither remembers has what its quota has filled to since the first one's start.
-	fresh := next.quotaFor(77, quotaScope{instanceCount: 3})
-	if was := e.quotaFor(77, quotaScope{instanceCount: 3}); math.Abs(fresh.tokens-was.tokens) > 1e-9 || math.Abs(fresh.hardLimitTokens-was.hardLimitTokens) > 1e-9 {
+	fresh, was := next.quotaFor(77, quotaScope{instanceCount: 3}), e.quotaFor(77, quotaScope{instanceCount: 3})
+	if math.Abs(fresh.tokens-was.tokens) > 1e-9 || math.Abs(fresh.hardLimitTokens-was.hardLimitTokens) > 1e-9 {
 		t.Errorf("unknown customer: %+v, was %+v", fresh, was)
 	}
 	// The two decide alike from here on.
@@ -127,11 +133,12 @@
 	level := next.quotas.byCustomer[1].tokens
 	entry := next.gossipEntryFor(&customerQuota{key: 1, quotaScope: quotaScope{instanceCount: 3}, pendingUnits: 2}, 0)
 	entries := encodedEntries{count: 1, bytes: next.codec().appendEntry(nil, entry)}
-	next.GossipReceived(now, 0, encodeGossip(e.gossip.peers[0].epoch, e.gossip.peers[0].receivedSequence, entries, encodedEntries{}), rn)
+	old := e.gossip.peers[0]
+	next.GossipReceived(now, 0, encodeGossip(old.epoch, old.receivedSequence, entries, encodedEntries{}), rn)
 	if next.quotas.byCustomer[1].tokens != level {
 		t.Errorf("an old message took %v", level-next.quotas.byCustomer[1].tokens)
 	}
-	next.GossipReceived(now, 0, encodeGossip(e.gossip.peers[0].epoch, e.gossip.peers[0].receivedSequence+1, entries, encodedEntries{}), rn)
+	next.GossipReceived(now, 0, encodeGossip(old.epoch, old.receivedSequence+1, entries, encodedEntries{}), rn)
 	if next.quotas.byCustomer[1].tokens != level-2 {
 		t.Errorf("a new message took %v of 2", level-next.quotas.byCustomer[1].tokens)
 	}
@@ -144,7 +151,10 @@
 	now := t0 + 4*time.Second
 	text, _ := e.ExportState(now)
 	s := hotRestartSettings()
-	s.Plans = []Plan{{Name: "novel", Rate: 1, Burst: 1}, {Name: "ceiled", Rate: 20, Burst: 60, HardLimitRate: 40, HardLimitBurst: 120, PriorityFactor: 1}}
+	s.Plans = []Plan{
+		{Name: "novel", Rate: 1, Burst: 1},
+		{Name: "ceiled", Rate: 20, Burst: 60, HardLimitRate: 40, HardLimitBurst: 120, PriorityFactor: 1},
+	}
 	s.Classes = s.Classes[1:]
 	servers := testServers(4)
 	servers[0].StartedAt = now
@@ -162,7 +172,8 @@
 	if spent, want := 60-quota.tokens, 6-was.tokens; math.Abs(spent-want) > 1e-9 {
 		t.Errorf("spent %v of the quota, was %v", spent, want)
 	}
-	if spent, want := 120*quota.burstFraction-quota.hardLimitTokens, 30*was.burstFraction-was.hardLimitTokens; math.Abs(spent-want) > 1e-9 {
+	spent, want := 120*quota.burstFraction-quota.hardLimitTokens, 30*was.burstFraction-was.hardLimitTokens
+	if math.Abs(spent-want) > 1e-9 {
 		t.Errorf("spent %v of the hard limit, was %v", spent, want)
 	}
 }
@@ -184,7 +195,8 @@
 		"store that can't": {hotRestartSettings(), strings.Replace(string(text), `"Spread":3`, `"Spread":9`, 1)},
 	} {
 		next, _ := newEngine(t, c.set, testServers(4)...)
-		if err := next.ImportState(now, []byte(c.text)); err == nil || len(next.quotas.byCustomer) != 0 || next.startedAt != t0 {
+		err := next.ImportState(now, []byte(c.text))
+		if err == nil || len(next.quotas.byCustomer) != 0 || next.startedAt != t0 {
 			t.Errorf("%s: error %v, %d quotas", name, err, len(next.quotas.byCustomer))
 		}
 	}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -106,7 +106,8 @@
 	s := e.servers.list[0]
 	fail(e, r, 1, t0)
 	if r.count("probe s0") != 1 || e.capacityFraction(s) == 1 {
-		t.Errorf("%d health checks sent, capacity fraction %v after a failed connection", r.count("probe s0"), e.capacityFraction(s))
+		t.Errorf("%d health checks sent, capacity fraction %v after a failed connection",
+			r.count("probe s0"), e.capacityFraction(s))
 	}
 	if e.HealthCheckCompleted(t0+5*ms, "s0", OK, nil, r); e.capacityFraction(s) != 1 {
 		t.Error("cold though a health check sent at once was answered")
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -151,7 +151,8 @@
 		e.RequestReceived(t0, q, r)
 	}
 	if got := r.count("send"); got <= minInFlightPerServer*n || got > certainOverloadFactor*minInFlightPerServer*n {
-		t.Errorf("%d of a burst sent, want more than %v and at most %v", got, minInFlightPerServer*n, certainOverloadFactor*minInFlightPerServer*n)
+		t.Errorf("%d of a burst sent, want more than %v and at most %v",
+			got, minInFlightPerServer*n, certainOverloadFactor*minInFlightPerServer*n)
 	}
 }
 
@@ -184,7 +185,8 @@
 		e.recordLatency(0, e.subset.members[1+i%8], 60*ms)
 	}
 	if slot := e.overload.sampleIndex(); e.overload.occupancySamples[slot] != 1 || e.overload.occupancySums[slot] != 0.9 {
-		t.Errorf("%.1f samples that sum to %.2f, want the report's alone", e.overload.occupancySamples[slot], e.overload.occupancySums[slot])
+		t.Errorf("%.1f samples that sum to %.2f, want the report's alone",
+			e.overload.occupancySamples[slot], e.overload.occupancySums[slot])
 	}
 	e.now += decayTime + ms
 	if e.recordLatency(0, e.subset.members[1], 60*ms); e.overload.occupancySamples[e.overload.sampleIndex()] == 1 {
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"testing"
 	"time"
 )
@@ -38,7 +39,8 @@
 	q := ownerRequest(1, customer)
 	member.RequestReceived(t0, q, r)
 	ownerIndex := member.ownerFor(member.quotas.byCustomer[customer])
-	if !ownerScope(member).includes(ownerIndex, member.settings.InstanceCount) || r.count("send")+r.count("refuse") != 0 || r.gossip[ownerIndex] == nil {
+	isCustomers := ownerScope(member).includes(ownerIndex, member.settings.InstanceCount)
+	if !isCustomers || r.count("send")+r.count("refuse") != 0 || r.gossip[ownerIndex] == nil {
 		t.Fatalf("owner %d, actions %v", ownerIndex, r.actions)
 	}
 	owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
@@ -93,8 +95,12 @@
 					returned = append(returned, b)
 				}
 			}
-			if name == "granted" && (len(returned) != 1 || returned[0].number != num || returned[0].units != 1) || name != "granted" && len(returned) != 0 {
-				t.Errorf("returned: %+v", returned)
+			var want []quotaReturn
+			if name == "granted" {
+				want = []quotaReturn{{number: num, customer: customer, units: 1}}
+			}
+			if !slices.Equal(returned, want) {
+				t.Errorf("returned: %+v, want %+v", returned, want)
 			}
 		})
 	}
--- a/policy/quota_transfer_test.go
+++ b/policy/quota_transfer_test.go
@@ -22,19 +22,24 @@
 	rng          *rand.Rand
 }
 
+// datagram is a message in transit.
 type datagram struct {
 	at       time.Duration
 	from, to int
 	message  []byte
 }
 
+// transferCustomer is the only customer of a transferSim.
 const transferCustomer = 7
 
 func newTransferSim(t *testing.T, seed uint64, gates int) *transferSim {
-	w := &transferSim{settings: testSettings(), now: t0, rng: rand.New(rand.NewPCG(seed, 4)), engines: make([]*Engine, gates),
+	w := &transferSim{settings: testSettings(), now: t0, rng: rand.New(rand.NewPCG(seed, 4)),
+		engines:   make([]*Engine, gates),
 		recorders: make([]*recorder, gates), timers: make([][]timerRequest, gates)}
 	w.settings.InstanceCount = gates
-	w.settings.Plans = []Plan{{Name: "hard", Rate: 1000, Burst: 1000, HardLimitRate: 25, HardLimitBurst: 24, PriorityFactor: 1}}
+	w.settings.Plans = []Plan{
+		{Name: "hard", Rate: 1000, Burst: 1000, HardLimitRate: 25, HardLimitBurst: 24, PriorityFactor: 1},
+	}
 	for i := range gates {
 		w.start(t, i)
 	}
@@ -106,7 +111,9 @@
 	w.engines[i].RequestReceived(w.now, q, r)
 	if sent = r.count("send") == 1; sent {
 		w.unitsSent++
-		w.engines[i].AttemptCompleted(w.now, AttemptResult{ID: q.ID, Result: OK, Server: r.actions[0][len("send ")+len(q.ID)+1:], Latency: ms, RequestAnswered: true}, r)
+		server := r.actions[0][len("send ")+len(q.ID)+1:]
+		completed := AttemptResult{ID: q.ID, Result: OK, Server: server, Latency: ms, RequestAnswered: true}
+		w.engines[i].AttemptCompleted(w.now, completed, r)
 	}
 	return sent
 }
@@ -247,18 +254,24 @@
 	w.start(t, 1)
 	restarted := w.engines[1]
 	repeat := w.recorders[0].gossip[1][1]
-	if restarted.GossipReceived(w.now, 0, repeat, w.recorders[1]); restarted.quotas.byCustomer[transferCustomer].hardLimitTokens != 0 {
-		t.Errorf("an instance that has just started holds %v of the hard limit", restarted.quotas.byCustomer[transferCustomer].hardLimitTokens)
+	restarted.GossipReceived(w.now, 0, repeat, w.recorders[1])
+	if got := restarted.quotas.byCustomer[transferCustomer].hardLimitTokens; got != 0 {
+		t.Errorf("an instance that has just started holds %v of the hard limit", got)
 	}
 	text, err := a.ExportState(a.now)
 	successor, _ := newSuccessor(t, a.settings, a.now, testServers(4)...)
-	if err = errors.Join(err, successor.ImportState(a.now, text)); err != nil || successor.quotas.byCustomer[transferCustomer].hardLimitCapacity(&successor.settings.Plans[0]) != part-took {
-		t.Errorf("the transfer in transit is not exported: %v, part of %v", err, successor.quotas.byCustomer[transferCustomer].hardLimitCapacity(&successor.settings.Plans[0]))
+	err = errors.Join(err, successor.ImportState(a.now, text))
+	capacity := successor.quotas.byCustomer[transferCustomer].hardLimitCapacity(&successor.settings.Plans[0])
+	if err != nil || capacity != part-took {
+		t.Errorf("the transfer in transit is not exported: %v, part of %v", err, capacity)
 	}
-	if a.now += a.transferTimeout() / 2; a.quotaFor(transferCustomer, quotaScope{instanceCount: 2}).hardLimitTokens > part-took {
+	scope := quotaScope{instanceCount: 2}
+	a.now += a.transferTimeout() / 2
+	if a.quotaFor(transferCustomer, scope).hardLimitTokens > part-took {
 		t.Error("a sender's part is whole again while its transfer may be in transit")
 	}
-	if a.now += 2 * a.transferTimeout(); a.quotaFor(transferCustomer, quotaScope{instanceCount: 2}).hardLimitTokens != part {
+	a.now += 2 * a.transferTimeout()
+	if a.quotaFor(transferCustomer, scope).hardLimitTokens != part {
 		t.Error("a sender's part stays smaller for good")
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -64,7 +64,8 @@
 			bad++
 			e.AttemptCompleted(now+ms, AttemptResult{ID: q.ID, Result: ErrorResponse, Server: "s0", Latency: ms}, r)
 		} else {
-			e.AttemptCompleted(now+10*ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}, r)
+			completed := AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}
+			e.AttemptCompleted(now+10*ms, completed, r)
 		}
 	}
 	if bad > 20 {
@@ -89,7 +90,8 @@
 		if a[0] == "send" && a[2] == "s0" {
 			toSilent++
 		} else {
-			e.AttemptCompleted(now+10*ms, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}, r)
+			completed := AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}
+			e.AttemptCompleted(now+10*ms, completed, r)
 		}
 	}
 	if toSilent > 10 {
@@ -144,8 +146,9 @@
 
 // A request that is kept to a zone goes to its servers alone, and to none where it has none.
 func TestRequestRestrictedToZone(t *testing.T) {
-	s := Settings{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Plans: []Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}}}
+	s := Settings{InstanceCount: 1, MaxAttempts: 3,
+		Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans:   []Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, PriorityFactor: 1}}}
 	e, r := newEngine(t, s, Server{ID: "x", Kind: "k", Zone: "a"}, Server{ID: "y", Kind: "k", Zone: "b"})
 	for i := range 20 {
 		q := newRequest(i, "a", "wide", 7)
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -49,16 +49,18 @@
 			t.Errorf("class %s: %s, want %s", n, got, want)
 		}
 	}
-	if b := e.classIndex["b"]; e.latencies.classes[b].mean != 0.25 || e.settings.Classes[b].LatencyObjective != 2*time.Second {
+	b := e.classIndex["b"]
+	if e.latencies.classes[b].mean != 0.25 || e.settings.Classes[b].LatencyObjective != 2*time.Second {
 		t.Errorf("class b: %+v, %+v", e.latencies.classes[b], e.settings.Classes[b])
 	}
 	if len(e.settings.Classes) != 3 { // a's place is taken by the request in hand
 		t.Errorf("%d places", len(e.settings.Classes))
 	}
 	id := newRequest(1, "a", "wide", 7).ID
-	e.AttemptCompleted(t0+50*time.Millisecond, AttemptResult{ID: id, Result: OK, RequestAnswered: true, Latency: 50 * time.Millisecond}, r)
+	e.AttemptCompleted(t0+50*ms, AttemptResult{ID: id, Result: OK, RequestAnswered: true, Latency: 50 * ms}, r)
 	for i := range 20 {
-		if err := e.SetClasses([]Class{class("b", time.Second), class("c", time.Second), class(fmt.Sprint("d", i), time.Second)}); err != nil {
+		added := class(fmt.Sprint("d", i), time.Second)
+		if err := e.SetClasses([]Class{class("b", time.Second), class("c", time.Second), added}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -68,7 +70,10 @@
 	// A class that comes back while a request of its first time is in hand has two places; the plans may
 	// change meanwhile.
 	e.RequestReceived(t0, newRequest(9, "b", "wide", 7), r)
-	for _, cs := range [][]Class{{class("c", time.Second)}, {class("b", time.Second), class("c", time.Second), class("e", time.Second)}} {
+	for _, cs := range [][]Class{
+		{class("c", time.Second)},
+		{class("b", time.Second), class("c", time.Second), class("e", time.Second)},
+	} {
 		if err := e.SetClasses(cs); err != nil {
 			t.Fatal(err)
 		}
@@ -76,15 +81,20 @@
 			t.Error(err)
 		}
 	}
-	if err := e.SetClasses([]Class{class("x", time.Second), class("x", time.Second)}); err == nil || len(e.classIndex) != 3 {
+	err := e.SetClasses([]Class{class("x", time.Second), class("x", time.Second)})
+	if err == nil || len(e.classIndex) != 3 {
 		t.Errorf("a name twice: %v, %v", err, e.classIndex)
 	}
 }
 
 // A plan's new figures, and a customer's move to another plan, leave what was spent spent.
 func TestSetPlans(t *testing.T) {
-	s := Settings{InstanceCount: 2, MaxAttempts: 3, AllowsGossip: true, Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Plans: []Plan{{Name: "small", Rate: 10, Burst: 40}, {Name: "large", Rate: 20, Burst: 100, HardLimitRate: 40, HardLimitBurst: 120}}}
+	s := Settings{InstanceCount: 2, MaxAttempts: 3, AllowsGossip: true,
+		Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans: []Plan{
+			{Name: "small", Rate: 10, Burst: 40},
+			{Name: "large", Rate: 20, Burst: 100, HardLimitRate: 40, HardLimitBurst: 120},
+		}}
 	now := t0
 	e, r := newEngine(t, s, testServers(40)...)
 	now += time.Hour // full
@@ -98,28 +108,34 @@
 		t.Fatal(got)
 	}
 	quota := e.quotas.byCustomer[7]
-	if err := e.SetPlans(now, []Plan{{Name: "small", Rate: 10, Burst: 15}, s.Plans[1], {Name: "new", Rate: 1, Burst: 1}}); err != nil || quota.tokens != 5 {
+	err := e.SetPlans(now, []Plan{{Name: "small", Rate: 10, Burst: 15}, s.Plans[1], {Name: "new", Rate: 1, Burst: 1}})
+	if err != nil || quota.tokens != 5 {
 		t.Fatalf("level %v after 10 units of what is now 15, error %v", quota.tokens, err)
 	}
 	if got := ask(2, "small", 10); !strings.HasPrefix(got, "refuse") {
 		t.Errorf("15 units are the burst and 20 were sent: %s", got)
 	}
-	if ask(3, "large", 10); quota.plan != 1 || quota.tokens != 90 || quota.hardLimitTokens != 0 { // its first hard limit begins empty
+	ask(3, "large", 10)
+	if quota.plan != 1 || quota.tokens != 90 || quota.hardLimitTokens != 0 { // its first hard limit begins empty
 		t.Errorf("on the larger plan: %+v", quota)
 	}
 	// A peer that does not know of the move yet reports units under the old plan: they count.
-	if e.receiveEntries(1, []gossipEntry{{customer: 7, scope: quotaScope{instanceCount: 2}, units: 30}}); quota.tokens != 60 || quota.plan != 1 {
+	e.receiveEntries(1, []gossipEntry{{customer: 7, scope: quotaScope{instanceCount: 2}, units: 30}})
+	if quota.tokens != 60 || quota.plan != 1 {
 		t.Errorf("level %v, plan %d after 30 units at a peer", quota.tokens, quota.plan)
 	}
 	now += time.Hour
 	if ask(4, "large", 20); quota.hardLimitTokens != 40 {
 		t.Fatalf("part of the hard limit %v, want 60-20", quota.hardLimitTokens)
 	}
-	if err := e.SetPlans(now, []Plan{e.settings.Plans[0], {Name: "large", Rate: 20, Burst: 100, HardLimitRate: 30, HardLimitBurst: 60}, e.settings.Plans[2]}); err != nil || quota.hardLimitTokens != 10 {
+	lower := Plan{Name: "large", Rate: 20, Burst: 100, HardLimitRate: 30, HardLimitBurst: 60}
+	err = e.SetPlans(now, []Plan{e.settings.Plans[0], lower, e.settings.Plans[2]})
+	if err != nil || quota.hardLimitTokens != 10 {
 		t.Errorf("part of the hard limit %v, want 30-20, error %v", quota.hardLimitTokens, err)
 	}
 	// A place is kept for good, and a table that cannot be is rejected whole.
-	if e.SetPlans(now, e.settings.Plans[:2]) == nil || e.SetPlans(now, []Plan{{Name: "x"}, {Name: "x"}, {Name: "y"}}) == nil || len(e.planIndex) != 3 {
+	tooFew, nameTwice := e.settings.Plans[:2], []Plan{{Name: "x"}, {Name: "x"}, {Name: "y"}}
+	if e.SetPlans(now, tooFew) == nil || e.SetPlans(now, nameTwice) == nil || len(e.planIndex) != 3 {
 		t.Errorf("plans %v", e.planIndex)
 	}
 	if got := ask(5, "gone", 1); !strings.HasPrefix(got, "refuse") {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -28,7 +28,8 @@
 			work = float64(sent) * e.expectedWork(0)
 		}
 		// One core's work, the least that a server can do when warm, is what the budget is taken of.
-		share := s.SlowStartMinFraction + (1-s.SlowStartMinFraction)*s.ColdOverloadWindow.Seconds()/s.SlowStartWindow.Seconds()
+		age := s.ColdOverloadWindow.Seconds() / s.SlowStartWindow.Seconds()
+		share := s.SlowStartMinFraction + (1-s.SlowStartMinFraction)*age
 		budget := s.ColdOverloadMultiple * share * s.ColdOverloadWindow.Seconds()
 		if sent == 0 && n > 100 || work > math.Max(budget, 2*s.Classes[0].LatencyObjective.Seconds()) {
 			t.Errorf("%d instances sent %d requests of work %.2f to a cold server, budget %.2f", n, sent, work, budget)
@@ -72,7 +73,8 @@
 	e.now, e.actions, e.load.warmRate = t0+10*time.Second, r, 0.1
 	light, heavy := 0, 1
 	e.settings.Classes = append([]Class{}, e.settings.Classes[:2]...)
-	e.settings.Classes[light].LatencyObjective, e.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms // a quarter of it is the work until that is learned
+	// A quarter of the latency objective is the expected work until that is learned.
+	e.settings.Classes[light].LatencyObjective, e.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms
 	cold := map[string]bool{}
 	for i, s := range e.subset.members {
 		if e.serverResponded(s); i%2 == 0 {
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -15,7 +15,8 @@
 	if isRemote {
 		boot = 0
 	}
-	e, r := newEngine(t, testSettings(), Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b", StartedAt: boot})
+	e, r := newEngine(t, testSettings(),
+		Server{ID: "s0", Kind: "k", Zone: "a"}, Server{ID: "s1", Kind: "k", Zone: "b", StartedAt: boot})
 	e.SetZoneLimits("a", ZoneLimits{WarmServerRate: 1, InFlightFraction: 1})
 	e.SetZoneLimits("b", ZoneLimits{IsRemote: isRemote, WarmServerRate: 1, InFlightFraction: 1, RemoteServerCount: 4})
 	return e, r
@@ -75,7 +76,8 @@
 	e.now, e.actions, s.warmup.updatedAt = t0, r, t0
 	s.warmup.work = 1.1 * e.expectedWork(e.classIndex["keyed"])
 	if e.hasWarmupBudget(s, e.classIndex["safe"]) || !e.hasWarmupBudget(s, e.classIndex["keyed"]) {
-		t.Errorf("budget of %.2f goes to the class of work %.2f that has the least priority, before %.2f", s.warmup.work, e.expectedWork(e.classIndex["safe"]), e.expectedWork(e.classIndex["keyed"]))
+		t.Errorf("budget of %.2f goes to the class of work %.2f that has the least priority, before %.2f", s.warmup.work,
+			e.expectedWork(e.classIndex["safe"]), e.expectedWork(e.classIndex["keyed"]))
 	}
 	if s.warmup.work = 100; !e.hasWarmupBudget(s, e.classIndex["safe"]) {
 		t.Error("budget that nobody needs is kept")
@@ -89,7 +91,8 @@
 		e.servers.byID["s1"].inFlight, e.load.inFlight = 50, 50
 		safe := e.classIndex["safe"]
 		if !e.isOverloaded(safe, "b", 1) || e.isOverloaded(safe, "a", 1) || e.isOverloaded(safe, "", 1) {
-			t.Errorf("remote %v: 50 attempts in flight at b: overloaded there %v, at a %v, at both %v", isRemote, e.isOverloaded(safe, "b", 1), e.isOverloaded(safe, "a", 1), e.isOverloaded(safe, "", 1))
+			t.Errorf("remote %v: 50 attempts in flight at b: overloaded there %v, at a %v, at both %v", isRemote,
+				e.isOverloaded(safe, "b", 1), e.isOverloaded(safe, "a", 1), e.isOverloaded(safe, "", 1))
 		}
 		if e.servers.byID["s0"].inFlight = 50; !e.isOverloaded(safe, "", 1) {
 			t.Errorf("remote %v: 50 attempts in flight at each", isRemote)
@@ -139,10 +142,10 @@
 		e.RequestReceived(t0, q, r)
 		n := e.overload.occupancySamples[e.overload.sampleIndex()]
 		e.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: RejectedByServer, Server: "s1"}, r)
-		if s := e.servers.byID["s1"]; isRemote == s.isEjected(t0+2*ms) || isRemote == (e.overload.occupancySamples[e.overload.sampleIndex()] > n) {
-			t.Errorf("remote %v: ejected %v, %v samples of occupancy", isRemote, s.isEjected(t0+2*ms), e.overload.occupancySamples[e.overload.sampleIndex()]-n)
+		s, samples := e.servers.byID["s1"], e.overload.occupancySamples[e.overload.sampleIndex()]-n
+		if isRemote == s.isEjected(t0+2*ms) || isRemote == (samples > 0) {
+			t.Errorf("remote %v: ejected %v, %v samples of occupancy", isRemote, s.isEjected(t0+2*ms), samples)
 		}
-		s := e.servers.byID["s1"]
 		s.recordConnectFailure(t0)
 		e.actions = r
 		room := 0
@@ -175,7 +178,9 @@
 		for _, a := range r.actions {
 			var id, server string
 			if n, _ := fmt.Sscanf(a, "send %s %s", &id, &server); n == 2 {
-				e.AttemptCompleted(now, AttemptResult{ID: id, Result: OK, Server: server, RequestAnswered: true, Latency: 20 * ms, LoadReport: &LoadReport{InFlight: -1, QueueLength: -1, Utilization: 0.5}}, r)
+				report := &LoadReport{InFlight: -1, QueueLength: -1, Utilization: 0.5}
+				e.AttemptCompleted(now, AttemptResult{ID: id, Result: OK, Server: server, RequestAnswered: true,
+					Latency: 20 * ms, LoadReport: report}, r)
 			}
 		}
 		if r.actions = nil; i%int(sampleInterval/(10*ms)) == 0 {
