--- a/policy/admission.go
+++ b/policy/admission.go
@@ -4,28 +4,17 @@
 	"time"
 )
 
-const (
-	firstTrySteps         = 20 // steps of the first try's timeout in a latency objective
-	firstTryDecaySteps    = 10 // times that a step down is smaller: the longest tenth counts
-	throttleRetryFraction = 4  // a throttled client should retry after the latency objective divided by this
-)
+// throttleRetryFraction: a throttled client should retry after the latency objective divided by this.
+const throttleRetryFraction = 4
 
 // isTooLate reports whether a request is known to come too late for its latency objective. Each try of a
 // class begins with the same timeout, of which a later try of the same client has less left. Where its
 // response would be worth little, it gives way to those that can still be answered in time. Clients that
 // give each try a timeout of its own look younger than they are: those are not held back.
-func (e *Engine) isTooLate(class int, grace time.Duration) bool {
-	c, l := &e.settings.Classes[class], &e.latencies.classes[class]
-	if l.firstTryTimeout == 0 {
-		l.firstTryTimeout = grace
-	}
-	// A high quantile, not the most: single clients must not make all others look late.
-	if step := c.LatencyObjective / firstTrySteps; grace > l.firstTryTimeout {
-		l.firstTryTimeout += min(step, grace-l.firstTryTimeout)
-	} else {
-		l.firstTryTimeout -= min(step/firstTryDecaySteps, l.firstTryTimeout-grace)
-	}
-	return (l.firstTryTimeout-grace).Seconds()+l.mean > c.LatencyObjective.Seconds()
+func (e *Engine) isTooLate(r *request) bool {
+	objective := e.settings.Classes[r.class].LatencyObjective
+	l := &e.latencies.classes[r.class]
+	return (l.firstTryTimeout-r.Timeout).Seconds()+l.mean > objective.Seconds()
 }
 
 // rejectEarly returns whether a request has to be rejected before its quota is looked at.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -85,11 +85,14 @@
 // The timeout that counts as a first try's follows what most clients have, not the longest one.
 func TestOneLongTimeoutMakesNoOtherLate(t *testing.T) {
 	e, _ := newEngine(t, testSettings())
+	objective := e.settings.Classes[0].LatencyObjective
+	learned := &e.latencies.classes[0]
 	for range 1000 {
-		e.isTooLate(0, time.Second)
+		learned.learnFirstTryTimeout(time.Second, objective)
 	}
-	e.isTooLate(0, time.Hour)
-	if e.isTooLate(0, time.Second) {
+	learned.learnFirstTryTimeout(time.Hour, objective)
+	learned.learnFirstTryTimeout(time.Second, objective)
+	if e.isTooLate(&request{Request: Request{Timeout: time.Second}}) {
 		t.Error("all others count as late after one long timeout")
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -18,7 +18,8 @@
 		return
 	}
 	r := e.newRequest(q, class, plan)
-	r.isLate = e.isTooLate(class, q.Timeout)
+	e.latencies.classes[class].learnFirstTryTimeout(q.Timeout, e.settings.Classes[class].LatencyObjective)
+	r.isLate = e.isTooLate(r)
 	if why := e.rejectEarly(r); why.reason != rejectNone {
 		e.reject(r.ID, why)
 		return
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,6 +9,8 @@
 	latencyWeight      = 0.15 // of a new sample in a server's latency ratio
 	minBatchSamples    = 16   // in a mean that may count as the lowest latency
 	lowestLatencyDrift = 0.01 // by which the lowest latency creeps up at each batch
+	firstTrySteps      = 20   // steps of the first try's timeout in a latency objective
+	firstTryDecaySteps = 10   // times that a step down is smaller: the longest tenth counts
 )
 
 // latencyTable holds the latencies learned per class and per machine kind.
@@ -78,6 +80,20 @@
 	c.mean += slowMeanWeight * (seconds - c.mean)
 }
 
+// learnFirstTryTimeout learns from the timeout that a client's try has left, by which first tries are told from later
+// ones: a high quantile, not the maximum, as single clients must not make all others look late.
+func (c *classLatency) learnFirstTryTimeout(timeout, objective time.Duration) {
+	if c.firstTryTimeout == 0 {
+		c.firstTryTimeout = timeout
+	}
+	step := objective / firstTrySteps
+	if timeout > c.firstTryTimeout {
+		c.firstTryTimeout += min(step, timeout-c.firstTryTimeout)
+	} else {
+		c.firstTryTimeout -= min(step/firstTryDecaySteps, c.firstTryTimeout-timeout)
+	}
+}
+
 // record learns from one latency as a multiple of its class's mean.
 func (r *kindRatio) record(ratio float64) {
 	r.n++
