--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -310,10 +310,11 @@
 		b.workReceived = 0
 	}
 	s.total = fleetTotals{}
+	connections := float64(t.connectionsOpened) / float64(max(t.attempts, 1))
 	return strings.Join([]string{
 		fmt.Sprintf("value %.3f", t.servedFraction()),
 		fmt.Sprintf("requests %d, %.2f tries each", t.requests, float64(t.tries)/float64(t.requests)),
-		fmt.Sprintf("%d attempts, %.2f connections each", t.attempts, float64(t.connectionsOpened)/float64(max(t.attempts, 1))),
+		fmt.Sprintf("%d attempts, %.2f connections each", t.attempts, connections),
 		fmt.Sprintf("%d connections open, %d failed", open, t.connectionsFailed),
 		fmt.Sprintf("%d health checks", t.healthChecks),
 		fmt.Sprintf("%d rejections by servers, %d servers overloaded", t.serverRejections, t.serversOverloaded),
@@ -344,7 +345,9 @@
 
 // runFleet runs a fleet of 70 engines over 40 servers, does something to it and returns the totals of each second
 // after that.
-func runFleet(t *testing.T, seed uint64, load float64, seconds int, do func(*fleetSim)) (before fleetTotals, after []fleetTotals) {
+func runFleet(
+	t *testing.T, seed uint64, load float64, seconds int, do func(*fleetSim),
+) (before fleetTotals, after []fleetTotals) {
 	t.Helper()
 	s := newFleet(seed, 70, 40, load)
 	for _, b := range s.servers {
