--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -62,7 +62,8 @@
 	}
 	fresh := newRequest(0, "safe", "rate", 1)
 	n, at := 0, t0
-	if send(n, fresh, at); !send(n+1, old, at+ms) {
+	send(n, fresh, at)
+	if !send(n+1, old, at+ms) {
 		t.Error("a late request was rejected with room for all")
 	}
 	for n = 2; send(n, fresh, at+2*ms); n++ { // until the quota is empty
--- a/policy/fleet_quota_test.go
+++ b/policy/fleet_quota_test.go
@@ -31,7 +31,8 @@
 		of[customer] = quota
 	}
 	quota.tokens = math.Min(quota.tokens+l.plan.Rate*(now-quota.refilledAt).Seconds(), l.plan.Burst)
-	if quota.refilledAt = now; quota.tokens < 1 {
+	quota.refilledAt = now
+	if quota.tokens < 1 {
 		return false
 	}
 	quota.tokens--
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -109,16 +109,20 @@
 		t.Errorf("%d health checks sent, capacity fraction %v after a failed connection",
 			r.count("probe s0"), e.capacityFraction(s))
 	}
-	if e.HealthCheckCompleted(t0+5*ms, "s0", OK, nil, r); e.capacityFraction(s) != 1 {
+	e.HealthCheckCompleted(t0+5*ms, "s0", OK, nil, r)
+	if e.capacityFraction(s) != 1 {
 		t.Error("cold though a health check sent at once was answered")
 	}
-	if fail(e, r, 2, t0+time.Second); r.count("probe s0") != 1 {
+	fail(e, r, 2, t0+time.Second)
+	if r.count("probe s0") != 1 {
 		t.Errorf("%d health checks sent", r.count("probe s0"))
 	}
-	if e.HealthCheckCompleted(t0+time.Second, "s0", ConnectFailed, nil, r); e.capacityFraction(s) == 1 {
+	e.HealthCheckCompleted(t0+time.Second, "s0", ConnectFailed, nil, r)
+	if e.capacityFraction(s) == 1 {
 		t.Error("warm though the health check failed as well")
 	}
-	if e.HealthCheckCompleted(t0+2*time.Second, "s0", OK, nil, r); e.capacityFraction(s) == 1 {
+	e.HealthCheckCompleted(t0+2*time.Second, "s0", OK, nil, r)
+	if e.capacityFraction(s) == 1 {
 		t.Error("warm after a later health check's answer: the process may have started since")
 	}
 
@@ -188,7 +192,8 @@
 	for _, s := range e.subset.members {
 		s.lastHeardAt = e.now - freshEvidenceAge/2
 	}
-	if say(10, false); suspects() != 0 {
+	say(10, false)
+	if suspects() != 0 {
 		t.Error("peers count for more than a response of a moment ago")
 	}
 }
@@ -223,23 +228,25 @@
 	step(300 * ms)
 	e.attemptUnanswered(in[1][0], sent)
 	e.attemptUnanswered(in[1][0], sent)
-	if step(100 * ms); asked() == 0 {
+	step(100 * ms)
+	if asked() == 0 {
 		t.Fatal("one unresponsive server made its zone unresponsive")
 	}
 	e.attemptUnanswered(in[1][1], sent)
-	if step(100 * ms); asked() > 0 {
+	step(100 * ms)
+	if asked() > 0 {
 		t.Errorf("%d of 100 requests go to an unresponsive zone", asked())
 	}
 	want := 170 * float64(len(in[0])) / float64(len(e.subset.members))
 	if _, n := e.reachableInFlight(); math.Abs(n-want) > 1e-9 {
 		t.Errorf("%v servers in reach, want %v", n, want)
 	}
-	if step(5 * time.Second); asked() > 0 {
+	step(5 * time.Second)
+	if asked() > 0 {
 		t.Error("the zone is back by itself")
 	}
-	if e.serverResponded(in[1][2]); true {
-		step(300 * ms)
-	}
+	e.serverResponded(in[1][2])
+	step(300 * ms)
 	if asked() == 0 {
 		t.Error("the zone stays unresponsive though one of its servers has answered")
 	}
@@ -247,7 +254,8 @@
 	for peer := range 3 {
 		e.receiveFinding(peer+10, serverFinding{serverID: in[1][peer+3].gossipID})
 	}
-	if step(100 * ms); asked() > 0 {
+	step(100 * ms)
+	if asked() > 0 {
 		t.Error("the findings of three peers on an unresponsive zone count for nothing")
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -37,7 +37,8 @@
 	for i := 0; i < 200; i++ {
 		e.RequestReceived(t0+time.Duration(i)*ms, newRequest(i, "safe", "rate", 1), r)
 	}
-	if sent = r.count("send"); sent == 0 || sent > 8 {
+	sent = r.count("send")
+	if sent == 0 || sent > 8 {
 		t.Errorf("%d sent to 4 unresponsive servers, want 1 to 8", sent)
 	}
 	if r.count("refuse") != 200-sent {
@@ -90,7 +91,8 @@
 	for _, s := range e.servers.list {
 		s.isUnresponsive = true
 	}
-	if e.TimerFired(now+sampleInterval, timerToken(timerSample, 0), r); e.load.overdue != 0 {
+	e.TimerFired(now+sampleInterval, timerToken(timerSample, 0), r)
+	if e.load.overdue != 0 {
 		t.Errorf("%v attempts at unresponsive servers are subtracted twice", e.load.overdue)
 	}
 }
@@ -189,7 +191,8 @@
 			e.overload.occupancySamples[slot], e.overload.occupancySums[slot])
 	}
 	e.now += decayTime + ms
-	if e.recordLatency(0, e.subset.members[1], 60*ms); e.overload.occupancySamples[e.overload.sampleIndex()] == 1 {
+	e.recordLatency(0, e.subset.members[1], 60*ms)
+	if e.overload.occupancySamples[e.overload.sampleIndex()] == 1 {
 		t.Error("without reports for long, latencies don't count")
 	}
 }
@@ -205,13 +208,16 @@
 	tell := func(from, to *Engine) {
 		to.overload.receiveMeans(sentReport(t, from, to).fleetMeans)
 	}
-	if tell(fresh, old); old.overload.fleetMeans != means {
+	tell(fresh, old)
+	if old.overload.fleetMeans != means {
 		t.Errorf("a new instance made %v of the means", old.overload.fleetMeans)
 	}
-	if tell(old, fresh); fresh.overload.fleetMeans != means {
+	tell(old, fresh)
+	if fresh.overload.fleetMeans != means {
 		t.Errorf("a new instance has %v, and received %v", fresh.overload.fleetMeans, means)
 	}
-	if tell(old, fresh); !fresh.overload.hasMeans() {
+	tell(old, fresh)
+	if !fresh.overload.hasMeans() {
 		t.Error("it has received means and does not use them")
 	}
 	alone, _ := newSubsetEngine(t)
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -8,9 +8,10 @@
 )
 
 // newOwnerEngine returns an instance of a fleet of 300, whose customers use so many that owners are asked.
-func newOwnerEngine(t *testing.T, me int) (*Engine, *recorder) {
+func newOwnerEngine(t *testing.T, index int) (*Engine, *recorder) {
+	t.Helper()
 	s := ownerSettings()
-	s.InstanceIndex = me
+	s.InstanceIndex = index
 	return newEngine(t, s, testServers(4)...)
 }
 
@@ -164,12 +165,12 @@
 	wait := func(inbox float64) time.Duration {
 		member, r := newOwnerEngine(t, 10)
 		member.RequestReceived(t0, ownerRequest(1, 77), r)
-		to := member.ownerFor(member.quotas.byCustomer[77])
-		owner, ownerRecorder := newOwnerEngine(t, to)
+		ownerIndex := member.ownerFor(member.quotas.byCustomer[77])
+		owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
 		owner.gossip.rate = inbox
 		owner.quotaFor(77, ownerScope(owner)).tokens = 0
-		owner.GossipReceived(t0, 10, r.gossip[to][0], ownerRecorder)
-		member.GossipReceived(t0, to, ownerRecorder.gossip[10][0], r)
+		owner.GossipReceived(t0, 10, r.gossip[ownerIndex][0], ownerRecorder)
+		member.GossipReceived(t0, ownerIndex, ownerRecorder.gossip[10][0], r)
 		if r.count("refuse") != 1 {
 			t.Fatalf("%v", r.actions)
 		}
@@ -195,7 +196,8 @@
 	h, _ := newOwnerEngine(t, 10)
 	h.settings.Plans[h.planIndex["rate"]].Rate = 0.5
 	quota := h.quotaFor(77, ownerScope(h))
-	if quota.tokens = 0; !quota.usesOwner {
+	quota.tokens = 0
+	if !quota.usesOwner {
 		t.Fatal("no owner is asked for this customer")
 	}
 	h.checkQuota(quota, quotaDemand{units: 1})
@@ -216,19 +218,19 @@
 		}
 		r.gossip = nil
 		member.RequestReceived(at, q, r)
-		to := member.ownerFor(member.quotas.byCustomer[77])
-		if r.gossip[to] == nil {
+		ownerIndex := member.ownerFor(member.quotas.byCustomer[77])
+		if r.gossip[ownerIndex] == nil {
 			t.Fatalf("the owner was not asked for request %d: %v", n, r.actions)
 		}
-		owner, ownerRecorder := newOwnerEngine(t, to)
+		owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
 		quota := owner.quotaFor(77, ownerScope(owner))
 		quota.tokens, quota.contendedUntil = 5, at+time.Second
 		if n == 0 {
 			quota.contendedUntil = 0
 		}
-		owner.GossipReceived(at, 10, r.gossip[to][0], ownerRecorder)
+		owner.GossipReceived(at, 10, r.gossip[ownerIndex][0], ownerRecorder)
 		sent := r.count("send")
-		member.GossipReceived(at, to, ownerRecorder.gossip[10][0], r)
+		member.GossipReceived(at, ownerIndex, ownerRecorder.gossip[10][0], r)
 		if r.count("send") == sent {
 			return false
 		}
@@ -362,24 +364,24 @@
 	for _, lost := range []string{"request", "response"} {
 		member, r := newOwnerEngine(t, 10)
 		member.RequestReceived(t0, ownerRequest(1, 77), r)
-		to := member.ownerFor(member.quotas.byCustomer[77])
-		ownerIndex, hr := newOwnerEngine(t, to)
+		ownerIndex := member.ownerFor(member.quotas.byCustomer[77])
+		owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
 		if lost == "response" {
-			ownerIndex.GossipReceived(t0+ms, 10, r.gossip[to][0], hr)
+			owner.GossipReceived(t0+ms, 10, r.gossip[ownerIndex][0], ownerRecorder)
 		}
 		for _, timer := range r.timers {
 			if timerKind(timer.token&(1<<timerBits-1)) == timerOwnerTimeout {
 				member.TimerFired(t0+ownerTimeout, timer.token, r)
 			}
 		}
-		if len(r.gossip[to]) != 2 || r.count("send") != 1 {
-			t.Fatalf("%s lost: %d messages, %v", lost, len(r.gossip[to]), r.actions)
+		if len(r.gossip[ownerIndex]) != 2 || r.count("send") != 1 {
+			t.Fatalf("%s lost: %d messages, %v", lost, len(r.gossip[ownerIndex]), r.actions)
 		}
 		for range 3 {
-			ownerIndex.GossipReceived(t0+ms, 10, r.gossip[to][1], hr)
+			owner.GossipReceived(t0+ms, 10, r.gossip[ownerIndex][1], ownerRecorder)
 		}
-		quota := ownerIndex.quotas.byCustomer[77]
-		p := &ownerIndex.settings.Plans[quota.plan]
+		quota := owner.quotas.byCustomer[77]
+		p := &owner.settings.Plans[quota.plan]
 		if spent := p.Burst/quota.ownerCount - quota.tokens; math.Abs(spent-1) > 0.2 {
 			t.Errorf("%s lost: %.2f units taken, want 1", lost, spent)
 		}
--- a/policy/quota_transfer_test.go
+++ b/policy/quota_transfer_test.go
@@ -32,21 +32,23 @@
 // transferCustomer is the only customer of a transferSim.
 const transferCustomer = 7
 
-func newTransferSim(t *testing.T, seed uint64, gates int) *transferSim {
+func newTransferSim(t *testing.T, seed uint64, instances int) *transferSim {
+	t.Helper()
 	w := &transferSim{settings: testSettings(), now: t0, rng: rand.New(rand.NewPCG(seed, 4)),
-		engines:   make([]*Engine, gates),
-		recorders: make([]*recorder, gates), timers: make([][]timerRequest, gates)}
-	w.settings.InstanceCount = gates
+		engines:   make([]*Engine, instances),
+		recorders: make([]*recorder, instances), timers: make([][]timerRequest, instances)}
+	w.settings.InstanceCount = instances
 	w.settings.Plans = []Plan{
 		{Name: "hard", Rate: 1000, Burst: 1000, HardLimitRate: 25, HardLimitBurst: 24, PriorityFactor: 1},
 	}
-	for i := range gates {
+	for i := range instances {
 		w.start(t, i)
 	}
 	return w
 }
 
 func (w *transferSim) start(t *testing.T, i int) {
+	t.Helper()
 	w.settings.InstanceIndex = i
 	e, err := New(w.settings, w.rng.Uint64())
 	if err != nil {
@@ -109,7 +111,8 @@
 	r := w.recorders[i]
 	r.actions = nil
 	w.engines[i].RequestReceived(w.now, q, r)
-	if sent = r.count("send") == 1; sent {
+	sent = r.count("send") == 1
+	if sent {
 		w.unitsSent++
 		server := r.actions[0][len("send ")+len(q.ID)+1:]
 		completed := AttemptResult{ID: q.ID, Result: OK, Server: server, Latency: ms, RequestAnswered: true}
@@ -247,7 +250,8 @@
 		t.Errorf("%v received of %v transferred", got, took)
 	}
 	a.markForGossip(a.quotas.byCustomer[transferCustomer])
-	if a.broadcast(); part-a.quotas.byCustomer[transferCustomer].hardLimitTokens != took {
+	a.broadcast()
+	if part-a.quotas.byCustomer[transferCustomer].hardLimitTokens != took {
 		t.Error("one deficit is transferred twice")
 	}
 	// The repeat is for a process that was there before: it may have spent the transfer.
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -154,7 +154,8 @@
 		q := newRequest(i, "a", "wide", 7)
 		q.Zone = []string{"a", "b", "c"}[i%3]
 		want := []string{"send " + q.ID + " x", "send " + q.ID + " y", "refuse " + q.ID}[i%3]
-		if e.RequestReceived(t0, q, r); r.last() != want {
+		e.RequestReceived(t0, q, r)
+		if r.last() != want {
 			t.Errorf("%s, want %s", r.last(), want)
 		}
 		e.AttemptCompleted(t0, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Latency: ms}, r)
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -125,7 +125,8 @@
 		t.Errorf("level %v, plan %d after 30 units at a peer", quota.tokens, quota.plan)
 	}
 	now += time.Hour
-	if ask(4, "large", 20); quota.hardLimitTokens != 40 {
+	ask(4, "large", 20)
+	if quota.hardLimitTokens != 40 {
 		t.Fatalf("part of the hard limit %v, want 60-20", quota.hardLimitTokens)
 	}
 	lower := Plan{Name: "large", Rate: 20, Burst: 100, HardLimitRate: 30, HardLimitBurst: 60}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -60,7 +60,8 @@
 	e, _ := newSubsetEngine(t)
 	for _, s := range e.servers.list {
 		s.StartedAt = t0 - 100*ms
-		if s.warmup.work = 100; !s.inSubset && e.hasWarmupBudget(s, 0) {
+		s.warmup.work = 100
+		if !s.inSubset && e.hasWarmupBudget(s, 0) {
 			t.Fatalf("cold server %s has budget and is not in the subset", s.ID)
 		}
 	}
@@ -77,7 +78,8 @@
 	e.settings.Classes[light].LatencyObjective, e.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms
 	cold := map[string]bool{}
 	for i, s := range e.subset.members {
-		if e.serverResponded(s); i%2 == 0 {
+		e.serverResponded(s)
+		if i%2 == 0 {
 			s.StartedAt, s.warmup.work, s.warmup.updatedAt = e.now-e.settings.SlowStartWindow/4, 0, e.now
 			cold[s.ID] = true
 		} else {
@@ -145,7 +147,8 @@
 	e.latencies.classes[0].kinds = []kindLatency{{lowest: 0.05}}
 	r := &request{Request: Request{ID: "r"}, quota: &customerQuota{}}
 	for _, s := range e.servers.list {
-		if s.StartedAt = 0; !s.inSubset {
+		s.StartedAt = 0
+		if !s.inSubset {
 			e.updateHealth(r, s, AttemptResult{Result: OK, Latency: 50 * ms})
 		}
 	}
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -58,7 +58,8 @@
 			for _, s := range e.servers.list {
 				s.isUnresponsive = pressed && why == "silent"
 			}
-			if e.load.inFlight = 0; pressed && why == "load" {
+			e.load.inFlight = 0
+			if pressed && why == "load" {
 				e.load.inFlight = 8 * narrow
 			}
 			if e.needsNewSubset() {
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -11,6 +11,7 @@
 // newTwoZoneEngine returns an engine with a warm server in zone a, and one in zone b that has just started or, if
 // remote, stands for another site.
 func newTwoZoneEngine(t *testing.T, isRemote bool) (*Engine, *recorder) {
+	t.Helper()
 	boot := t0 - ms
 	if isRemote {
 		boot = 0
@@ -60,7 +61,8 @@
 	if n == 20 || math.Abs(sent-float64(n)*w) > 1e-9 || short <= 0 || servers <= 0 || servers >= 1 {
 		t.Errorf("%d sent: capacity %.2f, sent %.2f, unmet %.2f", n, servers, sent, short)
 	}
-	if _, sent, short = e.ColdServerWork(t0, "b"); sent != 0 || short != 0 {
+	_, sent, short = e.ColdServerWork(t0, "b")
+	if sent != 0 || short != 0 {
 		t.Errorf("reported twice: %.2f, %.2f", sent, short)
 	}
 	if s, _, _ := e.ColdServerWork(t0, "a"); s != 0 {
@@ -79,7 +81,8 @@
 		t.Errorf("budget of %.2f goes to the class of work %.2f that has the least priority, before %.2f", s.warmup.work,
 			e.expectedWork(e.classIndex["safe"]), e.expectedWork(e.classIndex["keyed"]))
 	}
-	if s.warmup.work = 100; !e.hasWarmupBudget(s, e.classIndex["safe"]) {
+	s.warmup.work = 100
+	if !e.hasWarmupBudget(s, e.classIndex["safe"]) {
 		t.Error("budget that nobody needs is kept")
 	}
 }
@@ -94,7 +97,8 @@
 			t.Errorf("remote %v: 50 attempts in flight at b: overloaded there %v, at a %v, at both %v", isRemote,
 				e.isOverloaded(safe, "b", 1), e.isOverloaded(safe, "a", 1), e.isOverloaded(safe, "", 1))
 		}
-		if e.servers.byID["s0"].inFlight = 50; !e.isOverloaded(safe, "", 1) {
+		e.servers.byID["s0"].inFlight = 50
+		if !e.isOverloaded(safe, "", 1) {
 			t.Errorf("remote %v: 50 attempts in flight at each", isRemote)
 		}
 	}
@@ -183,7 +187,8 @@
 					Latency: 20 * ms, LoadReport: report}, r)
 			}
 		}
-		if r.actions = nil; i%int(sampleInterval/(10*ms)) == 0 {
+		r.actions = nil
+		if i%int(sampleInterval/(10*ms)) == 0 {
 			e.TimerFired(now, timerToken(timerSample, 0), r)
 		}
 	}
