--- a/multisite/race_test.go
+++ b/multisite/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package sites
+package multisite
 
 const raceEnabled = true
--- a/policy/events.go
+++ b/policy/events.go
@@ -133,7 +133,7 @@
 	case timerDeadline:
 		e.expireRequest(r)
 	case timerOwnerTimeout:
-		if r != nil && len(r.attempts) == 0 && !e.clientLeft(r, false) {
+		if r != nil && len(r.attempts) == 0 && !e.clientLeft(r) {
 			e.ownerTimedOut(r)
 		}
 	case timerHedge:
--- a/policy/quota_exchange.go
+++ b/policy/quota_exchange.go
@@ -72,12 +72,11 @@
 
 // clientLeft notes that the owner has answered a request, or will not, and reports whether its client has left
 // meanwhile: then the units that it was granted are returned.
-func (e *Engine) clientLeft(r *request, isGranted bool) bool {
+func (e *Engine) clientLeft(r *request) bool {
 	r.awaitsOwner = false
 	if !r.isAnswered {
 		return false
 	}
-	r.inQuota = isGranted
 	e.returnUnits(r, r.Units)
 	delete(e.requests.byNumber, r.number)
 	return true
--- a/policy/quota_owner.go
+++ b/policy/quota_owner.go
@@ -75,7 +75,11 @@
 func (e *Engine) receiveQuotaResponse(from int, m quotaResponse) {
 	e.ownerTimeouts.recordResponse(from)
 	r := e.requests.byNumber[m.number]
-	if r == nil || r.owner != from || len(r.attempts) > 0 || e.clientLeft(r, m.isGranted) {
+	if r == nil || r.owner != from || len(r.attempts) > 0 {
+		return
+	}
+	r.inQuota = m.isGranted
+	if e.clientLeft(r) {
 		return
 	}
 	r.quota.grantFraction = m.grantFraction
