--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -274,7 +274,7 @@
 		}
 		for _, a := range r.attempts {
 			if !a.neverExecuted {
-				p.checker.fail("rule 2: %s refused though it may have run", id)
+				p.checker.fail("rule 2: %s rejected though it may have run", id)
 			}
 		}
 	}
