--- /dev/null
+++ b/policy/gossip.go
@@ -0,0 +1,118 @@
+package policy
+
+// Gossip between instances: what each has spent of a customer's quota goes as differences, its attempts in flight as
+// absolute counts.
+
+import (
+	"math"
+	"time"
+)
+
+// maxIdleGossipRounds is the messages that report nothing in flight, so that a lost one does no harm.
+const maxIdleGossipRounds = 3
+
+// GossipReceived brings a message of another instance. A malformed one is ignored whole.
+func (e *Engine) GossipReceived(now time.Duration, from int, message []byte, out Actions) {
+	e.now, e.actions = now, out
+	if from < 0 || from >= len(e.gossip.peers) || from == e.settings.InstanceIndex || len(message) == 0 {
+		return
+	}
+	e.gossip.received++
+	if message[0] != kindGossip && message[0] != kindGossipV1 {
+		e.receiveQuotaMessage(from, message)
+		return
+	}
+	decoded, err := e.codec().decodeGossip(message)
+	if err != nil {
+		return
+	}
+	e.receiveEntries(from, e.gossip.peers[from].newEntries(decoded))
+}
+
+// receiveEntries takes in what a peer tells of customers. Its plan of a customer may have changed and this instance's
+// not yet, or the other way round: the units spent count all the same.
+func (e *Engine) receiveEntries(from int, entries []gossipEntry) {
+	for _, entry := range entries {
+		quota := e.quotaFor(entry.customer, entry.scope)
+		e.chargeRemoteUnits(quota, entry.units)
+		if e.settings.Plans[entry.scope.plan].MaxInFlight > 0 {
+			e.receivePeerCount(quota, from, entry.inFlight)
+		}
+		e.receiveTransfer(quota, from, entry)
+	}
+}
+
+func (e *Engine) receivePeerCount(quota *customerQuota, from, inFlight int) {
+	if quota.peerInFlight == nil {
+		quota.peerInFlight = make([]peerCount, e.settings.InstanceCount)
+	}
+	quota.peerInFlight[from] = peerCount{inFlight, e.now}
+}
+
+// markForGossip has the next broadcast tell of a quota, unless its owner is asked.
+func (e *Engine) markForGossip(quota *customerQuota) {
+	if !quota.usesOwner && e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
+		e.gossip.mark(quota)
+	}
+}
+
+// broadcast tells each peer of the pending quotas whose customers it serves, and returns the most messages that one
+// was sent.
+func (e *Engine) broadcast() (maxMessages int) {
+	for peer := range e.gossip.peers {
+		if peer != e.settings.InstanceIndex {
+			maxMessages = max(maxMessages, e.broadcastTo(peer))
+		}
+	}
+	e.gossip.endBroadcast(e.settings.Plans)
+	return maxMessages
+}
+
+// broadcastTo tells a peer of the pending quotas, in as many messages as it takes, and returns their number.
+func (e *Engine) broadcastTo(instance int) (messages int) {
+	codec, receiver := e.codec(), &e.gossip.peers[instance]
+	var entries encodedEntries
+	flush := func() {
+		if receiver.hasNews(entries) {
+			e.actions.SendGossip(instance, receiver.nextMessage(e.gossip.epoch, entries))
+			entries = encodedEntries{}
+			messages++
+		}
+	}
+	for _, quota := range e.gossip.pending {
+		if !quota.includes(instance, e.settings.InstanceCount) {
+			continue
+		}
+		entries.count++
+		entries.bytes = codec.appendEntry(entries.bytes, e.gossipEntryFor(quota, instance))
+		if len(entries.bytes) > maxNewEntriesSize-maxEntrySize {
+			flush()
+		}
+	}
+	if entries.count > 0 || messages == 0 {
+		flush()
+	}
+	return messages
+}
+
+// gossipEntryFor returns what a peer is told of a quota. It takes the units for it that it is sent.
+func (e *Engine) gossipEntryFor(quota *customerQuota, peer int) gossipEntry {
+	entry := gossipEntry{customer: quota.key, scope: quota.quotaScope, units: quota.pendingUnits, inFlight: quota.inFlight}
+	if e.planOf(quota).HardLimitRate > 0 {
+		entry.transferred = e.transferQuota(quota, peer)
+		entry.deficit = e.quotaDeficit(quota)
+	}
+	return entry
+}
+
+// recordBroadcast notes that all peers have been told of the quota. Counts in flight are told until several messages
+// have said that there are none.
+func (q *customerQuota) recordBroadcast(plan *Plan) {
+	q.pendingUnits -= math.Round(q.pendingUnits)
+	q.unitsSinceGossip, q.startedSinceGossip, q.unmetUnits = 0, 0, 0
+	q.idleGossipRounds++
+	if q.inFlight > 0 {
+		q.idleGossipRounds = 0
+	}
+	q.needsGossip = plan.MaxInFlight > 0 && q.idleGossipRounds < maxIdleGossipRounds
+}
--- /dev/null
+++ b/policy/hot_restart.go
@@ -0,0 +1,126 @@
+package policy
+
+// Hot restart: what a process hands to its successor, so that both count as one. It is what customers have spent and
+// what was learned of classes, servers and load. Requests in flight stay with the process that took them. Times are
+// readings of the clock that both go by.
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+)
+
+// stateFormat is the latest format that is understood. It grows with each change that an older successor, going by
+// what it knows of the text, would get wrong.
+const stateFormat = 1
+
+// engineState is the text's shape; names stand for indexes, which may differ in the successor's settings.
+type engineState struct {
+	Format            int           `json:"Form"` // stateFormat of the writer
+	InstanceCount     int           `json:"Instances"`
+	InstanceIndex     int           `json:"Me"`
+	StartedAt         time.Duration `json:"Started"`
+	Plans             []Plan
+	Quotas            []quotaState `json:"Stores"`
+	Classes           map[string]latencyState
+	Kinds             []string
+	KindRatios        []float64 `json:"KindMean"` // by index in Kinds
+	KindSamples       []float64 `json:"KindN"`
+	Servers           []savedServer
+	Overload          overloadState `json:"ARO"`
+	Peers             []peerState
+	RetryTokens       float64 `json:"Retries"`
+	GossipRate        float64 `json:"InboxRate"`
+	ResponseRate      float64 `json:"OKRate"`
+	WarmRate          float64
+	HealthCheckCredit float64 `json:"ProbeDue"`
+}
+
+// ExportState returns the text for [Engine.ImportState]. The engine goes on with the requests that it has.
+func (e *Engine) ExportState(now time.Duration) ([]byte, error) {
+	e.now = now
+	state := engineState{
+		Format:            stateFormat,
+		InstanceCount:     e.settings.InstanceCount,
+		InstanceIndex:     e.settings.InstanceIndex,
+		StartedAt:         e.startedAt,
+		Plans:             e.settings.Plans,
+		Quotas:            e.exportQuotas(),
+		Classes:           map[string]latencyState{},
+		Kinds:             e.latencies.kindNames(),
+		Overload:          e.overload.export(),
+		RetryTokens:       e.retries.tokens,
+		GossipRate:        e.gossip.rate,
+		ResponseRate:      e.load.responseRate,
+		WarmRate:          e.load.warmRate,
+		HealthCheckCredit: e.healthChecks.credit,
+	}
+	for name, i := range e.classIndex {
+		state.Classes[name] = e.latencies.classes[i].export()
+	}
+	for _, kind := range e.latencies.kindRatios {
+		state.KindRatios = append(state.KindRatios, kind.mean)
+		state.KindSamples = append(state.KindSamples, kind.n)
+	}
+	for _, s := range e.servers.list {
+		state.Servers = append(state.Servers, s.export())
+	}
+	for i := range e.gossip.peers {
+		state.Peers = append(state.Peers, e.gossip.peers[i].export())
+	}
+	return json.Marshal(state)
+}
+
+// ImportState goes on where the process left off that exported the text. Call it after [Engine.Start] and the first
+// endpoint list, before the first request. An error changes nothing: the engine begins as after a start.
+func (e *Engine) ImportState(now time.Duration, text []byte) error {
+	var state engineState
+	if err := json.Unmarshal(text, &state); err != nil {
+		return fmt.Errorf("what was handed over: %w", err)
+	}
+	if err := state.validate(&e.settings); err != nil {
+		return err
+	}
+	e.now, e.startedAt = now, state.StartedAt
+	for _, quota := range state.Quotas {
+		e.importQuota(quota, &state.Plans[quota.Plan])
+	}
+	for name, saved := range state.Classes {
+		if i, ok := e.classIndex[name]; ok {
+			e.latencies.restoreClass(i, saved, state.Kinds)
+		}
+	}
+	e.latencies.restoreKinds(&state)
+	for _, saved := range state.Servers {
+		if s := e.servers.byID[saved.ID]; s != nil && s.StartedAt == saved.StartedAt {
+			s.restore(saved, now)
+		}
+	}
+	e.overload = restoredOverloadController(state.Overload)
+	for i := range min(len(state.Peers), len(e.gossip.peers)) {
+		e.gossip.peers[i].restore(state.Peers[i])
+	}
+	e.retries.tokens = state.RetryTokens
+	e.gossip.rate = state.GossipRate
+	e.load.responseRate = state.ResponseRate
+	e.load.warmRate = state.WarmRate
+	e.healthChecks.credit = state.HealthCheckCredit
+	return nil
+}
+
+// validate returns an error if the state cannot be taken over by an engine with the settings.
+func (state *engineState) validate(settings *Settings) error {
+	if state.Format > stateFormat {
+		return fmt.Errorf("what was handed over has form %d, and %d is the latest known", state.Format, stateFormat)
+	}
+	if state.InstanceCount != settings.InstanceCount || state.InstanceIndex != settings.InstanceIndex {
+		return fmt.Errorf("what was handed over is of gateway %d of %d, and this is %d of %d",
+			state.InstanceIndex, state.InstanceCount, settings.InstanceIndex, settings.InstanceCount)
+	}
+	for _, quota := range state.Quotas {
+		if !quota.isValid(len(state.Plans), settings.InstanceCount) {
+			return fmt.Errorf("what was handed over has a customer's store that can't be: %+v", quota)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/policy/hot_restart_test.go
@@ -0,0 +1,203 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+func hotRestartSettings() Settings {
+	s := testSettings()
+	s.InstanceCount, s.InstanceIndex, s.AllowsGossip, s.GossipInboxRate = 3, 1, true, 1000
+	s.Plans = []Plan{
+		{Name: "ceiled", Rate: 1, Burst: 6, HardLimitRate: 6, HardLimitBurst: 30, PriorityFactor: 1},
+		{Name: "open", MaxInFlight: 4, PriorityFactor: 1},
+	}
+	return s
+}
+
+// newUsedEngine returns an engine with a past: spent quotas, gossip of a peer, an unresponsive server.
+func newUsedEngine(t *testing.T) (*Engine, *recorder) {
+	t.Helper()
+	e, r := newEngine(t, hotRestartSettings(), testServers(4)...)
+	peerSettings := hotRestartSettings()
+	peerSettings.InstanceIndex = 0
+	peer, rp := newEngine(t, peerSettings, testServers(4)...)
+	q := newRequest(900, "safe", "ceiled", 1)
+	q.InstanceCount = 3
+	peer.RequestReceived(t0, q, rp)
+	peer.TimerFired(t0+ms, timerToken(timerGossip, 0), rp)
+	for _, m := range rp.gossip[1] {
+		e.GossipReceived(t0+2*ms, 0, m, r)
+	}
+	for i := range 40 {
+		now := t0 + time.Duration(i)*100*ms
+		q := newRequest(i, "safe", []string{"ceiled", "open"}[i%2], uint64(1+i%2))
+		q.InstanceCount = 3
+		e.RequestReceived(now, q, r)
+		if last := r.last(); strings.HasPrefix(last, "send") && i%2 == 0 {
+			server := strings.Fields(last)[2]
+			completed := AttemptResult{ID: q.ID, Result: OK, Server: server, Latency: 20 * ms, RequestAnswered: true}
+			e.AttemptCompleted(now+20*ms, completed, r)
+		}
+		e.TimerFired(now+50*ms, timerToken(timerSample, 0), r)
+	}
+	e.servers.list[0].isUnresponsive = true
+	return e, r
+}
+
+// newSuccessor returns an engine that starts now.
+func newSuccessor(t *testing.T, s Settings, now time.Duration, servers ...Server) (*Engine, *recorder) {
+	t.Helper()
+	e, err := New(s, 2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &recorder{}
+	e.Start(now, r)
+	e.EndpointsChanged(now, EndpointsSaved, servers, r)
+	return e, r
+}
+
+// The successor admits just what the predecessor would have: nothing of quota, hard limit and attempts in flight
+// is there twice.
+func TestSuccessorContinues(t *testing.T) {
+	e, r := newUsedEngine(t)
+	now := t0 + 4*time.Second
+	text, err := e.ExportState(now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	next, rn := newSuccessor(t, hotRestartSettings(), now, testServers(4)...)
+	if err := next.ImportState(now, text); err != nil {
+		t.Fatal(err)
+	}
+	for key, quota := range e.quotas.byCustomer {
+		to := next.quotas.byCustomer[key]
+		if to == nil || to.tokens != quota.tokens || to.hardLimitTokens != quota.hardLimitTokens ||
+			to.pendingUnits != quota.pendingUnits || to.needsGossip != quota.needsGossip {
+			t.Fatalf("quota %d: %+v became %+v", key, quota, to)
+		}
+	}
+	if e.quotas.byCustomer[1].hardLimitTokens > 7.9 || e.quotas.byCustomer[1].tokens > 5.5 {
+		t.Fatalf("nothing was spent: %+v", e.quotas.byCustomer[1])
+	}
+	got, want := next.inFlightCapacity(next.quotas.byCustomer[2]), e.inFlightCapacity(e.quotas.byCustomer[2])
+	if got != want || want == 4 {
+		t.Errorf("capacity in flight %d, want %d", got, want)
+	}
+	if a, b := fmt.Sprintf("%+v", e.overload), fmt.Sprintf("%+v", next.overload); a != b {
+		t.Errorf("overload control\n%s became\n%s", a, b)
+	}
+	latency, nextLatency := e.latencies.classes[0], next.latencies.classes[0]
+	hasSameWork := next.latencies.learnedWork(0) == e.latencies.learnedWork(0)
+	if latency.mean != nextLatency.mean || latency.mean == 0 || !hasSameWork {
+		t.Errorf("latency %+v became %+v", latency, nextLatency)
+	}
+	if listed, avoided := next.ServerCounts(now); listed != 4 || avoided != 1 {
+		t.Errorf("%d servers, %d avoided", listed, avoided)
+	}
+	// A customer that neither remembers has what its quota has filled to since the first one's start.
+	fresh, was := next.quotaFor(77, quotaScope{instanceCount: 3}), e.quotaFor(77, quotaScope{instanceCount: 3})
+	if math.Abs(fresh.tokens-was.tokens) > 1e-9 || math.Abs(fresh.hardLimitTokens-was.hardLimitTokens) > 1e-9 {
+		t.Errorf("unknown customer: %+v, was %+v", fresh, was)
+	}
+	// The two decide alike from here on.
+	for i := range 30 {
+		at := now + time.Duration(i)*50*ms
+		q := newRequest(1000+i, "safe", "ceiled", 1)
+		q.InstanceCount = 3
+		before, beforeNext := r.count("send"), rn.count("send")
+		e.RequestReceived(at, q, r)
+		next.RequestReceived(at, q, rn)
+		if (r.count("send") > before) != (rn.count("send") > beforeNext) {
+			t.Fatalf("request %d: %q and %q", i, r.last(), rn.last())
+		}
+	}
+}
+
+// Gossip that the predecessor has received is not charged again.
+func TestSuccessorKeepsGossipSequence(t *testing.T) {
+	e, _ := newUsedEngine(t)
+	now := t0 + 4*time.Second
+	text, _ := e.ExportState(now)
+	next, rn := newSuccessor(t, hotRestartSettings(), now, testServers(4)...)
+	if err := next.ImportState(now, text); err != nil {
+		t.Fatal(err)
+	}
+	if !e.gossip.peers[0].isKnown {
+		t.Fatal("no gossip was received")
+	}
+	level := next.quotas.byCustomer[1].tokens
+	entry := next.gossipEntryFor(&customerQuota{key: 1, quotaScope: quotaScope{instanceCount: 3}, pendingUnits: 2}, 0)
+	entries := encodedEntries{count: 1, bytes: next.codec().appendEntry(nil, entry)}
+	old := e.gossip.peers[0]
+	next.GossipReceived(now, 0, encodeGossip(old.epoch, old.receivedSequence, entries, encodedEntries{}), rn)
+	if next.quotas.byCustomer[1].tokens != level {
+		t.Errorf("an old message took %v", level-next.quotas.byCustomer[1].tokens)
+	}
+	next.GossipReceived(now, 0, encodeGossip(old.epoch, old.receivedSequence+1, entries, encodedEntries{}), rn)
+	if next.quotas.byCustomer[1].tokens != level-2 {
+		t.Errorf("a new message took %v of 2", level-next.quotas.byCustomer[1].tokens)
+	}
+}
+
+// Under a changed plan what was spent stays spent; a plan that is gone is left out, and so are a server that has
+// restarted since and an unknown class.
+func TestSuccessorWithOtherSettings(t *testing.T) {
+	e, _ := newUsedEngine(t)
+	now := t0 + 4*time.Second
+	text, _ := e.ExportState(now)
+	s := hotRestartSettings()
+	s.Plans = []Plan{
+		{Name: "novel", Rate: 1, Burst: 1},
+		{Name: "ceiled", Rate: 20, Burst: 60, HardLimitRate: 40, HardLimitBurst: 120, PriorityFactor: 1},
+	}
+	s.Classes = s.Classes[1:]
+	servers := testServers(4)
+	servers[0].StartedAt = now
+	next, _ := newSuccessor(t, s, now, servers...)
+	if err := next.ImportState(now, text); err != nil {
+		t.Fatal(err)
+	}
+	if _, avoided := next.ServerCounts(now); avoided != 0 {
+		t.Error("a server that has restarted since is avoided")
+	}
+	quota, was := next.quotas.byCustomer[1], e.quotas.byCustomer[1]
+	if next.quotas.byCustomer[2] != nil || quota == nil || quota.plan != 1 {
+		t.Fatalf("quotas %v", next.quotas)
+	}
+	if spent, want := 60-quota.tokens, 6-was.tokens; math.Abs(spent-want) > 1e-9 {
+		t.Errorf("spent %v of the quota, was %v", spent, want)
+	}
+	spent, want := 120*quota.burstFraction-quota.hardLimitTokens, 30*was.burstFraction-was.hardLimitTokens
+	if math.Abs(spent-want) > 1e-9 {
+		t.Errorf("spent %v of the hard limit, was %v", spent, want)
+	}
+}
+
+// A state that cannot be taken over changes nothing.
+func TestInvalidStateIsRejected(t *testing.T) {
+	e, _ := newUsedEngine(t)
+	now := t0 + 4*time.Second
+	text, _ := e.ExportState(now)
+	other := hotRestartSettings()
+	other.InstanceIndex = 2
+	for name, c := range map[string]struct {
+		set  Settings
+		text string
+	}{
+		"cut short":        {hotRestartSettings(), string(text[:len(text)/2])},
+		"another's":        {other, string(text)},
+		"nothing":          {hotRestartSettings(), ""},
+		"store that can't": {hotRestartSettings(), strings.Replace(string(text), `"Spread":3`, `"Spread":9`, 1)},
+	} {
+		next, _ := newEngine(t, c.set, testServers(4)...)
+		err := next.ImportState(now, []byte(c.text))
+		if err == nil || len(next.quotas.byCustomer) != 0 || next.startedAt != t0 {
+			t.Errorf("%s: error %v, %d quotas", name, err, len(next.quotas.byCustomer))
+		}
+	}
+}
--- /dev/null
+++ b/policy/outlier_test.go
@@ -0,0 +1,277 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+// A refused connection ejects at once, for longer each time, and a response ends that.
+func TestEjectionTimeDoubles(t *testing.T) {
+	e, r := newEngine(t, testSettings(), testServers(2)...)
+	s := e.servers.byID["s0"]
+	q := &request{}
+	var last time.Duration
+	for i := 1; i <= 6; i++ {
+		e.now = s.ejectedUntil
+		if i == 1 {
+			e.now = t0
+		}
+		e.actions = r
+		e.updateHealth(q, s, AttemptResult{Result: ConnectFailed})
+		span := s.ejectedUntil - e.now
+		if span <= last && span != maxEjectionTime {
+			t.Errorf("ejection %d lasts %v after %v", i, span, last)
+		}
+		last = span
+	}
+	e.updateHealth(q, s, AttemptResult{Result: OK, Latency: ms})
+	if s.consecutiveEjections != 0 {
+		t.Errorf("%d strikes after an answer", s.consecutiveEjections)
+	}
+}
+
+// A server that answers neither a health check nor anything else since gets no request until it answers one; a
+// response that came meanwhile shows that it is up.
+func TestUnresponsiveServerIsOutUntilItAnswers(t *testing.T) {
+	e, r := newEngine(t, healthCheckSettings(), testServers(2)...)
+	s, now := e.servers.byID["s0"], t0
+	sentTo := func(id string) (n int) {
+		for i := range 30 {
+			now += 50 * ms
+			r.actions = nil
+			e.RequestReceived(now, newRequest(int(now/ms), "safe", "rate", uint64(i)), r)
+			n += r.count(fmt.Sprintf("send r%d %s", now/ms, id))
+			completeAttempts(e, r, now, ms, OK)
+		}
+		return n
+	}
+	s.lastHealthCheckAt = now
+	e.HealthCheckCompleted(now+ms, "s0", TimedOut, nil, r)
+	if n := sentTo("s0"); n != 0 {
+		t.Errorf("%d requests sent to a server that is unresponsive to health checks", n)
+	}
+	e.HealthCheckCompleted(now, "s0", OK, nil, r)
+	if n := sentTo("s0"); n == 0 {
+		t.Error("no request sent to a server that answers again")
+	}
+	e.RequestReceived(now+ms, newRequest(1, "safe", "rate", 9), r)
+	s.lastHealthCheckAt, s.lastHeardAt = now, now+ms
+	e.HealthCheckCompleted(now+2*ms, "s0", TimedOut, nil, r)
+	if s.isUnresponsive {
+		t.Error("a server that has answered since the health check counts as unresponsive")
+	}
+	// Nor does one that was restarted.
+	s.isUnresponsive = true
+	e.EndpointsChanged(now, EndpointsDelta, []Server{{ID: "s0", Kind: "k", Zone: "a", StartedAt: now}}, r)
+	if s.isUnresponsive {
+		t.Error("a restarted server counts as unresponsive")
+	}
+}
+
+// Health checks reach all servers in turn, though server selection shuffles them.
+func TestHealthChecksRotate(t *testing.T) {
+	e, r := newEngine(t, healthCheckSettings(), testServers(10)...)
+	probes := map[string]int{}
+	for i := range 200 {
+		now := t0 + time.Duration(i)*5*ms
+		e.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
+		completeAttempts(e, r, now, ms, OK)
+		if i%10 == 9 {
+			e.overload.fleetMeans[meanAccepted] = 2
+			e.TimerFired(now, timerToken(timerSample, 0), r)
+			for id := range e.servers.byID {
+				probes[id] += r.count("probe " + id)
+			}
+			r.actions = nil
+		}
+	}
+	for id := range e.servers.byID {
+		if probes[id] != 2 {
+			t.Errorf("%d health checks of %s, want 2 of each in 20", probes[id], id)
+		}
+	}
+}
+
+// A connection that failed is no restart where an answer on an older one, or to a health check sent
+// at once, shows the process up. What failed before that is still suspected.
+func TestFailedConnectionIsChecked(t *testing.T) {
+	fail := func(e *Engine, r *recorder, n int, at time.Duration) {
+		r.actions = nil
+		e.RequestReceived(at, newRequest(n, "unsafe", "rate", uint64(n)), r)
+		e.AttemptCompleted(at, AttemptResult{ID: fmt.Sprint("r", n), Result: ConnectFailed, Server: "s0"}, r)
+	}
+	e, r := newEngine(t, healthCheckSettings(), testServers(1)...)
+	s := e.servers.list[0]
+	fail(e, r, 1, t0)
+	if r.count("probe s0") != 1 || e.capacityFraction(s) == 1 {
+		t.Errorf("%d health checks sent, capacity fraction %v after a failed connection",
+			r.count("probe s0"), e.capacityFraction(s))
+	}
+	e.HealthCheckCompleted(t0+5*ms, "s0", OK, nil, r)
+	if e.capacityFraction(s) != 1 {
+		t.Error("cold though a health check sent at once was answered")
+	}
+	fail(e, r, 2, t0+time.Second)
+	if r.count("probe s0") != 1 {
+		t.Errorf("%d health checks sent", r.count("probe s0"))
+	}
+	e.HealthCheckCompleted(t0+time.Second, "s0", ConnectFailed, nil, r)
+	if e.capacityFraction(s) == 1 {
+		t.Error("warm though the health check failed as well")
+	}
+	e.HealthCheckCompleted(t0+2*time.Second, "s0", OK, nil, r)
+	if e.capacityFraction(s) == 1 {
+		t.Error("warm after a later health check's answer: the process may have started since")
+	}
+
+	e, r = newEngine(t, testSettings(), testServers(1)...)
+	s = e.servers.list[0]
+	for i := range 2 * maxConnectFailures {
+		s.recordConnectFailure(t0 + time.Duration(i+1)*ms)
+	}
+	e.now, e.actions = t0+time.Second, r
+	e.recordLatency(0, s, ms) // its class is known
+	q := &request{}
+	e.updateHealth(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + 3*ms/2})
+	if s.connectFailedAt != t0+ms {
+		t.Errorf("suspected since %v, want the failure before the connection was made", s.connectFailedAt-t0)
+	}
+	if e.updateHealth(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + ms/2}); s.connectFailedAt != 0 {
+		t.Error("cold after an answer on a connection older than all failures")
+	}
+}
+
+// Suspicion by one peer that all servers are unresponsive changes nothing. By two it makes no server unresponsive:
+// a health check goes to each, and at most half of the subset is avoided for it.
+func TestSuspicionNeedsTwoPeers(t *testing.T) {
+	e, r := newSubsetEngine(t)
+	e.now = t0 + 10*time.Second
+	say := func(from int, up bool) {
+		for _, s := range e.servers.list {
+			e.receiveFinding(from, serverFinding{serverID: s.gossipID, isUp: up})
+		}
+	}
+	suspects := func() (n int) {
+		for _, s := range e.subset.members {
+			n += boolToInt(e.now < s.suspectedUntil)
+			if s.isUnresponsive {
+				t.Fatalf("%s counts as unresponsive by suspicion alone", s.ID)
+			}
+		}
+		return n
+	}
+	e.actions = r
+	for range 5 {
+		say(9, false)
+	}
+	if n := suspects(); n > 0 || r.count("probe") > 0 {
+		t.Fatalf("one report: %d servers suspected, %d health checks", n, r.count("probe"))
+	}
+	say(10, false)
+	if n := suspects(); n == 0 || 2*n > len(e.subset.members)+1 || r.count("probe") == 0 {
+		t.Fatalf("two reports: %d of %d servers suspected, %d health checks", n, len(e.subset.members), r.count("probe"))
+	}
+	for range 40 {
+		if s := e.selectServer(&request{Request: Request{ID: "x"}}); s == nil || e.now < s.suspectedUntil {
+			t.Fatalf("a suspected server was selected: %+v", s)
+		}
+	}
+	for _, s := range e.subset.members {
+		e.serverResponded(s)
+	}
+	if n := suspects(); n != 0 {
+		t.Errorf("%d servers suspected that have answered since", n)
+	}
+	e.now += 10 * time.Second
+	say(9, false)
+	if n := suspects(); n != 0 {
+		t.Errorf("an old report counted: %d servers suspected", n)
+	}
+	for _, s := range e.subset.members {
+		s.lastHeardAt = e.now - freshEvidenceAge/2
+	}
+	say(10, false)
+	if suspects() != 0 {
+		t.Error("peers count for more than a response of a moment ago")
+	}
+}
+
+// An unresponsive zone gets no more requests as soon as two of its servers have failed, though nothing was sent to
+// the others, and the bound on work in flight excludes it; one response of any of them brings it back.
+func TestUnresponsiveZone(t *testing.T) {
+	e, r := newSubsetEngine(t)
+	e.now = t0 + 10*time.Second
+	e.actions = r
+	var in [2][]*server
+	for _, s := range e.subset.members {
+		in[boolToInt(s.Zone == "b")] = append(in[boolToInt(s.Zone == "b")], s)
+		e.serverResponded(s)
+	}
+	step := func(d time.Duration) {
+		e.now += d
+		e.serverResponded(in[0][0])
+		e.runSample()
+	}
+	asked := func() (n int) {
+		for range 100 {
+			n += boolToInt(e.selectServer(&request{Request: Request{ID: "x"}}).Zone == "b")
+		}
+		return n
+	}
+	step(100 * ms)
+	if asked() == 0 {
+		t.Fatal("zone b gets no requests while all is well")
+	}
+	sent := e.now
+	step(300 * ms)
+	e.attemptUnanswered(in[1][0], sent)
+	e.attemptUnanswered(in[1][0], sent)
+	step(100 * ms)
+	if asked() == 0 {
+		t.Fatal("one unresponsive server made its zone unresponsive")
+	}
+	e.attemptUnanswered(in[1][1], sent)
+	step(100 * ms)
+	if asked() > 0 {
+		t.Errorf("%d of 100 requests go to an unresponsive zone", asked())
+	}
+	want := 170 * float64(len(in[0])) / float64(len(e.subset.members))
+	if _, n := e.reachableInFlight(); math.Abs(n-want) > 1e-9 {
+		t.Errorf("%v servers in reach, want %v", n, want)
+	}
+	step(5 * time.Second)
+	if asked() > 0 {
+		t.Error("the zone is back by itself")
+	}
+	e.serverResponded(in[1][2])
+	step(300 * ms)
+	if asked() == 0 {
+		t.Error("the zone stays unresponsive though one of its servers has answered")
+	}
+	step(time.Second)
+	for peer := range 3 {
+		e.receiveFinding(peer+10, serverFinding{serverID: in[1][peer+3].gossipID})
+	}
+	step(100 * ms)
+	if asked() > 0 {
+		t.Error("the findings of three peers on an unresponsive zone count for nothing")
+	}
+}
+
+// An unresponsive server's turn to be checked comes earlier.
+func TestUnresponsiveServersAreCheckedEarlier(t *testing.T) {
+	e, r := newSubsetEngine(t)
+	e.now, e.actions = t0+10*time.Second, r
+	for _, s := range e.subset.members {
+		s.lastHealthCheckAt = e.now - time.Second
+	}
+	e.subset.members[3].isUnresponsive, e.subset.members[3].lastHealthCheckAt = true, e.now-ms
+	want := "probe " + e.subset.members[3].ID
+	e.healthChecks.credit = 1
+	e.runSample()
+	if r.count(want) != 1 {
+		t.Errorf("%v, want %s", r.actions, want)
+	}
+}
--- /dev/null
+++ b/policy/policy.go
@@ -0,0 +1,111 @@
+package policy
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"mulleinmux/zonehealth"
+)
+
+// Engine decides for one edge node. It is made of parts that each own their state; its methods are the events
+// of the host, and the questions that need several of the parts.
+type Engine struct {
+	settings  Settings
+	rng       *rand.Rand
+	startedAt time.Duration
+
+	// Of the event in hand.
+	now     time.Duration
+	actions Actions
+
+	// Tables of the settings, by name.
+	classIndex map[string]int
+	planIndex  map[string]int
+
+	// Requests.
+	requests   requestTable
+	retries    retryBudget
+	rejections [rejectReasonCount]uint64 // requests rejected, by reason
+
+	// Servers.
+	servers      serverTable
+	subset       serverSubset
+	zones        map[string]*zoneState // those that the host has told limits of
+	zoneWatch    *zonehealth.Watch     // over all zones; used with a subset only
+	healthChecks healthChecker
+	findings     []serverFinding // found out of late, for the next messages to peers
+
+	// Load.
+	overload         overloadController
+	latencies        latencyTable
+	load             loadMeter
+	lastLoadReportAt time.Duration // of any server
+
+	// Quotas.
+	quotas        quotaTable
+	overQuota     OverQuotaUnits
+	ownerTimeouts ownerTimeouts
+
+	gossip gossipState
+
+	lastLogAt time.Duration
+}
+
+// New returns an engine for the settings, or an error that names a field that cannot be. The seed is of all its
+// random draws: two engines with one seed and the same events act alike.
+func New(s Settings, seed uint64) (*Engine, error) {
+	if err := s.validate(); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	e := &Engine{
+		settings:      s,
+		rng:           rand.New(rand.NewPCG(seed, 0x5ea)),
+		servers:       serverTable{byID: map[string]*server{}},
+		classIndex:    map[string]int{},
+		planIndex:     map[string]int{},
+		latencies:     newLatencyTable(len(s.Classes)),
+		quotas:        newQuotaTable(),
+		ownerTimeouts: ownerTimeouts{byOwner: make([]int, s.InstanceCount)},
+		zones:         map[string]*zoneState{},
+		zoneWatch:     zonehealth.New(zonehealth.Usual),
+	}
+	e.settings.Classes = append([]Class(nil), s.Classes...)
+	e.settings.Plans = append([]Plan(nil), s.Plans...)
+	for i, c := range s.Classes {
+		e.classIndex[c.Name] = i
+	}
+	for i, p := range s.Plans {
+		e.planIndex[p.Name] = i
+	}
+	e.gossip = newGossipState(uint64(e.rng.Uint32()>>16), s.InstanceCount)
+	e.requests = newRequestTable(uint64(e.rng.Uint32() >> 12))
+	return e, nil
+}
+
+// Start begins the engine's work. Call it once, before any other event.
+func (e *Engine) Start(now time.Duration, out Actions) {
+	e.now, e.actions, e.startedAt, e.overload.admitFraction = now, out, now, 1
+	e.gossip.interval = e.settings.gossipInterval()
+	// Nodes started together must not beat in step.
+	e.actions.SetTimer(timerToken(timerSample, 0), e.randomDelay(sampleInterval))
+	if e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
+		e.actions.SetTimer(timerToken(timerGossip, 0), e.randomDelay(e.gossip.interval))
+	}
+	if e.settings.PollsEndpoints {
+		e.actions.WatchEndpoints(true)
+	}
+}
+
+// randomDelay returns a delay below a limit.
+func (e *Engine) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(e.rng.Int64N(int64(limit)))
+}
+
+// log adds a line for the operators, at most one a second.
+func (e *Engine) log(format string, args ...any) {
+	if e.now-e.lastLogAt >= time.Second {
+		e.lastLogAt = e.now
+		e.actions.Log(fmt.Sprintf(format, args...))
+	}
+}
--- /dev/null
+++ b/policy/quota_transfer_test.go
@@ -0,0 +1,300 @@
+package policy
+
+import (
+	"errors"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// transferSim is a fleet whose messages take time, get lost and are reordered, and one customer under a hard limit
+// whose requests come in bursts, now at one instance and now at another.
+type transferSim struct {
+	settings     Settings
+	engines      []*Engine
+	recorders    []*recorder
+	timers       [][]timerRequest // with the time at which each is due
+	network      []datagram
+	now          time.Duration
+	requestCount int
+	unitsSent    float64 // units forwarded
+	rng          *rand.Rand
+}
+
+// datagram is a message in transit.
+type datagram struct {
+	at       time.Duration
+	from, to int
+	message  []byte
+}
+
+// transferCustomer is the only customer of a transferSim.
+const transferCustomer = 7
+
+func newTransferSim(t *testing.T, seed uint64, instances int) *transferSim {
+	t.Helper()
+	w := &transferSim{settings: testSettings(), now: t0, rng: rand.New(rand.NewPCG(seed, 4)),
+		engines:   make([]*Engine, instances),
+		recorders: make([]*recorder, instances), timers: make([][]timerRequest, instances)}
+	w.settings.InstanceCount = instances
+	w.settings.Plans = []Plan{
+		{Name: "hard", Rate: 1000, Burst: 1000, HardLimitRate: 25, HardLimitBurst: 24, PriorityFactor: 1},
+	}
+	for i := range instances {
+		w.start(t, i)
+	}
+	return w
+}
+
+func (w *transferSim) start(t *testing.T, i int) {
+	t.Helper()
+	w.settings.InstanceIndex = i
+	e, err := New(w.settings, w.rng.Uint64())
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.engines[i], w.recorders[i], w.timers[i] = e, &recorder{}, nil
+	e.Start(w.now, w.recorders[i])
+	e.EndpointsChanged(w.now, EndpointsSaved, testServers(4), w.recorders[i])
+	w.collect(i, 0)
+}
+
+// collect carries out what an instance asked for: a fraction of its messages is lost.
+func (w *transferSim) collect(i int, loss float64) {
+	r := w.recorders[i]
+	for _, tm := range r.timers {
+		w.timers[i] = append(w.timers[i], timerRequest{tm.token, w.now + tm.after})
+	}
+	for to, msgs := range r.gossip {
+		for _, m := range msgs {
+			if w.rng.Float64() >= loss {
+				w.network = append(w.network, datagram{w.now + time.Duration(1+w.rng.IntN(60))*ms, i, to, m})
+			}
+		}
+	}
+	r.timers, r.gossip = nil, nil
+}
+
+// step moves the clock by a millisecond.
+func (w *transferSim) step(loss float64) {
+	w.now += ms
+	kept := w.network[:0]
+	for _, p := range w.network {
+		if p.at > w.now {
+			kept = append(kept, p)
+			continue
+		}
+		w.engines[p.to].GossipReceived(w.now, p.from, p.message, w.recorders[p.to])
+		w.collect(p.to, loss)
+	}
+	w.network = kept
+	for i := range w.engines {
+		due := w.timers[i]
+		w.timers[i] = nil
+		for _, tm := range due {
+			if tm.after > w.now {
+				w.timers[i] = append(w.timers[i], tm)
+			} else {
+				w.engines[i].TimerFired(w.now, tm.token, w.recorders[i])
+				w.collect(i, loss)
+			}
+		}
+	}
+}
+
+// offer sends a request of the customer through an instance and completes what it forwards at once.
+func (w *transferSim) offer(i int) (sent bool) {
+	w.requestCount++
+	q := newRequest(w.requestCount, "safe", "hard", transferCustomer)
+	q.InstanceCount = len(w.engines)
+	r := w.recorders[i]
+	r.actions = nil
+	w.engines[i].RequestReceived(w.now, q, r)
+	sent = r.count("send") == 1
+	if sent {
+		w.unitsSent++
+		server := r.actions[0][len("send ")+len(q.ID)+1:]
+		completed := AttemptResult{ID: q.ID, Result: OK, Server: server, Latency: ms, RequestAnswered: true}
+		w.engines[i].AttemptCompleted(w.now, completed, r)
+	}
+	return sent
+}
+
+// hardLimitTokens returns what all parts hold, with what is in transit to an instance that can receive it.
+func (w *transferSim) hardLimitTokens() (units float64) {
+	for _, g := range w.engines {
+		if quota := g.quotas.byCustomer[transferCustomer]; quota != nil {
+			g.now = w.now
+			g.refill(quota)
+			units += quota.hardLimitTokens
+		}
+	}
+	type tell struct {
+		from, to int
+		epoch    uint64
+		seq      uint64
+	}
+	seen := map[tell]bool{}
+	for _, p := range w.network {
+		m, _ := w.engines[p.to].codec().decodeGossip(p.message)
+		by := &w.engines[p.to].gossip.peers[p.from]
+		known := by.isKnown && m.epoch == by.epoch
+		for i, es := range [][]gossipEntry{m.entries, m.previousEntries} {
+			k := tell{p.from, p.to, m.epoch, m.sequence - uint64(i)}
+			if seen[k] || known && k.seq <= by.receivedSequence || i == 1 && !known {
+				continue
+			}
+			seen[k] = true
+			for _, e := range es {
+				units += e.transferred
+			}
+		}
+	}
+	return units
+}
+
+// All parts of a hard limit, with the units in transit between them, hold no more than the whole, and what is
+// forwarded never exceeds the hard limit, whatever is lost, late or restarted.
+func TestTransfersKeepTheHardLimit(t *testing.T) {
+	t.Parallel()
+	lent := 0.0
+	for seed := uint64(1); seed <= 40; seed++ {
+		w := newTransferSim(t, seed, 3)
+		p := w.settings.Plans[0]
+		loss := []float64{0, 0.1, 0.4}[seed%3]
+		busy, rate := 0, 0.0
+		level := 0.0 // of the true hard limit, were it empty at the start as the parts are
+		for w.now < t0+8*time.Second {
+			if w.rng.IntN(300) == 0 {
+				busy, rate = w.rng.IntN(3), []float64{0, 0.02, 0.3}[w.rng.IntN(3)]
+			}
+			if w.rng.IntN(4000) == 0 {
+				w.start(t, w.rng.IntN(3))
+			}
+			w.step(loss)
+			level = math.Min(level+p.HardLimitRate/1000, p.HardLimitBurst)
+			if w.rng.Float64() < rate {
+				i := busy
+				if w.rng.IntN(4) == 0 {
+					i = w.rng.IntN(3)
+				}
+				if w.offer(i) {
+					level--
+				}
+			}
+			if level < -1e-6 {
+				t.Fatalf("seed %d, %v: the hard limit is exceeded by %.2f units", seed, w.now-t0, -level)
+			}
+			if loss == 0 {
+				if sum := w.hardLimitTokens(); sum > p.HardLimitBurst+1e-6 {
+					t.Fatalf("seed %d, %v: parts hold %.2f of %v", seed, w.now-t0, sum, p.HardLimitBurst)
+				}
+			}
+			for _, e := range w.engines {
+				if quota := e.quotas.byCustomer[transferCustomer]; quota != nil {
+					lent = math.Max(lent, quota.unitsInTransit[0])
+				}
+			}
+		}
+	}
+	if lent == 0 {
+		t.Error("nothing was transferred: the sequences exercise nothing")
+	}
+}
+
+// A customer whose requests all come through one instance has nearly all of its hard limit's rate there.
+func TestBusyInstanceReceivesTransfers(t *testing.T) {
+	w := newTransferSim(t, 1, 3)
+	for w.now < t0+6*time.Second {
+		w.step(0)
+		if w.now%(10*ms) == 0 {
+			w.offer(2)
+		}
+		if w.now == t0+time.Second {
+			w.unitsSent = 0
+		}
+	}
+	whole := 5 * w.settings.Plans[0].HardLimitRate
+	if w.unitsSent < 0.85*whole {
+		t.Errorf("%v units forwarded in 5 s through one of three instances, want nearly %v", w.unitsSent, whole)
+	}
+}
+
+// The deficit of a part goes with the gossip; a transfer received twice, or one that an instance does not have,
+// would exceed the hard limit.
+func TestTransferIsReceivedOnce(t *testing.T) {
+	w := newTransferSim(t, 1, 2)
+	a, b := w.engines[0], w.engines[1]
+	for _, e := range w.engines {
+		e.now = t0 + 20*time.Second
+		e.quotaFor(transferCustomer, quotaScope{instanceCount: 2})
+	}
+	w.now = t0 + 20*time.Second
+	part := a.quotas.byCustomer[transferCustomer].hardLimitTokens
+	b.quotas.byCustomer[transferCustomer].hardLimitTokens, b.quotas.byCustomer[transferCustomer].unmetUnits = 0, 3
+	b.markForGossip(b.quotas.byCustomer[transferCustomer])
+	b.broadcast()
+	tell := w.recorders[1].gossip[0][0]
+	a.GossipReceived(w.now, 1, tell, w.recorders[0])
+	a.broadcast()
+	loan := w.recorders[0].gossip[1][0]
+	took := part - a.quotas.byCustomer[transferCustomer].hardLimitTokens
+	if took < 3 || took > part {
+		t.Fatalf("%v of %v transferred where 3 are lacked", took, part)
+	}
+	for range 2 {
+		b.GossipReceived(w.now, 0, loan, w.recorders[1])
+	}
+	if got := b.quotas.byCustomer[transferCustomer].hardLimitTokens; got != took {
+		t.Errorf("%v received of %v transferred", got, took)
+	}
+	a.markForGossip(a.quotas.byCustomer[transferCustomer])
+	a.broadcast()
+	if part-a.quotas.byCustomer[transferCustomer].hardLimitTokens != took {
+		t.Error("one deficit is transferred twice")
+	}
+	// The repeat is for a process that was there before: it may have spent the transfer.
+	w.start(t, 1)
+	restarted := w.engines[1]
+	repeat := w.recorders[0].gossip[1][1]
+	restarted.GossipReceived(w.now, 0, repeat, w.recorders[1])
+	if got := restarted.quotas.byCustomer[transferCustomer].hardLimitTokens; got != 0 {
+		t.Errorf("an instance that has just started holds %v of the hard limit", got)
+	}
+	text, err := a.ExportState(a.now)
+	successor, _ := newSuccessor(t, a.settings, a.now, testServers(4)...)
+	err = errors.Join(err, successor.ImportState(a.now, text))
+	capacity := successor.quotas.byCustomer[transferCustomer].hardLimitCapacity(&successor.settings.Plans[0])
+	if err != nil || capacity != part-took {
+		t.Errorf("the transfer in transit is not exported: %v, part of %v", err, capacity)
+	}
+	scope := quotaScope{instanceCount: 2}
+	a.now += a.transferTimeout() / 2
+	if a.quotaFor(transferCustomer, scope).hardLimitTokens > part-took {
+		t.Error("a sender's part is whole again while its transfer may be in transit")
+	}
+	a.now += 2 * a.transferTimeout()
+	if a.quotaFor(transferCustomer, scope).hardLimitTokens != part {
+		t.Error("a sender's part stays smaller for good")
+	}
+}
+
+// Gossip of the version before transfers is received: instances are upgraded one after the other.
+func TestGossipV1WithoutTransfersIsReceived(t *testing.T) {
+	w := newTransferSim(t, 1, 2)
+	a, b := w.engines[0], w.engines[1]
+	b.now = w.now
+	quota := b.quotaFor(transferCustomer, quotaScope{instanceCount: 2})
+	before := quota.tokens
+	quota.pendingUnits = 5
+	entry := b.codec().appendEntry(nil, b.gossipEntryFor(quota, 0))
+	a.now = w.now
+	had := a.quotaFor(transferCustomer, quotaScope{instanceCount: 2}).tokens
+	old := encodeGossip(3, 1, encodedEntries{count: 1, bytes: entry[:len(entry)-2]}, encodedEntries{})
+	old[0] = kindGossipV1
+	a.GossipReceived(w.now, 1, old, w.recorders[0])
+	if got := had - a.quotas.byCustomer[transferCustomer].tokens; got != 5 || before <= 0 {
+		t.Errorf("%v units received of 5", got)
+	}
+}
--- /dev/null
+++ b/policy/subset_test.go
@@ -0,0 +1,83 @@
+package policy
+
+import (
+	"strings"
+	"testing"
+)
+
+// newSubsetEngine returns instance 5 of 300 over 170 servers, half of them in each of two zones.
+func newSubsetEngine(t *testing.T) (*Engine, *recorder) {
+	t.Helper()
+	set := fleetSettings(1)
+	set.InstanceCount, set.InstanceIndex = 300, 5
+	set.Plans[0].HardLimitRate = 0
+	list := testServers(170)
+	for i := range list {
+		list[i].Zone = []string{"a", "b"}[i%2]
+	}
+	return newEngine(t, set, list...)
+}
+
+// A keyed request that may have run in one zone is retried only there, outside of the subset if need be.
+func TestKeyedRetryLeavesSubset(t *testing.T) {
+	e, r := newSubsetEngine(t)
+	if e.usesAllServers() {
+		t.Fatal("the subset is all servers")
+	}
+	e.retries.tokens = 5
+	e.RequestReceived(t0, newRequest(1, "keyed", "kubwa", 1), r)
+	for _, a := range r.actions {
+		if strings.HasPrefix(a, "refuse") {
+			t.Fatal(a)
+		}
+	}
+	first := e.requests.byID["r1"].attempts[0].server
+	for _, s := range e.subset.members {
+		if s.Zone == first.Zone {
+			s.isUnresponsive = s != first
+			s.Server.State = map[bool]ServerState{true: Up, false: Draining}[s == first]
+		}
+	}
+	first.Server.State = Draining
+	e.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: ErrorResponse, Server: first.ID}, r)
+	at := e.requests.byID["r1"].attempts
+	if len(at) != 2 || at[1].server.Zone != first.Zone || at[1].server.inSubset {
+		t.Fatalf("%d attempts, the last at %+v", len(at), at[len(at)-1].server.Server)
+	}
+}
+
+// A subset that has widened to all servers, since all seemed unresponsive, shrinks again when they respond; so
+// does one that has widened for its attempts in flight.
+func TestWidenedSubsetShrinks(t *testing.T) {
+	for _, why := range []string{"silent", "load"} {
+		e, r := newSubsetEngine(t)
+		e.now, e.actions = t0, r
+		narrow, widest := len(e.subset.members), 0
+		step := func(pressed bool) {
+			e.now += sampleInterval
+			for _, s := range e.servers.list {
+				s.isUnresponsive = pressed && why == "silent"
+			}
+			e.load.inFlight = 0
+			if pressed && why == "load" {
+				e.load.inFlight = 8 * narrow
+			}
+			if e.needsNewSubset() {
+				e.formSubset()
+			}
+			widest = max(widest, len(e.subset.members))
+		}
+		for range 100 {
+			step(true)
+		}
+		if want := map[string]int{"silent": 170, "load": 4 * narrow}[why]; widest < want {
+			t.Errorf("%s: the subset grew from %d to %d servers, want %d", why, narrow, widest, want)
+		}
+		for range 600 {
+			step(false)
+		}
+		if len(e.subset.members) != narrow {
+			t.Errorf("%s: a minute later the subset has %d servers, not %d", why, len(e.subset.members), narrow)
+		}
+	}
+}
