--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -36,10 +36,10 @@
 }
 
 func compileOptions(classes []clusterconfig.Class, most int) routing.Options {
-	opt := routing.Options{MostUnits: most}
+	opt := routing.Options{MaxUnits: most}
 	for _, c := range classes {
-		opt.Classes = append(opt.Classes, routing.Class{Name: c.Name, Worth: c.PriorityWeight, Late: c.LateFraction,
-			Aim: time.Duration(c.LatencyObjectiveMs) * time.Millisecond, Deadline: time.Duration(c.DeadlineMs) * time.Millisecond})
+		opt.Classes = append(opt.Classes, routing.Class{Name: c.Name, PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction,
+			LatencyObjective: time.Duration(c.LatencyObjectiveMs) * time.Millisecond, Deadline: time.Duration(c.DeadlineMs) * time.Millisecond})
 	}
 	return opt
 }
@@ -57,7 +57,7 @@
 	}
 	halls := clusterconfig.ObjectsByName[clusterconfig.Site](s, "hall")
 	for _, name := range slices.Sorted(maps.Keys(halls)) {
-		at, err := discovery.Address("register", halls[name].DiscoveryAddress)
+		at, err := discovery.ParseAddress("register", halls[name].DiscoveryAddress)
 		if err != nil {
 			return out, fmt.Errorf("hall %s: %w", name, err)
 		}
--- a/internal/edgeproxy/config.go
+++ b/internal/edgeproxy/config.go
@@ -32,9 +32,9 @@
 	GossipPeers     []netip.AddrPort // by instance index, this node's own among them
 	GossipBroadcast netip.AddrPort   // reaches every edge node of the tier
 
-	SavedEndpoints discovery.List // the app servers as this node last had them
+	SavedEndpoints discovery.EndpointList // the app servers as this node last had them
 	Settings       policy.Settings
-	Transport      simwire.Transport
+	Transport      simwire.ConnectionSettings
 
 	reread           func() (*Config, error) // reads the configuration again, for a reload
 	skippedEndpoints []error                 // invalid entries of the saved list
@@ -145,7 +145,7 @@
 		}
 	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.SavedEndpoints, c.skippedEndpoints, err = discovery.ParseList(raw.Known); err != nil {
+		if c.SavedEndpoints, c.skippedEndpoints, err = discovery.ParseEndpointList(raw.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -165,16 +165,16 @@
 // setAddresses reads the addresses of clients, discovery and operators.
 func (c *Config) setAddresses(raw *rawConfig) error {
 	var err error
-	if c.Listen, err = discovery.Address("listen", raw.Listen); err != nil {
+	if c.Listen, err = discovery.ParseAddress("listen", raw.Listen); err != nil {
 		return err
 	}
-	if c.Discovery, err = discovery.Address("discovery", raw.Discovery); err != nil {
+	if c.Discovery, err = discovery.ParseAddress("discovery", raw.Discovery); err != nil {
 		return err
 	}
 	if raw.Management == "" {
 		return nil
 	}
-	c.AdminListen, err = discovery.Address("management", raw.Management)
+	c.AdminListen, err = discovery.ParseAddress("management", raw.Management)
 	return err
 }
 
@@ -218,8 +218,8 @@
 	if c.Settings, c.Transport, err = simwire.ParseSettings(text); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.Transport.ConnIdle <= 0 {
-		c.Transport.ConnIdle = defaultConnIdle
+	if c.Transport.ConnIdleTimeout <= 0 {
+		c.Transport.ConnIdleTimeout = defaultConnIdle
 	}
 	if c.Transport.ConnectTimeout <= 0 {
 		c.Transport.ConnectTimeout = defaultConnectTimeout
@@ -231,19 +231,19 @@
 // setGossip reads the addresses on which edge nodes gossip.
 func (c *Config) setGossip(raw *rawConfig) error {
 	var err error
-	if c.GossipListen, err = discovery.Address("peer_listen", raw.PeerListen); err != nil {
+	if c.GossipListen, err = discovery.ParseAddress("peer_listen", raw.PeerListen); err != nil {
 		return err
 	}
 	if len(raw.Peers) != c.Settings.InstanceCount {
 		return fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.InstanceCount)
 	}
 	for i, text := range raw.Peers {
-		address, err := discovery.Address(fmt.Sprintf("peers[%d]", i), text)
+		address, err := discovery.ParseAddress(fmt.Sprintf("peers[%d]", i), text)
 		if err != nil {
 			return err
 		}
 		c.GossipPeers = append(c.GossipPeers, address)
 	}
-	c.GossipBroadcast, err = discovery.Address("peers_all", raw.PeersAll)
+	c.GossipBroadcast, err = discovery.ParseAddress("peers_all", raw.PeersAll)
 	return err
 }
--- a/internal/edgeproxy/discovery_watch.go
+++ b/internal/edgeproxy/discovery_watch.go
@@ -47,18 +47,18 @@
 	}
 	firstCall, endFirstCall := context.WithCancel(ctx)
 	w.firstCall = firstCall.Done()
-	follower := &discovery.Follower{
-		Addr:   addr,
-		Silent: discovery.Silent,
-		Last:   from,
-		Near:   w.isLocal,
-		Logf:   n.log.Printf,
-		Pace:   discovery.NewPace(n.cfg.Settings.InstanceCount, n.cfg.Seed),
-		Apply: func(l discovery.List) {
+	follower := &discovery.Watcher{
+		Addr:           addr,
+		SilenceTimeout: discovery.SilenceTimeout,
+		LastGeneration: from,
+		IsLocalAgent:   w.isLocal,
+		Logf:           n.log.Printf,
+		Backoff:        discovery.NewBackoff(n.cfg.Settings.InstanceCount, n.cfg.Seed),
+		OnList: func(l discovery.EndpointList) {
 			n.endpointsReceived(l)
 			endFirstCall()
 		},
-		Failed: endFirstCall,
+		OnFailure: endFirstCall,
 	}
 	go func() { // ends with ctx; stop waits for it
 		defer close(w.done)
--- a/internal/edgeproxy/discovery_watch_test.go
+++ b/internal/edgeproxy/discovery_watch_test.go
@@ -56,7 +56,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	r := &discovery.Follower{Addr: addr, Silent: silent, Last: 7, Apply: func(l List) { lists <- l }, Logf: t.Logf}
+	r := &discovery.Watcher{Addr: addr, SilenceTimeout: silent, LastGeneration: 7, OnList: func(l List) { lists <- l }, Logf: t.Logf}
 	go func() {
 		r.Run(ctx)
 		close(ended)
@@ -80,10 +80,10 @@
 		fmt.Fprintf(w, "\n%s\n\n", listJSON(8, true, a))
 		fmt.Fprintf(w, "%s\n", listJSON(9, false))
 	})
-	if l := <-lists; !l.Full || len(l.Servers) != 1 || l.Servers[0] != a {
+	if l := <-lists; !l.IsComplete || len(l.Servers) != 1 || l.Servers[0] != a {
 		t.Errorf("list %+v, want %+v", l, a)
 	}
-	if l := <-lists; l.Full || l.Generation != 9 {
+	if l := <-lists; l.IsComplete || l.Generation != 9 {
 		t.Errorf("second list %+v", l)
 	}
 	if first, second := <-froms, <-froms; first != "7" || second != "9" {
@@ -127,7 +127,7 @@
 		fmt.Fprintf(w, "%s\n%s\n", text, listJSON(9, false))
 		<-ctx.Done()
 	})
-	if l := <-lists; !l.Full || len(l.Servers) != 1 || l.Servers[0] != good {
+	if l := <-lists; !l.IsComplete || len(l.Servers) != 1 || l.Servers[0] != good {
 		t.Errorf("list %+v, want the good entry", l)
 	}
 	if l := <-lists; l.Generation != 9 { // on the same watch
--- a/internal/edgeproxy/engine_actions.go
+++ b/internal/edgeproxy/engine_actions.go
@@ -73,7 +73,7 @@
 	n := (*Node)(a)
 	message = append([]byte(nil), message...)
 	if socket := n.gossipSocket; socket != nil {
-		n.afterEvent = append(n.afterEvent, func() { socket.Tell(peer, message, n.log.Printf) })
+		n.afterEvent = append(n.afterEvent, func() { socket.Send(peer, message, n.log.Printf) })
 	}
 }
 
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -183,7 +183,7 @@
 }
 
 // updateEndpoints hands an endpoint list to the server pool and to the engine, as one event.
-func (n *Node) updateEndpoints(l discovery.List, kind policy.EndpointUpdateKind) {
+func (n *Node) updateEndpoints(l discovery.EndpointList, kind policy.EndpointUpdateKind) {
 	servers := make([]policy.Server, len(l.Servers))
 	for i, s := range l.Servers {
 		servers[i] = s.Server
@@ -196,9 +196,9 @@
 }
 
 // endpointsReceived hands a list from discovery on.
-func (n *Node) endpointsReceived(l discovery.List) {
+func (n *Node) endpointsReceived(l discovery.EndpointList) {
 	kind := policy.EndpointsDelta
-	if l.Full {
+	if l.IsComplete {
 		kind = policy.EndpointsComplete
 	}
 	n.updateEndpoints(l, kind)
--- a/internal/edgeproxy/request_body_test.go
+++ b/internal/edgeproxy/request_body_test.go
@@ -135,7 +135,7 @@
 // A long body whose server can't be reached never ran: the client is told that it may retry. Once some of it is
 // forwarded there is no second attempt.
 func TestLongBodyUnsent(t *testing.T) {
-	dead := discovery.Instance{Addr: freeAddr(t)}
+	dead := discovery.Endpoint{Addr: freeAddr(t)}
 	dead.ID, dead.Weight, dead.Kind, dead.Zone = "dead", 1, "k", "z"
 	n := runNode(t, testConfig(dead))
 	if a := dial(t, n.addr).ask(longBody("a", pattern(maxBufferedBody+1), false)); a.status != 429 {
--- a/internal/edgeproxy/request_parsing.go
+++ b/internal/edgeproxy/request_parsing.go
@@ -49,7 +49,7 @@
 	case !s.plans[engineRequest.Plan]:
 		return engineRequest, forwarded, badRequestf("X-Contract: unknown plan")
 	}
-	seconds, isNumber := loadreport.Decimal(expires)
+	seconds, isNumber := loadreport.ParseDecimal(expires)
 	if !isNumber || seconds <= 0 {
 		return engineRequest, forwarded, badRequestf("X-Expires-In: malformed")
 	}
@@ -144,7 +144,7 @@
 		isValid := true
 		switch name {
 		case "units":
-			engineRequest.Units, isValid = loadreport.Decimal(value)
+			engineRequest.Units, isValid = loadreport.ParseDecimal(value)
 			isValid = isValid && engineRequest.Units > 0 && engineRequest.Units <= maxUnits
 		case "spread":
 			engineRequest.InstanceCount, isValid = parseIntIn(value, 1, settings.InstanceCount)
@@ -167,7 +167,7 @@
 
 // parseIntIn reads a whole number and tells whether it is one within the limits.
 func parseIntIn(text string, smallest, largest int) (int, bool) {
-	x, isNumber := loadreport.Decimal(text)
+	x, isNumber := loadreport.ParseDecimal(text)
 	return int(x), isNumber && x == math.Trunc(x) && x >= float64(smallest) && x <= float64(largest)
 }
 
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -155,7 +155,7 @@
 	index := cfg.Settings.InstanceIndex
 	var socket *gossip.Socket
 	if conn != nil {
-		socket = gossip.On(conn, index, cfg.GossipPeers, cfg.GossipBroadcast)
+		socket = gossip.NewSocket(conn, index, cfg.GossipPeers, cfg.GossipBroadcast)
 	} else {
 		var err error
 		socket, err = gossip.Listen(cfg.GossipListen, index, cfg.GossipPeers, cfg.GossipBroadcast)
--- a/internal/edgeproxy/server_pool.go
+++ b/internal/edgeproxy/server_pool.go
@@ -54,10 +54,10 @@
 )
 
 // newServerPool returns a pool of maxConns connections, to no server yet.
-func newServerPool(t simwire.Transport, maxConns int) *serverPool {
+func newServerPool(t simwire.ConnectionSettings, maxConns int) *serverPool {
 	return &serverPool{
 		dialer:         net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1},
-		maxIdleTimeout: time.Duration(idleTimeoutFraction * float64(t.ConnIdle)),
+		maxIdleTimeout: time.Duration(idleTimeoutFraction * float64(t.ConnIdleTimeout)),
 		maxConns:       maxConns,
 		servers:        map[string]*serverConns{},
 	}
@@ -66,7 +66,7 @@
 // updateEndpoints takes in entries of the endpoint list and returns the idle connections that are of no more use, for
 // the caller to close. A server that drains, moved, restarted or is not in the list any more keeps none.
 func (p *serverPool) updateEndpoints(
-	entries []discovery.Instance, kind policy.EndpointUpdateKind,
+	entries []discovery.Endpoint, kind policy.EndpointUpdateKind,
 ) (stale []*serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +92,7 @@
 
 // updateServer takes in the entry of one server and returns the connections that it keeps no longer. Called under the
 // mutex.
-func (p *serverPool) updateServer(entry discovery.Instance) (stale []*serverConn) {
+func (p *serverPool) updateServer(entry discovery.Endpoint) (stale []*serverConn) {
 	server := p.servers[entry.ID]
 	if server != nil && (server.addr != entry.Addr || server.startedAt != entry.StartedAt) {
 		stale = p.removeServer(entry.ID)
--- a/internal/edgeproxy/server_pool_test.go
+++ b/internal/edgeproxy/server_pool_test.go
@@ -13,7 +13,7 @@
 )
 
 func newTestPool(servers ...Instance) *serverPool {
-	pool := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
+	pool := newServerPool(simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
 	pool.updateEndpoints(servers, policy.EndpointsComplete)
 	return pool
 }
@@ -160,7 +160,7 @@
 // run.
 func TestDialTimeout(t *testing.T) {
 	ln, _ := fullListener(t) // it drops what comes
-	pool := newServerPool(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
+	pool := newServerPool(simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
 	pool.updateEndpoints([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, policy.EndpointsComplete)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -120,7 +120,7 @@
 	in := (*Instance)(a)
 	message = append([]byte(nil), message...)
 	if in.peers != nil {
-		in.deferred = append(in.deferred, func() { in.peers.Tell(peer, message, in.log.Printf) })
+		in.deferred = append(in.deferred, func() { in.peers.Send(peer, message, in.log.Printf) })
 	}
 }
 
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -164,7 +164,7 @@
 			return
 		}
 		in.version.Store(in.newVersion(s, old))
-		if deadline, window := s.Table.KeyLife(); in.keys != nil && deadline > 0 {
+		if deadline, window := s.Table.KeyLifetimes(); in.keys != nil && deadline > 0 {
 			in.keys.SetLifetimes(now, deadline+maxRequestTransit, window)
 		}
 		in.watchSites(now, s.Sites, out)
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -100,13 +100,13 @@
 func isRemoteServer(server string) bool { return strings.Contains(server, remoteServerMark) }
 
 // remoteServers is what the engine is told of a site that is reached by way of its own site's instances.
-func (l *relay) remoteServers(hall string) (list discovery.List, ok bool) {
+func (l *relay) remoteServers(hall string) (list discovery.EndpointList, ok bool) {
 	peers, ok := l.config.Remote[hall]
 	for _, p := range peers {
-		list.Servers = append(list.Servers, discovery.Instance{Addr: p.Addr,
+		list.Servers = append(list.Servers, discovery.Endpoint{Addr: p.Addr,
 			Server: policy.Server{ID: "@" + strconv.FormatUint(p.Member, 10), Weight: 1, Kind: "instance", Zone: hall}})
 	}
-	list.Full = true
+	list.IsComplete = true
 	return list, ok
 }
 
--- a/internal/gateway/request_parse.go
+++ b/internal/gateway/request_parse.go
@@ -23,7 +23,7 @@
 	if err := r.match(path, query); err != nil {
 		return q, err
 	}
-	call := routing.Request{Query: query, Head: head, Body: r.body}
+	call := routing.Request{Query: query, Header: head, Body: r.body}
 	if r.units, err = r.operation.Charge(call); err != nil {
 		return q, err
 	}
@@ -43,9 +43,9 @@
 	if err != nil {
 		return q, err
 	}
-	r.hasKeyOwner = f.instance.keys != nil && r.operation.Key.In != routing.Nowhere
+	r.hasKeyOwner = f.instance.keys != nil && r.operation.KeySource.In != routing.InNowhere
 	if r.hasKeyOwner {
-		r.key = keyNumber(r.licensee, r.operation.KeyOf(call, path))
+		r.key = keyNumber(r.licensee, r.operation.ReadKey(call, path))
 	}
 	return policy.Request{Class: r.operation.Class.Name, Plan: licensee.Plan, Customer: licensee.Customer,
 		Timeout: timeout - clientTransit - time.Since(began), Units: float64(r.units),
@@ -133,7 +133,7 @@
 	if n == 0 {
 		return timeout, nil
 	}
-	seconds, ok := loadreport.Decimal(text)
+	seconds, ok := loadreport.ParseDecimal(text)
 	if !ok || seconds <= 0 || n > 1 {
 		return 0, &badRequest{status: http.StatusBadRequest, text: "X-Expires-In: malformed"}
 	}
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -172,7 +172,7 @@
 // rejectBadRequest answers a request that is the client's mistake.
 func (c *clientConn) rejectBadRequest(err error) bool {
 	e := &badRequest{status: http.StatusBadRequest, text: err.Error()}
-	if r, ok := errors.AsType[*routing.Refusal](err); ok {
+	if r, ok := errors.AsType[*routing.ChargeError](err); ok {
 		e.status = r.Status
 	} else {
 		errors.As(err, &e)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -101,7 +101,7 @@
 	config := in.config
 	switch {
 	case config.peerConn != nil:
-		in.peers = gossip.On(config.peerConn, config.Settings.InstanceIndex, config.Peers, config.PeerListen)
+		in.peers = gossip.NewSocket(config.peerConn, config.Settings.InstanceIndex, config.Peers, config.PeerListen)
 	case config.PeerListen.IsValid():
 		in.peers, err = gossip.Listen(config.PeerListen, config.Settings.InstanceIndex, config.Peers, config.PeerListen)
 	}
--- a/internal/gateway/server_pool.go
+++ b/internal/gateway/server_pool.go
@@ -87,7 +87,7 @@
 
 // update takes in entries of a list and returns the connections that are of no more use,
 // for the caller to close. A server that drains, moved, restarted or is gone keeps none.
-func (u *serverPool) update(entries []discovery.Instance) (stale []*serverConn) {
+func (u *serverPool) update(entries []discovery.Endpoint) (stale []*serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, e := range entries {
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -30,7 +30,7 @@
 		if at, ok := wanted[name]; ok && at == w.register {
 			continue
 		} else if !ok {
-			in.applyEndpoints(now, name, discovery.List{Full: true}, out)
+			in.applyEndpoints(now, name, discovery.EndpointList{IsComplete: true}, out)
 			in.engine.RemoveZoneLimits(name)
 			delete(in.serversBySite, name)
 		}
@@ -48,15 +48,15 @@
 			in.applyEndpoints(now, h.Name, list, out)
 			continue
 		}
-		f := &discovery.Follower{Addr: h.Discovery, Silent: discovery.Silent,
-			Apply: func(l discovery.List) { in.endpointsReceived(ctx, h.Name, l) },
-			Logf:  func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
+		f := &discovery.Watcher{Addr: h.Discovery, SilenceTimeout: discovery.SilenceTimeout,
+			OnList: func(l discovery.EndpointList) { in.endpointsReceived(ctx, h.Name, l) },
+			Logf:   func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
 		in.discoveryFollowers.Go(func() { f.Run(ctx) })
 	}
 }
 
 // endpointsReceived takes in a site's endpoint list, unless its watch has ended.
-func (in *Instance) endpointsReceived(ctx context.Context, hall string, l discovery.List) {
+func (in *Instance) endpointsReceived(ctx context.Context, hall string, l discovery.EndpointList) {
 	in.handleEvent(func(now time.Duration, out policy.Actions) {
 		if ctx.Err() == nil {
 			in.applyEndpoints(now, hall, l, out)
@@ -66,13 +66,13 @@
 
 // applyEndpoints brings a site's endpoint list to the engine as changes: the lists of the other sites stay as they
 // are. Called under the mutex.
-func (in *Instance) applyEndpoints(now time.Duration, hall string, l discovery.List, out policy.Actions) {
+func (in *Instance) applyEndpoints(now time.Duration, hall string, l discovery.EndpointList, out policy.Actions) {
 	known := in.serversBySite[hall]
 	if known == nil {
 		known = map[string]bool{}
 		in.serversBySite[hall] = known
 	}
-	entries := make([]discovery.Instance, 0, len(l.Servers))
+	entries := make([]discovery.Endpoint, 0, len(l.Servers))
 	listed := map[string]bool{}
 	for _, s := range l.Servers {
 		s.ID = hall + "/" + s.ID
@@ -83,12 +83,12 @@
 		}
 		entries = append(entries, s)
 	}
-	if l.Full {
+	if l.IsComplete {
 		for id := range known {
 			if !listed[id] {
 				delete(known, id)
 				gone := policy.Server{ID: id, State: policy.Removed, Zone: hall}
-				entries = append(entries, discovery.Instance{Server: gone})
+				entries = append(entries, discovery.Endpoint{Server: gone})
 			}
 		}
 	}
--- a/internal/gatewayconfig/fleet.go
+++ b/internal/gatewayconfig/fleet.go
@@ -66,7 +66,7 @@
 		put("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Discovery.String(), IsClosed: in.Halls[i].Closed})
 	}
 	for _, k := range c.Classes {
-		put("class", k.Name, clusterconfig.Class{PriorityWeight: k.Worth, LateFraction: k.Late, LatencyObjectiveMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()})
+		put("class", k.Name, clusterconfig.Class{PriorityWeight: k.PriorityWeight, LateFraction: k.LateFraction, LatencyObjectiveMs: k.LatencyObjective.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()})
 	}
 	for _, p := range in.Plans {
 		put("plan", p.Name, clusterconfig.Plan{Rate: p.Rate, Burst: p.Burst, HardLimitRate: p.CeilingRate, HardLimitBurst: p.CeilingBurst, HardLimitSlack: p.CeilingSlack,
--- a/internal/scenario/cluster_operators.go
+++ b/internal/scenario/cluster_operators.go
@@ -28,7 +28,7 @@
 func (c *clusterRun) applyFirstConfig(ctx context.Context, halls []gateway.Site) error {
 	p := &clusterconfig.Proposal{ID: "begin", Reason: variantWhy(1)}
 	for _, k := range classes() {
-		p.Changes = append(p.Changes, clusterconfig.NewPutChange("class", k.Name, clusterconfig.Class{PriorityWeight: k.Worth, LateFraction: k.Late, LatencyObjectiveMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("class", k.Name, clusterconfig.Class{PriorityWeight: k.PriorityWeight, LateFraction: k.LateFraction, LatencyObjectiveMs: k.LatencyObjective.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
 	}
 	for _, pl := range settings(0).Plans {
 		p.Changes = append(p.Changes, clusterconfig.NewPutChange("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, HardLimitRate: pl.HardLimitRate, HardLimitBurst: pl.HardLimitBurst,
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -336,7 +336,7 @@
 }
 
 // withSubsetRule runs f under another rule for subsets.
-func withSubsetRule(rule subset.Rule, f func()) {
+func withSubsetRule(rule subset.Sizing, f func()) {
 	was := subsetRule
 	subsetRule = rule
 	defer func() { subsetRule = was }()
@@ -369,7 +369,7 @@
 func withAndWithoutSubsets(t *testing.T, f func() fleetTotals) (with, without fleetTotals) {
 	t.Helper()
 	with = f()
-	withSubsetRule(subset.Rule{}, func() { without = f() })
+	withSubsetRule(subset.Sizing{}, func() { without = f() })
 	for i, totals := range []fleetTotals{with, without} {
 		t.Logf("%s subsets %.3f of the value, %d connections opened, %d not made, %d health checks",
 			[]string{"with", "without"}[i], totals.servedFraction(), totals.connectionsOpened, totals.connectionsFailed,
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -104,7 +104,7 @@
 func TestFleetWhereSubsetIsAllServers(t *testing.T) {
 	for _, size := range [][2]int{{300, 3}, {3, 200}, {4, 20}} {
 		var got [2]string
-		for i, rule := range []subset.Rule{subsetRule, {}} {
+		for i, rule := range []subset.Sizing{subsetRule, {}} {
 			withSubsetRule(rule, func() {
 				s := newFleet(7, size[0], size[1], 0.5)
 				s.run(s.now + time.Second)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -32,7 +32,7 @@
 	servers      serverTable
 	subset       serverSubset
 	zones        map[string]*zoneState // those that the host has told limits of
-	zoneWatch    *zonehealth.Watch     // over all zones; used with a subset only
+	zoneWatch    *zonehealth.Detector  // over all zones; used with a subset only
 	healthChecks healthChecker
 	findings     []serverFinding // found out of late, for the next messages to peers
 
@@ -68,7 +68,7 @@
 		quotas:        newQuotaTable(),
 		ownerTimeouts: ownerTimeouts{byOwner: make([]int, s.InstanceCount)},
 		zones:         map[string]*zoneState{},
-		zoneWatch:     zonehealth.New(zonehealth.Usual),
+		zoneWatch:     zonehealth.New(zonehealth.DefaultSettings),
 	}
 	e.settings.Classes = append([]Class(nil), s.Classes...)
 	e.settings.Plans = append([]Plan(nil), s.Plans...)
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -9,7 +9,7 @@
 // subsetRule is how large a node's subset is: 12 servers are enough to lose half of them, and few enough for
 // some requests a second to find a connection open; each server is in 16 subsets or more, so that nodes with
 // several times the mean load do not weigh on single servers.
-var subsetRule = subset.Rule{Servers: 12, Holders: 16, Spare: 8}
+var subsetRule = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
 
 // subsetSeed is the same at all nodes of a fleet, which form their subsets alike.
 const subsetSeed = 1
@@ -21,7 +21,7 @@
 	isPartial   bool      // the rule leaves servers out
 	meanHolders float64   // nodes that have a server of it in their subset, on average
 	maxWeight   float64   // of the members that accept requests
-	width       subset.Width
+	width       subset.WidthController
 }
 
 // formSubset forms this node's subset of the servers that accept requests.
@@ -40,33 +40,33 @@
 			p.maxWeight = math.Max(p.maxWeight, s.weight())
 		}
 	}
-	fleet := subset.Fleet{Nodes: instanceCount, Seed: subsetSeed, Rule: subsetRule}
-	p.isPartial = fleet.Size(accepting) < accepting
+	fleet := subset.Tier{Nodes: instanceCount, Seed: subsetSeed, Sizing: subsetRule}
+	p.isPartial = fleet.SubsetSize(accepting) < accepting
 	if p.isPartial {
 		p.formPartial(servers, fleet, instance)
 	}
 }
 
 // formPartial is form where the rule leaves servers out.
-func (p *serverSubset) formPartial(servers []*server, fleet subset.Fleet, instance int) {
+func (p *serverSubset) formPartial(servers []*server, fleet subset.Tier, instance int) {
 	var accepting []*server
 	var list []subset.Server
 	for _, s := range servers {
 		s.inSubset = false
 		if s.acceptsRequests() {
 			accepting = append(accepting, s)
-			list = append(list, subset.Server{ID: s.ID, Zone: s.Zone, Size: s.weight()})
+			list = append(list, subset.Server{ID: s.ID, Zone: s.Zone, Weight: s.weight()})
 		}
 	}
-	members := fleet.Form(list, instance, p.width.Factor())
+	members := fleet.Select(list, instance, p.width.Factor())
 	p.meanHolders = 0
 	for _, m := range members {
-		p.meanHolders += float64(m.Held) / float64(len(members))
+		p.meanHolders += float64(m.HolderCount) / float64(len(members))
 	}
 	p.members, p.maxWeight = make([]*server, 0, len(members)), 0
 	for _, m := range members {
 		s := accepting[m.Index]
-		s.inSubset, s.subsetCorrection = true, p.meanHolders/float64(m.Held)
+		s.inSubset, s.subsetCorrection = true, p.meanHolders/float64(m.HolderCount)
 		p.members = append(p.members, s)
 		p.maxWeight = math.Max(p.maxWeight, s.weight()*s.subsetCorrection)
 	}
@@ -86,7 +86,7 @@
 	if all <= 0 || e.usesAllServers() {
 		return false
 	}
-	return e.subset.width.Now(e.now, fit/all, len(e.subset.members), float64(e.load.inFlight))
+	return e.subset.width.Update(e.now, fit/all, len(e.subset.members), float64(e.load.inFlight))
 }
 
 // usesAllServers reports whether the rule gives this node all servers. A subset that has widened to all of them
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -14,23 +14,23 @@
 // zoneResponded takes in that a server of a zone responded.
 func (e *Engine) zoneResponded(s *server) {
 	if !e.usesAllServers() {
-		e.zoneWatch.Heard(s.Zone, e.now)
+		e.zoneWatch.ObserveResponse(s.Zone, e.now)
 	}
 }
 
 // zoneFailed takes in that something sent to a server of a zone came to nothing.
 func (e *Engine) zoneFailed(s *server, sent time.Duration) {
 	if !e.usesAllServers() {
-		e.zoneWatch.Failed(s.Zone, uint64(s.gossipID), sent, e.now)
+		e.zoneWatch.ObserveFailure(s.Zone, uint64(s.gossipID), sent, e.now)
 	}
 }
 
 // zoneReported takes in what a peer says of a server of this node's subset.
 func (e *Engine) zoneReported(s *server, from int, finding serverFinding) {
 	if finding.isUp {
-		e.zoneWatch.Met(s.Zone, from, e.now)
+		e.zoneWatch.ObservePeerResponse(s.Zone, from, e.now)
 	} else {
-		e.zoneWatch.Told(s.Zone, uint64(s.gossipID), from, e.now)
+		e.zoneWatch.ObservePeerFailure(s.Zone, uint64(s.gossipID), from, e.now)
 	}
 }
 
@@ -44,7 +44,7 @@
 		return cmp.Compare(a.requestNumber, b.requestNumber)
 	})
 	for _, a := range unanswered {
-		e.zoneWatch.Waits(a.zone, uint64(a.server.gossipID), a.sentAt, e.now)
+		e.zoneWatch.ObserveSlowAttempt(a.zone, uint64(a.server.gossipID), a.sentAt, e.now)
 	}
 	isDown := map[string]bool{} // by zone
 	for _, s := range e.subset.members {
@@ -55,12 +55,12 @@
 			s.suspectedUntil = max(s.suspectedUntil, e.now+zoneSuspicion)
 		}
 	}
-	e.zoneWatch.Keep(isDown)
+	e.zoneWatch.RetainZones(isDown)
 }
 
 // isZoneDown asks the watch, and logs what it has just found.
 func (e *Engine) isZoneDown(zone string) bool {
-	isDown, isNew := e.zoneWatch.Down(zone, e.now)
+	isDown, isNew := e.zoneWatch.Evaluate(zone, e.now)
 	if isNew {
 		e.actions.Log("zone " + zone + " is silent: its servers are held to be lost until one answers")
 	}
