--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill hosts gateways on the simulator's wire: batches of events on
+// Command simadapter hosts gateways on the simulator's wire: batches of events on
 // standard input, one reply each on standard output. It decides nothing.
 package main
 
--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -1,4 +1,4 @@
-// Package bench measures what a request costs a gateway instance in CPU and how many a
+// Package benchmark measures what a request costs a gateway instance in CPU and how many a
 // second it takes, beside net/http/httputil's ReverseProxy and a direct call, all in one
 // run on the same stand-in servers. Each part is a process of its own, so that the CPU of
 // one is not taken for another's.
--- a/internal/openapi/read.go
+++ b/internal/openapi/read.go
@@ -1,5 +1,5 @@
 // Package openapi reads OpenAPI 3.0 and 3.1 descriptions, in YAML or JSON, into the
-// form that package contract compiles. It reads the one file that it is given: what a
+// form that package routing compiles. It reads the one file that it is given: what a
 // description refers to outside itself is a problem, and never fetched.
 package openapi
 
--- a/internal/scenario/lab.go
+++ b/internal/scenario/lab.go
@@ -1,4 +1,4 @@
-// Package lab plays scenarios: real instances of the gateway on loopback sockets, between
+// Package scenario runs scenarios: real instances of the gateway on loopback sockets, between
 // stand-in halls and licensees' clients. When one ends, it holds what the halls recorded
 // against what the instances counted, and tells which rules were kept.
 package scenario
--- a/internal/testserver/ledger.go
+++ b/internal/testserver/ledger.go
@@ -1,4 +1,4 @@
-// Package standin holds what stands outside the gateway: halls of booking servers, their
+// Package testserver holds what stands outside the gateway: halls of booking servers, their
 // registers, and licensees' clients. They run on loopback addresses, keep an exact account
 // of what reached them, and share no code for routes or costs with the gateway, so that
 // the account can be held against what the gateway counted.
@@ -94,15 +94,17 @@
 	return false
 }
 
-// QueryUnits, HeaderUnits and BodyUnits read units as a hall would; d is for none.
+// QueryUnits reads units from a query parameter as an app server would; d is the default where there is none.
 func QueryUnits(name string, d int) func(int, *http.Request, []byte) int {
 	return func(_ int, r *http.Request, _ []byte) int { return atoi(r.URL.Query().Get(name), d) }
 }
 
+// HeaderUnits reads units from a header field, as [QueryUnits] does from the query.
 func HeaderUnits(name string, d int) func(int, *http.Request, []byte) int {
 	return func(_ int, r *http.Request, _ []byte) int { return atoi(r.Header.Get(name), d) }
 }
 
+// BodyUnits reads units from the property of a JSON body that the names lead to; -1 if the body is no JSON.
 func BodyUnits(d int, names ...string) func(int, *http.Request, []byte) int {
 	return func(_ int, _ *http.Request, body []byte) int {
 		var v any
@@ -165,7 +167,7 @@
 	l.mu.Unlock()
 }
 
-// Arrivals, Strays and Fallen return the account so far.
+// Arrivals returns the requests that the servers have recorded so far.
 func (l *Ledger) Arrivals() []Arrival {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,12 +178,14 @@
 	return out
 }
 
+// Strays returns the requests that no route of the servers matched, as text.
 func (l *Ledger) Strays() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.strays...)
 }
 
+// Fallen returns the servers that collapsed under overload, as site/server.
 func (l *Ledger) Fallen() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
