--- /dev/null
+++ b/internal/discovery/endpoint.go
@@ -0,0 +1,125 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"net/netip"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// EndpointList is one watch event: the list of app servers, or the entries that changed.
+type EndpointList struct {
+	Generation uint64
+	IsComplete bool // a server missing from the list is gone
+	Servers    []Endpoint
+}
+
+// Endpoint is one app server and where it listens.
+type Endpoint struct {
+	policy.Server
+	Addr netip.AddrPort
+}
+
+// ParseEndpointList parses one watch event. An invalid entry is skipped, or one would cost all others; the
+// errors in skipped name each.
+func ParseEndpointList(text []byte) (list EndpointList, skipped []error, err error) {
+	var raw struct {
+		Generation uint64
+		Reset      bool
+		Instances  []json.RawMessage
+	}
+	if err := json.Unmarshal(text, &raw); err != nil {
+		return EndpointList{}, nil, err
+	}
+	list = EndpointList{Generation: raw.Generation, IsComplete: raw.Reset}
+	for i, text := range raw.Instances {
+		endpoint, err := parseEndpoint(text)
+		if err != nil {
+			skipped = append(skipped, fmt.Errorf("instances[%d].%w", i, err))
+			continue
+		}
+		list.Servers = append(list.Servers, endpoint)
+	}
+	return list, skipped, nil
+}
+
+// endpointEntry is an entry of a watch event as it is written.
+type endpointEntry struct {
+	InstanceID  string
+	HostPort    string
+	Zone        string
+	MachineType string
+	Cell        int
+	Lifecycle   string
+	Weight      float64
+	StartedAtMs float64
+}
+
+// maxStartedAtMs is the latest start that a time.Duration holds, in milliseconds.
+const maxStartedAtMs = math.MaxInt64 / float64(time.Millisecond)
+
+// parseEndpoint parses one entry; an error names the field.
+func parseEndpoint(text []byte) (Endpoint, error) {
+	var entry endpointEntry
+	if err := json.Unmarshal(text, &entry); err != nil {
+		if typeErr, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
+			return Endpoint{}, fmt.Errorf("%s: is a %s", typeErr.Field, typeErr.Value)
+		}
+		return Endpoint{}, err
+	}
+	if entry.InstanceID == "" {
+		return Endpoint{}, errors.New("instanceId: is empty")
+	}
+	state, err := parseLifecycle(entry.Lifecycle)
+	if err != nil {
+		return Endpoint{}, err
+	}
+	if entry.Weight < 0 {
+		return Endpoint{}, fmt.Errorf("weight: %v is negative", entry.Weight)
+	}
+	if entry.StartedAtMs < 0 || entry.StartedAtMs > maxStartedAtMs {
+		return Endpoint{}, fmt.Errorf("startedAtMs: %v is out of range", entry.StartedAtMs)
+	}
+	addr, err := ParseAddress("hostPort", entry.HostPort)
+	if err != nil && state != policy.Removed {
+		return Endpoint{}, err
+	}
+	server := policy.Server{
+		ID:        entry.InstanceID,
+		State:     state,
+		Weight:    entry.Weight,
+		Kind:      entry.MachineType,
+		Zone:      entry.Zone,
+		Cell:      entry.Cell,
+		StartedAt: time.Duration(entry.StartedAtMs * float64(time.Millisecond)),
+	}
+	return Endpoint{Server: server, Addr: addr}, nil
+}
+
+func parseLifecycle(word string) (policy.ServerState, error) {
+	switch word {
+	case "up":
+		return policy.Up, nil
+	case "draining":
+		return policy.Draining, nil
+	case "removed":
+		return policy.Removed, nil
+	}
+	return 0, fmt.Errorf("lifecycle: unknown word %q", word)
+}
+
+// ParseAddress parses an address with a port; an error names the field.
+func ParseAddress(field, v string) (netip.AddrPort, error) {
+	a, err := netip.ParseAddrPort(v)
+	if err != nil {
+		return a, fmt.Errorf("%s: %w", field, err)
+	}
+	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), nil
+}
+
+// maxListBytes bounds one watch event.
+const maxListBytes = 4 << 20
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/watcher_test.go
@@ -15,7 +15,8 @@
 
 const testTimeout = 30 * time.Second
 
-// startAgent answers each watch as the script says, over a real connection; w sends what is written at once.
+// startAgent serves watches over a real connection, the n-th by script(n, ...), until gone is closed; w sends what is written
+// at once.
 func startAgent(t *testing.T, script func(n int, from string, w io.Writer, gone <-chan struct{})) *Watcher {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +31,8 @@
 	})}
 	go srv.Serve(ln)
 	t.Cleanup(func() { srv.Close() })
-	return &Watcher{Addr: ln.Addr().(*net.TCPAddr).AddrPort(), SilenceTimeout: SilenceTimeout, IsLocalAgent: true, Logf: t.Logf}
+	addr := ln.Addr().(*net.TCPAddr).AddrPort()
+	return &Watcher{Addr: addr, SilenceTimeout: SilenceTimeout, IsLocalAgent: true, Logf: t.Logf}
 }
 
 type flushWriter struct{ http.ResponseWriter }
@@ -71,12 +73,14 @@
 }
 
 func listText(generation int) string {
-	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[{"instanceId":"a \"{[","hostPort":"127.0.0.1:9","lifecycle":"up"},{"instanceId":"b","hostPort":"127.0.0.1:8","lifecycle":"draining"}]}`, generation)
+	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[`+
+		`{"instanceId":"a \"{[","hostPort":"127.0.0.1:9","lifecycle":"up"},`+
+		`{"instanceId":"b","hostPort":"127.0.0.1:8","lifecycle":"draining"}]}`, generation)
 }
 
-// An agent that is silent learns nothing, and what it has at its return counts as told at once. So a node of a large fleet is
-// not blind for longer than any other: with the pauses of calls that a fleet makes, 2.5 to 7.5 s at 300 nodes, it went on
-// sending to servers that had been told to drain.
+// An agent that is silent learns nothing, and what it has at its return counts as known at once. So a node of
+// a large tier is not blind for longer than any other: with the delays of a large tier's calls, 2.5 to 7.5 s
+// at 300 nodes, it went on sending to servers that were draining.
 func TestSilentAgentIsPolledAgainAtOnce(t *testing.T) {
 	for _, nodes := range []int{1, 80, 300, 1000} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -95,11 +99,11 @@
 				<-gone
 			})
 			f.SilenceTimeout, f.Backoff = silent, NewBackoff(nodes, 3)
-			begun := time.Now()
+			startedAt := time.Now()
 			if l := nextList(t, startWatcher(t, f)); l.Generation != 9 {
 				t.Errorf("list %+v", l)
 			}
-			if took := time.Since(begun); took > 2200*time.Millisecond {
+			if took := time.Since(startedAt); took > 2200*time.Millisecond {
 				t.Errorf("%d nodes: the list came after %v, with five silences of %v", nodes, took, silent)
 			}
 		})
@@ -107,7 +111,7 @@
 }
 
 // An agent that says nothing on a new watch is given up well before one that has fallen silent: both
-// together stay inside the 6 s after which a list counts as told.
+// together stay inside the 6 s after which a list counts as known.
 func TestTwoSilencesInARow(t *testing.T) {
 	f := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
 		switch n {
@@ -121,14 +125,14 @@
 	})
 	lists := startWatcher(t, f)
 	nextList(t, lists)
-	fell := time.Now()
+	silentSince := time.Now()
 	nextList(t, lists)
-	if took := time.Since(fell); took > 5500*time.Millisecond {
+	if took := time.Since(silentSince); took > 5500*time.Millisecond {
 		t.Errorf("the next list came %v after the watch had fallen silent", took)
 	}
 }
 
-// A list may come indented, over many lines and in pieces with pauses, and counts once it is whole.
+// A list may come indented, over many lines and in pieces with pauses, and counts once it is complete.
 func TestListsInOtherForms(t *testing.T) {
 	var wide bytes.Buffer
 	if err := json.Indent(&wide, []byte(listText(8)), "", "\t"); err != nil {
@@ -152,9 +156,10 @@
 	}
 }
 
-// What was said is lost with a list that breaks off: the whole list is asked for. Nothing of the torn one counts.
+// What was said is lost with a list that breaks off: the complete list is requested. Nothing of the truncated
+// one counts.
 func TestTruncatedListsAreRequestedAgain(t *testing.T) {
-	for name, torn := range map[string]string{
+	for name, truncated := range map[string]string{
 		"before a sign of life": listText(8)[:60] + "\n\n",
 		"in a name":             listText(8)[:46] + "\n",
 		"at the end":            listText(8)[:60],
@@ -164,22 +169,22 @@
 		"too long in one line":  `{"x":[` + strings.Repeat("0,", maxListBytes/2),
 	} {
 		t.Run(name, func(t *testing.T) {
-			froms, begun := make(chan string, 10), time.Now()
+			froms, startedAt := make(chan string, 10), time.Now()
 			f := startAgent(t, func(n int, from string, w io.Writer, gone <-chan struct{}) {
 				froms <- from
 				if n > 1 {
 					io.WriteString(w, listText(9)+"\n")
-				} else if io.WriteString(w, torn); strings.HasSuffix(name, "end") {
+				} else if io.WriteString(w, truncated); strings.HasSuffix(name, "end") {
 					return
 				}
 				<-gone
 			})
 			f.LastGeneration, f.Backoff = 7, NewBackoff(300, 3)
 			if l := nextList(t, startWatcher(t, f)); l.Generation != 9 {
-				t.Errorf("a torn list counted: %+v", l)
+				t.Errorf("a truncated list counted: %+v", l)
 			}
-			// An agent serves this node alone: there is no line that calls of a fleet could lengthen.
-			if took := time.Since(begun); took > 2200*time.Millisecond {
+			// An agent serves this node alone: there is no queue that calls of a tier could lengthen.
+			if took := time.Since(startedAt); took > 2200*time.Millisecond {
 				t.Errorf("the next list came after %v", took)
 			}
 			if a, b := <-froms, <-froms; a != "7" || b != "0" {
--- a/internal/loadreport/load.go
+++ b/internal/loadreport/loadreport.go
@@ -1,4 +1,4 @@
-// Package load reads the load reports of app servers.
+// Package loadreport parses the load reports of app servers.
 package loadreport
 
 import (
@@ -8,39 +8,39 @@
 	"mulleinmux/policy"
 )
 
-// Most that a figure of a load report can be: reports are noisy, but a core can't be
-// busy several times over, nor can a server hold more than it has connections.
+// Largest figures that a load report can hold: reports are noisy, but a core can't be
+// busy several times over, nor can a server hold more requests than it has connections.
 const (
 	maxUtilization = 2
 	maxCount       = 1e5
 )
 
 // Parse parses a load report such as "TEXT inflight=7, queue=2, util=0.61".
-// Unknown names and figures that can't be are skipped; nil means that there is no
+// Unknown names and figures out of range are skipped; nil means that there is no
 // report in the text.
 func Parse(text string) *policy.LoadReport {
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT")
 	if !ok {
 		return nil
 	}
-	l := policy.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1}
+	report := policy.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1}
 	for _, pair := range strings.Split(text, ",") {
-		name, val, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		x, ok := ParseDecimal(val)
+		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		x, ok := ParseDecimal(value)
 		if !ok {
 			continue
 		}
 		switch {
 		case x > maxCount:
 		case name == "inflight" || name == "outstanding":
-			l.InFlight = x
+			report.InFlight = x
 		case name == "queue" || name == "backlog":
-			l.QueueLength = x
+			report.QueueLength = x
 		case (name == "util" || name == "utilization") && x <= maxUtilization:
-			l.Utilization = x
+			report.Utilization = x
 		}
 	}
-	return &l
+	return &report
 }
 
 // ParseDecimal parses a plain decimal number from 0: no sign, exponent, hex or infinity.
