--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -26,7 +26,7 @@
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		ops, paths := benchTable(n)
-		tab, err := Compile(document(ops...), classOptions())
+		tab, err := Compile(makeDocument(ops...), classOptions())
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/routing/document.go
+++ b/routing/document.go
@@ -9,11 +9,6 @@
 // holds its [Operation] keeps the version that it was matched with.
 package routing
 
-import (
-	"fmt"
-	"strings"
-)
-
 // Document is what a description says, as far as routing and cost depend on it.
 type Document struct {
 	File      string // named in problems
@@ -82,38 +77,3 @@
 	Pos   Pos
 	Value Value
 }
-
-// Problem is one thing that is wrong with a description.
-type Problem struct {
-	File  string
-	Pos   Pos
-	Field string // such as "paths./visits.post.x-mulleinmux.units"; empty: the document
-	Text  string // what is wrong and what to do
-}
-
-func (p Problem) Error() string {
-	var b strings.Builder
-	b.WriteString(p.File)
-	if p.Pos.Line > 0 {
-		fmt.Fprintf(&b, ":%d", p.Pos.Line)
-		if p.Pos.Column > 0 {
-			fmt.Fprintf(&b, ":%d", p.Pos.Column)
-		}
-	}
-	b.WriteString(": ")
-	if p.Field != "" {
-		b.WriteString(p.Field + ": ")
-	}
-	return b.String() + p.Text
-}
-
-// Problems are all that is wrong with a description, in its order.
-type Problems []Problem
-
-func (ps Problems) Error() string {
-	lines := make([]string, len(ps))
-	for i, p := range ps {
-		lines[i] = p.Error()
-	}
-	return strings.Join(lines, "\n")
-}
--- a/routing/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// slowMatch finds the operation of a path in the obvious way: of all templates that match
+// referenceMatch finds the operation of a path in the obvious way: of all templates that match
 // it, the one that is within each other one.
-func slowMatch(tab *Table, method, path string) *Operation {
+func referenceMatch(tab *Table, method, path string) *Operation {
 	var best *Operation
 	var bestSegs []segment
 	parts := strings.Split(path[1:], "/")
@@ -21,8 +21,8 @@
 		}
 		matches, within := true, best != nil
 		for i, s := range segs {
-			matches = matches && (parts[i] != "" || !s.param) && s.matches(parts[i])
-			within = within && s.within(bestSegs[i])
+			matches = matches && (parts[i] != "" || !s.isParam) && s.matches(parts[i])
+			within = within && s.isWithin(bestSegs[i])
 		}
 		if matches && (best == nil || within) {
 			best, bestSegs = op, segs
@@ -39,7 +39,7 @@
 	return nil
 }
 
-var words = []string{"a", "b", "ab", "a.csv", "b.csv", "abc", "visits", "new", "x:run", ""}
+var segmentWords = []string{"a", "b", "ab", "a.csv", "b.csv", "abc", "visits", "new", "x:run", ""}
 
 // randomTable makes templates of few words, so that many overlap, and compiles those that
 // don't conflict.
@@ -57,17 +57,17 @@
 			case 2:
 				template += fmt.Sprintf("/a{p%d}", i)
 			default:
-				template += "/" + words[rng.IntN(len(words)-1)]
+				template += "/" + segmentWords[rng.IntN(len(segmentWords)-1)]
 			}
 		}
 		if op := []string{"GET ", "POST "}[rng.IntN(2)] + template; !seen[op] {
 			seen[op] = true
-			if _, err := Compile(document(append(ops, op)...), classOptions()); err == nil {
+			if _, err := Compile(makeDocument(append(ops, op)...), classOptions()); err == nil {
 				ops = append(ops, op)
 			}
 		}
 	}
-	tab, err := Compile(document(ops...), classOptions())
+	tab, err := Compile(makeDocument(ops...), classOptions())
 	if err != nil {
 		panic(err) // each was taken beside the others
 	}
@@ -86,20 +86,20 @@
 		for range 40 {
 			path := ""
 			for range 1 + rng.IntN(4) {
-				path += "/" + words[rng.IntN(len(words))]
+				path += "/" + segmentWords[rng.IntN(len(segmentWords))]
 			}
 			if tab.CheckPath(path) != "" {
 				continue
 			}
 			got, _, _ := tab.Match("GET", path)
-			if want := slowMatch(tab, "GET", path); got != want {
-				t.Fatalf("%s: %v, want %v", path, name(got), name(want))
+			if want := referenceMatch(tab, "GET", path); got != want {
+				t.Fatalf("%s: %v, want %v", path, operationName(got), operationName(want))
 			}
 		}
 	})
 }
 
-func name(o *Operation) string {
+func operationName(o *Operation) string {
 	if o == nil {
 		return "none"
 	}
@@ -114,7 +114,7 @@
 		{Units: Units{Source: ParamSource{In: InQuery, Name: "n"}, Min: 1, Max: 50}},
 		{Units: Units{Source: ParamSource{In: InBody, Name: "n", Path: []string{"n"}}, Min: 1, Max: 50}},
 	}
-	tab, err := Compile(document("GET /visits/{id}", "GET /visits/new", "POST /a/{x}.csv"), classOptions())
+	tab, err := Compile(makeDocument("GET /visits/{id}", "GET /visits/new", "POST /a/{x}.csv"), classOptions())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 			}
 		}
 		for _, op := range ops {
-			if n, err := op.Charge(Request{Query: query, Header: jsonHead, Body: body}); err == nil && (n < 1 || n > 50) {
+			if n, err := op.Charge(Request{Query: query, Header: jsonHeader, Body: body}); err == nil && (n < 1 || n > 50) {
 				t.Errorf("%q %q: %d units", query, body, n)
 			} else if err == nil && op.Units.Source.In == InBody && !json.Valid(body) {
 				t.Errorf("%q is no JSON and was charged", body)
--- a/routing/path.go
+++ b/routing/path.go
@@ -28,7 +28,7 @@
 // not let in, or "" if it is. It makes no allocation. Delimiters that no literal part of
 // a template has may stand percent-encoded, as clients' libraries write them: RFC 3986
 // holds the two spellings for different, and neither can become another operation's path.
-func (t *Table) CheckPath(path string) string { return checkPath(path, &t.literalDelims) }
+func (t *Table) CheckPath(path string) string { return checkPath(path, &t.literalDelimiters) }
 
 // checkPath takes the delimiters that may stand in one spelling only.
 func checkPath(path string, bare *[256]bool) string {
@@ -76,7 +76,7 @@
 			return "the path has a percent-encoded slash, backslash or semicolon"
 		case d < 0x20 || d == 0x7f:
 			return "the path has a percent-encoded control character"
-		case d == '%' && i+4 < len(path) && anyHex(path[i+3]) && anyHex(path[i+4]):
+		case d == '%' && i+4 < len(path) && isHex(path[i+3]) && isHex(path[i+4]):
 			return "the path is percent-encoded twice"
 		}
 		i += 2
@@ -94,4 +94,12 @@
 	return -1
 }
 
-func anyHex(c byte) bool { return upperHex(c) >= 0 || 'a' <= c && c <= 'f' }
+func isHex(c byte) bool { return upperHex(c) >= 0 || 'a' <= c && c <= 'f' }
+
+// allDelimiters holds a template to one spelling of each delimiter.
+var allDelimiters = func() (t [256]bool) {
+	for c := range t {
+		t[c] = pathByte[c] == 2
+	}
+	return t
+}()
