--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -11,8 +11,11 @@
 // templated paths of two to five segments. It returns paths that match them in turn.
 func benchTable(n int) (ops, paths []string) {
 	for i := 0; len(ops) < n; i++ {
-		for _, op := range []string{"GET /v1/res%d", "POST /v1/res%d", "GET /v1/res%d/new", "GET /v1/res%d/{id}", "PUT /v1/res%d/{id}",
-			"GET /v1/res%d/{id}/parts", "GET /v1/res%d/{id}/parts/{part}", "POST /v1/res%d/{id}/confirm"} {
+		for _, op := range []string{
+			"GET /v1/res%d", "POST /v1/res%d", "GET /v1/res%d/new",
+			"GET /v1/res%d/{id}", "PUT /v1/res%d/{id}",
+			"GET /v1/res%d/{id}/parts", "GET /v1/res%d/{id}/parts/{part}", "POST /v1/res%d/{id}/confirm",
+		} {
 			if len(ops) < n {
 				op = fmt.Sprintf(op, i)
 				ops = append(ops, op)
--- a/routing/body.go
+++ b/routing/body.go
@@ -9,19 +9,27 @@
 	"strings"
 )
 
-// checkJSONType tells whether a body is JSON in UTF-8, unpacked: anything else a hall could
+// What is wrong with the value of a property.
+var (
+	errWantString         = errors.New("a string is wanted")
+	errWantNumber         = errors.New("a number is wanted, not a string")
+	errWantNumberOrString = errors.New("a number or a string is wanted")
+)
+
+// checkJSONType checks that a body is JSON in UTF-8, without a content coding: anything else a server could
 // read as other words than stand in it here.
 func checkJSONType(h Header) error {
-	ct, n := h.Values("Content-Type")
-	media, params, _ := strings.Cut(ct, ";")
-	if n != 1 || !strings.EqualFold(strings.TrimSpace(media), "application/json") {
-		return &ChargeError{415, "Content-Type: application/json is wanted"}
+	contentType, lines := h.Values("Content-Type")
+	media, params, _ := strings.Cut(contentType, ";")
+	if lines != 1 || !strings.EqualFold(strings.TrimSpace(media), "application/json") {
+		return &ChargeError{statusUnsupportedMediaType, "Content-Type: application/json is wanted"}
 	}
-	if params = strings.ToLower(strings.ReplaceAll(params, " ", "")); params != "" && params != "charset=utf-8" {
-		return &ChargeError{415, "Content-Type: no other charset than utf-8 is read"}
+	params = strings.ToLower(strings.ReplaceAll(params, " ", ""))
+	if params != "" && params != "charset=utf-8" {
+		return &ChargeError{statusUnsupportedMediaType, "Content-Type: no other charset than utf-8 is read"}
 	}
-	if _, n := h.Values("Content-Encoding"); n > 0 {
-		return &ChargeError{415, "Content-Encoding: a packed body is not read"}
+	if _, lines := h.Values("Content-Encoding"); lines > 0 {
+		return &ChargeError{statusUnsupportedMediaType, "Content-Encoding: a packed body is not read"}
 	}
 	return nil
 }
@@ -29,79 +37,106 @@
 // bodyValue returns the text of a property of a JSON object. The whole body must be
 // one JSON value. In every object on the way each name stands once, however it is
 // written, and no other that differs in case only.
-func bodyValue(body []byte, path []string, number bool) (string, error) {
-	dec := json.NewDecoder(bytes.NewReader(body))
-	dec.UseNumber()
-	value, err := readProperty(dec, path, number)
+func bodyValue(body []byte, path []string, want valueType) (string, error) {
+	reader := bodyReader{decoder: json.NewDecoder(bytes.NewReader(body)), want: want}
+	reader.decoder.UseNumber()
+	value, err := reader.readObject(path)
 	if err != nil {
 		return "", err
 	}
-	if _, err := dec.Token(); err != io.EOF {
+	if _, err := reader.decoder.Token(); err != io.EOF {
 		return "", newChargeError("body: more than one JSON value")
 	}
 	return value, nil
 }
 
-func invalidJSON(err error) error {
-	return newChargeError("body: is no JSON, or is cut short: %v", err)
+// bodyReader reads a property of a JSON body token by token.
+type bodyReader struct {
+	decoder *json.Decoder
+	want    valueType
 }
 
-// readProperty reads the object that comes next, to its end.
-func readProperty(dec *json.Decoder, path []string, number bool) (value string, err error) {
-	tok, err := dec.Token()
+// readObject reads the object that comes next, to its end, and returns the text of the property at the path.
+func (r *bodyReader) readObject(path []string) (value string, err error) {
+	start, err := r.token()
 	if err != nil {
-		return "", invalidJSON(err)
+		return "", err
 	}
-	if tok != json.Delim('{') {
+	if start != json.Delim('{') {
 		return "", newChargeError("body: an object is wanted where %q stands", path[0])
 	}
-	found := false
-	for dec.More() {
-		name, err := dec.Token()
+	isFound := false
+	for r.decoder.More() {
+		name, err := r.token()
 		if err != nil {
-			return "", invalidJSON(err)
+			return "", err
 		}
 		if !strings.EqualFold(name.(string), path[0]) {
-			var skip json.RawMessage
-			if err := dec.Decode(&skip); err != nil {
-				return "", invalidJSON(err)
+			if err := r.skipValue(); err != nil {
+				return "", err
 			}
 			continue
 		}
-		if found {
+		if isFound {
 			return "", errDuplicate
 		}
-		if found = true; name != path[0] {
+		if name != path[0] {
 			return "", fmt.Errorf("stands as %q: write it as described", name)
 		}
-		if len(path) > 1 {
-			if value, err = readProperty(dec, path[1:], number); err != nil {
-				return "", err
-			}
-			continue
-		}
-		tok, err := dec.Token()
-		if err != nil {
-			return "", invalidJSON(err)
-		}
-		switch v := tok.(type) {
-		case json.Number:
-			if value = v.String(); !number {
-				return "", errors.New("a string is wanted")
-			}
-		case string:
-			if value = v; number {
-				return "", errors.New("a number is wanted, not a string")
-			}
-		default:
-			return "", errors.New("a number or a string is wanted")
+		isFound = true
+		if value, err = r.readValue(path); err != nil {
+			return "", err
 		}
 	}
-	if _, err := dec.Token(); err != nil { // the closing brace
-		return "", invalidJSON(err)
+	if _, err := r.token(); err != nil { // the closing brace
+		return "", err
 	}
-	if !found {
+	if !isFound {
 		return "", errMissing
 	}
 	return value, nil
 }
+
+// readValue reads the value of the path's first name: the property itself, or an object on the way to it.
+func (r *bodyReader) readValue(path []string) (string, error) {
+	if len(path) > 1 {
+		return r.readObject(path[1:])
+	}
+	token, err := r.token()
+	if err != nil {
+		return "", err
+	}
+	switch value := token.(type) {
+	case json.Number:
+		if r.want != numberType {
+			return "", errWantString
+		}
+		return value.String(), nil
+	case string:
+		if r.want != stringType {
+			return "", errWantNumber
+		}
+		return value, nil
+	}
+	return "", errWantNumberOrString
+}
+
+func (r *bodyReader) skipValue() error {
+	var skipped json.RawMessage
+	if err := r.decoder.Decode(&skipped); err != nil {
+		return invalidJSON(err)
+	}
+	return nil
+}
+
+func (r *bodyReader) token() (json.Token, error) {
+	token, err := r.decoder.Token()
+	if err != nil {
+		return nil, invalidJSON(err)
+	}
+	return token, nil
+}
+
+func invalidJSON(err error) error {
+	return newChargeError("body: is no JSON, or is cut short: %v", err)
+}
--- a/routing/charge.go
+++ b/routing/charge.go
@@ -5,28 +5,39 @@
 	"fmt"
 )
 
+// maxNumberDigits bounds the digits of a number in a request: any such number fits an int.
+const maxNumberDigits = 9
+
+// Statuses of a [ChargeError] (RFC 9110, 15.5). The package does not import net/http for them, which does I/O.
 const (
-	InNowhere Location = iota
-	InPath
-	InQuery
-	InHeader
-	InBody // a property of a JSON body
+	statusBadRequest           = 400
+	statusUnsupportedMediaType = 415
 )
 
-// ChargeError tells why a request can't be charged. Nothing is sent on for it.
+// ChargeError tells why a request can't be charged. Such a request is not forwarded.
 type ChargeError struct {
-	Status int // 400 or 415
-	Text   string
+	Status int    // of the response: 400 or 415
+	Text   string // for the client
 }
 
-func (r *ChargeError) Error() string { return r.Text }
+// Error returns the text for the client.
+func (e *ChargeError) Error() string { return e.Text }
 
+// newChargeError returns an error for a request whose parameters or body are wrong.
 func newChargeError(format string, args ...any) error {
-	return &ChargeError{400, fmt.Sprintf(format, args...)}
+	return &ChargeError{statusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// ReadKey returns the key of a keyed operation's request that was charged, path being that of
-// its line; empty for others.
+// asChargeError returns an error of a parameter as a [*ChargeError] that names it.
+func asChargeError(source ParamSource, err error) error {
+	if _, ok := errors.AsType[*ChargeError](err); ok {
+		return err
+	}
+	return newChargeError("%s: %v", source, err)
+}
+
+// ReadKey returns the idempotency key of a request that was charged, path being that of
+// its request line; empty where the operation has none.
 func (o *Operation) ReadKey(r Request, path string) string {
 	switch o.KeySource.In {
 	case InNowhere:
@@ -34,57 +45,60 @@
 	case InPath:
 		return path
 	}
-	key, err := o.KeySource.read(r, false)
+	key, err := o.KeySource.read(r, stringType)
 	if err != nil {
-		return "" // Charge has refused it
+		return "" // Charge has rejected it
 	}
 	return key
 }
 
-// Charge returns the units of a request, and checks that a keyed one has its key. What
-// it reads, a hall must read in the same way: a name that stands twice, in two
+// Charge returns the units of a request, and checks that it has its idempotency key where the operation
+// wants one. What it reads, a server must read in the same way: a name that stands twice, in two
 // spellings, or a number in any but the plain form is a [*ChargeError].
 func (o *Operation) Charge(r Request) (units int, err error) {
-	if o.KeySource.In != InNowhere && o.KeySource.In != InPath {
-		key, err := o.KeySource.read(r, false)
-		if err == nil && key == "" {
-			err = errMissing
-		}
-		if err != nil {
-			return 0, asChargeError(o.KeySource, err)
-		}
+	if err := o.checkKey(r); err != nil {
+		return 0, err
 	}
 	if o.Units.Fixed > 0 {
 		return o.Units.Fixed, nil
 	}
-	text, err := o.Units.Source.read(r, true)
+	source := o.Units.Source
+	text, err := source.read(r, numberType)
 	if errors.Is(err, errMissing) && o.Units.HasDefault {
 		return o.Units.Default, nil
 	}
 	if err != nil {
-		return 0, asChargeError(o.Units.Source, err)
+		return 0, asChargeError(source, err)
 	}
 	n, ok := parsePlainNumber(text)
 	if !ok {
-		return 0, newChargeError("%s: a whole number is wanted, in digits alone", o.Units.Source)
+		return 0, newChargeError("%s: a whole number is wanted, in digits alone", source)
 	}
 	if n < o.Units.Min || n > o.Units.Max {
-		return 0, newChargeError("%s: is outside %d to %d", o.Units.Source, o.Units.Min, o.Units.Max)
+		return 0, newChargeError("%s: is outside %d to %d", source, o.Units.Min, o.Units.Max)
 	}
 	return n, nil
 }
 
-func asChargeError(s ParamSource, err error) error {
-	if _, ok := errors.AsType[*ChargeError](err); ok {
-		return err
+// checkKey checks that a request has its idempotency key. One in the path is always there.
+func (o *Operation) checkKey(r Request) error {
+	if o.KeySource.In == InNowhere || o.KeySource.In == InPath {
+		return nil
+	}
+	key, err := o.KeySource.read(r, stringType)
+	if err == nil && key == "" {
+		err = errMissing
+	}
+	if err != nil {
+		return asChargeError(o.KeySource, err)
 	}
-	return newChargeError("%s: %v", s, err)
+	return nil
 }
 
 // parsePlainNumber reads digits without a sign, exponent or zeros ahead, which readers take
 // in different ways (octal, among others).
 func parsePlainNumber(text string) (n int, ok bool) {
-	if len(text) == 0 || len(text) > 9 || len(text) > 1 && text[0] == '0' {
+	if len(text) == 0 || len(text) > maxNumberDigits || len(text) > 1 && text[0] == '0' {
 		return 0, false
 	}
 	for i := range len(text) {
--- a/routing/charge_test.go
+++ b/routing/charge_test.go
@@ -6,17 +6,20 @@
 	"testing"
 )
 
-// Units are read from the one place and in the one form in which every hall reads them.
+// Units are read from the one place and in the one form in which every server reads them.
 func TestCharge(t *testing.T) {
-	from := func(in Location, name string, def int) *Operation {
-		o := &Operation{Units: Units{Source: ParamSource{In: in, Name: name, Path: strings.Split(strings.TrimPrefix(name, "/"), "/")}, Min: 1, Max: 50, Default: def, HasDefault: def > 0}}
-		return o
+	from := func(in Location, name string, defaultUnits int) *Operation {
+		source := ParamSource{In: in, Name: name, Path: strings.Split(strings.TrimPrefix(name, "/"), "/")}
+		return &Operation{Units: Units{
+			Source: source, Min: 1, Max: 50, Default: defaultUnits, HasDefault: defaultUnits > 0,
+		}}
 	}
-	query, byHeader, body, deep := from(InQuery, "n", 0), from(InHeader, "X-Units", 0), from(InBody, "/n", 3), from(InBody, "/visit/n", 0)
+	query, byHeader := from(InQuery, "n", 0), from(InHeader, "X-Units", 0)
+	body, deep := from(InBody, "/n", 3), from(InBody, "/visit/n", 0)
 	for _, c := range []struct {
 		op   *Operation
 		r    Request
-		want int // 0: refused
+		want int // 0: rejected
 	}{
 		{query, Request{Query: "n=7"}, 7},
 		{query, Request{Query: "a=1&n=7&b"}, 7},
@@ -64,7 +67,10 @@
 		{body, Request{Header: jsonHeader, Body: nil}, 0},
 		{body, Request{Header: testHeader{"Content-Type": {"text/plain"}}, Body: []byte(`{"n":5}`)}, 0},
 		{body, Request{Header: testHeader{"Content-Type": {"application/json; charset=utf-16"}}, Body: []byte(`{"n":5}`)}, 0},
-		{body, Request{Header: testHeader{"Content-Type": {"application/json"}, "Content-Encoding": {"gzip"}}, Body: []byte(`{"n":5}`)}, 0},
+		{body, Request{
+			Header: testHeader{"Content-Type": {"application/json"}, "Content-Encoding": {"gzip"}},
+			Body:   []byte(`{"n":5}`),
+		}, 0},
 		{body, Request{Header: testHeader{"Content-Type": {"Application/JSON; charset=UTF-8"}}, Body: []byte(`{"n":5}`)}, 5},
 		{deep, Request{Header: jsonHeader, Body: []byte(`{"n":1,"visit":{"n":5}}`)}, 5},
 		{deep, Request{Header: jsonHeader, Body: []byte(`{"visit":{"n":5},"visit":{"n":50}}`)}, 0},
@@ -72,7 +78,8 @@
 		{deep, Request{Header: jsonHeader, Body: []byte(`{"visit":{}}`)}, 0},
 	} {
 		n, err := c.op.Charge(c.r)
-		if _, refused := errors.AsType[*ChargeError](err); n != c.want || (err != nil) != (c.want == 0) || err != nil && !refused {
+		_, isChargeError := errors.AsType[*ChargeError](err)
+		if n != c.want || (err != nil) != (c.want == 0) || err != nil && !isChargeError {
 			t.Errorf("%s of %q %s: %d, %v; want %d", c.op.Units.Source, c.r.Query, c.r.Body, n, err, c.want)
 		}
 	}
@@ -80,7 +87,12 @@
 	for _, c := range []struct {
 		h    testHeader
 		want bool
-	}{{testHeader{"Idempotency-Key": {"k"}}, true}, {testHeader{}, false}, {testHeader{"Idempotency-Key": {""}}, false}, {testHeader{"Idempotency-Key": {"k", "l"}}, false}} {
+	}{
+		{testHeader{"Idempotency-Key": {"k"}}, true},
+		{testHeader{}, false},
+		{testHeader{"Idempotency-Key": {""}}, false},
+		{testHeader{"Idempotency-Key": {"k", "l"}}, false},
+	} {
 		if _, err := keyed.Charge(Request{Header: c.h}); (err == nil) != c.want {
 			t.Errorf("key in %v: %v", c.h, err)
 		}
--- /dev/null
+++ b/routing/class.go
@@ -0,0 +1,78 @@
+package routing
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// Class is what an operator's file says of a class: the priority of its requests, and
+// the figures of operations that declare none.
+type Class struct {
+	Name             string
+	PriorityWeight   float64
+	LateFraction     float64 // part of PriorityWeight between LatencyObjective and Deadline
+	LatencyObjective time.Duration
+	Deadline         time.Duration
+}
+
+// Options are what the operator's files add to a description.
+type Options struct {
+	Classes  []Class
+	MaxUnits int // of one request; 0: no limit
+}
+
+// class reads the class of an operation, with the operator's figures.
+func (r *extensionReader) class() policy.Class {
+	var names []string
+	for _, class := range r.compiler.options.Classes {
+		names = append(names, class.Name)
+	}
+	field, ok := r.fields[fieldClass]
+	if !ok {
+		r.reportMissing(fieldClass, "no class is declared here, on the path or on the document: one of %s is wanted",
+			strings.Join(names, ", "))
+		return policy.Class{}
+	}
+	for _, class := range r.compiler.options.Classes {
+		if field.Value.Kind == TextValue && class.Name == field.Value.Text {
+			return policy.Class{
+				Name:             class.Name,
+				PriorityWeight:   class.PriorityWeight,
+				LateFraction:     class.LateFraction,
+				LatencyObjective: class.LatencyObjective,
+				Deadline:         class.Deadline,
+			}
+		}
+	}
+	r.report(field, "class %q has no worth in the operator's file: one of %s is wanted",
+		field.Value.Text, strings.Join(names, ", "))
+	return policy.Class{}
+}
+
+// internClass gives each combination of class and figures a name of its own, the same
+// in every table, and lists it once.
+func (c *compiler) internClass(class policy.Class) policy.Class {
+	effect := [...]string{
+		policy.Idempotent:        effectSafe,
+		policy.IdempotentWithKey: effectKeyed,
+		policy.NonIdempotent:     effectUnsafe,
+	}[class.Idempotency]
+	name := fmt.Sprintf("%s/%s/%v/%v", class.Name, effect, class.LatencyObjective, class.Deadline)
+	if class.Idempotency == policy.IdempotentWithKey {
+		group := [...]string{
+			policy.DedupAllServers: groupAll,
+			policy.DedupZone:       groupZone,
+			policy.DedupCell:       groupCell,
+		}[class.DedupScope]
+		name += fmt.Sprintf("/%s/%v", group, class.DedupWindow)
+	}
+	class.Name = name
+	if !c.classNames[name] {
+		c.classNames[name] = true
+		c.table.Classes = append(c.table.Classes, class)
+	}
+	return class
+}
--- a/routing/compile.go
+++ b/routing/compile.go
@@ -5,13 +5,15 @@
 	"fmt"
 	"slices"
 	"strings"
-
-	"mulleinmux/policy"
 )
 
-// maxProblems bounds the problems that are told of one description.
+// maxProblems bounds the problems that are reported of one description.
 const maxProblems = 100
 
+// maxConflictProblems is how many problems there may be when conflicts are searched for: templates that all conflict
+// would make as many as the square of their number.
+const maxConflictProblems = 10 * maxProblems
+
 // compiler collects a table and all that is wrong with its description.
 type compiler struct {
 	doc        *Document
@@ -24,178 +26,176 @@
 
 // Compile checks a whole description and returns its table. The error is [Problems]: all
 // that is wrong, in the order of the file.
-func Compile(doc *Document, opt Options) (*Table, error) {
-	c := &compiler{doc: doc, options: opt, classNames: map[string]bool{},
-		table: &Table{File: doc.File, Version: doc.Version, literalPaths: map[string]*pathItem{}, root: &node{}}}
-	ids := map[string]Pos{}
-	for i := range doc.Paths {
-		p := &doc.Paths[i]
-		for j := range p.Methods {
-			m := &p.Methods[j]
-			if m.ID != "" {
-				if first, ok := ids[m.ID]; ok {
-					c.addProblem(m.Pos, c.fieldOf(p, m)+".operationId", "%q names the operation at line %d too: give each its own", m.ID, first.Line)
-					continue
-				}
-				ids[m.ID] = m.Pos
-			}
-			c.compileOperation(p, m)
-		}
-	}
+func Compile(doc *Document, options Options) (*Table, error) {
+	c := newCompiler(doc, options)
+	c.compileOperations()
 	c.reportConflicts()
 	if len(c.table.Operations) == 0 && len(c.problems) == 0 {
 		c.addProblem(Pos{}, "paths", "describes no operation")
 	}
 	if len(c.problems) > 0 {
-		slices.SortStableFunc(c.problems, func(a, b Problem) int {
-			return cmp.Or(cmp.Compare(a.Pos.Line, b.Pos.Line), cmp.Compare(a.Pos.Column, b.Pos.Column))
-		})
-		if n := len(c.problems); n > maxProblems {
-			c.problems = append(c.problems[:maxProblems], Problem{File: doc.File, Text: fmt.Sprintf("and %d more problems", n-maxProblems)})
-		}
-		return nil, c.problems
+		return nil, c.sortedProblems()
 	}
 	return c.table, nil
 }
 
-func (c *compiler) addProblem(pos Pos, field, format string, args ...any) {
-	c.problems = append(c.problems, Problem{c.doc.File, pos, field, fmt.Sprintf(format, args...)})
+func newCompiler(doc *Document, options Options) *compiler {
+	return &compiler{
+		doc:     doc,
+		options: options,
+		table: &Table{
+			File:         doc.File,
+			Version:      doc.Version,
+			literalPaths: map[string]*pathItem{},
+			root:         &node{},
+		},
+		classNames: map[string]bool{},
+	}
 }
 
-func (c *compiler) fieldOf(p *Path, m *Method) string {
-	return "paths." + p.Template + "." + strings.ToLower(m.Name)
+// compileOperations compiles all operations, but for those whose operationId an earlier one has.
+func (c *compiler) compileOperations() {
+	declaredAt := map[string]Pos{} // by operationId
+	for i := range c.doc.Paths {
+		path := &c.doc.Paths[i]
+		for j := range path.Methods {
+			method := &path.Methods[j]
+			first, isTaken := declaredAt[method.ID]
+			if isTaken {
+				c.addProblem(method.Pos, fieldOf(path, method)+".operationId",
+					"%q names the operation at line %d too: give each its own", method.ID, first.Line)
+				continue
+			}
+			if method.ID != "" {
+				declaredAt[method.ID] = method.Pos
+			}
+			c.compileOperation(path, method)
+		}
+	}
 }
 
-// compileOperation compiles one operation and puts it under each of its paths.
-func (c *compiler) compileOperation(p *Path, m *Method) {
-	at := c.fieldOf(p, m)
-	before := len(c.problems)
-	segs, names, err := parseTemplate(p.Template)
+// compileOperation compiles one operation and enters it under each of its base paths.
+func (c *compiler) compileOperation(path *Path, method *Method) {
+	field := fieldOf(path, method)
+	problemsBefore := len(c.problems)
+	segments, names, err := parseTemplate(path.Template)
 	if err != nil {
-		c.addProblem(p.Pos, "paths."+p.Template, "%v", err)
+		c.addProblem(path.Pos, "paths."+path.Template, "%v", err)
 		return
 	}
 	for _, name := range names {
-		if m.param("path", name) == nil {
-			c.addProblem(m.Pos, at+".parameters", "path parameter %q is not described: add it with in: path", name)
+		if method.param("path", name) == nil {
+			c.addProblem(method.Pos, field+".parameters",
+				"path parameter %q is not described: add it with in: path", name)
 		}
 	}
-	op := &Operation{ID: m.ID, Method: m.Name, Pos: m.Pos, table: c.table, declaredPath: p.Template}
+	op := &Operation{ID: method.ID, Method: method.Name, Pos: method.Pos, table: c.table, declaredPath: path.Template}
 	if op.ID == "" {
-		op.ID = m.Name + " " + p.Template
+		op.ID = method.Name + " " + path.Template
 	}
-	c.readExtensions(op, p, m, at)
-	if len(c.problems) > before {
+	c.readExtensions(op, path, method, field)
+	if len(c.problems) > problemsBefore {
 		return
 	}
-	if len(m.BasePaths) == 0 {
-		m.BasePaths = []string{""}
+	if len(method.BasePaths) == 0 {
+		method.BasePaths = []string{""}
 	}
-	for i, base := range m.BasePaths {
-		baseSegs, baseNames, err := parseTemplate(base + "/")
+	for i, base := range method.BasePaths {
+		baseSegments, baseNames, err := parseTemplate(base + "/")
 		if err != nil || len(baseNames) > 0 {
-			c.addProblem(m.Pos, at+".servers", "base path %q can't be: a plain path such as /v1 is wanted", base)
+			c.addProblem(method.Pos, field+".servers", "base path %q can't be: a plain path such as /v1 is wanted", base)
 			return
 		}
-		o := op
+		based := op
 		if i > 0 {
-			o = new(Operation)
-			*o = *op
+			based = new(Operation)
+			*based = *op
 		}
-		o.Template = base + p.Template
-		c.addOperation(o, p, append(slices.Clip(baseSegs[:len(baseSegs)-1]), segs...), at)
+		based.Template = base + path.Template
+		prefix := baseSegments[:len(baseSegments)-1] // without the empty segment behind the last slash
+		c.addOperation(based, path, append(slices.Clip(prefix), segments...), field)
 	}
 }
 
 // addOperation enters an operation at its template.
-func (c *compiler) addOperation(op *Operation, p *Path, segs []segment, at string) {
-	n := c.table.root.insert(segs)
-	if n.item == nil {
-		n.item = &pathItem{template: op.Template, segments: segs, declaredPath: p.Template, pos: p.Pos}
-		c.items = append(c.items, n.item)
-	}
-	it := n.item
-	if it.declaredPath != p.Template || it.pos != p.Pos || it.template != op.Template {
-		var b strings.Builder
-		for _, s := range segs {
-			text, _ := s.common(s)
-			b.WriteString("/" + text)
+func (c *compiler) addOperation(op *Operation, path *Path, segments []segment, field string) {
+	place := c.table.root.insert(segments)
+	if place.item == nil {
+		place.item = &pathItem{
+			template:     op.Template,
+			segments:     segments,
+			declaredPath: path.Template,
+			pos:          path.Pos,
 		}
-		c.addProblem(p.Pos, at, "%s %s and %s %s (line %d) are the same path to a router, for example %s: keep one",
-			op.Method, op.Template, it.firstMethod(), it.template, it.pos.Line, b.String())
+		c.items = append(c.items, place.item)
+	}
+	item := place.item
+	if item.declaredPath != path.Template || item.pos != path.Pos || item.template != op.Template {
+		c.addProblem(path.Pos, field, "%s %s and %s %s (line %d) are the same path to a router, for example %s: keep one",
+			op.Method, op.Template, item.firstMethod(), item.template, item.pos.Line, examplePath(segments))
 		return
 	}
-	for _, o := range it.operations {
-		if o.Method == op.Method {
-			return // the same base path twice
-		}
+	if item.hasMethod(op.Method) {
+		return // the same base path twice
 	}
 	op.Index = len(c.table.Operations)
 	c.table.Operations = append(c.table.Operations, op)
-	it.operations = append(it.operations, op)
-	if op.Method == "GET" {
-		it.get = op
-	}
-	it.allowHeader = it.buildAllowHeader()
-	static, path := true, ""
-	for _, s := range segs {
-		static = static && !s.isParam
-		path += "/" + s.prefix
-		for _, lit := range []string{s.prefix, s.suffix} {
-			for i := range len(lit) {
-				c.table.literalDelimiters[lit[i]] = pathByte[lit[i]] == 2
-			}
-		}
-	}
-	if static {
-		c.table.literalPaths[path] = it
-	}
+	item.add(op)
+	c.table.addLiterals(segments, item)
 }
 
 // reportConflicts finds pairs of templates of which neither is the narrower. A template without
 // parameters is narrower than any other that matches its path.
 func (c *compiler) reportConflicts() {
 	order := map[*pathItem]int{}
-	for i, it := range c.items {
-		order[it] = i
+	for i, item := range c.items {
+		order[item] = i
 	}
-	for _, it := range c.items {
-		if !slices.ContainsFunc(it.segments, func(s segment) bool { return s.isParam }) {
+	for _, item := range c.items {
+		if !hasParam(item.segments) {
 			continue
 		}
-		c.table.root.visitOverlaps(it.segments, func(other *pathItem) {
-			if order[other] >= order[it] || len(c.problems) > 10*maxProblems {
+		c.table.root.visitOverlaps(item.segments, func(other *pathItem) {
+			if order[other] >= order[item] || len(c.problems) > maxConflictProblems {
 				return
 			}
-			if example, bad := findConflict(it.segments, other.segments); bad {
-				c.addProblem(it.pos, "paths."+it.declaredPath, "%s %s and %s %s (line %d) both match %s and neither is the narrower: rename one or describe that path by itself",
-					it.firstMethod(), it.template, other.firstMethod(), other.template, other.pos.Line, example)
+			if example, isConflict := findConflict(item.segments, other.segments); isConflict {
+				c.addProblem(item.pos, "paths."+item.declaredPath,
+					"%s %s and %s %s (line %d) both match %s and neither is the narrower: "+
+						"rename one or describe that path by itself",
+					item.firstMethod(), item.template, other.firstMethod(), other.template, other.pos.Line, example)
 			}
 		})
 	}
 }
 
+func (c *compiler) addProblem(pos Pos, field, format string, args ...any) {
+	c.problems = append(c.problems, Problem{c.doc.File, pos, field, fmt.Sprintf(format, args...)})
+}
+
 // addProblemOnce adds a problem unless it is there: what a path or the document declares is seen
 // again with each operation.
 func (c *compiler) addProblemOnce(pos Pos, field, format string, args ...any) {
-	p := Problem{c.doc.File, pos, field, fmt.Sprintf(format, args...)}
-	if !slices.Contains(c.problems, p) {
-		c.problems = append(c.problems, p)
+	problem := Problem{c.doc.File, pos, field, fmt.Sprintf(format, args...)}
+	if !slices.Contains(c.problems, problem) {
+		c.problems = append(c.problems, problem)
 	}
 }
 
-// internClass gives each combination of class and figures a name of its own, the same
-// in every table, and lists it once.
-func (c *compiler) internClass(cls policy.Class) policy.Class {
-	effect := [...]string{"safe", "keyed", "unsafe"}[cls.Idempotency]
-	name := fmt.Sprintf("%s/%s/%v/%v", cls.Name, effect, cls.LatencyObjective, cls.Deadline)
-	if cls.Idempotency == policy.IdempotentWithKey {
-		name += fmt.Sprintf("/%s/%v", [...]string{"all", "zone", "cell"}[cls.DedupScope], cls.DedupWindow)
-	}
-	cls.Name = name
-	if !c.classNames[name] {
-		c.classNames[name] = true
-		c.table.Classes = append(c.table.Classes, cls)
-	}
-	return cls
+// sortedProblems returns the first problems in the order of the file.
+func (c *compiler) sortedProblems() Problems {
+	problems := c.problems
+	slices.SortStableFunc(problems, func(a, b Problem) int {
+		return cmp.Or(cmp.Compare(a.Pos.Line, b.Pos.Line), cmp.Compare(a.Pos.Column, b.Pos.Column))
+	})
+	if count := len(problems); count > maxProblems {
+		rest := Problem{File: c.doc.File, Text: fmt.Sprintf("and %d more problems", count-maxProblems)}
+		problems = append(problems[:maxProblems], rest)
+	}
+	return problems
+}
+
+// fieldOf names an operation in problems.
+func fieldOf(path *Path, method *Method) string {
+	return "paths." + path.Template + "." + strings.ToLower(method.Name)
 }
--- a/routing/document.go
+++ b/routing/document.go
@@ -1,4 +1,4 @@
-// Package contract decides what a request is: which operation of an OpenAPI
+// Package routing decides what a request is: which operation of an OpenAPI
 // description it asks for, of which class it is, how many units it takes and
 // what repeating it does.
 //
@@ -9,7 +9,7 @@
 // holds its [Operation] keeps the version that it was matched with.
 package routing
 
-// Document is what a description says, as far as routing and cost depend on it.
+// Document is what a description says, as far as routing and units depend on it.
 type Document struct {
 	File      string // named in problems
 	Version   string // info.version
@@ -42,7 +42,7 @@
 	Schema   Schema
 }
 
-// Schema is the part of a schema that the cost can depend on.
+// Schema is the part of a schema on which units can depend.
 type Schema struct {
 	Integer          bool
 	Minimum, Maximum *float64
@@ -63,6 +63,7 @@
 // Kind is the kind of a [Value].
 type Kind int
 
+// The kinds.
 const (
 	TextValue Kind = iota
 	NumberValue
--- a/routing/extension.go
+++ b/routing/extension.go
@@ -9,178 +9,175 @@
 	"mulleinmux/policy"
 )
 
-// What an x-mulleinmux extension may hold.
-var extensionFields = []string{"class", "effect", "repeatable", "key", "group", "window", "units", "aim", "deadline"}
+// extensionName is the key of an extension in a description.
+const extensionName = "x-mulleinmux"
+
+// Fields of an extension.
+const (
+	fieldClass      = "class"
+	fieldEffect     = "effect"
+	fieldRepeatable = "repeatable"
+	fieldKey        = "key"
+	fieldGroup      = "group"
+	fieldWindow     = "window"
+	fieldUnits      = "units"
+	fieldAim        = "aim"
+	fieldDeadline   = "deadline"
+)
+
+var extensionFields = []string{
+	fieldClass, fieldEffect, fieldRepeatable, fieldKey, fieldGroup, fieldWindow, fieldUnits, fieldAim, fieldDeadline,
+}
+
+// Values of the field effect.
+const (
+	effectSafe   = "safe"
+	effectKeyed  = "keyed"
+	effectUnsafe = "unsafe"
+)
+
+// Values of the field group.
+const (
+	groupAll  = "all"
+	groupZone = "zone"
+	groupCell = "cell"
+)
+
+// maxDuration bounds latency objectives, deadlines and deduplication windows.
+const maxDuration = time.Hour
 
 // declaredField is a field of the nearest extension that has it.
 type declaredField struct {
 	Field
-	path string // of the extension
+	path string // from the root of the document
+}
+
+// extensionReader reads the extension fields that hold for one operation.
+type extensionReader struct {
+	compiler *compiler
+	fields   map[string]declaredField
+	method   *Method
+	path     string // of the operation, from the root of the document
 }
 
 // readExtensions fills in what the extensions say of an operation: for each field the nearest
 // one counts, of the operation, its path or the document.
-func (c *compiler) readExtensions(op *Operation, p *Path, m *Method, at string) {
-	found := map[string]declaredField{}
-	for _, level := range []struct {
-		v  *Value
-		at string
-	}{{m.Extension, at}, {p.Extension, "paths." + p.Template}, {c.doc.Extension, ""}} {
-		if level.v == nil {
-			continue
-		}
-		at := strings.TrimPrefix(level.at+".x-mulleinmux", ".")
-		if level.v.Kind != MappingValue {
-			c.addProblemOnce(level.v.Pos, at, "a mapping is wanted, such as {class: slot-check, units: 1}")
-			continue
-		}
-		for _, f := range level.v.Fields {
-			if !slices.Contains(extensionFields, f.Name) {
-				c.addProblemOnce(f.Pos, at+"."+f.Name, "is no field of x-mulleinmux: one of %s is wanted", strings.Join(extensionFields, ", "))
-				continue
-			}
-			if _, ok := found[f.Name]; !ok {
-				found[f.Name] = declaredField{f, at + "." + f.Name}
-			}
-		}
+func (c *compiler) readExtensions(op *Operation, path *Path, method *Method, operationPath string) {
+	r := &extensionReader{compiler: c, fields: map[string]declaredField{}, method: method, path: operationPath}
+	r.collect(method.Extension, operationPath)
+	r.collect(path.Extension, "paths."+path.Template)
+	r.collect(c.doc.Extension, "")
+
+	class := r.class()
+	class.Idempotency = r.idempotency()
+	class.LatencyObjective = r.duration(fieldAim, class.LatencyObjective)
+	class.Deadline = r.duration(fieldDeadline, class.Deadline)
+	if class.LatencyObjective > class.Deadline {
+		aim := r.fields[fieldAim]
+		c.addProblemOnce(cmp.Or(aim.Pos, method.Pos), cmp.Or(aim.path, operationPath),
+			"the aim %v is past the deadline %v", class.LatencyObjective, class.Deadline)
+	}
+	if class.Idempotency == policy.IdempotentWithKey {
+		class.DedupScope = r.dedupScope()
+		class.DedupWindow = r.dedupWindow()
+		op.KeySource = r.keySource()
+	} else {
+		r.rejectKeyedFields()
 	}
-	d := &extensionReader{compiler: c, fields: found, method: m, path: at}
-	cls := d.class()
-	cls.Idempotency = d.idempotency()
-	cls.LatencyObjective = d.duration("aim", cls.LatencyObjective)
-	cls.Deadline = d.duration("deadline", cls.Deadline)
-	if cls.LatencyObjective > cls.Deadline {
-		f := found["aim"]
-		c.addProblemOnce(cmp.Or(f.Pos, m.Pos), cmp.Or(f.path, at), "the aim %v is past the deadline %v", cls.LatencyObjective, cls.Deadline)
+	op.Units = r.units()
+	if class.Idempotency != policy.Idempotent {
+		op.InheritedFields = r.inheritedFields()
 	}
-	if cls.Idempotency == policy.IdempotentWithKey {
-		cls.DedupScope = d.dedupScope()
-		if cls.DedupWindow = d.duration("window", 0); cls.DedupWindow == 0 {
-			c.addProblemOnce(m.Pos, at+".x-mulleinmux.window", "a keyed operation must tell for how long a repeat is dropped, such as window: 4s")
-		}
-		op.KeySource = d.keySource()
-	} else {
-		for _, name := range []string{"key", "group", "window"} {
-			if f, ok := found[name]; ok && f.path == at+".x-mulleinmux."+name {
-				c.addProblemOnce(f.Pos, f.path, "only a keyed operation has a %s: declare effect: keyed", name)
-			}
+	op.Class = c.internClass(class)
+}
+
+// collect takes in the fields of an extension that no nearer one has.
+func (r *extensionReader) collect(extension *Value, owner string) {
+	if extension == nil {
+		return
+	}
+	path := strings.TrimPrefix(owner+"."+extensionName, ".")
+	if extension.Kind != MappingValue {
+		r.compiler.addProblemOnce(extension.Pos, path, "a mapping is wanted, such as {class: slot-check, units: 1}")
+		return
+	}
+	for _, field := range extension.Fields {
+		if !slices.Contains(extensionFields, field.Name) {
+			r.compiler.addProblemOnce(field.Pos, path+"."+field.Name,
+				"is no field of x-mulleinmux: one of %s is wanted", strings.Join(extensionFields, ", "))
+			continue
 		}
-	}
-	op.Units = d.units()
-	for _, name := range []string{"class", "units"} {
-		if f, ok := found[name]; ok && f.path == "x-mulleinmux."+name && cls.Idempotency != policy.Idempotent {
-			op.InheritedFields = append(op.InheritedFields, name)
+		if _, isDeclared := r.fields[field.Name]; !isDeclared {
+			r.fields[field.Name] = declaredField{field, path + "." + field.Name}
 		}
 	}
-	op.Class = c.internClass(cls)
 }
 
-// extensionReader reads the fields that hold for one operation.
-type extensionReader struct {
-	compiler *compiler
-	fields   map[string]declaredField
-	method   *Method
-	path     string
+// ownPath is where a field stands if the operation itself declares it.
+func (r *extensionReader) ownPath(name string) string {
+	return r.path + "." + extensionName + "." + name
 }
 
-func (d *extensionReader) report(f declaredField, format string, args ...any) {
-	d.compiler.addProblemOnce(f.Value.Pos, f.path, format, args...)
+// isOwn reports whether the operation itself declares a field.
+func (r *extensionReader) isOwn(field declaredField) bool {
+	return strings.HasPrefix(field.path, r.path+".")
 }
 
-// enum reads a field that is one of some words.
-func (d *extensionReader) enum(name string, words ...string) (string, bool) {
-	f, ok := d.fields[name]
-	if !ok {
-		return "", false
-	}
-	if f.Value.Kind != TextValue || !slices.Contains(words, f.Value.Text) {
-		d.report(f, "%q is unknown: one of %s is wanted", f.Value.Text, strings.Join(words, ", "))
-		return "", false
-	}
-	return f.Value.Text, true
+// report adds a problem of a field's value.
+func (r *extensionReader) report(field declaredField, format string, args ...any) {
+	r.compiler.addProblemOnce(field.Value.Pos, field.path, format, args...)
 }
 
-func (d *extensionReader) class() (cls policy.Class) {
-	var names []string
-	for _, k := range d.compiler.options.Classes {
-		names = append(names, k.Name)
-	}
-	f, ok := d.fields["class"]
+// reportMissing adds a problem of a field that no extension has.
+func (r *extensionReader) reportMissing(name, format string, args ...any) {
+	r.compiler.addProblemOnce(r.method.Pos, r.ownPath(name), format, args...)
+}
+
+// enum reads a field that is one of some words; empty: it is missing or none of them.
+func (r *extensionReader) enum(name string, words ...string) string {
+	field, ok := r.fields[name]
 	if !ok {
-		d.compiler.addProblemOnce(d.method.Pos, d.path+".x-mulleinmux.class", "no class is declared here, on the path or on the document: one of %s is wanted", strings.Join(names, ", "))
-		return cls
+		return ""
 	}
-	for _, k := range d.compiler.options.Classes {
-		if f.Value.Kind == TextValue && k.Name == f.Value.Text {
-			return policy.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, LateFraction: k.LateFraction, LatencyObjective: k.LatencyObjective, Deadline: k.Deadline}
-		}
+	if field.Value.Kind != TextValue || !slices.Contains(words, field.Value.Text) {
+		r.report(field, "%q is unknown: one of %s is wanted", field.Value.Text, strings.Join(words, ", "))
+		return ""
 	}
-	d.report(f, "class %q has no worth in the operator's file: one of %s is wanted", f.Value.Text, strings.Join(names, ", "))
-	return cls
+	return field.Value.Text
 }
 
-// idempotency reads what repeating the operation does. Where nothing is declared, HTTP's
-// meaning of the method holds (RFC 9110, 9.2), but a method that is idempotent by HTTP
-// and changes something counts as unsafe: a repeat that meets a change made in between
-// undoes it.
-func (d *extensionReader) idempotency() policy.Idempotency {
-	safe := d.method.Name == "GET" || d.method.Name == "HEAD" || d.method.Name == "OPTIONS" || d.method.Name == "TRACE"
-	f, ok := d.fields["effect"]
-	if ok && !safe && !strings.HasPrefix(f.path, d.path+".") && f.Value.Text == "safe" {
-		ok = false // a default for the reads among many
-	}
-	repeatable := false
-	if r, has := d.fields["repeatable"]; has {
-		if r.Value.Kind != BoolValue {
-			d.report(r, "true or false is wanted")
-		}
-		repeatable = r.Value.Text == "true" && strings.HasPrefix(r.path, d.path+".")
-	}
+// duration reads a field that is a duration, or returns a default where it is missing or invalid.
+func (r *extensionReader) duration(name string, defaultValue time.Duration) time.Duration {
+	field, ok := r.fields[name]
 	if !ok {
-		if safe {
-			return policy.Idempotent
-		}
-		return policy.NonIdempotent
+		return defaultValue
 	}
-	w, _ := d.enum("effect", "safe", "keyed", "unsafe")
-	switch {
-	case w == "keyed":
-		return policy.IdempotentWithKey
-	case w == "unsafe":
-		return policy.NonIdempotent
-	case w == "safe" && !safe && !repeatable:
-		d.report(f, "%s changes something by HTTP, so it is not safe to repeat: if it is here, add repeatable: true to this operation", d.method.Name)
+	value, err := time.ParseDuration(field.Value.Text)
+	if field.Value.Kind != TextValue || err != nil || value <= 0 || value > maxDuration {
+		r.report(field, "%q is no duration from 1ns to %v: write it with a unit, such as 400ms or 2s",
+			field.Value.Text, maxDuration)
+		return defaultValue
 	}
-	return policy.Idempotent
+	return value
 }
 
-func (d *extensionReader) dedupScope() policy.DedupScope {
-	switch w, _ := d.enum("group", "all", "zone", "cell"); w {
-	case "zone":
-		return policy.DedupZone
-	case "cell":
-		return policy.DedupCell
-	case "all":
-		return policy.DedupAllServers
-	}
-	if _, ok := d.fields["group"]; !ok {
-		d.compiler.addProblemOnce(d.method.Pos, d.path+".x-mulleinmux.group", "a keyed operation must tell which servers drop a repeat: group: all, zone or cell")
+// rejectKeyedFields reports fields that only an operation with an idempotency key has. Those of a path or the
+// document are for other operations.
+func (r *extensionReader) rejectKeyedFields() {
+	for _, name := range []string{fieldKey, fieldGroup, fieldWindow} {
+		if field, ok := r.fields[name]; ok && field.path == r.ownPath(name) {
+			r.compiler.addProblemOnce(field.Pos, field.path, "only a keyed operation has a %s: declare effect: keyed", name)
+		}
 	}
-	return policy.DedupAllServers
 }
 
-func (d *extensionReader) duration(name string, otherwise time.Duration) time.Duration {
-	f, ok := d.fields[name]
-	if !ok {
-		return otherwise
-	}
-	t, err := time.ParseDuration(f.Value.Text)
-	if f.Value.Kind != TextValue || err != nil || t <= 0 || t > maxDuration {
-		d.report(f, "%q is no duration from 1ns to %v: write it with a unit, such as 400ms or 2s", f.Value.Text, maxDuration)
-		return otherwise
+// inheritedFields names the required fields that the document's extension declares.
+func (r *extensionReader) inheritedFields() []string {
+	var inherited []string
+	for _, name := range []string{fieldClass, fieldUnits} {
+		if field, ok := r.fields[name]; ok && field.path == extensionName+"."+name {
+			inherited = append(inherited, name)
+		}
 	}
-	return t
+	return inherited
 }
-
-// maxDuration bounds aims, deadlines and windows.
-const maxDuration = time.Hour
--- a/routing/extension_test.go
+++ b/routing/extension_test.go
@@ -18,6 +18,10 @@
 		}
 		return nil
 	}
+	unitsOf := func(fields ...Field) []Field {
+		return []Field{{"units", Pos{20, 1}, mappingValue(20, fields...)}}
+	}
+	otherKey := Field{"key", Pos{20, 1}, mappingValue(20, textField(20, "header", "Other"))}
 	for _, c := range []struct {
 		name   string
 		method string
@@ -27,13 +31,33 @@
 		{"a safe GET", "GET", nil, ""},
 		{"an unsafe GET", "GET", []Field{textField(20, "effect", "unsafe")}, ""},
 		{"a POST that says it is safe", "POST", []Field{textField(20, "effect", "safe")}, "repeatable: true"},
-		{"a POST that is repeatable", "POST", []Field{textField(20, "effect", "safe"), boolField(20, "repeatable", "true")}, ""},
-		{"a POST that is not", "POST", []Field{textField(20, "effect", "safe"), boolField(20, "repeatable", "false")}, "repeatable: true"},
+		{
+			"a POST that is repeatable", "POST",
+			[]Field{textField(20, "effect", "safe"), boolField(20, "repeatable", "true")},
+			"",
+		},
+		{
+			"a POST that is not", "POST",
+			[]Field{textField(20, "effect", "safe"), boolField(20, "repeatable", "false")},
+			"repeatable: true",
+		},
 		{"a keyed POST", "POST", keyed, ""},
-		{"keyed without a key", "POST", append([]Field{}, keyed[0], keyed[2], keyed[3]), "key: {header: Idempotency-Key}"},
+		{
+			"keyed without a key", "POST",
+			append([]Field{}, keyed[0], keyed[2], keyed[3]),
+			"key: {header: Idempotency-Key}",
+		},
 		{"keyed without a window", "POST", keyed[:3], "window: 4s"},
-		{"keyed without a group", "POST", append([]Field{}, keyed[0], keyed[1], keyed[3]), "group: all, zone or cell"},
-		{"a key that is not described", "POST", append([]Field{{"key", Pos{20, 1}, mappingValue(20, textField(20, "header", "Other"))}}, keyed[0], keyed[2], keyed[3]), `no header parameter "Other"`},
+		{
+			"keyed without a group", "POST",
+			append([]Field{}, keyed[0], keyed[1], keyed[3]),
+			"group: all, zone or cell",
+		},
+		{
+			"a key that is not described", "POST",
+			append([]Field{otherKey}, keyed[0], keyed[2], keyed[3]),
+			`no header parameter "Other"`,
+		},
 		{"a window of something else", "GET", []Field{textField(20, "window", "4s")}, "only a keyed operation"},
 		{"an unknown field", "GET", []Field{textField(20, "unit", "4")}, "is no field of x-mulleinmux"},
 		{"an unknown class", "GET", []Field{textField(20, "class", "cheap")}, `"cheap" has no worth`},
@@ -45,19 +69,47 @@
 		{"units over the most", "GET", []Field{numberField(20, "units", "101")}, "outside 1 to 100"},
 		{"units in parts", "GET", []Field{numberField(20, "units", "1.5")}, "no whole number"},
 		{"units as a text", "GET", []Field{textField(20, "units", "2")}, "a whole number is wanted"},
-		{"units of the query", "GET", []Field{{"units", Pos{20, 1}, mappingValue(20, textField(20, "query", "n"), numberField(20, "most", "9"))}}, ""},
-		{"units with no most", "GET", []Field{{"units", Pos{20, 1}, mappingValue(20, textField(20, "query", "n"))}}, "no most is told"},
-		{"units of a text", "GET", []Field{{"units", Pos{20, 1}, mappingValue(20, textField(20, "query", "q"), numberField(20, "most", "9"))}}, "not described as an integer"},
-		{"units of nothing", "GET", []Field{{"units", Pos{20, 1}, mappingValue(20, textField(20, "query", "z"), numberField(20, "most", "9"))}}, `no query parameter "z"`},
-		{"units of two places", "GET", []Field{{"units", Pos{20, 1}, mappingValue(20, textField(20, "query", "n"), textField(20, "body", "n"), numberField(20, "most", "9"))}}, "one of query, header and body"},
-		{"units of a body", "POST", []Field{{"units", Pos{20, 1}, mappingValue(20, textField(20, "body", "/n"), numberField(20, "most", "9"), numberField(20, "default", "2"))}}, ""},
-		{"units of no property", "POST", []Field{{"units", Pos{20, 1}, mappingValue(20, textField(20, "body", "/m"), numberField(20, "most", "9"))}}, `"/m"`},
-		{"a default out of range", "GET", []Field{{"units", Pos{20, 1}, mappingValue(20, textField(20, "query", "n"), numberField(20, "most", "9"), numberField(20, "default", "10"))}}, "default 10 is outside"},
-		{"least over most", "GET", []Field{{"units", Pos{20, 1}, mappingValue(20, textField(20, "query", "n"), numberField(20, "most", "9"), numberField(20, "least", "10"))}}, "least 10 is over most 9"},
+		{"units of the query", "GET", unitsOf(textField(20, "query", "n"), numberField(20, "most", "9")), ""},
+		{"units with no most", "GET", unitsOf(textField(20, "query", "n")), "no most is told"},
+		{
+			"units of a text", "GET",
+			unitsOf(textField(20, "query", "q"), numberField(20, "most", "9")),
+			"not described as an integer",
+		},
+		{
+			"units of nothing", "GET",
+			unitsOf(textField(20, "query", "z"), numberField(20, "most", "9")),
+			`no query parameter "z"`,
+		},
+		{
+			"units of two places", "GET",
+			unitsOf(textField(20, "query", "n"), textField(20, "body", "n"), numberField(20, "most", "9")),
+			"one of query, header and body",
+		},
+		{
+			"units of a body", "POST",
+			unitsOf(textField(20, "body", "/n"), numberField(20, "most", "9"), numberField(20, "default", "2")),
+			"",
+		},
+		{"units of no property", "POST", unitsOf(textField(20, "body", "/m"), numberField(20, "most", "9")), `"/m"`},
+		{
+			"a default out of range", "GET",
+			unitsOf(textField(20, "query", "n"), numberField(20, "most", "9"), numberField(20, "default", "10")),
+			"default 10 is outside",
+		},
+		{
+			"least over most", "GET",
+			unitsOf(textField(20, "query", "n"), numberField(20, "most", "9"), numberField(20, "least", "10")),
+			"least 10 is over most 9",
+		},
 	} {
 		d := makeDocument(c.method + " /a")
 		m := &d.Paths[0].Methods[0]
-		m.Params = []Param{{Name: "n", In: "query", Schema: Schema{Integer: true}}, {Name: "q", In: "query"}, {Name: "Idempotency-Key", In: "header"}}
+		m.Params = []Param{
+			{Name: "n", In: "query", Schema: Schema{Integer: true}},
+			{Name: "q", In: "query"},
+			{Name: "Idempotency-Key", In: "header"},
+		}
 		m.Body = &Schema{Properties: body}
 		if c.rules != nil {
 			v := mappingValue(20, c.rules...)
@@ -95,9 +147,15 @@
 		units    int
 		effect   policy.Idempotency
 		deadline time.Duration
-	}{{"check", 4, policy.Idempotent, 2e9}, {"book", 4, policy.NonIdempotent, 5e9}, {"check", 1, policy.Idempotent, 2e9}, {"check", 1, policy.NonIdempotent, 2e9}} {
+	}{
+		{"check", 4, policy.Idempotent, 2e9},
+		{"book", 4, policy.NonIdempotent, 5e9},
+		{"check", 1, policy.Idempotent, 2e9},
+		{"check", 1, policy.NonIdempotent, 2e9},
+	} {
 		o := tab.Operations[i]
-		if !strings.HasPrefix(o.Class.Name, want.class+"/") || o.Units.Fixed != want.units || o.Class.Idempotency != want.effect || o.Class.Deadline != want.deadline {
+		if !strings.HasPrefix(o.Class.Name, want.class+"/") || o.Units.Fixed != want.units ||
+			o.Class.Idempotency != want.effect || o.Class.Deadline != want.deadline {
 			t.Errorf("%s: %+v, %d units; want %+v", o.ID, o.Class, o.Units.Fixed, want)
 		}
 	}
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -39,7 +39,8 @@
 
 // makeExtension is an extension with class and units, and further fields.
 func makeExtension(line int, fields ...Field) *Value {
-	v := mappingValue(line, append([]Field{textField(line, "class", "check"), numberField(line, "units", "1")}, fields...)...)
+	required := []Field{textField(line, "class", "check"), numberField(line, "units", "1")}
+	v := mappingValue(line, append(required, fields...)...)
 	return &v
 }
 
--- a/routing/match_test.go
+++ b/routing/match_test.go
@@ -8,9 +8,12 @@
 // The narrowest template wins, whatever the order of the description, and a path that
 // only looks like another is not it.
 func TestMatch(t *testing.T) {
-	ops := []string{"GET /visits/{id}", "GET /visits/new", "POST /visits", "GET /visits", "DELETE /visits/{id}", "GET /visits/{id}/sheet.pdf",
-		"GET /visits/{id}/{part}", "GET /reports/{day}.csv", "GET /reports/{day}", "GET /reports/all.csv", "PUT /a/b:run", "GET /", "GET /a/{x}/c/d", "GET /a/b/c",
-		"GET /w{n}/x", "GET /slots/"}
+	ops := []string{
+		"GET /visits/{id}", "GET /visits/new", "POST /visits", "GET /visits", "DELETE /visits/{id}",
+		"GET /visits/{id}/sheet.pdf", "GET /visits/{id}/{part}", "GET /reports/{day}.csv", "GET /reports/{day}",
+		"GET /reports/all.csv", "PUT /a/b:run", "GET /", "GET /a/{x}/c/d", "GET /a/b/c",
+		"GET /w{n}/x", "GET /slots/",
+	}
 	for _, order := range [][]string{ops, reverse(ops)} {
 		tab := mustCompile(t, order...)
 		for _, c := range []struct {
@@ -64,7 +67,7 @@
 	return r
 }
 
-// Two templates of which neither is the narrower are refused, with both operations, their
+// Two templates of which neither is the narrower are rejected, with both operations, their
 // lines and a path that both match.
 func TestConflicts(t *testing.T) {
 	for _, c := range []struct {
@@ -90,7 +93,7 @@
 			continue
 		}
 		if err == nil {
-			t.Errorf("%v: is taken", c.ops)
+			t.Errorf("%v: is accepted", c.ops)
 			continue
 		}
 		for _, want := range []string{c.example, c.ops[0], c.ops[1], "line 10", "d.yaml:11"} {
--- a/routing/operation.go
+++ b/routing/operation.go
@@ -3,12 +3,11 @@
 import (
 	"net/url"
 	"strings"
-	"time"
 
 	"mulleinmux/policy"
 )
 
-// Operation is one operation of a description. It does not change.
+// Operation is one operation of a description. It is immutable.
 type Operation struct {
 	ID        string // operationId, or method and path
 	Method    string
@@ -16,14 +15,14 @@
 	Pos       Pos
 	Index     int // among the table's operations, from 0
 	Class     policy.Class
-	KeySource ParamSource // where a keyed operation's key stands
+	KeySource ParamSource // of the idempotency key, where the operation has one
 	Units     Units
-	// Inherited names what an operation that changes something takes from the document's
+	// InheritedFields names the fields that an operation that changes something takes from the document's
 	// extension, which is easily forgotten when one is added: class, units.
 	InheritedFields []string
 
 	table        *Table
-	declaredPath string // template as written
+	declaredPath string // as the document writes it, without a base path
 }
 
 // PathParams returns the path of the operation as its document writes it, and the values that
@@ -31,35 +30,20 @@
 func (o *Operation) PathParams(target string) (template string, values map[string]string) {
 	path, _, _ := strings.Cut(target, "?")
 	values = map[string]string{}
-	segs, names, err := parseTemplate(o.Template)
+	segments, names, err := parseTemplate(o.Template)
 	parts := strings.Split(strings.TrimPrefix(path, "/"), "/")
-	if err != nil || len(parts) != len(segs) {
+	if err != nil || len(parts) != len(segments) {
 		return o.declaredPath, values
 	}
-	for i, s := range segs {
-		if s.isParam && s.matches(parts[i]) {
-			v := parts[i][len(s.prefix) : len(parts[i])-len(s.suffix)]
-			if d, err := url.PathUnescape(v); err == nil {
-				v = d
-			}
-			values[names[0]], names = v, names[1:]
+	for i, s := range segments {
+		if !s.isParam || !s.matches(parts[i]) {
+			continue
 		}
+		value := parts[i][len(s.prefix) : len(parts[i])-len(s.suffix)]
+		if decoded, err := url.PathUnescape(value); err == nil {
+			value = decoded
+		}
+		values[names[0]], names = value, names[1:]
 	}
 	return o.declaredPath, values
 }
-
-// Class is what an operator's file says of a class: what its requests are worth, and
-// the figures of operations that declare none.
-type Class struct {
-	Name             string
-	PriorityWeight   float64
-	LateFraction     float64 // share of Worth between Aim and Deadline
-	LatencyObjective time.Duration
-	Deadline         time.Duration
-}
-
-// Options go with a description.
-type Options struct {
-	Classes  []Class
-	MaxUnits int // of one request; 0: no limit
-}
--- /dev/null
+++ b/routing/path_item.go
@@ -0,0 +1,73 @@
+package routing
+
+import (
+	"slices"
+	"strings"
+)
+
+// pathItem holds the operations of one path. Its invariant: each method stands once, and get and allowHeader
+// follow from operations.
+type pathItem struct {
+	template     string
+	segments     []segment
+	declaredPath string // as the document writes it
+	pos          Pos
+	operations   []*Operation
+	get          *Operation // the most frequent method
+	allowHeader  string
+}
+
+// operation returns the operation of a method, or nil.
+func (item *pathItem) operation(method string) *Operation {
+	if method == "GET" {
+		return item.get
+	}
+	for _, o := range item.operations {
+		if o.Method == method {
+			return o
+		}
+	}
+	if method == "HEAD" {
+		// RFC 9110, 9.3.2: HEAD asks for what GET would answer, without its content.
+		return item.get
+	}
+	return nil
+}
+
+// hasMethod reports whether an operation of a method is described.
+func (item *pathItem) hasMethod(method string) bool {
+	return slices.ContainsFunc(item.operations, func(o *Operation) bool { return o.Method == method })
+}
+
+// add enters an operation whose method is new to the path.
+func (item *pathItem) add(op *Operation) {
+	item.operations = append(item.operations, op)
+	if op.Method == "GET" {
+		item.get = op
+	}
+	item.allowHeader = item.buildAllowHeader()
+}
+
+// firstMethod names the path's first operation in problems.
+func (item *pathItem) firstMethod() string {
+	if len(item.operations) == 0 {
+		return ""
+	}
+	return item.operations[0].Method
+}
+
+// buildAllowHeader returns the value of an Allow header: what is described, and what follows from item.
+func (item *pathItem) buildAllowHeader() string {
+	var methods []string
+	for _, o := range item.operations {
+		methods = append(methods, o.Method)
+	}
+	if item.get != nil && !slices.Contains(methods, "HEAD") {
+		methods = append(methods, "HEAD")
+	}
+	if !slices.Contains(methods, "OPTIONS") {
+		methods = append(methods, "OPTIONS")
+	}
+	slices.Sort(methods)
+	return strings.Join(methods, ", ")
+}
--- a/routing/query.go
+++ b/routing/query.go
@@ -7,44 +7,62 @@
 	"strings"
 )
 
+// What is wrong with a query.
+var (
+	errSemicolon      = errors.New("the query has a semicolon, which some take for a separator")
+	errBrokenEncoding = errors.New("the query has a broken percent-encoding")
+)
+
 // queryValue returns the one value of a name. It makes no allocation for a query without
 // percent-encoding. Names that differ only in case, or stand with brackets behind them as
 // for lists, are taken for the name too: some readers do.
 func queryValue(query, name string) (string, error) {
 	if strings.IndexByte(query, ';') >= 0 {
-		return "", errors.New("the query has a semicolon, which some take for a separator")
+		return "", errSemicolon
 	}
-	value, found := "", false
+	value, isFound := "", false
 	for query != "" {
 		var pair string
 		pair, query, _ = strings.Cut(query, "&")
-		key, val, _ := strings.Cut(pair, "=")
-		var err error
-		if strings.ContainsAny(key, "%+") {
-			if key, err = url.QueryUnescape(key); err != nil {
-				return "", errors.New("the query has a broken percent-encoding")
-			}
+		rawKey, rawValue, _ := strings.Cut(pair, "=")
+		key, err := unescapeQuery(rawKey)
+		if err != nil {
+			return "", err
 		}
-		bare, _, _ := strings.Cut(key, "[")
-		bare = strings.Trim(bare, " \t\x00")
-		if !strings.EqualFold(bare, name) {
+		if !strings.EqualFold(bareQueryName(key), name) {
 			continue
 		}
-		if found {
+		if isFound {
 			return "", errDuplicate
 		}
 		if key != name {
 			return "", fmt.Errorf("stands as %q: write it as described", key)
 		}
-		found = true
-		if value = val; strings.ContainsAny(val, "%+") {
-			if value, err = url.QueryUnescape(val); err != nil {
-				return "", errors.New("the query has a broken percent-encoding")
-			}
+		isFound = true
+		if value, err = unescapeQuery(rawValue); err != nil {
+			return "", err
 		}
 	}
-	if !found {
+	if !isFound {
 		return "", errMissing
 	}
 	return value, nil
 }
+
+// bareQueryName is a name without the brackets of a list and the space that some readers drop.
+func bareQueryName(key string) string {
+	bare, _, _ := strings.Cut(key, "[")
+	return strings.Trim(bare, " \t\x00")
+}
+
+// unescapeQuery decodes a name or value. It makes no allocation for one that is not encoded.
+func unescapeQuery(text string) (string, error) {
+	if !strings.ContainsAny(text, "%+") {
+		return text, nil
+	}
+	decoded, err := url.QueryUnescape(text)
+	if err != nil {
+		return "", errBrokenEncoding
+	}
+	return decoded, nil
+}
--- a/routing/source.go
+++ b/routing/source.go
@@ -6,9 +6,27 @@
 	"strings"
 )
 
+// maxBodyDepth bounds how deep in a body a property may stand.
+const maxBodyDepth = 8
+
+// What is wrong with a parameter of a request.
+var (
+	errMissing   = errors.New("is missing")
+	errDuplicate = errors.New("stands more than once") // where one is wanted
+)
+
 // Location is where in a request a parameter stands.
 type Location int
 
+// The locations.
+const (
+	InNowhere Location = iota // there is no parameter
+	InPath
+	InQuery
+	InHeader
+	InBody // a property of a JSON body
+)
+
 // ParamSource names a parameter of a request.
 type ParamSource struct {
 	In   Location
@@ -16,100 +34,82 @@
 	Path []string // of a body: the names from the outermost object inwards
 }
 
+// String names the parameter in problems and errors.
 func (s ParamSource) String() string {
-	return [...]string{"nowhere", "path parameter ", "query parameter ", "header ", "body property "}[s.In] + s.Name
+	return [...]string{
+		InNowhere: "nowhere",
+		InPath:    "path parameter ",
+		InQuery:   "query parameter ",
+		InHeader:  "header ",
+		InBody:    "body property ",
+	}[s.In] + s.Name
 }
 
-// read returns the text of a parameter. Of a body, number says whether a number or a
-// string is wanted.
-func (s ParamSource) read(r Request, number bool) (string, error) {
+// valueType is the type that a property of a body must have.
+type valueType int
+
+const (
+	stringType valueType = iota
+	numberType
+)
+
+// read returns the text of a parameter. A property of a body must be of the type that is wanted.
+func (s ParamSource) read(r Request, want valueType) (string, error) {
 	switch s.In {
 	case InQuery:
 		return queryValue(r.Query, s.Name)
 	case InHeader:
-		v, n := r.Header.Values(s.Name)
-		switch {
-		case n > 1 || r.Header.Resembles(s.Name):
-			return "", errDuplicate
-		case n == 0:
-			return "", errMissing
-		}
-		return v, nil
+		return headerValue(r.Header, s.Name)
 	case InBody:
 		if err := checkJSONType(r.Header); err != nil {
 			return "", err
 		}
-		return bodyValue(r.Body, s.Path, number)
+		return bodyValue(r.Body, s.Path, want)
 	}
 	return "", errMissing
 }
 
-// keySource reads which parameter carries the key.
-func (d *extensionReader) keySource() ParamSource {
-	f, ok := d.fields["key"]
-	if !ok {
-		d.compiler.addProblemOnce(d.method.Pos, d.path+".x-mulleinmux.key", "a keyed operation must name the parameter with its key, such as key: {header: Idempotency-Key}")
-		return ParamSource{}
-	}
-	if f.Value.Kind != MappingValue || len(f.Value.Fields) != 1 {
-		d.report(f, "one place is wanted, such as {header: Idempotency-Key}")
-		return ParamSource{}
+// headerValue returns the one value of a header field.
+func headerValue(h Header, name string) (string, error) {
+	value, lines := h.Values(name)
+	if lines > 1 || h.Resembles(name) {
+		return "", errDuplicate
 	}
-	src, _, err := d.paramSource(f.Value.Fields[0])
-	if err != nil {
-		d.report(f, "%v", err)
+	if lines == 0 {
+		return "", errMissing
 	}
-	return src
+	return value, nil
 }
 
-// paramSource reads one of path, query, header and body with a described name.
-func (d *extensionReader) paramSource(f Field) (ParamSource, *Schema, error) {
-	src := ParamSource{Name: f.Value.Text}
-	if f.Value.Kind != TextValue || f.Value.Text == "" {
-		return src, nil, fmt.Errorf("%s: a name is wanted", f.Name)
+// paramSource reads a field that names one parameter of the operation, by its location and name.
+func (r *extensionReader) paramSource(field Field) (ParamSource, *Schema, error) {
+	source := ParamSource{Name: field.Value.Text}
+	if field.Value.Kind != TextValue || field.Value.Text == "" {
+		return source, nil, fmt.Errorf("%s: a name is wanted", field.Name)
 	}
-	switch f.Name {
+	switch field.Name {
 	case "path":
-		src.In = InPath
+		source.In = InPath
 	case "query":
-		src.In = InQuery
+		source.In = InQuery
 	case "header":
-		src.In = InHeader
+		source.In = InHeader
 	case "body":
-		src.In = InBody
-		src.Path = strings.Split(strings.TrimPrefix(src.Name, "/"), "/")
-		if len(src.Path) > maxBodyDepth {
-			return src, nil, fmt.Errorf("%q is deeper than %d", src.Name, maxBodyDepth)
-		}
-		schema := d.method.Body
-		for _, name := range src.Path {
-			if schema == nil || schema.Properties == nil {
-				return src, nil, fmt.Errorf("no property %q is described in a JSON body of this operation", src.Name)
-			}
-			if schema = schema.Properties(name); schema == nil {
-				return src, nil, fmt.Errorf("no property %q is described in a JSON body of this operation", src.Name)
-			}
-		}
-		return src, schema, nil
+		source.In = InBody
+		source.Path = strings.Split(strings.TrimPrefix(source.Name, "/"), "/")
+		schema, err := r.method.bodyProperty(source)
+		return source, schema, err
 	default:
-		return src, nil, fmt.Errorf("%q is no place: path, query, header or body is wanted", f.Name)
+		return source, nil, fmt.Errorf("%q is no place: path, query, header or body is wanted", field.Name)
 	}
-	p := d.method.param(f.Name, src.Name)
-	if p == nil {
-		return src, nil, fmt.Errorf("no %s parameter %q is described for this operation", f.Name, src.Name)
+	param := r.method.param(field.Name, source.Name)
+	if param == nil {
+		return source, nil, fmt.Errorf("no %s parameter %q is described for this operation", field.Name, source.Name)
 	}
-	return src, &p.Schema, nil
+	return source, &param.Schema, nil
 }
 
-// maxBodyDepth bounds how deep in a body a property may stand.
-const maxBodyDepth = 8
-
-// errMissing is told of a parameter that is not there.
-var errMissing = errors.New("is missing")
-
-// errDuplicate is told of a name that stands more than once where one is wanted.
-var errDuplicate = errors.New("stands more than once")
-
+// param returns a described parameter, or nil.
 func (m *Method) param(in, name string) *Param {
 	for i := range m.Params {
 		p := &m.Params[i]
@@ -120,3 +120,22 @@
 	}
 	return nil
 }
+
+// bodyProperty returns the schema of a described property of the body.
+func (m *Method) bodyProperty(source ParamSource) (*Schema, error) {
+	if len(source.Path) > maxBodyDepth {
+		return nil, fmt.Errorf("%q is deeper than %d", source.Name, maxBodyDepth)
+	}
+	schema := m.Body
+	for _, name := range source.Path {
+		if schema != nil && schema.Properties != nil {
+			schema = schema.Properties(name)
+		} else {
+			schema = nil
+		}
+		if schema == nil {
+			return nil, fmt.Errorf("no property %q is described in a JSON body of this operation", source.Name)
+		}
+	}
+	return schema, nil
+}
--- a/routing/template.go
+++ b/routing/template.go
@@ -2,9 +2,13 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 )
 
+// exampleValue stands for a parameter's value in examples of paths.
+const exampleValue = "x"
+
 // segment is one segment of a template: a literal, or a parameter between two literal
 // parts, either of which may be empty.
 type segment struct {
@@ -12,15 +16,18 @@
 	prefix, suffix string // prefix is the whole of a literal
 }
 
-// matches tells whether a segment of a path is one that the template's stands for.
+// matches reports whether a segment of a path is one that the template's stands for.
 func (s segment) matches(text string) bool {
 	if !s.isParam {
 		return text == s.prefix
 	}
-	return len(text) > len(s.prefix)+len(s.suffix) && strings.HasPrefix(text, s.prefix) && strings.HasSuffix(text, s.suffix)
+	return len(text) > s.literalLen() && strings.HasPrefix(text, s.prefix) && strings.HasSuffix(text, s.suffix)
 }
 
-// isWithin tells whether all that s stands for, o stands for too.
+// literalLen is the length of the literal parts.
+func (s segment) literalLen() int { return len(s.prefix) + len(s.suffix) }
+
+// isWithin reports whether o stands for all that s stands for.
 func (s segment) isWithin(o segment) bool {
 	if !o.isParam {
 		return !s.isParam && s.prefix == o.prefix
@@ -31,7 +38,7 @@
 	return strings.HasPrefix(s.prefix, o.prefix) && strings.HasSuffix(s.suffix, o.suffix)
 }
 
-// common returns a text that both stand for, or false.
+// common returns a text that both stand for, and false if there is none.
 func (s segment) common(o segment) (string, bool) {
 	switch {
 	case !s.isParam:
@@ -39,56 +46,88 @@
 	case !o.isParam:
 		return o.prefix, s.matches(o.prefix)
 	}
-	p, q := s.prefix, o.prefix
-	if len(p) < len(q) {
-		p, q = q, p
+	longPrefix, shortPrefix := s.prefix, o.prefix
+	if len(longPrefix) < len(shortPrefix) {
+		longPrefix, shortPrefix = shortPrefix, longPrefix
 	}
-	x, y := s.suffix, o.suffix
-	if len(x) < len(y) {
-		x, y = y, x
+	longSuffix, shortSuffix := s.suffix, o.suffix
+	if len(longSuffix) < len(shortSuffix) {
+		longSuffix, shortSuffix = shortSuffix, longSuffix
 	}
-	return p + "x" + x, strings.HasPrefix(p, q) && strings.HasSuffix(x, y)
+	isCommon := strings.HasPrefix(longPrefix, shortPrefix) && strings.HasSuffix(longSuffix, shortSuffix)
+	return longPrefix + exampleValue + longSuffix, isCommon
 }
 
 // parseTemplate splits a template into segments, with literals in the one spelling that
-// [Table.CheckPath] lets pass.
-func parseTemplate(text string) ([]segment, []string, error) {
+// [Table.CheckPath] lets pass, and returns the names of its parameters.
+func parseTemplate(text string) (segments []segment, names []string, err error) {
 	if !strings.HasPrefix(text, "/") {
 		return nil, nil, fmt.Errorf("path %q does not begin with a slash", text)
 	}
-	var segs []segment
-	var names []string
-	seen := map[string]bool{}
 	parts := strings.Split(text[1:], "/")
 	for i, part := range parts {
-		open, end := strings.IndexByte(part, '{'), strings.IndexByte(part, '}')
-		if open < 0 && end < 0 {
-			lit := escapeLiteral(part)
-			if part == "" && !(i == len(parts)-1) {
-				return nil, nil, fmt.Errorf("path %q has an empty segment", text)
-			}
-			if reason := checkPath("/"+lit, &allDelimiters); part != "" && reason != "" {
-				return nil, nil, fmt.Errorf("segment %q: %s", part, reason)
-			}
-			segs = append(segs, segment{prefix: lit})
-			continue
+		if part == "" && i < len(parts)-1 {
+			return nil, nil, fmt.Errorf("path %q has an empty segment", text)
 		}
-		if open < 0 || end < open+2 || strings.ContainsAny(part[end+1:], "{}") || strings.Count(part, "{") != 1 {
-			return nil, nil, fmt.Errorf("segment %q: one parameter in braces is wanted, such as {id} or {id}.pdf", part)
+		s, name, err := parseSegment(part)
+		if err != nil {
+			return nil, nil, err
 		}
-		name := part[open+1 : end]
-		if seen[name] {
-			return nil, nil, fmt.Errorf("parameter %q stands twice in the path", name)
+		if s.isParam {
+			if slices.Contains(names, name) {
+				return nil, nil, fmt.Errorf("parameter %q stands twice in the path", name)
+			}
+			names = append(names, name)
 		}
-		seen[name] = true
-		names = append(names, name)
-		s := segment{isParam: true, prefix: escapeLiteral(part[:open]), suffix: escapeLiteral(part[end+1:])}
-		if reason := checkPath("/"+s.prefix+"x"+s.suffix, &allDelimiters); reason != "" {
-			return nil, nil, fmt.Errorf("segment %q: %s", part, reason)
+		if err := s.checkSpelling(part); err != nil {
+			return nil, nil, err
 		}
-		segs = append(segs, s)
+		segments = append(segments, s)
 	}
-	return segs, names, nil
+	return segments, names, nil
+}
+
+// parseSegment parses one segment, and returns the name of its parameter.
+func parseSegment(part string) (s segment, name string, err error) {
+	open, end := strings.IndexByte(part, '{'), strings.IndexByte(part, '}')
+	if open < 0 && end < 0 {
+		return segment{prefix: escapeLiteral(part)}, "", nil
+	}
+	isOneParam := open >= 0 && end >= open+2 && !strings.ContainsAny(part[end+1:], "{}") && strings.Count(part, "{") == 1
+	if !isOneParam {
+		return segment{}, "", fmt.Errorf("segment %q: one parameter in braces is wanted, such as {id} or {id}.pdf", part)
+	}
+	s = segment{isParam: true, prefix: escapeLiteral(part[:open]), suffix: escapeLiteral(part[end+1:])}
+	return s, part[open+1 : end], nil
+}
+
+// checkSpelling checks the literal parts of a segment, as they will stand in paths.
+func (s segment) checkSpelling(declared string) error {
+	if declared == "" {
+		return nil // behind the last slash
+	}
+	path := "/" + s.prefix
+	if s.isParam {
+		path += exampleValue + s.suffix
+	}
+	if reason := checkPath(path, &allDelimiters); reason != "" {
+		return fmt.Errorf("segment %q: %s", declared, reason)
+	}
+	return nil
+}
+
+func hasParam(segments []segment) bool {
+	return slices.ContainsFunc(segments, func(s segment) bool { return s.isParam })
+}
+
+// examplePath returns a path that a template matches.
+func examplePath(segments []segment) string {
+	var b strings.Builder
+	for _, s := range segments {
+		text, _ := s.common(s)
+		b.WriteString("/" + text)
+	}
+	return b.String()
 }
 
 // escapeLiteral writes what may not stand bare in a path in percent-encoding, and leaves what
@@ -97,7 +136,7 @@
 	const hex = "0123456789ABCDEF"
 	var b strings.Builder
 	for i := 0; i < len(s); i++ {
-		if c := s[i]; pathByte[c] != 0 || c == '%' {
+		if c := s[i]; pathBytes[c] != encoded || c == '%' {
 			b.WriteByte(c)
 		} else {
 			b.WriteByte('%')
@@ -109,16 +148,16 @@
 }
 
 // findConflict returns a path that both templates match if neither is the narrower.
-func findConflict(a, b []segment) (example string, bad bool) {
-	aIn, bIn := true, true
+func findConflict(a, b []segment) (example string, isConflict bool) {
+	isAWithin, isBWithin := true, true
 	for i := range a {
 		text, ok := a[i].common(b[i])
 		if !ok {
 			return "", false
 		}
 		example += "/" + text
-		aIn = aIn && a[i].isWithin(b[i])
-		bIn = bIn && b[i].isWithin(a[i])
+		isAWithin = isAWithin && a[i].isWithin(b[i])
+		isBWithin = isBWithin && b[i].isWithin(a[i])
 	}
-	return example, aIn == bIn
+	return example, isAWithin == isBWithin
 }
--- a/routing/units.go
+++ b/routing/units.go
@@ -6,102 +6,134 @@
 	"strconv"
 )
 
-// Units says what a request of an operation takes from the quota.
+// maxUnits is the most units of one request: what a message between instances holds.
+const maxUnits = 1_000_000
+
+// Fields of the extension's units, beside the one that names the parameter.
+const (
+	fieldLeast   = "least"
+	fieldMost    = "most"
+	fieldDefault = "default"
+)
+
+// Units says how many units a request of an operation takes from the quota.
 type Units struct {
-	Fixed      int // above 0: always so many
-	Source     ParamSource
+	Fixed      int         // above 0: always so many
+	Source     ParamSource // of a number from Min to Max
 	Min, Max   int
 	Default    int // where the parameter is missing
 	HasDefault bool
 }
 
-// units reads what a request takes from the quota.
-func (d *extensionReader) units() (u Units) {
-	f, ok := d.fields["units"]
+// unitsDeclaration is the mapping that declares units of a parameter.
+type unitsDeclaration struct {
+	source      ParamSource
+	schema      *Schema        // of the source
+	sourceCount int            // sources that are named: one is wanted
+	bounds      map[string]int // least, most and default, where they are declared
+}
+
+// units reads how many units a request takes from the quota.
+func (r *extensionReader) units() Units {
+	field, ok := r.fields[fieldUnits]
 	if !ok {
-		d.compiler.addProblemOnce(d.method.Pos, d.path+".x-mulleinmux.units", "no units are declared here, on the path or on the document: a whole number is wanted, or the parameter that tells it")
-		return u
+		r.reportMissing(fieldUnits, "no units are declared here, on the path or on the document: "+
+			"a whole number is wanted, or the parameter that tells it")
+		return Units{}
 	}
-	limit := d.compiler.options.MaxUnits
+	limit := r.compiler.options.MaxUnits
 	if limit <= 0 {
 		limit = maxUnits
 	}
-	if f.Value.Kind == NumberValue {
-		n, err := parseWholeNumber(f.Value, limit)
+	switch field.Value.Kind {
+	case NumberValue:
+		fixed, err := parseWholeNumber(field.Value, limit)
 		if err != nil {
-			d.report(f, "%v", err)
+			r.report(field, "%v", err)
 		}
-		u.Fixed = n
-		return u
-	}
-	if f.Value.Kind != MappingValue {
-		d.report(f, "a whole number is wanted, or a parameter such as {query: count, least: 1, most: 50}")
-		return u
+		return Units{Fixed: fixed}
+	case MappingValue:
+		return r.parameterUnits(field, limit)
 	}
-	var schema *Schema
-	bounds := map[string]int{}
-	var places int
-	for _, part := range f.Value.Fields {
-		switch part.Name {
-		case "least", "most", "default":
-			n, err := parseWholeNumber(part.Value, limit)
-			if err != nil {
-				d.report(declaredField{part, f.path + "." + part.Name}, "%v", err)
-				return u
-			}
-			bounds[part.Name] = n
-		default:
-			var err error
-			if u.Source, schema, err = d.paramSource(part); err != nil {
-				d.report(declaredField{part, f.path + "." + part.Name}, "%v", err)
-				return u
-			}
-			places++
-		}
-	}
-	if places != 1 || u.Source.In == InPath {
-		d.report(f, "one of query, header and body must tell the units")
-		return u
-	}
-	if schema == nil || !schema.Integer {
-		d.report(f, "%s is not described as an integer: units are whole", u.Source)
-		return u
+	r.report(field, "a whole number is wanted, or a parameter such as {query: count, least: 1, most: 50}")
+	return Units{}
+}
+
+// parameterUnits reads units that a parameter of the request gives.
+func (r *extensionReader) parameterUnits(field declaredField, limit int) Units {
+	declaration, ok := r.unitsDeclaration(field, limit)
+	if !ok {
+		return Units{}
 	}
-	u.Min, u.Max = 1, 0
-	if schema.Minimum != nil && *schema.Minimum > 1 {
-		u.Min = int(math.Min(math.Ceil(*schema.Minimum), float64(limit)))
+	source := declaration.source
+	if declaration.sourceCount != 1 || source.In == InPath {
+		r.report(field, "one of query, header and body must tell the units")
+		return Units{}
 	}
-	if schema.Maximum != nil {
-		u.Max = int(math.Max(math.Min(math.Floor(*schema.Maximum), float64(limit)), 0))
+	if declaration.schema == nil || !declaration.schema.Integer {
+		r.report(field, "%s is not described as an integer: units are whole", source)
+		return Units{}
 	}
-	if n, ok := bounds["least"]; ok {
-		u.Min = n
+	u := Units{Source: source}
+	u.Min, u.Max = declaration.schema.unitsRange(limit)
+	if least, ok := declaration.bounds[fieldLeast]; ok {
+		u.Min = least
 	}
-	if n, ok := bounds["most"]; ok {
-		u.Max = n
+	if most, ok := declaration.bounds[fieldMost]; ok {
+		u.Max = most
 	}
-	u.Default, u.HasDefault = bounds["default"], bounds["default"] > 0
+	u.Default, u.HasDefault = declaration.bounds[fieldDefault]
 	switch {
 	case u.Max == 0:
-		d.report(f, "no most is told: add most, or a maximum to the schema of %s", u.Source)
+		r.report(field, "no most is told: add most, or a maximum to the schema of %s", source)
 	case u.Min > u.Max:
-		d.report(f, "least %d is over most %d", u.Min, u.Max)
+		r.report(field, "least %d is over most %d", u.Min, u.Max)
 	case u.HasDefault && (u.Default < u.Min || u.Default > u.Max):
-		d.report(f, "default %d is outside %d to %d", u.Default, u.Min, u.Max)
+		r.report(field, "default %d is outside %d to %d", u.Default, u.Min, u.Max)
 	}
 	return u
 }
 
-// maxUnits is the most units of one request: what a message between instances holds.
-const maxUnits = 1_000_000
+// unitsDeclaration reads the parts of a mapping up to the first invalid one, which it reports.
+func (r *extensionReader) unitsDeclaration(field declaredField, limit int) (d unitsDeclaration, ok bool) {
+	d.bounds = map[string]int{}
+	for _, part := range field.Value.Fields {
+		var err error
+		switch part.Name {
+		case fieldLeast, fieldMost, fieldDefault:
+			d.bounds[part.Name], err = parseWholeNumber(part.Value, limit)
+		default:
+			d.source, d.schema, err = r.paramSource(part)
+			d.sourceCount++
+		}
+		if err != nil {
+			r.report(declaredField{part, field.path + "." + part.Name}, "%v", err)
+			return d, false
+		}
+	}
+	return d, true
+}
+
+// unitsRange is the range of units that a schema allows; a largest of 0: it sets no maximum.
+func (s *Schema) unitsRange(limit int) (smallest, largest int) {
+	smallest = 1
+	if s.Minimum != nil && *s.Minimum > 1 {
+		smallest = int(math.Min(math.Ceil(*s.Minimum), float64(limit)))
+	}
+	if s.Maximum != nil {
+		largest = int(math.Max(math.Min(math.Floor(*s.Maximum), float64(limit)), 0))
+	}
+	return smallest, largest
+}
 
-func parseWholeNumber(v Value, most int) (int, error) {
+// parseWholeNumber reads a number from 1 to a limit.
+func parseWholeNumber(v Value, limit int) (int, error) {
 	n, err := strconv.Atoi(v.Text)
 	if v.Kind != NumberValue || err != nil {
 		return 0, fmt.Errorf("%q is no whole number", v.Text)
 	}
-	if n < 1 || n > most {
-		return 0, fmt.Errorf("%d is outside 1 to %d", n, most)
+	if n < 1 || n > limit {
+		return 0, fmt.Errorf("%d is outside 1 to %d", n, limit)
 	}
 	return n, nil
 }
