--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -82,31 +82,31 @@
 		if err != nil {
 			return err
 		}
-		h.gates[e.Inst] = g
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.Start(h.now, &h.reply) })
+		h.gates[e.Instance] = g
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.Start(h.now, &h.reply) })
 	case simwire.InstanceStopped:
-		if _, ok := h.gates[e.Inst]; !ok {
-			return fmt.Errorf("unknown instance %d", e.Inst)
+		if _, ok := h.gates[e.Instance]; !ok {
+			return fmt.Errorf("unknown instance %d", e.Instance)
 		}
-		delete(h.gates, e.Inst)
+		delete(h.gates, e.Instance)
 	case simwire.EndpointsChanged:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.EndpointsChanged(h.now, e.Form, e.Servers, &h.reply) })
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.EndpointsChanged(h.now, e.Kind, e.Servers, &h.reply) })
 	case simwire.RequestArrived:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.RequestReceived(h.now, e.Request, &h.reply) })
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.RequestReceived(h.now, e.Request, &h.reply) })
 	case simwire.ResponseHeadersReceived:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.ResponseStarted(h.now, e.ID, e.Attempt, &h.reply) })
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.ResponseStarted(h.now, e.ID, e.Attempt, &h.reply) })
 	case simwire.AttemptCompleted:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.AttemptCompleted(h.now, e.Outcome, &h.reply) })
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.AttemptCompleted(h.now, e.Outcome, &h.reply) })
 	case simwire.ClientDisconnected:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.ClientDisconnected(h.now, e.ID, &h.reply) })
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.ClientDisconnected(h.now, e.ID, &h.reply) })
 	case simwire.TimerFired:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.TimerFired(h.now, e.Token, &h.reply) })
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.TimerFired(h.now, e.Token, &h.reply) })
 	case simwire.HealthCheckCompleted:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.HealthCheckCompleted(h.now, e.Server, e.Result, e.Load, &h.reply) })
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.HealthCheckCompleted(h.now, e.Server, e.Result, e.LoadReport, &h.reply) })
 	case simwire.GossipReceived:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.GossipReceived(h.now, e.From, e.Payload, &h.reply) })
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.GossipReceived(h.now, e.Peer, e.Payload, &h.reply) })
 	case simwire.TotalReceived:
-		return h.deliver(e.Inst, func(*policy.Engine) {})
+		return h.deliver(e.Instance, func(*policy.Engine) {})
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 	if !ok {
 		return fmt.Errorf("unknown instance %d", inst)
 	}
-	h.reply.Inst = inst
+	h.reply.Instance = inst
 	defer func() {
 		if p := recover(); p != nil {
 			h.reply.ReportFailure(fmt.Sprint(p))
--- a/internal/edgeproxy/config.go
+++ b/internal/edgeproxy/config.go
@@ -153,8 +153,8 @@
 	if c.Settings, c.Transport, err = simwire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.Transport.ConnIdle <= 0 {
-		c.Transport.ConnIdle = defaultConnIdle
+	if c.Transport.ConnIdleTimeout <= 0 {
+		c.Transport.ConnIdleTimeout = defaultConnIdle
 	}
 	if c.Transport.ConnectTimeout <= 0 {
 		c.Transport.ConnectTimeout = defaultConnectTimeout
--- a/internal/edgeproxy/harness_test.go
+++ b/internal/edgeproxy/harness_test.go
@@ -116,7 +116,7 @@
 	return &Config{
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
 		Sockets: 256, Known: List{Generation: 7, IsComplete: true, Servers: servers},
-		Transport: simwire.ConnectionSettings{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
+		Transport: simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 5 * time.Second},
 		Settings: policy.Settings{
 			InstanceCount: 1, Zone: "z", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond,
--- a/internal/edgeproxy/upstream.go
+++ b/internal/edgeproxy/upstream.go
@@ -172,7 +172,7 @@
 func newUpstream(t simwire.ConnectionSettings, most int) *upstream {
 	return &upstream{
 		dialer:   net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1},
-		maxIdle:  time.Duration(idleShare * float64(t.ConnIdle)),
+		maxIdle:  time.Duration(idleShare * float64(t.ConnIdleTimeout)),
 		most:     most,
 		backends: map[string]*backend{},
 	}
--- /dev/null
+++ b/internal/simwire/reader.go
@@ -0,0 +1,208 @@
+// Package simwire is the codec of the simulator's line protocol: it turns lines
+// into typed events and the policy's actions into lines. It decides nothing.
+package simwire
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+
+	"mulleinmux/policy"
+)
+
+const (
+	// maxLineBytes bounds one line; settings and lists of entries are the longest.
+	maxLineBytes = 1 << 24
+	// initialLineBytes is the size of the reader's buffer at first.
+	initialLineBytes = 1 << 16
+	// maxTable is the highest number of a table of servers.
+	maxTable = 15
+)
+
+// Reader reads events. It keeps the numbered tables of servers, which belong to the process.
+type Reader struct {
+	scanner *bufio.Scanner
+	line    int
+	tables  map[int][]policy.Server
+}
+
+// NewReader returns a Reader of r.
+func NewReader(r io.Reader) *Reader {
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, initialLineBytes), maxLineBytes)
+	return &Reader{scanner: scanner, tables: map[int][]policy.Server{}}
+}
+
+// Line returns the number of the line read last.
+func (r *Reader) Line() int { return r.line }
+
+// Next returns the next event, io.EOF at the end of input between messages, or an
+// error that names the line.
+func (r *Reader) Next() (any, error) {
+	for {
+		text, err := r.readLine()
+		if err != nil {
+			return nil, err
+		}
+		if text == "" {
+			continue
+		}
+		event, err := r.parse(text)
+		if err != nil {
+			return nil, fmt.Errorf("line %d: %w", r.line, err)
+		}
+		if event != nil {
+			return event, nil
+		}
+	}
+}
+
+func (r *Reader) readLine() (string, error) {
+	if !r.scanner.Scan() {
+		if err := r.scanner.Err(); err != nil {
+			return "", fmt.Errorf("line %d: %w", r.line+1, err)
+		}
+		return "", io.EOF
+	}
+	r.line++
+	return r.scanner.Text(), nil
+}
+
+// parse parses one message. A table of servers is no event: nil is returned for it.
+func (r *Reader) parse(text string) (any, error) {
+	name, rest, _ := strings.Cut(text, " ")
+	if name == "LAUNCH" {
+		return parseLaunch(rest)
+	}
+	f := &fields{}
+	if rest != "" {
+		f.values = strings.Split(rest, " ")
+	}
+	event, err := r.parseFields(name, f)
+	if err != nil {
+		return nil, err
+	}
+	if f.err != nil {
+		return nil, fmt.Errorf("%s: %w", name, f.err)
+	}
+	if left := f.left(); left > 0 {
+		return nil, fmt.Errorf("%s: %d values more than expected", name, left)
+	}
+	return event, nil
+}
+
+// parseFields parses the values of a message by its name. Errors of single values stay with the fields.
+func (r *Reader) parseFields(name string, f *fields) (any, error) {
+	switch name {
+	case "PAGE":
+		return nil, r.readTable(f)
+	case "FLEET":
+		return r.parseFleet(f)
+	}
+	parse, ok := eventParsers[name]
+	if !ok {
+		return nil, fmt.Errorf("unknown message %q", name)
+	}
+	return parse(f), nil
+}
+
+// readTable reads a table of servers: a PAGE line and an ITEM line for each server.
+func (r *Reader) readTable(f *fields) error {
+	table, rows := f.int("table"), f.int("rows")
+	if f.err != nil {
+		return nil // reported by the caller
+	}
+	if table < 0 || table > maxTable || rows < 0 {
+		return fmt.Errorf("PAGE: table %d or row count %d out of range", table, rows)
+	}
+	var servers []policy.Server
+	for i := range rows {
+		text, err := r.readLine()
+		if err != nil {
+			return fmt.Errorf("PAGE: %d of %d entries: %w", i, rows, unexpectedEOF(err))
+		}
+		server, err := parseItem(text)
+		if err != nil {
+			return err
+		}
+		servers = append(servers, server)
+	}
+	r.tables[table] = servers
+	return nil
+}
+
+// parseItem parses one ITEM line.
+func parseItem(text string) (policy.Server, error) {
+	f := &fields{values: strings.Split(text, " "), next: 1}
+	if f.values[0] != "ITEM" {
+		return policy.Server{}, fmt.Errorf("expected ITEM, got %q", f.values[0])
+	}
+	server := policy.Server{
+		ID:        f.str("server"),
+		State:     f.state("mode"),
+		Weight:    f.number("rating"),
+		Kind:      f.str("machine"),
+		Zone:      f.str("regionPart"),
+		Cell:      f.int("pod"),
+		StartedAt: f.duration("bootTime"),
+	}
+	if f.err == nil && f.left() > 0 {
+		f.err = errors.New("too many values")
+	}
+	if f.err != nil {
+		return policy.Server{}, fmt.Errorf("ITEM: %w", f.err)
+	}
+	return server, nil
+}
+
+// unexpectedEOF turns an end of input inside a message into an error.
+func unexpectedEOF(err error) error {
+	if err == io.EOF {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
+
+// parseFleet parses a FLEET line, whose servers are those of the table that it names.
+func (r *Reader) parseFleet(f *fields) (any, error) {
+	event := EndpointsChanged{Instance: f.int("i")}
+	f.number("seqNo")
+	tableText, form := f.str("table"), f.str("form")
+	if f.err != nil {
+		return nil, nil // reported by the caller
+	}
+	var ok bool
+	if event.Kind, ok = updateKinds[form]; !ok {
+		return nil, fmt.Errorf("FLEET: unknown form %q", form)
+	}
+	if event.Kind == policy.EndpointsUnavailable {
+		return event, nil
+	}
+	table, err := strconv.Atoi(tableText)
+	if err != nil {
+		return nil, fmt.Errorf("FLEET: bad table %q", tableText)
+	}
+	if event.Servers, ok = r.tables[table]; !ok {
+		return nil, fmt.Errorf("FLEET: unknown table %d", table)
+	}
+	return event, nil
+}
+
+// parseLaunch parses a LAUNCH line, whose settings object may contain spaces.
+func parseLaunch(rest string) (any, error) {
+	instance, rest, _ := strings.Cut(rest, " ")
+	seed, settings, _ := strings.Cut(rest, " ")
+	f := &fields{values: []string{instance, seed}}
+	event := InstanceStarted{Instance: f.int("i"), Seed: f.uint("prng")}
+	if f.err != nil {
+		return nil, fmt.Errorf("LAUNCH: %w", f.err)
+	}
+	var err error
+	if event.Settings, _, err = ParseSettings([]byte(settings)); err != nil {
+		return nil, fmt.Errorf("LAUNCH: info: %w", err)
+	}
+	return event, nil
+}
--- a/internal/simwire/writer.go
+++ b/internal/simwire/reply.go
@@ -8,10 +8,10 @@
 )
 
 // Reply gathers the lines of one reply. Its methods are the actions of the
-// instance Inst, which the adapter sets before it hands over an event.
+// instance Instance, which the adapter sets before it hands over an event.
 type Reply struct {
-	Inst int
-	buf  []byte
+	Instance int
+	buf      []byte
 }
 
 // Take returns the reply with its last line and empties it; the slice is
@@ -25,7 +25,7 @@
 func (r *Reply) begin(name string) {
 	r.buf = append(r.buf, name...)
 	r.buf = append(r.buf, ' ')
-	r.buf = strconv.AppendInt(r.buf, int64(r.Inst), 10)
+	r.buf = strconv.AppendInt(r.buf, int64(r.Instance), 10)
 }
 
 func (r *Reply) str(s string) {
@@ -45,6 +45,7 @@
 
 func (r *Reply) end() { r.buf = append(r.buf, '\n') }
 
+// SendAttempt sends a request to a server.
 func (r *Reply) SendAttempt(id, server string, timeout time.Duration) {
 	r.begin("CALL_OUT")
 	r.str(id)
@@ -53,6 +54,7 @@
 	r.end()
 }
 
+// RejectRequest rejects a request; a retryAfter of 0 gives no advice.
 func (r *Reply) RejectRequest(id string, retryAfter time.Duration) {
 	r.begin("TURN_AWAY")
 	r.str(id)
@@ -60,12 +62,14 @@
 	r.end()
 }
 
+// FailRequest gives up a request whose attempts have failed.
 func (r *Reply) FailRequest(id string) {
 	r.begin("SURRENDER")
 	r.str(id)
 	r.end()
 }
 
+// CancelAttempt cancels an attempt that is in flight.
 func (r *Reply) CancelAttempt(id string, attempt int) {
 	r.begin("WITHDRAW")
 	r.str(id)
@@ -73,6 +77,7 @@
 	r.end()
 }
 
+// SetTimer asks for a timer event with the token.
 func (r *Reply) SetTimer(token uint64, after time.Duration) {
 	r.begin("SET_ALARM")
 	r.int(int64(token))
@@ -80,12 +85,14 @@
 	r.end()
 }
 
+// CheckHealth sends a health check to a server.
 func (r *Reply) CheckHealth(server string) {
 	r.begin("PROBE")
 	r.str(server)
 	r.end()
 }
 
+// SendGossip sends a message to a peer, or to all with [policy.AllInstances].
 func (r *Reply) SendGossip(peer int, message []byte) {
 	r.begin("SIGNAL")
 	if peer < 0 {
@@ -102,6 +109,7 @@
 	r.end()
 }
 
+// WatchEndpoints starts or stops the events of changed endpoints.
 func (r *Reply) WatchEndpoints(on bool) {
 	r.begin("STREAM_CHANGES")
 	if on {
@@ -112,13 +120,14 @@
 	r.end()
 }
 
+// Log writes a line to the log.
 func (r *Reply) Log(text string) {
 	r.begin("PRINT")
 	r.str(oneLine(text))
 	r.end()
 }
 
-// ReportFailure reports a failure of the decision code.
+// ReportFailure reports a failure of the policy.
 func (r *Reply) ReportFailure(text string) {
 	r.begin("BROKEN")
 	r.str(oneLine(text))
--- /dev/null
+++ b/internal/simwire/settings.go
@@ -0,0 +1,172 @@
+package simwire
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// ConnectionSettings is the part of the settings that concerns connections: the host's
+// business, not the policy's.
+type ConnectionSettings struct {
+	ConnIdleTimeout time.Duration // a server closes a connection that has stood idle this long
+	ConnectTimeout  time.Duration // a connection that is not made within this has failed
+}
+
+// ParseSettings parses the settings object, in the form in which both the
+// simulator and a real edge node's configuration give it.
+func ParseSettings(text []byte) (policy.Settings, ConnectionSettings, error) {
+	var in info
+	if err := json.Unmarshal(text, &in); err != nil {
+		return policy.Settings{}, ConnectionSettings{}, err
+	}
+	settings, err := in.settings()
+	connections := ConnectionSettings{
+		ConnIdleTimeout: seconds(in.PolicyLimits.ConnIdle),
+		ConnectTimeout:  seconds(in.PolicyLimits.ConnectTimeout),
+	}
+	return settings, connections, err
+}
+
+// info mirrors the settings object, which the wire calls info; its fields are named as the keys are, and
+// other keys are skipped.
+type info struct {
+	Instances, Me int
+	Zone          string
+	Tick          float64
+	RegistryMode  string
+	FamilyInfo    struct {
+		InboxPerS, UnitsTop float64
+		PostPaid            bool
+	}
+	Feedback struct{ How string }
+	Lanes    []struct {
+		Name, Idempotency, KeyScope             string
+		Deadline, OnTime, LateWorth, MemorySpan float64
+		Worth                                   float64
+		Streamed                                bool
+	}
+	Penalties    struct{ CrossZone, Peer, Probe, Waste float64 }
+	PolicyLimits struct {
+		Cancel, ParallelTries, Peers, Probes, RetryAfter bool
+		MostTries                                        int
+		MaxRetryAfter, ConnIdle, ConnectTimeout          float64
+	}
+	Rules struct {
+		AnswerSlack, AskWithin, ColdFrom, DrainGrace, FallMultiple, OverloadFor, RampTime float64
+	}
+	Tariffs []struct {
+		Name                                                     string
+		QuotaRate, PeakUnits, NeverOverRate, HardBurst, CapSlack float64
+		WorthFactor, ExtraWorth, OverCost                        float64
+		MaxOut                                                   int
+	}
+}
+
+// settings returns the policy's settings. Words that are unknown are errors.
+func (in *info) settings() (policy.Settings, error) {
+	s := in.scalarSettings()
+	switch in.Feedback.How {
+	case "answers":
+		s.LoadReports = policy.LoadReportsInResponses
+	case "probe":
+		s.LoadReports = policy.LoadReportsInHealthChecks
+	case "none", "":
+	default:
+		return s, fmt.Errorf("feedback.how: unknown word %q", in.Feedback.How)
+	}
+	var err error
+	if s.Classes, err = in.classes(); err != nil {
+		return s, err
+	}
+	s.Plans = in.plans()
+	return s, nil
+}
+
+// scalarSettings returns the settings but for classes, plans and load reports.
+func (in *info) scalarSettings() policy.Settings {
+	limits, rules, penalties := &in.PolicyLimits, &in.Rules, &in.Penalties
+	return policy.Settings{
+		InstanceIndex: in.Me,
+		InstanceCount: in.Instances,
+		Zone:          in.Zone,
+
+		ResponseSlack:        seconds(rules.AnswerSlack),
+		DrainGracePeriod:     seconds(rules.DrainGrace),
+		SlowStartMinFraction: rules.ColdFrom,
+		SlowStartWindow:      seconds(rules.RampTime),
+		ColdOverloadMultiple: rules.FallMultiple,
+		ColdOverloadWindow:   seconds(rules.OverloadFor),
+		PollsEndpoints:       in.RegistryMode == "subscribe",
+		EndpointPollInterval: seconds(rules.AskWithin),
+
+		MaxAttempts:        limits.MostTries,
+		AllowsHedging:      limits.ParallelTries,
+		AllowsCancel:       limits.Cancel,
+		AllowsGossip:       limits.Peers,
+		AllowsHealthChecks: limits.Probes,
+		SendsRetryAfter:    limits.RetryAfter,
+		MaxRetryAfter:      seconds(limits.MaxRetryAfter),
+		ConnectTimeout:     seconds(limits.ConnectTimeout),
+
+		GossipInboxRate:  in.FamilyInfo.InboxPerS,
+		SettlesUnits:     in.FamilyInfo.PostPaid,
+		MaxUnits:         in.FamilyInfo.UnitsTop,
+		MinEventInterval: seconds(in.Tick),
+
+		CrossZonePrice:   penalties.CrossZone,
+		GossipPrice:      penalties.Peer,
+		HealthCheckPrice: penalties.Probe,
+		WastedWorkPrice:  penalties.Waste,
+	}
+}
+
+// classes returns the classes up to the first invalid one, which is an error.
+func (in *info) classes() ([]policy.Class, error) {
+	var classes []policy.Class
+	for i := range in.Lanes {
+		lane := &in.Lanes[i]
+		idempotency, ok := idempotencies[lane.Idempotency]
+		if !ok {
+			return classes, fmt.Errorf("lanes: unknown idempotency %q", lane.Idempotency)
+		}
+		scope, ok := dedupScopes[lane.KeyScope]
+		if !ok && idempotency == policy.IdempotentWithKey {
+			return classes, fmt.Errorf("lanes: unknown keyScope %q", lane.KeyScope)
+		}
+		classes = append(classes, policy.Class{
+			Name:             lane.Name,
+			Idempotency:      idempotency,
+			DedupScope:       scope,
+			DedupWindow:      seconds(lane.MemorySpan),
+			LatencyObjective: seconds(lane.OnTime),
+			Deadline:         seconds(lane.Deadline),
+			PriorityWeight:   lane.Worth,
+			LateFraction:     lane.LateWorth,
+			IsStreaming:      lane.Streamed,
+		})
+	}
+	return classes, nil
+}
+
+func (in *info) plans() []policy.Plan {
+	var plans []policy.Plan
+	for i := range in.Tariffs {
+		tariff := &in.Tariffs[i]
+		plans = append(plans, policy.Plan{
+			Name:              tariff.Name,
+			Rate:              tariff.QuotaRate,
+			Burst:             tariff.PeakUnits,
+			MaxInFlight:       tariff.MaxOut,
+			HardLimitRate:     tariff.NeverOverRate,
+			HardLimitBurst:    tariff.HardBurst,
+			HardLimitSlack:    tariff.CapSlack,
+			PriorityFactor:    tariff.WorthFactor,
+			OverQuotaFraction: tariff.ExtraWorth,
+			OverQuotaCost:     tariff.OverCost,
+		})
+	}
+	return plans
+}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -10,7 +10,7 @@
 	"mulleinmux/policy"
 )
 
-func all(text string) (events []any, err error) {
+func readAll(text string) (events []any, err error) {
 	r := NewReader(strings.NewReader(text))
 	for {
 		ev, err := r.Next()
@@ -24,12 +24,15 @@
 	}
 }
 
-const launch = `LAUNCH 3 99 {"instances":2,"me":1,"zone":"z","newKey":[1],"tick":0.004,"feedback":{"how":"answers"},` +
+const launchLine = `LAUNCH 3 99 {"instances":2,"me":1,"zone":"z","newKey":[1],"tick":0.004,` +
+	`"feedback":{"how":"answers"},` +
 	`"lanes":[{"name":"c","idempotency":"dedup","keyScope":"cell","memorySpan":5,"onTime":1,"deadline":4}],` +
-	`"tariffs":[{"name":"p","quotaRate":2.5,"peakUnits":7,"maxOut":3}],"policyLimits":{"mostTries":3},"rules":{"drainGrace":2}}`
+	`"tariffs":[{"name":"p","quotaRate":2.5,"peakUnits":7,"maxOut":3}],` +
+	`"policyLimits":{"mostTries":3},"rules":{"drainGrace":2}}`
 
 func TestReadEvents(t *testing.T) {
-	events, err := all("CLOCK 8.41225\n" + launch + "\nPAGE 0 2\nITEM s.a IN 1 k z 0 -\nITEM s.b LAME 1.5 k y 3 6.1\n" +
+	events, err := readAll("CLOCK 8.41225\n" + launchLine + "\n" +
+		"PAGE 0 2\nITEM s.a IN 1 k z 0 -\nITEM s.b LAME 1.5 k y 3 6.1\n" +
 		"FLEET 3 41 0 Persisted\nACCEPT 3 rq_a c p 4569004829183723 0.24 2 3 1 1\n" +
 		"COMPLETED 3 rq_a 1 254 s.a 0.0185 0 86 3 backlog:3,novel:7\nTIMEOUT_FIRED 3 77\nWHISPER 3 0 aGkgNw==\n" +
 		"FLEET 3 42 - Error\nLEFT 3 rq_a\nCOMMIT\n")
@@ -40,37 +43,46 @@
 		t.Errorf("clock %v", c.Now)
 	}
 	l := events[1].(InstanceStarted)
-	if s := l.Settings; l.Seed != 99 || s.InstanceIndex != 1 || s.Classes[0].Idempotency != policy.IdempotentWithKey || s.Classes[0].DedupScope != policy.DedupCell ||
-		s.Plans[0].MaxInFlight != 3 || s.Plans[0].Burst != 7 || s.LoadReports != policy.LoadReportsInResponses || s.DrainGracePeriod != 2*time.Second {
+	s := l.Settings
+	if l.Seed != 99 || s.InstanceIndex != 1 ||
+		s.Classes[0].Idempotency != policy.IdempotentWithKey || s.Classes[0].DedupScope != policy.DedupCell ||
+		s.Plans[0].MaxInFlight != 3 || s.Plans[0].Burst != 7 || s.LoadReports != policy.LoadReportsInResponses ||
+		s.DrainGracePeriod != 2*time.Second {
 		t.Errorf("launch %+v", l)
 	}
 	list := events[2].(EndpointsChanged)
-	if len(list.Servers) != 2 || list.Servers[1].State != policy.Draining || list.Servers[1].StartedAt != 6100*time.Millisecond {
+	if len(list.Servers) != 2 || list.Servers[1].State != policy.Draining ||
+		list.Servers[1].StartedAt != 6100*time.Millisecond {
 		t.Errorf("list %+v", list)
 	}
-	if q := events[3].(RequestArrived).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.InstanceCount != 3 || q.FirstInstance != 1 {
+	q := events[3].(RequestArrived).Request
+	if q.Customer != 4569004829183723 || q.Units != 2 || q.InstanceCount != 3 || q.FirstInstance != 1 {
 		t.Errorf("request %+v", q)
 	}
-	if o := events[4].(AttemptCompleted).Outcome; o.Result != policy.RejectedByServer || !o.RequestAnswered || o.LoadReport == nil || o.LoadReport.QueueLength != 3 || o.Units != 3 {
+	o := events[4].(AttemptCompleted).Outcome
+	if o.Result != policy.RejectedByServer || !o.RequestAnswered ||
+		o.LoadReport == nil || o.LoadReport.QueueLength != 3 || o.Units != 3 {
 		t.Errorf("outcome %+v", o)
 	}
 	if w := events[6].(GossipReceived); string(w.Payload) != "hi 7" {
 		t.Errorf("payload %q", w.Payload)
 	}
-	if e := events[7].(EndpointsChanged); e.Form != policy.EndpointsUnavailable {
-		t.Errorf("form %v", e.Form)
+	if e := events[7].(EndpointsChanged); e.Kind != policy.EndpointsUnavailable {
+		t.Errorf("form %v", e.Kind)
 	}
 }
 
-func TestMalformedLinesAreNamed(t *testing.T) {
+func TestMalformedLines(t *testing.T) {
 	for _, bad := range []string{
 		"NONSENSE 1", "CLOCK x", "CLOCK", "LEFT 3", "LEFT 3 a b", "TIMEOUT_FIRED 3 -1", "WHISPER 3 0 ???",
 		"COMPLETED 3 rq 2 0 s 0 0 0 0 -", "COMPLETED 3 rq 1 17 s 0 0 0 0 -", "COMPLETED 3 rq 1 0 s 0 0 0 0 backlog",
-		"FLEET 3 1 9 Complete", "FLEET 3 1 0 Odd", "PAGE 16 0", "PAGE 0 1\nITEM s GONE 1 k z 0 -", "PAGE 0 2\nITEM s IN 1 k z 0 -",
-		"LAUNCH 3 99 {", "LAUNCH x 99 {}", `LAUNCH 3 9 {"feedback":{"how":"odd"}}`, `LAUNCH 3 9 {"lanes":[{"idempotency":"odd"}]}`,
+		"FLEET 3 1 9 Complete", "FLEET 3 1 0 Odd", "PAGE 16 0", "PAGE 0 1\nITEM s GONE 1 k z 0 -",
+		"PAGE 0 2\nITEM s IN 1 k z 0 -",
+		"LAUNCH 3 99 {", "LAUNCH x 99 {}", `LAUNCH 3 9 {"feedback":{"how":"odd"}}`,
+		`LAUNCH 3 9 {"lanes":[{"idempotency":"odd"}]}`,
 		"ACCEPT 3 rq c p 1 nan 1 1 1 1", "LEFT 3  rq",
 	} {
-		_, err := all("CLOCK 1\n" + bad + "\n")
+		_, err := readAll("CLOCK 1\n" + bad + "\n")
 		if err == nil || !strings.HasPrefix(err.Error(), "line ") {
 			t.Errorf("%q: error %v", bad, err)
 		}
@@ -78,7 +90,7 @@
 }
 
 func TestWriteActions(t *testing.T) {
-	r := Reply{Inst: 3}
+	r := Reply{Instance: 3}
 	r.SendAttempt("rq", "s.a", 80*time.Millisecond)
 	r.RejectRequest("rq", 0)
 	r.FailRequest("rq")
@@ -89,7 +101,8 @@
 	r.SendGossip(2, nil)
 	r.WatchEndpoints(true)
 	r.Log("two\nlines")
-	want := "CALL_OUT 3 rq s.a 0.08\nTURN_AWAY 3 rq 0\nSURRENDER 3 rq\nWITHDRAW 3 rq 1\nSET_ALARM 3 77 0.5\nPROBE 3 s.a\n" +
+	want := "CALL_OUT 3 rq s.a 0.08\nTURN_AWAY 3 rq 0\nSURRENDER 3 rq\n" +
+		"WITHDRAW 3 rq 1\nSET_ALARM 3 77 0.5\nPROBE 3 s.a\n" +
 		"SIGNAL 3 all aGkgNw==\nSIGNAL 3 2 -\nSTREAM_CHANGES 3 1\nPRINT 3 two lines\nFINISHED\n"
 	if got := string(r.Take()); got != want {
 		t.Errorf("got %q\nwant %q", got, want)
@@ -101,7 +114,7 @@
 
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("CLOCK 1\nCOMMIT\n"))
-	f.Add([]byte(launch + "\n"))
+	f.Add([]byte(launchLine + "\n"))
 	f.Add([]byte("PAGE 0 1\nITEM s IN 1 k z 0 -\nFLEET 3 41 0 Partial\n"))
 	f.Add([]byte("COMPLETED 3 rq 1 0 s 0 0 0 0 backlog:3\nACCEPT 3 r c p 1 1 1 1 1 1\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
