--- a/internal/discovery/activity_reader.go
+++ b/internal/discovery/activity_reader.go
@@ -13,6 +13,7 @@
 	listStartedAt time.Time // when the first piece of the present list came; zero: between lists
 }
 
+// Read reads the next piece and reports it to onActivity.
 func (r *activityReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
 	if n > 0 {
--- a/internal/discovery/assembler.go
+++ b/internal/discovery/assembler.go
@@ -23,7 +23,7 @@
 // isOpen reports whether an object has begun.
 func (a *objectAssembler) isOpen() bool { return len(a.text) > 0 }
 
-// addLine takes in a line, with no space around it, and tells whether the object is whole.
+// addLine adds a line, with no space around it, and reports whether the object is complete.
 func (a *objectAssembler) addLine(line []byte) (isComplete bool, err error) {
 	if !a.isOpen() && line[0] != '{' {
 		return false, errNoObject
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -43,7 +43,10 @@
 // malformedListError is returned for a list that can't be read.
 type malformedListError struct{ err error }
 
+// Error says what is wrong with the list.
 func (e *malformedListError) Error() string { return "malformed list: " + e.err.Error() }
+
+// Unwrap returns the cause.
 func (e *malformedListError) Unwrap() error { return e.err }
 
 // Watcher follows the changes of the list of app servers. Its exported fields are set before Run.
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -15,8 +15,8 @@
 
 const testTimeout = 30 * time.Second
 
-// startAgent serves watches over a real connection, the n-th by script(n, ...), until gone is closed; w sends what is written
-// at once.
+// startAgent serves watches over a real connection, the n-th by script(n, ...), until gone is closed; w sends what is
+// written at once.
 func startAgent(t *testing.T, script func(n int, from string, w io.Writer, gone <-chan struct{})) *Watcher {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gossip/socket_test.go
+++ b/internal/gossip/socket_test.go
@@ -13,7 +13,7 @@
 // testTimeout bounds every wait of a test; none is expected to come near it.
 const testTimeout = 30 * time.Second
 
-// Only whole datagrams of known peers are heard, under the sender's number.
+// Only complete datagrams of known peers are received, under the sender's number.
 func TestSocket(t *testing.T) {
 	socket := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/routing/extension_test.go
+++ b/routing/extension_test.go
@@ -8,26 +8,59 @@
 	"mulleinmux/policy"
 )
 
-// What an extension says must be so; every mistake is told, with its place.
-func TestExtensionFields(t *testing.T) {
-	key := Field{"key", Pos{20, 1}, mappingValue(20, textField(20, "header", "Idempotency-Key"))}
-	keyed := []Field{textField(20, "effect", "keyed"), key, textField(20, "group", "zone"), textField(20, "window", "4s")}
-	body := func(name string) *Schema {
+// extensionCase is an operation with extension fields, of which each mistake must be reported with its place.
+type extensionCase struct {
+	name   string
+	method string
+	fields []Field
+	want   string // in the error; empty: it is accepted
+}
+
+func checkExtensions(t *testing.T, cases []extensionCase) {
+	t.Helper()
+	for _, c := range cases {
+		_, err := Compile(documentWithExtension(c.method, c.fields), classOptions())
+		switch {
+		case c.want == "" && err != nil:
+			t.Errorf("%s: %v", c.name, err)
+		case c.want != "" && err == nil:
+			t.Errorf("%s is accepted", c.name)
+		case c.want != "" && !strings.Contains(err.Error(), c.want):
+			t.Errorf("%s: %q lacks %q", c.name, err, c.want)
+		case c.want != "" && !strings.Contains(err.Error(), "paths./a."):
+			t.Errorf("%s: %q does not name the field", c.name, err)
+		}
+	}
+}
+
+// documentWithExtension describes one operation with parameters n, q and Idempotency-Key and a body with the
+// property n.
+func documentWithExtension(method string, fields []Field) *Document {
+	d := makeDocument(method + " /a")
+	m := &d.Paths[0].Methods[0]
+	m.Params = []Param{
+		{Name: "n", In: "query", Schema: Schema{Integer: true}},
+		{Name: "q", In: "query"},
+		{Name: "Idempotency-Key", In: "header"},
+	}
+	m.Body = &Schema{Properties: func(name string) *Schema {
 		if name == "n" {
 			return &Schema{Integer: true}
 		}
 		return nil
+	}}
+	if fields != nil {
+		v := mappingValue(20, fields...)
+		m.Extension = &v
 	}
-	unitsOf := func(fields ...Field) []Field {
-		return []Field{{"units", Pos{20, 1}, mappingValue(20, fields...)}}
-	}
+	return d
+}
+
+func TestEffectFields(t *testing.T) {
+	key := Field{"key", Pos{20, 1}, mappingValue(20, textField(20, "header", "Idempotency-Key"))}
 	otherKey := Field{"key", Pos{20, 1}, mappingValue(20, textField(20, "header", "Other"))}
-	for _, c := range []struct {
-		name   string
-		method string
-		rules  []Field
-		want   string // in the error; empty: it is taken
-	}{
+	keyed := []Field{textField(20, "effect", "keyed"), key, textField(20, "group", "zone"), textField(20, "window", "4s")}
+	checkExtensions(t, []extensionCase{
 		{"a safe GET", "GET", nil, ""},
 		{"an unsafe GET", "GET", []Field{textField(20, "effect", "unsafe")}, ""},
 		{"a POST that says it is safe", "POST", []Field{textField(20, "effect", "safe")}, "repeatable: true"},
@@ -59,12 +92,25 @@
 			`no header parameter "Other"`,
 		},
 		{"a window of something else", "GET", []Field{textField(20, "window", "4s")}, "only a keyed operation"},
+	})
+}
+
+func TestClassFields(t *testing.T) {
+	checkExtensions(t, []extensionCase{
 		{"an unknown field", "GET", []Field{textField(20, "unit", "4")}, "is no field of x-mulleinmux"},
 		{"an unknown class", "GET", []Field{textField(20, "class", "cheap")}, `"cheap" has no worth`},
 		{"an unknown effect", "GET", []Field{textField(20, "effect", "idempotent")}, "one of safe, keyed, unsafe"},
 		{"an aim without a unit", "GET", []Field{numberField(20, "aim", "400")}, "write it with a unit"},
 		{"a negative aim", "GET", []Field{textField(20, "aim", "-4s")}, "no duration"},
 		{"an aim past the deadline", "GET", []Field{textField(20, "aim", "3s")}, "past the deadline"},
+	})
+}
+
+func TestUnitsFields(t *testing.T) {
+	unitsOf := func(fields ...Field) []Field {
+		return []Field{{"units", Pos{20, 1}, mappingValue(20, fields...)}}
+	}
+	checkExtensions(t, []extensionCase{
 		{"units below 1", "GET", []Field{numberField(20, "units", "0")}, "outside 1 to 100"},
 		{"units over the most", "GET", []Field{numberField(20, "units", "101")}, "outside 1 to 100"},
 		{"units in parts", "GET", []Field{numberField(20, "units", "1.5")}, "no whole number"},
@@ -102,31 +148,7 @@
 			unitsOf(textField(20, "query", "n"), numberField(20, "most", "9"), numberField(20, "least", "10")),
 			"least 10 is over most 9",
 		},
-	} {
-		d := makeDocument(c.method + " /a")
-		m := &d.Paths[0].Methods[0]
-		m.Params = []Param{
-			{Name: "n", In: "query", Schema: Schema{Integer: true}},
-			{Name: "q", In: "query"},
-			{Name: "Idempotency-Key", In: "header"},
-		}
-		m.Body = &Schema{Properties: body}
-		if c.rules != nil {
-			v := mappingValue(20, c.rules...)
-			m.Extension = &v
-		}
-		_, err := Compile(d, classOptions())
-		switch {
-		case c.want == "" && err != nil:
-			t.Errorf("%s: %v", c.name, err)
-		case c.want != "" && err == nil:
-			t.Errorf("%s is taken", c.name)
-		case c.want != "" && !strings.Contains(err.Error(), c.want):
-			t.Errorf("%s: %q lacks %q", c.name, err, c.want)
-		case c.want != "" && !strings.Contains(err.Error(), "paths./a."):
-			t.Errorf("%s: %q does not name the field", c.name, err)
-		}
-	}
+	})
 }
 
 // The nearest extension counts, field by field; an effect of the document is no leave for
--- a/routing/problem.go
+++ b/routing/problem.go
@@ -13,6 +13,7 @@
 	Text  string // what is wrong and what to do
 }
 
+// Error names the file, the position and the field ahead of the text.
 func (p Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -32,6 +33,7 @@
 // Problems are all that is wrong with a description, in its order.
 type Problems []Problem
 
+// Error has a line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
