--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -25,7 +25,7 @@
 	t.Parallel()
 	v, err := Play(context.Background(), Options{Scenario: "calm", For: 2 * time.Second, Seed: 7, breakRule: func(w *world) {
 		for _, h := range w.halls {
-			for _, addr := range h.Addrs() {
+			for _, addr := range h.Addrs()[:1] { // one server of each site
 				r, err := http.NewRequest("POST", "http://"+addr+"/v1/visits", strings.NewReader(`{"installers":2}`))
 				if err != nil {
 					t.Error(err)
@@ -40,7 +40,6 @@
 				}
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
-				break
 			}
 		}
 		http.DefaultClient.CloseIdleConnections()
--- a/routing/path_item.go
+++ b/routing/path_item.go
@@ -56,7 +56,7 @@
 	return item.operations[0].Method
 }
 
-// buildAllowHeader returns the value of an Allow header: what is described, and what follows from item.
+// buildAllowHeader returns the value of an Allow header: what is described, and what follows from it.
 func (item *pathItem) buildAllowHeader() string {
 	var methods []string
 	for _, o := range item.operations {
