--- a/cmd/gateway/serve.go
+++ b/cmd/gateway/serve.go
@@ -207,7 +207,7 @@
 		defer out.Close()
 		access := gateway.NewAccessLog(out)
 		defer func() { err = errors.Join(err, access.Close()) }()
-		cfg.Observe = access.Observe
+		cfg.Observe = access.Record
 	}
 	logger := log.New(e.stderr, "", log.LstdFlags|log.Lmicroseconds)
 	if f.Cluster != nil {
--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -203,13 +203,13 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg := &gateway.Config{Name: "gate", Halls: []gateway.Hall{{Name: "hall-a", Register: reg.Addr()}}, Classes: classes,
+	cfg := &gateway.Config{Name: "gate", Sites: []gateway.Site{{Name: "hall-a", Discovery: reg.Addr()}}, Classes: classes,
 		Licensees: map[string]gateway.Licensee{}, Settings: settings()}
 	for i := range 100 {
 		name := fmt.Sprint("licensee-", i)
 		cfg.Licensees[name] = gateway.Licensee{Plan: "kubwa", Customer: gateway.CustomerOf(name)}
 	}
-	cfg.On(ln, nil)
+	cfg.UseSockets(ln, nil)
 	want := len(servers)
 	if change != nil {
 		change(cfg)
--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -86,7 +86,7 @@
 	handle("GET /v1/status", func(ctx context.Context, _ *http.Request) (any, error) { return f.status(ctx) })
 	handle("GET /v1/config", f.objects)
 	handle("GET /v1/history", func(ctx context.Context, _ *http.Request) (h any, err error) {
-		err = f.node.Read(ctx, func(s *clusterconfig.State) { h = s.History() })
+		err = f.node.LinearizableRead(ctx, func(s *clusterconfig.State) { h = s.History() })
 		return h, err
 	})
 	handle("POST /v1/check", func(ctx context.Context, r *http.Request) (any, error) { return f.propose(ctx, r, true) })
@@ -96,7 +96,7 @@
 	mux.HandleFunc("GET /metrics", f.metrics)
 	asked := make(chan struct{}, maxAsked)
 	srv := &http.Server{ErrorLog: f.log, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: time.Minute, WriteTimeout: adminMost + 10*time.Second,
-		IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, TLSConfig: f.cfg.Credentials.TLS(),
+		IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, TLSConfig: f.cfg.Credentials.TLSConfig(),
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if _, err := f.asker(r); err != nil {
 				write(w, http.StatusForbidden, failure{err.Error()})
@@ -115,11 +115,11 @@
 }
 
 // asker tells who asks.
-func (f *Fleet) asker(r *http.Request) (h raftnode.Holder, err error) {
+func (f *Fleet) asker(r *http.Request) (h raftnode.Identity, err error) {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return h, errors.New("no certificate")
 	}
-	if h, err = raftnode.HolderOf(r.TLS.PeerCertificates[0]); err != nil {
+	if h, err = raftnode.IdentityOf(r.TLS.PeerCertificates[0]); err != nil {
 		return h, err
 	}
 	if h.Cluster != f.cfg.Cluster {
@@ -164,7 +164,7 @@
 
 // plain words an error for operators.
 func (f *Fleet) plain(ctx context.Context, err error) string {
-	if errors.Is(err, raftnode.ErrNoLeader) || errors.Is(err, raftnode.ErrLost) {
+	if errors.Is(err, raftnode.ErrNoLeader) || errors.Is(err, raftnode.ErrOutcomeUnknown) {
 		short, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 		defer cancel()
 		if s, e := f.node.Status(short); e == nil {
@@ -192,7 +192,7 @@
 }
 
 func read(r *http.Request, to any) error {
-	dec := json.NewDecoder(io.LimitReader(r.Body, 2*clusterconfig.MaxProposal))
+	dec := json.NewDecoder(io.LimitReader(r.Body, 2*clusterconfig.MaxProposalBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(to); err != nil {
 		return bad("body: %v", err)
@@ -215,9 +215,9 @@
 	f.mu.Unlock()
 	if in != nil {
 		out.Installed = in.Version()
-		out.Halls = in.HallStates()
+		out.Halls = in.SiteStates()
 		var age time.Duration
-		if age, out.Serves = in.Standing(time.Now()); age > 0 {
+		if age, out.Serves = in.Confirmation(time.Now()); age > 0 {
 			out.AgeMs = age.Milliseconds()
 		}
 	}
@@ -228,9 +228,9 @@
 	var s *clusterconfig.State
 	var err error
 	if r.URL.Query().Get("local") != "" {
-		s, err = f.node.Freeze(ctx)
+		s, err = f.node.AppliedState(ctx)
 	} else {
-		err = f.node.Read(ctx, func(now *clusterconfig.State) { s = now.Freeze() })
+		err = f.node.LinearizableRead(ctx, func(now *clusterconfig.State) { s = now.Freeze() })
 	}
 	if err != nil {
 		return nil, err
@@ -259,25 +259,25 @@
 	if p.Author = who.Operator; p.Author == "" {
 		p.Author = fmt.Sprint("member ", who.Member)
 	}
-	if p.AtMs == 0 {
-		p.AtMs = time.Now().UnixMilli()
+	if p.ProposedAtMs == 0 {
+		p.ProposedAtMs = time.Now().UnixMilli()
 	}
 	if len(p.ID) == 0 || len(p.ID) > 200 {
 		return nil, bad("id: 1 to 200 bytes are wanted")
 	}
 	if checkOnly {
 		var s *clusterconfig.State
-		if err := f.node.Read(ctx, func(now *clusterconfig.State) { s = now.Freeze() }); err != nil {
+		if err := f.node.LinearizableRead(ctx, func(now *clusterconfig.State) { s = now.Freeze() }); err != nil {
 			return nil, err
 		}
 		if err := s.Check(p); err != nil {
-			return nil, &refusal{http.StatusConflict, clusterconfig.Outcome{Version: s.Version(), Refused: err.Error()}}
+			return nil, &refusal{http.StatusConflict, clusterconfig.Outcome{Version: s.Version(), RejectionReason: err.Error()}}
 		}
-		return clusterconfig.Outcome{Version: s.Version(), Applied: true}, nil
+		return clusterconfig.Outcome{Version: s.Version(), IsApplied: true}, nil
 	}
 	// What can't be is not sent to all members. Whether this member's state is the newest is
 	// for the log to tell: a refusal here counts only if the quorum's state refuses as well.
-	local, err := f.node.Freeze(ctx)
+	local, err := f.node.AppliedState(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -285,7 +285,7 @@
 		var s *clusterconfig.State
 		var before clusterconfig.Outcome
 		var known bool
-		if err := f.node.Read(ctx, func(now *clusterconfig.State) {
+		if err := f.node.LinearizableRead(ctx, func(now *clusterconfig.State) {
 			s = now.Freeze()
 			before, known = now.Outcome(p.ID)
 		}); err != nil {
@@ -295,7 +295,7 @@
 			return outcome(before)
 		}
 		if err := s.Check(p); err != nil {
-			return outcome(clusterconfig.Outcome{Version: s.Version(), Refused: err.Error()})
+			return outcome(clusterconfig.Outcome{Version: s.Version(), RejectionReason: err.Error()})
 		}
 	}
 	o, err := f.node.Propose(ctx, p)
@@ -306,7 +306,7 @@
 }
 
 func outcome(o clusterconfig.Outcome) (any, error) {
-	if !o.Applied {
+	if !o.IsApplied {
 		return nil, &refusal{http.StatusConflict, o}
 	}
 	return o, nil
@@ -335,12 +335,12 @@
 		if !slices.Contains(s.Voters, c.Member) {
 			return nil, bad("member: %d is no voter", c.Member)
 		}
-		err = f.node.Transfer(ctx, c.Member)
+		err = f.node.TransferLeadership(ctx, c.Member)
 	case c.Op == "remove":
 		if len(s.Voters) == 1 && s.Voters[0] == c.Member {
 			return nil, bad("member: %d is the only voter", c.Member)
 		}
-		if err = f.node.Members(ctx, remove(c.Member)); err == nil {
+		if err = f.node.ChangeMembership(ctx, remove(c.Member)); err == nil {
 			err = f.place(ctx, c.Member, nil)
 		}
 	case c.Op == "add":
@@ -393,7 +393,7 @@
 	if err := f.place(ctx, id, at); err != nil {
 		return err
 	}
-	if err := f.node.Members(ctx, func(voters, learners []uint64) []*raftpb.ConfChangeSingle {
+	if err := f.node.ChangeMembership(ctx, func(voters, learners []uint64) []*raftpb.ConfChangeSingle {
 		if slices.Contains(voters, id) || slices.Contains(learners, id) {
 			return nil
 		}
@@ -402,12 +402,12 @@
 		return err
 	}
 	for {
-		behind, known, err := f.node.Behind(ctx, id)
+		behind, known, err := f.node.ReplicationLag(ctx, id)
 		if err != nil {
 			return err
 		}
 		if known && behind < caughtUp {
-			return f.node.Members(ctx, vote)
+			return f.node.ChangeMembership(ctx, vote)
 		}
 		select {
 		case <-ctx.Done():
@@ -422,9 +422,9 @@
 	name := fmt.Sprint(id)
 	c := clusterconfig.Change{Op: "remove", Kind: "member", Name: name}
 	if at != nil {
-		c = clusterconfig.Put("member", name, at)
+		c = clusterconfig.NewPutChange("member", name, at)
 	}
-	s, err := f.node.Freeze(ctx)
+	s, err := f.node.AppliedState(ctx)
 	if err != nil {
 		return err
 	}
@@ -432,9 +432,9 @@
 		return nil
 	}
 	o, err := f.node.Propose(ctx, &clusterconfig.Proposal{ID: fmt.Sprintf("member-%d-%d", id, time.Now().UnixNano()), Author: fmt.Sprint("member ", f.cfg.Member),
-		Why: "change of members", AtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{c}})
-	if err == nil && !o.Applied {
-		err = bad("%s", o.Refused)
+		Reason: "change of members", ProposedAtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{c}})
+	if err == nil && !o.IsApplied {
+		err = bad("%s", o.RejectionReason)
 	}
 	return err
 }
@@ -442,7 +442,7 @@
 // pass asks the leader instead, once.
 func (f *Fleet) pass(ctx context.Context, leader uint64, r *http.Request, c *MembersChange) (any, error) {
 	f.mu.Lock()
-	at := f.members[leader].Admin
+	at := f.members[leader].AdminAddress
 	f.mu.Unlock()
 	if r.Header.Get("X-Passed") != "" || at == "" {
 		return nil, fmt.Errorf("member %d leads, at %q: ask there", leader, at)
@@ -476,7 +476,7 @@
 	gauge("mulleingate_config_age_seconds", "Since a quorum last confirmed it; -1: not since the start.", float64(s.AgeMs)/1000)
 	gauge("mulleingate_serves", "1 if requests are served.", bit[s.Serves])
 	gauge("mulleingate_raft_leader", "Number of the member that leads; 0: none is known.", s.Leader)
-	gauge("mulleingate_raft_applied_index", "Index of the last entry applied.", s.Index)
+	gauge("mulleingate_raft_applied_index", "Index of the last entry applied.", s.AppliedIndex)
 	if f.streams != nil {
 		f.streams.metrics(w)
 	}
@@ -486,10 +486,10 @@
 	if in == nil {
 		return
 	}
-	gauge("mulleingate_requests_unconfirmed", "Requests refused because the configuration was not confirmed.", in.Unconfirmed())
+	gauge("mulleingate_requests_unconfirmed", "Requests refused because the configuration was not confirmed.", in.UnconfirmedCount())
 	type figures struct{ served, refused, failed, units int64 }
 	all := map[string]figures{}
-	in.Count(func(op string, c *gateway.Counters) {
+	in.EachOperation(func(op string, c *gateway.Counters) {
 		all[op] = figures{c.Served.Load(), c.Refused.Load(), c.Failed.Load(), c.Units.Load()}
 	})
 	fmt.Fprintf(w, "# TYPE mulleingate_requests_total counter\n")
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -34,7 +34,7 @@
 
 // NewClient returns a client. at are admin addresses of instances.
 func NewClient(cluster string, creds raftnode.Credentials, at ...string) *Client {
-	tls := creds.TLS()
+	tls := creds.TLSConfig()
 	return &Client{cluster: cluster, at: at, http: &http.Client{Transport: &http.Transport{TLSClientConfig: tls, TLSHandshakeTimeout: 2 * time.Second,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
 }
@@ -64,8 +64,8 @@
 	}
 	resp, err := c.http.Do(r)
 	if err != nil {
-		if errors.Is(err, raftnode.ErrAuthority) {
-			return fmt.Errorf("%s: is not of cluster %q: %w", at, c.cluster, raftnode.ErrAuthority)
+		if errors.Is(err, raftnode.ErrUnknownAuthority) {
+			return fmt.Errorf("%s: is not of cluster %q: %w", at, c.cluster, raftnode.ErrUnknownAuthority)
 		}
 		if strings.Contains(err.Error(), "remote error: tls") {
 			return fmt.Errorf("%s: does not take the certificate: is it of cluster %q? %w", at, c.cluster, err)
@@ -132,7 +132,7 @@
 }
 
 // History returns the versions kept, the oldest first.
-func (c *Client) History(ctx context.Context) (h []clusterconfig.Record, err error) {
+func (c *Client) History(ctx context.Context) (h []clusterconfig.HistoryRecord, err error) {
 	err = c.any(ctx, http.MethodGet, "/v1/history", nil, &h)
 	return h, err
 }
@@ -165,7 +165,7 @@
 	all, failed := map[uint64]Status{}, map[uint64]error{}
 	for id, m := range first.Members {
 		one, cancel := context.WithTimeout(ctx, 2*time.Second)
-		if s, err := c.StatusAt(one, m.Admin); err != nil {
+		if s, err := c.StatusAt(one, m.AdminAddress); err != nil {
 			failed[id] = err
 		} else {
 			all[id] = s
@@ -189,11 +189,11 @@
 		return "", 0, nil
 	}
 	for _, s := range fs.Followers {
-		if s.State == "running" && (s.Running.Number >= version || s.Pinned > 0 && s.Running.Number >= s.Pinned) {
+		if s.State == "running" && (s.Running.Number >= version || s.PinnedVersion > 0 && s.Running.Number >= s.PinnedVersion) {
 			continue // a pinned one stays where it was told to
 		}
 		n++
-		missing += "; follower " + s.Name + " " + s.Plain()
+		missing += "; follower " + s.Name + " " + s.Summary()
 	}
 	if err == nil && fs.Newest < version {
 		return fmt.Sprintf("; member %d offers version %d", fs.Member, fs.Newest), 1 + len(fs.Followers), nil
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -47,7 +47,7 @@
 	Tick         time.Duration                   // 50 ms where 0: an election comes after 10 to 20 ticks without a leader
 
 	// For the lab's faults, nil elsewhere.
-	Disk     func(raftnode.Disk) raftnode.Disk
+	Disk     func(raftnode.Storage) raftnode.Storage
 	Outgoing func(send func(*pb.Message)) func(*pb.Message)
 }
 
@@ -73,13 +73,13 @@
 	if _, err := os.Stat(cfg.Data); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: %w", cfg.Data, fs.ErrExist)
 	}
-	disk, err := raftnode.OpenBolt(cfg.Data, cfg.Cluster, cfg.Member)
+	disk, err := raftnode.OpenBoltStorage(cfg.Data, cfg.Cluster, cfg.Member)
 	if err != nil {
 		return err
 	}
 	if !join {
 		// Every member of a new cluster begins with the same snapshot of nothing.
-		_, err = raftnode.Open(raftnode.Config{ID: cfg.Member, Voters: slices.Sorted(maps.Keys(cfg.Members)), Validate: Validate}, disk)
+		_, err = raftnode.NewCore(raftnode.Config{ID: cfg.Member, Voters: slices.Sorted(maps.Keys(cfg.Members)), Validate: Validate}, disk)
 	}
 	return errors.Join(err, disk.Close())
 }
@@ -111,37 +111,37 @@
 	if _, err := os.Stat(cfg.Data); errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: %w", cfg.Data, ErrNoFile)
 	}
-	if h, err := cfg.Credentials.Holder(); err != nil || h.Cluster != cfg.Cluster || h.Member != cfg.Member {
+	if h, err := cfg.Credentials.Identity(); err != nil || h.Cluster != cfg.Cluster || h.Member != cfg.Member {
 		return fmt.Errorf("certificate: is that of member %d of %q, not of %d of %q: %w", h.Member, h.Cluster, cfg.Member, cfg.Cluster, err)
 	}
-	bolt, err := raftnode.OpenBolt(cfg.Data, cfg.Cluster, cfg.Member)
+	bolt, err := raftnode.OpenBoltStorage(cfg.Data, cfg.Cluster, cfg.Member)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, bolt.Close()) }()
-	var disk raftnode.Disk = bolt
+	var disk raftnode.Storage = bolt
 	if cfg.Disk != nil {
 		disk = cfg.Disk(bolt)
 	}
 	if !cfg.KeysAnywhere {
-		gate.Keys = &multisite.Config{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
+		gate.Keys = &multisite.KeyConfig{InstanceID: cfg.Member, Incarnation: bolt.Incarnation(), LeaseTTL: keyLease, KeyTTL: keyLife, DeduplicationWindow: keyMemory, MaxKeys: keysMost}
 	}
 	if gate.Keys != nil {
-		gate.Health = &multisite.HealthConfig{Me: cfg.Member, Least: hallLeast, LostAfter: hallLost, Fresh: hallFresh, Hold: hallHold,
-			HoldMost: hallHoldMost, Calm: hallCalm, Ramp: gate.Settings.SlowStartWindow}
-		gate.Consent = &multisite.ConsentConfig{Me: cfg.Member, Incarnation: bolt.Starts()}
+		gate.Health = &multisite.HealthConfig{InstanceID: cfg.Member, MinMisses: hallLeast, LossTimeout: hallLost, ViewTTL: hallFresh, RecoveryDelay: hallHold,
+			MaxRecoveryDelay: hallHoldMost, LossWindow: hallCalm, WarmUpWindow: gate.Settings.SlowStartWindow}
+		gate.QuorumConfirmation = &multisite.ConfirmationConfig{InstanceID: cfg.Member, Incarnation: bolt.Incarnation()}
 		if gate.Settings.ColdOverloadMultiple > 0 && gate.Settings.SlowStartWindow > 0 {
-			gate.Ramp = &multisite.RampConfig{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: rampLease, Fresh: hallFresh, Multiple: gate.Settings.ColdBudgetMultiple()}
+			gate.RecoveryRamp = &multisite.RampConfig{InstanceID: cfg.Member, Incarnation: bolt.Incarnation(), LoanTTL: rampLease, LoadTTL: hallFresh, BudgetMultiple: gate.Settings.ColdBudgetMultiple()}
 		}
 	}
-	if l := gate.Link; l != nil {
-		l.TLS = cfg.Credentials.TLS()
+	if l := gate.Relay; l != nil {
+		l.TLS = cfg.Credentials.TLSConfig()
 		// A ticket that is not read yet would make an idle connection look used.
 		l.TLS.SessionTicketsDisabled = true
-		l.Verify = func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf(cfg.Cluster, s) }
+		l.Verify = func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember(cfg.Cluster, s) }
 	}
-	if gate.Agreed == nil {
-		gate.Agreed = &gateway.Agreed{}
+	if gate.Agreement == nil {
+		gate.Agreement = &gateway.Agreement{}
 	}
 	own := cfg.Members[cfg.Member]
 	var opened []net.Listener
@@ -159,7 +159,7 @@
 			ln.Close()
 		}
 	}
-	ln, admin := listen("cluster", orElse(cfg.Listen, own.Raft)), listen("admin", orElse(cfg.Admin, own.Admin))
+	ln, admin := listen("cluster", orElse(cfg.Listen, own.RaftAddress)), listen("admin", orElse(cfg.Admin, own.AdminAddress))
 	var followers net.Listener
 	if cfg.Stream != "" {
 		followers = listen("stream", cfg.Stream)
@@ -171,13 +171,13 @@
 	f := &Fleet{cfg: cfg, gate: gate, log: logger, wake: make(chan struct{}, 1), members: maps.Clone(cfg.Members), begun: time.Now()}
 	addrs := map[uint64]string{}
 	for id, m := range cfg.Members {
-		addrs[id] = m.Raft
+		addrs[id] = m.RaftAddress
 	}
 	if followers != nil {
 		f.streams = newStreams(f)
 	}
 	f.node, err = raftnode.Start(raftnode.NodeConfig{Config: raftnode.Config{ID: cfg.Member, Validate: Validate}, Cluster: cfg.Cluster,
-		Credentials: cfg.Credentials, Tick: cfg.Tick, Peers: addrs, Starts: bolt.Starts(), Logger: logger, Outgoing: cfg.Outgoing, Changed: f.changed, Word: f.hearKeys}, disk, ln)
+		Credentials: cfg.Credentials, TickInterval: cfg.Tick, PeerAddresses: addrs, Incarnation: bolt.Incarnation(), Logger: logger, WrapSend: cfg.Outgoing, OnChange: f.changed, OnBroadcast: f.hearKeys}, disk, ln)
 	if err != nil {
 		abandon()
 		return err
@@ -217,7 +217,7 @@
 	select {
 	case err := <-ended:
 		return err
-	case <-f.node.Ended():
+	case <-f.node.Done():
 		err = fmt.Errorf("member %d: %w", cfg.Member, f.node.Err())
 		logger.Printf("%v: the instance drains", err)
 	case <-ctx.Done():
@@ -244,8 +244,8 @@
 		return
 	}
 	for _, v := range s.Voters {
-		if behind, known, err := f.node.Behind(ctx, v); v != s.ID && err == nil && known && behind < caughtUp {
-			if err := f.node.Transfer(ctx, v); err != nil {
+		if behind, known, err := f.node.ReplicationLag(ctx, v); v != s.ID && err == nil && known && behind < caughtUp {
+			if err := f.node.TransferLeadership(ctx, v); err != nil {
 				f.log.Printf("handing the lead over: %v", err)
 			}
 			return
@@ -278,7 +278,7 @@
 		for ctx.Err() == nil {
 			c := confirmation{at: time.Now()}
 			one, cancel := context.WithTimeout(ctx, 2*time.Second)
-			err := f.node.Read(one, func(s *clusterconfig.State) { c.state, c.homes = s.Freeze(), s.Homes() })
+			err := f.node.LinearizableRead(one, func(s *clusterconfig.State) { c.state, c.homes = s.Freeze(), s.PlacementVersion() })
 			cancel()
 			if err == nil {
 				select {
@@ -288,7 +288,7 @@
 			}
 			select {
 			case <-ctx.Done():
-			case <-f.node.Ended():
+			case <-f.node.Done():
 				return
 			case <-time.After(confirmEvery * tick):
 			}
@@ -304,19 +304,19 @@
 		case c := <-confirmed:
 			f.streams.confirm(c)
 			if f.install(c.state) {
-				f.in.Confirm(c.at)
+				f.in.ConfirmVersion(c.at)
 				if f.gate.Keys != nil && f.takeHomes(ctx) >= c.homes {
-					f.in.ConfirmHomes(c.at)
+					f.in.ConfirmKeyOwners(c.at)
 				}
 			}
 		case <-f.wake:
-			if s, err := f.node.Freeze(ctx); err == nil {
+			if s, err := f.node.AppliedState(ctx); err == nil {
 				f.streams.publish(s)
 				f.install(s)
 				f.takeHomes(ctx)
 			}
 		case now := <-stale.C:
-			if age, serves := f.in.Standing(now); age > 2*time.Second && now.Sub(told) > staleLog {
+			if age, serves := f.in.Confirmation(now); age > 2*time.Second && now.Sub(told) > staleLog {
 				told = now
 				f.log.Printf("cut off: version %d was last confirmed %.1f s ago; served on: %v", f.in.Version(), age.Seconds(), serves)
 			}
@@ -365,7 +365,7 @@
 
 // learnMembers takes over where the members are reached.
 func (f *Fleet) learnMembers(s *clusterconfig.State) {
-	agreed := clusterconfig.Read[clusterconfig.Member](s, "member")
+	agreed := clusterconfig.ObjectsByName[clusterconfig.Member](s, "member")
 	if len(agreed) == 0 {
 		return
 	}
@@ -377,10 +377,10 @@
 	}
 	addrs := map[uint64]string{}
 	for id, m := range f.members {
-		addrs[id] = m.Raft
+		addrs[id] = m.RaftAddress
 	}
 	f.mu.Unlock()
-	f.node.Peers(addrs)
+	f.node.SetPeers(addrs)
 }
 
 // Instance is the gateway's.
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -57,9 +57,9 @@
 
 type fleetMember struct {
 	cfg    *Config
-	agreed gateway.Agreed
+	agreed gateway.Agreement
 	listen string
-	link   *gateway.LinkConfig
+	link   *gateway.RelayConfig
 	fleet  *Fleet
 	stop   context.CancelFunc
 	done   chan error
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	for id := uint64(1); id <= uint64(n); id++ {
-		r.addrs[id] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
+		r.addrs[id] = clusterconfig.Member{RaftAddress: freeAddr(t), AdminAddress: freeAddr(t)}
 	}
 	for id := uint64(1); id <= uint64(n); id++ {
 		r.member(id)
@@ -106,13 +106,13 @@
 		}
 		r.start(id)
 	}
-	creds, err := raftnode.LoadNamed(writeAuthority(t, auth, r.dir), raftnode.OperatorFile("amina"))
+	creds, err := raftnode.LoadCredentialFiles(writeAuthority(t, auth, r.dir), raftnode.OperatorFilePrefix("amina"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var at []string
 	for id := uint64(1); id <= uint64(n); id++ {
-		at = append(at, r.addrs[id].Admin)
+		at = append(at, r.addrs[id].AdminAddress)
 	}
 	r.admin = NewClient("test", creds, at...)
 	t.Cleanup(func() {
@@ -135,7 +135,7 @@
 // member describes a member that does not run yet.
 func (r *rig) member(id uint64) *fleetMember {
 	r.t.Helper()
-	creds, err := r.auth.Credentials(id)
+	creds, err := r.auth.IssueCredentials(id)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -151,15 +151,15 @@
 	ctx, stop := context.WithCancel(context.Background())
 	agreed := m.agreed
 	at := m.listen
-	gate := &gateway.Config{Name: fmt.Sprint("g", id), Seed: id, Agreed: &agreed, DrainFor: time.Millisecond,
+	gate := &gateway.Config{Name: fmt.Sprint("g", id), Seed: id, Agreement: &agreed, DrainTimeout: time.Millisecond,
 		Settings: policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true, LoadReports: policy.LoadReportsInHealthChecks}}
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	gate.Link = m.link
-	gate.On(ln, nil)
+	gate.Relay = m.link
+	gate.UseSockets(ln, nil)
 	m.stop, m.done = stop, make(chan error, 1)
 	begun := make(chan *Fleet, 1)
 	go func() { m.done <- Run(ctx, m.cfg, gate, log.New(io.Discard, "", 0), func(f *Fleet) { begun <- f }) }()
@@ -285,7 +285,7 @@
 			t.Errorf("before anything is agreed on: %+v", a)
 		}
 	}
-	if o := r.propose(r.first()); !o.Applied || o.Version != 1 {
+	if o := r.propose(r.first()); !o.IsApplied || o.Version != 1 {
 		t.Fatalf("%+v", o)
 	}
 	r.everywhere(1)
@@ -297,7 +297,7 @@
 		}
 	}
 	base := uint64(1)
-	p := &clusterconfig.Proposal{ID: "second", Base: &base, Author: "somebody else", Why: "dearer", Changes: []clusterconfig.Change{describe(7)}}
+	p := &clusterconfig.Proposal{ID: "second", BaseVersion: &base, Author: "somebody else", Reason: "dearer", Changes: []clusterconfig.Change{describe(7)}}
 	for range 2 {
 		if o := r.propose(p); o.Version != 2 {
 			t.Errorf("%+v", o)
@@ -313,7 +313,7 @@
 		p    *clusterconfig.Proposal
 		want string
 	}{
-		"old base":    {&clusterconfig.Proposal{ID: "x1", Base: &base, Changes: []clusterconfig.Change{describe(8)}}, "version 2 is in force, not 1"},
+		"old base":    {&clusterconfig.Proposal{ID: "x1", BaseVersion: &base, Changes: []clusterconfig.Change{describe(8)}}, "version 2 is in force, not 1"},
 		"no plan":     {&clusterconfig.Proposal{ID: "x2", Changes: []clusterconfig.Change{change("put", "licensee", "l", `{"plan":"none"}`)}}, `plan "none" is not there`},
 		"description": {&clusterconfig.Proposal{ID: "x3", Changes: []clusterconfig.Change{describe(99)}}, "d.yaml:8"},
 	} {
@@ -327,7 +327,7 @@
 		}
 	}
 	h, err := r.admin.History(r.ctx())
-	if err != nil || len(h) != 2 || h[1].Author != "amina" || h[1].Why != "dearer" || h[1].AtMs == 0 {
+	if err != nil || len(h) != 2 || h[1].Author != "amina" || h[1].Reason != "dearer" || h[1].ProposedAtMs == 0 {
 		t.Errorf("history %+v, error %v", h, err)
 	}
 	if o, err := r.admin.Objects(r.ctx(), false); err != nil || o.Version != 2 || len(o.Objects["plan"]) != 1 {
@@ -345,23 +345,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		creds, err := stranger.Credentials(1)
+		creds, err := stranger.IssueCredentials(1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		cl := NewClient(name, creds, r.addrs[1].Admin)
-		if _, err := cl.Status(r.ctx()); !errors.Is(err, raftnode.ErrAuthority) || !strings.Contains(err.Error(), "is not of cluster") {
+		cl := NewClient(name, creds, r.addrs[1].AdminAddress)
+		if _, err := cl.Status(r.ctx()); !errors.Is(err, raftnode.ErrUnknownAuthority) || !strings.Contains(err.Error(), "is not of cluster") {
 			t.Errorf("a stranger: %v", err)
 		}
 		cl.Close()
 	}
 	// The same authority with another cluster's name in the certificate.
 	r.auth.Cluster = "renamed"
-	creds, err := r.auth.Credentials(1)
+	creds, err := r.auth.IssueCredentials(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cl := NewClient("test", creds, r.addrs[1].Admin)
+	cl := NewClient("test", creds, r.addrs[1].AdminAddress)
 	defer cl.Close()
 	if _, err := cl.Status(r.ctx()); err == nil || !strings.Contains(err.Error(), `is of cluster "renamed"`) {
 		t.Errorf("a certificate of another cluster: %v", err)
@@ -407,7 +407,7 @@
 // past the bound it does what was chosen. When the quorum is back, both serve.
 func TestCutOff(t *testing.T) {
 	r := newRig(t, 3)
-	for id, a := range map[uint64]gateway.Agreed{1: {StaleAfter: time.Second}, 2: {StaleAfter: time.Second, Refuse: true}} {
+	for id, a := range map[uint64]gateway.Agreement{1: {StaleAfter: time.Second}, 2: {StaleAfter: time.Second, RejectsStale: true}} {
 		r.halt(id)
 		r.members[id].agreed = a
 		r.start(id)
@@ -418,8 +418,8 @@
 	r.served(2)
 	r.halt(3)
 	// Each on its own: the links between them go as well.
-	r.members[1].fleet.node.Peers(nil)
-	r.members[2].fleet.node.Peers(nil)
+	r.members[1].fleet.node.SetPeers(nil)
+	r.members[2].fleet.node.SetPeers(nil)
 	cut := time.Now()
 	if a := r.ask(2, "/slots"); a.status != 200 {
 		t.Errorf("within its bound: %+v", a)
@@ -449,9 +449,9 @@
 	for id := range uint64(2) {
 		addrs := map[uint64]string{}
 		for n, m := range r.addrs {
-			addrs[n] = m.Raft
+			addrs[n] = m.RaftAddress
 		}
-		r.members[id+1].fleet.node.Peers(addrs)
+		r.members[id+1].fleet.node.SetPeers(addrs)
 	}
 	r.await("both serve", func() bool {
 		return r.ready(1) && r.ready(2) && r.ask(1, "/slots").header.Get("X-Mulleinmux-Config-Age") == ""
@@ -466,7 +466,7 @@
 	r.everywhere(1)
 	join := func(id uint64) {
 		t.Helper()
-		r.addrs[id] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
+		r.addrs[id] = clusterconfig.Member{RaftAddress: freeAddr(t), AdminAddress: freeAddr(t)}
 		m := r.member(id)
 		m.cfg.Members = map[uint64]clusterconfig.Member{}
 		for n, a := range r.addrs {
@@ -481,7 +481,7 @@
 	// One that does not run stays a learner and does not count for the quorum.
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	r.addrs[9] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
+	r.addrs[9] = clusterconfig.Member{RaftAddress: freeAddr(t), AdminAddress: freeAddr(t)}
 	_, err := r.admin.Members(ctx, &MembersChange{Op: "add", Member: 9, At: at(9)})
 	if err == nil || !strings.Contains(err.Error(), "learner") {
 		t.Errorf("a member that does not run: %v", err)
@@ -563,12 +563,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	creds, err := auth.Credentials(1)
+	creds, err := auth.IssueCredentials(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg := &Config{Cluster: "test", Member: 1, Data: filepath.Join(t.TempDir(), "1.db"), Credentials: creds,
-		Members: map[uint64]clusterconfig.Member{1: {Raft: "127.0.0.1:0", Admin: "127.0.0.1:0"}}}
+		Members: map[uint64]clusterconfig.Member{1: {RaftAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0"}}}
 	logger := log.New(io.Discard, "", 0)
 	if err := Run(context.Background(), cfg, &gateway.Config{}, logger, nil); !errors.Is(err, ErrNoFile) {
 		t.Errorf("without a file: %v", err)
@@ -587,7 +587,7 @@
 
 // fullDisk is a disk that is full from a moment on.
 type fullDisk struct {
-	raftnode.Disk
+	raftnode.Storage
 	full *atomic.Bool
 }
 
@@ -595,7 +595,7 @@
 	if d.full.Load() && sync {
 		return syscall.ENOSPC
 	}
-	return d.Disk.Save(hs, entries, snap, sync)
+	return d.Storage.Save(hs, entries, snap, sync)
 }
 
 // A member whose disk is full ends with that as its reason, the leader above all; the others
@@ -607,7 +607,7 @@
 	var full [4]atomic.Bool
 	for id := uint64(1); id <= 3; id++ {
 		r.halt(id)
-		r.members[id].cfg.Disk = func(d raftnode.Disk) raftnode.Disk { return fullDisk{d, &full[id]} }
+		r.members[id].cfg.Disk = func(d raftnode.Storage) raftnode.Storage { return fullDisk{d, &full[id]} }
 		r.start(id)
 	}
 	var leader uint64
@@ -667,8 +667,8 @@
 func TestLinkOfMembers(t *testing.T) {
 	r := newRig(t, 2)
 	addr := netip.MustParseAddrPort(freeAddr(t))
-	for id, l := range map[uint64]*gateway.LinkConfig{
-		1: {Own: []string{"hall-z"}, Listen: netip.MustParseAddrPort(freeAddr(t)), Far: map[string][]gateway.LinkPeer{"hall-a": {{Member: 2, Addr: addr}}}},
+	for id, l := range map[uint64]*gateway.RelayConfig{
+		1: {Own: []string{"hall-z"}, Listen: netip.MustParseAddrPort(freeAddr(t)), Remote: map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: addr}}}},
 		2: {Own: []string{"hall-a"}, Listen: addr},
 	} {
 		r.halt(id)
@@ -680,7 +680,7 @@
 	r.everywhere(o.Version)
 	r.served(1)
 	n := int64(0)
-	r.members[2].fleet.Instance().Count(func(_ string, c *gateway.Counters) { n += c.Sent.Load() })
+	r.members[2].fleet.Instance().EachOperation(func(_ string, c *gateway.Counters) { n += c.Sent.Load() })
 	if n != 0 {
 		t.Errorf("the far member counts %d requests that entered at the other", n)
 	}
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -51,18 +51,18 @@
 
 // FollowerStatus is how a follower stands, by itself.
 type FollowerStatus struct {
-	Name    string                 `json:"name"`
-	Running *configstream.Ref      `json:"running,omitempty"`
-	Member  uint64                 `json:"member,omitempty"` // that it hears; 0: none
-	AgeMs   int64                  `json:"age_ms"`           // since a quorum last confirmed what runs; -1: not since it is in force
-	Serves  bool                   `json:"serves"`
-	Note    string                 `json:"note,omitempty"`
-	Refused []configstream.Refusal `json:"refused,omitempty"`
+	Name    string                   `json:"name"`
+	Running *configstream.Ref        `json:"running,omitempty"`
+	Member  uint64                   `json:"member,omitempty"` // that it hears; 0: none
+	AgeMs   int64                    `json:"age_ms"`           // since a quorum last confirmed what runs; -1: not since it is in force
+	Serves  bool                     `json:"serves"`
+	Note    string                   `json:"note,omitempty"`
+	Refused []configstream.Rejection `json:"refused,omitempty"`
 }
 
 // Hands is what a [Feed] has others do. Keep, Check and Install are called one at a time and may take long.
 type Hands struct {
-	Keep    func(*configstream.Disk) error                     // returns once it is synced
+	Keep    func(*configstream.DurableState) error             // returns once it is synced
 	Check   func(*configstream.Version) []configstream.Problem // may it be put in force?
 	Install func(*configstream.Version) error                  // puts it in force
 	Confirm func(at, homes time.Time, sure, homesSure bool)    // what runs, and its homes, were confirmed to be the newest then
@@ -85,10 +85,10 @@
 }
 
 // NewFeed returns a feed of a follower that has kept a disk. It does nothing before [Feed.Run].
-func NewFeed(cfg *FollowerConfig, disk configstream.Disk, hands Hands, logger *log.Logger) *Feed {
+func NewFeed(cfg *FollowerConfig, disk configstream.DurableState, hands Hands, logger *log.Logger) *Feed {
 	f := &Feed{cfg: cfg, hands: hands, log: logger, begun: time.Now(), work: make(chan configstream.Action, 1), send: make(chan any, streamQueue)}
 	var first []configstream.Action
-	f.f, first = configstream.NewFollower(configstream.FollowerConfig{Name: cfg.Name, Process: rand.Uint64(), Beat: cmp.Or(cfg.Beat, streamBeat), Silence: min(quietBeats*cmp.Or(cfg.Beat, streamBeat), streamSilence), Tries: followerTries}, disk)
+	f.f, first = configstream.NewFollower(configstream.FollowerConfig{Name: cfg.Name, ProcessID: rand.Uint64(), HeartbeatInterval: cmp.Or(cfg.Beat, streamBeat), SilenceTimeout: min(quietBeats*cmp.Or(cfg.Beat, streamBeat), streamSilence), MaxAttempts: followerTries}, disk)
 	f.carry(first)
 	return f
 }
@@ -118,7 +118,7 @@
 // RunFollower runs a follower and its instance until ctx ends. What was in force before is served on with no word from
 // any member, as far as when_stale allows.
 func RunFollower(ctx context.Context, cfg *FollowerConfig, gate *gateway.Config, logger *log.Logger, begun func(*Follower)) (err error) {
-	if h, err := cfg.Credentials.Holder(); err != nil || h.Cluster != cfg.Cluster || h.Follower != cfg.Name {
+	if h, err := cfg.Credentials.Identity(); err != nil || h.Cluster != cfg.Cluster || h.Follower != cfg.Name {
 		return fmt.Errorf("certificate: is that of follower %q of %q, not of %q of %q: %w", h.Follower, h.Cluster, cfg.Name, cfg.Cluster, err)
 	}
 	file, disk, err := openFollowerFile(cfg.Data, cfg.Cluster, cfg.Name)
@@ -126,14 +126,14 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, file.close()) }()
-	if disk.Good == nil {
+	if disk.Accepted == nil {
 		logger.Printf("follower %s: nothing is kept in %s: waits for a version that a quorum confirms", cfg.Name, cfg.Data)
 	}
 	if !cfg.KeysAnywhere {
-		gate.Keys = &multisite.Config{Me: anyFollower, Incarnation: disk.Starts, Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
+		gate.Keys = &multisite.KeyConfig{InstanceID: anyFollower, Incarnation: disk.StartCount, LeaseTTL: keyLease, KeyTTL: keyLife, DeduplicationWindow: keyMemory, MaxKeys: keysMost}
 	}
-	if gate.Agreed == nil {
-		gate.Agreed = &gateway.Agreed{}
+	if gate.Agreement == nil {
+		gate.Agreement = &gateway.Agreement{}
 	}
 	serving, drain := context.WithCancel(context.Background())
 	defer drain()
@@ -141,7 +141,7 @@
 	go func() {
 		ended <- gateway.Run(serving, gate, gateway.Setup{}, logger, func(in *gateway.Instance) { ready <- in })
 	}()
-	f := &Follower{cfg: cfg, gate: gate, file: file, kept: disk.Good != nil}
+	f := &Follower{cfg: cfg, gate: gate, file: file, kept: disk.Accepted != nil}
 	select {
 	case f.in = <-ready:
 	case err := <-ended:
@@ -192,11 +192,11 @@
 	}
 	if f.gate.Keys != nil {
 		h, _, _ := homesOf(state, []uint64{anyFollower, anyMember})
-		f.in.InstallHomes(h, 0, nil, false)
+		f.in.InstallKeyOwners(h, 0, nil, false)
 	}
 	if f.kept {
 		f.kept = false
-		f.in.Confirm(f.feed.begun) // what was in force before is served on, for as long as when_stale allows
+		f.in.ConfirmVersion(f.feed.begun) // what was in force before is served on, for as long as when_stale allows
 	}
 	return nil
 }
@@ -204,10 +204,10 @@
 // confirm tells the instance what a quorum has confirmed.
 func (f *Follower) confirm(at, homes time.Time, sure, homesSure bool) {
 	if sure {
-		f.in.Confirm(at)
+		f.in.ConfirmVersion(at)
 	}
 	if homesSure && f.gate.Keys != nil {
-		f.in.ConfirmHomes(homes)
+		f.in.ConfirmKeyOwners(homes)
 	}
 }
 
@@ -217,7 +217,7 @@
 // Status is how the follower stands.
 func (f *Follower) Status() FollowerStatus {
 	s := f.feed.Status()
-	_, s.Serves = f.in.Standing(time.Now())
+	_, s.Serves = f.in.Confirmation(time.Now())
 	return s
 }
 
@@ -238,8 +238,8 @@
 			f.post(*a.Send)
 		case a.Ping != 0:
 			f.post(a.Ping)
-		case a.Leave != "":
-			f.leave(a.Leave)
+		case a.CloseStream != "":
+			f.leave(a.CloseStream)
 		case a.Log != "":
 			f.log.Printf("stream: %s", a.Log)
 		default:
@@ -273,20 +273,24 @@
 		case a = <-f.work:
 		}
 		switch {
-		case a.Keep != nil:
-			err := f.hands.Keep(a.Keep)
-			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Kept(now, err) })
+		case a.Persist != nil:
+			err := f.hands.Keep(a.Persist)
+			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action {
+				return f.PersistCompleted(now, err)
+			})
 		case a.Check != nil:
 			problems := f.hands.Check(a.Check)
 			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action {
-				return f.Checked(now, problems)
+				return f.CheckCompleted(now, problems)
 			})
-		case a.Install != nil:
-			err := f.hands.Install(a.Install)
+		case a.Activate != nil:
+			err := f.hands.Install(a.Activate)
 			if err == nil {
-				f.log.Printf("stream: version %v is in force", a.Install.Ref)
+				f.log.Printf("stream: version %v is in force", a.Activate.Ref)
 			}
-			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Installed(now, err) })
+			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action {
+				return f.ActivationCompleted(now, err)
+			})
 		}
 	}
 }
@@ -310,9 +314,9 @@
 // stream keeps a stream to one member after the other until ctx ends.
 func (f *Feed) stream(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	seat := configstream.NewSeat(configstream.SeatConfig{Name: f.cfg.Name, Members: slices.Sorted(maps.Keys(f.cfg.Members)), Least: followerLeast, Most: followerMost}, rng)
+	seat := configstream.NewMemberSelector(configstream.MemberSelectorConfig{Name: f.cfg.Name, Members: slices.Sorted(maps.Keys(f.cfg.Members)), InitialBackoff: followerLeast, MaxBackoff: followerMost}, rng)
 	for ctx.Err() == nil {
-		member := seat.Next()
+		member := seat.Member()
 		heard, err := f.follow(ctx, member)
 		if ctx.Err() != nil {
 			return
@@ -321,8 +325,8 @@
 		if why == "" {
 			why = err.Error()
 		}
-		wait := seat.Lost(heard)
-		f.log.Printf("stream: member %d: %s: member %d is tried in %v", member, why, seat.Next(), wait.Round(time.Millisecond))
+		wait := seat.StreamEnded(heard)
+		f.log.Printf("stream: member %d: %s: member %d is tried in %v", member, why, seat.Member(), wait.Round(time.Millisecond))
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
@@ -334,7 +338,7 @@
 func (f *Feed) follow(ctx context.Context, member uint64) (heard bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	tls := f.cfg.Credentials.TLS()
+	tls := f.cfg.Credentials.TLSConfig()
 	tls.NextProtos = []string{"h2"}
 	t := &http.Transport{TLSClientConfig: tls, ForceAttemptHTTP2: true, TLSHandshakeTimeout: 2 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer t.CloseIdleConnections()
@@ -344,14 +348,14 @@
 		<-f.send
 	}
 	f.client, f.member = client, member
-	hello := f.f.Hello(f.now())
+	hello := f.f.OpenStream(f.now())
 	f.mu.Unlock()
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer func() {
 		f.mu.Lock()
 		f.client, f.member, f.hears = nil, 0, false
-		f.f.Broken()
+		f.f.StreamClosed()
 		f.mu.Unlock()
 		client.Abort()
 	}()
@@ -391,9 +395,11 @@
 		}
 		switch m := msg.(type) {
 		case *configstream.Push:
-			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Received(now, m) })
+			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.PushReceived(now, m) })
 		case *configstream.Pong:
-			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Pong(now, *m) })
+			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action {
+				return f.PongReceived(now, *m)
+			})
 			f.confirm()
 		}
 	}
@@ -402,8 +408,8 @@
 // confirm tells what a quorum has confirmed.
 func (f *Feed) confirm() {
 	f.mu.Lock()
-	at, sure := f.f.Confirmed()
-	homes, homesSure := f.f.Homes()
+	at, sure := f.f.ConfirmedAt()
+	homes, homesSure := f.f.PlacementConfirmedAt()
 	f.mu.Unlock()
 	f.hands.Confirm(f.begun.Add(at), f.begun.Add(homes), sure, homesSure)
 }
@@ -412,11 +418,11 @@
 func (f *Feed) Status() FollowerStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := FollowerStatus{Name: f.cfg.Name, Running: f.f.Running(), AgeMs: -1, Note: f.f.Note(), Refused: slices.Clone(f.f.Refused())}
+	s := FollowerStatus{Name: f.cfg.Name, Running: f.f.Running(), AgeMs: -1, Note: f.f.Warning(), Refused: slices.Clone(f.f.Rejections())}
 	if f.hears {
 		s.Member = f.member
 	}
-	if at, sure := f.f.Confirmed(); sure {
+	if at, sure := f.f.ConfirmedAt(); sure {
 		s.AgeMs = (f.now() - at).Milliseconds()
 	}
 	return s
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -32,7 +32,7 @@
 	if err := r.auth.WriteFollower(r.dir, name); err != nil {
 		r.t.Fatal(err)
 	}
-	creds, err := raftnode.LoadNamed(r.dir, raftnode.FollowerFile(name))
+	creds, err := raftnode.LoadCredentialFiles(r.dir, raftnode.FollowerFilePrefix(name))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -50,14 +50,14 @@
 func (r *rig) follow(f *following) error {
 	r.t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	gate := &gateway.Config{Name: f.cfg.Name, Seed: 9, DrainFor: time.Millisecond,
+	gate := &gateway.Config{Name: f.cfg.Name, Seed: 9, DrainTimeout: time.Millisecond,
 		Settings: policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true, LoadReports: policy.LoadReportsInHealthChecks}}
 	ln, err := net.Listen("tcp", f.listen)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	gate.On(ln, nil)
+	gate.UseSockets(ln, nil)
 	f.logs = &testserver.Log{}
 	f.done, f.stop = make(chan error, 1), stop
 	begun := make(chan *Follower, 1)
@@ -79,7 +79,7 @@
 
 func operator(t *testing.T, r *rig) raftnode.Credentials {
 	t.Helper()
-	creds, err := raftnode.LoadNamed(r.dir, raftnode.OperatorFile("amina"))
+	creds, err := raftnode.LoadCredentialFiles(r.dir, raftnode.OperatorFilePrefix("amina"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 		}
 		for _, s := range fs.Followers {
 			if s.Name == name {
-				if last = s.Plain(); strings.Contains(last, want) {
+				if last = s.Summary(); strings.Contains(last, want) {
 					return
 				}
 			}
@@ -202,13 +202,13 @@
 	}
 	r.stands("north", "runs 5")
 	// A follower's certificate is no operator's, and no other follower's.
-	if _, err := NewClient("test", south.cfg.Credentials, r.addrs[2].Admin).Status(r.ctx()); err == nil || !strings.Contains(err.Error(), "no operator") {
+	if _, err := NewClient("test", south.cfg.Credentials, r.addrs[2].AdminAddress).Status(r.ctx()); err == nil || !strings.Contains(err.Error(), "no operator") {
 		t.Errorf("a follower asks as an operator: %v", err)
 	}
 	for name, creds := range map[string]raftnode.Credentials{"a member": r.members[2].cfg.Credentials, "an operator": operator(t, r)} {
 		var logs testserver.Log
 		ctx, stop := context.WithCancel(r.ctx())
-		feed := NewFeed(&FollowerConfig{Cluster: "test", Name: "north", Credentials: creds, Members: north.cfg.Members}, configstream.Disk{Starts: 1}, Hands{}, log.New(&logs, "", 0))
+		feed := NewFeed(&FollowerConfig{Cluster: "test", Name: "north", Credentials: creds, Members: north.cfg.Members}, configstream.DurableState{StartCount: 1}, Hands{}, log.New(&logs, "", 0))
 		done := make(chan struct{})
 		go func() { feed.Run(ctx); close(done) }()
 		r.await(name+" is told nothing", func() bool { return strings.Contains(logs.String(), "is not of a follower") })
--- a/internal/cluster/followerfile.go
+++ b/internal/cluster/followerfile.go
@@ -36,21 +36,21 @@
 
 // fileDisk is the Disk without the contents.
 type fileDisk struct {
-	Starts   uint64                 `json:"starts"`
-	Good     *configstream.Ref      `json:"good,omitempty"`
-	InForce  bool                   `json:"in_force,omitempty"`
-	Tries    int                    `json:"tries,omitempty"`
-	Previous *configstream.Ref      `json:"previous,omitempty"`
-	Received configstream.Ref       `json:"received"`
-	Checks   int                    `json:"checks,omitempty"`
-	Refused  []configstream.Refusal `json:"refused,omitempty"`
+	Starts   uint64                   `json:"starts"`
+	Good     *configstream.Ref        `json:"good,omitempty"`
+	InForce  bool                     `json:"in_force,omitempty"`
+	Tries    int                      `json:"tries,omitempty"`
+	Previous *configstream.Ref        `json:"previous,omitempty"`
+	Received configstream.Ref         `json:"received"`
+	Checks   int                      `json:"checks,omitempty"`
+	Refused  []configstream.Rejection `json:"refused,omitempty"`
 }
 
 // ErrFollowerFile says that a follower's file can't be used.
 var ErrFollowerFile = errors.New("is no file of this follower: move it away, and it begins with what a quorum confirms")
 
 // openFollowerFile opens a follower's file, or makes it, and counts the start.
-func openFollowerFile(path, cluster, name string) (f *followerFile, d configstream.Disk, err error) {
+func openFollowerFile(path, cluster, name string) (f *followerFile, d configstream.DurableState, err error) {
 	defer func() {
 		if p := recover(); p != nil { // pages that can't be
 			err = fmt.Errorf("%s: %w: %v", path, ErrFollowerFile, p)
@@ -91,7 +91,7 @@
 		d, err = f.load()
 	}
 	if err == nil {
-		d.Starts++
+		d.StartCount++
 		err = f.keep(&d)
 	}
 	if err != nil {
@@ -103,7 +103,7 @@
 func (f *followerFile) close() error { return f.db.Close() }
 
 // load reads the Disk. A content that does not make its version is damage.
-func (f *followerFile) load() (d configstream.Disk, err error) {
+func (f *followerFile) load() (d configstream.DurableState, err error) {
 	err = f.db.View(func(tx *bbolt.Tx) error {
 		text := tx.Bucket(bucketFollower).Get(keyDisk)
 		if text == nil {
@@ -113,21 +113,21 @@
 		if err := json.Unmarshal(text, &in); err != nil {
 			return fmt.Errorf("%w: %w", ErrFollowerFile, err)
 		}
-		d = configstream.Disk{Starts: in.Starts, InForce: in.InForce, Tries: in.Tries, Received: in.Received, Checks: in.Checks, Refused: in.Refused}
+		d = configstream.DurableState{StartCount: in.Starts, WasActivated: in.InForce, ActivationAttempts: in.Tries, Candidate: in.Received, CheckAttempts: in.Checks, Rejections: in.Refused}
 		for _, v := range []struct {
 			ref *configstream.Ref
 			to  **configstream.Version
-		}{{in.Good, &d.Good}, {in.Previous, &d.Previous}} {
+		}{{in.Good, &d.Accepted}, {in.Previous, &d.Previous}} {
 			if v.ref == nil {
 				continue
 			}
 			b := &configstream.Body{}
 			err := json.Unmarshal(tx.Bucket(bucketContents).Get([]byte(v.ref.Digest.String())), b)
 			if err == nil {
-				*v.to, err = b.Make(nil)
+				*v.to, err = b.Build(nil)
 			}
 			if err == nil && (*v.to).Ref != *v.ref {
-				err = configstream.ErrDamaged
+				err = configstream.ErrCorrupt
 			}
 			if err != nil {
 				return fmt.Errorf("%w: version %v: %w", ErrFollowerFile, v.ref, err)
@@ -139,15 +139,15 @@
 }
 
 // keep writes the Disk and returns once it is synced.
-func (f *followerFile) keep(d *configstream.Disk) error {
-	out := fileDisk{Starts: d.Starts, InForce: d.InForce, Tries: d.Tries, Received: d.Received, Checks: d.Checks, Refused: d.Refused}
+func (f *followerFile) keep(d *configstream.DurableState) error {
+	out := fileDisk{Starts: d.StartCount, InForce: d.WasActivated, Tries: d.ActivationAttempts, Received: d.Candidate, Checks: d.CheckAttempts, Refused: d.Rejections}
 	return f.db.Update(func(tx *bbolt.Tx) error {
 		contents := tx.Bucket(bucketContents)
 		wanted := map[string]bool{}
 		for _, v := range []struct {
 			version *configstream.Version
 			to      **configstream.Ref
-		}{{d.Good, &out.Good}, {d.Previous, &out.Previous}} {
+		}{{d.Accepted, &out.Good}, {d.Previous, &out.Previous}} {
 			if v.version == nil {
 				continue
 			}
--- a/internal/cluster/homes.go
+++ b/internal/cluster/homes.go
@@ -48,14 +48,14 @@
 			return
 		case <-tick.C:
 		}
-		now := f.in.HallStates()
+		now := f.in.SiteStates()
 		for name, s := range now {
 			if was, ok := states[name]; ok && was != s {
 				f.log.Printf("hall %s is %s (was %s)", name, s, was)
 			}
 		}
 		states = now
-		change, ok := f.in.JudgeHalls()
+		change, ok := f.in.ProposeSiteChange()
 		if !ok {
 			continue
 		}
@@ -64,35 +64,35 @@
 			continue
 		}
 		if err := f.proposeHall(ctx, change); err != nil {
-			f.log.Printf("hall %s: %v", change.Hall, err)
+			f.log.Printf("hall %s: %v", change.Site, err)
 		}
 	}
 }
 
 // proposeHall proposes that a hall is lost or back.
-func (f *Fleet) proposeHall(ctx context.Context, c multisite.HallChange) error {
+func (f *Fleet) proposeHall(ctx context.Context, c multisite.SiteChange) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	s, err := f.node.Freeze(ctx)
+	s, err := f.node.AppliedState(ctx)
 	if err != nil {
 		return err
 	}
-	change := clusterconfig.Put("lost", c.Hall, clusterconfig.LostHall{Why: c.Why, Part: c.Part})
+	change := clusterconfig.NewPutChange("lost", c.Site, clusterconfig.LostSite{Reason: c.Reason, RecoveredEighths: c.KeyEighths})
 	word := "lost"
 	switch {
-	case !c.Lost && c.Part == 0:
-		change, word = clusterconfig.Change{Op: "remove", Kind: "lost", Name: c.Hall}, "back"
-	case !c.Lost:
-		word = fmt.Sprintf("back with %d of 8 of its keys", c.Part)
+	case !c.IsLost && c.KeyEighths == 0:
+		change, word = clusterconfig.Change{Op: "remove", Kind: "lost", Name: c.Site}, "back"
+	case !c.IsLost:
+		word = fmt.Sprintf("back with %d of 8 of its keys", c.KeyEighths)
 	}
-	p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%s-%v-%d-%d", c.Hall, c.Lost, c.Part, s.Homes()), Author: fmt.Sprint("member ", f.cfg.Member),
-		Why: c.Why, AtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{change}}
+	p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%s-%v-%d-%d", c.Site, c.IsLost, c.KeyEighths, s.PlacementVersion()), Author: fmt.Sprint("member ", f.cfg.Member),
+		Reason: c.Reason, ProposedAtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{change}}
 	if err := s.Check(p); err != nil {
 		return err
 	}
 	o, err := f.node.Propose(ctx, p)
-	if err == nil && o.Applied {
-		f.log.Printf("hall %s is agreed to be %s: %s", c.Hall, word, c.Why)
+	if err == nil && o.IsApplied {
+		f.log.Printf("hall %s is agreed to be %s: %s", c.Site, word, c.Reason)
 	}
 	return err
 }
@@ -103,33 +103,33 @@
 	if f.gate.Keys == nil {
 		return 0
 	}
-	s, m, err := f.node.FreezeWith(ctx)
+	s, m, err := f.node.AppliedStateAndMembership(ctx)
 	if err != nil {
 		return 0
 	}
 	h, agreed, parts := homesOf(s, m.Members)
-	f.in.InstallHomes(h, m.Index, m.Voters, m.Joint)
-	f.in.AgreeHalls(agreed, parts, m.Members)
-	return h.Epoch
+	f.in.InstallKeyOwners(h, m.AppliedIndex, m.Voters, m.IsJoint)
+	f.in.SetAgreedSites(agreed, parts, m.Members)
+	return h.Number
 }
 
 // homesOf are the homes of keys of a state, with the instances whose words on keys count, and which halls are agreed on and
 // lost. Followers tell nothing: as long as there are any, an instance that is never heard stands for them.
-func homesOf(s *clusterconfig.State, instances []uint64) (h multisite.Homes, agreed []multisite.Hall, parts map[string]int) {
-	h = multisite.Homes{Epoch: s.Homes(), Instances: slices.Clone(instances)}
-	if len(clusterconfig.Read[clusterconfig.Follower](s, "follower")) > 0 && !slices.Contains(instances, anyFollower) {
+func homesOf(s *clusterconfig.State, instances []uint64) (h multisite.OwnershipEpoch, agreed []multisite.Site, parts map[string]int) {
+	h = multisite.OwnershipEpoch{Number: s.PlacementVersion(), Instances: slices.Clone(instances)}
+	if len(clusterconfig.ObjectsByName[clusterconfig.Follower](s, "follower")) > 0 && !slices.Contains(instances, anyFollower) {
 		h.Instances = append(h.Instances, anyFollower)
 	}
-	halls := clusterconfig.Read[clusterconfig.Hall](s, "hall")
-	lost := clusterconfig.Read[clusterconfig.LostHall](s, "lost")
+	halls := clusterconfig.ObjectsByName[clusterconfig.Site](s, "hall")
+	lost := clusterconfig.ObjectsByName[clusterconfig.LostSite](s, "lost")
 	parts = map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(halls)) {
 		l, gone := lost[name]
 		if gone {
-			parts[name] = l.Part
+			parts[name] = l.RecoveredEighths
 		}
-		h.Halls = append(h.Halls, multisite.Hall{Name: name, Open: !halls[name].Closed && (!gone || l.Part > 0), Part: l.Part})
-		agreed = append(agreed, multisite.Hall{Name: name, Open: !halls[name].Closed})
+		h.Sites = append(h.Sites, multisite.Site{Name: name, IsOpen: !halls[name].IsClosed && (!gone || l.RecoveredEighths > 0), KeyEighths: l.RecoveredEighths})
+		agreed = append(agreed, multisite.Site{Name: name, IsOpen: !halls[name].IsClosed})
 	}
 	return h, agreed, parts
 }
@@ -146,10 +146,10 @@
 		}
 		for more := true; more; {
 			var m multisite.Message
-			m, more = f.in.TellKeys(keysWord, f.node.Fence)
+			m, more = f.in.NextMessage(keysWord, f.node.FenceIndex)
 			text, err := json.Marshal(&m)
 			if err == nil {
-				err = f.node.Tell(text)
+				err = f.node.Broadcast(text)
 			}
 			if err != nil {
 				f.log.Printf("keys: %v", err)
@@ -170,5 +170,5 @@
 	if in == nil || f.gate.Keys == nil || json.Unmarshal(text, &m) != nil || m.From != from {
 		return // a gap in its words, as if it had been lost
 	}
-	in.HearKeys(m)
+	in.ReceiveMessage(m)
 }
--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -38,15 +38,15 @@
 func compileOptions(classes []clusterconfig.Class, most int) routing.Options {
 	opt := routing.Options{MaxUnits: most}
 	for _, c := range classes {
-		opt.Classes = append(opt.Classes, routing.Class{Name: c.Name, PriorityWeight: c.Worth, LateFraction: c.Late,
-			LatencyObjective: time.Duration(c.AimMs) * time.Millisecond, Deadline: time.Duration(c.DeadlineMs) * time.Millisecond})
+		opt.Classes = append(opt.Classes, routing.Class{Name: c.Name, PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction,
+			LatencyObjective: time.Duration(c.LatencyObjectiveMs) * time.Millisecond, Deadline: time.Duration(c.DeadlineMs) * time.Millisecond})
 	}
 	return opt
 }
 
 // of returns the setup of a state.
 func (u *setups) of(s *clusterconfig.State, full bool) (out gateway.Setup, err error) {
-	key, n := binary.AppendVarint(nil, int64(s.MostUnits())), 0
+	key, n := binary.AppendVarint(nil, int64(s.MaxUnits())), 0
 	s.Each("description", func(_ string, text json.RawMessage) { key, n = append(key, text...), n+1 })
 	s.Each("class", func(name string, text json.RawMessage) { key = append(append(key, name...), text...) })
 	if n == 0 {
@@ -55,19 +55,19 @@
 	if n > 1 {
 		return out, fmt.Errorf("%d descriptions are agreed on, and one is served: remove the others", n)
 	}
-	halls := clusterconfig.Read[clusterconfig.Hall](s, "hall")
+	halls := clusterconfig.ObjectsByName[clusterconfig.Site](s, "hall")
 	for _, name := range slices.Sorted(maps.Keys(halls)) {
-		at, err := discovery.ParseAddress("register", halls[name].Register)
+		at, err := discovery.ParseAddress("register", halls[name].DiscoveryAddress)
 		if err != nil {
 			return out, fmt.Errorf("hall %s: %w", name, err)
 		}
-		out.Halls = append(out.Halls, gateway.Hall{Name: name, Register: at})
+		out.Sites = append(out.Sites, gateway.Site{Name: name, Discovery: at})
 	}
 	if !bytes.Equal(key, u.key) {
 		var d clusterconfig.Description
-		for _, d = range clusterconfig.Read[clusterconfig.Description](s, "description") {
+		for _, d = range clusterconfig.ObjectsByName[clusterconfig.Description](s, "description") {
 		}
-		table, doc, err := openapi.Compile(d.File, []byte(d.Text), compileOptions(s.Classes(), s.MostUnits()))
+		table, doc, err := openapi.Compile(d.File, []byte(d.Text), compileOptions(s.Classes(), s.MaxUnits()))
 		if err != nil {
 			return out, err
 		}
@@ -77,14 +77,14 @@
 		}
 	}
 	out.Number, out.Table, out.Check = s.Version(), u.table, u.check
-	plans := clusterconfig.Read[clusterconfig.Plan](s, "plan")
-	for _, name := range s.Places() {
+	plans := clusterconfig.ObjectsByName[clusterconfig.Plan](s, "plan")
+	for _, name := range s.PlanOrder() {
 		p, ok := plans[name]
 		if !ok { // its place stays; no licensee can have it
 			name = "/removed/" + name
 		}
-		out.Plans = append(out.Plans, policy.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, MaxInFlight: p.Open, HardLimitRate: p.CeilingRate,
-			HardLimitBurst: p.CeilingBurst, HardLimitSlack: p.CeilingSlack, PriorityFactor: p.Price, OverQuotaFraction: p.OverWorth, OverQuotaCost: p.OverCost})
+		out.Plans = append(out.Plans, policy.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, MaxInFlight: p.MaxInFlight, HardLimitRate: p.HardLimitRate,
+			HardLimitBurst: p.HardLimitBurst, HardLimitSlack: p.HardLimitSlack, PriorityFactor: p.PriorityFactor, OverQuotaFraction: p.OverQuotaFraction, OverQuotaCost: p.OverQuotaCost})
 	}
 	next := make(map[string]licensee, len(u.licensees))
 	out.Licensees = make(map[string]gateway.Licensee, len(u.licensees))
--- a/internal/cluster/stream.go
+++ b/internal/cluster/stream.go
@@ -62,25 +62,25 @@
 
 func newStreams(f *Fleet) *streams {
 	return &streams{f: f, begun: time.Now(), conns: map[uint64]*conn{}, worded: map[*configstream.Body]*configstreampb.Push{},
-		pub: configstream.NewPublisher(configstream.PublisherConfig{Member: f.cfg.Member, Silence: streamSilence, Answer: streamAnswer, Unsure: streamUnsure,
-			Held: streamHeld, Most: streamMost, PerS: streamPerS, Burst: streamBurst, FullOnly: f.cfg.StreamFull}, rand.Uint64())}
+		pub: configstream.NewPublisher(configstream.PublisherConfig{Member: f.cfg.Member, SilenceTimeout: streamSilence, PushReplyTimeout: streamAnswer, ConfirmationTimeout: streamUnsure,
+			MaxRetainedVersions: streamHeld, MaxFollowers: streamMost, AdmissionRate: streamPerS, AdmissionBurst: streamBurst, DisableDeltas: f.cfg.StreamFull}, rand.Uint64())}
 }
 
 func (s *streams) now() time.Duration { return time.Since(s.begun) }
 
 // do has the publisher decide, and sends what comes of it.
-func (s *streams) do(f func(p *configstream.Publisher, now time.Duration) []configstream.Out) {
+func (s *streams) do(f func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range f(s.pub, s.now()) {
-		c := s.conns[o.Session]
+		c := s.conns[o.SessionID]
 		if c == nil {
 			continue
 		}
 		var msg any
 		switch {
-		case o.Close != "":
-			c.finish(o.Close)
+		case o.CloseReason != "":
+			c.finish(o.CloseReason)
 			continue
 		case o.Push != nil:
 			body, ok := s.worded[o.Push.Body]
@@ -118,8 +118,8 @@
 	if state.Version() == 0 || last != nil && last.Number >= state.Version() {
 		return
 	}
-	v := configstream.Of(state, last)
-	s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
+	v := configstream.NewVersion(state, last)
+	s.do(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
 		if s.last == nil || v.Number > s.last.Number {
 			s.last = v
 			clear(s.worded)
@@ -134,7 +134,7 @@
 		return
 	}
 	s.publish(c.state)
-	s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
+	s.do(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
 		if s.last == nil || s.last.Number != c.state.Version() {
 			return nil // what is newer was agreed on later, and is confirmed later
 		}
@@ -144,7 +144,7 @@
 
 // serve serves followers until ctx ends.
 func (s *streams) serve(ctx context.Context, ln net.Listener, side *sync.WaitGroup) *http.Server {
-	srv := &http.Server{ErrorLog: s.f.log, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, TLSConfig: s.f.cfg.Credentials.TLS(),
+	srv := &http.Server{ErrorLog: s.f.log, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, TLSConfig: s.f.cfg.Credentials.TLSConfig(),
 		BaseContext: func(net.Listener) context.Context { return ctx }, Handler: configstreampb.Handler(s.follow)}
 	side.Go(func() { srv.ServeTLS(admitted{ln, s}, "", "") }) // ends with Close
 	side.Go(func() {
@@ -157,7 +157,7 @@
 			case <-ctx.Done():
 				return
 			case <-tick.C:
-				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out { return p.Tick(now) })
+				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction { return p.Tick(now) })
 			case <-tell.C:
 				s.tell(true)
 			case <-stir.C:
@@ -192,12 +192,12 @@
 
 func (s *streams) tell(whole bool) {
 	s.mu.Lock()
-	words := s.pub.Tell(s.now(), streamWord, whole)
+	words := s.pub.GossipMessages(s.now(), streamWord, whole)
 	s.mu.Unlock()
 	for _, w := range words {
 		text, err := json.Marshal(w)
 		if err == nil {
-			err = s.f.node.Tell(append([]byte{streamPrefix}, text...))
+			err = s.f.node.Broadcast(append([]byte{streamPrefix}, text...))
 		}
 		if err != nil {
 			s.f.log.Printf("followers: %v", err)
@@ -210,11 +210,11 @@
 	if len(text) == 0 || text[0] != streamPrefix {
 		return false
 	}
-	var w configstream.Word
+	var w configstream.GossipMessage
 	if s != nil && json.NewDecoder(bytes.NewReader(text[1:])).Decode(&w) == nil && w.Member == from {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.pub.HearWord(s.now(), w)
+		s.pub.GossipReceived(s.now(), w)
 	}
 	return true
 }
@@ -265,7 +265,7 @@
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.pub.Gone(s.now(), id)
+		s.pub.StreamClosed(s.now(), id)
 		delete(s.conns, id)
 	}()
 	for {
@@ -285,19 +285,23 @@
 					return configstreampb.Ended("a second hello")
 				}
 				m.Name = name
-				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
+				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
 					s.next++
 					id = s.next
 					s.conns[id] = c
-					return p.Hello(now, id, m)
+					return p.OpenStream(now, id, m)
 				})
 			case configstream.Report:
-				if m.Result == configstream.Refused {
+				if m.Result == configstream.ResultRejected {
 					s.f.log.Printf("follower %s refuses version %v: %v", name, m.Ref, m.Problems)
 				}
-				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out { return p.Hear(now, id, m) })
+				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+					return p.ReportReceived(now, id, m)
+				})
 			case uint64:
-				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out { return p.Ping(now, id, m) })
+				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+					return p.PingReceived(now, id, m)
+				})
 			}
 		}
 	}
@@ -308,7 +312,7 @@
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return "", errors.New("no certificate")
 	}
-	h, err := raftnode.HolderOf(r.TLS.PeerCertificates[0])
+	h, err := raftnode.IdentityOf(r.TLS.PeerCertificates[0])
 	if err != nil {
 		return "", err
 	}
@@ -320,9 +324,9 @@
 
 // Followers is what a member answers of the followers.
 type Followers struct {
-	Member    uint64                  `json:"member"` // that was asked
-	Newest    uint64                  `json:"newest"` // version here
-	Followers []configstream.Standing `json:"followers"`
+	Member    uint64                      `json:"member"` // that was asked
+	Newest    uint64                      `json:"newest"` // version here
+	Followers []configstream.StreamStatus `json:"followers"`
 }
 
 func (f *Fleet) standings(ctx context.Context, _ *http.Request) (any, error) {
@@ -331,7 +335,7 @@
 	}
 	f.streams.mu.Lock()
 	defer f.streams.mu.Unlock()
-	out := &Followers{Member: f.cfg.Member, Followers: f.streams.pub.Standings(f.streams.now())}
+	out := &Followers{Member: f.cfg.Member, Followers: f.streams.pub.Statuses(f.streams.now())}
 	if v := f.streams.pub.Newest(); v != nil {
 		out.Newest = v.Number
 	}
@@ -341,19 +345,19 @@
 // metrics words how many followers stand how, as far as the members know.
 func (s *streams) metrics(w io.Writer) {
 	s.mu.Lock()
-	all := s.pub.Standings(s.now())
+	all := s.pub.Statuses(s.now())
 	s.mu.Unlock()
 	states := map[string]int{"running": 0, "waiting": 0, "unknown": 0, "never": 0}
 	behind, refusing, twins := 0, 0, 0
 	for _, st := range all {
 		states[st.State]++
-		if st.Behind {
+		if st.IsBehind {
 			behind++
 		}
-		if st.Refused != nil && (st.Running == nil || st.Refused.Order(*st.Running) == configstream.Newer) {
+		if st.LatestRejection != nil && (st.Running == nil || st.LatestRejection.Compare(*st.Running) == configstream.OrderNewer) {
 			refusing++
 		}
-		if st.Twin != "" {
+		if st.NameConflict != "" {
 			twins++
 		}
 	}
--- a/internal/configstreampb/wire.go
+++ b/internal/configstreampb/wire.go
@@ -97,7 +97,7 @@
 	case *Push: // worded before: see [Word]
 		out.Body = &FromMember_Push{v}
 	case *configstream.Pong:
-		out.Body = &FromMember_Pong{&Pong{Seq: v.Seq, Newest: fromRef(&v.Newest), Homes: v.Homes, Confirmed: v.Confirmed, Twin: v.Twin}}
+		out.Body = &FromMember_Pong{&Pong{Seq: v.Sequence, Newest: fromRef(&v.Newest), Homes: v.PlacementVersion, Confirmed: v.IsConfirmed, Twin: v.NameConflict}}
 	default:
 		return fmt.Errorf("a %T is no message of a member", v)
 	}
@@ -119,15 +119,15 @@
 	}
 	switch b := in.Body.(type) {
 	case *FromFollower_Hello:
-		h := configstream.Hello{Process: b.Hello.Process, Start: b.Hello.Start, Dial: b.Hello.Dial, Running: toRef(b.Hello.Running),
-			Since: time.Duration(min(b.Hello.SinceMs, 1<<40)) * time.Millisecond, Format: int(b.Hello.Format)}
+		h := configstream.Hello{ProcessID: b.Hello.Process, StartCount: b.Hello.Start, StreamNumber: b.Hello.Dial, Running: toRef(b.Hello.Running),
+			RunningFor: time.Duration(min(b.Hello.SinceMs, 1<<40)) * time.Millisecond, MaxFormat: int(b.Hello.Format)}
 		for _, r := range b.Hello.Refused {
-			h.Refused = append(h.Refused, configstream.Refusal{Ref: *toRef(r.Ref), Problems: toProblems(r.Problems), Unread: r.Unread})
+			h.Rejections = append(h.Rejections, configstream.Rejection{Ref: *toRef(r.Ref), Problems: toProblems(r.Problems), IsUnsupportedFormat: r.Unread})
 		}
 		return h, nil
 	case *FromFollower_Report:
 		return configstream.Report{Nonce: b.Report.Nonce, Result: configstream.Result(b.Report.Result), Ref: *toRef(b.Report.Ref), Running: toRef(b.Report.Running),
-			Problems: toProblems(b.Report.Problems), Unread: b.Report.Unread}, nil
+			Problems: toProblems(b.Report.Problems), IsUnsupportedFormat: b.Report.Unread}, nil
 	default:
 		return in.GetPing().Seq, nil
 	}
@@ -138,14 +138,14 @@
 	out := &FromFollower{}
 	switch v := v.(type) {
 	case configstream.Hello:
-		h := &Hello{Process: v.Process, Start: v.Start, Dial: v.Dial, Running: fromRef(v.Running), SinceMs: uint64(max(v.Since, 0).Milliseconds()), Format: uint32(v.Format)}
-		for _, r := range v.Refused {
-			h.Refused = append(h.Refused, &Refusal{Ref: fromRef(&r.Ref), Problems: fromProblems(r.Problems), Unread: r.Unread})
+		h := &Hello{Process: v.ProcessID, Start: v.StartCount, Dial: v.StreamNumber, Running: fromRef(v.Running), SinceMs: uint64(max(v.RunningFor, 0).Milliseconds()), Format: uint32(v.MaxFormat)}
+		for _, r := range v.Rejections {
+			h.Refused = append(h.Refused, &Refusal{Ref: fromRef(&r.Ref), Problems: fromProblems(r.Problems), Unread: r.IsUnsupportedFormat})
 		}
 		out.Body = &FromFollower_Hello{h}
 	case configstream.Report:
 		out.Body = &FromFollower_Report{&Report{Nonce: v.Nonce, Result: Report_Result(v.Result), Ref: fromRef(&v.Ref), Running: fromRef(v.Running),
-			Problems: fromProblems(v.Problems), Unread: v.Unread}}
+			Problems: fromProblems(v.Problems), Unread: v.IsUnsupportedFormat}}
 	case uint64:
 		out.Body = &FromFollower_Ping{&Ping{Seq: v}}
 	default:
@@ -168,25 +168,25 @@
 		return nil, err
 	}
 	if b, ok := in.Body.(*FromMember_Pong); ok {
-		return &configstream.Pong{Seq: b.Pong.Seq, Newest: *toRef(b.Pong.Newest), Homes: b.Pong.Homes, Confirmed: b.Pong.Confirmed, Twin: b.Pong.Twin}, nil
+		return &configstream.Pong{Sequence: b.Pong.Seq, Newest: *toRef(b.Pong.Newest), PlacementVersion: b.Pong.Homes, IsConfirmed: b.Pong.Confirmed, NameConflict: b.Pong.Twin}, nil
 	}
 	p := in.GetPush()
-	b := &configstream.Body{Ref: *toRef(p.Ref), Base: toRef(p.Base), Format: int(p.Format), Hash: p.Hash, Homes: p.Homes, Places: p.Places, Removed: p.Removed}
+	b := &configstream.Body{Ref: *toRef(p.Ref), Base: toRef(p.Base), Format: int(p.Format), Hash: p.Hash, PlacementVersion: p.Homes, PlanOrder: p.Places, Removed: p.Removed}
 	for _, o := range p.Put {
 		b.Put = append(b.Put, configstream.Object{Key: o.Key, Value: json.RawMessage(o.Value)})
 	}
-	return &configstream.Push{Nonce: p.Nonce, Body: b, Confirmed: p.Confirmed}, nil
+	return &configstream.Push{Nonce: p.Nonce, Body: b, IsConfirmed: p.Confirmed}, nil
 }
 
 // Word words a push. Pushes of one body share what is dear.
 func Word(p *configstream.Push, body *Push) *Push {
-	return &Push{Nonce: p.Nonce, Confirmed: p.Confirmed, Ref: body.Ref, Base: body.Base, Format: body.Format, Hash: body.Hash, Homes: body.Homes,
+	return &Push{Nonce: p.Nonce, Confirmed: p.IsConfirmed, Ref: body.Ref, Base: body.Base, Format: body.Format, Hash: body.Hash, Homes: body.Homes,
 		Places: body.Places, Put: body.Put, Removed: body.Removed}
 }
 
 // WordBody words what pushes of one body share.
 func WordBody(b *configstream.Body) *Push {
-	out := &Push{Ref: fromRef(&b.Ref), Base: fromRef(b.Base), Format: uint32(b.Format), Hash: b.Hash, Homes: b.Homes, Places: b.Places, Removed: b.Removed}
+	out := &Push{Ref: fromRef(&b.Ref), Base: fromRef(b.Base), Format: uint32(b.Format), Hash: b.Hash, Homes: b.PlacementVersion, Places: b.PlanOrder, Removed: b.Removed}
 	for _, o := range b.Put {
 		out.Put = append(out.Put, &Object{Key: o.Key, Value: o.Value})
 	}
--- a/internal/edgeproxy/front.go
+++ b/internal/edgeproxy/front.go
@@ -66,7 +66,7 @@
 }
 
 func newFront(n *Node) *front {
-	f := &front{node: n, slots: newSlots(clientSockets(n.cfg.Sockets)),
+	f := &front{node: n, slots: newSlots(clientSockets(n.cfg.MaxSockets)),
 		classes: map[string]policy.Class{}, plans: map[string]bool{}, over: make(chan struct{})}
 	for _, c := range n.cfg.Settings.Classes {
 		f.classes[c.Name] = c
--- a/internal/edgeproxy/harness_test.go
+++ b/internal/edgeproxy/harness_test.go
@@ -115,7 +115,7 @@
 func testConfig(servers ...Instance) *Config {
 	return &Config{
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
-		Sockets: 256, Known: List{Generation: 7, IsComplete: true, Servers: servers},
+		MaxSockets: 256, SavedEndpoints: List{Generation: 7, IsComplete: true, Servers: servers},
 		Transport: simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 5 * time.Second},
 		Settings: policy.Settings{
 			InstanceCount: 1, Zone: "z", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -92,7 +92,7 @@
 		counts: newCounts(classes),
 		memory: newBudget(cfg.MemoryMB),
 		cfg:    cfg, log: logger, start: time.Now(), ctx: ctx, gw: gw, flights: map[string]*flight{},
-		up: newUpstream(cfg.Transport, serverSockets(cfg.Sockets)),
+		up: newUpstream(cfg.Transport, serverSockets(cfg.MaxSockets)),
 	}
 	n.up.rest = cfg.rest
 	n.up.sent, n.up.near = n.counts.sent, n.near
@@ -212,7 +212,7 @@
 // boot starts the gateway with the saved list.
 func (n *Node) boot() {
 	n.event(func(now time.Duration, out policy.Actions) { n.gw.Start(now, out) })
-	n.list(n.cfg.Known, policy.EndpointsSaved)
+	n.list(n.cfg.SavedEndpoints, policy.EndpointsSaved)
 }
 
 // list hands a list to the connections and to the gateway, as one event.
--- a/internal/edgeproxy/stream_test.go
+++ b/internal/edgeproxy/stream_test.go
@@ -269,7 +269,7 @@
 func TestLongBodyStops(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, say(okAnswer))
-	n, at := managed(t, say(okAnswer), func(cfg *Config) { cfg.Known.Servers[0] = app.instance("a") })
+	n, at := managed(t, say(okAnswer), func(cfg *Config) { cfg.SavedEndpoints.Servers[0] = app.instance("a") })
 	c, began := dial(t, n.addr), time.Now()
 	text := longBody("a", pattern(holdMost+1), false)
 	c.send(text[:len(text)/2])
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -95,7 +95,7 @@
 
 func newServers(cfg *Config) *servers {
 	return &servers{dialer: net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1},
-		maxIdle: time.Duration(idleShare * float64(cfg.ConnIdle)), most: cfg.MaxServers, byID: map[string]*server{}}
+		maxIdle: time.Duration(idleShare * float64(cfg.ServerIdleTimeout)), most: cfg.MaxServerConns, byID: map[string]*server{}}
 }
 
 // update takes in entries of a list and returns the connections that are of no more use,
--- a/internal/gatewayconfig/fleet.go
+++ b/internal/gatewayconfig/fleet.go
@@ -62,15 +62,15 @@
 		}
 		out.Objects[kind][name] = text
 	}
-	for i, h := range c.Halls {
-		put("hall", h.Name, clusterconfig.Hall{Register: h.Register.String(), Closed: in.Halls[i].Closed})
+	for i, h := range c.Sites {
+		put("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Discovery.String(), IsClosed: in.Halls[i].Closed})
 	}
 	for _, k := range c.Classes {
-		put("class", k.Name, clusterconfig.Class{Worth: k.PriorityWeight, Late: k.LateFraction, AimMs: k.LatencyObjective.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()})
+		put("class", k.Name, clusterconfig.Class{PriorityWeight: k.PriorityWeight, LateFraction: k.LateFraction, LatencyObjectiveMs: k.LatencyObjective.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()})
 	}
 	for _, p := range in.Plans {
-		put("plan", p.Name, clusterconfig.Plan{Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CeilingSlack,
-			Open: p.Open, Price: p.Price, OverWorth: p.OverWorth, OverCost: p.OverCost})
+		put("plan", p.Name, clusterconfig.Plan{Rate: p.Rate, Burst: p.Burst, HardLimitRate: p.CeilingRate, HardLimitBurst: p.CeilingBurst, HardLimitSlack: p.CeilingSlack,
+			MaxInFlight: p.Open, PriorityFactor: p.Price, OverQuotaFraction: p.OverWorth, OverQuotaCost: p.OverCost})
 	}
 	for name, l := range c.Licensees {
 		put("licensee", name, clusterconfig.Licensee{Plan: l.Plan})
@@ -80,10 +80,10 @@
 			r.bad(fmt.Sprintf("follower[%d].name", i), "%q is empty or stands twice", f.Name)
 			continue
 		}
-		put("follower", f.Name, clusterconfig.Follower{Note: f.Note, Pin: f.Pin})
+		put("follower", f.Name, clusterconfig.Follower{Note: f.Note, PinnedVersion: f.Pin})
 	}
 	if in.MostUnits > 0 {
-		put("limit", "units", clusterconfig.Limit{Most: in.MostUnits})
+		put("limit", "units", clusterconfig.Limit{Max: in.MostUnits})
 	}
 	if len(r.problems) > 0 {
 		return nil, r.problems
--- a/internal/gatewayconfig/gatefile.go
+++ b/internal/gatewayconfig/gatefile.go
@@ -302,7 +302,7 @@
 		r.bad("description", "is missing: the file name of an OpenAPI description")
 	}
 	r.halls(&in.shared, c)
-	if len(in.Halls) > 0 && !slices.ContainsFunc(c.Halls, func(h gateway.Hall) bool { return h.Name == in.Zone }) {
+	if len(in.Halls) > 0 && !slices.ContainsFunc(c.Sites, func(h gateway.Site) bool { return h.Name == in.Zone }) {
 		r.bad("zone", "%q is no hall's name", in.Zone)
 	}
 	r.classes(&in.shared, c)
@@ -336,12 +336,12 @@
 }
 
 // stale reads what an instance does whose configuration was not confirmed of late.
-func (r *reader) stale(section string, after duration, when string) *gateway.Agreed {
-	agreed := &gateway.Agreed{StaleAfter: after.d}
+func (r *reader) stale(section string, after duration, when string) *gateway.Agreement {
+	agreed := &gateway.Agreement{StaleAfter: after.d}
 	switch when {
 	case "", "serve":
 	case "refuse":
-		agreed.Refuse = true
+		agreed.RejectsStale = true
 	default:
 		r.bad(section+".when_stale", "%q is unknown: \"serve\" or \"refuse\" is wanted", when)
 	}
@@ -375,7 +375,7 @@
 	if len(c.Members) == 0 {
 		r.bad("follow.member", "none is named: add a [[follow.member]] with number and stream")
 	}
-	out.Config.Agreed = r.stale("follow", c.StaleAfter, c.WhenStale)
+	out.Config.Agreement = r.stale("follow", c.StaleAfter, c.WhenStale)
 	k.KeysAnywhere = r.keys("follow", c.Keys)
 }
 
@@ -393,7 +393,7 @@
 		if _, twice := k.Members[m.Number]; m.Number == 0 || twice {
 			r.bad(at+".number", "%d is 0 or stands twice", m.Number)
 		}
-		k.Members[m.Number] = clusterconfig.Member{Raft: r.address(at+".raft", m.Raft).String(), Admin: r.address(at+".admin", m.Admin).String()}
+		k.Members[m.Number] = clusterconfig.Member{RaftAddress: r.address(at+".raft", m.Raft).String(), AdminAddress: r.address(at+".admin", m.Admin).String()}
 	}
 	if _, ok := k.Members[c.Number]; !ok {
 		r.bad("cluster.number", "%d is no [[cluster.member]] of this file", c.Number)
@@ -401,7 +401,7 @@
 	if c.Tick.d != 0 && (c.Tick.d < time.Millisecond || c.Tick.d > time.Second) {
 		r.bad("cluster.tick", "%v is outside 1ms to 1s", c.Tick.d)
 	}
-	out.Config.Agreed = r.stale("cluster", c.StaleAfter, c.WhenStale)
+	out.Config.Agreement = r.stale("cluster", c.StaleAfter, c.WhenStale)
 	k.KeysAnywhere = r.keys("cluster", c.Keys)
 	if c.Stream != "" {
 		k.Stream = r.address("cluster.stream", c.Stream).String()
@@ -409,9 +409,9 @@
 	if c.Link == nil {
 		return
 	}
-	l := &gateway.LinkConfig{Own: []string{in.Zone}, Listen: r.address("cluster.link.listen", c.Link.Listen), Most: c.Link.Most, Far: map[string][]gateway.LinkPeer{}}
-	if l.Most < 0 || l.Most == 1 || l.Most > 1<<16 {
-		r.bad("cluster.link.most", "%d is outside 2 to %d", l.Most, 1<<16)
+	l := &gateway.RelayConfig{Own: []string{in.Zone}, Listen: r.address("cluster.link.listen", c.Link.Listen), MaxInFlight: c.Link.Most, Remote: map[string][]gateway.RelayPeer{}}
+	if l.MaxInFlight < 0 || l.MaxInFlight == 1 || l.MaxInFlight > 1<<16 {
+		r.bad("cluster.link.most", "%d is outside 2 to %d", l.MaxInFlight, 1<<16)
 	}
 	if len(c.Link.Far) == 0 {
 		r.bad("cluster.link.far", "is missing: at least one instance of another site is wanted")
@@ -424,12 +424,12 @@
 		if _, known := k.Members[f.Member]; !known || f.Member == c.Number {
 			r.bad(at+".member", "%d is no other [[cluster.member]] of this file", f.Member)
 		}
-		if slices.ContainsFunc(l.Far[f.Hall], func(p gateway.LinkPeer) bool { return p.Member == f.Member }) {
+		if slices.ContainsFunc(l.Remote[f.Hall], func(p gateway.RelayPeer) bool { return p.Member == f.Member }) {
 			r.bad(at+".member", "%d stands twice for %s", f.Member, f.Hall)
 		}
-		l.Far[f.Hall] = append(l.Far[f.Hall], gateway.LinkPeer{Member: f.Member, Addr: r.address(at+".address", f.Address)})
+		l.Remote[f.Hall] = append(l.Remote[f.Hall], gateway.RelayPeer{Member: f.Member, Addr: r.address(at+".address", f.Address)})
 	}
-	out.Config.Link = l
+	out.Config.Relay = l
 }
 
 func (r *reader) halls(in *shared, c *gateway.Config) {
@@ -440,7 +440,7 @@
 			r.bad(at+".name", "%q is empty, stands twice or has a slash", h.Name)
 		}
 		zones[h.Name] = true
-		c.Halls = append(c.Halls, gateway.Hall{Name: h.Name, Register: r.address(at+".register", h.Register)})
+		c.Sites = append(c.Sites, gateway.Site{Name: h.Name, Discovery: r.address(at+".register", h.Register)})
 	}
 	if len(in.Halls) == 0 {
 		r.bad("hall", "none is described: add a [[hall]] with name and register")
@@ -461,8 +461,8 @@
 			r.bad(f.name, "%v is outside %v to %v", f.v, f.least, f.most)
 		}
 	}
-	c.MaxClients, c.MaxServers = l.Clients, l.Servers
-	c.ConnectTimeout, c.ConnIdle, c.DrainFor = l.ConnectTimeout.d, l.ConnIdle.d, l.DrainFor.d
+	c.MaxClientConns, c.MaxServerConns = l.Clients, l.Servers
+	c.ConnectTimeout, c.ServerIdleTimeout, c.DrainTimeout = l.ConnectTimeout.d, l.ConnIdle.d, l.DrainFor.d
 	c.Settings = policy.Settings{InstanceIndex: in.Instance, InstanceCount: n, Zone: in.Zone,
 		ResponseSlack: l.AnswerSlack.d, DrainGracePeriod: s.DrainGrace.d, SlowStartMinFraction: s.ColdFrom, SlowStartWindow: s.RampTime.d,
 		ColdOverloadMultiple: s.FallMultiple, ColdOverloadWindow: s.OverloadFor.d, MaxAttempts: l.MaxAttempts, AllowsCancel: true, AllowsGossip: n > 1, AllowsHealthChecks: true,
--- a/internal/gatewayconfig/link_test.go
+++ b/internal/gatewayconfig/link_test.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := f.Config.Link
-	if l == nil || l.Own[0] != "hall-a" || l.Far["hall-b"][0].Member != 2 || l.Far["hall-b"][0].Addr.Port() != 7302 {
+	l := f.Config.Relay
+	if l == nil || l.Own[0] != "hall-a" || l.Remote["hall-b"][0].Member != 2 || l.Remote["hall-b"][0].Addr.Port() != 7302 {
 		t.Errorf("%+v", l)
 	}
 	for field, change := range map[string][2]string{
