--- /dev/null
+++ b/internal/discovery/watcher_test.go
@@ -0,0 +1,223 @@
+package discovery
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+const testTimeout = 30 * time.Second
+
+// startAgent serves watches over a real connection, the n-th by script(n, ...), until gone is closed; w sends what is
+// written at once.
+func startAgent(t *testing.T, script func(n int, from string, w io.Writer, gone <-chan struct{})) *Watcher {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := 0 // one watch at a time
+	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		n++
+		w.(http.Flusher).Flush()
+		script(n, r.URL.Query().Get("from"), flushWriter{w}, r.Context().Done())
+	})}
+	go srv.Serve(ln)
+	t.Cleanup(func() { srv.Close() })
+	addr := ln.Addr().(*net.TCPAddr).AddrPort()
+	return &Watcher{Addr: addr, SilenceTimeout: SilenceTimeout, IsLocalAgent: true, Logf: t.Logf}
+}
+
+type flushWriter struct{ http.ResponseWriter }
+
+func (f flushWriter) Write(p []byte) (int, error) {
+	n, err := f.ResponseWriter.Write(p)
+	f.ResponseWriter.(http.Flusher).Flush()
+	return n, err
+}
+
+// startWatcher runs the follower and gives the lists that it hands on.
+func startWatcher(t *testing.T, f *Watcher) <-chan EndpointList {
+	t.Helper()
+	lists := make(chan EndpointList, 100)
+	f.OnList = func(l EndpointList) { lists <- l }
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		f.Run(ctx)
+	}()
+	t.Cleanup(func() {
+		stop()
+		<-ended
+	})
+	return lists
+}
+
+func nextList(t *testing.T, lists <-chan EndpointList) EndpointList {
+	t.Helper()
+	select {
+	case l := <-lists:
+		return l
+	case <-time.After(testTimeout):
+		t.Fatal("no list comes")
+		return EndpointList{}
+	}
+}
+
+func listText(generation int) string {
+	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[`+
+		`{"instanceId":"a \"{[","hostPort":"127.0.0.1:9","lifecycle":"up"},`+
+		`{"instanceId":"b","hostPort":"127.0.0.1:8","lifecycle":"draining"}]}`, generation)
+}
+
+// An agent that is silent learns nothing, and what it has at its return counts as known at once. So a node of
+// a large tier is not blind for longer than any other: with the delays of a large tier's calls, 2.5 to 7.5 s
+// at 300 nodes, it went on sending to servers that were draining.
+func TestSilentAgentIsPolledAgainAtOnce(t *testing.T) {
+	for _, nodes := range []int{1, 80, 300, 1000} {
+		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
+			t.Parallel()
+			const silent = 100 * time.Millisecond
+			f := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
+				switch n {
+				case 1: // opened and silent
+				case 2:
+					io.WriteString(w, "\n") // silent after a sign of life
+				case 3, 4, 5:
+					io.WriteString(w, listText(8)[:40]) // silent in the middle of a list
+				default:
+					io.WriteString(w, listText(9)+"\n")
+				}
+				<-gone
+			})
+			f.SilenceTimeout, f.Backoff = silent, NewBackoff(nodes, 3)
+			startedAt := time.Now()
+			if l := nextList(t, startWatcher(t, f)); l.Generation != 9 {
+				t.Errorf("list %+v", l)
+			}
+			if took := time.Since(startedAt); took > 2200*time.Millisecond {
+				t.Errorf("%d nodes: the list came after %v, with five silences of %v", nodes, took, silent)
+			}
+		})
+	}
+}
+
+// An agent that says nothing on a new watch is given up well before one that has fallen silent: both
+// together stay inside the 6 s after which a list counts as known.
+func TestTwoSilencesInARow(t *testing.T) {
+	f := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
+		switch n {
+		case 1:
+			io.WriteString(w, listText(8)+"\n")
+		case 2:
+		default:
+			io.WriteString(w, listText(9)+"\n")
+		}
+		<-gone
+	})
+	lists := startWatcher(t, f)
+	nextList(t, lists)
+	silentSince := time.Now()
+	nextList(t, lists)
+	if took := time.Since(silentSince); took > 5500*time.Millisecond {
+		t.Errorf("the next list came %v after the watch had fallen silent", took)
+	}
+}
+
+// A list may come indented, over many lines and in pieces with pauses, and counts once it is complete.
+func TestListsInOtherForms(t *testing.T) {
+	var wide bytes.Buffer
+	if err := json.Indent(&wide, []byte(listText(8)), "", "\t"); err != nil {
+		t.Fatal(err)
+	}
+	f := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
+		fmt.Fprintf(w, "\n%s\n\n%s\r\n", wide.String(), strings.ReplaceAll(listText(9), ",", " ,\n"))
+		for piece := range strings.SplitAfterSeq(listText(10), ",") { // longer than a silence in all
+			io.WriteString(w, piece)
+			time.Sleep(60 * time.Millisecond)
+		}
+		io.WriteString(w, "\n")
+		<-gone
+	})
+	f.SilenceTimeout = 200 * time.Millisecond
+	lists := startWatcher(t, f)
+	for want := uint64(8); want <= 10; want++ {
+		if l := nextList(t, lists); l.Generation != want || len(l.Servers) != 2 || l.Servers[0].ID != `a "{[` {
+			t.Fatalf("list %+v, want version %d", l, want)
+		}
+	}
+}
+
+// What was said is lost with a list that breaks off: the complete list is requested. Nothing of the truncated
+// one counts.
+func TestTruncatedListsAreRequestedAgain(t *testing.T) {
+	for name, truncated := range map[string]string{
+		"before a sign of life": listText(8)[:60] + "\n\n",
+		"in a name":             listText(8)[:46] + "\n",
+		"at the end":            listText(8)[:60],
+		"no object":             "[1]\n",
+		"doubled":               listText(8) + listText(8) + "\n",
+		"too long":              `{"x":[` + strings.Repeat("0,\n", maxListBytes/2),
+		"too long in one line":  `{"x":[` + strings.Repeat("0,", maxListBytes/2),
+	} {
+		t.Run(name, func(t *testing.T) {
+			froms, startedAt := make(chan string, 10), time.Now()
+			f := startAgent(t, func(n int, from string, w io.Writer, gone <-chan struct{}) {
+				froms <- from
+				if n > 1 {
+					io.WriteString(w, listText(9)+"\n")
+				} else if io.WriteString(w, truncated); strings.HasSuffix(name, "end") {
+					return
+				}
+				<-gone
+			})
+			f.LastGeneration, f.Backoff = 7, NewBackoff(300, 3)
+			if l := nextList(t, startWatcher(t, f)); l.Generation != 9 {
+				t.Errorf("a truncated list counted: %+v", l)
+			}
+			// An agent serves this node alone: there is no queue that calls of a tier could lengthen.
+			if took := time.Since(startedAt); took > 2200*time.Millisecond {
+				t.Errorf("the next list came after %v", took)
+			}
+			if a, b := <-froms, <-froms; a != "7" || b != "0" {
+				t.Errorf("asked from %s and %s, want 7 and 0", a, b)
+			}
+		})
+	}
+}
+
+// One list may not take for ever, however steadily its pieces come.
+func TestEndlessList(t *testing.T) {
+	for name, end := range map[string]string{"indented": "\n", "in one line": ""} {
+		t.Run(name, func(t *testing.T) {
+			f := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
+				if n > 1 {
+					io.WriteString(w, listText(9)+"\n")
+					<-gone
+					return
+				}
+				io.WriteString(w, `{"generation":8,"instances":[`+end)
+				for {
+					select {
+					case <-gone:
+						return
+					case <-time.After(5 * time.Millisecond):
+						io.WriteString(w, "{},"+end)
+					}
+				}
+			})
+			f.SilenceTimeout = 50 * time.Millisecond
+			if l := nextList(t, startWatcher(t, f)); l.Generation != 9 {
+				t.Errorf("list %+v", l)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/routing/body.go
@@ -0,0 +1,142 @@
+package routing
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+)
+
+// What is wrong with the value of a property.
+var (
+	errWantString         = errors.New("a string is wanted")
+	errWantNumber         = errors.New("a number is wanted, not a string")
+	errWantNumberOrString = errors.New("a number or a string is wanted")
+)
+
+// checkJSONType checks that a body is JSON in UTF-8, without a content coding: anything else a server could
+// read as other words than stand in it here.
+func checkJSONType(h Header) error {
+	contentType, lines := h.Values("Content-Type")
+	media, params, _ := strings.Cut(contentType, ";")
+	if lines != 1 || !strings.EqualFold(strings.TrimSpace(media), "application/json") {
+		return &ChargeError{statusUnsupportedMediaType, "Content-Type: application/json is wanted"}
+	}
+	params = strings.ToLower(strings.ReplaceAll(params, " ", ""))
+	if params != "" && params != "charset=utf-8" {
+		return &ChargeError{statusUnsupportedMediaType, "Content-Type: no other charset than utf-8 is read"}
+	}
+	if _, lines := h.Values("Content-Encoding"); lines > 0 {
+		return &ChargeError{statusUnsupportedMediaType, "Content-Encoding: a packed body is not read"}
+	}
+	return nil
+}
+
+// bodyValue returns the text of a property of a JSON object. The whole body must be
+// one JSON value. In every object on the way each name stands once, however it is
+// written, and no other that differs in case only.
+func bodyValue(body []byte, path []string, want valueType) (string, error) {
+	reader := bodyReader{decoder: json.NewDecoder(bytes.NewReader(body)), want: want}
+	reader.decoder.UseNumber()
+	value, err := reader.readObject(path)
+	if err != nil {
+		return "", err
+	}
+	if _, err := reader.decoder.Token(); err != io.EOF {
+		return "", newChargeError("body: more than one JSON value")
+	}
+	return value, nil
+}
+
+// bodyReader reads a property of a JSON body token by token.
+type bodyReader struct {
+	decoder *json.Decoder
+	want    valueType
+}
+
+// readObject reads the object that comes next, to its end, and returns the text of the property at the path.
+func (r *bodyReader) readObject(path []string) (value string, err error) {
+	start, err := r.token()
+	if err != nil {
+		return "", err
+	}
+	if start != json.Delim('{') {
+		return "", newChargeError("body: an object is wanted where %q stands", path[0])
+	}
+	isFound := false
+	for r.decoder.More() {
+		name, err := r.token()
+		if err != nil {
+			return "", err
+		}
+		if !strings.EqualFold(name.(string), path[0]) {
+			if err := r.skipValue(); err != nil {
+				return "", err
+			}
+			continue
+		}
+		if isFound {
+			return "", errDuplicate
+		}
+		if name != path[0] {
+			return "", fmt.Errorf("stands as %q: write it as described", name)
+		}
+		isFound = true
+		if value, err = r.readValue(path); err != nil {
+			return "", err
+		}
+	}
+	if _, err := r.token(); err != nil { // the closing brace
+		return "", err
+	}
+	if !isFound {
+		return "", errMissing
+	}
+	return value, nil
+}
+
+// readValue reads the value of the path's first name: the property itself, or an object on the way to it.
+func (r *bodyReader) readValue(path []string) (string, error) {
+	if len(path) > 1 {
+		return r.readObject(path[1:])
+	}
+	token, err := r.token()
+	if err != nil {
+		return "", err
+	}
+	switch value := token.(type) {
+	case json.Number:
+		if r.want != numberType {
+			return "", errWantString
+		}
+		return value.String(), nil
+	case string:
+		if r.want != stringType {
+			return "", errWantNumber
+		}
+		return value, nil
+	}
+	return "", errWantNumberOrString
+}
+
+func (r *bodyReader) skipValue() error {
+	var skipped json.RawMessage
+	if err := r.decoder.Decode(&skipped); err != nil {
+		return invalidJSON(err)
+	}
+	return nil
+}
+
+func (r *bodyReader) token() (json.Token, error) {
+	token, err := r.decoder.Token()
+	if err != nil {
+		return nil, invalidJSON(err)
+	}
+	return token, nil
+}
+
+func invalidJSON(err error) error {
+	return newChargeError("body: is no JSON, or is cut short: %v", err)
+}
--- a/routing/document.go
+++ b/routing/document.go
@@ -1,4 +1,4 @@
-// Package contract decides what a request is: which operation of an OpenAPI
+// Package routing decides what a request is: which operation of an OpenAPI
 // description it asks for, of which class it is, how many units it takes and
 // what repeating it does.
 //
@@ -9,12 +9,7 @@
 // holds its [Operation] keeps the version that it was matched with.
 package routing
 
-import (
-	"fmt"
-	"strings"
-)
-
-// Document is what a description says, as far as routing and cost depend on it.
+// Document is what a description says, as far as routing and units depend on it.
 type Document struct {
 	File      string // named in problems
 	Version   string // info.version
@@ -47,7 +42,7 @@
 	Schema   Schema
 }
 
-// Schema is the part of a schema that the cost can depend on.
+// Schema is the part of a schema on which units can depend.
 type Schema struct {
 	Integer          bool
 	Minimum, Maximum *float64
@@ -68,6 +63,7 @@
 // Kind is the kind of a [Value].
 type Kind int
 
+// The kinds.
 const (
 	TextValue Kind = iota
 	NumberValue
@@ -82,38 +78,3 @@
 	Pos   Pos
 	Value Value
 }
-
-// Problem is one thing that is wrong with a description.
-type Problem struct {
-	File  string
-	Pos   Pos
-	Field string // such as "paths./visits.post.x-mulleinmux.units"; empty: the document
-	Text  string // what is wrong and what to do
-}
-
-func (p Problem) Error() string {
-	var b strings.Builder
-	b.WriteString(p.File)
-	if p.Pos.Line > 0 {
-		fmt.Fprintf(&b, ":%d", p.Pos.Line)
-		if p.Pos.Column > 0 {
-			fmt.Fprintf(&b, ":%d", p.Pos.Column)
-		}
-	}
-	b.WriteString(": ")
-	if p.Field != "" {
-		b.WriteString(p.Field + ": ")
-	}
-	return b.String() + p.Text
-}
-
-// Problems are all that is wrong with a description, in its order.
-type Problems []Problem
-
-func (ps Problems) Error() string {
-	lines := make([]string, len(ps))
-	for i, p := range ps {
-		lines[i] = p.Error()
-	}
-	return strings.Join(lines, "\n")
-}
--- /dev/null
+++ b/routing/extension.go
@@ -0,0 +1,183 @@
+package routing
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// extensionName is the key of an extension in a description.
+const extensionName = "x-mulleinmux"
+
+// Fields of an extension.
+const (
+	fieldClass      = "class"
+	fieldEffect     = "effect"
+	fieldRepeatable = "repeatable"
+	fieldKey        = "key"
+	fieldGroup      = "group"
+	fieldWindow     = "window"
+	fieldUnits      = "units"
+	fieldAim        = "aim"
+	fieldDeadline   = "deadline"
+)
+
+var extensionFields = []string{
+	fieldClass, fieldEffect, fieldRepeatable, fieldKey, fieldGroup, fieldWindow, fieldUnits, fieldAim, fieldDeadline,
+}
+
+// Values of the field effect.
+const (
+	effectSafe   = "safe"
+	effectKeyed  = "keyed"
+	effectUnsafe = "unsafe"
+)
+
+// Values of the field group.
+const (
+	groupAll  = "all"
+	groupZone = "zone"
+	groupCell = "cell"
+)
+
+// maxDuration bounds latency objectives, deadlines and deduplication windows.
+const maxDuration = time.Hour
+
+// declaredField is a field of the nearest extension that has it.
+type declaredField struct {
+	Field
+	path string // from the root of the document
+}
+
+// extensionReader reads the extension fields that hold for one operation.
+type extensionReader struct {
+	compiler *compiler
+	fields   map[string]declaredField
+	method   *Method
+	path     string // of the operation, from the root of the document
+}
+
+// readExtensions fills in what the extensions say of an operation: for each field the nearest
+// one counts, of the operation, its path or the document.
+func (c *compiler) readExtensions(op *Operation, path *Path, method *Method, operationPath string) {
+	r := &extensionReader{compiler: c, fields: map[string]declaredField{}, method: method, path: operationPath}
+	r.collect(method.Extension, operationPath)
+	r.collect(path.Extension, "paths."+path.Template)
+	r.collect(c.doc.Extension, "")
+
+	class := r.class()
+	class.Idempotency = r.idempotency()
+	class.LatencyObjective = r.duration(fieldAim, class.LatencyObjective)
+	class.Deadline = r.duration(fieldDeadline, class.Deadline)
+	if class.LatencyObjective > class.Deadline {
+		aim := r.fields[fieldAim]
+		c.addProblemOnce(cmp.Or(aim.Pos, method.Pos), cmp.Or(aim.path, operationPath),
+			"the aim %v is past the deadline %v", class.LatencyObjective, class.Deadline)
+	}
+	if class.Idempotency == policy.IdempotentWithKey {
+		class.DedupScope = r.dedupScope()
+		class.DedupWindow = r.dedupWindow()
+		op.KeySource = r.keySource()
+	} else {
+		r.rejectKeyedFields()
+	}
+	op.Units = r.units()
+	if class.Idempotency != policy.Idempotent {
+		op.InheritedFields = r.inheritedFields()
+	}
+	op.Class = c.internClass(class)
+}
+
+// collect takes in the fields of an extension that no nearer one has.
+func (r *extensionReader) collect(extension *Value, owner string) {
+	if extension == nil {
+		return
+	}
+	path := strings.TrimPrefix(owner+"."+extensionName, ".")
+	if extension.Kind != MappingValue {
+		r.compiler.addProblemOnce(extension.Pos, path, "a mapping is wanted, such as {class: slot-check, units: 1}")
+		return
+	}
+	for _, field := range extension.Fields {
+		if !slices.Contains(extensionFields, field.Name) {
+			r.compiler.addProblemOnce(field.Pos, path+"."+field.Name,
+				"is no field of x-mulleinmux: one of %s is wanted", strings.Join(extensionFields, ", "))
+			continue
+		}
+		if _, isDeclared := r.fields[field.Name]; !isDeclared {
+			r.fields[field.Name] = declaredField{field, path + "." + field.Name}
+		}
+	}
+}
+
+// ownPath is where a field stands if the operation itself declares it.
+func (r *extensionReader) ownPath(name string) string {
+	return r.path + "." + extensionName + "." + name
+}
+
+// isOwn reports whether the operation itself declares a field.
+func (r *extensionReader) isOwn(field declaredField) bool {
+	return strings.HasPrefix(field.path, r.path+".")
+}
+
+// report adds a problem of a field's value.
+func (r *extensionReader) report(field declaredField, format string, args ...any) {
+	r.compiler.addProblemOnce(field.Value.Pos, field.path, format, args...)
+}
+
+// reportMissing adds a problem of a field that no extension has.
+func (r *extensionReader) reportMissing(name, format string, args ...any) {
+	r.compiler.addProblemOnce(r.method.Pos, r.ownPath(name), format, args...)
+}
+
+// enum reads a field that is one of some words; empty: it is missing or none of them.
+func (r *extensionReader) enum(name string, words ...string) string {
+	field, ok := r.fields[name]
+	if !ok {
+		return ""
+	}
+	if field.Value.Kind != TextValue || !slices.Contains(words, field.Value.Text) {
+		r.report(field, "%q is unknown: one of %s is wanted", field.Value.Text, strings.Join(words, ", "))
+		return ""
+	}
+	return field.Value.Text
+}
+
+// duration reads a field that is a duration, or returns a default where it is missing or invalid.
+func (r *extensionReader) duration(name string, defaultValue time.Duration) time.Duration {
+	field, ok := r.fields[name]
+	if !ok {
+		return defaultValue
+	}
+	value, err := time.ParseDuration(field.Value.Text)
+	if field.Value.Kind != TextValue || err != nil || value <= 0 || value > maxDuration {
+		r.report(field, "%q is no duration from 1ns to %v: write it with a unit, such as 400ms or 2s",
+			field.Value.Text, maxDuration)
+		return defaultValue
+	}
+	return value
+}
+
+// rejectKeyedFields reports fields that only an operation with an idempotency key has. Those of a path or the
+// document are for other operations.
+func (r *extensionReader) rejectKeyedFields() {
+	for _, name := range []string{fieldKey, fieldGroup, fieldWindow} {
+		if field, ok := r.fields[name]; ok && field.path == r.ownPath(name) {
+			r.compiler.addProblemOnce(field.Pos, field.path, "only a keyed operation has a %s: declare effect: keyed", name)
+		}
+	}
+}
+
+// inheritedFields names the required fields that the document's extension declares.
+func (r *extensionReader) inheritedFields() []string {
+	var inherited []string
+	for _, name := range []string{fieldClass, fieldUnits} {
+		if field, ok := r.fields[name]; ok && field.path == extensionName+"."+name {
+			inherited = append(inherited, name)
+		}
+	}
+	return inherited
+}
--- /dev/null
+++ b/routing/query.go
@@ -0,0 +1,68 @@
+package routing
+
+import (
+	"errors"
+	"fmt"
+	"net/url"
+	"strings"
+)
+
+// What is wrong with a query.
+var (
+	errSemicolon      = errors.New("the query has a semicolon, which some take for a separator")
+	errBrokenEncoding = errors.New("the query has a broken percent-encoding")
+)
+
+// queryValue returns the one value of a name. It makes no allocation for a query without
+// percent-encoding. Names that differ only in case, or stand with brackets behind them as
+// for lists, are taken for the name too: some readers do.
+func queryValue(query, name string) (string, error) {
+	if strings.IndexByte(query, ';') >= 0 {
+		return "", errSemicolon
+	}
+	value, isFound := "", false
+	for query != "" {
+		var pair string
+		pair, query, _ = strings.Cut(query, "&")
+		rawKey, rawValue, _ := strings.Cut(pair, "=")
+		key, err := unescapeQuery(rawKey)
+		if err != nil {
+			return "", err
+		}
+		if !strings.EqualFold(bareQueryName(key), name) {
+			continue
+		}
+		if isFound {
+			return "", errDuplicate
+		}
+		if key != name {
+			return "", fmt.Errorf("stands as %q: write it as described", key)
+		}
+		isFound = true
+		if value, err = unescapeQuery(rawValue); err != nil {
+			return "", err
+		}
+	}
+	if !isFound {
+		return "", errMissing
+	}
+	return value, nil
+}
+
+// bareQueryName is a name without the brackets of a list and the space that some readers drop.
+func bareQueryName(key string) string {
+	bare, _, _ := strings.Cut(key, "[")
+	return strings.Trim(bare, " \t\x00")
+}
+
+// unescapeQuery decodes a name or value. It makes no allocation for one that is not encoded.
+func unescapeQuery(text string) (string, error) {
+	if !strings.ContainsAny(text, "%+") {
+		return text, nil
+	}
+	decoded, err := url.QueryUnescape(text)
+	if err != nil {
+		return "", errBrokenEncoding
+	}
+	return decoded, nil
+}
--- /dev/null
+++ b/routing/source.go
@@ -0,0 +1,141 @@
+package routing
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// maxBodyDepth bounds how deep in a body a property may stand.
+const maxBodyDepth = 8
+
+// What is wrong with a parameter of a request.
+var (
+	errMissing   = errors.New("is missing")
+	errDuplicate = errors.New("stands more than once") // where one is wanted
+)
+
+// Location is where in a request a parameter stands.
+type Location int
+
+// The locations.
+const (
+	InNowhere Location = iota // there is no parameter
+	InPath
+	InQuery
+	InHeader
+	InBody // a property of a JSON body
+)
+
+// ParamSource names a parameter of a request.
+type ParamSource struct {
+	In   Location
+	Name string
+	Path []string // of a body: the names from the outermost object inwards
+}
+
+// String names the parameter in problems and errors.
+func (s ParamSource) String() string {
+	return [...]string{
+		InNowhere: "nowhere",
+		InPath:    "path parameter ",
+		InQuery:   "query parameter ",
+		InHeader:  "header ",
+		InBody:    "body property ",
+	}[s.In] + s.Name
+}
+
+// valueType is the type that a property of a body must have.
+type valueType int
+
+const (
+	stringType valueType = iota
+	numberType
+)
+
+// read returns the text of a parameter. A property of a body must be of the type that is wanted.
+func (s ParamSource) read(r Request, want valueType) (string, error) {
+	switch s.In {
+	case InQuery:
+		return queryValue(r.Query, s.Name)
+	case InHeader:
+		return headerValue(r.Header, s.Name)
+	case InBody:
+		if err := checkJSONType(r.Header); err != nil {
+			return "", err
+		}
+		return bodyValue(r.Body, s.Path, want)
+	}
+	return "", errMissing
+}
+
+// headerValue returns the one value of a header field.
+func headerValue(h Header, name string) (string, error) {
+	value, lines := h.Values(name)
+	if lines > 1 || h.Resembles(name) {
+		return "", errDuplicate
+	}
+	if lines == 0 {
+		return "", errMissing
+	}
+	return value, nil
+}
+
+// paramSource reads a field that names one parameter of the operation, by its location and name.
+func (r *extensionReader) paramSource(field Field) (ParamSource, *Schema, error) {
+	source := ParamSource{Name: field.Value.Text}
+	if field.Value.Kind != TextValue || field.Value.Text == "" {
+		return source, nil, fmt.Errorf("%s: a name is wanted", field.Name)
+	}
+	switch field.Name {
+	case "path":
+		source.In = InPath
+	case "query":
+		source.In = InQuery
+	case "header":
+		source.In = InHeader
+	case "body":
+		source.In = InBody
+		source.Path = strings.Split(strings.TrimPrefix(source.Name, "/"), "/")
+		schema, err := r.method.bodyProperty(source)
+		return source, schema, err
+	default:
+		return source, nil, fmt.Errorf("%q is no place: path, query, header or body is wanted", field.Name)
+	}
+	param := r.method.param(field.Name, source.Name)
+	if param == nil {
+		return source, nil, fmt.Errorf("no %s parameter %q is described for this operation", field.Name, source.Name)
+	}
+	return source, &param.Schema, nil
+}
+
+// param returns a described parameter, or nil.
+func (m *Method) param(in, name string) *Param {
+	for i := range m.Params {
+		p := &m.Params[i]
+		// Header names know no case.
+		if p.In == in && (p.Name == name || in == "header" && strings.EqualFold(p.Name, name)) {
+			return p
+		}
+	}
+	return nil
+}
+
+// bodyProperty returns the schema of a described property of the body.
+func (m *Method) bodyProperty(source ParamSource) (*Schema, error) {
+	if len(source.Path) > maxBodyDepth {
+		return nil, fmt.Errorf("%q is deeper than %d", source.Name, maxBodyDepth)
+	}
+	schema := m.Body
+	for _, name := range source.Path {
+		if schema != nil && schema.Properties != nil {
+			schema = schema.Properties(name)
+		} else {
+			schema = nil
+		}
+		if schema == nil {
+			return nil, fmt.Errorf("no property %q is described in a JSON body of this operation", source.Name)
+		}
+	}
+	return schema, nil
+}
--- /dev/null
+++ b/routing/units.go
@@ -0,0 +1,139 @@
+package routing
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+)
+
+// maxUnits is the most units of one request: what a message between instances holds.
+const maxUnits = 1_000_000
+
+// Fields of the extension's units, beside the one that names the parameter.
+const (
+	fieldLeast   = "least"
+	fieldMost    = "most"
+	fieldDefault = "default"
+)
+
+// Units says how many units a request of an operation takes from the quota.
+type Units struct {
+	Fixed      int         // above 0: always so many
+	Source     ParamSource // of a number from Min to Max
+	Min, Max   int
+	Default    int // where the parameter is missing
+	HasDefault bool
+}
+
+// unitsDeclaration is the mapping that declares units of a parameter.
+type unitsDeclaration struct {
+	source      ParamSource
+	schema      *Schema        // of the source
+	sourceCount int            // sources that are named: one is wanted
+	bounds      map[string]int // least, most and default, where they are declared
+}
+
+// units reads how many units a request takes from the quota.
+func (r *extensionReader) units() Units {
+	field, ok := r.fields[fieldUnits]
+	if !ok {
+		r.reportMissing(fieldUnits, "no units are declared here, on the path or on the document: "+
+			"a whole number is wanted, or the parameter that tells it")
+		return Units{}
+	}
+	limit := r.compiler.options.MaxUnits
+	if limit <= 0 {
+		limit = maxUnits
+	}
+	switch field.Value.Kind {
+	case NumberValue:
+		fixed, err := parseWholeNumber(field.Value, limit)
+		if err != nil {
+			r.report(field, "%v", err)
+		}
+		return Units{Fixed: fixed}
+	case MappingValue:
+		return r.parameterUnits(field, limit)
+	}
+	r.report(field, "a whole number is wanted, or a parameter such as {query: count, least: 1, most: 50}")
+	return Units{}
+}
+
+// parameterUnits reads units that a parameter of the request gives.
+func (r *extensionReader) parameterUnits(field declaredField, limit int) Units {
+	declaration, ok := r.unitsDeclaration(field, limit)
+	if !ok {
+		return Units{}
+	}
+	source := declaration.source
+	if declaration.sourceCount != 1 || source.In == InPath {
+		r.report(field, "one of query, header and body must tell the units")
+		return Units{}
+	}
+	if declaration.schema == nil || !declaration.schema.Integer {
+		r.report(field, "%s is not described as an integer: units are whole", source)
+		return Units{}
+	}
+	u := Units{Source: source}
+	u.Min, u.Max = declaration.schema.unitsRange(limit)
+	if least, ok := declaration.bounds[fieldLeast]; ok {
+		u.Min = least
+	}
+	if most, ok := declaration.bounds[fieldMost]; ok {
+		u.Max = most
+	}
+	u.Default, u.HasDefault = declaration.bounds[fieldDefault]
+	switch {
+	case u.Max == 0:
+		r.report(field, "no most is told: add most, or a maximum to the schema of %s", source)
+	case u.Min > u.Max:
+		r.report(field, "least %d is over most %d", u.Min, u.Max)
+	case u.HasDefault && (u.Default < u.Min || u.Default > u.Max):
+		r.report(field, "default %d is outside %d to %d", u.Default, u.Min, u.Max)
+	}
+	return u
+}
+
+// unitsDeclaration reads the parts of a mapping up to the first invalid one, which it reports.
+func (r *extensionReader) unitsDeclaration(field declaredField, limit int) (d unitsDeclaration, ok bool) {
+	d.bounds = map[string]int{}
+	for _, part := range field.Value.Fields {
+		var err error
+		switch part.Name {
+		case fieldLeast, fieldMost, fieldDefault:
+			d.bounds[part.Name], err = parseWholeNumber(part.Value, limit)
+		default:
+			d.source, d.schema, err = r.paramSource(part)
+			d.sourceCount++
+		}
+		if err != nil {
+			r.report(declaredField{part, field.path + "." + part.Name}, "%v", err)
+			return d, false
+		}
+	}
+	return d, true
+}
+
+// unitsRange is the range of units that a schema allows; a largest of 0: it sets no maximum.
+func (s *Schema) unitsRange(limit int) (smallest, largest int) {
+	smallest = 1
+	if s.Minimum != nil && *s.Minimum > 1 {
+		smallest = int(math.Min(math.Ceil(*s.Minimum), float64(limit)))
+	}
+	if s.Maximum != nil {
+		largest = int(math.Max(math.Min(math.Floor(*s.Maximum), float64(limit)), 0))
+	}
+	return smallest, largest
+}
+
+// parseWholeNumber reads a number from 1 to a limit.
+func parseWholeNumber(v Value, limit int) (int, error) {
+	n, err := strconv.Atoi(v.Text)
+	if v.Kind != NumberValue || err != nil {
+		return 0, fmt.Errorf("%q is no whole number", v.Text)
+	}
+	if n < 1 || n > limit {
+		return 0, fmt.Errorf("%d is outside 1 to %d", n, limit)
+	}
+	return n, nil
+}
