--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -24,13 +24,13 @@
 	http    *http.Client
 }
 
-// AnswerError is an instance's answer that is no success.
-type AnswerError struct {
-	Status int
-	Text   string
+// ResponseError is an instance's answer that is no success.
+type ResponseError struct {
+	Status  int
+	Message string
 }
 
-func (e *AnswerError) Error() string { return e.Text }
+func (e *ResponseError) Error() string { return e.Message }
 
 // NewClient returns a client. at are admin addresses of instances.
 func NewClient(cluster string, creds raftnode.Credentials, at ...string) *Client {
@@ -88,7 +88,7 @@
 		if f.Refused != "" {
 			f.Error = "refused: " + f.Refused
 		}
-		return &AnswerError{resp.StatusCode, f.Error}
+		return &ResponseError{resp.StatusCode, f.Error}
 	}
 	if err := json.Unmarshal(text, to); err != nil {
 		return fmt.Errorf("%s: answer: %w", at, err)
@@ -101,7 +101,7 @@
 	var all error
 	for _, at := range c.at {
 		err := c.do(ctx, at, method, path, body, to, false)
-		if _, answered := errors.AsType[*AnswerError](err); err == nil || answered || ctx.Err() != nil {
+		if _, answered := errors.AsType[*ResponseError](err); err == nil || answered || ctx.Err() != nil {
 			return err
 		}
 		all = errors.Join(all, err)
@@ -143,21 +143,21 @@
 	return o, err
 }
 
-// Propose has a proposal applied. One that is refused is an [AnswerError] with status 409.
+// Propose has a proposal applied. One that is refused is an [ResponseError] with status 409.
 func (c *Client) Propose(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
 	err = c.any(ctx, http.MethodPost, "/v1/propose", p, &o)
 	return o, err
 }
 
-// Members changes the members.
-func (c *Client) Members(ctx context.Context, m *MembersChange) (s Status, err error) {
+// ChangeMembers changes the members.
+func (c *Client) ChangeMembers(ctx context.Context, m *MembershipChange) (s Status, err error) {
 	err = c.any(ctx, http.MethodPost, "/v1/members", m, &s)
 	return s, err
 }
 
-// StatusOf asks all members that one instance knows of. Those that don't answer have an
+// AllStatuses asks all members that one instance knows of. Those that don't answer have an
 // error instead.
-func (c *Client) StatusOf(ctx context.Context) (map[uint64]Status, map[uint64]error, error) {
+func (c *Client) AllStatuses(ctx context.Context) (map[uint64]Status, map[uint64]error, error) {
 	first, err := c.Status(ctx)
 	if err != nil {
 		return nil, nil, err
@@ -176,7 +176,7 @@
 }
 
 // Followers asks one instance how the followers stand.
-func (c *Client) Followers(ctx context.Context) (fs Followers, err error) {
+func (c *Client) Followers(ctx context.Context) (fs FollowerList, err error) {
 	err = c.any(ctx, http.MethodGet, "/v1/stream", nil, &fs)
 	return fs, err
 }
@@ -185,7 +185,7 @@
 // have none.
 func (c *Client) followersBehind(ctx context.Context, version uint64) (missing string, n int, err error) {
 	fs, err := c.Followers(ctx)
-	if e, ok := errors.AsType[*AnswerError](err); ok && e.Status == http.StatusBadRequest {
+	if e, ok := errors.AsType[*ResponseError](err); ok && e.Status == http.StatusBadRequest {
 		return "", 0, nil
 	}
 	for _, s := range fs.Followers {
@@ -195,22 +195,22 @@
 		n++
 		missing += "; follower " + s.Name + " " + s.Summary()
 	}
-	if err == nil && fs.Newest < version {
-		return fmt.Sprintf("; member %d offers version %d", fs.Member, fs.Newest), 1 + len(fs.Followers), nil
+	if err == nil && fs.NewestVersion < version {
+		return fmt.Sprintf("; member %d offers version %d", fs.MemberID, fs.NewestVersion), 1 + len(fs.Followers), nil
 	}
 	return missing, n, err
 }
 
-// AwaitEverywhere waits until a version is in force at the instances of all members and at all followers but so many.
-func (c *Client) AwaitEverywhere(ctx context.Context, version uint64, but int) error {
+// AwaitInstalled waits until a version is in force at the instances of all members and at all followers but so many.
+func (c *Client) AwaitInstalled(ctx context.Context, version uint64, but int) error {
 	for {
-		all, failed, err := c.StatusOf(ctx)
+		all, failed, err := c.AllStatuses(ctx)
 		missing := ""
 		for id, s := range all {
-			if s.Installed < version {
-				missing += fmt.Sprintf("; member %d has version %d", id, s.Installed)
-				if s.Note != "" {
-					missing += " (" + s.Note + ")"
+			if s.InstalledVersion < version {
+				missing += fmt.Sprintf("; member %d has version %d", id, s.InstalledVersion)
+				if s.InstallError != "" {
+					missing += " (" + s.InstallError + ")"
 				}
 			}
 		}
--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -144,7 +144,7 @@
 	r := newRig(t, 1)
 	m := r.members[1]
 	r.halt(1)
-	m.cfg.Stream = freeAddr(t)
+	m.cfg.StreamListenAddr = freeAddr(t)
 	r.start(1)
 	r.await("it leads", func() bool { _, err := r.admin.Objects(r.ctx(), false); return err == nil })
 	r.propose(r.first())
@@ -152,7 +152,7 @@
 	r.propose(&clusterconfig.Proposal{ID: "second", Reason: "a follower", Changes: []clusterconfig.Change{change("put", "follower", "edge-1", `{"note":"x"}`)}})
 	r.await("it has the second", func() bool { // the follower never comes
 		s, err := r.admin.Status(r.ctx())
-		return err == nil && s.Installed == 2
+		return err == nil && s.InstalledVersion == 2
 	})
 	r.await("it is ready", func() bool { return r.ready(1) })
 	masks := []struct {
@@ -204,11 +204,11 @@
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureAnswers(t *testing.T) {
 	at := &clusterconfig.Member{RaftAddress: "a", AdminAddress: "b"}
-	full := Status{Cluster: "c", Installed: 1, AgeMs: -1, Serves: true, Note: "note", Halls: map[string]string{"hall-a": "well"}, Members: map[uint64]clusterconfig.Member{1: *at}}
+	full := Status{Cluster: "c", InstalledVersion: 1, ConfirmedAgeMs: -1, IsServing: true, InstallError: "note", SiteStates: map[string]string{"hall-a": "well"}, Members: map[uint64]clusterconfig.Member{1: *at}}
 	full.ID, full.Leader, full.Ready, full.AppliedIndex, full.Version, full.Hash, full.Voters, full.Learners = 1, 2, true, 4, 5, "hash", []uint64{1}, []uint64{2}
 	w := httptest.NewRecorder()
-	for _, v := range []any{Status{}, full, Objects{}, MembersChange{}, MembersChange{Op: "add", Member: 1, With: 2, At: at}, failure{"why"}, Followers{},
-		Followers{Member: 1, Newest: 2, Followers: []configstream.StreamStatus{{}}}, FollowerStatus{}} {
+	for _, v := range []any{Status{}, full, Objects{}, MembershipChange{}, MembershipChange{Op: "add", MemberID: 1, ReplacementID: 2, Addrs: at}, failure{"why"}, FollowerList{},
+		FollowerList{MemberID: 1, NewestVersion: 2, Followers: []configstream.StreamStatus{{}}}, FollowerStatus{}} {
 		write(w, 200, v)
 	}
 	fixture.Compare(t, "answers.txt", w.Body.Bytes())
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -56,11 +56,11 @@
 }
 
 type fleetMember struct {
-	cfg    *Config
+	cfg    *MemberConfig
 	agreed gateway.Agreement
 	listen string
 	link   *gateway.RelayConfig
-	fleet  *Fleet
+	fleet  *Member
 	stop   context.CancelFunc
 	done   chan error
 }
@@ -101,7 +101,7 @@
 	}
 	for id := uint64(1); id <= uint64(n); id++ {
 		r.member(id)
-		if err := Init(r.members[id].cfg, false); err != nil {
+		if err := InitMember(r.members[id].cfg, false); err != nil {
 			t.Fatal(err)
 		}
 		r.start(id)
@@ -139,8 +139,8 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	m := &fleetMember{listen: freeAddr(r.t), cfg: &Config{Cluster: "test", Member: id, Data: filepath.Join(r.dir, fmt.Sprint(id, ".db")),
-		Credentials: creds, Members: r.addrs, Tick: 10 * time.Millisecond}}
+	m := &fleetMember{listen: freeAddr(r.t), cfg: &MemberConfig{Cluster: "test", MemberID: id, DataFile: filepath.Join(r.dir, fmt.Sprint(id, ".db")),
+		Credentials: creds, Members: r.addrs, TickInterval: 10 * time.Millisecond}}
 	r.members[id] = m
 	return m
 }
@@ -161,8 +161,10 @@
 	gate.Relay = m.link
 	gate.UseSockets(ln, nil)
 	m.stop, m.done = stop, make(chan error, 1)
-	begun := make(chan *Fleet, 1)
-	go func() { m.done <- Run(ctx, m.cfg, gate, log.New(io.Discard, "", 0), func(f *Fleet) { begun <- f }) }()
+	begun := make(chan *Member, 1)
+	go func() {
+		m.done <- RunMember(ctx, m.cfg, gate, log.New(io.Discard, "", 0), func(f *Member) { begun <- f })
+	}()
 	select {
 	case m.fleet = <-begun:
 	case err := <-m.done:
@@ -264,7 +266,7 @@
 
 func (r *rig) everywhere(version uint64) {
 	r.t.Helper()
-	if err := r.admin.AwaitEverywhere(r.ctx(), version, 0); err != nil {
+	if err := r.admin.AwaitInstalled(r.ctx(), version, 0); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -318,11 +320,11 @@
 		"description": {&clusterconfig.Proposal{ID: "x3", Changes: []clusterconfig.Change{describe(99)}}, "d.yaml:8"},
 	} {
 		_, err := r.admin.Propose(r.ctx(), c.p)
-		if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 409 || !strings.Contains(a.Text, c.want) {
+		if a, ok := errors.AsType[*ResponseError](err); !ok || a.Status != 409 || !strings.Contains(a.Message, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 		_, err = r.admin.Check(r.ctx(), c.p)
-		if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 409 {
+		if a, ok := errors.AsType[*ResponseError](err); !ok || a.Status != 409 {
 			t.Errorf("%s, checked: %v", name, err)
 		}
 	}
@@ -439,11 +441,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 600*time.Millisecond)
 	defer cancel()
 	_, err := r.admin.Propose(ctx, &clusterconfig.Proposal{ID: "late", Changes: []clusterconfig.Change{describe(3)}})
-	if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 503 || !strings.Contains(a.Text, "member 1") {
+	if a, ok := errors.AsType[*ResponseError](err); !ok || a.Status != 503 || !strings.Contains(a.Message, "member 1") {
 		t.Errorf("a change without a quorum: %v", err)
 	}
 	s, err := r.admin.Status(r.ctx())
-	if err != nil || s.AgeMs < 1000 || !s.Serves {
+	if err != nil || s.ConfirmedAgeMs < 1000 || !s.IsServing {
 		t.Errorf("status %+v, %v", s, err)
 	}
 	for id := range uint64(2) {
@@ -472,7 +474,7 @@
 		for n, a := range r.addrs {
 			m.cfg.Members[n] = a
 		}
-		if err := Init(m.cfg, true); err != nil {
+		if err := InitMember(m.cfg, true); err != nil {
 			t.Fatal(err)
 		}
 		r.start(id)
@@ -482,31 +484,31 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	r.addrs[9] = clusterconfig.Member{RaftAddress: freeAddr(t), AdminAddress: freeAddr(t)}
-	_, err := r.admin.Members(ctx, &MembersChange{Op: "add", Member: 9, At: at(9)})
+	_, err := r.admin.ChangeMembers(ctx, &MembershipChange{Op: "add", MemberID: 9, Addrs: at(9)})
 	if err == nil || !strings.Contains(err.Error(), "learner") {
 		t.Errorf("a member that does not run: %v", err)
 	}
 	if s, err := r.admin.Status(r.ctx()); err != nil || len(s.Voters) != 3 || len(s.Learners) != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if _, err := r.admin.Members(r.ctx(), &MembersChange{Op: "remove", Member: 9}); err != nil {
+	if _, err := r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "remove", MemberID: 9}); err != nil {
 		t.Fatal(err)
 	}
 	delete(r.addrs, 9)
 
 	join(4)
-	s, err := r.admin.Members(r.ctx(), &MembersChange{Op: "add", Member: 4, At: at(4)})
+	s, err := r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "add", MemberID: 4, Addrs: at(4)})
 	if err != nil || len(s.Voters) != 4 || len(s.Learners) != 0 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	r.await("member 4 serves", func() bool { return r.ready(4) })
 	// The lead moves to each that is asked for, through whichever member.
 	for _, id := range []uint64{4, 2} {
-		if s, err := r.admin.Members(r.ctx(), &MembersChange{Op: "transfer", Member: id}); err != nil || s.Leader != id {
+		if s, err := r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "transfer", MemberID: id}); err != nil || s.Leader != id {
 			t.Errorf("transfer to %d: %+v, %v", id, s, err)
 		}
 		r.await("all know the leader", func() bool {
-			all, failed, err := r.admin.StatusOf(r.ctx())
+			all, failed, err := r.admin.AllStatuses(r.ctx())
 			ok := err == nil && len(failed) == 0
 			for _, s := range all {
 				ok = ok && s.Leader == id
@@ -517,11 +519,11 @@
 	// A dead member is replaced in one step.
 	r.halt(3)
 	join(5)
-	if s, err = r.admin.Members(r.ctx(), &MembersChange{Op: "replace", Member: 3, With: 5, At: at(5)}); err != nil || fmt.Sprint(s.Voters) != "[1 2 4 5]" {
+	if s, err = r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "replace", MemberID: 3, ReplacementID: 5, Addrs: at(5)}); err != nil || fmt.Sprint(s.Voters) != "[1 2 4 5]" {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	// The leader itself is removed: it ends, and the others go on.
-	if _, err := r.admin.Members(r.ctx(), &MembersChange{Op: "remove", Member: 2}); err != nil && !strings.Contains(err.Error(), "stopped") {
+	if _, err := r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "remove", MemberID: 2}); err != nil && !strings.Contains(err.Error(), "stopped") {
 		t.Logf("the leader's answer on its own removal: %v", err)
 	}
 	select {
@@ -541,16 +543,16 @@
 		return err == nil
 	})
 	r.await("all that are left have it", func() bool {
-		all, failed, err := r.admin.StatusOf(r.ctx())
+		all, failed, err := r.admin.AllStatuses(r.ctx())
 		ok := err == nil && len(failed) == 0 && len(all) == 3
 		for _, s := range all {
-			ok = ok && s.Installed >= o.Version
+			ok = ok && s.InstalledVersion >= o.Version
 		}
 		return ok
 	})
-	for _, c := range []*MembersChange{{Op: "remove", Member: 77}, {Op: "shrink", Member: 1}, {Op: "add"}, {Op: "replace", Member: 1, With: 1}} {
-		_, err := r.admin.Members(r.ctx(), c)
-		if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 400 {
+	for _, c := range []*MembershipChange{{Op: "remove", MemberID: 77}, {Op: "shrink", MemberID: 1}, {Op: "add"}, {Op: "replace", MemberID: 1, ReplacementID: 1}} {
+		_, err := r.admin.ChangeMembers(r.ctx(), c)
+		if a, ok := errors.AsType[*ResponseError](err); !ok || a.Status != 400 {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
@@ -567,20 +569,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := &Config{Cluster: "test", Member: 1, Data: filepath.Join(t.TempDir(), "1.db"), Credentials: creds,
+	cfg := &MemberConfig{Cluster: "test", MemberID: 1, DataFile: filepath.Join(t.TempDir(), "1.db"), Credentials: creds,
 		Members: map[uint64]clusterconfig.Member{1: {RaftAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0"}}}
 	logger := log.New(io.Discard, "", 0)
-	if err := Run(context.Background(), cfg, &gateway.Config{}, logger, nil); !errors.Is(err, ErrNoFile) {
+	if err := RunMember(context.Background(), cfg, &gateway.Config{}, logger, nil); !errors.Is(err, ErrNotInitialized) {
 		t.Errorf("without a file: %v", err)
 	}
-	if err := Init(cfg, false); err != nil {
+	if err := InitMember(cfg, false); err != nil {
 		t.Fatal(err)
 	}
-	if err := Init(cfg, false); err == nil {
+	if err := InitMember(cfg, false); err == nil {
 		t.Error("a file was made over another")
 	}
-	cfg.Member = 2
-	if err := Run(context.Background(), cfg, &gateway.Config{}, logger, nil); err == nil || !strings.Contains(err.Error(), "certificate") {
+	cfg.MemberID = 2
+	if err := RunMember(context.Background(), cfg, &gateway.Config{}, logger, nil); err == nil || !strings.Contains(err.Error(), "certificate") {
 		t.Errorf("with another's certificate: %v", err)
 	}
 }
@@ -607,7 +609,7 @@
 	var full [4]atomic.Bool
 	for id := uint64(1); id <= 3; id++ {
 		r.halt(id)
-		r.members[id].cfg.Disk = func(d raftnode.Storage) raftnode.Storage { return fullDisk{d, &full[id]} }
+		r.members[id].cfg.WrapStorage = func(d raftnode.Storage) raftnode.Storage { return fullDisk{d, &full[id]} }
 		r.start(id)
 	}
 	var leader uint64
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -37,10 +37,10 @@
 		r.t.Fatal(err)
 	}
 	f := &following{fleetMember: &fleetMember{listen: freeAddr(r.t)}, cfg: &FollowerConfig{Cluster: "test", Name: name, Credentials: creds,
-		Data: filepath.Join(r.dir, name+".db"), Members: map[uint64]string{}}}
+		DataFile: filepath.Join(r.dir, name+".db"), MemberStreamAddrs: map[uint64]string{}}}
 	for m, o := range r.members {
-		if o.cfg != nil && o.cfg.Stream != "" {
-			f.cfg.Members[m] = o.cfg.Stream
+		if o.cfg != nil && o.cfg.StreamListenAddr != "" {
+			f.cfg.MemberStreamAddrs[m] = o.cfg.StreamListenAddr
 		}
 	}
 	r.members[id] = f.fleetMember
@@ -113,7 +113,7 @@
 	r := newRig(t, 3)
 	for id := uint64(1); id <= 3; id++ {
 		r.halt(id)
-		r.members[id].cfg.Stream = freeAddr(t)
+		r.members[id].cfg.StreamListenAddr = freeAddr(t)
 		r.start(id)
 	}
 	north, south := r.follower(101, "north"), r.follower(102, "south")
@@ -150,7 +150,7 @@
 	if a := r.ask(101, "/slots"); a.body != "2" {
 		t.Errorf("after a refusal: %+v", a)
 	}
-	if fs, err := r.admin.Followers(r.ctx()); err != nil || len(fs.Followers) != 2 || !strings.Contains(fs.Followers[0].Explain(fs.Newest), "mends that") {
+	if fs, err := r.admin.Followers(r.ctx()); err != nil || len(fs.Followers) != 2 || !strings.Contains(fs.Followers[0].Explain(fs.NewestVersion), "mends that") {
 		t.Errorf("%+v, %v", fs, err)
 	}
 	// Restarted, it does not try that version again, and serves on what it had before any member has said a word.
@@ -165,7 +165,7 @@
 	if a := r.ask(101, "/slots"); a.body != "2" {
 		t.Errorf("with no member alive: %+v", a)
 	}
-	if s := north.f.Status(); s.AgeMs != -1 || len(s.Refused) != 1 || s.Member != 0 {
+	if s := north.f.Status(); s.ConfirmedAgeMs != -1 || len(s.Rejected) != 1 || s.MemberID != 0 {
 		t.Errorf("%+v", s)
 	}
 	for id := uint64(2); id <= 3; id++ { // the first stays dead
@@ -174,15 +174,15 @@
 	r.propose(&clusterconfig.Proposal{ID: "four", Changes: []clusterconfig.Change{change("remove", "description", "e", "")}})
 	r.stands("north", "runs 4")
 	r.stands("south", "runs 4")
-	if s := north.f.Status(); len(s.Refused) != 1 || strings.Contains(north.logs.String(), "version 3 is in force") {
+	if s := north.f.Status(); len(s.Rejected) != 1 || strings.Contains(north.logs.String(), "version 3 is in force") {
 		t.Errorf("%+v", s)
 	}
-	r.await("confirmed", func() bool { s := north.f.Status(); return s.AgeMs >= 0 && s.Serves })
+	r.await("confirmed", func() bool { s := north.f.Status(); return s.ConfirmedAgeMs >= 0 && s.IsServing })
 	// A copy of its file beside it: found out, both named, and neither takes what is new.
 	twin := *south
 	twin.fleetMember = &fleetMember{listen: freeAddr(t)}
 	cfg := *south.cfg
-	cfg.Data = filepath.Join(r.dir, "copy.db")
+	cfg.DataFile = filepath.Join(r.dir, "copy.db")
 	twin.cfg = &cfg
 	r.members[103] = twin.fleetMember
 	if err := r.follow(&twin); err != nil {
@@ -208,7 +208,7 @@
 	for name, creds := range map[string]raftnode.Credentials{"a member": r.members[2].cfg.Credentials, "an operator": operator(t, r)} {
 		var logs testserver.Log
 		ctx, stop := context.WithCancel(r.ctx())
-		feed := NewFeed(&FollowerConfig{Cluster: "test", Name: "north", Credentials: creds, Members: north.cfg.Members}, configstream.DurableState{StartCount: 1}, Hands{}, log.New(&logs, "", 0))
+		feed := NewStreamClient(&FollowerConfig{Cluster: "test", Name: "north", Credentials: creds, MemberStreamAddrs: north.cfg.MemberStreamAddrs}, configstream.DurableState{StartCount: 1}, StreamHandlers{}, log.New(&logs, "", 0))
 		done := make(chan struct{})
 		go func() { feed.Run(ctx); close(done) }()
 		r.await(name+" is told nothing", func() bool { return strings.Contains(logs.String(), "is not of a follower") })
@@ -216,14 +216,14 @@
 		<-done
 	}
 	wrong := *north
-	wrong.fleetMember, wrong.cfg = &fleetMember{listen: freeAddr(t)}, &FollowerConfig{Cluster: "test", Name: "west", Credentials: north.cfg.Credentials, Data: filepath.Join(r.dir, "w.db"), Members: north.cfg.Members}
+	wrong.fleetMember, wrong.cfg = &fleetMember{listen: freeAddr(t)}, &FollowerConfig{Cluster: "test", Name: "west", Credentials: north.cfg.Credentials, DataFile: filepath.Join(r.dir, "w.db"), MemberStreamAddrs: north.cfg.MemberStreamAddrs}
 	if err := r.follow(&wrong); err == nil || !strings.Contains(err.Error(), `"north"`) {
 		t.Errorf("another's certificate: %v", err)
 	}
 	cfg2 := *north.cfg
-	wrong.cfg, cfg2.Data = &cfg2, filepath.Join(r.dir, "south.db")
+	wrong.cfg, cfg2.DataFile = &cfg2, filepath.Join(r.dir, "south.db")
 	r.halt(102)
-	if err := r.follow(&wrong); !errors.Is(err, ErrFollowerFile) {
+	if err := r.follow(&wrong); !errors.Is(err, ErrInvalidFollowerFile) {
 		t.Errorf("another's file: %v", err)
 	}
 	if err := r.halt(101); err != nil {
--- a/internal/scenario/cluster_operators.go
+++ b/internal/scenario/cluster_operators.go
@@ -120,7 +120,7 @@
 				var out clusterconfig.Outcome
 				out, err = cl.Propose(one, p)
 				o.version, o.applied = out.Version, out.IsApplied
-				if a, ok := errors.AsType[*cluster.AnswerError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
+				if a, ok := errors.AsType[*cluster.ResponseError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
 					break
 				}
 				select {
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -132,7 +132,7 @@
 			default:
 			}
 			s, err := c.status(ctx, m)
-			if err != nil || s.Installed != s.Version {
+			if err != nil || s.InstalledVersion != s.Version {
 				break
 			}
 			mind := fmt.Sprintf("%d %s", s.Version, s.Hash)
@@ -174,10 +174,10 @@
 			}
 			for _, f := range c.followers {
 				i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool { return s.Name == f.follows })
-				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.Newest {
-					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.Member, fs.Newest, f.follows, fs.Followers)
-				} else if v, err := versionAt(ctx, f); err != nil || v != fs.Newest {
-					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.Member, f.follows, fs.Newest, v, err)
+				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.NewestVersion {
+					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.MemberID, fs.NewestVersion, f.follows, fs.Followers)
+				} else if v, err := versionAt(ctx, f); err != nil || v != fs.NewestVersion {
+					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.MemberID, f.follows, fs.NewestVersion, v, err)
 				}
 			}
 		}
--- a/internal/scenario/faults_members.go
+++ b/internal/scenario/faults_members.go
@@ -70,7 +70,7 @@
 		c.cutOff(m, false)
 		healed := time.Now()
 		for ctx.Err() == nil {
-			if s, err := c.status(ctx, m); err == nil && s.Serves && s.AgeMs < 500 {
+			if s, err := c.status(ctx, m); err == nil && s.IsServing && s.ConfirmedAgeMs < 500 {
 				break
 			}
 			if pause(ctx, 5*time.Millisecond); time.Since(healed) > 3*time.Second {
