--- a/cmd/gateway/cluster.go
+++ b/cmd/gateway/cluster.go
@@ -27,18 +27,18 @@
 	}
 	cfg := fleetConfig(c.Config, f)
 	if c.Adopt {
-		if err := raftnode.Adopt(cfg.Data, cfg.Cluster, cfg.Member); err != nil {
+		if err := raftnode.Adopt(cfg.DataFile, cfg.Cluster, cfg.MemberID); err != nil {
 			return usage{err}
 		}
-		fmt.Fprintf(e.stdout, "%s: is taken for the newest of member %d\n", cfg.Data, cfg.Member)
+		fmt.Fprintf(e.stdout, "%s: is taken for the newest of member %d\n", cfg.DataFile, cfg.MemberID)
 		return nil
 	}
-	if err := cluster.Init(cfg, c.Join); errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) {
+	if err := cluster.InitMember(cfg, c.Join); errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) {
 		return usage{err}
 	} else if err != nil {
 		return err
 	}
-	fmt.Fprintf(e.stdout, "%s: member %d of cluster %s\n", cfg.Data, cfg.Member, cfg.Cluster)
+	fmt.Fprintf(e.stdout, "%s: member %d of cluster %s\n", cfg.DataFile, cfg.MemberID, cfg.Cluster)
 	return nil
 }
 
@@ -48,21 +48,21 @@
 		return nil, fmt.Errorf("--config: %w", err)
 	}
 	f, err := gatewayconfig.Parse(config, text)
-	if err == nil && f.Cluster == nil {
+	if err == nil && f.Member == nil {
 		err = fmt.Errorf("%s: cluster: is missing: the instance is no member of one", config)
 	}
 	return f, err
 }
 
-func fleetConfig(config string, f *gatewayconfig.File) *cluster.Config {
-	c := f.Cluster
-	return &cluster.Config{Cluster: c.Name, Member: c.Member, Data: beside(config, c.Data), Members: c.Members, Tick: c.Tick, Stream: c.Stream, KeysAnywhere: c.KeysAnywhere}
+func fleetConfig(config string, f *gatewayconfig.File) *cluster.MemberConfig {
+	c := f.Member
+	return &cluster.MemberConfig{Cluster: c.Cluster, MemberID: c.MemberID, DataFile: beside(config, c.DataFile), Members: c.Members, TickInterval: c.TickInterval, StreamListenAddr: c.StreamListenAddr, DisableKeyOwnership: c.DisableKeyOwnership}
 }
 
 // member runs an instance as a member of a cluster.
 func (c *runCmd) member(e *env, f *gatewayconfig.File, logger *log.Logger) error {
 	cfg := fleetConfig(c.Config, f)
-	creds, err := raftnode.LoadCredentials(beside(c.Config, f.Cluster.Certs), cfg.Member)
+	creds, err := raftnode.LoadCredentials(beside(c.Config, f.Member.CertDir), cfg.MemberID)
 	if err != nil {
 		return usage{fmt.Errorf("cluster.certs: %w", err)}
 	}
@@ -70,8 +70,8 @@
 	if c.Chaos != 0 {
 		scenario.Chaos(cfg, c.Chaos, logger)
 	}
-	err = cluster.Run(e.ctx, cfg, &f.Config, logger, func(*cluster.Fleet) {})
-	if errors.Is(err, cluster.ErrNoFile) || errors.Is(err, raftnode.ErrForeign) || errors.Is(err, raftnode.ErrDamaged) || errors.Is(err, raftnode.ErrRestored) {
+	err = cluster.RunMember(e.ctx, cfg, &f.Config, logger, func(*cluster.Member) {})
+	if errors.Is(err, cluster.ErrNotInitialized) || errors.Is(err, raftnode.ErrForeign) || errors.Is(err, raftnode.ErrDamaged) || errors.Is(err, raftnode.ErrRestored) {
 		return usage{err}
 	}
 	return err
@@ -79,14 +79,14 @@
 
 // follower runs an instance that is told what a cluster's members agree on.
 func (c *runCmd) follower(e *env, f *gatewayconfig.File, logger *log.Logger) error {
-	k := f.Follow
-	creds, err := raftnode.LoadNamed(beside(c.Config, k.Certs), raftnode.FollowerFile(k.Name))
+	k := f.Follower
+	creds, err := raftnode.LoadNamed(beside(c.Config, k.CertDir), raftnode.FollowerFile(k.Name))
 	if err != nil {
 		return usage{fmt.Errorf("follow.certs: %w (made by gateway certs --followers %s)", err, k.Name)}
 	}
-	cfg := &cluster.FollowerConfig{Cluster: k.Cluster, Name: k.Name, Data: beside(c.Config, k.Data), Credentials: creds, Members: k.Members, KeysAnywhere: k.KeysAnywhere}
+	cfg := &cluster.FollowerConfig{Cluster: k.Cluster, Name: k.Name, DataFile: beside(c.Config, k.DataFile), Credentials: creds, MemberStreamAddrs: k.MemberStreamAddrs, DisableKeyOwnership: k.DisableKeyOwnership}
 	err = cluster.RunFollower(e.ctx, cfg, &f.Config, logger, func(*cluster.Follower) {})
-	if errors.Is(err, cluster.ErrFollowerFile) {
+	if errors.Is(err, cluster.ErrInvalidFollowerFile) {
 		return usage{err}
 	}
 	return err
--- a/cmd/gateway/config.go
+++ b/cmd/gateway/config.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(e.ctx, c.Timeout)
 	defer cancel()
 	err = f(ctx, cl)
-	if a, ok := errors.AsType[*cluster.AnswerError](err); ok && a.Status == 400 {
+	if a, ok := errors.AsType[*cluster.ResponseError](err); ok && a.Status == 400 {
 		return usage{err}
 	}
 	return err
@@ -167,13 +167,13 @@
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 		for kind := range o.Objects {
-			if !slices.Contains(gatewayconfig.FleetKinds, kind) && kind != "member" && kind != "lost" {
+			if !slices.Contains(gatewayconfig.ClusterFileKinds, kind) && kind != "member" && kind != "lost" {
 				return nil, fmt.Errorf("%s: objects.%s: is no kind of this program", file, kind)
 			}
 		}
 		return o.Objects, nil
 	}
-	f, err := gatewayconfig.ParseFleet(file, text)
+	f, err := gatewayconfig.ParseClusterFile(file, text)
 	if err != nil {
 		return nil, err
 	}
@@ -196,7 +196,7 @@
 	if text, ok := f.Objects["limit"]["units"]; ok && json.Unmarshal(text, &l) == nil {
 		most = l.Most
 	}
-	if err := cluster.Validate(beside(file, f.Description), string(doc), classes, most); err != nil {
+	if err := cluster.ValidateDescription(beside(file, f.Description), string(doc), classes, most); err != nil {
 		return nil, err
 	}
 	value, err := json.Marshal(clusterconfig.Description{File: f.Description, Text: string(doc)})
@@ -206,7 +206,7 @@
 
 // changes are what makes what is agreed into what is wanted. Members are left alone.
 func changes(agreed cluster.Objects, want map[string]map[string]json.RawMessage) (cs []clusterconfig.Change, lines []string) {
-	for _, kind := range gatewayconfig.FleetKinds {
+	for _, kind := range gatewayconfig.ClusterFileKinds {
 		have := agreed.Objects[kind]
 		for _, name := range slices.Sorted(maps.Keys(want[kind])) {
 			before, ok := have[name]
@@ -325,7 +325,7 @@
 			}
 		}
 		if but >= 0 && !c.Check {
-			if err := cl.AwaitEverywhere(ctx, out.Version, but); err != nil {
+			if err := cl.AwaitInstalled(ctx, out.Version, but); err != nil {
 				return err
 			}
 		}
@@ -373,24 +373,24 @@
 }
 
 func (c *addMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembersChange{Op: "add", Member: c.Member, At: &clusterconfig.Member{Raft: c.Raft, Admin: c.Admin}})
+	return cc.change(e, &cluster.MembershipChange{Op: "add", MemberID: c.Member, Addrs: &clusterconfig.Member{Raft: c.Raft, Admin: c.Admin}})
 }
 
 func (c *replaceMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembersChange{Op: "replace", Member: c.Member, With: c.With, At: &clusterconfig.Member{Raft: c.Raft, Admin: c.Admin}})
+	return cc.change(e, &cluster.MembershipChange{Op: "replace", MemberID: c.Member, ReplacementID: c.With, Addrs: &clusterconfig.Member{Raft: c.Raft, Admin: c.Admin}})
 }
 
 func (c *removeMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembersChange{Op: "remove", Member: c.Member})
+	return cc.change(e, &cluster.MembershipChange{Op: "remove", MemberID: c.Member})
 }
 
 func (c *transferMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembersChange{Op: "transfer", Member: c.Member})
+	return cc.change(e, &cluster.MembershipChange{Op: "transfer", MemberID: c.Member})
 }
 
-func (c *configCmd) change(e *env, m *cluster.MembersChange) error {
+func (c *configCmd) change(e *env, m *cluster.MembershipChange) error {
 	return c.ask(e, func(ctx context.Context, cl *cluster.Client) error {
-		s, err := cl.Members(ctx, m)
+		s, err := cl.ChangeMembers(ctx, m)
 		if err != nil {
 			return err
 		}
@@ -406,7 +406,7 @@
 
 func (c *statusCmd) Run(e *env, cc *configCmd) error {
 	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
-		all, failed, err := cl.StatusOf(ctx)
+		all, failed, err := cl.AllStatuses(ctx)
 		if err != nil {
 			return err
 		}
@@ -422,14 +422,14 @@
 		for _, id := range slices.Sorted(maps.Keys(all)) {
 			s := all[id]
 			age := "not since its start"
-			if s.AgeMs >= 0 {
-				age = fmt.Sprintf("%.1f s ago", float64(s.AgeMs)/1000)
+			if s.ConfirmedAgeMs >= 0 {
+				age = fmt.Sprintf("%.1f s ago", float64(s.ConfirmedAgeMs)/1000)
 			}
 			var halls []string
-			for _, name := range slices.Sorted(maps.Keys(s.Halls)) {
-				halls = append(halls, name+" "+s.Halls[name])
+			for _, name := range slices.Sorted(maps.Keys(s.SiteStates)) {
+				halls = append(halls, name+" "+s.SiteStates[name])
 			}
-			fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%s\t%v\t%s\t%s\n", id, s.Leader, s.Version, s.Installed, age, s.Serves, strings.Join(halls, ", "), s.Note)
+			fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%s\t%v\t%s\t%s\n", id, s.Leader, s.Version, s.InstalledVersion, age, s.IsServing, strings.Join(halls, ", "), s.InstallError)
 		}
 		for _, id := range slices.Sorted(maps.Keys(failed)) {
 			fmt.Fprintf(w, "%d\tdoes not answer: %v\n", id, failed[id])
--- a/cmd/gateway/serve.go
+++ b/cmd/gateway/serve.go
@@ -119,7 +119,7 @@
 		if err != nil {
 			return fail(err)
 		}
-		if f.Cluster != nil || f.Follow != nil { // it names no description
+		if f.Member != nil || f.Follower != nil { // it names no description
 			r.OK = true
 			return r
 		}
@@ -210,10 +210,10 @@
 		cfg.Observe = access.Observe
 	}
 	logger := log.New(e.stderr, "", log.LstdFlags|log.Lmicroseconds)
-	if f.Cluster != nil {
+	if f.Member != nil {
 		return c.member(e, f, logger)
 	}
-	if f.Follow != nil {
+	if f.Follower != nil {
 		return c.follower(e, f, logger)
 	}
 	description := beside(c.Config, f.Description)
--- a/cmd/gateway/stream.go
+++ b/cmd/gateway/stream.go
@@ -40,7 +40,7 @@
 				return printJSON(e.stdout, fs)
 			}
 			w := tabwriter.NewWriter(e.stdout, 0, 4, 2, ' ', 0)
-			fmt.Fprintf(w, "newest version %d, by member %d\nfollower\tmember\tstands\n", fs.Newest, fs.Member)
+			fmt.Fprintf(w, "newest version %d, by member %d\nfollower\tmember\tstands\n", fs.NewestVersion, fs.MemberID)
 			for _, s := range fs.Followers {
 				fmt.Fprintf(w, "%s\t%d\t%s\n", s.Name, s.Member, s.Plain())
 			}
@@ -73,7 +73,7 @@
 		if sc.JSON {
 			return printJSON(e.stdout, fs.Followers[i])
 		}
-		fmt.Fprintln(e.stdout, fs.Followers[i].Explain(fs.Newest))
+		fmt.Fprintln(e.stdout, fs.Followers[i].Explain(fs.NewestVersion))
 		return nil
 	})
 }
--- a/internal/benchmark/changes.go
+++ b/internal/benchmark/changes.go
@@ -31,8 +31,8 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg := &cluster.Config{Cluster: "bench", Member: p.Member, Data: filepath.Join(p.Dir, fmt.Sprint(p.Member, ".db")), Credentials: creds, Members: p.Members, Stream: p.Stream, StreamFull: p.StreamFull}
-	if err := cluster.Init(cfg, false); err != nil {
+	cfg := &cluster.MemberConfig{Cluster: "bench", MemberID: p.Member, DataFile: filepath.Join(p.Dir, fmt.Sprint(p.Member, ".db")), Credentials: creds, Members: p.Members, StreamListenAddr: p.Stream, SendFullVersions: p.StreamFull}
+	if err := cluster.InitMember(cfg, false); err != nil {
 		return nil, err
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,9 +42,9 @@
 	gate := &gateway.Config{Name: fmt.Sprint("gate-", p.Member), Settings: settings()}
 	gate.Settings.Plans = nil
 	gate.On(ln, nil)
-	begun, ended := make(chan *cluster.Fleet, 1), make(chan error, 1)
+	begun, ended := make(chan *cluster.Member, 1), make(chan error, 1)
 	go func() {
-		ended <- cluster.Run(ctx, cfg, gate, log.New(os.Stderr, "", 0), func(f *cluster.Fleet) { begun <- f })
+		ended <- cluster.RunMember(ctx, cfg, gate, log.New(os.Stderr, "", 0), func(f *cluster.Member) { begun <- f })
 	}()
 	select {
 	case err := <-ended:
@@ -195,7 +195,7 @@
 	for {
 		o, err := cl.Propose(ctx, p)
 		if err == nil {
-			return cl.AwaitEverywhere(ctx, o.Version, 0)
+			return cl.AwaitInstalled(ctx, o.Version, 0)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -34,7 +34,7 @@
 
 // quiet is a follower without an instance: it takes every version and keeps it in memory.
 type quiet struct {
-	feed *cluster.Feed
+	feed *cluster.StreamClient
 	mu   sync.Mutex
 	at   map[uint64]time.Time // by version, when it was in force
 }
@@ -80,9 +80,9 @@
 			return r, err
 		}
 		q := &quiet{at: map[uint64]time.Time{}}
-		q.feed = cluster.NewFeed(&cluster.FollowerConfig{Cluster: "bench", Name: name, Credentials: creds, Members: c.streams}, configstream.Disk{Starts: 1}, cluster.Hands{
-			Keep:  func(*configstream.Disk) error { return nil },
-			Check: func(*configstream.Version) []configstream.Problem { return nil },
+		q.feed = cluster.NewStreamClient(&cluster.FollowerConfig{Cluster: "bench", Name: name, Credentials: creds, MemberStreamAddrs: c.streams}, configstream.Disk{Starts: 1}, cluster.StreamHandlers{
+			Persist: func(*configstream.Disk) error { return nil },
+			Check:   func(*configstream.Version) []configstream.Problem { return nil },
 			Install: func(v *configstream.Version) error {
 				q.mu.Lock()
 				q.at[v.Number] = time.Now()
@@ -104,7 +104,7 @@
 	}
 	mine := 0
 	for _, q := range qs {
-		if q.feed.Status().Member == 1 {
+		if q.feed.Status().MemberID == 1 {
 			mine++
 		}
 	}
--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -47,13 +47,13 @@
 // Status is a member's view, as operators see it.
 type Status struct {
 	raftnode.Status
-	Cluster   string                          `json:"cluster"`
-	Installed uint64                          `json:"installed"` // version in force at the instance
-	AgeMs     int64                           `json:"age_ms"`    // since a quorum last confirmed it; -1: not since the start
-	Serves    bool                            `json:"serves"`
-	Note      string                          `json:"note,omitempty"`  // why what is agreed is not in force
-	Halls     map[string]string               `json:"halls,omitempty"` // what this instance makes of each
-	Members   map[uint64]clusterconfig.Member `json:"members"`
+	Cluster          string                          `json:"cluster"`
+	InstalledVersion uint64                          `json:"installed"` // version in force at the instance
+	ConfirmedAgeMs   int64                           `json:"age_ms"`    // since a quorum last confirmed it; -1: not since the start
+	IsServing        bool                            `json:"serves"`
+	InstallError     string                          `json:"note,omitempty"`  // why what is agreed is not in force
+	SiteStates       map[string]string               `json:"halls,omitempty"` // what this instance makes of each
+	Members          map[uint64]clusterconfig.Member `json:"members"`
 }
 
 // Objects are the agreed objects of a version, by kind and name.
@@ -63,22 +63,22 @@
 	Objects map[string]map[string]json.RawMessage `json:"objects"`
 }
 
-// MembersChange changes the members.
-type MembersChange struct {
-	Op     string                `json:"op"` // "add", "remove", "replace" or "transfer"
-	Member uint64                `json:"member"`
-	With   uint64                `json:"with,omitempty"` // of replace: the new member
-	At     *clusterconfig.Member `json:"at,omitempty"`   // of add and replace: where the new member is reached
+// MembershipChange changes the members.
+type MembershipChange struct {
+	Op            string                `json:"op"` // "add", "remove", "replace" or "transfer"
+	MemberID      uint64                `json:"member"`
+	ReplacementID uint64                `json:"with,omitempty"` // of replace: the new member
+	Addrs         *clusterconfig.Member `json:"at,omitempty"`   // of add and replace: where the new member is reached
 }
 
-type failure struct {
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
 // kinds are those of the objects.
 var kinds = []string{"class", "description", "epoch", "follower", "hall", "licensee", "limit", "lost", "member", "plan"}
 
-func (f *Fleet) serveAdmin(ln net.Listener, side *sync.WaitGroup) *http.Server {
+func (f *Member) serveAdmin(ln net.Listener, side *sync.WaitGroup) *http.Server {
 	mux := http.NewServeMux()
 	handle := func(pattern string, do func(ctx context.Context, r *http.Request) (any, error)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { f.answer(w, r, do) })
@@ -99,7 +99,7 @@
 		IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, TLSConfig: f.cfg.Credentials.TLS(),
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if _, err := f.asker(r); err != nil {
-				write(w, http.StatusForbidden, failure{err.Error()})
+				writeJSON(w, http.StatusForbidden, errorResponse{err.Error()})
 				return
 			}
 			select {
@@ -107,7 +107,7 @@
 				defer func() { <-asked }()
 				mux.ServeHTTP(w, r)
 			default:
-				write(w, http.StatusServiceUnavailable, failure{"too many operators ask at a time"})
+				writeJSON(w, http.StatusServiceUnavailable, errorResponse{"too many operators ask at a time"})
 			}
 		})}
 	side.Go(func() { srv.Serve(tls.NewListener(ln, srv.TLSConfig)) }) // ends with Close
@@ -115,7 +115,7 @@
 }
 
 // asker tells who asks.
-func (f *Fleet) asker(r *http.Request) (h raftnode.Holder, err error) {
+func (f *Member) asker(r *http.Request) (h raftnode.Holder, err error) {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return h, errors.New("no certificate")
 	}
@@ -140,10 +140,10 @@
 func (r *refusal) Error() string { return fmt.Sprint(r.body) }
 
 func bad(format string, args ...any) error {
-	return &refusal{http.StatusBadRequest, failure{fmt.Sprintf(format, args...)}}
+	return &refusal{http.StatusBadRequest, errorResponse{fmt.Sprintf(format, args...)}}
 }
 
-func (f *Fleet) answer(w http.ResponseWriter, r *http.Request, do func(context.Context, *http.Request) (any, error)) {
+func (f *Member) answer(w http.ResponseWriter, r *http.Request, do func(context.Context, *http.Request) (any, error)) {
 	limit := adminTimeout
 	if ms, err := strconv.Atoi(r.Header.Get("X-Timeout-Ms")); err == nil && ms > 0 {
 		limit = min(time.Duration(ms)*time.Millisecond, adminMost)
@@ -152,18 +152,18 @@
 	defer cancel()
 	v, err := do(ctx, r)
 	if refused, ok := errors.AsType[*refusal](err); ok {
-		write(w, refused.status, refused.body)
+		writeJSON(w, refused.status, refused.body)
 		return
 	}
 	if err != nil {
-		write(w, http.StatusServiceUnavailable, failure{f.plain(ctx, err)})
+		writeJSON(w, http.StatusServiceUnavailable, errorResponse{f.plain(ctx, err)})
 		return
 	}
-	write(w, http.StatusOK, v)
+	writeJSON(w, http.StatusOK, v)
 }
 
 // plain words an error for operators.
-func (f *Fleet) plain(ctx context.Context, err error) string {
+func (f *Member) plain(ctx context.Context, err error) string {
 	if errors.Is(err, raftnode.ErrNoLeader) || errors.Is(err, raftnode.ErrLost) {
 		short, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 		defer cancel()
@@ -181,7 +181,7 @@
 	return fmt.Sprint(id)
 }
 
-func write(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		status, text = http.StatusInternalServerError, []byte(`{"error":"the answer can't be worded"}`)
@@ -200,31 +200,31 @@
 	return nil
 }
 
-func (f *Fleet) status(ctx context.Context) (*Status, error) {
+func (f *Member) status(ctx context.Context) (*Status, error) {
 	s, err := f.node.Status(ctx)
 	if err != nil {
 		return nil, err
 	}
-	out := &Status{Status: s, Cluster: f.cfg.Cluster, AgeMs: -1}
+	out := &Status{Status: s, Cluster: f.cfg.Cluster, ConfirmedAgeMs: -1}
 	f.mu.Lock()
 	in := f.in
-	out.Note, out.Members = f.note, map[uint64]clusterconfig.Member{}
+	out.InstallError, out.Members = f.note, map[uint64]clusterconfig.Member{}
 	for _, id := range slices.Concat(s.Voters, s.Learners) {
 		out.Members[id] = f.members[id]
 	}
 	f.mu.Unlock()
 	if in != nil {
-		out.Installed = in.Version()
-		out.Halls = in.HallStates()
+		out.InstalledVersion = in.Version()
+		out.SiteStates = in.HallStates()
 		var age time.Duration
-		if age, out.Serves = in.Standing(time.Now()); age > 0 {
-			out.AgeMs = age.Milliseconds()
+		if age, out.IsServing = in.Standing(time.Now()); age > 0 {
+			out.ConfirmedAgeMs = age.Milliseconds()
 		}
 	}
 	return out, nil
 }
 
-func (f *Fleet) objects(ctx context.Context, r *http.Request) (any, error) {
+func (f *Member) objects(ctx context.Context, r *http.Request) (any, error) {
 	var s *clusterconfig.State
 	var err error
 	if r.URL.Query().Get("local") != "" {
@@ -247,7 +247,7 @@
 	return out, nil
 }
 
-func (f *Fleet) propose(ctx context.Context, r *http.Request, checkOnly bool) (any, error) {
+func (f *Member) propose(ctx context.Context, r *http.Request, checkOnly bool) (any, error) {
 	p := &clusterconfig.Proposal{}
 	if err := read(r, p); err != nil {
 		return nil, err
@@ -313,8 +313,8 @@
 }
 
 // changeMembers changes the members. A new one is a learner until it has caught up.
-func (f *Fleet) changeMembers(ctx context.Context, r *http.Request) (any, error) {
-	var c MembersChange
+func (f *Member) changeMembers(ctx context.Context, r *http.Request) (any, error) {
+	var c MembershipChange
 	if err := read(r, &c); err != nil {
 		return nil, err
 	}
@@ -329,39 +329,39 @@
 	switch {
 	case s.Leader == 0:
 		return nil, raftnode.ErrNoLeader
-	case c.Op != "add" && !has(c.Member):
-		return nil, bad("member: %d is none of voters %v and learners %v", c.Member, s.Voters, s.Learners)
+	case c.Op != "add" && !has(c.MemberID):
+		return nil, bad("member: %d is none of voters %v and learners %v", c.MemberID, s.Voters, s.Learners)
 	case c.Op == "transfer":
-		if !slices.Contains(s.Voters, c.Member) {
-			return nil, bad("member: %d is no voter", c.Member)
+		if !slices.Contains(s.Voters, c.MemberID) {
+			return nil, bad("member: %d is no voter", c.MemberID)
 		}
-		err = f.node.Transfer(ctx, c.Member)
+		err = f.node.Transfer(ctx, c.MemberID)
 	case c.Op == "remove":
-		if len(s.Voters) == 1 && s.Voters[0] == c.Member {
-			return nil, bad("member: %d is the only voter", c.Member)
+		if len(s.Voters) == 1 && s.Voters[0] == c.MemberID {
+			return nil, bad("member: %d is the only voter", c.MemberID)
 		}
-		if err = f.node.Members(ctx, remove(c.Member)); err == nil {
-			err = f.place(ctx, c.Member, nil)
+		if err = f.node.Members(ctx, remove(c.MemberID)); err == nil {
+			err = f.place(ctx, c.MemberID, nil)
 		}
 	case c.Op == "add":
-		err = f.add(ctx, c.Member, c.At, func(voters, learners []uint64) []*raftpb.ConfChangeSingle {
-			if slices.Contains(voters, c.Member) {
+		err = f.add(ctx, c.MemberID, c.Addrs, func(voters, learners []uint64) []*raftpb.ConfChangeSingle {
+			if slices.Contains(voters, c.MemberID) {
 				return nil
 			}
-			return []*raftpb.ConfChangeSingle{single(raftpb.ConfChangeAddNode, c.Member)}
+			return []*raftpb.ConfChangeSingle{single(raftpb.ConfChangeAddNode, c.MemberID)}
 		})
 	case c.Op == "replace":
-		if c.With == c.Member {
+		if c.ReplacementID == c.MemberID {
 			return nil, bad("with: a new number is wanted: that of a member is never used again")
 		}
-		err = f.add(ctx, c.With, c.At, func(voters, learners []uint64) (cs []*raftpb.ConfChangeSingle) { // at once: a joint change
-			if !slices.Contains(voters, c.With) {
-				cs = append(cs, single(raftpb.ConfChangeAddNode, c.With))
+		err = f.add(ctx, c.ReplacementID, c.Addrs, func(voters, learners []uint64) (cs []*raftpb.ConfChangeSingle) { // at once: a joint change
+			if !slices.Contains(voters, c.ReplacementID) {
+				cs = append(cs, single(raftpb.ConfChangeAddNode, c.ReplacementID))
 			}
-			return append(cs, remove(c.Member)(voters, learners)...)
+			return append(cs, remove(c.MemberID)(voters, learners)...)
 		})
 		if err == nil {
-			err = f.place(ctx, c.Member, nil)
+			err = f.place(ctx, c.MemberID, nil)
 		}
 	default:
 		return nil, bad("op: add, remove, replace or transfer is wanted")
@@ -386,7 +386,7 @@
 }
 
 // add makes a member a learner, waits until it has caught up, and lets it vote.
-func (f *Fleet) add(ctx context.Context, id uint64, at *clusterconfig.Member, vote func(voters, learners []uint64) []*raftpb.ConfChangeSingle) error {
+func (f *Member) add(ctx context.Context, id uint64, at *clusterconfig.Member, vote func(voters, learners []uint64) []*raftpb.ConfChangeSingle) error {
 	if id == 0 || at == nil {
 		return bad("member and at: the number and the addresses of the new member are wanted")
 	}
@@ -411,14 +411,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return &refusal{http.StatusServiceUnavailable, failure{fmt.Sprintf("member %d is a learner and has not caught up yet (does it run?): ask again for the same change", id)}}
-		case <-time.After(2 * orTick(f.cfg.Tick)):
+			return &refusal{http.StatusServiceUnavailable, errorResponse{fmt.Sprintf("member %d is a learner and has not caught up yet (does it run?): ask again for the same change", id)}}
+		case <-time.After(2 * orTick(f.cfg.TickInterval)):
 		}
 	}
 }
 
 // place has all members know where a member is reached, or forget it.
-func (f *Fleet) place(ctx context.Context, id uint64, at *clusterconfig.Member) error {
+func (f *Member) place(ctx context.Context, id uint64, at *clusterconfig.Member) error {
 	name := fmt.Sprint(id)
 	c := clusterconfig.Change{Op: "remove", Kind: "member", Name: name}
 	if at != nil {
@@ -431,7 +431,7 @@
 	if before, ok := s.Get("member", name); at == nil && !ok || at != nil && ok && string(before) == string(c.Value) {
 		return nil
 	}
-	o, err := f.node.Propose(ctx, &clusterconfig.Proposal{ID: fmt.Sprintf("member-%d-%d", id, time.Now().UnixNano()), Author: fmt.Sprint("member ", f.cfg.Member),
+	o, err := f.node.Propose(ctx, &clusterconfig.Proposal{ID: fmt.Sprintf("member-%d-%d", id, time.Now().UnixNano()), Author: fmt.Sprint("member ", f.cfg.MemberID),
 		Why: "change of members", AtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{c}})
 	if err == nil && !o.Applied {
 		err = bad("%s", o.Refused)
@@ -440,7 +440,7 @@
 }
 
 // pass asks the leader instead, once.
-func (f *Fleet) pass(ctx context.Context, leader uint64, r *http.Request, c *MembersChange) (any, error) {
+func (f *Member) pass(ctx context.Context, leader uint64, r *http.Request, c *MembershipChange) (any, error) {
 	f.mu.Lock()
 	at := f.members[leader].Admin
 	f.mu.Unlock()
@@ -450,9 +450,9 @@
 	cl := NewClient(f.cfg.Cluster, f.cfg.Credentials, at)
 	defer cl.Close()
 	var s Status
-	if err := cl.do(ctx, at, http.MethodPost, "/v1/members", c, &s, true); err != nil {
-		if e, ok := errors.AsType[*AnswerError](err); ok {
-			return nil, &refusal{e.Status, failure{e.Text}}
+	if err := cl.doAt(ctx, at, http.MethodPost, "/v1/members", c, &s, true); err != nil {
+		if e, ok := errors.AsType[*ResponseError](err); ok {
+			return nil, &refusal{e.Status, errorResponse{e.Message}}
 		}
 		return nil, err
 	}
@@ -460,7 +460,7 @@
 }
 
 // metrics words figures in the Prometheus text format.
-func (f *Fleet) metrics(w http.ResponseWriter, r *http.Request) {
+func (f *Member) metrics(w http.ResponseWriter, r *http.Request) {
 	s, err := f.status(r.Context())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -472,9 +472,9 @@
 	}
 	bit := map[bool]int{true: 1}
 	gauge("mulleingate_config_version", "Version applied at this member.", s.Version)
-	gauge("mulleingate_config_installed", "Version in force at this instance.", s.Installed)
-	gauge("mulleingate_config_age_seconds", "Since a quorum last confirmed it; -1: not since the start.", float64(s.AgeMs)/1000)
-	gauge("mulleingate_serves", "1 if requests are served.", bit[s.Serves])
+	gauge("mulleingate_config_installed", "Version in force at this instance.", s.InstalledVersion)
+	gauge("mulleingate_config_age_seconds", "Since a quorum last confirmed it; -1: not since the start.", float64(s.ConfirmedAgeMs)/1000)
+	gauge("mulleingate_serves", "1 if requests are served.", bit[s.IsServing])
 	gauge("mulleingate_raft_leader", "Number of the member that leads; 0: none is known.", s.Leader)
 	gauge("mulleingate_raft_applied_index", "Index of the last entry applied.", s.Index)
 	if f.streams != nil {
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -20,30 +20,30 @@
 // Client asks instances as an operator. It asks the first address that can be reached.
 type Client struct {
 	cluster string
-	at      []string
+	addrs   []string
 	http    *http.Client
 }
 
-// AnswerError is an instance's answer that is no success.
-type AnswerError struct {
-	Status int
-	Text   string
+// ResponseError is an instance's answer that is no success.
+type ResponseError struct {
+	Status  int
+	Message string
 }
 
-func (e *AnswerError) Error() string { return e.Text }
+func (e *ResponseError) Error() string { return e.Message }
 
 // NewClient returns a client. at are admin addresses of instances.
 func NewClient(cluster string, creds raftnode.Credentials, at ...string) *Client {
 	tls := creds.TLS()
-	return &Client{cluster: cluster, at: at, http: &http.Client{Transport: &http.Transport{TLSClientConfig: tls, TLSHandshakeTimeout: 2 * time.Second,
+	return &Client{cluster: cluster, addrs: at, http: &http.Client{Transport: &http.Transport{TLSClientConfig: tls, TLSHandshakeTimeout: 2 * time.Second,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
 }
 
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// do asks one instance.
-func (c *Client) do(ctx context.Context, at, method, path string, body, to any, passed bool) error {
+// doAt asks one instance.
+func (c *Client) doAt(ctx context.Context, at, method, path string, body, to any, passed bool) error {
 	var in io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
@@ -88,7 +88,7 @@
 		if f.Refused != "" {
 			f.Error = "refused: " + f.Refused
 		}
-		return &AnswerError{resp.StatusCode, f.Error}
+		return &ResponseError{resp.StatusCode, f.Error}
 	}
 	if err := json.Unmarshal(text, to); err != nil {
 		return fmt.Errorf("%s: answer: %w", at, err)
@@ -96,12 +96,12 @@
 	return nil
 }
 
-// any asks the instances in turn until one can be reached.
-func (c *Client) any(ctx context.Context, method, path string, body, to any) error {
+// doAny asks the instances in turn until one can be reached.
+func (c *Client) doAny(ctx context.Context, method, path string, body, to any) error {
 	var all error
-	for _, at := range c.at {
-		err := c.do(ctx, at, method, path, body, to, false)
-		if _, answered := errors.AsType[*AnswerError](err); err == nil || answered || ctx.Err() != nil {
+	for _, at := range c.addrs {
+		err := c.doAt(ctx, at, method, path, body, to, false)
+		if _, answered := errors.AsType[*ResponseError](err); err == nil || answered || ctx.Err() != nil {
 			return err
 		}
 		all = errors.Join(all, err)
@@ -111,13 +111,13 @@
 
 // Status asks one instance for its view.
 func (c *Client) Status(ctx context.Context) (s Status, err error) {
-	err = c.any(ctx, http.MethodGet, "/v1/status", nil, &s)
+	err = c.doAny(ctx, http.MethodGet, "/v1/status", nil, &s)
 	return s, err
 }
 
 // StatusAt asks the instance at an admin address.
 func (c *Client) StatusAt(ctx context.Context, at string) (s Status, err error) {
-	err = c.do(ctx, at, http.MethodGet, "/v1/status", nil, &s, false)
+	err = c.doAt(ctx, at, http.MethodGet, "/v1/status", nil, &s, false)
 	return s, err
 }
 
@@ -127,37 +127,37 @@
 	if local {
 		path += "?local=1"
 	}
-	err = c.any(ctx, http.MethodGet, path, nil, &o)
+	err = c.doAny(ctx, http.MethodGet, path, nil, &o)
 	return o, err
 }
 
 // History returns the versions kept, the oldest first.
 func (c *Client) History(ctx context.Context) (h []clusterconfig.Record, err error) {
-	err = c.any(ctx, http.MethodGet, "/v1/history", nil, &h)
+	err = c.doAny(ctx, http.MethodGet, "/v1/history", nil, &h)
 	return h, err
 }
 
 // Check asks what a proposal would come to.
 func (c *Client) Check(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
-	err = c.any(ctx, http.MethodPost, "/v1/check", p, &o)
+	err = c.doAny(ctx, http.MethodPost, "/v1/check", p, &o)
 	return o, err
 }
 
-// Propose has a proposal applied. One that is refused is an [AnswerError] with status 409.
+// Propose has a proposal applied. One that is refused is an [ResponseError] with status 409.
 func (c *Client) Propose(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
-	err = c.any(ctx, http.MethodPost, "/v1/propose", p, &o)
+	err = c.doAny(ctx, http.MethodPost, "/v1/propose", p, &o)
 	return o, err
 }
 
-// Members changes the members.
-func (c *Client) Members(ctx context.Context, m *MembersChange) (s Status, err error) {
-	err = c.any(ctx, http.MethodPost, "/v1/members", m, &s)
+// ChangeMembers changes the members.
+func (c *Client) ChangeMembers(ctx context.Context, m *MembershipChange) (s Status, err error) {
+	err = c.doAny(ctx, http.MethodPost, "/v1/members", m, &s)
 	return s, err
 }
 
-// StatusOf asks all members that one instance knows of. Those that don't answer have an
+// AllStatuses asks all members that one instance knows of. Those that don't answer have an
 // error instead.
-func (c *Client) StatusOf(ctx context.Context) (map[uint64]Status, map[uint64]error, error) {
+func (c *Client) AllStatuses(ctx context.Context) (map[uint64]Status, map[uint64]error, error) {
 	first, err := c.Status(ctx)
 	if err != nil {
 		return nil, nil, err
@@ -176,8 +176,8 @@
 }
 
 // Followers asks one instance how the followers stand.
-func (c *Client) Followers(ctx context.Context) (fs Followers, err error) {
-	err = c.any(ctx, http.MethodGet, "/v1/stream", nil, &fs)
+func (c *Client) Followers(ctx context.Context) (fs FollowerList, err error) {
+	err = c.doAny(ctx, http.MethodGet, "/v1/stream", nil, &fs)
 	return fs, err
 }
 
@@ -185,7 +185,7 @@
 // have none.
 func (c *Client) followersBehind(ctx context.Context, version uint64) (missing string, n int, err error) {
 	fs, err := c.Followers(ctx)
-	if e, ok := errors.AsType[*AnswerError](err); ok && e.Status == http.StatusBadRequest {
+	if e, ok := errors.AsType[*ResponseError](err); ok && e.Status == http.StatusBadRequest {
 		return "", 0, nil
 	}
 	for _, s := range fs.Followers {
@@ -195,22 +195,22 @@
 		n++
 		missing += "; follower " + s.Name + " " + s.Plain()
 	}
-	if err == nil && fs.Newest < version {
-		return fmt.Sprintf("; member %d offers version %d", fs.Member, fs.Newest), 1 + len(fs.Followers), nil
+	if err == nil && fs.NewestVersion < version {
+		return fmt.Sprintf("; member %d offers version %d", fs.MemberID, fs.NewestVersion), 1 + len(fs.Followers), nil
 	}
 	return missing, n, err
 }
 
-// AwaitEverywhere waits until a version is in force at the instances of all members and at all followers but so many.
-func (c *Client) AwaitEverywhere(ctx context.Context, version uint64, but int) error {
+// AwaitInstalled waits until a version is in force at the instances of all members and at all followers but so many.
+func (c *Client) AwaitInstalled(ctx context.Context, version uint64, but int) error {
 	for {
-		all, failed, err := c.StatusOf(ctx)
+		all, failed, err := c.AllStatuses(ctx)
 		missing := ""
 		for id, s := range all {
-			if s.Installed < version {
-				missing += fmt.Sprintf("; member %d has version %d", id, s.Installed)
-				if s.Note != "" {
-					missing += " (" + s.Note + ")"
+			if s.InstalledVersion < version {
+				missing += fmt.Sprintf("; member %d has version %d", id, s.InstalledVersion)
+				if s.InstallError != "" {
+					missing += " (" + s.InstallError + ")"
 				}
 			}
 		}
--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -79,7 +79,7 @@
 	}
 	d.Good, d.InForce, d.Tries, d.Previous, d.Received, d.Checks = two, true, 2, one, three.Ref, 1
 	d.Refused = []configstream.Refusal{{Ref: three.Ref, Problems: []configstream.Problem{{Object: "plan/kati", Field: "price", Text: "is odd"}}, Unread: true}}
-	if err := errors.Join(f.keep(&d), f.close()); err != nil {
+	if err := errors.Join(f.save(&d), f.close()); err != nil {
 		t.Fatal(err)
 	}
 	fixture.Compare(t, "follower.txt", dump(fresh))
@@ -104,7 +104,7 @@
 		t.Errorf("%+v", got)
 	}
 	got.Starts--
-	if err := errors.Join(f.keep(&got), f.close()); err != nil {
+	if err := errors.Join(f.save(&got), f.close()); err != nil {
 		t.Fatal(err)
 	}
 	fixture.Compare(t, "follower.txt", dump(old))
@@ -141,20 +141,20 @@
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureAdmin(t *testing.T) {
-	r := newRig(t, 1)
+	r := newTestCluster(t, 1)
 	m := r.members[1]
-	r.halt(1)
-	m.cfg.Stream = freeAddr(t)
+	r.stop(1)
+	m.cfg.StreamListenAddr = freeAddr(t)
 	r.start(1)
 	r.await("it leads", func() bool { _, err := r.admin.Objects(r.ctx(), false); return err == nil })
-	r.propose(r.first())
-	r.everywhere(1)
-	r.propose(&clusterconfig.Proposal{ID: "second", Why: "a follower", Changes: []clusterconfig.Change{change("put", "follower", "edge-1", `{"note":"x"}`)}})
+	r.propose(r.initialProposal())
+	r.awaitInstalled(1)
+	r.propose(&clusterconfig.Proposal{ID: "second", Why: "a follower", Changes: []clusterconfig.Change{newChange("put", "follower", "edge-1", `{"note":"x"}`)}})
 	r.await("it has the second", func() bool { // the follower never comes
 		s, err := r.admin.Status(r.ctx())
-		return err == nil && s.Installed == 2
+		return err == nil && s.InstalledVersion == 2
 	})
-	r.await("it is ready", func() bool { return r.ready(1) })
+	r.await("it is ready", func() bool { return r.isReady(1) })
 	masks := []struct {
 		of *regexp.Regexp
 		to string
@@ -204,12 +204,12 @@
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureAnswers(t *testing.T) {
 	at := &clusterconfig.Member{Raft: "a", Admin: "b"}
-	full := Status{Cluster: "c", Installed: 1, AgeMs: -1, Serves: true, Note: "note", Halls: map[string]string{"hall-a": "well"}, Members: map[uint64]clusterconfig.Member{1: *at}}
+	full := Status{Cluster: "c", InstalledVersion: 1, ConfirmedAgeMs: -1, IsServing: true, InstallError: "note", SiteStates: map[string]string{"hall-a": "well"}, Members: map[uint64]clusterconfig.Member{1: *at}}
 	full.ID, full.Leader, full.Ready, full.Index, full.Version, full.Hash, full.Voters, full.Learners = 1, 2, true, 4, 5, "hash", []uint64{1}, []uint64{2}
 	w := httptest.NewRecorder()
-	for _, v := range []any{Status{}, full, Objects{}, MembersChange{}, MembersChange{Op: "add", Member: 1, With: 2, At: at}, failure{"why"}, Followers{},
-		Followers{Member: 1, Newest: 2, Followers: []configstream.Standing{{}}}, FollowerStatus{}} {
-		write(w, 200, v)
+	for _, v := range []any{Status{}, full, Objects{}, MembershipChange{}, MembershipChange{Op: "add", MemberID: 1, ReplacementID: 2, Addrs: at}, errorResponse{"why"}, FollowerList{},
+		FollowerList{MemberID: 1, NewestVersion: 2, Followers: []configstream.Standing{{}}}, FollowerStatus{}} {
+		writeJSON(w, 200, v)
 	}
 	fixture.Compare(t, "answers.txt", w.Body.Bytes())
 }
--- a/internal/cluster/fleet.go
+++ b/internal/cluster/fleet.go
@@ -32,28 +32,28 @@
 	"mulleinmux/multisite"
 )
 
-// Config is what a member is told at its start.
-type Config struct {
-	Cluster      string
-	Member       uint64
-	Data         string // its file
-	Credentials  raftnode.Credentials
-	Members      map[uint64]clusterconfig.Member // to begin with; those agreed on take their place
-	Listen       string                          // for the other members; Members has it where empty
-	Admin        string                          // for operators; likewise
-	Stream       string                          // for followers; empty: none are served
-	StreamFull   bool                            // pushes are whole versions, for comparison
-	KeysAnywhere bool                            // keyed requests have no home: see package sites
-	Tick         time.Duration                   // 50 ms where 0: an election comes after 10 to 20 ticks without a leader
+// MemberConfig is what a member is told at its start.
+type MemberConfig struct {
+	Cluster             string
+	MemberID            uint64
+	DataFile            string // its file
+	Credentials         raftnode.Credentials
+	Members             map[uint64]clusterconfig.Member // to begin with; those agreed on take their place
+	RaftListenAddr      string                          // for the other members; Members has it where empty
+	AdminListenAddr     string                          // for operators; likewise
+	StreamListenAddr    string                          // for followers; empty: none are served
+	SendFullVersions    bool                            // pushes are whole versions, for comparison
+	DisableKeyOwnership bool                            // keyed requests have no home: see package sites
+	TickInterval        time.Duration                   // 50 ms where 0: an election comes after 10 to 20 ticks without a leader
 
 	// For the lab's faults, nil elsewhere.
-	Disk     func(raftnode.Disk) raftnode.Disk
-	Outgoing func(send func(*pb.Message)) func(*pb.Message)
+	WrapStorage func(raftnode.Disk) raftnode.Disk
+	WrapSend    func(send func(*pb.Message)) func(*pb.Message)
 }
 
-// ErrNoFile says that a member has no file yet. It must be made on purpose: a member that
+// ErrNotInitialized says that a member has no file yet. It must be made on purpose: a member that
 // began anew under its number could vote twice.
-var ErrNoFile = errors.New("there is no such file: make it once with gateway init, --new-cluster for the first members or --join for a further one")
+var ErrNotInitialized = errors.New("there is no such file: make it once with gateway init, --new-cluster for the first members or --join for a further one")
 
 const (
 	confirmEvery = 4               // ticks between two asks whether the version is the newest
@@ -61,32 +61,32 @@
 	staleLog     = 5 * time.Second // between two lines on a configuration that is not confirmed
 )
 
-// Validate checks a description as all members do.
-func Validate(file, text string, classes []clusterconfig.Class, most int) error {
+// ValidateDescription checks a description as all members do.
+func ValidateDescription(file, text string, classes []clusterconfig.Class, most int) error {
 	_, _, err := openapi.Compile(file, []byte(text), compileOptions(classes, most))
 	return err
 }
 
-// Init makes a member's file: that of a new cluster whose voters are all members that the
+// InitMember makes a member's file: that of a new cluster whose voters are all members that the
 // configuration has, or an empty one for a member that joins. One that is there is left.
-func Init(cfg *Config, join bool) error {
-	if _, err := os.Stat(cfg.Data); !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("%s: %w", cfg.Data, fs.ErrExist)
+func InitMember(cfg *MemberConfig, join bool) error {
+	if _, err := os.Stat(cfg.DataFile); !errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("%s: %w", cfg.DataFile, fs.ErrExist)
 	}
-	disk, err := raftnode.OpenBolt(cfg.Data, cfg.Cluster, cfg.Member)
+	disk, err := raftnode.OpenBolt(cfg.DataFile, cfg.Cluster, cfg.MemberID)
 	if err != nil {
 		return err
 	}
 	if !join {
 		// Every member of a new cluster begins with the same snapshot of nothing.
-		_, err = raftnode.Open(raftnode.Config{ID: cfg.Member, Voters: slices.Sorted(maps.Keys(cfg.Members)), Validate: Validate}, disk)
+		_, err = raftnode.Open(raftnode.Config{ID: cfg.MemberID, Voters: slices.Sorted(maps.Keys(cfg.Members)), Validate: ValidateDescription}, disk)
 	}
 	return errors.Join(err, disk.Close())
 }
 
-// Fleet is a member and its instance.
-type Fleet struct {
-	cfg   *Config
+// Member is a member and its instance.
+type Member struct {
+	cfg   *MemberConfig
 	gate  *gateway.Config
 	log   *log.Logger
 	node  *raftnode.Node
@@ -103,35 +103,35 @@
 	installs atomic.Int64
 }
 
-// Run runs a member and its instance until ctx ends: a leader hands its lead over, the
+// RunMember runs a member and its instance until ctx ends: a leader hands its lead over, the
 // instance drains, the member stops. A member that can't go on (its disk failed, it was
 // removed) ends both with its error. gate is a configuration without halls, plans,
 // licensees and classes.
-func Run(ctx context.Context, cfg *Config, gate *gateway.Config, logger *log.Logger, begun func(*Fleet)) (err error) {
-	if _, err := os.Stat(cfg.Data); errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("%s: %w", cfg.Data, ErrNoFile)
+func RunMember(ctx context.Context, cfg *MemberConfig, gate *gateway.Config, logger *log.Logger, begun func(*Member)) (err error) {
+	if _, err := os.Stat(cfg.DataFile); errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("%s: %w", cfg.DataFile, ErrNotInitialized)
 	}
-	if h, err := cfg.Credentials.Holder(); err != nil || h.Cluster != cfg.Cluster || h.Member != cfg.Member {
-		return fmt.Errorf("certificate: is that of member %d of %q, not of %d of %q: %w", h.Member, h.Cluster, cfg.Member, cfg.Cluster, err)
+	if h, err := cfg.Credentials.Holder(); err != nil || h.Cluster != cfg.Cluster || h.Member != cfg.MemberID {
+		return fmt.Errorf("certificate: is that of member %d of %q, not of %d of %q: %w", h.Member, h.Cluster, cfg.MemberID, cfg.Cluster, err)
 	}
-	bolt, err := raftnode.OpenBolt(cfg.Data, cfg.Cluster, cfg.Member)
+	bolt, err := raftnode.OpenBolt(cfg.DataFile, cfg.Cluster, cfg.MemberID)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, bolt.Close()) }()
 	var disk raftnode.Disk = bolt
-	if cfg.Disk != nil {
-		disk = cfg.Disk(bolt)
+	if cfg.WrapStorage != nil {
+		disk = cfg.WrapStorage(bolt)
 	}
-	if !cfg.KeysAnywhere {
-		gate.Keys = &multisite.Config{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
+	if !cfg.DisableKeyOwnership {
+		gate.Keys = &multisite.Config{Me: cfg.MemberID, Incarnation: bolt.Starts(), Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
 	}
 	if gate.Keys != nil {
-		gate.Health = &multisite.HealthConfig{Me: cfg.Member, Least: hallLeast, LostAfter: hallLost, Fresh: hallFresh, Hold: hallHold,
+		gate.Health = &multisite.HealthConfig{Me: cfg.MemberID, Least: hallLeast, LostAfter: hallLost, Fresh: hallFresh, Hold: hallHold,
 			HoldMost: hallHoldMost, Calm: hallCalm, Ramp: gate.Settings.SlowStartWindow}
-		gate.Consent = &multisite.ConsentConfig{Me: cfg.Member, Incarnation: bolt.Starts()}
+		gate.Consent = &multisite.ConsentConfig{Me: cfg.MemberID, Incarnation: bolt.Starts()}
 		if gate.Settings.ColdOverloadMultiple > 0 && gate.Settings.SlowStartWindow > 0 {
-			gate.Ramp = &multisite.RampConfig{Me: cfg.Member, Incarnation: bolt.Starts(), Lease: rampLease, Fresh: hallFresh, Multiple: gate.Settings.ColdBudgetMultiple()}
+			gate.Ramp = &multisite.RampConfig{Me: cfg.MemberID, Incarnation: bolt.Starts(), Lease: rampLease, Fresh: hallFresh, Multiple: gate.Settings.ColdBudgetMultiple()}
 		}
 	}
 	if l := gate.Link; l != nil {
@@ -143,7 +143,7 @@
 	if gate.Agreed == nil {
 		gate.Agreed = &gateway.Agreed{}
 	}
-	own := cfg.Members[cfg.Member]
+	own := cfg.Members[cfg.MemberID]
 	var opened []net.Listener
 	listen := func(what, at string) net.Listener {
 		ln, e := net.Listen("tcp", at)
@@ -159,16 +159,16 @@
 			ln.Close()
 		}
 	}
-	ln, admin := listen("cluster", orElse(cfg.Listen, own.Raft)), listen("admin", orElse(cfg.Admin, own.Admin))
+	ln, admin := listen("cluster", orElse(cfg.RaftListenAddr, own.Raft)), listen("admin", orElse(cfg.AdminListenAddr, own.Admin))
 	var followers net.Listener
-	if cfg.Stream != "" {
-		followers = listen("stream", cfg.Stream)
+	if cfg.StreamListenAddr != "" {
+		followers = listen("stream", cfg.StreamListenAddr)
 	}
 	if err != nil {
 		abandon()
 		return err
 	}
-	f := &Fleet{cfg: cfg, gate: gate, log: logger, wake: make(chan struct{}, 1), members: maps.Clone(cfg.Members), begun: time.Now()}
+	f := &Member{cfg: cfg, gate: gate, log: logger, wake: make(chan struct{}, 1), members: maps.Clone(cfg.Members), begun: time.Now()}
 	addrs := map[uint64]string{}
 	for id, m := range cfg.Members {
 		addrs[id] = m.Raft
@@ -176,8 +176,8 @@
 	if followers != nil {
 		f.streams = newStreams(f)
 	}
-	f.node, err = raftnode.Start(raftnode.NodeConfig{Config: raftnode.Config{ID: cfg.Member, Validate: Validate}, Cluster: cfg.Cluster,
-		Credentials: cfg.Credentials, Tick: cfg.Tick, Peers: addrs, Starts: bolt.Starts(), Logger: logger, Outgoing: cfg.Outgoing, Changed: f.changed, Word: f.hearKeys}, disk, ln)
+	f.node, err = raftnode.Start(raftnode.NodeConfig{Config: raftnode.Config{ID: cfg.MemberID, Validate: ValidateDescription}, Cluster: cfg.Cluster,
+		Credentials: cfg.Credentials, Tick: cfg.TickInterval, Peers: addrs, Starts: bolt.Starts(), Logger: logger, Outgoing: cfg.WrapSend, Changed: f.changed, Word: f.hearKeys}, disk, ln)
 	if err != nil {
 		abandon()
 		return err
@@ -218,7 +218,7 @@
 	case err := <-ended:
 		return err
 	case <-f.node.Ended():
-		err = fmt.Errorf("member %d: %w", cfg.Member, f.node.Err())
+		err = fmt.Errorf("member %d: %w", cfg.MemberID, f.node.Err())
 		logger.Printf("%v: the instance drains", err)
 	case <-ctx.Done():
 		f.handOver()
@@ -236,7 +236,7 @@
 
 // handOver hands the lead over, if this member has it, so that a planned stop costs no
 // election time-out.
-func (f *Fleet) handOver() {
+func (f *Member) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), handOver)
 	defer cancel()
 	s, err := f.node.Status(ctx)
@@ -254,7 +254,7 @@
 }
 
 // changed tells that the state has changed; it is called by the member.
-func (f *Fleet) changed() {
+func (f *Member) changed() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
@@ -269,8 +269,8 @@
 }
 
 // follow puts each version in force and has it confirmed now and then, until ctx ends.
-func (f *Fleet) follow(ctx context.Context) {
-	tick := orTick(f.cfg.Tick)
+func (f *Member) follow(ctx context.Context) {
+	tick := orTick(f.cfg.TickInterval)
 	confirmed := make(chan confirmation)
 	var ask sync.WaitGroup
 	defer ask.Wait()
@@ -333,7 +333,7 @@
 
 // install puts a version in force, unless it is; it is false if what is agreed can't be
 // served on.
-func (f *Fleet) install(s *clusterconfig.State) bool {
+func (f *Member) install(s *clusterconfig.State) bool {
 	if s.Version() == f.in.Version() && f.installs.Load() > 0 {
 		return true
 	}
@@ -364,7 +364,7 @@
 }
 
 // learnMembers takes over where the members are reached.
-func (f *Fleet) learnMembers(s *clusterconfig.State) {
+func (f *Member) learnMembers(s *clusterconfig.State) {
 	agreed := clusterconfig.Read[clusterconfig.Member](s, "member")
 	if len(agreed) == 0 {
 		return
@@ -384,4 +384,4 @@
 }
 
 // Instance is the gateway's.
-func (f *Fleet) Instance() *gateway.Instance { return f.in }
+func (f *Member) Instance() *gateway.Instance { return f.in }
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -28,8 +28,8 @@
 	"mulleinmux/policy"
 )
 
-// patience bounds every wait of a test; none is expected to come near it.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of a test; none is expected to come near it.
+const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -44,25 +44,25 @@
       responses: {"200": {description: ok}}
 `
 
-// rig is a cluster in this process, with one hall of one server.
-type rig struct {
-	t       *testing.T
-	dir     string
-	auth    *raftnode.Authority
-	hall    *testserver.Register
-	members map[uint64]*fleetMember
-	addrs   map[uint64]clusterconfig.Member
-	admin   *Client
+// testCluster is a cluster in this process, with one hall of one server.
+type testCluster struct {
+	t         *testing.T
+	dir       string
+	authority *raftnode.Authority
+	discovery *testserver.Register
+	members   map[uint64]*testMember
+	addrs     map[uint64]clusterconfig.Member
+	admin     *Client
 }
 
-type fleetMember struct {
-	cfg    *Config
-	agreed gateway.Agreed
-	listen string
-	link   *gateway.LinkConfig
-	fleet  *Fleet
-	stop   context.CancelFunc
-	done   chan error
+type testMember struct {
+	cfg       *MemberConfig
+	staleness gateway.Agreed
+	listen    string
+	link      *gateway.LinkConfig
+	member    *Member
+	stop      context.CancelFunc
+	done      chan error
 }
 
 func freeAddr(t *testing.T) string {
@@ -74,17 +74,17 @@
 	return addr
 }
 
-func newRig(t *testing.T, n int) *rig {
+func newTestCluster(t *testing.T, n int) *testCluster {
 	t.Helper()
 	auth, err := raftnode.NewAuthority("test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, dir: t.TempDir(), auth: auth, members: map[uint64]*fleetMember{}, addrs: map[uint64]clusterconfig.Member{}}
-	if r.hall, err = testserver.NewRegister(); err != nil {
+	r := &testCluster{t: t, dir: t.TempDir(), authority: auth, members: map[uint64]*testMember{}, addrs: map[uint64]clusterconfig.Member{}}
+	if r.discovery, err = testserver.NewRegister(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.hall.Close)
+	t.Cleanup(r.discovery.Close)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { w.Write([]byte(q.Header.Get("X-Mulleinmux-Version"))) })}
 	go srv.Serve(ln)
 	t.Cleanup(func() { srv.Close() })
-	r.hall.Put(testserver.Entry{InstanceID: "s", HostPort: ln.Addr().String(), Zone: "x", Lifecycle: "up", Weight: 1})
+	r.discovery.Put(testserver.Entry{InstanceID: "s", HostPort: ln.Addr().String(), Zone: "x", Lifecycle: "up", Weight: 1})
 	if err := auth.WriteOperator(r.dir, "amina"); err != nil {
 		t.Fatal(err)
 	}
@@ -100,8 +100,8 @@
 		r.addrs[id] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
 	}
 	for id := uint64(1); id <= uint64(n); id++ {
-		r.member(id)
-		if err := Init(r.members[id].cfg, false); err != nil {
+		r.newMember(id)
+		if err := InitMember(r.members[id].cfg, false); err != nil {
 			t.Fatal(err)
 		}
 		r.start(id)
@@ -118,7 +118,7 @@
 	t.Cleanup(func() {
 		r.admin.Close()
 		for id := range r.members {
-			r.halt(id)
+			r.stop(id)
 		}
 		http.DefaultClient.CloseIdleConnections()
 	})
@@ -132,24 +132,24 @@
 	return dir
 }
 
-// member describes a member that does not run yet.
-func (r *rig) member(id uint64) *fleetMember {
+// newMember describes a member that does not run yet.
+func (r *testCluster) newMember(id uint64) *testMember {
 	r.t.Helper()
-	creds, err := r.auth.Credentials(id)
+	creds, err := r.authority.Credentials(id)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	m := &fleetMember{listen: freeAddr(r.t), cfg: &Config{Cluster: "test", Member: id, Data: filepath.Join(r.dir, fmt.Sprint(id, ".db")),
-		Credentials: creds, Members: r.addrs, Tick: 10 * time.Millisecond}}
+	m := &testMember{listen: freeAddr(r.t), cfg: &MemberConfig{Cluster: "test", MemberID: id, DataFile: filepath.Join(r.dir, fmt.Sprint(id, ".db")),
+		Credentials: creds, Members: r.addrs, TickInterval: 10 * time.Millisecond}}
 	r.members[id] = m
 	return m
 }
 
-func (r *rig) start(id uint64) {
+func (r *testCluster) start(id uint64) {
 	r.t.Helper()
 	m := r.members[id]
 	ctx, stop := context.WithCancel(context.Background())
-	agreed := m.agreed
+	agreed := m.staleness
 	at := m.listen
 	gate := &gateway.Config{Name: fmt.Sprint("g", id), Seed: id, Agreed: &agreed, DrainFor: time.Millisecond,
 		Settings: policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
@@ -161,19 +161,21 @@
 	gate.Link = m.link
 	gate.On(ln, nil)
 	m.stop, m.done = stop, make(chan error, 1)
-	begun := make(chan *Fleet, 1)
-	go func() { m.done <- Run(ctx, m.cfg, gate, log.New(io.Discard, "", 0), func(f *Fleet) { begun <- f }) }()
+	begun := make(chan *Member, 1)
+	go func() {
+		m.done <- RunMember(ctx, m.cfg, gate, log.New(io.Discard, "", 0), func(f *Member) { begun <- f })
+	}()
 	select {
-	case m.fleet = <-begun:
+	case m.member = <-begun:
 	case err := <-m.done:
 		r.t.Fatalf("member %d: %v", id, err)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Fatal("a member does not begin")
 	}
 }
 
-// halt stops a member and returns why it ended.
-func (r *rig) halt(id uint64) error {
+// stop stops a member and returns why it ended.
+func (r *testCluster) stop(id uint64) error {
 	r.t.Helper()
 	m := r.members[id]
 	if m == nil || m.stop == nil {
@@ -184,25 +186,25 @@
 	select {
 	case err := <-m.done:
 		return err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Errorf("member %d does not end", id)
 		return nil
 	}
 }
 
-func (r *rig) ctx() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (r *testCluster) ctx() context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	r.t.Cleanup(cancel)
 	return ctx
 }
 
-type reply struct {
+type response struct {
 	status int
 	body   string
 	header http.Header
 }
 
-func (r *rig) ask(id uint64, path string) reply {
+func (r *testCluster) get(id uint64, path string) response {
 	r.t.Helper()
 	q, err := http.NewRequestWithContext(r.ctx(), http.MethodGet, "http://"+r.members[id].listen+path, nil)
 	if err != nil {
@@ -220,21 +222,21 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	return reply{resp.StatusCode, string(body), resp.Header}
+	return response{resp.StatusCode, string(body), resp.Header}
 }
 
-func (r *rig) await(what string, cond func() bool) {
+func (r *testCluster) await(what string, cond func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); !cond(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-func (r *rig) ready(id uint64) bool { return r.ask(id, "/health/ready").status == 200 }
+func (r *testCluster) isReady(id uint64) bool { return r.get(id, "/health/ready").status == 200 }
 
-func change(op, kind, name, value string) clusterconfig.Change {
+func newChange(op, kind, name, value string) clusterconfig.Change {
 	c := clusterconfig.Change{Op: op, Kind: kind, Name: name}
 	if value != "" {
 		c.Value = []byte(value)
@@ -242,18 +244,18 @@
 	return c
 }
 
-func describe(units int) clusterconfig.Change {
-	return change("put", "description", "d", fmt.Sprintf(`{"file":"d.yaml","text":%s}`, strconv.Quote(fmt.Sprintf(description, units))))
+func putDescription(units int) clusterconfig.Change {
+	return newChange("put", "description", "d", fmt.Sprintf(`{"file":"d.yaml","text":%s}`, strconv.Quote(fmt.Sprintf(description, units))))
 }
 
-// first is a first configuration.
-func (r *rig) first() *clusterconfig.Proposal {
-	return &clusterconfig.Proposal{ID: "first", Changes: []clusterconfig.Change{change("put", "class", "check", `{"worth":1,"aim_ms":5000,"deadline_ms":10000}`),
-		change("put", "plan", "wide", `{"rate":1e6,"burst":1e6,"price":1}`), change("put", "licensee", "bahari", `{"plan":"wide"}`),
-		change("put", "hall", "hall-a", fmt.Sprintf(`{"register":%q}`, r.hall.Addr())), describe(1)}}
+// initialProposal is a first configuration.
+func (r *testCluster) initialProposal() *clusterconfig.Proposal {
+	return &clusterconfig.Proposal{ID: "first", Changes: []clusterconfig.Change{newChange("put", "class", "check", `{"worth":1,"aim_ms":5000,"deadline_ms":10000}`),
+		newChange("put", "plan", "wide", `{"rate":1e6,"burst":1e6,"price":1}`), newChange("put", "licensee", "bahari", `{"plan":"wide"}`),
+		newChange("put", "hall", "hall-a", fmt.Sprintf(`{"register":%q}`, r.discovery.Addr())), putDescription(1)}}
 }
 
-func (r *rig) propose(p *clusterconfig.Proposal) clusterconfig.Outcome {
+func (r *testCluster) propose(p *clusterconfig.Proposal) clusterconfig.Outcome {
 	r.t.Helper()
 	o, err := r.admin.Propose(r.ctx(), p)
 	if err != nil {
@@ -262,50 +264,50 @@
 	return o
 }
 
-func (r *rig) everywhere(version uint64) {
+func (r *testCluster) awaitInstalled(version uint64) {
 	r.t.Helper()
-	if err := r.admin.AwaitEverywhere(r.ctx(), version, 0); err != nil {
+	if err := r.admin.AwaitInstalled(r.ctx(), version, 0); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// served waits until a member's server is known, and a request is served.
-func (r *rig) served(id uint64) {
+// awaitServing waits until a member's server is known, and a request is served.
+func (r *testCluster) awaitServing(id uint64) {
 	r.t.Helper()
-	r.await("a request is served", func() bool { return r.ask(id, "/slots").status == 200 })
+	r.await("a request is served", func() bool { return r.get(id, "/slots").status == 200 })
 }
 
 // Instances refuse until a first configuration is agreed on, then all serve on it; a change
 // takes force at all; what can't be is refused with its reason; what is repeated takes
 // place once; operators of other clusters are turned away.
 func TestAgree(t *testing.T) {
-	r := newRig(t, 3)
+	r := newTestCluster(t, 3)
 	for id := range r.members {
-		if a := r.ask(id, "/slots"); a.status != 503 || a.header.Get("Retry-After") == "" {
+		if a := r.get(id, "/slots"); a.status != 503 || a.header.Get("Retry-After") == "" {
 			t.Errorf("before anything is agreed on: %+v", a)
 		}
 	}
-	if o := r.propose(r.first()); !o.Applied || o.Version != 1 {
+	if o := r.propose(r.initialProposal()); !o.Applied || o.Version != 1 {
 		t.Fatalf("%+v", o)
 	}
-	r.everywhere(1)
+	r.awaitInstalled(1)
 	for id := range r.members {
-		r.await("ready", func() bool { return r.ready(id) })
-		r.served(id)
-		if a := r.ask(id, "/slots"); a.body != "1" || a.header.Get("X-Mulleinmux-Version") != "1" || a.header.Get("X-Mulleinmux-Units") != "1" || a.header.Get("X-Mulleinmux-Config-Age") != "" {
+		r.await("ready", func() bool { return r.isReady(id) })
+		r.awaitServing(id)
+		if a := r.get(id, "/slots"); a.body != "1" || a.header.Get("X-Mulleinmux-Version") != "1" || a.header.Get("X-Mulleinmux-Units") != "1" || a.header.Get("X-Mulleinmux-Config-Age") != "" {
 			t.Errorf("%+v", a)
 		}
 	}
 	base := uint64(1)
-	p := &clusterconfig.Proposal{ID: "second", Base: &base, Author: "somebody else", Why: "dearer", Changes: []clusterconfig.Change{describe(7)}}
+	p := &clusterconfig.Proposal{ID: "second", Base: &base, Author: "somebody else", Why: "dearer", Changes: []clusterconfig.Change{putDescription(7)}}
 	for range 2 {
 		if o := r.propose(p); o.Version != 2 {
 			t.Errorf("%+v", o)
 		}
 	}
-	r.everywhere(2)
+	r.awaitInstalled(2)
 	for id := range r.members {
-		if a := r.ask(id, "/slots"); a.header.Get("X-Mulleinmux-Units") != "7" || a.body != "2" {
+		if a := r.get(id, "/slots"); a.header.Get("X-Mulleinmux-Units") != "7" || a.body != "2" {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -313,16 +315,16 @@
 		p    *clusterconfig.Proposal
 		want string
 	}{
-		"old base":    {&clusterconfig.Proposal{ID: "x1", Base: &base, Changes: []clusterconfig.Change{describe(8)}}, "version 2 is in force, not 1"},
-		"no plan":     {&clusterconfig.Proposal{ID: "x2", Changes: []clusterconfig.Change{change("put", "licensee", "l", `{"plan":"none"}`)}}, `plan "none" is not there`},
-		"description": {&clusterconfig.Proposal{ID: "x3", Changes: []clusterconfig.Change{describe(99)}}, "d.yaml:8"},
+		"old base":    {&clusterconfig.Proposal{ID: "x1", Base: &base, Changes: []clusterconfig.Change{putDescription(8)}}, "version 2 is in force, not 1"},
+		"no plan":     {&clusterconfig.Proposal{ID: "x2", Changes: []clusterconfig.Change{newChange("put", "licensee", "l", `{"plan":"none"}`)}}, `plan "none" is not there`},
+		"description": {&clusterconfig.Proposal{ID: "x3", Changes: []clusterconfig.Change{putDescription(99)}}, "d.yaml:8"},
 	} {
 		_, err := r.admin.Propose(r.ctx(), c.p)
-		if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 409 || !strings.Contains(a.Text, c.want) {
+		if a, ok := errors.AsType[*ResponseError](err); !ok || a.Status != 409 || !strings.Contains(a.Message, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 		_, err = r.admin.Check(r.ctx(), c.p)
-		if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 409 {
+		if a, ok := errors.AsType[*ResponseError](err); !ok || a.Status != 409 {
 			t.Errorf("%s, checked: %v", name, err)
 		}
 	}
@@ -334,9 +336,9 @@
 		t.Errorf("%+v, %v", o, err)
 	}
 	// A hall and a licensee go at once.
-	r.propose(&clusterconfig.Proposal{ID: "third", Changes: []clusterconfig.Change{change("remove", "licensee", "bahari", "")}})
-	r.everywhere(3)
-	if a := r.ask(2, "/slots"); a.status != 403 {
+	r.propose(&clusterconfig.Proposal{ID: "third", Changes: []clusterconfig.Change{newChange("remove", "licensee", "bahari", "")}})
+	r.awaitInstalled(3)
+	if a := r.get(2, "/slots"); a.status != 403 {
 		t.Errorf("a licensee that was removed: %+v", a)
 	}
 	// Another cluster of the same name, and one of another name.
@@ -356,8 +358,8 @@
 		cl.Close()
 	}
 	// The same authority with another cluster's name in the certificate.
-	r.auth.Cluster = "renamed"
-	creds, err := r.auth.Credentials(1)
+	r.authority.Cluster = "renamed"
+	creds, err := r.authority.Credentials(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -371,34 +373,34 @@
 // An instance that starts sends nothing on until a quorum has confirmed its version, which
 // it had served on before; then it serves on the newest.
 func TestReturnsOnlyConfirmed(t *testing.T) {
-	r := newRig(t, 3)
-	r.propose(r.first())
-	r.everywhere(1)
-	r.served(1)
+	r := newTestCluster(t, 3)
+	r.propose(r.initialProposal())
+	r.awaitInstalled(1)
+	r.awaitServing(1)
 	for i := range 5 { // what is known to be committed is written with the entry after it
-		r.propose(&clusterconfig.Proposal{ID: fmt.Sprint("more", i), Changes: []clusterconfig.Change{describe(2 + i)}})
+		r.propose(&clusterconfig.Proposal{ID: fmt.Sprint("more", i), Changes: []clusterconfig.Change{putDescription(2 + i)}})
 	}
-	r.everywhere(6)
-	r.halt(1)
-	r.propose(&clusterconfig.Proposal{ID: "newest", Changes: []clusterconfig.Change{describe(20)}})
-	r.halt(2)
-	r.halt(3)
+	r.awaitInstalled(6)
+	r.stop(1)
+	r.propose(&clusterconfig.Proposal{ID: "newest", Changes: []clusterconfig.Change{putDescription(20)}})
+	r.stop(2)
+	r.stop(3)
 	r.start(1)
 	// It has an old version in force, and no one to confirm it.
-	r.await("a version is in force", func() bool { return r.members[1].fleet.Instance().Version() > 0 })
+	r.await("a version is in force", func() bool { return r.members[1].member.Instance().Version() > 0 })
 	end := time.Now().Add(500 * time.Millisecond) // 50 ticks: two elections and more
 	for time.Now().Before(end) {
-		if a := r.ask(1, "/slots"); a.status != 503 {
+		if a := r.get(1, "/slots"); a.status != 503 {
 			t.Fatalf("served without a quorum: %+v", a)
 		}
-		if r.ready(1) {
+		if r.isReady(1) {
 			t.Fatal("ready without a quorum")
 		}
 	}
 	r.start(2)
-	r.await("ready", func() bool { return r.ready(1) })
-	r.served(1)
-	if a := r.ask(1, "/slots"); a.body != "7" || a.header.Get("X-Mulleinmux-Units") != "20" {
+	r.await("ready", func() bool { return r.isReady(1) })
+	r.awaitServing(1)
+	if a := r.get(1, "/slots"); a.body != "7" || a.header.Get("X-Mulleinmux-Units") != "20" {
 		t.Errorf("after its return: %+v", a)
 	}
 }
@@ -406,44 +408,44 @@
 // A minority that is cut off serves on within its bound and tells how old its version is;
 // past the bound it does what was chosen. When the quorum is back, both serve.
 func TestCutOff(t *testing.T) {
-	r := newRig(t, 3)
+	r := newTestCluster(t, 3)
 	for id, a := range map[uint64]gateway.Agreed{1: {StaleAfter: time.Second}, 2: {StaleAfter: time.Second, Refuse: true}} {
-		r.halt(id)
-		r.members[id].agreed = a
+		r.stop(id)
+		r.members[id].staleness = a
 		r.start(id)
 	}
-	r.propose(r.first())
-	r.everywhere(1)
-	r.served(1)
-	r.served(2)
-	r.halt(3)
+	r.propose(r.initialProposal())
+	r.awaitInstalled(1)
+	r.awaitServing(1)
+	r.awaitServing(2)
+	r.stop(3)
 	// Each on its own: the links between them go as well.
-	r.members[1].fleet.node.Peers(nil)
-	r.members[2].fleet.node.Peers(nil)
+	r.members[1].member.node.Peers(nil)
+	r.members[2].member.node.Peers(nil)
 	cut := time.Now()
-	if a := r.ask(2, "/slots"); a.status != 200 {
+	if a := r.get(2, "/slots"); a.status != 200 {
 		t.Errorf("within its bound: %+v", a)
 	}
-	r.await("member 2 refuses", func() bool { return r.ask(2, "/slots").status == 503 })
+	r.await("member 2 refuses", func() bool { return r.get(2, "/slots").status == 503 })
 	if after := time.Since(cut); after < 500*time.Millisecond || after > 5*time.Second {
 		t.Errorf("refuses after %v", after)
 	}
-	if r.ready(2) || !r.ready(1) {
+	if r.isReady(2) || !r.isReady(1) {
 		t.Error("ready: member 2, or not member 1")
 	}
 	r.await("member 1 tells an age", func() bool {
-		a := r.ask(1, "/slots")
+		a := r.get(1, "/slots")
 		age, _ := strconv.ParseFloat(a.header.Get("X-Mulleinmux-Config-Age"), 64)
 		return a.status == 200 && age >= 2
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 600*time.Millisecond)
 	defer cancel()
-	_, err := r.admin.Propose(ctx, &clusterconfig.Proposal{ID: "late", Changes: []clusterconfig.Change{describe(3)}})
-	if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 503 || !strings.Contains(a.Text, "member 1") {
+	_, err := r.admin.Propose(ctx, &clusterconfig.Proposal{ID: "late", Changes: []clusterconfig.Change{putDescription(3)}})
+	if a, ok := errors.AsType[*ResponseError](err); !ok || a.Status != 503 || !strings.Contains(a.Message, "member 1") {
 		t.Errorf("a change without a quorum: %v", err)
 	}
 	s, err := r.admin.Status(r.ctx())
-	if err != nil || s.AgeMs < 1000 || !s.Serves {
+	if err != nil || s.ConfirmedAgeMs < 1000 || !s.IsServing {
 		t.Errorf("status %+v, %v", s, err)
 	}
 	for id := range uint64(2) {
@@ -451,28 +453,28 @@
 		for n, m := range r.addrs {
 			addrs[n] = m.Raft
 		}
-		r.members[id+1].fleet.node.Peers(addrs)
+		r.members[id+1].member.node.Peers(addrs)
 	}
 	r.await("both serve", func() bool {
-		return r.ready(1) && r.ready(2) && r.ask(1, "/slots").header.Get("X-Mulleinmux-Config-Age") == ""
+		return r.isReady(1) && r.isReady(2) && r.get(1, "/slots").header.Get("X-Mulleinmux-Config-Age") == ""
 	})
 }
 
 // Members are added, replaced and removed while the cluster serves; a learner votes only
 // once it has caught up; the lead moves on request; one that was removed ends.
 func TestMembers(t *testing.T) {
-	r := newRig(t, 3)
-	r.propose(r.first())
-	r.everywhere(1)
+	r := newTestCluster(t, 3)
+	r.propose(r.initialProposal())
+	r.awaitInstalled(1)
 	join := func(id uint64) {
 		t.Helper()
 		r.addrs[id] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
-		m := r.member(id)
+		m := r.newMember(id)
 		m.cfg.Members = map[uint64]clusterconfig.Member{}
 		for n, a := range r.addrs {
 			m.cfg.Members[n] = a
 		}
-		if err := Init(m.cfg, true); err != nil {
+		if err := InitMember(m.cfg, true); err != nil {
 			t.Fatal(err)
 		}
 		r.start(id)
@@ -482,31 +484,31 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	r.addrs[9] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
-	_, err := r.admin.Members(ctx, &MembersChange{Op: "add", Member: 9, At: at(9)})
+	_, err := r.admin.ChangeMembers(ctx, &MembershipChange{Op: "add", MemberID: 9, Addrs: at(9)})
 	if err == nil || !strings.Contains(err.Error(), "learner") {
 		t.Errorf("a member that does not run: %v", err)
 	}
 	if s, err := r.admin.Status(r.ctx()); err != nil || len(s.Voters) != 3 || len(s.Learners) != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if _, err := r.admin.Members(r.ctx(), &MembersChange{Op: "remove", Member: 9}); err != nil {
+	if _, err := r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "remove", MemberID: 9}); err != nil {
 		t.Fatal(err)
 	}
 	delete(r.addrs, 9)
 
 	join(4)
-	s, err := r.admin.Members(r.ctx(), &MembersChange{Op: "add", Member: 4, At: at(4)})
+	s, err := r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "add", MemberID: 4, Addrs: at(4)})
 	if err != nil || len(s.Voters) != 4 || len(s.Learners) != 0 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	r.await("member 4 serves", func() bool { return r.ready(4) })
+	r.await("member 4 serves", func() bool { return r.isReady(4) })
 	// The lead moves to each that is asked for, through whichever member.
 	for _, id := range []uint64{4, 2} {
-		if s, err := r.admin.Members(r.ctx(), &MembersChange{Op: "transfer", Member: id}); err != nil || s.Leader != id {
+		if s, err := r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "transfer", MemberID: id}); err != nil || s.Leader != id {
 			t.Errorf("transfer to %d: %+v, %v", id, s, err)
 		}
 		r.await("all know the leader", func() bool {
-			all, failed, err := r.admin.StatusOf(r.ctx())
+			all, failed, err := r.admin.AllStatuses(r.ctx())
 			ok := err == nil && len(failed) == 0
 			for _, s := range all {
 				ok = ok && s.Leader == id
@@ -515,13 +517,13 @@
 		})
 	}
 	// A dead member is replaced in one step.
-	r.halt(3)
+	r.stop(3)
 	join(5)
-	if s, err = r.admin.Members(r.ctx(), &MembersChange{Op: "replace", Member: 3, With: 5, At: at(5)}); err != nil || fmt.Sprint(s.Voters) != "[1 2 4 5]" {
+	if s, err = r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "replace", MemberID: 3, ReplacementID: 5, Addrs: at(5)}); err != nil || fmt.Sprint(s.Voters) != "[1 2 4 5]" {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	// The leader itself is removed: it ends, and the others go on.
-	if _, err := r.admin.Members(r.ctx(), &MembersChange{Op: "remove", Member: 2}); err != nil && !strings.Contains(err.Error(), "stopped") {
+	if _, err := r.admin.ChangeMembers(r.ctx(), &MembershipChange{Op: "remove", MemberID: 2}); err != nil && !strings.Contains(err.Error(), "stopped") {
 		t.Logf("the leader's answer on its own removal: %v", err)
 	}
 	select {
@@ -530,27 +532,27 @@
 			t.Errorf("a removed member ends with %v", err)
 		}
 		r.members[2].stop = nil
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("a removed member does not end")
 	}
 	var o clusterconfig.Outcome
 	r.await("a change without it", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		o, err = r.admin.Propose(ctx, &clusterconfig.Proposal{ID: "after", Changes: []clusterconfig.Change{describe(2)}})
+		o, err = r.admin.Propose(ctx, &clusterconfig.Proposal{ID: "after", Changes: []clusterconfig.Change{putDescription(2)}})
 		return err == nil
 	})
 	r.await("all that are left have it", func() bool {
-		all, failed, err := r.admin.StatusOf(r.ctx())
+		all, failed, err := r.admin.AllStatuses(r.ctx())
 		ok := err == nil && len(failed) == 0 && len(all) == 3
 		for _, s := range all {
-			ok = ok && s.Installed >= o.Version
+			ok = ok && s.InstalledVersion >= o.Version
 		}
 		return ok
 	})
-	for _, c := range []*MembersChange{{Op: "remove", Member: 77}, {Op: "shrink", Member: 1}, {Op: "add"}, {Op: "replace", Member: 1, With: 1}} {
-		_, err := r.admin.Members(r.ctx(), c)
-		if a, ok := errors.AsType[*AnswerError](err); !ok || a.Status != 400 {
+	for _, c := range []*MembershipChange{{Op: "remove", MemberID: 77}, {Op: "shrink", MemberID: 1}, {Op: "add"}, {Op: "replace", MemberID: 1, ReplacementID: 1}} {
+		_, err := r.admin.ChangeMembers(r.ctx(), c)
+		if a, ok := errors.AsType[*ResponseError](err); !ok || a.Status != 400 {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
@@ -567,20 +569,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := &Config{Cluster: "test", Member: 1, Data: filepath.Join(t.TempDir(), "1.db"), Credentials: creds,
+	cfg := &MemberConfig{Cluster: "test", MemberID: 1, DataFile: filepath.Join(t.TempDir(), "1.db"), Credentials: creds,
 		Members: map[uint64]clusterconfig.Member{1: {Raft: "127.0.0.1:0", Admin: "127.0.0.1:0"}}}
 	logger := log.New(io.Discard, "", 0)
-	if err := Run(context.Background(), cfg, &gateway.Config{}, logger, nil); !errors.Is(err, ErrNoFile) {
+	if err := RunMember(context.Background(), cfg, &gateway.Config{}, logger, nil); !errors.Is(err, ErrNotInitialized) {
 		t.Errorf("without a file: %v", err)
 	}
-	if err := Init(cfg, false); err != nil {
+	if err := InitMember(cfg, false); err != nil {
 		t.Fatal(err)
 	}
-	if err := Init(cfg, false); err == nil {
+	if err := InitMember(cfg, false); err == nil {
 		t.Error("a file was made over another")
 	}
-	cfg.Member = 2
-	if err := Run(context.Background(), cfg, &gateway.Config{}, logger, nil); err == nil || !strings.Contains(err.Error(), "certificate") {
+	cfg.MemberID = 2
+	if err := RunMember(context.Background(), cfg, &gateway.Config{}, logger, nil); err == nil || !strings.Contains(err.Error(), "certificate") {
 		t.Errorf("with another's certificate: %v", err)
 	}
 }
@@ -601,13 +603,13 @@
 // A member whose disk is full ends with that as its reason, the leader above all; the others
 // go on without a change lost, and it comes back once there is room.
 func TestFullDisk(t *testing.T) {
-	r := newRig(t, 3)
-	r.propose(r.first())
-	r.everywhere(1)
+	r := newTestCluster(t, 3)
+	r.propose(r.initialProposal())
+	r.awaitInstalled(1)
 	var full [4]atomic.Bool
 	for id := uint64(1); id <= 3; id++ {
-		r.halt(id)
-		r.members[id].cfg.Disk = func(d raftnode.Disk) raftnode.Disk { return fullDisk{d, &full[id]} }
+		r.stop(id)
+		r.members[id].cfg.WrapStorage = func(d raftnode.Disk) raftnode.Disk { return fullDisk{d, &full[id]} }
 		r.start(id)
 	}
 	var leader uint64
@@ -622,7 +624,7 @@
 	var all sync.WaitGroup
 	for i := range 10 {
 		all.Go(func() {
-			p := &clusterconfig.Proposal{ID: fmt.Sprint("c", i), Changes: []clusterconfig.Change{describe(2 + i)}}
+			p := &clusterconfig.Proposal{ID: fmt.Sprint("c", i), Changes: []clusterconfig.Change{putDescription(2 + i)}}
 			for {
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 				o, err := r.admin.Propose(ctx, p)
@@ -645,13 +647,13 @@
 		if !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("the member ends with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("a member whose disk is full goes on")
 	}
 	all.Wait()
 	full[leader].Store(false)
 	r.start(leader)
-	r.everywhere(11)
+	r.awaitInstalled(11)
 	h, err := r.admin.History(r.ctx())
 	if err != nil || len(h) != 11 {
 		t.Fatalf("%d versions, error %v", len(h), err)
@@ -665,22 +667,22 @@
 
 // A member that does not reach a hall itself sends its requests over the link to one that does.
 func TestLinkOfMembers(t *testing.T) {
-	r := newRig(t, 2)
+	r := newTestCluster(t, 2)
 	addr := netip.MustParseAddrPort(freeAddr(t))
 	for id, l := range map[uint64]*gateway.LinkConfig{
 		1: {Own: []string{"hall-z"}, Listen: netip.MustParseAddrPort(freeAddr(t)), Far: map[string][]gateway.LinkPeer{"hall-a": {{Member: 2, Addr: addr}}}},
 		2: {Own: []string{"hall-a"}, Listen: addr},
 	} {
-		r.halt(id)
+		r.stop(id)
 		r.members[id].link = l
 	}
 	r.start(1)
 	r.start(2)
-	o := r.propose(r.first())
-	r.everywhere(o.Version)
-	r.served(1)
+	o := r.propose(r.initialProposal())
+	r.awaitInstalled(o.Version)
+	r.awaitServing(1)
 	n := int64(0)
-	r.members[2].fleet.Instance().Count(func(_ string, c *gateway.Counters) { n += c.Sent.Load() })
+	r.members[2].member.Instance().Count(func(_ string, c *gateway.Counters) { n += c.Sent.Load() })
 	if n != 0 {
 		t.Errorf("the far member counts %d requests that entered at the other", n)
 	}
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -24,13 +24,13 @@
 
 // FollowerConfig is what a follower is told at its start.
 type FollowerConfig struct {
-	Cluster      string
-	Name         string // that in its certificate
-	Data         string // its file
-	Credentials  raftnode.Credentials
-	Members      map[uint64]string // addresses of their streams
-	KeysAnywhere bool
-	Beat         time.Duration // between two signs of life; 0: streamBeat
+	Cluster             string
+	Name                string // that in its certificate
+	DataFile            string // its file
+	Credentials         raftnode.Credentials
+	MemberStreamAddrs   map[uint64]string // addresses of their streams
+	DisableKeyOwnership bool
+	HeartbeatInterval   time.Duration // between two signs of life; 0: streamBeat
 }
 
 // Figures of a follower.
@@ -51,50 +51,50 @@
 
 // FollowerStatus is how a follower stands, by itself.
 type FollowerStatus struct {
-	Name    string                 `json:"name"`
-	Running *configstream.Ref      `json:"running,omitempty"`
-	Member  uint64                 `json:"member,omitempty"` // that it hears; 0: none
-	AgeMs   int64                  `json:"age_ms"`           // since a quorum last confirmed what runs; -1: not since it is in force
-	Serves  bool                   `json:"serves"`
-	Note    string                 `json:"note,omitempty"`
-	Refused []configstream.Refusal `json:"refused,omitempty"`
+	Name           string                 `json:"name"`
+	Running        *configstream.Ref      `json:"running,omitempty"`
+	MemberID       uint64                 `json:"member,omitempty"` // that it hears; 0: none
+	ConfirmedAgeMs int64                  `json:"age_ms"`           // since a quorum last confirmed what runs; -1: not since it is in force
+	IsServing      bool                   `json:"serves"`
+	Note           string                 `json:"note,omitempty"`
+	Rejected       []configstream.Refusal `json:"refused,omitempty"`
 }
 
-// Hands is what a [Feed] has others do. Keep, Check and Install are called one at a time and may take long.
-type Hands struct {
-	Keep    func(*configstream.Disk) error                     // returns once it is synced
+// StreamHandlers is what a [StreamClient] has others do. Keep, Check and Install are called one at a time and may take long.
+type StreamHandlers struct {
+	Persist func(*configstream.Disk) error                     // returns once it is synced
 	Check   func(*configstream.Version) []configstream.Problem // may it be put in force?
 	Install func(*configstream.Version) error                  // puts it in force
 	Confirm func(at, homes time.Time, sure, homesSure bool)    // what runs, and its homes, were confirmed to be the newest then
 }
 
-// Feed is a follower's end of the stream, without an instance.
-type Feed struct {
+// StreamClient is a follower's end of the stream, without an instance.
+type StreamClient struct {
 	cfg   *FollowerConfig
-	hands Hands
+	hands StreamHandlers
 	log   *log.Logger
 	begun time.Time
 
 	mu     sync.Mutex
 	f      *configstream.Follower
-	client *configstreampb.Client // nil: no stream
+	client *configstreampb.FollowerStream // nil: no stream
 	member uint64
 	hears  bool                     // it has said something on this stream
 	work   chan configstream.Action // Keep, Check and Install, of which one is under way
 	send   chan any                 // of the stream
 }
 
-// NewFeed returns a feed of a follower that has kept a disk. It does nothing before [Feed.Run].
-func NewFeed(cfg *FollowerConfig, disk configstream.Disk, hands Hands, logger *log.Logger) *Feed {
-	f := &Feed{cfg: cfg, hands: hands, log: logger, begun: time.Now(), work: make(chan configstream.Action, 1), send: make(chan any, streamQueue)}
+// NewStreamClient returns a feed of a follower that has kept a disk. It does nothing before [StreamClient.Run].
+func NewStreamClient(cfg *FollowerConfig, disk configstream.Disk, hands StreamHandlers, logger *log.Logger) *StreamClient {
+	f := &StreamClient{cfg: cfg, hands: hands, log: logger, begun: time.Now(), work: make(chan configstream.Action, 1), send: make(chan any, streamQueue)}
 	var first []configstream.Action
-	f.f, first = configstream.NewFollower(configstream.FollowerConfig{Name: cfg.Name, Process: rand.Uint64(), Beat: cmp.Or(cfg.Beat, streamBeat), Silence: min(quietBeats*cmp.Or(cfg.Beat, streamBeat), streamSilence), Tries: followerTries}, disk)
+	f.f, first = configstream.NewFollower(configstream.FollowerConfig{Name: cfg.Name, Process: rand.Uint64(), Beat: cmp.Or(cfg.HeartbeatInterval, streamBeat), Silence: min(quietBeats*cmp.Or(cfg.HeartbeatInterval, streamBeat), streamSilence), Tries: followerTries}, disk)
 	f.carry(first)
 	return f
 }
 
 // Run keeps the feed going until ctx ends.
-func (f *Feed) Run(ctx context.Context) {
+func (f *StreamClient) Run(ctx context.Context) {
 	var side sync.WaitGroup
 	side.Go(func() { f.worker(ctx) })
 	f.stream(ctx)
@@ -107,7 +107,7 @@
 	gate *gateway.Config
 	file *followerFile
 	in   *gateway.Instance
-	feed *Feed
+	feed *StreamClient
 
 	// Of the feed's worker.
 	setup setups
@@ -121,15 +121,15 @@
 	if h, err := cfg.Credentials.Holder(); err != nil || h.Cluster != cfg.Cluster || h.Follower != cfg.Name {
 		return fmt.Errorf("certificate: is that of follower %q of %q, not of %q of %q: %w", h.Follower, h.Cluster, cfg.Name, cfg.Cluster, err)
 	}
-	file, disk, err := openFollowerFile(cfg.Data, cfg.Cluster, cfg.Name)
+	file, disk, err := openFollowerFile(cfg.DataFile, cfg.Cluster, cfg.Name)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, file.close()) }()
 	if disk.Good == nil {
-		logger.Printf("follower %s: nothing is kept in %s: waits for a version that a quorum confirms", cfg.Name, cfg.Data)
+		logger.Printf("follower %s: nothing is kept in %s: waits for a version that a quorum confirms", cfg.Name, cfg.DataFile)
 	}
-	if !cfg.KeysAnywhere {
+	if !cfg.DisableKeyOwnership {
 		gate.Keys = &multisite.Config{Me: anyFollower, Incarnation: disk.Starts, Lease: keyLease, Life: keyLife, Memory: keyMemory, Most: keysMost}
 	}
 	if gate.Agreed == nil {
@@ -147,10 +147,10 @@
 	case err := <-ended:
 		return err
 	}
-	if !cfg.KeysAnywhere && cfg.Beat == 0 {
-		cfg.Beat = keyBeat
+	if !cfg.DisableKeyOwnership && cfg.HeartbeatInterval == 0 {
+		cfg.HeartbeatInterval = keyBeat
 	}
-	f.feed = NewFeed(cfg, disk, Hands{file.keep, f.check, f.install, f.confirm}, logger)
+	f.feed = NewStreamClient(cfg, disk, StreamHandlers{file.save, f.check, f.install, f.confirm}, logger)
 	life, stop := context.WithCancel(context.Background())
 	var side sync.WaitGroup
 	defer side.Wait()
@@ -217,21 +217,21 @@
 // Status is how the follower stands.
 func (f *Follower) Status() FollowerStatus {
 	s := f.feed.Status()
-	_, s.Serves = f.in.Standing(time.Now())
+	_, s.IsServing = f.in.Standing(time.Now())
 	return s
 }
 
-func (f *Feed) now() time.Duration { return time.Since(f.begun) }
+func (f *StreamClient) now() time.Duration { return time.Since(f.begun) }
 
 // do has the follower's side decide, and carries out what comes of it.
-func (f *Feed) do(step func(f *configstream.Follower, now time.Duration) []configstream.Action) {
+func (f *StreamClient) do(step func(f *configstream.Follower, now time.Duration) []configstream.Action) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.carry(step(f.f, f.now()))
 }
 
 // carry hands actions on: nothing here waits. Called under the mutex.
-func (f *Feed) carry(as []configstream.Action) {
+func (f *StreamClient) carry(as []configstream.Action) {
 	for _, a := range as {
 		switch {
 		case a.Send != nil:
@@ -248,7 +248,7 @@
 	}
 }
 
-func (f *Feed) post(msg any) {
+func (f *StreamClient) post(msg any) {
 	select {
 	case f.send <- msg:
 	default:
@@ -256,7 +256,7 @@
 	}
 }
 
-func (f *Feed) leave(why string) {
+func (f *StreamClient) leave(why string) {
 	if f.client != nil {
 		f.log.Printf("stream: member %d is left: %s", f.member, why)
 		f.client.Abort()
@@ -264,7 +264,7 @@
 }
 
 // worker does what may take long: it writes, checks and installs.
-func (f *Feed) worker(ctx context.Context) {
+func (f *StreamClient) worker(ctx context.Context) {
 	for {
 		var a configstream.Action
 		select {
@@ -274,7 +274,7 @@
 		}
 		switch {
 		case a.Keep != nil:
-			err := f.hands.Keep(a.Keep)
+			err := f.hands.Persist(a.Keep)
 			f.do(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Kept(now, err) })
 		case a.Check != nil:
 			problems := f.hands.Check(a.Check)
@@ -308,16 +308,16 @@
 }
 
 // stream keeps a stream to one member after the other until ctx ends.
-func (f *Feed) stream(ctx context.Context) {
+func (f *StreamClient) stream(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	seat := configstream.NewSeat(configstream.SeatConfig{Name: f.cfg.Name, Members: slices.Sorted(maps.Keys(f.cfg.Members)), Least: followerLeast, Most: followerMost}, rng)
+	seat := configstream.NewSeat(configstream.SeatConfig{Name: f.cfg.Name, Members: slices.Sorted(maps.Keys(f.cfg.MemberStreamAddrs)), Least: followerLeast, Most: followerMost}, rng)
 	for ctx.Err() == nil {
 		member := seat.Next()
 		heard, err := f.follow(ctx, member)
 		if ctx.Err() != nil {
 			return
 		}
-		why := configstreampb.Why(err)
+		why := configstreampb.EndReason(err)
 		if why == "" {
 			why = err.Error()
 		}
@@ -331,14 +331,14 @@
 }
 
 // follow has one stream, until it ends. heard tells whether the member said anything.
-func (f *Feed) follow(ctx context.Context, member uint64) (heard bool, err error) {
+func (f *StreamClient) follow(ctx context.Context, member uint64) (heard bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	tls := f.cfg.Credentials.TLS()
 	tls.NextProtos = []string{"h2"}
 	t := &http.Transport{TLSClientConfig: tls, ForceAttemptHTTP2: true, TLSHandshakeTimeout: 2 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer t.CloseIdleConnections()
-	client := configstreampb.Dial(ctx, &http.Client{Transport: t}, f.cfg.Members[member], cancel)
+	client := configstreampb.Dial(ctx, &http.Client{Transport: t}, f.cfg.MemberStreamAddrs[member], cancel)
 	f.mu.Lock()
 	for len(f.send) > 0 { // of the stream before
 		<-f.send
@@ -358,7 +358,7 @@
 	sent := make(chan error, 1)
 	work.Go(func() {
 		err := client.Send(hello)
-		tick := time.NewTicker(cmp.Or(f.cfg.Beat, streamBeat) / 4)
+		tick := time.NewTicker(cmp.Or(f.cfg.HeartbeatInterval, streamBeat) / 4)
 		defer tick.Stop()
 		for err == nil {
 			select {
@@ -378,7 +378,7 @@
 		if err != nil {
 			cancel()
 			client.Close()
-			if e := <-sent; e != nil && !errors.Is(e, context.Canceled) && configstreampb.Why(err) == "" {
+			if e := <-sent; e != nil && !errors.Is(e, context.Canceled) && configstreampb.EndReason(err) == "" {
 				err = e
 			}
 			return heard, err
@@ -400,7 +400,7 @@
 }
 
 // confirm tells what a quorum has confirmed.
-func (f *Feed) confirm() {
+func (f *StreamClient) confirm() {
 	f.mu.Lock()
 	at, sure := f.f.Confirmed()
 	homes, homesSure := f.f.Homes()
@@ -409,15 +409,15 @@
 }
 
 // Status is how the follower stands; what serves is not the feed's to say.
-func (f *Feed) Status() FollowerStatus {
+func (f *StreamClient) Status() FollowerStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := FollowerStatus{Name: f.cfg.Name, Running: f.f.Running(), AgeMs: -1, Note: f.f.Note(), Refused: slices.Clone(f.f.Refused())}
+	s := FollowerStatus{Name: f.cfg.Name, Running: f.f.Running(), ConfirmedAgeMs: -1, Note: f.f.Note(), Rejected: slices.Clone(f.f.Refused())}
 	if f.hears {
-		s.Member = f.member
+		s.MemberID = f.member
 	}
 	if at, sure := f.f.Confirmed(); sure {
-		s.AgeMs = (f.now() - at).Milliseconds()
+		s.ConfirmedAgeMs = (f.now() - at).Milliseconds()
 	}
 	return s
 }
--- a/internal/cluster/followerfile.go
+++ b/internal/cluster/followerfile.go
@@ -46,14 +46,14 @@
 	Refused  []configstream.Refusal `json:"refused,omitempty"`
 }
 
-// ErrFollowerFile says that a follower's file can't be used.
-var ErrFollowerFile = errors.New("is no file of this follower: move it away, and it begins with what a quorum confirms")
+// ErrInvalidFollowerFile says that a follower's file can't be used.
+var ErrInvalidFollowerFile = errors.New("is no file of this follower: move it away, and it begins with what a quorum confirms")
 
 // openFollowerFile opens a follower's file, or makes it, and counts the start.
 func openFollowerFile(path, cluster, name string) (f *followerFile, d configstream.Disk, err error) {
 	defer func() {
 		if p := recover(); p != nil { // pages that can't be
-			err = fmt.Errorf("%s: %w: %v", path, ErrFollowerFile, p)
+			err = fmt.Errorf("%s: %w: %v", path, ErrInvalidFollowerFile, p)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType})
@@ -62,7 +62,7 @@
 	}
 	if err != nil {
 		if _, e := os.Stat(path); e == nil {
-			err = fmt.Errorf("%w: %w", ErrFollowerFile, err)
+			err = fmt.Errorf("%w: %w", ErrInvalidFollowerFile, err)
 		}
 		return nil, d, fmt.Errorf("%s: %w", path, err)
 	}
@@ -83,7 +83,7 @@
 		}
 		var head fileHead
 		if json.Unmarshal(text, &head) != nil || head != want {
-			return fmt.Errorf("%w: it is that of %q of cluster %q, in form %d", ErrFollowerFile, head.Name, head.Cluster, head.Form)
+			return fmt.Errorf("%w: it is that of %q of cluster %q, in form %d", ErrInvalidFollowerFile, head.Name, head.Cluster, head.Form)
 		}
 		return nil
 	})
@@ -92,7 +92,7 @@
 	}
 	if err == nil {
 		d.Starts++
-		err = f.keep(&d)
+		err = f.save(&d)
 	}
 	if err != nil {
 		return nil, d, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
@@ -111,7 +111,7 @@
 		}
 		var in fileDisk
 		if err := json.Unmarshal(text, &in); err != nil {
-			return fmt.Errorf("%w: %w", ErrFollowerFile, err)
+			return fmt.Errorf("%w: %w", ErrInvalidFollowerFile, err)
 		}
 		d = configstream.Disk{Starts: in.Starts, InForce: in.InForce, Tries: in.Tries, Received: in.Received, Checks: in.Checks, Refused: in.Refused}
 		for _, v := range []struct {
@@ -130,7 +130,7 @@
 				err = configstream.ErrDamaged
 			}
 			if err != nil {
-				return fmt.Errorf("%w: version %v: %w", ErrFollowerFile, v.ref, err)
+				return fmt.Errorf("%w: version %v: %w", ErrInvalidFollowerFile, v.ref, err)
 			}
 		}
 		return nil
@@ -138,8 +138,8 @@
 	return d, err
 }
 
-// keep writes the Disk and returns once it is synced.
-func (f *followerFile) keep(d *configstream.Disk) error {
+// save writes the Disk and returns once it is synced.
+func (f *followerFile) save(d *configstream.Disk) error {
 	out := fileDisk{Starts: d.Starts, InForce: d.InForce, Tries: d.Tries, Received: d.Received, Checks: d.Checks, Refused: d.Refused}
 	return f.db.Update(func(tx *bbolt.Tx) error {
 		contents := tx.Bucket(bucketContents)
--- a/internal/cluster/homes.go
+++ b/internal/cluster/homes.go
@@ -38,7 +38,7 @@
 
 // judgeHalls has the leader propose what becomes of the halls, until ctx ends. Any member might:
 // a second proposal of the same is refused.
-func (f *Fleet) judgeHalls(ctx context.Context) {
+func (f *Member) judgeHalls(ctx context.Context) {
 	tick := time.NewTicker(hallJudge)
 	defer tick.Stop()
 	states := map[string]string{}
@@ -70,7 +70,7 @@
 }
 
 // proposeHall proposes that a hall is lost or back.
-func (f *Fleet) proposeHall(ctx context.Context, c multisite.HallChange) error {
+func (f *Member) proposeHall(ctx context.Context, c multisite.HallChange) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	s, err := f.node.Freeze(ctx)
@@ -85,7 +85,7 @@
 	case !c.Lost:
 		word = fmt.Sprintf("back with %d of 8 of its keys", c.Part)
 	}
-	p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%s-%v-%d-%d", c.Hall, c.Lost, c.Part, s.Homes()), Author: fmt.Sprint("member ", f.cfg.Member),
+	p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%s-%v-%d-%d", c.Hall, c.Lost, c.Part, s.Homes()), Author: fmt.Sprint("member ", f.cfg.MemberID),
 		Why: c.Why, AtMs: time.Now().UnixMilli(), Changes: []clusterconfig.Change{change}}
 	if err := s.Check(p); err != nil {
 		return err
@@ -99,7 +99,7 @@
 
 // takeHomes has the instance take over the epoch of homes that is applied here, with the
 // members of the same moment, and returns it.
-func (f *Fleet) takeHomes(ctx context.Context) uint64 {
+func (f *Member) takeHomes(ctx context.Context) uint64 {
 	if f.gate.Keys == nil {
 		return 0
 	}
@@ -135,7 +135,7 @@
 }
 
 // tellKeys tells the other instances which keys this one has sent, until ctx ends.
-func (f *Fleet) tellKeys(ctx context.Context) {
+func (f *Member) tellKeys(ctx context.Context) {
 	tick := time.NewTicker(keysTell)
 	defer tick.Stop()
 	for {
@@ -159,7 +159,7 @@
 }
 
 // hearKeys takes in what another instance tells.
-func (f *Fleet) hearKeys(from uint64, text []byte) {
+func (f *Member) hearKeys(from uint64, text []byte) {
 	if f.streams.hear(from, text) {
 		return
 	}
--- a/internal/cluster/stream.go
+++ b/internal/cluster/stream.go
@@ -43,7 +43,7 @@
 
 // streams serves followers. The publisher decides; what it returns goes out after the lock.
 type streams struct {
-	f     *Fleet
+	f     *Member
 	begun time.Time
 
 	mu     sync.Mutex
@@ -60,10 +60,10 @@
 	end chan string // why; the first counts
 }
 
-func newStreams(f *Fleet) *streams {
+func newStreams(f *Member) *streams {
 	return &streams{f: f, begun: time.Now(), conns: map[uint64]*conn{}, worded: map[*configstream.Body]*configstreampb.Push{},
-		pub: configstream.NewPublisher(configstream.PublisherConfig{Member: f.cfg.Member, Silence: streamSilence, Answer: streamAnswer, Unsure: streamUnsure,
-			Held: streamHeld, Most: streamMost, PerS: streamPerS, Burst: streamBurst, FullOnly: f.cfg.StreamFull}, rand.Uint64())}
+		pub: configstream.NewPublisher(configstream.PublisherConfig{Member: f.cfg.MemberID, Silence: streamSilence, Answer: streamAnswer, Unsure: streamUnsure,
+			Held: streamHeld, Most: streamMost, PerS: streamPerS, Burst: streamBurst, FullOnly: f.cfg.SendFullVersions}, rand.Uint64())}
 }
 
 func (s *streams) now() time.Duration { return time.Since(s.begun) }
@@ -85,10 +85,10 @@
 		case o.Push != nil:
 			body, ok := s.worded[o.Push.Body]
 			if !ok {
-				body = configstreampb.WordBody(o.Push.Body)
+				body = configstreampb.EncodeBody(o.Push.Body)
 				s.worded[o.Push.Body] = body
 			}
-			msg = configstreampb.Word(o.Push, body)
+			msg = configstreampb.NewPush(o.Push, body)
 		default:
 			msg = o.Pong
 		}
@@ -145,7 +145,7 @@
 // serve serves followers until ctx ends.
 func (s *streams) serve(ctx context.Context, ln net.Listener, side *sync.WaitGroup) *http.Server {
 	srv := &http.Server{ErrorLog: s.f.log, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, TLSConfig: s.f.cfg.Credentials.TLS(),
-		BaseContext: func(net.Listener) context.Context { return ctx }, Handler: configstreampb.Handler(s.follow)}
+		BaseContext: func(net.Listener) context.Context { return ctx }, Handler: configstreampb.NewHandler(s.follow)}
 	side.Go(func() { srv.ServeTLS(admitted{ln, s}, "", "") }) // ends with Close
 	side.Go(func() {
 		tick, tell, stir := time.NewTicker(streamTick), time.NewTicker(streamTell), time.NewTicker(streamStir)
@@ -220,10 +220,10 @@
 }
 
 // follow serves one follower.
-func (s *streams) follow(ctx context.Context, st *configstreampb.Stream) error {
+func (s *streams) follow(ctx context.Context, st *configstreampb.MemberStream) error {
 	name, err := s.who(st.Request)
 	if err != nil {
-		return configstreampb.Ended(err.Error())
+		return configstreampb.NewEndError(err.Error())
 	}
 	c := &conn{out: make(chan any, streamQueue), end: make(chan string, 1)}
 	received := make(chan any)
@@ -271,18 +271,18 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return configstreampb.Ended("the member stops")
+			return configstreampb.NewEndError("the member stops")
 		case why := <-c.end:
-			return configstreampb.Ended(why)
+			return configstreampb.NewEndError(why)
 		case <-late.C:
 			if id == 0 {
-				return configstreampb.Ended("no hello came")
+				return configstreampb.NewEndError("no hello came")
 			}
 		case msg := <-received:
 			switch m := msg.(type) {
 			case configstream.Hello:
 				if id != 0 {
-					return configstreampb.Ended("a second hello")
+					return configstreampb.NewEndError("a second hello")
 				}
 				m.Name = name
 				s.do(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
@@ -318,22 +318,22 @@
 	return h.Follower, nil
 }
 
-// Followers is what a member answers of the followers.
-type Followers struct {
-	Member    uint64                  `json:"member"` // that was asked
-	Newest    uint64                  `json:"newest"` // version here
-	Followers []configstream.Standing `json:"followers"`
+// FollowerList is what a member answers of the followers.
+type FollowerList struct {
+	MemberID      uint64                  `json:"member"` // that was asked
+	NewestVersion uint64                  `json:"newest"` // version here
+	Followers     []configstream.Standing `json:"followers"`
 }
 
-func (f *Fleet) standings(ctx context.Context, _ *http.Request) (any, error) {
+func (f *Member) standings(ctx context.Context, _ *http.Request) (any, error) {
 	if f.streams == nil {
 		return nil, bad("stream: this member serves no followers: it has no cluster.stream")
 	}
 	f.streams.mu.Lock()
 	defer f.streams.mu.Unlock()
-	out := &Followers{Member: f.cfg.Member, Followers: f.streams.pub.Standings(f.streams.now())}
+	out := &FollowerList{MemberID: f.cfg.MemberID, Followers: f.streams.pub.Standings(f.streams.now())}
 	if v := f.streams.pub.Newest(); v != nil {
-		out.Newest = v.Number
+		out.NewestVersion = v.Number
 	}
 	return out, nil
 }
--- a/internal/configstreampb/fixture_test.go
+++ b/internal/configstreampb/fixture_test.go
@@ -82,27 +82,27 @@
 			got, err := c.Receive()
 			check(got, m, err)
 		}
-		if _, err := c.Receive(); Why(err) != "enough" {
+		if _, err := c.Receive(); EndReason(err) != "enough" {
 			t.Errorf("%v", err)
 		}
 	})
 
 	// A member's messages, as a bare client sees them, which sends the recorded ones of a follower.
 	t.Run("member", func(t *testing.T) {
-		srv := serve(Handler(func(_ context.Context, s *Stream) error {
+		srv := serve(NewHandler(func(_ context.Context, s *MemberStream) error {
 			for _, m := range fromFollower {
 				got, err := s.Receive()
 				check(got, m, err)
 			}
 			for _, m := range fromMember {
 				if p, ok := m.(*configstream.Push); ok {
-					m = Word(p, WordBody(p.Body))
+					m = NewPush(p, EncodeBody(p.Body))
 				}
 				if err := s.Send(m); err != nil {
 					return err
 				}
 			}
-			return Ended("enough")
+			return NewEndError("enough")
 		}))
 		parts := bytes.SplitN(fixture.Read(t, "follower.bin"), []byte("\n"), 3)
 		method, path, _ := strings.Cut(string(parts[0]), " ")
--- a/internal/configstreampb/wire.go
+++ b/internal/configstreampb/wire.go
@@ -23,78 +23,78 @@
 
 const (
 	procedure = "/mulleinmux.stream.v1.Configuration/Follow"
-	// MaxMessage bounds a message: a description of 16 MB and 100,000 licensees fit.
-	MaxMessage = 64 << 20
-	maxReport  = 1 << 20 // what a follower may say at a time
+	// MaxMessageBytes bounds a message: a description of 16 MB and 100,000 licensees fit.
+	MaxMessageBytes = 64 << 20
+	maxReport       = 1 << 20 // what a follower may say at a time
 )
 
-// Stream is a member's end of a stream. Receive may be called beside Send, and each by one goroutine at a time.
-type Stream struct {
+// MemberStream is a member's end of a stream. Receive may be called beside Send, and each by one goroutine at a time.
+type MemberStream struct {
 	Request *http.Request // whose TLS state tells who follows
 	bidi    *connect.BidiStream[FromFollower, FromMember]
 	control *http.ResponseController
 }
 
-// Handler serves streams: f has one until it returns, which ends it.
-func Handler(f func(context.Context, *Stream) error) http.Handler {
+// NewHandler serves streams: f has one until it returns, which ends it.
+func NewHandler(f func(context.Context, *MemberStream) error) http.Handler {
 	type key struct{}
 	h := connect.NewBidiStreamHandler(procedure, func(ctx context.Context, s *connect.BidiStream[FromFollower, FromMember]) error {
-		out := ctx.Value(key{}).(*Stream)
+		out := ctx.Value(key{}).(*MemberStream)
 		out.bidi = s
 		return f(ctx, out)
 	}, connect.WithReadMaxBytes(maxReport))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s := &Stream{Request: r, control: http.NewResponseController(w)}
+		s := &MemberStream{Request: r, control: http.NewResponseController(w)}
 		h.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), key{}, s)))
 	})
 }
 
 // Abort has what is sent and received end: at once, or for what is sent after a moment, in which an end can still be told.
-func (s *Stream) Abort() {
+func (s *MemberStream) Abort() {
 	s.control.SetReadDeadline(time.Now())
 	s.control.SetWriteDeadline(time.Now().Add(time.Second))
 }
 
-// Client is a follower's end.
-type Client struct {
+// FollowerStream is a follower's end.
+type FollowerStream struct {
 	bidi   *connect.BidiStreamForClient[FromFollower, FromMember]
 	cancel context.CancelFunc
 }
 
 // Dial begins a stream with the member at an address; ctx ends it, and cancel must be what ends ctx. It is there once the
 // first message has been sent.
-func Dial(ctx context.Context, h *http.Client, at string, cancel context.CancelFunc) *Client {
-	c := connect.NewClient[FromFollower, FromMember](h, "https://"+at+procedure, connect.WithReadMaxBytes(MaxMessage))
-	return &Client{c.CallBidiStream(ctx), cancel}
+func Dial(ctx context.Context, h *http.Client, at string, cancel context.CancelFunc) *FollowerStream {
+	c := connect.NewClient[FromFollower, FromMember](h, "https://"+at+procedure, connect.WithReadMaxBytes(MaxMessageBytes))
+	return &FollowerStream{c.CallBidiStream(ctx), cancel}
 }
 
 // Abort ends the stream at once; it may be called beside everything else.
-func (c *Client) Abort() { c.cancel() }
+func (c *FollowerStream) Abort() { c.cancel() }
 
 // Close ends the stream.
-func (c *Client) Close() error {
+func (c *FollowerStream) Close() error {
 	c.bidi.CloseRequest()
 	return c.bidi.CloseResponse()
 }
 
-// Why is what the member said as it ended a stream; empty where the error says nothing of that kind.
-func Why(err error) string {
+// EndReason is what the member said as it ended a stream; empty where the error says nothing of that kind.
+func EndReason(err error) string {
 	if e, ok := errors.AsType[*connect.Error](err); ok && e.Code() == connect.CodeUnavailable {
 		return e.Message()
 	}
 	return ""
 }
 
-// Ended is the error with which a member ends a stream, for a reason that the follower is told.
-func Ended(why string) error {
+// NewEndError is the error with which a member ends a stream, for a reason that the follower is told.
+func NewEndError(why string) error {
 	return connect.NewError(connect.CodeUnavailable, errors.New(why))
 }
 
 // Send sends a [*Push] or a [*configstream.Pong].
-func (s *Stream) Send(v any) error {
+func (s *MemberStream) Send(v any) error {
 	out := &FromMember{}
 	switch v := v.(type) {
-	case *Push: // worded before: see [Word]
+	case *Push: // worded before: see [NewPush]
 		out.Body = &FromMember_Push{v}
 	case *configstream.Pong:
 		out.Body = &FromMember_Pong{&Pong{Seq: v.Seq, Newest: fromRef(&v.Newest), Homes: v.Homes, Confirmed: v.Confirmed, Twin: v.Twin}}
@@ -105,7 +105,7 @@
 }
 
 // Receive returns a [configstream.Hello], a [configstream.Report] or the number of a sign of life.
-func (s *Stream) Receive() (any, error) {
+func (s *MemberStream) Receive() (any, error) {
 	in, err := s.bidi.Receive()
 	if err != nil {
 		return nil, err
@@ -134,7 +134,7 @@
 }
 
 // Send sends a [configstream.Hello], a [configstream.Report] or the number of a sign of life.
-func (c *Client) Send(v any) error {
+func (c *FollowerStream) Send(v any) error {
 	out := &FromFollower{}
 	switch v := v.(type) {
 	case configstream.Hello:
@@ -155,7 +155,7 @@
 }
 
 // Receive returns a [*configstream.Push] or a [*configstream.Pong].
-func (c *Client) Receive() (any, error) {
+func (c *FollowerStream) Receive() (any, error) {
 	in, err := c.bidi.Receive()
 	if err != nil {
 		return nil, err
@@ -178,14 +178,14 @@
 	return &configstream.Push{Nonce: p.Nonce, Body: b, Confirmed: p.Confirmed}, nil
 }
 
-// Word words a push. Pushes of one body share what is dear.
-func Word(p *configstream.Push, body *Push) *Push {
+// NewPush words a push. Pushes of one body share what is dear.
+func NewPush(p *configstream.Push, body *Push) *Push {
 	return &Push{Nonce: p.Nonce, Confirmed: p.Confirmed, Ref: body.Ref, Base: body.Base, Format: body.Format, Hash: body.Hash, Homes: body.Homes,
 		Places: body.Places, Put: body.Put, Removed: body.Removed}
 }
 
-// WordBody words what pushes of one body share.
-func WordBody(b *configstream.Body) *Push {
+// EncodeBody words what pushes of one body share.
+func EncodeBody(b *configstream.Body) *Push {
 	out := &Push{Ref: fromRef(&b.Ref), Base: fromRef(b.Base), Format: uint32(b.Format), Hash: b.Hash, Homes: b.Homes, Places: b.Places, Removed: b.Removed}
 	for _, o := range b.Put {
 		out.Put = append(out.Put, &Object{Key: o.Key, Value: o.Value})
--- a/internal/configstreampb/wire_test.go
+++ b/internal/configstreampb/wire_test.go
@@ -28,7 +28,7 @@
 // A push arrives as it was sent, with fields of a newer program beside; one that breaks a rule of the schema is turned down.
 func TestPush(t *testing.T) {
 	v := agreed(t)
-	push := Word(&configstream.Push{Nonce: 7, Body: v.Body(nil), Confirmed: true}, WordBody(v.Body(nil)))
+	push := NewPush(&configstream.Push{Nonce: 7, Body: v.Body(nil), Confirmed: true}, EncodeBody(v.Body(nil)))
 	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{push}})
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 // Whatever comes from a member is turned down or makes a version with the digest that it names.
 func FuzzPush(f *testing.F) {
 	v := agreed(f)
-	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{Word(&configstream.Push{Nonce: 7, Body: v.Body(nil)}, WordBody(v.Body(nil)))}})
+	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{NewPush(&configstream.Push{Nonce: 7, Body: v.Body(nil)}, EncodeBody(v.Body(nil)))}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/gatewayconfig/fleet.go
+++ b/internal/gatewayconfig/fleet.go
@@ -12,18 +12,18 @@
 	"mulleinmux/internal/gateway"
 )
 
-// Fleet is the file of what instances agree on: halls, classes, plans and licensees in the
+// ClusterFile is the file of what instances agree on: halls, classes, plans and licensees in the
 // form that they have in an instance's file, and a description's file name.
-type Fleet struct {
+type ClusterFile struct {
 	Description string // file name, as written
 	Objects     map[string]map[string]json.RawMessage
 }
 
-// FleetKinds are the kinds of objects that such a file says all of.
-var FleetKinds = []string{"class", "description", "follower", "hall", "licensee", "limit", "plan"}
+// ClusterFileKinds are the kinds of objects that such a file says all of.
+var ClusterFileKinds = []string{"class", "description", "follower", "hall", "licensee", "limit", "plan"}
 
-// ParseFleet reads a file's text. The error is [contract.Problems].
-func ParseFleet(file string, text []byte) (*Fleet, error) {
+// ParseClusterFile reads a file's text. The error is [contract.Problems].
+func ParseClusterFile(file string, text []byte) (*ClusterFile, error) {
 	r := &reader{file: file, text: text}
 	var in struct {
 		MostUnits int `toml:"most_units"`
@@ -50,7 +50,7 @@
 	r.halls(&in.shared, &c)
 	r.classes(&in.shared, &c)
 	r.plans(&in.shared, &c)
-	out := &Fleet{Description: in.Description, Objects: map[string]map[string]json.RawMessage{}}
+	out := &ClusterFile{Description: in.Description, Objects: map[string]map[string]json.RawMessage{}}
 	put := func(kind, name string, v any) {
 		text, err := json.Marshal(v)
 		if err != nil || strings.ContainsAny(name, "/\n\x00") || len(name) > 200 {
--- a/internal/gatewayconfig/gatefile.go
+++ b/internal/gatewayconfig/gatefile.go
@@ -25,29 +25,29 @@
 	Config      gateway.Config
 	Description string // file name of the description, as written
 	AccessLog   string // file name of the access log, as written; empty: none
-	Cluster     *Cluster
-	Follow      *Follow
+	Member      *MemberConfig
+	Follower    *FollowerConfig
 }
 
-// Follow is the place of an instance that is no member of a cluster and is told what its members agree on.
-type Follow struct {
-	Cluster, Name string
-	Data, Certs   string            // file and folder, as written
-	Members       map[uint64]string // addresses of their streams
-	KeysAnywhere  bool
+// FollowerConfig is the place of an instance that is no member of a cluster and is told what its members agree on.
+type FollowerConfig struct {
+	Cluster, Name       string
+	DataFile, CertDir   string            // file and folder, as written
+	MemberStreamAddrs   map[uint64]string // addresses of their streams
+	DisableKeyOwnership bool
 }
 
-// Cluster is an instance's place among those that agree on what they serve. Without it the
+// MemberConfig is an instance's place among those that agree on what they serve. Without it the
 // file itself says that.
-type Cluster struct {
-	Name        string
-	Member      uint64
-	Data, Certs string // file and folder, as written
-	Tick        time.Duration
-	Members     map[uint64]clusterconfig.Member
-	Stream      string // address for followers; empty: none are served
+type MemberConfig struct {
+	Cluster           string
+	MemberID          uint64
+	DataFile, CertDir string // file and folder, as written
+	TickInterval      time.Duration
+	Members           map[uint64]clusterconfig.Member
+	StreamListenAddr  string // address for followers; empty: none are served
 
-	KeysAnywhere bool
+	DisableKeyOwnership bool
 }
 
 // duration is a struct so that a bare number is no duration.
@@ -359,31 +359,31 @@
 // follow reads the place of an instance that is told what a cluster agrees on.
 func (r *reader) follow(in *raw, out *File) {
 	c := in.Follow
-	k := &Follow{Cluster: c.Cluster, Name: c.Name, Data: c.Data, Certs: c.Certs, Members: map[uint64]string{}}
-	out.Follow = k
+	k := &FollowerConfig{Cluster: c.Cluster, Name: c.Name, DataFile: c.Data, CertDir: c.Certs, MemberStreamAddrs: map[uint64]string{}}
+	out.Follower = k
 	r.need("follow", [][2]string{{"cluster", c.Cluster}, {"name", c.Name}, {"data", c.Data}, {"certs", c.Certs}})
 	if strings.Contains(c.Cluster+c.Name, "/") {
 		r.bad("follow.name", "%q or the cluster's has a slash", c.Name)
 	}
 	for i, m := range c.Members {
 		at := fmt.Sprintf("follow.member[%d]", i)
-		if _, twice := k.Members[m.Number]; m.Number == 0 || twice {
+		if _, twice := k.MemberStreamAddrs[m.Number]; m.Number == 0 || twice {
 			r.bad(at+".number", "%d is 0 or stands twice", m.Number)
 		}
-		k.Members[m.Number] = r.address(at+".stream", m.Stream).String()
+		k.MemberStreamAddrs[m.Number] = r.address(at+".stream", m.Stream).String()
 	}
 	if len(c.Members) == 0 {
 		r.bad("follow.member", "none is named: add a [[follow.member]] with number and stream")
 	}
 	out.Config.Agreed = r.stale("follow", c.StaleAfter, c.WhenStale)
-	k.KeysAnywhere = r.keys("follow", c.Keys)
+	k.DisableKeyOwnership = r.keys("follow", c.Keys)
 }
 
 // cluster reads an instance's place in a cluster, which agrees on the rest.
 func (r *reader) cluster(in *raw, out *File) {
 	c := in.Cluster
-	k := &Cluster{Name: c.Name, Member: c.Number, Data: c.Data, Certs: c.Certs, Tick: c.Tick.d, Members: map[uint64]clusterconfig.Member{}}
-	out.Cluster = k
+	k := &MemberConfig{Cluster: c.Name, MemberID: c.Number, DataFile: c.Data, CertDir: c.Certs, TickInterval: c.Tick.d, Members: map[uint64]clusterconfig.Member{}}
+	out.Member = k
 	r.need("cluster", [][2]string{{"name", c.Name}, {"data", c.Data}, {"certs", c.Certs}})
 	if strings.Contains(c.Name, "/") {
 		r.bad("cluster.name", "%q has a slash", c.Name)
@@ -402,9 +402,9 @@
 		r.bad("cluster.tick", "%v is outside 1ms to 1s", c.Tick.d)
 	}
 	out.Config.Agreed = r.stale("cluster", c.StaleAfter, c.WhenStale)
-	k.KeysAnywhere = r.keys("cluster", c.Keys)
+	k.DisableKeyOwnership = r.keys("cluster", c.Keys)
 	if c.Stream != "" {
-		k.Stream = r.address("cluster.stream", c.Stream).String()
+		k.StreamListenAddr = r.address("cluster.stream", c.Stream).String()
 	}
 	if c.Link == nil {
 		return
--- a/internal/scenario/chaos.go
+++ b/internal/scenario/chaos.go
@@ -25,9 +25,9 @@
 
 // Chaos has a member's messages to others dropped, repeated, delayed and so reordered, and
 // syncs of its disk fail, by a seed.
-func Chaos(cfg *cluster.Config, seed uint64, logger *log.Logger) {
-	rng := rand.New(rand.NewPCG(seed, cfg.Member)) // used by the member's goroutine alone
-	cfg.Outgoing = func(send func(*pb.Message)) func(*pb.Message) {
+func Chaos(cfg *cluster.MemberConfig, seed uint64, logger *log.Logger) {
+	rng := rand.New(rand.NewPCG(seed, cfg.MemberID)) // used by the member's goroutine alone
+	cfg.WrapSend = func(send func(*pb.Message)) func(*pb.Message) {
 		return func(m *pb.Message) {
 			switch x := rng.Float64(); {
 			case x < chaosDrop:
@@ -41,7 +41,7 @@
 			send(m)
 		}
 	}
-	cfg.Disk = func(d raftnode.Disk) raftnode.Disk { return &chaosDisk{Disk: d, rng: rng, log: logger} }
+	cfg.WrapStorage = func(d raftnode.Disk) raftnode.Disk { return &chaosDisk{Disk: d, rng: rng, log: logger} }
 }
 
 // chaosDisk fails to sync now and then.
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -537,7 +537,7 @@
 				var out clusterconfig.Outcome
 				out, err = cl.Propose(one, p)
 				o.version, o.applied = out.Version, out.Applied
-				if a, ok := errors.AsType[*cluster.AnswerError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
+				if a, ok := errors.AsType[*cluster.ResponseError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
 					break
 				}
 				select {
@@ -664,7 +664,7 @@
 		c.cutOff(m, false)
 		healed := time.Now()
 		for ctx.Err() == nil {
-			if s, err := c.status(ctx, m); err == nil && s.Serves && s.AgeMs < 500 {
+			if s, err := c.status(ctx, m); err == nil && s.IsServing && s.ConfirmedAgeMs < 500 {
 				break
 			}
 			if pause(ctx, 5*time.Millisecond); time.Since(healed) > 3*time.Second {
@@ -1100,7 +1100,7 @@
 			default:
 			}
 			s, err := c.status(ctx, m)
-			if err != nil || s.Installed != s.Version {
+			if err != nil || s.InstalledVersion != s.Version {
 				break
 			}
 			mind := fmt.Sprintf("%d %s", s.Version, s.Hash)
@@ -1142,10 +1142,10 @@
 			}
 			for _, f := range c.follow {
 				i := slices.IndexFunc(fs.Followers, func(s configstream.Standing) bool { return s.Name == f.follows })
-				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.Newest {
-					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.Member, fs.Newest, f.follows, fs.Followers)
-				} else if v, err := versionAt(ctx, f); err != nil || v != fs.Newest {
-					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.Member, f.follows, fs.Newest, v, err)
+				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.NewestVersion {
+					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.MemberID, fs.NewestVersion, f.follows, fs.Followers)
+				} else if v, err := versionAt(ctx, f); err != nil || v != fs.NewestVersion {
+					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.MemberID, f.follows, fs.NewestVersion, v, err)
 				}
 			}
 		}
