--- /dev/null
+++ b/internal/cluster/admin_proposals.go
@@ -0,0 +1,135 @@
+package cluster
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"mulleinmux/clusterconfig"
+)
+
+const maxProposalIDBytes = 200
+
+// completeProposal sets a proposal's author, which the certificate names, and its time, and checks its ID.
+func (m *Member) completeProposal(r *http.Request, p *clusterconfig.Proposal) error {
+	caller, err := m.authenticate(r)
+	if err != nil {
+		return err
+	}
+	p.Author = caller.Operator
+	if p.Author == "" {
+		p.Author = memberAuthor(caller.Member)
+	}
+	if p.AtMs == 0 {
+		p.AtMs = time.Now().UnixMilli()
+	}
+	if len(p.ID) == 0 || len(p.ID) > maxProposalIDBytes {
+		return newBadRequest("id: 1 to %d bytes are wanted", maxProposalIDBytes)
+	}
+	return nil
+}
+
+// checkProposal returns what a proposal would come to.
+func (m *Member) checkProposal(ctx context.Context, r *http.Request, p *clusterconfig.Proposal) (
+	outcome clusterconfig.Outcome, err error) {
+	if err := m.completeProposal(r, p); err != nil {
+		return outcome, err
+	}
+	state, err := m.readAgreed(ctx)
+	if err != nil {
+		return outcome, err
+	}
+	return accepted(dryRun(state, p))
+}
+
+// propose has a proposal applied.
+func (m *Member) propose(ctx context.Context, r *http.Request, p *clusterconfig.Proposal) (
+	outcome clusterconfig.Outcome, err error) {
+	if err := m.completeProposal(r, p); err != nil {
+		return outcome, err
+	}
+	// A proposal that can't be applied is not sent to all members. This member's state may be behind, so its rejection
+	// counts only if the quorum's state rejects the proposal as well.
+	local, err := m.node.Freeze(ctx)
+	if err != nil {
+		return outcome, err
+	}
+	if local.Check(p) != nil {
+		outcome, settled, err := m.settleRejected(ctx, p)
+		if err != nil {
+			return outcome, err
+		}
+		if settled {
+			return accepted(outcome)
+		}
+	}
+	if outcome, err = m.node.Propose(ctx, p); err != nil {
+		return outcome, err
+	}
+	return accepted(outcome)
+}
+
+// settleRejected returns the outcome of a proposal that this member's state rejects: the recorded one of a repeated
+// proposal, or the rejection by the quorum's state. Where that would apply it, the proposal is not settled.
+func (m *Member) settleRejected(ctx context.Context, p *clusterconfig.Proposal) (
+	outcome clusterconfig.Outcome, settled bool, err error) {
+	var newest *clusterconfig.State
+	var isRepeated bool
+	err = m.node.Read(ctx, func(s *clusterconfig.State) {
+		newest = s.Freeze()
+		outcome, isRepeated = s.Outcome(p.ID)
+	})
+	if err != nil || isRepeated {
+		return outcome, isRepeated, err
+	}
+	outcome = dryRun(newest, p)
+	return outcome, !outcome.Applied, nil
+}
+
+// dryRun returns the outcome that a proposal would have, at the version of the state.
+func dryRun(state *clusterconfig.State, p *clusterconfig.Proposal) clusterconfig.Outcome {
+	if err := state.Check(p); err != nil {
+		return clusterconfig.Outcome{Version: state.Version(), Refused: err.Error()}
+	}
+	return clusterconfig.Outcome{Version: state.Version(), Applied: true}
+}
+
+// accepted turns the outcome of a rejected proposal into an error with status 409.
+func accepted(outcome clusterconfig.Outcome) (clusterconfig.Outcome, error) {
+	if !outcome.Applied {
+		return outcome, &statusError{http.StatusConflict, outcome}
+	}
+	return outcome, nil
+}
+
+// proposeMemberAddrs has all members record where a member is reached; nil removes the record.
+func (m *Member) proposeMemberAddrs(ctx context.Context, id uint64, addrs *clusterconfig.Member) error {
+	name := fmt.Sprint(id)
+	change := clusterconfig.Change{Op: changeRemove, Kind: kindMember, Name: name}
+	if addrs != nil {
+		change = clusterconfig.Put(kindMember, name, addrs)
+	}
+	state, err := m.node.Freeze(ctx)
+	if err != nil {
+		return err
+	}
+	recorded, isRecorded := state.Get(kindMember, name)
+	isRemoved := addrs == nil && !isRecorded
+	isUnchanged := addrs != nil && isRecorded && string(recorded) == string(change.Value)
+	if isRemoved || isUnchanged {
+		return nil
+	}
+	now := time.Now()
+	outcome, err := m.node.Propose(ctx, &clusterconfig.Proposal{
+		ID:      fmt.Sprintf("member-%d-%d", id, now.UnixNano()),
+		Author:  memberAuthor(m.cfg.MemberID),
+		Why:     "change of members",
+		AtMs:    now.UnixMilli(),
+		Changes: []clusterconfig.Change{change},
+	})
+	if err == nil && !outcome.Applied {
+		err = newBadRequest("%s", outcome.Refused)
+	}
+	return err
+}
--- /dev/null
+++ b/internal/cluster/admin_status.go
@@ -0,0 +1,105 @@
+package cluster
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"slices"
+	"time"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/raftnode"
+)
+
+// Status is a member's view, as operators see it.
+type Status struct {
+	raftnode.Status
+	Cluster string `json:"cluster"`
+
+	// InstalledVersion is in force at the instance. InstallError says why the agreed version is not.
+	InstalledVersion uint64 `json:"installed"`
+	// ConfirmedAgeMs is the time since a quorum last confirmed the version; -1: not since the start.
+	ConfirmedAgeMs int64  `json:"age_ms"`
+	IsServing      bool   `json:"serves"`
+	InstallError   string `json:"note,omitempty"`
+
+	SiteStates map[string]string               `json:"halls,omitempty"` // as this instance sees them
+	Members    map[uint64]clusterconfig.Member `json:"members"`         // voters and learners
+}
+
+// Objects are the agreed objects of a version, by kind and name.
+type Objects struct {
+	Version uint64                                `json:"version"`
+	Hash    string                                `json:"hash"`
+	Objects map[string]map[string]json.RawMessage `json:"objects"`
+}
+
+// status returns this member's view.
+func (m *Member) status(ctx context.Context) (*Status, error) {
+	s, err := m.node.Status(ctx)
+	if err != nil {
+		return nil, err
+	}
+	status := &Status{
+		Status:         s,
+		Cluster:        m.cfg.Cluster,
+		ConfirmedAgeMs: -1,
+		Members:        map[uint64]clusterconfig.Member{},
+	}
+	m.mu.Lock()
+	instance := m.instance
+	status.InstallError = m.installError
+	for _, id := range slices.Concat(s.Voters, s.Learners) {
+		status.Members[id] = m.members[id]
+	}
+	m.mu.Unlock()
+	if instance == nil {
+		return status, nil
+	}
+	status.InstalledVersion = instance.Version()
+	status.SiteStates = instance.HallStates()
+	age, isServing := instance.Standing(time.Now())
+	status.IsServing = isServing
+	if age > 0 {
+		status.ConfirmedAgeMs = age.Milliseconds()
+	}
+	return status, nil
+}
+
+// objects returns the objects that a quorum has agreed on or, with the query "local", that are applied here.
+func (m *Member) objects(ctx context.Context, r *http.Request) (*Objects, error) {
+	read := m.readAgreed
+	if r.URL.Query().Get(queryLocal) != "" {
+		read = m.node.Freeze
+	}
+	state, err := read(ctx)
+	if err != nil {
+		return nil, err
+	}
+	response := &Objects{
+		Version: state.Version(),
+		Hash:    state.Hash(),
+		Objects: map[string]map[string]json.RawMessage{},
+	}
+	for _, kind := range objectKinds {
+		state.Each(kind, func(name string, value json.RawMessage) {
+			if response.Objects[kind] == nil {
+				response.Objects[kind] = map[string]json.RawMessage{}
+			}
+			response.Objects[kind][name] = value
+		})
+	}
+	return response, nil
+}
+
+// history returns the versions that the cluster retains, the oldest first.
+func (m *Member) history(ctx context.Context, _ *http.Request) (records []clusterconfig.Record, err error) {
+	err = m.node.Read(ctx, func(s *clusterconfig.State) { records = s.History() })
+	return records, err
+}
+
+// readAgreed returns the state that a quorum confirms to be the newest.
+func (m *Member) readAgreed(ctx context.Context) (state *clusterconfig.State, err error) {
+	err = m.node.Read(ctx, func(newest *clusterconfig.State) { state = newest.Freeze() })
+	return state, err
+}
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -17,14 +17,23 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// Client asks instances as an operator. It asks the first address that can be reached.
+const (
+	clientDialTimeout      = time.Second
+	clientHandshakeTimeout = 2 * time.Second
+	clientIdleTimeout      = 10 * time.Second
+	clientMaxIdleConns     = 4 // to one instance
+	clientMaxResponseBytes = 256 << 20
+	memberStatusTimeout    = 2 * time.Second // for one member's answer of all
+)
+
+// Client calls the admin API as an operator. It calls the first address that can be reached.
 type Client struct {
-	cluster string
-	addrs   []string
-	http    *http.Client
+	cluster    string
+	addrs      []string
+	httpClient *http.Client
 }
 
-// ResponseError is an instance's answer that is no success.
+// ResponseError is an instance's answer with another status than 200.
 type ResponseError struct {
 	Status  int
 	Message string
@@ -32,204 +41,196 @@
 
 func (e *ResponseError) Error() string { return e.Message }
 
-// NewClient returns a client. at are admin addresses of instances.
-func NewClient(cluster string, creds raftnode.Credentials, at ...string) *Client {
-	tls := creds.TLS()
-	return &Client{cluster: cluster, addrs: at, http: &http.Client{Transport: &http.Transport{TLSClientConfig: tls, TLSHandshakeTimeout: 2 * time.Second,
-		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
+// NewClient returns a client of a cluster's instances at admin addresses. Close it after use.
+func NewClient(cluster string, creds raftnode.Credentials, addrs ...string) *Client {
+	transport := &http.Transport{
+		TLSClientConfig:     creds.TLS(),
+		TLSHandshakeTimeout: clientHandshakeTimeout,
+		DialContext:         (&net.Dialer{Timeout: clientDialTimeout}).DialContext,
+		MaxIdleConnsPerHost: clientMaxIdleConns,
+		IdleConnTimeout:     clientIdleTimeout,
+	}
+	return &Client{cluster: cluster, addrs: addrs, httpClient: &http.Client{Transport: transport}}
 }
 
 // Close closes idle connections.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
+func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// doAt asks one instance.
-func (c *Client) doAt(ctx context.Context, at, method, path string, body, to any, passed bool) error {
-	var in io.Reader
-	if body != nil {
-		text, err := json.Marshal(body)
-		if err != nil {
+// adminCall is a call of the admin API.
+type adminCall struct {
+	method, path string
+	request      any // marshalled as the body; nil: none
+	response     any // what the answer's body is unmarshalled into
+
+	isForwarded bool // by a member to the leader
+}
+
+// call calls the instances in turn until one can be reached.
+func (c *Client) call(ctx context.Context, call adminCall) error {
+	var unreachable error
+	for _, addr := range c.addrs {
+		err := c.callAt(ctx, addr, call)
+		if _, hasAnswered := errors.AsType[*ResponseError](err); err == nil || hasAnswered || ctx.Err() != nil {
 			return err
 		}
-		in = bytes.NewReader(text)
+		unreachable = errors.Join(unreachable, err)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "https://"+at+path, in)
+	return unreachable
+}
+
+func (c *Client) get(ctx context.Context, path string, response any) error {
+	return c.call(ctx, adminCall{method: http.MethodGet, path: path, response: response})
+}
+
+func (c *Client) post(ctx context.Context, path string, request, response any) error {
+	return c.call(ctx, adminCall{method: http.MethodPost, path: path, request: request, response: response})
+}
+
+// callAt calls the instance at an admin address.
+func (c *Client) callAt(ctx context.Context, addr string, call adminCall) error {
+	request, err := call.newRequest(ctx, addr)
 	if err != nil {
 		return err
 	}
-	if passed {
-		r.Header.Set("X-Passed", "1")
-	}
-	if end, ok := ctx.Deadline(); ok { // the instance gives up a little earlier, and tells why
-		r.Header.Set("X-Timeout-Ms", strconv.FormatInt(max((time.Until(end)*9/10).Milliseconds(), 1), 10))
-	}
-	resp, err := c.http.Do(r)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
-		if errors.Is(err, raftnode.ErrAuthority) {
-			return fmt.Errorf("%s: is not of cluster %q: %w", at, c.cluster, raftnode.ErrAuthority)
-		}
-		if strings.Contains(err.Error(), "remote error: tls") {
-			return fmt.Errorf("%s: does not take the certificate: is it of cluster %q? %w", at, c.cluster, err)
-		}
-		return fmt.Errorf("%s: %w", at, err)
+		return c.explainUnreachable(addr, err)
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, 256<<20))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, clientMaxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("%s: %w", at, err)
+		return fmt.Errorf("%s: %w", addr, err)
 	}
-	if resp.StatusCode != http.StatusOK {
-		var f struct {
-			Error   string `json:"error"`
-			Refused string `json:"refused"`
-		}
-		if json.Unmarshal(text, &f) != nil || f.Error == "" && f.Refused == "" {
-			f.Error = resp.Status
-		}
-		if f.Refused != "" {
-			f.Error = "refused: " + f.Refused
-		}
-		return &ResponseError{resp.StatusCode, f.Error}
+	if response.StatusCode != http.StatusOK {
+		return newResponseError(response, text)
 	}
-	if err := json.Unmarshal(text, to); err != nil {
-		return fmt.Errorf("%s: answer: %w", at, err)
+	if err := json.Unmarshal(text, call.response); err != nil {
+		return fmt.Errorf("%s: answer: %w", addr, err)
 	}
 	return nil
 }
 
-// doAny asks the instances in turn until one can be reached.
-func (c *Client) doAny(ctx context.Context, method, path string, body, to any) error {
-	var all error
-	for _, at := range c.addrs {
-		err := c.doAt(ctx, at, method, path, body, to, false)
-		if _, answered := errors.AsType[*ResponseError](err); err == nil || answered || ctx.Err() != nil {
-			return err
+func (call *adminCall) newRequest(ctx context.Context, addr string) (*http.Request, error) {
+	var body io.Reader
+	if call.request != nil {
+		text, err := json.Marshal(call.request)
+		if err != nil {
+			return nil, err
 		}
-		all = errors.Join(all, err)
+		body = bytes.NewReader(text)
+	}
+	request, err := http.NewRequestWithContext(ctx, call.method, "https://"+addr+call.path, body)
+	if err != nil {
+		return nil, err
+	}
+	if call.isForwarded {
+		request.Header.Set(headerForwarded, "1")
+	}
+	if deadline, ok := ctx.Deadline(); ok {
+		// The instance gives up a little earlier, so that its error arrives in time.
+		timeout := max((time.Until(deadline) * 9 / 10).Milliseconds(), 1)
+		request.Header.Set(headerTimeout, strconv.FormatInt(timeout, 10))
+	}
+	return request, nil
+}
+
+// explainUnreachable returns an error that tells a certificate of another cluster from other reasons.
+func (c *Client) explainUnreachable(addr string, err error) error {
+	if errors.Is(err, raftnode.ErrAuthority) {
+		return fmt.Errorf("%s: is not of cluster %q: %w", addr, c.cluster, raftnode.ErrAuthority)
+	}
+	// crypto/tls has no exported type for an alert from the other end.
+	if strings.Contains(err.Error(), "remote error: tls") {
+		return fmt.Errorf("%s: does not take the certificate: is it of cluster %q? %w", addr, c.cluster, err)
+	}
+	return fmt.Errorf("%s: %w", addr, err)
+}
+
+// newResponseError reads the reason from an answer's body: an errorResponse, or a rejected proposal's outcome.
+func newResponseError(response *http.Response, text []byte) *ResponseError {
+	var body struct {
+		errorResponse
+		Refused string `json:"refused"`
 	}
-	return all
+	err := json.Unmarshal(text, &body)
+	message := body.Error
+	if err != nil || body.Error == "" && body.Refused == "" {
+		message = response.Status
+	}
+	if body.Refused != "" {
+		message = "refused: " + body.Refused
+	}
+	return &ResponseError{response.StatusCode, message}
 }
 
-// Status asks one instance for its view.
+// Status returns the view of one instance.
 func (c *Client) Status(ctx context.Context) (s Status, err error) {
-	err = c.doAny(ctx, http.MethodGet, "/v1/status", nil, &s)
+	err = c.get(ctx, pathStatus, &s)
 	return s, err
 }
 
-// StatusAt asks the instance at an admin address.
-func (c *Client) StatusAt(ctx context.Context, at string) (s Status, err error) {
-	err = c.doAt(ctx, at, http.MethodGet, "/v1/status", nil, &s, false)
+// StatusAt returns the view of the instance at an admin address.
+func (c *Client) StatusAt(ctx context.Context, addr string) (s Status, err error) {
+	err = c.callAt(ctx, addr, adminCall{method: http.MethodGet, path: pathStatus, response: &s})
 	return s, err
 }
 
-// Objects returns the agreed objects; with local, as applied at the instance asked.
+// AllStatuses returns the views of all members that one instance knows of. Those that don't answer have an error
+// instead.
+func (c *Client) AllStatuses(ctx context.Context) (map[uint64]Status, map[uint64]error, error) {
+	first, err := c.Status(ctx)
+	if err != nil {
+		return nil, nil, err
+	}
+	statuses, failures := map[uint64]Status{}, map[uint64]error{}
+	for id, member := range first.Members {
+		memberCtx, cancel := context.WithTimeout(ctx, memberStatusTimeout)
+		if status, err := c.StatusAt(memberCtx, member.Admin); err != nil {
+			failures[id] = err
+		} else {
+			statuses[id] = status
+		}
+		cancel()
+	}
+	return statuses, failures, nil
+}
+
+// Objects returns the agreed objects; with local, as applied at the instance that answers.
 func (c *Client) Objects(ctx context.Context, local bool) (o Objects, err error) {
-	path := "/v1/config"
+	path := pathConfig
 	if local {
-		path += "?local=1"
+		path += "?" + queryLocal + "=1"
 	}
-	err = c.doAny(ctx, http.MethodGet, path, nil, &o)
+	err = c.get(ctx, path, &o)
 	return o, err
 }
 
-// History returns the versions kept, the oldest first.
-func (c *Client) History(ctx context.Context) (h []clusterconfig.Record, err error) {
-	err = c.doAny(ctx, http.MethodGet, "/v1/history", nil, &h)
-	return h, err
+// History returns the versions that the cluster retains, the oldest first.
+func (c *Client) History(ctx context.Context) (records []clusterconfig.Record, err error) {
+	err = c.get(ctx, pathHistory, &records)
+	return records, err
 }
 
-// Check asks what a proposal would come to.
+// Check returns what a proposal would come to. One that would be rejected is a [ResponseError] with status 409.
 func (c *Client) Check(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
-	err = c.doAny(ctx, http.MethodPost, "/v1/check", p, &o)
+	err = c.post(ctx, pathCheck, p, &o)
 	return o, err
 }
 
-// Propose has a proposal applied. One that is refused is an [ResponseError] with status 409.
+// Propose has a proposal applied. One that is rejected is a [ResponseError] with status 409.
 func (c *Client) Propose(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
-	err = c.doAny(ctx, http.MethodPost, "/v1/propose", p, &o)
+	err = c.post(ctx, pathPropose, p, &o)
 	return o, err
 }
 
-// ChangeMembers changes the members.
-func (c *Client) ChangeMembers(ctx context.Context, m *MembershipChange) (s Status, err error) {
-	err = c.doAny(ctx, http.MethodPost, "/v1/members", m, &s)
+// ChangeMembers changes the members, and returns the answering instance's view afterwards.
+func (c *Client) ChangeMembers(ctx context.Context, change *MembershipChange) (s Status, err error) {
+	err = c.post(ctx, pathMembers, change, &s)
 	return s, err
 }
 
-// AllStatuses asks all members that one instance knows of. Those that don't answer have an
-// error instead.
-func (c *Client) AllStatuses(ctx context.Context) (map[uint64]Status, map[uint64]error, error) {
-	first, err := c.Status(ctx)
-	if err != nil {
-		return nil, nil, err
-	}
-	all, failed := map[uint64]Status{}, map[uint64]error{}
-	for id, m := range first.Members {
-		one, cancel := context.WithTimeout(ctx, 2*time.Second)
-		if s, err := c.StatusAt(one, m.Admin); err != nil {
-			failed[id] = err
-		} else {
-			all[id] = s
-		}
-		cancel()
-	}
-	return all, failed, nil
-}
-
-// Followers asks one instance how the followers stand.
-func (c *Client) Followers(ctx context.Context) (fs FollowerList, err error) {
-	err = c.doAny(ctx, http.MethodGet, "/v1/stream", nil, &fs)
-	return fs, err
-}
-
-// followersBehind words which followers don't run a version, and tells how many those are. Instances without a stream
-// have none.
-func (c *Client) followersBehind(ctx context.Context, version uint64) (missing string, n int, err error) {
-	fs, err := c.Followers(ctx)
-	if e, ok := errors.AsType[*ResponseError](err); ok && e.Status == http.StatusBadRequest {
-		return "", 0, nil
-	}
-	for _, s := range fs.Followers {
-		if s.State == "running" && (s.Running.Number >= version || s.Pinned > 0 && s.Running.Number >= s.Pinned) {
-			continue // a pinned one stays where it was told to
-		}
-		n++
-		missing += "; follower " + s.Name + " " + s.Plain()
-	}
-	if err == nil && fs.NewestVersion < version {
-		return fmt.Sprintf("; member %d offers version %d", fs.MemberID, fs.NewestVersion), 1 + len(fs.Followers), nil
-	}
-	return missing, n, err
-}
-
-// AwaitInstalled waits until a version is in force at the instances of all members and at all followers but so many.
-func (c *Client) AwaitInstalled(ctx context.Context, version uint64, but int) error {
-	for {
-		all, failed, err := c.AllStatuses(ctx)
-		missing := ""
-		for id, s := range all {
-			if s.InstalledVersion < version {
-				missing += fmt.Sprintf("; member %d has version %d", id, s.InstalledVersion)
-				if s.InstallError != "" {
-					missing += " (" + s.InstallError + ")"
-				}
-			}
-		}
-		for id, e := range failed {
-			missing += fmt.Sprintf("; member %d: %v", id, e)
-		}
-		if err == nil && missing == "" {
-			var n int
-			if missing, n, err = c.followersBehind(ctx, version); err == nil && n <= but {
-				return nil
-			}
-		}
-		select {
-		case <-ctx.Done():
-			if err != nil {
-				missing = "; " + err.Error()
-			}
-			return fmt.Errorf("version %d is agreed on, and not in force everywhere%s", version, missing)
-		case <-time.After(50 * time.Millisecond):
-		}
-	}
+// Followers returns the followers' status as one instance knows it.
+func (c *Client) Followers(ctx context.Context) (list FollowerList, err error) {
+	err = c.get(ctx, pathStream, &list)
+	return list, err
 }
--- /dev/null
+++ b/internal/cluster/client_await.go
@@ -0,0 +1,98 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"mulleinmux/configstream"
+)
+
+const awaitPollInterval = 50 * time.Millisecond
+
+// AwaitInstalled waits until a version is in force at the instances of all members, and at all but
+// maxFollowersBehind followers.
+func (c *Client) AwaitInstalled(ctx context.Context, version uint64, maxFollowersBehind int) error {
+	for {
+		missing, err := c.missingAt(ctx, version, maxFollowersBehind)
+		if err == nil && missing == "" {
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			if err != nil {
+				missing = "; " + err.Error()
+			}
+			return fmt.Errorf("version %d is agreed on, and not in force everywhere%s", version, missing)
+		case <-time.After(awaitPollInterval):
+		}
+	}
+}
+
+// missingAt says at which members or followers a version is not in force yet. It is empty once that is so only at
+// maxFollowersBehind followers or fewer.
+func (c *Client) missingAt(ctx context.Context, version uint64, maxFollowersBehind int) (string, error) {
+	missing, err := c.membersBehind(ctx, version)
+	if err != nil || missing != "" {
+		return missing, err
+	}
+	missing, count, err := c.followersBehind(ctx, version)
+	if err != nil || count <= maxFollowersBehind {
+		return "", err
+	}
+	return missing, nil
+}
+
+// membersBehind says which members' instances don't have a version in force.
+func (c *Client) membersBehind(ctx context.Context, version uint64) (string, error) {
+	statuses, failures, err := c.AllStatuses(ctx)
+	var missing strings.Builder
+	for id, status := range statuses {
+		if status.InstalledVersion >= version {
+			continue
+		}
+		fmt.Fprintf(&missing, "; member %d has version %d", id, status.InstalledVersion)
+		if status.InstallError != "" {
+			fmt.Fprintf(&missing, " (%s)", status.InstallError)
+		}
+	}
+	for id, failure := range failures {
+		fmt.Fprintf(&missing, "; member %d: %v", id, failure)
+	}
+	return missing.String(), err
+}
+
+// followersBehind says which followers don't run a version, and how many those are. A member that does not have the
+// version itself counts as one more. Instances that serve no followers have none behind.
+func (c *Client) followersBehind(ctx context.Context, version uint64) (missing string, count int, err error) {
+	list, err := c.Followers(ctx)
+	if e, ok := errors.AsType[*ResponseError](err); ok && e.Status == http.StatusBadRequest {
+		return "", 0, nil
+	}
+	if err != nil {
+		return "", 0, err
+	}
+	if list.NewestVersion < version {
+		missing = fmt.Sprintf("; member %d offers version %d", list.MemberID, list.NewestVersion)
+		return missing, 1 + len(list.Followers), nil
+	}
+	for _, follower := range list.Followers {
+		if !runsVersion(follower, version) {
+			count++
+			missing += "; follower " + follower.Name + " " + follower.Plain()
+		}
+	}
+	return missing, count, nil
+}
+
+// runsVersion tells whether a follower runs a version or, where it is pinned to an older one, that.
+func runsVersion(follower configstream.Standing, version uint64) bool {
+	if follower.State != "running" {
+		return false
+	}
+	running := follower.Running.Number
+	return running >= version || follower.Pinned > 0 && running >= follower.Pinned
+}
--- /dev/null
+++ b/internal/cluster/config.go
@@ -0,0 +1,170 @@
+package cluster
+
+import (
+	"cmp"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"io/fs"
+	"maps"
+	"net"
+	"os"
+	"slices"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/openapi"
+	"mulleinmux/internal/raftnode"
+	"mulleinmux/multisite"
+)
+
+// defaultTickInterval is Raft's unit of time where a configuration names none.
+const defaultTickInterval = 50 * time.Millisecond
+
+// MemberConfig is what a member needs to start.
+type MemberConfig struct {
+	Cluster     string // name in the certificates
+	MemberID    uint64 // never used again after the member was removed
+	DataFile    string // of the member's Raft state
+	Credentials raftnode.Credentials
+
+	// Members is where the members are reached at first; agreed addresses take its place.
+	Members map[uint64]clusterconfig.Member
+
+	// RaftListenAddr is for the other members and AdminListenAddr for operators; where empty, the addresses in Members
+	// are listened at. StreamListenAddr is for followers; where empty, none are served.
+	RaftListenAddr   string
+	AdminListenAddr  string
+	StreamListenAddr string
+
+	SendFullVersions    bool          // to followers, in place of deltas, for comparison
+	DisableKeyOwnership bool          // requests with an idempotency key may go to any site: see package multisite
+	TickInterval        time.Duration // 50 ms where 0: an election takes place after 10 to 20 ticks without a leader
+
+	// WrapStorage and WrapSend inject the faults of scenarios; they are nil elsewhere.
+	WrapStorage func(raftnode.Disk) raftnode.Disk
+	WrapSend    func(send func(*pb.Message)) func(*pb.Message)
+}
+
+// ErrNotInitialized says that a member has no data file yet. It must be made on purpose, by [InitMember]: a member that
+// started with an empty file under its old number could vote twice.
+var ErrNotInitialized = errors.New("there is no such file: make it once with gateway init, " +
+	"--new-cluster for the first members or --join for a further one")
+
+// ValidateDescription checks an OpenAPI description as all members do. maxUnits bounds the cost of an operation.
+func ValidateDescription(file, text string, classes []clusterconfig.Class, maxUnits int) error {
+	_, _, err := openapi.Compile(file, []byte(text), compileOptions(classes, maxUnits))
+	return err
+}
+
+// InitMember makes a member's data file: that of a new cluster whose voters are all members of the configuration or,
+// with join, an empty one for a member that will be added. An existing file is kept: the error is [fs.ErrExist].
+func InitMember(cfg *MemberConfig, join bool) error {
+	if _, err := os.Stat(cfg.DataFile); !errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("%s: %w", cfg.DataFile, fs.ErrExist)
+	}
+	storage, err := raftnode.OpenBolt(cfg.DataFile, cfg.Cluster, cfg.MemberID)
+	if err != nil {
+		return err
+	}
+	if !join {
+		// All members of a new cluster start from the same empty snapshot.
+		voters := slices.Sorted(maps.Keys(cfg.Members))
+		_, err = raftnode.Open(raftnode.Config{ID: cfg.MemberID, Voters: voters, Validate: ValidateDescription}, storage)
+	}
+	return errors.Join(err, storage.Close())
+}
+
+// checkIdentity checks that the data file exists and that the certificate is this member's.
+func (c *MemberConfig) checkIdentity() error {
+	if _, err := os.Stat(c.DataFile); errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("%s: %w", c.DataFile, ErrNotInitialized)
+	}
+	if h, err := c.Credentials.Holder(); err != nil || h.Cluster != c.Cluster || h.Member != c.MemberID {
+		return fmt.Errorf("certificate: is that of member %d of %q, not of %d of %q: %w",
+			h.Member, h.Cluster, c.MemberID, c.Cluster, err)
+	}
+	return nil
+}
+
+func (c *MemberConfig) tickInterval() time.Duration {
+	if c.TickInterval <= 0 {
+		return defaultTickInterval
+	}
+	return c.TickInterval
+}
+
+// raftAddrs are the addresses at which the members reach each other.
+func raftAddrs(members map[uint64]clusterconfig.Member) map[uint64]string {
+	addrs := make(map[uint64]string, len(members))
+	for id, m := range members {
+		addrs[id] = m.Raft
+	}
+	return addrs
+}
+
+// configureInstance completes an instance's configuration with what a member's incarnation decides.
+func (c *MemberConfig) configureInstance(instance *gateway.Config, incarnation uint64) {
+	if !c.DisableKeyOwnership {
+		instance.Keys = keyOwnershipConfig(c.MemberID, incarnation)
+	}
+	if instance.Keys != nil {
+		settings := &instance.Settings
+		instance.Health = siteHealthConfig(c.MemberID, settings.SlowStartWindow)
+		instance.Consent = &multisite.ConsentConfig{Me: c.MemberID, Incarnation: incarnation}
+		if settings.ColdOverloadMultiple > 0 && settings.SlowStartWindow > 0 {
+			instance.Ramp = recoveryRampConfig(c.MemberID, incarnation, settings.ColdBudgetMultiple())
+		}
+	}
+	if link := instance.Link; link != nil {
+		link.TLS = c.Credentials.TLS()
+		// A session ticket that has not been read yet would make an idle connection look used.
+		link.TLS.SessionTicketsDisabled = true
+		link.Verify = func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf(c.Cluster, s) }
+	}
+	if instance.Agreed == nil {
+		instance.Agreed = &gateway.Agreed{}
+	}
+}
+
+// memberListeners are a member's listeners. Each is closed by the server that is started on it; close is for a start
+// that fails before.
+type memberListeners struct {
+	raft, admin net.Listener
+	stream      net.Listener // nil: no followers are served
+}
+
+func (c *MemberConfig) listen() (*memberListeners, error) {
+	own := c.Members[c.MemberID]
+	l := &memberListeners{}
+	var failures error
+	open := func(name, addr string) net.Listener {
+		ln, err := net.Listen("tcp", addr)
+		if err != nil {
+			failures = errors.Join(failures, fmt.Errorf("%s: %w", name, err))
+			return nil
+		}
+		return ln
+	}
+	l.raft = open("cluster", cmp.Or(c.RaftListenAddr, own.Raft))
+	l.admin = open("admin", cmp.Or(c.AdminListenAddr, own.Admin))
+	if c.StreamListenAddr != "" {
+		l.stream = open("stream", c.StreamListenAddr)
+	}
+	if failures != nil {
+		l.close()
+		return nil, failures
+	}
+	return l, nil
+}
+
+func (l *memberListeners) close() {
+	for _, ln := range []net.Listener{l.raft, l.admin, l.stream} {
+		if ln != nil {
+			ln.Close()
+		}
+	}
+}
--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -176,7 +176,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp, err := r.admin.http.Do(req)
+		resp, err := r.admin.httpClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/internal/cluster/follower_file.go
@@ -0,0 +1,239 @@
+package cluster
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"mulleinmux/configstream"
+)
+
+// followerFile is a bbolt file with what a follower must know after a restart: [configstream.Disk]. The contents of
+// versions are stored under their digests and written once; the rest is written anew by each change. A change is synced
+// whole or not at all.
+type followerFile struct {
+	db *bbolt.DB
+}
+
+const (
+	followerFileFormat      = 1
+	followerFileMode        = 0o600
+	followerFileLockTimeout = time.Second
+)
+
+// Buckets and keys of the file.
+var (
+	bucketFollower = []byte("follower")
+	bucketContents = []byte("contents")
+	keyHeader      = []byte("head")
+	keyState       = []byte("disk")
+)
+
+// followerFileHeader says whose file it is.
+type followerFileHeader struct {
+	Format  int    `json:"form"`
+	Cluster string `json:"cluster"`
+	Name    string `json:"name"`
+}
+
+// followerFileState is a [configstream.Disk] with references in place of versions.
+type followerFileState struct {
+	Starts   uint64                 `json:"starts"`
+	Good     *configstream.Ref      `json:"good,omitempty"`
+	InForce  bool                   `json:"in_force,omitempty"`
+	Tries    int                    `json:"tries,omitempty"`
+	Previous *configstream.Ref      `json:"previous,omitempty"`
+	Received configstream.Ref       `json:"received"`
+	Checks   int                    `json:"checks,omitempty"`
+	Refused  []configstream.Refusal `json:"refused,omitempty"`
+}
+
+// ErrInvalidFollowerFile says that a follower's file is damaged or another follower's.
+var ErrInvalidFollowerFile = errors.New("is no file of this follower: move it away, " +
+	"and it begins with what a quorum confirms")
+
+// openFollowerFile opens a follower's file, or makes it, and counts the start. The caller closes it.
+func openFollowerFile(path, cluster, name string) (f *followerFile, disk configstream.Disk, err error) {
+	defer func() {
+		if p := recover(); p != nil { // bbolt panics on damaged pages
+			err = fmt.Errorf("%s: %w: %v", path, ErrInvalidFollowerFile, p)
+		}
+	}()
+	options := &bbolt.Options{Timeout: followerFileLockTimeout, FreelistType: bbolt.FreelistMapType}
+	db, err := bbolt.Open(path, followerFileMode, options)
+	if errors.Is(err, bbolt.ErrTimeout) {
+		return nil, disk, fmt.Errorf("%s: another process has it open", path)
+	}
+	if err != nil {
+		if _, statErr := os.Stat(path); statErr == nil {
+			err = fmt.Errorf("%w: %w", ErrInvalidFollowerFile, err)
+		}
+		return nil, disk, fmt.Errorf("%s: %w", path, err)
+	}
+	f = &followerFile{db}
+	err = f.claim(followerFileHeader{followerFileFormat, cluster, name})
+	if err == nil {
+		disk, err = f.load()
+	}
+	if err == nil {
+		disk.Starts++
+		err = f.save(&disk)
+	}
+	if err != nil {
+		return nil, disk, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
+	}
+	return f, disk, nil
+}
+
+func (f *followerFile) close() error { return f.db.Close() }
+
+// claim writes the header of a new file, or checks that of an old one.
+func (f *followerFile) claim(want followerFileHeader) error {
+	return f.db.Update(func(tx *bbolt.Tx) error {
+		bucket, err := tx.CreateBucketIfNotExists(bucketFollower)
+		if err != nil {
+			return err
+		}
+		if _, err := tx.CreateBucketIfNotExists(bucketContents); err != nil {
+			return err
+		}
+		text := bucket.Get(keyHeader)
+		if text == nil {
+			return putJSON(bucket, keyHeader, want)
+		}
+		var header followerFileHeader
+		if err := json.Unmarshal(text, &header); err != nil || header != want {
+			return fmt.Errorf("%w: it is that of %q of cluster %q, in form %d",
+				ErrInvalidFollowerFile, header.Name, header.Cluster, header.Format)
+		}
+		return nil
+	})
+}
+
+// load reads the state. A content that does not make its version is damage.
+func (f *followerFile) load() (disk configstream.Disk, err error) {
+	err = f.db.View(func(tx *bbolt.Tx) error {
+		text := tx.Bucket(bucketFollower).Get(keyState)
+		if text == nil {
+			return nil
+		}
+		var state followerFileState
+		if err := json.Unmarshal(text, &state); err != nil {
+			return fmt.Errorf("%w: %w", ErrInvalidFollowerFile, err)
+		}
+		disk = configstream.Disk{
+			Starts:   state.Starts,
+			InForce:  state.InForce,
+			Tries:    state.Tries,
+			Received: state.Received,
+			Checks:   state.Checks,
+			Refused:  state.Refused,
+		}
+		contents := tx.Bucket(bucketContents)
+		if disk.Good, err = loadVersion(contents, state.Good); err != nil {
+			return err
+		}
+		disk.Previous, err = loadVersion(contents, state.Previous)
+		return err
+	})
+	return disk, err
+}
+
+// loadVersion reads the version of a reference; nil: none.
+func loadVersion(contents *bbolt.Bucket, ref *configstream.Ref) (*configstream.Version, error) {
+	if ref == nil {
+		return nil, nil
+	}
+	body := &configstream.Body{}
+	var version *configstream.Version
+	err := json.Unmarshal(contents.Get(contentKey(*ref)), body)
+	if err == nil {
+		version, err = body.Make(nil)
+	}
+	if err == nil && version.Ref != *ref {
+		err = configstream.ErrDamaged
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%w: version %v: %w", ErrInvalidFollowerFile, ref, err)
+	}
+	return version, nil
+}
+
+// save writes the state and returns once it is synced.
+func (f *followerFile) save(disk *configstream.Disk) error {
+	state := followerFileState{
+		Starts:   disk.Starts,
+		InForce:  disk.InForce,
+		Tries:    disk.Tries,
+		Received: disk.Received,
+		Checks:   disk.Checks,
+		Refused:  disk.Refused,
+	}
+	return f.db.Update(func(tx *bbolt.Tx) (err error) {
+		contents := tx.Bucket(bucketContents)
+		if state.Good, err = saveVersion(contents, disk.Good); err != nil {
+			return err
+		}
+		if state.Previous, err = saveVersion(contents, disk.Previous); err != nil {
+			return err
+		}
+		if err := deleteOtherVersions(contents, state.Good, state.Previous); err != nil {
+			return err
+		}
+		return putJSON(tx.Bucket(bucketFollower), keyState, state)
+	})
+}
+
+// saveVersion writes a version's content, unless it is there, and returns the version's reference; nil: none.
+func saveVersion(contents *bbolt.Bucket, version *configstream.Version) (*configstream.Ref, error) {
+	if version == nil {
+		return nil, nil
+	}
+	ref := version.Ref
+	key := contentKey(ref)
+	if contents.Get(key) != nil {
+		return &ref, nil
+	}
+	return &ref, putJSON(contents, key, version.Body(nil))
+}
+
+// deleteOtherVersions deletes all contents but those of the references, each of which may be nil.
+func deleteOtherVersions(contents *bbolt.Bucket, retained ...*configstream.Ref) error {
+	isRetained := map[string]bool{}
+	for _, ref := range retained {
+		if ref != nil {
+			isRetained[string(contentKey(*ref))] = true
+		}
+	}
+	var obsolete [][]byte // a bucket must not change while it is iterated over
+	err := contents.ForEach(func(key, _ []byte) error {
+		if !isRetained[string(key)] {
+			obsolete = append(obsolete, append([]byte{}, key...))
+		}
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	for _, key := range obsolete {
+		if err := contents.Delete(key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// contentKey is the key of a version's content. Versions with the same digest have the same content.
+func contentKey(ref configstream.Ref) []byte { return []byte(ref.Digest.String()) }
+
+func putJSON(bucket *bbolt.Bucket, key []byte, value any) error {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	return bucket.Put(key, text)
+}
--- /dev/null
+++ b/internal/cluster/follower_server.go
@@ -0,0 +1,278 @@
+package cluster
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/configstream"
+	"mulleinmux/internal/configstreampb"
+	"mulleinmux/internal/raftnode"
+)
+
+// The configuration stream: see package configstream.
+const (
+	streamHeartbeatInterval = time.Second
+	streamSilenceTimeout    = 4 * time.Second
+	streamReplyTimeout      = 30 * time.Second // a description of 16 MB is checked in some seconds
+	streamConfirmationWait  = 500 * time.Millisecond
+	streamDeltaVersions     = 256
+	maxFollowers            = 4096
+	maxHandshakesPerSecond  = 500
+	maxHandshakeBurst       = 500
+	streamTickInterval      = 50 * time.Millisecond
+	followerSummaryInterval = time.Second            // between broadcasts on all followers
+	followerChangeInterval  = 100 * time.Millisecond // between broadcasts on those that have changed
+	maxFollowersPerMessage  = 60
+	streamSendQueue         = 8 // messages to one end: a push and pongs, and no more
+	streamReadHeaderTimeout = 5 * time.Second
+	streamIdleTimeout       = time.Minute
+	maxStreamHeaderBytes    = 16 << 10
+	followerMessagePrefix   = 's' // tells members' messages on followers from those on keys, which are JSON objects
+)
+
+// FollowerList is a member's answer on the followers.
+type FollowerList struct {
+	MemberID      uint64                  `json:"member"` // of the member that answers
+	NewestVersion uint64                  `json:"newest"` // at that member
+	Followers     []configstream.Standing `json:"followers"`
+}
+
+// followerServer serves the configuration stream to followers. The publisher decides what is sent; a session's
+// goroutines send it. The methods publish, confirm and receiveMessage do nothing on a nil server.
+type followerServer struct {
+	member *Member
+	begun  time.Time
+
+	mu          sync.Mutex
+	publisher   *configstream.Publisher
+	sessions    map[uint64]*followerSession
+	lastSession uint64
+	newest      *configstream.Version
+	encoded     map[*configstream.Body]*configstreampb.Push // bodies of the newest version's pushes
+}
+
+func newFollowerServer(m *Member) *followerServer {
+	cfg := configstream.PublisherConfig{
+		Member:   m.cfg.MemberID,
+		Silence:  streamSilenceTimeout,
+		Answer:   streamReplyTimeout,
+		Unsure:   streamConfirmationWait,
+		Held:     streamDeltaVersions,
+		Most:     maxFollowers,
+		PerS:     maxHandshakesPerSecond,
+		Burst:    maxHandshakeBurst,
+		FullOnly: m.cfg.SendFullVersions,
+	}
+	return &followerServer{
+		member:    m,
+		begun:     time.Now(),
+		publisher: configstream.NewPublisher(cfg, rand.Uint64()),
+		sessions:  map[uint64]*followerSession{},
+		encoded:   map[*configstream.Body]*configstreampb.Push{},
+	}
+}
+
+func (s *followerServer) now() time.Duration { return time.Since(s.begun) }
+
+// publisherEvent is an event of the publisher at a time; it returns what is to be sent.
+type publisherEvent func(p *configstream.Publisher, now time.Duration) []configstream.Out
+
+// handle has the publisher handle an event, and queues what is to be sent. It does not block on a session.
+func (s *followerServer) handle(event publisherEvent) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, out := range event(s.publisher, s.now()) {
+		session := s.sessions[out.Session]
+		switch {
+		case session == nil:
+		case out.Close != "":
+			session.end(out.Close)
+		case out.Push != nil:
+			session.enqueue(configstreampb.NewPush(out.Push, s.encodedBody(out.Push.Body)))
+		default:
+			session.enqueue(out.Pong)
+		}
+	}
+}
+
+// encodedBody returns the encoded body of a push, which all pushes of the same body share. Called under the mutex.
+func (s *followerServer) encodedBody(body *configstream.Body) *configstreampb.Push {
+	encoded, ok := s.encoded[body]
+	if !ok {
+		encoded = configstreampb.EncodeBody(body)
+		s.encoded[body] = encoded
+	}
+	return encoded
+}
+
+// publish offers an agreed state to the followers.
+func (s *followerServer) publish(state *clusterconfig.State) {
+	if s == nil {
+		return
+	}
+	s.mu.Lock()
+	newest := s.newest
+	s.mu.Unlock()
+	if state.Version() == 0 || newest != nil && newest.Number >= state.Version() {
+		return
+	}
+	version := configstream.Of(state, newest) // takes long for a large state
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
+		if s.newest == nil || version.Number > s.newest.Number {
+			s.newest = version
+			clear(s.encoded)
+		}
+		return p.Publish(now, version)
+	})
+}
+
+// confirm tells the publisher that a quorum has confirmed that a state was the newest.
+func (s *followerServer) confirm(c confirmation) {
+	if s == nil {
+		return
+	}
+	s.publish(c.state)
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
+		if s.newest == nil || s.newest.Number != c.state.Version() {
+			return nil // a newer one was agreed on later, and is confirmed later
+		}
+		return p.Confirm(now, c.askedAt.Sub(s.begun), s.newest.Ref)
+	})
+}
+
+// serve serves followers until ctx ends and the server is closed; the caller does both.
+func (s *followerServer) serve(ctx context.Context, ln net.Listener, tasks *sync.WaitGroup) *http.Server {
+	server := &http.Server{
+		ErrorLog:          s.member.logger,
+		ReadHeaderTimeout: streamReadHeaderTimeout,
+		IdleTimeout:       streamIdleTimeout,
+		MaxHeaderBytes:    maxStreamHeaderBytes,
+		TLSConfig:         s.member.cfg.Credentials.TLS(),
+		BaseContext:       func(net.Listener) context.Context { return ctx },
+		Handler:           configstreampb.NewHandler(s.serveSession),
+	}
+	tasks.Go(func() { server.ServeTLS(&rateLimitedListener{ln, s}, "", "") })
+	tasks.Go(func() { s.tick(ctx) })
+	return server
+}
+
+// tick lets the publisher's time pass and broadcasts the followers' status, until ctx ends.
+func (s *followerServer) tick(ctx context.Context) {
+	tick := time.NewTicker(streamTickInterval)
+	defer tick.Stop()
+	summary := time.NewTicker(followerSummaryInterval)
+	defer summary.Stop()
+	changes := time.NewTicker(followerChangeInterval)
+	defer changes.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+			s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.Out { return p.Tick(now) })
+		case <-summary.C:
+			s.broadcast(allFollowers)
+		case <-changes.C:
+			s.broadcast(changedFollowers)
+		}
+	}
+}
+
+// rateLimitedListener closes connections that arrive faster than the publisher admits, before any handshake.
+type rateLimitedListener struct {
+	net.Listener
+	server *followerServer
+}
+
+func (l *rateLimitedListener) Accept() (net.Conn, error) {
+	for {
+		conn, err := l.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		if l.server.admit() {
+			return conn, nil
+		}
+		conn.Close()
+	}
+}
+
+func (s *followerServer) admit() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.publisher.Admit(s.now())
+}
+
+// broadcastScope says which followers a broadcast to the other members is on.
+type broadcastScope int
+
+const (
+	changedFollowers broadcastScope = iota
+	allFollowers
+)
+
+func (s *followerServer) broadcast(scope broadcastScope) {
+	s.mu.Lock()
+	messages := s.publisher.Tell(s.now(), maxFollowersPerMessage, scope == allFollowers)
+	s.mu.Unlock()
+	for _, message := range messages {
+		if err := s.member.broadcastJSON([]byte{followerMessagePrefix}, message); err != nil {
+			s.member.logger.Printf("followers: %v", err)
+		}
+	}
+}
+
+func isFollowerMessage(text []byte) bool { return len(text) > 0 && text[0] == followerMessagePrefix }
+
+// receiveMessage takes in another member's message on its followers. One that can't be read is dropped.
+func (s *followerServer) receiveMessage(from uint64, text []byte) {
+	if s == nil {
+		return
+	}
+	var message configstream.Word
+	// A decoder, unlike Unmarshal, ignores what follows the first value.
+	if err := json.NewDecoder(bytes.NewReader(text[1:])).Decode(&message); err != nil || message.Member != from {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.publisher.HearWord(s.now(), message)
+}
+
+// authenticate names the follower at the other end. A member or an operator is none, whatever it says.
+func (s *followerServer) authenticate(r *http.Request) (name string, err error) {
+	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
+		return "", errNoCertificate
+	}
+	holder, err := raftnode.HolderOf(r.TLS.PeerCertificates[0])
+	if err != nil {
+		return "", err
+	}
+	if cluster := s.member.cfg.Cluster; holder.Cluster != cluster || holder.Follower == "" {
+		return "", fmt.Errorf("the certificate is not of a follower of cluster %q", cluster)
+	}
+	return holder.Follower, nil
+}
+
+// followerList answers how the followers stand.
+func (m *Member) followerList(context.Context, *http.Request) (*FollowerList, error) {
+	s := m.followers
+	if s == nil {
+		return nil, newBadRequest("stream: this member serves no followers: it has no cluster.stream")
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list := &FollowerList{MemberID: m.cfg.MemberID, Followers: s.publisher.Standings(s.now())}
+	if newest := s.publisher.Newest(); newest != nil {
+		list.NewestVersion = newest.Number
+	}
+	return list, nil
+}
--- /dev/null
+++ b/internal/cluster/member.go
@@ -0,0 +1,198 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log"
+	"maps"
+	"sync"
+	"time"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/raftnode"
+)
+
+// leaderTransferTimeout bounds how long a leader that stops waits for another member to lead.
+const leaderTransferTimeout = 2 * time.Second
+
+// Member is a member of the cluster and its gateway instance.
+type Member struct {
+	cfg            *MemberConfig
+	instanceConfig *gateway.Config
+	logger         *log.Logger
+	node           *raftnode.Node
+	stateChanged   chan struct{}   // holds a token while a change has not been applied to the instance
+	followers      *followerServer // nil: no followers are served
+
+	// setups and hasInstalled belong to the goroutine that applies versions.
+	setups       setupBuilder
+	hasInstalled bool
+
+	mu           sync.Mutex
+	instance     *gateway.Instance // nil until it has started, set once
+	members      map[uint64]clusterconfig.Member
+	installError string // why the agreed version is not in force at the instance
+}
+
+// RunMember runs a member and its instance until ctx ends: then a leader hands its leadership over, the instance drains
+// and the member stops. A member that can't go on (its storage failed, it was removed) ends both with its error.
+// instanceConfig is a configuration without sites, plans, licensees and classes; started is called once the instance
+// has started.
+func RunMember(ctx context.Context, cfg *MemberConfig, instanceConfig *gateway.Config, logger *log.Logger,
+	started func(*Member)) (err error) {
+	if err := cfg.checkIdentity(); err != nil {
+		return err
+	}
+	storage, err := raftnode.OpenBolt(cfg.DataFile, cfg.Cluster, cfg.MemberID)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, storage.Close()) }()
+	cfg.configureInstance(instanceConfig, storage.Starts())
+	listeners, err := cfg.listen()
+	if err != nil {
+		return err
+	}
+	m, err := startMember(cfg, instanceConfig, logger, storage, listeners)
+	if err != nil {
+		listeners.close()
+		return err
+	}
+	defer m.node.Stop()
+	return m.run(ctx, listeners, started)
+}
+
+// startMember starts the member's Raft node, without its instance.
+func startMember(cfg *MemberConfig, instanceConfig *gateway.Config, logger *log.Logger, bolt *raftnode.BoltDisk,
+	listeners *memberListeners) (*Member, error) {
+	m := &Member{
+		cfg:            cfg,
+		instanceConfig: instanceConfig,
+		logger:         logger,
+		stateChanged:   make(chan struct{}, 1),
+		members:        maps.Clone(cfg.Members),
+	}
+	if listeners.stream != nil {
+		m.followers = newFollowerServer(m)
+	}
+	var storage raftnode.Disk = bolt
+	if cfg.WrapStorage != nil {
+		storage = cfg.WrapStorage(bolt)
+	}
+	node, err := raftnode.Start(raftnode.NodeConfig{
+		Config:      raftnode.Config{ID: cfg.MemberID, Validate: ValidateDescription},
+		Cluster:     cfg.Cluster,
+		Credentials: cfg.Credentials,
+		Tick:        cfg.TickInterval,
+		Peers:       raftAddrs(cfg.Members),
+		Starts:      bolt.Starts(),
+		Logger:      logger,
+		Outgoing:    cfg.WrapSend,
+		Changed:     m.notifyStateChanged,
+		Word:        m.receiveMessage,
+	}, storage, listeners.raft)
+	if err != nil {
+		return nil, err
+	}
+	m.node = node
+	return m, nil
+}
+
+// run runs the servers, the instance and the background tasks, and returns once all of them have ended.
+func (m *Member) run(ctx context.Context, listeners *memberListeners, started func(*Member)) error {
+	background, stopTasks := context.WithCancel(context.Background())
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	defer stopTasks()
+	admin := m.serveAdmin(listeners.admin, &tasks)
+	defer admin.Close()
+	if m.followers != nil {
+		stream := m.followers.serve(background, listeners.stream, &tasks)
+		defer stream.Close()
+	}
+
+	serving, drain := context.WithCancel(context.Background())
+	defer drain()
+	instance, instanceEnded, err := startInstance(serving, m.instanceConfig, m.logger)
+	if instance == nil {
+		return err
+	}
+	m.mu.Lock()
+	m.instance = instance
+	m.mu.Unlock()
+	tasks.Go(func() { m.applyVersions(background) })
+	if m.instanceConfig.Keys != nil {
+		tasks.Go(func() { m.broadcastKeys(background) })
+		tasks.Go(func() { m.judgeSites(background) })
+	}
+	started(m)
+
+	select {
+	case err := <-instanceEnded:
+		return err
+	case <-m.node.Ended():
+		err = fmt.Errorf("member %d: %w", m.cfg.MemberID, m.node.Err())
+		m.logger.Printf("%v: the instance drains", err)
+	case <-ctx.Done():
+		m.transferLeadership()
+	}
+	drain()
+	return errors.Join(err, <-instanceEnded)
+}
+
+// startInstance runs a gateway instance, with nothing in force, until ctx ends. Its result is sent on the channel. One
+// that ends before it has started is nil, beside the reason.
+func startInstance(ctx context.Context, cfg *gateway.Config, logger *log.Logger) (
+	*gateway.Instance, <-chan error, error) {
+	ended := make(chan error, 1)
+	started := make(chan *gateway.Instance, 1)
+	go func() {
+		ended <- gateway.Run(ctx, cfg, gateway.Setup{}, logger, func(in *gateway.Instance) { started <- in })
+	}()
+	select {
+	case instance := <-started:
+		return instance, ended, nil
+	case err := <-ended:
+		return nil, nil, err
+	}
+}
+
+// transferLeadership makes another member the leader, if this one is, so that a planned stop costs no election timeout.
+func (m *Member) transferLeadership() {
+	ctx, cancel := context.WithTimeout(context.Background(), leaderTransferTimeout)
+	defer cancel()
+	status, err := m.node.Status(ctx)
+	if err != nil || status.Leader != status.ID {
+		return
+	}
+	for _, voter := range status.Voters {
+		lag, known, err := m.node.Behind(ctx, voter)
+		if voter == status.ID || err != nil || !known || lag >= maxVoterLag {
+			continue
+		}
+		if err := m.node.Transfer(ctx, voter); err != nil {
+			m.logger.Printf("handing the lead over: %v", err)
+		}
+		return
+	}
+}
+
+// notifyStateChanged wakes the goroutine that applies versions. The Raft node calls it; it does not block.
+func (m *Member) notifyStateChanged() {
+	select {
+	case m.stateChanged <- struct{}{}:
+	default:
+	}
+}
+
+// startedInstance returns the instance, or nil before it has started.
+func (m *Member) startedInstance() *gateway.Instance {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.instance
+}
+
+// Instance returns the member's gateway instance.
+func (m *Member) Instance() *gateway.Instance { return m.startedInstance() }
--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -18,87 +18,169 @@
 	"mulleinmux/routing"
 )
 
-// errNothing says that there is nothing to serve yet.
-var errNothing = errors.New("no description is agreed on yet: gateway config apply")
+// Kinds of the agreed configuration's objects.
+const (
+	kindClass       = "class"
+	kindDescription = "description"
+	kindEpoch       = "epoch"
+	kindFollower    = "follower"
+	kindSite        = "hall"
+	kindLicensee    = "licensee"
+	kindLimit       = "limit"
+	kindLostSite    = "lost"
+	kindMember      = "member"
+	kindPlan        = "plan"
+)
+
+// objectKinds are all kinds, sorted.
+var objectKinds = []string{
+	kindClass, kindDescription, kindEpoch, kindFollower, kindSite,
+	kindLicensee, kindLimit, kindLostSite, kindMember, kindPlan,
+}
+
+// changeRemove is the operation of a [clusterconfig.Change] that removes an object.
+const changeRemove = "remove"
 
-// setups turns agreed states into what an instance is told. It keeps what is dear to make
-// from one state to the next.
-type setups struct {
-	key       []byte // what the table was compiled of
+// removedPlanPrefix makes a name that no licensee's plan can have, for the place of a plan that was removed.
+const removedPlanPrefix = "/removed/"
+
+// errNoDescription says that there is nothing to serve yet.
+var errNoDescription = errors.New("no description is agreed on yet: gateway config apply")
+
+// setupBuilder builds an instance's setup from an agreed state. It caches what is expensive to make from one state to
+// the next, and is not safe for concurrent use.
+type setupBuilder struct {
+	tableKey  []byte // what the table was compiled from
 	table     *routing.Table
-	check     gateway.Checker
-	licensees map[string]licensee
+	checker   gateway.Checker
+	licensees map[string]cachedLicensee
 }
 
-type licensee struct {
+type cachedLicensee struct {
 	text  json.RawMessage
 	value gateway.Licensee
 }
 
-func compileOptions(classes []clusterconfig.Class, most int) routing.Options {
-	opt := routing.Options{MostUnits: most}
-	for _, c := range classes {
-		opt.Classes = append(opt.Classes, routing.Class{Name: c.Name, Worth: c.Worth, Late: c.Late,
-			Aim: time.Duration(c.AimMs) * time.Millisecond, Deadline: time.Duration(c.DeadlineMs) * time.Millisecond})
+// build returns the setup of a state. With fullValidation, requests are checked against the whole description.
+func (b *setupBuilder) build(state *clusterconfig.State, fullValidation bool) (setup gateway.Setup, err error) {
+	key, descriptionCount := compilationKey(state)
+	if descriptionCount == 0 {
+		return setup, errNoDescription
+	}
+	if descriptionCount > 1 {
+		return setup, fmt.Errorf("%d descriptions are agreed on, and one is served: remove the others", descriptionCount)
 	}
-	return opt
+	if setup.Halls, err = sitesOf(state); err != nil {
+		return setup, err
+	}
+	if err := b.compile(state, key, fullValidation); err != nil {
+		return setup, err
+	}
+	setup.Number, setup.Table, setup.Check = state.Version(), b.table, b.checker
+	setup.Plans = plansOf(state)
+	setup.Licensees = b.licenseesOf(state)
+	return setup, nil
 }
 
-// of returns the setup of a state.
-func (u *setups) of(s *clusterconfig.State, full bool) (out gateway.Setup, err error) {
-	key, n := binary.AppendVarint(nil, int64(s.MostUnits())), 0
-	s.Each("description", func(_ string, text json.RawMessage) { key, n = append(key, text...), n+1 })
-	s.Each("class", func(name string, text json.RawMessage) { key = append(append(key, name...), text...) })
-	if n == 0 {
-		return out, errNothing
+// compilationKey returns all that the compilation of the description depends on, and the number of descriptions.
+func compilationKey(state *clusterconfig.State) (key []byte, descriptionCount int) {
+	key = binary.AppendVarint(nil, int64(state.MostUnits()))
+	state.Each(kindDescription, func(_ string, text json.RawMessage) {
+		key = append(key, text...)
+		descriptionCount++
+	})
+	state.Each(kindClass, func(name string, text json.RawMessage) {
+		key = append(key, name...)
+		key = append(key, text...)
+	})
+	return key, descriptionCount
+}
+
+// compile compiles the state's description, unless the table in the cache is that of the same key.
+func (b *setupBuilder) compile(state *clusterconfig.State, key []byte, fullValidation bool) error {
+	if bytes.Equal(key, b.tableKey) {
+		return nil
 	}
-	if n > 1 {
-		return out, fmt.Errorf("%d descriptions are agreed on, and one is served: remove the others", n)
+	var description clusterconfig.Description
+	for _, description = range clusterconfig.Read[clusterconfig.Description](state, kindDescription) {
 	}
-	halls := clusterconfig.Read[clusterconfig.Hall](s, "hall")
-	for _, name := range slices.Sorted(maps.Keys(halls)) {
-		at, err := discovery.Address("register", halls[name].Register)
-		if err != nil {
-			return out, fmt.Errorf("hall %s: %w", name, err)
-		}
-		out.Halls = append(out.Halls, gateway.Hall{Name: name, Register: at})
+	options := compileOptions(state.Classes(), state.MostUnits())
+	table, document, err := openapi.Compile(description.File, []byte(description.Text), options)
+	if err != nil {
+		return err
 	}
-	if !bytes.Equal(key, u.key) {
-		var d clusterconfig.Description
-		for _, d = range clusterconfig.Read[clusterconfig.Description](s, "description") {
-		}
-		table, doc, err := openapi.Compile(d.File, []byte(d.Text), compileOptions(s.Classes(), s.MostUnits()))
+	b.tableKey, b.table, b.checker = key, table, nil
+	if fullValidation {
+		b.checker = document.Checker()
+	}
+	return nil
+}
+
+func compileOptions(classes []clusterconfig.Class, maxUnits int) routing.Options {
+	options := routing.Options{MostUnits: maxUnits}
+	for _, c := range classes {
+		options.Classes = append(options.Classes, routing.Class{
+			Name:     c.Name,
+			Worth:    c.Worth,
+			Late:     c.Late,
+			Aim:      time.Duration(c.AimMs) * time.Millisecond,
+			Deadline: time.Duration(c.DeadlineMs) * time.Millisecond,
+		})
+	}
+	return options
+}
+
+func sitesOf(state *clusterconfig.State) (sites []gateway.Hall, err error) {
+	agreed := clusterconfig.Read[clusterconfig.Hall](state, kindSite)
+	for _, name := range slices.Sorted(maps.Keys(agreed)) {
+		addr, err := discovery.Address("register", agreed[name].Register)
 		if err != nil {
-			return out, err
-		}
-		u.key, u.table, u.check = key, table, nil
-		if full {
-			u.check = doc.Checker()
+			return nil, fmt.Errorf("hall %s: %w", name, err)
 		}
+		sites = append(sites, gateway.Hall{Name: name, Register: addr})
 	}
-	out.Number, out.Table, out.Check = s.Version(), u.table, u.check
-	plans := clusterconfig.Read[clusterconfig.Plan](s, "plan")
-	for _, name := range s.Places() {
-		p, ok := plans[name]
-		if !ok { // its place stays; no licensee can have it
-			name = "/removed/" + name
+	return sites, nil
+}
+
+// plansOf returns the plans by their place, which a plan keeps for ever.
+func plansOf(state *clusterconfig.State) (plans []policy.Plan) {
+	agreed := clusterconfig.Read[clusterconfig.Plan](state, kindPlan)
+	for _, name := range state.Places() {
+		plan, exists := agreed[name]
+		if !exists {
+			name = removedPlanPrefix + name
 		}
-		out.Plans = append(out.Plans, policy.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, MaxInFlight: p.Open, HardLimitRate: p.CeilingRate,
-			HardLimitBurst: p.CeilingBurst, HardLimitSlack: p.CeilingSlack, PriorityFactor: p.Price, OverQuotaFraction: p.OverWorth, OverQuotaCost: p.OverCost})
+		plans = append(plans, policy.Plan{
+			Name:              name,
+			Rate:              plan.Rate,
+			Burst:             plan.Burst,
+			MaxInFlight:       plan.Open,
+			HardLimitRate:     plan.CeilingRate,
+			HardLimitBurst:    plan.CeilingBurst,
+			HardLimitSlack:    plan.CeilingSlack,
+			PriorityFactor:    plan.Price,
+			OverQuotaFraction: plan.OverWorth,
+			OverQuotaCost:     plan.OverCost,
+		})
 	}
-	next := make(map[string]licensee, len(u.licensees))
-	out.Licensees = make(map[string]gateway.Licensee, len(u.licensees))
-	s.Each("licensee", func(name string, text json.RawMessage) {
-		l, ok := u.licensees[name]
-		if !ok || !bytes.Equal(l.text, text) {
-			var v clusterconfig.Licensee
-			if json.Unmarshal(text, &v) != nil {
-				return // it was checked when it was put
+	return plans
+}
+
+// licenseesOf returns the licensees by name, and reads only those that have changed since the state before.
+func (b *setupBuilder) licenseesOf(state *clusterconfig.State) map[string]gateway.Licensee {
+	next := make(map[string]cachedLicensee, len(b.licensees))
+	licensees := make(map[string]gateway.Licensee, len(b.licensees))
+	state.Each(kindLicensee, func(name string, text json.RawMessage) {
+		l, cached := b.licensees[name]
+		if !cached || !bytes.Equal(l.text, text) {
+			var agreed clusterconfig.Licensee
+			if json.Unmarshal(text, &agreed) != nil {
+				return // can't be: it was checked before it was agreed on
 			}
-			l = licensee{text, gateway.Licensee{Plan: v.Plan, Customer: gateway.CustomerOf(name)}}
+			l = cachedLicensee{text, gateway.Licensee{Plan: agreed.Plan, Customer: gateway.CustomerOf(name)}}
 		}
-		next[name], out.Licensees[name] = l, l.value
+		next[name], licensees[name] = l, l.value
 	})
-	u.licensees = next
-	return out, nil
+	b.licensees = next
+	return licensees
 }
--- /dev/null
+++ b/internal/cluster/stream_client.go
@@ -0,0 +1,229 @@
+package cluster
+
+import (
+	"cmp"
+	"context"
+	"log"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"mulleinmux/configstream"
+	"mulleinmux/internal/configstreampb"
+)
+
+const (
+	silentHeartbeats = 5 // after which a member is given up
+	maxInstallTries  = 2 // of a version that ends the process
+	minRetryDelay    = 100 * time.Millisecond
+	maxRetryDelay    = 3 * time.Second
+)
+
+// StreamHandlers is what a [StreamClient] has others do. Persist, Check and Install are called one at a time by one
+// goroutine and may take long.
+type StreamHandlers struct {
+	// Persist returns once the state is synced to disk.
+	Persist func(*configstream.Disk) error
+	// Check returns why a version must not be put in force; none: it may.
+	Check func(*configstream.Version) []configstream.Problem
+	// Install puts a version in force.
+	Install func(*configstream.Version) error
+	// Confirm is told when a quorum last confirmed that the running version, and its key ownership, were the newest,
+	// and whether there is such a time.
+	Confirm func(versionAt, ownershipAt time.Time, isVersionConfirmed, isOwnershipConfirmed bool)
+}
+
+// StreamClient is a follower's end of the configuration stream, without an instance. The state machine in package
+// configstream decides; the client connects to one member after the other, and carries its actions out.
+type StreamClient struct {
+	cfg      *FollowerConfig
+	handlers StreamHandlers
+	logger   *log.Logger
+	begun    time.Time
+
+	jobs      chan configstream.Action // Keep, Check and Install, of which one is under way at a time
+	sendQueue chan any                 // configstream.Report, or a ping's sequence number
+
+	mu          sync.Mutex
+	follower    *configstream.Follower
+	stream      *configstreampb.FollowerStream // nil: not connected
+	member      uint64                         // at the other end of the stream
+	hasReceived bool                           // something on this stream
+}
+
+// NewStreamClient returns the client of a follower with the state that its file holds. It does nothing before
+// [StreamClient.Run].
+func NewStreamClient(cfg *FollowerConfig, disk configstream.Disk, handlers StreamHandlers,
+	logger *log.Logger) *StreamClient {
+	c := &StreamClient{
+		cfg:       cfg,
+		handlers:  handlers,
+		logger:    logger,
+		begun:     time.Now(),
+		jobs:      make(chan configstream.Action, 1),
+		sendQueue: make(chan any, streamSendQueue),
+	}
+	follower, actions := configstream.NewFollower(configstream.FollowerConfig{
+		Name:    cfg.Name,
+		Process: rand.Uint64(),
+		Beat:    c.heartbeatInterval(),
+		Silence: min(silentHeartbeats*c.heartbeatInterval(), streamSilenceTimeout),
+		Tries:   maxInstallTries,
+	}, disk)
+	c.follower = follower
+	c.carryOut(actions)
+	return c
+}
+
+func (c *StreamClient) heartbeatInterval() time.Duration {
+	return cmp.Or(c.cfg.HeartbeatInterval, streamHeartbeatInterval)
+}
+
+// Run receives the configuration until ctx ends, and returns once its goroutines have ended.
+func (c *StreamClient) Run(ctx context.Context) {
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	tasks.Go(func() { c.runJobs(ctx) })
+	c.followMembers(ctx)
+}
+
+func (c *StreamClient) now() time.Duration { return time.Since(c.begun) }
+
+// followerEvent is an event of the state machine at a time; it returns what is to be done.
+type followerEvent func(f *configstream.Follower, now time.Duration) []configstream.Action
+
+// handle has the state machine handle an event, and carries out what it decides.
+func (c *StreamClient) handle(event followerEvent) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.carryOut(event(c.follower, c.now()))
+}
+
+// carryOut hands actions on, without blocking. Called under the mutex.
+func (c *StreamClient) carryOut(actions []configstream.Action) {
+	for _, action := range actions {
+		switch {
+		case action.Send != nil:
+			c.enqueue(*action.Send)
+		case action.Ping != 0:
+			c.enqueue(action.Ping)
+		case action.Leave != "":
+			c.leave(action.Leave)
+		case action.Log != "":
+			c.logger.Printf("stream: %s", action.Log)
+		default:
+			c.jobs <- action // there is room: one is under way at a time
+		}
+	}
+}
+
+// enqueue queues a message, and leaves a member that does not read. Called under the mutex.
+func (c *StreamClient) enqueue(message any) {
+	select {
+	case c.sendQueue <- message:
+	default:
+		c.leave("the member does not read")
+	}
+}
+
+// leave ends the stream. Called under the mutex.
+func (c *StreamClient) leave(reason string) {
+	if c.stream != nil {
+		c.logger.Printf("stream: member %d is left: %s", c.member, reason)
+		c.stream.Abort()
+	}
+}
+
+// runJobs does what may take long, until ctx ends: it persists, checks and installs versions.
+func (c *StreamClient) runJobs(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case job := <-c.jobs:
+			c.handle(c.runJob(job))
+		}
+	}
+}
+
+// runJob does a job and returns the event of its end.
+func (c *StreamClient) runJob(job configstream.Action) followerEvent {
+	switch {
+	case job.Keep != nil:
+		err := c.handlers.Persist(job.Keep)
+		return func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Kept(now, err) }
+	case job.Check != nil:
+		problems := c.handlers.Check(job.Check)
+		return func(f *configstream.Follower, now time.Duration) []configstream.Action {
+			return f.Checked(now, problems)
+		}
+	case job.Install != nil:
+		err := c.handlers.Install(job.Install)
+		if err == nil {
+			c.logger.Printf("stream: version %v is in force", job.Install.Ref)
+		}
+		return func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Installed(now, err) }
+	default:
+		return func(*configstream.Follower, time.Duration) []configstream.Action { return nil }
+	}
+}
+
+// followMembers keeps a stream to one member after the other until ctx ends.
+func (c *StreamClient) followMembers(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	assignment := configstream.NewSeat(configstream.SeatConfig{
+		Name:    c.cfg.Name,
+		Members: slices.Sorted(maps.Keys(c.cfg.MemberStreamAddrs)),
+		Least:   minRetryDelay,
+		Most:    maxRetryDelay,
+	}, rng)
+	for ctx.Err() == nil {
+		member := assignment.Next()
+		hasReceived, err := c.follow(ctx, member)
+		if ctx.Err() != nil {
+			return
+		}
+		reason := configstreampb.EndReason(err)
+		if reason == "" {
+			reason = err.Error()
+		}
+		delay := assignment.Lost(hasReceived)
+		c.logger.Printf("stream: member %d: %s: member %d is tried in %v",
+			member, reason, assignment.Next(), delay.Round(time.Millisecond))
+		select {
+		case <-ctx.Done():
+		case <-time.After(delay):
+		}
+	}
+}
+
+// confirm passes on what a quorum has confirmed.
+func (c *StreamClient) confirm() {
+	c.mu.Lock()
+	versionAt, isVersionConfirmed := c.follower.Confirmed()
+	ownershipAt, isOwnershipConfirmed := c.follower.Homes()
+	c.mu.Unlock()
+	c.handlers.Confirm(c.begun.Add(versionAt), c.begun.Add(ownershipAt), isVersionConfirmed, isOwnershipConfirmed)
+}
+
+// Status returns the follower's view of itself, without IsServing.
+func (c *StreamClient) Status() FollowerStatus {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	status := FollowerStatus{
+		Name:           c.cfg.Name,
+		Running:        c.follower.Running(),
+		ConfirmedAgeMs: -1,
+		Note:           c.follower.Note(),
+		Rejected:       slices.Clone(c.follower.Refused()),
+	}
+	if c.hasReceived {
+		status.MemberID = c.member
+	}
+	if at, isConfirmed := c.follower.Confirmed(); isConfirmed {
+		status.ConfirmedAgeMs = (c.now() - at).Milliseconds()
+	}
+	return status
+}
--- /dev/null
+++ b/internal/cluster/stream_connection.go
@@ -0,0 +1,134 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"mulleinmux/configstream"
+	"mulleinmux/internal/configstreampb"
+)
+
+const (
+	streamDialTimeout      = time.Second
+	streamHandshakeTimeout = 2 * time.Second
+	ticksPerHeartbeat      = 4
+)
+
+// newTransport returns a transport for one stream. The caller closes its idle connections.
+func (c *StreamClient) newTransport() *http.Transport {
+	tls := c.cfg.Credentials.TLS()
+	tls.NextProtos = []string{"h2"}
+	return &http.Transport{
+		TLSClientConfig:     tls,
+		ForceAttemptHTTP2:   true,
+		TLSHandshakeTimeout: streamHandshakeTimeout,
+		DialContext:         (&net.Dialer{Timeout: streamDialTimeout}).DialContext,
+	}
+}
+
+// follow has one stream with a member until it ends, and returns whether the member has sent anything, and why the
+// stream ended.
+func (c *StreamClient) follow(ctx context.Context, member uint64) (hasReceived bool, err error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	transport := c.newTransport()
+	defer transport.CloseIdleConnections()
+	addr := c.cfg.MemberStreamAddrs[member]
+	stream := configstreampb.Dial(ctx, &http.Client{Transport: transport}, addr, cancel)
+	hello := c.connected(stream, member)
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	defer c.disconnected(stream)
+	sendResult := make(chan error, 1)
+	tasks.Go(func() {
+		err := c.send(ctx, stream, hello)
+		cancel()
+		sendResult <- err
+	})
+	for {
+		message, err := stream.Receive()
+		if err != nil {
+			cancel()
+			stream.Close()
+			return hasReceived, endOfStream(err, <-sendResult)
+		}
+		if !hasReceived {
+			hasReceived = true
+			c.mu.Lock()
+			c.hasReceived = true
+			c.mu.Unlock()
+		}
+		c.handleMessage(message)
+	}
+}
+
+// endOfStream returns the error that tells the most of why a stream has ended: the member's reason, or else a failure
+// to send, or else the failure to receive.
+func endOfStream(receiveErr, sendErr error) error {
+	hasReason := configstreampb.EndReason(receiveErr) != ""
+	if sendErr == nil || errors.Is(sendErr, context.Canceled) || hasReason {
+		return receiveErr
+	}
+	return sendErr
+}
+
+// connected makes a stream the current one, and returns the hello to begin it with.
+func (c *StreamClient) connected(stream *configstreampb.FollowerStream, member uint64) configstream.Hello {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.sendQueue) > 0 { // messages of the stream before
+		<-c.sendQueue
+	}
+	c.stream, c.member = stream, member
+	return c.follower.Hello(c.now())
+}
+
+// disconnected forgets the current stream and ends it.
+func (c *StreamClient) disconnected(stream *configstreampb.FollowerStream) {
+	c.mu.Lock()
+	c.stream, c.member, c.hasReceived = nil, 0, false
+	c.follower.Broken()
+	c.mu.Unlock()
+	stream.Abort()
+}
+
+// send sends the hello and what is queued, and lets the state machine's time pass, until ctx or the stream ends.
+func (c *StreamClient) send(ctx context.Context, stream *configstreampb.FollowerStream,
+	hello configstream.Hello) error {
+	if err := stream.Send(hello); err != nil {
+		return err
+	}
+	tick := time.NewTicker(c.heartbeatInterval() / ticksPerHeartbeat)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-tick.C:
+			c.handle(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Tick(now) })
+		case message := <-c.sendQueue:
+			if err := stream.Send(message); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// handleMessage has the state machine handle a member's message.
+func (c *StreamClient) handleMessage(message any) {
+	switch message := message.(type) {
+	case *configstream.Push:
+		c.handle(func(f *configstream.Follower, now time.Duration) []configstream.Action {
+			return f.Received(now, message)
+		})
+	case *configstream.Pong:
+		c.handle(func(f *configstream.Follower, now time.Duration) []configstream.Action {
+			return f.Pong(now, *message)
+		})
+		c.confirm()
+	}
+}
