--- /dev/null
+++ b/internal/cluster/agreement_test.go
@@ -0,0 +1,203 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/raftnode"
+)
+
+// Instances reject requests until a first configuration is agreed on, then all serve with it; a change comes into force
+// at all; what can't be applied is rejected with its reason; a repeated proposal is applied once; callers of other
+// clusters are rejected.
+func TestAgreement(t *testing.T) {
+	c := newTestCluster(t, 3)
+	for id := range c.members {
+		if r := c.get(id, "/slots"); r.status != 503 || r.header.Get("Retry-After") == "" {
+			t.Errorf("before anything is agreed on: %+v", r)
+		}
+	}
+	if o := c.propose(c.initialProposal()); !o.Applied || o.Version != 1 {
+		t.Fatalf("%+v", o)
+	}
+	c.awaitInstalled(1)
+	for id := range c.members {
+		c.await("ready", func() bool { return c.isReady(id) })
+		c.awaitServing(id)
+		if r := c.get(id, "/slots"); r.body != "1" || r.header.Get("X-Mulleinmux-Version") != "1" ||
+			r.header.Get("X-Mulleinmux-Units") != "1" || r.header.Get("X-Mulleinmux-Config-Age") != "" {
+			t.Errorf("%+v", r)
+		}
+	}
+	base := uint64(1)
+	second := &clusterconfig.Proposal{ID: "second", Base: &base, Author: "somebody else", Why: "dearer",
+		Changes: []clusterconfig.Change{putDescription(7)}}
+	for range 2 {
+		if o := c.propose(second); o.Version != 2 {
+			t.Errorf("%+v", o)
+		}
+	}
+	c.awaitInstalled(2)
+	for id := range c.members {
+		if r := c.get(id, "/slots"); r.header.Get("X-Mulleinmux-Units") != "7" || r.body != "2" {
+			t.Errorf("%+v", r)
+		}
+	}
+	c.checkRejectedProposals()
+	h, err := c.admin.History(c.ctx())
+	if err != nil || len(h) != 2 || h[1].Author != testOperator || h[1].Why != "dearer" || h[1].AtMs == 0 {
+		t.Errorf("history %+v, error %v", h, err)
+	}
+	if o, err := c.admin.Objects(c.ctx(), false); err != nil || o.Version != 2 || len(o.Objects["plan"]) != 1 {
+		t.Errorf("%+v, %v", o, err)
+	}
+	c.proposeChanges("third", newChange("remove", "licensee", "bahari", ""))
+	c.awaitInstalled(3)
+	if r := c.get(2, "/slots"); r.status != 403 {
+		t.Errorf("a licensee that was removed: %+v", r)
+	}
+	c.checkForeignCertificates()
+}
+
+// checkRejectedProposals checks that proposals at version 2 that can't be applied are rejected with their reason.
+func (c *testCluster) checkRejectedProposals() {
+	c.t.Helper()
+	oldBase := uint64(1)
+	for _, test := range []struct {
+		name   string
+		base   *uint64
+		change clusterconfig.Change
+		want   string
+	}{
+		{"old base", &oldBase, putDescription(8), "version 2 is in force, not 1"},
+		{"no plan", nil, newChange("put", "licensee", "l", `{"plan":"none"}`), `plan "none" is not there`},
+		{"description", nil, putDescription(99), "d.yaml:8"},
+	} {
+		p := &clusterconfig.Proposal{ID: test.name, Base: test.base, Changes: []clusterconfig.Change{test.change}}
+		if _, err := c.admin.Propose(c.ctx(), p); !hasStatus(err, http.StatusConflict, test.want) {
+			c.t.Errorf("%s: %v", test.name, err)
+		}
+		if _, err := c.admin.Check(c.ctx(), p); !hasStatus(err, http.StatusConflict, "") {
+			c.t.Errorf("%s, checked: %v", test.name, err)
+		}
+	}
+}
+
+// checkForeignCertificates checks that clients of other clusters are rejected. It renames the cluster's authority.
+func (c *testCluster) checkForeignCertificates() {
+	c.t.Helper()
+	// Another cluster of the same name, and one of another name.
+	for _, name := range []string{testClusterName, "other"} {
+		creds := memberCredentials(c.t, newTestAuthority(c.t, name), 1)
+		client := NewClient(name, creds, c.addrs[1].Admin)
+		_, err := client.Status(c.ctx())
+		if !errors.Is(err, raftnode.ErrAuthority) || !strings.Contains(err.Error(), "is not of cluster") {
+			c.t.Errorf("a foreign client: %v", err)
+		}
+		client.Close()
+	}
+	// The same authority with another cluster's name in the certificate.
+	c.authority.Cluster = "renamed"
+	client := NewClient(testClusterName, memberCredentials(c.t, c.authority, 1), c.addrs[1].Admin)
+	defer client.Close()
+	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), `is of cluster "renamed"`) {
+		c.t.Errorf("a certificate of another cluster: %v", err)
+	}
+}
+
+// An instance that restarts forwards nothing until a quorum has confirmed its version, with which it has served before;
+// then it serves with the newest.
+func TestRestartServesOnlyConfirmedVersion(t *testing.T) {
+	c := newTestCluster(t, 3)
+	c.propose(c.initialProposal())
+	c.awaitInstalled(1)
+	c.awaitServing(1)
+	for i := range 5 { // that an entry is committed is written with the entry after it
+		c.proposeChanges(fmt.Sprint("more", i), putDescription(2+i))
+	}
+	c.awaitInstalled(6)
+	c.stop(1)
+	c.proposeChanges("newest", putDescription(20))
+	c.stop(2)
+	c.stop(3)
+	c.start(1)
+	// It has an old version in force, and no quorum to confirm it.
+	c.await("a version is in force", func() bool { return c.members[1].member.Instance().Version() > 0 })
+	end := time.Now().Add(500 * time.Millisecond) // 50 ticks: two elections and more
+	for time.Now().Before(end) {
+		if r := c.get(1, "/slots"); r.status != 503 {
+			t.Fatalf("served without a quorum: %+v", r)
+		}
+		if c.isReady(1) {
+			t.Fatal("ready without a quorum")
+		}
+	}
+	c.start(2)
+	c.await("ready", func() bool { return c.isReady(1) })
+	c.awaitServing(1)
+	if r := c.get(1, "/slots"); r.body != "7" || r.header.Get("X-Mulleinmux-Units") != "20" {
+		t.Errorf("after its restart: %+v", r)
+	}
+}
+
+// A minority that is cut off serves on within its bound and says how old its version is; past the bound it does what
+// was chosen. When the quorum is back, both serve.
+func TestMinorityServesUntilStale(t *testing.T) {
+	c := newTestCluster(t, 3)
+	for id, staleness := range map[uint64]gateway.Agreed{
+		1: {StaleAfter: time.Second},
+		2: {StaleAfter: time.Second, Refuse: true},
+	} {
+		c.stop(id)
+		c.members[id].staleness = staleness
+		c.start(id)
+	}
+	c.propose(c.initialProposal())
+	c.awaitInstalled(1)
+	c.awaitServing(1)
+	c.awaitServing(2)
+	c.stop(3)
+	// Each is alone: the link between them goes as well.
+	c.members[1].member.node.Peers(nil)
+	c.members[2].member.node.Peers(nil)
+	cutOffAt := time.Now()
+	if r := c.get(2, "/slots"); r.status != 200 {
+		t.Errorf("within its bound: %+v", r)
+	}
+	c.await("member 2 rejects", func() bool { return c.get(2, "/slots").status == 503 })
+	if after := time.Since(cutOffAt); after < 500*time.Millisecond || after > 5*time.Second {
+		t.Errorf("rejects after %v", after)
+	}
+	if c.isReady(2) || !c.isReady(1) {
+		t.Error("ready: member 2, or not member 1")
+	}
+	c.await("member 1 says an age", func() bool {
+		r := c.get(1, "/slots")
+		age, _ := strconv.ParseFloat(r.header.Get("X-Mulleinmux-Config-Age"), 64)
+		return r.status == 200 && age >= 2
+	})
+	ctx, cancel := context.WithTimeout(context.Background(), 600*time.Millisecond)
+	defer cancel()
+	late := &clusterconfig.Proposal{ID: "late", Changes: []clusterconfig.Change{putDescription(3)}}
+	if _, err := c.admin.Propose(ctx, late); !hasStatus(err, http.StatusServiceUnavailable, "member 1") {
+		t.Errorf("a change without a quorum: %v", err)
+	}
+	s, err := c.admin.Status(c.ctx())
+	if err != nil || s.ConfirmedAgeMs < 1000 || !s.IsServing {
+		t.Errorf("status %+v, %v", s, err)
+	}
+	for _, id := range []uint64{1, 2} {
+		c.members[id].member.node.Peers(raftAddrs(c.addrs))
+	}
+	c.await("both serve", func() bool {
+		return c.isReady(1) && c.isReady(2) && c.get(1, "/slots").header.Get("X-Mulleinmux-Config-Age") == ""
+	})
+}
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -4,229 +4,212 @@
 	"context"
 	"errors"
 	"log"
-	"net"
 	"path/filepath"
 	"strings"
 	"testing"
-	"time"
 
-	"mulleinmux/clusterconfig"
 	"mulleinmux/configstream"
-	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/raftnode"
 	"mulleinmux/internal/testserver"
-	"mulleinmux/policy"
 )
 
-// testFollower is a follower in this process.
-type testFollower struct {
-	*testMember
-	cfg      *FollowerConfig
-	follower *Follower
-	logs     *testserver.Log
+// followerTest is a cluster of three members with two followers, whose instances have the IDs 101 and 102.
+type followerTest struct {
+	*testCluster
+	north, south *testFollower
 }
 
-// newFollower describes one that does not run yet. Its id, above those of members, is for r.ask.
-func (r *testCluster) newFollower(id uint64, name string) *testFollower {
-	r.t.Helper()
-	if err := r.authority.WriteFollower(r.dir, name); err != nil {
-		r.t.Fatal(err)
-	}
-	creds, err := raftnode.LoadNamed(r.dir, raftnode.FollowerFile(name))
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	f := &testFollower{testMember: &testMember{listen: freeAddr(r.t)}, cfg: &FollowerConfig{Cluster: "test", Name: name, Credentials: creds,
-		DataFile: filepath.Join(r.dir, name+".db"), MemberStreamAddrs: map[uint64]string{}}}
-	for m, o := range r.members {
-		if o.cfg != nil && o.cfg.StreamListenAddr != "" {
-			f.cfg.MemberStreamAddrs[m] = o.cfg.StreamListenAddr
+const (
+	northID = 101
+	southID = 102
+	twinID  = 103
+	wrongID = 104
+)
+
+func newFollowerTest(t *testing.T) *followerTest {
+	t.Helper()
+	c := &followerTest{testCluster: newTestCluster(t, 3)}
+	for id := uint64(1); id <= 3; id++ {
+		c.stop(id)
+		c.members[id].cfg.StreamListenAddr = freeAddr(t)
+		c.start(id)
+	}
+	c.north, c.south = c.newFollower(northID, "north"), c.newFollower(southID, "south")
+	for _, f := range []*testFollower{c.north, c.south} {
+		if err := c.startFollower(f); err != nil {
+			t.Fatal(err)
 		}
 	}
-	r.members[id] = f.testMember
-	return f
+	return c
 }
 
-func (r *testCluster) startFollower(f *testFollower) error {
-	r.t.Helper()
-	ctx, stop := context.WithCancel(context.Background())
-	gate := &gateway.Config{Name: f.cfg.Name, Seed: 9, DrainFor: time.Millisecond,
-		Settings: policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
-			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true, LoadReports: policy.LoadReportsInHealthChecks}}
-	ln, err := net.Listen("tcp", f.listen)
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	gate.On(ln, nil)
-	f.logs = &testserver.Log{}
-	f.done, f.stop = make(chan error, 1), stop
-	begun := make(chan *Follower, 1)
-	done := f.done
-	go func() {
-		done <- RunFollower(ctx, f.cfg, gate, log.New(f.logs, "", 0), func(o *Follower) { begun <- o })
-	}()
-	select {
-	case f.follower = <-begun:
-		return nil
-	case err := <-done:
-		ln.Close()
-		f.stop = nil
-		return err
-	case <-time.After(testTimeout):
-		return errors.New("a follower does not begin")
+// Followers from the first version on: a version is pushed, acknowledged and served, or rejected with the reason; a
+// follower serves without any member, after a restart too; a member dies; a name is no follower's, is taken away, or is
+// used twice.
+func TestFollowers(t *testing.T) {
+	c := newFollowerTest(t)
+	c.checkFirstVersions()
+	c.checkRejectedVersion()
+	c.checkRestartWithoutMembers()
+	c.checkTwin()
+	c.checkRemovedFollower()
+	c.checkFollowerCertificates()
+	c.checkOtherFollowersIdentity()
+	if err := c.stop(northID); err != nil {
+		t.Errorf("north ends with %v", err)
 	}
 }
 
-func operatorCredentials(t *testing.T, r *testCluster) raftnode.Credentials {
-	t.Helper()
-	creds, err := raftnode.LoadNamed(r.dir, raftnode.OperatorFile("amina"))
-	if err != nil {
-		t.Fatal(err)
+// checkFirstVersions checks that followers serve nothing before version 1 and then versions 1 and 2.
+func (c *followerTest) checkFirstVersions() {
+	c.t.Helper()
+	if r := c.get(northID, "/slots"); r.status != 503 {
+		c.t.Errorf("before anything is received: %+v", r)
+	}
+	p := c.initialProposal()
+	p.Changes = append(p.Changes,
+		newChange("put", "follower", "north", `{}`),
+		newChange("put", "follower", "south", `{"note":"Kigoma"}`))
+	c.propose(p)
+	c.awaitInstalled(1)
+	for _, id := range []uint64{northID, southID} {
+		c.awaitServing(id)
+		if r := c.get(id, "/slots"); r.body != "1" || r.header.Get("X-Mulleinmux-Version") != "1" {
+			c.t.Errorf("%+v", r)
+		}
+	}
+	c.proposeChanges("two", putDescription(7))
+	c.awaitInstalled(2)
+	if r := c.get(southID, "/slots"); r.body != "2" || r.header.Get("X-Mulleinmux-Units") != "7" {
+		c.t.Errorf("%+v", r)
 	}
-	return creds
 }
 
-// awaitFollower waits until a member says that of a follower.
-func (r *testCluster) awaitFollower(name, want string) {
-	r.t.Helper()
-	last := ""
-	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		fs, err := r.admin.Followers(r.ctx())
-		if err != nil {
-			last = err.Error()
-			continue
-		}
-		for _, s := range fs.Followers {
-			if s.Name == name {
-				if last = s.Plain(); strings.Contains(last, want) {
-					return
-				}
-			}
-		}
+// checkRejectedVersion agrees on version 3, which can't be served: it has two descriptions. The followers say which
+// object is wrong, and serve on.
+func (c *followerTest) checkRejectedVersion() {
+	c.t.Helper()
+	second := putDescription(8)
+	second.Name = "e"
+	c.proposeChanges("three", second)
+	c.awaitFollower("north", "refused 3")
+	c.awaitFollower("south", "2 descriptions are agreed on")
+	if r := c.get(northID, "/slots"); r.body != "2" {
+		c.t.Errorf("after a rejection: %+v", r)
+	}
+	list, err := c.admin.Followers(c.ctx())
+	if err != nil || len(list.Followers) != 2 ||
+		!strings.Contains(list.Followers[0].Explain(list.NewestVersion), "mends that") {
+		c.t.Errorf("%+v, %v", list, err)
 	}
-	r.t.Fatalf("follower %s %q, want %q", name, last, want)
 }
 
-// Followers from the first version on: told, acknowledged, served on; refused with the reason; served on with no member
-// alive, after a restart too; a member that dies; a name that is no follower's, taken away, or used twice.
-func TestFollowers(t *testing.T) {
-	r := newTestCluster(t, 3)
+// checkRestartWithoutMembers checks that a follower that restarts serves what it had, without any member, and does not
+// try the rejected version again; and that both run version 4 once two members are back. The first member stays dead.
+func (c *followerTest) checkRestartWithoutMembers() {
+	c.t.Helper()
+	c.stop(northID)
 	for id := uint64(1); id <= 3; id++ {
-		r.stop(id)
-		r.members[id].cfg.StreamListenAddr = freeAddr(t)
-		r.start(id)
+		c.stop(id)
 	}
-	north, south := r.newFollower(101, "north"), r.newFollower(102, "south")
-	for _, f := range []*testFollower{north, south} {
-		if err := r.startFollower(f); err != nil {
-			t.Fatal(err)
-		}
+	if err := c.startFollower(c.north); err != nil {
+		c.t.Fatal(err)
 	}
-	if a := r.get(101, "/slots"); a.status != 503 {
-		t.Errorf("with nothing told: %+v", a)
-	}
-	p := r.initialProposal()
-	p.Changes = append(p.Changes, newChange("put", "follower", "north", `{}`), newChange("put", "follower", "south", `{"note":"Kigoma"}`))
-	r.propose(p)
-	r.awaitInstalled(1)
-	for _, id := range []uint64{101, 102} {
-		r.awaitServing(id)
-		if a := r.get(id, "/slots"); a.body != "1" || a.header.Get("X-Mulleinmux-Version") != "1" {
-			t.Errorf("%+v", a)
-		}
+	c.awaitServing(northID)
+	if r := c.get(northID, "/slots"); r.body != "2" {
+		c.t.Errorf("with no member alive: %+v", r)
 	}
-	// One change, pushed, acknowledged by both and served on.
-	r.propose(&clusterconfig.Proposal{ID: "two", Changes: []clusterconfig.Change{putDescription(7)}})
-	r.awaitInstalled(2)
-	if a := r.get(102, "/slots"); a.body != "2" || a.header.Get("X-Mulleinmux-Units") != "7" {
-		t.Errorf("%+v", a)
+	if s := c.north.follower.Status(); s.ConfirmedAgeMs != -1 || len(s.Rejected) != 1 || s.MemberID != 0 {
+		c.t.Errorf("%+v", s)
 	}
-	// A version that can't be served on: two descriptions. The follower says which object, and goes on; the next one mends it.
-	second := putDescription(8)
-	second.Name = "e"
-	r.propose(&clusterconfig.Proposal{ID: "three", Changes: []clusterconfig.Change{second}})
-	r.awaitFollower("north", "refused 3")
-	r.awaitFollower("south", "2 descriptions are agreed on")
-	if a := r.get(101, "/slots"); a.body != "2" {
-		t.Errorf("after a refusal: %+v", a)
+	for id := uint64(2); id <= 3; id++ {
+		c.start(id)
 	}
-	if fs, err := r.admin.Followers(r.ctx()); err != nil || len(fs.Followers) != 2 || !strings.Contains(fs.Followers[0].Explain(fs.NewestVersion), "mends that") {
-		t.Errorf("%+v, %v", fs, err)
+	c.proposeChanges("four", newChange("remove", "description", "e", ""))
+	c.awaitFollower("north", "runs 4")
+	c.awaitFollower("south", "runs 4")
+	s := c.north.follower.Status()
+	if len(s.Rejected) != 1 || strings.Contains(c.north.logs.String(), "version 3 is in force") {
+		c.t.Errorf("%+v", s)
 	}
-	// Restarted, it does not try that version again, and serves on what it had before any member has said a word.
-	r.stop(101)
-	for id := uint64(1); id <= 3; id++ {
-		r.stop(id)
-	}
-	if err := r.startFollower(north); err != nil {
-		t.Fatal(err)
-	}
-	r.awaitServing(101)
-	if a := r.get(101, "/slots"); a.body != "2" {
-		t.Errorf("with no member alive: %+v", a)
-	}
-	if s := north.follower.Status(); s.ConfirmedAgeMs != -1 || len(s.Rejected) != 1 || s.MemberID != 0 {
-		t.Errorf("%+v", s)
-	}
-	for id := uint64(2); id <= 3; id++ { // the first stays dead
-		r.start(id)
-	}
-	r.propose(&clusterconfig.Proposal{ID: "four", Changes: []clusterconfig.Change{newChange("remove", "description", "e", "")}})
-	r.awaitFollower("north", "runs 4")
-	r.awaitFollower("south", "runs 4")
-	if s := north.follower.Status(); len(s.Rejected) != 1 || strings.Contains(north.logs.String(), "version 3 is in force") {
-		t.Errorf("%+v", s)
-	}
-	r.await("confirmed", func() bool { s := north.follower.Status(); return s.ConfirmedAgeMs >= 0 && s.IsServing })
-	// A copy of its file beside it: found out, both named, and neither takes what is new.
-	twin := *south
-	twin.testMember = &testMember{listen: freeAddr(t)}
-	cfg := *south.cfg
-	cfg.DataFile = filepath.Join(r.dir, "copy.db")
-	twin.cfg = &cfg
-	r.members[103] = twin.testMember
-	if err := r.startFollower(&twin); err != nil {
-		t.Fatal(err)
-	}
-	r.awaitFollower("south", "are both called south")
-	r.await("both are told", func() bool {
-		return strings.Contains(south.logs.String(), "both called") && strings.Contains(twin.logs.String(), "both called")
+	c.await("confirmed", func() bool {
+		s := c.north.follower.Status()
+		return s.ConfirmedAgeMs >= 0 && s.IsServing
+	})
+}
+
+// checkTwin checks that two processes of one name are found out, and that both are told.
+func (c *followerTest) checkTwin() {
+	c.t.Helper()
+	cfg := *c.south.cfg
+	cfg.DataFile = filepath.Join(c.dir, "copy.db")
+	twin := c.addFollower(twinID, &cfg)
+	if err := c.startFollower(twin); err != nil {
+		c.t.Fatal(err)
+	}
+	c.awaitFollower("south", "are both called south")
+	c.await("both are told", func() bool {
+		return strings.Contains(c.south.logs.String(), "both called") && strings.Contains(twin.logs.String(), "both called")
+	})
+	c.stop(twinID)
+	c.awaitFollower("south", "runs 4")
+}
+
+// checkRemovedFollower checks that a follower that is no longer agreed on receives nothing any more, and serves on.
+func (c *followerTest) checkRemovedFollower() {
+	c.t.Helper()
+	c.proposeChanges("five", newChange("remove", "follower", "south", ""))
+	c.await("it is rejected", func() bool {
+		return strings.Contains(c.south.logs.String(), "not agreed on as a follower")
 	})
-	r.stop(103)
-	r.awaitFollower("south", "runs 4")
-	// Taken out of the agreement, it is told nothing any more, and serves on.
-	r.propose(&clusterconfig.Proposal{ID: "five", Changes: []clusterconfig.Change{newChange("remove", "follower", "south", "")}})
-	r.await("it is turned away", func() bool { return strings.Contains(south.logs.String(), "not agreed on as a follower") })
-	if a := r.get(102, "/slots"); a.status != 200 || a.body != "4" {
-		t.Errorf("%+v", a)
-	}
-	r.awaitFollower("north", "runs 5")
-	// A follower's certificate is no operator's, and no other follower's.
-	if _, err := NewClient("test", south.cfg.Credentials, r.addrs[2].Admin).Status(r.ctx()); err == nil || !strings.Contains(err.Error(), "no operator") {
-		t.Errorf("a follower asks as an operator: %v", err)
-	}
-	for name, creds := range map[string]raftnode.Credentials{"a member": r.members[2].cfg.Credentials, "an operator": operatorCredentials(t, r)} {
+	if r := c.get(southID, "/slots"); r.status != 200 || r.body != "4" {
+		c.t.Errorf("%+v", r)
+	}
+	c.awaitFollower("north", "runs 5")
+}
+
+// checkFollowerCertificates checks that a follower's certificate is no operator's, and a member's or an operator's no
+// follower's.
+func (c *followerTest) checkFollowerCertificates() {
+	c.t.Helper()
+	client := NewClient(testClusterName, c.south.cfg.Credentials, c.addrs[2].Admin)
+	defer client.Close()
+	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), "no operator") {
+		c.t.Errorf("a follower calls as an operator: %v", err)
+	}
+	for name, creds := range map[string]raftnode.Credentials{
+		"a member":    c.members[2].cfg.Credentials,
+		"an operator": c.operatorCredentials(),
+	} {
+		cfg := *c.north.cfg
+		cfg.Credentials = creds
 		var logs testserver.Log
-		ctx, stop := context.WithCancel(r.ctx())
-		feed := NewStreamClient(&FollowerConfig{Cluster: "test", Name: "north", Credentials: creds, MemberStreamAddrs: north.cfg.MemberStreamAddrs}, configstream.Disk{Starts: 1}, StreamHandlers{}, log.New(&logs, "", 0))
+		ctx, stop := context.WithCancel(c.ctx())
+		stream := NewStreamClient(&cfg, configstream.Disk{Starts: 1}, StreamHandlers{}, log.New(&logs, "", 0))
 		done := make(chan struct{})
-		go func() { feed.Run(ctx); close(done) }()
-		r.await(name+" is told nothing", func() bool { return strings.Contains(logs.String(), "is not of a follower") })
+		go func() {
+			defer close(done)
+			stream.Run(ctx)
+		}()
+		c.await(name+" receives nothing", func() bool { return strings.Contains(logs.String(), "is not of a follower") })
 		stop()
 		<-done
 	}
-	wrong := *north
-	wrong.testMember, wrong.cfg = &testMember{listen: freeAddr(t)}, &FollowerConfig{Cluster: "test", Name: "west", Credentials: north.cfg.Credentials, DataFile: filepath.Join(r.dir, "w.db"), MemberStreamAddrs: north.cfg.MemberStreamAddrs}
-	if err := r.startFollower(&wrong); err == nil || !strings.Contains(err.Error(), `"north"`) {
-		t.Errorf("another's certificate: %v", err)
-	}
-	cfg2 := *north.cfg
-	wrong.cfg, cfg2.DataFile = &cfg2, filepath.Join(r.dir, "south.db")
-	r.stop(102)
-	if err := r.startFollower(&wrong); !errors.Is(err, ErrInvalidFollowerFile) {
-		t.Errorf("another's file: %v", err)
-	}
-	if err := r.stop(101); err != nil {
-		t.Errorf("north ends with %v", err)
+}
+
+// checkOtherFollowersIdentity checks that a follower does not start with another's certificate or file. It stops south.
+func (c *followerTest) checkOtherFollowersIdentity() {
+	c.t.Helper()
+	cfg := *c.north.cfg
+	cfg.Name, cfg.DataFile = "west", filepath.Join(c.dir, "w.db")
+	err := c.startFollower(c.addFollower(wrongID, &cfg))
+	if err == nil || !strings.Contains(err.Error(), `"north"`) {
+		c.t.Errorf("another's certificate: %v", err)
+	}
+	c.stop(southID)
+	cfg = *c.north.cfg
+	cfg.DataFile = c.south.cfg.DataFile
+	if err := c.startFollower(c.addFollower(wrongID, &cfg)); !errors.Is(err, ErrInvalidFollowerFile) {
+		c.t.Errorf("another's file: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/cluster/link_test.go
@@ -0,0 +1,35 @@
+package cluster
+
+import (
+	"net/netip"
+	"testing"
+
+	"mulleinmux/internal/gateway"
+)
+
+// A member that does not reach a site itself forwards its requests over the link to a member that does.
+func TestLinkBetweenMembers(t *testing.T) {
+	c := newTestCluster(t, 2)
+	linkAddr := netip.MustParseAddrPort(freeAddr(t))
+	for id, link := range map[uint64]*gateway.LinkConfig{
+		1: {
+			Own:    []string{"hall-z"},
+			Listen: netip.MustParseAddrPort(freeAddr(t)),
+			Far:    map[string][]gateway.LinkPeer{"hall-a": {{Member: 2, Addr: linkAddr}}},
+		},
+		2: {Own: []string{"hall-a"}, Listen: linkAddr},
+	} {
+		c.stop(id)
+		c.members[id].link = link
+	}
+	c.start(1)
+	c.start(2)
+	outcome := c.propose(c.initialProposal())
+	c.awaitInstalled(outcome.Version)
+	c.awaitServing(1)
+	sent := int64(0)
+	c.members[2].member.Instance().Count(func(_ string, counters *gateway.Counters) { sent += counters.Sent.Load() })
+	if sent != 0 {
+		t.Errorf("the far member counts %d requests that entered at the other", sent)
+	}
+}
--- /dev/null
+++ b/internal/cluster/storage_test.go
@@ -0,0 +1,103 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/raftnode"
+)
+
+// fullStorage is a storage that is full from a moment on.
+type fullStorage struct {
+	raftnode.Disk
+	isFull *atomic.Bool
+}
+
+func (s fullStorage) Save(hs *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot, sync bool) error {
+	if s.isFull.Load() && sync {
+		return syscall.ENOSPC
+	}
+	return s.Disk.Save(hs, entries, snap, sync)
+}
+
+// A member whose storage is full, the leader above all, ends with that as its reason; the others go on without losing a
+// change, and it comes back once there is room.
+func TestFullStorage(t *testing.T) {
+	c := newTestCluster(t, 3)
+	c.propose(c.initialProposal())
+	c.awaitInstalled(1)
+	var isFull [4]atomic.Bool // by member
+	for id := uint64(1); id <= 3; id++ {
+		c.stop(id)
+		c.members[id].cfg.WrapStorage = func(d raftnode.Disk) raftnode.Disk { return fullStorage{d, &isFull[id]} }
+		c.start(id)
+	}
+	var leader uint64
+	c.await("a leader", func() bool {
+		s, err := c.admin.Status(c.ctx())
+		leader = s.Leader
+		return err == nil && leader != 0
+	})
+	isFull[leader].Store(true)
+	changes := c.startConcurrentChanges(10)
+	if err := c.awaitEnd(leader); !errors.Is(err, syscall.ENOSPC) {
+		t.Errorf("the member ends with %v", err)
+	}
+	proposals := changes()
+	isFull[leader].Store(false)
+	c.start(leader)
+	c.awaitInstalled(11)
+	h, err := c.admin.History(c.ctx())
+	if err != nil || len(h) != 11 {
+		t.Fatalf("%d versions, error %v", len(h), err)
+	}
+	for _, record := range h[1:] {
+		if proposals[record.Version] != record.ID {
+			t.Errorf("version %d is %s, and was answered as %s", record.Version, record.ID, proposals[record.Version])
+		}
+	}
+}
+
+// startConcurrentChanges proposes so many changes at a time, each until it is applied. The function that it returns
+// waits for all, and returns the IDs of the proposals by version.
+func (c *testCluster) startConcurrentChanges(count int) (wait func() map[uint64]string) {
+	var mu sync.Mutex
+	proposals := map[uint64]string{}
+	var clients sync.WaitGroup
+	for i := range count {
+		p := &clusterconfig.Proposal{ID: fmt.Sprint("c", i), Changes: []clusterconfig.Change{putDescription(2 + i)}}
+		clients.Go(func() {
+			outcome := c.proposeUntilApplied(p)
+			mu.Lock()
+			defer mu.Unlock()
+			if before, exists := proposals[outcome.Version]; exists {
+				c.t.Errorf("%s and %s are both version %d", before, p.ID, outcome.Version)
+			}
+			proposals[outcome.Version] = p.ID
+		})
+	}
+	return func() map[uint64]string {
+		clients.Wait()
+		return proposals
+	}
+}
+
+func (c *testCluster) proposeUntilApplied(p *clusterconfig.Proposal) clusterconfig.Outcome {
+	for {
+		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+		outcome, err := c.admin.Propose(ctx, p)
+		cancel()
+		if err == nil {
+			return outcome
+		}
+	}
+}
--- /dev/null
+++ b/internal/cluster/testcluster_test.go
@@ -0,0 +1,397 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log"
+	"net"
+	"net/http"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/raftnode"
+	"mulleinmux/internal/testserver"
+	"mulleinmux/policy"
+)
+
+const (
+	testTimeout      = 30 * time.Second // of every wait of a test; none is expected to come near it
+	testPollInterval = 2 * time.Millisecond
+	testClusterName  = "test"
+	testOperator     = "amina"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testDescription has one operation, of so many units.
+const testDescription = `openapi: 3.1.0
+info: {title: t, version: "1"}
+servers: [{url: /}]
+paths:
+  /slots:
+    get:
+      operationId: slots
+      x-mulleinmux: {class: check, effect: safe, units: %d}
+      responses: {"200": {description: ok}}
+`
+
+// testCluster is a cluster in this process, with one site of one server. The server answers with the version that the
+// gateway has sent it.
+type testCluster struct {
+	t         *testing.T
+	dir       string
+	authority *raftnode.Authority
+	discovery *testserver.Register
+	instances map[uint64]*testInstance // members and followers
+	members   map[uint64]*testMember
+	addrs     map[uint64]clusterconfig.Member
+	admin     *Client
+}
+
+// testInstance is a member or a follower that runs, or may.
+type testInstance struct {
+	listenAddr string
+	cancel     context.CancelFunc // nil: it does not run
+	done       chan error
+}
+
+type testMember struct {
+	*testInstance
+	cfg       *MemberConfig
+	staleness gateway.Agreed
+	link      *gateway.LinkConfig
+	member    *Member
+}
+
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	addr, err := testserver.FreeAddr("tcp")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return addr
+}
+
+func newTestAuthority(t *testing.T, cluster string) *raftnode.Authority {
+	t.Helper()
+	authority, err := raftnode.NewAuthority(cluster)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return authority
+}
+
+func memberCredentials(t *testing.T, authority *raftnode.Authority, id uint64) raftnode.Credentials {
+	t.Helper()
+	creds, err := authority.Credentials(id)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return creds
+}
+
+// newTestCluster starts a cluster of so many members, which have agreed on nothing yet.
+func newTestCluster(t *testing.T, memberCount uint64) *testCluster {
+	t.Helper()
+	c := &testCluster{
+		t:         t,
+		dir:       t.TempDir(),
+		authority: newTestAuthority(t, testClusterName),
+		instances: map[uint64]*testInstance{},
+		members:   map[uint64]*testMember{},
+		addrs:     map[uint64]clusterconfig.Member{},
+	}
+	c.startServer()
+	if err := c.authority.WriteOperator(c.dir, testOperator); err != nil {
+		t.Fatal(err)
+	}
+	if err := c.authority.Write(c.dir); err != nil {
+		t.Fatal(err)
+	}
+	var adminAddrs []string
+	for id := uint64(1); id <= memberCount; id++ {
+		c.addrs[id] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
+		adminAddrs = append(adminAddrs, c.addrs[id].Admin)
+	}
+	t.Cleanup(func() {
+		for id := range c.instances {
+			c.stop(id)
+		}
+		http.DefaultClient.CloseIdleConnections()
+	})
+	for id := uint64(1); id <= memberCount; id++ {
+		if err := InitMember(c.newMember(id).cfg, false); err != nil {
+			t.Fatal(err)
+		}
+		c.start(id)
+	}
+	c.admin = NewClient(testClusterName, c.operatorCredentials(), adminAddrs...)
+	t.Cleanup(c.admin.Close)
+	return c
+}
+
+// startServer starts the site's server and its discovery.
+func (c *testCluster) startServer() {
+	c.t.Helper()
+	var err error
+	if c.discovery, err = testserver.NewRegister(); err != nil {
+		c.t.Fatal(err)
+	}
+	c.t.Cleanup(c.discovery.Close)
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.Write([]byte(r.Header.Get("X-Mulleinmux-Version")))
+	})}
+	go server.Serve(ln)
+	c.t.Cleanup(func() { server.Close() })
+	c.discovery.Put(testserver.Entry{
+		InstanceID: "s", HostPort: ln.Addr().String(), Zone: "x", Lifecycle: "up", Weight: 1,
+	})
+}
+
+func (c *testCluster) operatorCredentials() raftnode.Credentials {
+	c.t.Helper()
+	creds, err := raftnode.LoadNamed(c.dir, raftnode.OperatorFile(testOperator))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return creds
+}
+
+// newMember describes a member that does not run yet.
+func (c *testCluster) newMember(id uint64) *testMember {
+	c.t.Helper()
+	m := &testMember{
+		testInstance: &testInstance{listenAddr: freeAddr(c.t)},
+		cfg: &MemberConfig{
+			Cluster:      testClusterName,
+			MemberID:     id,
+			DataFile:     filepath.Join(c.dir, fmt.Sprint(id, ".db")),
+			Credentials:  memberCredentials(c.t, c.authority, id),
+			Members:      c.addrs,
+			TickInterval: 10 * time.Millisecond,
+		},
+	}
+	c.members[id], c.instances[id] = m, m.testInstance
+	return m
+}
+
+func testInstanceConfig(name string, seed uint64) *gateway.Config {
+	return &gateway.Config{
+		Name: name, Seed: seed, DrainFor: time.Millisecond,
+		Settings: policy.Settings{
+			InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true,
+			SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond,
+			AllowsHealthChecks: true, LoadReports: policy.LoadReportsInHealthChecks,
+		},
+	}
+}
+
+// listen opens the instance's listener for clients.
+func (i *testInstance) listen(t *testing.T, cfg *gateway.Config) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", i.listenAddr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg.On(ln, nil)
+	return ln
+}
+
+// start starts a member and waits until its instance has started.
+func (c *testCluster) start(id uint64) {
+	c.t.Helper()
+	m := c.members[id]
+	staleness := m.staleness
+	instanceConfig := testInstanceConfig(fmt.Sprint("g", id), id)
+	instanceConfig.Agreed = &staleness
+	instanceConfig.Link = m.link
+	m.listen(c.t, instanceConfig)
+	ctx, cancel := context.WithCancel(context.Background())
+	m.cancel, m.done = cancel, make(chan error, 1)
+	started := make(chan *Member, 1)
+	logger := log.New(io.Discard, "", 0)
+	done := m.done
+	go func() {
+		done <- RunMember(ctx, m.cfg, instanceConfig, logger, func(member *Member) { started <- member })
+	}()
+	select {
+	case m.member = <-started:
+	case err := <-m.done:
+		c.t.Fatalf("member %d: %v", id, err)
+	case <-time.After(testTimeout):
+		c.t.Fatal("a member does not start")
+	}
+}
+
+// stop stops a member or follower, if it runs, and returns why it ended.
+func (c *testCluster) stop(id uint64) error {
+	c.t.Helper()
+	i := c.instances[id]
+	if i == nil || i.cancel == nil {
+		return nil
+	}
+	i.cancel()
+	i.cancel = nil
+	select {
+	case err := <-i.done:
+		return err
+	case <-time.After(testTimeout):
+		c.t.Errorf("instance %d does not end", id)
+		return nil
+	}
+}
+
+// awaitEnd waits until a member ends by itself, and returns why.
+func (c *testCluster) awaitEnd(id uint64) error {
+	c.t.Helper()
+	i := c.instances[id]
+	select {
+	case err := <-i.done:
+		i.cancel()
+		i.cancel = nil
+		return err
+	case <-time.After(testTimeout):
+		c.t.Fatalf("member %d does not end by itself", id)
+		return nil
+	}
+}
+
+func (c *testCluster) ctx() context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	c.t.Cleanup(cancel)
+	return ctx
+}
+
+type response struct {
+	status int
+	body   string
+	header http.Header
+}
+
+// get sends an instance a client's request.
+func (c *testCluster) get(id uint64, path string) response {
+	c.t.Helper()
+	url := "http://" + c.instances[id].listenAddr + path
+	request, err := http.NewRequestWithContext(c.ctx(), http.MethodGet, url, nil)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	request.Close = true
+	request.Header.Set("X-Licensee", "bahari")
+	request.Header.Set("X-Mulleinmux-Explain", "1")
+	answer, err := http.DefaultClient.Do(request)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	defer answer.Body.Close()
+	body, err := io.ReadAll(answer.Body)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return response{answer.StatusCode, string(body), answer.Header}
+}
+
+func (c *testCluster) isReady(id uint64) bool {
+	return c.get(id, "/health/ready").status == http.StatusOK
+}
+
+// await waits until a condition holds.
+func (c *testCluster) await(what string, condition func() bool) {
+	c.t.Helper()
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(testPollInterval) {
+		if time.Now().After(deadline) {
+			c.t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// awaitInstalled waits until a version is in force at all members and followers.
+func (c *testCluster) awaitInstalled(version uint64) {
+	c.t.Helper()
+	if err := c.admin.AwaitInstalled(c.ctx(), version, 0); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// awaitServing waits until an instance knows the server and serves a request.
+func (c *testCluster) awaitServing(id uint64) {
+	c.t.Helper()
+	c.await("a request is served", func() bool { return c.get(id, "/slots").status == http.StatusOK })
+}
+
+// awaitAllStatuses waits until all members of the cluster answer, and the condition holds for each.
+func (c *testCluster) awaitAllStatuses(what string, memberCount int, condition func(Status) bool) {
+	c.t.Helper()
+	c.await(what, func() bool {
+		statuses, failures, err := c.admin.AllStatuses(c.ctx())
+		if err != nil || len(failures) > 0 || len(statuses) != memberCount {
+			return false
+		}
+		for _, status := range statuses {
+			if !condition(status) {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+func (c *testCluster) propose(p *clusterconfig.Proposal) clusterconfig.Outcome {
+	c.t.Helper()
+	outcome, err := c.admin.Propose(c.ctx(), p)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return outcome
+}
+
+// proposeChanges proposes changes under an ID.
+func (c *testCluster) proposeChanges(id string, changes ...clusterconfig.Change) clusterconfig.Outcome {
+	c.t.Helper()
+	return c.propose(&clusterconfig.Proposal{ID: id, Changes: changes})
+}
+
+func newChange(op, kind, name, value string) clusterconfig.Change {
+	change := clusterconfig.Change{Op: op, Kind: kind, Name: name}
+	if value != "" {
+		change.Value = []byte(value)
+	}
+	return change
+}
+
+// putDescription puts a description whose operation costs so many units.
+func putDescription(units int) clusterconfig.Change {
+	text := strconv.Quote(fmt.Sprintf(testDescription, units))
+	return newChange("put", "description", "d", fmt.Sprintf(`{"file":"d.yaml","text":%s}`, text))
+}
+
+// initialProposal is a whole first configuration.
+func (c *testCluster) initialProposal() *clusterconfig.Proposal {
+	return &clusterconfig.Proposal{ID: "first", Changes: []clusterconfig.Change{
+		newChange("put", "class", "check", `{"worth":1,"aim_ms":5000,"deadline_ms":10000}`),
+		newChange("put", "plan", "wide", `{"rate":1e6,"burst":1e6,"price":1}`),
+		newChange("put", "licensee", "bahari", `{"plan":"wide"}`),
+		newChange("put", "hall", "hall-a", fmt.Sprintf(`{"register":%q}`, c.discovery.Addr())),
+		putDescription(1),
+	}}
+}
+
+// hasStatus tells whether an error is an answer with a status, and some text in it.
+func hasStatus(err error, status int, text string) bool {
+	e, ok := errors.AsType[*ResponseError](err)
+	return ok && e.Status == status && strings.Contains(e.Message, text)
+}
