--- /dev/null
+++ b/internal/gatewayconfig/agreed.go
@@ -0,0 +1,136 @@
+package gatewayconfig
+
+import (
+	"fmt"
+	"strings"
+
+	"mulleinmux/internal/gateway"
+	"mulleinmux/policy"
+	"mulleinmux/routing"
+)
+
+// Bounds of values, to find slips.
+const (
+	maxUnits      = 1_000_000
+	maxClassWorth = 1e9
+	maxPlanValue  = 1e12
+)
+
+func (p *parser) requireDescription(form *agreedForm) {
+	if form.Description == "" {
+		p.addProblem("description", "is missing: the file name of an OpenAPI description")
+	}
+}
+
+func (p *parser) sites(form *agreedForm, cfg *gateway.Config) {
+	names := map[string]bool{}
+	for i, s := range form.Sites {
+		section := fmt.Sprintf("hall[%d]", i)
+		if s.Name == "" || names[s.Name] || strings.Contains(s.Name, "/") {
+			p.addProblem(section+".name", "%q is empty, stands twice or has a slash", s.Name)
+		}
+		names[s.Name] = true
+		site := gateway.Hall{Name: s.Name, Register: p.address(section+".register", s.Register)}
+		cfg.Halls = append(cfg.Halls, site)
+	}
+	if len(form.Sites) == 0 {
+		p.addProblem("hall", "none is described: add a [[hall]] with name and register")
+	}
+}
+
+func (p *parser) classes(form *agreedForm, cfg *gateway.Config) {
+	if len(form.Classes) == 0 {
+		p.addProblem("class", "none is described: add a [[class]] with name, worth, aim and deadline")
+	}
+	names := map[string]bool{}
+	for i, c := range form.Classes {
+		section := fmt.Sprintf("class[%d]", i)
+		switch { // comparisons that are negated as a whole are true of NaN
+		case c.Name == "" || names[c.Name]:
+			p.addProblem(section+".name", "%q is empty or stands twice", c.Name)
+		case !(c.Worth > 0 && c.Worth < maxClassWorth):
+			p.addProblem(section+".worth", "%v is not above 0", c.Worth)
+		case !(c.Late >= 0 && c.Late <= 1):
+			p.addProblem(section+".late", "%v is outside 0 to 1", c.Late)
+		case c.Aim.d <= 0 || c.Deadline.d <= 0:
+			p.addProblem(section+".deadline", "aim and deadline are wanted")
+		case c.Aim.d > c.Deadline.d:
+			p.addProblem(section+".aim", "%v is past the deadline %v", c.Aim.d, c.Deadline.d)
+		}
+		names[c.Name] = true
+		cfg.Classes = append(cfg.Classes, routing.Class{
+			Name: c.Name, Worth: c.Worth, Late: c.Late, Aim: c.Aim.d, Deadline: c.Deadline.d,
+		})
+	}
+}
+
+func (p *parser) plans(form *agreedForm, cfg *gateway.Config) {
+	names := map[string]bool{}
+	for i := range form.Plans {
+		plan := &form.Plans[i]
+		section := fmt.Sprintf("plan[%d]", i)
+		if plan.Name == "" || names[plan.Name] {
+			p.addProblem(section+".name", "%q is empty or stands twice", plan.Name)
+		}
+		names[plan.Name] = true
+		p.checkPlan(section, plan)
+		cfg.Settings.Plans = append(cfg.Settings.Plans, policy.Plan{
+			Name:              plan.Name,
+			Rate:              plan.Rate,
+			Burst:             plan.Burst,
+			MaxInFlight:       plan.Open,
+			HardLimitRate:     plan.CeilingRate,
+			HardLimitBurst:    plan.CeilingBurst,
+			HardLimitSlack:    plan.CeilingSlack,
+			PriorityFactor:    plan.Price,
+			OverQuotaFraction: plan.OverWorth,
+			OverQuotaCost:     plan.OverCost,
+		})
+	}
+}
+
+func (p *parser) checkPlan(section string, plan *planForm) {
+	for _, f := range []struct {
+		name  string
+		value float64
+	}{
+		{"rate", plan.Rate},
+		{"burst", plan.Burst},
+		{"ceiling_rate", plan.CeilingRate},
+		{"ceiling_burst", plan.CeilingBurst},
+		{"ceiling_slack", plan.CeilingSlack},
+		{"price", plan.Price},
+		{"over_worth", plan.OverWorth},
+		{"over_cost", plan.OverCost},
+		{"open", float64(plan.Open)},
+	} {
+		if !(f.value >= 0 && f.value < maxPlanValue) { // so that NaN is out of range
+			p.addProblem(section+"."+f.name, "%v is out of range", f.value)
+		}
+	}
+	if plan.Rate > 0 && plan.Burst <= 0 {
+		p.addProblem(section+".burst", "a rate needs a burst, or nothing is ever inside the quota")
+	}
+	if plan.CeilingRate > 0 && (plan.CeilingBurst <= 0 || plan.CeilingRate < plan.Rate) {
+		p.addProblem(section+".ceiling_rate", "a ceiling needs a burst and lies above the rate")
+	}
+}
+
+// licensees reads the licensees, each of which has a plan of the same file.
+func (p *parser) licensees(form *agreedForm, cfg *gateway.Config) {
+	plans := map[string]bool{}
+	for i := range form.Plans {
+		plans[form.Plans[i].Name] = true
+	}
+	cfg.Licensees = map[string]gateway.Licensee{}
+	for i, l := range form.Licensees {
+		section := fmt.Sprintf("licensee[%d]", i)
+		if _, exists := cfg.Licensees[l.Name]; l.Name == "" || exists {
+			p.addProblem(section+".name", "%q is empty or stands twice", l.Name)
+		}
+		if !plans[l.Plan] {
+			p.addProblem(section+".plan", "%q is no [[plan]] of this file", l.Plan)
+		}
+		cfg.Licensees[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerOf(l.Name)}
+	}
+}
--- /dev/null
+++ b/internal/gatewayconfig/cluster_file.go
@@ -0,0 +1,107 @@
+package gatewayconfig
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/gateway"
+)
+
+const maxObjectNameBytes = 200
+
+// ClusterFile is the file of what a cluster's members agree on: sites, classes, plans and licensees in the form that
+// they have in an instance's file, the followers, and the file name of a description.
+type ClusterFile struct {
+	Description string                                // file name, as written
+	Objects     map[string]map[string]json.RawMessage // by kind and name, without the description
+}
+
+// ClusterFileKinds are the kinds of objects of which such a file names all.
+var ClusterFileKinds = []string{"class", "description", "follower", "hall", "licensee", "limit", "plan"}
+
+// ParseClusterFile reads the text of a cluster's file. The error is [routing.Problems].
+func ParseClusterFile(file string, text []byte) (*ClusterFile, error) {
+	p := &parser{file: file, text: text}
+	var form clusterForm
+	if !p.decode(&form) {
+		return nil, p.problems
+	}
+	p.requireDescription(&form.agreedForm)
+	if form.MaxUnits < 0 || form.MaxUnits > maxUnits {
+		p.addProblem("most_units", "%d is outside 1 to %d", form.MaxUnits, maxUnits)
+	}
+	var cfg gateway.Config
+	p.sites(&form.agreedForm, &cfg)
+	p.classes(&form.agreedForm, &cfg)
+	p.plans(&form.agreedForm, &cfg)
+	p.licensees(&form.agreedForm, &cfg)
+	objects := &objectSet{parser: p, objects: map[string]map[string]json.RawMessage{}}
+	objects.addAll(&form, &cfg)
+	if len(p.problems) > 0 {
+		return nil, p.problems
+	}
+	return &ClusterFile{Description: form.Description, Objects: objects.objects}, nil
+}
+
+// objectSet collects a file's objects, and problems with their names.
+type objectSet struct {
+	parser  *parser
+	objects map[string]map[string]json.RawMessage
+}
+
+// add adds an object of a kind.
+func (s *objectSet) add(kind, name string, object any) {
+	text, err := json.Marshal(object)
+	if err != nil || strings.ContainsAny(name, "/\n\x00") || len(name) > maxObjectNameBytes {
+		s.parser.addProblem(kind, "%q can't be a name", name)
+		return
+	}
+	if s.objects[kind] == nil {
+		s.objects[kind] = map[string]json.RawMessage{}
+	}
+	s.objects[kind][name] = text
+}
+
+// addAll adds the objects of a file whose sites, classes, plans and licensees were read into cfg.
+func (s *objectSet) addAll(form *clusterForm, cfg *gateway.Config) {
+	for i, site := range cfg.Halls {
+		s.add("hall", site.Name, clusterconfig.Hall{Register: site.Register.String(), Closed: form.Sites[i].Closed})
+	}
+	for _, c := range cfg.Classes {
+		s.add("class", c.Name, clusterconfig.Class{
+			Worth: c.Worth, Late: c.Late, AimMs: c.Aim.Milliseconds(), DeadlineMs: c.Deadline.Milliseconds(),
+		})
+	}
+	for _, plan := range form.Plans {
+		s.add("plan", plan.Name, clusterconfig.Plan{
+			Rate:         plan.Rate,
+			Burst:        plan.Burst,
+			CeilingRate:  plan.CeilingRate,
+			CeilingBurst: plan.CeilingBurst,
+			CeilingSlack: plan.CeilingSlack,
+			Open:         plan.Open,
+			Price:        plan.Price,
+			OverWorth:    plan.OverWorth,
+			OverCost:     plan.OverCost,
+		})
+	}
+	for name, l := range cfg.Licensees {
+		s.add("licensee", name, clusterconfig.Licensee{Plan: l.Plan})
+	}
+	s.addFollowers(form.Followers)
+	if form.MaxUnits > 0 {
+		s.add("limit", "units", clusterconfig.Limit{Most: form.MaxUnits})
+	}
+}
+
+func (s *objectSet) addFollowers(followers []clusterFollowerForm) {
+	for i, f := range followers {
+		if _, exists := s.objects["follower"][f.Name]; f.Name == "" || exists {
+			s.parser.addProblem(fmt.Sprintf("follower[%d].name", i), "%q is empty or stands twice", f.Name)
+			continue
+		}
+		s.add("follower", f.Name, clusterconfig.Follower{Note: f.Note, Pin: f.Pin})
+	}
+}
--- /dev/null
+++ b/internal/gatewayconfig/instance.go
@@ -0,0 +1,157 @@
+package gatewayconfig
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"mulleinmux/internal/gateway"
+	"mulleinmux/policy"
+)
+
+// Values that the file does not set.
+const (
+	defaultMaxRetryAfter   = 2 * time.Second
+	defaultGossipInboxRate = 40
+	minEventInterval       = 2 * time.Millisecond
+	crossZonePrice         = 0.01
+	gossipPrice            = 0.03
+	healthCheckPrice       = 0.01
+	wastedWorkPrice        = 0.05
+)
+
+// Values of the field validate.
+const (
+	validateCost = "cost"
+	validateFull = "full"
+)
+
+// instance checks an instance's file and turns it into the instance's configuration.
+func (p *parser) instance(form *instanceForm) *File {
+	out := &File{Description: form.Description, AccessLog: form.AccessLog}
+	cfg := &out.Config
+	cfg.Name, cfg.Seed = form.Name, form.Seed
+	if cfg.Name == "" {
+		p.addProblem("name", "is missing")
+	}
+	cfg.Listen = p.address("listen", form.Listen)
+	switch form.Validate {
+	case "", validateCost:
+	case validateFull:
+		cfg.FullValidation = true
+	default:
+		p.addProblem("validate", "%q is unknown: \"cost\" or \"full\" is wanted", form.Validate)
+	}
+	peerCount := p.peers(form, cfg)
+	p.checkRanges(form)
+	setLimits(form, cfg)
+	cfg.Settings = settingsOf(form, peerCount)
+	if form.Cluster != nil && form.Follow != nil {
+		p.addProblem("follow", "a member of a cluster follows none: cluster or follow is wanted")
+	}
+	switch {
+	case form.Cluster != nil:
+		p.rejectAgreedFields(form)
+		p.member(form, out)
+	case form.Follow != nil:
+		p.rejectAgreedFields(form)
+		p.follower(form, out)
+	default:
+		p.agreedConfig(form, cfg)
+	}
+	return out
+}
+
+// agreedConfig reads the rest of the file of an instance without a cluster.
+func (p *parser) agreedConfig(form *instanceForm, cfg *gateway.Config) {
+	p.requireDescription(&form.agreedForm)
+	p.sites(&form.agreedForm, cfg)
+	isZone := func(site gateway.Hall) bool { return site.Name == form.Zone }
+	if len(form.Sites) > 0 && !slices.ContainsFunc(cfg.Halls, isZone) {
+		p.addProblem("zone", "%q is no hall's name", form.Zone)
+	}
+	p.classes(&form.agreedForm, cfg)
+	p.plans(&form.agreedForm, cfg)
+	p.licensees(&form.agreedForm, cfg)
+}
+
+// peers reads the instances that gossip with each other, and returns how many they are, at least 1.
+func (p *parser) peers(form *instanceForm, cfg *gateway.Config) (count int) {
+	count = max(len(form.Peers), 1)
+	if form.Instance < 0 || form.Instance >= count {
+		p.addProblem("instance", "%d is no number of %d peers, counted from 0", form.Instance, count)
+	}
+	for i, peer := range form.Peers {
+		cfg.Peers = append(cfg.Peers, p.address(fmt.Sprintf("peers[%d]", i), peer))
+	}
+	if count > 1 {
+		cfg.PeerListen = p.address("peer_listen", form.PeerListen)
+	}
+	return count
+}
+
+func (p *parser) checkRanges(form *instanceForm) {
+	limits, servers := &form.Limits, &form.Servers
+	for _, f := range []struct {
+		name     string
+		value    float64
+		min, max float64
+	}{
+		{"limits.clients", float64(limits.Clients), 0, 1 << 20},
+		{"limits.servers", float64(limits.Servers), 0, 1 << 20},
+		{"limits.most_units", float64(limits.MaxUnits), 0, maxUnits},
+		{"limits.max_attempts", float64(limits.MaxAttempts), 0, 100},
+		{"limits.inbox_per_s", limits.InboxPerS, 0, 1e6},
+		{"servers.cold_from", servers.ColdFrom, 0, 1},
+		{"servers.fall_multiple", servers.FallMultiple, 0, 1000},
+	} {
+		if !(f.value >= f.min && f.value <= f.max) { // so that NaN is outside
+			p.addProblem(f.name, "%v is outside %v to %v", f.value, f.min, f.max)
+		}
+	}
+}
+
+func setLimits(form *instanceForm, cfg *gateway.Config) {
+	limits := &form.Limits
+	cfg.MaxClients, cfg.MaxServers = limits.Clients, limits.Servers
+	cfg.ConnectTimeout = limits.ConnectTimeout.d
+	cfg.ConnIdle = limits.ConnIdle.d
+	cfg.DrainFor = limits.DrainFor.d
+}
+
+// settingsOf returns the policy's settings, without the plans.
+func settingsOf(form *instanceForm, peerCount int) policy.Settings {
+	limits, servers := &form.Limits, &form.Servers
+	settings := policy.Settings{
+		InstanceIndex:        form.Instance,
+		InstanceCount:        peerCount,
+		Zone:                 form.Zone,
+		ResponseSlack:        limits.AnswerSlack.d,
+		DrainGracePeriod:     servers.DrainGrace.d,
+		SlowStartMinFraction: servers.ColdFrom,
+		SlowStartWindow:      servers.RampTime.d,
+		ColdOverloadMultiple: servers.FallMultiple,
+		ColdOverloadWindow:   servers.OverloadFor.d,
+		MaxAttempts:          limits.MaxAttempts,
+		AllowsCancel:         true,
+		AllowsGossip:         peerCount > 1,
+		AllowsHealthChecks:   true,
+		SendsRetryAfter:      true,
+		MaxRetryAfter:        limits.MaxRetryAfter.d,
+		LoadReports:          policy.LoadReportsInHealthChecks,
+		GossipInboxRate:      limits.InboxPerS,
+		MaxUnits:             float64(limits.MaxUnits),
+		MinEventInterval:     minEventInterval,
+		CrossZonePrice:       crossZonePrice,
+		GossipPrice:          gossipPrice,
+		HealthCheckPrice:     healthCheckPrice,
+		WastedWorkPrice:      wastedWorkPrice,
+	}
+	if settings.MaxRetryAfter == 0 {
+		settings.MaxRetryAfter = defaultMaxRetryAfter
+	}
+	if settings.GossipInboxRate == 0 {
+		settings.GossipInboxRate = defaultGossipInboxRate
+	}
+	return settings
+}
--- a/internal/gatewayconfig/link_test.go
+++ b/internal/gatewayconfig/link_test.go
@@ -8,9 +8,7 @@
 	"mulleinmux/deploy"
 )
 
-// The link's settings are read, and each that can't be is named.
-func TestLink(t *testing.T) {
-	good := `
+const linkSection = `
 [cluster.link]
 listen = "127.0.0.1:7301"
 [[cluster.link.far]]
@@ -18,25 +16,41 @@
 member = 2
 address = "127.0.0.1:7302"
 `
-	f, err := Parse("member.toml", slices.Concat(deploy.Member, []byte(good)))
+
+// parseWithLink parses a member's file with a link section.
+func parseWithLink(section string) (*File, error) {
+	return Parse("member.toml", slices.Concat(deploy.Member, []byte(section)))
+}
+
+// The link's settings are read.
+func TestLink(t *testing.T) {
+	f, err := parseWithLink(linkSection)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := f.Config.Link
-	if l == nil || l.Own[0] != "hall-a" || l.Far["hall-b"][0].Member != 2 || l.Far["hall-b"][0].Addr.Port() != 7302 {
-		t.Errorf("%+v", l)
+	link := f.Config.Link
+	if link == nil || link.Own[0] != "hall-a" || link.Far["hall-b"][0].Member != 2 ||
+		link.Far["hall-b"][0].Addr.Port() != 7302 {
+		t.Errorf("%+v", link)
 	}
-	for field, change := range map[string][2]string{
-		"cluster.link.listen":         {`"127.0.0.1:7301"`, `"nowhere"`},
-		"cluster.link.far[0].hall":    {`"hall-b"`, `"hall-a"`},
-		"cluster.link.far[0].member":  {"member = 2", "member = 9"},
-		"cluster.link.far[0].address": {`"127.0.0.1:7302"`, `""`},
-		"cluster.link.most":           {"[cluster.link]", "[cluster.link]\nmost = 1"},
-		"cluster.link.far":            {good[strings.Index(good, "[[cluster.link.far"):], ""},
+}
+
+// Each setting of the link that can't be is named.
+func TestLinkProblems(t *testing.T) {
+	farTables := linkSection[strings.Index(linkSection, "[[cluster.link.far"):]
+	for _, test := range []struct{ field, old, new string }{
+		{"cluster.link.listen", `"127.0.0.1:7301"`, `"nowhere"`},
+		{"cluster.link.far[0].hall", `"hall-b"`, `"hall-a"`},
+		{"cluster.link.far[0].member", "member = 2", "member = 9"},
+		{"cluster.link.far[0].address", `"127.0.0.1:7302"`, `""`},
+		{"cluster.link.most", "[cluster.link]", "[cluster.link]\nmost = 1"},
+		{"cluster.link.far", farTables, ""},
 	} {
-		_, err := Parse("member.toml", slices.Concat(deploy.Member, []byte(strings.Replace(good, change[0], change[1], 1))))
-		if err == nil || !strings.Contains(err.Error(), field+":") {
-			t.Errorf("%s: %v", field, err)
-		}
+		t.Run(test.field, func(t *testing.T) {
+			_, err := parseWithLink(strings.Replace(linkSection, test.old, test.new, 1))
+			if err == nil || !strings.Contains(err.Error(), test.field+":") {
+				t.Error(err)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/gatewayconfig/membership.go
@@ -0,0 +1,178 @@
+package gatewayconfig
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/gateway"
+)
+
+const (
+	minTickInterval = time.Millisecond
+	maxTickInterval = time.Second
+	minLinkRequests = 2
+	maxLinkRequests = 1 << 16
+)
+
+// Values of the fields when_stale and keys.
+const (
+	whenStaleServe  = "serve"
+	whenStaleRefuse = "refuse"
+	keysHome        = "home"
+	keysAnywhere    = "anywhere"
+)
+
+// rejectAgreedFields adds a problem for what the members of a cluster agree on and thus stands in the cluster's file.
+func (p *parser) rejectAgreedFields(form *instanceForm) {
+	for _, f := range []struct {
+		field string
+		isSet bool
+	}{
+		{"description", form.Description != ""},
+		{"hall", len(form.Sites) > 0},
+		{"class", len(form.Classes) > 0},
+		{"plan", len(form.Plans) > 0},
+		{"licensee", len(form.Licensees) > 0},
+		{"limits.most_units", form.Limits.MaxUnits != 0},
+	} {
+		if f.isSet {
+			p.addProblem(f.field, "is agreed on by the cluster: it belongs into the file of gateway config apply")
+		}
+	}
+	if form.Zone == "" {
+		p.addProblem("zone", "is missing: the hall of this instance's own site")
+	}
+}
+
+// staleness reads what an instance does whose configuration has not been confirmed lately.
+func (p *parser) staleness(section string, staleAfter duration, whenStale string) *gateway.Agreed {
+	staleness := &gateway.Agreed{StaleAfter: staleAfter.d}
+	switch whenStale {
+	case "", whenStaleServe:
+	case whenStaleRefuse:
+		staleness.Refuse = true
+	default:
+		p.addProblem(section+".when_stale", "%q is unknown: \"serve\" or \"refuse\" is wanted", whenStale)
+	}
+	return staleness
+}
+
+// disablesKeyOwnership reads whether requests with an idempotency key may go to any site.
+func (p *parser) disablesKeyOwnership(section, keys string) bool {
+	if keys != "" && keys != keysHome && keys != keysAnywhere {
+		p.addProblem(section+".keys", "%q is unknown: \"home\" or \"anywhere\" is wanted", keys)
+	}
+	return keys == keysAnywhere
+}
+
+// follower reads the section of an instance that receives what a cluster agrees on.
+func (p *parser) follower(form *instanceForm, out *File) {
+	f := form.Follow
+	cfg := &FollowerConfig{
+		Cluster:           f.Cluster,
+		Name:              f.Name,
+		DataFile:          f.Data,
+		CertDir:           f.Certs,
+		MemberStreamAddrs: map[uint64]string{},
+	}
+	out.Follower = cfg
+	p.requireValues("follow", namedValue{"cluster", f.Cluster}, namedValue{"name", f.Name},
+		namedValue{"data", f.Data}, namedValue{"certs", f.Certs})
+	if strings.Contains(f.Cluster+f.Name, "/") {
+		p.addProblem("follow.name", "%q or the cluster's has a slash", f.Name)
+	}
+	for i, m := range f.Members {
+		section := fmt.Sprintf("follow.member[%d]", i)
+		if _, exists := cfg.MemberStreamAddrs[m.Number]; m.Number == 0 || exists {
+			p.addProblem(section+".number", "%d is 0 or stands twice", m.Number)
+		}
+		cfg.MemberStreamAddrs[m.Number] = p.address(section+".stream", m.Stream).String()
+	}
+	if len(f.Members) == 0 {
+		p.addProblem("follow.member", "none is named: add a [[follow.member]] with number and stream")
+	}
+	out.Config.Agreed = p.staleness("follow", f.StaleAfter, f.WhenStale)
+	cfg.DisableKeyOwnership = p.disablesKeyOwnership("follow", f.Keys)
+}
+
+// member reads the section of an instance that is a member of a cluster.
+func (p *parser) member(form *instanceForm, out *File) {
+	m := form.Cluster
+	cfg := &MemberConfig{
+		Cluster:      m.Name,
+		MemberID:     m.Number,
+		DataFile:     m.Data,
+		CertDir:      m.Certs,
+		TickInterval: m.Tick.d,
+	}
+	out.Member = cfg
+	p.requireValues("cluster", namedValue{"name", m.Name}, namedValue{"data", m.Data}, namedValue{"certs", m.Certs})
+	if strings.Contains(m.Name, "/") {
+		p.addProblem("cluster.name", "%q has a slash", m.Name)
+	}
+	cfg.Members = p.memberAddrs(m.Members)
+	if _, isNamed := cfg.Members[m.Number]; !isNamed {
+		p.addProblem("cluster.number", "%d is no [[cluster.member]] of this file", m.Number)
+	}
+	if m.Tick.d != 0 && (m.Tick.d < minTickInterval || m.Tick.d > maxTickInterval) {
+		p.addProblem("cluster.tick", "%v is outside 1ms to 1s", m.Tick.d)
+	}
+	out.Config.Agreed = p.staleness("cluster", m.StaleAfter, m.WhenStale)
+	cfg.DisableKeyOwnership = p.disablesKeyOwnership("cluster", m.Keys)
+	if m.Stream != "" {
+		cfg.StreamListenAddr = p.address("cluster.stream", m.Stream).String()
+	}
+	if m.Link != nil {
+		out.Config.Link = p.link(m.Link, form.Zone, cfg)
+	}
+}
+
+func (p *parser) memberAddrs(forms []memberAddr) map[uint64]clusterconfig.Member {
+	members := map[uint64]clusterconfig.Member{}
+	for i, m := range forms {
+		section := fmt.Sprintf("cluster.member[%d]", i)
+		if _, exists := members[m.Number]; m.Number == 0 || exists {
+			p.addProblem(section+".number", "%d is 0 or stands twice", m.Number)
+		}
+		members[m.Number] = clusterconfig.Member{
+			Raft:  p.address(section+".raft", m.Raft).String(),
+			Admin: p.address(section+".admin", m.Admin).String(),
+		}
+	}
+	return members
+}
+
+// link reads over which members an instance reaches the sites that it does not reach itself.
+func (p *parser) link(form *linkForm, zone string, member *MemberConfig) *gateway.LinkConfig {
+	link := &gateway.LinkConfig{
+		Own:    []string{zone},
+		Listen: p.address("cluster.link.listen", form.Listen),
+		Most:   form.Most,
+		Far:    map[string][]gateway.LinkPeer{},
+	}
+	if form.Most != 0 && (form.Most < minLinkRequests || form.Most > maxLinkRequests) {
+		p.addProblem("cluster.link.most", "%d is outside %d to %d", form.Most, minLinkRequests, maxLinkRequests)
+	}
+	if len(form.Far) == 0 {
+		p.addProblem("cluster.link.far", "is missing: at least one instance of another site is wanted")
+	}
+	for i, f := range form.Far {
+		section := fmt.Sprintf("cluster.link.far[%d]", i)
+		if f.Site == "" || f.Site == zone {
+			p.addProblem(section+".hall", "%q is no hall of another site", f.Site)
+		}
+		if _, isMember := member.Members[f.Member]; !isMember || f.Member == member.MemberID {
+			p.addProblem(section+".member", "%d is no other [[cluster.member]] of this file", f.Member)
+		}
+		isSame := func(peer gateway.LinkPeer) bool { return peer.Member == f.Member }
+		if slices.ContainsFunc(link.Far[f.Site], isSame) {
+			p.addProblem(section+".member", "%d stands twice for %s", f.Member, f.Site)
+		}
+		peer := gateway.LinkPeer{Member: f.Member, Addr: p.address(section+".address", f.Address)}
+		link.Far[f.Site] = append(link.Far[f.Site], peer)
+	}
+	return link
+}
