--- a/internal/configstreampb/wire_test.go
+++ b/internal/configstreampb/messages_test.go
@@ -11,11 +11,12 @@
 	"mulleinmux/configstream"
 )
 
-// agreed is a version with one plan.
-func agreed(t testing.TB) *configstream.Version {
+// newVersion returns a version with one plan.
+func newVersion(t testing.TB) *configstream.Version {
 	t.Helper()
 	s := clusterconfig.New(nil)
-	entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: "a", Changes: []clusterconfig.Change{clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Rate: 1, Burst: 1})}})
+	plan := clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Rate: 1, Burst: 1})
+	entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: "a", Changes: []clusterconfig.Change{plan}})
 	if err == nil {
 		_, _, err = s.Apply(entry)
 	}
@@ -25,15 +26,17 @@
 	return configstream.Of(s.Freeze(), nil)
 }
 
-// A push arrives as it was sent, with fields of a newer program beside; one that breaks a rule of the schema is turned down.
+// A push arrives as it was sent, also with fields of a newer program in it; one that breaks a rule of the schema is
+// rejected.
 func TestPush(t *testing.T) {
-	v := agreed(t)
+	v := newVersion(t)
 	push := NewPush(&configstream.Push{Nonce: 7, Body: v.Body(nil), Confirmed: true}, EncodeBody(v.Body(nil)))
 	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{push}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	text = protowire.AppendVarint(protowire.AppendTag(text, 900, protowire.VarintType), 1) // a field that is not known here
+	text = protowire.AppendTag(text, 900, protowire.VarintType) // a field that is not known here
+	text = protowire.AppendVarint(text, 1)
 	var in FromMember
 	if err := proto.Unmarshal(text, &in); err != nil {
 		t.Fatal(err)
@@ -46,7 +49,7 @@
 	if made, err := p.Body.Make(nil); err != nil || made.Ref != v.Ref {
 		t.Errorf("%v, want %v: %v", made, v.Ref, err)
 	}
-	for name, spoil := range map[string]func(p *Push){
+	for name, corrupt := range map[string]func(p *Push){
 		"no version":      func(p *Push) { p.Ref = nil },
 		"a short digest":  func(p *Push) { p.Ref.Digest = p.Ref.Digest[1:] },
 		"no format":       func(p *Push) { p.Format = 0 },
@@ -54,20 +57,21 @@
 		"no nonce":        func(p *Push) { p.Nonce = 0 },
 	} {
 		bad := proto.CloneOf(push)
-		spoil(bad)
+		corrupt(bad)
 		if got, err := fromMember(&FromMember{Body: &FromMember_Push{bad}}); err == nil {
-			t.Errorf("%s: is taken: %+v", name, got)
+			t.Errorf("%s: is accepted: %+v", name, got)
 		}
 	}
 	if _, err := fromFollower(&FromFollower{}); err == nil {
-		t.Error("a message without a body is taken")
+		t.Error("a message without a body is accepted")
 	}
 }
 
-// Whatever comes from a member is turned down or makes a version with the digest that it names.
+// Whatever comes from a member is rejected or makes a version with the digest that it names.
 func FuzzPush(f *testing.F) {
-	v := agreed(f)
-	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{NewPush(&configstream.Push{Nonce: 7, Body: v.Body(nil)}, EncodeBody(v.Body(nil)))}})
+	v := newVersion(f)
+	push := NewPush(&configstream.Push{Nonce: 7, Body: v.Body(nil)}, EncodeBody(v.Body(nil)))
+	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{push}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -96,12 +100,12 @@
 	return &FromMember{Body: &FromMember_Push{p}}
 }
 
-func BenchmarkValid(b *testing.B) {
+func BenchmarkValidate(b *testing.B) {
 	for _, n := range []int{1, 2000} {
 		m := benchPush(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				if err := valid(m); err != nil {
+				if err := validate(m); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -109,7 +113,7 @@
 	}
 }
 
-func BenchmarkRead(b *testing.B) {
+func BenchmarkUnmarshal(b *testing.B) {
 	text, _ := proto.Marshal(benchPush(2000))
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
