--- a/clusterconfig/fixture_test.go
+++ b/clusterconfig/fixture_test.go
@@ -13,26 +13,26 @@
 // Recorded with: MULLEINMUX_RECORD=1 go test ./fleetconfig -run Fixture
 func TestFixtureEntriesAndSnapshot(t *testing.T) {
 	base := func(v uint64) *uint64 { return &v }
-	full := Plan{Rate: 5, Burst: 10, CeilingRate: 20.5, CeilingBurst: 40, CeilingSlack: 0.25, Open: 7, Price: 1.5, OverWorth: 2, OverCost: 3}
+	full := Plan{Rate: 5, Burst: 10, HardLimitRate: 20.5, HardLimitBurst: 40, HardLimitSlack: 0.25, MaxInFlight: 7, PriorityFactor: 1.5, OverQuotaFraction: 2, OverQuotaCost: 3}
 	proposals := []Proposal{
-		{ID: "p1", Author: "asha", Why: "first", AtMs: 1_700_000_000_000, Changes: []Change{Put("plan", "kati", Plan{Rate: 5, Burst: 10, Price: 1}),
-			Put("plan", "kubwa", full), Put("licensee", "a", Licensee{"kati"}), Put("licensee", "b", Licensee{"kubwa"})}},
-		{ID: "p2", Base: base(1), Changes: []Change{Put("hall", "hall-a", Hall{Register: "127.0.0.1:1"}), Put("hall", "hall-b", Hall{Register: "127.0.0.1:2"}),
-			Put("hall", "hall-c", Hall{"[::1]:3", true}), Put("lost", "hall-b", LostHall{Why: "silent"})}},
-		{ID: "p3", Base: base(0), Author: "juma", Changes: []Change{Put("limit", "units", Limit{9})}},
-		{ID: "p4", Changes: []Change{Put("class", "book", Class{Worth: 3, Late: 0.5, AimMs: 400, DeadlineMs: 2000}),
-			Put("class", "look", Class{Worth: 1, AimMs: 100, DeadlineMs: 200}), Put("limit", "units", Limit{60}), Put("description", "booking", Description{"booking.yaml", "openapi: <&>"})}},
-		{ID: "p5", Changes: []Change{Put("member", "1", Member{"127.0.0.1:11", "127.0.0.1:21"}), Put("member", "2", Member{"127.0.0.1:12", "127.0.0.1:22"})}},
-		{ID: "p6", Changes: []Change{Put("follower", "edge-1", Follower{"a note", 3}), Put("follower", "edge-2", Follower{}), Put("epoch", "epoch", Epoch{2, "one"})}},
-		{ID: "p7", Changes: []Change{Put("lost", "hall-b", LostHall{"warm", 3})}},
-		{ID: "p8", Why: "goes", Changes: []Change{{Op: "remove", Kind: "licensee", Name: "a"}, {Op: "remove", Kind: "plan", Name: "kati"}, {Op: "remove", Kind: "hall", Name: "hall-c"}}},
-		{ID: "p9", Changes: []Change{Put("licensee", "c", Licensee{"none"})}},
-		{ID: "p1", Changes: []Change{Put("licensee", "c", Licensee{"kubwa"})}}, // repeated
-		{ID: "p10", Changes: []Change{Put("plan", "kati", Plan{})}},
+		{ID: "p1", Author: "asha", Reason: "first", ProposedAtMs: 1_700_000_000_000, Changes: []Change{NewPutChange("plan", "kati", Plan{Rate: 5, Burst: 10, PriorityFactor: 1}),
+			NewPutChange("plan", "kubwa", full), NewPutChange("licensee", "a", Licensee{"kati"}), NewPutChange("licensee", "b", Licensee{"kubwa"})}},
+		{ID: "p2", BaseVersion: base(1), Changes: []Change{NewPutChange("hall", "hall-a", Site{DiscoveryAddress: "127.0.0.1:1"}), NewPutChange("hall", "hall-b", Site{DiscoveryAddress: "127.0.0.1:2"}),
+			NewPutChange("hall", "hall-c", Site{"[::1]:3", true}), NewPutChange("lost", "hall-b", LostSite{Reason: "silent"})}},
+		{ID: "p3", BaseVersion: base(0), Author: "juma", Changes: []Change{NewPutChange("limit", "units", Limit{9})}},
+		{ID: "p4", Changes: []Change{NewPutChange("class", "book", Class{PriorityWeight: 3, LateFraction: 0.5, LatencyObjectiveMs: 400, DeadlineMs: 2000}),
+			NewPutChange("class", "look", Class{PriorityWeight: 1, LatencyObjectiveMs: 100, DeadlineMs: 200}), NewPutChange("limit", "units", Limit{60}), NewPutChange("description", "booking", Description{"booking.yaml", "openapi: <&>"})}},
+		{ID: "p5", Changes: []Change{NewPutChange("member", "1", Member{"127.0.0.1:11", "127.0.0.1:21"}), NewPutChange("member", "2", Member{"127.0.0.1:12", "127.0.0.1:22"})}},
+		{ID: "p6", Changes: []Change{NewPutChange("follower", "edge-1", Follower{"a note", 3}), NewPutChange("follower", "edge-2", Follower{}), NewPutChange("epoch", "epoch", Epoch{2, "one"})}},
+		{ID: "p7", Changes: []Change{NewPutChange("lost", "hall-b", LostSite{"warm", 3})}},
+		{ID: "p8", Reason: "goes", Changes: []Change{{Op: "remove", Kind: "licensee", Name: "a"}, {Op: "remove", Kind: "plan", Name: "kati"}, {Op: "remove", Kind: "hall", Name: "hall-c"}}},
+		{ID: "p9", Changes: []Change{NewPutChange("licensee", "c", Licensee{"none"})}},
+		{ID: "p1", Changes: []Change{NewPutChange("licensee", "c", Licensee{"kubwa"})}}, // repeated
+		{ID: "p10", Changes: []Change{NewPutChange("plan", "kati", Plan{})}},
 	}
 	var entries bytes.Buffer
 	for _, p := range proposals {
-		entry, err := Encode(&p)
+		entry, err := EncodeProposal(&p)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,10 +51,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, err := Encode(p); err != nil || !bytes.Equal(again, entry) {
+		if again, err := EncodeProposal(p); err != nil || !bytes.Equal(again, entry) {
 			t.Errorf("%q is worded again as %q, %v", entry, again, err)
 		}
-		if err := json.NewEncoder(&outcomes).Encode([]any{id, o, MovesHomes(entry), s.Hash()}); err != nil {
+		if err := json.NewEncoder(&outcomes).Encode([]any{id, o, ChangesPlacement(entry), s.Hash()}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/clusterconfig/objects.go
+++ b/clusterconfig/objects.go
@@ -12,15 +12,15 @@
 
 // Plan is a tariff's quotas. Rates are in units a second.
 type Plan struct {
-	Rate         float64 `json:"rate"`
-	Burst        float64 `json:"burst"`
-	CeilingRate  float64 `json:"ceiling_rate,omitempty"`
-	CeilingBurst float64 `json:"ceiling_burst,omitempty"`
-	CeilingSlack float64 `json:"ceiling_slack,omitempty"`
-	Open         int     `json:"open,omitempty"`
-	Price        float64 `json:"price"`
-	OverWorth    float64 `json:"over_worth,omitempty"`
-	OverCost     float64 `json:"over_cost,omitempty"`
+	Rate              float64 `json:"rate"`
+	Burst             float64 `json:"burst"`
+	HardLimitRate     float64 `json:"ceiling_rate,omitempty"`
+	HardLimitBurst    float64 `json:"ceiling_burst,omitempty"`
+	HardLimitSlack    float64 `json:"ceiling_slack,omitempty"`
+	MaxInFlight       int     `json:"open,omitempty"`
+	PriorityFactor    float64 `json:"price"`
+	OverQuotaFraction float64 `json:"over_worth,omitempty"`
+	OverQuotaCost     float64 `json:"over_cost,omitempty"`
 }
 
 // Licensee is a licensed provider.
@@ -28,41 +28,41 @@
 	Plan string `json:"plan"`
 }
 
-// Hall is a site's servers.
-type Hall struct {
-	Register string `json:"register"`         // address with a port
-	Closed   bool   `json:"closed,omitempty"` // keyed requests have their home elsewhere
+// Site is a site's servers.
+type Site struct {
+	DiscoveryAddress string `json:"register"`         // address with a port
+	IsClosed         bool   `json:"closed,omitempty"` // keyed requests have their home elsewhere
 }
 
-// LostHall says that the instances agree to have lost the hall of that name: homes of keys
+// LostSite says that the instances agree to have lost the hall of that name: homes of keys
 // leave it until it is removed. One that is coming back takes a part of its keys. Instances
 // put and remove it (see package sites).
-type LostHall struct {
-	Why  string `json:"why"`
-	Part int    `json:"part,omitempty"` // eighths of its keys that it takes
+type LostSite struct {
+	Reason           string `json:"why"`
+	RecoveredEighths int    `json:"part,omitempty"` // eighths of its keys that it takes
 }
 
 // Class is what requests of a class are worth, and the figures of operations that declare
 // none. Times are in milliseconds.
 type Class struct {
-	Name       string  `json:"name,omitempty"` // that of its object
-	Worth      float64 `json:"worth"`
-	Late       float64 `json:"late,omitempty"`
-	AimMs      int64   `json:"aim_ms"`
-	DeadlineMs int64   `json:"deadline_ms"`
+	Name               string  `json:"name,omitempty"` // that of its object
+	PriorityWeight     float64 `json:"worth"`
+	LateFraction       float64 `json:"late,omitempty"`
+	LatencyObjectiveMs int64   `json:"aim_ms"`
+	DeadlineMs         int64   `json:"deadline_ms"`
 }
 
 // Member is where an instance of the gateway is reached.
 type Member struct {
-	Raft  string `json:"raft"`  // by the other members: an address with a port
-	Admin string `json:"admin"` // by operators: an address with a port
+	RaftAddress  string `json:"raft"`  // by the other members: an address with a port
+	AdminAddress string `json:"admin"` // by operators: an address with a port
 }
 
 // Follower is an instance that is no member and is told the configuration: see package confstream. Its name is that in
 // its certificate.
 type Follower struct {
-	Note string `json:"note,omitempty"` // for operators
-	Pin  uint64 `json:"pin,omitempty"`  // the version that it is to stay at; 0: the newest
+	Note          string `json:"note,omitempty"` // for operators
+	PinnedVersion uint64 `json:"pin,omitempty"`  // the version that it is to stay at; 0: the newest
 }
 
 // Epoch tells versions of a control service that was restored or replaced, and whose numbers went back, from late ones: a
@@ -74,7 +74,7 @@
 
 // Limit bounds what one request may ask for. The one that is known is "units".
 type Limit struct {
-	Most int `json:"most"`
+	Max int `json:"most"`
 }
 
 // defaultMostUnits is the limit of units where none is agreed.
@@ -93,8 +93,8 @@
 		for _, f := range []struct {
 			name string
 			v    float64
-		}{{"rate", p.Rate}, {"burst", p.Burst}, {"ceiling_rate", p.CeilingRate}, {"ceiling_burst", p.CeilingBurst}, {"ceiling_slack", p.CeilingSlack},
-			{"open", float64(p.Open)}, {"price", p.Price}, {"over_worth", p.OverWorth}, {"over_cost", p.OverCost}} {
+		}{{"rate", p.Rate}, {"burst", p.Burst}, {"ceiling_rate", p.HardLimitRate}, {"ceiling_burst", p.HardLimitBurst}, {"ceiling_slack", p.HardLimitSlack},
+			{"open", float64(p.MaxInFlight)}, {"price", p.PriorityFactor}, {"over_worth", p.OverQuotaFraction}, {"over_cost", p.OverQuotaCost}} {
 			if !(f.v >= 0 && f.v < 1e12) {
 				return fmt.Errorf("%s: out of range", f.name)
 			}
@@ -102,7 +102,7 @@
 		switch {
 		case p.Rate > 0 && p.Burst <= 0:
 			return errors.New("burst: a rate needs one")
-		case p.CeilingRate > 0 && (p.CeilingBurst <= 0 || p.CeilingRate < p.Rate):
+		case p.HardLimitRate > 0 && (p.HardLimitBurst <= 0 || p.HardLimitRate < p.Rate):
 			return errors.New("ceiling_rate: a ceiling needs a burst and lies above the rate")
 		}
 		return nil
@@ -113,26 +113,26 @@
 		}
 		return nil
 	}),
-	"hall": as(func(h *Hall) error {
-		if _, err := netip.ParseAddrPort(h.Register); err != nil {
+	"hall": as(func(h *Site) error {
+		if _, err := netip.ParseAddrPort(h.DiscoveryAddress); err != nil {
 			return errors.New("register: an address with a port is wanted")
 		}
 		return nil
 	}),
-	"lost": as(func(l *LostHall) error {
-		if l.Why == "" {
+	"lost": as(func(l *LostSite) error {
+		if l.Reason == "" {
 			return errors.New("why: is missing")
 		}
-		if l.Part < 0 || l.Part > 7 {
+		if l.RecoveredEighths < 0 || l.RecoveredEighths > 7 {
 			return errors.New("part: is outside 0 to 7")
 		}
 		return nil
 	}),
 	"member": as(func(m *Member) error {
-		if _, err := netip.ParseAddrPort(m.Raft); err != nil {
+		if _, err := netip.ParseAddrPort(m.RaftAddress); err != nil {
 			return errors.New("raft: an address with a port is wanted")
 		}
-		if _, err := netip.ParseAddrPort(m.Admin); err != nil {
+		if _, err := netip.ParseAddrPort(m.AdminAddress); err != nil {
 			return errors.New("admin: an address with a port is wanted")
 		}
 		return nil
@@ -150,7 +150,7 @@
 		return nil
 	}),
 	"limit": as(func(l *Limit) error {
-		if l.Most < 1 || l.Most > 1_000_000 {
+		if l.Max < 1 || l.Max > 1_000_000 {
 			return errors.New("most: is outside 1 to 1000000")
 		}
 		return nil
@@ -159,11 +159,11 @@
 		switch {
 		case c.Name != "":
 			return errors.New("name: is that of the change")
-		case !(c.Worth > 0 && c.Worth < 1e9):
+		case !(c.PriorityWeight > 0 && c.PriorityWeight < 1e9):
 			return errors.New("worth: is not above 0")
-		case !(c.Late >= 0 && c.Late <= 1):
+		case !(c.LateFraction >= 0 && c.LateFraction <= 1):
 			return errors.New("late: is outside 0 to 1")
-		case c.AimMs <= 0 || c.DeadlineMs < c.AimMs || c.DeadlineMs > 3_600_000:
+		case c.LatencyObjectiveMs <= 0 || c.DeadlineMs < c.LatencyObjectiveMs || c.DeadlineMs > 3_600_000:
 			return errors.New("aim_ms: above 0 and up to deadline_ms, an hour at the most, is wanted")
 		}
 		return nil
@@ -189,8 +189,8 @@
 	}
 }
 
-// Read returns all objects of a kind by name.
-func Read[T any](s *State, kind string) map[string]T {
+// ObjectsByName returns all objects of a kind by name.
+func ObjectsByName[T any](s *State, kind string) map[string]T {
 	out := map[string]T{}
 	s.Each(kind, func(name string, value json.RawMessage) {
 		var v T
@@ -223,13 +223,13 @@
 	return e
 }
 
-// MostUnits is the most units that one request may cost.
-func (s *State) MostUnits() int { return mostUnits(s.objects) }
+// MaxUnits is the most units that one request may cost.
+func (s *State) MaxUnits() int { return mostUnits(s.objects) }
 
 func mostUnits(objects *Tree) int {
 	var l Limit
 	if text, ok := objects.Get(key("limit", "units")); ok && json.Unmarshal(text, &l) == nil {
-		return l.Most
+		return l.Max
 	}
 	return defaultMostUnits
 }
@@ -237,11 +237,11 @@
 // takesKeys tells whether there is a hall that is neither closed nor lost.
 func takesKeys(objects *Tree) (takes bool) {
 	each(objects, "hall", func(name string, value json.RawMessage) {
-		var h Hall
-		var l LostHall
+		var h Site
+		var l LostSite
 		text, lost := objects.Get(key("lost", name))
-		gone := lost && (json.Unmarshal(text, &l) != nil || l.Part == 0)
-		takes = takes || !gone && json.Unmarshal(value, &h) == nil && !h.Closed
+		gone := lost && (json.Unmarshal(text, &l) != nil || l.RecoveredEighths == 0)
+		takes = takes || !gone && json.Unmarshal(value, &h) == nil && !h.IsClosed
 	})
 	return takes
 }
--- a/clusterconfig/state.go
+++ b/clusterconfig/state.go
@@ -39,19 +39,19 @@
 	return 1
 }
 
-// FormatOf is the oldest format that knows the kind of an object, by its key "kind/name".
-func FormatOf(key string) int {
+// FormatForKey is the oldest format that knows the kind of an object, by its key "kind/name".
+func FormatForKey(key string) int {
 	kind, _, _ := strings.Cut(key, "/")
 	return int(formatOf(kind))
 }
 
 // Bounds.
 const (
-	MaxProposal = 12 << 20 // bytes of an encoded proposal
-	maxChanges  = 10_000   // in one proposal
-	keptIDs     = 10_000   // request ids that are remembered, the oldest forgotten first
-	keptHistory = 2_000    // versions whose history is kept
-	maxPlaces   = 1_000    // plans that were ever put
+	MaxProposalBytes = 12 << 20 // bytes of an encoded proposal
+	maxChanges       = 10_000   // in one proposal
+	keptIDs          = 10_000   // request ids that are remembered, the oldest forgotten first
+	keptHistory      = 2_000    // versions whose history is kept
+	maxPlaces        = 1_000    // plans that were ever put
 )
 
 // Errors.
@@ -71,9 +71,9 @@
 	Value json.RawMessage `json:"value,omitempty"` // of a put
 }
 
-// Put is the change that puts an object. It panics on a value that JSON can't hold, which
+// NewPutChange is the change that puts an object. It panics on a value that JSON can't hold, which
 // none of this package's kinds is.
-func Put(kind, name string, value any) Change {
+func NewPutChange(kind, name string, value any) Change {
 	text, err := json.Marshal(value)
 	if err != nil {
 		panic(fmt.Sprintf("fleetconfig: %s %s: %v", kind, name, err))
@@ -83,30 +83,30 @@
 
 // Proposal is what an operator asks for: all of its changes take place, or none.
 type Proposal struct {
-	ID      string   `json:"id"`             // of the request: a repeated one is applied once
-	Base    *uint64  `json:"base,omitempty"` // the version that the changes were made against; nil: any
-	Author  string   `json:"author,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	AtMs    int64    `json:"at_ms,omitempty"` // when it was proposed, by the proposer's clock; decides nothing
-	Changes []Change `json:"changes"`
+	ID           string   `json:"id"`             // of the request: a repeated one is applied once
+	BaseVersion  *uint64  `json:"base,omitempty"` // the version that the changes were made against; nil: any
+	Author       string   `json:"author,omitempty"`
+	Reason       string   `json:"why,omitempty"`
+	ProposedAtMs int64    `json:"at_ms,omitempty"` // when it was proposed, by the proposer's clock; decides nothing
+	Changes      []Change `json:"changes"`
 }
 
 // Outcome is what became of a proposal.
 type Outcome struct {
-	Version uint64 `json:"version"`           // in force after it
-	Applied bool   `json:"applied"`           // the version is the proposal's own
-	Refused string `json:"refused,omitempty"` // why not
+	Version         uint64 `json:"version"`           // in force after it
+	IsApplied       bool   `json:"applied"`           // the version is the proposal's own
+	RejectionReason string `json:"refused,omitempty"` // why not
 }
 
-// Record is one version in the history.
-type Record struct {
-	Version uint64   `json:"version"`
-	ID      string   `json:"id"`
-	Author  string   `json:"author,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	AtMs    int64    `json:"at_ms,omitempty"`
-	Changes []string `json:"changes"` // such as "put plan kubwa"
-	Hash    string   `json:"hash"`    // of the chain after it
+// HistoryRecord is one version in the history.
+type HistoryRecord struct {
+	Version      uint64   `json:"version"`
+	ID           string   `json:"id"`
+	Author       string   `json:"author,omitempty"`
+	Reason       string   `json:"why,omitempty"`
+	ProposedAtMs int64    `json:"at_ms,omitempty"`
+	Changes      []string `json:"changes"` // such as "put plan kubwa"
+	Hash         string   `json:"hash"`    // of the chain after it
 }
 
 // Validator checks a description against the classes and the limit of units in force. It
@@ -123,7 +123,7 @@
 	places   []string          // of plans, in the order in which they were first put
 	outcomes map[string]Outcome
 	ids      []string // of outcomes, the oldest first
-	history  []Record
+	history  []HistoryRecord
 }
 
 // New returns an empty state at version 0.
@@ -139,9 +139,9 @@
 func (s *State) Hash() string { return hex.EncodeToString(s.hash[:]) }
 
 // History is the records kept, the oldest first.
-func (s *State) History() []Record { return slices.Clone(s.kept()) }
+func (s *State) History() []HistoryRecord { return slices.Clone(s.kept()) }
 
-func (s *State) kept() []Record { return s.history[max(len(s.history)-keptHistory, 0):] }
+func (s *State) kept() []HistoryRecord { return s.history[max(len(s.history)-keptHistory, 0):] }
 
 // Outcome is what became of a proposal, as long as its id is remembered.
 func (s *State) Outcome(id string) (Outcome, bool) {
@@ -157,9 +157,9 @@
 // Tree is the agreed objects. Nobody may change a value in it.
 func (s *State) Tree() *Tree { return s.objects }
 
-// Told is a configuration as [State.Freeze] returns it, from what was told of one: its version, hash, places and epoch
+// NewFrozenState is a configuration as [State.Freeze] returns it, from what was told of one: its version, hash, places and epoch
 // of homes, and its objects.
-func Told(version, homes uint64, hash string, places []string, objects *Tree) (*State, error) {
+func NewFrozenState(version, homes uint64, hash string, places []string, objects *Tree) (*State, error) {
 	s := &State{version: version, homes: homes, places: places, objects: objects, outcomes: map[string]Outcome{}}
 	if n, err := hex.Decode(s.hash[:], []byte(hash)); err != nil || n != len(s.hash) || len(hash) != 2*n {
 		return nil, fmt.Errorf("hash: %w", ErrMalformed)
@@ -167,13 +167,13 @@
 	return s, nil
 }
 
-// Places are the names of all plans that were ever put, removed ones too, in an order that
+// PlanOrder are the names of all plans that were ever put, removed ones too, in an order that
 // is the same at all instances and in which none moves: instances name plans to each other
 // by their place.
-func (s *State) Places() []string { return slices.Clone(s.places) }
+func (s *State) PlanOrder() []string { return slices.Clone(s.places) }
 
-// Homes is the version of the last change of a hall: an epoch of homes.
-func (s *State) Homes() uint64 { return s.homes }
+// PlacementVersion is the version of the last change of a hall: an epoch of homes.
+func (s *State) PlacementVersion() uint64 { return s.homes }
 
 // Freeze returns the configuration as it is now, without the history and the outcomes of
 // proposals. It stays as it is while s goes on, and may be read by others.
@@ -195,14 +195,14 @@
 
 func key(kind, name string) []byte { return []byte(kind + "/" + name) }
 
-// Encode words a proposal as an entry.
-func Encode(p *Proposal) ([]byte, error) {
+// EncodeProposal words a proposal as an entry.
+func EncodeProposal(p *Proposal) ([]byte, error) {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return nil, fmt.Errorf("proposal: %w", err)
 	}
-	if len(text) > MaxProposal {
-		return nil, fmt.Errorf("proposal: %d bytes: %d are the most", len(text), MaxProposal)
+	if len(text) > MaxProposalBytes {
+		return nil, fmt.Errorf("proposal: %d bytes: %d are the most", len(text), MaxProposalBytes)
 	}
 	format := byte(1)
 	for _, c := range p.Changes {
@@ -245,8 +245,8 @@
 	return err
 }
 
-// MovesHomes tells whether an entry may change homes of keys once it is applied. One that can't be read may.
-func MovesHomes(entry []byte) bool {
+// ChangesPlacement tells whether an entry may change homes of keys once it is applied. One that can't be read may.
+func ChangesPlacement(entry []byte) bool {
 	if !bytes.Contains(entry, []byte(`"hall"`)) && !bytes.Contains(entry, []byte(`"lost"`)) && !bytes.Contains(entry, []byte(`"follower"`)) {
 		return false // a description may be long: it is read once, when it is applied
 	}
@@ -273,7 +273,7 @@
 	objects, err := s.try(p)
 	s.chain(entry, err == nil)
 	if err != nil {
-		o = Outcome{Version: s.version, Refused: err.Error()}
+		o = Outcome{Version: s.version, RejectionReason: err.Error()}
 	} else {
 		s.version++
 		s.objects = objects
@@ -285,8 +285,8 @@
 				s.places = append(s.places, c.Name)
 			}
 		}
-		o = Outcome{Version: s.version, Applied: true}
-		r := Record{Version: s.version, ID: p.ID, Author: p.Author, Why: p.Why, AtMs: p.AtMs, Hash: s.Hash()}
+		o = Outcome{Version: s.version, IsApplied: true}
+		r := HistoryRecord{Version: s.version, ID: p.ID, Author: p.Author, Reason: p.Reason, ProposedAtMs: p.ProposedAtMs, Hash: s.Hash()}
 		for _, c := range p.Changes {
 			r.Changes = append(r.Changes, c.Op+" "+c.Kind+" "+c.Name)
 		}
@@ -321,8 +321,8 @@
 		return nil, errors.New("changes: none")
 	case len(p.Changes) > maxChanges:
 		return nil, fmt.Errorf("changes: %d are the most", maxChanges)
-	case p.Base != nil && *p.Base != s.version:
-		return nil, fmt.Errorf("base: version %d is in force, not %d: look at what changed and propose again", s.version, *p.Base)
+	case p.BaseVersion != nil && *p.BaseVersion != s.version:
+		return nil, fmt.Errorf("base: version %d is in force, not %d: look at what changed and propose again", s.version, *p.BaseVersion)
 	}
 	next := s.objects.Txn()
 	touched := map[string]bool{} // kinds and objects
@@ -367,8 +367,8 @@
 
 // sameLoss tells whether two values of a lost hall differ in their words alone.
 func sameLoss(a, b json.RawMessage) bool {
-	var x, y LostHall
-	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && x.Part == y.Part
+	var x, y LostSite
+	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && x.RecoveredEighths == y.RecoveredEighths
 }
 
 // newPlaces counts the places that there would be.
@@ -395,7 +395,7 @@
 	Homes    uint64                     `json:"homes"`
 	IDs      []string                   `json:"ids"`
 	Outcomes []Outcome                  `json:"outcomes"` // in the order of IDs
-	History  []Record                   `json:"history"`
+	History  []HistoryRecord            `json:"history"`
 }
 
 // Snapshot words the state. The same state gives the same bytes.
--- a/clusterconfig/state_test.go
+++ b/clusterconfig/state_test.go
@@ -34,7 +34,7 @@
 
 func apply(t *testing.T, s *State, p Proposal) Outcome {
 	t.Helper()
-	entry, err := Encode(&p)
+	entry, err := EncodeProposal(&p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Applied != (checked == nil) {
+	if o.IsApplied != (checked == nil) {
 		t.Errorf("%s: checked as %v, came to %+v", p.ID, checked, o)
 	}
 	return o
@@ -96,8 +96,8 @@
 		{nil, []Change{remove("class", "c")}, "no class c"},
 	} {
 		before, hash := s.Version(), s.Hash()
-		o := apply(t, s, Proposal{ID: fmt.Sprint("p", i), Base: c.base, Changes: c.changes})
-		if c.refused == "" && (!o.Applied || o.Version != before+1) || c.refused != "" && (o.Applied || o.Version != before || !strings.Contains(o.Refused, c.refused)) {
+		o := apply(t, s, Proposal{ID: fmt.Sprint("p", i), BaseVersion: c.base, Changes: c.changes})
+		if c.refused == "" && (!o.IsApplied || o.Version != before+1) || c.refused != "" && (o.IsApplied || o.Version != before || !strings.Contains(o.RejectionReason, c.refused)) {
 			t.Errorf("proposal %d: %+v, want %q", i, o, c.refused)
 		}
 		if s.Hash() == hash {
@@ -119,14 +119,14 @@
 	p := Proposal{ID: "p", Changes: []Change{put("licensee", "a", `{"plan":"kati"}`)}}
 	first := apply(t, s, p)
 	apply(t, s, Proposal{ID: "q", Changes: []Change{put("plan", "kati", planText)}})
-	entry, _ := Encode(&p)
-	if _, o, _ := s.Apply(entry); o != first || o.Applied || s.Version() != 1 {
+	entry, _ := EncodeProposal(&p)
+	if _, o, _ := s.Apply(entry); o != first || o.IsApplied || s.Version() != 1 {
 		t.Errorf("%+v, first %+v", o, first)
 	}
 	hash := s.Hash()
 	q := Proposal{ID: "q", Changes: []Change{put("plan", "kati", planText)}}
-	entry, _ = Encode(&q)
-	if _, o, _ := s.Apply(entry); !o.Applied || o.Version != 1 || s.Version() != 1 || s.Hash() != hash {
+	entry, _ = EncodeProposal(&q)
+	if _, o, _ := s.Apply(entry); !o.IsApplied || o.Version != 1 || s.Version() != 1 || s.Hash() != hash {
 		t.Errorf("%+v", o)
 	}
 }
@@ -151,7 +151,7 @@
 	}
 	for _, st := range []*State{s, r} {
 		apply2 := Proposal{ID: "p3", Changes: []Change{put("plan", "other", planText)}}
-		entry, _ := Encode(&apply2)
+		entry, _ := EncodeProposal(&apply2)
 		if _, o, _ := st.Apply(entry); o.Version != 4 || st.Version() != 50 {
 			t.Errorf("repeated after a snapshot: %+v", o)
 		}
@@ -170,15 +170,15 @@
 	do := func(want uint64, cs ...Change) {
 		t.Helper()
 		n++
-		if o := apply(t, s, Proposal{ID: fmt.Sprint(n), Changes: cs}); !o.Applied {
+		if o := apply(t, s, Proposal{ID: fmt.Sprint(n), Changes: cs}); !o.IsApplied {
 			t.Fatalf("%+v", o)
 		}
-		if s.Homes() != want {
-			t.Errorf("homes of version %d, want %d", s.Homes(), want)
+		if s.PlacementVersion() != want {
+			t.Errorf("homes of version %d, want %d", s.PlacementVersion(), want)
 		}
 	}
-	do(1, Put("hall", "a", Hall{Register: "127.0.0.1:1"}), Put("hall", "b", Hall{Register: "127.0.0.1:2"}))
-	do(2, Put("lost", "a", LostHall{Why: "silent"}))
+	do(1, NewPutChange("hall", "a", Site{DiscoveryAddress: "127.0.0.1:1"}), NewPutChange("hall", "b", Site{DiscoveryAddress: "127.0.0.1:2"}))
+	do(2, NewPutChange("lost", "a", LostSite{Reason: "silent"}))
 	text, err := s.Snapshot()
 	if err != nil || !strings.Contains(string(text), `"format":2`) {
 		t.Errorf("%v: %.40s", err, text)
@@ -187,7 +187,7 @@
 	if text, _ := s.Snapshot(); !strings.Contains(string(text), `"format":1`) {
 		t.Errorf("a snapshot that an older program could read says %.40s", text)
 	}
-	do(4, Put("lost", "a", LostHall{Why: "silent"}))
+	do(4, NewPutChange("lost", "a", LostSite{Reason: "silent"}))
 	do(5, Change{Op: "remove", Kind: "hall", Name: "a"})
 	if _, ok := s.Get("lost", "a"); ok {
 		t.Error("a hall that is gone is lost")
@@ -198,8 +198,8 @@
 	s := New(nil)
 	apply(t, s, Proposal{ID: "p", Changes: []Change{put("plan", "kati", planText)}})
 	hash := s.Hash()
-	entry, _ := Encode(&Proposal{ID: "q", Changes: []Change{put("plan", "kubwa", planText)}})
-	if lost, _ := Encode(&Proposal{ID: "l", Changes: []Change{Put("lost", "a", LostHall{Why: "x"})}}); entry[0] != 1 || lost[0] != 2 {
+	entry, _ := EncodeProposal(&Proposal{ID: "q", Changes: []Change{put("plan", "kubwa", planText)}})
+	if lost, _ := EncodeProposal(&Proposal{ID: "l", Changes: []Change{NewPutChange("lost", "a", LostSite{Reason: "x"})}}); entry[0] != 1 || lost[0] != 2 {
 		t.Errorf("formats %d and %d: a program that knows no lost halls must stop at those alone", entry[0], lost[0])
 	}
 	newer := append([]byte{Format + 1}, entry[1:]...)
@@ -225,7 +225,7 @@
 func TestBounded(t *testing.T) {
 	s := New(nil)
 	for i := range keptIDs + 50 {
-		entry, _ := Encode(&Proposal{ID: fmt.Sprint("p", i), Changes: []Change{put("plan", "x", planText)}})
+		entry, _ := EncodeProposal(&Proposal{ID: fmt.Sprint("p", i), Changes: []Change{put("plan", "x", planText)}})
 		if _, _, err := s.Apply(entry); err != nil {
 			t.Fatal(err)
 		}
@@ -233,14 +233,14 @@
 	if len(s.outcomes) != keptIDs || len(s.ids) != keptIDs || len(s.history) >= 2*keptHistory || len(s.History()) != keptHistory || s.History()[keptHistory-1].Version != keptIDs+50 {
 		t.Errorf("%d outcomes, %d ids, %d records", len(s.outcomes), len(s.ids), len(s.history))
 	}
-	if _, err := Encode(&Proposal{ID: "big", Why: strings.Repeat("x", MaxProposal)}); err == nil {
+	if _, err := EncodeProposal(&Proposal{ID: "big", Reason: strings.Repeat("x", MaxProposalBytes)}); err == nil {
 		t.Error("a proposal without end is taken")
 	}
 }
 
 // Any entry and any snapshot is applied or refused, by two states alike.
 func FuzzApply(f *testing.F) {
-	entry, _ := Encode(&Proposal{ID: "q", Changes: []Change{put("plan", "kubwa", planText), remove("plan", "x")}})
+	entry, _ := EncodeProposal(&Proposal{ID: "q", Changes: []Change{put("plan", "kubwa", planText), remove("plan", "x")}})
 	f.Add(entry)
 	f.Fuzz(func(t *testing.T, entry []byte) {
 		a, b := New(validator), New(validator)
@@ -259,21 +259,21 @@
 	run := func(ms ...int64) *State {
 		s := New(nil)
 		for i, at := range ms {
-			entry, err := Encode(&Proposal{ID: fmt.Sprint(i), AtMs: at, Changes: []Change{{Op: "put", Kind: "plan", Name: fmt.Sprint("p", i), Value: json.RawMessage(`{"rate":1,"burst":1,"price":1}`)}}})
+			entry, err := EncodeProposal(&Proposal{ID: fmt.Sprint(i), ProposedAtMs: at, Changes: []Change{{Op: "put", Kind: "plan", Name: fmt.Sprint("p", i), Value: json.RawMessage(`{"rate":1,"burst":1,"price":1}`)}}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, o, err := s.Apply(entry); err != nil || !o.Applied || o.Version != uint64(i+1) {
+			if _, o, err := s.Apply(entry); err != nil || !o.IsApplied || o.Version != uint64(i+1) {
 				t.Fatalf("%+v, %v", o, err)
 			}
 		}
 		return s
 	}
 	a, b := run(1_000, 2_000, 3_000), run(3_600_000, 0, 7_200_000)
-	if fmt.Sprint(a.Places()) != fmt.Sprint(b.Places()) || a.Version() != b.Version() {
-		t.Errorf("%v, %v", a.Places(), b.Places())
+	if fmt.Sprint(a.PlanOrder()) != fmt.Sprint(b.PlanOrder()) || a.Version() != b.Version() {
+		t.Errorf("%v, %v", a.PlanOrder(), b.PlanOrder())
 	}
-	if h := b.History(); h[0].AtMs != 3_600_000 || h[1].AtMs != 0 {
+	if h := b.History(); h[0].ProposedAtMs != 3_600_000 || h[1].ProposedAtMs != 0 {
 		t.Errorf("%+v", h)
 	}
 }
@@ -287,7 +287,7 @@
 		if op == "put" {
 			c.Value = json.RawMessage(`{"rate":1,"burst":1,"price":1}`)
 		}
-		entry, err := Encode(&Proposal{ID: id, Changes: []Change{c}})
+		entry, err := EncodeProposal(&Proposal{ID: id, Changes: []Change{c}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -311,18 +311,18 @@
 		t.Fatal(err)
 	}
 	apply("5", "put", "z")
-	if got := fmt.Sprint(s.Places()); got != "[z a m]" {
+	if got := fmt.Sprint(s.PlanOrder()); got != "[z a m]" {
 		t.Errorf("places %s", got)
 	}
-	if _, ok := frozen.Get("plan", "z"); !ok || frozen.Version() != 2 || fmt.Sprint(frozen.Places()) != "[z a]" {
-		t.Errorf("what was frozen has changed: %v", frozen.Places())
+	if _, ok := frozen.Get("plan", "z"); !ok || frozen.Version() != 2 || fmt.Sprint(frozen.PlanOrder()) != "[z a]" {
+		t.Errorf("what was frozen has changed: %v", frozen.PlanOrder())
 	}
 	for i := range maxPlaces {
-		if o := apply(fmt.Sprint("p", i), "put", fmt.Sprint("p", i)); o.Applied != (i < maxPlaces-3) {
+		if o := apply(fmt.Sprint("p", i), "put", fmt.Sprint("p", i)); o.IsApplied != (i < maxPlaces-3) {
 			t.Fatalf("place %d: %+v", i+4, o)
 		}
 	}
-	if o := apply("again", "put", "a"); !o.Applied {
+	if o := apply("again", "put", "a"); !o.IsApplied {
 		t.Errorf("a plan that has its place: %+v", o)
 	}
 }
--- a/cmd/gateway/cluster.go
+++ b/cmd/gateway/cluster.go
@@ -27,7 +27,7 @@
 	}
 	cfg := fleetConfig(c.Config, f)
 	if c.Adopt {
-		if err := raftnode.Adopt(cfg.DataFile, cfg.Cluster, cfg.MemberID); err != nil {
+		if err := raftnode.AdoptFile(cfg.DataFile, cfg.Cluster, cfg.MemberID); err != nil {
 			return usage{err}
 		}
 		fmt.Fprintf(e.stdout, "%s: is taken for the newest of member %d\n", cfg.DataFile, cfg.MemberID)
@@ -62,7 +62,7 @@
 // member runs an instance as a member of a cluster.
 func (c *runCmd) member(e *env, f *gatewayconfig.File, logger *log.Logger) error {
 	cfg := fleetConfig(c.Config, f)
-	creds, err := raftnode.LoadCredentials(beside(c.Config, f.Member.CertDir), cfg.MemberID)
+	creds, err := raftnode.LoadMemberCredentials(beside(c.Config, f.Member.CertDir), cfg.MemberID)
 	if err != nil {
 		return usage{fmt.Errorf("cluster.certs: %w", err)}
 	}
@@ -71,7 +71,7 @@
 		scenario.Chaos(cfg, c.Chaos, logger)
 	}
 	err = cluster.RunMember(e.ctx, cfg, &f.Config, logger, func(*cluster.Member) {})
-	if errors.Is(err, cluster.ErrNotInitialized) || errors.Is(err, raftnode.ErrForeign) || errors.Is(err, raftnode.ErrDamaged) || errors.Is(err, raftnode.ErrRestored) {
+	if errors.Is(err, cluster.ErrNotInitialized) || errors.Is(err, raftnode.ErrForeignFile) || errors.Is(err, raftnode.ErrCorruptFile) || errors.Is(err, raftnode.ErrRestoredFile) {
 		return usage{err}
 	}
 	return err
@@ -80,7 +80,7 @@
 // follower runs an instance that is told what a cluster's members agree on.
 func (c *runCmd) follower(e *env, f *gatewayconfig.File, logger *log.Logger) error {
 	k := f.Follower
-	creds, err := raftnode.LoadNamed(beside(c.Config, k.CertDir), raftnode.FollowerFile(k.Name))
+	creds, err := raftnode.LoadCredentialFiles(beside(c.Config, k.CertDir), raftnode.FollowerFilePrefix(k.Name))
 	if err != nil {
 		return usage{fmt.Errorf("follow.certs: %w (made by gateway certs --followers %s)", err, k.Name)}
 	}
--- a/cmd/gateway/config.go
+++ b/cmd/gateway/config.go
@@ -48,11 +48,11 @@
 var errDiffers = errors.New("the file differs from what is agreed on")
 
 func (c *configAt) client() (*cluster.Client, error) {
-	creds, err := raftnode.LoadNamed(c.Certs, raftnode.OperatorFile(c.Operator))
+	creds, err := raftnode.LoadCredentialFiles(c.Certs, raftnode.OperatorFilePrefix(c.Operator))
 	if err != nil {
 		return nil, usage{fmt.Errorf("--certs, --operator: %w (made by gateway certs --operators %s)", err, c.Operator)}
 	}
-	h, err := creds.Holder()
+	h, err := creds.Identity()
 	if err != nil {
 		return nil, usage{fmt.Errorf("--certs: %w", err)}
 	}
@@ -147,7 +147,7 @@
 		}
 		w := tabwriter.NewWriter(e.stdout, 0, 4, 2, ' ', 0)
 		for _, r := range h {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", r.Version, time.UnixMilli(r.AtMs).UTC().Format(time.RFC3339), r.Author, strings.Join(r.Changes, ", "), r.Why)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", r.Version, time.UnixMilli(r.ProposedAtMs).UTC().Format(time.RFC3339), r.Author, strings.Join(r.Changes, ", "), r.Reason)
 		}
 		return w.Flush()
 	})
@@ -194,7 +194,7 @@
 	most := 50
 	var l clusterconfig.Limit
 	if text, ok := f.Objects["limit"]["units"]; ok && json.Unmarshal(text, &l) == nil {
-		most = l.Most
+		most = l.Max
 	}
 	if err := cluster.ValidateDescription(beside(file, f.Description), string(doc), classes, most); err != nil {
 		return nil, err
@@ -309,9 +309,9 @@
 			return err
 		}
 		cs, _ := changes(o, want)
-		out := clusterconfig.Outcome{Version: o.Version, Applied: true}
+		out := clusterconfig.Outcome{Version: o.Version, IsApplied: true}
 		if len(cs) > 0 {
-			p := &clusterconfig.Proposal{ID: c.ID, Base: &o.Version, Why: c.Why, Changes: cs}
+			p := &clusterconfig.Proposal{ID: c.ID, BaseVersion: &o.Version, Reason: c.Why, Changes: cs}
 			if p.ID == "" {
 				p.ID = rand.Text()
 			}
@@ -373,11 +373,11 @@
 }
 
 func (c *addMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembershipChange{Op: "add", MemberID: c.Member, Addrs: &clusterconfig.Member{Raft: c.Raft, Admin: c.Admin}})
+	return cc.change(e, &cluster.MembershipChange{Op: "add", MemberID: c.Member, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
 }
 
 func (c *replaceMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembershipChange{Op: "replace", MemberID: c.Member, ReplacementID: c.With, Addrs: &clusterconfig.Member{Raft: c.Raft, Admin: c.Admin}})
+	return cc.change(e, &cluster.MembershipChange{Op: "replace", MemberID: c.Member, ReplacementID: c.With, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
 }
 
 func (c *removeMemberCmd) Run(e *env, cc *configCmd) error {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -83,7 +83,7 @@
 		defer f.Close()
 		opt.Log = f
 	}
-	v, err := scenario.Play(e.ctx, opt)
+	v, err := scenario.Run(e.ctx, opt)
 	if err != nil {
 		return err
 	}
--- a/cmd/gateway/serve.go
+++ b/cmd/gateway/serve.go
@@ -135,9 +135,9 @@
 	for _, op := range table.Operations {
 		class, _, _ := strings.Cut(op.Class.Name, "/")
 		r.Operations = append(r.Operations, checkedOperation{op.ID, op.Method, op.Template, class + " " + strings.SplitN(op.Class.Name, "/", 3)[1], unitsText(op.Units), op.Pos.Line})
-		if len(op.Inherited) > 0 {
+		if len(op.InheritedFields) > 0 {
 			r.Warnings = append(r.Warnings, fmt.Sprintf("%s:%d: %s %s changes something and takes its %s from the document's x-mulleinmux: declare them at the operation",
-				description, op.Pos.Line, op.Method, op.Template, strings.Join(op.Inherited, " and ")))
+				description, op.Pos.Line, op.Method, op.Template, strings.Join(op.InheritedFields, " and ")))
 		}
 	}
 	r.OK = true
@@ -148,7 +148,7 @@
 	if u.Fixed > 0 {
 		return fmt.Sprint(u.Fixed)
 	}
-	text := fmt.Sprintf("%d to %d by %s", u.Least, u.Most, u.Source)
+	text := fmt.Sprintf("%d to %d by %s", u.Min, u.Max, u.Source)
 	if u.HasDefault {
 		text += fmt.Sprintf(", else %d", u.Default)
 	}
@@ -207,7 +207,7 @@
 		defer out.Close()
 		access := gateway.NewAccessLog(out)
 		defer func() { err = errors.Join(err, access.Close()) }()
-		cfg.Observe = access.Observe
+		cfg.Observe = access.Record
 	}
 	logger := log.New(e.stderr, "", log.LstdFlags|log.Lmicroseconds)
 	if f.Member != nil {
--- a/cmd/gateway/stream.go
+++ b/cmd/gateway/stream.go
@@ -42,7 +42,7 @@
 			w := tabwriter.NewWriter(e.stdout, 0, 4, 2, ' ', 0)
 			fmt.Fprintf(w, "newest version %d, by member %d\nfollower\tmember\tstands\n", fs.NewestVersion, fs.MemberID)
 			for _, s := range fs.Followers {
-				fmt.Fprintf(w, "%s\t%d\t%s\n", s.Name, s.Member, s.Plain())
+				fmt.Fprintf(w, "%s\t%d\t%s\n", s.Name, s.LastMember, s.Summary())
 			}
 			return w.Flush()
 		}); err != nil || !c.Watch {
@@ -66,7 +66,7 @@
 		if err != nil {
 			return err
 		}
-		i := slices.IndexFunc(fs.Followers, func(s configstream.Standing) bool { return s.Name == c.Follower })
+		i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool { return s.Name == c.Follower })
 		if i < 0 {
 			return unknownFollower(c.Follower)
 		}
@@ -120,7 +120,7 @@
 		case version > newest:
 			return "", usage{fmt.Errorf("version: %d is the newest", newest)}
 		}
-		f.Pin = version
+		f.PinnedVersion = version
 		return fmt.Sprintf("%s is pinned to %d (0: to none)", name, version), nil
 	})
 }
@@ -148,7 +148,7 @@
 		if err != nil {
 			return err
 		}
-		out, err := cl.Propose(ctx, &clusterconfig.Proposal{ID: rand.Text(), Base: &o.Version, Why: why, Changes: []clusterconfig.Change{clusterconfig.Put(kind, name, v)}})
+		out, err := cl.Propose(ctx, &clusterconfig.Proposal{ID: rand.Text(), BaseVersion: &o.Version, Reason: why, Changes: []clusterconfig.Change{clusterconfig.NewPutChange(kind, name, v)}})
 		if err != nil {
 			return err
 		}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		if _, ok := ev.(simwire.Commit); ok {
+		if _, ok := ev.(simwire.BatchEnd); ok {
 			w.Write(h.reply.Take())
 			if err := w.Flush(); err != nil {
 				return fmt.Errorf("writing the reply: %w", err)
@@ -75,38 +75,38 @@
 		return errors.New("message outside a batch")
 	}
 	switch e := ev.(type) {
-	case simwire.Commit:
+	case simwire.BatchEnd:
 		h.open = false
-	case simwire.Launch:
+	case simwire.InstanceStarted:
 		g, err := policy.New(e.Settings, e.Seed)
 		if err != nil {
 			return err
 		}
-		h.gates[e.Inst] = g
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.Start(h.now, &h.reply) })
-	case simwire.Halt:
-		if _, ok := h.gates[e.Inst]; !ok {
-			return fmt.Errorf("unknown instance %d", e.Inst)
+		h.gates[e.Instance] = g
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.Start(h.now, &h.reply) })
+	case simwire.InstanceStopped:
+		if _, ok := h.gates[e.Instance]; !ok {
+			return fmt.Errorf("unknown instance %d", e.Instance)
 		}
-		delete(h.gates, e.Inst)
-	case simwire.List:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.EndpointsChanged(h.now, e.Form, e.Servers, &h.reply) })
-	case simwire.Accept:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.RequestReceived(h.now, e.Request, &h.reply) })
-	case simwire.Headers:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.ResponseStarted(h.now, e.ID, e.Attempt, &h.reply) })
-	case simwire.Completed:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.AttemptCompleted(h.now, e.Outcome, &h.reply) })
-	case simwire.Left:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.ClientDisconnected(h.now, e.ID, &h.reply) })
+		delete(h.gates, e.Instance)
+	case simwire.EndpointsChanged:
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.EndpointsChanged(h.now, e.Kind, e.Servers, &h.reply) })
+	case simwire.RequestArrived:
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.RequestReceived(h.now, e.Request, &h.reply) })
+	case simwire.ResponseHeadersReceived:
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.ResponseStarted(h.now, e.ID, e.Attempt, &h.reply) })
+	case simwire.AttemptCompleted:
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.AttemptCompleted(h.now, e.Outcome, &h.reply) })
+	case simwire.ClientDisconnected:
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.ClientDisconnected(h.now, e.ID, &h.reply) })
 	case simwire.TimerFired:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.TimerFired(h.now, e.Token, &h.reply) })
-	case simwire.ProbeDone:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.HealthCheckCompleted(h.now, e.Server, e.Result, e.Load, &h.reply) })
-	case simwire.Whisper:
-		return h.deliver(e.Inst, func(g *policy.Engine) { g.GossipReceived(h.now, e.From, e.Payload, &h.reply) })
-	case simwire.Total:
-		return h.deliver(e.Inst, func(*policy.Engine) {})
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.TimerFired(h.now, e.Token, &h.reply) })
+	case simwire.HealthCheckCompleted:
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.HealthCheckCompleted(h.now, e.Server, e.Result, e.LoadReport, &h.reply) })
+	case simwire.GossipReceived:
+		return h.deliver(e.Instance, func(g *policy.Engine) { g.GossipReceived(h.now, e.Peer, e.Payload, &h.reply) })
+	case simwire.TotalReceived:
+		return h.deliver(e.Instance, func(*policy.Engine) {})
 	}
 	return nil
 }
@@ -117,10 +117,10 @@
 	if !ok {
 		return fmt.Errorf("unknown instance %d", inst)
 	}
-	h.reply.Inst = inst
+	h.reply.Instance = inst
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.Broken(fmt.Sprint(p))
+			h.reply.ReportFailure(fmt.Sprint(p))
 		}
 	}()
 	f(g)
--- a/configstream/fixture_test.go
+++ b/configstream/fixture_test.go
@@ -22,30 +22,30 @@
 func TestFixtureWords(t *testing.T) {
 	s := clusterconfig.New(nil)
 	version := func(before *Version, id string, changes ...clusterconfig.Change) *Version {
-		entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: id, Changes: changes})
+		entry, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{ID: id, Changes: changes})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, o, err := s.Apply(entry); err != nil || !o.Applied {
+		if _, o, err := s.Apply(entry); err != nil || !o.IsApplied {
 			t.Fatal(o, err)
 		}
-		return Of(s, before)
+		return NewVersion(s, before)
 	}
-	one := version(nil, "p1", clusterconfig.Put("epoch", "epoch", clusterconfig.Epoch{Number: 2, ID: "one"}), clusterconfig.Put("plan", "kati", clusterconfig.Plan{Price: 1}),
-		clusterconfig.Put("licensee", "a", clusterconfig.Licensee{Plan: "kati"}), clusterconfig.Put("hall", "hall-a", clusterconfig.Hall{Register: "127.0.0.1:1"}))
-	two := version(one, "p2", clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Price: 2}), clusterconfig.Put("licensee", "b", clusterconfig.Licensee{Plan: "kubwa"}),
+	one := version(nil, "p1", clusterconfig.NewPutChange("epoch", "epoch", clusterconfig.Epoch{Number: 2, ID: "one"}), clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 1}),
+		clusterconfig.NewPutChange("licensee", "a", clusterconfig.Licensee{Plan: "kati"}), clusterconfig.NewPutChange("hall", "hall-a", clusterconfig.Site{DiscoveryAddress: "127.0.0.1:1"}))
+	two := version(one, "p2", clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{PriorityFactor: 2}), clusterconfig.NewPutChange("licensee", "b", clusterconfig.Licensee{Plan: "kubwa"}),
 		clusterconfig.Change{Op: "remove", Kind: "licensee", Name: "a"})
 	problems := []Problem{{"plan/kati", "rate", "out of range"}}
 	ref := one.Ref
-	standing := Standing{Name: "edge-1", State: "running", Running: &ref, Since: time.Minute, Offered: &two.Ref, Refused: &Refusal{Ref: two.Ref, Problems: problems},
-		Member: 3, Behind: true, Pinned: 4, Twin: "another"}
+	standing := StreamStatus{Name: "edge-1", State: "running", Running: &ref, StateAge: time.Minute, Offered: &two.Ref, LatestRejection: &Rejection{Ref: two.Ref, Problems: problems},
+		LastMember: 3, IsBehind: true, PinnedVersion: 4, NameConflict: "another"}
 	words := map[string]any{
 		"body, whole": one.Body(nil), "body, of a base": two.Body(one), "ref": two.Ref, "no ref": Ref{},
-		"refusal": Refusal{Ref: two.Ref, Problems: problems, Unread: true}, "refusal without problems": Refusal{Ref: two.Ref},
-		"word": Word{Member: 2, Followers: []Served{{}, {Name: "edge-1", Process: 1, Start: 2, Dial: 3, Began: time.Second, Heard: time.Millisecond, Running: &ref,
-			Since: time.Minute, Offered: &two.Ref, Refused: &Refusal{Ref: two.Ref, Problems: problems}}}},
-		"standing, empty": Standing{}, "standing": standing, "standing, plain": standing.Plain(), "standing, explained": standing.Explain(2),
-		"results": []string{Stated.String(), Applied.String(), Refused.String(), NeedsFull.String(), NotNewer.String(), Unconfirmed.String(), Foreign.String()},
+		"refusal": Rejection{Ref: two.Ref, Problems: problems, IsUnsupportedFormat: true}, "refusal without problems": Rejection{Ref: two.Ref},
+		"word": GossipMessage{Member: 2, Followers: []ObservedStream{{}, {Name: "edge-1", ProcessID: 1, StartCount: 2, StreamNumber: 3, StreamAge: time.Second, SilentFor: time.Millisecond, Running: &ref,
+			RunningFor: time.Minute, Offered: &two.Ref, LatestRejection: &Rejection{Ref: two.Ref, Problems: problems}}}},
+		"standing, empty": StreamStatus{}, "standing": standing, "standing, plain": standing.Summary(), "standing, explained": standing.Explain(2),
+		"results": []string{ResultStatusOnly.String(), ResultApplied.String(), ResultRejected.String(), ResultNeedsFull.String(), ResultNotNewer.String(), ResultUnconfirmed.String(), ResultDiverged.String()},
 		"problem": problems[0].String(), "refs": ref.String() + " " + Ref{}.String(),
 	}
 	var out bytes.Buffer
@@ -70,15 +70,15 @@
 	if err := json.Unmarshal(read["body, of a base"], &part); err != nil {
 		t.Fatal(err)
 	}
-	first, err := whole.Make(nil)
+	first, err := whole.Build(nil)
 	if err != nil || first.Ref != one.Ref {
 		t.Fatal(err)
 	}
-	var word Word
+	var word GossipMessage
 	if err := json.Unmarshal(read["word"], &word); err != nil || !reflect.DeepEqual(word, words["word"]) {
 		t.Errorf("%+v, %v", word, err)
 	}
-	if second, err := part.Make(first); err != nil || second.Ref != two.Ref || second.Hash != two.Hash {
+	if second, err := part.Build(first); err != nil || second.Ref != two.Ref || second.Hash != two.Hash {
 		t.Errorf("%v, %v", second, err)
 	}
 }
@@ -89,9 +89,9 @@
 func TestFixtureSeats(t *testing.T) {
 	var out bytes.Buffer
 	for i := range 16 {
-		s := NewSeat(SeatConfig{Name: fmt.Sprintf("edge-%d", i), Members: []uint64{1, 2, 3, 4, 5, 300}, Least: 100 * time.Millisecond, Most: 10 * time.Second}, rand.New(rand.NewPCG(uint64(i), 1)))
+		s := NewMemberSelector(MemberSelectorConfig{Name: fmt.Sprintf("edge-%d", i), Members: []uint64{1, 2, 3, 4, 5, 300}, InitialBackoff: 100 * time.Millisecond, MaxBackoff: 10 * time.Second}, rand.New(rand.NewPCG(uint64(i), 1)))
 		for n := range 8 {
-			fmt.Fprint(&out, s.Next(), " ", s.Lost(n == 4), "; ")
+			fmt.Fprint(&out, s.Member(), " ", s.StreamEnded(n == 4), "; ")
 		}
 		fmt.Fprintln(&out)
 	}
--- a/configstream/seeds_test.go
+++ b/configstream/seeds_test.go
@@ -109,12 +109,12 @@
 // follower is a follower's machine.
 type follower struct {
 	name    string
-	disk    *Disk
+	disk    *DurableState
 	process int
 	up      bool
 	f       *Follower
 	stream  *stream
-	seat    *Seat
+	seat    *MemberSelector
 	begun   Ref  // agreed on when the process with nothing kept began
 	newest  *Ref // that was ever in force, with this disk
 	running *Ref // in force now
@@ -124,12 +124,12 @@
 	w := &world{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), faults: true, state: clusterconfig.New(nil), agreed: map[Ref]agreement{}}
 	cs := []clusterconfig.Change{}
 	for i := range followers {
-		f := &follower{name: fmt.Sprintf("f%d", i), disk: &Disk{}}
-		f.seat = NewSeat(SeatConfig{Name: f.name, Members: []uint64{1, 2, 3}, Least: 50 * time.Millisecond, Most: time.Second}, w.rng)
+		f := &follower{name: fmt.Sprintf("f%d", i), disk: &DurableState{}}
+		f.seat = NewMemberSelector(MemberSelectorConfig{Name: f.name, Members: []uint64{1, 2, 3}, InitialBackoff: 50 * time.Millisecond, MaxBackoff: time.Second}, w.rng)
 		w.followers = append(w.followers, f)
-		cs = append(cs, clusterconfig.Put("follower", f.name, clusterconfig.Follower{}))
+		cs = append(cs, clusterconfig.NewPutChange("follower", f.name, clusterconfig.Follower{}))
 	}
-	w.agree(append(cs, clusterconfig.Put("epoch", "epoch", clusterconfig.Epoch{Number: 1, ID: "first"}))...)
+	w.agree(append(cs, clusterconfig.NewPutChange("epoch", "epoch", clusterconfig.Epoch{Number: 1, ID: "first"}))...)
 	for i := range uint64(3) {
 		w.members = append(w.members, &member{id: i + 1})
 		w.startMember(w.members[i])
@@ -142,11 +142,11 @@
 
 // agree adds a version.
 func (w *world) agree(cs ...clusterconfig.Change) {
-	entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: fmt.Sprint(w.rng.Uint64()), Changes: cs})
+	entry, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{ID: fmt.Sprint(w.rng.Uint64()), Changes: cs})
 	if err == nil {
 		var o clusterconfig.Outcome
-		if _, o, err = w.state.Apply(entry); err == nil && !o.Applied {
-			err = errors.New(o.Refused)
+		if _, o, err = w.state.Apply(entry); err == nil && !o.IsApplied {
+			err = errors.New(o.RejectionReason)
 		}
 	}
 	if err != nil {
@@ -156,7 +156,7 @@
 	if len(w.log) > 0 {
 		before = w.log[len(w.log)-1]
 	}
-	v := Of(w.state.Freeze(), before)
+	v := NewVersion(w.state.Freeze(), before)
 	w.log = append(w.log, v)
 	w.ever = append(w.ever, v)
 	w.agreed[v.Ref] = agreement{v, w.now}
@@ -173,20 +173,20 @@
 		w.agree(clusterconfig.Change{Op: "remove", Kind: "plan", Name: name})
 		return
 	}
-	w.agree(clusterconfig.Put("plan", name, clusterconfig.Plan{Rate: float64(len(w.log)), Burst: 1, Price: price}))
+	w.agree(clusterconfig.NewPutChange("plan", name, clusterconfig.Plan{Rate: float64(len(w.log)), Burst: 1, PriorityFactor: price}))
 }
 
 // restore has the service go back to an old version, in a new epoch.
 func (w *world) restore() {
 	s := clusterconfig.New(nil)
 	old := w.log[w.rng.IntN(len(w.log))]
-	text, _ := json.Marshal(old.Places)
-	if err := s.Restore([]byte(fmt.Sprintf(`{"format":3,"version":%d,"hash":%q,"homes":%d,"places":%s,"objects":%s}`, old.Number, old.Hash, old.Homes, text, objectsOf(old)))); err != nil {
+	text, _ := json.Marshal(old.PlanOrder)
+	if err := s.Restore([]byte(fmt.Sprintf(`{"format":3,"version":%d,"hash":%q,"homes":%d,"places":%s,"objects":%s}`, old.Number, old.Hash, old.PlacementVersion, text, objectsOf(old)))); err != nil {
 		w.fail("%v", err)
 	}
 	w.state, w.log = s, w.log[:old.Number]
 	e := w.epoch()
-	w.agree(clusterconfig.Put("epoch", "epoch", e))
+	w.agree(clusterconfig.NewPutChange("epoch", "epoch", e))
 	for _, m := range w.members {
 		m.applied = 0
 		w.startMember(m)
@@ -214,7 +214,7 @@
 	w.breakAll(m)
 	m.process++
 	m.down, m.streams = false, map[uint64]*stream{}
-	m.pub = NewPublisher(PublisherConfig{Member: m.id, Silence: time.Second, Answer: 2 * time.Second, Unsure: 300 * time.Millisecond, Held: 4, Most: 100, PerS: 20, Burst: 20}, w.rng.Uint64())
+	m.pub = NewPublisher(PublisherConfig{Member: m.id, SilenceTimeout: time.Second, PushReplyTimeout: 2 * time.Second, ConfirmationTimeout: 300 * time.Millisecond, MaxRetainedVersions: 4, MaxFollowers: 100, AdmissionRate: 20, AdmissionBurst: 20}, w.rng.Uint64())
 	w.publish(m)
 }
 
@@ -256,26 +256,26 @@
 	}
 	s.broken = true
 	if s.m.process == s.began {
-		s.m.pub.Gone(w.now, s.id)
+		s.m.pub.StreamClosed(w.now, s.id)
 		delete(s.m.streams, s.id)
 	}
 	w.after(time.Duration(w.rng.IntN(20))*time.Millisecond, func() {
 		if s.f.stream == s && s.f.up && s.f.process == s.start {
 			s.f.stream = nil
-			s.f.f.Broken()
-			w.dial(s.f, s.f.seat.Lost(true))
+			s.f.f.StreamClosed()
+			w.dial(s.f, s.f.seat.StreamEnded(true))
 		}
 	})
 }
 
 // carry takes a member's messages to the followers, in their order unless the stream breaks.
-func (w *world) carry(m *member, outs []Out) {
+func (w *world) carry(m *member, outs []StreamAction) {
 	for _, o := range outs {
-		s := m.streams[o.Session]
+		s := m.streams[o.SessionID]
 		if s == nil {
 			continue
 		}
-		if o.Close != "" {
+		if o.CloseReason != "" {
 			w.breakStream(s)
 			continue
 		}
@@ -291,9 +291,9 @@
 				return
 			}
 			if o.Push != nil {
-				w.act(s.f, s.f.f.Received(w.now, o.Push))
+				w.act(s.f, s.f.f.PushReceived(w.now, o.Push))
 			} else {
-				w.act(s.f, s.f.f.Pong(w.now, *o.Pong))
+				w.act(s.f, s.f.f.PongReceived(w.now, *o.Pong))
 				w.sure(s.f)
 			}
 		})
@@ -306,18 +306,18 @@
 		if !f.up || f.process != process || f.stream != nil {
 			return
 		}
-		m := w.members[f.seat.Next()-1]
+		m := w.members[f.seat.Member()-1]
 		if m.down || !m.pub.Admit(w.now) {
-			w.dial(f, f.seat.Lost(false))
+			w.dial(f, f.seat.StreamEnded(false))
 			return
 		}
 		w.sessions++
 		s := &stream{id: w.sessions, m: m, f: f, began: m.process, start: f.process}
 		f.stream, m.streams[s.id] = s, s
-		hello := f.f.Hello(w.now)
+		hello := f.f.OpenStream(w.now)
 		w.after(5*time.Millisecond, func() {
 			if !s.broken && s.m.process == s.began {
-				w.carry(m, m.pub.Hello(w.now, s.id, hello))
+				w.carry(m, m.pub.OpenStream(w.now, s.id, hello))
 			}
 		})
 	})
@@ -326,13 +326,13 @@
 func (w *world) startFollower(f *follower) {
 	f.process++
 	f.up, f.running, f.stream = true, nil, nil
-	if f.disk.Good == nil && f.disk.Previous == nil {
+	if f.disk.Accepted == nil && f.disk.Previous == nil {
 		f.begun, f.newest = w.log[len(w.log)-1].Ref, nil
 	}
-	f.disk.Starts++
+	f.disk.StartCount++
 	d := *f.disk
 	var as []Action
-	f.f, as = NewFollower(FollowerConfig{Name: f.name, Process: w.rng.Uint64(), Beat: 200 * time.Millisecond, Silence: time.Second, Tries: 2}, d)
+	f.f, as = NewFollower(FollowerConfig{Name: f.name, ProcessID: w.rng.Uint64(), HeartbeatInterval: 200 * time.Millisecond, SilenceTimeout: time.Second, MaxAttempts: 2}, d)
 	w.act(f, as)
 	w.dial(f, time.Duration(w.rng.IntN(100))*time.Millisecond)
 }
@@ -342,7 +342,7 @@
 	f.process++
 	w.breakStream(f.stream)
 	if w.chance(0.1) {
-		f.disk = &Disk{} // the machine was replaced
+		f.disk = &DurableState{} // the machine was replaced
 	}
 	w.after(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() {
 		if !f.up {
@@ -366,8 +366,8 @@
 			return
 		}
 		switch {
-		case a.Keep != nil:
-			d := *a.Keep
+		case a.Persist != nil:
+			d := *a.Persist
 			if w.chance(0.02) {
 				if w.rng.IntN(2) == 0 {
 					f.disk = &d
@@ -383,7 +383,7 @@
 				} else {
 					f.disk = &d
 				}
-				w.act(f, f.f.Kept(w.now, err))
+				w.act(f, f.f.PersistCompleted(w.now, err))
 			})
 		case a.Check != nil:
 			later(func() {
@@ -391,25 +391,25 @@
 					w.crash(f)
 					return
 				}
-				w.act(f, f.f.Checked(w.now, w.problems(a.Check)))
+				w.act(f, f.f.CheckCompleted(w.now, w.problems(a.Check)))
 			})
-		case a.Install != nil:
-			if w.chance(0.01) || w.deadly(a.Install, installPrice) {
+		case a.Activate != nil:
+			if w.chance(0.01) || w.deadly(a.Activate, installPrice) {
 				w.crash(f)
 				return
 			}
 			if w.chance(0.01) {
-				later(func() { w.act(f, f.f.Installed(w.now, errors.New("could not"))) })
+				later(func() { w.act(f, f.f.ActivationCompleted(w.now, errors.New("could not"))) })
 				continue
 			}
-			w.force(f, a.Install)
-			later(func() { w.act(f, f.f.Installed(w.now, nil)) })
+			w.force(f, a.Activate)
+			later(func() { w.act(f, f.f.ActivationCompleted(w.now, nil)) })
 		case a.Send != nil:
 			if s := f.stream; s != nil && !s.mute {
 				r := *a.Send
 				w.after(10*time.Millisecond, func() {
 					if !s.broken && s.m.process == s.began {
-						w.carry(s.m, s.m.pub.Hear(w.now, s.id, r))
+						w.carry(s.m, s.m.pub.ReportReceived(w.now, s.id, r))
 					}
 				})
 			}
@@ -417,11 +417,11 @@
 			if s := f.stream; s != nil && !s.mute {
 				w.after(10*time.Millisecond, func() {
 					if !s.broken && s.m.process == s.began {
-						w.carry(s.m, s.m.pub.Ping(w.now, s.id, a.Ping))
+						w.carry(s.m, s.m.pub.PingReceived(w.now, s.id, a.Ping))
 					}
 				})
 			}
-		case a.Leave != "":
+		case a.CloseStream != "":
 			w.breakStream(f.stream)
 		}
 	}
@@ -431,7 +431,7 @@
 func (w *world) deadly(v *Version, price int) (is bool) {
 	v.Tree.Root().WalkPrefix([]byte("plan/"), func(_ []byte, text json.RawMessage) bool {
 		var p clusterconfig.Plan
-		is = is || json.Unmarshal(text, &p) == nil && int(p.Price) == price
+		is = is || json.Unmarshal(text, &p) == nil && int(p.PriorityFactor) == price
 		return is
 	})
 	return is
@@ -440,7 +440,7 @@
 func (w *world) problems(v *Version) (ps []Problem) {
 	v.Tree.Root().WalkPrefix([]byte("plan/"), func(k []byte, text json.RawMessage) bool {
 		var p clusterconfig.Plan
-		if json.Unmarshal(text, &p) == nil && int(p.Price) == oddPrice {
+		if json.Unmarshal(text, &p) == nil && int(p.PriorityFactor) == oddPrice {
 			ps = append(ps, Problem{Object: strings.Replace(string(k), "/", " ", 1), Field: "price", Text: "is odd"})
 		}
 		return false
@@ -450,12 +450,12 @@
 
 // sure is the rule for what a follower holds for confirmed: nothing newer was agreed on when it asked.
 func (w *world) sure(f *follower) {
-	at, ok := f.f.Confirmed()
+	at, ok := f.f.ConfirmedAt()
 	if !ok {
 		return
 	}
 	for ref, a := range w.agreed {
-		if a.at < at && ref.Order(*f.f.Running()) == Newer {
+		if a.at < at && ref.Compare(*f.f.Running()) == OrderNewer {
 			w.fail("%s holds %v for the newest as of %v, and %v was agreed on at %v", f.name, *f.f.Running(), at, ref, a.at)
 		}
 	}
@@ -474,17 +474,17 @@
 	diff(agreed.Tree, v.Tree, func(key []byte, _, _ json.RawMessage) {
 		w.fail("%s: version %v is put in force with another %s than was agreed on", f.name, v.Ref, key)
 	})
-	if refusalOf(f.disk.Refused, v.Ref) != nil {
+	if refusalOf(f.disk.Rejections, v.Ref) != nil {
 		w.fail("%s: version %v was refused and is put in force", f.name, v.Ref)
 	}
-	if f.disk.Good == nil || f.disk.Good.Ref != v.Ref && (f.disk.Previous == nil || f.disk.Previous.Ref != v.Ref) {
+	if f.disk.Accepted == nil || f.disk.Accepted.Ref != v.Ref && (f.disk.Previous == nil || f.disk.Previous.Ref != v.Ref) {
 		w.fail("%s: version %v is put in force and was not kept", f.name, v.Ref)
 	}
-	back := f.newest != nil && refusalOf(f.disk.Refused, *f.newest) != nil // what it goes back from could not be installed
-	if f.newest != nil && v.Order(*f.newest) == Older && !back {
+	back := f.newest != nil && refusalOf(f.disk.Rejections, *f.newest) != nil // what it goes back from could not be installed
+	if f.newest != nil && v.Compare(*f.newest) == OrderOlder && !back {
 		w.fail("%s: version %v is put in force after %v", f.name, v.Ref, *f.newest)
 	}
-	if f.newest == nil && v.Order(f.begun) == Older && f.disk.Starts == 1 {
+	if f.newest == nil && v.Compare(f.begun) == OrderOlder && f.disk.StartCount == 1 {
 		w.fail("%s: with nothing kept it takes version %v, older than %v that was agreed on when it began", f.name, v.Ref, f.begun)
 	}
 	ref := v.Ref
@@ -504,12 +504,12 @@
 			if m.down {
 				return
 			}
-			for _, word := range m.pub.Tell(w.now, 2, int(w.now/(200*time.Millisecond))%3 == 0) {
+			for _, word := range m.pub.GossipMessages(w.now, 2, int(w.now/(200*time.Millisecond))%3 == 0) {
 				for _, o := range w.members {
 					if o != m && !w.chance(0.3) {
 						w.after(time.Duration(w.rng.IntN(30))*time.Millisecond, func() {
 							if !o.down {
-								o.pub.HearWord(w.now, word)
+								o.pub.GossipReceived(w.now, word)
 							}
 						})
 					}
@@ -554,7 +554,7 @@
 				if w.rng.IntN(3) == 0 {
 					b.Put = b.Put[:len(b.Put)/2]
 				}
-				w.act(f, f.f.Received(w.now, &Push{Nonce: w.rng.Uint64(), Body: &b}))
+				w.act(f, f.f.PushReceived(w.now, &Push{Nonce: w.rng.Uint64(), Body: &b}))
 			}
 		})
 	}
@@ -579,17 +579,17 @@
 	}
 	newest := w.log[len(w.log)-1]
 	for _, f := range w.followers {
-		refused := refusalOf(f.f.Refused(), newest.Ref) != nil
-		w.refusals += len(f.f.Refused())
-		if !f.up || !refused && (f.running == nil || *f.running != newest.Ref) || refused && w.problems(newest) == nil && f.disk.Starts < 2 {
-			w.fail("%s runs %v after 8 s without faults, and %v is agreed on (refused: %v, connected: %v, note %q)", f.name, f.running, newest.Ref, refused, f.stream != nil, f.f.Note())
+		refused := refusalOf(f.f.Rejections(), newest.Ref) != nil
+		w.refusals += len(f.f.Rejections())
+		if !f.up || !refused && (f.running == nil || *f.running != newest.Ref) || refused && w.problems(newest) == nil && f.disk.StartCount < 2 {
+			w.fail("%s runs %v after 8 s without faults, and %v is agreed on (refused: %v, connected: %v, note %q)", f.name, f.running, newest.Ref, refused, f.stream != nil, f.f.Warning())
 		}
-		if at, ok := f.f.Confirmed(); !refused && (!ok || w.now-at > time.Second) {
+		if at, ok := f.f.ConfirmedAt(); !refused && (!ok || w.now-at > time.Second) {
 			w.fail("%s: confirmed at %v: %v", f.name, at, ok)
 		}
 		for _, m := range w.members {
 			st := m.pub.standing(w.now, f.name)
-			if fmt.Sprint(st.Running) != fmt.Sprint(f.running) || f.running != nil && st.State != "running" || st.Twin != "" || refused != (st.Refused != nil && st.Refused.Ref == newest.Ref) {
+			if fmt.Sprint(st.Running) != fmt.Sprint(f.running) || f.running != nil && st.State != "running" || st.NameConflict != "" || refused != (st.LatestRejection != nil && st.LatestRejection.Ref == newest.Ref) {
 				w.fail("member %d says of %s: %+v; it runs %v", m.id, f.name, st, f.running)
 			}
 		}
--- a/configstream/version.go
+++ b/configstream/version.go
@@ -47,7 +47,7 @@
 func (d *Digest) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil || len(b) != 8*len(d) {
-		return fmt.Errorf("digest %q: %w", text, ErrDamaged)
+		return fmt.Errorf("digest %q: %w", text, ErrCorrupt)
 	}
 	for i := range d {
 		d[i] = binary.BigEndian.Uint64(b[8*i:])
@@ -74,49 +74,49 @@
 
 // Orders.
 const (
-	Same     Order = iota
-	Older          // of an earlier epoch, or with a lower number in the same
-	Newer          // the opposite
-	Diverged       // neither: two services say that they are the same one
+	OrderSame     Order = iota
+	OrderOlder          // of an earlier epoch, or with a lower number in the same
+	OrderNewer          // the opposite
+	OrderDiverged       // neither: two services say that they are the same one
 )
 
 func (o Order) String() string { return [...]string{"same", "older", "newer", "diverged"}[o] }
 
-// Order tells how r stands to other.
-func (r Ref) Order(other Ref) Order {
+// Compare tells how r stands to other.
+func (r Ref) Compare(other Ref) Order {
 	switch {
 	case r.Epoch.Number != other.Epoch.Number:
 		return either(r.Epoch.Number < other.Epoch.Number)
 	case r.Epoch.ID != other.Epoch.ID:
-		return Diverged
+		return OrderDiverged
 	case r.Number != other.Number:
 		return either(r.Number < other.Number)
 	case r.Digest != other.Digest:
-		return Diverged
+		return OrderDiverged
 	}
-	return Same
+	return OrderSame
 }
 
 func either(older bool) Order {
 	if older {
-		return Older
+		return OrderOlder
 	}
-	return Newer
+	return OrderNewer
 }
 
 // Version is one version of the configuration. Nothing in it may be changed.
 type Version struct {
 	Ref
-	Hash   string   // of the chain of entries up to it
-	Homes  uint64   // epoch of the homes of keys
-	Places []string // of plans: see [clusterconfig.State.Places]
-	Tree   *clusterconfig.Tree
-	sum    Digest // of the objects alone
+	Hash             string   // of the chain of entries up to it
+	PlacementVersion uint64   // epoch of the homes of keys
+	PlanOrder        []string // of plans: see [clusterconfig.State.PlanOrder]
+	Tree             *clusterconfig.Tree
+	sum              Digest // of the objects alone
 }
 
-// Of is the version that a state is. before, if not nil, is an earlier one, whose digest saves work.
-func Of(s *clusterconfig.State, before *Version) *Version {
-	v := &Version{Ref: Ref{Epoch: s.Epoch(), Number: s.Version()}, Hash: s.Hash(), Homes: s.Homes(), Places: s.Places(), Tree: s.Tree()}
+// NewVersion is the version that a state is. before, if not nil, is an earlier one, whose digest saves work.
+func NewVersion(s *clusterconfig.State, before *Version) *Version {
+	v := &Version{Ref: Ref{Epoch: s.Epoch(), Number: s.Version()}, Hash: s.Hash(), PlacementVersion: s.PlacementVersion(), PlanOrder: s.PlanOrder(), Tree: s.Tree()}
 	empty := iradix.New[json.RawMessage]()
 	if before == nil {
 		before = &Version{Tree: empty}
@@ -129,7 +129,7 @@
 
 // State is the configuration that a version is.
 func (v *Version) State() (*clusterconfig.State, error) {
-	return clusterconfig.Told(v.Number, v.Homes, v.Hash, v.Places, v.Tree)
+	return clusterconfig.NewFrozenState(v.Number, v.PlacementVersion, v.Hash, v.PlanOrder, v.Tree)
 }
 
 // replace has d count one value in place of another; nil is none. The digest of a set is the sum of its members' hashes, so
@@ -158,7 +158,7 @@
 // seal makes the digest of all from that of the objects.
 func (v *Version) seal() {
 	v.Digest = v.sum
-	head, _ := json.Marshal([]any{v.Epoch, v.Number, v.Hash, v.Homes, v.Places}) // plain values: no error
+	head, _ := json.Marshal([]any{v.Epoch, v.Number, v.Hash, v.PlacementVersion, v.PlanOrder}) // plain values: no error
 	v.Digest.replace([]byte("\x00head"), nil, head)
 }
 
@@ -210,13 +210,13 @@
 // Body is what makes a version: all of it, or what differs from a base. It is shared by pushes and may not be changed.
 type Body struct {
 	Ref
-	Base    *Ref // nil: it is the whole version
-	Format  int  // the oldest that says all of it
-	Hash    string
-	Homes   uint64
-	Places  []string // all of them, or those that the base lacks
-	Put     []Object
-	Removed []string // keys
+	Base             *Ref // nil: it is the whole version
+	Format           int  // the oldest that says all of it
+	Hash             string
+	PlacementVersion uint64
+	PlanOrder        []string // all of them, or those that the base lacks
+	Put              []Object
+	Removed          []string // keys
 }
 
 // Size is about the bytes of a body.
@@ -224,7 +224,7 @@
 	for _, o := range b.Put {
 		n += len(o.Key) + len(o.Value) + 8
 	}
-	for _, k := range append(slices.Clone(b.Removed), b.Places...) {
+	for _, k := range append(slices.Clone(b.Removed), b.PlanOrder...) {
 		n += len(k) + 4
 	}
 	return n + 100
@@ -232,13 +232,13 @@
 
 // Body returns what makes v of base, or all of v where base is nil.
 func (v *Version) Body(base *Version) *Body {
-	b := &Body{Ref: v.Ref, Format: 1, Hash: v.Hash, Homes: v.Homes, Places: v.Places}
+	b := &Body{Ref: v.Ref, Format: 1, Hash: v.Hash, PlacementVersion: v.PlacementVersion, PlanOrder: v.PlanOrder}
 	from := iradix.New[json.RawMessage]()
 	if base != nil {
 		from = base.Tree
 		ref := base.Ref
 		b.Base = &ref
-		b.Places = v.Places[min(len(base.Places), len(v.Places)):]
+		b.PlanOrder = v.PlanOrder[min(len(base.PlanOrder), len(v.PlanOrder)):]
 	}
 	diff(from, v.Tree, func(key []byte, _, is json.RawMessage) {
 		if is == nil {
@@ -246,23 +246,23 @@
 			return
 		}
 		b.Put = append(b.Put, Object{string(key), is})
-		b.Format = max(b.Format, clusterconfig.FormatOf(string(key)))
+		b.Format = max(b.Format, clusterconfig.FormatForKey(string(key)))
 	})
 	return b
 }
 
-// ErrDamaged says that a body does not make the version that it names.
-var ErrDamaged = errors.New("the content does not make the version that it is said to be")
+// ErrCorrupt says that a body does not make the version that it names.
+var ErrCorrupt = errors.New("the content does not make the version that it is said to be")
 
-// Make returns the version that a body makes, of base where it has one.
-func (b *Body) Make(base *Version) (*Version, error) {
-	v := &Version{Ref: b.Ref, Hash: b.Hash, Homes: b.Homes, Places: b.Places}
+// Build returns the version that a body makes, of base where it has one.
+func (b *Body) Build(base *Version) (*Version, error) {
+	v := &Version{Ref: b.Ref, Hash: b.Hash, PlacementVersion: b.PlacementVersion, PlanOrder: b.PlanOrder}
 	tree := iradix.New[json.RawMessage]()
 	if b.Base != nil {
 		if base == nil || base.Ref != *b.Base {
-			return nil, fmt.Errorf("made against version %v: %w", *b.Base, ErrDamaged)
+			return nil, fmt.Errorf("made against version %v: %w", *b.Base, ErrCorrupt)
 		}
-		tree, v.sum, v.Places = base.Tree, base.sum, slices.Concat(base.Places, b.Places)
+		tree, v.sum, v.PlanOrder = base.Tree, base.sum, slices.Concat(base.PlanOrder, b.PlanOrder)
 	}
 	txn := tree.Txn()
 	for _, o := range b.Put {
@@ -272,14 +272,14 @@
 	for _, k := range b.Removed {
 		was, ok := txn.Delete([]byte(k))
 		if !ok {
-			return nil, fmt.Errorf("%s is to be removed and is not there: %w", k, ErrDamaged)
+			return nil, fmt.Errorf("%s is to be removed and is not there: %w", k, ErrCorrupt)
 		}
 		v.sum.replace([]byte(k), was, nil)
 	}
 	v.Tree = txn.Commit()
 	v.seal()
 	if v.Digest != b.Digest {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	return v, nil
 }
@@ -302,34 +302,34 @@
 	return text
 }
 
-// Refusal is a version that a follower does not put in force.
-type Refusal struct {
+// Rejection is a version that a follower does not put in force.
+type Rejection struct {
 	Ref
-	Problems []Problem `json:"problems"`
-	Unread   bool      `json:"unread,omitempty"` // it is in a newer form than the program knows: a newer program may take it
+	Problems            []Problem `json:"problems"`
+	IsUnsupportedFormat bool      `json:"unread,omitempty"` // it is in a newer form than the program knows: a newer program may take it
 }
 
 // keptRefusals bounds the refusals that either side remembers of a follower: the newest.
 const keptRefusals = 16
 
-func addRefusal(list []Refusal, r Refusal) []Refusal {
-	list = slices.DeleteFunc(slices.Clone(list), func(o Refusal) bool { return o.Ref == r.Ref })
+func addRefusal(list []Rejection, r Rejection) []Rejection {
+	list = slices.DeleteFunc(slices.Clone(list), func(o Rejection) bool { return o.Ref == r.Ref })
 	list = append(list, r)
 	return list[max(len(list)-keptRefusals, 0):]
 }
 
 // newestOf is the refusal of the newest version; nil: there is none.
-func newestOf(list []Refusal) (newest *Refusal) {
+func newestOf(list []Rejection) (newest *Rejection) {
 	for i := range list {
-		if newest == nil || list[i].Order(newest.Ref) == Newer {
+		if newest == nil || list[i].Compare(newest.Ref) == OrderNewer {
 			newest = &list[i]
 		}
 	}
 	return newest
 }
 
-func refusalOf(list []Refusal, ref Ref) *Refusal {
-	if i := slices.IndexFunc(list, func(r Refusal) bool { return r.Ref == ref }); i >= 0 {
+func refusalOf(list []Rejection, ref Ref) *Rejection {
+	if i := slices.IndexFunc(list, func(r Rejection) bool { return r.Ref == ref }); i >= 0 {
 		return &list[i]
 	}
 	return nil
--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -193,9 +193,9 @@
 	for i, s := range servers {
 		reg.Put(testserver.Entry{InstanceID: fmt.Sprint("s", i), HostPort: s, Zone: "hall-a", MachineType: "k", Lifecycle: "up", Weight: 1})
 	}
-	classes := []routing.Class{{Name: "slot-check", Worth: 3, Aim: 2 * time.Second, Deadline: 4 * time.Second},
-		{Name: "visit-book", Worth: 9, Aim: 2 * time.Second, Deadline: 4 * time.Second}}
-	table, _, err := openapi.Compile("booking.yaml", deploy.Booking, routing.Options{Classes: classes, MostUnits: 50})
+	classes := []routing.Class{{Name: "slot-check", PriorityWeight: 3, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second},
+		{Name: "visit-book", PriorityWeight: 9, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second}}
+	table, _, err := openapi.Compile("booking.yaml", deploy.Booking, routing.Options{Classes: classes, MaxUnits: 50})
 	if err != nil {
 		return nil, err
 	}
@@ -203,13 +203,13 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg := &gateway.Config{Name: "gate", Halls: []gateway.Hall{{Name: "hall-a", Register: reg.Addr()}}, Classes: classes,
+	cfg := &gateway.Config{Name: "gate", Sites: []gateway.Site{{Name: "hall-a", Discovery: reg.Addr()}}, Classes: classes,
 		Licensees: map[string]gateway.Licensee{}, Settings: settings()}
 	for i := range 100 {
 		name := fmt.Sprint("licensee-", i)
 		cfg.Licensees[name] = gateway.Licensee{Plan: "kubwa", Customer: gateway.CustomerOf(name)}
 	}
-	cfg.On(ln, nil)
+	cfg.UseSockets(ln, nil)
 	want := len(servers)
 	if change != nil {
 		change(cfg)
--- a/internal/benchmark/changes.go
+++ b/internal/benchmark/changes.go
@@ -27,7 +27,7 @@
 
 // startMember starts an instance that agrees with others on what it serves.
 func startMember(ctx context.Context, p *Part) ([]string, error) {
-	creds, err := raftnode.LoadCredentials(p.Dir, p.Member)
+	creds, err := raftnode.LoadMemberCredentials(p.Dir, p.Member)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 	}
 	gate := &gateway.Config{Name: fmt.Sprint("gate-", p.Member), Settings: settings()}
 	gate.Settings.Plans = nil
-	gate.On(ln, nil)
+	gate.UseSockets(ln, nil)
 	begun, ended := make(chan *cluster.Member, 1), make(chan error, 1)
 	go func() {
 		ended <- cluster.RunMember(ctx, cfg, gate, log.New(os.Stderr, "", 0), func(f *cluster.Member) { begun <- f })
@@ -150,7 +150,7 @@
 				return c, err
 			}
 		}
-		members[id] = clusterconfig.Member{Raft: addrs[0], Admin: addrs[1]}
+		members[id] = clusterconfig.Member{RaftAddress: addrs[0], AdminAddress: addrs[1]}
 		if streams {
 			c.streams[id] = addrs[2]
 		}
@@ -171,7 +171,7 @@
 		c.members = append(c.members, p)
 		c.ends = append(c.ends, func() error { p.end(); return nil }) // it may have been killed
 	}
-	creds, err := raftnode.LoadNamed(c.dir, raftnode.OperatorFile("op"))
+	creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.OperatorFilePrefix("op"))
 	if err != nil {
 		return c, err
 	}
@@ -183,12 +183,12 @@
 // agree has the instances agree on the bench's configuration and waits until it is in force.
 func agree(ctx context.Context, cl *cluster.Client, register string) error {
 	p := &clusterconfig.Proposal{ID: "first", Changes: []clusterconfig.Change{
-		clusterconfig.Put("class", "slot-check", clusterconfig.Class{Worth: 3, AimMs: 2000, DeadlineMs: 4000}), clusterconfig.Put("class", "visit-book", clusterconfig.Class{Worth: 9, AimMs: 2000, DeadlineMs: 4000}),
-		clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Rate: 1e5, Burst: 1e5, CeilingRate: 2e5, CeilingBurst: 2e5, Price: 1}),
-		clusterconfig.Put("hall", "hall-a", clusterconfig.Hall{Register: register}),
-		clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(deploy.Booking)})}}
+		clusterconfig.NewPutChange("class", "slot-check", clusterconfig.Class{PriorityWeight: 3, LatencyObjectiveMs: 2000, DeadlineMs: 4000}), clusterconfig.NewPutChange("class", "visit-book", clusterconfig.Class{PriorityWeight: 9, LatencyObjectiveMs: 2000, DeadlineMs: 4000}),
+		clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{Rate: 1e5, Burst: 1e5, HardLimitRate: 2e5, HardLimitBurst: 2e5, PriorityFactor: 1}),
+		clusterconfig.NewPutChange("hall", "hall-a", clusterconfig.Site{DiscoveryAddress: register}),
+		clusterconfig.NewPutChange("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(deploy.Booking)})}}
 	for i := range 100 {
-		p.Changes = append(p.Changes, clusterconfig.Put("licensee", fmt.Sprint("licensee-", i), clusterconfig.Licensee{Plan: "kubwa"}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("licensee", fmt.Sprint("licensee-", i), clusterconfig.Licensee{Plan: "kubwa"}))
 	}
 	ctx, cancel := context.WithTimeout(ctx, agreeMost)
 	defer cancel()
@@ -215,7 +215,7 @@
 			return n
 		case <-tick.C:
 		}
-		p := &clusterconfig.Proposal{ID: fmt.Sprint(time.Now().UnixNano()), Changes: []clusterconfig.Change{clusterconfig.Put("licensee", fmt.Sprint("other-", i%50), clusterconfig.Licensee{Plan: "kubwa"})}}
+		p := &clusterconfig.Proposal{ID: fmt.Sprint(time.Now().UnixNano()), Changes: []clusterconfig.Change{clusterconfig.NewPutChange("licensee", fmt.Sprint("other-", i%50), clusterconfig.Licensee{Plan: "kubwa"})}}
 		if _, err := cl.Propose(ctx, p); err == nil {
 			n++
 		}
--- a/internal/benchmark/crossing.go
+++ b/internal/benchmark/crossing.go
@@ -29,18 +29,18 @@
 	if p.Role == "near" {
 		member = nearMember
 	}
-	creds, err := raftnode.LoadCredentials(p.Dir, member)
+	creds, err := raftnode.LoadMemberCredentials(p.Dir, member)
 	if err != nil {
 		return nil, err
 	}
-	link := &gateway.LinkConfig{Own: []string{"hall-a"}, Listen: at, TLS: creds.TLS(), Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf("bench", s) }}
+	link := &gateway.RelayConfig{Own: []string{"hall-a"}, Listen: at, TLS: creds.TLSConfig(), Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("bench", s) }}
 	link.TLS.SessionTicketsDisabled = true
 	if p.Role == "near" {
 		link.Own, link.Listen = []string{"hall-b"}, netip.MustParseAddrPort("127.0.0.1:0")
-		link.Far = map[string][]gateway.LinkPeer{"hall-a": {{Member: farMember, Addr: at}}}
+		link.Remote = map[string][]gateway.RelayPeer{"hall-a": {{Member: farMember, Addr: at}}}
 	}
 	return startGateway(ctx, p.Servers, func(cfg *gateway.Config) {
-		cfg.Link = link
+		cfg.Relay = link
 		if p.Role == "near" {
 			cfg.Settings.Zone = "hall-b"
 		}
--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -54,7 +54,7 @@
 	// One certificate for all would make twins of them: each has its own name.
 	p := &clusterconfig.Proposal{ID: "followers"}
 	for i := range n {
-		p.Changes = append(p.Changes, clusterconfig.Put("follower", followerName(i), clusterconfig.Follower{}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("follower", followerName(i), clusterconfig.Follower{}))
 	}
 	o, err := c.client.Propose(ctx, p)
 	if err != nil {
@@ -75,13 +75,13 @@
 		if err := c.auth.WriteFollower(c.dir, name); err != nil {
 			return r, err
 		}
-		creds, err := raftnode.LoadNamed(c.dir, raftnode.FollowerFile(name))
+		creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.FollowerFilePrefix(name))
 		if err != nil {
 			return r, err
 		}
 		q := &quiet{at: map[uint64]time.Time{}}
-		q.feed = cluster.NewStreamClient(&cluster.FollowerConfig{Cluster: "bench", Name: name, Credentials: creds, MemberStreamAddrs: c.streams}, configstream.Disk{Starts: 1}, cluster.StreamHandlers{
-			Persist: func(*configstream.Disk) error { return nil },
+		q.feed = cluster.NewStreamClient(&cluster.FollowerConfig{Cluster: "bench", Name: name, Credentials: creds, MemberStreamAddrs: c.streams}, configstream.DurableState{StartCount: 1}, cluster.StreamHandlers{
+			Persist: func(*configstream.DurableState) error { return nil },
 			Check:   func(*configstream.Version) []configstream.Problem { return nil },
 			Install: func(v *configstream.Version) error {
 				q.mu.Lock()
@@ -147,7 +147,7 @@
 
 func onePlan(i int) *clusterconfig.Proposal {
 	return &clusterconfig.Proposal{ID: fmt.Sprint("plan-", time.Now().UnixNano()), Changes: []clusterconfig.Change{
-		clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Rate: 1e5, Burst: 1e5, CeilingRate: 2e5, CeilingBurst: 2e5, Price: 1 + float64(i+1)/1000})}}
+		clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{Rate: 1e5, Burst: 1e5, HardLimitRate: 2e5, HardLimitBurst: 2e5, PriorityFactor: 1 + float64(i+1)/1000})}}
 }
 
 // coresAtTen is the processors that the first member takes at ten changes a second.
--- a/internal/benchmark/parts.go
+++ b/internal/benchmark/parts.go
@@ -33,9 +33,9 @@
 // even gives the members shares by their sizes alone.
 func even(list []subset.Server, at []int) (members []subset.Member) {
 	for _, i := range at {
-		members = append(members, subset.Member{Index: i, Share: list[i].Size})
+		members = append(members, subset.Member{Index: i, TrafficFraction: list[i].Weight})
 	}
-	return subset.Normalize(members)
+	return subset.NormalizeFractions(members)
 }
 
 // shuffled returns the places of the list in an order that depends on the servers' ids and a turn alone.
@@ -74,16 +74,16 @@
 	}
 	for start := 0.0; length > 1e-9 && len(members) <= 2*len(order); start = 0 {
 		for _, i := range order {
-			size := list[i].Size
+			size := list[i].Weight
 			if over := min(start+size, from+length) - max(start, from); over > 1e-9 {
-				members = append(members, subset.Member{Index: i, Share: over})
+				members = append(members, subset.Member{Index: i, TrafficFraction: over})
 			}
 			start += size
 		}
 		length -= total - from
 		from = 0
 	}
-	return subset.Normalize(members)
+	return subset.NormalizeFractions(members)
 }
 
 var ways = []struct {
@@ -107,7 +107,7 @@
 	{"ring", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
 		var total float64
 		for _, s := range list {
-			total += s.Size
+			total += s.Weight
 		}
 		length := total * float64(size) / float64(len(list))
 		return laid(list, shuffled(list, 0, seed), total*float64(node)/float64(nodes), length, total)
@@ -115,7 +115,7 @@
 	{"rings", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
 		var total float64
 		for _, s := range list {
-			total += s.Size
+			total += s.Weight
 		}
 		// As many rings as the parts cover the servers, each cut into stretches without a rest.
 		rings := max(size*nodes/len(list), 1)
@@ -124,11 +124,11 @@
 		return laid(list, shuffled(list, uint64(node/perRing)+1, seed), length*float64(node%perRing), length, total)
 	}},
 	{"lots", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
-		return subset.Fleet{Nodes: nodes, Seed: seed, Rule: subset.Rule{Servers: size}}.Form(list, node, 1)
+		return subset.Tier{Nodes: nodes, Seed: seed, Sizing: subset.Sizing{TargetServers: size}}.Select(list, node, 1)
 	}},
 	{"lots, uncounted", func(list []subset.Server, nodes, node, size int, seed uint64) []subset.Member {
 		var at []int
-		for _, m := range (subset.Fleet{Nodes: nodes, Seed: seed, Rule: subset.Rule{Servers: size}}).Form(list, node, 1) {
+		for _, m := range (subset.Tier{Nodes: nodes, Seed: seed, Sizing: subset.Sizing{TargetServers: size}}).Select(list, node, 1) {
 			at = append(at, m.Index)
 		}
 		return even(list, at)
@@ -144,7 +144,7 @@
 	rng := rand.New(rand.NewPCG(seed, uint64(nodes)<<32|uint64(servers)))
 	list := make([]subset.Server, servers, servers+1)
 	for i := range list {
-		list[i] = subset.Server{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: []string{"a", "b"}[i%2], Size: 0.75 + rng.Float64()/2}
+		list[i] = subset.Server{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: []string{"a", "b"}[i%2], Weight: 0.75 + rng.Float64()/2}
 	}
 	rates := make([]float64, nodes)
 	for i := range rates {
@@ -189,7 +189,7 @@
 		for t := range tries {
 			k := (t*2 + 1) * servers / (2 * tries)
 			r.Gone += changed(slices.Delete(slices.Clone(list), k, k+1), nodes) / places / tries
-			come := append(slices.Clone(list), subset.Server{ID: fmt.Sprintf("new-%d", t), Zone: "a", Size: 1})
+			come := append(slices.Clone(list), subset.Server{ID: fmt.Sprintf("new-%d", t), Zone: "a", Weight: 1})
 			r.Came += changed(come, nodes) / places / tries
 		}
 		r.Miscut = changed(list, nodes+(nodes+9)/10) / (r.Members * float64(nodes))
@@ -205,7 +205,7 @@
 	var left float64
 	for _, s := range list {
 		if lost == nil || !lost(s) {
-			left += s.Size
+			left += s.Weight
 		}
 	}
 	var total float64
@@ -218,20 +218,20 @@
 		var sum float64
 		for _, m := range members {
 			if lost == nil || !lost(list[m.Index]) {
-				sum += m.Share
+				sum += m.TrafficFraction
 			}
 		}
 		if sum == 0 {
 			for i, s := range list {
 				if !lost(s) {
-					work[i] += rate * s.Size / left
+					work[i] += rate * s.Weight / left
 				}
 			}
 			continue
 		}
 		for _, m := range members {
 			if lost == nil || !lost(list[m.Index]) {
-				work[m.Index] += rate * m.Share / sum
+				work[m.Index] += rate * m.TrafficFraction / sum
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 		if lost != nil && lost(s) {
 			continue
 		}
-		x := work[i] / s.Size / mean
+		x := work[i] / s.Weight / mean
 		most = math.Max(most, x)
 		dev += (x - 1) * (x - 1)
 		n++
--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -55,7 +55,7 @@
 	leaderLookupTimeout    = time.Second
 	maxAdminHeaderBytes    = 16 << 10
 	maxConcurrentAdminReqs = 16
-	maxAdminBodyBytes      = 2 * clusterconfig.MaxProposal
+	maxAdminBodyBytes      = 2 * clusterconfig.MaxProposalBytes
 )
 
 // errorResponse is the JSON body of an error.
@@ -84,7 +84,7 @@
 		WriteTimeout:      maxAdminTimeout + adminWriteSlack,
 		IdleTimeout:       adminIdleTimeout,
 		MaxHeaderBytes:    maxAdminHeaderBytes,
-		TLSConfig:         m.cfg.Credentials.TLS(),
+		TLSConfig:         m.cfg.Credentials.TLSConfig(),
 		Handler:           m.adminGate(m.adminRoutes()),
 	}
 	tasks.Go(func() { server.Serve(tls.NewListener(ln, server.TLSConfig)) })
@@ -125,11 +125,11 @@
 }
 
 // authenticate returns the holder of the caller's certificate: an operator or a member of this cluster.
-func (m *Member) authenticate(r *http.Request) (holder raftnode.Holder, err error) {
+func (m *Member) authenticate(r *http.Request) (holder raftnode.Identity, err error) {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return holder, errNoCertificate
 	}
-	if holder, err = raftnode.HolderOf(r.TLS.PeerCertificates[0]); err != nil {
+	if holder, err = raftnode.IdentityOf(r.TLS.PeerCertificates[0]); err != nil {
 		return holder, err
 	}
 	if holder.Cluster != m.cfg.Cluster {
@@ -189,7 +189,7 @@
 
 // explain returns an error's text for operators, with the voters and the leader where a quorum is missing.
 func (m *Member) explain(ctx context.Context, err error) string {
-	if !errors.Is(err, raftnode.ErrNoLeader) && !errors.Is(err, raftnode.ErrLost) {
+	if !errors.Is(err, raftnode.ErrNoLeader) && !errors.Is(err, raftnode.ErrOutcomeUnknown) {
 		return err.Error()
 	}
 	// The request's own time may be over.
--- a/internal/cluster/admin_members.go
+++ b/internal/cluster/admin_members.go
@@ -77,14 +77,14 @@
 	if !slices.Contains(status.Voters, id) {
 		return newBadRequest("member: %d is no voter", id)
 	}
-	return m.node.Transfer(ctx, id)
+	return m.node.TransferLeadership(ctx, id)
 }
 
 func (m *Member) removeMember(ctx context.Context, status raftnode.Status, id uint64) error {
 	if len(status.Voters) == 1 && status.Voters[0] == id {
 		return newBadRequest("member: %d is the only voter", id)
 	}
-	if err := m.node.Members(ctx, removeMember(id)); err != nil {
+	if err := m.node.ChangeMembership(ctx, removeMember(id)); err != nil {
 		return err
 	}
 	return m.proposeMemberAddrs(ctx, id, nil)
@@ -113,16 +113,16 @@
 	if err := m.proposeMemberAddrs(ctx, id, addrs); err != nil {
 		return err
 	}
-	if err := m.node.Members(ctx, addLearner(id)); err != nil {
+	if err := m.node.ChangeMembership(ctx, addLearner(id)); err != nil {
 		return err
 	}
 	for {
-		lag, known, err := m.node.Behind(ctx, id)
+		lag, known, err := m.node.ReplicationLag(ctx, id)
 		if err != nil {
 			return err
 		}
 		if known && lag < maxVoterLag {
-			return m.node.Members(ctx, promote)
+			return m.node.ChangeMembership(ctx, promote)
 		}
 		select {
 		case <-ctx.Done():
@@ -169,7 +169,7 @@
 func (m *Member) forwardToLeader(ctx context.Context, r *http.Request, leader uint64, change *MembershipChange) (
 	*Status, error) {
 	m.mu.Lock()
-	addr := m.members[leader].Admin
+	addr := m.members[leader].AdminAddress
 	m.mu.Unlock()
 	if r.Header.Get(headerForwarded) != "" || addr == "" {
 		return nil, fmt.Errorf("member %d leads, at %q: ask there", leader, addr)
--- a/internal/cluster/admin_proposals.go
+++ b/internal/cluster/admin_proposals.go
@@ -21,8 +21,8 @@
 	if p.Author == "" {
 		p.Author = memberAuthor(caller.Member)
 	}
-	if p.AtMs == 0 {
-		p.AtMs = time.Now().UnixMilli()
+	if p.ProposedAtMs == 0 {
+		p.ProposedAtMs = time.Now().UnixMilli()
 	}
 	if len(p.ID) == 0 || len(p.ID) > maxProposalIDBytes {
 		return newBadRequest("id: 1 to %d bytes are wanted", maxProposalIDBytes)
@@ -51,7 +51,7 @@
 	}
 	// A proposal that can't be applied is not sent to all members. This member's state may be behind, so its rejection
 	// counts only if the quorum's state rejects the proposal as well.
-	local, err := m.node.Freeze(ctx)
+	local, err := m.node.AppliedState(ctx)
 	if err != nil {
 		return outcome, err
 	}
@@ -76,7 +76,7 @@
 	outcome clusterconfig.Outcome, settled bool, err error) {
 	var newest *clusterconfig.State
 	var isRepeated bool
-	err = m.node.Read(ctx, func(s *clusterconfig.State) {
+	err = m.node.LinearizableRead(ctx, func(s *clusterconfig.State) {
 		newest = s.Freeze()
 		outcome, isRepeated = s.Outcome(p.ID)
 	})
@@ -84,20 +84,20 @@
 		return outcome, isRepeated, err
 	}
 	outcome = dryRun(newest, p)
-	return outcome, !outcome.Applied, nil
+	return outcome, !outcome.IsApplied, nil
 }
 
 // dryRun returns the outcome that a proposal would have, at the version of the state.
 func dryRun(state *clusterconfig.State, p *clusterconfig.Proposal) clusterconfig.Outcome {
 	if err := state.Check(p); err != nil {
-		return clusterconfig.Outcome{Version: state.Version(), Refused: err.Error()}
+		return clusterconfig.Outcome{Version: state.Version(), RejectionReason: err.Error()}
 	}
-	return clusterconfig.Outcome{Version: state.Version(), Applied: true}
+	return clusterconfig.Outcome{Version: state.Version(), IsApplied: true}
 }
 
 // accepted turns the outcome of a rejected proposal into an error with status 409.
 func accepted(outcome clusterconfig.Outcome) (clusterconfig.Outcome, error) {
-	if !outcome.Applied {
+	if !outcome.IsApplied {
 		return outcome, &statusError{http.StatusConflict, outcome}
 	}
 	return outcome, nil
@@ -108,9 +108,9 @@
 	name := fmt.Sprint(id)
 	change := clusterconfig.Change{Op: changeRemove, Kind: kindMember, Name: name}
 	if addrs != nil {
-		change = clusterconfig.Put(kindMember, name, addrs)
+		change = clusterconfig.NewPutChange(kindMember, name, addrs)
 	}
-	state, err := m.node.Freeze(ctx)
+	state, err := m.node.AppliedState(ctx)
 	if err != nil {
 		return err
 	}
@@ -122,14 +122,14 @@
 	}
 	now := time.Now()
 	outcome, err := m.node.Propose(ctx, &clusterconfig.Proposal{
-		ID:      fmt.Sprintf("member-%d-%d", id, now.UnixNano()),
-		Author:  memberAuthor(m.cfg.MemberID),
-		Why:     "change of members",
-		AtMs:    now.UnixMilli(),
-		Changes: []clusterconfig.Change{change},
+		ID:           fmt.Sprintf("member-%d-%d", id, now.UnixNano()),
+		Author:       memberAuthor(m.cfg.MemberID),
+		Reason:       "change of members",
+		ProposedAtMs: now.UnixMilli(),
+		Changes:      []clusterconfig.Change{change},
 	})
-	if err == nil && !outcome.Applied {
-		err = newBadRequest("%s", outcome.Refused)
+	if err == nil && !outcome.IsApplied {
+		err = newBadRequest("%s", outcome.RejectionReason)
 	}
 	return err
 }
--- a/internal/cluster/admin_status.go
+++ b/internal/cluster/admin_status.go
@@ -57,8 +57,8 @@
 		return status, nil
 	}
 	status.InstalledVersion = instance.Version()
-	status.SiteStates = instance.HallStates()
-	age, isServing := instance.Standing(time.Now())
+	status.SiteStates = instance.SiteStates()
+	age, isServing := instance.Confirmation(time.Now())
 	status.IsServing = isServing
 	if age > 0 {
 		status.ConfirmedAgeMs = age.Milliseconds()
@@ -70,7 +70,7 @@
 func (m *Member) objects(ctx context.Context, r *http.Request) (*Objects, error) {
 	read := m.readAgreed
 	if r.URL.Query().Get(queryLocal) != "" {
-		read = m.node.Freeze
+		read = m.node.AppliedState
 	}
 	state, err := read(ctx)
 	if err != nil {
@@ -93,13 +93,13 @@
 }
 
 // history returns the versions that the cluster retains, the oldest first.
-func (m *Member) history(ctx context.Context, _ *http.Request) (records []clusterconfig.Record, err error) {
-	err = m.node.Read(ctx, func(s *clusterconfig.State) { records = s.History() })
+func (m *Member) history(ctx context.Context, _ *http.Request) (records []clusterconfig.HistoryRecord, err error) {
+	err = m.node.LinearizableRead(ctx, func(s *clusterconfig.State) { records = s.History() })
 	return records, err
 }
 
 // readAgreed returns the state that a quorum confirms to be the newest.
 func (m *Member) readAgreed(ctx context.Context) (state *clusterconfig.State, err error) {
-	err = m.node.Read(ctx, func(newest *clusterconfig.State) { state = newest.Freeze() })
+	err = m.node.LinearizableRead(ctx, func(newest *clusterconfig.State) { state = newest.Freeze() })
 	return state, err
 }
--- a/internal/cluster/agreement_test.go
+++ b/internal/cluster/agreement_test.go
@@ -25,7 +25,7 @@
 			t.Errorf("before anything is agreed on: %+v", r)
 		}
 	}
-	if o := c.propose(c.initialProposal()); !o.Applied || o.Version != 1 {
+	if o := c.propose(c.initialProposal()); !o.IsApplied || o.Version != 1 {
 		t.Fatalf("%+v", o)
 	}
 	c.awaitInstalled(1)
@@ -38,7 +38,7 @@
 		}
 	}
 	base := uint64(1)
-	second := &clusterconfig.Proposal{ID: "second", Base: &base, Author: "somebody else", Why: "dearer",
+	second := &clusterconfig.Proposal{ID: "second", BaseVersion: &base, Author: "somebody else", Reason: "dearer",
 		Changes: []clusterconfig.Change{putDescription(7)}}
 	for range 2 {
 		if o := c.propose(second); o.Version != 2 {
@@ -53,7 +53,7 @@
 	}
 	c.checkRejectedProposals()
 	h, err := c.admin.History(c.ctx())
-	if err != nil || len(h) != 2 || h[1].Author != testOperator || h[1].Why != "dearer" || h[1].AtMs == 0 {
+	if err != nil || len(h) != 2 || h[1].Author != testOperator || h[1].Reason != "dearer" || h[1].ProposedAtMs == 0 {
 		t.Errorf("history %+v, error %v", h, err)
 	}
 	if o, err := c.admin.Objects(c.ctx(), false); err != nil || o.Version != 2 || len(o.Objects["plan"]) != 1 {
@@ -81,7 +81,7 @@
 		{"no plan", nil, newChange("put", "licensee", "l", `{"plan":"none"}`), `plan "none" is not there`},
 		{"description", nil, putDescription(99), "d.yaml:8"},
 	} {
-		p := &clusterconfig.Proposal{ID: test.name, Base: test.base, Changes: []clusterconfig.Change{test.change}}
+		p := &clusterconfig.Proposal{ID: test.name, BaseVersion: test.base, Changes: []clusterconfig.Change{test.change}}
 		if _, err := c.admin.Propose(c.ctx(), p); !hasStatus(err, http.StatusConflict, test.want) {
 			c.t.Errorf("%s: %v", test.name, err)
 		}
@@ -97,16 +97,16 @@
 	// Another cluster of the same name, and one of another name.
 	for _, name := range []string{testClusterName, "other"} {
 		creds := memberCredentials(c.t, newTestAuthority(c.t, name), 1)
-		client := NewClient(name, creds, c.addrs[1].Admin)
+		client := NewClient(name, creds, c.addrs[1].AdminAddress)
 		_, err := client.Status(c.ctx())
-		if !errors.Is(err, raftnode.ErrAuthority) || !strings.Contains(err.Error(), "is not of cluster") {
+		if !errors.Is(err, raftnode.ErrUnknownAuthority) || !strings.Contains(err.Error(), "is not of cluster") {
 			c.t.Errorf("a foreign client: %v", err)
 		}
 		client.Close()
 	}
 	// The same authority with another cluster's name in the certificate.
 	c.authority.Cluster = "renamed"
-	client := NewClient(testClusterName, memberCredentials(c.t, c.authority, 1), c.addrs[1].Admin)
+	client := NewClient(testClusterName, memberCredentials(c.t, c.authority, 1), c.addrs[1].AdminAddress)
 	defer client.Close()
 	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), `is of cluster "renamed"`) {
 		c.t.Errorf("a certificate of another cluster: %v", err)
@@ -152,9 +152,9 @@
 // was chosen. When the quorum is back, both serve.
 func TestMinorityServesUntilStale(t *testing.T) {
 	c := newTestCluster(t, 3)
-	for id, staleness := range map[uint64]gateway.Agreed{
+	for id, staleness := range map[uint64]gateway.Agreement{
 		1: {StaleAfter: time.Second},
-		2: {StaleAfter: time.Second, Refuse: true},
+		2: {StaleAfter: time.Second, RejectsStale: true},
 	} {
 		c.stop(id)
 		c.members[id].staleness = staleness
@@ -166,8 +166,8 @@
 	c.awaitServing(2)
 	c.stop(3)
 	// Each is alone: the link between them goes as well.
-	c.members[1].member.node.Peers(nil)
-	c.members[2].member.node.Peers(nil)
+	c.members[1].member.node.SetPeers(nil)
+	c.members[2].member.node.SetPeers(nil)
 	cutOffAt := time.Now()
 	if r := c.get(2, "/slots"); r.status != 200 {
 		t.Errorf("within its bound: %+v", r)
@@ -195,7 +195,7 @@
 		t.Errorf("status %+v, %v", s, err)
 	}
 	for _, id := range []uint64{1, 2} {
-		c.members[id].member.node.Peers(raftAddrs(c.addrs))
+		c.members[id].member.node.SetPeers(raftAddrs(c.addrs))
 	}
 	c.await("both serve", func() bool {
 		return c.isReady(1) && c.isReady(2) && c.get(1, "/slots").header.Get("X-Mulleinmux-Config-Age") == ""
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -44,7 +44,7 @@
 // NewClient returns a client of a cluster's instances at admin addresses. Close it after use.
 func NewClient(cluster string, creds raftnode.Credentials, addrs ...string) *Client {
 	transport := &http.Transport{
-		TLSClientConfig:     creds.TLS(),
+		TLSClientConfig:     creds.TLSConfig(),
 		TLSHandshakeTimeout: clientHandshakeTimeout,
 		DialContext:         (&net.Dialer{Timeout: clientDialTimeout}).DialContext,
 		MaxIdleConnsPerHost: clientMaxIdleConns,
@@ -136,8 +136,8 @@
 
 // explainUnreachable returns an error that tells a certificate of another cluster from other reasons.
 func (c *Client) explainUnreachable(addr string, err error) error {
-	if errors.Is(err, raftnode.ErrAuthority) {
-		return fmt.Errorf("%s: is not of cluster %q: %w", addr, c.cluster, raftnode.ErrAuthority)
+	if errors.Is(err, raftnode.ErrUnknownAuthority) {
+		return fmt.Errorf("%s: is not of cluster %q: %w", addr, c.cluster, raftnode.ErrUnknownAuthority)
 	}
 	// crypto/tls has no exported type for an alert from the other end.
 	if strings.Contains(err.Error(), "remote error: tls") {
@@ -185,7 +185,7 @@
 	statuses, failures := map[uint64]Status{}, map[uint64]error{}
 	for id, member := range first.Members {
 		memberCtx, cancel := context.WithTimeout(ctx, memberStatusTimeout)
-		if status, err := c.StatusAt(memberCtx, member.Admin); err != nil {
+		if status, err := c.StatusAt(memberCtx, member.AdminAddress); err != nil {
 			failures[id] = err
 		} else {
 			statuses[id] = status
@@ -206,7 +206,7 @@
 }
 
 // History returns the versions that the cluster retains, the oldest first.
-func (c *Client) History(ctx context.Context) (records []clusterconfig.Record, err error) {
+func (c *Client) History(ctx context.Context) (records []clusterconfig.HistoryRecord, err error) {
 	err = c.get(ctx, pathHistory, &records)
 	return records, err
 }
--- a/internal/cluster/client_await.go
+++ b/internal/cluster/client_await.go
@@ -82,17 +82,17 @@
 	for _, follower := range list.Followers {
 		if !runsVersion(follower, version) {
 			count++
-			missing += "; follower " + follower.Name + " " + follower.Plain()
+			missing += "; follower " + follower.Name + " " + follower.Summary()
 		}
 	}
 	return missing, count, nil
 }
 
 // runsVersion tells whether a follower runs a version or, where it is pinned to an older one, that.
-func runsVersion(follower configstream.Standing, version uint64) bool {
+func runsVersion(follower configstream.StreamStatus, version uint64) bool {
 	if follower.State != "running" {
 		return false
 	}
 	running := follower.Running.Number
-	return running >= version || follower.Pinned > 0 && running >= follower.Pinned
+	return running >= version || follower.PinnedVersion > 0 && running >= follower.PinnedVersion
 }
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -45,7 +45,7 @@
 	TickInterval        time.Duration // 50 ms where 0: an election takes place after 10 to 20 ticks without a leader
 
 	// WrapStorage and WrapSend inject the faults of scenarios; they are nil elsewhere.
-	WrapStorage func(raftnode.Disk) raftnode.Disk
+	WrapStorage func(raftnode.Storage) raftnode.Storage
 	WrapSend    func(send func(*pb.Message)) func(*pb.Message)
 }
 
@@ -66,14 +66,14 @@
 	if _, err := os.Stat(cfg.DataFile); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: %w", cfg.DataFile, fs.ErrExist)
 	}
-	storage, err := raftnode.OpenBolt(cfg.DataFile, cfg.Cluster, cfg.MemberID)
+	storage, err := raftnode.OpenBoltStorage(cfg.DataFile, cfg.Cluster, cfg.MemberID)
 	if err != nil {
 		return err
 	}
 	if !join {
 		// All members of a new cluster start from the same empty snapshot.
 		voters := slices.Sorted(maps.Keys(cfg.Members))
-		_, err = raftnode.Open(raftnode.Config{ID: cfg.MemberID, Voters: voters, Validate: ValidateDescription}, storage)
+		_, err = raftnode.NewCore(raftnode.Config{ID: cfg.MemberID, Voters: voters, Validate: ValidateDescription}, storage)
 	}
 	return errors.Join(err, storage.Close())
 }
@@ -83,7 +83,7 @@
 	if _, err := os.Stat(c.DataFile); errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: %w", c.DataFile, ErrNotInitialized)
 	}
-	if h, err := c.Credentials.Holder(); err != nil || h.Cluster != c.Cluster || h.Member != c.MemberID {
+	if h, err := c.Credentials.Identity(); err != nil || h.Cluster != c.Cluster || h.Member != c.MemberID {
 		return fmt.Errorf("certificate: is that of member %d of %q, not of %d of %q: %w",
 			h.Member, h.Cluster, c.MemberID, c.Cluster, err)
 	}
@@ -101,7 +101,7 @@
 func raftAddrs(members map[uint64]clusterconfig.Member) map[uint64]string {
 	addrs := make(map[uint64]string, len(members))
 	for id, m := range members {
-		addrs[id] = m.Raft
+		addrs[id] = m.RaftAddress
 	}
 	return addrs
 }
@@ -114,19 +114,19 @@
 	if instance.Keys != nil {
 		settings := &instance.Settings
 		instance.Health = siteHealthConfig(c.MemberID, settings.SlowStartWindow)
-		instance.Consent = &multisite.ConsentConfig{Me: c.MemberID, Incarnation: incarnation}
+		instance.QuorumConfirmation = &multisite.ConfirmationConfig{InstanceID: c.MemberID, Incarnation: incarnation}
 		if settings.ColdOverloadMultiple > 0 && settings.SlowStartWindow > 0 {
-			instance.Ramp = recoveryRampConfig(c.MemberID, incarnation, settings.ColdBudgetMultiple())
+			instance.RecoveryRamp = recoveryRampConfig(c.MemberID, incarnation, settings.ColdBudgetMultiple())
 		}
 	}
-	if link := instance.Link; link != nil {
-		link.TLS = c.Credentials.TLS()
+	if link := instance.Relay; link != nil {
+		link.TLS = c.Credentials.TLSConfig()
 		// A session ticket that has not been read yet would make an idle connection look used.
 		link.TLS.SessionTicketsDisabled = true
-		link.Verify = func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf(c.Cluster, s) }
+		link.Verify = func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember(c.Cluster, s) }
 	}
-	if instance.Agreed == nil {
-		instance.Agreed = &gateway.Agreed{}
+	if instance.Agreement == nil {
+		instance.Agreement = &gateway.Agreement{}
 	}
 }
 
@@ -149,8 +149,8 @@
 		}
 		return ln
 	}
-	l.raft = open("cluster", cmp.Or(c.RaftListenAddr, own.Raft))
-	l.admin = open("admin", cmp.Or(c.AdminListenAddr, own.Admin))
+	l.raft = open("cluster", cmp.Or(c.RaftListenAddr, own.RaftAddress))
+	l.admin = open("admin", cmp.Or(c.AdminListenAddr, own.AdminAddress))
 	if c.StreamListenAddr != "" {
 		l.stream = open("stream", c.StreamListenAddr)
 	}
--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -31,19 +31,19 @@
 func TestFixtureFollowerFile(t *testing.T) {
 	s := clusterconfig.New(nil)
 	version := func(before *configstream.Version, id string, changes ...clusterconfig.Change) *configstream.Version {
-		entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: id, Changes: changes})
+		entry, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{ID: id, Changes: changes})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, o, err := s.Apply(entry); err != nil || !o.Applied {
+		if _, o, err := s.Apply(entry); err != nil || !o.IsApplied {
 			t.Fatal(o, err)
 		}
-		return configstream.Of(s.Freeze(), before)
+		return configstream.NewVersion(s.Freeze(), before)
 	}
-	one := version(nil, "p1", clusterconfig.Put("epoch", "epoch", clusterconfig.Epoch{Number: 2, ID: "one"}), clusterconfig.Put("plan", "kati", clusterconfig.Plan{Price: 1}),
-		clusterconfig.Put("hall", "hall-a", clusterconfig.Hall{Register: "127.0.0.1:1"}))
-	two := version(one, "p2", clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Price: 2}))
-	three := version(two, "p3", clusterconfig.Put("plan", "kati", clusterconfig.Plan{Price: 3}))
+	one := version(nil, "p1", clusterconfig.NewPutChange("epoch", "epoch", clusterconfig.Epoch{Number: 2, ID: "one"}), clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 1}),
+		clusterconfig.NewPutChange("hall", "hall-a", clusterconfig.Site{DiscoveryAddress: "127.0.0.1:1"}))
+	two := version(one, "p2", clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{PriorityFactor: 2}))
+	three := version(two, "p3", clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 3}))
 	dump := func(path string) []byte {
 		db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
 		if err != nil {
@@ -77,8 +77,8 @@
 	if f, d, err = openFollowerFile(fresh, "c", "edge-1"); err != nil {
 		t.Fatal(err)
 	}
-	d.Good, d.InForce, d.Tries, d.Previous, d.Received, d.Checks = two, true, 2, one, three.Ref, 1
-	d.Refused = []configstream.Refusal{{Ref: three.Ref, Problems: []configstream.Problem{{Object: "plan/kati", Field: "price", Text: "is odd"}}, Unread: true}}
+	d.Accepted, d.WasActivated, d.ActivationAttempts, d.Previous, d.Candidate, d.CheckAttempts = two, true, 2, one, three.Ref, 1
+	d.Rejections = []configstream.Rejection{{Ref: three.Ref, Problems: []configstream.Problem{{Object: "plan/kati", Field: "price", Text: "is odd"}}, IsUnsupportedFormat: true}}
 	if err := errors.Join(f.save(&d), f.close()); err != nil {
 		t.Fatal(err)
 	}
@@ -99,11 +99,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Starts != d.Starts+1 || got.Good.Ref != two.Ref || got.Good.Hash != two.Hash || got.Previous.Ref != one.Ref || !got.InForce || got.Tries != 2 ||
-		got.Received != three.Ref || got.Checks != 1 || !reflect.DeepEqual(got.Refused, d.Refused) {
+	if got.StartCount != d.StartCount+1 || got.Accepted.Ref != two.Ref || got.Accepted.Hash != two.Hash || got.Previous.Ref != one.Ref || !got.WasActivated || got.ActivationAttempts != 2 ||
+		got.Candidate != three.Ref || got.CheckAttempts != 1 || !reflect.DeepEqual(got.Rejections, d.Rejections) {
 		t.Errorf("%+v", got)
 	}
-	got.Starts--
+	got.StartCount--
 	if err := errors.Join(f.save(&got), f.close()); err != nil {
 		t.Fatal(err)
 	}
@@ -115,12 +115,12 @@
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureWordOnKeys(t *testing.T) {
 	var out bytes.Buffer
-	full := multisite.Message{From: 1, Incarnation: 2, Seq: 3, Age: 4, Epoch: 5, Sent: []multisite.Sent{{Key: 6, Hall: "hall-a", Ago: 7}}, Full: true, Life: 8,
-		Views: []multisite.View{{Hall: "hall-a", Silent: true, For: 9, Carry: 1.5}, {Hall: "hall-b", For: -1, Far: true}},
-		Ramp: &multisite.RampWord{Ask: 10, Carried: []multisite.Carried{{Hall: "hall-a", Rate: 2.5, Util: 0.5}}, Asks: []multisite.RampAsk{{Hall: "hall-b", Share: 0.25}},
-			Grants: []multisite.RampGrant{{Hall: "hall-b", To: 11, Ask: 12, Share: 0.125}}},
-		Consent: &multisite.ConsentWord{Ask: 13, Fence: 14, Heard: []multisite.ConsentAnswer{{Of: 15, Ask: 16}}}}
-	all := []multisite.Message{{}, full, {Ramp: &multisite.RampWord{}, Consent: &multisite.ConsentWord{}}}
+	full := multisite.Message{From: 1, Incarnation: 2, SequenceNumber: 3, Uptime: 4, Epoch: 5, SentKeys: []multisite.SentKey{{Key: 6, Site: "hall-a", SinceFirstSend: 7}}, HasUnrecordedKeys: true, KeyTTL: 8,
+		Views: []multisite.SiteView{{Site: "hall-a", IsSilent: true, Duration: 9, Capacity: 1.5}, {Site: "hall-b", Duration: -1, IsRemote: true}},
+		Ramp: &multisite.RampMessage{RequestID: 10, Loads: []multisite.WarmLoad{{Site: "hall-a", Rate: 2.5, Utilization: 0.5}}, Requests: []multisite.ShareRequest{{Site: "hall-b", Share: 0.25}},
+			Grants: []multisite.ShareGrant{{Site: "hall-b", Borrower: 11, RequestID: 12, Share: 0.125}}},
+		Confirmation: &multisite.ConfirmationMessage{RequestID: 13, Fence: 14, Answers: []multisite.ConfirmationAnswer{{Requester: 15, RequestID: 16}}}}
+	all := []multisite.Message{{}, full, {Ramp: &multisite.RampMessage{}, Confirmation: &multisite.ConfirmationMessage{}}}
 	for _, m := range all {
 		if err := json.NewEncoder(&out).Encode(&m); err != nil {
 			t.Fatal(err)
@@ -149,7 +149,7 @@
 	r.await("it leads", func() bool { _, err := r.admin.Objects(r.ctx(), false); return err == nil })
 	r.propose(r.initialProposal())
 	r.awaitInstalled(1)
-	r.propose(&clusterconfig.Proposal{ID: "second", Why: "a follower", Changes: []clusterconfig.Change{newChange("put", "follower", "edge-1", `{"note":"x"}`)}})
+	r.propose(&clusterconfig.Proposal{ID: "second", Reason: "a follower", Changes: []clusterconfig.Change{newChange("put", "follower", "edge-1", `{"note":"x"}`)}})
 	r.await("it has the second", func() bool { // the follower never comes
 		s, err := r.admin.Status(r.ctx())
 		return err == nil && s.InstalledVersion == 2
@@ -172,7 +172,7 @@
 		{"POST", "/v1/members", `{"op":"add","member":1}`}, {"POST", "/v1/members", `{"op":"transfer","member":9}`},
 		{"GET", "/v1/none", ""}, {"POST", "/v1/status", ""},
 	} {
-		req, err := http.NewRequestWithContext(r.ctx(), q.method, "https://"+r.addrs[1].Admin+q.path, strings.NewReader(q.body))
+		req, err := http.NewRequestWithContext(r.ctx(), q.method, "https://"+r.addrs[1].AdminAddress+q.path, strings.NewReader(q.body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -203,12 +203,12 @@
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureAnswers(t *testing.T) {
-	at := &clusterconfig.Member{Raft: "a", Admin: "b"}
+	at := &clusterconfig.Member{RaftAddress: "a", AdminAddress: "b"}
 	full := Status{Cluster: "c", InstalledVersion: 1, ConfirmedAgeMs: -1, IsServing: true, InstallError: "note", SiteStates: map[string]string{"hall-a": "well"}, Members: map[uint64]clusterconfig.Member{1: *at}}
-	full.ID, full.Leader, full.Ready, full.Index, full.Version, full.Hash, full.Voters, full.Learners = 1, 2, true, 4, 5, "hash", []uint64{1}, []uint64{2}
+	full.ID, full.Leader, full.Ready, full.AppliedIndex, full.Version, full.Hash, full.Voters, full.Learners = 1, 2, true, 4, 5, "hash", []uint64{1}, []uint64{2}
 	w := httptest.NewRecorder()
 	for _, v := range []any{Status{}, full, Objects{}, MembershipChange{}, MembershipChange{Op: "add", MemberID: 1, ReplacementID: 2, Addrs: at}, errorResponse{"why"}, FollowerList{},
-		FollowerList{MemberID: 1, NewestVersion: 2, Followers: []configstream.Standing{{}}}, FollowerStatus{}} {
+		FollowerList{MemberID: 1, NewestVersion: 2, Followers: []configstream.StreamStatus{{}}}, FollowerStatus{}} {
 		writeJSON(w, 200, v)
 	}
 	fixture.Compare(t, "answers.txt", w.Body.Bytes())
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -31,7 +31,7 @@
 
 // checkIdentity checks that the certificate is this follower's.
 func (c *FollowerConfig) checkIdentity() error {
-	if h, err := c.Credentials.Holder(); err != nil || h.Cluster != c.Cluster || h.Follower != c.Name {
+	if h, err := c.Credentials.Identity(); err != nil || h.Cluster != c.Cluster || h.Follower != c.Name {
 		return fmt.Errorf("certificate: is that of follower %q of %q, not of %q of %q: %w",
 			h.Follower, h.Cluster, c.Name, c.Cluster, err)
 	}
@@ -40,13 +40,13 @@
 
 // FollowerStatus is a follower's view of itself.
 type FollowerStatus struct {
-	Name           string                 `json:"name"`
-	Running        *configstream.Ref      `json:"running,omitempty"`
-	MemberID       uint64                 `json:"member,omitempty"` // that it receives from; 0: none
-	ConfirmedAgeMs int64                  `json:"age_ms"`           // of what runs; -1: not confirmed since in force
-	IsServing      bool                   `json:"serves"`
-	Note           string                 `json:"note,omitempty"`
-	Rejected       []configstream.Refusal `json:"refused,omitempty"`
+	Name           string                   `json:"name"`
+	Running        *configstream.Ref        `json:"running,omitempty"`
+	MemberID       uint64                   `json:"member,omitempty"` // that it receives from; 0: none
+	ConfirmedAgeMs int64                    `json:"age_ms"`           // of what runs; -1: not confirmed since in force
+	IsServing      bool                     `json:"serves"`
+	Note           string                   `json:"note,omitempty"`
+	Rejected       []configstream.Rejection `json:"refused,omitempty"`
 }
 
 // Follower is a gateway instance that is no member of the cluster and receives the agreed configuration.
@@ -74,15 +74,15 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, file.close()) }()
-	if disk.Good == nil {
+	if disk.Accepted == nil {
 		logger.Printf("follower %s: nothing is kept in %s: waits for a version that a quorum confirms",
 			cfg.Name, cfg.DataFile)
 	}
 	if !cfg.DisableKeyOwnership {
-		instanceConfig.Keys = keyOwnershipConfig(anyFollower, disk.Starts)
+		instanceConfig.Keys = keyOwnershipConfig(anyFollower, disk.StartCount)
 	}
-	if instanceConfig.Agreed == nil {
-		instanceConfig.Agreed = &gateway.Agreed{}
+	if instanceConfig.Agreement == nil {
+		instanceConfig.Agreement = &gateway.Agreement{}
 	}
 	serving, drain := context.WithCancel(context.Background())
 	defer drain()
@@ -93,7 +93,7 @@
 	if !cfg.DisableKeyOwnership && cfg.HeartbeatInterval == 0 {
 		cfg.HeartbeatInterval = keyHeartbeatInterval
 	}
-	f := &Follower{cfg: cfg, instanceConfig: instanceConfig, instance: instance, isRestored: disk.Good != nil}
+	f := &Follower{cfg: cfg, instanceConfig: instanceConfig, instance: instance, isRestored: disk.Accepted != nil}
 	handlers := StreamHandlers{Persist: file.save, Check: f.check, Install: f.install, Confirm: f.confirm}
 	f.client = NewStreamClient(cfg, disk, handlers, logger)
 	receiving, stopReceiving := context.WithCancel(context.Background())
@@ -139,12 +139,12 @@
 	}
 	if f.instanceConfig.Keys != nil {
 		ownership := keyOwnershipOf(state, []uint64{anyFollower, anyMember})
-		f.instance.InstallHomes(ownership.epoch, 0, nil, false)
+		f.instance.InstallKeyOwners(ownership.epoch, 0, nil, false)
 	}
 	if f.isRestored {
 		f.isRestored = false
 		// It counts as confirmed at the start, so that it is served for as long as a stale configuration may be.
-		f.instance.Confirm(f.client.begun)
+		f.instance.ConfirmVersion(f.client.begun)
 	}
 	return nil
 }
@@ -152,10 +152,10 @@
 // confirm tells the instance what a quorum has confirmed.
 func (f *Follower) confirm(versionAt, ownershipAt time.Time, isVersionConfirmed, isOwnershipConfirmed bool) {
 	if isVersionConfirmed {
-		f.instance.Confirm(versionAt)
+		f.instance.ConfirmVersion(versionAt)
 	}
 	if isOwnershipConfirmed && f.instanceConfig.Keys != nil {
-		f.instance.ConfirmHomes(ownershipAt)
+		f.instance.ConfirmKeyOwners(ownershipAt)
 	}
 }
 
@@ -183,6 +183,6 @@
 // Status returns the follower's view of itself.
 func (f *Follower) Status() FollowerStatus {
 	status := f.client.Status()
-	_, status.IsServing = f.instance.Standing(time.Now())
+	_, status.IsServing = f.instance.Confirmation(time.Now())
 	return status
 }
--- a/internal/cluster/follower_file.go
+++ b/internal/cluster/follower_file.go
@@ -12,7 +12,7 @@
 	"mulleinmux/configstream"
 )
 
-// followerFile is a bbolt file with what a follower must know after a restart: [configstream.Disk]. The contents of
+// followerFile is a bbolt file with what a follower must know after a restart: [configstream.DurableState]. The contents of
 // versions are stored under their digests and written once; the rest is written anew by each change. A change is synced
 // whole or not at all.
 type followerFile struct {
@@ -40,16 +40,16 @@
 	Name    string `json:"name"`
 }
 
-// followerFileState is a [configstream.Disk] with references in place of versions.
+// followerFileState is a [configstream.DurableState] with references in place of versions.
 type followerFileState struct {
-	Starts   uint64                 `json:"starts"`
-	Good     *configstream.Ref      `json:"good,omitempty"`
-	InForce  bool                   `json:"in_force,omitempty"`
-	Tries    int                    `json:"tries,omitempty"`
-	Previous *configstream.Ref      `json:"previous,omitempty"`
-	Received configstream.Ref       `json:"received"`
-	Checks   int                    `json:"checks,omitempty"`
-	Refused  []configstream.Refusal `json:"refused,omitempty"`
+	Starts   uint64                   `json:"starts"`
+	Good     *configstream.Ref        `json:"good,omitempty"`
+	InForce  bool                     `json:"in_force,omitempty"`
+	Tries    int                      `json:"tries,omitempty"`
+	Previous *configstream.Ref        `json:"previous,omitempty"`
+	Received configstream.Ref         `json:"received"`
+	Checks   int                      `json:"checks,omitempty"`
+	Refused  []configstream.Rejection `json:"refused,omitempty"`
 }
 
 // ErrInvalidFollowerFile says that a follower's file is damaged or another follower's.
@@ -57,7 +57,7 @@
 	"and it begins with what a quorum confirms")
 
 // openFollowerFile opens a follower's file, or makes it, and counts the start. The caller closes it.
-func openFollowerFile(path, cluster, name string) (f *followerFile, disk configstream.Disk, err error) {
+func openFollowerFile(path, cluster, name string) (f *followerFile, disk configstream.DurableState, err error) {
 	defer func() {
 		if p := recover(); p != nil { // bbolt panics on damaged pages
 			err = fmt.Errorf("%s: %w: %v", path, ErrInvalidFollowerFile, p)
@@ -80,7 +80,7 @@
 		disk, err = f.load()
 	}
 	if err == nil {
-		disk.Starts++
+		disk.StartCount++
 		err = f.save(&disk)
 	}
 	if err != nil {
@@ -115,7 +115,7 @@
 }
 
 // load reads the state. A content that does not make its version is damage.
-func (f *followerFile) load() (disk configstream.Disk, err error) {
+func (f *followerFile) load() (disk configstream.DurableState, err error) {
 	err = f.db.View(func(tx *bbolt.Tx) error {
 		text := tx.Bucket(bucketFollower).Get(keyState)
 		if text == nil {
@@ -125,16 +125,16 @@
 		if err := json.Unmarshal(text, &state); err != nil {
 			return fmt.Errorf("%w: %w", ErrInvalidFollowerFile, err)
 		}
-		disk = configstream.Disk{
-			Starts:   state.Starts,
-			InForce:  state.InForce,
-			Tries:    state.Tries,
-			Received: state.Received,
-			Checks:   state.Checks,
-			Refused:  state.Refused,
+		disk = configstream.DurableState{
+			StartCount:         state.Starts,
+			WasActivated:       state.InForce,
+			ActivationAttempts: state.Tries,
+			Candidate:          state.Received,
+			CheckAttempts:      state.Checks,
+			Rejections:         state.Refused,
 		}
 		contents := tx.Bucket(bucketContents)
-		if disk.Good, err = loadVersion(contents, state.Good); err != nil {
+		if disk.Accepted, err = loadVersion(contents, state.Good); err != nil {
 			return err
 		}
 		disk.Previous, err = loadVersion(contents, state.Previous)
@@ -152,10 +152,10 @@
 	var version *configstream.Version
 	err := json.Unmarshal(contents.Get(contentKey(*ref)), body)
 	if err == nil {
-		version, err = body.Make(nil)
+		version, err = body.Build(nil)
 	}
 	if err == nil && version.Ref != *ref {
-		err = configstream.ErrDamaged
+		err = configstream.ErrCorrupt
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: version %v: %w", ErrInvalidFollowerFile, ref, err)
@@ -164,18 +164,18 @@
 }
 
 // save writes the state and returns once it is synced.
-func (f *followerFile) save(disk *configstream.Disk) error {
+func (f *followerFile) save(disk *configstream.DurableState) error {
 	state := followerFileState{
-		Starts:   disk.Starts,
-		InForce:  disk.InForce,
-		Tries:    disk.Tries,
-		Received: disk.Received,
-		Checks:   disk.Checks,
-		Refused:  disk.Refused,
+		Starts:   disk.StartCount,
+		InForce:  disk.WasActivated,
+		Tries:    disk.ActivationAttempts,
+		Received: disk.Candidate,
+		Checks:   disk.CheckAttempts,
+		Refused:  disk.Rejections,
 	}
 	return f.db.Update(func(tx *bbolt.Tx) (err error) {
 		contents := tx.Bucket(bucketContents)
-		if state.Good, err = saveVersion(contents, disk.Good); err != nil {
+		if state.Good, err = saveVersion(contents, disk.Accepted); err != nil {
 			return err
 		}
 		if state.Previous, err = saveVersion(contents, disk.Previous); err != nil {
--- a/internal/cluster/follower_server.go
+++ b/internal/cluster/follower_server.go
@@ -40,9 +40,9 @@
 
 // FollowerList is a member's answer on the followers.
 type FollowerList struct {
-	MemberID      uint64                  `json:"member"` // of the member that answers
-	NewestVersion uint64                  `json:"newest"` // at that member
-	Followers     []configstream.Standing `json:"followers"`
+	MemberID      uint64                      `json:"member"` // of the member that answers
+	NewestVersion uint64                      `json:"newest"` // at that member
+	Followers     []configstream.StreamStatus `json:"followers"`
 }
 
 // followerServer serves the configuration stream to followers. The publisher decides what is sent; a session's
@@ -61,15 +61,15 @@
 
 func newFollowerServer(m *Member) *followerServer {
 	cfg := configstream.PublisherConfig{
-		Member:   m.cfg.MemberID,
-		Silence:  streamSilenceTimeout,
-		Answer:   streamReplyTimeout,
-		Unsure:   streamConfirmationWait,
-		Held:     streamDeltaVersions,
-		Most:     maxFollowers,
-		PerS:     maxHandshakesPerSecond,
-		Burst:    maxHandshakeBurst,
-		FullOnly: m.cfg.SendFullVersions,
+		Member:              m.cfg.MemberID,
+		SilenceTimeout:      streamSilenceTimeout,
+		PushReplyTimeout:    streamReplyTimeout,
+		ConfirmationTimeout: streamConfirmationWait,
+		MaxRetainedVersions: streamDeltaVersions,
+		MaxFollowers:        maxFollowers,
+		AdmissionRate:       maxHandshakesPerSecond,
+		AdmissionBurst:      maxHandshakeBurst,
+		DisableDeltas:       m.cfg.SendFullVersions,
 	}
 	return &followerServer{
 		member:    m,
@@ -83,18 +83,18 @@
 func (s *followerServer) now() time.Duration { return time.Since(s.begun) }
 
 // publisherEvent is an event of the publisher at a time; it returns what is to be sent.
-type publisherEvent func(p *configstream.Publisher, now time.Duration) []configstream.Out
+type publisherEvent func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction
 
 // handle has the publisher handle an event, and queues what is to be sent. It does not block on a session.
 func (s *followerServer) handle(event publisherEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, out := range event(s.publisher, s.now()) {
-		session := s.sessions[out.Session]
+		session := s.sessions[out.SessionID]
 		switch {
 		case session == nil:
-		case out.Close != "":
-			session.end(out.Close)
+		case out.CloseReason != "":
+			session.end(out.CloseReason)
 		case out.Push != nil:
 			session.enqueue(configstreampb.NewPush(out.Push, s.encodedBody(out.Push.Body)))
 		default:
@@ -124,8 +124,8 @@
 	if state.Version() == 0 || newest != nil && newest.Number >= state.Version() {
 		return
 	}
-	version := configstream.Of(state, newest) // takes long for a large state
-	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
+	version := configstream.NewVersion(state, newest) // takes long for a large state
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
 		if s.newest == nil || version.Number > s.newest.Number {
 			s.newest = version
 			clear(s.encoded)
@@ -140,7 +140,7 @@
 		return
 	}
 	s.publish(c.state)
-	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
 		if s.newest == nil || s.newest.Number != c.state.Version() {
 			return nil // a newer one was agreed on later, and is confirmed later
 		}
@@ -155,7 +155,7 @@
 		ReadHeaderTimeout: streamReadHeaderTimeout,
 		IdleTimeout:       streamIdleTimeout,
 		MaxHeaderBytes:    maxStreamHeaderBytes,
-		TLSConfig:         s.member.cfg.Credentials.TLS(),
+		TLSConfig:         s.member.cfg.Credentials.TLSConfig(),
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 		Handler:           configstreampb.NewHandler(s.serveSession),
 	}
@@ -177,7 +177,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.Out { return p.Tick(now) })
+			s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction { return p.Tick(now) })
 		case <-summary.C:
 			s.broadcast(allFollowers)
 		case <-changes.C:
@@ -221,7 +221,7 @@
 
 func (s *followerServer) broadcast(scope broadcastScope) {
 	s.mu.Lock()
-	messages := s.publisher.Tell(s.now(), maxFollowersPerMessage, scope == allFollowers)
+	messages := s.publisher.GossipMessages(s.now(), maxFollowersPerMessage, scope == allFollowers)
 	s.mu.Unlock()
 	for _, message := range messages {
 		if err := s.member.broadcastJSON([]byte{followerMessagePrefix}, message); err != nil {
@@ -237,14 +237,14 @@
 	if s == nil {
 		return
 	}
-	var message configstream.Word
+	var message configstream.GossipMessage
 	// A decoder, unlike Unmarshal, ignores what follows the first value.
 	if err := json.NewDecoder(bytes.NewReader(text[1:])).Decode(&message); err != nil || message.Member != from {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.publisher.HearWord(s.now(), message)
+	s.publisher.GossipReceived(s.now(), message)
 }
 
 // authenticate names the follower at the other end. A member or an operator is none, whatever it says.
@@ -252,7 +252,7 @@
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return "", errNoCertificate
 	}
-	holder, err := raftnode.HolderOf(r.TLS.PeerCertificates[0])
+	holder, err := raftnode.IdentityOf(r.TLS.PeerCertificates[0])
 	if err != nil {
 		return "", err
 	}
@@ -270,7 +270,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := &FollowerList{MemberID: m.cfg.MemberID, Followers: s.publisher.Standings(s.now())}
+	list := &FollowerList{MemberID: m.cfg.MemberID, Followers: s.publisher.Statuses(s.now())}
 	if newest := s.publisher.Newest(); newest != nil {
 		list.NewestVersion = newest.Number
 	}
--- a/internal/cluster/follower_session.go
+++ b/internal/cluster/follower_session.go
@@ -125,15 +125,15 @@
 		message.Name = c.follower
 		c.add(message)
 	case configstream.Report:
-		if message.Result == configstream.Refused {
+		if message.Result == configstream.ResultRejected {
 			c.server.member.logger.Printf("follower %s refuses version %v: %v", c.follower, message.Ref, message.Problems)
 		}
-		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
-			return p.Hear(now, c.id, message)
+		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+			return p.ReportReceived(now, c.id, message)
 		})
 	case uint64: // the sequence number of a ping
-		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
-			return p.Ping(now, c.id, message)
+		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+			return p.PingReceived(now, c.id, message)
 		})
 	}
 	return ""
@@ -142,11 +142,11 @@
 // add numbers the session and makes it known to the publisher.
 func (c *followerSession) add(hello configstream.Hello) {
 	s := c.server
-	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.Out {
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
 		s.lastSession++
 		c.id = s.lastSession
 		s.sessions[c.id] = c
-		return p.Hello(now, c.id, hello)
+		return p.OpenStream(now, c.id, hello)
 	})
 }
 
@@ -155,6 +155,6 @@
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.publisher.Gone(s.now(), c.id)
+	s.publisher.StreamClosed(s.now(), c.id)
 	delete(s.sessions, c.id)
 }
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -172,7 +172,7 @@
 // follower's.
 func (c *followerTest) checkFollowerCertificates() {
 	c.t.Helper()
-	client := NewClient(testClusterName, c.south.cfg.Credentials, c.addrs[2].Admin)
+	client := NewClient(testClusterName, c.south.cfg.Credentials, c.addrs[2].AdminAddress)
 	defer client.Close()
 	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), "no operator") {
 		c.t.Errorf("a follower calls as an operator: %v", err)
@@ -185,7 +185,7 @@
 		cfg.Credentials = creds
 		var logs testserver.Log
 		ctx, stop := context.WithCancel(c.ctx())
-		stream := NewStreamClient(&cfg, configstream.Disk{Starts: 1}, StreamHandlers{}, log.New(&logs, "", 0))
+		stream := NewStreamClient(&cfg, configstream.DurableState{StartCount: 1}, StreamHandlers{}, log.New(&logs, "", 0))
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
--- a/internal/cluster/key_messages.go
+++ b/internal/cluster/key_messages.go
@@ -19,14 +19,14 @@
 	if m.instanceConfig.Keys == nil {
 		return 0
 	}
-	state, moment, err := m.node.FreezeWith(ctx)
+	state, moment, err := m.node.AppliedStateAndMembership(ctx)
 	if err != nil {
 		return 0
 	}
 	ownership := keyOwnershipOf(state, moment.Members)
-	m.instance.InstallHomes(ownership.epoch, moment.Index, moment.Voters, moment.Joint)
-	m.instance.AgreeHalls(ownership.sites, ownership.keyEighths, moment.Members)
-	return ownership.epoch.Epoch
+	m.instance.InstallKeyOwners(ownership.epoch, moment.AppliedIndex, moment.Voters, moment.IsJoint)
+	m.instance.SetAgreedSites(ownership.sites, ownership.keyEighths, moment.Members)
+	return ownership.epoch.Number
 }
 
 // broadcastKeys sends the other members, until ctx ends, which keys this instance has sent on, its view of the sites'
@@ -42,7 +42,7 @@
 		}
 		for hasMore := true; hasMore; {
 			var message multisite.Message
-			message, hasMore = m.instance.TellKeys(maxKeysPerMessage, m.node.Fence)
+			message, hasMore = m.instance.NextMessage(maxKeysPerMessage, m.node.FenceIndex)
 			if err := m.broadcastJSON(nil, &message); err != nil {
 				m.logger.Printf("keys: %v", err)
 			}
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	return m.node.Tell(append(prefix, text...))
+	return m.node.Broadcast(append(prefix, text...))
 }
 
 // receiveMessage takes in another member's message, on followers or on keys. One that can't be used is dropped: the
@@ -74,5 +74,5 @@
 	if err := json.Unmarshal(text, &message); err != nil || message.From != from {
 		return
 	}
-	instance.HearKeys(message)
+	instance.ReceiveMessage(message)
 }
--- a/internal/cluster/key_ownership.go
+++ b/internal/cluster/key_ownership.go
@@ -26,21 +26,21 @@
 	anyMember   = anyFollower + 1
 )
 
-func keyOwnershipConfig(instance, incarnation uint64) *multisite.Config {
-	return &multisite.Config{
-		Me:          instance,
-		Incarnation: incarnation,
-		Lease:       ownershipLeaseTTL,
-		Life:        keyTTL,
-		Memory:      keyDeduplicationWindow,
-		Most:        maxKeys,
+func keyOwnershipConfig(instance, incarnation uint64) *multisite.KeyConfig {
+	return &multisite.KeyConfig{
+		InstanceID:          instance,
+		Incarnation:         incarnation,
+		LeaseTTL:            ownershipLeaseTTL,
+		KeyTTL:              keyTTL,
+		DeduplicationWindow: keyDeduplicationWindow,
+		MaxKeys:             maxKeys,
 	}
 }
 
 // keyOwnership is what a state says of the sites that own keys.
 type keyOwnership struct {
-	epoch      multisite.Homes
-	sites      []multisite.Hall // all agreed sites; open unless an operator has closed them
+	epoch      multisite.OwnershipEpoch
+	sites      []multisite.Site // all agreed sites; open unless an operator has closed them
 	keyEighths map[string]int   // by lost site: how many eighths of its keys it has back
 }
 
@@ -48,24 +48,24 @@
 // followers, [anyFollower] is added.
 func keyOwnershipOf(state *clusterconfig.State, instances []uint64) keyOwnership {
 	o := keyOwnership{
-		epoch:      multisite.Homes{Epoch: state.Homes(), Instances: slices.Clone(instances)},
+		epoch:      multisite.OwnershipEpoch{Number: state.PlacementVersion(), Instances: slices.Clone(instances)},
 		keyEighths: map[string]int{},
 	}
-	followers := clusterconfig.Read[clusterconfig.Follower](state, kindFollower)
+	followers := clusterconfig.ObjectsByName[clusterconfig.Follower](state, kindFollower)
 	if len(followers) > 0 && !slices.Contains(instances, anyFollower) {
 		o.epoch.Instances = append(o.epoch.Instances, anyFollower)
 	}
-	sites := clusterconfig.Read[clusterconfig.Hall](state, kindSite)
-	lostSites := clusterconfig.Read[clusterconfig.LostHall](state, kindLostSite)
+	sites := clusterconfig.ObjectsByName[clusterconfig.Site](state, kindSite)
+	lostSites := clusterconfig.ObjectsByName[clusterconfig.LostSite](state, kindLostSite)
 	for _, name := range slices.Sorted(maps.Keys(sites)) {
 		lost, isLost := lostSites[name]
 		if isLost {
-			o.keyEighths[name] = lost.Part
+			o.keyEighths[name] = lost.RecoveredEighths
 		}
-		isClosed := sites[name].Closed
-		ownsKeys := !isClosed && (!isLost || lost.Part > 0)
-		o.epoch.Halls = append(o.epoch.Halls, multisite.Hall{Name: name, Open: ownsKeys, Part: lost.Part})
-		o.sites = append(o.sites, multisite.Hall{Name: name, Open: !isClosed})
+		isClosed := sites[name].IsClosed
+		ownsKeys := !isClosed && (!isLost || lost.RecoveredEighths > 0)
+		o.epoch.Sites = append(o.epoch.Sites, multisite.Site{Name: name, IsOpen: ownsKeys, KeyEighths: lost.RecoveredEighths})
+		o.sites = append(o.sites, multisite.Site{Name: name, IsOpen: !isClosed})
 	}
 	return o
 }
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -11,11 +11,11 @@
 func TestLinkBetweenMembers(t *testing.T) {
 	c := newTestCluster(t, 2)
 	linkAddr := netip.MustParseAddrPort(freeAddr(t))
-	for id, link := range map[uint64]*gateway.LinkConfig{
+	for id, link := range map[uint64]*gateway.RelayConfig{
 		1: {
 			Own:    []string{"hall-z"},
 			Listen: netip.MustParseAddrPort(freeAddr(t)),
-			Far:    map[string][]gateway.LinkPeer{"hall-a": {{Member: 2, Addr: linkAddr}}},
+			Remote: map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: linkAddr}}},
 		},
 		2: {Own: []string{"hall-a"}, Listen: linkAddr},
 	} {
@@ -28,7 +28,7 @@
 	c.awaitInstalled(outcome.Version)
 	c.awaitServing(1)
 	sent := int64(0)
-	c.members[2].member.Instance().Count(func(_ string, counters *gateway.Counters) { sent += counters.Sent.Load() })
+	c.members[2].member.Instance().EachOperation(func(_ string, counters *gateway.Counters) { sent += counters.Sent.Load() })
 	if sent != 0 {
 		t.Errorf("the far member counts %d requests that entered at the other", sent)
 	}
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -45,12 +45,12 @@
 	if err := cfg.checkIdentity(); err != nil {
 		return err
 	}
-	storage, err := raftnode.OpenBolt(cfg.DataFile, cfg.Cluster, cfg.MemberID)
+	storage, err := raftnode.OpenBoltStorage(cfg.DataFile, cfg.Cluster, cfg.MemberID)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, storage.Close()) }()
-	cfg.configureInstance(instanceConfig, storage.Starts())
+	cfg.configureInstance(instanceConfig, storage.Incarnation())
 	listeners, err := cfg.listen()
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 }
 
 // startMember starts the member's Raft node, without its instance.
-func startMember(cfg *MemberConfig, instanceConfig *gateway.Config, logger *log.Logger, bolt *raftnode.BoltDisk,
+func startMember(cfg *MemberConfig, instanceConfig *gateway.Config, logger *log.Logger, bolt *raftnode.BoltStorage,
 	listeners *memberListeners) (*Member, error) {
 	m := &Member{
 		cfg:            cfg,
@@ -77,21 +77,21 @@
 	if listeners.stream != nil {
 		m.followers = newFollowerServer(m)
 	}
-	var storage raftnode.Disk = bolt
+	var storage raftnode.Storage = bolt
 	if cfg.WrapStorage != nil {
 		storage = cfg.WrapStorage(bolt)
 	}
 	node, err := raftnode.Start(raftnode.NodeConfig{
-		Config:      raftnode.Config{ID: cfg.MemberID, Validate: ValidateDescription},
-		Cluster:     cfg.Cluster,
-		Credentials: cfg.Credentials,
-		Tick:        cfg.TickInterval,
-		Peers:       raftAddrs(cfg.Members),
-		Starts:      bolt.Starts(),
-		Logger:      logger,
-		Outgoing:    cfg.WrapSend,
-		Changed:     m.notifyStateChanged,
-		Word:        m.receiveMessage,
+		Config:        raftnode.Config{ID: cfg.MemberID, Validate: ValidateDescription},
+		Cluster:       cfg.Cluster,
+		Credentials:   cfg.Credentials,
+		TickInterval:  cfg.TickInterval,
+		PeerAddresses: raftAddrs(cfg.Members),
+		Incarnation:   bolt.Incarnation(),
+		Logger:        logger,
+		WrapSend:      cfg.WrapSend,
+		OnChange:      m.notifyStateChanged,
+		OnBroadcast:   m.receiveMessage,
 	}, storage, listeners.raft)
 	if err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 	select {
 	case err := <-instanceEnded:
 		return err
-	case <-m.node.Ended():
+	case <-m.node.Done():
 		err = fmt.Errorf("member %d: %w", m.cfg.MemberID, m.node.Err())
 		m.logger.Printf("%v: the instance drains", err)
 	case <-ctx.Done():
@@ -168,11 +168,11 @@
 		return
 	}
 	for _, voter := range status.Voters {
-		lag, known, err := m.node.Behind(ctx, voter)
+		lag, known, err := m.node.ReplicationLag(ctx, voter)
 		if voter == status.ID || err != nil || !known || lag >= maxVoterLag {
 			continue
 		}
-		if err := m.node.Transfer(ctx, voter); err != nil {
+		if err := m.node.TransferLeadership(ctx, voter); err != nil {
 			m.logger.Printf("handing the lead over: %v", err)
 		}
 		return
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -21,7 +21,7 @@
 // join starts a member that the cluster does not have yet.
 func (c *testCluster) join(id uint64) {
 	c.t.Helper()
-	c.addrs[id] = clusterconfig.Member{Raft: freeAddr(c.t), Admin: freeAddr(c.t)}
+	c.addrs[id] = clusterconfig.Member{RaftAddress: freeAddr(c.t), AdminAddress: freeAddr(c.t)}
 	m := c.newMember(id)
 	m.cfg.Members = maps.Clone(c.addrs)
 	if err := InitMember(m.cfg, true); err != nil {
@@ -83,7 +83,7 @@
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	addrs := &clusterconfig.Member{Raft: freeAddr(c.t), Admin: freeAddr(c.t)}
+	addrs := &clusterconfig.Member{RaftAddress: freeAddr(c.t), AdminAddress: freeAddr(c.t)}
 	_, err := c.admin.ChangeMembers(ctx, &MembershipChange{Op: "add", MemberID: 9, Addrs: addrs})
 	if err == nil || !strings.Contains(err.Error(), "learner") {
 		c.t.Errorf("a member that does not run: %v", err)
@@ -126,7 +126,7 @@
 		MemberID:    1,
 		DataFile:    filepath.Join(t.TempDir(), "1.db"),
 		Credentials: memberCredentials(t, newTestAuthority(t, testClusterName), 1),
-		Members:     map[uint64]clusterconfig.Member{1: {Raft: "127.0.0.1:0", Admin: "127.0.0.1:0"}},
+		Members:     map[uint64]clusterconfig.Member{1: {RaftAddress: "127.0.0.1:0", AdminAddress: "127.0.0.1:0"}},
 	}
 	run := func() error {
 		return RunMember(context.Background(), cfg, &gateway.Config{}, log.New(io.Discard, "", 0), nil)
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -30,7 +30,7 @@
 	}
 	if instance := m.startedInstance(); instance != nil {
 		writeGauge(w, "mulleingate_requests_unconfirmed",
-			"Requests refused because the configuration was not confirmed.", instance.Unconfirmed())
+			"Requests refused because the configuration was not confirmed.", instance.UnconfirmedCount())
 		writeRequestMetrics(w, instance)
 	}
 }
@@ -46,7 +46,7 @@
 		"Since a quorum last confirmed it; -1: not since the start.", float64(s.ConfirmedAgeMs)/1000)
 	writeGauge(w, "mulleingate_serves", "1 if requests are served.", isServing)
 	writeGauge(w, "mulleingate_raft_leader", "Number of the member that leads; 0: none is known.", s.Leader)
-	writeGauge(w, "mulleingate_raft_applied_index", "Index of the last entry applied.", s.Index)
+	writeGauge(w, "mulleingate_raft_applied_index", "Index of the last entry applied.", s.AppliedIndex)
 }
 
 // requestTotals are an operation's counters.
@@ -55,7 +55,7 @@
 // writeRequestMetrics writes the counters of the instance's operations, by name.
 func writeRequestMetrics(w io.Writer, instance *gateway.Instance) {
 	totals := map[string]requestTotals{}
-	instance.Count(func(operation string, c *gateway.Counters) {
+	instance.EachOperation(func(operation string, c *gateway.Counters) {
 		totals[operation] = requestTotals{c.Served.Load(), c.Refused.Load(), c.Failed.Load(), c.Units.Load()}
 	})
 	operations := slices.Sorted(maps.Keys(totals))
@@ -78,19 +78,19 @@
 // writeMetrics writes how many followers are in which state, as far as the members know.
 func (s *followerServer) writeMetrics(w io.Writer) {
 	s.mu.Lock()
-	followers := s.publisher.Standings(s.now())
+	followers := s.publisher.Statuses(s.now())
 	s.mu.Unlock()
 	states := map[string]int{"running": 0, "waiting": 0, "unknown": 0, "never": 0}
 	behind, refusing, twins := 0, 0, 0
 	for _, f := range followers {
 		states[f.State]++
-		if f.Behind {
+		if f.IsBehind {
 			behind++
 		}
-		if f.Refused != nil && (f.Running == nil || f.Refused.Order(*f.Running) == configstream.Newer) {
+		if f.LatestRejection != nil && (f.Running == nil || f.LatestRejection.Compare(*f.Running) == configstream.OrderNewer) {
 			refusing++
 		}
-		if f.Twin != "" {
+		if f.NameConflict != "" {
 			twins++
 		}
 	}
--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -70,7 +70,7 @@
 	if descriptionCount > 1 {
 		return setup, fmt.Errorf("%d descriptions are agreed on, and one is served: remove the others", descriptionCount)
 	}
-	if setup.Halls, err = sitesOf(state); err != nil {
+	if setup.Sites, err = sitesOf(state); err != nil {
 		return setup, err
 	}
 	if err := b.compile(state, key, fullValidation); err != nil {
@@ -84,7 +84,7 @@
 
 // compilationKey returns all that the compilation of the description depends on, and the number of descriptions.
 func compilationKey(state *clusterconfig.State) (key []byte, descriptionCount int) {
-	key = binary.AppendVarint(nil, int64(state.MostUnits()))
+	key = binary.AppendVarint(nil, int64(state.MaxUnits()))
 	state.Each(kindDescription, func(_ string, text json.RawMessage) {
 		key = append(key, text...)
 		descriptionCount++
@@ -102,9 +102,9 @@
 		return nil
 	}
 	var description clusterconfig.Description
-	for _, description = range clusterconfig.Read[clusterconfig.Description](state, kindDescription) {
+	for _, description = range clusterconfig.ObjectsByName[clusterconfig.Description](state, kindDescription) {
 	}
-	options := compileOptions(state.Classes(), state.MostUnits())
+	options := compileOptions(state.Classes(), state.MaxUnits())
 	table, document, err := openapi.Compile(description.File, []byte(description.Text), options)
 	if err != nil {
 		return err
@@ -117,35 +117,35 @@
 }
 
 func compileOptions(classes []clusterconfig.Class, maxUnits int) routing.Options {
-	options := routing.Options{MostUnits: maxUnits}
+	options := routing.Options{MaxUnits: maxUnits}
 	for _, c := range classes {
 		options.Classes = append(options.Classes, routing.Class{
-			Name:     c.Name,
-			Worth:    c.Worth,
-			Late:     c.Late,
-			Aim:      time.Duration(c.AimMs) * time.Millisecond,
-			Deadline: time.Duration(c.DeadlineMs) * time.Millisecond,
+			Name:             c.Name,
+			PriorityWeight:   c.PriorityWeight,
+			LateFraction:     c.LateFraction,
+			LatencyObjective: time.Duration(c.LatencyObjectiveMs) * time.Millisecond,
+			Deadline:         time.Duration(c.DeadlineMs) * time.Millisecond,
 		})
 	}
 	return options
 }
 
-func sitesOf(state *clusterconfig.State) (sites []gateway.Hall, err error) {
-	agreed := clusterconfig.Read[clusterconfig.Hall](state, kindSite)
+func sitesOf(state *clusterconfig.State) (sites []gateway.Site, err error) {
+	agreed := clusterconfig.ObjectsByName[clusterconfig.Site](state, kindSite)
 	for _, name := range slices.Sorted(maps.Keys(agreed)) {
-		addr, err := discovery.Address("register", agreed[name].Register)
+		addr, err := discovery.ParseAddress("register", agreed[name].DiscoveryAddress)
 		if err != nil {
 			return nil, fmt.Errorf("hall %s: %w", name, err)
 		}
-		sites = append(sites, gateway.Hall{Name: name, Register: addr})
+		sites = append(sites, gateway.Site{Name: name, Discovery: addr})
 	}
 	return sites, nil
 }
 
 // plansOf returns the plans by their place, which a plan keeps for ever.
 func plansOf(state *clusterconfig.State) (plans []policy.Plan) {
-	agreed := clusterconfig.Read[clusterconfig.Plan](state, kindPlan)
-	for _, name := range state.Places() {
+	agreed := clusterconfig.ObjectsByName[clusterconfig.Plan](state, kindPlan)
+	for _, name := range state.PlanOrder() {
 		plan, exists := agreed[name]
 		if !exists {
 			name = removedPlanPrefix + name
@@ -154,13 +154,13 @@
 			Name:              name,
 			Rate:              plan.Rate,
 			Burst:             plan.Burst,
-			MaxInFlight:       plan.Open,
-			HardLimitRate:     plan.CeilingRate,
-			HardLimitBurst:    plan.CeilingBurst,
-			HardLimitSlack:    plan.CeilingSlack,
-			PriorityFactor:    plan.Price,
-			OverQuotaFraction: plan.OverWorth,
-			OverQuotaCost:     plan.OverCost,
+			MaxInFlight:       plan.MaxInFlight,
+			HardLimitRate:     plan.HardLimitRate,
+			HardLimitBurst:    plan.HardLimitBurst,
+			HardLimitSlack:    plan.HardLimitSlack,
+			PriorityFactor:    plan.PriorityFactor,
+			OverQuotaFraction: plan.OverQuotaFraction,
+			OverQuotaCost:     plan.OverQuotaCost,
 		})
 	}
 	return plans
--- a/internal/cluster/site_health.go
+++ b/internal/cluster/site_health.go
@@ -26,24 +26,24 @@
 
 func siteHealthConfig(instance uint64, warmUpWindow time.Duration) *multisite.HealthConfig {
 	return &multisite.HealthConfig{
-		Me:        instance,
-		Least:     minSiteMisses,
-		LostAfter: siteLossTimeout,
-		Fresh:     siteViewTTL,
-		Hold:      siteRecoveryDelay,
-		HoldMost:  maxSiteRecoveryDelay,
-		Calm:      siteLossWindow,
-		Ramp:      warmUpWindow,
+		InstanceID:       instance,
+		MinMisses:        minSiteMisses,
+		LossTimeout:      siteLossTimeout,
+		ViewTTL:          siteViewTTL,
+		RecoveryDelay:    siteRecoveryDelay,
+		MaxRecoveryDelay: maxSiteRecoveryDelay,
+		LossWindow:       siteLossWindow,
+		WarmUpWindow:     warmUpWindow,
 	}
 }
 
 func recoveryRampConfig(instance, incarnation uint64, budgetMultiple float64) *multisite.RampConfig {
 	return &multisite.RampConfig{
-		Me:          instance,
-		Incarnation: incarnation,
-		Lease:       rampLoanTTL,
-		Fresh:       siteViewTTL,
-		Multiple:    budgetMultiple,
+		InstanceID:     instance,
+		Incarnation:    incarnation,
+		LoanTTL:        rampLoanTTL,
+		LoadTTL:        siteViewTTL,
+		BudgetMultiple: budgetMultiple,
 	}
 }
 
@@ -60,13 +60,13 @@
 		case <-tick.C:
 		}
 		previous := states
-		states = m.instance.HallStates()
+		states = m.instance.SiteStates()
 		for name, state := range states {
 			if before, known := previous[name]; known && before != state {
 				m.logger.Printf("hall %s is %s (was %s)", name, state, before)
 			}
 		}
-		change, ok := m.instance.JudgeHalls()
+		change, ok := m.instance.ProposeSiteChange()
 		if !ok {
 			continue
 		}
@@ -75,49 +75,49 @@
 			continue
 		}
 		if err := m.proposeSiteChange(ctx, change); err != nil {
-			m.logger.Printf("hall %s: %v", change.Hall, err)
+			m.logger.Printf("hall %s: %v", change.Site, err)
 		}
 	}
 }
 
 // proposeSiteChange proposes that a site is lost, or has some or all of its keys back.
-func (m *Member) proposeSiteChange(ctx context.Context, site multisite.HallChange) error {
+func (m *Member) proposeSiteChange(ctx context.Context, site multisite.SiteChange) error {
 	ctx, cancel := context.WithTimeout(ctx, siteProposalTimeout)
 	defer cancel()
-	state, err := m.node.Freeze(ctx)
+	state, err := m.node.AppliedState(ctx)
 	if err != nil {
 		return err
 	}
 	change, summary := siteChange(site)
 	proposal := &clusterconfig.Proposal{
-		ID:      fmt.Sprintf("hall-%s-%v-%d-%d", site.Hall, site.Lost, site.Part, state.Homes()),
-		Author:  memberAuthor(m.cfg.MemberID),
-		Why:     site.Why,
-		AtMs:    time.Now().UnixMilli(),
-		Changes: []clusterconfig.Change{change},
+		ID:           fmt.Sprintf("hall-%s-%v-%d-%d", site.Site, site.IsLost, site.KeyEighths, state.PlacementVersion()),
+		Author:       memberAuthor(m.cfg.MemberID),
+		Reason:       site.Reason,
+		ProposedAtMs: time.Now().UnixMilli(),
+		Changes:      []clusterconfig.Change{change},
 	}
 	if err := state.Check(proposal); err != nil {
 		return err
 	}
 	outcome, err := m.node.Propose(ctx, proposal)
-	if err == nil && outcome.Applied {
-		m.logger.Printf("hall %s is agreed to be %s: %s", site.Hall, summary, site.Why)
+	if err == nil && outcome.IsApplied {
+		m.logger.Printf("hall %s is agreed to be %s: %s", site.Site, summary, site.Reason)
 	}
 	return err
 }
 
 // siteChange returns the change of the agreed configuration that a change of a site's health comes to, and its summary
 // for the log.
-func siteChange(site multisite.HallChange) (change clusterconfig.Change, summary string) {
-	if !site.Lost && site.Part == 0 {
-		return clusterconfig.Change{Op: changeRemove, Kind: kindLostSite, Name: site.Hall}, "back"
+func siteChange(site multisite.SiteChange) (change clusterconfig.Change, summary string) {
+	if !site.IsLost && site.KeyEighths == 0 {
+		return clusterconfig.Change{Op: changeRemove, Kind: kindLostSite, Name: site.Site}, "back"
 	}
 	summary = "lost"
-	if !site.Lost {
-		summary = fmt.Sprintf("back with %d of 8 of its keys", site.Part)
+	if !site.IsLost {
+		summary = fmt.Sprintf("back with %d of 8 of its keys", site.KeyEighths)
 	}
-	lost := clusterconfig.LostHall{Why: site.Why, Part: site.Part}
-	return clusterconfig.Put(kindLostSite, site.Hall, lost), summary
+	lost := clusterconfig.LostSite{Reason: site.Reason, RecoveredEighths: site.KeyEighths}
+	return clusterconfig.NewPutChange(kindLostSite, site.Site, lost), summary
 }
 
 // memberAuthor is the author of a member's own proposals.
--- a/internal/cluster/storage_test.go
+++ b/internal/cluster/storage_test.go
@@ -18,7 +18,7 @@
 
 // fullStorage is a storage that is full from a moment on.
 type fullStorage struct {
-	raftnode.Disk
+	raftnode.Storage
 	isFull *atomic.Bool
 }
 
@@ -26,7 +26,7 @@
 	if s.isFull.Load() && sync {
 		return syscall.ENOSPC
 	}
-	return s.Disk.Save(hs, entries, snap, sync)
+	return s.Storage.Save(hs, entries, snap, sync)
 }
 
 // A member whose storage is full, the leader above all, ends with that as its reason; the others go on without losing a
@@ -38,7 +38,7 @@
 	var isFull [4]atomic.Bool // by member
 	for id := uint64(1); id <= 3; id++ {
 		c.stop(id)
-		c.members[id].cfg.WrapStorage = func(d raftnode.Disk) raftnode.Disk { return fullStorage{d, &isFull[id]} }
+		c.members[id].cfg.WrapStorage = func(d raftnode.Storage) raftnode.Storage { return fullStorage{d, &isFull[id]} }
 		c.start(id)
 	}
 	var leader uint64
--- a/internal/cluster/stream_client.go
+++ b/internal/cluster/stream_client.go
@@ -25,7 +25,7 @@
 // goroutine and may take long.
 type StreamHandlers struct {
 	// Persist returns once the state is synced to disk.
-	Persist func(*configstream.Disk) error
+	Persist func(*configstream.DurableState) error
 	// Check returns why a version must not be put in force; none: it may.
 	Check func(*configstream.Version) []configstream.Problem
 	// Install puts a version in force.
@@ -55,7 +55,7 @@
 
 // NewStreamClient returns the client of a follower with the state that its file holds. It does nothing before
 // [StreamClient.Run].
-func NewStreamClient(cfg *FollowerConfig, disk configstream.Disk, handlers StreamHandlers,
+func NewStreamClient(cfg *FollowerConfig, disk configstream.DurableState, handlers StreamHandlers,
 	logger *log.Logger) *StreamClient {
 	c := &StreamClient{
 		cfg:       cfg,
@@ -66,11 +66,11 @@
 		sendQueue: make(chan any, streamSendQueue),
 	}
 	follower, actions := configstream.NewFollower(configstream.FollowerConfig{
-		Name:    cfg.Name,
-		Process: rand.Uint64(),
-		Beat:    c.heartbeatInterval(),
-		Silence: min(silentHeartbeats*c.heartbeatInterval(), streamSilenceTimeout),
-		Tries:   maxInstallTries,
+		Name:              cfg.Name,
+		ProcessID:         rand.Uint64(),
+		HeartbeatInterval: c.heartbeatInterval(),
+		SilenceTimeout:    min(silentHeartbeats*c.heartbeatInterval(), streamSilenceTimeout),
+		MaxAttempts:       maxInstallTries,
 	}, disk)
 	c.follower = follower
 	c.carryOut(actions)
@@ -109,8 +109,8 @@
 			c.enqueue(*action.Send)
 		case action.Ping != 0:
 			c.enqueue(action.Ping)
-		case action.Leave != "":
-			c.leave(action.Leave)
+		case action.CloseStream != "":
+			c.leave(action.CloseStream)
 		case action.Log != "":
 			c.logger.Printf("stream: %s", action.Log)
 		default:
@@ -151,20 +151,24 @@
 // runJob does a job and returns the event of its end.
 func (c *StreamClient) runJob(job configstream.Action) followerEvent {
 	switch {
-	case job.Keep != nil:
-		err := c.handlers.Persist(job.Keep)
-		return func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Kept(now, err) }
+	case job.Persist != nil:
+		err := c.handlers.Persist(job.Persist)
+		return func(f *configstream.Follower, now time.Duration) []configstream.Action {
+			return f.PersistCompleted(now, err)
+		}
 	case job.Check != nil:
 		problems := c.handlers.Check(job.Check)
 		return func(f *configstream.Follower, now time.Duration) []configstream.Action {
-			return f.Checked(now, problems)
+			return f.CheckCompleted(now, problems)
 		}
-	case job.Install != nil:
-		err := c.handlers.Install(job.Install)
+	case job.Activate != nil:
+		err := c.handlers.Install(job.Activate)
 		if err == nil {
-			c.logger.Printf("stream: version %v is in force", job.Install.Ref)
+			c.logger.Printf("stream: version %v is in force", job.Activate.Ref)
+		}
+		return func(f *configstream.Follower, now time.Duration) []configstream.Action {
+			return f.ActivationCompleted(now, err)
 		}
-		return func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Installed(now, err) }
 	default:
 		return func(*configstream.Follower, time.Duration) []configstream.Action { return nil }
 	}
@@ -173,14 +177,14 @@
 // followMembers keeps a stream to one member after the other until ctx ends.
 func (c *StreamClient) followMembers(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	assignment := configstream.NewSeat(configstream.SeatConfig{
-		Name:    c.cfg.Name,
-		Members: slices.Sorted(maps.Keys(c.cfg.MemberStreamAddrs)),
-		Least:   minRetryDelay,
-		Most:    maxRetryDelay,
+	assignment := configstream.NewMemberSelector(configstream.MemberSelectorConfig{
+		Name:           c.cfg.Name,
+		Members:        slices.Sorted(maps.Keys(c.cfg.MemberStreamAddrs)),
+		InitialBackoff: minRetryDelay,
+		MaxBackoff:     maxRetryDelay,
 	}, rng)
 	for ctx.Err() == nil {
-		member := assignment.Next()
+		member := assignment.Member()
 		hasReceived, err := c.follow(ctx, member)
 		if ctx.Err() != nil {
 			return
@@ -189,9 +193,9 @@
 		if reason == "" {
 			reason = err.Error()
 		}
-		delay := assignment.Lost(hasReceived)
+		delay := assignment.StreamEnded(hasReceived)
 		c.logger.Printf("stream: member %d: %s: member %d is tried in %v",
-			member, reason, assignment.Next(), delay.Round(time.Millisecond))
+			member, reason, assignment.Member(), delay.Round(time.Millisecond))
 		select {
 		case <-ctx.Done():
 		case <-time.After(delay):
@@ -202,8 +206,8 @@
 // confirm passes on what a quorum has confirmed.
 func (c *StreamClient) confirm() {
 	c.mu.Lock()
-	versionAt, isVersionConfirmed := c.follower.Confirmed()
-	ownershipAt, isOwnershipConfirmed := c.follower.Homes()
+	versionAt, isVersionConfirmed := c.follower.ConfirmedAt()
+	ownershipAt, isOwnershipConfirmed := c.follower.PlacementConfirmedAt()
 	c.mu.Unlock()
 	c.handlers.Confirm(c.begun.Add(versionAt), c.begun.Add(ownershipAt), isVersionConfirmed, isOwnershipConfirmed)
 }
@@ -216,13 +220,13 @@
 		Name:           c.cfg.Name,
 		Running:        c.follower.Running(),
 		ConfirmedAgeMs: -1,
-		Note:           c.follower.Note(),
-		Rejected:       slices.Clone(c.follower.Refused()),
+		Note:           c.follower.Warning(),
+		Rejected:       slices.Clone(c.follower.Rejections()),
 	}
 	if c.hasReceived {
 		status.MemberID = c.member
 	}
-	if at, isConfirmed := c.follower.Confirmed(); isConfirmed {
+	if at, isConfirmed := c.follower.ConfirmedAt(); isConfirmed {
 		status.ConfirmedAgeMs = (c.now() - at).Milliseconds()
 	}
 	return status
--- a/internal/cluster/stream_connection.go
+++ b/internal/cluster/stream_connection.go
@@ -20,7 +20,7 @@
 
 // newTransport returns a transport for one stream. The caller closes its idle connections.
 func (c *StreamClient) newTransport() *http.Transport {
-	tls := c.cfg.Credentials.TLS()
+	tls := c.cfg.Credentials.TLSConfig()
 	tls.NextProtos = []string{"h2"}
 	return &http.Transport{
 		TLSClientConfig:     tls,
@@ -84,14 +84,14 @@
 		<-c.sendQueue
 	}
 	c.stream, c.member = stream, member
-	return c.follower.Hello(c.now())
+	return c.follower.OpenStream(c.now())
 }
 
 // disconnected forgets the current stream and ends it.
 func (c *StreamClient) disconnected(stream *configstreampb.FollowerStream) {
 	c.mu.Lock()
 	c.stream, c.member, c.hasReceived = nil, 0, false
-	c.follower.Broken()
+	c.follower.StreamClosed()
 	c.mu.Unlock()
 	stream.Abort()
 }
@@ -123,11 +123,11 @@
 	switch message := message.(type) {
 	case *configstream.Push:
 		c.handle(func(f *configstream.Follower, now time.Duration) []configstream.Action {
-			return f.Received(now, message)
+			return f.PushReceived(now, message)
 		})
 	case *configstream.Pong:
 		c.handle(func(f *configstream.Follower, now time.Duration) []configstream.Action {
-			return f.Pong(now, *message)
+			return f.PongReceived(now, *message)
 		})
 		c.confirm()
 	}
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -67,8 +67,8 @@
 type testMember struct {
 	*testInstance
 	cfg       *MemberConfig
-	staleness gateway.Agreed
-	link      *gateway.LinkConfig
+	staleness gateway.Agreement
+	link      *gateway.RelayConfig
 	member    *Member
 }
 
@@ -92,7 +92,7 @@
 
 func memberCredentials(t *testing.T, authority *raftnode.Authority, id uint64) raftnode.Credentials {
 	t.Helper()
-	creds, err := authority.Credentials(id)
+	creds, err := authority.IssueCredentials(id)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,8 +119,8 @@
 	}
 	var adminAddrs []string
 	for id := uint64(1); id <= memberCount; id++ {
-		c.addrs[id] = clusterconfig.Member{Raft: freeAddr(t), Admin: freeAddr(t)}
-		adminAddrs = append(adminAddrs, c.addrs[id].Admin)
+		c.addrs[id] = clusterconfig.Member{RaftAddress: freeAddr(t), AdminAddress: freeAddr(t)}
+		adminAddrs = append(adminAddrs, c.addrs[id].AdminAddress)
 	}
 	t.Cleanup(func() {
 		for id := range c.instances {
@@ -163,7 +163,7 @@
 
 func (c *testCluster) operatorCredentials() raftnode.Credentials {
 	c.t.Helper()
-	creds, err := raftnode.LoadNamed(c.dir, raftnode.OperatorFile(testOperator))
+	creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.OperatorFilePrefix(testOperator))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 
 func testInstanceConfig(name string, seed uint64) *gateway.Config {
 	return &gateway.Config{
-		Name: name, Seed: seed, DrainFor: time.Millisecond,
+		Name: name, Seed: seed, DrainTimeout: time.Millisecond,
 		Settings: policy.Settings{
 			InstanceCount: 1, Zone: "hall-a", MaxAttempts: 3, AllowsCancel: true,
 			SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
@@ -207,7 +207,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.On(ln, nil)
+	cfg.UseSockets(ln, nil)
 	return ln
 }
 
@@ -217,8 +217,8 @@
 	m := c.members[id]
 	staleness := m.staleness
 	instanceConfig := testInstanceConfig(fmt.Sprint("g", id), id)
-	instanceConfig.Agreed = &staleness
-	instanceConfig.Link = m.link
+	instanceConfig.Agreement = &staleness
+	instanceConfig.Relay = m.link
 	m.listen(c.t, instanceConfig)
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel, m.done = cancel, make(chan error, 1)
--- a/internal/cluster/testfollower_test.go
+++ b/internal/cluster/testfollower_test.go
@@ -26,7 +26,7 @@
 	if err := c.authority.WriteFollower(c.dir, name); err != nil {
 		c.t.Fatal(err)
 	}
-	creds, err := raftnode.LoadNamed(c.dir, raftnode.FollowerFile(name))
+	creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.FollowerFilePrefix(name))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 			if s.Name != name {
 				continue
 			}
-			if last = s.Plain(); strings.Contains(last, want) {
+			if last = s.Summary(); strings.Contains(last, want) {
 				return
 			}
 		}
--- a/internal/cluster/versions.go
+++ b/internal/cluster/versions.go
@@ -40,13 +40,13 @@
 		case c := <-confirmations:
 			m.applyConfirmation(ctx, c)
 		case <-m.stateChanged:
-			if state, err := m.node.Freeze(ctx); err == nil {
+			if state, err := m.node.AppliedState(ctx); err == nil {
 				m.followers.publish(state)
 				m.install(state)
 				m.applyKeyOwnership(ctx)
 			}
 		case now := <-staleCheck.C:
-			age, isServing := m.instance.Standing(now)
+			age, isServing := m.instance.Confirmation(now)
 			if age > staleAge && now.Sub(lastStaleLog) > staleLogInterval {
 				lastStaleLog = now
 				m.logger.Printf("cut off: version %d was last confirmed %.1f s ago; served on: %v",
@@ -61,7 +61,7 @@
 	for ctx.Err() == nil {
 		c := confirmation{askedAt: time.Now()}
 		readCtx, cancel := context.WithTimeout(ctx, confirmationTimeout)
-		err := m.node.Read(readCtx, func(s *clusterconfig.State) { c.state, c.siteEpoch = s.Freeze(), s.Homes() })
+		err := m.node.LinearizableRead(readCtx, func(s *clusterconfig.State) { c.state, c.siteEpoch = s.Freeze(), s.PlacementVersion() })
 		cancel()
 		if err == nil {
 			select {
@@ -71,7 +71,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-m.node.Ended():
+		case <-m.node.Done():
 			return
 		case <-time.After(ticksPerConfirmation * m.cfg.tickInterval()):
 		}
@@ -84,9 +84,9 @@
 	if !m.install(c.state) {
 		return
 	}
-	m.instance.Confirm(c.askedAt)
+	m.instance.ConfirmVersion(c.askedAt)
 	if m.instanceConfig.Keys != nil && m.applyKeyOwnership(ctx) >= c.siteEpoch {
-		m.instance.ConfirmHomes(c.askedAt)
+		m.instance.ConfirmKeyOwners(c.askedAt)
 	}
 }
 
@@ -127,7 +127,7 @@
 
 // updateMemberAddrs takes over the agreed addresses of the members.
 func (m *Member) updateMemberAddrs(state *clusterconfig.State) {
-	agreed := clusterconfig.Read[clusterconfig.Member](state, kindMember)
+	agreed := clusterconfig.ObjectsByName[clusterconfig.Member](state, kindMember)
 	if len(agreed) == 0 {
 		return
 	}
@@ -139,5 +139,5 @@
 	}
 	addrs := raftAddrs(m.members)
 	m.mu.Unlock()
-	m.node.Peers(addrs)
+	m.node.SetPeers(addrs)
 }
--- a/internal/configstreampb/fixture_test.go
+++ b/internal/configstreampb/fixture_test.go
@@ -26,21 +26,21 @@
 	older := configstream.Ref{Number: 6, Digest: configstream.Digest{5}}
 	problems := []configstream.Problem{{Object: "plan/kati", Field: "rate", Text: "out of range"}, {Text: "no place"}}
 	fromFollower := []any{
-		configstream.Hello{Process: 1, Start: 2, Dial: 3, Running: &older, Since: 1500 * time.Millisecond, Format: 3,
-			Refused: []configstream.Refusal{{Ref: ref, Problems: problems, Unread: true}, {Ref: older, Problems: problems[1:]}}},
-		configstream.Hello{Process: 1, Start: 1, Dial: 1, Format: 1},
-		configstream.Report{Nonce: 4, Result: configstream.Applied, Ref: ref, Running: &ref},
-		configstream.Report{Nonce: 5, Result: configstream.Refused, Ref: ref, Running: &older, Problems: problems, Unread: true},
-		configstream.Report{Result: configstream.Stated, Ref: ref, Running: &ref}, configstream.Report{Nonce: 6, Result: configstream.NeedsFull, Ref: ref},
-		configstream.Report{Nonce: 7, Result: configstream.NotNewer, Ref: ref}, configstream.Report{Nonce: 8, Result: configstream.Unconfirmed, Ref: ref},
-		configstream.Report{Nonce: 9, Result: configstream.Foreign, Ref: ref}, uint64(12),
+		configstream.Hello{ProcessID: 1, StartCount: 2, StreamNumber: 3, Running: &older, RunningFor: 1500 * time.Millisecond, MaxFormat: 3,
+			Rejections: []configstream.Rejection{{Ref: ref, Problems: problems, IsUnsupportedFormat: true}, {Ref: older, Problems: problems[1:]}}},
+		configstream.Hello{ProcessID: 1, StartCount: 1, StreamNumber: 1, MaxFormat: 1},
+		configstream.Report{Nonce: 4, Result: configstream.ResultApplied, Ref: ref, Running: &ref},
+		configstream.Report{Nonce: 5, Result: configstream.ResultRejected, Ref: ref, Running: &older, Problems: problems, IsUnsupportedFormat: true},
+		configstream.Report{Result: configstream.ResultStatusOnly, Ref: ref, Running: &ref}, configstream.Report{Nonce: 6, Result: configstream.ResultNeedsFull, Ref: ref},
+		configstream.Report{Nonce: 7, Result: configstream.ResultNotNewer, Ref: ref}, configstream.Report{Nonce: 8, Result: configstream.ResultUnconfirmed, Ref: ref},
+		configstream.Report{Nonce: 9, Result: configstream.ResultDiverged, Ref: ref}, uint64(12),
 	}
 	object := configstream.Object{Key: "plan/kati", Value: []byte(`{"rate":0,"burst":0,"price":1}`)}
 	hash := strings.Repeat("0123456789abcdef", 4)
 	fromMember := []any{
-		&configstream.Push{Nonce: 1, Body: &configstream.Body{Ref: ref, Format: clusterconfig.Format, Hash: hash, Homes: 3, Places: []string{"kati", "kubwa"}, Put: []configstream.Object{object}}, Confirmed: true},
-		&configstream.Push{Nonce: 2, Body: &configstream.Body{Ref: ref, Base: &older, Format: 1, Hash: hash, Homes: 3, Put: []configstream.Object{object}, Removed: []string{"plan/kubwa"}}},
-		&configstream.Pong{Seq: 12, Newest: ref, Homes: 3, Confirmed: true, Twin: "another process"}, &configstream.Pong{Seq: 13, Newest: older},
+		&configstream.Push{Nonce: 1, Body: &configstream.Body{Ref: ref, Format: clusterconfig.Format, Hash: hash, PlacementVersion: 3, PlanOrder: []string{"kati", "kubwa"}, Put: []configstream.Object{object}}, IsConfirmed: true},
+		&configstream.Push{Nonce: 2, Body: &configstream.Body{Ref: ref, Base: &older, Format: 1, Hash: hash, PlacementVersion: 3, Put: []configstream.Object{object}, Removed: []string{"plan/kubwa"}}},
+		&configstream.Pong{Sequence: 12, Newest: ref, PlacementVersion: 3, IsConfirmed: true, NameConflict: "another process"}, &configstream.Pong{Sequence: 13, Newest: older},
 	}
 
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
--- a/internal/configstreampb/messages.go
+++ b/internal/configstreampb/messages.go
@@ -60,16 +60,16 @@
 
 func encodeHello(h *configstream.Hello) *Hello {
 	out := &Hello{
-		Process: h.Process,
-		Start:   h.Start,
-		Dial:    h.Dial,
+		Process: h.ProcessID,
+		Start:   h.StartCount,
+		Dial:    h.StreamNumber,
 		Running: encodeRef(h.Running),
-		SinceMs: uint64(max(h.Since, 0).Milliseconds()),
-		Format:  uint32(h.Format),
+		SinceMs: uint64(max(h.RunningFor, 0).Milliseconds()),
+		Format:  uint32(h.MaxFormat),
 	}
-	for _, r := range h.Refused {
+	for _, r := range h.Rejections {
 		out.Refused = append(out.Refused, &Refusal{
-			Ref: encodeRef(&r.Ref), Problems: encodeProblems(r.Problems), Unread: r.Unread,
+			Ref: encodeRef(&r.Ref), Problems: encodeProblems(r.Problems), Unread: r.IsUnsupportedFormat,
 		})
 	}
 	return out
@@ -77,16 +77,16 @@
 
 func decodeHello(in *Hello) configstream.Hello {
 	h := configstream.Hello{
-		Process: in.Process,
-		Start:   in.Start,
-		Dial:    in.Dial,
-		Running: decodeRef(in.Running),
-		Since:   time.Duration(min(in.SinceMs, maxSinceMs)) * time.Millisecond,
-		Format:  int(in.Format),
+		ProcessID:    in.Process,
+		StartCount:   in.Start,
+		StreamNumber: in.Dial,
+		Running:      decodeRef(in.Running),
+		RunningFor:   time.Duration(min(in.SinceMs, maxSinceMs)) * time.Millisecond,
+		MaxFormat:    int(in.Format),
 	}
 	for _, r := range in.Refused {
-		h.Refused = append(h.Refused, configstream.Refusal{
-			Ref: *decodeRef(r.Ref), Problems: decodeProblems(r.Problems), Unread: r.Unread,
+		h.Rejections = append(h.Rejections, configstream.Rejection{
+			Ref: *decodeRef(r.Ref), Problems: decodeProblems(r.Problems), IsUnsupportedFormat: r.Unread,
 		})
 	}
 	return h
@@ -99,38 +99,38 @@
 		Ref:      encodeRef(&r.Ref),
 		Running:  encodeRef(r.Running),
 		Problems: encodeProblems(r.Problems),
-		Unread:   r.Unread,
+		Unread:   r.IsUnsupportedFormat,
 	}
 }
 
 func decodeReport(in *Report) configstream.Report {
 	return configstream.Report{
-		Nonce:    in.Nonce,
-		Result:   configstream.Result(in.Result),
-		Ref:      *decodeRef(in.Ref),
-		Running:  decodeRef(in.Running),
-		Problems: decodeProblems(in.Problems),
-		Unread:   in.Unread,
+		Nonce:               in.Nonce,
+		Result:              configstream.Result(in.Result),
+		Ref:                 *decodeRef(in.Ref),
+		Running:             decodeRef(in.Running),
+		Problems:            decodeProblems(in.Problems),
+		IsUnsupportedFormat: in.Unread,
 	}
 }
 
 func encodePong(p *configstream.Pong) *Pong {
 	return &Pong{
-		Seq:       p.Seq,
+		Seq:       p.Sequence,
 		Newest:    encodeRef(&p.Newest),
-		Homes:     p.Homes,
-		Confirmed: p.Confirmed,
-		Twin:      p.Twin,
+		Homes:     p.PlacementVersion,
+		Confirmed: p.IsConfirmed,
+		Twin:      p.NameConflict,
 	}
 }
 
 func decodePong(in *Pong) *configstream.Pong {
 	return &configstream.Pong{
-		Seq:       in.Seq,
-		Newest:    *decodeRef(in.Newest),
-		Homes:     in.Homes,
-		Confirmed: in.Confirmed,
-		Twin:      in.Twin,
+		Sequence:         in.Seq,
+		Newest:           *decodeRef(in.Newest),
+		PlacementVersion: in.Homes,
+		IsConfirmed:      in.Confirmed,
+		NameConflict:     in.Twin,
 	}
 }
 
@@ -138,7 +138,7 @@
 func NewPush(p *configstream.Push, body *Push) *Push {
 	return &Push{
 		Nonce:     p.Nonce,
-		Confirmed: p.Confirmed,
+		Confirmed: p.IsConfirmed,
 		Ref:       body.Ref,
 		Base:      body.Base,
 		Format:    body.Format,
@@ -157,8 +157,8 @@
 		Base:    encodeRef(b.Base),
 		Format:  uint32(b.Format),
 		Hash:    b.Hash,
-		Homes:   b.Homes,
-		Places:  b.Places,
+		Homes:   b.PlacementVersion,
+		Places:  b.PlanOrder,
 		Removed: b.Removed,
 	}
 	for _, o := range b.Put {
@@ -169,18 +169,18 @@
 
 func decodePush(in *Push) *configstream.Push {
 	body := &configstream.Body{
-		Ref:     *decodeRef(in.Ref),
-		Base:    decodeRef(in.Base),
-		Format:  int(in.Format),
-		Hash:    in.Hash,
-		Homes:   in.Homes,
-		Places:  in.Places,
-		Removed: in.Removed,
+		Ref:              *decodeRef(in.Ref),
+		Base:             decodeRef(in.Base),
+		Format:           int(in.Format),
+		Hash:             in.Hash,
+		PlacementVersion: in.Homes,
+		PlanOrder:        in.Places,
+		Removed:          in.Removed,
 	}
 	for _, o := range in.Put {
 		body.Put = append(body.Put, configstream.Object{Key: o.Key, Value: json.RawMessage(o.Value)})
 	}
-	return &configstream.Push{Nonce: in.Nonce, Body: body, Confirmed: in.Confirmed}
+	return &configstream.Push{Nonce: in.Nonce, Body: body, IsConfirmed: in.Confirmed}
 }
 
 // encodeRef encodes a version's reference; nil: none.
--- a/internal/configstreampb/messages_test.go
+++ b/internal/configstreampb/messages_test.go
@@ -15,22 +15,22 @@
 func newVersion(t testing.TB) *configstream.Version {
 	t.Helper()
 	s := clusterconfig.New(nil)
-	plan := clusterconfig.Put("plan", "kubwa", clusterconfig.Plan{Rate: 1, Burst: 1})
-	entry, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: "a", Changes: []clusterconfig.Change{plan}})
+	plan := clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{Rate: 1, Burst: 1})
+	entry, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{ID: "a", Changes: []clusterconfig.Change{plan}})
 	if err == nil {
 		_, _, err = s.Apply(entry)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return configstream.Of(s.Freeze(), nil)
+	return configstream.NewVersion(s.Freeze(), nil)
 }
 
 // A push arrives as it was sent, also with fields of a newer program in it; one that breaks a rule of the schema is
 // rejected.
 func TestPush(t *testing.T) {
 	v := newVersion(t)
-	push := NewPush(&configstream.Push{Nonce: 7, Body: v.Body(nil), Confirmed: true}, EncodeBody(v.Body(nil)))
+	push := NewPush(&configstream.Push{Nonce: 7, Body: v.Body(nil), IsConfirmed: true}, EncodeBody(v.Body(nil)))
 	text, err := proto.Marshal(&FromMember{Body: &FromMember_Push{push}})
 	if err != nil {
 		t.Fatal(err)
@@ -43,10 +43,10 @@
 	}
 	got, err := fromMember(&in)
 	p, ok := got.(*configstream.Push)
-	if err != nil || !ok || p.Nonce != 7 || !p.Confirmed {
+	if err != nil || !ok || p.Nonce != 7 || !p.IsConfirmed {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	if made, err := p.Body.Make(nil); err != nil || made.Ref != v.Ref {
+	if made, err := p.Body.Build(nil); err != nil || made.Ref != v.Ref {
 		t.Errorf("%v, want %v: %v", made, v.Ref, err)
 	}
 	for name, corrupt := range map[string]func(p *Push){
@@ -84,7 +84,7 @@
 		got, err := fromMember(&in)
 		if p, ok := got.(*configstream.Push); err == nil && ok {
 			for _, base := range []*configstream.Version{nil, v} {
-				if made, err := p.Body.Make(base); err == nil && made.Ref != p.Body.Ref {
+				if made, err := p.Body.Build(base); err == nil && made.Ref != p.Body.Ref {
 					t.Fatalf("%v is made of a push of %v", made.Ref, p.Body.Ref)
 				}
 			}
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -16,7 +16,7 @@
 const patience = 30 * time.Second
 
 // agent answers each watch as the script says, over a real connection; w sends what is written at once.
-func agent(t *testing.T, script func(n int, from string, w io.Writer, gone <-chan struct{})) *Follower {
+func agent(t *testing.T, script func(n int, from string, w io.Writer, gone <-chan struct{})) *Watcher {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,7 +30,7 @@
 	})}
 	go srv.Serve(ln)
 	t.Cleanup(func() { srv.Close() })
-	return &Follower{Addr: ln.Addr().(*net.TCPAddr).AddrPort(), Silent: Silent, Near: true, Logf: t.Logf}
+	return &Watcher{Addr: ln.Addr().(*net.TCPAddr).AddrPort(), SilenceTimeout: SilenceTimeout, IsLocalAgent: true, Logf: t.Logf}
 }
 
 type flushed struct{ http.ResponseWriter }
@@ -42,10 +42,10 @@
 }
 
 // start runs the follower and gives the lists that it hands on.
-func start(t *testing.T, f *Follower) <-chan List {
+func start(t *testing.T, f *Watcher) <-chan EndpointList {
 	t.Helper()
-	lists := make(chan List, 100)
-	f.Apply = func(l List) { lists <- l }
+	lists := make(chan EndpointList, 100)
+	f.OnList = func(l EndpointList) { lists <- l }
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -59,14 +59,14 @@
 	return lists
 }
 
-func next(t *testing.T, lists <-chan List) List {
+func next(t *testing.T, lists <-chan EndpointList) EndpointList {
 	t.Helper()
 	select {
 	case l := <-lists:
 		return l
 	case <-time.After(patience):
 		t.Fatal("no list comes")
-		return List{}
+		return EndpointList{}
 	}
 }
 
@@ -94,7 +94,7 @@
 				}
 				<-gone
 			})
-			f.Silent, f.Pace = silent, NewPace(nodes, 3)
+			f.SilenceTimeout, f.Backoff = silent, NewBackoff(nodes, 3)
 			begun := time.Now()
 			if l := next(t, start(t, f)); l.Generation != 9 {
 				t.Errorf("list %+v", l)
@@ -143,7 +143,7 @@
 		io.WriteString(w, "\n")
 		<-gone
 	})
-	f.Silent = 200 * time.Millisecond
+	f.SilenceTimeout = 200 * time.Millisecond
 	lists := start(t, f)
 	for want := uint64(8); want <= 10; want++ {
 		if l := next(t, lists); l.Generation != want || len(l.Servers) != 2 || l.Servers[0].ID != `a "{[` {
@@ -174,7 +174,7 @@
 				}
 				<-gone
 			})
-			f.Last, f.Pace = 7, NewPace(300, 3)
+			f.LastGeneration, f.Backoff = 7, NewBackoff(300, 3)
 			if l := next(t, start(t, f)); l.Generation != 9 {
 				t.Errorf("a torn list counted: %+v", l)
 			}
@@ -209,7 +209,7 @@
 					}
 				}
 			})
-			f.Silent = 50 * time.Millisecond
+			f.SilenceTimeout = 50 * time.Millisecond
 			if l := next(t, start(t, f)); l.Generation != 9 {
 				t.Errorf("list %+v", l)
 			}
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -16,7 +16,7 @@
 	pauseMax  = 4                      // spreads that a pause grows to
 )
 
-// Pace decides when a node of a fleet calls the register. A first call is made at once, and so is the first after a watch
+// Backoff decides when a node of a fleet calls the register. A first call is made at once, and so is the first after a watch
 // that ended: what the register has to tell counts as told to a node that could have asked. But a register serves calls in turn
 // and works on those too that nobody waits for any more. Nodes that lost their watches at the same moment, or started together, fill its
 // line with calls of which most give up before their turn; if they come back sooner than it serves them, the line
@@ -25,22 +25,22 @@
 // grow. Few nodes come back soon, as there the line is short.
 //
 // Pace does no I/O; its chance comes from the seed.
-type Pace struct {
+type Backoff struct {
 	spread, pause time.Duration
 	rng           *rand.Rand
 }
 
-// NewPace returns the pace of one of a number of nodes.
-func NewPace(nodes int, seed uint64) *Pace {
-	p := &Pace{rng: rand.New(rand.NewPCG(seed, 0x9ace))}
+// NewBackoff returns the pace of one of a number of nodes.
+func NewBackoff(nodes int, seed uint64) *Backoff {
+	p := &Backoff{rng: rand.New(rand.NewPCG(seed, 0x9ace))}
 	if nodes > fewNodes {
 		p.spread = min(time.Duration(nodes)*callApart, spreadMax)
 	}
 	return p
 }
 
-// Next is the wait before the call after a watch that ended or, where nothing was heard on it, after a call that failed.
-func (p *Pace) Next(heard bool) time.Duration {
+// NextDelay is the wait before the call after a watch that ended or, where nothing was heard on it, after a call that failed.
+func (p *Backoff) NextDelay(heard bool) time.Duration {
 	switch {
 	case heard:
 		p.pause = backoffLeast
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -28,10 +28,10 @@
 
 // herd lets some nodes begin at the same moment, and returns how many have a watch after a time, the last
 // of them, and the calls.
-func herd(nodes int, pace func(node int) *Pace, within time.Duration) (have int, last time.Duration, calls int) {
+func herd(nodes int, pace func(node int) *Backoff, within time.Duration) (have int, last time.Duration, calls int) {
 	l := line{each: 110 * time.Millisecond, timeout: 2 * time.Second}
 	const never = time.Hour
-	paces, due := make([]*Pace, nodes), make([]time.Duration, nodes)
+	paces, due := make([]*Backoff, nodes), make([]time.Duration, nodes)
 	for i := range paces {
 		paces[i] = pace(i)
 	}
@@ -45,7 +45,7 @@
 		if at, ok := l.call(now); ok {
 			have, last, due[i] = have+1, max(last, at), never
 		} else {
-			due[i] = at + paces[i].Next(false)
+			due[i] = at + paces[i].NextDelay(false)
 		}
 	}
 	return have, last, calls
@@ -55,13 +55,13 @@
 // once and again every second, as few nodes may, keeps the line long for good.
 func TestAHerdOfCallsIsSpreadOut(t *testing.T) {
 	for seed := range uint64(5) {
-		have, last, calls := herd(60, func(i int) *Pace { return NewPace(80, seed<<8+uint64(i)) }, 30*time.Second)
+		have, last, calls := herd(60, func(i int) *Backoff { return NewBackoff(80, seed<<8+uint64(i)) }, 30*time.Second)
 		t.Logf("seed %d: %d of 60 have a watch, the last after %v, %d calls", seed, have, last, calls)
 		if have < 60 || calls > 180 {
 			t.Errorf("seed %d: %d of 60 have a watch after 30 s and %d calls", seed, have, calls)
 		}
 	}
-	have, _, calls := herd(60, func(int) *Pace { return NewPace(1, 0) }, 30*time.Second)
+	have, _, calls := herd(60, func(int) *Backoff { return NewBackoff(1, 0) }, 30*time.Second)
 	t.Logf("all at once: %d of 60 have a watch, %d calls", have, calls)
 	if have > 40 || calls < 300 {
 		t.Errorf("the register of this test is not overbooked: %d of 60 have a watch after %d calls", have, calls)
@@ -71,13 +71,13 @@
 // Few nodes lose nothing: they call soon again.
 func TestFewNodesCallSoonAgain(t *testing.T) {
 	for _, nodes := range []int{1, 3, fewNodes} {
-		p := NewPace(nodes, 1)
+		p := NewBackoff(nodes, 1)
 		for _, want := range []time.Duration{backoffLeast, 2 * backoffLeast, 4 * backoffLeast, 8 * backoffLeast, backoffMost, backoffMost} {
-			if w := p.Next(false); w != want {
+			if w := p.NextDelay(false); w != want {
 				t.Errorf("%d nodes: a pause of %v, want %v", nodes, w, want)
 			}
 		}
-		if w := p.Next(true); w != backoffLeast {
+		if w := p.NextDelay(true); w != backoffLeast {
 			t.Errorf("%d nodes: a pause of %v after a watch", nodes, w)
 		}
 	}
@@ -87,14 +87,14 @@
 // register has to tell counts as told.
 func TestPausesGrowAndDiffer(t *testing.T) {
 	for _, nodes := range []int{fewNodes + 1, 80, 300, 1000} {
-		a, b := NewPace(nodes, 1), NewPace(nodes, 2)
+		a, b := NewBackoff(nodes, 1), NewBackoff(nodes, 2)
 		spread := min(time.Duration(nodes)*callApart, spreadMax)
 		for i := range 20 {
-			if w := a.Next(false); w < spread/2 || w > pauseMax*spread*3/2 || i == 0 && w > spread*3/2 || w == b.Next(false) {
+			if w := a.NextDelay(false); w < spread/2 || w > pauseMax*spread*3/2 || i == 0 && w > spread*3/2 || w == b.NextDelay(false) {
 				t.Errorf("%d nodes: a pause of %v", nodes, w)
 			}
 		}
-		if w := a.Next(true); w > 200*time.Millisecond {
+		if w := a.NextDelay(true); w > 200*time.Millisecond {
 			t.Errorf("%d nodes: a pause of %v after a watch that ended", nodes, w)
 		}
 	}
--- a/internal/discovery/register.go
+++ b/internal/discovery/register.go
@@ -19,15 +19,15 @@
 	"mulleinmux/policy"
 )
 
-// List is one message of the register.
-type List struct {
+// EndpointList is one message of the register.
+type EndpointList struct {
 	Generation uint64
-	Full       bool // the complete list: a server missing from it is gone
-	Servers    []Instance
+	IsComplete bool // the complete list: a server missing from it is gone
+	Servers    []Endpoint
 }
 
-// Instance is one app server and where it listens.
-type Instance struct {
+// Endpoint is one app server and where it listens.
+type Endpoint struct {
 	policy.Server
 	Addr netip.AddrPort
 }
@@ -35,18 +35,18 @@
 // maxList bounds one message of discovery.
 const maxList = 4 << 20
 
-// ParseList parses one message of discovery. An entry that can't be is left out, or one
+// ParseEndpointList parses one message of discovery. An entry that can't be is left out, or one
 // would cost all others; the errors name each.
-func ParseList(text []byte) (l List, left []error, err error) {
+func ParseEndpointList(text []byte) (l EndpointList, left []error, err error) {
 	var raw struct {
 		Generation uint64
 		Reset      bool
 		Instances  []json.RawMessage
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		return List{}, nil, err
+		return EndpointList{}, nil, err
 	}
-	l = List{Generation: raw.Generation, Full: raw.Reset}
+	l = EndpointList{Generation: raw.Generation, IsComplete: raw.Reset}
 	for i, text := range raw.Instances {
 		s, err := parseInstance(text)
 		if err != nil {
@@ -59,7 +59,7 @@
 }
 
 // parseInstance parses one entry; an error names the field.
-func parseInstance(text []byte) (Instance, error) {
+func parseInstance(text []byte) (Endpoint, error) {
 	var e struct {
 		InstanceID  string
 		HostPort    string
@@ -72,14 +72,14 @@
 	}
 	if err := json.Unmarshal(text, &e); err != nil {
 		if te, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
-			return Instance{}, fmt.Errorf("%s: is a %s", te.Field, te.Value)
+			return Endpoint{}, fmt.Errorf("%s: is a %s", te.Field, te.Value)
 		}
-		return Instance{}, err
+		return Endpoint{}, err
 	}
-	s := Instance{Server: policy.Server{ID: e.InstanceID, Weight: e.Weight, Kind: e.MachineType, Zone: e.Zone,
+	s := Endpoint{Server: policy.Server{ID: e.InstanceID, Weight: e.Weight, Kind: e.MachineType, Zone: e.Zone,
 		Cell: e.Cell, StartedAt: time.Duration(e.StartedAtMs * float64(time.Millisecond))}}
 	if s.ID == "" {
-		return Instance{}, errors.New("instanceId: is empty")
+		return Endpoint{}, errors.New("instanceId: is empty")
 	}
 	switch e.Lifecycle {
 	case "up":
@@ -89,24 +89,24 @@
 	case "removed":
 		s.State = policy.Removed
 	default:
-		return Instance{}, fmt.Errorf("lifecycle: unknown word %q", e.Lifecycle)
+		return Endpoint{}, fmt.Errorf("lifecycle: unknown word %q", e.Lifecycle)
 	}
 	if e.Weight < 0 {
-		return Instance{}, fmt.Errorf("weight: %v is negative", e.Weight)
+		return Endpoint{}, fmt.Errorf("weight: %v is negative", e.Weight)
 	}
 	if e.StartedAtMs < 0 || e.StartedAtMs > math.MaxInt64/float64(time.Millisecond) {
-		return Instance{}, fmt.Errorf("startedAtMs: %v is out of range", e.StartedAtMs)
+		return Endpoint{}, fmt.Errorf("startedAtMs: %v is out of range", e.StartedAtMs)
 	}
 	var err error
-	if s.Addr, err = Address("hostPort", e.HostPort); err != nil && s.State != policy.Removed {
-		return Instance{}, err
+	if s.Addr, err = ParseAddress("hostPort", e.HostPort); err != nil && s.State != policy.Removed {
+		return Endpoint{}, err
 	}
 	return s, nil
 }
 
-// Silent is how long a watch may say nothing before it is given up: a line comes every 2 s, and what is told counts as known 6 s
+// SilenceTimeout is how long a watch may say nothing before it is given up: a line comes every 2 s, and what is told counts as known 6 s
 // later at the latest.
-const Silent = 3 * time.Second
+const SilenceTimeout = 3 * time.Second
 
 // An agent runs on the node's own machine, answers at once and at no cost, and what it has counts as told at once, whether or not a
 // watch is open. So nothing is gained by waiting for it: while it is down, a watch is open all but a moment of the time.
@@ -117,16 +117,16 @@
 	listSilents = 4                      // silences that one list may take to come, in pieces
 )
 
-// Follower follows the changes of the list of app servers. Its fields are set before Run.
-type Follower struct {
-	Addr   netip.AddrPort
-	Silent time.Duration // the constant Silent but in tests
-	Last   uint64        // the version that is held; 0: none
-	Near   bool          // Addr is an agent on this machine to which lists are pushed, and not a register that a fleet asks
-	Pace   *Pace         // of calls that are not Near; nil: that of a node alone
-	Apply  func(List)    // called by Run, one list at a time
-	Failed func()        // called by Run after a watch on which nothing was heard; may be nil
-	Logf   func(format string, args ...any)
+// Watcher follows the changes of the list of app servers. Its fields are set before Run.
+type Watcher struct {
+	Addr           netip.AddrPort
+	SilenceTimeout time.Duration      // the constant Silent but in tests
+	LastGeneration uint64             // the version that is held; 0: none
+	IsLocalAgent   bool               // Addr is an agent on this machine to which lists are pushed, and not a register that a fleet asks
+	Backoff        *Backoff           // of calls that are not Near; nil: that of a node alone
+	OnList         func(EndpointList) // called by Run, one list at a time
+	OnFailure      func()             // called by Run after a watch on which nothing was heard; may be nil
+	Logf           func(format string, args ...any)
 
 	down bool // the latest watch ended and nothing has been heard since
 	torn bool // it ended with a list that can't be read, which may come again
@@ -134,18 +134,18 @@
 
 // Run watches until ctx ends. A watch that breaks, ends or falls silent is opened again from the version held: at an agent
 // at once, else after a pause that grows while nothing comes.
-func (r *Follower) Run(ctx context.Context) {
-	connect := r.Silent
-	if r.Near {
+func (r *Watcher) Run(ctx context.Context) {
+	connect := r.SilenceTimeout
+	if r.IsLocalAgent {
 		connect = min(connect, nearConnect)
 	}
 	client := &http.Client{Transport: &http.Transport{
 		DialContext:       (&net.Dialer{Timeout: connect}).DialContext,
 		DisableKeepAlives: true, // each watch is a connection of its own
 	}}
-	pace := r.Pace
-	if pace == nil || r.Near { // an agent serves one node
-		pace = NewPace(1, 0)
+	pace := r.Backoff
+	if pace == nil || r.IsLocalAgent { // an agent serves one node
+		pace = NewBackoff(1, 0)
 	}
 	for {
 		heard, err := r.watch(ctx, client)
@@ -156,11 +156,11 @@
 			r.down = true
 			r.Logf("discovery: watch ended: %v", err)
 		}
-		if !heard && r.Failed != nil {
-			r.Failed()
+		if !heard && r.OnFailure != nil {
+			r.OnFailure()
 		}
-		again := r.Near && !r.torn // at an agent only lists that can't be read make the pause grow
-		pause := pace.Next(heard || again)
+		again := r.IsLocalAgent && !r.torn // at an agent only lists that can't be read make the pause grow
+		pause := pace.NextDelay(heard || again)
 		if again {
 			pause = nearPause
 		}
@@ -174,11 +174,11 @@
 
 // watch follows one watch to its end, which always has a reason, and tells
 // whether anything was heard on it.
-func (r *Follower) watch(ctx context.Context, client *http.Client) (heard bool, err error) {
+func (r *Watcher) watch(ctx context.Context, client *http.Client) (heard bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	first := r.Silent
-	if r.Near {
+	first := r.SilenceTimeout
+	if r.IsLocalAgent {
 		first = min(first, nearAnswer)
 	}
 	silence := time.AfterFunc(first, func() { cancel(errors.New("silent for too long")) })
@@ -189,7 +189,7 @@
 		}
 	}()
 	r.torn = false
-	url := fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", r.Addr, r.Last)
+	url := fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", r.Addr, r.LastGeneration)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false, err
@@ -205,13 +205,13 @@
 	// What was said is lost with a list that can't be read: only the whole list can make up for it. It
 	// may come malformed again, so that the pause must go on growing.
 	malformed := func(err error) (bool, error) {
-		r.Last, r.torn = 0, true
+		r.LastGeneration, r.torn = 0, true
 		return false, fmt.Errorf("malformed list: %w", err)
 	}
 	// A list may be long and come in pieces: each is a sign of life, but one list may not take for ever.
 	body := &pieces{Reader: resp.Body}
 	body.came = func() {
-		if silence.Reset(r.Silent); !body.begun.IsZero() && time.Since(body.begun) > listSilents*r.Silent {
+		if silence.Reset(r.SilenceTimeout); !body.begun.IsZero() && time.Since(body.begun) > listSilents*r.SilenceTimeout {
 			cancel(errors.New("a list comes too slowly"))
 		}
 	}
@@ -238,15 +238,15 @@
 			continue // indented: it goes on in the next line
 		}
 		body.begun = time.Time{}
-		l, left, err := ParseList(f.take())
+		l, left, err := ParseEndpointList(f.take())
 		if err != nil {
 			return malformed(err)
 		}
 		if len(left) > 0 { // one line for each list, however many entries
 			r.Logf("discovery: %d entries left out, the first: %v", len(left), left[0])
 		}
-		r.Last = l.Generation
-		r.Apply(l)
+		r.LastGeneration = l.Generation
+		r.OnList(l)
 		heard = true
 	}
 	if err := lines.Err(); errors.Is(err, bufio.ErrTooLong) {
@@ -326,8 +326,8 @@
 	return text
 }
 
-// Address parses an address with a port; an error names the field.
-func Address(field, v string) (netip.AddrPort, error) {
+// ParseAddress parses an address with a port; an error names the field.
+func ParseAddress(field, v string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(v)
 	if err != nil {
 		return a, fmt.Errorf("%s: %w", field, err)
--- a/internal/edgeproxy/config.go
+++ b/internal/edgeproxy/config.go
@@ -18,23 +18,23 @@
 
 // Config is all that an edge node is told at its start.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort // where clients connect
-	Discovery netip.AddrPort // the agent of the server register
-	Manage    netip.AddrPort // where operators call; invalid where they don't
-	AcceptFD  int            // the descriptor of a clients' listening socket that the platform holds; 0: none
-	Handover  string         // the socket on which a successor takes over; empty: none does
-	Seed      uint64
-	MemoryMB  int // 0: no limit told
-	Sockets   int // descriptors that the process may hold
+	Name           string
+	Listen         netip.AddrPort // where clients connect
+	Discovery      netip.AddrPort // the agent of the server register
+	AdminListen    netip.AddrPort // where operators call; invalid where they don't
+	AcceptFD       int            // the descriptor of a clients' listening socket that the platform holds; 0: none
+	HandoverSocket string         // the socket on which a successor takes over; empty: none does
+	Seed           uint64
+	MemoryMB       int // 0: no limit told
+	MaxSockets     int // descriptors that the process may hold
 
-	PeerListen netip.AddrPort   // invalid where edge nodes may not message each other
-	Peers      []netip.AddrPort // by number, this node's own among them
-	PeersAll   netip.AddrPort   // every edge node of the tier
+	GossipListen    netip.AddrPort   // invalid where edge nodes may not message each other
+	GossipPeers     []netip.AddrPort // by number, this node's own among them
+	GossipBroadcast netip.AddrPort   // every edge node of the tier
 
-	Known     discovery.List // the app servers as this node last had them
-	Settings  policy.Settings
-	Transport simwire.Transport
+	SavedEndpoints discovery.EndpointList // the app servers as this node last had them
+	Settings       policy.Settings
+	Transport      simwire.ConnectionSettings
 
 	reread    func() (*Config, error) // reads the configuration again, for a reload
 	left      []error                 // entries of Known that can't be
@@ -115,14 +115,14 @@
 		return nil, errors.New("name: is empty")
 	}
 	var err error
-	if c.Listen, err = discovery.Address("listen", raw.Listen); err != nil {
+	if c.Listen, err = discovery.ParseAddress("listen", raw.Listen); err != nil {
 		return nil, err
 	}
-	if c.Discovery, err = discovery.Address("discovery", raw.Discovery); err != nil {
+	if c.Discovery, err = discovery.ParseAddress("discovery", raw.Discovery); err != nil {
 		return nil, err
 	}
 	if raw.Management != "" {
-		if c.Manage, err = discovery.Address("management", raw.Management); err != nil {
+		if c.AdminListen, err = discovery.ParseAddress("management", raw.Management); err != nil {
 			return nil, err
 		}
 	}
@@ -131,7 +131,7 @@
 			return nil, fmt.Errorf("PROXY_ACCEPT_FD: %q is not the number of an inherited descriptor", text)
 		}
 		if dir := getenv("TMPDIR"); dir != "" {
-			c.Handover = filepath.Join(dir, handoverName)
+			c.HandoverSocket = filepath.Join(dir, handoverName)
 		}
 	}
 	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
@@ -141,10 +141,10 @@
 		return nil, fmt.Errorf("limits.memory_mb: %v is out of range", m)
 	}
 	c.MemoryMB = int(raw.Limits.MemoryMB)
-	if c.Sockets = int(raw.Limits.Sockets); c.Sockets == 0 {
-		c.Sockets = defaultSockets
+	if c.MaxSockets = int(raw.Limits.Sockets); c.MaxSockets == 0 {
+		c.MaxSockets = defaultSockets
 	}
-	if c.Sockets < leastSockets || c.Sockets > 1<<20 {
+	if c.MaxSockets < leastSockets || c.MaxSockets > 1<<20 {
 		return nil, fmt.Errorf("limits.sockets: %v is out of range", raw.Limits.Sockets)
 	}
 	if len(raw.Settings) == 0 {
@@ -153,33 +153,33 @@
 	if c.Settings, c.Transport, err = simwire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.Transport.ConnIdle <= 0 {
-		c.Transport.ConnIdle = defaultConnIdle
+	if c.Transport.ConnIdleTimeout <= 0 {
+		c.Transport.ConnIdleTimeout = defaultConnIdle
 	}
 	if c.Transport.ConnectTimeout <= 0 {
 		c.Transport.ConnectTimeout = defaultConnectTimeout
 	}
 	c.Settings.ConnectTimeout = c.Transport.ConnectTimeout
 	if c.Settings.AllowsGossip && c.Settings.InstanceCount > 1 {
-		if c.PeerListen, err = discovery.Address("peer_listen", raw.PeerListen); err != nil {
+		if c.GossipListen, err = discovery.ParseAddress("peer_listen", raw.PeerListen); err != nil {
 			return nil, err
 		}
 		if len(raw.Peers) != c.Settings.InstanceCount {
 			return nil, fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.InstanceCount)
 		}
 		for i, p := range raw.Peers {
-			a, err := discovery.Address(fmt.Sprintf("peers[%d]", i), p)
+			a, err := discovery.ParseAddress(fmt.Sprintf("peers[%d]", i), p)
 			if err != nil {
 				return nil, err
 			}
-			c.Peers = append(c.Peers, a)
+			c.GossipPeers = append(c.GossipPeers, a)
 		}
-		if c.PeersAll, err = discovery.Address("peers_all", raw.PeersAll); err != nil {
+		if c.GossipBroadcast, err = discovery.ParseAddress("peers_all", raw.PeersAll); err != nil {
 			return nil, err
 		}
 	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.Known, c.left, err = discovery.ParseList(raw.Known); err != nil {
+		if c.SavedEndpoints, c.left, err = discovery.ParseEndpointList(raw.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
