--- a/internal/edgeproxy/fixture_test.go
+++ b/internal/edgeproxy/fixture_test.go
@@ -92,7 +92,7 @@
 func TestRecordedPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	cfg := upgradable(t, dir, newAppServer(t, say(okAnswer)).instance("a"))
-	ln, err := net.Listen("unixpacket", cfg.Handover)
+	ln, err := net.Listen("unixpacket", cfg.HandoverSocket)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 	client := dial(t, old.addr)
 	client.ask(request("check", "a"))
 	client.ask(request("check", "b", "X-Contract", "tight"))
-	c, err := net.Dial("unixpacket", cfg.Handover)
+	c, err := net.Dial("unixpacket", cfg.HandoverSocket)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,8 +184,8 @@
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	for _, v := range []any{c.Name, c.Listen, c.Discovery, c.Manage, c.AcceptFD, c.Handover, c.Seed, c.MemoryMB, c.Sockets,
-		c.PeerListen, c.Peers, c.PeersAll, c.Known, c.Settings, c.Transport} {
+	for _, v := range []any{c.Name, c.Listen, c.Discovery, c.AdminListen, c.AcceptFD, c.HandoverSocket, c.Seed, c.MemoryMB, c.MaxSockets,
+		c.GossipListen, c.GossipPeers, c.GossipBroadcast, c.SavedEndpoints, c.Settings, c.Transport} {
 		writeValues(&b, reflect.ValueOf(v))
 		b.WriteString("\n")
 	}
--- a/internal/edgeproxy/front.go
+++ b/internal/edgeproxy/front.go
@@ -66,7 +66,7 @@
 }
 
 func newFront(n *Node) *front {
-	f := &front{node: n, slots: newSlots(clientSockets(n.cfg.Sockets)),
+	f := &front{node: n, slots: newSlots(clientSockets(n.cfg.MaxSockets)),
 		classes: map[string]policy.Class{}, plans: map[string]bool{}, over: make(chan struct{})}
 	for _, c := range n.cfg.Settings.Classes {
 		f.classes[c.Name] = c
@@ -521,7 +521,7 @@
 	case !f.plans[q.Plan]:
 		return q, m, bad("X-Contract: unknown plan")
 	}
-	seconds, ok := loadreport.Decimal(expires)
+	seconds, ok := loadreport.ParseDecimal(expires)
 	if !ok || seconds <= 0 {
 		return q, m, bad("X-Expires-In: malformed")
 	}
@@ -583,7 +583,7 @@
 func (f *front) metering(text string, q *policy.Request) error {
 	set := &f.node.cfg.Settings
 	number := func(val string, least, most int) (int, bool) {
-		x, ok := loadreport.Decimal(val)
+		x, ok := loadreport.ParseDecimal(val)
 		return int(x), ok && x == math.Trunc(x) && x >= float64(least) && x <= float64(most)
 	}
 	most := set.MaxUnits
@@ -600,7 +600,7 @@
 		ok := true
 		switch name {
 		case "units":
-			q.Units, ok = loadreport.Decimal(val)
+			q.Units, ok = loadreport.ParseDecimal(val)
 			ok = ok && q.Units > 0 && q.Units <= most
 		case "spread":
 			q.InstanceCount, ok = number(val, 1, set.InstanceCount)
--- a/internal/edgeproxy/front_test.go
+++ b/internal/edgeproxy/front_test.go
@@ -403,7 +403,7 @@
 	}
 	none := func(string) string { return "" }
 	c, err := parseConfig(text("", ""), none)
-	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Known.Generation != 41 || c.Settings.InstanceIndex != 1 || len(c.Peers) != 2 || c.MemoryMB != 192 {
+	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.SavedEndpoints.Generation != 41 || c.Settings.InstanceIndex != 1 || len(c.GossipPeers) != 2 || c.MemoryMB != 192 {
 		t.Fatalf("%+v, error %v", c, err)
 	}
 	for _, b := range [][3]string{
--- a/internal/edgeproxy/handover_test.go
+++ b/internal/edgeproxy/handover_test.go
@@ -75,8 +75,8 @@
 // upgradable is a configuration with which a successor can take over.
 func upgradable(t *testing.T, dir string, servers ...Instance) *Config {
 	cfg := testConfig(servers...)
-	cfg.Handover = filepath.Join(dir, handoverName)
-	cfg.Manage = freeAddr(t)
+	cfg.HandoverSocket = filepath.Join(dir, handoverName)
+	cfg.AdminListen = freeAddr(t)
 	cfg.drainFor = 0
 	return cfg
 }
@@ -113,7 +113,7 @@
 	next := door.start(t, cfg)
 	next.says(t, "waiting for the predecessor")
 	old.says(t, "a successor waits")
-	if status, _ := call(t, "GET", cfg.Manage, readyCall); status != 200 {
+	if status, _ := call(t, "GET", cfg.AdminListen, readyCall); status != 200 {
 		t.Errorf("the successor is not ready: %d", status)
 	}
 	if strings.Contains(next.logs.String(), "ready on") {
@@ -166,7 +166,7 @@
 // checksOf is how many checks an instance has answered and deferred, by its own figures.
 func checksOf(t *testing.T, cfg *Config) (answered, deferred int) {
 	t.Helper()
-	_, text := call(t, "GET", cfg.Manage, countersCall)
+	_, text := call(t, "GET", cfg.AdminListen, countersCall)
 	for _, line := range strings.Fields(text) {
 		fmt.Sscanf(line, "app.answered.check=%d", &answered)
 		fmt.Sscanf(line, "app.deferred.check=%d", &deferred)
@@ -453,7 +453,7 @@
 			if a := kept.ask(request("check", "a", spender...)); a.status != 200 {
 				t.Fatalf("status %d", a.status)
 			}
-			h := meetAs(t, cfg.Handover, hello)
+			h := meetAs(t, cfg.HandoverSocket, hello)
 			old.says(t, "a successor waits")
 			dies(old, h)
 			old.says(t, "draining")
@@ -489,8 +489,8 @@
 // withPeer makes the configuration one of two nodes, the other of which is the socket.
 func withPeer(cfg *Config, mine netip.AddrPort, other *net.UDPConn) {
 	cfg.Settings.InstanceCount, cfg.Settings.AllowsGossip, cfg.Settings.GossipInboxRate = 2, true, 1000
-	cfg.PeerListen, cfg.Peers = mine, []netip.AddrPort{mine, other.LocalAddr().(*net.UDPAddr).AddrPort()}
-	cfg.PeersAll = cfg.Peers[1]
+	cfg.GossipListen, cfg.GossipPeers = mine, []netip.AddrPort{mine, other.LocalAddr().(*net.UDPAddr).AddrPort()}
+	cfg.GossipBroadcast = cfg.GossipPeers[1]
 	cfg.Settings.Plans[1] = policy.Plan{Name: "tight", Rate: 0.001, Burst: 40, PriorityFactor: 1}
 }
 
@@ -587,7 +587,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := upgradable(t, dir, app.instance("a"))
-			cfg.Handover = c.path
+			cfg.HandoverSocket = c.path
 			n := newShared(t).start(t, cfg)
 			n.says(t, "ready on")
 			if !strings.Contains(n.logs.String(), c.log) {
@@ -641,7 +641,7 @@
 	kept := dial(t, old.addr)
 	kept.ask(request("check", "a"))
 	for range 2 {
-		if s, _ := call(t, "POST", oldCfg.Manage, outCall); s != 200 {
+		if s, _ := call(t, "POST", oldCfg.AdminListen, outCall); s != 200 {
 			t.Fatalf("out: %d", s)
 		}
 	}
@@ -665,7 +665,7 @@
 
 	last := door.start(t, lastCfg)
 	next.says(t, "a successor waits")
-	if s, _ := call(t, "POST", lastCfg.Manage, outCall); s != 200 {
+	if s, _ := call(t, "POST", lastCfg.AdminListen, outCall); s != 200 {
 		t.Fatalf("out of the one that waits: %d", s)
 	}
 	next.stop()
@@ -674,11 +674,11 @@
 	if s := health(); s != 503 {
 		t.Errorf("told to be out of service before it served: %d", s)
 	}
-	if s, _ := call(t, "POST", lastCfg.Manage, inCall); s != 200 || health() != 200 {
+	if s, _ := call(t, "POST", lastCfg.AdminListen, inCall); s != 200 || health() != 200 {
 		t.Error("not back in service")
 	}
 	// And while SIGTERM comes.
-	call(t, "POST", lastCfg.Manage, outCall)
+	call(t, "POST", lastCfg.AdminListen, outCall)
 	last.stop()
 	last.ends(t)
 }
--- a/internal/edgeproxy/harness_test.go
+++ b/internal/edgeproxy/harness_test.go
@@ -23,8 +23,8 @@
 )
 
 type (
-	List     = discovery.List
-	Instance = discovery.Instance
+	List     = discovery.EndpointList
+	Instance = discovery.Endpoint
 )
 
 // patience bounds every wait of a test; none is expected to come near it.
@@ -115,8 +115,8 @@
 func testConfig(servers ...Instance) *Config {
 	return &Config{
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
-		Sockets: 256, Known: List{Generation: 7, Full: true, Servers: servers},
-		Transport: simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
+		MaxSockets: 256, SavedEndpoints: List{Generation: 7, IsComplete: true, Servers: servers},
+		Transport: simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 5 * time.Second},
 		Settings: policy.Settings{
 			InstanceCount: 1, Zone: "z", MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond,
--- a/internal/edgeproxy/manage_test.go
+++ b/internal/edgeproxy/manage_test.go
@@ -42,19 +42,19 @@
 func managed(t *testing.T, serve func(net.Conn, *http.Request, []byte) bool, change func(*Config)) (*running, netip.AddrPort) {
 	t.Helper()
 	cfg := testConfig(newAppServer(t, serve).instance("a"))
-	cfg.Manage = freeAddr(t)
+	cfg.AdminListen = freeAddr(t)
 	if change != nil {
 		change(cfg)
 	}
 	n := run(t, cfg)
 	eventually(t, "ready", func() bool {
-		c, err := net.Dial("tcp", cfg.Manage.String())
+		c, err := net.Dial("tcp", cfg.AdminListen.String())
 		if err == nil {
 			c.Close()
 		}
 		return err == nil && strings.Contains(n.logs.String(), "ready on")
 	})
-	return n, cfg.Manage
+	return n, cfg.AdminListen
 }
 
 // The figures are those of what clients and app servers saw.
@@ -103,9 +103,9 @@
 func TestFiguresOfServers(t *testing.T) {
 	gone := freeAddr(t)
 	n, at := managed(t, say(okAnswer), func(cfg *Config) {
-		dead := cfg.Known.Servers[0]
+		dead := cfg.SavedEndpoints.Servers[0]
 		dead.ID, dead.Addr = "dead", gone
-		cfg.Known.Servers = append(cfg.Known.Servers, dead)
+		cfg.SavedEndpoints.Servers = append(cfg.SavedEndpoints.Servers, dead)
 	})
 	c := dial(t, n.addr)
 	i := 0
@@ -201,7 +201,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Manage = addrOf(taken)
+	cfg.AdminListen = addrOf(taken)
 	if err := runOn(context.Background(), cfg, nil, discard, ln); err == nil || !strings.Contains(err.Error(), "management") {
 		t.Errorf("error %v", err)
 	}
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -92,7 +92,7 @@
 		counts: newCounts(classes),
 		memory: newBudget(cfg.MemoryMB),
 		cfg:    cfg, log: logger, start: time.Now(), ctx: ctx, gw: gw, flights: map[string]*flight{},
-		up: newUpstream(cfg.Transport, serverSockets(cfg.Sockets)),
+		up: newUpstream(cfg.Transport, serverSockets(cfg.MaxSockets)),
 	}
 	n.up.rest = cfg.rest
 	n.up.sent, n.up.near = n.counts.sent, n.near
@@ -212,11 +212,11 @@
 // boot starts the gateway with the saved list.
 func (n *Node) boot() {
 	n.event(func(now time.Duration, out policy.Actions) { n.gw.Start(now, out) })
-	n.list(n.cfg.Known, policy.EndpointsSaved)
+	n.list(n.cfg.SavedEndpoints, policy.EndpointsSaved)
 }
 
 // list hands a list to the connections and to the gateway, as one event.
-func (n *Node) list(l discovery.List, form policy.EndpointUpdateKind) {
+func (n *Node) list(l discovery.EndpointList, form policy.EndpointUpdateKind) {
 	servers := make([]policy.Server, len(l.Servers))
 	for i, s := range l.Servers {
 		servers[i] = s.Server
@@ -229,9 +229,9 @@
 }
 
 // heard hands a message of discovery on.
-func (n *Node) heard(l discovery.List) {
+func (n *Node) heard(l discovery.EndpointList) {
 	form := policy.EndpointsDelta
-	if l.Full {
+	if l.IsComplete {
 		form = policy.EndpointsComplete
 	}
 	n.list(l, form)
@@ -450,7 +450,7 @@
 	n := (*Node)(a)
 	message = append([]byte(nil), message...)
 	if sock := n.peers; sock != nil {
-		n.after = append(n.after, func() { sock.Tell(peer, message, n.log.Printf) })
+		n.after = append(n.after, func() { sock.Send(peer, message, n.log.Printf) })
 	}
 }
 
--- a/internal/edgeproxy/quiet_test.go
+++ b/internal/edgeproxy/quiet_test.go
@@ -118,7 +118,7 @@
 		cfg := testConfig(app.instance("a"))
 		cfg.Settings.Plans[1] = plan
 		cfg.Settings.InstanceCount, cfg.Settings.InstanceIndex, cfg.Settings.AllowsGossip, cfg.Settings.GossipInboxRate = nodes, i, true, 40
-		cfg.PeerListen, cfg.Peers, cfg.PeersAll = listens[i], toPeers[i], toPeers[i][i]
+		cfg.GossipListen, cfg.GossipPeers, cfg.GossipBroadcast = listens[i], toPeers[i], toPeers[i][i]
 		running = append(running, run(t, cfg))
 	}
 	var all sync.WaitGroup
@@ -201,10 +201,10 @@
 		late = append(late, Instance{Server: policy.Server{ID: fmt.Sprint("late-", i), Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(ln)})
 	}
 	cfg := testConfig(late...)
-	cfg.Manage = freeAddr(t)
+	cfg.AdminListen = freeAddr(t)
 	n := run(t, cfg)
 	n.says(t, "ready on")
-	figure := func(line string) func() bool { return shows(t, cfg.Manage, line) }
+	figure := func(line string) func() bool { return shows(t, cfg.AdminListen, line) }
 	var clients []*client
 	for i := range burst {
 		c := dial(t, n.addr)
@@ -249,7 +249,7 @@
 		t.Errorf("%q was sent on, and %d more", id, len(ids))
 	}
 	if !figure("app.sends=1")() || !figure("app.sends_after_leave=0")() {
-		_, text := call(t, "GET", cfg.Manage, countersCall)
+		_, text := call(t, "GET", cfg.AdminListen, countersCall)
 		t.Errorf("one request had a client, and sent on were:\n%s", text)
 	}
 }
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -44,8 +44,8 @@
 	var side sync.WaitGroup
 	defer side.Wait()
 	var before *legacy
-	if cfg.Handover != "" {
-		if before, err = findPredecessor(cfg.Handover); err != nil {
+	if cfg.HandoverSocket != "" {
+		if before, err = findPredecessor(cfg.HandoverSocket); err != nil {
 			logger.Printf("%v: beginning from nothing", err)
 		}
 	}
@@ -63,7 +63,7 @@
 		logger.Printf("known: %d entries left out, the first: %v", len(cfg.left), cfg.left[0])
 	}
 	n.boot()
-	watch := startWatch(life, n, cfg.Discovery, cfg.Known.Generation)
+	watch := startWatch(life, n, cfg.Discovery, cfg.SavedEndpoints.Generation)
 	defer func() { watch.end() }()
 	side.Go(func() { n.up.reap(life) })
 	defer stop() // before the wait for what life owns
@@ -71,8 +71,8 @@
 	f := newFront(n)
 	failed := make(chan error, 3)
 	var waits atomic.Bool // for the predecessor's word
-	if cfg.Manage.IsValid() {
-		mln, err := net.Listen("tcp", cfg.Manage.String())
+	if cfg.AdminListen.IsValid() {
+		mln, err := net.Listen("tcp", cfg.AdminListen.String())
 		if err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
@@ -105,9 +105,9 @@
 		}
 	}
 	var h *heir
-	if cfg.Handover != "" {
+	if cfg.HandoverSocket != "" {
 		// Without it the node serves all the same; only the next upgrade would be a restart.
-		if h, err = awaitHeir(cfg.Handover, logger); err != nil {
+		if h, err = awaitHeir(cfg.HandoverSocket, logger); err != nil {
 			logger.Printf("%v", err)
 		} else {
 			defer h.close()
@@ -123,7 +123,7 @@
 	side.Go(func() { failed <- f.serve(ln) })
 	f.ready.Store(true)
 	waits.Store(false)
-	logger.Printf("%s: ready on %s, %d app servers known", cfg.Name, cfg.Listen, len(cfg.Known.Servers))
+	logger.Printf("%s: ready on %s, %d app servers known", cfg.Name, cfg.Listen, len(cfg.SavedEndpoints.Servers))
 	for draining := false; !draining; {
 		select {
 		case err := <-failed:
@@ -160,7 +160,7 @@
 // listenToPeers opens the peers' socket, or takes the one that was handed over.
 func (n *Node) listenToPeers(side *sync.WaitGroup, conn *net.UDPConn) error {
 	cfg := n.cfg
-	if !cfg.PeerListen.IsValid() {
+	if !cfg.GossipListen.IsValid() {
 		if conn != nil {
 			conn.Close()
 		}
@@ -168,10 +168,10 @@
 	}
 	var sock *gossip.Socket
 	if conn != nil {
-		sock = gossip.On(conn, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeersAll)
+		sock = gossip.NewSocket(conn, cfg.Settings.InstanceIndex, cfg.GossipPeers, cfg.GossipBroadcast)
 	} else {
 		var err error
-		if sock, err = gossip.Listen(cfg.PeerListen, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeersAll); err != nil {
+		if sock, err = gossip.Listen(cfg.GossipListen, cfg.Settings.InstanceIndex, cfg.GossipPeers, cfg.GossipBroadcast); err != nil {
 			return err
 		}
 	}
@@ -243,13 +243,13 @@
 	}
 	first, came := context.WithCancel(ctx)
 	w.first = first.Done()
-	reg := &discovery.Follower{Addr: addr, Silent: discovery.Silent, Last: from, Near: w.near, Logf: n.log.Printf,
-		Pace: discovery.NewPace(n.cfg.Settings.InstanceCount, n.cfg.Seed),
-		Apply: func(l discovery.List) {
+	reg := &discovery.Watcher{Addr: addr, SilenceTimeout: discovery.SilenceTimeout, LastGeneration: from, IsLocalAgent: w.near, Logf: n.log.Printf,
+		Backoff: discovery.NewBackoff(n.cfg.Settings.InstanceCount, n.cfg.Seed),
+		OnList: func(l discovery.EndpointList) {
 			n.heard(l)
 			came()
 		},
-		Failed: came}
+		OnFailure: came}
 	go func() {
 		defer close(w.done)
 		defer came()
--- a/internal/edgeproxy/side_test.go
+++ b/internal/edgeproxy/side_test.go
@@ -54,7 +54,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	r := &discovery.Follower{Addr: addr, Silent: silent, Last: 7, Apply: func(l List) { lists <- l }, Logf: t.Logf}
+	r := &discovery.Watcher{Addr: addr, SilenceTimeout: silent, LastGeneration: 7, OnList: func(l List) { lists <- l }, Logf: t.Logf}
 	go func() {
 		r.Run(ctx)
 		close(ended)
@@ -78,10 +78,10 @@
 		fmt.Fprintf(w, "\n%s\n\n", listJSON(8, true, a))
 		fmt.Fprintf(w, "%s\n", listJSON(9, false))
 	})
-	if l := <-lists; !l.Full || len(l.Servers) != 1 || l.Servers[0] != a {
+	if l := <-lists; !l.IsComplete || len(l.Servers) != 1 || l.Servers[0] != a {
 		t.Errorf("list %+v, want %+v", l, a)
 	}
-	if l := <-lists; l.Full || l.Generation != 9 {
+	if l := <-lists; l.IsComplete || l.Generation != 9 {
 		t.Errorf("second list %+v", l)
 	}
 	if first, second := <-froms, <-froms; first != "7" || second != "9" {
@@ -126,7 +126,7 @@
 		fmt.Fprintf(w, "%s\n%s\n", text, listJSON(9, false))
 		<-ctx.Done()
 	})
-	if l := <-lists; !l.Full || len(l.Servers) != 1 || l.Servers[0] != good {
+	if l := <-lists; !l.IsComplete || len(l.Servers) != 1 || l.Servers[0] != good {
 		t.Errorf("list %+v, want the good entry", l)
 	}
 	if l := <-lists; l.Generation != 9 { // on the same watch
--- a/internal/edgeproxy/sides_test.go
+++ b/internal/edgeproxy/sides_test.go
@@ -14,7 +14,7 @@
 )
 
 // settingsOf is the settings object of one customer's deployment, as a node is told it.
-func settingsOf(t *testing.T, safe, other, effect, group, plan string, deadline, rate float64, probes bool, feedback string) (policy.Settings, simwire.Transport) {
+func settingsOf(t *testing.T, safe, other, effect, group, plan string, deadline, rate float64, probes bool, feedback string) (policy.Settings, simwire.ConnectionSettings) {
 	t.Helper()
 	set, tr, err := simwire.ParseSettings(fmt.Appendf(nil, `{"instances":1,"me":0,"zone":"z","tick":0.001,"registryMode":"automatic",
 		"feedback":{"how":%q},"lanes":[
--- a/internal/edgeproxy/stream_test.go
+++ b/internal/edgeproxy/stream_test.go
@@ -206,7 +206,7 @@
 // A long body whose server can't be reached never ran: the client is told that it may try
 // again. Once some of it is gone there is no second attempt.
 func TestLongBodyUnsent(t *testing.T) {
-	dead := discovery.Instance{Addr: freeAddr(t)}
+	dead := discovery.Endpoint{Addr: freeAddr(t)}
 	dead.ID, dead.Weight, dead.Kind, dead.Zone = "dead", 1, "k", "z"
 	n := run(t, testConfig(dead))
 	if a := dial(t, n.addr).ask(longBody("a", pattern(holdMost+1), false)); a.status != 429 {
@@ -269,7 +269,7 @@
 func TestLongBodyStops(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, say(okAnswer))
-	n, at := managed(t, say(okAnswer), func(cfg *Config) { cfg.Known.Servers[0] = app.instance("a") })
+	n, at := managed(t, say(okAnswer), func(cfg *Config) { cfg.SavedEndpoints.Servers[0] = app.instance("a") })
 	c, began := dial(t, n.addr), time.Now()
 	text := longBody("a", pattern(holdMost+1), false)
 	c.send(text[:len(text)/2])
--- a/internal/edgeproxy/upstream.go
+++ b/internal/edgeproxy/upstream.go
@@ -169,10 +169,10 @@
 	}
 }
 
-func newUpstream(t simwire.Transport, most int) *upstream {
+func newUpstream(t simwire.ConnectionSettings, most int) *upstream {
 	return &upstream{
 		dialer:   net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1},
-		maxIdle:  time.Duration(idleShare * float64(t.ConnIdle)),
+		maxIdle:  time.Duration(idleShare * float64(t.ConnIdleTimeout)),
 		most:     most,
 		backends: map[string]*backend{},
 	}
@@ -181,7 +181,7 @@
 // update takes in entries of the list and returns the idle connections that are of
 // no more use, for the caller to close. A server that drains, moved, restarted or
 // vanished from the list keeps none.
-func (u *upstream) update(entries []discovery.Instance, full bool) (stale []*conn) {
+func (u *upstream) update(entries []discovery.Endpoint, full bool) (stale []*conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := map[string]bool{}
--- a/internal/edgeproxy/upstream_test.go
+++ b/internal/edgeproxy/upstream_test.go
@@ -19,7 +19,7 @@
 )
 
 func testUpstream(servers ...Instance) *upstream {
-	u := newUpstream(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
+	u := newUpstream(simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
 	u.update(servers, true)
 	return u
 }
@@ -389,7 +389,7 @@
 // what it ends has never run.
 func TestDialIsBounded(t *testing.T) {
 	ln, _ := fullListener(t) // it drops what comes
-	u := newUpstream(simwire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
+	u := newUpstream(simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
 	u.update([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -20,7 +20,7 @@
 
 type accessLine struct {
 	Time time.Time `json:"time"`
-	Record
+	RequestRecord
 }
 
 const (
@@ -35,8 +35,8 @@
 	return l
 }
 
-// Observe takes a record; it is a [Config.Observe].
-func (l *AccessLog) Observe(r Record) {
+// Record takes a record; it is a [Config.Observe].
+func (l *AccessLog) Record(r RequestRecord) {
 	select {
 	case l.lines <- accessLine{time.Now(), r}:
 	default:
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -16,10 +16,10 @@
 	"mulleinmux/routing"
 )
 
-// Hall is a site's servers, which a register of their own lists.
-type Hall struct {
-	Name     string         // the zone of its servers
-	Register netip.AddrPort // its agent: the protocol of package register
+// Site is a site's servers, which a register of their own lists.
+type Site struct {
+	Name      string         // the zone of its servers
+	Discovery netip.AddrPort // its agent: the protocol of package register
 }
 
 // Config is all that an instance is told at its start.
@@ -27,7 +27,7 @@
 	Name   string
 	Listen netip.AddrPort
 	Seed   uint64
-	Halls  []Hall
+	Sites  []Site
 
 	PeerListen netip.AddrPort   // invalid: instances don't message each other
 	Peers      []netip.AddrPort // by number, this instance's own among them
@@ -38,42 +38,42 @@
 	Licensees map[string]Licensee // by name
 
 	// Agreed, if set, has the instance serve only on a setup whose standing it is told
-	// (see [Instance.Confirm]): instances agree on it.
-	Agreed *Agreed
+	// (see [Instance.ConfirmVersion]): instances agree on it.
+	Agreement *Agreement
 
 	// Keys, if set, keeps a keyed request to the hall that package sites gives it.
-	Keys *multisite.Config
+	Keys *multisite.KeyConfig
 
 	// Health, if set, has the instance judge the halls: see package sites.
 	Health *multisite.HealthConfig
 
 	// Consent, if set, has homes of keys confirmed by as many voters as no new homes can do without.
-	Consent *multisite.ConsentConfig
+	QuorumConfirmation *multisite.ConfirmationConfig
 
 	// Ramp, if set, has the instances share out what cold servers may be sent: see package sites.
-	Ramp *multisite.RampConfig
+	RecoveryRamp *multisite.RampConfig
 
 	// Link, if set, has the instance reach other sites' halls by way of their instances.
-	Link *LinkConfig
+	Relay *RelayConfig
 
-	MaxClients     int           // connections of clients
-	MaxServers     int           // connections to servers
-	ConnectTimeout time.Duration // for a connection to a server
-	ConnIdle       time.Duration // after which a server may close an idle connection
-	DrainFor       time.Duration // for which a draining instance still takes requests
-	FullValidation bool          // all parameters and bodies are checked against their schemas
+	MaxClientConns    int           // connections of clients
+	MaxServerConns    int           // connections to servers
+	ConnectTimeout    time.Duration // for a connection to a server
+	ServerIdleTimeout time.Duration // after which a server may close an idle connection
+	DrainTimeout      time.Duration // for which a draining instance still takes requests
+	FullValidation    bool          // all parameters and bodies are checked against their schemas
 
 	// Observe is called with each final answer, if set; it must not block.
-	Observe func(Record)
+	Observe func(RequestRecord)
 
 	listener net.Listener // open, in tests and the lab
 	peerConn *net.UDPConn
 }
 
-// Agreed is how an instance deals with a setup that may no longer be the one in force.
-type Agreed struct {
-	StaleAfter time.Duration // since it was last confirmed; 30 s where 0
-	Refuse     bool          // then requests are refused; else they are served on
+// Agreement is how an instance deals with a setup that may no longer be the one in force.
+type Agreement struct {
+	StaleAfter   time.Duration // since it was last confirmed; 30 s where 0
+	RejectsStale bool          // then requests are refused; else they are served on
 }
 
 // Setup is what an instance can be told anew while it runs.
@@ -83,12 +83,12 @@
 	Check     Checker        // with Table; nil: only what the cost depends on is checked
 	Licensees map[string]Licensee
 	Plans     []policy.Plan // by place, as [policy.Engine.SetPlans] wants them
-	Halls     []Hall
+	Sites     []Site
 }
 
 // Setup is the one that a configuration holds.
 func (c *Config) Setup(number uint64, table *routing.Table, check Checker) Setup {
-	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees, Plans: c.Settings.Plans, Halls: c.Halls}
+	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees, Plans: c.Settings.Plans, Sites: c.Sites}
 }
 
 // Defaults of a [Config].
@@ -103,11 +103,11 @@
 
 // Options are what a description is compiled with.
 func (c *Config) Options() routing.Options {
-	return routing.Options{Classes: c.Classes, MostUnits: int(c.Settings.MaxUnits)}
+	return routing.Options{Classes: c.Classes, MaxUnits: int(c.Settings.MaxUnits)}
 }
 
-// On has the instance serve on sockets that are open. conn is nil without peers.
-func (c *Config) On(ln net.Listener, conn *net.UDPConn) { c.listener, c.peerConn = ln, conn }
+// UseSockets has the instance serve on sockets that are open. conn is nil without peers.
+func (c *Config) UseSockets(ln net.Listener, conn *net.UDPConn) { c.listener, c.peerConn = ln, conn }
 
 func (c *Config) check() error {
 	switch {
@@ -118,13 +118,13 @@
 	case !c.PeerListen.IsValid() && c.peerConn == nil && c.Settings.InstanceCount > 1:
 		return errors.New("peers: instances that share quotas must message each other")
 	}
-	c.MaxClients = orDefault(c.MaxClients, defaultClients)
-	c.MaxServers = orDefault(c.MaxServers, defaultServers)
+	c.MaxClientConns = orDefault(c.MaxClientConns, defaultClients)
+	c.MaxServerConns = orDefault(c.MaxServerConns, defaultServers)
 	c.ConnectTimeout = orDefault(c.ConnectTimeout, defaultConnect)
-	c.ConnIdle = orDefault(c.ConnIdle, defaultIdle)
-	c.DrainFor = orDefault(c.DrainFor, defaultDrain)
-	if c.Agreed != nil {
-		c.Agreed.StaleAfter = orDefault(c.Agreed.StaleAfter, defaultStale)
+	c.ServerIdleTimeout = orDefault(c.ServerIdleTimeout, defaultIdle)
+	c.DrainTimeout = orDefault(c.DrainTimeout, defaultDrain)
+	if c.Agreement != nil {
+		c.Agreement.StaleAfter = orDefault(c.Agreement.StaleAfter, defaultStale)
 	}
 	return nil
 }
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -15,8 +15,8 @@
 func TestFixtureAccessLogAndNumbers(t *testing.T) {
 	var out bytes.Buffer
 	l := NewAccessLog(&out)
-	l.Observe(Record{Trace: "t", Operation: "slots", Licensee: "bahari", Version: 3, Units: 2, Sent: true, Attempts: 2, Status: 200, Answer: "served"})
-	l.Observe(Record{Status: 503, Answer: "refused", Why: "its home is not known"})
+	l.Record(RequestRecord{Trace: "t", Operation: "slots", Licensee: "bahari", Version: 3, Units: 2, Sent: true, Attempts: 2, Status: 200, Answer: "served"})
+	l.Record(RequestRecord{Status: 503, Answer: "refused", KeyRejection: "its home is not known"})
 	l.dropped.Add(5)
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -85,7 +85,7 @@
 			continue
 		}
 		f.mu.Lock()
-		full := len(f.conns) >= f.in.cfg.MaxClients
+		full := len(f.conns) >= f.in.cfg.MaxClientConns
 		if !full {
 			f.conns[c] = struct{}{}
 		}
@@ -262,9 +262,9 @@
 	// First its standing, then the version: a version may be put in force in between, which is
 	// confirmed then as well.
 	fl.age, fl.version = 0, nil
-	if f.in.cfg.Agreed != nil {
+	if f.in.cfg.Agreement != nil {
 		var serves bool
-		if fl.age, serves = f.in.Standing(began); !serves {
+		if fl.age, serves = f.in.Confirmation(began); !serves {
 			f.in.refused.Add(1)
 			return q, errUnconfirmed
 		}
@@ -295,7 +295,7 @@
 		return q, &badRequest{status: http.StatusNoContent, allow: allow}
 	}
 	fl.op, fl.counters = op, v.ops[op.Index]
-	units, err := op.Charge(routing.Request{Query: query, Head: h, Body: fl.body})
+	units, err := op.Charge(routing.Request{Query: query, Header: h, Body: fl.body})
 	if err != nil {
 		return q, err
 	}
@@ -319,7 +319,7 @@
 	}
 	grace := op.Class.Deadline
 	if text, n := h.Values("X-Expires-In"); n > 0 {
-		s, ok := loadreport.Decimal(text)
+		s, ok := loadreport.ParseDecimal(text)
 		if !ok || s <= 0 || n > 1 {
 			return q, &badRequest{status: http.StatusBadRequest, text: "X-Expires-In: malformed"}
 		}
@@ -328,8 +328,8 @@
 		}
 	}
 	fl.units = units
-	if fl.homed = f.in.keys != nil && op.Key.In != routing.Nowhere; fl.homed {
-		fl.key = keyNumber(fl.licensee, op.KeyOf(routing.Request{Query: query, Head: h, Body: fl.body}, path))
+	if fl.homed = f.in.keys != nil && op.KeySource.In != routing.InNowhere; fl.homed {
+		fl.key = keyNumber(fl.licensee, op.ReadKey(routing.Request{Query: query, Header: h, Body: fl.body}, path))
 	}
 	return policy.Request{Class: op.Class.Name, Plan: l.Plan, Customer: l.Customer, Timeout: grace - transit - time.Since(began),
 		Units: float64(units), InstanceCount: f.in.cfg.Settings.InstanceCount}, nil
@@ -415,8 +415,8 @@
 // answer words the final answer of the flight.
 func (c *client) answer() bool {
 	fl := &c.fl
-	rec := Record{Trace: fl.trace, Operation: fl.op.ID, Licensee: fl.licensee, Version: fl.version.number, Units: fl.units,
-		Sent: fl.sent, Attempts: fl.attempts, Answer: fl.answer.String(), Why: fl.why}
+	rec := RequestRecord{Trace: fl.trace, Operation: fl.op.ID, Licensee: fl.licensee, Version: fl.version.number, Units: fl.units,
+		Sent: fl.sent, Attempts: fl.attempts, Answer: fl.answer.String(), KeyRejection: fl.why}
 	var b, body []byte
 	length := 0
 	switch fl.answer {
@@ -488,7 +488,7 @@
 // turnDown answers a request that is the client's mistake.
 func (c *client) turnDown(err error) bool {
 	e := &badRequest{status: http.StatusBadRequest, text: err.Error()}
-	if r, ok := errors.AsType[*routing.Refusal](err); ok {
+	if r, ok := errors.AsType[*routing.ChargeError](err); ok {
 		e.status = r.Status
 	} else {
 		errors.As(err, &e)
@@ -537,7 +537,7 @@
 }
 
 func (c *client) health() bool {
-	if _, serves := c.f.in.Standing(time.Now()); serves && c.f.ready.Load() {
+	if _, serves := c.f.in.Confirmation(time.Now()); serves && c.f.ready.Load() {
 		return c.finish(c.begin(http.StatusOK, "OK"), []byte("ready\n"), 6)
 	}
 	return c.finish(c.begin(http.StatusServiceUnavailable, "Service Unavailable"), []byte("not ready\n"), 10)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -426,8 +426,8 @@
 	h := newHalls(t)
 	h.server("hall-a", "s0")
 	h.server("hall-a", "s1")
-	var last atomic.Pointer[Record]
-	g := start(t, h, 2, func(c *Config) { c.Observe = func(r Record) { last.Store(&r) } })
+	var last atomic.Pointer[RequestRecord]
+	g := start(t, h, 2, func(c *Config) { c.Observe = func(r RequestRecord) { last.Store(&r) } })
 	g.warm(h, 8)
 	last.Store(nil)
 	c := dial(t, g.addr)
@@ -450,7 +450,7 @@
 func TestDrain(t *testing.T) {
 	h := newHalls(t)
 	h.server("hall-a", "s")
-	g := start(t, h, 1, func(c *Config) { c.DrainFor = 300 * time.Millisecond })
+	g := start(t, h, 1, func(c *Config) { c.DrainTimeout = 300 * time.Millisecond })
 	idle, c := dial(t, g.addr), dial(t, g.addr)
 	c.send(get("GET /visits/1"))
 	a := h.next()
@@ -537,7 +537,7 @@
 // Beyond its connections an instance says so, instead of holding them unanswered.
 func TestTooManyConnections(t *testing.T) {
 	h := newHalls(t)
-	g := start(t, h, 0, func(c *Config) { c.MaxClients = 2 })
+	g := start(t, h, 0, func(c *Config) { c.MaxClientConns = 2 })
 	kept := []*asker{dial(t, g.addr), dial(t, g.addr)}
 	for _, c := range kept {
 		if r := c.ask(get("GET /health/ready")); r.status != 200 {
@@ -596,11 +596,11 @@
 		change(&s)
 		return g.Install(s)
 	}
-	if err := install(2, func(s *Setup) { s.Halls = s.Halls[1:] }); err != nil || g.Version() != 2 {
+	if err := install(2, func(s *Setup) { s.Sites = s.Sites[1:] }); err != nil || g.Version() != 2 {
 		t.Fatal(err)
 	}
 	ask("hall-b")
-	if err := install(3, func(s *Setup) { s.Halls = s.Halls[:1] }); err != nil {
+	if err := install(3, func(s *Setup) { s.Sites = s.Sites[:1] }); err != nil {
 		t.Fatal(err)
 	}
 	if err := g.AwaitServers(context.Background(), 1, patience); err != nil {
@@ -608,12 +608,12 @@
 	}
 	ask("hall-a")
 	for name, change := range map[string]func(*Setup){
-		"a hall twice":  func(s *Setup) { s.Halls = append(s.Halls, s.Halls[0]) },
+		"a hall twice":  func(s *Setup) { s.Sites = append(s.Sites, s.Sites[0]) },
 		"a plan twice":  func(s *Setup) { s.Plans = append(s.Plans, s.Plans[0]) },
 		"a place gone":  func(s *Setup) { s.Plans = s.Plans[:1] },
 		"a class twice": func(s *Setup) { s.Table = &routing.Table{Classes: append(testClasses2(), testClasses2()...)} },
 		"a bad quota":   func(s *Setup) { s.Plans = []policy.Plan{{Name: "wide", Rate: -1}, s.Plans[1]} },
-		"another order": func(s *Setup) { s.Halls, s.Plans = nil, nil },
+		"another order": func(s *Setup) { s.Sites, s.Plans = nil, nil },
 	} {
 		if err := install(9, change); err == nil || g.Version() != 3 {
 			t.Errorf("%s is taken", name)
@@ -622,7 +622,7 @@
 	ask("hall-a")
 	// The licensee moves to a plan of three units.
 	if err := install(4, func(s *Setup) {
-		s.Halls = s.Halls[:1]
+		s.Sites = s.Sites[:1]
 		s.Licensees = map[string]Licensee{"honest": {"tight", 1}}
 	}); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -197,13 +197,13 @@
 `
 
 func testClasses() []routing.Class {
-	return []routing.Class{{Name: "check", Worth: 3, Aim: 20 * time.Second, Deadline: 20 * time.Second},
-		{Name: "book", Worth: 9, Aim: 20 * time.Second, Deadline: 20 * time.Second}}
+	return []routing.Class{{Name: "check", PriorityWeight: 3, LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second},
+		{Name: "book", PriorityWeight: 9, LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second}}
 }
 
 func testTable(t testing.TB, text string) (*routing.Table, *openapi.Description) {
 	t.Helper()
-	tab, d, err := openapi.Compile("test.yaml", []byte(text), routing.Options{Classes: testClasses(), MostUnits: 100})
+	tab, d, err := openapi.Compile("test.yaml", []byte(text), routing.Options{Classes: testClasses(), MaxUnits: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -233,10 +233,10 @@
 		t.Fatal(err)
 	}
 	tab, d := testTable(t, description)
-	cfg := &Config{Name: "g", Settings: testSettings(), Classes: testClasses(), DrainFor: 10 * time.Millisecond,
+	cfg := &Config{Name: "g", Settings: testSettings(), Classes: testClasses(), DrainTimeout: 10 * time.Millisecond,
 		Licensees: map[string]Licensee{"honest": {"wide", 1}, "small": {"tight", 2}}}
 	for _, name := range []string{"hall-a", "hall-b"} {
-		cfg.Halls = append(cfg.Halls, Hall{name, h.regs[name].Addr()})
+		cfg.Sites = append(cfg.Sites, Site{name, h.regs[name].Addr()})
 	}
 	if change != nil {
 		change(cfg)
@@ -245,7 +245,7 @@
 	if cfg.FullValidation {
 		check = d.Checker()
 	}
-	cfg.On(ln, nil)
+	cfg.UseSockets(ln, nil)
 	ctx, stop := context.WithCancel(context.Background())
 	r := &running{cfg: cfg, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1)}
 	ready := make(chan *Instance, 1)
@@ -359,7 +359,7 @@
 
 // totals sums the counters of all operations.
 func (r *running) totals() (units, sent, answers int64) {
-	r.Count(func(_ string, c *Counters) {
+	r.EachOperation(func(_ string, c *Counters) {
 		units += c.Units.Load()
 		sent += c.Sent.Load()
 		answers += c.Served.Load() + c.Refused.Load() + c.Failed.Load()
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -51,11 +51,11 @@
 
 	mu       sync.Mutex
 	gw       *policy.Engine
-	link     *link             // nil: it reaches all halls itself
-	keys     *multisite.Keys   // nil: keyed requests are kept to a hall for one request only
-	health   *multisite.Health // nil: halls are not judged
-	consent  *multisite.Consent
-	ramp     *multisite.Ramp // nil: what cold servers are sent is each instance's own guess
+	link     *link                    // nil: it reaches all halls itself
+	keys     *multisite.KeyTable      // nil: keyed requests are kept to a hall for one request only
+	health   *multisite.HealthMonitor // nil: halls are not judged
+	consent  *multisite.QuorumConfirmation
+	ramp     *multisite.RecoveryRamp // nil: what cold servers are sent is each instance's own guess
 	flights  map[string]*flight
 	after    []func() // what the event under way leaves to do without the mutex
 	closed   bool     // no more events
@@ -97,18 +97,18 @@
 	Check(op *routing.Operation, head *httpwire.Head, body []byte) error
 }
 
-// Record is what became of one request that was charged or refused.
-type Record struct {
-	Trace     string `json:"trace"` // X-Trace-Id
-	Operation string `json:"operation"`
-	Licensee  string `json:"licensee"`
-	Version   uint64 `json:"version"` // of the setup that it was matched with
-	Units     int    `json:"units"`
-	Sent      bool   `json:"sent"` // an attempt was written whole: the units count
-	Attempts  int    `json:"attempts"`
-	Status    int    `json:"status"`        // of the final answer
-	Answer    string `json:"answer"`        // "served", "refused" or "failed"
-	Why       string `json:"why,omitempty"` // a request with a key was refused for the sake of its key
+// RequestRecord is what became of one request that was charged or refused.
+type RequestRecord struct {
+	Trace        string `json:"trace"` // X-Trace-Id
+	Operation    string `json:"operation"`
+	Licensee     string `json:"licensee"`
+	Version      uint64 `json:"version"` // of the setup that it was matched with
+	Units        int    `json:"units"`
+	Sent         bool   `json:"sent"` // an attempt was written whole: the units count
+	Attempts     int    `json:"attempts"`
+	Status       int    `json:"status"`        // of the final answer
+	Answer       string `json:"answer"`        // "served", "refused" or "failed"
+	KeyRejection string `json:"why,omitempty"` // a request with a key was refused for the sake of its key
 }
 
 // flight is a request of a client until it has its final answer.
@@ -180,28 +180,28 @@
 	in := &Instance{cfg: cfg, log: logger, start: time.Now(), ctx: ctx, servers: newServers(cfg), gw: gw,
 		flights: map[string]*flight{}, known: map[string]map[string]bool{}, counters: map[string]*Counters{}, halls: map[string]*watch{}}
 	if cfg.Keys != nil {
-		if in.keys, err = multisite.New(*cfg.Keys, in.now()); err != nil {
+		if in.keys, err = multisite.NewKeyTable(*cfg.Keys, in.now()); err != nil {
 			return nil, err
 		}
 	}
-	if cfg.Link != nil {
-		if in.link, err = newLink(cfg.Link); err != nil {
+	if cfg.Relay != nil {
+		if in.link, err = newLink(cfg.Relay); err != nil {
 			return nil, err
 		}
 		in.servers.secure = in.link.secure
 	}
 	if cfg.Health != nil {
-		if in.health, err = multisite.NewHealth(*cfg.Health); err != nil {
+		if in.health, err = multisite.NewHealthMonitor(*cfg.Health); err != nil {
 			return nil, err
 		}
 	}
-	if cfg.Consent != nil {
-		if in.consent, err = multisite.NewConsent(*cfg.Consent); err != nil {
+	if cfg.QuorumConfirmation != nil {
+		if in.consent, err = multisite.NewQuorumConfirmation(*cfg.QuorumConfirmation); err != nil {
 			return nil, err
 		}
 	}
-	if cfg.Ramp != nil {
-		if in.ramp, err = multisite.NewRamp(*cfg.Ramp); err != nil {
+	if cfg.RecoveryRamp != nil {
+		if in.ramp, err = multisite.NewRecoveryRamp(*cfg.RecoveryRamp); err != nil {
 			return nil, err
 		}
 	}
@@ -215,8 +215,8 @@
 // it; those matched before keep theirs to their final answer. With an error nothing has
 // changed.
 func (in *Instance) Install(s Setup) error {
-	for i, h := range s.Halls {
-		if slices.ContainsFunc(s.Halls[:i], func(o Hall) bool { return o.Name == h.Name }) {
+	for i, h := range s.Sites {
+		if slices.ContainsFunc(s.Sites[:i], func(o Site) bool { return o.Name == h.Name }) {
 			return fmt.Errorf("halls: %q stands twice", h.Name)
 		}
 	}
@@ -240,10 +240,10 @@
 			return
 		}
 		in.version.Store(in.prepare(s, old))
-		if deadline, window := s.Table.KeyLife(); in.keys != nil && deadline > 0 {
-			in.keys.SetLife(now, deadline+keyWay, window)
+		if deadline, window := s.Table.KeyLifetimes(); in.keys != nil && deadline > 0 {
+			in.keys.SetLifetimes(now, deadline+keyWay, window)
 		}
-		in.watchHalls(now, s.Halls, out)
+		in.watchHalls(now, s.Sites, out)
 	})
 	return err
 }
@@ -269,16 +269,16 @@
 // watchHalls follows the registers of these halls and of no others. The servers of a hall
 // that is no longer there are gone; those of one whose register has moved stay until the
 // new one tells. Called under the mutex.
-func (in *Instance) watchHalls(now time.Duration, halls []Hall, out policy.Actions) {
+func (in *Instance) watchHalls(now time.Duration, halls []Site, out policy.Actions) {
 	wanted := map[string]netip.AddrPort{}
 	for _, h := range halls {
-		wanted[h.Name] = h.Register
+		wanted[h.Name] = h.Discovery
 	}
 	for name, w := range in.halls {
 		if at, ok := wanted[name]; ok && at == w.register {
 			continue
 		} else if !ok {
-			in.take(now, name, discovery.List{Full: true}, out)
+			in.take(now, name, discovery.EndpointList{IsComplete: true}, out)
 			in.gw.RemoveZoneLimits(name)
 			delete(in.known, name)
 		}
@@ -290,22 +290,22 @@
 			continue
 		}
 		ctx, stop := context.WithCancel(in.ctx)
-		in.halls[h.Name] = &watch{h.Register, stop}
+		in.halls[h.Name] = &watch{h.Discovery, stop}
 		if in.far(h.Name) {
 			list, _ := in.link.far(h.Name)
 			in.take(now, h.Name, list, out)
 			continue
 		}
-		f := &discovery.Follower{Addr: h.Register, Silent: discovery.Silent,
-			Apply: func(l discovery.List) { in.list(ctx, h.Name, l) },
-			Logf:  func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
+		f := &discovery.Watcher{Addr: h.Discovery, SilenceTimeout: discovery.SilenceTimeout,
+			OnList: func(l discovery.EndpointList) { in.list(ctx, h.Name, l) },
+			Logf:   func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
 		in.follow.Go(func() { f.Run(ctx) })
 	}
 }
 
-// Confirm tells that a quorum has confirmed at a time that the setup in force is the one
+// ConfirmVersion tells that a quorum has confirmed at a time that the setup in force is the one
 // that is agreed on.
-func (in *Instance) Confirm(at time.Time) {
+func (in *Instance) ConfirmVersion(at time.Time) {
 	since := max(int64(at.Sub(in.start)), 1)
 	for was := in.confirmed.Load(); since > was && !in.confirmed.CompareAndSwap(was, since); was = in.confirmed.Load() {
 	}
@@ -317,37 +317,37 @@
 // minWait is the least that a client is told to wait where its key has no hall now.
 const minWait = 50 * time.Millisecond
 
-// InstallHomes takes over an agreed epoch of homes: what an entry of the log, the voters of that moment (joint: they
+// InstallKeyOwners takes over an agreed epoch of homes: what an entry of the log, the voters of that moment (joint: they
 // change) and all before it come to.
-func (in *Instance) InstallHomes(h multisite.Homes, index uint64, voters []uint64, joint bool) {
+func (in *Instance) InstallKeyOwners(h multisite.OwnershipEpoch, index uint64, voters []uint64, joint bool) {
 	in.event(func(now time.Duration, _ policy.Actions) {
-		in.keys.Install(now, h)
+		in.keys.InstallEpoch(now, h)
 		if in.consent != nil {
-			in.consent.Agree(index, voters, joint)
+			in.consent.ApplyAgreed(index, voters, joint)
 		}
 	})
 }
 
-// ConfirmHomes tells that the epoch in force was confirmed by a quorum that was asked at a time.
-func (in *Instance) ConfirmHomes(asked time.Time) {
+// ConfirmKeyOwners tells that the epoch in force was confirmed by a quorum that was asked at a time.
+func (in *Instance) ConfirmKeyOwners(asked time.Time) {
 	in.event(func(time.Duration, policy.Actions) {
-		in.keys.Confirm(time.Duration(in.start.UnixNano()) + asked.Sub(in.start))
+		in.keys.ConfirmEpoch(time.Duration(in.start.UnixNano()) + asked.Sub(in.start))
 	})
 }
 
-// TellKeys is [multisite.Keys.Tell], with what else goes to the other instances. fence tells this member's: see
-// [multisite.Consent].
-func (in *Instance) TellKeys(most int, fence func() uint64) (m multisite.Message, more bool) {
+// NextMessage is [multisite.KeyTable.NextBroadcast], with what else goes to the other instances. fence tells this member's: see
+// [multisite.QuorumConfirmation].
+func (in *Instance) NextMessage(most int, fence func() uint64) (m multisite.Message, more bool) {
 	in.event(func(now time.Duration, _ policy.Actions) {
-		if m, more = in.keys.Tell(now, most); more {
+		if m, more = in.keys.NextBroadcast(now, most); more {
 			return
 		}
 		if in.health != nil {
 			for name := range in.halls {
 				if in.far(name) {
-					in.health.Far(name, true)
+					in.health.SetRemote(name, true)
 				} else {
-					in.health.Carries(name, in.gw.ZoneCapacity(now, name))
+					in.health.RecordCapacity(name, in.gw.ZoneCapacity(now, name))
 				}
 			}
 			m.Views = in.health.Views(now)
@@ -357,8 +357,8 @@
 			m.Ramp = &w
 		}
 		if in.consent != nil {
-			w := in.consent.Tell(now, fence())
-			m.Consent = &w
+			w := in.consent.NextBroadcast(now, fence())
+			m.Confirmation = &w
 			in.agreeHomes()
 		}
 	})
@@ -374,24 +374,24 @@
 
 // climb has the module go by this instance's part in the ramps of the halls, and returns what to tell the others.
 // Called under the mutex.
-func (in *Instance) climb(now time.Duration) multisite.RampWord {
-	var carried []multisite.Carried
+func (in *Instance) climb(now time.Duration) multisite.RampMessage {
+	var carried []multisite.WarmLoad
 	for name := range in.halls {
 		if in.far(name) { // its own instances know which of its servers are cold
 			continue
 		}
 		if rate, util := in.gw.WarmServerLoad(now, name); rate > 0 {
-			carried = append(carried, multisite.Carried{Hall: name, Rate: rate, Util: util})
+			carried = append(carried, multisite.WarmLoad{Site: name, Rate: rate, Utilization: util})
 		}
 		servers, sent, short := in.gw.ColdServerWork(now, name)
-		in.ramp.Met(now, name, multisite.ColdWork{Servers: servers, Sent: sent, Short: short})
+		in.ramp.RecordWarmUpLoad(now, name, multisite.WarmUpLoad{ServerWeight: servers, SentWork: sent, RejectedWork: short})
 	}
-	w := in.ramp.Tell(now, carried)
+	w := in.ramp.NextBroadcast(now, carried)
 	for name := range in.halls {
-		servers, near := in.health.Carried(now, name)
+		servers, near := in.health.Capacity(now, name)
 		z := policy.ZoneLimits{IsRemote: in.far(name), InFlightFraction: 1 / float64(in.cfg.Settings.InstanceCount), RemoteServerCount: servers}
 		if !z.IsRemote {
-			z.WarmServerRate = rampFill / in.cfg.Settings.ColdBudgetMultiple() * in.ramp.Warm(now, name) * in.ramp.Share(now, name)
+			z.WarmServerRate = rampFill / in.cfg.Settings.ColdBudgetMultiple() * in.ramp.WarmServerCapacity(now, name) * in.ramp.Share(now, name)
 			z.InFlightFraction = 1 / float64(max(near, 1))
 		}
 		in.gw.SetZoneLimits(name, z)
@@ -399,18 +399,18 @@
 	return w
 }
 
-// HearKeys is [multisite.Keys.Hear].
-func (in *Instance) HearKeys(m multisite.Message) {
+// ReceiveMessage is [multisite.KeyTable.Receive].
+func (in *Instance) ReceiveMessage(m multisite.Message) {
 	in.event(func(now time.Duration, _ policy.Actions) {
-		in.keys.Hear(now, m)
+		in.keys.Receive(now, m)
 		if in.health != nil && m.Views != nil {
-			in.health.Hear(now, m.From, m.Views)
+			in.health.Receive(now, m.From, m.Views)
 		}
 		if in.ramp != nil && m.Ramp != nil {
-			in.ramp.Hear(now, m.From, *m.Ramp)
+			in.ramp.Receive(now, m.From, *m.Ramp)
 		}
-		if in.consent != nil && m.Consent != nil {
-			in.consent.Hear(m.From, *m.Consent)
+		if in.consent != nil && m.Confirmation != nil {
+			in.consent.Receive(m.From, *m.Confirmation)
 			in.agreeHomes()
 		}
 	})
@@ -418,35 +418,35 @@
 
 // agreeHomes confirms the homes in force where enough others consent. Called under the mutex.
 func (in *Instance) agreeHomes() {
-	if at, ok := in.consent.Confirmed(); ok {
-		in.keys.Confirm(at)
+	if at, ok := in.consent.ConfirmedAt(); ok {
+		in.keys.ConfirmEpoch(at)
 	}
 }
 
-// AgreeHalls takes over which halls there are, which of them are lost, and the members.
-func (in *Instance) AgreeHalls(halls []multisite.Hall, lost map[string]int, members []uint64) {
+// SetAgreedSites takes over which halls there are, which of them are lost, and the members.
+func (in *Instance) SetAgreedSites(halls []multisite.Site, lost map[string]int, members []uint64) {
 	in.event(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
-			in.health.Agree(now, halls, lost, members)
+			in.health.ApplyAgreed(now, halls, lost, members)
 		}
 		if in.ramp != nil {
-			in.ramp.Agree(now, halls, members)
+			in.ramp.ApplyAgreed(now, halls, members)
 		}
 	})
 }
 
-// JudgeHalls is [multisite.Health.Judge].
-func (in *Instance) JudgeHalls() (c multisite.HallChange, ok bool) {
+// ProposeSiteChange is [multisite.HealthMonitor.ProposeChange].
+func (in *Instance) ProposeSiteChange() (c multisite.SiteChange, ok bool) {
 	in.event(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
-			c, ok = in.health.Judge(now)
+			c, ok = in.health.ProposeChange(now)
 		}
 	})
 	return c, ok
 }
 
-// HallStates tells what the instance makes of each hall that it has a register of.
-func (in *Instance) HallStates() map[string]string {
+// SiteStates tells what the instance makes of each hall that it has a register of.
+func (in *Instance) SiteStates() map[string]string {
 	states := map[string]string{}
 	in.event(func(now time.Duration, _ policy.Actions) {
 		for name := range in.halls {
@@ -466,16 +466,16 @@
 	hall, _, _ := strings.Cut(server, "/")
 	switch result {
 	case policy.OK, policy.ErrorResponse, policy.RejectedByServer:
-		in.health.Heard(now, hall)
+		in.health.RecordAnswer(now, hall)
 	case policy.TimedOut, policy.ConnectFailed:
-		in.health.Missed(now, hall, sent)
+		in.health.RecordMiss(now, hall, sent)
 	}
 }
 
-// Standing tells how long ago the setup in force was confirmed, and whether requests are
+// Confirmation tells how long ago the setup in force was confirmed, and whether requests are
 // served on it.
-func (in *Instance) Standing(now time.Time) (age time.Duration, serves bool) {
-	a := in.cfg.Agreed
+func (in *Instance) Confirmation(now time.Time) (age time.Duration, serves bool) {
+	a := in.cfg.Agreement
 	if a == nil {
 		return 0, true
 	}
@@ -484,20 +484,20 @@
 		return 0, false
 	}
 	age = now.Sub(in.start) - time.Duration(c)
-	return age, !a.Refuse || age <= a.StaleAfter
+	return age, !a.RejectsStale || age <= a.StaleAfter
 }
 
 // Version is the number of the setup in force.
 func (in *Instance) Version() uint64 { return in.version.Load().number }
 
-// Unconfirmed is the number of requests refused because the setup was not confirmed.
-func (in *Instance) Unconfirmed() int64 { return in.refused.Load() }
+// UnconfirmedCount is the number of requests refused because the setup was not confirmed.
+func (in *Instance) UnconfirmedCount() int64 { return in.refused.Load() }
 
 // Table is the description in force.
 func (in *Instance) Table() *routing.Table { return in.version.Load().table }
 
-// Count calls f with the counters of each operation that was ever in force.
-func (in *Instance) Count(f func(operation string, c *Counters)) {
+// EachOperation calls f with the counters of each operation that was ever in force.
+func (in *Instance) EachOperation(f func(operation string, c *Counters)) {
 	in.mu.Lock()
 	all := make(map[string]*Counters, len(in.counters))
 	for id, c := range in.counters {
@@ -509,8 +509,8 @@
 	}
 }
 
-// Bad is the number of requests that were turned down before they were charged.
-func (in *Instance) Bad() int64 { return in.bad.Load() }
+// BadRequestCount is the number of requests that were turned down before they were charged.
+func (in *Instance) BadRequestCount() int64 { return in.bad.Load() }
 
 // now reads the clock: Unix time, so that start times in lists convert, which never goes back.
 func (in *Instance) now() time.Duration {
@@ -580,12 +580,12 @@
 		}
 		if fl.homed {
 			v := in.keys.Route(now, fl.key)
-			if v.Hall != "" && fl.linked && !in.link.owns(v.Hall) {
-				v = multisite.Verdict{Wait: minWait, Why: "the sites differ on its home"} // the other site goes by older homes, or this one does
+			if v.Site != "" && fl.linked && !in.link.owns(v.Site) {
+				v = multisite.RoutingDecision{RetryAfter: minWait, Reason: "the sites differ on its home"} // the other site goes by older homes, or this one does
 			}
-			if q.Zone = v.Hall; v.Hall == "" {
-				fl.why = v.Why
-				in.end(fl, refused, min(max(v.Wait, minWait), in.cfg.Settings.MaxRetryAfter))
+			if q.Zone = v.Site; v.Site == "" {
+				fl.why = v.Reason
+				in.end(fl, refused, min(max(v.RetryAfter, minWait), in.cfg.Settings.MaxRetryAfter))
 				return
 			}
 		}
@@ -632,7 +632,7 @@
 	if fl.homed && !full { // the homes may have changed since the request was admitted
 		in.event(func(now time.Duration, out policy.Actions) {
 			hall, _, _ := strings.Cut(at.server, "/")
-			if let = in.keys.Send(now, fl.key, hall); !let && fl.sent {
+			if let = in.keys.BeginAttempt(now, fl.key, hall); !let && fl.sent {
 				in.end(fl, failed, 0)
 			} else if !let {
 				fl.why = "its home has moved meanwhile"
@@ -670,7 +670,7 @@
 			in.met(now, at.server, result, sent)
 		}
 		if fl.homed && let && !full {
-			in.keys.Ended(fl.key, !fl.rep.whole || result == policy.RejectedByServer || result == policy.ConnectFailed || result == policy.NotSent)
+			in.keys.EndAttempt(fl.key, !fl.rep.whole || result == policy.RejectedByServer || result == policy.ConnectFailed || result == policy.NotSent)
 		}
 		if result == policy.OK {
 			in.end(fl, served, 0)
@@ -705,7 +705,7 @@
 }
 
 // list hands a hall's list on, unless its watch has ended.
-func (in *Instance) list(ctx context.Context, hall string, l discovery.List) {
+func (in *Instance) list(ctx context.Context, hall string, l discovery.EndpointList) {
 	in.event(func(now time.Duration, out policy.Actions) {
 		if ctx.Err() == nil {
 			in.take(now, hall, l, out)
@@ -715,13 +715,13 @@
 
 // take hands a hall's list on as changes: the lists of the other halls stay as they are.
 // Called under the mutex.
-func (in *Instance) take(now time.Duration, hall string, l discovery.List, out policy.Actions) {
+func (in *Instance) take(now time.Duration, hall string, l discovery.EndpointList, out policy.Actions) {
 	known := in.known[hall]
 	if known == nil {
 		known = map[string]bool{}
 		in.known[hall] = known
 	}
-	entries := make([]discovery.Instance, 0, len(l.Servers))
+	entries := make([]discovery.Endpoint, 0, len(l.Servers))
 	listed := map[string]bool{}
 	for _, s := range l.Servers {
 		s.ID = hall + "/" + s.ID
@@ -732,11 +732,11 @@
 		}
 		entries = append(entries, s)
 	}
-	if l.Full {
+	if l.IsComplete {
 		for id := range known {
 			if !listed[id] {
 				delete(known, id)
-				entries = append(entries, discovery.Instance{Server: policy.Server{ID: id, State: policy.Removed, Zone: hall}})
+				entries = append(entries, discovery.Endpoint{Server: policy.Server{ID: id, State: policy.Removed, Zone: hall}})
 			}
 		}
 	}
@@ -893,7 +893,7 @@
 	in := (*Instance)(a)
 	message = append([]byte(nil), message...)
 	if in.peers != nil {
-		in.after = append(in.after, func() { in.peers.Tell(peer, message, in.log.Printf) })
+		in.after = append(in.after, func() { in.peers.Send(peer, message, in.log.Printf) })
 	}
 }
 
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -25,21 +25,21 @@
 // over mutual TLS as it came, with the id of its crossing. The far instance sends it on within its own halls alone, so
 // that nothing crosses twice, and says truthfully what became of it: an answer; "never ran" (503 with
 // X-Never-Ran); or that it may have run (502). Its units were counted where it entered. If the connection
-// breaks before the answer, the far instance is asked over another one: see [multisite.Arrivals].
+// breaks before the answer, the far instance is asked over another one: see [multisite.ForwardedRequests].
 
-// LinkConfig is an instance's part in the link.
-type LinkConfig struct {
-	Own      []string                                  // halls whose servers it reaches itself
-	Listen   netip.AddrPort                            // where other sites' instances come in
-	Far      map[string][]LinkPeer                     // by hall of another site: the instances that reach it
-	TLS      *tls.Config                               // for both sides: mutual, with session tickets off
-	Verify   func(tls.ConnectionState) (uint64, error) // names the member at the other end
-	Most     int                                       // crossings out at once; 64 where 0
-	listener net.Listener                              // open, in tests and the lab
+// RelayConfig is an instance's part in the link.
+type RelayConfig struct {
+	Own         []string                                  // halls whose servers it reaches itself
+	Listen      netip.AddrPort                            // where other sites' instances come in
+	Remote      map[string][]RelayPeer                    // by hall of another site: the instances that reach it
+	TLS         *tls.Config                               // for both sides: mutual, with session tickets off
+	Verify      func(tls.ConnectionState) (uint64, error) // names the member at the other end
+	MaxInFlight int                                       // crossings out at once; 64 where 0
+	listener    net.Listener                              // open, in tests and the lab
 }
 
-// LinkPeer is an instance of another site.
-type LinkPeer struct {
+// RelayPeer is an instance of another site.
+type RelayPeer struct {
 	Member uint64
 	Addr   netip.AddrPort
 }
@@ -62,11 +62,11 @@
 
 // link is an instance's part in the link, at work.
 type link struct {
-	cfg *LinkConfig
+	cfg *RelayConfig
 
 	mu       sync.Mutex
-	arrivals *multisite.Arrivals
-	budget   *multisite.Budget
+	arrivals *multisite.ForwardedRequests
+	budget   *multisite.RelayBudget
 }
 
 // keptReply is what is kept of a crossing's answer.
@@ -76,16 +76,16 @@
 	body        []byte
 }
 
-func newLink(cfg *LinkConfig) (*link, error) {
+func newLink(cfg *RelayConfig) (*link, error) {
 	if len(cfg.Own) == 0 || cfg.TLS == nil || cfg.Verify == nil {
 		return nil, errors.New("link: a hall of its own, certificates and a check of them are needed")
 	}
 	l := &link{cfg: cfg}
 	var err error
-	if l.arrivals, err = multisite.NewArrivals(arrivalLife, arrivalsMost); err != nil {
+	if l.arrivals, err = multisite.NewForwardedRequests(arrivalLife, arrivalsMost); err != nil {
 		return nil, err
 	}
-	l.budget, err = multisite.NewBudget(multisite.BudgetConfig{Most: orDefault(cfg.Most, linkMost), Retries: linkRetries, Saved: linkSaved})
+	l.budget, err = multisite.NewRelayBudget(multisite.RelayBudgetConfig{MaxInFlight: orDefault(cfg.MaxInFlight, linkMost), RetryRatio: linkRetries, MaxSavedRetries: linkSaved})
 	return l, err
 }
 
@@ -93,13 +93,13 @@
 func crosses(server string) bool { return strings.Contains(server, linkServerMark) }
 
 // far is what the module is told of a hall that is reached by way of its own site's instances.
-func (l *link) far(hall string) (list discovery.List, ok bool) {
-	peers, ok := l.cfg.Far[hall]
+func (l *link) far(hall string) (list discovery.EndpointList, ok bool) {
+	peers, ok := l.cfg.Remote[hall]
 	for _, p := range peers {
-		list.Servers = append(list.Servers, discovery.Instance{Addr: p.Addr,
+		list.Servers = append(list.Servers, discovery.Endpoint{Addr: p.Addr,
 			Server: policy.Server{ID: "@" + strconv.FormatUint(p.Member, 10), Weight: 1, Kind: "instance", Zone: hall}})
 	}
-	list.Full = true
+	list.IsComplete = true
 	return list, ok
 }
 
@@ -149,12 +149,12 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.budget.Take(fl.licensee, worth(fl.op.Class.PriorityWeight, fl.op.Class.LatencyObjective)/max(best, 1e-9), fl.attempts > 1)
+	return l.budget.Acquire(fl.licensee, worth(fl.op.Class.PriorityWeight, fl.op.Class.LatencyObjective)/max(best, 1e-9), fl.attempts > 1)
 }
 
 func (l *link) done(fl *flight) {
 	l.mu.Lock()
-	l.budget.Done(fl.licensee)
+	l.budget.Release(fl.licensee)
 	l.mu.Unlock()
 }
 
@@ -163,7 +163,7 @@
 
 // fate asks a far instance, over another connection, what became of a crossing whose connection broke. It
 // asks until the answer is final or the attempt's time is over.
-func (in *Instance) fate(fl *flight, at attempt) (multisite.Fate, *keptReply) {
+func (in *Instance) fate(fl *flight, at attempt) (multisite.ExecutionStatus, *keptReply) {
 	id := fl.crossing()
 	for until := at.until; time.Now().Before(until); {
 		var rep reply
@@ -176,13 +176,13 @@
 			return append(httpwire.AppendField(b, crossingField, id), "\r\n"...)
 		})
 		if result == policy.OK {
-			switch f := multisite.ParseFate(rep.head.Get(fateField)); f {
-			case multisite.Ran:
+			switch f := multisite.ParseExecutionStatus(rep.head.Get(fateField)); f {
+			case multisite.Executed:
 				if rep.head.Status == http.StatusNoContent {
 					return f, nil
 				}
 				return f, &keptReply{rep.head.Status, rep.head.Get("Content-Type"), rep.body}
-			case multisite.Underway:
+			case multisite.Executing:
 			default:
 				return f, nil
 			}
@@ -192,20 +192,20 @@
 		case <-pause.C:
 		case <-in.ctx.Done():
 			pause.Stop()
-			return multisite.Unknown, nil
+			return multisite.ExecutionUnknown, nil
 		}
 	}
-	return multisite.Unknown, nil
+	return multisite.ExecutionUnknown, nil
 }
 
 // settle finds out what became of an attempt whose connection over the link broke.
 func (in *Instance) settle(fl *flight, at attempt) policy.Result {
 	f, kept := in.fate(fl, at)
 	switch {
-	case f == multisite.Never:
+	case f == multisite.NeverExecuted:
 		fl.rep.whole = false // as if it had not been written; and the far instance lives
 		return policy.RejectedByServer
-	case f == multisite.Ran && kept != nil:
+	case f == multisite.Executed && kept != nil:
 		h := &fl.rep.head
 		*h = httpwire.Head{Status: kept.status, Reason: http.StatusText(kept.status), Length: int64(len(kept.body))}
 		if kept.contentType != "" {
@@ -225,7 +225,7 @@
 		return c.turnDown(&badRequest{status: http.StatusBadRequest, text: crossingField + ": one is wanted"})
 	}
 	l.mu.Lock()
-	f, kept := l.arrivals.Ask(time.Now(), id)
+	f, kept := l.arrivals.ResolveStatus(time.Now(), id)
 	l.mu.Unlock()
 	status, body := http.StatusNoContent, []byte(nil)
 	k, ok := kept.(*keptReply)
@@ -253,10 +253,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.crossed != "" && c.crossed != id { // a connection carries one after the other: the last answer has been read
-		l.arrivals.Settled(c.crossed)
+		l.arrivals.Acknowledge(c.crossed)
 	}
 	c.crossed = id
-	if fate, ok := l.arrivals.Come(time.Now(), id); !ok && fate == multisite.Never {
+	if fate, ok := l.arrivals.Admit(time.Now(), id); !ok && fate == multisite.NeverExecuted {
 		return &badRequest{status: http.StatusConflict, text: "the crossing is void or can't be remembered"}
 	} else if !ok {
 		return &badRequest{status: http.StatusBadGateway, text: "the crossing has come before", mayRun: true}
@@ -268,18 +268,18 @@
 // left notes the fate of a crossing that has its final answer.
 func (c *client) left() {
 	l, fl := c.f.in.link, &c.fl
-	fate, kept := multisite.Unknown, any(nil)
+	fate, kept := multisite.ExecutionUnknown, any(nil)
 	switch {
 	case fl.answer == served:
-		fate = multisite.Ran
+		fate = multisite.Executed
 		if h := &fl.rep.head; len(fl.rep.body) <= keptAnswer && fl.head.Method != http.MethodHead && h.Status != http.StatusNoContent && h.Status != http.StatusNotModified {
 			kept = &keptReply{h.Status, h.Get("Content-Type"), fl.rep.body}
 		}
 	case !fl.mayRun:
-		fate = multisite.Never
+		fate = multisite.NeverExecuted
 	}
 	l.mu.Lock()
-	l.arrivals.Ended(time.Now(), fl.crossingID, fate, kept)
+	l.arrivals.Complete(time.Now(), fl.crossingID, fate, kept)
 	l.mu.Unlock()
 }
 
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -109,20 +109,20 @@
 }
 
 // twoSites starts an instance of each site, a link between them, and a server at the far hall alone.
-func twoSites(t *testing.T, h *halls, change func(near, far *LinkConfig)) (near, far *running, w *way) {
+func twoSites(t *testing.T, h *halls, change func(near, far *RelayConfig)) (near, far *running, w *way) {
 	auth, err := raftnode.NewAuthority("test")
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.authority = auth
-	part := func(member uint64, own string) *LinkConfig {
-		creds, err := auth.Credentials(member)
+	part := func(member uint64, own string) *RelayConfig {
+		creds, err := auth.IssueCredentials(member)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := creds.TLS()
+		c := creds.TLSConfig()
 		c.SessionTicketsDisabled = true
-		return &LinkConfig{Own: []string{own}, TLS: c, Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.MemberOf("test", s) }}
+		return &RelayConfig{Own: []string{own}, TLS: c, Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("test", s) }}
 	}
 	a, b := part(1, "hall-a"), part(2, "hall-b")
 	if b.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -132,13 +132,13 @@
 		t.Fatal(err)
 	}
 	w = newWay(t, b.listener.Addr().String())
-	a.Far = map[string][]LinkPeer{"hall-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
+	a.Remote = map[string][]RelayPeer{"hall-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
 	if change != nil {
 		change(a, b)
 	}
 	h.server("hall-b", "s1")
-	far = start(t, h, 1, func(c *Config) { c.Link = b })
-	near = start(t, h, 1, func(c *Config) { c.Link = a })
+	far = start(t, h, 1, func(c *Config) { c.Relay = b })
+	near = start(t, h, 1, func(c *Config) { c.Relay = a })
 	return near, far, w
 }
 
@@ -264,9 +264,9 @@
 		t.Fatal(err)
 	}
 	defer third.Close()
-	near, _, _ := twoSites(t, h, func(_, far *LinkConfig) {
+	near, _, _ := twoSites(t, h, func(_, far *RelayConfig) {
 		// The far site's instance could go on to a third site.
-		far.Far = map[string][]LinkPeer{"hall-a": {{9, third.Addr().(*net.TCPAddr).AddrPort()}}}
+		far.Remote = map[string][]RelayPeer{"hall-a": {{9, third.Addr().(*net.TCPAddr).AddrPort()}}}
 	})
 	h.list("hall-b", "s1", "127.0.0.1:1", "removed")
 	c := dial(t, near.addr)
@@ -291,7 +291,7 @@
 	h := newHalls(t)
 	var as *tls.Config
 	var door string
-	twoSites(t, h, func(a, b *LinkConfig) { as, door = a.TLS, b.listener.Addr().String() })
+	twoSites(t, h, func(a, b *RelayConfig) { as, door = a.TLS, b.listener.Addr().String() })
 	tc, err := tls.Dial("tcp", door, as)
 	if err != nil {
 		t.Fatal(err)
@@ -337,18 +337,18 @@
 	var door string
 	dir := t.TempDir()
 	var operator *tls.Config
-	near, _, _ := twoSites(t, h, func(a, b *LinkConfig) {
+	near, _, _ := twoSites(t, h, func(a, b *RelayConfig) {
 		door = b.listener.Addr().String()
-		a.Far["hall-b"][0].Member = 7
+		a.Remote["hall-b"][0].Member = 7
 		auth := h.authority
 		if err := errors.Join(auth.Write(dir), auth.WriteOperator(dir, "op")); err != nil {
 			t.Fatal(err)
 		}
-		creds, err := raftnode.LoadNamed(dir, raftnode.OperatorFile("op"))
+		creds, err := raftnode.LoadCredentialFiles(dir, raftnode.OperatorFilePrefix("op"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		operator = creds.TLS()
+		operator = creds.TLSConfig()
 	})
 	if got := dial(t, near.addr).ask(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: k")); got.status != 429 {
 		t.Errorf("by a member that is not the one expected: %+v", got)
@@ -399,7 +399,7 @@
 // No more crosses at once than the budget allows: the surplus is refused at once, and a place that is free again is used.
 func TestCrossingsAreBounded(t *testing.T) {
 	h := newHalls(t)
-	near, _, _ := twoSites(t, h, func(near, _ *LinkConfig) { near.Most = 2 })
+	near, _, _ := twoSites(t, h, func(near, _ *RelayConfig) { near.MaxInFlight = 2 })
 	for began := time.Now(); time.Since(began) < 300*time.Millisecond; {
 		near.warm(h, 1) // or the module would take two out at one server for a jam
 	}
@@ -435,7 +435,7 @@
 	h := newHalls(t)
 	h.server("hall-a", "s1")
 	r := start(t, h, 1, func(c *Config) {
-		c.Keys = &multisite.Config{Me: 1, Incarnation: 1, Lease: time.Second, Life: time.Second, Memory: time.Second, Most: 10}
+		c.Keys = &multisite.KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: time.Second, KeyTTL: time.Second, DeduplicationWindow: time.Second, MaxKeys: 10}
 	})
 	f := &front{in: r.Instance}
 	number := func(body string, fields ...string) uint64 {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -58,7 +58,7 @@
 	defer ln.Close()
 	switch {
 	case cfg.peerConn != nil:
-		in.peers = gossip.On(cfg.peerConn, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeerListen)
+		in.peers = gossip.NewSocket(cfg.peerConn, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeerListen)
 	case cfg.PeerListen.IsValid():
 		if in.peers, err = gossip.Listen(cfg.PeerListen, cfg.Settings.InstanceIndex, cfg.Peers, cfg.PeerListen); err != nil {
 			return err
@@ -77,10 +77,10 @@
 	f := &front{in: in, conns: map[*client]struct{}{}}
 	failed := make(chan error, 2)
 	side.Go(func() { failed <- f.serve(ln) })
-	if cfg.Link != nil {
-		lln := cfg.Link.listener
+	if cfg.Relay != nil {
+		lln := cfg.Relay.listener
 		if lln == nil {
-			if lln, err = net.Listen("tcp", cfg.Link.Listen.String()); err != nil {
+			if lln, err = net.Listen("tcp", cfg.Relay.Listen.String()); err != nil {
 				ln.Close()
 				return fmt.Errorf("link: %w", err)
 			}
@@ -114,7 +114,7 @@
 func (f *front) drain(ln net.Listener) {
 	f.ready.Store(false)
 	f.draining.Store(true)
-	<-time.After(f.in.cfg.DrainFor)
+	<-time.After(f.in.cfg.DrainTimeout)
 	ln.Close()
 	if f.link != nil {
 		f.link.Close()
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -95,12 +95,12 @@
 
 func newServers(cfg *Config) *servers {
 	return &servers{dialer: net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1},
-		maxIdle: time.Duration(idleShare * float64(cfg.ConnIdle)), most: cfg.MaxServers, byID: map[string]*server{}}
+		maxIdle: time.Duration(idleShare * float64(cfg.ServerIdleTimeout)), most: cfg.MaxServerConns, byID: map[string]*server{}}
 }
 
 // update takes in entries of a list and returns the connections that are of no more use,
 // for the caller to close. A server that drains, moved, restarted or is gone keeps none.
-func (u *servers) update(entries []discovery.Instance) (stale []*conn) {
+func (u *servers) update(entries []discovery.Endpoint) (stale []*conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, e := range entries {
--- a/internal/gatewayconfig/agreed.go
+++ b/internal/gatewayconfig/agreed.go
@@ -30,8 +30,8 @@
 			p.addProblem(section+".name", "%q is empty, stands twice or has a slash", s.Name)
 		}
 		names[s.Name] = true
-		site := gateway.Hall{Name: s.Name, Register: p.address(section+".register", s.Register)}
-		cfg.Halls = append(cfg.Halls, site)
+		site := gateway.Site{Name: s.Name, Discovery: p.address(section+".register", s.Register)}
+		cfg.Sites = append(cfg.Sites, site)
 	}
 	if len(form.Sites) == 0 {
 		p.addProblem("hall", "none is described: add a [[hall]] with name and register")
@@ -59,7 +59,7 @@
 		}
 		names[c.Name] = true
 		cfg.Classes = append(cfg.Classes, routing.Class{
-			Name: c.Name, Worth: c.Worth, Late: c.Late, Aim: c.Aim.d, Deadline: c.Deadline.d,
+			Name: c.Name, PriorityWeight: c.Worth, LateFraction: c.Late, LatencyObjective: c.Aim.d, Deadline: c.Deadline.d,
 		})
 	}
 }
--- a/internal/gatewayconfig/cluster_file.go
+++ b/internal/gatewayconfig/cluster_file.go
@@ -66,25 +66,25 @@
 
 // addAll adds the objects of a file whose sites, classes, plans and licensees were read into cfg.
 func (s *objectSet) addAll(form *clusterForm, cfg *gateway.Config) {
-	for i, site := range cfg.Halls {
-		s.add("hall", site.Name, clusterconfig.Hall{Register: site.Register.String(), Closed: form.Sites[i].Closed})
+	for i, site := range cfg.Sites {
+		s.add("hall", site.Name, clusterconfig.Site{DiscoveryAddress: site.Discovery.String(), IsClosed: form.Sites[i].Closed})
 	}
 	for _, c := range cfg.Classes {
 		s.add("class", c.Name, clusterconfig.Class{
-			Worth: c.Worth, Late: c.Late, AimMs: c.Aim.Milliseconds(), DeadlineMs: c.Deadline.Milliseconds(),
+			PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction, LatencyObjectiveMs: c.LatencyObjective.Milliseconds(), DeadlineMs: c.Deadline.Milliseconds(),
 		})
 	}
 	for _, plan := range form.Plans {
 		s.add("plan", plan.Name, clusterconfig.Plan{
-			Rate:         plan.Rate,
-			Burst:        plan.Burst,
-			CeilingRate:  plan.CeilingRate,
-			CeilingBurst: plan.CeilingBurst,
-			CeilingSlack: plan.CeilingSlack,
-			Open:         plan.Open,
-			Price:        plan.Price,
-			OverWorth:    plan.OverWorth,
-			OverCost:     plan.OverCost,
+			Rate:              plan.Rate,
+			Burst:             plan.Burst,
+			HardLimitRate:     plan.CeilingRate,
+			HardLimitBurst:    plan.CeilingBurst,
+			HardLimitSlack:    plan.CeilingSlack,
+			MaxInFlight:       plan.Open,
+			PriorityFactor:    plan.Price,
+			OverQuotaFraction: plan.OverWorth,
+			OverQuotaCost:     plan.OverCost,
 		})
 	}
 	for name, l := range cfg.Licensees {
@@ -92,7 +92,7 @@
 	}
 	s.addFollowers(form.Followers)
 	if form.MaxUnits > 0 {
-		s.add("limit", "units", clusterconfig.Limit{Most: form.MaxUnits})
+		s.add("limit", "units", clusterconfig.Limit{Max: form.MaxUnits})
 	}
 }
 
@@ -102,6 +102,6 @@
 			s.parser.addProblem(fmt.Sprintf("follower[%d].name", i), "%q is empty or stands twice", f.Name)
 			continue
 		}
-		s.add("follower", f.Name, clusterconfig.Follower{Note: f.Note, Pin: f.Pin})
+		s.add("follower", f.Name, clusterconfig.Follower{Note: f.Note, PinnedVersion: f.Pin})
 	}
 }
--- a/internal/gatewayconfig/instance.go
+++ b/internal/gatewayconfig/instance.go
@@ -66,8 +66,8 @@
 func (p *parser) agreedConfig(form *instanceForm, cfg *gateway.Config) {
 	p.requireDescription(&form.agreedForm)
 	p.sites(&form.agreedForm, cfg)
-	isZone := func(site gateway.Hall) bool { return site.Name == form.Zone }
-	if len(form.Sites) > 0 && !slices.ContainsFunc(cfg.Halls, isZone) {
+	isZone := func(site gateway.Site) bool { return site.Name == form.Zone }
+	if len(form.Sites) > 0 && !slices.ContainsFunc(cfg.Sites, isZone) {
 		p.addProblem("zone", "%q is no hall's name", form.Zone)
 	}
 	p.classes(&form.agreedForm, cfg)
@@ -113,10 +113,10 @@
 
 func setLimits(form *instanceForm, cfg *gateway.Config) {
 	limits := &form.Limits
-	cfg.MaxClients, cfg.MaxServers = limits.Clients, limits.Servers
+	cfg.MaxClientConns, cfg.MaxServerConns = limits.Clients, limits.Servers
 	cfg.ConnectTimeout = limits.ConnectTimeout.d
-	cfg.ConnIdle = limits.ConnIdle.d
-	cfg.DrainFor = limits.DrainFor.d
+	cfg.ServerIdleTimeout = limits.ConnIdle.d
+	cfg.DrainTimeout = limits.DrainFor.d
 }
 
 // settingsOf returns the policy's settings, without the plans.
--- a/internal/gatewayconfig/link_test.go
+++ b/internal/gatewayconfig/link_test.go
@@ -28,9 +28,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	link := f.Config.Link
-	if link == nil || link.Own[0] != "hall-a" || link.Far["hall-b"][0].Member != 2 ||
-		link.Far["hall-b"][0].Addr.Port() != 7302 {
+	link := f.Config.Relay
+	if link == nil || link.Own[0] != "hall-a" || link.Remote["hall-b"][0].Member != 2 ||
+		link.Remote["hall-b"][0].Addr.Port() != 7302 {
 		t.Errorf("%+v", link)
 	}
 }
--- a/internal/gatewayconfig/membership.go
+++ b/internal/gatewayconfig/membership.go
@@ -48,12 +48,12 @@
 }
 
 // staleness reads what an instance does whose configuration has not been confirmed lately.
-func (p *parser) staleness(section string, staleAfter duration, whenStale string) *gateway.Agreed {
-	staleness := &gateway.Agreed{StaleAfter: staleAfter.d}
+func (p *parser) staleness(section string, staleAfter duration, whenStale string) *gateway.Agreement {
+	staleness := &gateway.Agreement{StaleAfter: staleAfter.d}
 	switch whenStale {
 	case "", whenStaleServe:
 	case whenStaleRefuse:
-		staleness.Refuse = true
+		staleness.RejectsStale = true
 	default:
 		p.addProblem(section+".when_stale", "%q is unknown: \"serve\" or \"refuse\" is wanted", whenStale)
 	}
@@ -94,7 +94,7 @@
 	if len(f.Members) == 0 {
 		p.addProblem("follow.member", "none is named: add a [[follow.member]] with number and stream")
 	}
-	out.Config.Agreed = p.staleness("follow", f.StaleAfter, f.WhenStale)
+	out.Config.Agreement = p.staleness("follow", f.StaleAfter, f.WhenStale)
 	cfg.DisableKeyOwnership = p.disablesKeyOwnership("follow", f.Keys)
 }
 
@@ -120,13 +120,13 @@
 	if m.Tick.d != 0 && (m.Tick.d < minTickInterval || m.Tick.d > maxTickInterval) {
 		p.addProblem("cluster.tick", "%v is outside 1ms to 1s", m.Tick.d)
 	}
-	out.Config.Agreed = p.staleness("cluster", m.StaleAfter, m.WhenStale)
+	out.Config.Agreement = p.staleness("cluster", m.StaleAfter, m.WhenStale)
 	cfg.DisableKeyOwnership = p.disablesKeyOwnership("cluster", m.Keys)
 	if m.Stream != "" {
 		cfg.StreamListenAddr = p.address("cluster.stream", m.Stream).String()
 	}
 	if m.Link != nil {
-		out.Config.Link = p.link(m.Link, form.Zone, cfg)
+		out.Config.Relay = p.link(m.Link, form.Zone, cfg)
 	}
 }
 
@@ -138,20 +138,20 @@
 			p.addProblem(section+".number", "%d is 0 or stands twice", m.Number)
 		}
 		members[m.Number] = clusterconfig.Member{
-			Raft:  p.address(section+".raft", m.Raft).String(),
-			Admin: p.address(section+".admin", m.Admin).String(),
+			RaftAddress:  p.address(section+".raft", m.Raft).String(),
+			AdminAddress: p.address(section+".admin", m.Admin).String(),
 		}
 	}
 	return members
 }
 
 // link reads over which members an instance reaches the sites that it does not reach itself.
-func (p *parser) link(form *linkForm, zone string, member *MemberConfig) *gateway.LinkConfig {
-	link := &gateway.LinkConfig{
-		Own:    []string{zone},
-		Listen: p.address("cluster.link.listen", form.Listen),
-		Most:   form.Most,
-		Far:    map[string][]gateway.LinkPeer{},
+func (p *parser) link(form *linkForm, zone string, member *MemberConfig) *gateway.RelayConfig {
+	link := &gateway.RelayConfig{
+		Own:         []string{zone},
+		Listen:      p.address("cluster.link.listen", form.Listen),
+		MaxInFlight: form.Most,
+		Remote:      map[string][]gateway.RelayPeer{},
 	}
 	if form.Most != 0 && (form.Most < minLinkRequests || form.Most > maxLinkRequests) {
 		p.addProblem("cluster.link.most", "%d is outside %d to %d", form.Most, minLinkRequests, maxLinkRequests)
@@ -167,12 +167,12 @@
 		if _, isMember := member.Members[f.Member]; !isMember || f.Member == member.MemberID {
 			p.addProblem(section+".member", "%d is no other [[cluster.member]] of this file", f.Member)
 		}
-		isSame := func(peer gateway.LinkPeer) bool { return peer.Member == f.Member }
-		if slices.ContainsFunc(link.Far[f.Site], isSame) {
+		isSame := func(peer gateway.RelayPeer) bool { return peer.Member == f.Member }
+		if slices.ContainsFunc(link.Remote[f.Site], isSame) {
 			p.addProblem(section+".member", "%d stands twice for %s", f.Member, f.Site)
 		}
-		peer := gateway.LinkPeer{Member: f.Member, Addr: p.address(section+".address", f.Address)}
-		link.Far[f.Site] = append(link.Far[f.Site], peer)
+		peer := gateway.RelayPeer{Member: f.Member, Addr: p.address(section+".address", f.Address)}
+		link.Remote[f.Site] = append(link.Remote[f.Site], peer)
 	}
 	return link
 }
--- a/internal/gatewayconfig/parser.go
+++ b/internal/gatewayconfig/parser.go
@@ -68,7 +68,7 @@
 
 // address reads an IP address with a port.
 func (p *parser) address(field, value string) netip.AddrPort {
-	addr, err := discovery.Address(field, value)
+	addr, err := discovery.ParseAddress(field, value)
 	if err != nil {
 		p.addProblem(field, "%q is no address with a port, such as \"127.0.0.1:8080\"", value)
 	}
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -35,11 +35,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return On(conn, me, addrs, all), nil
+	return NewSocket(conn, me, addrs, all), nil
 }
 
-// On is [Listen] on a socket that is open.
-func On(conn *net.UDPConn, me int, addrs []netip.AddrPort, all netip.AddrPort) *Socket {
+// NewSocket is [Listen] on a socket that is open.
+func NewSocket(conn *net.UDPConn, me int, addrs []netip.AddrPort, all netip.AddrPort) *Socket {
 	p := &Socket{conn: conn, addrs: addrs, all: all, from: map[netip.AddrPort]int{}}
 	for i, a := range addrs {
 		if i != me {
@@ -55,9 +55,9 @@
 // Close closes the socket, which ends Receive.
 func (p *Socket) Close() error { return p.conn.Close() }
 
-// Tell sends a message. A lost one is part of the contract; that messages can't be
+// Send sends a message. A lost one is part of the contract; that messages can't be
 // sent is logged once, and so is that they can again.
-func (p *Socket) Tell(peer int, message []byte, logf func(format string, args ...any)) {
+func (p *Socket) Send(peer int, message []byte, logf func(format string, args ...any)) {
 	err := p.send(peer, message)
 	if was := p.mute.Swap(err != nil); err != nil && !was {
 		logf("peers: %v", err)
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -59,7 +59,7 @@
 	var lines []string
 	logf := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	for _, peer := range []int{2, 2, 1, 1} {
-		p.Tell(peer, []byte("hello"), logf)
+		p.Send(peer, []byte("hello"), logf)
 	}
 	if len(lines) != 2 { // one for each change of state
 		t.Errorf("logged %q", lines)
--- a/internal/loadreport/load.go
+++ b/internal/loadreport/load.go
@@ -26,7 +26,7 @@
 	l := policy.LoadReport{InFlight: -1, QueueLength: -1, Utilization: -1}
 	for _, pair := range strings.Split(text, ",") {
 		name, val, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		x, ok := Decimal(val)
+		x, ok := ParseDecimal(val)
 		if !ok {
 			continue
 		}
@@ -43,8 +43,8 @@
 	return &l
 }
 
-// Decimal parses a plain decimal number from 0: no sign, exponent, hex or infinity.
-func Decimal(text string) (float64, bool) {
+// ParseDecimal parses a plain decimal number from 0: no sign, exponent, hex or infinity.
+func ParseDecimal(text string) (float64, bool) {
 	if text == "" || len(text) > 20 || strings.Trim(text, "0123456789.") != "" {
 		return 0, false
 	}
--- a/internal/openapi/check.go
+++ b/internal/openapi/check.go
@@ -40,7 +40,7 @@
 
 // Check returns what is wrong with a request of an operation, or nil.
 func (c *Checker) Check(op *routing.Operation, head *httpwire.Head, body []byte) error {
-	path, values := op.Path(head.Target)
+	path, values := op.PathParams(head.Target)
 	route := c.routes[place{op.Method, path}]
 	if route == nil {
 		return fmt.Errorf("%s %s is not in the description", op.Method, path)
--- a/internal/openapi/read.go
+++ b/internal/openapi/read.go
@@ -371,18 +371,18 @@
 
 // outline takes over places and extensions of all paths and operations.
 func (r *reader) outline() *routing.Document {
-	doc := &routing.Document{File: r.file, Rules: r.rules(r.root)}
+	doc := &routing.Document{File: r.file, Extension: r.rules(r.root)}
 	paths := get(r.root, "paths")
 	if paths == nil || paths.Kind != yaml.MappingNode {
 		return doc
 	}
 	for i := 0; i+1 < len(paths.Content); i += 2 {
 		key, node := paths.Content[i], r.deref(paths.Content[i+1])
-		p := routing.Path{Template: key.Value, Pos: pos(key), Rules: r.rules(node)}
+		p := routing.Path{Template: key.Value, Pos: pos(key), Extension: r.rules(node)}
 		for j := 0; node != nil && node.Kind == yaml.MappingNode && j+1 < len(node.Content); j += 2 {
 			name := strings.ToUpper(node.Content[j].Value)
 			if slices.Contains(methods, name) && node.Content[j].Value == strings.ToLower(name) {
-				p.Methods = append(p.Methods, routing.Method{Name: name, Pos: pos(node.Content[j]), Rules: r.rules(plain(node.Content[j+1]))})
+				p.Methods = append(p.Methods, routing.Method{Name: name, Pos: pos(node.Content[j]), Extension: r.rules(plain(node.Content[j+1]))})
 			}
 		}
 		doc.Paths = append(doc.Paths, p)
@@ -426,7 +426,7 @@
 			r.problems = append(r.problems, routing.Problem{File: r.file, Pos: m.Pos,
 				Field: "paths." + path + "." + strings.ToLower(m.Name) + ".servers", Text: err.Error()})
 		}
-		m.Bases = append(m.Bases, base)
+		m.BasePaths = append(m.BasePaths, base)
 	}
 	seen := map[[2]string]bool{}
 	for _, params := range []openapi3.Parameters{op.Parameters, item.Parameters} {
@@ -516,13 +516,13 @@
 }
 
 func value(n *yaml.Node, depth int) routing.Value {
-	v := routing.Value{Pos: pos(n), Kind: routing.Other}
+	v := routing.Value{Pos: pos(n), Kind: routing.OtherValue}
 	if n = plain(n); n == nil || depth > 8 {
 		return v
 	}
 	switch n.Kind {
 	case yaml.MappingNode:
-		v.Kind = routing.Mapping
+		v.Kind = routing.MappingValue
 		for i := 0; i+1 < len(n.Content); i += 2 {
 			v.Fields = append(v.Fields, routing.Field{Name: n.Content[i].Value, Pos: pos(n.Content[i]), Value: value(n.Content[i+1], depth+1)})
 		}
@@ -530,11 +530,11 @@
 		v.Text = n.Value
 		switch n.ShortTag() {
 		case "!!int", "!!float":
-			v.Kind = routing.Number
+			v.Kind = routing.NumberValue
 		case "!!bool":
-			v.Kind = routing.Bool
+			v.Kind = routing.BoolValue
 		case "!!str":
-			v.Kind = routing.Text
+			v.Kind = routing.TextValue
 		}
 	}
 	return v
--- a/internal/openapi/read_test.go
+++ b/internal/openapi/read_test.go
@@ -16,8 +16,8 @@
 
 func options() routing.Options {
 	return routing.Options{Classes: []routing.Class{
-		{Name: "slot-check", Worth: 3, Aim: 400e6, Deadline: 2e9},
-		{Name: "visit-book", Worth: 9, Late: 0.2, Aim: 750e6, Deadline: 2e9}}, MostUnits: 50}
+		{Name: "slot-check", PriorityWeight: 3, LatencyObjective: 400e6, Deadline: 2e9},
+		{Name: "visit-book", PriorityWeight: 9, LateFraction: 0.2, LatencyObjective: 750e6, Deadline: 2e9}}, MaxUnits: 50}
 }
 
 func TestExample(t *testing.T) {
@@ -33,7 +33,7 @@
 		t.Errorf("%d operations", n)
 	}
 	for _, o := range tab.Operations {
-		if len(o.Inherited) > 0 || o.Pos.Line == 0 || o.Class.PriorityWeight == 0 {
+		if len(o.InheritedFields) > 0 || o.Pos.Line == 0 || o.Class.PriorityWeight == 0 {
 			t.Errorf("%s: %+v", o.ID, o)
 		}
 	}
@@ -95,10 +95,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if u := tab.Operations[0].Units; u.Least != 2 || u.Most != 7 {
+	if u := tab.Operations[0].Units; u.Min != 2 || u.Max != 7 {
 		t.Errorf("%+v", u)
 	}
-	if u := tab.Operations[1].Units; u.Source.In != routing.InBody || u.Most != 5 {
+	if u := tab.Operations[1].Units; u.Source.In != routing.InBody || u.Max != 5 {
 		t.Errorf("%+v", u)
 	}
 }
@@ -228,7 +228,7 @@
 		}
 	}
 	op, _, _ := tab.Match("GET", "/v1/reports/2026-12-01.csv")
-	if path, values := op.Path("/v1/reports/2026%3A1.csv?x"); path != "/reports/{day}.csv" || values["day"] != "2026:1" {
+	if path, values := op.PathParams("/v1/reports/2026%3A1.csv?x"); path != "/reports/{day}.csv" || values["day"] != "2026:1" {
 		t.Errorf("%s %v", path, values)
 	}
 }
--- a/internal/raftnode/bolt.go
+++ b/internal/raftnode/bolt.go
@@ -46,27 +46,27 @@
 // Errors of a file. Neither is got over by starting empty under the old identity: a member
 // that has forgotten its vote could vote twice. See docs/operators/cluster.md.
 var (
-	ErrDamaged = errors.New("the file is damaged: move it away and let this member join again under a new number")
-	ErrForeign = errors.New("the file belongs to another member or cluster")
-	// ErrRestored says that a file was put in its place after it was last written: an old
+	ErrCorruptFile = errors.New("the file is damaged: move it away and let this member join again under a new number")
+	ErrForeignFile = errors.New("the file belongs to another member or cluster")
+	// ErrRestoredFile says that a file was put in its place after it was last written: an old
 	// copy may lack votes and entries that the member has promised to others.
-	ErrRestored = errors.New("the file was changed or put here after its member last wrote it: if it is an old copy, let this member join again under a new number; if it is the newest, moved here, say so with gateway init --adopt")
+	ErrRestoredFile = errors.New("the file was changed or put here after its member last wrote it: if it is an old copy, let this member join again under a new number; if it is the newest, moved here, say so with gateway init --adopt")
 )
 
-// BoltDisk is a [Disk] in one file.
-type BoltDisk struct {
+// BoltStorage is a [Storage] in one file.
+type BoltStorage struct {
 	db     *bbolt.DB
 	starts uint64
 }
 
-// OpenBolt opens a member's file, or makes one. A file that is damaged in any part, or that
+// OpenBoltStorage opens a member's file, or makes one. A file that is damaged in any part, or that
 // belongs to another member or cluster, is an error.
-func OpenBolt(path, cluster string, member uint64) (*BoltDisk, error) {
+func OpenBoltStorage(path, cluster string, member uint64) (*BoltStorage, error) {
 	return openBolt(path, cluster, member, false)
 }
 
-// Adopt takes a file that was moved for the newest of its member, which then opens.
-func Adopt(path, cluster string, member uint64) error {
+// AdoptFile takes a file that was moved for the newest of its member, which then opens.
+func AdoptFile(path, cluster string, member uint64) error {
 	d, err := openBolt(path, cluster, member, true)
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 	return d.Close()
 }
 
-func openBolt(path, cluster string, member uint64, adopt bool) (d *BoltDisk, err error) {
+func openBolt(path, cluster string, member uint64, adopt bool) (d *BoltStorage, err error) {
 	defer damage(&err, path)()
 	info, statErr := os.Stat(path)
 	isNew := errors.Is(statErr, os.ErrNotExist)
@@ -84,11 +84,11 @@
 	}
 	if err != nil {
 		if !isNew {
-			return nil, fmt.Errorf("%s: %w: %w", path, ErrDamaged, err)
+			return nil, fmt.Errorf("%s: %w: %w", path, ErrCorruptFile, err)
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	d = &BoltDisk{db: db}
+	d = &BoltStorage{db: db}
 	if isNew {
 		err = d.create(cluster, member)
 	} else {
@@ -120,13 +120,13 @@
 	return func() {
 		debug.SetPanicOnFault(before)
 		if p := recover(); p != nil {
-			*err = fmt.Errorf("%s: %w: %v", path, ErrDamaged, p)
+			*err = fmt.Errorf("%s: %w: %v", path, ErrCorruptFile, p)
 		}
 	}
 }
 
 // original tells whether a file is where its member wrote it last.
-func (d *BoltDisk) original(info os.FileInfo) error {
+func (d *BoltStorage) original(info os.FileInfo) error {
 	st, ok := info.Sys().(*syscall.Stat_t)
 	if !ok {
 		return nil // no such system: peers' memory of the member's starts is what is left
@@ -139,20 +139,20 @@
 		return err
 	}
 	if len(written) != 8 {
-		return ErrDamaged
+		return ErrCorruptFile
 	}
 	last, changed := time.Unix(0, int64(binary.BigEndian.Uint64(written))), time.Unix(st.Ctim.Unix())
 	if changed.Sub(last) > restoredAfter {
-		return fmt.Errorf("written %s, changed %s: %w", last.UTC().Format(time.RFC3339), changed.UTC().Format(time.RFC3339), ErrRestored)
+		return fmt.Errorf("written %s, changed %s: %w", last.UTC().Format(time.RFC3339), changed.UTC().Format(time.RFC3339), ErrRestoredFile)
 	}
 	return nil
 }
 
-// Starts is how often the file was opened, this time included.
-func (d *BoltDisk) Starts() uint64 { return d.starts }
+// Incarnation is how often the file was opened, this time included.
+func (d *BoltStorage) Incarnation() uint64 { return d.starts }
 
 // update is a transaction that notes when it was.
-func (d *BoltDisk) update(f func(tx *bbolt.Tx) error) error {
+func (d *BoltStorage) update(f func(tx *bbolt.Tx) error) error {
 	return d.db.Update(func(tx *bbolt.Tx) error {
 		if err := f(tx); err != nil {
 			return err
@@ -161,7 +161,7 @@
 	})
 }
 
-func (d *BoltDisk) create(cluster string, member uint64) error {
+func (d *BoltStorage) create(cluster string, member uint64) error {
 	return d.db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range [][]byte{bucketMeta, bucketState, bucketLog} {
 			if _, err := tx.CreateBucket(name); err != nil {
@@ -174,26 +174,26 @@
 	})
 }
 
-func (d *BoltDisk) verify(cluster string, member uint64) error {
+func (d *BoltStorage) verify(cluster string, member uint64) error {
 	return d.db.View(func(tx *bbolt.Tx) error {
 		// bbolt's own check runs in a goroutine whose faults end the process; Load reads and sums
 		// all that counts instead.
 		m := tx.Bucket(bucketMeta)
 		if m == nil || tx.Bucket(bucketState) == nil || tx.Bucket(bucketLog) == nil || len(m.Get([]byte("format"))) != 4 || len(m.Get([]byte("member"))) != 8 {
-			return ErrDamaged
+			return ErrCorruptFile
 		}
 		if f := binary.BigEndian.Uint32(m.Get([]byte("format"))); f > boltFormat {
 			return fmt.Errorf("format %d is newer than this program knows: update it", f)
 		}
 		if c, n := string(m.Get([]byte("cluster"))), binary.BigEndian.Uint64(m.Get([]byte("member"))); c != cluster || n != member {
-			return fmt.Errorf("%w: member %d of %q, not %d of %q", ErrForeign, n, c, member, cluster)
+			return fmt.Errorf("%w: member %d of %q, not %d of %q", ErrForeignFile, n, c, member, cluster)
 		}
 		return nil
 	})
 }
 
 // Load reads all that is kept, and checks every sum and that no entry is missing.
-func (d *BoltDisk) Load() (k Kept, err error) {
+func (d *BoltStorage) Load() (k PersistedState, err error) {
 	defer damage(&err, d.db.Path())()
 	err = d.db.View(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(bucketState)
@@ -203,7 +203,7 @@
 				return unseal(text, last)
 			}
 			if string(key) != string(keyHard) && string(key) != string(keySnapshot) {
-				return fmt.Errorf("state %q: %w", key, ErrDamaged)
+				return fmt.Errorf("state %q: %w", key, ErrCorruptFile)
 			}
 			return nil
 		}); err != nil {
@@ -231,19 +231,19 @@
 				return fmt.Errorf("entry %x: %w", key, err)
 			}
 			if e.GetIndex() != next || binary.BigEndian.Uint64(key) != next {
-				return fmt.Errorf("entry %d is missing: %w", next, ErrDamaged)
+				return fmt.Errorf("entry %d is missing: %w", next, ErrCorruptFile)
 			}
 			next++
 			k.Entries = append(k.Entries, e)
 		}
 		if k.HardState == nil && (k.Snapshot != nil || len(k.Entries) > 0 || last.GetIndex() > 0) {
-			return fmt.Errorf("the hard state is missing: %w", ErrDamaged)
+			return fmt.Errorf("the hard state is missing: %w", ErrCorruptFile)
 		}
 		if next <= last.GetIndex() {
-			return fmt.Errorf("the log ends at %d, not at %d: %w", next-1, last.GetIndex(), ErrDamaged)
+			return fmt.Errorf("the log ends at %d, not at %d: %w", next-1, last.GetIndex(), ErrCorruptFile)
 		}
 		if k.HardState.GetCommit() >= next {
-			return fmt.Errorf("entries up to %d were committed, and %d is missing: %w", k.HardState.GetCommit(), next, ErrDamaged)
+			return fmt.Errorf("entries up to %d were committed, and %d is missing: %w", k.HardState.GetCommit(), next, ErrCorruptFile)
 		}
 		return nil
 	})
@@ -252,7 +252,7 @@
 
 // Save writes one transaction, which bbolt syncs before it returns. What needs no sync (a
 // commit index alone) is not written: it is learned again from the leader.
-func (d *BoltDisk) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
+func (d *BoltStorage) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
 	if !sync {
 		return nil
 	}
@@ -296,12 +296,12 @@
 }
 
 // SaveSnapshot keeps a snapshot of the member's own.
-func (d *BoltDisk) SaveSnapshot(snap *pb.Snapshot) error {
+func (d *BoltStorage) SaveSnapshot(snap *pb.Snapshot) error {
 	return d.update(func(tx *bbolt.Tx) error { return seal(tx.Bucket(bucketState), keySnapshot, snap) })
 }
 
 // Compact drops entries up to an index.
-func (d *BoltDisk) Compact(index uint64) error {
+func (d *BoltStorage) Compact(index uint64) error {
 	return d.update(func(tx *bbolt.Tx) error {
 		return cut(tx.Bucket(bucketLog), func(i uint64) bool { return i <= index })
 	})
@@ -319,7 +319,7 @@
 }
 
 // Close closes the file.
-func (d *BoltDisk) Close() error { return d.db.Close() }
+func (d *BoltStorage) Close() error { return d.db.Close() }
 
 func seal(b *bbolt.Bucket, key []byte, m proto.Message) error {
 	text, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, 4), m)
@@ -332,10 +332,10 @@
 
 func unseal(text []byte, m proto.Message) error {
 	if len(text) < 4 || binary.BigEndian.Uint32(text) != crc32.Checksum(text[4:], castagnoli) {
-		return ErrDamaged
+		return ErrCorruptFile
 	}
 	if err := proto.Unmarshal(text[4:], m); err != nil {
-		return fmt.Errorf("%w: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: %w", ErrCorruptFile, err)
 	}
 	return nil
 }
--- a/internal/raftnode/bolt_test.go
+++ b/internal/raftnode/bolt_test.go
@@ -26,9 +26,9 @@
 	return &pb.Snapshot{Data: []byte(data), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(term), ConfState: &pb.ConfState{Voters: []uint64{1}}}}
 }
 
-func open(t *testing.T, path string) *BoltDisk {
+func open(t *testing.T, path string) *BoltStorage {
 	t.Helper()
-	d, err := OpenBolt(path, "c", 1)
+	d, err := OpenBoltStorage(path, "c", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 func TestBoltKeeps(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "raft.db")
 	d := open(t, path)
-	load := func() Kept {
+	load := func() PersistedState {
 		t.Helper()
 		if err := d.Close(); err != nil {
 			t.Fatal(err)
@@ -94,7 +94,7 @@
 	if err := errors.Join(d.Save(hard(2, 1, 2), []*pb.Entry{entry(1, 1, "first entry"), entry(2, 2, "second entry")}, nil, true), d.SaveSnapshot(snap(0, 0, "nothing"))); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenBolt(path, "c", 1); err == nil {
+	if _, err := OpenBoltStorage(path, "c", 1); err == nil {
 		t.Error("two have it open")
 	}
 	if err := d.Close(); err != nil {
@@ -104,7 +104,7 @@
 		cluster string
 		member  uint64
 	}{{"other", 1}, {"c", 2}} {
-		if _, err := OpenBolt(path, who.cluster, who.member); !errors.Is(err, ErrForeign) {
+		if _, err := OpenBoltStorage(path, who.cluster, who.member); !errors.Is(err, ErrForeignFile) {
 			t.Errorf("%v: %v", who, err)
 		}
 	}
@@ -113,16 +113,16 @@
 		t.Fatal(err)
 	}
 	copies := 0
-	state := func(text []byte) (Kept, error) {
+	state := func(text []byte) (PersistedState, error) {
 		t.Helper()
 		copies++ // each a file of its own: one that made bbolt panic stays locked in this process
 		p := filepath.Join(dir, fmt.Sprint("copy", copies))
 		if err := os.WriteFile(p, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, err := OpenBolt(p, "c", 1)
+		d, err := OpenBoltStorage(p, "c", 1)
 		if err != nil {
-			return Kept{}, err
+			return PersistedState{}, err
 		}
 		k, err := d.Load()
 		return k, errors.Join(err, d.Close())
@@ -164,8 +164,8 @@
 	if err := errors.Join(d.Save(hard(3, 2, 0), nil, nil, true), d.Close()); err != nil {
 		t.Fatal(err)
 	}
-	if d = open(t, path); d.Starts() != 2 {
-		t.Errorf("%d starts", d.Starts())
+	if d = open(t, path); d.Incarnation() != 2 {
+		t.Errorf("%d starts", d.Incarnation())
 	}
 	// As if all of this had been written an hour ago and the file put here now.
 	if err := d.db.Update(func(tx *bbolt.Tx) error {
@@ -176,13 +176,13 @@
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenBolt(path, "c", 1); !errors.Is(err, ErrRestored) {
+	if _, err := OpenBoltStorage(path, "c", 1); !errors.Is(err, ErrRestoredFile) {
 		t.Fatalf("an old copy opens: %v", err)
 	}
-	if err := Adopt(path, "c", 2); !errors.Is(err, ErrForeign) {
+	if err := AdoptFile(path, "c", 2); !errors.Is(err, ErrForeignFile) {
 		t.Errorf("another member's file is adopted: %v", err)
 	}
-	if err := Adopt(path, "c", 1); err != nil {
+	if err := AdoptFile(path, "c", 1); err != nil {
 		t.Fatal(err)
 	}
 	d = open(t, path)
--- a/internal/raftnode/certs.go
+++ b/internal/raftnode/certs.go
@@ -57,8 +57,8 @@
 	return &Authority{cluster, cert, key}, nil
 }
 
-// Issue makes a member's certificate and key, in PEM.
-func (a *Authority) Issue(member uint64) (certificate, key []byte, err error) {
+// IssueMember makes a member's certificate and key, in PEM.
+func (a *Authority) IssueMember(member uint64) (certificate, key []byte, err error) {
 	return a.issue(memberName(a.Cluster, member))
 }
 
@@ -90,23 +90,23 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// Pool is the authority as members check against it.
-func (a *Authority) Pool() *x509.CertPool {
+// CertPool is the authority as members check against it.
+func (a *Authority) CertPool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return pool
 }
 
-// Credentials issues and loads a member's credentials.
-func (a *Authority) Credentials(member uint64) (c Credentials, err error) {
-	certificate, key, err := a.Issue(member)
+// IssueCredentials issues and loads a member's credentials.
+func (a *Authority) IssueCredentials(member uint64) (c Credentials, err error) {
+	certificate, key, err := a.IssueMember(member)
 	if err != nil {
 		return c, err
 	}
 	if c.Certificate, err = tls.X509KeyPair(certificate, key); err != nil {
 		return c, err
 	}
-	c.Authority = a.Pool()
+	c.Authority = a.CertPool()
 	return c, nil
 }
 
@@ -181,11 +181,11 @@
 
 func memberFile(member uint64) string { return fmt.Sprintf("member-%d", member) }
 
-// OperatorFile is the name of an operator's files, without what tells certificate and key.
-func OperatorFile(name string) string { return roleFile(operatorRole, name) }
+// OperatorFilePrefix is the name of an operator's files, without what tells certificate and key.
+func OperatorFilePrefix(name string) string { return roleFile(operatorRole, name) }
 
-// FollowerFile is that of a follower's.
-func FollowerFile(name string) string { return roleFile(followerRole, name) }
+// FollowerFilePrefix is that of a follower's.
+func FollowerFilePrefix(name string) string { return roleFile(followerRole, name) }
 
 // LoadAuthority reads an authority back, to issue a certificate for a further member.
 func LoadAuthority(dir string) (*Authority, error) {
@@ -201,13 +201,13 @@
 	return &Authority{cert.Subject.CommonName, cert, key}, nil
 }
 
-// LoadCredentials reads a member's credentials from a folder.
-func LoadCredentials(dir string, member uint64) (Credentials, error) {
-	return LoadNamed(dir, memberFile(member))
+// LoadMemberCredentials reads a member's credentials from a folder.
+func LoadMemberCredentials(dir string, member uint64) (Credentials, error) {
+	return LoadCredentialFiles(dir, memberFile(member))
 }
 
-// LoadNamed reads credentials by the name of their files, such as [OperatorFile] gives.
-func LoadNamed(dir, file string) (c Credentials, err error) {
+// LoadCredentialFiles reads credentials by the name of their files, such as [OperatorFilePrefix] gives.
+func LoadCredentialFiles(dir, file string) (c Credentials, err error) {
 	c.Certificate, err = tls.LoadX509KeyPair(filepath.Join(dir, file+".pem"), filepath.Join(dir, file+"-key.pem"))
 	if err != nil {
 		return c, fmt.Errorf("%s: %w", file, err)
@@ -223,23 +223,23 @@
 	return c, nil
 }
 
-// Holder is who a certificate was issued to.
-type Holder struct {
+// Identity is who a certificate was issued to.
+type Identity struct {
 	Cluster  string
 	Member   uint64 // 0: an operator or a follower
 	Operator string
 	Follower string
 }
 
-// HolderOf reads who holds a certificate.
-func HolderOf(cert *x509.Certificate) (h Holder, err error) {
+// IdentityOf reads who holds a certificate.
+func IdentityOf(cert *x509.Certificate) (h Identity, err error) {
 	name := cert.Subject.CommonName
 	cluster, rest, ok := cutLast(name, '/')
 	if before, ok := strings.CutSuffix(cluster, "/"+operatorRole); ok {
-		return Holder{Cluster: before, Operator: rest}, nil
+		return Identity{Cluster: before, Operator: rest}, nil
 	}
 	if before, ok := strings.CutSuffix(cluster, "/"+followerRole); ok {
-		return Holder{Cluster: before, Follower: rest}, nil
+		return Identity{Cluster: before, Follower: rest}, nil
 	}
 	h.Cluster = cluster
 	if h.Member, err = strconv.ParseUint(rest, 10, 64); !ok || err != nil || h.Member == 0 || name != memberName(cluster, h.Member) {
@@ -248,25 +248,25 @@
 	return h, nil
 }
 
-// Holder is who these credentials were issued to.
-func (c Credentials) Holder() (Holder, error) {
+// Identity is who these credentials were issued to.
+func (c Credentials) Identity() (Identity, error) {
 	if len(c.Certificate.Certificate) == 0 {
-		return Holder{}, errors.New("no certificate")
+		return Identity{}, errors.New("no certificate")
 	}
 	cert, err := x509.ParseCertificate(c.Certificate.Certificate[0])
 	if err != nil {
-		return Holder{}, err
+		return Identity{}, err
 	}
-	return HolderOf(cert)
+	return IdentityOf(cert)
 }
 
-// ErrAuthority says that the other side's certificate is not by this cluster's authority.
-var ErrAuthority = errors.New("its certificate is not by this cluster's authority")
+// ErrUnknownAuthority says that the other side's certificate is not by this cluster's authority.
+var ErrUnknownAuthority = errors.New("its certificate is not by this cluster's authority")
 
-// TLS is a configuration for both sides: each shows its certificate, and checks that the
+// TLSConfig is a configuration for both sides: each shows its certificate, and checks that the
 // other's is by the authority. Host names play no part: who the other side is must be read
 // from its certificate.
-func (c Credentials) TLS() *tls.Config {
+func (c Credentials) TLSConfig() *tls.Config {
 	return &tls.Config{Certificates: []tls.Certificate{c.Certificate}, ClientAuth: tls.RequireAnyClientCert, MinVersion: tls.VersionTLS13,
 		InsecureSkipVerify: true, // VerifyPeerCertificate checks the authority, without a host name
 		VerifyPeerCertificate: func(raw [][]byte, _ [][]*x509.Certificate) error {
@@ -278,7 +278,7 @@
 				return err
 			}
 			if _, err = leaf.Verify(x509.VerifyOptions{Roots: c.Authority, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}); err != nil {
-				return fmt.Errorf("%w: %w", ErrAuthority, err)
+				return fmt.Errorf("%w: %w", ErrUnknownAuthority, err)
 			}
 			return nil
 		}}
--- a/internal/raftnode/consent_test.go
+++ b/internal/raftnode/consent_test.go
@@ -14,7 +14,7 @@
 type consenters struct {
 	*cluster
 	starts   map[uint64]uint64
-	with     map[uint64]*multisite.Consent
+	with     map[uint64]*multisite.QuorumConfirmation
 	of       map[uint64]*Core // the process that with belongs to
 	words    []consentLetter
 	moves    []uint64 // committed entries that change homes, by index
@@ -27,7 +27,7 @@
 type consentLetter struct {
 	at       int
 	from, to uint64
-	word     multisite.ConsentWord
+	word     multisite.ConfirmationMessage
 }
 
 func (c *consenters) clock(id uint64) time.Duration { // as differing as they come
@@ -43,7 +43,7 @@
 		case l.at > c.tick:
 			left = append(left, l)
 		case m.core != nil && c.of[l.to] == m.core:
-			c.with[l.to].Hear(l.from, l.word)
+			c.with[l.to].Receive(l.from, l.word)
 		}
 	}
 	c.words = left
@@ -53,7 +53,7 @@
 		}
 		if c.of[m.id] != m.core { // another process
 			c.starts[m.id]++
-			s, err := multisite.NewConsent(multisite.ConsentConfig{Me: m.id, Incarnation: c.starts[m.id]})
+			s, err := multisite.NewQuorumConfirmation(multisite.ConfirmationConfig{InstanceID: m.id, Incarnation: c.starts[m.id]})
 			if err != nil {
 				c.fatalf("%v", err)
 			}
@@ -61,8 +61,8 @@
 		}
 		s := c.with[m.id]
 		v, _ := m.core.Members()
-		s.Agree(m.core.Index(), v, len(m.core.conf.GetVotersOutgoing()) > 0)
-		word := s.Tell(c.clock(m.id), m.core.Fence())
+		s.ApplyAgreed(m.core.AppliedIndex(), v, len(m.core.conf.GetVotersOutgoing()) > 0)
+		word := s.NextBroadcast(c.clock(m.id), m.core.FenceIndex())
 		for _, o := range c.members {
 			if o.id == m.id || c.cut[[2]uint64{m.id, o.id}] || c.rng.Float64() < 0.1 {
 				continue
@@ -85,7 +85,7 @@
 		}
 		for last := m.core.rn.BasicStatus().GetCommit(); c.seen < last; {
 			c.seen++
-			if es, err := m.core.mem.Entries(c.seen, c.seen+1, 1<<30); err == nil && len(es) == 1 && len(es[0].GetData()) > 0 && clusterconfig.MovesHomes(es[0].GetData()) {
+			if es, err := m.core.mem.Entries(c.seen, c.seen+1, 1<<30); err == nil && len(es) == 1 && len(es[0].GetData()) > 0 && clusterconfig.ChangesPlacement(es[0].GetData()) {
 				c.moves = append(c.moves, c.seen)
 				c.commits[c.seen] = c.tick
 			}
@@ -94,16 +94,16 @@
 }
 
 // look checks the promise: no homes were agreed on by the time confirmed behind those in force.
-func (c *consenters) look(m *member, s *multisite.Consent) {
-	at, ok := s.Confirmed()
+func (c *consenters) look(m *member, s *multisite.QuorumConfirmation) {
+	at, ok := s.ConfirmedAt()
 	if !ok {
 		return
 	}
 	tick := int((at - c.clock(m.id)) / time.Millisecond)
 	tick += c.tick
 	for _, index := range c.moves {
-		if index > m.core.Index() && c.commits[index] < tick {
-			c.fatalf("member %d has homes of entry %d confirmed as of tick %d; entry %d moved them at tick %d", m.id, m.core.Index(), tick, index, c.commits[index])
+		if index > m.core.AppliedIndex() && c.commits[index] < tick {
+			c.fatalf("member %d has homes of entry %d confirmed as of tick %d; entry %d moved them at tick %d", m.id, m.core.AppliedIndex(), tick, index, c.commits[index])
 		}
 	}
 	if c.confirms++; c.tick-tick < 20 && c.reach(m) <= len(c.members)/2 {
@@ -132,7 +132,7 @@
 	}
 	halves, confirms, moves := 0, 0, 0
 	for seed := range uint64(n) {
-		c := &consenters{cluster: newCluster(t, seed, 2+int(seed%4)), starts: map[uint64]uint64{}, with: map[uint64]*multisite.Consent{}, of: map[uint64]*Core{}, commits: map[uint64]int{}}
+		c := &consenters{cluster: newCluster(t, seed, 2+int(seed%4)), starts: map[uint64]uint64{}, with: map[uint64]*multisite.QuorumConfirmation{}, of: map[uint64]*Core{}, commits: map[uint64]int{}}
 		ids := 0
 		for c.tick < 500 {
 			c.step()
--- a/internal/raftnode/core.go
+++ b/internal/raftnode/core.go
@@ -23,19 +23,19 @@
 
 // Config is what a member is told at its start.
 type Config struct {
-	ID            uint64   // of this member, above 0, never used again after it was removed
-	Voters        []uint64 // of a new cluster; nil: this member joins one, or comes back
-	ElectionTicks int      // without a leader's message until an election; 10 where 0
-	SnapshotEvery uint64   // entries between snapshots; 2,000 where 0
-	KeepEntries   uint64   // behind a snapshot, for members that are a little late; 500 where 0
-	Validate      clusterconfig.Validator
-	Logger        raft.Logger // nil: none
+	ID                 uint64   // of this member, above 0, never used again after it was removed
+	Voters             []uint64 // of a new cluster; nil: this member joins one, or comes back
+	ElectionTicks      int      // without a leader's message until an election; 10 where 0
+	EntriesPerSnapshot uint64   // entries between snapshots; 2,000 where 0
+	CatchUpEntries     uint64   // behind a snapshot, for members that are a little late; 500 where 0
+	Validate           clusterconfig.Validator
+	Logger             raft.Logger // nil: none
 }
 
-// Disk keeps what a member must not forget. What Save was given is durable when it
+// Storage keeps what a member must not forget. What Save was given is durable when it
 // returns; after an error nothing that was promised with it may go out.
-type Disk interface {
-	Load() (Kept, error)
+type Storage interface {
+	Load() (PersistedState, error)
 	// Save keeps what is not nil. A snapshot here comes from the leader: it takes the place
 	// of the whole log, of which nothing may come back.
 	Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error
@@ -45,8 +45,8 @@
 	Compact(index uint64) error
 }
 
-// Kept is what a Disk holds.
-type Kept struct {
+// PersistedState is what a Disk holds.
+type PersistedState struct {
 	HardState *pb.HardState // nil: nothing was ever saved
 	Snapshot  *pb.Snapshot  // nil: none
 	Entries   []*pb.Entry   // behind the snapshot
@@ -54,11 +54,11 @@
 
 // Errors of a member.
 var (
-	ErrNoLeader = errors.New("no leader is known: a quorum of members is needed")
-	ErrStopped  = errors.New("the member has stopped")
-	ErrForgot   = errors.New("the member's file lacks what it has promised to others, as an old copy does: let it join again under a new number")
-	ErrRemoved  = errors.New("this member was removed from the cluster: its number is not used again")
-	ErrLost     = errors.New("the leader changed meanwhile: it is not known whether the proposal will be applied; repeat it with the same id")
+	ErrNoLeader       = errors.New("no leader is known: a quorum of members is needed")
+	ErrStopped        = errors.New("the member has stopped")
+	ErrStaleStorage   = errors.New("the member's file lacks what it has promised to others, as an old copy does: let it join again under a new number")
+	ErrRemoved        = errors.New("this member was removed from the cluster: its number is not used again")
+	ErrOutcomeUnknown = errors.New("the leader changed meanwhile: it is not known whether the proposal will be applied; repeat it with the same id")
 )
 
 // Core is one member. It is not safe for concurrent use.
@@ -66,7 +66,7 @@
 	cfg     Config
 	rn      *raft.RawNode
 	mem     *raft.MemoryStorage // what disk holds, for the engine to read
-	disk    Disk
+	disk    Storage
 	state   *clusterconfig.State
 	applied uint64
 	snapAt  uint64 // index of the last snapshot
@@ -74,7 +74,7 @@
 	conf    *pb.ConfState
 	fence   uint64        // index of the last entry applied here that changed homes or members, or a later one
 	tail    []uint64      // of those saved behind the applied ones, in order
-	fenced  atomic.Uint64 // the last of all these, for [Core.Fence]
+	fenced  atomic.Uint64 // the last of all these, for [Core.FenceIndex]
 
 	ready   bool // a quorum has confirmed, since the start, a version that is applied here
 	reads   map[uint64]*read
@@ -85,7 +85,7 @@
 	failed  error                  // why the member has stopped
 
 	// Applied, if set, is called after each entry of the state was applied.
-	Applied func(index uint64, id string, o clusterconfig.Outcome)
+	OnApplied func(index uint64, id string, o clusterconfig.Outcome)
 }
 
 // read is a read that waits for its index, and that index for being applied.
@@ -106,8 +106,8 @@
 	snapshotElections = 10 // election time-outs after which a snapshot is taken for lost
 )
 
-// Open starts a member from its disk.
-func Open(cfg Config, disk Disk) (*Core, error) {
+// NewCore starts a member from its disk.
+func NewCore(cfg Config, disk Storage) (*Core, error) {
 	kept, err := disk.Load()
 	if err != nil {
 		return nil, err
@@ -115,11 +115,11 @@
 	if cfg.ElectionTicks == 0 {
 		cfg.ElectionTicks = 10
 	}
-	if cfg.SnapshotEvery == 0 {
-		cfg.SnapshotEvery = 2000
+	if cfg.EntriesPerSnapshot == 0 {
+		cfg.EntriesPerSnapshot = 2000
 	}
-	if cfg.KeepEntries == 0 {
-		cfg.KeepEntries = 500
+	if cfg.CatchUpEntries == 0 {
+		cfg.CatchUpEntries = 500
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = quiet{}
@@ -171,9 +171,9 @@
 // State is the configuration as applied here. It must not be changed.
 func (c *Core) State() *clusterconfig.State { return c.state }
 
-// Ready tells whether a quorum has confirmed, since this member's start, that the version
+// IsReady tells whether a quorum has confirmed, since this member's start, that the version
 // applied here was current then. Until it has, the member must send no traffic on.
-func (c *Core) Ready() bool { return c.ready }
+func (c *Core) IsReady() bool { return c.ready }
 
 // Leader is the member that leads as far as is known, or 0.
 func (c *Core) Leader() uint64 { return c.rn.BasicStatus().Lead }
@@ -198,9 +198,9 @@
 	return false
 }
 
-// Behind is how many entries a member is known to lack of those committed; only the leader
+// ReplicationLag is how many entries a member is known to lack of those committed; only the leader
 // knows.
-func (c *Core) Behind(id uint64) (entries uint64, known bool) {
+func (c *Core) ReplicationLag(id uint64) (entries uint64, known bool) {
 	s := c.rn.Status()
 	p, ok := s.Progress[id]
 	if !ok || p.Match == 0 {
@@ -210,8 +210,8 @@
 	return commit - min(p.Match, commit), true
 }
 
-// Index is the index of the last entry applied.
-func (c *Core) Index() uint64 { return c.applied }
+// AppliedIndex is the index of the last entry applied.
+func (c *Core) AppliedIndex() uint64 { return c.applied }
 
 // Tick tells that a tick of the clock has passed.
 func (c *Core) Tick() {
@@ -223,11 +223,11 @@
 		// The engine sends a member nothing more until it hears what became of its snapshot: one
 		// that was lost with the word of it would leave the member behind for good.
 		if c.sent[id]++; c.sent[id] > snapshotElections*c.cfg.ElectionTicks {
-			c.SnapshotSent(id, false)
+			c.ReportSnapshot(id, false)
 		}
 	}
 	if !c.ready && len(c.reads) == 0 {
-		c.Read(func(err error) { c.ready = c.ready || err == nil })
+		c.ReadIndex(func(err error) { c.ready = c.ready || err == nil })
 	}
 	for _, seq := range slices.Sorted(maps.Keys(c.reads)) { // one order: runs must be repeatable
 		r := c.reads[seq]
@@ -252,14 +252,14 @@
 // the member with a plain error.
 func (c *Core) caught() {
 	if p := recover(); p != nil {
-		c.fail(fmt.Errorf("%w (%v)", ErrForgot, p))
+		c.fail(fmt.Errorf("%w (%v)", ErrStaleStorage, p))
 	}
 }
 
 // Propose has a proposal applied, if it passes the check here. done is called with its
 // outcome once it is applied here, or with an error.
 func (c *Core) Propose(p *clusterconfig.Proposal, done func(clusterconfig.Outcome, error)) {
-	entry, err := clusterconfig.Encode(p)
+	entry, err := clusterconfig.EncodeProposal(p)
 	switch {
 	case err != nil:
 	case c.failed != nil:
@@ -280,17 +280,17 @@
 	c.waiting[p.ID] = append(c.waiting[p.ID], done)
 }
 
-// Forget ends the waiting for a proposal, whose outcome stays unknown here.
-func (c *Core) Forget(id string) {
+// AbandonProposal ends the waiting for a proposal, whose outcome stays unknown here.
+func (c *Core) AbandonProposal(id string) {
 	for _, done := range c.waiting[id] {
-		done(clusterconfig.Outcome{}, ErrLost)
+		done(clusterconfig.Outcome{}, ErrOutcomeUnknown)
 	}
 	delete(c.waiting, id)
 }
 
-// Read calls done once all that was committed anywhere when it was asked is applied here
+// ReadIndex calls done once all that was committed anywhere when it was asked is applied here
 // (Raft's ReadIndex, section 6.4 of Ongaro's dissertation).
-func (c *Core) Read(done func(error)) {
+func (c *Core) ReadIndex(done func(error)) {
 	if c.failed != nil || len(c.reads) >= maxWaiting {
 		done(errors.Join(ErrStopped, c.failed))
 		return
@@ -304,9 +304,9 @@
 	c.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, seq))
 }
 
-// Change changes the members: joint where several change at once. done is called when the
+// ProposeMembershipChange changes the members: joint where several change at once. done is called when the
 // change is applied here.
-func (c *Core) Change(id string, changes []*pb.ConfChangeSingle, done func(error)) {
+func (c *Core) ProposeMembershipChange(id string, changes []*pb.ConfChangeSingle, done func(error)) {
 	if c.failed != nil {
 		done(c.failed)
 		return
@@ -319,17 +319,17 @@
 	c.changes[id] = done
 }
 
-// ForgetChange ends the waiting for a change of members.
-func (c *Core) ForgetChange(id string) { delete(c.changes, id) }
+// AbandonMembershipChange ends the waiting for a change of members.
+func (c *Core) AbandonMembershipChange(id string) { delete(c.changes, id) }
 
-// Transfer asks the leader to hand its lead to another member.
-func (c *Core) Transfer(to uint64) { c.rn.TransferLeader(to) }
+// TransferLeadership asks the leader to hand its lead to another member.
+func (c *Core) TransferLeadership(to uint64) { c.rn.TransferLeader(to) }
 
-// Unreachable tells that messages to a member don't go out.
-func (c *Core) Unreachable(id uint64) { c.rn.ReportUnreachable(id) }
+// ReportUnreachable tells that messages to a member don't go out.
+func (c *Core) ReportUnreachable(id uint64) { c.rn.ReportUnreachable(id) }
 
-// SnapshotSent tells what became of a snapshot to a member.
-func (c *Core) SnapshotSent(id uint64, ok bool) {
+// ReportSnapshot tells what became of a snapshot to a member.
+func (c *Core) ReportSnapshot(id uint64, ok bool) {
 	delete(c.sent, id)
 	status := raft.SnapshotFinish
 	if !ok {
@@ -338,12 +338,12 @@
 	c.rn.ReportSnapshot(id, status)
 }
 
-// Work does what the member has to do and hands send the messages as soon as they may go
+// ProcessReady does what the member has to do and hands send the messages as soon as they may go
 // out: what a message promises of this member's disk is on it. A leader's entries go out
 // while it writes its own copy, which counts for the quorum only once it is written
 // (section 10.2.1 of Ongaro's dissertation). An error means that the member has stopped and must not be
 // driven further; another Open may bring it back.
-func (c *Core) Work(send func(*pb.Message)) error {
+func (c *Core) ProcessReady(send func(*pb.Message)) error {
 	for c.failed == nil && c.rn.HasReady() {
 		rd := c.rn.Ready()
 		for _, m := range rd.Messages {
@@ -427,9 +427,9 @@
 	return nil
 }
 
-// Fence is the index of the last entry saved here that changes homes of keys or members, committed or not. It is
+// FenceIndex is the index of the last entry saved here that changes homes of keys or members, committed or not. It is
 // told before any message goes out that acknowledges the entry. It may be called from any goroutine.
-func (c *Core) Fence() uint64 { return c.fenced.Load() }
+func (c *Core) FenceIndex() uint64 { return c.fenced.Load() }
 
 // fences takes in entries that were saved: those behind the first of them are gone.
 func (c *Core) fences(entries []*pb.Entry) {
@@ -438,7 +438,7 @@
 		c.tail = slices.DeleteFunc(c.tail, func(i uint64) bool { return i >= first })
 	}
 	for _, e := range entries {
-		if e.GetType() != pb.EntryNormal || len(e.GetData()) > 0 && clusterconfig.MovesHomes(e.GetData()) {
+		if e.GetType() != pb.EntryNormal || len(e.GetData()) > 0 && clusterconfig.ChangesPlacement(e.GetData()) {
 			c.tail = append(c.tail, e.GetIndex())
 		}
 	}
@@ -501,8 +501,8 @@
 	if err != nil {
 		return fmt.Errorf("entry %d: %w", index, err)
 	}
-	if c.Applied != nil {
-		c.Applied(index, id, o)
+	if c.OnApplied != nil {
+		c.OnApplied(index, id, o)
 	}
 	for _, done := range c.waiting[id] {
 		done(o, nil)
@@ -523,7 +523,7 @@
 
 // snapshot takes one when enough was applied since the last, and drops what it covers.
 func (c *Core) snapshot() error {
-	if c.applied-c.snapAt < c.cfg.SnapshotEvery && !(c.snapNow && c.applied > c.snapAt) {
+	if c.applied-c.snapAt < c.cfg.EntriesPerSnapshot && !(c.snapNow && c.applied > c.snapAt) {
 		return nil
 	}
 	c.snapNow = false
@@ -539,10 +539,10 @@
 		return fmt.Errorf("saving a snapshot: %w", err)
 	}
 	c.snapAt = c.applied
-	if c.applied <= c.cfg.KeepEntries {
+	if c.applied <= c.cfg.CatchUpEntries {
 		return nil
 	}
-	upTo := c.applied - c.cfg.KeepEntries
+	upTo := c.applied - c.cfg.CatchUpEntries
 	if err := c.mem.Compact(upTo); err != nil && !errors.Is(err, raft.ErrCompacted) {
 		return fmt.Errorf("log: %w", err)
 	}
--- a/internal/raftnode/fixture_test.go
+++ b/internal/raftnode/fixture_test.go
@@ -28,7 +28,7 @@
 func TestFixtureFile(t *testing.T) {
 	dir := t.TempDir()
 	fresh := filepath.Join(dir, "fresh.db")
-	text, err := clusterconfig.Encode(&clusterconfig.Proposal{ID: "p1", Changes: []clusterconfig.Change{clusterconfig.Put("plan", "kati", clusterconfig.Plan{Price: 1})}})
+	text, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{ID: "p1", Changes: []clusterconfig.Change{clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 1})}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := OpenBolt(fresh, "c", 1)
+	d, err := OpenBoltStorage(fresh, "c", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,10 +84,10 @@
 		t.Fatal(err)
 	}
 	fixture.Compare(t, "member.txt", dump(old))
-	if err := Adopt(old, "c", 1); err != nil {
+	if err := AdoptFile(old, "c", 1); err != nil {
 		t.Fatal(err)
 	}
-	if d, err = OpenBolt(old, "c", 1); err != nil {
+	if d, err = OpenBoltStorage(old, "c", 1); err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
@@ -95,9 +95,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Starts() != 3 || !proto.Equal(k.HardState, hard(4, 1, 3)) || !proto.Equal(k.Snapshot, snap(2, 1, string(agreed))) || len(k.Entries) != 2 ||
+	if d.Incarnation() != 3 || !proto.Equal(k.HardState, hard(4, 1, 3)) || !proto.Equal(k.Snapshot, snap(2, 1, string(agreed))) || len(k.Entries) != 2 ||
 		!proto.Equal(k.Entries[0], entry(3, 4, "")) || !proto.Equal(k.Entries[1], entry(4, 4, "tail")) {
-		t.Errorf("start %d: %+v", d.Starts(), k)
+		t.Errorf("start %d: %+v", d.Incarnation(), k)
 	}
 	if err := clusterconfig.New(nil).Restore(k.Snapshot.GetData()); err != nil {
 		t.Error(err)
@@ -114,7 +114,7 @@
 	}
 	var creds [2]Credentials
 	for i := range creds {
-		if creds[i], err = auth.Credentials(uint64(i + 1)); err != nil {
+		if creds[i], err = auth.IssueCredentials(uint64(i + 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -150,7 +150,7 @@
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(30 * time.Second))
-	in := tls.Server(nc, creds[1].TLS())
+	in := tls.Server(nc, creds[1].TLSConfig())
 	var got bytes.Buffer
 	frame := func() { // one of them, so that the order of queues plays no part
 		var head [4]byte
@@ -170,7 +170,7 @@
 	one.tell([]byte("a word"))
 	frame()
 	fixture.Compare(t, "frames.bin.gz", got.Bytes())
-	fixture.Compare(t, "names.txt", fmt.Appendln(nil, memberName("c", 12), in.ConnectionState().PeerCertificates[0].Subject, memberFile(3), OperatorFile("asha"), FollowerFile("edge-1"), authorityFile, authorityKeyFile))
+	fixture.Compare(t, "names.txt", fmt.Appendln(nil, memberName("c", 12), in.ConnectionState().PeerCertificates[0].Subject, memberFile(3), OperatorFilePrefix("asha"), FollowerFilePrefix("edge-1"), authorityFile, authorityKeyFile))
 
 	heard, words := make(chan *pb.Message, len(sends)), make(chan string, 1)
 	two := &transport{cluster: "c", me: 2, creds: creds[1], ln: listen(), heard: func(m *pb.Message) { heard <- m }, sent: func(*pb.Message, bool) {}, logf: t.Logf,
@@ -178,7 +178,7 @@
 	two.start(ctx)
 	defer two.wait()
 	defer stop()
-	out, err := tls.Dial("tcp", two.ln.Addr().String(), creds[0].TLS())
+	out, err := tls.Dial("tcp", two.ln.Addr().String(), creds[0].TLSConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -19,19 +19,19 @@
 // NodeConfig is what a [Node] is told.
 type NodeConfig struct {
 	Config
-	Cluster     string // its name; a member of another one is never taken in
-	Credentials Credentials
-	Starts      uint64            // of its file: see [BoltDisk.Starts]; 0: not known
-	Tick        time.Duration     // 50 ms where 0: an election comes after 10 to 20 ticks without a leader
-	Peers       map[uint64]string // addresses of all members
-	Logger      *log.Logger
+	Cluster       string // its name; a member of another one is never taken in
+	Credentials   Credentials
+	Incarnation   uint64            // of its file: see [BoltStorage.Incarnation]; 0: not known
+	TickInterval  time.Duration     // 50 ms where 0: an election comes after 10 to 20 ticks without a leader
+	PeerAddresses map[uint64]string // addresses of all members
+	Logger        *log.Logger
 
 	// Changed, if set, is called after the state has changed. It must not block.
-	Changed func()
-	// Word, if set, is called with what another member's [Node.Tell] told. It must not keep text.
-	Word func(from uint64, text []byte)
+	OnChange func()
+	// Word, if set, is called with what another member's [Node.Broadcast] told. It must not keep text.
+	OnBroadcast func(from uint64, text []byte)
 	// Outgoing, if set, stands between the member and its network: what it does not hand on is lost.
-	Outgoing func(send func(*pb.Message)) func(*pb.Message)
+	WrapSend func(send func(*pb.Message)) func(*pb.Message)
 }
 
 // Node is a member on real time, sockets and disk. Its methods may be called from any
@@ -54,38 +54,38 @@
 )
 
 // Start starts a member on a listener, which it closes at its end.
-func Start(cfg NodeConfig, disk Disk, ln net.Listener) (*Node, error) {
-	if cfg.Tick == 0 {
-		cfg.Tick = defaultTick
+func Start(cfg NodeConfig, disk Storage, ln net.Listener) (*Node, error) {
+	if cfg.TickInterval == 0 {
+		cfg.TickInterval = defaultTick
 	}
-	core, err := Open(cfg.Config, disk)
+	core, err := NewCore(cfg.Config, disk)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n := &Node{cfg: cfg, core: core, events: make(chan func(), eventQueue), stop: stop, ended: make(chan struct{})}
-	n.net = &transport{cluster: cfg.Cluster, me: cfg.ID, creds: cfg.Credentials, hello: hello{cfg.Starts, rand.Uint64()}, ln: ln, word: cfg.Word, logf: cfg.Logger.Printf,
+	n.net = &transport{cluster: cfg.Cluster, me: cfg.ID, creds: cfg.Credentials, hello: hello{cfg.Incarnation, rand.Uint64()}, ln: ln, word: cfg.OnBroadcast, logf: cfg.Logger.Printf,
 		heard: func(m *pb.Message) { n.do(ctx, func() { core.Step(m) }) },
 		sent: func(m *pb.Message, ok bool) {
 			// Told from the transport's goroutines, and from the member's own while it sends.
 			n.net.all.Go(func() {
 				n.do(ctx, func() {
 					if m.GetType() == pb.MsgSnap {
-						core.SnapshotSent(m.GetTo(), ok)
+						core.ReportSnapshot(m.GetTo(), ok)
 					} else if !ok {
-						core.Unreachable(m.GetTo())
+						core.ReportUnreachable(m.GetTo())
 					}
 				})
 			})
 		}}
-	if n.send = n.net.send; cfg.Outgoing != nil {
-		n.send = cfg.Outgoing(n.net.send)
+	if n.send = n.net.send; cfg.WrapSend != nil {
+		n.send = cfg.WrapSend(n.net.send)
 	}
-	if cfg.Changed != nil {
-		core.Applied = func(uint64, string, clusterconfig.Outcome) { cfg.Changed() }
+	if cfg.OnChange != nil {
+		core.OnApplied = func(uint64, string, clusterconfig.Outcome) { cfg.OnChange() }
 	}
 	n.net.start(ctx)
-	n.net.peers(cfg.Peers)
+	n.net.peers(cfg.PeerAddresses)
 	go n.run(ctx)
 	return n, nil
 }
@@ -105,7 +105,7 @@
 	defer close(n.ended)
 	defer n.net.wait()
 	defer n.stop()
-	tick := time.NewTicker(n.cfg.Tick)
+	tick := time.NewTicker(n.cfg.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -121,7 +121,7 @@
 		for i := 0; i < batchMost && len(n.events) > 0; i++ {
 			(<-n.events)()
 		}
-		if err := n.core.Work(n.send); err != nil {
+		if err := n.core.ProcessReady(n.send); err != nil {
 			n.cfg.Logger.Printf("member %d stops: %v", n.cfg.ID, err)
 			n.err = err
 			return
@@ -135,8 +135,8 @@
 	<-n.ended
 }
 
-// Ended is closed when the node has ended; Err tells why.
-func (n *Node) Ended() <-chan struct{} { return n.ended }
+// Done is closed when the node has ended; Err tells why.
+func (n *Node) Done() <-chan struct{} { return n.ended }
 
 // Err is why the node has ended, once it has.
 func (n *Node) Err() error {
@@ -155,14 +155,14 @@
 		o   clusterconfig.Outcome
 		err error
 	}
-	pause := 4 * n.cfg.Tick
+	pause := 4 * n.cfg.TickInterval
 	last, away := error(ErrNoLeader), false // away: it may have reached a leader
 	// A long one takes its time; repeated too soon it would add to what holds it up.
 	size := 0
 	for _, c := range p.Changes {
 		size += len(c.Value)
 	}
-	patience := time.Duration((3+size>>20)*n.core.cfg.ElectionTicks) * n.cfg.Tick
+	patience := time.Duration((3+size>>20)*n.core.cfg.ElectionTicks) * n.cfg.TickInterval
 	for {
 		got := make(chan result, 1)
 		var once sync.Once
@@ -178,34 +178,34 @@
 			if r.err == nil {
 				return r.o, nil
 			}
-			if !errors.Is(r.err, ErrNoLeader) && !errors.Is(r.err, ErrLost) {
+			if !errors.Is(r.err, ErrNoLeader) && !errors.Is(r.err, ErrOutcomeUnknown) {
 				return clusterconfig.Outcome{}, r.err
 			}
-			last, away = r.err, away || errors.Is(r.err, ErrLost)
+			last, away = r.err, away || errors.Is(r.err, ErrOutcomeUnknown)
 			select {
 			case <-ctx.Done():
 			case <-time.After(pause):
 			}
 		case <-again.C:
-			last, away = ErrLost, true
+			last, away = ErrOutcomeUnknown, true
 			patience *= 2
 		case <-ctx.Done():
 			again.Stop()
 			away = true
 		}
 		if ctx.Err() != nil {
-			n.do(context.Background(), func() { n.core.Forget(p.ID) })
+			n.do(context.Background(), func() { n.core.AbandonProposal(p.ID) })
 			if away {
-				last = ErrLost
+				last = ErrOutcomeUnknown
 			}
 			return clusterconfig.Outcome{}, fmt.Errorf("%w: %w", last, ctx.Err())
 		}
 	}
 }
 
-// Read calls f with the state once all that was committed anywhere when it was asked is
+// LinearizableRead calls f with the state once all that was committed anywhere when it was asked is
 // applied here. f must not keep the state.
-func (n *Node) Read(ctx context.Context, f func(*clusterconfig.State)) error {
+func (n *Node) LinearizableRead(ctx context.Context, f func(*clusterconfig.State)) error {
 	got := make(chan error, 1)
 	var mu sync.Mutex
 	over := false // f must not be called once Read has returned
@@ -215,7 +215,7 @@
 		mu.Unlock()
 	}()
 	if !n.do(ctx, func() {
-		n.core.Read(func(err error) {
+		n.core.ReadIndex(func(err error) {
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil && !over {
@@ -236,14 +236,14 @@
 
 // Status is a member's view.
 type Status struct {
-	ID       uint64   `json:"id"`
-	Leader   uint64   `json:"leader"` // 0: none is known
-	Ready    bool     `json:"ready"`
-	Version  uint64   `json:"version"`
-	Index    uint64   `json:"index"`
-	Hash     string   `json:"hash"`
-	Voters   []uint64 `json:"voters"`
-	Learners []uint64 `json:"learners"`
+	ID           uint64   `json:"id"`
+	Leader       uint64   `json:"leader"` // 0: none is known
+	Ready        bool     `json:"ready"`
+	Version      uint64   `json:"version"`
+	AppliedIndex uint64   `json:"index"`
+	Hash         string   `json:"hash"`
+	Voters       []uint64 `json:"voters"`
+	Learners     []uint64 `json:"learners"`
 }
 
 // Status tells how the member stands, without asking others.
@@ -251,7 +251,7 @@
 	got := make(chan Status, 1)
 	if !n.do(ctx, func() {
 		v, l := n.core.Members()
-		got <- Status{n.cfg.ID, n.core.Leader(), n.core.Ready(), n.core.State().Version(), n.core.Index(), n.core.State().Hash(), v, l}
+		got <- Status{n.cfg.ID, n.core.Leader(), n.core.IsReady(), n.core.State().Version(), n.core.AppliedIndex(), n.core.State().Hash(), v, l}
 	}) {
 		return s, errors.Join(ErrStopped, ctx.Err())
 	}
@@ -265,32 +265,32 @@
 	}
 }
 
-// Freeze returns the configuration as applied here, without asking others.
-func (n *Node) Freeze(ctx context.Context) (*clusterconfig.State, error) {
+// AppliedState returns the configuration as applied here, without asking others.
+func (n *Node) AppliedState(ctx context.Context) (*clusterconfig.State, error) {
 	var s *clusterconfig.State
 	err := n.ask(ctx, func() { s = n.core.State().Freeze() })
 	return s, err
 }
 
-// Moment is what was in force at one moment.
-type Moment struct {
-	Index   uint64 // of the last entry applied
-	Members []uint64
-	Voters  []uint64
-	Joint   bool // voters are changing, in two steps
+// Membership is what was in force at one moment.
+type Membership struct {
+	AppliedIndex uint64 // of the last entry applied
+	Members      []uint64
+	Voters       []uint64
+	IsJoint      bool // voters are changing, in two steps
 }
 
-// FreezeWith is Freeze with the members of the same moment.
-func (n *Node) FreezeWith(ctx context.Context) (s *clusterconfig.State, m Moment, err error) {
+// AppliedStateAndMembership is Freeze with the members of the same moment.
+func (n *Node) AppliedStateAndMembership(ctx context.Context) (s *clusterconfig.State, m Membership, err error) {
 	err = n.ask(ctx, func() {
 		v, _ := n.core.Members()
-		s, m = n.core.State().Freeze(), Moment{n.core.Index(), n.core.all(), slices.Clone(v), len(n.core.conf.GetVotersOutgoing()) > 0}
+		s, m = n.core.State().Freeze(), Membership{n.core.AppliedIndex(), n.core.all(), slices.Clone(v), len(n.core.conf.GetVotersOutgoing()) > 0}
 	})
 	return s, m, err
 }
 
-// Fence is [Core.Fence].
-func (n *Node) Fence() uint64 { return n.core.Fence() }
+// FenceIndex is [Core.FenceIndex].
+func (n *Node) FenceIndex() uint64 { return n.core.FenceIndex() }
 
 // ask runs f on the member's goroutine and waits for its end.
 func (n *Node) ask(ctx context.Context, f func()) error {
@@ -309,8 +309,8 @@
 	}
 }
 
-// Tell tells all other members a word of up to 64 KiB, which may be lost and is told in order.
-func (n *Node) Tell(text []byte) error {
+// Broadcast tells all other members a word of up to 64 KiB, which may be lost and is told in order.
+func (n *Node) Broadcast(text []byte) error {
 	if len(text) > maxWord {
 		return fmt.Errorf("a word of %d bytes: %d are the most", len(text), maxWord)
 	}
@@ -318,13 +318,13 @@
 	return nil
 }
 
-// Peers sets the addresses of all members.
-func (n *Node) Peers(addrs map[uint64]string) { n.net.peers(addrs) }
+// SetPeers sets the addresses of all members.
+func (n *Node) SetPeers(addrs map[uint64]string) { n.net.peers(addrs) }
 
-// Members changes the members: change is asked for what is still to be done, given voters
+// ChangeMembership changes the members: change is asked for what is still to be done, given voters
 // and learners, until it has nothing left. Several at once are a joint change. It is safe
 // to ask again for a change whose answer was lost.
-func (n *Node) Members(ctx context.Context, change func(voters, learners []uint64) []*pb.ConfChangeSingle) error {
+func (n *Node) ChangeMembership(ctx context.Context, change func(voters, learners []uint64) []*pb.ConfChangeSingle) error {
 	for round := 0; ; round++ {
 		var left []*pb.ConfChangeSingle
 		got := make(chan error, 1)
@@ -333,7 +333,7 @@
 			v, l := n.core.Members()
 			if left = change(v, l); len(left) > 0 {
 				var once sync.Once
-				n.core.Change(id, left, func(err error) { once.Do(func() { got <- err }) })
+				n.core.ProposeMembershipChange(id, left, func(err error) { once.Do(func() { got <- err }) })
 			}
 		}); err != nil {
 			return err
@@ -342,7 +342,7 @@
 			return nil
 		}
 		// One that was lost, or that another change was under way for, is asked for again.
-		again := time.NewTimer(time.Duration(n.core.cfg.ElectionTicks) * n.cfg.Tick)
+		again := time.NewTimer(time.Duration(n.core.cfg.ElectionTicks) * n.cfg.TickInterval)
 		var err error
 		select {
 		case err = <-got:
@@ -357,7 +357,7 @@
 		case <-ctx.Done():
 		}
 		again.Stop()
-		n.do(context.Background(), func() { n.core.ForgetChange(id) })
+		n.do(context.Background(), func() { n.core.AbandonMembershipChange(id) })
 		if ctx.Err() != nil {
 			if err != nil {
 				return fmt.Errorf("%w: %w", err, ctx.Err())
@@ -367,19 +367,19 @@
 	}
 }
 
-// Behind is [Core.Behind].
-func (n *Node) Behind(ctx context.Context, member uint64) (entries uint64, known bool, err error) {
-	err = n.ask(ctx, func() { entries, known = n.core.Behind(member) })
+// ReplicationLag is [Core.ReplicationLag].
+func (n *Node) ReplicationLag(ctx context.Context, member uint64) (entries uint64, known bool, err error) {
+	err = n.ask(ctx, func() { entries, known = n.core.ReplicationLag(member) })
 	return entries, known, err
 }
 
-// Transfer has the leader hand its lead to a voter and waits until it has, as seen here.
-func (n *Node) Transfer(ctx context.Context, to uint64) error {
+// TransferLeadership has the leader hand its lead to a voter and waits until it has, as seen here.
+func (n *Node) TransferLeadership(ctx context.Context, to uint64) error {
 	for {
 		var leader uint64
 		if err := n.ask(ctx, func() {
 			if leader = n.core.Leader(); leader != to && leader != 0 {
-				n.core.Transfer(to)
+				n.core.TransferLeadership(to)
 			}
 		}); err != nil {
 			return err
@@ -390,7 +390,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("member %d does not lead yet: %w", to, ctx.Err())
-		case <-time.After(2 * n.cfg.Tick):
+		case <-time.After(2 * n.cfg.TickInterval):
 		}
 	}
 }
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -41,7 +41,7 @@
 	auth  *Authority
 	addrs map[uint64]string
 	nodes map[uint64]*Node
-	disks map[uint64]*BoltDisk
+	disks map[uint64]*BoltStorage
 	lns   map[uint64]net.Listener
 	tick  time.Duration
 	every uint64 // entries between snapshots
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &real{t: t, dir: t.TempDir(), auth: auth, addrs: map[uint64]string{}, nodes: map[uint64]*Node{}, disks: map[uint64]*BoltDisk{}, lns: map[uint64]net.Listener{}, tick: tick, every: snapshotEvery}
+	r := &real{t: t, dir: t.TempDir(), auth: auth, addrs: map[uint64]string{}, nodes: map[uint64]*Node{}, disks: map[uint64]*BoltStorage{}, lns: map[uint64]net.Listener{}, tick: tick, every: snapshotEvery}
 	for id := uint64(1); id <= uint64(n); id++ {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -84,11 +84,11 @@
 		}
 	}
 	r.lns[id] = nil
-	disk, err := OpenBolt(filepath.Join(r.dir, fmt.Sprint(id, ".db")), "test", id)
+	disk, err := OpenBoltStorage(filepath.Join(r.dir, fmt.Sprint(id, ".db")), "test", id)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	creds, err := r.auth.Credentials(id)
+	creds, err := r.auth.IssueCredentials(id)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -97,8 +97,8 @@
 		voters = append(voters, v)
 	}
 	slices.Sort(voters)
-	n, err := Start(NodeConfig{Config: Config{ID: id, Voters: voters, SnapshotEvery: r.every, KeepEntries: 20}, Cluster: "test", Credentials: creds,
-		Tick: r.tick, Peers: r.addrs, Starts: disk.Starts(), Logger: log.New(io.Discard, "", 0)}, disk, ln)
+	n, err := Start(NodeConfig{Config: Config{ID: id, Voters: voters, EntriesPerSnapshot: r.every, CatchUpEntries: 20}, Cluster: "test", Credentials: creds,
+		TickInterval: r.tick, PeerAddresses: r.addrs, Incarnation: disk.Incarnation(), Logger: log.New(io.Discard, "", 0)}, disk, ln)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -165,18 +165,18 @@
 	leader := r.status(1).Leader
 	via := leader%3 + 1
 	for i := range 20 {
-		if o := r.propose(via, planPut(fmt.Sprint("a", i), i)); !o.Applied || o.Version != uint64(i+1) {
+		if o := r.propose(via, planPut(fmt.Sprint("a", i), i)); !o.IsApplied || o.Version != uint64(i+1) {
 			t.Fatalf("%+v", o)
 		}
 	}
 	r.kill(leader)
 	began := time.Now()
-	if o := r.propose(via, planPut("b", 1)); !o.Applied || o.Version != 21 {
+	if o := r.propose(via, planPut("b", 1)); !o.IsApplied || o.Version != 21 {
 		t.Fatalf("after the leader was lost: %+v", o)
 	}
 	t.Logf("the next change was applied %v after the leader was killed", time.Since(began))
 	// A repeated proposal comes to what it came to.
-	if o := r.propose(via, planPut("a3", 3)); !o.Applied || o.Version != 4 {
+	if o := r.propose(via, planPut("a3", 3)); !o.IsApplied || o.Version != 4 {
 		t.Errorf("repeated: %+v", o)
 	}
 	var all sync.WaitGroup
@@ -195,7 +195,7 @@
 	defer cancel()
 	for id := range r.nodes {
 		version := uint64(0)
-		if err := r.nodes[id].Read(ctx, func(s *clusterconfig.State) { version = s.Version() }); err != nil || version != 501 {
+		if err := r.nodes[id].LinearizableRead(ctx, func(s *clusterconfig.State) { version = s.Version() }); err != nil || version != 501 {
 			t.Errorf("member %d reads version %d, error %v", id, version, err)
 		}
 	}
@@ -216,7 +216,7 @@
 	if _, err := r.nodes[1].Propose(ctx, planPut("b", 2)); err == nil || !strings.Contains(err.Error(), "leader") {
 		t.Errorf("a change by a minority: %v", err)
 	}
-	if err := r.nodes[1].Read(ctx, func(*clusterconfig.State) { t.Error("a read by a minority") }); err == nil {
+	if err := r.nodes[1].LinearizableRead(ctx, func(*clusterconfig.State) { t.Error("a read by a minority") }); err == nil {
 		t.Error("a read by a minority is confirmed")
 	}
 	if s := r.status(1); s.Ready || s.Version > 1 {
@@ -242,7 +242,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if id, err := MemberOf("test", tls.ConnectionState{PeerCertificates: []*x509.Certificate{cert}}); id != want || (err == nil) != (want > 0) {
+		if id, err := VerifyMember("test", tls.ConnectionState{PeerCertificates: []*x509.Certificate{cert}}); id != want || (err == nil) != (want > 0) {
 			t.Errorf("%s is taken for member %d: %v", name, id, err)
 		}
 	}
@@ -282,7 +282,7 @@
 		"a word too long":     {r.auth, 3, append(frame(vote)[:20:20], binary.BigEndian.AppendUint32(nil, frameWord<<28|maxWord+1)...)},
 		"no hello":            {r.auth, 3, frame(vote)[20:]},
 	} {
-		creds, err := c.auth.Credentials(c.id)
+		creds, err := c.auth.IssueCredentials(c.id)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -299,7 +299,7 @@
 	if s := r.status(1); s.Leader == 0 {
 		t.Errorf("%+v", s)
 	}
-	if o := r.propose(1, planPut("a", 1)); !o.Applied {
+	if o := r.propose(1, planPut("a", 1)); !o.IsApplied {
 		t.Errorf("%+v", o)
 	}
 }
@@ -332,8 +332,8 @@
 	r.start(id)
 	// Its leader tells it of entries that it has acknowledged and no longer has.
 	select {
-	case <-r.nodes[id].Ended():
-		if err := r.nodes[id].Err(); !errors.Is(err, ErrForgot) {
+	case <-r.nodes[id].Done():
+		if err := r.nodes[id].Err(); !errors.Is(err, ErrStaleStorage) {
 			t.Errorf("ends with %v", err)
 		}
 	case <-time.After(patience):
@@ -350,7 +350,7 @@
 		t.Errorf("a new start is not heard: %v", err)
 	}
 	delete(net.seen, id)
-	if o := r.propose(other, planPut("b", 1)); !o.Applied {
+	if o := r.propose(other, planPut("b", 1)); !o.IsApplied {
 		t.Errorf("the others: %+v", o)
 	}
 	r.kill(id)
@@ -372,8 +372,8 @@
 	b.propose(1, planPut("b2", 2))
 	swap := func(x, y map[uint64]string) {
 		for id := range a.nodes {
-			a.nodes[id].Peers(x)
-			b.nodes[id].Peers(y)
+			a.nodes[id].SetPeers(x)
+			b.nodes[id].SetPeers(y)
 		}
 	}
 	swap(b.addrs, a.addrs)
@@ -405,7 +405,7 @@
 		}
 		return &clusterconfig.Proposal{ID: id, Changes: []clusterconfig.Change{{Op: "put", Kind: "description", Name: "d", Value: v}}}
 	}
-	if o := r.propose(2, p("a", text)); !o.Applied {
+	if o := r.propose(2, p("a", text)); !o.IsApplied {
 		t.Errorf("%+v", o)
 	}
 	r.await("applied everywhere", func(s Status) bool { return s.Version == 1 })
@@ -435,7 +435,7 @@
 	r.await("ready and of one mind", func(s Status) bool { return s.Ready && s.Version == 61 && s.Hash == r.status(other).Hash })
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	s, err := r.nodes[id].Freeze(ctx)
+	s, err := r.nodes[id].AppliedState(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -465,13 +465,13 @@
 	if err != nil || b.Cluster != "c" {
 		t.Fatalf("%+v %v", b, err)
 	}
-	if _, err := LoadCredentials(dir, 2); err != nil {
+	if _, err := LoadMemberCredentials(dir, 2); err != nil {
 		t.Error(err)
 	}
-	if _, err := LoadCredentials(dir, 3); err == nil {
+	if _, err := LoadMemberCredentials(dir, 3); err == nil {
 		t.Error("member 3 has no certificate")
 	}
-	if _, _, err := b.Issue(3); err != nil {
+	if _, _, err := b.IssueMember(3); err != nil {
 		t.Error(err)
 	}
 }
@@ -492,7 +492,7 @@
 		n.net.mu.Unlock()
 	}
 	for i := range 20 {
-		if err := r.nodes[1].Tell([]byte(fmt.Sprint("word ", i))); err != nil {
+		if err := r.nodes[1].Broadcast([]byte(fmt.Sprint("word ", i))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -508,7 +508,7 @@
 			t.Fatalf("words are missing: %v", next)
 		}
 	}
-	if err := r.nodes[1].Tell(make([]byte, maxWord+1)); err == nil {
+	if err := r.nodes[1].Broadcast(make([]byte, maxWord+1)); err == nil {
 		t.Error("a word that is too long is taken")
 	}
 }
@@ -519,7 +519,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	creds, err := auth.Credentials(1)
+	creds, err := auth.IssueCredentials(1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/raftnode/sim_test.go
+++ b/internal/raftnode/sim_test.go
@@ -36,7 +36,7 @@
 	return b
 }
 
-func (d *memDisk) Load() (k Kept, err error) {
+func (d *memDisk) Load() (k PersistedState, err error) {
 	if d.hard != nil {
 		k.HardState = &pb.HardState{}
 		err = proto.Unmarshal(d.hard, k.HardState)
@@ -172,12 +172,12 @@
 }
 
 func (c *cluster) start(m *member) {
-	core, err := Open(Config{ID: m.id, Voters: c.voters(), SnapshotEvery: 20, KeepEntries: 5}, m.disk)
+	core, err := NewCore(Config{ID: m.id, Voters: c.voters(), EntriesPerSnapshot: 20, CatchUpEntries: 5}, m.disk)
 	if err != nil {
 		c.fatalf("member %d does not start: %v", m.id, err)
 	}
 	m.core, m.down = core, 0
-	core.Applied = func(index uint64, id string, o clusterconfig.Outcome) {
+	core.OnApplied = func(index uint64, id string, o clusterconfig.Outcome) {
 		hash := core.State().Hash()
 		if first, ok := c.hashes[index]; ok && first != hash {
 			c.fatalf("member %d has applied another entry at index %d", m.id, index)
@@ -188,7 +188,7 @@
 
 // work has a member do its work; one whose disk fails goes down.
 func (c *cluster) work(m *member) {
-	if err := m.core.Work(c.send); err != nil {
+	if err := m.core.ProcessReady(c.send); err != nil {
 		if !errors.Is(err, errDisk) {
 			c.fatalf("member %d: %v", m.id, err)
 		}
@@ -249,7 +249,7 @@
 		m.core.Step(msg)
 		if msg.GetType() == pb.MsgSnap { // the sender learns that it came
 			if s := c.members[msg.GetFrom()-1]; s.core != nil {
-				s.core.SnapshotSent(m.id, true)
+				s.core.ReportSnapshot(m.id, true)
 			}
 		}
 		c.work(m)
@@ -270,7 +270,7 @@
 // serve checks the serving rule: a member that would send traffic on does so with a
 // version no older than one it has answered with, across its restarts.
 func (c *cluster) serve(m *member) {
-	if m.core == nil || !m.core.Ready() {
+	if m.core == nil || !m.core.IsReady() {
 		return
 	}
 	v := m.core.State().Version()
@@ -397,7 +397,7 @@
 		cl.p = proposal(fmt.Sprintf("op-%d", c.values), cl.in.value)
 		if cl.in.base >= 0 {
 			base := cl.version
-			cl.p.Base = &base
+			cl.p.BaseVersion = &base
 		}
 	}
 	c.events = append(c.events, porcupine.Event{ClientId: 0, Kind: porcupine.CallEvent, Value: cl.in, Id: cl.id})
@@ -412,8 +412,8 @@
 }
 
 func valueOf(s *clusterconfig.State) string {
-	if p, ok := clusterconfig.Read[clusterconfig.Plan](s, "plan")["x"]; ok {
-		return fmt.Sprintf("plan-%d", int(p.Price))
+	if p, ok := clusterconfig.ObjectsByName[clusterconfig.Plan](s, "plan")["x"]; ok {
+		return fmt.Sprintf("plan-%d", int(p.PriorityFactor))
 	}
 	return ""
 }
@@ -427,7 +427,7 @@
 	}
 	core := m.core
 	if cl.in.read {
-		core.Read(func(err error) {
+		core.ReadIndex(func(err error) {
 			if err == nil && cl.busy && cl.id == op {
 				c.done(cl, output{value: valueOf(core.State()), version: core.State().Version()})
 			}
@@ -436,7 +436,7 @@
 	}
 	core.Propose(cl.p, func(o clusterconfig.Outcome, err error) {
 		if err == nil && cl.busy && cl.id == op {
-			c.done(cl, output{version: o.Version, refused: !o.Applied})
+			c.done(cl, output{version: o.Version, refused: !o.IsApplied})
 		}
 	})
 }
@@ -492,7 +492,7 @@
 		c.step()
 		agreed := true
 		for _, m := range c.members {
-			agreed = agreed && m.core != nil && m.core.Ready() && m.core.Leader() != 0 && m.core.Index() == c.members[0].core.Index() &&
+			agreed = agreed && m.core != nil && m.core.IsReady() && m.core.Leader() != 0 && m.core.AppliedIndex() == c.members[0].core.AppliedIndex() &&
 				m.core.State().Hash() == c.members[0].core.State().Hash()
 		}
 		if agreed && c.tick > end-most+60 {
@@ -501,7 +501,7 @@
 		if c.tick > end {
 			for _, m := range c.members {
 				if m.core != nil {
-					c.t.Logf("member %d: leader %d, index %d, ready %v", m.id, m.core.Leader(), m.core.Index(), m.core.Ready())
+					c.t.Logf("member %d: leader %d, index %d, ready %v", m.id, m.core.Leader(), m.core.AppliedIndex(), m.core.IsReady())
 				}
 			}
 			c.fatalf("not of one mind %d ticks after the last fault", most)
@@ -562,7 +562,7 @@
 	for range 2000 {
 		c.step()
 		for _, m := range c.members {
-			if m.core != nil && m.core.Leader() == m.id && m.core.Ready() {
+			if m.core != nil && m.core.Leader() == m.id && m.core.IsReady() {
 				return m
 			}
 		}
@@ -575,7 +575,7 @@
 func (c *cluster) put(m *member, id string) {
 	done := false
 	m.core.Propose(planPut(id, 1), func(o clusterconfig.Outcome, err error) {
-		if err != nil || !o.Applied {
+		if err != nil || !o.IsApplied {
 			c.fatalf("%s: %+v, %v", id, o, err)
 		}
 		done = true
@@ -612,7 +612,7 @@
 	gone := other(c, leader)
 	c.cutOff(gone, true)
 	removed := false
-	leader.core.Change("remove", []*pb.ConfChangeSingle{{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(gone.id)}}, func(err error) {
+	leader.core.ProposeMembershipChange("remove", []*pb.ConfChangeSingle{{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(gone.id)}}, func(err error) {
 		if err != nil {
 			c.fatalf("%v", err)
 		}
@@ -647,15 +647,15 @@
 	c, leader := calmCluster(t, 12)
 	late := other(c, leader)
 	c.cutOff(late, true)
-	had := late.core.Index()
+	had := late.core.AppliedIndex()
 	for i := range 60 {
 		c.put(leader, fmt.Sprint("a", i))
 	}
 	if first, err := leader.core.mem.FirstIndex(); err != nil || first <= had+1 {
 		c.fatalf("the log begins at %d, the late member ends at %d", first, had)
 	}
-	if late.core.Index() > had+1 {
-		c.fatalf("the cut member has got to %d", late.core.Index())
+	if late.core.AppliedIndex() > had+1 {
+		c.fatalf("the cut member has got to %d", late.core.AppliedIndex())
 	}
 	c.cutOff(late, false)
 	for i := 0; late.core.State().Hash() != leader.core.State().Hash(); i++ {
@@ -673,7 +673,7 @@
 	c.put(old, "before")
 	c.cutOff(old, true)
 	var read, proposed bool
-	old.core.Read(func(err error) { read = err == nil })
+	old.core.ReadIndex(func(err error) { read = err == nil })
 	old.core.Propose(planPut("lost", 9), func(o clusterconfig.Outcome, err error) { proposed = err == nil && o.Version == 2 })
 	c.work(old)
 	next := other(c, old)
--- a/internal/raftnode/transport.go
+++ b/internal/raftnode/transport.go
@@ -104,7 +104,7 @@
 // verify checks that the other side is a member of the cluster, and which. The chain was
 // checked against the authority by the library; host names play no part.
 func (t *transport) verify(state tls.ConnectionState, want uint64) (uint64, error) {
-	id, err := MemberOf(t.cluster, state)
+	id, err := VerifyMember(t.cluster, state)
 	if err == nil && want != 0 && id != want {
 		err = fmt.Errorf("member %d answers where member %d is expected", id, want)
 	}
@@ -114,8 +114,8 @@
 	return id, nil
 }
 
-// MemberOf names the member of a cluster at the other end of a connection.
-func MemberOf(cluster string, state tls.ConnectionState) (uint64, error) {
+// VerifyMember names the member of a cluster at the other end of a connection.
+func VerifyMember(cluster string, state tls.ConnectionState) (uint64, error) {
 	if len(state.PeerCertificates) == 0 {
 		return 0, errors.New("no certificate")
 	}
@@ -282,7 +282,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := tls.Client(nc, t.creds.TLS())
+	c := tls.Client(nc, t.creds.TLSConfig())
 	nc.SetDeadline(time.Now().Add(handshakeLimit))
 	if err = c.HandshakeContext(ctx); err == nil {
 		_, err = t.verify(c.ConnectionState(), l.to)
@@ -433,7 +433,7 @@
 
 // read hands on what a member sends, which must be in its own name.
 func (t *transport) read(nc net.Conn) error {
-	c := tls.Server(nc, t.creds.TLS())
+	c := tls.Server(nc, t.creds.TLSConfig())
 	nc.SetDeadline(time.Now().Add(handshakeLimit))
 	if err := c.HandshakeContext(t.ctx); err != nil {
 		return err
--- a/internal/scenario/chaos.go
+++ b/internal/scenario/chaos.go
@@ -41,12 +41,12 @@
 			send(m)
 		}
 	}
-	cfg.WrapStorage = func(d raftnode.Disk) raftnode.Disk { return &chaosDisk{Disk: d, rng: rng, log: logger} }
+	cfg.WrapStorage = func(d raftnode.Storage) raftnode.Storage { return &chaosDisk{Storage: d, rng: rng, log: logger} }
 }
 
 // chaosDisk fails to sync now and then.
 type chaosDisk struct {
-	raftnode.Disk
+	raftnode.Storage
 	rng   *rand.Rand
 	log   *log.Logger
 	syncs int
@@ -58,5 +58,5 @@
 	if d.syncs++; sync && d.syncs > chaosSyncLast && d.rng.Float64() < chaosSync {
 		return errSync
 	}
-	return d.Disk.Save(hs, entries, snap, sync)
+	return d.Storage.Save(hs, entries, snap, sync)
 }
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -227,7 +227,7 @@
 		if err := auth.WriteOperator(certs, name); err != nil {
 			return err
 		}
-		creds, err := raftnode.LoadNamed(certs, raftnode.OperatorFile(name))
+		creds, err := raftnode.LoadCredentialFiles(certs, raftnode.OperatorFilePrefix(name))
 		if err != nil {
 			return err
 		}
@@ -442,31 +442,31 @@
 }
 
 // agree has the instances agree on what they serve at first.
-func (c *clusterRun) agree(ctx context.Context, halls []gateway.Hall) error {
-	p := &clusterconfig.Proposal{ID: "begin", Why: variantWhy(1)}
+func (c *clusterRun) agree(ctx context.Context, halls []gateway.Site) error {
+	p := &clusterconfig.Proposal{ID: "begin", Reason: variantWhy(1)}
 	for _, k := range classes() {
-		p.Changes = append(p.Changes, clusterconfig.Put("class", k.Name, clusterconfig.Class{Worth: k.Worth, Late: k.Late, AimMs: k.Aim.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("class", k.Name, clusterconfig.Class{PriorityWeight: k.PriorityWeight, LateFraction: k.LateFraction, LatencyObjectiveMs: k.LatencyObjective.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
 	}
 	for _, pl := range settings(0).Plans {
-		p.Changes = append(p.Changes, clusterconfig.Put("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, CeilingRate: pl.HardLimitRate, CeilingBurst: pl.HardLimitBurst,
-			CeilingSlack: pl.HardLimitSlack, Price: pl.PriorityFactor, OverWorth: pl.OverQuotaFraction, OverCost: pl.OverQuotaCost}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, HardLimitRate: pl.HardLimitRate, HardLimitBurst: pl.HardLimitBurst,
+			HardLimitSlack: pl.HardLimitSlack, PriorityFactor: pl.PriorityFactor, OverQuotaFraction: pl.OverQuotaFraction, OverQuotaCost: pl.OverQuotaCost}))
 	}
 	for _, l := range licensees() {
-		p.Changes = append(p.Changes, clusterconfig.Put("licensee", l.Name, clusterconfig.Licensee{Plan: l.Plan}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("licensee", l.Name, clusterconfig.Licensee{Plan: l.Plan}))
 	}
 	for _, m := range c.follow {
-		p.Changes = append(p.Changes, clusterconfig.Put("follower", m.follows, clusterconfig.Follower{}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("follower", m.follows, clusterconfig.Follower{}))
 	}
 	for _, h := range halls {
-		p.Changes = append(p.Changes, clusterconfig.Put("hall", h.Name, clusterconfig.Hall{Register: h.Register.String()}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Discovery.String()}))
 	}
-	p.Changes = append(p.Changes, clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
+	p.Changes = append(p.Changes, clusterconfig.NewPutChange("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
 	ctx, cancel := context.WithTimeout(ctx, startMost)
 	defer cancel()
 	for {
 		o, err := c.clients[0].Propose(ctx, p)
-		if err == nil && !o.Applied {
-			err = errors.New(o.Refused)
+		if err == nil && !o.IsApplied {
+			err = errors.New(o.RejectionReason)
 		}
 		if err == nil {
 			return nil
@@ -482,8 +482,8 @@
 func variantWhy(n int) string { return "variant " + strconv.Itoa(n) }
 
 // variantOf is the variant of the description that is in force from a record on, or 0.
-func variantOf(r clusterconfig.Record) int {
-	if text, ok := strings.CutPrefix(r.Why, "variant "); ok {
+func variantOf(r clusterconfig.HistoryRecord) int {
+	if text, ok := strings.CutPrefix(r.Reason, "variant "); ok {
 		n, _ := strconv.Atoi(text)
 		return n
 	}
@@ -515,28 +515,28 @@
 			o.version, o.read = objects.Version, true
 		case x < 0.2: // a description: three prices, and a class that is new
 			v := 2 + rng.IntN(20)
-			p.Why = variantWhy(v)
-			p.Changes = []clusterconfig.Change{clusterconfig.Put("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(v, false))})}
+			p.Reason = variantWhy(v)
+			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(v, false))})}
 		case x < 0.3: // bad: refused by all alike
-			p.Changes = []clusterconfig.Change{clusterconfig.Put("licensee", "bad", clusterconfig.Licensee{Plan: "none"})}
+			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("licensee", "bad", clusterconfig.Licensee{Plan: "none"})}
 		case x < 0.5: // a plan that comes and goes
-			p.Changes = []clusterconfig.Change{clusterconfig.Put("plan", fmt.Sprint("trial-", rng.IntN(5)), clusterconfig.Plan{Rate: 1, Burst: 5, Price: 1})}
+			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("plan", fmt.Sprint("trial-", rng.IntN(5)), clusterconfig.Plan{Rate: 1, Burst: 5, PriorityFactor: 1})}
 		case x < 0.6:
 			p.Changes = []clusterconfig.Change{{Op: "remove", Kind: "plan", Name: fmt.Sprint("trial-", rng.IntN(5))}}
 		case x < 0.8:
-			p.Changes = []clusterconfig.Change{clusterconfig.Put("plan", "msingi", clusterconfig.Plan{Rate: 6, Burst: 20 + float64(rng.IntN(8)), Price: 0.88, OverWorth: 0.3})}
+			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("plan", "msingi", clusterconfig.Plan{Rate: 6, Burst: 20 + float64(rng.IntN(8)), PriorityFactor: 0.88, OverQuotaFraction: 0.3})}
 		default: // against what it has read
 			var objects cluster.Objects
 			if objects, err = cl.Objects(one, false); err == nil {
-				p.Base = &objects.Version
-				p.Changes = []clusterconfig.Change{clusterconfig.Put("licensee", fmt.Sprint("new-", i), clusterconfig.Licensee{Plan: "kati"})}
+				p.BaseVersion = &objects.Version
+				p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("licensee", fmt.Sprint("new-", i), clusterconfig.Licensee{Plan: "kati"})}
 			}
 		}
 		if err == nil && !o.read {
 			for { // until its answer is known: the same id, so that it takes place once
 				var out clusterconfig.Outcome
 				out, err = cl.Propose(one, p)
-				o.version, o.applied = out.Version, out.Applied
+				o.version, o.applied = out.Version, out.IsApplied
 				if a, ok := errors.AsType[*cluster.ResponseError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
 					break
 				}
@@ -747,7 +747,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%d-%v", n, closed), Changes: []clusterconfig.Change{clusterconfig.Put("hall", h.Name, clusterconfig.Hall{Register: h.Register.Addr().String(), Closed: closed})}}
+			p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%d-%v", n, closed), Changes: []clusterconfig.Change{clusterconfig.NewPutChange("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Register.Addr().String(), IsClosed: closed})}}
 			one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 4*time.Second)
 			_, err := c.clients[0].Propose(one, p)
 			if cancel(); err != nil {
@@ -903,8 +903,8 @@
 		o, err := c.clients[0].Objects(one, false)
 		cancel()
 		text, is := o.Objects["lost"][hall]
-		var l clusterconfig.LostHall
-		if is && json.Unmarshal(text, &l) == nil && l.Part > 0 {
+		var l clusterconfig.LostSite
+		if is && json.Unmarshal(text, &l) == nil && l.RecoveredEighths > 0 {
 			is = false // it takes a part of its keys again
 		}
 		if err == nil && is == lost {
@@ -1045,7 +1045,7 @@
 		// A loss takes half a second of silence, a return a hold that doubles.
 		lost, most := 0, 0
 		for _, r := range history {
-			if slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") }) && strings.Contains(r.Why, "silence") {
+			if slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") }) && strings.Contains(r.Reason, "silence") {
 				lost++
 			}
 		}
@@ -1079,7 +1079,7 @@
 }
 
 // oneMind waits until all members have the same version and chain, and returns the history.
-func (c *clusterRun) oneMind(ctx context.Context, j *judge) []clusterconfig.Record {
+func (c *clusterRun) oneMind(ctx context.Context, j *judge) []clusterconfig.HistoryRecord {
 	for _, l := range c.links {
 		l.setCut(false)
 	}
@@ -1141,7 +1141,7 @@
 				said += err.Error() + "; "
 			}
 			for _, f := range c.follow {
-				i := slices.IndexFunc(fs.Followers, func(s configstream.Standing) bool { return s.Name == f.follows })
+				i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool { return s.Name == f.follows })
 				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.NewestVersion {
 					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.MemberID, fs.NewestVersion, f.follows, fs.Followers)
 				} else if v, err := versionAt(ctx, f); err != nil || v != fs.NewestVersion {
@@ -1222,7 +1222,7 @@
 // charged holds the instances' records against the halls and the history: each request that
 // reached a hall was charged once, at the price of the version that it was matched with.
 // Records that a killed instance did not get to write are missed.
-func (c *clusterRun) charged(j *judge, byTrace map[string][]testserver.Arrival, tries []testserver.Try, at map[string]*member, history []clusterconfig.Record) {
+func (c *clusterRun) charged(j *judge, byTrace map[string][]testserver.Arrival, tries []testserver.Try, at map[string]*member, history []clusterconfig.HistoryRecord) {
 	variants := map[uint64]int{}
 	now := 1
 	for _, r := range history {
@@ -1231,7 +1231,7 @@
 		}
 		variants[r.Version] = now
 	}
-	records := map[string]gateway.Record{}
+	records := map[string]gateway.RequestRecord{}
 	for _, m := range c.instances() {
 		f, err := os.Open(filepath.Join(c.dir, fmt.Sprintf("access-%d.jsonl", m.id)))
 		if err != nil {
@@ -1240,7 +1240,7 @@
 		}
 		lines := bufio.NewScanner(f)
 		for lines.Scan() {
-			var r gateway.Record
+			var r gateway.RequestRecord
 			if json.Unmarshal(lines.Bytes(), &r) != nil || r.Trace == "" {
 				continue // the half of a line, of an instance that was killed
 			}
@@ -1258,7 +1258,7 @@
 	keyed, forKey := 0, 0
 	for _, t := range tries {
 		if t.Operation == "bookVisit" && t.At.Sub(tries[0].At) > startsWithout {
-			if keyed++; records[t.Trace].Why != "" {
+			if keyed++; records[t.Trace].KeyRejection != "" {
 				forKey++
 			}
 		}
@@ -1340,7 +1340,7 @@
 
 // judgeOrders checks operators' asks: what was answered as applied is in the history, once
 // and as the version told; asks are in the order of real time.
-func (c *clusterRun) judgeOrders(j *judge, history []clusterconfig.Record) {
+func (c *clusterRun) judgeOrders(j *judge, history []clusterconfig.HistoryRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(history) == 0 {
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -23,7 +23,7 @@
 // past the gateway.
 func TestBrokenOnPurpose(t *testing.T) {
 	t.Parallel()
-	v, err := Play(context.Background(), Options{Scenario: "calm", For: 2 * time.Second, Seed: 7, breakRule: func(w *world) {
+	v, err := Run(context.Background(), Options{Scenario: "calm", For: 2 * time.Second, Seed: 7, breakRule: func(w *world) {
 		for _, h := range w.halls {
 			for _, addr := range h.Addrs() {
 				r, err := http.NewRequest("POST", "http://"+addr+"/v1/visits", strings.NewReader(`{"installers":2}`))
@@ -64,13 +64,13 @@
 	effected := func(a testserver.Arrival) testserver.Arrival { a.Effected = true; return a }
 	unseen := func(a testserver.Arrival) testserver.Arrival { a.Ran = false; return a }
 	draining := func(a testserver.Arrival, d time.Duration) testserver.Arrival { a.Draining = d; return a }
-	rec := gateway.Record{Trace: "a", Operation: "op", Version: 1, Units: 2, Sent: true, Attempts: 2}
-	change := func(f func(*gateway.Record)) gateway.Record { r := rec; f(&r); return r }
+	rec := gateway.RequestRecord{Trace: "a", Operation: "op", Version: 1, Units: 2, Sent: true, Attempts: 2}
+	change := func(f func(*gateway.RequestRecord)) gateway.RequestRecord { r := rec; f(&r); return r }
 	try := testserver.Try{Trace: "a", At: at(0), Ended: at(30), Answers: 1, Status: 200, Served: true}
 	for _, c := range []struct {
 		name string
 		as   []testserver.Arrival
-		rec  gateway.Record
+		rec  gateway.RequestRecord
 		try  testserver.Try
 		want string // rule; empty: none
 	}{
@@ -85,12 +85,12 @@
 		{"keyed, effect twice", []testserver.Arrival{effected(ran("a", "A", "keyed", 0, 10)), effected(ran("a", "A", "keyed", 20, 30))}, rec, try, "no_effect_twice"},
 		{"to one that drains", []testserver.Arrival{draining(ran("a", "A", "safe", 0, 10), 310*time.Millisecond)}, rec, try, "drains"},
 		{"within the grace", []testserver.Arrival{draining(ran("a", "A", "safe", 0, 10), 240*time.Millisecond)}, rec, try, ""},
-		{"charged too little", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Units = 1 }), try, "units"},
-		{"not charged", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Sent = false }), try, "units"},
+		{"charged too little", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.RequestRecord) { r.Units = 1 }), try, "units"},
+		{"not charged", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.RequestRecord) { r.Sent = false }), try, "units"},
 		{"charged for nothing", nil, rec, try, "units"},
-		{"an unknown attempt", []testserver.Arrival{ran("a", "A", "safe", 0, 10), ran("a", "A", "safe", 20, 30)}, change(func(r *gateway.Record) { r.Attempts = 1 }), try, "units"},
-		{"another operation", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Operation = "cheap" }), try, "operations"},
-		{"another version", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.Record) { r.Version = 2 }), try, "versions"},
+		{"an unknown attempt", []testserver.Arrival{ran("a", "A", "safe", 0, 10), ran("a", "A", "safe", 20, 30)}, change(func(r *gateway.RequestRecord) { r.Attempts = 1 }), try, "units"},
+		{"another operation", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.RequestRecord) { r.Operation = "cheap" }), try, "operations"},
+		{"another version", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.RequestRecord) { r.Version = 2 }), try, "versions"},
 		{"no answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Cut: true}, "one_answer"},
 		{"two answers", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Answers: 2, Status: 200, Served: true}, "one_answer"},
 		{"another's answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Answers: 1, Status: 200, Served: true, Wrong: "x"}, "one_answer"},
@@ -104,7 +104,7 @@
 		}
 		j.answers([]testserver.Try{c.try}, func(testserver.Try) bool { return false })
 		j.effects(c.as, byTrace)
-		j.costs(byTrace, map[string]gateway.Record{"a": c.rec})
+		j.costs(byTrace, map[string]gateway.RequestRecord{"a": c.rec})
 		for rule, n := range j.v.Rules {
 			if rule != c.want && n > 0 {
 				t.Errorf("%s: %v", c.name, j.v.Examples)
@@ -231,13 +231,13 @@
 			t.Errorf("%s: %v", name, j.v.Rules)
 		}
 	}
-	history := []clusterconfig.Record{{Version: 1, ID: "a"}, {Version: 2, ID: "b"}}
+	history := []clusterconfig.HistoryRecord{{Version: 1, ID: "a"}, {Version: 2, ID: "b"}}
 	asked := func(id string, from, to int, version uint64, applied bool) order {
 		return order{id: id, call: at(from), ret: at(to), version: version, applied: applied, known: true}
 	}
 	for name, c := range map[string]struct {
 		orders  []order
-		history []clusterconfig.Record
+		history []clusterconfig.HistoryRecord
 		broken  int
 	}{
 		"in order":           {[]order{asked("a", 0, 1, 1, true), asked("b", 2, 3, 2, true), asked("r", 4, 5, 2, false)}, history, 0},
@@ -246,7 +246,7 @@
 		"stale read":         {[]order{asked("b", 0, 1, 2, true), asked("r", 2, 3, 1, false)}, history, 1},
 		"against real time":  {[]order{asked("b", 0, 1, 2, true), asked("a", 2, 3, 1, true)}, history, 1},
 		"at once":            {[]order{asked("b", 0, 4, 2, true), asked("a", 2, 3, 1, true)}, history, 0},
-		"twice in the chain": {nil, append(history, clusterconfig.Record{Version: 3, ID: "a"}), 1},
+		"twice in the chain": {nil, append(history, clusterconfig.HistoryRecord{Version: 3, ID: "a"}), 1},
 	} {
 		j := &judge{&Verdict{Rules: map[string]int{}}}
 		if (&clusterRun{orders: c.orders}).judgeOrders(j, c.history); j.v.Rules["changes"] != c.broken {
@@ -267,7 +267,7 @@
 // a killed instance can't have written is missed.
 func TestClusterCharges(t *testing.T) {
 	t0 := time.Now().Add(-time.Minute)
-	history := []clusterconfig.Record{{Version: 1, Why: variantWhy(1)}, {Version: 2, Why: variantWhy(3)}, {Version: 3, Why: "a plan"}}
+	history := []clusterconfig.HistoryRecord{{Version: 1, Reason: variantWhy(1)}, {Version: 2, Reason: variantWhy(3)}, {Version: 3, Reason: "a plan"}}
 	by := map[string][]testserver.Arrival{"a": {{Trace: "a", Operation: "getDayReport", Units: 5, Version: 3}}}
 	tries := []testserver.Try{{Trace: "a", Instance: "x", At: t0, Ended: t0.Add(time.Millisecond)}}
 	right := changingPrice(3, "getDayReport", 5)
--- a/internal/scenario/lab.go
+++ b/internal/scenario/lab.go
@@ -104,7 +104,7 @@
 	compile   routing.Options
 
 	mu      sync.Mutex
-	records []gateway.Record
+	records []gateway.RequestRecord
 	changes int
 	notes   []string // what a scenario found wrong
 }
@@ -154,8 +154,8 @@
 // classes and plans are those of the booking platform, with rates for a short run.
 func classes() []routing.Class {
 	return []routing.Class{
-		{Name: "slot-check", Worth: 3, Aim: 400 * time.Millisecond, Deadline: 2 * time.Second},
-		{Name: "visit-book", Worth: 9, Late: 0.2, Aim: 750 * time.Millisecond, Deadline: 2 * time.Second},
+		{Name: "slot-check", PriorityWeight: 3, LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second},
+		{Name: "visit-book", PriorityWeight: 9, LateFraction: 0.2, LatencyObjective: 750 * time.Millisecond, Deadline: 2 * time.Second},
 	}
 }
 
@@ -191,8 +191,8 @@
 	return append(ls, testserver.Licensee{Name: "kubwa-greedy", Plan: "kubwa", Rate: 120})
 }
 
-// Play plays a scenario and judges it. An error means that it could not be played.
-func Play(ctx context.Context, opt Options) (*Verdict, error) {
+// Run plays a scenario and judges it. An error means that it could not be played.
+func Run(ctx context.Context, opt Options) (*Verdict, error) {
 	i := slices.IndexFunc(Scenarios(), func(s Scenario) bool { return s.Name == opt.Scenario })
 	if i < 0 {
 		return nil, fmt.Errorf("scenario %q is unknown: see --list", opt.Scenario)
@@ -204,7 +204,7 @@
 		opt.Log = io.Discard
 	}
 	w := &world{opt: opt, scenario: Scenarios()[i], ledger: &testserver.Ledger{}}
-	w.compile = routing.Options{Classes: classes(), MostUnits: 50}
+	w.compile = routing.Options{Classes: classes(), MaxUnits: 50}
 	if w.scenario.cluster != nil {
 		return w.playCluster(ctx)
 	}
@@ -254,7 +254,7 @@
 }
 
 // startHalls starts the halls and their servers.
-func (w *world) startHalls() (halls []gateway.Hall, closeAll func(), err error) {
+func (w *world) startHalls() (halls []gateway.Site, closeAll func(), err error) {
 	closeAll = func() {
 		for _, h := range w.halls {
 			h.Close()
@@ -275,13 +275,13 @@
 				return nil, nil, err
 			}
 		}
-		halls = append(halls, gateway.Hall{Name: h.Name, Register: h.Register.Addr()})
+		halls = append(halls, gateway.Site{Name: h.Name, Discovery: h.Register.Addr()})
 	}
 	return halls, closeAll, nil
 }
 
 // start starts the instances and returns once all are ready.
-func (w *world) start(ctx context.Context, halls []gateway.Hall, table *routing.Table) (ended chan error, err error) {
+func (w *world) start(ctx context.Context, halls []gateway.Site, table *routing.Table) (ended chan error, err error) {
 	var lns []net.Listener
 	var conns []*net.UDPConn
 	var addrs []netip.AddrPort
@@ -305,9 +305,9 @@
 	ended = make(chan error, instances)
 	ready := make(chan *gateway.Instance, instances)
 	for i := range instances {
-		cfg := &gateway.Config{Name: fmt.Sprintf("gate-%d", i), Seed: w.opt.Seed + uint64(i), Halls: halls, Peers: addrs,
-			Settings: settings(i), Classes: classes(), Licensees: known, Observe: w.observe, DrainFor: 50 * time.Millisecond}
-		cfg.On(lns[i], conns[i])
+		cfg := &gateway.Config{Name: fmt.Sprintf("gate-%d", i), Seed: w.opt.Seed + uint64(i), Sites: halls, Peers: addrs,
+			Settings: settings(i), Classes: classes(), Licensees: known, Observe: w.observe, DrainTimeout: 50 * time.Millisecond}
+		cfg.UseSockets(lns[i], conns[i])
 		w.configs = append(w.configs, cfg)
 		logger := log.New(w.opt.Log, cfg.Name+" ", log.LstdFlags|log.Lmicroseconds)
 		go func() {
@@ -332,7 +332,7 @@
 	return ended, nil
 }
 
-func (w *world) observe(r gateway.Record) {
+func (w *world) observe(r gateway.RequestRecord) {
 	w.mu.Lock()
 	w.records = append(w.records, r)
 	w.mu.Unlock()
@@ -353,7 +353,7 @@
 		}
 		var served, refused, failed int64
 		for _, in := range w.instances {
-			in.Count(func(_ string, c *gateway.Counters) {
+			in.EachOperation(func(_ string, c *gateway.Counters) {
 				served, refused, failed = served+c.Served.Load(), refused+c.Refused.Load(), failed+c.Failed.Load()
 			})
 		}
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -90,7 +90,7 @@
 				k = classes[1]
 			}
 			price := prices[plans[t.Licensee]]
-			w = &wish{at: t.At, licensee: t.Licensee, units: max(units[t.Operation], 1), value: k.Worth * price, late: k.Worth * k.Late * price, aim: k.Aim, work: workOf(t.Operation).Seconds()}
+			w = &wish{at: t.At, licensee: t.Licensee, units: max(units[t.Operation], 1), value: k.PriorityWeight * price, late: k.PriorityWeight * k.LateFraction * price, aim: k.LatencyObjective, work: workOf(t.Operation).Seconds()}
 			byFirst[t.First] = w
 			all = append(all, w)
 		}
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -74,7 +74,7 @@
 	for _, a := range arrivals {
 		byTrace[a.Trace] = append(byTrace[a.Trace], a)
 	}
-	records := map[string]gateway.Record{}
+	records := map[string]gateway.RequestRecord{}
 	for _, r := range w.records {
 		if _, twice := records[r.Trace]; twice {
 			j.broken("one_answer", "%s was answered twice by the instances", r.Trace)
@@ -181,7 +181,7 @@
 
 // costs checks that each request that reached a hall was charged once, as the operation
 // that the hall saw, at the price of one version.
-func (j *judge) costs(byTrace map[string][]testserver.Arrival, records map[string]gateway.Record) {
+func (j *judge) costs(byTrace map[string][]testserver.Arrival, records map[string]gateway.RequestRecord) {
 	ops := map[string]*OperationFigures{}
 	op := func(name string) *OperationFigures {
 		if ops[name] == nil {
@@ -261,7 +261,7 @@
 	counted := map[string]int{}
 	answers := map[string]int{}
 	for _, in := range w.instances {
-		in.Count(func(op string, c *gateway.Counters) {
+		in.EachOperation(func(op string, c *gateway.Counters) {
 			counted[op] += int(c.Units.Load())
 			j.v.UnitsCounted += int(c.Units.Load())
 			answers["served"] += int(c.Served.Load())
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -19,53 +19,53 @@
 
 // Events as they come off the wire, in order.
 type (
-	Clock  struct{ Now time.Duration }
-	Commit struct{}
-	Launch struct {
-		Inst     int
+	Clock           struct{ Now time.Duration }
+	BatchEnd        struct{}
+	InstanceStarted struct {
+		Instance int
 		Seed     uint64
 		Settings policy.Settings
 	}
-	Halt struct{ Inst int }
-	// List is a FLEET event with the entries of its table resolved.
-	List struct {
-		Inst    int
-		Form    policy.EndpointUpdateKind
-		Servers []policy.Server
+	InstanceStopped struct{ Instance int }
+	// EndpointsChanged is a FLEET event with the entries of its table resolved.
+	EndpointsChanged struct {
+		Instance int
+		Kind     policy.EndpointUpdateKind
+		Servers  []policy.Server
 	}
-	Accept struct {
-		Inst    int
-		Request policy.Request
+	RequestArrived struct {
+		Instance int
+		Request  policy.Request
 	}
-	Headers struct {
-		Inst    int
-		ID      string
-		Attempt int
+	ResponseHeadersReceived struct {
+		Instance int
+		ID       string
+		Attempt  int
 	}
-	Completed struct {
-		Inst    int
-		Outcome policy.AttemptResult
+	AttemptCompleted struct {
+		Instance int
+		Outcome  policy.AttemptResult
 	}
-	Left struct {
-		Inst int
-		ID   string
+	ClientDisconnected struct {
+		Instance int
+		ID       string
 	}
 	TimerFired struct {
-		Inst  int
-		Token uint64
+		Instance int
+		Token    uint64
 	}
-	ProbeDone struct {
-		Inst   int
-		Server string
-		Result policy.Result
-		Took   time.Duration
-		Load   *policy.LoadReport
+	HealthCheckCompleted struct {
+		Instance   int
+		Server     string
+		Result     policy.Result
+		Latency    time.Duration
+		LoadReport *policy.LoadReport
 	}
-	Whisper struct {
-		Inst, From int
-		Payload    []byte
+	GossipReceived struct {
+		Instance, Peer int
+		Payload        []byte
 	}
-	Total struct{ Inst int }
+	TotalReceived struct{ Instance int }
 )
 
 // maxLine bounds one line; settings and lists of entries are the longest.
@@ -147,15 +147,15 @@
 	case "CLOCK":
 		return Clock{f.dur("clock")}, nil
 	case "COMMIT":
-		return Commit{}, nil
+		return BatchEnd{}, nil
 	case "HALT":
-		return Halt{f.int("i")}, nil
+		return InstanceStopped{f.int("i")}, nil
 	case "PAGE":
 		return nil, r.page(f)
 	case "FLEET":
 		return r.fleet(f)
 	case "ACCEPT":
-		e := Accept{Inst: f.int("i")}
+		e := RequestArrived{Instance: f.int("i")}
 		q := &e.Request
 		q.ID, q.Class, q.Plan = f.str("ref"), f.str("tierClass"), f.str("tier")
 		q.Customer, q.Timeout, q.Units = f.uint("holder"), f.dur("grace"), f.num("weight")
@@ -163,12 +163,12 @@
 		f.uint("bits")
 		return e, nil
 	case "HEADERS":
-		e := Headers{Inst: f.int("i"), ID: f.str("ref"), Attempt: f.int("roundNo")}
+		e := ResponseHeadersReceived{Instance: f.int("i"), ID: f.str("ref"), Attempt: f.int("roundNo")}
 		f.str("server")
 		f.dur("spent")
 		return e, nil
 	case "COMPLETED":
-		e := Completed{Inst: f.int("i")}
+		e := AttemptCompleted{Instance: f.int("i")}
 		o := &e.Outcome
 		o.ID, o.RequestAnswered, o.Result, o.Server = f.str("ref"), f.bool("closed"), f.result("reason"), f.str("server")
 		o.Latency, o.Attempt = f.dur("spent"), f.int("roundNo")
@@ -176,17 +176,17 @@
 		o.Units, o.LoadReport = f.num("actual"), f.load("feedback")
 		return e, nil
 	case "LEFT":
-		return Left{f.int("i"), f.str("ref")}, nil
+		return ClientDisconnected{f.int("i"), f.str("ref")}, nil
 	case "TIMEOUT_FIRED":
 		return TimerFired{f.int("i"), f.uint("ctx")}, nil
 	case "PROBE_DONE":
-		e := ProbeDone{Inst: f.int("i"), Result: f.result("reason"), Server: f.str("server")}
-		e.Took, e.Load = f.dur("spent"), f.load("feedback")
+		e := HealthCheckCompleted{Instance: f.int("i"), Result: f.result("reason"), Server: f.str("server")}
+		e.Latency, e.LoadReport = f.dur("spent"), f.load("feedback")
 		return e, nil
 	case "WHISPER":
-		return Whisper{f.int("i"), f.int("neighbour"), f.bytes("payload")}, nil
+		return GossipReceived{f.int("i"), f.int("neighbour"), f.bytes("payload")}, nil
 	case "TOTAL":
-		e := Total{f.int("i")}
+		e := TotalReceived{f.int("i")}
 		f.num("level")
 		f.result("reason")
 		f.dur("spent")
@@ -236,7 +236,7 @@
 }
 
 func (r *Reader) fleet(f *fields) (any, error) {
-	e := List{Inst: f.int("i")}
+	e := EndpointsChanged{Instance: f.int("i")}
 	f.num("seqNo")
 	ref, form := f.str("table"), f.str("form")
 	if f.err != nil {
@@ -245,10 +245,10 @@
 	forms := map[string]policy.EndpointUpdateKind{"Partial": policy.EndpointsDelta, "Complete": policy.EndpointsComplete,
 		"Persisted": policy.EndpointsSaved, "Error": policy.EndpointsUnavailable}
 	var ok bool
-	if e.Form, ok = forms[form]; !ok {
+	if e.Kind, ok = forms[form]; !ok {
 		return nil, fmt.Errorf("FLEET: unknown form %q", form)
 	}
-	if e.Form != policy.EndpointsUnavailable {
+	if e.Kind != policy.EndpointsUnavailable {
 		table, err := strconv.Atoi(ref)
 		if err != nil {
 			return nil, fmt.Errorf("FLEET: bad table %q", ref)
@@ -458,7 +458,7 @@
 	inst, rest, _ := strings.Cut(rest, " ")
 	seed, text, _ := strings.Cut(rest, " ")
 	f := fields{name: "LAUNCH", vals: []string{inst, seed}}
-	e := Launch{Inst: f.int("i"), Seed: f.uint("prng")}
+	e := InstanceStarted{Instance: f.int("i"), Seed: f.uint("prng")}
 	if f.err != nil {
 		return nil, fmt.Errorf("LAUNCH: %w", f.err)
 	}
@@ -470,23 +470,23 @@
 	return e, nil
 }
 
-// Transport is the part of the settings that concerns connections: the host's
+// ConnectionSettings is the part of the settings that concerns connections: the host's
 // business, not the module's.
-type Transport struct {
-	ConnIdle       time.Duration // a server closes a connection that has stood idle this long
-	ConnectTimeout time.Duration // a connection that is not made within this has failed
+type ConnectionSettings struct {
+	ConnIdleTimeout time.Duration // a server closes a connection that has stood idle this long
+	ConnectTimeout  time.Duration // a connection that is not made within this has failed
 }
 
 // ParseSettings parses the settings object, in the form in which both the
 // simulator and a real edge node's configuration give it.
-func ParseSettings(text []byte) (policy.Settings, Transport, error) {
+func ParseSettings(text []byte) (policy.Settings, ConnectionSettings, error) {
 	var in info
 	if err := json.Unmarshal(text, &in); err != nil {
-		return policy.Settings{}, Transport{}, err
+		return policy.Settings{}, ConnectionSettings{}, err
 	}
 	s, err := in.settings()
 	l := &in.PolicyLimits
-	return s, Transport{ConnIdle: seconds(l.ConnIdle), ConnectTimeout: seconds(l.ConnectTimeout)}, err
+	return s, ConnectionSettings{ConnIdleTimeout: seconds(l.ConnIdle), ConnectTimeout: seconds(l.ConnectTimeout)}, err
 }
 
 func (in *info) settings() (policy.Settings, error) {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -39,26 +39,26 @@
 	if c := events[0].(Clock); c.Now != 8412250*time.Microsecond {
 		t.Errorf("clock %v", c.Now)
 	}
-	l := events[1].(Launch)
+	l := events[1].(InstanceStarted)
 	if s := l.Settings; l.Seed != 99 || s.InstanceIndex != 1 || s.Classes[0].Idempotency != policy.IdempotentWithKey || s.Classes[0].DedupScope != policy.DedupCell ||
 		s.Plans[0].MaxInFlight != 3 || s.Plans[0].Burst != 7 || s.LoadReports != policy.LoadReportsInResponses || s.DrainGracePeriod != 2*time.Second {
 		t.Errorf("launch %+v", l)
 	}
-	list := events[2].(List)
+	list := events[2].(EndpointsChanged)
 	if len(list.Servers) != 2 || list.Servers[1].State != policy.Draining || list.Servers[1].StartedAt != 6100*time.Millisecond {
 		t.Errorf("list %+v", list)
 	}
-	if q := events[3].(Accept).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.InstanceCount != 3 || q.FirstInstance != 1 {
+	if q := events[3].(RequestArrived).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.InstanceCount != 3 || q.FirstInstance != 1 {
 		t.Errorf("request %+v", q)
 	}
-	if o := events[4].(Completed).Outcome; o.Result != policy.RejectedByServer || !o.RequestAnswered || o.LoadReport == nil || o.LoadReport.QueueLength != 3 || o.Units != 3 {
+	if o := events[4].(AttemptCompleted).Outcome; o.Result != policy.RejectedByServer || !o.RequestAnswered || o.LoadReport == nil || o.LoadReport.QueueLength != 3 || o.Units != 3 {
 		t.Errorf("outcome %+v", o)
 	}
-	if w := events[6].(Whisper); string(w.Payload) != "hi 7" {
+	if w := events[6].(GossipReceived); string(w.Payload) != "hi 7" {
 		t.Errorf("payload %q", w.Payload)
 	}
-	if e := events[7].(List); e.Form != policy.EndpointsUnavailable {
-		t.Errorf("form %v", e.Form)
+	if e := events[7].(EndpointsChanged); e.Kind != policy.EndpointsUnavailable {
+		t.Errorf("form %v", e.Kind)
 	}
 }
 
@@ -78,7 +78,7 @@
 }
 
 func TestWriteActions(t *testing.T) {
-	r := Reply{Inst: 3}
+	r := Reply{Instance: 3}
 	r.SendAttempt("rq", "s.a", 80*time.Millisecond)
 	r.RejectRequest("rq", 0)
 	r.FailRequest("rq")
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -10,8 +10,8 @@
 // Reply gathers the lines of one reply. Its methods are the actions of the
 // instance Inst, which the adapter sets before it hands over an event.
 type Reply struct {
-	Inst int
-	buf  []byte
+	Instance int
+	buf      []byte
 }
 
 // Take returns the reply with its last line and empties it; the slice is
@@ -25,7 +25,7 @@
 func (r *Reply) begin(name string) {
 	r.buf = append(r.buf, name...)
 	r.buf = append(r.buf, ' ')
-	r.buf = strconv.AppendInt(r.buf, int64(r.Inst), 10)
+	r.buf = strconv.AppendInt(r.buf, int64(r.Instance), 10)
 }
 
 func (r *Reply) str(s string) {
@@ -118,8 +118,8 @@
 	r.end()
 }
 
-// Broken reports a failure of the decision code.
-func (r *Reply) Broken(text string) {
+// ReportFailure reports a failure of the decision code.
+func (r *Reply) ReportFailure(text string) {
 	r.begin("BROKEN")
 	r.str(oneLine(text))
 	r.end()
--- a/multisite/consent_test.go
+++ b/multisite/consent_test.go
@@ -34,30 +34,30 @@
 		{name: "answers to the process before", voters: five[:4], heard: map[uint64]uint64{2: 0, 3: 0, 4: 0}, late: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			start := func(incarnation uint64) *Consent {
-				s, err := NewConsent(ConsentConfig{Me: 1, Incarnation: incarnation})
+			start := func(incarnation uint64) *QuorumConfirmation {
+				s, err := NewQuorumConfirmation(ConfirmationConfig{InstanceID: 1, Incarnation: incarnation})
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.Agree(7, c.voters, c.joint)
+				s.ApplyAgreed(7, c.voters, c.joint)
 				return s
 			}
 			s, old := start(2), start(1)
-			ask := s.Tell(time.Second, c.fence).Ask
+			ask := s.NextBroadcast(time.Second, c.fence).RequestID
 			if c.late {
-				ask = old.Tell(time.Second, c.fence).Ask
+				ask = old.NextBroadcast(time.Second, c.fence).RequestID
 			}
-			s.Tell(2*time.Second, c.fence)
+			s.NextBroadcast(2*time.Second, c.fence)
 			for id, fence := range c.heard {
-				s.Hear(id, ConsentWord{Ask: 9, Fence: fence, Heard: []ConsentAnswer{{1, ask}}})
+				s.Receive(id, ConfirmationMessage{RequestID: 9, Fence: fence, Answers: []ConfirmationAnswer{{1, ask}}})
 			}
-			at, ok := s.Confirmed()
+			at, ok := s.ConfirmedAt()
 			if want := min(time.Duration(len(c.heard)), 1) * time.Second; ok != c.ok || ok && want > 0 && at != want {
 				t.Errorf("confirmed as of %v: %v", at, ok)
 			}
 			// An older state of the log takes nothing back.
-			s.Agree(6, five[:1], false)
-			if at2, ok2 := s.Confirmed(); at2 != at || ok2 != ok {
+			s.ApplyAgreed(6, five[:1], false)
+			if at2, ok2 := s.ConfirmedAt(); at2 != at || ok2 != ok {
 				t.Errorf("after an older state: %v, %v", at2, ok2)
 			}
 		})
