--- a/multisite/crossing.go
+++ b/multisite/crossing.go
@@ -6,33 +6,35 @@
 	"time"
 )
 
-// Fate is what a site can say of a request that was sent to it over the link between sites.
-type Fate int
+// ExecutionStatus is what a site can say of a request that was sent to it over the link between sites.
+type ExecutionStatus int
 
 const (
 	// Never: it did not run here and never will; if it still comes it is turned away.
-	Never Fate = iota
+	NeverExecuted ExecutionStatus = iota
 	// Underway: it has come and has no final answer yet.
-	Underway
+	Executing
 	// Ran: it was served; its answer may have been kept.
-	Ran
+	Executed
 	// Unknown: it may have run.
-	Unknown
+	ExecutionUnknown
 )
 
-func (f Fate) String() string { return [...]string{"never", "underway", "ran", "unknown"}[f] }
+func (f ExecutionStatus) String() string {
+	return [...]string{"never", "underway", "ran", "unknown"}[f]
+}
 
-// ParseFate is the inverse of [Fate.String]; what it does not know is Unknown.
-func ParseFate(s string) Fate {
-	for f := Never; f < Unknown; f++ {
+// ParseExecutionStatus is the inverse of [ExecutionStatus.String]; what it does not know is Unknown.
+func ParseExecutionStatus(s string) ExecutionStatus {
+	for f := NeverExecuted; f < ExecutionUnknown; f++ {
 		if f.String() == s {
 			return f
 		}
 	}
-	return Unknown
+	return ExecutionUnknown
 }
 
-// Arrivals is what an instance remembers of the requests that came to it over the link, so that it can
+// ForwardedRequests is what an instance remembers of the requests that came to it over the link, so that it can
 // prove, once a link that dropped is back, what became of one. The other side asks with the crossing's id, new for
 // each attempt. Asking about one that has not come voids it: bytes that a broken link still delivers later
 // run nothing. So an answer of Never is final, and with it the other side may send the request elsewhere.
@@ -42,7 +44,7 @@
 // With no room left, nothing comes in and nothing can be voided: the answer is Unknown then.
 //
 // It is not safe for concurrent use.
-type Arrivals struct {
+type ForwardedRequests struct {
 	life time.Duration
 	most int
 	byID map[string]*arrival
@@ -50,7 +52,7 @@
 }
 
 type arrival struct {
-	fate  Fate
+	fate  ExecutionStatus
 	until time.Time
 	kept  any
 }
@@ -60,55 +62,55 @@
 	id    string
 }
 
-// NewArrivals remembers most crossings, each for life after its last change.
-func NewArrivals(life time.Duration, most int) (*Arrivals, error) {
+// NewForwardedRequests remembers most crossings, each for life after its last change.
+func NewForwardedRequests(life time.Duration, most int) (*ForwardedRequests, error) {
 	if life <= 0 || most <= 0 {
 		return nil, errors.New("sites: the time and number of crossings to remember must be above 0")
 	}
-	return &Arrivals{life: life, most: most, byID: map[string]*arrival{}}, nil
+	return &ForwardedRequests{life: life, most: most, byID: map[string]*arrival{}}, nil
 }
 
-// Come takes in a crossing. If it is false, the request must not run: it was voided or there is no room to
+// Admit takes in a crossing. If it is false, the request must not run: it was voided or there is no room to
 // remember it, which is Never, or it has come before, with the fate that it had then.
-func (a *Arrivals) Come(now time.Time, id string) (fate Fate, ok bool) {
+func (a *ForwardedRequests) Admit(now time.Time, id string) (fate ExecutionStatus, ok bool) {
 	a.forget(now)
 	if r := a.byID[id]; r != nil {
 		return r.fate, false
 	}
 	if len(a.byID) >= a.most {
-		return Never, false
+		return NeverExecuted, false
 	}
-	a.note(now, id, Underway)
-	return Underway, true
+	a.note(now, id, Executing)
+	return Executing, true
 }
 
-// Ended tells the fate of a crossing that Come let in, and what to keep of its answer.
-func (a *Arrivals) Ended(now time.Time, id string, fate Fate, kept any) {
-	if r := a.byID[id]; r != nil && r.fate == Underway {
+// Complete tells the fate of a crossing that Come let in, and what to keep of its answer.
+func (a *ForwardedRequests) Complete(now time.Time, id string, fate ExecutionStatus, kept any) {
+	if r := a.byID[id]; r != nil && r.fate == Executing {
 		r.fate, r.kept, r.until = fate, kept, now.Add(a.life)
 	}
 }
 
-// Ask tells what became of a crossing, and what was kept of its answer. One that has not come is void from
+// ResolveStatus tells what became of a crossing, and what was kept of its answer. One that has not come is void from
 // here on.
-func (a *Arrivals) Ask(now time.Time, id string) (Fate, any) {
+func (a *ForwardedRequests) ResolveStatus(now time.Time, id string) (ExecutionStatus, any) {
 	a.forget(now)
 	r := a.byID[id]
 	switch {
 	case r != nil:
 		return r.fate, r.kept
 	case len(a.byID) >= a.most:
-		return Unknown, nil
+		return ExecutionUnknown, nil
 	}
-	a.note(now, id, Never)
-	return Never, nil
+	a.note(now, id, NeverExecuted)
+	return NeverExecuted, nil
 }
 
-// Settled tells that the other side has the answer of a crossing: it will not ask, and as it sends each crossing once,
+// Acknowledge tells that the other side has the answer of a crossing: it will not ask, and as it sends each crossing once,
 // nothing of it can come any more. So what must be remembered follows from connections that break, not from how many
 // requests cross.
-func (a *Arrivals) Settled(id string) {
-	if r := a.byID[id]; r == nil || r.fate == Underway {
+func (a *ForwardedRequests) Acknowledge(id string) {
+	if r := a.byID[id]; r == nil || r.fate == Executing {
 		return
 	}
 	delete(a.byID, id)
@@ -121,16 +123,16 @@
 const agesLeast = 1024
 
 // Len is the number of crossings remembered.
-func (a *Arrivals) Len() int { return len(a.byID) }
+func (a *ForwardedRequests) Len() int { return len(a.byID) }
 
-func (a *Arrivals) note(now time.Time, id string, fate Fate) {
+func (a *ForwardedRequests) note(now time.Time, id string, fate ExecutionStatus) {
 	until := now.Add(a.life)
 	a.byID[id] = &arrival{fate: fate, until: until}
 	a.ages = append(a.ages, agedArrival{until, id})
 }
 
 // forget drops what is past its time. One under way stays until it has ended.
-func (a *Arrivals) forget(now time.Time) {
+func (a *ForwardedRequests) forget(now time.Time) {
 	n := 0
 	for ; n < len(a.ages) && !now.Before(a.ages[n].until); n++ {
 		id := a.ages[n].id
@@ -138,7 +140,7 @@
 		if r == nil {
 			continue // settled
 		}
-		if r.fate == Underway {
+		if r.fate == Executing {
 			r.until = now.Add(a.life)
 		}
 		if now.Before(r.until) {
@@ -150,45 +152,45 @@
 	a.ages = a.ages[n:]
 }
 
-// BudgetConfig bounds what one instance sends over the link.
-type BudgetConfig struct {
-	Most    int     // crossings out at once
-	Retries float64 // further attempts that each first crossing earns
-	Saved   float64 // further attempts that can be saved up
+// RelayBudgetConfig bounds what one instance sends over the link.
+type RelayBudgetConfig struct {
+	MaxInFlight     int     // crossings out at once
+	RetryRatio      float64 // further attempts that each first crossing earns
+	MaxSavedRetries float64 // further attempts that can be saved up
 }
 
-// Budget decides what may cross to another site, so that the loss of one hall can't take the other along.
+// RelayBudget decides what may cross to another site, so that the loss of one hall can't take the other along.
 // Crossings out are bounded; the less a class is worth for its work, the sooner it is kept back: the least
 // worthy from half of the bound on. Past half of it no licensee may have more than its equal part, of
 // those that cross now. Further attempts have a budget of their own, earned by first ones, so that a link that
 // fails is not met by a storm of them.
 //
 // It is not safe for concurrent use.
-type Budget struct {
-	cfg   BudgetConfig
+type RelayBudget struct {
+	cfg   RelayBudgetConfig
 	out   int
 	by    map[string]int // licensees with crossings out
 	saved float64
 }
 
-// NewBudget returns a budget of which nothing is out. An error names the figure that can't be.
-func NewBudget(cfg BudgetConfig) (*Budget, error) {
-	if cfg.Most < 2 || cfg.Retries < 0 || cfg.Saved < 0 {
+// NewRelayBudget returns a budget of which nothing is out. An error names the figure that can't be.
+func NewRelayBudget(cfg RelayBudgetConfig) (*RelayBudget, error) {
+	if cfg.MaxInFlight < 2 || cfg.RetryRatio < 0 || cfg.MaxSavedRetries < 0 {
 		return nil, errors.New("sites: at least two crossings must be able to be out, and the budget of further ones can't be below 0")
 	}
-	return &Budget{cfg: cfg, by: map[string]int{}, saved: cfg.Saved}, nil
+	return &RelayBudget{cfg: cfg, by: map[string]int{}, saved: cfg.MaxSavedRetries}, nil
 }
 
-// Take takes a place for an attempt of a licensee's request. value is the class's worth for its work as a
+// Acquire takes a place for an attempt of a licensee's request. value is the class's worth for its work as a
 // share of the best class's, 0 to 1. If it is false the attempt must not cross now.
-func (b *Budget) Take(licensee string, value float64, further bool) bool {
+func (b *RelayBudget) Acquire(licensee string, value float64, further bool) bool {
 	value = min(max(value, 0), 1)
-	half := float64(b.cfg.Most) / 2
+	half := float64(b.cfg.MaxInFlight) / 2
 	switch {
 	case float64(b.out) >= half+half*value:
 		return false
 	case float64(b.out) >= half && b.by[licensee] > 0:
-		if part := float64(b.cfg.Most) / float64(len(b.by)); float64(b.by[licensee]) >= max(part, 1) {
+		if part := float64(b.cfg.MaxInFlight) / float64(len(b.by)); float64(b.by[licensee]) >= max(part, 1) {
 			return false
 		}
 	}
@@ -198,15 +200,15 @@
 	if further {
 		b.saved--
 	} else {
-		b.saved = min(b.saved+b.cfg.Retries, b.cfg.Saved)
+		b.saved = min(b.saved+b.cfg.RetryRatio, b.cfg.MaxSavedRetries)
 	}
 	b.out++
 	b.by[licensee]++
 	return true
 }
 
-// Done gives a place back.
-func (b *Budget) Done(licensee string) {
+// Release gives a place back.
+func (b *RelayBudget) Release(licensee string) {
 	if b.by[licensee] == 0 {
 		return
 	}
@@ -216,5 +218,5 @@
 	}
 }
 
-// Out is the number of crossings out.
-func (b *Budget) Out() int { return b.out }
+// InFlight is the number of crossings out.
+func (b *RelayBudget) InFlight() int { return b.out }
--- a/multisite/health.go
+++ b/multisite/health.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// HallState is what an instance makes of a hall, by its own attempts and probes and by what
+// SiteState is what an instance makes of a hall, by its own attempts and probes and by what
 // the others tell of theirs. The transitions:
 //
 //	Well      -> Doubted    nothing that was sent there of late was answered
@@ -27,48 +27,48 @@
 // seldom. A hall that is back takes a part of its keys, in eighths, by what it can carry beside the hall that
 // can carry most: it may have come back cold, or with few servers. Only what is agreed on moves homes; the rest
 // is what operators read.
-type HallState int
+type SiteState int
 
 const (
-	Well HallState = iota
-	Doubted
-	CutOff
-	Lost
-	Returning
-	Cold
+	SiteHealthy SiteState = iota
+	SiteSuspected
+	SitePartitioned
+	SiteLost
+	SiteRecovering
+	SiteWarmingUp
 )
 
-func (s HallState) String() string {
+func (s SiteState) String() string {
 	return [...]string{"well", "doubted", "cut off", "lost", "returning", "cold"}[s]
 }
 
 // HealthConfig is what an instance is told at its start.
 type HealthConfig struct {
-	Me        uint64
-	Least     int           // attempts or probes in a row without an answer that count as silence
-	LostAfter time.Duration // silence of a majority for so long is a loss
-	Fresh     time.Duration // another instance's view is out of date after this
-	Hold      time.Duration // for which a hall must be heard before it counts as back
-	HoldMost  time.Duration // the most that the hold grows to
-	Calm      time.Duration // after which a loss no longer lengthens it
-	Ramp      time.Duration // a hall that is back is cold for so long
+	InstanceID       uint64
+	MinMisses        int           // attempts or probes in a row without an answer that count as silence
+	LossTimeout      time.Duration // silence of a majority for so long is a loss
+	ViewTTL          time.Duration // another instance's view is out of date after this
+	RecoveryDelay    time.Duration // for which a hall must be heard before it counts as back
+	MaxRecoveryDelay time.Duration // the most that the hold grows to
+	LossWindow       time.Duration // after which a loss no longer lengthens it
+	WarmUpWindow     time.Duration // a hall that is back is cold for so long
 }
 
-// View is what an instance tells the others of a hall; durations alone go between machines.
-type View struct {
-	Hall   string
-	Silent bool
-	For    time.Duration // it has been so; below 0: it has met nothing of late
-	Carry  float64       // warm servers that it is worth, as far as is known; 0: nothing is
-	Far    bool          `json:",omitempty"` // it reaches the hall by way of another site's instances alone
+// SiteView is what an instance tells the others of a hall; durations alone go between machines.
+type SiteView struct {
+	Site     string
+	IsSilent bool
+	Duration time.Duration // it has been so; below 0: it has met nothing of late
+	Capacity float64       // warm servers that it is worth, as far as is known; 0: nothing is
+	IsRemote bool          `json:",omitempty"` // it reaches the hall by way of another site's instances alone
 }
 
-// HallChange is what should be agreed on.
-type HallChange struct {
-	Hall string
-	Lost bool // else it is back
-	Part int  // eighths of its keys that it takes again; 0 of one that is back: all
-	Why  string
+// SiteChange is what should be agreed on.
+type SiteChange struct {
+	Site       string
+	IsLost     bool // else it is back
+	KeyEighths int  // eighths of its keys that it takes again; 0 of one that is back: all
+	Reason     string
 }
 
 // sight is a view of one hall by one instance.
@@ -99,8 +99,8 @@
 	back   time.Duration   // when the last loss ended; 0: there was none
 }
 
-// Health is one instance's view of the halls. It is not safe for concurrent use.
-type Health struct {
+// HealthMonitor is one instance's view of the halls. It is not safe for concurrent use.
+type HealthMonitor struct {
 	cfg     HealthConfig
 	members []uint64
 	halls   map[string]*agreedHall
@@ -110,17 +110,17 @@
 	far     map[string]bool          // halls that this instance reaches by way of others alone
 }
 
-// NewHealth returns a view of halls that are all well. An error names the figure that can't be.
-func NewHealth(cfg HealthConfig) (*Health, error) {
-	if cfg.Least < 1 || cfg.LostAfter <= 0 || cfg.Fresh <= 0 || cfg.Hold <= 0 || cfg.HoldMost < cfg.Hold {
+// NewHealthMonitor returns a view of halls that are all well. An error names the figure that can't be.
+func NewHealthMonitor(cfg HealthConfig) (*HealthMonitor, error) {
+	if cfg.MinMisses < 1 || cfg.LossTimeout <= 0 || cfg.ViewTTL <= 0 || cfg.RecoveryDelay <= 0 || cfg.MaxRecoveryDelay < cfg.RecoveryDelay {
 		return nil, errors.New("sites: Least, LostAfter, Fresh and Hold must be above 0, HoldMost at least Hold")
 	}
-	return &Health{cfg: cfg, halls: map[string]*agreedHall{}, mine: map[string]*own{}, others: map[uint64]map[string]sight{}, spoke: map[uint64]time.Duration{}, far: map[string]bool{}}, nil
+	return &HealthMonitor{cfg: cfg, halls: map[string]*agreedHall{}, mine: map[string]*own{}, others: map[uint64]map[string]sight{}, spoke: map[uint64]time.Duration{}, far: map[string]bool{}}, nil
 }
 
-// Agree takes over what is agreed on: the halls, which of them are closed, the lost ones with the part of their
+// ApplyAgreed takes over what is agreed on: the halls, which of them are closed, the lost ones with the part of their
 // keys that they take again, and the members.
-func (h *Health) Agree(now time.Duration, halls []Hall, lost map[string]int, members []uint64) {
+func (h *HealthMonitor) ApplyAgreed(now time.Duration, halls []Site, lost map[string]int, members []uint64) {
 	h.members = slices.Clone(members)
 	listed := map[string]bool{}
 	for _, hall := range halls {
@@ -130,7 +130,7 @@
 			a = &agreedHall{}
 			h.halls[hall.Name] = a
 		}
-		a.closed = !hall.Open
+		a.closed = !hall.IsOpen
 		part, is := lost[hall.Name]
 		if is && part == 0 && (!a.lost || a.part > 0) {
 			a.losses = append(a.losses, now)
@@ -158,16 +158,16 @@
 	}
 }
 
-// Far tells that this instance reaches a hall by way of another site's instances alone. What it meets there then says
+// SetRemote tells that this instance reaches a hall by way of another site's instances alone. What it meets there then says
 // as much of the way as of the hall: see votes.
-func (h *Health) Far(hall string, far bool) {
+func (h *HealthMonitor) SetRemote(hall string, far bool) {
 	h.far[hall] = far
 	if o := h.own(hall); o != nil {
 		o.far = far
 	}
 }
 
-func (h *Health) own(hall string) *own {
+func (h *HealthMonitor) own(hall string) *own {
 	o := h.mine[hall]
 	if o == nil && h.halls[hall] != nil {
 		o = &own{}
@@ -176,8 +176,8 @@
 	return o
 }
 
-// Heard notes an answer of any kind from a hall.
-func (h *Health) Heard(now time.Duration, hall string) {
+// RecordAnswer notes an answer of any kind from a hall.
+func (h *HealthMonitor) RecordAnswer(now time.Duration, hall string) {
 	o := h.own(hall)
 	if o == nil {
 		return
@@ -188,9 +188,9 @@
 	o.at, o.heard, o.misses = now, now, 0
 }
 
-// Missed notes that what was sent to a hall at a time came to nothing. If the hall was heard
+// RecordMiss notes that what was sent to a hall at a time came to nothing. If the hall was heard
 // since, that says nothing of it.
-func (h *Health) Missed(now time.Duration, hall string, sent time.Duration) {
+func (h *HealthMonitor) RecordMiss(now time.Duration, hall string, sent time.Duration) {
 	o := h.own(hall)
 	if o == nil || o.heard >= sent && o.heard > 0 {
 		return
@@ -198,7 +198,7 @@
 	if o.misses++; o.misses == 1 {
 		o.first = now
 	}
-	if o.misses >= h.cfg.Least {
+	if o.misses >= h.cfg.MinMisses {
 		if !o.known || !o.silent {
 			o.sight = sight{known: true, silent: true, since: o.first, carry: o.carry, far: o.far}
 		}
@@ -206,35 +206,35 @@
 	}
 }
 
-// Carries notes what a hall can carry, in warm servers.
-func (h *Health) Carries(hall string, servers float64) {
+// RecordCapacity notes what a hall can carry, in warm servers.
+func (h *HealthMonitor) RecordCapacity(hall string, servers float64) {
 	if o := h.own(hall); o != nil {
 		o.carry = servers
 	}
 }
 
 // Views returns what to tell the others.
-func (h *Health) Views(now time.Duration) (views []View) {
+func (h *HealthMonitor) Views(now time.Duration) (views []SiteView) {
 	for name, o := range h.mine {
-		if o.known && now-o.at <= h.cfg.Fresh {
-			views = append(views, View{name, o.silent, max(now-o.since, 0), o.carry, o.far})
+		if o.known && now-o.at <= h.cfg.ViewTTL {
+			views = append(views, SiteView{name, o.silent, max(now-o.since, 0), o.carry, o.far})
 		} else if o.far { // it follows those that know
-			views = append(views, View{Hall: name, For: -1, Far: true})
+			views = append(views, SiteView{Site: name, Duration: -1, IsRemote: true})
 		}
 	}
-	slices.SortFunc(views, func(a, b View) int { return strings.Compare(a.Hall, b.Hall) })
+	slices.SortFunc(views, func(a, b SiteView) int { return strings.Compare(a.Site, b.Site) })
 	return views
 }
 
-// Hear takes in what another instance told.
-func (h *Health) Hear(now time.Duration, from uint64, views []View) {
-	if from == h.cfg.Me || !slices.Contains(h.members, from) {
+// Receive takes in what another instance told.
+func (h *HealthMonitor) Receive(now time.Duration, from uint64, views []SiteView) {
+	if from == h.cfg.InstanceID || !slices.Contains(h.members, from) {
 		return
 	}
 	seen := make(map[string]sight, len(views))
 	for _, v := range views {
-		if h.halls[v.Hall] != nil {
-			seen[v.Hall] = sight{known: v.For >= 0, silent: v.Silent, since: now - v.For, at: now, carry: v.Carry, far: v.Far}
+		if h.halls[v.Site] != nil {
+			seen[v.Site] = sight{known: v.Duration >= 0, silent: v.IsSilent, since: now - v.Duration, at: now, carry: v.Capacity, far: v.IsRemote}
 		}
 	}
 	h.others[from], h.spoke[from] = seen, now
@@ -243,14 +243,14 @@
 // votes counts the members that have met silence at a hall for a time, and those that have heard it for a time. One
 // that reaches it by way of others alone goes by those that reach it themselves, as long as any of them tells: it has
 // heard the hall if one of them has, and met silence if all of them have. Where none tells, it goes by what it has met.
-func (h *Health) votes(now time.Duration, hall string, silentFor, heardFor time.Duration) (silent, heard int) {
+func (h *HealthMonitor) votes(now time.Duration, hall string, silentFor, heardFor time.Duration) (silent, heard int) {
 	follow, near, nearSilent, nearHeard := 0, 0, 0, 0
 	var met []sight // of those that follow
 	for _, id := range h.members {
 		at, spoke := h.spoke[id]
 		s := h.sightOf(id, hall)
-		switch fresh := s.known && now-s.at <= h.cfg.Fresh; {
-		case id != h.cfg.Me && (!spoke || now-at > h.cfg.Fresh):
+		switch fresh := s.known && now-s.at <= h.cfg.ViewTTL; {
+		case id != h.cfg.InstanceID && (!spoke || now-at > h.cfg.ViewTTL):
 		case s.far:
 			follow++
 			met = append(met, s)
@@ -268,7 +268,7 @@
 		silent += follow
 	case near == 0:
 		for _, s := range met {
-			if s.known && now-s.at <= h.cfg.Fresh {
+			if s.known && now-s.at <= h.cfg.ViewTTL {
 				a, b := s.says(silentFor, heardFor)
 				silent, heard = silent+a, heard+b
 			}
@@ -278,8 +278,8 @@
 }
 
 // sightOf is what a member makes of a hall, by its own word or, of this one, by what it has met.
-func (h *Health) sightOf(id uint64, hall string) (s sight) {
-	if id != h.cfg.Me {
+func (h *HealthMonitor) sightOf(id uint64, hall string) (s sight) {
+	if id != h.cfg.InstanceID {
 		return h.others[id][hall]
 	}
 	if o := h.mine[hall]; o != nil {
@@ -300,24 +300,24 @@
 	return 0, 0
 }
 
-func (h *Health) majority(n int) bool { return 2*n > len(h.members) }
+func (h *HealthMonitor) majority(n int) bool { return 2*n > len(h.members) }
 
 // hold is for how long a hall must be heard before it counts as back.
-func (h *Health) hold(now time.Duration, a *agreedHall) time.Duration {
-	a.losses = slices.DeleteFunc(a.losses, func(at time.Duration) bool { return now-at > h.cfg.Calm })
-	hold := h.cfg.Hold
-	for i := 1; i < len(a.losses) && hold < h.cfg.HoldMost; i++ {
+func (h *HealthMonitor) hold(now time.Duration, a *agreedHall) time.Duration {
+	a.losses = slices.DeleteFunc(a.losses, func(at time.Duration) bool { return now-at > h.cfg.LossWindow })
+	hold := h.cfg.RecoveryDelay
+	for i := 1; i < len(a.losses) && hold < h.cfg.MaxRecoveryDelay; i++ {
 		hold *= 2
 	}
-	return min(hold, h.cfg.HoldMost)
+	return min(hold, h.cfg.MaxRecoveryDelay)
 }
 
 // part is how many eighths of its keys a hall can take, so that all halls that take keys are as busy as each other: by
 // the median of what the members know of each. Where nothing is known it is all of them.
-func (h *Health) part(now time.Duration, hall string) int {
+func (h *HealthMonitor) part(now time.Duration, hall string) int {
 	sum, n := 0.0, 0
 	for name, a := range h.halls {
-		if c, _ := h.Carried(now, name); name == hall || c > 0 && !a.closed && !(a.lost && a.part == 0) {
+		if c, _ := h.Capacity(now, name); name == hall || c > 0 && !a.closed && !(a.lost && a.part == 0) {
 			sum += c
 			n++
 		}
@@ -325,17 +325,17 @@
 	if sum <= 0 {
 		return eighths
 	}
-	c, _ := h.Carried(now, hall)
+	c, _ := h.Capacity(now, hall)
 	return min(max(int(eighths*c*float64(n)/sum+0.5), 1), eighths)
 }
 
-// Carried is what a hall can carry, in warm servers, as the members that reach it itself see it in the median (0: not
+// Capacity is what a hall can carry, in warm servers, as the members that reach it itself see it in the median (0: not
 // known), and how many these are.
-func (h *Health) Carried(now time.Duration, hall string) (servers float64, near int) {
+func (h *HealthMonitor) Capacity(now time.Duration, hall string) (servers float64, near int) {
 	var all []float64
 	for _, id := range h.members {
 		s := h.sightOf(id, hall)
-		if !s.known || s.far || now-s.at > h.cfg.Fresh {
+		if !s.known || s.far || now-s.at > h.cfg.ViewTTL {
 			continue
 		}
 		if near++; s.carry > 0 {
@@ -351,10 +351,10 @@
 
 const eighths = 8
 
-// Judge returns what should be agreed on now, at most one change: the next is judged by what
+// ProposeChange returns what should be agreed on now, at most one change: the next is judged by what
 // this one comes to. The last hall that takes keys is never given up: to move all homes nowhere
 // helps nobody.
-func (h *Health) Judge(now time.Duration) (c HallChange, ok bool) {
+func (h *HealthMonitor) ProposeChange(now time.Duration) (c SiteChange, ok bool) {
 	for _, name := range slices.Sorted(maps.Keys(h.halls)) {
 		a := h.halls[name]
 		if a.lost && a.part == 0 {
@@ -364,25 +364,25 @@
 			}
 			continue
 		}
-		if silent, _ := h.votes(now, name, h.cfg.LostAfter, 0); h.majority(silent) && h.another(now, name) {
-			return HallChange{name, true, 0, fmt.Sprintf("%d of %d members have met silence for %v", silent, len(h.members), h.cfg.LostAfter)}, true
+		if silent, _ := h.votes(now, name, h.cfg.LossTimeout, 0); h.majority(silent) && h.another(now, name) {
+			return SiteChange{name, true, 0, fmt.Sprintf("%d of %d members have met silence for %v", silent, len(h.members), h.cfg.LossTimeout)}, true
 		}
-		if a.lost && now-a.moved >= h.cfg.Hold {
+		if a.lost && now-a.moved >= h.cfg.RecoveryDelay {
 			if part := h.part(now, name); part > a.part {
 				return back(name, part, fmt.Sprintf("it can carry %d of 8", part)), true
 			}
 		}
 	}
-	return HallChange{}, false
+	return SiteChange{}, false
 }
 
 // back is the change by which a hall takes a part of its keys again.
-func back(hall string, part int, why string) HallChange {
-	return HallChange{Hall: hall, Part: part % eighths, Why: why}
+func back(hall string, part int, why string) SiteChange {
+	return SiteChange{Site: hall, KeyEighths: part % eighths, Reason: why}
 }
 
 // another tells whether another hall takes keys and is heard by a majority.
-func (h *Health) another(now time.Duration, but string) bool {
+func (h *HealthMonitor) another(now time.Duration, but string) bool {
 	for name, a := range h.halls {
 		if name == but || a.lost && a.part == 0 || a.closed {
 			continue
@@ -395,24 +395,24 @@
 }
 
 // State tells what this instance makes of a hall.
-func (h *Health) State(now time.Duration, hall string) HallState {
+func (h *HealthMonitor) State(now time.Duration, hall string) SiteState {
 	a, o := h.halls[hall], h.mine[hall]
 	if a == nil {
-		return Well
+		return SiteHealthy
 	}
 	silent, heard := h.votes(now, hall, 0, 0)
 	switch {
 	case a.lost && a.part == 0 && h.majority(heard):
-		return Returning
+		return SiteRecovering
 	case a.lost && a.part == 0:
-		return Lost
-	case o != nil && o.known && o.silent && now-o.at <= h.cfg.Fresh:
-		if now-o.since >= h.cfg.LostAfter && !h.majority(silent) {
-			return CutOff
+		return SiteLost
+	case o != nil && o.known && o.silent && now-o.at <= h.cfg.ViewTTL:
+		if now-o.since >= h.cfg.LossTimeout && !h.majority(silent) {
+			return SitePartitioned
 		}
-		return Doubted
-	case a.lost, a.back > 0 && now-a.back < h.cfg.Ramp:
-		return Cold
+		return SiteSuspected
+	case a.lost, a.back > 0 && now-a.back < h.cfg.WarmUpWindow:
+		return SiteWarmingUp
 	}
-	return Well
+	return SiteHealthy
 }
--- a/multisite/health_test.go
+++ b/multisite/health_test.go
@@ -9,8 +9,8 @@
 )
 
 func healthConfig(me uint64) HealthConfig {
-	return HealthConfig{Me: me, Least: 3, LostAfter: 500 * time.Millisecond, Fresh: time.Second, Hold: time.Second,
-		HoldMost: 8 * time.Second, Calm: time.Minute, Ramp: 5 * time.Second}
+	return HealthConfig{InstanceID: me, MinMisses: 3, LossTimeout: 500 * time.Millisecond, ViewTTL: time.Second, RecoveryDelay: time.Second,
+		MaxRecoveryDelay: 8 * time.Second, LossWindow: time.Minute, WarmUpWindow: 5 * time.Second}
 }
 
 // world plays instances that attempt, tell each other and agree. Each has a clock of its own.
@@ -20,7 +20,7 @@
 	halls   []string
 	members []uint64
 	skew    map[uint64]time.Duration
-	health  map[uint64]*Health
+	health  map[uint64]*HealthMonitor
 	reach   map[uint64]map[string]bool // whether an instance reaches a hall
 	hears   map[[2]uint64]bool         // whether one hears another
 	paused  map[uint64]bool
@@ -33,14 +33,14 @@
 }
 
 func newHealthWorld(seed uint64, members int, halls ...string) *healthWorld {
-	w := &healthWorld{rng: rand.New(rand.NewPCG(seed, 7)), halls: halls, skew: map[uint64]time.Duration{}, health: map[uint64]*Health{},
+	w := &healthWorld{rng: rand.New(rand.NewPCG(seed, 7)), halls: halls, skew: map[uint64]time.Duration{}, health: map[uint64]*HealthMonitor{},
 		reach: map[uint64]map[string]bool{}, hears: map[[2]uint64]bool{}, paused: map[uint64]bool{}, lossOf: map[string]int{}, lost: map[string]int{}, carry: map[string]float64{}}
 	for id := uint64(1); id <= uint64(members); id++ {
 		w.members = append(w.members, id)
 		w.skew[id] = time.Duration(w.rng.IntN(7200)) * time.Second
 	}
 	for _, id := range w.members {
-		h, err := NewHealth(healthConfig(id))
+		h, err := NewHealthMonitor(healthConfig(id))
 		if err != nil {
 			panic(err)
 		}
@@ -59,12 +59,12 @@
 func (w *healthWorld) at(id uint64) time.Duration { return w.now + w.skew[id] }
 
 func (w *healthWorld) agree() {
-	var halls []Hall
+	var halls []Site
 	for _, name := range w.halls {
-		halls = append(halls, Hall{Name: name, Open: true})
+		halls = append(halls, Site{Name: name, IsOpen: true})
 	}
 	for _, id := range w.members {
-		w.health[id].Agree(w.at(id), halls, w.lost, w.members)
+		w.health[id].ApplyAgreed(w.at(id), halls, w.lost, w.members)
 	}
 }
 
@@ -90,58 +90,58 @@
 		}
 		h := w.health[id]
 		for _, hall := range w.halls {
-			h.Far(hall, w.isFar(id, hall))
+			h.SetRemote(hall, w.isFar(id, hall))
 			switch w.rng.IntN(3) {
 			case 0:
 				if w.reaches(id, hall) {
-					h.Heard(w.at(id), hall)
+					h.RecordAnswer(w.at(id), hall)
 				} else {
-					h.Missed(w.at(id), hall, w.at(id)-250*time.Millisecond)
+					h.RecordMiss(w.at(id), hall, w.at(id)-250*time.Millisecond)
 				}
 			case 1: // one that was lost says nothing where others are answered
 				if w.reaches(id, hall) && w.rng.IntN(10) == 0 {
-					h.Heard(w.at(id)-5*time.Millisecond, hall)
-					h.Missed(w.at(id), hall, w.at(id)-250*time.Millisecond)
+					h.RecordAnswer(w.at(id)-5*time.Millisecond, hall)
+					h.RecordMiss(w.at(id), hall, w.at(id)-250*time.Millisecond)
 				}
 			}
 		}
 		for _, hall := range w.halls {
 			if !w.isFar(id, hall) {
-				h.Carries(hall, w.carry[hall])
+				h.RecordCapacity(hall, w.carry[hall])
 			}
 		}
 		views := h.Views(w.at(id))
 		for _, to := range w.members {
 			if to != id && !w.paused[to] && w.hears[[2]uint64{to, id}] && w.rng.IntN(10) > 0 {
-				w.health[to].Hear(w.at(to), id, views)
+				w.health[to].Receive(w.at(to), id, views)
 			}
 		}
 	}
 	if w.paused[leader] {
 		return
 	}
-	c, ok := w.health[leader].Judge(w.at(leader))
+	c, ok := w.health[leader].ProposeChange(w.at(leader))
 	if !ok {
 		return
 	}
 	w.changes++
 	reaches := 0
 	for _, id := range w.members {
-		if w.reach[id][c.Hall] {
+		if w.reach[id][c.Site] {
 			reaches++
 		}
 	}
-	part, is := w.lost[c.Hall]
-	if c.Lost && is && part == 0 || !c.Lost && (!is || c.Part > 0 && c.Part <= part) {
+	part, is := w.lost[c.Site]
+	if c.IsLost && is && part == 0 || !c.IsLost && (!is || c.KeyEighths > 0 && c.KeyEighths <= part) {
 		w.errs = append(w.errs, fmt.Sprintf("%v: %+v, and it was so", w.now, c))
 	}
-	if c.Lost {
-		w.lost[c.Hall] = 0
-		w.lossOf[c.Hall]++
-	} else if c.Part > 0 {
-		w.lost[c.Hall] = c.Part
+	if c.IsLost {
+		w.lost[c.Site] = 0
+		w.lossOf[c.Site]++
+	} else if c.KeyEighths > 0 {
+		w.lost[c.Site] = c.KeyEighths
 	} else {
-		delete(w.lost, c.Hall)
+		delete(w.lost, c.Site)
 	}
 	if none := len(w.halls) - w.gone(); none == 0 {
 		w.errs = append(w.errs, fmt.Sprintf("%v: every hall is lost", w.now))
@@ -186,24 +186,24 @@
 		if d := w.run(1, 5*time.Second, isLost); !isLost() || d > 1200*time.Millisecond {
 			t.Fatalf("loss %d was agreed on after %v", i, d)
 		}
-		if s := w.health[2].State(w.at(2), "a"); s != Lost {
+		if s := w.health[2].State(w.at(2), "a"); s != SiteLost {
 			t.Errorf("state %v", s)
 		}
 		w.setHall("a", true)
 		w.run(1, 300*time.Millisecond, func() bool { return false })
-		if s := w.health[2].State(w.at(2), "a"); s != Returning {
+		if s := w.health[2].State(w.at(2), "a"); s != SiteRecovering {
 			t.Errorf("state %v", s)
 		}
 		d := 300*time.Millisecond + w.run(1, 20*time.Second, func() bool { return !isLost() })
 		if isLost() || d < hold*time.Second || d > hold*time.Second+800*time.Millisecond {
 			t.Fatalf("return %d was agreed on after %v, want %v", i, d, hold*time.Second)
 		}
-		if s := w.health[2].State(w.at(2), "a"); s != Cold {
+		if s := w.health[2].State(w.at(2), "a"); s != SiteWarmingUp {
 			t.Errorf("state %v", s)
 		}
 	}
 	w.run(1, 6*time.Second, func() bool { return false })
-	if s := w.health[2].State(w.at(2), "a"); s != Well {
+	if s := w.health[2].State(w.at(2), "a"); s != SiteHealthy {
 		t.Errorf("state %v", s)
 	}
 	for _, e := range w.errs {
@@ -223,10 +223,10 @@
 		if len(w.lost) > 0 {
 			t.Errorf("%s: lost to a minority", name)
 		}
-		if s := w.health[1].State(w.at(1), "a"); s != CutOff {
+		if s := w.health[1].State(w.at(1), "a"); s != SitePartitioned {
 			t.Errorf("%s: state there %v", name, s)
 		}
-		if s := w.health[uint64(c.members)].State(w.at(uint64(c.members)), "a"); s != Well {
+		if s := w.health[uint64(c.members)].State(w.at(uint64(c.members)), "a"); s != SiteHealthy {
 			t.Errorf("%s: state elsewhere %v", name, s)
 		}
 	}
@@ -244,20 +244,20 @@
 		t.Error("lost by one view and an old one")
 	}
 	h := w.health[1]
-	h.Hear(w.at(1), 9, []View{{"a", true, time.Hour, 0, false}})
-	h.Hear(w.at(1), 1, []View{{"a", true, time.Hour, 0, false}})
-	if _, ok := h.Judge(w.at(1)); ok || len(h.others) > 2 {
+	h.Receive(w.at(1), 9, []SiteView{{"a", true, time.Hour, 0, false}})
+	h.Receive(w.at(1), 1, []SiteView{{"a", true, time.Hour, 0, false}})
+	if _, ok := h.ProposeChange(w.at(1)); ok || len(h.others) > 2 {
 		t.Error("a stranger's view, or its own that came back, counts")
 	}
 	// The same by hand: a view of a second ago is none.
-	h, _ = NewHealth(healthConfig(1))
-	h.Agree(0, []Hall{{Name: "a", Open: true}, {Name: "b", Open: true}}, nil, []uint64{1, 2, 3})
-	h.Hear(time.Second, 2, []View{{"a", true, time.Minute, 0, false}, {"b", false, time.Minute, 0, false}})
+	h, _ = NewHealthMonitor(healthConfig(1))
+	h.ApplyAgreed(0, []Site{{Name: "a", IsOpen: true}, {Name: "b", IsOpen: true}}, nil, []uint64{1, 2, 3})
+	h.Receive(time.Second, 2, []SiteView{{"a", true, time.Minute, 0, false}, {"b", false, time.Minute, 0, false}})
 	for at := 1500 * time.Millisecond; at < 3*time.Second; at += 100 * time.Millisecond {
-		h.Missed(at, "a", at-50*time.Millisecond)
-		h.Heard(at, "b")
-		h.Hear(at, 3, []View{{"b", false, time.Minute, 0, false}})
-		if _, ok := h.Judge(at); ok && at > 2*time.Second {
+		h.RecordMiss(at, "a", at-50*time.Millisecond)
+		h.RecordAnswer(at, "b")
+		h.Receive(at, 3, []SiteView{{"b", false, time.Minute, 0, false}})
+		if _, ok := h.ProposeChange(at); ok && at > 2*time.Second {
 			t.Errorf("%v: lost by a view that is out of date", at)
 		}
 	}
@@ -265,21 +265,21 @@
 
 // Nothing asked, nothing known: a hall is not lost for want of requests.
 func TestQuietIsNotSilent(t *testing.T) {
-	h, _ := NewHealth(healthConfig(1))
-	h.Agree(0, []Hall{{Name: "a", Open: true}, {Name: "b", Open: true}}, nil, []uint64{1})
-	h.Heard(time.Second, "a")
-	h.Heard(time.Second, "b")
-	if _, ok := h.Judge(time.Hour); ok || h.State(time.Hour, "a") != Well {
+	h, _ := NewHealthMonitor(healthConfig(1))
+	h.ApplyAgreed(0, []Site{{Name: "a", IsOpen: true}, {Name: "b", IsOpen: true}}, nil, []uint64{1})
+	h.RecordAnswer(time.Second, "a")
+	h.RecordAnswer(time.Second, "b")
+	if _, ok := h.ProposeChange(time.Hour); ok || h.State(time.Hour, "a") != SiteHealthy {
 		t.Error("judged by nothing")
 	}
-	h.Missed(1100*time.Millisecond, "b", 1050*time.Millisecond)
-	if h.State(1100*time.Millisecond, "b") != Well {
+	h.RecordMiss(1100*time.Millisecond, "b", 1050*time.Millisecond)
+	if h.State(1100*time.Millisecond, "b") != SiteHealthy {
 		t.Error("one attempt without an answer is no silence")
 	}
 	for range 9 { // all sent before it was last heard
-		h.Missed(1100*time.Millisecond, "a", 900*time.Millisecond)
+		h.RecordMiss(1100*time.Millisecond, "a", 900*time.Millisecond)
 	}
-	if h.State(1200*time.Millisecond, "a") != Well {
+	if h.State(1200*time.Millisecond, "a") != SiteHealthy {
 		t.Error("an old attempt counts against a newer answer")
 	}
 }
@@ -368,14 +368,14 @@
 		name  string
 		fault func(w *healthWorld)
 		lost  bool
-		state HallState // as the other site sees it
+		state SiteState // as the other site sees it
 		few   bool      // its own site has a minority
 	}{
-		{"silent to its own site", func(w *healthWorld) { w.reach[1]["a"], w.reach[2]["a"] = false, false }, true, Lost, false},
-		{"silent to one of its site", func(w *healthWorld) { w.reach[1]["a"] = false }, false, Well, false},
-		{"the way between the sites is cut", func(w *healthWorld) { w.reach[3]["a"], w.reach[4]["a"] = false, false }, false, CutOff, false},
-		{"the way is cut, and most are at the other side", func(w *healthWorld) { w.reach[2]["a"], w.reach[3]["a"], w.reach[4]["a"] = false, false, false }, false, CutOff, true},
-		{"its site is gone", func(w *healthWorld) { w.paused[1], w.paused[2] = true, true }, false, CutOff, false},
+		{"silent to its own site", func(w *healthWorld) { w.reach[1]["a"], w.reach[2]["a"] = false, false }, true, SiteLost, false},
+		{"silent to one of its site", func(w *healthWorld) { w.reach[1]["a"] = false }, false, SiteHealthy, false},
+		{"the way between the sites is cut", func(w *healthWorld) { w.reach[3]["a"], w.reach[4]["a"] = false, false }, false, SitePartitioned, false},
+		{"the way is cut, and most are at the other side", func(w *healthWorld) { w.reach[2]["a"], w.reach[3]["a"], w.reach[4]["a"] = false, false, false }, false, SitePartitioned, true},
+		{"its site is gone", func(w *healthWorld) { w.paused[1], w.paused[2] = true, true }, false, SitePartitioned, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newHealthWorld(3, 4, "a", "b")
@@ -416,7 +416,7 @@
 	if w.lost["a"] != 2 { // as busy as the other: 0.9 of 5.9 servers, of two halls
 		t.Fatalf("back with %d of 8", w.lost["a"])
 	}
-	if s := w.health[3].State(w.at(3), "a"); s != Cold {
+	if s := w.health[3].State(w.at(3), "a"); s != SiteWarmingUp {
 		t.Errorf("state %v", s)
 	}
 	for _, c := range []struct {
@@ -447,7 +447,7 @@
 // A part takes that share of the hall's keys; a larger one takes the same and more; no key moves between other halls.
 func TestPartsOfKeys(t *testing.T) {
 	homes := func(open bool, part int) []string {
-		h := Homes{Halls: []Hall{{Name: "a", Open: open, Part: part}, {Name: "b", Open: true}, {Name: "c", Open: true}}}
+		h := OwnershipEpoch{Sites: []Site{{Name: "a", IsOpen: open, KeyEighths: part}, {Name: "b", IsOpen: true}, {Name: "c", IsOpen: true}}}
 		out := make([]string, 30000)
 		for i := range out {
 			out[i] = h.home(uint64(i) * 0x9e3779b97f4a7c15)
@@ -473,7 +473,7 @@
 		before = now
 	}
 	// With no hall that takes a key in whole, each still has a home.
-	h := Homes{Halls: []Hall{{Name: "a", Open: true, Part: 1}, {Name: "b", Open: true, Part: 1}}}
+	h := OwnershipEpoch{Sites: []Site{{Name: "a", IsOpen: true, KeyEighths: 1}, {Name: "b", IsOpen: true, KeyEighths: 1}}}
 	for key := range uint64(1000) {
 		if h.home(key) == "" {
 			t.Fatal("no home")
--- a/multisite/ramp.go
+++ b/multisite/ramp.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Ramp shares out, among all instances of all sites, what may be sent to the cold servers of a hall: what one server
+// RecoveryRamp shares out, among all instances of all sites, what may be sent to the cold servers of a hall: what one server
 // can take is a fact of that server, however many instances send to it. Each instance owns an equal share of it. One
 // that reaches none of the hall's servers, or needs less, lends to those that ask for more. Shares never add up to
 // more than one, whatever is lost, late or repeated between them:
@@ -24,7 +24,7 @@
 // What a warm server can take is learned together too: what all members send to one, by the share of it that is busy.
 //
 // It is not safe for concurrent use.
-type Ramp struct {
+type RecoveryRamp struct {
 	cfg     RampConfig
 	members []uint64
 	counts  []memberCount // of late
@@ -36,47 +36,47 @@
 
 // RampConfig is what an instance is told at its start.
 type RampConfig struct {
-	Me          uint64
-	Incarnation uint64        // of this process, above those of the processes before it; below 1<<31
-	Lease       time.Duration // of what is lent
-	Fresh       time.Duration // what another instance told is out of date after this
-	Multiple    float64       // of what a cold server can take that the instances together may send it
+	InstanceID     uint64
+	Incarnation    uint64        // of this process, above those of the processes before it; below 1<<31
+	LoanTTL        time.Duration // of what is lent
+	LoadTTL        time.Duration // what another instance told is out of date after this
+	BudgetMultiple float64       // of what a cold server can take that the instances together may send it
 }
 
-// Carried is what an instance sends to a warm server of a hall that it reaches itself, and how busy that is.
-type Carried struct {
-	Hall string
-	Rate float64 // work a second, for a server of unit weight
-	Util float64 // busy share of its cores; below 0: not known
+// WarmLoad is what an instance sends to a warm server of a hall that it reaches itself, and how busy that is.
+type WarmLoad struct {
+	Site        string
+	Rate        float64 // work a second, for a server of unit weight
+	Utilization float64 // busy share of its cores; below 0: not known
 }
 
-// ColdWork is what an instance has met at a hall's cold servers since it last told.
-type ColdWork struct {
-	Servers float64 // those there are, by weight and warmth; 0: there is none that it reaches itself
-	Sent    float64 // work
-	Short   float64 // work that found no room
+// WarmUpLoad is what an instance has met at a hall's cold servers since it last told.
+type WarmUpLoad struct {
+	ServerWeight float64 // those there are, by weight and warmth; 0: there is none that it reaches itself
+	SentWork     float64 // work
+	RejectedWork float64 // work that found no room
 }
 
-// RampWord is what an instance tells the others, in each of its words.
-type RampWord struct {
-	Ask     uint64      // number of its asks
-	Carried []Carried   `json:",omitempty"`
-	Asks    []RampAsk   `json:",omitempty"`
-	Grants  []RampGrant `json:",omitempty"`
+// RampMessage is what an instance tells the others, in each of its words.
+type RampMessage struct {
+	RequestID uint64         // number of its asks
+	Loads     []WarmLoad     `json:",omitempty"`
+	Requests  []ShareRequest `json:",omitempty"`
+	Grants    []ShareGrant   `json:",omitempty"`
 }
 
-// RampAsk asks for a share beyond what an instance owns.
-type RampAsk struct {
-	Hall  string
+// ShareRequest asks for a share beyond what an instance owns.
+type ShareRequest struct {
+	Site  string
 	Share float64
 }
 
-// RampGrant lends a share.
-type RampGrant struct {
-	Hall  string
-	To    uint64
-	Ask   uint64 // that it answers
-	Share float64
+// ShareGrant lends a share.
+type ShareGrant struct {
+	Site      string
+	Borrower  uint64
+	RequestID uint64 // that it answers
+	Share     float64
 }
 
 type memberCount struct {
@@ -86,7 +86,7 @@
 }
 
 type carriedBy struct {
-	Carried
+	WarmLoad
 	at time.Duration
 }
 
@@ -129,22 +129,22 @@
 	warmLeast   = 1.0  // a server does at least a second's work a second
 )
 
-// NewRamp returns a part in no hall. An error names the figure that can't be.
-func NewRamp(cfg RampConfig) (*Ramp, error) {
-	if cfg.Lease <= 0 || cfg.Fresh <= 0 || cfg.Multiple <= 0 {
+// NewRecoveryRamp returns a part in no hall. An error names the figure that can't be.
+func NewRecoveryRamp(cfg RampConfig) (*RecoveryRamp, error) {
+	if cfg.LoanTTL <= 0 || cfg.LoadTTL <= 0 || cfg.BudgetMultiple <= 0 {
 		return nil, errors.New("sites: Lease, Fresh and Multiple of a ramp must be above 0")
 	}
 	// Numbers of asks go on from process to process: a grant to the one before is not taken for one's own.
-	return &Ramp{cfg: cfg, asked: cfg.Incarnation << 32, halls: map[string]*rampHall{}}, nil
+	return &RecoveryRamp{cfg: cfg, asked: cfg.Incarnation << 32, halls: map[string]*rampHall{}}, nil
 }
 
-// Agree takes over the members and halls that are agreed on.
-func (r *Ramp) Agree(now time.Duration, halls []Hall, members []uint64) {
+// ApplyAgreed takes over the members and halls that are agreed on.
+func (r *RecoveryRamp) ApplyAgreed(now time.Duration, halls []Site, members []uint64) {
 	if n := len(members); len(r.counts) == 0 || r.counts[len(r.counts)-1].n != n {
 		if k := len(r.counts); k > 0 {
-			r.counts[k-1].past, r.counts[k-1].until = true, now+r.cfg.Lease+rampMargin
+			r.counts[k-1].past, r.counts[k-1].until = true, now+r.cfg.LoanTTL+rampMargin
 		} else if n > 0 { // a process that has just started: the one before it may have lent all that it owned
-			r.counts = append(r.counts, memberCount{math.MaxInt, true, now + r.cfg.Lease + rampMargin})
+			r.counts = append(r.counts, memberCount{math.MaxInt, true, now + r.cfg.LoanTTL + rampMargin})
 		}
 		r.counts = append(r.counts, memberCount{n: n})
 	}
@@ -155,7 +155,7 @@
 		}
 	}
 	for name := range r.halls {
-		if !slices.ContainsFunc(halls, func(h Hall) bool { return h.Name == name }) {
+		if !slices.ContainsFunc(halls, func(h Site) bool { return h.Name == name }) {
 			delete(r.halls, name)
 		}
 	}
@@ -169,9 +169,9 @@
 }
 
 // owns is the share that this instance has by itself.
-func (r *Ramp) owns(now time.Duration) float64 {
+func (r *RecoveryRamp) owns(now time.Duration) float64 {
 	r.counts = slices.DeleteFunc(r.counts, func(c memberCount) bool { return c.past && now >= c.until })
-	if !slices.Contains(r.members, r.cfg.Me) {
+	if !slices.Contains(r.members, r.cfg.InstanceID) {
 		return 0
 	}
 	most := 0
@@ -206,7 +206,7 @@
 }
 
 // Share is the share of what a hall's cold servers may be sent that this instance has now, 0 to 1.
-func (r *Ramp) Share(now time.Duration, hall string) float64 {
+func (r *RecoveryRamp) Share(now time.Duration, hall string) float64 {
 	h := r.halls[hall]
 	if h == nil {
 		return 0
@@ -214,17 +214,17 @@
 	return max(r.owns(now)-h.lentOut(now), 0) + h.borrowedNow(now)
 }
 
-// Warm is the work a second that a warm server of unit weight can take at a hall, as the members have learned together
+// WarmServerCapacity is the work a second that a warm server of unit weight can take at a hall, as the members have learned together
 // there or, as long as nothing is known of that, at the hall whose servers can take least.
-func (r *Ramp) Warm(now time.Duration, hall string) float64 {
+func (r *RecoveryRamp) WarmServerCapacity(now time.Duration, hall string) float64 {
 	if h := r.halls[hall]; h != nil {
-		if w := h.learn(now, r.cfg.Fresh); w > 0 {
+		if w := h.learn(now, r.cfg.LoadTTL); w > 0 {
 			return max(w, warmLeast)
 		}
 	}
 	least := 0.0
 	for _, h := range r.halls {
-		if w := h.learn(now, r.cfg.Fresh); w > 0 && (least == 0 || w < least) {
+		if w := h.learn(now, r.cfg.LoadTTL); w > 0 && (least == 0 || w < least) {
 			least = w
 		}
 	}
@@ -238,8 +238,8 @@
 		if now-c.at > fresh {
 			continue
 		}
-		if rate += c.Rate; c.Util >= 0 {
-			busy = append(busy, c.Util)
+		if rate += c.Rate; c.Utilization >= 0 {
+			busy = append(busy, c.Utilization)
 		}
 	}
 	if len(busy) > 0 && rate > 0 {
@@ -251,14 +251,14 @@
 	return max(h.warm, rate)
 }
 
-// Met takes in what the instance has met at a hall since it last told.
-func (r *Ramp) Met(now time.Duration, hall string, c ColdWork) {
+// RecordWarmUpLoad takes in what the instance has met at a hall since it last told.
+func (r *RecoveryRamp) RecordWarmUpLoad(now time.Duration, hall string, c WarmUpLoad) {
 	h := r.halls[hall]
 	if h == nil {
 		return
 	}
 	gap := now - r.told
-	if h.cold = c.Servers > 0; !h.cold {
+	if h.cold = c.ServerWeight > 0; !h.cold {
 		h.need = 0
 		return
 	}
@@ -266,26 +266,26 @@
 		h.need = 1 // it has met none so far: what it can use shows soon
 		return
 	}
-	if most := r.cfg.Multiple * r.Warm(now, hall) * c.Servers * gap.Seconds(); gap > 0 && most > 0 {
-		x := min((c.Sent+c.Short)/most, 1)
+	if most := r.cfg.BudgetMultiple * r.WarmServerCapacity(now, hall) * c.ServerWeight * gap.Seconds(); gap > 0 && most > 0 {
+		x := min((c.SentWork+c.RejectedWork)/most, 1)
 		h.need += (1 - math.Exp(-float64(gap)/float64(rampAverage))) * (x - h.need)
 	}
 	h.need = max(h.need, rampLeast)
 }
 
-// Tell returns what to tell the others now. carried is what the instance sends to warm servers, by hall.
-func (r *Ramp) Tell(now time.Duration, carried []Carried) RampWord {
+// NextBroadcast returns what to tell the others now. carried is what the instance sends to warm servers, by hall.
+func (r *RecoveryRamp) NextBroadcast(now time.Duration, carried []WarmLoad) RampMessage {
 	r.told = now
-	r.carry(now, r.cfg.Me, carried)
+	r.carry(now, r.cfg.InstanceID, carried)
 	r.asked++
 	r.askedAt[r.asked%rampAsks] = now
-	w := RampWord{Ask: r.asked, Carried: carried}
+	w := RampMessage{RequestID: r.asked, Loads: carried}
 	own := r.owns(now)
 	for _, name := range slices.Sorted(maps.Keys(r.halls)) {
 		h := r.halls[name]
 		keep := min(rampRoom*h.need, 1)
 		if h.cold && keep > own {
-			w.Asks = append(w.Asks, RampAsk{name, keep - own})
+			w.Requests = append(w.Requests, ShareRequest{name, keep - own})
 		}
 		w.Grants = append(w.Grants, h.grant(now, name, own-keep, r.cfg)...)
 	}
@@ -293,11 +293,11 @@
 }
 
 // grant lends what an instance can spare to those that have asked: to each its part of all that is asked for.
-func (h *rampHall) grant(now time.Duration, name string, spare float64, cfg RampConfig) (grants []RampGrant) {
+func (h *rampHall) grant(now time.Duration, name string, spare float64, cfg RampConfig) (grants []ShareGrant) {
 	var sum float64
 	ids := make([]uint64, 0, len(h.asks))
 	for id, a := range h.asks {
-		if now-a.at > cfg.Lease {
+		if now-a.at > cfg.LoanTTL {
 			delete(h.asks, id)
 			continue
 		}
@@ -317,8 +317,8 @@
 		if share = min(share, spare-others); share < rampLeast {
 			continue
 		}
-		h.lent[id] = append(h.lent[id], loan{share, now + cfg.Lease + rampMargin})
-		grants = append(grants, RampGrant{name, id, a.ask, share})
+		h.lent[id] = append(h.lent[id], loan{share, now + cfg.LoanTTL + rampMargin})
+		grants = append(grants, ShareGrant{name, id, a.ask, share})
 	}
 	return grants
 }
@@ -332,35 +332,35 @@
 }
 
 // carry notes what a member sends to warm servers.
-func (r *Ramp) carry(now time.Duration, member uint64, carried []Carried) {
+func (r *RecoveryRamp) carry(now time.Duration, member uint64, carried []WarmLoad) {
 	for _, c := range carried {
-		if h := r.halls[c.Hall]; h != nil && c.Rate >= 0 && !math.IsInf(c.Rate, 0) && !math.IsNaN(c.Util) {
+		if h := r.halls[c.Site]; h != nil && c.Rate >= 0 && !math.IsInf(c.Rate, 0) && !math.IsNaN(c.Utilization) {
 			h.carried[member] = carriedBy{c, now}
 		}
 	}
 }
 
-// Hear takes in what another member told.
-func (r *Ramp) Hear(now time.Duration, from uint64, w RampWord) {
-	if from == r.cfg.Me || !slices.Contains(r.members, from) {
+// Receive takes in what another member told.
+func (r *RecoveryRamp) Receive(now time.Duration, from uint64, w RampMessage) {
+	if from == r.cfg.InstanceID || !slices.Contains(r.members, from) {
 		return
 	}
-	r.carry(now, from, w.Carried)
-	for _, a := range w.Asks {
-		if h := r.halls[a.Hall]; h != nil && a.Share > 0 && w.Ask > h.asks[from].ask {
-			h.asks[from] = heardAsk{w.Ask, min(a.Share, 1), now}
+	r.carry(now, from, w.Loads)
+	for _, a := range w.Requests {
+		if h := r.halls[a.Site]; h != nil && a.Share > 0 && w.RequestID > h.asks[from].ask {
+			h.asks[from] = heardAsk{w.RequestID, min(a.Share, 1), now}
 		}
 	}
 	for _, g := range w.Grants {
-		h := r.halls[g.Hall]
-		if h == nil || g.To != r.cfg.Me || g.Ask > r.asked || r.asked-g.Ask >= rampAsks || !(g.Share >= 0) {
+		h := r.halls[g.Site]
+		if h == nil || g.Borrower != r.cfg.InstanceID || g.RequestID > r.asked || r.asked-g.RequestID >= rampAsks || !(g.Share >= 0) {
 			continue
 		}
-		if g.Ask <= h.held[from].ask {
+		if g.RequestID <= h.held[from].ask {
 			continue // a later one of this lender has come
 		}
-		if until := r.askedAt[g.Ask%rampAsks] + r.cfg.Lease; now < until {
-			h.held[from] = borrowed{g.Ask, min(g.Share, 1), until}
+		if until := r.askedAt[g.RequestID%rampAsks] + r.cfg.LoanTTL; now < until {
+			h.held[from] = borrowed{g.RequestID, min(g.Share, 1), until}
 		}
 	}
 }
--- a/multisite/ramp_test.go
+++ b/multisite/ramp_test.go
@@ -12,7 +12,7 @@
 	rng     *rand.Rand
 	now     time.Duration
 	members []uint64
-	ramps   map[uint64]*Ramp
+	ramps   map[uint64]*RecoveryRamp
 	skew    map[uint64]time.Duration
 	starts  map[uint64]uint64
 	paused  map[uint64]bool
@@ -24,13 +24,13 @@
 type rampLetter struct {
 	at       time.Duration
 	from, to uint64
-	word     RampWord
+	word     RampMessage
 }
 
 const rampHallName = "a"
 
 func newRampWorld(seed uint64, n int) *rampWorld {
-	w := &rampWorld{rng: rand.New(rand.NewPCG(seed, 11)), ramps: map[uint64]*Ramp{}, skew: map[uint64]time.Duration{}, starts: map[uint64]uint64{},
+	w := &rampWorld{rng: rand.New(rand.NewPCG(seed, 11)), ramps: map[uint64]*RecoveryRamp{}, skew: map[uint64]time.Duration{}, starts: map[uint64]uint64{},
 		paused: map[uint64]bool{}, demand: map[uint64]float64{}}
 	for id := uint64(1); id <= uint64(n); id++ {
 		w.members = append(w.members, id)
@@ -46,7 +46,7 @@
 
 func (w *rampWorld) start(id uint64) {
 	w.starts[id]++
-	r, err := NewRamp(RampConfig{Me: id, Incarnation: w.starts[id], Lease: 500 * time.Millisecond, Fresh: time.Second, Multiple: 1.25})
+	r, err := NewRecoveryRamp(RampConfig{InstanceID: id, Incarnation: w.starts[id], LoanTTL: 500 * time.Millisecond, LoadTTL: time.Second, BudgetMultiple: 1.25})
 	if err != nil {
 		panic(err)
 	}
@@ -55,7 +55,7 @@
 }
 
 func (w *rampWorld) agree(id uint64) {
-	w.ramps[id].Agree(w.at(id), []Hall{{Name: rampHallName, Open: true}}, w.members)
+	w.ramps[id].ApplyAgreed(w.at(id), []Site{{Name: rampHallName, IsOpen: true}}, w.members)
 }
 
 // step is 20 ms. It returns what all shares add up to at the most, looked at after each event.
@@ -74,7 +74,7 @@
 			if l.at > w.now || w.paused[l.to] {
 				left = append(left, l)
 			} else if r := w.ramps[l.to]; r != nil {
-				r.Hear(w.at(l.to), l.from, l.word)
+				r.Receive(w.at(l.to), l.from, l.word)
 				look()
 			}
 		}
@@ -85,13 +85,13 @@
 			continue
 		}
 		r := w.ramps[id]
-		c := ColdWork{}
+		c := WarmUpLoad{}
 		if d := w.demand[id]; d > 0 {
 			sent := min(d, r.Share(w.at(id), rampHallName)) * 0.02
-			c = ColdWork{Servers: 1 / 1.25, Sent: sent, Short: d*0.02 - sent}
+			c = WarmUpLoad{ServerWeight: 1 / 1.25, SentWork: sent, RejectedWork: d*0.02 - sent}
 		}
-		r.Met(w.at(id), rampHallName, c)
-		word := r.Tell(w.at(id), nil)
+		r.RecordWarmUpLoad(w.at(id), rampHallName, c)
+		word := r.NextBroadcast(w.at(id), nil)
 		look()
 		for _, to := range w.members {
 			if to == id {
@@ -209,14 +209,14 @@
 		share float64
 	}{{"own", 2, 100 * time.Millisecond, 0.75}, {"of the life before", 1, 100 * time.Millisecond, 0.5}, {"of an ask a lease ago", 2, 520 * time.Millisecond, 0.5}} {
 		t.Run(c.name, func(t *testing.T) {
-			old, _ := NewRamp(RampConfig{Me: 1, Incarnation: c.old, Lease: lease, Fresh: time.Second, Multiple: 1.25})
-			r, _ := NewRamp(RampConfig{Me: 1, Incarnation: 2, Lease: lease, Fresh: time.Second, Multiple: 1.25})
-			for _, x := range []*Ramp{old, r} {
-				x.Agree(-time.Hour, []Hall{{Name: rampHallName}}, []uint64{1, 2})
+			old, _ := NewRecoveryRamp(RampConfig{InstanceID: 1, Incarnation: c.old, LoanTTL: lease, LoadTTL: time.Second, BudgetMultiple: 1.25})
+			r, _ := NewRecoveryRamp(RampConfig{InstanceID: 1, Incarnation: 2, LoanTTL: lease, LoadTTL: time.Second, BudgetMultiple: 1.25})
+			for _, x := range []*RecoveryRamp{old, r} {
+				x.ApplyAgreed(-time.Hour, []Site{{Name: rampHallName}}, []uint64{1, 2})
 			}
-			ask := old.Tell(0, nil).Ask
-			r.Tell(0, nil)
-			r.Hear(c.now, 2, RampWord{Grants: []RampGrant{{rampHallName, 1, ask, 0.25}}})
+			ask := old.NextBroadcast(0, nil).RequestID
+			r.NextBroadcast(0, nil)
+			r.Receive(c.now, 2, RampMessage{Grants: []ShareGrant{{rampHallName, 1, ask, 0.25}}})
 			if got := r.Share(c.now, rampHallName); got != c.share {
 				t.Errorf("share %v, want %v", got, c.share)
 			}
@@ -226,26 +226,26 @@
 
 // What a warm server can take follows from what all send to one and how busy that makes it.
 func TestRampLearnsWarmServers(t *testing.T) {
-	r, _ := NewRamp(RampConfig{Me: 1, Lease: time.Second, Fresh: time.Second, Multiple: 1.25})
-	r.Agree(0, []Hall{{Name: "a"}, {Name: "b"}}, []uint64{1, 2, 3})
+	r, _ := NewRecoveryRamp(RampConfig{InstanceID: 1, LoanTTL: time.Second, LoadTTL: time.Second, BudgetMultiple: 1.25})
+	r.ApplyAgreed(0, []Site{{Name: "a"}, {Name: "b"}}, []uint64{1, 2, 3})
 	for i, s := range []struct {
-		mine, other Carried
+		mine, other WarmLoad
 		at          time.Duration
 		a, b        float64
 	}{
-		{Carried{"a", 0, -1}, Carried{"a", 0, -1}, 0, 1, 1}, // nothing is known: one second's work a second
-		{Carried{"a", 0.5, 0.5}, Carried{"a", 0.7, 0.6}, 100 * time.Millisecond, 2, 2},
-		{Carried{"a", 0.1, 0.1}, Carried{"a", 0.1, 0.1}, 200 * time.Millisecond, 2, 2}, // idle: as learned before
-		{Carried{"b", 1, 0.25}, Carried{"b", 3, 0.5}, 300 * time.Millisecond, 2, 8},    // another hall's servers are larger
-		{Carried{"a", 3, -1}, Carried{"a", 3, -1}, 400 * time.Millisecond, 6, 8},       // no reports: what is carried is a floor
+		{WarmLoad{"a", 0, -1}, WarmLoad{"a", 0, -1}, 0, 1, 1}, // nothing is known: one second's work a second
+		{WarmLoad{"a", 0.5, 0.5}, WarmLoad{"a", 0.7, 0.6}, 100 * time.Millisecond, 2, 2},
+		{WarmLoad{"a", 0.1, 0.1}, WarmLoad{"a", 0.1, 0.1}, 200 * time.Millisecond, 2, 2}, // idle: as learned before
+		{WarmLoad{"b", 1, 0.25}, WarmLoad{"b", 3, 0.5}, 300 * time.Millisecond, 2, 8},    // another hall's servers are larger
+		{WarmLoad{"a", 3, -1}, WarmLoad{"a", 3, -1}, 400 * time.Millisecond, 6, 8},       // no reports: what is carried is a floor
 	} {
-		r.Hear(s.at, 2, RampWord{Carried: []Carried{s.other}})
-		r.Tell(s.at, []Carried{s.mine})
-		if a, b := r.Warm(s.at, "a"), r.Warm(s.at, "b"); fmt.Sprintf("%.2f %.2f", a, b) != fmt.Sprintf("%.2f %.2f", s.a, s.b) {
+		r.Receive(s.at, 2, RampMessage{Loads: []WarmLoad{s.other}})
+		r.NextBroadcast(s.at, []WarmLoad{s.mine})
+		if a, b := r.WarmServerCapacity(s.at, "a"), r.WarmServerCapacity(s.at, "b"); fmt.Sprintf("%.2f %.2f", a, b) != fmt.Sprintf("%.2f %.2f", s.a, s.b) {
 			t.Errorf("step %d: %.2f and %.2f, want %.2f and %.2f", i, a, b, s.a, s.b)
 		}
 	}
-	if got := r.Warm(5*time.Second, "a"); got != 2 { // words that are out of date
+	if got := r.WarmServerCapacity(5*time.Second, "a"); got != 2 { // words that are out of date
 		t.Errorf("%.2f with old words, want 2", got)
 	}
 }
--- a/multisite/sim_test.go
+++ b/multisite/sim_test.go
@@ -44,7 +44,7 @@
 
 type simInstance struct {
 	id          uint64
-	keys        *Keys
+	keys        *KeyTable
 	incarnation uint64
 	epoch       int           // applied, as an index of the agreed ones
 	cut         bool          // from the agreement and the others
@@ -61,7 +61,7 @@
 	queue     events
 	n         int
 	instances []*simInstance
-	agreed    []Homes
+	agreed    []OwnershipEpoch
 	lives     []time.Duration                     // of keys, by agreed epoch
 	halls     map[string]map[uint64]time.Duration // keys remembered, since when
 	effects   map[uint64]string                   // hall of a key's effect
@@ -88,7 +88,7 @@
 	if seed%5 == 0 {
 		s.most = 40 // the ledger fills up
 	}
-	s.agreed = []Homes{{Epoch: 1, Halls: []Hall{{Name: "a", Open: true}, {Name: "b", Open: true}}, Instances: []uint64{1, 2, 3, 4}}}
+	s.agreed = []OwnershipEpoch{{Number: 1, Sites: []Site{{Name: "a", IsOpen: true}, {Name: "b", IsOpen: true}}, Instances: []uint64{1, 2, 3, 4}}}
 	s.lives = []time.Duration{simLife}
 	for id := uint64(1); id <= 4; id++ {
 		i := &simInstance{id: id, epoch: -1, skew: time.Duration(s.rng.Int64N(int64(2 * time.Hour)))}
@@ -100,7 +100,7 @@
 
 func (s *sim) start(i *simInstance) {
 	i.incarnation++
-	k, err := New(Config{Me: i.id, Incarnation: i.incarnation, Lease: simLease, Life: simLife, Memory: simMemory, Most: s.most}, s.clock(i))
+	k, err := NewKeyTable(KeyConfig{InstanceID: i.id, Incarnation: i.incarnation, LeaseTTL: simLease, KeyTTL: simLife, DeduplicationWindow: simMemory, MaxKeys: s.most}, s.clock(i))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -120,10 +120,10 @@
 					return
 				}
 				for ; i.epoch < latest; i.epoch++ {
-					k.Install(s.clock(i), s.agreed[i.epoch+1])
-					k.SetLife(s.clock(i), s.lives[i.epoch+1], simMemory)
+					k.InstallEpoch(s.clock(i), s.agreed[i.epoch+1])
+					k.SetLifetimes(s.clock(i), s.lives[i.epoch+1], simMemory)
 				}
-				k.Confirm(asked)
+				k.ConfirmEpoch(asked)
 			})
 		}
 		s.at(s.between(40*time.Millisecond, 80*time.Millisecond), learn)
@@ -135,12 +135,12 @@
 			return
 		}
 		if s.now >= i.asleep {
-			m, _ := k.Tell(s.clock(i), 3)
+			m, _ := k.NextBroadcast(s.clock(i), 3)
 			for _, o := range s.instances {
 				if lost := s.now < simFaults && s.rng.Float64() < 0.002; o != i && !lost && !i.cut {
 					s.at(s.between(time.Millisecond, 20*time.Millisecond), func() {
 						if !o.down && !o.cut && s.now >= o.asleep && i.incarnation == inc {
-							o.keys.Hear(s.clock(o), m)
+							o.keys.Receive(s.clock(o), m)
 						}
 					})
 				}
@@ -170,7 +170,7 @@
 			return
 		}
 		v := i.keys.Route(s.clock(i), key)
-		if v.Hall == "" {
+		if v.Site == "" {
 			s.refused++
 			if s.healed > 0 && s.now > s.healed+simLease+5*time.Second+time.Second {
 				s.lateNo++
@@ -181,7 +181,7 @@
 		// The module takes its time to pick a server; the attempt may no longer be let through.
 		k, inc := i.keys, i.incarnation
 		s.at(s.between(0, 20*time.Millisecond), func() {
-			if i.down || i.incarnation != inc || s.now < i.asleep || !k.Send(s.clock(i), key, v.Hall) {
+			if i.down || i.incarnation != inc || s.now < i.asleep || !k.BeginAttempt(s.clock(i), key, v.Site) {
 				again()
 				return
 			}
@@ -189,11 +189,11 @@
 			s.at(s.between(0, 300*time.Millisecond), func() {
 				ran := fate > 0.1 && s.now < until+100*time.Millisecond // the hall drops what has expired
 				if ran {
-					s.run(v.Hall, key)
+					s.run(v.Site, key)
 				}
 				s.at(s.between(0, 200*time.Millisecond), func() {
 					if !i.down && i.incarnation == inc {
-						k.Ended(key, !ran && fate > 0.05)
+						k.EndAttempt(key, !ran && fate > 0.05)
 					}
 					if ran && fate > 0.3 {
 						s.served++
@@ -230,7 +230,7 @@
 			}
 		}
 		last := s.agreed[len(s.agreed)-1]
-		s.agreed = append(s.agreed, Homes{last.Epoch + 1, []Hall{{Name: "a", Open: true}, {Name: "b", Open: true}}, last.Instances})
+		s.agreed = append(s.agreed, OwnershipEpoch{last.Number + 1, []Site{{Name: "a", IsOpen: true}, {Name: "b", IsOpen: true}}, last.Instances})
 		s.lives = append(s.lives, simLife)
 		return
 	}
@@ -238,8 +238,8 @@
 	switch x := s.rng.Float64(); {
 	case x < 0.4: // a hall closes or opens
 		last := s.agreed[len(s.agreed)-1]
-		halls := []Hall{{"a", s.rng.Float64() < 0.7, max(s.rng.IntN(16)-8, 0)}, {"b", s.rng.Float64() < 0.7, max(s.rng.IntN(16)-8, 0)}}
-		s.agreed = append(s.agreed, Homes{last.Epoch + 1, halls, last.Instances})
+		halls := []Site{{"a", s.rng.Float64() < 0.7, max(s.rng.IntN(16)-8, 0)}, {"b", s.rng.Float64() < 0.7, max(s.rng.IntN(16)-8, 0)}}
+		s.agreed = append(s.agreed, OwnershipEpoch{last.Number + 1, halls, last.Instances})
 		life := s.lives[len(s.lives)-1]
 		if s.rng.Float64() < 0.4 { // the longest is longer than halls remember
 			life = []time.Duration{simLife, 3500 * time.Millisecond, 5 * time.Second}[s.rng.IntN(3)]
@@ -327,14 +327,14 @@
 	}
 }
 
-func testKeys(t *testing.T, instances ...uint64) (*Keys, Homes) {
+func testKeys(t *testing.T, instances ...uint64) (*KeyTable, OwnershipEpoch) {
 	t.Helper()
-	k, err := New(Config{Me: 1, Incarnation: 1, Lease: simLease, Life: simLife, Memory: simMemory, Most: 100}, 0)
+	k, err := NewKeyTable(KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: simLease, KeyTTL: simLife, DeduplicationWindow: simMemory, MaxKeys: 100}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := Homes{Epoch: 1, Halls: []Hall{{Name: "a", Open: true}, {Name: "b", Open: true}}, Instances: instances}
-	k.Install(0, h)
+	h := OwnershipEpoch{Number: 1, Sites: []Site{{Name: "a", IsOpen: true}, {Name: "b", IsOpen: true}}, Instances: instances}
+	k.InstallEpoch(0, h)
 	return k, h
 }
 
@@ -343,43 +343,43 @@
 func TestAlone(t *testing.T) {
 	k, h := testKeys(t, 1)
 	now := simLease / 2
-	k.Confirm(now)
-	if v := k.Route(now, 7); v.Hall != "" || v.Wait <= 0 {
+	k.ConfirmEpoch(now)
+	if v := k.Route(now, 7); v.Site != "" || v.RetryAfter <= 0 {
 		t.Errorf("right after its start: %+v", v)
 	}
 	now = simLife + time.Millisecond
-	k.Confirm(now)
+	k.ConfirmEpoch(now)
 	v := k.Route(now, 7)
-	if v.Hall == "" || !k.Send(now, 7, v.Hall) {
+	if v.Site == "" || !k.BeginAttempt(now, 7, v.Site) {
 		t.Fatalf("%+v", v)
 	}
-	other := map[string]string{"a": "b", "b": "a"}[v.Hall]
-	if k.Send(now, 7, other) {
+	other := map[string]string{"a": "b", "b": "a"}[v.Site]
+	if k.BeginAttempt(now, 7, other) {
 		t.Error("the key is let through to the other hall")
 	}
-	k.Ended(7, true)
+	k.EndAttempt(7, true)
 	if k.Len() != 0 {
 		t.Error("a key that never ran is remembered")
 	}
-	k.Send(now, 7, v.Hall)
-	k.Ended(7, false)
+	k.BeginAttempt(now, 7, v.Site)
+	k.EndAttempt(7, false)
 	now += simMemory + time.Millisecond
-	k.Confirm(now)
-	if v := k.Route(now, 7); v.Hall != "" {
+	k.ConfirmEpoch(now)
+	if v := k.Route(now, 7); v.Site != "" {
 		t.Errorf("past its hall's memory: %+v", v)
 	}
-	h.Epoch, h.Halls = 2, []Hall{{Name: v.Hall}, {Name: other, Open: true}}
-	k.Install(now, h)
-	k.Confirm(now)
-	if v := k.Route(now, 7); v.Hall != "" {
+	h.Number, h.Sites = 2, []Site{{Name: v.Site}, {Name: other, IsOpen: true}}
+	k.InstallEpoch(now, h)
+	k.ConfirmEpoch(now)
+	if v := k.Route(now, 7); v.Site != "" {
 		t.Errorf("a key that may have run at a closed hall: %+v", v)
 	}
-	k.Install(now, Homes{Epoch: 1})
-	if k.homes.Epoch != 2 {
+	k.InstallEpoch(now, OwnershipEpoch{Number: 1})
+	if k.homes.Number != 2 {
 		t.Error("an older epoch is taken")
 	}
-	for _, c := range []Config{{}, {Lease: 1, Life: 2, Most: 1}} {
-		if _, err := New(c, 0); err == nil {
+	for _, c := range []KeyConfig{{}, {LeaseTTL: 1, KeyTTL: 2, MaxKeys: 1}} {
+		if _, err := NewKeyTable(c, 0); err == nil {
 			t.Errorf("%+v is taken", c)
 		}
 	}
@@ -390,21 +390,21 @@
 func TestFreshStart(t *testing.T) {
 	k, _ := testKeys(t, 1, 2)
 	for _, now := range []time.Duration{simLease, simLife + time.Millisecond, simLease + simLife - time.Millisecond} {
-		k.Confirm(now)
-		if v := k.Route(now, 7); v.Hall != "" || v.Wait <= 0 {
+		k.ConfirmEpoch(now)
+		if v := k.Route(now, 7); v.Site != "" || v.RetryAfter <= 0 {
 			t.Errorf("%v after its start: %+v", now, v)
 		}
 	}
 	now := simLease + simLife + time.Millisecond
-	k.Confirm(now)
-	if v := k.Route(now, 7); v.Hall == "" {
+	k.ConfirmEpoch(now)
+	if v := k.Route(now, 7); v.Site == "" {
 		t.Errorf("when nothing of other homes can arrive any more: %+v", v)
 	}
 }
 
 // BenchmarkKeys is a routed and noted key with a million remembered; bytes a key are told.
 func BenchmarkKeys(b *testing.B) {
-	k, err := New(Config{Me: 1, Incarnation: 1, Lease: time.Hour, Life: time.Hour, Memory: time.Hour, Most: 1 << 20}, 0)
+	k, err := NewKeyTable(KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: time.Hour, KeyTTL: time.Hour, DeduplicationWindow: time.Hour, MaxKeys: 1 << 20}, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -412,25 +412,25 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	now := 2*time.Hour + time.Second
-	k.Install(0, Homes{Epoch: 1, Halls: []Hall{{Name: "hall-a", Open: true}, {Name: "hall-b", Open: true}}, Instances: []uint64{1}})
-	k.Confirm(now)
+	k.InstallEpoch(0, OwnershipEpoch{Number: 1, Sites: []Site{{Name: "hall-a", IsOpen: true}, {Name: "hall-b", IsOpen: true}}, Instances: []uint64{1}})
+	k.ConfirmEpoch(now)
 	for i := range uint64(1_000_000) {
 		key := i * 0x9e3779b97f4a7c15
-		if !k.Send(now, key, k.Route(now, key).Hall) {
+		if !k.BeginAttempt(now, key, k.Route(now, key).Site) {
 			b.Fatal("not let through")
 		}
-		k.Ended(key, false)
+		k.EndAttempt(key, false)
 		if i%1000 == 0 {
-			k.Tell(now, 2000)
+			k.NextBroadcast(now, 2000)
 		}
 	}
-	k.Tell(now, 2000)
+	k.NextBroadcast(now, 2000)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	b.ReportAllocs()
 	for i := uint64(0); b.Loop(); i++ {
 		key := i % 1_000_000 * 0x9e3779b97f4a7c15
-		if k.Route(now, key).Hall == "" {
+		if k.Route(now, key).Site == "" {
 			b.Fatal("not routed")
 		}
 	}
@@ -455,32 +455,32 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a, h := testKeys(t, 1, 2)
-			b, err := New(Config{Me: 2, Incarnation: 1, Lease: simLease, Life: simLife, Memory: simMemory, Most: 100}, 0)
+			b, err := NewKeyTable(KeyConfig{InstanceID: 2, Incarnation: 1, LeaseTTL: simLease, KeyTTL: simLife, DeduplicationWindow: simMemory, MaxKeys: 100}, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Install(0, h)
+			b.InstallEpoch(0, h)
 			now := 10 * time.Second // long after both began
-			talk := func(from, to *Keys) {
-				m, _ := from.Tell(now, 100)
-				to.Hear(now, m)
+			talk := func(from, to *KeyTable) {
+				m, _ := from.NextBroadcast(now, 100)
+				to.Receive(now, m)
 			}
-			a.Confirm(now)
-			b.Confirm(now)
+			a.ConfirmEpoch(now)
+			b.ConfirmEpoch(now)
 			talk(a, b)
 			talk(b, a)
-			hall := a.Route(now, key).Hall
-			if hall == "" || !a.Send(now, key, hall) {
+			hall := a.Route(now, key).Site
+			if hall == "" || !a.BeginAttempt(now, key, hall) {
 				t.Fatalf("the first try is not sent: %+v", a.Route(now, key))
 			}
 			if c.moved { // the key's hall closes; it opens again where the case wants it open
-				next := Homes{Epoch: 2, Halls: []Hall{{Name: "a", Open: hall != "a"}, {Name: "b", Open: hall != "b"}}, Instances: h.Instances}
+				next := OwnershipEpoch{Number: 2, Sites: []Site{{Name: "a", IsOpen: hall != "a"}, {Name: "b", IsOpen: hall != "b"}}, Instances: h.Instances}
 				if c.open {
-					next.Halls = []Hall{{Name: "a", Open: true, Part: 1}, {Name: "b", Open: true, Part: 1}}
+					next.Sites = []Site{{Name: "a", IsOpen: true, KeyEighths: 1}, {Name: "b", IsOpen: true, KeyEighths: 1}}
 				}
-				for _, k := range []*Keys{a, b} {
-					k.Install(now, next)
-					k.Confirm(now)
+				for _, k := range []*KeyTable{a, b} {
+					k.InstallEpoch(now, next)
+					k.ConfirmEpoch(now)
 				}
 			}
 			now += 50 * time.Millisecond
@@ -489,12 +489,12 @@
 				talk(b, a)
 			}
 			v := b.Route(now, key)
-			if v.Hall != "" && v.Hall != hall || (v.Hall != "") != c.want {
-				t.Errorf("the repeat may go to %q (%s); the first try is out at %s", v.Hall, v.Why, hall)
+			if v.Site != "" && v.Site != hall || (v.Site != "") != c.want {
+				t.Errorf("the repeat may go to %q (%s); the first try is out at %s", v.Site, v.Reason, hall)
 			}
-			a.Ended(key, false) // 1 ms later
-			if v := a.Route(now+time.Millisecond, key); v.Hall != "" && v.Hall != hall {
-				t.Errorf("a repeat at the first instance may go to %q", v.Hall)
+			a.EndAttempt(key, false) // 1 ms later
+			if v := a.Route(now+time.Millisecond, key); v.Site != "" && v.Site != hall {
+				t.Errorf("a repeat at the first instance may go to %q", v.Site)
 			}
 		})
 	}
@@ -509,31 +509,31 @@
 		t.Fatalf("life %v, memory %v", k.longest(now), k.memory())
 	}
 	long := 10 * time.Second
-	k.SetLife(now, long, 2*simMemory)
+	k.SetLifetimes(now, long, 2*simMemory)
 	if k.longest(now) != long || k.memory() != simMemory {
 		t.Errorf("at once: life %v, memory %v", k.longest(now), k.memory())
 	}
 	if now += simLease + simLife; k.longest(now) != long || k.memory() != 2*simMemory {
 		t.Errorf("later: life %v, memory %v", k.longest(now), k.memory())
 	}
-	k.SetLife(now, simLife, simMemory)
+	k.SetLifetimes(now, simLife, simMemory)
 	if at := now + simLease + long; k.longest(at-1) != long || k.longest(at) != simLife {
 		t.Errorf("a shorter life counts from %v and %v", k.longest(at-1), k.longest(at))
 	}
 	now += time.Minute
-	k.Hear(now, Message{From: 2, Incarnation: 1, Seq: 1, Epoch: h.Epoch, Age: time.Hour, Life: long})
+	k.Receive(now, Message{From: 2, Incarnation: 1, SequenceNumber: 1, Epoch: h.Number, Uptime: time.Hour, KeyTTL: long})
 	if k.longest(now) != long {
 		t.Errorf("another instance's life does not count: %v", k.longest(now))
 	}
 	// A key that was sent before lives grew stays remembered for as long as it now may come.
-	k.Hear(now, Message{From: 2, Incarnation: 1, Seq: 2, Epoch: h.Epoch, Life: simLife})
-	k.Confirm(now)
-	hall := k.Route(now, 7).Hall
-	if !k.Send(now, 7, hall) {
+	k.Receive(now, Message{From: 2, Incarnation: 1, SequenceNumber: 2, Epoch: h.Number, KeyTTL: simLife})
+	k.ConfirmEpoch(now)
+	hall := k.Route(now, 7).Site
+	if !k.BeginAttempt(now, 7, hall) {
 		t.Fatal("not sent")
 	}
-	k.Ended(7, false)
-	k.SetLife(now, long, simMemory)
+	k.EndAttempt(7, false)
+	k.SetLifetimes(now, long, simMemory)
 	k.forget(now + simMemory + simLife + time.Second)
 	if k.Len() != 1 {
 		t.Error("forgotten by the life before")
@@ -542,15 +542,15 @@
 		t.Error("kept for ever")
 	}
 	// Full: what a hall forgets before its client is not sent.
-	for key := uint64(100); k.Len() < k.cfg.Most; key++ {
+	for key := uint64(100); k.Len() < k.cfg.MaxKeys; key++ {
 		k.keys[key] = entry{hall: 0, first: now, ran: true}
 	}
-	if k.Confirm(now); k.Send(now, 7, k.Route(now, 7).Hall) {
+	if k.ConfirmEpoch(now); k.BeginAttempt(now, 7, k.Route(now, 7).Site) {
 		t.Error("sent with a full ledger, though its hall forgets it sooner than its client")
 	}
-	k.SetLife(now, simLife, 2*long)
+	k.SetLifetimes(now, simLife, 2*long)
 	now += simLease + long
-	if k.Confirm(now); !k.Send(now, 8, k.Route(now, 8).Hall) {
+	if k.ConfirmEpoch(now); !k.BeginAttempt(now, 8, k.Route(now, 8).Site) {
 		t.Error("a full ledger stops what its hall remembers")
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -586,7 +586,7 @@
 }
 
 // withParts plays f with another rule for parts.
-func withParts(rule subset.Rule, f func()) {
+func withParts(rule subset.Sizing, f func()) {
 	was := partRule
 	partRule = rule
 	defer func() { partRule = was }()
@@ -626,7 +626,7 @@
 func both(t *testing.T, f func() fleetTotals) (with, without fleetTotals) {
 	t.Helper()
 	with = f()
-	withParts(subset.Rule{}, func() { without = f() })
+	withParts(subset.Sizing{}, func() { without = f() })
 	t.Logf("with parts %.3f of the worth, %d connections opened, %d not made, %d probes; without %.3f, %d, %d, %d", with.worth(), with.opened, with.noConn, with.probes,
 		without.worth(), without.opened, without.noConn, without.probes)
 	return with, without
@@ -725,7 +725,7 @@
 func TestFleetSmall(t *testing.T) {
 	for _, size := range [][2]int{{300, 3}, {3, 200}, {4, 20}} {
 		var got [2]string
-		for i, rule := range []subset.Rule{partRule, {}} {
+		for i, rule := range []subset.Sizing{partRule, {}} {
 			withParts(rule, func() {
 				s := newFleet(7, size[0], size[1], 0.5)
 				s.run(s.now + time.Second)
--- a/policy/state.go
+++ b/policy/state.go
@@ -163,8 +163,8 @@
 	near    []*server // this gateway's part of them, or all
 	parted  bool      // the rule leaves servers out of the part
 	holders float64   // gateways that have a server of it in their part, on average
-	width   subset.Width
-	watch   *zonehealth.Watch // over the zones, where gateways keep to parts
+	width   subset.WidthController
+	watch   *zonehealth.Detector // over the zones, where gateways keep to parts
 	byID    map[string]*server
 	reqs    map[string]*request
 	byNum   map[uint64]*request
@@ -233,7 +233,7 @@
 		set: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), byID: map[string]*server{}, reqs: map[string]*request{},
 		byNum: map[uint64]*request{}, class: map[string]int{}, plan: map[string]int{}, kinds: map[string]int{},
 		stores: map[uint64]*store{}, peers: make([]peer, s.InstanceCount), lat: make([]classLatency, len(s.Classes)), cold: map[string]*coldZone{},
-		watch: zonehealth.New(zonehealth.Usual),
+		watch: zonehealth.New(zonehealth.DefaultSettings),
 	}
 	g.set.Classes = append([]Class(nil), s.Classes...)
 	g.set.Plans = append([]Plan(nil), s.Plans...)
@@ -564,35 +564,35 @@
 // partRule is how large a gateway's part of the servers is: 12 are enough to lose half of them, and few enough for
 // some requests a second to find a connection open; each server is in 16 parts or more, so that gateways with several
 // times the mean load do not weigh on single servers.
-var partRule = subset.Rule{Servers: 12, Holders: 16, Spare: 8}
+var partRule = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
 
 // takePart forms this gateway's part of the servers that take requests.
 func (g *Engine) takePart() {
-	fleet := subset.Fleet{Nodes: g.set.InstanceCount, Seed: 1, Rule: partRule}
+	fleet := subset.Tier{Nodes: g.set.InstanceCount, Seed: 1, Sizing: partRule}
 	takes := 0
 	for _, s := range g.servers {
 		takes += b2i(s.takes())
 		s.near, s.lean = true, 1
 	}
 	g.near, g.holders = g.servers, float64(g.set.InstanceCount)
-	if g.parted = fleet.Size(takes) < takes; !g.parted {
+	if g.parted = fleet.SubsetSize(takes) < takes; !g.parted {
 		return
 	}
 	at, list := make([]*server, 0, takes), make([]subset.Server, 0, takes)
 	for _, s := range g.servers {
 		if s.near = false; s.takes() {
-			at, list = append(at, s), append(list, subset.Server{ID: s.ID, Zone: s.Zone, Size: g.weight(s)})
+			at, list = append(at, s), append(list, subset.Server{ID: s.ID, Zone: s.Zone, Weight: g.weight(s)})
 		}
 	}
-	members := fleet.Form(list, g.set.InstanceIndex, g.width.Factor())
+	members := fleet.Select(list, g.set.InstanceIndex, g.width.Factor())
 	g.near, g.holders = make([]*server, 0, len(members)), 0
 	for _, m := range members {
-		g.holders += float64(m.Held) / float64(len(members))
+		g.holders += float64(m.HolderCount) / float64(len(members))
 	}
 	g.topWeight = 0
 	for _, m := range members {
 		s := at[m.Index]
-		s.near, s.lean = true, g.holders/float64(m.Held)
+		s.near, s.lean = true, g.holders/float64(m.HolderCount)
 		g.near = append(g.near, s)
 		g.topWeight = math.Max(g.topWeight, g.weight(s)*s.lean)
 	}
@@ -607,7 +607,7 @@
 			fit += g.weight(s) * s.lean * g.warmth(s)
 		}
 	}
-	return all > 0 && !g.whole() && g.width.Now(g.now, fit/all, len(g.near), float64(g.held))
+	return all > 0 && !g.whole() && g.width.Update(g.now, fit/all, len(g.near), float64(g.held))
 }
 
 // whole tells whether the rule gives this gateway all servers. A part that has widened to all of them is one still, and shrinks.
@@ -682,22 +682,22 @@
 // heardZone and failedZone take in what was met at one server of a zone, for the watch over all of it.
 func (g *Engine) heardZone(s *server) {
 	if !g.whole() {
-		g.watch.Heard(s.Zone, g.now)
+		g.watch.ObserveResponse(s.Zone, g.now)
 	}
 }
 
 func (g *Engine) failedZone(s *server, sent time.Duration) {
 	if !g.whole() {
-		g.watch.Failed(s.Zone, uint64(s.tag), sent, g.now)
+		g.watch.ObserveFailure(s.Zone, uint64(s.tag), sent, g.now)
 	}
 }
 
 // toldZone takes in what a peer says of a server of this gateway's part.
 func (g *Engine) toldZone(s *server, from int, up bool) {
 	if up {
-		g.watch.Met(s.Zone, from, g.now)
+		g.watch.ObservePeerResponse(s.Zone, from, g.now)
 	} else {
-		g.watch.Told(s.Zone, uint64(s.tag), from, g.now)
+		g.watch.ObservePeerFailure(s.Zone, uint64(s.tag), from, g.now)
 	}
 }
 
@@ -709,14 +709,14 @@
 	}
 	slices.SortStableFunc(waits, func(a, b unheard) int { return cmp.Compare(a.num, b.num) }) // not in a map's order
 	for _, w := range waits {
-		g.watch.Waits(w.zone, uint64(w.server.tag), w.sent, g.now)
+		g.watch.ObserveSlowAttempt(w.zone, uint64(w.server.tag), w.sent, g.now)
 	}
 	seen := map[string]bool{}
 	for _, s := range g.near {
 		down, ok := seen[s.Zone]
 		if !ok {
 			var found bool
-			if down, found = g.watch.Down(s.Zone, g.now); found {
+			if down, found = g.watch.Evaluate(s.Zone, g.now); found {
 				g.out.Log("zone " + s.Zone + " is silent: its servers are held to be lost until one answers")
 			}
 			seen[s.Zone] = down
@@ -725,7 +725,7 @@
 			s.suspect = max(s.suspect, g.now+2*probeEvery)
 		}
 	}
-	g.watch.Keep(seen)
+	g.watch.RetainZones(seen)
 }
 
 // doubted counts the servers of the part that are silent to this gateway or, as peers say, to them.
--- a/routing/charge.go
+++ b/routing/charge.go
@@ -10,25 +10,25 @@
 	"strings"
 )
 
-// In is where in a request a parameter stands.
-type In int
+// Location is where in a request a parameter stands.
+type Location int
 
 const (
-	Nowhere In = iota
+	InNowhere Location = iota
 	InPath
 	InQuery
 	InHeader
 	InBody // a property of a JSON body
 )
 
-// Source names a parameter of a request.
-type Source struct {
-	In   In
+// ParamSource names a parameter of a request.
+type ParamSource struct {
+	In   Location
 	Name string
 	Path []string // of a body: the names from the outermost object inwards
 }
 
-func (s Source) String() string {
+func (s ParamSource) String() string {
 	return [...]string{"nowhere", "path parameter ", "query parameter ", "header ", "body property "}[s.In] + s.Name
 }
 
@@ -37,15 +37,15 @@
 
 // Units says what a request of an operation takes from the quota.
 type Units struct {
-	Fixed       int // above 0: always so many
-	Source      Source
-	Least, Most int
-	Default     int // where the parameter is missing
-	HasDefault  bool
+	Fixed      int // above 0: always so many
+	Source     ParamSource
+	Min, Max   int
+	Default    int // where the parameter is missing
+	HasDefault bool
 }
 
-// Head gives the header fields of a request.
-type Head interface {
+// Header gives the header fields of a request.
+type Header interface {
 	// Values returns the first value of a field and the number of its lines. Names know
 	// no case.
 	Values(name string) (first string, lines int)
@@ -56,36 +56,36 @@
 
 // Request is what the cost of a request can depend on.
 type Request struct {
-	Query string // raw, without '?'
-	Head  Head
-	Body  []byte
+	Query  string // raw, without '?'
+	Header Header
+	Body   []byte
 }
 
-// Refusal tells why a request can't be charged. Nothing is sent on for it.
-type Refusal struct {
+// ChargeError tells why a request can't be charged. Nothing is sent on for it.
+type ChargeError struct {
 	Status int // 400 or 415
 	Text   string
 }
 
-func (r *Refusal) Error() string { return r.Text }
+func (r *ChargeError) Error() string { return r.Text }
 
 func refusal(format string, args ...any) error {
-	return &Refusal{400, fmt.Sprintf(format, args...)}
+	return &ChargeError{400, fmt.Sprintf(format, args...)}
 }
 
 // errMissing is told of a parameter that is not there.
 var errMissing = errors.New("is missing")
 
-// KeyOf returns the key of a keyed operation's request that was charged, path being that of
+// ReadKey returns the key of a keyed operation's request that was charged, path being that of
 // its line; empty for others.
-func (o *Operation) KeyOf(r Request, path string) string {
-	switch o.Key.In {
-	case Nowhere:
+func (o *Operation) ReadKey(r Request, path string) string {
+	switch o.KeySource.In {
+	case InNowhere:
 		return ""
 	case InPath:
 		return path
 	}
-	key, err := o.Key.read(r, false)
+	key, err := o.KeySource.read(r, false)
 	if err != nil {
 		return "" // Charge has refused it
 	}
@@ -94,15 +94,15 @@
 
 // Charge returns the units of a request, and checks that a keyed one has its key. What
 // it reads, a hall must read in the same way: a name that stands twice, in two
-// spellings, or a number in any but the plain form is a [*Refusal].
+// spellings, or a number in any but the plain form is a [*ChargeError].
 func (o *Operation) Charge(r Request) (units int, err error) {
-	if o.Key.In != Nowhere && o.Key.In != InPath {
-		key, err := o.Key.read(r, false)
+	if o.KeySource.In != InNowhere && o.KeySource.In != InPath {
+		key, err := o.KeySource.read(r, false)
 		if err == nil && key == "" {
 			err = errMissing
 		}
 		if err != nil {
-			return 0, asRefusal(o.Key, err)
+			return 0, asRefusal(o.KeySource, err)
 		}
 	}
 	if o.Units.Fixed > 0 {
@@ -119,14 +119,14 @@
 	if !ok {
 		return 0, refusal("%s: a whole number is wanted, in digits alone", o.Units.Source)
 	}
-	if n < o.Units.Least || n > o.Units.Most {
-		return 0, refusal("%s: is outside %d to %d", o.Units.Source, o.Units.Least, o.Units.Most)
+	if n < o.Units.Min || n > o.Units.Max {
+		return 0, refusal("%s: is outside %d to %d", o.Units.Source, o.Units.Min, o.Units.Max)
 	}
 	return n, nil
 }
 
-func asRefusal(s Source, err error) error {
-	if _, ok := errors.AsType[*Refusal](err); ok {
+func asRefusal(s ParamSource, err error) error {
+	if _, ok := errors.AsType[*ChargeError](err); ok {
 		return err
 	}
 	return refusal("%s: %v", s, err)
@@ -149,21 +149,21 @@
 
 // read returns the text of a parameter. Of a body, number says whether a number or a
 // string is wanted.
-func (s Source) read(r Request, number bool) (string, error) {
+func (s ParamSource) read(r Request, number bool) (string, error) {
 	switch s.In {
 	case InQuery:
 		return queryValue(r.Query, s.Name)
 	case InHeader:
-		v, n := r.Head.Values(s.Name)
+		v, n := r.Header.Values(s.Name)
 		switch {
-		case n > 1 || r.Head.Resembles(s.Name):
+		case n > 1 || r.Header.Resembles(s.Name):
 			return "", errTwice
 		case n == 0:
 			return "", errMissing
 		}
 		return v, nil
 	case InBody:
-		if err := jsonType(r.Head); err != nil {
+		if err := jsonType(r.Header); err != nil {
 			return "", err
 		}
 		return bodyValue(r.Body, s.Path, number)
@@ -215,17 +215,17 @@
 
 // jsonType tells whether a body is JSON in UTF-8, unpacked: anything else a hall could
 // read as other words than stand in it here.
-func jsonType(h Head) error {
+func jsonType(h Header) error {
 	ct, n := h.Values("Content-Type")
 	media, params, _ := strings.Cut(ct, ";")
 	if n != 1 || !strings.EqualFold(strings.TrimSpace(media), "application/json") {
-		return &Refusal{415, "Content-Type: application/json is wanted"}
+		return &ChargeError{415, "Content-Type: application/json is wanted"}
 	}
 	if params = strings.ToLower(strings.ReplaceAll(params, " ", "")); params != "" && params != "charset=utf-8" {
-		return &Refusal{415, "Content-Type: no other charset than utf-8 is read"}
+		return &ChargeError{415, "Content-Type: no other charset than utf-8 is read"}
 	}
 	if _, n := h.Values("Content-Encoding"); n > 0 {
-		return &Refusal{415, "Content-Encoding: a packed body is not read"}
+		return &ChargeError{415, "Content-Encoding: a packed body is not read"}
 	}
 	return nil
 }
--- a/routing/compile.go
+++ b/routing/compile.go
@@ -92,10 +92,10 @@
 	if len(c.problems) > before {
 		return
 	}
-	if len(m.Bases) == 0 {
-		m.Bases = []string{""}
+	if len(m.BasePaths) == 0 {
+		m.BasePaths = []string{""}
 	}
-	for i, base := range m.Bases {
+	for i, base := range m.BasePaths {
 		baseSegs, baseNames, err := parseTemplate(base + "/")
 		if err != nil || len(baseNames) > 0 {
 			c.problem(m.Pos, at+".servers", "base path %q can't be: a plain path such as /v1 is wanted", base)
@@ -229,12 +229,12 @@
 	for _, level := range []struct {
 		v  *Value
 		at string
-	}{{m.Rules, at}, {p.Rules, "paths." + p.Template}, {c.doc.Rules, ""}} {
+	}{{m.Extension, at}, {p.Extension, "paths." + p.Template}, {c.doc.Extension, ""}} {
 		if level.v == nil {
 			continue
 		}
 		at := strings.TrimPrefix(level.at+".x-mulleinmux", ".")
-		if level.v.Kind != Mapping {
+		if level.v.Kind != MappingValue {
 			c.once(level.v.Pos, at, "a mapping is wanted, such as {class: slot-check, units: 1}")
 			continue
 		}
@@ -262,7 +262,7 @@
 		if cls.DedupWindow = d.duration("window", 0); cls.DedupWindow == 0 {
 			c.once(m.Pos, at+".x-mulleinmux.window", "a keyed operation must tell for how long a repeat is dropped, such as window: 4s")
 		}
-		op.Key = d.key()
+		op.KeySource = d.key()
 	} else {
 		for _, name := range []string{"key", "group", "window"} {
 			if f, ok := found[name]; ok && f.at == at+".x-mulleinmux."+name {
@@ -273,7 +273,7 @@
 	op.Units = d.units()
 	for _, name := range []string{"class", "units"} {
 		if f, ok := found[name]; ok && f.at == "x-mulleinmux."+name && cls.Idempotency != policy.Idempotent {
-			op.Inherited = append(op.Inherited, name)
+			op.InheritedFields = append(op.InheritedFields, name)
 		}
 	}
 	op.Class = c.choiceClass(cls)
@@ -322,7 +322,7 @@
 	if !ok {
 		return "", false
 	}
-	if f.Value.Kind != Text || !slices.Contains(words, f.Value.Text) {
+	if f.Value.Kind != TextValue || !slices.Contains(words, f.Value.Text) {
 		d.bad(f, "%q is unknown: one of %s is wanted", f.Value.Text, strings.Join(words, ", "))
 		return "", false
 	}
@@ -340,8 +340,8 @@
 		return cls
 	}
 	for _, k := range d.c.opt.Classes {
-		if f.Value.Kind == Text && k.Name == f.Value.Text {
-			return policy.Class{Name: k.Name, PriorityWeight: k.Worth, LateFraction: k.Late, LatencyObjective: k.Aim, Deadline: k.Deadline}
+		if f.Value.Kind == TextValue && k.Name == f.Value.Text {
+			return policy.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, LateFraction: k.LateFraction, LatencyObjective: k.LatencyObjective, Deadline: k.Deadline}
 		}
 	}
 	d.bad(f, "class %q has no worth in the operator's file: one of %s is wanted", f.Value.Text, strings.Join(names, ", "))
@@ -360,7 +360,7 @@
 	}
 	repeatable := false
 	if r, has := d.found["repeatable"]; has {
-		if r.Value.Kind != Bool {
+		if r.Value.Kind != BoolValue {
 			d.bad(r, "true or false is wanted")
 		}
 		repeatable = r.Value.Text == "true" && strings.HasPrefix(r.at, d.at+".")
@@ -407,7 +407,7 @@
 		return otherwise
 	}
 	t, err := time.ParseDuration(f.Value.Text)
-	if f.Value.Kind != Text || err != nil || t <= 0 || t > mostDuration {
+	if f.Value.Kind != TextValue || err != nil || t <= 0 || t > mostDuration {
 		d.bad(f, "%q is no duration from 1ns to %v: write it with a unit, such as 400ms or 2s", f.Value.Text, mostDuration)
 		return otherwise
 	}
@@ -415,15 +415,15 @@
 }
 
 // key reads which parameter carries the key.
-func (d *declarer) key() Source {
+func (d *declarer) key() ParamSource {
 	f, ok := d.found["key"]
 	if !ok {
 		d.c.once(d.m.Pos, d.at+".x-mulleinmux.key", "a keyed operation must name the parameter with its key, such as key: {header: Idempotency-Key}")
-		return Source{}
+		return ParamSource{}
 	}
-	if f.Value.Kind != Mapping || len(f.Value.Fields) != 1 {
+	if f.Value.Kind != MappingValue || len(f.Value.Fields) != 1 {
 		d.bad(f, "one place is wanted, such as {header: Idempotency-Key}")
-		return Source{}
+		return ParamSource{}
 	}
 	src, _, err := d.source(f.Value.Fields[0])
 	if err != nil {
@@ -433,9 +433,9 @@
 }
 
 // source reads one of path, query, header and body with a described name.
-func (d *declarer) source(f Field) (Source, *Schema, error) {
-	src := Source{Name: f.Value.Text}
-	if f.Value.Kind != Text || f.Value.Text == "" {
+func (d *declarer) source(f Field) (ParamSource, *Schema, error) {
+	src := ParamSource{Name: f.Value.Text}
+	if f.Value.Kind != TextValue || f.Value.Text == "" {
 		return src, nil, fmt.Errorf("%s: a name is wanted", f.Name)
 	}
 	switch f.Name {
@@ -478,11 +478,11 @@
 		d.c.once(d.m.Pos, d.at+".x-mulleinmux.units", "no units are declared here, on the path or on the document: a whole number is wanted, or the parameter that tells it")
 		return u
 	}
-	limit := d.c.opt.MostUnits
+	limit := d.c.opt.MaxUnits
 	if limit <= 0 {
 		limit = maxUnits
 	}
-	if f.Value.Kind == Number {
+	if f.Value.Kind == NumberValue {
 		n, err := wholeNumber(f.Value, limit)
 		if err != nil {
 			d.bad(f, "%v", err)
@@ -490,7 +490,7 @@
 		u.Fixed = n
 		return u
 	}
-	if f.Value.Kind != Mapping {
+	if f.Value.Kind != MappingValue {
 		d.bad(f, "a whole number is wanted, or a parameter such as {query: count, least: 1, most: 50}")
 		return u
 	}
@@ -523,27 +523,27 @@
 		d.bad(f, "%s is not described as an integer: units are whole", u.Source)
 		return u
 	}
-	u.Least, u.Most = 1, 0
+	u.Min, u.Max = 1, 0
 	if schema.Minimum != nil && *schema.Minimum > 1 {
-		u.Least = int(math.Min(math.Ceil(*schema.Minimum), float64(limit)))
+		u.Min = int(math.Min(math.Ceil(*schema.Minimum), float64(limit)))
 	}
 	if schema.Maximum != nil {
-		u.Most = int(math.Max(math.Min(math.Floor(*schema.Maximum), float64(limit)), 0))
+		u.Max = int(math.Max(math.Min(math.Floor(*schema.Maximum), float64(limit)), 0))
 	}
 	if n, ok := bounds["least"]; ok {
-		u.Least = n
+		u.Min = n
 	}
 	if n, ok := bounds["most"]; ok {
-		u.Most = n
+		u.Max = n
 	}
 	u.Default, u.HasDefault = bounds["default"], bounds["default"] > 0
 	switch {
-	case u.Most == 0:
+	case u.Max == 0:
 		d.bad(f, "no most is told: add most, or a maximum to the schema of %s", u.Source)
-	case u.Least > u.Most:
-		d.bad(f, "least %d is over most %d", u.Least, u.Most)
-	case u.HasDefault && (u.Default < u.Least || u.Default > u.Most):
-		d.bad(f, "default %d is outside %d to %d", u.Default, u.Least, u.Most)
+	case u.Min > u.Max:
+		d.bad(f, "least %d is over most %d", u.Min, u.Max)
+	case u.HasDefault && (u.Default < u.Min || u.Default > u.Max):
+		d.bad(f, "default %d is outside %d to %d", u.Default, u.Min, u.Max)
 	}
 	return u
 }
@@ -553,7 +553,7 @@
 
 func wholeNumber(v Value, most int) (int, error) {
 	n, err := strconv.Atoi(v.Text)
-	if v.Kind != Number || err != nil {
+	if v.Kind != NumberValue || err != nil {
 		return 0, fmt.Errorf("%q is no whole number", v.Text)
 	}
 	if n < 1 || n > most {
--- a/routing/contract_test.go
+++ b/routing/contract_test.go
@@ -10,9 +10,9 @@
 )
 
 func classOptions() Options {
-	return Options{MostUnits: 100, Classes: []Class{
-		{Name: "check", Worth: 3, Aim: 400 * time.Millisecond, Deadline: 2 * time.Second},
-		{Name: "book", Worth: 9, Aim: 750 * time.Millisecond, Deadline: 2 * time.Second}}}
+	return Options{MaxUnits: 100, Classes: []Class{
+		{Name: "check", PriorityWeight: 3, LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second},
+		{Name: "book", PriorityWeight: 9, LatencyObjective: 750 * time.Millisecond, Deadline: 2 * time.Second}}}
 }
 
 // scalar makes a value of a kind at a line.
@@ -21,12 +21,18 @@
 }
 
 func mapping(line int, fields ...Field) Value {
-	return Value{Pos: Pos{line, 1}, Kind: Mapping, Fields: fields}
+	return Value{Pos: Pos{line, 1}, Kind: MappingValue, Fields: fields}
 }
 
-func text(line int, name, v string) Field { return Field{name, Pos{line, 1}, scalar(line, Text, v)} }
-func num(line int, name, v string) Field  { return Field{name, Pos{line, 1}, scalar(line, Number, v)} }
-func flag(line int, name, v string) Field { return Field{name, Pos{line, 1}, scalar(line, Bool, v)} }
+func text(line int, name, v string) Field {
+	return Field{name, Pos{line, 1}, scalar(line, TextValue, v)}
+}
+func num(line int, name, v string) Field {
+	return Field{name, Pos{line, 1}, scalar(line, NumberValue, v)}
+}
+func flag(line int, name, v string) Field {
+	return Field{name, Pos{line, 1}, scalar(line, BoolValue, v)}
+}
 
 // rules is an extension with class and units, and further fields.
 func rules(line int, fields ...Field) *Value {
@@ -36,7 +42,7 @@
 
 // document describes operations such as "GET /a/{x}", each at a line of its own from 10 on.
 func document(ops ...string) *Document {
-	d := &Document{File: "d.yaml", Rules: rules(1)}
+	d := &Document{File: "d.yaml", Extension: rules(1)}
 	byPath := map[string]int{}
 	for i, op := range ops {
 		method, template, _ := strings.Cut(op, " ")
@@ -75,7 +81,7 @@
 		tab := compile(t, order...)
 		for _, c := range []struct {
 			method, path, want string
-			a                  Answer
+			a                  MatchResult
 			allow              string
 		}{
 			{"GET", "/visits/new", "GET /visits/new", Found, ""},
@@ -231,7 +237,7 @@
 		m.Body = &Schema{Properties: body}
 		if c.rules != nil {
 			v := mapping(20, c.rules...)
-			m.Rules = &v
+			m.Extension = &v
 		}
 		_, err := Compile(d, classOptions())
 		switch {
@@ -251,11 +257,11 @@
 // what changes something, and what is said of many is told once.
 func TestNearest(t *testing.T) {
 	d := document("GET /a", "POST /a", "GET /b", "POST /b")
-	d.Rules = rules(1, text(1, "effect", "safe"))
+	d.Extension = rules(1, text(1, "effect", "safe"))
 	pathRules := mapping(5, num(5, "units", "4"))
-	d.Paths[0].Rules = &pathRules
+	d.Paths[0].Extension = &pathRules
 	opRules := mapping(7, text(7, "class", "book"), text(7, "deadline", "5s"))
-	d.Paths[0].Methods[1].Rules = &opRules
+	d.Paths[0].Methods[1].Extension = &opRules
 	tab, err := Compile(d, classOptions())
 	if err != nil {
 		t.Fatal(err)
@@ -271,7 +277,7 @@
 			t.Errorf("%s: %+v, %d units; want %+v", o.ID, o.Class, o.Units.Fixed, want)
 		}
 	}
-	d.Rules.Fields = append(d.Rules.Fields, text(2, "unit", "4"))
+	d.Extension.Fields = append(d.Extension.Fields, text(2, "unit", "4"))
 	if _, err = Compile(d, classOptions()); err == nil || len(err.(Problems)) != 1 {
 		t.Errorf("problems of the document: %v", err)
 	}
@@ -302,8 +308,8 @@
 
 // Units are read from the one place and in the one form in which every hall reads them.
 func TestCharge(t *testing.T) {
-	from := func(in In, name string, def int) *Operation {
-		o := &Operation{Units: Units{Source: Source{In: in, Name: name, Path: strings.Split(strings.TrimPrefix(name, "/"), "/")}, Least: 1, Most: 50, Default: def, HasDefault: def > 0}}
+	from := func(in Location, name string, def int) *Operation {
+		o := &Operation{Units: Units{Source: ParamSource{In: in, Name: name, Path: strings.Split(strings.TrimPrefix(name, "/"), "/")}, Min: 1, Max: 50, Default: def, HasDefault: def > 0}}
 		return o
 	}
 	query, byHeader, body, deep := from(InQuery, "n", 0), from(InHeader, "X-Units", 0), from(InBody, "/n", 3), from(InBody, "/visit/n", 0)
@@ -336,46 +342,46 @@
 		{query, Request{Query: "n=1e1"}, 0},
 		{query, Request{Query: "n=%zz"}, 0},
 		{query, Request{Query: "%n=1&n=2"}, 0},
-		{byHeader, Request{Head: head{"x-units": {"9"}}}, 9},
-		{byHeader, Request{Head: head{"X-Units": {"9", "1"}}}, 0},
-		{byHeader, Request{Head: head{"X-Units": {"9"}, "X_Units": {"1"}}}, 0},
-		{byHeader, Request{Head: head{"X-Units": {"9, 1"}}}, 0},
-		{byHeader, Request{Head: head{}}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n": 5}`)}, 5},
-		{body, Request{Head: jsonHead, Body: []byte(`{"a":[{"n":9}],"n": 5,"b":{"n":8}}`)}, 5},
-		{body, Request{Head: jsonHead, Body: []byte(`{}`)}, 3},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n":5,"n":5}`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n":5,"\u006e":6}`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"N":5}`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n":1,"N":50}`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n":"5"}`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n":null}`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n":5.0}`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n":-5}`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n":5`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`{"n":1}{"n":50}`)}, 0},
-		{body, Request{Head: jsonHead, Body: []byte(`[{"n":1}]`)}, 0},
-		{body, Request{Head: jsonHead, Body: nil}, 0},
-		{body, Request{Head: head{"Content-Type": {"text/plain"}}, Body: []byte(`{"n":5}`)}, 0},
-		{body, Request{Head: head{"Content-Type": {"application/json; charset=utf-16"}}, Body: []byte(`{"n":5}`)}, 0},
-		{body, Request{Head: head{"Content-Type": {"application/json"}, "Content-Encoding": {"gzip"}}, Body: []byte(`{"n":5}`)}, 0},
-		{body, Request{Head: head{"Content-Type": {"Application/JSON; charset=UTF-8"}}, Body: []byte(`{"n":5}`)}, 5},
-		{deep, Request{Head: jsonHead, Body: []byte(`{"n":1,"visit":{"n":5}}`)}, 5},
-		{deep, Request{Head: jsonHead, Body: []byte(`{"visit":{"n":5},"visit":{"n":50}}`)}, 0},
-		{deep, Request{Head: jsonHead, Body: []byte(`{"visit":5}`)}, 0},
-		{deep, Request{Head: jsonHead, Body: []byte(`{"visit":{}}`)}, 0},
+		{byHeader, Request{Header: head{"x-units": {"9"}}}, 9},
+		{byHeader, Request{Header: head{"X-Units": {"9", "1"}}}, 0},
+		{byHeader, Request{Header: head{"X-Units": {"9"}, "X_Units": {"1"}}}, 0},
+		{byHeader, Request{Header: head{"X-Units": {"9, 1"}}}, 0},
+		{byHeader, Request{Header: head{}}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n": 5}`)}, 5},
+		{body, Request{Header: jsonHead, Body: []byte(`{"a":[{"n":9}],"n": 5,"b":{"n":8}}`)}, 5},
+		{body, Request{Header: jsonHead, Body: []byte(`{}`)}, 3},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n":5,"n":5}`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n":5,"\u006e":6}`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"N":5}`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n":1,"N":50}`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n":"5"}`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n":null}`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n":5.0}`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n":-5}`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n":5`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`{"n":1}{"n":50}`)}, 0},
+		{body, Request{Header: jsonHead, Body: []byte(`[{"n":1}]`)}, 0},
+		{body, Request{Header: jsonHead, Body: nil}, 0},
+		{body, Request{Header: head{"Content-Type": {"text/plain"}}, Body: []byte(`{"n":5}`)}, 0},
+		{body, Request{Header: head{"Content-Type": {"application/json; charset=utf-16"}}, Body: []byte(`{"n":5}`)}, 0},
+		{body, Request{Header: head{"Content-Type": {"application/json"}, "Content-Encoding": {"gzip"}}, Body: []byte(`{"n":5}`)}, 0},
+		{body, Request{Header: head{"Content-Type": {"Application/JSON; charset=UTF-8"}}, Body: []byte(`{"n":5}`)}, 5},
+		{deep, Request{Header: jsonHead, Body: []byte(`{"n":1,"visit":{"n":5}}`)}, 5},
+		{deep, Request{Header: jsonHead, Body: []byte(`{"visit":{"n":5},"visit":{"n":50}}`)}, 0},
+		{deep, Request{Header: jsonHead, Body: []byte(`{"visit":5}`)}, 0},
+		{deep, Request{Header: jsonHead, Body: []byte(`{"visit":{}}`)}, 0},
 	} {
 		n, err := c.op.Charge(c.r)
-		if _, refused := errors.AsType[*Refusal](err); n != c.want || (err != nil) != (c.want == 0) || err != nil && !refused {
+		if _, refused := errors.AsType[*ChargeError](err); n != c.want || (err != nil) != (c.want == 0) || err != nil && !refused {
 			t.Errorf("%s of %q %s: %d, %v; want %d", c.op.Units.Source, c.r.Query, c.r.Body, n, err, c.want)
 		}
 	}
-	keyed := &Operation{Key: Source{In: InHeader, Name: "Idempotency-Key"}, Units: Units{Fixed: 1}}
+	keyed := &Operation{KeySource: ParamSource{In: InHeader, Name: "Idempotency-Key"}, Units: Units{Fixed: 1}}
 	for _, c := range []struct {
 		h    head
 		want bool
 	}{{head{"Idempotency-Key": {"k"}}, true}, {head{}, false}, {head{"Idempotency-Key": {""}}, false}, {head{"Idempotency-Key": {"k", "l"}}, false}} {
-		if _, err := keyed.Charge(Request{Head: c.h}); (err == nil) != c.want {
+		if _, err := keyed.Charge(Request{Header: c.h}); (err == nil) != c.want {
 			t.Errorf("key in %v: %v", c.h, err)
 		}
 	}
--- a/routing/document.go
+++ b/routing/document.go
@@ -16,29 +16,29 @@
 
 // Document is what a description says, as far as routing and cost depend on it.
 type Document struct {
-	File    string // named in problems
-	Version string // info.version
-	Rules   *Value // x-mulleinmux of the document; nil: none
-	Paths   []Path
+	File      string // named in problems
+	Version   string // info.version
+	Extension *Value // x-mulleinmux of the document; nil: none
+	Paths     []Path
 }
 
 // Path is one path item.
 type Path struct {
-	Template string // as written, beginning with a slash
-	Pos      Pos
-	Rules    *Value
-	Methods  []Method
+	Template  string // as written, beginning with a slash
+	Pos       Pos
+	Extension *Value
+	Methods   []Method
 }
 
 // Method is one operation of a path.
 type Method struct {
-	Name   string // upper case
-	ID     string // operationId; empty: none
-	Pos    Pos
-	Rules  *Value
-	Bases  []string // base paths of the servers in force; each without a slash at its end
-	Params []Param  // of the operation, and of the path where the operation has none of that name
-	Body   *Schema  // of a JSON body; nil: none is described
+	Name      string // upper case
+	ID        string // operationId; empty: none
+	Pos       Pos
+	Extension *Value
+	BasePaths []string // base paths of the servers in force; each without a slash at its end
+	Params    []Param  // of the operation, and of the path where the operation has none of that name
+	Body      *Schema  // of a JSON body; nil: none is described
 }
 
 // Param is a described parameter.
@@ -69,11 +69,11 @@
 type Kind int
 
 const (
-	Text Kind = iota
-	Number
-	Bool
-	Mapping
-	Other // a list or null
+	TextValue Kind = iota
+	NumberValue
+	BoolValue
+	MappingValue
+	OtherValue // a list or null
 )
 
 // Field is one field of a mapping.
--- a/routing/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -111,8 +111,8 @@
 	f.Add("GET", "/visits/new", "n=1", []byte(`{"n":1}`))
 	f.Add("POST", "/%2e%2e//", "n=1;n=2", []byte(`{"n":1,"\u006e":2}`))
 	ops := []*Operation{
-		{Units: Units{Source: Source{In: InQuery, Name: "n"}, Least: 1, Most: 50}},
-		{Units: Units{Source: Source{In: InBody, Name: "n", Path: []string{"n"}}, Least: 1, Most: 50}},
+		{Units: Units{Source: ParamSource{In: InQuery, Name: "n"}, Min: 1, Max: 50}},
+		{Units: Units{Source: ParamSource{In: InBody, Name: "n", Path: []string{"n"}}, Min: 1, Max: 50}},
 	}
 	tab, err := Compile(document("GET /visits/{id}", "GET /visits/new", "POST /a/{x}.csv"), classOptions())
 	if err != nil {
@@ -125,7 +125,7 @@
 			}
 		}
 		for _, op := range ops {
-			if n, err := op.Charge(Request{Query: query, Head: jsonHead, Body: body}); err == nil && (n < 1 || n > 50) {
+			if n, err := op.Charge(Request{Query: query, Header: jsonHead, Body: body}); err == nil && (n < 1 || n > 50) {
 				t.Errorf("%q %q: %d units", query, body, n)
 			} else if err == nil && op.Units.Source.In == InBody && !json.Valid(body) {
 				t.Errorf("%q is no JSON and was charged", body)
--- a/routing/table.go
+++ b/routing/table.go
@@ -13,32 +13,32 @@
 // Class is what an operator's file says of a class: what its requests are worth, and
 // the figures of operations that declare none.
 type Class struct {
-	Name     string
-	Worth    float64
-	Late     float64 // share of Worth between Aim and Deadline
-	Aim      time.Duration
-	Deadline time.Duration
+	Name             string
+	PriorityWeight   float64
+	LateFraction     float64 // share of Worth between Aim and Deadline
+	LatencyObjective time.Duration
+	Deadline         time.Duration
 }
 
 // Options go with a description.
 type Options struct {
-	Classes   []Class
-	MostUnits int // of one request; 0: no limit
+	Classes  []Class
+	MaxUnits int // of one request; 0: no limit
 }
 
 // Operation is one operation of a description. It does not change.
 type Operation struct {
-	ID       string // operationId, or method and path
-	Method   string
-	Template string // with its base path
-	Pos      Pos
-	Index    int // among the table's operations, from 0
-	Class    policy.Class
-	Key      Source // where a keyed operation's key stands
-	Units    Units
+	ID        string // operationId, or method and path
+	Method    string
+	Template  string // with its base path
+	Pos       Pos
+	Index     int // among the table's operations, from 0
+	Class     policy.Class
+	KeySource ParamSource // where a keyed operation's key stands
+	Units     Units
 	// Inherited names what an operation that changes something takes from the document's
 	// extension, which is easily forgotten when one is added: class, units.
-	Inherited []string
+	InheritedFields []string
 
 	table *Table
 	path  string // template as written
@@ -213,20 +213,20 @@
 	return n.find(more)
 }
 
-// Answer says what a request's method and path come to.
-type Answer int
+// MatchResult says what a request's method and path come to.
+type MatchResult int
 
 const (
-	Found         Answer = iota
-	UnknownPath          // no template matches
-	UnknownMethod        // the path is known, the method is not: see Allow
-	Preflight            // OPTIONS of a known path that describes none: see Allow
+	Found         MatchResult = iota
+	UnknownPath               // no template matches
+	UnknownMethod             // the path is known, the method is not: see Allow
+	Preflight                 // OPTIONS of a known path that describes none: see Allow
 )
 
 // Match finds the operation of a method and a path, which must have passed
 // [Table.CheckPath]. It makes no allocation. With UnknownMethod and Preflight, allow is the
 // value of an Allow header. HEAD is the operation GET where none of its own is described.
-func (t *Table) Match(method, path string) (op *Operation, allow string, a Answer) {
+func (t *Table) Match(method, path string) (op *Operation, allow string, a MatchResult) {
 	it := t.static[path]
 	if it == nil && path != "" {
 		it = t.root.find(path[1:])
@@ -354,9 +354,9 @@
 	return b.String()
 }
 
-// Path returns the path of the operation as its document writes it, and the values that
+// PathParams returns the path of the operation as its document writes it, and the values that
 // its parameters have, decoded, in a target that was matched to it.
-func (o *Operation) Path(target string) (template string, values map[string]string) {
+func (o *Operation) PathParams(target string) (template string, values map[string]string) {
 	path, _, _ := strings.Cut(target, "?")
 	values = map[string]string{}
 	segs, names, err := parseTemplate(o.Template)
@@ -376,11 +376,11 @@
 	return o.path, values
 }
 
-// KeyLife is the longest time over which a client repeats a request that has a key, and the shortest for which halls drop
+// KeyLifetimes is the longest time over which a client repeats a request that has a key, and the shortest for which halls drop
 // repeats, as declared; 0 without such operations.
-func (t *Table) KeyLife() (deadline, window time.Duration) {
+func (t *Table) KeyLifetimes() (deadline, window time.Duration) {
 	for _, op := range t.Operations {
-		if c := &op.Class; op.Key.In != Nowhere {
+		if c := &op.Class; op.KeySource.In != InNowhere {
 			if deadline = max(deadline, c.Deadline); window == 0 || c.DedupWindow < window {
 				window = c.DedupWindow
 			}
--- a/subset/fixture_test.go
+++ b/subset/fixture_test.go
@@ -15,16 +15,16 @@
 func TestFixtureParts(t *testing.T) {
 	var servers []Server
 	for i := range 60 {
-		servers = append(servers, Server{ID: fmt.Sprintf("server-%d", i), Zone: fmt.Sprintf("zone-%d", i%3), Size: float64(i % 4)})
+		servers = append(servers, Server{ID: fmt.Sprintf("server-%d", i), Zone: fmt.Sprintf("zone-%d", i%3), Weight: float64(i % 4)})
 	}
 	var out bytes.Buffer
-	for i, f := range []Fleet{{Nodes: 10, Seed: 1, Rule: Rule{Servers: 12, Holders: 3, Spare: 2}}, {Nodes: 10, Seed: 2, Rule: Rule{Servers: 12, Holders: 3, Spare: 2}},
-		{Nodes: 3, Seed: 1, Rule: Rule{Servers: 8, Holders: 2}}, {Nodes: 2}} {
+	for i, f := range []Tier{{Nodes: 10, Seed: 1, Sizing: Sizing{TargetServers: 12, MinHolders: 3, MaxOmitted: 2}}, {Nodes: 10, Seed: 2, Sizing: Sizing{TargetServers: 12, MinHolders: 3, MaxOmitted: 2}},
+		{Nodes: 3, Seed: 1, Sizing: Sizing{TargetServers: 8, MinHolders: 2}}, {Nodes: 2}} {
 		for node := range min(f.Nodes, 4) {
 			for _, wide := range []float64{1, 1.5} {
-				fmt.Fprintf(&out, "fleet %d, node %d, wide %v: size %d\n", i, node, wide, f.Size(len(servers)))
-				for _, m := range f.Form(servers, node, wide) {
-					fmt.Fprintf(&out, "%d %.9g %d\n", m.Index, m.Share, m.Held)
+				fmt.Fprintf(&out, "fleet %d, node %d, wide %v: size %d\n", i, node, wide, f.SubsetSize(len(servers)))
+				for _, m := range f.Select(servers, node, wide) {
+					fmt.Fprintf(&out, "%d %.9g %d\n", m.Index, m.TrafficFraction, m.HolderCount)
 				}
 			}
 		}
--- a/subset/parts.go
+++ b/subset/parts.go
@@ -23,47 +23,47 @@
 
 // Server is a server that takes requests, as the list has it.
 type Server struct {
-	ID   string
-	Zone string
-	Size float64 // relative; at or under 0 counts as 1
+	ID     string
+	Zone   string
+	Weight float64 // relative; at or under 0 counts as 1
 }
 
-// Fleet is what all nodes of a tier have to agree on for their parts to fit together. Nodes that disagree for
+// Tier is what all nodes of a tier have to agree on for their parts to fit together. Nodes that disagree for
 // a while, since their lists are of different ages, differ in the servers concerned and in little else.
-type Fleet struct {
+type Tier struct {
 	Nodes int    // number of nodes; at least 1
 	Seed  uint64 // sets the lots: another seed, other parts
-	Rule
+	Sizing
 }
 
-// Rule says how large a part is. The zero value gives every node all servers.
-type Rule struct {
-	Servers int // servers in a part, if there are nodes enough
-	Holders int // least number of parts that a server is in, on average: fewer nodes have larger parts
-	Spare   int // a part that would leave out no more than so many servers holds all
+// Sizing says how large a part is. The zero value gives every node all servers.
+type Sizing struct {
+	TargetServers int // servers in a part, if there are nodes enough
+	MinHolders    int // least number of parts that a server is in, on average: fewer nodes have larger parts
+	MaxOmitted    int // a part that would leave out no more than so many servers holds all
 }
 
 // Member is a server of a part.
 type Member struct {
-	Index int     // in the list that the part was formed from
-	Share float64 // of the node's requests, as a part of the sum over its members
-	Held  int     // nodes that have the server in their part, this one included
+	Index           int     // in the list that the part was formed from
+	TrafficFraction float64 // of the node's requests, as a part of the sum over its members
+	HolderCount     int     // nodes that have the server in their part, this one included
 }
 
-// Size is the number of servers in the part of each node, on average.
-func (f Fleet) Size(servers int) int {
-	if f.Servers <= 0 || servers <= 0 || f.Nodes < 1 {
+// SubsetSize is the number of servers in the part of each node, on average.
+func (f Tier) SubsetSize(servers int) int {
+	if f.TargetServers <= 0 || servers <= 0 || f.Nodes < 1 {
 		return max(servers, 0)
 	}
-	size := max(f.Servers, (f.Holders*servers+f.Nodes-1)/f.Nodes)
-	if size+f.Spare >= servers {
+	size := max(f.TargetServers, (f.MinHolders*servers+f.Nodes-1)/f.Nodes)
+	if size+f.MaxOmitted >= servers {
 		return servers
 	}
 	return size
 }
 
 // mark is a server's half of its lots: FNV-1a over its id, mixed with the seed.
-func (f Fleet) mark(id string) uint64 {
+func (f Tier) mark(id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return splitmix.Mix(h.Sum64() + f.Seed)
@@ -75,23 +75,23 @@
 }
 
 func (s *Server) size() float64 {
-	if s.Size > 0 && !math.IsInf(s.Size, 1) {
-		return s.Size
+	if s.Weight > 0 && !math.IsInf(s.Weight, 1) {
+		return s.Weight
 	}
 	return 1
 }
 
-// Form returns the part of a node (numbered from 0), by the servers' order in the list. With wide over 1 the part is
+// Select returns the part of a node (numbered from 0), by the servers' order in the list. With wide over 1 the part is
 // so many times larger and holds the part that wide 1 gives. Every zone has members in the part in proportion,
 // two at the least where it has two servers: the loss of one zone must not empty a part.
-func (f Fleet) Form(servers []Server, node int, wide float64) []Member {
-	size := f.Size(len(servers))
+func (f Tier) Select(servers []Server, node int, wide float64) []Member {
+	size := f.SubsetSize(len(servers))
 	members := make([]Member, 0, size)
 	if size >= len(servers) {
 		for i := range servers {
-			members = append(members, Member{Index: i, Held: max(f.Nodes, 1), Share: servers[i].size()})
+			members = append(members, Member{Index: i, HolderCount: max(f.Nodes, 1), TrafficFraction: servers[i].size()})
 		}
-		return Normalize(members)
+		return NormalizeFractions(members)
 	}
 	var sum float64
 	zones := map[string][]int{}
@@ -132,16 +132,16 @@
 		for _, t := range tickets[:want] {
 			s := &servers[t.index]
 			held := f.holders(f.mark(s.ID), math.Min(share*s.size(), 1))
-			members = append(members, Member{Index: t.index, Held: held, Share: s.size() / float64(held)})
+			members = append(members, Member{Index: t.index, HolderCount: held, TrafficFraction: s.size() / float64(held)})
 		}
 	}
 	slices.SortFunc(members, func(a, b Member) int { return a.Index - b.Index })
-	return Normalize(members)
+	return NormalizeFractions(members)
 }
 
 // holders counts the nodes whose lot for a server is under its bar: those that have it in their part, but for
 // the few whose parts were filled up.
-func (f Fleet) holders(mark uint64, bar float64) (n int) {
+func (f Tier) holders(mark uint64, bar float64) (n int) {
 	for node := range f.Nodes {
 		if lot(node, mark) < bar {
 			n++
@@ -150,14 +150,14 @@
 	return max(n, 1)
 }
 
-// Normalize scales the members' shares in place to sum to 1, and returns them.
-func Normalize(members []Member) []Member {
+// NormalizeFractions scales the members' shares in place to sum to 1, and returns them.
+func NormalizeFractions(members []Member) []Member {
 	var sum float64
 	for _, m := range members {
-		sum += m.Share
+		sum += m.TrafficFraction
 	}
 	for i := range members {
-		members[i].Share /= sum
+		members[i].TrafficFraction /= sum
 	}
 	return members
 }
--- a/subset/parts_test.go
+++ b/subset/parts_test.go
@@ -12,12 +12,12 @@
 func servers(n int, seed uint64) (list []Server) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := range n {
-		list = append(list, Server{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: []string{"a", "b"}[i%2], Size: 0.8 + 0.4*rng.Float64()})
+		list = append(list, Server{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: []string{"a", "b"}[i%2], Weight: 0.8 + 0.4*rng.Float64()})
 	}
 	return list
 }
 
-var rule = Rule{Servers: 16, Holders: 24, Spare: 8}
+var rule = Sizing{TargetServers: 16, MinHolders: 24, MaxOmitted: 8}
 
 func ids(list []Server, members []Member) map[string]bool {
 	set := map[string]bool{}
@@ -31,16 +31,16 @@
 func TestWholeParts(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers, size int
-		rule                 Rule
+		rule                 Sizing
 	}{
 		{300, 24, 24, rule}, {300, 25, 16, rule}, {300, 3, 3, rule}, {3, 300, 300, rule}, {24, 300, 300, rule},
-		{30, 300, 240, rule}, {300, 170, 16, rule}, {1000, 1000, 24, rule}, {300, 170, 170, Rule{}}, {300, 0, 0, rule},
+		{30, 300, 240, rule}, {300, 170, 16, rule}, {1000, 1000, 24, rule}, {300, 170, 170, Sizing{}}, {300, 0, 0, rule},
 	} {
-		f := Fleet{Nodes: c.nodes, Rule: c.rule}
-		if got := f.Size(c.servers); got != c.size {
+		f := Tier{Nodes: c.nodes, Sizing: c.rule}
+		if got := f.SubsetSize(c.servers); got != c.size {
 			t.Errorf("%d nodes, %d servers: a part of %d, want %d", c.nodes, c.servers, got, c.size)
 		}
-		if members := f.Form(servers(c.servers, 1), 0, 1); c.size == c.servers && len(members) != c.servers {
+		if members := f.Select(servers(c.servers, 1), 0, 1); c.size == c.servers && len(members) != c.servers {
 			t.Errorf("%d nodes, %d servers: %d members", c.nodes, c.servers, len(members))
 		}
 	}
@@ -51,22 +51,22 @@
 func TestBalance(t *testing.T) {
 	for seed := range uint64(8) {
 		list := servers(170, seed)
-		f := Fleet{Nodes: 300, Seed: seed, Rule: rule}
+		f := Tier{Nodes: 300, Seed: seed, Sizing: rule}
 		work, uncounted := make([]float64, len(list)), make([]float64, len(list))
 		for node := range f.Nodes {
-			members := f.Form(list, node, 1)
+			members := f.Select(list, node, 1)
 			if len(members) < 8 || len(members) > 32 {
 				t.Fatalf("seed %d: node %d has %d members", seed, node, len(members))
 			}
 			sum, sizes := 0.0, 0.0
 			zones := map[string]int{}
 			for _, m := range members {
-				sizes += list[m.Index].Size
+				sizes += list[m.Index].Weight
 				zones[list[m.Index].Zone]++
 			}
 			for _, m := range members {
-				sum += m.Share
-				work[m.Index] += m.Share / list[m.Index].Size
+				sum += m.TrafficFraction
+				work[m.Index] += m.TrafficFraction / list[m.Index].Weight
 				uncounted[m.Index] += 1 / sizes
 			}
 			if math.Abs(sum-1) > 1e-9 || zones["a"] < 4 || zones["b"] < 4 {
@@ -94,10 +94,10 @@
 	moved, places := 0, 0
 	for seed := range uint64(10) {
 		list := servers(170, seed)
-		f := Fleet{Nodes: 300, Seed: seed, Rule: rule}
+		f := Tier{Nodes: 300, Seed: seed, Sizing: rule}
 		less := slices.Delete(slices.Clone(list), 60, 61)
 		for node := range f.Nodes {
-			was, now := ids(list, f.Form(list, node, 1)), ids(less, f.Form(less, node, 1))
+			was, now := ids(list, f.Select(list, node, 1)), ids(less, f.Select(less, node, 1))
 			for id := range now {
 				if !was[id] {
 					moved++
@@ -112,8 +112,8 @@
 	// Another number of nodes, as some take it to be, changes bars a little and lots not at all.
 	list, changed := servers(170, 3), 0
 	for node := range 300 {
-		was := ids(list, Fleet{Nodes: 300, Rule: rule}.Form(list, node, 1))
-		for id := range ids(list, Fleet{Nodes: 330, Rule: rule}.Form(list, node, 1)) {
+		was := ids(list, Tier{Nodes: 300, Sizing: rule}.Select(list, node, 1))
+		for id := range ids(list, Tier{Nodes: 330, Sizing: rule}.Select(list, node, 1)) {
 			if !was[id] {
 				changed++
 			}
@@ -129,10 +129,10 @@
 	list := servers(170, 4)
 	other := slices.Clone(list)
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(other), func(i, j int) { other[i], other[j] = other[j], other[i] })
-	f := Fleet{Nodes: 300, Rule: rule}
+	f := Tier{Nodes: 300, Sizing: rule}
 	for node := range f.Nodes {
-		narrow := ids(list, f.Form(list, node, 1))
-		wide := ids(other, f.Form(other, node, 1.5))
+		narrow := ids(list, f.Select(list, node, 1))
+		wide := ids(other, f.Select(other, node, 1.5))
 		for id := range narrow {
 			if !wide[id] {
 				t.Fatalf("node %d: %s is in its part and not in the wider one", node, id)
@@ -147,41 +147,41 @@
 // Half a part dead needs no more; with less than a third left it widens at once, as it does for a node whose attempts
 // pile up, and it comes back a step at a time.
 func TestWidth(t *testing.T) {
-	var w Width
-	if w.Now(0, 0.5, 16, 1); w.Factor() != 1 {
+	var w WidthController
+	if w.Update(0, 0.5, 16, 1); w.Factor() != 1 {
 		t.Fatal("half of the part was not enough")
 	}
-	if !w.Now(time.Second, 0.2, 16, 1) || w.Factor() < 0.35/0.2-1e-9 {
+	if !w.Update(time.Second, 0.2, 16, 1) || w.Factor() < 0.35/0.2-1e-9 {
 		t.Fatalf("a fifth of the part left: width %v", w.Factor())
 	}
 	top := w.Factor()
-	if w.Now(5*time.Second, 1, 32, 1); w.Factor() != top {
+	if w.Update(5*time.Second, 1, 32, 1); w.Factor() != top {
 		t.Fatal("it shrank at once")
 	}
 	for at := 6 * time.Second; at < 10*time.Second; at += time.Second / 10 {
-		w.Now(at, 1, 32, 1)
+		w.Update(at, 1, 32, 1)
 	}
 	if f := w.Factor(); f >= top || f < top/2 {
 		t.Fatalf("after a while the width is %v, it was %v", f, top)
 	}
 	for at := 12 * time.Second; at < 60*time.Second; at += time.Second / 10 {
-		w.Now(at, 1, 16, 1)
+		w.Update(at, 1, 16, 1)
 	}
 	if w.Factor() != 1 {
 		t.Fatalf("after a minute the width is %v", w.Factor())
 	}
-	if !w.Now(61*time.Second, 1, 16, 35) || w.Factor() < 35.0/16-1e-9 {
+	if !w.Update(61*time.Second, 1, 16, 35) || w.Factor() < 35.0/16-1e-9 {
 		t.Fatalf("35 attempts out at 16 members: width %v", w.Factor())
 	}
-	var hasty Width
-	if hasty.Now(0, 0, 16, 1); hasty.Factor() > 2.26 {
+	var hasty WidthController
+	if hasty.Update(0, 0, 16, 1); hasty.Factor() > 2.26 {
 		t.Fatalf("nothing seems fit for a moment, and the part is %v times as wide", hasty.Factor())
 	}
-	if w.Now(61*time.Second+time.Millisecond, 0, 16, 1) {
+	if w.Update(61*time.Second+time.Millisecond, 0, 16, 1) {
 		t.Fatal("it widened twice at one moment")
 	}
 	for i := range 100 {
-		w.Now(62*time.Second+time.Duration(i)*time.Second, 0, 16, 1)
+		w.Update(62*time.Second+time.Duration(i)*time.Second, 0, 16, 1)
 	}
 	if w.Factor() > 26 || math.IsNaN(w.Factor()) {
 		t.Fatalf("nothing left: width %v", w.Factor())
@@ -195,10 +195,10 @@
 		list[i].Zone = "a"
 	}
 	list[5].Zone, list[90].Zone, list[133].Zone = "b", "b", "b"
-	f := Fleet{Nodes: 300, Rule: rule}
+	f := Tier{Nodes: 300, Sizing: rule}
 	for node := range f.Nodes {
 		n := 0
-		for _, m := range f.Form(list, node, 1) {
+		for _, m := range f.Select(list, node, 1) {
 			if list[m.Index].Zone == "b" {
 				n++
 			}
@@ -215,17 +215,17 @@
 		list := servers(int(n%400), 5)
 		for i := range list {
 			if i%3 == 0 {
-				list[i].Size = size
+				list[i].Weight = size
 			}
 		}
-		fl := Fleet{Nodes: int(nodes%500) + 1, Rule: rule}
-		members := fl.Form(list, int(node)%fl.Nodes, wide)
+		fl := Tier{Nodes: int(nodes%500) + 1, Sizing: rule}
+		members := fl.Select(list, int(node)%fl.Nodes, wide)
 		sum := 0.0
 		for i, m := range members {
-			if m.Index < 0 || m.Index >= len(list) || m.Held < 1 || !(m.Share >= 0) || i > 0 && m.Index <= members[i-1].Index {
+			if m.Index < 0 || m.Index >= len(list) || m.HolderCount < 1 || !(m.TrafficFraction >= 0) || i > 0 && m.Index <= members[i-1].Index {
 				t.Fatalf("member %+v", m)
 			}
-			sum += m.Share
+			sum += m.TrafficFraction
 		}
 		if len(list) > 0 && (len(members) < min(len(list), 2) || math.Abs(sum-1) > 1e-6) {
 			t.Fatalf("%d members of %d servers, shares sum to %v", len(members), len(list), sum)
--- a/subset/width.go
+++ b/subset/width.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Width decides how much larger than by the rule a node's part is. It widens at once when the part can't carry
+// WidthController decides how much larger than by the rule a node's part is. It widens at once when the part can't carry
 // what the node has for it, and shrinks a step at a time once a smaller one has been enough for a while: a
 // hall that comes and goes must not move the fleet's connections each time. The zero value is a part by the rule.
-type Width struct {
+type WidthController struct {
 	steps int
 	grown time.Duration // when it was last widened
 	calm  time.Duration // since when one step less would have been enough; 0: it would not
@@ -24,13 +24,13 @@
 	widthLoads = 1.0 // attempts out for each member that is fit; more of them need more members
 )
 
-// Factor is the present width, for [Fleet.Form].
-func (w *Width) Factor() float64 { return math.Pow(widthStep, float64(w.steps)) }
+// Factor is the present width, for [Tier.Select].
+func (w *WidthController) Factor() float64 { return math.Pow(widthStep, float64(w.steps)) }
 
-// Now takes in how much of the part is fit, as a share of the part that it is (a cold server counts as the part of one
+// Update takes in how much of the part is fit, as a share of the part that it is (a cold server counts as the part of one
 // that it is, one that is silent or ejected as nothing), its members and the attempts that the node has out. It
 // tells whether the width has changed.
-func (w *Width) Now(now time.Duration, fit float64, members int, out float64) bool {
+func (w *WidthController) Update(now time.Duration, fit float64, members int, out float64) bool {
 	enough := func(steps int) bool {
 		scale := math.Pow(widthStep, float64(steps-w.steps))
 		carry := math.Max(fit, 0) * float64(members) * scale
--- a/zonehealth/outage.go
+++ b/zonehealth/outage.go
@@ -20,19 +20,19 @@
 	"time"
 )
 
-// Rule sets what evidence it takes.
-type Rule struct {
-	Enough float64       // weight of evidence at which a group is down
-	Wait   float64       // weight of a long wait at a server; of a failure it is 1
-	Peer   float64       // weight of a peer's finding
-	Lasts  time.Duration // evidence older than that counts no more
-	Quiet  time.Duration // a group that was heard so recently is not down
-	Alone  time.Duration // nor by peers' word alone one that was heard so recently
+// Settings sets what evidence it takes.
+type Settings struct {
+	DownThreshold     float64       // weight of evidence at which a group is down
+	SlowAttemptWeight float64       // weight of a long wait at a server; of a failure it is 1
+	PeerReportWeight  float64       // weight of a peer's finding
+	EvidenceTTL       time.Duration // evidence older than that counts no more
+	MinSilence        time.Duration // a group that was heard so recently is not down
+	MinSilenceByPeers time.Duration // nor by peers' word alone one that was heard so recently
 }
 
-// Usual is a rule for nodes that hear a group of theirs some times a second: failures or long waits at two servers, a failure and a peer,
+// DefaultSettings is a rule for nodes that hear a group of theirs some times a second: failures or long waits at two servers, a failure and a peer,
 // a long wait and two peers, or three peers.
-var Usual = Rule{Enough: 1.4, Wait: 0.7, Peer: 0.5, Lasts: 3 * time.Second, Quiet: 200 * time.Millisecond, Alone: time.Second}
+var DefaultSettings = Settings{DownThreshold: 1.4, SlowAttemptWeight: 0.7, PeerReportWeight: 0.5, EvidenceTTL: 3 * time.Second, MinSilence: 200 * time.Millisecond, MinSilenceByPeers: time.Second}
 
 // evidenceMost bounds what is kept of a group.
 const evidenceMost = 16
@@ -55,16 +55,16 @@
 	peer     int           // that met an answer there since; -1: none
 }
 
-// Watch keeps watch over the groups that a node asks. The zero value watches none; make one with New.
-type Watch struct {
-	rule   Rule
+// Detector keeps watch over the groups that a node asks. The zero value watches none; make one with New.
+type Detector struct {
+	rule   Settings
 	groups map[string]*group
 }
 
 // New returns a watch by a rule.
-func New(rule Rule) *Watch { return &Watch{rule: rule, groups: map[string]*group{}} }
+func New(rule Settings) *Detector { return &Detector{rule: rule, groups: map[string]*group{}} }
 
-func (w *Watch) of(name string) *group {
+func (w *Detector) of(name string) *group {
 	g := w.groups[name]
 	if g == nil {
 		g = &group{}
@@ -73,41 +73,41 @@
 	return g
 }
 
-// Keep forgets the groups that are not among the keys.
-func (w *Watch) Keep(names map[string]bool) {
+// RetainZones forgets the groups that are not among the keys.
+func (w *Detector) RetainZones(names map[string]bool) {
 	maps.DeleteFunc(w.groups, func(name string, _ *group) bool {
 		_, ok := names[name]
 		return !ok
 	})
 }
 
-// Heard takes in an answer of any kind from a server of the group.
-func (w *Watch) Heard(name string, now time.Duration) {
+// ObserveResponse takes in an answer of any kind from a server of the group.
+func (w *Detector) ObserveResponse(name string, now time.Duration) {
 	g := w.of(name)
 	g.heard, g.ever, g.down = now, true, false
 	g.evidence = g.evidence[:0]
 }
 
-// Failed takes in that something sent to a server at a time came to nothing.
-func (w *Watch) Failed(name string, server uint64, sent, now time.Duration) {
+// ObserveFailure takes in that something sent to a server at a time came to nothing.
+func (w *Detector) ObserveFailure(name string, server uint64, sent, now time.Duration) {
 	w.add(name, evidence{server: server, peer: -1, weight: 1, at: now, sent: sent})
 }
 
-// Waits takes in that something sent to a server at a time has waited for long.
-func (w *Watch) Waits(name string, server uint64, sent, now time.Duration) {
-	w.add(name, evidence{server: server, peer: -1, weight: w.rule.Wait, at: now, sent: sent})
+// ObserveSlowAttempt takes in that something sent to a server at a time has waited for long.
+func (w *Detector) ObserveSlowAttempt(name string, server uint64, sent, now time.Duration) {
+	w.add(name, evidence{server: server, peer: -1, weight: w.rule.SlowAttemptWeight, at: now, sent: sent})
 }
 
-// Told takes in that a peer found a server silent.
-func (w *Watch) Told(name string, server uint64, peer int, now time.Duration) {
-	w.add(name, evidence{server: server, peer: peer, weight: w.rule.Peer, at: now, sent: now})
+// ObservePeerFailure takes in that a peer found a server silent.
+func (w *Detector) ObservePeerFailure(name string, server uint64, peer int, now time.Duration) {
+	w.add(name, evidence{server: server, peer: peer, weight: w.rule.PeerReportWeight, at: now, sent: now})
 }
 
-// Met takes in that a peer has met an answer there. What it met before it heard of the outage is no sign of its end.
-func (w *Watch) Met(name string, peer int, now time.Duration) {
+// ObservePeerResponse takes in that a peer has met an answer there. What it met before it heard of the outage is no sign of its end.
+func (w *Detector) ObservePeerResponse(name string, peer int, now time.Duration) {
 	g := w.groups[name]
 	switch {
-	case g == nil || !g.down || now-g.since < w.rule.Lasts:
+	case g == nil || !g.down || now-g.since < w.rule.EvidenceTTL:
 	case g.peer < 0 || g.peer == peer:
 		g.peer = peer
 	default:
@@ -116,7 +116,7 @@
 }
 
 // add keeps the strongest evidence of each server and, of peers, of each peer.
-func (w *Watch) add(name string, e evidence) {
+func (w *Detector) add(name string, e evidence) {
 	g := w.of(name)
 	if g.ever && e.sent < g.heard {
 		return // the group was heard since
@@ -137,8 +137,8 @@
 	g.evidence = append(g.evidence, e)
 }
 
-// Down tells whether the group is down, and whether it has just been found to be.
-func (w *Watch) Down(name string, now time.Duration) (down, found bool) {
+// Evaluate tells whether the group is down, and whether it has just been found to be.
+func (w *Detector) Evaluate(name string, now time.Duration) (down, found bool) {
 	g := w.groups[name]
 	if g == nil {
 		return false, false
@@ -146,17 +146,17 @@
 	if g.down {
 		return true, false
 	}
-	if !g.ever || now-g.heard < w.rule.Quiet || !w.others(name, now) {
+	if !g.ever || now-g.heard < w.rule.MinSilence || !w.others(name, now) {
 		return false, false
 	}
 	sum, own := 0.0, false
 	for _, e := range g.evidence {
-		if now-e.at < w.rule.Lasts {
+		if now-e.at < w.rule.EvidenceTTL {
 			sum += e.weight
 			own = own || e.peer < 0
 		}
 	}
-	if sum < w.rule.Enough || !own && now-g.heard < w.rule.Alone {
+	if sum < w.rule.DownThreshold || !own && now-g.heard < w.rule.MinSilenceByPeers {
 		return false, false
 	}
 	g.down, g.since, g.peer = true, now, -1
@@ -164,10 +164,10 @@
 }
 
 // others tells whether another group was heard since this one was.
-func (w *Watch) others(name string, now time.Duration) bool {
+func (w *Detector) others(name string, now time.Duration) bool {
 	g := w.groups[name]
 	for other, o := range w.groups {
-		if other != name && o.ever && o.heard > g.heard && !o.down && now-o.heard < w.rule.Lasts {
+		if other != name && o.ever && o.heard > g.heard && !o.down && now-o.heard < w.rule.EvidenceTTL {
 			return true
 		}
 	}
--- a/zonehealth/outage_test.go
+++ b/zonehealth/outage_test.go
@@ -11,56 +11,59 @@
 const ms = time.Millisecond
 
 // well returns a watch that has just heard both groups.
-func well() *Watch {
-	w := New(Usual)
-	w.Heard("a", 0)
-	w.Heard("b", 0)
+func well() *Detector {
+	w := New(DefaultSettings)
+	w.ObserveResponse("a", 0)
+	w.ObserveResponse("b", 0)
 	return w
 }
 
-func down(w *Watch, name string, now time.Duration) bool {
-	d, _ := w.Down(name, now)
+func down(w *Detector, name string, now time.Duration) bool {
+	d, _ := w.Evaluate(name, now)
 	return d
 }
 
 func TestWhatItTakes(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		meet func(w *Watch)
+		meet func(w *Detector)
 		want bool
 	}{
-		{"two servers fail", func(w *Watch) { w.Failed("a", 1, 100*ms, 400*ms); w.Failed("a", 2, 200*ms, 450*ms) }, true},
-		{"two long waits", func(w *Watch) { w.Waits("a", 1, 100*ms, 400*ms); w.Waits("a", 2, 200*ms, 450*ms) }, true},
-		{"one server fails, however often", func(w *Watch) {
+		{"two servers fail", func(w *Detector) { w.ObserveFailure("a", 1, 100*ms, 400*ms); w.ObserveFailure("a", 2, 200*ms, 450*ms) }, true},
+		{"two long waits", func(w *Detector) {
+			w.ObserveSlowAttempt("a", 1, 100*ms, 400*ms)
+			w.ObserveSlowAttempt("a", 2, 200*ms, 450*ms)
+		}, true},
+		{"one server fails, however often", func(w *Detector) {
 			for i := range 20 {
-				w.Failed("a", 1, 100*ms, 400*ms+time.Duration(i))
-				w.Waits("a", 1, 100*ms, 400*ms+time.Duration(i))
+				w.ObserveFailure("a", 1, 100*ms, 400*ms+time.Duration(i))
+				w.ObserveSlowAttempt("a", 1, 100*ms, 400*ms+time.Duration(i))
 			}
 		}, false},
-		{"one fails and a peer found another", func(w *Watch) { w.Failed("a", 1, 100*ms, 400*ms); w.Told("a", 2, 7, 450*ms) }, true},
-		{"one peer names all servers", func(w *Watch) {
+		{"one fails and a peer found another", func(w *Detector) { w.ObserveFailure("a", 1, 100*ms, 400*ms); w.ObservePeerFailure("a", 2, 7, 450*ms) }, true},
+		{"one peer names all servers", func(w *Detector) {
 			for i := range uint64(20) {
-				w.Told("a", i, 7, 400*ms)
+				w.ObservePeerFailure("a", i, 7, 400*ms)
 			}
 		}, false},
-		{"three peers, heard half a second ago", func(w *Watch) {
+		{"three peers, heard half a second ago", func(w *Detector) {
 			for i := range 3 {
-				w.Told("a", uint64(i), i, 400*ms)
+				w.ObservePeerFailure("a", uint64(i), i, 400*ms)
 			}
 		}, false},
-		{"it was heard since", func(w *Watch) {
-			w.Failed("a", 1, 100*ms, 400*ms)
-			w.Heard("a", 410*ms)
-			w.Failed("a", 2, 200*ms, 450*ms)
+		{"it was heard since", func(w *Detector) {
+			w.ObserveFailure("a", 1, 100*ms, 400*ms)
+			w.ObserveResponse("a", 410*ms)
+			w.ObserveFailure("a", 2, 200*ms, 450*ms)
 		}, false},
-		{"heard an instant ago", func(w *Watch) {
-			w.Heard("a", 380*ms)
-			w.Failed("a", 1, 381*ms, 400*ms)
-			w.Failed("a", 2, 381*ms, 400*ms)
+		{"heard an instant ago", func(w *Detector) {
+			w.ObserveResponse("a", 380*ms)
+			w.ObserveFailure("a", 1, 381*ms, 400*ms)
+			w.ObserveFailure("a", 2, 381*ms, 400*ms)
 		}, false},
 	} {
 		w := well()
-		w.Heard("b", 390*ms)
+		w.ObserveResponse("b", 390*ms)
 		if c.meet(w); down(w, "a", 500*ms) != c.want {
 			t.Errorf("%s: down %v", c.name, !c.want)
 		}
@@ -74,8 +77,8 @@
 func TestNobodyHeard(t *testing.T) {
 	w := well()
 	for i := range uint64(5) {
-		w.Failed("a", i, 100*ms, 500*ms)
-		w.Failed("b", i, 100*ms, 500*ms)
+		w.ObserveFailure("a", i, 100*ms, 500*ms)
+		w.ObserveFailure("b", i, 100*ms, 500*ms)
 	}
 	if down(w, "a", time.Second) || down(w, "b", time.Second) {
 		t.Error("a group is down for a node that hears nobody")
@@ -85,62 +88,62 @@
 // Peers alone do it where nothing was heard for a second; old evidence counts for nothing.
 func TestPeersAndAge(t *testing.T) {
 	w := well()
-	w.Heard("b", 1400*ms)
+	w.ObserveResponse("b", 1400*ms)
 	for i := range 3 {
-		w.Told("a", uint64(i), i, 1200*ms)
+		w.ObservePeerFailure("a", uint64(i), i, 1200*ms)
 	}
 	if !down(w, "a", 1500*ms) {
 		t.Error("three peers count for nothing")
 	}
 	w = well()
-	w.Failed("a", 1, 100*ms, 400*ms)
-	w.Heard("b", 4*time.Second)
-	w.Failed("a", 2, 3900*ms, 4*time.Second)
+	w.ObserveFailure("a", 1, 100*ms, 400*ms)
+	w.ObserveResponse("b", 4*time.Second)
+	w.ObserveFailure("a", 2, 3900*ms, 4*time.Second)
 	if down(w, "a", 4*time.Second) {
 		t.Error("evidence counts for longer than it lasts")
 	}
 }
 
 func TestItsEnd(t *testing.T) {
-	fall := func() *Watch {
+	fall := func() *Detector {
 		w := well()
-		w.Heard("b", 400*ms)
-		w.Failed("a", 1, 100*ms, 400*ms)
-		w.Failed("a", 2, 100*ms, 400*ms)
-		if d, found := w.Down("a", 500*ms); !d || !found {
+		w.ObserveResponse("b", 400*ms)
+		w.ObserveFailure("a", 1, 100*ms, 400*ms)
+		w.ObserveFailure("a", 2, 100*ms, 400*ms)
+		if d, found := w.Evaluate("a", 500*ms); !d || !found {
 			t.Fatal("not found")
 		}
-		if d, found := w.Down("a", 600*ms); !d || found {
+		if d, found := w.Evaluate("a", 600*ms); !d || found {
 			t.Fatal("found twice")
 		}
 		return w
 	}
 	w := fall()
-	if w.Heard("a", 10*time.Second); down(w, "a", 10*time.Second) {
+	if w.ObserveResponse("a", 10*time.Second); down(w, "a", 10*time.Second) {
 		t.Error("an answer does not end it")
 	}
-	w.Heard("b", 10400*ms)
-	w.Failed("a", 1, 9*time.Second, 10400*ms)
-	w.Failed("a", 2, 9*time.Second, 10400*ms)
+	w.ObserveResponse("b", 10400*ms)
+	w.ObserveFailure("a", 1, 9*time.Second, 10400*ms)
+	w.ObserveFailure("a", 2, 9*time.Second, 10400*ms)
 	if down(w, "a", 10500*ms) {
 		t.Error("what was sent before it was heard counts")
 	}
 	w = fall()
-	w.Met("a", 3, time.Second)
-	w.Met("a", 4, time.Second)
+	w.ObservePeerResponse("a", 3, time.Second)
+	w.ObservePeerResponse("a", 4, time.Second)
 	if !down(w, "a", time.Second) {
 		t.Error("what peers met before ends it")
 	}
-	w.Met("a", 3, 5*time.Second)
-	w.Met("a", 3, 5*time.Second)
+	w.ObservePeerResponse("a", 3, 5*time.Second)
+	w.ObservePeerResponse("a", 3, 5*time.Second)
 	if !down(w, "a", 5*time.Second) {
 		t.Error("one peer ends it")
 	}
-	if w.Met("a", 4, 5*time.Second); down(w, "a", 5*time.Second) {
+	if w.ObservePeerResponse("a", 4, 5*time.Second); down(w, "a", 5*time.Second) {
 		t.Error("two peers don't end it")
 	}
-	w.Met("nobody", 4, 5*time.Second)
-	w.Keep(map[string]bool{"b": false})
+	w.ObservePeerResponse("nobody", 4, 5*time.Second)
+	w.RetainZones(map[string]bool{"b": false})
 	if len(w.groups) != 1 {
 		t.Errorf("%d groups kept", len(w.groups))
 	}
@@ -149,7 +152,7 @@
 func TestEvidenceIsBounded(t *testing.T) {
 	w := well()
 	for i := range uint64(1000) {
-		w.Failed("a", i, 100*ms, 400*ms)
+		w.ObserveFailure("a", i, 100*ms, 400*ms)
 	}
 	if n := len(w.groups["a"].evidence); n > evidenceMost {
 		t.Errorf("%d pieces of evidence", n)
@@ -189,23 +192,23 @@
 				case a.hall == "a" && now >= gone && a.end >= gone:
 					a.end = 0
 				case a.end > 0 && now >= a.end:
-					w.Heard(a.hall, now)
+					w.ObserveResponse(a.hall, now)
 					return true
 				}
 				if now-a.at >= 800*ms {
-					w.Failed(a.hall, a.server, a.at, now)
+					w.ObserveFailure(a.hall, a.server, a.at, now)
 					return true
 				}
 				if now-a.at >= 600*ms {
-					w.Waits(a.hall, a.server, a.at, now)
+					w.ObserveSlowAttempt(a.hall, a.server, a.at, now)
 				}
 				return false
 			})
 			if now%(100*ms) > 0 {
 				continue
 			}
-			d, f := w.Down("a", now)
-			db, fb := w.Down("b", now)
+			d, f := w.Evaluate("a", now)
+			db, fb := w.Evaluate("b", now)
 			switch {
 			case now < gone:
 				alarms += count(f, fb)
