--- /dev/null
+++ b/internal/cluster/site_health.go
@@ -0,0 +1,124 @@
+package cluster
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/multisite"
+)
+
+// Site health: a loss moves keys to other sites, so it takes a majority and half a second; the delay before a site
+// counts as back grows to half a minute where it flaps.
+const (
+	minSiteMisses        = 3
+	siteLossTimeout      = 500 * time.Millisecond
+	siteViewTTL          = time.Second
+	siteRecoveryDelay    = time.Second
+	maxSiteRecoveryDelay = 30 * time.Second
+	siteLossWindow       = time.Minute
+	siteJudgeInterval    = 50 * time.Millisecond
+	rampLoanTTL          = 500 * time.Millisecond
+
+	siteProposalTimeout = 2 * time.Second
+)
+
+func siteHealthConfig(instance uint64, warmUpWindow time.Duration) *multisite.HealthConfig {
+	return &multisite.HealthConfig{
+		InstanceID:       instance,
+		MinMisses:        minSiteMisses,
+		LossTimeout:      siteLossTimeout,
+		ViewTTL:          siteViewTTL,
+		RecoveryDelay:    siteRecoveryDelay,
+		MaxRecoveryDelay: maxSiteRecoveryDelay,
+		LossWindow:       siteLossWindow,
+		WarmUpWindow:     warmUpWindow,
+	}
+}
+
+func recoveryRampConfig(instance, incarnation uint64, budgetMultiple float64) *multisite.RampConfig {
+	return &multisite.RampConfig{
+		InstanceID:     instance,
+		Incarnation:    incarnation,
+		LoanTTL:        rampLoanTTL,
+		LoadTTL:        siteViewTTL,
+		BudgetMultiple: budgetMultiple,
+	}
+}
+
+// judgeSites logs changes of the sites' health and, on the leader, proposes which sites are lost and recovered, until
+// ctx ends. Any member could propose: a second proposal of the same change is rejected.
+func (m *Member) judgeSites(ctx context.Context) {
+	tick := time.NewTicker(siteJudgeInterval)
+	defer tick.Stop()
+	states := map[string]string{}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		previous := states
+		states = m.instance.SiteStates()
+		for name, state := range states {
+			if before, known := previous[name]; known && before != state {
+				m.logger.Printf("hall %s is %s (was %s)", name, state, before)
+			}
+		}
+		change, ok := m.instance.ProposeSiteChange()
+		if !ok {
+			continue
+		}
+		status, err := m.node.Status(ctx)
+		if err != nil || status.Leader != status.ID {
+			continue
+		}
+		if err := m.proposeSiteChange(ctx, change); err != nil {
+			m.logger.Printf("hall %s: %v", change.Site, err)
+		}
+	}
+}
+
+// proposeSiteChange proposes that a site is lost, or has some or all of its keys back.
+func (m *Member) proposeSiteChange(ctx context.Context, site multisite.SiteChange) error {
+	ctx, cancel := context.WithTimeout(ctx, siteProposalTimeout)
+	defer cancel()
+	state, err := m.node.AppliedState(ctx)
+	if err != nil {
+		return err
+	}
+	change, summary := siteChange(site)
+	proposal := &clusterconfig.Proposal{
+		ID:           fmt.Sprintf("hall-%s-%v-%d-%d", site.Site, site.IsLost, site.KeyEighths, state.PlacementVersion()),
+		Author:       memberAuthor(m.cfg.MemberID),
+		Reason:       site.Reason,
+		ProposedAtMs: time.Now().UnixMilli(),
+		Changes:      []clusterconfig.Change{change},
+	}
+	if err := state.Check(proposal); err != nil {
+		return err
+	}
+	outcome, err := m.node.Propose(ctx, proposal)
+	if err == nil && outcome.IsApplied {
+		m.logger.Printf("hall %s is agreed to be %s: %s", site.Site, summary, site.Reason)
+	}
+	return err
+}
+
+// siteChange returns the change of the agreed configuration that a change of a site's health comes to, and its summary
+// for the log.
+func siteChange(site multisite.SiteChange) (change clusterconfig.Change, summary string) {
+	if !site.IsLost && site.KeyEighths == 0 {
+		return clusterconfig.Change{Op: changeRemove, Kind: kindLostSite, Name: site.Site}, "back"
+	}
+	summary = "lost"
+	if !site.IsLost {
+		summary = fmt.Sprintf("back with %d of 8 of its keys", site.KeyEighths)
+	}
+	lost := clusterconfig.LostSite{Reason: site.Reason, RecoveredEighths: site.KeyEighths}
+	return clusterconfig.NewPutChange(kindLostSite, site.Site, lost), summary
+}
+
+// memberAuthor is the author of a member's own proposals.
+func memberAuthor(id uint64) string { return fmt.Sprint("member ", id) }
