--- a/internal/cluster/follower_file.go
+++ b/internal/cluster/follower_file.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 
 	"mulleinmux/configstream"
 )
@@ -65,7 +66,7 @@
 	}()
 	options := &bbolt.Options{Timeout: followerFileLockTimeout, FreelistType: bbolt.FreelistMapType}
 	db, err := bbolt.Open(path, followerFileMode, options)
-	if errors.Is(err, bbolt.ErrTimeout) {
+	if errors.Is(err, bbolterrors.ErrTimeout) {
 		return nil, disk, fmt.Errorf("%s: another process has it open", path)
 	}
 	if err != nil {
