--- /dev/null
+++ b/cmd/gateway/config_epoch.go
@@ -0,0 +1,21 @@
+package main
+
+import (
+	"crypto/rand"
+	"fmt"
+
+	"mulleinmux/clusterconfig"
+)
+
+// epochCmd begins a new epoch.
+type epochCmd struct {
+	Why string `help:"Why, for the history."`
+}
+
+func (c *epochCmd) Run(e *env, cc *configCmd) error {
+	return amend(&cc.configAt, e, "epoch", "epoch", c.Why, func(epoch *clusterconfig.Epoch, _ uint64, _ bool) (string, error) {
+		epoch.Number++
+		epoch.ID = rand.Text()
+		return fmt.Sprintf("begins epoch %d", epoch.Number), nil
+	})
+}
--- /dev/null
+++ b/cmd/gateway/config_history.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"mulleinmux/internal/cluster"
+)
+
+type historyCmd struct {
+	Last int `help:"So many of the latest versions; 0: all that are kept." default:"20"`
+}
+
+func (c *historyCmd) Run(e *env, cc *configCmd) error {
+	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+		h, err := cl.History(ctx)
+		if err != nil {
+			return err
+		}
+		if c.Last > 0 && len(h) > c.Last {
+			h = h[len(h)-c.Last:]
+		}
+		if cc.JSON {
+			return printJSON(e.stdout, h)
+		}
+		w := tabwriter.NewWriter(e.stdout, 0, 4, 2, ' ', 0)
+		for _, r := range h {
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", r.Version, time.UnixMilli(r.ProposedAtMs).UTC().Format(time.RFC3339), r.Author, strings.Join(r.Changes, ", "), r.Reason)
+		}
+		return w.Flush()
+	})
+}
--- /dev/null
+++ b/cmd/gateway/config_members.go
@@ -0,0 +1,67 @@
+package main
+
+import (
+	"context"
+	"fmt"
+
+	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/cluster"
+)
+
+type membersCmd struct {
+	Add      addMemberCmd      `cmd:"" help:"Add a member; it votes once it has caught up. It must run, see gateway init --join. Example: gateway config members add 4 --raft 10.0.0.4:7101 --admin 10.0.0.4:7201"`
+	Replace  replaceMemberCmd  `cmd:"" help:"Put a new member in the place of one, in one step: of one that is dead, say."`
+	Remove   removeMemberCmd   `cmd:"" help:"Remove a member. Its number is never used again."`
+	Transfer transferMemberCmd `cmd:"" help:"Have a member lead."`
+}
+
+type addMemberCmd struct {
+	Member uint64 `arg:"" help:"Its number."`
+	Raft   string `help:"Address for the other members." required:""`
+	Admin  string `help:"Address for operators." required:""`
+}
+
+type replaceMemberCmd struct {
+	Member uint64 `arg:"" help:"Number of the one that goes."`
+	With   uint64 `help:"Number of the one that comes." required:""`
+	Raft   string `help:"Its address for the other members." required:""`
+	Admin  string `help:"Its address for operators." required:""`
+}
+
+type removeMemberCmd struct {
+	Member uint64 `arg:"" help:"Its number."`
+}
+
+type transferMemberCmd struct {
+	Member uint64 `arg:"" help:"Its number."`
+}
+
+func (c *addMemberCmd) Run(e *env, cc *configCmd) error {
+	return cc.change(e, &cluster.MembershipChange{Op: "add", MemberID: c.Member, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
+}
+
+func (c *replaceMemberCmd) Run(e *env, cc *configCmd) error {
+	return cc.change(e, &cluster.MembershipChange{Op: "replace", MemberID: c.Member, ReplacementID: c.With, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
+}
+
+func (c *removeMemberCmd) Run(e *env, cc *configCmd) error {
+	return cc.change(e, &cluster.MembershipChange{Op: "remove", MemberID: c.Member})
+}
+
+func (c *transferMemberCmd) Run(e *env, cc *configCmd) error {
+	return cc.change(e, &cluster.MembershipChange{Op: "transfer", MemberID: c.Member})
+}
+
+func (c *configCmd) change(e *env, m *cluster.MembershipChange) error {
+	return c.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+		s, err := cl.ChangeMembers(ctx, m)
+		if err != nil {
+			return err
+		}
+		if c.JSON {
+			return printJSON(e.stdout, s)
+		}
+		fmt.Fprintf(e.stdout, "voters %v, learners %v, leader %d\n", s.Voters, s.Learners, s.Leader)
+		return nil
+	})
+}
--- a/cmd/gateway/cluster.go
+++ b/cmd/gateway/init.go
@@ -4,13 +4,11 @@
 	"errors"
 	"fmt"
 	"io/fs"
-	"log"
 	"os"
 
 	"mulleinmux/internal/cluster"
 	"mulleinmux/internal/gatewayconfig"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/internal/scenario"
 )
 
 type initCmd struct {
@@ -58,36 +56,3 @@
 	c := f.Member
 	return &cluster.MemberConfig{Cluster: c.Cluster, MemberID: c.MemberID, DataFile: beside(config, c.DataFile), Members: c.Members, TickInterval: c.TickInterval, StreamListenAddr: c.StreamListenAddr, DisableKeyOwnership: c.DisableKeyOwnership}
 }
-
-// member runs an instance as a member of a cluster.
-func (c *runCmd) member(e *env, f *gatewayconfig.File, logger *log.Logger) error {
-	cfg := fleetConfig(c.Config, f)
-	creds, err := raftnode.LoadMemberCredentials(beside(c.Config, f.Member.CertDir), cfg.MemberID)
-	if err != nil {
-		return usage{fmt.Errorf("cluster.certs: %w", err)}
-	}
-	cfg.Credentials = creds
-	if c.Chaos != 0 {
-		scenario.Chaos(cfg, c.Chaos, logger)
-	}
-	err = cluster.RunMember(e.ctx, cfg, &f.Config, logger, func(*cluster.Member) {})
-	if errors.Is(err, cluster.ErrNotInitialized) || errors.Is(err, raftnode.ErrForeignFile) || errors.Is(err, raftnode.ErrCorruptFile) || errors.Is(err, raftnode.ErrRestoredFile) {
-		return usage{err}
-	}
-	return err
-}
-
-// follower runs an instance that is told what a cluster's members agree on.
-func (c *runCmd) follower(e *env, f *gatewayconfig.File, logger *log.Logger) error {
-	k := f.Follower
-	creds, err := raftnode.LoadCredentialFiles(beside(c.Config, k.CertDir), raftnode.FollowerFilePrefix(k.Name))
-	if err != nil {
-		return usage{fmt.Errorf("follow.certs: %w (made by gateway certs --followers %s)", err, k.Name)}
-	}
-	cfg := &cluster.FollowerConfig{Cluster: k.Cluster, Name: k.Name, DataFile: beside(c.Config, k.DataFile), Credentials: creds, MemberStreamAddrs: k.MemberStreamAddrs, DisableKeyOwnership: k.DisableKeyOwnership}
-	err = cluster.RunFollower(e.ctx, cfg, &f.Config, logger, func(*cluster.Follower) {})
-	if errors.Is(err, cluster.ErrInvalidFollowerFile) {
-		return usage{err}
-	}
-	return err
-}
--- /dev/null
+++ b/cmd/gateway/stream_explain.go
@@ -0,0 +1,32 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"slices"
+
+	"mulleinmux/configstream"
+	"mulleinmux/internal/cluster"
+)
+
+type streamExplainCmd struct {
+	Follower string `arg:"" help:"Its name."`
+}
+
+func (c *streamExplainCmd) Run(e *env, sc *streamCmd) error {
+	return sc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+		fs, err := cl.Followers(ctx)
+		if err != nil {
+			return err
+		}
+		i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool { return s.Name == c.Follower })
+		if i < 0 {
+			return unknownFollower(c.Follower)
+		}
+		if sc.JSON {
+			return printJSON(e.stdout, fs.Followers[i])
+		}
+		fmt.Fprintln(e.stdout, fs.Followers[i].Explain(fs.NewestVersion))
+		return nil
+	})
+}
--- /dev/null
+++ b/cmd/gateway/stream_pin.go
@@ -0,0 +1,42 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"mulleinmux/clusterconfig"
+)
+
+type streamPinCmd struct {
+	Follower string `arg:"" help:"Its name."`
+	Version  uint64 `arg:"" help:"The version."`
+	Why      string `help:"Why, for the history."`
+}
+
+type streamUnpinCmd struct {
+	Follower string `arg:"" help:"Its name."`
+	Why      string `help:"Why, for the history."`
+}
+
+func (c *streamPinCmd) Run(e *env, sc *streamCmd) error {
+	if c.Version == 0 {
+		return usage{errors.New("version: from 1 is wanted")}
+	}
+	return sc.pin(e, c.Follower, c.Version, c.Why)
+}
+
+func (c *streamUnpinCmd) Run(e *env, sc *streamCmd) error { return sc.pin(e, c.Follower, 0, c.Why) }
+
+// pin agrees on the version that a follower stays at.
+func (sc *streamCmd) pin(e *env, name string, version uint64, why string) error {
+	return amend(&sc.configAt, e, "follower", name, why, func(f *clusterconfig.Follower, newest uint64, there bool) (string, error) {
+		switch {
+		case !there:
+			return "", unknownFollower(name)
+		case version > newest:
+			return "", usage{fmt.Errorf("version: %d is the newest", newest)}
+		}
+		f.PinnedVersion = version
+		return fmt.Sprintf("%s is pinned to %d (0: to none)", name, version), nil
+	})
+}
--- /dev/null
+++ b/cmd/gateway/stream_status.go
@@ -0,0 +1,42 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"text/tabwriter"
+	"time"
+
+	"mulleinmux/internal/cluster"
+)
+
+type streamStatusCmd struct {
+	Watch bool          `help:"Show it again and again until interrupted."`
+	Every time.Duration `help:"How often." default:"1s"`
+}
+
+func (c *streamStatusCmd) Run(e *env, sc *streamCmd) error {
+	for {
+		if err := sc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+			fs, err := cl.Followers(ctx)
+			if err != nil {
+				return err
+			}
+			if sc.JSON {
+				return printJSON(e.stdout, fs)
+			}
+			w := tabwriter.NewWriter(e.stdout, 0, 4, 2, ' ', 0)
+			fmt.Fprintf(w, "newest version %d, by member %d\nfollower\tmember\tstands\n", fs.NewestVersion, fs.MemberID)
+			for _, s := range fs.Followers {
+				fmt.Fprintf(w, "%s\t%d\t%s\n", s.Name, s.LastMember, s.Summary())
+			}
+			return w.Flush()
+		}); err != nil || !c.Watch {
+			return err
+		}
+		select {
+		case <-e.ctx.Done():
+			return nil
+		case <-time.After(max(c.Every, 100*time.Millisecond)):
+		}
+	}
+}
--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -198,11 +198,6 @@
 	return ms, ok
 }
 
-func quantile(xs []float64, q float64) float64 {
-	xs = slices.Sorted(slices.Values(xs))
-	return xs[min(int(q*float64(len(xs))), len(xs)-1)]
-}
-
 // resident is the memory of a process, in KB.
 func resident(p *process) (int, error) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "status"))
--- /dev/null
+++ b/internal/benchmark/reverseproxy.go
@@ -0,0 +1,44 @@
+package benchmark
+
+import (
+	"net"
+	"net/http"
+	"net/http/httputil"
+	"net/url"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// startReverseProxy starts the standard library's proxy with its transport tuned: enough
+// idle connections for each server, no compression, no copy buffers to collect.
+func startReverseProxy(servers []string) ([]string, error) {
+	var next atomic.Uint64
+	targets := make([]*url.URL, len(servers))
+	for i, s := range servers {
+		targets[i] = &url.URL{Scheme: "http", Host: s}
+	}
+	p := &httputil.ReverseProxy{
+		Rewrite: func(r *httputil.ProxyRequest) {
+			to := targets[next.Add(1)%uint64(len(targets))]
+			r.Out.URL.Scheme, r.Out.URL.Host = to.Scheme, to.Host
+		},
+		Transport:  &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: 1024, DisableCompression: true, IdleConnTimeout: time.Minute},
+		BufferPool: &buffers{p: sync.Pool{New: func() any { return make([]byte, 4<<10) }}},
+	}
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	go http.Serve(ln, p)
+	return []string{ln.Addr().String()}, nil
+}
+
+type buffers struct{ p sync.Pool }
+
+func (b *buffers) Get() []byte { return b.p.Get().([]byte) }
+
+func (b *buffers) Put(x []byte) {
+	//lint:ignore SA6002 the baseline is measured as its users build it
+	b.p.Put(x[:cap(x)])
+}
