--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -27,28 +27,28 @@
 	Followers int    `help:"Measure instead how soon so many followers have a change, and what they cost a member, by deltas and by whole versions."`
 }
 
-func (c *benchCmd) Run(e *env) error {
+func (c *benchCmd) Run(e *environment) error {
 	if c.Parts {
-		return c.parts(e)
+		return c.runParts(e)
 	}
 	if c.For <= 0 || !(c.Rate >= 0) || c.Conns < 1 || c.Conns > 10000 || c.Rounds < 1 || len(c.Procs) == 0 || slices.Min(c.Procs) < 1 {
-		return usage{fmt.Errorf("--for, --conns, --procs and --rounds must be above 0")}
+		return usageError{fmt.Errorf("--for, --conns, --procs and --rounds must be above 0")}
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	if c.Changes != 0 {
-		return c.changes(e, self)
+		return c.runChanges(e, self)
 	}
 	if c.Followers > 0 {
-		return c.followers(e, self)
+		return c.runFollowers(e, self)
 	}
 	if c.Link {
-		return c.crossing(e, self)
+		return c.runRelay(e, self)
 	}
 	var all []benchmark.Result
-	err = benchmark.Run(e.ctx, c.options(self), func(r benchmark.Result) {
+	err = benchmark.Run(e.ctx, c.benchmarkOptions(self), func(r benchmark.Result) {
 		all = append(all, r)
 		fmt.Fprintf(e.stderr, "%-12s %d procs: %8.0f requests/s, %6.1f us CPU and %5.1f allocations a request, p50 %.0f us, p99 %.0f us, %d other answers\n",
 			r.Front, r.Procs, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
@@ -82,6 +82,6 @@
 	return nil
 }
 
-func (c *benchCmd) options(self string) benchmark.Options {
+func (c *benchCmd) benchmarkOptions(self string) benchmark.Options {
 	return benchmark.Options{Self: self, For: c.For, Conns: c.Conns, Rate: c.Rate, Procs: c.Procs, Rounds: c.Rounds, Profile: c.Profile}
 }
--- a/cmd/gateway/bench_followers.go
+++ b/cmd/gateway/bench_followers.go
@@ -6,13 +6,13 @@
 	"mulleinmux/internal/benchmark"
 )
 
-const followersChanges = 10
+const followerChangeCount = 10
 
-// followers measures what followers cost.
-func (c *benchCmd) followers(e *env, self string) error {
+// runFollowers measures what followers cost.
+func (c *benchCmd) runFollowers(e *environment, self string) error {
 	var all []benchmark.FollowersResult
 	for _, full := range []bool{false, true} {
-		r, err := benchmark.Followers(e.ctx, c.options(self), c.Followers, followersChanges, full)
+		r, err := benchmark.Followers(e.ctx, c.benchmarkOptions(self), c.Followers, followerChangeCount, full)
 		if err != nil {
 			return err
 		}
--- a/cmd/gateway/bench_parts.go
+++ b/cmd/gateway/bench_parts.go
@@ -7,10 +7,10 @@
 	"mulleinmux/internal/benchmark"
 )
 
-// parts compares ways to share out servers, on no sockets.
-func (c *benchCmd) parts(e *env) error {
+// runParts compares ways to share out servers, on no sockets.
+func (c *benchCmd) runParts(e *environment) error {
 	if c.Size < 1 || c.Size > 1000 {
-		return usage{fmt.Errorf("--size: %d is not from 1 to 1000", c.Size)}
+		return usageError{fmt.Errorf("--size: %d is not from 1 to 1000", c.Size)}
 	}
 	var all []benchmark.PartsResult
 	for _, nodes := range []int{10, 300, 1000} {
@@ -36,4 +36,4 @@
 	Part string `arg:""`
 }
 
-func (c *partCmd) Run(e *env) error { return benchmark.Play(e.ctx, c.Part, os.Stdin, e.stdout) }
+func (c *partCmd) Run(e *environment) error { return benchmark.Play(e.ctx, c.Part, os.Stdin, e.stdout) }
--- a/cmd/gateway/certs.go
+++ b/cmd/gateway/certs.go
@@ -17,17 +17,17 @@
 	Followers []string `help:"Names of instances that are no members and follow."`
 }
 
-func (c *certsCmd) Run(e *env) error {
+func (c *certsCmd) Run(e *environment) error {
 	if len(c.Members)+len(c.Operators)+len(c.Followers) == 0 {
-		return usage{errors.New("--members, --operators, --followers: none is named")}
+		return usageError{errors.New("--members, --operators, --followers: none is named")}
 	}
 	for _, m := range c.Members {
 		if m == 0 {
-			return usage{errors.New("--members: numbers from 1 are wanted")}
+			return usageError{errors.New("--members: numbers from 1 are wanted")}
 		}
 	}
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
-		return usage{fmt.Errorf("--dir: %w", err)}
+		return usageError{fmt.Errorf("--dir: %w", err)}
 	}
 	var a *raftnode.Authority
 	var err error
@@ -52,7 +52,7 @@
 		}
 	}
 	if errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) {
-		return usage{err} // nothing is written over
+		return usageError{err} // nothing is written over
 	}
 	if err != nil {
 		return err
--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -15,30 +14,33 @@
 	"mulleinmux/routing"
 )
 
+// checkCmd checks descriptions and configurations without starting anything.
 type checkCmd struct {
 	Files  []string `arg:"" name:"file" help:"Descriptions and configurations."`
 	Config string   `help:"Configuration whose classes and limits the descriptions are checked with; the embedded default otherwise." type:"path"`
 	JSON   bool     `help:"Print the result as JSON."`
 }
 
-// checked is what check tells of one file, also as JSON.
-type checked struct {
-	File       string             `json:"file"`
-	OK         bool               `json:"ok"`
-	Problems   []problem          `json:"problems,omitempty"`
-	Warnings   []string           `json:"warnings,omitempty"`
-	Operations []checkedOperation `json:"operations,omitempty"`
+// checkResult is what check finds in one file; it is printed as JSON with --json.
+type checkResult struct {
+	File       string           `json:"file"`
+	OK         bool             `json:"ok"`
+	Problems   []checkProblem   `json:"problems,omitempty"`
+	Warnings   []string         `json:"warnings,omitempty"`
+	Operations []checkOperation `json:"operations,omitempty"`
 }
 
-type problem struct {
-	Line   int    `json:"line,omitempty"`
-	Column int    `json:"column,omitempty"`
-	Field  string `json:"field,omitempty"`
-	Text   string `json:"text"`
-	shown  string
+// checkProblem is one reason why a file cannot be used.
+type checkProblem struct {
+	Line    int    `json:"line,omitempty"`
+	Column  int    `json:"column,omitempty"`
+	Field   string `json:"field,omitempty"`
+	Text    string `json:"text"`
+	display string
 }
 
-type checkedOperation struct {
+// checkOperation is one operation of a description that can be used.
+type checkOperation struct {
 	Operation string `json:"operation"`
 	Method    string `json:"method"`
 	Path      string `json:"path"`
@@ -47,12 +49,12 @@
 	Line      int    `json:"line"`
 }
 
-func (c *checkCmd) Run(e *env) error {
-	opt, err := classesOf(c.Config)
+func (c *checkCmd) Run(e *environment) error {
+	opt, err := descriptionOptions(c.Config)
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
-	var all []checked
+	var all []checkResult
 	ok := true
 	for _, file := range c.Files {
 		r := checkFile(file, opt)
@@ -60,23 +62,21 @@
 		all = append(all, r)
 	}
 	if c.JSON {
-		enc := json.NewEncoder(e.stdout)
-		enc.SetIndent("", "  ")
-		err = enc.Encode(all)
+		err = printJSON(e.stdout, all)
 	} else {
-		err = printChecked(e.stdout, all)
+		err = printCheckResults(e.stdout, all)
 	}
 	if err != nil {
 		return err
 	}
 	if !ok {
-		return usage{errors.New("not all files can be used")}
+		return usageError{errors.New("not all files can be used")}
 	}
 	return nil
 }
 
-// classesOf returns what descriptions are compiled with.
-func classesOf(config string) (routing.Options, error) {
+// descriptionOptions returns the options of config, or of the embedded default, that descriptions are compiled with.
+func descriptionOptions(config string) (routing.Options, error) {
 	text, name := deploy.Gateway, "gateway.toml"
 	if config != "" {
 		var err error
@@ -92,54 +92,88 @@
 	return f.Config.Options(), nil
 }
 
-func checkFile(file string, opt routing.Options) (r checked) {
-	r.File = file
-	fail := func(err error) checked {
-		ps, ok := errors.AsType[routing.Problems](err)
-		if !ok {
-			r.Problems = append(r.Problems, problem{Text: err.Error(), shown: err.Error()})
-		}
-		for _, p := range ps {
-			r.Problems = append(r.Problems, problem{p.Pos.Line, p.Pos.Column, p.Field, p.Text, p.Error()})
-		}
-		return r
+// checkFile checks one description, or one configuration with the description that it names.
+func checkFile(file string, opt routing.Options) checkResult {
+	result := checkResult{File: file}
+	if err := result.compile(opt); err != nil {
+		result.Problems = problemsOf(err)
+		return result
 	}
-	text, err := os.ReadFile(file)
+	result.OK = true
+	return result
+}
+
+// compile reads and compiles the result's file, and notes the operations and warnings of its description.
+func (r *checkResult) compile(opt routing.Options) error {
+	text, err := os.ReadFile(r.File)
 	if err != nil {
-		return fail(err)
+		return err
 	}
-	description := file
-	if strings.HasSuffix(file, ".toml") {
-		f, err := gatewayconfig.Parse(file, text)
+	description := r.File
+	if strings.HasSuffix(r.File, ".toml") {
+		f, err := gatewayconfig.Parse(r.File, text)
 		if err != nil {
-			return fail(err)
+			return err
 		}
 		if f.Member != nil || f.Follower != nil { // it names no description
-			r.OK = true
-			return r
+			return nil
 		}
-		description, opt = beside(file, f.Description), f.Config.Options()
+		description, opt = resolvePath(r.File, f.Description), f.Config.Options()
 		if text, err = os.ReadFile(description); err != nil {
-			return fail(fmt.Errorf("%s: description: %w", file, err))
+			return fmt.Errorf("%s: description: %w", r.File, err)
 		}
 	}
 	table, _, err := openapi.Compile(description, text, opt)
 	if err != nil {
-		return fail(err)
+		return err
 	}
 	for _, op := range table.Operations {
-		class, _, _ := strings.Cut(op.Class.Name, "/")
-		r.Operations = append(r.Operations, checkedOperation{op.ID, op.Method, op.Template, class + " " + strings.SplitN(op.Class.Name, "/", 3)[1], unitsText(op.Units), op.Pos.Line})
-		if len(op.InheritedFields) > 0 {
-			r.Warnings = append(r.Warnings, fmt.Sprintf("%s:%d: %s %s changes something and takes its %s from the document's x-mulleinmux: declare them at the operation",
-				description, op.Pos.Line, op.Method, op.Template, strings.Join(op.InheritedFields, " and ")))
-		}
+		r.addOperation(description, op)
+	}
+	return nil
+}
+
+// addOperation notes an operation, with a warning where it changes something and inherits what it is charged.
+func (r *checkResult) addOperation(description string, op *routing.Operation) {
+	class, _, _ := strings.Cut(op.Class.Name, "/")
+	r.Operations = append(r.Operations, checkOperation{
+		Operation: op.ID,
+		Method:    op.Method,
+		Path:      op.Template,
+		Class:     class + " " + strings.SplitN(op.Class.Name, "/", 3)[1],
+		Units:     formatUnits(op.Units),
+		Line:      op.Pos.Line,
+	})
+	if len(op.InheritedFields) == 0 {
+		return
+	}
+	const format = "%s:%d: %s %s changes something and takes its %s from the document's x-mulleinmux: " +
+		"declare them at the operation"
+	fields := strings.Join(op.InheritedFields, " and ")
+	r.Warnings = append(r.Warnings, fmt.Sprintf(format, description, op.Pos.Line, op.Method, op.Template, fields))
+}
+
+// problemsOf returns the problems that an error holds, with their places where it has any.
+func problemsOf(err error) []checkProblem {
+	found, ok := errors.AsType[routing.Problems](err)
+	if !ok {
+		return []checkProblem{{Text: err.Error(), display: err.Error()}}
+	}
+	var problems []checkProblem
+	for _, p := range found {
+		problems = append(problems, checkProblem{
+			Line:    p.Pos.Line,
+			Column:  p.Pos.Column,
+			Field:   p.Field,
+			Text:    p.Text,
+			display: p.Error(),
+		})
 	}
-	r.OK = true
-	return r
+	return problems
 }
 
-func unitsText(u routing.Units) string {
+// formatUnits returns how many units an operation is charged, and where they are read.
+func formatUnits(u routing.Units) string {
 	if u.Fixed > 0 {
 		return fmt.Sprint(u.Fixed)
 	}
@@ -150,13 +184,14 @@
 	return text
 }
 
-func printChecked(out io.Writer, all []checked) error {
+// printCheckResults prints results for people.
+func printCheckResults(out io.Writer, all []checkResult) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, r := range all {
 		if !r.OK {
 			fmt.Fprintf(w, "%s: cannot be used\n", r.File)
 			for _, p := range r.Problems {
-				fmt.Fprintf(w, "  %s\n", p.shown)
+				fmt.Fprintf(w, "  %s\n", p.display)
 			}
 			continue
 		}
--- a/cmd/gateway/config.go
+++ b/cmd/gateway/config.go
@@ -12,8 +12,8 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// configAt is which instances an operator asks, and as whom.
-type configAt struct {
+// clusterFlags is which instances an operator asks, and as whom.
+type clusterFlags struct {
 	At       []string      `help:"Admin addresses of instances: the first that can be reached is asked." default:"127.0.0.1:7201" env:"MULLEINGATE_AT"`
 	Certs    string        `help:"Folder with the operator's certificate." default:"certs" env:"MULLEINGATE_CERTS" type:"path"`
 	Operator string        `help:"The operator, by the name in the certificate's file." default:"admin" env:"MULLEINGATE_OPERATOR"`
@@ -23,7 +23,7 @@
 
 // configCmd asks instances of a cluster.
 type configCmd struct {
-	configAt
+	clusterFlags
 
 	Get     getCmd     `cmd:"" help:"Show what is agreed on. Example: gateway config get plan kubwa"`
 	History historyCmd `cmd:"" help:"Show the versions: when, who, why and what."`
@@ -34,24 +34,24 @@
 	Status  statusCmd  `cmd:"" help:"Show how each member stands."`
 }
 
-func (c *configAt) client() (*cluster.Client, error) {
+func (c *clusterFlags) newClient() (*cluster.Client, error) {
 	creds, err := raftnode.LoadCredentialFiles(c.Certs, raftnode.OperatorFilePrefix(c.Operator))
 	if err != nil {
-		return nil, usage{fmt.Errorf("--certs, --operator: %w (made by gateway certs --operators %s)", err, c.Operator)}
+		return nil, usageError{fmt.Errorf("--certs, --operator: %w (made by gateway certs --operators %s)", err, c.Operator)}
 	}
 	h, err := creds.Identity()
 	if err != nil {
-		return nil, usage{fmt.Errorf("--certs: %w", err)}
+		return nil, usageError{fmt.Errorf("--certs: %w", err)}
 	}
 	return cluster.NewClient(h.Cluster, creds, c.At...), nil
 }
 
-// ask runs f with a client and a context that ends with the operator's patience.
-func (c *configAt) ask(e *env, f func(context.Context, *cluster.Client) error) error {
+// withClient runs f with a client and a context that ends with the operator's patience.
+func (c *clusterFlags) withClient(e *environment, f func(context.Context, *cluster.Client) error) error {
 	if c.Timeout < 100*time.Millisecond || c.Timeout > 2*time.Minute {
-		return usage{fmt.Errorf("--timeout: %v is outside 100ms to 2m", c.Timeout)}
+		return usageError{fmt.Errorf("--timeout: %v is outside 100ms to 2m", c.Timeout)}
 	}
-	cl, err := c.client()
+	cl, err := c.newClient()
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	defer cancel()
 	err = f(ctx, cl)
 	if a, ok := errors.AsType[*cluster.ResponseError](err); ok && a.Status == 400 {
-		return usage{err}
+		return usageError{err}
 	}
 	return err
 }
--- a/cmd/gateway/config_amend.go
+++ b/cmd/gateway/config_amend.go
@@ -10,10 +10,10 @@
 	"mulleinmux/internal/cluster"
 )
 
-// amend has the instances agree on one object as change leaves it, on the version that it was read at. change is told the
+// updateObject has the instances agree on one object as change leaves it, on the version that it was read at. change is told the
 // version and whether the object is there, and words what the new version does.
-func amend[T any](at *configAt, e *env, kind, name, why string, change func(v *T, version uint64, there bool) (string, error)) error {
-	return at.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+func updateObject[T any](at *clusterFlags, e *environment, kind, name, why string, change func(v *T, version uint64, there bool) (string, error)) error {
+	return at.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
 		o, err := cl.Objects(ctx, false)
 		if err != nil {
 			return err
--- a/cmd/gateway/config_apply.go
+++ b/cmd/gateway/config_apply.go
@@ -19,8 +19,8 @@
 	Wait  string `help:"What to wait for: 'agreed', 'applied-everywhere' (at members and followers) or 'all-but-N', which leaves out up to N followers." default:"agreed"`
 }
 
-// but is how many followers need not have the version; -1: nothing is waited for.
-func (c *applyCmd) but() (n int, err error) {
+// maxMissingFollowers is how many followers need not have the version; -1: nothing is waited for.
+func (c *applyCmd) maxMissingFollowers() (n int, err error) {
 	if c.Wait == "agreed" {
 		return -1, nil
 	}
@@ -34,21 +34,21 @@
 	return n, nil
 }
 
-func (c *applyCmd) Run(e *env, cc *configCmd) error {
-	but, err := c.but()
+func (c *applyCmd) Run(e *environment, cc *configCmd) error {
+	but, err := c.maxMissingFollowers()
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
-	want, err := wanted(c.File)
+	want, err := readDesiredObjects(c.File)
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
-	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+	return cc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
 		o, err := cl.Objects(ctx, false)
 		if err != nil {
 			return err
 		}
-		cs, _ := changes(o, want)
+		cs, _ := diffObjects(o, want)
 		out := clusterconfig.Outcome{Version: o.Version, IsApplied: true}
 		if len(cs) > 0 {
 			p := &clusterconfig.Proposal{ID: c.ID, BaseVersion: &o.Version, Reason: c.Why, Changes: cs}
--- a/cmd/gateway/config_desired.go
+++ b/cmd/gateway/config_desired.go
@@ -14,8 +14,8 @@
 	"mulleinmux/internal/gatewayconfig"
 )
 
-// wanted is what a file says: fleet.toml, or what config get --json printed.
-func wanted(file string) (map[string]map[string]json.RawMessage, error) {
+// readDesiredObjects is what a file says: fleet.toml, or what config get --json printed.
+func readDesiredObjects(file string) (map[string]map[string]json.RawMessage, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	doc, err := os.ReadFile(beside(file, f.Description))
+	doc, err := os.ReadFile(resolvePath(file, f.Description))
 	if err != nil {
 		return nil, fmt.Errorf("%s: description: %w", file, err)
 	}
@@ -57,7 +57,7 @@
 	if text, ok := f.Objects["limit"]["units"]; ok && json.Unmarshal(text, &l) == nil {
 		most = l.Max
 	}
-	if err := cluster.ValidateDescription(beside(file, f.Description), string(doc), classes, most); err != nil {
+	if err := cluster.ValidateDescription(resolvePath(file, f.Description), string(doc), classes, most); err != nil {
 		return nil, err
 	}
 	value, err := json.Marshal(clusterconfig.Description{File: f.Description, Text: string(doc)})
--- a/cmd/gateway/config_diff.go
+++ b/cmd/gateway/config_diff.go
@@ -21,17 +21,17 @@
 	File string `arg:"" help:"The file." type:"path"`
 }
 
-func (c *diffCmd) Run(e *env, cc *configCmd) error {
-	want, err := wanted(c.File)
+func (c *diffCmd) Run(e *environment, cc *configCmd) error {
+	want, err := readDesiredObjects(c.File)
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
-	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+	return cc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
 		o, err := cl.Objects(ctx, false)
 		if err != nil {
 			return err
 		}
-		cs, lines := changes(o, want)
+		cs, lines := diffObjects(o, want)
 		if cc.JSON {
 			err = printJSON(e.stdout, map[string]any{"version": o.Version, "changes": cs})
 		} else {
@@ -47,8 +47,8 @@
 	})
 }
 
-// changes are what makes what is agreed into what is wanted. Members are left alone.
-func changes(agreed cluster.Objects, want map[string]map[string]json.RawMessage) (cs []clusterconfig.Change, lines []string) {
+// diffObjects are what makes what is agreed into what is wanted. Members are left alone.
+func diffObjects(agreed cluster.Objects, want map[string]map[string]json.RawMessage) (cs []clusterconfig.Change, lines []string) {
 	for _, kind := range gatewayconfig.ClusterFileKinds {
 		have := agreed.Objects[kind]
 		for _, name := range slices.Sorted(maps.Keys(want[kind])) {
@@ -58,15 +58,15 @@
 			}
 			cs = append(cs, clusterconfig.Change{Op: "put", Kind: kind, Name: name, Value: want[kind][name]})
 			if !ok {
-				lines = append(lines, fmt.Sprintf("+ %s %s %s", kind, name, short(want[kind][name])))
+				lines = append(lines, fmt.Sprintf("+ %s %s %s", kind, name, formatValue(want[kind][name])))
 			} else {
-				lines = append(lines, fmt.Sprintf("- %s %s %s", kind, name, short(before)), fmt.Sprintf("+ %s %s %s", kind, name, short(want[kind][name])))
+				lines = append(lines, fmt.Sprintf("- %s %s %s", kind, name, formatValue(before)), fmt.Sprintf("+ %s %s %s", kind, name, formatValue(want[kind][name])))
 			}
 		}
 		for _, name := range slices.Sorted(maps.Keys(have)) {
 			if _, ok := want[kind][name]; !ok {
 				cs = append(cs, clusterconfig.Change{Op: "remove", Kind: kind, Name: name})
-				lines = append(lines, fmt.Sprintf("- %s %s %s", kind, name, short(have[name])))
+				lines = append(lines, fmt.Sprintf("- %s %s %s", kind, name, formatValue(have[name])))
 			}
 		}
 	}
--- a/cmd/gateway/config_epoch.go
+++ b/cmd/gateway/config_epoch.go
@@ -12,8 +12,8 @@
 	Why string `help:"Why, for the history."`
 }
 
-func (c *epochCmd) Run(e *env, cc *configCmd) error {
-	return amend(&cc.configAt, e, "epoch", "epoch", c.Why, func(epoch *clusterconfig.Epoch, _ uint64, _ bool) (string, error) {
+func (c *epochCmd) Run(e *environment, cc *configCmd) error {
+	return updateObject(&cc.clusterFlags, e, "epoch", "epoch", c.Why, func(epoch *clusterconfig.Epoch, _ uint64, _ bool) (string, error) {
 		epoch.Number++
 		epoch.ID = rand.Text()
 		return fmt.Sprintf("begins epoch %d", epoch.Number), nil
--- a/cmd/gateway/config_get.go
+++ b/cmd/gateway/config_get.go
@@ -17,8 +17,8 @@
 	Local bool   `help:"As applied at the instance asked, without asking the others: it may be old."`
 }
 
-func (c *getCmd) Run(e *env, cc *configCmd) error {
-	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+func (c *getCmd) Run(e *environment, cc *configCmd) error {
+	return cc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
 		o, err := cl.Objects(ctx, c.Local)
 		if err != nil {
 			return err
@@ -40,15 +40,15 @@
 		fmt.Fprintf(e.stdout, "version %d\n", o.Version)
 		for _, kind := range slices.Sorted(maps.Keys(o.Objects)) {
 			for _, name := range slices.Sorted(maps.Keys(o.Objects[kind])) {
-				fmt.Fprintf(e.stdout, "%s %s %s\n", kind, name, short(o.Objects[kind][name]))
+				fmt.Fprintf(e.stdout, "%s %s %s\n", kind, name, formatValue(o.Objects[kind][name]))
 			}
 		}
 		return nil
 	})
 }
 
-// short words a value for a line.
-func short(v json.RawMessage) string {
+// formatValue words a value for a line.
+func formatValue(v json.RawMessage) string {
 	var d clusterconfig.Description
 	if json.Unmarshal(v, &d) == nil && d.Text != "" {
 		return fmt.Sprintf("{\"file\":%q, %d bytes}", d.File, len(d.Text))
--- a/cmd/gateway/config_history.go
+++ b/cmd/gateway/config_history.go
@@ -14,8 +14,8 @@
 	Last int `help:"So many of the latest versions; 0: all that are kept." default:"20"`
 }
 
-func (c *historyCmd) Run(e *env, cc *configCmd) error {
-	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+func (c *historyCmd) Run(e *environment, cc *configCmd) error {
+	return cc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
 		h, err := cl.History(ctx)
 		if err != nil {
 			return err
--- a/cmd/gateway/config_members.go
+++ b/cmd/gateway/config_members.go
@@ -36,24 +36,24 @@
 	Member uint64 `arg:"" help:"Its number."`
 }
 
-func (c *addMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembershipChange{Op: "add", MemberID: c.Member, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
+func (c *addMemberCmd) Run(e *environment, cc *configCmd) error {
+	return cc.changeMembership(e, &cluster.MembershipChange{Op: "add", MemberID: c.Member, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
 }
 
-func (c *replaceMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembershipChange{Op: "replace", MemberID: c.Member, ReplacementID: c.With, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
+func (c *replaceMemberCmd) Run(e *environment, cc *configCmd) error {
+	return cc.changeMembership(e, &cluster.MembershipChange{Op: "replace", MemberID: c.Member, ReplacementID: c.With, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
 }
 
-func (c *removeMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembershipChange{Op: "remove", MemberID: c.Member})
+func (c *removeMemberCmd) Run(e *environment, cc *configCmd) error {
+	return cc.changeMembership(e, &cluster.MembershipChange{Op: "remove", MemberID: c.Member})
 }
 
-func (c *transferMemberCmd) Run(e *env, cc *configCmd) error {
-	return cc.change(e, &cluster.MembershipChange{Op: "transfer", MemberID: c.Member})
+func (c *transferMemberCmd) Run(e *environment, cc *configCmd) error {
+	return cc.changeMembership(e, &cluster.MembershipChange{Op: "transfer", MemberID: c.Member})
 }
 
-func (c *configCmd) change(e *env, m *cluster.MembershipChange) error {
-	return c.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+func (c *configCmd) changeMembership(e *environment, m *cluster.MembershipChange) error {
+	return c.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
 		s, err := cl.ChangeMembers(ctx, m)
 		if err != nil {
 			return err
--- a/cmd/gateway/config_status.go
+++ b/cmd/gateway/config_status.go
@@ -13,8 +13,8 @@
 
 type statusCmd struct{}
 
-func (c *statusCmd) Run(e *env, cc *configCmd) error {
-	return cc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+func (c *statusCmd) Run(e *environment, cc *configCmd) error {
+	return cc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
 		all, failed, err := cl.AllStatuses(ctx)
 		if err != nil {
 			return err
--- a/cmd/gateway/files.go
+++ b/cmd/gateway/files.go
@@ -4,8 +4,8 @@
 	"path/filepath"
 )
 
-// beside resolves a file name that a configuration holds.
-func beside(config, name string) string {
+// resolvePath resolves a file name that a configuration holds.
+func resolvePath(config, name string) string {
 	if filepath.IsAbs(name) {
 		return name
 	}
--- a/cmd/gateway/init.go
+++ b/cmd/gateway/init.go
@@ -11,6 +11,7 @@
 	"mulleinmux/internal/raftnode"
 )
 
+// initCmd makes the data file of a member.
 type initCmd struct {
 	Config     string `help:"The instance's file." required:"" type:"path"`
 	NewCluster bool   `help:"The members that the file has begin a new cluster." xor:"how" required:""`
@@ -18,21 +19,21 @@
 	Adopt      bool   `help:"The file was moved here and is the newest of its member: never an old copy." xor:"how" required:""`
 }
 
-func (c *initCmd) Run(e *env) error {
-	f, err := clusterFile(c.Config)
+func (c *initCmd) Run(e *environment) error {
+	f, err := readMemberFile(c.Config)
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
-	cfg := fleetConfig(c.Config, f)
+	cfg := memberConfig(c.Config, f)
 	if c.Adopt {
 		if err := raftnode.AdoptFile(cfg.DataFile, cfg.Cluster, cfg.MemberID); err != nil {
-			return usage{err}
+			return usageError{err}
 		}
 		fmt.Fprintf(e.stdout, "%s: is taken for the newest of member %d\n", cfg.DataFile, cfg.MemberID)
 		return nil
 	}
 	if err := cluster.InitMember(cfg, c.Join); errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) {
-		return usage{err}
+		return usageError{err}
 	} else if err != nil {
 		return err
 	}
@@ -40,7 +41,8 @@
 	return nil
 }
 
-func clusterFile(config string) (*gatewayconfig.File, error) {
+// readMemberFile reads the configuration of an instance that is a member of a cluster.
+func readMemberFile(config string) (*gatewayconfig.File, error) {
 	text, err := os.ReadFile(config)
 	if err != nil {
 		return nil, fmt.Errorf("--config: %w", err)
@@ -52,7 +54,16 @@
 	return f, err
 }
 
-func fleetConfig(config string, f *gatewayconfig.File) *cluster.MemberConfig {
+// memberConfig returns how an instance takes part in its cluster, by its file, without credentials.
+func memberConfig(config string, f *gatewayconfig.File) *cluster.MemberConfig {
 	c := f.Member
-	return &cluster.MemberConfig{Cluster: c.Cluster, MemberID: c.MemberID, DataFile: beside(config, c.DataFile), Members: c.Members, TickInterval: c.TickInterval, StreamListenAddr: c.StreamListenAddr, DisableKeyOwnership: c.DisableKeyOwnership}
+	return &cluster.MemberConfig{
+		Cluster:             c.Cluster,
+		MemberID:            c.MemberID,
+		DataFile:            resolvePath(config, c.DataFile),
+		Members:             c.Members,
+		TickInterval:        c.TickInterval,
+		StreamListenAddr:    c.StreamListenAddr,
+		DisableKeyOwnership: c.DisableKeyOwnership,
+	}
 }
--- a/cmd/gateway/lab.go
+++ b/cmd/gateway/lab.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"os"
 	"time"
@@ -9,6 +8,7 @@
 	"mulleinmux/internal/scenario"
 )
 
+// labCmd plays a scenario.
 type labCmd struct {
 	Scenario     string        `help:"Scenario to play; see --list." default:"calm"`
 	For          time.Duration `help:"How long clients send." default:"20s"`
@@ -20,7 +20,7 @@
 	Logs         string        `help:"File for the instances' logs." type:"path"`
 }
 
-func (c *labCmd) Run(e *env) error {
+func (c *labCmd) Run(e *environment) error {
 	if c.List {
 		for _, s := range scenario.Scenarios() {
 			fmt.Fprintf(e.stdout, "%-28s %s\n", s.Name, s.About)
@@ -28,22 +28,29 @@
 		return nil
 	}
 	if c.For < time.Second || c.For > time.Hour {
-		return usage{fmt.Errorf("--for: %v is outside 1s to 1h", c.For)}
+		return usageError{fmt.Errorf("--for: %v is outside 1s to 1h", c.For)}
 	}
-	opt := scenario.Options{Scenario: c.Scenario, For: c.For, Seed: c.Seed, KeysAnywhere: c.KeysAnywhere, RampOff: c.RampOff,
-		Progress: func(line string) { fmt.Fprintln(e.stderr, line) }}
-	if !known(c.Scenario) {
-		return usage{fmt.Errorf("--scenario: %q is unknown: see gateway lab --list", c.Scenario)}
+	if !isKnownScenario(c.Scenario) {
+		return usageError{fmt.Errorf("--scenario: %q is unknown: see gateway lab --list", c.Scenario)}
 	}
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	opt.Program, opt.Env = program, e.env
+	opt := scenario.Options{
+		Scenario:     c.Scenario,
+		For:          c.For,
+		Seed:         c.Seed,
+		KeysAnywhere: c.KeysAnywhere,
+		RampOff:      c.RampOff,
+		Program:      program,
+		Env:          e.labEnv,
+		Progress:     func(line string) { fmt.Fprintln(e.stderr, line) },
+	}
 	if c.Logs != "" {
 		f, err := os.Create(c.Logs)
 		if err != nil {
-			return usage{fmt.Errorf("--logs: %w", err)}
+			return usageError{fmt.Errorf("--logs: %w", err)}
 		}
 		defer f.Close()
 		opt.Log = f
@@ -53,9 +60,7 @@
 		return err
 	}
 	if c.JSON {
-		enc := json.NewEncoder(e.stdout)
-		enc.SetIndent("", "  ")
-		err = enc.Encode(v)
+		err = printJSON(e.stdout, v)
 	} else {
 		err = v.Print(e.stdout)
 	}
@@ -63,12 +68,12 @@
 		return err
 	}
 	if !v.OK {
-		return errVerdict
+		return errRuleBroken
 	}
 	return nil
 }
 
-func known(name string) bool {
+func isKnownScenario(name string) bool {
 	for _, s := range scenario.Scenarios() {
 		if s.Name == name {
 			return true
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -26,22 +26,22 @@
 	Run    runCmd    `cmd:"" help:"Run one instance until SIGTERM. SIGHUP reads its description again. Example: gateway run --config deploy/gateway.toml"`
 }
 
-// env is what a command needs of the world.
-type env struct {
+// environment is what a command needs of the world.
+type environment struct {
 	ctx    context.Context
 	stdout io.Writer
 	stderr io.Writer
-	env    []string // for the processes of the lab
+	labEnv []string // for the processes of the lab
 }
 
-// errVerdict is a scenario that broke a rule: its verdict has been printed.
-var errVerdict = errors.New("a rule was broken")
+// errRuleBroken is returned for a scenario that broke a rule, after its verdict has been printed.
+var errRuleBroken = errors.New("a rule was broken")
 
-// usage is a mistake of the operator's: exit status 2.
-type usage struct{ error }
+// usageError marks a mistake of the operator's: the program exits with exitUsage.
+type usageError struct{ error }
 
-// labEnv is added to the environment of the lab's processes.
-var labEnv []string
+// extraLabEnv is added to the environment variables of the lab's processes; tests set it.
+var extraLabEnv []string
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -49,16 +49,25 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run carries out a command line and returns the exit status: 0, 1 for a failure or a
-// broken rule, 2 for bad input.
+// Exit statuses of the program.
+const (
+	exitOK      = 0
+	exitFailure = 1 // also of a broken rule, and of a file that differs
+	exitUsage   = 2 // bad input
+)
+
+// run carries out a command line and returns the exit status.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var c cli
 	exit := -1
-	parser, err := kong.New(&c, kong.Name("gateway"), kong.Description("A gateway between halls of booking servers, by an OpenAPI description."),
-		kong.Writers(stdout, stderr), kong.Exit(func(code int) { exit = code }))
+	parser, err := kong.New(&c,
+		kong.Name("gateway"),
+		kong.Description("A gateway between halls of booking servers, by an OpenAPI description."),
+		kong.Writers(stdout, stderr),
+		kong.Exit(func(code int) { exit = code }))
 	if err != nil {
 		fmt.Fprintln(stderr, "gateway:", err)
-		return 1
+		return exitFailure
 	}
 	parsed, err := parser.Parse(args)
 	if exit >= 0 {
@@ -66,18 +75,18 @@
 	}
 	if err != nil {
 		fmt.Fprintln(stderr, "gateway:", err)
-		return 2
+		return exitUsage
 	}
-	err = parsed.Run(&env{ctx, stdout, stderr, labEnv}, &c.Config, &c.Stream)
+	err = parsed.Run(&environment{ctx, stdout, stderr, extraLabEnv}, &c.Config, &c.Stream)
 	switch {
 	case err == nil:
-		return 0
-	case errors.Is(err, errVerdict), errors.Is(err, errDiffers):
-		return 1
+		return exitOK
+	case errors.Is(err, errRuleBroken), errors.Is(err, errDiffers):
+		return exitFailure
 	}
 	fmt.Fprintln(stderr, "gateway:", err)
-	if _, ok := errors.AsType[usage](err); ok {
-		return 2
+	if _, ok := errors.AsType[usageError](err); ok {
+		return exitUsage
 	}
-	return 1
+	return exitFailure
 }
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -26,7 +26,7 @@
 	if os.Getenv("MULLEINGATE_TEST_MAIN") != "" {
 		main()
 	}
-	labEnv = []string{"MULLEINGATE_TEST_MAIN=1"}
+	extraLabEnv = []string{"MULLEINGATE_TEST_MAIN=1"}
 	os.Exit(m.Run())
 }
 
@@ -145,7 +145,7 @@
 	}
 	var out bytes.Buffer
 	run(context.Background(), []string{"check", "--json", good, filepath.Join(dir, "bad.yaml")}, &out, io.Discard)
-	var got []checked
+	var got []checkResult
 	if err := json.Unmarshal(out.Bytes(), &got); err != nil || len(got) != 2 || !got[0].OK || got[1].OK || len(got[1].Problems) != 2 || got[1].Problems[0].Line == 0 {
 		t.Errorf("%v %+v", err, got)
 	}
--- a/cmd/gateway/run.go
+++ b/cmd/gateway/run.go
@@ -17,76 +17,93 @@
 	"mulleinmux/routing"
 )
 
+// runCmd runs one instance.
 type runCmd struct {
 	Config string `help:"The instance's file." required:"" type:"path"`
 	Chaos  uint64 `help:"Seed of faults of the network between members and of the disk (the lab's)." hidden:""`
 }
 
-func (c *runCmd) Run(e *env) (err error) {
+func (c *runCmd) Run(e *environment) (err error) {
 	text, err := os.ReadFile(c.Config)
 	if err != nil {
-		return usage{fmt.Errorf("--config: %w", err)}
+		return usageError{fmt.Errorf("--config: %w", err)}
 	}
 	f, err := gatewayconfig.Parse(c.Config, text)
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
-	cfg := &f.Config
 	if f.AccessLog != "" {
-		out, err := os.OpenFile(beside(c.Config, f.AccessLog), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o640)
+		out, err := os.OpenFile(resolvePath(c.Config, f.AccessLog), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o640)
 		if err != nil {
-			return usage{fmt.Errorf("access_log: %w", err)}
+			return usageError{fmt.Errorf("access_log: %w", err)}
 		}
 		defer out.Close()
 		access := gateway.NewAccessLog(out)
 		defer func() { err = errors.Join(err, access.Close()) }()
-		cfg.Observe = access.Record
+		f.Config.Observe = access.Record
 	}
 	logger := log.New(e.stderr, "", log.LstdFlags|log.Lmicroseconds)
-	if f.Member != nil {
-		return c.member(e, f, logger)
-	}
-	if f.Follower != nil {
-		return c.follower(e, f, logger)
+	switch {
+	case f.Member != nil:
+		return c.runMember(e, f, logger)
+	case f.Follower != nil:
+		return c.runFollower(e, f, logger)
+	default:
+		return c.runStandalone(e, f, logger)
 	}
-	description := beside(c.Config, f.Description)
-	table, check, err := load(description, cfg)
+}
+
+// runStandalone runs an instance with a description of its own, which SIGHUP has it read again.
+func (c *runCmd) runStandalone(e *environment, f *gatewayconfig.File, logger *log.Logger) error {
+	cfg := &f.Config
+	description := resolvePath(c.Config, f.Description)
+	table, check, err := loadDescription(description, cfg)
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 	ready, ended := make(chan *gateway.Instance, 1), make(chan error, 1)
 	go func() {
-		ended <- gateway.Run(e.ctx, cfg, cfg.Setup(1, table, check), logger, func(in *gateway.Instance) { ready <- in })
+		setup := cfg.Setup(1, table, check)
+		ended <- gateway.Run(e.ctx, cfg, setup, logger, func(in *gateway.Instance) { ready <- in })
 	}()
-	var in *gateway.Instance
-	for number := uint64(1); ; {
+	var instance *gateway.Instance
+	for version := uint64(1); ; {
 		select {
 		case err := <-ended:
 			return err
-		case in = <-ready:
+		case instance = <-ready:
 		case <-reload:
-			if in == nil {
+			if instance == nil {
 				continue
 			}
-			table, check, err := load(description, cfg)
-			if err == nil {
-				err = in.Install(cfg.Setup(number+1, table, check))
-			}
+			operationCount, err := reloadDescription(instance, description, cfg, version+1)
 			if err != nil {
-				logger.Printf("reload: the description in force stays, version %d:\n%v", number, err)
+				logger.Printf("reload: the description in force stays, version %d:\n%v", version, err)
 				continue
 			}
-			number++
-			logger.Printf("reload: version %d is in force, %d operations", number, len(table.Operations))
+			version++
+			logger.Printf("reload: version %d is in force, %d operations", version, operationCount)
 		}
 	}
 }
 
-// load reads and compiles the description.
-func load(file string, cfg *gateway.Config) (*routing.Table, gateway.Checker, error) {
+// reloadDescription reads the description again and installs it as a version; it returns the count of operations.
+func reloadDescription(in *gateway.Instance, file string, cfg *gateway.Config, version uint64) (int, error) {
+	table, check, err := loadDescription(file, cfg)
+	if err != nil {
+		return 0, err
+	}
+	if err := in.Install(cfg.Setup(version, table, check)); err != nil {
+		return 0, err
+	}
+	return len(table.Operations), nil
+}
+
+// loadDescription reads and compiles the description.
+func loadDescription(file string, cfg *gateway.Config) (*routing.Table, gateway.Checker, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, fmt.Errorf("description: %w", err)
@@ -101,35 +118,43 @@
 	return table, d.Checker(), nil
 }
 
-// member runs an instance as a member of a cluster.
-func (c *runCmd) member(e *env, f *gatewayconfig.File, logger *log.Logger) error {
-	cfg := fleetConfig(c.Config, f)
-	creds, err := raftnode.LoadMemberCredentials(beside(c.Config, f.Member.CertDir), cfg.MemberID)
+// runMember runs an instance as a member of a cluster.
+func (c *runCmd) runMember(e *environment, f *gatewayconfig.File, logger *log.Logger) error {
+	cfg := memberConfig(c.Config, f)
+	creds, err := raftnode.LoadMemberCredentials(resolvePath(c.Config, f.Member.CertDir), cfg.MemberID)
 	if err != nil {
-		return usage{fmt.Errorf("cluster.certs: %w", err)}
+		return usageError{fmt.Errorf("cluster.certs: %w", err)}
 	}
 	cfg.Credentials = creds
 	if c.Chaos != 0 {
 		scenario.Chaos(cfg, c.Chaos, logger)
 	}
 	err = cluster.RunMember(e.ctx, cfg, &f.Config, logger, func(*cluster.Member) {})
-	if errors.Is(err, cluster.ErrNotInitialized) || errors.Is(err, raftnode.ErrForeignFile) || errors.Is(err, raftnode.ErrCorruptFile) || errors.Is(err, raftnode.ErrRestoredFile) {
-		return usage{err}
+	if errors.Is(err, cluster.ErrNotInitialized) || errors.Is(err, raftnode.ErrForeignFile) ||
+		errors.Is(err, raftnode.ErrCorruptFile) || errors.Is(err, raftnode.ErrRestoredFile) {
+		return usageError{err}
 	}
 	return err
 }
 
-// follower runs an instance that is told what a cluster's members agree on.
-func (c *runCmd) follower(e *env, f *gatewayconfig.File, logger *log.Logger) error {
+// runFollower runs an instance that follows the configuration stream of a cluster's members.
+func (c *runCmd) runFollower(e *environment, f *gatewayconfig.File, logger *log.Logger) error {
 	k := f.Follower
-	creds, err := raftnode.LoadCredentialFiles(beside(c.Config, k.CertDir), raftnode.FollowerFilePrefix(k.Name))
+	creds, err := raftnode.LoadCredentialFiles(resolvePath(c.Config, k.CertDir), raftnode.FollowerFilePrefix(k.Name))
 	if err != nil {
-		return usage{fmt.Errorf("follow.certs: %w (made by gateway certs --followers %s)", err, k.Name)}
+		return usageError{fmt.Errorf("follow.certs: %w (made by gateway certs --followers %s)", err, k.Name)}
+	}
+	cfg := &cluster.FollowerConfig{
+		Cluster:             k.Cluster,
+		Name:                k.Name,
+		DataFile:            resolvePath(c.Config, k.DataFile),
+		Credentials:         creds,
+		MemberStreamAddrs:   k.MemberStreamAddrs,
+		DisableKeyOwnership: k.DisableKeyOwnership,
 	}
-	cfg := &cluster.FollowerConfig{Cluster: k.Cluster, Name: k.Name, DataFile: beside(c.Config, k.DataFile), Credentials: creds, MemberStreamAddrs: k.MemberStreamAddrs, DisableKeyOwnership: k.DisableKeyOwnership}
 	err = cluster.RunFollower(e.ctx, cfg, &f.Config, logger, func(*cluster.Follower) {})
 	if errors.Is(err, cluster.ErrInvalidFollowerFile) {
-		return usage{err}
+		return usageError{err}
 	}
 	return err
 }
--- a/cmd/gateway/stream.go
+++ b/cmd/gateway/stream.go
@@ -6,13 +6,13 @@
 
 // streamCmd asks members about the instances that follow.
 type streamCmd struct {
-	configAt
+	clusterFlags
 	Status  streamStatusCmd  `cmd:"" help:"Show which version each follower runs. Example: gateway stream status --watch"`
 	Pin     streamPinCmd     `cmd:"" help:"Have a follower stay at a version, or go up to it and stay there. Example: gateway stream pin edge-7 41"`
 	Unpin   streamUnpinCmd   `cmd:"" help:"Have it take the newest again."`
 	Explain streamExplainCmd `cmd:"" help:"Show why a follower does not run the newest version. Example: gateway stream explain edge-7"`
 }
 
-func unknownFollower(name string) error {
+func unknownFollowerError(name string) error {
 	return fmt.Errorf("no follower is called %q: those agreed on are in gateway config get follower", name)
 }
--- a/cmd/gateway/stream_pin.go
+++ b/cmd/gateway/stream_pin.go
@@ -18,23 +18,25 @@
 	Why      string `help:"Why, for the history."`
 }
 
-func (c *streamPinCmd) Run(e *env, sc *streamCmd) error {
+func (c *streamPinCmd) Run(e *environment, sc *streamCmd) error {
 	if c.Version == 0 {
-		return usage{errors.New("version: from 1 is wanted")}
+		return usageError{errors.New("version: from 1 is wanted")}
 	}
 	return sc.pin(e, c.Follower, c.Version, c.Why)
 }
 
-func (c *streamUnpinCmd) Run(e *env, sc *streamCmd) error { return sc.pin(e, c.Follower, 0, c.Why) }
+func (c *streamUnpinCmd) Run(e *environment, sc *streamCmd) error {
+	return sc.pin(e, c.Follower, 0, c.Why)
+}
 
 // pin agrees on the version that a follower stays at.
-func (sc *streamCmd) pin(e *env, name string, version uint64, why string) error {
-	return amend(&sc.configAt, e, "follower", name, why, func(f *clusterconfig.Follower, newest uint64, there bool) (string, error) {
+func (sc *streamCmd) pin(e *environment, name string, version uint64, why string) error {
+	return updateObject(&sc.clusterFlags, e, "follower", name, why, func(f *clusterconfig.Follower, newest uint64, there bool) (string, error) {
 		switch {
 		case !there:
-			return "", unknownFollower(name)
+			return "", unknownFollowerError(name)
 		case version > newest:
-			return "", usage{fmt.Errorf("version: %d is the newest", newest)}
+			return "", usageError{fmt.Errorf("version: %d is the newest", newest)}
 		}
 		f.PinnedVersion = version
 		return fmt.Sprintf("%s is pinned to %d (0: to none)", name, version), nil
--- a/cmd/gateway/stream_status.go
+++ b/cmd/gateway/stream_status.go
@@ -14,9 +14,9 @@
 	Every time.Duration `help:"How often." default:"1s"`
 }
 
-func (c *streamStatusCmd) Run(e *env, sc *streamCmd) error {
+func (c *streamStatusCmd) Run(e *environment, sc *streamCmd) error {
 	for {
-		if err := sc.ask(e, func(ctx context.Context, cl *cluster.Client) error {
+		if err := sc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
 			fs, err := cl.Followers(ctx)
 			if err != nil {
 				return err
