--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"os"
 	"slices"
@@ -10,6 +9,7 @@
 	"mulleinmux/internal/benchmark"
 )
 
+// benchCmd measures what requests, changes, relays and followers cost.
 type benchCmd struct {
 	For     time.Duration `help:"Length of each measurement." default:"3s"`
 	Conns   int           `help:"Connections of clients, each with one request at a time." default:"32"`
@@ -31,57 +31,90 @@
 	if c.Parts {
 		return c.runParts(e)
 	}
-	if c.For <= 0 || !(c.Rate >= 0) || c.Conns < 1 || c.Conns > 10000 || c.Rounds < 1 || len(c.Procs) == 0 || slices.Min(c.Procs) < 1 {
+	if c.For <= 0 || !(c.Rate >= 0) || c.Conns < 1 || c.Conns > maxBenchConns || c.Rounds < 1 ||
+		len(c.Procs) == 0 || slices.Min(c.Procs) < 1 {
 		return usageError{fmt.Errorf("--for, --conns, --procs and --rounds must be above 0")}
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	if c.Changes != 0 {
+	switch {
+	case c.Changes != 0:
 		return c.runChanges(e, self)
-	}
-	if c.Followers > 0 {
+	case c.Followers > 0:
 		return c.runFollowers(e, self)
-	}
-	if c.Link {
+	case c.Link:
 		return c.runRelay(e, self)
+	default:
+		return c.runFronts(e, self)
 	}
-	var all []benchmark.Result
-	err = benchmark.Run(e.ctx, c.benchmarkOptions(self), func(r benchmark.Result) {
-		all = append(all, r)
-		fmt.Fprintf(e.stderr, "%-12s %d procs: %8.0f requests/s, %6.1f us CPU and %5.1f allocations a request, p50 %.0f us, p99 %.0f us, %d other answers\n",
-			r.Front, r.Procs, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
+}
+
+// maxBenchConns is how many connections a measurement may have.
+const maxBenchConns = 10000
+
+// runFronts measures the gateway beside ReverseProxy and direct requests.
+func (c *benchCmd) runFronts(e *environment, self string) error {
+	const progress = "%-12s %d procs: %8.0f requests/s, %6.1f us CPU and %5.1f allocations a request, " +
+		"p50 %.0f us, p99 %.0f us, %d other answers\n"
+	var results []benchmark.Result
+	err := benchmark.Run(e.ctx, c.benchmarkOptions(self), func(r benchmark.Result) {
+		results = append(results, r)
+		fmt.Fprintf(e.stderr, progress, r.Front, r.Procs, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
 	})
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		enc := json.NewEncoder(e.stdout)
-		enc.SetIndent("", "  ")
-		return enc.Encode(all)
+		return printJSON(e.stdout, results)
 	}
-	median := func(front string, procs int, f func(benchmark.Result) float64) float64 {
-		var xs []float64
-		for _, r := range all {
-			if r.Front == front && r.Procs == procs {
-				xs = append(xs, f(r))
-			}
-		}
-		slices.Sort(xs)
-		return xs[len(xs)/2]
-	}
-	perS := func(r benchmark.Result) float64 { return r.PerS }
-	cpu := func(r benchmark.Result) float64 { return r.CPU }
-	fmt.Fprintf(e.stdout, "direct: %.0f requests/s\n", median("direct", 0, perS))
-	for _, p := range c.Procs {
-		g, rp := median("gateway", p, cpu), median("reverseproxy", p, cpu)
-		fmt.Fprintf(e.stdout, "%d procs: gateway %.1f us CPU a request, ReverseProxy %.1f, ratio %.2f; %.0f and %.0f requests/s\n",
-			p, g, rp, g/rp, median("gateway", p, perS), median("reverseproxy", p, perS))
+	const summary = "%d procs: gateway %.1f us CPU a request, ReverseProxy %.1f, ratio %.2f; %.0f and %.0f requests/s\n"
+	fmt.Fprintf(e.stdout, "direct: %.0f requests/s\n", medianOf(results, "direct", 0, requestsPerSecond))
+	for _, procs := range c.Procs {
+		gatewayCPU := medianOf(results, "gateway", procs, cpuPerRequest)
+		proxyCPU := medianOf(results, "reverseproxy", procs, cpuPerRequest)
+		fmt.Fprintf(e.stdout, summary, procs, gatewayCPU, proxyCPU, gatewayCPU/proxyCPU,
+			medianOf(results, "gateway", procs, requestsPerSecond),
+			medianOf(results, "reverseproxy", procs, requestsPerSecond))
 	}
 	return nil
 }
 
+// benchmarkOptions returns the options of a measurement with the program self.
 func (c *benchCmd) benchmarkOptions(self string) benchmark.Options {
-	return benchmark.Options{Self: self, For: c.For, Conns: c.Conns, Rate: c.Rate, Procs: c.Procs, Rounds: c.Rounds, Profile: c.Profile}
+	return benchmark.Options{
+		Self:    self,
+		For:     c.For,
+		Conns:   c.Conns,
+		Rate:    c.Rate,
+		Procs:   c.Procs,
+		Rounds:  c.Rounds,
+		Profile: c.Profile,
+	}
+}
+
+func requestsPerSecond(r benchmark.Result) float64 { return r.PerS }
+
+func cpuPerRequest(r benchmark.Result) float64 { return r.CPU }
+
+// medianOf returns the median of a figure over the measurements of one front.
+func medianOf(results []benchmark.Result, front string, procs int, figure func(benchmark.Result) float64) float64 {
+	var values []float64
+	for _, r := range results {
+		if r.Front == front && r.Procs == procs {
+			values = append(values, figure(r))
+		}
+	}
+	slices.Sort(values)
+	return values[len(values)/2]
+}
+
+// pairRatios returns the ratios of each second measurement to the one before it, sorted.
+func pairRatios(results []benchmark.Result, figure func(benchmark.Result) float64) (ratios []float64) {
+	for i := 0; i+1 < len(results); i += 2 {
+		ratios = append(ratios, figure(results[i+1])/figure(results[i]))
+	}
+	slices.Sort(ratios)
+	return ratios
 }
--- /dev/null
+++ b/cmd/gateway/bench_part.go
@@ -0,0 +1,14 @@
+package main
+
+import (
+	"os"
+
+	"mulleinmux/internal/benchmark"
+)
+
+// partCmd runs one process of a measurement; bench starts it.
+type partCmd struct {
+	Part string `arg:""`
+}
+
+func (c *partCmd) Run(e *environment) error { return benchmark.Play(e.ctx, c.Part, os.Stdin, e.stdout) }
--- /dev/null
+++ b/cmd/gateway/bench_relay.go
@@ -0,0 +1,29 @@
+package main
+
+import (
+	"fmt"
+
+	"mulleinmux/internal/benchmark"
+)
+
+// runRelay measures what a request costs that one site's instance relays to another site's.
+func (c *benchCmd) runRelay(e *environment, self string) error {
+	const progress = "%-8s %8.0f requests/s, %6.1f us CPU and %5.1f allocations a request, " +
+		"p50 %.0f us, p99 %.0f us, %d other answers\n"
+	var results []benchmark.Result
+	record := func(r benchmark.Result) {
+		results = append(results, r)
+		fmt.Fprintf(e.stderr, progress, r.Front, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
+	}
+	if err := benchmark.Crossing(e.ctx, c.benchmarkOptions(self), record); err != nil {
+		return err
+	}
+	if c.JSON {
+		return printJSON(e.stdout, results)
+	}
+	const summary = "a crossing costs %.2f times the CPU of a direct request (median of %d, from %.2f to %.2f)\n"
+	ratios := pairRatios(results, cpuPerRequest)
+	count := len(ratios)
+	fmt.Fprintf(e.stdout, summary, ratios[count/2], count, ratios[0], ratios[count-1])
+	return nil
+}
--- /dev/null
+++ b/cmd/gateway/bench_subsets.go
@@ -0,0 +1,41 @@
+package main
+
+import (
+	"fmt"
+
+	"mulleinmux/internal/benchmark"
+)
+
+// maxSubsetSize is the largest --size.
+const maxSubsetSize = 1000
+
+// runParts compares ways to give the nodes of a fleet their subsets of the servers; nothing is sent.
+func (c *benchCmd) runParts(e *environment) error {
+	if c.Size < 1 || c.Size > maxSubsetSize {
+		return usageError{fmt.Errorf("--size: %d is not from 1 to %d", c.Size, maxSubsetSize)}
+	}
+	var results []benchmark.PartsResult
+	for _, nodes := range []int{10, 300, 1000} {
+		for _, servers := range []int{10, 30, 170, 1000} {
+			rows, err := benchmark.Parts(nodes, servers, c.Size, c.Seed)
+			if err != nil {
+				return err
+			}
+			results = append(results, rows...)
+		}
+	}
+	if c.JSON {
+		return printJSON(e.stdout, results)
+	}
+	const (
+		header = "%5s %7s  %-15s %7s %6s %5s %6s %6s %6s %6s %6s %6s %6s\n"
+		row    = "%5d %7d  %-15s %7.1f %6d %5d %6.2f %6.2f %6.2f %6.2f %6.2f %6.2f %6.2f\n"
+	)
+	fmt.Fprintf(e.stdout, header, "nodes", "servers", "way", "members", "fewest", "held", "spread", "most", "uneven",
+		"zone", "gone", "came", "miscut")
+	for _, r := range results {
+		fmt.Fprintf(e.stdout, row, r.Nodes, r.Servers, r.Way, r.Members, r.Fewest, r.Held, r.Spread, r.Most, r.Uneven,
+			r.Zone, r.Gone, r.Came, r.Miscut)
+	}
+	return nil
+}
--- a/cmd/gateway/certs.go
+++ b/cmd/gateway/certs.go
@@ -9,6 +9,7 @@
 	"mulleinmux/internal/raftnode"
 )
 
+// certsCmd makes certificates.
 type certsCmd struct {
 	Dir       string   `help:"Folder to write to; it is made where it is not there." required:"" type:"path"`
 	Cluster   string   `help:"Name of a new cluster. Without it the folder's authority issues for further members."`
@@ -29,27 +30,9 @@
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return usageError{fmt.Errorf("--dir: %w", err)}
 	}
-	var a *raftnode.Authority
-	var err error
-	if c.Cluster != "" {
-		if a, err = raftnode.NewAuthority(c.Cluster); err == nil {
-			err = a.Write(c.Dir)
-		}
-	} else {
-		a, err = raftnode.LoadAuthority(c.Dir)
-	}
+	authority, err := c.openAuthority()
 	if err == nil {
-		err = a.WriteMembers(c.Dir, c.Members)
-	}
-	for _, name := range c.Operators {
-		if err == nil {
-			err = a.WriteOperator(c.Dir, name)
-		}
-	}
-	for _, name := range c.Followers {
-		if err == nil {
-			err = a.WriteFollower(c.Dir, name)
-		}
+		err = c.writeCertificates(authority)
 	}
 	if errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) {
 		return usageError{err} // nothing is written over
@@ -57,6 +40,38 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(e.stdout, "certificates of cluster %s for members %v, operators %v and followers %v are in %s; keep authority-key.pem away from the instances\n", a.Cluster, c.Members, c.Operators, c.Followers, c.Dir)
+	const format = "certificates of cluster %s for members %v, operators %v and followers %v are in %s; " +
+		"keep authority-key.pem away from the instances\n"
+	fmt.Fprintf(e.stdout, format, authority.Cluster, c.Members, c.Operators, c.Followers, c.Dir)
+	return nil
+}
+
+// openAuthority makes the authority of a new cluster, or loads the folder's.
+func (c *certsCmd) openAuthority() (*raftnode.Authority, error) {
+	if c.Cluster == "" {
+		return raftnode.LoadAuthority(c.Dir)
+	}
+	authority, err := raftnode.NewAuthority(c.Cluster)
+	if err != nil {
+		return nil, err
+	}
+	return authority, authority.Write(c.Dir)
+}
+
+// writeCertificates issues the certificates that the command line names, up to the first error.
+func (c *certsCmd) writeCertificates(authority *raftnode.Authority) error {
+	if err := authority.WriteMembers(c.Dir, c.Members); err != nil {
+		return err
+	}
+	for _, name := range c.Operators {
+		if err := authority.WriteOperator(c.Dir, name); err != nil {
+			return err
+		}
+	}
+	for _, name := range c.Followers {
+		if err := authority.WriteFollower(c.Dir, name); err != nil {
+			return err
+		}
+	}
 	return nil
 }
--- a/cmd/gateway/config.go
+++ b/cmd/gateway/config.go
@@ -2,17 +2,16 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
+	"net/http"
 	"time"
 
 	"mulleinmux/internal/cluster"
 	"mulleinmux/internal/raftnode"
 )
 
-// clusterFlags is which instances an operator asks, and as whom.
+// clusterFlags tell which instances an operator asks, and as whom.
 type clusterFlags struct {
 	At       []string      `help:"Admin addresses of instances: the first that can be reached is asked." default:"127.0.0.1:7201" env:"MULLEINGATE_AT"`
 	Certs    string        `help:"Folder with the operator's certificate." default:"certs" env:"MULLEINGATE_CERTS" type:"path"`
@@ -21,7 +20,7 @@
 	JSON     bool          `help:"Print the answer as JSON."`
 }
 
-// configCmd asks instances of a cluster.
+// configCmd asks instances of a cluster about the configuration that they agree on, and changes it.
 type configCmd struct {
 	clusterFlags
 
@@ -34,21 +33,30 @@
 	Status  statusCmd  `cmd:"" help:"Show how each member stands."`
 }
 
+// newClient returns a client with the operator's certificate.
 func (c *clusterFlags) newClient() (*cluster.Client, error) {
 	creds, err := raftnode.LoadCredentialFiles(c.Certs, raftnode.OperatorFilePrefix(c.Operator))
 	if err != nil {
-		return nil, usageError{fmt.Errorf("--certs, --operator: %w (made by gateway certs --operators %s)", err, c.Operator)}
+		err = fmt.Errorf("--certs, --operator: %w (made by gateway certs --operators %s)", err, c.Operator)
+		return nil, usageError{err}
 	}
-	h, err := creds.Identity()
+	identity, err := creds.Identity()
 	if err != nil {
 		return nil, usageError{fmt.Errorf("--certs: %w", err)}
 	}
-	return cluster.NewClient(h.Cluster, creds, c.At...), nil
+	return cluster.NewClient(identity.Cluster, creds, c.At...), nil
 }
 
-// withClient runs f with a client and a context that ends with the operator's patience.
+// Bounds of --timeout.
+const (
+	minClientTimeout = 100 * time.Millisecond
+	maxClientTimeout = 2 * time.Minute
+)
+
+// withClient runs f with a client and a context that ends after --timeout. A request that the cluster calls bad is a
+// mistake of the operator's.
 func (c *clusterFlags) withClient(e *environment, f func(context.Context, *cluster.Client) error) error {
-	if c.Timeout < 100*time.Millisecond || c.Timeout > 2*time.Minute {
+	if c.Timeout < minClientTimeout || c.Timeout > maxClientTimeout {
 		return usageError{fmt.Errorf("--timeout: %v is outside 100ms to 2m", c.Timeout)}
 	}
 	cl, err := c.newClient()
@@ -59,14 +67,8 @@
 	ctx, cancel := context.WithTimeout(e.ctx, c.Timeout)
 	defer cancel()
 	err = f(ctx, cl)
-	if a, ok := errors.AsType[*cluster.ResponseError](err); ok && a.Status == 400 {
+	if resp, ok := errors.AsType[*cluster.ResponseError](err); ok && resp.Status == http.StatusBadRequest {
 		return usageError{err}
 	}
 	return err
 }
-
-func printJSON(out io.Writer, v any) error {
-	enc := json.NewEncoder(out)
-	enc.SetIndent("", "  ")
-	return enc.Encode(v)
-}
--- a/cmd/gateway/config_apply.go
+++ b/cmd/gateway/config_apply.go
@@ -4,6 +4,7 @@
 	"context"
 	"crypto/rand"
 	"fmt"
+	"io"
 	"strconv"
 	"strings"
 
@@ -11,6 +12,7 @@
 	"mulleinmux/internal/cluster"
 )
 
+// applyCmd has the instances agree on what a file says.
 type applyCmd struct {
 	File  string `arg:"" help:"The file: all that is to be agreed on. What it lacks is removed; members stay." type:"path"`
 	Why   string `help:"Why, for the history."`
@@ -19,67 +21,81 @@
 	Wait  string `help:"What to wait for: 'agreed', 'applied-everywhere' (at members and followers) or 'all-but-N', which leaves out up to N followers." default:"agreed"`
 }
 
-// maxMissingFollowers is how many followers need not have the version; -1: nothing is waited for.
-func (c *applyCmd) maxMissingFollowers() (n int, err error) {
-	if c.Wait == "agreed" {
-		return -1, nil
-	}
-	if c.Wait == "applied-everywhere" {
+// noWait is the result of maxMissingFollowers where the command does not wait for any instance.
+const noWait = -1
+
+// maxMissingFollowers returns how many followers may lack the version when the command ends, by --wait.
+func (c *applyCmd) maxMissingFollowers() (count int, err error) {
+	switch c.Wait {
+	case "agreed":
+		return noWait, nil
+	case "applied-everywhere":
 		return 0, nil
 	}
 	text, ok := strings.CutPrefix(c.Wait, "all-but-")
-	if n, err = strconv.Atoi(text); !ok || err != nil || n < 0 {
+	if count, err = strconv.Atoi(text); !ok || err != nil || count < 0 {
 		return 0, fmt.Errorf("--wait: %q is unknown: agreed, applied-everywhere or all-but-N is wanted", c.Wait)
 	}
-	return n, nil
+	return count, nil
 }
 
 func (c *applyCmd) Run(e *environment, cc *configCmd) error {
-	but, err := c.maxMissingFollowers()
+	maxMissing, err := c.maxMissingFollowers()
 	if err != nil {
 		return usageError{err}
 	}
-	want, err := readDesiredObjects(c.File)
+	desired, err := readDesiredObjects(c.File)
 	if err != nil {
 		return usageError{err}
 	}
-	return cc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
-		o, err := cl.Objects(ctx, false)
+	return cc.withClient(e, func(ctx context.Context, client *cluster.Client) error {
+		agreed, err := client.Objects(ctx, false)
 		if err != nil {
 			return err
 		}
-		cs, _ := diffObjects(o, want)
-		out := clusterconfig.Outcome{Version: o.Version, IsApplied: true}
-		if len(cs) > 0 {
-			p := &clusterconfig.Proposal{ID: c.ID, BaseVersion: &o.Version, Reason: c.Why, Changes: cs}
-			if p.ID == "" {
-				p.ID = rand.Text()
-			}
-			if c.Check {
-				out, err = cl.Check(ctx, p)
-			} else {
-				out, err = cl.Propose(ctx, p)
-			}
-			if err != nil {
-				return err
-			}
+		changes := diffObjects(agreed.Objects, desired).changes
+		outcome, err := c.propose(ctx, client, agreed.Version, changes)
+		if err != nil {
+			return err
 		}
-		if but >= 0 && !c.Check {
-			if err := cl.AwaitInstalled(ctx, out.Version, but); err != nil {
+		if maxMissing != noWait && !c.Check {
+			if err := client.AwaitInstalled(ctx, outcome.Version, maxMissing); err != nil {
 				return err
 			}
 		}
 		if cc.JSON {
-			return printJSON(e.stdout, out)
-		}
-		switch {
-		case len(cs) == 0:
-			fmt.Fprintf(e.stdout, "version %d says so already\n", out.Version)
-		case c.Check:
-			fmt.Fprintf(e.stdout, "%d changes would be taken on version %d\n", len(cs), out.Version)
-		default:
-			fmt.Fprintf(e.stdout, "version %d: %d changes\n", out.Version, len(cs))
+			return printJSON(e.stdout, outcome)
 		}
+		c.print(e.stdout, outcome.Version, len(changes))
 		return nil
 	})
 }
+
+// propose proposes changes of a version, or has them checked alone. No changes are no proposal.
+func (c *applyCmd) propose(
+	ctx context.Context, client *cluster.Client, base uint64, changes []clusterconfig.Change,
+) (clusterconfig.Outcome, error) {
+	if len(changes) == 0 {
+		return clusterconfig.Outcome{Version: base, IsApplied: true}, nil
+	}
+	p := &clusterconfig.Proposal{ID: c.ID, BaseVersion: &base, Reason: c.Why, Changes: changes}
+	if p.ID == "" {
+		p.ID = rand.Text()
+	}
+	if c.Check {
+		return client.Check(ctx, p)
+	}
+	return client.Propose(ctx, p)
+}
+
+// print prints the outcome for people.
+func (c *applyCmd) print(out io.Writer, version uint64, changeCount int) {
+	switch {
+	case changeCount == 0:
+		fmt.Fprintf(out, "version %d says so already\n", version)
+	case c.Check:
+		fmt.Fprintf(out, "%d changes would be taken on version %d\n", changeCount, version)
+	default:
+		fmt.Fprintf(out, "version %d: %d changes\n", version, changeCount)
+	}
+}
--- a/cmd/gateway/config_desired.go
+++ b/cmd/gateway/config_desired.go
@@ -14,53 +14,75 @@
 	"mulleinmux/internal/gatewayconfig"
 )
 
-// readDesiredObjects is what a file says: fleet.toml, or what config get --json printed.
-func readDesiredObjects(file string) (map[string]map[string]json.RawMessage, error) {
+// objectsByKind are the values of objects by kind and name.
+type objectsByKind map[string]map[string]json.RawMessage
+
+// defaultMaxUnits is how many units an operation may be charged where a file sets no limit.
+const defaultMaxUnits = 50
+
+// readDesiredObjects reads the objects that a file asks for: a file as fleet.toml, or one that config get --json
+// printed.
+func readDesiredObjects(file string) (objectsByKind, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	if strings.HasSuffix(file, ".json") {
-		var o cluster.Objects
-		dec := json.NewDecoder(bytes.NewReader(text))
-		dec.DisallowUnknownFields()
-		if err := dec.Decode(&o); err != nil {
-			return nil, fmt.Errorf("%s: %w", file, err)
-		}
-		for kind := range o.Objects {
-			if !slices.Contains(gatewayconfig.ClusterFileKinds, kind) && kind != "member" && kind != "lost" {
-				return nil, fmt.Errorf("%s: objects.%s: is no kind of this program", file, kind)
-			}
-		}
-		return o.Objects, nil
+		return parseSavedObjects(file, text)
 	}
 	f, err := gatewayconfig.ParseClusterFile(file, text)
 	if err != nil {
 		return nil, err
 	}
-	doc, err := os.ReadFile(resolvePath(file, f.Description))
+	description, err := readClusterDescription(file, f)
 	if err != nil {
-		return nil, fmt.Errorf("%s: description: %w", file, err)
+		return nil, err
+	}
+	value, err := json.Marshal(description)
+	f.Objects["description"] = map[string]json.RawMessage{"booking": value}
+	return f.Objects, err
+}
+
+// parseSavedObjects parses what config get --json printed.
+func parseSavedObjects(file string, text []byte) (objectsByKind, error) {
+	var saved cluster.Objects
+	dec := json.NewDecoder(bytes.NewReader(text))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(&saved); err != nil {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	for kind := range saved.Objects {
+		if !slices.Contains(gatewayconfig.ClusterFileKinds, kind) && kind != "member" && kind != "lost" {
+			return nil, fmt.Errorf("%s: objects.%s: is no kind of this program", file, kind)
+		}
+	}
+	return saved.Objects, nil
+}
+
+// readClusterDescription reads the description that a cluster's file names. It is validated here as well as by the
+// cluster, as only here its problems have their places.
+func readClusterDescription(file string, f *gatewayconfig.ClusterFile) (d clusterconfig.Description, err error) {
+	path := resolvePath(file, f.Description)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return d, fmt.Errorf("%s: description: %w", file, err)
 	}
-	// Its places are told before anything is asked of the cluster.
 	var classes []clusterconfig.Class
 	for _, name := range slices.Sorted(maps.Keys(f.Objects["class"])) {
-		var k clusterconfig.Class
-		if err := json.Unmarshal(f.Objects["class"][name], &k); err != nil {
-			return nil, err
+		var class clusterconfig.Class
+		if err := json.Unmarshal(f.Objects["class"][name], &class); err != nil {
+			return d, err
 		}
-		k.Name = name
-		classes = append(classes, k)
+		class.Name = name
+		classes = append(classes, class)
 	}
-	most := 50
-	var l clusterconfig.Limit
-	if text, ok := f.Objects["limit"]["units"]; ok && json.Unmarshal(text, &l) == nil {
-		most = l.Max
+	maxUnits := defaultMaxUnits
+	var limit clusterconfig.Limit
+	if value, ok := f.Objects["limit"]["units"]; ok && json.Unmarshal(value, &limit) == nil {
+		maxUnits = limit.Max
 	}
-	if err := cluster.ValidateDescription(resolvePath(file, f.Description), string(doc), classes, most); err != nil {
-		return nil, err
+	if err := cluster.ValidateDescription(path, string(text), classes, maxUnits); err != nil {
+		return d, err
 	}
-	value, err := json.Marshal(clusterconfig.Description{File: f.Description, Text: string(doc)})
-	f.Objects["description"] = map[string]json.RawMessage{"booking": value}
-	return f.Objects, err
+	return clusterconfig.Description{File: f.Description, Text: string(text)}, nil
 }
--- a/cmd/gateway/config_diff.go
+++ b/cmd/gateway/config_diff.go
@@ -14,72 +14,94 @@
 	"mulleinmux/internal/gatewayconfig"
 )
 
-// errDiffers is a file that would change something: what has been printed.
+// errDiffers is returned for a file that would change something, after the difference has been printed.
 var errDiffers = errors.New("the file differs from what is agreed on")
 
+// diffCmd shows what a file would change.
 type diffCmd struct {
 	File string `arg:"" help:"The file." type:"path"`
 }
 
+// diffResult is what config diff --json prints.
+type diffResult struct {
+	Changes []clusterconfig.Change `json:"changes"`
+	Version uint64                 `json:"version"` // that the file was compared with
+}
+
 func (c *diffCmd) Run(e *environment, cc *configCmd) error {
-	want, err := readDesiredObjects(c.File)
+	desired, err := readDesiredObjects(c.File)
 	if err != nil {
 		return usageError{err}
 	}
-	return cc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
-		o, err := cl.Objects(ctx, false)
+	return cc.withClient(e, func(ctx context.Context, client *cluster.Client) error {
+		agreed, err := client.Objects(ctx, false)
 		if err != nil {
 			return err
 		}
-		cs, lines := diffObjects(o, want)
+		diff := diffObjects(agreed.Objects, desired)
 		if cc.JSON {
-			err = printJSON(e.stdout, map[string]any{"version": o.Version, "changes": cs})
+			err = printJSON(e.stdout, diffResult{Changes: diff.changes, Version: agreed.Version})
 		} else {
-			fmt.Fprintf(e.stdout, "against version %d: %d changes\n", o.Version, len(cs))
-			for _, l := range lines {
-				fmt.Fprintln(e.stdout, l)
+			fmt.Fprintf(e.stdout, "against version %d: %d changes\n", agreed.Version, len(diff.changes))
+			for _, line := range diff.lines {
+				fmt.Fprintln(e.stdout, line)
 			}
 		}
-		if err == nil && len(cs) > 0 {
+		if err == nil && len(diff.changes) > 0 {
 			err = errDiffers
 		}
 		return err
 	})
 }
 
-// diffObjects are what makes what is agreed into what is wanted. Members are left alone.
-func diffObjects(agreed cluster.Objects, want map[string]map[string]json.RawMessage) (cs []clusterconfig.Change, lines []string) {
+// objectsDiff is what turns the agreed objects into the desired ones.
+type objectsDiff struct {
+	changes []clusterconfig.Change
+	lines   []string // for people: "-" before an agreed value, "+" before a desired one
+}
+
+// diffObjects compares objects of the kinds that a cluster's file holds; members are left alone.
+func diffObjects(agreed, desired objectsByKind) *objectsDiff {
+	diff := &objectsDiff{}
 	for _, kind := range gatewayconfig.ClusterFileKinds {
-		have := agreed.Objects[kind]
-		for _, name := range slices.Sorted(maps.Keys(want[kind])) {
-			before, ok := have[name]
-			if ok && sameJSON(before, want[kind][name]) {
-				continue
-			}
-			cs = append(cs, clusterconfig.Change{Op: "put", Kind: kind, Name: name, Value: want[kind][name]})
-			if !ok {
-				lines = append(lines, fmt.Sprintf("+ %s %s %s", kind, name, formatValue(want[kind][name])))
-			} else {
-				lines = append(lines, fmt.Sprintf("- %s %s %s", kind, name, formatValue(before)), fmt.Sprintf("+ %s %s %s", kind, name, formatValue(want[kind][name])))
-			}
+		for _, name := range slices.Sorted(maps.Keys(desired[kind])) {
+			diff.put(kind, name, agreed[kind], desired[kind][name])
 		}
-		for _, name := range slices.Sorted(maps.Keys(have)) {
-			if _, ok := want[kind][name]; !ok {
-				cs = append(cs, clusterconfig.Change{Op: "remove", Kind: kind, Name: name})
-				lines = append(lines, fmt.Sprintf("- %s %s %s", kind, name, formatValue(have[name])))
+		for _, name := range slices.Sorted(maps.Keys(agreed[kind])) {
+			if _, ok := desired[kind][name]; !ok {
+				diff.remove(kind, name, agreed[kind][name])
 			}
 		}
 	}
-	return cs, lines
+	return diff
+}
+
+// put adds the change to a desired value, unless the agreed one says the same.
+func (d *objectsDiff) put(kind, name string, agreed map[string]json.RawMessage, value json.RawMessage) {
+	before, ok := agreed[name]
+	if ok && equalJSON(before, value) {
+		return
+	}
+	d.changes = append(d.changes, clusterconfig.Change{Op: "put", Kind: kind, Name: name, Value: value})
+	if ok {
+		d.lines = append(d.lines, fmt.Sprintf("- %s %s %s", kind, name, formatValue(before)))
+	}
+	d.lines = append(d.lines, fmt.Sprintf("+ %s %s %s", kind, name, formatValue(value)))
+}
+
+// remove adds the removal of an agreed value.
+func (d *objectsDiff) remove(kind, name string, before json.RawMessage) {
+	d.changes = append(d.changes, clusterconfig.Change{Op: "remove", Kind: kind, Name: name})
+	d.lines = append(d.lines, fmt.Sprintf("- %s %s %s", kind, name, formatValue(before)))
 }
 
-// sameJSON tells whether two values say the same, whatever their spaces and order.
-func sameJSON(a, b json.RawMessage) bool {
+// equalJSON reports whether two values say the same, whatever their spaces and the order of their keys.
+func equalJSON(a, b json.RawMessage) bool {
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
 		return false
 	}
-	p, err := json.Marshal(x)
-	q, err2 := json.Marshal(y)
-	return err == nil && err2 == nil && bytes.Equal(p, q)
+	p, errP := json.Marshal(x)
+	q, errQ := json.Marshal(y)
+	return errP == nil && errQ == nil && bytes.Equal(p, q)
 }
--- a/cmd/gateway/config_epoch.go
+++ b/cmd/gateway/config_epoch.go
@@ -7,15 +7,16 @@
 	"mulleinmux/clusterconfig"
 )
 
-// epochCmd begins a new epoch.
+// epochCmd begins a new epoch of versions.
 type epochCmd struct {
 	Why string `help:"Why, for the history."`
 }
 
 func (c *epochCmd) Run(e *environment, cc *configCmd) error {
-	return updateObject(&cc.clusterFlags, e, "epoch", "epoch", c.Why, func(epoch *clusterconfig.Epoch, _ uint64, _ bool) (string, error) {
+	begin := func(epoch *clusterconfig.Epoch, _ uint64, _ bool) (string, error) {
 		epoch.Number++
 		epoch.ID = rand.Text()
 		return fmt.Sprintf("begins epoch %d", epoch.Number), nil
-	})
+	}
+	return updateObject(&cc.clusterFlags, e, "epoch", "epoch", c.Why, begin)
 }
--- a/cmd/gateway/config_get.go
+++ b/cmd/gateway/config_get.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"maps"
 	"slices"
 
@@ -11,6 +12,7 @@
 	"mulleinmux/internal/cluster"
 )
 
+// getCmd shows the agreed objects.
 type getCmd struct {
 	Kind  string `arg:"" optional:"" help:"Kind of objects; all otherwise."`
 	Name  string `arg:"" optional:"" help:"Name of one."`
@@ -18,40 +20,54 @@
 }
 
 func (c *getCmd) Run(e *environment, cc *configCmd) error {
-	return cc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
-		o, err := cl.Objects(ctx, c.Local)
+	return cc.withClient(e, func(ctx context.Context, client *cluster.Client) error {
+		agreed, err := client.Objects(ctx, c.Local)
 		if err != nil {
 			return err
 		}
-		if c.Kind != "" {
-			of := o.Objects[c.Kind]
-			if c.Name != "" {
-				v, ok := of[c.Name]
-				if !ok {
-					return fmt.Errorf("version %d has no %s %s", o.Version, c.Kind, c.Name)
-				}
-				of = map[string]json.RawMessage{c.Name: v}
-			}
-			o.Objects = map[string]map[string]json.RawMessage{c.Kind: of}
+		if err := c.selectObjects(&agreed); err != nil {
+			return err
 		}
 		if cc.JSON {
-			return printJSON(e.stdout, o)
-		}
-		fmt.Fprintf(e.stdout, "version %d\n", o.Version)
-		for _, kind := range slices.Sorted(maps.Keys(o.Objects)) {
-			for _, name := range slices.Sorted(maps.Keys(o.Objects[kind])) {
-				fmt.Fprintf(e.stdout, "%s %s %s\n", kind, name, formatValue(o.Objects[kind][name]))
-			}
+			return printJSON(e.stdout, agreed)
 		}
+		printObjects(e.stdout, agreed)
 		return nil
 	})
 }
 
-// formatValue words a value for a line.
-func formatValue(v json.RawMessage) string {
+// selectObjects leaves only the objects that the command line names.
+func (c *getCmd) selectObjects(o *cluster.Objects) error {
+	if c.Kind == "" {
+		return nil
+	}
+	ofKind := o.Objects[c.Kind]
+	if c.Name != "" {
+		value, ok := ofKind[c.Name]
+		if !ok {
+			return fmt.Errorf("version %d has no %s %s", o.Version, c.Kind, c.Name)
+		}
+		ofKind = map[string]json.RawMessage{c.Name: value}
+	}
+	o.Objects = objectsByKind{c.Kind: ofKind}
+	return nil
+}
+
+// printObjects prints objects for people, a line each.
+func printObjects(out io.Writer, o cluster.Objects) {
+	fmt.Fprintf(out, "version %d\n", o.Version)
+	for _, kind := range slices.Sorted(maps.Keys(o.Objects)) {
+		for _, name := range slices.Sorted(maps.Keys(o.Objects[kind])) {
+			fmt.Fprintf(out, "%s %s %s\n", kind, name, formatValue(o.Objects[kind][name]))
+		}
+	}
+}
+
+// formatValue returns an object's value for a line: of a description only its file and size.
+func formatValue(value json.RawMessage) string {
 	var d clusterconfig.Description
-	if json.Unmarshal(v, &d) == nil && d.Text != "" {
+	if json.Unmarshal(value, &d) == nil && d.Text != "" {
 		return fmt.Sprintf("{\"file\":%q, %d bytes}", d.File, len(d.Text))
 	}
-	return string(v)
+	return string(value)
 }
--- a/cmd/gateway/config_history.go
+++ b/cmd/gateway/config_history.go
@@ -10,6 +10,7 @@
 	"mulleinmux/internal/cluster"
 )
 
+// historyCmd shows the agreed versions.
 type historyCmd struct {
 	Last int `help:"So many of the latest versions; 0: all that are kept." default:"20"`
 }
@@ -28,7 +29,9 @@
 		}
 		w := tabwriter.NewWriter(e.stdout, 0, 4, 2, ' ', 0)
 		for _, r := range h {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", r.Version, time.UnixMilli(r.ProposedAtMs).UTC().Format(time.RFC3339), r.Author, strings.Join(r.Changes, ", "), r.Reason)
+			proposedAt := time.UnixMilli(r.ProposedAtMs).UTC().Format(time.RFC3339)
+			changes := strings.Join(r.Changes, ", ")
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", r.Version, proposedAt, r.Author, changes, r.Reason)
 		}
 		return w.Flush()
 	})
--- a/cmd/gateway/config_members.go
+++ b/cmd/gateway/config_members.go
@@ -8,6 +8,7 @@
 	"mulleinmux/internal/cluster"
 )
 
+// membersCmd changes the members of a cluster.
 type membersCmd struct {
 	Add      addMemberCmd      `cmd:"" help:"Add a member; it votes once it has caught up. It must run, see gateway init --join. Example: gateway config members add 4 --raft 10.0.0.4:7101 --admin 10.0.0.4:7201"`
 	Replace  replaceMemberCmd  `cmd:"" help:"Put a new member in the place of one, in one step: of one that is dead, say."`
@@ -15,12 +16,14 @@
 	Transfer transferMemberCmd `cmd:"" help:"Have a member lead."`
 }
 
+// addMemberCmd adds a member.
 type addMemberCmd struct {
 	Member uint64 `arg:"" help:"Its number."`
 	Raft   string `help:"Address for the other members." required:""`
 	Admin  string `help:"Address for operators." required:""`
 }
 
+// replaceMemberCmd puts a new member in the place of one.
 type replaceMemberCmd struct {
 	Member uint64 `arg:"" help:"Number of the one that goes."`
 	With   uint64 `help:"Number of the one that comes." required:""`
@@ -28,20 +31,31 @@
 	Admin  string `help:"Its address for operators." required:""`
 }
 
+// removeMemberCmd removes a member.
 type removeMemberCmd struct {
 	Member uint64 `arg:"" help:"Its number."`
 }
 
+// transferMemberCmd makes a member the leader.
 type transferMemberCmd struct {
 	Member uint64 `arg:"" help:"Its number."`
 }
 
 func (c *addMemberCmd) Run(e *environment, cc *configCmd) error {
-	return cc.changeMembership(e, &cluster.MembershipChange{Op: "add", MemberID: c.Member, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
+	return cc.changeMembership(e, &cluster.MembershipChange{
+		Op:       "add",
+		MemberID: c.Member,
+		Addrs:    &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin},
+	})
 }
 
 func (c *replaceMemberCmd) Run(e *environment, cc *configCmd) error {
-	return cc.changeMembership(e, &cluster.MembershipChange{Op: "replace", MemberID: c.Member, ReplacementID: c.With, Addrs: &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin}})
+	return cc.changeMembership(e, &cluster.MembershipChange{
+		Op:            "replace",
+		MemberID:      c.Member,
+		ReplacementID: c.With,
+		Addrs:         &clusterconfig.Member{RaftAddress: c.Raft, AdminAddress: c.Admin},
+	})
 }
 
 func (c *removeMemberCmd) Run(e *environment, cc *configCmd) error {
@@ -52,6 +66,7 @@
 	return cc.changeMembership(e, &cluster.MembershipChange{Op: "transfer", MemberID: c.Member})
 }
 
+// changeMembership asks for a change of the members and prints who they are after it.
 func (c *configCmd) changeMembership(e *environment, m *cluster.MembershipChange) error {
 	return c.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
 		s, err := cl.ChangeMembers(ctx, m)
--- a/cmd/gateway/stream.go
+++ b/cmd/gateway/stream.go
@@ -13,6 +13,7 @@
 	Explain streamExplainCmd `cmd:"" help:"Show why a follower does not run the newest version. Example: gateway stream explain edge-7"`
 }
 
+// unknownFollowerError returns the error for a follower that is not agreed on.
 func unknownFollowerError(name string) error {
 	return fmt.Errorf("no follower is called %q: those agreed on are in gateway config get follower", name)
 }
--- a/cmd/gateway/stream_explain.go
+++ b/cmd/gateway/stream_explain.go
@@ -9,6 +9,7 @@
 	"mulleinmux/internal/cluster"
 )
 
+// streamExplainCmd shows why a follower does not run the newest version.
 type streamExplainCmd struct {
 	Follower string `arg:"" help:"Its name."`
 }
@@ -19,7 +20,9 @@
 		if err != nil {
 			return err
 		}
-		i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool { return s.Name == c.Follower })
+		i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool {
+			return s.Name == c.Follower
+		})
 		if i < 0 {
 			return unknownFollowerError(c.Follower)
 		}
--- a/cmd/gateway/stream_pin.go
+++ b/cmd/gateway/stream_pin.go
@@ -7,12 +7,14 @@
 	"mulleinmux/clusterconfig"
 )
 
+// streamPinCmd has a follower stay at a version.
 type streamPinCmd struct {
 	Follower string `arg:"" help:"Its name."`
 	Version  uint64 `arg:"" help:"The version."`
 	Why      string `help:"Why, for the history."`
 }
 
+// streamUnpinCmd has a follower take the newest version again.
 type streamUnpinCmd struct {
 	Follower string `arg:"" help:"Its name."`
 	Why      string `help:"Why, for the history."`
@@ -26,19 +28,23 @@
 }
 
 func (c *streamUnpinCmd) Run(e *environment, sc *streamCmd) error {
-	return sc.pin(e, c.Follower, 0, c.Why)
+	return sc.pin(e, c.Follower, noPinnedVersion, c.Why)
 }
 
-// pin agrees on the version that a follower stays at.
+// noPinnedVersion is the pinned version of a follower that takes the newest.
+const noPinnedVersion = 0
+
+// pin has the instances agree on the version that a follower stays at.
 func (sc *streamCmd) pin(e *environment, name string, version uint64, why string) error {
-	return updateObject(&sc.clusterFlags, e, "follower", name, why, func(f *clusterconfig.Follower, newest uint64, there bool) (string, error) {
+	setVersion := func(follower *clusterconfig.Follower, newest uint64, exists bool) (string, error) {
 		switch {
-		case !there:
+		case !exists:
 			return "", unknownFollowerError(name)
 		case version > newest:
 			return "", usageError{fmt.Errorf("version: %d is the newest", newest)}
 		}
-		f.PinnedVersion = version
+		follower.PinnedVersion = version
 		return fmt.Sprintf("%s is pinned to %d (0: to none)", name, version), nil
-	})
+	}
+	return updateObject(&sc.clusterFlags, e, "follower", name, why, setVersion)
 }
