--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -32,14 +32,16 @@
 	BackS       float64 // after the first member was killed, until all its followers had the next version
 }
 
-// quiet is a follower without an instance: it takes every version and keeps it in memory.
-type quiet struct {
-	feed *cluster.StreamClient
-	mu   sync.Mutex
-	at   map[uint64]time.Time // by version, when it was in force
+// quietFollower is a follower without an instance: it accepts every version and persists nothing.
+type quietFollower struct {
+	stream *cluster.StreamClient
+
+	mu          sync.Mutex
+	installedAt map[uint64]time.Time // by version
 }
 
-// Followers measures a cluster with so many followers, which all run in this process.
+// Followers measures a cluster with n followers, which all run in this process, at a number of changes; with full the
+// members send whole versions alone.
 func Followers(ctx context.Context, opt Options, n, changes int, full bool) (r FollowersResult, err error) {
 	r = FollowersResult{Full: full, Followers: n}
 	c, err := startCluster(ctx, opt, true, full)
@@ -51,12 +53,7 @@
 			err = e
 		}
 	}()
-	// One certificate for all would make twins of them: each has its own name.
-	p := &clusterconfig.Proposal{ID: "followers"}
-	for i := range n {
-		p.Changes = append(p.Changes, clusterconfig.NewPutChange("follower", followerName(i), clusterconfig.Follower{}))
-	}
-	o, err := c.client.Propose(ctx, p)
+	version, err := agreeFollowers(ctx, c, n)
 	if err != nil {
 		return r, err
 	}
@@ -65,36 +62,18 @@
 		return r, err
 	}
 	life, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	defer stop()
-	qs := make([]*quiet, n)
+	followers := make([]*quietFollower, n)
 	began := time.Now()
-	for i := range qs {
-		name := followerName(i)
-		if err := c.auth.WriteFollower(c.dir, name); err != nil {
-			return r, err
-		}
-		creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.FollowerFilePrefix(name))
-		if err != nil {
+	for i := range followers {
+		if followers[i], err = newQuietFollower(c, followerName(i)); err != nil {
 			return r, err
 		}
-		q := &quiet{at: map[uint64]time.Time{}}
-		q.feed = cluster.NewStreamClient(&cluster.FollowerConfig{Cluster: "bench", Name: name, Credentials: creds, MemberStreamAddrs: c.streams}, configstream.DurableState{StartCount: 1}, cluster.StreamHandlers{
-			Persist: func(*configstream.DurableState) error { return nil },
-			Check:   func(*configstream.Version) []configstream.Problem { return nil },
-			Install: func(v *configstream.Version) error {
-				q.mu.Lock()
-				q.at[v.Number] = time.Now()
-				q.mu.Unlock()
-				return nil
-			},
-			Confirm: func(time.Time, time.Time, bool, bool) {},
-		}, log.New(io.Discard, "", 0))
-		qs[i] = q
-		all.Go(func() { q.feed.Run(life) })
-	}
-	if _, err := awaitAll(ctx, qs, o.Version, time.Now()); err != nil {
+		running.Go(func() { followers[i].stream.Run(life) })
+	}
+	if _, err := awaitAll(ctx, followers, version, time.Now()); err != nil {
 		return r, err
 	}
 	r.JoinS = time.Since(began).Seconds()
@@ -102,52 +81,125 @@
 	if err != nil {
 		return r, err
 	}
-	mine := 0
-	for _, q := range qs {
-		if q.feed.Status().MemberID == 1 {
-			mine++
+	r.MemoryKB = float64(after-before) / float64(max(followersOfFirst(followers), 1))
+	if err := r.measureChanges(ctx, c, followers, changes); err != nil {
+		return r, err
+	}
+	if r.MemberCores, err = coresAtTen(ctx, opt, c); err != nil {
+		return r, err
+	}
+	r.BackS, err = measureFailover(ctx, c, followers, changes)
+	return r, err
+}
+
+// agreeFollowers has the members agree on n followers and returns the version. Each has a name of its own: with one
+// certificate for all, the members would take them for one follower that runs twice.
+func agreeFollowers(ctx context.Context, c *benchCluster, n int) (version uint64, err error) {
+	p := &clusterconfig.Proposal{ID: "followers"}
+	for i := range n {
+		change := clusterconfig.NewPutChange("follower", followerName(i), clusterconfig.Follower{})
+		p.Changes = append(p.Changes, change)
+	}
+	outcome, err := c.client.Propose(ctx, p)
+	return outcome.Version, err
+}
+
+// newQuietFollower returns a follower with a certificate of its own; its stream does not run yet.
+func newQuietFollower(c *benchCluster, name string) (*quietFollower, error) {
+	if err := c.auth.WriteFollower(c.dir, name); err != nil {
+		return nil, err
+	}
+	creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.FollowerFilePrefix(name))
+	if err != nil {
+		return nil, err
+	}
+	f := &quietFollower{installedAt: map[uint64]time.Time{}}
+	cfg := &cluster.FollowerConfig{Cluster: "bench", Name: name, Credentials: creds, MemberStreamAddrs: c.streams}
+	handlers := cluster.StreamHandlers{
+		Persist: func(*configstream.DurableState) error { return nil },
+		Check:   func(*configstream.Version) []configstream.Problem { return nil },
+		Install: f.install,
+		Confirm: func(time.Time, time.Time, bool, bool) {},
+	}
+	logger := log.New(io.Discard, "", 0)
+	f.stream = cluster.NewStreamClient(cfg, configstream.DurableState{StartCount: 1}, handlers, logger)
+	return f, nil
+}
+
+func (f *quietFollower) install(v *configstream.Version) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.installedAt[v.Number] = time.Now()
+	return nil
+}
+
+// followersOfFirst returns how many followers the first member serves.
+func followersOfFirst(followers []*quietFollower) (count int) {
+	for _, f := range followers {
+		if f.stream.Status().MemberID == 1 {
+			count++
 		}
 	}
-	r.MemoryKB = float64(after-before) / float64(max(mine, 1))
+	return count
+}
+
+// measureChanges changes a plan again and again, and notes how soon followers have each change.
+func (r *FollowersResult) measureChanges(
+	ctx context.Context, c *benchCluster, followers []*quietFollower, changes int,
+) error {
 	var each, last []float64
 	for i := range changes {
-		o, err := c.client.Propose(ctx, onePlan(i))
+		outcome, err := c.client.Propose(ctx, onePlan(i))
 		agreed := time.Now()
 		if err != nil {
-			return r, err
+			return err
 		}
-		took, err := awaitAll(ctx, qs, o.Version, agreed)
+		took, err := awaitAll(ctx, followers, outcome.Version, agreed)
 		if err != nil {
-			return r, err
+			return err
 		}
 		each, last = append(each, took...), append(last, took[len(took)-1])
 	}
 	r.P50Ms, r.P99Ms, r.AllMs = quantile(each, 0.5), quantile(each, 0.99), quantile(last, 0.5)
-	if r.MemberCores, err = coresAtTen(ctx, opt, c); err != nil {
-		return r, err
-	}
-	// The first member is killed: its followers go to the others.
+	return nil
+}
+
+// measureFailover kills the first member, whose followers go to the others, and returns the seconds until all followers
+// have the next version.
+func measureFailover(
+	ctx context.Context, c *benchCluster, followers []*quietFollower, changes int,
+) (seconds float64, err error) {
 	if err := c.members[0].cmd.Process.Kill(); err != nil {
-		return r, err
+		return 0, err
 	}
 	killed := time.Now()
-	for o.Version = 0; o.Version == 0; {
-		if o, err = c.client.Propose(ctx, onePlan(changes)); err != nil && ctx.Err() != nil {
-			return r, err
+	var outcome clusterconfig.Outcome
+	for outcome.Version == 0 {
+		if outcome, err = c.client.Propose(ctx, onePlan(changes)); err != nil && ctx.Err() != nil {
+			return 0, err
 		}
 	}
-	if _, err := awaitAll(ctx, qs, o.Version, killed); err != nil {
-		return r, err
+	if _, err := awaitAll(ctx, followers, outcome.Version, killed); err != nil {
+		return 0, err
 	}
-	r.BackS = time.Since(killed).Seconds()
-	return r, nil
+	return time.Since(killed).Seconds(), nil
 }
 
 func followerName(i int) string { return fmt.Sprintf("follower-%04d", i) }
 
+// onePlan returns a proposal that changes the priority of a plan to the i-th value.
 func onePlan(i int) *clusterconfig.Proposal {
-	return &clusterconfig.Proposal{ID: fmt.Sprint("plan-", time.Now().UnixNano()), Changes: []clusterconfig.Change{
-		clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{Rate: 1e5, Burst: 1e5, HardLimitRate: 2e5, HardLimitBurst: 2e5, PriorityFactor: 1 + float64(i+1)/1000})}}
+	plan := clusterconfig.Plan{
+		Rate:           1e5,
+		Burst:          1e5,
+		HardLimitRate:  2e5,
+		HardLimitBurst: 2e5,
+		PriorityFactor: 1 + float64(i+1)/1000,
+	}
+	return &clusterconfig.Proposal{
+		ID:      fmt.Sprint("plan-", time.Now().UnixNano()),
+		Changes: []clusterconfig.Change{clusterconfig.NewPutChange("plan", "kubwa", plan)},
+	}
 }
 
 // coresAtTen is the processors that the first member takes at ten changes a second.
@@ -165,7 +217,7 @@
 }
 
 // awaitAll waits until a version, or a later one, is in force at all followers, and returns how long each took, sorted.
-func awaitAll(ctx context.Context, qs []*quiet, version uint64, from time.Time) (ms []float64, err error) {
+func awaitAll(ctx context.Context, qs []*quietFollower, version uint64, from time.Time) (ms []float64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	for _, q := range qs {
@@ -177,7 +229,8 @@
 			}
 			select {
 			case <-ctx.Done():
-				return nil, fmt.Errorf("%s does not have version %d: %+v", q.feed.Status().Name, version, q.feed.Status())
+				status := q.stream.Status()
+				return nil, fmt.Errorf("%s does not have version %d: %+v", status.Name, version, status)
 			case <-time.After(time.Millisecond):
 			}
 		}
@@ -187,10 +240,10 @@
 }
 
 // took is the time until a version, or a later one, was in force.
-func (q *quiet) took(version uint64, from time.Time) (ms float64, ok bool) {
+func (q *quietFollower) took(version uint64, from time.Time) (ms float64, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for v, at := range q.at {
+	for v, at := range q.installedAt {
 		if d := max(at.Sub(from).Seconds()*1000, 0); v >= version && (!ok || d < ms) {
 			ms, ok = d, true
 		}
