--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -25,7 +25,15 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg := &cluster.MemberConfig{Cluster: "bench", MemberID: p.Member, DataFile: filepath.Join(p.Dir, fmt.Sprint(p.Member, ".db")), Credentials: creds, Members: p.Members, StreamListenAddr: p.Stream, SendFullVersions: p.StreamFull}
+	cfg := &cluster.MemberConfig{
+		Cluster:          "bench",
+		MemberID:         p.Member,
+		DataFile:         filepath.Join(p.Dir, fmt.Sprint(p.Member, ".db")),
+		Credentials:      creds,
+		Members:          p.Members,
+		StreamListenAddr: p.Stream,
+		SendFullVersions: p.StreamFull,
+	}
 	if err := cluster.InitMember(cfg, false); err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/crossing.go
+++ b/internal/benchmark/crossing.go
@@ -33,7 +33,12 @@
 	if err != nil {
 		return nil, err
 	}
-	link := &gateway.RelayConfig{Own: []string{"hall-a"}, Listen: at, TLS: creds.TLSConfig(), Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("bench", s) }}
+	link := &gateway.RelayConfig{
+		Own:    []string{"hall-a"},
+		Listen: at,
+		TLS:    creds.TLSConfig(),
+		Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("bench", s) },
+	}
 	link.TLS.SessionTicketsDisabled = true
 	if p.Role == "near" {
 		link.Own, link.Listen = []string{"hall-b"}, netip.MustParseAddrPort("127.0.0.1:0")
--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -240,10 +240,10 @@
 }
 
 // took is the time until a version, or a later one, was in force.
-func (q *quietFollower) took(version uint64, from time.Time) (ms float64, ok bool) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	for v, at := range q.installedAt {
+func (f *quietFollower) took(version uint64, from time.Time) (ms float64, ok bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for v, at := range f.installedAt {
 		if d := max(at.Sub(from).Seconds()*1000, 0); v >= version && (!ok || d < ms) {
 			ms, ok = d, true
 		}
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -61,8 +61,28 @@
 	return res, nil
 }
 
+// The requests of a connection, with the numbers of the connection, the request and the licensee.
+const (
+	bookingFormat = "POST /v1/visits HTTP/1.1\r\n" +
+		"Host: booking.example.org\r\n" +
+		"X-Trace-Id: t%d-%d\r\n" +
+		"X-Licensee: licensee-%d\r\n" +
+		"X-Expires-In: 2.000\r\n" +
+		"Idempotency-Key: k%d-%d\r\n" +
+		"Content-Type: application/json\r\n" +
+		"Content-Length: %d\r\n\r\n%s"
+	lookupFormat = "GET /v1/districts/Ilala/slots?days=1 HTTP/1.1\r\n" +
+		"Host: booking.example.org\r\n" +
+		"X-Trace-Id: t%d-%d\r\n" +
+		"X-Licensee: licensee-%d\r\n" +
+		"X-Expires-In: 2.000\r\n" +
+		"Accept: application/json\r\n\r\n"
+)
+
 // drive is one connection with one request at a time: a booking, then a look-up.
-func drive(addr string, i int, stop chan struct{}, counting *atomic.Bool, opt Options, count, other *atomic.Int64, lat *[]float64) error {
+func drive(
+	addr string, i int, stop chan struct{}, counting *atomic.Bool, opt Options, count, other *atomic.Int64, lat *[]float64,
+) error {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -87,11 +107,9 @@
 		default:
 		}
 		if n%2 == 0 {
-			out = fmt.Appendf(out[:0], "POST /v1/visits HTTP/1.1\r\nHost: booking.example.org\r\nX-Trace-Id: t%d-%d\r\nX-Licensee: licensee-%d\r\nX-Expires-In: 2.000\r\nIdempotency-Key: k%d-%d\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
-				i, n, i%100, i, n, len(book), book)
+			out = fmt.Appendf(out[:0], bookingFormat, i, n, i%100, i, n, len(book), book)
 		} else {
-			out = fmt.Appendf(out[:0], "GET /v1/districts/Ilala/slots?days=1 HTTP/1.1\r\nHost: booking.example.org\r\nX-Trace-Id: t%d-%d\r\nX-Licensee: licensee-%d\r\nX-Expires-In: 2.000\r\nAccept: application/json\r\n\r\n",
-				i, n, i%100)
+			out = fmt.Appendf(out[:0], lookupFormat, i, n, i%100)
 		}
 		at := time.Now()
 		if _, err := nc.Write(out); err != nil {
--- a/internal/benchmark/servers.go
+++ b/internal/benchmark/servers.go
@@ -10,8 +10,11 @@
 // halls starts servers that answer at once.
 func halls() (addrs []string, err error) {
 	body := `{"visit":"9b1f03aa5c7e2d41","slot":"2026-12-24T10:00:00+03:00","installers":2,"district":"Ilala"}`
-	answer := []byte("HTTP/1.1 200 OK\r\nDate: Tue, 01 Dec 2026 10:00:00 GMT\r\nContent-Type: application/json\r\nEndpoint-Load-Metrics: TEXT queue=0, util=0.30\r\nContent-Length: " +
-		strconv.Itoa(len(body)) + "\r\n\r\n" + body)
+	answer := []byte("HTTP/1.1 200 OK\r\n" +
+		"Date: Tue, 01 Dec 2026 10:00:00 GMT\r\n" +
+		"Content-Type: application/json\r\n" +
+		"Endpoint-Load-Metrics: TEXT queue=0, util=0.30\r\n" +
+		"Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body)
 	load := []byte("HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nTEXT queue=0, util=0.30")
 	for range serverCount {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,35 +22,41 @@
 			return nil, err
 		}
 		addrs = append(addrs, ln.Addr().String())
-		go func() {
-			for {
-				c, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				go func() {
-					defer c.Close()
-					r := httpwire.NewReader(c)
-					var h httpwire.Head
-					var b []byte
-					for r.Request(&h) == nil {
-						if h.Length > 0 {
-							b = append(b[:0], make([]byte, h.Length)...)
-							if r.Body(b) != nil {
-								return
-							}
-						}
-						text := answer
-						if h.Target == "/stats" {
-							text = load
-						}
-						if _, err := c.Write(text); err != nil {
-							return
-						}
-					}
-				}()
-			}
-		}()
+		go serveStandIn(ln, answer, load)
 	}
 	return addrs, nil
 }
+
+// serveStandIn accepts connections and answers every request on them, a health check with load, until ln is closed.
+func serveStandIn(ln net.Listener, answer, load []byte) {
+	for {
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		go answerRequests(c, answer, load)
+	}
+}
+
+// answerRequests answers the requests of one connection until it ends.
+func answerRequests(c net.Conn, answer, load []byte) {
+	defer c.Close()
+	r := httpwire.NewReader(c)
+	var h httpwire.Head
+	var body []byte
+	for r.Request(&h) == nil {
+		if h.Length > 0 {
+			body = append(body[:0], make([]byte, h.Length)...)
+			if r.Body(body) != nil {
+				return
+			}
+		}
+		text := answer
+		if h.Target == "/stats" {
+			text = load
+		}
+		if _, err := c.Write(text); err != nil {
+			return
+		}
+	}
+}
