--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -102,7 +102,9 @@
 	case simwire.TimerFired:
 		return h.deliver(e.Instance, func(g *policy.Engine) { g.TimerFired(h.now, e.Token, &h.reply) })
 	case simwire.HealthCheckCompleted:
-		return h.deliver(e.Instance, func(g *policy.Engine) { g.HealthCheckCompleted(h.now, e.Server, e.Result, e.LoadReport, &h.reply) })
+		return h.deliver(e.Instance, func(g *policy.Engine) {
+			g.HealthCheckCompleted(h.now, e.Server, e.Result, e.LoadReport, &h.reply)
+		})
 	case simwire.GossipReceived:
 		return h.deliver(e.Instance, func(g *policy.Engine) { g.GossipReceived(h.now, e.Peer, e.Payload, &h.reply) })
 	case simwire.TotalReceived:
--- a/internal/benchmark/changes.go
+++ b/internal/benchmark/changes.go
@@ -50,7 +50,12 @@
 			return n
 		case <-tick.C:
 		}
-		p := &clusterconfig.Proposal{ID: fmt.Sprint(time.Now().UnixNano()), Changes: []clusterconfig.Change{clusterconfig.NewPutChange("licensee", fmt.Sprint("other-", i%50), clusterconfig.Licensee{Plan: "kubwa"})}}
+		p := &clusterconfig.Proposal{
+			ID: fmt.Sprint(time.Now().UnixNano()),
+			Changes: []clusterconfig.Change{
+				clusterconfig.NewPutChange("licensee", fmt.Sprint("other-", i%50), clusterconfig.Licensee{Plan: "kubwa"}),
+			},
+		}
 		if _, err := cl.Propose(ctx, p); err == nil {
 			n++
 		}
--- a/internal/benchmark/gateway.go
+++ b/internal/benchmark/gateway.go
@@ -65,9 +65,25 @@
 
 // settings are those of an instance under measurement.
 func settings() policy.Settings {
-	return policy.Settings{InstanceCount: 1, Zone: "hall-a", MaxAttempts: 5, AllowsCancel: true,
-		SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second, MinEventInterval: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond, AllowsHealthChecks: true,
-		LoadReports: policy.LoadReportsInResponses, MaxUnits: 50, SlowStartMinFraction: 0.17, SlowStartWindow: 15 * time.Second, ColdOverloadMultiple: 2.5, ColdOverloadWindow: 2 * time.Second,
-		DrainGracePeriod: 250 * time.Millisecond, CrossZonePrice: 0.01, HealthCheckPrice: 0.01,
-		Plans: []policy.Plan{{Name: "kubwa", Rate: 1e5, Burst: 1e5, HardLimitRate: 2e5, HardLimitBurst: 2e5, PriorityFactor: 1}}}
+	return policy.Settings{
+		InstanceCount:        1,
+		Zone:                 "hall-a",
+		MaxAttempts:          5,
+		AllowsCancel:         true,
+		SendsRetryAfter:      true,
+		MaxRetryAfter:        2 * time.Second,
+		MinEventInterval:     2 * time.Millisecond,
+		ResponseSlack:        8 * time.Millisecond,
+		AllowsHealthChecks:   true,
+		LoadReports:          policy.LoadReportsInResponses,
+		MaxUnits:             50,
+		SlowStartMinFraction: 0.17,
+		SlowStartWindow:      15 * time.Second,
+		ColdOverloadMultiple: 2.5,
+		ColdOverloadWindow:   2 * time.Second,
+		DrainGracePeriod:     250 * time.Millisecond,
+		CrossZonePrice:       0.01,
+		HealthCheckPrice:     0.01,
+		Plans:                []policy.Plan{{Name: "kubwa", Rate: 1e5, Burst: 1e5, HardLimitRate: 2e5, HardLimitBurst: 2e5, PriorityFactor: 1}},
+	}
 }
