--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -39,7 +39,7 @@
 // halls is a set of scripted servers, which hand each request to the test.
 type halls struct {
 	t         *testing.T
-	regs      map[string]*testserver.Register
+	regs      map[string]*testserver.Discovery
 	authority *raftnode.Authority // of the link's certificates
 	came      chan *arrival
 	life      sync.WaitGroup
@@ -49,13 +49,13 @@
 }
 
 func newHalls(t *testing.T) *halls {
-	h := &halls{t: t, regs: map[string]*testserver.Register{}, came: make(chan *arrival, 100), quit: make(chan struct{})}
+	h := &halls{t: t, regs: map[string]*testserver.Discovery{}, came: make(chan *arrival, 100), quit: make(chan struct{})}
 	t.Cleanup(func() {
 		close(h.quit)
 		h.life.Wait()
 	})
 	for _, name := range []string{"hall-a", "hall-b"} {
-		r, err := testserver.NewRegister()
+		r, err := testserver.NewDiscovery()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -18,7 +18,7 @@
 // checkCharges holds the instances' records against the sites and the history: each request that
 // reached a site was charged once, at the price of the version that it was matched with.
 // Records that a killed instance did not get to write are missed.
-func (c *clusterRun) checkCharges(j *ruleChecker, byTrace map[string][]testserver.Arrival, tries []testserver.Try, at map[string]*member, history []clusterconfig.HistoryRecord) {
+func (c *clusterRun) checkCharges(j *ruleChecker, byTrace map[string][]testserver.Arrival, tries []testserver.Attempt, at map[string]*member, history []clusterconfig.HistoryRecord) {
 	variants := map[uint64]int{}
 	now := 1
 	for _, r := range history {
@@ -47,7 +47,7 @@
 		}
 		f.Close()
 	}
-	by := map[string]testserver.Try{}
+	by := map[string]testserver.Attempt{}
 	for _, t := range tries {
 		by[t.Trace] = t
 	}
@@ -72,7 +72,7 @@
 			lost := slices.ContainsFunc(m.killed, func(k time.Time) bool { return t.At.Before(k) && k.Sub(t.Ended) < lostLog })
 			m.downMu.Unlock()
 			if missed++; !lost && time.Since(t.Ended) > lostLog {
-				j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Hall)
+				j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Site)
 			}
 			continue
 		} else if !asked {
@@ -86,7 +86,7 @@
 		case !known:
 			j.violation("versions", "%s was matched with version %d, which is not in the history", trace, r.Version)
 		case !r.Sent || r.Operation != first.Operation:
-			j.violation("operations", "%s was charged as %s (sent: %v) and reached %s as %s", trace, r.Operation, r.Sent, first.Hall, first.Operation)
+			j.violation("operations", "%s was charged as %s (sent: %v) and reached %s as %s", trace, r.Operation, r.Sent, first.Site, first.Operation)
 		case r.Units != want:
 			j.violation("units", "%s (%s, version %d, variant %d) was charged %d units; %d are right", trace, r.Operation, r.Version, variant, r.Units, want)
 		}
@@ -101,7 +101,7 @@
 
 // checkVersionOrder checks, on the sites' record, that no instance routes a request with an older
 // version than one that it had answered a client on before the request began.
-func checkVersionOrder(j *ruleChecker, tries []testserver.Try, byTrace map[string][]testserver.Arrival) {
+func checkVersionOrder(j *ruleChecker, tries []testserver.Attempt, byTrace map[string][]testserver.Arrival) {
 	type event struct {
 		at      time.Time
 		trace   string
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -16,7 +16,7 @@
 )
 
 // checkRules waits until all members are of one mind and judges the run.
-func (c *clusterRun) checkRules(ctx context.Context, tries []testserver.Try, began time.Time) *Verdict {
+func (c *clusterRun) checkRules(ctx context.Context, tries []testserver.Attempt, began time.Time) *Verdict {
 	w := c.environment
 	v := &Verdict{Scenario: w.scenario.Name, Seed: w.options.Seed, Figures: map[string]float64{}, Rules: map[string]int{
 		"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
@@ -35,7 +35,7 @@
 		at[m.listen] = m
 	}
 	excused := 0
-	j.checkAnswers(tries, func(t testserver.Try) bool {
+	j.checkAnswers(tries, func(t testserver.Attempt) bool {
 		down := at[t.Instance].wasDown(t.At, t.Ended)
 		if down {
 			excused++
@@ -46,7 +46,7 @@
 	for _, s := range w.ledger.Strays() {
 		j.violation("operations", "the halls know no operation for %s", s)
 	}
-	for _, s := range w.ledger.Fallen() {
+	for _, s := range w.ledger.Collapsed() {
 		j.violation("cold_servers", "%s was pushed over", s)
 	}
 	j.checkHardLimits(byTrace)
@@ -100,7 +100,7 @@
 	booked := map[string]int{}
 	for _, a := range arrivals {
 		if a.Effected && a.Effect == "keyed" && a.At.After(s.from) && a.At.Before(s.to) {
-			booked[a.Hall]++
+			booked[a.Site]++
 		}
 	}
 	for _, h := range c.environment.halls {
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -57,7 +57,7 @@
 	t0 := time.Now()
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 	ran := func(trace, hall, effect string, from, to int) testserver.Arrival {
-		return testserver.Arrival{Hall: hall, Server: "s", Operation: "op", Effect: effect, Trace: trace, Key: "k-" + trace, Licensee: "kubwa-0", Version: 1, Units: 2,
+		return testserver.Arrival{Site: hall, Server: "s", Operation: "op", Effect: effect, Trace: trace, Key: "k-" + trace, Licensee: "kubwa-0", Version: 1, Units: 2,
 			At: at(from), Ended: at(to), Ran: true}
 	}
 	effected := func(a testserver.Arrival) testserver.Arrival { a.Effected = true; return a }
@@ -65,12 +65,12 @@
 	draining := func(a testserver.Arrival, d time.Duration) testserver.Arrival { a.Draining = d; return a }
 	rec := gateway.RequestRecord{Trace: "a", Operation: "op", Version: 1, Units: 2, Sent: true, Attempts: 2}
 	change := func(f func(*gateway.RequestRecord)) gateway.RequestRecord { r := rec; f(&r); return r }
-	try := testserver.Try{Trace: "a", At: at(0), Ended: at(30), Answers: 1, Status: 200, Served: true}
+	try := testserver.Attempt{Trace: "a", At: at(0), Ended: at(30), AnswerCount: 1, Status: 200, Served: true}
 	for _, c := range []struct {
 		name string
 		as   []testserver.Arrival
 		rec  gateway.RequestRecord
-		try  testserver.Try
+		try  testserver.Attempt
 		want string // rule; empty: none
 	}{
 		{"one attempt", []testserver.Arrival{effected(ran("a", "A", "unsafe", 0, 10))}, rec, try, ""},
@@ -90,18 +90,18 @@
 		{"an unknown attempt", []testserver.Arrival{ran("a", "A", "safe", 0, 10), ran("a", "A", "safe", 20, 30)}, change(func(r *gateway.RequestRecord) { r.Attempts = 1 }), try, "units"},
 		{"another operation", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.RequestRecord) { r.Operation = "cheap" }), try, "operations"},
 		{"another version", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, change(func(r *gateway.RequestRecord) { r.Version = 2 }), try, "versions"},
-		{"no answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Cut: true}, "one_answer"},
-		{"two answers", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Answers: 2, Status: 200, Served: true}, "one_answer"},
-		{"another's answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Answers: 1, Status: 200, Served: true, Wrong: "x"}, "one_answer"},
-		{"a late answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", At: at(0), Ended: at(2100), Answers: 1, Status: 502}, "one_answer"},
-		{"turned down", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Answers: 1, Status: 404}, "operations"},
+		{"no answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Attempt{Trace: "a", ConnectionLost: true}, "one_answer"},
+		{"two answers", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Attempt{Trace: "a", AnswerCount: 2, Status: 200, Served: true}, "one_answer"},
+		{"another's answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Attempt{Trace: "a", AnswerCount: 1, Status: 200, Served: true, Mismatch: "x"}, "one_answer"},
+		{"a late answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Attempt{Trace: "a", At: at(0), Ended: at(2100), AnswerCount: 1, Status: 502}, "one_answer"},
+		{"turned down", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Attempt{Trace: "a", AnswerCount: 1, Status: 404}, "operations"},
 	} {
 		j := &ruleChecker{&Verdict{Rules: map[string]int{}}}
 		byTrace := map[string][]testserver.Arrival{}
 		if len(c.as) > 0 {
 			byTrace["a"] = c.as
 		}
-		j.checkAnswers([]testserver.Try{c.try}, func(testserver.Try) bool { return false })
+		j.checkAnswers([]testserver.Attempt{c.try}, func(testserver.Attempt) bool { return false })
 		j.checkEffects(c.as, byTrace)
 		j.checkCosts(byTrace, map[string]gateway.RequestRecord{"a": c.rec})
 		for rule, n := range j.v.Rules {
@@ -205,21 +205,21 @@
 func TestClusterJudge(t *testing.T) {
 	t0 := time.Unix(1e9, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	try := func(trace, instance string, from, to int) testserver.Try {
-		return testserver.Try{Trace: trace, Instance: instance, At: at(from), Ended: at(to), Answers: 1, Served: true, Status: 200}
+	try := func(trace, instance string, from, to int) testserver.Attempt {
+		return testserver.Attempt{Trace: trace, Instance: instance, At: at(from), Ended: at(to), AnswerCount: 1, Served: true, Status: 200}
 	}
 	arrived := func(trace string, version int) []testserver.Arrival {
 		return []testserver.Arrival{{Trace: trace, Version: version}}
 	}
 	for name, c := range map[string]struct {
-		tries    []testserver.Try
+		tries    []testserver.Attempt
 		versions map[string]int
 		broken   int
 	}{
-		"newer after older":       {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 20, 30)}, map[string]int{"a": 1, "b": 2}, 0},
-		"older after newer":       {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 20, 30)}, map[string]int{"a": 2, "b": 1}, 1},
-		"at another instance":     {[]testserver.Try{try("a", "x", 0, 10), try("b", "y", 20, 30)}, map[string]int{"a": 2, "b": 1}, 0},
-		"begun before the answer": {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 5, 30)}, map[string]int{"a": 2, "b": 1}, 0},
+		"newer after older":       {[]testserver.Attempt{try("a", "x", 0, 10), try("b", "x", 20, 30)}, map[string]int{"a": 1, "b": 2}, 0},
+		"older after newer":       {[]testserver.Attempt{try("a", "x", 0, 10), try("b", "x", 20, 30)}, map[string]int{"a": 2, "b": 1}, 1},
+		"at another instance":     {[]testserver.Attempt{try("a", "x", 0, 10), try("b", "y", 20, 30)}, map[string]int{"a": 2, "b": 1}, 0},
+		"begun before the answer": {[]testserver.Attempt{try("a", "x", 0, 10), try("b", "x", 5, 30)}, map[string]int{"a": 2, "b": 1}, 0},
 	} {
 		j := &ruleChecker{&Verdict{Rules: map[string]int{}}}
 		by := map[string][]testserver.Arrival{}
@@ -268,7 +268,7 @@
 	t0 := time.Now().Add(-time.Minute)
 	history := []clusterconfig.HistoryRecord{{Version: 1, Reason: variantWhy(1)}, {Version: 2, Reason: variantWhy(3)}, {Version: 3, Reason: "a plan"}}
 	by := map[string][]testserver.Arrival{"a": {{Trace: "a", Operation: "getDayReport", Units: 5, Version: 3}}}
-	tries := []testserver.Try{{Trace: "a", Instance: "x", At: t0, Ended: t0.Add(time.Millisecond)}}
+	tries := []testserver.Attempt{{Trace: "a", Instance: "x", At: t0, Ended: t0.Add(time.Millisecond)}}
 	right := changingPrice(3, "getDayReport", 5)
 	for name, c := range map[string]struct {
 		line   string
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -43,14 +43,14 @@
 	s.calm = time.Now()
 	until(surgeLost)
 	s.lost = time.Now()
-	h.Cut(true)
+	h.SetPartitioned(true)
 	until(surgeBack)
 	ids := []string{"cold-0", "cold-1", "cold-2", "cold-3", "cold-4"}[:c.environment.serverCount()]
-	if err := h.Empty(ids...); err != nil {
+	if err := h.ReplaceServers(ids...); err != nil {
 		c.logf("%v", err)
 	}
 	s.back = time.Now()
-	h.Cut(false)
+	h.SetPartitioned(false)
 	until(0.99)
 	s.end = time.Now()
 	c.surge = s
@@ -69,7 +69,7 @@
 }
 
 // wishes joins tries to wishes. Units of a request that no site has seen are those of its operation's others.
-func wishes(tries []testserver.Try, byTrace map[string][]testserver.Arrival) []*wish {
+func wishes(tries []testserver.Attempt, byTrace map[string][]testserver.Arrival) []*wish {
 	classes, plans, prices, units := classes(), map[string]string{}, map[string]float64{}, map[string]int{}
 	for _, l := range allLicensees() {
 		plans[l.Name] = l.Plan
@@ -200,7 +200,7 @@
 }
 
 // figures holds what was served against the oracle, and the time to full use against the shortest.
-func (s *surge) figures(j *ruleChecker, tries []testserver.Try, arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival, servers, cores int) {
+func (s *surge) figures(j *ruleChecker, tries []testserver.Attempt, arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival, servers, cores int) {
 	all := wishes(tries, byTrace)
 	oracle := s.oracle(all, servers, cores)
 	share := func(name string, from, to time.Time) {
@@ -220,7 +220,7 @@
 	// Work done at the site, by second.
 	done := func(from, to time.Time) (work float64) {
 		for _, a := range arrivals {
-			if a.Hall == s.hall && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
+			if a.Site == s.hall && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
 				work += workOf(a.Operation).Seconds()
 			}
 		}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -43,7 +43,7 @@
 // Scenario is one that can be played.
 type Scenario struct {
 	Name, About string
-	mix         func() []testserver.Ask
+	mix         func() []testserver.RequestTemplate
 	faults      testserver.Faults
 	price       func(version int, operation string, units int) int
 	during      func(context.Context, *environment) // runs beside the clients, until ctx ends
@@ -63,30 +63,30 @@
 		{Name: "calm", About: "two operations, no faults", mix: calmMix, price: sameUnits},
 		{Name: "mixed", About: "all operations of the booking API; servers err, turn away, reset and fall silent", mix: mixedMix,
 			price:  sameUnits,
-			faults: testserver.Faults{Error: 0.01, ErrorIdle: 0.01, Reset: 0.01, Silent: 0.004, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.01, ErrorWithoutRun: 0.01, Reset: 0.01, NoAnswer: 0.004, Refuse: 0.02}},
 		{Name: "contract-change", About: "the same while the description changes ten times, twice to a bad one", mix: mixedMix,
 			price: changingPrice, during: changeContract,
-			faults: testserver.Faults{Error: 0.01, ErrorIdle: 0.01, Reset: 0.01, Silent: 0.004, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.01, ErrorWithoutRun: 0.01, Reset: 0.01, NoAnswer: 0.004, Refuse: 0.02}},
 		{Name: "leader-lost", About: "processes that agree; the leader is killed three times in the middle of changes", mix: mixedMix, price: sameUnits, cluster: leaderLost},
 		{Name: "minority-cut", About: "processes that agree; one is cut off and serves on, one is cut off and refuses past its bound", mix: mixedMix, price: sameUnits, cluster: minorityCut},
 		{Name: "rolling-restart", About: "processes that agree; each is restarted in turn", mix: mixedMix, price: sameUnits, cluster: rollingRestart},
 		{Name: "hall-closes", About: "processes that agree; halls are closed and opened for keyed requests, whose clients repeat them anywhere", mix: persistentClients, price: sameUnits, cluster: siteCloses,
-			faults: testserver.Faults{Error: 0.1, ErrorIdle: 0.02, Reset: 0.1, Silent: 0.03, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.1, ErrorWithoutRun: 0.02, Reset: 0.1, NoAnswer: 0.03, Refuse: 0.02}},
 		{Name: "instance-killed-holding-keys", About: "the same, and an instance is killed as each hall closes", mix: persistentClients, price: sameUnits, cluster: killedHoldingKeys, sites: true,
-			faults: testserver.Faults{Error: 0.1, ErrorIdle: 0.02, Reset: 0.1, Silent: 0.03, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.1, ErrorWithoutRun: 0.02, Reset: 0.1, NoAnswer: 0.03, Refuse: 0.02}},
 		{Name: "hall-lost", About: "processes that agree; a hall falls silent while it runs work, and comes back as it was or empty; nobody tells the instances", mix: persistentClients, price: sameUnits, cluster: siteLost, sites: true,
-			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.02, ErrorWithoutRun: 0.01, Reset: 0.02, NoAnswer: 0.01, Refuse: 0.02}},
 		{Name: "hall-returns-empty", About: "the same with halls that come back cold: with one server, with all, with half of them, twice in a row", mix: persistentClients, price: sameUnits, cluster: siteReturnsEmpty, sites: true,
-			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.02, ErrorWithoutRun: 0.01, Reset: 0.02, NoAnswer: 0.01, Refuse: 0.02}},
 		{Name: "flapping", About: "the same with a hall that falls silent and answers again all the time", mix: persistentClients, price: sameUnits, cluster: flapping, sites: true,
-			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.02, ErrorWithoutRun: 0.01, Reset: 0.02, NoAnswer: 0.01, Refuse: 0.02}},
 		{Name: "two-sites", About: "processes that agree, two at each of two sites, and no faults", mix: persistentClients, price: sameUnits, cluster: func(ctx context.Context, _ *clusterRun) { <-ctx.Done() }, sites: true},
 		{Name: "hall-lost-surge", About: "a hall that carries half of the load is lost and comes back cold; what is served is held against an oracle", mix: persistentClients, price: sameUnits, cluster: hallLostSurge, sites: true, small: true},
 		{Name: "servers-replaced", About: "a crowd asks for all that there is, and a hall's warm servers end a moment after a cold one has come", mix: persistentClients, price: sameUnits, cluster: serversReplaced, sites: true, small: true, rush: 6},
 		{Name: "link-drops", About: "processes that agree, two at each of two sites; the way between the sites falls silent and breaks all the time", mix: persistentClients, price: sameUnits, cluster: linkDrops, sites: true,
-			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.02, ErrorWithoutRun: 0.01, Reset: 0.02, NoAnswer: 0.01, Refuse: 0.02}},
 		{Name: "both-cut", About: "the same, and all ways between the sites stay cut: each is alone", mix: persistentClients, price: sameUnits, cluster: bothCut, sites: true,
-			faults: testserver.Faults{Error: 0.02, ErrorIdle: 0.01, Reset: 0.02, Silent: 0.01, Refuse: 0.02}},
+			faults: testserver.Faults{Error: 0.02, ErrorWithoutRun: 0.01, Reset: 0.02, NoAnswer: 0.01, Refuse: 0.02}},
 		{Name: "followers", About: "three members that agree and two instances that follow, and no faults", mix: mixedMix, price: sameUnits, cluster: func(ctx context.Context, _ *clusterRun) { <-ctx.Done() }, followers: 2},
 		{Name: "stream-breaks", About: "three members that agree and two instances that follow; the ways between them fall silent all the time", mix: mixedMix, price: sameUnits, cluster: streamBreaks, followers: 2},
 		{Name: "follower-restarts", About: "the same; followers are killed and started again", mix: mixedMix, price: sameUnits, cluster: killMembers(func(c *clusterRun) []*member { return c.followers }), followers: 2},
@@ -100,7 +100,7 @@
 	options   Options
 	scenario  Scenario
 	ledger    *testserver.Ledger
-	halls     []*testserver.Hall
+	halls     []*testserver.Site
 	instances []*gateway.Instance
 	configs   []*gateway.Config
 	addrs     []string
@@ -230,7 +230,7 @@
 	if err != nil {
 		return nil, err
 	}
-	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.licensees(), Mix: w.scenario.mix(), Tries: 3, Deadline: 2 * time.Second, Seed: w.options.Seed}
+	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.licensees(), Mix: w.scenario.mix(), MaxAttempts: 3, Deadline: 2 * time.Second, Seed: w.options.Seed}
 	playing, end := context.WithTimeout(ctx, w.options.For)
 	defer end()
 	var beside sync.WaitGroup
@@ -264,8 +264,8 @@
 		}
 	}
 	for i := range 2 {
-		h, err := testserver.NewHall(siteName(i), routes(w.scenario.price), testserver.Figures{Cores: w.coreCount(), Queue: 60, Memory: 4 * time.Second,
-			ColdFrom: 0.17, Ramp: 15 * time.Second, FallMultiple: 2.5, FallWindow: 2 * time.Second,
+		h, err := testserver.NewSite(siteName(i), routes(w.scenario.price), testserver.SiteConfig{Cores: w.coreCount(), MaxQueueLength: 60, IdempotencyTTL: 4 * time.Second,
+			ColdCapacity: 0.17, WarmupWindow: 15 * time.Second, CollapseMultiple: 2.5, CollapseWindow: 2 * time.Second,
 			Faults: w.scenario.faults, Seed: w.options.Seed}, w.ledger)
 		if err != nil {
 			closeAll()
@@ -278,7 +278,7 @@
 				return nil, nil, err
 			}
 		}
-		halls = append(halls, gateway.Site{Name: h.Name, Discovery: h.Register.Addr()})
+		halls = append(halls, gateway.Site{Name: h.Name, Discovery: h.Discovery.Addr()})
 	}
 	return halls, closeAll, nil
 }
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -63,7 +63,7 @@
 }
 
 // checkRules holds the account of the sites and of the clients against the instances' own.
-func (w *environment) checkRules(tries []testserver.Try, began time.Time) *Verdict {
+func (w *environment) checkRules(tries []testserver.Attempt, began time.Time) *Verdict {
 	v := &Verdict{Scenario: w.scenario.Name, Seed: w.options.Seed, Figures: map[string]float64{}, Rules: map[string]int{
 		"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
 		"units": 0, "operations": 0, "versions": 0, "scenario": 0}}
@@ -81,13 +81,13 @@
 		}
 		records[r.Trace] = r
 	}
-	j.checkAnswers(tries, func(testserver.Try) bool { return false })
+	j.checkAnswers(tries, func(testserver.Attempt) bool { return false })
 	j.checkEffects(arrivals, byTrace)
 	j.checkCosts(byTrace, records)
 	for _, s := range w.ledger.Strays() {
 		j.violation("operations", "the halls know no operation for %s", s)
 	}
-	for _, s := range w.ledger.Fallen() {
+	for _, s := range w.ledger.Collapsed() {
 		j.violation("cold_servers", "%s was pushed over", s)
 	}
 	j.checkHardLimits(byTrace)
@@ -105,7 +105,7 @@
 
 // checkAnswers checks that each try of a client had one whole answer, its own and in time. A try
 // without one is excused where its instance was down.
-func (j *ruleChecker) checkAnswers(tries []testserver.Try, excused func(testserver.Try) bool) {
+func (j *ruleChecker) checkAnswers(tries []testserver.Attempt, excused func(testserver.Attempt) bool) {
 	for _, t := range tries {
 		j.v.Requests++
 		switch {
@@ -117,14 +117,14 @@
 			j.v.Failed++
 		}
 		switch {
-		case t.Answers == 0 && excused(t):
-		case t.Answers == 0:
+		case t.AnswerCount == 0 && excused(t):
+		case t.AnswerCount == 0:
 			j.v.Unanswered++
 			j.violation("one_answer", "%s (%s) had no answer", t.Trace, t.Operation)
-		case t.Answers > 1:
+		case t.AnswerCount > 1:
 			j.violation("one_answer", "%s (%s) had more than one answer", t.Trace, t.Operation)
-		case t.Wrong != "":
-			j.violation("one_answer", "%s: %s", t.Trace, t.Wrong)
+		case t.Mismatch != "":
+			j.violation("one_answer", "%s: %s", t.Trace, t.Mismatch)
 		case t.Ended.Sub(t.At) > 2*time.Second+lateSlack:
 			j.violation("one_answer", "%s was answered after %v", t.Trace, t.Ended.Sub(t.At))
 		}
@@ -151,9 +151,9 @@
 		}
 		if before, twice := done[name]; twice {
 			j.v.Duplicates++
-			j.violation("no_effect_twice", "%s (%s) had its effect at %s and at %s", name, a.Operation, before, a.Hall+"/"+a.Server)
+			j.violation("no_effect_twice", "%s (%s) had its effect at %s and at %s", name, a.Operation, before, a.Site+"/"+a.Server)
 		}
-		done[name] = a.Hall + "/" + a.Server
+		done[name] = a.Site + "/" + a.Server
 	}
 	for trace, as := range byTrace {
 		var ran *testserver.Arrival // the first that may have run
@@ -166,8 +166,8 @@
 				switch {
 				case a.Effect == "unsafe":
 					j.violation("no_effect_twice", "%s (%s) is unsafe, may have run and was sent again", trace, a.Operation)
-				case a.Effect == "keyed" && a.Hall != ran.Hall:
-					j.violation("no_effect_twice", "%s (%s) may have run at %s and was sent to %s", trace, a.Operation, ran.Hall, a.Hall)
+				case a.Effect == "keyed" && a.Site != ran.Site:
+					j.violation("no_effect_twice", "%s (%s) may have run at %s and was sent to %s", trace, a.Operation, ran.Site, a.Site)
 				case a.Effect == "keyed" && a.At.Sub(ran.At) > 4*time.Second+windowSlack:
 					j.violation("no_effect_twice", "%s (%s) was sent again after %v", trace, a.Operation, a.At.Sub(ran.At))
 				}
@@ -198,11 +198,11 @@
 		j.v.UnitsDeclared += first.Units
 		r, ok := records[trace]
 		if !ok || !r.Sent {
-			j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Hall)
+			j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Site)
 			continue
 		}
 		if r.Operation != first.Operation {
-			j.violation("operations", "%s was charged as %s and reached %s as %s", trace, r.Operation, first.Hall, first.Operation)
+			j.violation("operations", "%s was charged as %s and reached %s as %s", trace, r.Operation, first.Site, first.Operation)
 		}
 		if r.Units != first.Units {
 			j.violation("units", "%s (%s, version %d) was charged %d units; %d were declared", trace, r.Operation, r.Version, r.Units, first.Units)
@@ -284,7 +284,7 @@
 }
 
 // addFigures tells how well clients were served.
-func (j *ruleChecker) addFigures(tries []testserver.Try, attempts int, took time.Duration) {
+func (j *ruleChecker) addFigures(tries []testserver.Attempt, attempts int, took time.Duration) {
 	var lat []float64
 	for _, t := range tries {
 		if t.Served {
