--- /dev/null
+++ b/internal/testserver/faults.go
@@ -0,0 +1,56 @@
+package testserver
+
+import (
+	"fmt"
+	"hash/fnv"
+)
+
+// Faults are probabilities, from 0 to 1, of what goes wrong with an attempt. What happens
+// to an attempt follows from the seed, its trace and its number.
+type Faults struct {
+	Error           float64 // answers 500 after it ran
+	Reset           float64 // closes the connection after it ran
+	NoAnswer        float64 // runs and never answers
+	Refuse          float64 // refuses it without running it
+	ErrorWithoutRun float64 // answers 500 without having run
+}
+
+// Draws of an attempt. Their numbers are part of what a seed stands for.
+const (
+	drawRefuse = iota
+	drawErrorWithoutRun
+	drawError
+	drawReset
+	drawNoAnswer
+)
+
+// faultDraws draws the faults of one attempt.
+type faultDraws struct {
+	seed    uint64
+	site    string
+	trace   string
+	attempt int
+}
+
+// nextDraws counts an attempt of a trace and returns its draws.
+func (site *Site) nextDraws(trace string) faultDraws {
+	site.mu.Lock()
+	defer site.mu.Unlock()
+	site.attemptCounts[trace]++
+	return faultDraws{seed: site.config.Seed, site: site.Name, trace: trace, attempt: site.attemptCounts[trace]}
+}
+
+// isHit reports whether the fault of a draw happens at a probability.
+func (d faultDraws) isHit(draw int, probability float64) bool { return d.uniform(draw) < probability }
+
+// uniform returns the number in [0, 1) that belongs to a draw: an FNV-1a hash through a
+// part of the splitmix64 finalizer.
+func (d faultDraws) uniform(draw int) float64 {
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%d %s %s %d %d", d.seed, d.site, d.trace, d.attempt, draw)
+	x := hash.Sum64()
+	x ^= x >> 29
+	x *= 0xbf58476d1ce4e5b9
+	x ^= x >> 32
+	return float64(x>>11) / (1 << 53)
+}
--- a/internal/testserver/log.go
+++ b/internal/testserver/log.go
@@ -11,13 +11,14 @@
 	b  bytes.Buffer
 }
 
+// Write appends p; it never fails.
 func (l *Log) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-// String is all that was written so far.
+// String returns all that was written so far.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
