--- /dev/null
+++ b/internal/testserver/clientconn.go
@@ -0,0 +1,134 @@
+package testserver
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	// maxIdleTime is how long a client keeps an idle connection: less than an instance does.
+	maxIdleTime = 10 * time.Second
+	// lateAnswerWindow is how long after its deadline an answer is still read, so that it is
+	// seen as late.
+	lateAnswerWindow = time.Second
+	// clientDialTimeout is how long a client tries to connect.
+	clientDialTimeout = time.Second
+)
+
+// clientConn is a connection that carries one request at a time.
+type clientConn struct {
+	net.Conn
+	reader    *bufio.Reader
+	idleSince time.Time
+}
+
+// send sends an attempt's request and reads its answer, which must be all that comes. It
+// returns what the answer's Retry-After says.
+func (c *Clients) send(attempt *Attempt, text string, deadline time.Time) (retryAfter time.Duration) {
+	for {
+		conn, isReused, err := c.connect(attempt.Instance)
+		if err != nil {
+			attempt.ConnectionLost = true
+			return 0
+		}
+		resp, err := conn.exchange(text, deadline)
+		if err == nil {
+			return c.receive(attempt, conn, resp, text)
+		}
+		conn.Close()
+		if isReused && !c.NoResend && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) {
+			continue // closed between requests: sent once more on a new one
+		}
+		if netError, ok := errors.AsType[net.Error](err); !ok || !netError.Timeout() {
+			attempt.ConnectionLost = true
+		}
+		return 0
+	}
+}
+
+// exchange sends a request's text and reads the head of its answer.
+func (conn *clientConn) exchange(text string, deadline time.Time) (*http.Response, error) {
+	conn.SetDeadline(deadline.Add(lateAnswerWindow))
+	if _, err := io.WriteString(conn, text); err != nil {
+		return nil, err
+	}
+	method, _, _ := strings.Cut(text, " ")
+	return http.ReadResponse(conn.reader, &http.Request{Method: method})
+}
+
+// receive reads an answer's body, records the answer in the attempt and keeps the
+// connection if it can be used again.
+func (c *Clients) receive(attempt *Attempt, conn *clientConn, resp *http.Response, text string) time.Duration {
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		conn.Close()
+		attempt.ConnectionLost = true
+		return 0
+	}
+	attempt.AnswerCount, attempt.Status = 1, resp.StatusCode
+	attempt.Served = resp.StatusCode < 300
+	hasBody := resp.StatusCode != http.StatusNoContent && !strings.HasPrefix(text, "HEAD ")
+	if attempt.Served && hasBody && !attempt.isAnsweredBy(string(body)) {
+		attempt.Mismatch = "served with another request's answer: " + string(body)
+	}
+	if conn.reader.Buffered() > 0 {
+		attempt.AnswerCount++
+	}
+	if resp.Close || attempt.AnswerCount > 1 {
+		conn.Close()
+	} else {
+		c.keep(attempt.Instance, conn)
+	}
+	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+	if err != nil {
+		return 0
+	}
+	return time.Duration(seconds * float64(time.Second))
+}
+
+// isAnsweredBy reports whether an answer's body names the attempt's trace and operation.
+func (a *Attempt) isAnsweredBy(body string) bool {
+	return strings.Contains(body, `"`+a.Trace+`"`) && strings.Contains(body, `"`+a.Operation+`"`)
+}
+
+// connect returns a kept connection to an address, or else a new one.
+func (c *Clients) connect(addr string) (conn *clientConn, isReused bool, err error) {
+	if conn := c.takeIdle(addr); conn != nil {
+		return conn, true, nil
+	}
+	netConn, err := net.DialTimeout("tcp", addr, clientDialTimeout)
+	if err != nil {
+		return nil, false, err
+	}
+	return &clientConn{Conn: netConn, reader: bufio.NewReader(netConn)}, false, nil
+}
+
+// takeIdle returns the connection to an address that was idle for the shortest time, or
+// nil, and closes those on its way that were idle for too long.
+func (c *Clients) takeIdle(addr string) *clientConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for n := len(c.idle[addr]); n > 0; n-- {
+		conn := c.idle[addr][n-1]
+		c.idle[addr] = c.idle[addr][:n-1]
+		if time.Since(conn.idleSince) <= maxIdleTime {
+			return conn
+		}
+		conn.Close()
+	}
+	return nil
+}
+
+// keep keeps a connection for a later request.
+func (c *Clients) keep(addr string, conn *clientConn) {
+	conn.idleSince = time.Now()
+	c.mu.Lock()
+	c.idle[addr] = append(c.idle[addr], conn)
+	c.mu.Unlock()
+}
--- a/internal/testserver/routes.go
+++ b/internal/testserver/routes.go
@@ -68,7 +68,8 @@
 			continue
 		}
 		_, after, _ := strings.Cut(rest, "}")
-		if len(ps[i]) <= len(before)+len(after) || !strings.HasPrefix(ps[i], before) || !strings.HasSuffix(ps[i], after) {
+		if len(ps[i]) <= len(before)+len(after) ||
+			!strings.HasPrefix(ps[i], before) || !strings.HasSuffix(ps[i], after) {
 			return false
 		}
 	}
