--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -1,8 +1,8 @@
-// Package httpwire reads and words HTTP/1.1 messages in the one framing that can't be
-// read in two ways (RFC 9112): lines end in CR LF, a field has no space ahead of its
-// colon and is not folded, and a body tells its length once. A gateway that charges for
-// a request must see the message that the server behind it will see; what others read
-// with lenience is an error here.
+// Package httpwire parses and writes HTTP/1.1 messages in the one framing that is
+// unambiguous (RFC 9112): lines end in CR LF, a field has no space before its colon and
+// is not folded, and a body's length is given once. A gateway that charges for a request
+// must see the message that the server behind it will see, so what lenient parsers accept
+// is an error here.
 //
 // A head is read into one string, and all its parts are slices of it.
 package httpwire
@@ -12,13 +12,15 @@
 	"strings"
 )
 
-// Bounds of a head.
+// MaxHead is the largest length of a head, in bytes, with the empty line that ends it.
+const MaxHead = 16 << 10
+
 const (
-	MaxHead   = 16 << 10 // bytes
-	maxFields = 100
+	maxFields       = 100 // in a head, and in a chunked body's trailer
+	maxLengthDigits = 15  // of a Content-Length
 )
 
-// Errors of a message. All are final for its connection.
+// Errors of a message. Each is final for its connection.
 var (
 	ErrTooLarge  = errors.New("head is too large")
 	ErrMalformed = errors.New("head is malformed")
@@ -30,17 +32,17 @@
 // Field is one line of a head.
 type Field struct{ Name, Value string }
 
-// Head is the head of a request or an answer. Its strings stay valid; its Fields are
-// used again by the next head that is read into it.
+// Head is the head of a request or an answer. Its strings stay valid; the next head that
+// is read into it reuses its Fields.
 type Head struct {
 	Method, Target string // of a request
 	Status         int    // of an answer
 	Reason         string
 	Fields         []Field
-	Length         int64 // of the body, or -1: none is told
+	Length         int64 // of the body in bytes, or -1: not given
 	Chunked        bool
 	Close          bool // the connection ends with this message
-	Nominated      bool // Connection names fields other than the usual ones
+	Nominated      bool // Connection has options other than close and keep-alive
 }
 
 // Values returns the first value of a field and the number of its lines.
@@ -61,7 +63,7 @@
 	return v
 }
 
-// Resembles tells whether a field has a name that gateway interfaces such as CGI hold
+// Resembles reports whether a field has a name that gateway interfaces such as CGI take
 // for the given one: with underscores where that has hyphens.
 func (h *Head) Resembles(name string) bool {
 	for i := range h.Fields {
@@ -69,14 +71,16 @@
 		if len(n) != len(name) || strings.IndexByte(n, '_') < 0 {
 			continue
 		}
-		if strings.EqualFold(strings.ReplaceAll(n, "_", "-"), strings.ReplaceAll(name, "_", "-")) && !strings.EqualFold(n, name) {
+		isSameInCGI := strings.EqualFold(strings.ReplaceAll(n, "_", "-"), strings.ReplaceAll(name, "_", "-"))
+		if isSameInCGI && !strings.EqualFold(n, name) {
 			return true
 		}
 	}
 	return false
 }
 
-var tokenByte = func() (t [256]bool) {
+// isTokenByte tells which bytes a token may have (RFC 9110, section 5.6.2).
+var isTokenByte = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
 	}
@@ -89,24 +93,26 @@
 	return t
 }()
 
-func token(s string) bool {
+// isToken reports whether s is a token (RFC 9110, section 5.6.2).
+func isToken(s string) bool {
 	for i := range len(s) {
-		if !tokenByte[s[i]] {
+		if !isTokenByte[s[i]] {
 			return false
 		}
 	}
 	return s != ""
 }
 
-// ParseRequest reads a request's head, to the empty line that ends it and no further.
+// ParseRequest parses a request's head, which must end with its empty line. Its error is
+// one of this package's.
 func (h *Head) ParseRequest(text string) error {
-	line, rest, err := h.begin(text)
+	line, rest, err := h.parseStart(text)
 	if err != nil {
 		return err
 	}
 	method, line, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(line, " ")
-	if !ok || !ok2 || !token(method) || target == "" {
+	if !ok || !ok2 || !isToken(method) || target == "" {
 		return ErrMalformed
 	}
 	for i := range len(target) {
@@ -121,7 +127,7 @@
 		return ErrMalformed
 	}
 	h.Method, h.Target = method, target
-	if err := h.fields(rest); err != nil {
+	if err := h.parseFields(rest); err != nil {
 		return err
 	}
 	if _, n := h.Values("Host"); n != 1 {
@@ -133,9 +139,10 @@
 	return nil
 }
 
-// ParseAnswer reads an answer's head, to the empty line that ends it and no further.
+// ParseAnswer parses an answer's head, which must end with its empty line. Its error is
+// one of this package's.
 func (h *Head) ParseAnswer(text string) error {
-	line, rest, err := h.begin(text)
+	line, rest, err := h.parseStart(text)
 	if err != nil {
 		return err
 	}
@@ -156,7 +163,7 @@
 	if line[7] != '1' { // an older server closes unless it says otherwise
 		h.Close = true
 	}
-	if err := h.fields(rest); err != nil {
+	if err := h.parseFields(rest); err != nil {
 		return err
 	}
 	if h.Chunked && h.Length >= 0 {
@@ -165,7 +172,8 @@
 	return nil
 }
 
-func (h *Head) begin(text string) (line, rest string, err error) {
+// parseStart resets the head and returns its first line and the rest.
+func (h *Head) parseStart(text string) (line, rest string, err error) {
 	h.Fields, h.Length, h.Chunked, h.Close, h.Nominated = h.Fields[:0], -1, false, false, false
 	line, rest, ok := strings.Cut(text, "\r\n")
 	if !ok {
@@ -174,8 +182,8 @@
 	return line, rest, nil
 }
 
-// fields reads the lines behind the first.
-func (h *Head) fields(rest string) error {
+// parseFields parses the lines after the first.
+func (h *Head) parseFields(rest string) error {
 	for {
 		var line string
 		var ok bool
@@ -189,7 +197,7 @@
 			return nil
 		}
 		colon := strings.IndexByte(line, ':')
-		if colon <= 0 || !token(line[:colon]) {
+		if colon <= 0 || !isToken(line[:colon]) {
 			return ErrMalformed
 		}
 		f := Field{line[:colon], strings.Trim(line[colon+1:], " \t")}
@@ -202,49 +210,60 @@
 			return ErrTooLarge
 		}
 		h.Fields = append(h.Fields, f)
-		if err := h.framing(f); err != nil {
+		if err := h.applyFraming(f); err != nil {
 			return err
 		}
 	}
 }
 
-// framing takes in a field that decides where the message ends.
-func (h *Head) framing(f Field) error {
+// applyFraming applies a field that decides where the message or the connection ends.
+func (h *Head) applyFraming(f Field) error {
 	switch {
-	case len(f.Name) == 14 && strings.EqualFold(f.Name, "Content-Length"):
-		if h.Length >= 0 || f.Value == "" || len(f.Value) > 15 {
-			return ErrLength
-		}
-		h.Length = 0
-		for i := range len(f.Value) {
-			c := f.Value[i]
-			if c < '0' || c > '9' {
-				return ErrLength
-			}
-			h.Length = h.Length*10 + int64(c-'0')
-		}
-	case len(f.Name) == 17 && strings.EqualFold(f.Name, "Transfer-Encoding"):
+	case len(f.Name) == len("Content-Length") && strings.EqualFold(f.Name, "Content-Length"):
+		return h.applyContentLength(f.Value)
+	case len(f.Name) == len("Transfer-Encoding") && strings.EqualFold(f.Name, "Transfer-Encoding"):
 		if h.Chunked || !strings.EqualFold(f.Value, "chunked") {
 			return ErrCoding
 		}
 		h.Chunked = true
-	case len(f.Name) == 10 && strings.EqualFold(f.Name, "Connection"):
-		for rest := f.Value; rest != ""; {
-			var opt string
-			opt, rest, _ = strings.Cut(rest, ",")
-			switch opt = strings.Trim(opt, " \t"); {
-			case strings.EqualFold(opt, "close"):
-				h.Close = true
-			case opt == "" || strings.EqualFold(opt, "keep-alive"):
-			default:
-				h.Nominated = true
-			}
+	case len(f.Name) == len("Connection") && strings.EqualFold(f.Name, "Connection"):
+		h.applyConnection(f.Value)
+	}
+	return nil
+}
+
+// applyContentLength applies the value of a Content-Length field.
+func (h *Head) applyContentLength(value string) error {
+	if h.Length >= 0 || value == "" || len(value) > maxLengthDigits {
+		return ErrLength
+	}
+	h.Length = 0
+	for i := range len(value) {
+		c := value[i]
+		if c < '0' || c > '9' {
+			return ErrLength
 		}
+		h.Length = h.Length*10 + int64(c-'0')
 	}
 	return nil
 }
 
-// HopByHop tells whether a field concerns one connection only and does not go on.
+// applyConnection applies the value of a Connection field.
+func (h *Head) applyConnection(value string) {
+	for rest := value; rest != ""; {
+		var option string
+		option, rest, _ = strings.Cut(rest, ",")
+		switch option = strings.Trim(option, " \t"); {
+		case strings.EqualFold(option, "close"):
+			h.Close = true
+		case option == "" || strings.EqualFold(option, "keep-alive"):
+		default:
+			h.Nominated = true
+		}
+	}
+}
+
+// HopByHop reports whether a field concerns one connection only and is not forwarded.
 func HopByHop(name string) bool {
 	switch len(name) {
 	case 2:
@@ -256,7 +275,7 @@
 	case 10:
 		return strings.EqualFold(name, "Connection") || strings.EqualFold(name, "Keep-Alive")
 	case 14:
-		return strings.EqualFold(name, "Content-Length") // worded anew
+		return strings.EqualFold(name, "Content-Length") // written anew
 	case 16:
 		return strings.EqualFold(name, "Proxy-Connection")
 	case 17:
@@ -269,7 +288,7 @@
 	return false
 }
 
-// AppendField adds a line to a head.
+// AppendField appends a field's line to a head.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
--- a/internal/httpwire/reader.go
+++ b/internal/httpwire/reader.go
@@ -9,38 +9,46 @@
 // Reader reads messages off one connection. It reads no byte of a message before it is
 // asked for one, but may hold bytes of the next.
 type Reader struct {
-	src  io.Reader
-	buf  []byte
-	r, w int
+	src        io.Reader
+	buf        []byte
+	start, end int // of the bytes in buf that were read and not yet asked for
 }
 
+const (
+	initialBufferBytes = 2 << 10
+	maxLineBytes       = 4 << 10 // of a line of a chunked body
+	maxEmptyReads      = 100     // reads in a row without a byte or an error
+)
+
 // NewReader returns a Reader of src.
-func NewReader(src io.Reader) *Reader { return &Reader{src: src, buf: make([]byte, 2<<10)} }
+func NewReader(src io.Reader) *Reader {
+	return &Reader{src: src, buf: make([]byte, initialBufferBytes)}
+}
 
-// Buffered is the number of bytes that were read and not yet asked for.
-func (r *Reader) Buffered() int { return r.w - r.r }
+// Buffered returns the number of bytes that were read and not yet asked for.
+func (r *Reader) Buffered() int { return r.end - r.start }
 
 // Fill waits until there is something to read. Its error is that of the connection.
 func (r *Reader) Fill() error {
-	if r.w > r.r {
+	if r.end > r.start {
 		return nil
 	}
-	r.r, r.w = 0, 0
-	return r.more()
+	r.start, r.end = 0, 0
+	return r.readMore()
 }
 
-// more reads once. There is room for at least a byte.
-func (r *Reader) more() error {
-	if r.r > 0 && r.w == len(r.buf) {
-		r.w = copy(r.buf, r.buf[r.r:r.w])
-		r.r = 0
+// readMore reads at least one byte into the buffer, which it makes room in first.
+func (r *Reader) readMore() error {
+	if r.start > 0 && r.end == len(r.buf) {
+		r.end = copy(r.buf, r.buf[r.start:r.end])
+		r.start = 0
 	}
-	if r.w == len(r.buf) {
+	if r.end == len(r.buf) {
 		r.buf = append(r.buf, make([]byte, len(r.buf))...)
 	}
-	for range 100 {
-		n, err := r.src.Read(r.buf[r.w:])
-		r.w += n
+	for range maxEmptyReads {
+		n, err := r.src.Read(r.buf[r.end:])
+		r.end += n
 		if n > 0 {
 			return nil
 		}
@@ -51,28 +59,29 @@
 	return io.ErrNoProgress
 }
 
+// headEnd ends a head: the end of its last line and the empty line.
 var headEnd = []byte("\r\n\r\n")
 
-// head returns the text of the next head, with the empty line that ends it.
-func (r *Reader) head() (string, error) {
+// readHead returns the text of the next head, with the empty line that ends it.
+func (r *Reader) readHead() (string, error) {
 	seen := 0
 	for {
-		if r.w > r.r {
-			if i := bytes.Index(r.buf[r.r+seen:r.w], headEnd); i >= 0 {
-				text := string(r.buf[r.r : r.r+seen+i+len(headEnd)])
-				r.r += len(text)
+		if r.end > r.start {
+			if i := bytes.Index(r.buf[r.start+seen:r.end], headEnd); i >= 0 {
+				text := string(r.buf[r.start : r.start+seen+i+len(headEnd)])
+				r.start += len(text)
 				if len(text) > MaxHead {
 					return "", ErrTooLarge
 				}
 				return text, nil
 			}
-			if r.w-r.r > MaxHead {
+			if r.end-r.start > MaxHead {
 				return "", ErrTooLarge
 			}
-			seen = max(0, r.w-r.r-len(headEnd)+1)
+			seen = max(0, r.end-r.start-len(headEnd)+1)
 		}
-		if err := r.more(); err != nil {
-			if errors.Is(err, io.EOF) && r.w > r.r {
+		if err := r.readMore(); err != nil {
+			if errors.Is(err, io.EOF) && r.end > r.start {
 				err = io.ErrUnexpectedEOF
 			}
 			return "", err
@@ -80,28 +89,29 @@
 	}
 }
 
-// Request reads the head of a request.
+// Request reads the head of a request into h. Its error is one of this package's, or the
+// connection's: io.EOF if it ended before the first byte.
 func (r *Reader) Request(h *Head) error {
-	text, err := r.head()
+	text, err := r.readHead()
 	if err != nil {
 		return err
 	}
 	return h.ParseRequest(text)
 }
 
-// Answer reads the head of an answer.
+// Answer reads the head of an answer into h. Its errors are those of [Reader.Request].
 func (r *Reader) Answer(h *Head) error {
-	text, err := r.head()
+	text, err := r.readHead()
 	if err != nil {
 		return err
 	}
 	return h.ParseAnswer(text)
 }
 
-// Body reads a body of a told length into b, which it fills.
+// Body reads a body of a known length: it fills b.
 func (r *Reader) Body(b []byte) error {
-	n := copy(b, r.buf[r.r:r.w])
-	r.r += n
+	n := copy(b, r.buf[r.start:r.end])
+	r.start += n
 	if n == len(b) {
 		return nil
 	}
@@ -113,78 +123,3 @@
 	}
 	return nil
 }
-
-// Chunked reads a chunked body of at most most bytes. Trailers are read and dropped.
-func (r *Reader) Chunked(most int) ([]byte, error) {
-	var body []byte
-	for {
-		line, err := r.line()
-		if err != nil {
-			return nil, err
-		}
-		line, _, _ = bytes.Cut(line, []byte(";"))
-		line = bytes.TrimRight(line, " \t")
-		if len(line) == 0 || len(line) > 7 {
-			return nil, ErrLength
-		}
-		size := 0
-		for _, c := range line {
-			switch {
-			case '0' <= c && c <= '9':
-				size = size<<4 | int(c-'0')
-			case 'a' <= c|0x20 && c|0x20 <= 'f':
-				size = size<<4 | int(c|0x20-'a'+10)
-			default:
-				return nil, ErrLength
-			}
-		}
-		if size == 0 {
-			break
-		}
-		if size > most-len(body) {
-			return nil, ErrTooLarge
-		}
-		start := len(body)
-		body = append(body, make([]byte, size)...)
-		if err := r.Body(body[start:]); err != nil {
-			return nil, err
-		}
-		if end, err := r.line(); err != nil || len(end) > 0 {
-			return nil, errors.Join(ErrLength, err)
-		}
-	}
-	for range maxFields {
-		line, err := r.line()
-		if err != nil {
-			return nil, err
-		}
-		if len(line) == 0 {
-			return body, nil
-		}
-	}
-	return nil, ErrTooLarge
-}
-
-// line returns the next line without its end; it holds until the next read.
-func (r *Reader) line() ([]byte, error) {
-	seen := 0
-	for {
-		if i := bytes.IndexByte(r.buf[r.r+seen:r.w], '\n'); i >= 0 {
-			line := r.buf[r.r : r.r+seen+i]
-			r.r += seen + i + 1
-			if len(line) == 0 || line[len(line)-1] != '\r' {
-				return nil, ErrMalformed
-			}
-			return line[:len(line)-1], nil
-		}
-		if seen = r.w - r.r; seen > 4<<10 {
-			return nil, ErrTooLarge
-		}
-		if err := r.more(); err != nil {
-			if errors.Is(err, io.EOF) {
-				err = io.ErrUnexpectedEOF
-			}
-			return nil, err
-		}
-	}
-}
