--- /dev/null
+++ b/internal/testserver/clients.go
@@ -0,0 +1,182 @@
+package testserver
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+const (
+	// minAttemptTime is the time left below which no further attempt is made.
+	minAttemptTime = 50 * time.Millisecond
+	// minRetryDelay is the least time between two attempts.
+	minRetryDelay = 20 * time.Millisecond
+)
+
+// Licensee is one licensed provider and what it asks for.
+type Licensee struct {
+	Name, Plan string
+	Rate       float64 // requests a second that it begins
+}
+
+// RequestTemplate is one request that a licensee may send. {n} in its texts stands for a
+// number that is new with every request, {key} for such an idempotency key.
+type RequestTemplate struct {
+	Operation    string
+	Method       string
+	Target       string
+	Header, Body string  // Header: lines without their ends, set apart by "|"
+	Weight       float64 // share in the mix, relative to the other templates
+	Repeat       bool    // the client repeats it after any failure, not after a refusal alone
+}
+
+// Attempt is one attempt of a client at a request, and how it ended.
+type Attempt struct {
+	Trace, Operation, Licensee string
+	First                      string // trace of the first attempt
+	Instance                   string // address of the instance asked
+	Units                      int    // declared, as the client counts; -1: not known
+	At, Ended                  time.Time
+	AnswerCount                int // final answers that came
+	Status                     int // 0: none
+	Served                     bool
+	Mismatch                   string // what is wrong with the answer, if anything
+	ConnectionLost             bool   // the connection ended with no answer
+}
+
+// Clients send a mix of requests for licensees through the instances.
+type Clients struct {
+	Instances   []string // addresses
+	Licensees   []Licensee
+	Mix         []RequestTemplate
+	MaxAttempts int           // for one request
+	Deadline    time.Duration // for all attempts at a request
+	Seed        uint64
+
+	// NoResend turns off the silent resend of a request whose kept connection ended without
+	// an answer: where instances are killed, that request may have been running.
+	NoResend bool
+
+	mu       sync.Mutex
+	attempts []Attempt
+	idle     map[string][]*clientConn // by address
+}
+
+// Run sends until ctx ends, then waits for the answers to what was sent. It returns all
+// attempts, in the order in which they ended.
+func (c *Clients) Run(ctx context.Context) []Attempt {
+	c.idle = map[string][]*clientConn{}
+	var running sync.WaitGroup
+	for i, l := range c.Licensees {
+		running.Go(func() { c.runLicensee(ctx, l, rand.New(rand.NewPCG(c.Seed, uint64(i)))) })
+	}
+	running.Wait()
+	for _, conns := range c.idle {
+		for _, conn := range conns {
+			conn.Close()
+		}
+	}
+	return c.attempts
+}
+
+// runLicensee begins requests at random moments, at the licensee's rate (a Poisson process).
+func (c *Clients) runLicensee(ctx context.Context, l Licensee, rng *rand.Rand) {
+	var open sync.WaitGroup
+	defer open.Wait()
+	next := time.Now()
+	for n := 0; ; n++ {
+		next = next.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
+		t := time.NewTimer(time.Until(next))
+		select {
+		case <-ctx.Done():
+			t.Stop()
+			return
+		case <-t.C:
+		}
+		template, seed := c.pickTemplate(rng), rng.Uint64()
+		name := fmt.Sprintf("%s-%d", l.Name, n)
+		open.Go(func() { c.request(l, template, name, rand.New(rand.NewPCG(seed, 1))) })
+	}
+}
+
+// pickTemplate draws a template of the mix by weight.
+func (c *Clients) pickTemplate(rng *rand.Rand) RequestTemplate {
+	sum := 0.0
+	for _, template := range c.Mix {
+		sum += template.Weight
+	}
+	x := rng.Float64() * sum
+	for _, template := range c.Mix {
+		if x -= template.Weight; x < 0 {
+			return template
+		}
+	}
+	return c.Mix[len(c.Mix)-1]
+}
+
+// request attempts a request until it is served, may not be repeated or its time is up.
+func (c *Clients) request(l Licensee, template RequestTemplate, name string, rng *rand.Rand) {
+	deadline := time.Now().Add(c.Deadline)
+	placeholders := strings.NewReplacer("{n}", strconv.Itoa(1+rng.IntN(1e6)), "{key}", "key-"+name)
+	for n := 0; n < c.MaxAttempts; n++ {
+		remaining := time.Until(deadline)
+		if remaining < minAttemptTime {
+			return
+		}
+		attempt := Attempt{
+			Trace: fmt.Sprintf("%s.%d", name, n), First: name + ".0", Operation: template.Operation, Licensee: l.Name,
+			Instance: c.Instances[rng.IntN(len(c.Instances))], At: time.Now(),
+		}
+		text := template.text(placeholders, &attempt, remaining)
+		retryAfter := c.send(&attempt, text, deadline)
+		attempt.Ended = time.Now()
+		c.mu.Lock()
+		c.attempts = append(c.attempts, attempt)
+		c.mu.Unlock()
+		if !attempt.mayRetry(template) {
+			return
+		}
+		time.Sleep(min(max(retryAfter, minRetryDelay), time.Until(deadline)))
+	}
+}
+
+// text returns an attempt's request as it goes over the wire. The request says that it
+// expires after the remaining time.
+func (template RequestTemplate) text(placeholders *strings.Replacer, attempt *Attempt, remaining time.Duration) string {
+	var b strings.Builder
+	body := placeholders.Replace(template.Body)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\n", template.Method, placeholders.Replace(template.Target))
+	b.WriteString("Host: booking.example.org\r\n")
+	fmt.Fprintf(&b, "X-Trace-Id: %s\r\nX-Licensee: %s\r\n", attempt.Trace, attempt.Licensee)
+	fmt.Fprintf(&b, "X-Expires-In: %.3f\r\n", remaining.Seconds())
+	if template.Header != "" {
+		for _, line := range strings.Split(placeholders.Replace(template.Header), "|") {
+			b.WriteString(line + "\r\n")
+		}
+	}
+	if body != "" {
+		fmt.Fprintf(&b, "Content-Type: application/json\r\nContent-Length: %d\r\n", len(body))
+	}
+	b.WriteString("\r\n" + body)
+	return b.String()
+}
+
+// mayRetry reports whether a client may make another attempt after this one: after a
+// refusal always, after another failure only if the template repeats it.
+func (a *Attempt) mayRetry(template RequestTemplate) bool {
+	switch {
+	case a.Served:
+		return false
+	case a.Status == http.StatusTooManyRequests || a.Status == http.StatusServiceUnavailable:
+		return true
+	case a.Status >= 400 && a.Status < 500:
+		return false
+	default:
+		return template.Repeat
+	}
+}
