--- a/internal/scenario/booking.go
+++ b/internal/scenario/booking.go
@@ -20,7 +20,8 @@
 func routes(price func(version int, operation string, units int) int) []testserver.Route {
 	var rs []testserver.Route
 	add := func(op, method, template, effect string, work time.Duration, units func(int, *http.Request, []byte) int) {
-		rs = append(rs, testserver.Route{Operation: op, Method: method, Template: "/v1" + template, Effect: effect, Work: work, Units: units})
+		rs = append(rs, testserver.Route{Operation: op, Method: method, Template: "/v1" + template, Effect: effect,
+			Work: work, Units: units})
 	}
 	fixed := func(op string, n int) func(int, *http.Request, []byte) int {
 		return func(version int, _ *http.Request, _ []byte) int { return price(version, op, n) }
@@ -55,8 +56,10 @@
 // calmMix is the two operations that most licensees use.
 func calmMix() []testserver.Ask {
 	return []testserver.Ask{
-		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=2", Weight: 56, Repeat: true},
-		{Operation: "bookVisit", Method: "POST", Target: "/v1/visits", Header: "Idempotency-Key: {key}", Body: `{"district":"d{n}","installers":1}`, Weight: 44},
+		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=2", Weight: 56,
+			Repeat: true},
+		{Operation: "bookVisit", Method: "POST", Target: "/v1/visits", Header: "Idempotency-Key: {key}",
+			Body: `{"district":"d{n}","installers":1}`, Weight: 44},
 	}
 }
 
@@ -66,21 +69,29 @@
 	return []testserver.Ask{
 		{Operation: "listDistricts", Method: "GET", Target: "/v1/districts", Weight: 4, Repeat: true},
 		{Operation: "getDistrict", Method: "GET", Target: "/v1/districts/Ilala%20{n}", Weight: 4, Repeat: true},
-		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=7", Weight: 8, Repeat: true},
-		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?x=%26days&days=1", Weight: 8, Repeat: true},
+		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=7", Weight: 8,
+			Repeat: true},
+		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?x=%26days&days=1",
+			Weight: 8, Repeat: true},
 		{Operation: "getSlot", Method: "GET", Target: "/v1/slots/s{n}", Weight: 8, Repeat: true},
 		{Operation: "getSlot", Method: "HEAD", Target: "/v1/slots/s{n}", Weight: 2, Repeat: true},
-		{Operation: "searchSlots", Method: "POST", Target: "/v1/slots/search", Body: `{"filter":{"districts":3,"near":{"districts":9}}}`, Weight: 4, Repeat: true},
-		{Operation: "getAvailability", Method: "GET", Target: "/v1/availability", Header: "X-Span-Weeks: 4", Weight: 3, Repeat: true},
+		{Operation: "searchSlots", Method: "POST", Target: "/v1/slots/search",
+			Body: `{"filter":{"districts":3,"near":{"districts":9}}}`, Weight: 4, Repeat: true},
+		{Operation: "getAvailability", Method: "GET", Target: "/v1/availability", Header: "X-Span-Weeks: 4",
+			Weight: 3, Repeat: true},
 		{Operation: "getAvailability", Method: "GET", Target: "/v1/availability", Weight: 3, Repeat: true},
 		{Operation: "listVisits", Method: "GET", Target: "/v1/visits?pages=2", Weight: 4, Repeat: true},
 		{Operation: "listVisits", Method: "GET", Target: "/v1/visits", Weight: 4, Repeat: true},
-		{Operation: "bookVisit", Method: "POST", Target: "/v1/visits", Header: key, Body: `{"installers":2}`, Weight: 12},
-		{Operation: "bookVisit", Method: "POST", Target: "/v1/visits", Header: key, Body: `{"slot":"s{n}"}`, Weight: 12},
+		{Operation: "bookVisit", Method: "POST", Target: "/v1/visits", Header: key, Body: `{"installers":2}`,
+			Weight: 12},
+		{Operation: "bookVisit", Method: "POST", Target: "/v1/visits", Header: key, Body: `{"slot":"s{n}"}`,
+			Weight: 12},
 		{Operation: "newVisitForm", Method: "GET", Target: "/v1/visits/new", Weight: 3, Repeat: true},
-		{Operation: "bookVisits", Method: "POST", Target: "/v1/visits/batch", Header: key, Body: `{"visits":[{"installers":4}],"count":5}`, Weight: 2},
+		{Operation: "bookVisits", Method: "POST", Target: "/v1/visits/batch", Header: key,
+			Body: `{"visits":[{"installers":4}],"count":5}`, Weight: 2},
 		{Operation: "getVisit", Method: "GET", Target: "/v1/visits/v{n}", Weight: 6, Repeat: true},
-		{Operation: "replaceVisit", Method: "PUT", Target: "/v1/visits/v{n}", Header: key, Body: `{"installers":3}`, Weight: 2},
+		{Operation: "replaceVisit", Method: "PUT", Target: "/v1/visits/v{n}", Header: key, Body: `{"installers":3}`,
+			Weight: 2},
 		{Operation: "changeVisit", Method: "PATCH", Target: "/v1/visits/v{n}", Body: `{"slot":"s2"}`, Weight: 2},
 		{Operation: "cancelVisit", Method: "DELETE", Target: "/v1/visits/v{n}", Weight: 2},
 		{Operation: "confirmVisit", Method: "POST", Target: "/v1/visits/v{n}/confirm", Header: key, Weight: 3},
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -36,11 +36,11 @@
 	environment *environment
 	dir         string
 	members     []*member
-	followers   []*member         // instances that are no members and are told the configuration
-	streams     map[[2]int]*link  // from a follower to a member
-	links       map[[2]int]*link  // from, to
-	ways        map[[2]int]*link  // between sites, likewise
-	clients     []*cluster.Client // one for each operator
+	followers   []*member          // instances that are no members and are told the configuration
+	streams     map[linkEnds]*link // from a follower to a member
+	links       map[linkEnds]*link // from, to
+	ways        map[linkEnds]*link // between sites, likewise
+	clients     []*cluster.Client  // one for each operator
 	chaos       bool
 	rng         *rand.Rand
 	closing     func() // called when hallCloses has closed a site; nil: nothing more
@@ -48,17 +48,25 @@
 	mu     sync.Mutex
 	orders []configChange
 	kills  int
-	failed int                // members that ended by themselves: their disk failed
-	flaps  int                // times that a site fell silent or came back
-	losses [][2]time.Duration // from a site's silence and from its return until each was agreed on
-	surge  *surge             // nil: there was none
-	alone  []interval         // the sites were cut from each other
-	gaps   []time.Duration    // from the leader's kill to the next applied change
+	failed int // members that ended by themselves: their disk failed
+	flaps  int // times that a site fell silent or came back
+	losses []siteLoss
+	surge  *surge          // nil: there was none
+	alone  []interval      // the sites were cut from each other
+	gaps   []time.Duration // from the leader's kill to the next applied change
+}
+
+// siteLoss tells how long the instances took to agree on a site's loss and on its return.
+type siteLoss struct {
+	untilLost time.Duration // from its silence
+	untilBack time.Duration // from its return
 }
 
 // runCluster runs a scenario with processes.
 func (w *environment) runCluster(ctx context.Context) (v *Verdict, err error) {
-	c := &clusterRun{environment: w, streams: map[[2]int]*link{}, links: map[[2]int]*link{}, ways: map[[2]int]*link{}, rng: rand.New(rand.NewPCG(w.options.Seed, 0xc1)), chaos: w.scenario.Name == "chaos-config"}
+	c := &clusterRun{environment: w, streams: map[linkEnds]*link{}, links: map[linkEnds]*link{},
+		ways: map[linkEnds]*link{}, rng: rand.New(rand.NewPCG(w.options.Seed, 0xc1)),
+		chaos: w.scenario.Name == "chaos-config"}
 	if c.dir, err = os.MkdirTemp("", "gateway-lab-"); err != nil {
 		return nil, err
 	}
@@ -86,7 +94,8 @@
 		}
 		m.markUp()
 	}
-	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.licensees(), Mix: w.scenario.mix(), Tries: 3, Deadline: 2 * time.Second, Seed: w.options.Seed, NoResend: true}
+	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.licensees(), Mix: w.scenario.mix(), Tries: 3,
+		Deadline: 2 * time.Second, Seed: w.options.Seed, NoResend: true}
 	playing, end := context.WithTimeout(ctx, w.options.For)
 	defer end()
 	changing, stopChanging := context.WithCancel(ctx)
@@ -114,7 +123,7 @@
 
 // prepare makes certificates, links, files and addresses.
 func (c *clusterRun) prepare() error {
-	auth, err := raftnode.NewAuthority(clusterName)
+	authority, err := raftnode.NewAuthority(clusterName)
 	if err != nil {
 		return err
 	}
@@ -122,37 +131,64 @@
 	if err := os.Mkdir(certs, 0o700); err != nil {
 		return err
 	}
-	if err := auth.Write(certs); err != nil {
+	if err := authority.Write(certs); err != nil {
+		return err
+	}
+	if err := c.addInstances(authority, certs); err != nil {
+		return err
+	}
+	if err := c.openLinks(); err != nil {
+		return err
+	}
+	if err := c.writeConfigs(); err != nil {
 		return err
 	}
+	return c.addClients(authority, certs)
+}
+
+// addInstances gives each member and each follower its addresses and its certificates.
+func (c *clusterRun) addInstances(authority *raftnode.Authority, certs string) error {
 	for i := range c.environment.memberCount() + c.environment.scenario.followers {
 		m := &member{id: uint64(i + 1)}
 		if i >= c.environment.memberCount() {
 			m.follows = fmt.Sprint("edge-", m.id)
 		}
-		for _, at := range []*string{&m.listen, &m.admin, &m.raft, &m.site, &m.stream} {
-			if *at, err = testserver.FreeAddr("tcp"); err != nil {
-				return err
-			}
-		}
-		if m.udp, err = testserver.FreeAddr("udp"); err != nil {
+		if err := m.reserveAddrs(); err != nil {
 			return err
 		}
+		var err error
 		if m.follows == "" {
 			c.members = append(c.members, m)
-			err = auth.WriteMembers(certs, []uint64{m.id})
+			err = authority.WriteMembers(certs, []uint64{m.id})
 		} else {
 			c.followers = append(c.followers, m)
-			err = auth.WriteFollower(certs, m.follows)
+			err = authority.WriteFollower(certs, m.follows)
 		}
 		if err != nil {
 			return err
 		}
 		c.environment.addrs = append(c.environment.addrs, m.listen)
 	}
+	return nil
+}
+
+// reserveAddrs finds free addresses for all that an instance listens on.
+func (m *member) reserveAddrs() (err error) {
+	for _, addr := range []*string{&m.listen, &m.admin, &m.raft, &m.site, &m.stream} {
+		if *addr, err = testserver.FreeAddr("tcp"); err != nil {
+			return err
+		}
+	}
+	m.udp, err = testserver.FreeAddr("udp")
+	return err
+}
+
+// openLinks puts a link on each path between two instances: the configuration stream from followers to members, Raft
+// between members, and the relay between members of two sites.
+func (c *clusterRun) openLinks() (err error) {
 	for i := range c.followers {
 		for j, to := range c.members {
-			if c.streams[[2]int{i, j}], err = newLink(to.stream); err != nil {
+			if c.streams[linkEnds{i, j}], err = newLink(to.stream); err != nil {
 				return err
 			}
 		}
@@ -162,41 +198,52 @@
 			if i == j {
 				continue
 			}
-			if c.links[[2]int{i, j}], err = newLink(to.raft); err != nil {
+			if c.links[linkEnds{i, j}], err = newLink(to.raft); err != nil {
 				return err
 			}
 			if c.environment.scenario.sites && i%2 != j%2 {
-				if c.ways[[2]int{i, j}], err = newLink(to.site); err != nil {
+				if c.ways[linkEnds{i, j}], err = newLink(to.site); err != nil {
 					return err
 				}
 			}
 		}
 	}
+	return nil
+}
+
+// writeConfigs writes the file of each instance and has each member begin a new cluster.
+func (c *clusterRun) writeConfigs() error {
 	for i, m := range c.instances() {
-		if err := os.WriteFile(filepath.Join(c.dir, m.file()), []byte(c.config(i)), 0o600); err != nil {
+		path := filepath.Join(c.dir, m.file())
+		if err := os.WriteFile(path, []byte(c.config(i)), 0o600); err != nil {
 			return err
 		}
 		if m.follows != "" {
 			continue
 		}
-		if out, err := c.command("init", "--config", filepath.Join(c.dir, m.file()), "--new-cluster").CombinedOutput(); err != nil {
+		if out, err := c.command("init", "--config", path, "--new-cluster").CombinedOutput(); err != nil {
 			return fmt.Errorf("init: %w: %s", err, out)
 		}
 	}
+	return nil
+}
+
+// addClients makes the client of each operator. Each tries another member first.
+func (c *clusterRun) addClients(authority *raftnode.Authority, certs string) error {
 	for i := range operators {
 		name := fmt.Sprint("op", i)
-		if err := auth.WriteOperator(certs, name); err != nil {
+		if err := authority.WriteOperator(certs, name); err != nil {
 			return err
 		}
-		creds, err := raftnode.LoadCredentialFiles(certs, raftnode.OperatorFilePrefix(name))
+		credentials, err := raftnode.LoadCredentialFiles(certs, raftnode.OperatorFilePrefix(name))
 		if err != nil {
 			return err
 		}
-		at := []string{}
-		for k := range c.members { // each begins with another one
-			at = append(at, c.members[(i+k)%len(c.members)].admin)
+		addrs := []string{}
+		for k := range c.members {
+			addrs = append(addrs, c.members[(i+k)%len(c.members)].admin)
 		}
-		c.clients = append(c.clients, cluster.NewClient(clusterName, creds, at...))
+		c.clients = append(c.clients, cluster.NewClient(clusterName, credentials, addrs...))
 	}
 	return nil
 }
@@ -235,6 +282,9 @@
 		c.mu.Lock()
 		kills := c.kills
 		c.mu.Unlock()
-		c.environment.options.Progress(fmt.Sprintf("%s %ds of %v: %d changes agreed on, %d kills, %d requests at the halls", c.environment.scenario.Name, n, c.environment.options.For, applied, kills, len(c.environment.ledger.Arrivals())))
+		c.environment.options.Progress(fmt.Sprintf(
+			"%s %ds of %v: %d changes agreed on, %d kills, %d requests at the halls",
+			c.environment.scenario.Name, n, c.environment.options.For, applied, kills,
+			len(c.environment.ledger.Arrivals())))
 	}
 }
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -18,15 +18,52 @@
 // checkCharges holds the instances' records against the sites and the history: each request that
 // reached a site was charged once, at the price of the version that it was matched with.
 // Records that a killed instance did not get to write are missed.
-func (c *clusterRun) checkCharges(j *ruleChecker, byTrace map[string][]testserver.Arrival, tries []testserver.Try, at map[string]*member, history []clusterconfig.HistoryRecord) {
+func (c *clusterRun) checkCharges(
+	j *ruleChecker,
+	byTrace map[string][]testserver.Arrival,
+	tries []testserver.Try,
+	at map[string]*member,
+	history []clusterconfig.HistoryRecord,
+) {
+	variants := variantsByVersion(history)
+	records := c.readAccessLogs(j)
+	addKeyRejectionShare(j, tries, records)
+	tryByTrace := map[string]testserver.Try{}
+	for _, t := range tries {
+		tryByTrace[t.Trace] = t
+	}
+	missing := 0
+	for trace, arrivals := range byTrace {
+		t, sentByClient := tryByTrace[trace]
+		if !sentByClient {
+			continue // a scenario's own
+		}
+		record, isRecorded := records[trace]
+		if !isRecorded {
+			missing++
+			checkMissingRecord(j, arrivals[0], t, at[t.Instance])
+			continue
+		}
+		checkCharge(j, arrivals, record, variants)
+	}
+	j.v.Figures["records_lost_with_kills"] = float64(missing)
+}
+
+// variantsByVersion tells which variant of the description is in force in each version.
+func variantsByVersion(history []clusterconfig.HistoryRecord) map[uint64]int {
 	variants := map[uint64]int{}
-	now := 1
+	current := 1
 	for _, r := range history {
 		if v := variantOf(r); v > 0 {
-			now = v
+			current = v
 		}
-		variants[r.Version] = now
+		variants[r.Version] = current
 	}
+	return variants
+}
+
+// readAccessLogs reads what the instances recorded of their requests, by trace.
+func (c *clusterRun) readAccessLogs(j *ruleChecker) map[string]gateway.RequestRecord {
 	records := map[string]gateway.RequestRecord{}
 	for _, m := range c.instances() {
 		f, err := os.Open(filepath.Join(c.dir, fmt.Sprintf("access-%d.jsonl", m.id)))
@@ -40,63 +77,74 @@
 			if json.Unmarshal(lines.Bytes(), &r) != nil || r.Trace == "" {
 				continue // the half of a line, of an instance that was killed
 			}
-			if _, twice := records[r.Trace]; twice {
+			if _, isRepeated := records[r.Trace]; isRepeated {
 				j.violation("one_answer", "%s was answered twice by the instances", r.Trace)
 			}
 			records[r.Trace] = r
 		}
 		f.Close()
 	}
-	by := map[string]testserver.Try{}
-	for _, t := range tries {
-		by[t.Trace] = t
-	}
-	keyed, forKey := 0, 0
+	return records
+}
+
+// addKeyRejectionShare tells which share of the bookings was rejected for the owner of their key.
+func addKeyRejectionShare(j *ruleChecker, tries []testserver.Try, records map[string]gateway.RequestRecord) {
+	booked, rejected := 0, 0
 	for _, t := range tries {
-		if t.Operation == "bookVisit" && t.At.Sub(tries[0].At) > keyHoldAfterStart {
-			if keyed++; records[t.Trace].KeyRejection != "" {
-				forKey++
-			}
-		}
-	}
-	if keyed > 0 {
-		j.v.Figures["refused_for_key_share"] = math.Round(float64(forKey)/float64(keyed)*10000) / 10000
-	}
-	missed := 0
-	for trace, as := range byTrace {
-		first := as[0]
-		r, ok := records[trace]
-		if t, asked := by[trace]; !ok && asked {
-			m := at[t.Instance]
-			m.downMu.Lock()
-			lost := slices.ContainsFunc(m.killed, func(k time.Time) bool { return t.At.Before(k) && k.Sub(t.Ended) < lostLog })
-			m.downMu.Unlock()
-			if missed++; !lost && time.Since(t.Ended) > lostLog {
-				j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Hall)
-			}
+		if t.Operation != "bookVisit" || t.At.Sub(tries[0].At) <= keyHoldAfterStart {
 			continue
-		} else if !asked {
-			continue // a scenario's own
 		}
-		variant, known := variants[r.Version]
-		want := changingPrice(variant, first.Operation, first.Units)
-		j.v.UnitsDeclared += want
-		j.v.UnitsCounted += r.Units
-		switch {
-		case !known:
-			j.violation("versions", "%s was matched with version %d, which is not in the history", trace, r.Version)
-		case !r.Sent || r.Operation != first.Operation:
-			j.violation("operations", "%s was charged as %s (sent: %v) and reached %s as %s", trace, r.Operation, r.Sent, first.Hall, first.Operation)
-		case r.Units != want:
-			j.violation("units", "%s (%s, version %d, variant %d) was charged %d units; %d are right", trace, r.Operation, r.Version, variant, r.Units, want)
+		booked++
+		if records[t.Trace].KeyRejection != "" {
+			rejected++
 		}
-		for _, a := range as {
-			if uint64(a.Version) != r.Version {
-				j.violation("versions", "%s was matched with version %d and sent on with %d", trace, r.Version, a.Version)
-			}
+	}
+	if booked > 0 {
+		j.v.Figures["refused_for_key_share"] = math.Round(float64(rejected)/float64(booked)*10000) / 10000
+	}
+}
+
+// checkMissingRecord checks a request that reached a site and that its instance m has no record of: m must have been
+// killed at a time when it may not have written it yet.
+func checkMissingRecord(j *ruleChecker, first testserver.Arrival, t testserver.Try, m *member) {
+	m.downMu.Lock()
+	isLost := slices.ContainsFunc(m.killed, func(killed time.Time) bool {
+		return t.At.Before(killed) && killed.Sub(t.Ended) < lostLog
+	})
+	m.downMu.Unlock()
+	if !isLost && time.Since(t.Ended) > lostLog {
+		j.violation("units", "%s (%s) reached %s and was charged by no instance", first.Trace, first.Operation,
+			first.Hall)
+	}
+}
+
+// checkCharge checks the record of one request against its attempts, as the sites saw them.
+func checkCharge(
+	j *ruleChecker,
+	arrivals []testserver.Arrival,
+	r gateway.RequestRecord,
+	variants map[uint64]int,
+) {
+	first := arrivals[0]
+	variant, isKnown := variants[r.Version]
+	want := changingPrice(variant, first.Operation, first.Units)
+	j.v.UnitsDeclared += want
+	j.v.UnitsCounted += r.Units
+	switch {
+	case !isKnown:
+		j.violation("versions", "%s was matched with version %d, which is not in the history", r.Trace, r.Version)
+	case !r.Sent || r.Operation != first.Operation:
+		j.violation("operations", "%s was charged as %s (sent: %v) and reached %s as %s",
+			r.Trace, r.Operation, r.Sent, first.Hall, first.Operation)
+	case r.Units != want:
+		j.violation("units", "%s (%s, version %d, variant %d) was charged %d units; %d are right",
+			r.Trace, r.Operation, r.Version, variant, r.Units, want)
+	}
+	for _, a := range arrivals {
+		if uint64(a.Version) != r.Version {
+			j.violation("versions", "%s was matched with version %d and sent on with %d", r.Trace, r.Version, a.Version)
 		}
 	}
-	j.v.Figures["records_lost_with_kills"] = float64(missed)
 }
 
 // checkVersionOrder checks, on the sites' record, that no instance routes a request with an older
@@ -118,7 +166,8 @@
 			byInstance[t.Instance] = append(byInstance[t.Instance], event{t.At, t.Trace, a.Version, false})
 		}
 		if t.Served {
-			byInstance[t.Instance] = append(byInstance[t.Instance], event{t.Ended, t.Trace, as[len(as)-1].Version, true})
+			byInstance[t.Instance] = append(byInstance[t.Instance],
+				event{t.Ended, t.Trace, as[len(as)-1].Version, true})
 		}
 	}
 	for name, es := range byInstance {
@@ -128,7 +177,8 @@
 			if e.ended {
 				newest = max(newest, e.version)
 			} else if e.version < newest {
-				j.violation("versions", "%s was routed with version %d at %s, which had answered on %d", e.trace, e.version, name, newest)
+				j.violation("versions", "%s was routed with version %d at %s, which had answered on %d", e.trace,
+					e.version, name, newest)
 			}
 		}
 	}
@@ -160,7 +210,8 @@
 			continue
 		}
 		if o.applied && version[o.id] != o.version && o.version >= history[0].Version {
-			j.violation("changes", "%s was answered as version %d; the history has it as %d (0: lost)", o.id, o.version, version[o.id])
+			j.violation("changes", "%s was answered as version %d; the history has it as %d (0: lost)", o.id,
+				o.version, version[o.id])
 		}
 		es = append(es, event{o.call, o, false}, event{o.ret, o, true})
 	}
@@ -173,7 +224,8 @@
 			continue
 		}
 		if e.o.version < floor[e.o.id] || e.o.applied && e.o.version == floor[e.o.id] {
-			j.violation("changes", "%s was answered version %d after another ask had ended on %d", e.o.id, e.o.version, floor[e.o.id])
+			j.violation("changes", "%s was answered version %d after another ask had ended on %d", e.o.id,
+				e.o.version, floor[e.o.id])
 		}
 		newest = max(newest, e.o.version)
 	}
--- a/internal/scenario/cluster_operators.go
+++ b/internal/scenario/cluster_operators.go
@@ -28,22 +28,30 @@
 func (c *clusterRun) applyFirstConfig(ctx context.Context, halls []gateway.Site) error {
 	p := &clusterconfig.Proposal{ID: "begin", Reason: variantWhy(1)}
 	for _, k := range classes() {
-		p.Changes = append(p.Changes, clusterconfig.NewPutChange("class", k.Name, clusterconfig.Class{PriorityWeight: k.PriorityWeight, LateFraction: k.LateFraction, LatencyObjectiveMs: k.LatencyObjective.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("class", k.Name,
+			clusterconfig.Class{PriorityWeight: k.PriorityWeight, LateFraction: k.LateFraction,
+				LatencyObjectiveMs: k.LatencyObjective.Milliseconds(), DeadlineMs: k.Deadline.Milliseconds()}))
 	}
 	for _, pl := range settings(0).Plans {
-		p.Changes = append(p.Changes, clusterconfig.NewPutChange("plan", pl.Name, clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, HardLimitRate: pl.HardLimitRate, HardLimitBurst: pl.HardLimitBurst,
-			HardLimitSlack: pl.HardLimitSlack, PriorityFactor: pl.PriorityFactor, OverQuotaFraction: pl.OverQuotaFraction, OverQuotaCost: pl.OverQuotaCost}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("plan", pl.Name,
+			clusterconfig.Plan{Rate: pl.Rate, Burst: pl.Burst, HardLimitRate: pl.HardLimitRate,
+				HardLimitBurst: pl.HardLimitBurst,
+				HardLimitSlack: pl.HardLimitSlack, PriorityFactor: pl.PriorityFactor,
+				OverQuotaFraction: pl.OverQuotaFraction, OverQuotaCost: pl.OverQuotaCost}))
 	}
 	for _, l := range allLicensees() {
-		p.Changes = append(p.Changes, clusterconfig.NewPutChange("licensee", l.Name, clusterconfig.Licensee{Plan: l.Plan}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("licensee", l.Name,
+			clusterconfig.Licensee{Plan: l.Plan}))
 	}
 	for _, m := range c.followers {
 		p.Changes = append(p.Changes, clusterconfig.NewPutChange("follower", m.follows, clusterconfig.Follower{}))
 	}
 	for _, h := range halls {
-		p.Changes = append(p.Changes, clusterconfig.NewPutChange("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Discovery.String()}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("hall", h.Name,
+			clusterconfig.Site{DiscoveryAddress: h.Discovery.String()}))
 	}
-	p.Changes = append(p.Changes, clusterconfig.NewPutChange("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
+	p.Changes = append(p.Changes, clusterconfig.NewPutChange("description", "booking",
+		clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
 	ctx, cancel := context.WithTimeout(ctx, startMost)
 	defer cancel()
 	for {
@@ -73,11 +81,24 @@
 	return 0
 }
 
+// Shares of what an operator does, each up to the bound: the rest are changes against the version that it has read.
+const (
+	readBound        = 0.1
+	descriptionBound = 0.2 // three prices, and a class that is new
+	invalidBound     = 0.3 // rejected by all alike
+	trialPlanBound   = 0.5 // a plan that comes and goes
+	removalBound     = 0.6
+	planBound        = 0.8
+)
+
+// operatorTimeout is how long an operator waits for one answer.
+const operatorTimeout = 4 * time.Second
+
 // runOperator is one operator: it changes descriptions, plans and licensees at random moments,
 // some against the version it has read, some bad, and reads.
-func (c *clusterRun) runOperator(ctx context.Context, i int) {
-	rng := rand.New(rand.NewPCG(c.environment.options.Seed, uint64(100+i)))
-	cl, gap := c.clients[i], operatorGap
+func (c *clusterRun) runOperator(ctx context.Context, operator int) {
+	rng := rand.New(rand.NewPCG(c.environment.options.Seed, uint64(100+operator)))
+	gap := operatorGap
 	if c.environment.scenario.small {
 		gap *= 10
 	}
@@ -87,48 +108,9 @@
 			return
 		case <-time.After(time.Duration(rng.ExpFloat64() * float64(gap))):
 		}
-		o := configChange{id: fmt.Sprintf("op%d-%d", i, n), call: time.Now()}
-		p := &clusterconfig.Proposal{ID: o.id}
-		one, cancel := context.WithTimeout(ctx, 4*time.Second)
-		var err error
-		switch x := rng.Float64(); {
-		case x < 0.1:
-			var objects cluster.Objects
-			objects, err = cl.Objects(one, false)
-			o.version, o.read = objects.Version, true
-		case x < 0.2: // a description: three prices, and a class that is new
-			v := 2 + rng.IntN(20)
-			p.Reason = variantWhy(v)
-			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(variant(v, false))})}
-		case x < 0.3: // bad: refused by all alike
-			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("licensee", "bad", clusterconfig.Licensee{Plan: "none"})}
-		case x < 0.5: // a plan that comes and goes
-			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("plan", fmt.Sprint("trial-", rng.IntN(5)), clusterconfig.Plan{Rate: 1, Burst: 5, PriorityFactor: 1})}
-		case x < 0.6:
-			p.Changes = []clusterconfig.Change{{Op: "remove", Kind: "plan", Name: fmt.Sprint("trial-", rng.IntN(5))}}
-		case x < 0.8:
-			p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("plan", "msingi", clusterconfig.Plan{Rate: 6, Burst: 20 + float64(rng.IntN(8)), PriorityFactor: 0.88, OverQuotaFraction: 0.3})}
-		default: // against what it has read
-			var objects cluster.Objects
-			if objects, err = cl.Objects(one, false); err == nil {
-				p.BaseVersion = &objects.Version
-				p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("licensee", fmt.Sprint("new-", i), clusterconfig.Licensee{Plan: "kati"})}
-			}
-		}
-		if err == nil && !o.read {
-			for { // until its answer is known: the same id, so that it takes place once
-				var out clusterconfig.Outcome
-				out, err = cl.Propose(one, p)
-				o.version, o.applied = out.Version, out.IsApplied
-				if a, ok := errors.AsType[*cluster.ResponseError](err); err == nil || ok && a.Status == http.StatusConflict || one.Err() != nil {
-					break
-				}
-				select {
-				case <-one.Done():
-				case <-time.After(20 * time.Millisecond):
-				}
-			}
-		}
+		o := configChange{id: fmt.Sprintf("op%d-%d", operator, n), call: time.Now()}
+		callCtx, cancel := context.WithTimeout(ctx, operatorTimeout)
+		err := c.operate(callCtx, operator, rng, &o)
 		cancel()
 		o.ret, o.known = time.Now(), err == nil
 		c.mu.Lock()
@@ -137,6 +119,68 @@
 	}
 }
 
+// operate reads, or proposes a random change, and notes the answer in o.
+func (c *clusterRun) operate(ctx context.Context, operator int, rng *rand.Rand, o *configChange) error {
+	client := c.clients[operator]
+	draw := rng.Float64()
+	if draw < readBound {
+		objects, err := client.Objects(ctx, false)
+		o.version, o.read = objects.Version, true
+		return err
+	}
+	p := &clusterconfig.Proposal{ID: o.id}
+	switch {
+	case draw < descriptionBound:
+		n := 2 + rng.IntN(20)
+		p.Reason = variantWhy(n)
+		p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("description", "booking",
+			clusterconfig.Description{File: "booking.yaml", Text: string(variant(n, false))})}
+	case draw < invalidBound:
+		p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("licensee", "bad",
+			clusterconfig.Licensee{Plan: "none"})}
+	case draw < trialPlanBound:
+		p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("plan", fmt.Sprint("trial-", rng.IntN(5)),
+			clusterconfig.Plan{Rate: 1, Burst: 5, PriorityFactor: 1})}
+	case draw < removalBound:
+		p.Changes = []clusterconfig.Change{{Op: "remove", Kind: "plan", Name: fmt.Sprint("trial-", rng.IntN(5))}}
+	case draw < planBound:
+		burst := 20 + float64(rng.IntN(8))
+		p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("plan", "msingi",
+			clusterconfig.Plan{Rate: 6, Burst: burst, PriorityFactor: 0.88, OverQuotaFraction: 0.3})}
+	default:
+		objects, err := client.Objects(ctx, false)
+		if err != nil {
+			return err
+		}
+		p.BaseVersion = &objects.Version
+		p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("licensee", fmt.Sprint("new-", operator),
+			clusterconfig.Licensee{Plan: "kati"})}
+	}
+	return proposeUntilKnown(ctx, client, p, o)
+}
+
+// proposeUntilKnown repeats a proposal until its outcome is known. The id stays the same, so that it is applied once.
+func proposeUntilKnown(
+	ctx context.Context,
+	client *cluster.Client,
+	p *clusterconfig.Proposal,
+	o *configChange,
+) error {
+	for {
+		outcome, err := client.Propose(ctx, p)
+		o.version, o.applied = outcome.Version, outcome.IsApplied
+		answer, isAnswer := errors.AsType[*cluster.ResponseError](err)
+		isConflict := isAnswer && answer.Status == http.StatusConflict
+		if err == nil || isConflict || ctx.Err() != nil {
+			return err
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(20 * time.Millisecond):
+		}
+	}
+}
+
 // countApplied counts the changes that operators know to be applied, and the last of them.
 func (c *clusterRun) countApplied() (n int, last time.Time) {
 	c.mu.Lock()
--- a/internal/scenario/cluster_process.go
+++ b/internal/scenario/cluster_process.go
@@ -38,23 +38,28 @@
 func (c *clusterRun) config(i int) string {
 	m := c.instances()[i]
 	var b strings.Builder
-	fmt.Fprintf(&b, "name = \"gate-%d\"\nlisten = %q\nzone = %q\ninstance = %d\npeer_listen = %q\npeers = [", m.id, m.listen, siteName(i%2), i, m.udp)
+	fmt.Fprintf(&b, "name = \"gate-%d\"\nlisten = %q\nzone = %q\ninstance = %d\npeer_listen = %q\npeers = [", m.id,
+		m.listen, siteName(i%2), i, m.udp)
 	for _, o := range c.instances() {
 		fmt.Fprintf(&b, "%q, ", o.udp)
 	}
-	fmt.Fprintf(&b, "]\naccess_log = \"access-%d.jsonl\"\n[limits]\ndrain_for = \"50ms\"\nanswer_slack = \"8ms\"\nmax_attempts = 5\n", m.id)
+	fmt.Fprintf(&b, "]\naccess_log = \"access-%d.jsonl\"\n", m.id)
+	b.WriteString("[limits]\ndrain_for = \"50ms\"\nanswer_slack = \"8ms\"\nmax_attempts = 5\n")
 	b.WriteString("[servers]\ndrain_grace = \"250ms\"\n")
 	if !c.environment.options.RampOff { // without these every server is warm, and sites have no bounds of their own
 		b.WriteString("cold_from = 0.17\nramp_time = \"15s\"\nfall_multiple = 2.5\noverload_for = \"2s\"\n")
 	}
 	if m.follows != "" {
-		fmt.Fprintf(&b, "[follow]\ncluster = %q\nname = %q\ndata = \"gate-%d.db\"\ncerts = \"certs\"\n", clusterName, m.follows, m.id)
+		fmt.Fprintf(&b, "[follow]\ncluster = %q\nname = %q\ndata = \"gate-%d.db\"\ncerts = \"certs\"\n", clusterName,
+			m.follows, m.id)
 		for j, o := range c.members {
-			fmt.Fprintf(&b, "[[follow.member]]\nnumber = %d\nstream = %q\n", o.id, c.streams[[2]int{i - len(c.members), j}].addr())
+			fmt.Fprintf(&b, "[[follow.member]]\nnumber = %d\nstream = %q\n", o.id,
+				c.streams[linkEnds{i - len(c.members), j}].addr())
 		}
 		return b.String()
 	}
-	fmt.Fprintf(&b, "[cluster]\nname = %q\nnumber = %d\ndata = \"gate-%d.db\"\ncerts = \"certs\"\ntick = %q\n", clusterName, m.id, m.id, memberTick)
+	fmt.Fprintf(&b, "[cluster]\nname = %q\nnumber = %d\ndata = \"gate-%d.db\"\ncerts = \"certs\"\ntick = %q\n",
+		clusterName, m.id, m.id, memberTick)
 	if c.environment.options.KeysAnywhere {
 		b.WriteString("keys = \"anywhere\"\n")
 	}
@@ -67,14 +72,15 @@
 	if c.environment.scenario.sites {
 		fmt.Fprintf(&b, "[cluster.link]\nlisten = %q\n", m.site)
 		for j, o := range c.members {
-			if way := c.ways[[2]int{i, j}]; way != nil {
-				fmt.Fprintf(&b, "[[cluster.link.far]]\nhall = %q\nmember = %d\naddress = %q\n", siteName(j%2), o.id, way.addr())
+			if way := c.ways[linkEnds{i, j}]; way != nil {
+				fmt.Fprintf(&b, "[[cluster.link.far]]\nhall = %q\nmember = %d\naddress = %q\n", siteName(j%2), o.id,
+					way.addr())
 			}
 		}
 	}
 	for j, o := range c.members {
 		raft := o.raft
-		if l := c.links[[2]int{i, j}]; l != nil {
+		if l := c.links[linkEnds{i, j}]; l != nil {
 			raft = l.addr()
 		}
 		fmt.Fprintf(&b, "[[cluster.member]]\nnumber = %d\nraft = %q\nadmin = %q\n", o.id, raft, o.admin)
@@ -144,7 +150,10 @@
 func (m *member) wasDown(from, to time.Time) bool {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
-	return slices.ContainsFunc(m.down, func(s interval) bool { return s.from.Before(to) && (s.to.IsZero() || from.Before(s.to)) })
+	return slices.ContainsFunc(m.down, func(s interval) bool {
+		return s.from.Before(to) &&
+			(s.to.IsZero() || from.Before(s.to))
+	})
 }
 
 // kill ends a member with SIGKILL.
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -18,18 +18,11 @@
 // checkRules waits until all members are of one mind and judges the run.
 func (c *clusterRun) checkRules(ctx context.Context, tries []testserver.Try, began time.Time) *Verdict {
 	w := c.environment
-	v := &Verdict{Scenario: w.scenario.Name, Seed: w.options.Seed, Figures: map[string]float64{}, Rules: map[string]int{
-		"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
-		"units": 0, "operations": 0, "versions": 0, "one_mind": 0, "changes": 0, "scenario": 0}}
+	v := w.newVerdict("one_mind", "changes")
 	j := &ruleChecker{v}
 	history := c.checkAgreement(ctx, j)
 	c.checkFollowers(ctx, j)
-	arrivals := w.ledger.Arrivals()
-	slices.SortStableFunc(arrivals, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
-	byTrace := map[string][]testserver.Arrival{}
-	for _, a := range arrivals {
-		byTrace[a.Trace] = append(byTrace[a.Trace], a)
-	}
+	arrivals, byTrace := w.arrivals()
 	at := map[string]*member{}
 	for _, m := range c.instances() {
 		at[m.listen] = m
@@ -43,30 +36,15 @@
 		return down
 	})
 	j.checkEffects(arrivals, byTrace)
-	for _, s := range w.ledger.Strays() {
-		j.violation("operations", "the halls know no operation for %s", s)
-	}
-	for _, s := range w.ledger.Fallen() {
-		j.violation("cold_servers", "%s was pushed over", s)
-	}
+	w.checkSites(j)
 	j.checkHardLimits(byTrace)
 	c.checkCharges(j, byTrace, tries, at, history)
 	checkVersionOrder(j, tries, byTrace)
 	c.checkConfigChanges(j, history)
-	for _, n := range w.notes {
-		j.violation("scenario", "%s", n)
-	}
+	w.reportNotes(j)
 	j.addFigures(tries, len(arrivals), time.Since(began))
-	n, _ := c.countApplied()
-	v.Figures["changes"], v.Figures["kills"], v.Figures["no_answer_while_down"] = float64(n), float64(c.kills), float64(excused)
-	v.Figures["disks_failed"] = float64(c.failed)
-	for i, g := range c.gaps {
-		v.Figures[fmt.Sprint("kill_to_change_ms_", i+1)] = math.Round(g.Seconds() * 1000)
-	}
-	for i, l := range c.losses {
-		v.Figures[fmt.Sprint("hall_lost_ms_", i+1)] = math.Round(l[0].Seconds() * 1000)
-		v.Figures[fmt.Sprint("hall_back_ms_", i+1)] = math.Round(l[1].Seconds() * 1000)
-	}
+	v.Figures["no_answer_while_down"] = float64(excused)
+	c.addFaultFigures(v)
 	if c.surge != nil {
 		c.surge.figures(j, tries, arrivals, byTrace, w.serverCount(), w.coreCount())
 	}
@@ -74,25 +52,46 @@
 		c.checkIsolated(j, s, arrivals)
 	}
 	if c.flaps > 0 && w.scenario.Name == "flapping" {
-		// A loss takes half a second of silence, a return a hold that doubles.
-		lost, most := 0, 0
-		for _, r := range history {
-			if slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") }) && strings.Contains(r.Reason, "silence") {
-				lost++
-			}
-		}
-		for spent := time.Duration(0); spent < w.options.For; most++ {
-			spent += 500*time.Millisecond + time.Second<<min(most, 5)
-		}
-		if v.Figures["flaps"], v.Figures["losses_agreed"], v.Figures["losses_at_most"] = float64(c.flaps), float64(lost), float64(most); lost > most {
-			j.violation("scenario", "the halls were agreed to be lost %d times; their holds allow %d", lost, most)
+		c.checkFlapping(j, history)
+	}
+	v.judge()
+	return v
+}
+
+// addFaultFigures tells of the faults of the run and how long the instances took to agree on them.
+func (c *clusterRun) addFaultFigures(v *Verdict) {
+	applied, _ := c.countApplied()
+	v.Figures["changes"] = float64(applied)
+	v.Figures["kills"] = float64(c.kills)
+	v.Figures["disks_failed"] = float64(c.failed)
+	for i, g := range c.gaps {
+		v.Figures[fmt.Sprint("kill_to_change_ms_", i+1)] = math.Round(g.Seconds() * 1000)
+	}
+	for i, l := range c.losses {
+		v.Figures[fmt.Sprint("hall_lost_ms_", i+1)] = math.Round(l.untilLost.Seconds() * 1000)
+		v.Figures[fmt.Sprint("hall_back_ms_", i+1)] = math.Round(l.untilBack.Seconds() * 1000)
+	}
+}
+
+// checkFlapping checks that a site that fails and returns all the time is agreed to be lost no more often than the
+// holds allow: a loss takes half a second of silence, a return a hold that doubles.
+func (c *clusterRun) checkFlapping(j *ruleChecker, history []clusterconfig.HistoryRecord) {
+	lossCount, maxLosses := 0, 0
+	for _, r := range history {
+		putsLost := slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") })
+		if putsLost && strings.Contains(r.Reason, "silence") {
+			lossCount++
 		}
 	}
-	v.OK = true
-	for _, n := range v.Rules {
-		v.OK = v.OK && n == 0
+	for spent := time.Duration(0); spent < c.environment.options.For; maxLosses++ {
+		spent += 500*time.Millisecond + time.Second<<min(maxLosses, 5)
+	}
+	j.v.Figures["flaps"] = float64(c.flaps)
+	j.v.Figures["losses_agreed"] = float64(lossCount)
+	j.v.Figures["losses_at_most"] = float64(maxLosses)
+	if lossCount > maxLosses {
+		j.violation("scenario", "the halls were agreed to be lost %d times; their holds allow %d", lossCount, maxLosses)
 	}
-	return v
 }
 
 // checkIsolated wants bookings served at both sites while the sites were cut from each other.
@@ -145,7 +144,8 @@
 			break
 		}
 		if pause(ctx, 20*time.Millisecond); ctx.Err() != nil {
-			j.violation("one_mind", "the members are not of one mind %v after the last change: the last seen is %s", settle, seen)
+			j.violation("one_mind", "the members are not of one mind %v after the last change: the last seen is %s",
+				settle, seen)
 			return nil
 		}
 	}
@@ -173,11 +173,14 @@
 				said += err.Error() + "; "
 			}
 			for _, f := range c.followers {
-				i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool { return s.Name == f.follows })
+				i := slices.IndexFunc(fs.Followers,
+					func(s configstream.StreamStatus) bool { return s.Name == f.follows })
 				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.NewestVersion {
-					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.MemberID, fs.NewestVersion, f.follows, fs.Followers)
+					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.MemberID, fs.NewestVersion,
+						f.follows, fs.Followers)
 				} else if v, err := versionAt(ctx, f); err != nil || v != fs.NewestVersion {
-					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.MemberID, f.follows, fs.NewestVersion, v, err)
+					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.MemberID,
+						f.follows, fs.NewestVersion, v, err)
 				}
 			}
 		}
@@ -186,7 +189,8 @@
 			return
 		}
 		if pause(ctx, 50*time.Millisecond); ctx.Err() != nil {
-			j.violation("one_mind", "the followers do not run what the members agree on %v after the last fault: %s", settle, said)
+			j.violation("one_mind", "the followers do not run what the members agree on %v after the last fault: %s",
+				settle, said)
 			return
 		}
 	}
--- a/internal/scenario/contract.go
+++ b/internal/scenario/contract.go
@@ -37,10 +37,13 @@
 		text = strings.ReplaceAll(text, old, to)
 	}
 	swap("x-mulleinmux: {units: 3}", fmt.Sprintf("x-mulleinmux: {units: %d}", changingPrice(n, "getVisitSheet", 3)))
-	swap("x-mulleinmux: {units: 5, aim: 700ms}", fmt.Sprintf("x-mulleinmux: {units: %d, aim: %dms}", changingPrice(n, "getDayReport", 5), 600+10*n))
-	swap("x-mulleinmux: {class: visit-book, units: 2}", fmt.Sprintf("x-mulleinmux: {class: visit-book, units: %d}", changingPrice(n, "changeVisit", 2)))
+	swap("x-mulleinmux: {units: 5, aim: 700ms}", fmt.Sprintf("x-mulleinmux: {units: %d, aim: %dms}",
+		changingPrice(n, "getDayReport", 5), 600+10*n))
+	swap("x-mulleinmux: {class: visit-book, units: 2}", fmt.Sprintf("x-mulleinmux: {class: visit-book, units: %d}",
+		changingPrice(n, "changeVisit", 2)))
 	if bad {
-		swap("  /visits/new:\n", "  /{anything}/new/{more}:\n    get: {responses: {\"200\": {description: x}}}\n  /visits/new:\n")
+		swap("  /visits/new:\n",
+			"  /{anything}/new/{more}:\n    get: {responses: {\"200\": {description: x}}}\n  /visits/new:\n")
 	}
 	return []byte(text)
 }
--- a/internal/scenario/faults_members.go
+++ b/internal/scenario/faults_members.go
@@ -9,8 +9,8 @@
 
 // cutOff cuts a member off from all others, or heals its links.
 func (c *clusterRun) cutOff(m *member, cut bool) {
-	for way, l := range c.links {
-		if way[0] == int(m.id-1) || way[1] == int(m.id-1) {
+	for ends, l := range c.links {
+		if ends.from == int(m.id-1) || ends.to == int(m.id-1) {
 			l.setCut(cut)
 		}
 	}
@@ -147,15 +147,15 @@
 				return
 			}
 		case 1: // one-way
-			c.links[[2]int{int(m.id - 1), other}].setCut(true)
+			c.links[linkEnds{int(m.id - 1), other}].setCut(true)
 			pause(ctx, time.Duration(300+c.rng.IntN(700))*time.Millisecond)
-			c.links[[2]int{int(m.id - 1), other}].setCut(false)
+			c.links[linkEnds{int(m.id - 1), other}].setCut(false)
 		case 2:
 			c.cutOff(m, true)
 			pause(ctx, time.Duration(300+c.rng.IntN(700))*time.Millisecond)
 			c.cutOff(m, false)
 		default: // a kill while the others are cut from each other
-			l := c.links[[2]int{other, int(m.id - 1)}]
+			l := c.links[linkEnds{other, int(m.id - 1)}]
 			l.setCut(true)
 			pause(ctx, 200*time.Millisecond)
 			c.kill(c.members[other])
--- a/internal/scenario/faults_sites.go
+++ b/internal/scenario/faults_sites.go
@@ -45,7 +45,9 @@
 			if ctx.Err() != nil {
 				return
 			}
-			p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%d-%v", n, closed), Changes: []clusterconfig.Change{clusterconfig.NewPutChange("hall", h.Name, clusterconfig.Site{DiscoveryAddress: h.Register.Addr().String(), IsClosed: closed})}}
+			p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%d-%v", n, closed),
+				Changes: []clusterconfig.Change{clusterconfig.NewPutChange("hall", h.Name,
+					clusterconfig.Site{DiscoveryAddress: h.Register.Addr().String(), IsClosed: closed})}}
 			one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 4*time.Second)
 			_, err := c.clients[0].Propose(one, p)
 			if cancel(); err != nil {
@@ -139,7 +141,7 @@
 			return
 		}
 		c.mu.Lock()
-		c.losses = append(c.losses, [2]time.Duration{gone, returned})
+		c.losses = append(c.losses, siteLoss{untilLost: gone, untilBack: returned})
 		c.mu.Unlock()
 	}
 }
@@ -171,7 +173,7 @@
 	pause(ctx, cutSettleTime)
 	from := time.Now()
 	pause(ctx, c.environment.options.For/3-cutSettleTime)
-	c.alone = append(c.alone, interval{from, time.Now()})
+	c.alone = append(c.alone, interval{from: from, to: time.Now()})
 	c.cutSites(false)
 }
 
@@ -182,8 +184,8 @@
 const cutSettleTime = 1500 * time.Millisecond
 
 func (c *clusterRun) cutSites(cut bool) {
-	for way, l := range c.links {
-		if way[0]%2 != way[1]%2 {
+	for ends, l := range c.links {
+		if ends.from%2 != ends.to%2 {
 			l.setCut(cut)
 		}
 	}
--- a/internal/scenario/link.go
+++ b/internal/scenario/link.go
@@ -9,6 +9,9 @@
 	"time"
 )
 
+// linkEnds are the indexes of two instances: a link goes from the one to the other.
+type linkEnds struct{ from, to int }
+
 // link is the way from one member to another: a forwarder on loopback that can be cut. The
 // bytes of a member's messages go one way, so that a cut is one-way.
 type link struct {
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -90,7 +90,9 @@
 				k = classes[1]
 			}
 			price := prices[plans[t.Licensee]]
-			w = &wish{at: t.At, licensee: t.Licensee, units: max(units[t.Operation], 1), value: k.PriorityWeight * price, late: k.PriorityWeight * k.LateFraction * price, aim: k.LatencyObjective, work: workOf(t.Operation).Seconds()}
+			w = &wish{at: t.At, licensee: t.Licensee, units: max(units[t.Operation], 1),
+				value: k.PriorityWeight * price, late: k.PriorityWeight * k.LateFraction * price,
+				aim: k.LatencyObjective, work: workOf(t.Operation).Seconds()}
 			byFirst[t.First] = w
 			all = append(all, w)
 		}
@@ -119,7 +121,8 @@
 
 func (s *surge) warmth(at time.Time) float64 {
 	set := settings(0)
-	return math.Min(set.SlowStartMinFraction+(1-set.SlowStartMinFraction)*at.Sub(s.back).Seconds()/set.SlowStartWindow.Seconds(), 1)
+	least, window := set.SlowStartMinFraction, set.SlowStartWindow
+	return math.Min(least+(1-least)*at.Sub(s.back).Seconds()/window.Seconds(), 1)
 }
 
 // oracle runs the whole run: which wishes can be served within their aim. Each takes units of its licensee's store,
@@ -200,7 +203,8 @@
 }
 
 // figures holds what was served against the oracle, and the time to full use against the shortest.
-func (s *surge) figures(j *ruleChecker, tries []testserver.Try, arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival, servers, cores int) {
+func (s *surge) figures(j *ruleChecker, tries []testserver.Try, arrivals []testserver.Arrival,
+	byTrace map[string][]testserver.Arrival, servers, cores int) {
 	all := wishes(tries, byTrace)
 	oracle := s.oracle(all, servers, cores)
 	share := func(name string, from, to time.Time) {
@@ -228,7 +232,9 @@
 	}
 	wanted := fullShare * done(s.calm, s.lost)
 	set := settings(0)
-	shortest := math.Max((wanted/float64(servers*cores)-set.SlowStartMinFraction)/(1-set.SlowStartMinFraction)*set.SlowStartWindow.Seconds(), 0)
+	least, window := set.SlowStartMinFraction, set.SlowStartWindow
+	fraction := wanted / float64(servers*cores) // of the site's cores, to do the wanted work
+	shortest := math.Max((fraction-least)/(1-least)*window.Seconds(), 0)
 	j.v.Figures["full_use_shortest_s"] = math.Round(shortest*10) / 10
 	for at := s.back; at.Add(time.Second).Before(s.end); at = at.Add(100 * time.Millisecond) {
 		if done(at, at.Add(time.Second)) >= wanted {
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -64,16 +64,9 @@
 
 // checkRules holds the account of the sites and of the clients against the instances' own.
 func (w *environment) checkRules(tries []testserver.Try, began time.Time) *Verdict {
-	v := &Verdict{Scenario: w.scenario.Name, Seed: w.options.Seed, Figures: map[string]float64{}, Rules: map[string]int{
-		"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
-		"units": 0, "operations": 0, "versions": 0, "scenario": 0}}
+	v := w.newVerdict()
 	j := &ruleChecker{v}
-	arrivals := w.ledger.Arrivals()
-	slices.SortStableFunc(arrivals, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
-	byTrace := map[string][]testserver.Arrival{}
-	for _, a := range arrivals {
-		byTrace[a.Trace] = append(byTrace[a.Trace], a)
-	}
+	arrivals, byTrace := w.arrivals()
 	records := map[string]gateway.RequestRecord{}
 	for _, r := range w.records {
 		if _, twice := records[r.Trace]; twice {
@@ -84,23 +77,66 @@
 	j.checkAnswers(tries, func(testserver.Try) bool { return false })
 	j.checkEffects(arrivals, byTrace)
 	j.checkCosts(byTrace, records)
+	w.checkSites(j)
+	j.checkHardLimits(byTrace)
+	w.checkCounters(j)
+	w.reportNotes(j)
+	j.addFigures(tries, len(arrivals), time.Since(began))
+	v.judge()
+	return v
+}
+
+// newVerdict begins a verdict with the rules of every scenario and those given.
+func (w *environment) newVerdict(rules ...string) *Verdict {
+	v := &Verdict{
+		Scenario: w.scenario.Name,
+		Seed:     w.options.Seed,
+		Figures:  map[string]float64{},
+		Rules: map[string]int{
+			"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
+			"units": 0, "operations": 0, "versions": 0, "scenario": 0,
+		},
+	}
+	for _, rule := range rules {
+		v.Rules[rule] = 0
+	}
+	return v
+}
+
+// judge sets whether every rule was kept.
+func (v *Verdict) judge() {
+	v.OK = true
+	for _, violations := range v.Rules {
+		v.OK = v.OK && violations == 0
+	}
+}
+
+// arrivals are the requests that reached the sites, in the order of their times, and the same by trace.
+func (w *environment) arrivals() (all []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
+	all = w.ledger.Arrivals()
+	slices.SortStableFunc(all, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
+	byTrace = map[string][]testserver.Arrival{}
+	for _, a := range all {
+		byTrace[a.Trace] = append(byTrace[a.Trace], a)
+	}
+	return all, byTrace
+}
+
+// checkSites reports requests that no operation is for, and servers that were overloaded while they warmed up.
+func (w *environment) checkSites(j *ruleChecker) {
 	for _, s := range w.ledger.Strays() {
 		j.violation("operations", "the halls know no operation for %s", s)
 	}
 	for _, s := range w.ledger.Fallen() {
 		j.violation("cold_servers", "%s was pushed over", s)
 	}
-	j.checkHardLimits(byTrace)
-	w.checkCounters(j)
+}
+
+// reportNotes reports what the scenario itself found wrong.
+func (w *environment) reportNotes(j *ruleChecker) {
 	for _, n := range w.notes {
 		j.violation("scenario", "%s", n)
 	}
-	j.addFigures(tries, len(arrivals), time.Since(began))
-	v.OK = true
-	for _, n := range v.Rules {
-		v.OK = v.OK && n == 0
-	}
-	return v
 }
 
 // checkAnswers checks that each try of a client had one whole answer, its own and in time. A try
@@ -151,7 +187,8 @@
 		}
 		if before, twice := done[name]; twice {
 			j.v.Duplicates++
-			j.violation("no_effect_twice", "%s (%s) had its effect at %s and at %s", name, a.Operation, before, a.Hall+"/"+a.Server)
+			j.violation("no_effect_twice", "%s (%s) had its effect at %s and at %s", name, a.Operation, before,
+				a.Hall+"/"+a.Server)
 		}
 		done[name] = a.Hall + "/" + a.Server
 	}
@@ -165,11 +202,14 @@
 			if ran != nil {
 				switch {
 				case a.Effect == "unsafe":
-					j.violation("no_effect_twice", "%s (%s) is unsafe, may have run and was sent again", trace, a.Operation)
+					j.violation("no_effect_twice", "%s (%s) is unsafe, may have run and was sent again", trace,
+						a.Operation)
 				case a.Effect == "keyed" && a.Hall != ran.Hall:
-					j.violation("no_effect_twice", "%s (%s) may have run at %s and was sent to %s", trace, a.Operation, ran.Hall, a.Hall)
+					j.violation("no_effect_twice", "%s (%s) may have run at %s and was sent to %s", trace,
+						a.Operation, ran.Hall, a.Hall)
 				case a.Effect == "keyed" && a.At.Sub(ran.At) > 4*time.Second+windowSlack:
-					j.violation("no_effect_twice", "%s (%s) was sent again after %v", trace, a.Operation, a.At.Sub(ran.At))
+					j.violation("no_effect_twice", "%s (%s) was sent again after %v", trace, a.Operation,
+						a.At.Sub(ran.At))
 				}
 			}
 			if ran == nil && a.Ran {
@@ -198,21 +238,25 @@
 		j.v.UnitsDeclared += first.Units
 		r, ok := records[trace]
 		if !ok || !r.Sent {
-			j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Hall)
+			j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation,
+				first.Hall)
 			continue
 		}
 		if r.Operation != first.Operation {
-			j.violation("operations", "%s was charged as %s and reached %s as %s", trace, r.Operation, first.Hall, first.Operation)
+			j.violation("operations", "%s was charged as %s and reached %s as %s", trace, r.Operation, first.Hall,
+				first.Operation)
 		}
 		if r.Units != first.Units {
-			j.violation("units", "%s (%s, version %d) was charged %d units; %d were declared", trace, r.Operation, r.Version, r.Units, first.Units)
+			j.violation("units", "%s (%s, version %d) was charged %d units; %d were declared", trace, r.Operation,
+				r.Version, r.Units, first.Units)
 		}
 		if r.Attempts < len(as) {
 			j.violation("units", "%s: the instance knows of %d attempts of %d", trace, r.Attempts, len(as))
 		}
 		for _, a := range as {
 			if uint64(a.Version) != r.Version {
-				j.violation("versions", "%s was matched with version %d and sent on with %d", trace, r.Version, a.Version)
+				j.violation("versions", "%s was matched with version %d and sent on with %d", trace, r.Version,
+					a.Version)
 			}
 		}
 	}
@@ -279,7 +323,8 @@
 		j.violation("units", "%d units counted in all, %d declared", j.v.UnitsCounted, j.v.UnitsDeclared)
 	}
 	if answers["served"] != j.v.Served || answers["refused"] != j.v.Refused || answers["failed"] != j.v.Failed {
-		j.violation("one_answer", "the instances count %v; clients had %d served, %d refused, %d failed", answers, j.v.Served, j.v.Refused, j.v.Failed)
+		j.violation("one_answer", "the instances count %v; clients had %d served, %d refused, %d failed", answers,
+			j.v.Served, j.v.Refused, j.v.Failed)
 	}
 }
 
@@ -315,9 +360,11 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, seed %d: %s\n\n", v.Scenario, v.Seed, word)
-	fmt.Fprintf(&b, "requests %d: %d served, %d refused, %d failed, %d unanswered\n", v.Requests, v.Served, v.Refused, v.Failed, v.Unanswered)
+	fmt.Fprintf(&b, "requests %d: %d served, %d refused, %d failed, %d unanswered\n", v.Requests, v.Served, v.Refused,
+		v.Failed, v.Unanswered)
 	fmt.Fprintf(&b, "units %d declared, %d counted; %d duplicates\n", v.UnitsDeclared, v.UnitsCounted, v.Duplicates)
-	fmt.Fprintf(&b, "served within %.1f ms (median), %.1f ms (99 in 100)\n\n", v.Figures["served_p50_ms"], v.Figures["served_p99_ms"])
+	fmt.Fprintf(&b, "served within %.1f ms (median), %.1f ms (99 in 100)\n\n", v.Figures["served_p50_ms"],
+		v.Figures["served_p99_ms"])
 	for _, name := range slices.Sorted(maps.Keys(v.Rules)) {
 		fmt.Fprintf(&b, "%-18s %d violations\n", name, v.Rules[name])
 	}
