--- /dev/null
+++ b/internal/gateway/relay_harness_test.go
@@ -0,0 +1,140 @@
+package gateway
+
+import (
+	"crypto/tls"
+	"io"
+	"net"
+	"sync"
+	"testing"
+
+	"mulleinmux/internal/raftnode"
+)
+
+// way is the network between two sites: a forwarder whose connections can be broken, or kept from the far side
+// while they look well from the near one.
+type way struct {
+	ln   net.Listener
+	to   string
+	life sync.WaitGroup
+
+	mu    sync.Mutex
+	conns []net.Conn // of the near side
+	all   []net.Conn
+	hold  chan struct{} // what comes waits for its close; nil: nothing waits
+	came  chan bool     // takes a word for each piece that waits
+}
+
+func newWay(t *testing.T, to string) *way {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := &way{ln: ln, to: to, came: make(chan bool, 100)}
+	w.life.Go(func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			far, err := net.Dial("tcp", w.to)
+			if err != nil {
+				c.Close()
+				continue
+			}
+			w.mu.Lock()
+			w.conns, w.all = append(w.conns, c), append(w.all, c, far)
+			w.mu.Unlock()
+			w.life.Go(func() { w.forward(c, far) })
+			w.life.Go(func() { io.Copy(c, far); c.Close() })
+		}
+	})
+	t.Cleanup(func() {
+		ln.Close()
+		w.mu.Lock()
+		for _, c := range w.all {
+			c.Close()
+		}
+		w.mu.Unlock()
+		w.life.Wait()
+	})
+	return w
+}
+
+func (w *way) forward(near, far net.Conn) {
+	defer far.Close()
+	buf := make([]byte, 64<<10)
+	for {
+		n, err := near.Read(buf)
+		w.mu.Lock()
+		hold := w.hold
+		w.mu.Unlock()
+		if n > 0 && hold != nil {
+			w.came <- true
+			<-hold
+		}
+		if _, werr := far.Write(buf[:n]); werr != nil || err != nil {
+			return
+		}
+	}
+}
+
+// breakAll resets the connections of the near side.
+func (w *way) breakAll() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, c := range w.conns {
+		c.(*net.TCPConn).SetLinger(0)
+		c.Close()
+	}
+	w.conns = nil
+}
+
+// setHold has what comes from now on wait.
+func (w *way) setHold(on bool) (release func()) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.hold = nil
+	if on {
+		hold := make(chan struct{})
+		w.hold = hold
+		return func() { close(hold) }
+	}
+	return nil
+}
+
+// twoSites starts an instance of each site, a link between them, and a server at the far hall alone.
+func twoSites(t *testing.T, h *halls, change func(near, far *RelayConfig)) (near, far *running, w *way) {
+	auth, err := raftnode.NewAuthority("test")
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.authority = auth
+	part := func(member uint64, own string) *RelayConfig {
+		creds, err := auth.IssueCredentials(member)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c := creds.TLSConfig()
+		c.SessionTicketsDisabled = true
+		return &RelayConfig{Own: []string{own}, TLS: c, Verify: func(s tls.ConnectionState) (uint64,
+			error) {
+			return raftnode.VerifyMember("test", s)
+		}}
+	}
+	a, b := part(1, "hall-a"), part(2, "hall-b")
+	if b.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	if a.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	w = newWay(t, b.listener.Addr().String())
+	a.Remote = map[string][]RelayPeer{"hall-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
+	if change != nil {
+		change(a, b)
+	}
+	h.server("hall-b", "s1")
+	far = start(t, h, 1, func(c *Config) { c.Relay = b })
+	near = start(t, h, 1, func(c *Config) { c.Relay = a })
+	return near, far, w
+}
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -7,141 +7,12 @@
 	"io"
 	"net"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
-	"mulleinmux/internal/httpwire"
 	"mulleinmux/internal/raftnode"
-	"mulleinmux/multisite"
 )
 
-// way is the network between two sites: a forwarder whose connections can be broken, or kept from the far side
-// while they look well from the near one.
-type way struct {
-	ln   net.Listener
-	to   string
-	life sync.WaitGroup
-
-	mu    sync.Mutex
-	conns []net.Conn // of the near side
-	all   []net.Conn
-	hold  chan struct{} // what comes waits for its close; nil: nothing waits
-	came  chan bool     // takes a word for each piece that waits
-}
-
-func newWay(t *testing.T, to string) *way {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	w := &way{ln: ln, to: to, came: make(chan bool, 100)}
-	w.life.Go(func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			far, err := net.Dial("tcp", w.to)
-			if err != nil {
-				c.Close()
-				continue
-			}
-			w.mu.Lock()
-			w.conns, w.all = append(w.conns, c), append(w.all, c, far)
-			w.mu.Unlock()
-			w.life.Go(func() { w.forward(c, far) })
-			w.life.Go(func() { io.Copy(c, far); c.Close() })
-		}
-	})
-	t.Cleanup(func() {
-		ln.Close()
-		w.mu.Lock()
-		for _, c := range w.all {
-			c.Close()
-		}
-		w.mu.Unlock()
-		w.life.Wait()
-	})
-	return w
-}
-
-func (w *way) forward(near, far net.Conn) {
-	defer far.Close()
-	buf := make([]byte, 64<<10)
-	for {
-		n, err := near.Read(buf)
-		w.mu.Lock()
-		hold := w.hold
-		w.mu.Unlock()
-		if n > 0 && hold != nil {
-			w.came <- true
-			<-hold
-		}
-		if _, werr := far.Write(buf[:n]); werr != nil || err != nil {
-			return
-		}
-	}
-}
-
-// breakAll resets the connections of the near side.
-func (w *way) breakAll() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, c := range w.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
-	}
-	w.conns = nil
-}
-
-// setHold has what comes from now on wait.
-func (w *way) setHold(on bool) (release func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.hold = nil
-	if on {
-		hold := make(chan struct{})
-		w.hold = hold
-		return func() { close(hold) }
-	}
-	return nil
-}
-
-// twoSites starts an instance of each site, a link between them, and a server at the far hall alone.
-func twoSites(t *testing.T, h *halls, change func(near, far *RelayConfig)) (near, far *running, w *way) {
-	auth, err := raftnode.NewAuthority("test")
-	if err != nil {
-		t.Fatal(err)
-	}
-	h.authority = auth
-	part := func(member uint64, own string) *RelayConfig {
-		creds, err := auth.IssueCredentials(member)
-		if err != nil {
-			t.Fatal(err)
-		}
-		c := creds.TLSConfig()
-		c.SessionTicketsDisabled = true
-		return &RelayConfig{Own: []string{own}, TLS: c, Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("test", s) }}
-	}
-	a, b := part(1, "hall-a"), part(2, "hall-b")
-	if b.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
-	if a.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
-	w = newWay(t, b.listener.Addr().String())
-	a.Remote = map[string][]RelayPeer{"hall-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
-	if change != nil {
-		change(a, b)
-	}
-	h.server("hall-b", "s1")
-	far = start(t, h, 1, func(c *Config) { c.Relay = b })
-	near = start(t, h, 1, func(c *Config) { c.Relay = a })
-	return near, far, w
-}
-
 // A request crosses as it came, with less time than it came with, and is counted where it entered alone.
 func TestCrossing(t *testing.T) {
 	h := newHalls(t)
@@ -219,7 +90,8 @@
 	}
 }
 
-// The link breaks with the request at the hall: the answer is fetched over another connection, and the booking has run once.
+// The link breaks with the request at the hall: the answer is fetched over another connection, and the booking has
+// run once.
 func TestLinkBreaksBeforeTheAnswer(t *testing.T) {
 	h := newHalls(t)
 	near, _, w := twoSites(t, h, nil)
@@ -325,13 +197,15 @@
 	if got.status == 200 || got.header.Get("X-Never-Ran") != "" || fate("b.1") != "unknown" {
 		t.Errorf("refused after it may have run: %+v", got)
 	}
-	if got := c.ask(get("GET /visits/new", relayIDField+": b.1")); got.status != 502 || got.header.Get("X-Never-Ran") != "" {
+	if got := c.ask(get("GET /visits/new", relayIDField+": b.1")); got.status != 502 ||
+		got.header.Get("X-Never-Ran") != "" {
 		t.Errorf("a second copy: %+v", got)
 	}
 	h.none()
 }
 
-// An instance without a certificate of this cluster is not heard, and one that is another member than expected is sent nothing.
+// An instance without a certificate of this cluster is not heard, and one that is another member than expected is
+// sent nothing.
 func TestLinkKnowsWhoIsThere(t *testing.T) {
 	h := newHalls(t)
 	var door string
@@ -350,7 +224,8 @@
 		}
 		operator = creds.TLSConfig()
 	})
-	if got := dial(t, near.addr).ask(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: k")); got.status != 429 {
+	if got := dial(t, near.addr).ask(post("POST /visits", `{"installers": 1}`,
+		"Idempotency-Key: k")); got.status != 429 {
 		t.Errorf("by a member that is not the one expected: %+v", got)
 	}
 	for name, cfg := range map[string]*tls.Config{"a stranger": {InsecureSkipVerify: true}, "an operator": operator} {
@@ -396,7 +271,8 @@
 	}
 }
 
-// No more crosses at once than the budget allows: the surplus is refused at once, and a place that is free again is used.
+// No more crosses at once than the budget allows: the surplus is refused at once, and a place that is free again is
+// used.
 func TestCrossingsAreBounded(t *testing.T) {
 	h := newHalls(t)
 	near, _, _ := twoSites(t, h, func(near, _ *RelayConfig) { near.MaxInFlight = 2 })
@@ -428,33 +304,3 @@
 	at[1].answer <- answerText(201, "", "")
 	out[1].read()
 }
-
-// A key's home is the key's: the same with another body, another target's query or at another try; another licensee's key of
-// that name is another.
-func TestHomeIsTheKeys(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s1")
-	r := start(t, h, 1, func(c *Config) {
-		c.Keys = &multisite.KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: time.Second, KeyTTL: time.Second, DeduplicationWindow: time.Second, MaxKeys: 10}
-	})
-	f := &clientServer{instance: r.Instance}
-	number := func(body string, fields ...string) uint64 {
-		t.Helper()
-		var fl pendingRequest
-		if err := httpwire.NewReader(strings.NewReader(post("POST /visits", body, fields...))).Request(&fl.requestHead); err != nil {
-			t.Fatal(err)
-		}
-		fl.body = []byte(body)
-		if _, err := f.parse(&fl, time.Now()); err != nil || !fl.hasKeyOwner {
-			t.Fatalf("%v, homed %v", err, fl.hasKeyOwner)
-		}
-		return fl.key
-	}
-	first := number(`{"installers": 1}`, "Idempotency-Key: k1")
-	if number(`{"installers": 2}`, "Idempotency-Key: k1", "X-Trace-Id: other") != first {
-		t.Error("another body moves the key")
-	}
-	if number(`{"installers": 1}`, "Idempotency-Key: k2") == first {
-		t.Error("two keys are one")
-	}
-}
--- /dev/null
+++ b/internal/gateway/timers_test.go
@@ -0,0 +1,29 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// The module's timers come in order, each once, and a panic in one event costs that event.
+func TestTimersAndPanics(t *testing.T) {
+	h := newHalls(t)
+	g := start(t, h, 0, nil)
+	g.handleEvent(func(time.Duration, policy.Actions) { panic("on purpose") })
+	g.mu.Lock()
+	var ts timerQueue
+	for _, at := range []time.Duration{5, 3, 9, 1, 7, 3} {
+		ts.push(timer{at: at})
+	}
+	g.mu.Unlock()
+	for i := 1; i < len(ts); i++ {
+		if ts[(i-1)/2].at > ts[i].at {
+			t.Errorf("no heap: %v", ts)
+		}
+	}
+	if r := dial(t, g.addr).ask(get("GET /health/ready")); r.status != 200 {
+		t.Errorf("%+v", r)
+	}
+}
