--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -11,43 +11,45 @@
 	"time"
 )
 
-// asker is one connection of a client.
-type asker struct {
+// testClient is one connection of a client.
+type testClient struct {
 	net.Conn
-	br   *bufio.Reader
-	t    testing.TB
-	last string // method of the request sent last
+	br     *bufio.Reader
+	t      testing.TB
+	method string // of the request sent last
 }
 
-func dial(t testing.TB, addr string) *asker {
+// dial connects a client to an instance.
+func dial(t testing.TB, addr string) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return &asker{c, bufio.NewReader(c), t, ""}
+	c.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{c, bufio.NewReader(c), t, ""}
 }
 
-type gotAnswer struct {
+// clientResponse is a response as a client reads it.
+type clientResponse struct {
 	status int
 	header http.Header
 	body   string
 	close  bool
 }
 
-func (a *asker) send(text string) {
+func (a *testClient) send(text string) {
 	a.t.Helper()
-	a.last, _, _ = strings.Cut(text, " ")
+	a.method, _, _ = strings.Cut(text, " ")
 	if _, err := io.WriteString(a, text); err != nil {
 		a.t.Fatal(err)
 	}
 }
 
-func (a *asker) read() gotAnswer {
+func (a *testClient) readResponse() clientResponse {
 	a.t.Helper()
-	resp, err := http.ReadResponse(a.br, &http.Request{Method: a.last})
+	resp, err := http.ReadResponse(a.br, &http.Request{Method: a.method})
 	if err != nil {
 		a.t.Fatalf("reading the answer: %v", err)
 	}
@@ -55,17 +57,17 @@
 	if err != nil {
 		a.t.Fatalf("reading the answer's body: %v", err)
 	}
-	return gotAnswer{resp.StatusCode, resp.Header, string(body), resp.Close}
+	return clientResponse{resp.StatusCode, resp.Header, string(body), resp.Close}
 }
 
-func (a *asker) ask(text string) gotAnswer {
+func (a *testClient) roundTrip(text string) clientResponse {
 	a.t.Helper()
 	a.send(text)
-	return a.read()
+	return a.readResponse()
 }
 
-// get words a request without a body; lines are added to its head.
-func get(line string, lines ...string) string {
+// getRequest words a request without a body; lines are added to its head.
+func getRequest(line string, lines ...string) string {
 	text := line + " HTTP/1.1\r\nHost: h\r\n"
 	if !strings.Contains(strings.Join(lines, "\n"), "X-Licensee") {
 		text += "X-Licensee: honest\r\n"
@@ -76,7 +78,8 @@
 	return text + "\r\n"
 }
 
-func post(line, body string, lines ...string) string {
+// postRequest words a request with a JSON body.
+func postRequest(line, body string, lines ...string) string {
 	lines = append(lines, "Content-Type: application/json", fmt.Sprintf("Content-Length: %d", len(body)))
-	return get(line, lines...) + body
+	return getRequest(line, lines...) + body
 }
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -8,14 +8,14 @@
 
 // What is matched goes on byte for byte, under the version that it was matched with, and
 // the answer comes back with its status, fields and body.
-func TestPassesOn(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s")
-	g := start(t, h, 1, nil)
+func TestForwardsUnchanged(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1, nil)
 	c := dial(t, g.addr)
-	c.send(post("POST /visits?x=%26a;b&&c", `{"installers": 7}`, "Idempotency-Key: k1", "X-Trace-Id: t1",
+	c.send(postRequest("POST /visits?x=%26a;b&&c", `{"installers": 7}`, "Idempotency-Key: k1", "X-Trace-Id: t1",
 		"Accept: a/b", "X-Mulleinmux-Explain: 1", "X-Mulleinmux-Version: 99", "TE: x"))
-	a := h.next()
+	a := h.nextRequest()
 	if a.line != "POST /visits?x=%26a;b&&c" || a.body != `{"installers": 7}` || a.header.Get("X-Trace-Id") != "t1" ||
 		a.header.Get("Accept") != "a/b" ||
 		a.header.Get("Idempotency-Key") != "k1" || len(a.header["X-Mulleinmux-Version"]) != 1 ||
@@ -25,9 +25,9 @@
 	if s, err := strconv.ParseFloat(a.header.Get("X-Expires-In"), 64); err != nil || s <= 0 || s > 20.01 {
 		t.Errorf("X-Expires-In %q", a.header.Get("X-Expires-In"))
 	}
-	a.answer <- answerText(201, "X-Own: 1\r\nEndpoint-Load-Metrics: TEXT util=0.1\r\nConnection: keep-alive\r\n",
+	a.response <- responseText(201, "X-Own: 1\r\nEndpoint-Load-Metrics: TEXT util=0.1\r\nConnection: keep-alive\r\n",
 		"made")
-	r := c.read()
+	r := c.readResponse()
 	if r.status != 201 || r.body != "made" || r.header.Get("X-Own") != "1" ||
 		r.header.Get("Endpoint-Load-Metrics") != "" {
 		t.Errorf("answer %+v", r)
@@ -42,25 +42,25 @@
 }
 
 // HEAD is charged as the GET that it asks after, and its answer has no body.
-func TestHead(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s")
-	g := start(t, h, 1, nil)
+func TestHeadRequest(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1, nil)
 	c := dial(t, g.addr)
-	c.send(get("HEAD /slots?days=3"))
-	a := h.next()
+	c.send(getRequest("HEAD /slots?days=3"))
+	a := h.nextRequest()
 	if a.line != "HEAD /slots?days=3" {
 		t.Errorf("sent on: %s", a.line)
 	}
-	a.answer <- "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
+	a.response <- "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 	resp, err := http.ReadResponse(c.br, &http.Request{Method: "HEAD"})
 	if err != nil || resp.StatusCode != 200 || resp.ContentLength != 5 {
 		t.Fatalf("%+v, %v", resp, err)
 	}
 	// The connection goes on: no body stood behind the head.
-	c.send(get("GET /visits/1"))
-	h.next().answer <- answerText(200, "", "x")
-	if r := c.read(); r.status != 200 || r.body != "x" {
+	c.send(getRequest("GET /visits/1"))
+	h.nextRequest().response <- responseText(200, "", "x")
+	if r := c.readResponse(); r.status != 200 || r.body != "x" {
 		t.Errorf("then %+v", r)
 	}
 	if units, _, _ := g.totals(); units != 4 {
@@ -69,47 +69,47 @@
 }
 
 // An answer that belongs to another request, or noise behind one, reaches nobody.
-func TestNoiseBehindAnAnswer(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s")
-	g := start(t, h, 1, nil)
+func TestBytesAfterResponse(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1, nil)
 	c := dial(t, g.addr)
-	c.send(get("GET /visits/1"))
-	h.next().answer <- answerText(200, "", "one") + answerText(200, "", "stray")
-	if r := c.read(); r.body != "one" {
+	c.send(getRequest("GET /visits/1"))
+	h.nextRequest().response <- responseText(200, "", "one") + responseText(200, "", "stray")
+	if r := c.readResponse(); r.body != "one" {
 		t.Errorf("%+v", r)
 	}
-	c.send(get("GET /visits/2"))
-	h.next().answer <- "HTTP/1.1 100 Continue\r\n\r\n" +
+	c.send(getRequest("GET /visits/2"))
+	h.nextRequest().response <- "HTTP/1.1 100 Continue\r\n\r\n" +
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\ntw\r\n1\r\no\r\n0\r\nX: y\r\n\r\n"
-	if r := c.read(); r.body != "two" {
+	if r := c.readResponse(); r.body != "two" {
 		t.Errorf("%+v", r)
 	}
 }
 
 // A connection that a server has made into something else carries no further request.
 func TestUpgradedConnection(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s")
-	g := start(t, h, 1,
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1,
 		func(c *Config) { c.Settings.AllowsHealthChecks = false }) // which have connections of their own
 	c := dial(t, g.addr)
-	c.send(get("DELETE /visits/1"))
-	h.next().answer <- "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nContent-Length: 0\r\n\r\n"
-	if r := c.read(); r.status != 502 {
+	c.send(getRequest("DELETE /visits/1"))
+	h.nextRequest().response <- "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nContent-Length: 0\r\n\r\n"
+	if r := c.readResponse(); r.status != 502 {
 		t.Errorf("%+v", r)
 	}
 	h.mu.Lock()
-	before := len(h.open)
+	before := len(h.conns)
 	h.mu.Unlock()
-	c.send(get("GET /visits/1"))
-	h.next().answer <- answerText(200, "", "x")
-	if r := c.read(); r.status != 200 {
+	c.send(getRequest("GET /visits/1"))
+	h.nextRequest().response <- responseText(200, "", "x")
+	if r := c.readResponse(); r.status != 200 {
 		t.Errorf("%+v", r)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.open) == before {
+	if len(h.conns) == before {
 		t.Error("the upgraded connection was used again")
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -15,11 +15,12 @@
 	"mulleinmux/routing"
 )
 
-// patience bounds every wait of a test; none is expected to come near it.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of a test; none is expected to come near it.
+const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// description is the API that the tests' instances serve.
 const description = `openapi: 3.0.3
 info: {title: t, version: "1"}
 x-mulleinmux: {class: check, units: 1}
@@ -59,9 +60,10 @@
 `
 
 func testClasses() []routing.Class {
-	return []routing.Class{{Name: "check", PriorityWeight: 3, LatencyObjective: 20 * time.Second,
-		Deadline: 20 * time.Second},
-		{Name: "book", PriorityWeight: 9, LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second}}
+	return []routing.Class{
+		{Name: "check", PriorityWeight: 3, LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second},
+		{Name: "book", PriorityWeight: 9, LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second},
+	}
 }
 
 func testTable(t testing.TB, text string) (*routing.Table, *openapi.Description) {
@@ -73,8 +75,8 @@
 	return tab, d
 }
 
-// running is an instance in this process.
-type running struct {
+// testInstance is an instance in this process.
+type testInstance struct {
 	*Instance
 	cfg  *Config
 	addr string
@@ -91,8 +93,8 @@
 			{Name: "tight", Rate: 0.1, Burst: 3, PriorityFactor: 1}}}
 }
 
-// start starts an instance between the halls and waits until it knows so many servers.
-func start(t *testing.T, h *halls, known int, change func(*Config)) *running {
+// startInstance starts an instance between the sites and waits until it knows so many servers.
+func startInstance(t *testing.T, h *testSites, known int, change func(*Config)) *testInstance {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,7 +104,7 @@
 	cfg := &Config{Name: "g", Settings: testSettings(), Classes: testClasses(), DrainTimeout: 10 * time.Millisecond,
 		Licensees: map[string]Licensee{"honest": {"wide", 1}, "small": {"tight", 2}}}
 	for _, name := range []string{"hall-a", "hall-b"} {
-		cfg.Sites = append(cfg.Sites, Site{name, h.regs[name].Addr()})
+		cfg.Sites = append(cfg.Sites, Site{name, h.registers[name].Addr()})
 	}
 	if change != nil {
 		change(cfg)
@@ -113,7 +115,7 @@
 	}
 	cfg.UseSockets(ln, nil)
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{cfg: cfg, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1)}
+	r := &testInstance{cfg: cfg, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1)}
 	ready := make(chan *Instance, 1)
 	go func() {
 		r.done <- Run(ctx, cfg, cfg.Setup(1, tab, check), log.New(io.Discard, "", 0),
@@ -126,36 +128,36 @@
 			if err != nil {
 				t.Errorf("run: %v", err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("the instance does not end")
 		}
 	})
 	select {
 	case r.Instance = <-ready:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the instance does not become ready")
 	}
-	if err := r.AwaitServers(ctx, known, patience); err != nil {
+	if err := r.AwaitServers(ctx, known, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// warm has requests served, which earn the further attempts that others may need.
-func (r *running) warm(h *halls, n int) {
+// earnRetries has n requests served, which fill the retry budget that others may need.
+func (r *testInstance) earnRetries(h *testSites, n int) {
 	h.t.Helper()
 	c := dial(h.t, r.addr)
 	for range n {
-		c.send(get("GET /visits/new"))
-		h.next().answer <- answerText(200, "", "")
-		if a := c.read(); a.status != 200 {
+		c.send(getRequest("GET /visits/new"))
+		h.nextRequest().response <- responseText(200, "", "")
+		if a := c.readResponse(); a.status != 200 {
 			h.t.Fatalf("warming up: %+v", a)
 		}
 	}
 }
 
 // totals sums the counters of all operations.
-func (r *running) totals() (units, sent, answers int64) {
+func (r *testInstance) totals() (units, sent, answers int64) {
 	r.EachOperation(func(_ string, c *Counters) {
 		units += c.Units.Load()
 		sent += c.Sent.Load()
--- a/internal/gateway/key_owners_test.go
+++ b/internal/gateway/key_owners_test.go
@@ -11,10 +11,10 @@
 
 // A key's home is the key's: the same with another body, another target's query or at another try; another licensee's
 // key of that name is another.
-func TestHomeIsTheKeys(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s1")
-	r := start(t, h, 1, func(c *Config) {
+func TestKeyOwnerDependsOnKeyAlone(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s1")
+	r := startInstance(t, h, 1, func(c *Config) {
 		c.Keys = &multisite.KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: time.Second, KeyTTL: time.Second,
 			DeduplicationWindow: time.Second, MaxKeys: 10}
 	})
@@ -22,7 +22,7 @@
 	number := func(body string, fields ...string) uint64 {
 		t.Helper()
 		var fl pendingRequest
-		if err := httpwire.NewReader(strings.NewReader(post("POST /visits", body,
+		if err := httpwire.NewReader(strings.NewReader(postRequest("POST /visits", body,
 			fields...))).Request(&fl.requestHead); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gateway/quota_test.go
+++ b/internal/gateway/quota_test.go
@@ -7,23 +7,23 @@
 
 // Units draw on the licensee's one store, whatever the class.
 func TestQuota(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s")
-	g := start(t, h, 1, nil)
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1, nil)
 	c := dial(t, g.addr)
 	small := "X-Licensee: small"
-	c.send(get("DELETE /visits/1", small)) // 2 of 3 units
-	h.next().answer <- answerText(204, "", "")[:len("HTTP/1.1 204 Status\r\n")] + "\r\n"
-	if r := c.read(); r.status != 204 {
+	c.send(getRequest("DELETE /visits/1", small)) // 2 of 3 units
+	h.nextRequest().response <- responseText(204, "", "")[:len("HTTP/1.1 204 Status\r\n")] + "\r\n"
+	if r := c.readResponse(); r.status != 204 {
 		t.Errorf("%+v", r)
 	}
-	r := c.ask(get("GET /slots?days=2", small))
+	r := c.roundTrip(getRequest("GET /slots?days=2", small))
 	if s, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64); r.status != 429 || err != nil || s <= 0 {
 		t.Errorf("beyond the quota: %+v", r)
 	}
-	c.send(get("GET /visits/1", small))
-	h.next().answer <- answerText(200, "", "")
-	if r := c.read(); r.status != 200 {
+	c.send(getRequest("GET /visits/1", small))
+	h.nextRequest().response <- responseText(200, "", "")
+	if r := c.readResponse(); r.status != 200 {
 		t.Errorf("the last unit: %+v", r)
 	}
 	if units, sent, answers := g.totals(); units != 3 || sent != 2 || answers != 3 {
--- a/internal/gateway/rejection_test.go
+++ b/internal/gateway/rejection_test.go
@@ -17,56 +17,56 @@
 func rejectedRequests() []rejectedRequest {
 	key := "Idempotency-Key: k"
 	return []rejectedRequest{
-		{get("GET /nothing"), 404, ""},
-		{get("GET /visits/"), 404, ""},
-		{get("GET /visits/1/x"), 404, ""},
-		{get("PUT /visits/1"), 405, "DELETE, GET, HEAD, OPTIONS"},
-		{get("DELETE /visits/new"), 405, "GET, HEAD, OPTIONS"},
-		{get("GET /visits"), 405, "OPTIONS, POST"},
-		{get("HEAD /visits"), 405, "OPTIONS, POST"},
-		{get("OPTIONS /visits"), 204, "OPTIONS, POST"},
-		{get("OPTIONS /nothing"), 404, ""},
-		{get("GET /visits/a%2Fb"), 400, ""},
-		{get("GET /visits/n%65w"), 400, ""},
-		{get("GET /visits/../visits/new"), 400, ""},
-		{get("GET /visits/new;x=1"), 400, ""},
-		{get("GET //visits/new"), 400, ""},
-		{get("GET /visits//new"), 400, ""},
-		{get("GET http://h/visits/new"), 400, ""},
-		{get("GET /visits/new#x"), 400, ""},
-		{get("GET /slots?days=1#x"), 400, ""},
-		{get("OPTIONS *"), 400, ""},
-		{get("GET /visits/1", "X-HTTP-Method-Override: DELETE"), 400, ""},
-		{get("GET /visits/1", "X_HTTP_Method_Override: DELETE"), 400, ""},
-		{get("GET /visits/1?_method=DELETE"), 400, ""},
-		{get("GET /visits/1", "X-Original-URL: /visits/new"), 400, ""},
-		{get("GET /slots"), 400, ""},
-		{get("GET /slots?days=2&days=2"), 400, ""},
-		{get("GET /slots?days=-2"), 400, ""},
-		{get("GET /slots?days=15"), 400, ""},
-		{get("GET /slots?days=99999999999999999999"), 400, ""},
-		{get("GET /slots?days=1;days=14"), 400, ""},
-		{post("POST /visits", `{"installers": 2}`), 400, ""}, // no key
-		{post("POST /visits", `{"installers": 2, "installers": 3}`, key), 400, ""},
-		{post("POST /visits", `{"installers": 2`, key), 400, ""},
-		{post("POST /visits", `{}`, key), 400, ""},
-		{post("POST /visits", `{"installers": 2}`, key, "Connection: Idempotency-Key"), 400, ""},
-		{get("POST /visits", key, "Content-Length: 0"), 415, ""},
-		{get("GET /visits/1", "X-Licensee: nobody"), 403, ""},
-		{get("GET /visits/1", "X-Licensee: honest", "X-Licensee: small"), 400, ""},
-		{get("GET /visits/1", "X-Trace-Id: a b"), 400, ""},
-		{get("GET /visits/1", "X-Expires-In: -1"), 400, ""},
+		{getRequest("GET /nothing"), 404, ""},
+		{getRequest("GET /visits/"), 404, ""},
+		{getRequest("GET /visits/1/x"), 404, ""},
+		{getRequest("PUT /visits/1"), 405, "DELETE, GET, HEAD, OPTIONS"},
+		{getRequest("DELETE /visits/new"), 405, "GET, HEAD, OPTIONS"},
+		{getRequest("GET /visits"), 405, "OPTIONS, POST"},
+		{getRequest("HEAD /visits"), 405, "OPTIONS, POST"},
+		{getRequest("OPTIONS /visits"), 204, "OPTIONS, POST"},
+		{getRequest("OPTIONS /nothing"), 404, ""},
+		{getRequest("GET /visits/a%2Fb"), 400, ""},
+		{getRequest("GET /visits/n%65w"), 400, ""},
+		{getRequest("GET /visits/../visits/new"), 400, ""},
+		{getRequest("GET /visits/new;x=1"), 400, ""},
+		{getRequest("GET //visits/new"), 400, ""},
+		{getRequest("GET /visits//new"), 400, ""},
+		{getRequest("GET http://h/visits/new"), 400, ""},
+		{getRequest("GET /visits/new#x"), 400, ""},
+		{getRequest("GET /slots?days=1#x"), 400, ""},
+		{getRequest("OPTIONS *"), 400, ""},
+		{getRequest("GET /visits/1", "X-HTTP-Method-Override: DELETE"), 400, ""},
+		{getRequest("GET /visits/1", "X_HTTP_Method_Override: DELETE"), 400, ""},
+		{getRequest("GET /visits/1?_method=DELETE"), 400, ""},
+		{getRequest("GET /visits/1", "X-Original-URL: /visits/new"), 400, ""},
+		{getRequest("GET /slots"), 400, ""},
+		{getRequest("GET /slots?days=2&days=2"), 400, ""},
+		{getRequest("GET /slots?days=-2"), 400, ""},
+		{getRequest("GET /slots?days=15"), 400, ""},
+		{getRequest("GET /slots?days=99999999999999999999"), 400, ""},
+		{getRequest("GET /slots?days=1;days=14"), 400, ""},
+		{postRequest("POST /visits", `{"installers": 2}`), 400, ""}, // no key
+		{postRequest("POST /visits", `{"installers": 2, "installers": 3}`, key), 400, ""},
+		{postRequest("POST /visits", `{"installers": 2`, key), 400, ""},
+		{postRequest("POST /visits", `{}`, key), 400, ""},
+		{postRequest("POST /visits", `{"installers": 2}`, key, "Connection: Idempotency-Key"), 400, ""},
+		{getRequest("POST /visits", key, "Content-Length: 0"), 415, ""},
+		{getRequest("GET /visits/1", "X-Licensee: nobody"), 403, ""},
+		{getRequest("GET /visits/1", "X-Licensee: honest", "X-Licensee: small"), 400, ""},
+		{getRequest("GET /visits/1", "X-Trace-Id: a b"), 400, ""},
+		{getRequest("GET /visits/1", "X-Expires-In: -1"), 400, ""},
 	}
 }
 
 // What is no operation, or can't be charged for certain, is turned down: nothing is sent
 // on, and nothing is charged.
-func TestTurnedDown(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s")
-	g := start(t, h, 1, nil)
+func TestRejectedRequests(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1, nil)
 	for _, c := range rejectedRequests() {
-		a := dial(t, g.addr).ask(c.text)
+		a := dial(t, g.addr).roundTrip(c.text)
 		if a.status != c.status || a.header.Get("Allow") != c.allow {
 			t.Errorf("%.60q: %d, allow %q (%s); want %d, %q", c.text, a.status, a.header.Get("Allow"),
 				strings.TrimSpace(a.body), c.status, c.allow)
@@ -75,7 +75,7 @@
 			t.Errorf("%.60q: closes the connection", c.text)
 		}
 	}
-	h.none()
+	h.expectNoRequest()
 	if units, sent, answers := g.totals(); units+sent+answers != 0 {
 		t.Errorf("%d units, %d sent, %d answers", units, sent, answers)
 	}
@@ -83,10 +83,10 @@
 
 // Framing that can be read in two ways, heads without end and bodies cut short are turned
 // down on a connection that closes.
-func TestBadFraming(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s")
-	g := start(t, h, 1, nil)
+func TestInvalidFraming(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1, nil)
 	head := "POST /visits HTTP/1.1\r\nHost: h\r\nX-Licensee: honest\r\n" +
 		"Idempotency-Key: k\r\nContent-Type: application/json\r\n"
 	for _, c := range []struct {
@@ -116,7 +116,7 @@
 		if c.half {
 			a.Conn.(interface{ CloseWrite() error }).CloseWrite()
 		}
-		r := a.read()
+		r := a.readResponse()
 		if r.status != c.status || !r.close {
 			t.Errorf("%.60q: %d, close %v; want %d", c.text, r.status, r.close, c.status)
 		}
@@ -124,34 +124,34 @@
 			t.Errorf("%.60q: then %v, not the connection's end", c.text, err)
 		}
 	}
-	h.none()
+	h.expectNoRequest()
 }
 
 // A request that comes in parts gets its time, and no more.
 func TestSlowHead(t *testing.T) {
-	h := newHalls(t)
-	g := start(t, h, 0, nil)
+	h := newTestSites(t)
+	g := startInstance(t, h, 0, nil)
 	c := dial(t, g.addr)
 	c.send("GET /visits/1 HT")
-	if r := c.read(); r.status != 408 || !r.close {
+	if r := c.readResponse(); r.status != 408 || !r.close {
 		t.Errorf("%+v", r)
 	}
 }
 
 // With full validation what the cost does not depend on is checked too.
 func TestFullValidation(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s")
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
 	for _, full := range []bool{true, false} {
-		g := start(t, h, 1, func(c *Config) { c.FullValidation = full })
-		for _, text := range []string{get("GET /slots?days=1&kind=castle"),
-			post("POST /visits", `{"installers": 1, "note": "too long"}`, "Idempotency-Key: k")} {
+		g := startInstance(t, h, 1, func(c *Config) { c.FullValidation = full })
+		for _, text := range []string{getRequest("GET /slots?days=1&kind=castle"),
+			postRequest("POST /visits", `{"installers": 1, "note": "too long"}`, "Idempotency-Key: k")} {
 			c := dial(t, g.addr)
 			c.send(text)
 			if !full {
-				h.next().answer <- answerText(200, "", "")
+				h.nextRequest().response <- responseText(200, "", "")
 			}
-			r := c.read()
+			r := c.readResponse()
 			if want := map[bool]int{true: 400, false: 200}[full]; r.status != want {
 				t.Errorf("full %v, %.40q: %+v", full, text, r)
 			}
@@ -159,21 +159,21 @@
 				t.Errorf("%q does not name the field", r.body)
 			}
 		}
-		h.none()
+		h.expectNoRequest()
 	}
 }
 
 // Beyond its connections an instance says so, instead of holding them unanswered.
-func TestTooManyConnections(t *testing.T) {
-	h := newHalls(t)
-	g := start(t, h, 0, func(c *Config) { c.MaxClientConns = 2 })
-	kept := []*asker{dial(t, g.addr), dial(t, g.addr)}
+func TestConnectionLimit(t *testing.T) {
+	h := newTestSites(t)
+	g := startInstance(t, h, 0, func(c *Config) { c.MaxClientConns = 2 })
+	kept := []*testClient{dial(t, g.addr), dial(t, g.addr)}
 	for _, c := range kept {
-		if r := c.ask(get("GET /health/ready")); r.status != 200 {
+		if r := c.roundTrip(getRequest("GET /health/ready")); r.status != 200 {
 			t.Errorf("%+v", r)
 		}
 	}
-	if r := dial(t, g.addr).read(); r.status != 503 || r.header.Get("Retry-After") == "" {
+	if r := dial(t, g.addr).readResponse(); r.status != 503 || r.header.Get("Retry-After") == "" {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/gateway/relay_harness_test.go
+++ b/internal/gateway/relay_harness_test.go
@@ -10,27 +10,27 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// way is the network between two sites: a forwarder whose connections can be broken, or kept from the far side
-// while they look well from the near one.
-type way struct {
-	ln   net.Listener
-	to   string
-	life sync.WaitGroup
+// linkForwarder is the network between two sites: a forwarder whose connections can be broken, or held back from the
+// far side while they look open to the near one.
+type linkForwarder struct {
+	ln         net.Listener
+	to         string
+	goroutines sync.WaitGroup
 
 	mu    sync.Mutex
 	conns []net.Conn // of the near side
 	all   []net.Conn
 	hold  chan struct{} // what comes waits for its close; nil: nothing waits
-	came  chan bool     // takes a word for each piece that waits
+	held  chan bool     // takes a word for each piece that waits
 }
 
-func newWay(t *testing.T, to string) *way {
+func newLinkForwarder(t *testing.T, to string) *linkForwarder {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &way{ln: ln, to: to, came: make(chan bool, 100)}
-	w.life.Go(func() {
+	w := &linkForwarder{ln: ln, to: to, held: make(chan bool, 100)}
+	w.goroutines.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -44,8 +44,8 @@
 			w.mu.Lock()
 			w.conns, w.all = append(w.conns, c), append(w.all, c, far)
 			w.mu.Unlock()
-			w.life.Go(func() { w.forward(c, far) })
-			w.life.Go(func() { io.Copy(c, far); c.Close() })
+			w.goroutines.Go(func() { w.forward(c, far) })
+			w.goroutines.Go(func() { io.Copy(c, far); c.Close() })
 		}
 	})
 	t.Cleanup(func() {
@@ -55,12 +55,12 @@
 			c.Close()
 		}
 		w.mu.Unlock()
-		w.life.Wait()
+		w.goroutines.Wait()
 	})
 	return w
 }
 
-func (w *way) forward(near, far net.Conn) {
+func (w *linkForwarder) forward(near, far net.Conn) {
 	defer far.Close()
 	buf := make([]byte, 64<<10)
 	for {
@@ -69,7 +69,7 @@
 		hold := w.hold
 		w.mu.Unlock()
 		if n > 0 && hold != nil {
-			w.came <- true
+			w.held <- true
 			<-hold
 		}
 		if _, werr := far.Write(buf[:n]); werr != nil || err != nil {
@@ -79,7 +79,7 @@
 }
 
 // breakAll resets the connections of the near side.
-func (w *way) breakAll() {
+func (w *linkForwarder) breakAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.conns {
@@ -90,7 +90,7 @@
 }
 
 // setHold has what comes from now on wait.
-func (w *way) setHold(on bool) (release func()) {
+func (w *linkForwarder) setHold(on bool) (release func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hold = nil
@@ -102,8 +102,12 @@
 	return nil
 }
 
-// twoSites starts an instance of each site, a link between them, and a server at the far hall alone.
-func twoSites(t *testing.T, h *halls, change func(near, far *RelayConfig)) (near, far *running, w *way) {
+// twoSites starts an instance of each site, a link between them, and a server at the far site alone.
+func twoSites(
+	t *testing.T,
+	h *testSites,
+	change func(near, far *RelayConfig),
+) (near, far *testInstance, w *linkForwarder) {
 	auth, err := raftnode.NewAuthority("test")
 	if err != nil {
 		t.Fatal(err)
@@ -116,10 +120,8 @@
 		}
 		c := creds.TLSConfig()
 		c.SessionTicketsDisabled = true
-		return &RelayConfig{Own: []string{own}, TLS: c, Verify: func(s tls.ConnectionState) (uint64,
-			error) {
-			return raftnode.VerifyMember("test", s)
-		}}
+		verify := func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("test", s) }
+		return &RelayConfig{Own: []string{own}, TLS: c, Verify: verify}
 	}
 	a, b := part(1, "hall-a"), part(2, "hall-b")
 	if b.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -128,13 +130,13 @@
 	if a.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	w = newWay(t, b.listener.Addr().String())
+	w = newLinkForwarder(t, b.listener.Addr().String())
 	a.Remote = map[string][]RelayPeer{"hall-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
 	if change != nil {
 		change(a, b)
 	}
-	h.server("hall-b", "s1")
-	far = start(t, h, 1, func(c *Config) { c.Relay = b })
-	near = start(t, h, 1, func(c *Config) { c.Relay = a })
+	h.startServer("hall-b", "s1")
+	far = startInstance(t, h, 1, func(c *Config) { c.Relay = b })
+	near = startInstance(t, h, 1, func(c *Config) { c.Relay = a })
 	return near, far, w
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -14,20 +14,20 @@
 )
 
 // A request crosses as it came, with less time than it came with, and is counted where it entered alone.
-func TestCrossing(t *testing.T) {
-	h := newHalls(t)
+func TestRelay(t *testing.T) {
+	h := newTestSites(t)
 	near, far, _ := twoSites(t, h, nil)
 	c := dial(t, near.addr)
-	c.send(get("GET /visits/new", "X-Expires-In: 1.000", "X-Mulleinmux-Crossing: mine"))
-	a := h.next()
+	c.send(getRequest("GET /visits/new", "X-Expires-In: 1.000", "X-Mulleinmux-Crossing: mine"))
+	a := h.nextRequest()
 	if left := a.header.Get("X-Expires-In"); a.server != "hall-b/s1" || left < "0.5" || left > "0.985" {
 		t.Errorf("reached %s with %s s left of 1", a.server, left)
 	}
 	if a.header.Get(relayIDField) != "" {
 		t.Error("the crossing's id goes on to the hall")
 	}
-	a.answer <- answerText(200, "X-Of-Hall: 1\r\n", "slots")
-	if got := c.read(); got.status != 200 || got.body != "slots" || got.header.Get("X-Of-Hall") != "1" {
+	a.response <- responseText(200, "X-Of-Hall: 1\r\n", "slots")
+	if got := c.readResponse(); got.status != 200 || got.body != "slots" || got.header.Get("X-Of-Hall") != "1" {
 		t.Errorf("%+v", got)
 	}
 	if units, sent, answers := near.totals(); units == 0 || sent != 1 || answers != 1 {
@@ -38,15 +38,15 @@
 	}
 }
 
-// A far instance remembers one crossing for each connection whose answers are read, not all of half a minute.
-func TestAnsweredCrossingsAreForgotten(t *testing.T) {
-	h := newHalls(t)
+// A far instance remembers one relayed request for each connection whose answers are read, not all of half a minute.
+func TestAnsweredRelaysAreForgotten(t *testing.T) {
+	h := newTestSites(t)
 	near, far, _ := twoSites(t, h, nil)
 	c := dial(t, near.addr)
 	for range 20 {
-		c.send(get("GET /visits/new"))
-		(h.next()).answer <- answerText(200, "", "slots")
-		if got := c.read(); got.status != 200 {
+		c.send(getRequest("GET /visits/new"))
+		(h.nextRequest()).response <- responseText(200, "", "slots")
+		if got := c.readResponse(); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -58,79 +58,80 @@
 	}
 }
 
-// What the far hall can't take is told truthfully: never ran, which the near instance may try again elsewhere or
+// What the far site can't take is told truthfully: never ran, which the near instance may try again elsewhere or
 // refuse; and "it may have run", which it may not.
-func TestCrossingThatFails(t *testing.T) {
-	h := newHalls(t)
+func TestRelayFails(t *testing.T) {
+	h := newTestSites(t)
 	near, _, _ := twoSites(t, h, nil)
 	c := dial(t, near.addr)
-	c.send(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: k1"))
-	for a := h.next(); ; a = h.next() { // each attempt may be tried again
-		a.answer <- answerText(503, "X-Never-Ran: 1\r\n", "")
+	c.send(postRequest("POST /visits", `{"installers": 1}`, "Idempotency-Key: k1"))
+	for a := h.nextRequest(); ; a = h.nextRequest() { // each attempt may be tried again
+		a.response <- responseText(503, "X-Never-Ran: 1\r\n", "")
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if _, err := c.br.Peek(1); err == nil {
 			break
 		}
 	}
-	c.SetDeadline(time.Now().Add(patience))
-	if got := c.read(); got.status != 429 {
+	c.SetDeadline(time.Now().Add(testTimeout))
+	if got := c.readResponse(); got.status != 429 {
 		t.Errorf("never ran: %+v", got)
 	}
-	c.send(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: k2"))
-	for a := h.next(); ; a = h.next() {
-		a.answer <- "" // the connection breaks, and it may have run
+	c.send(postRequest("POST /visits", `{"installers": 1}`, "Idempotency-Key: k2"))
+	for a := h.nextRequest(); ; a = h.nextRequest() {
+		a.response <- "" // the connection breaks, and it may have run
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if _, err := c.br.Peek(1); err == nil {
 			break
 		}
 	}
-	c.SetDeadline(time.Now().Add(patience))
-	if got := c.read(); got.status != 502 {
+	c.SetDeadline(time.Now().Add(testTimeout))
+	if got := c.readResponse(); got.status != 502 {
 		t.Errorf("may have run: %+v", got)
 	}
 }
 
-// The link breaks with the request at the hall: the answer is fetched over another connection, and the booking has
+// The link breaks with the request at the site: the answer is fetched over another connection, and the booking has
 // run once.
-func TestLinkBreaksBeforeTheAnswer(t *testing.T) {
-	h := newHalls(t)
+func TestLinkBreaksBeforeResponse(t *testing.T) {
+	h := newTestSites(t)
 	near, _, w := twoSites(t, h, nil)
 	c := dial(t, near.addr)
-	c.send(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: k"))
-	a := h.next()
+	c.send(postRequest("POST /visits", `{"installers": 1}`, "Idempotency-Key: k"))
+	a := h.nextRequest()
 	w.breakAll()
 	time.Sleep(2 * statusPollInterval) // it is asked for while it is under way
-	a.answer <- answerText(201, "Content-Type: text/plain\r\n", "booked")
-	if got := c.read(); got.status != 201 || got.body != "booked" || got.header.Get("Content-Type") != "text/plain" {
+	a.response <- responseText(201, "Content-Type: text/plain\r\n", "booked")
+	if got := c.readResponse(); got.status != 201 || got.body != "booked" ||
+		got.header.Get("Content-Type") != "text/plain" {
 		t.Errorf("%+v", got)
 	}
-	h.none()
+	h.expectNoRequest()
 }
 
 // The link breaks before the request has come through, and delivers it later: once it was asked for it is void.
 func TestLinkDeliversLate(t *testing.T) {
-	h := newHalls(t)
+	h := newTestSites(t)
 	near, _, w := twoSites(t, h, nil)
-	near.warm(h, 20) // the connection is there, and further attempts are earned
+	near.earnRetries(h, 20) // the connection is there, and further attempts are earned
 	release := w.setHold(true)
 	c := dial(t, near.addr)
-	c.send(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: k"))
-	<-w.came
+	c.send(postRequest("POST /visits", `{"installers": 1}`, "Idempotency-Key: k"))
+	<-w.held
 	w.setHold(false)
 	w.breakAll()
-	a := h.next() // the further attempt
-	release()     // and now the first one comes through
-	h.none()
-	a.answer <- answerText(201, "", "")
-	if got := c.read(); got.status != 201 {
+	a := h.nextRequest() // the further attempt
+	release()            // and now the first one comes through
+	h.expectNoRequest()
+	a.response <- responseText(201, "", "")
+	if got := c.readResponse(); got.status != 201 {
 		t.Errorf("%+v", got)
 	}
-	h.none()
+	h.expectNoRequest()
 }
 
-// What has come over the link goes to the hall's own servers or nowhere.
-func TestNothingCrossesTwice(t *testing.T) {
-	h := newHalls(t)
+// What has come over the link goes to the site's own servers or nowhere.
+func TestNothingIsRelayedTwice(t *testing.T) {
+	h := newTestSites(t)
 	third, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -140,16 +141,16 @@
 		// The far site's instance could go on to a third site.
 		far.Remote = map[string][]RelayPeer{"hall-a": {{9, third.Addr().(*net.TCPAddr).AddrPort()}}}
 	})
-	h.list("hall-b", "s1", "127.0.0.1:1", "removed")
+	h.listServer("hall-b", "s1", "127.0.0.1:1", "removed")
 	c := dial(t, near.addr)
-	got := c.ask(get("GET /visits/new"))
-	for end := time.Now().Add(patience); got.status == 200 && time.Now().Before(end); {
-		got = c.ask(get("GET /visits/new"))
+	got := c.roundTrip(getRequest("GET /visits/new"))
+	for end := time.Now().Add(testTimeout); got.status == 200 && time.Now().Before(end); {
+		got = c.roundTrip(getRequest("GET /visits/new"))
 	}
 	if got.status != 429 {
 		t.Errorf("%+v", got)
 	}
-	h.none()
+	h.expectNoRequest()
 	third.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Millisecond))
 	if c, err := third.Accept(); err == nil {
 		c.Close()
@@ -158,9 +159,9 @@
 }
 
 // What a site says over the link of requests that were refused: never ran, or not known; and a second copy of a
-// crossing runs nothing.
-func TestLinkTellsTheTruth(t *testing.T) {
-	h := newHalls(t)
+// relayed request runs nothing.
+func TestExecutionStatus(t *testing.T) {
+	h := newTestSites(t)
 	var as *tls.Config
 	var door string
 	twoSites(t, h, func(a, b *RelayConfig) { as, door = a.TLS, b.listener.Addr().String() })
@@ -169,45 +170,46 @@
 		t.Fatal(err)
 	}
 	defer tc.Close()
-	tc.SetDeadline(time.Now().Add(patience))
-	c := &asker{tc, bufio.NewReader(tc), t, ""}
+	tc.SetDeadline(time.Now().Add(testTimeout))
+	c := &testClient{tc, bufio.NewReader(tc), t, ""}
 	fate := func(id string) string {
-		return c.ask(get("GET "+executionStatusPath, relayIDField+": "+id)).header.Get(executionStatusField)
+		return c.roundTrip(getRequest("GET "+executionStatusPath,
+			relayIDField+": "+id)).header.Get(executionStatusField)
 	}
-	got := c.ask(get("GET /unknown", relayIDField+": a.1"))
+	got := c.roundTrip(getRequest("GET /unknown", relayIDField+": a.1"))
 	if got.status != 503 || got.header.Get("X-Never-Ran") != "1" || fate("a.1") != "never" {
 		t.Errorf("an operation that is not known here: %+v", got)
 	}
-	c.send(get("GET /visits/new", relayIDField+": b.1"))
+	c.send(getRequest("GET /visits/new", relayIDField+": b.1"))
 	tries := make(chan bool)
 	go func() { // a safe request may be tried again, and refused after it ran
 		defer close(tries)
 		for {
 			select {
-			case a := <-h.came:
-				a.answer <- answerText(500, "", "")
+			case a := <-h.requests:
+				a.response <- responseText(500, "", "")
 			case <-tries:
 				return
 			}
 		}
 	}()
-	got = c.read()
+	got = c.readResponse()
 	tries <- true
 	<-tries
 	if got.status == 200 || got.header.Get("X-Never-Ran") != "" || fate("b.1") != "unknown" {
 		t.Errorf("refused after it may have run: %+v", got)
 	}
-	if got := c.ask(get("GET /visits/new", relayIDField+": b.1")); got.status != 502 ||
+	if got := c.roundTrip(getRequest("GET /visits/new", relayIDField+": b.1")); got.status != 502 ||
 		got.header.Get("X-Never-Ran") != "" {
 		t.Errorf("a second copy: %+v", got)
 	}
-	h.none()
+	h.expectNoRequest()
 }
 
 // An instance without a certificate of this cluster is not heard, and one that is another member than expected is
 // sent nothing.
-func TestLinkKnowsWhoIsThere(t *testing.T) {
-	h := newHalls(t)
+func TestLinkAuthenticatesPeers(t *testing.T) {
+	h := newTestSites(t)
 	var door string
 	dir := t.TempDir()
 	var operator *tls.Config
@@ -224,7 +226,7 @@
 		}
 		operator = creds.TLSConfig()
 	})
-	if got := dial(t, near.addr).ask(post("POST /visits", `{"installers": 1}`,
+	if got := dial(t, near.addr).roundTrip(postRequest("POST /visits", `{"installers": 1}`,
 		"Idempotency-Key: k")); got.status != 429 {
 		t.Errorf("by a member that is not the one expected: %+v", got)
 	}
@@ -234,30 +236,31 @@
 			continue
 		}
 		defer c.Close() // in TLS 1.3 the client learns of it with its first read
-		c.SetDeadline(time.Now().Add(patience))
-		io.WriteString(c, strings.Replace(get("GET /visits/new"), "\r\n\r\n", "\r\n"+relayIDField+": x.1\r\n\r\n", 1))
+		c.SetDeadline(time.Now().Add(testTimeout))
+		io.WriteString(c, strings.Replace(getRequest("GET /visits/new"), "\r\n\r\n",
+			"\r\n"+relayIDField+": x.1\r\n\r\n", 1))
 		if n, err := c.Read(make([]byte, 1)); err == nil {
 			t.Errorf("%d bytes for %s", n, name)
 		}
 	}
-	h.none()
+	h.expectNoRequest()
 }
 
 // Where a request enters its units are counted; the far instance, which has a count of its own clients, does not
 // refuse it for that.
-func TestCrossingIsPaidWhereItEntered(t *testing.T) {
-	h := newHalls(t)
+func TestRelayIsChargedWhereItEntered(t *testing.T) {
+	h := newTestSites(t)
 	near, far, _ := twoSites(t, h, nil)
-	ask := func(r *running) int {
+	ask := func(r *testInstance) int {
 		c := dial(t, r.addr)
-		c.send(get("GET /visits/new", "X-Licensee: small"))
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.send(getRequest("GET /visits/new", "X-Licensee: small"))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		got := make(chan int, 1)
-		go func() { got <- c.read().status }()
+		go func() { got <- c.readResponse().status }()
 		for {
 			select {
-			case a := <-h.came:
-				a.answer <- answerText(200, "", "")
+			case a := <-h.requests:
+				a.response <- responseText(200, "", "")
 			case status := <-got:
 				return status
 			}
@@ -273,34 +276,34 @@
 
 // No more crosses at once than the budget allows: the surplus is refused at once, and a place that is free again is
 // used.
-func TestCrossingsAreBounded(t *testing.T) {
-	h := newHalls(t)
+func TestRelayLimit(t *testing.T) {
+	h := newTestSites(t)
 	near, _, _ := twoSites(t, h, func(near, _ *RelayConfig) { near.MaxInFlight = 2 })
 	for began := time.Now(); time.Since(began) < 300*time.Millisecond; {
-		near.warm(h, 1) // or the module would take two out at one server for a jam
+		near.earnRetries(h, 1) // or the module would take two out at one server for a jam
 	}
-	var out []*asker
-	var at []*arrival
-	book := func(key string) *asker {
+	var out []*testClient
+	var at []*receivedRequest
+	book := func(key string) *testClient {
 		c := dial(t, near.addr)
-		c.send(post("POST /visits", `{"installers": 1}`, "Idempotency-Key: "+key))
+		c.send(postRequest("POST /visits", `{"installers": 1}`, "Idempotency-Key: "+key))
 		return c
 	}
 	for _, key := range []string{"a", "b"} {
 		out = append(out, book(key))
-		at = append(at, h.next())
+		at = append(at, h.nextRequest())
 	}
-	if got := book("c").read(); got.status != 429 {
+	if got := book("c").readResponse(); got.status != 429 {
 		t.Errorf("a third crossing: %+v", got)
 	}
-	h.none()
-	at[0].answer <- answerText(201, "", "")
-	out[0].read()
+	h.expectNoRequest()
+	at[0].response <- responseText(201, "", "")
+	out[0].readResponse()
 	next := book("d")
-	h.next().answer <- answerText(201, "", "")
-	if got := next.read(); got.status != 201 {
+	h.nextRequest().response <- responseText(201, "", "")
+	if got := next.readResponse(); got.status != 201 {
 		t.Errorf("with a place free again: %+v", got)
 	}
-	at[1].answer <- answerText(201, "", "")
-	out[1].read()
+	at[1].response <- responseText(201, "", "")
+	out[1].readResponse()
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -11,7 +11,7 @@
 	"mulleinmux/routing"
 )
 
-const changed = `openapi: 3.0.3
+const changedDescription = `openapi: 3.0.3
 info: {title: t, version: "2"}
 x-mulleinmux: {class: check, units: 1}
 paths:
@@ -28,25 +28,25 @@
 // A description that changes while a keyed request waits for its second attempt does not
 // touch it: it keeps class, version and price, and is charged once. A try of the same
 // client under the new version is charged at the new price. Servers of the keyed
-// request's own hall alone get the second attempt.
-func TestChangeInFlight(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s0")
-	h.server("hall-a", "s1")
-	h.server("hall-b", "s2")
-	g := start(t, h, 3, nil)
-	g.warm(h, 40)
+// request's own site alone get the second attempt.
+func TestDescriptionChangesInFlight(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s0")
+	h.startServer("hall-a", "s1")
+	h.startServer("hall-b", "s2")
+	g := startInstance(t, h, 3, nil)
+	g.earnRetries(h, 40)
 	for i := range 3 {
 		c := dial(t, g.addr)
-		c.send(post("POST /visits", `{"installers": 7}`, "Idempotency-Key: k"+strconv.Itoa(i),
+		c.send(postRequest("POST /visits", `{"installers": 7}`, "Idempotency-Key: k"+strconv.Itoa(i),
 			"X-Trace-Id: t"+strconv.Itoa(i)))
-		first := h.next()
-		tab, _ := testTable(t, changed)
+		first := h.nextRequest()
+		tab, _ := testTable(t, changedDescription)
 		if err := g.Install(g.cfg.Setup(uint64(2+2*i), tab, nil)); err != nil {
 			t.Fatal(err)
 		}
-		first.answer <- answerText(500, "", "") // it may have run
-		second := h.next()
+		first.response <- responseText(500, "", "") // it may have run
+		second := h.nextRequest()
 		if hall := strings.Split(first.server, "/")[0]; !strings.HasPrefix(second.server, hall) {
 			t.Errorf("first at %s, then at %s", first.server, second.server)
 		}
@@ -54,27 +54,27 @@
 			second.line != first.line || second.body != first.body {
 			t.Errorf("sent again as %s, version %s, %q", second.line, v, second.body)
 		}
-		second.answer <- answerText(200, "", "ok")
-		if r := c.read(); r.status != 200 {
+		second.response <- responseText(200, "", "ok")
+		if r := c.readResponse(); r.status != 200 {
 			t.Errorf("answer %+v", r)
 		}
 		if units, sent, _ := g.totals(); units != int64(40+27*i+7) || sent != int64(40+2*i+1) {
 			t.Fatalf("round %d: %d units of %d requests", i, units, sent)
 		}
 		// The client tries again, under the new version, which has the operation unsafe.
-		c.send(post("POST /visits", `{"installers": 7}`, "Idempotency-Key: k"+strconv.Itoa(i),
+		c.send(postRequest("POST /visits", `{"installers": 7}`, "Idempotency-Key: k"+strconv.Itoa(i),
 			"X-Trace-Id: u"+strconv.Itoa(i)))
-		again := h.next()
+		again := h.nextRequest()
 		if v := again.header.Get("X-Mulleinmux-Version"); v != strconv.Itoa(2+2*i) {
 			t.Errorf("tried again under version %s", v)
 		}
-		again.answer <- answerText(500, "", "")
-		if r := c.read(); r.status != 502 { // unsafe: not sent again
+		again.response <- responseText(500, "", "")
+		if r := c.readResponse(); r.status != 502 { // unsafe: not sent again
 			t.Errorf("answer %+v", r)
 		}
-		h.none()
+		h.expectNoRequest()
 		// What has gone is no longer taken.
-		if r := c.ask(get("GET /slots?days=1")); r.status != 404 {
+		if r := c.roundTrip(getRequest("GET /slots?days=1")); r.status != 404 {
 			t.Errorf("an operation that has gone: %+v", r)
 		}
 		old, _ := testTable(t, description)
@@ -85,19 +85,19 @@
 }
 
 // An operation that vanishes finishes what it has.
-func TestVanishedFinishes(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s")
-	g := start(t, h, 1, nil)
+func TestRemovedOperationFinishes(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1, nil)
 	c := dial(t, g.addr)
-	c.send(get("GET /slots?days=4"))
-	a := h.next()
-	tab, _ := testTable(t, changed)
+	c.send(getRequest("GET /slots?days=4"))
+	a := h.nextRequest()
+	tab, _ := testTable(t, changedDescription)
 	if err := g.Install(g.cfg.Setup(uint64(2), tab, nil)); err != nil {
 		t.Fatal(err)
 	}
-	a.answer <- answerText(200, "", "late")
-	if r := c.read(); r.status != 200 || r.body != "late" {
+	a.response <- responseText(200, "", "late")
+	if r := c.readResponse(); r.status != 200 || r.body != "late" {
 		t.Errorf("%+v", r)
 	}
 	if units, _, answers := g.totals(); units != 4 || answers != 1 {
@@ -110,27 +110,27 @@
 	"a hall twice":  func(s *Setup) { s.Sites = append(s.Sites, s.Sites[0]) },
 	"a plan twice":  func(s *Setup) { s.Plans = append(s.Plans, s.Plans[0]) },
 	"a place gone":  func(s *Setup) { s.Plans = s.Plans[:1] },
-	"a class twice": func(s *Setup) { s.Table = &routing.Table{Classes: append(testClasses2(), testClasses2()...)} },
+	"a class twice": func(s *Setup) { s.Table = &routing.Table{Classes: append(otherClasses(), otherClasses()...)} },
 	"a bad quota":   func(s *Setup) { s.Plans = []policy.Plan{{Name: "wide", Rate: -1}, s.Plans[1]} },
 	"another order": func(s *Setup) { s.Sites, s.Plans = nil, nil },
 }
 
-// Halls, licensees and plans change while the instance runs: a hall that goes takes its
+// Sites, licensees and plans change while the instance runs: a site that goes takes its
 // servers along, one that comes is used, a licensee's new plan holds from its next request,
 // and what can't be leaves all as it was.
-func TestSetupChanges(t *testing.T) {
-	h := newHalls(t)
-	h.server("hall-a", "s0")
-	h.server("hall-b", "s1")
-	g := start(t, h, 2, nil)
+func TestSitesAndPlansChange(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s0")
+	h.startServer("hall-b", "s1")
+	g := startInstance(t, h, 2, nil)
 	c := dial(t, g.addr)
 	ask := func(want string) {
 		t.Helper()
 		for range 8 {
-			c.send(get("GET /slots?days=1"))
-			a := h.next()
-			a.answer <- answerText(200, "", "ok")
-			if r := c.read(); r.status != 200 || want != "" && !strings.HasPrefix(a.server, want) {
+			c.send(getRequest("GET /slots?days=1"))
+			a := h.nextRequest()
+			a.response <- responseText(200, "", "ok")
+			if r := c.readResponse(); r.status != 200 || want != "" && !strings.HasPrefix(a.server, want) {
 				t.Fatalf("%+v at %s, want %s", r, a.server, want)
 			}
 		}
@@ -148,7 +148,7 @@
 	if err := install(3, func(s *Setup) { s.Sites = s.Sites[:1] }); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.AwaitServers(context.Background(), 1, patience); err != nil {
+	if err := g.AwaitServers(context.Background(), 1, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	ask("hall-a")
@@ -165,11 +165,11 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if r := c.ask(get("GET /slots?days=7")); r.status != 429 {
+	if r := c.roundTrip(getRequest("GET /slots?days=7")); r.status != 429 {
 		t.Errorf("%+v", r)
 	}
 }
 
-func testClasses2() []policy.Class {
+func otherClasses() []policy.Class {
 	return []policy.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second}}
 }
--- a/internal/gateway/scripted_server_test.go
+++ b/internal/gateway/scripted_server_test.go
@@ -14,33 +14,34 @@
 	"mulleinmux/internal/testserver"
 )
 
-// arrival is a request as a scripted server reads it.
-type arrival struct {
-	server string
-	line   string // method and target, byte for byte
-	header http.Header
-	body   string
-	answer chan string // takes the answer's text; "" closes the connection
+// receivedRequest is a request as a scripted server reads it.
+type receivedRequest struct {
+	server   string
+	line     string // method and target, byte for byte
+	header   http.Header
+	body     string
+	response chan string // takes the response's text; "" closes the connection
 }
 
-// halls is a set of scripted servers, which hand each request to the test.
-type halls struct {
-	t         *testing.T
-	regs      map[string]*testserver.Register
-	authority *raftnode.Authority // of the link's certificates
-	came      chan *arrival
-	life      sync.WaitGroup
-	mu        sync.Mutex
-	open      []net.Conn
-	quit      chan struct{} // closed when the test ends
+// testSites is a set of scripted servers, which hand each request to the test.
+type testSites struct {
+	t          *testing.T
+	registers  map[string]*testserver.Register
+	authority  *raftnode.Authority // of the link's certificates
+	requests   chan *receivedRequest
+	goroutines sync.WaitGroup
+	mu         sync.Mutex
+	conns      []net.Conn
+	done       chan struct{} // closed when the test ends
 }
 
-func newHalls(t *testing.T) *halls {
-	h := &halls{t: t, regs: map[string]*testserver.Register{}, came: make(chan *arrival, 100),
-		quit: make(chan struct{})}
+// newTestSites makes two sites without servers.
+func newTestSites(t *testing.T) *testSites {
+	h := &testSites{t: t, registers: map[string]*testserver.Register{}, requests: make(chan *receivedRequest, 100),
+		done: make(chan struct{})}
 	t.Cleanup(func() {
-		close(h.quit)
-		h.life.Wait()
+		close(h.done)
+		h.goroutines.Wait()
 	})
 	for _, name := range []string{"hall-a", "hall-b"} {
 		r, err := testserver.NewRegister()
@@ -48,13 +49,13 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(r.Close)
-		h.regs[name] = r
+		h.registers[name] = r
 	}
 	return h
 }
 
-// server starts a scripted server and lists it.
-func (h *halls) server(hall, id string) {
+// startServer starts a scripted server and lists it.
+func (h *testSites) startServer(site, id string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		h.t.Fatal(err)
@@ -62,32 +63,34 @@
 	h.t.Cleanup(func() {
 		ln.Close()
 		h.mu.Lock()
-		for _, c := range h.open {
+		for _, c := range h.conns {
 			c.Close()
 		}
 		h.mu.Unlock()
 	})
-	h.life.Go(func() {
+	h.goroutines.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			h.mu.Lock()
-			h.open = append(h.open, c)
+			h.conns = append(h.conns, c)
 			h.mu.Unlock()
-			h.life.Go(func() { h.talk(c, hall+"/"+id) })
+			h.goroutines.Go(func() { h.serveConn(c, site+"/"+id) })
 		}
 	})
-	h.list(hall, id, ln.Addr().String(), "up")
+	h.listServer(site, id, ln.Addr().String(), "up")
 }
 
-func (h *halls) list(hall, id, addr, lifecycle string) {
-	h.regs[hall].Put(testserver.Entry{InstanceID: id, HostPort: addr, Zone: hall, MachineType: "k",
+// listServer has service discovery announce a server.
+func (h *testSites) listServer(site, id, addr, lifecycle string) {
+	h.registers[site].Put(testserver.Entry{InstanceID: id, HostPort: addr, Zone: site, MachineType: "k",
 		Lifecycle: lifecycle, Weight: 1})
 }
 
-func (h *halls) talk(c net.Conn, id string) {
+// serveConn hands each request to the test, and answers health checks itself.
+func (h *testSites) serveConn(c net.Conn, id string) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -103,12 +106,12 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nTEXT queue=0, util=0.10")
 			continue
 		}
-		a := &arrival{id, r.Method + " " + r.RequestURI, r.Header, string(body), make(chan string, 1)}
-		h.came <- a
+		a := &receivedRequest{id, r.Method + " " + r.RequestURI, r.Header, string(body), make(chan string, 1)}
+		h.requests <- a
 		var text string
 		select {
-		case text = <-a.answer:
-		case <-h.quit:
+		case text = <-a.response:
+		case <-h.done:
 		}
 		if _, err := io.WriteString(c, text); err != nil || text == "" {
 			return
@@ -116,45 +119,46 @@
 	}
 }
 
-// next is the next request that reaches a server.
-func (h *halls) next() *arrival {
+// nextRequest is the next request that reaches a server.
+func (h *testSites) nextRequest() *receivedRequest {
 	h.t.Helper()
 	select {
-	case a := <-h.came:
+	case a := <-h.requests:
 		return a
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		h.t.Fatal("no request reaches a server")
 		return nil
 	}
 }
 
-// none checks that no request has reached a server.
-func (h *halls) none() {
+// expectNoRequest checks that no request has reached a server.
+func (h *testSites) expectNoRequest() {
 	h.t.Helper()
 	select {
-	case a := <-h.came:
-		a.answer <- ""
+	case a := <-h.requests:
+		a.response <- ""
 		h.t.Errorf("%s reached %s", a.line, a.server)
 	default:
 	}
 }
 
-// gone waits until an instance knows so many servers of a hall.
-func (h *halls) gone(g *running, hall string, left int) {
+// awaitServerCount waits until an instance knows so many servers of a site.
+func (h *testSites) awaitServerCount(g *testInstance, site string, left int) {
 	h.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		g.mu.Lock()
-		n := len(g.serversBySite[hall])
+		n := len(g.serversBySite[site])
 		g.mu.Unlock()
 		if n == left {
 			return
 		}
 		if n < left || time.Now().After(end) {
-			h.t.Fatalf("%s: %d servers known, not %d", hall, n, left)
+			h.t.Fatalf("%s: %d servers known, not %d", site, n, left)
 		}
 	}
 }
 
-func answerText(status int, extra, body string) string {
+// responseText is a whole response; extra is added to its head.
+func responseText(status int, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d Status\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
 }
--- a/internal/gateway/timers_test.go
+++ b/internal/gateway/timers_test.go
@@ -9,8 +9,8 @@
 
 // The module's timers come in order, each once, and a panic in one event costs that event.
 func TestTimersAndPanics(t *testing.T) {
-	h := newHalls(t)
-	g := start(t, h, 0, nil)
+	h := newTestSites(t)
+	g := startInstance(t, h, 0, nil)
 	g.handleEvent(func(time.Duration, policy.Actions) { panic("on purpose") })
 	g.mu.Lock()
 	var ts timerQueue
@@ -23,7 +23,7 @@
 			t.Errorf("no heap: %v", ts)
 		}
 	}
-	if r := dial(t, g.addr).ask(get("GET /health/ready")); r.status != 200 {
+	if r := dial(t, g.addr).roundTrip(getRequest("GET /health/ready")); r.status != 200 {
 		t.Errorf("%+v", r)
 	}
 }
