--- a/internal/scenario/chaos.go
+++ b/internal/scenario/chaos.go
@@ -14,13 +14,13 @@
 
 // Shares of messages and syncs that a member under [Chaos] spoils.
 const (
-	chaosDrop     = 0.02
-	chaosRepeat   = 0.02
-	chaosDelay    = 0.04 // of up to chaosDelayMost: others overtake them
-	chaosSync     = 0.002
-	chaosSyncLast = 100 // the first syncs go well, so that a member comes up at all
+	dropShare       = 0.02
+	repeatShare     = 0.02
+	delayShare      = 0.04 // of up to chaosDelayMost: others overtake them
+	failedSyncShare = 0.002
+	reliableSyncs   = 100 // the first syncs go well, so that a member comes up at all
 
-	chaosDelayMost = 80 * time.Millisecond
+	maxDelay = 80 * time.Millisecond
 )
 
 // Chaos has a member's messages to others dropped, repeated, delayed and so reordered, and
@@ -30,12 +30,12 @@
 	cfg.WrapSend = func(send func(*pb.Message)) func(*pb.Message) {
 		return func(m *pb.Message) {
 			switch x := rng.Float64(); {
-			case x < chaosDrop:
+			case x < dropShare:
 				return
-			case x < chaosDrop+chaosRepeat:
+			case x < dropShare+repeatShare:
 				send(m)
-			case x < chaosDrop+chaosRepeat+chaosDelay:
-				time.AfterFunc(time.Duration(rng.Int64N(int64(chaosDelayMost))), func() { send(m) })
+			case x < dropShare+repeatShare+delayShare:
+				time.AfterFunc(time.Duration(rng.Int64N(int64(maxDelay))), func() { send(m) })
 				return
 			}
 			send(m)
@@ -55,7 +55,7 @@
 var errSync = errors.New("fsync failed on purpose")
 
 func (d *chaosDisk) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
-	if d.syncs++; sync && d.syncs > chaosSyncLast && d.rng.Float64() < chaosSync {
+	if d.syncs++; sync && d.syncs > reliableSyncs && d.rng.Float64() < failedSyncShare {
 		return errSync
 	}
 	return d.Storage.Save(hs, entries, snap, sync)
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -18,17 +18,17 @@
 // The scenarios of this file run instances as processes of their own, which agree on their
 // configuration while operators change it and the members are killed, cut off and restarted.
 
-// Figures of these scenarios.
+// Sizes and times of scenarios with processes.
 const (
-	clusterName = "lab"
-	operators   = 3
-	operatorGap = 30 * time.Millisecond // between two changes of one operator, on average
-	memberTick  = 20 * time.Millisecond // elections come after 200 to 400 ms
-	startMost   = 20 * time.Second
-	lostLog     = time.Second     // of an access log that a killed instance may not have written
-	shortStale  = 2 * time.Second // staleness bound of the last member, which then refuses
-	settle      = 20 * time.Second
-	drainMost   = 2500 * time.Millisecond // for an instance to finish what it has taken
+	clusterName      = "lab"
+	operatorCount    = 3
+	operatorInterval = 30 * time.Millisecond // between two changes of one operator, on average
+	tickInterval     = 20 * time.Millisecond // elections come after 200 to 400 ms
+	startTimeout     = 20 * time.Second
+	lostLogWindow    = time.Second     // of an access log that a killed instance may not have written
+	staleTimeout     = 2 * time.Second // staleness bound of the last member, which then refuses
+	settleTimeout    = 20 * time.Second
+	maxDrainTime     = 2500 * time.Millisecond // for an instance to finish what it has taken
 )
 
 // clusterRun is a scenario with processes under way.
@@ -37,23 +37,23 @@
 	dir         string
 	members     []*member
 	followers   []*member          // instances that are no members and are told the configuration
-	streams     map[linkEnds]*link // from a follower to a member
-	links       map[linkEnds]*link // from, to
-	ways        map[linkEnds]*link // between sites, likewise
+	streamLinks map[linkEnds]*link // from a follower to a member
+	raftLinks   map[linkEnds]*link // from, to
+	relayLinks  map[linkEnds]*link // between sites, likewise
 	clients     []*cluster.Client  // one for each operator
-	chaos       bool
+	hasChaos    bool
 	rng         *rand.Rand
-	closing     func() // called when hallCloses has closed a site; nil: nothing more
+	afterClose  func() // called when siteCloses has closed a site; nil: nothing more
 
-	mu     sync.Mutex
-	orders []configChange
-	kills  int
-	failed int // members that ended by themselves: their disk failed
-	flaps  int // times that a site fell silent or came back
-	losses []siteLoss
-	surge  *surge          // nil: there was none
-	alone  []interval      // the sites were cut from each other
-	gaps   []time.Duration // from the leader's kill to the next applied change
+	mu               sync.Mutex
+	configChanges    []configChange
+	killCount        int
+	failedDiskCount  int // members that ended by themselves: their disk failed
+	flapCount        int // times that a site fell silent or came back
+	losses           []siteLoss
+	surge            *surge          // nil: there was none
+	isolations       []interval      // the sites were cut from each other
+	leaderLossDelays []time.Duration // from the leader's kill to the next applied change
 }
 
 // siteLoss tells how long the instances took to agree on a site's loss and on its return.
@@ -64,9 +64,9 @@
 
 // runCluster runs a scenario with processes.
 func (w *environment) runCluster(ctx context.Context) (v *Verdict, err error) {
-	c := &clusterRun{environment: w, streams: map[linkEnds]*link{}, links: map[linkEnds]*link{},
-		ways: map[linkEnds]*link{}, rng: rand.New(rand.NewPCG(w.options.Seed, 0xc1)),
-		chaos: w.scenario.Name == "chaos-config"}
+	c := &clusterRun{environment: w, streamLinks: map[linkEnds]*link{}, raftLinks: map[linkEnds]*link{},
+		relayLinks: map[linkEnds]*link{}, rng: rand.New(rand.NewPCG(w.options.Seed, 0xc1)),
+		hasChaos: w.scenario.Name == "chaos-config"}
 	if c.dir, err = os.MkdirTemp("", "gateway-lab-"); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	changing, stopChanging := context.WithCancel(ctx)
 	defer stopChanging()
 	var beside, ops sync.WaitGroup
-	for i := range operators {
+	for i := range operatorCount {
 		ops.Go(func() { c.runOperator(changing, i) })
 	}
 	beside.Go(func() { w.scenario.cluster(playing, c) })
@@ -148,21 +148,21 @@
 
 // addInstances gives each member and each follower its addresses and its certificates.
 func (c *clusterRun) addInstances(authority *raftnode.Authority, certs string) error {
-	for i := range c.environment.memberCount() + c.environment.scenario.followers {
+	for i := range c.environment.memberCount() + c.environment.scenario.followerCount {
 		m := &member{id: uint64(i + 1)}
 		if i >= c.environment.memberCount() {
-			m.follows = fmt.Sprint("edge-", m.id)
+			m.followerName = fmt.Sprint("edge-", m.id)
 		}
 		if err := m.reserveAddrs(); err != nil {
 			return err
 		}
 		var err error
-		if m.follows == "" {
+		if m.followerName == "" {
 			c.members = append(c.members, m)
 			err = authority.WriteMembers(certs, []uint64{m.id})
 		} else {
 			c.followers = append(c.followers, m)
-			err = authority.WriteFollower(certs, m.follows)
+			err = authority.WriteFollower(certs, m.followerName)
 		}
 		if err != nil {
 			return err
@@ -174,12 +174,12 @@
 
 // reserveAddrs finds free addresses for all that an instance listens on.
 func (m *member) reserveAddrs() (err error) {
-	for _, addr := range []*string{&m.listen, &m.admin, &m.raft, &m.site, &m.stream} {
+	for _, addr := range []*string{&m.listen, &m.admin, &m.raft, &m.relay, &m.stream} {
 		if *addr, err = testserver.FreeAddr("tcp"); err != nil {
 			return err
 		}
 	}
-	m.udp, err = testserver.FreeAddr("udp")
+	m.gossip, err = testserver.FreeAddr("udp")
 	return err
 }
 
@@ -188,7 +188,7 @@
 func (c *clusterRun) openLinks() (err error) {
 	for i := range c.followers {
 		for j, to := range c.members {
-			if c.streams[linkEnds{i, j}], err = newLink(to.stream); err != nil {
+			if c.streamLinks[linkEnds{from: i, to: j}], err = newLink(to.stream); err != nil {
 				return err
 			}
 		}
@@ -198,11 +198,11 @@
 			if i == j {
 				continue
 			}
-			if c.links[linkEnds{i, j}], err = newLink(to.raft); err != nil {
+			if c.raftLinks[linkEnds{from: i, to: j}], err = newLink(to.raft); err != nil {
 				return err
 			}
-			if c.environment.scenario.sites && i%2 != j%2 {
-				if c.ways[linkEnds{i, j}], err = newLink(to.site); err != nil {
+			if c.environment.scenario.hasTwoSites && i%2 != j%2 {
+				if c.relayLinks[linkEnds{from: i, to: j}], err = newLink(to.relay); err != nil {
 					return err
 				}
 			}
@@ -214,11 +214,11 @@
 // writeConfigs writes the file of each instance and has each member begin a new cluster.
 func (c *clusterRun) writeConfigs() error {
 	for i, m := range c.instances() {
-		path := filepath.Join(c.dir, m.file())
+		path := filepath.Join(c.dir, m.configFile())
 		if err := os.WriteFile(path, []byte(c.config(i)), 0o600); err != nil {
 			return err
 		}
-		if m.follows != "" {
+		if m.followerName != "" {
 			continue
 		}
 		if out, err := c.command("init", "--config", path, "--new-cluster").CombinedOutput(); err != nil {
@@ -230,7 +230,7 @@
 
 // addClients makes the client of each operator. Each tries another member first.
 func (c *clusterRun) addClients(authority *raftnode.Authority, certs string) error {
-	for i := range operators {
+	for i := range operatorCount {
 		name := fmt.Sprint("op", i)
 		if err := authority.WriteOperator(certs, name); err != nil {
 			return err
@@ -253,16 +253,16 @@
 	for _, m := range c.instances() {
 		if m.cmd != nil && m.cmd.Process != nil {
 			m.cmd.Process.Kill()
-			<-m.ended.done
+			<-m.process.done
 		}
 	}
-	for _, l := range c.links {
+	for _, l := range c.raftLinks {
 		l.close()
 	}
-	for _, l := range c.ways {
+	for _, l := range c.relayLinks {
 		l.close()
 	}
-	for _, l := range c.streams {
+	for _, l := range c.streamLinks {
 		l.close()
 	}
 	for _, cl := range c.clients {
@@ -280,7 +280,7 @@
 		}
 		applied, _ := c.countApplied()
 		c.mu.Lock()
-		kills := c.kills
+		kills := c.killCount
 		c.mu.Unlock()
 		c.environment.options.Progress(fmt.Sprintf(
 			"%s %ds of %v: %d changes agreed on, %d kills, %d requests at the halls",
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -109,10 +109,10 @@
 func checkMissingRecord(j *ruleChecker, first testserver.Arrival, t testserver.Try, m *member) {
 	m.downMu.Lock()
 	isLost := slices.ContainsFunc(m.killed, func(killed time.Time) bool {
-		return t.At.Before(killed) && killed.Sub(t.Ended) < lostLog
+		return t.At.Before(killed) && killed.Sub(t.Ended) < lostLogWindow
 	})
 	m.downMu.Unlock()
-	if !isLost && time.Since(t.Ended) > lostLog {
+	if !isLost && time.Since(t.Ended) > lostLogWindow {
 		j.violation("units", "%s (%s) reached %s and was charged by no instance", first.Trace, first.Operation,
 			first.Hall)
 	}
@@ -205,15 +205,15 @@
 		ret bool
 	}
 	var es []event
-	for _, o := range c.orders {
-		if !o.known {
+	for _, o := range c.configChanges {
+		if !o.isKnown {
 			continue
 		}
-		if o.applied && version[o.id] != o.version && o.version >= history[0].Version {
+		if o.isApplied && version[o.id] != o.version && o.version >= history[0].Version {
 			j.violation("changes", "%s was answered as version %d; the history has it as %d (0: lost)", o.id,
 				o.version, version[o.id])
 		}
-		es = append(es, event{o.call, o, false}, event{o.ret, o, true})
+		es = append(es, event{o.called, o, false}, event{o.returned, o, true})
 	}
 	slices.SortStableFunc(es, func(a, b event) int { return a.at.Compare(b.at) })
 	newest := uint64(0)
@@ -223,7 +223,7 @@
 			floor[e.o.id] = newest
 			continue
 		}
-		if e.o.version < floor[e.o.id] || e.o.applied && e.o.version == floor[e.o.id] {
+		if e.o.version < floor[e.o.id] || e.o.isApplied && e.o.version == floor[e.o.id] {
 			j.violation("changes", "%s was answered version %d after another ask had ended on %d", e.o.id,
 				e.o.version, floor[e.o.id])
 		}
--- a/internal/scenario/cluster_operators.go
+++ b/internal/scenario/cluster_operators.go
@@ -17,16 +17,16 @@
 
 // configChange is one ask of an operator.
 type configChange struct {
-	id          string
-	call, ret   time.Time
-	version     uint64
-	applied     bool
-	read, known bool
+	id               string
+	called, returned time.Time
+	version          uint64
+	isApplied        bool
+	isRead, isKnown  bool
 }
 
 // applyFirstConfig has the instances agree on what they serve at first.
 func (c *clusterRun) applyFirstConfig(ctx context.Context, halls []gateway.Site) error {
-	p := &clusterconfig.Proposal{ID: "begin", Reason: variantWhy(1)}
+	p := &clusterconfig.Proposal{ID: "begin", Reason: variantReason(1)}
 	for _, k := range classes() {
 		p.Changes = append(p.Changes, clusterconfig.NewPutChange("class", k.Name,
 			clusterconfig.Class{PriorityWeight: k.PriorityWeight, LateFraction: k.LateFraction,
@@ -44,15 +44,15 @@
 			clusterconfig.Licensee{Plan: l.Plan}))
 	}
 	for _, m := range c.followers {
-		p.Changes = append(p.Changes, clusterconfig.NewPutChange("follower", m.follows, clusterconfig.Follower{}))
+		p.Changes = append(p.Changes, clusterconfig.NewPutChange("follower", m.followerName, clusterconfig.Follower{}))
 	}
 	for _, h := range halls {
 		p.Changes = append(p.Changes, clusterconfig.NewPutChange("hall", h.Name,
 			clusterconfig.Site{DiscoveryAddress: h.Discovery.String()}))
 	}
 	p.Changes = append(p.Changes, clusterconfig.NewPutChange("description", "booking",
-		clusterconfig.Description{File: "booking.yaml", Text: string(variant(1, false))}))
-	ctx, cancel := context.WithTimeout(ctx, startMost)
+		clusterconfig.Description{File: "booking.yaml", Text: string(descriptionVariant(1, false))}))
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
 		o, err := c.clients[0].Propose(ctx, p)
@@ -70,7 +70,7 @@
 	}
 }
 
-func variantWhy(n int) string { return "variant " + strconv.Itoa(n) }
+func variantReason(n int) string { return "variant " + strconv.Itoa(n) }
 
 // variantOf is the variant of the description that is in force from a record on, or 0.
 func variantOf(r clusterconfig.HistoryRecord) int {
@@ -98,8 +98,8 @@
 // some against the version it has read, some bad, and reads.
 func (c *clusterRun) runOperator(ctx context.Context, operator int) {
 	rng := rand.New(rand.NewPCG(c.environment.options.Seed, uint64(100+operator)))
-	gap := operatorGap
-	if c.environment.scenario.small {
+	gap := operatorInterval
+	if c.environment.scenario.isSmall {
 		gap *= 10
 	}
 	for n := 0; ; n++ {
@@ -108,13 +108,13 @@
 			return
 		case <-time.After(time.Duration(rng.ExpFloat64() * float64(gap))):
 		}
-		o := configChange{id: fmt.Sprintf("op%d-%d", operator, n), call: time.Now()}
+		o := configChange{id: fmt.Sprintf("op%d-%d", operator, n), called: time.Now()}
 		callCtx, cancel := context.WithTimeout(ctx, operatorTimeout)
 		err := c.operate(callCtx, operator, rng, &o)
 		cancel()
-		o.ret, o.known = time.Now(), err == nil
+		o.returned, o.isKnown = time.Now(), err == nil
 		c.mu.Lock()
-		c.orders = append(c.orders, o)
+		c.configChanges = append(c.configChanges, o)
 		c.mu.Unlock()
 	}
 }
@@ -125,16 +125,16 @@
 	draw := rng.Float64()
 	if draw < readBound {
 		objects, err := client.Objects(ctx, false)
-		o.version, o.read = objects.Version, true
+		o.version, o.isRead = objects.Version, true
 		return err
 	}
 	p := &clusterconfig.Proposal{ID: o.id}
 	switch {
 	case draw < descriptionBound:
 		n := 2 + rng.IntN(20)
-		p.Reason = variantWhy(n)
+		p.Reason = variantReason(n)
 		p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("description", "booking",
-			clusterconfig.Description{File: "booking.yaml", Text: string(variant(n, false))})}
+			clusterconfig.Description{File: "booking.yaml", Text: string(descriptionVariant(n, false))})}
 	case draw < invalidBound:
 		p.Changes = []clusterconfig.Change{clusterconfig.NewPutChange("licensee", "bad",
 			clusterconfig.Licensee{Plan: "none"})}
@@ -168,7 +168,7 @@
 ) error {
 	for {
 		outcome, err := client.Propose(ctx, p)
-		o.version, o.applied = outcome.Version, outcome.IsApplied
+		o.version, o.isApplied = outcome.Version, outcome.IsApplied
 		answer, isAnswer := errors.AsType[*cluster.ResponseError](err)
 		isConflict := isAnswer && answer.Status == http.StatusConflict
 		if err == nil || isConflict || ctx.Err() != nil {
@@ -185,18 +185,18 @@
 func (c *clusterRun) countApplied() (n int, last time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, o := range c.orders {
-		if o.applied {
+	for _, o := range c.configChanges {
+		if o.isApplied {
 			n++
-			if o.ret.After(last) {
-				last = o.ret
+			if o.returned.After(last) {
+				last = o.returned
 			}
 		}
 	}
 	return n, last
 }
 
-func (c *clusterRun) logf(format string, args ...any) {
+func (c *clusterRun) notef(format string, args ...any) {
 	c.environment.mu.Lock()
 	c.environment.notes = append(c.environment.notes, fmt.Sprintf(format, args...))
 	c.environment.mu.Unlock()
--- a/internal/scenario/cluster_process.go
+++ b/internal/scenario/cluster_process.go
@@ -19,29 +19,29 @@
 
 // member is one instance.
 type member struct {
-	id                 uint64
-	listen, admin, udp string
-	raft, site, stream string
-	follows            string // name of a follower; empty: it is a member
-	cmd                *exec.Cmd
-	ended              *processEnd // of the latest start
-	runs               int
+	id                    uint64
+	listen, admin, gossip string
+	raft, relay, stream   string
+	followerName          string // name of a follower; empty: it is a member
+	cmd                   *exec.Cmd
+	process               *process // of the latest start
+	startCount            int
 
 	downMu sync.Mutex
 	down   []interval // when it could not be expected to answer
 	killed []time.Time
 }
 
-func (m *member) file() string { return fmt.Sprintf("gate-%d.toml", m.id) }
+func (m *member) configFile() string { return fmt.Sprintf("gate-%d.toml", m.id) }
 
-// config words the file of a member.
+// config is the text of the configuration file of instance i.
 func (c *clusterRun) config(i int) string {
 	m := c.instances()[i]
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"gate-%d\"\nlisten = %q\nzone = %q\ninstance = %d\npeer_listen = %q\npeers = [", m.id,
-		m.listen, siteName(i%2), i, m.udp)
+		m.listen, siteName(i%2), i, m.gossip)
 	for _, o := range c.instances() {
-		fmt.Fprintf(&b, "%q, ", o.udp)
+		fmt.Fprintf(&b, "%q, ", o.gossip)
 	}
 	fmt.Fprintf(&b, "]\naccess_log = \"access-%d.jsonl\"\n", m.id)
 	b.WriteString("[limits]\ndrain_for = \"50ms\"\nanswer_slack = \"8ms\"\nmax_attempts = 5\n")
@@ -49,38 +49,38 @@
 	if !c.environment.options.RampOff { // without these every server is warm, and sites have no bounds of their own
 		b.WriteString("cold_from = 0.17\nramp_time = \"15s\"\nfall_multiple = 2.5\noverload_for = \"2s\"\n")
 	}
-	if m.follows != "" {
+	if m.followerName != "" {
 		fmt.Fprintf(&b, "[follow]\ncluster = %q\nname = %q\ndata = \"gate-%d.db\"\ncerts = \"certs\"\n", clusterName,
-			m.follows, m.id)
+			m.followerName, m.id)
 		for j, o := range c.members {
 			fmt.Fprintf(&b, "[[follow.member]]\nnumber = %d\nstream = %q\n", o.id,
-				c.streams[linkEnds{i - len(c.members), j}].addr())
+				c.streamLinks[linkEnds{from: i - len(c.members), to: j}].addr())
 		}
 		return b.String()
 	}
 	fmt.Fprintf(&b, "[cluster]\nname = %q\nnumber = %d\ndata = \"gate-%d.db\"\ncerts = \"certs\"\ntick = %q\n",
-		clusterName, m.id, m.id, memberTick)
+		clusterName, m.id, m.id, tickInterval)
 	if c.environment.options.KeysAnywhere {
 		b.WriteString("keys = \"anywhere\"\n")
 	}
 	if len(c.followers) > 0 {
 		fmt.Fprintf(&b, "stream = %q\n", m.stream)
 	}
-	if i == len(c.members)-1 && !c.environment.scenario.sites {
-		fmt.Fprintf(&b, "stale_after = %q\nwhen_stale = \"refuse\"\n", shortStale)
+	if i == len(c.members)-1 && !c.environment.scenario.hasTwoSites {
+		fmt.Fprintf(&b, "stale_after = %q\nwhen_stale = \"refuse\"\n", staleTimeout)
 	}
-	if c.environment.scenario.sites {
-		fmt.Fprintf(&b, "[cluster.link]\nlisten = %q\n", m.site)
+	if c.environment.scenario.hasTwoSites {
+		fmt.Fprintf(&b, "[cluster.link]\nlisten = %q\n", m.relay)
 		for j, o := range c.members {
-			if way := c.ways[linkEnds{i, j}]; way != nil {
+			if l := c.relayLinks[linkEnds{from: i, to: j}]; l != nil {
 				fmt.Fprintf(&b, "[[cluster.link.far]]\nhall = %q\nmember = %d\naddress = %q\n", siteName(j%2), o.id,
-					way.addr())
+					l.addr())
 			}
 		}
 	}
 	for j, o := range c.members {
 		raft := o.raft
-		if l := c.links[linkEnds{i, j}]; l != nil {
+		if l := c.raftLinks[linkEnds{from: i, to: j}]; l != nil {
 			raft = l.addr()
 		}
 		fmt.Fprintf(&b, "[[cluster.member]]\nnumber = %d\nraft = %q\nadmin = %q\n", o.id, raft, o.admin)
@@ -88,7 +88,7 @@
 	return b.String()
 }
 
-// command is gateway with arguments.
+// command is the gateway's program with arguments.
 func (c *clusterRun) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(c.environment.options.Program, args...)
 	cmd.Env = append(os.Environ(), c.environment.options.Env...)
@@ -96,9 +96,9 @@
 }
 
 func (c *clusterRun) start(m *member) error {
-	args := []string{"run", "--config", filepath.Join(c.dir, m.file())}
-	if m.runs++; c.chaos {
-		args = append(args, "--chaos", strconv.FormatUint(c.environment.options.Seed*1000+uint64(m.runs), 10))
+	args := []string{"run", "--config", filepath.Join(c.dir, m.configFile())}
+	if m.startCount++; c.hasChaos {
+		args = append(args, "--chaos", strconv.FormatUint(c.environment.options.Seed*1000+uint64(m.startCount), 10))
 	}
 	m.cmd = c.command(args...)
 	m.cmd.Stdout, m.cmd.Stderr = io.Discard, c.environment.options.Log
@@ -108,13 +108,13 @@
 	if err := m.cmd.Start(); err != nil {
 		return err
 	}
-	process := &processEnd{done: make(chan struct{})}
-	m.ended = process
+	p := &process{done: make(chan struct{})}
+	m.process = p
 	cmd := m.cmd
 	go func() {
-		process.err = cmd.Wait()
+		p.err = cmd.Wait()
 		m.markEndedAt(time.Now())
-		close(process.done)
+		close(p.done)
 	}()
 	return nil
 }
@@ -125,11 +125,11 @@
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
 	if n := len(m.down); n == 0 || !m.down[n-1].to.IsZero() {
-		m.down = append(m.down, interval{from: at.Add(-drainMost)})
+		m.down = append(m.down, interval{from: at.Add(-maxDrainTime)})
 	}
 }
 
-// markDown and up note when a member can't be expected to answer.
+// markDown and markUp note when a member can't be expected to answer.
 func (m *member) markDown() {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
@@ -163,9 +163,9 @@
 	m.killed = append(m.killed, time.Now())
 	m.downMu.Unlock()
 	m.cmd.Process.Kill()
-	<-m.ended.done
+	<-m.process.done
 	c.mu.Lock()
-	c.kills++
+	c.killCount++
 	c.mu.Unlock()
 }
 
@@ -187,8 +187,8 @@
 
 var errEnded = errors.New("the instance has ended")
 
-// ready asks a member's /health/ready.
-func ready(ctx context.Context, m *member) bool {
+// isReady asks a member's /health/ready.
+func isReady(ctx context.Context, m *member) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.listen+"/health/ready", nil)
@@ -205,23 +205,23 @@
 }
 
 func (c *clusterRun) awaitReady(ctx context.Context, m *member) error {
-	for end := time.Now().Add(startMost); time.Now().Before(end); {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); {
 		select {
-		case <-m.ended.done:
-			return fmt.Errorf("member %d: %w: %w", m.id, errEnded, m.ended.err)
+		case <-m.process.done:
+			return fmt.Errorf("member %d: %w: %w", m.id, errEnded, m.process.err)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(10 * time.Millisecond):
 		}
-		if ready(ctx, m) {
+		if isReady(ctx, m) {
 			return nil
 		}
 	}
 	return fmt.Errorf("member %d does not become ready", m.id)
 }
 
-// processEnd is the end of a process, for any number of those who wait for it.
-type processEnd struct {
+// process is an instance's process, and tells its end, for any number of those who wait for it.
+type process struct {
 	done chan struct{} // closed at the end
 	err  error         // of the process, once done is closed
 }
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -15,7 +15,7 @@
 	"mulleinmux/internal/testserver"
 )
 
-// checkRules waits until all members are of one mind and judges the run.
+// checkRules waits until all members agree and judges the run.
 func (c *clusterRun) checkRules(ctx context.Context, tries []testserver.Try, began time.Time) *Verdict {
 	w := c.environment
 	v := w.newVerdict("one_mind", "changes")
@@ -48,10 +48,10 @@
 	if c.surge != nil {
 		c.surge.figures(j, tries, arrivals, byTrace, w.serverCount(), w.coreCount())
 	}
-	for _, s := range c.alone {
+	for _, s := range c.isolations {
 		c.checkIsolated(j, s, arrivals)
 	}
-	if c.flaps > 0 && w.scenario.Name == "flapping" {
+	if c.flapCount > 0 && w.scenario.Name == "flapping" {
 		c.checkFlapping(j, history)
 	}
 	v.judge()
@@ -62,9 +62,9 @@
 func (c *clusterRun) addFaultFigures(v *Verdict) {
 	applied, _ := c.countApplied()
 	v.Figures["changes"] = float64(applied)
-	v.Figures["kills"] = float64(c.kills)
-	v.Figures["disks_failed"] = float64(c.failed)
-	for i, g := range c.gaps {
+	v.Figures["kills"] = float64(c.killCount)
+	v.Figures["disks_failed"] = float64(c.failedDiskCount)
+	for i, g := range c.leaderLossDelays {
 		v.Figures[fmt.Sprint("kill_to_change_ms_", i+1)] = math.Round(g.Seconds() * 1000)
 	}
 	for i, l := range c.losses {
@@ -86,7 +86,7 @@
 	for spent := time.Duration(0); spent < c.environment.options.For; maxLosses++ {
 		spent += 500*time.Millisecond + time.Second<<min(maxLosses, 5)
 	}
-	j.v.Figures["flaps"] = float64(c.flaps)
+	j.v.Figures["flaps"] = float64(c.flapCount)
 	j.v.Figures["losses_agreed"] = float64(lossCount)
 	j.v.Figures["losses_at_most"] = float64(maxLosses)
 	if lossCount > maxLosses {
@@ -102,7 +102,7 @@
 			booked[a.Hall]++
 		}
 	}
-	for _, h := range c.environment.halls {
+	for _, h := range c.environment.sites {
 		if j.v.Figures["booked_alone_"+h.Name] = float64(booked[h.Name]); booked[h.Name] == 0 {
 			j.violation("scenario", "%s took no bookings while the sites were cut from each other", h.Name)
 		}
@@ -111,18 +111,18 @@
 
 // checkAgreement waits until all members have the same version and chain, and returns the history.
 func (c *clusterRun) checkAgreement(ctx context.Context, j *ruleChecker) []clusterconfig.HistoryRecord {
-	for _, l := range c.links {
+	for _, l := range c.raftLinks {
 		l.setCut(false)
 	}
-	ctx, cancel := context.WithTimeout(ctx, settle)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for {
 		seen, same := "", 0
 		for _, m := range c.members {
 			select {
-			case <-m.ended.done: // its disk failed of late
-				if c.chaos {
-					c.failed++
+			case <-m.process.done: // its disk failed of late
+				if c.hasChaos {
+					c.failedDiskCount++
 					m.markDown()
 					if err := c.start(m); err != nil {
 						j.violation("one_mind", "%v", err)
@@ -134,9 +134,9 @@
 			if err != nil || s.InstalledVersion != s.Version {
 				break
 			}
-			mind := fmt.Sprintf("%d %s", s.Version, s.Hash)
-			if same == 0 || mind == seen {
-				seen = mind
+			state := fmt.Sprintf("%d %s", s.Version, s.Hash)
+			if same == 0 || state == seen {
+				seen = state
 				same++
 			}
 		}
@@ -145,7 +145,7 @@
 		}
 		if pause(ctx, 20*time.Millisecond); ctx.Err() != nil {
 			j.violation("one_mind", "the members are not of one mind %v after the last change: the last seen is %s",
-				settle, seen)
+				settleTimeout, seen)
 			return nil
 		}
 	}
@@ -159,11 +159,11 @@
 // checkFollowers waits until every member says of every follower that it runs the newest version, and holds that
 // against what the follower itself answers.
 func (c *clusterRun) checkFollowers(ctx context.Context, j *ruleChecker) {
-	for _, l := range c.streams {
+	for _, l := range c.streamLinks {
 		l.setCut(false)
 	}
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, settle)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for len(c.followers) > 0 {
 		said := ""
@@ -174,13 +174,13 @@
 			}
 			for _, f := range c.followers {
 				i := slices.IndexFunc(fs.Followers,
-					func(s configstream.StreamStatus) bool { return s.Name == f.follows })
+					func(s configstream.StreamStatus) bool { return s.Name == f.followerName })
 				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.NewestVersion {
 					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.MemberID, fs.NewestVersion,
-						f.follows, fs.Followers)
+						f.followerName, fs.Followers)
 				} else if v, err := versionAt(ctx, f); err != nil || v != fs.NewestVersion {
 					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.MemberID,
-						f.follows, fs.NewestVersion, v, err)
+						f.followerName, fs.NewestVersion, v, err)
 				}
 			}
 		}
@@ -190,7 +190,7 @@
 		}
 		if pause(ctx, 50*time.Millisecond); ctx.Err() != nil {
 			j.violation("one_mind", "the followers do not run what the members agree on %v after the last fault: %s",
-				settle, said)
+				settleTimeout, said)
 			return
 		}
 	}
--- a/internal/scenario/contract.go
+++ b/internal/scenario/contract.go
@@ -12,9 +12,9 @@
 
 // changes of the description in the scenario contract-change: ten, of which two are bad.
 const (
-	changes = 10
-	badOne  = 4
-	badTwo  = 8
+	changeCount   = 10
+	firstInvalid  = 4
+	secondInvalid = 8
 )
 
 // changingPrice is what version n says of an operation's units: those of three operations
@@ -26,9 +26,9 @@
 	return units
 }
 
-// variant writes version n of the description: three prices and an aim differ in each, the
+// descriptionVariant writes version n of the description: three prices and an aim differ in each, the
 // aim making a class that the engine has not met. With bad, it is one that must be rejected.
-func variant(n int, bad bool) []byte {
+func descriptionVariant(n int, bad bool) []byte {
 	text := string(deploy.Booking)
 	swap := func(old, to string) {
 		if !strings.Contains(text, old) {
@@ -50,16 +50,17 @@
 
 // changeContract puts new descriptions in force at all instances, spread over the run.
 func changeContract(ctx context.Context, w *environment) {
-	gap := w.options.For / (changes + 1)
+	gap := w.options.For / (changeCount + 1)
 	number := 1
-	for n := 1; n <= changes; n++ {
+	for n := 1; n <= changeCount; n++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(gap):
 		}
-		bad := n == badOne || n == badTwo
-		table, _, err := openapi.Compile(fmt.Sprintf("booking-%d.yaml", number+1), variant(number+1, bad), w.compile)
+		bad := n == firstInvalid || n == secondInvalid
+		table, _, err := openapi.Compile(fmt.Sprintf("booking-%d.yaml", number+1), descriptionVariant(number+1, bad),
+			w.compile)
 		w.mu.Lock()
 		switch {
 		case bad && err == nil:
@@ -67,7 +68,7 @@
 		case !bad && err != nil:
 			w.notes = append(w.notes, fmt.Sprintf("change %d is good and was refused: %v", n, err))
 		}
-		w.changes++
+		w.changeCount++
 		w.mu.Unlock()
 		if err != nil {
 			continue
--- a/internal/scenario/faults_members.go
+++ b/internal/scenario/faults_members.go
@@ -9,7 +9,7 @@
 
 // cutOff cuts a member off from all others, or heals its links.
 func (c *clusterRun) cutOff(m *member, cut bool) {
-	for ends, l := range c.links {
+	for ends, l := range c.raftLinks {
 		if ends.from == int(m.id-1) || ends.to == int(m.id-1) {
 			l.setCut(cut)
 		}
@@ -29,16 +29,16 @@
 		at := time.Now()
 		for n, last := c.countApplied(); n <= before || !last.After(at); n, last = c.countApplied() {
 			if pause(ctx, 2*time.Millisecond); ctx.Err() != nil || time.Since(at) > 5*time.Second {
-				c.logf("no change was applied within %v of the leader's kill", time.Since(at))
+				c.notef("no change was applied within %v of the leader's kill", time.Since(at))
 				return
 			}
 		}
 		c.mu.Lock()
-		c.gaps = append(c.gaps, time.Since(at))
+		c.leaderLossDelays = append(c.leaderLossDelays, time.Since(at))
 		c.mu.Unlock()
 		pause(ctx, c.environment.options.For/12)
 		if err := c.restart(context.WithoutCancel(ctx), m); err != nil {
-			c.logf("%v", err)
+			c.notef("%v", err)
 			return
 		}
 	}
@@ -51,20 +51,20 @@
 		pause(ctx, c.environment.options.For/10)
 		c.cutOff(m, true)
 		if i == 0 {
-			pause(ctx, shortStale+500*time.Millisecond)
-			if age := c.configAge(ctx, m); ctx.Err() == nil && age < shortStale.Seconds() {
-				c.logf("member %d is cut off for %v and tells an age of %v s", m.id, shortStale, age)
+			pause(ctx, staleTimeout+500*time.Millisecond)
+			if age := c.configAge(ctx, m); ctx.Err() == nil && age < staleTimeout.Seconds() {
+				c.notef("member %d is cut off for %v and tells an age of %v s", m.id, staleTimeout, age)
 			}
-			if !ready(ctx, m) && ctx.Err() == nil {
-				c.logf("member %d is cut off, may serve on and does not", m.id)
+			if !isReady(ctx, m) && ctx.Err() == nil {
+				c.notef("member %d is cut off, may serve on and does not", m.id)
 			}
 		} else {
-			if !ready(ctx, m) && ctx.Err() == nil {
-				c.logf("member %d refuses before its bound", m.id)
+			if !isReady(ctx, m) && ctx.Err() == nil {
+				c.notef("member %d refuses before its bound", m.id)
 			}
-			pause(ctx, shortStale+500*time.Millisecond)
-			if ready(ctx, m) && ctx.Err() == nil {
-				c.logf("member %d serves past its bound", m.id)
+			pause(ctx, staleTimeout+500*time.Millisecond)
+			if isReady(ctx, m) && ctx.Err() == nil {
+				c.notef("member %d serves past its bound", m.id)
 			}
 		}
 		c.cutOff(m, false)
@@ -74,7 +74,7 @@
 				break
 			}
 			if pause(ctx, 5*time.Millisecond); time.Since(healed) > 3*time.Second {
-				c.logf("member %d does not catch up after its links healed", m.id)
+				c.notef("member %d does not catch up after its links healed", m.id)
 				return
 			}
 		}
@@ -103,16 +103,16 @@
 		m.markDown()
 		m.cmd.Process.Signal(syscall.SIGTERM)
 		select {
-		case <-m.ended.done:
-			if err := m.ended.err; err != nil {
-				c.logf("member %d: %v", m.id, err)
+		case <-m.process.done:
+			if err := m.process.err; err != nil {
+				c.notef("member %d: %v", m.id, err)
 			}
 		case <-time.After(10 * time.Second):
-			c.logf("member %d does not end", m.id)
+			c.notef("member %d does not end", m.id)
 			return
 		}
 		if err := c.restart(context.WithoutCancel(ctx), m); err != nil {
-			c.logf("%v", err)
+			c.notef("%v", err)
 			return
 		}
 	}
@@ -126,11 +126,11 @@
 	for time.Now().Before(until) && ctx.Err() == nil {
 		for _, m := range c.members { // one whose disk failed has ended
 			select {
-			case <-m.ended.done:
-				c.failed++
+			case <-m.process.done:
+				c.failedDiskCount++
 				m.markDown()
 				if err := c.restart(after, m); err != nil {
-					c.logf("%v", err)
+					c.notef("%v", err)
 					return
 				}
 			default:
@@ -143,25 +143,25 @@
 			c.kill(m)
 			pause(ctx, time.Duration(c.rng.IntN(400))*time.Millisecond)
 			if err := c.restart(after, m); err != nil {
-				c.logf("%v", err)
+				c.notef("%v", err)
 				return
 			}
 		case 1: // one-way
-			c.links[linkEnds{int(m.id - 1), other}].setCut(true)
+			c.raftLinks[linkEnds{from: int(m.id - 1), to: other}].setCut(true)
 			pause(ctx, time.Duration(300+c.rng.IntN(700))*time.Millisecond)
-			c.links[linkEnds{int(m.id - 1), other}].setCut(false)
+			c.raftLinks[linkEnds{from: int(m.id - 1), to: other}].setCut(false)
 		case 2:
 			c.cutOff(m, true)
 			pause(ctx, time.Duration(300+c.rng.IntN(700))*time.Millisecond)
 			c.cutOff(m, false)
 		default: // a kill while the others are cut from each other
-			l := c.links[linkEnds{other, int(m.id - 1)}]
+			l := c.raftLinks[linkEnds{from: other, to: int(m.id - 1)}]
 			l.setCut(true)
 			pause(ctx, 200*time.Millisecond)
 			c.kill(c.members[other])
 			l.setCut(false)
 			if err := c.restart(after, c.members[other]); err != nil {
-				c.logf("%v", err)
+				c.notef("%v", err)
 				return
 			}
 		}
@@ -179,17 +179,17 @@
 			c.kill(m)
 			pause(ctx, time.Duration(c.rng.IntN(1000))*time.Millisecond)
 			if err := c.restart(context.WithoutCancel(ctx), m); err != nil {
-				c.logf("%v", err)
+				c.notef("%v", err)
 				return
 			}
 		}
 	}
 }
 
-// streamBreaks has the ways from followers to members fall silent, each for itself.
+// streamBreaks has the links from followers to members fall silent, each for itself.
 func streamBreaks(ctx context.Context, c *clusterRun) {
 	for until := c.awaitQuiet(ctx); time.Now().Before(until) && ctx.Err() == nil; {
-		for _, l := range c.streams {
+		for _, l := range c.streamLinks {
 			l.setCut(c.rng.IntN(3) == 0)
 		}
 		pause(ctx, time.Duration(100+c.rng.IntN(500))*time.Millisecond)
--- a/internal/scenario/faults_sites.go
+++ b/internal/scenario/faults_sites.go
@@ -19,18 +19,18 @@
 	return asks
 }
 
-// killedHoldingKeys is hallCloses with an instance killed as each site closes: what it has sent
+// killedHoldingKeys is siteCloses with an instance killed as each site closes: what it has sent
 // and not told dies with it.
 func killedHoldingKeys(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	strike, cancel := context.WithDeadline(ctx, until.Add(-c.environment.options.For/6))
 	defer cancel()
-	c.closing = func() {
+	c.afterClose = func() {
 		m := c.members[c.rng.IntN(len(c.members))]
 		c.kill(m)
 		pause(strike, time.Duration(c.rng.IntN(600))*time.Millisecond)
 		if err := c.restart(context.WithoutCancel(ctx), m); err != nil {
-			c.logf("%v", err)
+			c.notef("%v", err)
 		}
 	}
 	siteCloses(strike, c)
@@ -39,7 +39,7 @@
 // siteCloses closes one site after the other for keys, and opens it again.
 func siteCloses(ctx context.Context, c *clusterRun) {
 	for n := 0; ctx.Err() == nil; n++ {
-		h := c.environment.halls[n%2]
+		h := c.environment.sites[n%2]
 		for _, closed := range []bool{true, false} {
 			pause(ctx, time.Duration(300+c.rng.IntN(900))*time.Millisecond)
 			if ctx.Err() != nil {
@@ -51,10 +51,10 @@
 			one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 4*time.Second)
 			_, err := c.clients[0].Propose(one, p)
 			if cancel(); err != nil {
-				c.logf("%s: %v", p.ID, err)
+				c.notef("%s: %v", p.ID, err)
 			}
-			if closed && c.closing != nil {
-				c.closing()
+			if closed && c.afterClose != nil {
+				c.afterClose()
 			}
 		}
 	}
@@ -63,23 +63,23 @@
 // siteLost has one site fall silent after the other. The instances must find out, agree on it and
 // move its keys, and take it back once it answers again.
 func siteLost(ctx context.Context, c *clusterRun) {
-	c.loseSites(ctx, func(int) int { return []int{-1, perHall}[c.rng.IntN(2)] })
+	c.loseSites(ctx, func(int) int { return []int{-1, serversPerSite}[c.rng.IntN(2)] })
 }
 
-// siteReturnsEmpty is hallLost with sites that come back with cold servers alone: one, all, half of
+// siteReturnsEmpty is siteLost with sites that come back with cold servers alone: one, all, half of
 // them, and twice in a row.
 func siteReturnsEmpty(ctx context.Context, c *clusterRun) {
-	c.loseSites(ctx, func(n int) int { return []int{1, perHall, perHall / 2}[n%3] })
+	c.loseSites(ctx, func(n int) int { return []int{1, serversPerSite, serversPerSite / 2}[n%3] })
 }
 
 // serversReplaced has the warm servers of a site end a moment after a cold one has come, with the crowd that they
 // served.
 func serversReplaced(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
-	h := c.environment.halls[c.rng.IntN(2)]
+	h := c.environment.sites[c.rng.IntN(2)]
 	pause(ctx, c.environment.options.For/2)
 	if _, err := h.Start("cold", true); err != nil {
-		c.logf("%v", err)
+		c.notef("%v", err)
 	}
 	pause(ctx, time.Duration(300+c.rng.IntN(700))*time.Millisecond)
 	for n := range c.environment.serverCount() {
@@ -92,11 +92,11 @@
 func flapping(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.environment.options.For / 4)
-	h := c.environment.halls[c.rng.IntN(2)]
+	h := c.environment.sites[c.rng.IntN(2)]
 	for cut := true; time.Now().Before(until) && ctx.Err() == nil; cut = !cut {
 		h.Cut(cut)
 		pause(ctx, time.Duration(100+c.rng.IntN(1400))*time.Millisecond)
-		c.flaps++
+		c.flapCount++
 	}
 	h.Cut(false)
 }
@@ -112,7 +112,7 @@
 		if time.Until(until) < 4*time.Second+time.Second<<n || ctx.Err() != nil { // the hold doubles
 			return
 		}
-		h := c.environment.halls[c.rng.IntN(2)]
+		h := c.environment.sites[c.rng.IntN(2)]
 		if n > 0 && c.rng.IntN(2) == 0 {
 			h = last // twice in a row
 		}
@@ -127,7 +127,7 @@
 				ids = append(ids, fmt.Sprintf("r%d-%d", n, k))
 			}
 			if err := h.Empty(ids...); err != nil {
-				c.logf("%v", err)
+				c.notef("%v", err)
 			}
 		}
 		began = time.Now()
@@ -137,7 +137,7 @@
 			return
 		}
 		if !ok || !ok2 {
-			c.logf("loss %d: %s was not agreed to be lost and back: %v, %v", n+1, h.Name, ok, ok2)
+			c.notef("loss %d: %s was not agreed to be lost and back: %v, %v", n+1, h.Name, ok, ok2)
 			return
 		}
 		c.mu.Lock()
@@ -146,21 +146,21 @@
 	}
 }
 
-// linkDrops has the ways between the sites fall silent and break, each for itself, until the end is near.
+// linkDrops has the links between the sites fall silent and break, each for itself, until the end is near.
 func linkDrops(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.environment.options.For / 6)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		for _, way := range c.ways {
+		for _, l := range c.relayLinks {
 			if c.rng.IntN(2) == 0 {
-				way.setCut(true)
+				l.setCut(true)
 			}
 		}
 		pause(ctx, time.Duration(20+c.rng.IntN(200))*time.Millisecond)
-		for _, way := range c.ways {
-			way.setCut(false)
+		for _, l := range c.relayLinks {
+			l.setCut(false)
 		}
-		c.flaps++
+		c.flapCount++
 		pause(ctx, time.Duration(100+c.rng.IntN(500))*time.Millisecond)
 	}
 }
@@ -173,7 +173,7 @@
 	pause(ctx, cutSettleTime)
 	from := time.Now()
 	pause(ctx, c.environment.options.For/3-cutSettleTime)
-	c.alone = append(c.alone, interval{from: from, to: time.Now()})
+	c.isolations = append(c.isolations, interval{from: from, to: time.Now()})
 	c.cutSites(false)
 }
 
@@ -184,13 +184,13 @@
 const cutSettleTime = 1500 * time.Millisecond
 
 func (c *clusterRun) cutSites(cut bool) {
-	for ends, l := range c.links {
+	for ends, l := range c.raftLinks {
 		if ends.from%2 != ends.to%2 {
 			l.setCut(cut)
 		}
 	}
-	for _, way := range c.ways {
-		way.setCut(cut)
+	for _, l := range c.relayLinks {
+		l.setCut(cut)
 	}
 }
 
--- a/internal/scenario/link.go
+++ b/internal/scenario/link.go
@@ -12,15 +12,15 @@
 // linkEnds are the indexes of two instances: a link goes from the one to the other.
 type linkEnds struct{ from, to int }
 
-// link is the way from one member to another: a forwarder on loopback that can be cut. The
-// bytes of a member's messages go one way, so that a cut is one-way.
+// link is the path from one member to another: a forwarder on loopback that can be cut. The
+// bytes of a member's messages go in one direction, so that a cut is one-way.
 type link struct {
-	ln  net.Listener
-	to  string
-	cut atomic.Bool
-	mu  sync.Mutex
-	all map[net.Conn]struct{}
-	end sync.WaitGroup
+	ln         net.Listener
+	to         string
+	cut        atomic.Bool
+	mu         sync.Mutex
+	conns      map[net.Conn]struct{}
+	goroutines sync.WaitGroup
 }
 
 func newLink(to string) (*link, error) {
@@ -28,8 +28,8 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &link{ln: ln, to: to, all: map[net.Conn]struct{}{}}
-	l.end.Go(l.serve)
+	l := &link{ln: ln, to: to, conns: map[net.Conn]struct{}{}}
+	l.goroutines.Go(l.serve)
 	return l, nil
 }
 
@@ -45,7 +45,7 @@
 
 func (l *link) closeAll() {
 	l.mu.Lock()
-	for c := range l.all {
+	for c := range l.conns {
 		c.Close()
 	}
 	l.mu.Unlock()
@@ -54,17 +54,17 @@
 func (l *link) close() {
 	l.ln.Close()
 	l.closeAll()
-	l.end.Wait()
+	l.goroutines.Wait()
 }
 
-func (l *link) hold(c net.Conn) func() {
+func (l *link) track(c net.Conn) func() {
 	l.mu.Lock()
-	l.all[c] = struct{}{}
+	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	return func() {
 		c.Close()
 		l.mu.Lock()
-		delete(l.all, c)
+		delete(l.conns, c)
 		l.mu.Unlock()
 	}
 }
@@ -79,8 +79,8 @@
 			time.Sleep(time.Millisecond) // out of descriptors: one may come free
 			continue
 		}
-		l.end.Go(func() {
-			defer l.hold(c)()
+		l.goroutines.Go(func() {
+			defer l.track(c)()
 			if l.cut.Load() { // nothing answers
 				io.Copy(io.Discard, c)
 				return
@@ -89,23 +89,23 @@
 			if err != nil {
 				return
 			}
-			defer l.hold(d)()
+			defer l.track(d)()
 			back := make(chan struct{})
 			go func() {
 				defer close(back)
-				l.pass(c, d)
+				l.forward(c, d)
 				c.Close()
 			}()
-			l.pass(d, c)
+			l.forward(d, c)
 			d.Close()
 			<-back
 		})
 	}
 }
 
-// pass copies until an end closes. What comes while the link is cut is lost, and with it the
+// forward copies until an end closes. What comes while the link is cut is lost, and with it the
 // connection, once the link heals.
-func (l *link) pass(to, from net.Conn) {
+func (l *link) forward(to, from net.Conn) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -11,7 +11,7 @@
 	"mulleinmux/policy"
 )
 
-// The scenario site-lost-surge loses a site that is needed and has it back cold, and holds what was served against an
+// The scenario hall-lost-surge loses a site that is needed and has it back cold, and holds what was served against an
 // oracle that knows the true state of all servers at once, has no wait between sites, and chooses among all that was
 // asked for. No gateway can serve more than it.
 
@@ -27,18 +27,18 @@
 
 // surge is what happened to the site.
 type surge struct {
-	hall                  string
+	site                  string
 	calm, lost, back, end time.Time
 }
 
-// hallLostSurge has a site that carries half of the load fall silent, and come back with cold servers alone.
-func hallLostSurge(ctx context.Context, c *clusterRun) {
+// siteLostSurge has a site that carries half of the load fall silent, and come back with cold servers alone.
+func siteLostSurge(ctx context.Context, c *clusterRun) {
 	began := time.Now()
 	until := func(share float64) {
 		pause(ctx, time.Until(began.Add(time.Duration(share*float64(c.environment.options.For)))))
 	}
-	h := c.environment.halls[c.rng.IntN(2)]
-	s := &surge{hall: h.Name}
+	h := c.environment.sites[c.rng.IntN(2)]
+	s := &surge{site: h.Name}
 	until(surgeLost / 2)
 	s.calm = time.Now()
 	until(surgeLost)
@@ -47,7 +47,7 @@
 	until(surgeBack)
 	ids := []string{"cold-0", "cold-1", "cold-2", "cold-3", "cold-4"}[:c.environment.serverCount()]
 	if err := h.Empty(ids...); err != nil {
-		c.logf("%v", err)
+		c.notef("%v", err)
 	}
 	s.back = time.Now()
 	h.Cut(false)
@@ -56,8 +56,8 @@
 	c.surge = s
 }
 
-// wish is what one client wants, over all its tries.
-type wish struct {
+// demand is what one client wants, over all its tries.
+type demand struct {
 	at       time.Time
 	licensee string
 	units    int
@@ -68,8 +68,9 @@
 	served   time.Time
 }
 
-// wishes joins tries to wishes. Units of a request that no site has seen are those of its operation's others.
-func wishes(tries []testserver.Try, byTrace map[string][]testserver.Arrival) []*wish {
+// demandsOf joins the tries of each client's request to one demand. Units of a request that no site has seen are
+// those of its operation's others.
+func demandsOf(tries []testserver.Try, byTrace map[string][]testserver.Arrival) []*demand {
 	classes, plans, prices, units := classes(), map[string]string{}, map[string]float64{}, map[string]int{}
 	for _, l := range allLicensees() {
 		plans[l.Name] = l.Plan
@@ -80,8 +81,8 @@
 	for _, as := range byTrace {
 		units[as[0].Operation] = as[0].Units
 	}
-	byFirst := map[string]*wish{}
-	var all []*wish
+	byFirst := map[string]*demand{}
+	var all []*demand
 	for _, t := range tries {
 		w := byFirst[t.First]
 		if w == nil {
@@ -90,7 +91,7 @@
 				k = classes[1]
 			}
 			price := prices[plans[t.Licensee]]
-			w = &wish{at: t.At, licensee: t.Licensee, units: max(units[t.Operation], 1),
+			w = &demand{at: t.At, licensee: t.Licensee, units: max(units[t.Operation], 1),
 				value: k.PriorityWeight * price, late: k.PriorityWeight * k.LateFraction * price,
 				aim: k.LatencyObjective, work: workOf(t.Operation).Seconds()}
 			byFirst[t.First] = w
@@ -103,7 +104,7 @@
 			w.served = t.Ended
 		}
 	}
-	slices.SortFunc(all, func(a, b *wish) int { return a.at.Compare(b.at) })
+	slices.SortFunc(all, func(a, b *demand) int { return a.at.Compare(b.at) })
 	return all
 }
 
@@ -125,14 +126,14 @@
 	return math.Min(least+(1-least)*at.Sub(s.back).Seconds()/window.Seconds(), 1)
 }
 
-// oracle runs the whole run: which wishes can be served within their aim. Each takes units of its licensee's store,
+// oracle runs the whole run: which demands can be served within their aim. Each takes units of its licensee's store,
 // in the order in which they come, and waits for them within its aim, as a client does that tries again; of those
 // that have them, what is worth most for its work is served first.
-func (s *surge) oracle(all []*wish, servers, cores int) (served map[*wish]bool) {
+func (s *surge) oracle(all []*demand, servers, cores int) (served map[*demand]bool) {
 	type store struct {
 		plan  policy.Plan
 		level float64
-		queue []*wish
+		queue []*demand
 	}
 	var stores []*store
 	byName := map[string]*store{}
@@ -144,12 +145,12 @@
 			}
 		}
 	}
-	served = map[*wish]bool{}
-	left := map[*wish]float64{}
-	var open []*wish
+	served = map[*demand]bool{}
+	left := map[*demand]float64{}
+	var open []*demand
 	next := 0
 	for at := all[0].at; next < len(all) || len(open) > 0; at = at.Add(oracleStep) {
-		over := func(w *wish) bool { return at.Sub(w.at) > w.aim }
+		over := func(w *demand) bool { return at.Sub(w.at) > w.aim }
 		for ; next < len(all) && all[next].at.Before(at.Add(oracleStep)); next++ {
 			st := byName[all[next].licensee]
 			st.queue = append(st.queue, all[next])
@@ -165,8 +166,8 @@
 				left[w] = w.work
 			}
 		}
-		open = slices.DeleteFunc(open, func(w *wish) bool { return left[w] <= 0 || over(w) })
-		slices.SortStableFunc(open, func(a, b *wish) int { return cmp.Compare(b.value/b.work, a.value/a.work) })
+		open = slices.DeleteFunc(open, func(w *demand) bool { return left[w] <= 0 || over(w) })
+		slices.SortStableFunc(open, func(a, b *demand) int { return cmp.Compare(b.value/b.work, a.value/a.work) })
 		can := s.capacity(at, servers, cores) * oracleStep.Seconds()
 		for _, w := range open {
 			part := math.Min(can, left[w])
@@ -182,8 +183,8 @@
 	return served
 }
 
-// worth is what was served, and what the oracle serves, of the wishes that begin in a span.
-func worth(all []*wish, oracle map[*wish]bool, from, to time.Time) (got, best float64) {
+// worth is what was served, and what the oracle serves, of the demands that begin in a span.
+func worth(all []*demand, oracle map[*demand]bool, from, to time.Time) (got, best float64) {
 	for _, w := range all {
 		if w.at.Before(from) || !w.at.Before(to) {
 			continue
@@ -205,7 +206,7 @@
 // figures holds what was served against the oracle, and the time to full use against the shortest.
 func (s *surge) figures(j *ruleChecker, tries []testserver.Try, arrivals []testserver.Arrival,
 	byTrace map[string][]testserver.Arrival, servers, cores int) {
-	all := wishes(tries, byTrace)
+	all := demandsOf(tries, byTrace)
 	oracle := s.oracle(all, servers, cores)
 	share := func(name string, from, to time.Time) {
 		got, best := worth(all, oracle, from, to)
@@ -224,7 +225,7 @@
 	// Work done at the site, by second.
 	done := func(from, to time.Time) (work float64) {
 		for _, a := range arrivals {
-			if a.Hall == s.hall && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
+			if a.Hall == s.site && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
 				work += workOf(a.Operation).Seconds()
 			}
 		}
--- /dev/null
+++ b/internal/scenario/path_spelling_test.go
@@ -0,0 +1,89 @@
+package scenario
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"testing"
+
+	"mulleinmux/deploy"
+	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/openapi"
+	"mulleinmux/internal/testserver"
+)
+
+// No spelling of a path reaches a site as another operation than the one charged: a site
+// that decodes, cleans and cuts whatever it can finds the same one.
+func FuzzPathSpelling(f *testing.F) {
+	for seed := range uint64(300) {
+		f.Add(seed)
+	}
+	tab, _, err := openapi.Compile("booking.yaml", deploy.Booking, (&gateway.Config{Classes: classes()}).Options())
+	if err != nil {
+		f.Fatal(err)
+	}
+	rs := routes(sameUnits)
+	f.Fuzz(func(t *testing.T, seed uint64) {
+		rng := rand.New(rand.NewPCG(seed, 2))
+		found := 0
+		for range 50 {
+			r := rs[rng.IntN(len(rs))]
+			path := r.Template
+			for strings.Contains(path, "{") {
+				i, j := strings.IndexByte(path, '{'), strings.IndexByte(path, '}')
+				path = path[:i] + []string{"7", "new", "batch", "search", "x.csv", "sheet.pdf", "a b", "..",
+					"visits"}[rng.IntN(9)] + path[j+1:]
+			}
+			for range rng.IntN(3) {
+				path = respell(rng, path)
+			}
+			target := path + "?days=3"
+			if tab.CheckPath(path) != "" {
+				continue
+			}
+			op, _, _ := tab.Match(r.Method, path)
+			if op == nil {
+				continue
+			}
+			found++
+			hall := testserver.Lookup(rs, r.Method, target, http.Header{})
+			if hall == nil || hall.Operation != op.ID {
+				t.Fatalf("%s %s is charged as %s and reaches the hall as %+v", r.Method, path, op.ID, hall)
+			}
+		}
+		if found == 0 {
+			t.Errorf("no path was found")
+		}
+	})
+}
+
+// respell writes a path in another way, which a site may or may not take for the same.
+func respell(rng *rand.Rand, path string) string {
+	i := 1 + rng.IntN(len(path)-1)
+	switch rng.IntN(12) {
+	case 0:
+		return path[:i] + fmt.Sprintf("%%%02X", path[i]) + path[i+1:]
+	case 1:
+		return path[:i] + fmt.Sprintf("%%%02x", path[i]) + path[i+1:]
+	case 2:
+		return path[:i] + "/" + path[i:]
+	case 3:
+		return path[:i] + "/./" + path[i:]
+	case 4:
+		return path[:i] + "/../" + path[i:]
+	case 5:
+		return path[:i] + ";x=1" + path[i:]
+	case 6:
+		return path + "/"
+	case 7:
+		return path[:i] + "%2F" + path[i:]
+	case 8:
+		return path[:i] + "\\" + path[i:]
+	case 9:
+		return path[:i] + "%252F" + path[i:]
+	case 10:
+		return path[:i] + strings.ToUpper(path[i:])
+	}
+	return path + "/.."
+}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -26,7 +26,7 @@
 		return nil, fmt.Errorf("scenario %q is unknown: see --list", opt.Scenario)
 	}
 	if opt.For <= 0 {
-		opt.For = defaultFor
+		opt.For = defaultDuration
 	}
 	if opt.Log == nil {
 		opt.Log = io.Discard
@@ -85,7 +85,7 @@
 // startSites starts the sites and their servers.
 func (w *environment) startSites() (halls []gateway.Site, closeAll func(), err error) {
 	closeAll = func() {
-		for _, h := range w.halls {
+		for _, h := range w.sites {
 			h.Close()
 		}
 	}
@@ -98,7 +98,7 @@
 			closeAll()
 			return nil, nil, err
 		}
-		w.halls = append(w.halls, h)
+		w.sites = append(w.sites, h)
 		for n := range w.serverCount() {
 			if _, err := h.Start(fmt.Sprintf("s%d", n), false); err != nil {
 				closeAll()
@@ -111,12 +111,15 @@
 }
 
 // start starts the instances and returns once all are ready.
-func (w *environment) start(ctx context.Context, halls []gateway.Site, table *routing.Table) (ended chan error,
-	err error) {
+func (w *environment) start(
+	ctx context.Context,
+	halls []gateway.Site,
+	table *routing.Table,
+) (ended chan error, err error) {
 	var lns []net.Listener
 	var conns []*net.UDPConn
 	var addrs []netip.AddrPort
-	for range instances {
+	for range instanceCount {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -133,9 +136,9 @@
 	for _, l := range allLicensees() {
 		known[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerOf(l.Name)}
 	}
-	ended = make(chan error, instances)
-	ready := make(chan *gateway.Instance, instances)
-	for i := range instances {
+	ended = make(chan error, instanceCount)
+	ready := make(chan *gateway.Instance, instanceCount)
+	for i := range instanceCount {
 		cfg := &gateway.Config{Name: fmt.Sprintf("gate-%d", i), Seed: w.options.Seed + uint64(i), Sites: halls,
 			Peers:    addrs,
 			Settings: settings(i), Classes: classes(), Licensees: known, Observe: w.observe,
@@ -147,18 +150,18 @@
 			ended <- gateway.Run(ctx, cfg, cfg.Setup(1, table, nil), logger, func(in *gateway.Instance) { ready <- in })
 		}()
 	}
-	for range instances {
+	for range instanceCount {
 		select {
 		case in := <-ready:
 			w.instances = append(w.instances, in)
 		case err := <-ended:
 			return nil, errors.Join(errors.New("an instance ended at its start"), err)
-		case <-time.After(startWait):
+		case <-time.After(readyTimeout):
 			return nil, errors.New("an instance does not become ready")
 		}
 	}
 	for _, in := range w.instances {
-		if err := in.AwaitServers(ctx, 2*w.serverCount(), startWait); err != nil {
+		if err := in.AwaitServers(ctx, 2*w.serverCount(), readyTimeout); err != nil {
 			return nil, err
 		}
 	}
@@ -191,7 +194,7 @@
 			})
 		}
 		w.mu.Lock()
-		changes := w.changes
+		changes := w.changeCount
 		w.mu.Unlock()
 		line := fmt.Sprintf("%s %ds of %v: %d served, %d refused, %d failed", w.scenario.Name, n, w.options.For,
 			served, refused, failed)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -26,7 +26,7 @@
 	Env      []string          // added to its environment
 
 	RampOff      bool // the instances take every server for warm: servers-replaced must then show a fallen one
-	KeysAnywhere bool // without the guard of keys: site-closes must then show double bookings
+	KeysAnywhere bool // without the guard of keys: hall-closes must then show double bookings
 
 	breakRule func(*environment) // a test breaks a rule on purpose
 }
@@ -40,12 +40,12 @@
 	during      func(context.Context, *environment) // runs beside the clients, until ctx ends
 	cluster     func(context.Context, *clusterRun)  // likewise, with instances as processes that agree
 	// Times what licensees ask for otherwise; 0: as much, or twice where it is small.
-	rush float64
+	loadMultiple float64
 	// Sites of three servers with one core: one alone can't carry the load.
-	small     bool
-	followers int // instances beside the members that are told the configuration
+	isSmall       bool
+	followerCount int // instances beside the members that are told the configuration
 	// Two instances at each of two sites; each reaches its own site alone, the other over the link.
-	sites bool
+	hasTwoSites bool
 }
 
 // environment is a scenario under way.
@@ -53,32 +53,32 @@
 	options   Options
 	scenario  Scenario
 	ledger    *testserver.Ledger
-	halls     []*testserver.Hall
+	sites     []*testserver.Hall
 	instances []*gateway.Instance
 	configs   []*gateway.Config
 	addrs     []string
 	compile   routing.Options
 
-	mu      sync.Mutex
-	records []gateway.RequestRecord
-	changes int
-	notes   []string // what a scenario found wrong
+	mu          sync.Mutex
+	records     []gateway.RequestRecord
+	changeCount int
+	notes       []string // what a scenario found wrong
 }
 
 // memberCount is the number of instances: two at each of two sites, or three that reach both sites.
 func (w *environment) memberCount() int {
-	if w.scenario.sites {
+	if w.scenario.hasTwoSites {
 		return 4
 	}
-	return instances
+	return instanceCount
 }
 
 // licensees is what the licensees ask for: in a small scenario it takes nine tenths of what both sites can do.
 func (w *environment) licensees() []testserver.Licensee {
 	ls := allLicensees()
 	for i := range ls {
-		if w.scenario.small || w.scenario.rush > 0 {
-			ls[i].Rate *= cmp.Or(w.scenario.rush, 2)
+		if w.scenario.isSmall || w.scenario.loadMultiple > 0 {
+			ls[i].Rate *= cmp.Or(w.scenario.loadMultiple, 2)
 		}
 	}
 	return ls
@@ -86,14 +86,14 @@
 
 // serverCount and cores are the size of a site.
 func (w *environment) serverCount() int {
-	if w.scenario.small {
+	if w.scenario.isSmall {
 		return 3
 	}
-	return perHall
+	return serversPerSite
 }
 
 func (w *environment) coreCount() int {
-	if w.scenario.small {
+	if w.scenario.isSmall {
 		return 1
 	}
 	return 2
@@ -101,8 +101,8 @@
 
 // Sizes and times of a scenario.
 const (
-	instances  = 3
-	perHall    = 5
-	startWait  = 10 * time.Second
-	defaultFor = 20 * time.Second
+	instanceCount   = 3
+	serversPerSite  = 5
+	readyTimeout    = 10 * time.Second
+	defaultDuration = 20 * time.Second
 )
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -20,7 +20,7 @@
 
 func settings(me int) policy.Settings {
 	return policy.Settings{
-		InstanceIndex: me, InstanceCount: instances, Zone: siteName(me % 2),
+		InstanceIndex: me, InstanceCount: instanceCount, Zone: siteName(me % 2),
 		Plans: []policy.Plan{
 			{Name: "msingi", Rate: 6, Burst: 24, PriorityFactor: 0.88, OverQuotaFraction: 0.3},
 			{Name: "kati", Rate: 24, Burst: 60, PriorityFactor: 1.1, OverQuotaCost: 0.6},
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -48,7 +48,7 @@
 	drainGrace    = 250*time.Millisecond + 50*time.Millisecond
 	lateSlack     = 60 * time.Millisecond
 	windowSlack   = 50 * time.Millisecond
-	mostExamples  = 12
+	maxExamples   = 12
 )
 
 type ruleChecker struct {
@@ -57,7 +57,7 @@
 
 func (j *ruleChecker) violation(rule, format string, args ...any) {
 	j.v.Rules[rule]++
-	if len(j.v.Examples) < mostExamples {
+	if len(j.v.Examples) < maxExamples {
 		j.v.Examples = append(j.v.Examples, rule+": "+fmt.Sprintf(format, args...))
 	}
 }
