--- a/internal/scenario/booking.go
+++ b/internal/scenario/booking.go
@@ -51,6 +51,7 @@
 	return rs
 }
 
+// sameUnits is a price that is the same in each version of the description.
 func sameUnits(_ int, _ string, units int) int { return units }
 
 // calmMix is the two operations that most licensees use.
--- a/internal/scenario/chaos.go
+++ b/internal/scenario/chaos.go
@@ -52,8 +52,10 @@
 	syncs int
 }
 
+// errSync is what a sync that must fail returns.
 var errSync = errors.New("fsync failed on purpose")
 
+// Save implements raftnode.Storage.
 func (d *chaosDisk) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
 	if d.syncs++; sync && d.syncs > reliableSyncs && d.rng.Float64() < failedSyncShare {
 		return errSync
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -71,11 +71,11 @@
 		return nil, err
 	}
 	defer os.RemoveAll(c.dir)
-	halls, closeHalls, err := w.startSites()
+	sites, closeSites, err := w.startSites()
 	if err != nil {
 		return nil, err
 	}
-	defer closeHalls()
+	defer closeSites()
 	if err := c.prepare(); err != nil {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 			return nil, err
 		}
 	}
-	if err := c.applyFirstConfig(ctx, halls); err != nil {
+	if err := c.applyFirstConfig(ctx, sites); err != nil {
 		return nil, err
 	}
 	for _, m := range c.instances() {
@@ -270,6 +270,7 @@
 	}
 }
 
+// progress tells how far a scenario has come, once a second.
 func (c *clusterRun) progress(ctx context.Context) {
 	for n := 1; ; n++ {
 		if pause(ctx, time.Second); ctx.Err() != nil {
--- a/internal/scenario/cluster_operators.go
+++ b/internal/scenario/cluster_operators.go
@@ -25,7 +25,7 @@
 }
 
 // applyFirstConfig has the instances agree on what they serve at first.
-func (c *clusterRun) applyFirstConfig(ctx context.Context, halls []gateway.Site) error {
+func (c *clusterRun) applyFirstConfig(ctx context.Context, sites []gateway.Site) error {
 	p := &clusterconfig.Proposal{ID: "begin", Reason: variantReason(1)}
 	for _, k := range classes() {
 		p.Changes = append(p.Changes, clusterconfig.NewPutChange("class", k.Name,
@@ -46,7 +46,7 @@
 	for _, m := range c.followers {
 		p.Changes = append(p.Changes, clusterconfig.NewPutChange("follower", m.followerName, clusterconfig.Follower{}))
 	}
-	for _, h := range halls {
+	for _, h := range sites {
 		p.Changes = append(p.Changes, clusterconfig.NewPutChange("hall", h.Name,
 			clusterconfig.Site{DiscoveryAddress: h.Discovery.String()}))
 	}
@@ -70,6 +70,7 @@
 	}
 }
 
+// variantReason is the reason of a proposal that brings variant n of the description.
 func variantReason(n int) string { return "variant " + strconv.Itoa(n) }
 
 // variantOf is the variant of the description that is in force from a record on, or 0.
@@ -196,6 +197,7 @@
 	return n, last
 }
 
+// notef notes what the scenario found wrong.
 func (c *clusterRun) notef(format string, args ...any) {
 	c.environment.mu.Lock()
 	c.environment.notes = append(c.environment.notes, fmt.Sprintf(format, args...))
@@ -215,12 +217,14 @@
 	return nil
 }
 
+// status asks a member for its status.
 func (c *clusterRun) status(ctx context.Context, m *member) (cluster.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	return c.clients[0].StatusAt(ctx, m.admin)
 }
 
+// pause waits for d, or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/scenario/cluster_process.go
+++ b/internal/scenario/cluster_process.go
@@ -32,6 +32,7 @@
 	killed []time.Time
 }
 
+// configFile is the name of the instance's configuration file.
 func (m *member) configFile() string { return fmt.Sprintf("gate-%d.toml", m.id) }
 
 // config is the text of the configuration file of instance i.
@@ -95,6 +96,7 @@
 	return cmd
 }
 
+// start starts the process of an instance.
 func (c *clusterRun) start(m *member) error {
 	args := []string{"run", "--config", filepath.Join(c.dir, m.configFile())}
 	if m.startCount++; c.hasChaos {
@@ -129,7 +131,7 @@
 	}
 }
 
-// markDown and markUp note when a member can't be expected to answer.
+// markDown notes that a member can't be expected to answer from now on.
 func (m *member) markDown() {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
@@ -138,6 +140,7 @@
 	}
 }
 
+// markUp notes that a member can be expected to answer from now on.
 func (m *member) markUp() {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
@@ -185,6 +188,7 @@
 	}
 }
 
+// errEnded is of an instance whose process has ended.
 var errEnded = errors.New("the instance has ended")
 
 // isReady asks a member's /health/ready.
@@ -204,6 +208,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
+// awaitReady waits until an instance is ready. The error is errEnded where its process has ended.
 func (c *clusterRun) awaitReady(ctx context.Context, m *member) error {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); {
 		select {
@@ -226,4 +231,5 @@
 	err  error         // of the process, once done is closed
 }
 
+// interval is a span of time; a zero to means that it has not ended.
 type interval struct{ from, to time.Time }
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -46,7 +46,8 @@
 	v.Figures["no_answer_while_down"] = float64(excused)
 	c.addFaultFigures(v)
 	if c.surge != nil {
-		c.surge.figures(j, tries, arrivals, byTrace, w.serverCount(), w.coreCount())
+		size := siteSize{servers: w.serverCount(), cores: w.coreCount()}
+		c.surge.figures(j, tries, arrivals, byTrace, size)
 	}
 	for _, s := range c.isolations {
 		c.checkIsolated(j, s, arrivals)
--- a/internal/scenario/faults_sites.go
+++ b/internal/scenario/faults_sites.go
@@ -119,7 +119,7 @@
 		last = h
 		began := time.Now()
 		h.Cut(true)
-		gone, ok := c.awaitLost(ctx, h.Name, true, began)
+		untilLost, isLost := c.awaitLost(ctx, h.Name, true, began)
 		pause(ctx, time.Duration(300+c.rng.IntN(1200))*time.Millisecond)
 		if servers := back(n); servers >= 0 {
 			ids := []string{}
@@ -132,16 +132,16 @@
 		}
 		began = time.Now()
 		h.Cut(false)
-		returned, ok2 := c.awaitLost(ctx, h.Name, false, began)
+		untilBack, isBack := c.awaitLost(ctx, h.Name, false, began)
 		if ctx.Err() != nil {
 			return
 		}
-		if !ok || !ok2 {
-			c.notef("loss %d: %s was not agreed to be lost and back: %v, %v", n+1, h.Name, ok, ok2)
+		if !isLost || !isBack {
+			c.notef("loss %d: %s was not agreed to be lost and back: %v, %v", n+1, h.Name, isLost, isBack)
 			return
 		}
 		c.mu.Lock()
-		c.losses = append(c.losses, siteLoss{untilLost: gone, untilBack: returned})
+		c.losses = append(c.losses, siteLoss{untilLost: untilLost, untilBack: untilBack})
 		c.mu.Unlock()
 	}
 }
@@ -183,6 +183,7 @@
 // cutSettleTime is how long after a cut nobody can be confirmed by a majority any more.
 const cutSettleTime = 1500 * time.Millisecond
 
+// cutSites cuts all links between the sites, or heals them.
 func (c *clusterRun) cutSites(cut bool) {
 	for ends, l := range c.raftLinks {
 		if ends.from%2 != ends.to%2 {
--- a/internal/scenario/link.go
+++ b/internal/scenario/link.go
@@ -23,6 +23,7 @@
 	goroutines sync.WaitGroup
 }
 
+// newLink opens a link to an address.
 func newLink(to string) (*link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,6 +34,7 @@
 	return l, nil
 }
 
+// addr is the address at which the link is reached.
 func (l *link) addr() string { return l.ln.Addr().String() }
 
 // setCut cuts the link or heals it. Connections on a cut link fall silent, as on a network
@@ -43,6 +45,7 @@
 	}
 }
 
+// closeAll closes the connections on the link.
 func (l *link) closeAll() {
 	l.mu.Lock()
 	for c := range l.conns {
@@ -51,12 +54,14 @@
 	l.mu.Unlock()
 }
 
+// close ends the link.
 func (l *link) close() {
 	l.ln.Close()
 	l.closeAll()
 	l.goroutines.Wait()
 }
 
+// track notes a connection; the function that it returns closes and forgets it.
 func (l *link) track(c net.Conn) func() {
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
@@ -69,6 +74,7 @@
 	}
 }
 
+// serve accepts connections and forwards what comes on them.
 func (l *link) serve() {
 	for {
 		c, err := l.ln.Accept()
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -25,6 +25,12 @@
 	fullShare   = 0.9 // of what a site did before it was lost: full use
 )
 
+// siteSize is the size of one site.
+type siteSize struct {
+	servers int
+	cores   int // of each server
+}
+
 // surge is what happened to the site.
 type surge struct {
 	site                  string
@@ -108,9 +114,9 @@
 	return all
 }
 
-// capacity is the seconds of work a second that all sites can do at a moment, as the test server have it.
-func (s *surge) capacity(at time.Time, servers, cores int) float64 {
-	full := float64(servers * cores)
+// capacity is the seconds of work a second that all sites can do at a moment, as the test servers have it.
+func (s *surge) capacity(at time.Time, size siteSize) float64 {
+	full := float64(size.servers * size.cores)
 	switch {
 	case at.Before(s.lost):
 		return 2 * full
@@ -120,6 +126,7 @@
 	return full + full*s.warmth(at)
 }
 
+// warmth is the fraction of its capacity that the returned site has at a moment.
 func (s *surge) warmth(at time.Time) float64 {
 	set := settings(0)
 	least, window := set.SlowStartMinFraction, set.SlowStartWindow
@@ -129,7 +136,7 @@
 // oracle runs the whole run: which demands can be served within their aim. Each takes units of its licensee's store,
 // in the order in which they come, and waits for them within its aim, as a client does that tries again; of those
 // that have them, what is worth most for its work is served first.
-func (s *surge) oracle(all []*demand, servers, cores int) (served map[*demand]bool) {
+func (s *surge) oracle(all []*demand, size siteSize) (served map[*demand]bool) {
 	type store struct {
 		plan  policy.Plan
 		level float64
@@ -168,7 +175,7 @@
 		}
 		open = slices.DeleteFunc(open, func(w *demand) bool { return left[w] <= 0 || over(w) })
 		slices.SortStableFunc(open, func(a, b *demand) int { return cmp.Compare(b.value/b.work, a.value/a.work) })
-		can := s.capacity(at, servers, cores) * oracleStep.Seconds()
+		can := s.capacity(at, size) * oracleStep.Seconds()
 		for _, w := range open {
 			part := math.Min(can, left[w])
 			can -= part
@@ -204,10 +211,15 @@
 }
 
 // figures holds what was served against the oracle, and the time to full use against the shortest.
-func (s *surge) figures(j *ruleChecker, tries []testserver.Try, arrivals []testserver.Arrival,
-	byTrace map[string][]testserver.Arrival, servers, cores int) {
+func (s *surge) figures(
+	j *ruleChecker,
+	tries []testserver.Try,
+	arrivals []testserver.Arrival,
+	byTrace map[string][]testserver.Arrival,
+	size siteSize,
+) {
 	all := demandsOf(tries, byTrace)
-	oracle := s.oracle(all, servers, cores)
+	oracle := s.oracle(all, size)
 	share := func(name string, from, to time.Time) {
 		got, best := worth(all, oracle, from, to)
 		j.v.Figures[name] = math.Round(got/best*1000) / 1000
@@ -234,7 +246,7 @@
 	wanted := fullShare * done(s.calm, s.lost)
 	set := settings(0)
 	least, window := set.SlowStartMinFraction, set.SlowStartWindow
-	fraction := wanted / float64(servers*cores) // of the site's cores, to do the wanted work
+	fraction := wanted / float64(size.servers*size.cores) // of the site's cores, to do the wanted work
 	shortest := math.Max((fraction-least)/(1-least)*window.Seconds(), 0)
 	j.v.Figures["full_use_shortest_s"] = math.Round(shortest*10) / 10
 	for at := s.back; at.Add(time.Second).Before(s.end); at = at.Add(100 * time.Millisecond) {
@@ -245,6 +257,7 @@
 	}
 }
 
+// workOf is the server time that an operation takes.
 func workOf(operation string) time.Duration {
 	if operation == "bookVisit" {
 		return bookWork
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -39,24 +39,31 @@
 	return w.run(ctx)
 }
 
+// run runs a scenario with instances in this process.
 func (w *environment) run(ctx context.Context) (*Verdict, error) {
-	halls, closeHalls, err := w.startSites()
+	sites, closeSites, err := w.startSites()
 	if err != nil {
 		return nil, err
 	}
-	defer closeHalls()
+	defer closeSites()
 	table, _, err := openapi.Compile("booking.yaml", deploy.Booking, w.compile)
 	if err != nil {
 		return nil, fmt.Errorf("the embedded description: %w", err)
 	}
-	life, stop := context.WithCancel(ctx)
+	instancesCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	ended, err := w.start(life, halls, table)
+	ended, err := w.start(instancesCtx, sites, table)
 	if err != nil {
 		return nil, err
 	}
-	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.licensees(), Mix: w.scenario.mix(), Tries: 3,
-		Deadline: 2 * time.Second, Seed: w.options.Seed}
+	clients := &testserver.Clients{
+		Instances: w.addrs,
+		Licensees: w.licensees(),
+		Mix:       w.scenario.mix(),
+		Tries:     3,
+		Deadline:  2 * time.Second,
+		Seed:      w.options.Seed,
+	}
 	playing, end := context.WithTimeout(ctx, w.options.For)
 	defer end()
 	var beside sync.WaitGroup
@@ -83,17 +90,25 @@
 }
 
 // startSites starts the sites and their servers.
-func (w *environment) startSites() (halls []gateway.Site, closeAll func(), err error) {
+func (w *environment) startSites() (sites []gateway.Site, closeAll func(), err error) {
 	closeAll = func() {
 		for _, h := range w.sites {
 			h.Close()
 		}
 	}
 	for i := range 2 {
-		h, err := testserver.NewHall(siteName(i), routes(w.scenario.price),
-			testserver.Figures{Cores: w.coreCount(), Queue: 60, Memory: 4 * time.Second,
-				ColdFrom: 0.17, Ramp: 15 * time.Second, FallMultiple: 2.5, FallWindow: 2 * time.Second,
-				Faults: w.scenario.faults, Seed: w.options.Seed}, w.ledger)
+		figures := testserver.Figures{
+			Cores:        w.coreCount(),
+			Queue:        60,
+			Memory:       4 * time.Second,
+			ColdFrom:     0.17,
+			Ramp:         15 * time.Second,
+			FallMultiple: 2.5,
+			FallWindow:   2 * time.Second,
+			Faults:       w.scenario.faults,
+			Seed:         w.options.Seed,
+		}
+		h, err := testserver.NewHall(siteName(i), routes(w.scenario.price), figures, w.ledger)
 		if err != nil {
 			closeAll()
 			return nil, nil, err
@@ -105,15 +120,15 @@
 				return nil, nil, err
 			}
 		}
-		halls = append(halls, gateway.Site{Name: h.Name, Discovery: h.Register.Addr()})
+		sites = append(sites, gateway.Site{Name: h.Name, Discovery: h.Register.Addr()})
 	}
-	return halls, closeAll, nil
+	return sites, closeAll, nil
 }
 
 // start starts the instances and returns once all are ready.
 func (w *environment) start(
 	ctx context.Context,
-	halls []gateway.Site,
+	sites []gateway.Site,
 	table *routing.Table,
 ) (ended chan error, err error) {
 	var lns []net.Listener
@@ -139,10 +154,17 @@
 	ended = make(chan error, instanceCount)
 	ready := make(chan *gateway.Instance, instanceCount)
 	for i := range instanceCount {
-		cfg := &gateway.Config{Name: fmt.Sprintf("gate-%d", i), Seed: w.options.Seed + uint64(i), Sites: halls,
-			Peers:    addrs,
-			Settings: settings(i), Classes: classes(), Licensees: known, Observe: w.observe,
-			DrainTimeout: 50 * time.Millisecond}
+		cfg := &gateway.Config{
+			Name:         fmt.Sprintf("gate-%d", i),
+			Seed:         w.options.Seed + uint64(i),
+			Sites:        sites,
+			Peers:        addrs,
+			Settings:     settings(i),
+			Classes:      classes(),
+			Licensees:    known,
+			Observe:      w.observe,
+			DrainTimeout: 50 * time.Millisecond,
+		}
 		cfg.UseSockets(lns[i], conns[i])
 		w.configs = append(w.configs, cfg)
 		logger := log.New(w.options.Log, cfg.Name+" ", log.LstdFlags|log.Lmicroseconds)
@@ -168,6 +190,7 @@
 	return ended, nil
 }
 
+// observe takes the record of a request from an instance.
 func (w *environment) observe(r gateway.RequestRecord) {
 	w.mu.Lock()
 	w.records = append(w.records, r)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -84,7 +84,7 @@
 	return ls
 }
 
-// serverCount and cores are the size of a site.
+// serverCount is the number of servers of a site at the start.
 func (w *environment) serverCount() int {
 	if w.scenario.isSmall {
 		return 3
@@ -92,6 +92,7 @@
 	return serversPerSite
 }
 
+// coreCount is the number of cores of each server.
 func (w *environment) coreCount() int {
 	if w.scenario.isSmall {
 		return 1
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -51,10 +51,12 @@
 	maxExamples   = 12
 )
 
+// ruleChecker checks the rules of a run and counts their violations in its verdict.
 type ruleChecker struct {
 	v *Verdict
 }
 
+// violation counts a violation of a rule, and keeps the first as examples.
 func (j *ruleChecker) violation(rule, format string, args ...any) {
 	j.v.Rules[rule]++
 	if len(j.v.Examples) < maxExamples {
