--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -147,10 +147,6 @@
 		w.addrs = append(w.addrs, ln.Addr().String())
 		addrs = append(addrs, conn.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
-	known := map[string]gateway.Licensee{}
-	for _, l := range allLicensees() {
-		known[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerOf(l.Name)}
-	}
 	ended = make(chan error, instanceCount)
 	ready := make(chan *gateway.Instance, instanceCount)
 	for i := range instanceCount {
@@ -161,7 +157,7 @@
 			Peers:        addrs,
 			Settings:     settings(i),
 			Classes:      classes(),
-			Licensees:    known,
+			Licensees:    knownLicensees(),
 			Observe:      w.observe,
 			DrainTimeout: 50 * time.Millisecond,
 		}
@@ -190,6 +186,15 @@
 	return ended, nil
 }
 
+// knownLicensees are all licensees as an instance's configuration has them.
+func knownLicensees() map[string]gateway.Licensee {
+	known := map[string]gateway.Licensee{}
+	for _, l := range allLicensees() {
+		known[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerOf(l.Name)}
+	}
+	return known
+}
+
 // observe takes the record of a request from an instance.
 func (w *environment) observe(r gateway.RequestRecord) {
 	w.mu.Lock()
