--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -157,7 +157,7 @@
 	dir := t.TempDir()
 	text := string(deploy.Gateway)
 	for _, port := range []string{"8500", "8501"} {
-		reg, err := testserver.NewRegister()
+		reg, err := testserver.NewDiscovery()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -186,7 +186,7 @@
 
 // startGateway starts one instance with the embedded description, quotas and rules; change may set what is its own.
 func startGateway(ctx context.Context, servers []string, change func(*gateway.Config)) ([]string, error) {
-	reg, err := testserver.NewRegister()
+	reg, err := testserver.NewDiscovery()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/changes.go
+++ b/internal/benchmark/changes.go
@@ -134,7 +134,7 @@
 		return c, err
 	}
 	c.ends = append(c.ends, back.end)
-	reg, err := testserver.NewRegister()
+	reg, err := testserver.NewDiscovery()
 	if err != nil {
 		return c, err
 	}
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -50,7 +50,7 @@
 	t         *testing.T
 	dir       string
 	authority *raftnode.Authority
-	discovery *testserver.Register
+	discovery *testserver.Discovery
 	instances map[uint64]*testInstance // members and followers
 	members   map[uint64]*testMember
 	addrs     map[uint64]clusterconfig.Member
@@ -143,7 +143,7 @@
 func (c *testCluster) startServer() {
 	c.t.Helper()
 	var err error
-	if c.discovery, err = testserver.NewRegister(); err != nil {
+	if c.discovery, err = testserver.NewDiscovery(); err != nil {
 		c.t.Fatal(err)
 	}
 	c.t.Cleanup(c.discovery.Close)
--- a/internal/gateway/scripted_server_test.go
+++ b/internal/gateway/scripted_server_test.go
@@ -26,7 +26,7 @@
 // testSites is a set of scripted servers, which hand each request to the test.
 type testSites struct {
 	t          *testing.T
-	registers  map[string]*testserver.Register
+	registers  map[string]*testserver.Discovery
 	authority  *raftnode.Authority // of the link's certificates
 	requests   chan *receivedRequest
 	goroutines sync.WaitGroup
@@ -37,14 +37,14 @@
 
 // newTestSites makes two sites without servers.
 func newTestSites(t *testing.T) *testSites {
-	h := &testSites{t: t, registers: map[string]*testserver.Register{}, requests: make(chan *receivedRequest, 100),
+	h := &testSites{t: t, registers: map[string]*testserver.Discovery{}, requests: make(chan *receivedRequest, 100),
 		done: make(chan struct{})}
 	t.Cleanup(func() {
 		close(h.done)
 		h.goroutines.Wait()
 	})
 	for _, name := range []string{"hall-a", "hall-b"} {
-		r, err := testserver.NewRegister()
+		r, err := testserver.NewDiscovery()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scenario/booking.go
+++ b/internal/scenario/booking.go
@@ -55,8 +55,8 @@
 func sameUnits(_ int, _ string, units int) int { return units }
 
 // calmMix is the two operations that most licensees use.
-func calmMix() []testserver.Ask {
-	return []testserver.Ask{
+func calmMix() []testserver.RequestTemplate {
+	return []testserver.RequestTemplate{
 		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=2", Weight: 56,
 			Repeat: true},
 		{Operation: "bookVisit", Method: "POST", Target: "/v1/visits", Header: "Idempotency-Key: {key}",
@@ -65,9 +65,9 @@
 }
 
 // mixedMix has all operations, with units from each place that may tell them.
-func mixedMix() []testserver.Ask {
+func mixedMix() []testserver.RequestTemplate {
 	key := "Idempotency-Key: {key}"
-	return []testserver.Ask{
+	return []testserver.RequestTemplate{
 		{Operation: "listDistricts", Method: "GET", Target: "/v1/districts", Weight: 4, Repeat: true},
 		{Operation: "getDistrict", Method: "GET", Target: "/v1/districts/Ilala%20{n}", Weight: 4, Repeat: true},
 		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=7", Weight: 8,
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -94,7 +94,7 @@
 		}
 		m.markUp()
 	}
-	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.licensees(), Mix: w.scenario.mix(), Tries: 3,
+	clients := &testserver.Clients{Instances: w.addrs, Licensees: w.licensees(), Mix: w.scenario.mix(), MaxAttempts: 3,
 		Deadline: 2 * time.Second, Seed: w.options.Seed, NoResend: true}
 	playing, end := context.WithTimeout(ctx, w.options.For)
 	defer end()
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -21,14 +21,14 @@
 func (c *clusterRun) checkCharges(
 	j *ruleChecker,
 	byTrace map[string][]testserver.Arrival,
-	tries []testserver.Try,
+	tries []testserver.Attempt,
 	at map[string]*member,
 	history []clusterconfig.HistoryRecord,
 ) {
 	variants := variantsByVersion(history)
 	records := c.readAccessLogs(j)
 	addKeyRejectionShare(j, tries, records)
-	tryByTrace := map[string]testserver.Try{}
+	tryByTrace := map[string]testserver.Attempt{}
 	for _, t := range tries {
 		tryByTrace[t.Trace] = t
 	}
@@ -88,7 +88,7 @@
 }
 
 // addKeyRejectionShare tells which share of the bookings was rejected for the owner of their key.
-func addKeyRejectionShare(j *ruleChecker, tries []testserver.Try, records map[string]gateway.RequestRecord) {
+func addKeyRejectionShare(j *ruleChecker, tries []testserver.Attempt, records map[string]gateway.RequestRecord) {
 	booked, rejected := 0, 0
 	for _, t := range tries {
 		if t.Operation != "bookVisit" || t.At.Sub(tries[0].At) <= keyHoldAfterStart {
@@ -106,7 +106,7 @@
 
 // checkMissingRecord checks a request that reached a site and that its instance m has no record of: m must have been
 // killed at a time when it may not have written it yet.
-func checkMissingRecord(j *ruleChecker, first testserver.Arrival, t testserver.Try, m *member) {
+func checkMissingRecord(j *ruleChecker, first testserver.Arrival, t testserver.Attempt, m *member) {
 	m.downMu.Lock()
 	isLost := slices.ContainsFunc(m.killed, func(killed time.Time) bool {
 		return t.At.Before(killed) && killed.Sub(t.Ended) < lostLogWindow
@@ -114,7 +114,7 @@
 	m.downMu.Unlock()
 	if !isLost && time.Since(t.Ended) > lostLogWindow {
 		j.violation("units", "%s (%s) reached %s and was charged by no instance", first.Trace, first.Operation,
-			first.Hall)
+			first.Site)
 	}
 }
 
@@ -135,7 +135,7 @@
 		j.violation("versions", "%s was matched with version %d, which is not in the history", r.Trace, r.Version)
 	case !r.Sent || r.Operation != first.Operation:
 		j.violation("operations", "%s was charged as %s (sent: %v) and reached %s as %s",
-			r.Trace, r.Operation, r.Sent, first.Hall, first.Operation)
+			r.Trace, r.Operation, r.Sent, first.Site, first.Operation)
 	case r.Units != want:
 		j.violation("units", "%s (%s, version %d, variant %d) was charged %d units; %d are right",
 			r.Trace, r.Operation, r.Version, variant, r.Units, want)
@@ -149,7 +149,7 @@
 
 // checkVersionOrder checks, on the sites' record, that no instance routes a request with an older
 // version than one that it had answered a client on before the request began.
-func checkVersionOrder(j *ruleChecker, tries []testserver.Try, byTrace map[string][]testserver.Arrival) {
+func checkVersionOrder(j *ruleChecker, tries []testserver.Attempt, byTrace map[string][]testserver.Arrival) {
 	type event struct {
 		at      time.Time
 		trace   string
--- a/internal/scenario/cluster_checks_test.go
+++ b/internal/scenario/cluster_checks_test.go
@@ -15,25 +15,25 @@
 // No instance may route with an older version than one that it has answered on.
 func TestVersionOrderCheck(t *testing.T) {
 	at := millisecondsAfterStart
-	try := func(trace, instance string, from, to int) testserver.Try {
-		return testserver.Try{Trace: trace, Instance: instance, At: at(from), Ended: at(to), Answers: 1, Served: true,
+	try := func(trace, instance string, from, to int) testserver.Attempt {
+		return testserver.Attempt{Trace: trace, Instance: instance, At: at(from), Ended: at(to), AnswerCount: 1, Served: true,
 			Status: 200}
 	}
 	arrived := func(trace string, version int) []testserver.Arrival {
 		return []testserver.Arrival{{Trace: trace, Version: version}}
 	}
 	for name, c := range map[string]struct {
-		tries    []testserver.Try
+		tries    []testserver.Attempt
 		versions map[string]int
 		broken   int
 	}{
-		"newer after older": {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 20, 30)},
+		"newer after older": {[]testserver.Attempt{try("a", "x", 0, 10), try("b", "x", 20, 30)},
 			map[string]int{"a": 1, "b": 2}, 0},
-		"older after newer": {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 20, 30)},
+		"older after newer": {[]testserver.Attempt{try("a", "x", 0, 10), try("b", "x", 20, 30)},
 			map[string]int{"a": 2, "b": 1}, 1},
-		"at another instance": {[]testserver.Try{try("a", "x", 0, 10), try("b", "y", 20, 30)},
+		"at another instance": {[]testserver.Attempt{try("a", "x", 0, 10), try("b", "y", 20, 30)},
 			map[string]int{"a": 2, "b": 1}, 0},
-		"begun before the answer": {[]testserver.Try{try("a", "x", 0, 10), try("b", "x", 5, 30)},
+		"begun before the answer": {[]testserver.Attempt{try("a", "x", 0, 10), try("b", "x", 5, 30)},
 			map[string]int{"a": 2, "b": 1}, 0},
 	} {
 		j := &ruleChecker{&Verdict{Rules: map[string]int{}}}
@@ -96,7 +96,7 @@
 		{Version: 2, Reason: variantReason(3)},
 		{Version: 3, Reason: "a plan"}}
 	by := map[string][]testserver.Arrival{"a": {{Trace: "a", Operation: "getDayReport", Units: 5, Version: 3}}}
-	tries := []testserver.Try{{Trace: "a", Instance: "x", At: t0, Ended: t0.Add(time.Millisecond)}}
+	tries := []testserver.Attempt{{Trace: "a", Instance: "x", At: t0, Ended: t0.Add(time.Millisecond)}}
 	right := changingPrice(3, "getDayReport", 5)
 	record := func(operation string, version, units int) string {
 		return fmt.Sprintf(`{"trace":"a","operation":%q,"version":%d,"units":%d,"sent":true}`,
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -16,7 +16,7 @@
 )
 
 // checkRules waits until all members agree and judges the run.
-func (c *clusterRun) checkRules(ctx context.Context, tries []testserver.Try, began time.Time) *Verdict {
+func (c *clusterRun) checkRules(ctx context.Context, tries []testserver.Attempt, began time.Time) *Verdict {
 	w := c.environment
 	v := w.newVerdict("one_mind", "changes")
 	j := &ruleChecker{v}
@@ -28,7 +28,7 @@
 		at[m.listen] = m
 	}
 	excused := 0
-	j.checkAnswers(tries, func(t testserver.Try) bool {
+	j.checkAnswers(tries, func(t testserver.Attempt) bool {
 		down := at[t.Instance].wasDown(t.At, t.Ended)
 		if down {
 			excused++
@@ -100,7 +100,7 @@
 	booked := map[string]int{}
 	for _, a := range arrivals {
 		if a.Effected && a.Effect == "keyed" && a.At.After(s.from) && a.At.Before(s.to) {
-			booked[a.Hall]++
+			booked[a.Site]++
 		}
 	}
 	for _, h := range c.environment.sites {
--- a/internal/scenario/faults_sites.go
+++ b/internal/scenario/faults_sites.go
@@ -11,7 +11,7 @@
 )
 
 // persistentClients is calmMix with clients that repeat a booking after any failure, at any instance.
-func persistentClients() []testserver.Ask {
+func persistentClients() []testserver.RequestTemplate {
 	asks := calmMix()
 	for i := range asks {
 		asks[i].Repeat = true
@@ -47,7 +47,7 @@
 			}
 			p := &clusterconfig.Proposal{ID: fmt.Sprintf("hall-%d-%v", n, closed),
 				Changes: []clusterconfig.Change{clusterconfig.NewPutChange("hall", h.Name,
-					clusterconfig.Site{DiscoveryAddress: h.Register.Addr().String(), IsClosed: closed})}}
+					clusterconfig.Site{DiscoveryAddress: h.Discovery.Addr().String(), IsClosed: closed})}}
 			one, cancel := context.WithTimeout(context.WithoutCancel(ctx), 4*time.Second)
 			_, err := c.clients[0].Propose(one, p)
 			if cancel(); err != nil {
@@ -94,11 +94,11 @@
 	until = until.Add(-c.environment.options.For / 4)
 	h := c.environment.sites[c.rng.IntN(2)]
 	for cut := true; time.Now().Before(until) && ctx.Err() == nil; cut = !cut {
-		h.Cut(cut)
+		h.SetPartitioned(cut)
 		pause(ctx, time.Duration(100+c.rng.IntN(1400))*time.Millisecond)
 		c.flapCount++
 	}
-	h.Cut(false)
+	h.SetPartitioned(false)
 }
 
 // loseSites has sites fall silent in turn and come back with as many cold servers as back tells,
@@ -106,7 +106,7 @@
 func (c *clusterRun) loseSites(ctx context.Context, back func(n int) int) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.environment.options.For / 8)
-	var last *testserver.Hall
+	var last *testserver.Site
 	for n := 0; ; n++ {
 		pause(ctx, time.Duration(1500+c.rng.IntN(1000))*time.Millisecond)
 		if time.Until(until) < 4*time.Second+time.Second<<n || ctx.Err() != nil { // the hold doubles
@@ -118,7 +118,7 @@
 		}
 		last = h
 		began := time.Now()
-		h.Cut(true)
+		h.SetPartitioned(true)
 		untilLost, isLost := c.awaitLost(ctx, h.Name, true, began)
 		pause(ctx, time.Duration(300+c.rng.IntN(1200))*time.Millisecond)
 		if servers := back(n); servers >= 0 {
@@ -126,12 +126,12 @@
 			for k := range servers {
 				ids = append(ids, fmt.Sprintf("r%d-%d", n, k))
 			}
-			if err := h.Empty(ids...); err != nil {
+			if err := h.ReplaceServers(ids...); err != nil {
 				c.notef("%v", err)
 			}
 		}
 		began = time.Now()
-		h.Cut(false)
+		h.SetPartitioned(false)
 		untilBack, isBack := c.awaitLost(ctx, h.Name, false, began)
 		if ctx.Err() != nil {
 			return
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -49,14 +49,14 @@
 	s.calm = time.Now()
 	until(surgeLost)
 	s.lost = time.Now()
-	h.Cut(true)
+	h.SetPartitioned(true)
 	until(surgeBack)
 	ids := []string{"cold-0", "cold-1", "cold-2", "cold-3", "cold-4"}[:c.environment.serverCount()]
-	if err := h.Empty(ids...); err != nil {
+	if err := h.ReplaceServers(ids...); err != nil {
 		c.notef("%v", err)
 	}
 	s.back = time.Now()
-	h.Cut(false)
+	h.SetPartitioned(false)
 	until(0.99)
 	s.end = time.Now()
 	c.surge = s
@@ -76,7 +76,7 @@
 
 // demandsOf joins the tries of each client's request to one demand. Units of a request that no site has seen are
 // those of its operation's others.
-func demandsOf(tries []testserver.Try, byTrace map[string][]testserver.Arrival) []*demand {
+func demandsOf(tries []testserver.Attempt, byTrace map[string][]testserver.Arrival) []*demand {
 	classes, plans, prices, units := classes(), map[string]string{}, map[string]float64{}, map[string]int{}
 	for _, l := range allLicensees() {
 		plans[l.Name] = l.Plan
@@ -213,7 +213,7 @@
 // figures holds what was served against the oracle, and the time to full use against the shortest.
 func (s *surge) figures(
 	j *ruleChecker,
-	tries []testserver.Try,
+	tries []testserver.Attempt,
 	arrivals []testserver.Arrival,
 	byTrace map[string][]testserver.Arrival,
 	size siteSize,
@@ -237,7 +237,7 @@
 	// Work done at the site, by second.
 	done := func(from, to time.Time) (work float64) {
 		for _, a := range arrivals {
-			if a.Hall == s.site && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
+			if a.Site == s.site && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
 				work += workOf(a.Operation).Seconds()
 			}
 		}
--- a/internal/scenario/rule_checks_test.go
+++ b/internal/scenario/rule_checks_test.go
@@ -54,7 +54,7 @@
 
 // arrivalOf is an attempt that ran from and to so many milliseconds after ruleTestStart.
 func arrivalOf(trace, site, effect string, from, to int) testserver.Arrival {
-	return testserver.Arrival{Hall: site, Server: "s", Operation: "op", Effect: effect, Trace: trace,
+	return testserver.Arrival{Site: site, Server: "s", Operation: "op", Effect: effect, Trace: trace,
 		Key: "k-" + trace, Licensee: "kubwa-0", Version: 1, Units: 2,
 		At: millisecondsAfterStart(from), Ended: millisecondsAfterStart(to), Ran: true}
 }
@@ -68,7 +68,7 @@
 	name string
 	as   []testserver.Arrival
 	rec  gateway.RequestRecord
-	try  testserver.Try
+	try  testserver.Attempt
 	want string // rule; empty: none
 }
 
@@ -80,7 +80,7 @@
 	draining := func(a testserver.Arrival, d time.Duration) testserver.Arrival { a.Draining = d; return a }
 	rec := gateway.RequestRecord{Trace: "a", Operation: "op", Version: 1, Units: 2, Sent: true, Attempts: 2}
 	change := func(f func(*gateway.RequestRecord)) gateway.RequestRecord { r := rec; f(&r); return r }
-	try := testserver.Try{Trace: "a", At: at(0), Ended: at(30), Answers: 1, Status: 200, Served: true}
+	try := testserver.Attempt{Trace: "a", At: at(0), Ended: at(30), AnswerCount: 1, Status: 200, Served: true}
 	return []ruleCase{
 		{"one attempt", []testserver.Arrival{effected(ran("a", "A", "unsafe", 0, 10))}, rec, try, ""},
 		{"safe, again elsewhere", []testserver.Arrival{ran("a", "A", "safe", 0, 10), ran("a", "B", "safe", 10, 20)},
@@ -114,16 +114,16 @@
 			change(func(r *gateway.RequestRecord) { r.Operation = "cheap" }), try, "operations"},
 		{"another version", []testserver.Arrival{ran("a", "A", "safe", 0, 10)},
 			change(func(r *gateway.RequestRecord) { r.Version = 2 }), try, "versions"},
-		{"no answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Try{Trace: "a", Cut: true},
+		{"no answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec, testserver.Attempt{Trace: "a", ConnectionLost: true},
 			"one_answer"},
 		{"two answers", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec,
-			testserver.Try{Trace: "a", Answers: 2, Status: 200, Served: true}, "one_answer"},
+			testserver.Attempt{Trace: "a", AnswerCount: 2, Status: 200, Served: true}, "one_answer"},
 		{"another's answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec,
-			testserver.Try{Trace: "a", Answers: 1, Status: 200, Served: true, Wrong: "x"}, "one_answer"},
+			testserver.Attempt{Trace: "a", AnswerCount: 1, Status: 200, Served: true, Mismatch: "x"}, "one_answer"},
 		{"a late answer", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec,
-			testserver.Try{Trace: "a", At: at(0), Ended: at(2100), Answers: 1, Status: 502}, "one_answer"},
+			testserver.Attempt{Trace: "a", At: at(0), Ended: at(2100), AnswerCount: 1, Status: 502}, "one_answer"},
 		{"turned down", []testserver.Arrival{ran("a", "A", "safe", 0, 10)}, rec,
-			testserver.Try{Trace: "a", Answers: 1, Status: 404}, "operations"},
+			testserver.Attempt{Trace: "a", AnswerCount: 1, Status: 404}, "operations"},
 	}
 }
 
@@ -135,7 +135,7 @@
 		if len(c.as) > 0 {
 			byTrace["a"] = c.as
 		}
-		j.checkAnswers([]testserver.Try{c.try}, func(testserver.Try) bool { return false })
+		j.checkAnswers([]testserver.Attempt{c.try}, func(testserver.Attempt) bool { return false })
 		j.checkEffects(c.as, byTrace)
 		j.checkCosts(byTrace, map[string]gateway.RequestRecord{"a": c.rec})
 		for rule, n := range j.v.Rules {
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -57,12 +57,12 @@
 		return nil, err
 	}
 	clients := &testserver.Clients{
-		Instances: w.addrs,
-		Licensees: w.licensees(),
-		Mix:       w.scenario.mix(),
-		Tries:     3,
-		Deadline:  2 * time.Second,
-		Seed:      w.options.Seed,
+		Instances:   w.addrs,
+		Licensees:   w.licensees(),
+		Mix:         w.scenario.mix(),
+		MaxAttempts: 3,
+		Deadline:    2 * time.Second,
+		Seed:        w.options.Seed,
 	}
 	playing, end := context.WithTimeout(ctx, w.options.For)
 	defer end()
@@ -97,18 +97,18 @@
 		}
 	}
 	for i := range 2 {
-		figures := testserver.Figures{
-			Cores:        w.coreCount(),
-			Queue:        60,
-			Memory:       4 * time.Second,
-			ColdFrom:     0.17,
-			Ramp:         15 * time.Second,
-			FallMultiple: 2.5,
-			FallWindow:   2 * time.Second,
-			Faults:       w.scenario.faults,
-			Seed:         w.options.Seed,
+		figures := testserver.SiteConfig{
+			Cores:            w.coreCount(),
+			MaxQueueLength:   60,
+			IdempotencyTTL:   4 * time.Second,
+			ColdCapacity:     0.17,
+			WarmupWindow:     15 * time.Second,
+			CollapseMultiple: 2.5,
+			CollapseWindow:   2 * time.Second,
+			Faults:           w.scenario.faults,
+			Seed:             w.options.Seed,
 		}
-		h, err := testserver.NewHall(siteName(i), routes(w.scenario.price), figures, w.ledger)
+		h, err := testserver.NewSite(siteName(i), routes(w.scenario.price), figures, w.ledger)
 		if err != nil {
 			closeAll()
 			return nil, nil, err
@@ -120,7 +120,7 @@
 				return nil, nil, err
 			}
 		}
-		sites = append(sites, gateway.Site{Name: h.Name, Discovery: h.Register.Addr()})
+		sites = append(sites, gateway.Site{Name: h.Name, Discovery: h.Discovery.Addr()})
 	}
 	return sites, closeAll, nil
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -34,7 +34,7 @@
 // Scenario is one that can be played.
 type Scenario struct {
 	Name, About string
-	mix         func() []testserver.Ask
+	mix         func() []testserver.RequestTemplate
 	faults      testserver.Faults
 	price       func(version int, operation string, units int) int
 	during      func(context.Context, *environment) // runs beside the clients, until ctx ends
@@ -53,7 +53,7 @@
 	options   Options
 	scenario  Scenario
 	ledger    *testserver.Ledger
-	sites     []*testserver.Hall
+	sites     []*testserver.Site
 	instances []*gateway.Instance
 	configs   []*gateway.Config
 	addrs     []string
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -65,7 +65,7 @@
 }
 
 // checkRules holds the account of the sites and of the clients against the instances' own.
-func (w *environment) checkRules(tries []testserver.Try, began time.Time) *Verdict {
+func (w *environment) checkRules(tries []testserver.Attempt, began time.Time) *Verdict {
 	v := w.newVerdict()
 	j := &ruleChecker{v}
 	arrivals, byTrace := w.arrivals()
@@ -76,7 +76,7 @@
 		}
 		records[r.Trace] = r
 	}
-	j.checkAnswers(tries, func(testserver.Try) bool { return false })
+	j.checkAnswers(tries, func(testserver.Attempt) bool { return false })
 	j.checkEffects(arrivals, byTrace)
 	j.checkCosts(byTrace, records)
 	w.checkSites(j)
@@ -129,7 +129,7 @@
 	for _, s := range w.ledger.Strays() {
 		j.violation("operations", "the halls know no operation for %s", s)
 	}
-	for _, s := range w.ledger.Fallen() {
+	for _, s := range w.ledger.Collapsed() {
 		j.violation("cold_servers", "%s was pushed over", s)
 	}
 }
@@ -143,7 +143,7 @@
 
 // checkAnswers checks that each try of a client had one whole answer, its own and in time. A try
 // without one is excused where its instance was down.
-func (j *ruleChecker) checkAnswers(tries []testserver.Try, excused func(testserver.Try) bool) {
+func (j *ruleChecker) checkAnswers(tries []testserver.Attempt, excused func(testserver.Attempt) bool) {
 	for _, t := range tries {
 		j.v.Requests++
 		switch {
@@ -155,14 +155,14 @@
 			j.v.Failed++
 		}
 		switch {
-		case t.Answers == 0 && excused(t):
-		case t.Answers == 0:
+		case t.AnswerCount == 0 && excused(t):
+		case t.AnswerCount == 0:
 			j.v.Unanswered++
 			j.violation("one_answer", "%s (%s) had no answer", t.Trace, t.Operation)
-		case t.Answers > 1:
+		case t.AnswerCount > 1:
 			j.violation("one_answer", "%s (%s) had more than one answer", t.Trace, t.Operation)
-		case t.Wrong != "":
-			j.violation("one_answer", "%s: %s", t.Trace, t.Wrong)
+		case t.Mismatch != "":
+			j.violation("one_answer", "%s: %s", t.Trace, t.Mismatch)
 		case t.Ended.Sub(t.At) > 2*time.Second+lateSlack:
 			j.violation("one_answer", "%s was answered after %v", t.Trace, t.Ended.Sub(t.At))
 		}
@@ -190,9 +190,9 @@
 		if before, twice := done[name]; twice {
 			j.v.Duplicates++
 			j.violation("no_effect_twice", "%s (%s) had its effect at %s and at %s", name, a.Operation, before,
-				a.Hall+"/"+a.Server)
+				a.Site+"/"+a.Server)
 		}
-		done[name] = a.Hall + "/" + a.Server
+		done[name] = a.Site + "/" + a.Server
 	}
 	for trace, as := range byTrace {
 		var ran *testserver.Arrival // the first that may have run
@@ -206,9 +206,9 @@
 				case a.Effect == "unsafe":
 					j.violation("no_effect_twice", "%s (%s) is unsafe, may have run and was sent again", trace,
 						a.Operation)
-				case a.Effect == "keyed" && a.Hall != ran.Hall:
+				case a.Effect == "keyed" && a.Site != ran.Site:
 					j.violation("no_effect_twice", "%s (%s) may have run at %s and was sent to %s", trace,
-						a.Operation, ran.Hall, a.Hall)
+						a.Operation, ran.Site, a.Site)
 				case a.Effect == "keyed" && a.At.Sub(ran.At) > 4*time.Second+windowSlack:
 					j.violation("no_effect_twice", "%s (%s) was sent again after %v", trace, a.Operation,
 						a.At.Sub(ran.At))
@@ -241,11 +241,11 @@
 		r, ok := records[trace]
 		if !ok || !r.Sent {
 			j.violation("units", "%s (%s) reached %s and was charged by no instance", trace, first.Operation,
-				first.Hall)
+				first.Site)
 			continue
 		}
 		if r.Operation != first.Operation {
-			j.violation("operations", "%s was charged as %s and reached %s as %s", trace, r.Operation, first.Hall,
+			j.violation("operations", "%s was charged as %s and reached %s as %s", trace, r.Operation, first.Site,
 				first.Operation)
 		}
 		if r.Units != first.Units {
@@ -331,7 +331,7 @@
 }
 
 // addFigures tells how well clients were served.
-func (j *ruleChecker) addFigures(tries []testserver.Try, attempts int, took time.Duration) {
+func (j *ruleChecker) addFigures(tries []testserver.Attempt, attempts int, took time.Duration) {
 	var lat []float64
 	for _, t := range tries {
 		if t.Served {
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -21,9 +21,9 @@
 	Rate       float64 // requests a second that it begins
 }
 
-// Ask is one request that a licensee may send. {n} in its texts stands for a number that
+// RequestTemplate is one request that a licensee may send. {n} in its texts stands for a number that
 // is new with every request, {key} for a key that is.
-type Ask struct {
+type RequestTemplate struct {
 	Operation    string
 	Method       string
 	Target       string
@@ -32,37 +32,37 @@
 	Repeat       bool // the client repeats it after any failure, not after a refusal alone
 }
 
-// Try is one try of a client and how it ended.
-type Try struct {
+// Attempt is one try of a client and how it ended.
+type Attempt struct {
 	Trace, Operation, Licensee string
 	First                      string // trace of the first try
 	Instance                   string // address of the instance asked
 	Units                      int    // declared, as the asker counts; -1: not known
 	At, Ended                  time.Time
-	Answers                    int // final answers that came
+	AnswerCount                int // final answers that came
 	Status                     int // 0: none
 	Served                     bool
-	Wrong                      string // what is wrong with the answer, if anything
-	Cut                        bool   // the connection ended with no answer
+	Mismatch                   string // what is wrong with the answer, if anything
+	ConnectionLost             bool   // the connection ended with no answer
 }
 
 // Clients send a mix of requests for licensees through the instances.
 type Clients struct {
-	Instances []string // addresses
-	Licensees []Licensee
-	Mix       []Ask
-	Tries     int           // at most, for one request
-	Deadline  time.Duration // over all tries
-	Seed      uint64
-	NoResend  bool // instances are killed: a connection that ends without an answer may have been one that was at work
+	Instances   []string // addresses
+	Licensees   []Licensee
+	Mix         []RequestTemplate
+	MaxAttempts int           // at most, for one request
+	Deadline    time.Duration // over all tries
+	Seed        uint64
+	NoResend    bool // instances are killed: a connection that ends without an answer may have been one that was at work
 
 	mu    sync.Mutex
-	tries []Try
+	tries []Attempt
 	idle  map[string][]*wireConn
 }
 
 // Run sends until ctx ends, then waits for the answers to what was sent.
-func (c *Clients) Run(ctx context.Context) []Try {
+func (c *Clients) Run(ctx context.Context) []Attempt {
 	c.idle = map[string][]*wireConn{}
 	var all sync.WaitGroup
 	for i, l := range c.Licensees {
@@ -97,7 +97,7 @@
 	}
 }
 
-func (c *Clients) pick(rng *rand.Rand) Ask {
+func (c *Clients) pick(rng *rand.Rand) RequestTemplate {
 	sum := 0.0
 	for _, a := range c.Mix {
 		sum += a.Weight
@@ -112,15 +112,15 @@
 }
 
 // request tries a request until it is served, may not be repeated or its time is up.
-func (c *Clients) request(l Licensee, ask Ask, name string, rng *rand.Rand) {
+func (c *Clients) request(l Licensee, ask RequestTemplate, name string, rng *rand.Rand) {
 	until := time.Now().Add(c.Deadline)
 	fill := strings.NewReplacer("{n}", strconv.Itoa(1+rng.IntN(1e6)), "{key}", "key-"+name)
-	for try := 0; try < c.Tries; try++ {
+	for try := 0; try < c.MaxAttempts; try++ {
 		left := time.Until(until)
 		if left < 50*time.Millisecond {
 			return
 		}
-		t := Try{Trace: fmt.Sprintf("%s.%d", name, try), First: name + ".0", Operation: ask.Operation, Licensee: l.Name, Instance: c.Instances[rng.IntN(len(c.Instances))], At: time.Now()}
+		t := Attempt{Trace: fmt.Sprintf("%s.%d", name, try), First: name + ".0", Operation: ask.Operation, Licensee: l.Name, Instance: c.Instances[rng.IntN(len(c.Instances))], At: time.Now()}
 		var b strings.Builder
 		body := fill.Replace(ask.Body)
 		fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: booking.example.org\r\nX-Trace-Id: %s\r\nX-Licensee: %s\r\nX-Expires-In: %.3f\r\n",
@@ -158,11 +158,11 @@
 const idleMost = 10 * time.Second
 
 // send sends one try and reads its answer, which must be all that comes.
-func (c *Clients) send(t *Try, addr, text string, until time.Time) (retryAfter time.Duration) {
+func (c *Clients) send(t *Attempt, addr, text string, until time.Time) (retryAfter time.Duration) {
 	for {
 		w, kept, err := c.conn(addr)
 		if err != nil {
-			t.Cut = true
+			t.ConnectionLost = true
 			return 0
 		}
 		w.SetDeadline(until.Add(time.Second)) // an answer after its time is seen as such
@@ -177,29 +177,29 @@
 				continue // closed between requests: sent once more on a new one
 			}
 			if ne, ok := errors.AsType[net.Error](err); !ok || !ne.Timeout() {
-				t.Cut = true
+				t.ConnectionLost = true
 			}
 			return 0
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			w.Close()
-			t.Cut = true
+			t.ConnectionLost = true
 			return 0
 		}
-		t.Answers, t.Status = 1, resp.StatusCode
+		t.AnswerCount, t.Status = 1, resp.StatusCode
 		t.Served = resp.StatusCode < 300
 		if t.Served && resp.StatusCode != http.StatusNoContent && !strings.HasPrefix(text, "HEAD ") &&
 			(!strings.Contains(string(body), `"`+t.Trace+`"`) || !strings.Contains(string(body), `"`+t.Operation+`"`)) {
-			t.Wrong = "served with another request's answer: " + string(body)
+			t.Mismatch = "served with another request's answer: " + string(body)
 		}
 		if w.br.Buffered() > 0 {
-			t.Answers++
+			t.AnswerCount++
 		}
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 			retryAfter = time.Duration(s * float64(time.Second))
 		}
-		if resp.Close || t.Answers > 1 {
+		if resp.Close || t.AnswerCount > 1 {
 			w.Close()
 			return retryAfter
 		}
--- a/internal/testserver/hall.go
+++ b/internal/testserver/hall.go
@@ -18,46 +18,46 @@
 // Faults are chances, from 0 to 1, of what goes wrong with an attempt. What happens to
 // one follows from the seed, its trace and its number.
 type Faults struct {
-	Error     float64 // answers 500 after it ran
-	Reset     float64 // closes the connection after it ran
-	Silent    float64 // runs and never answers
-	Refuse    float64 // turns it away unseen
-	ErrorIdle float64 // answers 500 without having run
+	Error           float64 // answers 500 after it ran
+	Reset           float64 // closes the connection after it ran
+	NoAnswer        float64 // runs and never answers
+	Refuse          float64 // turns it away unseen
+	ErrorWithoutRun float64 // answers 500 without having run
 }
 
-// Figures are those of a hall's servers.
-type Figures struct {
-	Cores        int
-	Queue        int           // requests waiting, at most
-	Memory       time.Duration // for which a key is remembered
-	ColdFrom     float64       // share of capacity at the start
-	Ramp         time.Duration // until warm
-	FallMultiple float64       // sent more than this multiple of its present capacity
-	FallWindow   time.Duration // for this long, a cold server falls over
-	Faults       Faults
-	Seed         uint64
+// SiteConfig are those of a hall's servers.
+type SiteConfig struct {
+	Cores            int
+	MaxQueueLength   int           // requests waiting, at most
+	IdempotencyTTL   time.Duration // for which a key is remembered
+	ColdCapacity     float64       // share of capacity at the start
+	WarmupWindow     time.Duration // until warm
+	CollapseMultiple float64       // sent more than this multiple of its present capacity
+	CollapseWindow   time.Duration // for this long, a cold server falls over
+	Faults           Faults
+	Seed             uint64
 }
 
-// Hall is a site: booking servers that share a memory of keys, and their register.
-type Hall struct {
-	Name     string
-	Register *Register
-	routes   []Route
-	fig      Figures
-	ledger   *Ledger
+// Site is a site: booking servers that share a memory of keys, and their register.
+type Site struct {
+	Name      string
+	Discovery *Discovery
+	routes    []Route
+	fig       SiteConfig
+	ledger    *Ledger
 
 	cut atomic.Bool // what reaches it is not answered, and answers don't leave it
 
 	mu      sync.Mutex
-	servers map[string]*Server
+	servers map[string]*AppServer
 	keys    map[string]time.Time // when a key was first run
 	tries   map[string]int       // attempts seen of a trace
 }
 
-// Server is one booking server.
-type Server struct {
+// AppServer is one booking server.
+type AppServer struct {
 	ID    string
-	hall  *Hall
+	hall  *Site
 	ln    net.Listener
 	http  *http.Server
 	boot  time.Time
@@ -80,23 +80,23 @@
 	cost time.Duration
 }
 
-// NewHall starts a hall with its register and no servers.
-func NewHall(name string, routes []Route, fig Figures, ledger *Ledger) (*Hall, error) {
-	reg, err := NewRegister()
+// NewSite starts a hall with its register and no servers.
+func NewSite(name string, routes []Route, fig SiteConfig, ledger *Ledger) (*Site, error) {
+	reg, err := NewDiscovery()
 	if err != nil {
 		return nil, err
 	}
-	return &Hall{Name: name, Register: reg, routes: routes, fig: fig, ledger: ledger,
-		servers: map[string]*Server{}, keys: map[string]time.Time{}, tries: map[string]int{}}, nil
+	return &Site{Name: name, Discovery: reg, routes: routes, fig: fig, ledger: ledger,
+		servers: map[string]*AppServer{}, keys: map[string]time.Time{}, tries: map[string]int{}}, nil
 }
 
 // Start starts a server and lists it. A cold one has to warm up.
-func (h *Hall) Start(id string, cold bool) (*Server, error) {
+func (h *Site) Start(id string, cold bool) (*AppServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("hall %s: %w", h.Name, err)
 	}
-	s := &Server{ID: id, hall: h, ln: ln, boot: time.Now(), cold: cold, slots: make(chan struct{}, h.fig.Cores), lastLoad: time.Now()}
+	s := &AppServer{ID: id, hall: h, ln: ln, boot: time.Now(), cold: cold, slots: make(chan struct{}, h.fig.Cores), lastLoad: time.Now()}
 	s.http = &http.Server{Handler: s, ReadHeaderTimeout: 10 * time.Second}
 	go s.http.Serve(ln) // ends with Close
 	h.mu.Lock()
@@ -106,20 +106,20 @@
 	return s, nil
 }
 
-func (h *Hall) list(s *Server, lifecycle string) {
+func (h *Site) list(s *AppServer, lifecycle string) {
 	e := Entry{InstanceID: s.ID, HostPort: s.ln.Addr().String(), Zone: h.Name, MachineType: "std-2core", Lifecycle: lifecycle, Weight: 1}
 	if s.cold {
 		e.StartedAtMs = float64(s.boot.UnixMilli())
 	}
-	h.Register.Put(e)
+	h.Discovery.Put(e)
 }
 
-// Cut has the hall fall silent, or ends that: what it runs goes on, and nothing it says arrives.
+// SetPartitioned has the hall fall silent, or ends that: what it runs goes on, and nothing it says arrives.
 // Its register still lists it.
-func (h *Hall) Cut(cut bool) { h.cut.Store(cut) }
+func (h *Site) SetPartitioned(cut bool) { h.cut.Store(cut) }
 
-// Empty replaces all servers by cold ones under new ids. What the hall remembers of keys stays.
-func (h *Hall) Empty(ids ...string) error {
+// ReplaceServers replaces all servers by cold ones under new ids. What the hall remembers of keys stays.
+func (h *Site) ReplaceServers(ids ...string) error {
 	h.mu.Lock()
 	var old []string
 	for id := range h.servers {
@@ -138,7 +138,7 @@
 }
 
 // Drain has the register tell that a server drains.
-func (h *Hall) Drain(id string) {
+func (h *Site) Drain(id string) {
 	if s := h.server(id); s != nil {
 		s.mu.Lock()
 		s.drained = time.Now()
@@ -148,7 +148,7 @@
 }
 
 // Kill ends a server at once; the register says so.
-func (h *Hall) Kill(id string) {
+func (h *Site) Kill(id string) {
 	if s := h.server(id); s != nil {
 		s.http.Close()
 		h.list(s, "removed")
@@ -158,48 +158,48 @@
 	}
 }
 
-func (h *Hall) server(id string) *Server {
+func (h *Site) server(id string) *AppServer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.servers[id]
 }
 
 // Close ends the hall.
-func (h *Hall) Close() {
+func (h *Site) Close() {
 	h.mu.Lock()
 	for _, s := range h.servers {
 		s.http.Close()
 	}
 	h.mu.Unlock()
-	h.Register.Close()
+	h.Discovery.Close()
 }
 
 // warmth is the share of its capacity that a server has.
-func (s *Server) warmth(now time.Time) float64 {
-	if !s.cold || s.hall.fig.Ramp <= 0 {
+func (s *AppServer) warmth(now time.Time) float64 {
+	if !s.cold || s.hall.fig.WarmupWindow <= 0 {
 		return 1
 	}
 	f := &s.hall.fig
-	return math.Min(f.ColdFrom+(1-f.ColdFrom)*now.Sub(s.boot).Seconds()/f.Ramp.Seconds(), 1)
+	return math.Min(f.ColdCapacity+(1-f.ColdCapacity)*now.Sub(s.boot).Seconds()/f.WarmupWindow.Seconds(), 1)
 }
 
 // push enters work that reached the server; it tells whether that pushed it over. All work
 // that was sent counts, rejected work too.
-func (s *Server) push(now time.Time, cost time.Duration) bool {
+func (s *AppServer) push(now time.Time, cost time.Duration) bool {
 	f := &s.hall.fig
 	w := s.warmth(now)
-	if w >= 1 || f.FallMultiple <= 0 {
+	if w >= 1 || f.CollapseMultiple <= 0 {
 		return false
 	}
 	s.arrived = append(s.arrived, work{now, cost})
-	for len(s.arrived) > 0 && now.Sub(s.arrived[0].at) > f.FallWindow {
+	for len(s.arrived) > 0 && now.Sub(s.arrived[0].at) > f.CollapseWindow {
 		s.arrived = s.arrived[1:]
 	}
 	var sum time.Duration
 	for _, a := range s.arrived {
 		sum += a.cost
 	}
-	budget := f.FallMultiple * w * float64(f.Cores) * f.FallWindow.Seconds()
+	budget := f.CollapseMultiple * w * float64(f.Cores) * f.CollapseWindow.Seconds()
 	if sum.Seconds() <= budget+3*cost.Seconds() || s.fallen {
 		return false
 	}
@@ -210,7 +210,7 @@
 const probeWork = 200 * time.Microsecond
 
 // ServeHTTP answers a request that has come.
-func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *AppServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	if s.hall.cut.Load() {
 		io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20)) // so that the library sees the client go
@@ -233,7 +233,7 @@
 		return
 	}
 	version, _ := strconv.Atoi(r.Header.Get("X-Mulleinmux-Version"))
-	a := &Arrival{Hall: h.Name, Server: s.ID, Operation: route.Operation, Effect: route.Effect, Trace: r.Header.Get("X-Trace-Id"),
+	a := &Arrival{Site: h.Name, Server: s.ID, Operation: route.Operation, Effect: route.Effect, Trace: r.Header.Get("X-Trace-Id"),
 		Key: r.Header.Get("Idempotency-Key"), Licensee: r.Header.Get("X-Licensee"), Version: version,
 		Units: route.Units(version, r, body), At: now}
 	s.mu.Lock()
@@ -241,7 +241,7 @@
 		a.Draining = now.Sub(s.drained)
 	}
 	over := s.push(now, route.Work)
-	full := s.waiting >= h.fig.Queue
+	full := s.waiting >= h.fig.MaxQueueLength
 	if s.waiting++; full {
 		s.waiting--
 	}
@@ -303,7 +303,7 @@
 	s.busySum += cost
 	s.mu.Unlock()
 	<-s.slots
-	if chance(1) >= f.ErrorIdle {
+	if chance(1) >= f.ErrorWithoutRun {
 		effected := route.Effect != "keyed" || h.remember(a.Key, time.Now())
 		h.ledger.change(func() { a.Effected = effected })
 	}
@@ -311,12 +311,12 @@
 	case h.cut.Load():
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case chance(1) < f.ErrorIdle, chance(2) < f.Error:
+	case chance(1) < f.ErrorWithoutRun, chance(2) < f.Error:
 		status.Store(http.StatusInternalServerError)
 		http.Error(w, "fault", http.StatusInternalServerError)
 	case chance(3) < f.Reset:
 		panic(http.ErrAbortHandler)
-	case chance(4) < f.Silent:
+	case chance(4) < f.NoAnswer:
 		<-r.Context().Done()
 	default:
 		status.Store(http.StatusOK)
@@ -330,18 +330,18 @@
 	}
 }
 
-func (s *Server) leave() {
+func (s *AppServer) leave() {
 	s.mu.Lock()
 	s.waiting--
 	s.mu.Unlock()
 }
 
 // remember tells whether a key is new, and keeps it.
-func (h *Hall) remember(key string, now time.Time) bool {
+func (h *Site) remember(key string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	at, known := h.keys[key]
-	if known && now.Sub(at) < h.fig.Memory {
+	if known && now.Sub(at) < h.fig.IdempotencyTTL {
 		return false
 	}
 	h.keys[key] = now
@@ -349,7 +349,7 @@
 }
 
 // chance draws numbers for an attempt that follow from the seed, its trace and its number.
-func (h *Hall) chance(trace string) func(what int) float64 {
+func (h *Site) chance(trace string) func(what int) float64 {
 	h.mu.Lock()
 	h.tries[trace]++
 	n := h.tries[trace]
@@ -366,7 +366,7 @@
 }
 
 // load words a load report.
-func (s *Server) load(now time.Time) string {
+func (s *AppServer) load(now time.Time) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busySum += probeWork
@@ -378,7 +378,7 @@
 }
 
 // Addrs are the addresses of the hall's servers.
-func (h *Hall) Addrs() (addrs []string) {
+func (h *Site) Addrs() (addrs []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.servers {
--- a/internal/testserver/ledger.go
+++ b/internal/testserver/ledger.go
@@ -137,7 +137,7 @@
 
 // Arrival is one request that came whole to a server.
 type Arrival struct {
-	Hall, Server, Operation, Effect string
+	Site, Server, Operation, Effect string
 	Trace, Key, Licensee            string
 	Version, Units                  int
 	At, Ended                       time.Time     // Ended: its answer was written or its connection ended
@@ -185,8 +185,8 @@
 	return append([]string(nil), l.strays...)
 }
 
-// Fallen returns the servers that collapsed under overload, as site/server.
-func (l *Ledger) Fallen() []string {
+// Collapsed returns the servers that collapsed under overload, as site/server.
+func (l *Ledger) Collapsed() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.fallen...)
--- a/internal/testserver/register.go
+++ b/internal/testserver/register.go
@@ -23,8 +23,8 @@
 	StartedAtMs float64 `json:"startedAtMs"`
 }
 
-// Register lists servers and streams changes of the list.
-type Register struct {
+// Discovery lists servers and streams changes of the list.
+type Discovery struct {
 	ln  net.Listener
 	srv *http.Server
 
@@ -40,26 +40,26 @@
 	entry Entry
 }
 
-// NewRegister starts an empty register.
-func NewRegister() (*Register, error) {
+// NewDiscovery starts an empty register.
+func NewDiscovery() (*Discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
 	}
-	r := &Register{ln: ln, gen: 1, entries: map[string]Entry{}, changed: make(chan struct{})}
+	r := &Discovery{ln: ln, gen: 1, entries: map[string]Entry{}, changed: make(chan struct{})}
 	r.srv = &http.Server{Handler: r, ReadHeaderTimeout: 10 * time.Second}
 	go r.srv.Serve(ln) // ends with Close
 	return r, nil
 }
 
 // Addr is where the register listens.
-func (r *Register) Addr() netip.AddrPort { return r.ln.Addr().(*net.TCPAddr).AddrPort() }
+func (r *Discovery) Addr() netip.AddrPort { return r.ln.Addr().(*net.TCPAddr).AddrPort() }
 
 // Close ends the register and its watches.
-func (r *Register) Close() { r.srv.Close() }
+func (r *Discovery) Close() { r.srv.Close() }
 
 // Put changes an entry.
-func (r *Register) Put(e Entry) {
+func (r *Discovery) Put(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gen++
@@ -78,7 +78,7 @@
 }
 
 // since lists what changed after a version, or all.
-func (r *Register) since(from uint64) (listing, chan struct{}) {
+func (r *Discovery) since(from uint64) (listing, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := listing{Generation: r.gen, Reset: from == 0 || from > r.gen, Instances: []Entry{}}
@@ -97,7 +97,7 @@
 }
 
 // ServeHTTP answers a list or a watch.
-func (r *Register) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (r *Discovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path != "/registry/instances" {
 		http.NotFound(w, q)
 		return
