--- /dev/null
+++ b/internal/gateway/drain_test.go
@@ -0,0 +1,71 @@
+package gateway
+
+import (
+	"io"
+	"testing"
+	"time"
+)
+
+// A drain finishes what was taken, answers what still comes and ends.
+func TestDrain(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1, func(c *Config) { c.DrainTimeout = 300 * time.Millisecond })
+	idle, c := dial(t, g.addr), dial(t, g.addr)
+	c.send(getRequest("GET /visits/1"))
+	a := h.nextRequest()
+	g.stop()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		if r := dial(t, g.addr).roundTrip(getRequest("GET /health/ready")); r.status == 503 {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatal("goes on being ready")
+		}
+	}
+	late := dial(t, g.addr)
+	late.send(getRequest("GET /visits/2"))
+	b := h.nextRequest()
+	b.response <- responseText(200, "", "late")
+	if r := late.readResponse(); r.status != 200 || !r.close {
+		t.Errorf("while draining: %+v", r)
+	}
+	if _, err := idle.br.ReadByte(); err != io.EOF {
+		t.Errorf("an idle connection: %v", err)
+	}
+	a.response <- responseText(200, "", "x")
+	if r := c.readResponse(); r.status != 200 || !r.close {
+		t.Errorf("taken before: %+v", r)
+	}
+	select {
+	case g.done <- <-g.done:
+	case <-time.After(testTimeout):
+		t.Error("the instance does not end")
+	}
+}
+
+// An endpoint list of one site says nothing of the other's servers; a server that drains gets
+// nothing new.
+func TestSitesAreIndependent(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	h.startServer("hall-a", "t")
+	h.startServer("hall-b", "s")
+	g := startInstance(t, h, 3, nil)
+	h.listServer("hall-a", "t", "127.0.0.1:1", "removed") // a change says nothing of the site's others
+	h.awaitServerCount(g, "hall-a", 1)
+	h.listServer("hall-a", "s", "127.0.0.1:1", "removed")
+	h.awaitServerCount(g, "hall-a", 0)
+	c := dial(t, g.addr)
+	for range 5 {
+		c.send(getRequest("GET /visits/1"))
+		a := h.nextRequest()
+		if a.server != "hall-b/s" {
+			t.Errorf("sent to %s", a.server)
+		}
+		a.response <- responseText(200, "", "")
+		if r := c.readResponse(); r.status != 200 {
+			t.Errorf("%+v", r)
+		}
+	}
+}
--- /dev/null
+++ b/internal/gateway/scripted_server_test.go
@@ -0,0 +1,164 @@
+package gateway
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"mulleinmux/internal/raftnode"
+	"mulleinmux/internal/testserver"
+)
+
+// receivedRequest is a request as a scripted server reads it.
+type receivedRequest struct {
+	server   string
+	line     string // method and target, byte for byte
+	header   http.Header
+	body     string
+	response chan string // takes the response's text; "" closes the connection
+}
+
+// testSites is a set of scripted servers, which hand each request to the test.
+type testSites struct {
+	t          *testing.T
+	registers  map[string]*testserver.Discovery
+	authority  *raftnode.Authority // of the link's certificates
+	requests   chan *receivedRequest
+	goroutines sync.WaitGroup
+	mu         sync.Mutex
+	conns      []net.Conn
+	done       chan struct{} // closed when the test ends
+}
+
+// newTestSites makes two sites without servers.
+func newTestSites(t *testing.T) *testSites {
+	h := &testSites{t: t, registers: map[string]*testserver.Discovery{}, requests: make(chan *receivedRequest, 100),
+		done: make(chan struct{})}
+	t.Cleanup(func() {
+		close(h.done)
+		h.goroutines.Wait()
+	})
+	for _, name := range []string{"hall-a", "hall-b"} {
+		r, err := testserver.NewDiscovery()
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(r.Close)
+		h.registers[name] = r
+	}
+	return h
+}
+
+// startServer starts a scripted server and lists it.
+func (h *testSites) startServer(site, id string) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.t.Cleanup(func() {
+		ln.Close()
+		h.mu.Lock()
+		for _, c := range h.conns {
+			c.Close()
+		}
+		h.mu.Unlock()
+	})
+	h.goroutines.Go(func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			h.mu.Lock()
+			h.conns = append(h.conns, c)
+			h.mu.Unlock()
+			h.goroutines.Go(func() { h.serveConn(c, site+"/"+id) })
+		}
+	})
+	h.listServer(site, id, ln.Addr().String(), "up")
+}
+
+// listServer has service discovery announce a server.
+func (h *testSites) listServer(site, id, addr, lifecycle string) {
+	h.registers[site].Put(testserver.Entry{InstanceID: id, HostPort: addr, Zone: site, MachineType: "k",
+		Lifecycle: lifecycle, Weight: 1})
+}
+
+// serveConn hands each request to the test, and answers health checks itself.
+func (h *testSites) serveConn(c net.Conn, id string) {
+	defer c.Close()
+	br := bufio.NewReader(c)
+	for {
+		r, err := http.ReadRequest(br)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		if r.URL.Path == healthCheckPath {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\nTEXT queue=0, util=0.10")
+			continue
+		}
+		a := &receivedRequest{id, r.Method + " " + r.RequestURI, r.Header, string(body), make(chan string, 1)}
+		h.requests <- a
+		var text string
+		select {
+		case text = <-a.response:
+		case <-h.done:
+		}
+		if _, err := io.WriteString(c, text); err != nil || text == "" {
+			return
+		}
+	}
+}
+
+// nextRequest is the next request that reaches a server.
+func (h *testSites) nextRequest() *receivedRequest {
+	h.t.Helper()
+	select {
+	case a := <-h.requests:
+		return a
+	case <-time.After(testTimeout):
+		h.t.Fatal("no request reaches a server")
+		return nil
+	}
+}
+
+// expectNoRequest checks that no request has reached a server.
+func (h *testSites) expectNoRequest() {
+	h.t.Helper()
+	select {
+	case a := <-h.requests:
+		a.response <- ""
+		h.t.Errorf("%s reached %s", a.line, a.server)
+	default:
+	}
+}
+
+// awaitServerCount waits until an instance knows so many servers of a site.
+func (h *testSites) awaitServerCount(g *testInstance, site string, left int) {
+	h.t.Helper()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		g.mu.Lock()
+		n := len(g.serversBySite[site])
+		g.mu.Unlock()
+		if n == left {
+			return
+		}
+		if n < left || time.Now().After(end) {
+			h.t.Fatalf("%s: %d servers known, not %d", site, n, left)
+		}
+	}
+}
+
+// responseText is a whole response; extra is added to its head.
+func responseText(status int, extra, body string) string {
+	return fmt.Sprintf("HTTP/1.1 %d Status\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
+}
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -15,21 +15,14 @@
 	"mulleinmux/internal/testserver"
 )
 
-// checkRules waits until all members are of one mind and judges the run.
+// checkRules waits until all members agree and judges the run.
 func (c *clusterRun) checkRules(ctx context.Context, tries []testserver.Attempt, began time.Time) *Verdict {
 	w := c.environment
-	v := &Verdict{Scenario: w.scenario.Name, Seed: w.options.Seed, Figures: map[string]float64{}, Rules: map[string]int{
-		"one_answer": 0, "no_effect_twice": 0, "drains": 0, "cold_servers": 0, "ceilings": 0,
-		"units": 0, "operations": 0, "versions": 0, "one_mind": 0, "changes": 0, "scenario": 0}}
+	v := w.newVerdict("one_mind", "changes")
 	j := &ruleChecker{v}
 	history := c.checkAgreement(ctx, j)
 	c.checkFollowers(ctx, j)
-	arrivals := w.ledger.Arrivals()
-	slices.SortStableFunc(arrivals, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
-	byTrace := map[string][]testserver.Arrival{}
-	for _, a := range arrivals {
-		byTrace[a.Trace] = append(byTrace[a.Trace], a)
-	}
+	arrivals, byTrace := w.arrivals()
 	at := map[string]*member{}
 	for _, m := range c.instances() {
 		at[m.listen] = m
@@ -43,56 +36,63 @@
 		return down
 	})
 	j.checkEffects(arrivals, byTrace)
-	for _, s := range w.ledger.Strays() {
-		j.violation("operations", "the halls know no operation for %s", s)
-	}
-	for _, s := range w.ledger.Collapsed() {
-		j.violation("cold_servers", "%s was pushed over", s)
-	}
+	w.checkSites(j)
 	j.checkHardLimits(byTrace)
 	c.checkCharges(j, byTrace, tries, at, history)
 	checkVersionOrder(j, tries, byTrace)
 	c.checkConfigChanges(j, history)
-	for _, n := range w.notes {
-		j.violation("scenario", "%s", n)
-	}
+	w.reportNotes(j)
 	j.addFigures(tries, len(arrivals), time.Since(began))
-	n, _ := c.countApplied()
-	v.Figures["changes"], v.Figures["kills"], v.Figures["no_answer_while_down"] = float64(n), float64(c.kills), float64(excused)
-	v.Figures["disks_failed"] = float64(c.failed)
-	for i, g := range c.gaps {
-		v.Figures[fmt.Sprint("kill_to_change_ms_", i+1)] = math.Round(g.Seconds() * 1000)
-	}
-	for i, l := range c.losses {
-		v.Figures[fmt.Sprint("hall_lost_ms_", i+1)] = math.Round(l[0].Seconds() * 1000)
-		v.Figures[fmt.Sprint("hall_back_ms_", i+1)] = math.Round(l[1].Seconds() * 1000)
-	}
+	v.Figures["no_answer_while_down"] = float64(excused)
+	c.addFaultFigures(v)
 	if c.surge != nil {
-		c.surge.figures(j, tries, arrivals, byTrace, w.serverCount(), w.coreCount())
+		size := siteSize{servers: w.serverCount(), cores: w.coreCount()}
+		c.surge.figures(j, tries, arrivals, byTrace, size)
 	}
-	for _, s := range c.alone {
+	for _, s := range c.isolations {
 		c.checkIsolated(j, s, arrivals)
 	}
-	if c.flaps > 0 && w.scenario.Name == "flapping" {
-		// A loss takes half a second of silence, a return a hold that doubles.
-		lost, most := 0, 0
-		for _, r := range history {
-			if slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") }) && strings.Contains(r.Reason, "silence") {
-				lost++
-			}
-		}
-		for spent := time.Duration(0); spent < w.options.For; most++ {
-			spent += 500*time.Millisecond + time.Second<<min(most, 5)
-		}
-		if v.Figures["flaps"], v.Figures["losses_agreed"], v.Figures["losses_at_most"] = float64(c.flaps), float64(lost), float64(most); lost > most {
-			j.violation("scenario", "the halls were agreed to be lost %d times; their holds allow %d", lost, most)
+	if c.flapCount > 0 && w.scenario.Name == "flapping" {
+		c.checkFlapping(j, history)
+	}
+	v.judge()
+	return v
+}
+
+// addFaultFigures tells of the faults of the run and how long the instances took to agree on them.
+func (c *clusterRun) addFaultFigures(v *Verdict) {
+	applied, _ := c.countApplied()
+	v.Figures["changes"] = float64(applied)
+	v.Figures["kills"] = float64(c.killCount)
+	v.Figures["disks_failed"] = float64(c.failedDiskCount)
+	for i, g := range c.leaderLossDelays {
+		v.Figures[fmt.Sprint("kill_to_change_ms_", i+1)] = math.Round(g.Seconds() * 1000)
+	}
+	for i, l := range c.losses {
+		v.Figures[fmt.Sprint("hall_lost_ms_", i+1)] = math.Round(l.untilLost.Seconds() * 1000)
+		v.Figures[fmt.Sprint("hall_back_ms_", i+1)] = math.Round(l.untilBack.Seconds() * 1000)
+	}
+}
+
+// checkFlapping checks that a site that fails and returns all the time is agreed to be lost no more often than the
+// holds allow: a loss takes half a second of silence, a return a hold that doubles.
+func (c *clusterRun) checkFlapping(j *ruleChecker, history []clusterconfig.HistoryRecord) {
+	lossCount, maxLosses := 0, 0
+	for _, r := range history {
+		putsLost := slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") })
+		if putsLost && strings.Contains(r.Reason, "silence") {
+			lossCount++
 		}
 	}
-	v.OK = true
-	for _, n := range v.Rules {
-		v.OK = v.OK && n == 0
+	for spent := time.Duration(0); spent < c.environment.options.For; maxLosses++ {
+		spent += 500*time.Millisecond + time.Second<<min(maxLosses, 5)
+	}
+	j.v.Figures["flaps"] = float64(c.flapCount)
+	j.v.Figures["losses_agreed"] = float64(lossCount)
+	j.v.Figures["losses_at_most"] = float64(maxLosses)
+	if lossCount > maxLosses {
+		j.violation("scenario", "the halls were agreed to be lost %d times; their holds allow %d", lossCount, maxLosses)
 	}
-	return v
 }
 
 // checkIsolated wants bookings served at both sites while the sites were cut from each other.
@@ -103,7 +103,7 @@
 			booked[a.Site]++
 		}
 	}
-	for _, h := range c.environment.halls {
+	for _, h := range c.environment.sites {
 		if j.v.Figures["booked_alone_"+h.Name] = float64(booked[h.Name]); booked[h.Name] == 0 {
 			j.violation("scenario", "%s took no bookings while the sites were cut from each other", h.Name)
 		}
@@ -112,18 +112,18 @@
 
 // checkAgreement waits until all members have the same version and chain, and returns the history.
 func (c *clusterRun) checkAgreement(ctx context.Context, j *ruleChecker) []clusterconfig.HistoryRecord {
-	for _, l := range c.links {
+	for _, l := range c.raftLinks {
 		l.setCut(false)
 	}
-	ctx, cancel := context.WithTimeout(ctx, settle)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for {
 		seen, same := "", 0
 		for _, m := range c.members {
 			select {
-			case <-m.ended.done: // its disk failed of late
-				if c.chaos {
-					c.failed++
+			case <-m.process.done: // its disk failed of late
+				if c.hasChaos {
+					c.failedDiskCount++
 					m.markDown()
 					if err := c.start(m); err != nil {
 						j.violation("one_mind", "%v", err)
@@ -135,9 +135,9 @@
 			if err != nil || s.InstalledVersion != s.Version {
 				break
 			}
-			mind := fmt.Sprintf("%d %s", s.Version, s.Hash)
-			if same == 0 || mind == seen {
-				seen = mind
+			state := fmt.Sprintf("%d %s", s.Version, s.Hash)
+			if same == 0 || state == seen {
+				seen = state
 				same++
 			}
 		}
@@ -145,7 +145,8 @@
 			break
 		}
 		if pause(ctx, 20*time.Millisecond); ctx.Err() != nil {
-			j.violation("one_mind", "the members are not of one mind %v after the last change: the last seen is %s", settle, seen)
+			j.violation("one_mind", "the members are not of one mind %v after the last change: the last seen is %s",
+				settleTimeout, seen)
 			return nil
 		}
 	}
@@ -159,11 +160,11 @@
 // checkFollowers waits until every member says of every follower that it runs the newest version, and holds that
 // against what the follower itself answers.
 func (c *clusterRun) checkFollowers(ctx context.Context, j *ruleChecker) {
-	for _, l := range c.streams {
+	for _, l := range c.streamLinks {
 		l.setCut(false)
 	}
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, settle)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for len(c.followers) > 0 {
 		said := ""
@@ -173,11 +174,14 @@
 				said += err.Error() + "; "
 			}
 			for _, f := range c.followers {
-				i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool { return s.Name == f.follows })
+				i := slices.IndexFunc(fs.Followers,
+					func(s configstream.StreamStatus) bool { return s.Name == f.followerName })
 				if i < 0 || fs.Followers[i].State != "running" || fs.Followers[i].Running.Number != fs.NewestVersion {
-					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.MemberID, fs.NewestVersion, f.follows, fs.Followers)
+					said += fmt.Sprintf("member %d has version %d, and %s: %+v; ", fs.MemberID, fs.NewestVersion,
+						f.followerName, fs.Followers)
 				} else if v, err := versionAt(ctx, f); err != nil || v != fs.NewestVersion {
-					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.MemberID, f.follows, fs.NewestVersion, v, err)
+					said += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", fs.MemberID,
+						f.followerName, fs.NewestVersion, v, err)
 				}
 			}
 		}
@@ -186,7 +190,8 @@
 			return
 		}
 		if pause(ctx, 50*time.Millisecond); ctx.Err() != nil {
-			j.violation("one_mind", "the followers do not run what the members agree on %v after the last fault: %s", settle, said)
+			j.violation("one_mind", "the followers do not run what the members agree on %v after the last fault: %s",
+				settleTimeout, said)
 			return
 		}
 	}
--- a/internal/scenario/link.go
+++ b/internal/scenario/link.go
@@ -9,27 +9,32 @@
 	"time"
 )
 
-// link is the way from one member to another: a forwarder on loopback that can be cut. The
-// bytes of a member's messages go one way, so that a cut is one-way.
+// linkEnds are the indexes of two instances: a link goes from the one to the other.
+type linkEnds struct{ from, to int }
+
+// link is the path from one member to another: a forwarder on loopback that can be cut. The
+// bytes of a member's messages go in one direction, so that a cut is one-way.
 type link struct {
-	ln  net.Listener
-	to  string
-	cut atomic.Bool
-	mu  sync.Mutex
-	all map[net.Conn]struct{}
-	end sync.WaitGroup
+	ln         net.Listener
+	to         string
+	cut        atomic.Bool
+	mu         sync.Mutex
+	conns      map[net.Conn]struct{}
+	goroutines sync.WaitGroup
 }
 
+// newLink opens a link to an address.
 func newLink(to string) (*link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &link{ln: ln, to: to, all: map[net.Conn]struct{}{}}
-	l.end.Go(l.serve)
+	l := &link{ln: ln, to: to, conns: map[net.Conn]struct{}{}}
+	l.goroutines.Go(l.serve)
 	return l, nil
 }
 
+// addr is the address at which the link is reached.
 func (l *link) addr() string { return l.ln.Addr().String() }
 
 // setCut cuts the link or heals it. Connections on a cut link fall silent, as on a network
@@ -40,32 +45,36 @@
 	}
 }
 
+// closeAll closes the connections on the link.
 func (l *link) closeAll() {
 	l.mu.Lock()
-	for c := range l.all {
+	for c := range l.conns {
 		c.Close()
 	}
 	l.mu.Unlock()
 }
 
+// close ends the link.
 func (l *link) close() {
 	l.ln.Close()
 	l.closeAll()
-	l.end.Wait()
+	l.goroutines.Wait()
 }
 
-func (l *link) hold(c net.Conn) func() {
+// track notes a connection; the function that it returns closes and forgets it.
+func (l *link) track(c net.Conn) func() {
 	l.mu.Lock()
-	l.all[c] = struct{}{}
+	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	return func() {
 		c.Close()
 		l.mu.Lock()
-		delete(l.all, c)
+		delete(l.conns, c)
 		l.mu.Unlock()
 	}
 }
 
+// serve accepts connections and forwards what comes on them.
 func (l *link) serve() {
 	for {
 		c, err := l.ln.Accept()
@@ -76,8 +85,8 @@
 			time.Sleep(time.Millisecond) // out of descriptors: one may come free
 			continue
 		}
-		l.end.Go(func() {
-			defer l.hold(c)()
+		l.goroutines.Go(func() {
+			defer l.track(c)()
 			if l.cut.Load() { // nothing answers
 				io.Copy(io.Discard, c)
 				return
@@ -86,23 +95,23 @@
 			if err != nil {
 				return
 			}
-			defer l.hold(d)()
+			defer l.track(d)()
 			back := make(chan struct{})
 			go func() {
 				defer close(back)
-				l.pass(c, d)
+				l.forward(c, d)
 				c.Close()
 			}()
-			l.pass(d, c)
+			l.forward(d, c)
 			d.Close()
 			<-back
 		})
 	}
 }
 
-// pass copies until an end closes. What comes while the link is cut is lost, and with it the
+// forward copies until an end closes. What comes while the link is cut is lost, and with it the
 // connection, once the link heals.
-func (l *link) pass(to, from net.Conn) {
+func (l *link) forward(to, from net.Conn) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
