--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -1,4 +1,4 @@
-// Package layering holds the repository to the order of its packages: see docs/ARCHITECTURE.md.
+// Package layering holds the repository to the layers of its packages: see docs/ARCHITECTURE.md.
 package layering
 
 import (
@@ -12,20 +12,48 @@
 	"testing"
 )
 
-// floor of each package; a package may import those of its own floor and below, floor 1
-// only its own.
-var floor = map[string]int{
-	"policy": 1, "routing": 1, "subset": 1, "zonehealth": 1, "internal/splitmix": 1, "configstream": 1, "clusterconfig": 1, "multisite": 1,
-	"internal/simwire": 2, "internal/httpwire": 2, "internal/loadreport": 2, "internal/openapi": 2, "deploy": 2,
-	"internal/discovery": 3, "internal/gossip": 3, "internal/edgeproxy": 3, "internal/raftnode": 3, "internal/gateway": 3, "internal/gatewayconfig": 3, "internal/testserver": 3, "internal/fixture": 3, "internal/cluster": 3, "internal/configstreampb": 3,
-	"internal/scenario": 4, "internal/benchmark": 4, "internal/layering": 4,
-	"cmd/edgeproxy": 5, "cmd/gateway": 5, "cmd/simadapter": 5, "internal/configstreampb/gen": 5,
+// layerOf is the layer of each package, which may import those of its own layer and below; layer 1 imports layer 1 alone.
+var layerOf = map[string]int{
+	"policy":            1,
+	"routing":           1,
+	"subset":            1,
+	"zonehealth":        1,
+	"internal/splitmix": 1,
+	"configstream":      1,
+	"clusterconfig":     1,
+	"multisite":         1,
+
+	"internal/simwire":    2,
+	"internal/httpwire":   2,
+	"internal/loadreport": 2,
+	"internal/openapi":    2,
+	"deploy":              2,
+
+	"internal/discovery":      3,
+	"internal/gossip":         3,
+	"internal/edgeproxy":      3,
+	"internal/raftnode":       3,
+	"internal/gateway":        3,
+	"internal/gatewayconfig":  3,
+	"internal/testserver":     3,
+	"internal/fixture":        3,
+	"internal/cluster":        3,
+	"internal/configstreampb": 3,
+
+	"internal/scenario":  4,
+	"internal/benchmark": 4,
+	"internal/layering":  4,
+
+	"cmd/edgeproxy":               5,
+	"cmd/gateway":                 5,
+	"cmd/simadapter":              5,
+	"internal/configstreampb/gen": 5,
 }
 
-// rigs are used by tests and the lab alone.
-var rigs = []string{"internal/fixture", "internal/testserver", "internal/scenario", "internal/benchmark"}
+// testHarness names the packages that tests and scenarios alone use.
+var testHarness = []string{"internal/fixture", "internal/testserver", "internal/scenario", "internal/benchmark"}
 
-func list(t *testing.T, args ...string) []string {
+func goList(t *testing.T, args ...string) []string {
 	t.Helper()
 	cmd := exec.Command("go", append([]string{"list"}, args...)...)
 	cmd.Dir = filepath.Join("..", "..")
@@ -36,37 +64,37 @@
 	return strings.Fields(string(out))
 }
 
-func TestArrowsGoDown(t *testing.T) {
-	for _, full := range list(t, "./...") {
+func TestImportsGoDown(t *testing.T) {
+	for _, full := range goList(t, "./...") {
 		name := strings.TrimPrefix(full, "mulleinmux/")
-		own, ok := floor[name]
+		own, ok := layerOf[name]
 		if !ok {
-			t.Errorf("%s stands on no floor: add it to this test and to docs/ARCHITECTURE.md", name)
+			t.Errorf("%s is in no layer: add it to this test and to docs/ARCHITECTURE.md", name)
 			continue
 		}
-		for _, dep := range list(t, "-f", `{{join .Imports "\n"}}`, full) {
+		for _, dep := range goList(t, "-f", `{{join .Imports "\n"}}`, full) {
 			dep, ours := strings.CutPrefix(dep, "mulleinmux/")
 			if !ours {
 				continue
 			}
-			if floor[dep] > own {
-				t.Errorf("%s on floor %d imports %s on floor %d", name, own, dep, floor[dep])
+			if layerOf[dep] > own {
+				t.Errorf("%s in layer %d imports %s in layer %d", name, own, dep, layerOf[dep])
 			}
-			if slices.Contains(rigs, dep) && own < 4 {
-				t.Errorf("%s imports the rig %s", name, dep)
+			if slices.Contains(testHarness, dep) && own < 4 {
+				t.Errorf("%s imports the test harness %s", name, dep)
 			}
 		}
 	}
 }
 
-// Floor 1 decides and does no I/O: no sockets, files, goroutines, clock or randomness of
+// Layer 1 decides and does no I/O: no sockets, files, goroutines, clock or randomness of
 // its own.
 func TestDecisionsDoNoIO(t *testing.T) {
 	forbidden := []string{"net", "net/http", "os", "os/exec", "io/fs", "log", "log/slog", "sync", "crypto/rand", "math/rand", "syscall", "context"}
 	// A data structure, and nothing else.
 	allowed := "github.com/hashicorp/go-immutable-radix/v2"
 	clock := []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick"}
-	for name, n := range floor {
+	for name, n := range layerOf {
 		if n != 1 {
 			continue
 		}
@@ -105,7 +133,7 @@
 
 // The edge node links nothing but this repository and the standard library.
 func TestEdgeNodeIsLean(t *testing.T) {
-	deps := list(t, "-deps", "mulleinmux/cmd/edgeproxy")
+	deps := goList(t, "-deps", "mulleinmux/cmd/edgeproxy")
 	if !slices.Contains(deps, "mulleinmux/policy") {
 		t.Fatalf("not the edge node: %v", deps)
 	}
