--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -36,7 +36,8 @@
 	instance   *Instance
 	isReady    atomic.Bool
 	isDraining atomic.Bool
-	handlers   sync.WaitGroup
+	acceptors  sync.WaitGroup // calls of serve
+	handlers   sync.WaitGroup // connections; an acceptor adds to it, so that it is awaited after them
 
 	relayListener net.Listener // of other sites' instances; nil: none come
 
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"io"
+	"net"
+	"sync"
 	"testing"
 	"time"
 )
@@ -44,6 +46,51 @@
 	}
 }
 
+// lateListener accepts nothing until it is closed, and then the one connection that waits, as a listener may that is
+// closed while a connection arrives.
+type lateListener struct {
+	net.Listener
+	closing     chan struct{}
+	closeOnce   sync.Once
+	hasAccepted bool
+}
+
+func (l *lateListener) Accept() (net.Conn, error) {
+	<-l.closing
+	if l.hasAccepted {
+		l.Listener.Close()
+	}
+	l.hasAccepted = true
+	return l.Listener.Accept()
+}
+
+func (l *lateListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closing) })
+	return nil
+}
+
+// A connection that is accepted in the moment in which its listener closes is served before the instance ends.
+func TestDrainServesLastAcceptedConnection(t *testing.T) {
+	h := newTestSites(t)
+	h.startServer("hall-a", "s")
+	g := startInstance(t, h, 1, func(c *Config) {
+		c.listener = &lateListener{Listener: c.listener, closing: make(chan struct{})}
+	})
+	c := dial(t, g.addr)
+	c.send(getRequest("GET /visits/1"))
+	g.stop()
+	a := h.nextRequest()
+	select {
+	case err := <-g.done:
+		t.Fatalf("the instance has ended before the request: %v", err)
+	default:
+	}
+	a.response <- responseText(200, "", "x")
+	if r := c.readResponse(); r.status != 200 || !r.close {
+		t.Errorf("accepted at the close: %+v", r)
+	}
+}
+
 // An endpoint list of one site says nothing of the other's servers; a server that drains gets
 // nothing new.
 func TestSitesAreIndependent(t *testing.T) {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -106,6 +106,7 @@
 	for _, name := range []string{"hall-a", "hall-b"} {
 		cfg.Sites = append(cfg.Sites, Site{name, h.registers[name].Addr()})
 	}
+	cfg.UseSockets(ln, nil)
 	if change != nil {
 		change(cfg)
 	}
@@ -113,7 +114,6 @@
 	if cfg.FullValidation {
 		check = d.Checker()
 	}
-	cfg.UseSockets(ln, nil)
 	ctx, stop := context.WithCancel(context.Background())
 	r := &testInstance{cfg: cfg, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1)}
 	ready := make(chan *Instance, 1)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -71,14 +71,16 @@
 
 	f := &clientServer{instance: in, conns: map[*clientConn]struct{}{}}
 	failed := make(chan error, 2)
-	background.Go(func() { failed <- f.serve(ln) })
+	f.acceptors.Go(func() { failed <- f.serve(ln) })
+	defer f.acceptors.Wait()
+	defer ln.Close()
 	if config.Relay != nil {
 		if f.relayListener, err = config.Relay.listen(); err != nil {
 			ln.Close()
 			return err
 		}
 		defer f.relayListener.Close()
-		background.Go(func() { failed <- f.serve(relayListener{f.relayListener, in.relay}) })
+		f.acceptors.Go(func() { failed <- f.serve(relayListener{f.relayListener, in.relay}) })
 	}
 	f.isReady.Store(true)
 	in.logListening(ln.Addr(), setup.Table)
@@ -127,6 +129,7 @@
 	if f.relayListener != nil {
 		f.relayListener.Close()
 	}
+	f.acceptors.Wait() // what is accepted in the moment of the close is drained with the others
 	f.eachConn(func(c *clientConn) {
 		if !c.isBusy.Load() {
 			c.nc.SetReadDeadline(pastDeadline)
