--- a/internal/edgeproxy/client_conn_test.go
+++ b/internal/edgeproxy/client_conn_test.go
@@ -127,8 +127,8 @@
 	_, res := pool.exchange(t.Context(), "a", &m)
 	wantResult(t, res, policy.NotSent)
 	wantClosed(t, <-app.conns)
-	if len(app.requests()) != 0 || pool.openCount != 0 {
-		t.Errorf("sent on: %q, %d connections counted", app.requests(), pool.openCount)
+	if len(app.requests()) != 0 || pool.Snapshot().OpenCount != 0 {
+		t.Errorf("sent on: %q, %d connections counted", app.requests(), pool.Snapshot().OpenCount)
 	}
 }
 
--- a/internal/edgeproxy/exchange.go
+++ b/internal/edgeproxy/exchange.go
@@ -15,6 +15,7 @@
 	"syscall"
 	"time"
 
+	"mulleinmux/internal/serverpool"
 	"mulleinmux/policy"
 )
 
@@ -26,21 +27,22 @@
 	if request.rest != nil && request.rest.isUsed.Load() {
 		return serverResponse{}, policy.NotSent // some of its body is gone
 	}
-	conn, err := p.acquire(ctx, server)
+	pooled, err := p.Acquire(ctx, server)
 	if err != nil {
 		return serverResponse{}, unsentResult(ctx, err)
 	}
+	conn := pooled.HostConn
 	conn.reader.expect(ctx)
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(expiredDeadline) })
 	req := request.httpRequest(ctx)
-	err = p.checkBeforeSend(ctx, conn, request)
+	err = p.checkBeforeSend(ctx, pooled, request)
 	if err == nil {
 		err = request.writeTo(conn, req)
 	}
 	if err != nil {
 		// A server begins a request when it has received the last byte, and that was not written.
 		stop()
-		p.discard(conn)
+		p.Discard(pooled)
 		return serverResponse{}, unsentResult(ctx, err)
 	}
 	if request.rest != nil {
@@ -51,11 +53,11 @@
 		p.onSent(request.clientLeft != nil && request.clientLeft.Load())
 	}
 	response, result, isReusable := conn.readResponse(req)
-	if result == policy.ConnectionReset && conn.isStaleReset(writtenAt) {
-		p.shortenIdleTimeout(conn)
+	if result == policy.ConnectionReset && !conn.reader.hasBegun {
+		p.RecordReset(pooled, time.Since(writtenAt))
 	}
 	if response.stream != nil {
-		return p.startStream(conn, response, stop)
+		return p.startStream(pooled, response, stop)
 	}
 	if request.rest != nil {
 		conn.SetReadDeadline(time.Time{})
@@ -65,16 +67,16 @@
 	}
 	// stop is false once the deadline has been changed.
 	if stop() && isReusable {
-		p.release(conn)
+		p.Release(pooled)
 	} else {
-		p.discard(conn)
+		p.Discard(pooled)
 	}
 	if result == policy.ConnectionReset && ctx.Err() != nil {
 		result = conn.resultAtEnd(ctx)
 	}
 	switch result {
 	case policy.TimedOut:
-		p.closeIdleOf(conn.server)
+		p.CloseIdleOf(pooled)
 	case policy.OK, policy.RejectedByServer, policy.ErrorResponse:
 		response.connectedAt = conn.connectedAt
 	}
@@ -106,14 +108,14 @@
 
 // startStream returns a response that is streamed, unless the exchange was given up; stop is that of its context.
 func (p *serverPool) startStream(
-	c *serverConn, response serverResponse, stop func() bool,
+	pooled *pooledConn, response serverResponse, stop func() bool,
 ) (serverResponse, policy.Result) {
 	if !stop() { // given up: nothing of it is forwarded
-		p.discard(c)
+		p.Discard(pooled)
 		return serverResponse{}, policy.Cancelled
 	}
-	response.stream.pool = p
-	response.connectedAt = c.connectedAt
+	response.stream.pool, response.stream.pooled = p, pooled
+	response.connectedAt = pooled.HostConn.connectedAt
 	return response, policy.OK
 }
 
@@ -127,11 +129,6 @@
 	}
 }
 
-// isStaleReset tells whether a reset is that of a connection which the server had closed as idle.
-func (c *serverConn) isStaleReset(writtenAt time.Time) bool {
-	return !c.reader.hasBegun && c.idleTime >= minIdleTimeout && time.Since(writtenAt) < staleResetWindow
-}
-
 // resultAtEnd is the result of an exchange that failed since its context has ended.
 func (c *serverConn) resultAtEnd(ctx context.Context) policy.Result {
 	switch {
@@ -147,12 +144,12 @@
 // checkBeforeSend is called right before an attempt's first byte. Since the connection was acquired the client may
 // have disconnected or the attempt's time have expired, which another goroutine brings to the connection later, or
 // the server may have begun to drain.
-func (p *serverPool) checkBeforeSend(ctx context.Context, c *serverConn, r *serverRequest) error {
+func (p *serverPool) checkBeforeSend(ctx context.Context, conn *pooledConn, r *serverRequest) error {
 	if r.isClientGone != nil && r.isClientGone() {
 		return errClientGone
 	}
-	if !p.isUp(c.server) {
-		return errServerNotUp
+	if !p.IsServerUp(conn) {
+		return serverpool.ErrServerNotUp
 	}
 	if err := ctx.Err(); err != nil {
 		return err
@@ -165,7 +162,7 @@
 
 // localErrors are those for which an attempt was not sent by no fault of the server's.
 var localErrors = []error{
-	errNoDescriptor, syscall.EMFILE, syscall.ENFILE, errBodyIncomplete, errClientGone, errAlreadyAnswered,
+	serverpool.ErrNoDescriptor, syscall.EMFILE, syscall.ENFILE, errBodyIncomplete, errClientGone, errAlreadyAnswered,
 }
 
 // unsentResult is the result of an attempt whose last byte was not written because of an error. If its own time
--- a/internal/edgeproxy/exchange_test.go
+++ b/internal/edgeproxy/exchange_test.go
@@ -52,7 +52,7 @@
 			if res == policy.OK && string(rep.body) != "body" {
 				t.Errorf("body %q", rep.body)
 			}
-			if got := len(pool.servers["a"].idle) == 1; got != c.reused {
+			if got := len(idleConns(pool, "a")) == 1; got != c.reused {
 				t.Errorf("kept: %v, want %v", got, c.reused)
 			}
 		})
@@ -131,15 +131,15 @@
 				return c.serve(conn, r, body)
 			})
 			pool := newTestPool(s.instance("a"))
-			spare, err := pool.acquire(context.Background(), "a")
+			spare, err := pool.Acquire(context.Background(), "a")
 			if err != nil {
 				t.Fatal(err)
 			}
 			_, res := runExchange(t, pool, "a")
 			wantResult(t, res, policy.ErrorResponse)
-			pool.release(spare)
-			if b := pool.servers["a"]; len(b.idle) != 1 || pool.openCount != 1 {
-				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), pool.openCount)
+			pool.Release(spare)
+			if idle, open := len(idleConns(pool, "a")), pool.Snapshot().OpenCount; idle != 1 || open != 1 {
+				t.Errorf("%d connections idle, %d counted, want the other one", idle, open)
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
@@ -154,22 +154,21 @@
 func TestHalfResponseIsNoTimeout(t *testing.T) {
 	s := newAppServer(t, respondWith("HTTP/1.1 200 OK\r\n"))
 	pool := newTestPool(s.instance("a"))
-	spare, err := pool.acquire(context.Background(), "a")
+	spare, err := pool.Acquire(context.Background(), "a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool.release(spare)
-	other, err := pool.dial(context.Background(), pool.servers["a"])
+	other, err := pool.Acquire(context.Background(), "a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool.openCount++
-	pool.release(other)
+	pool.Release(spare)
+	pool.Release(other)
 	ctx, cancel := context.WithTimeout(context.Background(), responsePieceTimeout/2)
 	defer cancel()
 	_, res := pool.exchange(ctx, "a", &get)
 	wantResult(t, res, policy.ErrorResponse)
-	if len(pool.servers["a"].idle) != 1 {
+	if len(idleConns(pool, "a")) != 1 {
 		t.Error("the other idle connection is gone")
 	}
 }
@@ -240,9 +239,7 @@
 		cancel()
 		wantResult(t, res, c.want)
 		wantClosed(t, <-s.conns)
-		if pool.openCount != 0 {
-			t.Errorf("%d connections counted, none open", pool.openCount)
-		}
+		wantOpenConns(t, pool, 0)
 	}
 }
 
@@ -276,15 +273,16 @@
 	m.isClientGone = func() bool { // asked at that moment
 		drains := app.instance("a")
 		drains.State = policy.Draining
-		closeConns(pool.updateEndpoints([]Instance{drains}, policy.EndpointsDelta))
+		pool.UpdateEndpoints([]Instance{drains}, policy.EndpointsDelta).Close()
 		return false
 	}
 	_, res := pool.exchange(t.Context(), "a", &m)
 	wantResult(t, res, policy.ConnectFailed)
 	wantClosed(t, <-app.conns)
-	if len(app.requests()) != 1 || pool.openCount != 0 {
-		t.Errorf("requests %q, %d connections counted", app.requests(), pool.openCount)
+	if len(app.requests()) != 1 {
+		t.Errorf("requests %q", app.requests())
 	}
+	wantOpenConns(t, pool, 0)
 }
 
 // A response that is sent twice, the second some milliseconds late, is not taken for that of the next request.
@@ -302,28 +300,25 @@
 		_, err := io.WriteString(c, okAnswer)
 		return err == nil
 	})
-	pool := newTestPool(app.instance("a"))
-	pool.minIdleTime = time.Minute // a moment, however slow the machine
+	clock := newTestClock()
+	options := serverPoolOptions{minIdleTime: defaultMinIdleTime, now: clock.now}
+	pool := newTestPoolWith(time.Hour, options, app.instance("a"))
 	for range 5 {
 		rep, res := runExchange(t, pool, "a")
 		if wantResult(t, res, policy.OK); string(rep.body) != "body" {
 			t.Fatalf("body %q", rep.body)
 		}
 	}
-	c, err := pool.acquire(t.Context(), "a")
+	c, err := pool.Acquire(t.Context(), "a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool.release(c)
-	pool.mu.Lock()
-	for i := range pool.servers["a"].idle {
-		pool.servers["a"].idle[i].idleSince = time.Now().Add(-2 * pool.minIdleTime)
-	}
-	idle := pool.servers["a"].idle
+	pool.Release(c)
+	clock.advance(2 * defaultMinIdleTime)
+	idle := idleConns(pool, "a")
 	want := idle[len(idle)-1]
-	pool.mu.Unlock()
-	pool.maxIdleTimeout = time.Hour
-	if got, err := pool.acquire(t.Context(), "a"); got != want || err != nil {
+	got, err := pool.Acquire(t.Context(), "a")
+	if err != nil || got.HostConn != want {
 		t.Errorf("one that has stood idle is not used again: %v", err)
 	}
 }
--- a/internal/edgeproxy/hot_restart.go
+++ b/internal/edgeproxy/hot_restart.go
@@ -62,7 +62,7 @@
 		gossipSocket.Close() // from here on the successor receives gossip
 	}
 	s.limiter.startHandOver(successors.sendClient)
-	closeConns(s.node.pool.takeAllIdle())
+	s.node.pool.CloseIdle()
 	s.awaitClientsGone()
 	return nil, nil
 }
--- a/internal/edgeproxy/idle_conns_test.go
+++ b/internal/edgeproxy/idle_conns_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"mulleinmux/internal/serverpool"
+	"mulleinmux/internal/serverpool/conntable"
 	"mulleinmux/policy"
 )
 
@@ -18,10 +20,10 @@
 		rested, answer time.Duration
 		learns         bool
 	}{
-		"stale":           {10 * minIdleTimeout, 0, true},
+		"stale":           {10 * conntable.MinIdleTimeout, 0, true},
 		"just used":       {0, 0, false},
-		"at the work":     {10 * minIdleTimeout, 2 * staleResetWindow, false},
-		"not much rested": {minIdleTimeout / 2, 0, false},
+		"at the work":     {10 * conntable.MinIdleTimeout, 2 * conntable.StaleResetWindow, false},
+		"not much rested": {conntable.MinIdleTimeout / 2, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -32,30 +34,32 @@
 				conn.(*net.TCPConn).SetLinger(0)
 				return false
 			})
-			pool := newTestPool(s.instance("a"))
-			b := pool.servers["a"]
+			clock := newTestClock()
+			pool := newTestPoolWith(time.Minute, serverPoolOptions{now: clock.now}, s.instance("a"))
+			idleTimeout := func() time.Duration { return pool.Snapshot().Servers["a"].IdleTimeout }
+			maxIdleTimeout := idleTimeout()
 			fine := &serverRequest{method: "GET", target: "/check", id: "fine"}
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			rest := func(d time.Duration) {
 				pool.exchange(ctx, "a", fine)
-				b.idle[0].idleSince = time.Now().Add(-d)
+				clock.advance(d)
 			}
 			rest(c.rested)
 			_, res := runExchange(t, pool, "a")
 			wantResult(t, res, policy.ConnectionReset)
-			if got := b.learnedIdleTimeout != 0; got != c.learns {
-				t.Fatalf("kept for %v, learned: %v, want %v", b.learnedIdleTimeout, got, c.learns)
+			if got := idleTimeout() != maxIdleTimeout; got != c.learns {
+				t.Fatalf("kept for %v, learned: %v, want %v", idleTimeout(), got, c.learns)
 			}
 			rest(c.rested)
-			old := b.idle[0]
+			old := idleConns(pool, "a")[0]
 			pool.exchange(ctx, "a", fine)
-			if again := b.idle[0] == old; again == c.learns {
+			if again := idleConns(pool, "a")[0] == old; again == c.learns {
 				t.Errorf("used again: %v", again)
 			}
-			b.learnedAt = time.Now().Add(-12 * idleTimeoutDoublingInterval)
-			if keep := pool.idleTimeout(b); keep != pool.maxIdleTimeout {
-				t.Errorf("kept for %v long after, want %v", keep, pool.maxIdleTimeout)
+			clock.advance(12 * conntable.IdleTimeoutDoublingInterval)
+			if keep := idleTimeout(); keep != maxIdleTimeout {
+				t.Errorf("kept for %v long after, want %v", keep, maxIdleTimeout)
 			}
 		})
 	}
@@ -64,40 +68,41 @@
 // A connection near the age at which servers close it is closed, when acquired and while idle.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	s := newAppServer(t, respondWith(okAnswer))
-	pool := newTestPool(s.instance("a"))
+	clock := newTestClock()
+	const serverIdleTimeout = 50 * time.Millisecond // sets the pace of pruning
+	pool := newTestPoolWith(serverIdleTimeout, serverPoolOptions{now: clock.now}, s.instance("a"))
+	maxIdleTimeout := serverpool.MaxIdleTimeout(serverIdleTimeout)
 	runExchange(t, pool, "a")
-	pool.servers["a"].idle[0].idleSince = time.Now().Add(-pool.maxIdleTimeout)
+	clock.advance(maxIdleTimeout)
 	runExchange(t, pool, "a")
 	wantClosed(t, <-s.conns)
-	pool.servers["a"].idle[0].idleSince = time.Now().Add(-pool.maxIdleTimeout)
-	pool.maxIdleTimeout = 50 * time.Millisecond // sets the reaper's pace
+	clock.advance(maxIdleTimeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go pool.runIdlePruning(ctx)
+	go pool.RunPruning(ctx)
 	wantClosed(t, <-s.conns)
-	pool.mu.Lock()
-	defer pool.mu.Unlock()
-	if pool.openCount != 0 {
-		t.Errorf("%d connections counted, none open", pool.openCount)
-	}
+	wantOpenConns(t, pool, 0)
 }
 
 // Outside of the node's subset an idle connection is closed soon; in it, and where there is no subset, it stays.
 func TestIdleConnectionsOutsideSubset(t *testing.T) {
 	near, far := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
-	pool := newTestPool(near.instance("near"), far.instance("far"))
+	clock := newTestClock()
+	var subset map[string]bool
+	options := serverPoolOptions{now: clock.now, subsetServers: func() map[string]bool { return subset }}
+	pool := newTestPoolWith(time.Minute, options, near.instance("near"), far.instance("far"))
 	for _, id := range []string{"near", "far"} {
 		runExchange(t, pool, id)
-		pool.servers[id].idle[0].idleSince = time.Now().Add(-outsideSubsetIdleTimeout)
 	}
-	if stale := pool.pruneIdle(); len(stale) != 0 {
-		t.Fatalf("without a part %d connections are closed", len(stale))
-	}
-	pool.subsetServers = func() map[string]bool { return map[string]bool{"near": true} }
-	closeConns(pool.pruneIdle())
+	clock.advance(conntable.OutsideSubsetIdleTimeout)
+	pool.Prune()
+	wantOpenConns(t, pool, 2)
+	subset = map[string]bool{"near": true}
+	pool.Prune()
 	wantClosed(t, <-far.conns)
-	if pool.openCount != 1 || len(pool.servers["near"].idle) != 1 {
-		t.Errorf("%d connections counted, the one in the part is open", pool.openCount)
+	wantOpenConns(t, pool, 1)
+	if len(idleConns(pool, "near")) != 1 {
+		t.Error("the connection to the server in the subset is closed")
 	}
 }
 
@@ -111,19 +116,17 @@
 		return respondWith(okAnswer)(c, r, body)
 	})
 	pool := newTestPool(s.instance("a"))
-	c, err := pool.acquire(context.Background(), "a")
+	c, err := pool.Acquire(context.Background(), "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	runExchange(t, pool, "a")
-	pool.release(c)
+	pool.Release(c)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, res := pool.exchange(ctx, "a", &serverRequest{method: "GET", target: "/check", id: "silent"})
 	wantResult(t, res, policy.TimedOut)
 	wantClosed(t, <-s.conns)
 	wantClosed(t, <-s.conns)
-	if pool.openCount != 0 {
-		t.Errorf("%d connections counted, none open", pool.openCount)
-	}
+	wantOpenConns(t, pool, 0)
 }
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -10,8 +10,8 @@
 //   - serve_request.go has the request checked (framing.go on the head that request_head.go keeps, request_parsing.go)
 //     and its body read (request_body.go, within memory_budget.go).
 //   - request_table.go records it and asks the engine, whose decision engine_actions.go carries out.
-//   - exchange.go writes an attempt to a connection of server_pool.go and reads the response (server_conn.go);
-//     idle_conns.go keeps connections between exchanges, health_check.go asks for a server's load.
+//   - exchange.go writes an attempt to a connection of server_pool.go and reads the response (server_conn.go); package
+//     serverpool keeps connections between exchanges, health_check.go asks for a server's load.
 //   - request_table.go tells the engine the result; answer_writing.go writes the final answer, and response_stream.go
 //     forwards a long response.
 //
@@ -69,15 +69,17 @@
 		log:      logger,
 		start:    time.Now(),
 		ctx:      ctx,
-		pool:     newServerPool(cfg.Transport, maxServerConns(cfg.MaxSockets)),
 		metrics:  newMetrics(classes),
 		memory:   newMemoryBudget(cfg.MemoryMB),
 		engine:   engine,
 		requests: map[string]*pendingRequest{},
 	}
-	n.pool.minIdleTime = cfg.minIdleTime
+	n.pool = newServerPool(cfg.Transport, serverPoolOptions{
+		maxConns:      maxServerConns(cfg.MaxSockets),
+		minIdleTime:   cfg.minIdleTime,
+		subsetServers: n.subsetServers,
+	})
 	n.pool.onSent = n.metrics.attemptSent
-	n.pool.subsetServers = n.subsetServers
 	return n, nil
 }
 
@@ -118,7 +120,7 @@
 	n.isClosed = true
 	n.mu.Unlock()
 	n.work.Wait()
-	n.pool.close()
+	n.pool.Close()
 }
 
 // spawn runs f in a goroutine that close waits for; f ends with the node's context. It returns false if the node is
@@ -189,8 +191,8 @@
 		servers[i] = s.Server
 	}
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
-		stale := n.pool.updateEndpoints(l.Servers, kind)
-		n.afterEvent = append(n.afterEvent, func() { closeConns(stale) })
+		stale := n.pool.UpdateEndpoints(l.Servers, kind)
+		n.afterEvent = append(n.afterEvent, stale.Close)
 		n.engine.EndpointsChanged(now, kind, servers, out)
 	})
 }
--- a/internal/edgeproxy/response_stream.go
+++ b/internal/edgeproxy/response_stream.go
@@ -21,6 +21,7 @@
 // responseStream is a long response as it is received from an app server. Its owner calls finish once.
 type responseStream struct {
 	conn       *serverConn
+	pooled     *pooledConn // with conn in it
 	pool       *serverPool
 	body       io.Reader
 	length     int64              // bytes; -1: not known
@@ -33,9 +34,9 @@
 	if result == policy.OK && !s.closesConn && s.conn.buffered.Buffered() == 0 {
 		s.conn.reader.clearPieceDeadline()
 		s.conn.SetReadDeadline(time.Time{})
-		s.pool.release(s.conn)
+		s.pool.Release(s.pooled)
 	} else {
-		s.pool.discard(s.conn)
+		s.pool.Discard(s.pooled)
 	}
 	s.result <- result
 }
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -91,7 +91,7 @@
 	defer p.leaveGossip()
 	p.startDecisions()
 	defer func() { p.watch.stop() }()
-	p.background.Go(func() { p.node.pool.runIdlePruning(lifetime) })
+	p.background.Go(func() { p.node.pool.RunPruning(lifetime) })
 	defer stop() // before the wait for what lifetime owns
 
 	p.clients = newClientServer(p.node)
--- a/internal/edgeproxy/server_conn.go
+++ b/internal/edgeproxy/server_conn.go
@@ -17,7 +17,7 @@
 
 const (
 	maxBufferedResponse     = 64 << 10                // bytes of a body that is read whole before any is forwarded
-	maxResponseHeads        = 96 << 10                // bytes of a response's head, with those of interim (1xx) responses
+	maxResponseHeads        = 96 << 10                // bytes of a response's head, with interim (1xx) ones
 	maxBufferedResponseWire = 4 * maxBufferedResponse // bytes of a buffered body with the heads of its chunks
 	maxStreamedResponse     = 64 << 20                // bytes of a response; no server makes a longer one
 	responsePieceTimeout    = 250 * time.Millisecond  // between the pieces of a buffered response
@@ -26,23 +26,19 @@
 // expiredDeadline ends the reads and writes of a connection that are under way.
 var expiredDeadline = time.Unix(1, 0)
 
-// serverConn is a connection to an app server. It carries one request at a time; between exchanges it is in the pool,
-// whose mutex guards idleSince.
+// serverConn is a connection to an app server. It carries one request at a time; between exchanges it is in the pool.
 type serverConn struct {
 	net.Conn
 	raw         syscall.RawConn
 	reader      *responseReader
 	buffered    *bufio.Reader // over reader
-	server      *serverConns  // to which it may return; one that moved or restarted is not in the pool any more
 	connectedAt time.Time
-	idleSince   time.Time
-	idleTime    time.Duration // how long it was idle before the exchange under way; 0 for a new one
 }
 
-// isQuiet tells whether an idle connection is as it was left: open, with nothing to read. If the server has closed
+// IsQuiet tells whether an idle connection is as it was left: open, with nothing to read. If the server has closed
 // it, or sent something unasked, a request written to it would end as a reset, after which not every request may be
 // retried.
-func (c *serverConn) isQuiet() bool {
+func (c *serverConn) IsQuiet() bool {
 	var b [1]byte
 	isQuiet := false
 	err := c.raw.Read(func(fd uintptr) bool {
--- a/internal/edgeproxy/server_pool_test.go
+++ b/internal/edgeproxy/server_pool_test.go
@@ -5,19 +5,56 @@
 	"net"
 	"net/http"
 	"net/netip"
+	"sync/atomic"
 	"testing"
 	"time"
 
+	"mulleinmux/internal/serverpool"
+	"mulleinmux/internal/serverpool/conntable"
 	"mulleinmux/internal/simwire"
 	"mulleinmux/policy"
 )
 
 func newTestPool(servers ...Instance) *serverPool {
-	pool := newServerPool(simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
-	pool.updateEndpoints(servers, policy.EndpointsComplete)
+	return newTestPoolWith(time.Minute, serverPoolOptions{}, servers...)
+}
+
+// newTestPoolWith returns a pool with options, of 100 connections where they don't say, to servers which close
+// connections that have been idle for a time.
+func newTestPoolWith(serverIdleTimeout time.Duration, options serverPoolOptions, servers ...Instance) *serverPool {
+	if options.maxConns == 0 {
+		options.maxConns = 100
+	}
+	settings := simwire.ConnectionSettings{ConnIdleTimeout: serverIdleTimeout, ConnectTimeout: 5 * time.Second}
+	pool := newServerPool(settings, options)
+	pool.UpdateEndpoints(servers, policy.EndpointsComplete)
 	return pool
 }
 
+// testClock is a clock that stands still until it is advanced.
+type testClock struct {
+	start  time.Time
+	passed atomic.Int64 // nanoseconds
+}
+
+func newTestClock() *testClock { return &testClock{start: time.Now()} }
+
+func (c *testClock) now() time.Time { return c.start.Add(time.Duration(c.passed.Load())) }
+
+func (c *testClock) advance(d time.Duration) { c.passed.Add(int64(d)) }
+
+// idleConns returns a server's idle connections, the one used last at the end.
+func idleConns(pool *serverPool, server string) []*serverConn {
+	return pool.Snapshot().Servers[server].Idle
+}
+
+func wantOpenConns(t *testing.T, pool *serverPool, want int) {
+	t.Helper()
+	if got := pool.Snapshot().OpenCount; got != want {
+		t.Errorf("%d connections counted, %d open", got, want)
+	}
+}
+
 // The connection used last is used next, so that with little traffic the others time out.
 func TestPoolIsLIFO(t *testing.T) {
 	hold := make(chan struct{})
@@ -37,13 +74,13 @@
 	close(hold)
 	wantResult(t, <-done, policy.OK)
 	wantResult(t, <-done, policy.OK)
-	idle := pool.servers["a"].idle
+	idle := idleConns(pool, "a")
 	if len(idle) != 2 {
 		t.Fatalf("%d idle connections for two requests at once", len(idle))
 	}
 	older, last := idle[0], idle[1]
 	runExchange(t, pool, "a")
-	if idle = pool.servers["a"].idle; len(idle) != 2 || idle[0] != older || idle[1] != last {
+	if idle = idleConns(pool, "a"); len(idle) != 2 || idle[0] != older || idle[1] != last {
 		t.Error("another connection was used than the last")
 	}
 }
@@ -55,13 +92,11 @@
 	pool := newTestPool(s.instance("a"))
 	runExchange(t, pool, "a")
 	(<-s.conns).Close()
-	c := pool.servers["a"].idle[0]
-	eventually(t, "close arrived", func() bool { return !c.isQuiet() })
+	c := idleConns(pool, "a")[0]
+	eventually(t, "close arrived", func() bool { return !c.IsQuiet() })
 	_, res := runExchange(t, pool, "a")
 	wantResult(t, res, policy.OK)
-	if pool.openCount != 1 {
-		t.Errorf("%d connections counted, 1 open", pool.openCount)
-	}
+	wantOpenConns(t, pool, 1)
 }
 
 // A server that moved, restarted, drains or is gone keeps no connection, neither an idle one nor one that was in
@@ -104,13 +139,11 @@
 				done <- res
 			}()
 			eventually(t, "second request out", func() bool { return len(s.requests()) == 2 })
-			closeConns(pool.updateEndpoints(change(s.instance("a"))))
+			pool.UpdateEndpoints(change(s.instance("a"))).Close()
 			close(hold)
 			wantResult(t, <-done, policy.OK)
 			wantClosed(t, <-s.conns)
-			if pool.openCount != 0 {
-				t.Errorf("%d connections counted, none open", pool.openCount)
-			}
+			wantOpenConns(t, pool, 0)
 		})
 	}
 }
@@ -118,55 +151,63 @@
 // Nothing new is sent to a server that began to drain while the connection was established.
 func TestDrainDuringDial(t *testing.T) {
 	s := newAppServer(t, respondWith(okAnswer))
-	pool := newTestPool(s.instance("a"))
-	b := pool.servers["a"]
 	drains := s.instance("a")
 	drains.State = policy.Draining
-	pool.updateEndpoints([]Instance{drains}, policy.EndpointsDelta)
-	pool.openCount++
-	if _, err := pool.dial(context.Background(), b); err != errServerNotUp {
-		t.Errorf("error %v, want %v", err, errServerNotUp)
+	var pool serverPool
+	dialer := serverDialer{}
+	pool.Pool = serverpool.New(serverpool.Config[*serverConn]{
+		Config: conntable.Config{MaxOpen: 1},
+		Dial: func(ctx context.Context, id string, addr netip.AddrPort) (*serverConn, error) {
+			conn, err := dialer.dial(ctx, id, addr)
+			pool.UpdateEndpoints([]Instance{drains}, policy.EndpointsDelta).Close()
+			return conn, err
+		},
+	})
+	pool.UpdateEndpoints([]Instance{s.instance("a")}, policy.EndpointsComplete).Close()
+	if _, err := pool.Acquire(context.Background(), "a"); err != serverpool.ErrServerNotUp {
+		t.Errorf("error %v, want %v", err, serverpool.ErrServerNotUp)
 	}
-	_, res := runExchange(t, pool, "a")
+	wantClosed(t, <-s.conns)
+	_, res := runExchange(t, &pool, "a")
 	wantResult(t, res, policy.ConnectFailed)
-	if len(s.requests()) != 0 || pool.openCount != 0 {
-		t.Errorf("requests %q, %d connections counted", s.requests(), pool.openCount)
+	if len(s.requests()) != 0 {
+		t.Errorf("requests %q", s.requests())
 	}
+	wantOpenConns(t, &pool, 0)
 }
 
 // At the limit of descriptors an idle connection is closed; with none idle the attempt is not sent, which is held
 // against no server.
 func TestDescriptorLimit(t *testing.T) {
 	a, b := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
-	pool := newTestPool(a.instance("a"), b.instance("b"))
-	pool.maxConns = 1
+	pool := newTestPoolWith(time.Minute, serverPoolOptions{maxConns: 1}, a.instance("a"), b.instance("b"))
 	runExchange(t, pool, "a")
 	_, res := runExchange(t, pool, "b")
 	wantResult(t, res, policy.OK)
 	wantClosed(t, <-a.conns)
-	busy, err := pool.acquire(context.Background(), "b")
+	busy, err := pool.Acquire(context.Background(), "b")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, res = runExchange(t, pool, "a")
 	wantResult(t, res, policy.NotSent)
-	pool.release(busy)
-	if pool.openCount != 1 {
-		t.Errorf("%d connections counted, 1 open", pool.openCount)
-	}
+	pool.Release(busy)
+	wantOpenConns(t, pool, 1)
 }
 
 // A server whose machine is gone does not answer: the dial has a timeout of its own, and what it ends has never
 // run.
 func TestDialTimeout(t *testing.T) {
 	ln, _ := fullListener(t) // it drops what comes
-	pool := newServerPool(simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	pool.updateEndpoints([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, policy.EndpointsComplete)
+	settings := simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 50 * time.Millisecond}
+	pool := newServerPool(settings, serverPoolOptions{maxConns: 100})
+	pool.UpdateEndpoints([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, policy.EndpointsComplete)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, res := pool.exchange(ctx, "a", &get)
 	wantResult(t, res, policy.ConnectFailed)
-	if ctx.Err() != nil || pool.openCount != 0 {
-		t.Errorf("context %v, %d connections counted", ctx.Err(), pool.openCount)
+	if ctx.Err() != nil {
+		t.Errorf("context %v", ctx.Err())
 	}
+	wantOpenConns(t, pool, 0)
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -10,6 +10,7 @@
 
 	"mulleinmux/internal/httpwire"
 	"mulleinmux/internal/loadreport"
+	"mulleinmux/internal/serverpool"
 	"mulleinmux/policy"
 )
 
@@ -86,43 +87,45 @@
 
 // exchange writes a request to a server, once at most, and reads the whole response. appendRequest appends the
 // request to a buffer. It ends at the deadline or when control is aborted; the connection is closed by then.
-func (u *serverPool) exchange(ctx context.Context, control *attemptControl, id string, deadline time.Time, headOnly bool,
-	rep *response, appendRequest func([]byte) []byte,
+func (p *serverPool) exchange(
+	ctx context.Context, control *attemptControl, server string, deadline time.Time, headOnly bool, rep *response,
+	appendRequest func([]byte) []byte,
 ) policy.Result {
 	rep.wasWritten, rep.connectedAt, rep.body = false, time.Time{}, nil
 	dialCtx, cancel := ctx, context.CancelFunc(nil)
-	if time.Until(deadline) < u.dialer.Timeout {
+	if time.Until(deadline) < p.dialer.Timeout {
 		dialCtx, cancel = context.WithDeadline(ctx, deadline)
 		defer cancel()
 	}
-	c, err := u.acquire(dialCtx, id, control.setDialCancel)
-	if errors.Is(err, errNoCapacity) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
+	pooled, err := p.acquire(dialCtx, control, server)
+	if errors.Is(err, serverpool.ErrNoDescriptor) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return policy.NotSent // no fault of the server's
 	}
 	if err != nil {
 		return neverSent(control, deadline)
 	}
+	c := pooled.HostConn
 	if !control.start(c, deadline) {
-		u.discard(c)
+		p.Discard(pooled)
 		return policy.Cancelled
 	}
 	c.buffer = appendRequest(c.buffer[:0])
 	if _, err = c.nc.Write(c.buffer); err != nil {
 		// A server begins a request when its last byte has come, and that was not written.
 		control.finish()
-		u.discard(c)
+		p.Discard(pooled)
 		return neverSent(control, deadline)
 	}
 	rep.wasWritten = true
 	result, isReusable, err := c.read(rep, headOnly)
 	isAborted := !control.finish()
 	if isReusable && !isAborted {
-		u.release(c)
+		p.release(pooled)
 	} else {
-		u.discard(c)
+		p.Discard(pooled)
 	}
 	if err != nil {
-		result = u.failedRead(c, err, isAborted)
+		result = p.failedRead(pooled, err, isAborted)
 	}
 	if result == policy.OK || result == policy.RejectedByServer || result == policy.ErrorResponse {
 		rep.connectedAt = c.connectedAt
@@ -131,12 +134,12 @@
 }
 
 // failedRead is the result of an attempt that was written whole and whose response could not be read.
-func (u *serverPool) failedRead(c *serverConn, err error, isAborted bool) policy.Result {
+func (p *serverPool) failedRead(pooled *pooledConn, err error, isAborted bool) policy.Result {
 	switch {
 	case isAborted:
 		return policy.Cancelled
-	case errors.Is(err, os.ErrDeadlineExceeded) && !c.hasBytes:
-		u.shortenIdleTimeout(c.server)
+	case errors.Is(err, os.ErrDeadlineExceeded) && !pooled.HostConn.hasBytes:
+		p.CloseIdleOf(pooled)
 		return policy.TimedOut
 	case errors.Is(err, os.ErrDeadlineExceeded) || wasAnswered(err):
 		return policy.ErrorResponse // half a response, or one that can't be read, is no silence
@@ -146,7 +149,9 @@
 
 // wasAnswered tells whether an answer came that can't be read, rather than none.
 func wasAnswered(err error) bool {
-	unreadable := []error{httpwire.ErrMalformed, httpwire.ErrTooLarge, httpwire.ErrLength, httpwire.ErrCoding, errTooLong, errNoLength}
+	unreadable := []error{
+		httpwire.ErrMalformed, httpwire.ErrTooLarge, httpwire.ErrLength, httpwire.ErrCoding, errTooLong, errNoLength,
+	}
 	for _, e := range unreadable {
 		if errors.Is(err, e) {
 			return true
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -92,8 +92,8 @@
 			}
 		}
 	}
-	stale := in.servers.update(entries)
-	in.deferred = append(in.deferred, func() { closeAll(stale) })
+	stale := in.servers.UpdateEndpoints(entries, policy.EndpointsDelta)
+	in.deferred = append(in.deferred, stale.Close)
 	list := make([]policy.Server, len(entries))
 	for i, s := range entries {
 		list[i] = s.Server
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -14,14 +14,15 @@
 
 // layerOf is the layer of each package, which may import those of its own layer and below; layer 1 imports layer 1 alone.
 var layerOf = map[string]int{
-	"policy":            1,
-	"routing":           1,
-	"subset":            1,
-	"zonehealth":        1,
-	"internal/splitmix": 1,
-	"configstream":      1,
-	"clusterconfig":     1,
-	"multisite":         1,
+	"policy":                        1,
+	"routing":                       1,
+	"subset":                        1,
+	"zonehealth":                    1,
+	"internal/splitmix":             1,
+	"internal/serverpool/conntable": 1,
+	"configstream":                  1,
+	"clusterconfig":                 1,
+	"multisite":                     1,
 
 	"internal/simwire":    2,
 	"internal/httpwire":   2,
@@ -31,6 +32,7 @@
 
 	"internal/discovery":      3,
 	"internal/gossip":         3,
+	"internal/serverpool":     3,
 	"internal/edgeproxy":      3,
 	"internal/raftnode":       3,
 	"internal/gateway":        3,
--- /dev/null
+++ b/internal/serverpool/conntable/transcript_test.go
@@ -0,0 +1,190 @@
+package conntable
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// transcript runs the events of a text on a table and writes the text anew, with what the table does behind each event:
+// a test is a text that stays the same. A line that begins with "> " is an event:
+//
+//	list ID STATE [port N] [start N]  an entry of the endpoint list
+//	listed ID...                      the end of a complete list with these servers
+//	acquire ID                        a connection is wanted
+//	dialled ID CONN                   the oldest dial of a server under way has made a connection
+//	failed ID                         the oldest dial of a server under way has failed or was cancelled
+//	release CONN, discard CONN        the end of a use
+//	reset CONN TIME                   a reset so long after the write
+//	silent CONN                       no response in time
+//	prune [ID...]                     the idle connections are looked through; the subset
+//	close all                         all idle connections are taken
+//	timeout ID                        the server's idle timeout is asked for
+//	wait TIME                         time passes
+type transcript struct {
+	table *Table[string]
+	now   time.Time
+	conns map[string]*Conn[string]
+	dials map[string][]*Server[string] // under way, by server ID
+	out   strings.Builder
+}
+
+func runTranscript(t *testing.T, config Config, text string) {
+	t.Helper()
+	text = strings.ReplaceAll(strings.TrimSpace(text), "\t", "")
+	r := &transcript{
+		table: New[string](config),
+		now:   time.Unix(0, 0),
+		conns: map[string]*Conn[string]{},
+		dials: map[string][]*Server[string]{},
+	}
+	for line := range strings.Lines(text) {
+		if event, ok := strings.CutPrefix(strings.TrimSpace(line), "> "); ok {
+			fmt.Fprintf(&r.out, "> %s\n%s, open %d\n", event, r.run(t, strings.Fields(event)), r.table.openCount)
+		}
+	}
+	if got := strings.TrimSpace(r.out.String()); got != text {
+		t.Errorf("the transcript is:\n%s\n\nwant:\n%s", got, text)
+	}
+}
+
+// run runs an event and words what the table did.
+func (r *transcript) run(t *testing.T, words []string) string {
+	t.Helper()
+	switch words[0] {
+	case "list":
+		return closed(r.table.UpdateServer(listEntry(t, words[1:])))
+	case "listed":
+		return closed(r.table.RemoveUnlisted(set(words[1:])))
+	case "acquire":
+		return r.acquire(words[1])
+	case "dialled":
+		return r.dialled(words[1], words[2])
+	case "failed":
+		r.takeDial(words[1])
+		r.table.Closed()
+		return "counted"
+	case "release":
+		if r.table.Release(r.now, r.conns[words[1]]) {
+			return "idle"
+		}
+		r.table.Closed()
+		return "close " + words[1]
+	case "discard":
+		r.table.Closed()
+		return "counted"
+	case "reset":
+		return closed(r.table.Reset(r.now, r.conns[words[1]], duration(t, words[2])))
+	case "silent":
+		return closed(r.table.TakeIdleOf(r.conns[words[1]]))
+	case "prune":
+		return closed(r.table.Prune(r.now, set(words[1:])))
+	case "close":
+		return closed(r.table.TakeAllIdle())
+	case "timeout":
+		return r.table.idleTimeout(r.now, r.table.servers[words[1]]).String()
+	case "wait":
+		r.now = r.now.Add(duration(t, words[1]))
+		return "at " + r.now.Sub(time.Unix(0, 0)).String()
+	}
+	t.Fatalf("no event: %q", words)
+	return ""
+}
+
+func (r *transcript) acquire(id string) string {
+	step, err := r.table.Acquire(r.now, id)
+	switch {
+	case err != nil:
+		return err.Error()
+	case step.Kind == Reuse:
+		return "reuse " + step.Conn.HostConn
+	case step.Kind == Expire:
+		return "expire " + step.Conn.HostConn
+	}
+	r.dials[id] = append(r.dials[id], step.Server)
+	if step.Evicted != nil {
+		return fmt.Sprintf("evict %s, dial port %d", step.Evicted.HostConn, step.Server.Addr.Port())
+	}
+	return fmt.Sprintf("dial port %d", step.Server.Addr.Port())
+}
+
+func (r *transcript) dialled(id, name string) string {
+	conn := r.table.Dialled(r.takeDial(id), name)
+	if conn == nil {
+		r.table.Closed()
+		return "close " + name
+	}
+	r.conns[name] = conn
+	return "in use"
+}
+
+// takeDial returns the server of the oldest dial under way, which has ended.
+func (r *transcript) takeDial(id string) *Server[string] {
+	server := r.dials[id][0]
+	r.dials[id] = r.dials[id][1:]
+	return server
+}
+
+// closed words that connections are closed, in the order of their names: the order of servers is none.
+func closed(conns []*Conn[string]) string {
+	if len(conns) == 0 {
+		return "close none"
+	}
+	var names []string
+	for _, conn := range conns {
+		names = append(names, conn.HostConn)
+	}
+	slices.Sort(names)
+	return "close " + strings.Join(names, " ")
+}
+
+// set is nil without names.
+func set(names []string) map[string]bool {
+	if len(names) == 0 {
+		return nil
+	}
+	s := map[string]bool{}
+	for _, name := range names {
+		s[name] = true
+	}
+	return s
+}
+
+func duration(t *testing.T, word string) time.Duration {
+	t.Helper()
+	d, err := time.ParseDuration(word)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
+// listEntry reads an entry of the endpoint list.
+func listEntry(t *testing.T, words []string) (policy.Server, netip.AddrPort) {
+	t.Helper()
+	states := map[string]policy.ServerState{"up": policy.Up, "draining": policy.Draining, "removed": policy.Removed}
+	state, ok := states[words[1]]
+	if !ok {
+		t.Fatalf("no state: %q", words)
+	}
+	entry, port := policy.Server{ID: words[0], State: state}, 1
+	for i := 2; i+1 < len(words); i += 2 {
+		number, err := strconv.Atoi(words[i+1])
+		if err != nil {
+			t.Fatal(err)
+		}
+		switch words[i] {
+		case "port":
+			port = number
+		case "start":
+			entry.StartedAt = time.Duration(number) * time.Second
+		}
+	}
+	return entry, netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(port))
+}
