--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,32 +1,30 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
 // throttleRetryFraction: a throttled client should retry after the latency objective divided by this.
 const throttleRetryFraction = 4
 
-// isTooLate reports whether a request is known to come too late for its latency objective. Each try of a
-// class begins with the same timeout, of which a later try of the same client has less left. Where its
-// response would be worth little, it gives way to those that can still be answered in time. Clients that
-// give each try a timeout of its own look younger than they are: those are not held back.
+// isTooLate reports whether a request can no longer be answered within its latency objective: its client has
+// waited before. First tries of a class have the same timeout, and a client's later tries only what is left
+// of it. Clients that give each try a full timeout are not detected.
 func (e *Engine) isTooLate(r *request) bool {
-	objective := e.settings.Classes[r.class].LatencyObjective
-	l := &e.latencies.classes[r.class]
-	return (l.firstTryTimeout-r.Timeout).Seconds()+l.mean > objective.Seconds()
+	latency := e.latencyOf(r)
+	waited := latency.firstTryTimeout - r.Timeout
+	return waited.Seconds()+latency.mean > e.classOf(r).LatencyObjective.Seconds()
 }
 
-// rejectEarly returns whether a request has to be rejected before its quota is looked at.
-func (e *Engine) rejectEarly(r *request) rejection {
-	l, plan := &e.latencies.classes[r.class], &e.settings.Plans[r.quota.plan]
-	retryAfter := e.settings.Classes[r.class].LatencyObjective / throttleRetryFraction
+// findEarlyRejection returns why a request is rejected before its quota is checked, or rejectNone.
+func (e *Engine) findEarlyRejection(r *request) rejection {
+	latency := e.latencyOf(r)
+	plan := e.planOf(r.quota)
+	retryAfter := e.classOf(r).LatencyObjective / throttleRetryFraction
 	switch {
 	case e.isOverloaded(r.class, r.Zone, plan.PriorityFactor):
 		return rejection{rejectOverloaded, retryAfter}
 	case r.isLate && e.overload.occupancy >= highOccupancy:
 		return rejection{rejectLate, retryAfter}
-	case l.samples >= minBatchSamples && r.Timeout.Seconds() < l.mean:
+	case latency.samples >= minBatchSamples && r.Timeout.Seconds() < latency.mean:
 		return rejection{rejectShortTimeout, retryAfter}
 	case r.quota.usesOwner && !r.IsCharged && e.now < r.quota.rejectedUntil && plan.OverQuotaFraction == 0:
 		return rejection{rejectQuota, r.quota.rejectedUntil - e.now}
@@ -34,10 +32,11 @@
 	return rejection{reason: rejectNone}
 }
 
-// checkRequestQuota asks whoever knows whether a request is inside its customer's quota.
+// checkRequestQuota checks a request against its customer's quota, or sends a quota request to the owner.
 func (e *Engine) checkRequestQuota(r *request) {
 	if r.IsCharged {
-		r.Units, r.isGranted = 0, true
+		r.Units = 0
+		r.isGranted = true
 		e.admit(r, quotaDecision{isInside: true})
 		return
 	}
@@ -53,13 +52,13 @@
 	e.admit(r, decision)
 }
 
-// admit goes on with a request once it is known whether it is inside the quota, which its units have left.
+// admit forwards or rejects a request whose quota has been checked, and its units taken if it is inside.
 func (e *Engine) admit(r *request, decision quotaDecision) {
 	r.inQuota = decision.isInside
-	s, why := e.chooseServer(r, decision.retryAfter)
+	s, rejected := e.chooseServer(r, decision.retryAfter)
 	if s == nil {
 		e.returnUnits(r, r.Units)
-		e.reject(r.ID, why)
+		e.reject(r.ID, rejected)
 		e.closeRequest(r)
 		return
 	}
@@ -83,17 +82,16 @@
 		return nil, rejection{rejectQuota, quotaWait}
 	}
 	if !r.isGranted && plan.HardLimitRate > 0 && r.quota.hardLimitTokens < r.Units {
-		return nil, rejection{rejectHardLimit, e.missHardLimit(r.quota, r.Units)}
+		return nil, rejection{rejectHardLimit, e.recordHardLimitMiss(r.quota, r.Units)}
 	}
 	if !e.overload.admit() {
-		objective := e.settings.Classes[r.class].LatencyObjective
-		return nil, rejection{rejectThrottled, objective / throttleRetryFraction}
+		return nil, rejection{rejectThrottled, e.classOf(r).LatencyObjective / throttleRetryFraction}
 	}
 	return e.selectServer(r), rejection{rejectNoServer, assessmentInterval}
 }
 
-// missHardLimit notes units that this node's part of a hard limit lacks, and returns when it may have them.
-func (e *Engine) missHardLimit(quota *customerQuota, units float64) time.Duration {
+// recordHardLimitMiss records units that this node's part of a hard limit lacks, and returns the Retry-After.
+func (e *Engine) recordHardLimitMiss(quota *customerQuota, units float64) time.Duration {
 	rate := e.planOf(quota).HardLimitRate * quota.rateFraction
 	wait := refillTime(units-quota.hardLimitTokens, rate)
 	quota.unmetUnits += units
@@ -101,11 +99,11 @@
 	if quota.usesOwner {
 		return wait
 	}
-	return min(wait, 2*e.gossip.interval) // a peer may transfer some
+	return min(wait, 2*e.gossip.interval) // a peer may transfer units
 }
 
-// mayExceedQuota reports whether a request beyond the quota may go on: only where that earns more than it
-// costs and the servers have capacity to spare.
+// mayExceedQuota reports whether a request beyond the quota may be forwarded: only where that earns more than
+// it costs and the servers have spare capacity.
 func (e *Engine) mayExceedQuota(p *Plan) bool {
 	return p.OverQuotaFraction > p.OverQuotaCost && e.overload.occupancy < e.spareCapacityOccupancy() &&
 		e.overload.admitFraction >= 1
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -1,15 +1,13 @@
 package policy
 
-import (
-	"time"
-)
-
-const idleConnectionTimeout = 10 * time.Second // a connection idle for so long may have been closed
+import "time"
 
-// maxConnectFailures is how many failed connections are remembered of a server.
-const maxConnectFailures = 8
+const (
+	idleConnectionTimeout = 10 * time.Second // after which an idle connection may have been closed
+	maxConnectFailures    = 8                // failed connections that are remembered of a server
+)
 
-// recordConnectFailure takes in a connection that did not come up: the process may have restarted.
+// recordConnectFailure records that a connection could not be established: the process may have restarted.
 func (s *server) recordConnectFailure(now time.Duration) {
 	if len(s.connectFailures) == maxConnectFailures {
 		s.connectFailures = s.connectFailures[:maxConnectFailures-1]
@@ -18,23 +16,23 @@
 	s.connectFailedAt = now
 }
 
-// confirmUpSince takes in that the process has been up since a time, if one is told: connections that failed
-// from then on were no sign of a restart.
-func (s *server) confirmUpSince(at time.Duration) {
-	if at <= 0 {
+// clearConnectFailuresSince forgets the connections that failed from a clock reading on. The process is known to have
+// been up since then, so that they are no sign of a restart. A reading of 0 means that this is not known.
+func (s *server) clearConnectFailuresSince(upSince time.Duration) {
+	if upSince <= 0 {
 		return
 	}
-	n := len(s.connectFailures)
-	for n > 0 && s.connectFailures[n-1] >= at {
-		n--
+	kept := len(s.connectFailures)
+	for kept > 0 && s.connectFailures[kept-1] >= upSince {
+		kept--
 	}
-	if n == len(s.connectFailures) {
+	if kept == len(s.connectFailures) {
 		return
 	}
-	s.connectFailures = s.connectFailures[:n]
+	s.connectFailures = s.connectFailures[:kept]
 	s.connectFailedAt = 0
-	if n > 0 {
-		s.connectFailedAt = s.connectFailures[n-1]
+	if kept > 0 {
+		s.connectFailedAt = s.connectFailures[kept-1]
 	}
 }
 
@@ -43,15 +41,15 @@
 	return s.expectedConnections > s.inFlight && now-s.lastUsedAt < idleConnectionTimeout
 }
 
-// connectionUsed takes in that an attempt begins, which needs a connection.
-func (s *server) connectionUsed(now time.Duration) {
+// recordConnectionUse records that an attempt begins, which needs a connection.
+func (s *server) recordConnectionUse(now time.Duration) {
 	if !s.hasIdleConnection(now) {
 		s.expectedConnections = s.inFlight + 1
 	}
 }
 
-// connectionEnded takes in how the attempt on a connection ended.
-func (s *server) connectionEnded(now time.Duration, result Result) {
+// recordConnectionEnd records how the attempt on a connection ended.
+func (s *server) recordConnectionEnd(now time.Duration, result Result) {
 	switch result {
 	case OK, RejectedByServer, ErrorResponse:
 		s.lastUsedAt = now
@@ -62,8 +60,8 @@
 	}
 }
 
-// connectionChecked takes in that a health check was answered, on a connection of its own.
-func (s *server) connectionChecked(now time.Duration) {
+// recordHealthCheckAnswer records that a health check was answered, on a connection of its own.
+func (s *server) recordHealthCheckAnswer(now time.Duration) {
 	s.expectedConnections = max(s.expectedConnections, s.inFlight+1)
 	s.lastUsedAt = now
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,15 +1,14 @@
 // Package policy decides, for one edge node, what happens to each request: whether its customer's quota admits
 // it, whether the servers can take it, which server serves it, and what follows each outcome.
 //
-// The host owns the network, the clock and the timers. It makes one [Engine] per node with [New], calls
-// [Engine.Start] once, then one method per event, and carries out what the engine asks for through [Actions].
+// The host owns the network, the clock and the timers. It creates one [Engine] per node with [New], calls
+// [Engine.Start] once, then one method per event, and carries out what the engine calls on [Actions].
 //
 // An Engine is not safe for concurrent use: the host makes one call at a time. Actions are called
 // synchronously, in the order they are to take effect, and must not call back into the engine. Times passed in
 // are readings of one clock that never goes backwards; its origin does not matter. Events that name an unknown
-// or finished request, server, timer or attempt are ignored. The engine keeps no reference to slices that it
-// is given.
+// or finished request, server, timer or attempt are ignored. The engine retains none of the slices passed to it.
 //
 // The files of the package that decide (which server, whether to retry, what to admit) are listed in
-// deploy/balancer.toml and bounded in size. The others measure, count, encode and remember for them.
+// deploy/balancer.toml and bounded in size. The others hold the measurements, counters, encodings and tables that these decide by.
 package policy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// EndpointsChanged brings the endpoint list or changes of it.
-func (e *Engine) EndpointsChanged(now time.Duration, kind EndpointUpdateKind, entries []Server, out Actions) {
-	e.now, e.actions = now, out
+// EndpointsChanged delivers the endpoint list or changes of it.
+func (e *Engine) EndpointsChanged(now time.Duration, kind EndpointUpdateKind, entries []Server, actions Actions) {
+	e.beginEvent(now, actions)
 	if kind == EndpointsUnavailable {
 		if e.settings.PollsEndpoints {
 			delay := time.Second + e.randomDelay(time.Second)
--- a/policy/event_types.go
+++ b/policy/event_types.go
@@ -16,36 +16,36 @@
 type Server struct {
 	ID        string
 	State     ServerState
-	Weight    float64 // relative size; 0: not told
-	Kind      string  // of machine
+	Weight    float64 // relative size; 0: not known, counts as 1
+	Kind      string  // machine kind
 	Zone      string
-	Cell      int
+	Cell      int           // of the zone; its servers share idempotency keys with [DedupCell]
 	StartedAt time.Duration // clock reading of its last start; 0: long ago
 }
 
 // EndpointUpdateKind says how an endpoint list relates to the one before.
 type EndpointUpdateKind int
 
-// The kinds of an endpoint list.
+// The kinds of an endpoint update.
 const (
 	EndpointsDelta       EndpointUpdateKind = iota // changed entries only
 	EndpointsComplete                              // the complete list
-	EndpointsSaved                                 // the complete list as last held, possibly old
-	EndpointsUnavailable                           // polling failed; the list before stays in force
+	EndpointsSaved                                 // the complete list from a saved copy, possibly outdated
+	EndpointsUnavailable                           // polling failed; the previous list stays in force
 )
 
 // Request is one try of a client. Its ID is never used again.
 type Request struct {
 	ID            string
-	Class         string
-	Plan          string
-	Customer      uint64
-	Timeout       time.Duration // the client leaves after this
-	Units         float64       // that it draws from the quota
-	InstanceCount int           // number of nodes that the customer comes in through
-	FirstInstance int           // index of the first of these; the others follow, counted round
-	Zone          string        // it may go to servers of this zone alone; empty: to any
-	IsCharged     bool          // another node has counted its units: neither quota nor hard limit bounds it here
+	Class         string        // name in [Settings.Classes]
+	Plan          string        // name in [Settings.Plans]
+	Customer      uint64        // whose quota it is charged to
+	Timeout       time.Duration // after which the client disconnects
+	Units         float64       // that it takes from the quota
+	InstanceCount int           // number of nodes that receive the customer's requests
+	FirstInstance int           // index of the first of these; the others follow it, modulo the number of nodes
+	Zone          string        // the only zone whose servers it may go to; empty: any
+	IsCharged     bool          // another node has charged its units: neither quota nor hard limit applies here
 
 	// BodyTimeout is how long the rest of its body may take; the client's timeout begins after it. 0: the body
 	// is complete.
@@ -59,7 +59,7 @@
 const (
 	OK               Result = iota
 	ErrorResponse           // an error from the server; it may have run
-	RejectedByServer        // rejected unseen: never ran
+	RejectedByServer        // rejected before processing: never ran
 	TimedOut                // no response in time; it may have run
 	ConnectFailed           // no connection: never ran
 	ConnectionReset         // the connection broke; it may have run
@@ -67,9 +67,9 @@
 	NotSent                 // not sent at all: never ran
 )
 
-// LoadReport is a server's load report. A value below 0 was not reported.
+// LoadReport is a server's load report. A negative value was not reported.
 type LoadReport struct {
-	InFlight    float64 // requests in hand
+	InFlight    float64 // requests being processed
 	QueueLength float64 // requests waiting
 	Utilization float64 // of the CPU, 0 to 1
 }
@@ -78,11 +78,11 @@
 type AttemptResult struct {
 	ID              string // of the request
 	Attempt         int    // index of the attempt, in the order of [Actions.SendAttempt]
-	RequestAnswered bool   // the request has its final answer, by this outcome or before
+	RequestAnswered bool   // the request has its final answer, from this result or before it
 	Result          Result
-	Server          string
-	Latency         time.Duration // since the attempt was sent whole; to the first bytes of a streamed response
-	Units           float64       // with SettlesUnits: the true units, on the first OK; else 0
-	LoadReport      *LoadReport   // nil: no report came
-	ConnectedAt     time.Duration // when the connection that brought a response was made; 0: not told
+	Server          string        // ID
+	Latency         time.Duration // from the attempt's complete send to the response, or its first bytes if streamed
+	Units           float64       // with [Settings.SettlesUnits]: the true units, on the first OK; else 0
+	LoadReport      *LoadReport   // nil: none came
+	ConnectedAt     time.Duration // clock reading at which the response's connection was made; 0: not known
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,26 +1,24 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// RequestReceived is a new request of a client: it is forwarded or rejected at once, or once the owner of its
-// customer's quota has answered.
-func (e *Engine) RequestReceived(now time.Duration, q Request, out Actions) {
-	e.now, e.actions = now, out
-	if e.requests.byID[q.ID] != nil {
+// RequestReceived handles a new request of a client: it is forwarded or rejected at once, or as soon as the
+// owner of its customer's quota has answered.
+func (e *Engine) RequestReceived(now time.Duration, received Request, actions Actions) {
+	e.beginEvent(now, actions)
+	if e.requests.byID[received.ID] != nil {
 		return
 	}
-	class, hasClass := e.classIndex[q.Class]
-	plan, hasPlan := e.planIndex[q.Plan]
-	if !hasClass || !hasPlan || q.Timeout <= 0 {
-		e.reject(q.ID, rejection{reason: rejectUnknown})
+	class, hasClass := e.classIndex[received.Class]
+	plan, hasPlan := e.planIndex[received.Plan]
+	if !hasClass || !hasPlan || received.Timeout <= 0 {
+		e.reject(received.ID, rejection{reason: rejectUnknown})
 		return
 	}
-	r := e.newRequest(q, class, plan)
-	e.latencies.classes[class].learnFirstTryTimeout(q.Timeout, e.settings.Classes[class].LatencyObjective)
+	r := e.newRequest(received, class, plan)
+	e.latencyOf(r).learnFirstTryTimeout(r.Timeout, e.classOf(r).LatencyObjective)
 	r.isLate = e.isTooLate(r)
-	if why := e.rejectEarly(r); why.reason != rejectNone {
+	if why := e.findEarlyRejection(r); why.reason != rejectNone {
 		e.reject(r.ID, why)
 		return
 	}
@@ -29,18 +27,18 @@
 	e.checkRequestQuota(r)
 }
 
-// AttemptCompleted is the end of an attempt.
-func (e *Engine) AttemptCompleted(now time.Duration, o AttemptResult, out Actions) {
-	e.now, e.actions = now, out
-	r := e.requests.byID[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].isDone {
+// AttemptCompleted handles the end of an attempt.
+func (e *Engine) AttemptCompleted(now time.Duration, outcome AttemptResult, actions Actions) {
+	e.beginEvent(now, actions)
+	r := e.requests.byID[outcome.ID]
+	a := r.attemptAt(outcome.Attempt)
+	if a == nil || a.isDone {
 		return
 	}
-	a := &r.attempts[o.Attempt]
-	e.endAttempt(r, a, o.Result)
-	e.updateHealth(r, a.server, o)
-	e.settleUnits(r, o)
-	if o.RequestAnswered || o.Result == OK {
+	e.endAttempt(r, a, outcome.Result)
+	e.updateHealth(r, a.server, outcome)
+	e.settleUnits(r, outcome)
+	if outcome.RequestAnswered || outcome.Result == OK {
 		e.closeRequest(r)
 	}
 	if r.isAnswered {
@@ -50,38 +48,40 @@
 	if r.inFlight > 0 {
 		return
 	}
-	if o.Result == NotSent || !e.retry(r) {
-		e.finish(r)
+	if outcome.Result == NotSent || !e.retry(r) {
+		e.rejectOrFail(r)
 	}
 }
 
-// HealthCheckCompleted brings the result of a health check.
-func (e *Engine) HealthCheckCompleted(now time.Duration, id string, res Result, l *LoadReport, out Actions) {
-	e.now, e.actions = now, out
-	s := e.servers.byID[id]
+// HealthCheckCompleted handles the result of a health check of a server. The report is nil if none came.
+func (e *Engine) HealthCheckCompleted(
+	now time.Duration, server string, result Result, report *LoadReport, actions Actions,
+) {
+	e.beginEvent(now, actions)
+	s := e.servers.byID[server]
 	if s == nil {
 		return
 	}
-	switch res {
+	switch result {
 	case OK, RejectedByServer, ErrorResponse:
-		if res == OK {
-			e.recordLoadReport(s, l)
+		if result == OK {
+			e.recordLoadReport(s, report)
 		}
-		e.serverResponded(s)
-		s.connectionChecked(now)
-		s.confirmUpSince(s.healthCheckSince)
+		e.recordResponseFrom(s)
+		s.recordHealthCheckAnswer(now)
+		s.clearConnectFailuresSince(s.healthCheckSince)
 	case ConnectFailed:
 		s.recordConnectFailure(now)
-		e.attemptUnanswered(s, s.lastHealthCheckAt)
+		e.recordNoResponse(s, s.lastHealthCheckAt)
 	case TimedOut:
-		e.attemptUnanswered(s, s.lastHealthCheckAt)
+		e.recordNoResponse(s, s.lastHealthCheckAt)
 	}
 	s.healthCheckSince = 0
 }
 
-// ClientDisconnected tells that a request is over without a response of the node.
-func (e *Engine) ClientDisconnected(now time.Duration, id string, out Actions) {
-	e.now, e.actions = now, out
+// ClientDisconnected handles a client that has left before its final answer: the request gets none.
+func (e *Engine) ClientDisconnected(now time.Duration, id string, actions Actions) {
+	e.beginEvent(now, actions)
 	r := e.requests.byID[id]
 	if r == nil || r.isAnswered {
 		return
@@ -92,22 +92,23 @@
 	}
 }
 
-// DeadlineExceeded tells that the host can wait for a request's response no longer, as when its process ends:
-// the request gets its answer now.
-func (e *Engine) DeadlineExceeded(now time.Duration, id string, out Actions) {
-	e.now, e.actions = now, out
+// DeadlineExceeded gives a request its final answer now, since the host can wait no longer: for example, its
+// process ends.
+func (e *Engine) DeadlineExceeded(now time.Duration, id string, actions Actions) {
+	e.beginEvent(now, actions)
 	e.expireRequest(e.requests.byID[id])
 }
 
-// ResponseStarted tells that the response of an attempt has begun to stream: it is the client's now.
-func (e *Engine) ResponseStarted(now time.Duration, id string, n int, out Actions) {
-	e.now, e.actions = now, out
+// ResponseStarted handles the first bytes of an attempt's streamed response: from now on the request can get
+// no other answer.
+func (e *Engine) ResponseStarted(now time.Duration, id string, attempt int, actions Actions) {
+	e.beginEvent(now, actions)
 	r := e.requests.byID[id]
-	if r == nil || n < 0 || n >= len(r.attempts) {
+	a := r.attemptAt(attempt)
+	if a == nil {
 		return
 	}
 	r.isStreaming = true
-	a := &r.attempts[n]
 	a.server.lastProgressAt = now
 	if !a.isStreaming && !a.isDone {
 		a.isStreaming = true
@@ -115,9 +116,9 @@
 	}
 }
 
-// TimerFired is the firing of a timer.
-func (e *Engine) TimerFired(now time.Duration, token uint64, out Actions) {
-	e.now, e.actions = now, out
+// TimerFired handles the firing of a timer that [Actions.SetTimer] asked for.
+func (e *Engine) TimerFired(now time.Duration, token uint64, actions Actions) {
+	e.beginEvent(now, actions)
 	kind, number := parseTimerToken(token)
 	r := e.requests.byNumber[number]
 	switch kind {
@@ -125,7 +126,7 @@
 		e.runSample()
 		e.actions.SetTimer(timerToken(timerSample, 0), sampleInterval)
 	case timerGossip:
-		// Each message takes its interval, so that long rounds stay within the inbox limit too.
+		// An interval for each message keeps within the inbox limit when a broadcast needs several.
 		messages := max(e.broadcast(), 1)
 		e.actions.SetTimer(timerToken(timerGossip, 0), e.gossip.interval*time.Duration(messages))
 	case timerEndpointPoll:
@@ -133,8 +134,8 @@
 	case timerDeadline:
 		e.expireRequest(r)
 	case timerOwnerTimeout:
-		if r != nil && len(r.attempts) == 0 && !e.clientLeft(r) {
-			e.ownerTimedOut(r)
+		if r != nil && len(r.attempts) == 0 && !e.endOwnerWait(r) {
+			e.admitWithoutOwner(r)
 		}
 	case timerHedge:
 		if r != nil && e.mayHedge(r) {
@@ -143,12 +144,12 @@
 	}
 }
 
-// runSample is the work of each sample interval: assess the load, then health, quotas, subset and rates.
+// runSample closes a sample: it assesses the load, then updates health, quotas, subset and rates.
 func (e *Engine) runSample() {
-	ages := e.attemptAges(youngAttemptFraction)
+	ages := e.measureAttemptAges(youngAttemptFraction)
 	e.load.overdue = ages.overdue
 	before := e.overload.admitFraction
-	// Attempts at a few unresponsive servers must not read as an overload of all.
+	// Old attempts are left out: those at a few unresponsive servers must not count as overload of all.
 	e.overload.closeSample(e.load.responses, ages.young)
 	if before >= 1 && e.overload.admitFraction < 1 {
 		e.log("overload: sending on %.2f of what quotas admit, occupancy %.2f",
--- a/policy/fleet_means.go
+++ b/policy/fleet_means.go
@@ -38,8 +38,8 @@
 	c.mergeMeans(peerMeansWeight, means)
 }
 
-// hasMeans reports whether the node's means are worth sending: it has received some, or measured for long
+// hasMeansToShare reports whether the node's means are worth sending: it has received some, or measured for long
 // enough.
-func (c *overloadController) hasMeans() bool {
+func (c *overloadController) hasMeansToShare() bool {
 	return c.hasPeerMeans || c.sampleCount >= minMeanSamples
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -12,8 +12,8 @@
 const maxIdleGossipRounds = 3
 
 // GossipReceived brings a message of another instance. A malformed one is ignored whole.
-func (e *Engine) GossipReceived(now time.Duration, from int, message []byte, out Actions) {
-	e.now, e.actions = now, out
+func (e *Engine) GossipReceived(now time.Duration, from int, message []byte, actions Actions) {
+	e.beginEvent(now, actions)
 	if from < 0 || from >= len(e.gossip.peers) || from == e.settings.InstanceIndex || len(message) == 0 {
 		return
 	}
@@ -73,7 +73,7 @@
 	codec, receiver := e.codec(), &e.gossip.peers[instance]
 	var entries encodedEntries
 	flush := func() {
-		if receiver.hasNews(entries) {
+		if receiver.needsMessage(entries) {
 			e.actions.SendGossip(instance, receiver.nextMessage(e.gossip.epoch, entries))
 			entries = encodedEntries{}
 			messages++
--- a/policy/gossip_peer.go
+++ b/policy/gossip_peer.go
@@ -21,8 +21,10 @@
 	receivedSequence uint64
 }
 
-// hasNews reports whether a message with the entries would tell the peer anything: these, or again those before.
-func (p *peer) hasNews(entries encodedEntries) bool { return entries.count > 0 || p.sent.count > 0 }
+// needsMessage reports whether a message with the entries would tell the peer anything: these, or again those before.
+func (p *peer) needsMessage(entries encodedEntries) bool {
+	return entries.count > 0 || p.sent.count > 0
+}
 
 // nextMessage encodes the next message to the peer.
 func (p *peer) nextMessage(epoch uint64, entries encodedEntries) []byte {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -1,16 +1,14 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
 const (
 	healthChecksPerForward       = 0.5
-	subsetHealthChecksPerForward = 0.17            // with a subset of the servers, which many nodes check
-	unresponsiveCheckLead        = 3 * time.Second // an unresponsive server's check comes earlier by so much
+	subsetHealthChecksPerForward = 0.17            // lower with a subset: several nodes check each server
+	unresponsiveCheckLead        = 3 * time.Second // by which an unresponsive one is due earlier
 )
 
-// runHealthCheck checks the server whose turn it is, if a check is due.
+// runHealthCheck checks the server that has not been checked for longest, if the budget allows a check.
 func (e *Engine) runHealthCheck() {
 	perForward, lead := healthChecksPerForward, time.Duration(0)
 	if !e.usesAllServers() {
@@ -25,21 +23,21 @@
 	}
 }
 
-// nextHealthCheck returns the server whose last check is longest ago, or nil; an unresponsive one's counts as
-// longer ago by the lead. Server selection shuffles the servers, so ties go by chance.
+// nextHealthCheck returns the server whose last check is longest ago, or nil. That of an unresponsive server
+// counts as longer ago by the lead. Ties are broken at random, since server selection shuffles the servers.
 func nextHealthCheck(servers []*server, lead time.Duration) *server {
 	var next *server
-	var nextAt time.Duration
+	var nextCheckedAt time.Duration
 	for _, s := range servers {
 		if !s.acceptsRequests() {
 			continue
 		}
-		at := s.lastHealthCheckAt
+		checkedAt := s.lastHealthCheckAt
 		if s.isUnresponsive {
-			at -= lead
+			checkedAt -= lead
 		}
-		if next == nil || at < nextAt {
-			next, nextAt = s, at
+		if next == nil || checkedAt < nextCheckedAt {
+			next, nextCheckedAt = s, checkedAt
 		}
 	}
 	return next
@@ -51,7 +49,7 @@
 	e.actions.CheckHealth(s.ID)
 }
 
-// mayCheckHealth reports whether health checks are allowed and answered with a load report.
+// mayCheckHealth reports whether health checks are allowed and return a load report.
 func (e *Engine) mayCheckHealth() bool {
 	return e.settings.AllowsHealthChecks && e.settings.LoadReports != LoadReportsNone
 }
--- a/policy/in_flight.go
+++ b/policy/in_flight.go
@@ -1,32 +1,34 @@
 package policy
 
-import (
-	"math"
-)
-
-const youngAttemptFraction = 0.5 // of its latency objective until which an attempt counts as in flight
+import "math"
 
-// unansweredLatencyFactor is how many mean latencies after which an attempt at a server that has said nothing
-// since is no work in flight.
-const unansweredLatencyFactor = 3
+const (
+	// youngAttemptFraction is the age, as a fraction of its latency objective, up to which an attempt counts in the
+	// fleet's means.
+	youngAttemptFraction = 0.5
+	// An attempt is unanswered from an age of this many mean latencies, and not before the latency objective divided by
+	// unansweredObjectiveDivisor.
+	unansweredLatencyFactor    = 3
+	unansweredObjectiveDivisor = 4
+)
 
-// attemptAges is what the ages of the attempts in flight tell.
+// attemptAges counts the attempts in flight by their age.
 type attemptAges struct {
 	young      float64             // sent less than a fraction of their class's latency objective ago
 	overdue    float64             // past the objective, at servers not known to be unresponsive
 	unanswered []unansweredAttempt // in no order; only with a subset
 }
 
-// unansweredAttempt is an attempt, of a request by its number, that has been in flight for several times as
-// long as responses take, at a server that has said nothing since.
+// unansweredAttempt is an attempt that has been in flight for several times the mean latency, at a server that has
+// sent no response of any kind meanwhile.
 type unansweredAttempt struct {
 	*attempt
 	requestNumber uint64
 }
 
-// reachableInFlight counts the attempts in flight at servers that are held to be up, overdue ones aside, and
-// these servers, a cold one as the fraction of one that it is. Of servers outside of its subset a node knows
-// nothing: they are held to be as those of the subset are.
+// reachableInFlight returns the attempts in flight at servers considered up, without overdue ones, and the number of
+// these servers, in which one that warms up counts as its capacity fraction. Servers outside of the subset are assumed
+// to be up in the same proportion as its members.
 func (e *Engine) reachableInFlight() (inFlight, servers float64) {
 	inFlight = math.Max(float64(e.load.inFlight)-e.load.overdue, 0)
 	accepting, inSubset := 0.0, 0.0
@@ -49,10 +51,11 @@
 	return inFlight, servers * accepting / math.Max(inSubset, 1)
 }
 
-// attemptAges looks at the ages of the attempts in flight.
-func (e *Engine) attemptAges(youngFraction float64) (ages attemptAges) {
+// measureAttemptAges counts the attempts in flight by their age. Attempts whose body or response is being streamed are
+// left out.
+func (e *Engine) measureAttemptAges(youngFraction float64) (ages attemptAges) {
 	for _, r := range e.requests.byID {
-		objective := e.settings.Classes[r.class].LatencyObjective.Seconds()
+		objective := e.classOf(r).LatencyObjective.Seconds()
 		for i := range r.attempts {
 			a := &r.attempts[i]
 			if a.isDone || a.isStreaming {
@@ -70,14 +73,13 @@
 	return ages
 }
 
-// isUnanswered reports whether an attempt tells of its server and not of work that waits: the server has said
-// nothing since, for several times as long as responses take. Where a fifth of the servers falls silent, the
-// bound on work in flight would reject what the others can do.
+// isUnanswered reports whether an attempt is evidence of a server that has failed rather than of queued work: it has
+// waited for several mean latencies, and the server has sent nothing since. If such attempts counted as load, the bound
+// on work in flight would reject requests that the remaining servers can take.
 func (e *Engine) isUnanswered(r *request, a *attempt, age float64) bool {
 	if e.usesAllServers() || a.server.lastHeardAt >= a.sentAt {
 		return false
 	}
-	mean := e.latencies.classes[r.class].mean
-	objective := e.settings.Classes[r.class].LatencyObjective.Seconds()
-	return age > math.Max(unansweredLatencyFactor*mean, objective/4)
+	objective := e.classOf(r).LatencyObjective.Seconds()
+	return age > math.Max(unansweredLatencyFactor*e.latencyOf(r).mean, objective/unansweredObjectiveDivisor)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,50 +7,52 @@
 
 const (
 	failureWeight     = 0.2                    // of a new outcome in a server's failure rate
+	timeoutFailure    = 0.5                    // what a timeout counts as: the cause may be load
 	ejectionThreshold = 0.35                   // failure rate that ejects: about three failures in a row
 	minEjectionTime   = 500 * time.Millisecond // first ejection; doubles up to maxEjectionTime
 	maxEjectionTime   = 8 * time.Second
-	freshEvidenceAge  = 500 * time.Millisecond // own evidence as young as that outweighs the peers'
-	findingTTL        = 2 * time.Second        // peers' findings count for so long
+	freshEvidenceAge  = 500 * time.Millisecond // up to which own evidence outweighs the peers'
+	findingTTL        = 2 * time.Second        // for which peers' findings count
+	minMeanLatency    = 1e-3                   // seconds, as a divisor
 )
 
-// updateHealth learns of a server from the end of an attempt.
-func (e *Engine) updateHealth(r *request, s *server, o AttemptResult) {
-	if e.settings.LoadReports == LoadReportsInResponses { // elsewhere a response has none to give
-		e.recordLoadReport(s, o.LoadReport)
+// updateHealth updates what is known of a server with the end of an attempt.
+func (e *Engine) updateHealth(r *request, s *server, outcome AttemptResult) {
+	if e.settings.LoadReports == LoadReportsInResponses {
+		e.recordLoadReport(s, outcome.LoadReport)
 	}
-	switch o.Result {
+	switch outcome.Result {
 	case NotSent, Cancelled:
 		return
 	case OK, RejectedByServer, ErrorResponse:
-		e.serverResponded(s)
-		s.confirmUpSince(o.ConnectedAt)
+		e.recordResponseFrom(s)
+		s.clearConnectFailuresSince(outcome.ConnectedAt)
 		s.lastProgressAt = e.now
 	case TimedOut, ConnectFailed:
-		e.attemptUnanswered(s, e.now-o.Latency)
+		e.recordNoResponse(s, e.now-outcome.Latency)
 	}
-	switch o.Result {
+	switch outcome.Result {
 	case OK:
 		s.consecutiveEjections = 0
-		e.recordSuccess(r.class, s, o.Latency)
+		e.recordSuccess(r.class, s, outcome.Latency)
 	case RejectedByServer:
-		e.serverRejected(s)
+		e.recordServerRejection(s)
 		return
 	case TimedOut:
 		e.overload.addOccupancy(1)
-		ratio := o.Latency.Seconds() / math.Max(e.latencies.classes[r.class].mean, 1e-3)
+		ratio := outcome.Latency.Seconds() / math.Max(e.latencyOf(r).mean, minMeanLatency)
 		s.latencyRatio += latencyWeight * (ratio - s.latencyRatio)
 	case ConnectFailed:
-		e.connectFailed(s)
+		e.handleConnectFailure(s)
 	}
-	if s.recordOutcome(e.now, o.Result) {
-		e.log("ejected server %s after result %d, strike %d", s.ID, o.Result, s.consecutiveEjections)
+	if s.recordOutcome(e.now, outcome.Result) {
+		e.log("ejected server %s after result %d, strike %d", s.ID, outcome.Result, s.consecutiveEjections)
 	}
 }
 
-// serverRejected goes by a server's rejection: it is full. The gateway of another site that rejects one
-// request has capacity for others.
-func (e *Engine) serverRejected(s *server) {
+// recordServerRejection treats a server that rejects as full. The gateway of another site is none: it may
+// reject one request and have capacity for others.
+func (e *Engine) recordServerRejection(s *server) {
 	if z := e.zones[s.Zone]; z != nil && z.IsRemote {
 		return
 	}
@@ -58,12 +60,11 @@
 	s.ejectedUntil = max(s.ejectedUntil, e.now+sampleInterval)
 }
 
-// connectFailed goes by a connection that did not come up. The process may have restarted and be cold, long
-// before the endpoint list says so. This also covers a server that comes back after a cut. A reset alone is
-// no sign: where connections break one by one, all servers would count as cold, and one that dies refuses
-// new connections as well. Single connections fail at servers that live too: a response on one made before
-// takes it back, or that to a check sent at once, before any process could have started.
-func (e *Engine) connectFailed(s *server) {
+// handleConnectFailure treats a failed connection as a sign that the process has restarted and warms up,
+// which the endpoint list shows much later. A reset is no such sign: where connections break one by one, all
+// servers would count as cold, and a process that ends refuses new connections as well. Connections also fail
+// at servers that are up: the health check sent here corrects that, or a response on an older connection.
+func (e *Engine) handleConnectFailure(s *server) {
 	s.recordConnectFailure(e.now)
 	if e.mayCheckHealth() && s.healthCheckSince == 0 && s.acceptsRequests() {
 		s.healthCheckSince = e.now
@@ -71,14 +72,14 @@
 	}
 }
 
-// recordOutcome takes an outcome into the failure rate, and reports whether it ejects the server.
+// recordOutcome updates the failure rate and ejects the server if it is too high, which it reports.
 func (s *server) recordOutcome(now time.Duration, result Result) (ejected bool) {
 	failure := 1.0
 	switch result {
 	case OK:
 		failure = 0
 	case TimedOut:
-		failure = 0.5
+		failure = timeoutFailure
 	}
 	s.failureRate += failureWeight * (failure - s.failureRate)
 	if now < s.ejectedUntil || s.failureRate <= ejectionThreshold && result != ConnectFailed {
@@ -90,17 +91,16 @@
 	return true
 }
 
-// attemptUnanswered takes in that something sent to the server at a time came to nothing. If all else sent
-// since did as well, the machine has died, vanished or is cut off, long before the endpoint list says so.
-// It gets no request until it responds again: health checks find that out, where an ejection's end would
-// risk requests each time. It covers lost zones, single machines and cut links; it harms where servers
-// answer nothing for as long as a health check waits and then go on: for a round of checks the others carry
-// their load.
-func (e *Engine) attemptUnanswered(s *server, sent time.Duration) {
-	if !e.mayCheckHealth() || s.lastHeardAt >= sent {
+// recordNoResponse marks a server as unresponsive if something sent at a time was not answered, nor anything
+// since: the machine has failed or is cut off, which the endpoint list shows much later. It gets no request
+// until it responds to a health check, where each end of an ejection would risk requests. This covers failed
+// zones, machines and links. It is wrong for servers that pause for as long as a health check waits: until
+// their next check the others carry their load.
+func (e *Engine) recordNoResponse(s *server, sentAt time.Duration) {
+	if !e.mayCheckHealth() || s.lastHeardAt >= sentAt {
 		return
 	}
-	e.zoneFailed(s, sent)
+	e.observeZoneFailure(s, sentAt)
 	if s.isUnresponsive {
 		return
 	}
@@ -109,22 +109,23 @@
 	e.log("server %s is silent: out until it answers a probe", s.ID)
 }
 
-// serverResponded takes in a response of any kind.
-func (e *Engine) serverResponded(s *server) {
+// recordResponseFrom records that a server sent a response of any kind, so that it is up.
+func (e *Engine) recordResponseFrom(s *server) {
 	if s.isUnresponsive {
-		s.isUnresponsive, s.ejectedUntil, s.consecutiveEjections = false, 0, 0
+		s.isUnresponsive = false
+		s.resetEjection()
 		e.addFinding(serverFinding{serverID: s.gossipID, isUp: true, foundAt: e.now})
 		e.log("server %s answers again", s.ID)
 	}
-	s.lastHeardAt, s.suspectedUntil = e.now, 0
-	e.zoneResponded(s)
+	s.lastHeardAt = e.now
+	s.suspectedUntil = 0
+	e.observeZoneResponse(s)
 }
 
-// receiveFinding takes in what a peer says of a server of this node's subset: that it did not respond to the
-// peer, or does so again. One peer counts for nothing, and two never eject a server: it gets no request while
-// others of the subset will do, and a health check at once, whose end is this node's own evidence. Where half
-// of the subset is suspected, nothing more is believed: a faulty node, or a cut between peers and servers,
-// cannot empty it.
+// receiveFinding handles a peer's finding of a server of this node's subset: that it is unresponsive, or that
+// it responds again. One peer has no effect. Two have it checked at once, for evidence of this node, and make
+// it suspected: it gets no request while others of the subset can serve. Findings have no effect once half of
+// the subset is suspected: a faulty node or link cannot empty it.
 func (e *Engine) receiveFinding(from int, finding serverFinding) {
 	if e.usesAllServers() {
 		return
@@ -136,9 +137,9 @@
 	}
 }
 
-// receiveServerFinding takes in a finding of one server.
+// receiveServerFinding is receiveFinding for the server found.
 func (e *Engine) receiveServerFinding(s *server, from int, finding serverFinding) {
-	e.zoneReported(s, from, finding)
+	e.observeZoneFinding(s, from, finding)
 	reports := &s.suspicionReports[boolToInt(finding.isUp)]
 	if !reports.confirms(from, e.now) || s.isUnresponsive != finding.isUp {
 		return
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -179,7 +179,7 @@
 		}
 	}
 	for _, s := range e.subset.members {
-		e.serverResponded(s)
+		e.recordResponseFrom(s)
 	}
 	if n := suspects(); n != 0 {
 		t.Errorf("%d servers suspected that have answered since", n)
@@ -207,11 +207,11 @@
 	var in [2][]*server
 	for _, s := range e.subset.members {
 		in[boolToInt(s.Zone == "b")] = append(in[boolToInt(s.Zone == "b")], s)
-		e.serverResponded(s)
+		e.recordResponseFrom(s)
 	}
 	step := func(d time.Duration) {
 		e.now += d
-		e.serverResponded(in[0][0])
+		e.recordResponseFrom(in[0][0])
 		e.runSample()
 	}
 	asked := func() (n int) {
@@ -226,13 +226,13 @@
 	}
 	sent := e.now
 	step(300 * ms)
-	e.attemptUnanswered(in[1][0], sent)
-	e.attemptUnanswered(in[1][0], sent)
+	e.recordNoResponse(in[1][0], sent)
+	e.recordNoResponse(in[1][0], sent)
 	step(100 * ms)
 	if asked() == 0 {
 		t.Fatal("one unresponsive server made its zone unresponsive")
 	}
-	e.attemptUnanswered(in[1][1], sent)
+	e.recordNoResponse(in[1][1], sent)
 	step(100 * ms)
 	if asked() > 0 {
 		t.Errorf("%d of 100 requests go to an unresponsive zone", asked())
@@ -245,7 +245,7 @@
 	if asked() > 0 {
 		t.Error("the zone is back by itself")
 	}
-	e.serverResponded(in[1][2])
+	e.recordResponseFrom(in[1][2])
 	step(300 * ms)
 	if asked() == 0 {
 		t.Error("the zone stays unresponsive though one of its servers has answered")
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Overload control: ARO, "Acceptance-Rate Occupancy", of "Fast and robust signaling overload control",
-// section 4.3, with the deterministic throttling of section 4.4. The paper's names stand in the comments.
+// Overload control by ARO, "Acceptance-Rate Occupancy", of "Fast and Robust Signaling Overload Control"
+// (section 4.3), with its deterministic throttling (4.4). Comments name the paper's symbols. Not the paper's:
+// f starts at 1, fA acts from highOccupancy on and once µmax is known, K = k, and a bound on work in flight.
 const (
-	sampleInterval        = 100 * time.Millisecond // the paper's probe interval
-	samplesPerAssessment  = 5                      // k: half a second follows short bursts
-	occupancyTarget       = 0.95                   // rho targ
-	maxGrowth             = 1.3                    // phi max, growth of f in one assessment
-	minAdmitFraction      = 0.1                    // f min, so that recovery is always seen
-	highOccupancy         = 0.8                    // from here on fA acts as well as fO
-	lowOccupancy          = 0.5                    // up to here spare capacity may go to extras
+	sampleInterval        = 100 * time.Millisecond // probe interval
+	samplesPerAssessment  = 5                      // k (paper: 10), shorter to follow bursts
+	occupancyTarget       = 0.95                   // ρtarg
+	maxGrowth             = 1.3                    // φmax
+	minAdmitFraction      = 0.1                    // fmin, so that a recovery is always noticed
+	highOccupancy         = 0.8                    // ρ from which fA acts as well as fO
+	lowOccupancy          = 0.5                    // ρ up to which requests beyond quotas may be forwarded
 	lowSubsetOccupancy    = 0.7                    // the same with a subset of the servers
-	queueTimeFraction     = 0.3                    // of a latency objective that those in flight may take
-	minInFlightPerServer  = 2.0                    // that the bound always leaves, over all nodes
-	certainOverloadFactor = 3.0                    // times the bound that cannot be in flight by chance
+	queueTimeFraction     = 0.3                    // of a latency objective, for what is in flight
+	minInFlightPerServer  = 2.0                    // lower limit of the bound, over all nodes
+	certainOverloadFactor = 3.0                    // multiple of the bound that is no random fluctuation
+	minOccupancy          = 1e-9                   // as a divisor
 )
 
-// assessmentInterval is how long an assessment of the load holds.
+// assessmentInterval is the time between assessments.
 const assessmentInterval = samplesPerAssessment * sampleInterval
 
-// overloadController is ARO: of what quotas admit, it lets the fraction f pass that the servers can take.
-// Invariant: minAdmitFraction <= admitFraction <= 1 from the start on, and 0 <= throttleCredit < 1 between
-// requests. A node that sees too little of its own goes by the means over the fleet.
+// overloadController is ARO: of the requests that quotas admit, it admits the fraction that the servers can
+// take. A node with too few samples of its own uses the means over the fleet.
+// Invariant: minAdmitFraction <= admitFraction <= 1 once started; 0 <= throttleCredit < 1 between requests.
 type overloadController struct {
-	admitFraction  float64 // f, the fraction allowed
-	throttleCredit float64 // r, of the deterministic throttling
-	occupancy      float64 // rho, as of the last assessment
-	acceptanceRate float64 // alpha, requests accepted in a sample, as of the last assessment
-	maxThroughput  float64 // mu max, moving average; 0: not learned
+	admitFraction  float64 // f
+	throttleCredit float64 // r
+	occupancy      float64 // ρ̂ of the last assessment, 0 to 1
+	acceptanceRate float64 // α̂ of the last assessment, in requests per sample
+	maxThroughput  float64 // µmax, moving average, in requests per sample; 0: not known
 
 	sampleCount      int                           // samples closed so far
-	occupancySums    [samplesPerAssessment]float64 // of each sample: sum of the readings of the occupancy
+	occupancySums    [samplesPerAssessment]float64 // of each sample: sum of the readings of ρ
 	occupancySamples [samplesPerAssessment]float64 // their number
 	accepted         [samplesPerAssessment]float64 // requests accepted
 
@@ -43,7 +45,7 @@
 	fleetMeans   [fleetMeanCount]float64 // per sample, over this node and its peers
 }
 
-// admit takes one request's part of f and reports whether the request may pass.
+// admit applies the throttle to one request and reports whether it is admitted.
 func (c *overloadController) admit() bool {
 	c.throttleCredit += c.admitFraction
 	if c.throttleCredit < 1 {
@@ -53,7 +55,8 @@
 	return true
 }
 
-// closeSample ends a sample, and with every k-th one assesses the load.
+// closeSample ends a sample, in which so many good responses came and at whose end so many attempts are in
+// flight. Every k-th one is followed by an assessment.
 func (c *overloadController) closeSample(responses, inFlight float64) {
 	i := c.sampleIndex()
 	own := [...]float64{c.occupancySums[i], c.occupancySamples[i], c.accepted[i], responses, inFlight}
@@ -66,7 +69,7 @@
 	c.occupancySums[i], c.occupancySamples[i], c.accepted[i] = 0, 0, 0
 }
 
-// assess sets f to the least of fA and fO.
+// assess sets f to the smaller of fA and fO.
 func (c *overloadController) assess() {
 	c.estimate()
 	fO := c.fractionByOccupancy()
@@ -75,13 +78,13 @@
 	c.learnThroughput()
 }
 
-// fractionByOccupancy is fO.
+// fractionByOccupancy returns fO.
 func (c *overloadController) fractionByOccupancy() float64 {
-	phi := math.Min(occupancyTarget/math.Max(c.occupancy, 1e-9), maxGrowth)
+	phi := math.Min(occupancyTarget/math.Max(c.occupancy, minOccupancy), maxGrowth)
 	return clampFraction(phi * c.admitFraction)
 }
 
-// fractionByAcceptanceRate is fA, for an alpha targ of rho targ times mu max. It acts only under pressure.
+// fractionByAcceptanceRate returns fA, with αtarg = ρtarg·µmax, or 1 while it does not act.
 func (c *overloadController) fractionByAcceptanceRate() float64 {
 	if c.maxThroughput <= 0 || c.occupancy < highOccupancy || c.acceptanceRate <= 0 {
 		return 1
@@ -89,22 +92,21 @@
 	return clampFraction(occupancyTarget * c.maxThroughput / c.acceptanceRate * c.admitFraction)
 }
 
-// clampFraction holds f between f min and 1.
+// clampFraction keeps f between fmin and 1.
 func clampFraction(f float64) float64 { return math.Min(math.Max(f, minAdmitFraction), 1) }
 
 // isOverloaded reports whether too much work is in flight for a new request: an exception to ARO, whose f
-// follows what has been answered and so comes late when work piles up. By Little's law the attempts in
-// flight over the responses per second are the delay that a new request meets; where that leaves no hope of
-// its latency objective, it is rejected. It covers overload, stalls, lost servers and retry storms alike;
-// it harms where latency is long by nature, not by waiting. Where requests are kept to zones, each zone has
-// a bound of its own: work that piles up at one must not keep others idle.
+// reacts to responses and so is late when work queues up. By Little's law the attempts in flight over the
+// responses per second are the delay of a new request; if that is too long for its latency objective, it is
+// rejected. This covers overload, stalls, failed servers and retry storms. It is wrong for latency that is
+// long without queueing. Where zones have limits, each has its own bound, so that one cannot idle the others.
 func (e *Engine) isOverloaded(class int, zone string, priorityFactor float64) bool {
 	value := e.relativeValue(class)
 	if len(e.zones) > 0 {
 		value *= e.relativePriority(priorityFactor)
 	}
 	objective := e.settings.Classes[class].LatencyObjective.Seconds()
-	queueTime := queueTimeFraction * (1 + value) / 2 * objective // for all that is in flight
+	queueTime := queueTimeFraction * (1 + value) / 2 * objective // seconds, for all that is in flight
 	if len(e.zones) > 0 {
 		return e.areZonesOverloaded(zone, queueTime)
 	}
@@ -113,8 +115,8 @@
 	bound := e.load.responseRate * queueTime
 	isCertain := inFlight >= certainOverloadFactor*math.Max(bound, floor)
 	if bound < minOwnSamples && e.gossip.rate > 1 && !isCertain {
-		// Few attempts are in flight by chance or not: the fleet's means must say so too. They come seconds
-		// late: what cannot be chance does not wait for them, or a burst would come in whole.
+		// With few attempts in flight the bound may be passed at random: the fleet's means, which lag by
+		// seconds, must pass it too.
 		responseRate := e.overload.fleetMeans[meanResponses] / sampleInterval.Seconds()
 		fleetBound := math.Max(responseRate*queueTime, floor)
 		return inFlight >= fleetBound && e.overload.fleetMeans[meanInFlight] >= fleetBound
@@ -122,9 +124,8 @@
 	return inFlight >= math.Max(bound, floor)
 }
 
-// areZonesOverloaded holds each zone to its own bound: what is in flight there must be answered within a
-// time. It reports whether all the zones are overloaded that a request may go to: one, or all if none is
-// named.
+// areZonesOverloaded compares each zone with its own bound: what is in flight must be answered within the
+// queue time, in seconds. It reports whether the named zone or, for an empty name, every zone is overloaded.
 func (e *Engine) areZonesOverloaded(zone string, queueTime float64) bool {
 	areOverloaded := true
 	for name, z := range e.zones {
@@ -137,7 +138,7 @@
 	return areOverloaded
 }
 
-// relativeValue is what a class is worth for its work, as a share of the best class's.
+// relativeValue returns a class's priority weight per work, as a fraction of the highest of all classes.
 func (e *Engine) relativeValue(class int) float64 {
 	best := 0.0
 	for c := range e.settings.Classes {
@@ -149,7 +150,7 @@
 	return e.settings.Classes[class].PriorityWeight / e.expectedWork(class) / best
 }
 
-// relativePriority is a plan's priority factor as a share of the highest.
+// relativePriority returns a plan's priority factor as a fraction of the highest of all plans.
 func (e *Engine) relativePriority(priorityFactor float64) float64 {
 	highest := priorityFactor
 	for p := range e.settings.Plans {
@@ -161,7 +162,7 @@
 	return priorityFactor / highest
 }
 
-// spareCapacityOccupancy is the occupancy up to which spare capacity may go to extras.
+// spareCapacityOccupancy returns the occupancy up to which requests beyond quotas may be forwarded.
 func (e *Engine) spareCapacityOccupancy() float64 {
 	if e.usesAllServers() {
 		return lowOccupancy
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -67,11 +67,11 @@
 	e, r := newEngine(t, testSettings(), testServers(4)...)
 	e.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	objective := e.settings.Classes[e.classIndex["safe"]].LatencyObjective
-	if n := e.attemptAges(youngAttemptFraction).young; n != 1 {
+	if n := e.measureAttemptAges(youngAttemptFraction).young; n != 1 {
 		t.Errorf("%v young at once", n)
 	}
 	e.now = t0 + objective
-	if n := e.attemptAges(youngAttemptFraction).young; n != 0 {
+	if n := e.measureAttemptAges(youngAttemptFraction).young; n != 0 {
 		t.Errorf("%v young after the latency objective", n)
 	}
 }
@@ -169,11 +169,11 @@
 	}
 	e.now, e.actions = t0+180*ms, r
 	busy.lastHeardAt = t0 + 100*ms
-	if ages := e.attemptAges(youngAttemptFraction); ages.young != 1 || ages.overdue != 1 {
+	if ages := e.measureAttemptAges(youngAttemptFraction); ages.young != 1 || ages.overdue != 1 {
 		t.Errorf("%.0f count as work, %.0f as overdue, want 1 and 1", ages.young, ages.overdue)
 	}
 	e.now = t0 + 90*ms
-	if ages := e.attemptAges(youngAttemptFraction); ages.young != 2 || ages.overdue != 0 {
+	if ages := e.measureAttemptAges(youngAttemptFraction); ages.young != 2 || ages.overdue != 0 {
 		t.Errorf("early on %.0f count as work, %.0f as overdue, want 2 and 0", ages.young, ages.overdue)
 	}
 }
@@ -217,14 +217,14 @@
 		t.Errorf("a new instance has %v, and received %v", fresh.overload.fleetMeans, means)
 	}
 	tell(old, fresh)
-	if !fresh.overload.hasMeans() {
+	if !fresh.overload.hasMeansToShare() {
 		t.Error("it has received means and does not use them")
 	}
 	alone, _ := newSubsetEngine(t)
 	for range minMeanSamples {
 		alone.overload.closeSample(1, 1)
 	}
-	if !alone.overload.hasMeans() || alone.overload.hasPeerMeans {
+	if !alone.overload.hasMeansToShare() || alone.overload.hasPeerMeans {
 		t.Error("what it measured for two seconds is not sent")
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -8,14 +8,14 @@
 	"mulleinmux/zonehealth"
 )
 
-// Engine decides for one edge node. It is made of parts that each own their state; its methods are the events
-// of the host, and the questions that need several of the parts.
+// Engine decides for one edge node. It is composed of types that each own their state; its exported methods are the
+// events of the host, its other methods the decisions that need several of these types.
 type Engine struct {
 	settings  Settings
 	rng       *rand.Rand
 	startedAt time.Duration
 
-	// Of the event in hand.
+	// Of the event being handled.
 	now     time.Duration
 	actions Actions
 
@@ -31,16 +31,16 @@
 	// Servers.
 	servers      serverTable
 	subset       serverSubset
-	zones        map[string]*zoneState // those that the host has told limits of
+	zones        map[string]*zoneState // by name: those for which the host has set limits
 	zoneWatch    *zonehealth.Detector  // over all zones; used with a subset only
 	healthChecks healthChecker
-	findings     []serverFinding // found out of late, for the next messages to peers
+	findings     []serverFinding // recent own findings, for the next messages to peers
 
 	// Load.
 	overload         overloadController
 	latencies        latencyTable
 	load             loadMeter
-	lastLoadReportAt time.Duration // of any server
+	lastLoadReportAt time.Duration // from any server; 0: none yet
 
 	// Quotas.
 	quotas        quotaTable
@@ -52,8 +52,8 @@
 	lastLogAt time.Duration
 }
 
-// New returns an engine for the settings, or an error that names a field that cannot be. The seed is of all its
-// random draws: two engines with one seed and the same events act alike.
+// New returns an engine for the settings, or an error that wraps a [*SettingError]. The seed determines all random
+// numbers: two engines with the same seed and the same events call the same actions.
 func New(s Settings, seed uint64) (*Engine, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -84,10 +84,12 @@
 }
 
 // Start begins the engine's work. Call it once, before any other event.
-func (e *Engine) Start(now time.Duration, out Actions) {
-	e.now, e.actions, e.startedAt, e.overload.admitFraction = now, out, now, 1
+func (e *Engine) Start(now time.Duration, actions Actions) {
+	e.beginEvent(now, actions)
+	e.startedAt = now
+	e.overload.admitFraction = 1
 	e.gossip.interval = e.settings.gossipInterval()
-	// Nodes started together must not beat in step.
+	// Nodes that are started together must not take their samples and gossip at the same moments.
 	e.actions.SetTimer(timerToken(timerSample, 0), e.randomDelay(sampleInterval))
 	if e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
 		e.actions.SetTimer(timerToken(timerGossip, 0), e.randomDelay(e.gossip.interval))
@@ -97,7 +99,19 @@
 	}
 }
 
-// randomDelay returns a delay below a limit.
+// beginEvent sets the time and the actions of the event that is being handled.
+func (e *Engine) beginEvent(now time.Duration, actions Actions) {
+	e.now = now
+	e.actions = actions
+}
+
+// classOf returns the class of a request.
+func (e *Engine) classOf(r *request) *Class { return &e.settings.Classes[r.class] }
+
+// latencyOf returns the latency learned for the class of a request.
+func (e *Engine) latencyOf(r *request) *classLatency { return &e.latencies.classes[r.class] }
+
+// randomDelay returns a delay in [0, limit).
 func (e *Engine) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(e.rng.Int64N(int64(limit)))
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,32 +1,30 @@
 package policy
 
-// What a customer's quota admits.
-
 import (
 	"math"
 	"time"
 )
 
 const (
-	contentionWindow      = time.Second // a customer counts as contended for so long after a rejection
-	contentionTries       = 2           // and for as long as it takes to refill so many requests
+	contentionWindow      = time.Second // for which a quota counts as contended after a rejection
+	contentionTries       = 2           // and at least until so many such requests are refilled
 	peerCountTTLIntervals = 10          // gossip intervals after which a peer's count in flight is forgotten
-	memberBurstFraction   = 0.5         // of a hard limit's burst that members have without asking the owner
-	memberRateFraction    = 0.4         // and of its rate
-	ownerInboxFraction    = 0.3         // of an inbox for one customer's quota requests
+	memberBurstFraction   = 0.5         // of a hard limit's burst, split evenly and not to the owners
+	memberRateFraction    = 0.4         // of a hard limit's rate, likewise
+	ownerInboxFraction    = 0.3         // of a gossip inbox for one customer's quota requests
 )
 
-// splitQuota sets over how many instances a quota is split, and this one's fractions of it.
+// splitQuota sets among how many instances a quota is split, and this instance's fractions of it.
 func (e *Engine) splitQuota(quota *customerQuota, plan *Plan) {
 	quota.instanceSplit = quota.instanceCount
 	gossipIsLate := e.gossip.interval > assessmentInterval
 	if e.settings.AllowsGossip && quota.instanceCount > 1 && gossipIsLate {
-		// As many owners as it takes for their inboxes to hold the requests.
+		// As many owners as their gossip inboxes need to receive the quota requests.
 		owners := int(math.Ceil(plan.Rate / (ownerInboxFraction * e.settings.GossipInboxRate)))
-		quota.usesOwner, quota.instanceSplit = true, min(max(1, owners), quota.instanceCount)
+		quota.usesOwner = true
+		quota.instanceSplit = min(max(1, owners), quota.instanceCount)
 	}
-	// Rule 5: the fractions of a hard limit sum to one. Each part counts as empty at its instance's start,
-	// since one killed before may have spent it, and has filled since. An owner has most, for its grants.
+	// The fractions of a hard limit sum to 1 over all instances. Owners have most of it, for their grants.
 	evenFraction := 1 / float64(quota.instanceCount)
 	quota.ownerCount, quota.burstFraction, quota.rateFraction = 1, evenFraction, evenFraction
 	if quota.usesOwner {
@@ -37,7 +35,7 @@
 	}
 }
 
-// quotaDemand is what a request asks of its customer's quota.
+// quotaDemand is what a request needs of its customer's quota.
 type quotaDemand struct {
 	units  float64
 	isLate bool // it is known to come too late for its latency objective
@@ -50,10 +48,9 @@
 }
 
 // checkQuota decides whether a demand is inside the customer's quota and, if not, when to retry. A late
-// request takes none of a customer that others were rejected for recently: it would cost one that can still
-// be answered in time.
+// request is not while the quota is contended: the units are for those that can still be answered in time.
 func (e *Engine) checkQuota(quota *customerQuota, demand quotaDemand) quotaDecision {
-	if quota.usesOwner { // nothing is spent here without the bucket's knowing
+	if quota.usesOwner { // the bucket is charged at once: no other instance spends from it unseen
 		quota.unitsSinceGossip, quota.startedSinceGossip = 0, 0
 	}
 	if demand.isLate && e.now < quota.contendedUntil {
@@ -65,8 +62,8 @@
 		return quotaDecision{retryAfter: min(e.gossip.interval, ownerTimeout)}
 	}
 	if plan.Rate > 0 && !e.hasTokens(quota, plan, demand.units) {
-		// A bucket that fills slowly is contended for longer.
-		window, rate := contentionWindow, plan.Rate/quota.ownerCount
+		window := contentionWindow
+		rate := plan.Rate / quota.ownerCount
 		if quota.usesOwner {
 			window = max(window, refillTime(contentionTries*demand.units, rate))
 		}
@@ -77,7 +74,7 @@
 	return quotaDecision{isInside: true}
 }
 
-// hasInFlightCapacity decides whether one more attempt stays within the limit in flight.
+// hasInFlightCapacity reports whether one more attempt stays within the limit in flight.
 func (e *Engine) hasInFlightCapacity(quota *customerQuota, plan *Plan) bool {
 	capacity := e.inFlightCapacity(quota)
 	needed := 1
@@ -92,10 +89,9 @@
 	return started == 0 || float64(started+1) <= allowance
 }
 
-// hasTokens decides whether units are left for one more request. As an exception, one request between
-// gossip needs only its units, or the split of a small quota would admit none. Not so for a customer that
-// was rejected recently: its instances would all send that one. There the quota must hold it for each, as
-// far as it can.
+// hasTokens reports whether the quota has the units of one more request. The first request after a gossip
+// needs only its own units, since a small quota split among the instances would admit none. While the quota
+// is contended, all instances would send that one: the bucket must hold it for each, as far as it can.
 func (e *Engine) hasTokens(quota *customerQuota, plan *Plan, units float64) bool {
 	split := quota.splitBetweenGossip()
 	needed := units
--- a/policy/quota_exchange.go
+++ b/policy/quota_exchange.go
@@ -70,9 +70,9 @@
 	quota.dropLeases(func(l lease) bool { return l.from == from && l.number == m.number })
 }
 
-// clientLeft notes that the owner has answered a request, or will not, and reports whether its client has left
+// endOwnerWait notes that the owner has answered a request, or will not, and reports whether its client has left
 // meanwhile: then the units that it was granted are returned.
-func (e *Engine) clientLeft(r *request) bool {
+func (e *Engine) endOwnerWait(r *request) bool {
 	r.awaitsOwner = false
 	if !r.isAnswered {
 		return false
--- a/policy/quota_message.go
+++ b/policy/quota_message.go
@@ -183,7 +183,7 @@
 // peerReport returns what this instance has to report now.
 func (e *Engine) peerReport() peerReport {
 	var report peerReport
-	if e.overload.hasMeans() {
+	if e.overload.hasMeansToShare() {
 		report.fleetMeans = e.overload.fleetMeans
 	}
 	isOld := func(finding serverFinding) bool { return e.now-finding.foundAt >= findingTTL }
--- a/policy/quota_owner.go
+++ b/policy/quota_owner.go
@@ -1,37 +1,38 @@
 package policy
 
-// Owners of quotas: an exception for customers to whose instances gossip comes late (its interval is longer
-// than an assessment). One instance, by the customer's hash, owns the quota, and the others ask it. It
-// covers customers of many instances in large fleets; it costs two hops of waiting, and an owner that
-// restarts begins with a full quota.
+// Quota owners: an exception for customers whose quota gossip would keep too late, because its interval is
+// longer than an assessment. A hash of the customer selects the instance that owns the quota, and the others
+// send it quota requests. This covers customers of many instances in large fleets. It adds a round trip to
+// each request, and an owner that restarts begins with a full quota.
 
 import "time"
 
 const (
-	ownerTimeout          = 100 * time.Millisecond // a response counts as lost then: two hops' time
-	maxOwnerTimeouts      = 3                      // timeouts in a row after which an owner is not waited for
-	maxTimeoutsInARow     = 6                      // timeouts in a row over all owners after which none is
-	ownerOverloadFraction = 0.6                    // of an inbox from which rejected members have to pause
-	grantFractionWeight   = 0.1                    // of a new request in the granted fraction's average
+	ownerTimeout          = 100 * time.Millisecond // after which a response counts as lost
+	maxOwnerTimeouts      = 3                      // in a row, after which an owner is not waited for
+	maxTimeoutsInARow     = 6                      // over all owners, after which none is waited for
+	ownerOverloadFraction = 0.6                    // of the gossip inbox, above which retries are delayed
+	grantFractionWeight   = 0.1                    // of a new request in the moving average of the grants
 )
 
-// requestQuota asks the owner of a request's quota for its units.
+// requestQuota sends the owner of a request's quota a request for its units, and waits for the
+// response unless owners have left several unanswered.
 func (e *Engine) requestQuota(r *request) {
 	message := quotaRequest{quotaUnits: quotaUnitsOf(r), isLate: r.isLate}
 	e.actions.SendGossip(r.owner, e.codec().encodeQuotaRequest(message, e.peerReport()))
 	isUnresponsive := e.ownerTimeouts.byOwner[r.owner] >= maxOwnerTimeouts
 	if isUnresponsive || e.ownerTimeouts.inARow >= maxTimeoutsInARow {
-		e.ownerTimedOut(r)
+		e.admitWithoutOwner(r)
 		return
 	}
 	r.awaitsOwner = true
 	e.actions.SetTimer(timerToken(timerOwnerTimeout, r.number), ownerTimeout)
 }
 
-// ownerTimedOut goes by the fraction of requests that the owner granted recently, as far as it is known. It
-// covers lost messages and owners that are down, paused or overloaded; it harms while that fraction changes
-// unseen.
-func (e *Engine) ownerTimedOut(r *request) {
+// admitWithoutOwner admits a request with the probability with which the owner granted recent ones, as far as
+// known. This covers lost messages and owners that are down, paused or overloaded. It is wrong by as much as
+// that probability has changed since.
+func (e *Engine) admitWithoutOwner(r *request) {
 	r.ownerUnreachable = true
 	e.ownerTimeouts.recordTimeout(r.owner)
 	isAdmitted := e.rng.Float64() < r.quota.grantFraction
@@ -59,10 +60,10 @@
 		wait = 0
 		e.grant(quota, from, m.quotaUnits)
 	case e.gossip.rate > ownerOverloadFraction*e.settings.GossipInboxRate:
-		// More members ask in vain than the inbox takes: each pauses until it is its turn again. In large
-		// fleets a third of an inbox is what all customers' requests come to at normal load.
-		turns := float64(quota.instanceCount / quota.instanceSplit)
-		wait = max(wait, refillTime(turns, ownerInboxFraction*e.settings.GossipInboxRate))
+		// Rejected requests fill the inbox: the members wait longer, so that together they keep to its
+		// fraction. In large fleets all customers' requests at normal load take a third of an inbox.
+		members := float64(quota.instanceCount / quota.instanceSplit)
+		wait = max(wait, refillTime(members, ownerInboxFraction*e.settings.GossipInboxRate))
 	}
 	if !m.isLate {
 		quota.grantFraction += grantFractionWeight * (boolToFloat(isGranted) - quota.grantFraction)
@@ -71,7 +72,7 @@
 	e.actions.SendGossip(from, e.codec().encodeQuotaResponse(response, e.peerReport()))
 }
 
-// receiveQuotaResponse goes on with the request that has waited for its owner.
+// receiveQuotaResponse admits the request that has waited for its owner.
 func (e *Engine) receiveQuotaResponse(from int, m quotaResponse) {
 	e.ownerTimeouts.recordResponse(from)
 	r := e.requests.byNumber[m.number]
@@ -79,7 +80,7 @@
 		return
 	}
 	r.inQuota = m.isGranted
-	if e.clientLeft(r) {
+	if e.endOwnerWait(r) {
 		return
 	}
 	r.quota.grantFraction = m.grantFraction
@@ -90,8 +91,8 @@
 	e.admit(r, quotaDecision{m.isGranted, m.wait})
 }
 
-// returnUnits returns units that were not sent, and a place under the limit in flight. Whether an unanswered
-// request was granted is not known: only its place is surely free.
+// returnUnits returns units that were not used, and the lease under a limit in flight. Of a request that the
+// owner did not answer, only the lease: whether its units were granted is not known.
 func (e *Engine) returnUnits(r *request, units float64) {
 	if r.ownerUnreachable {
 		units = 0
@@ -109,6 +110,6 @@
 	message := encodeQuotaReturn(quotaReturn{number: r.number, customer: r.quota.key, units: units})
 	e.actions.SendGossip(r.owner, message)
 	if limitsInFlight && units == 0 {
-		e.actions.SendGossip(r.owner, message) // a lost one would block a place for long
+		e.actions.SendGossip(r.owner, message) // repeated: if lost, the lease would last until it expires
 	}
 }
--- a/policy/quota_transfer.go
+++ b/policy/quota_transfer.go
@@ -1,10 +1,10 @@
 package policy
 
-// Transfer of quota. Each instance's part of a hard limit is empty at its start and fills at a fixed
-// fraction of the rate, while a customer's requests come unevenly. An instance gossips the deficit of its
-// part, and a peer whose part has a surplus takes units off it and sends them with its next gossip. It holds
-// that much less until they must have arrived, so that all parts together never hold more than the limit;
-// units in a lost message are lost.
+// Quota transfer. Each instance's part of a hard limit is empty at its start and fills at a fixed fraction of
+// the rate, while a customer's requests are spread unevenly. An instance gossips the deficit of its part, and
+// a peer whose part has a surplus takes units off it and sends them with its next gossip. Its capacity is
+// that much smaller until they must have arrived, so that all parts together never hold more than the limit.
+// Units in a lost message are lost.
 
 import (
 	"math"
@@ -12,19 +12,19 @@
 )
 
 const (
-	transferAheadIntervals   = 4.0                    // gossip intervals that a part should last for
-	transferReserveFraction  = 0.25                   // of its part that a sender keeps
-	minTransferTimeout       = 300 * time.Millisecond // a transfer may be in transit for at least so long,
-	transferTimeoutIntervals = 3                      // or for so many gossip intervals
+	transferAheadIntervals   = 4.0                    // gossip intervals for which a part should suffice
+	transferReserveFraction  = 0.25                   // of its part's capacity, which a sender keeps
+	minTransferTimeout       = 300 * time.Millisecond // after which a transfer has arrived or is lost,
+	transferTimeoutIntervals = 3                      // and at least so many gossip intervals
 )
 
-// transfersHardLimit reports whether parts of the customer's hard limit are moved between instances. Where an
-// owner is asked, it grants units instead.
+// transfersHardLimit reports whether units of the customer's hard limit are transferred between instances. An
+// owner grants units instead.
 func (e *Engine) transfersHardLimit(quota *customerQuota) bool {
 	return e.planOf(quota).HardLimitRate > 0 && !quota.usesOwner
 }
 
-// expectedDemand returns the units that a part should hold for the next gossip intervals.
+// expectedDemand returns the units that this instance's part should hold for the next gossip intervals.
 func (q *customerQuota) expectedDemand() float64 {
 	return transferAheadIntervals*q.unitsSinceGossip + q.unmetUnits
 }
@@ -45,7 +45,8 @@
 	return math.Max(math.Floor(quota.hardLimitTokens-kept), 0)
 }
 
-// transferQuota takes units off this instance's part of the hard limit for a peer that lacks them.
+// transferQuota takes units off this instance's part of the hard limit for a peer with a deficit, and returns
+// their number.
 func (e *Engine) transferQuota(quota *customerQuota, peer int) float64 {
 	if quota.peerDeficits == nil || quota.usesOwner {
 		return 0
@@ -56,7 +57,7 @@
 	return units
 }
 
-// receiveTransfer takes in the units that a peer has sent, and its deficit.
+// receiveTransfer adds the units that a peer has sent, and records its deficit.
 func (e *Engine) receiveTransfer(quota *customerQuota, from int, entry gossipEntry) {
 	if !e.transfersHardLimit(quota) {
 		return
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// attempt is one sending of a request to a server.
+// attempt is one send of a request to a server.
 type attempt struct {
 	server        *server
 	sentAt        time.Duration
 	zone          string // of the server when it was sent
 	cell          int    // likewise
 	isDone        bool
-	isStreaming   bool // its response streams, or its body does: it is no work in flight any more, or not yet
+	isStreaming   bool // its body or its response is being streamed: it does not count as in flight at the server
 	neverExecuted bool // known not to have run
 	result        Result
 }
 
-// request is a request in hand. Invariant: inFlight counts the attempts that have not ended, whether or not the
+// request is a request that has no final answer yet, or attempts in flight. Invariant: inFlight counts the attempts that have not ended, whether or not the
 // request has its answer.
 type request struct {
 	Request
-	number           uint64 // names it in timers and quota messages
+	number           uint64 // identifies it in timers and quota messages
 	class            int
 	quota            *customerQuota
-	deadline         time.Duration // final answer due
+	deadline         time.Duration // clock reading at which the final answer is due
 	attempts         []attempt
 	inFlight         int
 	inQuota          bool
 	isLate           bool // it is known to come too late for its latency objective
-	ownerUnreachable bool // the owner did not answer: forwarded by chance or not at all
-	awaitsOwner      bool // the owner was asked, and has not answered
-	isGranted        bool // by the owner, with its part of the hard limit
-	owner            int  // node that was asked for its units, or this one
-	isSettled        bool
-	isAnswered       bool // finally
+	ownerUnreachable bool // the owner did not answer in time: admitted at random by its recent grants
+	awaitsOwner      bool // a quota request is in flight
+	isGranted        bool // the owner granted its units, those of the hard limit included
+	owner            int  // index of the instance that was asked for its units, or of this one
+	isSettled        bool // its units have been corrected to the true ones
+	isAnswered       bool // it has its final answer, or its client has left
 	isStreaming      bool // its response has begun
 }
 
-// requestTable holds the requests in hand. Invariant: a request stands under its number until it is answered
+// requestTable holds the requests. Invariant: a request stands under its number until it is answered
 // and, where its quota's owner was asked, the owner has answered or timed out; and under its ID until its last
 // attempt has ended.
 type requestTable struct {
@@ -47,8 +47,8 @@
 	lastNumber uint64
 }
 
-// newRequestTable begins after a number that chance gives, so that answers to a node before its restart match
-// nothing.
+// newRequestTable returns an empty table. The last number used should be random: a response of an owner to an earlier
+// process of this instance must match no request.
 func newRequestTable(lastNumber uint64) requestTable {
 	return requestTable{byID: map[string]*request{}, byNumber: map[uint64]*request{}, lastNumber: lastNumber}
 }
@@ -59,44 +59,58 @@
 	return t.lastNumber
 }
 
-// add puts a request under its ID and its number.
-func (t *requestTable) add(r *request) { t.byID[r.ID], t.byNumber[r.number] = r, r }
+// add enters a request under its ID and its number.
+func (t *requestTable) add(r *request) {
+	t.byID[r.ID] = r
+	t.byNumber[r.number] = r
+}
+
+// attemptAt returns an attempt by its index, or nil if the request or the attempt is unknown.
+func (r *request) attemptAt(index int) *attempt {
+	if r == nil || index < 0 || index >= len(r.attempts) {
+		return nil
+	}
+	return &r.attempts[index]
+}
 
-// endAttempt books the end of an attempt.
+// endAttempt records the end of an attempt.
 func (e *Engine) endAttempt(r *request, a *attempt, result Result) {
-	a.isDone, a.result, a.neverExecuted = true, result, neverExecuted(result)
+	a.isDone = true
+	a.result = result
+	a.neverExecuted = neverExecuted(result)
 	if !a.isStreaming {
 		e.releaseServer(a.server)
 	}
-	a.server.connectionEnded(e.now, result)
+	a.server.recordConnectionEnd(e.now, result)
 	r.inFlight--
 	r.quota.inFlight--
 	e.markForGossip(r.quota)
 }
 
-// settleUnits gives back what a request had taken too much of its quota, once its true units are known.
-func (e *Engine) settleUnits(r *request, o AttemptResult) {
-	if o.Result != OK || !e.settings.SettlesUnits || o.Units <= 0 || !r.inQuota || r.isSettled {
+// settleUnits corrects what a request took of its quota, once its true units are known.
+func (e *Engine) settleUnits(r *request, outcome AttemptResult) {
+	isKnown := outcome.Result == OK && outcome.Units > 0
+	if !isKnown || !e.settings.SettlesUnits || !r.inQuota || r.isSettled {
 		return
 	}
 	r.isSettled = true
 	e.refill(r.quota)
-	e.returnUnits(r, r.Units-o.Units)
+	e.returnUnits(r, r.Units-outcome.Units)
 }
 
-// occupyServer counts an attempt as work in flight at a server.
+// occupyServer counts an attempt as in flight at a server.
 func (e *Engine) occupyServer(s *server) {
 	s.inFlight++
 	e.load.inFlight++
 }
 
-// releaseServer ends that.
+// releaseServer reverses occupyServer.
 func (e *Engine) releaseServer(s *server) {
 	s.inFlight--
 	e.load.inFlight--
 }
 
-// cancelAttempts asks to stop waiting for the attempts that are still in flight.
+// cancelAttempts cancels the attempts of a request that are still in flight.
 func (e *Engine) cancelAttempts(r *request) {
 	for i := range r.attempts {
 		if e.settings.AllowsCancel && !r.attempts[i].isDone {
@@ -105,38 +119,39 @@
 	}
 }
 
-// closeRequest marks the request answered; it is kept until its attempts have ended.
+// closeRequest marks the request as answered. It stays in the table until its attempts have ended.
 func (e *Engine) closeRequest(r *request) {
 	r.isAnswered = true
-	if !r.awaitsOwner { // else the owner may still grant it units, which are to be given back
+	if !r.awaitsOwner { // otherwise the owner may still grant units, which have to be returned
 		delete(e.requests.byNumber, r.number)
 	}
 	if r.inFlight > 0 {
 		return
 	}
 	delete(e.requests.byID, r.ID)
-	if len(r.attempts) > 0 && e.settings.Plans[r.quota.plan].MaxInFlight > 0 && r.quota.usesOwner {
+	if len(r.attempts) > 0 && e.planOf(r.quota).MaxInFlight > 0 && r.quota.usesOwner {
 		e.returnUnits(r, 0)
 	}
 }
 
-// expireRequest gives a request, if there is one, the answer that is due by now.
+// expireRequest gives a request its final answer if it has none. The request may be nil.
 func (e *Engine) expireRequest(r *request) {
 	if r != nil && !r.isAnswered && !r.isStreaming {
-		e.finish(r)
+		e.rejectOrFail(r)
 	}
 }
 
-// newRequest makes a request out of what the host has told.
-func (e *Engine) newRequest(q Request, class, plan int) *request {
-	q.Units = math.Max(q.Units, 0)
-	q.InstanceCount = min(max(q.InstanceCount, 1), e.settings.InstanceCount)
-	scope := quotaScope{plan: plan, instanceCount: q.InstanceCount, firstInstance: q.FirstInstance}
-	quota := e.quotaFor(q.Customer, scope)
+// newRequest returns a request for one received by the host, its figures brought into range. The deadline is earlier by
+// two event intervals, so that the answer is written in time.
+func (e *Engine) newRequest(received Request, class, plan int) *request {
+	received.Units = math.Max(received.Units, 0)
+	received.InstanceCount = min(max(received.InstanceCount, 1), e.settings.InstanceCount)
+	scope := quotaScope{plan: plan, instanceCount: received.InstanceCount, firstInstance: received.FirstInstance}
+	quota := e.quotaFor(received.Customer, scope)
 	if quota.plan != plan { // the customer has changed its plan
 		e.changePlan(quota, e.settings.Plans[quota.plan], plan)
 	}
-	r := &request{Request: q, number: e.requests.nextNumber(), class: class, quota: quota}
-	r.deadline = e.now + q.BodyTimeout + q.Timeout - 2*e.settings.MinEventInterval
+	r := &request{Request: received, number: e.requests.nextNumber(), class: class, quota: quota}
+	r.deadline = e.now + received.BodyTimeout + received.Timeout - 2*e.settings.MinEventInterval
 	return r
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,11 +1,11 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// slowAttemptDeviations is how many mean deviations over the mean make an attempt count as slow.
-const slowAttemptDeviations = 10
+const (
+	slowAttemptDeviations       = 10 // mean deviations above the mean from which an attempt is slow
+	slowAttemptObjectiveDivisor = 4  // but not before the latency objective divided by this
+)
 
 // mayAttempt reports whether a further attempt of the request at the server is safe: no request runs twice
 // unless its class allows it.
@@ -14,26 +14,36 @@
 		e.settings.MaxAttempts > 0 && len(r.attempts) >= e.settings.MaxAttempts {
 		return false
 	}
-	c := &e.settings.Classes[r.class]
+	class := e.classOf(r)
 	for i := range r.attempts {
-		a := &r.attempts[i]
-		if a.neverExecuted || c.Idempotency == Idempotent {
-			continue
-		}
-		repeats := c.DedupWindow - 2*e.settings.MinEventInterval - e.settings.ConnectTimeout
-		if c.Idempotency == NonIdempotent || e.now-a.sentAt > repeats {
-			return false
-		}
-		if c.DedupScope == DedupZone && a.zone != s.Zone || c.DedupScope == DedupCell && a.cell != s.Cell {
+		if !r.attempts[i].neverExecuted && !e.mayRepeat(class, &r.attempts[i], s) {
 			return false
 		}
 	}
 	return true
 }
 
+// mayRepeat reports whether the server may run an attempt that may have run already once more.
+func (e *Engine) mayRepeat(class *Class, a *attempt, s *server) bool {
+	switch class.Idempotency {
+	case Idempotent:
+		return true
+	case NonIdempotent:
+		return false
+	}
+	// A repeat may arrive later than it is sent, when the key may have been forgotten.
+	window := class.DedupWindow - 2*e.settings.MinEventInterval - e.settings.ConnectTimeout
+	if e.now-a.sentAt > window {
+		return false
+	}
+	isOtherScope := class.DedupScope == DedupZone && a.zone != s.Zone ||
+		class.DedupScope == DedupCell && a.cell != s.Cell
+	return !isOtherScope
+}
+
 // mayReject reports whether a request may be rejected, which promises that trying again is harmless.
 func (e *Engine) mayReject(r *request) bool {
-	c := &e.settings.Classes[r.class]
+	c := e.classOf(r)
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers {
 		return true
 	}
@@ -45,14 +55,14 @@
 	return true
 }
 
-// startAttempt sends a request to a server.
+// startAttempt sends a request to a server and records the attempt.
 func (e *Engine) startAttempt(r *request, s *server) {
 	timeout := e.planHedge(r)
 	if s.inFlight == 0 {
 		s.lastProgressAt = e.now
 	}
-	s.connectionUsed(e.now)
-	// A body that is still coming is no work in flight yet, nor is a response that has begun.
+	s.recordConnectionUse(e.now)
+	// While its body is being received, an attempt does not occupy the server.
 	if r.BodyTimeout == 0 {
 		e.occupyServer(s)
 	}
@@ -72,32 +82,34 @@
 	e.actions.SendAttempt(r.ID, s.ID, timeout)
 }
 
-// planHedge returns the timeout of a request's next attempt. Where the request may be repeated and the
-// servers are not under pressure, a slow attempt gives way to another: beside it if hedging is allowed, or
-// after it.
+// planHedge returns the timeout of a request's next attempt. Where the request may be repeated and occupancy
+// is not high, a slow attempt is hedged if hedging is allowed, for which it sets a timer, or else ends early
+// so that a retry can follow.
 func (e *Engine) planHedge(r *request) time.Duration {
-	c, l := &e.settings.Classes[r.class], &e.latencies.classes[r.class]
+	class := e.classOf(r)
+	latency := e.latencyOf(r)
 	timeout := max(r.deadline-e.now, e.settings.MinEventInterval)
 	hasMore := e.settings.MaxAttempts == 0 || len(r.attempts)+1 < e.settings.MaxAttempts
-	if c.Idempotency == NonIdempotent || !hasMore || r.BodyTimeout != 0 ||
-		l.samples < minBatchSamples || e.overload.occupancy >= highOccupancy {
+	if class.Idempotency == NonIdempotent || !hasMore || r.BodyTimeout != 0 ||
+		latency.samples < minBatchSamples || e.overload.occupancy >= highOccupancy {
 		return timeout
 	}
-	slow := time.Duration((l.mean + slowAttemptDeviations*l.deviation) * float64(time.Second))
-	slow = max(slow, c.LatencyObjective/4)
+	slow := time.Duration((latency.mean + slowAttemptDeviations*latency.deviation) * float64(time.Second))
+	slow = max(slow, class.LatencyObjective/slowAttemptObjectiveDivisor)
 	if e.settings.AllowsHedging {
 		e.actions.SetTimer(timerToken(timerHedge, r.number), slow)
 		return timeout
 	}
-	if slow < timeout/2 && slow < c.LatencyObjective {
+	if slow < timeout/2 && slow < class.LatencyObjective {
 		return slow
 	}
 	return timeout
 }
 
-// retry sends a further attempt if one is legal, affordable and of use.
+// retry starts a further attempt if the budget, the deadline and the servers allow one, and reports whether
+// it did.
 func (e *Engine) retry(r *request) bool {
-	mean := time.Duration(e.latencies.classes[r.class].mean * float64(time.Second))
+	mean := time.Duration(e.latencyOf(r).mean * float64(time.Second))
 	if !e.retries.allows() || e.now+mean > r.deadline {
 		return false
 	}
@@ -116,12 +128,12 @@
 	if r.isAnswered || r.isStreaming || r.inFlight != 1 || e.overload.occupancy >= highOccupancy {
 		return false
 	}
-	limit := e.settings.Plans[r.quota.plan].MaxInFlight
+	limit := e.planOf(r.quota).MaxInFlight
 	return limit == 0 || e.inFlightCapacity(r.quota) > r.quota.instanceCount
 }
 
-// finish gives the final answer: a rejection where its promise holds.
-func (e *Engine) finish(r *request) {
+// rejectOrFail gives a request its final answer: a rejection if nothing ran, or a failure.
+func (e *Engine) rejectOrFail(r *request) {
 	if r.isAnswered {
 		return
 	}
@@ -134,5 +146,7 @@
 	e.cancelAttempts(r)
 }
 
-// neverExecuted tells which results prove that the attempt did not run.
-func neverExecuted(r Result) bool { return r == RejectedByServer || r == ConnectFailed || r == NotSent }
+// neverExecuted reports whether a result proves that the attempt did not run.
+func neverExecuted(result Result) bool {
+	return result == RejectedByServer || result == ConnectFailed || result == NotSent
+}
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	retryTokensPerRequest = 0.2
-	maxRetryTokens        = 20
+	retryTokensPerRequest = 0.2 // that a forwarded request earns: one retry for each five
+	maxRetryTokens        = 20  // that can be saved
 )
 
-// retryBudget bounds retries by the requests forwarded. Invariant: 0 <= tokens <= maxRetryTokens; 1 is one
-// further attempt.
+// retryBudget limits retries to a fraction of the requests forwarded, so that they cannot multiply an overload. A retry
+// costs one token. Invariant: 0 <= tokens <= maxRetryTokens.
 type retryBudget struct{ tokens float64 }
 
-// earn adds what a request forwarded earns.
+// earn adds the tokens of one forwarded request.
 func (b *retryBudget) earn() { b.tokens = math.Min(b.tokens+retryTokensPerRequest, maxRetryTokens) }
 
-// allows reports whether the budget has a further attempt.
+// allows reports whether the budget has a token for a retry.
 func (b *retryBudget) allows() bool { return b.tokens >= 1 }
 
-// spend takes a further attempt.
+// spend takes the token of a retry.
 func (b *retryBudget) spend() { b.tokens-- }
--- a/policy/server.go
+++ b/policy/server.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// minCapacityFraction is what a server that has just started has at least.
+// minCapacityFraction is the least capacity fraction, used as a divisor.
 const minCapacityFraction = 0.01
 
 // server is what is known of one server.
-// Invariant: inFlight counts the attempts that it is at work on; what was learned of it is of the process that
-// began at StartedAt, and is forgotten once the endpoint list tells of a restart.
+// Invariant: inFlight counts the attempts that it is processing; what was learned of it applies to the process that
+// began at StartedAt, and is forgotten when the endpoint list shows a restart.
 type server struct {
 	Server
-	isListed bool
-	gossipID uint16 // names it in findings to peers
+	isListed bool   // in the endpoint list and not removed
+	gossipID uint16 // identifies it in findings sent to peers; not unique
 	inFlight int    // attempts in flight
 
 	// Load and latency, for its cost.
 	latencyRatio   float64       // moving average of the latency as a multiple of its class's mean
-	lastProgressAt time.Duration // last response or first attempt in flight
+	lastProgressAt time.Duration // clock reading of the last response, or of the first attempt when none was in flight
 	queueLength    float64       // reported; below 0: not reported
 	utilization    float64       // reported, moving average; below 0: not reported
-	reportedAt     time.Duration // last report of the utilization
+	reportedAt     time.Duration // clock reading of the last report of the utilization; 0: none
 
 	// Ejection of an outlier.
-	failureRate          float64 // moving average
+	failureRate          float64 // moving average, 0 to 1
 	ejectedUntil         time.Duration
 	consecutiveEjections int
 
 	// Signs of life.
-	lastHeardAt       time.Duration       // last response of any kind
-	isUnresponsive    bool                // nothing sent of late was answered: it gets no request until it responds
-	suspectedUntil    time.Duration       // until then peers, or its whole zone, say that it is down
-	suspicionReports  [2]suspicionReports // which peers said of late that it is down, and that it is up
-	healthCheckSince  time.Duration       // a connection failed then, and a check was sent to see why; 0: none
+	lastHeardAt       time.Duration       // clock reading of the last response of any kind
+	isUnresponsive    bool                // nothing recent was answered: it gets no request until it responds
+	suspectedUntil    time.Duration       // until then peers, or the detector of failed zones, report it down
+	suspicionReports  [2]suspicionReports // recent reports of peers that it is down [0] and up [1]
+	healthCheckSince  time.Duration       // when a failed connection caused a health check that is in flight; 0: none
 	lastHealthCheckAt time.Duration
 
-	// Connections, as far as can be told from here.
-	connectFailedAt     time.Duration   // last one that did not come up, and may tell of a restart; 0: none
-	connectFailures     []time.Duration // all of these, oldest first
-	expectedConnections int             // that should be open
-	lastUsedAt          time.Duration   // when one was last of use
+	// Connections, as the engine estimates them.
+	connectFailedAt     time.Duration   // last failure that may be due to a restart; 0: none
+	connectFailures     []time.Duration // such failures, oldest first
+	expectedConnections int             // connections that should be open
+	lastUsedAt          time.Duration   // when a connection was last used
 
 	warmup warmupBudget
 
 	inSubset         bool    // in this node's subset
-	subsetCorrection float64 // how much oftener it is chosen than by weight, as fewer nodes have it in theirs
+	subsetCorrection float64 // factor on its weight: above 1 if fewer nodes than average have it in their subset
 }
 
 // newServer returns a server of which nothing is known.
@@ -62,23 +62,31 @@
 	}
 }
 
-// update takes over an entry of the endpoint list. A restarted server is another one: nothing learned of it
-// holds.
+// resetEjection forgets that the server was ejected.
+func (s *server) resetEjection() {
+	s.ejectedUntil = 0
+	s.consecutiveEjections = 0
+}
+
+// update sets the server's entry of the endpoint list. After a restart nothing that was learned of it applies.
 func (s *server) update(listed Server) {
 	if s.StartedAt != listed.StartedAt {
-		s.failureRate, s.consecutiveEjections, s.ejectedUntil = 0, 0, 0
-		s.latencyRatio, s.queueLength = 1, -1
+		s.resetEjection()
+		s.failureRate = 0
+		s.latencyRatio = 1
+		s.queueLength = -1
 		s.warmup.reset()
 		s.isUnresponsive = false
 		s.expectedConnections = 0
 	}
-	s.Server, s.isListed = listed, listed.State != Removed
+	s.Server = listed
+	s.isListed = listed.State != Removed
 }
 
-// isEjected reports whether the server is kept for when no other is left.
+// isEjected reports whether the server gets a request only when no other can serve it.
 func (s *server) isEjected(now time.Duration) bool { return s.isUnresponsive || now < s.ejectedUntil }
 
-// isSuspected reports whether the server is held to be down, by this node or by its peers.
+// isSuspected reports whether this node or its peers consider the server down.
 func (s *server) isSuspected(now time.Duration) bool {
 	return s.isUnresponsive || now < s.suspectedUntil
 }
@@ -86,7 +94,7 @@
 // acceptsRequests reports whether the server is in the list and not draining.
 func (s *server) acceptsRequests() bool { return s.isListed && s.State == Up }
 
-// weight is the server's relative size as listed.
+// weight returns the server's relative size as listed, or 1.
 func (s *server) weight() float64 {
 	if s.Weight > 0 {
 		return s.Weight
@@ -94,7 +102,7 @@
 	return 1
 }
 
-// decay forgets what was learned of a server that has nothing in flight.
+// decay keeps a fraction of what was learned of a server, if it has nothing in flight.
 func (s *server) decay(keep float64) {
 	if s.inFlight == 0 {
 		s.latencyRatio = 1 + (s.latencyRatio-1)*keep
@@ -102,7 +110,8 @@
 	}
 }
 
-// gossipIDOf names a server in findings. Two that share an ID are checked for each other's sake, and no more.
+// gossipIDOf returns the hash that identifies a server in findings. Of two servers with the same hash, a finding of one
+// has the other checked needlessly, and nothing worse.
 func gossipIDOf(id string) uint16 {
 	f := fnv.New32a()
 	f.Write([]byte(id))
@@ -110,8 +119,9 @@
 	return uint16(h ^ h>>16)
 }
 
-// capacityFraction grows from SlowStartMinFraction at the server's start to 1 over SlowStartWindow. A failed
-// connection may tell of a start that the endpoint list has not told of yet.
+// capacityFraction returns the fraction of its capacity that a server has, which grows linearly from
+// SlowStartMinFraction at its start to 1 after SlowStartWindow. A failed connection may be due to a start that the
+// endpoint list does not show yet.
 func (s *server) capacityFraction(now time.Duration, settings *Settings) float64 {
 	startedAt := max(s.StartedAt, s.connectFailedAt)
 	age := now - startedAt
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,14 +1,12 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
-const coldBudgetFraction = 0.5 // of the overload budget that is used: work varies
+const coldBudgetFraction = 0.5 // of what overloads a cold server: the work of a request varies
 
-// hasWarmupBudget reports whether a request of a class may be sent to a server that may be warming up. This
-// node sends a cold server part of the overload multiple of what a warm one is seen to serve, which all
-// nodes together cannot exceed.
+// hasWarmupBudget reports whether a server that warms up has the budget for a request of a class; a warm one
+// always has. Each node's budget follows from the work that it sends to a warm server, so that all nodes
+// together stay below what overloads a cold one.
 func (e *Engine) hasWarmupBudget(s *server, class int) bool {
 	capacity := e.capacityFraction(s)
 	zone := e.zones[s.Zone]
@@ -17,32 +15,31 @@
 		return true
 	}
 	if !s.inSubset {
-		return false // the nodes that have it in their subset warm it up
+		return false // the nodes with it in their subset warm it up
 	}
 	rate := coldBudgetFraction * e.settings.ColdOverloadMultiple * capacity * s.weight() * e.warmServerRate(s)
 	limit := math.Max(e.minWarmupBudget(class), rate*e.settings.ColdOverloadWindow.Seconds()/2)
 	s.warmup.refill(e.now, rate, limit, e.rng)
 	work := e.expectedWork(class)
 	if zone != nil && zone.WarmServerRate > 0 {
-		// A class of little value for its work leaves capacity to the others: it is mostly light, and
-		// would take all.
+		// Requests of low value are mostly light and would use up the budget: part is left to others.
 		work += (1 - e.relativeValue(class)) * limit / 2
 	}
 	return s.warmup.work >= work
 }
 
-// warmServerRate is the work a second that this node may send the server once it is warm, per unit of weight.
+// warmServerRate returns the work per second and unit of weight that this node may send the server once warm.
 func (e *Engine) warmServerRate(s *server) float64 {
 	if zone := e.zones[s.Zone]; zone != nil {
 		return zone.WarmServerRate
 	}
-	// A server does at least a second's work a second, which counts where no warm one is seen.
+	// A server does at least one second of work per second: the estimate while none is warm.
 	return math.Max(e.load.warmRate, 1/e.subset.meanHolders) * s.subsetCorrection / e.subset.width.Factor()
 }
 
-// minWarmupBudget is the work that is saved up for a cold server at least, so that a request of the class can
-// go there. With a subset each node saves for seconds for one request: a light class that looks in must not
-// cut off what has been saved for a heavier one.
+// minWarmupBudget returns the work that the budget must be able to hold, so that a request of the class can
+// be sent. With a subset, saving for one request takes seconds: the limit is the same for all classes, or a
+// check for a light one would cut what is saved for a heavy one.
 func (e *Engine) minWarmupBudget(class int) float64 {
 	largest := e.expectedWork(class)
 	if e.usesAllServers() {
@@ -54,5 +51,5 @@
 	return largest
 }
 
-// capacityFraction is the least fraction of its capacity that a server can have by now.
+// capacityFraction returns the fraction of its capacity that a server has now.
 func (e *Engine) capacityFraction(s *server) float64 { return s.capacityFraction(e.now, &e.settings) }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -78,7 +78,7 @@
 	e.settings.Classes[light].LatencyObjective, e.settings.Classes[heavy].LatencyObjective = 400*ms, 800*ms
 	cold := map[string]bool{}
 	for i, s := range e.subset.members {
-		e.serverResponded(s)
+		e.recordResponseFrom(s)
 		if i%2 == 0 {
 			s.StartedAt, s.warmup.work, s.warmup.updatedAt = e.now-e.settings.SlowStartWindow/4, 0, e.now
 			cold[s.ID] = true
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -11,22 +11,22 @@
 // zoneSuspicion is how long a lost zone's servers are suspected for, unless the watch renews it.
 const zoneSuspicion = 2 * sampleInterval
 
-// zoneResponded takes in that a server of a zone responded.
-func (e *Engine) zoneResponded(s *server) {
+// observeZoneResponse takes in that a server of a zone responded.
+func (e *Engine) observeZoneResponse(s *server) {
 	if !e.usesAllServers() {
 		e.zoneWatch.ObserveResponse(s.Zone, e.now)
 	}
 }
 
-// zoneFailed takes in that something sent to a server of a zone came to nothing.
-func (e *Engine) zoneFailed(s *server, sent time.Duration) {
+// observeZoneFailure takes in that something sent to a server of a zone came to nothing.
+func (e *Engine) observeZoneFailure(s *server, sent time.Duration) {
 	if !e.usesAllServers() {
 		e.zoneWatch.ObserveFailure(s.Zone, uint64(s.gossipID), sent, e.now)
 	}
 }
 
-// zoneReported takes in what a peer says of a server of this node's subset.
-func (e *Engine) zoneReported(s *server, from int, finding serverFinding) {
+// observeZoneFinding takes in what a peer says of a server of this node's subset.
+func (e *Engine) observeZoneFinding(s *server, from int, finding serverFinding) {
 	if finding.isUp {
 		e.zoneWatch.ObservePeerResponse(s.Zone, from, e.now)
 	} else {
