--- a/policy/doc.go
+++ b/policy/doc.go
@@ -7,7 +7,7 @@
 // An Engine is not safe for concurrent use: the host makes one call at a time. Actions are called
 // synchronously, in the order they are to take effect, and must not call back into the engine. Times passed in
 // are readings of one clock that never goes backwards; its origin does not matter. Events that name an unknown
-// or finished request, server, timer or attempt are ignored. The engine retains none of the slices passed to it.
+// or finished request, server, timer or attempt are ignored. The engine retains no slice passed to it.
 //
 // The files of the package that decide (which server, whether to retry, what to admit) are listed in
 // deploy/balancer.toml and bounded in size. The others hold the measurements, counters, encodings and tables that these decide by.
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -1,17 +1,17 @@
 package policy
 
-// Gossip between instances: what each has spent of a customer's quota goes as differences, its attempts in flight as
-// absolute counts.
+// Gossip between instances. The units that each has taken from a customer's quota are sent as differences, its attempts
+// in flight as absolute counts.
 
 import (
 	"math"
 	"time"
 )
 
-// maxIdleGossipRounds is the messages that report nothing in flight, so that a lost one does no harm.
+// maxIdleGossipRounds is how many messages in a row report that nothing is in flight, since some may be lost.
 const maxIdleGossipRounds = 3
 
-// GossipReceived brings a message of another instance. A malformed one is ignored whole.
+// GossipReceived handles a message of another instance. A malformed one has no effect.
 func (e *Engine) GossipReceived(now time.Duration, from int, message []byte, actions Actions) {
 	e.beginEvent(now, actions)
 	if from < 0 || from >= len(e.gossip.peers) || from == e.settings.InstanceIndex || len(message) == 0 {
@@ -29,8 +29,8 @@
 	e.receiveEntries(from, e.gossip.peers[from].newEntries(decoded))
 }
 
-// receiveEntries takes in what a peer tells of customers. Its plan of a customer may have changed and this instance's
-// not yet, or the other way round: the units spent count all the same.
+// receiveEntries handles a peer's entries. The two instances may know different plans of a customer for a while: the
+// units that the peer took count in any case.
 func (e *Engine) receiveEntries(from int, entries []gossipEntry) {
 	for _, entry := range entries {
 		quota := e.quotaFor(entry.customer, entry.scope)
@@ -49,15 +49,15 @@
 	quota.peerInFlight[from] = peerCount{inFlight, e.now}
 }
 
-// markForGossip has the next broadcast tell of a quota, unless its owner is asked.
+// markForGossip includes a quota in the next broadcast, unless quota requests to its owner take the place of gossip.
 func (e *Engine) markForGossip(quota *customerQuota) {
 	if !quota.usesOwner && e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
 		e.gossip.mark(quota)
 	}
 }
 
-// broadcast tells each peer of the pending quotas whose customers it serves, and returns the most messages that one
-// was sent.
+// broadcast sends each peer the pending quotas of the customers that it serves. It returns the largest number of
+// messages sent to one peer.
 func (e *Engine) broadcast() (maxMessages int) {
 	for peer := range e.gossip.peers {
 		if peer != e.settings.InstanceIndex {
@@ -68,7 +68,7 @@
 	return maxMessages
 }
 
-// broadcastTo tells a peer of the pending quotas, in as many messages as it takes, and returns their number.
+// broadcastTo sends a peer the pending quotas, in as many messages as needed, and returns their number.
 func (e *Engine) broadcastTo(instance int) (messages int) {
 	codec, receiver := e.codec(), &e.gossip.peers[instance]
 	var entries encodedEntries
@@ -95,9 +95,14 @@
 	return messages
 }
 
-// gossipEntryFor returns what a peer is told of a quota. It takes the units for it that it is sent.
+// gossipEntryFor returns the entry of a quota for a peer. Units that it transfers to the peer are taken off here.
 func (e *Engine) gossipEntryFor(quota *customerQuota, peer int) gossipEntry {
-	entry := gossipEntry{customer: quota.key, scope: quota.quotaScope, units: quota.pendingUnits, inFlight: quota.inFlight}
+	entry := gossipEntry{
+		customer: quota.key,
+		scope:    quota.quotaScope,
+		units:    quota.pendingUnits,
+		inFlight: quota.inFlight,
+	}
 	if e.planOf(quota).HardLimitRate > 0 {
 		entry.transferred = e.transferQuota(quota, peer)
 		entry.deficit = e.quotaDeficit(quota)
@@ -105,8 +110,8 @@
 	return entry
 }
 
-// recordBroadcast notes that all peers have been told of the quota. Counts in flight are told until several messages
-// have said that there are none.
+// recordBroadcast resets what was counted since the last broadcast. Attempts in flight are sent until several messages
+// in a row have reported none.
 func (q *customerQuota) recordBroadcast(plan *Plan) {
 	q.pendingUnits -= math.Round(q.pendingUnits)
 	q.unitsSinceGossip, q.startedSinceGossip, q.unmetUnits = 0, 0, 0
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -2,8 +2,8 @@
 
 // The encoding of gossip between the instances of a fleet. All numbers are varints.
 //
-// A gossip message holds the sender's epoch, its sequence number, a count of entries and the entries, then count
-// and entries of the message before. An entry holds the customer, its scope, the units as a signed difference, for
+// A gossip message holds the sender's epoch, its sequence number, the number of entries and the entries, then number
+// and entries of the previous message. An entry holds the customer, its scope, the units as a signed difference, for
 // a plan with MaxInFlight the attempts in flight as an absolute count, and for a plan with a hard limit the units
 // transferred to the peer and the units that the sender lacks.
 
@@ -12,9 +12,9 @@
 	"errors"
 )
 
-// The first byte of a message says what it is.
+// The kinds of a message, its first byte.
 const (
-	kindGossipV1 = iota // without transfers: no instance sends it any more
+	kindGossipV1 = iota // without transfers: received from earlier versions only
 	kindQuotaRequest
 	kindQuotaResponse
 	kindQuotaReturn
@@ -24,18 +24,18 @@
 )
 
 const (
-	maxMessageSize    = 256                    // that the transport takes
+	maxMessageSize    = 256                    // bytes, the limit of [Actions.SendGossip]
 	maxEntrySize      = 10 + 5 + 4 + 4 + 4 + 4 // customer, scope, units, in flight, transferred, deficit
-	maxNewEntriesSize = 180                    // in a message; the repeated entries follow if they fit
-	maxEntryCount     = 1 << 20                // of attempts or units in an entry: more is cut
-	maxSignedNumber   = 1_000_000              // either way: more is malformed
+	maxNewEntriesSize = 180                    // in a message; the repeated ones follow if there is space
+	maxEntryCount     = 1 << 20                // attempts or units in an entry; more is truncated
+	maxSignedNumber   = 1_000_000              // in either direction; more is malformed
 )
 
 // errMalformed is returned for a message that breaks the encoding in any part.
 var errMalformed = errors.New("policy: malformed message of a peer")
 
-// gossipCodec encodes and decodes messages. It goes by the figures of the plans that say which numbers an entry
-// has, and by the fleet's size.
+// gossipCodec encodes and decodes messages. Which numbers an entry has depends on its plan; how a scope is packed, on
+// the fleet's size.
 type gossipCodec struct {
 	plans     []Plan
 	fleetSize int
@@ -46,7 +46,7 @@
 	return gossipCodec{plans: e.settings.Plans, fleetSize: e.settings.InstanceCount}
 }
 
-// gossipEntry is what one instance tells a peer about one customer.
+// gossipEntry is what one instance reports to a peer about one customer's quota.
 type gossipEntry struct {
 	customer    uint64
 	scope       quotaScope
@@ -60,7 +60,7 @@
 type gossipMessage struct {
 	epoch, sequence uint64
 	entries         []gossipEntry
-	previousEntries []gossipEntry // those of the message before, if they fitted
+	previousEntries []gossipEntry // those of the previous message, if there was space
 }
 
 // encodedEntries are the entries of one message.
@@ -150,20 +150,20 @@
 	return quotaScope{plan: int(plan), instanceCount: int(packed/n%n) + 1, firstInstance: int(packed % n)}
 }
 
-// varintReader takes numbers off a message. After a malformed one it reads zeros.
+// varintReader reads the numbers of a message. After a malformed one it reads zeros.
 type varintReader struct {
 	rest      []byte
 	malformed bool
 }
 
-// uint takes an unsigned number.
+// uint reads an unsigned number.
 func (r *varintReader) uint() uint64 {
 	x, n := binary.Uvarint(r.rest)
 	r.skip(n)
 	return x
 }
 
-// int takes a signed number of at most maxSignedNumber, either way.
+// int reads a signed number of at most maxSignedNumber in either direction.
 func (r *varintReader) int() int64 {
 	x, n := binary.Varint(r.rest)
 	r.skip(n)
@@ -179,7 +179,7 @@
 	r.rest = r.rest[n:]
 }
 
-// err returns errMalformed if any number was malformed or some are left over.
+// err returns errMalformed if any number was malformed or bytes are left.
 func (r *varintReader) err() error {
 	if r.malformed || len(r.rest) > 0 {
 		return errMalformed
--- a/policy/gossip_peer.go
+++ b/policy/gossip_peer.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// peerCount is what a peer told last of its attempts in flight.
+// peerCount is the number of attempts in flight that a peer reported last for a customer.
 type peerCount struct {
 	inFlight   int
 	receivedAt time.Duration
 }
 
-// peer numbers the gossip to and from one peer. Each message repeats the entries of the one before, so that a single
-// loss costs nothing; sequence numbers tell lost, repeated and late messages apart. Each process of the peer has an
-// epoch of its own, drawn at its start, in which its numbers begin anew.
+// peer numbers the gossip to and from one peer. Each message repeats the entries of the previous one, so that a single
+// loss has no effect; sequence numbers tell lost, repeated and reordered messages apart. Each process of the peer has
+// its own random epoch, in which its sequence numbers restart.
 type peer struct {
 	sequence uint64         // of the last message sent
-	sent     encodedEntries // its entries
+	sent     encodedEntries // the entries of that message
 
-	isKnown          bool
-	epoch            uint64
-	previousEpoch    uint64
-	receivedSequence uint64
+	isKnown          bool   // a message has been received from it
+	epoch            uint64 // of the last message received
+	previousEpoch    uint64 // of its earlier process
+	receivedSequence uint64 // highest in this epoch
 }
 
-// needsMessage reports whether a message with the entries would tell the peer anything: these, or again those before.
+// needsMessage reports whether a message has to be sent: for new entries, or to repeat those of the last message.
 func (p *peer) needsMessage(entries encodedEntries) bool {
 	return entries.count > 0 || p.sent.count > 0
 }
@@ -34,7 +34,7 @@
 	return message
 }
 
-// newEntries notes that a message has come and returns those of its entries that were not received before.
+// newEntries records the numbers of a message and returns those of its entries that were not received before.
 func (p *peer) newEntries(m gossipMessage) []gossipEntry {
 	isOfOldProcess := m.epoch == p.previousEpoch && m.epoch != p.epoch
 	if p.isKnown && isOfOldProcess {
@@ -42,7 +42,7 @@
 	}
 	if !p.isKnown || m.epoch != p.epoch {
 		p.startEpoch(m.epoch)
-		// An earlier process of this instance may have taken and spent what was transferred then.
+		// An earlier process of this instance may have received and spent these transfers.
 		for i := range m.previousEntries {
 			m.previousEntries[i].transferred = 0
 		}
@@ -58,7 +58,7 @@
 	return m.entries
 }
 
-// startEpoch begins to number the messages of a peer that has restarted.
+// startEpoch restarts the sequence numbers, for a peer that has restarted.
 func (p *peer) startEpoch(epoch uint64) {
 	p.previousEpoch, p.epoch = p.epoch, epoch
 	p.receivedSequence = 0
--- a/policy/gossip_state.go
+++ b/policy/gossip_state.go
@@ -4,16 +4,16 @@
 
 const (
 	minGossipInterval    = 40 * time.Millisecond
-	gossipIntervalFactor = 1.3 // interval as a multiple of what the inbox limit allows
+	gossipIntervalFactor = 1.3 // interval as a multiple of the shortest that the inbox limit allows
 )
 
-// gossipState is what an instance keeps for its gossip. Invariant: pending holds just the quotas whose needsGossip is
+// gossipState is the state of an instance's gossip. Invariant: pending holds exactly the quotas whose needsGossip is
 // set.
 type gossipState struct {
-	epoch    uint64 // tells this process from those before it
-	peers    []peer // by instance
-	interval time.Duration
-	pending  []*customerQuota // to be told with the next broadcast
+	epoch    uint64           // random, to tell this process from earlier ones
+	peers    []peer           // by instance
+	interval time.Duration    // between broadcasts
+	pending  []*customerQuota // to be sent with the next broadcast
 	received float64          // messages in this sample
 	rate     float64          // received a second, moving average
 }
@@ -22,7 +22,7 @@
 	return gossipState{epoch: epoch, peers: make([]peer, instanceCount)}
 }
 
-// gossipInterval returns the time between broadcasts: as short as the inboxes of the peers allow, if they are limited.
+// gossipInterval returns the time between broadcasts: the shortest that the peers' inbox limit allows, if there is one.
 func (s *Settings) gossipInterval() time.Duration {
 	if s.GossipInboxRate <= 0 {
 		return sampleInterval
@@ -32,7 +32,7 @@
 	return max(interval, s.MinEventInterval, minGossipInterval)
 }
 
-// mark adds a quota to those that the next broadcast tells of.
+// mark adds a quota to the next broadcast.
 func (g *gossipState) mark(quota *customerQuota) {
 	if !quota.needsGossip {
 		quota.needsGossip = true
@@ -40,7 +40,7 @@
 	}
 }
 
-// endBroadcast notes that all peers have been told of the pending quotas. Some are to be told of again.
+// endBroadcast records that the pending quotas have been sent to all peers. Some remain for the next broadcast.
 func (g *gossipState) endBroadcast(plans []Plan) {
 	pending := g.pending[:0]
 	for _, quota := range g.pending {
@@ -52,7 +52,7 @@
 	g.pending = pending
 }
 
-// closeSample takes the messages of a sample into the rate.
+// closeSample updates the rate with the messages of a sample.
 func (g *gossipState) closeSample() {
 	g.rate += rateWeight * (g.received/sampleInterval.Seconds() - g.rate)
 	g.received = 0
--- a/policy/health_check_budget.go
+++ b/policy/health_check_budget.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// healthChecker limits the scheduled health checks to a fraction of the requests forwarded: checks have a price and cost
-// the servers work. Invariant: 0 <= credit <= 1, where 1 is one check.
+// healthChecker limits the scheduled health checks to a fraction of the requests forwarded: checks have a price and
+// cost the servers work. Invariant: 0 <= credit <= 1, where 1 is one check.
 type healthChecker struct{ credit float64 }
 
 // earn adds to the credit what the requests forwarded in a sample earn, in checks.
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -1,8 +1,8 @@
 package policy
 
-// Hot restart: what a process hands to its successor, so that both count as one. It is what customers have spent and
-// what was learned of classes, servers and load. Requests in flight stay with the process that took them. Times are
-// readings of the clock that both go by.
+// Hot restart: the state that a process passes to its successor, which continues in its place. It holds what customers
+// have spent and what was learned of classes, servers and load. Requests in flight stay with the process that received
+// them. Times are readings of the clock, which both processes share.
 
 import (
 	"encoding/json"
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// stateFormat is the latest format that is understood. It grows with each change that an older successor, going by
-// what it knows of the text, would get wrong.
+// stateFormat is the latest format that is understood. It is incremented for each change that a successor of an older
+// version would misread.
 const stateFormat = 1
 
-// engineState is the text's shape; names stand for indexes, which may differ in the successor's settings.
+// engineState is the encoded state. It identifies classes, plans and kinds by name, since their indexes may differ in the
+// successor's settings.
 type engineState struct {
 	Format            int           `json:"Form"` // stateFormat of the writer
 	InstanceCount     int           `json:"Instances"`
@@ -36,7 +37,8 @@
 	HealthCheckCredit float64 `json:"ProbeDue"`
 }
 
-// ExportState returns the text for [Engine.ImportState]. The engine goes on with the requests that it has.
+// ExportState returns the state for [Engine.ImportState], as JSON. The engine continues to serve its requests. The error
+// is that of the encoder.
 func (e *Engine) ExportState(now time.Duration) ([]byte, error) {
 	e.now = now
 	state := engineState{
@@ -60,7 +62,7 @@
 	}
 	for _, kind := range e.latencies.kindRatios {
 		state.KindRatios = append(state.KindRatios, kind.mean)
-		state.KindSamples = append(state.KindSamples, kind.n)
+		state.KindSamples = append(state.KindSamples, kind.samples)
 	}
 	for _, s := range e.servers.list {
 		state.Servers = append(state.Servers, s.export())
@@ -71,8 +73,9 @@
 	return json.Marshal(state)
 }
 
-// ImportState goes on where the process left off that exported the text. Call it after [Engine.Start] and the first
-// endpoint list, before the first request. An error changes nothing: the engine begins as after a start.
+// ImportState restores the state that the predecessor process exported. Call it after [Engine.Start] and the first
+// endpoint list, before the first request. With an error, for a text that is malformed or of other settings, nothing
+// changes: the engine continues as after a start.
 func (e *Engine) ImportState(now time.Duration, text []byte) error {
 	var state engineState
 	if err := json.Unmarshal(text, &state); err != nil {
@@ -108,7 +111,7 @@
 	return nil
 }
 
-// validate returns an error if the state cannot be taken over by an engine with the settings.
+// validate returns an error if an engine with the settings cannot import the state.
 func (state *engineState) validate(settings *Settings) error {
 	if state.Format > stateFormat {
 		return fmt.Errorf("what was handed over has form %d, and %d is the latest known", state.Format, stateFormat)
--- a/policy/hot_restart_learned.go
+++ b/policy/hot_restart_learned.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// latencyState is what was learned of a class.
+// latencyState is the encoded latency of a class.
 type latencyState struct {
 	Mean            float64
 	Deviation       float64       `json:"Dev"`
@@ -19,7 +19,7 @@
 	return state
 }
 
-// restoreClass sets what was saved of a class, with the names of the kinds in the order of the export.
+// restoreClass restores the latency of a class. The kinds are those of the export, in its order.
 func (t *latencyTable) restoreClass(class int, saved latencyState, kinds []string) {
 	c := &t.classes[class]
 	c.mean, c.deviation, c.samples = saved.Mean, saved.Deviation, saved.Samples
@@ -43,7 +43,7 @@
 	return names
 }
 
-// restoreKinds sets what was saved of the kinds.
+// restoreKinds restores the latencies of the machine kinds.
 func (t *latencyTable) restoreKinds(state *engineState) {
 	for k, name := range state.Kinds {
 		if k < len(state.KindRatios) && k < len(state.KindSamples) {
@@ -52,7 +52,8 @@
 	}
 }
 
-// savedServer is what was learned of a server.
+// savedServer is the encoded state of a server. The engine's types are mapped field by field, so that they can change
+// while the encoding stays.
 type savedServer struct {
 	ID                   string
 	StartedAt            time.Duration   `json:"Boot"`
@@ -91,7 +92,7 @@
 	}
 }
 
-// restore sets what was saved of the same process of the server.
+// restore restores what was learned of the same process of the server.
 func (s *server) restore(saved savedServer, now time.Duration) {
 	s.lastProgressAt = saved.LastProgressAt
 	s.ejectedUntil = saved.EjectedUntil
@@ -105,7 +106,7 @@
 	s.isUnresponsive = saved.IsUnresponsive
 }
 
-// overloadState is the state of the overload control.
+// overloadState is the encoded state of the overload controller.
 type overloadState struct {
 	AdmitFraction    float64                       `json:"F"`
 	ThrottleCredit   float64                       `json:"R"`
@@ -149,7 +150,7 @@
 	}
 }
 
-// peerState is a peer's gossip numbering.
+// peerState is the encoded numbering of a peer's gossip.
 type peerState struct {
 	IsKnown          bool   `json:"Heard"`
 	Epoch            uint64 `json:"InEpoch"`
--- a/policy/hot_restart_quotas.go
+++ b/policy/hot_restart_quotas.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// quotaState is a customer's quota.
+// quotaState is the encoded state of a customer's quota.
 type quotaState struct {
 	Customer           uint64        `json:"Key"`
 	Plan               int           // index in the exported plans
@@ -29,7 +29,7 @@
 	LeaseExpiresAt []time.Duration `json:"LeaseEnds,omitempty"`
 }
 
-// isValid reports whether the state can be one of a quota under one of so many plans.
+// isValid reports whether the state is consistent, for a number of plans and instances.
 func (s *quotaState) isValid(planCount, fleetSize int) bool {
 	hasPlan := s.Plan >= 0 && s.Plan < planCount
 	hasCount := s.InstanceCount >= 1 && s.InstanceCount <= fleetSize
@@ -66,7 +66,7 @@
 		IdleGossipRounds:   q.idleGossipRounds,
 		NeedsGossip:        q.needsGossip,
 		GrantFraction:      q.grantFraction,
-		UnitsInTransit:     q.unitsInTransit[0] + q.unitsInTransit[1],
+		UnitsInTransit:     q.inTransit.units + q.inTransit.earlierUnits,
 	}
 	for _, count := range q.peerInFlight {
 		state.PeerInFlight = append(state.PeerInFlight, count.inFlight)
@@ -80,7 +80,7 @@
 	return state
 }
 
-// importQuota takes over a quota that was bounded by a plan of the predecessor. One whose plan is gone is left out.
+// importQuota restores a quota that had a plan of the predecessor. One whose plan no longer exists is left out.
 func (e *Engine) importQuota(saved quotaState, oldPlan *Plan) {
 	plan, ok := e.planIndex[oldPlan.Name]
 	if !ok || e.quotas.byCustomer[saved.Customer] != nil {
@@ -93,7 +93,8 @@
 	e.splitQuota(quota, oldPlan)
 	quota.restore(saved, e.now, e.settings.InstanceCount)
 	for range saved.InFlight { // attempts that the predecessor still has in flight
-		quota.leases = append(quota.leases, lease{from: e.settings.InstanceIndex, expiresAt: e.now + e.maxLatencyObjective()})
+		expiresAt := e.now + e.maxLatencyObjective()
+		quota.leases = append(quota.leases, lease{from: e.settings.InstanceIndex, expiresAt: expiresAt})
 	}
 	e.quotas.add(quota)
 	if *oldPlan != e.settings.Plans[plan] {
@@ -104,7 +105,7 @@
 	}
 }
 
-// restore sets what was saved of the quota, but for its pending gossip and attempts in flight.
+// restore restores the quota, except for its pending gossip and its attempts in flight.
 func (q *customerQuota) restore(saved quotaState, now time.Duration, fleetSize int) {
 	q.refilledAt = min(saved.RefilledAt, now)
 	q.rejectedUntil, q.contendedUntil = saved.RejectedUntil, saved.ContendedUntil
@@ -112,7 +113,7 @@
 	q.unitsSinceGossip, q.pendingUnits = saved.UnitsSinceGossip, saved.PendingUnits
 	q.startedSinceGossip, q.idleGossipRounds = saved.StartedSinceGossip, saved.IdleGossipRounds
 	q.grantFraction = saved.GrantFraction
-	q.unitsInTransit, q.transitSince = [2]float64{saved.UnitsInTransit}, now
+	q.inTransit = unitsInTransit{units: saved.UnitsInTransit, since: now}
 	if len(saved.PeerInFlight) > 0 {
 		q.peerInFlight = make([]peerCount, fleetSize)
 	}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -8,43 +8,48 @@
 const (
 	latencyWeight      = 0.15 // of a new sample in a server's latency ratio
 	minBatchSamples    = 16   // in a mean that may count as the lowest latency
-	lowestLatencyDrift = 0.01 // by which the lowest latency creeps up at each batch
+	lowestLatencyDrift = 0.01 // by which the lowest latency grows with each batch
 	firstTrySteps      = 20   // steps of the first try's timeout in a latency objective
-	firstTryDecaySteps = 10   // times that a step down is smaller: the longest tenth counts
+	firstTryDecaySteps = 10   // by how much smaller a step down is: converges to the 90th percentile
+	initialWorkDivisor = 4    // of a latency objective, for the estimate of work that is not known
+	minLatencyDivisor  = 1e-6 // seconds, to avoid a division by 0
 )
 
 // latencyTable holds the latencies learned per class and per machine kind.
-// Invariant: kindRatios and kindIndex have one entry per kind ever listed, and a kind keeps its place.
+// Invariant: kindRatios and kindIndex have one entry per kind ever listed, and a kind keeps its index.
 type latencyTable struct {
-	classes    []classLatency
-	kindIndex  map[string]int
-	kindRatios []*kindRatio
+	classes    []classLatency // by class index
+	kindIndex  map[string]int // by name
+	kindRatios []*kindRatio   // by kind index
 }
 
 // classLatency is the latency learned for a class.
 type classLatency struct {
 	mean, deviation float64 // seconds
 	samples         int
-	kinds           []kindLatency
-	firstTryTimeout time.Duration // that a client's first try has left
+	kinds           []kindLatency // by kind index
+	firstTryTimeout time.Duration // timeout of clients' first tries
 }
 
-// kindLatency finds the lowest mean latency of a class on one kind of server.
+// kindLatency measures the lowest mean latency of a class on one machine kind.
 type kindLatency struct {
-	sum     float64
-	samples int
-	lowest  float64 // seconds; 0: not known
+	sum     float64 // of the open batch, in seconds
+	samples int     // in the open batch
+	lowest  float64 // mean of a batch, in seconds; 0: not known
 }
 
-// kindRatio is the latency of a kind as a multiple of the mean.
-type kindRatio struct{ mean, n float64 }
+// kindRatio is the mean latency of a kind as a multiple of that of the class.
+type kindRatio struct {
+	mean    float64
+	samples float64
+}
 
-// newLatencyTable returns a table in which nothing is known.
+// newLatencyTable returns an empty table.
 func newLatencyTable(classCount int) latencyTable {
 	return latencyTable{classes: make([]classLatency, classCount), kindIndex: map[string]int{}}
 }
 
-// addKind returns the place of a kind, and makes one for a new kind.
+// addKind returns the index of a kind, which it adds if it is new.
 func (t *latencyTable) addKind(name string) int {
 	if i, ok := t.kindIndex[name]; ok {
 		return i
@@ -55,12 +60,12 @@
 	return i
 }
 
-// record learns from the latency, in seconds, of one response of a class from a kind. It returns the latency
-// as a multiple of the class's mean, and the lowest latency known of the class on the kind.
+// record adds the latency, in seconds, of one response of a class from a kind. It returns the latency as a multiple of
+// the class's mean, and the lowest mean latency of the class on the kind, in seconds.
 func (t *latencyTable) record(class int, kind string, seconds float64) (ratio, lowest float64) {
 	c := &t.classes[class]
 	c.record(seconds)
-	ratio = seconds / math.Max(c.mean, 1e-6)
+	ratio = seconds / math.Max(c.mean, minLatencyDivisor)
 	i := t.kindIndex[kind]
 	t.kindRatios[i].record(ratio)
 	for len(c.kinds) <= i {
@@ -70,7 +75,7 @@
 	return ratio, c.kinds[i].lowest
 }
 
-// record learns from the latency of one response.
+// record adds the latency of one response.
 func (c *classLatency) record(seconds float64) {
 	if c.mean == 0 {
 		c.mean, c.deviation = seconds, seconds/2
@@ -80,8 +85,8 @@
 	c.mean += slowMeanWeight * (seconds - c.mean)
 }
 
-// learnFirstTryTimeout learns from the timeout that a client's try has left, by which first tries are told from later
-// ones: a high quantile, not the maximum, as single clients must not make all others look late.
+// learnFirstTryTimeout updates the timeout of first tries with that of a client's try. It estimates a high quantile and
+// not the maximum, since a few clients with long timeouts must not make all others look late.
 func (c *classLatency) learnFirstTryTimeout(timeout, objective time.Duration) {
 	if c.firstTryTimeout == 0 {
 		c.firstTryTimeout = timeout
@@ -94,14 +99,14 @@
 	}
 }
 
-// record learns from one latency as a multiple of its class's mean.
+// record adds one latency as a multiple of its class's mean.
 func (r *kindRatio) record(ratio float64) {
-	r.n++
-	r.mean += math.Max(1/(r.n+1), slowMeanWeight) * (ratio - r.mean)
+	r.samples++
+	r.mean += math.Max(1/(r.samples+1), slowMeanWeight) * (ratio - r.mean)
 }
 
-// record adds to a batch. The mean of a full one may be the lowest, which creeps up at each batch so that a
-// change of the servers is found in time.
+// record adds a latency to the batch. The mean of a full batch may be the lowest, which drifts up with each batch so
+// that it follows servers that become slower.
 func (k *kindLatency) record(seconds float64) {
 	k.sum += seconds
 	k.samples++
@@ -116,7 +121,7 @@
 	k.sum, k.samples = 0, 0
 }
 
-// mean is the mean latency over the classes, in seconds; 0: nothing is known.
+// mean returns the mean latency over the classes, in seconds; 0: not known.
 func (t *latencyTable) mean() float64 {
 	var sum, n float64
 	for i := range t.classes {
@@ -127,42 +132,42 @@
 	return sum / math.Max(n, 1)
 }
 
-// learnedWork is the work of one request of a class, in seconds of the lowest latency seen; 0: not known.
+// learnedWork returns the work of one request of a class: the lowest mean latency on any kind, in seconds; 0: not known.
 func (t *latencyTable) learnedWork(class int) float64 {
-	least := 0.0
+	lowest := 0.0
 	for _, k := range t.classes[class].kinds {
-		if k.lowest > 0 && (least == 0 || k.lowest < least) {
-			least = k.lowest
+		if k.lowest > 0 && (lowest == 0 || k.lowest < lowest) {
+			lowest = k.lowest
 		}
 	}
-	return least
+	return lowest
 }
 
-// expectedWork is the learned work of one request of a class or, as long as it is not known, a guess by the
-// class's latency objective.
+// expectedWork returns the learned work of one request of a class, in seconds, or an estimate from the latency objective
+// while it is not known.
 func (t *latencyTable) expectedWork(class int, objective time.Duration) float64 {
-	if w := t.learnedWork(class); w > 0 {
-		return w
+	if work := t.learnedWork(class); work > 0 {
+		return work
 	}
-	return objective.Seconds() / 4
+	return objective.Seconds() / initialWorkDivisor
 }
 
-// kindSpeed is the speed of a kind against the mean, at most 1; isKnown is false for one not measured.
+// kindSpeed returns the speed of a kind as a fraction of the mean, at most 1. For one not measured isKnown is false.
 func (t *latencyTable) kindSpeed(kind string) (speed float64, isKnown bool) {
 	r := t.kindRatios[t.kindIndex[kind]]
-	if r.n <= 0 {
+	if r.samples <= 0 {
 		return 1, false
 	}
 	return math.Min(1/r.mean, 1), true
 }
 
-// expectedWork is the work of one request of a class, in seconds of a request served alone.
+// expectedWork returns the work of one request of a class: the seconds that it takes on an idle server.
 func (e *Engine) expectedWork(class int) float64 {
 	return e.latencies.expectedWork(class, e.settings.Classes[class].LatencyObjective)
 }
 
-// recordLatency learns from one response. Where no load report tells a server's occupancy, latency stands for
-// it: each latency weighs by its length, which makes the mean over a sample 1 - lowest/mean.
+// recordLatency adds the latency of one response. Without load reports it also is a reading of the occupancy,
+// 1 - lowest/latency with the weight latency/lowest: the mean of these over a sample is 1 - lowest/mean.
 func (e *Engine) recordLatency(class int, s *server, latency time.Duration) {
 	seconds := latency.Seconds()
 	ratio, lowest := e.latencies.record(class, s.Kind, seconds)
@@ -173,11 +178,11 @@
 	if lowest > 0 {
 		e.overload.addOccupancies(seconds/lowest-1, seconds/lowest)
 	} else {
-		e.overload.addOccupancy(0) // or a few rejections by servers would be all there is
+		e.overload.addOccupancy(0) // else rejections by servers would be the only readings
 	}
 }
 
-// maxLatencyObjective is the longest latency objective of all classes.
+// maxLatencyObjective returns the longest latency objective of all classes.
 func (e *Engine) maxLatencyObjective() (longest time.Duration) {
 	for _, c := range e.settings.Classes {
 		longest = max(longest, c.LatencyObjective)
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// utilizationWeight is the weight of a new report in a server's utilization.
+// utilizationWeight is the weight of a new report in the moving average of a server's utilization.
 const utilizationWeight = 0.3
 
-// lacksLoadReport reports whether latency has to stand for a server's load report. With a subset of the
-// servers, each of which is checked seldom, any recent report will do: latencies of a fleet under load have no
-// lowest yet, and would outweigh the reports.
+// lacksLoadReport reports whether latency has to take the place of a server's load report. With a subset, whose servers
+// are checked rarely, one recent report of any server is enough: while a fleet is under load, the lowest latency is not
+// known, and readings by latency would outnumber the reports.
 func (e *Engine) lacksLoadReport(s *server) bool {
 	if e.usesAllServers() {
 		return s.reportedAt == 0
@@ -15,7 +15,7 @@
 	return e.lastLoadReportAt == 0 || e.now-e.lastLoadReportAt > decayTime
 }
 
-// recordLoadReport takes in a load report, if one came.
+// recordLoadReport records a load report; nil has no effect.
 func (e *Engine) recordLoadReport(s *server, report *LoadReport) {
 	if report == nil {
 		return
--- a/policy/numbers.go
+++ b/policy/numbers.go
@@ -1,6 +1,6 @@
 package policy
 
-// boolToInt is 1 for true, so that conditions can be counted.
+// boolToInt returns 1 for true, to count conditions.
 func boolToInt(b bool) int { return int(boolToFloat(b)) }
 
 // boolToFloat is boolToInt for floating-point sums.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -140,8 +140,12 @@
 // receiveServerFinding is receiveFinding for the server found.
 func (e *Engine) receiveServerFinding(s *server, from int, finding serverFinding) {
 	e.observeZoneFinding(s, from, finding)
-	reports := &s.suspicionReports[boolToInt(finding.isUp)]
-	if !reports.confirms(from, e.now) || s.isUnresponsive != finding.isUp {
+	reports := &s.downReports
+	if finding.isUp {
+		reports = &s.upReports
+	}
+	isConfirmed := reports.add(from, e.now)
+	if !isConfirmed || s.isUnresponsive != finding.isUp {
 		return
 	}
 	if !finding.isUp {
--- a/policy/quota_bucket.go
+++ b/policy/quota_bucket.go
@@ -1,7 +1,7 @@
 package policy
 
-// The arithmetic of a customer's quota: token buckets that refill with time, and what has been taken from them.
-// What is admitted, granted or transferred is decided elsewhere.
+// The arithmetic of a customer's quota: token buckets, their refill, and the units taken. What is admitted, granted and
+// transferred is decided in quota.go, quota_owner.go and quota_transfer.go.
 
 import (
 	"math"
@@ -9,14 +9,14 @@
 )
 
 const (
-	idleQuotaTTL  = 5 * time.Second // a quota without a rate is dropped when idle so long
-	maxRefillTime = time.Minute     // a longer wait is not reported
+	idleQuotaTTL  = 5 * time.Second // after which an idle quota without a rate is dropped
+	maxRefillTime = time.Minute     // the longest wait that is returned
 )
 
-// quotaScope says which plan bounds a customer, and through which instances its requests come in: so many from
-// the first one on, counted round the fleet.
+// quotaScope is a customer's plan and the instances that receive its requests: instanceCount of them from firstInstance
+// on, modulo the fleet's size.
 type quotaScope struct {
-	plan          int
+	plan          int // index in [Settings.Plans]
 	instanceCount int
 	firstInstance int
 }
@@ -26,34 +26,35 @@
 	return (instance-s.firstInstance+fleetSize)%fleetSize < s.instanceCount
 }
 
-// customerQuota is a customer's quota as this instance sees it. Instances that gossip each keep the whole bucket
-// and charge it with what the others report; where an owner is asked, it alone keeps the bucket, or a part of it.
+// customerQuota is a customer's quota as this instance knows it. Instances that gossip each keep the complete bucket and
+// charge it with the units that the others report. With owners, each owner keeps its part of the bucket, and the other
+// instances send it quota requests.
 type customerQuota struct {
 	quotaScope
 	hardLimitShare
-	key        uint64
-	refilledAt time.Duration
-	tokens     float64 // units left; below zero after more was spent elsewhere than was known
-
-	unitsSinceGossip   float64 // units sent since the last gossip
-	startedSinceGossip int     // requests started since the last gossip
-	pendingUnits       float64 // units not yet gossiped, settlements included
-	needsGossip        bool    // it is in the pending list
-	idleGossipRounds   int     // gossip messages that reported nothing in flight
-	inFlight           int     // attempts of this instance
-	peerInFlight       []peerCount
-
-	usesOwner      bool          // gossip would come too late: the owner is asked
-	instanceSplit  int           // instances over which the capacity is split
-	ownerCount     float64       // buckets that the quota is kept in
-	grantFraction  float64       // of the latest quota requests
-	rejectedUntil  time.Duration // the owner has rejected one and is not asked until then
-	recentGrants   []lease       // requests that have taken their units recently
+	key        uint64        // of the customer
+	refilledAt time.Duration // clock reading of the last refill
+	tokens     float64       // units left; below zero after other instances took more than was known
+
+	unitsSinceGossip   float64     // units taken since the last gossip
+	startedSinceGossip int         // requests started since the last gossip
+	pendingUnits       float64     // units not yet gossiped, settlements included
+	needsGossip        bool        // it is in the pending list
+	idleGossipRounds   int         // gossip messages in a row that reported nothing in flight
+	inFlight           int         // attempts of this instance
+	peerInFlight       []peerCount // by instance; nil: none reported
+
+	usesOwner      bool          // quota requests to owners take the place of gossip, which would be too late
+	instanceSplit  int           // instances among which the capacity is split
+	ownerCount     float64       // buckets that the quota is split into
+	grantFraction  float64       // granted fraction of recent quota requests, moving average
+	rejectedUntil  time.Duration // the owner has rejected a request: until then it is sent none
+	recentGrants   []lease       // requests whose units were taken recently, to recognize repeats
 	leases         []lease       // attempts that this owner has granted under a limit in flight
-	contendedUntil time.Duration // a request was rejected: until then less is admitted on a guess
+	contendedUntil time.Duration // a request was rejected: until then instances admit with more reserve
 }
 
-// refill adds what has come since the last refill.
+// refill adds the units of the time since the last refill.
 func (q *customerQuota) refill(plan *Plan, now, transferTimeout time.Duration) {
 	elapsed := (now - q.refilledAt).Seconds()
 	q.refilledAt = now
@@ -63,8 +64,8 @@
 	q.hardLimitTokens = math.Min(refilled, q.hardLimitCapacity(plan))
 }
 
-// fillSinceStart sets what a new quota holds: it has filled since the instance's start, so that one dropped when
-// full comes back full.
+// fillSinceStart sets the units of a new quota as if it had been refilled since the instance's start: a quota that was
+// dropped when full is full again. A hard limit is empty at the start, since an earlier process may have used it up.
 func (q *customerQuota) fillSinceStart(plan *Plan, uptime time.Duration) {
 	q.tokens = math.Min(plan.Burst, plan.Burst/float64(q.instanceSplit)+plan.Rate*uptime.Seconds())
 	if q.usesOwner {
@@ -74,7 +75,7 @@
 	q.hardLimitTokens = math.Min(plan.HardLimitBurst*q.burstFraction, filled)
 }
 
-// take takes units inside the quota; below zero, it gives them back.
+// take takes units of the quota; negative units are returned.
 func (q *customerQuota) take(plan *Plan, units float64) {
 	if plan.Rate <= 0 {
 		return
@@ -84,13 +85,13 @@
 	q.pendingUnits += units
 }
 
-// giveBack returns units to the bucket that were granted and not used.
+// giveBack returns units that were granted and not used.
 func (q *customerQuota) giveBack(plan *Plan, units float64) {
 	q.tokens = math.Min(q.tokens+units, plan.Burst/q.ownerCount)
 }
 
-// charge takes units that another instance has sent, and returns those for which no tokens were left. What
-// instances overspend together is paid back, down to one burst.
+// charge takes units that another instance has used, and returns those for which no tokens were left. Tokens below zero,
+// down to one burst, have later requests pay for what the instances overspent together.
 func (q *customerQuota) charge(plan *Plan, units float64) (overdrawn float64) {
 	if plan.Rate <= 0 {
 		return 0
@@ -105,7 +106,7 @@
 	quota, hardLimit float64
 }
 
-// spent returns what is missing from full buckets.
+// spent returns the units that are missing from full buckets.
 func (q *customerQuota) spent(plan *Plan) spentUnits {
 	return spentUnits{
 		quota:     plan.Burst/q.ownerCount - q.tokens,
@@ -113,14 +114,14 @@
 	}
 }
 
-// setSpent leaves full buckets without the units spent.
+// setSpent fills the buckets except for the units spent.
 func (q *customerQuota) setSpent(plan *Plan, spent spentUnits) {
 	q.tokens = math.Max(plan.Burst/q.ownerCount-spent.quota, -plan.Burst)
 	q.hardLimitTokens = plan.HardLimitBurst*q.burstFraction - spent.hardLimit
 }
 
-// inFlightCapacity returns how many more attempts the customer may have in flight, as far as is known. What a
-// peer reported longer than a TTL ago counts as zero.
+// inFlightCapacity returns how many more attempts the customer may have in flight, as far as known. A peer's count that
+// is older than the TTL counts as zero.
 func (q *customerQuota) inFlightCapacity(plan *Plan, self int, now, peerCountTTL time.Duration) int {
 	capacity := plan.MaxInFlight - q.inFlight
 	for instance, count := range q.peerInFlight {
@@ -132,8 +133,8 @@
 	return capacity - len(q.leases)
 }
 
-// isIdle reports whether the quota may be dropped: it has been left alone for as long as its buckets take to
-// fill, with nothing in flight and nothing to gossip.
+// isIdle reports whether the quota may be dropped: it has not been used for as long as its buckets take to fill, with
+// nothing in flight and nothing to gossip.
 func (q *customerQuota) isIdle(plan *Plan, now, transferTimeout time.Duration) bool {
 	fillTime := idleQuotaTTL
 	if plan.Rate > 0 {
@@ -147,39 +148,47 @@
 // transit between them, never hold more than the limit.
 type hardLimitShare struct {
 	hardLimitTokens float64
-	burstFraction   float64    // of the limit's burst
-	rateFraction    float64    // of its rate
-	unmetUnits      float64    // units rejected for want of it since the last gossip
-	peerDeficits    []float64  // per peer: units that it lacks
-	unitsInTransit  [2]float64 // sent to peers: since transitSince, and before that
-	transitSince    time.Duration
+	burstFraction   float64   // of the limit's burst
+	rateFraction    float64   // of the limit's rate
+	unmetUnits      float64   // units rejected for lack of tokens since the last gossip
+	peerDeficits    []float64 // by instance: units that it lacks; nil: none reported
+	inTransit       unitsInTransit
 }
 
-// hardLimitCapacity returns what the part holds at most. Units sent to a peer count as held while they may be in
-// transit.
+// unitsInTransit are units that were sent to peers and may not have arrived yet.
+type unitsInTransit struct {
+	since        time.Duration // clock reading
+	units        float64       // sent from then on
+	earlierUnits float64       // sent before, during one transfer timeout
+}
+
+// hardLimitCapacity returns the most tokens that the part may hold. Units sent to a peer count as held while they may be
+// in transit.
 func (h *hardLimitShare) hardLimitCapacity(plan *Plan) float64 {
-	return plan.HardLimitBurst*h.burstFraction - h.unitsInTransit[0] - h.unitsInTransit[1]
+	return plan.HardLimitBurst*h.burstFraction - h.inTransit.units - h.inTransit.earlierUnits
 }
 
-// sendUnits takes units off the part that are on their way to a peer.
+// sendUnits takes units off the part that are sent to a peer.
 func (h *hardLimitShare) sendUnits(units float64) {
 	h.hardLimitTokens -= units
-	h.unitsInTransit[0] += units
+	h.inTransit.units += units
 }
 
-// expireTransit forgets units that must have arrived or been lost by now.
+// expireTransit forgets units that must have arrived or been lost.
 func (h *hardLimitShare) expireTransit(now, transferTimeout time.Duration) {
-	age := now - h.transitSince
+	age := now - h.inTransit.since
 	switch {
 	case age >= 2*transferTimeout:
-		h.unitsInTransit, h.transitSince = [2]float64{}, now
+		h.inTransit = unitsInTransit{since: now}
 	case age >= transferTimeout:
-		h.unitsInTransit = [2]float64{0, h.unitsInTransit[0]}
-		h.transitSince += transferTimeout
+		h.inTransit = unitsInTransit{
+			since:        h.inTransit.since + transferTimeout,
+			earlierUnits: h.inTransit.units,
+		}
 	}
 }
 
-// refillTime returns how long units take to come at a rate per second.
+// refillTime returns how long units take at a rate per second, at most maxRefillTime.
 func refillTime(units, rate float64) time.Duration {
 	seconds := math.Min(math.Max(units/rate, 0), maxRefillTime.Seconds())
 	return time.Duration(seconds * float64(time.Second))
@@ -193,8 +202,7 @@
 	return refillTime(units, rate)
 }
 
-// splitBetweenGossip returns the parts of what is left that one instance may spend before the others learn
-// of it.
+// splitBetweenGossip returns among how many instances the tokens left are split until the next gossip.
 func (q *customerQuota) splitBetweenGossip() float64 {
 	if q.usesOwner {
 		return 1
--- a/policy/quota_exchange.go
+++ b/policy/quota_exchange.go
@@ -1,10 +1,10 @@
 package policy
 
-// The exchange between the instances of a customer and the owner of its quota: what arrives is checked and booked
-// here. What the owner grants, and what a member does without a response, is decided in quota_owner.go.
+// The exchange between the instances of a customer (members) and the owner of its quota: messages are checked and
+// recorded here. What the owner grants, and what a member does without a response, is decided in quota_owner.go.
 
-// receiveQuotaMessage takes in a message of a member to the owner, or of the owner to a member. A malformed
-// one is ignored whole.
+// receiveQuotaMessage handles a message of a member to the owner, or of the owner to a member. A malformed one has no
+// effect.
 func (e *Engine) receiveQuotaMessage(from int, encoded []byte) {
 	message, report, err := e.codec().decodeQuotaMessage(encoded)
 	if err != nil {
@@ -23,8 +23,8 @@
 	}
 }
 
-// ownedQuota returns the quota that a member's message is about, or nil if this instance cannot own it: either
-// is not one of the customer's instances, or the two differ in what they know of the customer.
+// ownedQuota returns the quota of a member's message, or nil if this instance does not own it: one of the two does not
+// serve the customer, or they know different plans of it.
 func (e *Engine) ownedQuota(from int, m quotaUnits) *customerQuota {
 	fleetSize := e.settings.InstanceCount
 	if !m.scope.includes(from, fleetSize) || !m.scope.includes(e.settings.InstanceIndex, fleetSize) {
@@ -37,7 +37,7 @@
 	return quota
 }
 
-// grant takes the units of a member's request, and a place under the limit in flight.
+// grant takes the units of a member's request, and a lease under the limit in flight.
 func (e *Engine) grant(quota *customerQuota, from int, m quotaUnits) {
 	quota.hardLimitTokens -= m.units
 	e.takeUnits(quota, m.units)
@@ -48,8 +48,8 @@
 	quota.recordGrant(from, m.number, e.now)
 }
 
-// receiveQuotaSpent charges units that a member sent without the response. If its request came, that has taken
-// them already.
+// receiveQuotaSpent charges units that a member has used without a response. If its request was received, they have
+// been taken already.
 func (e *Engine) receiveQuotaSpent(from int, m quotaSpent) {
 	quota := e.ownedQuota(from, m.quotaUnits)
 	if quota == nil || quota.hasGrant(from, m.number) {
@@ -59,7 +59,7 @@
 	e.chargeRemoteUnits(quota, m.units)
 }
 
-// receiveQuotaReturn takes back units that a member has not used, and its place under the limit in flight.
+// receiveQuotaReturn takes back units that a member has not used, and its lease under the limit in flight.
 func (e *Engine) receiveQuotaReturn(from int, m quotaReturn) {
 	quota := e.quotas.byCustomer[m.customer]
 	if quota == nil || !quota.usesOwner {
@@ -70,8 +70,8 @@
 	quota.dropLeases(func(l lease) bool { return l.from == from && l.number == m.number })
 }
 
-// endOwnerWait notes that the owner has answered a request, or will not, and reports whether its client has left
-// meanwhile: then the units that it was granted are returned.
+// endOwnerWait ends a request's wait for its owner, and reports whether the request has been answered meanwhile: its
+// client has left, for example. Then it returns the units granted.
 func (e *Engine) endOwnerWait(r *request) bool {
 	r.awaitsOwner = false
 	if !r.isAnswered {
--- a/policy/quota_grants.go
+++ b/policy/quota_grants.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// maxRecentGrants is the most grants that an owner remembers of one customer.
+// maxRecentGrants limits the grants that an owner remembers of one customer.
 const maxRecentGrants = 32
 
-// lease is a place under a limit in flight, or the units of one request, that an owner gave to an instance.
+// lease is the right to one attempt under a limit in flight that an owner granted to an instance, or the record of a
+// grant. It ends by itself.
 type lease struct {
-	from      int
-	number    uint64 // of the request
+	from      int    // index of the instance
+	number    uint64 // of the request there
 	expiresAt time.Duration
 }
 
-// recordGrant remembers for a while that a quota request has taken its units.
+// recordGrant remembers that the units of a quota request have been taken, for as long as a repeat may arrive.
 func (q *customerQuota) recordGrant(from int, number uint64, now time.Duration) {
 	q.expireGrants(now)
 	if len(q.recentGrants) < maxRecentGrants {
@@ -23,7 +24,7 @@
 	}
 }
 
-// expireGrants forgets grants of which no repeated request can still come.
+// expireGrants forgets grants whose requests cannot be repeated any more.
 func (q *customerQuota) expireGrants(now time.Duration) {
 	expired := 0
 	for expired < len(q.recentGrants) && now >= q.recentGrants[expired].expiresAt {
@@ -32,14 +33,14 @@
 	q.recentGrants = q.recentGrants[expired:]
 }
 
-// hasGrant reports whether a quota request has taken its units already.
+// hasGrant reports whether the units of a quota request have been taken already.
 func (q *customerQuota) hasGrant(from int, number uint64) bool {
 	return slices.ContainsFunc(q.recentGrants, func(l lease) bool { return l.from == from && l.number == number })
 }
 
-// dropLeases removes the leases for which isOver holds.
-func (q *customerQuota) dropLeases(isOver func(lease) bool) {
-	q.leases = slices.DeleteFunc(q.leases, isOver)
+// dropLeases removes the leases for which hasEnded holds.
+func (q *customerQuota) dropLeases(hasEnded func(lease) bool) {
+	q.leases = slices.DeleteFunc(q.leases, hasEnded)
 }
 
 // ownerOfPart returns the instance that owns a part of a customer's quota, by a hash over the customer's instances.
@@ -61,7 +62,7 @@
 	return owned
 }
 
-// ownerFor returns the owner that this instance asks for units of a customer's quota.
+// ownerFor returns the owner to which this instance sends its quota requests for a customer.
 func (e *Engine) ownerFor(quota *customerQuota) int {
 	return e.ownerOfPart(quota, e.settings.InstanceIndex%quota.instanceSplit)
 }
--- a/policy/quota_message.go
+++ b/policy/quota_message.go
@@ -19,24 +19,24 @@
 	units    float64
 }
 
-// quotaRequest asks the owner for units.
+// quotaRequest requests units from the owner.
 type quotaRequest struct {
 	quotaUnits
-	isLate bool // the request comes too late for its latency objective
+	isLate bool // the request cannot meet its latency objective
 }
 
-// quotaSpent tells the owner of units that were sent without its response.
+// quotaSpent reports units to the owner that were used without its response.
 type quotaSpent struct{ quotaUnits }
 
-// quotaResponse is the owner's answer to a quotaRequest.
+// quotaResponse is the owner's response to a quotaRequest.
 type quotaResponse struct {
 	number        uint64
 	isGranted     bool
-	wait          time.Duration // before the next request, where it is not granted
-	grantFraction float64       // of the latest requests
+	wait          time.Duration // if not granted: until the next quota request
+	grantFraction float64       // of recent requests, 0 to 1
 }
 
-// quotaReturn gives the owner back the units of a granted request, or its place under a limit in flight.
+// quotaReturn returns the units of a granted request to the owner, or its lease under a limit in flight.
 type quotaReturn struct {
 	number   uint64
 	customer uint64
@@ -48,22 +48,22 @@
 func (quotaResponse) isQuotaMessage() {}
 func (quotaReturn) isQuotaMessage()   {}
 
-// peerReport ends a request and a response: what the sender knows of the fleet and of servers.
+// peerReport is what the sender knows of the fleet and of servers. It is appended to all messages but quotaReturn.
 type peerReport struct {
-	fleetMeans [fleetMeanCount]float64 // zero: it knows none yet
+	fleetMeans [fleetMeanCount]float64 // zero: not known yet
 	findings   []serverFinding
 }
 
 const (
-	retryAfterUnit     = 10 * time.Millisecond // in which a response gives a wait
-	maxWaitUnits       = 6000                  // a longer wait is cut
-	grantFractionSteps = 15                    // in which a response gives the fraction granted
+	retryAfterUnit     = 10 * time.Millisecond // unit of the wait in a response
+	maxWaitUnits       = 6000                  // a longer wait is truncated
+	grantFractionSteps = 15                    // steps of the granted fraction in a response
 	fleetMeanSteps     = 256                   // per unit of a fleet mean
 	maxFleetMean       = 1e6                   // in steps
 	gossipIDBits       = 16                    // of a server in a finding
 )
 
-// quotaUnitsOf returns what a request draws from its customer's quota.
+// quotaUnitsOf returns what a request takes from its customer's quota.
 func quotaUnitsOf(r *request) quotaUnits {
 	return quotaUnits{number: r.number, customer: r.quota.key, scope: r.quota.quotaScope, units: r.Units}
 }
@@ -180,19 +180,19 @@
 	return report
 }
 
-// peerReport returns what this instance has to report now.
+// peerReport returns the report of this instance, without findings that have expired.
 func (e *Engine) peerReport() peerReport {
 	var report peerReport
 	if e.overload.hasMeansToShare() {
 		report.fleetMeans = e.overload.fleetMeans
 	}
-	isOld := func(finding serverFinding) bool { return e.now-finding.foundAt >= findingTTL }
-	e.findings = slices.DeleteFunc(e.findings, isOld)
+	hasExpired := func(finding serverFinding) bool { return e.now-finding.foundAt >= findingTTL }
+	e.findings = slices.DeleteFunc(e.findings, hasExpired)
 	report.findings = e.findings
 	return report
 }
 
-// receivePeerReport takes in what a peer reports.
+// receivePeerReport handles the report of a peer.
 func (e *Engine) receivePeerReport(from int, report peerReport) {
 	e.overload.receiveMeans(report.fleetMeans)
 	for _, finding := range report.findings {
@@ -200,7 +200,7 @@
 	}
 }
 
-// ownerTimeouts counts the quota requests that owners have left unanswered.
+// ownerTimeouts counts the quota requests that owners have not answered in time.
 type ownerTimeouts struct {
 	byOwner []int // since the owner's last response
 	inARow  int   // since the last response of any owner
--- a/policy/quota_transfer_test.go
+++ b/policy/quota_transfer_test.go
@@ -193,7 +193,7 @@
 			}
 			for _, e := range w.engines {
 				if quota := e.quotas.byCustomer[transferCustomer]; quota != nil {
-					lent = math.Max(lent, quota.unitsInTransit[0])
+					lent = math.Max(lent, quota.inTransit.units)
 				}
 			}
 		}
--- a/policy/rates.go
+++ b/policy/rates.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	slowMeanWeight = 0.05            // of a new sample in the slow moving averages
-	rateWeight     = 0.1             // of a sample in the rate of responses: about a second
+	slowMeanWeight = 0.05            // of a new value in the slow moving averages
+	rateWeight     = 0.1             // of a sample in the rate of responses: a time constant of one second
 	decayTime      = 5 * time.Second // time constant for forgetting what was learned of a server
 )
 
-// recordSuccess counts a good response and learns its latency. Only servers that count in the mean, and only
-// work that is known, count for the rate of warm servers: responses of draining servers, or a guess that
-// proves too high, would inflate what cold ones may be sent.
+// recordSuccess records a good response and its latency. The rate of warm servers counts only warm members of the subset
+// and only work that is known: draining servers, or an estimate that is too high, would inflate the budget of servers
+// that warm up.
 func (e *Engine) recordSuccess(class int, s *server, latency time.Duration) {
 	zone := e.zones[s.Zone]
 	e.load.responses++
@@ -31,7 +31,7 @@
 	}
 }
 
-// updateRates takes what was counted in a sample into the rates, and lets fade what was learned of servers.
+// updateRates updates the rates with the counts of a sample, and decays what was learned of servers.
 func (e *Engine) updateRates() {
 	var warmWeight float64
 	keep := math.Exp(-sampleInterval.Seconds() / decayTime.Seconds())
--- a/policy/rejections.go
+++ b/policy/rejections.go
@@ -1,43 +1,41 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// rejection says why a request is rejected, and after how long its client should retry.
+// rejection is why a request is rejected, and after how long its client should retry.
 type rejection struct {
 	reason     rejectReason
 	retryAfter time.Duration
 }
 
-// reject gives a request its final answer: nothing happened, and trying again is harmless.
-func (e *Engine) reject(id string, why rejection) {
-	e.rejections[why.reason]++
-	retryAfter := why.retryAfter
+// reject gives a request its final answer: nothing ran, and trying again is harmless.
+func (e *Engine) reject(id string, rejected rejection) {
+	e.rejections[rejected.reason]++
+	retryAfter := rejected.retryAfter
 	if !e.settings.SendsRetryAfter {
 		retryAfter = 0
 	}
 	e.actions.RejectRequest(id, min(retryAfter, e.settings.MaxRetryAfter))
 }
 
-// rejectReason says by which rule a request was rejected.
+// rejectReason is the rule by which a request was rejected.
 type rejectReason int
 
 const (
 	rejectNone          rejectReason = iota
-	rejectUnknown                    // class, plan or timeout that cannot be
-	rejectOverloaded                 // the bound on work in flight
-	rejectLate                       // a late try, under pressure
-	rejectShortTimeout               // less time left than responses take
+	rejectUnknown                    // unknown class or plan, or no timeout
+	rejectOverloaded                 // too much work in flight
+	rejectLate                       // a late try at high occupancy
+	rejectShortTimeout               // a timeout shorter than the mean latency
 	rejectQuota                      // beyond the quota
 	rejectHardLimit                  // beyond this node's part of the hard limit
 	rejectThrottled                  // overload control
-	rejectNoServer                   // no server that it may go to
-	rejectAttemptsSpent              // its attempts came to nothing
+	rejectNoServer                   // no server may serve it
+	rejectAttemptsSpent              // all its attempts failed without running
 	rejectReasonCount
 )
 
-// rejectReasonNames are the names of the reasons, as operators read them.
+// rejectReasonNames are the names in the metrics and in the operators' pages; they must not change.
 var rejectReasonNames = [rejectReasonCount]string{
 	rejectUnknown:       "unknown",
 	rejectOverloaded:    "jammed",
@@ -53,11 +51,11 @@
 // String returns the reason's name.
 func (r rejectReason) String() string { return rejectReasonNames[r] }
 
-// EachRejectionCount tells how many requests were rejected, by the rule that rejected them.
+// EachRejectionCount calls a function with the number of requests rejected by each rule since the start.
 func (e *Engine) EachRejectionCount(each func(rule string, n uint64)) {
 	for i, n := range e.rejections {
-		if why := rejectReason(i); why != rejectNone {
-			each(why.String(), n)
+		if reason := rejectReason(i); reason != rejectNone {
+			each(reason.String(), n)
 		}
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -12,7 +12,7 @@
 	zone          string // of the server when it was sent
 	cell          int    // likewise
 	isDone        bool
-	isStreaming   bool // its body or its response is being streamed: it does not count as in flight at the server
+	isStreaming   bool // its body or response is being streamed: it does not occupy the server
 	neverExecuted bool // known not to have run
 	result        Result
 }
--- a/policy/server.go
+++ b/policy/server.go
@@ -31,11 +31,12 @@
 	consecutiveEjections int
 
 	// Signs of life.
-	lastHeardAt       time.Duration       // clock reading of the last response of any kind
-	isUnresponsive    bool                // nothing recent was answered: it gets no request until it responds
-	suspectedUntil    time.Duration       // until then peers, or the detector of failed zones, report it down
-	suspicionReports  [2]suspicionReports // recent reports of peers that it is down [0] and up [1]
-	healthCheckSince  time.Duration       // when a failed connection caused a health check that is in flight; 0: none
+	lastHeardAt       time.Duration    // clock reading of the last response of any kind
+	isUnresponsive    bool             // nothing recent was answered: it gets no request until it responds
+	suspectedUntil    time.Duration    // until then peers, or the detector of failed zones, report it down
+	downReports       suspicionReports // recent reports of peers that it is down
+	upReports         suspicionReports // recent reports of peers that it is up
+	healthCheckSince  time.Duration    // when a failed connection caused a health check that is in flight; 0: none
 	lastHealthCheckAt time.Duration
 
 	// Connections, as the engine estimates them.
--- a/policy/server_table.go
+++ b/policy/server_table.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// serverTable holds the servers of the endpoint list, and those gone from it with attempts still in flight.
+// serverTable holds the servers of the endpoint list, and removed ones that still have attempts in flight.
 // Invariant: list and byID hold the same servers. Server selection shuffles the list.
 type serverTable struct {
 	list          []*server
 	byID          map[string]*server
-	weightsDiffer bool // between those that accept requests
+	weightsDiffer bool // among the servers that accept requests
 }
 
-// update takes over the endpoint list or changes of it.
+// update applies the endpoint list or changes of it.
 func (t *serverTable) update(kind EndpointUpdateKind, entries []Server) {
 	if kind != EndpointsDelta {
 		for _, s := range t.list {
@@ -30,7 +30,7 @@
 	t.compareWeights()
 }
 
-// prune drops servers that are gone and have nothing in flight.
+// prune drops removed servers that have nothing in flight.
 func (t *serverTable) prune() {
 	kept := t.list[:0]
 	for _, s := range t.list {
@@ -43,7 +43,7 @@
 	t.list = kept
 }
 
-// compareWeights finds out whether the weights tell servers apart.
+// compareWeights sets weightsDiffer.
 func (t *serverTable) compareWeights() {
 	t.weightsDiffer = false
 	first := 0.0
@@ -58,8 +58,8 @@
 	}
 }
 
-// ServerCounts counts the servers in the list, and those of them that get no request while others are left:
-// unresponsive, or ejected for their failures.
+// ServerCounts returns the number of servers in the endpoint list, and of those that are avoided because they are
+// unresponsive or ejected.
 func (e *Engine) ServerCounts(now time.Duration) (listed, avoided int) {
 	for _, s := range e.servers.list {
 		if s.isListed {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Idempotency says what repeating a request of a class does.
+// Idempotency is what repeating a request of a class does.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may be repeated freely
-	IdempotentWithKey                    // a repeat is dropped inside its scope while remembered
+	IdempotentWithKey                    // a repeat is dropped by its DedupScope during its DedupWindow
 	NonIdempotent                        // must never run twice
 )
 
-// DedupScope says which servers share the memory of the idempotency keys of a class.
+// DedupScope is the set of servers that share the idempotency keys of a class.
 type DedupScope int
 
-// The scopes of that memory.
+// The deduplication scopes.
 const (
 	DedupAllServers DedupScope = iota // all servers
 	DedupZone                         // the servers of one zone
@@ -30,11 +30,11 @@
 	Name             string
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotentWithKey
-	DedupWindow      time.Duration // likewise: how long a server remembers, from the first send that may have run
-	LatencyObjective time.Duration // responses up to here earn the full priority weight
-	Deadline         time.Duration // the client's whole wait over all its tries
-	PriorityWeight   float64       // of one request
-	LateFraction     float64       // of the weight, earned between LatencyObjective and Deadline
+	DedupWindow      time.Duration // likewise: how long a key is remembered, from the first send that may have run
+	LatencyObjective time.Duration // up to this latency a response earns the full priority weight
+	Deadline         time.Duration // the client's total wait over all its tries
+	PriorityWeight   float64       // value of one response in time, relative to other classes
+	LateFraction     float64       // of the weight, earned between LatencyObjective and Deadline, 0 to 1
 	IsStreaming      bool          // responses arrive as streams: see [Engine.ResponseStarted]
 }
 
@@ -46,13 +46,13 @@
 	MaxInFlight       int     `json:"Open"`         // attempts in flight at once; 0: no such quota
 	HardLimitRate     float64 `json:"CeilingRate"`  // units per second; 0: no hard limit
 	HardLimitBurst    float64 `json:"CeilingBurst"` // units that the hard limit's bucket holds
-	HardLimitSlack    float64 `json:"CeilingSlack"` // units that the bucket may fall below zero
+	HardLimitSlack    float64 `json:"CeilingSlack"` // units by which the hard limit may be exceeded
 	PriorityFactor    float64 `json:"Price"`        // on the priority weight
 	OverQuotaFraction float64 `json:"OverWorth"`    // of the weight, earned beyond the quota
 	OverQuotaCost     float64 `json:"OverCost"`     // of the weight, charged for each try sent beyond the quota
 }
 
-// LoadReportMode says how servers report their load.
+// LoadReportMode is how servers report their load.
 type LoadReportMode int
 
 // The modes of load reports.
@@ -62,8 +62,8 @@
 	LoadReportsInHealthChecks                       // in health checks only
 )
 
-// Settings is all that an engine is told at its start. The zero value of a field means that the feature is
-// absent, unless noted otherwise.
+// Settings are fixed when an engine is created, except for [Engine.SetClasses] and [Engine.SetPlans]. The zero value of a
+// field means that the feature is absent, unless noted otherwise.
 type Settings struct {
 	InstanceIndex int    // this node's index, from 0
 	InstanceCount int    // number of nodes, at least 1
@@ -71,40 +71,41 @@
 	Classes       []Class
 	Plans         []Plan
 
-	ResponseSlack        time.Duration // a final answer this late past the deadline still counts
-	DrainGracePeriod     time.Duration // sends to a draining server must have stopped by then
-	SlowStartMinFraction float64       // a started server has at least this fraction of its capacity
-	SlowStartWindow      time.Duration // and is warm within this time
-	ColdOverloadMultiple float64       // sent more than this multiple of its present capacity
-	ColdOverloadWindow   time.Duration // for this long, a cold server fails
-
-	MaxAttempts        int  // per request; 0: no limit
-	AllowsHedging      bool // two attempts of one request may be in flight at once
-	AllowsCancel       bool // [Actions.CancelAttempt] is allowed
-	AllowsGossip       bool // [Actions.SendGossip] is allowed
-	AllowsHealthChecks bool // [Actions.CheckHealth] is allowed
-	SendsRetryAfter    bool // clients receive the Retry-After of a rejection
-	MaxRetryAfter      time.Duration
+	ResponseSlack        time.Duration // how long after the deadline a final answer still counts
+	DrainGracePeriod     time.Duration // how long after it begins draining a server may still be sent requests
+	SlowStartMinFraction float64       // fraction of its capacity that a server has at its start, 0 to 1
+	SlowStartWindow      time.Duration // after its start, until a server has its full capacity
+	ColdOverloadMultiple float64       // multiple of its capacity at which a cold server fails,
+	ColdOverloadWindow   time.Duration // if it is sent that much for this long
+
+	MaxAttempts        int           // per request; 0: no limit
+	AllowsHedging      bool          // two attempts of one request may be in flight at once
+	AllowsCancel       bool          // [Actions.CancelAttempt] is allowed
+	AllowsGossip       bool          // [Actions.SendGossip] is allowed
+	AllowsHealthChecks bool          // [Actions.CheckHealth] is allowed
+	SendsRetryAfter    bool          // clients receive the Retry-After of a rejection
+	MaxRetryAfter      time.Duration // longer ones are cut to this
 
 	LoadReports          LoadReportMode
 	PollsEndpoints       bool          // the list must be subscribed to with [Actions.WatchEndpoints]
-	EndpointPollInterval time.Duration // with PollsEndpoints: how often an unsubscribed node must poll
-	GossipInboxRate      float64       // gossip messages per second that a node takes in
-	SettlesUnits         bool          // units are a guess until the first good response
-	MaxUnits             float64       // of one request; 0: not told
+	EndpointPollInterval time.Duration // with PollsEndpoints: interval at which an unsubscribed node must poll
+	GossipInboxRate      float64       // gossip messages per second that a node receives at most; 0: no limit
+	SettlesUnits         bool          // [Request.Units] is an estimate until the first good response
+	MaxUnits             float64       // of one request; 0: not known
 	MinEventInterval     time.Duration // the shortest time between events
-	ConnectTimeout       time.Duration // what is sent may arrive so much later
+	ConnectTimeout       time.Duration // a request that is sent may arrive this much later
 
-	CrossZonePrice   float64 // points per attempt to another zone, as a fraction of requests
-	GossipPrice      float64 // points per full gossip message a request
-	HealthCheckPrice float64 // points per health check a request
-	WastedWorkPrice  float64 // points for wasted server work
+	// Prices, in points of the benchmark's score.
+	CrossZonePrice   float64 // for attempts to other zones, as a fraction of requests
+	GossipPrice      float64 // for full gossip messages per request
+	HealthCheckPrice float64 // for health checks per request
+	WastedWorkPrice  float64 // for server work whose response is not used
 }
 
-// SettingError reports a setting that cannot be. Its text names fields as operators know them from earlier versions.
+// SettingError is an invalid setting. Field names it as operators know it from earlier versions.
 type SettingError struct {
-	Field   string // or several of them
-	Entry   string // the class or plan at fault; empty: the field as a whole
+	Field   string // one name or several
+	Entry   string // name of the invalid class or plan; empty: the field as a whole
 	Problem string
 }
 
@@ -115,7 +116,7 @@
 	return e.Field + " " + e.Problem
 }
 
-// validate returns an error that names the first field that can't be.
+// validate returns a [*SettingError] for the first invalid field.
 func (s *Settings) validate() error {
 	switch {
 	case s.InstanceCount < 1:
@@ -136,7 +137,7 @@
 	return validatePlans(s.Plans)
 }
 
-// validateClasses returns an error that names the first class that cannot be.
+// validateClasses returns a [*SettingError] for the first invalid class.
 func validateClasses(classes []Class) error {
 	names := map[string]bool{}
 	for _, c := range classes {
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// validatePlans returns an error that names the first plan that cannot be.
+// validatePlans returns a [*SettingError] for the first invalid plan.
 func validatePlans(plans []Plan) error {
 	names := map[string]bool{}
 	for _, p := range plans {
@@ -167,5 +168,5 @@
 	return nil
 }
 
-// ColdBudgetMultiple is the multiple of what a cold server can take that all nodes together send it at most.
+// ColdBudgetMultiple returns the multiple of a cold server's capacity that all nodes together may send it.
 func (s *Settings) ColdBudgetMultiple() float64 { return coldBudgetFraction * s.ColdOverloadMultiple }
--- a/policy/settings_update.go
+++ b/policy/settings_update.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// ValidateTables reports whether classes and plans can be put in force: the error names what cannot.
+// ValidateTables returns an error that wraps a [*SettingError] if the classes and plans cannot replace those in force.
 func (e *Engine) ValidateTables(classes []Class, plans []Plan) error {
-	set := e.settings
-	set.Classes, set.Plans = classes, plans
-	if err := set.validate(); err != nil {
+	settings := e.settings
+	settings.Classes = classes
+	settings.Plans = plans
+	if err := settings.validate(); err != nil {
 		return err
 	}
-	if len(plans) < len(e.settings.Plans) {
-		return &SettingError{Field: "Plans:", Problem: fmt.Sprintf("%d, and %d have a place", len(plans), len(e.settings.Plans))}
+	if inForce := len(e.settings.Plans); len(plans) < inForce {
+		return &SettingError{Field: "Plans:", Problem: fmt.Sprintf("%d, and %d have a place", len(plans), inForce)}
 	}
 	return nil
 }
 
-// SetClasses replaces the table of classes while the engine runs. A class that has the name of one in force
-// goes on with what was learned of it and takes over the new figures. One that is no longer there takes no
-// new request; those in flight keep its figures. Its place is used again once the last of them has ended.
+// SetClasses replaces the table of classes while the engine runs. A class with the name of one in force keeps what was
+// learned of it and gets the new figures. New requests of a class that is not in the new table are rejected; those in
+// flight keep its figures, and its index is reused once the last of them has ended. It returns the error of
+// [Engine.ValidateTables], and then changes nothing.
 func (e *Engine) SetClasses(classes []Class) error {
 	if err := e.ValidateTables(classes, e.settings.Plans); err != nil {
 		return err
@@ -33,19 +35,21 @@
 	e.classIndex = make(map[string]int, len(classes))
 	for _, c := range classes {
 		if i, ok := old[c.Name]; ok {
-			e.classIndex[c.Name], used[i], e.settings.Classes[i] = i, true, c
+			e.classIndex[c.Name] = i
+			e.settings.Classes[i] = c
+			used[i] = true
 		}
 	}
 	for name, i := range old {
 		if _, ok := e.classIndex[name]; !ok {
-			e.settings.Classes[i].PriorityWeight = 0 // or it would be weighed against the others
+			e.settings.Classes[i].PriorityWeight = 0 // else relativeValue would compare the others with it
 		}
 	}
 	e.addClasses(classes, used)
 	return nil
 }
 
-// addClasses gives each new class a place that is not used, the lowest first.
+// addClasses gives each new class the lowest index that is not used.
 func (e *Engine) addClasses(classes []Class, used []bool) {
 	free := 0
 	for _, c := range classes {
@@ -60,22 +64,23 @@
 			e.latencies.classes = append(e.latencies.classes, classLatency{})
 			used = append(used, false)
 		}
-		e.classIndex[c.Name], used[free] = free, true
+		e.classIndex[c.Name] = free
+		used[free] = true
 		e.settings.Classes[free] = c
 		e.latencies.classes[free] = classLatency{}
 	}
 }
 
-// SetPlans replaces the table of plans while the engine runs. Nodes name a plan to each other by its place:
-// all must have one order, in which a plan keeps its place for good. A customer's quota goes over to the new
-// figures with what it has spent.
+// SetPlans replaces the table of plans while the engine runs. Gossip identifies a plan by its index: all nodes must
+// have the same order, in which a plan keeps its index for good. A customer's quota keeps what it has spent. SetPlans
+// returns the error of [Engine.ValidateTables], and then changes nothing.
 func (e *Engine) SetPlans(now time.Duration, plans []Plan) error {
 	if err := e.ValidateTables([]Class{{}}, plans); err != nil {
 		return err
 	}
 	e.now = now
-	for _, st := range e.quotas.list {
-		e.refill(st)
+	for _, quota := range e.quotas.list {
+		e.refill(quota)
 	}
 	old := e.settings.Plans
 	e.settings.Plans = append([]Plan(nil), plans...)
@@ -83,9 +88,9 @@
 	for i, p := range plans {
 		e.planIndex[p.Name] = i
 	}
-	for _, st := range e.quotas.list {
-		if old[st.plan] != plans[st.plan] {
-			e.changePlan(st, old[st.plan], st.plan)
+	for _, quota := range e.quotas.list {
+		if old[quota.plan] != plans[quota.plan] {
+			e.changePlan(quota, old[quota.plan], quota.plan)
 		}
 	}
 	return nil
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,21 +6,21 @@
 	"mulleinmux/subset"
 )
 
-// subsetRule is how large a node's subset is: 12 servers are enough to lose half of them, and few enough for
-// some requests a second to find a connection open; each server is in 16 subsets or more, so that nodes with
-// several times the mean load do not weigh on single servers.
+// subsetRule sizes a node's subset. Of 12 servers half may fail, and a few requests per second keep their connections
+// open. Each server is in 16 subsets or more, so that a node with several times the mean load does not overload
+// single servers.
 var subsetRule = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
 
-// subsetSeed is the same at all nodes of a fleet, which form their subsets alike.
+// subsetSeed has to be the same at all nodes of a fleet: each derives the same subsets of all nodes.
 const subsetSeed = 1
 
-// serverSubset is the servers that a node sends to as long as they will do (deterministic subsetting).
+// serverSubset is the servers that a node uses while they can serve its requests (deterministic subsetting).
 // Invariant: inSubset holds for the members and for no other server.
 type serverSubset struct {
-	members     []*server // or all servers, where the rule leaves none out
+	members     []*server // all servers if not isPartial
 	isPartial   bool      // the rule leaves servers out
-	meanHolders float64   // nodes that have a server of it in their subset, on average
-	maxWeight   float64   // of the members that accept requests
+	meanHolders float64   // mean number of nodes with the same server in their subset
+	maxWeight   float64   // highest corrected weight of the members that accept requests
 	width       subset.WidthController
 }
 
@@ -29,7 +29,7 @@
 	e.subset.form(e.servers.list, e.settings.InstanceCount, e.settings.InstanceIndex)
 }
 
-// form takes an instance's members out of all servers.
+// form selects the members of an instance from all servers.
 func (p *serverSubset) form(servers []*server, instanceCount, instance int) {
 	accepting := 0
 	p.members, p.meanHolders, p.maxWeight = servers, float64(instanceCount), 0
@@ -47,7 +47,7 @@
 	}
 }
 
-// formPartial is form where the rule leaves servers out.
+// formPartial selects the members where the rule leaves servers out.
 func (p *serverSubset) formPartial(servers []*server, fleet subset.Tier, instance int) {
 	var accepting []*server
 	var list []subset.Server
@@ -72,29 +72,30 @@
 	}
 }
 
-// needsNewSubset reports whether the subset has to be formed anew: it cannot carry the load, or need not be so
-// large.
+// needsNewSubset reports whether the subset has to be formed again, because it is too small for the load or larger than
+// needed.
 func (e *Engine) needsNewSubset() bool {
-	var fit, all float64
+	var availableWeight, totalWeight float64
 	for _, s := range e.subset.members {
 		weight := s.weight() * s.subsetCorrection
-		all += weight
+		totalWeight += weight
 		if !s.isEjected(e.now) {
-			fit += weight * e.capacityFraction(s)
+			availableWeight += weight * e.capacityFraction(s)
 		}
 	}
-	if all <= 0 || e.usesAllServers() {
+	if totalWeight <= 0 || e.usesAllServers() {
 		return false
 	}
-	return e.subset.width.Update(e.now, fit/all, len(e.subset.members), float64(e.load.inFlight))
+	available := availableWeight / totalWeight
+	return e.subset.width.Update(e.now, available, len(e.subset.members), float64(e.load.inFlight))
 }
 
-// usesAllServers reports whether the rule gives this node all servers. A subset that has widened to all of them
-// is one still, and shrinks.
+// usesAllServers reports whether the rule gives this node all servers. A subset that has grown to all of them still is a
+// subset, and shrinks again.
 func (e *Engine) usesAllServers() bool { return !e.subset.isPartial }
 
-// SubsetServerIDs names the servers of this node's subset, to which the host keeps connections; nil stands for
-// all.
+// SubsetServerIDs returns the IDs of the servers in this node's subset, to which the host keeps connections; nil: all
+// servers.
 func (e *Engine) SubsetServerIDs() map[string]bool {
 	if e.usesAllServers() {
 		return nil
@@ -106,8 +107,8 @@
 	return ids
 }
 
-// SubsetCounts counts the servers of this node's subset, and those of them that are held to be down. Where it
-// has no subset, both are 0.
+// SubsetCounts returns the number of servers in this node's subset, and of those suspected to be down. Without a subset
+// both are 0.
 func (e *Engine) SubsetCounts() (servers, suspected int) {
 	if e.usesAllServers() {
 		return 0, 0
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// serverFinding is what a node found out of a server: that it is unresponsive, or that it responds again.
+// serverFinding is a node's evidence of a server: that it is unresponsive, or that it responds again.
 type serverFinding struct {
-	serverID uint16
+	serverID uint16 // gossipID of the server
 	isUp     bool
-	foundAt  time.Duration // of an own finding
+	foundAt  time.Duration // clock reading; only of own findings
 }
 
-// maxFindings is how many findings a message holds at most: the latest.
+// maxFindings limits the findings of a message, to the latest ones.
 const maxFindings = 4
 
-// addFinding keeps a finding for the next messages to peers.
+// addFinding adds a finding to the next messages to peers.
 func (e *Engine) addFinding(finding serverFinding) {
 	if e.usesAllServers() {
 		return
@@ -29,7 +29,7 @@
 	}
 }
 
-// suspectedCount counts the servers of the subset that are held to be down, by this node or by its peers.
+// suspectedCount returns the number of servers in the subset that this node or its peers consider down.
 func (e *Engine) suspectedCount() (n int) {
 	for _, s := range e.subset.members {
 		n += boolToInt(s.isSuspected(e.now))
@@ -37,22 +37,23 @@
 	return n
 }
 
-// suspicionReports are the two peers that reported one finding of a server last. Invariant: they differ.
+// suspicionReports holds the last reports of one finding by two peers. Invariant: the peers differ.
 type suspicionReports struct {
-	from       [2]int
-	reportedAt [2]time.Duration // 0: none
+	from       [2]int           // index of the peer
+	reportedAt [2]time.Duration // clock reading; 0: no report
 }
 
-// confirms takes in a peer's report, and reports whether another peer made the same of late.
-func (r *suspicionReports) confirms(from int, now time.Duration) bool {
-	i := r.placeFor(from)
-	r.from[i], r.reportedAt[i] = from, now
+// add records a peer's report, and returns whether another peer made the same one within findingTTL.
+func (r *suspicionReports) add(from int, now time.Duration) bool {
+	i := r.indexFor(from)
+	r.from[i] = from
+	r.reportedAt[i] = now
 	other := r.reportedAt[1-i]
 	return other != 0 && r.from[1-i] != from && now-other < findingTTL
 }
 
-// placeFor returns the place of a peer's report: its own, or the free or older one.
-func (r *suspicionReports) placeFor(from int) int {
+// indexFor returns the index for a peer's report: that of its last one, a free one, or that of the older report.
+func (r *suspicionReports) indexFor(from int) int {
 	if r.reportedAt[0] == 0 || r.from[0] == from {
 		return 0
 	}
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -1,16 +1,16 @@
 package policy
 
-// timerKind says what a timer is for. A timer's token holds the kind in its low bits, and above it the number
-// of the request that it is for, or 0.
+// timerKind is the purpose of a timer. A timer's token holds the kind in its low bits, and above them the number of its
+// request, or 0.
 type timerKind uint64
 
 const (
-	timerSample timerKind = iota
-	timerGossip
-	timerDeadline
-	timerHedge
-	timerEndpointPoll
-	timerOwnerTimeout
+	timerSample       timerKind = iota // end of a sample
+	timerGossip                        // next broadcast
+	timerDeadline                      // a request's final answer is due
+	timerHedge                         // an attempt has become slow
+	timerEndpointPoll                  // next subscription to the endpoint list
+	timerOwnerTimeout                  // the owner of a quota has not responded
 )
 
 // timerBits is how many bits of a token hold the kind.
@@ -21,7 +21,7 @@
 	return requestNumber<<timerBits | uint64(kind)
 }
 
-// parseTimerToken takes a token apart.
+// parseTimerToken splits a token into its parts.
 func parseTimerToken(token uint64) (kind timerKind, requestNumber uint64) {
 	return timerKind(token & (1<<timerBits - 1)), token >> timerBits
 }
--- a/policy/warmup_budget.go
+++ b/policy/warmup_budget.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// warmupBudget is the work that a node may send to a server while it warms up: a token bucket in seconds of
-// work. Invariant: work is below 0 as long as the budget has not begun, and else at most its limit.
+// warmupBudget is the work that a node may send to a server while it warms up: a token bucket.
+// Invariant: work is negative until the first refill, and at most the limit of the last refill after it.
 type warmupBudget struct {
-	work      float64
-	updatedAt time.Duration
+	work      float64       // seconds of work
+	updatedAt time.Duration // clock reading of the last refill
 }
 
-// reset ends the budget; it begins anew with the next refill.
+// reset empties the budget; it begins again with the next refill.
 func (b *warmupBudget) reset() { b.work = -1 }
 
-// refill adds the work of the time since the last refill, at a rate per second. It begins by chance: hundreds
-// of nodes with less than one request a window to send must not all send it at once.
+// refill adds the work of the time since the last refill, at a rate per second, up to a limit. It begins at a random
+// fraction of the limit: otherwise hundreds of nodes with budget for less than one request each would send it at once.
 func (b *warmupBudget) refill(now time.Duration, rate, limit float64, rng *rand.Rand) {
 	if b.work < 0 {
 		b.work = limit * rng.Float64()
@@ -27,5 +27,5 @@
 	b.updatedAt = now
 }
 
-// spend takes the work of a request that was sent.
+// spend takes the work of a request that is sent.
 func (b *warmupBudget) spend(work float64) { b.work = math.Max(b.work-work, 0) }
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// The watch over whole zones is kept by nodes with a subset alone: those that see all servers need none.
+// Zones are watched by nodes with a subset only: nodes that use all servers learn of each server soon enough.
 
-// zoneSuspicion is how long a lost zone's servers are suspected for, unless the watch renews it.
-const zoneSuspicion = 2 * sampleInterval
+// zoneSuspicionTTL is how long the servers of a zone are suspected after each evaluation that finds it down.
+const zoneSuspicionTTL = 2 * sampleInterval
 
-// observeZoneResponse takes in that a server of a zone responded.
+// observeZoneResponse records in the zone's health that a server responded.
 func (e *Engine) observeZoneResponse(s *server) {
 	if !e.usesAllServers() {
 		e.zoneWatch.ObserveResponse(s.Zone, e.now)
 	}
 }
 
-// observeZoneFailure takes in that something sent to a server of a zone came to nothing.
-func (e *Engine) observeZoneFailure(s *server, sent time.Duration) {
+// observeZoneFailure records in the zone's health that a server did not answer what was sent at a time.
+func (e *Engine) observeZoneFailure(s *server, sentAt time.Duration) {
 	if !e.usesAllServers() {
-		e.zoneWatch.ObserveFailure(s.Zone, uint64(s.gossipID), sent, e.now)
+		e.zoneWatch.ObserveFailure(s.Zone, uint64(s.gossipID), sentAt, e.now)
 	}
 }
 
-// observeZoneFinding takes in what a peer says of a server of this node's subset.
+// observeZoneFinding records in the zone's health a peer's finding of a server in this node's subset.
 func (e *Engine) observeZoneFinding(s *server, from int, finding serverFinding) {
 	if finding.isUp {
 		e.zoneWatch.ObservePeerResponse(s.Zone, from, e.now)
@@ -34,13 +34,13 @@
 	}
 }
 
-// updateZoneHealth suspects the servers of zones that seem to be lost, so that they get no request while others
-// will do, and the bound on work in flight counts without them. It goes by the unanswered attempts.
+// updateZoneHealth evaluates each zone, with the unanswered attempts as evidence, and suspects the servers of zones that
+// are down: they get no request while others can serve it, and do not count in the bound on work in flight.
 func (e *Engine) updateZoneHealth(unanswered []unansweredAttempt) {
 	if e.usesAllServers() {
 		return
 	}
-	slices.SortStableFunc(unanswered, func(a, b unansweredAttempt) int { // not in a map's order
+	slices.SortStableFunc(unanswered, func(a, b unansweredAttempt) int { // reproducible, unlike the map's order
 		return cmp.Compare(a.requestNumber, b.requestNumber)
 	})
 	for _, a := range unanswered {
@@ -52,13 +52,13 @@
 			isDown[s.Zone] = e.isZoneDown(s.Zone)
 		}
 		if isDown[s.Zone] {
-			s.suspectedUntil = max(s.suspectedUntil, e.now+zoneSuspicion)
+			s.suspectedUntil = max(s.suspectedUntil, e.now+zoneSuspicionTTL)
 		}
 	}
 	e.zoneWatch.RetainZones(isDown)
 }
 
-// isZoneDown asks the watch, and logs what it has just found.
+// isZoneDown reports whether a zone is down, and logs when it has just been found so.
 func (e *Engine) isZoneDown(zone string) bool {
 	isDown, isNew := e.zoneWatch.Evaluate(zone, e.now)
 	if isNew {
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// ZoneLimits is what a host tells of a zone where nodes share out what its servers may be sent.
+// ZoneLimits are this node's limits for a zone, where the nodes agree on what each may send to its servers.
 type ZoneLimits struct {
 	IsRemote          bool    // its servers are gateways of another site, which need no slow start
-	WarmServerRate    float64 // of one of unit weight: seconds of work a second, this node's part
-	InFlightFraction  float64 // this node's part of the attempts that may be in flight there
-	RemoteServerCount float64 // with IsRemote: warm servers behind them all; 0: not known
+	WarmServerRate    float64 // seconds of work per second that this node may send a warm server of unit weight
+	InFlightFraction  float64 // this node's fraction, 0 to 1, of the attempts that may be in flight there
+	RemoteServerCount float64 // with IsRemote: warm servers of that site; 0: not known
 }
 
-// zoneState is a zone that a host has told of, and what came of it. Invariant: servers is 0 where none accepts
-// requests; the counts begin anew with each sample or each call of [Engine.ColdServerWork].
+// zoneState is a zone with limits, and what is measured of it. Invariant: servers is 0 if none accepts requests. The
+// counts are reset at the end of each sample or by [Engine.ColdServerWork].
 type zoneState struct {
 	ZoneLimits
-	isOverloaded bool    // as of the request in hand
-	servers      float64 // warm ones, as of the last sample; a cold one as the fraction of one that it is
+	isOverloaded bool    // for the request being handled
+	servers      float64 // available ones as of the last sample, each counted as its capacity fraction
 
-	warmWork     float64 // work answered by warm servers in this sample
-	warmRate     float64 // a second and unit of weight, moving average
-	responses    float64 // in this sample
-	responseRate float64 // a second, moving average
+	warmWork     float64 // work that warm servers completed in the open sample, in seconds
+	warmRate     float64 // such work per second and unit of weight, moving average
+	responses    float64 // good responses in the open sample
+	responseRate float64 // good responses per second, moving average
 
-	sentWork  float64 // to cold servers, since the last call of ColdServerWork
-	unmetWork float64 // for which they had no budget, likewise
+	sentWork  float64 // seconds of work sent to cold servers since the last call of ColdServerWork
+	unmetWork float64 // seconds of work for which they had no budget, likewise
 }
 
-// SetZoneLimits tells of a zone. For its cold servers the engine goes by the limits told instead of its own
-// estimate, and the bound on work in flight is the zone's own. It is to be told of all zones or none, again
-// whenever a figure changes; a host that has nothing to go by any more tells of a rate of 0.
+// SetZoneLimits sets a zone's limits. They replace the engine's own estimate for cold servers, and the bound on work in
+// flight becomes one for each zone. The host sets them for all zones or none, and again after each change; if it no
+// longer knows them, it sets a rate of 0.
 func (e *Engine) SetZoneLimits(name string, limits ZoneLimits) {
 	zone := e.zones[name]
 	if zone == nil {
@@ -42,11 +42,11 @@
 	zone.ZoneLimits = limits
 }
 
-// RemoveZoneLimits forgets a zone.
+// RemoveZoneLimits removes the limits of a zone.
 func (e *Engine) RemoveZoneLimits(name string) { delete(e.zones, name) }
 
-// availableServers yields the servers of a zone that accept requests and respond, with their fraction of
-// capacity.
+// availableServers yields the servers of a zone that accept requests and are not unresponsive, with the capacity
+// fraction of each.
 func (e *Engine) availableServers(zone string) iter.Seq2[*server, float64] {
 	return func(yield func(*server, float64) bool) {
 		for _, s := range e.servers.list {
@@ -60,7 +60,7 @@
 	}
 }
 
-// zoneInFlight counts the attempts in flight at servers of a zone that are held to be up.
+// zoneInFlight returns the attempts in flight at servers of a zone that are not unresponsive.
 func (e *Engine) zoneInFlight(zone string) (inFlight float64) {
 	for _, s := range e.servers.list {
 		if s.Zone == zone && !s.isUnresponsive {
@@ -70,7 +70,7 @@
 	return inFlight
 }
 
-// countZoneServers counts the servers of a zone that accept requests and respond.
+// countZoneServers updates the number of available servers of a zone.
 func (e *Engine) countZoneServers(name string, zone *zoneState) {
 	zone.servers = 0
 	for _, capacity := range e.availableServers(name) {
@@ -81,9 +81,9 @@
 	}
 }
 
-// ColdServerWork returns the capacity of the cold servers of a zone, by weight; the work that was sent to them
-// since it was last called, in seconds; and the work for which they had no budget.
-func (e *Engine) ColdServerWork(now time.Duration, zone string) (servers, sent, short float64) {
+// ColdServerWork returns, for the cold servers of a zone, the sum of their weights times capacity fractions; the seconds
+// of work sent to them since the last call; and the seconds of work for which they had no budget since then.
+func (e *Engine) ColdServerWork(now time.Duration, zone string) (servers, sent, unmet float64) {
 	e.now = now
 	for s, capacity := range e.availableServers(zone) {
 		if capacity < 1 {
@@ -91,15 +91,14 @@
 		}
 	}
 	if z := e.zones[zone]; z != nil {
-		sent, short = z.sentWork, z.unmetWork
+		sent, unmet = z.sentWork, z.unmetWork
 		z.sentWork, z.unmetWork = 0, 0
 	}
-	return servers, sent, short
+	return servers, sent, unmet
 }
 
-// WarmServerLoad returns the work a second that this node sends to a warm server of unit weight in a zone that
-// it was told of by [Engine.SetZoneLimits], and the utilization that those there report, on average; below 0:
-// none does.
+// WarmServerLoad returns, for a zone with limits, the seconds of work per second that this node sends to a warm server of
+// unit weight, and the mean utilization that the warm servers report; negative if none does.
 func (e *Engine) WarmServerLoad(now time.Duration, zone string) (rate, utilization float64) {
 	e.now = now
 	reports := 0.0
@@ -121,7 +120,7 @@
 	return rate, utilization / reports
 }
 
-// updateZoneRates takes what was counted in a sample into each zone's rates.
+// updateZoneRates updates each zone's rates with the counts of a sample.
 func (e *Engine) updateZoneRates() {
 	for name, zone := range e.zones {
 		var weight float64
@@ -135,7 +134,7 @@
 	}
 }
 
-// updateRates ends a sample, in which warm servers of some weight together were available.
+// updateRates closes a sample. The weight is that of the zone's warm servers together.
 func (z *zoneState) updateRates(warmWeight float64) {
 	if warmWeight > 0 {
 		z.warmRate += slowMeanWeight * (z.warmWork/warmWeight/sampleInterval.Seconds() - z.warmRate)
@@ -146,8 +145,7 @@
 	z.warmWork, z.responses = 0, 0
 }
 
-// ZoneCapacity is how many warm servers of unit weight those of a zone are worth that accept requests and
-// respond.
+// ZoneCapacity returns the capacity of a zone's available servers, in warm servers of unit weight.
 func (e *Engine) ZoneCapacity(now time.Duration, zone string) (capacity float64) {
 	e.now = now
 	for s, fraction := range e.availableServers(zone) {
