--- a/policy/doc.go
+++ b/policy/doc.go
@@ -10,5 +10,6 @@
 // or finished request, server, timer or attempt are ignored. The engine retains no slice passed to it.
 //
 // The files of the package that decide (which server, whether to retry, what to admit) are listed in
-// deploy/balancer.toml and bounded in size. The others hold the measurements, counters, encodings and tables that these decide by.
+// deploy/balancer.toml and bounded in size. The others hold the measurements, counters, encodings and tables that
+// these decide by.
 package policy
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -14,8 +14,8 @@
 // version would misread.
 const stateFormat = 1
 
-// engineState is the encoded state. It identifies classes, plans and kinds by name, since their indexes may differ in the
-// successor's settings.
+// engineState is the encoded state. It identifies classes, plans and kinds by name, since their indexes may differ
+// in the successor's settings.
 type engineState struct {
 	Format            int           `json:"Form"` // stateFormat of the writer
 	InstanceCount     int           `json:"Instances"`
@@ -37,8 +37,8 @@
 	HealthCheckCredit float64 `json:"ProbeDue"`
 }
 
-// ExportState returns the state for [Engine.ImportState], as JSON. The engine continues to serve its requests. The error
-// is that of the encoder.
+// ExportState returns the state for [Engine.ImportState], as JSON. The engine continues to serve its requests. The
+// error is that of the encoder.
 func (e *Engine) ExportState(now time.Duration) ([]byte, error) {
 	e.now = now
 	state := engineState{
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -132,7 +132,8 @@
 	return sum / math.Max(n, 1)
 }
 
-// learnedWork returns the work of one request of a class: the lowest mean latency on any kind, in seconds; 0: not known.
+// learnedWork returns the work of one request of a class: the lowest mean latency on any kind, in seconds; 0: not
+// known.
 func (t *latencyTable) learnedWork(class int) float64 {
 	lowest := 0.0
 	for _, k := range t.classes[class].kinds {
@@ -143,8 +144,8 @@
 	return lowest
 }
 
-// expectedWork returns the learned work of one request of a class, in seconds, or an estimate from the latency objective
-// while it is not known.
+// expectedWork returns the learned work of one request of a class, in seconds, or an estimate from the latency
+// objective while it is not known.
 func (t *latencyTable) expectedWork(class int, objective time.Duration) float64 {
 	if work := t.learnedWork(class); work > 0 {
 		return work
--- a/policy/quota_bucket.go
+++ b/policy/quota_bucket.go
@@ -26,9 +26,9 @@
 	return (instance-s.firstInstance+fleetSize)%fleetSize < s.instanceCount
 }
 
-// customerQuota is a customer's quota as this instance knows it. Instances that gossip each keep the complete bucket and
-// charge it with the units that the others report. With owners, each owner keeps its part of the bucket, and the other
-// instances send it quota requests.
+// customerQuota is a customer's quota as this instance knows it. Instances that gossip each keep the complete bucket
+// and charge it with the units that the others report. With owners, each owner keeps its part of the bucket, and the
+// other instances send it quota requests.
 type customerQuota struct {
 	quotaScope
 	hardLimitShare
@@ -90,8 +90,8 @@
 	q.tokens = math.Min(q.tokens+units, plan.Burst/q.ownerCount)
 }
 
-// charge takes units that another instance has used, and returns those for which no tokens were left. Tokens below zero,
-// down to one burst, have later requests pay for what the instances overspent together.
+// charge takes units that another instance has used, and returns those for which no tokens were left. Tokens below
+// zero, down to one burst, have later requests pay for what the instances overspent together.
 func (q *customerQuota) charge(plan *Plan, units float64) (overdrawn float64) {
 	if plan.Rate <= 0 {
 		return 0
@@ -162,8 +162,8 @@
 	earlierUnits float64       // sent before, during one transfer timeout
 }
 
-// hardLimitCapacity returns the most tokens that the part may hold. Units sent to a peer count as held while they may be
-// in transit.
+// hardLimitCapacity returns the most tokens that the part may hold. Units sent to a peer count as held while they
+// may be in transit.
 func (h *hardLimitShare) hardLimitCapacity(plan *Plan) float64 {
 	return plan.HardLimitBurst*h.burstFraction - h.inTransit.units - h.inTransit.earlierUnits
 }
--- a/policy/quota_table.go
+++ b/policy/quota_table.go
@@ -65,8 +65,8 @@
 	quota.refill(e.planOf(quota), e.now, e.transferTimeout())
 }
 
-// changePlan changes the plan of a quota that has been refilled up to now, from old to the one with an index. Units spent
-// stay spent; the first hard limit of a quota begins empty, as after a start.
+// changePlan changes the plan of a quota that has been refilled up to now, from old to the one with an index. Units
+// spent stay spent; the first hard limit of a quota begins empty, as after a start.
 func (e *Engine) changePlan(quota *customerQuota, old Plan, plan int) {
 	spent := quota.spent(&old)
 	quota.plan = plan
--- a/policy/rates.go
+++ b/policy/rates.go
@@ -11,9 +11,9 @@
 	decayTime      = 5 * time.Second // time constant for forgetting what was learned of a server
 )
 
-// recordSuccess records a good response and its latency. The rate of warm servers counts only warm members of the subset
-// and only work that is known: draining servers, or an estimate that is too high, would inflate the budget of servers
-// that warm up.
+// recordSuccess records a good response and its latency. The rate of warm servers counts only warm members of the
+// subset and only work that is known: draining servers, or an estimate that is too high, would inflate the budget of
+// servers that warm up.
 func (e *Engine) recordSuccess(class int, s *server, latency time.Duration) {
 	zone := e.zones[s.Zone]
 	e.load.responses++
--- a/policy/request.go
+++ b/policy/request.go
@@ -17,8 +17,8 @@
 	result        Result
 }
 
-// request is a request that has no final answer yet, or attempts in flight. Invariant: inFlight counts the attempts that have not ended, whether or not the
-// request has its answer.
+// request is a request that has no final answer yet, or attempts in flight. Invariant: inFlight counts the attempts
+// that have not ended, whether or not the request has its answer.
 type request struct {
 	Request
 	number           uint64 // identifies it in timers and quota messages
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -62,8 +62,8 @@
 	LoadReportsInHealthChecks                       // in health checks only
 )
 
-// Settings are fixed when an engine is created, except for [Engine.SetClasses] and [Engine.SetPlans]. The zero value of a
-// field means that the feature is absent, unless noted otherwise.
+// Settings are fixed when an engine is created, except for [Engine.SetClasses] and [Engine.SetPlans]. The zero value
+// of a field means that the feature is absent, unless noted otherwise.
 type Settings struct {
 	InstanceIndex int    // this node's index, from 0
 	InstanceCount int    // number of nodes, at least 1
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -90,8 +90,8 @@
 	return e.subset.width.Update(e.now, available, len(e.subset.members), float64(e.load.inFlight))
 }
 
-// usesAllServers reports whether the rule gives this node all servers. A subset that has grown to all of them still is a
-// subset, and shrinks again.
+// usesAllServers reports whether the rule gives this node all servers. A subset that has grown to all of them still
+// is a subset, and shrinks again.
 func (e *Engine) usesAllServers() bool { return !e.subset.isPartial }
 
 // SubsetServerIDs returns the IDs of the servers in this node's subset, to which the host keeps connections; nil: all
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// updateZoneHealth evaluates each zone, with the unanswered attempts as evidence, and suspects the servers of zones that
-// are down: they get no request while others can serve it, and do not count in the bound on work in flight.
+// updateZoneHealth evaluates each zone, with the unanswered attempts as evidence, and suspects the servers of zones
+// that are down: they get no request while others can serve it, and do not count in the bound on work in flight.
 func (e *Engine) updateZoneHealth(unanswered []unansweredAttempt) {
 	if e.usesAllServers() {
 		return
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// ColdServerWork returns, for the cold servers of a zone, the sum of their weights times capacity fractions; the seconds
-// of work sent to them since the last call; and the seconds of work for which they had no budget since then.
+// ColdServerWork returns, for the cold servers of a zone, the sum of their weights times capacity fractions; the
+// seconds of work sent to them since the last call; and the seconds of work for which they had no budget since then.
 func (e *Engine) ColdServerWork(now time.Duration, zone string) (servers, sent, unmet float64) {
 	e.now = now
 	for s, capacity := range e.availableServers(zone) {
@@ -97,8 +97,8 @@
 	return servers, sent, unmet
 }
 
-// WarmServerLoad returns, for a zone with limits, the seconds of work per second that this node sends to a warm server of
-// unit weight, and the mean utilization that the warm servers report; negative if none does.
+// WarmServerLoad returns, for a zone with limits, the seconds of work per second that this node sends to a warm
+// server of unit weight, and the mean utilization that the warm servers report; negative if none does.
 func (e *Engine) WarmServerLoad(now time.Duration, zone string) (rate, utilization float64) {
 	e.now = now
 	reports := 0.0
