--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -17,19 +17,20 @@
 )
 
 const (
-	readyPath          = "/health/ready"
+	readyPath          = "/health/ready"         // of the load balancer's health check
 	maxRequestBody     = 64 << 10                // bytes that the body of a request may hold
-	clientTransit      = 10 * time.Millisecond   // taken off a client's wait, which counts from its send
+	clientTransit      = 10 * time.Millisecond   // taken off a client's timeout, which counts from its send
 	requestReadTimeout = 1500 * time.Millisecond // for a request, from its first bytes to its last
 	clientIdleTimeout  = 30 * time.Second        // for a connection between requests
 	clientWriteTimeout = 10 * time.Second        // for an answer
-	minConfigAgeShown  = 2 * time.Second         // of a setup that was not confirmed since: answers tell it
-	// By which idleLimit and writeLimit may come early: saves setting them for each request.
+	minConfigAgeShown  = 2 * time.Second         // since the setup was confirmed: answers show a longer one
+	// By how much the idle and the write timeout may be shorter, which saves setting them for each request.
 	deadlineSlack = 5 * time.Second
 )
 
 // tooManyConnections answers a connection beyond the limit.
-const tooManyConnections = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+const tooManyConnections = "HTTP/1.1 503 Service Unavailable\r\n" +
+	"Retry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // clientServer accepts the connections of clients, and of other sites' instances.
 type clientServer struct {
@@ -38,13 +39,13 @@
 	isDraining atomic.Bool
 	handlers   sync.WaitGroup
 
-	relayListener net.Listener // of other sites' instances; nil: none come
+	relayListener net.Listener // for other sites' instances; nil: none connect
 
 	mu    sync.Mutex
 	conns map[*clientConn]struct{}
 }
 
-// clientConn is a connection of a client.
+// clientConn is a connection of a client, or of another site's instance.
 type clientConn struct {
 	server        *clientServer
 	nc            net.Conn
@@ -56,54 +57,86 @@
 	readDeadline  time.Time // read deadline in force
 	writeDeadline time.Time // write deadline in force
 	isBusy        atomic.Bool
-	isRelay       bool   // it is of another site's instance
-	lastRelayID   string // then, the last relayed request that came on it
+	isRelay       bool   // the other end is another site's instance
+	lastRelayID   string // of the last relayed request that came on it; set if isRelay
 }
 
 // serve answers clients until the listener closes.
-func (f *clientServer) serve(ln net.Listener) error {
-	_, linked := ln.(relayListener)
+func (s *clientServer) serve(listener net.Listener) error {
+	_, isRelay := listener.(relayListener)
 	for {
-		nc, err := ln.Accept()
-		if errors.Is(err, net.ErrClosed) {
+		conn, err := listener.Accept()
+		switch {
+		case errors.Is(err, net.ErrClosed):
 			return nil
-		}
-		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED) {
-			time.Sleep(time.Millisecond) // a connection may end meanwhile
+		case isTransientAcceptError(err):
+			time.Sleep(acceptRetryInterval) // a connection may end meanwhile
 			continue
-		}
-		if err != nil {
+		case err != nil:
 			return fmt.Errorf("listen: %w", err)
 		}
-		c := &clientConn{server: f, nc: nc, isRelay: linked}
-		c.reader = httpwire.NewReader(c)
-		c.request.wake = make(chan struct{}, 1)
-		if c.raw, err = raw(nc); err != nil {
-			nc.Close()
-			continue
-		}
-		f.mu.Lock()
-		full := len(f.conns) >= f.instance.config.MaxClientConns
-		if !full {
-			f.conns[c] = struct{}{}
-		}
-		f.mu.Unlock()
-		if full && linked { // the handshake is not worth a wait
-			nc.Close()
+		c, err := newClientConn(s, conn, isRelay)
+		if err != nil {
+			conn.Close()
 			continue
 		}
-		if full {
-			nc.SetDeadline(time.Now().Add(requestReadTimeout))
-			io.WriteString(nc, tooManyConnections)
-			nc.Close()
+		if !s.add(c) {
+			c.rejectConnection()
 			continue
 		}
-		f.handlers.Go(c.serve)
+		s.handlers.Go(c.serve)
+	}
+}
+
+// acceptRetryInterval is the wait after an error that accepting may get over.
+const acceptRetryInterval = time.Millisecond
+
+// isTransientAcceptError tells whether accepting may go on after an error: no descriptor was left for the
+// connection, or it was closed before it could be accepted.
+func isTransientAcceptError(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED)
+}
+
+// newClientConn returns a connection that was accepted, which does not count as one of the server's yet.
+func newClientConn(server *clientServer, conn net.Conn, isRelay bool) (*clientConn, error) {
+	c := &clientConn{server: server, nc: conn, isRelay: isRelay}
+	c.reader = httpwire.NewReader(c)
+	c.request.wake = make(chan struct{}, 1)
+	var err error
+	c.raw, err = raw(conn)
+	return c, err
+}
+
+// add counts a connection as one of the server's until remove. It returns false if there are too many.
+func (s *clientServer) add(c *clientConn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.conns) >= s.instance.config.MaxClientConns {
+		return false
+	}
+	s.conns[c] = struct{}{}
+	return true
+}
+
+// remove ends what add began.
+func (s *clientServer) remove(c *clientConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, c)
+}
+
+// rejectConnection closes a connection beyond the limit. A client is answered; another site's instance, which would
+// need a handshake for that, is not.
+func (c *clientConn) rejectConnection() {
+	defer c.nc.Close()
+	if !c.isRelay {
+		c.nc.SetDeadline(time.Now().Add(requestReadTimeout))
+		io.WriteString(c.nc, tooManyConnections)
 	}
 }
 
-// Read counts the reads of a request: one that does not come whole in the first gets a
-// deadline of its own, so that none holds a connection by sending slowly.
+// Read counts the reads of a request: one that does not arrive whole in the first gets a deadline of its own, so that
+// no client holds a connection by sending slowly.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.readCount == 1 {
 		c.readDeadline = time.Now().Add(requestReadTimeout)
@@ -117,9 +150,7 @@
 func (c *clientConn) serve() {
 	defer func() {
 		c.nc.Close()
-		c.server.mu.Lock()
-		delete(c.server.conns, c)
-		c.server.mu.Unlock()
+		c.server.remove(c)
 	}()
 	if c.isRelay && !c.verifyPeer() {
 		return
@@ -135,26 +166,26 @@
 			return
 		}
 		c.isBusy.Store(true)
-		again := c.serveOne()
+		isReusable := c.serveOne()
 		c.isBusy.Store(false)
-		if !again {
+		if !isReusable {
 			return
 		}
 	}
 }
 
-// serveOne answers one request; it is false if the connection is to be closed.
-func (c *clientConn) serveOne() (again bool) {
+// serveOne answers one request and tells whether the connection can be used again.
+func (c *clientConn) serveOne() (isReusable bool) {
 	r := &c.request
 	r.reset(c.isRelay)
 	defer func() {
 		if p := recover(); p != nil {
 			c.server.instance.log.Printf("panic: %v\n%s", p, debug.Stack())
-			again = false
+			isReusable = false
 		}
 	}()
 	err := c.reader.Request(&r.requestHead)
-	began := time.Now()
+	receivedAt := time.Now()
 	if err != nil {
 		return c.rejectUnreadable(err)
 	}
@@ -164,7 +195,7 @@
 	if handler := c.ownHandler(); handler != nil {
 		return handler()
 	}
-	q, err := c.server.parse(r, began)
+	engineRequest, err := c.server.parse(r, receivedAt)
 	if err == nil && c.isRelay {
 		r.counters = &Counters{} // it counts where it entered
 		err = c.acceptRelayed()
@@ -172,15 +203,16 @@
 	if err != nil {
 		return c.rejectBadRequest(err)
 	}
-	r.deadline = began.Add(q.Timeout + c.server.instance.config.Settings.ResponseSlack)
-	c.server.instance.serveRequest(r, q, c.hasDisconnected)
+	r.deadline = receivedAt.Add(engineRequest.Timeout + c.server.instance.config.Settings.ResponseSlack)
+	c.server.instance.serveRequest(r, engineRequest, c.hasDisconnected)
 	if c.isRelay {
 		c.finishRelayed()
 	}
 	return c.writeAnswer()
 }
 
-// ownHandler returns what answers a request to the instance itself, or nil for one that is to be forwarded.
+// ownHandler returns what answers a request to the instance itself, or nil for one that is to be forwarded. Like
+// serveOne it tells whether the connection can be used again.
 func (c *clientConn) ownHandler() func() bool {
 	head := &c.request.requestHead
 	if head.Method != http.MethodGet {
@@ -225,12 +257,12 @@
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	gone := false
-	var b [1]byte
+	isClosed := false
+	var buffer [1]byte
 	err := c.raw.Read(func(fd uintptr) bool {
-		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		gone = n == 0 && err == nil || err == syscall.ECONNRESET
+		n, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		isClosed = n == 0 && err == nil || err == syscall.ECONNRESET
 		return true
 	})
-	return gone || err != nil
+	return isClosed || err != nil
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -9,26 +9,39 @@
 	"mulleinmux/policy"
 )
 
+// engineEvent brings one event to the engine, which asks for what follows through out. It runs under the mutex.
+type engineEvent func(now time.Duration, out policy.Actions)
+
 // now reads the clock: Unix time, so that start times in lists convert, which never goes back.
 func (in *Instance) now() time.Duration {
 	return time.Duration(in.startedAt.UnixNano()) + time.Since(in.startedAt)
 }
 
 // handleEvent runs one event of the engine, then what its actions left to do.
-func (in *Instance) handleEvent(f func(now time.Duration, out policy.Actions)) {
+func (in *Instance) handleEvent(event engineEvent) {
 	in.mu.Lock()
-	in.runEvent(f)
-	after := in.deferred
-	in.deferred = nil
+	in.runEvent(event)
+	deferred := in.takeDeferred()
 	in.mu.Unlock()
-	for _, do := range after {
-		do()
+	runAll(deferred)
+}
+
+// takeDeferred returns what the events so far left to do, for when the mutex is released. Called under the mutex.
+func (in *Instance) takeDeferred() []func() {
+	deferred := in.deferred
+	in.deferred = nil
+	return deferred
+}
+
+func runAll(functions []func()) {
+	for _, function := range functions {
+		function()
 	}
 }
 
-// runEvent runs an event. A panic of the engine is logged, with the stack that names its
-// cause, and costs the one event.
-func (in *Instance) runEvent(f func(now time.Duration, out policy.Actions)) {
+// runEvent runs an event unless the instance is closed. A panic of the engine is logged, with the stack that names
+// its cause, and costs the one event. Called under the mutex.
+func (in *Instance) runEvent(event engineEvent) {
 	if in.isClosed {
 		return
 	}
@@ -38,38 +51,29 @@
 			in.deferred = append(in.deferred, func() { in.log.Print(text) })
 		}
 	}()
-	f(in.now(), (*actions)(in))
+	event(in.now(), (*actions)(in))
 }
 
-// handleRequestEvent runs an event of one request and takes what comes next for it.
-func (in *Instance) handleRequestEvent(r *pendingRequest, f func(now time.Duration, out policy.Actions)) (
-	next attempt, pending, done bool,
-) {
+// handleRequestEvent runs an event of one request, then what its actions left to do, and returns what the request's
+// goroutine does next.
+func (in *Instance) handleRequestEvent(r *pendingRequest, event engineEvent) requestStep {
 	in.mu.Lock()
-	in.runEvent(f)
-	after := in.deferred
-	in.deferred = nil
+	in.runEvent(event)
+	deferred := in.takeDeferred()
 	if in.isClosed {
 		in.answer(r, failed, 0)
 	}
-	next, pending, done = r.next, r.hasNext, r.isAnswered
-	if r.hasNext = false; pending && !done {
-		r.current = &attemptControl{}
-		r.attempts++
-	}
-	r.isWaiting = !pending && !done
+	step := r.takeNextStep()
 	in.mu.Unlock()
-	for _, do := range after {
-		do()
-	}
-	return next, pending, done
+	runAll(deferred)
+	return step
 }
 
 // actions carries out what the engine asks for. All are called under the mutex.
 type actions Instance
 
-// SendAttempt leaves word of the request's next attempt, bounded by its timeout and by the
-// client's deadline. The request's goroutine begins it once no other is out.
+// SendAttempt notes the request's next attempt, bounded by its timeout and by the client's deadline. The request's
+// goroutine begins it once no other is in flight.
 func (a *actions) SendAttempt(id, server string, timeout time.Duration) {
 	in := (*Instance)(a)
 	r := in.requests[id]
@@ -77,32 +81,36 @@
 		in.logLater("module: send for %s, which is not open for one", id)
 		return
 	}
-	until := r.deadline
-	if t := time.Now().Add(timeout); timeout != 0 && t.Before(until) {
-		until = t
+	deadline := r.deadline
+	if end := time.Now().Add(timeout); timeout != 0 && end.Before(deadline) {
+		deadline = end
 	}
-	r.next, r.hasNext = attempt{server, until}, true
+	r.next, r.hasNext = attempt{server: server, deadline: deadline}, true
 	in.wakeRequest(r)
 }
 
+// RejectRequest ends a request with a rejection, which a client may retry after a while.
 func (a *actions) RejectRequest(id string, retryAfter time.Duration) {
 	if r := a.requests[id]; r != nil {
 		(*Instance)(a).answer(r, rejected, retryAfter)
 	}
 }
 
+// FailRequest ends a request with a failure.
 func (a *actions) FailRequest(id string) {
 	if r := a.requests[id]; r != nil {
 		(*Instance)(a).answer(r, failed, 0)
 	}
 }
 
+// CancelAttempt aborts an attempt if it is the one in flight.
 func (a *actions) CancelAttempt(id string, attempt int) {
 	if r := a.requests[id]; r != nil && r.current != nil && attempt == r.attempts-1 {
 		a.deferred = append(a.deferred, r.current.abort)
 	}
 }
 
+// SetTimer fires the timer with a token after a time.
 func (a *actions) SetTimer(token uint64, after time.Duration) {
 	in := (*Instance)(a)
 	now := in.now()
@@ -110,12 +118,15 @@
 	in.scheduleTimer(now)
 }
 
+// CheckHealth starts a health check. Its goroutine ends at its timeout; close waits for it.
 func (a *actions) CheckHealth(server string) {
 	in := (*Instance)(a)
 	in.healthChecks.Add(1)
 	go in.checkHealth(server)
 }
 
+// SendGossip sends a message to a peer once the event is over. The message is copied: the engine uses its buffer
+// again.
 func (a *actions) SendGossip(peer int, message []byte) {
 	in := (*Instance)(a)
 	message = append([]byte(nil), message...)
@@ -124,7 +135,7 @@
 	}
 }
 
-// WatchEndpoints has nothing to do: the lists are always watched.
+// WatchEndpoints has nothing to do: the endpoint lists are always watched.
 func (a *actions) WatchEndpoints(bool) {}
 
 func (a *actions) Log(text string) { (*Instance)(a).logLater("module: %s", text) }
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -23,7 +23,7 @@
 // under the mutex; what does I/O runs after it is released.
 //
 // A request's own goroutine carries out its attempts, one after the other, so that no two
-// can be in request at once: an action of the engine only notes what comes next.
+// can be in flight at once: an action of the engine only notes what comes next.
 type Instance struct {
 	config       *Config
 	log          *log.Logger
--- a/internal/gateway/key_owners_test.go
+++ b/internal/gateway/key_owners_test.go
@@ -18,7 +18,7 @@
 		c.Keys = &multisite.KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: time.Second, KeyTTL: time.Second,
 			DeduplicationWindow: time.Second, MaxKeys: 10}
 	})
-	f := &clientServer{instance: r.Instance}
+	server := &clientServer{instance: r.Instance}
 	number := func(body string, fields ...string) uint64 {
 		t.Helper()
 		var fl pendingRequest
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		fl.body = []byte(body)
-		if _, err := f.parse(&fl, time.Now()); err != nil || !fl.hasKeyOwner {
+		if _, err := server.parse(&fl, time.Now()); err != nil || !fl.hasKeyOwner {
 			t.Fatalf("%v, homed %v", err, fl.hasKeyOwner)
 		}
 		return fl.key
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -24,20 +24,20 @@
 	licensee        string
 	units           int
 	deadline        time.Time
-	wasSent         bool   // an attempt was written whole
-	key             uint64 // of a keyed request that sites decides on
-	hasKeyOwner     bool   // it is one
-	mayRun          bool   // an attempt may have run
+	wasSent         bool // an attempt was written whole
+	hasKeyOwner     bool // it has an idempotency key, and one site owns that
+	key             uint64
+	mayRun          bool // an attempt may have run
 
-	cameByRelay bool   // it came over the link
-	relayID     string // then
-	isRelayed   bool   // the attempt under way is relayed the link
+	cameByRelay bool   // another site's instance relayed it
+	relayID     string // set if cameByRelay
+	isRelayed   bool   // the attempt under way goes to another site's instance
 
 	// Under the instance's mutex:
 	isAnswered   bool // answer is final
 	answer       outcome
-	retryAfter   time.Duration   // of a refusal
-	keyRejection string          // of one for the sake of its key
+	retryAfter   time.Duration   // of a rejection; 0: none
+	keyRejection string          // why its key made it a rejection; empty: it did not
 	next         attempt         // asked for and not begun
 	hasNext      bool            // next is set
 	current      *attemptControl // the attempt under way
@@ -54,7 +54,7 @@
 	r.wasSent, r.mayRun, r.isRelayed = false, false, false
 	r.cameByRelay, r.keyRejection = cameByRelay, ""
 	select {
-	case <-r.wake: // crossed with the end of the last request's time
+	case <-r.wake: // sent just as the last request's deadline ended its wait
 	default:
 	}
 }
@@ -65,9 +65,38 @@
 	deadline time.Time
 }
 
-type outcome int
+// requestStep is what a request's goroutine does next.
+type requestStep struct {
+	action  stepAction
+	attempt attempt // of stepSend
+}
+
+type stepAction int
+
+const (
+	stepWait   stepAction = iota // until the engine has decided
+	stepSend                     // an attempt
+	stepAnswer                   // the client: the answer is final
+)
+
+// takeNextStep returns what the request's goroutine does next. Called under the instance's mutex.
+func (r *pendingRequest) takeNextStep() requestStep {
+	hasNext := r.hasNext
+	r.hasNext = false
+	r.isWaiting = !hasNext && !r.isAnswered
+	switch {
+	case r.isAnswered:
+		return requestStep{action: stepAnswer}
+	case hasNext:
+		r.current = &attemptControl{}
+		r.attempts++
+		return requestStep{action: stepSend, attempt: r.next}
+	}
+	return requestStep{action: stepWait}
+}
 
-func (k outcome) String() string { return [...]string{"served", "refused", "failed"}[k] }
+// outcome says how a request ended.
+type outcome int
 
 const (
 	served outcome = iota
@@ -75,119 +104,139 @@
 	failed
 )
 
+// String returns the word that access log and figures have for an outcome.
+func (o outcome) String() string { return [...]string{"served", "refused", "failed"}[o] }
+
 // serveRequest takes a request to its final answer. hasDisconnected tells whether the client has closed its
 // connection; it is asked before each retry.
-func (in *Instance) serveRequest(r *pendingRequest, q policy.Request, hasDisconnected func() bool) {
-	next, hasNext, isAnswered := in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
-		in.admit(r, q, now, out)
+func (in *Instance) serveRequest(r *pendingRequest, engineRequest policy.Request, hasDisconnected func() bool) {
+	step := in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
+		in.admit(r, engineRequest, now, out)
 	})
-	for !isAnswered {
-		if hasNext {
-			next, hasNext, isAnswered = in.runAttempt(r, next, hasDisconnected)
-			continue
+	for step.action != stepAnswer {
+		if step.action == stepSend {
+			step = in.runAttempt(r, step.attempt, hasDisconnected)
+		} else {
+			step = in.awaitDecision(r)
 		}
-		late := time.NewTimer(time.Until(r.deadline))
-		select {
-		case <-r.wake:
-			next, hasNext, isAnswered = in.handleRequestEvent(r, func(time.Duration, policy.Actions) {})
-		case <-late.C:
-			next, hasNext, isAnswered = in.clientDisconnected(r)
-		case <-in.ctx.Done():
-			next, hasNext, isAnswered = in.clientDisconnected(r)
-		}
-		late.Stop()
 	}
 	in.handleEvent(func(time.Duration, policy.Actions) { delete(in.requests, r.id) })
 }
 
-// admit service discovery a request and brings it to the engine, unless its key has no owner now. Called under the
-// mutex.
-func (in *Instance) admit(r *pendingRequest, q policy.Request, now time.Duration, out policy.Actions) {
+// awaitDecision waits until the engine has decided what comes next for a request. One for which it decides nothing
+// in time fails.
+func (in *Instance) awaitDecision(r *pendingRequest) requestStep {
+	timeout := time.NewTimer(time.Until(r.deadline))
+	defer timeout.Stop()
+	select {
+	case <-r.wake:
+		return in.handleRequestEvent(r, func(time.Duration, policy.Actions) {})
+	case <-timeout.C:
+	case <-in.ctx.Done():
+	}
+	return in.failUndecided(r)
+}
+
+// failUndecided fails a request for which the engine gave no answer in time.
+func (in *Instance) failUndecided(r *pendingRequest) requestStep {
+	return in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
+		in.answer(r, failed, 0)
+		in.engine.ClientDisconnected(now, r.id, out)
+	})
+}
+
+// admit records a request and brings it to the engine, unless no site owns its key now. Called under the mutex.
+func (in *Instance) admit(r *pendingRequest, engineRequest policy.Request, now time.Duration, out policy.Actions) {
 	in.lastRequestNumber++
-	var b [20]byte
-	r.id = string(strconv.AppendUint(b[:0], in.lastRequestNumber, 36))
-	q.ID = r.id
+	var digits [20]byte
+	r.id = string(strconv.AppendUint(digits[:0], in.lastRequestNumber, 36))
+	engineRequest.ID = r.id
 	in.requests[r.id] = r
 	if r.cameByRelay { // nothing is relayed twice
-		q.Zone, q.IsCharged = in.relay.config.Own[0], true
+		engineRequest.Zone, engineRequest.IsCharged = in.relay.config.Own[0], true
 	}
 	if r.hasKeyOwner {
-		verdict := in.routeKey(r, now)
-		if verdict.Site == "" {
-			r.keyRejection = verdict.Reason
-			in.answer(r, rejected, min(max(verdict.RetryAfter, minRetryAfter), in.config.Settings.MaxRetryAfter))
+		decision := in.routeKey(r, now)
+		if decision.Site == "" {
+			r.keyRejection = decision.Reason
+			retryAfter := max(decision.RetryAfter, minRetryAfter)
+			in.answer(r, rejected, min(retryAfter, in.config.Settings.MaxRetryAfter))
 			return
 		}
-		q.Zone = verdict.Site
+		engineRequest.Zone = decision.Site
 	}
-	in.engine.RequestReceived(now, q, out)
+	in.engine.RequestReceived(now, engineRequest, out)
 }
 
 // routeKey returns the site that owns a request's key. A relayed request whose key this site does not own is
 // rejected: one of the two sites goes by older key owners. Called under the mutex.
 func (in *Instance) routeKey(r *pendingRequest, now time.Duration) multisite.RoutingDecision {
-	verdict := in.keys.Route(now, r.key)
-	if verdict.Site != "" && r.cameByRelay && !in.relay.ownsSite(verdict.Site) {
+	decision := in.keys.Route(now, r.key)
+	if decision.Site != "" && r.cameByRelay && !in.relay.ownsSite(decision.Site) {
 		return multisite.RoutingDecision{RetryAfter: minRetryAfter, Reason: "the sites differ on its home"}
 	}
-	return verdict
+	return decision
 }
 
-// clientDisconnected ends a request whose client has gone or for which no answer was given in time.
-func (in *Instance) clientDisconnected(r *pendingRequest) (next attempt, hasNext, isAnswered bool) {
-	return in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
-		in.answer(r, failed, 0)
-		in.engine.ClientDisconnected(now, r.id, out)
-	})
+// attemptEnd is how an attempt ended.
+type attemptEnd struct {
+	sentAt  time.Duration // by the instance's clock
+	result  policy.Result
+	usedKey bool // the key table counts the attempt as under way
 }
 
 // runAttempt carries out one attempt and brings its result to the engine.
-func (in *Instance) runAttempt(r *pendingRequest, a attempt, hasDisconnected func() bool) (
-	next attempt, hasNext, isAnswered bool,
-) {
-	sentAt := in.now()
+func (in *Instance) runAttempt(r *pendingRequest, a attempt, hasDisconnected func() bool) requestStep {
+	end := attemptEnd{sentAt: in.now()}
 	r.response.wasWritten, r.response.connectedAt = false, time.Time{}
 	r.isRelayed = isRemoteServer(a.server)
-	hasCapacity := true
 	if r.isRelayed {
-		if hasCapacity = in.relay.acquire(r); hasCapacity {
-			defer in.relay.release(r)
+		if !in.relay.acquire(r) {
+			end.result = policy.RejectedByServer // no more may be relayed now
+			return in.completeAttempt(r, a, end)
 		}
+		defer in.relay.release(r)
 	}
-	ownsKey := true
-	if r.hasKeyOwner && hasCapacity {
-		ownsKey = in.confirmKeyOwner(r, a)
+	if r.hasKeyOwner {
+		end.usedKey = in.confirmKeyOwner(r, a)
 	}
-	var result policy.Result
 	switch {
-	case !hasCapacity:
-		result = policy.RejectedByServer // no more may be relayed now
-	case !ownsKey:
-		result = policy.NotSent
+	case r.hasKeyOwner && !end.usedKey:
+		end.result = policy.NotSent
 	case r.attempts > 1 && hasDisconnected():
-		result = policy.NotSent
-		in.handleEvent(func(now time.Duration, out policy.Actions) { in.answer(r, failed, 0) })
+		end.result = policy.NotSent
+		in.handleEvent(func(time.Duration, policy.Actions) { in.answer(r, failed, 0) })
 	default:
-		result = in.send(r, a)
+		end.result = in.send(r, a)
 	}
-	r.countAttempt(result)
+	return in.completeAttempt(r, a, end)
+}
+
+// completeAttempt counts an attempt that has ended and brings its result to the engine.
+func (in *Instance) completeAttempt(r *pendingRequest, a attempt, end attemptEnd) requestStep {
+	r.countAttempt(end.result)
 	report := r.response.report()
 	return in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
 		r.current = nil
-		if !r.isRelayed || result != policy.RejectedByServer && result != policy.ErrorResponse {
-			// What a remote instance rejects says nothing of its site.
-			in.recordSiteHealth(now, a.server, result, sentAt)
+		if r.tellsOfSite(end.result) {
+			in.recordSiteHealth(now, a.server, end.result, end.sentAt)
 		}
-		if r.hasKeyOwner && ownsKey && hasCapacity {
-			in.keys.EndAttempt(r.key, r.neverExecuted(result))
+		if end.usedKey {
+			in.keys.EndAttempt(r.key, r.neverExecuted(end.result))
 		}
-		if result == policy.OK {
+		if end.result == policy.OK {
 			in.answer(r, served, 0)
 		}
-		in.engine.AttemptCompleted(now, in.attemptResult(r, a, result, now-sentAt, report), out)
+		in.engine.AttemptCompleted(now, in.attemptResult(r, a, end.result, now-end.sentAt, report), out)
 	})
 }
 
+// tellsOfSite tells whether the latest attempt's result says something of the health of its server's site. What a
+// remote instance rejects or answers with an error does not.
+func (r *pendingRequest) tellsOfSite(result policy.Result) bool {
+	return !r.isRelayed || result != policy.RejectedByServer && result != policy.ErrorResponse
+}
+
 // confirmKeyOwner tells whether the attempt's site still owns the request's key: key owners may have changed since
 // the request was admitted. If not, the request is answered.
 func (in *Instance) confirmKeyOwner(r *pendingRequest, a attempt) (isOwner bool) {
@@ -207,7 +256,8 @@
 	return isOwner
 }
 
-// send exchanges an attempt with its server. A relayed one whose connection broke is asked for at the other site.
+// send exchanges an attempt with its server. The other site is asked what became of a relayed one whose connection
+// broke.
 func (in *Instance) send(r *pendingRequest, a attempt) policy.Result {
 	result := in.servers.exchange(in.ctx, r.current, a.server, a.deadline, r.requestHead.Method == "HEAD", &r.response,
 		func(b []byte) []byte { return r.appendRequest(b, a.deadline) })
@@ -258,13 +308,13 @@
 		return
 	}
 	r.isAnswered, r.answer, r.retryAfter = true, result, retryAfter
-	if r.current != nil { // no response to the attempt in request counts any more
+	if r.current != nil { // no response to the attempt in flight counts any more
 		in.deferred = append(in.deferred, r.current.abort)
 	}
 	in.wakeRequest(r)
 }
 
-// wakeRequest has a request's goroutine look at what is next. Called under the mutex.
+// wakeRequest ends the wait of a request's goroutine, if it waits. Called under the mutex.
 func (in *Instance) wakeRequest(r *pendingRequest) {
 	if r.isWaiting {
 		r.isWaiting = false
--- a/internal/gateway/request_parse.go
+++ b/internal/gateway/request_parse.go
@@ -14,57 +14,71 @@
 
 // parse finds a request's operation and what the engine must know of it. The version in force is read once: the
 // request keeps it.
-func (f *clientServer) parse(r *pendingRequest, began time.Time) (q policy.Request, err error) {
-	if err := f.takeVersion(r, began); err != nil {
-		return q, err
+func (s *clientServer) parse(r *pendingRequest, receivedAt time.Time) (policy.Request, error) {
+	if err := s.takeVersion(r, receivedAt); err != nil {
+		return policy.Request{}, err
 	}
-	head := &r.requestHead
-	path, query, _ := strings.Cut(head.Target, "?")
+	path, query, _ := strings.Cut(r.requestHead.Target, "?")
 	if err := r.match(path, query); err != nil {
-		return q, err
+		return policy.Request{}, err
 	}
-	call := routing.Request{Query: query, Header: head, Body: r.body}
-	if r.units, err = r.operation.Charge(call); err != nil {
-		return q, err
-	}
-	if checker := r.version.checker; checker != nil {
-		if err := checker.Check(r.operation, head, r.body); err != nil {
-			return q, &badRequest{status: http.StatusBadRequest, text: err.Error()}
-		}
+	call := routing.Request{Query: query, Header: &r.requestHead, Body: r.body}
+	if err := r.checkCall(call); err != nil {
+		return policy.Request{}, err
 	}
 	licensee, err := r.identifyLicensee()
 	if err != nil {
-		return q, err
+		return policy.Request{}, err
 	}
 	if err := r.takeTrace(); err != nil {
-		return q, err
+		return policy.Request{}, err
 	}
 	timeout, err := r.clientTimeout()
 	if err != nil {
-		return q, err
+		return policy.Request{}, err
 	}
-	r.hasKeyOwner = f.instance.keys != nil && r.operation.KeySource.In != routing.InNowhere
+	r.hasKeyOwner = s.instance.keys != nil && r.operation.KeySource.In != routing.InNowhere
 	if r.hasKeyOwner {
 		r.key = keyNumber(r.licensee, r.operation.ReadKey(call, path))
 	}
-	return policy.Request{Class: r.operation.Class.Name, Plan: licensee.Plan, Customer: licensee.Customer,
-		Timeout: timeout - clientTransit - time.Since(began), Units: float64(r.units),
-		InstanceCount: f.instance.config.Settings.InstanceCount}, nil
+	return policy.Request{
+		Class:         r.operation.Class.Name,
+		Plan:          licensee.Plan,
+		Customer:      licensee.Customer,
+		Timeout:       timeout - clientTransit - time.Since(receivedAt),
+		Units:         float64(r.units),
+		InstanceCount: s.instance.config.Settings.InstanceCount,
+	}, nil
+}
+
+// checkCall reads what the request costs and checks it against its operation's description.
+func (r *pendingRequest) checkCall(call routing.Request) (err error) {
+	if r.units, err = r.operation.Charge(call); err != nil {
+		return err
+	}
+	checker := r.version.checker
+	if checker == nil {
+		return nil
+	}
+	if err := checker.Check(r.operation, &r.requestHead, r.body); err != nil {
+		return &badRequest{status: http.StatusBadRequest, text: err.Error()}
+	}
+	return nil
 }
 
 // takeVersion gives the request the version in force. Its confirmation is read before it: a version that is put in
 // force in between is confirmed as well.
-func (f *clientServer) takeVersion(r *pendingRequest, now time.Time) error {
+func (s *clientServer) takeVersion(r *pendingRequest, now time.Time) error {
 	r.confirmationAge, r.version = 0, nil
-	if f.instance.config.Agreement != nil {
-		age, serves := f.instance.Confirmation(now)
+	if s.instance.config.Agreement != nil {
+		age, serves := s.instance.Confirmation(now)
 		r.confirmationAge = age
 		if !serves {
-			f.instance.unconfirmedCount.Add(1)
+			s.instance.unconfirmedCount.Add(1)
 			return errUnconfirmed
 		}
 	}
-	r.version = f.instance.version.Load()
+	r.version = s.instance.version.Load()
 	return nil
 }
 
@@ -82,7 +96,7 @@
 		return &badRequest{status: http.StatusBadRequest,
 			text: "Connection: names other fields than close and keep-alive"}
 	}
-	if err := overridesTarget(head, query); err != nil {
+	if err := checkOverrides(head, query); err != nil {
 		return err
 	}
 	operation, allow, result := table.Match(head.Method, path)
@@ -125,8 +139,7 @@
 	return nil
 }
 
-// clientTimeout is how long the client waits: what it tells, or the class's deadline where that is shorter or nothing
-// is told.
+// clientTimeout is how long the client waits: what X-Expires-In says, but no longer than the class's deadline.
 func (r *pendingRequest) clientTimeout() (time.Duration, error) {
 	timeout := r.operation.Class.Deadline
 	text, n := r.requestHead.Values("X-Expires-In")
@@ -145,24 +158,24 @@
 
 // keyNumber gives a licensee's key its number, the same at every instance (FNV-1a).
 func keyNumber(licensee, key string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(licensee))
-	h.Write([]byte{0})
-	h.Write([]byte(key))
-	return h.Sum64()
+	hash := fnv.New64a()
+	hash.Write([]byte(licensee))
+	hash.Write([]byte{0})
+	hash.Write([]byte(key))
+	return hash.Sum64()
 }
 
-// overridesTarget turns down what makes a server take a request for another than its line
-// says.
-func overridesTarget(h *httpwire.Head, query string) error {
-	for i := range h.Fields {
-		switch n := h.Fields[i].Name; len(n) {
-		case 13, 17, 22, 14:
-			for _, o := range [...]string{"X-HTTP-Method", "X-Method-Override", "X-HTTP-Method-Override", "X-Original-URL", "X-Rewrite-URL"} {
-				if len(o) == len(n) && (strings.EqualFold(n, o) || strings.EqualFold(strings.ReplaceAll(n, "_", "-"), o)) {
-					return &badRequest{status: http.StatusBadRequest, text: o + ": the method and path are those of the request's line"}
-				}
-			}
+// overridingFields make some servers take a request for another than its request line says.
+var overridingFields = [...]string{
+	"X-HTTP-Method", "X-Method-Override", "X-HTTP-Method-Override", "X-Original-URL", "X-Rewrite-URL",
+}
+
+// checkOverrides returns an error if a server could take the request for another than its request line says.
+func checkOverrides(head *httpwire.Head, query string) error {
+	for i := range head.Fields {
+		if field := overridingField(head.Fields[i].Name); field != "" {
+			return &badRequest{status: http.StatusBadRequest,
+				text: field + ": the method and path are those of the request's line"}
 		}
 	}
 	if strings.Contains(query, "_method") {
@@ -171,6 +184,20 @@
 	return nil
 }
 
+// overridingField returns which of overridingFields a name is, or "". Servers read "_" in a name as "-".
+func overridingField(name string) string {
+	for _, field := range overridingFields {
+		if len(field) != len(name) {
+			continue
+		}
+		if strings.EqualFold(name, field) || strings.EqualFold(strings.ReplaceAll(name, "_", "-"), field) {
+			return field
+		}
+	}
+	return ""
+}
+
+// validTrace tells whether a trace id is one word of letters, digits and "-_.", of 64 bytes at most.
 func validTrace(id string) bool {
 	for i := range len(id) {
 		c := id[i]
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -119,42 +119,42 @@
 
 // drain ends serving. Clients still come for a while and are answered, on connections that close behind the answer;
 // then the listeners close, and what was taken is finished.
-func (f *clientServer) drain(ln net.Listener) {
-	f.isReady.Store(false)
-	f.isDraining.Store(true)
-	<-time.After(f.instance.config.DrainTimeout)
+func (s *clientServer) drain(ln net.Listener) {
+	s.isReady.Store(false)
+	s.isDraining.Store(true)
+	<-time.After(s.instance.config.DrainTimeout)
 	ln.Close()
-	if f.relayListener != nil {
-		f.relayListener.Close()
+	if s.relayListener != nil {
+		s.relayListener.Close()
 	}
-	f.eachConn(func(c *clientConn) {
+	s.eachConn(func(c *clientConn) {
 		if !c.isBusy.Load() {
 			c.nc.SetReadDeadline(pastDeadline)
 		}
 	})
 	ended := make(chan struct{})
 	go func() {
-		f.handlers.Wait()
+		s.handlers.Wait()
 		close(ended)
 	}()
 	longest := time.Duration(0)
-	for _, c := range f.instance.Table().Classes {
+	for _, c := range s.instance.Table().Classes {
 		longest = max(longest, c.Deadline)
 	}
 	select {
 	case <-ended:
 		return
-	case <-time.After(longest + f.instance.config.Settings.ResponseSlack + requestReadTimeout):
+	case <-time.After(longest + s.instance.config.Settings.ResponseSlack + requestReadTimeout):
 	}
-	f.eachConn(func(c *clientConn) { c.nc.Close() })
+	s.eachConn(func(c *clientConn) { c.nc.Close() })
 	<-ended
 }
 
 // eachConn calls do with each connection of a client, under the mutex.
-func (f *clientServer) eachConn(do func(*clientConn)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
+func (s *clientServer) eachConn(do func(*clientConn)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
 		do(c)
 	}
 }
