--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -139,7 +139,7 @@
 	}
 	if f.instanceConfig.Keys != nil {
 		ownership := keyOwnershipOf(state, []uint64{anyFollower, anyMember})
-		f.instance.InstallKeyOwners(ownership.epoch, 0, nil, false)
+		f.instance.InstallKeyOwners(ownership.epoch, gateway.AgreedVoters{})
 	}
 	if f.isRestored {
 		f.isRestored = false
--- a/internal/cluster/key_messages.go
+++ b/internal/cluster/key_messages.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"time"
 
+	"mulleinmux/internal/gateway"
 	"mulleinmux/multisite"
 )
 
@@ -24,7 +25,11 @@
 		return 0
 	}
 	ownership := keyOwnershipOf(state, moment.Members)
-	m.instance.InstallKeyOwners(ownership.epoch, moment.AppliedIndex, moment.Voters, moment.IsJoint)
+	m.instance.InstallKeyOwners(ownership.epoch, gateway.AgreedVoters{
+		Index:   moment.AppliedIndex,
+		Voters:  moment.Voters,
+		IsJoint: moment.IsJoint,
+	})
 	m.instance.SetAgreedSites(ownership.sites, ownership.keyEighths, moment.Members)
 	return ownership.epoch.Number
 }
--- /dev/null
+++ b/internal/gateway/attempt.go
@@ -0,0 +1,138 @@
+package gateway
+
+import (
+	"strings"
+	"time"
+
+	"mulleinmux/policy"
+)
+
+// attempt is one send of a request to a server.
+type attempt struct {
+	server   string
+	deadline time.Time
+}
+
+// attemptEnd is how an attempt ended.
+type attemptEnd struct {
+	sentAt  time.Duration // by the instance's clock
+	result  policy.Result
+	usedKey bool // the key table counts the attempt as under way
+}
+
+// runAttempt carries out one attempt and brings its result to the engine.
+func (in *Instance) runAttempt(r *pendingRequest, a attempt, hasDisconnected func() bool) requestStep {
+	end := attemptEnd{sentAt: in.now()}
+	r.response.wasWritten, r.response.connectedAt = false, time.Time{}
+	r.isRelayed = isRemoteServer(a.server)
+	if r.isRelayed {
+		if !in.relay.acquire(r) {
+			end.result = policy.RejectedByServer // no more may be relayed now
+			return in.completeAttempt(r, a, end)
+		}
+		defer in.relay.release(r)
+	}
+	if r.hasKeyOwner {
+		end.usedKey = in.confirmKeyOwner(r, a)
+	}
+	switch {
+	case r.hasKeyOwner && !end.usedKey:
+		end.result = policy.NotSent
+	case r.attempts > 1 && hasDisconnected():
+		end.result = policy.NotSent
+		in.handleEvent(func(time.Duration, policy.Actions) { in.answer(r, failed, 0) })
+	default:
+		end.result = in.send(r, a)
+	}
+	return in.completeAttempt(r, a, end)
+}
+
+// completeAttempt counts an attempt that has ended and brings its result to the engine.
+func (in *Instance) completeAttempt(r *pendingRequest, a attempt, end attemptEnd) requestStep {
+	r.countAttempt(end.result)
+	report := r.response.report()
+	return in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
+		r.current = nil
+		if r.tellsOfSite(end.result) {
+			in.recordSiteHealth(now, a.server, end.result, end.sentAt)
+		}
+		if end.usedKey {
+			in.keys.EndAttempt(r.key, r.neverExecuted(end.result))
+		}
+		if end.result == policy.OK {
+			in.answer(r, served, 0)
+		}
+		in.engine.AttemptCompleted(now, in.attemptResult(r, a, end.result, now-end.sentAt, report), out)
+	})
+}
+
+// tellsOfSite tells whether the latest attempt's result says something of the health of its server's site. What a
+// remote instance rejects or answers with an error does not.
+func (r *pendingRequest) tellsOfSite(result policy.Result) bool {
+	return !r.isRelayed || result != policy.RejectedByServer && result != policy.ErrorResponse
+}
+
+// confirmKeyOwner tells whether the attempt's site still owns the request's key: key owners may have changed since
+// the request was admitted. If not, the request is answered.
+func (in *Instance) confirmKeyOwner(r *pendingRequest, a attempt) (isOwner bool) {
+	isOwner = true
+	in.handleEvent(func(now time.Duration, out policy.Actions) {
+		site, _, _ := strings.Cut(a.server, "/")
+		isOwner = in.keys.BeginAttempt(now, r.key, site)
+		switch {
+		case isOwner:
+		case r.wasSent:
+			in.answer(r, failed, 0)
+		default:
+			r.keyRejection = "its home has moved meanwhile"
+			in.answer(r, rejected, minRetryAfter)
+		}
+	})
+	return isOwner
+}
+
+// send exchanges an attempt with its server. The other site is asked what became of a relayed one whose connection
+// broke.
+func (in *Instance) send(r *pendingRequest, a attempt) policy.Result {
+	result := in.servers.exchange(in.ctx, r.current, a.server, a.deadline, r.requestHead.Method == "HEAD", &r.response,
+		func(b []byte) []byte { return r.appendRequest(b, a.deadline) })
+	if r.isRelayed && result == policy.ConnectionReset {
+		return in.resolveRelayed(r, a)
+	}
+	return result
+}
+
+// countAttempt counts an attempt that was written whole, and the request's units with the first of these.
+func (r *pendingRequest) countAttempt(result policy.Result) {
+	if !r.response.wasWritten {
+		return
+	}
+	r.mayRun = r.mayRun || result != policy.RejectedByServer
+	r.counters.Attempts.Add(1)
+	if !r.wasSent {
+		r.wasSent = true
+		r.counters.Sent.Add(1)
+		r.counters.Units.Add(int64(r.units))
+	}
+}
+
+// neverExecuted tells whether the latest attempt surely never ran.
+func (r *pendingRequest) neverExecuted(result policy.Result) bool {
+	switch result {
+	case policy.RejectedByServer, policy.ConnectFailed, policy.NotSent:
+		return true
+	}
+	return !r.response.wasWritten
+}
+
+// attemptResult is what the engine learns of an attempt's end.
+func (in *Instance) attemptResult(r *pendingRequest, a attempt, result policy.Result, latency time.Duration,
+	report *policy.LoadReport,
+) policy.AttemptResult {
+	end := policy.AttemptResult{ID: r.id, Attempt: r.attempts - 1, RequestAnswered: r.isAnswered, Result: result,
+		Server: a.server, Latency: latency, LoadReport: report}
+	if !r.response.connectedAt.IsZero() {
+		end.ConnectedAt = time.Duration(in.startedAt.UnixNano()) + r.response.connectedAt.Sub(in.startedAt)
+	}
+	return end
+}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -19,10 +19,10 @@
 // Site is a site's servers, which a service discovery of their own lists.
 type Site struct {
 	Name      string         // the zone of its servers
-	Discovery netip.AddrPort // its agent: the protocol of package service discovery
+	Discovery netip.AddrPort // its agent: the protocol of package discovery
 }
 
-// Config is all that an instance is told at its start.
+// Config is the configuration of an instance, fixed at its start.
 type Config struct {
 	Name   string
 	Listen netip.AddrPort
@@ -37,8 +37,8 @@
 
 	Licensees map[string]Licensee // by name
 
-	// Agreement, if set, has the instance serve only on a setup whose standing it is told
-	// (see [Instance.ConfirmVersion]): instances agree on it.
+	// Agreement, if set, has the instance serve only on a setup on which instances have agreed, and which is
+	// confirmed (see [Instance.ConfirmVersion]).
 	Agreement *Agreement
 
 	// Keys, if set, keeps a keyed request to the site that package multisite gives it.
@@ -47,13 +47,14 @@
 	// Health, if set, has the instance judge the sites: see package multisite.
 	Health *multisite.HealthConfig
 
-	// QuorumConfirmation, if set, has key owners confirmed by as many voters as no newer key owners can do without.
+	// QuorumConfirmation, if set, has key owners confirmed by a quorum of the voters, without which no newer ones can be
+	// agreed on.
 	QuorumConfirmation *multisite.ConfirmationConfig
 
 	// RecoveryRamp, if set, has the instances share out what cold servers may be sent: see package multisite.
 	RecoveryRamp *multisite.RampConfig
 
-	// Relay, if set, has the instance reach other sites by way of their instances.
+	// Relay, if set, has the instance reach other sites through their instances.
 	Relay *RelayConfig
 
 	MaxClientConns    int           // connections of clients
@@ -76,13 +77,13 @@
 	RejectsStale bool          // then requests are rejected; else they are served on
 }
 
-// Setup is what an instance can be told anew while it runs.
+// Setup is the part of the configuration that can be replaced while an instance runs.
 type Setup struct {
-	Number    uint64         // its version, which sites and clients are told
+	Number    uint64         // its version, which servers and clients see
 	Table     *routing.Table // nil: as it is
 	Check     Checker        // with Table; nil: only what the cost depends on is checked
 	Licensees map[string]Licensee
-	Plans     []policy.Plan // by place, as [policy.Engine.SetPlans] wants them
+	Plans     []policy.Plan // by index, as [policy.Engine.SetPlans] expects them
 	Sites     []Site
 }
 
@@ -110,6 +111,7 @@
 // UseSockets has the instance serve on sockets that are open. conn is nil without peers.
 func (c *Config) UseSockets(ln net.Listener, conn *net.UDPConn) { c.listener, c.peerConn = ln, conn }
 
+// check returns what is wrong with the configuration, or sets the defaults.
 func (c *Config) check() error {
 	switch {
 	case c.Name == "":
@@ -130,9 +132,10 @@
 	return nil
 }
 
-func orDefault[T int | time.Duration](v, d T) T {
-	if v <= 0 {
-		return d
+// orDefault returns a value, or its default where it is not set.
+func orDefault[T int | time.Duration](value, defaultValue T) T {
+	if value <= 0 {
+		return defaultValue
 	}
-	return v
+	return value
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"net"
 	"net/netip"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -18,21 +19,21 @@
 	"mulleinmux/policy"
 )
 
-// The link between sites. An instance reaches the servers of its own sites itself; those of another site it reaches
-// by way of that site's instances, which to the engine are servers of that site. A request is relayed over mutual TLS
-// as it came, with the id of its relayed request. The remote instance sends it on within its own sites alone, so that
-// nothing crosses twice, and says truthfully what became of it: an answer; "never ran" (503 with X-Never-Ran); or
-// that it may have run (502). Its units were counted where it entered. If the connection breaks before the answer,
-// the remote instance is asked over another one: see [multisite.ForwardedRequests].
+// The relay between sites. An instance reaches the servers of its own sites itself; those of another site it reaches
+// through that site's instances, which to the engine are servers of that site. A request is relayed over mutual TLS
+// as it came, with an ID that is new for each attempt. The remote instance forwards it within its own sites alone, so
+// that nothing is relayed twice, and reports truthfully what became of it: an answer; "never ran" (503 with
+// X-Never-Ran); or that it may have run (502). Its units were counted where it entered. If the connection breaks
+// before the answer, the remote instance is asked over another one: see [multisite.ForwardedRequests].
 
-// RelayConfig is an instance's part in the link.
+// RelayConfig is an instance's part in the relay.
 type RelayConfig struct {
 	Own         []string                                  // sites whose servers it reaches itself
-	Listen      netip.AddrPort                            // where other sites' instances come in
-	Remote      map[string][]RelayPeer                    // by site of another site: the instances that reach it
+	Listen      netip.AddrPort                            // where other sites' instances connect
+	Remote      map[string][]RelayPeer                    // by each other site: the instances that reach it
 	TLS         *tls.Config                               // for both sides: mutual, with session tickets off
 	Verify      func(tls.ConnectionState) (uint64, error) // names the member at the other end
-	MaxInFlight int                                       // relayed requests out at once; 64 where 0
+	MaxInFlight int                                       // relayed requests in flight at once; 64 where 0
 	listener    net.Listener                              // open, in tests and scenarios
 }
 
@@ -47,18 +48,18 @@
 	executionStatusField  = "X-Mulleinmux-Fate"
 	executionStatusPath   = "/link/fate"
 	defaultMaxRelayed     = 64
-	relayRetryTokens      = 0.1 // further relayed requests that a first one earns
+	relayRetryTokens      = 0.1 // relayed retries that a first attempt earns
 	maxRelayRetryTokens   = 10
 	relayHandshakeTimeout = time.Second
-	arrivalTTL            = 30 * time.Second // a broken connection delivers nothing for so long
+	arrivalTTL            = 30 * time.Second // no broken connection delivers anything after that
 	maxArrivals           = 1 << 16
-	maxRetainedBody       = 16 << 10               // bytes of an answer's body that is kept
-	statusPollInterval    = 20 * time.Millisecond  // between two asks for one that is under way
-	statusTimeout         = 300 * time.Millisecond // for the answer to one ask
+	maxRetainedBody       = 16 << 10               // bytes of an answer's body that is retained
+	statusPollInterval    = 20 * time.Millisecond  // between two queries of a request that is still executing
+	statusTimeout         = 300 * time.Millisecond // for the answer to one query
 	remoteServerMark      = "/@"                   // in the engine's name of a remote instance
 )
 
-// relay is an instance's part in the link, at work.
+// relay carries out an instance's part in the relay.
 type relay struct {
 	config *RelayConfig
 
@@ -67,21 +68,23 @@
 	budget   *multisite.RelayBudget
 }
 
-func newRelay(cfg *RelayConfig) (*relay, error) {
-	if len(cfg.Own) == 0 || cfg.TLS == nil || cfg.Verify == nil {
+func newRelay(config *RelayConfig) (*relay, error) {
+	if len(config.Own) == 0 || config.TLS == nil || config.Verify == nil {
 		return nil, errors.New("link: a hall of its own, certificates and a check of them are needed")
 	}
-	l := &relay{config: cfg}
-	var err error
-	if l.arrivals, err = multisite.NewForwardedRequests(arrivalTTL, maxArrivals); err != nil {
+	arrivals, err := multisite.NewForwardedRequests(arrivalTTL, maxArrivals)
+	if err != nil {
 		return nil, err
 	}
-	l.budget, err = multisite.NewRelayBudget(multisite.RelayBudgetConfig{
-		MaxInFlight:     orDefault(cfg.MaxInFlight, defaultMaxRelayed),
+	budget, err := multisite.NewRelayBudget(multisite.RelayBudgetConfig{
+		MaxInFlight:     orDefault(config.MaxInFlight, defaultMaxRelayed),
 		RetryRatio:      relayRetryTokens,
 		MaxSavedRetries: maxRelayRetryTokens,
 	})
-	return l, err
+	if err != nil {
+		return nil, err
+	}
+	return &relay{config: config, arrivals: arrivals, budget: budget}, nil
 }
 
 // listen returns the listener for other sites' instances.
@@ -89,39 +92,31 @@
 	if c.listener != nil {
 		return c.listener, nil
 	}
-	ln, err := net.Listen("tcp", c.Listen.String())
+	listener, err := net.Listen("tcp", c.Listen.String())
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	return ln, nil
+	return listener, nil
 }
 
 // isRemoteServer tells whether a server, as the engine names it, is an instance of another site.
 func isRemoteServer(server string) bool { return strings.Contains(server, remoteServerMark) }
 
-// remoteServers is what the engine is told of a site that is reached by way of its own site's instances.
-func (l *relay) remoteServers(hall string) (list discovery.EndpointList, ok bool) {
-	peers, ok := l.config.Remote[hall]
-	for _, p := range peers {
-		list.Servers = append(list.Servers, discovery.Endpoint{Addr: p.Addr,
-			Server: policy.Server{ID: "@" + strconv.FormatUint(p.Member, 10), Weight: 1, Kind: "instance", Zone: hall}})
+// remoteServers is the endpoint list of another site: its instances, in place of the servers that only they reach.
+func (r *relay) remoteServers(site string) discovery.EndpointList {
+	list := discovery.EndpointList{IsComplete: true}
+	for _, peer := range r.config.Remote[site] {
+		server := policy.Server{ID: "@" + strconv.FormatUint(peer.Member, 10), Weight: 1, Kind: "instance", Zone: site}
+		list.Servers = append(list.Servers, discovery.Endpoint{Addr: peer.Addr, Server: server})
 	}
-	list.IsComplete = true
-	return list, ok
+	return list
 }
 
 // ownsSite tells whether this instance reaches a site's servers itself.
-func (l *relay) ownsSite(hall string) bool {
-	for _, o := range l.config.Own {
-		if o == hall {
-			return true
-		}
-	}
-	return false
-}
+func (r *relay) ownsSite(site string) bool { return slices.Contains(r.config.Own, site) }
 
-// secure makes a connection to a remote instance one of the link.
-func (l *relay) secure(ctx context.Context, server string, nc net.Conn) (net.Conn, error) {
+// secure makes a new connection to a remote instance one of mutual TLS.
+func (r *relay) secure(ctx context.Context, server string, nc net.Conn) (net.Conn, error) {
 	_, number, _ := strings.Cut(server, remoteServerMark)
 	want, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
@@ -129,17 +124,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayHandshakeTimeout)
 	defer cancel()
-	c := tls.Client(nc, l.config.TLS)
+	c := tls.Client(nc, r.config.TLS)
 	if err := c.HandshakeContext(ctx); err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	if got, err := l.config.Verify(c.ConnectionState()); err != nil || got != want {
+	if got, err := r.config.Verify(c.ConnectionState()); err != nil || got != want {
 		return nil, fmt.Errorf("link: member %d answers where member %d is expected: %w", got, want, err)
 	}
 	return c, nil
 }
 
-// raw is the descriptor under a connection, of the link or not.
+// raw returns the descriptor of a connection, with TLS or without.
 func raw(nc net.Conn) (syscall.RawConn, error) {
 	if t, ok := nc.(*tls.Conn); ok {
 		nc = t.NetConn()
@@ -150,28 +145,29 @@
 // relayListener accepts connections of other sites' instances; each shows its certificate before its first request.
 type relayListener struct {
 	net.Listener
-	link *relay
+	relay *relay
 }
 
+// Accept returns the next connection. Its handshake takes place in verifyPeer.
 func (l relayListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return tls.Server(nc, l.link.config.TLS), nil
+	return tls.Server(nc, l.relay.config.TLS), nil
 }
 
-// verifyPeer checks the certificate at the other end of a connection of the link.
+// verifyPeer checks the certificate at the other end of a connection of another site's instance.
 func (c *clientConn) verifyPeer() bool {
-	t, ok := c.nc.(*tls.Conn)
+	conn, ok := c.nc.(*tls.Conn)
 	if !ok {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(c.server.instance.ctx, relayHandshakeTimeout)
 	defer cancel()
-	err := t.HandshakeContext(ctx)
+	err := conn.HandshakeContext(ctx)
 	if err == nil {
-		_, err = c.server.instance.relay.config.Verify(t.ConnectionState())
+		_, err = c.server.instance.relay.config.Verify(conn.ConnectionState())
 	}
 	if err != nil {
 		c.server.instance.log.Printf("link: connection from %s: %v", c.nc.RemoteAddr(), err)
--- a/internal/gateway/relayed_request.go
+++ b/internal/gateway/relayed_request.go
@@ -10,154 +10,188 @@
 	"mulleinmux/policy"
 )
 
+// Floors of what relative values are divided by.
+const (
+	minLatencyObjective = 1e-3 // seconds
+	minRelativeValue    = 1e-9
+)
+
 // relativeValue is what a class earns for its latency objective, in priority weight a second.
-func relativeValue(c *policy.Class) float64 {
-	return c.PriorityWeight / max(c.LatencyObjective.Seconds(), 1e-3)
+func relativeValue(class *policy.Class) float64 {
+	return class.PriorityWeight / max(class.LatencyObjective.Seconds(), minLatencyObjective)
 }
 
 // acquire takes a place for an attempt within the budget of relayed requests; release gives it back.
-func (l *relay) acquire(r *pendingRequest) bool {
+func (r *relay) acquire(request *pendingRequest) bool {
+	classes := request.version.table.Classes
 	best := 0.0
-	for i := range r.version.table.Classes {
-		best = max(best, relativeValue(&r.version.table.Classes[i]))
+	for i := range classes {
+		best = max(best, relativeValue(&classes[i]))
 	}
-	value := relativeValue(&r.operation.Class) / max(best, 1e-9)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.budget.Acquire(r.licensee, value, r.attempts > 1)
+	value := relativeValue(&request.operation.Class) / max(best, minRelativeValue)
+	isRetry := request.attempts > 1
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.budget.Acquire(request.licensee, value, isRetry)
 }
 
-func (l *relay) release(r *pendingRequest) {
-	l.mu.Lock()
-	l.budget.Release(r.licensee)
-	l.mu.Unlock()
+// release ends what acquire began.
+func (r *relay) release(request *pendingRequest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.budget.Release(request.licensee)
 }
 
-// nextRelayID is the id of the attempt under way.
-func (r *pendingRequest) nextRelayID() string { return r.trace + "." + strconv.Itoa(r.attempts) }
-
-// executionStatus asks a remote instance, over another connection, what became of a relayed request whose connection
-// broke. It asks until the answer is final or the attempt's time is over.
-func (in *Instance) executionStatus(r *pendingRequest, at attempt) (multisite.ExecutionStatus, *retainedResponse) {
-	id := r.nextRelayID()
-	for until := at.deadline; time.Now().Before(until); {
-		var rep response
-		by := time.Now().Add(statusTimeout)
-		if until.Before(by) {
-			by = until
-		}
-		result := in.servers.exchange(in.ctx, &attemptControl{}, at.server, by, false, &rep, func(b []byte) []byte {
-			b = append(b, "GET "+executionStatusPath+" HTTP/1.1\r\nHost: link\r\n"...)
-			return append(httpwire.AppendField(b, relayIDField, id), "\r\n"...)
-		})
-		if result == policy.OK {
-			switch f := multisite.ParseExecutionStatus(rep.head.Get(executionStatusField)); f {
-			case multisite.Executed:
-				if rep.head.Status == http.StatusNoContent {
-					return f, nil
-				}
-				return f, &retainedResponse{rep.head.Status, rep.head.Get("Content-Type"), rep.body}
-			case multisite.Executing:
-			default:
-				return f, nil
-			}
+// attemptRelayID is the id of the attempt under way, as a relayed request.
+func (r *pendingRequest) attemptRelayID() string { return r.trace + "." + strconv.Itoa(r.attempts) }
+
+// relayedStatus is what became of a relayed request, as the remote instance reports it.
+type relayedStatus struct {
+	status   multisite.ExecutionStatus
+	retained *retainedResponse // of one that was executed, where its response was retained
+}
+
+// awaitRelayedStatus asks a remote instance, over another connection, what became of a relayed request whose
+// connection broke. It asks until the status is final or the attempt's deadline is over.
+func (in *Instance) awaitRelayedStatus(r *pendingRequest, a attempt) relayedStatus {
+	id := r.attemptRelayID()
+	for time.Now().Before(a.deadline) {
+		status, isFinal := in.queryRelayedStatus(id, a)
+		if isFinal {
+			return status
 		}
 		pause := time.NewTimer(statusPollInterval)
 		select {
 		case <-pause.C:
 		case <-in.ctx.Done():
 			pause.Stop()
-			return multisite.ExecutionUnknown, nil
+			return relayedStatus{status: multisite.ExecutionUnknown}
+		}
+	}
+	return relayedStatus{status: multisite.ExecutionUnknown}
+}
+
+// queryRelayedStatus asks a remote instance once, and tells whether the status is final: the instance answered, and
+// the request is not executing any more.
+func (in *Instance) queryRelayedStatus(id string, a attempt) (result relayedStatus, isFinal bool) {
+	deadline := time.Now().Add(statusTimeout)
+	if a.deadline.Before(deadline) {
+		deadline = a.deadline
+	}
+	var rep response
+	sent := in.servers.exchange(in.ctx, &attemptControl{}, a.server, deadline, false, &rep, func(b []byte) []byte {
+		b = append(b, "GET "+executionStatusPath+" HTTP/1.1\r\nHost: link\r\n"...)
+		return append(httpwire.AppendField(b, relayIDField, id), "\r\n"...)
+	})
+	if sent != policy.OK {
+		return relayedStatus{}, false
+	}
+	result.status = multisite.ParseExecutionStatus(rep.head.Get(executionStatusField))
+	if result.status == multisite.Executed && rep.head.Status != http.StatusNoContent {
+		result.retained = &retainedResponse{
+			status:      rep.head.Status,
+			contentType: rep.head.Get("Content-Type"),
+			body:        rep.body,
 		}
 	}
-	return multisite.ExecutionUnknown, nil
+	return result, result.status != multisite.Executing
 }
 
-// resolveRelayed finds out what became of an attempt whose connection over the link broke.
-func (in *Instance) resolveRelayed(r *pendingRequest, at attempt) policy.Result {
-	f, kept := in.executionStatus(r, at)
+// resolveRelayed finds out what became of an attempt whose connection to a remote instance broke.
+func (in *Instance) resolveRelayed(r *pendingRequest, a attempt) policy.Result {
+	became := in.awaitRelayedStatus(r, a)
 	switch {
-	case f == multisite.NeverExecuted:
+	case became.status == multisite.NeverExecuted:
 		r.response.wasWritten = false // as if it had not been written; and the remote instance lives
 		return policy.RejectedByServer
-	case f == multisite.Executed && kept != nil:
-		h := &r.response.head
-		*h = httpwire.Head{Status: kept.status, Reason: http.StatusText(kept.status), Length: int64(len(kept.body))}
-		if kept.contentType != "" {
-			h.Fields = append(h.Fields, httpwire.Field{Name: "Content-Type", Value: kept.contentType})
-		}
-		r.response.body = kept.body
+	case became.status == multisite.Executed && became.retained != nil:
+		r.response.head = became.retained.head()
+		r.response.body = became.retained.body
 		return policy.OK
 	}
 	return policy.ConnectionReset
 }
 
-// serveExecutionStatus answers another site's ask.
-func (c *clientConn) serveExecutionStatus() bool {
-	l := c.server.instance.relay
-	id, n := c.request.requestHead.Values(relayIDField)
-	if n != 1 || id == "" {
-		return c.rejectBadRequest(&badRequest{status: http.StatusBadRequest, text: relayIDField + ": one is wanted"})
+// serveExecutionStatus answers another site's query of what became of a relayed request.
+func (c *clientConn) serveExecutionStatus() (isReusable bool) {
+	relay := c.server.instance.relay
+	id, err := relayID(&c.request.requestHead)
+	if err != nil {
+		return c.rejectBadRequest(err)
 	}
-	l.mu.Lock()
-	f, kept := l.arrivals.ResolveStatus(time.Now(), id)
-	l.mu.Unlock()
-	status, body := http.StatusNoContent, []byte(nil)
-	k, ok := kept.(*retainedResponse)
-	if ok && k != nil {
-		status, body = k.status, k.body
+	relay.mu.Lock()
+	status, answer := relay.arrivals.ResolveStatus(time.Now(), id)
+	relay.mu.Unlock()
+	retained, _ := answer.(*retainedResponse)
+	if retained == nil {
+		b := c.appendStatusLine(http.StatusNoContent, http.StatusText(http.StatusNoContent))
+		b = httpwire.AppendField(b, executionStatusField, status.String())
+		return c.writeResponse(b, noBody)
 	}
-	b := httpwire.AppendField(c.appendStatusLine(status, http.StatusText(status)), executionStatusField, f.String())
-	if ok && k != nil && k.contentType != "" {
-		b = httpwire.AppendField(b, "Content-Type", k.contentType)
+	b := c.appendStatusLine(retained.status, http.StatusText(retained.status))
+	b = httpwire.AppendField(b, executionStatusField, status.String())
+	if retained.contentType != "" {
+		b = httpwire.AppendField(b, "Content-Type", retained.contentType)
 	}
-	length := len(body)
-	if status == http.StatusNoContent {
-		length = -1
+	return c.writeResponse(b, wholeBody(retained.body))
+}
+
+// relayID returns the id that a relayed request, or a query of one, must have.
+func relayID(head *httpwire.Head) (string, error) {
+	id, count := head.Values(relayIDField)
+	if count != 1 || id == "" {
+		return "", &badRequest{status: http.StatusBadRequest, text: relayIDField + ": one is wanted"}
 	}
-	return c.writeResponse(b, body, length)
+	return id, nil
 }
 
-// acceptRelayed takes in a relayed request; an error turns it down.
+// acceptRelayed records a relayed request, or returns why it may not run here.
 func (c *clientConn) acceptRelayed() error {
-	l, r := c.server.instance.relay, &c.request
-	id, n := r.requestHead.Values(relayIDField)
-	if n != 1 || id == "" {
-		return &badRequest{status: http.StatusBadRequest, text: relayIDField + ": one is wanted"}
+	relay, r := c.server.instance.relay, &c.request
+	id, err := relayID(&r.requestHead)
+	if err != nil {
+		return err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
 	// A connection carries one after the other: the last answer has been read.
 	if c.lastRelayID != "" && c.lastRelayID != id {
-		l.arrivals.Acknowledge(c.lastRelayID)
+		relay.arrivals.Acknowledge(c.lastRelayID)
 	}
 	c.lastRelayID = id
-	if fate, ok := l.arrivals.Admit(time.Now(), id); !ok && fate == multisite.NeverExecuted {
+	status, isAdmitted := relay.arrivals.Admit(time.Now(), id)
+	switch {
+	case isAdmitted:
+		r.relayID = id
+		return nil
+	case status == multisite.NeverExecuted:
 		return &badRequest{status: http.StatusConflict, text: "the crossing is void or can't be remembered"}
-	} else if !ok {
-		return &badRequest{status: http.StatusBadGateway, text: "the crossing has come before", mayRun: true}
 	}
-	r.relayID = id
-	return nil
+	return &badRequest{status: http.StatusBadGateway, text: "the crossing has come before", mayRun: true}
 }
 
-// finishRelayed notes the fate of a relayed request that has its final answer.
+// finishRelayed records what became of a relayed request that has its final answer.
 func (c *clientConn) finishRelayed() {
-	l, r := c.server.instance.relay, &c.request
-	fate, kept := multisite.ExecutionUnknown, any(nil)
+	relay, r := c.server.instance.relay, &c.request
+	status := multisite.ExecutionUnknown
+	var answer any
 	switch {
 	case r.answer == served:
-		fate = multisite.Executed
+		status = multisite.Executed
 		if r.isRetainable() {
-			h := &r.response.head
-			kept = &retainedResponse{h.Status, h.Get("Content-Type"), r.response.body}
+			head := &r.response.head
+			answer = &retainedResponse{
+				status:      head.Status,
+				contentType: head.Get("Content-Type"),
+				body:        r.response.body,
+			}
 		}
 	case !r.mayRun:
-		fate = multisite.NeverExecuted
+		status = multisite.NeverExecuted
 	}
-	l.mu.Lock()
-	l.arrivals.Complete(time.Now(), r.relayID, fate, kept)
-	l.mu.Unlock()
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
+	relay.arrivals.Complete(time.Now(), r.relayID, status, answer)
 }
 
 // isRetainable tells whether the response can be given again later: a small one that has a body of its own.
@@ -167,22 +201,26 @@
 		status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// neverRan words that a relayed request did not run here.
-func (c *clientConn) neverRan(text string, wait time.Duration) bool {
+// writeNeverRan answers a relayed request that did not run here. retryAfter is 0 where there is none.
+func (c *clientConn) writeNeverRan(text string, retryAfter time.Duration) (isReusable bool) {
 	b := c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable")
 	b = append(b, "X-Never-Ran: 1\r\n"...)
-	if wait > 0 {
-		b = append(b, "Retry-After: "...)
-		b = appendSeconds(b, wait)
-		b = append(b, "\r\n"...)
-	}
-	body := []byte(text + "\n")
-	return c.writeResponse(b, body, len(body))
+	b = appendRetryAfter(b, retryAfter)
+	return c.writeResponse(b, wholeBody([]byte(text+"\n")))
 }
 
-// retainedResponse is what is kept of a relayed request's answer.
+// retainedResponse is what is retained of the response to a relayed request.
 type retainedResponse struct {
 	status      int
-	contentType string
+	contentType string // empty: it had none
 	body        []byte
 }
+
+// head returns the head of a response that gives a retained one again.
+func (r *retainedResponse) head() httpwire.Head {
+	head := httpwire.Head{Status: r.status, Reason: http.StatusText(r.status), Length: int64(len(r.body))}
+	if r.contentType != "" {
+		head.Fields = append(head.Fields, httpwire.Field{Name: "Content-Type", Value: r.contentType})
+	}
+	return head
+}
--- a/internal/gateway/request_write.go
+++ b/internal/gateway/request_write.go
@@ -33,7 +33,7 @@
 	b = appendSeconds(b, time.Until(until))
 	if r.isRelayed {
 		b = append(b, "\r\n"+relayIDField+": "...)
-		b = append(b, r.nextRelayID()...)
+		b = append(b, r.attemptRelayID()...)
 	}
 	b = append(b, "\r\nX-Mulleinmux-Version: "...)
 	if from, n := h.Values("X-Mulleinmux-Version"); r.cameByRelay && n == 1 {
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -1,36 +1,31 @@
 package gateway
 
 import (
-	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"time"
 
 	"mulleinmux/internal/httpwire"
-	"mulleinmux/routing"
 )
 
-// badRequest is a request that the client should not have sent: nothing is sent on, and
-// nothing charged.
-type badRequest struct {
-	status int
-	text   string
-	allow  string
-	wait   time.Duration // of a refusal
-	close  bool          // what follows on the connection can't be told apart
-	mayRun bool          // it is a second copy
+// responseBody is the body of a response to a client.
+type responseBody struct {
+	content        []byte // what is written
+	declaredLength int    // in Content-Length, more than is written in response to HEAD; noLength: no such header
 }
 
-func (e *badRequest) Error() string { return e.text }
+// noLength is the declared length of a response that has no body by its status.
+const noLength = -1
 
-// errUnconfirmed rejects a request: what is agreed is not known well enough to serve on.
-var errUnconfirmed = &badRequest{status: http.StatusServiceUnavailable, wait: time.Second,
-	text: "refused: trying again at another instance does no harm"}
+// noBody is the body of a response that has none by its status.
+var noBody = responseBody{declaredLength: noLength}
+
+// wholeBody is a body that is written as it is.
+func wholeBody(content []byte) responseBody {
+	return responseBody{content: content, declaredLength: len(content)}
+}
 
 // appendStatusLine starts an answer.
 func (c *clientConn) appendStatusLine(status int, reason string) []byte {
@@ -46,22 +41,24 @@
 	return b
 }
 
-// writeResponse ends an answer with its body and sends it; it is false if the connection is to
-// be closed.
-func (c *clientConn) writeResponse(b, body []byte, length int) bool {
-	if length >= 0 {
+// writeResponse ends the response that b begins with its body, writes it and tells whether the connection can be used
+// again.
+func (c *clientConn) writeResponse(b []byte, body responseBody) (isReusable bool) {
+	if body.declaredLength != noLength {
 		b = append(b, "Content-Length: "...)
-		b = strconv.AppendInt(b, int64(length), 10)
+		b = strconv.AppendInt(b, int64(body.declaredLength), 10)
 		b = append(b, "\r\n"...)
 	}
 	b = append(b, "\r\n"...)
-	b = append(b, body...)
-	if c.buffer = b[:0]; cap(c.buffer) > maxRetainedBuffer {
+	b = append(b, body.content...)
+	c.buffer = b[:0]
+	if cap(c.buffer) > maxRetainedBuffer {
 		c.buffer = nil
 	}
 	return c.write(b) == nil && !c.request.requestHead.Close
 }
 
+// write writes to the client within clientWriteTimeout.
 func (c *clientConn) write(b []byte) error {
 	if now := time.Now(); c.writeDeadline.Sub(now) < clientWriteTimeout-deadlineSlack {
 		c.writeDeadline = now.Add(clientWriteTimeout)
@@ -71,95 +68,134 @@
 	return err
 }
 
-// writeAnswer writes the final answer of the request and counts it.
-func (c *clientConn) writeAnswer() bool {
+// writeAnswer writes the final answer of the request, counts it, and tells whether the connection can be used again.
+func (c *clientConn) writeAnswer() (isReusable bool) {
 	r := &c.request
-	record := RequestRecord{Trace: r.trace, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number,
-		Units: r.units, Sent: r.wasSent, Attempts: r.attempts, Answer: r.answer.String(), KeyRejection: r.keyRejection}
-	var b, body []byte
-	var length int
-	switch r.answer {
-	case served:
-		r.counters.Served.Add(1)
-		record.Status = r.response.head.Status
-		b, body, length = c.appendServed()
-	case rejected:
-		r.counters.Refused.Add(1)
-		if c.isRelay && !r.mayRun {
-			return c.neverRan("refused", r.retryAfter)
-		}
-		record.Status = http.StatusTooManyRequests
-		b, body, length = c.appendOwn(record.Status, r.retryAfter, "refused: trying again does no harm\n")
-	default:
-		r.counters.Failed.Add(1)
-		if c.isRelay && !r.mayRun {
-			return c.neverRan("failed: nothing was sent on", 0)
-		}
-		record.Status = http.StatusBadGateway
-		text := "failed: it may have run\n"
-		if !r.wasSent {
-			text = "failed: nothing was sent on\n"
+	c.countAnswer()
+	if c.isRelay && !r.mayRun {
+		switch r.answer {
+		case rejected:
+			return c.writeNeverRan("refused", r.retryAfter)
+		case failed:
+			return c.writeNeverRan("failed: nothing was sent on", 0)
 		}
-		b, body, length = c.appendOwn(record.Status, 0, text)
 	}
+	record := RequestRecord{
+		Trace: r.trace, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number,
+		Units: r.units, Sent: r.wasSent, Attempts: r.attempts,
+		Answer: r.answer.String(), KeyRejection: r.keyRejection, Status: r.answerStatus(),
+	}
+	b, body := c.appendAnswer(record.Status)
 	b = c.appendExplanation(b, &record)
 	if observe := c.server.instance.config.Observe; observe != nil && !c.isRelay {
 		observe(record)
 	}
 	r.response.body = nil
-	return c.writeResponse(b, body, length)
+	return c.writeResponse(b, body)
+}
+
+// countAnswer counts the final answer of the request.
+func (c *clientConn) countAnswer() {
+	counters := c.request.counters
+	switch c.request.answer {
+	case served:
+		counters.Served.Add(1)
+	case rejected:
+		counters.Refused.Add(1)
+	default:
+		counters.Failed.Add(1)
+	}
+}
+
+// answerStatus is the status of the final answer.
+func (r *pendingRequest) answerStatus() int {
+	switch r.answer {
+	case served:
+		return r.response.head.Status
+	case rejected:
+		return http.StatusTooManyRequests
+	}
+	return http.StatusBadGateway
+}
+
+// appendAnswer starts the final answer of the request and returns its body.
+func (c *clientConn) appendAnswer(status int) ([]byte, responseBody) {
+	r := &c.request
+	switch {
+	case r.answer == served:
+		return c.appendServed()
+	case r.answer == rejected:
+		return c.appendOwn(status, r.retryAfter, "refused: trying again does no harm\n")
+	case r.wasSent:
+		return c.appendOwn(status, 0, "failed: it may have run\n")
+	}
+	return c.appendOwn(status, 0, "failed: nothing was sent on\n")
 }
 
-// appendServed starts an answer with the head of a server's response. It returns the body to write and the length to
-// tell, which differ for HEAD; a length below 0 is not told.
-func (c *clientConn) appendServed() (b, body []byte, length int) {
+// appendServed starts an answer with the head of a server's response, and returns its body.
+func (c *clientConn) appendServed() ([]byte, responseBody) {
 	r := &c.request
 	head := &r.response.head
-	b = c.appendStatusLine(head.Status, head.Reason)
+	b := c.appendStatusLine(head.Status, head.Reason)
 	for i := range head.Fields {
-		f := &head.Fields[i]
-		isOurs := strings.EqualFold(f.Name, "Endpoint-Load-Metrics") || strings.EqualFold(f.Name, "X-Never-Ran")
-		if !isOurs && !httpwire.HopByHop(f.Name) {
-			b = httpwire.AppendField(b, f.Name, f.Value)
+		field := &head.Fields[i]
+		if !isForGateway(field.Name) && !httpwire.HopByHop(field.Name) {
+			b = httpwire.AppendField(b, field.Name, field.Value)
 		}
 	}
-	body, length = r.response.body, len(r.response.body)
+	body := wholeBody(r.response.body)
 	switch {
 	case r.requestHead.Method == http.MethodHead || head.Status == http.StatusNotModified:
-		length = int(head.Length)
+		body.declaredLength = declaredLength(head)
 	case head.Status == http.StatusNoContent:
-		length = -1
+		body.declaredLength = noLength
 	}
-	return b, body, length
+	return b, body
+}
+
+// isForGateway tells whether a field of a server's response is meant for the gateway, not for the client.
+func isForGateway(name string) bool {
+	return strings.EqualFold(name, "Endpoint-Load-Metrics") || strings.EqualFold(name, "X-Never-Ran")
 }
 
-// appendOwn starts an answer of the gateway's own, with a line of text as its body.
-func (c *clientConn) appendOwn(status int, retryAfter time.Duration, text string) (b, body []byte, length int) {
-	b = c.appendStatusLine(status, http.StatusText(status))
+// declaredLength is the Content-Length of a server's response, noLength if it has none.
+func declaredLength(head *httpwire.Head) int { return max(int(head.Length), noLength) }
+
+// appendOwn starts an answer of the gateway's own, with a line of text as its body. retryAfter is 0 where there is
+// none.
+func (c *clientConn) appendOwn(status int, retryAfter time.Duration, text string) ([]byte, responseBody) {
+	b := c.appendStatusLine(status, http.StatusText(status))
 	b = appendRetryAfter(b, retryAfter)
+	return c.appendText(b, text)
+}
+
+// appendText appends the type of a body of text, and returns the body, which is not written in response to HEAD.
+func (c *clientConn) appendText(b []byte, text string) ([]byte, responseBody) {
 	b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
 	if c.request.requestHead.Method == http.MethodHead {
-		return b, nil, len(text)
+		return b, responseBody{declaredLength: len(text)}
 	}
-	return b, []byte(text), len(text)
+	return b, wholeBody([]byte(text))
 }
 
-// appendRetryAfter appends the field unless there is nothing to wait for.
-func appendRetryAfter(b []byte, wait time.Duration) []byte {
-	if wait <= 0 {
+// appendRetryAfter appends the field, unless retryAfter is 0.
+func appendRetryAfter(b []byte, retryAfter time.Duration) []byte {
+	if retryAfter <= 0 {
 		return b
 	}
 	b = append(b, "Retry-After: "...)
-	b = appendSeconds(b, wait)
+	b = appendSeconds(b, retryAfter)
 	return append(b, "\r\n"...)
 }
 
-// appendExplanation appends what a client asked to be told of its request, and the age of a configuration that may be
-// old.
+// appendExplanation appends how the request was matched and carried out, if the client asked for that, and the age of
+// a configuration that may be old.
 func (c *clientConn) appendExplanation(b []byte, record *RequestRecord) []byte {
 	if _, n := c.request.requestHead.Values("X-Mulleinmux-Explain"); n > 0 {
-		b = fmt.Appendf(b, "X-Mulleinmux-Version: %d\r\nX-Mulleinmux-Operation: %s\r\n", record.Version, record.Operation)
-		b = fmt.Appendf(b, "X-Mulleinmux-Units: %d\r\nX-Mulleinmux-Attempts: %d\r\n", record.Units, record.Attempts)
+		b = fmt.Appendf(b, "X-Mulleinmux-Version: %d\r\n", record.Version)
+		b = fmt.Appendf(b, "X-Mulleinmux-Operation: %s\r\n", record.Operation)
+		b = fmt.Appendf(b, "X-Mulleinmux-Units: %d\r\n", record.Units)
+		b = fmt.Appendf(b, "X-Mulleinmux-Attempts: %d\r\n", record.Attempts)
 	}
 	if c.request.confirmationAge > minConfigAgeShown {
 		b = append(b, "X-Mulleinmux-Config-Age: "...)
@@ -169,81 +205,16 @@
 	return b
 }
 
-// rejectBadRequest answers a request that is the client's mistake.
-func (c *clientConn) rejectBadRequest(err error) bool {
-	e := &badRequest{status: http.StatusBadRequest, text: err.Error()}
-	if r, ok := errors.AsType[*routing.ChargeError](err); ok {
-		e.status = r.Status
-	} else {
-		errors.As(err, &e)
-	}
-	if e.close {
-		c.request.requestHead.Close = true
-	}
-	if c.isRelay && !e.close && !e.mayRun { // whatever it is, it did not run here, and the client is not ours to tell
-		return c.neverRan(e.text, e.wait)
-	}
-	if e.status != http.StatusNoContent && e.wait == 0 {
-		c.server.instance.badRequestCount.Add(1)
-	}
-	b := c.appendStatusLine(e.status, http.StatusText(e.status))
-	b = appendRetryAfter(b, e.wait)
-	if e.allow != "" {
-		b = httpwire.AppendField(b, "Allow", e.allow)
-	}
-	if e.status == http.StatusNoContent {
-		return c.writeResponse(b, nil, -1)
-	}
-	b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
-	body := []byte(e.text + "\n")
-	n := len(body)
-	if c.request.requestHead.Method == "HEAD" {
-		body = nil
-	}
-	again := c.writeResponse(b, body, n)
-	if e.close {
-		c.discardInput()
-	}
-	return again
-}
-
-// rejectUnreadable answers a head that can't be read, if there is one.
-func (c *clientConn) rejectUnreadable(err error) bool {
-	status := http.StatusBadRequest
-	switch {
-	case errors.Is(err, httpwire.ErrTooLarge):
-		status = http.StatusRequestHeaderFieldsTooLarge
-	case errors.Is(err, httpwire.ErrVersion):
-		status = http.StatusHTTPVersionNotSupported
-	case errors.Is(err, httpwire.ErrCoding):
-		status = http.StatusNotImplemented
-	case errors.Is(err, httpwire.ErrMalformed), errors.Is(err, httpwire.ErrLength):
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		status = http.StatusRequestTimeout
-	default: // the connection broke
-		return false
-	}
-	return c.rejectBadRequest(&badRequest{status: status, text: err.Error(), close: true})
-}
-
-// discardInput reads what a client still sends for a moment, since closing on it could reset
-// the connection before the client has read the answer.
-func (c *clientConn) discardInput() {
-	if tc, ok := c.nc.(*net.TCPConn); ok && tc.CloseWrite() == nil {
-		c.nc.SetReadDeadline(time.Now().Add(requestReadTimeout / 6))
-		io.CopyN(io.Discard, c.nc, 256<<10)
-	}
-}
-
-func (c *clientConn) serveHealth() bool {
+// serveHealth answers the load balancer's health check.
+func (c *clientConn) serveHealth() (isReusable bool) {
 	if _, serves := c.server.instance.Confirmation(time.Now()); serves && c.server.isReady.Load() {
-		return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), []byte("ready\n"), 6)
+		return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), wholeBody([]byte("ready\n")))
 	}
 	b := c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable")
-	return c.writeResponse(b, []byte("not ready\n"), 10)
+	return c.writeResponse(b, wholeBody([]byte("not ready\n")))
 }
 
-// serveRelayHealth tells another site's instance that this one lives.
-func (c *clientConn) serveRelayHealth() bool {
-	return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), nil, 0)
+// serveRelayHealth answers the health check of another site's instance.
+func (c *clientConn) serveRelayHealth() (isReusable bool) {
+	return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), wholeBody(nil))
 }
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -14,133 +14,154 @@
 
 // siteWatch follows the service discovery of a site.
 type siteWatch struct {
-	register netip.AddrPort
-	stop     context.CancelFunc
+	discovery netip.AddrPort
+	stop      context.CancelFunc
 }
 
-// watchSites follows the service discovery of these sites and of no others. The servers of a site
-// that is no longer there are gone; those of one whose discovery has moved stay until the
-// new one answers. Called under the mutex.
-func (in *Instance) watchSites(now time.Duration, halls []Site, out policy.Actions) {
+// watchSites follows the service discovery of these sites and of no others. The servers of a site that is no longer
+// there are removed; those of one whose discovery has moved stay until the new one answers. Called under the mutex.
+func (in *Instance) watchSites(now time.Duration, sites []Site, out policy.Actions) {
+	in.stopWatches(now, sites, out)
+	for _, site := range sites {
+		if in.siteWatches[site.Name] == nil {
+			in.startWatch(now, site, out)
+		}
+	}
+}
+
+// stopWatches ends the watches that these sites do not need, and removes the servers of a site that is not one of
+// them. Called under the mutex.
+func (in *Instance) stopWatches(now time.Duration, sites []Site, out policy.Actions) {
 	wanted := map[string]netip.AddrPort{}
-	for _, h := range halls {
-		wanted[h.Name] = h.Discovery
+	for _, site := range sites {
+		wanted[site.Name] = site.Discovery
 	}
-	for name, w := range in.siteWatches {
-		if at, ok := wanted[name]; ok && at == w.register {
+	for name, watch := range in.siteWatches {
+		addr, isWanted := wanted[name]
+		if isWanted && addr == watch.discovery {
 			continue
-		} else if !ok {
+		}
+		if !isWanted {
 			in.applyEndpoints(now, name, discovery.EndpointList{IsComplete: true}, out)
 			in.engine.RemoveZoneLimits(name)
 			delete(in.serversBySite, name)
 		}
-		w.stop()
+		watch.stop()
 		delete(in.siteWatches, name)
 	}
-	for _, h := range halls {
-		if in.siteWatches[h.Name] != nil {
-			continue
-		}
-		ctx, stop := context.WithCancel(in.ctx)
-		in.siteWatches[h.Name] = &siteWatch{h.Discovery, stop}
-		if in.isRemote(h.Name) {
-			list, _ := in.relay.remoteServers(h.Name)
-			in.applyEndpoints(now, h.Name, list, out)
-			continue
-		}
-		f := &discovery.Watcher{Addr: h.Discovery, SilenceTimeout: discovery.SilenceTimeout,
-			OnList: func(l discovery.EndpointList) { in.endpointsReceived(ctx, h.Name, l) },
-			Logf:   func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
-		in.discoveryFollowers.Go(func() { f.Run(ctx) })
+}
+
+// startWatch follows the service discovery of a site. A remote one has none: its servers are its instances, which the
+// configuration lists. Called under the mutex.
+func (in *Instance) startWatch(now time.Duration, site Site, out policy.Actions) {
+	ctx, stop := context.WithCancel(in.ctx)
+	in.siteWatches[site.Name] = &siteWatch{discovery: site.Discovery, stop: stop}
+	if in.isRemote(site.Name) {
+		in.applyEndpoints(now, site.Name, in.relay.remoteServers(site.Name), out)
+		return
 	}
+	watcher := &discovery.Watcher{Addr: site.Discovery, SilenceTimeout: discovery.SilenceTimeout,
+		OnList: func(list discovery.EndpointList) { in.endpointsReceived(ctx, site.Name, list) },
+		Logf:   func(format string, args ...any) { in.log.Printf("hall "+site.Name+": "+format, args...) }}
+	in.discoveryFollowers.Go(func() { watcher.Run(ctx) })
 }
 
-// endpointsReceived takes in a site's endpoint list, unless its watch has ended.
-func (in *Instance) endpointsReceived(ctx context.Context, hall string, l discovery.EndpointList) {
+// endpointsReceived applies a site's endpoint list, unless its watch has ended.
+func (in *Instance) endpointsReceived(ctx context.Context, site string, list discovery.EndpointList) {
 	in.handleEvent(func(now time.Duration, out policy.Actions) {
 		if ctx.Err() == nil {
-			in.applyEndpoints(now, hall, l, out)
+			in.applyEndpoints(now, site, list, out)
 		}
 	})
 }
 
 // applyEndpoints brings a site's endpoint list to the engine as changes: the lists of the other sites stay as they
 // are. Called under the mutex.
-func (in *Instance) applyEndpoints(now time.Duration, hall string, l discovery.EndpointList, out policy.Actions) {
-	known := in.serversBySite[hall]
+func (in *Instance) applyEndpoints(now time.Duration, site string, list discovery.EndpointList, out policy.Actions) {
+	changes := in.endpointChanges(site, list)
+	stale := in.servers.update(changes)
+	in.deferred = append(in.deferred, func() { closeAll(stale) })
+	servers := make([]policy.Server, len(changes))
+	for i, endpoint := range changes {
+		servers[i] = endpoint.Server
+	}
+	in.engine.EndpointsChanged(now, policy.EndpointsDelta, servers, out)
+}
+
+// endpointChanges returns the entries of a site's endpoint list by their names over all sites, with an entry that
+// removes it for each server that a complete list does not have any more. Called under the mutex.
+func (in *Instance) endpointChanges(site string, list discovery.EndpointList) []discovery.Endpoint {
+	known := in.serversBySite[site]
 	if known == nil {
 		known = map[string]bool{}
-		in.serversBySite[hall] = known
+		in.serversBySite[site] = known
 	}
-	entries := make([]discovery.Endpoint, 0, len(l.Servers))
+	changes := make([]discovery.Endpoint, 0, len(list.Servers))
 	listed := map[string]bool{}
-	for _, s := range l.Servers {
-		s.ID = hall + "/" + s.ID
-		s.Zone = hall
-		listed[s.ID] = true
-		if known[s.ID] = true; s.State == policy.Removed {
-			delete(known, s.ID)
-		}
-		entries = append(entries, s)
-	}
-	if l.IsComplete {
-		for id := range known {
-			if !listed[id] {
-				delete(known, id)
-				gone := policy.Server{ID: id, State: policy.Removed, Zone: hall}
-				entries = append(entries, discovery.Endpoint{Server: gone})
-			}
-		}
+	for _, endpoint := range list.Servers {
+		endpoint.ID = site + "/" + endpoint.ID
+		endpoint.Zone = site
+		listed[endpoint.ID] = true
+		if endpoint.State == policy.Removed {
+			delete(known, endpoint.ID)
+		} else {
+			known[endpoint.ID] = true
+		}
+		changes = append(changes, endpoint)
 	}
-	stale := in.servers.update(entries)
-	in.deferred = append(in.deferred, func() { closeAll(stale) })
-	list := make([]policy.Server, len(entries))
-	for i, s := range entries {
-		list[i] = s.Server
+	if !list.IsComplete {
+		return changes
 	}
-	in.engine.EndpointsChanged(now, policy.EndpointsDelta, list, out)
+	for id := range known {
+		if !listed[id] {
+			delete(known, id)
+			removed := policy.Server{ID: id, State: policy.Removed, Zone: site}
+			changes = append(changes, discovery.Endpoint{Server: removed})
+		}
+	}
+	return changes
 }
 
-// isRemote tells whether a site is reached by way of another site's instances alone.
-func (in *Instance) isRemote(hall string) bool { return in.relay != nil && !in.relay.ownsSite(hall) }
+// isRemote tells whether a site's servers are reached through that site's instances alone.
+func (in *Instance) isRemote(site string) bool { return in.relay != nil && !in.relay.ownsSite(site) }
 
 // recordSiteHealth notes what an attempt or a health check says of its server's site. Called under the mutex.
 func (in *Instance) recordSiteHealth(now time.Duration, server string, result policy.Result, sent time.Duration) {
 	if in.health == nil {
 		return
 	}
-	hall, _, _ := strings.Cut(server, "/")
+	site, _, _ := strings.Cut(server, "/")
 	switch result {
 	case policy.OK, policy.ErrorResponse, policy.RejectedByServer:
-		in.health.RecordAnswer(now, hall)
+		in.health.RecordAnswer(now, site)
 	case policy.TimedOut, policy.ConnectFailed:
-		in.health.RecordMiss(now, hall, sent)
+		in.health.RecordMiss(now, site, sent)
 	}
 }
 
-// SetAgreedSites takes over which sites there are, which of them are lost, and the members.
-func (in *Instance) SetAgreedSites(halls []multisite.Site, lost map[string]int, members []uint64) {
+// SetAgreedSites applies which sites there are, which of them are lost, and the members.
+func (in *Instance) SetAgreedSites(sites []multisite.Site, lost map[string]int, members []uint64) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
-			in.health.ApplyAgreed(now, halls, lost, members)
+			in.health.ApplyAgreed(now, sites, lost, members)
 		}
 		if in.ramp != nil {
-			in.ramp.ApplyAgreed(now, halls, members)
+			in.ramp.ApplyAgreed(now, sites, members)
 		}
 	})
 }
 
 // ProposeSiteChange is [multisite.HealthMonitor.ProposeChange].
-func (in *Instance) ProposeSiteChange() (c multisite.SiteChange, ok bool) {
+func (in *Instance) ProposeSiteChange() (change multisite.SiteChange, ok bool) {
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
 		if in.health != nil {
-			c, ok = in.health.ProposeChange(now)
+			change, ok = in.health.ProposeChange(now)
 		}
 	})
-	return c, ok
+	return change, ok
 }
 
-// SiteStates tells what the instance makes of each site that it has a service discovery of.
+// SiteStates returns the state of each site, by its name, as this instance judges it.
 func (in *Instance) SiteStates() map[string]string {
 	states := map[string]string{}
 	in.handleEvent(func(now time.Duration, _ policy.Actions) {
@@ -153,59 +174,81 @@
 	return states
 }
 
-// updateRecoveryRamp has the engine go by this instance's part in the ramps of the sites, and returns what to tell
-// the others. Called under the mutex.
+// updateRecoveryRamp has the engine obey this instance's share in the recovery ramps of the sites, and returns the
+// message about them for the other instances. Called under the mutex.
 func (in *Instance) updateRecoveryRamp(now time.Duration) multisite.RampMessage {
-	var carried []multisite.WarmLoad
-	for name := range in.siteWatches {
-		if in.isRemote(name) { // its own instances know which of its servers are cold
+	message := in.ramp.NextBroadcast(now, in.recordWarmUp(now))
+	for site := range in.siteWatches {
+		in.engine.SetZoneLimits(site, in.zoneLimits(now, site))
+	}
+	return message
+}
+
+// recordWarmUp gives the ramps what the cold servers of this instance's own sites need, and returns what the warm ones
+// carry. Called under the mutex.
+func (in *Instance) recordWarmUp(now time.Duration) (loads []multisite.WarmLoad) {
+	for site := range in.siteWatches {
+		if in.isRemote(site) { // its own instances know which of its servers are cold
 			continue
 		}
-		if rate, util := in.engine.WarmServerLoad(now, name); rate > 0 {
-			carried = append(carried, multisite.WarmLoad{Site: name, Rate: rate, Utilization: util})
+		if rate, utilization := in.engine.WarmServerLoad(now, site); rate > 0 {
+			loads = append(loads, multisite.WarmLoad{Site: site, Rate: rate, Utilization: utilization})
 		}
-		servers, sent, short := in.engine.ColdServerWork(now, name)
-		in.ramp.RecordWarmUpLoad(now, name, multisite.WarmUpLoad{ServerWeight: servers, SentWork: sent, RejectedWork: short})
-	}
-	w := in.ramp.NextBroadcast(now, carried)
-	for name := range in.siteWatches {
-		servers, near := in.health.Capacity(now, name)
-		z := policy.ZoneLimits{IsRemote: in.isRemote(name), RemoteServerCount: servers}
-		z.InFlightFraction = 1 / float64(in.config.Settings.InstanceCount)
-		if !z.IsRemote {
-			factor := coldBudgetFactor / in.config.Settings.ColdBudgetMultiple()
-			z.WarmServerRate = factor * in.ramp.WarmServerCapacity(now, name) * in.ramp.Share(now, name)
-			z.InFlightFraction = 1 / float64(max(near, 1))
-		}
-		in.engine.SetZoneLimits(name, z)
+		weight, sent, rejected := in.engine.ColdServerWork(now, site)
+		load := multisite.WarmUpLoad{ServerWeight: weight, SentWork: sent, RejectedWork: rejected}
+		in.ramp.RecordWarmUpLoad(now, site, load)
+	}
+	return loads
+}
+
+// zoneLimits returns what the engine may send to the servers of a site. Called under the mutex.
+func (in *Instance) zoneLimits(now time.Duration, site string) policy.ZoneLimits {
+	serverCount, nearInstances := in.health.Capacity(now, site)
+	if in.isRemote(site) {
+		share := 1 / float64(in.config.Settings.InstanceCount)
+		return policy.ZoneLimits{IsRemote: true, RemoteServerCount: serverCount, InFlightFraction: share}
+	}
+	factor := coldBudgetFactor / in.config.Settings.ColdBudgetMultiple()
+	return policy.ZoneLimits{
+		RemoteServerCount: serverCount,
+		WarmServerRate:    factor * in.ramp.WarmServerCapacity(now, site) * in.ramp.Share(now, site),
+		InFlightFraction:  1 / float64(max(nearInstances, 1)),
 	}
-	return w
 }
 
 // coldBudgetFactor is the multiple of what a cold server can take, as warm as it must be, that all instances together
 // send it at the most: half as much again may be saved up, and the whole stays below what pushes it over.
 const coldBudgetFactor = 1.4
 
+// serverPollInterval is how often AwaitServers looks.
+const serverPollInterval = 5 * time.Millisecond
+
 // AwaitServers waits until so many servers are known, over all sites.
-func (in *Instance) AwaitServers(ctx context.Context, n int, most time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func (in *Instance) AwaitServers(ctx context.Context, wanted int, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	tick := time.NewTicker(5 * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(serverPollInterval)
+	defer ticker.Stop()
 	for {
-		in.mu.Lock()
-		have := 0
-		for _, k := range in.serversBySite {
-			have += len(k)
-		}
-		in.mu.Unlock()
-		if have >= n {
+		known := in.serverCount()
+		if known >= wanted {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %d servers known of %d: %w", in.config.Name, have, n, ctx.Err())
-		case <-tick.C:
+			return fmt.Errorf("%s: %d servers known of %d: %w", in.config.Name, known, wanted, ctx.Err())
+		case <-ticker.C:
 		}
 	}
 }
+
+// serverCount is how many servers are known, over all sites.
+func (in *Instance) serverCount() int {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	count := 0
+	for _, servers := range in.serversBySite {
+		count += len(servers)
+	}
+	return count
+}
