--- a/internal/edgeproxy/engine_actions.go
+++ b/internal/edgeproxy/engine_actions.go
@@ -24,11 +24,17 @@
 		deadline = end
 	}
 	ctx, cancel := context.WithDeadline(n.ctx, deadline)
-	at := &attempt{number: len(pending.attempts), server: server, sentAt: n.now(), cancel: cancel, permit: newSendPermit()}
-	pending.attempts = append(pending.attempts, at)
+	started := &attempt{
+		number: len(pending.attempts),
+		server: server,
+		sentAt: n.now(),
+		cancel: cancel,
+		permit: newSendPermit(),
+	}
+	pending.attempts = append(pending.attempts, started)
 	pending.inFlight++
 	n.work.Add(1)
-	go n.runAttempt(ctx, pending, at)
+	go n.runAttempt(ctx, pending, started)
 }
 
 // RejectRequest ends a request with a rejection, which a client may retry after a while.
--- a/internal/edgeproxy/predecessor.go
+++ b/internal/edgeproxy/predecessor.go
@@ -64,29 +64,29 @@
 	}()
 	stateSize := -1 // not known yet
 	for {
-		kind, body, file, err := p.readMessage()
+		message, err := p.readMessage()
 		if err != nil {
 			return state, err
 		}
 		switch {
-		case kind == msgState && stateSize < 0 && len(body) == stateSizeLength:
-			stateSize = int(binary.BigEndian.Uint32(body))
-		case kind == msgState:
-			state.engineState = append(state.engineState, body...)
+		case message.kind == msgState && stateSize < 0 && len(message.body) == stateSizeLength:
+			stateSize = int(binary.BigEndian.Uint32(message.body))
+		case message.kind == msgState:
+			state.engineState = append(state.engineState, message.body...)
 			if len(state.engineState) > stateSize {
 				return state, errors.New("handover: more state than was announced")
 			}
-		case kind == msgGossipSocket && file != nil:
-			if err := state.takeGossipSocket(file); err != nil {
+		case message.kind == msgGossipSocket && message.file != nil:
+			if err := state.takeGossipSocket(message.file); err != nil {
 				return state, err
 			}
-		case kind == msgGo && len(state.engineState) == stateSize:
+		case message.kind == msgGo && len(state.engineState) == stateSize:
 			return state, nil
 		default:
-			if file != nil {
-				file.Close()
+			if message.file != nil {
+				message.file.Close()
 			}
-			return state, fmt.Errorf("handover: message %q of %d bytes out of place", kind, len(body))
+			return state, fmt.Errorf("handover: message %q of %d bytes out of place", message.kind, len(message.body))
 		}
 	}
 }
@@ -106,9 +106,15 @@
 	return nil
 }
 
-// readMessage reads one message. Its body is valid until the next one is read; file is the descriptor beside it,
-// nil if there is none.
-func (p *predecessor) readMessage() (kind byte, body []byte, file *os.File, err error) {
+// handoverMessage is one message of the predecessor.
+type handoverMessage struct {
+	kind byte
+	body []byte   // valid until the next message is read
+	file *os.File // the descriptor beside it; nil: there is none
+}
+
+// readMessage reads one message.
+func (p *predecessor) readMessage() (message handoverMessage, err error) {
 	oob := make([]byte, syscall.CmsgSpace(descriptorLength))
 	n, oobn, flags, _, err := p.conn.ReadMsgUnix(p.buf, oob)
 	if err == nil && n == 0 {
@@ -118,14 +124,15 @@
 		err = errors.New("message cut short")
 	}
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("handover: %w", err)
+		return handoverMessage{}, fmt.Errorf("handover: %w", err)
 	}
+	message.kind, message.body = p.buf[0], p.buf[1:n]
 	if oobn > 0 {
-		if file, err = receivedDescriptor(oob[:oobn]); err != nil {
-			return 0, nil, nil, fmt.Errorf("handover: %w", err)
+		if message.file, err = receivedDescriptor(oob[:oobn]); err != nil {
+			return handoverMessage{}, fmt.Errorf("handover: %w", err)
 		}
 	}
-	return p.buf[0], p.buf[1:n], file, nil
+	return message, nil
 }
 
 // receivedDescriptor returns the descriptor that was received beside a message.
@@ -145,22 +152,22 @@
 // Accept returns the next client's connection that the predecessor hands over. Its error is final.
 func (p *predecessor) Accept() (net.Conn, error) {
 	for {
-		kind, _, file, err := p.readMessage()
+		message, err := p.readMessage()
 		if err != nil {
 			return nil, err
 		}
-		if file == nil {
+		if message.file == nil {
 			continue
 		}
-		c, err := net.FileConn(file)
-		file.Close()
+		conn, err := net.FileConn(message.file)
+		message.file.Close()
 		if err != nil {
 			continue // the client has disconnected
 		}
-		if kind == msgClient {
-			return c, nil
+		if message.kind == msgClient {
+			return conn, nil
 		}
-		c.Close()
+		conn.Close()
 	}
 }
 
--- a/internal/edgeproxy/request_body.go
+++ b/internal/edgeproxy/request_body.go
@@ -121,21 +121,27 @@
 	return w.Conn.Write(p)
 }
 
-// readBody reads a request's body: complete, or the first part of one too long to be buffered, with the rest in rest.
-// startedAt is when the request's first byte was received. reserved is what the body takes of the budget, also beside
-// an error.
-func readBody(w http.ResponseWriter, r *http.Request, startedAt time.Time, budget *memoryBudget) (
-	body []byte, rest *requestBody, reserved int64, err error,
-) {
+// bufferedBody is what is buffered of a request's body: all of it, or the first part of one that is too long.
+type bufferedBody struct {
+	bytes         []byte
+	rest          *requestBody // that follows bytes; nil: bytes is the whole body
+	reservedBytes int64        // of the memory budget
+}
+
+// readBody reads a request's body, as far as it is buffered. startedAt is when the request's first byte was received.
+// Beside an error the result still says what is reserved of the budget.
+func readBody(
+	w http.ResponseWriter, r *http.Request, startedAt time.Time, budget *memoryBudget,
+) (buffered bufferedBody, err error) {
 	if r.ContentLength == 0 {
-		return nil, nil, 0, nil
+		return bufferedBody{}, nil
 	}
 	tooLarge := &badRequestError{
 		status: http.StatusRequestEntityTooLarge,
 		text:   fmt.Sprintf("body: over %d MiB", maxRequestBody>>20),
 	}
 	if r.ContentLength > maxRequestBody {
-		return nil, nil, 0, tooLarge
+		return bufferedBody{}, tooLarge
 	}
 	source := &requestBody{
 		source:     r.Body,
@@ -144,11 +150,11 @@
 		length:     r.ContentLength,
 	}
 	if r.ContentLength > 0 {
-		body, rest, reserved, err = source.readSized(budget)
+		buffered, err = source.readSized(budget)
 	} else {
-		body, rest, reserved, err = source.readChunked(budget)
+		buffered, err = source.readChunked(budget)
 	}
-	if err == nil && rest == nil {
+	if err == nil && buffered.rest == nil {
 		err = source.controller.SetReadDeadline(time.Time{})
 	}
 	if errors.Is(err, errBodyTooLarge) {
@@ -156,33 +162,35 @@
 	} else if err != nil {
 		err = badRequestf("body: incomplete")
 	}
-	return body, rest, reserved, err
+	return buffered, err
 }
 
 // readSized reads a body whose length is known. Its results are those of readBody.
-func (b *requestBody) readSized(budget *memoryBudget) (body []byte, rest *requestBody, reserved int64, err error) {
-	if b.length > alwaysBufferedBody {
-		if b.length > maxBufferedBody || !budget.reserve(b.length) {
-			body = make([]byte, alwaysBufferedBody)
-			_, err = io.ReadFull(b, body)
-			return body, b, 0, err
+func (b *requestBody) readSized(budget *memoryBudget) (buffered bufferedBody, err error) {
+	size := b.length
+	if size > alwaysBufferedBody {
+		if size <= maxBufferedBody && budget.reserve(size) {
+			buffered.reservedBytes = size
+		} else {
+			buffered.rest = b
+			size = alwaysBufferedBody
 		}
-		reserved = b.length
 	}
-	body = make([]byte, b.length)
-	_, err = io.ReadFull(b, body)
-	return body, nil, reserved, err
+	buffered.bytes = make([]byte, size)
+	_, err = io.ReadFull(b, buffered.bytes)
+	return buffered, err
 }
 
 // readChunked reads a body whose length is not known. Its results are those of readBody.
-func (b *requestBody) readChunked(budget *memoryBudget) (body []byte, rest *requestBody, reserved int64, err error) {
-	body = make([]byte, 0, initialChunkedBody)
+func (b *requestBody) readChunked(budget *memoryBudget) (buffered bufferedBody, err error) {
+	body := make([]byte, 0, initialChunkedBody)
+	var reserved int64
 	for {
 		if len(body) == cap(body) {
 			doubled := int64(2 * cap(body))
 			if doubled > alwaysBufferedBody {
 				if doubled > maxBufferedBody || !budget.reserve(doubled-reserved) {
-					return body, b, reserved, nil
+					return bufferedBody{bytes: body, rest: b, reservedBytes: reserved}, nil
 				}
 				reserved = doubled
 			}
@@ -191,10 +199,10 @@
 		n, err := b.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		if err == io.EOF {
-			return body, nil, reserved, nil
+			return bufferedBody{bytes: body, reservedBytes: reserved}, nil
 		}
 		if err != nil {
-			return nil, nil, reserved, err
+			return bufferedBody{reservedBytes: reserved}, err
 		}
 	}
 }
--- a/internal/edgeproxy/request_parsing.go
+++ b/internal/edgeproxy/request_parsing.go
@@ -32,30 +32,21 @@
 		}
 		return value
 	}
-	engineRequest.ID, engineRequest.Class, engineRequest.Plan = header("X-Trace-Id"), header("X-Qos"), header("X-Contract")
-	expires, metering := header("X-Expires-In"), header("X-Metering")
+	engineRequest.ID = header("X-Trace-Id")
+	engineRequest.Class = header("X-Qos")
+	engineRequest.Plan = header("X-Contract")
+	expiresIn := header("X-Expires-In")
+	metering := header("X-Metering")
 	if err != nil {
 		return engineRequest, forwarded, err
 	}
-	class, isKnown := s.classes[engineRequest.Class]
-	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	switch {
-	case !isValidID(engineRequest.ID):
-		return engineRequest, forwarded, badRequestf("X-Trace-Id: malformed")
-	case !isKnown:
-		return engineRequest, forwarded, badRequestf("X-Qos: unknown class")
-	case first != engineRequest.Class || !strings.HasPrefix(r.RequestURI, "/"):
-		return engineRequest, forwarded, badRequestf("path: does not begin with the class")
-	case !s.plans[engineRequest.Plan]:
-		return engineRequest, forwarded, badRequestf("X-Contract: unknown plan")
+	class, err := s.checkNames(r, &engineRequest)
+	if err != nil {
+		return engineRequest, forwarded, err
 	}
-	seconds, isNumber := loadreport.ParseDecimal(expires)
-	if !isNumber || seconds <= 0 {
-		return engineRequest, forwarded, badRequestf("X-Expires-In: malformed")
+	if engineRequest.Timeout, err = parseTimeout(expiresIn, class.Deadline); err != nil {
+		return engineRequest, forwarded, err
 	}
-	// Nobody waits for longer than the class's clients do: requests must not pile up.
-	seconds = math.Min(seconds, class.Deadline.Seconds())
-	engineRequest.Timeout = time.Duration(seconds*float64(time.Second)) - clientTransitDelay
 	if engineRequest.Customer, err = parseCustomer(r.URL.RawQuery); err != nil {
 		return engineRequest, forwarded, err
 	}
@@ -66,6 +57,34 @@
 	return engineRequest, forwarded, err
 }
 
+// checkNames checks a request's ID, class and plan, and returns the class.
+func (s *clientServer) checkNames(r *http.Request, engineRequest *policy.Request) (policy.Class, error) {
+	class, isKnown := s.classes[engineRequest.Class]
+	firstSegment, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	switch {
+	case !isValidID(engineRequest.ID):
+		return class, badRequestf("X-Trace-Id: malformed")
+	case !isKnown:
+		return class, badRequestf("X-Qos: unknown class")
+	case firstSegment != engineRequest.Class || !strings.HasPrefix(r.RequestURI, "/"):
+		return class, badRequestf("path: does not begin with the class")
+	case !s.plans[engineRequest.Plan]:
+		return class, badRequestf("X-Contract: unknown plan")
+	}
+	return class, nil
+}
+
+// parseTimeout reads how long a client waits, from X-Expires-In. Nobody waits for longer than the class's deadline:
+// requests must not pile up.
+func parseTimeout(text string, deadline time.Duration) (time.Duration, error) {
+	seconds, isNumber := loadreport.ParseDecimal(text)
+	if !isNumber || seconds <= 0 {
+		return 0, badRequestf("X-Expires-In: malformed")
+	}
+	seconds = math.Min(seconds, deadline.Seconds())
+	return time.Duration(seconds*float64(time.Second)) - clientTransitDelay, nil
+}
+
 // singleHeader returns the value of a header that must have one.
 func singleHeader(r *http.Request, name string) (string, error) {
 	values := r.Header[name]
--- a/internal/edgeproxy/request_table.go
+++ b/internal/edgeproxy/request_table.go
@@ -106,26 +106,26 @@
 }
 
 // finishRequest gives a request its final answer unless it has one. Called under the mutex.
-func (n *Node) finishRequest(pending *pendingRequest, a finalAnswer) {
+func (n *Node) finishRequest(pending *pendingRequest, answer finalAnswer) {
 	if pending.isAnswered {
 		return
 	}
 	pending.isAnswered = true
-	for _, at := range pending.attempts {
+	for _, attempt := range pending.attempts {
 		// Nothing is sent after the final answer: neither a hedged request, nor an attempt for a client that has
 		// disconnected, whose connection is established late.
-		if at.permit.revoke() {
-			at.cancel()
+		if attempt.permit.revoke() {
+			attempt.cancel()
 			continue
 		}
 		select {
-		case <-at.permit.done:
+		case <-attempt.permit.done:
 		default:
-			at.cancel()
-			a.pendingWrites = append(a.pendingWrites, at.permit)
+			attempt.cancel()
+			answer.pendingWrites = append(answer.pendingWrites, attempt.permit)
 		}
 	}
-	pending.answer <- a
+	pending.answer <- answer
 	n.removeIfEnded(pending)
 }
 
--- a/internal/edgeproxy/serve_request.go
+++ b/internal/edgeproxy/serve_request.go
@@ -27,31 +27,33 @@
 		return
 	}
 	engineRequest, forwarded, err := s.parseRequest(r)
-	var reservedBytes int64
+	var body bufferedBody
 	if err == nil {
-		forwarded.body, forwarded.rest, reservedBytes, err = readBody(w, r, firstByteAt, s.node.memory)
+		body, err = readBody(w, r, firstByteAt, s.node.memory)
 	}
 	if err != nil {
-		s.node.memory.release(reservedBytes)
+		s.node.memory.release(body.reservedBytes)
 		s.writeBadRequest(w, r, err)
 		return
 	}
 	if !conn.setState(stateActive) {
-		s.node.memory.release(reservedBytes)
+		s.node.memory.release(body.reservedBytes)
 		return // evicted for another: nothing was forwarded
 	}
 	if !s.limitToShutdown(&engineRequest) {
-		s.node.memory.release(reservedBytes)
+		s.node.memory.release(body.reservedBytes)
 		w.Header().Set("Connection", "close")
 		writeText(w, http.StatusServiceUnavailable, "refused: ending")
 		return
 	}
 	if r.Context().Err() != nil {
-		s.node.memory.release(reservedBytes)
-		panic(http.ErrAbortHandler) // its client has left: nothing is forwarded
+		s.node.memory.release(body.reservedBytes)
+		panic(http.ErrAbortHandler) // its client has disconnected: nothing is forwarded
 	}
+	forwarded.body, forwarded.rest = body.bytes, body.rest
 	forwarded.isClientGone = conn.isClientGone
-	s.serveRequest(w, r, &engineRequest, &forwarded, requestArrival{conn: conn, at: takenAt, reservedBytes: reservedBytes})
+	arrival := requestArrival{conn: conn, at: takenAt, reservedBytes: body.reservedBytes}
+	s.serveRequest(w, r, &engineRequest, &forwarded, arrival)
 }
 
 // requestArrival is how a request came.
