--- a/internal/edgeproxy/admin_server_test.go
+++ b/internal/edgeproxy/admin_server_test.go
@@ -40,9 +40,9 @@
 	eventually(t, "one under way", want("app.current=1"))
 	close(hold)
 	c.read()
-	for _, line := range []string{"app.current=0", "app.answered.check=3", "app.answered.book=1", "app.deferred.check=1",
-		"app.deferred.book=0", "app.errored.book=1", "app.errored.check=0", "app.cluster_size=1",
-		"app.sends_after_leave=0", "choice.beyond_quota.sent=0", "choice.beyond_quota.found=0"} {
+	for _, line := range []string{"app.current=0", "app.answered.check=3", "app.answered.book=1",
+		"app.deferred.check=1", "app.deferred.book=0", "app.errored.book=1", "app.errored.check=0",
+		"app.cluster_size=1", "app.sends_after_leave=0", "choice.beyond_quota.sent=0", "choice.beyond_quota.found=0"} {
 		eventually(t, line, want(line))
 	}
 	// The broken one's further attempts count as well: a keyed request may be sent three times.
--- a/internal/edgeproxy/config_test.go
+++ b/internal/edgeproxy/config_test.go
@@ -53,7 +53,8 @@
 		t.Fatalf("%+v, error %v", c, err)
 	}
 	for _, b := range [][3]string{
-		{"name", `""`, "name"}, {"listen", `"nowhere"`, "listen"}, {"discovery", "", "discovery"}, {"seed", `"x"`, "seed"},
+		{"name", `""`, "name"}, {"listen", `"nowhere"`, "listen"},
+		{"discovery", "", "discovery"}, {"seed", `"x"`, "seed"},
 		{"limits", `{"sockets":9}`, "limits.sockets"}, {"limits", `{"memory_mb":-1}`, "limits.memory_mb"},
 		{"settings", "", "settings"}, {"settings", `{"lanes":[{"idempotency":"odd"}]}`, "settings: lanes"},
 		{"peer_listen", "", "peer_listen"}, {"peers", `["127.0.0.1:4"]`, "peers"},
@@ -130,7 +131,8 @@
 func TestTwoDeploymentsInOneProcess(t *testing.T) {
 	sides := []*deployment{
 		{safe: "reading-fetch", other: "meter-swap", plan: "household", method: "POST", deadline: 1},
-		{safe: "parcel-trace", other: "pickup-order", plan: "chain", method: "POST", key: "k", deadline: 20, probes: true},
+		{safe: "parcel-trace", other: "pickup-order", plan: "chain", method: "POST", key: "k", deadline: 20,
+			probes: true},
 	}
 	for i, s := range sides {
 		s.app = newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
--- a/internal/edgeproxy/discovery_watch_test.go
+++ b/internal/edgeproxy/discovery_watch_test.go
@@ -56,7 +56,8 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	r := &discovery.Watcher{Addr: addr, SilenceTimeout: silent, LastGeneration: 7, OnList: func(l List) { lists <- l }, Logf: t.Logf}
+	r := &discovery.Watcher{Addr: addr, SilenceTimeout: silent, LastGeneration: 7,
+		OnList: func(l List) { lists <- l }, Logf: t.Logf}
 	go func() {
 		r.Run(ctx)
 		close(ended)
@@ -265,8 +266,8 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
 		t.Helper()
-		text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:1","discovery":%q,"seed":"1",
-			"settings":{"instances":1,"lanes":[{"name":"c","idempotency":"retryable","onTime":0.4,"deadline":2}]}}`, discovery)
+		text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:1","discovery":%q,"seed":"1","settings":{
+			"instances":1,"lanes":[{"name":"c","idempotency":"retryable","onTime":0.4,"deadline":2}]}}`, discovery)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/edgeproxy/fixture_test.go
+++ b/internal/edgeproxy/fixture_test.go
@@ -70,7 +70,8 @@
 	eventually(t, "the refusal counted", hasMetric(t, at, "app.deferred.check=1"))
 	text += rawAnswer(t, at.String(), "GET", "/control/counters") +
 		rawAnswer(t, at.String(), "POST", "/control/ready") + rawAnswer(t, at.String(), "GET", "/control/in-service") +
-		rawAnswer(t, at.String(), "GET", "/control/novel") + rawAnswer(t, at.String(), "POST", "/control/out-of-service") +
+		rawAnswer(t, at.String(), "GET", "/control/novel") +
+		rawAnswer(t, at.String(), "POST", "/control/out-of-service") +
 		rawAnswer(t, at.String(), "GET", "/control/ready") + rawAnswer(t, n.addr, "GET", "/health/ready") +
 		rawAnswer(t, at.String(), "POST", "/control/in-service") + rawAnswer(t, n.addr, "GET", "/health/ready")
 	compareRecorded(t, "calls.txt", text)
@@ -184,8 +185,9 @@
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	for _, v := range []any{c.Name, c.Listen, c.Discovery, c.AdminListen, c.AcceptFD, c.HandoverSocket, c.Seed, c.MemoryMB,
-		c.MaxSockets, c.GossipListen, c.GossipPeers, c.GossipBroadcast, c.SavedEndpoints, c.Settings, c.Transport} {
+	for _, v := range []any{c.Name, c.Listen, c.Discovery, c.AdminListen, c.AcceptFD, c.HandoverSocket, c.Seed,
+		c.MemoryMB, c.MaxSockets, c.GossipListen, c.GossipPeers, c.GossipBroadcast,
+		c.SavedEndpoints, c.Settings, c.Transport} {
 		writeValues(&b, reflect.ValueOf(v))
 		b.WriteString("\n")
 	}
--- a/internal/edgeproxy/harness_test.go
+++ b/internal/edgeproxy/harness_test.go
@@ -126,7 +126,8 @@
 			Classes: []policy.Class{
 				{Name: "check", Idempotency: policy.Idempotent,
 					LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
-				{Name: "book", Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupZone, DedupWindow: 4 * time.Second,
+				{Name: "book", Idempotency: policy.IdempotentWithKey,
+					DedupScope: policy.DedupZone, DedupWindow: 4 * time.Second,
 					LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
 			},
 			Plans: []policy.Plan{
@@ -277,8 +278,9 @@
 	list := []entry{}
 	words := map[policy.ServerState]string{policy.Up: "up", policy.Draining: "draining", policy.Removed: "removed"}
 	for _, s := range servers {
-		list = append(list, entry{"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone, "machineType": s.Kind,
-			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.StartedAt.Milliseconds()})
+		list = append(list, entry{"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone,
+			"machineType": s.Kind, "cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight,
+			"startedAtMs": s.StartedAt.Milliseconds()})
 	}
 	b, err := json.Marshal(map[string]any{"generation": generation, "reset": full, "instances": list})
 	if err != nil {
--- a/internal/edgeproxy/hot_restart_test.go
+++ b/internal/edgeproxy/hot_restart_test.go
@@ -287,7 +287,8 @@
 	next := door.start(t, nextCfg)
 	old.awaitLog(t, "a successor waits")
 	health := func() int {
-		return dial(t, door.Addr().String()).ask("GET /health/ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n").status
+		c := dial(t, door.Addr().String())
+		return c.ask("GET /health/ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n").status
 	}
 	if s := health(); s != 503 {
 		t.Errorf("the old process, out of service: %d", s)
--- a/internal/edgeproxy/quota_test.go
+++ b/internal/edgeproxy/quota_test.go
@@ -43,7 +43,8 @@
 					if err != nil {
 						return
 					}
-					pass := func(p []byte) { ways[j][i].WriteToUDPAddrPort(p, nodes[j]) } // a lost one is part of the contract
+					// A lost message is part of the contract.
+					pass := func(p []byte) { ways[j][i].WriteToUDPAddrPort(p, nodes[j]) }
 					switch {
 					case loses(n):
 					case n%20 == 7:
@@ -169,7 +170,8 @@
 		found = max(found, n.finalMetrics(t)["choice.beyond_quota.found"])
 	}
 	cost := beyond * plan.OverQuotaCost / offered
-	t.Logf("%.0f of %.0f units passed inside quotas, %.0f beyond them at %.3f of the worth, of which the nodes found %d",
+	t.Logf("%.0f of %.0f units passed inside quotas, %.0f beyond them at %.3f of the worth, "+
+		"of which the nodes found %d",
 		inside, offered, beyond, cost, found)
 	if cost > 0.1 || 2*inside < offered {
 		t.Errorf("%.0f of %.0f units passed, %.0f beyond quotas at %.3f of the worth", inside, offered, beyond, cost)
--- a/internal/edgeproxy/request_body_test.go
+++ b/internal/edgeproxy/request_body_test.go
@@ -81,7 +81,8 @@
 	if a.status != 200 || <-sums != sha256.Sum256([]byte(looks)) {
 		t.Errorf("a body like a head: %d %s", a.status, a.body)
 	}
-	if a := dial(t, n.addr).ask(request("book", "z", "Content-Length", strconv.Itoa(maxRequestBody+1))); a.status != 413 {
+	tooLong := request("book", "z", "Content-Length", strconv.Itoa(maxRequestBody+1))
+	if a := dial(t, n.addr).ask(tooLong); a.status != 413 {
 		t.Errorf("a body over the limit: %d", a.status)
 	}
 }
--- a/internal/edgeproxy/request_table_test.go
+++ b/internal/edgeproxy/request_table_test.go
@@ -55,7 +55,8 @@
 		t.Fatal("no leave at first")
 	}
 	close(written.permit.done)
-	pending := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: []*attempt{waits, writing, written}}
+	attempts := []*attempt{waits, writing, written}
+	pending := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: attempts}
 	server.node.finishRequest(pending, finalAnswer{kind: answerServed})
 	a := <-pending.answer
 	if len(a.pendingWrites) != 1 || a.pendingWrites[0] != writing.permit || a.kind != answerServed {
--- a/internal/edgeproxy/response_stream_test.go
+++ b/internal/edgeproxy/response_stream_test.go
@@ -50,7 +50,8 @@
 				}
 				begun <- true
 				rest, err := io.ReadAll(resp.Body)
-				if got = append(got, rest...); err != nil || !bytes.Equal(got, whole) || resp.Header.Get("Content-Type") != "a/b" {
+				got = append(got, rest...)
+				if err != nil || !bytes.Equal(got, whole) || resp.Header.Get("Content-Type") != "a/b" {
 					t.Fatalf("%d of %d bytes, error %v, header %v", len(got), len(whole), err, resp.Header)
 				}
 			}
--- a/internal/edgeproxy/serve_request_test.go
+++ b/internal/edgeproxy/serve_request_test.go
@@ -17,7 +17,8 @@
 	got := make(chan *http.Request, 1)
 	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		got <- r
-		return respondWith("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Secret: 1\r\nContent-Length: 4\r\n\r\nbody")(c, r, body)
+		answer := "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Secret: 1\r\nContent-Length: 4\r\n\r\nbody"
+		return respondWith(answer)(c, r, body)
 	})
 	n := runNode(t, testConfig(s.instance("a")))
 	a := dial(t, n.addr).ask(request("book", "t1", "Connection", "keep-alive, X-Hop", "X-Hop", "1", "TE", "trailers"))
--- a/internal/edgeproxy/successor_test.go
+++ b/internal/edgeproxy/successor_test.go
@@ -121,7 +121,8 @@
 	dir := t.TempDir()
 	write := func(name, text string, mode os.FileMode) string {
 		path := filepath.Join(dir, name)
-		if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), os.WriteFile(path, []byte(text), mode)); err != nil {
+		err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), os.WriteFile(path, []byte(text), mode))
+		if err != nil {
 			t.Fatal(err)
 		}
 		return path
