--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -37,6 +37,7 @@
 	"internal/gatewayconfig":  3,
 	"internal/testserver":     3,
 	"internal/fixture":        3,
+	"internal/seedtest":       3,
 	"internal/cluster":        3,
 	"internal/configstreampb": 3,
 
@@ -51,7 +52,13 @@
 }
 
 // testHarness names the packages that tests and scenarios alone use.
-var testHarness = []string{"internal/fixture", "internal/testserver", "internal/scenario", "internal/benchmark"}
+var testHarness = []string{
+	"internal/fixture",
+	"internal/seedtest",
+	"internal/testserver",
+	"internal/scenario",
+	"internal/benchmark",
+}
 
 func goList(t *testing.T, args ...string) []string {
 	t.Helper()
--- /dev/null
+++ b/internal/seedtest/seedtest.go
@@ -0,0 +1,31 @@
+// Package seedtest runs a simulation for many seeds at once, in tests. The simulations must share nothing that one of
+// them changes.
+package seedtest
+
+import (
+	"fmt"
+	"testing"
+)
+
+// ForEach runs a simulation for count seeds from first on, each in a parallel subtest named seed=N, and returns when
+// all have ended.
+func ForEach(t *testing.T, first, count uint64, simulate func(t *testing.T, seed uint64)) {
+	t.Helper()
+	t.Run("seeds", func(t *testing.T) {
+		for seed := first; seed < first+count; seed++ {
+			t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
+				t.Parallel()
+				simulate(t, seed)
+			})
+		}
+	})
+}
+
+// Collect is ForEach for simulations with results, and returns these in the order of the seeds. The result of one
+// that fails at once is the zero value.
+func Collect[R any](t *testing.T, first, count uint64, simulate func(t *testing.T, seed uint64) R) []R {
+	t.Helper()
+	results := make([]R, count)
+	ForEach(t, first, count, func(t *testing.T, seed uint64) { results[seed-first] = simulate(t, seed) })
+	return results
+}
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -76,6 +76,7 @@
 	queue              simQueue
 	events             int
 	settings           Settings
+	subsetSizing       subset.Sizing
 	engines            []*Engine
 	incarnations       []int
 	hosts              []*fleetHost
@@ -194,6 +195,7 @@
 	if err != nil {
 		panic(err)
 	}
+	e.subset.sizing = s.subsetSizing
 	s.incarnations[instance] = max(s.incarnations[instance], -s.incarnations[instance]) + 1
 	s.engines[instance], s.pools[instance] = e, map[string]*connectionPool{}
 	s.hosts[instance] = &fleetHost{s, instance, s.incarnations[instance]}
@@ -220,10 +222,16 @@
 
 // newFleet starts a fleet under a load that is a fraction of what its servers can do.
 func newFleet(seed uint64, engines, servers int, load float64) *fleetSim {
+	return newFleetWithSubsets(defaultSubsetSizing, seed, engines, servers, load)
+}
+
+// newFleetWithSubsets is newFleet with subsets of another size.
+func newFleetWithSubsets(sizing subset.Sizing, seed uint64, engines, servers int, load float64) *fleetSim {
 	s := &fleetSim{
 		rng:                rand.New(rand.NewPCG(seed, 7)),
 		now:                1000 * time.Second,
 		settings:           fleetSettings(engines),
+		subsetSizing:       sizing,
 		engines:            make([]*Engine, engines),
 		incarnations:       make([]int, engines),
 		hosts:              make([]*fleetHost, engines),
@@ -335,29 +343,29 @@
 	}
 }
 
-// withSubsetRule runs f under another rule for subsets.
-func withSubsetRule(rule subset.Sizing, f func()) {
-	was := subsetRule
-	subsetRule = rule
-	defer func() { subsetRule = was }()
-	f()
+// fleetRun is a run of a fleet of 70 engines over 40 servers.
+type fleetRun struct {
+	seed    uint64
+	sizing  subset.Sizing
+	load    float64
+	seconds int             // after the disturbance
+	disturb func(*fleetSim) // may be nil
 }
 
-// runFleet runs a fleet of 70 engines over 40 servers, does something to it and returns the totals of each second
-// after that.
-func runFleet(
-	t *testing.T, seed uint64, load float64, seconds int, do func(*fleetSim),
-) (before fleetTotals, after []fleetTotals) {
+// run runs the fleet, disturbs it and returns the totals of each second after that.
+func (r fleetRun) run(t *testing.T) (before fleetTotals, after []fleetTotals) {
 	t.Helper()
-	s := newFleet(seed, 70, 40, load)
+	s := newFleetWithSubsets(r.sizing, r.seed, 70, 40, r.load)
 	for _, b := range s.servers {
 		b.maxConnections = 42
 	}
 	s.run(s.now + 3*time.Second)
 	before = s.total
 	t.Log("before: ", s.summary())
-	do(s)
-	for range seconds {
+	if r.disturb != nil {
+		r.disturb(s)
+	}
+	for range r.seconds {
 		s.run(s.now + time.Second)
 		after = append(after, s.total)
 		t.Log(s.summary())
@@ -365,15 +373,30 @@
 	return before, after
 }
 
-// withAndWithoutSubsets runs f with subsets and without.
-func withAndWithoutSubsets(t *testing.T, f func() fleetTotals) (with, without fleetTotals) {
+// withAndWithoutSubsets runs a fleet with subsets and without, in parallel.
+func withAndWithoutSubsets(
+	t *testing.T, run func(t *testing.T, sizing subset.Sizing) fleetTotals,
+) (with, without fleetTotals) {
 	t.Helper()
-	with = f()
-	withSubsetRule(subset.Sizing{}, func() { without = f() })
-	for i, totals := range []fleetTotals{with, without} {
-		t.Logf("%s subsets %.3f of the value, %d connections opened, %d not made, %d health checks",
-			[]string{"with", "without"}[i], totals.servedFraction(), totals.connectionsOpened, totals.connectionsFailed,
-			totals.healthChecks)
+	cases := []struct {
+		name   string
+		sizing subset.Sizing
+		totals *fleetTotals
+	}{
+		{"with", defaultSubsetSizing, &with},
+		{"without", subset.Sizing{}, &without},
+	}
+	t.Run("subsets", func(t *testing.T) {
+		for _, c := range cases {
+			t.Run(c.name, func(t *testing.T) {
+				t.Parallel()
+				*c.totals = run(t, c.sizing)
+			})
+		}
+	})
+	for _, c := range cases {
+		t.Logf("%s subsets %.3f of the value, %d connections opened, %d not made, %d health checks", c.name,
+			c.totals.servedFraction(), c.totals.connectionsOpened, c.totals.connectionsFailed, c.totals.healthChecks)
 	}
 	return with, without
 }
--- a/policy/fleet_quota_test.go
+++ b/policy/fleet_quota_test.go
@@ -5,6 +5,8 @@
 	"math"
 	"testing"
 	"time"
+
+	"mulleinmux/internal/seedtest"
 )
 
 // fleetLedger compares what a fleet admits with each customer's true quota.
@@ -85,25 +87,38 @@
 // doubled, what passes beyond the quotas costs at most 0.1 of the value: it may be 0.1 more than under a policy
 // that sees the true state late, which counts as costing nothing here.
 func TestQuotasHoldOnAQuietDay(t *testing.T) {
+	t.Parallel()
 	for _, c := range []struct{ engines, servers int }{{3, 12}, {8, 16}, {70, 40}} {
-		for seed := range uint64(3) {
-			s := newFleet(seed, c.engines, c.servers, 0.3)
-			s.loss, s.reordersGossip = 0.08, true
-			s.settings.Plans[0].HardLimitRate = 0 // nothing but the quota bounds what passes
-			s.makeCustomersHeavy(8, 4)
-			for i := range s.engines {
-				s.start(i)
-			}
-			l := &fleetLedger{plan: s.settings.Plans[0], fleetQuotas: map[int]*trueQuota{}, idealQuotas: map[int]*trueQuota{}}
-			s.ledger = l
-			s.run(s.now + 20*time.Second)
-			cost := l.overQuotaCost / l.idealValue
-			result := fmt.Sprintf("%d instances: %d of %d units admitted inside quotas, beyond them at %.3f of the value",
-				c.engines, l.units[0], l.units[1], cost)
-			t.Log(result)
-			if cost > 0.1 || 2*l.units[0] < l.units[1] {
-				t.Error(result)
-			}
-		}
+		t.Run(fmt.Sprintf("%d_engines", c.engines), func(t *testing.T) {
+			t.Parallel()
+			seedtest.ForEach(t, 0, 3, func(t *testing.T, seed uint64) {
+				ledger := runQuietDay(seed, c.engines, c.servers)
+				cost := ledger.overQuotaCost / ledger.idealValue
+				result := fmt.Sprintf("%d instances: %d of %d units admitted inside quotas, beyond them at %.3f of the value",
+					c.engines, ledger.units[0], ledger.units[1], cost)
+				t.Log(result)
+				if cost > 0.1 || 2*ledger.units[0] < ledger.units[1] {
+					t.Error(result)
+				}
+			})
+		})
+	}
+}
+
+// runQuietDay runs a fleet at normal load with some heavy customers, and returns what it admitted.
+func runQuietDay(seed uint64, engines, servers int) *fleetLedger {
+	s := newFleet(seed, engines, servers, 0.3)
+	s.loss, s.reordersGossip = 0.08, true
+	s.settings.Plans[0].HardLimitRate = 0 // nothing but the quota bounds what passes
+	s.makeCustomersHeavy(8, 4)
+	for i := range s.engines {
+		s.start(i)
+	}
+	s.ledger = &fleetLedger{
+		plan:        s.settings.Plans[0],
+		fleetQuotas: map[int]*trueQuota{},
+		idealQuotas: map[int]*trueQuota{},
 	}
+	s.run(s.now + 20*time.Second)
+	return s.ledger
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -62,6 +62,7 @@
 		settings:      s,
 		rng:           rand.New(rand.NewPCG(seed, 0x5ea)),
 		servers:       serverTable{byID: map[string]*server{}},
+		subset:        serverSubset{sizing: defaultSubsetSizing},
 		classIndex:    map[string]int{},
 		planIndex:     map[string]int{},
 		latencies:     newLatencyTable(len(s.Classes)),
--- a/policy/quota_transfer_test.go
+++ b/policy/quota_transfer_test.go
@@ -4,8 +4,11 @@
 	"errors"
 	"math"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
+
+	"mulleinmux/internal/seedtest"
 )
 
 // transferSim is a fleet whose messages take time, get lost and are reordered, and one customer under a hard limit
@@ -90,9 +93,12 @@
 	}
 	w.network = kept
 	for i := range w.engines {
-		due := w.timers[i]
+		timers := w.timers[i]
+		if !slices.ContainsFunc(timers, func(tm timerRequest) bool { return tm.after <= w.now }) {
+			continue
+		}
 		w.timers[i] = nil
-		for _, tm := range due {
+		for _, tm := range timers {
 			if tm.after > w.now {
 				w.timers[i] = append(w.timers[i], tm)
 			} else {
@@ -158,49 +164,52 @@
 // forwarded never exceeds the hard limit, whatever is lost, late or restarted.
 func TestTransfersKeepTheHardLimit(t *testing.T) {
 	t.Parallel()
-	lent := 0.0
-	for seed := uint64(1); seed <= 40; seed++ {
-		w := newTransferSim(t, seed, 3)
-		p := w.settings.Plans[0]
-		loss := []float64{0, 0.1, 0.4}[seed%3]
-		busy, rate := 0, 0.0
-		level := 0.0 // of the true hard limit, were it empty at the start as the parts are
-		for w.now < t0+8*time.Second {
-			if w.rng.IntN(300) == 0 {
-				busy, rate = w.rng.IntN(3), []float64{0, 0.02, 0.3}[w.rng.IntN(3)]
-			}
-			if w.rng.IntN(4000) == 0 {
-				w.start(t, w.rng.IntN(3))
-			}
-			w.step(loss)
-			level = math.Min(level+p.HardLimitRate/1000, p.HardLimitBurst)
-			if w.rng.Float64() < rate {
-				i := busy
-				if w.rng.IntN(4) == 0 {
-					i = w.rng.IntN(3)
-				}
-				if w.offer(i) {
-					level--
-				}
+	lent := seedtest.Collect(t, 1, 40, runTransferSeed)
+	if slices.Max(lent) == 0 {
+		t.Error("nothing was transferred: the sequences exercise nothing")
+	}
+}
+
+// runTransferSeed checks the hard limit over 8 s, and returns the most units that an instance had in transit.
+func runTransferSeed(t *testing.T, seed uint64) (lent float64) {
+	w := newTransferSim(t, seed, 3)
+	p := w.settings.Plans[0]
+	loss := []float64{0, 0.1, 0.4}[seed%3]
+	busy, rate := 0, 0.0
+	level := 0.0 // of the true hard limit, were it empty at the start as the parts are
+	for w.now < t0+8*time.Second {
+		if w.rng.IntN(300) == 0 {
+			busy, rate = w.rng.IntN(3), []float64{0, 0.02, 0.3}[w.rng.IntN(3)]
+		}
+		if w.rng.IntN(4000) == 0 {
+			w.start(t, w.rng.IntN(3))
+		}
+		w.step(loss)
+		level = math.Min(level+p.HardLimitRate/1000, p.HardLimitBurst)
+		if w.rng.Float64() < rate {
+			i := busy
+			if w.rng.IntN(4) == 0 {
+				i = w.rng.IntN(3)
 			}
-			if level < -1e-6 {
-				t.Fatalf("seed %d, %v: the hard limit is exceeded by %.2f units", seed, w.now-t0, -level)
+			if w.offer(i) {
+				level--
 			}
-			if loss == 0 {
-				if sum := w.hardLimitTokens(); sum > p.HardLimitBurst+1e-6 {
-					t.Fatalf("seed %d, %v: parts hold %.2f of %v", seed, w.now-t0, sum, p.HardLimitBurst)
-				}
+		}
+		if level < -1e-6 {
+			t.Fatalf("seed %d, %v: the hard limit is exceeded by %.2f units", seed, w.now-t0, -level)
+		}
+		if loss == 0 {
+			if sum := w.hardLimitTokens(); sum > p.HardLimitBurst+1e-6 {
+				t.Fatalf("seed %d, %v: parts hold %.2f of %v", seed, w.now-t0, sum, p.HardLimitBurst)
 			}
-			for _, e := range w.engines {
-				if quota := e.quotas.byCustomer[transferCustomer]; quota != nil {
-					lent = math.Max(lent, quota.unitsInTransit[0])
-				}
+		}
+		for _, e := range w.engines {
+			if quota := e.quotas.byCustomer[transferCustomer]; quota != nil {
+				lent = math.Max(lent, quota.unitsInTransit[0])
 			}
 		}
 	}
-	if lent == 0 {
-		t.Error("nothing was transferred: the sequences exercise nothing")
-	}
+	return lent
 }
 
 // A customer whose requests all come through one instance has nearly all of its hard limit's rate there.
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -6,6 +6,8 @@
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"mulleinmux/internal/seedtest"
 )
 
 // sequence is what a random sequence varies besides its seed.
@@ -124,8 +126,8 @@
 
 func TestRulesHoldOnRandomSequences(t *testing.T) {
 	t.Parallel()
-	served, total := 0, 0
-	for seed := uint64(1); seed <= 48; seed++ {
+	type requestCounts struct{ served, total int }
+	results := seedtest.Collect(t, 1, 48, func(t *testing.T, seed uint64) requestCounts {
 		loss := []float64{0, 0.1, 1}[seed%3]
 		engines := 3
 		if seed%6 == 0 { // hundreds of engines around the same few servers, where owners are asked
@@ -133,10 +135,14 @@
 			loss = []float64{0, 0.1, 1}[seed/6%3]
 		}
 		w := sequence{seed, seed%2 == 0, DedupScope(seed % 3), loss, engines}.run(t)
-		served, total = served+w.served, total+len(w.requests)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
+		return requestCounts{w.served, len(w.requests)}
+	})
+	served, total := 0, 0
+	for _, counts := range results {
+		served, total = served+counts.served, total+counts.total
 	}
 	if served < total/4 {
 		t.Errorf("%d of %d requests served: the sequences exercise too little", served, total)
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,10 +6,10 @@
 	"mulleinmux/subset"
 )
 
-// subsetRule is how large a node's subset is: 12 servers are enough to lose half of them, and few enough for
+// defaultSubsetSizing is how large a node's subset is: 12 servers are enough to lose half of them, and few enough for
 // some requests a second to find a connection open; each server is in 16 subsets or more, so that nodes with
 // several times the mean load do not weigh on single servers.
-var subsetRule = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
+var defaultSubsetSizing = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
 
 // subsetSeed is the same at all nodes of a fleet, which form their subsets alike.
 const subsetSeed = 1
@@ -17,6 +17,7 @@
 // serverSubset is the servers that a node sends to as long as they will do (deterministic subsetting).
 // Invariant: inSubset holds for the members and for no other server.
 type serverSubset struct {
+	sizing      subset.Sizing
 	members     []*server // or all servers, where the rule leaves none out
 	isPartial   bool      // the rule leaves servers out
 	meanHolders float64   // nodes that have a server of it in their subset, on average
@@ -40,7 +41,7 @@
 			p.maxWeight = math.Max(p.maxWeight, s.weight())
 		}
 	}
-	fleet := subset.Tier{Nodes: instanceCount, Seed: subsetSeed, Sizing: subsetRule}
+	fleet := subset.Tier{Nodes: instanceCount, Seed: subsetSeed, Sizing: p.sizing}
 	p.isPartial = fleet.SubsetSize(accepting) < accepting
 	if p.isPartial {
 		p.formPartial(servers, fleet, instance)
