--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,10 +6,10 @@
 	"mulleinmux/subset"
 )
 
-// subsetRule sizes a node's subset. Of 12 servers half may fail, and a few requests per second keep their connections
+// defaultSubsetSizing sizes a node's subset. Of 12 servers half may fail, and a few requests per second keep their connections
 // open. Each server is in 16 subsets or more, so that a node with several times the mean load does not overload
 // single servers.
-var subsetRule = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
+var defaultSubsetSizing = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
 
 // subsetSeed has to be the same at all nodes of a fleet: each derives the same subsets of all nodes.
 const subsetSeed = 1
@@ -17,6 +17,7 @@
 // serverSubset is the servers that a node uses while they can serve its requests (deterministic subsetting).
 // Invariant: inSubset holds for the members and for no other server.
 type serverSubset struct {
+	sizing      subset.Sizing
 	members     []*server // all servers if not isPartial
 	isPartial   bool      // the rule leaves servers out
 	meanHolders float64   // mean number of nodes with the same server in their subset
@@ -40,7 +41,7 @@
 			p.maxWeight = math.Max(p.maxWeight, s.weight())
 		}
 	}
-	fleet := subset.Tier{Nodes: instanceCount, Seed: subsetSeed, Sizing: subsetRule}
+	fleet := subset.Tier{Nodes: instanceCount, Seed: subsetSeed, Sizing: p.sizing}
 	p.isPartial = fleet.SubsetSize(accepting) < accepting
 	if p.isPartial {
 		p.formPartial(servers, fleet, instance)
