--- a/internal/edgeproxy/server_conn.go
+++ b/internal/edgeproxy/server_conn.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"mulleinmux/internal/loadreport"
+	"mulleinmux/internal/serverpool"
 	"mulleinmux/policy"
 )
 
@@ -35,19 +36,8 @@
 	connectedAt time.Time
 }
 
-// IsQuiet tells whether an idle connection is as it was left: open, with nothing to read. If the server has closed
-// it, or sent something unasked, a request written to it would end as a reset, after which not every request may be
-// retried.
-func (c *serverConn) IsQuiet() bool {
-	var b [1]byte
-	isQuiet := false
-	err := c.raw.Read(func(fd uintptr) bool {
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		isQuiet = err == syscall.EAGAIN
-		return true
-	})
-	return err == nil && isQuiet
-}
+// IsQuiet tells whether an idle connection is as it was left: open, with nothing to read.
+func (c *serverConn) IsQuiet() bool { return serverpool.IsQuiet(c.raw) }
 
 // readResponse reads the complete response, or the first part of one to be streamed, and tells whether the
 // connection can be used again. A response that was received and can't be read is an error response: only a
--- a/internal/gateway/server_conn.go
+++ b/internal/gateway/server_conn.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"mulleinmux/internal/httpwire"
+	"mulleinmux/internal/serverpool"
 )
 
 const (
@@ -46,18 +47,8 @@
 // Close closes the connection.
 func (c *serverConn) Close() error { return c.nc.Close() }
 
-// IsQuiet tells whether an idle connection is open with nothing to read. A request written to any other would end as a
-// reset, which may not be retried freely.
-func (c *serverConn) IsQuiet() bool {
-	var b [1]byte
-	quiet := false
-	err := c.raw.Read(func(fd uintptr) bool {
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
-		return true
-	})
-	return err == nil && quiet
-}
+// IsQuiet tells whether an idle connection is as it was left: open, with nothing to read.
+func (c *serverConn) IsQuiet() bool { return serverpool.IsQuiet(c.raw) }
 
 // trimBuffer drops a request's buffer that is too large for an idle connection.
 func (c *serverConn) trimBuffer() {
--- a/internal/serverpool/conntable/table_test.go
+++ b/internal/serverpool/conntable/table_test.go
@@ -204,6 +204,53 @@
 	dial port 2, open 2`)
 }
 
+// Of the idle connections of several servers the one that has been idle for longest is evicted.
+func TestLongestIdleIsEvicted(t *testing.T) {
+	runTranscript(t, Config{MaxIdleTimeout: 8 * time.Second, MaxOpen: 3}, `
+	> list a up
+	close none, open 0
+	> list b up
+	close none, open 0
+	> list c up
+	close none, open 0
+	> acquire a
+	dial port 1, open 1
+	> acquire b
+	dial port 1, open 2
+	> acquire c
+	dial port 1, open 3
+	> dialled a a1
+	in use, open 3
+	> dialled b b1
+	in use, open 3
+	> dialled c c1
+	in use, open 3
+	> release b1
+	idle, open 3
+	> wait 1ms
+	at 1ms, open 3
+	> release a1
+	idle, open 3
+	> wait 1ms
+	at 2ms, open 3
+	> release c1
+	idle, open 3
+	> acquire a
+	reuse a1, open 3
+	> wait 1ms
+	at 3ms, open 3
+	> release a1
+	idle, open 3
+	> acquire b
+	reuse b1, open 3
+	> acquire b
+	evict c1, dial port 1, open 3
+	> acquire b
+	evict a1, dial port 1, open 3
+	> acquire b
+	no descriptor left for a connection, open 3`)
+}
+
 // A server that drains keeps no idle connection; one that is in use ends with its use, unless the server is up again.
 func TestDrainingServer(t *testing.T) {
 	runTranscript(t, Config{MaxIdleTimeout: 8 * time.Second, MaxOpen: 4}, `
--- /dev/null
+++ b/internal/serverpool/quiet.go
@@ -0,0 +1,17 @@
+package serverpool
+
+import "syscall"
+
+// IsQuiet tells whether an idle connection is as it was left: open, with nothing to read. If the server has closed it,
+// or sent something unasked, a request written to it would end as a reset, after which not every request may be
+// retried.
+func IsQuiet(raw syscall.RawConn) bool {
+	var b [1]byte
+	isQuiet := false
+	err := raw.Read(func(fd uintptr) bool {
+		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		isQuiet = err == syscall.EAGAIN
+		return true
+	})
+	return err == nil && isQuiet
+}
