--- a/multisite/epoch_change.go
+++ b/multisite/epoch_change.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// previousEpoch is one that other instances may still send by.
+// previousEpoch is an epoch by which other instances may still route.
 type previousEpoch struct {
-	epoch   *OwnershipEpoch // nil: whichever was in force before this process started
+	epoch   *OwnershipEpoch // nil: the one in force before this process started, which is not known
 	endedAt time.Duration
 }
 
@@ -15,7 +15,7 @@
 	return p.epoch != nil && p.epoch.owner(key) == site
 }
 
-// InstallEpoch puts an agreed epoch in force. One that is not newer than the epoch in force is dropped.
+// InstallEpoch puts an agreed epoch in force. An epoch that is not newer than the one in force is ignored.
 func (k *KeyTable) InstallEpoch(now time.Duration, epoch OwnershipEpoch) {
 	if k.epoch != nil {
 		if epoch.Number <= k.epoch.Number {
@@ -26,19 +26,19 @@
 	k.epoch = epoch.clone()
 }
 
-// ConfirmEpoch renews the lease: a quorum that was asked at a time has confirmed that by then no epoch behind the one
-// in force was agreed on. See [QuorumConfirmation].
+// ConfirmEpoch renews the lease of the epoch in force: a quorum has confirmed that no later epoch had been agreed on
+// when the confirmation was requested. See [QuorumConfirmation].
 func (k *KeyTable) ConfirmEpoch(requestedAt time.Duration) {
 	k.confirmationAt = max(k.confirmationAt, requestedAt)
 	k.hasConfirmation = true
 }
 
-// hasLease reports whether the epoch in force may be routed by.
+// hasLease reports whether keys may be routed by the epoch in force.
 func (k *KeyTable) hasLease(now time.Duration) bool {
 	return k.hasConfirmation && now-k.confirmationAt <= k.cfg.LeaseTTL
 }
 
-// dropEndedEpochs drops the epochs by which nobody can have sent for so long that no client repeats what was sent by
+// dropEndedEpochs drops the previous epochs that ended so long ago that no client still repeats a key that was sent by
 // them.
 func (k *KeyTable) dropEndedEpochs(now time.Duration) {
 	fence := k.cfg.LeaseTTL + k.maxKeyTTL(now)
@@ -47,26 +47,25 @@
 	})
 }
 
-// hasHeardAll reports whether all other instances, those of a previous epoch and those of the one in force, send by the
-// latter and have announced all that they sent before.
-func (k *KeyTable) hasHeardAll(now time.Duration, previous *OwnershipEpoch) bool {
+// haveAllAnnounced reports whether all instances, those of a previous epoch and those of the one in force, route by the
+// latter and have announced all keys that they sent before.
+func (k *KeyTable) haveAllAnnounced(now time.Duration, previous *OwnershipEpoch) bool {
 	maxKeyTTL := k.maxKeyTTL(now)
-	isHeard := func(instance uint64) bool { return k.hasHeard(now, instance, maxKeyTTL) }
-	if !all(k.epoch.Instances, isHeard) {
+	hasAnnounced := func(instance uint64) bool { return k.hasAnnounced(now, instance, maxKeyTTL) }
+	if !all(k.epoch.Instances, hasAnnounced) {
 		return false
 	}
 	if previous == nil {
-		// An instance that had left by this process's start has sent nothing for a lease: the fence of its own
-		// epoch holds.
+		// An instance that was removed before this process started has not been able to send since its lease ended.
 		return true
 	}
-	return all(previous.Instances, isHeard)
+	return all(previous.Instances, hasAnnounced)
 }
 
-// hasHeard reports whether an instance has announced the epoch in force and all keys that clients may still repeat.
-func (k *KeyTable) hasHeard(now time.Duration, instance uint64, maxKeyTTL time.Duration) bool {
+// hasAnnounced reports whether an instance has announced the epoch in force and all keys that clients may still repeat.
+func (k *KeyTable) hasAnnounced(now time.Duration, instance uint64, maxKeyTTL time.Duration) bool {
 	if instance == k.cfg.InstanceID {
-		// What the process before this one sent is not known.
+		// The keys that the previous process of this instance sent are not known.
 		return now-k.startedAt > maxKeyTTL && now >= k.unrecordedUntil
 	}
 	p := k.peers[instance]
--- a/multisite/execution_status.go
+++ b/multisite/execution_status.go
@@ -1,11 +1,11 @@
 package multisite
 
-// ExecutionStatus is what a site can say of a request that was forwarded to it.
+// ExecutionStatus is what a site knows of the execution of a request that was forwarded to it.
 type ExecutionStatus int
 
 // The statuses of a forwarded request. Their texts are sent between sites.
 const (
-	// NeverExecuted: it did not run here and never will; if it still arrives it is rejected.
+	// NeverExecuted: it did not run here and never will; if it arrives later it is rejected.
 	NeverExecuted ExecutionStatus = iota
 	// Executing: it has arrived and has no final answer yet.
 	Executing
--- a/multisite/forwarded_requests.go
+++ b/multisite/forwarded_requests.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// minSweptExpirations is for how many acknowledged requests the expirations are swept at once.
+// minSweptExpirations is the number of superfluous expirations from which they are swept.
 const minSweptExpirations = 1024
 
-// ForwardedRequests is what an instance remembers of the requests that were forwarded to it by another site, so that it
-// can prove, once a link that dropped is back, what became of one. The other site asks with the request's ID, new for
-// each attempt. Asking about one that has not arrived voids it: bytes that a broken link still delivers later run
-// nothing. So NeverExecuted is final, and with it the other site may send the request elsewhere.
+// ForwardedRequests records the requests that another site forwarded to this instance, so that it can tell their
+// status after the link between the sites has failed. The other site queries the status by the request's ID, which
+// is new for each attempt. A query for a request that has not arrived voids it: if a broken link delivers it later,
+// it is rejected. So NeverExecuted is final, and the other site may then send the request elsewhere.
 //
-// A request is remembered until the other site acknowledges its answer, else for a TTL after it arrived or was voided,
-// or after its end. What arrives later than a TTL after it was sent must be held off by the host (a link delivers in
-// order, and its connections end). With no room left, nothing is admitted and nothing can be voided: the status is
-// ExecutionUnknown then.
+// A request is recorded until the other site acknowledges its answer, or else for a TTL after it arrived, was voided or
+// ended. The host must reject what arrives later than a TTL after it was sent (a link delivers in order, and its
+// connections end). While the table is full, nothing is admitted and nothing can be voided: the status is
+// ExecutionUnknown.
 //
 // It is not safe for concurrent use.
 type ForwardedRequests struct {
@@ -38,7 +38,8 @@
 	id    string
 }
 
-// NewForwardedRequests remembers maxRequests requests at the most, each for ttl after its last change.
+// NewForwardedRequests returns an empty table of at most maxRequests requests, each recorded for ttl after its last
+// change. Both must be above 0.
 func NewForwardedRequests(ttl time.Duration, maxRequests int) (*ForwardedRequests, error) {
 	if ttl <= 0 || maxRequests <= 0 {
 		return nil, errors.New("multisite: the TTL and number of forwarded requests must be above 0")
@@ -46,8 +47,8 @@
 	return &ForwardedRequests{ttl: ttl, maxRequests: maxRequests, byID: map[string]*forwardedRequest{}}, nil
 }
 
-// Admit takes in a request that has arrived. If it is false, the request must not run: it was voided or there is no
-// room to remember it, which is NeverExecuted, or it has arrived before, with the status that it has.
+// Admit records a request that has arrived. If ok is false, it must not run: it was voided or the table is full,
+// with the status NeverExecuted, or it has arrived before, with the status that it has since.
 func (f *ForwardedRequests) Admit(now time.Time, id string) (status ExecutionStatus, ok bool) {
 	f.expire(now)
 	if r := f.byID[id]; r != nil {
@@ -60,15 +61,17 @@
 	return Executing, true
 }
 
-// Complete records the final status of a request that Admit let in, and what to retain of its answer.
+// Complete records the final status of a request that Admit has admitted, and what to retain of its answer.
 func (f *ForwardedRequests) Complete(now time.Time, id string, status ExecutionStatus, answer any) {
 	if r := f.byID[id]; r != nil && r.status == Executing {
-		r.status, r.retainedAnswer, r.expiresAt = status, answer, now.Add(f.ttl)
+		r.status = status
+		r.retainedAnswer = answer
+		r.expiresAt = now.Add(f.ttl)
 	}
 }
 
-// ResolveStatus returns what became of a request, and what was retained of its answer. One that has not arrived is void
-// from here on.
+// ResolveStatus returns the status of a request and what was retained of its answer. A request that has not arrived is
+// voided.
 func (f *ForwardedRequests) ResolveStatus(now time.Time, id string) (status ExecutionStatus, answer any) {
 	f.expire(now)
 	if r := f.byID[id]; r != nil {
@@ -81,9 +84,9 @@
 	return NeverExecuted, nil
 }
 
-// Acknowledge drops a request whose answer the other site has: it will not ask, and as it sends each request once,
-// nothing of it can arrive any more. So the room needed follows from connections that break, not from how many requests
-// are forwarded.
+// Acknowledge drops a request whose answer the other site has received: it will not query the status, and since it
+// sends each request once, nothing of it can arrive any more. So the table's size depends on how many connections
+// break, not on how many requests are forwarded.
 func (f *ForwardedRequests) Acknowledge(id string) {
 	if r := f.byID[id]; r == nil || r.status == Executing {
 		return
@@ -94,7 +97,7 @@
 	}
 }
 
-// Len is the number of requests remembered.
+// Len returns the number of requests recorded.
 func (f *ForwardedRequests) Len() int { return len(f.byID) }
 
 func (f *ForwardedRequests) isFull() bool { return len(f.byID) >= f.maxRequests }
@@ -105,7 +108,7 @@
 	f.expirations = append(f.expirations, requestExpiration{expiresAt, id})
 }
 
-// expire drops what is past its TTL. A request that is executing stays until it has ended.
+// expire drops the requests whose TTL has passed. A request that is executing is kept until it has ended.
 func (f *ForwardedRequests) expire(now time.Time) {
 	done := 0
 	for ; done < len(f.expirations) && !now.Before(f.expirations[done].dueAt); done++ {
--- a/multisite/health_monitor.go
+++ b/multisite/health_monitor.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// HealthConfig holds what a [HealthMonitor] needs to know of its instance.
+// HealthConfig configures a [HealthMonitor].
 type HealthConfig struct {
 	InstanceID       uint64
-	MinMisses        int           // attempts or health checks in a row without an answer that count as silence
-	LossTimeout      time.Duration // silence to a majority for so long is a loss
-	ViewTTL          time.Duration // another instance's view is out of date after this
+	MinMisses        int           // unanswered attempts or health checks in a row that make a site silent
+	LossTimeout      time.Duration // a site silent to a majority for this long is lost
+	ViewTTL          time.Duration // after which another instance's view is outdated
 	RecoveryDelay    time.Duration // for which a lost site must answer before it counts as recovered
-	MaxRecoveryDelay time.Duration // that RecoveryDelay grows to
+	MaxRecoveryDelay time.Duration // upper limit of RecoveryDelay, which grows with repeated losses
 	LossWindow       time.Duration // after which a loss no longer lengthens RecoveryDelay
 	WarmUpWindow     time.Duration // for which a recovered site counts as warming up
 }
 
-// HealthMonitor is one instance's view of the health of all sites. What it proposes follows from the views of a
-// majority of the members, so that a fault near one instance moves no keys.
+// HealthMonitor is one instance's view of the health of all sites. The changes that it proposes follow from the
+// views of a majority of the members, so that a fault near one instance moves no keys.
 //
 // It is not safe for concurrent use.
 type HealthMonitor struct {
 	cfg      HealthConfig
-	members  []uint64
-	sites    map[string]*agreedSite
-	own      map[string]*ownObservation
-	isRemote map[string]bool // sites that this instance reaches only through others
-	peers    map[uint64]map[string]observation
-	heardAt  map[uint64]time.Duration // when a member last announced its views
+	members  []uint64                          // instance IDs
+	sites    map[string]*agreedSite            // by name
+	own      map[string]*ownObservation        // by site
+	isRemote map[string]bool                   // sites that this instance reaches only through others
+	peers    map[uint64]map[string]observation // by member and site
+	heardAt  map[uint64]time.Duration          // when a member last announced its views
 }
 
-// agreedSite is what was agreed on of a site.
+// agreedSite is what the members have agreed on of a site.
 type agreedSite struct {
 	isClosed    bool
 	isLost      bool // it owns only a part of its keys: keyEighths of them, or none
@@ -46,7 +46,7 @@
 // hasNoKeys reports whether the site was lost and has not begun to recover.
 func (a *agreedSite) hasNoKeys() bool { return a.isLost && a.keyEighths == 0 }
 
-// NewHealthMonitor returns a monitor without sites. An error names the figure that is out of range.
+// NewHealthMonitor returns a monitor without sites. The error names the fields that are out of range.
 func NewHealthMonitor(cfg HealthConfig) (*HealthMonitor, error) {
 	if cfg.MinMisses < 1 || cfg.LossTimeout <= 0 || cfg.ViewTTL <= 0 || cfg.RecoveryDelay <= 0 ||
 		cfg.MaxRecoveryDelay < cfg.RecoveryDelay {
@@ -63,8 +63,8 @@
 	}, nil
 }
 
-// ApplyAgreed takes over what is agreed on: the sites, of which the open ones are not closed by operators; the lost
-// ones with the eighths of their keys that they take again; and the members.
+// ApplyAgreed sets what the members have agreed on: the sites, open unless operators closed them; the lost sites, by
+// name, with the eighths of their keys that they own again; and the members.
 func (h *HealthMonitor) ApplyAgreed(now time.Duration, sites []Site, lost map[string]int, members []uint64) {
 	h.members = slices.Clone(members)
 	isListed := map[string]bool{}
@@ -103,11 +103,12 @@
 	if !isLost && a.isLost {
 		a.recoveredAt = now
 	}
-	a.isLost, a.keyEighths = isLost, keyEighths
+	a.isLost = isLost
+	a.keyEighths = keyEighths
 }
 
-// SetRemote sets whether this instance reaches a site only through another site's instances. What it observes of the
-// site then says as much of the path as of the site.
+// SetRemote sets whether this instance reaches a site only through another site's instances. Its own observations
+// may then be due to the path instead of the site.
 func (h *HealthMonitor) SetRemote(site string, isRemote bool) {
 	h.isRemote[site] = isRemote
 	if o := h.ownObservation(site); o != nil {
@@ -115,28 +116,28 @@
 	}
 }
 
-// RecordAnswer notes an answer of any kind from a site.
+// RecordAnswer records an answer of any kind from a site.
 func (h *HealthMonitor) RecordAnswer(now time.Duration, site string) {
 	if o := h.ownObservation(site); o != nil {
 		o.recordAnswer(now)
 	}
 }
 
-// RecordMiss notes that what was sent to a site at a time was not answered.
+// RecordMiss records that what was sent to a site at a time was not answered.
 func (h *HealthMonitor) RecordMiss(now time.Duration, site string, sentAt time.Duration) {
 	if o := h.ownObservation(site); o != nil {
 		o.recordMiss(now, sentAt, h.cfg.MinMisses)
 	}
 }
 
-// RecordCapacity notes the capacity of a site, in warm servers.
+// RecordCapacity records the capacity of a site, in warm servers.
 func (h *HealthMonitor) RecordCapacity(site string, warmServers float64) {
 	if o := h.ownObservation(site); o != nil {
 		o.capacity = warmServers
 	}
 }
 
-// ownObservation is this instance's observation of a site; nil for a site that is not agreed on.
+// ownObservation returns this instance's observation of a site; nil for a site that is not agreed on.
 func (h *HealthMonitor) ownObservation(site string) *ownObservation {
 	o := h.own[site]
 	if o == nil && h.sites[site] != nil {
@@ -146,7 +147,7 @@
 	return o
 }
 
-// Views returns what to announce to the other instances, by the sites' names.
+// Views returns what to announce to the other instances, sorted by site.
 func (h *HealthMonitor) Views(now time.Duration) (views []SiteView) {
 	for site, o := range h.own {
 		if o.isCurrent(now, h.cfg.ViewTTL) {
@@ -157,7 +158,7 @@
 				Capacity: o.capacity,
 				IsRemote: o.isRemote,
 			})
-		} else if o.isRemote { // it follows those that know
+		} else if o.isRemote { // without a view of its own it follows the members that reach the site directly
 			views = append(views, SiteView{Site: site, Duration: -1, IsRemote: true})
 		}
 	}
@@ -165,7 +166,7 @@
 	return views
 }
 
-// Receive takes in what another member announced.
+// Receive records the views that another member has announced.
 func (h *HealthMonitor) Receive(now time.Duration, from uint64, views []SiteView) {
 	if from == h.cfg.InstanceID || !slices.Contains(h.members, from) {
 		return
@@ -187,7 +188,7 @@
 	h.peers[from], h.heardAt[from] = observations, now
 }
 
-// State returns what this instance makes of a site.
+// State returns the state of a site as this instance sees it.
 func (h *HealthMonitor) State(now time.Duration, site string) SiteState {
 	agreed := h.sites[site]
 	if agreed == nil {
--- a/multisite/key_ledger.go
+++ b/multisite/key_ledger.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// keyLedger remembers at which site a key may have run. Each entry has at least one expiration, which is due no later
-// than the entry itself; an expiration whose entry has gone is skipped.
+// keyLedger records at which site a key may have run. Invariant: each entry has an expiration that is due no later than
+// the entry itself. Expirations of dropped entries are skipped.
 type keyLedger struct {
 	maxKeys     int
-	siteNames   []string // that entries refer to by index
+	siteNames   []string // entries refer to them by index
 	entries     map[uint64]ledgerEntry
 	expirations []keyExpiration // in the order in which they were added
 }
@@ -38,7 +38,7 @@
 	l.expirations = append(l.expirations, keyExpiration{expiresAt, key})
 }
 
-// siteIndex is a site's index in siteNames; a new name is added.
+// siteIndex returns a site's index in siteNames, to which it adds a new name.
 func (l *keyLedger) siteIndex(site string) uint16 {
 	if i := slices.Index(l.siteNames, site); i >= 0 {
 		return uint16(i)
@@ -47,8 +47,8 @@
 	return uint16(len(l.siteNames) - 1)
 }
 
-// expire drops the entries whose retention has passed. One whose retention has grown since it was added gets a later
-// expiration.
+// expire drops the entries whose retention has passed. An entry gets a later expiration if the retention has grown
+// since it was added.
 func (l *keyLedger) expire(now, retention time.Duration) {
 	done := 0
 	for end := len(l.expirations); done < end && l.expirations[done].dueAt <= now; done++ {
--- a/multisite/key_lifetimes.go
+++ b/multisite/key_lifetimes.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// lifetimes are a key TTL and a deduplication window that were in force.
+// lifetimes are a key TTL and a deduplication window that were in force before.
 type lifetimes struct {
 	keyTTL              time.Duration
 	deduplicationWindow time.Duration
-	until               time.Duration // they count until then
+	until               time.Duration // until which they have to be considered
 }
 
-// SetLifetimes changes for how long clients repeat keys and for how long sites remember them. A longer TTL and a
-// shorter deduplication window count at once; the TTL in force before counts until nothing that was sent by it can
-// arrive any more. Other instances may go by it for longer: each announces its own TTL, and the longest counts.
+// SetLifetimes changes how long clients repeat keys and how long sites remember them. A longer TTL and a shorter
+// deduplication window apply at once; the previous ones also apply until nothing that was sent under them can arrive
+// any more. Other instances may change later: each announces its own TTL, and the longest applies. Values that are
+// not above 0 are ignored.
 func (k *KeyTable) SetLifetimes(now, keyTTL, deduplicationWindow time.Duration) {
 	if keyTTL <= 0 || deduplicationWindow <= 0 {
 		return
@@ -27,10 +28,11 @@
 		deduplicationWindow: k.cfg.DeduplicationWindow,
 		until:               now + k.cfg.LeaseTTL + k.cfg.KeyTTL,
 	})
-	k.cfg.KeyTTL, k.cfg.DeduplicationWindow = keyTTL, deduplicationWindow
+	k.cfg.KeyTTL = keyTTL
+	k.cfg.DeduplicationWindow = deduplicationWindow
 }
 
-// ownKeyTTL is the longest TTL of the keys that this instance has sent recently.
+// ownKeyTTL returns the longest TTL of the keys that this instance has sent recently.
 func (k *KeyTable) ownKeyTTL(now time.Duration) time.Duration {
 	k.previousLifetimes = slices.DeleteFunc(k.previousLifetimes, func(l lifetimes) bool { return now >= l.until })
 	ttl := k.cfg.KeyTTL
@@ -40,7 +42,7 @@
 	return ttl
 }
 
-// maxKeyTTL is the longest TTL over all instances, as far as they have announced theirs.
+// maxKeyTTL returns the longest TTL of all instances that have announced theirs.
 func (k *KeyTable) maxKeyTTL(now time.Duration) time.Duration {
 	ttl := k.ownKeyTTL(now)
 	for _, p := range k.peers {
@@ -49,7 +51,7 @@
 	return ttl
 }
 
-// minDeduplicationWindow is for how long every site can be trusted to remember a key.
+// minDeduplicationWindow returns for how long every site is certain to remember a key.
 func (k *KeyTable) minDeduplicationWindow() time.Duration {
 	window := k.cfg.DeduplicationWindow
 	for _, l := range k.previousLifetimes {
@@ -58,7 +60,7 @@
 	return window
 }
 
-// retention is for how long a key stays in the ledger: while its site remembers it and, after that, as long as its
+// retention returns for how long a key stays in the ledger: while its site remembers it and, after that, as long as its
 // client may repeat it.
 func (k *KeyTable) retention(now time.Duration) time.Duration {
 	window := k.cfg.DeduplicationWindow
--- a/multisite/key_messages.go
+++ b/multisite/key_messages.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Message is what an instance broadcasts to all others. Its JSON is read by instances of other versions.
+// Message is broadcast by an instance to all others. Its JSON is read by instances of other versions.
 type Message struct {
 	From              uint64               `json:"From"`
 	Incarnation       uint64               `json:"Incarnation"`
 	SequenceNumber    uint64               `json:"Seq"`               // counts from 1
 	Uptime            time.Duration        `json:"Age"`               // of the sender's process
-	Epoch             uint64               `json:"Epoch"`             // it sends by no older one from here on
-	SentKeys          []SentKey            `json:"Sent"`              // since the message before
-	HasUnrecordedKeys bool                 `json:"Full"`              // it has sent keys that its ledger had no room for
-	KeyTTL            time.Duration        `json:"Life"`              // of the keys that it has sent recently
-	Views             []SiteView           `json:"Views,omitempty"`   // see [HealthMonitor]; nil: as before
-	Ramp              *RampMessage         `json:"Ramp,omitempty"`    // nil: as before
-	Confirmation      *ConfirmationMessage `json:"Consent,omitempty"` // nil: as before
+	Epoch             uint64               `json:"Epoch"`             // the sender routes by no older one after this
+	SentKeys          []SentKey            `json:"Sent"`              // since the previous message
+	HasUnrecordedKeys bool                 `json:"Full"`              // it has sent keys while its ledger was full
+	KeyTTL            time.Duration        `json:"Life"`              // longest of the keys that it has sent recently
+	Views             []SiteView           `json:"Views,omitempty"`   // see [HealthMonitor]; nil: unchanged
+	Ramp              *RampMessage         `json:"Ramp,omitempty"`    // nil: unchanged
+	Confirmation      *ConfirmationMessage `json:"Consent,omitempty"` // nil: unchanged
 }
 
 // SentKey is a key that may have run.
@@ -32,20 +32,20 @@
 	incarnation       uint64
 	sequenceNumber    uint64
 	epoch             uint64
-	completeSince     time.Duration // since then none of its messages is missing
+	completeSince     time.Duration // clock reading since which none of its messages is missing
 	hasUnrecordedKeys bool
 	keyTTL            time.Duration
 }
 
-// NextBroadcast returns the next message to all other instances, with maxSentKeys keys at the most, and whether there
-// is more to broadcast at once. It must go out regularly even if nothing was sent: other instances wait for it before
-// they route by a new epoch.
+// NextBroadcast returns the next message to all other instances, with at most maxSentKeys keys, and whether another one
+// has to follow at once. It must be called regularly even if nothing was sent: other instances wait for the message
+// before they route by a new epoch.
 func (k *KeyTable) NextBroadcast(now time.Duration, maxSentKeys int) (m Message, more bool) {
 	k.expire(now)
 	k.lastSequenceNumber++
 	count := min(len(k.unannounced), maxSentKeys)
 	more = count < len(k.unannounced)
-	if !more && k.epoch != nil { // an epoch is announced behind all that was sent before it
+	if !more && k.epoch != nil { // only after all keys that were sent before the epoch
 		k.announcedEpoch = k.epoch.Number
 	}
 	m = Message{
@@ -62,7 +62,7 @@
 	return m, more
 }
 
-// sentKeys lists those of some keys that are still in the ledger.
+// sentKeys returns those of some keys that are still in the ledger.
 func (k *KeyTable) sentKeys(now time.Duration, keys []uint64) (sent []SentKey) {
 	for _, key := range keys {
 		if entry, isKnown := k.ledger.entries[key]; isKnown {
@@ -74,8 +74,8 @@
 
 func (k *KeyTable) isUnannounced(key uint64) bool { return slices.Contains(k.unannounced, key) }
 
-// Receive takes in another instance's message. One that is late, repeated or from an older process is dropped; one
-// behind a gap counts as the first.
+// Receive handles another instance's message. A message that is reordered, repeated or of an older process is ignored.
+// After a missing message, the keys announced before are no longer complete.
 func (k *KeyTable) Receive(now time.Duration, m Message) {
 	if m.From == k.cfg.InstanceID {
 		return
@@ -94,13 +94,13 @@
 	}
 }
 
-// acceptFrom returns the sender of a message, up to date as to gaps before it; nil if the message is to be dropped.
+// acceptFrom returns the sender of a message after checking for missing messages; nil if the message has to be ignored.
 func (k *KeyTable) acceptFrom(now time.Duration, m Message) *peer {
 	p := k.peers[m.From]
 	switch {
 	case p == nil || m.Incarnation > p.incarnation:
 		p = &peer{incarnation: m.Incarnation, completeSince: now}
-		if m.SequenceNumber == 1 { // what the process before it sent may be missing
+		if m.SequenceNumber == 1 { // complete since the process started; messages of its predecessor may be missing
 			p.completeSince = now - m.Uptime
 		}
 		k.peers[m.From] = p
@@ -112,8 +112,8 @@
 	return p
 }
 
-// recordAnnounced notes a key that another instance has sent. One that the ledger has no room for counts as a message
-// that was missed.
+// recordAnnounced records a key that another instance has sent. While the ledger is full, it counts as a missing
+// message.
 func (k *KeyTable) recordAnnounced(now time.Duration, p *peer, sent SentKey) {
 	entry, isKnown := k.ledger.entries[sent.Key]
 	switch {
--- a/multisite/key_routing.go
+++ b/multisite/key_routing.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// shortRetryDelay is when to retry where routing may become possible at any moment.
+// shortRetryDelay is the RetryAfter where routing may become possible at any moment.
 const shortRetryDelay = 100 * time.Millisecond
 
-// The reasons of rejections, as operators read them in the access log.
+// The reasons of rejections, as texts of the access log.
 const (
 	reasonNotListed      = "this instance has no part in the homes"
 	reasonNotConfirmed   = "the homes are not confirmed"
@@ -19,14 +19,15 @@
 	reasonOwnerJustMoved = "its home has moved, and it may have been sent to the old one"
 )
 
-// RoutingDecision says where a request may go.
+// RoutingDecision is the site that a request may go to, or why there is none.
 type RoutingDecision struct {
 	Site       string        // empty: nowhere
-	RetryAfter time.Duration // without a site: after which a retry may help; 0: never
+	RetryAfter time.Duration // without a site: after which a retry may succeed; 0: never
 	Reason     string        // without a site: why, for the access log
 }
 
-// Route returns where a request with a key may go now. [KeyTable.BeginAttempt] asks again before each attempt.
+// Route returns where a request with a key may go now. [KeyTable.BeginAttempt] repeats the decision before each
+// attempt.
 func (k *KeyTable) Route(now time.Duration, key uint64) RoutingDecision {
 	switch {
 	case k.epoch == nil || !slices.Contains(k.epoch.Instances, k.cfg.InstanceID):
@@ -40,7 +41,7 @@
 	return k.routeNewKey(now, key)
 }
 
-// routeSentKey sends a key that may have run to the same site or nowhere.
+// routeSentKey routes a key that may have run: to the same site or nowhere.
 func (k *KeyTable) routeSentKey(now time.Duration, entry ledgerEntry) RoutingDecision {
 	site := k.ledger.siteNames[entry.site]
 	switch {
@@ -55,7 +56,7 @@
 	return RoutingDecision{Site: site}
 }
 
-// routeNewKey sends a key that is not in the ledger to its owner, once no other site can have it.
+// routeNewKey routes a key that is not in the ledger: to its owner, once no other site can have run it.
 func (k *KeyTable) routeNewKey(now time.Duration, key uint64) RoutingDecision {
 	owner := k.epoch.owner(key)
 	if owner == "" {
@@ -63,7 +64,7 @@
 	}
 	k.dropEndedEpochs(now)
 	for _, previous := range k.previousEpochs {
-		if previous.hasOwner(key, owner) || k.hasHeardAll(now, previous.epoch) {
+		if previous.hasOwner(key, owner) || k.haveAllAnnounced(now, previous.epoch) {
 			continue
 		}
 		return RoutingDecision{
--- a/multisite/key_table.go
+++ b/multisite/key_table.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// KeyConfig holds what a [KeyTable] needs to know of its instance.
+// KeyConfig configures a [KeyTable].
 type KeyConfig struct {
 	InstanceID  uint64
-	Incarnation uint64        // of this process: above those of the processes before it
-	LeaseTTL    time.Duration // for which an epoch may be routed by after it was confirmed
+	Incarnation uint64        // of this process: above those of its predecessors
+	LeaseTTL    time.Duration // for which keys may be routed by an epoch after its confirmation
 
-	// KeyTTL lasts from a client's first attempt with a key until nothing of it can arrive any more, and
-	// DeduplicationWindow is for how long a site drops repeats, from the first attempt that may have run.
+	// KeyTTL is the time from a client's first attempt with a key until no repeat can arrive any more.
+	// DeduplicationWindow is the time for which a site drops repeats, from the first attempt that may have run.
 	// [KeyTable.SetLifetimes] changes both.
 	KeyTTL              time.Duration
 	DeduplicationWindow time.Duration
@@ -20,8 +20,8 @@
 	MaxKeys int // in the ledger
 }
 
-// KeyTable routes keyed requests at one instance. While each instance asks its table before each attempt and passes on
-// each broadcast, no key is sent to a site while an attempt at another site may have run.
+// KeyTable routes keyed requests at one instance. As long as each instance calls BeginAttempt before each attempt and
+// sends each broadcast, no key is sent to a site while an attempt at another site may have run.
 //
 // It is not safe for concurrent use.
 type KeyTable struct {
@@ -34,16 +34,16 @@
 	hasConfirmation bool
 
 	ledger            keyLedger
-	unrecordedUntil   time.Duration // until then, keys that the ledger had no room for may still be repeated
-	previousLifetimes []lifetimes   // that still count
+	unrecordedUntil   time.Duration // until then, keys sent while the ledger was full may be repeated
+	previousLifetimes []lifetimes   // that still apply
 
 	peers              map[uint64]*peer
-	unannounced        []uint64 // sent keys that no broadcast has named yet
+	unannounced        []uint64 // sent keys that have not been broadcast yet
 	lastSequenceNumber uint64
 	announcedEpoch     uint64
 }
 
-// NewKeyTable returns a table without an epoch. An error names the figure that is out of range.
+// NewKeyTable returns a table without an epoch. The error names the fields that are out of range.
 func NewKeyTable(cfg KeyConfig, now time.Duration) (*KeyTable, error) {
 	switch {
 	case cfg.LeaseTTL <= 0 || cfg.KeyTTL <= 0 || cfg.MaxKeys <= 0:
@@ -60,10 +60,11 @@
 	}, nil
 }
 
-// Len is the number of keys in the ledger.
+// Len returns the number of keys in the ledger.
 func (k *KeyTable) Len() int { return len(k.ledger.entries) }
 
-// BeginAttempt records that an attempt is about to be written to a site. If it returns false, it must not be.
+// BeginAttempt records that an attempt is about to be sent to a site. If it returns false, the attempt must not be
+// sent.
 func (k *KeyTable) BeginAttempt(now time.Duration, key uint64, site string) bool {
 	if d := k.Route(now, key); d.Site == "" || d.Site != site {
 		return false
@@ -84,9 +85,9 @@
 	return true
 }
 
-// beginUnrecorded reports whether a key that the ledger has no room for may be sent. Its owner is safe as long as
-// ownership stays; when it moves, the passing of time is all that counts. A site that forgets the key sooner than its
-// client does must not get it.
+// beginUnrecorded reports whether a key may be sent while the ledger is full. It may as long as its owner does not
+// change; after a change, all instances wait until no client can repeat it. If a site might forget the key while its
+// client still repeats it, it must not be sent.
 func (k *KeyTable) beginUnrecorded(now time.Duration) bool {
 	if k.minDeduplicationWindow() < k.maxKeyTTL(now) {
 		return false
@@ -95,9 +96,9 @@
 	return true
 }
 
-// EndAttempt records the outcome of an attempt that [KeyTable.BeginAttempt] let through. A key that never ran leaves no
-// trace, unless another attempt may have run or other instances were told that it may have: they send it to that site
-// alone, and so must this one.
+// EndAttempt records the outcome of an attempt that [KeyTable.BeginAttempt] allowed. A key that never ran is
+// dropped, unless another attempt may have run or it has been announced to other instances: these route it to that
+// site only, and so must this one.
 func (k *KeyTable) EndAttempt(key uint64, neverRan bool) {
 	entry, isKnown := k.ledger.entries[key]
 	if !isKnown || entry.inFlight == 0 {
--- a/multisite/ownership.go
+++ b/multisite/ownership.go
@@ -12,14 +12,14 @@
 	fnvPrime64  = 1099511628211
 )
 
-// hashEighthShift reduces a 64-bit hash to its upper three bits: one of eight equal parts.
+// hashEighthShift reduces a 64-bit hash to its upper three bits, which number one of eight equal parts.
 const hashEighthShift = 61
 
 // OwnershipEpoch is an agreed assignment of keys to sites.
 type OwnershipEpoch struct {
-	Number    uint64 // a later epoch has a higher number
-	Sites     []Site // in any order
-	Instances []uint64
+	Number    uint64   // higher for later epochs
+	Sites     []Site   // in any order
+	Instances []uint64 // IDs of the instances that may route by it
 }
 
 func (e *OwnershipEpoch) clone() *OwnershipEpoch {
@@ -30,9 +30,9 @@
 	}
 }
 
-// owner is the open site with the highest weight for a key among those that take it; empty if no site is open. A
-// recovering site takes a part of its keys: the same ones as with a smaller part, and more. What it does not take yet
-// goes to the next site by weight. The arithmetic is exact, as all instances must find the same owner.
+// owner returns the open site with the highest weight for a key among those that take it; empty if no site is open. A
+// recovering site takes a part of its keys, and a larger part includes a smaller one. The other keys belong to the site
+// with the next lower weight. The arithmetic is exact, since all instances must find the same owner.
 func (e *OwnershipEpoch) owner(key uint64) string {
 	best, bestWeight, bestTakes := "", uint64(0), false
 	for i := range e.Sites {
@@ -55,12 +55,12 @@
 }
 
 // takes reports whether a key is in the part of its keys that a site takes. The key's complement is hashed, so that the
-// part does not depend on the weight.
+// part is independent of the weight.
 func (s *Site) takes(key uint64) bool {
 	return s.KeyEighths == 0 || int(rendezvousWeight(s.Name, ^key)>>hashEighthShift) < s.KeyEighths
 }
 
-// rendezvousWeight mixes a site's name (by FNV-1a) with a key.
+// rendezvousWeight returns the hash of a site's name (by FNV-1a) and a key.
 func rendezvousWeight(name string, key uint64) uint64 {
 	hash := uint64(fnvOffset64)
 	for i := range len(name) {
--- a/multisite/quorum_confirmation.go
+++ b/multisite/quorum_confirmation.go
@@ -7,32 +7,31 @@
 	"time"
 )
 
-// QuorumConfirmation confirms the ownership epoch in force without a leader. A new epoch needs a majority of the voters
-// to have it in their logs, so that n-q+1 of n voters, where q are a majority, are enough to say that there is none:
-// one of them would have it. For an odd number that is a majority again; of an even number it is one half. So two sites
-// with as many voters each, partitioned from each other, both go on with the keys that they own, and neither can move
-// any: that takes more than half.
+// QuorumConfirmation confirms the ownership epoch in force without a leader. A new epoch has to be in the logs of a
+// majority q of the n voters. So n-q+1 voters without one prove that there is none: one of them would have it. For
+// an odd n that is a majority, for an even n one half. Two partitioned sites with the same number of voters can
+// therefore both confirm, and serve the keys that they own, while neither can move any, which takes a majority.
 //
-// A voter announces its fence, which is the last entry of its log that changes sites or voters, committed or not, and
-// which request of each other voter it had received before it looked. So its report holds for the time of that request,
-// by the requester's clock; no two clocks are compared. A voter must announce an entry before it acknowledges the entry
-// to a leader.
+// A voter announces its fence, the index of the last entry of its log that changes sites or voters, committed or
+// not, and the newest request of each other voter that it had received before it read the fence. Its report is
+// therefore valid as of the time of that request, by the requester's clock; clocks are never compared. A voter must
+// announce an entry before it acknowledges the entry to a leader.
 //
 // It is not safe for concurrent use.
 type QuorumConfirmation struct {
 	cfg      ConfirmationConfig
 	index    uint64 // of the log entry whose sites and voters are in force
 	voters   []uint64
-	isJoint  bool
+	isJoint  bool // a joint consensus is in force
 	requests requestIDs
 	own      fenceReport
 	peers    map[uint64]peerConfirmation
 }
 
-// ConfirmationConfig holds what a [QuorumConfirmation] needs to know of its instance.
+// ConfirmationConfig configures a [QuorumConfirmation].
 type ConfirmationConfig struct {
 	InstanceID  uint64
-	Incarnation uint64 // of this process: above those of the processes before it, below 1<<31
+	Incarnation uint64 // of this process: above those of its predecessors, below 1<<31
 }
 
 // ConfirmationMessage is the part of a [Message] for a [QuorumConfirmation]. Its JSON is read by instances of other
@@ -43,7 +42,7 @@
 	Answers   []ConfirmationAnswer `json:"Heard,omitempty"`
 }
 
-// ConfirmationAnswer names the newest request of another instance that one has received.
+// ConfirmationAnswer is the newest request of another instance that the sender has received.
 type ConfirmationAnswer struct {
 	Requester uint64 `json:"Of"`
 	RequestID uint64 `json:"Ask"`
@@ -51,8 +50,8 @@
 
 // fenceReport is a voter's fence as of a time.
 type fenceReport struct {
-	fence   uint64
-	at      time.Duration
+	fence   uint64        // log index
+	at      time.Duration // clock reading for which it is valid
 	isKnown bool
 }
 
@@ -66,7 +65,7 @@
 // maxIncarnation is above all incarnations, so that request IDs stay below 1<<63.
 const maxIncarnation = 1 << 31
 
-// NewQuorumConfirmation returns a confirmation without voters. An error names the figure that is out of range.
+// NewQuorumConfirmation returns a confirmation without voters. The error names the fields that are out of range.
 func NewQuorumConfirmation(cfg ConfirmationConfig) (*QuorumConfirmation, error) {
 	if cfg.InstanceID == 0 || cfg.Incarnation >= maxIncarnation {
 		return nil, errors.New("multisite: InstanceID must be above 0 and Incarnation below 1<<31")
@@ -78,13 +77,14 @@
 	}, nil
 }
 
-// ApplyAgreed takes over what is in force: the voters as of an entry of the log. While voters change in two steps
-// (joint consensus) nothing is confirmed here.
+// ApplyAgreed sets the voters in force as of a log entry. During a joint consensus nothing is confirmed.
 func (c *QuorumConfirmation) ApplyAgreed(index uint64, voters []uint64, isJoint bool) {
 	if index < c.index {
 		return
 	}
-	c.index, c.voters, c.isJoint = index, slices.Clone(voters), isJoint
+	c.index = index
+	c.voters = slices.Clone(voters)
+	c.isJoint = isJoint
 	for id := range c.peers {
 		if !slices.Contains(voters, id) {
 			delete(c.peers, id)
@@ -92,7 +92,7 @@
 	}
 }
 
-// NextBroadcast returns what to send to the other voters; fence is this instance's own, read now or later.
+// NextBroadcast returns the next message to the other voters. fence is this instance's own, read not earlier than now.
 func (c *QuorumConfirmation) NextBroadcast(now time.Duration, fence uint64) ConfirmationMessage {
 	c.own = fenceReport{fence: fence, at: now, isKnown: true}
 	m := ConfirmationMessage{RequestID: c.requests.next(now), Fence: fence}
@@ -103,7 +103,7 @@
 	return m
 }
 
-// Receive takes in another voter's message.
+// Receive handles another voter's message.
 func (c *QuorumConfirmation) Receive(from uint64, m ConfirmationMessage) {
 	if from == c.cfg.InstanceID || !slices.Contains(c.voters, from) {
 		return
@@ -122,7 +122,7 @@
 	c.peers[from] = p
 }
 
-// ownRequestTime is when this process made a request; false for one of the process before it.
+// ownRequestTime returns when this process made a request; ok is false for a request of its predecessor.
 func (c *QuorumConfirmation) ownRequestTime(id uint64) (at time.Duration, ok bool) {
 	if id <= c.cfg.Incarnation<<incarnationShift {
 		return 0, false
@@ -130,7 +130,7 @@
 	return c.requests.madeAt(id)
 }
 
-// ConfirmedAt is the latest time at which the epoch in force is known to have been the newest.
+// ConfirmedAt returns the latest time at which the epoch in force is known to have been the newest, if there is one.
 func (c *QuorumConfirmation) ConfirmedAt() (at time.Duration, ok bool) {
 	if c.isJoint || !slices.Contains(c.voters, c.cfg.InstanceID) {
 		return 0, false
--- a/multisite/ramp_messages.go
+++ b/multisite/ramp_messages.go
@@ -8,35 +8,35 @@
 
 // RampMessage is the part of a [Message] for a [RecoveryRamp]. Its JSON is read by instances of other versions.
 type RampMessage struct {
-	RequestID uint64         `json:"Ask"` // of its requests
+	RequestID uint64         `json:"Ask"` // of all requests in it
 	Loads     []WarmLoad     `json:"Carried,omitempty"`
 	Requests  []ShareRequest `json:"Asks,omitempty"`
 	Grants    []ShareGrant   `json:"Grants,omitempty"`
 }
 
-// WarmLoad is what an instance sends to a warm server of a site that it reaches directly, and how busy that is.
+// WarmLoad is the load that an instance sends to a warm server of a site that it reaches directly.
 type WarmLoad struct {
 	Site        string  `json:"Hall"`
-	Rate        float64 `json:"Rate"` // work a second, for a server of unit weight
-	Utilization float64 `json:"Util"` // busy fraction of its cores; below 0: not known
+	Rate        float64 `json:"Rate"` // seconds of work per second, for a server of unit weight
+	Utilization float64 `json:"Util"` // of its cores, 0 to 1; negative: not known
 }
 
-// ShareRequest asks for a share beyond what an instance owns.
+// ShareRequest requests a share in addition to the one that an instance owns.
 type ShareRequest struct {
 	Site  string  `json:"Hall"`
 	Share float64 `json:"Share"`
 }
 
-// ShareGrant lends a share.
+// ShareGrant lends a share to an instance.
 type ShareGrant struct {
 	Site      string  `json:"Hall"`
 	Borrower  uint64  `json:"To"`
-	RequestID uint64  `json:"Ask"` // that it answers
+	RequestID uint64  `json:"Ask"` // of the request granted
 	Share     float64 `json:"Share"`
 }
 
-// NextBroadcast returns what to send to the other members now. loads are what the instance sends to warm servers, one
-// for each site.
+// NextBroadcast returns the next message to the other members. loads are this instance's loads on warm servers, one for
+// each site.
 func (r *RecoveryRamp) NextBroadcast(now time.Duration, loads []WarmLoad) RampMessage {
 	r.broadcastAt = now
 	r.recordLoads(now, r.cfg.InstanceID, loads)
@@ -53,7 +53,7 @@
 	return m
 }
 
-// Receive takes in another member's message.
+// Receive handles another member's message.
 func (r *RecoveryRamp) Receive(now time.Duration, from uint64, m RampMessage) {
 	if from == r.cfg.InstanceID || !slices.Contains(r.members, from) {
 		return
@@ -69,7 +69,7 @@
 	}
 }
 
-// receiveGrant takes in a share that is lent to this instance, for LoanTTL from its request.
+// receiveGrant records a share that is lent to this instance, which lasts for LoanTTL from its request.
 func (r *RecoveryRamp) receiveGrant(now time.Duration, lender uint64, grant ShareGrant) {
 	site := r.sites[grant.Site]
 	isShare := grant.Share >= 0 // false for NaN as well
--- a/multisite/recovery_ramp.go
+++ b/multisite/recovery_ramp.go
@@ -8,70 +8,70 @@
 )
 
 const (
-	needHeadroom      = 1.25 // of the share that it needs, an instance keeps or requests so much
-	needAverageWindow = 200 * time.Millisecond
-	minLentShare      = 0.01 // smaller shares are not lent
+	needHeadroom      = 1.25                   // multiple of the share needed that an instance keeps or requests
+	needAverageWindow = 200 * time.Millisecond // time constant of the share needed
+	minLentShare      = 0.01                   // smaller shares are not lent
 	fullShare         = 1.0
 )
 
-// RecoveryRamp shares out, among all instances of all sites, what may be sent to the warming servers of a site: what
-// one server can take is a fact of that server, however many instances send to it. Each instance owns an equal share.
-// One that reaches none of the site's servers, or needs less, lends to those that request more. Shares never add up to
-// more than one, whatever is lost, late or repeated between instances (leases as in Gray and Cheriton, "Leases: An
-// Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989):
+// RecoveryRamp divides among all instances of all sites what may be sent to the warming servers of a site, since the
+// capacity of a server does not depend on how many instances send to it. Each instance owns an equal share. An instance
+// that reaches none of the site's servers, or needs less, lends to those that request more. The sum of all shares never
+// exceeds one, whatever messages are lost, late or repeated (leases as in Gray and Cheriton, "Leases: An Efficient
+// Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989):
 //
-//   - A request for a share has a number. What is granted holds for LoanTTL from the request, by the borrower's clock,
-//     and is kept back for LoanTTL from the grant, by the lender's. The grant comes after the request, so that the
-//     lender's time ends later, with no clock compared. One request is granted once.
-//   - When members come or go, an instance owns the least of its shares by the member counts of the last LoanTTL.
+//   - A request for a share has an ID. The borrower uses what is granted for LoanTTL from its request, by its clock;
+//     the lender holds it back for LoanTTL from the grant, by its own. Since the grant is later than the request, the
+//     borrower's time ends first, and no clocks are compared. A request is granted once.
+//   - After a change of members, an instance owns the smallest of its shares by the member counts of the last LoanTTL.
 //
-// A member that was removed and does not know it yet adds its own share until it stops. Clocks must run
-// equally fast to within loanMargin in a LoanTTL.
+// A removed member that has not learned of its removal adds its own share to the sum until it stops. The rates of
+// clocks must not differ by more than loanMargin in a LoanTTL.
 //
-// The capacity of a warm server is learned together too: see warmCapacity.
+// The instances also learn the capacity of a warm server together: see warmCapacity.
 //
 // It is not safe for concurrent use.
 type RecoveryRamp struct {
 	cfg          RampConfig
 	members      []uint64
-	memberCounts []memberCount // the one in force last, before it those that still count
+	memberCounts []memberCount // the one in force last, before it past ones that still apply
 	requests     requestIDs
 	sites        map[string]*rampSite
-	broadcastAt  time.Duration
+	broadcastAt  time.Duration // clock reading of the last broadcast
 }
 
-// RampConfig holds what a [RecoveryRamp] needs to know of its instance.
+// RampConfig configures a [RecoveryRamp].
 type RampConfig struct {
 	InstanceID     uint64
-	Incarnation    uint64        // of this process: above those of the processes before it, below 1<<31
+	Incarnation    uint64        // of this process: above those of its predecessors, below 1<<31
 	LoanTTL        time.Duration // of a share that is lent
-	LoadTTL        time.Duration // another instance's load is out of date after this
-	BudgetMultiple float64       // of what a warming server can take that the instances together may send it
+	LoadTTL        time.Duration // after which another instance's load is outdated
+	BudgetMultiple float64       // multiple of a warming server's capacity that the instances together may send it
 }
 
-// memberCount is a number of members that was agreed on.
+// memberCount is a number of members that is or was agreed on.
 type memberCount struct {
 	count  int
 	isPast bool
-	until  time.Duration // a past one counts until then
+	until  time.Duration // if past: until which it applies
 }
 
-// rampSite is an instance's part in the ramp of one site.
+// rampSite is an instance's state for the ramp of one site.
 type rampSite struct {
-	neededShare       float64 // that the instance could use, averaged
-	hasWarmingServers bool    // the instance reaches some itself
+	neededShare       float64 // that the instance could use, moving average
+	hasWarmingServers bool    // the instance reaches some of them directly
 	loans             shareLoans
 	warm              warmCapacity
 }
 
-// WarmUpLoad is what an instance has sent to a site's warming servers since its last broadcast.
+// WarmUpLoad is the load of an instance on a site's warming servers since its last broadcast.
 type WarmUpLoad struct {
-	ServerWeight float64 // of the warming servers that the instance reaches itself, by warmth; 0: there is none
-	SentWork     float64
-	RejectedWork float64 // for which there was no capacity
+	ServerWeight float64 // sum of weight times capacity fraction of those that it reaches directly; 0: none
+	SentWork     float64 // seconds of work
+	RejectedWork float64 // seconds of work for which there was no capacity
 }
 
-// NewRecoveryRamp returns a ramp without sites. An error names the figure that is out of range.
+// NewRecoveryRamp returns a ramp without sites. The error names the fields that are out of range.
 func NewRecoveryRamp(cfg RampConfig) (*RecoveryRamp, error) {
 	if cfg.LoanTTL <= 0 || cfg.LoadTTL <= 0 || cfg.BudgetMultiple <= 0 {
 		return nil, errors.New("multisite: LoanTTL, LoadTTL and BudgetMultiple of a ramp must be above 0")
@@ -79,7 +79,7 @@
 	return &RecoveryRamp{cfg: cfg, requests: newRequestIDs(cfg.Incarnation), sites: map[string]*rampSite{}}, nil
 }
 
-// ApplyAgreed takes over the sites and members that are agreed on.
+// ApplyAgreed sets the sites and members that are agreed on.
 func (r *RecoveryRamp) ApplyAgreed(now time.Duration, sites []Site, members []uint64) {
 	r.updateMemberCount(now, len(members))
 	r.members = slices.Clone(members)
@@ -97,8 +97,8 @@
 	}
 }
 
-// updateMemberCount puts a number of members in force. The one before it counts until nothing that was lent by it can
-// be in use.
+// updateMemberCount sets the number of members in force. The previous one also applies until no share that was lent
+// by it can be in use.
 func (r *RecoveryRamp) updateMemberCount(now time.Duration, count int) {
 	last := len(r.memberCounts) - 1
 	if last >= 0 && r.memberCounts[last].count == count {
@@ -106,27 +106,28 @@
 	}
 	until := now + r.cfg.LoanTTL + loanMargin
 	if last >= 0 {
-		r.memberCounts[last].isPast, r.memberCounts[last].until = true, until
-	} else if count > 0 { // the process before this one may have lent all that it owned
+		r.memberCounts[last].isPast = true
+		r.memberCounts[last].until = until
+	} else if count > 0 { // the previous process may have lent all that it owned
 		r.memberCounts = append(r.memberCounts, memberCount{count: math.MaxInt, isPast: true, until: until})
 	}
 	r.memberCounts = append(r.memberCounts, memberCount{count: count})
 }
 
-// ownedShare is the share that this instance owns.
+// ownedShare returns the share that this instance owns.
 func (r *RecoveryRamp) ownedShare(now time.Duration) float64 {
 	r.memberCounts = slices.DeleteFunc(r.memberCounts, func(c memberCount) bool { return c.isPast && now >= c.until })
 	if !slices.Contains(r.members, r.cfg.InstanceID) {
 		return 0
 	}
-	most := 1
+	largestCount := 1
 	for _, c := range r.memberCounts {
-		most = max(most, c.count)
+		largestCount = max(largestCount, c.count)
 	}
-	return fullShare / float64(most)
+	return fullShare / float64(largestCount)
 }
 
-// Share is the share, 0 to 1, of what a site's warming servers may be sent that this instance has now.
+// Share returns the share, 0 to 1, that this instance has now of what a site's warming servers may be sent.
 func (r *RecoveryRamp) Share(now time.Duration, site string) float64 {
 	s := r.sites[site]
 	if s == nil {
@@ -135,24 +136,24 @@
 	return max(r.ownedShare(now)-s.loans.totalLent(now), 0) + s.loans.totalBorrowed(now)
 }
 
-// WarmServerCapacity is the work a second that a warm server of unit weight can take at a site, as the members have
-// learned together there or, as long as nothing is known of that, at the site whose servers can take least.
+// WarmServerCapacity returns the seconds of work per second that a warm server of unit weight can take at a site, as
+// the members have learned it there or, while it is not known, the lowest that they have learned at any site.
 func (r *RecoveryRamp) WarmServerCapacity(now time.Duration, site string) float64 {
 	if s := r.sites[site]; s != nil {
 		if capacity := s.warm.estimate(now, r.cfg.LoadTTL); capacity > 0 {
 			return max(capacity, minWarmCapacity)
 		}
 	}
-	least := 0.0
+	lowest := 0.0
 	for _, s := range r.sites {
-		if capacity := s.warm.estimate(now, r.cfg.LoadTTL); capacity > 0 && (least == 0 || capacity < least) {
-			least = capacity
+		if capacity := s.warm.estimate(now, r.cfg.LoadTTL); capacity > 0 && (lowest == 0 || capacity < lowest) {
+			lowest = capacity
 		}
 	}
-	return max(least, minWarmCapacity)
+	return max(lowest, minWarmCapacity)
 }
 
-// RecordWarmUpLoad takes in what the instance has sent to a site's warming servers since its last broadcast.
+// RecordWarmUpLoad records the instance's load on a site's warming servers since its last broadcast.
 func (r *RecoveryRamp) RecordWarmUpLoad(now time.Duration, site string, load WarmUpLoad) {
 	s := r.sites[site]
 	if s == nil {
@@ -163,7 +164,7 @@
 		s.neededShare = 0
 		return
 	}
-	if s.neededShare == 0 { // there was none so far: what the instance can use will show soon
+	if s.neededShare == 0 { // the first load: how much the instance can use is not known yet
 		s.neededShare = fullShare
 		return
 	}
--- a/multisite/share_loans.go
+++ b/multisite/share_loans.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// loanMargin is for how long a lender keeps a share back beyond the loan's TTL.
+// loanMargin is the time after a loan's TTL for which the lender still holds the share back.
 const loanMargin = 50 * time.Millisecond
 
-// shareLoans are the shares of one site's ramp that an instance has lent and borrowed. What it has lent at any time
-// never exceeds what it could spare when it granted it.
+// shareLoans are the shares of one site's ramp that an instance has lent and borrowed. Invariant: what it has lent
+// never exceeds what it could spare at the time of the grant.
 type shareLoans struct {
-	lent     map[uint64][]lentShare    // by borrower: what may be in use
+	lent     map[uint64][]lentShare    // by borrower: those that may be in use
 	borrowed map[uint64]borrowedShare  // by lender
-	requests map[uint64]pendingRequest // by borrower: not granted yet
+	requests map[uint64]pendingRequest // by borrower: those not granted yet
 }
 
 type lentShare struct {
@@ -41,7 +41,7 @@
 	}
 }
 
-// totalLent is what of an instance's share others may be using.
+// totalLent returns the share that others may be using.
 func (l *shareLoans) totalLent(now time.Duration) (total float64) {
 	for borrower, loans := range l.lent {
 		loans = slices.DeleteFunc(loans, func(loan lentShare) bool { return now >= loan.until })
@@ -54,7 +54,7 @@
 	return total
 }
 
-// maxLentTo is the largest share that a borrower may be using: it uses the last grant that it has received.
+// maxLentTo returns the largest share that a borrower may be using. It uses one grant at a time, the last received.
 func (l *shareLoans) maxLentTo(borrower uint64) (share float64) {
 	for _, loan := range l.lent[borrower] {
 		share = max(share, loan.share)
@@ -62,7 +62,7 @@
 	return share
 }
 
-// totalBorrowed is what others lend to an instance.
+// totalBorrowed returns the share that others lend to this instance.
 func (l *shareLoans) totalBorrowed(now time.Duration) (total float64) {
 	for lender, loan := range l.borrowed {
 		if now >= loan.until {
@@ -74,22 +74,21 @@
 	return total
 }
 
-// recordRequest notes another instance's request; an older one than that noted is dropped.
+// recordRequest records another instance's request, unless a newer one of it is known.
 func (l *shareLoans) recordRequest(now time.Duration, from, requestID uint64, share float64) {
 	if share > 0 && requestID > l.requests[from].requestID {
 		l.requests[from] = pendingRequest{requestID, min(share, fullShare), now}
 	}
 }
 
-// recordGrant notes what a lender grants until a time; a grant for an older request than that noted is dropped.
+// recordGrant records what a lender grants until a time, unless a grant of it for the same or a newer request is known.
 func (l *shareLoans) recordGrant(now time.Duration, lender uint64, grant ShareGrant, until time.Duration) {
 	if grant.RequestID > l.borrowed[lender].requestID && now < until {
 		l.borrowed[lender] = borrowedShare{grant.RequestID, min(grant.Share, fullShare), until}
 	}
 }
 
-// grant lends what an instance can spare to those that have requested a share: to each its part of all that is
-// requested.
+// grant lends what this instance can spare to those that have requested a share, in proportion to their requests.
 func (l *shareLoans) grant(now time.Duration, site string, spare float64, ttl time.Duration) (grants []ShareGrant) {
 	total, borrowers := l.pending(now, ttl)
 	if spare < minLentShare || total <= 0 {
@@ -99,7 +98,7 @@
 		request := l.requests[borrower]
 		delete(l.requests, borrower)
 		share := min(spare*request.share/total, request.share)
-		// What this one was lent before counts once; what others were lent must have come back first.
+		// The borrower replaces its earlier loans by this one; loans to others must have ended first.
 		lentToOthers := l.totalLent(now) - l.maxLentTo(borrower)
 		share = min(share, spare-lentToOthers)
 		if share < minLentShare {
@@ -111,7 +110,7 @@
 	return grants
 }
 
-// pending drops the requests that are out of date and returns the sum of the others and who made them, in order.
+// pending drops outdated requests and returns the sum of the others with the borrowers that made them, sorted.
 func (l *shareLoans) pending(now, ttl time.Duration) (total float64, borrowers []uint64) {
 	for borrower, request := range l.requests {
 		if now-request.receivedAt > ttl {
--- a/multisite/site_change.go
+++ b/multisite/site_change.go
@@ -10,20 +10,20 @@
 // SiteChange is a loss or a recovery that the members should agree on.
 type SiteChange struct {
 	Site       string
-	IsLost     bool // else it recovers
+	IsLost     bool // otherwise it recovers
 	KeyEighths int  // eighths of its keys that a recovering site takes; 0: all of them
 	Reason     string
 }
 
-// The reasons of changes, which are agreed on and stored with them.
+// The reasons of changes. They are stored with the changes and must not be reworded.
 const (
 	reasonRecovered = "%d of %d members have heard it for %v"
 	reasonSilent    = "%d of %d members have met silence for %v"
 	reasonCapacity  = "it can carry %d of 8"
 )
 
-// ProposeChange returns what should be agreed on now, at most one change: the next is judged by what this one comes to.
-// The last site that takes keys is never given up, as moving all keys nowhere helps nobody.
+// ProposeChange returns the change that should be agreed on now, if there is one. Only one at a time, since the next
+// depends on its effect. The last site that takes keys is never declared lost: its keys would have no owner.
 func (h *HealthMonitor) ProposeChange(now time.Duration) (c SiteChange, ok bool) {
 	for _, site := range slices.Sorted(maps.Keys(h.sites)) {
 		agreed := h.sites[site]
@@ -72,7 +72,7 @@
 	return newRecovery(site, eighths, fmt.Sprintf(reasonCapacity, eighths)), true
 }
 
-// newRecovery is the change by which a site takes eighths of its keys, 1 to 8, again.
+// newRecovery returns the change by which a site takes 1 to 8 eighths of its keys again.
 func newRecovery(site string, eighths int, reason string) SiteChange {
 	return SiteChange{Site: site, KeyEighths: eighths % fullKeyEighths, Reason: reason}
 }
@@ -90,8 +90,8 @@
 	return false
 }
 
-// recoveryDelay is for how long a lost site must answer before it counts as recovered. It doubles with each recent
-// loss, so that a site that flaps changes the ownership of keys ever more seldom.
+// recoveryDelay returns for how long a lost site must answer before it counts as recovered. It doubles with each recent
+// loss, so that a site that flaps changes the ownership of keys less and less often.
 func (h *HealthMonitor) recoveryDelay(now time.Duration, agreed *agreedSite) time.Duration {
 	agreed.lossTimes = slices.DeleteFunc(agreed.lossTimes, func(at time.Duration) bool {
 		return now-at > h.cfg.LossWindow
@@ -103,8 +103,8 @@
 	return min(delay, h.cfg.MaxRecoveryDelay)
 }
 
-// keyEighths is how many eighths of its keys a site can take, 1 to 8, so that all sites that take keys are equally
-// busy: it may have come back with cold servers or with few. Where no capacity is known it is all of them.
+// keyEighths returns how many eighths of its keys a site can take, 1 to 8, so that all sites that take keys are equally
+// utilized: it may have recovered with cold servers or with few. If no capacity is known, it is all of them.
 func (h *HealthMonitor) keyEighths(now time.Duration, site string) int {
 	total, count := 0.0, 0
 	for name, agreed := range h.sites {
@@ -122,8 +122,8 @@
 	return min(max(eighths, 1), fullKeyEighths)
 }
 
-// Capacity is a site's capacity in warm servers, as the median over the members that reach it directly (0: not known),
-// and how many these are.
+// Capacity returns a site's capacity in warm servers, the median over the members that reach it directly (0: not
+// known), and the number of these members.
 func (h *HealthMonitor) Capacity(now time.Duration, site string) (warmServers float64, directCount int) {
 	var known []float64
 	for _, member := range h.members {
--- a/multisite/site_view.go
+++ b/multisite/site_view.go
@@ -6,7 +6,7 @@
 type SiteView struct {
 	Site     string        `json:"Hall"`
 	IsSilent bool          `json:"Silent"`
-	Duration time.Duration `json:"For"`           // it has been so; below 0: nothing was observed recently
+	Duration time.Duration `json:"For"`           // of silence or answers; negative: nothing recent
 	Capacity float64       `json:"Carry"`         // in warm servers; 0: not known
 	IsRemote bool          `json:"Far,omitempty"` // the instance reaches the site only through another site's instances
 }
@@ -15,27 +15,29 @@
 type observation struct {
 	isKnown    bool
 	isSilent   bool
-	since      time.Duration
-	observedAt time.Duration // the last evidence, or when it was received
-	capacity   float64
-	isRemote   bool
+	since      time.Duration // clock reading at which the silence or the answers began
+	observedAt time.Duration // clock reading of the last evidence, or at which it was received
+	capacity   float64       // in warm servers; 0: not known
+	isRemote   bool          // the observer reaches the site only through another site
 }
 
-// isCurrent reports whether the observation says anything of now.
+// isCurrent reports whether the observation is not outdated.
 func (o *observation) isCurrent(now, viewTTL time.Duration) bool {
 	return o.isKnown && now-o.observedAt <= viewTTL
 }
 
 // change starts a new period of silence or of answers.
 func (o *observation) change(isSilent bool, since time.Duration) {
-	o.isKnown, o.isSilent, o.since = true, isSilent, since
+	o.isKnown = true
+	o.isSilent = isSilent
+	o.since = since
 }
 
 // ownObservation is what this instance has observed of a site itself.
 type ownObservation struct {
 	observation
 	lastAnswerAt time.Duration
-	missCount    int // attempts without an answer since
+	missCount    int // attempts without an answer since then
 	firstMissAt  time.Duration
 }
 
@@ -43,10 +45,12 @@
 	if !o.isKnown || o.isSilent {
 		o.change(false, now)
 	}
-	o.observedAt, o.lastAnswerAt, o.missCount = now, now, 0
+	o.observedAt = now
+	o.lastAnswerAt = now
+	o.missCount = 0
 }
 
-// recordMiss notes an attempt without an answer. If the site has answered since it was sent, it says nothing.
+// recordMiss records an attempt without an answer. It has no effect if the site has answered since it was sent.
 func (o *ownObservation) recordMiss(now, sentAt time.Duration, minMisses int) {
 	if o.lastAnswerAt >= sentAt && o.lastAnswerAt > 0 {
 		return
--- a/multisite/site_votes.go
+++ b/multisite/site_votes.go
@@ -8,7 +8,7 @@
 	answering int
 }
 
-// add counts an observation whose period has lasted long enough, as far as it was seen.
+// add counts an observation if its silence or answers were observed for long enough.
 func (v *siteVotes) add(o observation, minSilence, minAnswering time.Duration) {
 	switch age := o.observedAt - o.since; {
 	case o.isSilent && age >= minSilence:
@@ -18,10 +18,10 @@
 	}
 }
 
-// votes counts the members that have not been answered by a site for minSilence, and those that have been for
-// minAnswering. A member that reaches the site only through others follows those that reach it directly, as long as
-// any of them is heard: it counts as answered if one of them is, and as unanswered if all of them are. Where none is
-// heard, what it has observed itself counts.
+// votes counts the members that a site has not answered for minSilence, and those that it has answered for
+// minAnswering. A member that reaches the site only through another one adopts the view of those that reach it
+// directly: it counts as answered if one of them is, and as unanswered if all of them are. If no view of these is
+// current, its own counts.
 func (h *HealthMonitor) votes(now time.Duration, site string, minSilence, minAnswering time.Duration) siteVotes {
 	var direct, remote siteVotes
 	directCount, remoteCount := 0, 0
@@ -52,7 +52,7 @@
 	return direct
 }
 
-// isHeard reports whether a member has announced its views recently.
+// isHeard reports whether a member has announced its views within ViewTTL.
 func (h *HealthMonitor) isHeard(now time.Duration, member uint64) bool {
 	if member == h.cfg.InstanceID {
 		return true
@@ -61,7 +61,7 @@
 	return wasHeard && now-at <= h.cfg.ViewTTL
 }
 
-// observationOf is what a member observes of a site, as it has announced or, of this one, as it has met itself.
+// observationOf returns a member's observation of a site: as it announced it or, for this instance, its own.
 func (h *HealthMonitor) observationOf(member uint64, site string) (o observation) {
 	if member != h.cfg.InstanceID {
 		return h.peers[member][site]
--- a/multisite/warm_capacity.go
+++ b/multisite/warm_capacity.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	minUtilization  = 0.3 // below, how busy servers are says little of what they can take
-	minWarmCapacity = 1.0 // a server does at least a second's work a second
+	minUtilization  = 0.3 // below it, an estimate of the capacity from the utilization is too inaccurate
+	minWarmCapacity = 1.0 // a server does at least one second of work per second
 )
 
-// warmCapacity estimates the work a second that one warm server of a site can take: what all members send to one,
-// divided by the share of it that is busy.
+// warmCapacity estimates the work per second that one warm server of a site can take: the load of all members on one,
+// divided by its utilization.
 type warmCapacity struct {
 	loads  map[uint64]memberLoad // by member
-	latest float64               // as last estimated from busy servers; 0: not known
+	latest float64               // last estimate from sufficiently utilized servers; 0: not known
 }
 
 type memberLoad struct {
@@ -25,7 +25,7 @@
 
 func newWarmCapacity() warmCapacity { return warmCapacity{loads: map[uint64]memberLoad{}} }
 
-// record notes what a member sends to warm servers; figures that can't be are dropped.
+// record records a member's load on warm servers. Invalid figures are ignored.
 func (w *warmCapacity) record(now time.Duration, member uint64, load WarmLoad) {
 	if load.Rate >= 0 && !math.IsInf(load.Rate, 0) && !math.IsNaN(load.Utilization) {
 		w.loads[member] = memberLoad{load, now}
@@ -41,8 +41,8 @@
 	}
 }
 
-// estimate returns the capacity by the loads that are not older than ttl, with the median of the utilizations. Where
-// servers are little busy, the estimate before says more; it is never below what they are sent. 0: not known.
+// estimate returns the capacity from the loads that are not older than ttl and the median of their utilizations; 0: not
+// known. While the utilization is low it returns the previous estimate, but not less than the present load.
 func (w *warmCapacity) estimate(now, ttl time.Duration) float64 {
 	rate := 0.0
 	utilizations := make([]float64, 0, 8)
