--- a/subset/sizing.go
+++ b/subset/sizing.go
@@ -1,16 +1,16 @@
 package subset
 
-// Sizing says how large a subset is. The zero value gives every node all servers.
+// Sizing determines the size of subsets. The zero value gives every node all servers.
 type Sizing struct {
-	// TargetServers is the number of servers in a subset, if there are nodes enough.
+	// TargetServers is the number of servers in a subset, if there are enough nodes for MinHolders.
 	TargetServers int
-	// MinHolders is how many subsets a server is in at least, on average: fewer nodes have larger subsets.
+	// MinHolders is the least number of subsets that a server is in, on average: few nodes have larger subsets.
 	MinHolders int
-	// MaxOmitted is how many servers a subset leaves out at least: one that would omit no more holds all servers.
+	// MaxOmitted is the number of servers that are not worth leaving out: a subset without so many or fewer holds all.
 	MaxOmitted int
 }
 
-// SubsetSize is the number of servers in the subset of each node, on average.
+// SubsetSize returns the mean number of servers in the subset of a node.
 func (t Tier) SubsetSize(servers int) int {
 	if t.TargetServers <= 0 || servers <= 0 || t.Nodes < 1 {
 		return max(servers, 0)
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,16 +1,16 @@
-// Package subset assigns the servers of a large site to the nodes of a tier: each node keeps to a subset
-// of the servers, so that its few requests find connections that stand open and servers that it knows.
+// Package subset assigns the servers of a large site to the nodes of a tier (deterministic subsetting). Each node
+// uses a subset of the servers, so that its few requests find open connections and servers whose state is known.
 //
-// A subset is drawn by hashing. Each pair of a node and a server has a score from 0 to 1 that follows from
-// the node's number, the server's id and the tier's seed alone; a server is in a node's subset where the score
-// lies under the server's threshold. That is rendezvous hashing by a threshold in place of a rank (Thaler and
-// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998): a server that is added, removed or unknown
-// to some node changes its own places and no others, and a higher threshold gives a subset that holds the lower one's.
-// Scores alone would leave some servers with half as many holders as others. Each node therefore counts a server's
-// holders, which it can since it knows all the scores, and the server's fraction of the node's requests is its weight
-// over their number: a server in few subsets gets more requests from each.
+// Subsets are selected by hashing. Each pair of a node and a server has a score in [0, 1), which depends only on the
+// node's number, the server's ID and the tier's seed; a server is in a node's subset if the score is below the
+// server's threshold. That is rendezvous hashing with a threshold in place of a rank (Thaler and Ravishankar, "Using
+// Name-Based Mappings to Increase Hit Rates", 1998): a server that is added, removed or unknown to some node does
+// not affect the assignment of others, and a higher threshold gives a superset. With scores alone some servers would
+// have half as many holders (nodes with it in their subset) as others. Each node therefore counts a server's
+// holders, since it can compute all scores, and sends the server requests in proportion to its weight divided by
+// their number.
 //
-// The package does no I/O, keeps no clock and draws no random numbers.
+// The package does no I/O, reads no clock and draws no random numbers.
 package subset
 
 import (
@@ -19,18 +19,18 @@
 	"slices"
 )
 
-// minZoneMembers is how many servers of each zone a subset has at least, where the zone has them: the loss of one
-// zone must not empty a subset.
+// minZoneMembers is the least number of each zone's servers in a subset, if the zone has so many: the loss of one zone
+// must not empty a subset.
 const minZoneMembers = 2
 
 // Server is a server that takes requests, as in the endpoint list.
 type Server struct {
 	ID     string
 	Zone   string
-	Weight float64 // relative; at or under 0 counts as 1
+	Weight float64 // relative; 0 or less counts as 1
 }
 
-// weight returns the server's weight, or 1 where the list gives none that can be used.
+// weight returns the server's weight, or 1 if it is not a positive finite number.
 func (s *Server) weight() float64 {
 	if s.Weight > 0 && !math.IsInf(s.Weight, 1) {
 		return s.Weight
@@ -38,24 +38,24 @@
 	return 1
 }
 
-// Tier is what all nodes of a tier have to agree on for their subsets to fit together. Nodes that disagree for
-// a while, since their lists are of different ages, differ in the servers concerned and in little else.
+// Tier is the parameters on which all nodes of a tier have to agree. Nodes whose endpoint lists differ for a while
+// assign the servers in question differently, and few others.
 type Tier struct {
 	Nodes int    // number of nodes; at least 1
-	Seed  uint64 // of the scores: another seed, other subsets
+	Seed  uint64 // of the scores
 	Sizing
 }
 
 // Member is a server of a subset.
 type Member struct {
-	Index           int     // in the list that the subset was selected from
+	Index           int     // in the list passed to Select
 	TrafficFraction float64 // of the node's requests; all members' fractions sum to 1
 	HolderCount     int     // nodes that have the server in their subset, this one included
 }
 
-// Select returns the subset of a node (numbered from 0), by the servers' order in the list. With a width over 1 the
-// subset is so many times larger and holds the subset that width 1 gives. Every zone has members in proportion,
-// two at the least where it has two servers.
+// Select returns the subset of a node (numbered from 0), in the order of the list. A width above 1 multiplies the
+// size of the subset, which then includes the one of width 1. Every zone has members in proportion to its servers,
+// and two at least if it has two servers.
 func (t Tier) Select(servers []Server, node int, width float64) []Member {
 	size := t.SubsetSize(len(servers))
 	if size >= len(servers) {
@@ -93,13 +93,13 @@
 	return NormalizeFractions(members)
 }
 
-// candidate is a server of a zone with its rank for a node.
+// candidate is a server of a zone and its rank for a node.
 type candidate struct {
 	index int
-	rank  float64 // score over threshold: under 1 the server is in the subset
+	rank  float64 // score divided by threshold; below 1 the server is in the subset of width 1
 }
 
-// rank returns the servers of a zone, by their indices, in the order in which the node takes them.
+// rank returns the servers of a zone, given by their indices, in the order in which the node selects them.
 func (t Tier) rank(servers []Server, zone []int, node int, density float64) []candidate {
 	candidates := make([]candidate, 0, len(zone))
 	for _, i := range zone {
@@ -116,9 +116,9 @@
 	return candidates
 }
 
-// minMembers is how many of a zone's servers a subset of a size holds at least. A score under its threshold is what the
-// other nodes count as a holder. A subset's number of members spreads by its root; one with under half of its size
-// would be too small to lose some, and is filled up.
+// minMembers returns the least number of a zone's servers in a subset. The number of scores below the threshold varies
+// randomly between nodes (its standard deviation is the root of the size); a subset of less than half of its size could
+// not afford the loss of members and is filled up.
 func minMembers(size, zoneServers, allServers int) int {
 	half := math.Ceil(float64(size) * float64(zoneServers) / float64(2*allServers))
 	return min(max(int(half), minZoneMembers), zoneServers)
--- a/subset/width_controller.go
+++ b/subset/width_controller.go
@@ -10,35 +10,36 @@
 	widthStepFactor = 1.5
 	// maxWidthSteps bounds the width, at 25 times the size that [Sizing] gives.
 	maxWidthSteps = 8
-	// minHealthyFraction is the part of the size by [Sizing] that must be fit to serve.
+	// minHealthyFraction is the fraction of the size by [Sizing] that must be able to serve.
 	minHealthyFraction = 0.35
-	// maxAttemptsPerMember is how many attempts in flight each fit member carries; more of them need more members.
+	// maxAttemptsPerMember is the number of attempts in flight per able member above which the subset widens.
 	maxAttemptsPerMember = 1.0
-	// maxStepsPerWidening and widenInterval hold back widening: the members' health may be misjudged for a moment,
-	// which must not bring in all servers at once.
+	// maxStepsPerWidening and widenInterval limit the rate of widening: if the members' health is misjudged for a
+	// moment, the subset must not grow to all servers at once.
 	maxStepsPerWidening = 2
 	widenInterval       = time.Second
-	// narrowDelay is how long a smaller width must have been enough before the width shrinks by a step.
+	// narrowDelay is how long a smaller width must have sufficed before the width shrinks by a step.
 	narrowDelay = 3 * time.Second
 )
 
-// WidthController decides how many times larger than by [Sizing] a node's subset is. It widens at once when the subset
-// can't carry the node's attempts, and narrows a step at a time once a smaller one has been enough for a while: a
-// zone that fails and recovers must not move the tier's connections each time. The zero value is the size by [Sizing].
+// WidthController controls the width of a node's subset, its size as a multiple of that by [Sizing]. It widens at
+// once if the subset cannot serve the node's attempts, and narrows step by step after a smaller one has sufficed for
+// a while: a zone that fails and recovers repeatedly must not move the tier's connections each time. The zero value
+// has width 1.
 type WidthController struct {
 	steps           int
 	widenedAt       time.Duration
-	narrowableSince time.Duration // since when one step less would have been enough; 0: it would not
+	narrowableSince time.Duration // clock reading since which one step less would suffice; 0: it would not
 }
 
-// Factor is the present width, for [Tier.Select].
+// Factor returns the present width, for [Tier.Select].
 func (w *WidthController) Factor() float64 { return math.Pow(widthStepFactor, float64(w.steps)) }
 
-// Update adjusts the width and reports whether it has changed. The fit fraction says how much of the present subset can
-// serve (a server that is warming up counts in part, one that is unresponsive or ejected not at all); members is the
-// subset's size and inFlight the number of the node's attempts in flight.
-func (w *WidthController) Update(now time.Duration, fitFraction float64, members int, inFlight float64) bool {
-	isEnough := func(steps int) bool { return w.isEnough(steps, fitFraction, members, inFlight) }
+// Update adjusts the width and reports whether it has changed. healthyFraction is the part of the present subset's
+// weight that can serve (a server that warms up counts in part, one that is unresponsive or ejected not at all);
+// members is the subset's size and inFlight the number of the node's attempts in flight.
+func (w *WidthController) Update(now time.Duration, healthyFraction float64, members int, inFlight float64) bool {
+	isEnough := func(steps int) bool { return w.isEnough(steps, healthyFraction, members, inFlight) }
 	if !isEnough(w.steps) {
 		w.narrowableSince = 0
 		return w.widen(now, isEnough)
@@ -50,14 +51,14 @@
 	return w.narrow(now)
 }
 
-// isEnough reports whether a width of so many steps would carry the node's attempts.
-func (w *WidthController) isEnough(steps int, fitFraction float64, members int, inFlight float64) bool {
-	fit := math.Max(fitFraction, 0)
-	if fit*math.Pow(widthStepFactor, float64(steps)) < minHealthyFraction {
+// isEnough reports whether a width of so many steps could serve the node's attempts.
+func (w *WidthController) isEnough(steps int, healthyFraction float64, members int, inFlight float64) bool {
+	healthy := math.Max(healthyFraction, 0)
+	if healthy*math.Pow(widthStepFactor, float64(steps)) < minHealthyFraction {
 		return false
 	}
 	scale := math.Pow(widthStepFactor, float64(steps-w.steps))
-	return fit*float64(members)*scale*maxAttemptsPerMember >= inFlight
+	return healthy*float64(members)*scale*maxAttemptsPerMember >= inFlight
 }
 
 func (w *WidthController) widen(now time.Duration, isEnough func(steps int) bool) bool {
--- a/zonehealth/detector.go
+++ b/zonehealth/detector.go
@@ -1,20 +1,18 @@
-// Package zonehealth detects the loss of a whole zone from what a node observes at a few of its servers.
-// Judged server by server, a node that asks each of them once in some seconds would need as many seconds, and
-// each finding would cost a request.
+// Package zonehealth detects the loss of a whole zone from what a node observes at a few of its servers. If each server
+// were judged alone, a node that sends to each of them once in several seconds would take that long, and each detection
+// would cost a request.
 //
-// The rule: a zone is down while nothing has been heard of it since attempts at several of its servers
-// failed, and another zone responded meanwhile. One response from any of its servers ends that. Failures at
-// one server alone, however many, say nothing of the others; a node that hears no zone at all is cut off
-// itself and concludes nothing.
+// A zone is down if attempts at several of its servers failed, no server of it has responded since, and another zone
+// has. A response from any of its servers ends the outage. Failures at a single server, however many, are no
+// evidence about the others. If no zone responds, the node itself is cut off, and no zone is declared down.
 //
-// Evidence has three strengths: a failure of one's own (a time-out, a connection that could not be made); an
-// attempt of one's own that has been waiting for long; and a peer's report. Of each peer only its latest
-// server counts, so that one peer alone can't declare a zone down. Without any evidence of one's own the zone
-// has to have been silent for longer: a node that hears it goes by that. Responses that peers met end an
-// outage too, once two peers report them, since a node that sends nothing there hears nothing.
+// Evidence has three weights: a failed attempt of the node (a timeout, a connection that could not be established); an
+// attempt of the node that has been waiting for long; and a peer's report. Only the latest server that a peer reported
+// counts, so that one peer alone cannot declare a zone down. Without own evidence the zone must have been silent for
+// longer, since its responses to the node itself are the better evidence. Responses that two peers report also end an
+// outage, since a node that sends nothing to a zone receives nothing from it.
 //
-// The package does no I/O, keeps no clock and draws no random numbers. Times are readings of any clock that
-// does not go back.
+// The package does no I/O, reads no clock and draws no random numbers. Times are readings of one monotonic clock.
 package zonehealth
 
 import (
@@ -22,28 +20,28 @@
 	"time"
 )
 
-// Detector tracks the zones that a node sends to. Make one with [New].
+// Detector tracks the zones that a node sends to. It is not safe for concurrent use.
 type Detector struct {
 	settings Settings
 	zones    map[string]*zoneState
 }
 
-// zoneState is what is known of one zone. Its invariant: while isDown, no response has been observed since downSince.
+// zoneState is what is known of one zone. Invariant: while isDown, no response has been observed since downSince.
 type zoneState struct {
 	lastResponseAt time.Duration
-	hasResponded   bool // ever
+	hasResponded   bool // since the zone is tracked
 	evidence       []evidence
 	isDown         bool
 	downSince      time.Duration
-	respondingPeer int // met a response there since downSince; noPeer: none
+	respondingPeer int // that has reported a response since downSince; noPeer: none
 }
 
-// New returns a detector that knows no zone yet.
+// New returns a detector that tracks no zone yet.
 func New(settings Settings) *Detector {
 	return &Detector{settings: settings, zones: map[string]*zoneState{}}
 }
 
-// zone returns the state of a zone, made where there is none.
+// zone returns the state of a zone, which it adds if there is none.
 func (d *Detector) zone(name string) *zoneState {
 	z := d.zones[name]
 	if z == nil {
@@ -53,7 +51,7 @@
 	return z
 }
 
-// RetainZones forgets the zones that are not among the keys.
+// RetainZones stops tracking the zones that are not keys of names.
 func (d *Detector) RetainZones(names map[string]bool) {
 	maps.DeleteFunc(d.zones, func(name string, _ *zoneState) bool {
 		_, ok := names[name]
@@ -64,7 +62,8 @@
 // ObserveResponse records a response of any kind from a server of the zone. The zone is up.
 func (d *Detector) ObserveResponse(zone string, now time.Duration) {
 	z := d.zone(zone)
-	z.lastResponseAt, z.hasResponded = now, true
+	z.lastResponseAt = now
+	z.hasResponded = true
 	z.recover()
 }
 
@@ -101,9 +100,8 @@
 	})
 }
 
-// ObservePeerResponse records a peer's report of a response from the zone. The second peer to report one ends
-// an outage. Reports that come sooner than EvidenceTTL after its start may be of responses before it, and
-// don't count.
+// ObservePeerResponse records a peer's report of a response from the zone. The second peer to report one ends an
+// outage. Reports within EvidenceTTL of its start are ignored, since they may be of earlier responses.
 func (d *Detector) ObservePeerResponse(zone string, peer int, now time.Duration) {
 	z := d.zones[zone]
 	switch {
@@ -115,7 +113,7 @@
 	}
 }
 
-// Evaluate reports whether the zone is down, and whether this call was the first to find it so.
+// Evaluate reports whether the zone is down, and whether this call is the first to find it so.
 func (d *Detector) Evaluate(zone string, now time.Duration) (isDown, isNew bool) {
 	z := d.zones[zone]
 	if z == nil {
@@ -127,11 +125,13 @@
 	if !d.hasEnoughEvidence(z, now) || !d.anotherResponds(zone, now) {
 		return false, false
 	}
-	z.isDown, z.downSince, z.respondingPeer = true, now, noPeer
+	z.isDown = true
+	z.downSince = now
+	z.respondingPeer = noPeer
 	return true, true
 }
 
-// hasEnoughEvidence reports whether the zone's silence and the evidence suffice for an outage.
+// hasEnoughEvidence reports whether the zone's silence and the evidence suffice to declare it down.
 func (d *Detector) hasEnoughEvidence(z *zoneState, now time.Duration) bool {
 	silence := now - z.lastResponseAt
 	if !z.hasResponded || silence < d.settings.MinSilence {
@@ -158,7 +158,7 @@
 	return false
 }
 
-// recover marks the zone as up, with no evidence against it.
+// recover marks the zone as up and drops the evidence against it.
 func (z *zoneState) recover() {
 	z.isDown = false
 	z.evidence = z.evidence[:0]
--- a/zonehealth/evidence.go
+++ b/zonehealth/evidence.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// maxEvidence bounds the evidence that is kept of a zone.
+// maxEvidence limits the evidence that is kept of a zone.
 const maxEvidence = 16
 
-// failureWeight is the weight of a failed attempt of one's own.
+// failureWeight is the weight of a failed attempt of the node itself.
 const failureWeight = 1
 
-// noPeer stands for the node itself where the number of a peer is wanted.
+// noPeer takes the place of a peer's index for the node itself.
 const noPeer = -1
 
 // evidence is one sign that a server of a zone is unresponsive.
 type evidence struct {
 	server     uint64
-	peer       int // that reported it; noPeer: found by this node
+	peer       int // index of the peer that reported it; noPeer: found by this node
 	weight     float64
 	observedAt time.Duration
 	sentAt     time.Duration // when the attempt that failed was sent
@@ -26,13 +26,13 @@
 // isOwn reports whether this node found the evidence itself.
 func (e *evidence) isOwn() bool { return e.peer < 0 }
 
-// supersedes reports whether e and old can't count side by side: they concern one server or come from one peer.
+// supersedes reports whether only one of e and old may count: they concern the same server or are from the same peer.
 func (e *evidence) supersedes(old *evidence) bool {
 	return old.server == e.server || !e.isOwn() && old.peer == e.peer
 }
 
-// add keeps the strongest evidence of each server and, of peers, of each peer. What was sent before the zone
-// last responded is dropped.
+// add adds evidence, of which the strongest for each server and from each peer is kept. Evidence of attempts that were
+// sent before the zone last responded is ignored.
 func (z *zoneState) add(e evidence) {
 	if z.hasResponded && e.sentAt < z.lastResponseAt {
 		return
@@ -53,7 +53,7 @@
 	z.evidence = append(z.evidence, e)
 }
 
-// weigh returns the total weight of the evidence younger than ttl, and whether any of it is the node's own.
+// weigh returns the total weight of the evidence that is younger than ttl, and whether any of it is the node's own.
 func (z *zoneState) weigh(now, ttl time.Duration) (sum float64, hasOwn bool) {
 	for i := range z.evidence {
 		e := &z.evidence[i]
--- a/zonehealth/settings.go
+++ b/zonehealth/settings.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Settings say how much evidence it takes to declare a zone down.
+// Settings are the amount of evidence that is needed to declare a zone down.
 type Settings struct {
-	// DownThreshold is the total weight of evidence at which a zone is down. A failed attempt of one's own weighs 1.
+	// DownThreshold is the total weight of evidence at which a zone is down. A failed attempt of the node
+	// itself weighs 1.
 	DownThreshold float64
 	// SlowAttemptWeight is the weight of an attempt that has been waiting for long.
 	SlowAttemptWeight float64
@@ -18,8 +19,8 @@
 	MinSilenceByPeers time.Duration
 }
 
-// DefaultSettings suit nodes that hear each zone several times a second. A zone is down after failures or
-// long waits at two servers, a failure and a peer's report, a long wait and two peers' reports, or three
+// DefaultSettings are for nodes that receive responses from each zone several times per second. A zone is down after
+// failures or long waits at two servers, a failure and a peer's report, a long wait and two peers' reports, or three
 // peers' reports.
 var DefaultSettings = Settings{
 	DownThreshold:     1.4,
