--- a/clusterconfig/apply.go
+++ b/clusterconfig/apply.go
@@ -12,16 +12,16 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Check returns why a proposal would be rejected now, or nil. It changes nothing: it is meant for use before a
-// proposal is replicated, and [State.Apply] checks again.
+// Check returns why a proposal would be rejected now, or nil. It changes nothing. It is meant for use before a proposal
+// is replicated; [State.Apply] checks it again.
 func (s *State) Check(p *Proposal) error {
 	_, err := s.preview(p)
 	return err
 }
 
-// Apply applies the next log entry and returns the id of its proposal with the outcome. A proposal whose id was
-// applied before has the outcome that it had then. An error means that the entry can't be decoded: the state is
-// unchanged, and the member must stop, since others may have decoded it.
+// Apply applies the next log entry and returns the ID of its proposal with the outcome. A proposal whose ID was
+// applied before gets the same outcome again. An error, which wraps [ErrMalformed] or [ErrNewerFormat], means that the
+// entry cannot be decoded: the state is unchanged, and the member must stop, since others may have decoded it.
 func (s *State) Apply(entry []byte) (id string, o Outcome, err error) {
 	p, err := decodeProposal(entry)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return p.ID, o, nil
 }
 
-// extendHash adds an entry and whether it was applied to the hash chain.
+// extendHash extends the hash chain by an entry and whether it was applied.
 func (s *State) extendHash(entry []byte, isApplied bool) {
 	h := sha256.New()
 	h.Write(s.hash[:])
@@ -53,7 +53,7 @@
 	h.Sum(s.hash[:0])
 }
 
-// commit makes objects the next version. The hash has been extended by p already.
+// commit makes the objects the next version. The hash chain must include the proposal already.
 func (s *State) commit(p *Proposal, objects *Tree) {
 	s.version++
 	s.objects = objects
@@ -68,7 +68,7 @@
 	s.history.add(newHistoryRecord(p, s.version, s.Hash()))
 }
 
-// preview returns the objects as a proposal would leave them, or why it is rejected.
+// preview returns the objects after a proposal, or why it is rejected.
 func (s *State) preview(p *Proposal) (*Tree, error) {
 	if err := s.checkProposal(p); err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// applyChange checks a change by itself, carries it out in txn and adds it to touched.
+// applyChange checks a change by itself, applies it to the transaction and adds it to the touched objects.
 func applyChange(txn *iradix.Txn[json.RawMessage], c *Change, touched touchedSet) error {
 	if c.Name == "" || len(c.Name) > maxNameBytes || strings.ContainsAny(c.Name, forbiddenNames) {
 		return errors.New("name: 1 to 200 bytes without a slash are wanted")
@@ -140,17 +140,21 @@
 	return nil
 }
 
-// isSameLoss reports whether two values of a [LostSite] differ in their reason alone.
+// isSameLoss reports whether two values of a [LostSite] differ in nothing but their reason.
 func isSameLoss(a, b json.RawMessage) bool {
 	var x, y LostSite
-	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && x.RecoveredEighths == y.RecoveredEighths
+	isReadable := json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil
+	return isReadable && x.RecoveredEighths == y.RecoveredEighths
 }
 
-// touchedSet contains the kinds and the keys of the objects that a proposal changes. Kinds contain no slash, which
-// all keys do.
+// touchedSet contains the kinds and the keys of the objects that a proposal changes. All keys contain a slash, and no
+// kind does.
 type touchedSet map[string]bool
 
-func (t touchedSet) add(kind string, key []byte) { t[kind], t[string(key)] = true, true }
+func (t touchedSet) add(kind string, key []byte) {
+	t[kind] = true
+	t[string(key)] = true
+}
 
 func (t touchedSet) hasKind(kind string) bool { return t[kind] }
 
--- a/clusterconfig/format.go
+++ b/clusterconfig/format.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Formats of entries and snapshots, by what each of them added.
+// Formats of entries and snapshots, named by what each added.
 const (
 	formatInitial   = 1
 	formatLostSites = 2
@@ -17,7 +17,8 @@
 	Format = formatFollowers
 )
 
-// ErrNewerFormat reports an entry or a snapshot that was written by a newer program. Going on would lose its content.
+// ErrNewerFormat reports an entry or a snapshot that was written by a newer program. Skipping it would lose its
+// content.
 var ErrNewerFormat = errors.New("written in a newer format than this program knows: update it")
 
 // ErrMalformed reports an entry or a snapshot that can't be decoded.
@@ -30,7 +31,7 @@
 }
 
 // formatForKind returns the oldest format that contains a kind. Entries are written in the oldest format possible, so
-// that older programs in a cluster go on until the first entry that they can't read.
+// that older programs in a cluster continue until the first entry that they cannot read.
 func formatForKind(kind string) byte {
 	switch kind {
 	case KindLostSite:
@@ -50,7 +51,7 @@
 	return kind, name
 }
 
-// decodeStrict decodes a single JSON value without unknown fields.
+// decodeStrict decodes a single JSON value and rejects unknown fields and trailing content.
 func decodeStrict(text []byte, to any) error {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
--- a/clusterconfig/history.go
+++ b/clusterconfig/history.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Bounds of what is retained of past proposals.
+// Limits on what is retained of past proposals.
 const (
 	maxOutcomes = 10_000
 	maxHistory  = 2_000
@@ -10,12 +10,12 @@
 
 // Outcome is the result of a proposal.
 type Outcome struct {
-	Version         uint64 `json:"version"`           // in force after it
-	IsApplied       bool   `json:"applied"`           // the version is the proposal's own
+	Version         uint64 `json:"version"`           // in force after the proposal
+	IsApplied       bool   `json:"applied"`           // the proposal made that version
 	RejectionReason string `json:"refused,omitempty"` // of a proposal that was not applied
 }
 
-// outcomeLog retains the outcomes of the latest proposals, so that a repeated one is not applied again.
+// outcomeLog retains the outcomes of the latest proposals, so that none is applied twice.
 //
 // Invariant: order contains each key of byID once, oldest first, and maxOutcomes of them at most.
 type outcomeLog struct {
@@ -30,7 +30,7 @@
 	return o, ok
 }
 
-// add adds the outcome of an id that is not in the log.
+// add adds the outcome of a proposal whose ID is not in the log.
 func (l *outcomeLog) add(id string, o Outcome) {
 	l.byID[id] = o
 	l.order = append(l.order, id)
@@ -66,8 +66,8 @@
 	return r
 }
 
-// history retains the records of the latest versions, oldest first. It holds fewer than 2*maxHistory records, of
-// which the last maxHistory count: dropping old ones in bulk keeps add cheap.
+// history retains the records of the latest maxHistory versions, oldest first. It may hold up to as many older ones,
+// since dropping old records in bulk is cheaper than one at a time.
 type history struct {
 	records []HistoryRecord
 }
@@ -79,5 +79,5 @@
 	}
 }
 
-// latest returns the records that count, without a copy.
+// latest returns the latest maxHistory records. The slice is not a copy.
 func (h *history) latest() []HistoryRecord { return h.records[max(len(h.records)-maxHistory, 0):] }
--- a/clusterconfig/objects.go
+++ b/clusterconfig/objects.go
@@ -1,6 +1,6 @@
 package clusterconfig
 
-// Kinds of objects. Each is the kind of one type of this file.
+// Kinds of objects, one for each type of this file.
 const (
 	KindPlan        = "plan"
 	KindLicensee    = "licensee"
@@ -14,13 +14,14 @@
 	KindDescription = "description"
 )
 
-// Names of objects of kinds that have just one.
+// Names of the objects of kinds that have only one.
 const (
 	epochName      = "epoch"
 	unitsLimitName = "units"
 )
 
-// Plan is the quotas of a tariff. Rates are in units a second, bursts and slack in units.
+// Plan is the quotas of a tariff: its fields are those of Plan in package policy. Rates are in units per second,
+// bursts and slack in units.
 type Plan struct {
 	Rate              float64 `json:"rate"`
 	Burst             float64 `json:"burst"`
@@ -33,7 +34,7 @@
 	OverQuotaCost     float64 `json:"over_cost,omitempty"`
 }
 
-// Licensee is a licensed provider.
+// Licensee is a customer and its plan.
 type Licensee struct {
 	Plan string `json:"plan"`
 }
@@ -41,21 +42,21 @@
 // Site is a site's servers.
 type Site struct {
 	DiscoveryAddress string `json:"register"`         // host and port of its service discovery
-	IsClosed         bool   `json:"closed,omitempty"` // requests with keys are owned by other sites
+	IsClosed         bool   `json:"closed,omitempty"` // other sites own its keys
 }
 
-// LostSite records that the instances agree to have lost the site of that name: it owns no keys until the record is
-// removed. A recovering site owns a part of its keys. Instances put and remove it (see package multisite).
+// LostSite records that the instances have agreed on the loss of the site of that name: it owns no keys or, while it
+// recovers, a part of them until the record is removed. Instances put and remove it (see package multisite).
 type LostSite struct {
 	Reason           string `json:"why"`
 	RecoveredEighths int    `json:"part,omitempty"` // eighths of its keys that it owns
 }
 
-// Class is the priority of a class of requests, and the durations of operations that declare none, in milliseconds.
+// Class is the priority of a class of requests, and the durations, in milliseconds, for operations that declare none.
 type Class struct {
-	Name               string  `json:"name,omitempty"` // that of its object; not part of a put
+	Name               string  `json:"name,omitempty"` // that of its object; must be empty in a put
 	PriorityWeight     float64 `json:"worth"`
-	LateFraction       float64 `json:"late,omitempty"` // of the weight, earned by answers after the objective
+	LateFraction       float64 `json:"late,omitempty"` // of the weight, earned by answers after the latency objective
 	LatencyObjectiveMs int64   `json:"aim_ms"`
 	DeadlineMs         int64   `json:"deadline_ms"`
 }
@@ -66,22 +67,22 @@
 	AdminAddress string `json:"admin"` // for operators
 }
 
-// Follower is an instance that is no member and receives the configuration as a stream (see package configstream).
-// Its name is that in its certificate.
+// Follower is an instance that is not a member and receives the configuration as a stream (see package configstream).
+// Its name is the one in its certificate.
 type Follower struct {
 	Note          string `json:"note,omitempty"` // for operators
-	PinnedVersion uint64 `json:"pin,omitempty"`  // the version that it is to stay at; 0: the newest
+	PinnedVersion uint64 `json:"pin,omitempty"`  // the version that it has to keep; 0: the newest
 }
 
-// Epoch distinguishes versions of a control service that was restored or replaced, and whose version numbers went
-// back, from versions that arrive late: a later epoch has a higher number, and no two services have the same id. The
-// one object of the kind is called "epoch".
+// Epoch identifies a control service. After a restore or a replacement, version numbers start lower again; a new
+// epoch tells such versions from old ones that arrive late. Later epochs have higher numbers, and no two services
+// the same ID. The only object of the kind is called "epoch".
 type Epoch struct {
 	Number uint64 `json:"number"`
 	ID     string `json:"id"`
 }
 
-// Limit bounds what one request may ask for. The one that is known is called "units".
+// Limit is the most that one request may ask for. The only known one is called "units".
 type Limit struct {
 	Max int `json:"most"`
 }
--- a/clusterconfig/plan_order.go
+++ b/clusterconfig/plan_order.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// maxPlans bounds the names of plans that were ever put: the plan order only grows.
+// maxPlans limits the plans that were ever put, since the plan order only grows.
 const maxPlans = 1_000
 
-// PlanOrder returns the names of all plans that were ever put, removed ones too, in an order that is the same at all
-// instances and in which no name ever moves: instances refer to plans by their index in it.
+// PlanOrder returns the names of all plans that were ever put, including removed ones. A name's index is the same at
+// all instances and never changes: messages between instances identify plans by it.
 func (s *State) PlanOrder() []string { return slices.Clone(s.planOrder) }
 
 func (c *Change) addsPlan() bool { return c.Op == OpPut && c.Kind == KindPlan }
--- a/clusterconfig/proposal.go
+++ b/clusterconfig/proposal.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// Bounds of a proposal.
+// Limits of a proposal.
 const (
-	// MaxProposalBytes bounds an encoded proposal.
+	// MaxProposalBytes is the maximum length of an encoded proposal.
 	MaxProposalBytes = 12 << 20
 
 	maxChanges     = 10_000
@@ -30,8 +30,8 @@
 	Value json.RawMessage `json:"value,omitempty"` // of a put
 }
 
-// NewPutChange returns the change that puts an object. It panics on a value that JSON can't represent, which none of
-// this package's types is.
+// NewPutChange returns the change that puts an object. It panics on a value that JSON cannot represent; all types of
+// this package can be.
 func NewPutChange(kind, name string, value any) Change {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -43,13 +43,13 @@
 // summary returns the change without its value, such as "put plan kubwa".
 func (c *Change) summary() string { return c.Op + " " + c.Kind + " " + c.Name }
 
-// Proposal is a request of an operator: all of its changes are applied, or none.
+// Proposal is a set of changes by an operator or an instance: all of them are applied, or none.
 type Proposal struct {
-	ID           string   `json:"id"`             // of the request: a repeated one is applied once
+	ID           string   `json:"id"`             // of the proposal: a repeat with the same ID has no further effect
 	BaseVersion  *uint64  `json:"base,omitempty"` // the version that the changes were made against; nil: any
 	Author       string   `json:"author,omitempty"`
 	Reason       string   `json:"why,omitempty"`
-	ProposedAtMs int64    `json:"at_ms,omitempty"` // by the proposer's clock, in Unix milliseconds; decides nothing
+	ProposedAtMs int64    `json:"at_ms,omitempty"` // by the proposer's clock, in Unix milliseconds; informational
 	Changes      []Change `json:"changes"`
 }
 
@@ -70,7 +70,7 @@
 	return append([]byte{format}, text...), nil
 }
 
-// decodeProposal reads a log entry. An error wraps [ErrMalformed] or [ErrNewerFormat].
+// decodeProposal decodes a log entry. The error wraps [ErrMalformed] or [ErrNewerFormat].
 func decodeProposal(entry []byte) (*Proposal, error) {
 	if len(entry) == 0 || entry[0] == 0 {
 		return nil, ErrMalformed
--- a/clusterconfig/query.go
+++ b/clusterconfig/query.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// defaultMaxUnits is the limit of units where none is agreed on.
+// defaultMaxUnits is the limit of units if none is agreed on.
 const defaultMaxUnits = 50
 
 // ObjectsByName returns all objects of a kind by name. T is the kind's type.
@@ -17,10 +17,10 @@
 	return out
 }
 
-// Classes returns the classes in the order of names.
+// Classes returns the classes, sorted by name.
 func (s *State) Classes() []Class { return classesOf(s.objects) }
 
-// Epoch returns the epoch in force; its number is 0 where none is agreed on.
+// Epoch returns the epoch in force; its number is 0 if none is agreed on.
 func (s *State) Epoch() (e Epoch) {
 	if text, ok := s.Get(KindEpoch, epochName); ok {
 		json.Unmarshal(text, &e) // it was checked when it was put
@@ -28,7 +28,7 @@
 	return e
 }
 
-// MaxUnits is the most units that one request may cost.
+// MaxUnits returns the most units that one request may cost.
 func (s *State) MaxUnits() int { return maxUnits(s.objects) }
 
 func classesOf(objects *Tree) (classes []Class) {
--- a/clusterconfig/references.go
+++ b/clusterconfig/references.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// checkReferences checks names, and that the objects that others refer to exist. Only objects that depend on the
-// touched ones are checked, in the order of keys: all members must reject with the same text.
+// checkReferences checks names and that the objects that others refer to exist. It checks only objects that depend
+// on the touched ones, sorted by key, since all members must reject with the same text.
 func (s *State) checkReferences(objects *Tree, touched touchedSet) error {
 	for _, key := range affectedKeys(objects, touched) {
 		if err := s.checkObject(objects, touched, key); err != nil {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// checkLostSite checks that the site exists and, if its loss is new, that another one takes its keys.
+// checkLostSite checks that the site exists and, if the proposal touches its loss, that another one can own its keys.
 func checkLostSite(objects *Tree, name string, isTouched bool) error {
 	if _, ok := objects.Get(objectKey(KindSite, name)); !ok {
 		return fmt.Errorf("lost %s: there is no such hall", name)
--- a/clusterconfig/snapshot.go
+++ b/clusterconfig/snapshot.go
@@ -22,7 +22,8 @@
 	History          []HistoryRecord            `json:"history"`
 }
 
-// Snapshot encodes the state, in the oldest format that contains all of it. The same state gives the same bytes.
+// Snapshot encodes the state in the oldest format that contains all of it. Equal states have equal encodings. The error
+// is that of the encoder.
 func (s *State) Snapshot() ([]byte, error) {
 	format := byte(formatInitial)
 	objects := make(map[string]json.RawMessage, s.objects.Len())
@@ -48,8 +49,8 @@
 	return json.Marshal(snap)
 }
 
-// Restore replaces the state by a snapshot's. On an error, which wraps [ErrMalformed] or [ErrNewerFormat], the state
-// is unchanged.
+// Restore replaces the state by that of a snapshot. On an error, which wraps [ErrMalformed] or [ErrNewerFormat], the
+// state is unchanged.
 func (s *State) Restore(text []byte) error {
 	snap, hash, err := decodeSnapshot(text)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// decodeSnapshot reads a snapshot and its hash. The format is read first: a newer one may have other fields.
+// decodeSnapshot decodes a snapshot and its hash. The format is decoded first, since a newer one may have other fields.
 func decodeSnapshot(text []byte) (snap *snapshot, hash [sha256.Size]byte, err error) {
 	var header struct {
 		Format int `json:"format"`
@@ -93,8 +94,8 @@
 		return nil, hash, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	sum, err := hex.DecodeString(snap.Hash)
-	isWhole := len(sum) == len(hash) && len(snap.OutcomeIDs) == len(snap.Outcomes)
-	if err != nil || !isWhole || header.Format < formatInitial {
+	isComplete := len(sum) == len(hash) && len(snap.OutcomeIDs) == len(snap.Outcomes)
+	if err != nil || !isComplete || header.Format < formatInitial {
 		return nil, hash, ErrMalformed
 	}
 	copy(hash[:], sum)
--- a/clusterconfig/state.go
+++ b/clusterconfig/state.go
@@ -1,10 +1,8 @@
-// Package clusterconfig is the replicated configuration of a cluster of gateways: a state machine whose log entries
-// are proposals of operators, applied in the same order by all members. It does no I/O; package raftnode replicates
-// the log.
+// Package clusterconfig is the replicated configuration of a cluster of gateways: a state machine whose log entries are
+// proposals, applied in the same order by all members. It does no I/O; package raftnode replicates the log.
 //
-// Invariant: the state is a function of the entries applied, in their order. [State.Apply] therefore reads no clock
-// and depends on no map's iteration order, and a proposal that one member rejects is rejected by all, with the same
-// text.
+// Invariant: the state is a function of the applied entries and their order. [State.Apply] therefore reads no clock and
+// depends on no map's iteration order, and a proposal is rejected by all members or none, with the same text.
 package clusterconfig
 
 import (
@@ -17,21 +15,22 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Tree holds objects by "kind/name". It is persistent: trees of successive versions share what did not change.
+// Tree holds objects by their key, "kind/name". It is a persistent data structure: successive versions share what
+// did not change.
 type Tree = iradix.Tree[json.RawMessage]
 
-// Validator checks an OpenAPI description against the classes and the limit of units in force. It must be a function
-// of its arguments alone.
+// Validator checks an OpenAPI description against the classes and the limit of units in force. Its result must depend
+// only on its arguments.
 type Validator func(file, text string, classes []Class, maxUnits int) error
 
 // State is the replicated configuration. It is not safe for concurrent use.
 type State struct {
 	validate         Validator
 	version          uint64
-	hash             [sha256.Size]byte // of the chain of all entries so far, rejected ones too
-	objects          *Tree             // replaced by each change, never modified
-	placementVersion uint64
-	planOrder        []string // names of plans, in the order in which they were first put
+	hash             [sha256.Size]byte // chained over all entries so far, including rejected ones
+	objects          *Tree             // replaced by each commit, never modified
+	placementVersion uint64            // version of the last change that may have moved keys
+	planOrder        []string          // see PlanOrder
 	outcomes         outcomeLog
 	history          history
 }
@@ -41,8 +40,8 @@
 	return &State{validate: v, objects: iradix.New[json.RawMessage](), outcomes: newOutcomeLog()}
 }
 
-// NewFrozenState returns a state as [State.Freeze] does, from its parts. The hash is that of [State.Hash]; an error
-// wraps [ErrMalformed].
+// NewFrozenState returns a state like that of [State.Freeze] from its parts. The hash is in the form of
+// [State.Hash]; the error for any other wraps [ErrMalformed].
 func NewFrozenState(version, placementVersion uint64, hash string, planOrder []string, objects *Tree) (*State, error) {
 	s := &State{
 		version:          version,
@@ -58,8 +57,8 @@
 	return s, nil
 }
 
-// Freeze returns a copy of the configuration without the history and the outcomes of proposals. The copy does not
-// change while s goes on, and may be read concurrently.
+// Freeze returns a copy of the configuration without the history and the outcomes of proposals. Later changes of s
+// do not affect it, and it may be read concurrently.
 func (s *State) Freeze() *State {
 	return &State{
 		validate:         s.validate,
@@ -72,20 +71,20 @@
 	}
 }
 
-// Version is the version in force; 0 means that nothing has been applied.
+// Version returns the version in force; 0: nothing has been applied.
 func (s *State) Version() uint64 { return s.version }
 
-// Hash is the hash of the chain of all entries so far, in hex. Two states with the same hash have applied the same
+// Hash returns the hash chained over all entries so far, in hex. Two states with the same hash have applied the same
 // entries in the same order.
 func (s *State) Hash() string { return hex.EncodeToString(s.hash[:]) }
 
 // History returns the retained history, oldest first.
 func (s *State) History() []HistoryRecord { return slices.Clone(s.history.latest()) }
 
-// Outcome returns the outcome of a proposal by its id, or false once the id is no longer retained.
+// Outcome returns the outcome of a proposal by its ID; false if it is unknown or no longer retained.
 func (s *State) Outcome(id string) (Outcome, bool) { return s.outcomes.get(id) }
 
-// Get returns an object's value, or false.
+// Get returns an object's value; false if there is no such object.
 func (s *State) Get(kind, name string) (json.RawMessage, bool) {
 	return s.objects.Get(objectKey(kind, name))
 }
@@ -93,7 +92,7 @@
 // Tree returns all objects. Its values must not be modified.
 func (s *State) Tree() *Tree { return s.objects }
 
-// Each calls f for each object of a kind, in the order of names.
+// Each calls f for each object of a kind, sorted by name.
 func (s *State) Each(kind string, f func(name string, value json.RawMessage)) {
 	forEachObject(s.objects, kind, f)
 }
--- a/clusterconfig/validation.go
+++ b/clusterconfig/validation.go
@@ -7,7 +7,7 @@
 	"net/netip"
 )
 
-// Bounds of objects' fields.
+// Limits of objects' fields.
 const (
 	maxPlanFigure     = 1e12 // exclusive
 	maxPriorityWeight = 1e9  // exclusive
@@ -18,8 +18,8 @@
 	maxUnitsLimit     = 1_000_000
 )
 
-// canonicalizers check the value of a put, by kind, and return its canonical encoding. Their errors are stored as
-// outcomes at each member and must not change.
+// canonicalizers check the value of a put, by kind, and return its canonical encoding. Their errors are stored in
+// outcomes by all members, so that neither their texts nor the order of the checks may change.
 var canonicalizers = map[string]func(json.RawMessage) (json.RawMessage, error){
 	KindPlan:        newCanonicalizer((*Plan).check),
 	KindLicensee:    newCanonicalizer((*Licensee).check),
