--- a/configstream/action.go
+++ b/configstream/action.go
@@ -1,13 +1,14 @@
 package configstream
 
-// Action is an action of a follower's host; one field is set. Of Persist, Check and Activate one is in progress at a
-// time. Each is ended by [Follower.PersistCompleted], [Follower.CheckCompleted] or [Follower.ActivationCompleted].
+// Action is an action for a follower's host; exactly one field is set. At most one of Persist, Check and Activate is in
+// progress. The host reports its end with [Follower.PersistCompleted], [Follower.CheckCompleted] or
+// [Follower.ActivationCompleted].
 type Action struct {
-	Persist     *DurableState // write all of it, synced
-	Check       *Version      // may it be put in force?
+	Persist     *DurableState // write it and sync
+	Check       *Version      // check whether it can be put in force
 	Activate    *Version      // put it in force
-	Send        *Report
-	Ping        uint64 // its sequence number; 0: none
-	CloseStream string // the reason
-	Log         string
+	Send        *Report       // to the member
+	Ping        uint64        // sequence number of a ping to send; 0: none
+	CloseStream string        // why the stream has to be closed; empty: it has not
+	Log         string        // for operators
 }
--- a/configstream/admission.go
+++ b/configstream/admission.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// admissionLimiter is a token bucket for connections: their handshakes are expensive, and after a member has failed
-// all of its followers come at once.
+// admissionLimiter is a token bucket for connections: their handshakes are expensive, and when a member fails, all
+// of its followers connect to other members at the same time.
 type admissionLimiter struct {
-	rate       float64 // tokens a second
-	burst      float64 // the most tokens
+	rate       float64 // tokens per second
+	burst      float64 // maximum number of tokens
 	tokens     float64
 	refilledAt time.Duration
 }
@@ -23,7 +23,7 @@
 	l.refilledAt = now
 }
 
-// Admit reports whether a further connection is accepted now, and counts it if it is.
+// Admit reports whether a new connection is accepted now, and takes a token for it if so.
 func (p *Publisher) Admit(now time.Duration) bool {
 	p.admission.refill(now)
 	if p.admission.tokens < 1 || p.sessions.count() >= p.cfg.MaxFollowers {
--- a/configstream/body.go
+++ b/configstream/body.go
@@ -11,7 +11,7 @@
 	"mulleinmux/clusterconfig"
 )
 
-// ErrCorrupt reports that a body does not build the version that it names.
+// ErrCorrupt reports that the version built from a body does not have the digest that the body names.
 var ErrCorrupt = errors.New("the content does not make the version that it is said to be")
 
 // Estimates of the encoding's overhead in [Body.Size], in bytes.
@@ -27,7 +27,7 @@
 	Value json.RawMessage `json:"Value"`
 }
 
-// Body is the content of a version: all of it, or the difference to a base. It is shared by pushes and must not be
+// Body is the content of a version: complete, or as the difference to a base. Pushes share it, so that it must not be
 // modified.
 type Body struct {
 	Ref
@@ -55,7 +55,7 @@
 	return size
 }
 
-// Body returns the difference of v to base, or all of v where base is nil.
+// Body returns the difference of v to base, or the complete content if base is nil.
 func (v *Version) Body(base *Version) *Body {
 	b := &Body{
 		Ref:              v.Ref,
@@ -82,7 +82,8 @@
 	return b
 }
 
-// Build returns the version whose content a body is, from base where the body has one. An error wraps [ErrCorrupt].
+// Build returns the version of a body. If the body is a difference, base must be its base. The error wraps
+// [ErrCorrupt].
 func (b *Body) Build(base *Version) (*Version, error) {
 	v := &Version{Ref: b.Ref, Hash: b.Hash, PlacementVersion: b.PlacementVersion, PlanOrder: b.PlanOrder}
 	tree := iradix.New[json.RawMessage]()
--- a/configstream/digest.go
+++ b/configstream/digest.go
@@ -11,9 +11,9 @@
 // digestWordBytes is the length of one word of a [Digest].
 const digestWordBytes = 8
 
-// Digest identifies the content of a version. It is the sum of the hashes of its objects, so that it follows changes
-// without a look at the rest: M. Bellare and D. Micciancio, "A New Paradigm for Collision-Free Hashing", 1997
-// (AdHash). It protects against mistakes; the connection protects against forgery.
+// Digest identifies the content of a version. It is the sum of the hashes of its objects, so that it can be updated
+// from the changes alone: M. Bellare and D. Micciancio, "A New Paradigm for Collision-Free Hashing: Incrementality
+// at Reduced Cost", 1997 (AdHash). It detects errors; TLS on the connection prevents forgery.
 type Digest [4]uint64
 
 // String returns the digest in hex.
@@ -28,7 +28,7 @@
 // MarshalText returns the digest in hex.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote. An error wraps [ErrCorrupt].
+// UnmarshalText is the inverse of MarshalText. The error wraps [ErrCorrupt].
 func (d *Digest) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil || len(b) != digestWordBytes*len(d) {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// replace removes an object's value from the digest and adds another one; nil stands for no value.
+// replace removes an object's old value from the digest and adds its current one; nil means that there is none.
 func (d *Digest) replace(key []byte, old, current json.RawMessage) {
 	if old != nil {
 		for i, word := range hashObject(key, old) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// hashObject returns the SHA-256 of a key with its length and a value.
+// hashObject returns the SHA-256 of the key's length, the key and the value.
 func hashObject(key []byte, value json.RawMessage) (words Digest) {
 	h := sha256.New()
 	h.Write(binary.AppendUvarint(nil, uint64(len(key))))
--- a/configstream/durable_state.go
+++ b/configstream/durable_state.go
@@ -1,46 +1,55 @@
 package configstream
 
-// DurableState is what a follower keeps across restarts. Each change of it is an [Action] that the host must have
-// synced before it reports the end of the action.
+// DurableState is the state of a follower that survives restarts. Each change of it is an [Action]; the host must have
+// written and synced it before it reports the action's end.
 type DurableState struct {
-	StartCount         uint64   // processes that have used it, this one too
-	Accepted           *Version // checked, in force or to be put in force
+	StartCount         uint64   // processes that have used it, including this one
+	Accepted           *Version // checked; in force or to be put in force
 	WasActivated       bool     // Accepted has been in force
 	ActivationAttempts int      // starts with an Accepted that has not been in force
-	Previous           *Version // that was in force before Accepted
-	Candidate          Ref      // the version that is being checked; the zero Ref: none
-	CheckAttempts      int      // checks of Candidate that were begun
+	Previous           *Version // in force before Accepted
+	Candidate          Ref      // the version being checked; zero: none
+	CheckAttempts      int      // checks of Candidate that were started
 	Rejections         []Rejection
 }
 
 // beginCheck counts a check of a version.
 func (d *DurableState) beginCheck(ref Ref) {
 	if d.Candidate != ref {
-		d.Candidate, d.CheckAttempts = ref, 0
+		d.Candidate = ref
+		d.CheckAttempts = 0
 	}
 	d.CheckAttempts++
 }
 
-// endCheck forgets the candidate.
-func (d *DurableState) endCheck() { d.Candidate, d.CheckAttempts = Ref{}, 0 }
+// endCheck removes the candidate.
+func (d *DurableState) endCheck() {
+	d.Candidate = Ref{}
+	d.CheckAttempts = 0
+}
 
-// accept makes a checked version the one to be put in force.
+// accept makes a checked version the accepted one.
 func (d *DurableState) accept(v *Version) {
 	if d.WasActivated {
 		d.Previous = d.Accepted
 	}
-	d.Accepted, d.WasActivated, d.ActivationAttempts = v, false, 0
+	d.Accepted = v
+	d.WasActivated = false
+	d.ActivationAttempts = 0
 	d.endCheck()
 }
 
-// reject adds a rejection. If that is of the accepted version, the previous one is accepted again and returned.
+// reject adds a rejection. If it is of the accepted version, the previous one, if any, becomes accepted again and is
+// returned.
 func (d *DurableState) reject(r Rejection) (fallback *Version) {
 	d.Rejections = appendRejection(d.Rejections, r)
 	d.endCheck()
 	if d.Accepted == nil || d.Accepted.Ref != r.Ref {
 		return nil
 	}
-	d.Accepted, d.WasActivated, d.ActivationAttempts = d.Previous, d.Previous != nil, 0
+	d.Accepted = d.Previous
+	d.WasActivated = d.Previous != nil
+	d.ActivationAttempts = 0
 	d.Previous = nil
 	return d.Accepted
 }
--- a/configstream/follower.go
+++ b/configstream/follower.go
@@ -8,10 +8,10 @@
 // FollowerConfig is the configuration of a [Follower].
 type FollowerConfig struct {
 	Name              string
-	ProcessID         uint64        // drawn at the process's start
-	HeartbeatInterval time.Duration // between two pings
-	SilenceTimeout    time.Duration // without a message from the member, after which the stream is closed
-	MaxAttempts       int           // checks or activations that end the process, after which a version is rejected
+	ProcessID         uint64        // random, chosen at the start of the process
+	HeartbeatInterval time.Duration // between pings
+	SilenceTimeout    time.Duration // without a message from the member until the stream is closed
+	MaxAttempts       int           // checks or activations of a version that end the process until it is rejected
 }
 
 // Follower is a follower's side of its stream. It is not safe for concurrent use.
@@ -21,17 +21,18 @@
 	running      *Version // in force now; nil: nothing
 	runningSince time.Duration
 	update       update
-	pendingPush  *Push // the newest that came during the update
+	pendingPush  *Push // the newest that was received during the update
 	stream       followerStream
-	warning      string
+	warning      string // see Warning
 
-	// What a quorum has confirmed of running: that nothing newer was agreed on, and the same of the placement of keys.
+	// Confirmations that running, and its placement of keys, are the newest.
 	confirmation          confirmation
 	placementConfirmation confirmation
 }
 
-// NewFollower returns a follower's side and its first actions. The version that was in force before is put in force
-// again without a message from any member; one that has ended the process too often is rejected instead.
+// NewFollower returns a follower's side and its first actions. The version that was in force before the restart is
+// put in force again without contacting a member. A version that has ended the process too often is rejected
+// instead.
 func NewFollower(cfg FollowerConfig, durable DurableState) (*Follower, []Action) {
 	f := &Follower{cfg: cfg, durable: durable, stream: newFollowerStream()}
 	f.durable.Rejections = readableRejections(durable.Rejections)
@@ -51,8 +52,8 @@
 	return f, f.persist()
 }
 
-// readableRejections returns the rejections that still hold at a start: this program may read versions that an older
-// one could not.
+// readableRejections returns the rejections that remain valid at a start: those for a newer format do not, since the
+// program may have been updated.
 func readableRejections(list []Rejection) (readable []Rejection) {
 	for _, r := range list {
 		if !r.IsUnsupportedFormat {
@@ -76,23 +77,25 @@
 	if f.running != nil && f.running.Ref == v.Ref {
 		return
 	}
-	f.running, f.runningSince = v, now
-	f.confirmation.isValid, f.placementConfirmation.isValid = false, false
+	f.running = v
+	f.runningSince = now
+	f.confirmation.isValid = false
+	f.placementConfirmation.isValid = false
 }
 
-// ConfirmedAt returns when a quorum last confirmed that the version in force is the newest; false: not since it is in
-// force.
+// ConfirmedAt returns the time as of which a quorum last confirmed that the version in force is the newest; false: none
+// has since it was put in force.
 func (f *Follower) ConfirmedAt() (at time.Duration, ok bool) {
 	return f.confirmation.askedAt, f.confirmation.isValid
 }
 
-// PlacementConfirmedAt is the same of the placement of keys alone.
+// PlacementConfirmedAt is ConfirmedAt for the placement of keys only.
 func (f *Follower) PlacementConfirmedAt() (at time.Duration, ok bool) {
 	return f.placementConfirmation.askedAt, f.placementConfirmation.isValid
 }
 
-// Warning returns what is wrong, for operators; empty: nothing.
+// Warning returns the present problem for operators; empty: none.
 func (f *Follower) Warning() string { return f.warning }
 
-// Rejections returns the versions that are not put in force, oldest first.
+// Rejections returns the rejected versions, oldest rejection first.
 func (f *Follower) Rejections() []Rejection { return f.durable.Rejections }
--- a/configstream/follower_stream.go
+++ b/configstream/follower_stream.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// maxPendingPings bounds the pings that may still be answered.
+// maxPendingPings limits the pings whose answers are accepted.
 const maxPendingPings = 16
 
 // followerStream is the state of a follower's current stream.
 type followerStream struct {
 	isOpen   bool
-	heardAt  time.Duration
-	number   uint64 // streams of the process so far
-	lastPing uint64
-	pingedAt time.Duration
+	heardAt  time.Duration            // clock reading of the last message
+	number   uint64                   // of streams in this process so far
+	lastPing uint64                   // sequence number
+	pingedAt time.Duration            // clock reading of the last ping
 	pings    map[uint64]time.Duration // when the last ones were sent, by sequence number
 }
 
@@ -23,9 +23,10 @@
 // OpenStream begins a stream and returns its first message.
 func (f *Follower) OpenStream(now time.Duration) Hello {
 	f.pendingPush = nil
-	f.update.nonce = 0 // its push came with another stream
+	f.update.nonce = 0 // its push was received on another stream
 	s := &f.stream
-	s.isOpen, s.heardAt = true, now
+	s.isOpen = true
+	s.heardAt = now
 	s.number++
 	s.pingedAt = now - f.cfg.HeartbeatInterval
 	clear(s.pings)
@@ -41,11 +42,14 @@
 	}
 }
 
-// StreamClosed reports that the stream has ended. The version in force stays.
-func (f *Follower) StreamClosed() { f.stream.isOpen, f.pendingPush = false, nil }
+// StreamClosed records that the stream has ended. The version in force remains.
+func (f *Follower) StreamClosed() {
+	f.stream.isOpen = false
+	f.pendingPush = nil
+}
 
-// report returns the reply to a push; rejection may be nil. Without a stream there is none: the next stream's hello
-// says the same.
+// report returns the reply to a push; rejection may be nil. Without a stream there is no reply: the hello of the next
+// stream contains the same.
 func (f *Follower) report(nonce uint64, result Result, ref Ref, rejection *Rejection) []Action {
 	if !f.stream.isOpen {
 		return nil
@@ -57,7 +61,7 @@
 	return []Action{{Send: r}}
 }
 
-// Tick sends pings, and closes a stream whose member is silent.
+// Tick sends a ping if one is due, or closes a stream whose member is silent. The host calls it regularly.
 func (f *Follower) Tick(now time.Duration) []Action {
 	s := &f.stream
 	if !s.isOpen {
@@ -76,7 +80,7 @@
 	return []Action{{Ping: s.lastPing}}
 }
 
-// PongReceived takes in the answer to a ping.
+// PongReceived handles the answer to a ping.
 func (f *Follower) PongReceived(now time.Duration, p Pong) (actions []Action) {
 	f.stream.heardAt = now
 	askedAt, ok := f.stream.pings[p.Sequence]
@@ -86,8 +90,8 @@
 	warning := p.NameConflict
 	if f.running != nil {
 		f.confirm(askedAt, &p)
-		if w := f.divergence(&p); w != "" {
-			warning = w
+		if divergence := f.divergence(&p); divergence != "" {
+			warning = divergence
 		}
 	}
 	if warning != f.warning && warning != "" {
@@ -97,7 +101,7 @@
 	return actions
 }
 
-// confirm records what a pong says of the version in force.
+// confirm records the confirmations in a pong that apply to the version in force.
 func (f *Follower) confirm(askedAt time.Duration, p *Pong) {
 	if !p.IsConfirmed {
 		return
--- a/configstream/gossip.go
+++ b/configstream/gossip.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// gossipRetention is how long gossip about a follower is retained, in silence timeouts.
+// gossipRetention is how long gossip about a follower is retained, as a multiple of the silence timeout.
 const gossipRetention = 10
 
-// GossipMessage is what a member tells the others of the followers that it serves.
+// GossipMessage reports a member's observations of followers to the other members.
 type GossipMessage struct {
 	Member    uint64           `json:"Member"`
 	Followers []ObservedStream `json:"Followers"`
 }
 
-// ObservedStream is what a member knows of one stream of a follower. Times are ages: durations before the message.
+// ObservedStream is a member's observation of one stream of a follower. Times are ages, relative to the message.
 type ObservedStream struct {
 	Name            string        `json:"Name"`
 	ProcessID       uint64        `json:"Process"`
@@ -30,26 +30,28 @@
 	LatestRejection *Rejection    `json:"Refused"` // of the newest version that it rejected
 }
 
-// aged returns the observation as it is after a while.
+// aged returns the observation with its ages increased.
 func (o ObservedStream) aged(by time.Duration) ObservedStream {
-	o.StreamAge, o.SilentFor, o.RunningFor = o.StreamAge+by, o.SilentFor+by, o.RunningFor+by
+	o.StreamAge += by
+	o.SilentFor += by
+	o.RunningFor += by
 	return o
 }
 
-// timedStream is an observation of this member.
+// timedStream is an observation by this member.
 type timedStream struct {
 	stream     ObservedStream
 	observedAt time.Duration
 }
 
-// timedStreams is what another member said of one name.
+// timedStreams are another member's observations of the streams of one follower.
 type timedStreams struct {
 	streams    []ObservedStream
 	receivedAt time.Duration
 }
 
-// GossipMessages returns what the other members are to be told, in messages of about batchSize followers: all that
-// this member knows if isFull, or else the followers whose streams have changed since the last call.
+// GossipMessages returns the messages to the other members, of about batchSize followers each: with all observations of
+// this member if isFull, or else of the followers whose streams have changed since the last call.
 func (p *Publisher) GossipMessages(now time.Duration, batchSize int, isFull bool) (messages []GossipMessage) {
 	var all []ObservedStream
 	p.sessions.each(func(s *session) []StreamAction {
@@ -75,8 +77,8 @@
 	return messages
 }
 
-// endOfName moves end, an index above 0, behind the streams of the same name as the one before it: what is said of
-// one name goes together.
+// endOfName returns the index, from end on, after the streams with the same name as the one before end: all streams
+// of a name are sent in one message. end is above 0.
 func endOfName(streams []ObservedStream, end int) int {
 	for end < len(streams) && streams[end].Name == streams[end-1].Name {
 		end++
@@ -84,7 +86,7 @@
 	return end
 }
 
-// GossipReceived takes in what another member knows. It replaces what that member said before of the same names.
+// GossipReceived handles another member's message. Its observations of a name replace that member's earlier ones.
 func (p *Publisher) GossipReceived(now time.Duration, m GossipMessage) {
 	if m.Member == p.cfg.Member {
 		return
@@ -103,7 +105,7 @@
 	}
 }
 
-// expireGossip forgets old gossip, and that about names that are no longer agreed on.
+// expireGossip drops old gossip, and gossip about names that are no longer agreed on.
 func (p *Publisher) expireGossip(now time.Duration) {
 	for _, byName := range p.remote {
 		maps.DeleteFunc(byName, func(name string, t timedStreams) bool {
@@ -112,7 +114,7 @@
 	}
 }
 
-// forEachObservation calls f for all that is known of a follower's streams, here and at other members.
+// forEachObservation calls f for each observation of a follower's streams, by this and by other members.
 func (p *Publisher) forEachObservation(now time.Duration, name string, f func(member uint64, o ObservedStream)) {
 	for _, s := range p.sessions.byName[name] {
 		f(p.cfg.Member, s.observed(now))
--- a/configstream/member_selector.go
+++ b/configstream/member_selector.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// maxBackoffDoublings bounds the shift of the initial backoff.
+// maxBackoffDoublings limits the doublings of the initial backoff, so that the shift does not overflow.
 const maxBackoffDoublings = 20
 
-// MemberSelector selects the member that a follower connects to. By rendezvous hashing each follower has its own order
-// of members, so that followers spread without coordination and those of a member that fails go to all others alike.
-// The power of two choices was considered: it needs the members' loads before a connection, and gains little where all
-// followers cost the same. After a failure the selector waits a time drawn between zero and a bound that doubles
-// ("full jitter": M. Brooker, "Exponential Backoff And Jitter", 2015).
+// MemberSelector selects the member that a follower connects to. By rendezvous hashing each follower has its own
+// order of members, so that followers are spread without coordination, and those of a failed member spread over all
+// others. The power of two choices was considered: it needs the members' loads before connecting and gains little,
+// since all followers cost the same. After a failure the backoff is random between zero and a limit that doubles
+// with each failure (full jitter: M. Brooker, "Exponential Backoff And Jitter", 2015).
 type MemberSelector struct {
 	cfg      MemberSelectorConfig
 	order    []uint64
-	current  int // index into order, modulo its length
+	current  int // index in order, modulo its length
 	failures int // in a row
 	rng      *rand.Rand
 }
@@ -42,12 +42,12 @@
 	return s
 }
 
-// Member returns the member to connect to. A follower that had to go elsewhere stays there: going back would cost a
-// handshake for each restart of a member.
+// Member returns the member to connect to. A follower that had to change its member does not change back, which would
+// cost another handshake for each restart of a member.
 func (s *MemberSelector) Member() uint64 { return s.order[s.current%len(s.order)] }
 
-// StreamEnded selects the next member after a stream has ended, or could not be opened: wasEstablished tells which. It
-// returns the backoff before the next attempt.
+// StreamEnded selects the next member after a stream has ended (wasEstablished) or could not be opened. It returns the
+// backoff before the next attempt.
 func (s *MemberSelector) StreamEnded(wasEstablished bool) time.Duration {
 	if wasEstablished {
 		s.failures = 0
@@ -61,8 +61,8 @@
 	return time.Duration(s.rng.Int64N(int64(bound) + 1))
 }
 
-// weight returns the rendezvous weight of a member for this follower. FNV mixes the last bytes badly, so that the
-// finalizer of MurmurHash3 (A. Appleby, fmix64) follows.
+// weight returns the rendezvous weight of a member for this follower. FNV-1a diffuses the last bytes poorly, hence the
+// finalizer of MurmurHash3 (A. Appleby, fmix64).
 func (s *MemberSelector) weight(member uint64) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s.cfg.Name))
--- a/configstream/messages.go
+++ b/configstream/messages.go
@@ -5,47 +5,47 @@
 // Hello is the first message of a follower on a stream. Name is the one in its certificate.
 type Hello struct {
 	Name         string
-	ProcessID    uint64 // drawn by the process at its start
-	StartCount   uint64 // processes that have used the follower's file, this one too
-	StreamNumber uint64 // streams of the process, this one too
-	Running      *Ref   // nil: it has persisted nothing, and takes only versions that a quorum confirms from here on
+	ProcessID    uint64 // random, chosen at the start of the process
+	StartCount   uint64 // processes that have used the follower's file, including this one
+	StreamNumber uint64 // streams of the process, including this one
+	Running      *Ref   // nil: it has persisted nothing, and accepts only versions that a quorum confirms from now on
 	RunningFor   time.Duration
 	Rejections   []Rejection
-	MaxFormat    int // the newest that it reads
+	MaxFormat    int // the newest format that it can read
 }
 
 // Push offers a version to a follower.
 type Push struct {
 	Nonce       uint64
 	Body        *Body
-	IsConfirmed bool // a quorum has confirmed, since the stream began, that nothing newer was agreed on
+	IsConfirmed bool // a quorum has confirmed, since the stream began, that nothing newer had been agreed on
 }
 
-// Result is what a follower has done about a push.
+// Result is the outcome of a push at its follower.
 type Result int
 
-// Results.
+// The results.
 const (
-	ResultStatusOnly  Result = iota // no reply to a push: the follower reports what it runs
+	ResultStatusOnly  Result = iota // not a reply to a push, but a report of the version in force
 	ResultApplied                   // the version is in force, and persisted
-	ResultRejected                  // it never will be; the report says why
+	ResultRejected                  // it never will be in force; the report contains the problems
 	ResultNeedsFull                 // the base of the delta is missing, or the body is corrupt
-	ResultNotNewer                  // what runs is as new or newer
-	ResultUnconfirmed               // nothing runs, and no quorum has confirmed the version since the stream began
-	ResultDiverged                  // two services have the epoch
+	ResultNotNewer                  // the version in force is as new or newer
+	ResultUnconfirmed               // nothing is in force, and the version is not confirmed
+	ResultDiverged                  // two control services use the same epoch
 )
 
 var resultNames = [...]string{"stated", "applied", "refused", "needs-full", "not-newer", "unconfirmed", "foreign"}
 
-// String returns the result as it is logged.
+// String returns the name of the result in logs.
 func (r Result) String() string { return resultNames[r] }
 
 // Report is a follower's reply to a push, or a report of its status.
 type Report struct {
 	Nonce               uint64 // of the push; 0: none
 	Result              Result
-	Ref                 Ref  // that was pushed
-	Running             *Ref // nil: nothing
+	Ref                 Ref  // of the version pushed
+	Running             *Ref // the version in force; nil: none
 	Problems            []Problem
 	IsUnsupportedFormat bool // of a rejection: see [Rejection]
 }
@@ -55,6 +55,6 @@
 	Sequence         uint64 // of the ping
 	Newest           Ref    // at this member
 	PlacementVersion uint64 // of Newest
-	IsConfirmed      bool   // a quorum has confirmed, since the ping came, that nothing newer was agreed on
-	NameConflict     string // why this follower receives nothing new: another process has its name; empty: none has
+	IsConfirmed      bool   // a quorum has confirmed, since the ping, that nothing newer had been agreed on
+	NameConflict     string // why this follower gets no newer version: another process uses its name; empty: none does
 }
--- a/configstream/name_conflict.go
+++ b/configstream/name_conflict.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// findNameConflict looks for another process under a follower's name and returns what is wrong; empty: nothing. Two
-// streams that overlap may be one follower that was restarted, or that has lost the older stream without the member's
-// knowledge: a conflict is two processes that were both heard after the later one had connected. Both stay at what
-// they run.
+// findNameConflict returns a description of another process that uses a follower's name; empty: there is none.
+// Streams that overlap may also be those of one follower that was restarted or has lost the older stream unnoticed.
+// A conflict is therefore two processes that both sent messages after the later one had connected. Neither gets a
+// newer version.
 func (p *Publisher) findNameConflict(now time.Duration, s *session) (conflict string) {
 	const text = "processes %x and %x, at members %d and %d, are both called %s: " +
 		"end one, and give it a name and a file of its own"
--- a/configstream/publisher.go
+++ b/configstream/publisher.go
@@ -11,28 +11,28 @@
 // PublisherConfig is the configuration of a [Publisher].
 type PublisherConfig struct {
 	Member              uint64
-	SilenceTimeout      time.Duration // without a message from a follower: its stream is ended and its state unknown
-	PushReplyTimeout    time.Duration // of a push without a reply
-	ConfirmationTimeout time.Duration // for which a ping waits for the confirmation of a quorum
-	MaxRetainedVersions int           // that deltas are made from
+	SilenceTimeout      time.Duration // without a message of a follower until its stream is closed
+	PushReplyTimeout    time.Duration // without a reply to a push until the stream is closed
+	ConfirmationTimeout time.Duration // for which the answer to a ping waits for the confirmation of a quorum
+	MaxRetainedVersions int           // versions retained as bases of differences
 	MaxFollowers        int           // connected to this member
-	AdmissionRate       float64       // connections a second
-	AdmissionBurst      float64       // connections at once
-	DisableDeltas       bool          // for comparison
+	AdmissionRate       float64       // new connections per second
+	AdmissionBurst      float64       // new connections at once
+	DisableDeltas       bool          // push complete versions only; for benchmarks
 }
 
-// StreamAction is an action of a publisher's host: a message to send on a stream, or the end of the stream.
+// StreamAction is an action for a publisher's host: a message to send on a stream, or the stream's closing.
 type StreamAction struct {
 	SessionID   uint64
 	Push        *Push
 	Pong        *Pong
-	CloseReason string // empty: the stream goes on
+	CloseReason string // empty: the stream stays open
 }
 
-// followerPrefix is that of the keys of followers' objects.
+// followerPrefix is the prefix of the keys of followers' objects.
 const followerPrefix = clusterconfig.KindFollower + "/"
 
-// nonceBits are the low bits of a nonce that count a process's pushes.
+// nonceBits is the number of low bits of a nonce that count the pushes of a process.
 const nonceBits = 20
 
 // Publisher is a member's side of the streams to its followers. It is not safe for concurrent use.
@@ -41,18 +41,18 @@
 	newest       *Version
 	retained     []*Version // oldest first, the newest among them
 	confirmation confirmation
-	pins         map[string]uint64 // pinned versions by follower
+	pins         map[string]uint64 // pinned version numbers by follower
 	sessions     sessionTable
-	departed     map[string]timedStream // latest stream of followers that have none here, by name
-	remote       map[uint64]map[string]timedStreams
-	changed      map[string]bool   // names whose streams have changed since the last gossip
-	bodies       map[bodyKey]*Body // of the pushes since the newest version came
+	departed     map[string]timedStream             // last stream, by name, of followers that have no stream here now
+	remote       map[uint64]map[string]timedStreams // observations by member and follower
+	changed      map[string]bool                    // names whose streams have changed since the last gossip
+	bodies       map[bodyKey]*Body                  // of pushes since the newest version was published
 	admission    admissionLimiter
 	lastNonce    uint64
 }
 
-// NewPublisher returns a member's side without a version. seed makes its nonces differ from those of the member's
-// other processes.
+// NewPublisher returns a member's side without a version. The seed must differ from those of the member's earlier
+// processes, so that nonces do.
 func NewPublisher(cfg PublisherConfig, seed uint64) *Publisher {
 	return &Publisher{
 		cfg:       cfg,
@@ -70,12 +70,13 @@
 // Newest returns the newest version that was published here; nil: none.
 func (p *Publisher) Newest() *Version { return p.newest }
 
-// Publish takes over an agreed version and pushes it. One that is not newer than the last is ignored.
+// Publish makes an agreed version the newest and pushes it. A version that is not newer than the last is ignored.
 func (p *Publisher) Publish(now time.Duration, v *Version) []StreamAction {
 	if p.newest != nil && v.Compare(p.newest.Ref) != OrderNewer {
 		return nil
 	}
-	p.newest, p.confirmation.isValid = v, false
+	p.newest = v
+	p.confirmation.isValid = false
 	p.retained = append(p.retained, v)
 	p.retained = slices.Clone(p.retained[max(len(p.retained)-max(p.cfg.MaxRetainedVersions, 1), 0):])
 	p.pins = pinnedVersions(v)
@@ -93,7 +94,7 @@
 	})
 }
 
-// Confirm reports that a quorum has confirmed that, as of askedAt, nothing newer than ref was agreed on.
+// Confirm records the confirmation of a quorum that, as of askedAt, nothing newer than ref had been agreed on.
 func (p *Publisher) Confirm(now, askedAt time.Duration, ref Ref) []StreamAction {
 	if p.newest == nil || p.newest.Ref != ref {
 		return nil
@@ -109,8 +110,8 @@
 	})
 }
 
-// Tick ends streams that are silent or whose follower does not reply to a push, answers pings that have waited for
-// too long, and looks for name conflicts.
+// Tick closes streams that are silent or whose follower does not reply to a push, answers pings without a confirmation
+// after a timeout, and detects name conflicts. The host calls it regularly.
 func (p *Publisher) Tick(now time.Duration) []StreamAction {
 	p.expireGossip(now)
 	return p.sessions.each(func(s *session) []StreamAction {
@@ -134,10 +135,13 @@
 	})
 }
 
-// PingReceived takes in a ping. It is answered once a quorum confirms the newest version, or after a timeout.
+// PingReceived handles a ping. It is answered when a quorum confirms the newest version, or after a timeout.
 func (p *Publisher) PingReceived(now time.Duration, id, sequence uint64) []StreamAction {
 	if s := p.sessions.byID[id]; s != nil {
-		s.heardAt, s.pingSequence, s.pingedAt, s.isPongDue = now, sequence, now, true
+		s.heardAt = now
+		s.pingSequence = sequence
+		s.pingedAt = now
+		s.isPongDue = true
 	}
 	return nil
 }
@@ -163,7 +167,7 @@
 	return ok
 }
 
-// forEachFollower calls f for each follower that is agreed on in a version, in the order of names.
+// forEachFollower calls f for each follower that is agreed on in a version, sorted by name.
 func forEachFollower(v *Version, f func(name string, value json.RawMessage)) {
 	v.Tree.Root().WalkPrefix([]byte(followerPrefix), func(key []byte, value json.RawMessage) bool {
 		f(string(key[len(followerPrefix):]), value)
@@ -171,7 +175,7 @@
 	})
 }
 
-// pinnedVersions returns the versions that followers are to stay at, by name.
+// pinnedVersions returns the version numbers that followers are pinned to, by name.
 func pinnedVersions(v *Version) map[string]uint64 {
 	pins := map[string]uint64{}
 	forEachFollower(v, func(name string, value json.RawMessage) {
--- a/configstream/push.go
+++ b/configstream/push.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// bodyKey identifies the body of a push: the version that the follower runs (the zero Ref: none) and the new one.
+// bodyKey identifies the body of a push by its base (zero: the body is complete) and the version.
 type bodyKey struct{ base, version Ref }
 
-// ReportReceived takes in a follower's report.
+// ReportReceived handles a follower's report.
 func (p *Publisher) ReportReceived(now time.Duration, id uint64, r Report) []StreamAction {
 	s := p.sessions.byID[id]
 	if s == nil {
@@ -35,14 +35,15 @@
 			return p.offer(now, s)
 		}
 	}
-	return nil // the next version or confirmation is pushed as it comes
+	return nil // the next version or confirmation causes the next push
 }
 
-// updateSession records what a report says of its follower.
+// updateSession records the follower's state from a report.
 func (p *Publisher) updateSession(now time.Duration, s *session, r *Report) {
 	s.heardAt = now
 	if r.Running != nil && (s.running == nil || *s.running != *r.Running) {
-		s.running, s.runningSince = r.Running, now
+		s.running = r.Running
+		s.runningSince = now
 		p.changed[s.hello.Name] = true
 	}
 	if r.Result == ResultRejected {
@@ -52,8 +53,8 @@
 	}
 }
 
-// offer pushes a follower's target version to it, if it should and can have it now. One push is in flight at a time:
-// versions that come meanwhile are not queued, the newest is pushed after the reply.
+// offer pushes a follower's target version to it, if it needs it and may get it now. One push is in flight at a time:
+// versions published meanwhile are not queued; the newest is pushed after the reply.
 func (p *Publisher) offer(now time.Duration, s *session) []StreamAction {
 	v := p.targetVersion(s.hello.Name)
 	if v == nil || s.pendingNonce != 0 || s.nameConflict != "" {
@@ -61,7 +62,7 @@
 	}
 	isConfirmed := p.confirmation.isValid && p.confirmation.askedAt >= s.beganAt
 	if s.running == nil && !isConfirmed {
-		return nil // the follower can't tell an old version
+		return nil // the follower could not recognize an old version
 	}
 	if s.running != nil && v.Compare(*s.running) != OrderNewer {
 		return nil
@@ -71,13 +72,15 @@
 	}
 	p.lastNonce++
 	ref := v.Ref
-	s.pendingNonce, s.offered, s.pushedAt = p.lastNonce, &ref, now
+	s.pendingNonce = p.lastNonce
+	s.offered = &ref
+	s.pushedAt = now
 	push := &Push{Nonce: s.pendingNonce, Body: p.bodyFor(s, v), IsConfirmed: isConfirmed}
 	return []StreamAction{{SessionID: s.id, Push: push}}
 }
 
-// targetVersion returns the version that a follower should have: the newest, or the one that it is pinned to; nil:
-// that one is not retained here.
+// targetVersion returns the version that a follower should run: the newest or the one that it is pinned to; nil: it is
+// not retained here.
 func (p *Publisher) targetVersion(name string) *Version {
 	pin, ok := p.pins[name]
 	if !ok || p.newest == nil || pin >= p.newest.Number {
@@ -86,7 +89,7 @@
 	return p.findRetained(func(v *Version) bool { return v.Number == pin && v.Epoch == p.newest.Epoch })
 }
 
-// findRetained returns the oldest retained version with a property; nil: none has it.
+// findRetained returns the oldest retained version that matches; nil: none does.
 func (p *Publisher) findRetained(matches func(*Version) bool) *Version {
 	i := slices.IndexFunc(p.retained, matches)
 	if i < 0 {
@@ -95,8 +98,8 @@
 	return p.retained[i]
 }
 
-// bodyFor returns the content of a version for a follower: the difference to what it runs if that version is retained
-// and the difference is smaller, or else all of it. It is made once for all followers with the same base.
+// bodyFor returns the content of a version for a follower: the difference to the version that it runs if that is
+// retained and the difference is smaller, or else the complete content. Followers with the same base share it.
 func (p *Publisher) bodyFor(s *session, v *Version) *Body {
 	var base Ref // none
 	if s.running != nil && !s.needsFull && !p.cfg.DisableDeltas {
@@ -119,7 +122,7 @@
 	return body
 }
 
-// fullBody returns all of a version.
+// fullBody returns the complete content of a version.
 func (p *Publisher) fullBody(v *Version) *Body {
 	key := bodyKey{version: v.Ref}
 	if p.bodies[key] == nil {
--- a/configstream/ref.go
+++ b/configstream/ref.go
@@ -24,23 +24,23 @@
 	return fmt.Sprintf("%d of epoch %d", r.Number, r.Epoch.Number)
 }
 
-// Order is the relation of a version to another one.
+// Order is the order of a version relative to another one.
 type Order int
 
-// Orders.
+// The orders.
 const (
 	OrderSame     Order = iota
 	OrderOlder          // of an earlier epoch, or with a lower number in the same one
 	OrderNewer          // of a later epoch, or with a higher number in the same one
-	OrderDiverged       // none of these: two services claim to be the same one
+	OrderDiverged       // none of these: two control services use the same epoch
 )
 
 var orderNames = [...]string{"same", "older", "newer", "diverged"}
 
-// String returns the order in lower case.
+// String returns the order's name.
 func (o Order) String() string { return orderNames[o] }
 
-// Compare returns the relation of r to other: OrderOlder means that r is the older one.
+// Compare returns the order of r relative to other: OrderOlder means that r is older.
 func (r Ref) Compare(other Ref) Order {
 	switch {
 	case r.Epoch.Number != other.Epoch.Number:
--- a/configstream/rejection.go
+++ b/configstream/rejection.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// maxRejections bounds the rejections that either side retains of a follower: the latest.
+// maxRejections limits the rejections that either side retains of a follower, to the latest.
 const maxRejections = 16
 
-// Problem is why a version is rejected: the object and the field that it lies in, and what is wrong with them.
+// Problem is why a version is rejected: the object and field at fault, if known, and what is wrong with them.
 type Problem struct {
 	Object string `json:"object,omitempty"`
 	Field  string `json:"field,omitempty"`
@@ -24,14 +24,14 @@
 	return text
 }
 
-// Rejection is a version that a follower does not put in force.
+// Rejection is a version that a follower has rejected, and why.
 type Rejection struct {
 	Ref
 	Problems            []Problem `json:"problems"`
 	IsUnsupportedFormat bool      `json:"unread,omitempty"` // a newer program may accept it
 }
 
-// appendRejection returns a copy of list with r at its end, in place of one of the same version.
+// appendRejection returns a copy of the list with r at its end, which replaces any of the same version.
 func appendRejection(list []Rejection, r Rejection) []Rejection {
 	list = slices.DeleteFunc(slices.Clone(list), func(o Rejection) bool { return o.Ref == r.Ref })
 	list = append(list, r)
--- a/configstream/session.go
+++ b/configstream/session.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// session is a stream from a follower, as its member knows it.
+// session is the member's state of a stream from a follower.
 type session struct {
 	id           uint64
 	hello        Hello
@@ -16,10 +16,10 @@
 	runningSince time.Duration
 	rejections   []Rejection
 
-	pendingNonce uint64 // of the push without a reply; 0: none
+	pendingNonce uint64 // of the push that awaits its reply; 0: none
 	offered      *Ref   // by the last push
 	pushedAt     time.Duration
-	needsFull    bool // the next push is no delta
+	needsFull    bool // the next push must be complete
 
 	pingSequence uint64 // of the last ping
 	pingedAt     time.Duration
@@ -28,7 +28,7 @@
 	nameConflict string // see [Pong]
 }
 
-// observed returns the stream as it is gossiped.
+// observed returns the stream's state for gossip.
 func (s *session) observed(now time.Duration) ObservedStream {
 	return ObservedStream{
 		Name:            s.hello.Name,
@@ -44,9 +44,10 @@
 	}
 }
 
-// sessionTable contains the streams at a member.
+// sessionTable holds the streams at a member.
 //
-// Invariant: order has the keys of byID, ascending; byName has the same streams in the same order, and no empty list.
+// Invariant: order holds the keys of byID, ascending; byName holds the same streams in the same order, and no empty
+// list.
 type sessionTable struct {
 	byID   map[uint64]*session
 	order  []uint64
@@ -59,7 +60,7 @@
 
 func (t *sessionTable) count() int { return len(t.byID) }
 
-// add adds a stream whose id is higher than all others.
+// add adds a stream whose ID must be higher than all others.
 func (t *sessionTable) add(s *session) {
 	t.byID[s.id] = s
 	t.order = append(t.order, s.id)
@@ -78,7 +79,7 @@
 	}
 }
 
-// each calls f for all streams in the order of their ids and returns all actions. f may remove streams.
+// each calls f for all streams in the order of their IDs and returns all actions. f may remove streams.
 func (t *sessionTable) each(f func(*session) []StreamAction) (actions []StreamAction) {
 	for _, id := range slices.Clone(t.order) {
 		if s := t.byID[id]; s != nil {
@@ -88,7 +89,7 @@
 	return actions
 }
 
-// OpenStream begins a stream. Each stream has a higher id than those before it.
+// OpenStream handles a new stream and its first message. Its ID must be higher than those of all earlier streams.
 func (p *Publisher) OpenStream(now time.Duration, id uint64, h Hello) (actions []StreamAction) {
 	if !p.isFollower(h.Name) {
 		reason := fmt.Sprintf("%q is not agreed on as a follower", h.Name)
@@ -111,13 +112,13 @@
 	return append(actions, p.offer(now, s)...)
 }
 
-// endStream ends a stream from this side.
+// endStream closes a stream from the member's side.
 func (p *Publisher) endStream(now time.Duration, s *session, reason string) []StreamAction {
 	p.StreamClosed(now, s.id)
 	return []StreamAction{{SessionID: s.id, CloseReason: reason}}
 }
 
-// StreamClosed reports that a stream has ended. What was last known of its follower is retained.
+// StreamClosed records that a stream has ended. The last state of its follower is retained.
 func (p *Publisher) StreamClosed(now time.Duration, id uint64) {
 	s := p.sessions.byID[id]
 	if s == nil {
--- a/configstream/status.go
+++ b/configstream/status.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// States of a [StreamStatus]. They are a part of the JSON that operators read.
+// States of a [StreamStatus]. They are part of the management API's JSON.
 const (
 	StateRunning = "running" // a version is in force
 	StateWaiting = "waiting" // connected, nothing in force
-	StateUnknown = "unknown" // not heard of for the silence timeout
-	StateNever   = "never"   // never heard of
+	StateUnknown = "unknown" // no message for the silence timeout
+	StateNever   = "never"   // no member has had a stream of it
 )
 
-// summaryPrecision is that of the durations in summaries.
+// summaryPrecision is the precision of durations in summaries.
 const summaryPrecision = 100 * time.Millisecond
 
 // StreamStatus is the status of a follower, as far as the members know.
@@ -23,16 +23,16 @@
 	Name            string        `json:"name"`
 	State           string        `json:"state"` // StateRunning, StateWaiting, StateUnknown or StateNever
 	Running         *Ref          `json:"running,omitempty"`
-	StateAge        time.Duration `json:"since_ns,omitempty"` // it runs that, or its state is unknown, for so long
+	StateAge        time.Duration `json:"since_ns,omitempty"` // how long it has been in that state with that version
 	Offered         *Ref          `json:"offered,omitempty"`  // the newest push to it
 	LatestRejection *Rejection    `json:"refused,omitempty"`
-	LastMember      uint64        `json:"member,omitempty"` // that served it last
-	IsBehind        bool          `json:"behind,omitempty"` // what it runs is not the newest
-	PinnedVersion   uint64        `json:"pinned,omitempty"` // the version that it is to stay at
+	LastMember      uint64        `json:"member,omitempty"` // the member that served it last
+	IsBehind        bool          `json:"behind,omitempty"` // it does not run the newest version
+	PinnedVersion   uint64        `json:"pinned,omitempty"` // the version that it has to keep
 	NameConflict    string        `json:"twin,omitempty"`   // see [Pong]
 }
 
-// Statuses returns the statuses of all followers that are agreed on, in the order of names.
+// Statuses returns the statuses of all followers that are agreed on, sorted by name.
 func (p *Publisher) Statuses(now time.Duration) (all []StreamStatus) {
 	if p.newest == nil {
 		return nil
@@ -52,8 +52,11 @@
 	if !ok {
 		return st
 	}
-	st.LastMember, st.Running, st.StateAge = member, latest.Running, latest.RunningFor
-	st.Offered, st.LatestRejection = latest.Offered, latest.LatestRejection
+	st.LastMember = member
+	st.Running = latest.Running
+	st.StateAge = latest.RunningFor
+	st.Offered = latest.Offered
+	st.LatestRejection = latest.LatestRejection
 	switch {
 	case latest.SilentFor > p.cfg.SilenceTimeout:
 		st.State, st.StateAge = StateUnknown, latest.SilentFor
@@ -66,8 +69,8 @@
 	return st
 }
 
-// latestObservation returns the observation of a follower that was heard last, of its last stream, and the member that
-// made it.
+// latestObservation returns the most recent observation of a follower, of its last stream if several are as recent, and
+// the member that made it.
 func (p *Publisher) latestObservation(now time.Duration, name string) (latest ObservedStream, member uint64, ok bool) {
 	p.forEachObservation(now, name, func(from uint64, o ObservedStream) {
 		order := cmp.Or(cmp.Compare(latest.SilentFor, o.SilentFor), cmp.Compare(o.StreamNumber, latest.StreamNumber))
@@ -116,7 +119,7 @@
 	return text
 }
 
-// reason returns why a follower does not run the newest version; empty: that is not known.
+// reason returns why a follower does not run the newest version; empty: not known.
 func (s *StreamStatus) reason(newest uint64) string {
 	const (
 		isOlder = "the members' newest is %d, which is older. " +
--- a/configstream/update.go
+++ b/configstream/update.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// step is what an update waits for.
+// step is the action whose end an update waits for.
 type step int
 
 // Steps of an update: persist the candidate, check it, persist it as accepted, activate it, persist that it was
-// activated. A rejection is persisted, and the version before is activated again if need be.
+// activated. After a failure the rejection is persisted, and the previous version activated again if necessary.
 const (
 	stepIdle step = iota
 	stepPersistCandidate
@@ -24,24 +24,24 @@
 	"idle", "persist candidate", "check", "persist accepted", "activate", "persist activation", "persist rejection",
 }
 
-// String returns the step in lower case.
+// String returns the step's name.
 func (s step) String() string { return stepNames[s] }
 
-// update is the work on one version. The zero update is none.
+// update is the progress of putting one version in force. The zero value means that there is none.
 type update struct {
 	step      step
-	version   *Version   // that step is about
-	nonce     uint64     // of the push that it came with; 0: none on this stream
-	rejection *Rejection // that is being persisted
+	version   *Version   // the subject of the step
+	nonce     uint64     // of its push; 0: none on this stream
+	rejection *Rejection // the rejection being persisted
 	fallback  *Version   // activated once the rejection is persisted; nil: none
-	isStartup bool       // the count of activation attempts is being persisted, version was before
+	isStartup bool       // at a start: only the count of activation attempts is being persisted
 }
 
-// PushReceived takes in a push.
+// PushReceived handles a push.
 func (f *Follower) PushReceived(now time.Duration, p *Push) []Action {
 	f.stream.heardAt = now
 	if f.update.step != stepIdle {
-		f.pendingPush = p // one that was pending already is older, or the member has lost count
+		f.pendingPush = p // replaces an earlier one, which is older
 		return nil
 	}
 	b := p.Body
@@ -68,8 +68,8 @@
 	return f.persist()
 }
 
-// screen reports whether a push is unwanted whatever its content. If so, it returns the result, and an earlier
-// rejection if that is why.
+// screen reports whether a push can be answered without its content. If so, it returns the result and, for a version
+// that was rejected before, the rejection.
 func (f *Follower) screen(p *Push) (result Result, rejection *Rejection, isUnwanted bool) {
 	if f.running == nil && !p.IsConfirmed {
 		return ResultUnconfirmed, nil, true
@@ -88,17 +88,18 @@
 	return 0, nil, false
 }
 
-// PersistCompleted reports that the last Persist is on the disk. An error means that it may not be: the update ends, the
-// version in force stays, and the stream is closed, since what the follower reports would not hold after a restart.
+// PersistCompleted handles the end of the last Persist. After an error the state may not be on the disk: the update
+// ends, the version in force remains, and the stream is closed, since a report might be wrong after a restart.
 func (f *Follower) PersistCompleted(now time.Duration, err error) []Action {
 	u := &f.update
 	if err != nil && u.isStartup {
-		// A count that can't be written is no reason not to serve what was good before.
+		// An accepted version is served even if its count of attempts cannot be written.
 		f.warning = err.Error()
 		return f.activate(u.version)
 	}
 	if err != nil {
-		f.update, f.pendingPush = update{}, nil
+		f.update = update{}
+		f.pendingPush = nil
 		f.warning = fmt.Sprintf("its file can't be written: %v", err)
 		return []Action{{CloseStream: f.warning}}
 	}
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// CheckCompleted takes in the result of a check: no problems, or why the version can't be put in force.
+// CheckCompleted handles the result of a check: without problems the version is accepted, or else rejected.
 func (f *Follower) CheckCompleted(_ time.Duration, problems []Problem) []Action {
 	if f.update.step != stepCheck {
 		return nil
@@ -132,7 +133,7 @@
 	return f.persist()
 }
 
-// ActivationCompleted reports whether the version is in force. On an error the one before it is again.
+// ActivationCompleted handles the result of an activation. After an error the previous version must be in force again.
 func (f *Follower) ActivationCompleted(now time.Duration, err error) []Action {
 	u := &f.update
 	if u.step != stepActivate {
@@ -151,7 +152,8 @@
 	if isFallback || f.durable.WasActivated {
 		return f.finish(now)
 	}
-	f.durable.WasActivated, f.durable.ActivationAttempts = true, 0
+	f.durable.WasActivated = true
+	f.durable.ActivationAttempts = 0
 	u.step = stepPersistActivation
 	return f.persist()
 }
@@ -162,12 +164,14 @@
 }
 
 func (f *Follower) activate(v *Version) []Action {
-	f.update.step, f.update.version, f.update.isStartup = stepActivate, v, false
+	f.update.step = stepActivate
+	f.update.version = v
+	f.update.isStartup = false
 	return []Action{{Activate: v}}
 }
 
-// reject persists a rejection of the update's version, so that the version is never put in force, whoever pushes it,
-// after a restart either.
+// reject persists a rejection of the update's version, so that it is not put in force by any later push, even after a
+// restart.
 func (f *Follower) reject(r Rejection) []Action {
 	f.update.fallback = f.durable.reject(r)
 	f.update.rejection = &r
@@ -175,7 +179,7 @@
 	return f.persist()
 }
 
-// rejectWithText rejects the update's version for one problem that lies in no single object.
+// rejectWithText rejects the update's version for a problem that concerns no single object.
 func (f *Follower) rejectWithText(text string) []Action {
 	return f.reject(Rejection{Ref: f.update.version.Ref, Problems: []Problem{{Text: text}}})
 }
@@ -190,8 +194,8 @@
 	return f.rejectWithText(fmt.Sprintf(text, f.durable.CheckAttempts))
 }
 
-// finish ends the update, replies to its push and takes in the push that came meanwhile. The update's version may be
-// the fallback: the reply is about the rejected one.
+// finish ends the update, replies to its push and handles the push that was received meanwhile. If the update's version
+// is the fallback, the reply is about the rejected one.
 func (f *Follower) finish(now time.Duration) (actions []Action) {
 	result, ref, rejection := ResultApplied, f.update.version.Ref, f.update.rejection
 	if rejection != nil {
--- a/configstream/version.go
+++ b/configstream/version.go
@@ -8,25 +8,25 @@
 	"mulleinmux/clusterconfig"
 )
 
-// Format is the newest format of a version's content that this program reads. It is that of the log entries.
+// Format is the newest format of a version's content that this program reads: that of the log entries.
 const Format = clusterconfig.Format
 
-// headerKey stands for a version's fields other than its objects in the digest. No object has it: keys of objects
-// don't begin with a zero byte.
+// headerKey is the key in the digest for a version's fields other than its objects. No object has it, since their
+// keys do not begin with a zero byte.
 const headerKey = "\x00head"
 
 // Version is one version of the configuration. It must not be modified.
 type Version struct {
 	Ref
-	Hash             string   // of the chain of entries up to it
+	Hash             string   // chained over the log entries up to it
 	PlacementVersion uint64   // see [clusterconfig.State.PlacementVersion]
 	PlanOrder        []string // see [clusterconfig.State.PlanOrder]
 	Tree             *clusterconfig.Tree
-	objectsDigest    Digest // Digest without the header
+	objectsDigest    Digest // the part of Digest for the objects
 }
 
-// NewVersion returns the version that a state is. If before is not nil, it is an earlier version, from whose digest
-// the new one is made.
+// NewVersion returns the version of a state. If before, an earlier version, is not nil, only the differences to it are
+// hashed.
 func NewVersion(s *clusterconfig.State, before *Version) *Version {
 	v := &Version{
 		Ref:              Ref{Epoch: s.Epoch(), Number: s.Version()},
@@ -46,14 +46,15 @@
 	return v
 }
 
-// State returns the configuration of a version, without history.
+// State returns the configuration of a version, without history. The error wraps [clusterconfig.ErrMalformed].
 func (v *Version) State() (*clusterconfig.State, error) {
 	return clusterconfig.NewFrozenState(v.Number, v.PlacementVersion, v.Hash, v.PlanOrder, v.Tree)
 }
 
-// setDigest sets Digest from that of the objects and the other fields.
+// setDigest sets Digest from the objects' digest and the other fields.
 func (v *Version) setDigest() {
 	v.Digest = v.objectsDigest
-	header, _ := json.Marshal([]any{v.Epoch, v.Number, v.Hash, v.PlacementVersion, v.PlanOrder}) // plain values: no error
+	// These values can always be encoded.
+	header, _ := json.Marshal([]any{v.Epoch, v.Number, v.Hash, v.PlacementVersion, v.PlanOrder})
 	v.Digest.replace([]byte(headerKey), nil, header)
 }
