--- a/routing/body.go
+++ b/routing/body.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// What is wrong with the value of a property.
+// Errors of the value of a property.
 var (
 	errWantString         = errors.New("a string is wanted")
 	errWantNumber         = errors.New("a number is wanted, not a string")
 	errWantNumberOrString = errors.New("a number or a string is wanted")
 )
 
-// checkJSONType checks that a body is JSON in UTF-8, without a content coding: anything else a server could
-// read as other words than stand in it here.
+// checkJSONType checks that a body is JSON in UTF-8 without a content coding: a server could read any other differently
+// from this package. The error is a [*ChargeError].
 func checkJSONType(h Header) error {
 	contentType, lines := h.Values("Content-Type")
 	media, params, _ := strings.Cut(contentType, ";")
@@ -34,9 +34,8 @@
 	return nil
 }
 
-// bodyValue returns the text of a property of a JSON object. The whole body must be
-// one JSON value. In every object on the way each name stands once, however it is
-// written, and no other that differs in case only.
+// bodyValue returns the text of a property of a JSON object. The body must consist of one JSON value. In each object on
+// the path the name must occur once, in the described case only, since servers differ in how they treat duplicates.
 func bodyValue(body []byte, path []string, want valueType) (string, error) {
 	reader := bodyReader{decoder: json.NewDecoder(bytes.NewReader(body)), want: want}
 	reader.decoder.UseNumber()
@@ -56,7 +55,7 @@
 	want    valueType
 }
 
-// readObject reads the object that comes next, to its end, and returns the text of the property at the path.
+// readObject reads the next value, which must be an object, and returns the text of its property at the path.
 func (r *bodyReader) readObject(path []string) (value string, err error) {
 	start, err := r.token()
 	if err != nil {
@@ -97,7 +96,7 @@
 	return value, nil
 }
 
-// readValue reads the value of the path's first name: the property itself, or an object on the way to it.
+// readValue reads the value of the path's first name: the property itself, or an object that contains it.
 func (r *bodyReader) readValue(path []string) (string, error) {
 	if len(path) > 1 {
 		return r.readObject(path[1:])
--- a/routing/charge.go
+++ b/routing/charge.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// maxNumberDigits bounds the digits of a number in a request: any such number fits an int.
+// maxNumberDigits is the most digits of a number in a request, so that it fits an int.
 const maxNumberDigits = 9
 
-// Statuses of a [ChargeError] (RFC 9110, 15.5). The package does not import net/http for them, which does I/O.
+// Statuses of a [ChargeError] (RFC 9110, 15.5). They are not imported from net/http, since that package does I/O.
 const (
 	statusBadRequest           = 400
 	statusUnsupportedMediaType = 415
 )
 
-// ChargeError tells why a request can't be charged. Such a request is not forwarded.
+// ChargeError is why a request cannot be charged. Such a request must not be forwarded.
 type ChargeError struct {
 	Status int    // of the response: 400 or 415
 	Text   string // for the client
@@ -28,7 +28,7 @@
 	return &ChargeError{statusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// asChargeError returns an error of a parameter as a [*ChargeError] that names it.
+// asChargeError returns an error of a parameter as a [*ChargeError] that names the parameter.
 func asChargeError(source ParamSource, err error) error {
 	if _, ok := errors.AsType[*ChargeError](err); ok {
 		return err
@@ -36,8 +36,8 @@
 	return newChargeError("%s: %v", source, err)
 }
 
-// ReadKey returns the idempotency key of a request that was charged, path being that of
-// its request line; empty where the operation has none.
+// ReadKey returns the idempotency key of a request that has been charged; empty if the operation has none. path is the
+// path of the request line.
 func (o *Operation) ReadKey(r Request, path string) string {
 	switch o.KeySource.In {
 	case InNowhere:
@@ -52,9 +52,9 @@
 	return key
 }
 
-// Charge returns the units of a request, and checks that it has its idempotency key where the operation
-// wants one. What it reads, a server must read in the same way: a name that stands twice, in two
-// spellings, or a number in any but the plain form is a [*ChargeError].
+// Charge returns the units of a request, and checks that it has its idempotency key if the operation requires one.
+// Servers must read the same values: a parameter that occurs twice or in another spelling, or a number in any but
+// the plain form, is a [*ChargeError].
 func (o *Operation) Charge(r Request) (units int, err error) {
 	if err := o.checkKey(r); err != nil {
 		return 0, err
@@ -80,7 +80,7 @@
 	return n, nil
 }
 
-// checkKey checks that a request has its idempotency key. One in the path is always there.
+// checkKey checks that a request has its idempotency key. A key in the path is always present.
 func (o *Operation) checkKey(r Request) error {
 	if o.KeySource.In == InNowhere || o.KeySource.In == InPath {
 		return nil
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// parsePlainNumber reads digits without a sign, exponent or zeros ahead, which readers take
-// in different ways (octal, among others).
+// parsePlainNumber parses digits without a sign, an exponent or leading zeros, which parsers treat differently (as
+// octal, for example).
 func parsePlainNumber(text string) (n int, ok bool) {
 	if len(text) == 0 || len(text) > maxNumberDigits || len(text) > 1 && text[0] == '0' {
 		return 0, false
--- a/routing/class.go
+++ b/routing/class.go
@@ -8,23 +8,23 @@
 	"mulleinmux/policy"
 )
 
-// Class is what an operator's file says of a class: the priority of its requests, and
-// the figures of operations that declare none.
+// Class is a class as operators configure it: the priority of its requests, and the defaults of operations that declare
+// no latency objective or deadline.
 type Class struct {
 	Name             string
 	PriorityWeight   float64
-	LateFraction     float64 // part of PriorityWeight between LatencyObjective and Deadline
+	LateFraction     float64 // of PriorityWeight, between LatencyObjective and Deadline; 0 to 1
 	LatencyObjective time.Duration
 	Deadline         time.Duration
 }
 
-// Options are what the operator's files add to a description.
+// Options are the parts of the operators' configuration that a description is compiled with.
 type Options struct {
 	Classes  []Class
 	MaxUnits int // of one request; 0: no limit
 }
 
-// class reads the class of an operation, with the operator's figures.
+// class reads the class of an operation, with the operators' values.
 func (r *extensionReader) class() policy.Class {
 	var names []string
 	for _, class := range r.compiler.options.Classes {
@@ -52,8 +52,8 @@
 	return policy.Class{}
 }
 
-// internClass gives each combination of class and figures a name of its own, the same
-// in every table, and lists it once.
+// internClass gives each combination of a class and its figures a unique name, which is the same in every table, and
+// adds it to the table once.
 func (c *compiler) internClass(class policy.Class) policy.Class {
 	effect := [...]string{
 		policy.Idempotent:        effectSafe,
--- a/routing/compile.go
+++ b/routing/compile.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// maxProblems bounds the problems that are reported of one description.
+// maxProblems is the most problems that are reported for one description.
 const maxProblems = 100
 
-// maxConflictProblems is how many problems there may be when conflicts are searched for: templates that all conflict
-// would make as many as the square of their number.
+// maxConflictProblems is the number of problems at which the search for conflicts ends: if all templates conflict,
+// their number grows with the square of the templates'.
 const maxConflictProblems = 10 * maxProblems
 
-// compiler collects a table and all that is wrong with its description.
+// compiler builds a table and collects the problems of its description.
 type compiler struct {
 	doc        *Document
 	options    Options
@@ -24,8 +24,8 @@
 	classNames map[string]bool // names in table.Classes
 }
 
-// Compile checks a whole description and returns its table. The error is [Problems]: all
-// that is wrong, in the order of the file.
+// Compile checks a description and returns its table. The error is [Problems]: all that were found, in the order of the
+// file.
 func Compile(doc *Document, options Options) (*Table, error) {
 	c := newCompiler(doc, options)
 	c.compileOperations()
@@ -53,7 +53,7 @@
 	}
 }
 
-// compileOperations compiles all operations, but for those whose operationId an earlier one has.
+// compileOperations compiles all operations, except for those with the operationId of an earlier one.
 func (c *compiler) compileOperations() {
 	declaredAt := map[string]Pos{} // by operationId
 	for i := range c.doc.Paths {
@@ -74,7 +74,7 @@
 	}
 }
 
-// compileOperation compiles one operation and enters it under each of its base paths.
+// compileOperation compiles one operation and adds it under each of its base paths.
 func (c *compiler) compileOperation(path *Path, method *Method) {
 	field := fieldOf(path, method)
 	problemsBefore := len(c.problems)
@@ -97,13 +97,21 @@
 	if len(c.problems) > problemsBefore {
 		return
 	}
-	if len(method.BasePaths) == 0 {
-		method.BasePaths = []string{""}
+	c.addAtBasePaths(op, path, method, segments)
+}
+
+// addAtBasePaths adds an operation, whose template has the segments, under each of its base paths.
+func (c *compiler) addAtBasePaths(op *Operation, path *Path, method *Method, segments []segment) {
+	field := fieldOf(path, method)
+	basePaths := method.BasePaths
+	if len(basePaths) == 0 {
+		basePaths = []string{""}
 	}
-	for i, base := range method.BasePaths {
+	for i, base := range basePaths {
 		baseSegments, baseNames, err := parseTemplate(base + "/")
 		if err != nil || len(baseNames) > 0 {
-			c.addProblem(method.Pos, field+".servers", "base path %q can't be: a plain path such as /v1 is wanted", base)
+			c.addProblem(method.Pos, field+".servers",
+				"base path %q can't be: a plain path such as /v1 is wanted", base)
 			return
 		}
 		based := op
@@ -112,12 +120,12 @@
 			*based = *op
 		}
 		based.Template = base + path.Template
-		prefix := baseSegments[:len(baseSegments)-1] // without the empty segment behind the last slash
+		prefix := baseSegments[:len(baseSegments)-1] // without the empty segment after the last slash
 		c.addOperation(based, path, append(slices.Clip(prefix), segments...), field)
 	}
 }
 
-// addOperation enters an operation at its template.
+// addOperation adds an operation at its template.
 func (c *compiler) addOperation(op *Operation, path *Path, segments []segment, field string) {
 	place := c.table.root.insert(segments)
 	if place.item == nil {
@@ -131,7 +139,8 @@
 	}
 	item := place.item
 	if item.declaredPath != path.Template || item.pos != path.Pos || item.template != op.Template {
-		c.addProblem(path.Pos, field, "%s %s and %s %s (line %d) are the same path to a router, for example %s: keep one",
+		c.addProblem(path.Pos, field,
+			"%s %s and %s %s (line %d) are the same path to a router, for example %s: keep one",
 			op.Method, op.Template, item.firstMethod(), item.template, item.pos.Line, examplePath(segments))
 		return
 	}
@@ -144,7 +153,7 @@
 	c.table.addLiterals(segments, item)
 }
 
-// reportConflicts finds pairs of templates of which neither is the narrower. A template without
+// reportConflicts reports pairs of templates that match the same path, if neither is narrower. A template without
 // parameters is narrower than any other that matches its path.
 func (c *compiler) reportConflicts() {
 	order := map[*pathItem]int{}
@@ -173,8 +182,8 @@
 	c.problems = append(c.problems, Problem{c.doc.File, pos, field, fmt.Sprintf(format, args...)})
 }
 
-// addProblemOnce adds a problem unless it is there: what a path or the document declares is seen
-// again with each operation.
+// addProblemOnce adds a problem unless it was added before: declarations of a path or the document are read again
+// for each operation.
 func (c *compiler) addProblemOnce(pos Pos, field, format string, args ...any) {
 	problem := Problem{c.doc.File, pos, field, fmt.Sprintf(format, args...)}
 	if !slices.Contains(c.problems, problem) {
@@ -182,7 +191,7 @@
 	}
 }
 
-// sortedProblems returns the first problems in the order of the file.
+// sortedProblems returns at most maxProblems problems, in the order of the file, and the number of the others.
 func (c *compiler) sortedProblems() Problems {
 	problems := c.problems
 	slices.SortStableFunc(problems, func(a, b Problem) int {
@@ -195,7 +204,7 @@
 	return problems
 }
 
-// fieldOf names an operation in problems.
+// fieldOf returns the field of an operation for problems.
 func fieldOf(path *Path, method *Method) string {
 	return "paths." + path.Template + "." + strings.ToLower(method.Name)
 }
--- a/routing/document.go
+++ b/routing/document.go
@@ -1,17 +1,14 @@
-// Package routing decides what a request is: which operation of an OpenAPI
-// description it asks for, of which class it is, how many units it takes and
-// what repeating it does.
+// Package routing classifies requests: by an OpenAPI description it determines the operation, class, units and
+// idempotency of each.
 //
-// [Compile] turns a description, read by package openapi, into an immutable
-// [Table]; [Table.Match] finds the operation of a request and
-// [Operation.Charge] reads its units. The package does no I/O and keeps no
-// state: a table may be used by any number of goroutines, and a request that
-// holds its [Operation] keeps the version that it was matched with.
+// [Compile] compiles a description, parsed by package openapi, into an immutable [Table]; [Table.Match] finds the
+// operation of a request and [Operation.Charge] reads its units. The package does no I/O and has no state: a table is
+// safe for concurrent use, and a request that holds its [Operation] keeps the version that it was matched with.
 package routing
 
-// Document is what a description says, as far as routing and units depend on it.
+// Document is the part of a description on which routing and units depend.
 type Document struct {
-	File      string // named in problems
+	File      string // its name, for problems
 	Version   string // info.version
 	Extension *Value // x-mulleinmux of the document; nil: none
 	Paths     []Path
@@ -31,8 +28,8 @@
 	ID        string // operationId; empty: none
 	Pos       Pos
 	Extension *Value
-	BasePaths []string // base paths of the servers in force; each without a slash at its end
-	Params    []Param  // of the operation, and of the path where the operation has none of that name
+	BasePaths []string // of the servers that apply to it; each without a trailing slash
+	Params    []Param  // of the operation, and of the path unless the operation overrides them
 	Body      *Schema  // of a JSON body; nil: none is described
 }
 
@@ -49,10 +46,10 @@
 	Properties       func(name string) *Schema // nil: no such property is described
 }
 
-// Pos is a place in a file, from line 1 and column 1. The zero Pos is unknown.
+// Pos is a position in a file, from line 1 and column 1. The zero Pos is unknown.
 type Pos struct{ Line, Column int }
 
-// Value is a value of an x-mulleinmux extension, with its place.
+// Value is a value of an x-mulleinmux extension, with its position.
 type Value struct {
 	Pos    Pos
 	Kind   Kind
@@ -72,6 +69,11 @@
 	OtherValue // a list or null
 )
 
+var kindNames = [...]string{"text", "number", "boolean", "mapping", "other"}
+
+// String returns the kind's name.
+func (k Kind) String() string { return kindNames[k] }
+
 // Field is one field of a mapping.
 type Field struct {
 	Name  string
--- a/routing/extension.go
+++ b/routing/extension.go
@@ -43,16 +43,16 @@
 	groupCell = "cell"
 )
 
-// maxDuration bounds latency objectives, deadlines and deduplication windows.
+// maxDuration is the longest latency objective, deadline or deduplication window.
 const maxDuration = time.Hour
 
-// declaredField is a field of the nearest extension that has it.
+// declaredField is a field of an extension, with its path for problems.
 type declaredField struct {
 	Field
 	path string // from the root of the document
 }
 
-// extensionReader reads the extension fields that hold for one operation.
+// extensionReader reads the extension fields that apply to one operation.
 type extensionReader struct {
 	compiler *compiler
 	fields   map[string]declaredField
@@ -60,8 +60,8 @@
 	path     string // of the operation, from the root of the document
 }
 
-// readExtensions fills in what the extensions say of an operation: for each field the nearest
-// one counts, of the operation, its path or the document.
+// readExtensions sets the fields of an operation from the extensions. Each field is taken from the nearest extension
+// that has it: that of the operation, its path or the document.
 func (c *compiler) readExtensions(op *Operation, path *Path, method *Method, operationPath string) {
 	r := &extensionReader{compiler: c, fields: map[string]declaredField{}, method: method, path: operationPath}
 	r.collect(method.Extension, operationPath)
@@ -91,7 +91,7 @@
 	op.Class = c.internClass(class)
 }
 
-// collect takes in the fields of an extension that no nearer one has.
+// collect adds the fields of an extension that no nearer one has.
 func (r *extensionReader) collect(extension *Value, owner string) {
 	if extension == nil {
 		return
@@ -113,7 +113,7 @@
 	}
 }
 
-// ownPath is where a field stands if the operation itself declares it.
+// ownPath returns the path of a field that the operation itself declares.
 func (r *extensionReader) ownPath(name string) string {
 	return r.path + "." + extensionName + "." + name
 }
@@ -123,17 +123,18 @@
 	return strings.HasPrefix(field.path, r.path+".")
 }
 
-// report adds a problem of a field's value.
+// report adds a problem at a field's value.
 func (r *extensionReader) report(field declaredField, format string, args ...any) {
 	r.compiler.addProblemOnce(field.Value.Pos, field.path, format, args...)
 }
 
-// reportMissing adds a problem of a field that no extension has.
+// reportMissing adds a problem for a field that no extension has.
 func (r *extensionReader) reportMissing(name, format string, args ...any) {
 	r.compiler.addProblemOnce(r.method.Pos, r.ownPath(name), format, args...)
 }
 
-// enum reads a field that is one of some words; empty: it is missing or none of them.
+// enum reads a field whose value is one of some words. It returns "" if the field is missing or, which it reports, has
+// another value.
 func (r *extensionReader) enum(name string, words ...string) string {
 	field, ok := r.fields[name]
 	if !ok {
@@ -146,7 +147,8 @@
 	return field.Value.Text
 }
 
-// duration reads a field that is a duration, or returns a default where it is missing or invalid.
+// duration reads a field whose value is a duration. It returns the default if the field is missing or, which it
+// reports, invalid.
 func (r *extensionReader) duration(name string, defaultValue time.Duration) time.Duration {
 	field, ok := r.fields[name]
 	if !ok {
@@ -161,17 +163,18 @@
 	return value
 }
 
-// rejectKeyedFields reports fields that only an operation with an idempotency key has. Those of a path or the
-// document are for other operations.
+// rejectKeyedFields reports fields that only operations with an idempotency key may have, if the operation itself
+// declares them. Those of a path or the document are for other operations.
 func (r *extensionReader) rejectKeyedFields() {
 	for _, name := range []string{fieldKey, fieldGroup, fieldWindow} {
 		if field, ok := r.fields[name]; ok && field.path == r.ownPath(name) {
-			r.compiler.addProblemOnce(field.Pos, field.path, "only a keyed operation has a %s: declare effect: keyed", name)
+			r.compiler.addProblemOnce(field.Pos, field.path,
+				"only a keyed operation has a %s: declare effect: keyed", name)
 		}
 	}
 }
 
-// inheritedFields names the required fields that the document's extension declares.
+// inheritedFields returns the names of the required fields that only the document's extension declares.
 func (r *extensionReader) inheritedFields() []string {
 	var inherited []string
 	for _, name := range []string{fieldClass, fieldUnits} {
--- a/routing/idempotency.go
+++ b/routing/idempotency.go
@@ -7,19 +7,18 @@
 	"mulleinmux/policy"
 )
 
-// safeMethods change nothing by HTTP (RFC 9110, 9.2.1).
+// safeMethods are the safe methods of HTTP (RFC 9110, 9.2.1).
 var safeMethods = []string{"GET", "HEAD", "OPTIONS", "TRACE"}
 
-// idempotency reads what repeating the operation does. Where nothing is declared, HTTP's
-// meaning of the method holds (RFC 9110, 9.2), but a method that is idempotent by HTTP
-// and changes something counts as unsafe: a repeat that meets a change made in between
-// undoes it.
+// idempotency reads the effect of repeating the operation. By default that is HTTP's (RFC 9110, 9.2), except that
+// idempotent methods that are not safe count as non-idempotent: a repeat would undo a change that another request
+// made in between.
 func (r *extensionReader) idempotency() policy.Idempotency {
 	isSafeMethod := slices.Contains(safeMethods, r.method.Name)
 	isRepeatable := r.isRepeatable()
 	effect, isDeclared := r.fields[fieldEffect]
 	if isDeclared && !isSafeMethod && !r.isOwn(effect) && effect.Value.Text == effectSafe {
-		isDeclared = false // a default for the reads among many operations
+		isDeclared = false // an inherited default, meant for safe methods only
 	}
 	if !isDeclared {
 		if isSafeMethod {
@@ -41,7 +40,7 @@
 	return policy.Idempotent
 }
 
-// isRepeatable reads whether the operation itself says that it may be repeated.
+// isRepeatable reports whether the operation itself declares that it may be repeated.
 func (r *extensionReader) isRepeatable() bool {
 	field, ok := r.fields[fieldRepeatable]
 	if !ok {
@@ -78,7 +77,7 @@
 	return window
 }
 
-// keySource reads which parameter carries the idempotency key.
+// keySource reads which parameter holds the idempotency key.
 func (r *extensionReader) keySource() ParamSource {
 	field, ok := r.fields[fieldKey]
 	if !ok {
--- a/routing/operation.go
+++ b/routing/operation.go
@@ -15,18 +15,18 @@
 	Pos       Pos
 	Index     int // among the table's operations, from 0
 	Class     policy.Class
-	KeySource ParamSource // of the idempotency key, where the operation has one
+	KeySource ParamSource // of the idempotency key; InNowhere: it has none
 	Units     Units
-	// InheritedFields names the fields that an operation that changes something takes from the document's
-	// extension, which is easily forgotten when one is added: class, units.
+	// InheritedFields are the required fields (class, units) that an operation that is not idempotent inherits from
+	// the document, for a warning: a new operation may have been left without its own by mistake.
 	InheritedFields []string
 
 	table        *Table
 	declaredPath string // as the document writes it, without a base path
 }
 
-// PathParams returns the path of the operation as its document writes it, and the values that
-// its parameters have, decoded, in a target that was matched to it.
+// PathParams returns the path template as written in the document, and the decoded values of its parameters in a target
+// that was matched to the operation.
 func (o *Operation) PathParams(target string) (template string, values map[string]string) {
 	path, _, _ := strings.Cut(target, "?")
 	values = map[string]string{}
--- a/routing/path.go
+++ b/routing/path.go
@@ -1,12 +1,10 @@
 package routing
 
-// Which spellings of a path are let in. A server may decode, merge or cut what it gets
-// before it looks for a route, and what it finds then must be what was charged for here.
-// So a path passes only in the one spelling that every such step leaves as it is, and
-// is forwarded byte for byte (RFC 3986, 6.2.2: the normal form; all other spellings of the same
-// path are rejected rather than brought into it).
+// The accepted spellings of a path. A server may decode, merge or truncate a path before it matches a route, and must
+// then find the operation that was charged here. So only the spelling that no such step changes is accepted, and is
+// forwarded byte for byte: the normal form of RFC 3986, 6.2.2. Other spellings are rejected and not normalized.
 
-// byteClass says how a byte may stand in a segment.
+// byteClass is how a byte may be written in a segment.
 type byteClass uint8
 
 const (
@@ -15,13 +13,15 @@
 	delimiter                   // sub-delims, ':' and '@': bare, or percent-encoded where no literal has it
 )
 
-// pathBytes has the class of each byte. A semicolon is no delimiter: some servers cut a segment there.
+// pathBytes holds the class of each byte. The semicolon is not a delimiter, since some servers truncate a segment
+// there.
 var pathBytes = func() (classes [256]byteClass) {
 	for c := '0'; c <= '9'; c++ {
 		classes[c] = unreserved
 	}
 	for c := 'a'; c <= 'z'; c++ {
-		classes[c], classes[c-'a'+'A'] = unreserved, unreserved
+		classes[c] = unreserved
+		classes[c-'a'+'A'] = unreserved
 	}
 	for _, c := range "-._~" {
 		classes[c] = unreserved
@@ -32,7 +32,7 @@
 	return classes
 }()
 
-// allDelimiters holds a template to one spelling of each delimiter.
+// allDelimiters allows all delimiters in their bare spelling only, for the literal parts of templates.
 var allDelimiters = func() (isBareOnly [256]bool) {
 	for c := range isBareOnly {
 		isBareOnly[c] = pathBytes[c] == delimiter
@@ -40,13 +40,12 @@
 	return isBareOnly
 }()
 
-// CheckPath returns why a path, as it stands in a request's target before any '?', is
-// not let in, or "" if it is. It makes no allocation. Delimiters that no literal part of
-// a template has may stand percent-encoded, as clients' libraries write them: RFC 3986
-// holds the two spellings for different, and neither can become another operation's path.
+// CheckPath returns why a path, the part of a request's target before any '?', is rejected, or "" if it is accepted. It
+// does not allocate. Delimiters that no literal part of a template contains may be percent-encoded, as some client
+// libraries do: by RFC 3986 the two spellings are different, and neither can become another operation's path.
 func (t *Table) CheckPath(path string) string { return checkPath(path, &t.literalDelimiters) }
 
-// checkPath is [Table.CheckPath] with the delimiters that may stand bare only.
+// checkPath is [Table.CheckPath] for a set of delimiters that must not be percent-encoded.
 func checkPath(path string, isBareOnly *[256]bool) string {
 	if len(path) == 0 || path[0] != '/' {
 		return "the path does not begin with a slash"
@@ -106,7 +105,7 @@
 	return ""
 }
 
-// upperHexValue is the value of a hexadecimal digit in upper case; -1: it is none.
+// upperHexValue returns the value of a hexadecimal digit in upper case, or -1 for any other byte.
 func upperHexValue(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
--- a/routing/path_item.go
+++ b/routing/path_item.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// pathItem holds the operations of one path. Its invariant: each method stands once, and get and allowHeader
-// follow from operations.
+// pathItem holds the operations of one path. Invariant: each method occurs once, and get and allowHeader are derived
+// from operations.
 type pathItem struct {
 	template     string
 	segments     []segment
 	declaredPath string // as the document writes it
 	pos          Pos
 	operations   []*Operation
-	get          *Operation // the most frequent method
-	allowHeader  string
+	get          *Operation // for fast access: GET is the most frequent method
+	allowHeader  string     // value of an Allow header
 }
 
 // operation returns the operation of a method, or nil.
@@ -28,7 +28,7 @@
 		}
 	}
 	if method == "HEAD" {
-		// RFC 9110, 9.3.2: HEAD asks for what GET would answer, without its content.
+		// RFC 9110, 9.3.2: HEAD is answered like GET, without the content.
 		return item.get
 	}
 	return nil
@@ -39,7 +39,7 @@
 	return slices.ContainsFunc(item.operations, func(o *Operation) bool { return o.Method == method })
 }
 
-// add enters an operation whose method is new to the path.
+// add adds an operation whose method is new to the path.
 func (item *pathItem) add(op *Operation) {
 	item.operations = append(item.operations, op)
 	if op.Method == "GET" {
@@ -48,7 +48,7 @@
 	item.allowHeader = item.buildAllowHeader()
 }
 
-// firstMethod names the path's first operation in problems.
+// firstMethod returns the method of the path's first operation, for problems.
 func (item *pathItem) firstMethod() string {
 	if len(item.operations) == 0 {
 		return ""
@@ -56,7 +56,7 @@
 	return item.operations[0].Method
 }
 
-// buildAllowHeader returns the value of an Allow header: what is described, and what follows from it.
+// buildAllowHeader returns the value of an Allow header: the methods described and those that they imply.
 func (item *pathItem) buildAllowHeader() string {
 	var methods []string
 	for _, o := range item.operations {
--- a/routing/problem.go
+++ b/routing/problem.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong with a description.
+// Problem is one error in a description.
 type Problem struct {
 	File  string
 	Pos   Pos
@@ -13,7 +13,7 @@
 	Text  string // what is wrong and what to do
 }
 
-// Error names the file, the position and the field ahead of the text.
+// Error returns the text, preceded by the file, the position and the field.
 func (p Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -30,10 +30,10 @@
 	return b.String() + p.Text
 }
 
-// Problems are all that is wrong with a description, in its order.
+// Problems are the errors in a description, in the order of the file.
 type Problems []Problem
 
-// Error has a line for each problem.
+// Error returns one line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
--- a/routing/query.go
+++ b/routing/query.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// What is wrong with a query.
+// Errors of a query.
 var (
 	errSemicolon      = errors.New("the query has a semicolon, which some take for a separator")
 	errBrokenEncoding = errors.New("the query has a broken percent-encoding")
 )
 
-// queryValue returns the one value of a name. It makes no allocation for a query without
-// percent-encoding. Names that differ only in case, or stand with brackets behind them as
-// for lists, are taken for the name too: some readers do.
+// queryValue returns the only value of a name. It does not allocate for a query without percent-encoding. Names that
+// differ only in case, or are followed by brackets as for lists, count as the same name, since some servers treat
+// them so.
 func queryValue(query, name string) (string, error) {
 	if strings.IndexByte(query, ';') >= 0 {
 		return "", errSemicolon
@@ -49,13 +49,13 @@
 	return value, nil
 }
 
-// bareQueryName is a name without the brackets of a list and the space that some readers drop.
+// bareQueryName returns a name without the brackets of a list and the white space that some servers remove.
 func bareQueryName(key string) string {
 	bare, _, _ := strings.Cut(key, "[")
 	return strings.Trim(bare, " \t\x00")
 }
 
-// unescapeQuery decodes a name or value. It makes no allocation for one that is not encoded.
+// unescapeQuery decodes a name or value. It does not allocate for one that is not encoded.
 func unescapeQuery(text string) (string, error) {
 	if !strings.ContainsAny(text, "%+") {
 		return text, nil
--- a/routing/source.go
+++ b/routing/source.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// maxBodyDepth bounds how deep in a body a property may stand.
+// maxBodyDepth is the deepest nesting of a property in a body.
 const maxBodyDepth = 8
 
-// What is wrong with a parameter of a request.
+// Errors of a parameter of a request.
 var (
 	errMissing   = errors.New("is missing")
-	errDuplicate = errors.New("stands more than once") // where one is wanted
+	errDuplicate = errors.New("stands more than once") // only one is allowed
 )
 
-// Location is where in a request a parameter stands.
+// Location is the part of a request that holds a parameter.
 type Location int
 
 // The locations.
@@ -34,7 +34,7 @@
 	Path []string // of a body: the names from the outermost object inwards
 }
 
-// String names the parameter in problems and errors.
+// String returns the parameter's description for problems and errors.
 func (s ParamSource) String() string {
 	return [...]string{
 		InNowhere: "nowhere",
@@ -45,7 +45,7 @@
 	}[s.In] + s.Name
 }
 
-// valueType is the type that a property of a body must have.
+// valueType is the required type of a property in a body.
 type valueType int
 
 const (
@@ -53,7 +53,7 @@
 	numberType
 )
 
-// read returns the text of a parameter. A property of a body must be of the type that is wanted.
+// read returns the text of a parameter. A property of a body must be of the type wanted.
 func (s ParamSource) read(r Request, want valueType) (string, error) {
 	switch s.In {
 	case InQuery:
@@ -69,7 +69,7 @@
 	return "", errMissing
 }
 
-// headerValue returns the one value of a header field.
+// headerValue returns the only value of a header field.
 func headerValue(h Header, name string) (string, error) {
 	value, lines := h.Values(name)
 	if lines > 1 || h.Resembles(name) {
@@ -81,7 +81,8 @@
 	return value, nil
 }
 
-// paramSource reads a field that names one parameter of the operation, by its location and name.
+// paramSource reads a field that names a parameter of the operation by location and name. It also returns the
+// parameter's schema.
 func (r *extensionReader) paramSource(field Field) (ParamSource, *Schema, error) {
 	source := ParamSource{Name: field.Value.Text}
 	if field.Value.Kind != TextValue || field.Value.Text == "" {
@@ -113,7 +114,7 @@
 func (m *Method) param(in, name string) *Param {
 	for i := range m.Params {
 		p := &m.Params[i]
-		// Header names know no case.
+		// Names of header fields are case-insensitive.
 		if p.In == in && (p.Name == name || in == "header" && strings.EqualFold(p.Name, name)) {
 			return p
 		}
--- a/routing/table.go
+++ b/routing/table.go
@@ -6,33 +6,38 @@
 	"mulleinmux/policy"
 )
 
-// Table is a compiled description. Its invariant: any path matches at most one
-// template that no other matching template is narrower than.
+// Table is a compiled description. It is immutable. Invariant: of the templates that match a path, one is narrower
+// than all others.
 type Table struct {
 	File       string
 	Version    string // info.version of the description
 	Operations []*Operation
-	Classes    []policy.Class // each named once
+	Classes    []policy.Class // with unique names
 
 	literalPaths      map[string]*pathItem // templates without parameters, by path
 	root              *node
-	literalDelimiters [256]bool // delimiters in literal parts
+	literalDelimiters [256]bool // delimiters that literal parts contain
 }
 
-// MatchResult says whether a request's method and path have an operation.
+// MatchResult is whether a request's method and path have an operation.
 type MatchResult int
 
-// The results.
+// The results of a match.
 const (
 	Found         MatchResult = iota
 	UnknownPath               // no template matches
-	UnknownMethod             // the path is known, the method is not: see the Allow header
-	Preflight                 // OPTIONS of a known path that describes none: see the Allow header
+	UnknownMethod             // a template matches, but has no operation of the method
+	Preflight                 // OPTIONS of a path that describes no such operation
 )
 
-// Match finds the operation of a method and a path, which must have passed
-// [Table.CheckPath]. It makes no allocation. With UnknownMethod and Preflight, allow is the
-// value of an Allow header. HEAD is the operation GET where none of its own is described.
+var matchResultNames = [...]string{"found", "unknown path", "unknown method", "preflight"}
+
+// String returns the result's name.
+func (r MatchResult) String() string { return matchResultNames[r] }
+
+// Match finds the operation of a method and a path, which [Table.CheckPath] must have accepted. It does not
+// allocate. With UnknownMethod and Preflight, allow is the value of an Allow header. HEAD matches the operation of
+// GET unless it has one of its own.
 func (t *Table) Match(method, path string) (op *Operation, allow string, result MatchResult) {
 	item := t.literalPaths[path]
 	if item == nil && path != "" {
@@ -50,8 +55,8 @@
 	return nil, item.allowHeader, UnknownMethod
 }
 
-// KeyLifetimes returns the longest time over which a client repeats a request that has an idempotency key, and the
-// shortest over which servers drop repeats, as declared; 0 without such operations.
+// KeyLifetimes returns the longest deadline and the shortest deduplication window of all operations with an idempotency
+// key; 0 without such operations.
 func (t *Table) KeyLifetimes() (deadline, dedupWindow time.Duration) {
 	for _, op := range t.Operations {
 		if op.KeySource.In == InNowhere {
@@ -65,7 +70,7 @@
 	return deadline, dedupWindow
 }
 
-// addLiterals enters the literal parts of a template, and its whole path where it has no parameters.
+// addLiterals records the delimiters in the literal parts of a template, and its path if it has no parameters.
 func (t *Table) addLiterals(segments []segment, item *pathItem) {
 	path := ""
 	for _, s := range segments {
--- a/routing/template.go
+++ b/routing/template.go
@@ -6,17 +6,16 @@
 	"strings"
 )
 
-// exampleValue stands for a parameter's value in examples of paths.
+// exampleValue is a parameter's value in examples of paths.
 const exampleValue = "x"
 
-// segment is one segment of a template: a literal, or a parameter between two literal
-// parts, either of which may be empty.
+// segment is one segment of a template: a literal, or a parameter with a literal prefix and suffix, which may be empty.
 type segment struct {
 	isParam        bool
-	prefix, suffix string // prefix is the whole of a literal
+	prefix, suffix string // a literal is in prefix
 }
 
-// matches reports whether a segment of a path is one that the template's stands for.
+// matches reports whether the segment matches one of a path.
 func (s segment) matches(text string) bool {
 	if !s.isParam {
 		return text == s.prefix
@@ -24,10 +23,10 @@
 	return len(text) > s.literalLen() && strings.HasPrefix(text, s.prefix) && strings.HasSuffix(text, s.suffix)
 }
 
-// literalLen is the length of the literal parts.
+// literalLen returns the length of the literal parts.
 func (s segment) literalLen() int { return len(s.prefix) + len(s.suffix) }
 
-// isWithin reports whether o stands for all that s stands for.
+// isWithin reports whether o matches everything that s matches.
 func (s segment) isWithin(o segment) bool {
 	if !o.isParam {
 		return !s.isParam && s.prefix == o.prefix
@@ -38,7 +37,7 @@
 	return strings.HasPrefix(s.prefix, o.prefix) && strings.HasSuffix(s.suffix, o.suffix)
 }
 
-// common returns a text that both stand for, and false if there is none.
+// common returns a text that both segments match, and whether there is one.
 func (s segment) common(o segment) (string, bool) {
 	switch {
 	case !s.isParam:
@@ -58,8 +57,8 @@
 	return longPrefix + exampleValue + longSuffix, isCommon
 }
 
-// parseTemplate splits a template into segments, with literals in the one spelling that
-// [Table.CheckPath] lets pass, and returns the names of its parameters.
+// parseTemplate parses a template into segments, with literals in the spelling that [Table.CheckPath] accepts, and
+// returns the names of its parameters.
 func parseTemplate(text string) (segments []segment, names []string, err error) {
 	if !strings.HasPrefix(text, "/") {
 		return nil, nil, fmt.Errorf("path %q does not begin with a slash", text)
@@ -93,18 +92,20 @@
 	if open < 0 && end < 0 {
 		return segment{prefix: escapeLiteral(part)}, "", nil
 	}
-	isOneParam := open >= 0 && end >= open+2 && !strings.ContainsAny(part[end+1:], "{}") && strings.Count(part, "{") == 1
+	isOneParam := open >= 0 && end >= open+2 &&
+		!strings.ContainsAny(part[end+1:], "{}") && strings.Count(part, "{") == 1
 	if !isOneParam {
-		return segment{}, "", fmt.Errorf("segment %q: one parameter in braces is wanted, such as {id} or {id}.pdf", part)
+		const text = "segment %q: one parameter in braces is wanted, such as {id} or {id}.pdf"
+		return segment{}, "", fmt.Errorf(text, part)
 	}
 	s = segment{isParam: true, prefix: escapeLiteral(part[:open]), suffix: escapeLiteral(part[end+1:])}
 	return s, part[open+1 : end], nil
 }
 
-// checkSpelling checks the literal parts of a segment, as they will stand in paths.
+// checkSpelling checks that paths with the literal parts of a segment are accepted.
 func (s segment) checkSpelling(declared string) error {
 	if declared == "" {
-		return nil // behind the last slash
+		return nil // after the last slash
 	}
 	path := "/" + s.prefix
 	if s.isParam {
@@ -130,8 +131,7 @@
 	return b.String()
 }
 
-// escapeLiteral writes what may not stand bare in a path in percent-encoding, and leaves what
-// is encoded already.
+// escapeLiteral percent-encodes the bytes that a path must not contain bare, and leaves encoded ones unchanged.
 func escapeLiteral(s string) string {
 	const hex = "0123456789ABCDEF"
 	var b strings.Builder
@@ -147,7 +147,7 @@
 	return b.String()
 }
 
-// findConflict returns a path that both templates match if neither is the narrower.
+// findConflict returns a path that both templates match, if neither is narrower.
 func findConflict(a, b []segment) (example string, isConflict bool) {
 	isAWithin, isBWithin := true, true
 	for i := range a {
--- a/routing/tree.go
+++ b/routing/tree.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// node is a place in the tree of templates, with an edge for each segment that may follow.
+// node is a node in the tree of templates, with an edge for each segment that may follow.
 type node struct {
-	literals map[string]*node
-	affixed  []edge // the longer literal parts first: of two that nest, the narrower
-	wildcard *node
-	item     *pathItem
+	literals map[string]*node // by literal segment
+	affixed  []edge           // longer literal parts first: of two that match a segment, the narrower
+	wildcard *node            // for a parameter alone; nil: none
+	item     *pathItem        // of the template that ends here; nil: none
 }
 
 // edge is a segment with a parameter between literal parts, at least one of which is not empty.
@@ -20,7 +20,7 @@
 	child   *node
 }
 
-// insert returns the node of a template, made where there is none.
+// insert returns the node of a template, which it adds if there is none.
 func (n *node) insert(segments []segment) *node {
 	for _, s := range segments {
 		n = n.ensureChild(s)
@@ -28,7 +28,7 @@
 	return n
 }
 
-// ensureChild returns the node behind a segment, made where there is none.
+// ensureChild returns the node after a segment, which it adds if there is none.
 func (n *node) ensureChild(s segment) *node {
 	switch {
 	case !s.isParam:
@@ -58,9 +58,9 @@
 	return child
 }
 
-// find returns the narrowest item below n that the rest of a path matches, or nil. The
-// rest has no slash ahead. Where two templates match, one is narrower at every segment,
-// or Compile would have rejected them: the first found by trying the narrower edge first.
+// find returns the narrowest item below n that the rest of a path, without a leading slash, matches; nil: none. Of
+// two templates that match, one is narrower at every segment, or Compile would have rejected them. So the first
+// match is the narrowest if narrower edges are tried first.
 func (n *node) find(rest string) *pathItem {
 	text, more, isLast := rest, "", true
 	if i := strings.IndexByte(rest, '/'); i >= 0 {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// descend goes on behind a segment: the path ends there, or has more segments.
+// descend continues after a segment: the path ends here, or has more segments.
 func (n *node) descend(more string, isLast bool) *pathItem {
 	if isLast {
 		return n.item
--- a/routing/units.go
+++ b/routing/units.go
@@ -6,22 +6,22 @@
 	"strconv"
 )
 
-// maxUnits is the most units of one request: what a message between instances holds.
+// maxUnits is the most units of one request, the limit of messages between instances.
 const maxUnits = 1_000_000
 
-// Fields of the extension's units, beside the one that names the parameter.
+// Fields of the extension's units, besides the one that names the parameter.
 const (
 	fieldLeast   = "least"
 	fieldMost    = "most"
 	fieldDefault = "default"
 )
 
-// Units says how many units a request of an operation takes from the quota.
+// Units determines how many units a request of an operation takes from the quota.
 type Units struct {
-	Fixed      int         // above 0: always so many
+	Fixed      int         // units of each request; 0: Source determines them
 	Source     ParamSource // of a number from Min to Max
 	Min, Max   int
-	Default    int // where the parameter is missing
+	Default    int // if the parameter is missing
 	HasDefault bool
 }
 
@@ -29,8 +29,8 @@
 type unitsDeclaration struct {
 	source      ParamSource
 	schema      *Schema        // of the source
-	sourceCount int            // sources that are named: one is wanted
-	bounds      map[string]int // least, most and default, where they are declared
+	sourceCount int            // number of sources named; must be 1
+	bounds      map[string]int // least, most and default, if declared
 }
 
 // units reads how many units a request takes from the quota.
@@ -59,7 +59,7 @@
 	return Units{}
 }
 
-// parameterUnits reads units that a parameter of the request gives.
+// parameterUnits reads units that depend on a parameter of the request.
 func (r *extensionReader) parameterUnits(field declaredField, limit int) Units {
 	declaration, ok := r.unitsDeclaration(field, limit)
 	if !ok {
@@ -94,7 +94,7 @@
 	return u
 }
 
-// unitsDeclaration reads the parts of a mapping up to the first invalid one, which it reports.
+// unitsDeclaration reads the fields of a mapping. It reports the first invalid one and returns false.
 func (r *extensionReader) unitsDeclaration(field declaredField, limit int) (d unitsDeclaration, ok bool) {
 	d.bounds = map[string]int{}
 	for _, part := range field.Value.Fields {
@@ -114,7 +114,7 @@
 	return d, true
 }
 
-// unitsRange is the range of units that a schema allows; a largest of 0: it sets no maximum.
+// unitsRange returns the range of units that a schema allows; largest is 0 if it has no maximum.
 func (s *Schema) unitsRange(limit int) (smallest, largest int) {
 	smallest = 1
 	if s.Minimum != nil && *s.Minimum > 1 {
@@ -126,7 +126,7 @@
 	return smallest, largest
 }
 
-// parseWholeNumber reads a number from 1 to a limit.
+// parseWholeNumber parses a number from 1 to a limit.
 func parseWholeNumber(v Value, limit int) (int, error) {
 	n, err := strconv.Atoi(v.Text)
 	if v.Kind != NumberValue || err != nil {
