--- a/clusterconfig/apply.go
+++ b/clusterconfig/apply.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
 	"slices"
 	"strings"
 
@@ -111,8 +110,7 @@
 	}
 	canonicalize, ok := canonicalizers[c.Kind]
 	if !ok {
-		known := slices.Sorted(maps.Keys(canonicalizers))
-		return fmt.Errorf("kind: one of %s is wanted", strings.Join(known, ", "))
+		return fmt.Errorf("kind: one of %s is wanted", strings.Join(Kinds(), ", "))
 	}
 	key := objectKey(c.Kind, c.Name)
 	touched.add(c.Kind, key)
--- a/clusterconfig/validation.go
+++ b/clusterconfig/validation.go
@@ -4,7 +4,9 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"net/netip"
+	"slices"
 )
 
 // Limits of objects' fields.
@@ -33,6 +35,9 @@
 	KindDescription: newCanonicalizer((*Description).check),
 }
 
+// Kinds returns all kinds of objects, sorted.
+func Kinds() []string { return slices.Sorted(maps.Keys(canonicalizers)) }
+
 func newCanonicalizer[T any](check func(*T) error) func(json.RawMessage) (json.RawMessage, error) {
 	return func(text json.RawMessage) (json.RawMessage, error) {
 		var v T
--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -119,7 +119,7 @@
 		Persist: func(*configstream.DurableState) error { return nil },
 		Check:   func(*configstream.Version) []configstream.Problem { return nil },
 		Install: f.install,
-		Confirm: func(time.Time, time.Time, bool, bool) {},
+		Confirm: func(cluster.VersionConfirmation) {},
 	}
 	logger := log.New(io.Discard, "", 0)
 	f.stream = cluster.NewStreamClient(cfg, configstream.DurableState{StartCount: 1}, handlers, logger)
--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -17,12 +17,12 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// The admin API answers operators and members over HTTP/1.1 and TLS, in JSON. The certificate says who asks.
+// The admin API serves operators and members over HTTP/1.1 and TLS, in JSON. The certificate identifies the caller.
 //
 //	GET  /v1/status   this member's view                          Status
 //	GET  /v1/config   the objects; with ?local=1: as applied here  Objects
 //	GET  /v1/stream   the followers' status                       FollowerList
-//	GET  /v1/history  the versions retained                       []clusterconfig.Record
+//	GET  /v1/history  the versions retained                       []clusterconfig.HistoryRecord
 //	POST /v1/check    a clusterconfig.Proposal: is it applicable?  clusterconfig.Outcome
 //	POST /v1/propose  a clusterconfig.Proposal                    clusterconfig.Outcome
 //	POST /v1/members  a MembershipChange                          Status
@@ -85,7 +85,7 @@
 		IdleTimeout:       adminIdleTimeout,
 		MaxHeaderBytes:    maxAdminHeaderBytes,
 		TLSConfig:         m.cfg.Credentials.TLSConfig(),
-		Handler:           m.adminGate(m.adminRoutes()),
+		Handler:           m.limitCallers(m.adminRoutes()),
 	}
 	tasks.Go(func() { server.Serve(tls.NewListener(ln, server.TLSConfig)) })
 	return server
@@ -106,8 +106,8 @@
 	return mux
 }
 
-// adminGate admits authenticated callers, and so many at a time.
-func (m *Member) adminGate(next http.Handler) http.Handler {
+// limitCallers admits only authenticated callers, and at most maxConcurrentAdminReqs calls at a time.
+func (m *Member) limitCallers(next http.Handler) http.Handler {
 	inFlight := make(chan struct{}, maxConcurrentAdminReqs)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := m.authenticate(r); err != nil {
@@ -141,10 +141,10 @@
 	return holder, nil
 }
 
-// errNoCertificate says that a caller has shown no certificate.
+// errNoCertificate reports that a caller has presented no certificate.
 var errNoCertificate = errors.New("no certificate")
 
-// respond makes a handler that answers with what serve returns, within the caller's timeout.
+// respond returns a handler that responds with the result of serve, within the caller's timeout.
 func respond[Response any](m *Member, serve func(context.Context, *http.Request) (Response, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), adminTimeout(r))
@@ -170,7 +170,7 @@
 	})
 }
 
-// adminTimeout is the time that the caller leaves for its request.
+// adminTimeout returns the caller's timeout for its request.
 func adminTimeout(r *http.Request) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get(headerTimeout))
 	if err != nil || ms <= 0 {
--- a/internal/cluster/admin_members.go
+++ b/internal/cluster/admin_members.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	maxVoterLag        = 64 // entries: a learner that lacks fewer may vote
-	ticksPerLagRequest = 2
+	maxVoterLag        = 64 // committed entries that a learner may lack when it becomes a voter
+	ticksPerLagRequest = 2  // between two checks of a learner's lag
 )
 
-// MembershipChange changes the members, or which of them leads.
+// MembershipChange is a request to change the members or the leader.
 type MembershipChange struct {
 	Op            string                `json:"op"` // "add", "remove", "replace" or "transfer"
 	MemberID      uint64                `json:"member"`
-	ReplacementID uint64                `json:"with,omitempty"` // of replace: the new member
-	Addrs         *clusterconfig.Member `json:"at,omitempty"`   // of add and replace: where the new member is reached
+	ReplacementID uint64                `json:"with,omitempty"` // for replace: the new member
+	Addrs         *clusterconfig.Member `json:"at,omitempty"`   // for add and replace: of the new member
 }
 
-// voterChange returns the changes of voters and learners that are still to be made; several at once are a joint change.
+// voterChange returns the changes of voters and learners that remain to be made. Several at once are a joint change.
 type voterChange func(voters, learners []uint64) []*raftpb.ConfChangeSingle
 
 // changeMembers changes the members. A new one is a learner until it has caught up.
@@ -47,7 +47,7 @@
 	if status.Leader == 0 {
 		return nil, raftnode.ErrNoLeader
 	}
-	if status.Leader != status.ID { // only the leader knows how far a learner has come
+	if status.Leader != status.ID { // only the leader knows a learner's lag
 		return m.forwardToLeader(ctx, r, status.Leader, change)
 	}
 	isMember := slices.Contains(status.Voters, change.MemberID) || slices.Contains(status.Learners, change.MemberID)
--- a/internal/cluster/admin_proposals.go
+++ b/internal/cluster/admin_proposals.go
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// checkProposal returns what a proposal would come to.
+// checkProposal returns the outcome that a proposal would have.
 func (m *Member) checkProposal(ctx context.Context, r *http.Request, p *clusterconfig.Proposal) (
 	outcome clusterconfig.Outcome, err error) {
 	if err := m.completeProposal(r, p); err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return outcome, err
 	}
-	return accepted(dryRun(state, p))
+	return rejectedAsError(dryRun(state, p))
 }
 
 // propose has a proposal applied.
@@ -56,24 +56,24 @@
 		return outcome, err
 	}
 	if local.Check(p) != nil {
-		outcome, settled, err := m.settleRejected(ctx, p)
+		outcome, isSettled, err := m.settleRejected(ctx, p)
 		if err != nil {
 			return outcome, err
 		}
-		if settled {
-			return accepted(outcome)
+		if isSettled {
+			return rejectedAsError(outcome)
 		}
 	}
 	if outcome, err = m.node.Propose(ctx, p); err != nil {
 		return outcome, err
 	}
-	return accepted(outcome)
+	return rejectedAsError(outcome)
 }
 
 // settleRejected returns the outcome of a proposal that this member's state rejects: the recorded one of a repeated
-// proposal, or the rejection by the quorum's state. Where that would apply it, the proposal is not settled.
+// proposal, or the rejection by the quorum's state. If the quorum's state accepts it, the proposal is not settled.
 func (m *Member) settleRejected(ctx context.Context, p *clusterconfig.Proposal) (
-	outcome clusterconfig.Outcome, settled bool, err error) {
+	outcome clusterconfig.Outcome, isSettled bool, err error) {
 	var newest *clusterconfig.State
 	var isRepeated bool
 	err = m.node.LinearizableRead(ctx, func(s *clusterconfig.State) {
@@ -95,26 +95,26 @@
 	return clusterconfig.Outcome{Version: state.Version(), IsApplied: true}
 }
 
-// accepted turns the outcome of a rejected proposal into an error with status 409.
-func accepted(outcome clusterconfig.Outcome) (clusterconfig.Outcome, error) {
+// rejectedAsError turns the outcome of a rejected proposal into an error with status 409.
+func rejectedAsError(outcome clusterconfig.Outcome) (clusterconfig.Outcome, error) {
 	if !outcome.IsApplied {
 		return outcome, &statusError{http.StatusConflict, outcome}
 	}
 	return outcome, nil
 }
 
-// proposeMemberAddrs has all members record where a member is reached; nil removes the record.
+// proposeMemberAddrs proposes the addresses of a member; nil removes them.
 func (m *Member) proposeMemberAddrs(ctx context.Context, id uint64, addrs *clusterconfig.Member) error {
 	name := fmt.Sprint(id)
-	change := clusterconfig.Change{Op: changeRemove, Kind: kindMember, Name: name}
+	change := clusterconfig.Change{Op: clusterconfig.OpRemove, Kind: clusterconfig.KindMember, Name: name}
 	if addrs != nil {
-		change = clusterconfig.NewPutChange(kindMember, name, addrs)
+		change = clusterconfig.NewPutChange(clusterconfig.KindMember, name, addrs)
 	}
 	state, err := m.node.AppliedState(ctx)
 	if err != nil {
 		return err
 	}
-	recorded, isRecorded := state.Get(kindMember, name)
+	recorded, isRecorded := state.Get(clusterconfig.KindMember, name)
 	isRemoved := addrs == nil && !isRecorded
 	isUnchanged := addrs != nil && isRecorded && string(recorded) == string(change.Value)
 	if isRemoved || isUnchanged {
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -23,7 +23,7 @@
 	clientIdleTimeout      = 10 * time.Second
 	clientMaxIdleConns     = 4 // to one instance
 	clientMaxResponseBytes = 256 << 20
-	memberStatusTimeout    = 2 * time.Second // for one member's answer of all
+	memberStatusTimeout    = 2 * time.Second // for each member's response
 )
 
 // Client calls the admin API as an operator. It calls the first address that can be reached.
@@ -33,7 +33,7 @@
 	httpClient *http.Client
 }
 
-// ResponseError is an instance's answer with another status than 200.
+// ResponseError is an instance's response with a status other than 200.
 type ResponseError struct {
 	Status  int
 	Message string
@@ -60,7 +60,7 @@
 type adminCall struct {
 	method, path string
 	request      any // marshalled as the body; nil: none
-	response     any // what the answer's body is unmarshalled into
+	response     any // the response's body is unmarshalled into it
 
 	isForwarded bool // by a member to the leader
 }
@@ -127,14 +127,14 @@
 		request.Header.Set(headerForwarded, "1")
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		// The instance gives up a little earlier, so that its error arrives in time.
+		// The instance times out a little earlier, so that its error arrives in time.
 		timeout := max((time.Until(deadline) * 9 / 10).Milliseconds(), 1)
 		request.Header.Set(headerTimeout, strconv.FormatInt(timeout, 10))
 	}
 	return request, nil
 }
 
-// explainUnreachable returns an error that tells a certificate of another cluster from other reasons.
+// explainUnreachable returns an error that distinguishes a certificate of another cluster from other reasons.
 func (c *Client) explainUnreachable(addr string, err error) error {
 	if errors.Is(err, raftnode.ErrUnknownAuthority) {
 		return fmt.Errorf("%s: is not of cluster %q: %w", addr, c.cluster, raftnode.ErrUnknownAuthority)
@@ -211,7 +211,8 @@
 	return records, err
 }
 
-// Check returns what a proposal would come to. One that would be rejected is a [ResponseError] with status 409.
+// Check returns the outcome that a proposal would have. One that would be rejected is a [ResponseError] with status
+// 409.
 func (c *Client) Check(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
 	err = c.post(ctx, pathCheck, p, &o)
 	return o, err
--- a/internal/cluster/client_await.go
+++ b/internal/cluster/client_await.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// missingAt says at which members or followers a version is not in force yet. It is empty once that is so only at
-// maxFollowersBehind followers or fewer.
+// missingAt lists the members or followers at which a version is not in force yet. It returns "" if these are at most
+// maxFollowersBehind followers.
 func (c *Client) missingAt(ctx context.Context, version uint64, maxFollowersBehind int) (string, error) {
 	missing, err := c.membersBehind(ctx, version)
 	if err != nil || missing != "" {
@@ -46,7 +46,7 @@
 	return missing, nil
 }
 
-// membersBehind says which members' instances don't have a version in force.
+// membersBehind lists the members at whose instances a version is not in force.
 func (c *Client) membersBehind(ctx context.Context, version uint64) (string, error) {
 	statuses, failures, err := c.AllStatuses(ctx)
 	var missing strings.Builder
@@ -65,7 +65,7 @@
 	return missing.String(), err
 }
 
-// followersBehind says which followers don't run a version, and how many those are. A member that does not have the
+// followersBehind lists the followers that don't run a version, and counts them. A member that does not have the
 // version itself counts as one more. Instances that serve no followers have none behind.
 func (c *Client) followersBehind(ctx context.Context, version uint64) (missing string, count int, err error) {
 	list, err := c.Followers(ctx)
@@ -88,9 +88,9 @@
 	return missing, count, nil
 }
 
-// runsVersion tells whether a follower runs a version or, where it is pinned to an older one, that.
+// runsVersion reports whether a follower runs a version or, if it is pinned to an older one, that.
 func runsVersion(follower configstream.StreamStatus, version uint64) bool {
-	if follower.State != "running" {
+	if follower.State != configstream.StateRunning {
 		return false
 	}
 	running := follower.Running.Number
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -21,17 +21,17 @@
 	"mulleinmux/multisite"
 )
 
-// defaultTickInterval is Raft's unit of time where a configuration names none.
+// defaultTickInterval is the default of [MemberConfig.TickInterval].
 const defaultTickInterval = 50 * time.Millisecond
 
-// MemberConfig is what a member needs to start.
+// MemberConfig configures a [Member].
 type MemberConfig struct {
 	Cluster     string // name in the certificates
-	MemberID    uint64 // never used again after the member was removed
+	MemberID    uint64 // never reused after the member was removed
 	DataFile    string // of the member's Raft state
 	Credentials raftnode.Credentials
 
-	// Members is where the members are reached at first; agreed addresses take its place.
+	// Members holds the initial addresses of the members; agreed addresses replace it.
 	Members map[uint64]clusterconfig.Member
 
 	// RaftListenAddr is for the other members and AdminListenAddr for operators; where empty, the addresses in Members
@@ -40,17 +40,17 @@
 	AdminListenAddr  string
 	StreamListenAddr string
 
-	SendFullVersions    bool          // to followers, in place of deltas, for comparison
+	SendFullVersions    bool          // to followers, in place of deltas; for benchmarks
 	DisableKeyOwnership bool          // requests with an idempotency key may go to any site: see package multisite
-	TickInterval        time.Duration // 50 ms where 0: an election takes place after 10 to 20 ticks without a leader
+	TickInterval        time.Duration // of Raft; 0: 50 ms. An election follows 10 to 20 ticks without a leader
 
-	// WrapStorage and WrapSend inject the faults of scenarios; they are nil elsewhere.
+	// WrapStorage and WrapSend inject faults in scenarios; nil otherwise.
 	WrapStorage func(raftnode.Storage) raftnode.Storage
 	WrapSend    func(send func(*pb.Message)) func(*pb.Message)
 }
 
-// ErrNotInitialized says that a member has no data file yet. It must be made on purpose, by [InitMember]: a member that
-// started with an empty file under its old number could vote twice.
+// ErrNotInitialized reports that a member has no data file. Only [InitMember] creates one: a member that started
+// with an empty file under its old ID could vote twice in a term.
 var ErrNotInitialized = errors.New("there is no such file: make it once with gateway init, " +
 	"--new-cluster for the first members or --join for a further one")
 
@@ -60,8 +60,8 @@
 	return err
 }
 
-// InitMember makes a member's data file: that of a new cluster whose voters are all members of the configuration or,
-// with join, an empty one for a member that will be added. An existing file is kept: the error is [fs.ErrExist].
+// InitMember creates a member's data file: for a new cluster whose voters are all members of the configuration or, with
+// join, an empty one for a member that will be added. An existing file is not changed: the error wraps [fs.ErrExist].
 func InitMember(cfg *MemberConfig, join bool) error {
 	if _, err := os.Stat(cfg.DataFile); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: %w", cfg.DataFile, fs.ErrExist)
@@ -73,7 +73,8 @@
 	if !join {
 		// All members of a new cluster start from the same empty snapshot.
 		voters := slices.Sorted(maps.Keys(cfg.Members))
-		_, err = raftnode.NewCore(raftnode.Config{ID: cfg.MemberID, Voters: voters, Validate: ValidateDescription}, storage)
+		raftConfig := raftnode.Config{ID: cfg.MemberID, Voters: voters, Validate: ValidateDescription}
+		_, err = raftnode.NewCore(raftConfig, storage)
 	}
 	return errors.Join(err, storage.Close())
 }
@@ -97,7 +98,7 @@
 	return c.TickInterval
 }
 
-// raftAddrs are the addresses at which the members reach each other.
+// raftAddrs returns the Raft addresses of members by ID.
 func raftAddrs(members map[uint64]clusterconfig.Member) map[uint64]string {
 	addrs := make(map[uint64]string, len(members))
 	for id, m := range members {
@@ -106,7 +107,7 @@
 	return addrs
 }
 
-// configureInstance completes an instance's configuration with what a member's incarnation decides.
+// configureInstance completes an instance's configuration with the parts that depend on the member and its incarnation.
 func (c *MemberConfig) configureInstance(instance *gateway.Config, incarnation uint64) {
 	if !c.DisableKeyOwnership {
 		instance.Keys = keyOwnershipConfig(c.MemberID, incarnation)
@@ -130,8 +131,8 @@
 	}
 }
 
-// memberListeners are a member's listeners. Each is closed by the server that is started on it; close is for a start
-// that fails before.
+// memberListeners are a member's listeners. The server that is started on each closes it; close is for a start that
+// fails before.
 type memberListeners struct {
 	raft, admin net.Listener
 	stream      net.Listener // nil: no followers are served
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -14,11 +14,11 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// keyHeartbeatInterval is for followers that send on requests with idempotency keys: ownershipLeaseTTL must not end
-// between two answers.
+// keyHeartbeatInterval is for followers that forward requests with idempotency keys: the key ownership is confirmed
+// with each answer to a heartbeat, and its lease (ownershipLeaseTTL) must not end between two.
 const keyHeartbeatInterval = 300 * time.Millisecond
 
-// FollowerConfig is what a follower needs to start.
+// FollowerConfig configures a [Follower].
 type FollowerConfig struct {
 	Cluster             string
 	Name                string // as in its certificate
@@ -42,28 +42,29 @@
 type FollowerStatus struct {
 	Name           string                   `json:"name"`
 	Running        *configstream.Ref        `json:"running,omitempty"`
-	MemberID       uint64                   `json:"member,omitempty"` // that it receives from; 0: none
-	ConfirmedAgeMs int64                    `json:"age_ms"`           // of what runs; -1: not confirmed since in force
+	MemberID       uint64                   `json:"member,omitempty"` // at the other end of its stream; 0: none
+	ConfirmedAgeMs int64                    `json:"age_ms"`           // since Running was last confirmed; -1: never
 	IsServing      bool                     `json:"serves"`
 	Note           string                   `json:"note,omitempty"`
 	Rejected       []configstream.Rejection `json:"refused,omitempty"`
 }
 
-// Follower is a gateway instance that is no member of the cluster and receives the agreed configuration.
+// Follower is a gateway instance that is not a member of the cluster and receives the agreed configuration.
 type Follower struct {
 	cfg            *FollowerConfig
 	instanceConfig *gateway.Config
 	instance       *gateway.Instance
 	client         *StreamClient
 
-	// These belong to the goroutine of the stream client that calls check and install.
+	// Used only by the goroutine of the stream client that calls check and install.
 	setups       setupBuilder
 	checkedSetup gateway.Setup // of the version checked last
 	isRestored   bool          // the version to be installed first was in force before the process started
 }
 
-// RunFollower runs a follower and its instance until ctx ends. What was in force before is served at once, without any
-// member, as far as the setting for stale configurations allows. started is called once the instance has started.
+// RunFollower runs a follower and its instance until ctx ends. It serves at once with the version that was in force
+// before, without contacting a member, as long as the setting for stale configurations allows. started is called
+// once the instance has started. The error of an unusable file wraps [ErrInvalidFollowerFile].
 func RunFollower(ctx context.Context, cfg *FollowerConfig, instanceConfig *gateway.Config, logger *log.Logger,
 	started func(*Follower)) (err error) {
 	if err := cfg.checkIdentity(); err != nil {
@@ -149,17 +150,18 @@
 	return nil
 }
 
-// confirm tells the instance what a quorum has confirmed.
-func (f *Follower) confirm(versionAt, ownershipAt time.Time, isVersionConfirmed, isOwnershipConfirmed bool) {
-	if isVersionConfirmed {
-		f.instance.ConfirmVersion(versionAt)
+// confirm passes the confirmations of a quorum to the instance.
+func (f *Follower) confirm(confirmed VersionConfirmation) {
+	if !confirmed.VersionAt.IsZero() {
+		f.instance.ConfirmVersion(confirmed.VersionAt)
 	}
-	if isOwnershipConfirmed && f.instanceConfig.Keys != nil {
-		f.instance.ConfirmKeyOwners(ownershipAt)
+	if !confirmed.OwnershipAt.IsZero() && f.instanceConfig.Keys != nil {
+		f.instance.ConfirmKeyOwners(confirmed.OwnershipAt)
 	}
 }
 
-// problemsOf returns why a version can't be served. A text such as "hall a: register: ..." names its object and field.
+// problemsOf returns an error that a version can't be served as problems. It takes object and field from texts such as
+// "hall a: register: ...".
 func problemsOf(err error) []configstream.Problem {
 	problem := configstream.Problem{Text: err.Error()}
 	for _, kind := range objectKinds {
--- a/internal/cluster/follower_file.go
+++ b/internal/cluster/follower_file.go
@@ -13,9 +13,8 @@
 	"mulleinmux/configstream"
 )
 
-// followerFile is a bbolt file with what a follower must know after a restart: [configstream.DurableState]. The contents of
-// versions are stored under their digests and written once; the rest is written anew by each change. A change is synced
-// whole or not at all.
+// followerFile is a bbolt file with a follower's [configstream.DurableState]. The contents of versions are stored under
+// their digests and written once; the rest is rewritten with each change. Each change is one synced transaction.
 type followerFile struct {
 	db *bbolt.DB
 }
@@ -34,7 +33,7 @@
 	keyState       = []byte("disk")
 )
 
-// followerFileHeader says whose file it is.
+// followerFileHeader identifies the follower of a file.
 type followerFileHeader struct {
 	Format  int    `json:"form"`
 	Cluster string `json:"cluster"`
@@ -53,11 +52,12 @@
 	Refused  []configstream.Rejection `json:"refused,omitempty"`
 }
 
-// ErrInvalidFollowerFile says that a follower's file is damaged or another follower's.
+// ErrInvalidFollowerFile reports that a follower's file is damaged or another follower's.
 var ErrInvalidFollowerFile = errors.New("is no file of this follower: move it away, " +
 	"and it begins with what a quorum confirms")
 
-// openFollowerFile opens a follower's file, or makes it, and counts the start. The caller closes it.
+// openFollowerFile opens or creates a follower's file and counts the start. The caller closes it. The error of an
+// unusable file wraps [ErrInvalidFollowerFile].
 func openFollowerFile(path, cluster, name string) (f *followerFile, disk configstream.DurableState, err error) {
 	defer func() {
 		if p := recover(); p != nil { // bbolt panics on damaged pages
@@ -76,7 +76,7 @@
 		return nil, disk, fmt.Errorf("%s: %w", path, err)
 	}
 	f = &followerFile{db}
-	err = f.claim(followerFileHeader{followerFileFormat, cluster, name})
+	err = f.initOrVerifyHeader(followerFileHeader{followerFileFormat, cluster, name})
 	if err == nil {
 		disk, err = f.load()
 	}
@@ -92,8 +92,8 @@
 
 func (f *followerFile) close() error { return f.db.Close() }
 
-// claim writes the header of a new file, or checks that of an old one.
-func (f *followerFile) claim(want followerFileHeader) error {
+// initOrVerifyHeader writes the header of a new file, or checks that of an old one.
+func (f *followerFile) initOrVerifyHeader(want followerFileHeader) error {
 	return f.db.Update(func(tx *bbolt.Tx) error {
 		bucket, err := tx.CreateBucketIfNotExists(bucketFollower)
 		if err != nil {
@@ -115,7 +115,7 @@
 	})
 }
 
-// load reads the state. A content that does not make its version is damage.
+// load reads the state and verifies the digests of its versions.
 func (f *followerFile) load() (disk configstream.DurableState, err error) {
 	err = f.db.View(func(tx *bbolt.Tx) error {
 		text := tx.Bucket(bucketFollower).Get(keyState)
--- a/internal/cluster/follower_server.go
+++ b/internal/cluster/follower_server.go
@@ -21,24 +21,24 @@
 const (
 	streamHeartbeatInterval = time.Second
 	streamSilenceTimeout    = 4 * time.Second
-	streamReplyTimeout      = 30 * time.Second // a description of 16 MB is checked in some seconds
+	streamReplyTimeout      = 30 * time.Second // checking a description of 16 MB takes several seconds
 	streamConfirmationWait  = 500 * time.Millisecond
 	streamDeltaVersions     = 256
 	maxFollowers            = 4096
 	maxHandshakesPerSecond  = 500
 	maxHandshakeBurst       = 500
 	streamTickInterval      = 50 * time.Millisecond
-	followerSummaryInterval = time.Second            // between broadcasts on all followers
-	followerChangeInterval  = 100 * time.Millisecond // between broadcasts on those that have changed
+	followerSummaryInterval = time.Second            // between broadcasts about all followers
+	followerChangeInterval  = 100 * time.Millisecond // between broadcasts about changed ones
 	maxFollowersPerMessage  = 60
-	streamSendQueue         = 8 // messages to one end: a push and pongs, and no more
+	streamSendQueue         = 8 // messages to one end: a push and pongs
 	streamReadHeaderTimeout = 5 * time.Second
 	streamIdleTimeout       = time.Minute
 	maxStreamHeaderBytes    = 16 << 10
-	followerMessagePrefix   = 's' // tells members' messages on followers from those on keys, which are JSON objects
+	followerMessagePrefix   = 's' // of messages about followers; those about keys begin with a brace
 )
 
-// FollowerList is a member's answer on the followers.
+// FollowerList is a member's response with the followers' statuses.
 type FollowerList struct {
 	MemberID      uint64                      `json:"member"` // of the member that answers
 	NewestVersion uint64                      `json:"newest"` // at that member
@@ -82,10 +82,10 @@
 
 func (s *followerServer) now() time.Duration { return time.Since(s.begun) }
 
-// publisherEvent is an event of the publisher at a time; it returns what is to be sent.
+// publisherEvent passes an event to the publisher and returns the resulting actions.
 type publisherEvent func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction
 
-// handle has the publisher handle an event, and queues what is to be sent. It does not block on a session.
+// handle has the publisher handle an event, and queues the messages to send. It does not block on a session.
 func (s *followerServer) handle(event publisherEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// encodedBody returns the encoded body of a push, which all pushes of the same body share. Called under the mutex.
+// encodedBody returns the encoded body of a push, which all pushes of the same body share. The caller holds the mutex.
 func (s *followerServer) encodedBody(body *configstream.Body) *configstreampb.Push {
 	encoded, ok := s.encoded[body]
 	if !ok {
@@ -113,7 +113,7 @@
 	return encoded
 }
 
-// publish offers an agreed state to the followers.
+// publish pushes an agreed state to the followers.
 func (s *followerServer) publish(state *clusterconfig.State) {
 	if s == nil {
 		return
@@ -134,7 +134,7 @@
 	})
 }
 
-// confirm tells the publisher that a quorum has confirmed that a state was the newest.
+// confirm passes the confirmation of a quorum that a state was the newest to the publisher.
 func (s *followerServer) confirm(c confirmation) {
 	if s == nil {
 		return
@@ -164,7 +164,7 @@
 	return server
 }
 
-// tick lets the publisher's time pass and broadcasts the followers' status, until ctx ends.
+// tick calls the publisher's Tick and broadcasts the followers' status, until ctx ends.
 func (s *followerServer) tick(ctx context.Context) {
 	tick := time.NewTicker(streamTickInterval)
 	defer tick.Stop()
@@ -177,7 +177,9 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction { return p.Tick(now) })
+			s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+				return p.Tick(now)
+			})
 		case <-summary.C:
 			s.broadcast(allFollowers)
 		case <-changes.C:
@@ -211,7 +213,7 @@
 	return s.publisher.Admit(s.now())
 }
 
-// broadcastScope says which followers a broadcast to the other members is on.
+// broadcastScope is the set of followers in a broadcast to the other members.
 type broadcastScope int
 
 const (
@@ -232,7 +234,7 @@
 
 func isFollowerMessage(text []byte) bool { return len(text) > 0 && text[0] == followerMessagePrefix }
 
-// receiveMessage takes in another member's message on its followers. One that can't be read is dropped.
+// receiveMessage handles another member's message about its followers. A malformed one is ignored.
 func (s *followerServer) receiveMessage(from uint64, text []byte) {
 	if s == nil {
 		return
@@ -247,7 +249,8 @@
 	s.publisher.GossipReceived(s.now(), message)
 }
 
-// authenticate names the follower at the other end. A member or an operator is none, whatever it says.
+// authenticate returns the name of the follower at the other end, from its certificate. The certificate of a member
+// or an operator is an error.
 func (s *followerServer) authenticate(r *http.Request) (name string, err error) {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return "", errNoCertificate
@@ -262,7 +265,7 @@
 	return holder.Follower, nil
 }
 
-// followerList answers how the followers stand.
+// followerList returns the followers' statuses.
 func (m *Member) followerList(context.Context, *http.Request) (*FollowerList, error) {
 	s := m.followers
 	if s == nil {
--- a/internal/cluster/follower_session.go
+++ b/internal/cluster/follower_session.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// end has the session end; the first reason counts.
+// end ends the session. Only the first reason is kept.
 func (c *followerSession) end(reason string) {
 	select {
 	case c.endReason <- reason:
@@ -62,7 +62,7 @@
 	return configstreampb.NewEndError(session.run(ctx, received))
 }
 
-// receive passes the follower's messages on until the stream or the session ends.
+// receive passes the follower's messages to run until the stream or the session ends.
 func (c *followerSession) receive(received chan<- any, ended <-chan struct{}) {
 	for {
 		message, err := c.stream.Receive()
@@ -139,7 +139,7 @@
 	return ""
 }
 
-// add numbers the session and makes it known to the publisher.
+// add assigns the session an ID and opens its stream at the publisher.
 func (c *followerSession) add(hello configstream.Hello) {
 	s := c.server
 	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
@@ -150,7 +150,7 @@
 	})
 }
 
-// remove has the publisher forget the session.
+// remove closes the session's stream at the publisher.
 func (c *followerSession) remove() {
 	s := c.server
 	s.mu.Lock()
--- a/internal/cluster/key_messages.go
+++ b/internal/cluster/key_messages.go
@@ -13,24 +13,25 @@
 	maxKeysPerMessage    = 400
 )
 
-// applyKeyOwnership puts the key ownership of the applied state in force at the instance, together with the members of
-// the same moment, and returns its epoch. Without key ownership, or if the state can't be had, it returns 0.
+// applyKeyOwnership puts the key ownership of the applied state in force at the instance, together with the
+// membership at the same index, and returns its epoch. Without key ownership, or if the Raft node has stopped, it
+// returns 0.
 func (m *Member) applyKeyOwnership(ctx context.Context) uint64 {
 	if m.instanceConfig.Keys == nil {
 		return 0
 	}
-	state, moment, err := m.node.AppliedStateAndMembership(ctx)
+	state, membership, err := m.node.AppliedStateAndMembership(ctx)
 	if err != nil {
 		return 0
 	}
-	ownership := keyOwnershipOf(state, moment.Members)
-	m.instance.InstallKeyOwners(ownership.epoch, moment.AppliedIndex, moment.Voters, moment.IsJoint)
-	m.instance.SetAgreedSites(ownership.sites, ownership.keyEighths, moment.Members)
+	ownership := keyOwnershipOf(state, membership.Members)
+	m.instance.InstallKeyOwners(ownership.epoch, membership.AppliedIndex, membership.Voters, membership.IsJoint)
+	m.instance.SetAgreedSites(ownership.sites, ownership.keyEighths, membership.Members)
 	return ownership.epoch.Number
 }
 
-// broadcastKeys sends the other members, until ctx ends, which keys this instance has sent on, its view of the sites'
-// health and its part of recovery ramps.
+// broadcastKeys broadcasts the keys that this instance has forwarded, its view of the sites' health and its messages on
+// recovery ramps to the other members, until ctx ends.
 func (m *Member) broadcastKeys(ctx context.Context) {
 	tick := time.NewTicker(keyBroadcastInterval)
 	defer tick.Stop()
@@ -59,8 +60,8 @@
 	return m.node.Broadcast(append(prefix, text...))
 }
 
-// receiveMessage takes in another member's message, on followers or on keys. One that can't be used is dropped: the
-// receiver sees a gap in the sequence numbers, as after a loss.
+// receiveMessage handles another member's message about followers or keys. A malformed one is ignored, which has the
+// effect of a lost message: a gap in the sequence numbers.
 func (m *Member) receiveMessage(from uint64, text []byte) {
 	if isFollowerMessage(text) {
 		m.followers.receiveMessage(from, text)
--- a/internal/cluster/key_ownership.go
+++ b/internal/cluster/key_ownership.go
@@ -18,9 +18,9 @@
 	maxKeys                = 1 << 20
 )
 
-// Instance numbers of key ownership that no member has. anyFollower stands for all followers, none of which broadcasts
-// its keys, and anyMember for all members, which a follower does not receive from. So while there are followers, a key
-// that moves to another site waits until the time that package multisite sets has passed.
+// Instance IDs of key ownership that no member has. anyFollower represents all followers, which do not broadcast
+// their keys, and anyMember all members, from which a follower receives no broadcasts. So while there are followers,
+// a key whose owner changes is rejected until the fence time of package multisite has passed.
 const (
 	anyFollower = 1 << 32
 	anyMember   = anyFollower + 1
@@ -37,26 +37,26 @@
 	}
 }
 
-// keyOwnership is what a state says of the sites that own keys.
+// keyOwnership is a state's assignment of keys to sites.
 type keyOwnership struct {
 	epoch      multisite.OwnershipEpoch
 	sites      []multisite.Site // all agreed sites; open unless an operator has closed them
-	keyEighths map[string]int   // by lost site: how many eighths of its keys it has back
+	keyEighths map[string]int   // by lost site: eighths of its keys that it owns again
 }
 
-// keyOwnershipOf derives key ownership from a state. instances are those whose broadcasts count; where the state has
-// followers, [anyFollower] is added.
+// keyOwnershipOf derives the key ownership from a state. instances are those whose announcements are awaited;
+// [anyFollower] is added if the state has followers.
 func keyOwnershipOf(state *clusterconfig.State, instances []uint64) keyOwnership {
 	o := keyOwnership{
 		epoch:      multisite.OwnershipEpoch{Number: state.PlacementVersion(), Instances: slices.Clone(instances)},
 		keyEighths: map[string]int{},
 	}
-	followers := clusterconfig.ObjectsByName[clusterconfig.Follower](state, kindFollower)
+	followers := clusterconfig.ObjectsByName[clusterconfig.Follower](state, clusterconfig.KindFollower)
 	if len(followers) > 0 && !slices.Contains(instances, anyFollower) {
 		o.epoch.Instances = append(o.epoch.Instances, anyFollower)
 	}
-	sites := clusterconfig.ObjectsByName[clusterconfig.Site](state, kindSite)
-	lostSites := clusterconfig.ObjectsByName[clusterconfig.LostSite](state, kindLostSite)
+	sites := clusterconfig.ObjectsByName[clusterconfig.Site](state, clusterconfig.KindSite)
+	lostSites := clusterconfig.ObjectsByName[clusterconfig.LostSite](state, clusterconfig.KindLostSite)
 	for _, name := range slices.Sorted(maps.Keys(sites)) {
 		lost, isLost := lostSites[name]
 		if isLost {
@@ -64,7 +64,8 @@
 		}
 		isClosed := sites[name].IsClosed
 		ownsKeys := !isClosed && (!isLost || lost.RecoveredEighths > 0)
-		o.epoch.Sites = append(o.epoch.Sites, multisite.Site{Name: name, IsOpen: ownsKeys, KeyEighths: lost.RecoveredEighths})
+		owner := multisite.Site{Name: name, IsOpen: ownsKeys, KeyEighths: lost.RecoveredEighths}
+		o.epoch.Sites = append(o.epoch.Sites, owner)
 		o.sites = append(o.sites, multisite.Site{Name: name, IsOpen: !isClosed})
 	}
 	return o
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -26,7 +26,7 @@
 	stateChanged   chan struct{}   // holds a token while a change has not been applied to the instance
 	followers      *followerServer // nil: no followers are served
 
-	// setups and hasInstalled belong to the goroutine that applies versions.
+	// setups and hasInstalled are used only by the goroutine that applies versions.
 	setups       setupBuilder
 	hasInstalled bool
 
@@ -36,8 +36,8 @@
 	installError string // why the agreed version is not in force at the instance
 }
 
-// RunMember runs a member and its instance until ctx ends: then a leader hands its leadership over, the instance drains
-// and the member stops. A member that can't go on (its storage failed, it was removed) ends both with its error.
+// RunMember runs a member and its instance until ctx ends. Then a leader transfers its leadership, the instance drains
+// and the member stops. If the member fails (its storage failed, or it was removed), both end with its error.
 // instanceConfig is a configuration without sites, plans, licensees and classes; started is called once the instance
 // has started.
 func RunMember(ctx context.Context, cfg *MemberConfig, instanceConfig *gateway.Config, logger *log.Logger,
@@ -142,8 +142,8 @@
 	return errors.Join(err, <-instanceEnded)
 }
 
-// startInstance runs a gateway instance, with nothing in force, until ctx ends. Its result is sent on the channel. One
-// that ends before it has started is nil, beside the reason.
+// startInstance starts a gateway instance, without a version in force, which runs until ctx ends. Its result is sent
+// on the channel. If it fails to start, the instance is nil and the error says why.
 func startInstance(ctx context.Context, cfg *gateway.Config, logger *log.Logger) (
 	*gateway.Instance, <-chan error, error) {
 	ended := make(chan error, 1)
@@ -159,7 +159,7 @@
 	}
 }
 
-// transferLeadership makes another member the leader, if this one is, so that a planned stop costs no election timeout.
+// transferLeadership makes another member the leader if this one is, so that a planned stop causes no election timeout.
 func (m *Member) transferLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaderTransferTimeout)
 	defer cancel()
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -16,7 +16,7 @@
 	fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s gauge\n%s %v\n", name, help, name, name, value)
 }
 
-// serveMetrics answers with the member's metrics in the Prometheus text format.
+// serveMetrics responds with the member's metrics in the Prometheus text format.
 func (m *Member) serveMetrics(w http.ResponseWriter, r *http.Request) {
 	status, err := m.status(r.Context())
 	if err != nil {
@@ -75,19 +75,25 @@
 	}
 }
 
-// writeMetrics writes how many followers are in which state, as far as the members know.
+// writeMetrics writes the number of followers in each state, as far as the members know.
 func (s *followerServer) writeMetrics(w io.Writer) {
 	s.mu.Lock()
 	followers := s.publisher.Statuses(s.now())
 	s.mu.Unlock()
-	states := map[string]int{"running": 0, "waiting": 0, "unknown": 0, "never": 0}
+	states := map[string]int{
+		configstream.StateRunning: 0,
+		configstream.StateWaiting: 0,
+		configstream.StateUnknown: 0,
+		configstream.StateNever:   0,
+	}
 	behind, refusing, twins := 0, 0, 0
 	for _, f := range followers {
 		states[f.State]++
 		if f.IsBehind {
 			behind++
 		}
-		if f.LatestRejection != nil && (f.Running == nil || f.LatestRejection.Compare(*f.Running) == configstream.OrderNewer) {
+		rejection := f.LatestRejection
+		if rejection != nil && (f.Running == nil || rejection.Compare(*f.Running) == configstream.OrderNewer) {
 			refusing++
 		}
 		if f.NameConflict != "" {
--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -18,37 +18,17 @@
 	"mulleinmux/routing"
 )
 
-// Kinds of the agreed configuration's objects.
-const (
-	kindClass       = "class"
-	kindDescription = "description"
-	kindEpoch       = "epoch"
-	kindFollower    = "follower"
-	kindSite        = "hall"
-	kindLicensee    = "licensee"
-	kindLimit       = "limit"
-	kindLostSite    = "lost"
-	kindMember      = "member"
-	kindPlan        = "plan"
-)
-
-// objectKinds are all kinds, sorted.
-var objectKinds = []string{
-	kindClass, kindDescription, kindEpoch, kindFollower, kindSite,
-	kindLicensee, kindLimit, kindLostSite, kindMember, kindPlan,
-}
-
-// changeRemove is the operation of a [clusterconfig.Change] that removes an object.
-const changeRemove = "remove"
+// objectKinds are the kinds of the agreed configuration's objects, sorted.
+var objectKinds = clusterconfig.Kinds()
 
-// removedPlanPrefix makes a name that no licensee's plan can have, for the place of a plan that was removed.
+// removedPlanPrefix makes the name of a removed plan, which keeps its index, one that no licensee's plan can have.
 const removedPlanPrefix = "/removed/"
 
-// errNoDescription says that there is nothing to serve yet.
+// errNoDescription reports that there is nothing to serve yet.
 var errNoDescription = errors.New("no description is agreed on yet: gateway config apply")
 
-// setupBuilder builds an instance's setup from an agreed state. It caches what is expensive to make from one state to
-// the next, and is not safe for concurrent use.
+// setupBuilder builds an instance's setup from an agreed state. It caches the parts that are expensive to build. It
+// is not safe for concurrent use.
 type setupBuilder struct {
 	tableKey  []byte // what the table was compiled from
 	table     *routing.Table
@@ -68,7 +48,8 @@
 		return setup, errNoDescription
 	}
 	if descriptionCount > 1 {
-		return setup, fmt.Errorf("%d descriptions are agreed on, and one is served: remove the others", descriptionCount)
+		const text = "%d descriptions are agreed on, and one is served: remove the others"
+		return setup, fmt.Errorf(text, descriptionCount)
 	}
 	if setup.Sites, err = sitesOf(state); err != nil {
 		return setup, err
@@ -85,24 +66,25 @@
 // compilationKey returns all that the compilation of the description depends on, and the number of descriptions.
 func compilationKey(state *clusterconfig.State) (key []byte, descriptionCount int) {
 	key = binary.AppendVarint(nil, int64(state.MaxUnits()))
-	state.Each(kindDescription, func(_ string, text json.RawMessage) {
+	state.Each(clusterconfig.KindDescription, func(_ string, text json.RawMessage) {
 		key = append(key, text...)
 		descriptionCount++
 	})
-	state.Each(kindClass, func(name string, text json.RawMessage) {
+	state.Each(clusterconfig.KindClass, func(name string, text json.RawMessage) {
 		key = append(key, name...)
 		key = append(key, text...)
 	})
 	return key, descriptionCount
 }
 
-// compile compiles the state's description, unless the table in the cache is that of the same key.
+// compile compiles the state's description, unless the cached table has the same key.
 func (b *setupBuilder) compile(state *clusterconfig.State, key []byte, fullValidation bool) error {
 	if bytes.Equal(key, b.tableKey) {
 		return nil
 	}
+	descriptions := clusterconfig.ObjectsByName[clusterconfig.Description](state, clusterconfig.KindDescription)
 	var description clusterconfig.Description
-	for _, description = range clusterconfig.ObjectsByName[clusterconfig.Description](state, kindDescription) {
+	for _, description = range descriptions { // there is one, as build has checked
 	}
 	options := compileOptions(state.Classes(), state.MaxUnits())
 	table, document, err := openapi.Compile(description.File, []byte(description.Text), options)
@@ -131,7 +113,7 @@
 }
 
 func sitesOf(state *clusterconfig.State) (sites []gateway.Site, err error) {
-	agreed := clusterconfig.ObjectsByName[clusterconfig.Site](state, kindSite)
+	agreed := clusterconfig.ObjectsByName[clusterconfig.Site](state, clusterconfig.KindSite)
 	for _, name := range slices.Sorted(maps.Keys(agreed)) {
 		addr, err := discovery.ParseAddress("register", agreed[name].DiscoveryAddress)
 		if err != nil {
@@ -142,9 +124,9 @@
 	return sites, nil
 }
 
-// plansOf returns the plans by their place, which a plan keeps for ever.
+// plansOf returns the plans in plan order, in which each keeps its index for good.
 func plansOf(state *clusterconfig.State) (plans []policy.Plan) {
-	agreed := clusterconfig.ObjectsByName[clusterconfig.Plan](state, kindPlan)
+	agreed := clusterconfig.ObjectsByName[clusterconfig.Plan](state, clusterconfig.KindPlan)
 	for _, name := range state.PlanOrder() {
 		plan, exists := agreed[name]
 		if !exists {
@@ -166,20 +148,21 @@
 	return plans
 }
 
-// licenseesOf returns the licensees by name, and reads only those that have changed since the state before.
+// licenseesOf returns the licensees by name. It decodes only those that have changed since the last state.
 func (b *setupBuilder) licenseesOf(state *clusterconfig.State) map[string]gateway.Licensee {
 	next := make(map[string]cachedLicensee, len(b.licensees))
 	licensees := make(map[string]gateway.Licensee, len(b.licensees))
-	state.Each(kindLicensee, func(name string, text json.RawMessage) {
+	state.Each(clusterconfig.KindLicensee, func(name string, text json.RawMessage) {
 		l, cached := b.licensees[name]
 		if !cached || !bytes.Equal(l.text, text) {
 			var agreed clusterconfig.Licensee
 			if json.Unmarshal(text, &agreed) != nil {
-				return // can't be: it was checked before it was agreed on
+				return // impossible: it was checked before it was agreed on
 			}
 			l = cachedLicensee{text, gateway.Licensee{Plan: agreed.Plan, Customer: gateway.CustomerOf(name)}}
 		}
-		next[name], licensees[name] = l, l.value
+		next[name] = l
+		licensees[name] = l.value
 	})
 	b.licensees = next
 	return licensees
--- a/internal/cluster/site_health.go
+++ b/internal/cluster/site_health.go
@@ -9,8 +9,8 @@
 	"mulleinmux/multisite"
 )
 
-// Site health: a loss moves keys to other sites, so it takes a majority and half a second; the delay before a site
-// counts as back grows to half a minute where it flaps.
+// Site health. A loss moves keys to other sites, so it needs a majority and half a second. If a site flaps, the
+// delay until it counts as recovered grows to half a minute.
 const (
 	minSiteMisses        = 3
 	siteLossTimeout      = 500 * time.Millisecond
@@ -80,7 +80,7 @@
 	}
 }
 
-// proposeSiteChange proposes that a site is lost, or has some or all of its keys back.
+// proposeSiteChange proposes that a site is lost, or owns some or all of its keys again.
 func (m *Member) proposeSiteChange(ctx context.Context, site multisite.SiteChange) error {
 	ctx, cancel := context.WithTimeout(ctx, siteProposalTimeout)
 	defer cancel()
@@ -90,7 +90,7 @@
 	}
 	change, summary := siteChange(site)
 	proposal := &clusterconfig.Proposal{
-		ID:           fmt.Sprintf("hall-%s-%v-%d-%d", site.Site, site.IsLost, site.KeyEighths, state.PlacementVersion()),
+		ID:           siteProposalID(site, state),
 		Author:       memberAuthor(m.cfg.MemberID),
 		Reason:       site.Reason,
 		ProposedAtMs: time.Now().UnixMilli(),
@@ -106,18 +106,25 @@
 	return err
 }
 
-// siteChange returns the change of the agreed configuration that a change of a site's health comes to, and its summary
-// for the log.
+// siteProposalID returns an ID that is the same for all members that propose a change at the same placement version, so
+// that it is applied once.
+func siteProposalID(site multisite.SiteChange, state *clusterconfig.State) string {
+	return fmt.Sprintf("hall-%s-%v-%d-%d", site.Site, site.IsLost, site.KeyEighths, state.PlacementVersion())
+}
+
+// siteChange returns the change of the agreed configuration for a change of a site's health, and its summary for the
+// log.
 func siteChange(site multisite.SiteChange) (change clusterconfig.Change, summary string) {
 	if !site.IsLost && site.KeyEighths == 0 {
-		return clusterconfig.Change{Op: changeRemove, Kind: kindLostSite, Name: site.Site}, "back"
+		change = clusterconfig.Change{Op: clusterconfig.OpRemove, Kind: clusterconfig.KindLostSite, Name: site.Site}
+		return change, "back"
 	}
 	summary = "lost"
 	if !site.IsLost {
 		summary = fmt.Sprintf("back with %d of 8 of its keys", site.KeyEighths)
 	}
 	lost := clusterconfig.LostSite{Reason: site.Reason, RecoveredEighths: site.KeyEighths}
-	return clusterconfig.NewPutChange(kindLostSite, site.Site, lost), summary
+	return clusterconfig.NewPutChange(clusterconfig.KindLostSite, site.Site, lost), summary
 }
 
 // memberAuthor is the author of a member's own proposals.
--- a/internal/cluster/stream_client.go
+++ b/internal/cluster/stream_client.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	silentHeartbeats = 5 // after which a member is given up
+	silentHeartbeats = 5 // heartbeat intervals without a message after which the stream is closed
 	maxInstallTries  = 2 // of a version that ends the process
 	minRetryDelay    = 100 * time.Millisecond
 	maxRetryDelay    = 3 * time.Second
 )
 
-// StreamHandlers is what a [StreamClient] has others do. Persist, Check and Install are called one at a time by one
-// goroutine and may take long.
+// StreamHandlers are the callbacks of a [StreamClient]. Persist, Check and Install are called one at a time by one
+// goroutine and may block.
 type StreamHandlers struct {
 	// Persist returns once the state is synced to disk.
 	Persist func(*configstream.DurableState) error
@@ -30,27 +30,33 @@
 	Check func(*configstream.Version) []configstream.Problem
 	// Install puts a version in force.
 	Install func(*configstream.Version) error
-	// Confirm is told when a quorum last confirmed that the running version, and its key ownership, were the newest,
-	// and whether there is such a time.
-	Confirm func(versionAt, ownershipAt time.Time, isVersionConfirmed, isOwnershipConfirmed bool)
+	// Confirm is called with the last confirmations of the running version.
+	Confirm func(VersionConfirmation)
 }
 
-// StreamClient is a follower's end of the configuration stream, without an instance. The state machine in package
-// configstream decides; the client connects to one member after the other, and carries its actions out.
+// VersionConfirmation is when a quorum last confirmed that a follower's version, and its key ownership, were the
+// newest. A zero time means that it has not since the version is in force.
+type VersionConfirmation struct {
+	VersionAt   time.Time
+	OwnershipAt time.Time
+}
+
+// StreamClient is a follower's end of the configuration stream, without an instance. It connects to one member at a
+// time and carries out the actions of the state machine in package configstream.
 type StreamClient struct {
 	cfg      *FollowerConfig
 	handlers StreamHandlers
 	logger   *log.Logger
 	begun    time.Time
 
-	jobs      chan configstream.Action // Keep, Check and Install, of which one is under way at a time
+	jobs      chan configstream.Action // Persist, Check or Activate; at most one is in progress
 	sendQueue chan any                 // configstream.Report, or a ping's sequence number
 
 	mu          sync.Mutex
 	follower    *configstream.Follower
 	stream      *configstreampb.FollowerStream // nil: not connected
 	member      uint64                         // at the other end of the stream
-	hasReceived bool                           // something on this stream
+	hasReceived bool                           // a message on this stream
 }
 
 // NewStreamClient returns the client of a follower with the state that its file holds. It does nothing before
@@ -91,17 +97,17 @@
 
 func (c *StreamClient) now() time.Duration { return time.Since(c.begun) }
 
-// followerEvent is an event of the state machine at a time; it returns what is to be done.
+// followerEvent passes an event to the state machine and returns the resulting actions.
 type followerEvent func(f *configstream.Follower, now time.Duration) []configstream.Action
 
-// handle has the state machine handle an event, and carries out what it decides.
+// handle has the state machine handle an event, and carries out its actions.
 func (c *StreamClient) handle(event followerEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.carryOut(event(c.follower, c.now()))
 }
 
-// carryOut hands actions on, without blocking. Called under the mutex.
+// carryOut carries out actions or queues them, without blocking. The caller holds the mutex.
 func (c *StreamClient) carryOut(actions []configstream.Action) {
 	for _, action := range actions {
 		switch {
@@ -110,33 +116,33 @@
 		case action.Ping != 0:
 			c.enqueue(action.Ping)
 		case action.CloseStream != "":
-			c.leave(action.CloseStream)
+			c.abortStream(action.CloseStream)
 		case action.Log != "":
 			c.logger.Printf("stream: %s", action.Log)
 		default:
-			c.jobs <- action // there is room: one is under way at a time
+			c.jobs <- action // does not block: at most one is in progress
 		}
 	}
 }
 
-// enqueue queues a message, and leaves a member that does not read. Called under the mutex.
+// enqueue queues a message, and aborts the stream if the member does not read. The caller holds the mutex.
 func (c *StreamClient) enqueue(message any) {
 	select {
 	case c.sendQueue <- message:
 	default:
-		c.leave("the member does not read")
+		c.abortStream("the member does not read")
 	}
 }
 
-// leave ends the stream. Called under the mutex.
-func (c *StreamClient) leave(reason string) {
+// abortStream ends the stream. The caller holds the mutex.
+func (c *StreamClient) abortStream(reason string) {
 	if c.stream != nil {
 		c.logger.Printf("stream: member %d is left: %s", c.member, reason)
 		c.stream.Abort()
 	}
 }
 
-// runJobs does what may take long, until ctx ends: it persists, checks and installs versions.
+// runJobs persists, checks and installs versions, which may block, until ctx ends.
 func (c *StreamClient) runJobs(ctx context.Context) {
 	for {
 		select {
@@ -148,7 +154,7 @@
 	}
 }
 
-// runJob does a job and returns the event of its end.
+// runJob does one job and returns the event of its end.
 func (c *StreamClient) runJob(job configstream.Action) followerEvent {
 	switch {
 	case job.Persist != nil:
@@ -203,13 +209,20 @@
 	}
 }
 
-// confirm passes on what a quorum has confirmed.
+// confirm passes the confirmations of the running version on.
 func (c *StreamClient) confirm() {
 	c.mu.Lock()
 	versionAt, isVersionConfirmed := c.follower.ConfirmedAt()
 	ownershipAt, isOwnershipConfirmed := c.follower.PlacementConfirmedAt()
 	c.mu.Unlock()
-	c.handlers.Confirm(c.begun.Add(versionAt), c.begun.Add(ownershipAt), isVersionConfirmed, isOwnershipConfirmed)
+	var confirmed VersionConfirmation
+	if isVersionConfirmed {
+		confirmed.VersionAt = c.begun.Add(versionAt)
+	}
+	if isOwnershipConfirmed {
+		confirmed.OwnershipAt = c.begun.Add(ownershipAt)
+	}
+	c.handlers.Confirm(confirmed)
 }
 
 // Status returns the follower's view of itself, without IsServing.
--- a/internal/cluster/stream_connection.go
+++ b/internal/cluster/stream_connection.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// follow has one stream with a member until it ends, and returns whether the member has sent anything, and why the
+// follow runs one stream with a member until it ends. It returns whether the member has sent a message, and why the
 // stream ended.
 func (c *StreamClient) follow(ctx context.Context, member uint64) (hasReceived bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -39,10 +39,10 @@
 	defer transport.CloseIdleConnections()
 	addr := c.cfg.MemberStreamAddrs[member]
 	stream := configstreampb.Dial(ctx, &http.Client{Transport: transport}, addr, cancel)
-	hello := c.connected(stream, member)
+	hello := c.setStream(stream, member)
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	defer c.disconnected(stream)
+	defer c.clearStream(stream)
 	sendResult := make(chan error, 1)
 	tasks.Go(func() {
 		err := c.send(ctx, stream, hello)
@@ -66,8 +66,8 @@
 	}
 }
 
-// endOfStream returns the error that tells the most of why a stream has ended: the member's reason, or else a failure
-// to send, or else the failure to receive.
+// endOfStream returns the most informative error of a stream's end: the member's reason, or else a failure to send,
+// or else the failure to receive.
 func endOfStream(receiveErr, sendErr error) error {
 	hasReason := configstreampb.EndReason(receiveErr) != ""
 	if sendErr == nil || errors.Is(sendErr, context.Canceled) || hasReason {
@@ -76,27 +76,30 @@
 	return sendErr
 }
 
-// connected makes a stream the current one, and returns the hello to begin it with.
-func (c *StreamClient) connected(stream *configstreampb.FollowerStream, member uint64) configstream.Hello {
+// setStream makes a stream the current one, and returns the hello to begin it with.
+func (c *StreamClient) setStream(stream *configstreampb.FollowerStream, member uint64) configstream.Hello {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.sendQueue) > 0 { // messages of the stream before
+	for len(c.sendQueue) > 0 { // messages of the previous stream
 		<-c.sendQueue
 	}
-	c.stream, c.member = stream, member
+	c.stream = stream
+	c.member = member
 	return c.follower.OpenStream(c.now())
 }
 
-// disconnected forgets the current stream and ends it.
-func (c *StreamClient) disconnected(stream *configstreampb.FollowerStream) {
+// clearStream removes the current stream and ends it.
+func (c *StreamClient) clearStream(stream *configstreampb.FollowerStream) {
 	c.mu.Lock()
-	c.stream, c.member, c.hasReceived = nil, 0, false
+	c.stream = nil
+	c.member = 0
+	c.hasReceived = false
 	c.follower.StreamClosed()
 	c.mu.Unlock()
 	stream.Abort()
 }
 
-// send sends the hello and what is queued, and lets the state machine's time pass, until ctx or the stream ends.
+// send sends the hello and the queued messages, and calls the state machine's Tick, until ctx or the stream ends.
 func (c *StreamClient) send(ctx context.Context, stream *configstreampb.FollowerStream,
 	hello configstream.Hello) error {
 	if err := stream.Send(hello); err != nil {
--- a/internal/cluster/versions.go
+++ b/internal/cluster/versions.go
@@ -17,7 +17,7 @@
 	staleLogInterval     = 5 * time.Second
 )
 
-// confirmation is a state that a quorum has confirmed to be the newest at a time.
+// confirmation is a state that a quorum has confirmed to be the newest as of a time.
 type confirmation struct {
 	askedAt   time.Time
 	siteEpoch uint64 // of key ownership
@@ -56,12 +56,15 @@
 	}
 }
 
-// confirmVersions has a quorum confirm the newest state, time and again, until ctx or the Raft node ends.
+// confirmVersions regularly has a quorum confirm the newest state, until ctx or the Raft node ends.
 func (m *Member) confirmVersions(ctx context.Context, confirmations chan<- confirmation) {
 	for ctx.Err() == nil {
 		c := confirmation{askedAt: time.Now()}
 		readCtx, cancel := context.WithTimeout(ctx, confirmationTimeout)
-		err := m.node.LinearizableRead(readCtx, func(s *clusterconfig.State) { c.state, c.siteEpoch = s.Freeze(), s.PlacementVersion() })
+		err := m.node.LinearizableRead(readCtx, func(s *clusterconfig.State) {
+			c.state = s.Freeze()
+			c.siteEpoch = s.PlacementVersion()
+		})
 		cancel()
 		if err == nil {
 			select {
@@ -78,7 +81,7 @@
 	}
 }
 
-// applyConfirmation tells the followers and the instance what a quorum has confirmed.
+// applyConfirmation passes the confirmation of a quorum to the followers and the instance.
 func (m *Member) applyConfirmation(ctx context.Context, c confirmation) {
 	m.followers.confirm(c)
 	if !m.install(c.state) {
@@ -90,7 +93,7 @@
 	}
 }
 
-// install puts a version in force at the instance, unless it or a newer one is. It returns false if the instance can't
+// install puts a version in force at the instance, unless it or a newer one is. It returns false if the instance cannot
 // serve with it.
 func (m *Member) install(state *clusterconfig.State) bool {
 	inForce := m.instance.Version()
@@ -112,7 +115,7 @@
 	return true
 }
 
-// setInstallError records why the agreed version is not in force, and returns whether that is news.
+// setInstallError records why the agreed version is not in force, and reports whether that has changed.
 func (m *Member) setInstallError(err error) (changed bool) {
 	text := ""
 	if err != nil {
@@ -125,9 +128,9 @@
 	return changed
 }
 
-// updateMemberAddrs takes over the agreed addresses of the members.
+// updateMemberAddrs sets the agreed addresses of the members.
 func (m *Member) updateMemberAddrs(state *clusterconfig.State) {
-	agreed := clusterconfig.ObjectsByName[clusterconfig.Member](state, kindMember)
+	agreed := clusterconfig.ObjectsByName[clusterconfig.Member](state, clusterconfig.KindMember)
 	if len(agreed) == 0 {
 		return
 	}
