--- a/clusterconfig/validation.go
+++ b/clusterconfig/validation.go
@@ -4,10 +4,12 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"net/netip"
+	"slices"
 )
 
-// Bounds of objects' fields.
+// Limits of objects' fields.
 const (
 	maxPlanFigure     = 1e12 // exclusive
 	maxPriorityWeight = 1e9  // exclusive
@@ -18,8 +20,8 @@
 	maxUnitsLimit     = 1_000_000
 )
 
-// canonicalizers check the value of a put, by kind, and return its canonical encoding. Their errors are stored as
-// outcomes at each member and must not change.
+// canonicalizers check the value of a put, by kind, and return its canonical encoding. Their errors are stored in
+// outcomes by all members, so that neither their texts nor the order of the checks may change.
 var canonicalizers = map[string]func(json.RawMessage) (json.RawMessage, error){
 	KindPlan:        newCanonicalizer((*Plan).check),
 	KindLicensee:    newCanonicalizer((*Licensee).check),
@@ -33,6 +35,9 @@
 	KindDescription: newCanonicalizer((*Description).check),
 }
 
+// Kinds returns all kinds of objects, sorted.
+func Kinds() []string { return slices.Sorted(maps.Keys(canonicalizers)) }
+
 func newCanonicalizer[T any](check func(*T) error) func(json.RawMessage) (json.RawMessage, error) {
 	return func(text json.RawMessage) (json.RawMessage, error) {
 		var v T
