--- a/internal/edgeproxy/engine_actions.go
+++ b/internal/edgeproxy/engine_actions.go
@@ -81,7 +81,7 @@
 func (a *engineActions) WatchEndpoints(bool) {}
 
 // Log logs what the engine reports.
-func (a *engineActions) Log(text string) { (*Node)(a).logLater("module: %s", text) }
+func (a *engineActions) Log(event policy.LogEvent) { (*Node)(a).logLater("module: %s", event) }
 
 // logLater logs once the event is over. Called under the mutex.
 func (n *Node) logLater(format string, args ...any) {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -127,7 +127,7 @@
 // WatchEndpoints has nothing to do: the lists are always watched.
 func (a *actions) WatchEndpoints(bool) {}
 
-func (a *actions) Log(text string) { (*Instance)(a).logLater("module: %s", text) }
+func (a *actions) Log(event policy.LogEvent) { (*Instance)(a).logLater("module: %s", event) }
 
 func (in *Instance) logLater(format string, args ...any) {
 	in.deferred = append(in.deferred, func() { in.log.Printf(format, args...) })
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -5,6 +5,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"mulleinmux/policy"
 )
 
 // Reply gathers the lines of one reply. Its methods are the actions of the
@@ -120,10 +122,10 @@
 	r.end()
 }
 
-// Log writes a line to the log.
-func (r *Reply) Log(text string) {
+// Log writes an event to the log.
+func (r *Reply) Log(event policy.LogEvent) {
 	r.begin("PRINT")
-	r.str(oneLine(text))
+	r.str(oneLine(event.String()))
 	r.end()
 }
 
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -100,10 +100,10 @@
 	r.SendGossip(policy.AllInstances, []byte("hi 7"))
 	r.SendGossip(2, nil)
 	r.WatchEndpoints(true)
-	r.Log("two\nlines")
+	r.Log(policy.ZoneUnresponsive{Zone: "two\nlines"})
 	want := "CALL_OUT 3 rq s.a 0.08\nTURN_AWAY 3 rq 0\nSURRENDER 3 rq\n" +
 		"WITHDRAW 3 rq 1\nSET_ALARM 3 77 0.5\nPROBE 3 s.a\n" +
-		"SIGNAL 3 all aGkgNw==\nSIGNAL 3 2 -\nSTREAM_CHANGES 3 1\nPRINT 3 two lines\nFINISHED\n"
+		"SIGNAL 3 all aGkgNw==\nSIGNAL 3 2 -\nSTREAM_CHANGES 3 1\nPRINT 3 zone two lines is silent: its servers are held to be lost until one answers\nFINISHED\n"
 	if got := string(r.Take()); got != want {
 		t.Errorf("got %q\nwant %q", got, want)
 	}
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -24,6 +24,6 @@
 	SendGossip(peer int, message []byte)
 	// WatchEndpoints subscribes to changes of the endpoint list, or ends the subscription.
 	WatchEndpoints(on bool)
-	// Log adds a line for the operators.
-	Log(text string)
+	// Log tells the operators.
+	Log(event LogEvent)
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -151,8 +151,7 @@
 	// Attempts at a few unresponsive servers must not read as an overload of all.
 	e.overload.closeSample(e.load.responses, ages.young)
 	if before >= 1 && e.overload.admitFraction < 1 {
-		e.log("overload: sending on %.2f of what quotas admit, occupancy %.2f",
-			e.overload.admitFraction, e.overload.occupancy)
+		e.log(OverloadThrottled{AdmitFraction: e.overload.admitFraction, Occupancy: e.overload.occupancy})
 	}
 	e.updateZoneHealth(ages.unanswered)
 	e.dropIdleQuotas()
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -20,7 +20,7 @@
 func (printer) CheckHealth(server string)                         {}
 func (printer) SendGossip(peer int, message []byte)               {}
 func (printer) WatchEndpoints(on bool)                            {}
-func (printer) Log(text string)                                   { fmt.Println(text) }
+func (printer) Log(event policy.LogEvent)                         { fmt.Println(event) }
 
 func Example() {
 	settings := policy.Settings{
--- a/policy/fixture_test.go
+++ b/policy/fixture_test.go
@@ -198,7 +198,7 @@
 func (h worldHost) FailRequest(id string)                { h.say("fail %s", id) }
 func (h worldHost) CancelAttempt(id string, attempt int) { h.say("cancel %s %d", id, attempt) }
 func (h worldHost) WatchEndpoints(on bool)               { h.say("watch %v", on) }
-func (h worldHost) Log(text string)                      { h.say("log %s", text) }
+func (h worldHost) Log(event policy.LogEvent)            { h.say("log %s", event) }
 
 func (h worldHost) SetTimer(token uint64, after time.Duration) {
 	h.say("timer %d %v", token, after)
--- a/policy/fleet_host_test.go
+++ b/policy/fleet_host_test.go
@@ -197,7 +197,7 @@
 
 func (h *fleetHost) WatchEndpoints(bool) {}
 
-func (h *fleetHost) Log(string) {}
+func (h *fleetHost) Log(LogEvent) {}
 
 func (h *fleetHost) SetTimer(token uint64, d time.Duration) {
 	h.afterIfLive(d, func(e *Engine) { e.TimerFired(h.sim.now, token, h) })
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -36,7 +36,7 @@
 
 func (r *recorder) WatchEndpoints(on bool) { r.add("watch %v", on) }
 
-func (r *recorder) Log(string) {}
+func (r *recorder) Log(LogEvent) {}
 
 func (r *recorder) SendGossip(peer int, message []byte) {
 	if r.gossip == nil {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -44,7 +44,7 @@
 		e.connectFailed(s)
 	}
 	if s.recordOutcome(e.now, o.Result) {
-		e.log("ejected server %s after result %d, strike %d", s.ID, o.Result, s.consecutiveEjections)
+		e.log(ServerEjected{Server: s.ID, Result: o.Result, ConsecutiveEjections: s.consecutiveEjections})
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	s.isUnresponsive = true
 	e.addFinding(serverFinding{serverID: s.gossipID, isUp: false, foundAt: e.now})
-	e.log("server %s is silent: out until it answers a probe", s.ID)
+	e.log(ServerUnresponsive{Server: s.ID})
 }
 
 // serverResponded takes in a response of any kind.
@@ -114,7 +114,7 @@
 	if s.isUnresponsive {
 		s.isUnresponsive, s.ejectedUntil, s.consecutiveEjections = false, 0, 0
 		e.addFinding(serverFinding{serverID: s.gossipID, isUp: true, foundAt: e.now})
-		e.log("server %s answers again", s.ID)
+		e.log(ServerResponsive{Server: s.ID})
 	}
 	s.lastHeardAt, s.suspectedUntil = e.now, 0
 	e.zoneResponded(s)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -102,10 +102,10 @@
 	return time.Duration(e.rng.Int64N(int64(limit)))
 }
 
-// log adds a line for the operators, at most one a second.
-func (e *Engine) log(format string, args ...any) {
+// log tells the operators, at most once a second.
+func (e *Engine) log(event LogEvent) {
 	if e.now-e.lastLogAt >= time.Second {
 		e.lastLogAt = e.now
-		e.actions.Log(fmt.Sprintf(format, args...))
+		e.actions.Log(event)
 	}
 }
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -316,7 +316,7 @@
 
 func (p ruleHost) WatchEndpoints(bool) {}
 
-func (p ruleHost) Log(string) {}
+func (p ruleHost) Log(LogEvent) {}
 
 func (w *ruleChecker) start(i int) {
 	w.incarnations[i]++
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -62,7 +62,7 @@
 func (e *Engine) isZoneDown(zone string) bool {
 	isDown, isNew := e.zoneWatch.Evaluate(zone, e.now)
 	if isNew {
-		e.actions.Log("zone " + zone + " is silent: its servers are held to be lost until one answers")
+		e.actions.Log(ZoneUnresponsive{Zone: zone})
 	}
 	return isDown
 }
