--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -3,7 +3,6 @@
 
 import (
 	"context"
-	"log"
 	"os"
 	"os/signal"
 	"runtime"
@@ -11,6 +10,7 @@
 	"syscall"
 
 	"mulleinmux/internal/edgeproxy"
+	"mulleinmux/internal/logging"
 )
 
 // The garbage collector's settings. The heap is a few megabytes, so that letting it grow fivefold between collections
@@ -22,14 +22,15 @@
 )
 
 func main() {
-	logger := log.New(os.Stderr, "", log.LstdFlags|log.Lmicroseconds)
+	logger := logging.New(os.Stderr)
 	// Handled from the first moment: SIGHUP ends a program that does not handle it. One that is received while another is
 	// being handled is kept, and the file is read once more.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	cfg, err := edgeproxy.LoadConfig(os.Getenv)
 	if err != nil {
-		logger.Fatalf("configuration: %v", err)
+		logger.Error("invalid configuration", logging.Error(err))
+		os.Exit(1)
 	}
 	runtime.GOMAXPROCS(1) // the node has one core
 	debug.SetGCPercent(gcPercent)
@@ -37,8 +38,10 @@
 		debug.SetMemoryLimit(int64(memoryFraction * float64(cfg.MemoryMB) * (1 << 20)))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	if err := edgeproxy.Run(ctx, cfg, reload, logger); err != nil {
-		logger.Fatal(err)
+	err = edgeproxy.Run(ctx, cfg, reload, logger)
+	stop()
+	if err != nil {
+		logger.Error("edge node failed", logging.Error(err))
+		os.Exit(1)
 	}
 }
--- a/cmd/gateway/run.go
+++ b/cmd/gateway/run.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
@@ -11,6 +11,7 @@
 	"mulleinmux/internal/cluster"
 	"mulleinmux/internal/gateway"
 	"mulleinmux/internal/gatewayconfig"
+	"mulleinmux/internal/logging"
 	"mulleinmux/internal/openapi"
 	"mulleinmux/internal/raftnode"
 	"mulleinmux/internal/scenario"
@@ -42,7 +43,7 @@
 		defer func() { err = errors.Join(err, access.Close()) }()
 		f.Config.Observe = access.Record
 	}
-	logger := log.New(e.stderr, "", log.LstdFlags|log.Lmicroseconds)
+	logger := logging.New(e.stderr)
 	switch {
 	case f.Member != nil:
 		return c.runMember(e, f, logger)
@@ -54,7 +55,7 @@
 }
 
 // runStandalone runs an instance with a description of its own, which SIGHUP has it read again.
-func (c *runCmd) runStandalone(e *environment, f *gatewayconfig.File, logger *log.Logger) error {
+func (c *runCmd) runStandalone(e *environment, f *gatewayconfig.File, logger *slog.Logger) error {
 	cfg := &f.Config
 	description := resolvePath(c.Config, f.Description)
 	table, check, err := loadDescription(description, cfg)
@@ -81,11 +82,12 @@
 			}
 			operationCount, err := reloadDescription(instance, description, cfg, version+1)
 			if err != nil {
-				logger.Printf("reload: the description in force stays, version %d:\n%v", version, err)
+				logger.Warn("reload failed", slog.Uint64(logging.KeyVersion, version), logging.Error(err))
 				continue
 			}
 			version++
-			logger.Printf("reload: version %d is in force, %d operations", version, operationCount)
+			logger.Info("description reloaded",
+				slog.Uint64(logging.KeyVersion, version), slog.Int("operations", operationCount))
 		}
 	}
 }
@@ -119,7 +121,7 @@
 }
 
 // runMember runs an instance as a member of a cluster.
-func (c *runCmd) runMember(e *environment, f *gatewayconfig.File, logger *log.Logger) error {
+func (c *runCmd) runMember(e *environment, f *gatewayconfig.File, logger *slog.Logger) error {
 	cfg := memberConfig(c.Config, f)
 	creds, err := raftnode.LoadMemberCredentials(resolvePath(c.Config, f.Member.CertDir), cfg.MemberID)
 	if err != nil {
@@ -127,7 +129,7 @@
 	}
 	cfg.Credentials = creds
 	if c.Chaos != 0 {
-		scenario.Chaos(cfg, c.Chaos, logger)
+		scenario.Chaos(cfg, c.Chaos)
 	}
 	err = cluster.RunMember(e.ctx, cfg, &f.Config, logger, func(*cluster.Member) {})
 	if errors.Is(err, cluster.ErrNotInitialized) || errors.Is(err, raftnode.ErrForeignFile) ||
@@ -138,7 +140,7 @@
 }
 
 // runFollower runs an instance that follows the configuration stream of a cluster's members.
-func (c *runCmd) runFollower(e *environment, f *gatewayconfig.File, logger *log.Logger) error {
+func (c *runCmd) runFollower(e *environment, f *gatewayconfig.File, logger *slog.Logger) error {
 	k := f.Follower
 	creds, err := raftnode.LoadCredentialFiles(resolvePath(c.Config, k.CertDir), raftnode.FollowerFilePrefix(k.Name))
 	if err != nil {
--- a/configstream/action.go
+++ b/configstream/action.go
@@ -7,7 +7,8 @@
 	Check       *Version      // may it be put in force?
 	Activate    *Version      // put it in force
 	Send        *Report
-	Ping        uint64 // its sequence number; 0: none
-	CloseStream string // the reason
-	Log         string
+	Ping        uint64     // its sequence number; 0: none
+	CloseStream string     // the reason
+	Warning     string     // tell the operators
+	Rejected    *Rejection // tell the operators which version is rejected, and why
 }
--- a/configstream/follower_stream.go
+++ b/configstream/follower_stream.go
@@ -91,7 +91,7 @@
 		}
 	}
 	if warning != f.warning && warning != "" {
-		actions = append(actions, Action{Log: warning})
+		actions = append(actions, Action{Warning: warning})
 	}
 	f.warning = warning
 	return actions
--- a/configstream/update.go
+++ b/configstream/update.go
@@ -196,7 +196,7 @@
 	result, ref, rejection := ResultApplied, f.update.version.Ref, f.update.rejection
 	if rejection != nil {
 		result, ref = ResultRejected, rejection.Ref
-		actions = append(actions, Action{Log: fmt.Sprintf("version %v is refused: %v", ref, rejection.Problems)})
+		actions = append(actions, Action{Rejected: rejection})
 	}
 	actions = append(actions, f.report(f.update.nonce, result, ref, rejection)...)
 	f.update = update{}
--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/logging"
 	"mulleinmux/internal/raftnode"
 )
 
@@ -78,7 +79,7 @@
 // serveAdmin serves the admin API until the server is closed, which the caller does.
 func (m *Member) serveAdmin(ln net.Listener, tasks *sync.WaitGroup) *http.Server {
 	server := &http.Server{
-		ErrorLog:          m.logger,
+		ErrorLog:          logging.HTTPErrors(m.logger),
 		ReadHeaderTimeout: adminHeaderTimeout,
 		ReadTimeout:       adminReadTimeout,
 		WriteTimeout:      maxAdminTimeout + adminWriteSlack,
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -4,13 +4,14 @@
 	"context"
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"strings"
 	"sync"
 	"time"
 
 	"mulleinmux/configstream"
 	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/logging"
 	"mulleinmux/internal/raftnode"
 )
 
@@ -64,7 +65,7 @@
 
 // RunFollower runs a follower and its instance until ctx ends. What was in force before is served at once, without any
 // member, as far as the setting for stale configurations allows. started is called once the instance has started.
-func RunFollower(ctx context.Context, cfg *FollowerConfig, instanceConfig *gateway.Config, logger *log.Logger,
+func RunFollower(ctx context.Context, cfg *FollowerConfig, instanceConfig *gateway.Config, logger *slog.Logger,
 	started func(*Follower)) (err error) {
 	if err := cfg.checkIdentity(); err != nil {
 		return err
@@ -75,8 +76,8 @@
 	}
 	defer func() { err = errors.Join(err, file.close()) }()
 	if disk.Accepted == nil {
-		logger.Printf("follower %s: nothing is kept in %s: waits for a version that a quorum confirms",
-			cfg.Name, cfg.DataFile)
+		logger.Info("waiting for a confirmed version",
+			slog.String(logging.KeyFollower, cfg.Name), slog.String("file", cfg.DataFile))
 	}
 	if !cfg.DisableKeyOwnership {
 		instanceConfig.Keys = keyOwnershipConfig(anyFollower, disk.StartCount)
--- a/internal/cluster/follower_server.go
+++ b/internal/cluster/follower_server.go
@@ -14,6 +14,7 @@
 	"mulleinmux/clusterconfig"
 	"mulleinmux/configstream"
 	"mulleinmux/internal/configstreampb"
+	"mulleinmux/internal/logging"
 	"mulleinmux/internal/raftnode"
 )
 
@@ -151,7 +152,7 @@
 // serve serves followers until ctx ends and the server is closed; the caller does both.
 func (s *followerServer) serve(ctx context.Context, ln net.Listener, tasks *sync.WaitGroup) *http.Server {
 	server := &http.Server{
-		ErrorLog:          s.member.logger,
+		ErrorLog:          logging.HTTPErrors(s.member.logger),
 		ReadHeaderTimeout: streamReadHeaderTimeout,
 		IdleTimeout:       streamIdleTimeout,
 		MaxHeaderBytes:    maxStreamHeaderBytes,
@@ -225,7 +226,7 @@
 	s.mu.Unlock()
 	for _, message := range messages {
 		if err := s.member.broadcastJSON([]byte{followerMessagePrefix}, message); err != nil {
-			s.member.logger.Printf("followers: %v", err)
+			s.member.logger.Warn("follower broadcast failed", logging.Error(err))
 		}
 	}
 }
--- a/internal/cluster/follower_session.go
+++ b/internal/cluster/follower_session.go
@@ -2,11 +2,13 @@
 
 import (
 	"context"
+	"log/slog"
 	"sync"
 	"time"
 
 	"mulleinmux/configstream"
 	"mulleinmux/internal/configstreampb"
+	"mulleinmux/internal/logging"
 )
 
 // followerSession is a member's stream to one follower.
@@ -126,7 +128,9 @@
 		c.add(message)
 	case configstream.Report:
 		if message.Result == configstream.ResultRejected {
-			c.server.member.logger.Printf("follower %s refuses version %v: %v", c.follower, message.Ref, message.Problems)
+			c.server.member.logger.Warn("version rejected by follower",
+				slog.String(logging.KeyFollower, c.follower), slog.Any(logging.KeyVersion, message.Ref),
+				slog.Any(logging.KeyProblems, message.Problems))
 		}
 		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
 			return p.ReportReceived(now, c.id, message)
--- a/internal/cluster/key_messages.go
+++ b/internal/cluster/key_messages.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"time"
 
+	"mulleinmux/internal/logging"
 	"mulleinmux/multisite"
 )
 
@@ -44,7 +45,7 @@
 			var message multisite.Message
 			message, hasMore = m.instance.NextMessage(maxKeysPerMessage, m.node.FenceIndex)
 			if err := m.broadcastJSON(nil, &message); err != nil {
-				m.logger.Printf("keys: %v", err)
+				m.logger.Warn("key broadcast failed", logging.Error(err))
 			}
 		}
 	}
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -4,13 +4,14 @@
 	"context"
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"maps"
 	"sync"
 	"time"
 
 	"mulleinmux/clusterconfig"
 	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/logging"
 	"mulleinmux/internal/raftnode"
 )
 
@@ -21,7 +22,7 @@
 type Member struct {
 	cfg            *MemberConfig
 	instanceConfig *gateway.Config
-	logger         *log.Logger
+	logger         *slog.Logger
 	node           *raftnode.Node
 	stateChanged   chan struct{}   // holds a token while a change has not been applied to the instance
 	followers      *followerServer // nil: no followers are served
@@ -40,7 +41,7 @@
 // and the member stops. A member that can't go on (its storage failed, it was removed) ends both with its error.
 // instanceConfig is a configuration without sites, plans, licensees and classes; started is called once the instance
 // has started.
-func RunMember(ctx context.Context, cfg *MemberConfig, instanceConfig *gateway.Config, logger *log.Logger,
+func RunMember(ctx context.Context, cfg *MemberConfig, instanceConfig *gateway.Config, logger *slog.Logger,
 	started func(*Member)) (err error) {
 	if err := cfg.checkIdentity(); err != nil {
 		return err
@@ -65,7 +66,7 @@
 }
 
 // startMember starts the member's Raft node, without its instance.
-func startMember(cfg *MemberConfig, instanceConfig *gateway.Config, logger *log.Logger, bolt *raftnode.BoltStorage,
+func startMember(cfg *MemberConfig, instanceConfig *gateway.Config, logger *slog.Logger, bolt *raftnode.BoltStorage,
 	listeners *memberListeners) (*Member, error) {
 	m := &Member{
 		cfg:            cfg,
@@ -133,8 +134,9 @@
 	case err := <-instanceEnded:
 		return err
 	case <-m.node.Done():
+		m.logger.Error("member failed, draining instance",
+			slog.Uint64(logging.KeyMember, m.cfg.MemberID), logging.Error(m.node.Err()))
 		err = fmt.Errorf("member %d: %w", m.cfg.MemberID, m.node.Err())
-		m.logger.Printf("%v: the instance drains", err)
 	case <-ctx.Done():
 		m.transferLeadership()
 	}
@@ -144,7 +146,7 @@
 
 // startInstance runs a gateway instance, with nothing in force, until ctx ends. Its result is sent on the channel. One
 // that ends before it has started is nil, beside the reason.
-func startInstance(ctx context.Context, cfg *gateway.Config, logger *log.Logger) (
+func startInstance(ctx context.Context, cfg *gateway.Config, logger *slog.Logger) (
 	*gateway.Instance, <-chan error, error) {
 	ended := make(chan error, 1)
 	started := make(chan *gateway.Instance, 1)
@@ -173,7 +175,7 @@
 			continue
 		}
 		if err := m.node.TransferLeadership(ctx, voter); err != nil {
-			m.logger.Printf("handing the lead over: %v", err)
+			m.logger.Warn("leadership transfer failed", logging.Error(err))
 		}
 		return
 	}
--- a/internal/cluster/site_health.go
+++ b/internal/cluster/site_health.go
@@ -3,9 +3,11 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"time"
 
 	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/logging"
 	"mulleinmux/multisite"
 )
 
@@ -63,7 +65,8 @@
 		states = m.instance.SiteStates()
 		for name, state := range states {
 			if before, known := previous[name]; known && before != state {
-				m.logger.Printf("hall %s is %s (was %s)", name, state, before)
+				m.logger.Info("site state changed", slog.String(logging.KeySite, name),
+					slog.String("state", state), slog.String("previous_state", before))
 			}
 		}
 		change, ok := m.instance.ProposeSiteChange()
@@ -75,7 +78,7 @@
 			continue
 		}
 		if err := m.proposeSiteChange(ctx, change); err != nil {
-			m.logger.Printf("hall %s: %v", change.Site, err)
+			m.logger.Warn("site change proposal failed", slog.String(logging.KeySite, change.Site), logging.Error(err))
 		}
 	}
 }
@@ -88,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	change, summary := siteChange(site)
+	change := siteChange(site)
 	proposal := &clusterconfig.Proposal{
 		ID:           fmt.Sprintf("hall-%s-%v-%d-%d", site.Site, site.IsLost, site.KeyEighths, state.PlacementVersion()),
 		Author:       memberAuthor(m.cfg.MemberID),
@@ -101,23 +104,19 @@
 	}
 	outcome, err := m.node.Propose(ctx, proposal)
 	if err == nil && outcome.IsApplied {
-		m.logger.Printf("hall %s is agreed to be %s: %s", site.Site, summary, site.Reason)
+		m.logger.Info("site change agreed", slog.String(logging.KeySite, site.Site), slog.Bool("lost", site.IsLost),
+			slog.Int("key_eighths", site.KeyEighths), slog.String(logging.KeyReason, site.Reason))
 	}
 	return err
 }
 
-// siteChange returns the change of the agreed configuration that a change of a site's health comes to, and its summary
-// for the log.
-func siteChange(site multisite.SiteChange) (change clusterconfig.Change, summary string) {
+// siteChange returns the change of the agreed configuration that a change of a site's health comes to.
+func siteChange(site multisite.SiteChange) clusterconfig.Change {
 	if !site.IsLost && site.KeyEighths == 0 {
-		return clusterconfig.Change{Op: changeRemove, Kind: kindLostSite, Name: site.Site}, "back"
-	}
-	summary = "lost"
-	if !site.IsLost {
-		summary = fmt.Sprintf("back with %d of 8 of its keys", site.KeyEighths)
+		return clusterconfig.Change{Op: changeRemove, Kind: kindLostSite, Name: site.Site}
 	}
 	lost := clusterconfig.LostSite{Reason: site.Reason, RecoveredEighths: site.KeyEighths}
-	return clusterconfig.NewPutChange(kindLostSite, site.Site, lost), summary
+	return clusterconfig.NewPutChange(kindLostSite, site.Site, lost)
 }
 
 // memberAuthor is the author of a member's own proposals.
--- a/internal/cluster/stream_client.go
+++ b/internal/cluster/stream_client.go
@@ -3,7 +3,7 @@
 import (
 	"cmp"
 	"context"
-	"log"
+	"log/slog"
 	"maps"
 	"math/rand/v2"
 	"slices"
@@ -12,6 +12,7 @@
 
 	"mulleinmux/configstream"
 	"mulleinmux/internal/configstreampb"
+	"mulleinmux/internal/logging"
 )
 
 const (
@@ -40,7 +41,7 @@
 type StreamClient struct {
 	cfg      *FollowerConfig
 	handlers StreamHandlers
-	logger   *log.Logger
+	logger   *slog.Logger
 	begun    time.Time
 
 	jobs      chan configstream.Action // Keep, Check and Install, of which one is under way at a time
@@ -56,11 +57,11 @@
 // NewStreamClient returns the client of a follower with the state that its file holds. It does nothing before
 // [StreamClient.Run].
 func NewStreamClient(cfg *FollowerConfig, disk configstream.DurableState, handlers StreamHandlers,
-	logger *log.Logger) *StreamClient {
+	logger *slog.Logger) *StreamClient {
 	c := &StreamClient{
 		cfg:       cfg,
 		handlers:  handlers,
-		logger:    logger,
+		logger:    logger.With(slog.String(logging.KeyFollower, cfg.Name)),
 		begun:     time.Now(),
 		jobs:      make(chan configstream.Action, 1),
 		sendQueue: make(chan any, streamSendQueue),
@@ -111,8 +112,11 @@
 			c.enqueue(action.Ping)
 		case action.CloseStream != "":
 			c.leave(action.CloseStream)
-		case action.Log != "":
-			c.logger.Printf("stream: %s", action.Log)
+		case action.Warning != "":
+			c.logger.Warn("configuration stream warning", slog.String("warning", action.Warning))
+		case action.Rejected != nil:
+			c.logger.Warn("version rejected", slog.Any(logging.KeyVersion, action.Rejected.Ref),
+				slog.Any(logging.KeyProblems, action.Rejected.Problems))
 		default:
 			c.jobs <- action // there is room: one is under way at a time
 		}
@@ -131,7 +135,8 @@
 // leave ends the stream. Called under the mutex.
 func (c *StreamClient) leave(reason string) {
 	if c.stream != nil {
-		c.logger.Printf("stream: member %d is left: %s", c.member, reason)
+		c.logger.Info("leaving member",
+			slog.Uint64(logging.KeyMember, c.member), slog.String(logging.KeyReason, reason))
 		c.stream.Abort()
 	}
 }
@@ -164,7 +169,7 @@
 	case job.Activate != nil:
 		err := c.handlers.Install(job.Activate)
 		if err == nil {
-			c.logger.Printf("stream: version %v is in force", job.Activate.Ref)
+			c.logger.Info("version installed", slog.Any(logging.KeyVersion, job.Activate.Ref))
 		}
 		return func(f *configstream.Follower, now time.Duration) []configstream.Action {
 			return f.ActivationCompleted(now, err)
@@ -194,8 +199,10 @@
 			reason = err.Error()
 		}
 		delay := assignment.StreamEnded(hasReceived)
-		c.logger.Printf("stream: member %d: %s: member %d is tried in %v",
-			member, reason, assignment.Member(), delay.Round(time.Millisecond))
+		c.logger.Warn("configuration stream ended",
+			slog.Uint64(logging.KeyMember, member), slog.String(logging.KeyReason, reason),
+			slog.Uint64("next_member", assignment.Member()),
+			slog.Duration("retry_delay", delay.Round(time.Millisecond)))
 		select {
 		case <-ctx.Done():
 		case <-time.After(delay):
--- a/internal/cluster/versions.go
+++ b/internal/cluster/versions.go
@@ -2,11 +2,13 @@
 
 import (
 	"context"
+	"log/slog"
 	"strconv"
 	"sync"
 	"time"
 
 	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/logging"
 )
 
 const (
@@ -49,8 +51,8 @@
 			age, isServing := m.instance.Confirmation(now)
 			if age > staleAge && now.Sub(lastStaleLog) > staleLogInterval {
 				lastStaleLog = now
-				m.logger.Printf("cut off: version %d was last confirmed %.1f s ago; served on: %v",
-					m.instance.Version(), age.Seconds(), isServing)
+				m.logger.Warn("version not confirmed", slog.Uint64(logging.KeyVersion, m.instance.Version()),
+					slog.Duration("age", age.Round(100*time.Millisecond)), slog.Bool("serving", isServing))
 			}
 		}
 	}
@@ -104,7 +106,7 @@
 	}
 	if changed := m.setInstallError(err); err != nil {
 		if changed {
-			m.logger.Printf("version %d is not in force here: %v", state.Version(), err)
+			m.logger.Warn("version not installed", slog.Uint64(logging.KeyVersion, state.Version()), logging.Error(err))
 		}
 		return false
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -9,10 +9,13 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"net/http"
 	"net/netip"
 	"time"
+
+	"mulleinmux/internal/logging"
 )
 
 // SilenceTimeout is how long a watch may say nothing before it is given up: a line comes every 2 s, and what
@@ -66,8 +69,8 @@
 	OnList func(EndpointList)
 	// OnFailure is called by Run after a watch on which nothing was heard; may be nil.
 	OnFailure func()
-	// Logf writes a line to the node's log.
-	Logf func(format string, args ...any)
+	// Logger is told where the watch ends and resumes.
+	Logger *slog.Logger
 
 	isDisconnected   bool // the latest watch ended and nothing has been heard since
 	hadMalformedList bool // the latest watch ended with a list that can't be read, which may come again
@@ -88,7 +91,7 @@
 		}
 		if !w.isDisconnected { // one line for an outage, however often the watch is tried
 			w.isDisconnected = true
-			w.Logf("discovery: watch ended: %v", err)
+			w.Logger.Warn("discovery watch ended", logging.Error(err))
 		}
 		if !hasHeard && w.OnFailure != nil {
 			w.OnFailure()
@@ -190,7 +193,7 @@
 		line := bytes.TrimSpace(lines.Bytes())
 		if w.isDisconnected {
 			w.isDisconnected = false
-			w.Logf("discovery: watching again")
+			w.Logger.Info("discovery watch resumed")
 		}
 		if len(line) == 0 {
 			if hasHeard = true; object.isOpen() {
@@ -230,7 +233,7 @@
 		return err
 	}
 	if len(skipped) > 0 { // one line for each list, however many entries
-		w.Logf("discovery: %d entries left out, the first: %v", len(skipped), skipped[0])
+		w.Logger.Warn("endpoints skipped", slog.Int(logging.KeyCount, len(skipped)), logging.Error(skipped[0]))
 	}
 	w.LastGeneration = list.Generation
 	w.OnList(list)
--- a/internal/edgeproxy/admin_server.go
+++ b/internal/edgeproxy/admin_server.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"strings"
 	"time"
+
+	"mulleinmux/internal/logging"
 )
 
 // Paths and limits of operators' calls.
@@ -49,7 +51,7 @@
 		WriteTimeout:      adminWriteTimeout,
 		MaxHeaderBytes:    maxAdminHeaderBytes,
 		ConnContext:       withClientConn,
-		ErrorLog:          clients.node.log,
+		ErrorLog:          logging.HTTPErrors(clients.node.logger),
 	}
 	s.httpServer.SetKeepAlivesEnabled(false)
 	return s
--- a/internal/edgeproxy/client_server.go
+++ b/internal/edgeproxy/client_server.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"mulleinmux/internal/logging"
 	"mulleinmux/policy"
 )
 
@@ -71,7 +72,7 @@
 				c.(*clientConn).markResponseWritten()
 			}
 		},
-		ErrorLog: n.log,
+		ErrorLog: logging.HTTPErrors(n.logger),
 	}
 	return s
 }
--- a/internal/edgeproxy/discovery_watch.go
+++ b/internal/edgeproxy/discovery_watch.go
@@ -2,10 +2,12 @@
 
 import (
 	"context"
+	"log/slog"
 	"net/netip"
 	"time"
 
 	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/logging"
 )
 
 // discoveryWatch follows the endpoint list of one discovery agent.
@@ -52,7 +54,7 @@
 		SilenceTimeout: discovery.SilenceTimeout,
 		LastGeneration: from,
 		IsLocalAgent:   w.isLocal,
-		Logf:           n.log.Printf,
+		Logger:         n.logger,
 		Backoff:        discovery.NewBackoff(n.cfg.Settings.InstanceCount, n.cfg.Seed),
 		OnList: func(l discovery.EndpointList) {
 			n.endpointsReceived(l)
@@ -79,14 +81,14 @@
 func (w *discoveryWatch) reload(ctx context.Context, n *Node) *discoveryWatch {
 	cfg, err := n.cfg.reread()
 	if err != nil {
-		n.log.Printf("reload: the configuration in force stays: %v", err)
+		n.logger.Warn("reload failed", logging.Error(err))
 		return w
 	}
+	n.logger.Info("discovery reloaded",
+		slog.Any(logging.KeyAddress, cfg.Discovery), slog.Any("previous_address", w.addr))
 	if cfg.Discovery == w.addr {
-		n.log.Printf("reload: discovery stays at %s", w.addr)
 		return w
 	}
-	n.log.Printf("reload: discovery moves from %s to %s", w.addr, cfg.Discovery)
 	w.stop()
 	// Another agent may count its versions differently.
 	return startWatch(ctx, n, cfg.Discovery, 0)
--- a/internal/edgeproxy/engine_actions.go
+++ b/internal/edgeproxy/engine_actions.go
@@ -2,8 +2,10 @@
 
 import (
 	"context"
+	"log/slog"
 	"time"
 
+	"mulleinmux/internal/logging"
 	"mulleinmux/policy"
 )
 
@@ -16,7 +18,9 @@
 	n := (*Node)(a)
 	pending := n.requests[id]
 	if pending == nil || pending.isAnswered {
-		n.logLater("module: send for %s, which is not open", id)
+		n.afterEvent = append(n.afterEvent, func() {
+			n.logger.Warn("attempt for unknown request", slog.String(logging.KeyRequest, id))
+		})
 		return
 	}
 	deadline := pending.deadline
@@ -73,17 +77,15 @@
 	n := (*Node)(a)
 	message = append([]byte(nil), message...)
 	if socket := n.gossipSocket; socket != nil {
-		n.afterEvent = append(n.afterEvent, func() { socket.Send(peer, message, n.log.Printf) })
+		n.afterEvent = append(n.afterEvent, func() { socket.Send(peer, message, n.logger) })
 	}
 }
 
 // WatchEndpoints has nothing to do: the endpoint list is always watched.
 func (a *engineActions) WatchEndpoints(bool) {}
 
-// Log logs what the engine reports.
-func (a *engineActions) Log(event policy.LogEvent) { (*Node)(a).logLater("module: %s", event) }
-
-// logLater logs once the event is over. Called under the mutex.
-func (n *Node) logLater(format string, args ...any) {
-	n.afterEvent = append(n.afterEvent, func() { n.log.Printf(format, args...) })
+// Log logs what the engine reports, once the event is over.
+func (a *engineActions) Log(event policy.LogEvent) {
+	n := (*Node)(a)
+	n.afterEvent = append(n.afterEvent, func() { logging.PolicyEvent(n.logger, event) })
 }
--- a/internal/edgeproxy/maintenance.go
+++ b/internal/edgeproxy/maintenance.go
@@ -30,7 +30,7 @@
 	end := make(chan struct{})
 	s.maintenanceEnd = end
 	s.isOutOfService.Store(true)
-	s.node.log.Printf("out of service")
+	s.node.logger.Info("out of service")
 	s.node.spawn(func() { s.evictClients(end) })
 }
 
@@ -70,5 +70,5 @@
 	close(s.maintenanceEnd)
 	s.maintenanceEnd = nil
 	s.isOutOfService.Store(false)
-	s.node.log.Printf("in service")
+	s.node.logger.Info("in service")
 }
--- a/internal/edgeproxy/metrics.go
+++ b/internal/edgeproxy/metrics.go
@@ -2,11 +2,15 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"sort"
 	"strings"
 	"sync"
 )
 
+// metricsKey is the key of the metrics in the log.
+const metricsKey = "metrics"
+
 // metrics count requests by class and outcome since the start, for operators.
 type metrics struct {
 	classes []string // sorted
@@ -93,3 +97,13 @@
 	n.mu.Unlock()
 	return n.metrics.text(size, unhealthy) + b.String()
 }
+
+// metricsAttr returns the metrics as an attribute of a log line.
+func (n *Node) metricsAttr() slog.Attr {
+	var attrs []any
+	for _, metric := range strings.Fields(n.metricsText()) {
+		name, value, _ := strings.Cut(metric, "=")
+		attrs = append(attrs, slog.String(name, value))
+	}
+	return slog.Group(metricsKey, attrs...)
+}
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -22,14 +22,14 @@
 
 import (
 	"context"
-	"fmt"
-	"log"
+	"log/slog"
 	"runtime/debug"
 	"sync"
 	"time"
 
 	"mulleinmux/internal/discovery"
 	"mulleinmux/internal/gossip"
+	"mulleinmux/internal/logging"
 	"mulleinmux/policy"
 )
 
@@ -38,7 +38,7 @@
 // goroutine of its own.
 type Node struct {
 	cfg     *Config
-	log     *log.Logger
+	logger  *slog.Logger
 	start   time.Time       // the clock reads Unix time at the start plus the monotonic time since
 	ctx     context.Context // ends attempts and health checks
 	pool    *serverPool
@@ -55,7 +55,7 @@
 }
 
 // newNode returns a node whose goroutines end with ctx.
-func newNode(ctx context.Context, cfg *Config, logger *log.Logger) (*Node, error) {
+func newNode(ctx context.Context, cfg *Config, logger *slog.Logger) (*Node, error) {
 	engine, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 	}
 	n := &Node{
 		cfg:      cfg,
-		log:      logger,
+		logger:   logger,
 		start:    time.Now(),
 		ctx:      ctx,
 		pool:     newServerPool(cfg.Transport, maxServerConns(cfg.MaxSockets)),
@@ -104,8 +104,8 @@
 func (n *Node) runGuarded(event func(now time.Duration, out policy.Actions)) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
-			text := fmt.Sprintf("panic: %v\n%s", p, debug.Stack())
-			n.afterEvent = append(n.afterEvent, func() { n.log.Print(text) })
+			stack := debug.Stack()
+			n.afterEvent = append(n.afterEvent, func() { logging.Panic(n.logger, p, stack) })
 		}
 	}()
 	event(n.now(), (*engineActions)(n))
@@ -165,7 +165,7 @@
 	err := n.engine.ImportState(n.now(), state)
 	n.mu.Unlock()
 	if err != nil {
-		n.log.Printf("handover: %v: beginning from nothing", err)
+		n.logger.Warn(msgNoInheritedState, logging.Error(err))
 	}
 }
 
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -4,19 +4,19 @@
 	"context"
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"net"
 	"os"
-	"strings"
 	"sync"
 	"sync/atomic"
 
 	"mulleinmux/internal/gossip"
+	"mulleinmux/internal/logging"
 )
 
 // Run runs an edge node until ctx ends, then drains it, or hands over to the process that
 // waits to take its place. At each signal on reload it reads its configuration again.
-func Run(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *log.Logger) error {
+func Run(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger) error {
 	var ln net.Listener
 	var err error
 	if cfg.AcceptFD != 0 {
@@ -30,6 +30,9 @@
 	return runOn(ctx, cfg, reload, logger, ln)
 }
 
+// msgNoInheritedState is logged where a process starts without a predecessor's state, and says why.
+const msgNoInheritedState = "starting without inherited state"
+
 // errStoppedBeforeServing says that a process was told to end while it waited for its predecessor.
 var errStoppedBeforeServing = errors.New("stopped before serving")
 
@@ -40,7 +43,7 @@
 // process is one run of an edge node: what its start-up steps make and its end takes down.
 type process struct {
 	cfg        *Config
-	logger     *log.Logger
+	logger     *slog.Logger
 	reload     <-chan os.Signal
 	lifetime   context.Context // of what runs in the background
 	background sync.WaitGroup  // its goroutines, which end with lifetime or with what they serve
@@ -57,8 +60,9 @@
 
 // newProcess returns a process whose background ends with lifetime, and of which nothing runs yet.
 func newProcess(
-	lifetime context.Context, cfg *Config, reload <-chan os.Signal, logger *log.Logger,
+	lifetime context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger,
 ) (*process, error) {
+	logger = logger.With(slog.String("node", cfg.Name))
 	n, err := newNode(lifetime, cfg, logger)
 	if err != nil {
 		return nil, err
@@ -75,7 +79,7 @@
 
 // runOn is Run on a listener that is open.
 func runOn(
-	ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *log.Logger, ln net.Listener,
+	ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger, ln net.Listener,
 ) error {
 	defer ln.Close()
 	lifetime, stop := context.WithCancel(context.Background())
@@ -125,7 +129,7 @@
 	p.shutDown(ln)
 	stop()
 	p.node.close()
-	logger.Printf("%s: drained, figures at the end: %s", cfg.Name, strings.Join(strings.Fields(p.node.metricsText()), " "))
+	p.logger.Info("drained", p.node.metricsAttr())
 	return nil
 }
 
@@ -134,7 +138,7 @@
 	if p.cfg.HandoverSocket != "" {
 		var err error
 		if p.predecessor, err = findPredecessor(p.cfg.HandoverSocket); err != nil {
-			p.logger.Printf("%v: beginning from nothing", err)
+			p.logger.Warn(msgNoInheritedState, logging.Error(err))
 		}
 	}
 	if p.predecessor != nil {
@@ -178,7 +182,7 @@
 // startDecisions starts the engine on the saved list, and the watch of the endpoint list.
 func (p *process) startDecisions() {
 	if skipped := p.cfg.skippedEndpoints; len(skipped) > 0 {
-		p.logger.Printf("known: %d entries left out, the first: %v", len(skipped), skipped[0])
+		p.logger.Warn("saved endpoints skipped", slog.Int(logging.KeyCount, len(skipped)), logging.Error(skipped[0]))
 	}
 	p.node.startEngine()
 	p.watch = startWatch(p.lifetime, p.node, p.cfg.Discovery, p.cfg.SavedEndpoints.Generation)
@@ -209,7 +213,7 @@
 	if p.predecessor == nil {
 		return nil
 	}
-	p.logger.Printf("%s: waiting for the predecessor's end", p.cfg.Name)
+	p.logger.Info("waiting for predecessor")
 	p.isPredecessorAwaited.Store(true)
 	in, err := p.awaitPredecessorState(ctx)
 	if ctx.Err() != nil {
@@ -217,7 +221,7 @@
 		return errStoppedBeforeServing
 	}
 	if err != nil {
-		p.logger.Printf("%v: beginning from nothing", err)
+		p.logger.Warn(msgNoInheritedState, logging.Error(err))
 		p.predecessor.Close()
 		p.predecessor = nil
 	}
@@ -257,7 +261,7 @@
 	}
 	successors, err := listenForSuccessor(p.cfg.HandoverSocket, p.logger)
 	if err != nil {
-		p.logger.Printf("%v", err)
+		p.logger.Warn("hot restart unavailable", logging.Error(err))
 		return
 	}
 	p.successors = successors
@@ -281,7 +285,8 @@
 	p.background.Go(func() { p.failed <- p.clients.serve(ln) })
 	p.clients.isReady.Store(true)
 	p.isPredecessorAwaited.Store(false)
-	p.logger.Printf("%s: ready on %s, %d app servers known", p.cfg.Name, p.cfg.Listen, len(p.cfg.SavedEndpoints.Servers))
+	p.logger.Info("ready",
+		slog.Any(logging.KeyAddress, p.cfg.Listen), slog.Int("servers", len(p.cfg.SavedEndpoints.Servers)))
 }
 
 // awaitEnd serves until ctx ends, which stops the process in order, or until something can't go on serving, whose
@@ -306,10 +311,10 @@
 	p.clients.startShutdownTimer()
 	drainDelay := p.cfg.drainDelay
 	if p.successors.hasSuccessor() {
-		p.logger.Printf("%s: handing over", p.cfg.Name)
+		p.logger.Info("handing over")
 		again, err := p.clients.handOver(p.successors, ln)
 		if err != nil {
-			p.logger.Printf("%v: not handed over", err)
+			p.logger.Warn("handover failed", logging.Error(err))
 		} else {
 			drainDelay = 0
 		}
@@ -317,6 +322,6 @@
 			p.background.Go(func() { p.failed <- p.clients.serve(again) })
 		}
 	}
-	p.logger.Printf("%s: draining", p.cfg.Name)
+	p.logger.Info("draining")
 	p.clients.drain(drainDelay)
 }
--- a/internal/edgeproxy/serve_request.go
+++ b/internal/edgeproxy/serve_request.go
@@ -5,6 +5,7 @@
 	"runtime/debug"
 	"time"
 
+	"mulleinmux/internal/logging"
 	"mulleinmux/policy"
 )
 
@@ -149,7 +150,7 @@
 	if p == http.ErrAbortHandler {
 		panic(p)
 	}
-	s.node.log.Printf("panic: %v\n%s", p, debug.Stack())
+	logging.Panic(s.node.logger, p, debug.Stack())
 	writeText(w, http.StatusInternalServerError, "internal error")
 }
 
--- a/internal/edgeproxy/successor_listener.go
+++ b/internal/edgeproxy/successor_listener.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"net"
 	"os"
 	"sync"
@@ -18,7 +18,7 @@
 // successorListener is the predecessor's side of a hot restart: it accepts a process that waits to take over.
 type successorListener struct {
 	listener *net.UnixListener
-	logger   *log.Logger
+	logger   *slog.Logger
 	readers  sync.WaitGroup // goroutines that read from successors; acceptSuccessors waits for them
 
 	mu        sync.Mutex
@@ -41,7 +41,7 @@
 var errNoSuccessor = errors.New("handover: no successor")
 
 // listenForSuccessor listens for successors until close. The socket of a process that was killed is replaced.
-func listenForSuccessor(path string, logger *log.Logger) (*successorListener, error) {
+func listenForSuccessor(path string, logger *slog.Logger) (*successorListener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -72,7 +72,7 @@
 			replaced.conn.Close()
 		}
 		l.readers.Go(func() { l.readMessages(s) })
-		l.logger.Printf("handover: a successor waits")
+		l.logger.Info("successor waiting")
 	}
 }
 
@@ -100,7 +100,7 @@
 		l.successor = nil
 		s.conn.Close()
 		if !hasTakenOver {
-			l.logger.Printf("handover: the successor has gone")
+			l.logger.Warn("successor disconnected")
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		return nil
 	case <-s.gone:
 	case <-timer.C:
-		l.logger.Printf("handover: the successor does not say that it serves")
+		l.logger.Warn("successor did not confirm takeover")
 		return nil
 	}
 	select {
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"mulleinmux/internal/httpwire"
+	"mulleinmux/internal/logging"
 )
 
 const (
@@ -149,7 +150,7 @@
 	r.reset(c.isRelay)
 	defer func() {
 		if p := recover(); p != nil {
-			c.server.instance.log.Printf("panic: %v\n%s", p, debug.Stack())
+			logging.Panic(c.server.instance.logger, p, debug.Stack())
 			again = false
 		}
 	}()
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -1,11 +1,12 @@
 package gateway
 
 import (
-	"fmt"
+	"log/slog"
 	"runtime/debug"
 	"time"
 
 	"mulleinmux/internal/loadreport"
+	"mulleinmux/internal/logging"
 	"mulleinmux/policy"
 )
 
@@ -34,8 +35,8 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			text := fmt.Sprintf("panic: %v\n%s", p, debug.Stack())
-			in.deferred = append(in.deferred, func() { in.log.Print(text) })
+			stack := debug.Stack()
+			in.deferred = append(in.deferred, func() { logging.Panic(in.logger, p, stack) })
 		}
 	}()
 	f(in.now(), (*actions)(in))
@@ -74,7 +75,9 @@
 	in := (*Instance)(a)
 	r := in.requests[id]
 	if r == nil || r.isAnswered || r.hasNext {
-		in.logLater("module: send for %s, which is not open for one", id)
+		in.deferred = append(in.deferred, func() {
+			in.logger.Warn("attempt for unknown request", slog.String(logging.KeyRequest, id))
+		})
 		return
 	}
 	until := r.deadline
@@ -120,17 +123,17 @@
 	in := (*Instance)(a)
 	message = append([]byte(nil), message...)
 	if in.peers != nil {
-		in.deferred = append(in.deferred, func() { in.peers.Send(peer, message, in.log.Printf) })
+		in.deferred = append(in.deferred, func() { in.peers.Send(peer, message, in.logger) })
 	}
 }
 
 // WatchEndpoints has nothing to do: the lists are always watched.
 func (a *actions) WatchEndpoints(bool) {}
 
-func (a *actions) Log(event policy.LogEvent) { (*Instance)(a).logLater("module: %s", event) }
-
-func (in *Instance) logLater(format string, args ...any) {
-	in.deferred = append(in.deferred, func() { in.log.Printf(format, args...) })
+// Log logs what the engine reports, once the event is over.
+func (a *actions) Log(event policy.LogEvent) {
+	in := (*Instance)(a)
+	in.deferred = append(in.deferred, func() { logging.PolicyEvent(in.logger, event) })
 }
 
 // gossipReceived hands a message of a peer on.
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -4,7 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"math"
 	"slices"
 	"sync"
@@ -26,7 +26,7 @@
 // can be in request at once: an action of the engine only notes what comes next.
 type Instance struct {
 	config       *Config
-	log          *log.Logger
+	logger       *slog.Logger
 	startedAt    time.Time // the clock reads Unix time at the start plus the monotonic time since
 	ctx          context.Context
 	servers      *serverPool
@@ -81,7 +81,7 @@
 
 // newInstance makes an instance whose goroutines end with ctx. Without a table it rejects all requests until one is
 // installed.
-func newInstance(ctx context.Context, config *Config, setup Setup, logger *log.Logger) (*Instance, error) {
+func newInstance(ctx context.Context, config *Config, setup Setup, logger *slog.Logger) (*Instance, error) {
 	if err := config.check(); err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	in := &Instance{
-		config: config, log: logger, startedAt: time.Now(), ctx: ctx, servers: newServerPool(config), engine: engine,
+		config: config, logger: logger, startedAt: time.Now(), ctx: ctx, servers: newServerPool(config), engine: engine,
 		requests: map[string]*pendingRequest{}, serversBySite: map[string]map[string]bool{},
 		counters: map[string]*Counters{}, siteWatches: map[string]*siteWatch{},
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -5,6 +5,7 @@
 	"crypto/tls"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
 	"net/netip"
 	"strconv"
@@ -14,6 +15,7 @@
 	"time"
 
 	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/logging"
 	"mulleinmux/multisite"
 	"mulleinmux/policy"
 )
@@ -174,7 +176,8 @@
 		_, err = c.server.instance.relay.config.Verify(t.ConnectionState())
 	}
 	if err != nil {
-		c.server.instance.log.Printf("link: connection from %s: %v", c.nc.RemoteAddr(), err)
+		c.server.instance.logger.Warn("relay connection rejected",
+			slog.Any(logging.KeyAddress, c.nc.RemoteAddr()), logging.Error(err))
 	}
 	return err == nil
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -6,12 +6,13 @@
 	"encoding/hex"
 	"fmt"
 	"hash/fnv"
-	"log"
+	"log/slog"
 	"net"
 	"sync"
 	"time"
 
 	"mulleinmux/internal/gossip"
+	"mulleinmux/internal/logging"
 	"mulleinmux/routing"
 )
 
@@ -38,9 +39,10 @@
 // Run runs an instance until ctx ends, then drains it: it takes requests for DrainTimeout more, finishes what it has
 // taken, within the longest deadline, and returns. onListening is called once the instance listens. With
 // Config.Agreement it is ready when a setup with a table has been installed and confirmed, else at once.
-func Run(ctx context.Context, config *Config, setup Setup, logger *log.Logger, onListening func(*Instance)) error {
+func Run(ctx context.Context, config *Config, setup Setup, logger *slog.Logger, onListening func(*Instance)) error {
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
+	logger = logger.With(slog.String(logging.KeyInstance, config.Name))
 	in, err := newInstance(life, config, setup, logger)
 	if err != nil {
 		return err
@@ -88,11 +90,11 @@
 		return err
 	case <-ctx.Done():
 	}
-	logger.Printf("%s: draining", config.Name)
+	logger.Info("draining")
 	f.drain(ln)
 	stop()
 	in.close()
-	logger.Printf("%s: drained", config.Name)
+	logger.Info("drained")
 	return nil
 }
 
@@ -111,10 +113,10 @@
 // logListening tells operators that the instance serves, or what it waits for.
 func (in *Instance) logListening(addr net.Addr, table *routing.Table) {
 	if table == nil {
-		in.log.Printf("%s: listens on %s, and waits for what is agreed", in.config.Name, addr)
+		in.logger.Info("listening", slog.Any(logging.KeyAddress, addr))
 		return
 	}
-	in.log.Printf("%s: ready on %s, %d operations", in.config.Name, addr, len(table.Operations))
+	in.logger.Info("ready", slog.Any(logging.KeyAddress, addr), slog.Int("operations", len(table.Operations)))
 }
 
 // drain ends serving. Clients still come for a while and are answered, on connections that close behind the answer;
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -3,11 +3,13 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"net/netip"
 	"strings"
 	"time"
 
 	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/logging"
 	"mulleinmux/multisite"
 	"mulleinmux/policy"
 )
@@ -50,7 +52,7 @@
 		}
 		f := &discovery.Watcher{Addr: h.Discovery, SilenceTimeout: discovery.SilenceTimeout,
 			OnList: func(l discovery.EndpointList) { in.endpointsReceived(ctx, h.Name, l) },
-			Logf:   func(format string, args ...any) { in.log.Printf("hall "+h.Name+": "+format, args...) }}
+			Logger: in.logger.With(slog.String(logging.KeySite, h.Name))}
 		in.discoveryFollowers.Go(func() { f.Run(ctx) })
 	}
 }
--- a/internal/gossip/socket.go
+++ b/internal/gossip/socket.go
@@ -5,12 +5,14 @@
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
 	"net/netip"
 	"sync/atomic"
 	"syscall"
 	"time"
 
+	"mulleinmux/internal/logging"
 	"mulleinmux/policy"
 )
 
@@ -58,13 +60,13 @@
 
 // Send sends a message to a peer, or to all with [policy.AllInstances]. A message may be lost; that messages
 // can't be sent is logged once, and so is that they can again.
-func (s *Socket) Send(peer int, message []byte, logf func(format string, args ...any)) {
+func (s *Socket) Send(peer int, message []byte, logger *slog.Logger) {
 	err := s.write(peer, message)
 	wasFailing := s.isFailing.Swap(err != nil)
 	if err != nil && !wasFailing {
-		logf("peers: %v", err)
+		logger.Warn("gossip send failed", logging.Error(err))
 	} else if err == nil && wasFailing {
-		logf("peers: sending again")
+		logger.Info("gossip send resumed")
 	}
 }
 
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -26,6 +26,7 @@
 	"internal/simwire":    2,
 	"internal/httpwire":   2,
 	"internal/loadreport": 2,
+	"internal/logging":    2,
 	"internal/openapi":    2,
 	"deploy":              2,
 
--- a/internal/raftnode/connection_reader.go
+++ b/internal/raftnode/connection_reader.go
@@ -5,11 +5,14 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"time"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"mulleinmux/internal/logging"
 )
 
 const (
@@ -51,7 +54,8 @@
 func (t *transport) serveConnection(conn net.Conn) {
 	err := t.readFrames(conn)
 	if t.ctx.Err() == nil && !errors.Is(err, io.EOF) {
-		t.logf("connection from %s: %v", conn.RemoteAddr(), err)
+		t.logger.Warn("connection from member failed",
+			slog.Any(logging.KeyAddress, conn.RemoteAddr()), logging.Error(err))
 	}
 	conn.Close()
 	t.mu.Lock()
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"errors"
-	"log"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"time"
@@ -11,6 +11,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/logging"
 )
 
 // NodeConfig configures a [Node].
@@ -21,7 +22,7 @@
 	Incarnation   uint64            // of the member's file, see [BoltStorage.Incarnation]; 0: not known
 	TickInterval  time.Duration     // 0: defaultTickInterval; see [Config.ElectionTicks]
 	PeerAddresses map[uint64]string // of all members, by id
-	Logger        *log.Logger
+	Logger        *slog.Logger
 
 	// OnChange, if set, is called after the state has changed. It must not block.
 	OnChange func()
@@ -93,7 +94,7 @@
 		hello:       hello{incarnation: n.cfg.Incarnation, processID: rand.Uint64()},
 		listener:    listener,
 		onBroadcast: n.cfg.OnBroadcast,
-		logf:        n.cfg.Logger.Printf,
+		logger:      n.cfg.Logger,
 		onMessage: func(m *pb.Message) {
 			n.enqueue(ctx, func() { n.core.Step(m) })
 		},
@@ -135,7 +136,7 @@
 		}
 		n.runQueuedEvents()
 		if err := n.core.ProcessReady(n.send); err != nil {
-			n.cfg.Logger.Printf("member %d stops: %v", n.cfg.ID, err)
+			n.cfg.Logger.Error("raft node stopped", slog.Uint64(logging.KeyMember, n.cfg.ID), logging.Error(err))
 			n.err = err
 			return
 		}
--- a/internal/raftnode/peer_sender.go
+++ b/internal/raftnode/peer_sender.go
@@ -3,12 +3,15 @@
 import (
 	"context"
 	"crypto/tls"
+	"log/slog"
 	"net"
 	"sync"
 	"time"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"mulleinmux/internal/logging"
 )
 
 // Bounds of one peer's queues.
@@ -103,7 +106,8 @@
 		}
 		if !isFailureLogged {
 			isFailureLogged = true
-			t.logf("member %d at %s: %v", sender.memberID, sender.address, err)
+			t.logger.Warn("connection to member failed", slog.Uint64(logging.KeyMember, sender.memberID),
+				slog.String(logging.KeyAddress, sender.address), logging.Error(err))
 		}
 		t.dropQueued(sender)
 		sleepContext(ctx, redialDelay)
--- a/internal/raftnode/transport.go
+++ b/internal/raftnode/transport.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"maps"
 	"net"
 	"slices"
@@ -26,7 +27,7 @@
 	listener     net.Listener
 	onMessage    func(*pb.Message)            // from a verified member
 	onSendResult func(m *pb.Message, ok bool) // called for snapshots, and for messages that could not be sent
-	logf         func(format string, args ...any)
+	logger       *slog.Logger
 
 	ctx        context.Context // set by start
 	goroutines sync.WaitGroup
