--- a/configstream/action.go
+++ b/configstream/action.go
@@ -10,5 +10,6 @@
 	Send        *Report       // to the member
 	Ping        uint64        // sequence number of a ping to send; 0: none
 	CloseStream string        // why the stream has to be closed; empty: it has not
-	Log         string        // for operators
+	Warning     string        // for operators
+	Rejected    *Rejection    // for operators: the version that is rejected, and why
 }
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -4,13 +4,14 @@
 	"context"
 	"errors"
 	"fmt"
-	"log"
+	"log/slog"
 	"strings"
 	"sync"
 	"time"
 
 	"mulleinmux/configstream"
 	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/logging"
 	"mulleinmux/internal/raftnode"
 )
 
@@ -65,7 +66,7 @@
 // RunFollower runs a follower and its instance until ctx ends. It serves at once with the version that was in force
 // before, without contacting a member, as long as the setting for stale configurations allows. started is called
 // once the instance has started. The error of an unusable file wraps [ErrInvalidFollowerFile].
-func RunFollower(ctx context.Context, cfg *FollowerConfig, instanceConfig *gateway.Config, logger *log.Logger,
+func RunFollower(ctx context.Context, cfg *FollowerConfig, instanceConfig *gateway.Config, logger *slog.Logger,
 	started func(*Follower)) (err error) {
 	if err := cfg.checkIdentity(); err != nil {
 		return err
@@ -76,8 +77,8 @@
 	}
 	defer func() { err = errors.Join(err, file.close()) }()
 	if disk.Accepted == nil {
-		logger.Printf("follower %s: nothing is kept in %s: waits for a version that a quorum confirms",
-			cfg.Name, cfg.DataFile)
+		logger.Info("waiting for a confirmed version",
+			slog.String(logging.KeyFollower, cfg.Name), slog.String("file", cfg.DataFile))
 	}
 	if !cfg.DisableKeyOwnership {
 		instanceConfig.Keys = keyOwnershipConfig(anyFollower, disk.StartCount)
--- a/internal/cluster/key_messages.go
+++ b/internal/cluster/key_messages.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"mulleinmux/internal/gateway"
+	"mulleinmux/internal/logging"
 	"mulleinmux/multisite"
 )
 
@@ -50,7 +51,7 @@
 			var message multisite.Message
 			message, hasMore = m.instance.NextMessage(maxKeysPerMessage, m.node.FenceIndex)
 			if err := m.broadcastJSON(nil, &message); err != nil {
-				m.logger.Printf("keys: %v", err)
+				m.logger.Warn("key broadcast failed", logging.Error(err))
 			}
 		}
 	}
--- a/internal/cluster/stream_client.go
+++ b/internal/cluster/stream_client.go
@@ -3,7 +3,7 @@
 import (
 	"cmp"
 	"context"
-	"log"
+	"log/slog"
 	"maps"
 	"math/rand/v2"
 	"slices"
@@ -12,6 +12,7 @@
 
 	"mulleinmux/configstream"
 	"mulleinmux/internal/configstreampb"
+	"mulleinmux/internal/logging"
 )
 
 const (
@@ -46,7 +47,7 @@
 type StreamClient struct {
 	cfg      *FollowerConfig
 	handlers StreamHandlers
-	logger   *log.Logger
+	logger   *slog.Logger
 	begun    time.Time
 
 	jobs      chan configstream.Action // Persist, Check or Activate; at most one is in progress
@@ -62,11 +63,11 @@
 // NewStreamClient returns the client of a follower with the state that its file holds. It does nothing before
 // [StreamClient.Run].
 func NewStreamClient(cfg *FollowerConfig, disk configstream.DurableState, handlers StreamHandlers,
-	logger *log.Logger) *StreamClient {
+	logger *slog.Logger) *StreamClient {
 	c := &StreamClient{
 		cfg:       cfg,
 		handlers:  handlers,
-		logger:    logger,
+		logger:    logger.With(slog.String(logging.KeyFollower, cfg.Name)),
 		begun:     time.Now(),
 		jobs:      make(chan configstream.Action, 1),
 		sendQueue: make(chan any, streamSendQueue),
@@ -117,8 +118,11 @@
 			c.enqueue(action.Ping)
 		case action.CloseStream != "":
 			c.abortStream(action.CloseStream)
-		case action.Log != "":
-			c.logger.Printf("stream: %s", action.Log)
+		case action.Warning != "":
+			c.logger.Warn("configuration stream warning", slog.String("warning", action.Warning))
+		case action.Rejected != nil:
+			c.logger.Warn("version rejected", slog.Any(logging.KeyVersion, action.Rejected.Ref),
+				slog.Any(logging.KeyProblems, action.Rejected.Problems))
 		default:
 			c.jobs <- action // does not block: at most one is in progress
 		}
@@ -137,7 +141,8 @@
 // abortStream ends the stream. The caller holds the mutex.
 func (c *StreamClient) abortStream(reason string) {
 	if c.stream != nil {
-		c.logger.Printf("stream: member %d is left: %s", c.member, reason)
+		c.logger.Info("leaving member",
+			slog.Uint64(logging.KeyMember, c.member), slog.String(logging.KeyReason, reason))
 		c.stream.Abort()
 	}
 }
@@ -170,7 +175,7 @@
 	case job.Activate != nil:
 		err := c.handlers.Install(job.Activate)
 		if err == nil {
-			c.logger.Printf("stream: version %v is in force", job.Activate.Ref)
+			c.logger.Info("version installed", slog.Any(logging.KeyVersion, job.Activate.Ref))
 		}
 		return func(f *configstream.Follower, now time.Duration) []configstream.Action {
 			return f.ActivationCompleted(now, err)
@@ -200,8 +205,10 @@
 			reason = err.Error()
 		}
 		delay := assignment.StreamEnded(hasReceived)
-		c.logger.Printf("stream: member %d: %s: member %d is tried in %v",
-			member, reason, assignment.Member(), delay.Round(time.Millisecond))
+		c.logger.Warn("configuration stream ended",
+			slog.Uint64(logging.KeyMember, member), slog.String(logging.KeyReason, reason),
+			slog.Uint64("next_member", assignment.Member()),
+			slog.Duration("retry_delay", delay.Round(time.Millisecond)))
 		select {
 		case <-ctx.Done():
 		case <-time.After(delay):
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -3,11 +3,13 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"net/netip"
 	"strings"
 	"time"
 
 	"mulleinmux/internal/discovery"
+	"mulleinmux/internal/logging"
 	"mulleinmux/multisite"
 	"mulleinmux/policy"
 )
@@ -62,7 +64,7 @@
 	}
 	watcher := &discovery.Watcher{Addr: site.Discovery, SilenceTimeout: discovery.SilenceTimeout,
 		OnList: func(list discovery.EndpointList) { in.endpointsReceived(ctx, site.Name, list) },
-		Logf:   func(format string, args ...any) { in.log.Printf("hall "+site.Name+": "+format, args...) }}
+		Logger: in.logger.With(slog.String(logging.KeySite, site.Name))}
 	in.discoveryFollowers.Go(func() { watcher.Run(ctx) })
 }
 
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -25,6 +25,6 @@
 	SendGossip(peer int, message []byte)
 	// WatchEndpoints subscribes to changes of the endpoint list, or cancels the subscription.
 	WatchEndpoints(subscribe bool)
-	// Log adds a line for the operators.
-	Log(text string)
+	// Log adds an event to the operators' log.
+	Log(event LogEvent)
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -152,8 +152,7 @@
 	// Old attempts are left out: those at a few unresponsive servers must not count as overload of all.
 	e.overload.closeSample(e.load.responses, ages.young)
 	if before >= 1 && e.overload.admitFraction < 1 {
-		e.log("overload: sending on %.2f of what quotas admit, occupancy %.2f",
-			e.overload.admitFraction, e.overload.occupancy)
+		e.log(OverloadThrottled{AdmitFraction: e.overload.admitFraction, Occupancy: e.overload.occupancy})
 	}
 	e.updateZoneHealth(ages.unanswered)
 	e.dropIdleQuotas()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -46,7 +46,9 @@
 		e.handleConnectFailure(s)
 	}
 	if s.recordOutcome(e.now, outcome.Result) {
-		e.log("ejected server %s after result %d, strike %d", s.ID, outcome.Result, s.consecutiveEjections)
+		e.log(ServerEjected{
+			Server: s.ID, Result: outcome.Result, ConsecutiveEjections: s.consecutiveEjections,
+		})
 	}
 }
 
@@ -106,7 +108,7 @@
 	}
 	s.isUnresponsive = true
 	e.addFinding(serverFinding{serverID: s.gossipID, isUp: false, foundAt: e.now})
-	e.log("server %s is silent: out until it answers a probe", s.ID)
+	e.log(ServerUnresponsive{Server: s.ID})
 }
 
 // recordResponseFrom records that a server sent a response of any kind, so that it is up.
@@ -115,7 +117,7 @@
 		s.isUnresponsive = false
 		s.resetEjection()
 		e.addFinding(serverFinding{serverID: s.gossipID, isUp: true, foundAt: e.now})
-		e.log("server %s answers again", s.ID)
+		e.log(ServerResponsive{Server: s.ID})
 	}
 	s.lastHeardAt = e.now
 	s.suspectedUntil = 0
