--- a/cmd/gateway/check_test.go
+++ b/cmd/gateway/check_test.go
@@ -313,6 +313,6 @@
 			[]string{"nothing"}},
 		{"help",
 			[]string{"--help"}, 0,
-			[]string{"gateway", "lab", "check", "run"}},
+			[]string{"Usage: gateway <command>", "lab", "check", "run"}},
 	}
 }
