--- a/cmd/gateway/operators_test.go
+++ b/cmd/gateway/operators_test.go
@@ -28,7 +28,7 @@
 func (o *operatorTest) must(status int, args ...string) string {
 	o.t.Helper()
 	var out, errs bytes.Buffer
-	if got := run(context.Background(), args, &out, &errs); got != status {
+	if got := runProgram(context.Background(), args, &out, &errs); got != status {
 		o.t.Fatalf("%v: exit %d, want %d: %s%s", args, got, status, out.String(), errs.String())
 	}
 	return out.String() + errs.String()
@@ -103,7 +103,7 @@
 		o.must(0, "init", "--config", config, "--new-cluster")
 		running.Go(func() {
 			var errs testserver.Log
-			if status := run(ctx, []string{"run", "--config", config}, &errs, &errs); status != 0 {
+			if status := runProgram(ctx, []string{"run", "--config", config}, &errs, &errs); status != 0 {
 				o.t.Errorf("member %d: exit %d: %s", i+1, status, errs.String())
 			}
 		})
@@ -116,7 +116,7 @@
 	o.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
 		var out, errs bytes.Buffer
-		if run(context.Background(), o.configArgs("get"), &out, &errs) == 0 {
+		if runProgram(context.Background(), o.configArgs("get"), &out, &errs) == 0 {
 			return
 		}
 		if time.Now().After(end) {
