--- /dev/null
+++ b/cmd/gateway/fixture_relay_test.go
@@ -0,0 +1,318 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/tls"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"net/textproto"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"mulleinmux/deploy"
+	"mulleinmux/internal/fixture"
+	"mulleinmux/internal/raftnode"
+	"mulleinmux/internal/testserver"
+)
+
+// relayIDField is the field with the id of a relayed request.
+const relayIDField = "X-Mulleinmux-Crossing"
+
+// relayPlaceholders are what [maskRelayed] replaces.
+var relayPlaceholders = []placeholder{
+	{regexp.MustCompile(`(?m)^(X-Expires-In|Retry-After): \d+\.\d{3}$`), "$1: SECONDS.MILLISECONDS"},
+	{regexp.MustCompile(`(?m)^Date: [A-Z][a-z]{2}, \d\d [A-Z][a-z]{2} \d{4} \d\d:\d\d:\d\d GMT$`), "Date: TIME"},
+	{regexp.MustCompile(`\bserved-\d+\b`), "served-NUMBER"},
+}
+
+// maskRelayed replaces what differs from run to run in messages of the link.
+func maskRelayed(text string) string {
+	for _, p := range relayPlaceholders {
+		text = p.pattern.ReplaceAllString(text, p.to)
+	}
+	return text
+}
+
+// The placeholders of messages replace values of the recorded form alone.
+func TestMaskRelayed(t *testing.T) {
+	for text, want := range map[string]string{
+		"X-Expires-In: 1.995\nX-Trace-Id: a":  "X-Expires-In: SECONDS.MILLISECONDS\nX-Trace-Id: a",
+		"X-Expires-In: 2":                     "X-Expires-In: 2",
+		"Date: Wed, 02 Dec 2026 06:00:00 GMT": "Date: TIME",
+		"Date: 2026-12-02":                    "Date: 2026-12-02",
+		"X-Trace-Id: served-12.1":             "X-Trace-Id: served-NUMBER.1",
+	} {
+		if got := maskRelayed(text); got != want {
+			t.Errorf("%q: %q, want %q", text, got, want)
+		}
+	}
+}
+
+// readMessage reads a head as it came, with \n for the ends of its lines, and its body of Content-Length.
+func readMessage(r *bufio.Reader) (head string, body []byte, err error) {
+	lines := textproto.NewReader(r)
+	length := 0
+	for {
+		line, err := lines.ReadLine()
+		if err != nil {
+			return "", nil, err
+		}
+		if line == "" {
+			break
+		}
+		head += line + "\n"
+		if name, value, _ := strings.Cut(line, ": "); strings.EqualFold(name, "Content-Length") {
+			if length, err = strconv.Atoi(value); err != nil {
+				return "", nil, err
+			}
+		}
+	}
+	body = make([]byte, length)
+	_, err = io.ReadFull(r, body)
+	return head, body, err
+}
+
+// fieldOf returns the value of a field of a head, empty where it has none.
+func fieldOf(head, name string) string {
+	for line := range strings.Lines(head) {
+		if key, value, ok := strings.Cut(strings.TrimSuffix(line, "\n"), ": "); ok && key == name {
+			return value
+		}
+	}
+	return ""
+}
+
+// remoteSite stands for an instance of another site: it keeps the first message of each relayed request and of each
+// ask for one, and answers by script.
+type remoteSite struct {
+	script map[string]string // by first word of the head and relay id; without an answer the connection is closed
+
+	mu       sync.Mutex
+	messages map[string]string
+}
+
+// serve answers on a listener until it is closed.
+func (s *remoteSite) serve(ln net.Listener) {
+	for {
+		conn, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		go s.serveConnection(conn) // ends with the connection, at the latest with the instance
+	}
+}
+
+func (s *remoteSite) serveConnection(conn net.Conn) {
+	defer conn.Close()
+	r := bufio.NewReader(conn)
+	for {
+		head, body, err := readMessage(r)
+		if err != nil {
+			return
+		}
+		key := messageKey(head)
+		s.mu.Lock()
+		if _, ok := s.messages[key]; !ok {
+			s.messages[key] = head + "\n" + string(body)
+		}
+		s.mu.Unlock()
+		answer, ok := s.script[key]
+		if !ok {
+			return
+		}
+		if _, err := io.WriteString(conn, answer); err != nil {
+			return
+		}
+	}
+}
+
+// messageKey names a message: "ask" or "request", and its relay id.
+func messageKey(head string) string {
+	kind := "request "
+	if strings.HasPrefix(head, "GET /link/") {
+		kind = "ask "
+	}
+	return kind + fieldOf(head, relayIDField)
+}
+
+// Requests, answers and asks on the link between two sites have the fields that were recorded from the program before
+// its first renaming, built from commit 49080d0 (./cmd/mulleingate), in both directions: the test is the other site.
+//
+// Recorded with: MULLEINMUX_RECORD=1 MULLEINMUX_PROGRAM=/path/to/mulleingate go test ./cmd/gateway -run FixtureRelay
+func TestFixtureRelay(t *testing.T) {
+	dir := t.TempDir()
+	r := &relayRecorder{operatorTest: &operatorTest{t: t, dir: dir, certs: filepath.Join(dir, "certs")}}
+	r.must(0, "certs", "--cluster", "dodoma", "--members", "1,2,3", "--operators", "amina", "--dir", r.certs)
+	site := r.startRemoteSite()
+	members := r.writeMemberFiles()
+	linkAddr := freeAddr(t)
+	link := fmt.Sprintf("\n[cluster.link]\nlisten = %q\n"+
+		"[[cluster.link.far]]\nhall = \"hall-b\"\nmember = 2\naddress = %q\n", linkAddr, r.remoteAddr)
+	replaceInFile(t, members[0], "\n[[cluster.member]]", link+"\n[[cluster.member]]")
+	defer r.startMembers(members)()
+	r.awaitAnswer()
+	r.applySites()
+	r.awaitReady()
+	r.recordRelayed(site)
+	r.recordAnswers(linkAddr)
+	fixture.Compare(t, "relay.txt", []byte(maskRelayed(r.transcript.String())))
+}
+
+// relayRecorder keeps the messages of the link between the first member and the test.
+type relayRecorder struct {
+	*operatorTest
+	remoteAddr string
+	discovery  *testserver.Discovery // of the member's own site
+	transcript bytes.Buffer
+}
+
+// memberTLS returns a configuration with the certificate of the second member.
+func (r *relayRecorder) memberTLS() *tls.Config {
+	r.t.Helper()
+	credentials, err := raftnode.LoadMemberCredentials(r.certs, 2)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	return credentials.TLSConfig()
+}
+
+// startRemoteSite starts the other end of the link.
+func (r *relayRecorder) startRemoteSite() *remoteSite {
+	r.t.Helper()
+	const ok = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Served-By: s1\r\nContent-Length: 3\r\n\r\nok\n"
+	site := &remoteSite{messages: map[string]string{}, script: map[string]string{
+		"request plain.1":  ok,
+		"request change.1": ok,
+		"ask broken.1":     strings.Replace(ok, "X-Served-By: s1", "X-Mulleinmux-Fate: ran", 1),
+	}}
+	ln, err := tls.Listen("tcp", "127.0.0.1:0", r.memberTLS())
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(func() { ln.Close() })
+	r.remoteAddr = ln.Addr().String()
+	go site.serve(ln) // ends with the listener
+	return site
+}
+
+// applySites has the members agree on two sites without servers of their own.
+func (r *relayRecorder) applySites() {
+	r.t.Helper()
+	text := string(deploy.Fleet)
+	for _, port := range []string{"8501", "8500"} {
+		discovery, err := testserver.NewDiscovery()
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		r.t.Cleanup(discovery.Close)
+		r.discovery = discovery
+		text = strings.Replace(text, "127.0.0.1:"+port, discovery.Addr().String(), 1)
+	}
+	file(r.t, r.dir, "booking.yaml", string(deploy.Booking))
+	r.mustConfig(0, "apply", file(r.t, r.dir, "fleet.toml", text), "--wait", "applied-everywhere")
+}
+
+// exchange sends a message and keeps it with its answer under a title.
+func (r *relayRecorder) exchange(conn net.Conn, title, request string) (answer string) {
+	r.t.Helper()
+	conn.SetDeadline(time.Now().Add(patience))
+	if _, err := io.WriteString(conn, strings.ReplaceAll(request, "\n", "\r\n")); err != nil {
+		r.t.Fatalf("%s: %v", title, err)
+	}
+	head, body, err := readMessage(bufio.NewReader(conn))
+	if err != nil {
+		r.t.Fatalf("%s: %v", title, err)
+	}
+	return fmt.Sprintf("# %s\n%s\n%s\n", title, head, body)
+}
+
+// recordRelayed sends requests to the instance, which relays them, and keeps what crossed.
+func (r *relayRecorder) recordRelayed(site *remoteSite) {
+	r.t.Helper()
+	for _, request := range []string{
+		"GET /v1/visits/new?a=b HTTP/1.1\nHost: example.test\nX-Licensee: bahari-net\nX-Trace-Id: plain\n" +
+			"Accept: */*\nX-Custom: one\nX-Custom: two\nConnection: close\nTE: trailers\n\n",
+		"GET /v1/visits/new HTTP/1.1\nHost: example.test\nX-Licensee: bahari-net\nX-Trace-Id: broken\n" +
+			"X-Mulleinmux-Explain: 1\nConnection: close\n\n",
+		"PATCH /v1/visits/7 HTTP/1.1\nHost: example.test\nX-Licensee: bahari-net\nX-Trace-Id: change\n" +
+			"Content-Type: application/json\nContent-Length: 16\nConnection: close\n\n{\"installers\":2}",
+	} {
+		conn, err := net.Dial("tcp", r.listens[0])
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		r.transcript.WriteString(r.exchange(conn, "answer to a client", request))
+		conn.Close()
+	}
+	for _, key := range []string{"request plain.1", "request broken.1", "ask broken.1", "request change.1"} {
+		site.mu.Lock()
+		fmt.Fprintf(&r.transcript, "# %s\n%s\n", key, site.messages[key])
+		site.mu.Unlock()
+	}
+}
+
+// relayedRequest returns a request as another site relays it.
+func relayedRequest(id string) string {
+	return "GET /v1/visits/new HTTP/1.1\nHost: example.test\nX-Licensee: bahari-net\nX-Trace-Id: " + id +
+		"\nX-Expires-In: 1.500\n" + relayIDField + ": " + id + ".1\nX-Mulleinmux-Version: 1\n\n"
+}
+
+// statusRequest returns an ask for what became of a relayed request.
+func statusRequest(id string) string {
+	return "GET /link/fate HTTP/1.1\nHost: link\n" + relayIDField + ": " + id + ".1\n\n"
+}
+
+// recordAnswers relays requests to the instance and keeps its answers.
+func (r *relayRecorder) recordAnswers(linkAddr string) {
+	r.t.Helper()
+	exchange := func(title, request string) string {
+		r.t.Helper()
+		conn, err := tls.Dial("tcp", linkAddr, r.memberTLS())
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		defer conn.Close()
+		return r.exchange(conn, title, request)
+	}
+	record := func(title, request string) { r.transcript.WriteString(exchange(title, request)) }
+	record("no server", relayedRequest("far"))
+	record("ask for that", statusRequest("far"))
+	record("ask for one that never came", statusRequest("void"))
+	record("one that was asked for before", relayedRequest("void"))
+	record("no id", strings.Replace(relayedRequest("none"), relayIDField, "X-Other", 1))
+	record("ask without an id", strings.Replace(statusRequest("none"), relayIDField, "X-Other", 1))
+	r.startServer()
+	id, answer := "", ""
+	for end, i := time.Now().Add(patience), 0; !strings.Contains(answer, "HTTP/1.1 200"); i++ {
+		if time.Now().After(end) {
+			r.t.Fatalf("the server is never reached: %s", answer)
+		}
+		id = fmt.Sprint("served-", i)
+		answer = exchange("served", relayedRequest(id))
+		time.Sleep(5 * time.Millisecond)
+	}
+	r.transcript.WriteString(answer)
+	record("ask for that", statusRequest(id))
+	record("the same again", relayedRequest(id))
+}
+
+// startServer starts a server of the instance's own site.
+func (r *relayRecorder) startServer() {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Type", "text/plain")
+		w.Header().Set("X-Served-By", "s1")
+		io.WriteString(w, "ok\n")
+	}))
+	r.t.Cleanup(server.Close)
+	r.discovery.Put(testserver.Entry{InstanceID: "s1", HostPort: server.Listener.Addr().String(), Zone: "hall-a",
+		MachineType: "m", Lifecycle: "up", Weight: 1})
+}
