--- a/internal/raftnode/authority.go
+++ b/internal/raftnode/authority.go
@@ -14,7 +14,7 @@
 
 const (
 	certificateValidityYears = 5
-	// maxClockSkew is how far behind the authority's clock a member's may be.
+	// maxClockSkew is how much a member's clock may be behind the authority's.
 	maxClockSkew     = time.Hour
 	serialNumberBits = 120
 )
@@ -56,7 +56,7 @@
 	return &Authority{Cluster: cluster, certificate: certificate, key: key}, nil
 }
 
-// newTemplate returns a certificate with what all have in common.
+// newTemplate returns a certificate with the fields that all certificates share.
 func newTemplate(commonName string) (*x509.Certificate, error) {
 	serialNumber, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialNumberBits))
 	if err != nil {
@@ -112,7 +112,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: pemPrivateKey, Bytes: der}), nil
 }
 
-// CertPool returns a pool with the authority's certificate alone.
+// CertPool returns a pool that holds only the authority's certificate.
 func (a *Authority) CertPool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.certificate)
--- a/internal/raftnode/bolt_format.go
+++ b/internal/raftnode/bolt_format.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Buckets and keys of the file, as in the package's comment.
+// Buckets and keys of the file: see the package comment.
 var (
 	bucketMeta  = []byte("meta")
 	bucketState = []byte("state")
@@ -41,7 +41,7 @@
 // encodeUint64 encodes an index or another number of meta, so that indexes sort as numbers.
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// putChecksummed stores a message behind its checksum.
+// putChecksummed stores a message, preceded by its checksum.
 func putChecksummed(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
 	value, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, checksumBytes), m)
 	if err != nil {
--- a/internal/raftnode/bolt_load.go
+++ b/internal/raftnode/bolt_load.go
@@ -84,8 +84,8 @@
 	return entries, nil
 }
 
-// verifyComplete verifies that nothing is missing of what the file once held. lastIndex is
-// the index of the log's last entry as recorded beside it.
+// verifyComplete verifies that no part of the stored state is missing. lastIndex is the index
+// of the log's last entry as recorded in the state bucket.
 func verifyComplete(persisted *PersistedState, lastIndex uint64) error {
 	hasOtherState := persisted.Snapshot != nil || len(persisted.Entries) > 0 || lastIndex > 0
 	if persisted.HardState == nil && hasOtherState {
--- a/internal/raftnode/bolt_meta.go
+++ b/internal/raftnode/bolt_meta.go
@@ -16,7 +16,7 @@
 // (its ctime, which nobody can set).
 const maxStatusChangeDelay = 30 * time.Second
 
-// initialize creates the buckets of a new file and records whose it is.
+// initialize creates the buckets of a new file and records its cluster and member.
 func (s *BoltStorage) initialize(cluster string, member uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range [][]byte{bucketMeta, bucketState, bucketLog} {
@@ -33,9 +33,10 @@
 	})
 }
 
-// verifyIdentity verifies the file's format, and that it is of this member and cluster.
-// bbolt's own check runs in a goroutine, whose faults would end the process; Load verifies
-// the checksums of all that counts instead.
+// verifyIdentity verifies the file's format, member and cluster. It does not use bbolt's own
+// check, which runs in a goroutine whose faults would end the process; Load verifies the
+// checksums instead. Its errors wrap [ErrCorruptFile] or [ErrForeignFile], except for that of
+// a newer format.
 func (s *BoltStorage) verifyIdentity(cluster string, member uint64) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -53,18 +54,20 @@
 		fileCluster := string(meta.Get(keyCluster))
 		fileMember := binary.BigEndian.Uint64(storedMember)
 		if fileCluster != cluster || fileMember != member {
-			return fmt.Errorf("%w: member %d of %q, not %d of %q", ErrForeignFile, fileMember, fileCluster, member, cluster)
+			return fmt.Errorf("%w: member %d of %q, not %d of %q",
+				ErrForeignFile, fileMember, fileCluster, member, cluster)
 		}
 		return nil
 	})
 }
 
-// verifyNotRestored verifies that a file is where its member wrote it last: one that was
-// copied or restored has a status that changed later.
+// verifyNotRestored verifies that a file was not copied or restored since its member last
+// wrote it, which would have changed its status later. If it was, the error
+// wraps [ErrRestoredFile].
 func (s *BoltStorage) verifyNotRestored(info os.FileInfo) error {
 	stat, ok := info.Sys().(*syscall.Stat_t)
 	if !ok {
-		return nil // no such system: what is left is the peers' memory of the incarnation
+		return nil // unknown on this system: only the peers' records of the incarnation protect
 	}
 	writtenAt, err := s.writtenAt()
 	if err != nil {
@@ -94,7 +97,7 @@
 	return time.Unix(0, int64(binary.BigEndian.Uint64(encoded))), nil
 }
 
-// beginIncarnation counts that the file was opened.
+// beginIncarnation increments the incarnation, which counts how often the file was opened.
 func (s *BoltStorage) beginIncarnation() error {
 	return s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
--- a/internal/raftnode/bolt_save.go
+++ b/internal/raftnode/bolt_save.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Save writes one transaction, which bbolt syncs before it returns. What needs no sync (a
-// commit index alone) is not written: after a restart the leader sends it again.
+// Save writes one transaction, which bbolt syncs before it returns. A state that needs no sync
+// (a commit index alone) is not written: after a restart the leader sends it again.
 func (s *BoltStorage) Save(hardState *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot, sync bool) error {
 	if !sync {
 		return nil
@@ -46,7 +46,7 @@
 	})
 }
 
-// replaceLogBySnapshot stores a snapshot of the leader's and removes all entries.
+// replaceLogBySnapshot stores a snapshot that the leader has sent and removes all entries.
 func replaceLogBySnapshot(tx *bbolt.Tx, snapshot *pb.Snapshot) error {
 	if err := putChecksummed(tx.Bucket(bucketState), keySnapshot, snapshot); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return putLastIndex(tx, snapshot.GetMetadata().GetIndex())
 }
 
-// replaceLogTail stores entries in place of those from the first one's index on.
+// replaceLogTail stores entries, which replace all from the first one's index on.
 func replaceLogTail(tx *bbolt.Tx, entries []*pb.Entry) error {
 	log := tx.Bucket(bucketLog)
 	if err := deleteFrom(log, entries[0].GetIndex()); err != nil {
--- a/internal/raftnode/bolt_storage.go
+++ b/internal/raftnode/bolt_storage.go
@@ -14,15 +14,15 @@
 // lockTimeout is how long to wait for a file that another process has open.
 const lockTimeout = time.Second
 
-// BoltStorage is a [Storage] in one bbolt file; the package's comment has its format. Its
-// methods may be called from any goroutine.
+// BoltStorage is a [Storage] in one bbolt file, whose format is in the package comment. It is
+// safe for concurrent use.
 type BoltStorage struct {
 	db          *bbolt.DB
 	incarnation uint64
 }
 
-// OpenBoltStorage opens a member's file, or creates it. The error of a file that can't be
-// trusted wraps [ErrCorruptFile], [ErrForeignFile] or [ErrRestoredFile].
+// OpenBoltStorage opens or creates a member's file. The error of a file that cannot be trusted
+// wraps [ErrCorruptFile], [ErrForeignFile] or [ErrRestoredFile].
 func OpenBoltStorage(path, cluster string, member uint64) (*BoltStorage, error) {
 	return openBoltStorage(path, cluster, member, rejectRestored)
 }
@@ -37,8 +37,8 @@
 	return storage.Close()
 }
 
-// restoredFilePolicy says what to do with a file that was put in its place after it was
-// last written.
+// restoredFilePolicy is how to treat a file that was copied or restored since its member last
+// wrote it.
 type restoredFilePolicy int
 
 const (
@@ -72,7 +72,8 @@
 	return storage, nil
 }
 
-// openDatabase opens or creates a bbolt file. An existing one that does not open is corrupt.
+// openDatabase opens or creates a bbolt file. An existing file that cannot be opened is
+// corrupt.
 func openDatabase(path string, isNew bool) (*bbolt.DB, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	switch {
@@ -87,8 +88,8 @@
 	}
 }
 
-// recoverCorruption turns into an error what a corrupt file does to its reader: bbolt panics
-// on impossible pages, and the memory map of a truncated file faults. Use:
+// recoverCorruption turns the panics that a corrupt file causes into errors: bbolt panics on
+// invalid pages, and the memory map of a truncated file faults. Use:
 // defer recoverCorruption(&err, path)().
 func recoverCorruption(err *error, path string) func() {
 	before := debug.SetPanicOnFault(true)
@@ -100,7 +101,7 @@
 	}
 }
 
-// Incarnation returns how often the file was opened, this time included.
+// Incarnation returns how often the file was opened, including this time.
 func (s *BoltStorage) Incarnation() uint64 { return s.incarnation }
 
 // Close closes the file.
--- a/internal/raftnode/certificate_files.go
+++ b/internal/raftnode/certificate_files.go
@@ -14,7 +14,7 @@
 // Names of the files of certificates. A holder's are its prefix with one of the suffixes.
 const (
 	authorityFile     = "authority.pem"
-	authorityKeyFile  = "authority-key.pem" // to be kept away from the instances
+	authorityKeyFile  = "authority-key.pem" // must not be copied to the instances
 	certificateSuffix = ".pem"
 	keySuffix         = "-key.pem"
 )
@@ -59,14 +59,13 @@
 	return nil
 }
 
-// WriteOperator issues and writes a certificate and a key with which an operator may call
-// instances.
+// WriteOperator issues and writes a certificate and a key for an operator.
 func (a *Authority) WriteOperator(dir, name string) error {
 	return a.writeRoleCertificate(dir, operatorRole, name)
 }
 
-// WriteFollower issues and writes a certificate and a key of a follower: an instance that is
-// no member and receives the configuration.
+// WriteFollower issues and writes a certificate and a key for a follower: an instance that is
+// not a member and receives the configuration.
 func (a *Authority) WriteFollower(dir, name string) error {
 	return a.writeRoleCertificate(dir, followerRole, name)
 }
--- a/internal/raftnode/connection_reader.go
+++ b/internal/raftnode/connection_reader.go
@@ -67,7 +67,7 @@
 	snapshot  []byte // the parts so far of a message with a snapshot
 }
 
-// readFrames verifies the peer and handles its frames until the connection ends; its error says why it did.
+// readFrames verifies the peer and handles its frames until the connection ends. The error is the reason.
 func (t *transport) readFrames(rawConn net.Conn) error {
 	conn := tls.Server(rawConn, t.credentials.TLSConfig())
 	rawConn.SetDeadline(time.Now().Add(handshakeTimeout))
@@ -95,7 +95,8 @@
 		return err
 	}
 	if header.exceedsBounds(len(r.snapshot)) || isFirst != (header.kind == frameHello) {
-		return fmt.Errorf("member %d sends a frame of kind %d with %d bytes", r.from, uint32(header.kind), header.length)
+		return fmt.Errorf("member %d sends a frame of kind %d with %d bytes",
+			r.from, uint32(header.kind), header.length)
 	}
 	payload, err := r.frames.readPayload(header.length)
 	if err != nil {
@@ -119,7 +120,7 @@
 	}
 }
 
-// deliverBroadcast hands on a broadcast, which the callee must not retain.
+// deliverBroadcast passes a broadcast to onBroadcast, which must not retain it.
 func (r *connectionReader) deliverBroadcast(text []byte) {
 	r.transport.mu.Lock()
 	onBroadcast := r.transport.onBroadcast
@@ -129,7 +130,8 @@
 	}
 }
 
-// deliverMessage decodes a message and hands it on. Its sender must be the connection's peer.
+// deliverMessage decodes a message and passes it to onMessage. Its sender must be the
+// connection's peer.
 func (r *connectionReader) deliverMessage(encoded []byte) error {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(encoded, m); err != nil {
--- a/internal/raftnode/connection_writer.go
+++ b/internal/raftnode/connection_writer.go
@@ -25,14 +25,14 @@
 	remaining []byte      // of the encoded snapshot message, not yet written
 }
 
-// queued is what was taken from a sender's queues: a message, a broadcast or neither.
+// queued is an item of a sender's queues: a message, a broadcast or, if both are empty, neither.
 type queued struct {
 	message   *pb.Message
 	broadcast []byte
 }
 
-// writeFrames writes what is queued until the connection breaks or ctx ends. Frames of what
-// is queued at the same time are flushed together.
+// writeFrames writes the queued items until the connection breaks or ctx ends. Frames of items
+// that are queued at the same time are flushed together.
 func (t *transport) writeFrames(ctx context.Context, sender *peerSender, conn *tls.Conn) error {
 	rawConn := conn.NetConn()
 	stopWatching := context.AfterFunc(ctx, func() { rawConn.Close() })
@@ -58,7 +58,7 @@
 	}
 }
 
-// writeNext waits for what is to be written next, and writes it.
+// writeNext waits for the next item or part of a snapshot, and writes it.
 func (w *connectionWriter) writeNext(ctx context.Context) error {
 	next, err := w.dequeue(ctx)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// dequeue takes from the queues. Where nothing is to be written it flushes and waits.
+// dequeue returns the next queued item. If there is nothing to write, it flushes and waits.
 func (w *connectionWriter) dequeue(ctx context.Context) (queued, error) {
 	if w.snapshot == nil && w.sender.isEmpty() {
 		return w.flushAndWait(ctx)
@@ -95,7 +95,7 @@
 	}
 }
 
-// flushAndWait flushes what was written and waits until something is queued.
+// flushAndWait flushes the buffer and waits for the next item.
 func (w *connectionWriter) flushAndWait(ctx context.Context) (queued, error) {
 	if err := w.frames.flush(); err != nil {
 		return queued{}, err
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// failSnapshot reports the snapshot whose transfer the connection's end has broken off.
+// failSnapshot reports a snapshot as failed if its transfer was interrupted.
 func (w *connectionWriter) failSnapshot() {
 	if w.snapshot != nil {
 		w.onSendResult(w.snapshot, false)
--- a/internal/raftnode/core.go
+++ b/internal/raftnode/core.go
@@ -13,11 +13,11 @@
 
 // Config configures a [Core].
 type Config struct {
-	ID                 uint64   // of this member, above 0, never reused after the member was removed
+	ID                 uint64   // of this member, above 0; never reused after its removal
 	Voters             []uint64 // of a new cluster; nil: this member joins a cluster or restarts
 	ElectionTicks      int      // without a leader's message until an election; 0: defaultElectionTicks
-	EntriesPerSnapshot uint64   // applied between two snapshots; 0: defaultEntriesPerSnapshot
-	CatchUpEntries     uint64   // kept behind a snapshot for slow followers; 0: defaultCatchUpEntries
+	EntriesPerSnapshot uint64   // applied between snapshots; 0: defaultEntriesPerSnapshot
+	CatchUpEntries     uint64   // kept before a snapshot for slow followers; 0: defaultCatchUpEntries
 	Validate           clusterconfig.Validator
 	Logger             raft.Logger // of the protocol engine; nil: nothing is logged
 }
@@ -45,27 +45,27 @@
 	return cfg
 }
 
-// maxPendingRequests bounds the proposals, and also the reads, that wait for their answer.
+// maxPendingRequests limits the proposals, and also the reads, that wait for their result.
 const maxPendingRequests = 10_000
 
-// Core is one member without its clock and its network. After any of its methods has been
-// called, [Core.ProcessReady] must be called to persist, send and apply what follows. It is
-// not safe for concurrent use, except for [Core.FenceIndex].
+// Core is one member without its clock and its network. After calls of its methods,
+// [Core.ProcessReady] must be called to persist, send and apply their results. It is not safe
+// for concurrent use, except for [Core.FenceIndex].
 type Core struct {
 	cfg     Config
 	rawNode *raft.RawNode
-	raftLog *raft.MemoryStorage // what storage holds, for rawNode to read
+	raftLog *raft.MemoryStorage // the content of storage, for rawNode to read
 	storage Storage
-	stopErr error // why the member has stopped; nil: it runs
+	stopErr error // why the member has stopped; nil: it is running
 
 	state         *clusterconfig.State
 	appliedIndex  uint64
 	confState     *pb.ConfState // the membership in force
 	snapshotIndex uint64        // of the newest snapshot
-	snapshotDue   bool          // the membership has changed: a new member must get a snapshot that has it
+	snapshotDue   bool          // the membership has changed: new members need a snapshot that includes the change
 
-	appliedFence    uint64   // index of the last applied entry that changed owners or members, or a later one
-	unappliedFences []uint64 // indexes of the saved, not yet applied ones, ascending
+	appliedFence    uint64   // index of the last applied entry that changed key owners or members, or a later index
+	unappliedFences []uint64 // indexes of such entries that are saved and not applied, ascending
 	fenceIndex      atomic.Uint64
 
 	quorumConfirmed   bool // see IsReady
@@ -73,9 +73,9 @@
 	lastReadID        uint64
 	proposalWaiters   map[string][]func(clusterconfig.Outcome, error) // by proposal id
 	membershipWaiters map[string]func(error)                          // by the context of the entry
-	snapshotsInFlight map[uint64]int                                  // by receiver: ticks since it was sent
+	snapshotsInFlight map[uint64]int                                  // by receiver: ticks since the snapshot was sent
 
-	// OnApplied, if set, is called after each entry of the state was applied.
+	// OnApplied, if set, is called after each entry that holds a proposal was applied.
 	OnApplied func(index uint64, id string, o clusterconfig.Outcome)
 }
 
@@ -83,7 +83,7 @@
 func (c *Core) State() *clusterconfig.State { return c.state }
 
 // IsReady reports whether a quorum has confirmed, since this member's start, that the version
-// applied here was current. Until it has, the member must not forward traffic.
+// applied here was the newest. Until then the member must not forward requests.
 func (c *Core) IsReady() bool { return c.quorumConfirmed }
 
 // Leader returns the id of the leader as known here, or 0.
@@ -92,8 +92,8 @@
 // AppliedIndex returns the index of the last entry applied.
 func (c *Core) AppliedIndex() uint64 { return c.appliedIndex }
 
-// ReplicationLag returns how many committed entries a member is known to lack. It is known
-// only to the leader, for members that have acknowledged an entry.
+// ReplicationLag returns how many committed entries a member lacks. Only the leader knows it,
+// for members that have acknowledged an entry.
 func (c *Core) ReplicationLag(id uint64) (entries uint64, known bool) {
 	status := c.rawNode.Status()
 	progress, ok := status.Progress[id]
@@ -125,12 +125,12 @@
 		return
 	}
 	defer c.recoverEnginePanic()
-	// An error means that the message is out of place (of a removed member, or late): it is dropped.
+	// An error means that the message is unexpected (of a removed member, or late): it is dropped.
 	_ = c.rawNode.Step(m)
 }
 
-// recoverEnginePanic stops the member where the engine panics, which it does when it finds
-// that its log lacks committed entries.
+// recoverEnginePanic stops the member if the engine panics, which it does when it detects that
+// its log lacks committed entries.
 func (c *Core) recoverEnginePanic() {
 	if p := recover(); p != nil {
 		c.fail(fmt.Errorf("%w (%v)", ErrStaleStorage, p))
@@ -140,7 +140,7 @@
 // ReportUnreachable reports that messages to a member can't be sent.
 func (c *Core) ReportUnreachable(id uint64) { c.rawNode.ReportUnreachable(id) }
 
-// fail stops the member: all waiting requests end with the error.
+// fail stops the member. All waiting requests end with the error.
 func (c *Core) fail(err error) error {
 	c.stopErr = err
 	reason := errors.Join(ErrStopped, err)
--- a/internal/raftnode/core_start.go
+++ b/internal/raftnode/core_start.go
@@ -26,7 +26,8 @@
 	bootstrapTerm  = 1
 )
 
-// NewCore starts a member from its storage.
+// NewCore starts a member from its storage. Its errors are those of the storage and of a state
+// that cannot be restored: see [clusterconfig.State.Restore].
 func NewCore(cfg Config, storage Storage) (*Core, error) {
 	persisted, err := storage.Load()
 	if err != nil {
@@ -77,7 +78,7 @@
 	return c.storage.Save(persisted.HardState, nil, persisted.Snapshot, true)
 }
 
-// restorePersisted brings the state and the engine's log to what is stored.
+// restorePersisted restores the state and the engine's log from the storage.
 func (c *Core) restorePersisted(persisted *PersistedState) error {
 	if persisted.Snapshot != nil {
 		if err := c.restoreSnapshot(persisted.Snapshot); err != nil {
@@ -88,7 +89,7 @@
 		}
 	}
 	if hs := persisted.HardState; hs != nil {
-		// A commit index alone is not saved; but what a snapshot of our own covers was committed.
+		// A commit index alone is not saved, but the entries that a snapshot covers were committed.
 		if hs.GetCommit() < c.snapshotIndex {
 			hs.Commit = proto.Uint64(c.snapshotIndex)
 		}
--- a/internal/raftnode/credentials.go
+++ b/internal/raftnode/credentials.go
@@ -6,13 +6,14 @@
 	"fmt"
 )
 
-// Credentials are a holder's certificate and key, and the authority of its cluster.
+// Credentials are the certificate and key of a member, operator or follower, and the authority
+// of its cluster.
 type Credentials struct {
 	Certificate tls.Certificate
 	Authority   *x509.CertPool
 }
 
-// Identity returns whom these credentials were issued to.
+// Identity returns the identity to which these credentials were issued.
 func (c Credentials) Identity() (Identity, error) {
 	if len(c.Certificate.Certificate) == 0 {
 		return Identity{}, errNoCertificate
@@ -24,9 +25,9 @@
 	return IdentityOf(certificate)
 }
 
-// TLSConfig returns a configuration for both sides of a connection: each shows its
-// certificate and verifies that the authority has signed the other's. Host names play no
-// part: who the other side is must be read from its certificate, see [IdentityOf].
+// TLSConfig returns a configuration for both sides of a connection: each presents its
+// certificate and verifies that the authority has signed the other's. Host names are not
+// verified: the identity of the other side is in its certificate, see [IdentityOf].
 func (c Credentials) TLSConfig() *tls.Config {
 	return &tls.Config{
 		Certificates:          []tls.Certificate{c.Certificate},
--- a/internal/raftnode/doc.go
+++ b/internal/raftnode/doc.go
@@ -1,27 +1,28 @@
 // Package raftnode replicates a cluster's configuration ([mulleinmux/clusterconfig.State])
 // among the gateway instances that are its members, through the Raft protocol (Ongaro and Ousterhout,
 // "In Search of an Understandable Consensus Algorithm", 2014). The protocol itself is
-// go.etcd.io/raft; this package owns all around it: persistence, transport, timers,
-// proposals, linearizable reads, membership changes and the members' certificates.
+// go.etcd.io/raft; this package adds persistence, transport, timers, proposals, linearizable
+// reads, membership changes and the members' certificates.
 //
 // # Layers
 //
-//   - [Core] is one member without its clock and its network: ticks and messages go in,
-//     messages come out. It starts no goroutine, so that a test can simulate a whole cluster.
-//   - [Storage] is what a member must not forget; [BoltStorage] keeps it in a bbolt file.
+//   - [Core] is one member without its clock and its network: its inputs are ticks and
+//     messages, its outputs messages. It starts no goroutine, so that a test can simulate a
+//     whole cluster.
+//   - [Storage] is the member's durable state; [BoltStorage] stores it in a bbolt file.
 //   - [Node] runs a Core on real time, TLS connections and a Storage. One goroutine, the event
 //     loop, owns the Core; [Node.Stop] ends it and all others.
-//   - [Authority], [Credentials] and [Identity] are the certificates by which members,
-//     operators and followers know each other.
+//   - [Authority], [Credentials] and [Identity] are the certificates that identify members,
+//     operators and followers.
 //
 // # Failure
 //
 // A proposal whose outcome was returned has been committed by a quorum and survives the loss
 // of any minority. A proposal that ends with [ErrOutcomeUnknown] may have been applied;
 // repeating it with the same id applies it at most once. A member whose storage fails stops
-// and takes no further part; it must be opened again. A member that lost part of what it has
-// acknowledged (a damaged file, an older copy) is not started or not heard, because it could
-// vote twice in a term: see [ErrCorruptFile], [ErrRestoredFile] and [ErrStaleStorage].
+// and must be started again. A member that lost part of what it has acknowledged (a damaged
+// file, an older copy) is not started, or its connections are rejected, because it could vote
+// twice in a term: see [ErrCorruptFile], [ErrRestoredFile] and [ErrStaleStorage].
 //
 // # File format
 //
--- a/internal/raftnode/fence.go
+++ b/internal/raftnode/fence.go
@@ -9,12 +9,12 @@
 )
 
 // FenceIndex returns the index of the last entry saved here that changes key owners or the
-// membership, committed or not. It is raised before any message goes out that acknowledges
-// the entry. It may be called from any goroutine.
+// membership, committed or not. It is updated before any message that acknowledges
+// the entry is sent. It is safe for concurrent use.
 func (c *Core) FenceIndex() uint64 { return c.fenceIndex.Load() }
 
-// recordFences takes in entries that were saved. Those saved before at or behind the first of
-// them have been replaced.
+// recordFences records the fences among entries that were saved. The entries replace all that
+// were saved before from the first one's index on.
 func (c *Core) recordFences(entries []*pb.Entry) {
 	if len(entries) > 0 {
 		first := entries[0].GetIndex()
@@ -36,7 +36,7 @@
 	return len(entry.GetData()) > 0 && clusterconfig.ChangesPlacement(entry.GetData())
 }
 
-// updateFence takes the applied entries out of the unapplied ones and publishes the index.
+// updateFence moves the entries that have been applied to appliedFence and publishes the index.
 func (c *Core) updateFence() {
 	applied := 0
 	for ; applied < len(c.unappliedFences) && c.unappliedFences[applied] <= c.appliedIndex; applied++ {
--- a/internal/raftnode/frame.go
+++ b/internal/raftnode/frame.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// frameKind says what a frame carries. The numbers are on the wire.
+// frameKind is the kind of a frame's payload. The numbers are on the wire.
 type frameKind uint32
 
 const (
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("kind %d", uint32(k))
 }
 
-// Layout of a frame's header, and bounds of a frame.
+// Layout of a frame's header, and limits of a frame.
 const (
 	frameHeaderBytes  = 4
 	frameLengthBits   = 28       // the lower ones; the kind is in the upper four
@@ -47,7 +47,7 @@
 	maxBroadcastBytes = 64 << 10
 	frameTimeout      = 10 * time.Second // for a frame to be written, or to be read after its header
 	frameBufferBytes  = 64 << 10         // of the buffer between frames and the connection
-	readStepBytes     = 1 << 20          // by which a payload's buffer grows, and the most that is kept for the next
+	readStepBytes     = 1 << 20          // by which a payload's buffer grows; a larger one is not reused
 )
 
 // frameWriter writes frames to a connection, through a buffer.
@@ -71,7 +71,7 @@
 	return err
 }
 
-// flush writes what is buffered.
+// flush writes the buffered frames to the connection.
 func (w *frameWriter) flush() error { return w.out.Flush() }
 
 // frameHeader is a decoded header.
@@ -101,7 +101,7 @@
 type frameReader struct {
 	conn    net.Conn      // for deadlines
 	in      *bufio.Reader // of the decrypted stream
-	payload []byte        // of the last frame; its memory is used again
+	payload []byte        // of the last frame; its memory is reused
 }
 
 // newFrameReader returns a reader of stream, whose deadlines are set on conn.
@@ -109,7 +109,7 @@
 	return &frameReader{conn: conn, in: bufio.NewReaderSize(stream, frameBufferBytes)}
 }
 
-// readHeader waits for a frame, as long as it takes, and returns its header.
+// readHeader waits for a frame, without a timeout, and returns its header.
 func (r *frameReader) readHeader() (frameHeader, error) {
 	var encoded [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r.in, encoded[:]); err != nil {
@@ -139,8 +139,8 @@
 	return r.payload, nil
 }
 
-// releaseLargePayload frees the memory of a payload that was large, rather than to keep it
-// until the next frame.
+// releaseLargePayload releases the buffer if it has become large, instead of keeping it for the
+// next frame.
 func (r *frameReader) releaseLargePayload() {
 	if cap(r.payload) > readStepBytes {
 		r.payload = nil
--- a/internal/raftnode/hello.go
+++ b/internal/raftnode/hello.go
@@ -8,12 +8,12 @@
 // helloBytes is the length of an encoded hello.
 const helloBytes = 16
 
-// hello is the first frame of a connection. It identifies the sender's process: a member that
-// comes with a lower incarnation than before, or with the same one in another process, has an
-// older copy of its file and has forgotten what it acknowledged since.
+// hello is the first frame of a connection. It identifies the sender's process: a member with a
+// lower incarnation than before, or with the same one in another process, runs on an older copy
+// of its file and lacks what it acknowledged since.
 type hello struct {
 	incarnation uint64 // how often the member's file was opened; 0: not known
-	processID   uint64 // random, drawn at the process' start
+	processID   uint64 // random, chosen at the start of the process
 }
 
 // encode returns the payload of the hello's frame.
@@ -33,8 +33,8 @@
 	}, true
 }
 
-// isOlderThan reports whether a hello comes of an older copy of the member's file than
-// another hello of that member.
+// isOlderThan reports whether the hello is from an older copy of the member's file than the
+// member's newest hello.
 func (h hello) isOlderThan(newest hello) bool {
 	if h.incarnation == 0 {
 		return false
@@ -43,7 +43,8 @@
 	return h.incarnation < newest.incarnation || isSameFileElsewhere
 }
 
-// acceptHello records a member's hello. One of an older copy of the member's file is an error.
+// acceptHello records a member's hello. A hello from an older copy of the member's file is an
+// error.
 func (t *transport) acceptHello(from uint64, encoded []byte) error {
 	h, ok := decodeHello(encoded)
 	if !ok {
--- a/internal/raftnode/identity.go
+++ b/internal/raftnode/identity.go
@@ -7,22 +7,21 @@
 	"strings"
 )
 
-// Roles of holders that are no members; their certificates' common names are
-// "cluster/role/name".
+// Roles in certificates other than members'. Their common names are "cluster/role/name".
 const (
 	operatorRole = "operator"
 	followerRole = "follower"
 )
 
-// Identity is whom a certificate was issued to: a member, an operator or a follower.
+// Identity is the subject of a certificate: a member, an operator or a follower.
 type Identity struct {
 	Cluster  string
 	Member   uint64 // 0: an operator or a follower
-	Operator string // name; "": no operator
-	Follower string // name; "": no follower
+	Operator string // name; "": not an operator
+	Follower string // name; "": not a follower
 }
 
-// IdentityOf returns whom a certificate was issued to. It does not verify who signed it.
+// IdentityOf returns the identity in a certificate. It does not verify the signature.
 func IdentityOf(certificate *x509.Certificate) (Identity, error) {
 	commonName := certificate.Subject.CommonName
 	owner, name, ok := cutLast(commonName, "/")
@@ -40,7 +39,7 @@
 	return identity, nil
 }
 
-// roleCommonName returns the common name in the certificate of a holder that is no member.
+// roleCommonName returns the common name in the certificate of an operator or a follower.
 func roleCommonName(cluster, role, name string) string {
 	return cluster + "/" + role + "/" + name
 }
--- a/internal/raftnode/membership.go
+++ b/internal/raftnode/membership.go
@@ -32,9 +32,9 @@
 // isJoint reports whether the membership in force is a joint configuration.
 func (c *Core) isJoint() bool { return len(c.confState.GetVotersOutgoing()) > 0 }
 
-// ProposeMembershipChange proposes a change of the membership: a joint one where several
-// members change at once. done is called when the change is applied here, or with an error.
-// id must be unique.
+// ProposeMembershipChange proposes a change of the membership; several changes at once use a
+// joint configuration. done is called when the change is applied here, or with an error. id
+// must be unique.
 func (c *Core) ProposeMembershipChange(id string, changes []*pb.ConfChangeSingle, done func(error)) {
 	if c.stopErr != nil {
 		done(c.stopErr)
@@ -48,11 +48,11 @@
 	c.membershipWaiters[id] = done
 }
 
-// AbandonMembershipChange ends the waiting for a membership change, without an answer. The
+// AbandonMembershipChange stops waiting for a membership change, without calling done. The
 // change may still be applied.
 func (c *Core) AbandonMembershipChange(id string) { delete(c.membershipWaiters, id) }
 
-// completeMembershipChange answers who waits for a membership change, which was applied.
+// completeMembershipChange calls done for a membership change that was applied.
 func (c *Core) completeMembershipChange(id string) {
 	done := c.membershipWaiters[id]
 	if done == nil {
@@ -62,7 +62,7 @@
 	done(nil)
 }
 
-// failMembershipChanges ends the waiting for all membership changes.
+// failMembershipChanges calls done with an error for all membership changes.
 func (c *Core) failMembershipChanges(err error) {
 	for id, done := range c.membershipWaiters {
 		delete(c.membershipWaiters, id)
@@ -70,5 +70,5 @@
 	}
 }
 
-// TransferLeadership asks the leader to hand its leadership to another member.
+// TransferLeadership requests the leader to transfer its leadership to another member.
 func (c *Core) TransferLeadership(to uint64) { c.rawNode.TransferLeader(to) }
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -27,24 +27,24 @@
 	OnChange func()
 	// OnBroadcast, if set, is called with another member's [Node.Broadcast]. It must not retain text.
 	OnBroadcast func(from uint64, text []byte)
-	// WrapSend, if set, wraps the sending of messages, for instance to drop some in a test.
+	// WrapSend, if set, wraps the sending of messages, to inject faults in tests and scenarios.
 	WrapSend func(send func(*pb.Message)) func(*pb.Message)
 }
 
 const (
-	// defaultTickInterval has an election come after 0.5 to 1 s without a leader.
+	// With defaultTickInterval an election begins after 0.5 to 1 s without a leader.
 	defaultTickInterval = 50 * time.Millisecond
 	eventQueueSize      = 1024
-	// maxEventBatch bounds the events that are handled before the Core's Ready is processed:
-	// proposals of one batch are synced together.
+	// maxEventBatch limits the events that are handled before the Core's Ready is processed.
+	// Proposals of one batch are synced together.
 	maxEventBatch = 256
 )
 
-// Node is a member on real time, sockets and storage. Its methods may be called from any
-// goroutine. Its event loop, one goroutine from [Start] until [Node.Done], alone uses the Core.
+// Node is a member on real time, sockets and storage. It is safe for concurrent use. Only its
+// event loop, one goroutine from [Start] until [Node.Done], uses the Core.
 type Node struct {
 	cfg       NodeConfig
-	core      *Core // of the event loop
+	core      *Core // used only by the event loop
 	transport *transport
 	send      func(*pb.Message)
 	events    chan func() // run by the event loop
@@ -53,7 +53,7 @@
 	err       error         // why the event loop has ended; written before done is closed
 }
 
-// Start starts a member on a listener, which it closes at its end.
+// Start starts a member on a listener, which it closes when it stops.
 func Start(cfg NodeConfig, storage Storage, listener net.Listener) (*Node, error) {
 	if cfg.TickInterval == 0 {
 		cfg.TickInterval = defaultTickInterval
@@ -98,7 +98,7 @@
 			n.enqueue(ctx, func() { n.core.Step(m) })
 		},
 		onSendResult: func(m *pb.Message, ok bool) {
-			// The event loop itself calls this while it sends: it must not wait for its own queue.
+			// The event loop itself may call this while it sends. It must not block on its own queue.
 			n.transport.goroutines.Go(func() {
 				n.enqueue(ctx, func() { n.reportSendResult(m, ok) })
 			})
@@ -106,7 +106,7 @@
 	}
 }
 
-// reportSendResult reports to the Core what became of a message. It runs on the event loop.
+// reportSendResult reports to the Core whether a message was sent. It runs on the event loop.
 func (n *Node) reportSendResult(m *pb.Message, ok bool) {
 	if m.GetType() == pb.MsgSnap {
 		n.core.ReportSnapshot(m.GetTo(), ok)
@@ -162,8 +162,8 @@
 	return false
 }
 
-// runOnLoop runs f on the event loop and waits for its end. ctx bounds only the wait for a
-// place in the queue: f may use the caller's variables.
+// runOnLoop runs f on the event loop and waits for its end. ctx limits only the wait until
+// f is queued, so that f may use the caller's variables.
 func (n *Node) runOnLoop(ctx context.Context, f func()) error {
 	finished := make(chan struct{})
 	event := func() {
@@ -187,7 +187,7 @@
 	<-n.done
 }
 
-// Done is closed when the node has ended; [Node.Err] tells why.
+// Done is closed when the node has ended; [Node.Err] returns the reason.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
 // Err returns why the node has ended, or nil while it runs.
--- a/internal/raftnode/node_membership.go
+++ b/internal/raftnode/node_membership.go
@@ -10,13 +10,14 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// transferPollTicks are the ticks between two looks at whether a leadership was transferred.
+// transferPollTicks is the number of ticks between checks whether the leadership was
+// transferred.
 const transferPollTicks = 2
 
 // ChangeMembership changes the membership. remaining is called, on the event loop, with the
-// voters and learners in force and returns the changes that are still to be made; it is
-// called until it returns none. Several changes at once are a joint one. It is safe to repeat
-// a call whose answer was lost.
+// voters and learners in force and returns the changes that remain to be made; it is
+// called until it returns none. Several changes at once use a joint configuration. A call may
+// be repeated if its result was lost.
 func (n *Node) ChangeMembership(ctx context.Context,
 	remaining func(voters, learners []uint64) []*pb.ConfChangeSingle) error {
 	for round := 0; ; round++ {
@@ -44,7 +45,7 @@
 	}
 }
 
-// proposeRemaining proposes the changes that are still to be made, and returns their number.
+// proposeRemaining proposes the changes that remain to be made, and returns their number.
 // The proposal's result is sent to results.
 func (n *Node) proposeRemaining(ctx context.Context, id string,
 	remaining func(voters, learners []uint64) []*pb.ConfChangeSingle, results chan<- error) (int, error) {
@@ -63,9 +64,9 @@
 	return changeCount, err
 }
 
-// awaitMembershipChange waits for the result of a membership change for an election timeout
-// at most: one that was lost, or that had to give way to another change under way, is to be
-// proposed again. Where no leader is known it waits out that time before it says so.
+// awaitMembershipChange waits for the result of a membership change, for an election timeout
+// at most: a change that was lost, or dropped for another one in progress, has to be proposed
+// again. If no leader is known, it returns [ErrNoLeader] at the end of that time.
 func (n *Node) awaitMembershipChange(ctx context.Context, results <-chan error) error {
 	timer := time.NewTimer(time.Duration(n.core.cfg.ElectionTicks) * n.cfg.TickInterval)
 	defer timer.Stop()
@@ -82,8 +83,8 @@
 	}
 }
 
-// TransferLeadership has the leader hand its leadership to a voter and waits until it has, as
-// seen here.
+// TransferLeadership has the leader transfer its leadership to a voter and waits until this
+// member knows of it.
 func (n *Node) TransferLeadership(ctx context.Context, to uint64) error {
 	for {
 		var leader uint64
--- a/internal/raftnode/node_propose.go
+++ b/internal/raftnode/node_propose.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	proposalRetryTicks   = 4       // between attempts where no leader is known
-	proposalElections    = 3       // election timeouts that a small proposal's answer may take
-	proposalBytesPerWait = 1 << 20 // of values, for each of which it may take one more
+	proposalRetryTicks   = 4       // between attempts while no leader is known
+	proposalElections    = 3       // election timeouts until a small proposal is repeated
+	proposalBytesPerWait = 1 << 20 // of values, for each of which it is one election timeout more
 )
 
-// errNotEnqueued and errNoAnswer are outcomes of an attempt besides the Core's own errors.
+// errNotEnqueued and errNoAnswer are errors of an attempt besides those of the Core.
 var (
 	errNotEnqueued = errors.New("the event loop has ended")
 	errNoAnswer    = errors.New("no answer came in time")
 )
 
-// Propose has a proposal replicated and returns its outcome. Where the answer is lost (for
-// instance with a leader) it repeats the proposal under the same id until ctx ends, which
+// Propose has a proposal replicated and returns its outcome. If the result is lost (for
+// example with a leader), it repeats the proposal with the same id until ctx ends, which
 // applies it at most once. At ctx's end the error wraps ctx.Err() and [ErrNoLeader] if the
 // proposal has reached no leader, or else [ErrOutcomeUnknown].
 func (n *Node) Propose(ctx context.Context, p *clusterconfig.Proposal) (clusterconfig.Outcome, error) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// proposalTimeout returns how long to wait for a proposal's answer before it is repeated.
-// Repeated too soon, a long one would add to what delays it.
+// proposalTimeout returns how long to wait for a proposal's result before it is repeated. A
+// long proposal that is repeated too early adds to the load that delays it.
 func (n *Node) proposalTimeout(p *clusterconfig.Proposal) time.Duration {
 	size := 0
 	for _, change := range p.Changes {
@@ -82,7 +82,7 @@
 		err     error
 	}
 	results := make(chan result, 1)
-	var once sync.Once // an id may wait several times, so that one attempt may be answered twice
+	var once sync.Once // several attempts may wait for one id, so that done may be called twice
 	done := func(outcome clusterconfig.Outcome, err error) {
 		once.Do(func() { results <- result{outcome, err} })
 	}
--- a/internal/raftnode/node_read.go
+++ b/internal/raftnode/node_read.go
@@ -10,9 +10,9 @@
 	"mulleinmux/clusterconfig"
 )
 
-// LinearizableRead calls read with the state once all that was committed anywhere when it was
-// called is applied here. read runs on the event loop: it must not block, nor retain the
-// state. It is not called after LinearizableRead has returned.
+// LinearizableRead calls read with the state as soon as all entries that were committed at the
+// time of the call, at any member, are applied here. read runs on the event loop: it must not
+// block or retain the state. It is not called after LinearizableRead has returned.
 func (n *Node) LinearizableRead(ctx context.Context, read func(*clusterconfig.State)) error {
 	results := make(chan error, 1)
 	var mu sync.Mutex // guards hasReturned, and read against the return
@@ -53,7 +53,7 @@
 	Learners     []uint64 `json:"learners"`
 }
 
-// Status returns the member's local view, without asking others.
+// Status returns the member's local view, without contacting others.
 func (n *Node) Status(ctx context.Context) (Status, error) {
 	statuses := make(chan Status, 1)
 	if !n.enqueue(ctx, func() { statuses <- n.core.status() }) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// AppliedState returns the configuration as applied here, without asking others.
+// AppliedState returns the configuration as applied here, without contacting others.
 func (n *Node) AppliedState(ctx context.Context) (*clusterconfig.State, error) {
 	var state *clusterconfig.State
 	err := n.runOnLoop(ctx, func() { state = n.core.State().Freeze() })
@@ -99,8 +99,8 @@
 	IsJoint      bool // a joint configuration: the voters are changing
 }
 
-// AppliedStateAndMembership returns what [Node.AppliedState] does, and the membership in force at the
-// same index.
+// AppliedStateAndMembership returns the result of [Node.AppliedState] and the membership in force at
+// the same index.
 func (n *Node) AppliedStateAndMembership(ctx context.Context) (*clusterconfig.State, Membership, error) {
 	var state *clusterconfig.State
 	var membership Membership
--- a/internal/raftnode/peer_identity.go
+++ b/internal/raftnode/peer_identity.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// anyMember as the expected member of verifyPeer accepts all of the cluster.
+// anyMember as the expected member of verifyPeer accepts all members of the cluster.
 const anyMember = 0
 
 var errNoCertificate = errors.New("no certificate")
 
 // verifyPeer returns the member of this cluster at the other end of a connection, which must
-// be the expected one. The chain was verified against the authority in the handshake; host
-// names play no part, so that a member of another cluster behind a swapped address is rejected.
+// be the expected one. The certificate was verified against the authority in the handshake.
+// The cluster's name is checked here, so that a member of another cluster at a wrong address is rejected.
 func (t *transport) verifyPeer(state tls.ConnectionState, expected uint64) (uint64, error) {
 	id, err := VerifyMember(t.cluster, state)
 	if err != nil {
--- a/internal/raftnode/peer_sender.go
+++ b/internal/raftnode/peer_sender.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of one peer's queues.
+// Limits of one peer's queues.
 const (
 	maxQueuedMessages   = 256
 	maxQueuedBytes      = 96 << 20 // of the queued messages
@@ -26,8 +26,8 @@
 	maxRedialDelay   = time.Second
 )
 
-// peerSender is the bounded queues of messages and broadcasts to one member. One goroutine,
-// [transport.runSender], takes from them.
+// peerSender holds the bounded queues of messages and broadcasts to one member. One goroutine,
+// [transport.runSender], reads them.
 type peerSender struct {
 	memberID   uint64
 	address    string
@@ -39,7 +39,7 @@
 	queuedBytes int        // of the queued messages
 }
 
-// newPeerSender returns the queues to a member; cancel ends the goroutine that takes from them.
+// newPeerSender returns the queues to a member; cancel ends the goroutine that reads them.
 func newPeerSender(memberID uint64, address string, cancel context.CancelFunc) *peerSender {
 	return &peerSender{
 		memberID:   memberID,
@@ -50,7 +50,7 @@
 	}
 }
 
-// enqueue queues a message of size bytes and reports whether there was room for it.
+// enqueue queues a message of size bytes and reports whether the queue had space for it.
 func (s *peerSender) enqueue(m *pb.Message, size int) bool {
 	if !s.reserveBytes(size) {
 		return false
@@ -85,8 +85,8 @@
 // isEmpty reports whether nothing is queued.
 func (s *peerSender) isEmpty() bool { return len(s.messages) == 0 && len(s.broadcasts) == 0 }
 
-// runSender keeps a connection to a member and writes what is queued, until ctx ends. It logs
-// the first failure after a connection, not those of the attempts that follow.
+// runSender maintains a connection to a member and writes the queued items, until ctx ends. It
+// logs only the first failure after a connection.
 func (t *transport) runSender(ctx context.Context, sender *peerSender) {
 	redialDelay := minRedialDelay
 	isFailureLogged := false
@@ -121,8 +121,8 @@
 	}
 }
 
-// dropQueued drops the queued messages of a member that can't be reached: they are outdated
-// by the time it can.
+// dropQueued drops the queued messages to a member that cannot be reached: they would be
+// outdated when it can.
 func (t *transport) dropQueued(sender *peerSender) {
 	for {
 		select {
--- a/internal/raftnode/proposals.go
+++ b/internal/raftnode/proposals.go
@@ -18,7 +18,7 @@
 	c.proposalWaiters[p.ID] = append(c.proposalWaiters[p.ID], done)
 }
 
-// proposeEntry hands a proposal to the engine.
+// proposeEntry passes a proposal to the engine.
 func (c *Core) proposeEntry(p *clusterconfig.Proposal) error {
 	entry, err := clusterconfig.EncodeProposal(p)
 	if err != nil {
@@ -40,8 +40,8 @@
 	return err
 }
 
-// AbandonProposal ends the waiting for a proposal with [ErrOutcomeUnknown]. The proposal may
-// still be applied.
+// AbandonProposal stops waiting for a proposal: done is called with [ErrOutcomeUnknown]. The
+// proposal may still be applied.
 func (c *Core) AbandonProposal(id string) {
 	for _, done := range c.proposalWaiters[id] {
 		done(clusterconfig.Outcome{}, ErrOutcomeUnknown)
@@ -49,7 +49,7 @@
 	delete(c.proposalWaiters, id)
 }
 
-// completeProposal answers those who wait for a proposal, which was applied.
+// completeProposal calls done for all that wait for a proposal, which was applied.
 func (c *Core) completeProposal(id string, o clusterconfig.Outcome) {
 	for _, done := range c.proposalWaiters[id] {
 		done(o, nil)
@@ -57,7 +57,7 @@
 	delete(c.proposalWaiters, id)
 }
 
-// failProposals ends the waiting for all proposals.
+// failProposals calls done with an error for all proposals.
 func (c *Core) failProposals(err error) {
 	for id, waiters := range c.proposalWaiters {
 		delete(c.proposalWaiters, id)
--- a/internal/raftnode/read_index.go
+++ b/internal/raftnode/read_index.go
@@ -17,8 +17,8 @@
 	done         func(error)
 }
 
-// ReadIndex calls done once all that was committed anywhere when ReadIndex was called is
-// applied here (section 6.4 of Ongaro's dissertation, "Consensus: Bridging Theory and
+// ReadIndex calls done as soon as all entries that were committed at the time of the call, at
+// any member, are applied here (section 6.4 of Ongaro's dissertation, "Consensus: Bridging Theory and
 // Practice", 2014).
 func (c *Core) ReadIndex(done func(error)) {
 	if c.stopErr != nil || len(c.pendingReads) >= maxPendingRequests {
@@ -35,8 +35,8 @@
 	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, id))
 }
 
-// repeatReadRequests repeats the requests for a read index that are unanswered for another
-// election timeout: a request is lost with its leader or its message.
+// repeatReadRequests repeats each request for a read index after every election timeout without
+// an answer: requests are lost with a leader or a message.
 func (c *Core) repeatReadRequests() {
 	for _, id := range c.pendingReadIDs() {
 		read := c.pendingReads[id]
@@ -53,7 +53,7 @@
 	return slices.Sorted(maps.Keys(c.pendingReads))
 }
 
-// recordReadIndexes takes in the read indexes that a quorum has confirmed.
+// recordReadIndexes records the read indexes that a quorum has confirmed.
 func (c *Core) recordReadIndexes(states []raft.ReadState) {
 	for _, state := range states {
 		read := c.pendingReads[binary.BigEndian.Uint64(state.RequestCtx)]
@@ -63,7 +63,7 @@
 	}
 }
 
-// completeReads answers the reads whose read index is applied.
+// completeReads calls done for the reads whose read index is applied.
 func (c *Core) completeReads() {
 	for _, id := range c.pendingReadIDs() {
 		read := c.pendingReads[id]
@@ -74,7 +74,7 @@
 	}
 }
 
-// failReads ends all pending reads.
+// failReads calls done with an error for all pending reads.
 func (c *Core) failReads(err error) {
 	for id, read := range c.pendingReads {
 		delete(c.pendingReads, id)
--- a/internal/raftnode/ready.go
+++ b/internal/raftnode/ready.go
@@ -8,11 +8,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ProcessReady persists, sends and applies all that is due. Each message is handed to send as
-// soon as it may go out: what it promises of this member's storage has been saved. A leader's
-// entries go out while it writes its own copy, which counts for the quorum only once it is
-// written (section 10.2.1 of Ongaro's dissertation). An error means that the member has
-// stopped and must not be driven further; another [NewCore] may bring it back.
+// ProcessReady persists, sends and applies the engine's pending output. Each message is passed
+// to send as soon as the state that it acknowledges is saved. A leader's entries are sent while
+// it writes its own copy, which counts for the quorum only when it is written (section 10.2.1
+// of Ongaro's dissertation). After an error the member has stopped and must not be used any
+// more; a new [NewCore] may restart it.
 func (c *Core) ProcessReady(send func(*pb.Message)) error {
 	for c.stopErr == nil && c.rawNode.HasReady() {
 		ready := c.rawNode.Ready()
@@ -51,8 +51,8 @@
 	return c.snapshotIfDue()
 }
 
-// isSendableBeforePersist reports whether a message promises nothing of its sender's storage:
-// what a leader replicates.
+// isSendableBeforePersist reports whether a message acknowledges nothing that its sender has to
+// save first: those with which a leader replicates.
 func isSendableBeforePersist(m *pb.Message) bool {
 	return m.GetType() == pb.MsgApp || m.GetType() == pb.MsgHeartbeat
 }
@@ -69,7 +69,7 @@
 	}
 }
 
-// persist saves the hard state, entries and snapshot of a Ready, and hands them to the engine's log.
+// persist saves the hard state, entries and snapshot of a Ready, and adds them to the engine's log.
 func (c *Core) persist(ready *raft.Ready) error {
 	var snapshot *pb.Snapshot
 	if !raft.IsEmptySnap(ready.Snapshot) {
@@ -104,8 +104,8 @@
 }
 
 // currentHardState returns the hard state of the engine's log, or nil if it is empty. It is
-// saved along with entries, so that a commit index that came alone, which is not synced,
-// survives a restart.
+// saved together with entries, so that a commit index that was received alone, which is not
+// synced, survives a restart.
 func (c *Core) currentHardState() *pb.HardState {
 	hardState, _, err := c.raftLog.InitialState()
 	if err != nil || raft.IsEmptyHardState(hardState) {
--- a/internal/raftnode/silent_logger.go
+++ b/internal/raftnode/silent_logger.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // silentLogger is a logger of the protocol engine that logs nothing. Fatal and Panic still
-// panic, as the engine relies on.
+// panic, since the engine relies on it.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)                   {}
--- a/internal/raftnode/snapshot.go
+++ b/internal/raftnode/snapshot.go
@@ -10,8 +10,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// snapshotTimeoutElections is the number of election timeouts after which a snapshot that was
-// sent, and of which nothing was reported, is taken for lost.
+// snapshotTimeoutElections is the number of election timeouts after which a snapshot without a
+// reported result counts as lost.
 const snapshotTimeoutElections = 10
 
 // restoreSnapshot replaces the state by that of a snapshot.
@@ -23,7 +23,7 @@
 	c.appliedIndex = metadata.GetIndex()
 	c.snapshotIndex = metadata.GetIndex()
 	c.confState = metadata.GetConfState()
-	c.appliedFence = max(c.appliedFence, c.snapshotIndex) // which entry it was is not known any more
+	c.appliedFence = max(c.appliedFence, c.snapshotIndex) // the index of the entry itself is not known any more
 	c.updateFence()
 	return nil
 }
@@ -52,7 +52,7 @@
 	return c.compactLog()
 }
 
-// compactLog drops the entries that the snapshot covers, but for CatchUpEntries.
+// compactLog drops the entries that the snapshot covers, except for the last CatchUpEntries.
 func (c *Core) compactLog() error {
 	if c.appliedIndex <= c.cfg.CatchUpEntries {
 		return nil
@@ -74,9 +74,9 @@
 	c.rawNode.ReportSnapshot(id, status)
 }
 
-// expireSnapshots counts a tick for the snapshots under way and reports those as failed of
-// which nothing was heard. The engine sends a member nothing more until the result of its
-// snapshot is reported: one that was lost with its report would stall the member for good.
+// expireSnapshots counts a tick for the snapshots in flight and reports those as failed that
+// have timed out. The engine sends a member nothing else until the result of its snapshot is
+// reported: if both were lost, the member would stall for good.
 func (c *Core) expireSnapshots() {
 	timeoutTicks := snapshotTimeoutElections * c.cfg.ElectionTicks
 	for _, id := range slices.Sorted(maps.Keys(c.snapshotsInFlight)) {
--- a/internal/raftnode/storage.go
+++ b/internal/raftnode/storage.go
@@ -9,10 +9,10 @@
 	Load() (PersistedState, error)
 	// Save stores those arguments that are not nil. If sync is true, they are durable when it
 	// returns; otherwise they may be lost in a crash. Entries replace those stored from the
-	// first one's index on. A snapshot here was received from the leader: it replaces the
-	// whole log, of which nothing may come back.
+	// first one's index on. The snapshot is one received from the leader: it replaces the
+	// complete log, of which nothing may reappear.
 	Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error
-	// SaveSnapshot stores a snapshot that the member has taken itself, and leaves its log.
+	// SaveSnapshot stores a snapshot that the member has taken itself, and keeps its log.
 	SaveSnapshot(snap *pb.Snapshot) error
 	// Compact removes the entries up to and including index, which a stored snapshot covers.
 	Compact(index uint64) error
@@ -22,5 +22,5 @@
 type PersistedState struct {
 	HardState *pb.HardState // nil: nothing was ever saved
 	Snapshot  *pb.Snapshot  // nil: none
-	Entries   []*pb.Entry   // of the log, behind the snapshot
+	Entries   []*pb.Entry   // of the log, after the snapshot
 }
--- a/internal/raftnode/transport.go
+++ b/internal/raftnode/transport.go
@@ -11,9 +11,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// transport sends messages to the other members and receives theirs. What one peer can cost
-// is bounded, whatever it does: the queues of its [peerSender] on the way out, and one frame
-// and one snapshot for each of its connections on the way in.
+// transport sends messages to the other members and receives theirs. The memory for each peer
+// is bounded: by the queues of its [peerSender], and by one frame and one snapshot for each of
+// its connections.
 //
 // Goroutines, all ended by start's context and awaited by wait: one accepts connections, one
 // reads each accepted connection, one runs each peer's sender, and one of each sender's
@@ -66,7 +66,7 @@
 // wait returns when all goroutines have ended.
 func (t *transport) wait() { t.goroutines.Wait() }
 
-// setPeers sets the addresses of all members. Senders to members that have gone or moved end.
+// setPeers sets the addresses of all members. Senders to removed members and old addresses end.
 func (t *transport) setPeers(addresses map[uint64]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// broadcast queues a text for all other members. It is lost where the queue is full.
+// broadcast queues a text for all other members. It is lost for those whose queue is full.
 func (t *transport) broadcast(text []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,8 +99,7 @@
 	}
 }
 
-// send queues a message for its receiver. One that finds the queue full is dropped, as Raft
-// allows.
+// send queues a message for its receiver. It is dropped if the queue is full, as Raft allows.
 func (t *transport) send(m *pb.Message) {
 	t.mu.Lock()
 	sender := t.senders[m.GetTo()]
