--- a/policy/event_types.go
+++ b/policy/event_types.go
@@ -9,7 +9,7 @@
 const (
 	Up       ServerState = iota // takes requests
 	Draining                    // finishes what it has
-	Removed                     // gone
+	Removed                     // no longer in the list
 )
 
 // Server is one entry of the endpoint list.
