--- a/internal/raftnode/peer_sender.go
+++ b/internal/raftnode/peer_sender.go
@@ -14,7 +14,7 @@
 	"mulleinmux/internal/logging"
 )
 
-// Bounds of one peer's queues.
+// Limits of one peer's queues.
 const (
 	maxQueuedMessages   = 256
 	maxQueuedBytes      = 96 << 20 // of the queued messages
@@ -29,8 +29,8 @@
 	maxRedialDelay   = time.Second
 )
 
-// peerSender is the bounded queues of messages and broadcasts to one member. One goroutine,
-// [transport.runSender], takes from them.
+// peerSender holds the bounded queues of messages and broadcasts to one member. One goroutine,
+// [transport.runSender], reads them.
 type peerSender struct {
 	memberID   uint64
 	address    string
@@ -42,7 +42,7 @@
 	queuedBytes int        // of the queued messages
 }
 
-// newPeerSender returns the queues to a member; cancel ends the goroutine that takes from them.
+// newPeerSender returns the queues to a member; cancel ends the goroutine that reads them.
 func newPeerSender(memberID uint64, address string, cancel context.CancelFunc) *peerSender {
 	return &peerSender{
 		memberID:   memberID,
@@ -53,7 +53,7 @@
 	}
 }
 
-// enqueue queues a message of size bytes and reports whether there was room for it.
+// enqueue queues a message of size bytes and reports whether the queue had space for it.
 func (s *peerSender) enqueue(m *pb.Message, size int) bool {
 	if !s.reserveBytes(size) {
 		return false
@@ -88,8 +88,8 @@
 // isEmpty reports whether nothing is queued.
 func (s *peerSender) isEmpty() bool { return len(s.messages) == 0 && len(s.broadcasts) == 0 }
 
-// runSender keeps a connection to a member and writes what is queued, until ctx ends. It logs
-// the first failure after a connection, not those of the attempts that follow.
+// runSender maintains a connection to a member and writes the queued items, until ctx ends. It
+// logs only the first failure after a connection.
 func (t *transport) runSender(ctx context.Context, sender *peerSender) {
 	redialDelay := minRedialDelay
 	isFailureLogged := false
@@ -125,8 +125,8 @@
 	}
 }
 
-// dropQueued drops the queued messages of a member that can't be reached: they are outdated
-// by the time it can.
+// dropQueued drops the queued messages to a member that cannot be reached: they would be
+// outdated when it can.
 func (t *transport) dropQueued(sender *peerSender) {
 	for {
 		select {
