--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -117,6 +117,7 @@
 		return neverSent(control, deadline)
 	}
 	rep.wasWritten = true
+	writtenAt := time.Now()
 	result, isReusable, err := c.read(rep, headOnly)
 	isAborted := !control.finish()
 	if isReusable && !isAborted {
@@ -125,7 +126,7 @@
 		p.Discard(pooled)
 	}
 	if err != nil {
-		result = p.failedRead(pooled, err, isAborted)
+		result = p.failedRead(pooled, err, isAborted, writtenAt)
 	}
 	if result == policy.OK || result == policy.RejectedByServer || result == policy.ErrorResponse {
 		rep.connectedAt = c.connectedAt
@@ -134,7 +135,7 @@
 }
 
 // failedRead is the result of an attempt that was written whole and whose response could not be read.
-func (p *serverPool) failedRead(pooled *pooledConn, err error, isAborted bool) policy.Result {
+func (p *serverPool) failedRead(pooled *pooledConn, err error, isAborted bool, writtenAt time.Time) policy.Result {
 	switch {
 	case isAborted:
 		return policy.Cancelled
@@ -144,6 +145,9 @@
 	case errors.Is(err, os.ErrDeadlineExceeded) || wasAnswered(err):
 		return policy.ErrorResponse // half a response, or one that can't be read, is no silence
 	}
+	if !pooled.HostConn.hasBytes {
+		p.RecordReset(pooled, time.Since(writtenAt))
+	}
 	return policy.ConnectionReset
 }
 
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -92,7 +92,8 @@
 		return nil, err
 	}
 	in := &Instance{
-		config: config, log: logger, startedAt: time.Now(), ctx: ctx, servers: newServerPool(config), engine: engine,
+		config: config, log: logger, startedAt: time.Now(), ctx: ctx, engine: engine,
+		servers:  newServerPool(config, serverPoolOptions{}),
 		requests: map[string]*pendingRequest{}, serversBySite: map[string]map[string]bool{},
 		counters: map[string]*Counters{}, siteWatches: map[string]*siteWatch{},
 	}
--- a/internal/gateway/server_pool.go
+++ b/internal/gateway/server_pool.go
@@ -31,8 +31,13 @@
 // pooledConn is a serverConn as its pool knows it.
 type pooledConn = serverpool.Conn[*serverConn]
 
+// serverPoolOptions is what a pool is made with, beside the configuration.
+type serverPoolOptions struct {
+	now func() time.Time // the clock; nil: time.Now
+}
+
 // newServerPool returns a pool that has no server yet.
-func newServerPool(cfg *Config) *serverPool {
+func newServerPool(cfg *Config, options serverPoolOptions) *serverPool {
 	p := &serverPool{dialer: net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1}}
 	p.Pool = serverpool.New(serverpool.Config[*serverConn]{
 		Config: conntable.Config{
@@ -40,6 +45,7 @@
 			MaxOpen:        cfg.MaxServerConns,
 		},
 		Dial: p.dial,
+		Now:  options.now,
 	})
 	return p
 }
