--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -92,7 +92,8 @@
 		return nil, err
 	}
 	in := &Instance{
-		config: config, logger: logger, startedAt: time.Now(), ctx: ctx, servers: newServerPool(config), engine: engine,
+		config: config, logger: logger, startedAt: time.Now(), ctx: ctx, engine: engine,
+		servers:  newServerPool(config, serverPoolOptions{}),
 		requests: map[string]*pendingRequest{}, serversBySite: map[string]map[string]bool{},
 		counters: map[string]*Counters{}, siteWatches: map[string]*siteWatch{},
 	}
