--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -59,7 +59,7 @@
 	const progress = "%-12s %d procs: %8.0f requests/s, %6.1f us CPU and %5.1f allocations a request, " +
 		"p50 %.0f us, p99 %.0f us, %d other answers\n"
 	var results []benchmark.Result
-	err := benchmark.Run(e.ctx, c.benchmarkOptions(self), func(r benchmark.Result) {
+	err := benchmark.MeasureFronts(e.ctx, c.benchmarkOptions(self), func(r benchmark.Result) {
 		results = append(results, r)
 		fmt.Fprintf(e.stderr, progress, r.Front, r.Procs, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
 	})
--- a/cmd/gateway/bench_changes.go
+++ b/cmd/gateway/bench_changes.go
@@ -19,7 +19,7 @@
 		results = append(results, r)
 		fmt.Fprintf(e.stderr, progress, r.Front, r.PerS, r.CPU, r.P50, r.P99, r.Other, changes)
 	}
-	if err := benchmark.Changes(e.ctx, c.benchmarkOptions(self), c.Changes, record); err != nil {
+	if err := benchmark.MeasureChanges(e.ctx, c.benchmarkOptions(self), c.Changes, record); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/cmd/gateway/bench_followers.go
+++ b/cmd/gateway/bench_followers.go
@@ -16,7 +16,8 @@
 		"a member killed: all have the next version after %.1f s\n"
 	var results []benchmark.FollowersResult
 	for _, full := range []bool{false, true} {
-		r, err := benchmark.Followers(e.ctx, c.benchmarkOptions(self), c.Followers, followerChangeCount, full)
+		load := benchmark.FollowersLoad{Followers: c.Followers, Changes: followerChangeCount, FullVersions: full}
+		r, err := benchmark.MeasureFollowers(e.ctx, c.benchmarkOptions(self), load)
 		if err != nil {
 			return err
 		}
--- a/cmd/gateway/bench_part.go
+++ b/cmd/gateway/bench_part.go
@@ -11,4 +11,6 @@
 	Part string `arg:""`
 }
 
-func (c *partCmd) Run(e *environment) error { return benchmark.Play(e.ctx, c.Part, os.Stdin, e.stdout) }
+func (c *partCmd) Run(e *environment) error {
+	return benchmark.RunPart(e.ctx, c.Part, os.Stdin, e.stdout)
+}
--- a/cmd/gateway/bench_relay.go
+++ b/cmd/gateway/bench_relay.go
@@ -15,7 +15,7 @@
 		results = append(results, r)
 		fmt.Fprintf(e.stderr, progress, r.Front, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
 	}
-	if err := benchmark.Crossing(e.ctx, c.benchmarkOptions(self), record); err != nil {
+	if err := benchmark.MeasureRelay(e.ctx, c.benchmarkOptions(self), record); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/cmd/gateway/bench_subsets.go
+++ b/cmd/gateway/bench_subsets.go
@@ -14,10 +14,10 @@
 	if c.Size < 1 || c.Size > maxSubsetSize {
 		return usageError{fmt.Errorf("--size: %d is not from 1 to %d", c.Size, maxSubsetSize)}
 	}
-	var results []benchmark.PartsResult
+	var results []benchmark.SubsetFigures
 	for _, nodes := range []int{10, 300, 1000} {
 		for _, servers := range []int{10, 30, 170, 1000} {
-			rows, err := benchmark.Parts(nodes, servers, c.Size, c.Seed)
+			rows, err := benchmark.CompareSubsets(nodes, servers, c.Size, c.Seed)
 			if err != nil {
 				return err
 			}
@@ -34,8 +34,8 @@
 	fmt.Fprintf(e.stdout, header, "nodes", "servers", "way", "members", "fewest", "held", "spread", "most", "uneven",
 		"zone", "gone", "came", "miscut")
 	for _, r := range results {
-		fmt.Fprintf(e.stdout, row, r.Nodes, r.Servers, r.Way, r.Members, r.Fewest, r.Held, r.Spread, r.Most, r.Uneven,
-			r.Zone, r.Gone, r.Came, r.Miscut)
+		fmt.Fprintf(e.stdout, row, r.Nodes, r.Servers, r.Method, r.MeanSize, r.MinSize, r.MaxSubsets,
+			r.LoadDeviation, r.MaxLoad, r.UnevenNodes, r.MaxLoadZoneOut, r.ServerGone, r.ServerCame, r.WrongNodeCount)
 	}
 	return nil
 }
--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -1,7 +1,6 @@
-// Package benchmark measures what a request costs a gateway instance in CPU and how many a
-// second it takes, beside net/http/httputil's ReverseProxy and a direct call, all in one
-// run on the same stand-in servers. Each part is a process of its own, so that the CPU of
-// one is not taken for another's.
+// Package benchmark measures what a request costs a gateway instance in CPU and how many a second it takes, beside
+// net/http/httputil's ReverseProxy and a direct call, all in one run on the same test servers; and what changes,
+// followers and relays cost. Each part is a process of its own, so that the CPU of one is not taken for another's.
 package benchmark
 
 import (
@@ -39,8 +38,8 @@
 	P99      float64 `json:"p99_us"`
 }
 
-// Run measures, and calls tell with each result as it comes.
-func Run(ctx context.Context, opt Options, tell func(Result)) error {
+// MeasureFronts measures the gateway, ReverseProxy and direct calls, and reports each result as it comes.
+func MeasureFronts(ctx context.Context, opt Options, report func(Result)) error {
 	back, err := begin(ctx, opt.Self, 0, Part{Role: "halls"})
 	if err != nil {
 		return err
@@ -51,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		tell(r)
+		report(r)
 		for _, procs := range opt.Procs {
 			for _, front := range []string{"gateway", "reverseproxy"} {
 				part := Part{Role: front, Servers: back.addrs}
@@ -66,7 +65,7 @@
 				if err = errors.Join(err, p.end()); err != nil {
 					return err
 				}
-				tell(r)
+				report(r)
 			}
 		}
 	}
--- a/internal/benchmark/changes.go
+++ b/internal/benchmark/changes.go
@@ -10,54 +10,58 @@
 	"mulleinmux/internal/cluster"
 )
 
-// Changes measures one of three instances that agree, by turns without changes of what is
-// agreed on and with one at each gap. tell gets the results, "still" and "changing", and how
-// many changes took place during the latter.
-func Changes(ctx context.Context, opt Options, gap time.Duration, tell func(r Result, changes int)) (err error) {
-	c, err := startCluster(ctx, opt, false, false)
+// MeasureChanges measures one of three instances that agree, by turns without changes of what is agreed on and with one
+// in each interval. report gets the results, "still" and "changing", and how many changes took place during the latter.
+func MeasureChanges(
+	ctx context.Context, opt Options, interval time.Duration, report func(result Result, changes int),
+) (err error) {
+	c, err := startCluster(ctx, opt, noFollowers)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, c.end()) }()
-	front, cl := c.members[0], c.client
+	front := c.members[0]
 	for range opt.Rounds {
-		r, err := measure(opt, "still", opt.Procs[0], front.addrs, front)
+		result, err := measure(opt, "still", opt.Procs[0], front.addrs, front)
 		if err != nil {
 			return err
 		}
-		tell(r, 0)
+		report(result, 0)
 		changing, stop := context.WithCancel(ctx)
-		done := make(chan int, 1)
-		go func() { done <- change(changing, cl, gap) }()
-		r, err = measure(opt, "changing", opt.Procs[0], front.addrs, front)
+		changeCount := make(chan int, 1)
+		go func() { changeCount <- changeRepeatedly(changing, c.client, interval) }()
+		result, err = measure(opt, "changing", opt.Procs[0], front.addrs, front)
 		stop()
-		n := <-done
+		changes := <-changeCount
 		if err != nil {
 			return err
 		}
-		tell(r, n)
+		report(result, changes)
 	}
 	return nil
 }
 
-// change changes a licensee at each gap until ctx ends, and counts.
-func change(ctx context.Context, cl *cluster.Client, gap time.Duration) (n int) {
-	tick := time.NewTicker(gap)
-	defer tick.Stop()
+// changedLicensees is how many licensees changeRepeatedly changes in turn.
+const changedLicensees = 50
+
+// changeRepeatedly changes a licensee in each interval until ctx ends, and returns how many changes were agreed on.
+func changeRepeatedly(ctx context.Context, client *cluster.Client, interval time.Duration) (count int) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
-			return n
-		case <-tick.C:
+			return count
+		case <-ticker.C:
 		}
-		p := &clusterconfig.Proposal{
-			ID: fmt.Sprint(time.Now().UnixNano()),
-			Changes: []clusterconfig.Change{
-				clusterconfig.NewPutChange("licensee", fmt.Sprint("other-", i%50), clusterconfig.Licensee{Plan: "kubwa"}),
-			},
+		name := fmt.Sprint("other-", i%changedLicensees)
+		change := clusterconfig.NewPutChange("licensee", name, clusterconfig.Licensee{Plan: "kubwa"})
+		proposal := &clusterconfig.Proposal{
+			ID:      fmt.Sprint(time.Now().UnixNano()),
+			Changes: []clusterconfig.Change{change},
 		}
-		if _, err := cl.Propose(ctx, p); err == nil {
-			n++
+		if _, err := client.Propose(ctx, proposal); err == nil {
+			count++
 		}
 	}
 }
--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -21,154 +21,233 @@
 
 // startMember starts an instance that agrees with others on what it serves.
 func startMember(ctx context.Context, p *Part) ([]string, error) {
-	creds, err := raftnode.LoadMemberCredentials(p.Dir, p.Member)
+	credentials, err := raftnode.LoadMemberCredentials(p.Dir, p.Member)
 	if err != nil {
 		return nil, err
 	}
-	cfg := &cluster.MemberConfig{
-		Cluster:          "bench",
+	memberConfig := &cluster.MemberConfig{
+		Cluster:          clusterName,
 		MemberID:         p.Member,
 		DataFile:         filepath.Join(p.Dir, fmt.Sprint(p.Member, ".db")),
-		Credentials:      creds,
+		Credentials:      credentials,
 		Members:          p.Members,
 		StreamListenAddr: p.Stream,
 		SendFullVersions: p.StreamFull,
 	}
-	if err := cluster.InitMember(cfg, false); err != nil {
+	if err := cluster.InitMember(memberConfig, false); err != nil {
 		return nil, err
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	gate := &gateway.Config{Name: fmt.Sprint("gate-", p.Member), Settings: settings()}
-	gate.Settings.Plans = nil
-	gate.UseSockets(ln, nil)
-	begun, ended := make(chan *cluster.Member, 1), make(chan error, 1)
+	instanceConfig := &gateway.Config{Name: fmt.Sprint("gate-", p.Member), Settings: settings()}
+	instanceConfig.Settings.Plans = nil // they are agreed on
+	instanceConfig.UseSockets(listener, nil)
+	logger := log.New(os.Stderr, "", 0)
+	started := make(chan struct{})
+	ended := make(chan error, 1)
 	go func() {
-		ended <- cluster.RunMember(ctx, cfg, gate, log.New(os.Stderr, "", 0), func(f *cluster.Member) { begun <- f })
+		ended <- cluster.RunMember(ctx, memberConfig, instanceConfig, logger, func(*cluster.Member) { close(started) })
 	}()
 	select {
 	case err := <-ended:
 		return nil, err
-	case <-begun:
-		return []string{ln.Addr().String()}, nil
+	case <-started:
+		return []string{listener.Addr().String()}, nil
 	}
 }
 
+const (
+	clusterName  = "bench"
+	operatorName = "op"
+	clusterSize  = 3
+
+	agreementTimeout       = 20 * time.Second // until the first configuration is in force
+	agreementRetryInterval = 50 * time.Millisecond
+)
+
+// followerService says whether members serve followers, and what they send them.
+type followerService int
+
+const (
+	noFollowers followerService = iota
+	followersGetDeltas
+	followersGetFullVersions
+)
+
 // benchCluster is three members as processes, of which the first has the measured processors, with servers behind them.
 type benchCluster struct {
-	dir     string
-	auth    *raftnode.Authority
-	members []*process
-	streams map[uint64]string // addresses for followers
-	client  *cluster.Client
-	ends    []func() error
+	dir       string // of certificates and members' files
+	authority *raftnode.Authority
+	members   []*process
+	streams   map[uint64]string // addresses for followers
+	client    *cluster.Client
+	cleanups  []func() error // run by end, the last first
 }
 
+// end ends the members and the servers, and removes the folder.
 func (c *benchCluster) end() (err error) {
-	for _, end := range slices.Backward(c.ends) {
-		err = errors.Join(err, end())
+	for _, cleanup := range slices.Backward(c.cleanups) {
+		err = errors.Join(err, cleanup())
 	}
 	return err
 }
 
-// startCluster starts members that have agreed on the bench's configuration; with streams they serve followers, by whole
-// versions alone if full.
-func startCluster(ctx context.Context, opt Options, streams, full bool) (c *benchCluster, err error) {
+// startCluster starts members that have agreed on the benchmark's configuration.
+func startCluster(ctx context.Context, opt Options, service followerService) (c *benchCluster, err error) {
 	c = &benchCluster{streams: map[uint64]string{}}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, c.end())
 		}
 	}()
-	if c.dir, err = os.MkdirTemp("", "gateway-bench-"); err != nil {
+	if err := c.writeCertificates(); err != nil {
 		return c, err
 	}
-	c.ends = append(c.ends, func() error { return os.RemoveAll(c.dir) })
-	if c.auth, err = raftnode.NewAuthority("bench"); err != nil {
+	registry, err := c.startServers(ctx, opt.Self)
+	if err != nil {
 		return c, err
 	}
-	if err := errors.Join(c.auth.Write(c.dir), c.auth.WriteOperator(c.dir, "op")); err != nil {
+	members, err := c.reserveAddresses(service)
+	if err != nil {
 		return c, err
 	}
-	back, err := begin(ctx, opt.Self, 0, Part{Role: "halls"})
-	if err != nil {
+	if err := c.startMembers(ctx, opt, members, service); err != nil {
 		return c, err
 	}
-	c.ends = append(c.ends, back.end)
-	reg, err := testserver.NewDiscovery()
-	if err != nil {
+	if err := c.connect(members); err != nil {
 		return c, err
 	}
-	c.ends = append(c.ends, func() error { reg.Close(); return nil })
-	for i, s := range back.addrs {
-		reg.Put(testserver.Entry{InstanceID: fmt.Sprint("s", i), HostPort: s, Zone: "hall-a", MachineType: "k", Lifecycle: "up", Weight: 1})
+	return c, agree(ctx, c.client, registry.Addr().String())
+}
+
+// writeCertificates makes the cluster's folder, with the certificates of its members and of an operator.
+func (c *benchCluster) writeCertificates() (err error) {
+	if c.dir, err = os.MkdirTemp("", "gateway-bench-"); err != nil {
+		return err
+	}
+	c.cleanups = append(c.cleanups, func() error { return os.RemoveAll(c.dir) })
+	if c.authority, err = raftnode.NewAuthority(clusterName); err != nil {
+		return err
 	}
-	members, at := map[uint64]clusterconfig.Member{}, []string{}
+	err = errors.Join(c.authority.Write(c.dir), c.authority.WriteOperator(c.dir, operatorName))
+	for id := uint64(1); id <= clusterSize && err == nil; id++ {
+		err = c.authority.WriteMembers(c.dir, []uint64{id})
+	}
+	return err
+}
+
+// startServers starts a process of servers, and the service discovery that lists them.
+func (c *benchCluster) startServers(ctx context.Context, program string) (*testserver.Discovery, error) {
+	servers, err := begin(ctx, program, 0, Part{Role: "halls"})
+	if err != nil {
+		return nil, err
+	}
+	c.cleanups = append(c.cleanups, servers.end)
+	registry, err := listServers(servers.addrs)
+	if err != nil {
+		return nil, err
+	}
+	c.cleanups = append(c.cleanups, func() error { registry.Close(); return nil })
+	return registry, nil
+}
+
+// reserveAddresses returns the members with addresses that are free, and keeps those for followers.
+func (c *benchCluster) reserveAddresses(service followerService) (map[uint64]clusterconfig.Member, error) {
+	members := map[uint64]clusterconfig.Member{}
 	for id := uint64(1); id <= clusterSize; id++ {
 		var addrs [3]string
 		for i := range addrs {
+			var err error
 			if addrs[i], err = testserver.FreeAddr("tcp"); err != nil {
-				return c, err
+				return nil, err
 			}
 		}
 		members[id] = clusterconfig.Member{RaftAddress: addrs[0], AdminAddress: addrs[1]}
-		if streams {
+		if service != noFollowers {
 			c.streams[id] = addrs[2]
 		}
-		at = append([]string{addrs[1]}, at...) // operators ask the last one first
-		if err := c.auth.WriteMembers(c.dir, []uint64{id}); err != nil {
-			return c, err
-		}
 	}
+	return members, nil
+}
+
+// startMembers starts a process for each member. The first is measured.
+func (c *benchCluster) startMembers(
+	ctx context.Context, opt Options, members map[uint64]clusterconfig.Member, service followerService,
+) error {
 	for id := uint64(1); id <= clusterSize; id++ {
-		part, procs := Part{Role: "member", Member: id, Dir: c.dir, Members: members, Stream: c.streams[id], StreamFull: full}, 1
+		part := Part{
+			Role:       "member",
+			Member:     id,
+			Dir:        c.dir,
+			Members:    members,
+			Stream:     c.streams[id],
+			StreamFull: service == followersGetFullVersions,
+		}
+		procs := 1
 		if id == 1 {
 			part.Profile, procs = opt.Profile, opt.Procs[0]
 		}
-		p, err := begin(ctx, opt.Self, procs, part)
+		member, err := begin(ctx, opt.Self, procs, part)
 		if err != nil {
-			return c, err
+			return err
 		}
-		c.members = append(c.members, p)
-		c.ends = append(c.ends, func() error { p.end(); return nil }) // it may have been killed
+		c.members = append(c.members, member)
+		c.cleanups = append(c.cleanups, func() error { member.end(); return nil }) // it may have been killed
 	}
-	creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.OperatorFilePrefix("op"))
+	return nil
+}
+
+// connect makes the operator's client, which asks the last member first.
+func (c *benchCluster) connect(members map[uint64]clusterconfig.Member) error {
+	credentials, err := raftnode.LoadCredentialFiles(c.dir, raftnode.OperatorFilePrefix(operatorName))
 	if err != nil {
-		return c, err
+		return err
+	}
+	var addrs []string
+	for id := uint64(clusterSize); id >= 1; id-- {
+		addrs = append(addrs, members[id].AdminAddress)
 	}
-	c.client = cluster.NewClient("bench", creds, at...)
-	c.ends = append(c.ends, func() error { c.client.Close(); return nil })
-	return c, agree(ctx, c.client, reg.Addr().String())
+	c.client = cluster.NewClient(clusterName, credentials, addrs...)
+	c.cleanups = append(c.cleanups, func() error { c.client.Close(); return nil })
+	return nil
 }
 
-const (
-	clusterSize = 3
-	agreeMost   = 20 * time.Second // until the first configuration is in force
-)
-
-// agree has the instances agree on the bench's configuration and waits until it is in force.
-func agree(ctx context.Context, cl *cluster.Client, register string) error {
-	p := &clusterconfig.Proposal{ID: "first", Changes: []clusterconfig.Change{
-		clusterconfig.NewPutChange("class", "slot-check", clusterconfig.Class{PriorityWeight: 3, LatencyObjectiveMs: 2000, DeadlineMs: 4000}), clusterconfig.NewPutChange("class", "visit-book", clusterconfig.Class{PriorityWeight: 9, LatencyObjectiveMs: 2000, DeadlineMs: 4000}),
-		clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{Rate: 1e5, Burst: 1e5, HardLimitRate: 2e5, HardLimitBurst: 2e5, PriorityFactor: 1}),
-		clusterconfig.NewPutChange("hall", "hall-a", clusterconfig.Site{DiscoveryAddress: register}),
-		clusterconfig.NewPutChange("description", "booking", clusterconfig.Description{File: "booking.yaml", Text: string(deploy.Booking)})}}
-	for i := range 100 {
-		p.Changes = append(p.Changes, clusterconfig.NewPutChange("licensee", fmt.Sprint("licensee-", i), clusterconfig.Licensee{Plan: "kubwa"}))
-	}
-	ctx, cancel := context.WithTimeout(ctx, agreeMost)
+// agree has the instances agree on the benchmark's configuration and waits until it is in force.
+func agree(ctx context.Context, client *cluster.Client, registryAddr string) error {
+	proposal := firstProposal(registryAddr)
+	ctx, cancel := context.WithTimeout(ctx, agreementTimeout)
 	defer cancel()
 	for {
-		o, err := cl.Propose(ctx, p)
+		outcome, err := client.Propose(ctx, proposal)
 		if err == nil {
-			return cl.AwaitInstalled(ctx, o.Version, 0)
+			return client.AwaitInstalled(ctx, outcome.Version, 0)
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(50 * time.Millisecond):
+		case <-time.After(agreementRetryInterval):
 		}
 	}
 }
+
+// firstProposal returns the benchmark's configuration: that of startGateway, as objects that members agree on.
+func firstProposal(registryAddr string) *clusterconfig.Proposal {
+	put := clusterconfig.NewPutChange
+	changes := []clusterconfig.Change{
+		put("class", "slot-check",
+			clusterconfig.Class{PriorityWeight: 3, LatencyObjectiveMs: 2000, DeadlineMs: 4000}),
+		put("class", "visit-book",
+			clusterconfig.Class{PriorityWeight: 9, LatencyObjectiveMs: 2000, DeadlineMs: 4000}),
+		put("plan", "kubwa", clusterconfig.Plan{
+			Rate: 1e5, Burst: 1e5, HardLimitRate: 2e5, HardLimitBurst: 2e5, PriorityFactor: 1}),
+		put("hall", "hall-a", clusterconfig.Site{DiscoveryAddress: registryAddr}),
+		put("description", "booking",
+			clusterconfig.Description{File: "booking.yaml", Text: string(deploy.Booking)}),
+	}
+	for i := range licenseeCount {
+		changes = append(changes, put("licensee", licenseeName(i), clusterconfig.Licensee{Plan: "kubwa"}))
+	}
+	return &clusterconfig.Proposal{ID: "first", Changes: changes}
+}
--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -22,10 +22,10 @@
 // FollowersResult is what followers cost and how soon they have a change.
 type FollowersResult struct {
 	Full        bool    // by whole versions alone
-	Followers   int     //
+	Followers   int     // how many
 	JoinS       float64 // until all had the first version
 	P50Ms       float64 // from agreed to in force, over all followers and changes of one plan
-	P99Ms       float64 //
+	P99Ms       float64 // the same
 	AllMs       float64 // until the last has it: the median of the changes
 	MemoryKB    float64 // of the first member, for each follower that it serves
 	MemberCores float64 // of the first member at ten changes a second
@@ -40,11 +40,21 @@
 	installedAt map[uint64]time.Time // by version
 }
 
-// Followers measures a cluster with n followers, which all run in this process, at a number of changes; with full the
-// members send whole versions alone.
-func Followers(ctx context.Context, opt Options, n, changes int, full bool) (r FollowersResult, err error) {
-	r = FollowersResult{Full: full, Followers: n}
-	c, err := startCluster(ctx, opt, true, full)
+// FollowersLoad is what MeasureFollowers measures.
+type FollowersLoad struct {
+	Followers    int
+	Changes      int  // one by one
+	FullVersions bool // members send whole versions alone, no deltas
+}
+
+// MeasureFollowers measures a cluster with followers, which all run in this process.
+func MeasureFollowers(ctx context.Context, opt Options, load FollowersLoad) (r FollowersResult, err error) {
+	r = FollowersResult{Full: load.FullVersions, Followers: load.Followers}
+	service := followersGetDeltas
+	if load.FullVersions {
+		service = followersGetFullVersions
+	}
+	c, err := startCluster(ctx, opt, service)
 	if err != nil {
 		return r, err
 	}
@@ -53,7 +63,7 @@
 			err = e
 		}
 	}()
-	version, err := agreeFollowers(ctx, c, n)
+	version, err := agreeFollowers(ctx, c, load.Followers)
 	if err != nil {
 		return r, err
 	}
@@ -65,7 +75,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
-	followers := make([]*quietFollower, n)
+	followers := make([]*quietFollower, load.Followers)
 	began := time.Now()
 	for i := range followers {
 		if followers[i], err = newQuietFollower(c, followerName(i)); err != nil {
@@ -82,13 +92,13 @@
 		return r, err
 	}
 	r.MemoryKB = float64(after-before) / float64(max(followersOfFirst(followers), 1))
-	if err := r.measureChanges(ctx, c, followers, changes); err != nil {
+	if err := r.measureChanges(ctx, c, followers, load.Changes); err != nil {
 		return r, err
 	}
 	if r.MemberCores, err = coresAtTen(ctx, opt, c); err != nil {
 		return r, err
 	}
-	r.BackS, err = measureFailover(ctx, c, followers, changes)
+	r.BackS, err = measureFailover(ctx, c, followers, load.Changes)
 	return r, err
 }
 
@@ -106,7 +116,7 @@
 
 // newQuietFollower returns a follower with a certificate of its own; its stream does not run yet.
 func newQuietFollower(c *benchCluster, name string) (*quietFollower, error) {
-	if err := c.auth.WriteFollower(c.dir, name); err != nil {
+	if err := c.authority.WriteFollower(c.dir, name); err != nil {
 		return nil, err
 	}
 	creds, err := raftnode.LoadCredentialFiles(c.dir, raftnode.FollowerFilePrefix(name))
@@ -114,7 +124,7 @@
 		return nil, err
 	}
 	f := &quietFollower{installedAt: map[uint64]time.Time{}}
-	cfg := &cluster.FollowerConfig{Cluster: "bench", Name: name, Credentials: creds, MemberStreamAddrs: c.streams}
+	cfg := &cluster.FollowerConfig{Cluster: clusterName, Name: name, Credentials: creds, MemberStreamAddrs: c.streams}
 	handlers := cluster.StreamHandlers{
 		Persist: func(*configstream.DurableState) error { return nil },
 		Check:   func(*configstream.Version) []configstream.Problem { return nil },
@@ -204,16 +214,16 @@
 
 // coresAtTen is the processors that the first member takes at ten changes a second.
 func coresAtTen(ctx context.Context, opt Options, c *benchCluster) (float64, error) {
-	cpu, _, err := c.members[0].used()
+	before, err := c.members[0].used()
 	if err != nil {
 		return 0, err
 	}
 	began := time.Now()
 	changing, stop := context.WithTimeout(ctx, opt.For)
 	defer stop()
-	change(changing, c.client, 100*time.Millisecond)
-	more, _, err := c.members[0].used()
-	return (more - cpu).Seconds() / time.Since(began).Seconds(), err
+	changeRepeatedly(changing, c.client, 100*time.Millisecond)
+	after, err := c.members[0].used()
+	return (after.cpu - before.cpu).Seconds() / time.Since(began).Seconds(), err
 }
 
 // awaitAll waits until a version, or a later one, is in force at all followers, and returns how long each took, sorted.
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net"
+	"net/http"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -14,50 +15,49 @@
 // measure sends requests on all connections for the time of a measurement.
 func measure(opt Options, front string, procs int, addrs []string, p *process) (Result, error) {
 	res := Result{Front: front, Procs: procs}
-	var counting atomic.Bool
-	var other, count atomic.Int64
-	stop := make(chan struct{})
-	var all sync.WaitGroup
-	lats := make([][]float64, opt.Conns)
+	generator := &loadGenerator{opt: opt, stop: make(chan struct{})}
+	var connections sync.WaitGroup
+	latencies := make([][]float64, opt.Conns)
 	errs := make(chan error, opt.Conns)
 	for i := range opt.Conns {
-		all.Go(func() {
-			if err := drive(addrs[i%len(addrs)], i, stop, &counting, opt, &count, &other, &lats[i]); err != nil {
+		connections.Go(func() {
+			var err error
+			if latencies[i], err = generator.sendOn(addrs[i%len(addrs)], i); err != nil {
 				errs <- err
 			}
 		})
 	}
 	time.Sleep(warmUp)
-	var cpu0, cpu1 time.Duration
-	var allocs0, allocs1 uint64
+	var before, after usage
 	var err error
 	if p != nil {
-		if cpu0, allocs0, err = p.used(); err != nil {
+		if before, err = p.used(); err != nil {
 			return res, err
 		}
 	}
-	counting.Store(true)
-	began := time.Now()
+	generator.counting.Store(true)
+	startedAt := time.Now()
 	time.Sleep(opt.For)
-	counting.Store(false)
-	took := time.Since(began)
+	generator.counting.Store(false)
+	took := time.Since(startedAt)
 	if p != nil {
-		if cpu1, allocs1, err = p.used(); err != nil {
+		if after, err = p.used(); err != nil {
 			return res, err
 		}
 	}
-	close(stop)
-	all.Wait()
+	close(generator.stop)
+	connections.Wait()
 	select {
 	case err := <-errs:
 		return res, err
 	default:
 	}
-	res.Requests, res.Other = int(count.Load()), int(other.Load())
+	res.Requests, res.Other = int(generator.served.Load()), int(generator.other.Load())
 	res.PerS = float64(res.Requests) / took.Seconds()
-	n := float64(max(res.Requests, 1)) // what was refused is charged to what was served
-	res.CPU, res.Allocs = float64((cpu1-cpu0).Microseconds())/n, float64(allocs1-allocs0)/n
-	res.P50, res.P99 = quantiles(lats)
+	requests := float64(max(res.Requests, 1)) // what was rejected is charged to what was served
+	res.CPU = float64((after.cpu - before.cpu).Microseconds()) / requests
+	res.Allocs = float64(after.allocs-before.allocs) / requests
+	res.P50, res.P99 = quantiles(latencies)
 	return res, nil
 }
 
@@ -79,71 +79,104 @@
 		"Accept: application/json\r\n\r\n"
 )
 
-// drive is one connection with one request at a time: a booking, then a look-up.
-func drive(
-	addr string, i int, stop chan struct{}, counting *atomic.Bool, opt Options, count, other *atomic.Int64, lat *[]float64,
-) error {
+// loadGenerator sends requests on connections until stop is closed, and counts those that are answered while it is
+// counting.
+type loadGenerator struct {
+	opt      Options
+	stop     chan struct{}
+	counting atomic.Bool
+	served   atomic.Int64
+	other    atomic.Int64 // answers that are no 200
+}
+
+// sendOn sends one request at a time on the i-th connection: a booking, then a look-up. It returns the latencies of
+// those that were served, in microseconds.
+func (g *loadGenerator) sendOn(addr string, i int) (latencies []float64, err error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	defer nc.Close()
-	rd := httpwire.NewReader(nc)
-	var h httpwire.Head
-	var out, body []byte
-	book := `{"slot":"2026-12-24T10:00:00+03:00","installers":2,"district":"Ilala"}`
+	reader := httpwire.NewReader(nc)
+	var head httpwire.Head
+	var request, body []byte
 	next := time.Now()
 	for n := 0; ; n++ {
-		if opt.Rate > 0 { // one request in its turn, with no catching up after a pause
-			gap := time.Duration(float64(opt.Conns) / opt.Rate * float64(time.Second))
-			if next = next.Add(gap); time.Since(next) > gap {
-				next = time.Now()
-			}
-			time.Sleep(time.Until(next))
-		}
+		next = g.awaitTurn(next)
 		select {
-		case <-stop:
-			return nil
+		case <-g.stop:
+			return latencies, nil
 		default:
 		}
-		if n%2 == 0 {
-			out = fmt.Appendf(out[:0], bookingFormat, i, n, i%100, i, n, len(book), book)
-		} else {
-			out = fmt.Appendf(out[:0], lookupFormat, i, n, i%100)
+		request = appendRequest(request[:0], i, n)
+		sentAt := time.Now()
+		if _, err := nc.Write(request); err != nil {
+			return latencies, err
 		}
-		at := time.Now()
-		if _, err := nc.Write(out); err != nil {
-			return err
+		if body, err = readAnswer(reader, &head, body); err != nil {
+			return latencies, err
 		}
-		if err := rd.Answer(&h); err != nil {
-			return err
+		if !g.counting.Load() {
+			continue
 		}
-		if h.Chunked {
-			if _, err := rd.Chunked(64 << 10); err != nil {
-				return err
-			}
-		} else if h.Length > 0 {
-			body = append(body[:0], make([]byte, h.Length)...)
-			if err := rd.Body(body); err != nil {
-				return err
-			}
-		}
-		if counting.Load() {
-			if h.Status == 200 {
-				count.Add(1)
-				*lat = append(*lat, float64(time.Since(at).Microseconds()))
-			} else {
-				other.Add(1)
-			}
+		if head.Status != http.StatusOK {
+			g.other.Add(1)
+			continue
 		}
+		g.served.Add(1)
+		latencies = append(latencies, float64(time.Since(sentAt).Microseconds()))
 	}
 }
 
-func quantiles(lats [][]float64) (p50, p99 float64) {
-	var all []float64
-	for _, l := range lats {
-		all = append(all, l...)
+// awaitTurn waits, where the rate is limited, until a connection may send its next request, and returns when that is.
+// What a pause has delayed is not caught up.
+func (g *loadGenerator) awaitTurn(last time.Time) time.Time {
+	if g.opt.Rate <= 0 {
+		return last
+	}
+	interval := time.Duration(float64(g.opt.Conns) / g.opt.Rate * float64(time.Second))
+	next := last.Add(interval)
+	if time.Since(next) > interval {
+		next = time.Now()
 	}
+	time.Sleep(time.Until(next))
+	return next
+}
+
+// bookingBody is the body of a booking.
+const bookingBody = `{"slot":"2026-12-24T10:00:00+03:00","installers":2,"district":"Ilala"}`
+
+// appendRequest appends the n-th request of the i-th connection.
+func appendRequest(b []byte, i, n int) []byte {
+	licensee := i % licenseeCount
+	if n%2 == 0 {
+		return fmt.Appendf(b, bookingFormat, i, n, licensee, i, n, len(bookingBody), bookingBody)
+	}
+	return fmt.Appendf(b, lookupFormat, i, n, licensee)
+}
+
+// maxAnswerBody limits the body of an answer whose length is not known, in bytes.
+const maxAnswerBody = 64 << 10
+
+// readAnswer reads an answer, its body into buffer, which it returns.
+func readAnswer(reader *httpwire.Reader, head *httpwire.Head, buffer []byte) ([]byte, error) {
+	if err := reader.Answer(head); err != nil {
+		return buffer, err
+	}
+	if head.Chunked {
+		_, err := reader.Chunked(maxAnswerBody)
+		return buffer, err
+	}
+	if head.Length <= 0 {
+		return buffer, nil
+	}
+	buffer = append(buffer[:0], make([]byte, head.Length)...)
+	return buffer, reader.Body(buffer)
+}
+
+// quantiles returns the median and the 99th percentile over all connections; 0 without any request.
+func quantiles(latencies [][]float64) (p50, p99 float64) {
+	all := slices.Concat(latencies...)
 	if len(all) == 0 {
 		return 0, 0
 	}
@@ -151,6 +184,7 @@
 	return all[len(all)/2], all[len(all)*99/100]
 }
 
+// quantile returns the value below which a fraction q of the values are.
 func quantile(xs []float64, q float64) float64 {
 	xs = slices.Sorted(slices.Values(xs))
 	return xs[min(int(q*float64(len(xs))), len(xs)-1)]
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -18,14 +18,14 @@
 	"mulleinmux/clusterconfig"
 )
 
-// Part names a part that a process plays, with what it is told.
+// Part is what a process does in a measurement, as the argument with which it is started.
 type Part struct {
-	Role    string   `json:"role"` // "halls", "gateway", "reverseproxy" or "member"
+	Role    string   `json:"role"` // "halls", "gateway", "near", "far", "reverseproxy" or "member"
 	Servers []string `json:"servers,omitempty"`
 	Profile string   `json:"profile,omitempty"`
 
 	// Of an instance at one of two sites, with Dir.
-	Link string `json:"link,omitempty"` // where the far one is reached over the link
+	Link string `json:"link,omitempty"` // address of the far one for the near one
 
 	// Of a member.
 	Member  uint64                          `json:"member,omitempty"`
@@ -36,31 +36,16 @@
 	StreamFull bool `json:"stream_full,omitempty"` // by whole versions alone
 }
 
-// Play plays a part until standard input ends. It prints the addresses where it listens,
-// and at a line of input what it has used so far.
-func Play(ctx context.Context, text string, stdin io.Reader, stdout io.Writer) error {
+// RunPart carries out a part until standard input ends. It prints the addresses on which it listens, and at each line
+// of input what it has used so far.
+func RunPart(ctx context.Context, text string, stdin io.Reader, stdout io.Writer) error {
 	var p Part
 	if err := json.Unmarshal([]byte(text), &p); err != nil {
 		return fmt.Errorf("part: %w", err)
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	var addrs []string
-	var err error
-	switch p.Role {
-	case "halls":
-		addrs, err = halls()
-	case "gateway":
-		addrs, err = startGateway(ctx, p.Servers, nil)
-	case "near", "far":
-		addrs, err = startSite(ctx, &p)
-	case "member":
-		addrs, err = startMember(ctx, &p)
-	case "reverseproxy":
-		addrs, err = startReverseProxy(p.Servers)
-	default:
-		err = fmt.Errorf("part: unknown role %q", p.Role)
-	}
+	addrs, err := p.start(ctx)
 	if err != nil {
 		return err
 	}
@@ -72,23 +57,48 @@
 		}
 		defer profile.Close()
 	}
-	in := bufio.NewScanner(stdin)
-	for n := 0; in.Scan(); n++ {
-		if profile != nil && n == 0 {
+	lines := bufio.NewScanner(stdin)
+	for isFirst := true; lines.Scan(); isFirst = false {
+		if profile != nil && isFirst {
 			if err := pprof.StartCPUProfile(profile); err != nil {
 				return err
 			}
 			defer pprof.StopCPUProfile()
 		}
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		var u syscall.Rusage
-		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+		if err := printUsage(stdout); err != nil {
 			return err
 		}
-		fmt.Fprintln(stdout, time.Duration(u.Utime.Nano()+u.Stime.Nano()).Nanoseconds(), m.Mallocs)
 	}
-	return in.Err()
+	return lines.Err()
+}
+
+// start starts what the part is, until ctx ends, and returns the addresses on which it listens.
+func (p *Part) start(ctx context.Context) (addrs []string, err error) {
+	switch p.Role {
+	case "halls":
+		return startServers()
+	case "gateway":
+		return startGateway(ctx, p.Servers, nil)
+	case "near", "far":
+		return startSite(ctx, p)
+	case "member":
+		return startMember(ctx, p)
+	case "reverseproxy":
+		return startReverseProxy(p.Servers)
+	}
+	return nil, fmt.Errorf("part: unknown role %q", p.Role)
+}
+
+// printUsage prints this process's usage: CPU time in nanoseconds, and allocations.
+func printUsage(out io.Writer) error {
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	var used syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
+		return err
+	}
+	fmt.Fprintln(out, used.Utime.Nano()+used.Stime.Nano(), memory.Mallocs)
+	return nil
 }
 
 // process is a part in a process of its own.
@@ -99,6 +109,8 @@
 	addrs []string
 }
 
+// begin starts a part in a process of its own, with procs processors (0: all), and waits until it listens. self is the
+// program.
 func begin(ctx context.Context, self string, procs int, p Part) (*process, error) {
 	text, err := json.Marshal(p)
 	if err != nil {
@@ -124,25 +136,33 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	pr := &process{cmd, in, bufio.NewReader(out), nil}
-	line, err := pr.out.ReadString('\n')
+	started := &process{cmd: cmd, in: in, out: bufio.NewReader(out)}
+	line, err := started.out.ReadString('\n')
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("%s: %w", p.Role, err), pr.end())
+		return nil, errors.Join(fmt.Errorf("%s: %w", p.Role, err), started.end())
 	}
-	pr.addrs = strings.Fields(line)
-	return pr, nil
+	started.addrs = strings.Fields(line)
+	return started, nil
+}
+
+// usage is what a process has used since its start.
+type usage struct {
+	cpu    time.Duration
+	allocs uint64
 }
 
-// used is CPU time and allocations of the process so far.
-func (p *process) used() (cpu time.Duration, allocs uint64, err error) {
+// used asks a process for its usage so far.
+func (p *process) used() (usage, error) {
 	if _, err := io.WriteString(p.in, "\n"); err != nil {
-		return 0, 0, err
+		return usage{}, err
 	}
-	var ns int64
-	_, err = fmt.Fscanln(p.out, &ns, &allocs)
-	return time.Duration(ns), allocs, err
+	var nanoseconds int64
+	var allocs uint64
+	_, err := fmt.Fscanln(p.out, &nanoseconds, &allocs)
+	return usage{cpu: time.Duration(nanoseconds), allocs: allocs}, err
 }
 
+// end has a process end and waits for that.
 func (p *process) end() error {
 	p.in.Close()
 	return p.cmd.Wait()
--- a/internal/benchmark/reverseproxy.go
+++ b/internal/benchmark/reverseproxy.go
@@ -23,7 +23,12 @@
 			to := targets[next.Add(1)%uint64(len(targets))]
 			r.Out.URL.Scheme, r.Out.URL.Host = to.Scheme, to.Host
 		},
-		Transport:  &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: 1024, DisableCompression: true, IdleConnTimeout: time.Minute},
+		Transport: &http.Transport{
+			MaxIdleConns:        0,
+			MaxIdleConnsPerHost: 1024,
+			DisableCompression:  true,
+			IdleConnTimeout:     time.Minute,
+		},
 		BufferPool: &buffers{p: sync.Pool{New: func() any { return make([]byte, 4<<10) }}},
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/benchmark/servers.go
+++ b/internal/benchmark/servers.go
@@ -7,8 +7,8 @@
 	"mulleinmux/internal/httpwire"
 )
 
-// halls starts servers that answer at once.
-func halls() (addrs []string, err error) {
+// startServers starts servers that answer at once, and returns their addresses.
+func startServers() (addrs []string, err error) {
 	body := `{"visit":"9b1f03aa5c7e2d41","slot":"2026-12-24T10:00:00+03:00","installers":2,"district":"Ilala"}`
 	answer := []byte("HTTP/1.1 200 OK\r\n" +
 		"Date: Tue, 01 Dec 2026 10:00:00 GMT\r\n" +
@@ -22,13 +22,13 @@
 			return nil, err
 		}
 		addrs = append(addrs, ln.Addr().String())
-		go serveStandIn(ln, answer, load)
+		go serveRequests(ln, answer, load)
 	}
 	return addrs, nil
 }
 
-// serveStandIn accepts connections and answers every request on them, a health check with load, until ln is closed.
-func serveStandIn(ln net.Listener, answer, load []byte) {
+// serveRequests accepts connections and answers every request on them, a health check with load, until ln is closed.
+func serveRequests(ln net.Listener, answer, load []byte) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
