--- a/cmd/gateway/fixture_json_test.go
+++ b/cmd/gateway/fixture_json_test.go
@@ -88,7 +88,7 @@
 		{"link", "bench --link --for 50ms --conns 2 --rounds 1 --json", []benchmark.Result{{}}},
 		{"changes", "bench --changes 20ms --for 50ms --conns 2 --rounds 1 --json", []benchmark.Result{{}}},
 		{"followers", "bench --followers 1 --for 50ms --rounds 1 --json", []benchmark.FollowersResult{{}}},
-		{"parts", "bench --parts --size 2 --json", []benchmark.PartsResult{{}}},
+		{"parts", "bench --parts --size 2 --json", []benchmark.SubsetFigures{{}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var out, errs bytes.Buffer
