--- a/cmd/simadapter/fixture_test.go
+++ b/cmd/simadapter/fixture_test.go
@@ -22,10 +22,24 @@
 //	go test ./cmd/simadapter -run TestRecordedTraces -update
 var update = flag.Bool("update", false, "record the replies to the traces in testdata anew")
 
+// variant is a change to a trace: old is a regular expression, and new what its matches become.
+type variant struct{ name, old, new string }
+
+// apply returns the changed trace.
+func (v variant) apply(trace string) string {
+	if v.old == "" {
+		return trace
+	}
+	changed := regexp.MustCompile(v.old).ReplaceAllString(trace, v.new)
+	if v.name == "answers_begin" {
+		changed = strings.ReplaceAll(changed, `"streamed":false`, `"streamed":true`)
+	}
+	return changed
+}
+
 // variants are changes to a trace, mostly to the settings of its instances, under which it is played as well. The
 // events are then not those that a world would answer with; what the program makes of them is determined all the same.
-// old is a regular expression, and new what its matches become.
-var variants = []struct{ name, old, new string }{
+var variants = []variant{
 	{name: "as_recorded"},
 	{"hedging", `"parallelTries":false`, `"parallelTries":true`},
 	{"subscribed_list", `"registryMode":"automatic"`, `"registryMode":"subscribe"`},
@@ -56,43 +70,58 @@
 		t.Fatalf("traces %v, error %v", traces, err)
 	}
 	for _, path := range traces {
-		input := string(unzip(t, path))
 		name := strings.TrimSuffix(filepath.Base(path), ".in.gz")
-		recording := filepath.Join("testdata", name+".replies.txt")
-		want := readRecording(t, recording)
-		var lines []string
-		played := 0
-		for _, v := range variants {
-			changed := input
-			if v.old != "" {
-				changed = regexp.MustCompile(v.old).ReplaceAllString(input, v.new)
-				if v.name == "answers_begin" {
-					changed = strings.ReplaceAll(changed, `"streamed":false`, `"streamed":true`)
-				}
-				if changed == input {
-					continue // the trace is so already
-				}
-			}
-			played++
-			t.Run(name+"/"+v.name, func(t *testing.T) {
-				var out bytes.Buffer
-				if err := run(strings.NewReader(changed), &out); err != nil {
-					t.Fatal(err)
-				}
-				got := summary(out.Bytes())
-				lines = append(lines, v.name+" "+got+"\n")
-				if !*update {
-					compareSummaries(t, got, want[v.name])
-				}
-			})
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			playTrace(t, name)
+		})
+	}
+}
+
+// playTrace plays a trace in parallel under all variants that change it.
+func playTrace(t *testing.T, name string) {
+	t.Helper()
+	input := string(unzip(t, filepath.Join("testdata", name+".in.gz")))
+	recording := filepath.Join("testdata", name+".replies.txt")
+	want := readRecording(t, recording)
+	lines := make([]string, len(variants)) // of the new recording
+	played := 0
+	for i, v := range variants {
+		changed := v.apply(input)
+		if v.old != "" && changed == input {
+			continue // the trace is so already
 		}
-		if *update {
-			if err := os.WriteFile(recording, []byte(strings.Join(lines, "")), 0o644); err != nil {
-				t.Fatal(err)
+		played++
+		t.Run(v.name, func(t *testing.T) {
+			t.Parallel()
+			got := playedSummary(t, changed)
+			lines[i] = v.name + " " + got + "\n"
+			if !*update {
+				compareSummaries(t, got, want[v.name])
 			}
-		} else if played != len(want) {
-			t.Errorf("%s: %d variants played, %d recorded", name, played, len(want))
-		}
+		})
+	}
+	if *update {
+		t.Cleanup(func() { writeRecording(t, recording, lines) }) // after the variants
+	} else if played != len(want) {
+		t.Errorf("%s: %d variants played, %d recorded", name, played, len(want))
+	}
+}
+
+// playedSummary returns the summary of the program's replies to a trace.
+func playedSummary(t *testing.T, trace string) string {
+	t.Helper()
+	var out bytes.Buffer
+	if err := run(strings.NewReader(trace), &out); err != nil {
+		t.Fatal(err)
+	}
+	return summary(out.Bytes())
+}
+
+func writeRecording(t *testing.T, path string, lines []string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(strings.Join(lines, "")), 0o644); err != nil {
+		t.Fatal(err)
 	}
 }
 
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -33,9 +33,11 @@
 		"CLOCK 1\nLAUNCH 3 1 {}\n":        "line 2: settings: Instances is below 1",
 		"CLOCK 1\nTIMEOUT_FIRED 3 zero\n": `line 2: TIMEOUT_FIRED: bad ctx "zero"`,
 	} {
-		err := run(strings.NewReader(in), &bytes.Buffer{})
-		if err == nil || err.Error() != want {
-			t.Errorf("%q: error %v, want %s", in, err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			err := run(strings.NewReader(in), &bytes.Buffer{})
+			if err == nil || err.Error() != want {
+				t.Errorf("%q: error %v, want %s", in, err, want)
+			}
+		})
 	}
 }
--- a/configstream/simulation_rules_test.go
+++ b/configstream/simulation_rules_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/seedtest"
 )
 
 // forEachPlan calls f for each plan of a version.
@@ -155,16 +156,21 @@
 
 // Seeds of members, followers and a network with faults. A failing seed replays exactly.
 func TestSeeds(t *testing.T) {
+	t.Parallel()
 	seeds := 2000
 	if raceEnabled || testing.Short() {
 		seeds = 150
 	}
-	activations, rejections := 0, 0
-	for seed := range uint64(seeds) {
+	type counts struct{ activations, rejections int }
+	results := seedtest.Collect(t, 0, uint64(seeds), func(t *testing.T, seed uint64) counts {
 		sim := newSimulation(t, seed, simulatedFollowers)
 		sim.run()
-		activations += sim.activationCount
-		rejections += sim.rejectionCount
+		return counts{sim.activationCount, sim.rejectionCount}
+	})
+	activations, rejections := 0, 0
+	for _, result := range results {
+		activations += result.activations
+		rejections += result.rejections
 	}
 	t.Logf("%d seeds: %d versions put in force, %d rejections retained", seeds, activations, rejections)
 	if activations < 10*seeds || rejections < seeds {
--- a/multisite/forwarded_requests_test.go
+++ b/multisite/forwarded_requests_test.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"mulleinmux/internal/seedtest"
 )
 
 const testMaxForwarded = 40
@@ -116,20 +118,22 @@
 // TestForwardedRequestsSeeds checks over 1,000 seeds that nothing runs that the other site was told never will, and
 // that nothing runs twice.
 func TestForwardedRequestsSeeds(t *testing.T) {
+	t.Parallel()
 	seeds := uint64(1000)
 	if raceEnabled {
 		seeds = 60
 	}
-	for seed := range seeds {
+	seedtest.ForEach(t, 0, seeds, func(t *testing.T, seed uint64) {
 		s := newLinkSimulation(t, seed)
 		for number := range 3000 {
 			s.step(number)
 		}
-	}
+	})
 }
 
 // What the other site has the answer of takes no room: many more can be forwarded in a TTL than are remembered at once.
 func TestAcknowledgedRequestsTakeNoRoom(t *testing.T) {
+	t.Parallel()
 	f, _ := NewForwardedRequests(time.Hour, 8)
 	now := time.Unix(0, 0)
 	for i := range 100_000 {
--- a/multisite/key_simulation_test.go
+++ b/multisite/key_simulation_test.go
@@ -6,6 +6,8 @@
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"mulleinmux/internal/seedtest"
 )
 
 // The simulation: instances with their key tables, sites that remember keys for a while, clients that repeat keys at
@@ -368,27 +370,33 @@
 // TestKeySimulationSeeds checks over 1,000 seeds that no key is executed at two sites, and that all are served again
 // soon after the last fault.
 func TestKeySimulationSeeds(t *testing.T) {
+	t.Parallel()
 	seeds := uint64(1000)
 	if testing.Short() || raceEnabled {
 		seeds = 60
 	}
-	served, rejected := 0, 0
-	for seed := uint64(1); seed <= seeds && !t.Failed(); seed++ {
+	type requestCounts struct{ served, rejected int }
+	results := seedtest.Collect(t, 1, seeds, func(t *testing.T, seed uint64) requestCounts {
 		s := newKeySimulation(t, seed)
 		s.run()
-		served, rejected = served+s.servedCount, rejected+s.rejectedCount
 		if s.servedCount < 300 {
 			t.Errorf("seed %d: %d served", seed, s.servedCount)
 		}
 		if s.lateRejectedCount > 0 && s.maxKeys > 1000 {
 			t.Errorf("seed %d: %d rejected after all had healed", seed, s.lateRejectedCount)
 		}
+		return requestCounts{s.servedCount, s.rejectedCount}
+	})
+	served, rejected := 0, 0
+	for _, counts := range results {
+		served, rejected = served+counts.served, rejected+counts.rejected
 	}
 	t.Logf("%d seeds: %d served, %d rejected", seeds, served, rejected)
 }
 
 // TestKeySimulationIsDeterministic: the same seed gives the same run.
 func TestKeySimulationIsDeterministic(t *testing.T) {
+	t.Parallel()
 	figures := func() string {
 		s := newKeySimulation(t, 17)
 		s.run()
--- a/multisite/ramp_simulation_test.go
+++ b/multisite/ramp_simulation_test.go
@@ -4,6 +4,8 @@
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"mulleinmux/internal/seedtest"
 )
 
 const (
@@ -198,13 +200,13 @@
 
 // TestRampSeeds: whatever is lost, late, repeated, paused, restarted or joined, shares never add up to more than one.
 func TestRampSeeds(t *testing.T) {
+	t.Parallel()
 	const steps = 150
-	seeds := 1000
+	seeds := uint64(1000)
 	if raceEnabled {
 		seeds = 60
 	}
-	fullSteps := 0
-	for seed := range uint64(seeds) {
+	results := seedtest.Collect(t, 0, seeds, func(t *testing.T, seed uint64) (fullSteps int) {
 		s := newRampSimulation(t, seed, 2+int(seed%4))
 		s.hasFaults = true
 		for step := range steps {
@@ -217,9 +219,14 @@
 				fullSteps++
 			}
 		}
+		return fullSteps
+	})
+	fullSteps := 0
+	for _, count := range results {
+		fullSteps += count
 	}
 	t.Logf("%d seeds: the whole was in use in %d steps", seeds, fullSteps)
-	if fullSteps < seeds*8 {
-		t.Errorf("the whole was in use in %d steps of %d alone: nothing was put to the test", fullSteps, seeds*steps)
+	if fullSteps < int(seeds)*8 {
+		t.Errorf("the whole was in use in %d steps of %d alone: nothing was put to the test", fullSteps, int(seeds)*steps)
 	}
 }
--- a/multisite/site_health_simulation_test.go
+++ b/multisite/site_health_simulation_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"mulleinmux/internal/seedtest"
 )
 
 const healthStep = 20 * time.Millisecond
@@ -275,40 +277,51 @@
 // the leader. Whatever happens, not every site is lost, nothing is proposed twice, and a flapping site changes
 // ownership no more often than its recovery delay allows; and once the faults end, all sites recover.
 func TestSiteHealthSeeds(t *testing.T) {
+	t.Parallel()
 	seeds := uint64(1000)
 	if testing.Short() || raceEnabled {
 		seeds = 60
 	}
+	results := seedtest.Collect(t, 0, seeds, runHealthSeed)
 	changes, losses := 0, 0
-	for seed := range seeds {
-		s := newHealthSimulation(t, seed, 3+int(seed%3), "a", "b", "c")
-		if seed%2 == 1 { // two sites of instances; c is reached from both
-			s.direct = map[string][]uint64{"a": {1, 2}, "b": {3, 4, 5}}
-		}
-		leader := uint64(1)
-		for s.now < time.Minute {
-			leader = s.injectFault(leader)
-			s.runFor(leader, time.Duration(s.rng.IntN(1500))*time.Millisecond)
-		}
-		// Delays of 1, 2, 4, 8, 8 ... s while losses are recent: 10 in a minute at the most.
-		for site, count := range s.lossCount {
-			losses += count
-			if count > 10 {
-				t.Errorf("%s was lost %d times in a minute", site, count)
-			}
-		}
-		s.resumeAll()
-		for _, site := range s.sites {
-			s.setReachable(site, true)
-			s.capacity[site] = 5
-		}
-		if s.runUntilRecovered(leader, 30*time.Second); len(s.lost) > 0 {
-			t.Errorf("%v still lost", s.lost)
-		}
-		if t.Failed() {
-			t.Fatalf("at seed %d", seed)
-		}
-		changes += s.changeCount
+	for _, counts := range results {
+		changes, losses = changes+counts.changes, losses+counts.losses
 	}
 	t.Logf("%d seeds: %d changes, %d losses", seeds, changes, losses)
 }
+
+// healthSeedCounts is what happened in one simulation.
+type healthSeedCounts struct{ changes, losses int }
+
+// runHealthSeed checks a minute with faults, and that all sites recover after it.
+func runHealthSeed(t *testing.T, seed uint64) (counts healthSeedCounts) {
+	s := newHealthSimulation(t, seed, 3+int(seed%3), "a", "b", "c")
+	if seed%2 == 1 { // two sites of instances; c is reached from both
+		s.direct = map[string][]uint64{"a": {1, 2}, "b": {3, 4, 5}}
+	}
+	leader := uint64(1)
+	for s.now < time.Minute {
+		leader = s.injectFault(leader)
+		s.runFor(leader, time.Duration(s.rng.IntN(1500))*time.Millisecond)
+	}
+	// Delays of 1, 2, 4, 8, 8 ... s while losses are recent: 10 in a minute at the most.
+	for site, count := range s.lossCount {
+		counts.losses += count
+		if count > 10 {
+			t.Errorf("%s was lost %d times in a minute", site, count)
+		}
+	}
+	s.resumeAll()
+	for _, site := range s.sites {
+		s.setReachable(site, true)
+		s.capacity[site] = 5
+	}
+	if s.runUntilRecovered(leader, 30*time.Second); len(s.lost) > 0 {
+		t.Errorf("%v still lost", s.lost)
+	}
+	if t.Failed() {
+		t.Fatalf("at seed %d", seed)
+	}
+	counts.changes = s.changeCount
+	return counts
+}
