--- a/configstream/simulation_test.go
+++ b/configstream/simulation_test.go
@@ -1,7 +1,6 @@
 package configstream
 
 import (
-	"container/heap"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -10,6 +9,7 @@
 	"time"
 
 	"mulleinmux/clusterconfig"
+	"mulleinmux/internal/eventqueue"
 )
 
 // simulation runs members, followers and a network between them from a seed, on a virtual clock.
@@ -18,7 +18,7 @@
 	seed      uint64
 	rng       *rand.Rand
 	now       time.Duration
-	queue     eventQueue
+	queue     eventqueue.Queue
 	lastEvent int // its order
 	hasFaults bool
 	members   []*simMember
@@ -55,28 +55,6 @@
 	activationCrashPrice = 5 // ends the process that puts it in force
 )
 
-type event struct {
-	at    time.Duration
-	order int
-	do    func()
-}
-
-// eventQueue is a heap of events by time and order of scheduling.
-type eventQueue []event
-
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
-}
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *eventQueue) Pop() any {
-	old := *q
-	e := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return e
-}
-
 // newVersionLog returns a simulation without members and followers, for its log of versions.
 func newVersionLog(t *testing.T, rng *rand.Rand) *simulation {
 	return &simulation{t: t, rng: rng, state: clusterconfig.New(nil), agreed: map[Ref]agreement{}}
@@ -112,7 +90,7 @@
 // after schedules an event.
 func (sim *simulation) after(d time.Duration, do func()) {
 	sim.lastEvent++
-	heap.Push(&sim.queue, event{sim.now + d, sim.lastEvent, do})
+	sim.queue.Push(eventqueue.Event{At: sim.now + d, Order: sim.lastEvent, Run: do})
 }
 
 // every schedules an event at each interval, from a random phase on.
@@ -124,10 +102,10 @@
 
 // runUntil runs the events up to a time.
 func (sim *simulation) runUntil(end time.Duration) {
-	for len(sim.queue) > 0 && sim.now < end {
-		e := heap.Pop(&sim.queue).(event)
-		sim.now = e.at
-		e.do()
+	for sim.queue.Len() > 0 && sim.now < end {
+		e := sim.queue.Pop()
+		sim.now = e.At
+		e.Run()
 	}
 }
 
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -36,6 +36,7 @@
 	"internal/gateway":        3,
 	"internal/gatewayconfig":  3,
 	"internal/testserver":     3,
+	"internal/eventqueue":     3,
 	"internal/fixture":        3,
 	"internal/seedtest":       3,
 	"internal/cluster":        3,
@@ -53,6 +54,7 @@
 
 // testHarness names the packages that tests and scenarios alone use.
 var testHarness = []string{
+	"internal/eventqueue",
 	"internal/fixture",
 	"internal/seedtest",
 	"internal/testserver",
--- a/multisite/key_simulation_test.go
+++ b/multisite/key_simulation_test.go
@@ -1,12 +1,12 @@
 package multisite
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
 
+	"mulleinmux/internal/eventqueue"
 	"mulleinmux/internal/seedtest"
 )
 
@@ -29,28 +29,6 @@
 	keyMultiplier      = 0x9e3779b97f4a7c15 // spreads consecutive numbers over all keys
 )
 
-type event struct {
-	at     time.Duration
-	number int
-	run    func()
-}
-
-// eventQueue is a heap of events in the order of their times and, at the same time, of their numbers.
-type eventQueue []event
-
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
-}
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *eventQueue) Pop() any {
-	last := len(*q) - 1
-	x := (*q)[last]
-	*q = (*q)[:last]
-	return x
-}
-
 type simulatedInstance struct {
 	id            uint64
 	table         *KeyTable
@@ -72,7 +50,7 @@
 	seed       uint64
 	rng        *rand.Rand
 	now        time.Duration
-	queue      eventQueue
+	queue      eventqueue.Queue
 	eventCount int
 	instances  []*simulatedInstance
 	agreed     []OwnershipEpoch
@@ -111,7 +89,7 @@
 
 func (s *keySimulation) after(delay time.Duration, run func()) {
 	s.eventCount++
-	heap.Push(&s.queue, event{s.now + max(delay, 0), s.eventCount, run})
+	s.queue.Push(eventqueue.Event{At: s.now + max(delay, 0), Order: s.eventCount, Run: run})
 }
 
 func (s *keySimulation) between(a, b time.Duration) time.Duration {
@@ -353,9 +331,9 @@
 	s.startClients(1)
 	s.after(2*time.Second, s.injectFaults)
 	for s.queue.Len() > 0 && s.now < simulationLength+simulationDrain {
-		e := heap.Pop(&s.queue).(event)
-		s.now = e.at
-		e.run()
+		e := s.queue.Pop()
+		s.now = e.At
+		e.Run()
 	}
 }
 
--- a/policy/fixture_test.go
+++ b/policy/fixture_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"container/heap"
 	"crypto/sha256"
 	"flag"
 	"fmt"
@@ -11,6 +10,7 @@
 	"testing"
 	"time"
 
+	"mulleinmux/internal/eventqueue"
 	"mulleinmux/policy"
 )
 
@@ -45,31 +45,10 @@
 	}
 }
 
-// worldEvent is something that reaches a gateway at a time; order parts events of one time.
-type worldEvent struct {
-	at      time.Duration
-	order   int
-	deliver func()
-}
-
-type eventQueue []worldEvent
-
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
-}
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(worldEvent)) }
-func (q *eventQueue) Pop() any {
-	last := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return last
-}
-
 // world hosts a tier of gateways, in simulated time, with outcomes that are determined by counting.
 type world struct {
 	now        time.Duration
-	queue      eventQueue
+	queue      eventqueue.Queue
 	order      int
 	gateways   []*policy.Engine
 	attempts   map[string]int
@@ -102,14 +81,14 @@
 
 func (w *world) after(d time.Duration, deliver func()) {
 	w.order++
-	heap.Push(&w.queue, worldEvent{w.now + d, w.order, deliver})
+	w.queue.Push(eventqueue.Event{At: w.now + d, Order: w.order, Run: deliver})
 }
 
 func (w *world) runUntil(end time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(worldEvent)
-		w.now = e.at
-		e.deliver()
+	for w.queue.Len() > 0 && w.queue.NextAt() <= end {
+		e := w.queue.Pop()
+		w.now = e.At
+		e.Run()
 	}
 	w.now = end
 }
@@ -289,7 +268,7 @@
 			}
 			next := newWorld(t, inboxPerS)
 			next.now = w.now
-			next.queue = nil
+			next.queue = eventqueue.Queue{}
 			g := next.gateways[1]
 			if err := g.ImportState(next.now, recorded); err != nil {
 				t.Fatal(err)
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"container/heap"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -10,6 +9,7 @@
 	"testing"
 	"time"
 
+	"mulleinmux/internal/eventqueue"
 	"mulleinmux/subset"
 )
 
@@ -73,7 +73,7 @@
 type fleetSim struct {
 	rng                *rand.Rand
 	now                time.Duration
-	queue              simQueue
+	queue              eventqueue.Queue
 	events             int
 	settings           Settings
 	subsetSizing       subset.Sizing
@@ -101,7 +101,7 @@
 
 func (s *fleetSim) after(d time.Duration, run func()) {
 	s.events++
-	heap.Push(&s.queue, simEvent{s.now + max(d, 0), s.events, run})
+	s.queue.Push(eventqueue.Event{At: s.now + max(d, 0), Order: s.events, Run: run})
 }
 
 func (s *fleetSim) answer(r *fleetRequest, ok bool, wait time.Duration) {
@@ -179,10 +179,10 @@
 }
 
 func (s *fleetSim) run(until time.Duration) {
-	for len(s.queue) > 0 && s.queue[0].at <= until {
-		e := heap.Pop(&s.queue).(simEvent)
-		s.now = e.at
-		e.run()
+	for s.queue.Len() > 0 && s.queue.NextAt() <= until {
+		e := s.queue.Pop()
+		s.now = e.At
+		e.Run()
 	}
 	s.now = until
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -171,29 +171,3 @@
 	s.AllowsHealthChecks, s.LoadReports = true, LoadReportsInHealthChecks
 	return s
 }
-
-// simEvent is something that happens in simulated time; order parts events of one time.
-type simEvent struct {
-	at    time.Duration
-	order int
-	run   func()
-}
-
-// simQueue is a heap of the events to come.
-type simQueue []simEvent
-
-func (q simQueue) Len() int { return len(q) }
-
-func (q simQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
-}
-
-func (q simQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-
-func (q *simQueue) Push(x any) { *q = append(*q, x.(simEvent)) }
-
-func (q *simQueue) Pop() any {
-	x := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return x
-}
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -1,12 +1,13 @@
 package policy
 
 import (
-	"container/heap"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"mulleinmux/internal/eventqueue"
 )
 
 // The rule checker: seeded random legal sequences drive several engines, and what they do is held against the text of
@@ -44,7 +45,7 @@
 	rng             *rand.Rand
 	settings        Settings
 	now             time.Duration
-	queue           simQueue
+	queue           eventqueue.Queue
 	events          int
 	engines         []*Engine
 	incarnations    []int
@@ -72,7 +73,7 @@
 
 func (w *ruleChecker) after(d time.Duration, run func()) {
 	w.events++
-	heap.Push(&w.queue, simEvent{w.now + max(d, ms), w.events, run})
+	w.queue.Push(eventqueue.Event{At: w.now + max(d, ms), Order: w.events, Run: run})
 }
 
 func (w *ruleChecker) fail(format string, args ...any) {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -34,9 +33,9 @@
 		w.after(time.Duration(w.rng.Int64N(int64(sequenceTime))), w.disturb)
 	}
 	for w.queue.Len() > 0 && w.now < sequenceTime+5*time.Second {
-		event := heap.Pop(&w.queue).(simEvent)
-		w.now = event.at
-		event.run()
+		event := w.queue.Pop()
+		w.now = event.At
+		event.Run()
 	}
 	for id, r := range w.requests {
 		if r.finalAnswers != 1 && !r.isKilled {
