--- a/multisite/messages_test.go
+++ b/multisite/messages_test.go
@@ -73,12 +73,14 @@
 		Executed:         "ran",
 		ExecutionUnknown: "unknown",
 	} {
-		if got := status.String(); got != want {
-			t.Errorf("status %d is %q, want %q", int(status), got, want)
-		}
-		if got := ParseExecutionStatus(want); got != status {
-			t.Errorf("%q is parsed as %v", want, got)
-		}
+		t.Run(want, func(t *testing.T) {
+			if got := status.String(); got != want {
+				t.Errorf("status %d is %q, want %q", int(status), got, want)
+			}
+			if got := ParseExecutionStatus(want); got != status {
+				t.Errorf("%q is parsed as %v", want, got)
+			}
+		})
 	}
 	if got := ParseExecutionStatus("else"); got != ExecutionUnknown {
 		t.Errorf("an unknown text is parsed as %v", got)
@@ -95,8 +97,10 @@
 		SiteRecovering:  "returning",
 		SiteWarmingUp:   "cold",
 	} {
-		if got := state.String(); got != want {
-			t.Errorf("state %d is %q, want %q", int(state), got, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			if got := state.String(); got != want {
+				t.Errorf("state %d is %q, want %q", int(state), got, want)
+			}
+		})
 	}
 }
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -300,24 +300,40 @@
 	}
 }
 
+// ownerExchange is a member that has asked a customer's owner, and that owner.
+type ownerExchange struct {
+	member, owner                 *Engine
+	memberRecorder, ownerRecorder *recorder
+	ownerIndex                    int
+}
+
+// askOwner has instance 10 ask the owner for a request of customer 77, and the owner receive that.
+func askOwner(t *testing.T, plan string) ownerExchange {
+	t.Helper()
+	var x ownerExchange
+	x.member, x.memberRecorder = newOwnerEngine(t, 10)
+	q := ownerRequest(1, 77)
+	q.Plan = plan
+	x.member.RequestReceived(t0, q, x.memberRecorder)
+	x.ownerIndex = x.member.ownerFor(x.member.quotas.byCustomer[77])
+	x.owner, x.ownerRecorder = newOwnerEngine(t, x.ownerIndex)
+	x.owner.GossipReceived(t0, 10, x.memberRecorder.gossip[x.ownerIndex][0], x.ownerRecorder)
+	return x
+}
+
 // A place under a limit in flight is free again soon, also where the owner's response was lost, and a rejection
 // does not keep the customer out for longer than a quota request takes.
 func TestInFlightLeasesAreReleased(t *testing.T) {
-	member, r := newOwnerEngine(t, 10)
-	q := ownerRequest(1, 77)
-	q.Plan = "open"
-	member.RequestReceived(t0, q, r)
-	ownerIndex := member.ownerFor(member.quotas.byCustomer[77])
-	owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
-	owner.GossipReceived(t0, 10, r.gossip[ownerIndex][0], ownerRecorder)
+	x := askOwner(t, "open")
+	member, owner, r := x.member, x.owner, x.memberRecorder
 	if n := len(owner.quotas.byCustomer[77].leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
 	r.gossip = nil
 	member.TimerFired(t0+ownerTimeout, timerToken(timerOwnerTimeout, member.requests.lastNumber), r)
 	completeAttempts(member, r, t0+ownerTimeout+50*ms, 50*ms, OK)
-	for _, m := range r.gossip[ownerIndex] {
-		owner.GossipReceived(t0+200*ms, 10, m, ownerRecorder)
+	for _, m := range r.gossip[x.ownerIndex] {
+		owner.GossipReceived(t0+200*ms, 10, m, x.ownerRecorder)
 	}
 	if n := len(owner.quotas.byCustomer[77].leases); n != 0 {
 		t.Errorf("%d leases after the response", n)
@@ -330,16 +346,10 @@
 
 // Rule 5: an owner that has just started does not grant what the process before it may have spent.
 func TestNewOwnerGrantsNoHardLimitTokens(t *testing.T) {
-	member, r := newOwnerEngine(t, 10)
-	q := ownerRequest(1, 77)
-	q.Plan = "hard"
-	member.RequestReceived(t0, q, r)
-	ownerIndex := member.ownerFor(member.quotas.byCustomer[77])
-	owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
-	owner.GossipReceived(t0, 10, r.gossip[ownerIndex][0], ownerRecorder)
-	member.GossipReceived(t0+ms, ownerIndex, ownerRecorder.gossip[10][0], r)
-	if r.count("send") != 0 {
-		t.Errorf("%v", r.actions)
+	x := askOwner(t, "hard")
+	x.member.GossipReceived(t0+ms, x.ownerIndex, x.ownerRecorder.gossip[10][0], x.memberRecorder)
+	if x.memberRecorder.count("send") != 0 {
+		t.Errorf("%v", x.memberRecorder.actions)
 	}
 }
 
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -38,36 +38,46 @@
 		"more out":  func(s *server) { s.inFlight = 2 },
 		"was reset": func(s *server) { s.connectFailedAt = t0 },
 	} {
-		e, _ := newEngine(t, testSettings(), testServers(2)...)
-		a, b := e.servers.list[0], e.servers.list[1]
-		for _, s := range e.servers.list {
-			s.inFlight, s.lastProgressAt = 1, t0
-		}
-		e.latencies.classes[0].mean = 0.1
-		spoil(b)
-		if e.cost(b) < 1.3*e.cost(a) {
-			t.Errorf("%s: cost %v against %v", name, e.cost(b), e.cost(a))
-		}
+		t.Run(name, func(t *testing.T) {
+			e, _ := newEngine(t, testSettings(), testServers(2)...)
+			a, b := e.servers.list[0], e.servers.list[1]
+			for _, s := range e.servers.list {
+				s.inFlight, s.lastProgressAt = 1, t0
+			}
+			e.latencies.classes[0].mean = 0.1
+			spoil(b)
+			if e.cost(b) < 1.3*e.cost(a) {
+				t.Errorf("%s: cost %v against %v", name, e.cost(b), e.cost(a))
+			}
+		})
 	}
 }
 
-// A server that fails fast must not draw traffic; the last one must not be ejected.
-func TestFastFailingServerIsAvoided(t *testing.T) {
-	e, r := newEngine(t, testSettings(), testServers(4)...)
-	bad := 0
-	for i := 0; i < 400; i++ {
+// offerUnsafeRequests offers n requests one after the other. Those sent to s0 end as atFirst has it; the others are
+// answered. It returns how many went to s0.
+func offerUnsafeRequests(e *Engine, r *recorder, n int, atFirst func(now time.Duration, id string)) (sentToFirst int) {
+	for i := range n {
 		now := t0 + time.Duration(i)*20*ms
 		q := newRequest(i, "unsafe", "rate", uint64(i))
 		e.RequestReceived(now, q, r)
 		a := strings.Fields(r.last())
 		if a[0] == "send" && a[2] == "s0" {
-			bad++
-			e.AttemptCompleted(now+ms, AttemptResult{ID: q.ID, Result: ErrorResponse, Server: "s0", Latency: ms}, r)
+			sentToFirst++
+			atFirst(now, q.ID)
 		} else {
 			completed := AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}
 			e.AttemptCompleted(now+10*ms, completed, r)
 		}
 	}
+	return sentToFirst
+}
+
+// A server that fails fast must not draw traffic; the last one must not be ejected.
+func TestFastFailingServerIsAvoided(t *testing.T) {
+	e, r := newEngine(t, testSettings(), testServers(4)...)
+	bad := offerUnsafeRequests(e, r, 400, func(now time.Duration, id string) {
+		e.AttemptCompleted(now+ms, AttemptResult{ID: id, Result: ErrorResponse, Server: "s0", Latency: ms}, r)
+	})
 	if bad > 20 {
 		t.Errorf("%d of 400 requests went to the failing server", bad)
 	}
@@ -81,19 +91,7 @@
 // Silence with work in flight counts as latency.
 func TestUnresponsiveServerIsAvoided(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(2)...)
-	toSilent := 0
-	for i := 0; i < 200; i++ {
-		now := t0 + time.Duration(i)*20*ms
-		q := newRequest(i, "unsafe", "rate", uint64(i))
-		e.RequestReceived(now, q, r)
-		a := strings.Fields(r.last())
-		if a[0] == "send" && a[2] == "s0" {
-			toSilent++
-		} else {
-			completed := AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}
-			e.AttemptCompleted(now+10*ms, completed, r)
-		}
-	}
+	toSilent := offerUnsafeRequests(e, r, 200, func(time.Duration, string) {})
 	if toSilent > 10 {
 		t.Errorf("%d of 200 requests went to the unresponsive server", toSilent)
 	}
