--- a/clusterconfig/history_test.go
+++ b/clusterconfig/history_test.go
@@ -8,6 +8,7 @@
 
 // What is retained of past proposals is bounded, and so is a proposal.
 func TestRetentionIsBounded(t *testing.T) {
+	t.Parallel()
 	s := New(nil)
 	for i := range maxOutcomes + 50 {
 		p := Proposal{ID: fmt.Sprint("p", i), Changes: []Change{put("plan", "x", planText)}}
--- a/clusterconfig/plan_order_test.go
+++ b/clusterconfig/plan_order_test.go
@@ -7,6 +7,7 @@
 
 // The plan order is the same for all that applied the same entries, survives a snapshot, and keeps removed names.
 func TestPlanOrder(t *testing.T) {
+	t.Parallel()
 	s := New(nil)
 	do := func(id string, c Change) Outcome {
 		t.Helper()
--- a/multisite/ramp_simulation_test.go
+++ b/multisite/ramp_simulation_test.go
@@ -227,6 +227,7 @@
 	}
 	t.Logf("%d seeds: the whole was in use in %d steps", seeds, fullSteps)
 	if fullSteps < int(seeds)*8 {
-		t.Errorf("the whole was in use in %d steps of %d alone: nothing was put to the test", fullSteps, int(seeds)*steps)
+		t.Errorf("the whole was in use in %d steps of %d alone: nothing was put to the test",
+			fullSteps, int(seeds)*steps)
 	}
 }
--- a/policy/fleet_quota_test.go
+++ b/policy/fleet_quota_test.go
@@ -94,8 +94,8 @@
 			seedtest.ForEach(t, 0, 3, func(t *testing.T, seed uint64) {
 				ledger := runQuietDay(seed, c.engines, c.servers)
 				cost := ledger.overQuotaCost / ledger.idealValue
-				result := fmt.Sprintf("%d instances: %d of %d units admitted inside quotas, beyond them at %.3f of the value",
-					c.engines, ledger.units[0], ledger.units[1], cost)
+				const text = "%d instances: %d of %d units admitted inside quotas, beyond them at %.3f of the value"
+				result := fmt.Sprintf(text, c.engines, ledger.units[0], ledger.units[1], cost)
 				t.Log(result)
 				if cost > 0.1 || 2*ledger.units[0] < ledger.units[1] {
 					t.Error(result)
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -51,6 +51,7 @@
 // The load that even nodes put on servers is even by their size, and no server is in many more subsets than others;
 // without the count of holders its spread would be several times as large.
 func TestBalance(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		list := makeServers(170, seed)
 		f := Tier{Nodes: 300, Seed: seed, Sizing: sizing}
@@ -94,6 +95,7 @@
 // A server that is added or removed changes its own places and, as the threshold follows the list's length,
 // as many again: 28 of 4,800.
 func TestChurn(t *testing.T) {
+	t.Parallel()
 	moved, places := 0, 0
 	for seed := range uint64(10) {
 		list := makeServers(170, seed)
