--- a/policy/event_types.go
+++ b/policy/event_types.go
@@ -9,7 +9,7 @@
 const (
 	Up       ServerState = iota // takes requests
 	Draining                    // finishes what it has
-	Removed                     // gone
+	Removed                     // no longer in the list
 )
 
 // Server is one entry of the endpoint list.
@@ -19,7 +19,7 @@
 	Weight    float64 // relative size; 0: not known, counts as 1
 	Kind      string  // machine kind
 	Zone      string
-	Cell      int           // of the zone; its servers share idempotency keys with [DedupCell]
+	Cell      int           // its servers share idempotency keys: see [DedupCell]
 	StartedAt time.Duration // clock reading of its last start; 0: long ago
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -95,7 +95,7 @@
 	MinEventInterval     time.Duration // the shortest time between events
 	ConnectTimeout       time.Duration // a request that is sent may arrive this much later
 
-	// Prices, in points of the benchmark's score.
+	// Prices, in points.
 	CrossZonePrice   float64 // for attempts to other zones, as a fraction of requests
 	GossipPrice      float64 // for full gossip messages per request
 	HealthCheckPrice float64 // for health checks per request
