--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -93,10 +93,10 @@
 	}
 	in := &Instance{
 		config: config, log: logger, startedAt: time.Now(), ctx: ctx, engine: engine,
-		servers:  newServerPool(config, serverPoolOptions{}),
 		requests: map[string]*pendingRequest{}, serversBySite: map[string]map[string]bool{},
 		counters: map[string]*Counters{}, siteWatches: map[string]*siteWatch{},
 	}
+	in.servers = newServerPool(config, serverPoolOptions{subsetServers: in.subsetServers})
 	if err := in.addMultisite(); err != nil {
 		return nil, err
 	}
--- a/internal/gateway/server_pool.go
+++ b/internal/gateway/server_pool.go
@@ -33,7 +33,8 @@
 
 // serverPoolOptions is what a pool is made with, beside the configuration.
 type serverPoolOptions struct {
-	now func() time.Time // the clock; nil: time.Now
+	subsetServers func() map[string]bool // servers to which idle connections are kept; nil, or a nil map: all
+	now           func() time.Time       // the clock; nil: time.Now
 }
 
 // newServerPool returns a pool that has no server yet.
@@ -44,8 +45,9 @@
 			MaxIdleTimeout: serverpool.MaxIdleTimeout(cfg.ServerIdleTimeout),
 			MaxOpen:        cfg.MaxServerConns,
 		},
-		Dial: p.dial,
-		Now:  options.now,
+		Dial:          p.dial,
+		SubsetServers: options.subsetServers,
+		Now:           options.now,
 	})
 	return p
 }
@@ -99,3 +101,10 @@
 	p.RunPruning(ctx)
 	p.CloseIdle()
 }
+
+// subsetServers returns the IDs of the servers to which idle connections are kept; nil: all.
+func (in *Instance) subsetServers() map[string]bool {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.engine.SubsetServerIDs()
+}
--- a/internal/gateway/server_pool_test.go
+++ b/internal/gateway/server_pool_test.go
@@ -3,7 +3,9 @@
 import (
 	"bufio"
 	"context"
+	"fmt"
 	"io"
+	"log"
 	"net"
 	"net/http"
 	"sync"
@@ -165,3 +167,61 @@
 		})
 	}
 }
+
+// Outside of the instance's subset an idle connection is closed soon; in it, and where there is no subset, it stays.
+func TestIdleConnectionsOutsideSubset(t *testing.T) {
+	near, far := startPoolServer(t, respondOK), startPoolServer(t, respondOK)
+	clock := newTestClock()
+	var subset map[string]bool
+	options := serverPoolOptions{now: clock.now, subsetServers: func() map[string]bool { return subset }}
+	pool := newTestPool(t, options, near.endpoint("near"), far.endpoint("far"))
+	for _, id := range []string{"near", "far"} {
+		wantResult(t, runExchange(t, pool, id, "/", nil), policy.OK)
+	}
+	clock.advance(conntable.OutsideSubsetIdleTimeout)
+	pool.Prune()
+	wantOpenConns(t, pool, 2)
+	subset = map[string]bool{"near": true}
+	pool.Prune()
+	wantOpenConns(t, pool, 1)
+	if servers := pool.Snapshot().Servers; len(servers["near"].Idle) != 1 || len(servers["far"].Idle) != 0 {
+		t.Errorf("not the connection outside of the subset is closed: %+v", servers)
+	}
+}
+
+// An instance's pool goes by the subset that its engine forms: of many servers and instances, some connections that
+// have been idle for little more than a second are closed, and some stay.
+func TestInstancePrunesBySubset(t *testing.T) {
+	const serverCount, instanceCount = 100, 20
+	server := startPoolServer(t, respondOK)
+	settings := testSettings()
+	settings.InstanceCount = instanceCount
+	cfg := &Config{Name: "g", Settings: settings, Classes: testClasses(),
+		peerConn: &net.UDPConn{}} // not used: the instance does not run
+	table, _ := testTable(t, description)
+	in, err := newInstance(t.Context(), cfg, cfg.Setup(1, table, nil), log.New(io.Discard, "", 0))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(in.close)
+	t.Cleanup(in.servers.Close)
+	in.handleEvent(in.engine.Start)
+	list := discovery.EndpointList{IsComplete: true}
+	for i := range serverCount {
+		list.Servers = append(list.Servers, server.endpoint(fmt.Sprint("s", i)))
+	}
+	in.handleEvent(func(now time.Duration, out policy.Actions) { in.applyEndpoints(now, "hall-a", list, out) })
+	subset := in.subsetServers()
+	if len(subset) == 0 || len(subset) == serverCount {
+		t.Fatalf("%d of %d servers in the subset", len(subset), serverCount)
+	}
+	in.healthChecks.Wait()
+	in.servers.CloseIdle()
+	for id := range in.servers.Snapshot().Servers {
+		wantResult(t, runExchange(t, in.servers, id, "/", nil), policy.OK)
+	}
+	wantOpenConns(t, in.servers, serverCount)
+	time.Sleep(conntable.OutsideSubsetIdleTimeout)
+	in.servers.Prune()
+	wantOpenConns(t, in.servers, len(subset))
+}
