--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -17,14 +17,14 @@
 	Procs   []int         `help:"Processors of the front, one measurement each." default:"1"`
 	Rounds  int           `help:"Measurements of each; the medians count." default:"3"`
 	Profile string        `help:"File for a CPU profile of the gateway's last measurement." type:"path"`
-	Changes time.Duration `help:"Measure instead what a change of the agreed configuration at each such gap costs an instance."`
+	Changes time.Duration `help:"${bench_changes}"`
 	Link    bool          `help:"Measure instead what a request costs that crosses the link between two sites."`
 	JSON    bool          `help:"Print all results as JSON."`
 
-	Parts     bool   `help:"Compare instead the ways to share out a fleet's servers among its nodes, by balance, movement and connections."`
+	Parts     bool   `help:"${bench_parts}"`
 	Size      int    `help:"With --parts: servers in a part." default:"16"`
 	Seed      uint64 `help:"With --parts: seed of the fleets." default:"1"`
-	Followers int    `help:"Measure instead how soon so many followers have a change, and what they cost a member, by deltas and by whole versions."`
+	Followers int    `help:"${bench_followers}"`
 }
 
 func (c *benchCmd) Run(e *environment) error {
@@ -110,6 +110,19 @@
 	return values[len(values)/2]
 }
 
+// ratioSummary is the median and the range of the ratios of pairs of measurements.
+type ratioSummary struct {
+	median, lowest, highest float64
+	count                   int
+}
+
+// summarizeRatios summarizes the ratios of a figure of each second measurement to that of the one before it.
+func summarizeRatios(results []benchmark.Result, figure func(benchmark.Result) float64) ratioSummary {
+	ratios := pairRatios(results, figure)
+	count := len(ratios)
+	return ratioSummary{median: ratios[count/2], lowest: ratios[0], highest: ratios[count-1], count: count}
+}
+
 // pairRatios returns the ratios of each second measurement to the one before it, sorted.
 func pairRatios(results []benchmark.Result, figure func(benchmark.Result) float64) (ratios []float64) {
 	for i := 0; i+1 < len(results); i += 2 {
--- a/cmd/gateway/bench_changes.go
+++ b/cmd/gateway/bench_changes.go
@@ -26,8 +26,7 @@
 		return printJSON(e.stdout, results)
 	}
 	const summary = "with a change every %v: %.3f of the requests/s without (median of %d, from %.3f to %.3f)\n"
-	ratios := pairRatios(results, requestsPerSecond)
-	count := len(ratios)
-	fmt.Fprintf(e.stdout, summary, c.Changes, ratios[count/2], count, ratios[0], ratios[count-1])
+	ratios := summarizeRatios(results, requestsPerSecond)
+	fmt.Fprintf(e.stdout, summary, c.Changes, ratios.median, ratios.count, ratios.lowest, ratios.highest)
 	return nil
 }
--- a/cmd/gateway/bench_relay.go
+++ b/cmd/gateway/bench_relay.go
@@ -22,8 +22,7 @@
 		return printJSON(e.stdout, results)
 	}
 	const summary = "a crossing costs %.2f times the CPU of a direct request (median of %d, from %.2f to %.2f)\n"
-	ratios := pairRatios(results, cpuPerRequest)
-	count := len(ratios)
-	fmt.Fprintf(e.stdout, summary, ratios[count/2], count, ratios[0], ratios[count-1])
+	ratios := summarizeRatios(results, cpuPerRequest)
+	fmt.Fprintf(e.stdout, summary, ratios.median, ratios.count, ratios.lowest, ratios.highest)
 	return nil
 }
--- a/cmd/gateway/config_apply.go
+++ b/cmd/gateway/config_apply.go
@@ -14,11 +14,11 @@
 
 // applyCmd has the instances agree on what a file says.
 type applyCmd struct {
-	File  string `arg:"" help:"The file: all that is to be agreed on. What it lacks is removed; members stay." type:"path"`
+	File  string `arg:"" help:"${apply_file}" type:"path"`
 	Why   string `help:"Why, for the history."`
 	ID    string `help:"Id of the request: one that is asked for again takes place once."`
 	Check bool   `help:"Only tell whether it would be taken."`
-	Wait  string `help:"What to wait for: 'agreed', 'applied-everywhere' (at members and followers) or 'all-but-N', which leaves out up to N followers." default:"agreed"`
+	Wait  string `help:"${apply_wait}" default:"agreed"`
 }
 
 // noWait is the result of maxMissingFollowers where the command does not wait for any instance.
@@ -44,17 +44,8 @@
 	if err != nil {
 		return usageError{err}
 	}
-	desired, err := readDesiredObjects(c.File)
-	if err != nil {
-		return usageError{err}
-	}
-	return cc.withClient(e, func(ctx context.Context, client *cluster.Client) error {
-		agreed, err := client.Objects(ctx, false)
-		if err != nil {
-			return err
-		}
-		changes := diffObjects(agreed.Objects, desired).changes
-		outcome, err := c.propose(ctx, client, agreed.Version, changes)
+	return cc.withDiff(e, c.File, func(ctx context.Context, client *cluster.Client, diff *objectsDiff) error {
+		outcome, err := c.propose(ctx, client, diff.version, diff.changes)
 		if err != nil {
 			return err
 		}
@@ -66,7 +57,7 @@
 		if cc.JSON {
 			return printJSON(e.stdout, outcome)
 		}
-		c.print(e.stdout, outcome.Version, len(changes))
+		c.print(e.stdout, outcome.Version, len(diff.changes))
 		return nil
 	})
 }
--- a/cmd/gateway/config_diff.go
+++ b/cmd/gateway/config_diff.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"maps"
 	"slices"
 
@@ -29,37 +30,55 @@
 }
 
 func (c *diffCmd) Run(e *environment, cc *configCmd) error {
-	desired, err := readDesiredObjects(c.File)
+	return cc.withDiff(e, c.File, func(_ context.Context, _ *cluster.Client, diff *objectsDiff) error {
+		if err := diff.print(e.stdout, cc.JSON); err != nil {
+			return err
+		}
+		if len(diff.changes) > 0 {
+			return errDiffers
+		}
+		return nil
+	})
+}
+
+// withDiff runs f with a client, as withClient does, and with the changes that a file asks for.
+func (c *configCmd) withDiff(
+	e *environment, file string, f func(context.Context, *cluster.Client, *objectsDiff) error,
+) error {
+	desired, err := readDesiredObjects(file)
 	if err != nil {
 		return usageError{err}
 	}
-	return cc.withClient(e, func(ctx context.Context, client *cluster.Client) error {
+	return c.withClient(e, func(ctx context.Context, client *cluster.Client) error {
 		agreed, err := client.Objects(ctx, false)
 		if err != nil {
 			return err
 		}
 		diff := diffObjects(agreed.Objects, desired)
-		if cc.JSON {
-			err = printJSON(e.stdout, diffResult{Changes: diff.changes, Version: agreed.Version})
-		} else {
-			fmt.Fprintf(e.stdout, "against version %d: %d changes\n", agreed.Version, len(diff.changes))
-			for _, line := range diff.lines {
-				fmt.Fprintln(e.stdout, line)
-			}
-		}
-		if err == nil && len(diff.changes) > 0 {
-			err = errDiffers
-		}
-		return err
+		diff.version = agreed.Version
+		return f(ctx, client, diff)
 	})
 }
 
 // objectsDiff is what turns the agreed objects into the desired ones.
 type objectsDiff struct {
+	version uint64 // of the agreed objects
 	changes []clusterconfig.Change
 	lines   []string // for people: "-" before an agreed value, "+" before a desired one
 }
 
+// print prints the changes, as JSON or for people.
+func (d *objectsDiff) print(out io.Writer, asJSON bool) error {
+	if asJSON {
+		return printJSON(out, diffResult{Changes: d.changes, Version: d.version})
+	}
+	fmt.Fprintf(out, "against version %d: %d changes\n", d.version, len(d.changes))
+	for _, line := range d.lines {
+		fmt.Fprintln(out, line)
+	}
+	return nil
+}
+
 // diffObjects compares objects of the kinds that a cluster's file holds; members are left alone.
 func diffObjects(agreed, desired objectsByKind) *objectsDiff {
 	diff := &objectsDiff{}
--- a/cmd/gateway/config_members.go
+++ b/cmd/gateway/config_members.go
@@ -10,8 +10,8 @@
 
 // membersCmd changes the members of a cluster.
 type membersCmd struct {
-	Add      addMemberCmd      `cmd:"" help:"Add a member; it votes once it has caught up. It must run, see gateway init --join. Example: gateway config members add 4 --raft 10.0.0.4:7101 --admin 10.0.0.4:7201"`
-	Replace  replaceMemberCmd  `cmd:"" help:"Put a new member in the place of one, in one step: of one that is dead, say."`
+	Add      addMemberCmd      `cmd:"" help:"${members_add}"`
+	Replace  replaceMemberCmd  `cmd:"" help:"${members_replace}"`
 	Remove   removeMemberCmd   `cmd:"" help:"Remove a member. Its number is never used again."`
 	Transfer transferMemberCmd `cmd:"" help:"Have a member lead."`
 }
@@ -67,16 +67,16 @@
 }
 
 // changeMembership asks for a change of the members and prints who they are after it.
-func (c *configCmd) changeMembership(e *environment, m *cluster.MembershipChange) error {
-	return c.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
-		s, err := cl.ChangeMembers(ctx, m)
+func (c *configCmd) changeMembership(e *environment, change *cluster.MembershipChange) error {
+	return c.withClient(e, func(ctx context.Context, client *cluster.Client) error {
+		status, err := client.ChangeMembers(ctx, change)
 		if err != nil {
 			return err
 		}
 		if c.JSON {
-			return printJSON(e.stdout, s)
+			return printJSON(e.stdout, status)
 		}
-		fmt.Fprintf(e.stdout, "voters %v, learners %v, leader %d\n", s.Voters, s.Learners, s.Leader)
+		fmt.Fprintf(e.stdout, "voters %v, learners %v, leader %d\n", status.Voters, status.Learners, status.Leader)
 		return nil
 	})
 }
--- a/cmd/gateway/stream_explain.go
+++ b/cmd/gateway/stream_explain.go
@@ -15,21 +15,21 @@
 }
 
 func (c *streamExplainCmd) Run(e *environment, sc *streamCmd) error {
-	return sc.withClient(e, func(ctx context.Context, cl *cluster.Client) error {
-		fs, err := cl.Followers(ctx)
+	return sc.withClient(e, func(ctx context.Context, client *cluster.Client) error {
+		list, err := client.Followers(ctx)
 		if err != nil {
 			return err
 		}
-		i := slices.IndexFunc(fs.Followers, func(s configstream.StreamStatus) bool {
-			return s.Name == c.Follower
+		i := slices.IndexFunc(list.Followers, func(status configstream.StreamStatus) bool {
+			return status.Name == c.Follower
 		})
 		if i < 0 {
 			return unknownFollowerError(c.Follower)
 		}
 		if sc.JSON {
-			return printJSON(e.stdout, fs.Followers[i])
+			return printJSON(e.stdout, list.Followers[i])
 		}
-		fmt.Fprintln(e.stdout, fs.Followers[i].Explain(fs.NewestVersion))
+		fmt.Fprintln(e.stdout, list.Followers[i].Explain(list.NewestVersion))
 		return nil
 	})
 }
