--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -47,8 +47,8 @@
 	// Health, if set, has the instance judge the sites: see package multisite.
 	Health *multisite.HealthConfig
 
-	// QuorumConfirmation, if set, has key owners confirmed by a quorum of the voters, without which no newer ones can be
-	// agreed on.
+	// QuorumConfirmation, if set, has key owners confirmed by a quorum of the voters, without which no newer ones can
+	// be agreed on.
 	QuorumConfirmation *multisite.ConfirmationConfig
 
 	// RecoveryRamp, if set, has the instances share out what cold servers may be sent: see package multisite.
