--- a/policy/fixture_test.go
+++ b/policy/fixture_test.go
@@ -61,21 +61,79 @@
 
 func worldSettings(me int, inboxPerS float64) policy.Settings {
 	return policy.Settings{
-		InstanceIndex: me, InstanceCount: 3, Zone: "a", MinEventInterval: time.Millisecond, MaxAttempts: 4, AllowsCancel: true, AllowsGossip: true, AllowsHealthChecks: true,
-		SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second, LoadReports: policy.LoadReportsInResponses, GossipInboxRate: inboxPerS, MaxUnits: 3,
-		ResponseSlack: 8 * time.Millisecond, DrainGracePeriod: time.Second, SlowStartMinFraction: 0.2, SlowStartWindow: 5 * time.Second,
-		ColdOverloadMultiple: 2, ColdOverloadWindow: 2 * time.Second, CrossZonePrice: 0.01, GossipPrice: 0.01, HealthCheckPrice: 0.01, WastedWorkPrice: 0.05,
-		Classes: []policy.Class{
-			{Name: "safe", Idempotency: policy.Idempotent, LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
-			{Name: "keyed", Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupZone, DedupWindow: time.Second, LatencyObjective: 300 * time.Millisecond,
-				Deadline: time.Second, PriorityWeight: 2, LateFraction: 0.2},
-			{Name: "unsafe", Idempotency: policy.NonIdempotent, LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 3, IsStreaming: true},
+		InstanceIndex:        me,
+		InstanceCount:        3,
+		Zone:                 "a",
+		MinEventInterval:     time.Millisecond,
+		MaxAttempts:          4,
+		AllowsCancel:         true,
+		AllowsGossip:         true,
+		AllowsHealthChecks:   true,
+		SendsRetryAfter:      true,
+		MaxRetryAfter:        2 * time.Second,
+		LoadReports:          policy.LoadReportsInResponses,
+		GossipInboxRate:      inboxPerS,
+		MaxUnits:             3,
+		ResponseSlack:        8 * time.Millisecond,
+		DrainGracePeriod:     time.Second,
+		SlowStartMinFraction: 0.2,
+		SlowStartWindow:      5 * time.Second,
+		ColdOverloadMultiple: 2,
+		ColdOverloadWindow:   2 * time.Second,
+		CrossZonePrice:       0.01,
+		GossipPrice:          0.01,
+		HealthCheckPrice:     0.01,
+		WastedWorkPrice:      0.05,
+		Classes:              worldClasses(),
+		Plans:                worldPlans(),
+	}
+}
+
+func worldClasses() []policy.Class {
+	return []policy.Class{
+		{
+			Name:             "safe",
+			Idempotency:      policy.Idempotent,
+			LatencyObjective: 300 * time.Millisecond,
+			Deadline:         time.Second,
+			PriorityWeight:   1,
 		},
-		Plans: []policy.Plan{
-			{Name: "ceiled", Rate: 4, Burst: 6, HardLimitRate: 8, HardLimitBurst: 14, HardLimitSlack: 2, PriorityFactor: 1, OverQuotaFraction: 0.5, OverQuotaCost: 0.2},
-			{Name: "open", MaxInFlight: 3, PriorityFactor: 2},
-			{Name: "both", Rate: 10, Burst: 8, MaxInFlight: 4, PriorityFactor: 1, OverQuotaCost: 1},
+		{
+			Name:             "keyed",
+			Idempotency:      policy.IdempotentWithKey,
+			DedupScope:       policy.DedupZone,
+			DedupWindow:      time.Second,
+			LatencyObjective: 300 * time.Millisecond,
+			Deadline:         time.Second,
+			PriorityWeight:   2,
+			LateFraction:     0.2,
+		},
+		{
+			Name:             "unsafe",
+			Idempotency:      policy.NonIdempotent,
+			LatencyObjective: 400 * time.Millisecond,
+			Deadline:         time.Second,
+			PriorityWeight:   3,
+			IsStreaming:      true,
+		},
+	}
+}
+
+func worldPlans() []policy.Plan {
+	return []policy.Plan{
+		{
+			Name:              "ceiled",
+			Rate:              4,
+			Burst:             6,
+			HardLimitRate:     8,
+			HardLimitBurst:    14,
+			HardLimitSlack:    2,
+			PriorityFactor:    1,
+			OverQuotaFraction: 0.5,
+			OverQuotaCost:     0.2,
 		},
+		{Name: "open", MaxInFlight: 3, PriorityFactor: 2},
+		{Name: "both", Rate: 10, Burst: 8, MaxInFlight: 4, PriorityFactor: 1, OverQuotaCost: 1},
 	}
 }
 
@@ -99,8 +157,13 @@
 	w := &world{now: worldStart, attempts: map[string]int{}}
 	var servers []policy.Server
 	for i := range 6 {
-		servers = append(servers, policy.Server{ID: fmt.Sprintf("s%d", i), Weight: float64(1 + i%2), Kind: []string{"k", "m"}[i%2],
-			Zone: []string{"a", "b"}[i/3], Cell: i})
+		servers = append(servers, policy.Server{
+			ID:     fmt.Sprintf("s%d", i),
+			Weight: float64(1 + i%2),
+			Kind:   []string{"k", "m"}[i%2],
+			Zone:   []string{"a", "b"}[i/3],
+			Cell:   i,
+		})
 	}
 	servers[5].StartedAt = worldStart - time.Second
 	for i := range 3 {
@@ -125,8 +188,15 @@
 func (w *world) arrive() {
 	n := w.requests
 	w.requests++
-	q := policy.Request{ID: fmt.Sprintf("r%d", n), Class: []string{"safe", "keyed", "unsafe"}[n%3],
-		Plan: []string{"ceiled", "open", "both"}[n/2%3], Customer: uint64(n/2%3 + 10*(n%2)), Timeout: time.Second, Units: float64(1 + n%3), InstanceCount: 3}
+	q := policy.Request{
+		ID:            fmt.Sprintf("r%d", n),
+		Class:         []string{"safe", "keyed", "unsafe"}[n%3],
+		Plan:          []string{"ceiled", "open", "both"}[n/2%3],
+		Customer:      uint64(n/2%3 + 10*(n%2)),
+		Timeout:       time.Second,
+		Units:         float64(1 + n%3),
+		InstanceCount: 3,
+	}
 	if n%7 == 3 {
 		q.Timeout = 400 * time.Millisecond // a client's later try, which comes too late for its aim
 	}
@@ -149,7 +219,12 @@
 func (h worldHost) SendAttempt(id, server string, timeout time.Duration) {
 	w := h.w
 	h.say("send %s %s %v", id, server, timeout)
-	o := policy.AttemptResult{ID: id, Attempt: w.attempts[id], Server: server, Latency: time.Duration(20+w.outcomes%40) * time.Millisecond}
+	o := policy.AttemptResult{
+		ID:      id,
+		Attempt: w.attempts[id],
+		Server:  server,
+		Latency: time.Duration(20+w.outcomes%40) * time.Millisecond,
+	}
 	w.attempts[id]++
 	w.outcomes++
 	switch {
@@ -160,7 +235,11 @@
 	case w.outcomes%17 == 0:
 		o.Result = policy.Result(1 + w.outcomes/17%5)
 	default:
-		o.RequestAnswered, o.LoadReport = true, &policy.LoadReport{InFlight: 2, QueueLength: float64(w.outcomes % 5), Utilization: 0.6}
+		o.RequestAnswered, o.LoadReport = true, &policy.LoadReport{
+			InFlight:    2,
+			QueueLength: float64(w.outcomes % 5),
+			Utilization: 0.6,
+		}
 	}
 	if o.RequestAnswered {
 		w.after(o.Latency/2, func() { w.gateways[h.me].ResponseStarted(w.now, id, o.Attempt, h) })
@@ -191,7 +270,9 @@
 		result = policy.ConnectFailed
 	}
 	h.w.after(5*time.Millisecond, func() {
-		h.w.gateways[h.me].HealthCheckCompleted(h.w.now, server, result, &policy.LoadReport{InFlight: 1, QueueLength: -1, Utilization: 0.4}, h)
+		h.w.gateways[h.me].HealthCheckCompleted(
+			h.w.now, server, result, &policy.LoadReport{InFlight: 1, QueueLength: -1, Utilization: 0.4}, h,
+		)
 	})
 }
 
@@ -221,7 +302,8 @@
 			w := newWorld(t, inboxPerS)
 			w.runUntil(worldStart + 4*time.Second)
 			messages := [][]byte{
-				{0, 200, 1, 1, 1, 10, 6, 6, 0},                                 // an old tell of a plan with a ceiling: no loans
+				// an old tell of a plan with a ceiling: no loans
+				{0, 200, 1, 1, 1, 10, 6, 6, 0},
 				{0, 200, 1, 2, 1, 11, 15, 0, 2, 0},                             // one of a plan with open attempts
 				{0, 200, 1, 4, 1, 12, 24, 6, 1, 1, 12, 24, 8, 2},               // one lost, and the repeat of it
 				{0, 200, 1, 4, 0, 0},                                           // an old number
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -277,7 +277,13 @@
 	set.ColdOverloadMultiple, set.ColdOverloadWindow = 2.5, 2*time.Second
 	set.MaxAttempts = 5
 	set.Classes = []Class{
-		{Name: "safe", Idempotency: Idempotent, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
+		{
+			Name:             "safe",
+			Idempotency:      Idempotent,
+			LatencyObjective: 400 * ms,
+			Deadline:         2 * time.Second,
+			PriorityWeight:   3,
+		},
 		{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 4 * time.Second,
 			LatencyObjective: 750 * ms, Deadline: 2 * time.Second, PriorityWeight: 9, LateFraction: 0.2},
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -152,7 +152,15 @@
 				LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3},
 		},
 		Plans: []Plan{
-			{Name: "hard", Rate: 20, Burst: 20, HardLimitRate: 25, HardLimitBurst: 24, HardLimitSlack: 1, PriorityFactor: 1},
+			{
+				Name:           "hard",
+				Rate:           20,
+				Burst:          20,
+				HardLimitRate:  25,
+				HardLimitBurst: 24,
+				HardLimitSlack: 1,
+				PriorityFactor: 1,
+			},
 			{Name: "rate", Rate: 40, Burst: 40, PriorityFactor: 1},
 			{Name: "open", MaxInFlight: 6, PriorityFactor: 1},
 		},
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -171,7 +171,10 @@
 	}
 	say(10, false)
 	if n := suspects(); n == 0 || 2*n > len(e.subset.members)+1 || r.count("probe") == 0 {
-		t.Fatalf("two reports: %d of %d servers suspected, %d health checks", n, len(e.subset.members), r.count("probe"))
+		t.Fatalf(
+			"two reports: %d of %d servers suspected, %d health checks",
+			n, len(e.subset.members), r.count("probe"),
+		)
 	}
 	for range 40 {
 		if s := e.selectServer(&request{Request: Request{ID: "x"}}); s == nil || e.now < s.suspectedUntil {
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -186,7 +186,8 @@
 	for i := range 50 {
 		e.recordLatency(0, e.subset.members[1+i%8], 60*ms)
 	}
-	if slot := e.overload.sampleIndex(); e.overload.occupancySamples[slot] != 1 || e.overload.occupancySums[slot] != 0.9 {
+	if slot := e.overload.sampleIndex(); e.overload.occupancySamples[slot] != 1 ||
+		e.overload.occupancySums[slot] != 0.9 {
 		t.Errorf("%.1f samples that sum to %.2f, want the report's alone",
 			e.overload.occupancySamples[slot], e.overload.occupancySums[slot])
 	}
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -66,7 +66,9 @@
 func TestClientDisconnectsDuringQuotaRequest(t *testing.T) {
 	const customer = 77
 	granted := func(num uint64) []byte {
-		return gossipCodec{}.encodeQuotaResponse(quotaResponse{number: num, isGranted: true, grantFraction: 1}, peerReport{})
+		return gossipCodec{}.encodeQuotaResponse(
+			quotaResponse{number: num, isGranted: true, grantFraction: 1}, peerReport{},
+		)
 	}
 	for name, answer := range map[string]func(num uint64) []byte{
 		"granted": granted,
@@ -87,7 +89,10 @@
 			member.TimerFired(t0+ownerTimeout, timerToken(timerOwnerTimeout, num), r)
 			member.GossipReceived(t0+ownerTimeout, ownerIndex, granted(num), r) // repeated, or too late
 			if r.count("send") != 0 || len(member.requests.byID)+len(member.requests.byNumber) != 0 {
-				t.Errorf("forwarded, or %d requests kept: %v", len(member.requests.byID)+len(member.requests.byNumber), r.actions)
+				t.Errorf(
+					"forwarded, or %d requests kept: %v",
+					len(member.requests.byID)+len(member.requests.byNumber), r.actions,
+				)
 			}
 			var returned []quotaReturn
 			for _, m := range r.gossip[ownerIndex] {
@@ -339,7 +344,8 @@
 		t.Errorf("%d leases after the response", n)
 	}
 	owner.quotas.byCustomer[77].inFlight = owner.settings.Plans[owner.planIndex["open"]].MaxInFlight
-	if d := owner.checkQuota(owner.quotas.byCustomer[77], quotaDemand{units: 1}); d.isInside || d.retryAfter > ownerTimeout {
+	if d := owner.checkQuota(owner.quotas.byCustomer[77], quotaDemand{units: 1}); d.isInside ||
+		d.retryAfter > ownerTimeout {
 		t.Errorf("in %v, wait %v", d.isInside, d.retryAfter)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -19,9 +19,13 @@
 				e, r := newEngine(t, testSettings(), first)
 				e.retries.tokens = 5
 				e.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
-				e.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r)
+				e.EndpointsChanged(
+					t0, EndpointsComplete, []Server{{ID: "s0", State: Draining, Kind: "k", Zone: "a"}, other}, r,
+				)
 				r.actions = nil
-				e.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0", RequestAnswered: res == OK}, r)
+				e.AttemptCompleted(
+					t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0", RequestAnswered: res == OK}, r,
+				)
 				again := res != OK && res != NotSent && (!mayRun[res] || class == "safe" || class == "keyed" && inGroup)
 				want := "send r1 s1"
 				switch {
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -269,7 +269,8 @@
 		return
 	}
 	for _, c := range p.checker.settings.Classes {
-		isHarmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers
+		isHarmless := c.Idempotency == Idempotent ||
+			c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers
 		if c.Name != r.request.Class || isHarmless {
 			continue
 		}
@@ -310,7 +311,9 @@
 			continue
 		}
 		p.checker.after(time.Duration(p.checker.rng.IntN(150))*ms, func() {
-			p.checker.engines[to].GossipReceived(p.checker.now, p.engine, b, ruleHost{p.checker, to, p.checker.incarnations[to]})
+			p.checker.engines[to].GossipReceived(
+				p.checker.now, p.engine, b, ruleHost{p.checker, to, p.checker.incarnations[to]},
+			)
 		})
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -21,7 +21,9 @@
 			}
 			r := &recorder{}
 			e.Start(t0, r)
-			e.EndpointsChanged(t0, EndpointsComplete, []Server{{ID: "cold", Kind: "k", Zone: "a", StartedAt: t0 - ms}}, r)
+			e.EndpointsChanged(
+				t0, EndpointsComplete, []Server{{ID: "cold", Kind: "k", Zone: "a", StartedAt: t0 - ms}}, r,
+			)
 			for at := time.Duration(0); at < s.ColdOverloadWindow; at += 50 * ms {
 				sent += offerRequests(e, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
 			}
@@ -140,8 +142,12 @@
 		s.StartedAt, s.warmup.work, s.warmup.updatedAt = e.now, 0, e.now-10*ms
 		e.hasWarmupBudget(s, 0)
 		all := s.warmup.work * float64(held[s.ID]) / 0.01
-		if most := coldBudgetFraction * e.settings.ColdOverloadMultiple * e.capacityFraction(s); math.Abs(all/most-1) > 0.15 {
-			t.Errorf("%s: %d holders may send it %.3f of a second's work a second, want %.3f", s.ID, held[s.ID], all, most)
+		most := coldBudgetFraction * e.settings.ColdOverloadMultiple * e.capacityFraction(s)
+		if math.Abs(all/most-1) > 0.15 {
+			t.Errorf(
+				"%s: %d holders may send it %.3f of a second's work a second, want %.3f",
+				s.ID, held[s.ID], all, most,
+			)
 		}
 	}
 	e.latencies.classes[0].kinds = []kindLatency{{lowest: 0.05}}
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -74,12 +74,15 @@
 func TestWarmupBudgetPrefersHigherPriority(t *testing.T) {
 	e, r := newTwoZoneEngine(t, false)
 	s := e.servers.byID["s1"]
-	e.SetZoneLimits("b", ZoneLimits{WarmServerRate: 20, InFlightFraction: 1}) // so that the budget holds several requests
+	// so that the budget holds several requests
+	e.SetZoneLimits("b", ZoneLimits{WarmServerRate: 20, InFlightFraction: 1})
 	e.now, e.actions, s.warmup.updatedAt = t0, r, t0
 	s.warmup.work = 1.1 * e.expectedWork(e.classIndex["keyed"])
 	if e.hasWarmupBudget(s, e.classIndex["safe"]) || !e.hasWarmupBudget(s, e.classIndex["keyed"]) {
-		t.Errorf("budget of %.2f goes to the class of work %.2f that has the least priority, before %.2f", s.warmup.work,
-			e.expectedWork(e.classIndex["safe"]), e.expectedWork(e.classIndex["keyed"]))
+		t.Errorf(
+			"budget of %.2f goes to the class of work %.2f that has the least priority, before %.2f",
+			s.warmup.work, e.expectedWork(e.classIndex["safe"]), e.expectedWork(e.classIndex["keyed"]),
+		)
 	}
 	s.warmup.work = 100
 	if !e.hasWarmupBudget(s, e.classIndex["safe"]) {
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -36,7 +36,8 @@
 		{300, 24, 24, sizing}, {300, 25, 16, sizing},
 		{300, 3, 3, sizing}, {3, 300, 300, sizing},
 		{24, 300, 300, sizing},
-		{30, 300, 240, sizing}, {300, 170, 16, sizing}, {1000, 1000, 24, sizing}, {300, 170, 170, Sizing{}}, {300, 0, 0, sizing},
+		{30, 300, 240, sizing}, {300, 170, 16, sizing}, {1000, 1000, 24, sizing}, {300, 170, 170, Sizing{}},
+		{300, 0, 0, sizing},
 	} {
 		f := Tier{Nodes: c.nodes, Sizing: c.rule}
 		if got := f.SubsetSize(c.servers); got != c.size {
