--- a/clusterconfig/fixture_test.go
+++ b/clusterconfig/fixture_test.go
@@ -8,30 +8,95 @@
 	"mulleinmux/internal/fixture"
 )
 
-// Entries of the log and the snapshot after them are as they were recorded, and recorded ones are read as they were.
-//
-// Recorded with: MULLEINMUX_RECORD=1 go test ./fleetconfig -run Fixture
-func TestFixtureEntriesAndSnapshot(t *testing.T) {
+// fixtureProposals are the recorded proposals, in the order of the log.
+func fixtureProposals() []Proposal {
 	base := func(v uint64) *uint64 { return &v }
-	full := Plan{Rate: 5, Burst: 10, HardLimitRate: 20.5, HardLimitBurst: 40, HardLimitSlack: 0.25, MaxInFlight: 7, PriorityFactor: 1.5, OverQuotaFraction: 2, OverQuotaCost: 3}
-	proposals := []Proposal{
-		{ID: "p1", Author: "asha", Reason: "first", ProposedAtMs: 1_700_000_000_000, Changes: []Change{NewPutChange("plan", "kati", Plan{Rate: 5, Burst: 10, PriorityFactor: 1}),
-			NewPutChange("plan", "kubwa", full), NewPutChange("licensee", "a", Licensee{"kati"}), NewPutChange("licensee", "b", Licensee{"kubwa"})}},
-		{ID: "p2", BaseVersion: base(1), Changes: []Change{NewPutChange("hall", "hall-a", Site{DiscoveryAddress: "127.0.0.1:1"}), NewPutChange("hall", "hall-b", Site{DiscoveryAddress: "127.0.0.1:2"}),
-			NewPutChange("hall", "hall-c", Site{"[::1]:3", true}), NewPutChange("lost", "hall-b", LostSite{Reason: "silent"})}},
+	full := Plan{
+		Rate:              5,
+		Burst:             10,
+		HardLimitRate:     20.5,
+		HardLimitBurst:    40,
+		HardLimitSlack:    0.25,
+		MaxInFlight:       7,
+		PriorityFactor:    1.5,
+		OverQuotaFraction: 2,
+		OverQuotaCost:     3,
+	}
+	return []Proposal{
+		{
+			ID:           "p1",
+			Author:       "asha",
+			Reason:       "first",
+			ProposedAtMs: 1_700_000_000_000,
+			Changes: []Change{
+				NewPutChange("plan", "kati", Plan{Rate: 5, Burst: 10, PriorityFactor: 1}),
+				NewPutChange("plan", "kubwa", full),
+				NewPutChange("licensee", "a", Licensee{"kati"}),
+				NewPutChange("licensee", "b", Licensee{"kubwa"}),
+			},
+		},
+		{
+			ID:          "p2",
+			BaseVersion: base(1),
+			Changes: []Change{
+				NewPutChange("hall", "hall-a", Site{DiscoveryAddress: "127.0.0.1:1"}),
+				NewPutChange("hall", "hall-b", Site{DiscoveryAddress: "127.0.0.1:2"}),
+				NewPutChange("hall", "hall-c", Site{"[::1]:3", true}),
+				NewPutChange("lost", "hall-b", LostSite{Reason: "silent"}),
+			},
+		},
 		{ID: "p3", BaseVersion: base(0), Author: "juma", Changes: []Change{NewPutChange("limit", "units", Limit{9})}},
-		{ID: "p4", Changes: []Change{NewPutChange("class", "book", Class{PriorityWeight: 3, LateFraction: 0.5, LatencyObjectiveMs: 400, DeadlineMs: 2000}),
-			NewPutChange("class", "look", Class{PriorityWeight: 1, LatencyObjectiveMs: 100, DeadlineMs: 200}), NewPutChange("limit", "units", Limit{60}), NewPutChange("description", "booking", Description{"booking.yaml", "openapi: <&>"})}},
-		{ID: "p5", Changes: []Change{NewPutChange("member", "1", Member{"127.0.0.1:11", "127.0.0.1:21"}), NewPutChange("member", "2", Member{"127.0.0.1:12", "127.0.0.1:22"})}},
-		{ID: "p6", Changes: []Change{NewPutChange("follower", "edge-1", Follower{"a note", 3}), NewPutChange("follower", "edge-2", Follower{}), NewPutChange("epoch", "epoch", Epoch{2, "one"})}},
+		{
+			ID: "p4",
+			Changes: []Change{
+				NewPutChange("class", "book", Class{
+					PriorityWeight:     3,
+					LateFraction:       0.5,
+					LatencyObjectiveMs: 400,
+					DeadlineMs:         2000,
+				}),
+				NewPutChange("class", "look", Class{PriorityWeight: 1, LatencyObjectiveMs: 100, DeadlineMs: 200}),
+				NewPutChange("limit", "units", Limit{60}),
+				NewPutChange("description", "booking", Description{"booking.yaml", "openapi: <&>"}),
+			},
+		},
+		{
+			ID: "p5",
+			Changes: []Change{
+				NewPutChange("member", "1", Member{"127.0.0.1:11", "127.0.0.1:21"}),
+				NewPutChange("member", "2", Member{"127.0.0.1:12", "127.0.0.1:22"}),
+			},
+		},
+		{
+			ID: "p6",
+			Changes: []Change{
+				NewPutChange("follower", "edge-1", Follower{"a note", 3}),
+				NewPutChange("follower", "edge-2", Follower{}),
+				NewPutChange("epoch", "epoch", Epoch{2, "one"}),
+			},
+		},
 		{ID: "p7", Changes: []Change{NewPutChange("lost", "hall-b", LostSite{"warm", 3})}},
-		{ID: "p8", Reason: "goes", Changes: []Change{{Op: "remove", Kind: "licensee", Name: "a"}, {Op: "remove", Kind: "plan", Name: "kati"}, {Op: "remove", Kind: "hall", Name: "hall-c"}}},
+		{
+			ID:     "p8",
+			Reason: "goes",
+			Changes: []Change{
+				{Op: "remove", Kind: "licensee", Name: "a"},
+				{Op: "remove", Kind: "plan", Name: "kati"},
+				{Op: "remove", Kind: "hall", Name: "hall-c"},
+			},
+		},
 		{ID: "p9", Changes: []Change{NewPutChange("licensee", "c", Licensee{"none"})}},
 		{ID: "p1", Changes: []Change{NewPutChange("licensee", "c", Licensee{"kubwa"})}}, // repeated
 		{ID: "p10", Changes: []Change{NewPutChange("plan", "kati", Plan{})}},
 	}
+}
+
+// Entries of the log and the snapshot after them are as they were recorded, and recorded ones are read as they were.
+//
+// Recorded with: MULLEINMUX_RECORD=1 go test ./fleetconfig -run Fixture
+func TestFixtureEntriesAndSnapshot(t *testing.T) {
 	var entries bytes.Buffer
-	for _, p := range proposals {
+	for _, p := range fixtureProposals() {
 		entry, err := EncodeProposal(&p)
 		if err != nil {
 			t.Fatal(err)
@@ -87,13 +152,20 @@
 	s := New(nil)
 	var out bytes.Buffer
 	for _, changes := range [][]Change{
-		nil, raw("move", "plan", "a", "{}"), raw("put", "room", "a", "{}"), raw("put", "plan", "a/b", "{}"), raw("remove", "plan", "a", ""),
-		raw("put", "plan", "a", `{"rat":1}`), raw("put", "plan", "a", `{"rate":1}`), raw("put", "plan", "a", `{"price":-1}`),
-		raw("put", "plan", "a", `{"rate":2,"burst":1,"ceiling_rate":1}`), raw("put", "licensee", "a", "{}"), raw("put", "licensee", "a", `{"plan":"x"}`),
-		raw("put", "hall", "a", "{}"), raw("put", "lost", "a", "{}"), raw("put", "lost", "a", `{"why":"x","part":8}`), raw("put", "lost", "a", `{"why":"x"}`),
-		raw("put", "member", "1", "{}"), raw("put", "member", "1", `{"raft":"127.0.0.1:1"}`), raw("put", "member", "01", `{"raft":"127.0.0.1:1","admin":"127.0.0.1:1"}`),
-		raw("put", "epoch", "epoch", "{}"), raw("put", "epoch", "other", `{"number":1,"id":"x"}`), raw("put", "limit", "units", "{}"),
-		raw("put", "limit", "other", `{"most":1}`), raw("put", "class", "a", `{"name":"a"}`), raw("put", "class", "a", "{}"), raw("put", "class", "a", `{"worth":1,"late":2}`),
+		nil, raw("move", "plan", "a", "{}"), raw("put", "room", "a", "{}"), raw("put", "plan", "a/b", "{}"),
+		raw("remove", "plan", "a", ""),
+		raw("put", "plan", "a", `{"rat":1}`), raw("put", "plan", "a", `{"rate":1}`),
+		raw("put", "plan", "a", `{"price":-1}`),
+		raw("put", "plan", "a", `{"rate":2,"burst":1,"ceiling_rate":1}`), raw("put", "licensee", "a", "{}"),
+		raw("put", "licensee", "a", `{"plan":"x"}`),
+		raw("put", "hall", "a", "{}"), raw("put", "lost", "a", "{}"), raw("put", "lost", "a", `{"why":"x","part":8}`),
+		raw("put", "lost", "a", `{"why":"x"}`),
+		raw("put", "member", "1", "{}"), raw("put", "member", "1", `{"raft":"127.0.0.1:1"}`),
+		raw("put", "member", "01", `{"raft":"127.0.0.1:1","admin":"127.0.0.1:1"}`),
+		raw("put", "epoch", "epoch", "{}"), raw("put", "epoch", "other", `{"number":1,"id":"x"}`),
+		raw("put", "limit", "units", "{}"),
+		raw("put", "limit", "other", `{"most":1}`), raw("put", "class", "a", `{"name":"a"}`),
+		raw("put", "class", "a", "{}"), raw("put", "class", "a", `{"worth":1,"late":2}`),
 		raw("put", "class", "a", `{"worth":1}`), raw("put", "description", "a", "{}"),
 	} {
 		p := &Proposal{ID: "p", Changes: changes}
--- a/clusterconfig/proposal_test.go
+++ b/clusterconfig/proposal_test.go
@@ -241,7 +241,10 @@
 
 // Any entry and any snapshot is applied or rejected, by two states alike.
 func FuzzApply(f *testing.F) {
-	entry, _ := EncodeProposal(&Proposal{ID: "q", Changes: []Change{put("plan", "kubwa", planText), remove("plan", "x")}})
+	entry, _ := EncodeProposal(&Proposal{
+		ID:      "q",
+		Changes: []Change{put("plan", "kubwa", planText), remove("plan", "x")},
+	})
 	f.Add(entry)
 	f.Fuzz(func(t *testing.T, entry []byte) {
 		a, b := New(checkText), New(checkText)
--- a/configstream/fixture_test.go
+++ b/configstream/fixture_test.go
@@ -15,8 +15,62 @@
 	"mulleinmux/internal/fixture"
 )
 
-// What members tell each other and what followers keep is as it was recorded: digests, keys of JSON, texts of results and
-// orders.
+// fixtureWords are the recorded values by name: one is the first version and two is made from it.
+func fixtureWords(one, two *Version) map[string]any {
+	problems := []Problem{{"plan/kati", "rate", "out of range"}}
+	ref := one.Ref
+	standing := StreamStatus{
+		Name:            "edge-1",
+		State:           "running",
+		Running:         &ref,
+		StateAge:        time.Minute,
+		Offered:         &two.Ref,
+		LatestRejection: &Rejection{Ref: two.Ref, Problems: problems},
+		LastMember:      3,
+		IsBehind:        true,
+		PinnedVersion:   4,
+		NameConflict:    "another",
+	}
+	return map[string]any{
+		"body, whole":              one.Body(nil),
+		"body, of a base":          two.Body(one),
+		"ref":                      two.Ref,
+		"no ref":                   Ref{},
+		"refusal":                  Rejection{Ref: two.Ref, Problems: problems, IsUnsupportedFormat: true},
+		"refusal without problems": Rejection{Ref: two.Ref},
+		"word": GossipMessage{
+			Member: 2,
+			Followers: []ObservedStream{
+				{},
+				{
+					Name:            "edge-1",
+					ProcessID:       1,
+					StartCount:      2,
+					StreamNumber:    3,
+					StreamAge:       time.Second,
+					SilentFor:       time.Millisecond,
+					Running:         &ref,
+					RunningFor:      time.Minute,
+					Offered:         &two.Ref,
+					LatestRejection: &Rejection{Ref: two.Ref, Problems: problems},
+				},
+			},
+		},
+		"standing, empty":     StreamStatus{},
+		"standing":            standing,
+		"standing, plain":     standing.Summary(),
+		"standing, explained": standing.Explain(2),
+		"results": []string{
+			ResultStatusOnly.String(), ResultApplied.String(), ResultRejected.String(), ResultNeedsFull.String(),
+			ResultNotNewer.String(), ResultUnconfirmed.String(), ResultDiverged.String(),
+		},
+		"problem": problems[0].String(),
+		"refs":    ref.String() + " " + Ref{}.String(),
+	}
+}
+
+// What members tell each other and what followers keep is as it was recorded: digests, keys of JSON, texts of results
+// and orders.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./configstream -run Fixture
 func TestFixtureWords(t *testing.T) {
@@ -31,23 +85,18 @@
 		}
 		return NewVersion(s, before)
 	}
-	one := version(nil, "p1", clusterconfig.NewPutChange("epoch", "epoch", clusterconfig.Epoch{Number: 2, ID: "one"}), clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 1}),
-		clusterconfig.NewPutChange("licensee", "a", clusterconfig.Licensee{Plan: "kati"}), clusterconfig.NewPutChange("hall", "hall-a", clusterconfig.Site{DiscoveryAddress: "127.0.0.1:1"}))
-	two := version(one, "p2", clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{PriorityFactor: 2}), clusterconfig.NewPutChange("licensee", "b", clusterconfig.Licensee{Plan: "kubwa"}),
-		clusterconfig.Change{Op: "remove", Kind: "licensee", Name: "a"})
-	problems := []Problem{{"plan/kati", "rate", "out of range"}}
-	ref := one.Ref
-	standing := StreamStatus{Name: "edge-1", State: "running", Running: &ref, StateAge: time.Minute, Offered: &two.Ref, LatestRejection: &Rejection{Ref: two.Ref, Problems: problems},
-		LastMember: 3, IsBehind: true, PinnedVersion: 4, NameConflict: "another"}
-	words := map[string]any{
-		"body, whole": one.Body(nil), "body, of a base": two.Body(one), "ref": two.Ref, "no ref": Ref{},
-		"refusal": Rejection{Ref: two.Ref, Problems: problems, IsUnsupportedFormat: true}, "refusal without problems": Rejection{Ref: two.Ref},
-		"word": GossipMessage{Member: 2, Followers: []ObservedStream{{}, {Name: "edge-1", ProcessID: 1, StartCount: 2, StreamNumber: 3, StreamAge: time.Second, SilentFor: time.Millisecond, Running: &ref,
-			RunningFor: time.Minute, Offered: &two.Ref, LatestRejection: &Rejection{Ref: two.Ref, Problems: problems}}}},
-		"standing, empty": StreamStatus{}, "standing": standing, "standing, plain": standing.Summary(), "standing, explained": standing.Explain(2),
-		"results": []string{ResultStatusOnly.String(), ResultApplied.String(), ResultRejected.String(), ResultNeedsFull.String(), ResultNotNewer.String(), ResultUnconfirmed.String(), ResultDiverged.String()},
-		"problem": problems[0].String(), "refs": ref.String() + " " + Ref{}.String(),
-	}
+	one := version(
+		nil, "p1", clusterconfig.NewPutChange("epoch", "epoch", clusterconfig.Epoch{Number: 2, ID: "one"}),
+		clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 1}),
+		clusterconfig.NewPutChange("licensee", "a", clusterconfig.Licensee{Plan: "kati"}),
+		clusterconfig.NewPutChange("hall", "hall-a", clusterconfig.Site{DiscoveryAddress: "127.0.0.1:1"}),
+	)
+	two := version(
+		one, "p2", clusterconfig.NewPutChange("plan", "kubwa", clusterconfig.Plan{PriorityFactor: 2}),
+		clusterconfig.NewPutChange("licensee", "b", clusterconfig.Licensee{Plan: "kubwa"}),
+		clusterconfig.Change{Op: "remove", Kind: "licensee", Name: "a"},
+	)
+	words := fixtureWords(one, two)
 	var out bytes.Buffer
 	for _, name := range slices.Sorted(maps.Keys(words)) {
 		text, err := json.Marshal(words[name])
@@ -89,7 +138,15 @@
 func TestFixtureSeats(t *testing.T) {
 	var out bytes.Buffer
 	for i := range 16 {
-		s := NewMemberSelector(MemberSelectorConfig{Name: fmt.Sprintf("edge-%d", i), Members: []uint64{1, 2, 3, 4, 5, 300}, InitialBackoff: 100 * time.Millisecond, MaxBackoff: 10 * time.Second}, rand.New(rand.NewPCG(uint64(i), 1)))
+		s := NewMemberSelector(
+			MemberSelectorConfig{
+				Name:           fmt.Sprintf("edge-%d", i),
+				Members:        []uint64{1, 2, 3, 4, 5, 300},
+				InitialBackoff: 100 * time.Millisecond,
+				MaxBackoff:     10 * time.Second,
+			},
+			rand.New(rand.NewPCG(uint64(i), 1)),
+		)
 		for n := range 8 {
 			fmt.Fprint(&out, s.Member(), " ", s.StreamEnded(n == 4), "; ")
 		}
--- a/configstream/simulation_rules_test.go
+++ b/configstream/simulation_rules_test.go
@@ -88,7 +88,8 @@
 func (sim *simulation) checkActivationOrder(f *simFollower, v *Version) {
 	if f.newest == nil {
 		if v.Compare(f.firstRef) == OrderOlder && f.disk.StartCount == 1 {
-			const text = "%s: with nothing persisted it takes version %v, older than %v that was agreed on when it began"
+			const text = "%s: with nothing persisted it takes version %v, older than %v " +
+				"that was agreed on when it began"
 			sim.fail(text, f.name, v.Ref, f.firstRef)
 		}
 		return
