--- a/internal/configstreampb/gen/main.go
+++ b/internal/configstreampb/gen/main.go
@@ -1,5 +1,5 @@
-// Command gen makes the Go code of the stream's messages: go generate ./internal/configstreampb. It needs no compiler of
-// its own on the machine.
+// Command gen makes the Go code of the stream's messages: go generate ./internal/configstreampb. It needs no compiler
+// of its own on the machine.
 package main
 
 import (
@@ -34,7 +34,10 @@
 		r.Desc, err = protoregistry.GlobalFiles.FindFileByPath(path)
 		return r, err
 	})
-	c := protocompile.Compiler{Resolver: protocompile.CompositeResolver{&protocompile.SourceResolver{}, linked}, SourceInfoMode: protocompile.SourceInfoStandard}
+	c := protocompile.Compiler{
+		Resolver:       protocompile.CompositeResolver{&protocompile.SourceResolver{}, linked},
+		SourceInfoMode: protocompile.SourceInfoStandard,
+	}
 	files, err := c.Compile(context.Background(), file)
 	if err != nil {
 		return err
@@ -58,7 +61,11 @@
 		}
 	}
 	add(files[0])
-	plugin, err := protogen.Options{}.New(&pluginpb.CodeGeneratorRequest{FileToGenerate: []string{file}, Parameter: proto.String("paths=source_relative"), ProtoFile: all})
+	plugin, err := protogen.Options{}.New(&pluginpb.CodeGeneratorRequest{
+		FileToGenerate: []string{file},
+		Parameter:      proto.String("paths=source_relative"),
+		ProtoFile:      all,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/gatewayconfig/agreed.go
+++ b/internal/gatewayconfig/agreed.go
@@ -59,7 +59,11 @@
 		}
 		names[c.Name] = true
 		cfg.Classes = append(cfg.Classes, routing.Class{
-			Name: c.Name, PriorityWeight: c.Worth, LateFraction: c.Late, LatencyObjective: c.Aim.d, Deadline: c.Deadline.d,
+			Name:             c.Name,
+			PriorityWeight:   c.Worth,
+			LateFraction:     c.Late,
+			LatencyObjective: c.Aim.d,
+			Deadline:         c.Deadline.d,
 		})
 	}
 }
--- a/internal/gatewayconfig/cluster_file.go
+++ b/internal/gatewayconfig/cluster_file.go
@@ -67,11 +67,17 @@
 // addAll adds the objects of a file whose sites, classes, plans and licensees were read into cfg.
 func (s *objectSet) addAll(form *clusterForm, cfg *gateway.Config) {
 	for i, site := range cfg.Sites {
-		s.add("hall", site.Name, clusterconfig.Site{DiscoveryAddress: site.Discovery.String(), IsClosed: form.Sites[i].Closed})
+		s.add("hall", site.Name, clusterconfig.Site{
+			DiscoveryAddress: site.Discovery.String(),
+			IsClosed:         form.Sites[i].Closed,
+		})
 	}
 	for _, c := range cfg.Classes {
 		s.add("class", c.Name, clusterconfig.Class{
-			PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction, LatencyObjectiveMs: c.LatencyObjective.Milliseconds(), DeadlineMs: c.Deadline.Milliseconds(),
+			PriorityWeight:     c.PriorityWeight,
+			LateFraction:       c.LateFraction,
+			LatencyObjectiveMs: c.LatencyObjective.Milliseconds(),
+			DeadlineMs:         c.Deadline.Milliseconds(),
 		})
 	}
 	for _, plan := range form.Plans {
--- a/internal/gatewayconfig/file.go
+++ b/internal/gatewayconfig/file.go
@@ -1,6 +1,6 @@
 // Package gatewayconfig reads the operators' TOML files: that of a gateway instance ([Parse]), and that of the
-// configuration that a cluster's members agree on ([ParseClusterFile]). An error names the file, the line and the field,
-// and nothing of a file with an error is used.
+// configuration that a cluster's members agree on ([ParseClusterFile]). An error names the file, the line and the
+// field, and nothing of a file with an error is used.
 package gatewayconfig
 
 import (
