--- a/cmd/simadapter/fixture_test.go
+++ b/cmd/simadapter/fixture_test.go
@@ -45,7 +45,10 @@
 	{"subscribed_list", `"registryMode":"automatic"`, `"registryMode":"subscribe"`},
 	{"postpaid_units", `"postPaid":false`, `"postPaid":true`},
 	{"keyed_by_zone", `"idempotency":"fragile","keyScope":"all"`, `"idempotency":"dedup","keyScope":"zone"`},
-	{"answers_begin", `(?m)^COMMIT\nCLOCK \S+\nCOMPLETED (\d+) (\S+) \d 0 (\S+) (\S+) (\d+) .*$`, "HEADERS $1 $2 $5 $3 $4\n$0"},
+	{
+		"answers_begin", `(?m)^COMMIT\nCLOCK \S+\nCOMPLETED (\d+) (\S+) \d 0 (\S+) (\S+) (\d+) .*$`,
+		"HEADERS $1 $2 $5 $3 $4\n$0",
+	},
 	{"clients_leave", `(?m)^COMPLETED (\d+) (\S*[1-4a-d]) .*$`, "LEFT $1 $2\n$0"},
 	{"servers_drain", `(?m)^(ITEM \S*[a-k]) IN `, "$1 LAME "},
 	{"list_fails", `(?m)^FLEET (\d+) \d+ \d+ Complete$`, "FLEET $1 0 - Error"},
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-const launch = `LAUNCH 3 99 {"instances":1,"me":0,"lanes":[{"name":"c","idempotency":"retryable","onTime":1,"deadline":4}],` +
+const launch = `LAUNCH 3 99 {"instances":1,"me":0,` +
+	`"lanes":[{"name":"c","idempotency":"retryable","onTime":1,"deadline":4}],` +
 	`"tariffs":[{"name":"p","quotaRate":2,"peakUnits":7}],"policyLimits":{"mostTries":3}}`
 
 func TestRun(t *testing.T) {
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// layerOf is the layer of each package, which may import those of its own layer and below; layer 1 imports layer 1 alone.
+// layerOf is the layer of each package, which may import those of its own layer and below; layer 1 imports layer 1
+// alone.
 var layerOf = map[string]int{
 	"policy":                        1,
 	"routing":                       1,
@@ -104,7 +105,10 @@
 // Layer 1 decides and does no I/O: no sockets, files, goroutines, clock or randomness of
 // its own.
 func TestDecisionsDoNoIO(t *testing.T) {
-	forbidden := []string{"net", "net/http", "os", "os/exec", "io/fs", "log", "log/slog", "sync", "crypto/rand", "math/rand", "syscall", "context"}
+	forbidden := []string{
+		"net", "net/http", "os", "os/exec", "io/fs", "log", "log/slog", "sync", "crypto/rand", "math/rand", "syscall",
+		"context",
+	}
 	// A data structure, and nothing else.
 	allowed := "github.com/hashicorp/go-immutable-radix/v2"
 	clock := []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick"}
@@ -125,7 +129,8 @@
 				t.Fatal(err)
 			}
 			for _, imp := range f.Imports {
-				if path := strings.Trim(imp.Path.Value, `"`); slices.Contains(forbidden, path) || strings.Contains(path, ".") && path != allowed {
+				if path := strings.Trim(imp.Path.Value, `"`); slices.Contains(forbidden, path) ||
+					strings.Contains(path, ".") && path != allowed {
 					t.Errorf("%s imports %s", file, path)
 				}
 			}
@@ -155,7 +160,8 @@
 		if first, _, _ := strings.Cut(dep, "/"); strings.Contains(first, ".") && first != "vendor" {
 			t.Errorf("links %s", dep)
 		}
-		if own, ours := strings.CutPrefix(dep, "mulleinmux/"); ours && (own == "routing" || own == "internal/gateway" || own == "internal/httpwire") {
+		if own, ours := strings.CutPrefix(dep, "mulleinmux/"); ours &&
+			(own == "routing" || own == "internal/gateway" || own == "internal/httpwire") {
 			t.Errorf("links %s", dep)
 		}
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -15,7 +15,9 @@
 // A line has its time to the microsecond, the level, the constant message and the attributes.
 func TestNew(t *testing.T) {
 	var out bytes.Buffer
-	New(&out).With(slog.String(KeyInstance, "gate-1")).Warn("reload failed", slog.Int(KeyVersion, 2), Error(errors.New("a b")))
+	New(&out).With(slog.String(KeyInstance, "gate-1")).Warn(
+		"reload failed", slog.Int(KeyVersion, 2), Error(errors.New("a b")),
+	)
 	want := regexp.MustCompile(`^time=\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}(Z|[+-]\d\d:\d\d) level=WARN ` +
 		`msg="reload failed" instance=gate-1 version=2 error="a b"\n$`)
 	if !want.Match(out.Bytes()) {
--- a/multisite/fixture_test.go
+++ b/multisite/fixture_test.go
@@ -9,15 +9,32 @@
 	"mulleinmux/internal/fixture"
 )
 
-// The home of each key, by the halls that are open and what they take, is as it was recorded; so are the texts of states and
-// of fates, which sites send each other.
+// The home of each key, by the halls that are open and what they take, is as it was recorded; so are the texts of
+// states and of fates, which sites send each other.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./multisite -run Fixture
 func TestFixtureHomes(t *testing.T) {
 	var out bytes.Buffer
-	for i, halls := range [][]Site{{{Name: "hall-a", IsOpen: true}, {Name: "hall-b", IsOpen: true}}, {{Name: "hall-b", IsOpen: true}, {Name: "hall-a", IsOpen: true}, {Name: "hall-c", IsOpen: true}},
-		{{Name: "hall-a"}, {Name: "hall-b", IsOpen: true}, {Name: "hall-c", IsOpen: true}}, {{Name: "hall-a", IsOpen: true, KeyEighths: 3}, {Name: "hall-b", IsOpen: true}, {Name: "north", IsOpen: true, KeyEighths: 7}}} {
-		k, err := NewKeyTable(KeyConfig{InstanceID: 1, Incarnation: 1, LeaseTTL: time.Second, KeyTTL: time.Second, DeduplicationWindow: 10 * time.Second, MaxKeys: 1000}, 0)
+	for i, halls := range [][]Site{
+		{{Name: "hall-a", IsOpen: true}, {Name: "hall-b", IsOpen: true}},
+		{{Name: "hall-b", IsOpen: true}, {Name: "hall-a", IsOpen: true}, {Name: "hall-c", IsOpen: true}},
+		{{Name: "hall-a"}, {Name: "hall-b", IsOpen: true}, {Name: "hall-c", IsOpen: true}},
+		{
+			{Name: "hall-a", IsOpen: true, KeyEighths: 3}, {Name: "hall-b", IsOpen: true},
+			{Name: "north", IsOpen: true, KeyEighths: 7},
+		},
+	} {
+		k, err := NewKeyTable(
+			KeyConfig{
+				InstanceID:          1,
+				Incarnation:         1,
+				LeaseTTL:            time.Second,
+				KeyTTL:              time.Second,
+				DeduplicationWindow: 10 * time.Second,
+				MaxKeys:             1000,
+			},
+			0,
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/multisite/quorum_confirmation_test.go
+++ b/multisite/quorum_confirmation_test.go
@@ -38,11 +38,17 @@
 		{name: "three of five", voters: five, answers: map[uint64]uint64{3: 3, 4: 7}, ok: true},
 		{name: "one has a later entry", voters: five[:4], answers: map[uint64]uint64{3: 8}},
 		{name: "this one has, and another not", voters: five[:4], fence: 8, answers: map[uint64]uint64{3: 3}},
-		{name: "this one has, and two not", voters: five[:4], fence: 8, answers: map[uint64]uint64{2: 0, 3: 3}, ok: true},
+		{
+			name: "this one has, and two not", voters: five[:4], fence: 8,
+			answers: map[uint64]uint64{2: 0, 3: 3}, ok: true,
+		},
 		{name: "voters change", voters: five[:4], isJoint: true, answers: map[uint64]uint64{2: 0, 3: 3, 4: 0}},
 		{name: "a stranger", voters: five[:4], answers: map[uint64]uint64{5: 0}},
 		{name: "not a voter itself", voters: five[1:], answers: map[uint64]uint64{2: 0, 3: 0, 4: 0, 5: 0}},
-		{name: "answers to the process before", voters: five[:4], answers: map[uint64]uint64{2: 0, 3: 0, 4: 0}, isLate: true},
+		{
+			name: "answers to the process before", voters: five[:4],
+			answers: map[uint64]uint64{2: 0, 3: 0, 4: 0}, isLate: true,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			current := newTestConfirmation(t, 2, c.voters, c.isJoint)
--- a/routing/extension_test.go
+++ b/routing/extension_test.go
@@ -59,7 +59,9 @@
 func TestEffectFields(t *testing.T) {
 	key := Field{"key", Pos{20, 1}, mappingValue(20, textField(20, "header", "Idempotency-Key"))}
 	otherKey := Field{"key", Pos{20, 1}, mappingValue(20, textField(20, "header", "Other"))}
-	keyed := []Field{textField(20, "effect", "keyed"), key, textField(20, "group", "zone"), textField(20, "window", "4s")}
+	keyed := []Field{
+		textField(20, "effect", "keyed"), key, textField(20, "group", "zone"), textField(20, "window", "4s"),
+	}
 	checkExtensions(t, []extensionCase{
 		{"a safe GET", "GET", nil, ""},
 		{"an unsafe GET", "GET", []Field{textField(20, "effect", "unsafe")}, ""},
--- a/routing/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -125,7 +125,8 @@
 			}
 		}
 		for _, op := range ops {
-			if n, err := op.Charge(Request{Query: query, Header: jsonHeader, Body: body}); err == nil && (n < 1 || n > 50) {
+			if n, err := op.Charge(Request{Query: query, Header: jsonHeader, Body: body}); err == nil &&
+				(n < 1 || n > 50) {
 				t.Errorf("%q %q: %d units", query, body, n)
 			} else if err == nil && op.Units.Source.In == InBody && !json.Valid(body) {
 				t.Errorf("%q is no JSON and was charged", body)
--- a/routing/match_test.go
+++ b/routing/match_test.go
@@ -53,7 +53,10 @@
 				got = op.Method + " " + op.Template
 			}
 			if got != c.want || a != c.a || allow != c.allow {
-				t.Errorf("%s %s: %q, %v, allow %q; want %q, %v, %q", c.method, c.path, got, a, allow, c.want, c.a, c.allow)
+				t.Errorf(
+					"%s %s: %q, %v, allow %q; want %q, %v, %q",
+					c.method, c.path, got, a, allow, c.want, c.a, c.allow,
+				)
 			}
 		}
 	}
