--- a/cmd/edgeproxy/main_test.go
+++ b/cmd/edgeproxy/main_test.go
@@ -141,10 +141,11 @@
 	defer door.Close()
 	dir := t.TempDir()
 	start := func() (*exec.Cmd, func() string) {
-		cmd, logs := program(t, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1","management":%q,
+		settings := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1","management":%q,
 			"limits":{"memory_mb":192,"sockets":1024},
 			"settings":{"instances":1,"lanes":[{"name":"c","idempotency":"retryable","onTime":0.4,"deadline":2}]}}`,
-			ln.Addr(), freePort(t)))
+			ln.Addr(), freePort(t))
+		cmd, logs := program(t, settings)
 		cmd.Env = append(cmd.Env, "TMPDIR="+dir, "PROXY_ACCEPT_FD=5")
 		cmd.ExtraFiles = []*os.File{door, door, door} // 3, 4 and 5
 		if err := cmd.Start(); err != nil {
--- a/internal/edgeproxy/exchange_test.go
+++ b/internal/edgeproxy/exchange_test.go
@@ -39,7 +39,8 @@
 		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", policy.ErrorResponse, true},
 		{"ends with its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody", policy.OK, false},
 		{"long error",
-			"HTTP/1.1 500 E\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), policy.ErrorResponse, false},
+			"HTTP/1.1 500 E\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537),
+			policy.ErrorResponse, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -114,7 +115,8 @@
 	}},
 	{"endless body", endless("Content-Length: 3000000000\r\n\r\n")},
 	{"endless chunks' heads",
-		endless("Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1;"+strings.Repeat("x", 500)+"\r\nx\r\n", 1000))},
+		endless("Transfer-Encoding: chunked\r\n\r\n" +
+			strings.Repeat("1;"+strings.Repeat("x", 500)+"\r\nx\r\n", 1000))},
 }
 
 // A response that can't be read is an error that may have run, known at once: not a reset, which would make a warm
@@ -143,7 +145,8 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			if _, res := pool.exchange(ctx, "a", &serverRequest{method: "GET", target: "/check", id: "fine"}); res != policy.OK {
+			request := &serverRequest{method: "GET", target: "/check", id: "fine"}
+			if _, res := pool.exchange(ctx, "a", request); res != policy.OK {
 				t.Errorf("the next request: result %d", res)
 			}
 		})
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -15,7 +15,17 @@
 func TestFixtureAccessLogAndNumbers(t *testing.T) {
 	var out bytes.Buffer
 	l := NewAccessLog(&out)
-	l.Record(RequestRecord{Trace: "t", Operation: "slots", Licensee: "bahari", Version: 3, Units: 2, Sent: true, Attempts: 2, Status: 200, Answer: "served"})
+	l.Record(RequestRecord{
+		Trace:     "t",
+		Operation: "slots",
+		Licensee:  "bahari",
+		Version:   3,
+		Units:     2,
+		Sent:      true,
+		Attempts:  2,
+		Status:    200,
+		Answer:    "served",
+	})
 	l.Record(RequestRecord{Status: 503, Answer: "refused", KeyRejection: "its home is not known"})
 	l.dropped.Add(5)
 	if err := l.Close(); err != nil {
@@ -24,5 +34,6 @@
 	for _, name := range []string{"", "bahari", "kilima"} {
 		fmt.Fprintln(&out, CustomerOf(name), keyNumber(name, ""), keyNumber(name, "key-1"), keyNumber("key-1", name))
 	}
-	fixture.Compare(t, "access.txt", regexp.MustCompile(`"time":"\d{4}-\d\d-\d\dT[0-9:.]+(Z|[+-]\d\d:\d\d)"`).ReplaceAll(out.Bytes(), []byte(`"time":"TIME"`)))
+	times := regexp.MustCompile(`"time":"\d{4}-\d\d-\d\dT[0-9:.]+(Z|[+-]\d\d:\d\d)"`)
+	fixture.Compare(t, "access.txt", times.ReplaceAll(out.Bytes(), []byte(`"time":"TIME"`)))
 }
