--- a/internal/raftnode/bolt_storage_test.go
+++ b/internal/raftnode/bolt_storage_test.go
@@ -93,7 +93,9 @@
 	t.Helper()
 	storage := openStorage(t, path)
 	must(t,
-		storage.Save(hardState(2, 1, 2), []*pb.Entry{entry(1, 1, "first entry"), entry(2, 2, "second entry")}, nil, true),
+		storage.Save(
+			hardState(2, 1, 2), []*pb.Entry{entry(1, 1, "first entry"), entry(2, 2, "second entry")}, nil, true,
+		),
 		storage.SaveSnapshot(snapshotOf(0, 0, "nothing")),
 		storage.Close(),
 	)
--- a/internal/raftnode/consent_test.go
+++ b/internal/raftnode/consent_test.go
@@ -89,7 +89,10 @@
 // restartConsent begins a member's next incarnation.
 func (c *consentCluster) restartConsent(m *simMember) {
 	c.incarnations[m.id]++
-	consent, err := multisite.NewQuorumConfirmation(multisite.ConfirmationConfig{InstanceID: m.id, Incarnation: c.incarnations[m.id]})
+	consent, err := multisite.NewQuorumConfirmation(multisite.ConfirmationConfig{
+		InstanceID:  m.id,
+		Incarnation: c.incarnations[m.id],
+	})
 	if err != nil {
 		c.fatalf("%v", err)
 	}
--- a/internal/raftnode/fixture_test.go
+++ b/internal/raftnode/fixture_test.go
@@ -22,14 +22,19 @@
 	"mulleinmux/internal/logging"
 )
 
-// A member's file that was recorded opens with the same term, log and snapshot, and a new one holds the same bytes under
-// the same keys.
+// A member's file that was recorded opens with the same term, log and snapshot, and a new one holds the same bytes
+// under the same keys.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/raftnode -run Fixture
 func TestFixtureFile(t *testing.T) {
 	dir := t.TempDir()
 	fresh := filepath.Join(dir, "fresh.db")
-	text, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{ID: "p1", Changes: []clusterconfig.Change{clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 1})}})
+	text, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{
+		ID: "p1",
+		Changes: []clusterconfig.Change{
+			clusterconfig.NewPutChange("plan", "kati", clusterconfig.Plan{PriorityFactor: 1}),
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,8 +50,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(d.Save(hardState(1, 2, 0), []*pb.Entry{entry(1, 1, ""), entry(2, 1, string(text)), entry(3, 1, "lost")}, nil, true),
-		d.Save(hardState(4, 1, 3), []*pb.Entry{entry(3, 4, ""), entry(4, 4, "tail")}, nil, true), d.SaveSnapshot(snapshotOf(2, 1, string(agreed))), d.Compact(1), d.Close()); err != nil {
+	first := []*pb.Entry{entry(1, 1, ""), entry(2, 1, string(text)), entry(3, 1, "lost")}
+	second := []*pb.Entry{entry(3, 4, ""), entry(4, 4, "tail")}
+	if err := errors.Join(
+		d.Save(hardState(1, 2, 0), first, nil, true),
+		d.Save(hardState(4, 1, 3), second, nil, true),
+		d.SaveSnapshot(snapshotOf(2, 1, string(agreed))),
+		d.Compact(1),
+		d.Close(),
+	); err != nil {
 		t.Fatal(err)
 	}
 	// Times of writing and counts of starts are those of the run.
@@ -96,7 +108,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Incarnation() != 3 || !proto.Equal(k.HardState, hardState(4, 1, 3)) || !proto.Equal(k.Snapshot, snapshotOf(2, 1, string(agreed))) || len(k.Entries) != 2 ||
+	if d.Incarnation() != 3 || !proto.Equal(k.HardState, hardState(4, 1, 3)) ||
+		!proto.Equal(k.Snapshot, snapshotOf(2, 1, string(agreed))) || len(k.Entries) != 2 ||
 		!proto.Equal(k.Entries[0], entry(3, 4, "")) || !proto.Equal(k.Entries[1], entry(4, 4, "tail")) {
 		t.Errorf("start %d: %+v", d.Incarnation(), k)
 	}
@@ -127,8 +140,15 @@
 		return ln
 	}
 	message := func(kind pb.MessageType, index uint64) *pb.Message {
-		return &pb.Message{Type: kind.Enum(), From: proto.Uint64(1), To: proto.Uint64(2), Term: proto.Uint64(3), Index: proto.Uint64(index),
-			LogTerm: proto.Uint64(2), Commit: proto.Uint64(1)}
+		return &pb.Message{
+			Type:    kind.Enum(),
+			From:    proto.Uint64(1),
+			To:      proto.Uint64(2),
+			Term:    proto.Uint64(3),
+			Index:   proto.Uint64(index),
+			LogTerm: proto.Uint64(2),
+			Commit:  proto.Uint64(1),
+		}
 	}
 	appends := message(pb.MsgApp, 5)
 	appends.Entries = []*pb.Entry{entry(6, 3, "one"), entry(7, 3, "two")}
@@ -173,7 +193,13 @@
 	one.broadcast([]byte("a word"))
 	frame()
 	fixture.Compare(t, "frames.bin.gz", got.Bytes())
-	fixture.Compare(t, "names.txt", fmt.Appendln(nil, memberCommonName("c", 12), in.ConnectionState().PeerCertificates[0].Subject, memberFilePrefix(3), OperatorFilePrefix("asha"), FollowerFilePrefix("edge-1"), authorityFile, authorityKeyFile))
+	fixture.Compare(
+		t, "names.txt",
+		fmt.Appendln(
+			nil, memberCommonName("c", 12), in.ConnectionState().PeerCertificates[0].Subject, memberFilePrefix(3),
+			OperatorFilePrefix("asha"), FollowerFilePrefix("edge-1"), authorityFile, authorityKeyFile,
+		),
+	)
 
 	heard, words := make(chan *pb.Message, len(sends)), make(chan string, 1)
 	two := &transport{cluster: "c", memberID: 2, credentials: creds[1], listener: listen(),
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -74,7 +74,8 @@
 	c.start(1)
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	if _, err := c.nodes[1].Propose(ctx, putPlanProposal("b", 2)); err == nil || !strings.Contains(err.Error(), "leader") {
+	if _, err := c.nodes[1].Propose(ctx, putPlanProposal("b", 2)); err == nil ||
+		!strings.Contains(err.Error(), "leader") {
 		t.Errorf("a change by a minority: %v", err)
 	}
 	read := func(*clusterconfig.State) { t.Error("a read by a minority") }
--- a/internal/raftnode/sim_client_test.go
+++ b/internal/raftnode/sim_client_test.go
@@ -116,7 +116,10 @@
 	if client.request.read {
 		core.ReadIndex(func(err error) {
 			if err == nil && isCurrent() {
-				c.completeRequest(client, registerResponse{value: valueOf(core.State()), version: core.State().Version()})
+				c.completeRequest(client, registerResponse{
+					value:   valueOf(core.State()),
+					version: core.State().Version(),
+				})
 			}
 		})
 		return
--- a/internal/raftnode/sim_test.go
+++ b/internal/raftnode/sim_test.go
@@ -66,7 +66,10 @@
 func (c *simCluster) logMembers() {
 	for _, m := range c.members {
 		if m.core != nil {
-			c.t.Logf("member %d: leader %d, index %d, ready %v", m.id, m.core.Leader(), m.core.AppliedIndex(), m.core.IsReady())
+			c.t.Logf(
+				"member %d: leader %d, index %d, ready %v",
+				m.id, m.core.Leader(), m.core.AppliedIndex(), m.core.IsReady(),
+			)
 		}
 	}
 }
--- a/internal/raftnode/transport_test.go
+++ b/internal/raftnode/transport_test.go
@@ -34,7 +34,12 @@
 	c.await("ready", isReady)
 	sameName := newAuthority(t, "test") // with another key
 	foreign := newAuthority(t, "elsewhere")
-	vote := &pb.Message{Type: pb.MsgVote.Enum(), From: proto.Uint64(3), To: proto.Uint64(1), Term: proto.Uint64(1 << 40)}
+	vote := &pb.Message{
+		Type: pb.MsgVote.Enum(),
+		From: proto.Uint64(3),
+		To:   proto.Uint64(1),
+		Term: proto.Uint64(1 << 40),
+	}
 	voteFrame := encodeFrame(frameMessage, mustMarshal(vote))
 	helloFrame := encodeFrame(frameHello, hello{}.encode())
 	tooLongBroadcast := encodeFrameHeader(frameBroadcast, maxBroadcastBytes+1)
