--- a/routing/charge_test.go
+++ b/routing/charge_test.go
@@ -108,16 +108,19 @@
 func TestChargeWantsKey(t *testing.T) {
 	keyed := &Operation{KeySource: ParamSource{In: InHeader, Name: "Idempotency-Key"}, Units: Units{Fixed: 1}}
 	for _, c := range []struct {
+		name string
 		h    testHeader
 		want bool
 	}{
-		{testHeader{"Idempotency-Key": {"k"}}, true},
-		{testHeader{}, false},
-		{testHeader{"Idempotency-Key": {""}}, false},
-		{testHeader{"Idempotency-Key": {"k", "l"}}, false},
+		{"one", testHeader{"Idempotency-Key": {"k"}}, true},
+		{"none", testHeader{}, false},
+		{"empty", testHeader{"Idempotency-Key": {""}}, false},
+		{"two", testHeader{"Idempotency-Key": {"k", "l"}}, false},
 	} {
-		if _, err := keyed.Charge(Request{Header: c.h}); (err == nil) != c.want {
-			t.Errorf("key in %v: %v", c.h, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := keyed.Charge(Request{Header: c.h}); (err == nil) != c.want {
+				t.Errorf("key in %v: %v", c.h, err)
+			}
+		})
 	}
 }
--- a/routing/match_test.go
+++ b/routing/match_test.go
@@ -47,17 +47,19 @@
 			{"OPTIONS", "/nothing", "", UnknownPath, ""},
 			{"HEAD", "/a/b:run", "", UnknownMethod, "OPTIONS, PUT"},
 		} {
-			op, allow, a := tab.Match(c.method, c.path)
-			got := ""
-			if op != nil {
-				got = op.Method + " " + op.Template
-			}
-			if got != c.want || a != c.a || allow != c.allow {
-				t.Errorf(
-					"%s %s: %q, %v, allow %q; want %q, %v, %q",
-					c.method, c.path, got, a, allow, c.want, c.a, c.allow,
-				)
-			}
+			t.Run(c.method+" "+c.path, func(t *testing.T) {
+				op, allow, a := tab.Match(c.method, c.path)
+				got := ""
+				if op != nil {
+					got = op.Method + " " + op.Template
+				}
+				if got != c.want || a != c.a || allow != c.allow {
+					t.Errorf(
+						"%s %s: %q, %v, allow %q; want %q, %v, %q",
+						c.method, c.path, got, a, allow, c.want, c.a, c.allow,
+					)
+				}
+			})
 		}
 	}
 }
@@ -88,21 +90,23 @@
 		{[]string{"GET /a/{x}", "GET /a/{x}/b", "GET /a/b", "GET /{x}/{y}"}, ""},
 		{[]string{"GET /a/b/{x}", "GET /a/{x}/{y}", "GET /{x}/{y}/{z}"}, ""},
 	} {
-		_, err := Compile(makeDocument(c.ops...), classOptions())
-		if c.example == "" {
-			if err != nil {
-				t.Errorf("%v: %v", c.ops, err)
+		t.Run(strings.Join(c.ops, ", "), func(t *testing.T) {
+			_, err := Compile(makeDocument(c.ops...), classOptions())
+			if c.example == "" {
+				if err != nil {
+					t.Errorf("%v: %v", c.ops, err)
+				}
+				return
 			}
-			continue
-		}
-		if err == nil {
-			t.Errorf("%v: is accepted", c.ops)
-			continue
-		}
-		for _, want := range []string{c.example, c.ops[0], c.ops[1], "line 10", "d.yaml:11"} {
-			if !strings.Contains(err.Error(), want) {
-				t.Errorf("%v: %q lacks %q", c.ops, err, want)
+			if err == nil {
+				t.Errorf("%v: is accepted", c.ops)
+				return
 			}
-		}
+			for _, want := range []string{c.example, c.ops[0], c.ops[1], "line 10", "d.yaml:11"} {
+				if !strings.Contains(err.Error(), want) {
+					t.Errorf("%v: %q lacks %q", c.ops, err, want)
+				}
+			}
+		})
 	}
 }
--- a/routing/path_test.go
+++ b/routing/path_test.go
@@ -11,9 +11,11 @@
 		"/", "/a", "/a/", "/a/b:run", "/a/%C3%A9", "/a/%20", "/a/100%25",
 		"/a/~x-y_z.!$&'()*+,=:@", "/a/..x", "/a/...", "/a/x%2Cy", "/a/%3F%23",
 	} {
-		if reason := tab.CheckPath(good); reason != "" {
-			t.Errorf("%s: %s", good, reason)
-		}
+		t.Run("good "+good, func(t *testing.T) {
+			if reason := tab.CheckPath(good); reason != "" {
+				t.Errorf("%s: %s", good, reason)
+			}
+		})
 	}
 	for _, bad := range []string{
 		"", "a", "*", "//a", "/a//b", "/a//", "/a/./b", "/a/../b", "/a/..", "/a/.", "/a/%2e%2e/b",
@@ -22,8 +24,10 @@
 		"/a/%zz", "/a/%00", "/a/%0A", "/a/%7F", "/a/\xc3\xa9", "/a/b c",
 		"/a/%252F", "/a/%252e", "/a/b%3Arun", "/a/x%3Ay", "/a/{x}", "/a/b|c", "/a/b#c", "/a/b%7E",
 	} {
-		if tab.CheckPath(bad) == "" {
-			t.Errorf("%s is let in", bad)
-		}
+		t.Run("bad "+bad, func(t *testing.T) {
+			if tab.CheckPath(bad) == "" {
+				t.Errorf("%s is let in", bad)
+			}
+		})
 	}
 }
