--- a/clusterconfig/fixture_test.go
+++ b/clusterconfig/fixture_test.go
@@ -93,7 +93,7 @@
 
 // Entries of the log and the snapshot after them are as they were recorded, and recorded ones are read as they were.
 //
-// Recorded with: MULLEINMUX_RECORD=1 go test ./fleetconfig -run Fixture
+// Recorded with: MULLEINMUX_RECORD=1 go test ./clusterconfig -run Fixture
 func TestFixtureEntriesAndSnapshot(t *testing.T) {
 	var entries bytes.Buffer
 	for _, p := range fixtureProposals() {
@@ -144,7 +144,7 @@
 
 // What refuses a proposal is agreed on, so that its words are stored at each member.
 //
-// Recorded with: MULLEINMUX_RECORD=1 go test ./fleetconfig -run Fixture
+// Recorded with: MULLEINMUX_RECORD=1 go test ./clusterconfig -run Fixture
 func TestFixtureRefusals(t *testing.T) {
 	raw := func(op, kind, name, value string) []Change {
 		return []Change{{Op: op, Kind: kind, Name: name, Value: json.RawMessage(value)}}
