--- a/internal/edgeproxy/admin_server_test.go
+++ b/internal/edgeproxy/admin_server_test.go
@@ -93,9 +93,11 @@
 		{"GET", "/control/novel", 404},
 		{"POST", "/", 404},
 	} {
-		if status, _ := callAdmin(t, bad.method, at, bad.path); status != bad.status {
-			t.Errorf("%s %s: %d, want %d", bad.method, bad.path, status, bad.status)
-		}
+		t.Run(bad.method+" "+bad.path, func(t *testing.T) {
+			if status, _ := callAdmin(t, bad.method, at, bad.path); status != bad.status {
+				t.Errorf("%s %s: %d, want %d", bad.method, bad.path, status, bad.status)
+			}
+		})
 	}
 	if status, text := callAdmin(t, "GET", at, adminReadyPath); status != 200 || text != "ready\n" {
 		t.Errorf("after what can't be: %d %q", status, text)
--- a/internal/edgeproxy/config_test.go
+++ b/internal/edgeproxy/config_test.go
@@ -61,9 +61,11 @@
 		{"peers", `["127.0.0.1:4","x"]`, "peers[1]"},
 		{"peers_all", "", "peers_all"}, {"known", `{"instances":1}`, "known: "},
 	} {
-		if _, err := parseConfig(text(b[0], b[1]), none); err == nil || !strings.HasPrefix(err.Error(), b[2]) {
-			t.Errorf("%s %s: error %v, want one that names %s", b[0], b[1], err, b[2])
-		}
+		t.Run(b[0]+" "+b[1], func(t *testing.T) {
+			if _, err := parseConfig(text(b[0], b[1]), none); err == nil || !strings.HasPrefix(err.Error(), b[2]) {
+				t.Errorf("%s %s: error %v, want one that names %s", b[0], b[1], err, b[2])
+			}
+		})
 	}
 	if _, err := LoadConfig(none); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
 		t.Errorf("error %v", err)
--- a/internal/edgeproxy/exchange_test.go
+++ b/internal/edgeproxy/exchange_test.go
@@ -223,26 +223,29 @@
 // Giving up closes the connection before the result is known, or the next attempt would run beside this one.
 func TestCancelClosesConnection(t *testing.T) {
 	for _, c := range []struct {
+		name   string
 		want   policy.Result
 		giveUp func() (context.Context, context.CancelFunc)
 	}{
-		{policy.TimedOut, func() (context.Context, context.CancelFunc) {
+		{"deadline", policy.TimedOut, func() (context.Context, context.CancelFunc) {
 			return context.WithTimeout(context.Background(), 100*time.Millisecond)
 		}},
-		{policy.Cancelled, func() (context.Context, context.CancelFunc) {
+		{"cancel", policy.Cancelled, func() (context.Context, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(context.Background())
 			time.AfterFunc(100*time.Millisecond, cancel)
 			return ctx, cancel
 		}},
 	} {
-		s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
-		pool := newTestPool(s.instance("a"))
-		ctx, cancel := c.giveUp()
-		_, res := pool.exchange(ctx, "a", &get)
-		cancel()
-		wantResult(t, res, c.want)
-		wantClosed(t, <-s.conns)
-		wantOpenConns(t, pool, 0)
+		t.Run(c.name, func(t *testing.T) {
+			s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+			pool := newTestPool(s.instance("a"))
+			ctx, cancel := c.giveUp()
+			_, res := pool.exchange(ctx, "a", &get)
+			cancel()
+			wantResult(t, res, c.want)
+			wantClosed(t, <-s.conns)
+			wantOpenConns(t, pool, 0)
+		})
 	}
 }
 
@@ -337,10 +340,12 @@
 		"TEXT util=1.059, queue=1.674":            {InFlight: -1, QueueLength: 1.674, Utilization: 1.059},
 		"":                                        nil, "JSON {}": nil,
 	} {
-		got := loadreport.Parse(text)
-		if (got == nil) != (want == nil) || got != nil && *got != *want {
-			t.Errorf("%q: %v, want %v", text, got, want)
-		}
+		t.Run(text, func(t *testing.T) {
+			got := loadreport.Parse(text)
+			if (got == nil) != (want == nil) || got != nil && *got != *want {
+				t.Errorf("%q: %v, want %v", text, got, want)
+			}
+		})
 	}
 }
 
--- a/internal/edgeproxy/request_table_test.go
+++ b/internal/edgeproxy/request_table_test.go
@@ -22,21 +22,27 @@
 	cfg := testConfig()
 	server := newIdleClientServer(t, cfg)
 	for _, c := range []struct {
+		name     string
 		attempts []*attempt
 		want     answerKind
-	}{{nil, answerRejected}, {[]*attempt{{permit: newSendPermit(), cancel: func() {}}}, answerFailed}} {
-		pending := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: c.attempts}
-		server.node.requests["t1"] = pending
-		server.node.deadlineExceeded(pending)
-		if a := <-pending.answer; a.kind != c.want {
-			t.Errorf("%d attempts: answer %v, want %v", len(c.attempts), a.kind, c.want)
-		}
-		if len(server.node.requests) != 0 {
-			t.Error("the flight is still held")
-		}
-		if server.node.deadlineExceeded(pending); len(pending.answer) != 0 {
-			t.Error("a second final answer")
-		}
+	}{
+		{"never forwarded", nil, answerRejected},
+		{"may have run", []*attempt{{permit: newSendPermit(), cancel: func() {}}}, answerFailed},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			pending := &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1), attempts: c.attempts}
+			server.node.requests["t1"] = pending
+			server.node.deadlineExceeded(pending)
+			if a := <-pending.answer; a.kind != c.want {
+				t.Errorf("%d attempts: answer %v, want %v", len(c.attempts), a.kind, c.want)
+			}
+			if len(server.node.requests) != 0 {
+				t.Error("the flight is still held")
+			}
+			if server.node.deadlineExceeded(pending); len(pending.answer) != 0 {
+				t.Error("a second final answer")
+			}
+		})
 	}
 }
 
--- a/internal/gateway/rejection_test.go
+++ b/internal/gateway/rejection_test.go
@@ -90,39 +90,43 @@
 	head := "POST /visits HTTP/1.1\r\nHost: h\r\nX-Licensee: honest\r\n" +
 		"Idempotency-Key: k\r\nContent-Type: application/json\r\n"
 	for _, c := range []struct {
+		name   string
 		text   string
 		status int
 		half   bool // the client closes its side
 	}{
-		{head + "Content-Length: 20\r\n\r\n{\"installers\":1}", 400, true},
-		{head + "Content-Length: 16\r\nContent-Length: 16\r\n\r\n{\"installers\":1}", 400, false},
-		{head + "Content-Length: +16\r\n\r\n{\"installers\":1}", 400, false},
-		{head + "Content-Length: 16\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, false},
-		{head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 411, false},
-		{head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501, false},
-		{head + "Content-Length: 70000\r\n\r\n", 413, false},
-		{head + "X-A : 1\r\n\r\n", 400, false},
-		{head + "X-A: 1\r\n folded\r\n\r\n", 400, false},
-		{head + "X-A: 1\nX-B: 2\r\n\r\n", 400, false},
-		{"GET /visits/1 HTTP/1.0\r\nHost: h\r\n\r\n", 505, false},
-		{"GET /visits/1 HTTP/1.1\r\n\r\n", 400, false},
-		{"GET /visits/1 HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400, false},
-		{"GET /visits/1 x HTTP/1.1\r\nHost: a\r\n\r\n", 400, false},
-		{"noise\r\n\r\n", 400, false},
-		{"GET /visits/1 HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("a", 17<<10) + "\r\n\r\n", 431, false},
+		{"body cut short", head + "Content-Length: 20\r\n\r\n{\"installers\":1}", 400, true},
+		{"two lengths", head + "Content-Length: 16\r\nContent-Length: 16\r\n\r\n{\"installers\":1}", 400, false},
+		{"length with a sign", head + "Content-Length: +16\r\n\r\n{\"installers\":1}", 400, false},
+		{"length and chunked", head + "Content-Length: 16\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, false},
+		{"chunked", head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 411, false},
+		{"unknown transfer coding", head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501, false},
+		{"body too large", head + "Content-Length: 70000\r\n\r\n", 413, false},
+		{"space before the colon", head + "X-A : 1\r\n\r\n", 400, false},
+		{"folded field", head + "X-A: 1\r\n folded\r\n\r\n", 400, false},
+		{"bare line feed", head + "X-A: 1\nX-B: 2\r\n\r\n", 400, false},
+		{"HTTP/1.0", "GET /visits/1 HTTP/1.0\r\nHost: h\r\n\r\n", 505, false},
+		{"no host", "GET /visits/1 HTTP/1.1\r\n\r\n", 400, false},
+		{"two hosts", "GET /visits/1 HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400, false},
+		{"space in the target", "GET /visits/1 x HTTP/1.1\r\nHost: a\r\n\r\n", 400, false},
+		{"noise", "noise\r\n\r\n", 400, false},
+		{"head too large",
+			"GET /visits/1 HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("a", 17<<10) + "\r\n\r\n", 431, false},
 	} {
-		a := dial(t, g.addr)
-		a.send(c.text)
-		if c.half {
-			a.Conn.(interface{ CloseWrite() error }).CloseWrite()
-		}
-		r := a.readResponse()
-		if r.status != c.status || !r.close {
-			t.Errorf("%.60q: %d, close %v; want %d", c.text, r.status, r.close, c.status)
-		}
-		if _, err := a.br.ReadByte(); err != io.EOF {
-			t.Errorf("%.60q: then %v, not the connection's end", c.text, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			a := dial(t, g.addr)
+			a.send(c.text)
+			if c.half {
+				a.Conn.(interface{ CloseWrite() error }).CloseWrite()
+			}
+			r := a.readResponse()
+			if r.status != c.status || !r.close {
+				t.Errorf("%.60q: %d, close %v; want %d", c.text, r.status, r.close, c.status)
+			}
+			if _, err := a.br.ReadByte(); err != io.EOF {
+				t.Errorf("%.60q: then %v, not the connection's end", c.text, err)
+			}
+		})
 	}
 	h.expectNoRequest()
 }
