--- a/internal/cluster/agreement_test.go
+++ b/internal/cluster/agreement_test.go
@@ -81,7 +81,11 @@
 		{"no plan", nil, newChange("put", "licensee", "l", `{"plan":"none"}`), `plan "none" is not there`},
 		{"description", nil, putDescription(99), "d.yaml:8"},
 	} {
-		p := &clusterconfig.Proposal{ID: test.name, BaseVersion: test.base, Changes: []clusterconfig.Change{test.change}}
+		p := &clusterconfig.Proposal{
+			ID:          test.name,
+			BaseVersion: test.base,
+			Changes:     []clusterconfig.Change{test.change},
+		}
 		if _, err := c.admin.Propose(c.ctx(), p); !hasStatus(err, http.StatusConflict, test.want) {
 			c.t.Errorf("%s: %v", test.name, err)
 		}
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -28,7 +28,9 @@
 	c.awaitInstalled(outcome.Version)
 	c.awaitServing(1)
 	sent := int64(0)
-	c.members[2].member.Instance().EachOperation(func(_ string, counters *gateway.Counters) { sent += counters.Sent.Load() })
+	c.members[2].member.Instance().EachOperation(func(_ string, counters *gateway.Counters) {
+		sent += counters.Sent.Load()
+	})
 	if sent != 0 {
 		t.Errorf("the far member counts %d requests that entered at the other", sent)
 	}
