--- a/policy/subset.go
+++ b/policy/subset.go
@@ -7,8 +7,8 @@
 )
 
 // defaultSubsetSizing sizes a node's subset. Of 12 servers half may fail, and a few requests per second keep their
-// connections open. Each server is in 16 subsets or more, so that a node with several times the mean load does not overload
-// single servers.
+// connections open. Each server is in 16 subsets or more, so that a node with several times the mean load does not
+// overload single servers.
 var defaultSubsetSizing = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
 
 // subsetSeed has to be the same at all nodes of a fleet: each derives the same subsets of all nodes.
