--- a/internal/scenario/faults_members.go
+++ b/internal/scenario/faults_members.go
@@ -16,32 +16,66 @@
 	}
 }
 
+// Times of the scenario leader-lost.
+const (
+	leaderLossCount      = 3
+	maxLeaderLossTime    = 5 * time.Second // until a change is applied again
+	leaderChangePollTime = 2 * time.Millisecond
+)
+
 // leaderLost kills the leader in the middle of changes, three times, and restarts it.
 func leaderLost(ctx context.Context, c *clusterRun) {
-	for range 3 {
+	for range leaderLossCount {
 		pause(ctx, c.environment.options.For/6)
-		m := c.leader(ctx)
-		if m == nil || ctx.Err() != nil {
+		if !c.loseLeader(ctx) {
 			return
 		}
-		before, _ := c.countApplied()
-		c.kill(m)
-		at := time.Now()
-		for n, last := c.countApplied(); n <= before || !last.After(at); n, last = c.countApplied() {
-			if pause(ctx, 2*time.Millisecond); ctx.Err() != nil || time.Since(at) > 5*time.Second {
-				c.notef("no change was applied within %v of the leader's kill", time.Since(at))
-				return
-			}
-		}
-		c.mu.Lock()
-		c.leaderLossDelays = append(c.leaderLossDelays, time.Since(at))
-		c.mu.Unlock()
+	}
+}
+
+// loseLeader finds the leader and has it fail. It reports whether the scenario can go on.
+func (c *clusterRun) loseLeader(ctx context.Context) bool {
+	leader := c.leader(ctx)
+	if leader == nil || ctx.Err() != nil {
+		return false
+	}
+	return c.failLeader(ctx, leader)
+}
+
+// failLeader kills the leader, waits for the next applied change and restarts the killed member in every case. It
+// reports whether a change was applied and the member is ready again.
+func (c *clusterRun) failLeader(ctx context.Context, leader *member) bool {
+	appliedBefore, _ := c.countApplied()
+	c.kill(leader)
+	isApplied := c.awaitChangeAfterKill(ctx, appliedBefore, time.Now())
+	if isApplied {
 		pause(ctx, c.environment.options.For/12)
-		if err := c.restart(context.WithoutCancel(ctx), m); err != nil {
-			c.notef("%v", err)
-			return
+	}
+	if err := c.restart(context.WithoutCancel(ctx), leader); err != nil {
+		c.notef("%v", err)
+		return false
+	}
+	return isApplied
+}
+
+// awaitChangeAfterKill waits until operators know of a change that was applied after the leader's kill, and records
+// how long it took. It reports whether there was one in time.
+func (c *clusterRun) awaitChangeAfterKill(ctx context.Context, appliedBefore int, killedAt time.Time) bool {
+	for {
+		applied, lastAppliedAt := c.countApplied()
+		if applied > appliedBefore && lastAppliedAt.After(killedAt) {
+			break
+		}
+		pause(ctx, leaderChangePollTime)
+		if ctx.Err() != nil || time.Since(killedAt) > maxLeaderLossTime {
+			c.notef("no change was applied within %v of the leader's kill", time.Since(killedAt))
+			return false
 		}
 	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leaderLossDelays = append(c.leaderLossDelays, time.Since(killedAt))
+	return true
 }
 
 // minorityCut cuts off a member that then serves on and one that then refuses.
