--- a/internal/scenario/faults_sites.go
+++ b/internal/scenario/faults_sites.go
@@ -78,7 +78,7 @@
 	until, _ := ctx.Deadline()
 	h := c.environment.sites[c.rng.IntN(2)]
 	pause(ctx, c.environment.options.For/2)
-	if _, err := h.Start("cold", true); err != nil {
+	if _, err := h.StartCold("cold"); err != nil {
 		c.notef("%v", err)
 	}
 	pause(ctx, time.Duration(300+c.rng.IntN(700))*time.Millisecond)
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -115,7 +115,7 @@
 		}
 		w.sites = append(w.sites, h)
 		for n := range w.serverCount() {
-			if _, err := h.Start(fmt.Sprintf("s%d", n), false); err != nil {
+			if _, err := h.Start(fmt.Sprintf("s%d", n)); err != nil {
 				closeAll()
 				return nil, nil, err
 			}
--- a/internal/scenario/scenario_table.go
+++ b/internal/scenario/scenario_table.go
@@ -10,11 +10,11 @@
 // Shares of requests that test servers spoil.
 var (
 	// mixedFaults are those of a scenario with all operations.
-	mixedFaults = testserver.Faults{Error: 0.01, ErrorWithoutRun: 0.01, Reset: 0.01, NoAnswer: 0.004, Refuse: 0.02}
+	mixedFaults = testserver.Faults{Error: 0.01, ErrorWithoutRun: 0.01, Reset: 0.01, NoAnswer: 0.004, Reject: 0.02}
 	// retryFaults make clients retry many of their requests with an idempotency key.
-	retryFaults = testserver.Faults{Error: 0.1, ErrorWithoutRun: 0.02, Reset: 0.1, NoAnswer: 0.03, Refuse: 0.02}
+	retryFaults = testserver.Faults{Error: 0.1, ErrorWithoutRun: 0.02, Reset: 0.1, NoAnswer: 0.03, Reject: 0.02}
 	// siteFaults go beside faults of whole sites or of the network between them.
-	siteFaults = testserver.Faults{Error: 0.02, ErrorWithoutRun: 0.01, Reset: 0.02, NoAnswer: 0.01, Refuse: 0.02}
+	siteFaults = testserver.Faults{Error: 0.02, ErrorWithoutRun: 0.01, Reset: 0.02, NoAnswer: 0.01, Reject: 0.02}
 )
 
 // runWithoutFaults lets the clients run until ctx ends.
--- a/internal/testserver/clientconn.go
+++ b/internal/testserver/clientconn.go
@@ -30,19 +30,19 @@
 
 // send sends an attempt's request and reads its answer, which must be all that comes. It
 // returns what the answer's Retry-After says.
-func (c *Clients) send(attempt *Attempt, text string, deadline time.Time) (retryAfter time.Duration) {
+func (clients *Clients) send(attempt *Attempt, text string, deadline time.Time) (retryAfter time.Duration) {
 	for {
-		conn, isReused, err := c.connect(attempt.Instance)
+		conn, isReused, err := clients.connect(attempt.Instance)
 		if err != nil {
 			attempt.ConnectionLost = true
 			return 0
 		}
 		resp, err := conn.exchange(text, deadline)
 		if err == nil {
-			return c.receive(attempt, conn, resp, text)
+			return clients.receive(attempt, conn, resp, text)
 		}
 		conn.Close()
-		if isReused && !c.NoResend && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) {
+		if isReused && !clients.NoResend && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) {
 			continue // closed between requests: sent once more on a new one
 		}
 		if netError, ok := errors.AsType[net.Error](err); !ok || !netError.Timeout() {
@@ -64,7 +64,7 @@
 
 // receive reads an answer's body, records the answer in the attempt and keeps the
 // connection if it can be used again.
-func (c *Clients) receive(attempt *Attempt, conn *clientConn, resp *http.Response, text string) time.Duration {
+func (clients *Clients) receive(attempt *Attempt, conn *clientConn, resp *http.Response, text string) time.Duration {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		conn.Close()
@@ -83,7 +83,7 @@
 	if resp.Close || attempt.AnswerCount > 1 {
 		conn.Close()
 	} else {
-		c.keep(attempt.Instance, conn)
+		clients.keep(attempt.Instance, conn)
 	}
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if err != nil {
@@ -93,13 +93,13 @@
 }
 
 // isAnsweredBy reports whether an answer's body names the attempt's trace and operation.
-func (a *Attempt) isAnsweredBy(body string) bool {
-	return strings.Contains(body, `"`+a.Trace+`"`) && strings.Contains(body, `"`+a.Operation+`"`)
+func (attempt *Attempt) isAnsweredBy(body string) bool {
+	return strings.Contains(body, `"`+attempt.Trace+`"`) && strings.Contains(body, `"`+attempt.Operation+`"`)
 }
 
 // connect returns a kept connection to an address, or else a new one.
-func (c *Clients) connect(addr string) (conn *clientConn, isReused bool, err error) {
-	if conn := c.takeIdle(addr); conn != nil {
+func (clients *Clients) connect(addr string) (conn *clientConn, isReused bool, err error) {
+	if conn := clients.takeIdle(addr); conn != nil {
 		return conn, true, nil
 	}
 	netConn, err := net.DialTimeout("tcp", addr, clientDialTimeout)
@@ -111,12 +111,12 @@
 
 // takeIdle returns the connection to an address that was idle for the shortest time, or
 // nil, and closes those on its way that were idle for too long.
-func (c *Clients) takeIdle(addr string) *clientConn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for n := len(c.idle[addr]); n > 0; n-- {
-		conn := c.idle[addr][n-1]
-		c.idle[addr] = c.idle[addr][:n-1]
+func (clients *Clients) takeIdle(addr string) *clientConn {
+	clients.mu.Lock()
+	defer clients.mu.Unlock()
+	for n := len(clients.idle[addr]); n > 0; n-- {
+		conn := clients.idle[addr][n-1]
+		clients.idle[addr] = clients.idle[addr][:n-1]
 		if time.Since(conn.idleSince) <= maxIdleTime {
 			return conn
 		}
@@ -126,9 +126,9 @@
 }
 
 // keep keeps a connection for a later request.
-func (c *Clients) keep(addr string, conn *clientConn) {
+func (clients *Clients) keep(addr string, conn *clientConn) {
 	conn.idleSince = time.Now()
-	c.mu.Lock()
-	c.idle[addr] = append(c.idle[addr], conn)
-	c.mu.Unlock()
+	clients.mu.Lock()
+	clients.idle[addr] = append(clients.idle[addr], conn)
+	clients.mu.Unlock()
 }
--- a/internal/testserver/clients.go
+++ b/internal/testserver/clients.go
@@ -18,7 +18,7 @@
 	minRetryDelay = 20 * time.Millisecond
 )
 
-// Licensee is one licensed provider and what it asks for.
+// Licensee is one licensed provider and the rate of its requests.
 type Licensee struct {
 	Name, Plan string
 	Rate       float64 // requests a second that it begins
@@ -32,7 +32,7 @@
 	Target       string
 	Header, Body string  // Header: lines without their ends, set apart by "|"
 	Weight       float64 // share in the mix, relative to the other templates
-	Repeat       bool    // the client repeats it after any failure, not after a refusal alone
+	Repeat       bool    // the client repeats it after any failure, not after a rejection alone
 }
 
 // Attempt is one attempt of a client at a request, and how it ended.
@@ -69,75 +69,78 @@
 
 // Run sends until ctx ends, then waits for the answers to what was sent. It returns all
 // attempts, in the order in which they ended.
-func (c *Clients) Run(ctx context.Context) []Attempt {
-	c.idle = map[string][]*clientConn{}
+func (clients *Clients) Run(ctx context.Context) []Attempt {
+	clients.idle = map[string][]*clientConn{}
 	var running sync.WaitGroup
-	for i, l := range c.Licensees {
-		running.Go(func() { c.runLicensee(ctx, l, rand.New(rand.NewPCG(c.Seed, uint64(i)))) })
+	for index, licensee := range clients.Licensees {
+		running.Go(func() { clients.runLicensee(ctx, licensee, rand.New(rand.NewPCG(clients.Seed, uint64(index)))) })
 	}
 	running.Wait()
-	for _, conns := range c.idle {
+	for _, conns := range clients.idle {
 		for _, conn := range conns {
 			conn.Close()
 		}
 	}
-	return c.attempts
+	return clients.attempts
 }
 
 // runLicensee begins requests at random moments, at the licensee's rate (a Poisson process).
-func (c *Clients) runLicensee(ctx context.Context, l Licensee, rng *rand.Rand) {
-	var open sync.WaitGroup
-	defer open.Wait()
+func (clients *Clients) runLicensee(ctx context.Context, licensee Licensee, rng *rand.Rand) {
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	next := time.Now()
 	for n := 0; ; n++ {
-		next = next.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
-		t := time.NewTimer(time.Until(next))
+		next = next.Add(time.Duration(rng.ExpFloat64() / licensee.Rate * float64(time.Second)))
+		timer := time.NewTimer(time.Until(next))
 		select {
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return
-		case <-t.C:
+		case <-timer.C:
 		}
-		template, seed := c.pickTemplate(rng), rng.Uint64()
-		name := fmt.Sprintf("%s-%d", l.Name, n)
-		open.Go(func() { c.request(l, template, name, rand.New(rand.NewPCG(seed, 1))) })
+		template := clients.pickTemplate(rng)
+		seed := rng.Uint64()
+		name := fmt.Sprintf("%s-%d", licensee.Name, n)
+		inFlight.Go(func() { clients.request(licensee, template, name, rand.New(rand.NewPCG(seed, 1))) })
 	}
 }
 
 // pickTemplate draws a template of the mix by weight.
-func (c *Clients) pickTemplate(rng *rand.Rand) RequestTemplate {
+func (clients *Clients) pickTemplate(rng *rand.Rand) RequestTemplate {
 	sum := 0.0
-	for _, template := range c.Mix {
+	for _, template := range clients.Mix {
 		sum += template.Weight
 	}
-	x := rng.Float64() * sum
-	for _, template := range c.Mix {
-		if x -= template.Weight; x < 0 {
+	draw := rng.Float64() * sum
+	for _, template := range clients.Mix {
+		if draw -= template.Weight; draw < 0 {
 			return template
 		}
 	}
-	return c.Mix[len(c.Mix)-1]
+	return clients.Mix[len(clients.Mix)-1]
 }
 
-// request attempts a request until it is served, may not be repeated or its time is up.
-func (c *Clients) request(l Licensee, template RequestTemplate, name string, rng *rand.Rand) {
-	deadline := time.Now().Add(c.Deadline)
+// request attempts a request until it is served, may not be repeated or its deadline is near.
+func (clients *Clients) request(licensee Licensee, template RequestTemplate, name string, rng *rand.Rand) {
+	deadline := time.Now().Add(clients.Deadline)
 	placeholders := strings.NewReplacer("{n}", strconv.Itoa(1+rng.IntN(1e6)), "{key}", "key-"+name)
-	for n := 0; n < c.MaxAttempts; n++ {
+	for n := 0; n < clients.MaxAttempts; n++ {
 		remaining := time.Until(deadline)
 		if remaining < minAttemptTime {
 			return
 		}
 		attempt := Attempt{
-			Trace: fmt.Sprintf("%s.%d", name, n), First: name + ".0", Operation: template.Operation, Licensee: l.Name,
-			Instance: c.Instances[rng.IntN(len(c.Instances))], At: time.Now(),
+			Trace:     fmt.Sprintf("%s.%d", name, n),
+			First:     name + ".0",
+			Operation: template.Operation,
+			Licensee:  licensee.Name,
+			Instance:  clients.Instances[rng.IntN(len(clients.Instances))],
+			At:        time.Now(),
 		}
 		text := template.text(placeholders, &attempt, remaining)
-		retryAfter := c.send(&attempt, text, deadline)
+		retryAfter := clients.send(&attempt, text, deadline)
 		attempt.Ended = time.Now()
-		c.mu.Lock()
-		c.attempts = append(c.attempts, attempt)
-		c.mu.Unlock()
+		clients.record(attempt)
 		if !attempt.mayRetry(template) {
 			return
 		}
@@ -145,36 +148,43 @@
 	}
 }
 
+// record keeps an attempt that has ended.
+func (clients *Clients) record(attempt Attempt) {
+	clients.mu.Lock()
+	clients.attempts = append(clients.attempts, attempt)
+	clients.mu.Unlock()
+}
+
 // text returns an attempt's request as it goes over the wire. The request says that it
 // expires after the remaining time.
 func (template RequestTemplate) text(placeholders *strings.Replacer, attempt *Attempt, remaining time.Duration) string {
-	var b strings.Builder
+	var builder strings.Builder
 	body := placeholders.Replace(template.Body)
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\n", template.Method, placeholders.Replace(template.Target))
-	b.WriteString("Host: booking.example.org\r\n")
-	fmt.Fprintf(&b, "X-Trace-Id: %s\r\nX-Licensee: %s\r\n", attempt.Trace, attempt.Licensee)
-	fmt.Fprintf(&b, "X-Expires-In: %.3f\r\n", remaining.Seconds())
+	fmt.Fprintf(&builder, "%s %s HTTP/1.1\r\n", template.Method, placeholders.Replace(template.Target))
+	builder.WriteString("Host: booking.example.org\r\n")
+	fmt.Fprintf(&builder, "X-Trace-Id: %s\r\nX-Licensee: %s\r\n", attempt.Trace, attempt.Licensee)
+	fmt.Fprintf(&builder, "X-Expires-In: %.3f\r\n", remaining.Seconds())
 	if template.Header != "" {
 		for _, line := range strings.Split(placeholders.Replace(template.Header), "|") {
-			b.WriteString(line + "\r\n")
+			builder.WriteString(line + "\r\n")
 		}
 	}
 	if body != "" {
-		fmt.Fprintf(&b, "Content-Type: application/json\r\nContent-Length: %d\r\n", len(body))
+		fmt.Fprintf(&builder, "Content-Type: application/json\r\nContent-Length: %d\r\n", len(body))
 	}
-	b.WriteString("\r\n" + body)
-	return b.String()
+	builder.WriteString("\r\n" + body)
+	return builder.String()
 }
 
 // mayRetry reports whether a client may make another attempt after this one: after a
-// refusal always, after another failure only if the template repeats it.
-func (a *Attempt) mayRetry(template RequestTemplate) bool {
+// rejection always, after another failure only if the template repeats it.
+func (attempt *Attempt) mayRetry(template RequestTemplate) bool {
 	switch {
-	case a.Served:
+	case attempt.Served:
 		return false
-	case a.Status == http.StatusTooManyRequests || a.Status == http.StatusServiceUnavailable:
+	case attempt.Status == http.StatusTooManyRequests || attempt.Status == http.StatusServiceUnavailable:
 		return true
-	case a.Status >= 400 && a.Status < 500:
+	case attempt.Status >= 400 && attempt.Status < 500:
 		return false
 	default:
 		return template.Repeat
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -14,7 +14,7 @@
 // heartbeatInterval is how often a watch without changes gets an empty line.
 const heartbeatInterval = 2 * time.Second
 
-// Entry is one app server in a discovery list, in its JSON form.
+// Entry is one app server in an endpoint list, in its JSON form.
 type Entry struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -46,34 +46,41 @@
 
 // NewDiscovery starts a discovery with an empty list. [Discovery.Close] ends it.
 func NewDiscovery() (*Discovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := &Discovery{listener: ln, generation: 1, entries: map[string]Entry{}, changed: make(chan struct{})}
-	d.server = &http.Server{Handler: d, ReadHeaderTimeout: headerTimeout}
-	go d.server.Serve(ln) // ends with Close
-	return d, nil
+	discovery := &Discovery{
+		listener:   listener,
+		generation: 1,
+		entries:    map[string]Entry{},
+		changed:    make(chan struct{}),
+	}
+	discovery.server = &http.Server{Handler: discovery, ReadHeaderTimeout: headerTimeout}
+	go discovery.server.Serve(listener) // ends with Close
+	return discovery, nil
 }
 
 // Addr returns the address on which the discovery listens.
-func (d *Discovery) Addr() netip.AddrPort { return d.listener.Addr().(*net.TCPAddr).AddrPort() }
+func (discovery *Discovery) Addr() netip.AddrPort {
+	return discovery.listener.Addr().(*net.TCPAddr).AddrPort()
+}
 
 // Close ends the discovery and its watches.
-func (d *Discovery) Close() { d.server.Close() }
+func (discovery *Discovery) Close() { discovery.server.Close() }
 
 // Put adds, changes or removes an entry, by its lifecycle state.
-func (d *Discovery) Put(e Entry) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.generation++
-	d.entries[e.InstanceID] = e
-	if e.Lifecycle == lifecycleRemoved {
-		delete(d.entries, e.InstanceID)
+func (discovery *Discovery) Put(entry Entry) {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	discovery.generation++
+	discovery.entries[entry.InstanceID] = entry
+	if entry.Lifecycle == lifecycleRemoved {
+		delete(discovery.entries, entry.InstanceID)
 	}
-	d.changes = append(d.changes, change{d.generation, e})
-	close(d.changed)
-	d.changed = make(chan struct{})
+	discovery.changes = append(discovery.changes, change{generation: discovery.generation, entry: entry})
+	close(discovery.changed)
+	discovery.changed = make(chan struct{})
 }
 
 // listing is one JSON answer: all entries after a reset, or those that changed.
@@ -85,35 +92,35 @@
 
 // since lists what changed after a generation, or all entries if the generation is 0 or
 // unknown. The channel is closed at the next change.
-func (d *Discovery) since(generation uint64) (listing, chan struct{}) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	isReset := generation == 0 || generation > d.generation
-	l := listing{Generation: d.generation, Reset: isReset, Instances: []Entry{}}
-	if l.Reset {
-		for _, entry := range d.entries {
-			l.Instances = append(l.Instances, entry)
+func (discovery *Discovery) since(generation uint64) (listing, chan struct{}) {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	isReset := generation == 0 || generation > discovery.generation
+	list := listing{Generation: discovery.generation, Reset: isReset, Instances: []Entry{}}
+	if list.Reset {
+		for _, entry := range discovery.entries {
+			list.Instances = append(list.Instances, entry)
 		}
-		return l, d.changed
+		return list, discovery.changed
 	}
-	for _, c := range d.changes {
-		if c.generation > generation {
-			l.Instances = append(l.Instances, c.entry)
+	for _, change := range discovery.changes {
+		if change.generation > generation {
+			list.Instances = append(list.Instances, change.entry)
 		}
 	}
-	return l, d.changed
+	return list, discovery.changed
 }
 
 // ServeHTTP answers a list or a watch.
-func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (discovery *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
 		return
 	}
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	encoder := json.NewEncoder(w)
-	l, changed := d.since(from)
-	if encoder.Encode(l) != nil || r.URL.Query().Get("watch") != "1" {
+	list, changed := discovery.since(from)
+	if encoder.Encode(list) != nil || r.URL.Query().Get("watch") != "1" {
 		return
 	}
 	controller := http.NewResponseController(w)
@@ -126,8 +133,8 @@
 		case <-heartbeat.C:
 			fmt.Fprintln(w)
 		case <-changed:
-			l, changed = d.since(l.Generation)
-			encoder.Encode(l)
+			list, changed = discovery.since(list.Generation)
+			encoder.Encode(list)
 		}
 	}
 }
--- a/internal/testserver/faults.go
+++ b/internal/testserver/faults.go
@@ -11,13 +11,13 @@
 	Error           float64 // answers 500 after it ran
 	Reset           float64 // closes the connection after it ran
 	NoAnswer        float64 // runs and never answers
-	Refuse          float64 // refuses it without running it
+	Reject          float64 // rejects it without running it
 	ErrorWithoutRun float64 // answers 500 without having run
 }
 
 // Draws of an attempt. Their numbers are part of what a seed stands for.
 const (
-	drawRefuse = iota
+	drawReject = iota
 	drawErrorWithoutRun
 	drawError
 	drawReset
@@ -37,20 +37,27 @@
 	site.mu.Lock()
 	defer site.mu.Unlock()
 	site.attemptCounts[trace]++
-	return faultDraws{seed: site.config.Seed, site: site.Name, trace: trace, attempt: site.attemptCounts[trace]}
+	return faultDraws{
+		seed:    site.config.Seed,
+		site:    site.Name,
+		trace:   trace,
+		attempt: site.attemptCounts[trace],
+	}
 }
 
 // isHit reports whether the fault of a draw happens at a probability.
-func (d faultDraws) isHit(draw int, probability float64) bool { return d.uniform(draw) < probability }
+func (draws faultDraws) isHit(draw int, probability float64) bool {
+	return draws.uniform(draw) < probability
+}
 
 // uniform returns the number in [0, 1) that belongs to a draw: an FNV-1a hash through a
 // part of the splitmix64 finalizer.
-func (d faultDraws) uniform(draw int) float64 {
+func (draws faultDraws) uniform(draw int) float64 {
 	hash := fnv.New64a()
-	fmt.Fprintf(hash, "%d %s %s %d %d", d.seed, d.site, d.trace, d.attempt, draw)
-	x := hash.Sum64()
-	x ^= x >> 29
-	x *= 0xbf58476d1ce4e5b9
-	x ^= x >> 32
-	return float64(x>>11) / (1 << 53)
+	fmt.Fprintf(hash, "%d %s %s %d %d", draws.seed, draws.site, draws.trace, draws.attempt, draw)
+	bits := hash.Sum64()
+	bits ^= bits >> 29
+	bits *= 0xbf58476d1ce4e5b9
+	bits ^= bits >> 32
+	return float64(bits>>11) / (1 << 53)
 }
--- a/internal/testserver/ledger.go
+++ b/internal/testserver/ledger.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Arrival is one request that came whole to a server.
+// Arrival is one request that a server received in full.
 type Arrival struct {
 	Site, Server, Operation, Effect string
 	Trace, Key, Licensee            string
 	Version, Units                  int
 	At, Ended                       time.Time     // Ended: its answer was written or its connection ended
-	Ran                             bool          // it may have had its effect, or will have
-	Effected                        bool          // it had it: its key was not remembered
-	Draining                        time.Duration // since discovery listed the server as draining; 0: it was not
+	Ran                             bool          // the server began to run it, so that it may have an effect
+	Effected                        bool          // it had its effect: its key was not remembered
+	Draining                        time.Duration // how long the server had been listed as draining; 0: it was not
 	Status                          int           // 0: no answer
 }
 
-// Ledger is the account of all sites.
+// Ledger records what reached the servers of all sites.
 type Ledger struct {
 	mu        sync.Mutex
 	arrivals  []*Arrival
@@ -26,54 +26,54 @@
 }
 
 // add records an arrival; later changes to it go through change.
-func (l *Ledger) add(a *Arrival) {
-	l.mu.Lock()
-	l.arrivals = append(l.arrivals, a)
-	l.mu.Unlock()
+func (ledger *Ledger) add(arrival *Arrival) {
+	ledger.mu.Lock()
+	ledger.arrivals = append(ledger.arrivals, arrival)
+	ledger.mu.Unlock()
 }
 
 // addStray records a request that no route matched.
-func (l *Ledger) addStray(text string) {
-	l.mu.Lock()
-	l.strays = append(l.strays, text)
-	l.mu.Unlock()
+func (ledger *Ledger) addStray(text string) {
+	ledger.mu.Lock()
+	ledger.strays = append(ledger.strays, text)
+	ledger.mu.Unlock()
 }
 
 // addCollapsed records a server that collapsed, as site/server.
-func (l *Ledger) addCollapsed(server string) {
-	l.mu.Lock()
-	l.collapsed = append(l.collapsed, server)
-	l.mu.Unlock()
+func (ledger *Ledger) addCollapsed(server string) {
+	ledger.mu.Lock()
+	ledger.collapsed = append(ledger.collapsed, server)
+	ledger.mu.Unlock()
 }
 
 // Arrivals returns the requests that the servers have recorded so far.
-func (l *Ledger) Arrivals() []Arrival {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := make([]Arrival, len(l.arrivals))
-	for i, a := range l.arrivals {
-		out[i] = *a
+func (ledger *Ledger) Arrivals() []Arrival {
+	ledger.mu.Lock()
+	defer ledger.mu.Unlock()
+	arrivals := make([]Arrival, len(ledger.arrivals))
+	for i, arrival := range ledger.arrivals {
+		arrivals[i] = *arrival
 	}
-	return out
+	return arrivals
 }
 
 // Strays returns the requests that no route of the servers matched, as text.
-func (l *Ledger) Strays() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]string(nil), l.strays...)
+func (ledger *Ledger) Strays() []string {
+	ledger.mu.Lock()
+	defer ledger.mu.Unlock()
+	return append([]string(nil), ledger.strays...)
 }
 
 // Collapsed returns the servers that collapsed under overload, as site/server.
-func (l *Ledger) Collapsed() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]string(nil), l.collapsed...)
+func (ledger *Ledger) Collapsed() []string {
+	ledger.mu.Lock()
+	defer ledger.mu.Unlock()
+	return append([]string(nil), ledger.collapsed...)
 }
 
-// change changes an arrival under the ledger's mutex.
-func (l *Ledger) change(f func()) {
-	l.mu.Lock()
-	f()
-	l.mu.Unlock()
+// change calls update, which changes an arrival, under the ledger's mutex.
+func (ledger *Ledger) change(update func()) {
+	ledger.mu.Lock()
+	update()
+	ledger.mu.Unlock()
 }
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// probeWork is the core time that a load report takes.
-	probeWork = 200 * time.Microsecond
-	// minReportInterval is the time below which the utilization is not computed anew.
+	// loadReportWork is the core time that a load report takes.
+	loadReportWork = 200 * time.Microsecond
+	// minReportInterval is the least time between two computations of the utilization.
 	minReportInterval = 100 * time.Millisecond
 	// collapseTolerance is how many requests above its budget a cold server endures.
 	collapseTolerance = 3
@@ -22,48 +22,56 @@
 }
 
 // capacity returns the share of its capacity that a server has at a time.
-func (s *AppServer) capacity(now time.Time) float64 {
-	config := &s.site.config
-	if !s.isCold || config.WarmupWindow <= 0 {
+func (server *AppServer) capacity(now time.Time) float64 {
+	config := &server.site.config
+	if !server.isCold || config.WarmupWindow <= 0 {
 		return 1
 	}
-	gained := (1 - config.ColdCapacity) * now.Sub(s.startedAt).Seconds() / config.WarmupWindow.Seconds()
+	gained := (1 - config.ColdCapacity) * now.Sub(server.startedAt).Seconds() / config.WarmupWindow.Seconds()
 	return math.Min(config.ColdCapacity+gained, 1)
 }
 
-// receive records work that reached the server, refused work too, and reports whether it
-// makes the server collapse. The caller holds s.mu.
-func (s *AppServer) receive(now time.Time, cost time.Duration) bool {
-	config := &s.site.config
-	capacity := s.capacity(now)
+// receive records work that reached the server, rejected work too, and reports whether it
+// makes the server collapse. The caller holds server.mu.
+func (server *AppServer) receive(now time.Time, cost time.Duration) bool {
+	config := &server.site.config
+	capacity := server.capacity(now)
 	if capacity >= 1 || config.CollapseMultiple <= 0 {
 		return false
 	}
-	s.received = append(s.received, receivedWork{now, cost})
-	for len(s.received) > 0 && now.Sub(s.received[0].at) > config.CollapseWindow {
-		s.received = s.received[1:]
+	server.received = append(server.received, receivedWork{now, cost})
+	for len(server.received) > 0 && now.Sub(server.received[0].at) > config.CollapseWindow {
+		server.received = server.received[1:]
 	}
 	var sum time.Duration
-	for _, work := range s.received {
+	for _, work := range server.received {
 		sum += work.cost
 	}
 	budget := config.CollapseMultiple * capacity * float64(config.Cores) * config.CollapseWindow.Seconds()
-	if sum.Seconds() <= budget+collapseTolerance*cost.Seconds() || s.isCollapsed {
+	if sum.Seconds() <= budget+collapseTolerance*cost.Seconds() || server.isCollapsed {
 		return false
 	}
-	s.isCollapsed = true
+	server.isCollapsed = true
 	return true
 }
 
+// updateUtilization computes the utilization anew: the mean of the core time used since the last report and of the
+// cores in use now. The caller holds server.mu.
+func (server *AppServer) updateUtilization(now time.Time, elapsed time.Duration) {
+	cores := float64(server.site.config.Cores)
+	utilization := server.busyTime.Seconds()/elapsed.Seconds()/cores/2 + float64(server.runningCount)/cores/2
+	server.utilization = math.Min(utilization, 1)
+	server.busyTime = 0
+	server.lastReportAt = now
+}
+
 // loadReport returns the text of a load report.
-func (s *AppServer) loadReport(now time.Time) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.busyTime += probeWork
-	if elapsed := now.Sub(s.lastReportAt); elapsed > minReportInterval {
-		cores := float64(s.site.config.Cores)
-		utilization := s.busyTime.Seconds()/elapsed.Seconds()/cores/2 + float64(s.runningCount)/cores/2
-		s.utilization, s.busyTime, s.lastReportAt = math.Min(utilization, 1), 0, now
+func (server *AppServer) loadReport(now time.Time) string {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.busyTime += loadReportWork
+	if elapsed := now.Sub(server.lastReportAt); elapsed > minReportInterval {
+		server.updateUtilization(now, elapsed)
 	}
-	return fmt.Sprintf("TEXT queue=%d, util=%.2f", s.waitingCount, s.utilization)
+	return fmt.Sprintf("TEXT queue=%d, util=%.2f", server.waitingCount, server.utilization)
 }
--- a/internal/testserver/log.go
+++ b/internal/testserver/log.go
@@ -13,30 +13,30 @@
 
 // Log keeps what is written to it, for tests to read while others write.
 type Log struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-// Write appends p; it never fails.
-func (l *Log) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
+// Write appends text; it never fails.
+func (log *Log) Write(text []byte) (int, error) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return log.buffer.Write(text)
 }
 
 // String returns all that was written so far.
-func (l *Log) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
+func (log *Log) String() string {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return log.buffer.String()
 }
 
-// Logger returns a logger that writes to l as the programs log.
-func (l *Log) Logger() *slog.Logger { return logging.New(l) }
+// Logger returns a logger that writes to log as the programs log.
+func (log *Log) Logger() *slog.Logger { return logging.New(log) }
 
 // HasLine reports whether a line was logged with exactly a message, and with all details in its attributes.
-func (l *Log) HasLine(message string, details ...string) bool {
-	return HasLogLine(l.String(), message, details...)
+func (log *Log) HasLine(message string, details ...string) bool {
+	return HasLogLine(log.String(), message, details...)
 }
 
 // HasLogLine is [Log.HasLine] on what a program has logged.
--- a/internal/testserver/ports.go
+++ b/internal/testserver/ports.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Ports that are given out lie below those that systems give to sockets that ask for none,
-// so that nothing takes one between its being found free and its being used.
+// The ports lie below the ephemeral range of common systems, so that no other socket is
+// bound to one between the moment it is found free and its use.
 const (
 	firstPort = 15000
 	lastPort  = 32000
@@ -16,20 +16,20 @@
 
 var nextPort atomic.Int64
 
-// FreeAddr finds a loopback address that nothing uses, for a network "tcp" or "udp". It may
-// be used again later, by one process after another.
+// FreeAddr finds a loopback address that no socket is bound to, for a network "tcp" or "udp". Processes may bind it
+// one after another.
 func FreeAddr(network string) (string, error) {
-	nextPort.CompareAndSwap(0, int64(os.Getpid())*131+1) // another beginning for each process
+	nextPort.CompareAndSwap(0, int64(os.Getpid())*131+1) // each process begins at another port
 	for range lastPort - firstPort {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%(lastPort-firstPort))
 		if network == "udp" {
-			if c, err := net.ListenPacket("udp", addr); err == nil {
-				return addr, c.Close()
+			if conn, err := net.ListenPacket("udp", addr); err == nil {
+				return addr, conn.Close()
 			}
 			continue
 		}
-		if ln, err := net.Listen("tcp", addr); err == nil {
-			return addr, ln.Close()
+		if listener, err := net.Listen("tcp", addr); err == nil {
+			return addr, listener.Close()
 		}
 	}
 	return "", fmt.Errorf("no free %s port from %d to %d", network, firstPort, lastPort)
--- a/internal/testserver/routes.go
+++ b/internal/testserver/routes.go
@@ -21,118 +21,143 @@
 	Units                       func(version int, r *http.Request, body []byte) int
 }
 
-// Lookup finds the route of a request in the slow and obvious way, as lenient as any
-// server might be: the path is decoded, cleaned, freed of parameters and of a slash at
+// Lookup finds the route of a request by trying all of them, as leniently as any
+// server might: the path is decoded, cleaned, freed of parameters and of a slash at
 // its end, and a method may be overridden. Of two templates the one that is literal at
 // the first segment in which they differ counts.
-func Lookup(routes []Route, method, target string, h http.Header) *Route {
+func Lookup(routes []Route, method, target string, header http.Header) *Route {
 	for _, name := range []string{"X-Http-Method-Override", "X-Http-Method", "X-Method-Override"} {
-		if v := h.Get(name); v != "" {
-			method = v
+		if override := header.Get(name); override != "" {
+			method = override
 		}
 	}
-	raw, _, _ := strings.Cut(target, "?")
-	p, err := url.PathUnescape(raw)
+	cleanPath, err := lenientPath(target)
 	if err != nil {
 		return nil
 	}
-	p = strings.ReplaceAll(p, "\\", "/")
-	segs := strings.Split(p, "/")
-	for i := range segs {
-		segs[i], _, _ = strings.Cut(segs[i], ";")
-	}
-	p = path.Clean(strings.Join(segs, "/"))
 	var best *Route
 	for i := range routes {
-		r := &routes[i]
-		if (r.Method == method || method == "HEAD" && r.Method == "GET") && matches(r.Template, p) &&
-			(best == nil || isMoreSpecific(r.Template, best.Template)) {
-			best = r
+		route := &routes[i]
+		if !route.serves(method) || !matches(route.Template, cleanPath) {
+			continue
+		}
+		if best == nil || isMoreSpecific(route.Template, best.Template) {
+			best = route
 		}
 	}
 	return best
 }
 
+// serves reports whether the route answers a method: its own, and HEAD where that is GET.
+func (route *Route) serves(method string) bool {
+	return route.Method == method || method == http.MethodHead && route.Method == http.MethodGet
+}
+
+// lenientPath returns the decoded and cleaned path of a request target, without the parameters of its segments.
+func lenientPath(target string) (string, error) {
+	rawPath, _, _ := strings.Cut(target, "?")
+	decoded, err := url.PathUnescape(rawPath)
+	if err != nil {
+		return "", err
+	}
+	segments := strings.Split(strings.ReplaceAll(decoded, "\\", "/"), "/")
+	for i := range segments {
+		segments[i], _, _ = strings.Cut(segments[i], ";")
+	}
+	return path.Clean(strings.Join(segments, "/")), nil
+}
+
 // matches reports whether a path fits a template.
-func matches(template, p string) bool {
-	ts, ps := strings.Split(template, "/"), strings.Split(p, "/")
-	if len(ts) != len(ps) {
+func matches(template, cleanPath string) bool {
+	templateSegments := strings.Split(template, "/")
+	pathSegments := strings.Split(cleanPath, "/")
+	if len(templateSegments) != len(pathSegments) {
 		return false
 	}
-	for i := range ts {
-		before, rest, param := strings.Cut(ts[i], "{")
-		if !param {
-			if ts[i] != ps[i] {
-				return false
-			}
-			continue
-		}
-		_, after, _ := strings.Cut(rest, "}")
-		if len(ps[i]) <= len(before)+len(after) ||
-			!strings.HasPrefix(ps[i], before) || !strings.HasSuffix(ps[i], after) {
+	for i := range templateSegments {
+		if !segmentMatches(templateSegments[i], pathSegments[i]) {
 			return false
 		}
 	}
 	return true
 }
 
+// segmentMatches reports whether a segment of a path fits one of a template. A parameter stands for at least one byte.
+func segmentMatches(templateSegment, segment string) bool {
+	before, rest, isParameter := strings.Cut(templateSegment, "{")
+	if !isParameter {
+		return templateSegment == segment
+	}
+	_, after, _ := strings.Cut(rest, "}")
+	return len(segment) > len(before)+len(after) &&
+		strings.HasPrefix(segment, before) && strings.HasSuffix(segment, after)
+}
+
 // isMoreSpecific reports whether template a counts before b.
 func isMoreSpecific(a, b string) bool {
-	as, bs := strings.Split(a, "/"), strings.Split(b, "/")
-	rank := func(s string) int { // literal, partly literal, parameter
-		before, rest, param := strings.Cut(s, "{")
-		_, after, _ := strings.Cut(rest, "}")
-		if !param {
-			return 1 << 20
-		}
-		return len(before) + len(after)
-	}
-	for i := range as {
-		if x, y := rank(as[i]), rank(bs[i]); x != y {
-			return x > y
+	segmentsOfA := strings.Split(a, "/")
+	segmentsOfB := strings.Split(b, "/")
+	for i := range segmentsOfA {
+		rankOfA := segmentRank(segmentsOfA[i])
+		rankOfB := segmentRank(segmentsOfB[i])
+		if rankOfA != rankOfB {
+			return rankOfA > rankOfB
 		}
 	}
 	return false
 }
 
+// literalRank is the rank of a segment without a parameter, above that of any with one.
+const literalRank = 1 << 20
+
+// segmentRank ranks a segment of a template: literal ones first, then those with more literal text.
+func segmentRank(segment string) int {
+	before, rest, isParameter := strings.Cut(segment, "{")
+	_, after, _ := strings.Cut(rest, "}")
+	if !isParameter {
+		return literalRank
+	}
+	return len(before) + len(after)
+}
+
 // QueryUnits reads units from a query parameter as an app server would; d is the default where there is none.
-func QueryUnits(name string, d int) func(int, *http.Request, []byte) int {
-	return func(_ int, r *http.Request, _ []byte) int { return atoi(r.URL.Query().Get(name), d) }
+func QueryUnits(name string, defaultUnits int) func(int, *http.Request, []byte) int {
+	return func(_ int, r *http.Request, _ []byte) int { return atoi(r.URL.Query().Get(name), defaultUnits) }
 }
 
 // HeaderUnits reads units from a header field, as [QueryUnits] does from the query.
-func HeaderUnits(name string, d int) func(int, *http.Request, []byte) int {
-	return func(_ int, r *http.Request, _ []byte) int { return atoi(r.Header.Get(name), d) }
+func HeaderUnits(name string, defaultUnits int) func(int, *http.Request, []byte) int {
+	return func(_ int, r *http.Request, _ []byte) int { return atoi(r.Header.Get(name), defaultUnits) }
 }
 
 // BodyUnits reads units from the property of a JSON body that the names lead to; -1 if the body is no JSON.
-func BodyUnits(d int, names ...string) func(int, *http.Request, []byte) int {
+func BodyUnits(defaultUnits int, names ...string) func(int, *http.Request, []byte) int {
 	return func(_ int, _ *http.Request, body []byte) int {
-		var v any
-		if json.Unmarshal(body, &v) != nil {
+		var value any
+		if json.Unmarshal(body, &value) != nil {
 			return -1
 		}
 		for _, name := range names {
-			m, _ := v.(map[string]any)
-			v = m[name]
+			object, _ := value.(map[string]any)
+			value = object[name]
 		}
-		if x, ok := v.(float64); ok {
-			return int(x)
+		if number, ok := value.(float64); ok {
+			return int(number)
 		}
-		return d
+		return defaultUnits
 	}
 }
 
 // FixedUnits are the same for every request.
-func FixedUnits(n int) func(int, *http.Request, []byte) int {
-	return func(int, *http.Request, []byte) int { return n }
+func FixedUnits(units int) func(int, *http.Request, []byte) int {
+	return func(int, *http.Request, []byte) int { return units }
 }
 
-// atoi returns the number that text words, or d.
-func atoi(text string, d int) int {
-	n, err := strconv.Atoi(text)
+// atoi returns the number in text, or defaultNumber where it holds none.
+func atoi(text string, defaultNumber int) int {
+	number, err := strconv.Atoi(text)
 	if err != nil {
-		return d
+		return defaultNumber
 	}
-	return n
+	return number
 }
--- a/internal/testserver/site.go
+++ b/internal/testserver/site.go
@@ -19,6 +19,14 @@
 	lifecycleRemoved  = "removed"
 )
 
+// temperature is whether a server has all its capacity from its start.
+type temperature int
+
+const (
+	warm temperature = iota
+	cold
+)
+
 // SiteConfig configures a site and its app servers.
 type SiteConfig struct {
 	Cores            int
@@ -26,8 +34,8 @@
 	IdempotencyTTL   time.Duration // for which an idempotency key is remembered
 	ColdCapacity     float64       // share of capacity at the start
 	WarmupWindow     time.Duration // until a cold server has all its capacity
-	CollapseMultiple float64       // a cold server that is sent more than this multiple of its present capacity
-	CollapseWindow   time.Duration // for this long collapses
+	CollapseMultiple float64       // of its capacity: a cold server that receives more within CollapseWindow collapses
+	CollapseWindow   time.Duration
 	Faults           Faults
 	Seed             uint64
 }
@@ -40,7 +48,7 @@
 	config    SiteConfig
 	ledger    *Ledger
 
-	isPartitioned atomic.Bool // what reaches it is not answered, and answers don't leave it
+	isPartitioned atomic.Bool // it answers no requests, and answers under way are not sent
 
 	mu            sync.Mutex
 	servers       map[string]*AppServer
@@ -60,40 +68,46 @@
 	}, nil
 }
 
-// Start starts a server and lists it. A cold server has to warm up.
-func (site *Site) Start(id string, cold bool) (*AppServer, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// Start starts a warm server and lists it.
+func (site *Site) Start(id string) (*AppServer, error) { return site.start(id, warm) }
+
+// StartCold starts a server that has to warm up, and lists it.
+func (site *Site) StartCold(id string) (*AppServer, error) { return site.start(id, cold) }
+
+// start starts a server at a temperature and lists it.
+func (site *Site) start(id string, startsAt temperature) (*AppServer, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("site %s: %w", site.Name, err)
 	}
 	now := time.Now()
-	s := &AppServer{
-		ID: id, site: site, listener: ln, startedAt: now, isCold: cold,
+	server := &AppServer{
+		ID: id, site: site, listener: listener, startedAt: now, isCold: startsAt == cold,
 		cores: make(chan struct{}, site.config.Cores), lastReportAt: now,
 	}
-	s.server = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
-	go s.server.Serve(ln) // ends with Close
+	server.server = &http.Server{Handler: server, ReadHeaderTimeout: headerTimeout}
+	go server.server.Serve(listener) // ends with Close
 	site.mu.Lock()
-	site.servers[id] = s
+	site.servers[id] = server
 	site.mu.Unlock()
-	site.list(s, lifecycleUp)
-	return s, nil
+	site.list(server, lifecycleUp)
+	return server, nil
 }
 
 // list publishes a server's lifecycle state in the discovery.
-func (site *Site) list(s *AppServer, lifecycle string) {
+func (site *Site) list(server *AppServer, lifecycle string) {
 	entry := Entry{
-		InstanceID: s.ID, HostPort: s.listener.Addr().String(), Zone: site.Name,
+		InstanceID: server.ID, HostPort: server.listener.Addr().String(), Zone: site.Name,
 		MachineType: "std-2core", Lifecycle: lifecycle, Weight: 1,
 	}
-	if s.isCold {
-		entry.StartedAtMs = float64(s.startedAt.UnixMilli())
+	if server.isCold {
+		entry.StartedAtMs = float64(server.startedAt.UnixMilli())
 	}
 	site.Discovery.Put(entry)
 }
 
-// SetPartitioned cuts the site off, or ends that: what it runs goes on, and nothing that it
-// sends arrives. Its discovery still lists its servers.
+// SetPartitioned cuts the site off, or ends the partition: what it runs goes on, and nothing
+// that it sends arrives. Its discovery still lists its servers.
 func (site *Site) SetPartitioned(partitioned bool) { site.isPartitioned.Store(partitioned) }
 
 // ReplaceServers replaces all servers by cold ones under new ids. The site's memory of
@@ -109,7 +123,7 @@
 		site.Kill(id)
 	}
 	for _, id := range ids {
-		if _, err := site.Start(id, true); err != nil {
+		if _, err := site.StartCold(id); err != nil {
 			return err
 		}
 	}
@@ -118,24 +132,24 @@
 
 // Drain has the discovery list a server as draining.
 func (site *Site) Drain(id string) {
-	s := site.server(id)
-	if s == nil {
+	server := site.server(id)
+	if server == nil {
 		return
 	}
-	s.mu.Lock()
-	s.drainedAt = time.Now()
-	s.mu.Unlock()
-	site.list(s, lifecycleDraining)
+	server.mu.Lock()
+	server.drainedAt = time.Now()
+	server.mu.Unlock()
+	site.list(server, lifecycleDraining)
 }
 
 // Kill ends a server at once and has the discovery list it as removed.
 func (site *Site) Kill(id string) {
-	s := site.server(id)
-	if s == nil {
+	server := site.server(id)
+	if server == nil {
 		return
 	}
-	s.server.Close()
-	site.list(s, lifecycleRemoved)
+	server.server.Close()
+	site.list(server, lifecycleRemoved)
 	site.mu.Lock()
 	delete(site.servers, id)
 	site.mu.Unlock()
@@ -151,8 +165,8 @@
 // Close ends the site with its servers and its discovery.
 func (site *Site) Close() {
 	site.mu.Lock()
-	for _, s := range site.servers {
-		s.server.Close()
+	for _, server := range site.servers {
+		server.server.Close()
 	}
 	site.mu.Unlock()
 	site.Discovery.Close()
@@ -162,8 +176,8 @@
 func (site *Site) Addrs() (addrs []string) {
 	site.mu.Lock()
 	defer site.mu.Unlock()
-	for _, s := range site.servers {
-		addrs = append(addrs, s.listener.Addr().String())
+	for _, server := range site.servers {
+		addrs = append(addrs, server.listener.Addr().String())
 	}
 	return addrs
 }
