--- a/cmd/gateway/cluster_test.go
+++ b/cmd/gateway/cluster_test.go
@@ -19,11 +19,22 @@
 		scenario string
 		seed     int
 		length   string
-	}{{"leader-lost", 1, "5s"}, {"minority-cut", 1, "8s"}, {"rolling-restart", 1, "4s"}, {"hall-closes", 1, "5s"}, {"hall-lost", 1, "8s"}, {"chaos-config", 1, "4s"}} {
+	}{
+		{"leader-lost", 1, "5s"},
+		{"minority-cut", 1, "8s"},
+		{"rolling-restart", 1, "4s"},
+		{"hall-closes", 1, "5s"},
+		{"hall-lost", 1, "8s"},
+		{"chaos-config", 1, "4s"},
+	} {
 		t.Run(fmt.Sprint(c.scenario, "-", c.seed), func(t *testing.T) {
 			var out, errs, logs bytes.Buffer
 			log := filepath.Join(t.TempDir(), "log")
-			s := run(context.Background(), []string{"lab", "--scenario", c.scenario, "--for", c.length, "--seed", fmt.Sprint(c.seed), "--json", "--logs", log}, &out, &errs)
+			args := []string{
+				"lab", "--scenario", c.scenario, "--for", c.length,
+				"--seed", fmt.Sprint(c.seed), "--json", "--logs", log,
+			}
+			s := run(context.Background(), args, &out, &errs)
 			text, _ := os.ReadFile(log)
 			logs.Write(text[max(len(text)-8000, 0):])
 			var v scenario.Verdict
@@ -47,9 +58,11 @@
 // the guard let through.
 func TestHallClosesBites(t *testing.T) {
 	var out, errs bytes.Buffer
-	s := run(context.Background(), []string{"lab", "--scenario", "hall-closes", "--for", "3s", "--keys-anywhere", "--json"}, &out, &errs)
+	args := []string{"lab", "--scenario", "hall-closes", "--for", "3s", "--keys-anywhere", "--json"}
+	s := run(context.Background(), args, &out, &errs)
 	var v scenario.Verdict
-	if err := json.Unmarshal(out.Bytes(), &v); err != nil || s != 1 || v.Duplicates == 0 || v.Rules["no_effect_twice"] == 0 {
+	if err := json.Unmarshal(out.Bytes(), &v); err != nil || s != 1 || v.Duplicates == 0 ||
+		v.Rules["no_effect_twice"] == 0 {
 		t.Errorf("exit %d, %v: %s%s", s, err, out.String(), errs.String())
 	}
 }
--- a/cmd/gateway/fixture_test.go
+++ b/cmd/gateway/fixture_test.go
@@ -15,12 +15,62 @@
 	"mulleinmux/internal/fixture"
 )
 
-// What commands print, on both outputs, and how they exit is as it was recorded: help, lists, mistakes, and each file of deploy/
-// as check sees it. Folders of the run are masked.
-//
-// Recorded with: MULLEINMUX_RECORD=1 go test ./cmd/gateway -run Fixture
-func TestFixtureCommands(t *testing.T) {
-	dir := t.TempDir()
+// fixtureCommands are the recorded commands, in the order in which they run: in is the path of a file of the run, and
+// edited that of a copy in which one text is replaced.
+func fixtureCommands(in func(name string) string, edited func(name, of, old, to string) string) [][]string {
+	return [][]string{
+		{"--help"},
+		{},
+		{"nothing"},
+		{"check"},
+		{"lab", "--list"},
+		{"lab", "--scenario", "storm"},
+		{"lab", "--for", "1ms"},
+		{"bench", "--rounds", "0"},
+		{"bench", "--parts", "--size", "0"},
+		{"run", "--config", in("none.toml")},
+		{"run", "--config", in("member.toml")},
+		{"init", "--config", in("member.toml")},
+		{"init", "--config", in("gateway.toml"), "--join"},
+		{"init", "--config", in("member.toml"), "--adopt"},
+		{"init", "--config", in("member.toml"), "--new-cluster"},
+		{"init", "--config", in("member.toml"), "--join"},
+		{"certs", "--dir", in("certs")},
+		{"certs", "--members", "0", "--dir", in("certs")},
+		{"certs", "--members", "1", "--dir", in("certs")},
+		{
+			"certs", "--cluster", "dodoma", "--members", "1,2", "--operators", "amina", "--followers", "edge-1",
+			"--dir", in("certs"),
+		},
+		{"certs", "--cluster", "other", "--members", "3", "--dir", in("certs")},
+		{"certs", "--members", "2", "--dir", in("certs")},
+		{"config", "--timeout", "1h", "status"},
+		{"config", "--certs", in("certs"), "--operator", "zuri", "status"},
+		{"config", "apply", in("fleet.toml"), "--wait", "all"},
+		{"config", "diff", edited("fleet-bad.toml", "fleet.toml", "rate = 18", "rate = -1")},
+		{"config", "apply", in("none.toml")},
+		{"stream", "pin", "edge-1", "0"},
+		{
+			"check", "--json", in("booking.yaml"),
+			edited("bad.yaml", "booking.yaml", "{class: visit-book, units: 2}", "{class: visit-bok, units: 0}"),
+		},
+		{"check", in("bad.yaml")},
+		{
+			"check",
+			edited(
+				"cheap.yaml", "booking.yaml", "x-mulleinmux: {class: visit-book, units: 2}\n", "description: cheap\n",
+			),
+		},
+		{"check", edited("a.toml", "gateway.toml", `plan = "kubwa"`, `plan = "kubva"`)},
+		{"check", "--json", in("a.toml")},
+		{"check", edited("b.toml", "member.toml", `"serve"`, `"maybe"`)},
+		{"check", edited("c.toml", "follower.toml", `keys = "home"`, `keys = "here"`)},
+	}
+}
+
+// copyDeploy copies the configuration files of deploy/ to dir and returns their paths in it.
+func copyDeploy(t *testing.T, dir string) []string {
+	t.Helper()
 	var files []string
 	if err := fs.WalkDir(os.DirFS("../../deploy"), ".", func(path string, d fs.DirEntry, err error) error {
 		if ext := filepath.Ext(path); err == nil && (ext == ".toml" || ext == ".yaml") {
@@ -37,6 +87,16 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
+	return files
+}
+
+// What commands print, on both outputs, and how they exit is as it was recorded: help, lists, mistakes, and each file
+// of deploy/ as check sees it. Folders of the run are masked.
+//
+// Recorded with: MULLEINMUX_RECORD=1 go test ./cmd/gateway -run Fixture
+func TestFixtureCommands(t *testing.T) {
+	dir := t.TempDir()
+	files := copyDeploy(t, dir)
 	if len(files) < 8 {
 		t.Fatalf("deploy/ holds %v", files)
 	}
@@ -48,19 +108,10 @@
 		}
 		return file(t, dir, name, strings.Replace(string(text), old, to, 1))
 	}
-	commands := [][]string{{"--help"}, {}, {"nothing"}, {"check"}, {"lab", "--list"}, {"lab", "--scenario", "storm"}, {"lab", "--for", "1ms"}, {"bench", "--rounds", "0"},
-		{"bench", "--parts", "--size", "0"}, {"run", "--config", in("none.toml")}, {"run", "--config", in("member.toml")}, {"init", "--config", in("member.toml")},
-		{"init", "--config", in("gateway.toml"), "--join"}, {"init", "--config", in("member.toml"), "--adopt"}, {"init", "--config", in("member.toml"), "--new-cluster"},
-		{"init", "--config", in("member.toml"), "--join"}, {"certs", "--dir", in("certs")}, {"certs", "--members", "0", "--dir", in("certs")}, {"certs", "--members", "1", "--dir", in("certs")},
-		{"certs", "--cluster", "dodoma", "--members", "1,2", "--operators", "amina", "--followers", "edge-1", "--dir", in("certs")},
-		{"certs", "--cluster", "other", "--members", "3", "--dir", in("certs")}, {"certs", "--members", "2", "--dir", in("certs")},
-		{"config", "--timeout", "1h", "status"}, {"config", "--certs", in("certs"), "--operator", "zuri", "status"}, {"config", "apply", in("fleet.toml"), "--wait", "all"},
-		{"config", "diff", edited("fleet-bad.toml", "fleet.toml", "rate = 18", "rate = -1")}, {"config", "apply", in("none.toml")}, {"stream", "pin", "edge-1", "0"},
-		{"check", "--json", in("booking.yaml"), edited("bad.yaml", "booking.yaml", "{class: visit-book, units: 2}", "{class: visit-bok, units: 0}")},
-		{"check", in("bad.yaml")}, {"check", edited("cheap.yaml", "booking.yaml", "x-mulleinmux: {class: visit-book, units: 2}\n", "description: cheap\n")},
-		{"check", edited("a.toml", "gateway.toml", `plan = "kubwa"`, `plan = "kubva"`)}, {"check", "--json", in("a.toml")},
-		{"check", edited("b.toml", "member.toml", `"serve"`, `"maybe"`)}, {"check", edited("c.toml", "follower.toml", `keys = "home"`, `keys = "here"`)}}
-	for _, c := range []string{"lab", "check", "bench", "certs", "init", "config", "config apply", "config members", "stream", "run"} {
+	commands := fixtureCommands(in, edited)
+	for _, c := range []string{
+		"lab", "check", "bench", "certs", "init", "config", "config apply", "config members", "stream", "run",
+	} {
 		commands = append(commands, append(strings.Fields(c), "--help"))
 	}
 	for _, name := range files {
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -97,7 +97,9 @@
 		t.Errorf("an operation to come: %d", s)
 	}
 	more := string(deploy.Booking) + ""
-	more = strings.Replace(more, "paths:\n", "paths:\n  /extra:\n    get: {responses: {\"200\": {description: x}}}\n", 1)
+	more = strings.Replace(
+		more, "paths:\n", "paths:\n  /extra:\n    get: {responses: {\"200\": {description: x}}}\n", 1,
+	)
 	file(t, dir, "booking.yaml", strings.Replace(more, "units: 1", "units: -1", 1))
 	hup()
 	log(`msg="reload failed" version=1 error=".*booking.yaml:10`)
@@ -135,7 +137,8 @@
 	}
 	log("msg=drained ")
 	access, err := os.ReadFile(filepath.Join(dir, "access.log"))
-	if err != nil || !strings.Contains(string(access), `"trace":"logged","operation":"listInstallers","licensee":"bahari-net","version":2,"units":2,"sent":false`) {
+	want := `"trace":"logged","operation":"listInstallers","licensee":"bahari-net","version":2,"units":2,"sent":false`
+	if err != nil || !strings.Contains(string(access), want) {
 		t.Errorf("%s %v", access, err)
 	}
 }
@@ -153,7 +156,10 @@
 	if err := json.Unmarshal(out.Bytes(), &v); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{"scenario", "seed", "ok", "rules", "requests", "served", "refused", "failed", "units_declared", "units_counted", "duplicates", "unanswered", "figures"} {
+	for _, name := range []string{
+		"scenario", "seed", "ok", "rules", "requests", "served", "refused", "failed", "units_declared",
+		"units_counted", "duplicates", "unanswered", "figures",
+	} {
 		if _, ok := v[name]; !ok {
 			t.Errorf("%s is missing", name)
 		}
