--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -17,14 +17,14 @@
 	Procs   []int         `help:"Processors of the front, one measurement each." default:"1"`
 	Rounds  int           `help:"Measurements of each; the medians count." default:"3"`
 	Profile string        `help:"File for a CPU profile of the gateway's last measurement." type:"path"`
-	Changes time.Duration `help:"${bench_changes}"`
+	Changes time.Duration `help:"Measure instead what a change of the agreed configuration at each such gap costs an instance."`
 	Link    bool          `help:"Measure instead what a request costs that crosses the link between two sites."`
 	JSON    bool          `help:"Print all results as JSON."`
 
-	Parts     bool   `help:"${bench_parts}"`
+	Parts     bool   `help:"Compare instead the ways to share out a fleet's servers among its nodes, by balance, movement and connections."`
 	Size      int    `help:"With --parts: servers in a part." default:"16"`
 	Seed      uint64 `help:"With --parts: seed of the fleets." default:"1"`
-	Followers int    `help:"${bench_followers}"`
+	Followers int    `help:"Measure instead how soon so many followers have a change, and what they cost a member, by deltas and by whole versions."`
 }
 
 func (c *benchCmd) Run(e *environment) error {
--- a/cmd/gateway/config.go
+++ b/cmd/gateway/config.go
@@ -13,9 +13,9 @@
 
 // clusterFlags tell which instances an operator asks, and as whom.
 type clusterFlags struct {
-	At       []string      `help:"${cluster_at}" default:"127.0.0.1:7201" env:"MULLEINGATE_AT"`
-	Certs    string        `help:"${cluster_certs}" default:"certs" env:"MULLEINGATE_CERTS" type:"path"`
-	Operator string        `help:"${cluster_operator}" default:"admin" env:"MULLEINGATE_OPERATOR"`
+	At       []string      `help:"Admin addresses of instances: the first that can be reached is asked." default:"127.0.0.1:7201" env:"MULLEINGATE_AT"`
+	Certs    string        `help:"Folder with the operator's certificate." default:"certs" env:"MULLEINGATE_CERTS" type:"path"`
+	Operator string        `help:"The operator, by the name in the certificate's file." default:"admin" env:"MULLEINGATE_OPERATOR"`
 	Timeout  time.Duration `help:"How long to wait." default:"10s"`
 	JSON     bool          `help:"Print the answer as JSON."`
 }
@@ -26,8 +26,8 @@
 
 	Get     getCmd     `cmd:"" help:"Show what is agreed on. Example: gateway config get plan kubwa"`
 	History historyCmd `cmd:"" help:"Show the versions: when, who, why and what."`
-	Diff    diffCmd    `cmd:"" help:"${config_diff}"`
-	Apply   applyCmd   `cmd:"" help:"${config_apply}"`
+	Diff    diffCmd    `cmd:"" help:"Show what a file would change; exits 1 if it would. Example: gateway config diff fleet.toml"`
+	Apply   applyCmd   `cmd:"" help:"Have the instances agree on what a file says. Example: gateway config apply fleet.toml --why 'new tariff' --wait applied-everywhere"`
 	Members membersCmd `cmd:"" help:"Change the members."`
 	Epoch   epochCmd   `cmd:"" help:"Begin a new epoch of versions, after members were restored from a backup."`
 	Status  statusCmd  `cmd:"" help:"Show how each member stands."`
--- a/cmd/gateway/config_apply.go
+++ b/cmd/gateway/config_apply.go
@@ -14,11 +14,11 @@
 
 // applyCmd has the instances agree on what a file says.
 type applyCmd struct {
-	File  string `arg:"" help:"${apply_file}" type:"path"`
+	File  string `arg:"" help:"The file: all that is to be agreed on. What it lacks is removed; members stay." type:"path"`
 	Why   string `help:"Why, for the history."`
 	ID    string `help:"Id of the request: one that is asked for again takes place once."`
 	Check bool   `help:"Only tell whether it would be taken."`
-	Wait  string `help:"${apply_wait}" default:"agreed"`
+	Wait  string `help:"What to wait for: 'agreed', 'applied-everywhere' (at members and followers) or 'all-but-N', which leaves out up to N followers." default:"agreed"`
 }
 
 // noWait is the result of maxMissingFollowers where the command does not wait for any instance.
--- a/cmd/gateway/config_members.go
+++ b/cmd/gateway/config_members.go
@@ -10,8 +10,8 @@
 
 // membersCmd changes the members of a cluster.
 type membersCmd struct {
-	Add      addMemberCmd      `cmd:"" help:"${members_add}"`
-	Replace  replaceMemberCmd  `cmd:"" help:"${members_replace}"`
+	Add      addMemberCmd      `cmd:"" help:"Add a member; it votes once it has caught up. It must run, see gateway init --join. Example: gateway config members add 4 --raft 10.0.0.4:7101 --admin 10.0.0.4:7201"`
+	Replace  replaceMemberCmd  `cmd:"" help:"Put a new member in the place of one, in one step: of one that is dead, say."`
 	Remove   removeMemberCmd   `cmd:"" help:"Remove a member. Its number is never used again."`
 	Transfer transferMemberCmd `cmd:"" help:"Have a member lead."`
 }
--- a/cmd/gateway/init.go
+++ b/cmd/gateway/init.go
@@ -16,7 +16,7 @@
 	Config     string `help:"The instance's file." required:"" type:"path"`
 	NewCluster bool   `help:"The members that the file has begin a new cluster." xor:"how" required:""`
 	Join       bool   `help:"This member joins a cluster that runs: see config members add." xor:"how" required:""`
-	Adopt      bool   `help:"${init_adopt}" xor:"how" required:""`
+	Adopt      bool   `help:"The file was moved here and is the newest of its member: never an old copy." xor:"how" required:""`
 }
 
 func (c *initCmd) Run(e *environment) error {
--- a/cmd/gateway/lab.go
+++ b/cmd/gateway/lab.go
@@ -15,7 +15,7 @@
 	Seed         uint64        `help:"Seed of clients and faults." default:"1"`
 	JSON         bool          `help:"Print the verdict as JSON."`
 	List         bool          `help:"List the scenarios."`
-	RampOff      bool          `help:"${lab_ramp_off}"`
+	RampOff      bool          `help:"The instances take every server for warm: servers-replaced then shows one that is pushed over."`
 	KeysAnywhere bool          `help:"Without the guard of keys: hall-closes then shows double bookings."`
 	Logs         string        `help:"File for the instances' logs." type:"path"`
 }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -15,15 +15,15 @@
 
 // cli is the whole command line.
 type cli struct {
-	Lab    labCmd    `cmd:"" help:"${cli_lab}"`
-	Check  checkCmd  `cmd:"" help:"${cli_check}"`
-	Bench  benchCmd  `cmd:"" help:"${cli_bench}"`
+	Lab    labCmd    `cmd:"" help:"Play a scenario: real instances on loopback between stand-in halls. Exits 0 only if every rule was kept. Example: gateway lab --scenario mixed --for 20s --seed 7 --json"`
+	Check  checkCmd  `cmd:"" help:"Check descriptions (YAML, JSON) and configurations (TOML) without starting anything. Example: gateway check deploy/booking.yaml deploy/gateway.toml"`
+	Bench  benchCmd  `cmd:"" help:"Measure CPU a request and requests a second beside httputil.ReverseProxy. Example: gateway bench --for 3s --procs 1,2"`
 	Part   partCmd   `cmd:"" name:"bench-part" hidden:""`
-	Certs  certsCmd  `cmd:"" help:"${cli_certs}"`
-	Init   initCmd   `cmd:"" help:"${cli_init}"`
+	Certs  certsCmd  `cmd:"" help:"Make the certificates with which instances know each other. Example: gateway certs --cluster dodoma --members 1,2,3 --dir certs"`
+	Init   initCmd   `cmd:"" help:"Make the file of a member of a cluster, once. Example: gateway init --config gate-1.toml --new-cluster"`
 	Config configCmd `cmd:"" help:"Ask and change what the instances of a cluster agree on."`
 	Stream streamCmd `cmd:"" help:"Ask how the instances that follow stand."`
-	Run    runCmd    `cmd:"" help:"${cli_run}"`
+	Run    runCmd    `cmd:"" help:"Run one instance until SIGTERM. SIGHUP reads its description again. Example: gateway run --config deploy/gateway.toml"`
 }
 
 // environment is what a command needs of the world.
@@ -63,7 +63,6 @@
 	parser, err := kong.New(&c,
 		kong.Name("gateway"),
 		kong.Description("A gateway between halls of booking servers, by an OpenAPI description."),
-		helpTexts,
 		kong.Writers(stdout, stderr),
 		kong.Exit(func(code int) { exit = code }))
 	if err != nil {
--- a/cmd/gateway/stream.go
+++ b/cmd/gateway/stream.go
@@ -7,10 +7,10 @@
 // streamCmd asks members about the instances that follow.
 type streamCmd struct {
 	clusterFlags
-	Status  streamStatusCmd  `cmd:"" help:"${stream_status}"`
-	Pin     streamPinCmd     `cmd:"" help:"${stream_pin}"`
+	Status  streamStatusCmd  `cmd:"" help:"Show which version each follower runs. Example: gateway stream status --watch"`
+	Pin     streamPinCmd     `cmd:"" help:"Have a follower stay at a version, or go up to it and stay there. Example: gateway stream pin edge-7 41"`
 	Unpin   streamUnpinCmd   `cmd:"" help:"Have it take the newest again."`
-	Explain streamExplainCmd `cmd:"" help:"${stream_explain}"`
+	Explain streamExplainCmd `cmd:"" help:"Show why a follower does not run the newest version. Example: gateway stream explain edge-7"`
 }
 
 // unknownFollowerError returns the error for a follower that is not agreed on.
