--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -14,13 +14,13 @@
 	"mulleinmux/policy"
 )
 
-// attemptControl is an exchange as those see it who may want to end it before its time.
+// attemptControl lets other goroutines end an exchange early. Its mutex guards all fields.
 type attemptControl struct {
 	mu         sync.Mutex
-	conn       *serverConn        // on which it is under way
-	cancelDial context.CancelFunc // of the connection that is being made
+	conn       *serverConn        // that carries the exchange; nil: none yet, or no longer
+	cancelDial context.CancelFunc // of the dial in progress; nil: none
 	deadline   time.Time
-	isAborted  bool // given up
+	isAborted  bool
 }
 
 // abort ends the exchange at once.
@@ -36,7 +36,7 @@
 	}
 }
 
-// start sets the connection under way; it is false if the exchange was given up.
+// start gives the exchange its connection, and the connection the deadline. It returns false if the exchange was aborted.
 func (k *attemptControl) start(c *serverConn, until time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -49,8 +49,8 @@
 	return true
 }
 
-// limitRest bounds the rest of an answer that has begun: servers write it in one piece, and
-// half a one must not take all of the time that another attempt would need.
+// limitRest sets a deadline for the rest of a response that has begun: servers write it in one piece, and half of one
+// must not use up the time that a retry would need.
 func (k *attemptControl) limitRest(c *serverConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// restoreDeadline takes the bound of hurry off.
+// restoreDeadline undoes limitRest: an interim (1xx) response was read, and the final one may come later.
 func (k *attemptControl) restoreDeadline(c *serverConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -68,8 +68,8 @@
 	}
 }
 
-// finish takes the connection back; it is false if the exchange was given up, which has
-// left the connection with a deadline.
+// finish detaches the connection from the exchange. It returns false if the exchange was aborted: then the connection
+// has an expired deadline and can't be reused.
 func (k *attemptControl) finish() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/serverpool/pool.go
+++ b/internal/serverpool/pool.go
@@ -184,7 +184,7 @@
 	p.UpdateEndpoints(nil, policy.EndpointsComplete).Close()
 }
 
-// Snapshot describes the pool, for tests and operators.
+// Snapshot describes the pool, for its hosts' tests.
 func (p *Pool[C]) Snapshot() conntable.Snapshot[C] {
 	p.mu.Lock()
 	defer p.mu.Unlock()
