--- a/multisite/epoch_change.go
+++ b/multisite/epoch_change.go
@@ -7,7 +7,7 @@
 
 // previousEpoch is an epoch by which other instances may still route.
 type previousEpoch struct {
-	epoch   *OwnershipEpoch // nil: the one in force before this process started, which is not known
+	epoch   *OwnershipEpoch // nil if unknown, as the epoch in force before this process started
 	endedAt time.Duration
 }
 
@@ -33,22 +33,22 @@
 	k.hasConfirmation = true
 }
 
-// hasLease reports whether keys may be routed by the epoch in force.
+// hasLease reports whether the lease of the epoch in force has not ended, so that keys may be routed by it.
 func (k *KeyTable) hasLease(now time.Duration) bool {
 	return k.hasConfirmation && now-k.confirmationAt <= k.cfg.LeaseTTL
 }
 
-// dropEndedEpochs drops the previous epochs that ended so long ago that no client still repeats a key that was sent by
-// them.
+// dropEndedEpochs drops the previous epochs that ended so long ago that no client still repeats a key that was sent
+// under them.
 func (k *KeyTable) dropEndedEpochs(now time.Duration) {
-	fence := k.cfg.LeaseTTL + k.maxKeyTTL(now)
+	maxAge := k.cfg.LeaseTTL + k.maxKeyTTL(now)
 	k.previousEpochs = slices.DeleteFunc(k.previousEpochs, func(p previousEpoch) bool {
-		return now-p.endedAt > fence
+		return now-p.endedAt > maxAge
 	})
 }
 
-// haveAllAnnounced reports whether all instances, those of a previous epoch and those of the one in force, route by the
-// latter and have announced all keys that they sent before.
+// haveAllAnnounced reports whether all instances of a previous epoch and of the epoch in force route by the latter and
+// have announced all keys that they sent before.
 func (k *KeyTable) haveAllAnnounced(now time.Duration, previous *OwnershipEpoch) bool {
 	maxKeyTTL := k.maxKeyTTL(now)
 	hasAnnounced := func(instance uint64) bool { return k.hasAnnounced(now, instance, maxKeyTTL) }
@@ -65,8 +65,8 @@
 // hasAnnounced reports whether an instance has announced the epoch in force and all keys that clients may still repeat.
 func (k *KeyTable) hasAnnounced(now time.Duration, instance uint64, maxKeyTTL time.Duration) bool {
 	if instance == k.cfg.InstanceID {
-		// The keys that the previous process of this instance sent are not known.
-		return now-k.startedAt > maxKeyTTL && now >= k.unrecordedUntil
+		// The keys that the previous process of this instance has sent are unknown.
+		return now-k.startedAt > maxKeyTTL && now >= k.unrecordedKeysExpireAt
 	}
 	p := k.peers[instance]
 	return p != nil && p.epoch >= k.epoch.Number && !p.hasUnrecordedKeys && now-p.completeSince > maxKeyTTL
--- a/multisite/execution_status.go
+++ b/multisite/execution_status.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// ExecutionStatus is what a site knows of the execution of a request that was forwarded to it.
+// ExecutionStatus is the status of a request that was forwarded to a site, as that site reports it.
 type ExecutionStatus int
 
 // The statuses of a forwarded request. Their texts are sent between sites.
 const (
-	// NeverExecuted: it did not run here and never will; if it arrives later it is rejected.
+	// NeverExecuted means that the request did not run and never will: if it arrives later, it is rejected.
 	NeverExecuted ExecutionStatus = iota
-	// Executing: it has arrived and has no final answer yet.
+	// Executing means that the request has arrived and has no final answer yet.
 	Executing
-	// Executed: it was served; its answer may have been retained.
+	// Executed means that the request was served. Its answer may have been retained.
 	Executed
-	// ExecutionUnknown: it may have run.
+	// ExecutionUnknown means that the request may have run.
 	ExecutionUnknown
 )
 
-// uptimePrecision is what an uptime that another site tells may be too long by, as it is rounded.
+// uptimePrecision is the largest amount by which the uptime that a site reports may be too long, due to rounding.
 const uptimePrecision = time.Millisecond
 
-// AsTold returns what a status that a site told is worth to the one that asked. "Never executed" is what an instance
-// says of all that it does not know. Where it was restarted since the request was sent, its predecessor may have executed
-// the request: it has been up for less time than the request has been under way, and the status is unknown.
+// AsTold returns the status that the querying site may rely on, given the status and the uptime that an instance of
+// another site has reported. An instance reports NeverExecuted for each request of which it has no record. If it was
+// restarted after the request was sent, its predecessor may have executed the request: the uptime does not exceed the
+// time since the request was sent, and the status is ExecutionUnknown.
 func (s ExecutionStatus) AsTold(uptime, sinceSent time.Duration) ExecutionStatus {
 	if s == NeverExecuted && uptime-uptimePrecision <= sinceSent {
 		return ExecutionUnknown
@@ -33,7 +34,7 @@
 // String returns the text that is sent between sites.
 func (s ExecutionStatus) String() string { return executionStatusTexts[s] }
 
-// ParseExecutionStatus is the inverse of [ExecutionStatus.String]; a text that it does not know is ExecutionUnknown.
+// ParseExecutionStatus is the inverse of [ExecutionStatus.String]. It returns ExecutionUnknown for any other text.
 func ParseExecutionStatus(text string) ExecutionStatus {
 	for s := NeverExecuted; s < ExecutionUnknown; s++ {
 		if s.String() == text {
--- a/multisite/execution_status_test.go
+++ b/multisite/execution_status_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// What an instance does not know of counts as never executed only if it was up before the request was sent.
-func TestStatusAsTold(t *testing.T) {
+// A request of which an instance has no record counts as never executed only if the instance was up before the request
+// was sent: the process before a restart may have executed it.
+func TestAsToldAfterRestart(t *testing.T) {
 	const sinceSent = 300 * time.Millisecond
 	for _, test := range []struct {
-		name   string
-		told   ExecutionStatus
-		uptime time.Duration
-		want   ExecutionStatus
+		name     string
+		reported ExecutionStatus
+		uptime   time.Duration
+		want     ExecutionStatus
 	}{
 		{"up before it was sent", NeverExecuted, sinceSent + 2*time.Millisecond, NeverExecuted},
 		{"restarted since", NeverExecuted, sinceSent - time.Millisecond, ExecutionUnknown},
@@ -23,8 +24,8 @@
 		{"executed", Executed, 0, Executed},
 		{"unknown", ExecutionUnknown, time.Hour, ExecutionUnknown},
 	} {
-		if got := test.told.AsTold(test.uptime, sinceSent); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		if got := test.reported.AsTold(test.uptime, sinceSent); got != test.want {
+			t.Errorf("%s: got status %v, want %v", test.name, got, test.want)
 		}
 	}
 }
--- a/multisite/fixture_test.go
+++ b/multisite/fixture_test.go
@@ -9,7 +9,8 @@
 	"mulleinmux/internal/fixture"
 )
 
-// fixtureSites are the sites of the epochs whose key owners are recorded. Owners follow from the names, so these stay.
+// fixtureSites are the sites of the epochs whose key owners are recorded. The owners depend on the sites' names, so the
+// names must not change.
 var fixtureSites = [][]Site{
 	openSites("hall-a", "hall-b"),
 	openSites("hall-b", "hall-a", "hall-c"),
@@ -20,7 +21,7 @@
 	},
 }
 
-// The owner of each key, by the sites that are open and the part of their keys that they take, is as it was recorded.
+// The owner of each key must be the recorded one, given the open sites and the part of their keys that they accept.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./multisite -run Fixture
 func TestFixtureKeyOwners(t *testing.T) {
@@ -32,7 +33,7 @@
 			key := n * 0x9e3779b97f4a7c15
 			d := k.Route(time.Hour, key)
 			if d.Site == "" {
-				t.Fatalf("%d: %+v", i, d)
+				t.Fatalf("epoch %d: no site for a key: %+v", i, d)
 			}
 			fmt.Fprintf(&out, "%016x %s\n", key, d.Site)
 		}
@@ -40,7 +41,7 @@
 	fixture.Compare(t, "homes.txt", out.Bytes())
 }
 
-// newFixtureKeyTable returns the table of the one instance of an epoch that is confirmed at one hour.
+// newFixtureKeyTable returns the table of the only instance of an epoch that is confirmed at one hour.
 func newFixtureKeyTable(t *testing.T, sites []Site) *KeyTable {
 	t.Helper()
 	k, err := NewKeyTable(
@@ -62,13 +63,13 @@
 	return k
 }
 
-// The texts of execution statuses, which sites send each other, and of site states are as they were recorded.
+// The texts of execution statuses, which sites send to each other, and of site states must be the recorded ones.
 func TestFixtureTexts(t *testing.T) {
 	var out bytes.Buffer
 	for status := NeverExecuted; status <= ExecutionUnknown; status++ {
 		fmt.Fprintln(&out, status)
 		if got := ParseExecutionStatus(status.String()); got != status {
-			t.Errorf("%v is read as %v", status, got)
+			t.Errorf("text of status %v: parsed as %v, want the same status", status, got)
 		}
 	}
 	for state := SiteHealthy; state <= SiteWarmingUp; state++ {
--- a/multisite/forwarded_requests.go
+++ b/multisite/forwarded_requests.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// minSweptExpirations is the number of superfluous expirations from which they are swept.
+// minSweptExpirations is the number of expirations of acknowledged requests below which they are not swept.
 const minSweptExpirations = 1024
 
-// ForwardedRequests records the requests that another site forwarded to this instance, so that it can tell their
+// ForwardedRequests records the requests that another site forwarded to this instance, so that it can report their
 // status after the link between the sites has failed. The other site queries the status by the request's ID, which
-// is new for each attempt. A query for a request that has not arrived voids it: if a broken link delivers it later,
-// it is rejected. So NeverExecuted is final, and the other site may then send the request elsewhere.
+// is new for each attempt. A query for a request that has not arrived voids the request: if a broken link delivers it
+// later, it is rejected. NeverExecuted is therefore final, and the other site may then send the request elsewhere.
 //
 // A request is recorded until the other site acknowledges its answer, or else for a TTL after it arrived, was voided or
-// ended. The host must reject what arrives later than a TTL after it was sent (a link delivers in order, and its
-// connections end). While the table is full, nothing is admitted and nothing can be voided: the status is
-// ExecutionUnknown.
+// completed. The caller must reject a request that arrives later than a TTL after it was sent (a link delivers in
+// order, and its connections end). While the table is full, no request is admitted and none can be voided: the status
+// of a request that has not arrived is ExecutionUnknown.
 //
 // It is not safe for concurrent use.
 type ForwardedRequests struct {
@@ -42,13 +42,14 @@
 // change. Both must be above 0.
 func NewForwardedRequests(ttl time.Duration, maxRequests int) (*ForwardedRequests, error) {
 	if ttl <= 0 || maxRequests <= 0 {
-		return nil, errors.New("multisite: the TTL and number of forwarded requests must be above 0")
+		return nil, errors.New("multisite: ttl and maxRequests of forwarded requests must be above 0")
 	}
 	return &ForwardedRequests{ttl: ttl, maxRequests: maxRequests, byID: map[string]*forwardedRequest{}}, nil
 }
 
-// Admit records a request that has arrived. If ok is false, it must not run: it was voided or the table is full,
-// with the status NeverExecuted, or it has arrived before, with the status that it has since.
+// Admit records a request that has arrived. If ok is false, the request must not be executed: either it was voided or
+// the table is full, and its status is NeverExecuted, or it has arrived before, and the status is that of the first
+// arrival.
 func (f *ForwardedRequests) Admit(now time.Time, id string) (status ExecutionStatus, ok bool) {
 	f.expire(now)
 	if r := f.byID[id]; r != nil {
@@ -61,7 +62,7 @@
 	return Executing, true
 }
 
-// Complete records the final status of a request that Admit has admitted, and what to retain of its answer.
+// Complete records the final status of a request that Admit has admitted, and the answer to retain.
 func (f *ForwardedRequests) Complete(now time.Time, id string, status ExecutionStatus, answer any) {
 	if r := f.byID[id]; r != nil && r.status == Executing {
 		r.status = status
@@ -70,8 +71,7 @@
 	}
 }
 
-// ResolveStatus returns the status of a request and what was retained of its answer. A request that has not arrived is
-// voided.
+// ResolveStatus returns the status of a request and its retained answer. A request that has not arrived is voided.
 func (f *ForwardedRequests) ResolveStatus(now time.Time, id string) (status ExecutionStatus, answer any) {
 	f.expire(now)
 	if r := f.byID[id]; r != nil {
@@ -84,9 +84,9 @@
 	return NeverExecuted, nil
 }
 
-// Acknowledge drops a request whose answer the other site has received: it will not query the status, and since it
-// sends each request once, nothing of it can arrive any more. So the table's size depends on how many connections
-// break, not on how many requests are forwarded.
+// Acknowledge drops a request whose answer the other site has received. The other site will not query its status and,
+// since it sends each request once, no copy of the request can arrive any more. The table's size therefore depends on
+// how many connections break, not on how many requests are forwarded.
 func (f *ForwardedRequests) Acknowledge(id string) {
 	if r := f.byID[id]; r == nil || r.status == Executing {
 		return
@@ -108,7 +108,7 @@
 	f.expirations = append(f.expirations, requestExpiration{expiresAt, id})
 }
 
-// expire drops the requests whose TTL has passed. A request that is executing is kept until it has ended.
+// expire drops the requests whose TTL has passed. A request that is executing is kept until it completes.
 func (f *ForwardedRequests) expire(now time.Time) {
 	done := 0
 	for ; done < len(f.expirations) && !now.Before(f.expirations[done].dueAt); done++ {
--- a/multisite/forwarded_requests_test.go
+++ b/multisite/forwarded_requests_test.go
@@ -11,15 +11,16 @@
 
 const testMaxForwarded = 40
 
-// linkRequest is a request of the other site; the zero value is one that is over.
+// linkRequest is a request of the other site; the zero value is a finished request.
 type linkRequest struct {
-	arrivesAt      time.Time // zero: it has arrived
-	endsAt         time.Time // zero: it does not run
-	executionCount int
-	isToldNever    bool // the other site was told that it will never run
+	arrivesAt             time.Time // zero if the request has arrived
+	endsAt                time.Time // zero if the request is not executing
+	executionCount        int
+	reportedNeverExecuted bool // NeverExecuted was reported to the other site
 }
 
-// linkSimulation is a link that drops, delivers late what was written before, and queries requests before they arrive.
+// linkSimulation simulates a link that breaks: requests arrive late or twice, and the other site queries the status of
+// requests that have not arrived.
 type linkSimulation struct {
 	t         *testing.T
 	seed      uint64
@@ -50,7 +51,7 @@
 	return s.now.Add(time.Duration(s.rng.IntN(maxMilliseconds)) * time.Millisecond)
 }
 
-// step is a millisecond, in which a request may be sent and those sent last go on.
+// step simulates a millisecond, in which a request may be sent and the latest requests advance.
 func (s *linkSimulation) step(number int) {
 	s.now = s.now.Add(time.Millisecond)
 	if s.rng.IntN(12) == 0 {
@@ -66,11 +67,11 @@
 	}
 	f := s.forwarded
 	if f.Len() > testMaxForwarded || len(f.expirations) > 2*testMaxForwarded+minSweptExpirations {
-		s.t.Fatalf("seed %d: %d requests remembered, %d expirations", s.seed, f.Len(), len(f.expirations))
+		s.t.Fatalf("seed %d: too many entries: %d requests, %d expirations", s.seed, f.Len(), len(f.expirations))
 	}
 }
 
-// advance lets a request arrive or end, or has the other site query its status.
+// advance makes a request arrive or complete, or the other site query its status.
 func (s *linkSimulation) advance(id string, r *linkRequest) {
 	switch {
 	case *r == (linkRequest{}):
@@ -81,19 +82,20 @@
 		s.forwarded.Complete(s.now, id, Executed, id)
 	case s.rng.IntN(200) == 0:
 		status, answer := s.forwarded.ResolveStatus(s.now, id)
-		r.isToldNever = r.isToldNever || status == NeverExecuted
+		r.reportedNeverExecuted = r.reportedNeverExecuted || status == NeverExecuted
 		if status == Executed && (answer != id || r.executionCount != 1) {
-			s.t.Fatalf("seed %d: %s is said to have run with answer %v, and ran %d times",
+			s.t.Fatalf("seed %d: request %s is reported as executed with answer %v, and was executed %d times",
 				s.seed, id, answer, r.executionCount)
 		}
 	}
-	if r.executionCount > 1 || r.isToldNever && r.executionCount > 0 {
-		s.t.Fatalf("seed %d: %s ran %d times and was said never to: %v", s.seed, id, r.executionCount, r.isToldNever)
+	if r.executionCount > 1 || r.reportedNeverExecuted && r.executionCount > 0 {
+		s.t.Fatalf("seed %d: request %s was executed %d times; reported as never executed: %v",
+			s.seed, id, r.executionCount, r.reportedNeverExecuted)
 	}
 }
 
 func (s *linkSimulation) arrive(id string, r *linkRequest) {
-	if s.rng.IntN(8) > 0 { // some arrive twice, as from a link that repeats
+	if s.rng.IntN(8) > 0 { // some requests arrive twice, as from a link that repeats them
 		r.arrivesAt = time.Time{}
 	}
 	status, ok := s.forwarded.Admit(s.now, id)
@@ -101,11 +103,11 @@
 		r.executionCount++
 		r.endsAt = s.after(400)
 	} else if status == NeverExecuted && r.executionCount > 0 {
-		s.t.Fatalf("seed %d: %s ran, and its second copy is answered as never executed", s.seed, id)
+		s.t.Fatalf("seed %d: request %s was executed, and its second copy is reported as never executed", s.seed, id)
 	}
 }
 
-// acknowledge: the other site has an answer, and sends no copy of that request.
+// acknowledge simulates that the other site has received an answer: it sends no more copies of the request.
 func (s *linkSimulation) acknowledge(id string) {
 	r := s.requests[id]
 	if r.arrivesAt.IsZero() && r.endsAt.IsZero() && r.executionCount > 0 {
@@ -114,8 +116,8 @@
 	}
 }
 
-// TestForwardedRequestsSeeds checks over 1,000 seeds that nothing runs that the other site was told never will, and
-// that nothing runs twice.
+// TestForwardedRequestsSeeds checks over 1,000 seeds that no request is executed that was reported as never executed,
+// and that none is executed twice.
 func TestForwardedRequestsSeeds(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(1000)
@@ -130,8 +132,8 @@
 	})
 }
 
-// What the other site has the answer of is no longer recorded: many more can be forwarded in a TTL than the table
-// holds.
+// A request whose answer the other site has acknowledged is no longer recorded: many more requests can be forwarded
+// within a TTL than the table holds.
 func TestAcknowledgedRequestsAreDropped(t *testing.T) {
 	t.Parallel()
 	f, _ := NewForwardedRequests(time.Hour, 8)
@@ -140,38 +142,40 @@
 		now = now.Add(time.Millisecond)
 		id := fmt.Sprint(i)
 		if _, ok := f.Admit(now, id); !ok {
-			t.Fatalf("request %d is not admitted", i)
+			t.Fatalf("request %d was not admitted", i)
 		}
 		if f.Acknowledge(id); f.Len() == 0 {
-			t.Fatal("one that is executing is forgotten")
+			t.Fatal("Acknowledge dropped a request that is executing")
 		}
 		f.Complete(now, id, Executed, nil)
 		f.Acknowledge(id)
 	}
 	if f.Len() > 0 || len(f.expirations) > 2*minSweptExpirations {
-		t.Errorf("%d requests and %d expirations are kept", f.Len(), len(f.expirations))
+		t.Errorf("after all requests were acknowledged, %d requests and %d expirations are kept",
+			f.Len(), len(f.expirations))
 	}
 }
 
-// While the table is full nothing is admitted, and what has not arrived can't be promised never to run.
+// While the table is full, no request is admitted, and the status of a request that has not arrived is unknown, as it
+// can't be voided.
 func TestFullForwardedRequests(t *testing.T) {
 	f, _ := NewForwardedRequests(time.Second, 1)
 	now := time.Unix(0, 0)
 	if _, ok := f.Admit(now, "a"); !ok {
-		t.Fatal("the first is not admitted")
+		t.Fatal("the first request was not admitted")
 	}
 	if status, ok := f.Admit(now, "b"); ok || status != NeverExecuted {
-		t.Fatalf("admitted beyond the limit: %v", status)
+		t.Fatalf("request beyond the limit: admitted, or with the wrong status %v", status)
 	}
 	if status, _ := f.ResolveStatus(now, "b"); status != ExecutionUnknown {
-		t.Errorf("%v, want unknown", status)
+		t.Errorf("status of a request that has not arrived: got %v, want unknown", status)
 	}
 	late := now.Add(time.Hour)
 	if status, _ := f.ResolveStatus(late, "a"); status != Executing {
-		t.Errorf("one that runs for long is forgotten: %v", status)
+		t.Errorf("a request that executes for longer than its TTL was dropped: status %v", status)
 	}
 	f.Complete(late, "a", NeverExecuted, nil)
 	if status, _ := f.ResolveStatus(late.Add(time.Minute), "b"); status != NeverExecuted {
-		t.Errorf("%v after the first was forgotten", status)
+		t.Errorf("status after the first request expired: got %v, want never", status)
 	}
 }
--- a/multisite/health_monitor.go
+++ b/multisite/health_monitor.go
@@ -10,37 +10,37 @@
 // HealthConfig configures a [HealthMonitor].
 type HealthConfig struct {
 	InstanceID       uint64
-	MinMisses        int           // unanswered attempts or health checks in a row that make a site silent
+	MinMisses        int           // number of consecutive unanswered attempts or health checks that make a site silent
 	LossTimeout      time.Duration // a site silent to a majority for this long is lost
-	ViewTTL          time.Duration // after which another instance's view is outdated
-	RecoveryDelay    time.Duration // for which a lost site must answer before it counts as recovered
-	MaxRecoveryDelay time.Duration // upper limit of RecoveryDelay, which grows with repeated losses
-	LossWindow       time.Duration // after which a loss no longer lengthens RecoveryDelay
-	WarmUpWindow     time.Duration // for which a recovered site counts as warming up
+	ViewTTL          time.Duration // age above which another instance's view is outdated
+	RecoveryDelay    time.Duration // time for which a lost site must answer before it counts as recovered
+	MaxRecoveryDelay time.Duration // upper limit of the recovery delay, which grows with repeated losses
+	LossWindow       time.Duration // age above which a loss no longer lengthens the recovery delay
+	WarmUpWindow     time.Duration // time for which a recovered site counts as warming up
 }
 
-// HealthMonitor is one instance's view of the health of all sites. The changes that it proposes follow from the
+// HealthMonitor tracks the health of all sites as one instance sees it. It proposes only changes that follow from the
 // views of a majority of the members, so that a fault near one instance moves no keys.
 //
 // It is not safe for concurrent use.
 type HealthMonitor struct {
-	cfg      HealthConfig
-	members  []uint64                          // instance IDs
-	sites    map[string]*agreedSite            // by name
-	own      map[string]*ownObservation        // by site
-	isRemote map[string]bool                   // sites that this instance reaches only through others
-	peers    map[uint64]map[string]observation // by member and site
-	heardAt  map[uint64]time.Duration          // when a member last announced its views
+	cfg             HealthConfig
+	members         []uint64                          // instance IDs
+	sites           map[string]*agreedSite            // by name
+	own             map[string]*ownObservation        // by site
+	isRemote        map[string]bool                   // sites that this instance reaches only through another site
+	peers           map[uint64]map[string]observation // by member and site
+	viewsReceivedAt map[uint64]time.Duration          // when a member last announced its views
 }
 
-// agreedSite is what the members have agreed on of a site.
+// agreedSite is the state of a site that the members have agreed on.
 type agreedSite struct {
 	isClosed    bool
-	isLost      bool // it owns only a part of its keys: keyEighths of them, or none
-	keyEighths  int
+	isLost      bool            // the site owns only the part of its keys that keyEighths states
+	keyEighths  int             // if isLost: eighths of its keys that the site owns
 	changedAt   time.Duration   // when keyEighths last changed
 	lossTimes   []time.Duration // within LossWindow
-	recoveredAt time.Duration   // when the last loss ended; 0: there was none
+	recoveredAt time.Duration   // when the last loss ended; 0 if none has ended
 }
 
 // hasNoKeys reports whether the site was lost and has not begun to recover.
@@ -54,17 +54,17 @@
 			"MaxRecoveryDelay at least RecoveryDelay")
 	}
 	return &HealthMonitor{
-		cfg:      cfg,
-		sites:    map[string]*agreedSite{},
-		own:      map[string]*ownObservation{},
-		isRemote: map[string]bool{},
-		peers:    map[uint64]map[string]observation{},
-		heardAt:  map[uint64]time.Duration{},
+		cfg:             cfg,
+		sites:           map[string]*agreedSite{},
+		own:             map[string]*ownObservation{},
+		isRemote:        map[string]bool{},
+		peers:           map[uint64]map[string]observation{},
+		viewsReceivedAt: map[uint64]time.Duration{},
 	}, nil
 }
 
-// ApplyAgreed sets what the members have agreed on: the sites, open unless operators closed them; the lost sites, by
-// name, with the eighths of their keys that they own again; and the members.
+// ApplyAgreed sets the state that the members have agreed on: the sites, open unless operators closed them; the lost
+// sites, by name, with the eighths of their keys that they own again; and the members.
 func (h *HealthMonitor) ApplyAgreed(now time.Duration, sites []Site, lost map[string]int, members []uint64) {
 	h.members = slices.Clone(members)
 	isListed := map[string]bool{}
@@ -88,7 +88,7 @@
 	for member := range h.peers {
 		if !slices.Contains(members, member) {
 			delete(h.peers, member)
-			delete(h.heardAt, member)
+			delete(h.viewsReceivedAt, member)
 		}
 	}
 }
@@ -107,8 +107,8 @@
 	a.keyEighths = keyEighths
 }
 
-// SetRemote sets whether this instance reaches a site only through another site's instances. Its own observations
-// may then be due to the path instead of the site.
+// SetRemote sets whether this instance reaches a site only through another site's instances. Its own observations of
+// the site may then be due to a fault of the path instead.
 func (h *HealthMonitor) SetRemote(site string, isRemote bool) {
 	h.isRemote[site] = isRemote
 	if o := h.ownObservation(site); o != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-// RecordMiss records that what was sent to a site at a time was not answered.
+// RecordMiss records that an attempt or a health check that was sent to a site at sentAt was not answered.
 func (h *HealthMonitor) RecordMiss(now time.Duration, site string, sentAt time.Duration) {
 	if o := h.ownObservation(site); o != nil {
 		o.recordMiss(now, sentAt, h.cfg.MinMisses)
@@ -137,7 +137,7 @@
 	}
 }
 
-// ownObservation returns this instance's observation of a site; nil for a site that is not agreed on.
+// ownObservation returns this instance's observation of a site, or nil if the site is not an agreed one.
 func (h *HealthMonitor) ownObservation(site string) *ownObservation {
 	o := h.own[site]
 	if o == nil && h.sites[site] != nil {
@@ -147,7 +147,7 @@
 	return o
 }
 
-// Views returns what to announce to the other instances, sorted by site.
+// Views returns the views to announce to the other instances, sorted by site.
 func (h *HealthMonitor) Views(now time.Duration) (views []SiteView) {
 	for site, o := range h.own {
 		if o.isCurrent(now, h.cfg.ViewTTL) {
@@ -158,7 +158,7 @@
 				Capacity: o.capacity,
 				IsRemote: o.isRemote,
 			})
-		} else if o.isRemote { // without a view of its own it follows the members that reach the site directly
+		} else if o.isRemote { // without a current view, it adopts that of the members that reach the site directly
 			views = append(views, SiteView{Site: site, Duration: -1, IsRemote: true})
 		}
 	}
@@ -185,7 +185,7 @@
 			isRemote:   v.IsRemote,
 		}
 	}
-	h.peers[from], h.heardAt[from] = observations, now
+	h.peers[from], h.viewsReceivedAt[from] = observations, now
 }
 
 // State returns the state of a site as this instance sees it; a site that is not agreed on is healthy.
@@ -200,12 +200,12 @@
 		isLost:             agreed.isLost,
 		hasRecovered:       agreed.recoveredAt > 0,
 		timeSinceRecovered: now - agreed.recoveredAt,
-		isAnswered:         h.isMajority(votes.answering),
-		isSilent:           h.isMajority(votes.silent),
+		answersMajority:    h.isMajority(votes.answering),
+		isSilentToMajority: h.isMajority(votes.silent),
 	}
 	if own := h.own[site]; own != nil && own.isSilent && own.isCurrent(now, h.cfg.ViewTTL) {
-		evidence.isOwnSilent = true
-		evidence.ownSilence = now - own.since
+		evidence.isSilentLocally = true
+		evidence.localSilence = now - own.since
 	}
 	return evidence.state(h.cfg.LossTimeout, h.cfg.WarmUpWindow)
 }
--- a/multisite/helpers_test.go
+++ b/multisite/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// openSites are sites of given names that take all of their keys.
+// openSites returns sites of the given names that accept all of their keys.
 func openSites(names ...string) (sites []Site) {
 	for _, name := range names {
 		sites = append(sites, Site{Name: name, IsOpen: true})
@@ -10,7 +10,7 @@
 	return sites
 }
 
-// newTestKeyTable returns the table of an instance with an epoch of two sites and some instances in force since 0.
+// newTestKeyTable returns the table of an instance with an epoch of two sites and the given instances in force since 0.
 func newTestKeyTable(t *testing.T, id uint64, instances ...uint64) (*KeyTable, OwnershipEpoch) {
 	t.Helper()
 	k, err := NewKeyTable(KeyConfig{
--- a/multisite/key_ledger.go
+++ b/multisite/key_ledger.go
@@ -17,9 +17,9 @@
 // ledgerEntry is a key that may have run or has an attempt in flight.
 type ledgerEntry struct {
 	site        uint16 // index in keyLedger.siteNames
-	inFlight    uint16 // attempts of this instance
+	inFlight    uint16 // number of this instance's attempts in flight
 	firstSentAt time.Duration
-	mayHaveRun  bool // an attempt that has ended may have run, or another instance has announced one
+	mayHaveRun  bool // an attempt that has ended may have run, or another instance has announced the key
 }
 
 type keyExpiration struct {
@@ -47,8 +47,8 @@
 	return uint16(len(l.siteNames) - 1)
 }
 
-// expire drops the entries whose retention has passed. An entry gets a later expiration if the retention has grown
-// since it was added.
+// expire drops the entries whose retention has passed. If the retention has grown since an entry was added, the entry
+// gets a later expiration.
 func (l *keyLedger) expire(now, retention time.Duration) {
 	done := 0
 	for end := len(l.expirations); done < end && l.expirations[done].dueAt <= now; done++ {
--- a/multisite/key_lifetimes.go
+++ b/multisite/key_lifetimes.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// lifetimes are a key TTL and a deduplication window that were in force before.
+// lifetimes are previous values of the key TTL and the deduplication window.
 type lifetimes struct {
 	keyTTL              time.Duration
 	deduplicationWindow time.Duration
-	until               time.Duration // until which they have to be considered
+	until               time.Duration // time until which they still apply
 }
 
-// SetLifetimes changes how long clients repeat keys and how long sites remember them. A longer TTL and a shorter
-// deduplication window apply at once; the previous ones also apply until nothing that was sent under them can arrive
-// any more. Other instances may change later: each announces its own TTL, and the longest applies. Values that are
-// not above 0 are ignored.
+// SetLifetimes changes how long clients repeat keys and how long sites drop the repeats. A longer TTL and a shorter
+// deduplication window apply at once. The previous values also apply until no request that was sent under them can
+// arrive any more. Other instances may adopt the new values later: each announces its own TTL, and the longest applies.
+// Values that are not above 0 are ignored.
 func (k *KeyTable) SetLifetimes(now, keyTTL, deduplicationWindow time.Duration) {
 	if keyTTL <= 0 || deduplicationWindow <= 0 {
 		return
@@ -42,7 +42,7 @@
 	return ttl
 }
 
-// maxKeyTTL returns the longest TTL of all instances that have announced theirs.
+// maxKeyTTL returns the longest key TTL of this instance and of all others that have announced theirs.
 func (k *KeyTable) maxKeyTTL(now time.Duration) time.Duration {
 	ttl := k.ownKeyTTL(now)
 	for _, p := range k.peers {
@@ -51,7 +51,7 @@
 	return ttl
 }
 
-// minDeduplicationWindow returns for how long every site is certain to remember a key.
+// minDeduplicationWindow returns the time for which every site is certain to drop repeats of a key.
 func (k *KeyTable) minDeduplicationWindow() time.Duration {
 	window := k.cfg.DeduplicationWindow
 	for _, l := range k.previousLifetimes {
@@ -60,8 +60,8 @@
 	return window
 }
 
-// retention returns for how long a key stays in the ledger: while its site remembers it and, after that, as long as its
-// client may repeat it.
+// retention returns the time for which a key stays in the ledger: while its site drops repeats and, after that, for as
+// long as its client may repeat it.
 func (k *KeyTable) retention(now time.Duration) time.Duration {
 	window := k.cfg.DeduplicationWindow
 	for _, l := range k.previousLifetimes {
--- a/multisite/key_messages.go
+++ b/multisite/key_messages.go
@@ -10,24 +10,24 @@
 	From              uint64               `json:"From"`
 	Incarnation       uint64               `json:"Incarnation"`
 	SequenceNumber    uint64               `json:"Seq"`               // counts from 1
-	Uptime            time.Duration        `json:"Age"`               // of the sender's process
-	Epoch             uint64               `json:"Epoch"`             // the sender routes by no older one after this
-	SentKeys          []SentKey            `json:"Sent"`              // since the previous message
-	HasUnrecordedKeys bool                 `json:"Full"`              // it has sent keys while its ledger was full
-	KeyTTL            time.Duration        `json:"Life"`              // longest of the keys that it has sent recently
-	Views             []SiteView           `json:"Views,omitempty"`   // see [HealthMonitor]; nil: unchanged
-	Ramp              *RampMessage         `json:"Ramp,omitempty"`    // nil: unchanged
-	Confirmation      *ConfirmationMessage `json:"Consent,omitempty"` // nil: unchanged
+	Uptime            time.Duration        `json:"Age"`               // uptime of the sender's process
+	Epoch             uint64               `json:"Epoch"`             // the sender no longer routes by an older epoch
+	SentKeys          []SentKey            `json:"Sent"`              // keys sent since the previous message
+	HasUnrecordedKeys bool                 `json:"Full"`              // keys were sent while the ledger was full
+	KeyTTL            time.Duration        `json:"Life"`              // longest TTL of the keys sent recently
+	Views             []SiteView           `json:"Views,omitempty"`   // for a [HealthMonitor]; nil if unchanged
+	Ramp              *RampMessage         `json:"Ramp,omitempty"`    // nil if unchanged
+	Confirmation      *ConfirmationMessage `json:"Consent,omitempty"` // nil if unchanged
 }
 
-// SentKey is a key that may have run.
+// SentKey is a key that may have run at a site.
 type SentKey struct {
 	Key            uint64        `json:"Key"`
 	Site           string        `json:"Hall"`
 	SinceFirstSend time.Duration `json:"Ago"`
 }
 
-// peer is what another instance has announced.
+// peer is the state that another instance has announced.
 type peer struct {
 	incarnation       uint64
 	sequenceNumber    uint64
@@ -37,15 +37,15 @@
 	keyTTL            time.Duration
 }
 
-// NextBroadcast returns the next message to all other instances, with at most maxSentKeys keys, and whether another one
-// has to follow at once. It must be called regularly even if nothing was sent: other instances wait for the message
-// before they route by a new epoch.
+// NextBroadcast returns the next message to all other instances, with at most maxSentKeys keys, and whether another
+// message has to follow at once. It must be called regularly even if no key was sent: other instances wait for the
+// message before they route by a new epoch.
 func (k *KeyTable) NextBroadcast(now time.Duration, maxSentKeys int) (m Message, more bool) {
 	k.expire(now)
 	k.lastSequenceNumber++
 	count := min(len(k.unannounced), maxSentKeys)
 	more = count < len(k.unannounced)
-	if !more && k.epoch != nil { // only after all keys that were sent before the epoch
+	if !more && k.epoch != nil { // the epoch is announced only after all keys that were sent before it
 		k.announcedEpoch = k.epoch.Number
 	}
 	m = Message{
@@ -55,14 +55,14 @@
 		Uptime:            now - k.startedAt,
 		Epoch:             k.announcedEpoch,
 		SentKeys:          k.sentKeys(now, k.unannounced[:count]),
-		HasUnrecordedKeys: now < k.unrecordedUntil,
+		HasUnrecordedKeys: now < k.unrecordedKeysExpireAt,
 		KeyTTL:            k.ownKeyTTL(now),
 	}
 	k.unannounced = append([]uint64(nil), k.unannounced[count:]...)
 	return m, more
 }
 
-// sentKeys returns those of some keys that are still in the ledger.
+// sentKeys returns the given keys that are still in the ledger, with their sites.
 func (k *KeyTable) sentKeys(now time.Duration, keys []uint64) (sent []SentKey) {
 	for _, key := range keys {
 		if entry, isKnown := k.ledger.entries[key]; isKnown {
@@ -74,13 +74,13 @@
 
 func (k *KeyTable) isUnannounced(key uint64) bool { return slices.Contains(k.unannounced, key) }
 
-// Receive handles another instance's message. A message that is reordered, repeated or of an older process is ignored.
-// After a missing message, the keys announced before are no longer complete.
+// Receive handles another instance's message. A message that is reordered, repeated or from an older process is
+// ignored. If messages are missing, the sender's announced keys are complete only from this message on.
 func (k *KeyTable) Receive(now time.Duration, m Message) {
 	if m.From == k.cfg.InstanceID {
 		return
 	}
-	p := k.acceptFrom(now, m)
+	p := k.acceptMessage(now, m)
 	if p == nil {
 		return
 	}
@@ -94,8 +94,9 @@
 	}
 }
 
-// acceptFrom returns the sender of a message after checking for missing messages; nil if the message has to be ignored.
-func (k *KeyTable) acceptFrom(now time.Duration, m Message) *peer {
+// acceptMessage checks whether messages before this one are missing and returns the state of its sender, or nil if the
+// message has to be ignored.
+func (k *KeyTable) acceptMessage(now time.Duration, m Message) *peer {
 	p := k.peers[m.From]
 	switch {
 	case p == nil || m.Incarnation > p.incarnation:
@@ -112,7 +113,7 @@
 	return p
 }
 
-// recordAnnounced records a key that another instance has sent. While the ledger is full, it counts as a missing
+// recordAnnounced records a key that another instance has sent. If the ledger is full, the key counts as a missing
 // message.
 func (k *KeyTable) recordAnnounced(now time.Duration, p *peer, sent SentKey) {
 	entry, isKnown := k.ledger.entries[sent.Key]
--- a/multisite/key_routing.go
+++ b/multisite/key_routing.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// shortRetryDelay is the RetryAfter where a confirmation or a broadcast may make routing possible at any moment.
+// shortRetryDelay is the RetryAfter of a request that a pending confirmation or broadcast may allow at any moment.
 const shortRetryDelay = 100 * time.Millisecond
 
-// RoutingDecision is the site that a request may go to, or why there is none.
+// RoutingDecision is the site that a request may be sent to, or the reason why it must not be sent.
 type RoutingDecision struct {
-	Site       string        // empty: nowhere
-	RetryAfter time.Duration // without a site: after which a retry may succeed; 0: never
-	Reason     string        // without a site: why, for the access log
+	Site       string        // empty if the request must not be sent
+	RetryAfter time.Duration // if Site is empty: delay after which a retry may succeed; 0 if no retry can
+	Reason     string        // if Site is empty: why the request must not be sent, for the access log
 }
 
-// Route decides where a request with a key may go now, so that the key never runs at two sites. Nothing is routed by an
-// epoch that does not list this instance or whose lease has ended: newer key owners may be agreed on.
-// [KeyTable.BeginAttempt] repeats the decision before each attempt.
+// Route decides to which site a request with a key may be sent now, so that the key never runs at two sites. No request
+// is routed by an epoch that does not list this instance or whose lease has ended: a newer epoch with other key owners
+// may have been agreed on. [KeyTable.BeginAttempt] repeats the decision before each attempt.
 func (k *KeyTable) Route(now time.Duration, key uint64) RoutingDecision {
 	switch {
 	case k.epoch == nil || !slices.Contains(k.epoch.Instances, k.cfg.InstanceID):
@@ -32,8 +32,8 @@
 	return k.routeNewKey(now, key)
 }
 
-// routeSentKey routes a key that may have run: to the same site, as long as that drops repeats of it and takes keys,
-// or nowhere.
+// routeSentKey routes a key that may have run: to the same site, as long as that site drops repeats of the key and is
+// open, or else to none.
 func (k *KeyTable) routeSentKey(now time.Duration, entry ledgerEntry) RoutingDecision {
 	site := k.ledger.siteNames[entry.site]
 	switch {
@@ -48,9 +48,9 @@
 	return RoutingDecision{Site: site}
 }
 
-// routeNewKey routes a key that is not in the ledger: to its owner, once no other site can have run it by a previous
-// epoch. That is so when the epoch had the same owner, when all instances have announced what they sent by it, or when
-// a lease and the longest key TTL have passed since its end.
+// routeNewKey routes a key that is not in the ledger: to its owner, once no other site can have run it under a previous
+// epoch. This holds if the key had the same owner in that epoch, if all instances have announced the keys that they
+// sent under it, or if LeaseTTL and the longest key TTL have passed since it ended.
 func (k *KeyTable) routeNewKey(now time.Duration, key uint64) RoutingDecision {
 	owner := k.epoch.owner(key)
 	if owner == "" {
--- a/multisite/key_simulation_test.go
+++ b/multisite/key_simulation_test.go
@@ -10,9 +10,9 @@
 	"mulleinmux/internal/seedtest"
 )
 
-// The simulation: instances with their key tables, sites that remember keys for a while, clients that repeat keys at
-// any instance, an agreement on epochs, and faults by a seed. After each event it is checked that no key was executed
-// at two sites.
+// The simulation has instances with their key tables, sites that drop repeated keys for a while, clients that repeat
+// keys at any instance, an agreement on epochs, and faults that follow from a seed. At each execution it checks that
+// the key was not executed before.
 
 const (
 	testLeaseTTL            = 500 * time.Millisecond
@@ -20,11 +20,11 @@
 	testDeduplicationWindow = 4 * time.Second
 
 	simulationLength   = 33 * time.Second
-	simulationFaultEnd = 24 * time.Second // then all heals
-	recoveryTimeout    = 6 * time.Second  // beyond a lease, after which all must be served again
-	simulationDrain    = 5 * time.Second  // after the last client has begun
+	simulationFaultEnd = 24 * time.Second // when all faults end
+	recoveryTimeout    = 6 * time.Second  // time after the faults, in addition to a lease, until all requests are served
+	simulationDrain    = 5 * time.Second  // time for which the simulation continues after the last client has started
 	broadcastInterval  = 20 * time.Millisecond
-	clientMargin       = 100 * time.Millisecond // before the TTL's end, at which a client gives up
+	clientMargin       = 100 * time.Millisecond // a client gives up this long before the TTL ends
 	maxClientAttempts  = 8
 	keyMultiplier      = 0x9e3779b97f4a7c15 // spreads consecutive numbers over all keys
 )
@@ -33,51 +33,51 @@
 	id            uint64
 	table         *KeyTable
 	incarnation   uint64
-	epoch         int           // applied, as an index of the agreed ones
-	isPartitioned bool          // from the agreement and the others
-	isDown        bool          // its process is dead
-	pausedUntil   time.Duration // it does nothing until then
-	skew          time.Duration // its clock's offset
+	epoch         int           // index of the last agreed epoch that it has installed; -1 if none
+	isPartitioned bool          // cut off from the agreement and from the other instances
+	isDown        bool          // its process has been killed
+	pausedUntil   time.Duration // time until which its process is stopped
+	skew          time.Duration // offset of its clock
 }
 
-// runs reports whether a process of the instance still runs.
-func (i *simulatedInstance) runs(incarnation uint64) bool {
+// isRunning reports whether the given process of the instance is still running.
+func (i *simulatedInstance) isRunning(incarnation uint64) bool {
 	return !i.isDown && i.incarnation == incarnation
 }
 
 type keySimulation struct {
-	t          testing.TB
-	seed       uint64
-	rng        *rand.Rand
-	now        time.Duration
-	queue      eventqueue.Queue
-	eventCount int
-	instances  []*simulatedInstance
-	agreed     []OwnershipEpoch
-	keyTTLs    []time.Duration                     // by agreed epoch
-	remembered map[string]map[uint64]time.Duration // by site: keys, since when
-	executedAt map[uint64]string                   // site of a key's execution
-	maxKeys    int
+	t                    testing.TB
+	seed                 uint64
+	rng                  *rand.Rand
+	now                  time.Duration
+	queue                eventqueue.Queue
+	eventCount           int
+	instances            []*simulatedInstance
+	agreed               []OwnershipEpoch
+	keyTTLs              []time.Duration                     // by agreed epoch
+	deduplicationEntries map[string]map[uint64]time.Duration // by site and key: time of the last execution
+	executionSite        map[uint64]string                   // site of a key's execution
+	maxKeys              int
 
 	servedCount       int
 	rejectedCount     int
-	lateRejectedCount int           // though all had healed long ago
-	healedAt          time.Duration // when the last fault ended; 0: it has not
+	lateRejectedCount int           // rejected later than a lease and recoveryTimeout after faultsEndedAt
+	faultsEndedAt     time.Duration // when the last fault ended; 0 if faults still occur
 }
 
 func newKeySimulation(t testing.TB, seed uint64) *keySimulation {
 	s := &keySimulation{
-		t:          t,
-		seed:       seed,
-		rng:        rand.New(rand.NewPCG(seed, 3)),
-		remembered: map[string]map[uint64]time.Duration{"a": {}, "b": {}},
-		executedAt: map[uint64]string{},
-		maxKeys:    1 << 20,
-		agreed:     []OwnershipEpoch{{Number: 1, Sites: openSites("a", "b"), Instances: []uint64{1, 2, 3, 4}}},
-		keyTTLs:    []time.Duration{testKeyTTL},
+		t:                    t,
+		seed:                 seed,
+		rng:                  rand.New(rand.NewPCG(seed, 3)),
+		deduplicationEntries: map[string]map[uint64]time.Duration{"a": {}, "b": {}},
+		executionSite:        map[uint64]string{},
+		maxKeys:              1 << 20,
+		agreed:               []OwnershipEpoch{{Number: 1, Sites: openSites("a", "b"), Instances: []uint64{1, 2, 3, 4}}},
+		keyTTLs:              []time.Duration{testKeyTTL},
 	}
 	if seed%5 == 0 {
-		s.maxKeys = 40 // the ledger fills up
+		s.maxKeys = 40 // so few that the ledger fills up
 	}
 	for id := uint64(1); id <= 4; id++ {
 		i := &simulatedInstance{id: id, epoch: -1, skew: time.Duration(s.rng.Int64N(int64(2 * time.Hour)))}
@@ -92,7 +92,7 @@
 	s.queue.Push(eventqueue.Event{At: s.now + max(delay, 0), Order: s.eventCount, Run: run})
 }
 
-func (s *keySimulation) between(a, b time.Duration) time.Duration {
+func (s *keySimulation) randomDuration(a, b time.Duration) time.Duration {
 	return a + time.Duration(s.rng.Int64N(int64(b-a)))
 }
 
@@ -119,19 +119,19 @@
 		s.t.Fatal(err)
 	}
 	i.table, i.epoch, i.isDown = table, -1, false
-	s.learnEpochs(i, i.incarnation)
+	s.installEpochs(i, i.incarnation)
 	s.broadcast(i, i.incarnation)
 }
 
-// learnEpochs has a process install agreed epochs and have them confirmed, again and again.
-func (s *keySimulation) learnEpochs(i *simulatedInstance, incarnation uint64) {
-	if !i.runs(incarnation) {
+// installEpochs makes a process install agreed epochs and confirm them, repeatedly.
+func (s *keySimulation) installEpochs(i *simulatedInstance, incarnation uint64) {
+	if !i.isRunning(incarnation) {
 		return
 	}
 	if requestedAt := s.clock(i); !i.isPartitioned && !s.isPaused(i) {
 		latest := len(s.agreed) - 1
-		s.after(s.between(time.Millisecond, 30*time.Millisecond), func() {
-			if !i.runs(incarnation) || s.isPaused(i) {
+		s.after(s.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
+			if !i.isRunning(incarnation) || s.isPaused(i) {
 				return
 			}
 			for ; i.epoch < latest; i.epoch++ {
@@ -141,12 +141,12 @@
 			i.table.ConfirmEpoch(requestedAt)
 		})
 	}
-	s.after(s.between(40*time.Millisecond, 80*time.Millisecond), func() { s.learnEpochs(i, incarnation) })
+	s.after(s.randomDuration(40*time.Millisecond, 80*time.Millisecond), func() { s.installEpochs(i, incarnation) })
 }
 
-// broadcast has a process send its messages to the others, again and again; some are lost.
+// broadcast makes a process send its messages to the other instances, repeatedly. Some messages are lost.
 func (s *keySimulation) broadcast(i *simulatedInstance, incarnation uint64) {
-	if !i.runs(incarnation) {
+	if !i.isRunning(incarnation) {
 		return
 	}
 	if !s.isPaused(i) {
@@ -156,7 +156,7 @@
 			if to == i || isLost || i.isPartitioned {
 				continue
 			}
-			s.after(s.between(time.Millisecond, 20*time.Millisecond), func() {
+			s.after(s.randomDuration(time.Millisecond, 20*time.Millisecond), func() {
 				if !to.isDown && !to.isPartitioned && !s.isPaused(to) && i.incarnation == incarnation {
 					to.table.Receive(s.clock(to), m)
 				}
@@ -166,7 +166,7 @@
 	s.after(broadcastInterval, func() { s.broadcast(i, incarnation) })
 }
 
-// simulatedClient tries a key at one instance after the other, within its TTL.
+// simulatedClient sends a key to one instance after the other, within the key's TTL.
 type simulatedClient struct {
 	*keySimulation
 	key   uint64
@@ -174,7 +174,7 @@
 }
 
 func (s *keySimulation) startClient(key uint64) {
-	// It goes by what any instance has in force.
+	// The client uses the key TTL that is in force at some instance.
 	c := &simulatedClient{s, key, s.now + testKeyTTL - clientMargin}
 	if i := s.anyInstance(); i.epoch >= 0 {
 		c.until = s.now + s.keyTTLs[i.epoch] - clientMargin
@@ -182,78 +182,78 @@
 	c.attempt(maxClientAttempts)
 }
 
-func (c *simulatedClient) retry(left int) {
-	c.after(c.between(time.Millisecond, 400*time.Millisecond), func() { c.attempt(left - 1) })
+func (c *simulatedClient) retry(attemptsLeft int) {
+	c.after(c.randomDuration(time.Millisecond, 400*time.Millisecond), func() { c.attempt(attemptsLeft - 1) })
 }
 
-func (c *simulatedClient) attempt(left int) {
-	if left == 0 || c.now >= c.until {
+func (c *simulatedClient) attempt(attemptsLeft int) {
+	if attemptsLeft == 0 || c.now >= c.until {
 		return
 	}
 	i := c.anyInstance()
 	if i.isDown || c.isPaused(i) {
-		c.retry(left)
+		c.retry(attemptsLeft)
 		return
 	}
 	d := i.table.Route(c.clock(i), c.key)
 	if d.Site == "" {
 		c.rejectedCount++
-		if c.healedAt > 0 && c.now > c.healedAt+testLeaseTTL+recoveryTimeout {
+		if c.faultsEndedAt > 0 && c.now > c.faultsEndedAt+testLeaseTTL+recoveryTimeout {
 			c.lateRejectedCount++
 		}
-		c.retry(left)
+		c.retry(attemptsLeft)
 		return
 	}
-	// The engine takes its time to select a server; the attempt may no longer be admitted.
+	// The selection of a server takes time; after it, the attempt may no longer be allowed.
 	table, incarnation := i.table, i.incarnation
-	c.after(c.between(0, 20*time.Millisecond), func() {
-		if !i.runs(incarnation) || c.isPaused(i) || !table.BeginAttempt(c.clock(i), c.key, d.Site) {
-			c.retry(left)
+	c.after(c.randomDuration(0, 20*time.Millisecond), func() {
+		if !i.isRunning(incarnation) || c.isPaused(i) || !table.BeginAttempt(c.clock(i), c.key, d.Site) {
+			c.retry(attemptsLeft)
 			return
 		}
-		c.send(left, i, incarnation, d.Site)
+		c.send(attemptsLeft, i, incarnation, d.Site)
 	})
 }
 
-// send writes an attempt to a site: it is lost on the way, answered, or its answer is lost.
-func (c *simulatedClient) send(left int, i *simulatedInstance, incarnation uint64, site string) {
+// send sends an attempt to a site. The request or its answer may be lost.
+func (c *simulatedClient) send(attemptsLeft int, i *simulatedInstance, incarnation uint64, site string) {
 	table := i.table
-	fate := c.rng.Float64()
-	c.after(c.between(0, 300*time.Millisecond), func() {
-		hasRun := fate > 0.1 && c.now < c.until+clientMargin // the site drops what has expired
+	outcome := c.rng.Float64()
+	c.after(c.randomDuration(0, 300*time.Millisecond), func() {
+		hasRun := outcome > 0.1 && c.now < c.until+clientMargin // the site drops an expired request
 		if hasRun {
 			c.execute(site, c.key)
 		}
-		c.after(c.between(0, 200*time.Millisecond), func() {
-			if i.runs(incarnation) {
-				table.EndAttempt(c.key, !hasRun && fate > 0.05)
+		c.after(c.randomDuration(0, 200*time.Millisecond), func() {
+			if i.isRunning(incarnation) {
+				table.EndAttempt(c.key, !hasRun && outcome > 0.05)
 			}
-			if hasRun && fate > 0.3 {
+			if hasRun && outcome > 0.3 {
 				c.servedCount++
 			} else {
-				c.retry(left)
+				c.retry(attemptsLeft)
 			}
 		})
 	})
 }
 
-// execute has a site execute a request, unless it remembers its key.
+// execute makes a site execute a request, unless the site still drops repeats of its key.
 func (s *keySimulation) execute(site string, key uint64) {
-	if at, ok := s.remembered[site][key]; ok && s.now-at < testDeduplicationWindow {
+	if at, ok := s.deduplicationEntries[site][key]; ok && s.now-at < testDeduplicationWindow {
 		return
 	}
-	s.remembered[site][key] = s.now
-	if before, ok := s.executedAt[key]; ok {
-		s.t.Errorf("seed %d, %v: key %d was executed at %s and at %s", s.seed, s.now, key, before, site)
+	s.deduplicationEntries[site][key] = s.now
+	if before, ok := s.executionSite[key]; ok {
+		s.t.Errorf("seed %d, at %v: key %d was executed at %s and at %s", s.seed, s.now, key, before, site)
 		return
 	}
-	s.executedAt[key] = site
+	s.executionSite[key] = site
 }
 
-// injectFaults changes epochs and breaks things, again and again.
+// injectFaults changes the epoch, or partitions, pauses or kills an instance, repeatedly.
 func (s *keySimulation) injectFaults() {
 	if s.now > simulationFaultEnd {
-		s.heal()
+		s.endFaults()
 		return
 	}
 	i := s.anyInstance()
@@ -263,22 +263,22 @@
 		s.injectSecondFault(i)
 	case x < 0.55:
 		s.partition(i)
-	case x < 0.7: // a pause; what the instance resumes with is old
-		i.pausedUntil = s.now + s.between(100*time.Millisecond, 3*time.Second)
+	case x < 0.7: // a pause; the instance resumes with outdated state
+		i.pausedUntil = s.now + s.randomDuration(100*time.Millisecond, 3*time.Second)
 	case x < 0.85 && !i.isDown:
 		i.isDown = true
-		s.restartAfter(i, s.between(50*time.Millisecond, 3*time.Second))
+		s.restartAfter(i, s.randomDuration(50*time.Millisecond, 3*time.Second))
 	}
-	s.after(s.between(100*time.Millisecond, 2*time.Second), s.injectFaults)
+	s.after(s.randomDuration(100*time.Millisecond, 2*time.Second), s.injectFaults)
 }
 
-// agreeOnEpoch opens and closes sites and may change the keys' TTL.
+// agreeOnEpoch agrees on an epoch that opens and closes sites, and may change the keys' TTL.
 func (s *keySimulation) agreeOnEpoch() {
 	last := s.agreed[len(s.agreed)-1]
 	sites := []Site{s.randomSite("a"), s.randomSite("b")}
 	s.agreed = append(s.agreed, OwnershipEpoch{last.Number + 1, sites, last.Instances})
 	ttl := s.keyTTLs[len(s.keyTTLs)-1]
-	if s.rng.Float64() < 0.4 { // the longest is longer than sites remember
+	if s.rng.Float64() < 0.4 { // the longest TTL exceeds the deduplication window
 		ttl = []time.Duration{testKeyTTL, 3500 * time.Millisecond, 5 * time.Second}[s.rng.IntN(3)]
 	}
 	s.keyTTLs = append(s.keyTTLs, ttl)
@@ -289,12 +289,12 @@
 	return Site{name, isOpen, max(s.rng.IntN(16)-8, 0)}
 }
 
-// injectSecondFault: what makes a site close may strike an instance as well.
+// injectSecondFault may kill or partition an instance: the fault that closes a site may affect an instance as well.
 func (s *keySimulation) injectSecondFault(i *simulatedInstance) {
 	switch y := s.rng.Float64(); {
 	case y < 0.25 && !i.isDown:
-		s.after(s.between(0, 100*time.Millisecond), func() { i.isDown = true })
-		s.restartAfter(i, s.between(110*time.Millisecond, 600*time.Millisecond))
+		s.after(s.randomDuration(0, 100*time.Millisecond), func() { i.isDown = true })
+		s.restartAfter(i, s.randomDuration(110*time.Millisecond, 600*time.Millisecond))
 	case y < 0.5:
 		s.partition(i)
 	}
@@ -302,7 +302,7 @@
 
 func (s *keySimulation) partition(i *simulatedInstance) {
 	i.isPartitioned = true
-	s.after(s.between(100*time.Millisecond, 4*time.Second), func() { i.isPartitioned = false })
+	s.after(s.randomDuration(100*time.Millisecond, 4*time.Second), func() { i.isPartitioned = false })
 }
 
 func (s *keySimulation) restartAfter(i *simulatedInstance, delay time.Duration) {
@@ -313,9 +313,9 @@
 	})
 }
 
-// heal ends all faults; both sites are open from here on.
-func (s *keySimulation) heal() {
-	s.healedAt = s.now
+// endFaults ends all faults. Both sites are open from then on.
+func (s *keySimulation) endFaults() {
+	s.faultsEndedAt = s.now
 	for _, i := range s.instances {
 		i.isPartitioned, i.pausedUntil = false, 0
 		if i.isDown {
@@ -337,16 +337,16 @@
 	}
 }
 
-// startClients starts a client with a key of a number, and the next ones after it.
+// startClients starts a client with the key of the given number, and later the clients of the following numbers.
 func (s *keySimulation) startClients(number uint64) {
 	s.startClient(number * keyMultiplier)
 	if s.now < simulationLength {
-		s.after(s.between(time.Millisecond, 20*time.Millisecond), func() { s.startClients(number + 1) })
+		s.after(s.randomDuration(time.Millisecond, 20*time.Millisecond), func() { s.startClients(number + 1) })
 	}
 }
 
-// TestKeySimulationSeeds checks over 1,000 seeds that no key is executed at two sites, and that all are served again
-// soon after the last fault.
+// TestKeySimulationSeeds checks over 1,000 seeds that no key is executed at two sites, and that all requests are served
+// again soon after the last fault.
 func TestKeySimulationSeeds(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(1000)
@@ -358,10 +358,10 @@
 		s := newKeySimulation(t, seed)
 		s.run()
 		if s.servedCount < 300 {
-			t.Errorf("seed %d: %d served", seed, s.servedCount)
+			t.Errorf("seed %d: %d requests served, want at least 300", seed, s.servedCount)
 		}
 		if s.lateRejectedCount > 0 && s.maxKeys > 1000 {
-			t.Errorf("seed %d: %d rejected after all had healed", seed, s.lateRejectedCount)
+			t.Errorf("seed %d: %d requests rejected after the faults and recoveryTimeout, want none", seed, s.lateRejectedCount)
 		}
 		return requestCounts{s.servedCount, s.rejectedCount}
 	})
@@ -372,15 +372,15 @@
 	t.Logf("%d seeds: %d served, %d rejected", seeds, served, rejected)
 }
 
-// TestKeySimulationIsDeterministic: the same seed gives the same run.
+// TestKeySimulationIsDeterministic checks that two runs with the same seed have the same results.
 func TestKeySimulationIsDeterministic(t *testing.T) {
 	t.Parallel()
 	figures := func() string {
 		s := newKeySimulation(t, 17)
 		s.run()
-		return fmt.Sprint(s.servedCount, s.rejectedCount, len(s.executedAt), s.eventCount)
+		return fmt.Sprint(s.servedCount, s.rejectedCount, len(s.executionSite), s.eventCount)
 	}
 	if a, b := figures(), figures(); a != b {
-		t.Errorf("%s, then %s", a, b)
+		t.Errorf("two runs with the same seed differ: %s and %s", a, b)
 	}
 }
--- a/multisite/key_table.go
+++ b/multisite/key_table.go
@@ -8,8 +8,8 @@
 // KeyConfig configures a [KeyTable].
 type KeyConfig struct {
 	InstanceID  uint64
-	Incarnation uint64        // of this process: above those of its predecessors
-	LeaseTTL    time.Duration // for which keys may be routed by an epoch after its confirmation
+	Incarnation uint64        // number of this process, above those of its predecessors
+	LeaseTTL    time.Duration // time after the confirmation of an epoch for which keys may be routed by it
 
 	// KeyTTL is the time from a client's first attempt with a key until no repeat can arrive any more.
 	// DeduplicationWindow is the time for which a site drops repeats, from the first attempt that may have run.
@@ -17,7 +17,7 @@
 	KeyTTL              time.Duration
 	DeduplicationWindow time.Duration
 
-	MaxKeys int // in the ledger
+	MaxKeys int // maximum number of keys in the ledger
 }
 
 // KeyTable routes keyed requests at one instance. As long as each instance calls BeginAttempt before each attempt and
@@ -28,14 +28,14 @@
 	cfg       KeyConfig
 	startedAt time.Duration
 
-	epoch           *OwnershipEpoch // in force; nil: none yet
+	epoch           *OwnershipEpoch // epoch in force; nil if there is none yet
 	previousEpochs  []previousEpoch
 	confirmationAt  time.Duration // when the newest confirmation of the epoch was requested
 	hasConfirmation bool
 
-	ledger            keyLedger
-	unrecordedUntil   time.Duration // until then, keys sent while the ledger was full may be repeated
-	previousLifetimes []lifetimes   // that still apply
+	ledger                 keyLedger
+	unrecordedKeysExpireAt time.Duration // until then, clients may repeat keys that were sent while the ledger was full
+	previousLifetimes      []lifetimes   // previous values that still apply
 
 	peers              map[uint64]*peer
 	unannounced        []uint64 // sent keys that have not been broadcast yet
@@ -76,7 +76,7 @@
 		entry.inFlight++
 		k.ledger.entries[key] = entry
 	case k.ledger.isFull():
-		return k.beginUnrecorded(now)
+		return k.beginUnrecordedAttempt(now)
 	default:
 		entry = ledgerEntry{site: k.ledger.siteIndex(site), inFlight: 1, firstSentAt: now}
 		k.ledger.add(key, entry, now+k.retention(now))
@@ -85,20 +85,20 @@
 	return true
 }
 
-// beginUnrecorded reports whether a key may be sent while the ledger is full. It may as long as its owner does not
-// change; after a change, all instances wait until no client can repeat it. If a site might forget the key while its
-// client still repeats it, it must not be sent.
-func (k *KeyTable) beginUnrecorded(now time.Duration) bool {
+// beginUnrecordedAttempt reports whether a key may be sent although the ledger is too full to record it. This is safe
+// while the key's owner does not change; after a change, all instances wait until no client can repeat the key. If a
+// site might stop dropping repeats of the key while its client still repeats it, the key must not be sent.
+func (k *KeyTable) beginUnrecordedAttempt(now time.Duration) bool {
 	if k.minDeduplicationWindow() < k.maxKeyTTL(now) {
 		return false
 	}
-	k.unrecordedUntil = now + k.maxKeyTTL(now)
+	k.unrecordedKeysExpireAt = now + k.maxKeyTTL(now)
 	return true
 }
 
 // EndAttempt records the outcome of an attempt that [KeyTable.BeginAttempt] allowed. A key that never ran is
-// dropped, unless another attempt may have run or it has been announced to other instances: these route it to that
-// site only, and so must this one.
+// dropped, unless another attempt may have run or the key has been announced to other instances: those route it to that
+// site only, and so must this instance.
 func (k *KeyTable) EndAttempt(key uint64, neverRan bool) {
 	entry, isKnown := k.ledger.entries[key]
 	if !isKnown || entry.inFlight == 0 {
--- a/multisite/key_table_test.go
+++ b/multisite/key_table_test.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// An instance alone does not know what the process before it sent: it waits until no client repeats that. A key past a
-// site's deduplication window is not sent again. A key that never ran may move.
+// After its start, an instance must not route a key until no client can repeat a key that the previous process sent. A
+// key past its site's deduplication window is not sent again. A key that never ran may move to another site.
 func TestKeyTableOfOneInstance(t *testing.T) {
 	k, epoch := newTestKeyTable(t, 1, 1)
 	now := testLeaseTTL / 2
 	k.ConfirmEpoch(now)
 	if d := k.Route(now, 7); d.Site != "" || d.RetryAfter <= 0 {
-		t.Errorf("right after its start: %+v", d)
+		t.Errorf("right after the start: got %+v, want no site and a retry delay", d)
 	}
 	now = testKeyTTL + time.Millisecond
 	k.ConfirmEpoch(now)
 	d := k.Route(now, 7)
 	if d.Site == "" || !k.BeginAttempt(now, 7, d.Site) {
-		t.Fatalf("%+v", d)
+		t.Fatalf("attempt after the key TTL was not allowed: %+v", d)
 	}
 	other := map[string]string{"a": "b", "b": "a"}[d.Site]
 	if k.BeginAttempt(now, 7, other) {
-		t.Error("the key is admitted at the other site")
+		t.Error("an attempt at the other site was allowed")
 	}
 	k.EndAttempt(7, true)
 	if k.Len() != 0 {
-		t.Error("a key that never ran is remembered")
+		t.Error("a key that never ran is still in the ledger")
 	}
 	k.BeginAttempt(now, 7, d.Site)
 	k.EndAttempt(7, false)
 	now += testDeduplicationWindow + time.Millisecond
 	k.ConfirmEpoch(now)
 	if d := k.Route(now, 7); d.Site != "" {
-		t.Errorf("past its site's deduplication window: %+v", d)
+		t.Errorf("key past its site's deduplication window: got %+v, want no site", d)
 	}
 	epoch.Number, epoch.Sites = 2, []Site{{Name: d.Site}, {Name: other, IsOpen: true}}
 	k.InstallEpoch(now, epoch)
 	k.ConfirmEpoch(now)
 	if d := k.Route(now, 7); d.Site != "" {
-		t.Errorf("a key that may have run at a closed site: %+v", d)
+		t.Errorf("key that may have run at a closed site: got %+v, want no site", d)
 	}
 	k.InstallEpoch(now, OwnershipEpoch{Number: 1})
 	if k.epoch.Number != 2 {
-		t.Error("an older epoch is installed")
+		t.Error("an epoch older than the one in force was installed")
 	}
 }
 
 func TestNewKeyTableRejectsConfig(t *testing.T) {
 	for _, cfg := range []KeyConfig{{}, {LeaseTTL: 1, KeyTTL: 2, MaxKeys: 1}} {
 		if _, err := NewKeyTable(cfg, 0); err == nil {
-			t.Errorf("%+v is accepted", cfg)
+			t.Errorf("NewKeyTable accepted the invalid configuration %+v", cfg)
 		}
 	}
 }
 
-// An instance that starts does not know which epochs were in force before: another that it can't hear may still send by
-// those, and its clients come here.
+// An instance that starts has no record of the epochs that were in force before. An instance whose messages it does not
+// receive may still send by those epochs, and the clients of that instance may retry at this one.
 func TestKeyTableAfterStart(t *testing.T) {
 	k, _ := newTestKeyTable(t, 1, 1, 2)
 	for _, now := range []time.Duration{
@@ -65,17 +65,17 @@
 	} {
 		k.ConfirmEpoch(now)
 		if d := k.Route(now, 7); d.Site != "" || d.RetryAfter <= 0 {
-			t.Errorf("%v after its start: %+v", now, d)
+			t.Errorf("%v after the start: got %+v, want no site and a retry delay", now, d)
 		}
 	}
 	now := testLeaseTTL + testKeyTTL + time.Millisecond
 	k.ConfirmEpoch(now)
 	if d := k.Route(now, 7); d.Site == "" {
-		t.Errorf("when nothing of other epochs can arrive any more: %+v", d)
+		t.Errorf("after no key of earlier epochs can arrive any more: got %+v, want a site", d)
 	}
 }
 
-// exchangeBroadcasts sends each of two tables' next broadcast to the other.
+// exchangeBroadcasts delivers the next broadcast of each of two tables to the other.
 func exchangeBroadcasts(now time.Duration, a, b *KeyTable) {
 	m, _ := a.NextBroadcast(now, 100)
 	b.Receive(now, m)
@@ -85,15 +85,15 @@
 
 // retryCase is a retry at another site's instance while the first attempt is in flight.
 type retryCase struct {
-	name        string
-	epochEnds   bool // while the first attempt is in flight
-	isAnnounced bool // the other instance has heard of the attempt
-	isOpen      bool // its site still takes keys
-	mayGo       bool // the retry, to the same site
+	name         string
+	epochChanges bool // while the first attempt is in flight
+	isAnnounced  bool // the other instance has received the announcement of the attempt
+	isOpen       bool // the first attempt's site still accepts keys
+	wantRouted   bool // the retry may be sent to the first attempt's site
 }
 
-// A client's retry arrives at the other site a moment before its first attempt has its outcome: it may go where that
-// went and nowhere else, whatever ownership does meanwhile; and if that site takes no keys, nowhere.
+// A client's retry arrives at the other site a moment before the outcome of its first attempt is known. It may be sent
+// to the site of the first attempt only, even if the ownership changes meanwhile, and to no site if that one is closed.
 func TestRetryAtOtherSite(t *testing.T) {
 	for _, c := range []retryCase{
 		{"ownership stays", false, false, true, true},
@@ -116,9 +116,9 @@
 	exchangeBroadcasts(now, a, b)
 	site := a.Route(now, key).Site
 	if site == "" || !a.BeginAttempt(now, key, site) {
-		t.Fatalf("the first attempt is not sent: %+v", a.Route(now, key))
+		t.Fatalf("the first attempt was not allowed: %+v", a.Route(now, key))
 	}
-	if c.epochEnds {
+	if c.epochChanges {
 		next := nextTestEpoch(epoch, site, c.isOpen)
 		for _, k := range []*KeyTable{a, b} {
 			k.InstallEpoch(now, next)
@@ -130,16 +130,16 @@
 		exchangeBroadcasts(now, a, b)
 	}
 	d := b.Route(now, key)
-	if d.Site != "" && d.Site != site || (d.Site != "") != c.mayGo {
-		t.Errorf("the retry may go to %q (%s); the first attempt is at %s", d.Site, d.Reason, site)
+	if d.Site != "" && d.Site != site || (d.Site != "") != c.wantRouted {
+		t.Errorf("retry at the other instance: routed to %q (%s); the first attempt was sent to %s", d.Site, d.Reason, site)
 	}
 	a.EndAttempt(key, false) // 1 ms later
 	if d := a.Route(now+time.Millisecond, key); d.Site != "" && d.Site != site {
-		t.Errorf("a retry at the first instance may go to %q", d.Site)
+		t.Errorf("retry at the first instance: routed to %q, want the first attempt's site or none", d.Site)
 	}
 }
 
-// nextTestEpoch closes a site, or leaves it open with each site taking a part of its keys.
+// nextTestEpoch returns epoch 2, which closes a site or leaves it open while each site accepts one eighth of its keys.
 func nextTestEpoch(epoch OwnershipEpoch, site string, isOpen bool) OwnershipEpoch {
 	epoch.Number = 2
 	if isOpen {
@@ -150,78 +150,78 @@
 	return epoch
 }
 
-// A longer TTL counts at once, a shorter one and a longer deduplication window once what went by the old one is over;
-// the longest that any instance announces counts.
+// A longer TTL applies at once. A shorter TTL and a longer deduplication window apply once no request that was sent
+// under the previous values can arrive any more. The longest TTL that any instance announces applies.
 func TestLifetimesInForce(t *testing.T) {
-	const long = 10 * time.Second
+	const longTTL = 10 * time.Second
 	k, epoch := newTestKeyTable(t, 1, 1, 2)
 	now := time.Minute
 	expect := func(when string, keyTTL, window time.Duration) {
 		t.Helper()
 		if k.maxKeyTTL(now) != keyTTL || k.minDeduplicationWindow() != window {
-			t.Errorf("%s: TTL %v, window %v", when, k.maxKeyTTL(now), k.minDeduplicationWindow())
+			t.Errorf("%s: wrong TTL %v or deduplication window %v", when, k.maxKeyTTL(now), k.minDeduplicationWindow())
 		}
 	}
 	expect("at the start", testKeyTTL, testDeduplicationWindow)
-	k.SetLifetimes(now, long, 2*testDeduplicationWindow)
-	expect("at once", long, testDeduplicationWindow)
+	k.SetLifetimes(now, longTTL, 2*testDeduplicationWindow)
+	expect("at once", longTTL, testDeduplicationWindow)
 	now += testLeaseTTL + testKeyTTL
-	expect("later", long, 2*testDeduplicationWindow)
+	expect("later", longTTL, 2*testDeduplicationWindow)
 	k.SetLifetimes(now, testKeyTTL, testDeduplicationWindow)
-	if at := now + testLeaseTTL + long; k.maxKeyTTL(at-1) != long || k.maxKeyTTL(at) != testKeyTTL {
-		t.Errorf("a shorter TTL counts from %v and %v", k.maxKeyTTL(at-1), k.maxKeyTTL(at))
+	if at := now + testLeaseTTL + longTTL; k.maxKeyTTL(at-1) != longTTL || k.maxKeyTTL(at) != testKeyTTL {
+		t.Errorf("a shorter TTL applies too early or too late: TTL %v, then %v", k.maxKeyTTL(at-1), k.maxKeyTTL(at))
 	}
 	now += time.Minute
 	k.Receive(now, Message{
-		From: 2, Incarnation: 1, SequenceNumber: 1, Epoch: epoch.Number, Uptime: time.Hour, KeyTTL: long,
+		From: 2, Incarnation: 1, SequenceNumber: 1, Epoch: epoch.Number, Uptime: time.Hour, KeyTTL: longTTL,
 	})
-	if k.maxKeyTTL(now) != long {
-		t.Errorf("another instance's TTL does not count: %v", k.maxKeyTTL(now))
+	if k.maxKeyTTL(now) != longTTL {
+		t.Errorf("the longer TTL of another instance does not apply: got %v", k.maxKeyTTL(now))
 	}
 }
 
-// A key that was sent before the TTL grew stays in the ledger for as long as it now may come. With a full ledger, what
-// a site forgets before its client does is not sent.
+// A key that was sent before the TTL grew stays in the ledger for as long as clients may now repeat it. While the
+// ledger is full, a key is not sent if its site stops dropping repeats before its client stops repeating it.
 func TestLedgerAfterLifetimesChange(t *testing.T) {
-	const long = 10 * time.Second
+	const longTTL = 10 * time.Second
 	k, epoch := newTestKeyTable(t, 1, 1, 2)
 	now := time.Minute
-	k.SetLifetimes(now, long, 2*testDeduplicationWindow)
+	k.SetLifetimes(now, longTTL, 2*testDeduplicationWindow)
 	now += testLeaseTTL + testKeyTTL
 	k.SetLifetimes(now, testKeyTTL, testDeduplicationWindow)
 	now += time.Minute
 	k.Receive(now, Message{
-		From: 2, Incarnation: 1, SequenceNumber: 1, Epoch: epoch.Number, Uptime: time.Hour, KeyTTL: long,
+		From: 2, Incarnation: 1, SequenceNumber: 1, Epoch: epoch.Number, Uptime: time.Hour, KeyTTL: longTTL,
 	})
 	k.Receive(now, Message{From: 2, Incarnation: 1, SequenceNumber: 2, Epoch: epoch.Number, KeyTTL: testKeyTTL})
 	k.ConfirmEpoch(now)
 	site := k.Route(now, 7).Site
 	if !k.BeginAttempt(now, 7, site) {
-		t.Fatal("not sent")
+		t.Fatal("the first attempt was not allowed")
 	}
 	k.EndAttempt(7, false)
-	k.SetLifetimes(now, long, testDeduplicationWindow)
+	k.SetLifetimes(now, longTTL, testDeduplicationWindow)
 	k.expire(now + testDeduplicationWindow + testKeyTTL + time.Second)
 	if k.Len() != 1 {
-		t.Error("dropped by the TTL before")
+		t.Error("the key was dropped after the previous TTL")
 	}
-	if k.expire(now + testDeduplicationWindow + long); k.Len() != 0 {
-		t.Error("kept for ever")
+	if k.expire(now + testDeduplicationWindow + longTTL); k.Len() != 0 {
+		t.Error("the key was not dropped after its retention")
 	}
 	for key := uint64(100); k.Len() < k.cfg.MaxKeys; key++ {
 		k.ledger.entries[key] = ledgerEntry{site: 0, firstSentAt: now, mayHaveRun: true}
 	}
 	if k.ConfirmEpoch(now); k.BeginAttempt(now, 7, k.Route(now, 7).Site) {
-		t.Error("sent with a full ledger, though its site forgets it sooner than its client")
+		t.Error("attempt allowed with a full ledger although the deduplication window is shorter than the key TTL")
 	}
-	k.SetLifetimes(now, testKeyTTL, 2*long)
-	now += testLeaseTTL + long
+	k.SetLifetimes(now, testKeyTTL, 2*longTTL)
+	now += testLeaseTTL + longTTL
 	if k.ConfirmEpoch(now); !k.BeginAttempt(now, 8, k.Route(now, 8).Site) {
-		t.Error("a full ledger stops what its site remembers")
+		t.Error("attempt refused with a full ledger although the deduplication window is longer than the key TTL")
 	}
 }
 
-// BenchmarkKeyTable measures a routed key with a million in the ledger, and the bytes that a key takes there.
+// BenchmarkKeyTable measures the routing of a key with a million keys in the ledger, and the bytes that a key occupies.
 func BenchmarkKeyTable(b *testing.B) {
 	const keyCount = 1_000_000
 	k, err := NewKeyTable(KeyConfig{
@@ -240,7 +240,7 @@
 	for i := range uint64(keyCount) {
 		key := i * keyMultiplier
 		if !k.BeginAttempt(now, key, k.Route(now, key).Site) {
-			b.Fatal("not admitted")
+			b.Fatal("BeginAttempt refused an attempt")
 		}
 		k.EndAttempt(key, false)
 		if i%1000 == 0 {
@@ -254,7 +254,7 @@
 	for i := uint64(0); b.Loop(); i++ {
 		key := i % keyCount * keyMultiplier
 		if k.Route(now, key).Site == "" {
-			b.Fatal("not routed")
+			b.Fatal("Route returned no site")
 		}
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/keyCount, "bytes/key")
--- a/multisite/messages_test.go
+++ b/multisite/messages_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// fullMessage has all that a message can hold.
+// fullMessage has a value in every field.
 var fullMessage = Message{
 	From: 3, Incarnation: 5, SequenceNumber: 7, Uptime: time.Minute, Epoch: 11,
 	SentKeys: []SentKey{{13, "east", 17 * time.Millisecond}}, HasUnrecordedKeys: true, KeyTTL: time.Hour,
@@ -22,7 +22,7 @@
 	Confirmation: &ConfirmationMessage{29, 31, []ConfirmationAnswer{{2, 37}}},
 }
 
-// fullMessageJSON is fullMessage as it was recorded.
+// fullMessageJSON is the recorded JSON of fullMessage.
 const fullMessageJSON = `{"From":3,"Incarnation":5,"Seq":7,"Age":60000000000,"Epoch":11,` +
 	`"Sent":[{"Key":13,"Hall":"east","Ago":17000000}],"Full":true,"Life":3600000000000,` +
 	`"Views":[{"Hall":"east","Silent":true,"For":1000000000,"Carry":2.5,"Far":true},` +
@@ -31,8 +31,9 @@
 	`"Asks":[{"Hall":"east","Share":0.25}],"Grants":[{"Hall":"west","To":2,"Ask":23,"Share":0.125}]},` +
 	`"Consent":{"Ask":29,"Fence":31,"Heard":[{"Of":2,"Ask":37}]}}`
 
-// TestMessageJSON pins the JSON of every type that instances send each other: an instance of the version before must
-// read what this one writes, and the other way round. The texts are recorded; they don't follow renamed fields.
+// TestMessageJSON pins the JSON of every type that instances send to each other: instances of this version and of the
+// previous one must be able to read each other's messages. The texts are recorded and must not change if a field is
+// renamed.
 func TestMessageJSON(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -57,26 +58,26 @@
 				t.Fatal(err)
 			}
 			if string(text) != c.want {
-				t.Errorf("JSON is\n%s\nwant\n%s", text, c.want)
+				t.Errorf("wrong JSON: got\n%s\nwant\n%s", text, c.want)
 			}
 			decoded := reflect.New(reflect.TypeOf(c.value))
 			if err := json.Unmarshal([]byte(c.want), decoded.Interface()); err != nil {
 				t.Fatal(err)
 			}
 			if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, c.value) {
-				t.Errorf("decoded as %+v, want %+v", got, c.value)
+				t.Errorf("decoded JSON: got %+v, want %+v", got, c.value)
 			}
 		})
 	}
 }
 
-// checkTexts checks the text of each value; want has the values by their text.
+// checkTexts checks the text of each value; want holds the values by their expected text.
 func checkTexts[T fmt.Stringer](t *testing.T, want map[string]T) {
 	t.Helper()
 	for text, value := range want {
 		t.Run(text, func(t *testing.T) {
 			if got := value.String(); got != text {
-				t.Errorf("%#v is %q, want %q", value, got, text)
+				t.Errorf("text of %#v: got %q, want %q", value, got, text)
 			}
 		})
 	}
@@ -94,12 +95,12 @@
 	statuses["else"] = ExecutionUnknown
 	for text, want := range statuses {
 		if got := ParseExecutionStatus(text); got != want {
-			t.Errorf("%q is parsed as %v, want %v", text, got, want)
+			t.Errorf("ParseExecutionStatus(%q): got %v, want %v", text, got, want)
 		}
 	}
 }
 
-// TestSiteStateTexts pins the texts of management answers.
+// TestSiteStateTexts pins the texts of the management API.
 func TestSiteStateTexts(t *testing.T) {
 	checkTexts(t, map[string]SiteState{
 		"well":      SiteHealthy,
--- a/multisite/ownership.go
+++ b/multisite/ownership.go
@@ -30,21 +30,22 @@
 	}
 }
 
-// owner returns the open site with the highest weight for a key among those that take it; empty if no site is open. A
-// recovering site takes a part of its keys, and a larger part includes a smaller one. The other keys belong to the site
-// with the next lower weight. The arithmetic is exact, since all instances must find the same owner.
+// owner returns the open site with the highest weight for a key among those that accept it, or among all open sites if
+// none does. It returns an empty name if no site is open. A recovering site accepts a part of its keys, and a larger
+// part includes a smaller one. The other keys belong to the site with the next lower weight. The arithmetic is exact,
+// since all instances must find the same owner.
 func (e *OwnershipEpoch) owner(key uint64) string {
-	best, bestWeight, bestTakes := "", uint64(0), false
+	best, bestWeight, bestAccepts := "", uint64(0), false
 	for i := range e.Sites {
 		site := &e.Sites[i]
 		if !site.IsOpen {
 			continue
 		}
 		weight := rendezvousWeight(site.Name, key)
-		takes := site.takes(key)
+		accepts := site.accepts(key)
 		isHeavier := weight > bestWeight || weight == bestWeight && site.Name < best
-		if best == "" || takes && !bestTakes || takes == bestTakes && isHeavier {
-			best, bestWeight, bestTakes = site.Name, weight, takes
+		if best == "" || accepts && !bestAccepts || accepts == bestAccepts && isHeavier {
+			best, bestWeight, bestAccepts = site.Name, weight, accepts
 		}
 	}
 	return best
@@ -54,9 +55,9 @@
 	return slices.ContainsFunc(e.Sites, func(site Site) bool { return site.Name == name && site.IsOpen })
 }
 
-// takes reports whether a key is in the part of its keys that a site takes. The key's complement is hashed, so that the
-// part is independent of the weight.
-func (s *Site) takes(key uint64) bool {
+// accepts reports whether a key is in the part of its keys that a site accepts. The key's complement is hashed, so that
+// the part is independent of the weight.
+func (s *Site) accepts(key uint64) bool {
 	return s.KeyEighths == 0 || int(rendezvousWeight(s.Name, ^key)>>hashEighthShift) < s.KeyEighths
 }
 
--- a/multisite/ownership_test.go
+++ b/multisite/ownership_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A part of its keys takes that share of a site's keys; a larger one takes the same and more; no key moves between
-// other sites.
+// A site that accepts some eighths of its keys owns that fraction of them. A larger fraction includes a smaller one,
+// and no key moves between the other sites.
 func TestOwnerWithPartsOfKeys(t *testing.T) {
 	const keyCount = 30000
 	owners := func(isOpen bool, keyEighths int) []string {
@@ -22,7 +22,7 @@
 		for i := range now {
 			movedElsewhere := now[i] != before[i] && now[i] != "a"
 			if movedElsewhere || now[i] != "a" && now[i] != without[i] || now[i] == "a" && with[i] != "a" {
-				t.Fatalf("%d eighths: key %d went from %s to %s (without the site %s, with it %s)",
+				t.Fatalf("%d eighths: key %d moved from %s to %s (owner without site a %s, with all its keys %s)",
 					eighths, i, before[i], now[i], without[i], with[i])
 			}
 			if now[i] == "a" {
@@ -30,14 +30,14 @@
 			}
 		}
 		if want := keyCount / 3 * eighths / fullKeyEighths; count < want*9/10 || count > want*11/10 {
-			t.Errorf("%d eighths: %d keys of about %d", eighths, count, want)
+			t.Errorf("%d eighths: site a owns %d keys, want about %d", eighths, count, want)
 		}
 		before = now
 	}
 }
 
-// Where no site takes a key in its part, each key still has an owner.
-func TestOwnerWithoutTakers(t *testing.T) {
+// A key has an owner even if it is in the part of no site.
+func TestOwnerIfNoSiteAcceptsKey(t *testing.T) {
 	epoch := OwnershipEpoch{Sites: []Site{{"a", true, 1}, {"b", true, 1}}}
 	for key := range uint64(1000) {
 		if epoch.owner(key) == "" {
--- a/multisite/quorum_confirmation.go
+++ b/multisite/quorum_confirmation.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// QuorumConfirmation confirms the ownership epoch in force without a leader. A new epoch has to be in the logs of a
-// majority q of the n voters. So n-q+1 voters without one prove that there is none: one of them would have it. For
-// an odd n that is a majority, for an even n one half. Two partitioned sites with the same number of voters can
-// therefore both confirm, and serve the keys that they own, while neither can move any, which takes a majority.
+// QuorumConfirmation confirms, without a leader, that the ownership epoch in force is the newest. A new epoch has to be
+// in the logs of a majority q of the n voters. Therefore n-q+1 voters without a new epoch prove that there is none: one
+// of them would have it. For an odd n that is a majority, for an even n one half. Two partitioned sites with the same
+// number of voters can therefore both confirm, and serve the keys that they own, while neither can move any key, which
+// requires a majority.
 //
 // A voter announces its fence, the index of the last entry of its log that changes sites or voters, committed or
 // not, and the newest request of each other voter that it had received before it read the fence. Its report is
-// therefore valid as of the time of that request, by the requester's clock; clocks are never compared. A voter must
-// announce an entry before it acknowledges the entry to a leader.
+// therefore valid as of the time at which that request was made, by the requester's clock; clocks are never compared. A
+// voter must announce an entry before it acknowledges the entry to a leader.
 //
 // It is not safe for concurrent use.
 type QuorumConfirmation struct {
 	cfg      ConfirmationConfig
-	index    uint64 // of the log entry whose sites and voters are in force
+	index    uint64 // index of the log entry whose sites and voters are in force
 	voters   []uint64
 	isJoint  bool // a joint consensus is in force
 	requests requestIDs
@@ -31,14 +32,14 @@
 // ConfirmationConfig configures a [QuorumConfirmation].
 type ConfirmationConfig struct {
 	InstanceID  uint64
-	Incarnation uint64 // of this process: above those of its predecessors, below 1<<31
+	Incarnation uint64 // number of this process, above those of its predecessors and below 1<<31
 }
 
 // ConfirmationMessage is the part of a [Message] for a [QuorumConfirmation]. Its JSON is read by instances of other
 // versions.
 type ConfirmationMessage struct {
 	RequestID uint64               `json:"Ask"`
-	Fence     uint64               `json:"Fence"` // index of the last entry of its log that changes sites or voters
+	Fence     uint64               `json:"Fence"` // index of the sender's last log entry that changes sites or voters
 	Answers   []ConfirmationAnswer `json:"Heard,omitempty"`
 }
 
@@ -55,14 +56,14 @@
 	isKnown bool
 }
 
-// peerConfirmation is what another voter has announced.
+// peerConfirmation is the state that another voter has announced.
 type peerConfirmation struct {
-	report            fenceReport // with the newest of this instance's requests that it answers
-	lastRequestID     uint64      // of its own requests
-	answeredRequestID uint64      // of this instance's requests
+	report            fenceReport // valid as of the request answeredRequestID
+	lastRequestID     uint64      // newest request that the voter has made
+	answeredRequestID uint64      // newest request of this instance that the voter has answered
 }
 
-// maxIncarnation is above all incarnations, so that request IDs stay below 1<<63.
+// maxIncarnation is the exclusive upper limit of incarnations, so that request IDs stay below 1<<63.
 const maxIncarnation = 1 << 31
 
 // NewQuorumConfirmation returns a confirmation without voters. The error names the fields that are out of range.
@@ -77,7 +78,7 @@
 	}, nil
 }
 
-// ApplyAgreed sets the voters in force as of a log entry. During a joint consensus nothing is confirmed.
+// ApplyAgreed sets the voters in force as of a log entry. During a joint consensus no epoch is confirmed.
 func (c *QuorumConfirmation) ApplyAgreed(index uint64, voters []uint64, isJoint bool) {
 	if index < c.index {
 		return
@@ -92,7 +93,8 @@
 	}
 }
 
-// NextBroadcast returns the next message to the other voters. fence is this instance's own, read not earlier than now.
+// NextBroadcast returns the next message to the other voters. fence is this instance's fence, which must not have been
+// read before now.
 func (c *QuorumConfirmation) NextBroadcast(now time.Duration, fence uint64) ConfirmationMessage {
 	c.own = fenceReport{fence: fence, at: now, isKnown: true}
 	m := ConfirmationMessage{RequestID: c.requests.next(now), Fence: fence}
@@ -122,15 +124,17 @@
 	c.peers[from] = p
 }
 
-// ownRequestTime returns when this process made a request; ok is false for a request of its predecessor.
+// ownRequestTime returns when this process made a request; ok is false for a request of its predecessor or one that is
+// no longer recorded.
 func (c *QuorumConfirmation) ownRequestTime(id uint64) (at time.Duration, ok bool) {
 	if id <= c.cfg.Incarnation<<incarnationShift {
 		return 0, false
 	}
-	return c.requests.madeAt(id)
+	return c.requests.requestTime(id)
 }
 
-// ConfirmedAt returns the latest time at which the epoch in force is known to have been the newest, if there is one.
+// ConfirmedAt returns the latest time at which the epoch in force is confirmed to have been the newest; ok is false if
+// there is no such time.
 func (c *QuorumConfirmation) ConfirmedAt() (at time.Duration, ok bool) {
 	if c.isJoint || !slices.Contains(c.voters, c.cfg.InstanceID) {
 		return 0, false
--- a/multisite/ramp_messages.go
+++ b/multisite/ramp_messages.go
@@ -8,7 +8,7 @@
 
 // RampMessage is the part of a [Message] for a [RecoveryRamp]. Its JSON is read by instances of other versions.
 type RampMessage struct {
-	RequestID uint64         `json:"Ask"` // of all requests in it
+	RequestID uint64         `json:"Ask"` // ID of all requests in the message
 	Loads     []WarmLoad     `json:"Carried,omitempty"`
 	Requests  []ShareRequest `json:"Asks,omitempty"`
 	Grants    []ShareGrant   `json:"Grants,omitempty"`
@@ -18,7 +18,7 @@
 type WarmLoad struct {
 	Site        string  `json:"Hall"`
 	Rate        float64 `json:"Rate"` // seconds of work per second, for a server of unit weight
-	Utilization float64 `json:"Util"` // of its cores, 0 to 1; negative: not known
+	Utilization float64 `json:"Util"` // utilization of the server's cores, 0 to 1; negative if unknown
 }
 
 // ShareRequest requests a share in addition to the one that an instance owns.
@@ -31,7 +31,7 @@
 type ShareGrant struct {
 	Site      string  `json:"Hall"`
 	Borrower  uint64  `json:"To"`
-	RequestID uint64  `json:"Ask"` // of the request granted
+	RequestID uint64  `json:"Ask"` // ID of the granted request
 	Share     float64 `json:"Share"`
 }
 
@@ -44,11 +44,11 @@
 	owned := r.ownedShare(now)
 	for _, name := range slices.Sorted(maps.Keys(r.sites)) {
 		site := r.sites[name]
-		needed := min(needHeadroom*site.neededShare, fullShare)
+		needed := min(neededShareHeadroom*site.neededShare, fullShare)
 		if site.hasWarmingServers && needed > owned {
 			m.Requests = append(m.Requests, ShareRequest{name, needed - owned})
 		}
-		m.Grants = append(m.Grants, site.loans.grant(now, name, owned-needed, r.cfg.LoanTTL)...)
+		m.Grants = append(m.Grants, site.loans.lend(now, name, owned-needed, r.cfg.LoanTTL)...)
 	}
 	return m
 }
@@ -69,14 +69,14 @@
 	}
 }
 
-// receiveGrant records a share that is lent to this instance, which lasts for LoanTTL from its request.
+// receiveGrant records a share that is lent to this instance. The loan lasts for LoanTTL from the request for it.
 func (r *RecoveryRamp) receiveGrant(now time.Duration, lender uint64, grant ShareGrant) {
 	site := r.sites[grant.Site]
 	isShare := grant.Share >= 0 // false for NaN as well
 	if site == nil || grant.Borrower != r.cfg.InstanceID || !isShare {
 		return
 	}
-	if requestedAt, ok := r.requests.madeAt(grant.RequestID); ok {
+	if requestedAt, ok := r.requests.requestTime(grant.RequestID); ok {
 		site.loans.recordGrant(now, lender, grant, requestedAt+r.cfg.LoanTTL)
 	}
 }
--- a/multisite/ramp_simulation_test.go
+++ b/multisite/ramp_simulation_test.go
@@ -13,7 +13,7 @@
 	rampTestInterval   = 2 * time.Millisecond
 	rampTestLoanTTL    = 500 * time.Millisecond
 	rampTestMultiple   = 1.25
-	broadcastIntervals = 10 // of rampTestInterval, from one broadcast to the next
+	broadcastIntervals = 10 // number of rampTestInterval from one broadcast to the next
 )
 
 func newTestRamp(t *testing.T, id, incarnation uint64) *RecoveryRamp {
@@ -31,7 +31,8 @@
 	return r
 }
 
-// rampSimulation has instances that share a site's ramp over a network that loses, delays, repeats and reorders.
+// rampSimulation has instances that share a site's ramp over a network that loses, delays, repeats and reorders
+// messages.
 type rampSimulation struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -41,7 +42,7 @@
 	skew         map[uint64]time.Duration
 	incarnations map[uint64]uint64
 	isPaused     map[uint64]bool
-	demand       map[uint64]float64 // share that an instance could use; 0: it does not reach the site
+	demand       map[uint64]float64 // share that an instance could use; 0 if it does not reach the site
 	hasFaults    bool
 	inTransit    []rampPacket
 }
@@ -72,7 +73,7 @@
 	return s
 }
 
-// addMember adds the member with the next ID, not started yet.
+// addMember adds the member with the next ID, without starting it.
 func (s *rampSimulation) addMember() uint64 {
 	id := uint64(len(s.skew) + 1)
 	s.members = append(s.members, id)
@@ -97,7 +98,7 @@
 	return s.ramps[id].Share(s.clock(id), rampTestSite)
 }
 
-// totalShare is what all shares add up to, those of paused members as well: they may resume at any moment.
+// totalShare returns the sum of all shares, including those of paused members, since these may resume at any moment.
 func (s *rampSimulation) totalShare() (total float64) {
 	for id := range s.ramps {
 		total += s.share(id)
@@ -111,7 +112,7 @@
 	}
 }
 
-// step is 20 ms. It returns what all shares add up to at the most, as of each event.
+// step simulates 20 ms and returns the largest sum of all shares after any event.
 func (s *rampSimulation) step() (maxTotal float64) {
 	for range broadcastIntervals {
 		s.now += rampTestInterval
@@ -133,7 +134,8 @@
 	return maxTotal
 }
 
-// deliver has members receive what has arrived.
+// deliver makes members receive the messages that have arrived, and returns the largest sum of all shares after any of
+// them.
 func (s *rampSimulation) deliver() (maxTotal float64) {
 	left := s.inTransit[:0:0]
 	for _, p := range s.inTransit {
@@ -148,7 +150,7 @@
 	return maxTotal
 }
 
-// recordLoad has a member use its share as far as it has a demand.
+// recordLoad records the load of a member that uses its share up to its demand.
 func (s *rampSimulation) recordLoad(id uint64) {
 	load := WarmUpLoad{}
 	if demand := s.demand[id]; demand > 0 {
@@ -159,7 +161,7 @@
 	s.ramps[id].RecordWarmUpLoad(s.clock(id), rampTestSite, load)
 }
 
-// send puts a packet on its way; with faults it may be lost, late or repeated.
+// send puts a packet in transit; with faults, it may be lost, late or repeated.
 func (s *rampSimulation) send(p rampPacket) {
 	for copies := 1; copies > 0; copies-- {
 		delay := time.Duration(1+s.rng.IntN(3)) * time.Millisecond
@@ -188,7 +190,7 @@
 		s.isPaused[id] = true
 	case x < 40:
 		s.isPaused[id] = false
-	case x == 41 && !s.isPaused[id]: // killed and at once back
+	case x == 41 && !s.isPaused[id]: // killed and restarted at once
 		s.start(id)
 	case x == 42 && len(s.members) < 6:
 		s.start(s.addMember())
@@ -198,7 +200,8 @@
 	}
 }
 
-// TestRampSeeds: whatever is lost, late, repeated, paused, restarted or joined, shares never add up to more than one.
+// TestRampSeeds checks that the sum of all shares never exceeds one while messages are lost, late or repeated, and
+// members pause, restart or join.
 func TestRampSeeds(t *testing.T) {
 	t.Parallel()
 	const steps = 150
@@ -213,7 +216,7 @@
 			s.injectFault()
 			total := s.step()
 			if total > 1+1e-9 {
-				t.Fatalf("seed %d, step %d: the shares add up to %.4f", seed, step, total)
+				t.Fatalf("seed %d, step %d: sum of all shares: got %.4f, want at most 1", seed, step, total)
 			}
 			if total > 0.97 {
 				fullSteps++
@@ -227,7 +230,7 @@
 	}
 	t.Logf("%d seeds: the whole was in use in %d steps", seeds, fullSteps)
 	if fullSteps < int(seeds)*8 {
-		t.Errorf("the whole was in use in %d steps of %d alone: nothing was put to the test",
+		t.Errorf("the sum of shares was above 0.97 in only %d of %d steps: too few to test the limit",
 			fullSteps, int(seeds)*steps)
 	}
 }
--- a/multisite/recovery_ramp.go
+++ b/multisite/recovery_ramp.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	needHeadroom      = 1.25                   // multiple of the share needed that an instance keeps or requests
-	needAverageWindow = 200 * time.Millisecond // time constant of the share needed
-	minLentShare      = 0.01                   // smaller shares are not lent
-	fullShare         = 1.0
+	neededShareHeadroom     = 1.25                   // multiple of the needed share that an instance keeps or requests
+	neededShareTimeConstant = 200 * time.Millisecond // time constant of the needed share's moving average
+	minLentShare            = 0.01                   // smaller shares are not lent
+	fullShare               = 1.0
 )
 
-// RecoveryRamp divides among all instances of all sites what may be sent to the warming servers of a site, since the
-// capacity of a server does not depend on how many instances send to it. Each instance owns an equal share. An instance
-// that reaches none of the site's servers, or needs less, lends to those that request more. The sum of all shares never
-// exceeds one, whatever messages are lost, late or repeated (leases as in Gray and Cheriton, "Leases: An Efficient
-// Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989):
+// RecoveryRamp divides the load that the warming servers of a site may receive among all instances of all sites, since
+// the capacity of a server does not depend on how many instances send to it. Each instance owns an equal share. An
+// instance that reaches none of the site's servers, or needs less than its share, lends to those that request more. The
+// sum of all shares never exceeds one, whatever messages are lost, late or repeated (leases as in Gray and Cheriton,
+// "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989):
 //
-//   - A request for a share has an ID. The borrower uses what is granted for LoanTTL from its request, by its clock;
-//     the lender holds it back for LoanTTL from the grant, by its own. Since the grant is later than the request, the
-//     borrower's time ends first, and no clocks are compared. A request is granted once.
+//   - A request for a share has an ID. The borrower uses the granted share for LoanTTL from its request, by its clock;
+//     the lender reserves the share for LoanTTL from the grant, by its own clock. Since the grant is later than the
+//     request, the borrower's period ends first, and no clocks are compared. A request is granted once.
 //   - After a change of members, an instance owns the smallest of its shares by the member counts of the last LoanTTL.
 //
-// A removed member that has not learned of its removal adds its own share to the sum until it stops. The rates of
+// A removed member that has not yet applied its removal adds its own share to the sum until it stops. The rates of
 // clocks must not differ by more than loanMargin in a LoanTTL.
 //
-// The instances also learn the capacity of a warm server together: see warmCapacity.
+// The instances also estimate the capacity of a warm server together: see warmCapacity.
 //
 // It is not safe for concurrent use.
 type RecoveryRamp struct {
 	cfg          RampConfig
 	members      []uint64
-	memberCounts []memberCount // the one in force last, before it past ones that still apply
+	memberCounts []memberCount // past counts that still apply, then the count in force
 	requests     requestIDs
 	sites        map[string]*rampSite
 	broadcastAt  time.Duration // clock reading of the last broadcast
@@ -43,9 +43,9 @@
 // RampConfig configures a [RecoveryRamp].
 type RampConfig struct {
 	InstanceID     uint64
-	Incarnation    uint64        // of this process: above those of its predecessors, below 1<<31
-	LoanTTL        time.Duration // of a share that is lent
-	LoadTTL        time.Duration // after which another instance's load is outdated
+	Incarnation    uint64        // number of this process, above those of its predecessors and below 1<<31
+	LoanTTL        time.Duration // duration of the loan of a share
+	LoadTTL        time.Duration // age above which another instance's load is outdated
 	BudgetMultiple float64       // multiple of a warming server's capacity that the instances together may send it
 }
 
@@ -53,12 +53,12 @@
 type memberCount struct {
 	count  int
 	isPast bool
-	until  time.Duration // if past: until which it applies
+	until  time.Duration // if isPast: time until which the count still applies
 }
 
 // rampSite is an instance's state for the ramp of one site.
 type rampSite struct {
-	neededShare       float64 // that the instance could use, moving average
+	neededShare       float64 // share that the instance could use, as a moving average
 	hasWarmingServers bool    // the instance reaches some of them directly
 	loans             shareLoans
 	warm              warmCapacity
@@ -66,9 +66,9 @@
 
 // WarmUpLoad is the load of an instance on a site's warming servers since its last broadcast.
 type WarmUpLoad struct {
-	ServerWeight float64 // sum of weight times capacity fraction of those that it reaches directly; 0: none
-	SentWork     float64 // seconds of work
-	RejectedWork float64 // seconds of work for which there was no capacity
+	ServerWeight float64 // sum of weight times capacity fraction of the servers reached directly; 0 if there are none
+	SentWork     float64 // seconds of work sent
+	RejectedWork float64 // seconds of work rejected for lack of capacity
 }
 
 // NewRecoveryRamp returns a ramp without sites. The error names the fields that are out of range.
@@ -97,8 +97,8 @@
 	}
 }
 
-// updateMemberCount sets the number of members in force. The previous one also applies until no share that was lent
-// by it can be in use.
+// updateMemberCount sets the number of members in force. The previous number also applies until no share that was lent
+// under it can be in use.
 func (r *RecoveryRamp) updateMemberCount(now time.Duration, count int) {
 	last := len(r.memberCounts) - 1
 	if last >= 0 && r.memberCounts[last].count == count {
@@ -108,14 +108,14 @@
 	if last >= 0 {
 		r.memberCounts[last].isPast = true
 		r.memberCounts[last].until = until
-	} else if count > 0 { // the previous process may have lent all that it owned
+	} else if count > 0 { // the previous process may have lent the whole share that it owned
 		r.memberCounts = append(r.memberCounts, memberCount{count: math.MaxInt, isPast: true, until: until})
 	}
 	r.memberCounts = append(r.memberCounts, memberCount{count: count})
 }
 
-// ownedShare returns the share that this instance owns, 0 to 1: an equal part among the members, by the largest number
-// of them that may still be in use somewhere.
+// ownedShare returns the share that this instance owns, 0 to 1: one divided by the largest member count that any
+// instance may still apply.
 func (r *RecoveryRamp) ownedShare(now time.Duration) float64 {
 	r.memberCounts = slices.DeleteFunc(r.memberCounts, func(c memberCount) bool { return c.isPast && now >= c.until })
 	if !slices.Contains(r.members, r.cfg.InstanceID) {
@@ -128,8 +128,8 @@
 	return fullShare / float64(largestCount)
 }
 
-// Share decides which share, 0 to 1, this instance has now of what a site's warming servers may be sent: what it owns
-// and has not lent, and what it has borrowed.
+// Share returns this instance's present share, 0 to 1, of the load that a site's warming servers may receive: the share
+// that it owns and has not lent, plus the shares that it has borrowed.
 func (r *RecoveryRamp) Share(now time.Duration, site string) float64 {
 	s := r.sites[site]
 	if s == nil {
@@ -138,8 +138,8 @@
 	return max(r.ownedShare(now)-s.loans.totalLent(now), 0) + s.loans.totalBorrowed(now)
 }
 
-// WarmServerCapacity returns the seconds of work per second that a warm server of unit weight can take at a site, as
-// the members have learned it there or, while it is not known, the lowest that they have learned at any site.
+// WarmServerCapacity returns the seconds of work per second that a warm server of unit weight can do at a site, as
+// estimated from the members' loads there. While there is no estimate, it returns the lowest of all sites' estimates.
 func (r *RecoveryRamp) WarmServerCapacity(now time.Duration, site string) float64 {
 	if s := r.sites[site]; s != nil {
 		if capacity := s.warm.estimate(now, r.cfg.LoadTTL); capacity > 0 {
@@ -166,22 +166,22 @@
 		s.neededShare = 0
 		return
 	}
-	if s.neededShare == 0 { // the first load: how much the instance can use is not known yet
+	if s.neededShare == 0 { // the first load: the share that the instance can use is not known yet
 		s.neededShare = fullShare
 		return
 	}
 	elapsed := now - r.broadcastAt
 	budget := r.cfg.BudgetMultiple * r.WarmServerCapacity(now, site) * load.ServerWeight * elapsed.Seconds()
-	s.averageNeededShare(elapsed, budget, load.SentWork+load.RejectedWork)
+	s.updateNeededShare(elapsed, budget, load.SentWork+load.RejectedWork)
 }
 
-// averageNeededShare adds to the moving average of the share that the instance could use: the part of the budget of all
-// instances that its own work was in the time elapsed, both in seconds of work. The average never falls below
-// minLentShare while there are warming servers, so that the instance keeps asking for a share.
-func (s *rampSite) averageNeededShare(elapsed time.Duration, budget, work float64) {
+// updateNeededShare updates the moving average of the share that the instance could use: its own work in the time
+// elapsed as a fraction of the budget of all instances, both in seconds of work. The average never falls below
+// minLentShare while there are warming servers, so that the instance keeps requesting a share.
+func (s *rampSite) updateNeededShare(elapsed time.Duration, budget, work float64) {
 	if elapsed > 0 && budget > 0 {
 		needed := min(work/budget, fullShare)
-		weight := 1 - math.Exp(-float64(elapsed)/float64(needAverageWindow))
+		weight := 1 - math.Exp(-float64(elapsed)/float64(neededShareTimeConstant))
 		s.neededShare += weight * (needed - s.neededShare)
 	}
 	s.neededShare = max(s.neededShare, minLentShare)
--- a/multisite/recovery_ramp_test.go
+++ b/multisite/recovery_ramp_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// What instances that reach no warming server own goes to those that do, by what they need, within a quarter of a
-// second, and comes back.
+// Instances that reach no warming server lend their shares to those that do, according to their need, within a quarter
+// of a second, and get them back when the need has ended.
 func TestShareIsLent(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		demand []float64 // by member
-		least  []float64
+		name      string
+		demand    []float64 // by member
+		minShares []float64
 	}{
 		{"one of four reaches the site", []float64{1, 0, 0, 0}, []float64{0.97, 0, 0, 0}},
 		{"two of four", []float64{1, 1, 0, 0}, []float64{0.48, 0.48, 0, 0}},
@@ -20,14 +20,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newRampSimulation(t, 1, len(c.demand))
-			s.run(40) // so that all own what is theirs
+			s.run(40) // until all members own their equal shares
 			for i, demand := range c.demand {
 				s.demand[uint64(i+1)] = demand
 			}
 			s.run(60)
-			for i, least := range c.least {
-				if got := s.share(uint64(i + 1)); got < least {
-					t.Errorf("member %d has %.3f, at least %.2f is wanted", i+1, got, least)
+			for i, minShare := range c.minShares {
+				if got := s.share(uint64(i + 1)); got < minShare {
+					t.Errorf("member %d: got share %.3f, want at least %.2f", i+1, got, minShare)
 				}
 			}
 			clear(s.demand)
@@ -35,19 +35,18 @@
 			want := 1 / float64(len(s.members))
 			for _, id := range s.members {
 				if got := s.share(id); got < want-1e-9 || got > want+1e-9 {
-					t.Errorf("member %d has %.3f after all, want its own %.3f back", id, got, want)
+					t.Errorf("member %d after the loans have ended: got share %.3f, want its own %.3f", id, got, want)
 				}
 			}
 		})
 	}
 }
 
-// A grant to the process before this one, under the number of a request of this one, is none; nor is one that comes
-// after its time.
+// A grant that answers a request of the previous process, or that arrives after the loan's TTL, is ignored.
 func TestGrantIsForOwnRequest(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		incarnation uint64 // that made the request
+		incarnation uint64 // incarnation of the process that made the request
 		now         time.Duration
 		share       float64
 	}{
@@ -65,7 +64,7 @@
 			r.NextBroadcast(0, nil)
 			r.Receive(c.now, 2, RampMessage{Grants: []ShareGrant{{rampTestSite, 1, requestID, 0.25}}})
 			if got := r.Share(c.now, rampTestSite); got != c.share {
-				t.Errorf("share %v, want %v", got, c.share)
+				t.Errorf("share: got %v, want %v", got, c.share)
 			}
 		})
 	}
--- a/multisite/relay_budget.go
+++ b/multisite/relay_budget.go
@@ -4,18 +4,18 @@
 
 const (
 	minInFlightLimit     = 2   // lowest MaxInFlight: the unrestricted part of it must be at least one request
-	unrestrictedFraction = 0.5 // of MaxInFlight, which any value and any customer may use up
+	unrestrictedFraction = 0.5 // fraction of MaxInFlight that is open to any value and any customer
 )
 
 // RelayBudgetConfig configures a [RelayBudget].
 type RelayBudgetConfig struct {
-	MaxInFlight     int     // forwarded requests in flight
-	RetryRatio      float64 // retries that each first attempt earns
-	MaxSavedRetries float64 // retries that can be saved up
+	MaxInFlight     int     // maximum number of forwarded requests in flight
+	RetryRatio      float64 // number of retries that each first attempt earns
+	MaxSavedRetries float64 // maximum number of earned retries that are saved for later
 }
 
-// RelayBudget limits what is forwarded to another site, so that the loss of one site cannot overload the other.
-// Forwarded requests in flight are bounded: see hasCapacity. Retries have a budget of their own, earned by first
+// RelayBudget limits the requests that are forwarded to another site, so that the loss of one site cannot overload the
+// other. Forwarded requests in flight are bounded: see hasCapacity. Retries have a budget of their own, earned by first
 // attempts, so that a failing link does not cause a retry storm.
 //
 // It is not safe for concurrent use.
@@ -52,8 +52,8 @@
 }
 
 // hasCapacity reports whether the bounds for a class's value, 0 to 1, and for a customer allow one more request. Half
-// of MaxInFlight is open to all; what is above it goes to the higher values, and to no customer more than an equal part
-// of MaxInFlight.
+// of MaxInFlight is open to all requests. Above it, requests of lower values are rejected first, and a customer is
+// limited to an equal part of MaxInFlight.
 func (b *RelayBudget) hasCapacity(customer string, value float64) bool {
 	inFlight := float64(b.inFlight)
 	unrestricted := float64(b.cfg.MaxInFlight) * unrestrictedFraction
@@ -69,7 +69,7 @@
 	return own < max(equalPart, 1)
 }
 
-// spendRetry takes a retry that first attempts have earned; it returns false if there is none.
+// spendRetry uses one saved retry; it returns false if there is none.
 func (b *RelayBudget) spendRetry() bool {
 	if b.savedRetries < 1 {
 		return false
@@ -78,7 +78,7 @@
 	return true
 }
 
-// Release ends what [RelayBudget.Acquire] counted.
+// Release removes a request that [RelayBudget.Acquire] allowed from those in flight.
 func (b *RelayBudget) Release(customer string) {
 	if b.byCustomer[customer] == 0 {
 		return
--- a/multisite/relay_budget_test.go
+++ b/multisite/relay_budget_test.go
@@ -24,32 +24,32 @@
 		}
 	}
 	acquire("first", 0, 4, "half of the bound for the lowest value")
-	acquire("first", 1, 4, "the whole bound for the highest value and a customer alone")
+	acquire("first", 1, 4, "the whole bound for the highest value and a single customer")
 	acquire("second", 1, 0, "nothing beyond the bound")
 	b.Release("first")
-	acquire("first", 0.5, 0, "one free is none for half of the highest value")
-	acquire("second", 1, 1, "one free is for a customer that has none")
+	acquire("first", 0.5, 0, "no free place for half of the highest value")
+	acquire("second", 1, 1, "one free place for a customer with none in flight")
 	b.Release("first")
-	acquire("first", 1, 0, "none beyond an equal part: 4 of 8 for 2 customers")
-	acquire("second", 1, 1, "one free is for a customer below its equal part")
-	for range 6 + 2 + 3 + 9 { // more than were acquired: the surplus gives nothing back
+	acquire("first", 1, 0, "nothing beyond an equal part: 4 of 8 for 2 customers")
+	acquire("second", 1, 1, "one free place for a customer below its equal part")
+	for range 6 + 2 + 3 + 9 { // more than were acquired: the excess releases have no effect
 		b.Release("first")
 		b.Release("second")
 	}
 	if b.InFlight() != 0 {
-		t.Errorf("%d in flight", b.InFlight())
+		t.Errorf("%d requests in flight after all were released, want 0", b.InFlight())
 	}
 	checkRetryBudget(t, b)
 }
 
-// Retries: one is saved up at first, then each takes four first attempts.
+// One retry is saved at the start; each further one must be earned by four first attempts.
 func TestRelayBudgetRetries(t *testing.T) { checkRetryBudget(t, newTestRelayBudget(t)) }
 
 func checkRetryBudget(t *testing.T, b *RelayBudget) {
 	t.Helper()
 	for i, want := range []bool{true, false} {
 		if got := b.Acquire("a", 1, true); got != want {
-			t.Errorf("retry %d: %v", i, got)
+			t.Errorf("retry %d: wrong decision %v", i, got)
 		}
 		b.Release("a")
 	}
@@ -58,6 +58,6 @@
 		b.Release("a")
 	}
 	if !b.Acquire("a", 1, true) || b.Acquire("a", 1, true) {
-		t.Error("four first attempts must earn one retry")
+		t.Error("four first attempts did not earn exactly one retry")
 	}
 }
--- a/multisite/request_ids.go
+++ b/multisite/request_ids.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// recentRequestCount is the number of requests whose time is recorded: five seconds, with one each 20 ms.
+// recentRequestCount is the number of requests whose time is recorded: those of five seconds, at one every 20 ms.
 const recentRequestCount = 256
 
 // incarnationShift leaves 32 bits of a request's ID to count the requests of one process.
@@ -11,8 +11,8 @@
 // requestIDs numbers the requests of an instance and records when the recent ones were made. IDs grow from process to
 // process, so that an answer to an earlier process matches no request of this one.
 type requestIDs struct {
-	last    uint64
-	madeAts [recentRequestCount]time.Duration // by ID modulo recentRequestCount
+	last         uint64
+	requestTimes [recentRequestCount]time.Duration // by ID modulo recentRequestCount
 }
 
 func newRequestIDs(incarnation uint64) requestIDs {
@@ -21,14 +21,14 @@
 
 func (r *requestIDs) next(now time.Duration) uint64 {
 	r.last++
-	r.madeAts[r.last%recentRequestCount] = now
+	r.requestTimes[r.last%recentRequestCount] = now
 	return r.last
 }
 
-// madeAt returns when a request was made; ok is false if it was not, or too long ago.
-func (r *requestIDs) madeAt(id uint64) (at time.Duration, ok bool) {
+// requestTime returns when a request was made; ok is false if it was never made or is no longer recorded.
+func (r *requestIDs) requestTime(id uint64) (at time.Duration, ok bool) {
 	if id > r.last || r.last-id >= recentRequestCount {
 		return 0, false
 	}
-	return r.madeAts[id%recentRequestCount], true
+	return r.requestTimes[id%recentRequestCount], true
 }
--- a/multisite/share_loans.go
+++ b/multisite/share_loans.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// loanMargin is the time after a loan's TTL for which the lender still holds the share back.
+// loanMargin is the time after a loan's TTL for which the lender still reserves the share for the borrower.
 const loanMargin = 50 * time.Millisecond
 
-// shareLoans are the shares of one site's ramp that an instance has lent and borrowed. Invariant: what it has lent
-// never exceeds what it could spare at the time of the grant.
+// shareLoans are the shares of one site's ramp that an instance has lent and borrowed. Invariant: the shares lent never
+// exceed the share that the instance could spare at the time of the grant.
 type shareLoans struct {
-	lent     map[uint64][]lentShare    // by borrower: those that may be in use
+	lent     map[uint64][]lentShare    // by borrower; loans that may still be in use
 	borrowed map[uint64]borrowedShare  // by lender
-	requests map[uint64]pendingRequest // by borrower: those not granted yet
+	requests map[uint64]pendingRequest // by borrower; requests that have not been granted yet
 }
 
 type lentShare struct {
@@ -41,7 +41,7 @@
 	}
 }
 
-// totalLent returns the share that others may be using.
+// totalLent returns the sum of the shares that borrowers may be using.
 func (l *shareLoans) totalLent(now time.Duration) (total float64) {
 	for borrower, loans := range l.lent {
 		loans = slices.DeleteFunc(loans, func(loan lentShare) bool { return now >= loan.until })
@@ -54,7 +54,8 @@
 	return total
 }
 
-// maxLentTo returns the largest share that a borrower may be using. It uses one grant at a time, the last received.
+// maxLentTo returns the largest share that a borrower may be using. A borrower uses one grant at a time, the last one
+// that it received.
 func (l *shareLoans) maxLentTo(borrower uint64) (share float64) {
 	for _, loan := range l.lent[borrower] {
 		share = max(share, loan.share)
@@ -62,7 +63,7 @@
 	return share
 }
 
-// totalBorrowed returns the share that others lend to this instance.
+// totalBorrowed returns the sum of the shares that other members lend to this instance.
 func (l *shareLoans) totalBorrowed(now time.Duration) (total float64) {
 	for lender, loan := range l.borrowed {
 		if now >= loan.until {
@@ -74,24 +75,25 @@
 	return total
 }
 
-// recordRequest records another instance's request, unless a newer one of it is known.
+// recordRequest records another instance's request, unless the same or a newer request of that instance is recorded.
 func (l *shareLoans) recordRequest(now time.Duration, from, requestID uint64, share float64) {
 	if share > 0 && requestID > l.requests[from].requestID {
 		l.requests[from] = pendingRequest{requestID, min(share, fullShare), now}
 	}
 }
 
-// recordGrant records what a lender grants until a time, unless a grant of it for the same or a newer request is known.
+// recordGrant records a lender's grant, which ends at a given time, unless a grant of that lender for the same or a
+// newer request is recorded.
 func (l *shareLoans) recordGrant(now time.Duration, lender uint64, grant ShareGrant, until time.Duration) {
 	if grant.RequestID > l.borrowed[lender].requestID && now < until {
 		l.borrowed[lender] = borrowedShare{grant.RequestID, min(grant.Share, fullShare), until}
 	}
 }
 
-// grant decides which shares this instance lends: what it can spare goes to those that have requested a share, in
-// proportion to their requests. Each loan lasts for ttl, from the grant for the lender.
-func (l *shareLoans) grant(now time.Duration, site string, spare float64, ttl time.Duration) (grants []ShareGrant) {
-	total, borrowers := l.pending(now, ttl)
+// lend lends the spare share to the members that have requested one, in proportion to their requests. For the
+// lender, each loan lasts for ttl from the grant.
+func (l *shareLoans) lend(now time.Duration, site string, spare float64, ttl time.Duration) (grants []ShareGrant) {
+	total, borrowers := l.pendingRequests(now, ttl)
 	if spare < minLentShare || total <= 0 {
 		return nil
 	}
@@ -99,7 +101,7 @@
 		request := l.requests[borrower]
 		delete(l.requests, borrower)
 		share := min(spare*request.share/total, request.share)
-		// The borrower replaces its earlier loans by this one; loans to others must have ended first.
+		// This loan replaces earlier ones to the same borrower; shares lent to others stay lent until their loans end.
 		lentToOthers := l.totalLent(now) - l.maxLentTo(borrower)
 		share = min(share, spare-lentToOthers)
 		if share < minLentShare {
@@ -111,8 +113,8 @@
 	return grants
 }
 
-// pending drops outdated requests and returns the sum of the others with the borrowers that made them, sorted.
-func (l *shareLoans) pending(now, ttl time.Duration) (total float64, borrowers []uint64) {
+// pendingRequests drops outdated requests and returns the sum of the other requests and their borrowers, sorted.
+func (l *shareLoans) pendingRequests(now, ttl time.Duration) (total float64, borrowers []uint64) {
 	for borrower, request := range l.requests {
 		if now-request.receivedAt > ttl {
 			delete(l.requests, borrower)
--- a/multisite/site.go
+++ b/multisite/site.go
@@ -1,11 +1,11 @@
 package multisite
 
-// fullKeyEighths is the number of parts that a site's keys are divided into while it recovers.
+// fullKeyEighths is the number of equal parts into which a recovering site's keys are divided.
 const fullKeyEighths = 8
 
 // Site is a site that can own keys.
 type Site struct {
 	Name       string
-	IsOpen     bool // it takes keys
-	KeyEighths int  // eighths of its keys that it takes while it recovers; 0: all of them
+	IsOpen     bool // the site accepts keyed requests
+	KeyEighths int  // eighths of its keys that the site accepts while it recovers; 0 stands for all of them
 }
--- a/multisite/site_change_test.go
+++ b/multisite/site_change_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestChangeReasons pins the reasons that are stored with a change, and what is proposed with them.
+// TestChangeReasons pins the proposed changes and the reasons that are stored with them.
 func TestChangeReasons(t *testing.T) {
 	h := newTestMonitor(t, 1)
 	expect := func(now time.Duration, want SiteChange) {
 		t.Helper()
 		got, ok := h.ProposeChange(now)
 		if !ok || got != want {
-			t.Fatalf("%v: %+v, %v, want %+v", now, got, ok, want)
+			t.Fatalf("proposed change at %v: got %+v (ok %v), want %+v", now, got, ok, want)
 		}
 	}
 	for now := time.Second; now <= 2*time.Second; now += 100 * time.Millisecond {
--- a/multisite/site_health_simulation_test.go
+++ b/multisite/site_health_simulation_test.go
@@ -25,7 +25,7 @@
 }
 
 // healthSimulation has instances that send attempts to sites, announce their views to each other and agree on changes.
-// Each has a clock of its own.
+// Each instance has its own clock.
 type healthSimulation struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -35,11 +35,11 @@
 	skew     map[uint64]time.Duration
 	monitors map[uint64]*HealthMonitor
 
-	reaches  map[uint64]map[string]bool // by member: the sites that it reaches
-	hears    map[[2]uint64]bool         // whether the first member hears the second
-	isPaused map[uint64]bool
-	direct   map[string][]uint64 // by site: the members that reach it directly; nil: all do
-	capacity map[string]float64  // by site; 0: the members don't know
+	reaches      map[uint64]map[string]bool // by member: the sites that it reaches
+	receivesFrom map[[2]uint64]bool         // whether the first member receives messages from the second
+	isPaused     map[uint64]bool
+	direct       map[string][]uint64 // by site: the members that reach it directly; nil if all do
+	capacity     map[string]float64  // by site; 0 if unknown
 
 	lost        map[string]int // agreed: eighths of the keys of lost sites
 	changeCount int
@@ -49,17 +49,17 @@
 func newHealthSimulation(t *testing.T, seed uint64, memberCount int, sites ...string) *healthSimulation {
 	t.Helper()
 	s := &healthSimulation{
-		t:         t,
-		rng:       rand.New(rand.NewPCG(seed, 7)),
-		sites:     sites,
-		skew:      map[uint64]time.Duration{},
-		monitors:  map[uint64]*HealthMonitor{},
-		reaches:   map[uint64]map[string]bool{},
-		hears:     map[[2]uint64]bool{},
-		isPaused:  map[uint64]bool{},
-		capacity:  map[string]float64{},
-		lost:      map[string]int{},
-		lossCount: map[string]int{},
+		t:            t,
+		rng:          rand.New(rand.NewPCG(seed, 7)),
+		sites:        sites,
+		skew:         map[uint64]time.Duration{},
+		monitors:     map[uint64]*HealthMonitor{},
+		reaches:      map[uint64]map[string]bool{},
+		receivesFrom: map[[2]uint64]bool{},
+		isPaused:     map[uint64]bool{},
+		capacity:     map[string]float64{},
+		lost:         map[string]int{},
+		lossCount:    map[string]int{},
 	}
 	for id := uint64(1); id <= uint64(memberCount); id++ {
 		s.members = append(s.members, id)
@@ -99,19 +99,19 @@
 	}
 }
 
-// cutOff has some members no longer reach a site.
-func (s *healthSimulation) cutOff(site string, members ...uint64) {
+// disconnect makes a site unreachable for the given members.
+func (s *healthSimulation) disconnect(site string, members ...uint64) {
 	for _, id := range members {
 		s.reaches[id][site] = false
 	}
 }
 
-// resumeAll ends all pauses and has all members hear each other.
+// resumeAll ends all pauses and connects all members to each other.
 func (s *healthSimulation) resumeAll() {
 	for _, id := range s.members {
 		s.isPaused[id] = false
 		for _, other := range s.members {
-			s.hears[[2]uint64{id, other}] = true
+			s.receivesFrom[[2]uint64{id, other}] = true
 		}
 	}
 }
@@ -131,8 +131,8 @@
 	return s.direct[site] != nil && !slices.Contains(s.direct[site], id)
 }
 
-// isAnswered reports whether what a member sends to a site is answered: a remote one needs a member that reaches the
-// site directly.
+// isAnswered reports whether a member's attempts at a site are answered. A remote member needs another one that reaches
+// the site directly.
 func (s *healthSimulation) isAnswered(id uint64, site string) bool {
 	if !s.isRemote(id, site) {
 		return s.reaches[id][site]
@@ -142,7 +142,7 @@
 	})
 }
 
-// run takes steps for a while or until a condition holds, and returns for how long it was.
+// run simulates steps for the given time, or until a condition holds, and returns the simulated time.
 func (s *healthSimulation) run(leader uint64, length time.Duration, until func() bool) time.Duration {
 	startedAt := s.now
 	for s.now-startedAt < length && !until() {
@@ -165,7 +165,7 @@
 	return s.run(leader, length, func() bool { return len(s.lost) > 0 })
 }
 
-// step is some attempts and views of each member, and the leader's proposal.
+// step simulates attempts and announcements of each member, and the leader's proposal.
 func (s *healthSimulation) step(leader uint64) {
 	s.now += healthStep
 	for _, id := range s.members {
@@ -200,7 +200,7 @@
 		} else {
 			monitor.RecordMiss(now, site, now-250*time.Millisecond)
 		}
-	case 1: // one that was lost says nothing where others are answered
+	case 1: // an unanswered attempt has no effect if a later one is answered
 		if s.isAnswered(id, site) && s.rng.IntN(10) == 0 {
 			monitor.RecordAnswer(now-5*time.Millisecond, site)
 			monitor.RecordMiss(now, site, now-250*time.Millisecond)
@@ -208,23 +208,24 @@
 	}
 }
 
-// announce sends a member's views to the others; some are lost.
+// announce sends a member's views to the other members. Some messages are lost.
 func (s *healthSimulation) announce(id uint64) {
 	views := s.monitors[id].Views(s.clock(id))
 	for _, to := range s.members {
-		if to != id && !s.isPaused[to] && s.hears[[2]uint64{to, id}] && s.rng.IntN(10) > 0 {
+		if to != id && !s.isPaused[to] && s.receivesFrom[[2]uint64{to, id}] && s.rng.IntN(10) > 0 {
 			s.monitors[to].Receive(s.clock(to), id, views)
 		}
 	}
 }
 
-// agreeOn agrees on a change, which must be one, and must leave a site that takes keys.
+// agreeOn agrees on a change. It checks that the change is not already in force, and that a site that accepts keys is
+// left.
 func (s *healthSimulation) agreeOn(c SiteChange) {
 	s.t.Helper()
 	s.changeCount++
 	eighths, isLost := s.lost[c.Site]
 	if c.IsLost && isLost && eighths == 0 || !c.IsLost && (!isLost || c.KeyEighths > 0 && c.KeyEighths <= eighths) {
-		s.t.Errorf("%v: %+v is proposed, and it was so", s.now, c)
+		s.t.Errorf("at %v: proposed change %+v is already in force", s.now, c)
 	}
 	switch {
 	case c.IsLost:
@@ -236,7 +237,7 @@
 		delete(s.lost, c.Site)
 	}
 	if s.sitesWithoutKeys() == len(s.sites) {
-		s.t.Errorf("%v: every site is lost", s.now)
+		s.t.Errorf("at %v: every site is lost, want at least one that accepts keys", s.now)
 	}
 	s.applyAgreed()
 }
@@ -250,7 +251,7 @@
 	return count
 }
 
-// injectFault breaks or mends something at random and returns the leader from here on.
+// injectFault injects or ends a random fault, or changes the leader, and returns the leader from then on.
 func (s *healthSimulation) injectFault(leader uint64) uint64 {
 	switch s.rng.IntN(6) {
 	case 0, 1:
@@ -265,17 +266,18 @@
 		id := s.anyMember()
 		s.isPaused[id] = s.anyBool()
 	case 4:
-		hearer, sender := s.anyMember(), s.anyMember()
-		s.hears[[2]uint64{hearer, sender}] = s.anyBool()
+		receiver, sender := s.anyMember(), s.anyMember()
+		s.receivesFrom[[2]uint64{receiver, sender}] = s.anyBool()
 	default:
 		return s.anyMember()
 	}
 	return leader
 }
 
-// TestSiteHealthSeeds runs faults from a seed: sites that flap, paths that break, lost messages, pauses and changes of
-// the leader. Whatever happens, not every site is lost, nothing is proposed twice, and a flapping site changes
-// ownership no more often than its recovery delay allows; and once the faults end, all sites recover.
+// TestSiteHealthSeeds injects faults that follow from a seed: flapping sites, broken paths, lost messages, pauses and
+// changes of the leader. It checks that at least one site is never lost, that no change is proposed twice, that a
+// flapping site changes ownership no more often than its recovery delay allows, and that all sites recover once the
+// faults end.
 func TestSiteHealthSeeds(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(1000)
@@ -290,13 +292,13 @@
 	t.Logf("%d seeds: %d changes, %d losses", seeds, changes, losses)
 }
 
-// healthSeedCounts is what happened in one simulation.
+// healthSeedCounts are the numbers of agreed changes and losses in one simulation.
 type healthSeedCounts struct{ changes, losses int }
 
-// runHealthSeed checks a minute with faults, and that all sites recover after it.
+// runHealthSeed checks one minute with faults, and that all sites recover after it.
 func runHealthSeed(t *testing.T, seed uint64) (counts healthSeedCounts) {
 	s := newHealthSimulation(t, seed, 3+int(seed%3), "a", "b", "c")
-	if seed%2 == 1 { // two sites of instances; c is reached from both
+	if seed%2 == 1 { // the instances are at two sites; both reach c directly
 		s.direct = map[string][]uint64{"a": {1, 2}, "b": {3, 4, 5}}
 	}
 	leader := uint64(1)
@@ -304,11 +306,11 @@
 		leader = s.injectFault(leader)
 		s.runFor(leader, time.Duration(s.rng.IntN(1500))*time.Millisecond)
 	}
-	// Delays of 1, 2, 4, 8, 8 ... s while losses are recent: 10 in a minute at the most.
+	// While losses are recent, the recovery delay is 1, 2, 4, 8, 8 ... s: at most 10 losses in a minute.
 	for site, count := range s.lossCount {
 		counts.losses += count
 		if count > 10 {
-			t.Errorf("%s was lost %d times in a minute", site, count)
+			t.Errorf("site %s was lost %d times in a minute, want at most 10", site, count)
 		}
 	}
 	s.resumeAll()
@@ -317,10 +319,10 @@
 		s.capacity[site] = 5
 	}
 	if s.runUntilRecovered(leader, 30*time.Second); len(s.lost) > 0 {
-		t.Errorf("%v still lost", s.lost)
+		t.Errorf("lost sites 30s after the last fault: got %v, want none", s.lost)
 	}
 	if t.Failed() {
-		t.Fatalf("at seed %d", seed)
+		t.Fatalf("simulation with seed %d failed", seed)
 	}
 	counts.changes = s.changeCount
 	return counts
--- a/multisite/site_view.go
+++ b/multisite/site_view.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// SiteView is what an instance announces of a site. Its JSON is read by instances of other versions.
+// SiteView is the view of a site that an instance announces. Its JSON is read by instances of other versions.
 type SiteView struct {
 	Site     string        `json:"Hall"`
 	IsSilent bool          `json:"Silent"`
-	Duration time.Duration `json:"For"`           // of silence or answers; negative: nothing recent
-	Capacity float64       `json:"Carry"`         // in warm servers; 0: not known
+	Duration time.Duration `json:"For"`           // duration of the silence or answers; negative without recent evidence
+	Capacity float64       `json:"Carry"`         // in warm servers; 0 if unknown
 	IsRemote bool          `json:"Far,omitempty"` // the instance reaches the site only through another site's instances
 }
 
@@ -17,7 +17,7 @@
 	isSilent   bool
 	since      time.Duration // clock reading at which the silence or the answers began
 	observedAt time.Duration // clock reading of the last evidence, or at which it was received
-	capacity   float64       // in warm servers; 0: not known
+	capacity   float64       // in warm servers; 0 if unknown
 	isRemote   bool          // the observer reaches the site only through another site
 }
 
@@ -26,31 +26,31 @@
 	return o.isKnown && now-o.observedAt <= viewTTL
 }
 
-// change starts a new period of silence or of answers.
-func (o *observation) change(isSilent bool, since time.Duration) {
+// startPeriod starts a new period of silence or of answers.
+func (o *observation) startPeriod(isSilent bool, since time.Duration) {
 	o.isKnown = true
 	o.isSilent = isSilent
 	o.since = since
 }
 
-// ownObservation is what this instance has observed of a site itself.
+// ownObservation is this instance's own observation of a site.
 type ownObservation struct {
 	observation
 	lastAnswerAt time.Duration
-	missCount    int // attempts without an answer since then
+	missCount    int // number of attempts without an answer since lastAnswerAt
 	firstMissAt  time.Duration
 }
 
 func (o *ownObservation) recordAnswer(now time.Duration) {
 	if !o.isKnown || o.isSilent {
-		o.change(false, now)
+		o.startPeriod(false, now)
 	}
 	o.observedAt = now
 	o.lastAnswerAt = now
 	o.missCount = 0
 }
 
-// recordMiss records an attempt without an answer. It has no effect if the site has answered since it was sent.
+// recordMiss records an attempt without an answer. It has no effect if the site has answered since sentAt.
 func (o *ownObservation) recordMiss(now, sentAt time.Duration, minMisses int) {
 	if o.lastAnswerAt >= sentAt && o.lastAnswerAt > 0 {
 		return
@@ -63,7 +63,7 @@
 		return
 	}
 	if !o.isKnown || !o.isSilent {
-		o.change(true, o.firstMissAt)
+		o.startPeriod(true, o.firstMissAt)
 	}
 	o.observedAt = now
 }
--- a/multisite/site_votes.go
+++ b/multisite/site_votes.go
@@ -4,11 +4,11 @@
 
 // siteVotes counts members by what they observe of a site.
 type siteVotes struct {
-	silent    int // the site does not answer
-	answering int
+	silent    int // members that the site does not answer
+	answering int // members that the site answers
 }
 
-// add counts an observation if its silence or answers were observed for long enough.
+// add counts an observation if its silence lasted for at least minSilence, or its answers for at least minAnswering.
 func (v *siteVotes) add(o observation, minSilence, minAnswering time.Duration) {
 	switch age := o.observedAt - o.since; {
 	case o.isSilent && age >= minSilence:
@@ -19,14 +19,14 @@
 }
 
 // votes counts the members that a site has not answered for minSilence, and those that it has answered for
-// minAnswering. A member that reaches the site only through another one adopts the view of those that reach it
-// directly: it counts as answered if one of them is, and as unanswered if all of them are. If no view of these is
-// current, its own counts.
+// minAnswering. A member that reaches the site only through another site adopts the view of the members that reach it
+// directly: it counts as answered if one of those is answered, and as unanswered if all of them are unanswered. If none
+// of their views is current, its own view counts.
 func (h *HealthMonitor) votes(now time.Duration, site string, minSilence, minAnswering time.Duration) siteVotes {
 	var direct, remote siteVotes
 	directCount, remoteCount := 0, 0
 	for _, member := range h.members {
-		if !h.isHeard(now, member) {
+		if !h.hasCurrentViews(now, member) {
 			continue
 		}
 		o := h.observationOf(member, site)
@@ -52,13 +52,14 @@
 	return direct
 }
 
-// isHeard reports whether a member has announced its views within ViewTTL.
-func (h *HealthMonitor) isHeard(now time.Duration, member uint64) bool {
+// hasCurrentViews reports whether a member has announced its views within ViewTTL; those of this instance are always
+// current.
+func (h *HealthMonitor) hasCurrentViews(now time.Duration, member uint64) bool {
 	if member == h.cfg.InstanceID {
 		return true
 	}
-	at, wasHeard := h.heardAt[member]
-	return wasHeard && now-at <= h.cfg.ViewTTL
+	at, ok := h.viewsReceivedAt[member]
+	return ok && now-at <= h.cfg.ViewTTL
 }
 
 // observationOf returns a member's observation of a site: as it announced it or, for this instance, its own.
--- a/multisite/texts.go
+++ b/multisite/texts.go
@@ -1,7 +1,8 @@
 package multisite
 
-// Texts that others read, in older words than the code's. Those of messages between instances are the JSON tags of
-// [Message] and the types in it. None may be reworded.
+// Texts that operators, other programs and instances of other versions read. They use older terms than the code and
+// must not be changed. The texts of messages between instances are the JSON tags of [Message] and the types in it; they
+// must not be changed either.
 
 // siteStateTexts are the texts of the management API.
 var siteStateTexts = [...]string{
--- a/multisite/warm_capacity.go
+++ b/multisite/warm_capacity.go
@@ -14,8 +14,8 @@
 // warmCapacity estimates the work per second that one warm server of a site can take: the load of all members on one,
 // divided by its utilization.
 type warmCapacity struct {
-	loads  map[uint64]memberLoad // by member
-	latest float64               // last estimate from sufficiently utilized servers; 0: not known
+	loads        map[uint64]memberLoad // by member
+	lastEstimate float64               // last estimate from sufficiently utilized servers; 0 if there is none
 }
 
 type memberLoad struct {
@@ -42,8 +42,8 @@
 }
 
 // estimate returns the capacity, in seconds of work per second, from the loads that are not older than ttl and the
-// median of their utilizations; 0: not known. While the utilization is low it returns the previous estimate, but not
-// less than the present load.
+// median of their utilizations, or 0 if it is unknown. While the utilization is low, it returns the previous estimate,
+// but not less than the present load.
 func (w *warmCapacity) estimate(now, ttl time.Duration) float64 {
 	rate := 0.0
 	utilizations := make([]float64, 0, 8)
@@ -60,8 +60,8 @@
 		slices.Sort(utilizations)
 		median := utilizations[len(utilizations)/2]
 		if median >= minUtilization {
-			w.latest = rate / min(median, 1)
+			w.lastEstimate = rate / min(median, 1)
 		}
 	}
-	return max(w.latest, rate)
+	return max(w.lastEstimate, rate)
 }
--- a/multisite/warm_capacity_test.go
+++ b/multisite/warm_capacity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What a warm server can take follows from what all send to one and how busy that makes it. Each case goes on from the
-// state after the one before.
+// The capacity of a warm server is estimated from the load that all members send to one server and from its
+// utilization. Each case continues from the state after the previous one.
 func TestWarmServerCapacity(t *testing.T) {
 	r, err := NewRecoveryRamp(RampConfig{
 		InstanceID: 1, LoanTTL: time.Second, LoadTTL: time.Second, BudgetMultiple: rampTestMultiple,
@@ -35,11 +35,11 @@
 			r.NextBroadcast(c.now, []WarmLoad{c.own})
 			got := fmt.Sprintf("%.2f %.2f", r.WarmServerCapacity(c.now, "a"), r.WarmServerCapacity(c.now, "b"))
 			if want := fmt.Sprintf("%.2f %.2f", c.capacityA, c.capacityB); got != want {
-				t.Errorf("%s, want %s", got, want)
+				t.Errorf("capacities at sites a and b: got %s, want %s", got, want)
 			}
 		})
 	}
-	if got := r.WarmServerCapacity(5*time.Second, "a"); got != 2 { // loads that are out of date
-		t.Errorf("%.2f with old loads, want 2", got)
+	if got := r.WarmServerCapacity(5*time.Second, "a"); got != 2 { // all loads are outdated
+		t.Errorf("capacity at site a with outdated loads: got %.2f, want 2", got)
 	}
 }
--- a/subset/score.go
+++ b/subset/score.go
@@ -32,8 +32,8 @@
 	return math.Min(density*server.weight(), 1)
 }
 
-// countHolders counts the nodes whose score for a server is below its threshold. These have it in their subset, besides
-// the few whose subsets were filled up with it. The result is at least 1.
+// countHolders counts the nodes whose score for a server is below its threshold. These nodes have the server in their
+// subset, as do the few whose subsets were filled up with it, which are not counted. The result is at least 1.
 func (t Tier) countHolders(serverHash uint64, threshold float64) int {
 	count := 0
 	for node := range t.Nodes {
--- a/subset/sizing.go
+++ b/subset/sizing.go
@@ -4,9 +4,11 @@
 type Sizing struct {
 	// TargetServers is the number of servers in a subset, if there are enough nodes for MinHolders.
 	TargetServers int
-	// MinHolders is the least number of subsets that a server is in, on average: few nodes have larger subsets.
+	// MinHolders is the least number of subsets that a server is in, on average. A small number of nodes therefore have
+	// larger subsets.
 	MinHolders int
-	// MaxOmitted is the number of servers that are not worth leaving out: a subset without so many or fewer holds all.
+	// MaxOmitted is the number of servers that are not worth leaving out: a subset that would omit at most this many
+	// servers holds all servers instead.
 	MaxOmitted int
 }
 
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -19,11 +19,11 @@
 	"slices"
 )
 
-// minZoneMembers is the least number of each zone's servers in a subset, if the zone has so many: the loss of one zone
-// must not empty a subset.
+// minZoneMembers is the least number of each zone's servers in a subset, unless the zone has fewer: the loss of one
+// zone must not empty a subset.
 const minZoneMembers = 2
 
-// Server is a server that takes requests, as in the endpoint list.
+// Server is a server of the endpoint list that accepts requests.
 type Server struct {
 	ID     string
 	Zone   string
@@ -38,24 +38,24 @@
 	return 1
 }
 
-// Tier is the parameters on which all nodes of a tier have to agree. Nodes whose endpoint lists differ for a while
-// assign the servers in question differently, and few others.
+// Tier holds the parameters on which all nodes of a tier have to agree. Nodes whose endpoint lists differ for a while
+// assign the servers that differ, and few others, differently.
 type Tier struct {
 	Nodes int    // number of nodes; at least 1
-	Seed  uint64 // of the scores
+	Seed  uint64 // seed of the scores
 	Sizing
 }
 
 // Member is a server of a subset.
 type Member struct {
 	Index           int     // in the list passed to Select
-	TrafficFraction float64 // of the node's requests; all members' fractions sum to 1
+	TrafficFraction float64 // fraction of the node's requests; the fractions of all members sum to 1
 	HolderCount     int     // nodes that have the server in their subset, this one included
 }
 
 // Select returns the subset of a node (numbered from 0), in the order of the list. A width above 1 multiplies the
 // size of the subset, which then includes the one of width 1. Every zone has members in proportion to its servers,
-// and two at least if it has two servers.
+// and at least two if it has two servers.
 func (t Tier) Select(servers []Server, node int, width float64) []Member {
 	size := t.SubsetSize(len(servers))
 	if size >= len(servers) {
@@ -96,7 +96,7 @@
 // candidate is a server of a zone and its rank for a node.
 type candidate struct {
 	index int
-	rank  float64 // score divided by threshold; below 1 the server is in the subset of width 1
+	rank  float64 // score divided by threshold; if below 1, the server is in the subset of width 1
 }
 
 // rank returns the servers of a zone, given by their indices, in the order in which the node selects them.
@@ -117,8 +117,8 @@
 }
 
 // minMembers returns the least number of a zone's servers in a subset. The number of scores below the threshold varies
-// randomly between nodes (its standard deviation is the root of the size); a subset of less than half of its size could
-// not afford the loss of members and is filled up.
+// randomly between nodes (its standard deviation is the root of the size). A subset with less than half of the mean
+// size could not afford the loss of members and is filled up.
 func minMembers(size, zoneServers, allServers int) int {
 	half := math.Ceil(float64(size) * float64(zoneServers) / float64(2*allServers))
 	return min(max(int(half), minZoneMembers), zoneServers)
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -27,11 +27,11 @@
 	return set
 }
 
-// Where servers or nodes are few, each node keeps all servers; so it does without a sizing.
+// With few servers or nodes, or without a sizing, each node has all servers in its subset.
 func TestSubsetOfAllServers(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers, size int
-		rule                 Sizing
+		sizing               Sizing
 	}{
 		{300, 24, 24, sizing}, {300, 25, 16, sizing},
 		{300, 3, 3, sizing}, {3, 300, 300, sizing},
@@ -39,12 +39,12 @@
 		{30, 300, 240, sizing}, {300, 170, 16, sizing}, {1000, 1000, 24, sizing}, {300, 170, 170, Sizing{}},
 		{300, 0, 0, sizing},
 	} {
-		f := Tier{Nodes: c.nodes, Sizing: c.rule}
-		if got := f.SubsetSize(c.servers); got != c.size {
-			t.Errorf("%d nodes, %d servers: a subset of %d, want %d", c.nodes, c.servers, got, c.size)
+		tier := Tier{Nodes: c.nodes, Sizing: c.sizing}
+		if got := tier.SubsetSize(c.servers); got != c.size {
+			t.Errorf("%d nodes, %d servers: got subset size %d, want %d", c.nodes, c.servers, got, c.size)
 		}
-		if members := f.Select(makeServers(c.servers, 1), 0, 1); c.size == c.servers && len(members) != c.servers {
-			t.Errorf("%d nodes, %d servers: %d members", c.nodes, c.servers, len(members))
+		if members := tier.Select(makeServers(c.servers, 1), 0, 1); c.size == c.servers && len(members) != c.servers {
+			t.Errorf("%d nodes, %d servers: got %d members, want all servers", c.nodes, c.servers, len(members))
 		}
 	}
 }
@@ -61,18 +61,18 @@
 	return math.Sqrt(squares / float64(len(values)))
 }
 
-// The load that even nodes put on servers is even by their size, and no server is in many more subsets than others;
-// without the count of holders its spread would be several times as large.
+// If all nodes send the same load, each server's load is nearly proportional to its weight. Without the division by the
+// number of holders, the deviation would be at least twice as large.
 func TestBalance(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
 		list := makeServers(170, seed)
-		f := Tier{Nodes: 300, Seed: seed, Sizing: sizing}
-		work, uncounted := make([]float64, len(list)), make([]float64, len(list))
-		for node := range f.Nodes {
-			members := f.Select(list, node, 1)
+		tier := Tier{Nodes: 300, Seed: seed, Sizing: sizing}
+		work, loadWithoutHolderCount := make([]float64, len(list)), make([]float64, len(list))
+		for node := range tier.Nodes {
+			members := tier.Select(list, node, 1)
 			if len(members) < 8 || len(members) > 32 {
-				t.Fatalf("seed %d: node %d has %d members", seed, node, len(members))
+				t.Fatalf("seed %d: node %d has %d members, want 8 to 32", seed, node, len(members))
 			}
 			sum, sizes := 0.0, 0.0
 			zones := map[string]int{}
@@ -83,29 +83,31 @@
 			for _, m := range members {
 				sum += m.TrafficFraction
 				work[m.Index] += m.TrafficFraction / list[m.Index].Weight
-				uncounted[m.Index] += 1 / sizes
+				loadWithoutHolderCount[m.Index] += 1 / sizes
 			}
 			if math.Abs(sum-1) > 1e-9 || zones["a"] < 4 || zones["b"] < 4 {
-				t.Fatalf("seed %d: node %d: shares sum to %v, zones %v", seed, node, sum, zones)
+				t.Fatalf("seed %d: node %d: fractions sum to %v, want 1; members by zone %v, want at least 4",
+					seed, node, sum, zones)
 			}
 		}
-		if d, u := relativeDeviation(work), relativeDeviation(uncounted); d > 0.08 || u < 2*d {
-			t.Errorf("seed %d: load spread by %.3f, %.3f without the count of holders", seed, d, u)
+		if d, u := relativeDeviation(work), relativeDeviation(loadWithoutHolderCount); d > 0.08 || u < 2*d {
+			t.Errorf("seed %d: load deviation: got %.3f, want at most 0.08; without holder counts %.3f, want twice that",
+				seed, d, u)
 		}
 	}
 }
 
-// A server that is added or removed changes its own places and, as the threshold follows the list's length,
-// as many again: 28 of 4,800.
+// A server that is added or removed changes its own memberships and, as the threshold depends on the list's length,
+// as many others: 28 of 4,800.
 func TestChurn(t *testing.T) {
 	t.Parallel()
 	moved, places := 0, 0
 	for seed := range uint64(10) {
 		list := makeServers(170, seed)
-		f := Tier{Nodes: 300, Seed: seed, Sizing: sizing}
-		less := slices.Delete(slices.Clone(list), 60, 61)
-		for node := range f.Nodes {
-			was, now := memberIDs(list, f.Select(list, node, 1)), memberIDs(less, f.Select(less, node, 1))
+		tier := Tier{Nodes: 300, Seed: seed, Sizing: sizing}
+		shorter := slices.Delete(slices.Clone(list), 60, 61)
+		for node := range tier.Nodes {
+			was, now := memberIDs(list, tier.Select(list, node, 1)), memberIDs(shorter, tier.Select(shorter, node, 1))
 			for id := range now {
 				if !was[id] {
 					moved++
@@ -115,9 +117,10 @@
 		}
 	}
 	if limit := 3 * places / 170; moved > limit {
-		t.Errorf("%d members changed when one server of 170 went, in ten tiers; its places are %d", moved, places/170)
+		t.Errorf("%d members added after the removal of one server of 170, in ten tiers; it had %d memberships itself",
+			moved, places/170)
 	}
-	// Another number of nodes, as some take it to be, changes thresholds a little and scores not at all.
+	// A different number of nodes, as some nodes may assume, changes the thresholds a little and the scores not at all.
 	list, changed := makeServers(170, 3), 0
 	for node := range 300 {
 		was := memberIDs(list, Tier{Nodes: 300, Sizing: sizing}.Select(list, node, 1))
@@ -128,47 +131,47 @@
 		}
 	}
 	if changed > 0 {
-		t.Errorf("%d members changed with the number of nodes", changed)
+		t.Errorf("%d members changed with the number of nodes, want 0", changed)
 	}
 }
 
-// A subset does not depend on the order of the list, and a wider one holds the narrower.
+// A subset does not depend on the order of the list, and a wider subset includes the narrower one.
 func TestListOrderAndWidth(t *testing.T) {
 	list := makeServers(170, 4)
 	other := slices.Clone(list)
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(other), func(i, j int) { other[i], other[j] = other[j], other[i] })
-	f := Tier{Nodes: 300, Sizing: sizing}
-	for node := range f.Nodes {
-		narrow := memberIDs(list, f.Select(list, node, 1))
-		wide := memberIDs(other, f.Select(other, node, 1.5))
+	tier := Tier{Nodes: 300, Sizing: sizing}
+	for node := range tier.Nodes {
+		narrow := memberIDs(list, tier.Select(list, node, 1))
+		wide := memberIDs(other, tier.Select(other, node, 1.5))
 		for id := range narrow {
 			if !wide[id] {
-				t.Fatalf("node %d: %s is in its subset and not in the wider one", node, id)
+				t.Fatalf("node %d: server %s is in the narrow subset but not in the wide one", node, id)
 			}
 		}
 		if len(wide) <= len(narrow) {
-			t.Fatalf("node %d: %d members, %d when wider", node, len(narrow), len(wide))
+			t.Fatalf("node %d: the wide subset is not larger: %d members, wide %d", node, len(narrow), len(wide))
 		}
 	}
 }
 
-// A zone with few servers is in each subset all the same, with two.
+// A zone with few servers still has two members in each subset.
 func TestSmallZone(t *testing.T) {
 	list := makeServers(170, 6)
 	for i := range list {
 		list[i].Zone = "a"
 	}
 	list[5].Zone, list[90].Zone, list[133].Zone = "b", "b", "b"
-	f := Tier{Nodes: 300, Sizing: sizing}
-	for node := range f.Nodes {
+	tier := Tier{Nodes: 300, Sizing: sizing}
+	for node := range tier.Nodes {
 		n := 0
-		for _, m := range f.Select(list, node, 1) {
+		for _, m := range tier.Select(list, node, 1) {
 			if list[m.Index].Zone == "b" {
 				n++
 			}
 		}
 		if n < 2 {
-			t.Fatalf("node %d has %d servers of the small zone", node, n)
+			t.Fatalf("node %d has %d members of the small zone, want at least 2", node, n)
 		}
 	}
 }
@@ -182,18 +185,18 @@
 				list[i].Weight = size
 			}
 		}
-		fl := Tier{Nodes: int(nodes%500) + 1, Sizing: sizing}
-		members := fl.Select(list, int(node)%fl.Nodes, wide)
+		tier := Tier{Nodes: int(nodes%500) + 1, Sizing: sizing}
+		members := tier.Select(list, int(node)%tier.Nodes, wide)
 		sum := 0.0
 		for i, m := range members {
 			if m.Index < 0 || m.Index >= len(list) || m.HolderCount < 1 ||
 				!(m.TrafficFraction >= 0) || i > 0 && m.Index <= members[i-1].Index {
-				t.Fatalf("member %+v", m)
+				t.Fatalf("invalid member %+v", m)
 			}
 			sum += m.TrafficFraction
 		}
 		if len(list) > 0 && (len(members) < min(len(list), 2) || math.Abs(sum-1) > 1e-6) {
-			t.Fatalf("%d members of %d servers, shares sum to %v", len(members), len(list), sum)
+			t.Fatalf("%d members of %d servers, want at least 2; fractions sum to %v, want 1", len(members), len(list), sum)
 		}
 	})
 }
--- a/subset/width_controller.go
+++ b/subset/width_controller.go
@@ -12,7 +12,7 @@
 	maxWidthSteps = 8
 	// minHealthyFraction is the fraction of the size by [Sizing] that must be able to serve.
 	minHealthyFraction = 0.35
-	// maxAttemptsPerMember is the number of attempts in flight per able member above which the subset widens.
+	// maxAttemptsPerMember is the number of attempts in flight per healthy member above which the subset widens.
 	maxAttemptsPerMember = 1.0
 	// maxStepsPerWidening and widenInterval limit the rate of widening: if the members' health is misjudged for a
 	// moment, the subset must not grow to all servers at once.
@@ -23,13 +23,13 @@
 )
 
 // WidthController controls the width of a node's subset, its size as a multiple of that by [Sizing]. It widens at
-// once if the subset cannot serve the node's attempts, and narrows step by step after a smaller one has sufficed for
-// a while: a zone that fails and recovers repeatedly must not move the tier's connections each time. The zero value
-// has width 1.
+// once if the subset cannot serve the node's attempts, and narrows step by step after a smaller subset would have
+// sufficed for a while: a zone that fails and recovers repeatedly must not move the tier's connections each time. The
+// zero value has width 1.
 type WidthController struct {
 	steps           int
 	widenedAt       time.Duration
-	narrowableSince time.Duration // clock reading since which one step less would suffice; 0: it would not
+	narrowableSince time.Duration // clock reading since which one step less would suffice; 0 if it would not
 }
 
 // Factor returns the present width, for [Tier.Select].
@@ -51,7 +51,7 @@
 	return w.narrow(now)
 }
 
-// isEnough reports whether a width of so many steps could serve the node's attempts.
+// isEnough reports whether a subset whose width is the given number of steps could serve the node's attempts.
 func (w *WidthController) isEnough(steps int, healthyFraction float64, members int, inFlight float64) bool {
 	healthy := math.Max(healthyFraction, 0)
 	if healthy*math.Pow(widthStepFactor, float64(steps)) < minHealthyFraction {
--- a/zonehealth/detector.go
+++ b/zonehealth/detector.go
@@ -1,16 +1,16 @@
-// Package zonehealth detects the loss of a whole zone from what a node observes at a few of its servers. If each server
-// were judged alone, a node that sends to each of them once in several seconds would take that long, and each detection
-// would cost a request.
+// Package zonehealth detects the loss of a whole zone from a node's observations of a few of its servers. If each
+// server were judged alone, a node that sends to each server once in several seconds would need several seconds to
+// detect the loss, and the detection of each server would cost a request.
 //
-// A zone is down if attempts at several of its servers failed, no server of it has responded since, and another zone
-// has. A response from any of its servers ends the outage. Failures at a single server, however many, are no
+// A zone is down if attempts at several of its servers failed, no server of the zone has responded since, and another
+// zone has. A response from any of its servers ends the outage. Failures at a single server, however many, are no
 // evidence about the others. If no zone responds, the node itself is cut off, and no zone is declared down.
 //
 // Evidence has three weights: a failed attempt of the node (a timeout, a connection that could not be established); an
 // attempt of the node that has been waiting for long; and a peer's report. Only the latest server that a peer reported
-// counts, so that one peer alone cannot declare a zone down. Without own evidence the zone must have been silent for
-// longer, since its responses to the node itself are the better evidence. Responses that two peers report also end an
-// outage, since a node that sends nothing to a zone receives nothing from it.
+// counts, so that one peer alone cannot declare a zone down. If the node has no evidence of its own, the zone must have
+// been silent for longer, since responses to the node itself are better evidence than reports. Responses that two peers
+// report also end an outage, since a node that sends nothing to a zone receives nothing from it.
 //
 // The package does no I/O, reads no clock and draws no random numbers. Times are readings of one monotonic clock.
 package zonehealth
@@ -26,22 +26,22 @@
 	zones    map[string]*zoneState
 }
 
-// zoneState is what is known of one zone. Invariant: while isDown, no response has been observed since downSince.
+// zoneState is the observed state of one zone. Invariant: while isDown, no response has been observed since downSince.
 type zoneState struct {
 	lastResponseAt time.Duration
-	hasResponded   bool // since the zone is tracked
+	hasResponded   bool // the zone has responded since tracking began
 	evidence       []evidence
 	isDown         bool
 	downSince      time.Duration
-	respondingPeer int // that has reported a response since downSince; noPeer: none
+	respondingPeer int // index of the peer that has reported a response since downSince, or noPeer
 }
 
-// New returns a detector that tracks no zone yet.
+// New returns a detector that does not track any zone yet.
 func New(settings Settings) *Detector {
 	return &Detector{settings: settings, zones: map[string]*zoneState{}}
 }
 
-// zone returns the state of a zone, which it adds if there is none.
+// zone returns the state of a zone, and starts tracking a zone that is new.
 func (d *Detector) zone(name string) *zoneState {
 	z := d.zones[name]
 	if z == nil {
@@ -64,7 +64,7 @@
 	z := d.zone(zone)
 	z.lastResponseAt = now
 	z.hasResponded = true
-	z.recover()
+	z.markUp()
 }
 
 // ObserveFailure records that an attempt sent to a server at sentAt failed.
@@ -101,7 +101,7 @@
 }
 
 // ObservePeerResponse records a peer's report of a response from the zone. The second peer to report one ends an
-// outage. Reports within EvidenceTTL of its start are ignored, since they may be of earlier responses.
+// outage. Reports within EvidenceTTL of the outage's start are ignored, since they may be of earlier responses.
 func (d *Detector) ObservePeerResponse(zone string, peer int, now time.Duration) {
 	z := d.zones[zone]
 	switch {
@@ -109,11 +109,11 @@
 	case z.respondingPeer < 0 || z.respondingPeer == peer:
 		z.respondingPeer = peer
 	default:
-		z.recover()
+		z.markUp()
 	}
 }
 
-// Evaluate reports whether the zone is down, and whether this call is the first to find it so.
+// Evaluate reports whether the zone is down, and whether this call is the first to detect it.
 func (d *Detector) Evaluate(zone string, now time.Duration) (isDown, isNew bool) {
 	z := d.zones[zone]
 	if z == nil {
@@ -122,7 +122,7 @@
 	if z.isDown {
 		return true, false
 	}
-	if !d.hasEnoughEvidence(z, now) || !d.anotherResponds(zone, now) {
+	if !d.hasEnoughEvidence(z, now) || !d.anotherZoneResponds(zone, now) {
 		return false, false
 	}
 	z.isDown = true
@@ -144,8 +144,8 @@
 	return hasOwn || silence >= d.settings.MinSilenceByPeers
 }
 
-// anotherResponds reports whether another zone has responded since this one did.
-func (d *Detector) anotherResponds(zone string, now time.Duration) bool {
+// anotherZoneResponds reports whether another zone has responded since this one did.
+func (d *Detector) anotherZoneResponds(zone string, now time.Duration) bool {
 	z := d.zones[zone]
 	for name, other := range d.zones {
 		if name == zone || !other.hasResponded || other.isDown {
@@ -158,8 +158,8 @@
 	return false
 }
 
-// recover marks the zone as up and drops the evidence against it.
-func (z *zoneState) recover() {
+// markUp marks the zone as up and drops the evidence against it.
+func (z *zoneState) markUp() {
 	z.isDown = false
 	z.evidence = z.evidence[:0]
 }
--- a/zonehealth/detector_test.go
+++ b/zonehealth/detector_test.go
@@ -20,7 +20,7 @@
 	return d
 }
 
-// evidenceCases are what is observed of zone a, and whether it counts as down for it.
+// evidenceCases are observations of zone a, and whether the zone is down by them.
 var evidenceCases = []struct {
 	name    string
 	observe func(detector *Detector)
@@ -72,16 +72,16 @@
 			detector := detectorWithBothZonesUp()
 			detector.ObserveResponse("b", 390*ms)
 			if c.observe(detector); isDown(detector, "a", 500*ms) != c.want {
-				t.Errorf("down %v", !c.want)
+				t.Errorf("zone a is down: got %v, want the opposite", !c.want)
 			}
 			if isDown(detector, "b", 500*ms) {
-				t.Error("the other zone is down")
+				t.Error("zone b is down although only zone a failed")
 			}
 		})
 	}
 }
 
-// A node that hears nobody is cut off itself.
+// If no zone responds, the node itself is cut off, and no zone is declared down.
 func TestNoZoneResponds(t *testing.T) {
 	detector := detectorWithBothZonesUp()
 	for i := range uint64(5) {
@@ -89,11 +89,11 @@
 		detector.ObserveFailure("b", i, 100*ms, 500*ms)
 	}
 	if isDown(detector, "a", time.Second) || isDown(detector, "b", time.Second) {
-		t.Error("a zone is down for a node that hears nobody")
+		t.Error("a zone is down although no zone responds to the node")
 	}
 }
 
-// Peers alone do it where nothing was heard for a second; old evidence counts for nothing.
+// Peers' reports alone suffice if the zone has been silent for a second. Evidence older than its TTL is ignored.
 func TestPeerReportsAndEvidenceTTL(t *testing.T) {
 	detector := detectorWithBothZonesUp()
 	detector.ObserveResponse("b", 1400*ms)
@@ -101,18 +101,18 @@
 		detector.ObservePeerFailure("a", uint64(i), i, 1200*ms)
 	}
 	if !isDown(detector, "a", 1500*ms) {
-		t.Error("three peers' reports do not suffice")
+		t.Error("zone a is not down after three peers' reports and a second of silence")
 	}
 	detector = detectorWithBothZonesUp()
 	detector.ObserveFailure("a", 1, 100*ms, 400*ms)
 	detector.ObserveResponse("b", 4*time.Second)
 	detector.ObserveFailure("a", 2, 3900*ms, 4*time.Second)
 	if isDown(detector, "a", 4*time.Second) {
-		t.Error("evidence counts for longer than its TTL")
+		t.Error("zone a is down by evidence that is older than its TTL")
 	}
 }
 
-// downDetector returns a detector that has just found zone a down.
+// downDetector returns a detector that has just declared zone a down.
 func downDetector(t *testing.T) *Detector {
 	t.Helper()
 	detector := detectorWithBothZonesUp()
@@ -120,10 +120,10 @@
 	detector.ObserveFailure("a", 1, 100*ms, 400*ms)
 	detector.ObserveFailure("a", 2, 100*ms, 400*ms)
 	if down, isNew := detector.Evaluate("a", 500*ms); !down || !isNew {
-		t.Fatal("not detected")
+		t.Fatal("the first evaluation did not detect that zone a is down")
 	}
 	if down, isNew := detector.Evaluate("a", 600*ms); !down || isNew {
-		t.Fatal("detected twice")
+		t.Fatal("the second evaluation reported zone a as up or as newly down")
 	}
 	return detector
 }
@@ -131,13 +131,13 @@
 func TestResponseEndsOutage(t *testing.T) {
 	detector := downDetector(t)
 	if detector.ObserveResponse("a", 10*time.Second); isDown(detector, "a", 10*time.Second) {
-		t.Error("a response does not end the outage")
+		t.Error("a response from zone a did not end the outage")
 	}
 	detector.ObserveResponse("b", 10400*ms)
 	detector.ObserveFailure("a", 1, 9*time.Second, 10400*ms)
 	detector.ObserveFailure("a", 2, 9*time.Second, 10400*ms)
 	if isDown(detector, "a", 10500*ms) {
-		t.Error("what was sent before the last response counts")
+		t.Error("zone a is down by attempts that were sent before its last response")
 	}
 }
 
@@ -146,15 +146,15 @@
 	detector.ObservePeerResponse("a", 3, time.Second)
 	detector.ObservePeerResponse("a", 4, time.Second)
 	if !isDown(detector, "a", time.Second) {
-		t.Error("what peers met too early ends the outage")
+		t.Error("peers' reports within EvidenceTTL of the outage's start ended it")
 	}
 	detector.ObservePeerResponse("a", 3, 5*time.Second)
 	detector.ObservePeerResponse("a", 3, 5*time.Second)
 	if !isDown(detector, "a", 5*time.Second) {
-		t.Error("one peer ends the outage")
+		t.Error("reports of a single peer ended the outage")
 	}
 	if detector.ObservePeerResponse("a", 4, 5*time.Second); isDown(detector, "a", 5*time.Second) {
-		t.Error("two peers don't end the outage")
+		t.Error("reports of two peers did not end the outage")
 	}
 }
 
@@ -163,7 +163,7 @@
 	detector.ObservePeerResponse("nobody", 4, 5*time.Second)
 	detector.RetainZones(map[string]bool{"b": false})
 	if len(detector.zones) != 1 {
-		t.Errorf("%d zones retained", len(detector.zones))
+		t.Errorf("zones retained: got %d, want 1", len(detector.zones))
 	}
 }
 
@@ -173,6 +173,6 @@
 		detector.ObserveFailure("a", i, 100*ms, 400*ms)
 	}
 	if n := len(detector.zones["a"].evidence); n > maxEvidence {
-		t.Errorf("%d pieces of evidence", n)
+		t.Errorf("%d pieces of evidence are kept, want at most maxEvidence", n)
 	}
 }
--- a/zonehealth/evidence.go
+++ b/zonehealth/evidence.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// maxEvidence limits the evidence that is kept of a zone.
+// maxEvidence is the maximum number of pieces of evidence that are kept for a zone.
 const maxEvidence = 16
 
 // failureWeight is the weight of a failed attempt of the node itself.
 const failureWeight = 1
 
-// noPeer takes the place of a peer's index for the node itself.
+// noPeer takes the place of a peer's index where there is no peer, as for evidence of the node itself.
 const noPeer = -1
 
 // evidence is one sign that a server of a zone is unresponsive.
 type evidence struct {
 	server     uint64
-	peer       int // index of the peer that reported it; noPeer: found by this node
+	peer       int // index of the peer that reported the evidence, or noPeer if this node observed it
 	weight     float64
 	observedAt time.Duration
-	sentAt     time.Duration // when the attempt that failed was sent
+	sentAt     time.Duration // when the failed or slow attempt was sent
 }
 
-// isOwn reports whether this node found the evidence itself.
+// isOwn reports whether this node observed the evidence itself.
 func (e *evidence) isOwn() bool { return e.peer < 0 }
 
 // supersedes reports whether only one of e and old may count: they concern the same server or are from the same peer.
@@ -31,7 +31,7 @@
 	return old.server == e.server || !e.isOwn() && old.peer == e.peer
 }
 
-// add adds evidence, of which the strongest for each server and from each peer is kept. Evidence of attempts that were
+// add adds evidence. The strongest evidence for each server and from each peer is kept. Evidence of attempts that were
 // sent before the zone last responded is ignored.
 func (z *zoneState) add(e evidence) {
 	if z.hasResponded && e.sentAt < z.lastResponseAt {
--- a/zonehealth/settings.go
+++ b/zonehealth/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Settings are the amount of evidence that is needed to declare a zone down.
+// Settings determine how much evidence is needed to declare a zone down.
 type Settings struct {
 	// DownThreshold is the total weight of evidence at which a zone is down. A failed attempt of the node
 	// itself weighs 1.
@@ -15,7 +15,7 @@
 	EvidenceTTL time.Duration
 	// MinSilence is how long a zone must have been silent before it can be down.
 	MinSilence time.Duration
-	// MinSilenceByPeers takes the place of MinSilence where all evidence comes from peers.
+	// MinSilenceByPeers takes the place of MinSilence if all evidence comes from peers.
 	MinSilenceByPeers time.Duration
 }
 
--- a/zonehealth/simulation_test.go
+++ b/zonehealth/simulation_test.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	simulationStep    = 10 * ms
-	evaluationPeriod  = 100 * ms
-	outageAt          = 60 * time.Second
-	simulationEnd     = outageAt + 10*time.Second
-	serversPerZone    = 9
-	unresponsive      = 4 // a server of zone a that never responds
-	meanLatencyMillis = 200
-	slowAfter         = 600 * ms
-	failsAfter        = 800 * ms
+	simulationStep     = 10 * ms
+	evaluationPeriod   = 100 * ms
+	outageAt           = 60 * time.Second
+	simulationEnd      = outageAt + 10*time.Second
+	serversPerZone     = 9
+	unresponsiveServer = 4 // a server of zone a that never responds
+	meanLatencyMillis  = 200
+	slowAfter          = 600 * ms
+	failsAfter         = 800 * ms
 )
 
-// A node sends each of two zones two requests a second, to nine servers each, and a response takes 0.2 s on
-// average; then one zone fails. It is detected within a second or so. In the minute before, with one server of
-// nine unresponsive, there are few false alarms, and each is over at the next response.
+// A node sends two requests a second to each of two zones of nine servers, and a response takes 0.2 s on average. Then
+// one zone fails, which must be detected within a second or so. In the minute before, with one server of nine
+// unresponsive, there must be few false alarms, and each must end at the next response.
 func TestZoneOutageIsDetected(t *testing.T) {
 	var delays []time.Duration
 	falseAlarms, falseTime := 0, time.Duration(0)
@@ -30,20 +30,20 @@
 		s := newSimulation(seed)
 		s.run()
 		if s.detectionDelay < 0 {
-			t.Fatalf("seed %d: not detected", seed)
+			t.Fatalf("seed %d: the outage was not detected", seed)
 		}
 		delays = append(delays, s.detectionDelay)
 		falseAlarms += s.falseAlarms
-		falseTime += s.falseTime
+		falseTime += s.falseDownTime
 	}
 	slices.Sort(delays)
 	t.Logf("detected after %v in the median, %v at most; in %d minutes %d false alarms, %v in all",
 		delays[minutes/2], delays[minutes-1], minutes, falseAlarms, falseTime)
 	if delays[minutes/2] > 1500*ms || delays[minutes-1] > 3*time.Second {
-		t.Error("detected late")
+		t.Error("outages were detected too late: want a median of at most 1.5s and a maximum of 3s")
 	}
 	if falseAlarms > 4*minutes || falseTime > minutes*2*time.Second {
-		t.Error("too many false alarms")
+		t.Error("too many or too long false alarms: want at most 4 and 2s per simulated minute")
 	}
 }
 
@@ -52,18 +52,18 @@
 	zone        string
 	server      uint64
 	sentAt      time.Duration
-	respondedAt time.Duration // 0: never
+	respondedAt time.Duration // 0 if there is no response
 }
 
-// simulation runs a node up to and past an outage of zone a.
+// simulation simulates a node before and during an outage of zone a.
 type simulation struct {
 	rng      *rand.Rand
 	detector *Detector
 	inFlight []simulatedAttempt
 
-	detectionDelay time.Duration // after the outage; below 0: not detected
-	falseAlarms    int           // before the outage
-	falseTime      time.Duration // for which a zone was down before the outage
+	detectionDelay time.Duration // from the start of the outage to its detection; negative if not detected
+	falseAlarms    int           // number of detections before the outage
+	falseDownTime  time.Duration // time for which zones were declared down before the outage
 }
 
 func newSimulation(seed uint64) *simulation {
@@ -84,7 +84,7 @@
 	}
 }
 
-// send sends each zone two requests a second on average.
+// send sends two requests a second to each zone on average.
 func (s *simulation) send(now time.Duration) {
 	for i, zone := range []string{"a", "b"} {
 		if s.rng.IntN(50) > 0 {
@@ -93,14 +93,14 @@
 		server := uint64(i*serversPerZone + s.rng.IntN(serversPerZone))
 		latency := time.Duration(s.rng.ExpFloat64()*meanLatencyMillis) * ms
 		a := simulatedAttempt{zone: zone, server: server, sentAt: now, respondedAt: now + latency}
-		if a.server == unresponsive || zone == "a" && now >= outageAt {
+		if a.server == unresponsiveServer || zone == "a" && now >= outageAt {
 			a.respondedAt = 0
 		}
 		s.inFlight = append(s.inFlight, a)
 	}
 }
 
-// observe tells the detector what has become of an attempt, and reports whether it is over.
+// observe records the state of an attempt in the detector, and reports whether the attempt has ended.
 func (s *simulation) observe(a simulatedAttempt, now time.Duration) bool {
 	isCutOff := a.zone == "a" && now >= outageAt && a.respondedAt >= outageAt
 	if !isCutOff && a.respondedAt > 0 && now >= a.respondedAt {
@@ -123,7 +123,7 @@
 	switch {
 	case now < outageAt:
 		s.falseAlarms += countTrue(isANew, isBNew)
-		s.falseTime += time.Duration(countTrue(isADown, isBDown)) * evaluationPeriod
+		s.falseDownTime += time.Duration(countTrue(isADown, isBDown)) * evaluationPeriod
 	case isADown && s.detectionDelay < 0:
 		s.detectionDelay = now - outageAt
 	}
