--- a/policy/quota/check.go
+++ b/policy/quota/check.go
@@ -1,7 +1,7 @@
 package quota
 
-// Whether a request is within its customer's quota, when to retry if it is not, and whether it may be forwarded all the
-// same.
+// This file decides whether a request is within its customer's quota, when to retry it if it is not, and whether it may
+// be forwarded beyond the quota.
 
 import (
 	"math"
@@ -9,26 +9,27 @@
 )
 
 const (
-	contentionWindow      = time.Second // for which a quota counts as contended after a rejection
-	contentionTries       = 2           // and at least until so many such requests are refilled
-	peerCountTTLIntervals = 10          // gossip intervals after which a peer's count in flight is forgotten
+	contentionWindow      = time.Second // shortest time for which a quota counts as contended after a rejection
+	contentionRequests    = 2           // requests whose units an owner's quota refills while it counts as contended
+	peerCountTTLIntervals = 10          // gossip intervals after which a peer's count in flight expires
 )
 
-// Demand is what a request needs of its customer's quota, in units.
+// Demand is what a request needs from its customer's quota.
 type Demand struct {
 	Units  float64
-	IsLate bool // it is known to come too late for its latency objective
+	IsLate bool // the request is known to miss its latency objective
 }
 
-// Decision says whether a request is inside its customer's quota and, if not, when to retry.
+// Decision is whether a request is within its customer's quota and, if not, when to retry it.
 type Decision struct {
 	IsInside   bool
 	RetryAfter time.Duration
 }
 
-// Check decides whether a demand is inside the customer's quota: units at a rate, and attempts in flight. A
-// late request is not while the quota is contended: the units are for those that can still be answered in
-// time. A rejection leaves the quota contended for a while.
+// Check decides whether a demand is within the customer's quota: its units within the rate, and one more attempt within
+// the limit in flight. A late request is rejected while the quota is contended, since the units are reserved for
+// requests that can still meet their latency objective. A rejection for lack of units or of capacity in flight makes
+// the quota contended for a while.
 func (t *Table) Check(quota *Quota, demand Demand, now time.Duration) Decision {
 	if quota.UsesOwner { // the bucket is charged at once: no other instance spends from it unseen
 		quota.unitsSinceGossip, quota.startedSinceGossip = 0, 0
@@ -49,9 +50,9 @@
 	return Decision{IsInside: true}
 }
 
-// hasInFlightCapacity decides whether one more attempt stays within the limit in flight, of which capacity
-// attempts are left. Between two messages of gossip the instances split it; while the quota is contended,
-// all would start one.
+// hasInFlightCapacity reports whether one more attempt stays within the limit in flight, of which capacity attempts are
+// left. Between two gossip messages the instances split this capacity evenly. While the quota is contended, every
+// instance would start an attempt: the capacity must suffice for all of them, up to half of the limit.
 func (q *Quota) hasInFlightCapacity(plan *Plan, capacity int, isContended bool) bool {
 	needed := 1
 	if isContended && !q.UsesOwner {
@@ -61,51 +62,52 @@
 		return false
 	}
 	started := q.startedSinceGossip
-	allowance := float64(capacity+started) / q.splitBetweenGossip()
+	allowance := float64(capacity+started) / q.admittingInstances()
 	return started == 0 || float64(started+1) <= allowance
 }
 
-// hasTokens decides whether the quota has the units of one more request. The first request after a gossip
-// needs only its own units, since a small quota split among the instances would admit none. While the quota
-// is contended, all instances would send that one: the bucket must hold it for each, as far as it can.
+// hasTokens reports whether the bucket holds the units of one more request. Between two gossip messages the instances
+// split the tokens evenly, but the first request after a gossip message needs only its own units, since a small quota
+// split among the instances would admit none. While the quota is contended, every instance would send that first
+// request: the bucket must hold the units for all of them, up to half of its burst.
 func (q *Quota) hasTokens(plan *Plan, units float64, isContended bool) bool {
-	split := q.splitBetweenGossip()
+	instances := q.admittingInstances()
 	needed := units
 	if isContended {
-		needed = math.Max(units, math.Min(units*split, plan.Burst/2))
+		needed = math.Max(units, math.Min(units*instances, plan.Burst/2))
 	}
 	if q.Tokens < needed {
 		return false
 	}
-	allowance := (q.Tokens + q.unitsSinceGossip) / split
+	allowance := (q.Tokens + q.unitsSinceGossip) / instances
 	return q.unitsSinceGossip <= 0 || q.unitsSinceGossip+units <= allowance
 }
 
-// contentionTime returns for how long a quota that lacks the units of a request counts as contended.
+// contentionTime returns how long a quota that lacks the units of a request counts as contended.
 func (q *Quota) contentionTime(plan *Plan, units float64) time.Duration {
 	if !q.UsesOwner {
 		return contentionWindow
 	}
-	return max(contentionWindow, refillTime(contentionTries*units, plan.Rate/q.ownerCount))
+	return max(contentionWindow, refillTime(contentionRequests*units, plan.Rate/q.bucketCount))
 }
 
 // refillWait returns how long the bucket takes to hold the units of a request.
 func (q *Quota) refillWait(plan *Plan, units float64) time.Duration {
-	return refillTime(units-q.Tokens, plan.Rate/q.ownerCount)
+	return refillTime(units-q.Tokens, plan.Rate/q.bucketCount)
 }
 
-// quotaUpdateWait returns the shortest wait of a request beyond its quota: until this instance learns what
-// others have taken or returned.
+// quotaUpdateWait returns the shortest retry delay of a request beyond its quota: the time until this instance receives
+// what other instances have taken or returned.
 func (f *Fleet) quotaUpdateWait() time.Duration { return min(f.GossipInterval, OwnerTimeout) }
 
-// MayExceedQuota decides whether a request beyond its customer's quota may be forwarded: only where that earns more
-// than it costs, and the servers have spare capacity.
+// MayExceedQuota reports whether a request beyond its customer's quota may be forwarded: only if that earns more than
+// it costs and the servers have spare capacity.
 func (p *Plan) MayExceedQuota(hasSpareCapacity bool) bool {
 	return p.OverQuotaFraction > p.OverQuotaCost && hasSpareCapacity
 }
 
-// MayHedge decides whether a second attempt of a request does not push the customer's next request beyond
-// its limit in flight.
+// MayHedge reports whether a hedged request may be sent: the limit in flight must still have room for the customer's
+// next request on each instance.
 func (t *Table) MayHedge(quota *Quota, now time.Duration) bool {
 	limit := t.PlanOf(quota).MaxInFlight
 	return limit == 0 || t.inFlightCapacity(quota, now) > quota.InstanceCount
--- a/policy/quota/check_test.go
+++ b/policy/quota/check_test.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// A request beyond its quota is forwarded only where that earns more than it costs, and the servers have spare
-// capacity: see TestHasSpareCapacity of package overload.
+// TestMayExceedQuota checks that a request beyond its quota is forwarded only if that earns more than it costs and the
+// servers have spare capacity. TestHasSpareCapacity of package overload covers the latter condition.
 func TestMayExceedQuota(t *testing.T) {
-	pays := Plan{OverQuotaFraction: 0.5, OverQuotaCost: 0.2}
+	profitable := Plan{OverQuotaFraction: 0.5, OverQuotaCost: 0.2}
 	for _, c := range []struct {
 		name             string
 		plan             Plan
 		hasSpareCapacity bool
 		want             bool
 	}{
-		{"earns more than it costs", pays, true, true},
+		{"earns more than it costs", profitable, true, true},
 		{"earns nothing", Plan{}, true, false},
 		{"earns what it costs", Plan{OverQuotaFraction: 0.2, OverQuotaCost: 0.2}, true, false},
-		{"no spare capacity", pays, false, false},
+		{"no spare capacity", profitable, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.plan.MayExceedQuota(c.hasSpareCapacity); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("MayExceedQuota: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// What a quota of 40 units, refilled at 40 a second and split among two instances, decides on a request of one unit.
+// TestCheckQuota checks the decisions on a request of one unit, with a quota of 40 units that is refilled at 40 units a
+// second and split between two instances.
 func TestCheckQuota(t *testing.T) {
-	const wait = 50 * ms // of the gossip interval: until the other instance's units are known
+	const wait = 50 * ms // the gossip interval, after which the other instance's units are known
 	for _, c := range []struct {
 		name             string
 		tokens           float64
@@ -61,13 +62,15 @@
 			}
 			got := table.Check(quota, Demand{Units: 1, IsLate: c.isLate}, t0)
 			if got != c.want || max(quota.ContendedUntil-t0, 0) != c.contendedFor {
-				t.Errorf("%+v, contended for %v; want %+v, %v", got, quota.ContendedUntil-t0, c.want, c.contendedFor)
+				t.Errorf("got %+v, contended for %v; want %+v, contended for %v",
+					got, quota.ContendedUntil-t0, c.want, c.contendedFor)
 			}
 		})
 	}
 }
 
-// What a limit of six attempts in flight, split among two instances, decides on one more.
+// TestHasInFlightCapacity checks whether one more attempt is admitted under a limit of six attempts in flight, split
+// between two instances.
 func TestHasInFlightCapacity(t *testing.T) {
 	plan := Plan{MaxInFlight: 6}
 	for _, c := range []struct {
@@ -90,17 +93,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			quota := Quota{
 				Scope:              Scope{InstanceCount: 2},
-				sharing:            sharing{UsesOwner: c.usesOwner, instanceSplit: 2, ownerCount: 1},
+				quotaSplit:         quotaSplit{UsesOwner: c.usesOwner, partCount: 2, bucketCount: 1},
 				startedSinceGossip: c.started,
 			}
 			if got := quota.hasInFlightCapacity(&plan, c.capacity, c.isContended); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("hasInFlightCapacity: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A peer's count in flight holds until it is ten gossip intervals old.
+// TestPeerCountInFlightExpires checks that a peer's count in flight is subtracted until it is ten gossip intervals old.
 func TestPeerCountInFlightExpires(t *testing.T) {
 	plan := Plan{MaxInFlight: 6}
 	const ttl = 500 * ms
@@ -119,18 +122,18 @@
 				peerInFlight: []peerCount{{inFlight: 9, receivedAt: t0}, {inFlight: 3, receivedAt: t0}},
 			}
 			if got := quota.inFlightCapacity(&plan, 0, t0+c.age, ttl); got != c.want {
-				t.Errorf("%d more attempts, want %d", got, c.want)
+				t.Errorf("in-flight capacity: got %d attempts, want %d", got, c.want)
 			}
 		})
 	}
 	t.Run("TTL", func(t *testing.T) {
 		table := newPairTable()
 		table.Fleet.GossipInterval = 50 * ms
-		quota := table.quotaFor(1, Scope{Plan: openPlan, InstanceCount: 2}, t0)
+		quota := table.quotaFor(1, Scope{Plan: inFlightPlan, InstanceCount: 2}, t0)
 		quota.recordPeerCount(1, peerCount{inFlight: 3, receivedAt: t0}, 2)
 		before, after := table.inFlightCapacity(quota, t0+ttl-1), table.inFlightCapacity(quota, t0+ttl)
 		if before != 3 || after != 6 {
-			t.Errorf("%d and then %d more attempts, want 3 and 6", before, after)
+			t.Errorf("in-flight capacity before and at the TTL: got %d and %d attempts, want 3 and 6", before, after)
 		}
 	})
 }
--- a/policy/quota/codec.go
+++ b/policy/quota/codec.go
@@ -1,20 +1,20 @@
 package quota
 
-// The encoding of gossip between the instances of a fleet. All numbers are varints.
+// This file has the encoding of gossip between the instances of a fleet. All numbers are varints.
 //
-// A gossip message holds the sender's epoch, its sequence number, the number of entries and the entries, then number
-// and entries of the previous message. An entry holds the customer, its scope, the units as a signed difference, for
-// a plan with MaxInFlight the attempts in flight as an absolute count, and for a plan with a hard limit the units
-// Transferred to the peer and the units that the sender lacks.
+// A gossip message holds the sender's epoch, its sequence number, the number of entries and the entries, then the
+// number and the entries of the previous message. An entry holds the customer, its scope and the units as a signed
+// difference. For a plan with MaxInFlight it also holds the attempts in flight as an absolute count, and for a plan
+// with a hard limit the units transferred to the peer and the units that the sender lacks.
 
 import (
 	"encoding/binary"
 	"errors"
 )
 
-// The kinds of a message, its first byte.
+// The kinds of messages. The first byte of a message is its kind.
 const (
-	kindGossipV1 = iota // without transfers: received from earlier versions only
+	kindGossipV1 = iota // without transfers; received from earlier versions only
 	kindQuotaRequest
 	kindQuotaResponse
 	kindQuotaReturn
@@ -25,23 +25,23 @@
 
 const (
 	maxMessageSize    = 256                    // bytes, the limit of a [Sender]
-	maxEntrySize      = 10 + 5 + 4 + 4 + 4 + 4 // customer, scope, units, in flight, Transferred, deficit
-	maxNewEntriesSize = 180                    // in a message; the repeated ones follow if there is space
-	maxEntryCount     = 1 << 20                // attempts or units in an entry; more is truncated
-	maxSignedNumber   = 1_000_000              // in either direction; more is malformed
+	maxEntrySize      = 10 + 5 + 4 + 4 + 4 + 4 // customer, scope, units, in flight, transferred, deficit
+	maxNewEntriesSize = 180                    // bytes of new entries in a message; repeated entries follow if they fit
+	maxEntryCount     = 1 << 20                // attempts or units in an entry; a larger number is truncated
+	maxSignedNumber   = 1_000_000              // absolute value; a larger number is malformed
 )
 
-// errMalformed is returned for a message that breaks the encoding in any part.
-var errMalformed = errors.New("policy: malformed message of a peer")
+// errMalformed is returned for a message of which any part violates the encoding.
+var errMalformed = errors.New("quota: peer message has an unknown kind, an invalid field or trailing bytes")
 
-// Codec encodes and decodes messages. Which numbers an entry has depends on its plan; how a scope is packed, on
-// the fleet's size.
+// Codec encodes and decodes messages. The plans determine which numbers an entry has, and the size of the fleet
+// determines how a scope is packed.
 type Codec struct {
 	plans     []Plan
 	fleetSize int
 }
 
-// Codec returns the codec for the plans in force.
+// Codec returns the codec for the current plans.
 func (t *Table) Codec() Codec {
 	return Codec{plans: t.plans, fleetSize: t.Fleet.InstanceCount}
 }
@@ -52,30 +52,30 @@
 	Scope       Scope
 	Units       float64 // spent since the last message
 	InFlight    int     // attempts
-	Transferred float64 // units of the hard limit given to the peer
+	Transferred float64 // units of the hard limit transferred to the peer
 	Deficit     float64 // units of the hard limit that the sender lacks
 }
 
-// IsGossip reports whether a message, which must not be empty, is gossip and not a quota message.
+// IsGossip reports whether a message, which must not be empty, is gossip rather than a quota message.
 func IsGossip(message []byte) bool {
 	return message[0] == kindGossip || message[0] == kindGossipV1
 }
 
 // GossipMessage is a decoded gossip message.
 type GossipMessage struct {
-	Epoch           uint64 // random, of the sender's process
-	Sequence        uint64 // in the epoch, from 1
+	Epoch           uint64 // random number of the sender's process
+	Sequence        uint64 // within the epoch, from 1
 	Entries         []Entry
-	PreviousEntries []Entry // those of the previous message, if there was space
+	PreviousEntries []Entry // entries of the previous message, if there was space
 }
 
-// encodedEntries are the entries of one message.
+// encodedEntries are the encoded entries of one message.
 type encodedEntries struct {
 	count int
 	bytes []byte
 }
 
-// encodeGossip encodes a message. The entries of the message before are left out where they do not fit.
+// encodeGossip encodes a gossip message. The entries of the previous message are omitted if they do not fit.
 func encodeGossip(epoch, sequence uint64, entries, previous encodedEntries) []byte {
 	message := binary.AppendUvarint([]byte{kindGossip}, epoch)
 	message = binary.AppendUvarint(message, sequence)
@@ -88,7 +88,7 @@
 	return append(message, previous.bytes...)
 }
 
-// appendEntry encodes an entry.
+// appendEntry appends the encoding of an entry to b.
 func (c Codec) appendEntry(b []byte, entry Entry) []byte {
 	plan := &c.plans[entry.Scope.Plan]
 	b = binary.AppendUvarint(b, entry.Customer)
@@ -104,7 +104,7 @@
 	return b
 }
 
-// DecodeGossip decodes a gossip message of either version. It returns an error for one that is malformed in any part.
+// DecodeGossip decodes a gossip message of either version. It returns an error if any part of it is malformed.
 func (c Codec) DecodeGossip(message []byte) (GossipMessage, error) {
 	r := varintReader{rest: message[1:]}
 	hasTransfers := message[0] == kindGossip
@@ -144,7 +144,7 @@
 	return (uint64(scope.Plan)*n+uint64(scope.InstanceCount-1))*n + first
 }
 
-// readScope unpacks a scope; a number that names no plan is malformed.
+// readScope unpacks a scope. A number that refers to no plan is malformed.
 func (c Codec) readScope(r *varintReader) Scope {
 	packed, n := r.uint(), uint64(c.fleetSize)
 	plan := packed / n / n
@@ -155,7 +155,7 @@
 	return Scope{Plan: int(plan), InstanceCount: int(packed/n%n) + 1, FirstInstance: int(packed % n)}
 }
 
-// varintReader reads the numbers of a message. After a malformed one it reads zeros.
+// varintReader reads the numbers of a message. After a varint that is truncated or too long it returns zeros.
 type varintReader struct {
 	rest      []byte
 	malformed bool
@@ -168,7 +168,7 @@
 	return x
 }
 
-// int reads a signed number of at most maxSignedNumber in either direction.
+// int reads a signed number whose absolute value is at most maxSignedNumber.
 func (r *varintReader) int() int64 {
 	x, n := binary.Varint(r.rest)
 	r.skip(n)
@@ -184,7 +184,7 @@
 	r.rest = r.rest[n:]
 }
 
-// err returns errMalformed if any number was malformed or bytes are left.
+// err returns errMalformed if any number was malformed or bytes are left over.
 func (r *varintReader) err() error {
 	if r.malformed || len(r.rest) > 0 {
 		return errMalformed
--- a/policy/quota/gossip.go
+++ b/policy/quota/gossip.go
@@ -1,7 +1,7 @@
 package quota
 
-// Gossip between instances. The units that each has taken from a customer's quota are sent as differences, its attempts
-// in flight as absolute counts.
+// This file has the gossip between instances. The units that each instance has taken from a customer's quota are sent
+// as differences, its attempts in flight as absolute counts.
 
 import (
 	"math"
@@ -11,34 +11,36 @@
 )
 
 const (
-	minGossipInterval    = 40 * time.Millisecond // where an inbox allows more broadcasts
+	minGossipInterval    = 40 * time.Millisecond // lower bound where the inbox limit allows more frequent broadcasts
 	gossipIntervalFactor = 1.3                   // interval as a multiple of the shortest that the inbox limit allows
-	maxIdleGossipRounds  = 3                     // messages in a row that report nothing in flight: some may be lost
-	inboxRateWeight      = 0.1                   // of a sample in the rate of messages received
+	maxIdleGossipRounds  = 3                     // consecutive messages that report nothing in flight: some may be lost
+	inboxRateWeight      = 0.1                   // weight of a sample in the moving average of the messages received
 )
 
-// Sender sends a message of at most 256 bytes to a peer, by its instance index. It must not retain the message.
+// Sender sends a message of at most 256 bytes to a peer, which is given by its instance index. It must not retain the
+// message.
 type Sender interface {
 	SendGossip(peer int, message []byte)
 }
 
-// Gossip is the state of an instance's gossip: its numbering of messages, and how many it receives. What is to be
-// broadcast stands in the [Table].
+// Gossip is the state of an instance's gossip: the sequence numbers exchanged with each peer, and the rate of messages
+// received. The quotas to be broadcast are in the [Table].
 type Gossip struct {
-	Rate float64 // messages received per second, moving average; a hot restart sets it
+	Rate float64 // messages received per second, a moving average; restored by a hot restart
 
-	epoch    uint64  // random, to tell this process from earlier ones
+	epoch    uint64  // random, distinguishes this process from earlier ones
 	peers    []peer  // by instance
-	received float64 // messages in this sample
+	received float64 // messages in the current sample
 }
 
-// NewGossip returns the gossip of a new process in a fleet. The epoch should be random.
+// NewGossip returns the gossip state of a new process in a fleet. The epoch should be random.
 func NewGossip(epoch uint64, instanceCount int) Gossip {
 	return Gossip{epoch: epoch, peers: make([]peer, instanceCount)}
 }
 
-// GossipInterval decides the time between broadcasts: the shortest that the peers' inbox limit, in messages per second,
-// allows, if there is one (above 0), and not less than the shortest time between events.
+// GossipInterval returns the time between broadcasts: the shortest time that the peers' inbox limit of inboxRate
+// messages per second allows, with some reserve, but at least the shortest time between events. If there is no limit
+// (0), it is [overload.SampleInterval].
 func GossipInterval(inboxRate float64, instanceCount int, minEventInterval time.Duration) time.Duration {
 	if inboxRate <= 0 {
 		return overload.SampleInterval
@@ -48,26 +50,27 @@
 	return max(interval, minEventInterval, minGossipInterval)
 }
 
-// NextBroadcastDelay returns the time until the next broadcast, after one with so many messages to a peer. An interval
-// for each message keeps within the inbox limit when a broadcast needs several.
+// NextBroadcastDelay returns the time until the next broadcast, where messages is the number of messages that the last
+// broadcast sent to one peer. An interval for each message keeps within the inbox limit when a broadcast needs several.
 func (f *Fleet) NextBroadcastDelay(messages int) time.Duration {
 	return f.GossipInterval * time.Duration(max(messages, 1))
 }
 
-// CountMessage counts a message that was received, of any kind.
+// CountMessage counts a received message of any kind.
 func (g *Gossip) CountMessage() { g.received++ }
 
-// CloseSample updates the rate with the messages of a sample, which lasts [overload.SampleInterval].
+// CloseSample updates the rate with the messages received in a sample, which lasts [overload.SampleInterval].
 func (g *Gossip) CloseSample() {
 	g.Rate += inboxRateWeight * (g.received/overload.SampleInterval.Seconds() - g.Rate)
 	g.received = 0
 }
 
-// NewEntries records the numbers of a peer's message and returns those of its entries that were not received before.
-func (g *Gossip) NewEntries(from int, m GossipMessage) []Entry { return g.peers[from].newEntries(m) }
+// NewEntries records the epoch and sequence number of a peer's message and returns those of its entries that were not
+// received before.
+func (g *Gossip) NewEntries(from int, m GossipMessage) []Entry { return g.peers[from].acceptMessage(m) }
 
-// ReceiveEntries handles a peer's entries. The two instances may know different plans of a customer for a while: the
-// units that the peer took count in any case.
+// ReceiveEntries applies the entries received from a peer. The two instances may have different plans for a customer
+// for a while; the units that the peer took are charged in either case.
 func (t *Table) ReceiveEntries(from int, entries []Entry, now time.Duration) {
 	for _, entry := range entries {
 		quota := t.quotaFor(entry.Customer, entry.Scope, now)
@@ -81,7 +84,7 @@
 	}
 }
 
-// recordPeerCount records the attempts that a peer of a fleet has in flight.
+// recordPeerCount records the number of attempts that a peer has in flight.
 func (q *Quota) recordPeerCount(from int, count peerCount, fleetSize int) {
 	if q.peerInFlight == nil {
 		q.peerInFlight = make([]peerCount, fleetSize)
@@ -89,8 +92,8 @@
 	q.peerInFlight[from] = count
 }
 
-// Broadcast sends each peer the pending quotas of the customers that it serves. It returns the largest number of
-// messages sent to one peer.
+// Broadcast sends each peer the pending quotas of the customers whose requests it receives. It returns the largest
+// number of messages sent to one peer.
 func (g *Gossip) Broadcast(quotas *Table, sender Sender) (maxMessages int) {
 	for peer := range g.peers {
 		if peer != quotas.Fleet.InstanceIndex {
@@ -101,7 +104,7 @@
 	return maxMessages
 }
 
-// broadcastTo sends a peer the pending quotas, in as many messages as needed, and returns their number.
+// broadcastTo sends the pending quotas to a peer in as many messages as needed, and returns the number of messages.
 func (g *Gossip) broadcastTo(instance int, quotas *Table, sender Sender) (messages int) {
 	codec, receiver := quotas.Codec(), &g.peers[instance]
 	var entries encodedEntries
@@ -128,7 +131,8 @@
 	return messages
 }
 
-// gossipEntryFor returns the entry of the quota for a peer. Units that it transfers to the peer are taken off here.
+// gossipEntryFor returns the quota's entry for a peer. The units that it transfers to the peer are deducted from this
+// instance's share of the hard limit.
 func (q *Quota) gossipEntryFor(peer int, plan *Plan) Entry {
 	entry := Entry{
 		Customer: q.Customer,
@@ -143,7 +147,8 @@
 	return entry
 }
 
-// endBroadcast records that the pending quotas have been sent to all peers. Some remain for the next broadcast.
+// endBroadcast records that the pending quotas have been sent to all peers, and keeps those for the next broadcast that
+// still need gossip.
 func (t *Table) endBroadcast() {
 	pending := t.pending[:0]
 	for _, quota := range t.pending {
@@ -155,8 +160,8 @@
 	t.pending = pending
 }
 
-// recordBroadcast resets what was counted since the last broadcast, and decides whether the quota stays pending:
-// attempts in flight are sent until several messages in a row have reported none.
+// recordBroadcast resets the counts since the last broadcast and decides whether the quota stays pending: attempts in
+// flight are reported until several consecutive messages have reported none.
 func (q *Quota) recordBroadcast(plan *Plan) {
 	q.pendingUnits -= math.Round(q.pendingUnits)
 	q.unitsSinceGossip, q.startedSinceGossip, q.unmetUnits = 0, 0, 0
--- a/policy/quota/gossip_test.go
+++ b/policy/quota/gossip_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Broadcasts are as frequent as the peers' inboxes allow, with a reserve of 0.3, and at most every 40 ms.
+// TestGossipInterval checks that broadcasts are as frequent as the peers' inbox limit allows, with a reserve of 0.3,
+// and at most every 40 ms.
 func TestGossipInterval(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -22,18 +23,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := GossipInterval(c.inboxRate, c.instanceCount, c.minEvent); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("gossip interval: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A broadcast of several messages to a peer takes as many intervals.
+// TestNextBroadcastDelay checks that the delay after a broadcast is one interval for each message that it sent to a
+// peer.
 func TestNextBroadcastDelay(t *testing.T) {
 	fleet := Fleet{GossipInterval: 50 * ms}
 	for messages, want := range []time.Duration{50 * ms, 50 * ms, 100 * ms, 150 * ms} {
 		if got := fleet.NextBroadcastDelay(messages); got != want {
-			t.Errorf("%v after %d messages, want %v", got, messages, want)
+			t.Errorf("delay: got %v after %d messages, want %v", got, messages, want)
 		}
 	}
 }
--- a/policy/quota/hard_limit.go
+++ b/policy/quota/hard_limit.go
@@ -1,28 +1,29 @@
 package quota
 
-// The hard limit: units that a customer's instances together never forward, whatever they know of each other.
+// This file has the hard limit: a number of units that a customer's instances together never exceed, even if no message
+// between them arrives.
 
 import "time"
 
-// hardLimitShare is this instance's part of a customer's hard limit. The parts of all instances, with the units in
+// hardLimitShare is this instance's share of a customer's hard limit. The shares of all instances, with the units in
 // transit between them, never hold more than the limit.
 type hardLimitShare struct {
 	hardLimitFractions
 	HardLimitTokens float64   // units left
-	unmetUnits      float64   // units rejected for lack of tokens since the last gossip
-	peerDeficits    []float64 // by instance: units that it lacks; nil: none reported
+	unmetUnits      float64   // units rejected for lack of tokens since the last gossip message
+	peerDeficits    []float64 // units that each peer lacks, by instance; nil if no peer has reported a deficit
 	inTransit       unitsInTransit
 }
 
 // unitsInTransit are units that were sent to peers and may not have arrived yet.
 type unitsInTransit struct {
-	since        time.Duration // clock reading
-	units        float64       // sent from then on
-	earlierUnits float64       // sent before, during one transfer timeout
+	since        time.Duration // clock reading at the start of the current period
+	units        float64       // sent in the current period
+	earlierUnits float64       // sent in the previous period, which lasted one transfer timeout
 }
 
-// hardLimitCapacity returns the most tokens that the part may hold. Units sent to a peer count as held while they
-// may be in transit.
+// hardLimitCapacity returns the maximum number of tokens that the share may hold. Units sent to a peer count as held
+// while they may be in transit.
 func (h *hardLimitShare) hardLimitCapacity(plan *Plan) float64 {
 	return plan.HardLimitBurst*h.burstFraction - h.inTransit.units - h.inTransit.earlierUnits
 }
@@ -32,13 +33,13 @@
 	return h.inTransit.units + h.inTransit.earlierUnits
 }
 
-// sendUnits takes units off the part that are sent to a peer.
-func (h *hardLimitShare) sendUnits(units float64) {
+// deductTransfer deducts units from the share that are sent to a peer.
+func (h *hardLimitShare) deductTransfer(units float64) {
 	h.HardLimitTokens -= units
 	h.inTransit.units += units
 }
 
-// expireTransit forgets units that must have arrived or been lost.
+// expireTransit removes units from inTransit that must have arrived or been lost.
 func (h *hardLimitShare) expireTransit(now, transferTimeout time.Duration) {
 	age := now - h.inTransit.since
 	switch {
@@ -52,21 +53,22 @@
 	}
 }
 
-// ExceedsHardLimit decides whether a request's units exceed this instance's part of its customer's hard limit. It is
-// asked by the instance that forwards the request, and by the owner that grants its units in that instance's place.
+// ExceedsHardLimit reports whether a request's units exceed this instance's share of its customer's hard limit. The
+// share that counts is that of the instance that forwards the request or, if an owner grants the units, that of the
+// owner.
 func (h *hardLimitShare) ExceedsHardLimit(plan *Plan, units float64) bool {
 	return plan.HardLimitRate > 0 && h.HardLimitTokens < units
 }
 
-// chargeHardLimit takes units that this instance forwards off its part of the hard limit.
+// chargeHardLimit deducts units that this instance forwards from its share of the hard limit.
 func (h *hardLimitShare) chargeHardLimit(plan *Plan, units float64) {
 	if plan.HardLimitRate > 0 {
 		h.HardLimitTokens -= units
 	}
 }
 
-// hardLimitWait returns after how long a request beyond the hard limit should be retried: until this instance's part
-// holds its units or, where parts are transferred, until a peer may have sent some.
+// hardLimitWait returns the delay after which a request beyond the hard limit should be retried: the time until this
+// instance's share holds its units or, where units are transferred, until a peer may have sent some.
 func (q *Quota) hardLimitWait(plan *Plan, units float64, gossipInterval time.Duration) time.Duration {
 	wait := refillTime(units-q.HardLimitTokens, plan.HardLimitRate*q.rateFraction)
 	if q.UsesOwner {
@@ -76,7 +78,7 @@
 }
 
 // RejectBeyondHardLimit records that units were rejected for lack of hard limit tokens, so that peers may transfer
-// some, and returns when to retry.
+// some, and returns the delay after which the request should be retried.
 func (t *Table) RejectBeyondHardLimit(quota *Quota, units float64) (retryAfter time.Duration) {
 	retryAfter = quota.hardLimitWait(t.PlanOf(quota), units, t.Fleet.GossipInterval)
 	quota.unmetUnits += units
--- a/policy/quota/hard_limit_test.go
+++ b/policy/quota/hard_limit_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A request exceeds the hard limit where this instance's part holds fewer units than it needs.
+// TestExceedsHardLimit checks that a request exceeds the hard limit if this instance's share holds fewer units than the
+// request needs.
 func TestExceedsHardLimit(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -21,16 +22,16 @@
 		{"none, request of no units", 10, 0, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			part := hardLimitShare{HardLimitTokens: c.tokens}
-			if got := part.ExceedsHardLimit(&Plan{HardLimitRate: c.rate}, c.units); got != c.want {
-				t.Errorf("exceeds: %v, want %v", got, c.want)
+			share := hardLimitShare{HardLimitTokens: c.tokens}
+			if got := share.ExceedsHardLimit(&Plan{HardLimitRate: c.rate}, c.units); got != c.want {
+				t.Errorf("ExceedsHardLimit: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A request beyond the hard limit waits for its part's refill (5 of 10 units a second) or, where units are Transferred,
-// for two gossip intervals at most.
+// TestHardLimitWait checks that a request beyond the hard limit waits for the refill of its share (5 of 10 units a
+// second) or, where units are transferred, for at most two gossip intervals.
 func TestHardLimitWait(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -45,44 +46,47 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			quota := Quota{
-				sharing: sharing{UsesOwner: c.usesOwner},
+				quotaSplit: quotaSplit{UsesOwner: c.usesOwner},
 				hardLimitShare: hardLimitShare{
 					hardLimitFractions: hardLimitFractions{rateFraction: 0.5},
 					HardLimitTokens:    c.tokens,
 				},
 			}
 			if got := quota.hardLimitWait(&Plan{HardLimitRate: 10}, 2, 100*ms); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("wait: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Units that were rejected count as demand: a peer with a surplus may transfer them.
-func TestRejectBeyondHardLimitAsksPeers(t *testing.T) {
+// TestRejectBeyondHardLimitReportsDeficit checks that rejected units count as demand, so that a peer with a surplus may
+// transfer them.
+func TestRejectBeyondHardLimitReportsDeficit(t *testing.T) {
 	table := newPairTable()
-	quota := table.quotaFor(1, Scope{Plan: hardPlan, InstanceCount: 2}, t0)
+	quota := table.quotaFor(1, Scope{Plan: hardLimitPlan, InstanceCount: 2}, t0)
 	table.RejectBeyondHardLimit(quota, 2)
 	if quota.unmetUnits != 2 || !quota.needsGossip || len(table.pending) != 1 {
-		t.Errorf("%v units unmet, %d quotas pending", quota.unmetUnits, len(table.pending))
+		t.Errorf("got %v unmet units and %d pending quotas, want 2 units and this quota pending",
+			quota.unmetUnits, len(table.pending))
 	}
 	if got := quota.hardLimitDeficit(table.PlanOf(quota)); got != 2 {
-		t.Errorf("deficit of %v units, want 2", got)
+		t.Errorf("deficit: got %v units, want 2", got)
 	}
 }
 
-// A request that is forwarded takes its units off this instance's part of the hard limit, unless an owner granted them.
+// TestForwardedUnitsAreCharged checks that the units of a forwarded request are deducted from this instance's share of
+// the hard limit, unless an owner granted them.
 func TestForwardedUnitsAreCharged(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		plan      int
 		forwarded Forwarded
-		tokens    float64 // of the hard limit, of 10
+		tokens    float64 // left of the hard limit's 10
 		overQuota float64
 	}{
-		{"inside the quota", hardPlan, Forwarded{Units: 2, IsInside: true}, 8, 0},
-		{"over the quota", hardPlan, Forwarded{Units: 2}, 8, 2},
-		{"granted by the owner", hardPlan, Forwarded{Units: 2, IsInside: true, IsGranted: true}, 10, 0},
+		{"inside the quota", hardLimitPlan, Forwarded{Units: 2, IsInside: true}, 8, 0},
+		{"over the quota", hardLimitPlan, Forwarded{Units: 2}, 8, 2},
+		{"granted by the owner", hardLimitPlan, Forwarded{Units: 2, IsInside: true, IsGranted: true}, 10, 0},
 		{"plan without a hard limit", ratePlan, Forwarded{Units: 2, IsInside: true}, 10, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -91,10 +95,11 @@
 			quota.HardLimitTokens = 10
 			table.RecordForwarded(quota, c.forwarded)
 			if quota.HardLimitTokens != c.tokens || table.OverQuota.Sent != c.overQuota {
-				t.Errorf("%v tokens left, %v units over the quota", quota.HardLimitTokens, table.OverQuota.Sent)
+				t.Errorf("got %v hard limit tokens left and %v units over the quota",
+					quota.HardLimitTokens, table.OverQuota.Sent)
 			}
 			if quota.startedSinceGossip != 1 {
-				t.Errorf("%d requests counted", quota.startedSinceGossip)
+				t.Errorf("started requests: got %d, want 1", quota.startedSinceGossip)
 			}
 		})
 	}
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -8,14 +8,14 @@
 
 const (
 	ms = time.Millisecond
-	t0 = 1000 * time.Second // the instances' start
+	t0 = 1000 * time.Second // start of the instances
 )
 
 // The plans of newTable, by index.
 const (
-	hardPlan = iota
+	hardLimitPlan = iota
 	ratePlan
-	openPlan
+	inFlightPlan
 )
 
 // testPlans returns plans with a hard limit, a rate alone and a limit in flight.
@@ -35,7 +35,7 @@
 	}
 }
 
-// newTable returns the table of one of several instances that share each customer's quota and receive at most inboxRate
+// newTable returns the table of one of count instances that share each customer's quota and receive at most inboxRate
 // messages a second.
 func newTable(index, count int, inboxRate float64) *Table {
 	table := NewTable(Fleet{
@@ -52,29 +52,29 @@
 // newPairTable returns the table of the first of two instances.
 func newPairTable() *Table { return newTable(0, 2, 60) }
 
-// ownedScope is that of a customer at a plan with a rate, whose requests the instances 10 to 109 receive: so many that
-// owners are asked.
+// ownedScope is the scope of a customer of a plan with a rate, whose requests are received by instances 10 to 109.
+// These are so many that the quota has owners.
 var ownedScope = Scope{Plan: ratePlan, InstanceCount: 100, FirstInstance: 10}
 
-// newOwnerQuota returns the table of an instance of a fleet of 300, and its quota of a customer of ownedScope.
+// newOwnerQuota returns the table of an instance in a fleet of 300, and its quota for a customer with ownedScope.
 func newOwnerQuota(index int) (*Table, *Quota) {
 	table := newTable(index, 300, 40)
 	return table, table.quotaFor(77, ownedScope, t0)
 }
 
-// instance is one that gossips, and the messages that it has sent, by peer.
+// instance is an instance that gossips. It records the messages that it has sent, by peer.
 type instance struct {
 	*Table
 	gossip Gossip
 	sent   map[int][][]byte
 }
 
-// SendGossip implements Sender.
+// SendGossip implements [Sender].
 func (i *instance) SendGossip(peer int, message []byte) {
 	i.sent[peer] = append(i.sent[peer], slices.Clone(message))
 }
 
-// receive has an instance receive a gossip message.
+// receive decodes a gossip message and applies its entries.
 func (i *instance) receive(t *testing.T, now time.Duration, from int, message []byte) {
 	t.Helper()
 	decoded, err := i.Codec().DecodeGossip(message)
--- a/policy/quota/member.go
+++ b/policy/quota/member.go
@@ -1,6 +1,7 @@
 package quota
 
-// The member's side of a quota with an owner: what is decided without the owner's response, and what a response says.
+// This file has the member's side of a quota with owners: decisions without the owner's response, and the effects of a
+// response.
 
 import "time"
 
@@ -8,13 +9,14 @@
 const OwnerTimeout = 100 * time.Millisecond
 
 const (
-	maxOwnerTimeouts  = 3 // in a row, after which an owner is not waited for
-	maxTimeoutsInARow = 6 // over all owners, after which none is waited for
+	maxConsecutiveOwnerTimeouts = 3 // of one owner; after so many it is not waited for
+	maxConsecutiveTimeouts      = 6 // over all owners; after so many none is waited for
 )
 
-// DecideWithoutOwner decides on a request whose owner has not answered: it is inside the quota with the probability
-// with which the owner granted recent ones, as far as known. The draw is random in [0, 1). This covers lost messages
-// and owners that are down, paused or overloaded. It is wrong by as much as that probability has changed since.
+// DecideWithoutOwner decides on a request whose owner has not responded: it is within the quota with the probability
+// GrantFraction, the last known fraction of recent requests that the owner granted. The draw is random in [0, 1). This
+// covers lost messages and owners that are down, paused or overloaded. The decisions are wrong by as much as the
+// owner's fraction has changed since its last response.
 func (q *Quota) DecideWithoutOwner(draw float64) Decision {
 	return Decision{IsInside: draw < q.GrantFraction, RetryAfter: OwnerTimeout}
 }
@@ -27,41 +29,42 @@
 	}
 }
 
-// IsRejectedByOwner decides whether a request is rejected without asking the owner, since it has rejected one and said
-// when to ask again. A plan whose requests may be forwarded over the quota is an exception.
+// IsRejectedByOwner reports whether a request is rejected without a quota request to the owner, because the owner has
+// rejected an earlier one and the wait in its response has not passed. Plans whose requests may be forwarded beyond the
+// quota are exempt.
 func (q *Quota) IsRejectedByOwner(plan *Plan, now time.Duration) bool {
 	return q.UsesOwner && now < q.RejectedUntil && plan.OverQuotaFraction == 0
 }
 
-// OwnerRejectionWait returns how long the owner is sent no request after it has rejected one.
+// OwnerRejectionWait returns how much longer the owner is sent no quota requests after it has rejected one.
 func (q *Quota) OwnerRejectionWait(now time.Duration) time.Duration {
 	return q.RejectedUntil - now
 }
 
-// OwnerTimeouts counts the quota requests that owners have not answered in time.
+// OwnerTimeouts counts the quota requests to which owners have not responded in time.
 type OwnerTimeouts struct {
-	byOwner []int // since the owner's last response
-	inARow  int   // since the last response of any owner
+	byOwner     []int // since the owner's last response
+	consecutive int   // since the last response of any owner
 }
 
-// NewOwnerTimeouts returns the counts of a fleet's member that has not asked any owner yet.
+// NewOwnerTimeouts returns the counts of a member that has not sent a quota request to any owner yet.
 func NewOwnerTimeouts(instanceCount int) OwnerTimeouts {
 	return OwnerTimeouts{byOwner: make([]int, instanceCount)}
 }
 
-// IsUnresponsive decides whether an owner is not waited for: it has left several requests unanswered, or all owners
-// have.
+// IsUnresponsive reports whether members do not wait for an owner, because several requests in a row to that owner, or
+// to all owners, had no response.
 func (t *OwnerTimeouts) IsUnresponsive(owner int) bool {
-	return t.byOwner[owner] >= maxOwnerTimeouts || t.inARow >= maxTimeoutsInARow
+	return t.byOwner[owner] >= maxConsecutiveOwnerTimeouts || t.consecutive >= maxConsecutiveTimeouts
 }
 
 // RecordTimeout records that an owner has not responded within [OwnerTimeout].
 func (t *OwnerTimeouts) RecordTimeout(owner int) {
 	t.byOwner[owner]++
-	t.inARow++
+	t.consecutive++
 }
 
 // RecordResponse records that an owner has responded.
 func (t *OwnerTimeouts) RecordResponse(owner int) {
-	t.byOwner[owner], t.inARow = 0, 0
+	t.byOwner[owner], t.consecutive = 0, 0
 }
--- a/policy/quota/member_test.go
+++ b/policy/quota/member_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// An owner is not waited for after three timeouts of its own in a row, or six of all owners.
+// TestOwnerIsUnresponsive checks that an owner is not waited for after three consecutive timeouts of its own, or six of
+// all owners.
 func TestOwnerIsUnresponsive(t *testing.T) {
-	const response = -1 // of owner 0
+	const response = -1 // owner 0 responds
 	for _, c := range []struct {
 		name   string
 		events []int // the owner that timed out, or response
@@ -32,13 +33,14 @@
 				}
 			}
 			if got := timeouts.IsUnresponsive(0); got != c.want {
-				t.Errorf("unresponsive %v, want %v", got, c.want)
+				t.Errorf("IsUnresponsive: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Without the owner's response, a draw below the fraction granted recently is inside the quota.
+// TestDecideWithoutOwner checks that, without the owner's response, a draw below the fraction granted recently is
+// within the quota.
 func TestDecideWithoutOwner(t *testing.T) {
 	quota := Quota{GrantFraction: 0.25}
 	for _, c := range []struct {
@@ -53,13 +55,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := quota.DecideWithoutOwner(c.draw); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("decision: got %+v, want %+v", got, c.want)
 			}
 		})
 	}
 }
 
-// A response of the owner changes the fraction granted and, where it rejects, until when it is sent no requests.
+// TestRecordResponse checks that an owner's response sets the grant fraction and, if it is a rejection, the time until
+// which the owner is sent no requests.
 func TestRecordResponse(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -73,14 +76,15 @@
 			quota := Quota{GrantFraction: 1}
 			quota.RecordResponse(c.response, t0)
 			if quota.GrantFraction != 0.5 || quota.RejectedUntil != c.rejectedUntil {
-				t.Errorf("fraction %v, rejected until %v", quota.GrantFraction, quota.RejectedUntil)
+				t.Errorf("got grant fraction %v and rejected until %v, want fraction 0.5 and the wait of the response",
+					quota.GrantFraction, quota.RejectedUntil)
 			}
 		})
 	}
 }
 
-// After a rejection the owner is sent no request until its wait has passed, unless the plan has requests forwarded over
-// the quota.
+// TestIsRejectedByOwner checks that after a rejection the owner is sent no request until its wait has passed, unless
+// the plan allows requests beyond the quota.
 func TestIsRejectedByOwner(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -95,9 +99,9 @@
 		{"no owner", false, Plan{}, t0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			quota := Quota{sharing: sharing{UsesOwner: c.usesOwner}, RejectedUntil: t0 + 300*ms}
+			quota := Quota{quotaSplit: quotaSplit{UsesOwner: c.usesOwner}, RejectedUntil: t0 + 300*ms}
 			if got := quota.IsRejectedByOwner(&c.plan, c.at); got != c.want {
-				t.Errorf("rejected: %v, want %v", got, c.want)
+				t.Errorf("IsRejectedByOwner: got %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/policy/quota/message.go
+++ b/policy/quota/message.go
@@ -8,8 +8,8 @@
 	"mulleinmux/policy/overload"
 )
 
-// Message is a message between an instance of a customer and the owner of its quota: a [Request], [Spent], [Response]
-// or [Return].
+// Message is a message between an instance of a customer and an owner of the customer's quota: a [Request], [Spent],
+// [Response] or [Return].
 type Message interface{ isMessage() }
 
 // Charge is what one request takes from its customer's quota.
@@ -26,15 +26,15 @@
 	IsLate bool // the request cannot meet its latency objective
 }
 
-// Spent reports units to the owner that were used without its response.
+// Spent reports units to the owner that a member has used without the owner's response.
 type Spent struct{ Charge }
 
-// Response is the owner's response to a Request.
+// Response is the owner's response to a [Request].
 type Response struct {
 	Number        uint64
 	IsGranted     bool
-	Wait          time.Duration // if not granted: until the next quota request
-	GrantFraction float64       // of recent requests, 0 to 1
+	Wait          time.Duration // if not granted: time until the next quota request
+	GrantFraction float64       // granted fraction of recent requests, 0 to 1
 }
 
 // Return returns the units of a granted request to the owner, or its lease under a limit in flight.
@@ -49,32 +49,32 @@
 func (Response) isMessage() {}
 func (Return) isMessage()   {}
 
-// Report is what the sender knows of the fleet and of servers. It is appended to all messages but Return.
+// Report is the sender's information about the fleet and its servers. It is appended to all messages except [Return].
 type Report struct {
-	FleetMeans overload.Means // zero: not known yet
+	FleetMeans overload.Means // zero if not known yet
 	Findings   []Finding      // at most MaxFindings
 }
 
-// MaxFindings is how many findings a [Report] holds at most.
+// MaxFindings is the maximum number of findings in a [Report].
 const MaxFindings = 4
 
-// Finding is an instance's evidence of a server: that it is unresponsive, or that it responds again.
+// Finding is an instance's evidence about a server: that it is unresponsive, or that it responds again.
 type Finding struct {
 	ServerID uint16 // hash of the server's ID
 	IsUp     bool
-	FoundAt  time.Duration // clock reading; of own findings alone, and not sent
+	FoundAt  time.Duration // clock reading; set for own findings only, and not sent
 }
 
 const (
 	retryAfterUnit     = 10 * time.Millisecond // unit of the wait in a response
 	maxWaitUnits       = 6000                  // a longer wait is truncated
-	grantFractionSteps = 15                    // steps of the granted fraction in a response
-	fleetMeanSteps     = 256                   // per unit of a fleet mean
+	grantFractionSteps = 15                    // steps of the grant fraction in a response
+	fleetMeanSteps     = 256                   // steps per unit of a fleet mean
 	maxFleetMean       = 1e6                   // in steps
-	serverIDBits       = 16                    // of a server in a finding
+	serverIDBits       = 16                    // bits of a server's ID in a finding
 )
 
-// EncodeRequest encodes kind, number, customer, scope, units and the report.
+// EncodeRequest encodes the kind, the number, the customer, the scope, the units and the report.
 func (c Codec) EncodeRequest(m Request, report Report) []byte {
 	kind := byte(kindQuotaRequest)
 	if m.IsLate {
@@ -83,7 +83,7 @@
 	return appendReport(c.appendCharge([]byte{kind}, m.Charge), report)
 }
 
-// EncodeSpent encodes the same under another kind.
+// EncodeSpent encodes the same fields as [Codec.EncodeRequest] under another kind.
 func (c Codec) EncodeSpent(m Spent, report Report) []byte {
 	return appendReport(c.appendCharge([]byte{kindQuotaSpent}, m.Charge), report)
 }
@@ -95,26 +95,27 @@
 	return binary.AppendVarint(b, roundedUnits(m.Units))
 }
 
-// EncodeResponse encodes kind, number, the verdict and the report. The verdict is the fraction granted in
-// steps plus, where the request is not granted, the steps' count times 1 + the wait in its unit.
+// EncodeResponse encodes the kind, the number, the packed decision and the report. The packed decision is the grant
+// fraction in steps. If the request is not granted, (1 + the wait in retryAfterUnit) times the number of possible
+// fractions is added.
 func (c Codec) EncodeResponse(m Response, report Report) []byte {
-	verdict := uint64(math.Round(m.GrantFraction * grantFractionSteps))
+	packedDecision := uint64(math.Round(m.GrantFraction * grantFractionSteps))
 	if !m.IsGranted {
-		verdict += (1 + uint64(max(m.Wait, 0)/retryAfterUnit)) * (grantFractionSteps + 1)
+		packedDecision += (1 + uint64(max(m.Wait, 0)/retryAfterUnit)) * (grantFractionSteps + 1)
 	}
 	b := binary.AppendUvarint([]byte{kindQuotaResponse}, m.Number)
-	return appendReport(binary.AppendUvarint(b, verdict), report)
+	return appendReport(binary.AppendUvarint(b, packedDecision), report)
 }
 
-// EncodeReturn encodes kind, number, customer and units.
+// EncodeReturn encodes the kind, the number, the customer and the units.
 func EncodeReturn(m Return) []byte {
 	b := binary.AppendUvarint([]byte{kindQuotaReturn}, m.Number)
 	b = binary.AppendUvarint(b, m.Customer)
 	return binary.AppendVarint(b, roundedUnits(m.Units))
 }
 
-// DecodeMessage decodes a message that is not gossip, with the report at its end if its kind has one. It
-// returns an error for one that is malformed in any part.
+// DecodeMessage decodes a message that is not gossip, and the report at its end if messages of its kind have one. It
+// returns an error if any part of the message is malformed.
 func (c Codec) DecodeMessage(message []byte) (m Message, report Report, err error) {
 	r := varintReader{rest: message[1:]}
 	switch message[0] {
@@ -145,15 +146,15 @@
 
 func readResponse(r *varintReader) Response {
 	m := Response{Number: r.uint()}
-	verdict := r.uint()
-	m.GrantFraction = float64(verdict%(grantFractionSteps+1)) / grantFractionSteps
-	waitUnits := verdict / (grantFractionSteps + 1)
+	packedDecision := r.uint()
+	m.GrantFraction = float64(packedDecision%(grantFractionSteps+1)) / grantFractionSteps
+	waitUnits := packedDecision / (grantFractionSteps + 1)
 	m.IsGranted = waitUnits == 0
 	m.Wait = time.Duration(min(max(waitUnits, 1)-1, maxWaitUnits)) * retryAfterUnit
 	return m
 }
 
-// appendReport encodes the means in steps and then, if there are any, the count of findings and each.
+// appendReport appends the means in steps and then, if there are any findings, their count and each finding.
 func appendReport(b []byte, report Report) []byte {
 	for _, mean := range report.FleetMeans {
 		steps := math.Round(math.Min(mean*fleetMeanSteps, maxFleetMean))
@@ -164,13 +165,13 @@
 	}
 	b = binary.AppendUvarint(b, uint64(len(report.Findings)))
 	for _, finding := range report.Findings {
-		b = binary.AppendUvarint(b, encodedFinding(finding))
+		b = binary.AppendUvarint(b, encodeFinding(finding))
 	}
 	return b
 }
 
-// encodedFinding packs a finding into one number.
-func encodedFinding(finding Finding) uint64 {
+// encodeFinding packs a finding into one number.
+func encodeFinding(finding Finding) uint64 {
 	packed := uint64(finding.ServerID) << 1
 	if finding.IsUp {
 		packed |= 1
@@ -188,9 +189,9 @@
 	count := r.uint()
 	r.malformed = r.malformed || count == 0 || count > MaxFindings
 	for ; count > 0 && !r.malformed; count-- {
-		x := r.uint()
-		r.malformed = r.malformed || x>>(serverIDBits+1) != 0
-		report.Findings = append(report.Findings, Finding{ServerID: uint16(x >> 1), IsUp: x&1 == 1})
+		packed := r.uint()
+		r.malformed = r.malformed || packed>>(serverIDBits+1) != 0
+		report.Findings = append(report.Findings, Finding{ServerID: uint16(packed >> 1), IsUp: packed&1 == 1})
 	}
 	return report
 }
--- a/policy/quota/message_test.go
+++ b/policy/quota/message_test.go
@@ -7,8 +7,9 @@
 	"mulleinmux/policy/overload"
 )
 
-// A quota message arrives as it was sent, with the report at its end; times of findings are not sent.
-func TestQuotaMessagesArriveAsSent(t *testing.T) {
+// TestQuotaMessagesRoundTrip checks that a decoded quota message, and the report at its end, equal those encoded. The
+// times of findings are not encoded.
+func TestQuotaMessagesRoundTrip(t *testing.T) {
 	codec := newTable(10, 300, 40).Codec()
 	charge := Charge{Number: 300, Customer: 1 << 40, Scope: ownedScope, Units: 3}
 	report := Report{
@@ -34,10 +35,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, gotReport, err := codec.DecodeMessage(c.encoded)
 			if err != nil || got != c.want || !reflect.DeepEqual(gotReport, c.report) {
-				t.Errorf("%+v, %+v, error %v; want %+v, %+v", got, gotReport, err, c.want, c.report)
+				t.Errorf("got message %+v, report %+v, error %v; want message %+v, report %+v",
+					got, gotReport, err, c.want, c.report)
 			}
 			if _, _, err := codec.DecodeMessage(append(c.encoded, 0)); err == nil {
-				t.Error("a byte more is accepted")
+				t.Error("message with a trailing byte: got no error")
 			}
 		})
 	}
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -1,24 +1,25 @@
 package quota
 
-// Quota owners, for customers of many instances in large fleets, where gossip would come too late. A hash of
-// the customer selects the instance that owns its quota; the others (members, see member.go) send it
-// quota requests. Each costs a round trip, and an owner that restarts begins with a full quota.
+// This file has the owner's side of a quota with owners. A quota has owners where its customer has many instances in a
+// large fleet, since gossip would arrive too late. A hash of the customer selects the instances that own its quota; the
+// others (members, see member.go) send them quota requests. Each request costs a round trip, and an owner that restarts
+// begins with a full quota.
 
 import "time"
 
 const (
-	ownerOverloadFraction = 0.6 // of the gossip inbox, above which retries are delayed
-	grantFractionWeight   = 0.1 // of a new request in the moving average of the grants
+	ownerOverloadFraction = 0.6 // of the gossip inbox limit, above which retries are delayed
+	grantFractionWeight   = 0.1 // weight of a new request in the moving average of the grants
 )
 
-// OwnerState is what an owner's grants depend on besides the quota.
+// OwnerState is the state besides the quota on which an owner's grants depend.
 type OwnerState struct {
 	InboxRate float64       // gossip messages received per second
-	LeaseTTL  time.Duration // after which an attempt that was granted counts as ended
+	LeaseTTL  time.Duration // time after which a granted attempt counts as ended
 }
 
-// AnswerRequest decides on a member's request for units, and returns the response. There is none if this
-// instance does not own the quota.
+// AnswerRequest decides on a member's request for units and returns the response. If this instance does not own the
+// quota, isOwner is false and there is no response.
 func (t *Table) AnswerRequest(
 	from int, m Request, owner OwnerState, now time.Duration,
 ) (response Response, isOwner bool) {
@@ -31,13 +32,13 @@
 		t.grant(quota, from, m.Charge, owner.LeaseTTL, now)
 	}
 	if !m.IsLate {
-		quota.learnGrant(decision.IsInside)
+		quota.updateGrantFraction(decision.IsInside)
 	}
 	return Response{m.Number, decision.IsInside, decision.RetryAfter, quota.GrantFraction}, true
 }
 
-// learnGrant includes a decision on a quota request in the moving average of the grants.
-func (q *Quota) learnGrant(isGranted bool) {
+// updateGrantFraction includes a decision on a quota request in the moving average of the grants.
+func (q *Quota) updateGrantFraction(isGranted bool) {
 	granted := 0.0
 	if isGranted {
 		granted = 1
@@ -45,8 +46,8 @@
 	q.GrantFraction += grantFractionWeight * (granted - q.GrantFraction)
 }
 
-// decideGrant decides whether an owner grants a member's demand: if it is inside the quota and within the
-// owner's part of the hard limit. If not, it says when the member may ask again.
+// decideGrant decides whether an owner grants a member's demand: it must be within the quota and within the owner's
+// share of the hard limit. If it is rejected, RetryAfter is the wait before the member's next request.
 func (t *Table) decideGrant(
 	quota *Quota, demand Demand, inboxRate float64, now time.Duration,
 ) Decision {
@@ -61,16 +62,17 @@
 	return Decision{RetryAfter: wait}
 }
 
-// ownerOverloadWait returns the shortest wait of a member whose request is rejected while the owner's inbox
-// is overloaded. Rejected requests fill the inbox: the members wait longer, so that together they keep to
-// their fraction of it. In large fleets all customers' requests at normal load take a third of an inbox.
+// ownerOverloadWait returns the shortest wait of a member whose request is rejected while the owner's inbox is
+// overloaded. Rejected requests fill the inbox, so the members wait longer, which keeps their requests together within
+// their fraction of the inbox limit. In large fleets the requests of all customers at normal load take a third of an
+// inbox.
 func (f *Fleet) ownerOverloadWait(quota *Quota) time.Duration {
-	members := float64(quota.InstanceCount / quota.instanceSplit)
+	members := float64(quota.InstanceCount / quota.partCount)
 	return refillTime(members, ownerInboxFraction*f.GossipInboxRate)
 }
 
-// ownedQuota returns the quota of a member's message, or nil if this instance does not own it: one of the
-// two does not serve the customer, or they know different plans of it.
+// ownedQuota returns the quota of a member's message, or nil if this instance does not own it: the member or this
+// instance does not receive the customer's requests, or the two have different plans for the customer.
 func (t *Table) ownedQuota(from int, m Charge, now time.Duration) *Quota {
 	fleetSize := t.Fleet.InstanceCount
 	if !m.Scope.includes(from, fleetSize) || !m.Scope.includes(t.Fleet.InstanceIndex, fleetSize) {
@@ -83,7 +85,7 @@
 	return quota
 }
 
-// grant takes the units of a member's request, and a lease under the limit in flight.
+// grant takes the units of a member's request, and records a lease if the plan limits the attempts in flight.
 func (t *Table) grant(quota *Quota, from int, m Charge, leaseTTL, now time.Duration) {
 	quota.HardLimitTokens -= m.Units
 	t.TakeUnits(quota, m.Units)
@@ -93,8 +95,8 @@
 	quota.recordGrant(from, m.Number, now)
 }
 
-// ReceiveSpent charges units that a member has used without a response. If its request was received, they
-// have been taken already.
+// ReceiveSpent charges units that a member has used without a response. If the owner has granted the member's request,
+// the units have already been taken.
 func (t *Table) ReceiveSpent(from int, m Spent, now time.Duration) {
 	quota := t.ownedQuota(from, m.Charge, now)
 	if quota == nil || quota.hasGrant(from, m.Number) {
@@ -104,13 +106,13 @@
 	t.chargeRemoteUnits(quota, m.Units)
 }
 
-// ReceiveReturn takes back units that a member has not used, and its lease under the limit in flight.
+// ReceiveReturn takes back units that a member has not used, and removes its lease under the limit in flight.
 func (t *Table) ReceiveReturn(from int, m Return, now time.Duration) {
 	quota := t.Lookup(m.Customer)
 	if quota == nil || !quota.UsesOwner {
 		return
 	}
 	t.Refill(quota, now)
-	quota.giveBack(t.PlanOf(quota), m.Units)
+	quota.returnUnits(t.PlanOf(quota), m.Units)
 	quota.endLease(from, m.Number)
 }
--- a/policy/quota/owner_test.go
+++ b/policy/quota/owner_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// An owner grants a demand that is inside the quota and within its part of the hard limit. It tells a member that it
-// rejects to wait for the refill (4 owners of a rate of 40: a unit in 100 ms) or, while its inbox is overloaded, for as
-// long as its 25 members together may fill 0.3 of 40 messages a second.
+// TestDecideGrant checks that an owner grants a demand that is within the quota and within its share of the hard limit.
+// A rejected member must wait for the refill (4 owners of a rate of 40: a unit in 100 ms) or, while the owner's inbox
+// is overloaded, for as long as the owner's 25 members together need to stay within 0.3 of 40 messages a second.
 func TestDecideGrant(t *testing.T) {
 	const normalInbox, overloadedInbox = 14, 39 // messages per second
 	for _, c := range []struct {
@@ -34,23 +34,24 @@
 			owner.PlanOf(quota).HardLimitRate = c.hardLimitRate
 			quota.Tokens, quota.HardLimitTokens = c.tokens, c.hardLimitTokens
 			if got := owner.decideGrant(quota, Demand{Units: 1}, c.inboxRate, t0); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("decision: got %+v, want %+v", got, c.want)
 			}
 		})
 	}
 }
 
-// A customer stays contended for as long as its quota takes to refill two requests, which may be more than a second.
+// TestSlowQuotasStayContended checks that a quota stays contended for as long as it takes to refill the units of two
+// requests, which may be more than a second.
 func TestSlowQuotasStayContended(t *testing.T) {
 	owner := newTable(10, 300, 40)
 	owner.plans[ratePlan].Rate = 0.5
 	quota := owner.quotaFor(77, ownedScope, t0)
 	quota.Tokens = 0
 	if !quota.UsesOwner {
-		t.Fatal("no owner is asked for this customer")
+		t.Fatal("the quota of this customer has no owner")
 	}
 	owner.Check(quota, Demand{Units: 1}, t0)
 	if d := quota.ContendedUntil - t0; d != 4*time.Second {
-		t.Errorf("contended for %v, it fills by two in 4 s", d)
+		t.Errorf("contended for %v, want 4s, in which two units are refilled", d)
 	}
 }
--- a/policy/quota/split.go
+++ b/policy/quota/split.go
@@ -1,6 +1,6 @@
 package quota
 
-// How a customer's quota is split among the instances that receive its requests.
+// This file decides how a customer's quota is split among the instances that receive its requests.
 
 import (
 	"math"
@@ -10,84 +10,87 @@
 )
 
 const (
-	memberBurstFraction = 0.5 // of a hard limit's burst, split evenly and not to the owners
-	memberRateFraction  = 0.4 // of a hard limit's rate, likewise
-	ownerInboxFraction  = 0.3 // of a gossip inbox for one customer's quota requests
+	memberBurstFraction = 0.5 // of a hard limit's burst: split evenly among all instances; the owners get the rest
+	memberRateFraction  = 0.4 // of a hard limit's rate: split in the same way
+	ownerInboxFraction  = 0.3 // of an owner's gossip inbox limit: for the quota requests of one customer
 )
 
-// Fleet is this instance's place in the fleet that shares customers' quotas, and how it gossips.
+// Fleet describes this instance's place in the fleet that shares customers' quotas, and how the instances gossip.
 type Fleet struct {
 	InstanceIndex   int
 	InstanceCount   int
 	AllowsGossip    bool
 	GossipInterval  time.Duration // between broadcasts
-	GossipInboxRate float64       // messages per second that an instance receives at most; 0: no limit
+	GossipInboxRate float64       // maximum number of messages per second that an instance receives; 0 means no limit
 }
 
-// Scope is a customer's plan and the instances that receive its requests: InstanceCount of them from FirstInstance
-// on, modulo the fleet's size.
+// Scope is a customer's plan and the instances that receive its requests: InstanceCount instances from FirstInstance
+// on, modulo the size of the fleet.
 type Scope struct {
 	Plan          int // index in the table of plans
 	InstanceCount int
 	FirstInstance int
 }
 
-// includes reports whether an instance is one of the customer's.
+// includes reports whether an instance receives the customer's requests.
 func (s Scope) includes(instance, fleetSize int) bool {
 	return (instance-s.FirstInstance+fleetSize)%fleetSize < s.InstanceCount
 }
 
-// sharing is how the instances of a customer share its quota.
-type sharing struct {
-	UsesOwner     bool    // quota requests to owners take the place of gossip, which would be too late
-	instanceSplit int     // instances among which the capacity is split
-	ownerCount    float64 // buckets that the quota is split into
+// quotaSplit describes how a customer's quota is split among its instances.
+type quotaSplit struct {
+	UsesOwner   bool    // quota requests to owners replace gossip, which would arrive too late
+	partCount   int     // parts of the capacity: one for each owner or, without owners, for each instance
+	bucketCount float64 // buckets of the quota: one for each owner or, without owners, one that all instances keep
 }
 
-// hardLimitFractions are this instance's fractions of a customer's hard limit, 0 to 1. Those of all instances sum to 1.
+// hardLimitFractions are this instance's fractions of a customer's hard limit, 0 to 1. The fractions of all instances
+// sum to 1.
 type hardLimitFractions struct {
 	burstFraction float64 // of the limit's burst
 	rateFraction  float64 // of the limit's rate
 }
 
-// splitQuota decides among how many instances a customer's quota is split: all of its instances where they gossip in
-// time, or else as many owners as their gossip inboxes need to receive the quota requests.
-func (f *Fleet) splitQuota(scope Scope, plan *Plan) sharing {
+// splitQuota decides how a customer's quota is split. If its instances gossip and gossip would arrive too late, the
+// quota has owners: as many as it takes for their gossip inboxes to receive the quota requests. Otherwise it is split
+// among all instances of the customer.
+func (f *Fleet) splitQuota(scope Scope, plan *Plan) quotaSplit {
 	gossipIsLate := f.GossipInterval > overload.AssessmentInterval
 	if !f.AllowsGossip || scope.InstanceCount <= 1 || !gossipIsLate {
-		return sharing{instanceSplit: scope.InstanceCount, ownerCount: 1}
+		return quotaSplit{partCount: scope.InstanceCount, bucketCount: 1}
 	}
 	owners := int(math.Ceil(plan.Rate / (ownerInboxFraction * f.GossipInboxRate)))
-	split := min(max(1, owners), scope.InstanceCount)
-	return sharing{UsesOwner: true, instanceSplit: split, ownerCount: float64(split)}
+	parts := min(max(1, owners), scope.InstanceCount)
+	return quotaSplit{UsesOwner: true, partCount: parts, bucketCount: float64(parts)}
 }
 
-// splitHardLimit decides this instance's fractions of a customer's hard limit. Owners have most of it, for their
+// splitHardLimit returns this instance's fractions of a customer's hard limit. Owners hold most of the limit, for their
 // grants.
-func (f *Fleet) splitHardLimit(customer uint64, scope Scope, split sharing) hardLimitFractions {
+func (f *Fleet) splitHardLimit(customer uint64, scope Scope, split quotaSplit) hardLimitFractions {
 	evenFraction := 1 / float64(scope.InstanceCount)
 	if !split.UsesOwner {
 		return hardLimitFractions{burstFraction: evenFraction, rateFraction: evenFraction}
 	}
-	owned := float64(f.ownedParts(customer, scope, split)) / split.ownerCount
+	owned := float64(f.countOwnedParts(customer, scope, split)) / split.bucketCount
 	return hardLimitFractions{
 		burstFraction: memberBurstFraction*evenFraction + (1-memberBurstFraction)*owned,
 		rateFraction:  memberRateFraction*evenFraction + (1-memberRateFraction)*owned,
 	}
 }
 
-// ownerOfPart returns the instance that owns a part of a customer's quota, by a hash over the customer's instances.
+// ownerOfPart returns the instance that owns a part of a customer's quota. A hash selects it from the customer's
+// instances.
 func (f *Fleet) ownerOfPart(customer uint64, scope Scope, part int) int {
-	x := (customer + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
-	x = (x ^ x>>32) * 0xd6e8feb86659fd93
-	offset := int((x ^ x>>32) % uint64(scope.InstanceCount))
+	hash := (customer + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
+	hash = (hash ^ hash>>32) * 0xd6e8feb86659fd93
+	offset := int((hash ^ hash>>32) % uint64(scope.InstanceCount))
 	return (scope.FirstInstance + offset) % f.InstanceCount
 }
 
-// ownedParts returns how many parts of a customer's quota this instance owns.
-func (f *Fleet) ownedParts(customer uint64, scope Scope, split sharing) int {
+// countOwnedParts returns how many parts of a customer's quota this instance owns.
+func (f *Fleet) countOwnedParts(customer uint64, scope Scope, split quotaSplit) int {
 	owned := 0
-	for part := range split.instanceSplit {
+	for part := range split.partCount {
 		if f.ownerOfPart(customer, scope, part) == f.InstanceIndex {
 			owned++
 		}
@@ -97,13 +100,14 @@
 
 // OwnerFor returns the owner to which this instance sends its quota requests for a customer.
 func (f *Fleet) OwnerFor(quota *Quota) int {
-	return f.ownerOfPart(quota.Customer, quota.Scope, f.InstanceIndex%quota.instanceSplit)
+	return f.ownerOfPart(quota.Customer, quota.Scope, f.InstanceIndex%quota.partCount)
 }
 
-// splitBetweenGossip returns among how many instances the tokens left are split until the next gossip.
-func (q *Quota) splitBetweenGossip() float64 {
+// admittingInstances returns the number of instances that spend the same tokens between two gossip messages: the owner
+// alone or, without owners, all instances of the customer.
+func (q *Quota) admittingInstances() float64 {
 	if q.UsesOwner {
 		return 1
 	}
-	return float64(q.instanceSplit)
+	return float64(q.partCount)
 }
--- a/policy/quota/state.go
+++ b/policy/quota/state.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// State is the encoded state of a customer's quota, which a process hands to its successor. Its keys are stored and
-// must not change.
+// State is the encoded state of a customer's quota, which a process passes to its successor. The JSON keys are stored
+// and must not change.
 type State struct {
 	Customer           uint64        `json:"Key"`
 	Plan               int           // index in the exported plans
@@ -33,7 +33,7 @@
 	LeaseExpiresAt []time.Duration `json:"LeaseEnds,omitempty"`
 }
 
-// IsValid reports whether the state is consistent, for a number of plans and instances.
+// IsValid reports whether the state is consistent for the number of plans and the size of the fleet.
 func (s *State) IsValid(planCount, fleetSize int) bool {
 	hasPlan := s.Plan >= 0 && s.Plan < planCount
 	hasCount := s.InstanceCount >= 1 && s.InstanceCount <= fleetSize
@@ -84,8 +84,9 @@
 	return state
 }
 
-// Restore restores a quota that had a plan of the predecessor. One whose plan no longer exists is left out. Attempts
-// that the predecessor still has in flight count for leaseTTL.
+// Restore restores a quota that had the plan oldPlan in the predecessor. The quota is skipped if a plan of that name no
+// longer exists or the customer already has a quota. Attempts that the predecessor still has in flight count for
+// leaseTTL.
 func (t *Table) Restore(saved State, oldPlan *Plan, now, leaseTTL time.Duration) {
 	plan := slices.IndexFunc(t.plans, func(p Plan) bool { return p.Name == oldPlan.Name })
 	if plan < 0 || t.Lookup(saved.Customer) != nil {
@@ -109,7 +110,8 @@
 	}
 }
 
-// restore restores the quota, except for its pending gossip and its attempts in flight.
+// restore sets the quota to a saved state, except for the attempts in flight on this instance and whether the quota
+// needs gossip.
 func (q *Quota) restore(saved State, now time.Duration, fleetSize int) {
 	q.refilledAt = min(saved.RefilledAt, now)
 	q.RejectedUntil, q.ContendedUntil = saved.RejectedUntil, saved.ContendedUntil
@@ -129,7 +131,7 @@
 	}
 }
 
-// PeerState is the encoded numbering of a peer's gossip. Its keys are stored and must not change.
+// PeerState is the encoded state of the gossip received from a peer. The JSON keys are stored and must not change.
 type PeerState struct {
 	IsKnown          bool   `json:"Heard"`
 	Epoch            uint64 `json:"InEpoch"`
@@ -137,7 +139,7 @@
 	ReceivedSequence uint64 `json:"InSeq"`
 }
 
-// Export returns the numbering of each peer's gossip, by instance.
+// Export returns the state of the gossip received from each peer, by instance.
 func (g *Gossip) Export() (states []PeerState) {
 	for i := range g.peers {
 		states = append(states, g.peers[i].export())
@@ -145,7 +147,7 @@
 	return states
 }
 
-// Restore restores the numbering of the peers that the fleet still has.
+// Restore restores the state of the gossip received from the peers that the fleet still has.
 func (g *Gossip) Restore(states []PeerState) {
 	for i := range min(len(states), len(g.peers)) {
 		g.peers[i].restore(states[i])
--- a/policy/quota/table.go
+++ b/policy/quota/table.go
@@ -7,46 +7,47 @@
 
 // Table holds the quotas of the customers seen recently. Invariants: the list holds the same quotas as the map, in an
 // order that does not depend on the map's, so that sweeps are reproducible; pending holds exactly the quotas whose
-// needsGossip is set. It is not safe for concurrent use.
+// needsGossip is set. A Table is not safe for concurrent use.
 type Table struct {
 	Fleet     Fleet
-	StartedAt time.Duration // clock reading of the instance's start, or of the first process of a hot restart
+	StartedAt time.Duration // clock reading at the start of the instance or, after a hot restart, of its first process
 
-	// OverQuota counts the units forwarded beyond quotas, as far as this instance knows.
+	// OverQuota counts the units beyond quotas that this instance forwarded or discovered.
 	OverQuota OverQuotaUnits
 
 	plans      []Plan // by index
 	byCustomer map[uint64]*Quota
 	list       []*Quota
 	sweepAt    int      // index in the list at which the next sweep begins
-	pending    []*Quota // to be sent with the next broadcast
+	pending    []*Quota // quotas to be sent with the next broadcast
 }
 
-// sweepDivisor: a sample examines the table's size divided by this, and one quota more.
+// sweepDivisor determines how many quotas a sweep examines: the size of the table divided by it, and one more. There is
+// one sweep in each sample.
 const sweepDivisor = 8
 
-// NewTable returns an empty table for plans, by the index that a [Scope] names. It keeps the slice.
+// NewTable returns an empty table for plans, whose indexes are those of [Scope.Plan]. The table retains the slice.
 func NewTable(fleet Fleet, plans []Plan) Table {
 	return Table{Fleet: fleet, plans: plans, byCustomer: map[uint64]*Quota{}}
 }
 
-// add adds the quota of a customer that has none yet.
+// add adds the quota of a customer that is not in the table.
 func (t *Table) add(quota *Quota) {
 	t.byCustomer[quota.Customer] = quota
 	t.list = append(t.list, quota)
 }
 
-// Lookup returns the customer's quota as of its last use, or nil if it is not known.
+// Lookup returns the customer's quota as of its last use, or nil if it is not in the table.
 func (t *Table) Lookup(customer uint64) *Quota { return t.byCustomer[customer] }
 
 // Len returns the number of quotas.
 func (t *Table) Len() int { return len(t.list) }
 
-// PlanOf returns the plan of a customer.
+// PlanOf returns the plan of a quota.
 func (t *Table) PlanOf(quota *Quota) *Plan { return &t.plans[quota.Plan] }
 
-// quotaFor returns the customer's quota, refilled up to now. One that is not known gets what it would have, had it been
-// known since the start.
+// quotaFor returns the customer's quota, refilled up to now. A quota that is not in the table is added with the tokens
+// that it would have if it had been in the table since the start.
 func (t *Table) quotaFor(customer uint64, scope Scope, now time.Duration) *Quota {
 	quota := t.Lookup(customer)
 	if quota == nil {
@@ -61,7 +62,8 @@
 }
 
 // QuotaInPlan returns the customer's quota, refilled up to now and changed to the plan of the scope if it had another.
-// One that is not known gets what it would have, had it been known since the start.
+// A quota that is not in the table is added with the tokens that it would have if it had been in the table since the
+// start.
 func (t *Table) QuotaInPlan(customer uint64, scope Scope, now time.Duration) *Quota {
 	quota := t.quotaFor(customer, scope, now)
 	if quota.Plan != scope.Plan {
@@ -70,10 +72,10 @@
 	return quota
 }
 
-// split splits a quota among its instances by a plan.
+// split splits a quota among its instances according to a plan.
 func (t *Table) split(quota *Quota, plan *Plan) {
-	quota.sharing = t.Fleet.splitQuota(quota.Scope, plan)
-	quota.hardLimitFractions = t.Fleet.splitHardLimit(quota.Customer, quota.Scope, quota.sharing)
+	quota.quotaSplit = t.Fleet.splitQuota(quota.Scope, plan)
+	quota.hardLimitFractions = t.Fleet.splitHardLimit(quota.Customer, quota.Scope, quota.quotaSplit)
 }
 
 // Refill refills a quota up to now.
@@ -81,7 +83,7 @@
 	quota.refill(t.PlanOf(quota), now, t.Fleet.transferTimeout())
 }
 
-// SetPlans replaces the plans; each keeps its index. A quota keeps what it has spent up to now.
+// SetPlans replaces the plans; each plan keeps its index. Units that a quota has spent up to now stay spent.
 func (t *Table) SetPlans(plans []Plan, now time.Duration) {
 	for _, quota := range t.list {
 		t.Refill(quota, now)
@@ -95,8 +97,8 @@
 	}
 }
 
-// changePlan changes the plan of a quota that has been refilled up to now, from old to the one with an index. Units
-// spent stay spent; the first hard limit of a quota begins empty, as after a start.
+// changePlan changes the plan of a quota that has been refilled up to now, from old to the plan with the given index.
+// Units spent stay spent. If the old plan had no hard limit, that of the new plan begins empty, as after a start.
 func (t *Table) changePlan(quota *Quota, old Plan, plan int) {
 	spent := quota.spent(&old)
 	quota.Plan = plan
@@ -107,21 +109,21 @@
 	}
 }
 
-// TakeUnits takes units of the quota and has them gossiped. Negative units are returned.
+// TakeUnits takes units from the quota and marks it for gossip. Negative units are returned to it.
 func (t *Table) TakeUnits(quota *Quota, units float64) {
 	quota.take(t.PlanOf(quota), units)
 	t.MarkForGossip(quota)
 }
 
-// Forwarded are the units of a request that is forwarded.
+// Forwarded describes the units of a request that is forwarded.
 type Forwarded struct {
 	Units     float64
-	IsInside  bool // of the quota, and taken from it
-	IsGranted bool // by the owner, from its part of the hard limit
+	IsInside  bool // the units are within the quota, and taken from it
+	IsGranted bool // the owner has granted the units, from its share of the hard limit
 }
 
-// RecordForwarded records a request that is forwarded: its units are taken off this instance's part of the hard limit
-// unless the owner has taken them off its own.
+// RecordForwarded records a request that is forwarded. Its units are deducted from this instance's share of the hard
+// limit, unless the owner has deducted them from its own.
 func (t *Table) RecordForwarded(quota *Quota, forwarded Forwarded) {
 	if !forwarded.IsGranted {
 		quota.chargeHardLimit(t.PlanOf(quota), forwarded.Units)
@@ -132,18 +134,19 @@
 	}
 }
 
-// chargeRemoteUnits charges a customer's quota with units that another instance has used.
+// chargeRemoteUnits charges a quota with units that another instance has used, and counts those that exceed it.
 func (t *Table) chargeRemoteUnits(quota *Quota, units float64) {
 	t.OverQuota.Discovered += quota.charge(t.PlanOf(quota), units)
 }
 
-// inFlightCapacity returns how many more attempts the customer may have in flight, as far as known.
+// inFlightCapacity returns how many more attempts the customer may have in flight, given the counts that peers last
+// reported.
 func (t *Table) inFlightCapacity(quota *Quota, now time.Duration) int {
 	peerCountTTL := peerCountTTLIntervals * t.Fleet.GossipInterval
 	return quota.inFlightCapacity(t.PlanOf(quota), t.Fleet.InstanceIndex, now, peerCountTTL)
 }
 
-// MarkForGossip includes a quota in the next broadcast, unless quota requests to its owner take the place of gossip.
+// MarkForGossip includes a quota in the next broadcast, unless quota requests to its owner replace gossip.
 func (t *Table) MarkForGossip(quota *Quota) {
 	hasPeers := t.Fleet.AllowsGossip && t.Fleet.InstanceCount > 1
 	if quota.UsesOwner || !hasPeers || quota.needsGossip {
@@ -153,8 +156,8 @@
 	t.pending = append(t.pending, quota)
 }
 
-// DropIdle drops idle quotas in the next part of the table, so that memory stays bounded with customers that are seen
-// only once.
+// DropIdle sweeps the next section of the table and drops its idle quotas, so that memory stays bounded when many
+// customers are seen only once.
 func (t *Table) DropIdle(now time.Duration) {
 	transferTimeout := t.Fleet.transferTimeout()
 	for n := t.Len()/sweepDivisor + 1; n > 0 && t.Len() > 0; n-- {
@@ -175,8 +178,8 @@
 
 // OverQuotaUnits counts the units that were forwarded beyond customers' quotas since the start.
 type OverQuotaUnits struct {
-	Sent       float64 // by this instance on purpose, since they earn more than they cost
-	Discovered float64 // found overdrawn by gossip; all instances of a customer count the same units
+	Sent       float64 // deliberately by this instance, since they earn more than they cost
+	Discovered float64 // found overdrawn through gossip; all instances of a customer count the same units
 }
 
 // roundedUnits returns units as they are encoded in messages.
