--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// AllInstances as the peer of [Actions.SendGossip] means every other node.
+// AllInstances as the peer of [Actions.SendGossip] addresses every other node.
 const AllInstances = -1
 
-// Actions is how an engine has its host act on the network and the timers. The engine calls it in the order in which
-// the actions are to take effect; the host must not call back into the engine.
+// Actions is the interface through which an engine acts on the network and the timers. The engine calls its methods in
+// the order in which they are to take effect; the host must not call back into the engine.
 type Actions interface {
-	// SendAttempt starts the request's next attempt. With a timeout of 0 it may last until the client's deadline.
+	// SendAttempt sends the request's next attempt to a server. With a timeout of 0 the attempt may last until the
+	// client's deadline.
 	SendAttempt(id, server string, timeout time.Duration)
-	// RejectRequest sends the client a final answer that promises that trying again is harmless.
+	// RejectRequest sends the client a final answer that states that a retry is safe.
 	RejectRequest(id string, retryAfter time.Duration)
-	// FailRequest sends the client a final answer that promises nothing.
+	// FailRequest sends the client a final answer that does not state that a retry is safe.
 	FailRequest(id string)
-	// CancelAttempt stops waiting for an attempt, by its index as in [AttemptResult].
+	// CancelAttempt cancels an attempt, given by its index as in [AttemptResult].
 	CancelAttempt(id string, attempt int)
-	// SetTimer asks for one call of [Engine.TimerFired] with the token.
+	// SetTimer schedules one call of [Engine.TimerFired] with the token.
 	SetTimer(token uint64, after time.Duration)
-	// CheckHealth sends a health check; its result is passed to [Engine.HealthCheckCompleted].
+	// CheckHealth sends a health check. The host passes the result to [Engine.HealthCheckCompleted].
 	CheckHealth(server string)
-	// SendGossip sends at most 256 bytes to a peer, an instance index or [AllInstances]. The host must not retain
-	// the message.
+	// SendGossip sends a message of at most 256 bytes to a peer: an instance index or [AllInstances]. The host must not
+	// retain the message.
 	SendGossip(peer int, message []byte)
 	// WatchEndpoints subscribes to changes of the endpoint list, or cancels the subscription.
 	WatchEndpoints(subscribe bool)
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,31 +7,33 @@
 	"mulleinmux/policy/quota"
 )
 
-// throttleRetryDivisor divides the latency objective for the wait of a client that overload control rejects.
+// throttleRetryDivisor is the divisor of the latency objective that gives the retry delay of a request rejected for
+// overload.
 const throttleRetryDivisor = 4
 
-// minFleetMeansRate is the rate of gossip messages received, per second, above which the fleet's means count.
+// minFleetMeansRate is the rate of received gossip messages, per second, above which the fleet's means are used.
 const minFleetMeansRate = 1
 
-// overloadRetryAfter returns the wait of a request that is rejected since the servers are overloaded, or since it comes
-// too late for them.
+// overloadRetryAfter returns the retry delay of a request that is rejected because the servers are overloaded or
+// because it is late.
 func (c *Class) overloadRetryAfter() time.Duration { return c.LatencyObjective / throttleRetryDivisor }
 
-// isTooLate reports whether a request can no longer be answered within its latency objective: its client has
-// waited before. First tries of a class have the same timeout, and a client's later tries only what is left
-// of it. Clients that give each try a full timeout are not detected.
+// isTooLate reports whether a request can no longer be answered within its latency objective, because its client has
+// already waited in earlier tries. The first tries of a class are assumed to have the same timeout, and a later try
+// only what is left of it. Late tries of clients that give each try a full timeout are not detected.
 func (c *classLatency) isTooLate(timeout, objective time.Duration) bool {
 	waited := c.firstTryTimeout - timeout
 	return waited.Seconds()+c.mean > objective.Seconds()
 }
 
-// isTooShort reports whether a timeout is shorter than the mean latency of the class, once that is known.
+// isTooShort reports whether a timeout is shorter than the mean latency of the class, if enough latencies have been
+// measured.
 func (c *classLatency) isTooShort(timeout time.Duration) bool {
 	return c.samples >= minBatchSamples && timeout.Seconds() < c.mean
 }
 
-// inFlightBound decides whether so much work is in flight that a new request would not be answered in time. It gathers
-// what the bound of package overload compares, [overload.Load]; zones with limits have bounds of their own.
+// inFlightBound decides whether so much work is in flight that a new request would not be answered in time. It collects
+// the [overload.Load] that package overload compares with its bound; zones with limits have bounds of their own.
 type inFlightBound struct {
 	settings  *Settings
 	servers   *serverTable
@@ -51,12 +53,12 @@
 	}
 	queueTime := overload.QueueTime(b.settings.Classes[class].LatencyObjective.Seconds(), value)
 	if len(b.zones) > 0 {
-		return b.zones.areOverloaded(zone, queueTime, b.servers)
+		return b.zones.updateOverload(zone, queueTime, b.servers)
 	}
 	return b.currentLoad(now).IsOverBound(queueTime)
 }
 
-// currentLoad returns what the bound compares now.
+// currentLoad returns the load that is compared with the bound.
 func (b *inFlightBound) currentLoad(now time.Duration) overload.Load {
 	inFlight, servers := b.load.reachableInFlight(now, b.servers.list, b.settings)
 	means := b.overload.FleetMeans()
@@ -83,13 +85,13 @@
 	return priorityFactor / highest
 }
 
-// settingsIndex has the indexes of the classes and plans in the settings, by name.
+// settingsIndex maps the names of the classes and plans to their indexes in the settings.
 type settingsIndex struct {
 	classes, plans map[string]int
 }
 
-// resolve returns the indexes of a request's class and plan. A request with an unknown one, or with no time for an
-// answer, cannot be served.
+// resolve returns the indexes of a request's class and plan. A request with an unknown class or plan, or without a
+// timeout, cannot be served.
 func (x settingsIndex) resolve(received Request) (class, plan int, isServable bool) {
 	class, hasClass := x.classes[received.Class]
 	plan, hasPlan := x.plans[received.Plan]
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -25,7 +25,7 @@
 		e, r := newEngine(t, testSettings(), list...)
 		e.RequestReceived(t0, tt.q, r)
 		if len(r.actions) != 1 || r.actions[0] != "reject r1" {
-			t.Errorf("%s: %q", tt.name, r.actions)
+			t.Errorf("%s: got actions %q, want only the rejection of r1", tt.name, r.actions)
 		}
 	}
 }
@@ -39,17 +39,18 @@
 	q.Timeout = 100 * ms
 	e.RequestReceived(t0, q, r)
 	if r.count("reject") != 1 {
-		t.Errorf("%v", r.actions)
+		t.Errorf("got actions %v, want one rejection", r.actions)
 	}
 }
 
-// A request whose client has waited for longer than its class's latency objective gives way where the customer
-// exceeds its quota, and only there: the units go to requests that can still be answered in time.
+// A late request, whose client has already waited for longer than the latency objective of its class, is rejected while
+// the quota of its customer is contended, and only then: the units are left for requests that can still be answered in
+// time.
 func TestLateRequestsYieldQuotaToFreshOnes(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(9)...)
 	objective := e.settings.Classes[e.index.classes["safe"]].LatencyObjective
-	old := newRequest(0, "safe", "rate", 1)
-	old.Timeout -= objective + objective/10
+	late := newRequest(0, "safe", "rate", 1)
+	late.Timeout -= objective + objective/10
 	send := func(n int, q Request, at time.Duration) bool {
 		q.ID = fmt.Sprint("t", n)
 		r.actions = nil
@@ -63,8 +64,8 @@
 	fresh := newRequest(0, "safe", "rate", 1)
 	n, at := 0, t0
 	send(n, fresh, at)
-	if !send(n+1, old, at+ms) {
-		t.Error("a late request was rejected with room for all")
+	if !send(n+1, late, at+ms) {
+		t.Error("a late request was rejected though the quota was not contended")
 	}
 	for n = 2; send(n, fresh, at+2*ms); n++ { // until the quota is empty
 	}
@@ -73,18 +74,18 @@
 		send(n, fresh, at+2*ms) // rejected
 		at = e.now + refill
 		e.quotas.Lookup(1).ContendedUntil = at + time.Second
-		if send(n+1, old, at) {
-			t.Fatal("a late request took the units of a contended quota")
+		if send(n+1, late, at) {
+			t.Fatal("a late request was sent though the quota was contended")
 		}
 		if !send(n+2, fresh, at+ms) {
-			t.Fatal("a fresh request was rejected in its place")
+			t.Fatal("a request in time was rejected after the late one")
 		}
 		send(n+3, fresh, at+2*ms)
 	}
 }
 
-// The timeout that counts as a first try's follows what most clients have, not the longest one.
-func TestOneLongTimeoutMakesNoOtherLate(t *testing.T) {
+// The estimate of the first tries' timeout follows the timeout of most clients, not the longest one.
+func TestOneLongTimeoutDoesNotMakeOthersLate(t *testing.T) {
 	e, _ := newEngine(t, testSettings())
 	objective := e.settings.Classes[0].LatencyObjective
 	learned := &e.latencies.classes[0]
@@ -94,33 +95,33 @@
 	learned.learnFirstTryTimeout(time.Hour, objective)
 	learned.learnFirstTryTimeout(time.Second, objective)
 	if learned.isTooLate(time.Second, objective) {
-		t.Error("all others count as late after one long timeout")
+		t.Error("requests with the common timeout count as late after one long timeout")
 	}
 }
 
-// Deadlines: a request without an answer ends in time by its own timer.
+// A request whose attempt is not answered gets its final answer from the deadline timer, in time and only once.
 func TestDeadlineTimerAnswersInTime(t *testing.T) {
 	for class, want := range map[string]string{"safe": "reject r1", "keyed": "fail r1", "unsafe": "fail r1"} {
 		e, r := newEngine(t, testSettings(), testServers(2)...)
 		e.RequestReceived(t0, newRequest(1, class, "rate", 1), r)
-		var due timerRequest
+		var due recordedTimer
 		for _, ts := range r.timers {
 			if timerKind(ts.token&7) == timerDeadline {
 				due = ts
 			}
 		}
 		if due.after <= 0 || due.after >= 2*time.Second {
-			t.Fatalf("timer after %v", due.after)
+			t.Fatalf("got a deadline timer after %v, want between 0 and 2s", due.after)
 		}
 		r.actions = nil
 		e.TimerFired(t0+due.after, due.token, r)
 		if r.count(want) != 1 || r.count("cancel r1 0") != 1 {
-			t.Errorf("%s: %q", class, r.actions)
+			t.Errorf("%s: got actions %q at the deadline, want one answer and one cancel", class, r.actions)
 		}
 		e.TimerFired(t0+due.after, due.token, r)
 		e.AttemptCompleted(t0+due.after, AttemptResult{ID: "r1", Result: Cancelled}, r)
 		if len(r.actions) != 2 || len(e.requests.byID) != 0 {
-			t.Errorf("%s: %q, %d requests kept", class, r.actions, len(e.requests.byID))
+			t.Errorf("%s: got actions %q and %d requests kept, want 2 and 0", class, r.actions, len(e.requests.byID))
 		}
 	}
 }
@@ -132,7 +133,7 @@
 	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
 	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
 	if e.requests.byID["r1"] == nil || e.requests.byID["r1"].inFlight != 1 {
-		t.Error("an attempt never made ended the request")
+		t.Error("the result of an unknown attempt ended the request")
 	}
 	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Server: "s0"}, r)
 	r.actions = nil
@@ -146,11 +147,11 @@
 	e.HealthCheckCompleted(t0, "none", OK, &LoadReport{Utilization: 1}, r)
 	e.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
 	if len(r.actions) != 0 {
-		t.Errorf("%q", r.actions)
+		t.Errorf("got actions %q for unknown events, want none", r.actions)
 	}
 }
 
-// A stream that has begun belongs to the client: no deadline, no cancel.
+// A response that has started to stream is neither answered at the deadline nor cancelled.
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].IsStreaming = true
@@ -160,6 +161,6 @@
 	r.actions = nil
 	e.TimerFired(t0+2*time.Second, timerToken(timerDeadline, 1), r)
 	if len(r.actions) != 0 {
-		t.Errorf("%q", r.actions)
+		t.Errorf("got actions %q at the deadline of a streamed response, want none", r.actions)
 	}
 }
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	idleConnectionTimeout = 10 * time.Second // after which an idle connection may have been closed
-	maxConnectFailures    = 8                // failed connections that are remembered of a server
+	idleConnectionTimeout = 10 * time.Second // idle time after which a connection may have been closed
+	maxConnectFailures    = 8                // failed connections that are recorded per server
 )
 
-// recordConnectFailure records that a connection could not be established: the process may have restarted.
+// recordConnectFailure records that a connection could not be established: the server process may have restarted.
 func (s *server) recordConnectFailure(now time.Duration) {
 	if len(s.connectFailures) == maxConnectFailures {
 		s.connectFailures = s.connectFailures[:maxConnectFailures-1]
@@ -16,8 +16,9 @@
 	s.connectFailedAt = now
 }
 
-// clearConnectFailuresSince forgets the connections that failed from a clock reading on. The process is known to have
-// been up since then, so that they are no sign of a restart. A reading of 0 means that this is not known.
+// clearConnectFailuresSince removes the failed connections recorded at or after a clock reading. The server process is
+// known to have been running since then, so that they are no sign of a restart. A reading of 0 means that this is not
+// known, and removes nothing.
 func (s *server) clearConnectFailuresSince(upSince time.Duration) {
 	if upSince <= 0 {
 		return
@@ -36,12 +37,12 @@
 	}
 }
 
-// hasIdleConnection reports whether a connection to the server should be open and idle.
+// hasIdleConnection reports whether a connection to the server is expected to be open and idle.
 func (s *server) hasIdleConnection(now time.Duration) bool {
 	return s.expectedConnections > s.inFlight && now-s.lastUsedAt < idleConnectionTimeout
 }
 
-// recordConnectionUse records that an attempt begins, which needs a connection.
+// recordConnectionUse records that an attempt starts to use a connection.
 func (s *server) recordConnectionUse(now time.Duration) {
 	if !s.hasIdleConnection(now) {
 		s.expectedConnections = s.inFlight + 1
@@ -54,13 +55,13 @@
 	case OK, RejectedByServer, ErrorResponse:
 		s.lastUsedAt = now
 	case TimedOut, ConnectFailed:
-		s.expectedConnections = 0 // the host closes the idle ones as well
+		s.expectedConnections = 0 // the host closes the idle connections as well
 	default:
 		s.expectedConnections = max(s.expectedConnections-1, 0)
 	}
 }
 
-// recordHealthCheckAnswer records that a health check was answered, on a connection of its own.
+// recordHealthCheckAnswer records a response to a health check, which uses a connection of its own.
 func (s *server) recordHealthCheckAnswer(now time.Duration) {
 	s.expectedConnections = max(s.expectedConnections, s.inFlight+1)
 	s.lastUsedAt = now
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	maxEngineMethods = 45  // the events, their order and the wiring need no more
+	maxEngineMethods = 45  // enough to handle the events and to call the rules in order
 	maxColumns       = 120 // a tab counts as four
 )
 
-// eventFiles are the files whose Engine methods wire the rules together: events, their order, and what they send.
+// eventFiles are the files whose Engine methods handle events: they call the rules in order and act on the results.
 var eventFiles = []string{
 	"events.go", "server_events.go", "request_lifecycle.go", "rejections.go", "policy.go",
 	"gossip.go", "quota_exchange.go", "quota_member.go",
 }
 
-// sourceFile is a parsed file of this package that is no test.
+// sourceFile is a parsed file of this package, or of one below it, that is not a test.
 type sourceFile struct {
 	name string
 	tree *ast.File
@@ -46,7 +46,7 @@
 	return names
 }
 
-// sourceFiles returns the files of this package and those below it, without tests.
+// sourceFiles returns the files of this package and of those below it, without tests.
 func sourceFiles(t *testing.T) (files []sourceFile) {
 	t.Helper()
 	names := goFiles(t, ".")
@@ -92,7 +92,7 @@
 	return expr.(*ast.Ident).Name
 }
 
-// The engine holds the events, their order and the wiring; the rules are functions of small types.
+// Engine methods only handle events and call the rules in order. The rules are functions and methods of small types.
 func TestEngineHoldsNoRules(t *testing.T) {
 	methods := 0
 	for _, file := range sourceFiles(t) {
@@ -102,17 +102,18 @@
 			}
 			methods++
 			if act := actingCall(function); act != "" && !slices.Contains(eventFiles, file.name) {
-				t.Errorf("%s: %s calls %s: only the event files %v reject, select, retry or act",
+				t.Errorf("%s: %s calls %s: only the event files %v may reject, select, retry or call actions",
 					file.name, name, act, eventFiles)
 			}
 		}
 	}
 	if methods > maxEngineMethods {
-		t.Errorf("Engine has %d methods, at most %d", methods, maxEngineMethods)
+		t.Errorf("Engine has %d methods, want at most %d", methods, maxEngineMethods)
 	}
 }
 
-// actingCall returns the name of a call by which a function rejects, selects, retries or has the host act, if any.
+// actingCall returns the name of a call with which a function rejects, selects, retries or calls an action of the host,
+// or an empty string if it has none.
 func actingCall(function *ast.FuncDecl) (found string) {
 	acting := []string{"reject", "retry", "selectServer", "startAttempt", "answerUnserved", "admit", "chooseServer"}
 	ast.Inspect(function.Body, func(n ast.Node) bool {
@@ -134,7 +135,7 @@
 	return found
 }
 
-// Decisions are read side by side: no line is wider than a reader's window.
+// No line is longer than maxColumns, so that files can be read side by side.
 func TestLinesAreShort(t *testing.T) {
 	for _, name := range goFiles(t, ".") {
 		text, err := os.ReadFile(name)
@@ -143,7 +144,7 @@
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > maxColumns {
-				t.Errorf("%s:%d: %d columns, at most %d", name, i+1, n, maxColumns)
+				t.Errorf("%s:%d: line has %d columns, want at most %d", name, i+1, n, maxColumns)
 			}
 		}
 	}
@@ -151,8 +152,8 @@
 
 // ruleRow is a row of docs/decisions.md.
 type ruleRow struct {
-	functions []string // package path, then the function: policy.serverSelector.selectServer
-	reasons   []string // codes of rejections
+	functions []string // package path and function, such as policy.serverSelector.selectServer
+	reasons   []string // reason codes of rejections
 }
 
 // ruleRows returns the rows of docs/decisions.md.
@@ -172,18 +173,18 @@
 		for _, match := range code.FindAllStringSubmatch(cells[2], -1) {
 			row.functions = append(row.functions, match[1])
 		}
-		if strings.Contains(cells[6], "`choice.refused.") { // other packages have texts there
+		if strings.Contains(cells[6], "`choice.refused.") { // rows of other packages have texts there
 			for _, match := range code.FindAllStringSubmatch(cells[5], -1) {
 				row.reasons = append(row.reasons, match[1])
 			}
 		}
 		if len(row.functions) == 0 {
-			t.Errorf("docs/decisions.md names no function: %s", line)
+			t.Errorf("docs/decisions.md: row names no function: %s", line)
 		}
 		rows = append(rows, row)
 	}
 	if len(rows) == 0 {
-		t.Fatal("docs/decisions.md has no rows")
+		t.Fatal("docs/decisions.md: no rows found")
 	}
 	return rows
 }
@@ -191,7 +192,7 @@
 // declarations maps each function of a package, as docs/decisions.md names it, to the file that declares it.
 type declarations map[string]string
 
-// addPackage adds the functions of a package that is in a directory of the repository.
+// addPackage adds the functions of the package in a directory of the repository.
 func (d declarations) addPackage(t *testing.T, directory string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", directory, "*.go"))
@@ -228,14 +229,14 @@
 	return found
 }
 
-// Every function that docs/decisions.md names exists, and each reason code of a rejection stands in it.
+// Every function that docs/decisions.md names exists, and the page lists each reason code of a rejection.
 func TestTableOfDecisions(t *testing.T) {
 	rows := ruleRows(t)
 	declared, reasons := declarationsOf(t, rows), map[string]bool{}
 	for _, row := range rows {
 		for _, function := range row.functions {
 			if declared[function] == "" {
-				t.Errorf("docs/decisions.md names %s, which is declared nowhere", function)
+				t.Errorf("docs/decisions.md names %s, which is not declared", function)
 			}
 		}
 		for _, reason := range row.reasons {
@@ -247,12 +248,12 @@
 		known[reason.String()] = true
 	}
 	if !maps.Equal(reasons, known) {
-		t.Errorf("docs/decisions.md has the reason codes %v, the engine %v",
+		t.Errorf("docs/decisions.md: got reason codes %v, want those of the engine: %v",
 			slices.Sorted(maps.Keys(reasons)), slices.Sorted(maps.Keys(known)))
 	}
 }
 
-// The deploy file names each file of the policy that declares a rule of docs/decisions.md, and no other.
+// The deploy file lists each file of the policy that declares a rule of docs/decisions.md, and no other file.
 func TestDeployFileNamesRuleFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -260,7 +261,7 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[([^\]]*)\]`).FindSubmatch(deploy)
 	if list == nil {
-		t.Fatal("deploy/balancer.toml has no list of the policy's files")
+		t.Fatal("deploy/balancer.toml: list of policy files is missing")
 	}
 	named := map[string]bool{}
 	for _, match := range regexp.MustCompile(`"([^"]*)"`).FindAllSubmatch(list[1], -1) {
@@ -276,7 +277,7 @@
 		}
 	}
 	if !maps.Equal(named, withRule) {
-		t.Errorf("deploy/balancer.toml lists %v, files with a rule are %v",
+		t.Errorf("deploy/balancer.toml: got policy files %v, want the files with a rule: %v",
 			slices.Sorted(maps.Keys(named)), slices.Sorted(maps.Keys(withRule)))
 	}
 }
--- a/policy/enum_names.go
+++ b/policy/enum_names.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// enumName returns the name of an enumeration's value, or the type's name with the number of one that is unknown.
+// enumName returns the name of an enum value, or the type's name with the number of a value that is unknown.
 func enumName[T ~int](names []string, value T, typeName string) string {
 	if value < 0 || int(value) >= len(names) {
 		return typeName + "(" + strconv.Itoa(int(value)) + ")"
@@ -10,8 +10,8 @@
 	return names[value]
 }
 
-// The names of the enumerations, by value. They are for logs and test messages; stored and transmitted texts have their
-// own encodings.
+// Names of the enum values, indexed by value. They are for logs and test messages; stored and transmitted texts have
+// their own encodings.
 var (
 	serverStateNames    = []string{"up", "draining", "removed"}
 	endpointUpdateNames = []string{"delta", "complete", "saved", "unavailable"}
--- a/policy/enum_names_test.go
+++ b/policy/enum_names_test.go
@@ -23,7 +23,7 @@
 	}
 	for _, test := range tests {
 		if got := test.value.String(); got != test.want {
-			t.Errorf("%T: %q, want %q", test.value, got, test.want)
+			t.Errorf("%T: got name %q, want %q", test.value, got, test.want)
 		}
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -7,11 +7,11 @@
 	"mulleinmux/policy/quota"
 )
 
-// The events of a request, and the timers. Each reads as the questions that are asked, in their order; the answers are
-// given by the types that own the state.
+// Handlers of the events of requests and of timers. The rules that they evaluate are methods of the types that own the
+// state.
 
-// RequestReceived handles a new request of a client: it is forwarded or rejected at once, or as soon as the
-// owner of its customer's quota has answered.
+// RequestReceived handles a new request of a client. The request is forwarded or rejected at once, or after the owner
+// of its customer's quota has responded or the wait for the owner has timed out.
 func (e *Engine) RequestReceived(now time.Duration, received Request, actions Actions) {
 	e.beginEvent(now, actions)
 	if e.requests.byID[received.ID] != nil {
@@ -22,16 +22,16 @@
 		e.reject(received.ID, rejection{reason: rejectUnknown})
 		return
 	}
-	received = e.settings.boundFigures(received)
+	received = e.settings.clampRequest(received)
 	scope := quota.Scope{Plan: plan, InstanceCount: received.InstanceCount, FirstInstance: received.FirstInstance}
 	customerQuota := e.quotas.QuotaInPlan(received.Customer, scope, now)
 	r := &request{Request: received, number: e.requests.nextNumber(), class: class, quota: customerQuota}
 	r.deadline = e.settings.answerDeadline(received, now)
-	latency, objective := e.latencies.of(r), e.settings.classOf(r).LatencyObjective
+	latency, objective := e.latencies.forRequest(r), e.settings.classOf(r).LatencyObjective
 	latency.learnFirstTryTimeout(r.Timeout, objective)
 	r.isLate = latency.isTooLate(r.Timeout, objective)
-	if why := e.findEarlyRejection(r); why.reason != rejectNone {
-		e.reject(r.ID, why)
+	if rejected := e.findEarlyRejection(r); rejected.reason != rejectNone {
+		e.reject(r.ID, rejected)
 		return
 	}
 	e.requests.add(r)
@@ -39,7 +39,8 @@
 	e.checkRequestQuota(r)
 }
 
-// findEarlyRejection returns why a request is rejected before its quota is checked, or rejectNone.
+// findEarlyRejection returns the rejection of a request before its quota is checked, with the reason rejectNone if the
+// request is not rejected.
 func (e *Engine) findEarlyRejection(r *request) rejection {
 	plan := e.quotas.PlanOf(r.quota)
 	retryAfter := e.settings.classOf(r).overloadRetryAfter()
@@ -48,7 +49,7 @@
 		return rejection{rejectOverloaded, retryAfter}
 	case r.isLate && e.overload.IsHighlyOccupied():
 		return rejection{rejectLate, retryAfter}
-	case e.latencies.of(r).isTooShort(r.Timeout):
+	case e.latencies.forRequest(r).isTooShort(r.Timeout):
 		return rejection{rejectShortTimeout, retryAfter}
 	case !r.IsCharged && r.quota.IsRejectedByOwner(plan, e.now):
 		return rejection{rejectQuota, r.quota.OwnerRejectionWait(e.now)}
@@ -76,7 +77,8 @@
 	e.admit(r, decision)
 }
 
-// admit forwards or rejects a request whose quota has been checked, and its units taken if it is inside.
+// admit forwards or rejects a request whose quota has been checked. The units of a request inside its quota have been
+// taken before.
 func (e *Engine) admit(r *request, decision quota.Decision) {
 	r.inQuota = decision.IsInside
 	s, rejected := e.chooseServer(r, decision.RetryAfter)
@@ -92,8 +94,8 @@
 	e.startAttempt(r, s)
 }
 
-// chooseServer returns the server for a request's first attempt or, where there is none, how to reject it:
-// quota, then hard limit, then overload control, then the servers.
+// chooseServer returns the server for a request's first attempt, or nil and the rejection if the request cannot be
+// forwarded. It checks the quota, then the hard limit, then overload control, then the servers.
 func (e *Engine) chooseServer(r *request, quotaWait time.Duration) (*server, rejection) {
 	plan := e.quotas.PlanOf(r.quota)
 	if !r.inQuota && !plan.MayExceedQuota(e.overload.HasSpareCapacity(e.subset.usesAllServers())) {
@@ -137,7 +139,7 @@
 	}
 }
 
-// ClientDisconnected handles a client that has left before its final answer: the request gets none.
+// ClientDisconnected handles a client that disconnects before its final answer: the request gets no answer.
 func (e *Engine) ClientDisconnected(now time.Duration, id string, actions Actions) {
 	e.beginEvent(now, actions)
 	r := e.requests.byID[id]
@@ -150,15 +152,15 @@
 	}
 }
 
-// DeadlineExceeded gives a request its final answer now, since the host can wait no longer: for example, its
+// DeadlineExceeded sends a request's final answer at once, since the host can wait no longer: for example, because its
 // process ends.
 func (e *Engine) DeadlineExceeded(now time.Duration, id string, actions Actions) {
 	e.beginEvent(now, actions)
 	e.expireRequest(e.requests.byID[id])
 }
 
-// ResponseStarted handles the first bytes of an attempt's streamed response: from now on the request can get
-// no other answer.
+// ResponseStarted handles the first bytes of an attempt's streamed response: from then on the request can get no other
+// answer.
 func (e *Engine) ResponseStarted(now time.Duration, id string, attempt int, actions Actions) {
 	e.beginEvent(now, actions)
 	r := e.requests.byID[id]
@@ -170,11 +172,11 @@
 	a.server.lastProgressAt = now
 	if !a.isStreaming && !a.isDone {
 		a.isStreaming = true
-		e.load.release(a.server)
+		e.load.removeInFlight(a.server)
 	}
 }
 
-// TimerFired handles the firing of a timer that [Actions.SetTimer] asked for.
+// TimerFired handles the firing of a timer that was set by [Actions.SetTimer].
 func (e *Engine) TimerFired(now time.Duration, token uint64, actions Actions) {
 	e.beginEvent(now, actions)
 	kind, number := parseTimerToken(token)
@@ -201,11 +203,11 @@
 	}
 }
 
-// closeSample ends a sample: the load is assessed, then health, quotas, subset and rates are updated.
+// closeSample ends a sample: it assesses the load, then updates server health, quotas, the subset and the rates.
 func (e *Engine) closeSample() {
 	ages := e.requests.measureAges(e.now, &e.settings, &e.latencies, !e.subset.usesAllServers())
 	e.load.overdue = ages.overdue
-	// Old attempts are left out: those at a few unresponsive servers must not count as overload of all.
+	// Old attempts are left out: those at a few unresponsive servers must not count as an overload of all servers.
 	if e.overload.CloseSample(e.load.responses, ages.young) {
 		e.log(OverloadThrottled{AdmitFraction: e.overload.AdmitFraction(), Occupancy: e.overload.Occupancy()})
 	}
@@ -220,7 +222,7 @@
 	e.load.updateRates(warmWeight, float64(e.now-e.startedAt)/float64(sampleInterval))
 	e.gossip.CloseSample()
 	e.zones.updateRates(e.now, &e.servers, &e.settings)
-	if s := e.healthChecks.next(e.overload.FleetMeans()[overload.MeanAccepted]); s != nil {
+	if s := e.healthChecks.nextServer(e.overload.FleetMeans()[overload.MeanAccepted]); s != nil {
 		e.healthChecks.send(e.now, s, e.actions)
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,20 +7,20 @@
 	"mulleinmux/policy"
 )
 
-// printer is a host that only prints what it is asked to do.
-type printer struct{}
+// printingHost is a host that only prints the actions.
+type printingHost struct{}
 
-func (printer) SendAttempt(id, server string, timeout time.Duration) {
+func (printingHost) SendAttempt(id, server string, timeout time.Duration) {
 	fmt.Println("send", id, "to", server)
 }
-func (printer) RejectRequest(id string, retryAfter time.Duration) { fmt.Println("reject", id) }
-func (printer) FailRequest(id string)                             { fmt.Println("fail", id) }
-func (printer) CancelAttempt(id string, attempt int)              { fmt.Println("cancel", id, attempt) }
-func (printer) SetTimer(token uint64, after time.Duration)        {}
-func (printer) CheckHealth(server string)                         {}
-func (printer) SendGossip(peer int, message []byte)               {}
-func (printer) WatchEndpoints(on bool)                            {}
-func (printer) Log(event policy.LogEvent)                         { fmt.Println(event) }
+func (printingHost) RejectRequest(id string, retryAfter time.Duration) { fmt.Println("reject", id) }
+func (printingHost) FailRequest(id string)                             { fmt.Println("fail", id) }
+func (printingHost) CancelAttempt(id string, attempt int)              { fmt.Println("cancel", id, attempt) }
+func (printingHost) SetTimer(token uint64, after time.Duration)        {}
+func (printingHost) CheckHealth(server string)                         {}
+func (printingHost) SendGossip(peer int, message []byte)               {}
+func (printingHost) WatchEndpoints(on bool)                            {}
+func (printingHost) Log(event policy.LogEvent)                         { fmt.Println(event) }
 
 func Example() {
 	settings := policy.Settings{
@@ -34,7 +34,7 @@
 		fmt.Println(err)
 		return
 	}
-	var host printer
+	var host printingHost
 	now := time.Duration(0)
 	engine.Start(now, host)
 	engine.EndpointsChanged(now, policy.EndpointsComplete, []policy.Server{{ID: "alpha"}}, host)
--- a/policy/fixture_test.go
+++ b/policy/fixture_test.go
@@ -14,11 +14,11 @@
 	"mulleinmux/policy"
 )
 
-// What gateways say to one another and what one hands over to its successor is recorded under testdata, on
-// purpose alone, with
+// The messages of gateways and the states that they export for their successors are recorded under testdata. Record
+// them again only after an intended change, with
 //
 //	go test ./policy -run 'TestRecorded' -update
-var update = flag.Bool("update", false, "record testdata anew")
+var update = flag.Bool("update", false, "record testdata again")
 
 // compareRecorded compares a text with the recorded one, byte for byte.
 func compareRecorded(t *testing.T, name string, got []byte) {
@@ -37,19 +37,20 @@
 	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
 	for i := range min(len(gotLines), len(wantLines)) {
 		if !bytes.Equal(gotLines[i], wantLines[i]) {
-			t.Fatalf("%s, line %d:\n%s\nrecorded\n%s", name, i+1, gotLines[i], wantLines[i])
+			t.Fatalf("%s, line %d: got\n%s\nwant\n%s", name, i+1, gotLines[i], wantLines[i])
 		}
 	}
 	if len(gotLines) != len(wantLines) {
-		t.Fatalf("%s: %d lines, recorded %d", name, len(gotLines), len(wantLines))
+		t.Fatalf("%s: got %d lines, want %d", name, len(gotLines), len(wantLines))
 	}
 }
 
-// world hosts a tier of gateways, in simulated time, with outcomes that are determined by counting.
-type world struct {
+// simulation runs a fleet of gateways in simulated time. The results of attempts depend on counters alone, so that all
+// runs are the same.
+type simulation struct {
 	now        time.Duration
 	queue      eventqueue.Queue
-	order      int
+	order      int // number of the latest event; events at the same time run in this order
 	gateways   []*policy.Engine
 	attempts   map[string]int
 	outcomes   int
@@ -57,11 +58,11 @@
 	transcript bytes.Buffer
 }
 
-const worldStart = 1000 * time.Second
+const simulationStart = 1000 * time.Second
 
-func worldSettings(me int, inboxPerS float64) policy.Settings {
+func simulationSettings(instance int, gossipInboxRate float64) policy.Settings {
 	return policy.Settings{
-		InstanceIndex:        me,
+		InstanceIndex:        instance,
 		InstanceCount:        3,
 		Zone:                 "a",
 		MinEventInterval:     time.Millisecond,
@@ -72,7 +73,7 @@
 		SendsRetryAfter:      true,
 		MaxRetryAfter:        2 * time.Second,
 		LoadReports:          policy.LoadReportsInResponses,
-		GossipInboxRate:      inboxPerS,
+		GossipInboxRate:      gossipInboxRate,
 		MaxUnits:             3,
 		ResponseSlack:        8 * time.Millisecond,
 		DrainGracePeriod:     time.Second,
@@ -84,12 +85,12 @@
 		GossipPrice:          0.01,
 		HealthCheckPrice:     0.01,
 		WastedWorkPrice:      0.05,
-		Classes:              worldClasses(),
-		Plans:                worldPlans(),
+		Classes:              simulationClasses(),
+		Plans:                simulationPlans(),
 	}
 }
 
-func worldClasses() []policy.Class {
+func simulationClasses() []policy.Class {
 	return []policy.Class{
 		{
 			Name:             "safe",
@@ -119,7 +120,7 @@
 	}
 }
 
-func worldPlans() []policy.Plan {
+func simulationPlans() []policy.Plan {
 	return []policy.Plan{
 		{
 			Name:              "ceiled",
@@ -137,24 +138,25 @@
 	}
 }
 
-func (w *world) after(d time.Duration, deliver func()) {
-	w.order++
-	w.queue.Push(eventqueue.Event{At: w.now + d, Order: w.order, Run: deliver})
+// schedule runs a function after a delay, in simulated time.
+func (s *simulation) schedule(d time.Duration, deliver func()) {
+	s.order++
+	s.queue.Push(eventqueue.Event{At: s.now + d, Order: s.order, Run: deliver})
 }
 
-func (w *world) runUntil(end time.Duration) {
-	for w.queue.Len() > 0 && w.queue.NextAt() <= end {
-		e := w.queue.Pop()
-		w.now = e.At
+func (s *simulation) runUntil(end time.Duration) {
+	for s.queue.Len() > 0 && s.queue.NextAt() <= end {
+		e := s.queue.Pop()
+		s.now = e.At
 		e.Run()
 	}
-	w.now = end
+	s.now = end
 }
 
-// newWorld starts three gateways with clients of six customers.
-func newWorld(t *testing.T, inboxPerS float64) *world {
+// newSimulation starts three gateways that receive requests of six customers.
+func newSimulation(t *testing.T, gossipInboxRate float64) *simulation {
 	t.Helper()
-	w := &world{now: worldStart, attempts: map[string]int{}}
+	s := &simulation{now: simulationStart, attempts: map[string]int{}}
 	var servers []policy.Server
 	for i := range 6 {
 		servers = append(servers, policy.Server{
@@ -165,30 +167,31 @@
 			Cell:   i,
 		})
 	}
-	servers[5].StartedAt = worldStart - time.Second
+	servers[5].StartedAt = simulationStart - time.Second
 	for i := range 3 {
-		g, err := policy.New(worldSettings(i, inboxPerS), uint64(i+1))
+		g, err := policy.New(simulationSettings(i, gossipInboxRate), uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.gateways = append(w.gateways, g)
-		g.Start(w.now, worldHost{w, i})
-		g.EndpointsChanged(w.now, policy.EndpointsSaved, servers, worldHost{w, i})
+		s.gateways = append(s.gateways, g)
+		g.Start(s.now, simulationHost{s, i})
+		g.EndpointsChanged(s.now, policy.EndpointsSaved, servers, simulationHost{s, i})
 	}
-	w.after(0, w.arrive)
-	w.after(3*time.Second, func() {
+	s.schedule(0, s.sendNextRequest)
+	s.schedule(3*time.Second, func() {
 		servers[1].State = policy.Draining
-		for i, g := range w.gateways {
-			g.EndpointsChanged(w.now, policy.EndpointsDelta, servers[1:2], worldHost{w, i})
+		for i, g := range s.gateways {
+			g.EndpointsChanged(s.now, policy.EndpointsDelta, servers[1:2], simulationHost{s, i})
 		}
 	})
-	return w
+	return s
 }
 
-func (w *world) arrive() {
-	n := w.requests
-	w.requests++
-	q := policy.Request{
+// sendNextRequest sends a request to one of the gateways, and schedules the next one.
+func (s *simulation) sendNextRequest() {
+	n := s.requests
+	s.requests++
+	request := policy.Request{
 		ID:            fmt.Sprintf("r%d", n),
 		Class:         []string{"safe", "keyed", "unsafe"}[n%3],
 		Plan:          []string{"ceiled", "open", "both"}[n/2%3],
@@ -198,148 +201,151 @@
 		InstanceCount: 3,
 	}
 	if n%7 == 3 {
-		q.Timeout = 400 * time.Millisecond // a client's later try, which comes too late for its aim
+		request.Timeout = 400 * time.Millisecond // a client's later try, which is too late for its latency objective
 	}
 	g := n * 7 % 5 % 3
-	w.gateways[g].RequestReceived(w.now, q, worldHost{w, g})
-	w.after(time.Duration(11+n%5)*time.Millisecond, w.arrive)
+	s.gateways[g].RequestReceived(s.now, request, simulationHost{s, g})
+	s.schedule(time.Duration(11+n%5)*time.Millisecond, s.sendNextRequest)
 }
 
-// worldHost carries out what one gateway asks for.
-type worldHost struct {
-	w  *world
-	me int
+// simulationHost performs the actions of one gateway, and records them in the transcript.
+type simulationHost struct {
+	simulation *simulation
+	instance   int
 }
 
-func (h worldHost) say(format string, args ...any) {
-	fmt.Fprintf(&h.w.transcript, "%v %d ", h.w.now-worldStart, h.me)
-	fmt.Fprintf(&h.w.transcript, format+"\n", args...)
+// record appends a line to the transcript, with the time and the gateway.
+func (h simulationHost) record(format string, args ...any) {
+	fmt.Fprintf(&h.simulation.transcript, "%v %d ", h.simulation.now-simulationStart, h.instance)
+	fmt.Fprintf(&h.simulation.transcript, format+"\n", args...)
 }
 
-func (h worldHost) SendAttempt(id, server string, timeout time.Duration) {
-	w := h.w
-	h.say("send %s %s %v", id, server, timeout)
-	o := policy.AttemptResult{
+func (h simulationHost) SendAttempt(id, server string, timeout time.Duration) {
+	s := h.simulation
+	h.record("send %s %s %v", id, server, timeout)
+	result := policy.AttemptResult{
 		ID:      id,
-		Attempt: w.attempts[id],
+		Attempt: s.attempts[id],
 		Server:  server,
-		Latency: time.Duration(20+w.outcomes%40) * time.Millisecond,
+		Latency: time.Duration(20+s.outcomes%40) * time.Millisecond,
 	}
-	w.attempts[id]++
-	w.outcomes++
+	s.attempts[id]++
+	s.outcomes++
 	switch {
-	case server == "s4" && w.now > worldStart+time.Second:
-		o.Result, o.Latency = policy.ConnectFailed, time.Millisecond
-	case server == "s2" && w.now > worldStart+2*time.Second:
-		o.Result, o.Latency = policy.TimedOut, timeout
-	case w.outcomes%17 == 0:
-		o.Result = policy.Result(1 + w.outcomes/17%5)
+	case server == "s4" && s.now > simulationStart+time.Second:
+		result.Result, result.Latency = policy.ConnectFailed, time.Millisecond
+	case server == "s2" && s.now > simulationStart+2*time.Second:
+		result.Result, result.Latency = policy.TimedOut, timeout
+	case s.outcomes%17 == 0:
+		result.Result = policy.Result(1 + s.outcomes/17%5)
 	default:
-		o.RequestAnswered, o.LoadReport = true, &policy.LoadReport{
+		result.RequestAnswered, result.LoadReport = true, &policy.LoadReport{
 			InFlight:    2,
-			QueueLength: float64(w.outcomes % 5),
+			QueueLength: float64(s.outcomes % 5),
 			Utilization: 0.6,
 		}
 	}
-	if o.RequestAnswered {
-		w.after(o.Latency/2, func() { w.gateways[h.me].ResponseStarted(w.now, id, o.Attempt, h) })
+	if result.RequestAnswered {
+		s.schedule(result.Latency/2, func() { s.gateways[h.instance].ResponseStarted(s.now, id, result.Attempt, h) })
 	}
-	if w.outcomes%29 == 0 {
-		w.after(o.Latency/3, func() { w.gateways[h.me].ClientDisconnected(w.now, id, h) })
+	if s.outcomes%29 == 0 {
+		s.schedule(result.Latency/3, func() { s.gateways[h.instance].ClientDisconnected(s.now, id, h) })
 	}
-	w.after(o.Latency, func() { w.gateways[h.me].AttemptCompleted(w.now, o, h) })
+	s.schedule(result.Latency, func() { s.gateways[h.instance].AttemptCompleted(s.now, result, h) })
 }
 
-func (h worldHost) RejectRequest(id string, retryAfter time.Duration) {
-	h.say("refuse %s %v", id, retryAfter)
+func (h simulationHost) RejectRequest(id string, retryAfter time.Duration) {
+	h.record("refuse %s %v", id, retryAfter)
 }
-func (h worldHost) FailRequest(id string)                { h.say("fail %s", id) }
-func (h worldHost) CancelAttempt(id string, attempt int) { h.say("cancel %s %d", id, attempt) }
-func (h worldHost) WatchEndpoints(on bool)               { h.say("watch %v", on) }
-func (h worldHost) Log(event policy.LogEvent)            { h.say("log %s", event) }
+func (h simulationHost) FailRequest(id string)                { h.record("fail %s", id) }
+func (h simulationHost) CancelAttempt(id string, attempt int) { h.record("cancel %s %d", id, attempt) }
+func (h simulationHost) WatchEndpoints(on bool)               { h.record("watch %v", on) }
+func (h simulationHost) Log(event policy.LogEvent)            { h.record("log %s", event) }
 
-func (h worldHost) SetTimer(token uint64, after time.Duration) {
-	h.say("timer %d %v", token, after)
-	h.w.after(after, func() { h.w.gateways[h.me].TimerFired(h.w.now, token, h) })
+func (h simulationHost) SetTimer(token uint64, after time.Duration) {
+	h.record("timer %d %v", token, after)
+	h.simulation.schedule(after, func() { h.simulation.gateways[h.instance].TimerFired(h.simulation.now, token, h) })
 }
 
-func (h worldHost) CheckHealth(server string) {
-	h.say("probe %s", server)
+func (h simulationHost) CheckHealth(server string) {
+	h.record("probe %s", server)
 	result := policy.OK
 	if server == "s4" {
 		result = policy.ConnectFailed
 	}
-	h.w.after(5*time.Millisecond, func() {
-		h.w.gateways[h.me].HealthCheckCompleted(
-			h.w.now, server, result, &policy.LoadReport{InFlight: 1, QueueLength: -1, Utilization: 0.4}, h,
+	h.simulation.schedule(5*time.Millisecond, func() {
+		h.simulation.gateways[h.instance].HealthCheckCompleted(
+			h.simulation.now, server, result, &policy.LoadReport{InFlight: 1, QueueLength: -1, Utilization: 0.4}, h,
 		)
 	})
 }
 
-// SendGossip delivers a message after a while; every eleventh is lost, and with it a gap in the numbers of tells.
-func (h worldHost) SendGossip(peer int, message []byte) {
-	w := h.w
-	h.say("tell %d %x", peer, message)
+// SendGossip delivers a message after a delay. A message is lost if the event counter is a multiple of eleven, which
+// leaves a gap in the sequence numbers of gossip broadcasts.
+func (h simulationHost) SendGossip(peer int, message []byte) {
+	s := h.simulation
+	h.record("tell %d %x", peer, message)
 	message = bytes.Clone(message)
-	for to, g := range w.gateways {
-		if to == h.me || peer != policy.AllInstances && peer != to {
+	for to, g := range s.gateways {
+		if to == h.instance || peer != policy.AllInstances && peer != to {
 			continue
 		}
-		if w.order%11 == 0 {
-			w.order++
+		if s.order%11 == 0 {
+			s.order++
 			continue
 		}
-		w.after(3*time.Millisecond, func() { g.GossipReceived(w.now, h.me, message, worldHost{w, to}) })
+		s.schedule(3*time.Millisecond, func() { g.GossipReceived(s.now, h.instance, message, simulationHost{s, to}) })
 	}
 }
 
-// TestRecordedMessages plays tiers whose inboxes are wide enough for tells, or so narrow that holders are asked, and
-// compares all that the gateways do, the bytes of their messages among it. At the end two
-// hear messages of each kind, that without loans among them, and what they do and know then is compared as well.
+// TestRecordedMessages runs fleets whose gossip inboxes are large enough for broadcasts, or so small that quota owners
+// are used, and compares all actions of the gateways with the recorded ones, including the bytes of their messages. At
+// the end two gateways receive messages of each kind, including gossip of earlier versions without quota transfers;
+// their actions and exported states after each message are compared as well.
 func TestRecordedMessages(t *testing.T) {
-	for name, inboxPerS := range map[string]float64{"tells": 1000, "asks": 4} {
+	for name, gossipInboxRate := range map[string]float64{"tells": 1000, "asks": 4} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, inboxPerS)
-			w.runUntil(worldStart + 4*time.Second)
+			s := newSimulation(t, gossipInboxRate)
+			s.runUntil(simulationStart + 4*time.Second)
 			messages := [][]byte{
-				// an old tell of a plan with a ceiling: no loans
+				// gossip of an earlier version, of a plan with a hard limit: no quota transfers
 				{0, 200, 1, 1, 1, 10, 6, 6, 0},
-				{0, 200, 1, 2, 1, 11, 15, 0, 2, 0},                             // one of a plan with open attempts
-				{0, 200, 1, 4, 1, 12, 24, 6, 1, 1, 12, 24, 8, 2},               // one lost, and the repeat of it
-				{0, 200, 1, 4, 0, 0},                                           // an old number
-				{4, 200, 1, 5, 1, 10, 6, 6, 4, 2, 0},                           // a tell with a loan
-				{1, 7, 10, 6, 2, 0, 0, 0, 0, 0},                                // an ask
-				{1, 8, 0, 6, 2, 2, 4, 6, 8, 10},                                // an ask with figures of the pool
-				{5, 9, 10, 6, 4, 0, 0, 0, 0, 0},                                // an ask of units that are spent
-				{6, 10, 10, 6, 2, 0, 0, 0, 0, 0},                               // an ask for a try that comes too late
-				{6, 11, 0, 6, 2, 0, 0, 0, 0, 0, 2, 4, 7},                       // one with notes of servers
-				{3, 8, 0, 2},                                                   // units given back
+				{0, 200, 1, 2, 1, 11, 15, 0, 2, 0},                             // a plan with an in-flight limit
+				{0, 200, 1, 4, 1, 12, 24, 6, 1, 1, 12, 24, 8, 2},               // gossip that repeats a lost message
+				{0, 200, 1, 4, 0, 0},                                           // an old sequence number
+				{4, 200, 1, 5, 1, 10, 6, 6, 4, 2, 0},                           // gossip with a quota transfer
+				{1, 7, 10, 6, 2, 0, 0, 0, 0, 0},                                // a quota request
+				{1, 8, 0, 6, 2, 2, 4, 6, 8, 10},                                // a quota request with fleet means
+				{5, 9, 10, 6, 4, 0, 0, 0, 0, 0},                                // a report of spent units
+				{6, 10, 10, 6, 2, 0, 0, 0, 0, 0},                               // a quota request for a late try
+				{6, 11, 0, 6, 2, 0, 0, 0, 0, 0, 2, 4, 7},                       // the same with findings on servers
+				{3, 8, 0, 2},                                                   // a return of units
 				{0, 200}, {9, 1, 2}, {1, 1, 10, 255, 255, 1, 2}, {3, 8, 0}, {}, // malformed
 			}
 			for i, message := range messages {
 				for to := range 2 {
-					w.gateways[to].GossipReceived(w.now, 2, message, worldHost{w, to})
-					text, err := w.gateways[to].ExportState(w.now)
+					s.gateways[to].GossipReceived(s.now, 2, message, simulationHost{s, to})
+					text, err := s.gateways[to].ExportState(s.now)
 					if err != nil {
 						t.Fatal(err)
 					}
-					worldHost{w, to}.say("after message %d: state %x", i, sha256.Sum256(text))
+					simulationHost{s, to}.record("after message %d: state %x", i, sha256.Sum256(text))
 				}
 			}
-			w.runUntil(w.now + 500*time.Millisecond)
-			compareRecorded(t, "messages."+name+".txt", w.transcript.Bytes())
+			s.runUntil(s.now + 500*time.Millisecond)
+			compareRecorded(t, "messages."+name+".txt", s.transcript.Bytes())
 		})
 	}
 }
 
-// TestRecordedHandOver compares what a gateway hands over, and what its successor hands over that has taken over
-// the recorded text: at once, and after it has gone on for a while.
+// TestRecordedHandOver compares the state that a gateway exports with the recorded one. It also compares the states
+// that a successor exports after it has imported the recorded one: at once, and after further requests.
 func TestRecordedHandOver(t *testing.T) {
-	for name, inboxPerS := range map[string]float64{"tells": 1000, "asks": 4} {
+	for name, gossipInboxRate := range map[string]float64{"tells": 1000, "asks": 4} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, inboxPerS)
-			w.runUntil(worldStart + 4*time.Second)
-			first, err := w.gateways[1].ExportState(w.now)
+			s := newSimulation(t, gossipInboxRate)
+			s.runUntil(simulationStart + 4*time.Second)
+			first, err := s.gateways[1].ExportState(s.now)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -348,8 +354,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			next := newWorld(t, inboxPerS)
-			next.now = w.now
+			next := newSimulation(t, gossipInboxRate)
+			next.now = s.now
 			next.queue = eventqueue.Queue{}
 			g := next.gateways[1]
 			if err := g.ImportState(next.now, recorded); err != nil {
@@ -360,7 +366,7 @@
 				t.Fatal(err)
 			}
 			compareRecorded(t, "handover."+name+".again.json", second)
-			next.after(0, next.arrive)
+			next.schedule(0, next.sendNextRequest)
 			next.runUntil(next.now + 700*time.Millisecond)
 			third, err := g.ExportState(next.now)
 			if err != nil {
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -13,8 +13,8 @@
 	"mulleinmux/subset"
 )
 
-// A fleet on a virtual clock: real engines over servers that work, queue, hold only so many connections,
-// start cold and fall over. Unlike the rule checker, it has servers that get slower with their load.
+// A simulation of a fleet on a virtual clock: engines send requests to simulated servers, which queue them, limit their
+// connections, start cold and fail when overloaded. Unlike in the rule checker, servers get slower with their load.
 
 // fleetRequest is one try of a client.
 type fleetRequest struct {
@@ -39,7 +39,7 @@
 	sentAt           time.Duration
 }
 
-// fleetTotals counts what happened in a fleet over some time.
+// fleetTotals holds the counts of a fleet over a period of time.
 type fleetTotals struct {
 	offeredValue, servedValue            float64
 	requests, tries, succeeded, rejected int
@@ -47,7 +47,7 @@
 	connectionsOpened, connectionsFailed int
 	serverRejections, serversOverloaded  int
 	gossipMessages                       int
-	firstAttemptDelay                    time.Duration // until first attempts, summed up
+	firstAttemptDelay                    time.Duration // sum of the delays of first attempts
 }
 
 // servedFraction returns the fraction of the offered value that was served.
@@ -74,42 +74,44 @@
 	rng                *rand.Rand
 	now                time.Duration
 	queue              eventqueue.Queue
-	events             int
+	eventCount         int
 	settings           Settings
 	subsetSizing       subset.Sizing
 	engines            []*Engine
-	incarnations       []int
+	incarnations       []int // of the engines; negative while an engine is down
 	hosts              []*fleetHost
 	servers            []*simServer
-	byID               map[string]*simServer
+	serversByID        map[string]*simServer
 	pools              []map[string]*connectionPool
 	requests           map[string]*fleetRequest
-	loss               float64
-	cumulativeRates    []float64 // of customers
-	firstInstances     []int
-	instanceCounts     []int
-	load               func(at time.Duration) float64 // requests a second
+	gossipLoss         float64
+	cumulativeRates    []float64                      // of customers: the sum of their request rates up to each
+	firstInstances     []int                          // of customers
+	instanceCounts     []int                          // of customers
+	requestRate        func(at time.Duration) float64 // requests per second
 	total              fleetTotals
 	byWindow           []fleetTotals
 	window             time.Duration
-	dropsGossip        bool // peers receive nothing from each other
+	dropsGossip        bool // all gossip is lost
 	retryAfterFraction float64
-	listDelay          time.Duration
-	reordersGossip     bool         // some messages come twice, and some late
-	ledger             *fleetLedger // of units admitted; nil: none is kept
+	endpointListDelay  time.Duration
+	reordersGossip     bool         // some messages are duplicated, and some delayed
+	ledger             *fleetLedger // of units admitted; may be nil
 }
 
-func (s *fleetSim) after(d time.Duration, run func()) {
-	s.events++
-	s.queue.Push(eventqueue.Event{At: s.now + max(d, 0), Order: s.events, Run: run})
+// schedule runs a function after a delay, in simulated time.
+func (s *fleetSim) schedule(d time.Duration, run func()) {
+	s.eventCount++
+	s.queue.Push(eventqueue.Event{At: s.now + max(d, 0), Order: s.eventCount, Run: run})
 }
 
-func (s *fleetSim) answer(r *fleetRequest, ok bool, wait time.Duration) {
+// handleAnswer counts the final answer of a try. The client of a request without success tries up to three times.
+func (s *fleetSim) handleAnswer(r *fleetRequest, ok bool, wait time.Duration) {
 	if r.isDone {
 		return
 	}
 	r.isDone = true
-	w := &s.byWindow[int(s.now/s.window)]
+	inWindow := &s.byWindow[int(s.now/s.window)]
 	value, objective := 3.0, 400*ms
 	if r.class == "keyed" {
 		value, objective = 9, 750*ms
@@ -118,24 +120,25 @@
 		s.total.succeeded++
 		if s.now-r.firstTryAt <= objective {
 			s.total.servedValue += value
-			w.servedValue += value
+			inWindow.servedValue += value
 		}
 		return
 	}
 	s.total.rejected++
-	w.rejected++
+	inWindow.rejected++
 	if r.tryCount < 3 {
 		pause := time.Duration((0.05 + 0.1*s.rng.Float64()) * float64(time.Second))
 		if s.rng.Float64() < s.retryAfterFraction {
 			pause = max(pause, wait)
 		}
-		s.after(pause, func() { s.try(r.class, r.customer, r.firstTryAt, r.tryCount+1) })
+		s.schedule(pause, func() { s.sendTry(r.class, r.customer, r.firstTryAt, r.tryCount+1) })
 	}
 }
 
-func (s *fleetSim) try(class string, customer int, first time.Duration, n int) {
-	s.events++
-	timeout := 2*time.Second - (s.now - first)
+// sendTry sends a try of a customer's request to a random one of the customer's instances.
+func (s *fleetSim) sendTry(class string, customer int, firstTryAt time.Duration, tryCount int) {
+	s.eventCount++
+	timeout := 2*time.Second - (s.now - firstTryAt)
 	if timeout < 20*ms {
 		return
 	}
@@ -143,12 +146,12 @@
 	if s.incarnations[instance] < 0 {
 		return
 	}
-	r := &fleetRequest{id: fmt.Sprintf("r%d", s.events), engine: instance, class: class, customer: customer,
-		at: s.now, firstTryAt: first, deadline: s.now + timeout, tryCount: n}
+	r := &fleetRequest{id: fmt.Sprintf("r%d", s.eventCount), engine: instance, class: class, customer: customer,
+		at: s.now, firstTryAt: firstTryAt, deadline: s.now + timeout, tryCount: tryCount}
 	s.requests[r.id] = r
 	s.total.tries++
 	s.ledger.requestReceived(s.now, r)
-	s.after(timeout, func() {
+	s.schedule(timeout, func() {
 		if !r.isDone {
 			r.isDone = true
 			if s.incarnations[instance] >= 0 {
@@ -162,9 +165,10 @@
 	s.engines[instance].RequestReceived(s.now, q, s.hosts[instance])
 }
 
-func (s *fleetSim) arrive() {
-	rate := s.load(s.now)
-	s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+// scheduleNextRequest schedules the next new request, after an exponentially distributed delay.
+func (s *fleetSim) scheduleNextRequest() {
+	rate := s.requestRate(s.now)
+	s.schedule(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		class, value := "safe", 3.0
 		if s.rng.Float64() < 0.43 {
 			class, value = "keyed", 9
@@ -173,11 +177,12 @@
 		s.total.offeredValue += value
 		s.byWindow[int(s.now/s.window)].offeredValue += value
 		x := s.rng.Float64() * s.cumulativeRates[len(s.cumulativeRates)-1]
-		s.try(class, sort.SearchFloat64s(s.cumulativeRates, x), s.now, 1)
-		s.arrive()
+		s.sendTry(class, sort.SearchFloat64s(s.cumulativeRates, x), s.now, 1)
+		s.scheduleNextRequest()
 	})
 }
 
+// run processes events up to a time.
 func (s *fleetSim) run(until time.Duration) {
 	for s.queue.Len() > 0 && s.queue.NextAt() <= until {
 		e := s.queue.Pop()
@@ -187,8 +192,8 @@
 	s.now = until
 }
 
-// start starts a new process of an engine, with the list as it is.
-func (s *fleetSim) start(instance int) {
+// startEngine starts a new process of an engine, with the current endpoint list.
+func (s *fleetSim) startEngine(instance int) {
 	set := s.settings
 	set.InstanceIndex, set.Zone = instance, []string{"a", "b"}[instance%2]
 	e, err := New(set, s.rng.Uint64())
@@ -200,14 +205,15 @@
 	s.engines[instance], s.pools[instance] = e, map[string]*connectionPool{}
 	s.hosts[instance] = &fleetHost{s, instance, s.incarnations[instance]}
 	e.Start(s.now, s.hosts[instance])
-	e.EndpointsChanged(s.now, EndpointsSaved, s.list(), s.hosts[instance])
+	e.EndpointsChanged(s.now, EndpointsSaved, s.endpointList(), s.hosts[instance])
 }
 
-func (s *fleetSim) kill(instance int) {
+// killEngine ends the process of an engine with all its requests and connections.
+func (s *fleetSim) killEngine(instance int) {
 	s.incarnations[instance] = -s.incarnations[instance]
-	for id, l := range s.pools[instance] {
-		if b := s.byID[id]; b != nil {
-			b.connections -= len(l.idleSince) + l.inUse
+	for id, pool := range s.pools[instance] {
+		if b := s.serversByID[id]; b != nil {
+			b.connections -= len(pool.idleSince) + pool.inUse
 		}
 	}
 	for _, r := range s.requests {
@@ -220,12 +226,12 @@
 	}
 }
 
-// newFleet starts a fleet under a load that is a fraction of what its servers can do.
+// newFleet starts a fleet under a load that is a fraction of its servers' capacity.
 func newFleet(seed uint64, engines, servers int, load float64) *fleetSim {
 	return newFleetWithSubsets(defaultSubsetSizing, seed, engines, servers, load)
 }
 
-// newFleetWithSubsets is newFleet with subsets of another size.
+// newFleetWithSubsets is newFleet with another sizing of the subsets.
 func newFleetWithSubsets(sizing subset.Sizing, seed uint64, engines, servers int, load float64) *fleetSim {
 	s := &fleetSim{
 		rng:                rand.New(rand.NewPCG(seed, 7)),
@@ -236,27 +242,27 @@
 		incarnations:       make([]int, engines),
 		hosts:              make([]*fleetHost, engines),
 		pools:              make([]map[string]*connectionPool, engines),
-		byID:               map[string]*simServer{},
+		serversByID:        map[string]*simServer{},
 		requests:           map[string]*fleetRequest{},
-		loss:               0.05,
+		gossipLoss:         0.05,
 		retryAfterFraction: 0.6,
 		window:             time.Second,
 		byWindow:           make([]fleetTotals, 2000),
 	}
 	rate := load * float64(servers) * fleetCores / 0.073
-	s.load = func(time.Duration) float64 { return rate }
+	s.requestRate = func(time.Duration) float64 { return rate }
 	s.addCustomers(max(int(rate/9), 1))
 	for range servers {
 		s.addServer()
 	}
 	for i := range s.engines {
-		s.start(i)
+		s.startEngine(i)
 	}
-	s.arrive()
+	s.scheduleNextRequest()
 	return s
 }
 
-// addCustomers draws the customers' rates, and the engines that they come in through.
+// addCustomers draws the customers' request rates, and the engines that receive their requests.
 func (s *fleetSim) addCustomers(n int) {
 	sum := 0.0
 	for range n {
@@ -294,7 +300,7 @@
 	return set
 }
 
-// summary returns what happened since the summary before.
+// summary describes what has happened since the previous summary.
 func (s *fleetSim) summary() string {
 	t := s.total
 	var rejections [rejectReasonCount]uint64
@@ -339,12 +345,12 @@
 	}, "; ")
 }
 
-// killEngines kills a part of the engines, which start again some time later.
-func (s *fleetSim) killEngines(part float64, back time.Duration) {
+// killEngines kills a random fraction of the engines, which restart after a downtime of at most 500 ms more.
+func (s *fleetSim) killEngines(fraction float64, downtime time.Duration) {
 	for i := range s.engines {
-		if s.rng.Float64() < part {
-			s.kill(i)
-			s.after(back+time.Duration(s.rng.IntN(500))*ms, func() { s.start(i) })
+		if s.rng.Float64() < fraction {
+			s.killEngine(i)
+			s.schedule(downtime+time.Duration(s.rng.IntN(500))*ms, func() { s.startEngine(i) })
 		}
 	}
 }
@@ -379,7 +385,7 @@
 	return before, after
 }
 
-// withAndWithoutSubsets runs a fleet with subsets and without, in parallel.
+// withAndWithoutSubsets runs a fleet with subsets and one without, in parallel.
 func withAndWithoutSubsets(
 	t *testing.T, run func(t *testing.T, sizing subset.Sizing) fleetTotals,
 ) (with, without fleetTotals) {
--- a/policy/fleet_host_test.go
+++ b/policy/fleet_host_test.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	fleetDialTimeout   = 250 * ms // a connection to a server that is down fails then
-	fleetDialWork      = 0.0015   // of a new connection, in seconds of a core
-	fleetCheckWork     = 0.0002   // of a health check
-	fleetCheckTime     = 4 * ms
-	fleetDisorderShare = 0.05 // of messages that are doubled, and of those that are late
+	fleetDialTimeout     = 250 * ms // after which a connection to a server that is down fails
+	fleetDialWork        = 0.0015   // work of a new connection, in seconds of a core
+	fleetCheckWork       = 0.0002   // work of a health check, in seconds of a core
+	fleetCheckTime       = 4 * ms
+	fleetReorderFraction = 0.05 // fraction of messages that are duplicated, and of those that are delayed
 )
 
-// fleetHost carries out what one process of an engine asks for.
+// fleetHost performs the actions of one process of an engine.
 type fleetHost struct {
 	sim         *fleetSim
 	engine      int
 	incarnation int
 }
 
-func (h *fleetHost) isLive() bool { return h.sim.incarnations[h.engine] == h.incarnation }
+func (h *fleetHost) isRunning() bool { return h.sim.incarnations[h.engine] == h.incarnation }
 
-// afterIfLive calls back the engine, if its process still runs then.
-func (h *fleetHost) afterIfLive(d time.Duration, call func(e *Engine)) {
-	h.sim.after(d, func() {
-		if h.isLive() {
+// scheduleIfRunning schedules a call of the engine, which is dropped if the process no longer runs by then.
+func (h *fleetHost) scheduleIfRunning(d time.Duration, call func(e *Engine)) {
+	h.sim.schedule(d, func() {
+		if h.isRunning() {
 			call(h.sim.engines[h.engine])
 		}
 	})
 }
 
-// attemptRun is one attempt on its way to a server, which is nil if there is none of that name.
-type attemptRun struct {
+// attemptExecution is the execution of one attempt. The server is nil if there is none with the ID.
+type attemptExecution struct {
 	host     *fleetHost
 	request  *fleetRequest
 	index    int // among the request's attempts
@@ -43,29 +43,31 @@
 	bootedAt time.Duration // of the server's process when the attempt was sent
 }
 
-func (a *attemptRun) state() *fleetAttempt { return &a.request.attempts[a.index] }
+func (a *attemptExecution) state() *fleetAttempt { return &a.request.attempts[a.index] }
 
 func (h *fleetHost) SendAttempt(id, server string, timeout time.Duration) {
 	s, r := h.sim, h.sim.requests[id]
-	run := &attemptRun{host: h, request: r, index: len(r.attempts), serverID: server, server: s.byID[server]}
-	r.attempts = append(r.attempts, fleetAttempt{server: run.server, incarnation: h.incarnation, sentAt: s.now})
-	if run.index == 0 {
+	execution := &attemptExecution{
+		host: h, request: r, index: len(r.attempts), serverID: server, server: s.serversByID[server]}
+	r.attempts = append(r.attempts, fleetAttempt{server: execution.server, incarnation: h.incarnation, sentAt: s.now})
+	if execution.index == 0 {
 		s.total.firstAttemptDelay += s.now - r.at
 		s.ledger.requestForwarded(s.now, r)
 	}
 	s.total.attempts++
-	run.timeout = timeout
+	execution.timeout = timeout
 	if timeout <= 0 || timeout > r.deadline-s.now {
-		run.timeout = r.deadline - s.now
+		execution.timeout = r.deadline - s.now
 	}
-	run.pool = s.pool(h.engine, server)
-	run.pool.inUse++
-	run.takeIdleConnection()
-	run.connect()
+	execution.pool = s.pool(h.engine, server)
+	execution.pool.inUse++
+	execution.takeIdleConnection()
+	execution.connect()
 }
 
-// takeIdleConnection takes the latest idle connection that still stands, and drops the others met on the way.
-func (a *attemptRun) takeIdleConnection() {
+// takeIdleConnection reuses the connection that became idle last, if the server still has it open. It removes the
+// closed connections that it finds first.
+func (a *attemptExecution) takeIdleConnection() {
 	s, server := a.host.sim, a.server
 	for len(a.pool.idleSince) > 0 {
 		last := len(a.pool.idleSince) - 1
@@ -82,8 +84,8 @@
 	}
 }
 
-// connect makes a connection if none is reused, and sends the request.
-func (a *attemptRun) connect() {
+// connect opens a connection if none is reused, and sends the request.
+func (a *attemptExecution) connect() {
 	s, server := a.host.sim, a.server
 	reuses := a.state().reusesConnection
 	switch {
@@ -95,7 +97,7 @@
 		a.finish(ConnectFailed, min(a.timeout, fleetDialTimeout))
 	case reuses:
 		a.bootedAt = server.bootedAt
-		s.after(ms, a.arrive)
+		s.schedule(ms, a.arriveAtServer)
 	default:
 		s.total.connectionsOpened++
 		if server.connections >= server.maxConnections {
@@ -104,19 +106,19 @@
 			return
 		}
 		server.connections++
-		server.use(s, fleetDialWork)
+		server.addWork(s, fleetDialWork)
 		a.bootedAt = server.bootedAt
-		s.after(ms+fleetConnectTime, a.arrive)
+		s.schedule(ms+fleetConnectTime, a.arriveAtServer)
 	}
 }
 
-// arrive is the request's arrival at the server.
-func (a *attemptRun) arrive() {
+// arriveAtServer has the server process or reject the request.
+func (a *attemptExecution) arriveAtServer() {
 	s, server := a.host.sim, a.server
 	if a.state().isDone {
 		return
 	}
-	if server.inFlight >= fleetQueue {
+	if server.inFlight >= fleetMaxInFlight {
 		server.rejections++
 		s.total.serverRejections++
 		a.finish(RejectedByServer, ms)
@@ -124,8 +126,8 @@
 	}
 	server.inFlight++
 	bootedAt := a.bootedAt
-	took := server.use(s, s.work(a.request.class)) - s.now
-	s.after(took, func() {
+	took := server.addWork(s, s.drawWork(a.request.class)) - s.now
+	s.schedule(took, func() {
 		server.inFlight--
 		if server.bootedAt == bootedAt && !server.isDown {
 			server.served++
@@ -139,10 +141,10 @@
 	}
 }
 
-// finish ends the attempt after a while, unless it was cancelled before.
-func (a *attemptRun) finish(result Result, took time.Duration) {
+// finish ends the attempt after a delay, unless it was cancelled before.
+func (a *attemptExecution) finish(result Result, took time.Duration) {
 	s, server := a.host.sim, a.server
-	s.after(took, func() {
+	s.schedule(took, func() {
 		state := a.state()
 		if state.isDone {
 			return
@@ -156,15 +158,15 @@
 			server.connections--
 		}
 		if result == OK && !a.request.isDone {
-			s.answer(a.request, true, 0)
+			s.handleAnswer(a.request, true, 0)
 		}
 		a.host.completeAttempt(a, result)
 	})
 }
 
-// completeAttempt tells the engine, if its process still runs, of the end of an attempt.
-func (h *fleetHost) completeAttempt(a *attemptRun, result Result) {
-	if !h.isLive() {
+// completeAttempt reports the end of an attempt to the engine, if its process still runs.
+func (h *fleetHost) completeAttempt(a *attemptExecution, result Result) {
+	if !h.isRunning() {
 		return
 	}
 	s, sentAt := h.sim, a.state().sentAt
@@ -185,36 +187,36 @@
 	state.isDone, state.isCancelled = true, true
 	s.pool(h.engine, state.server.ID).inUse--
 	state.server.connections--
-	run := &attemptRun{host: h, request: r, index: n, serverID: state.server.ID}
-	s.after(0, func() { h.completeAttempt(run, Cancelled) })
+	execution := &attemptExecution{host: h, request: r, index: n, serverID: state.server.ID}
+	s.schedule(0, func() { h.completeAttempt(execution, Cancelled) })
 }
 
 func (h *fleetHost) RejectRequest(id string, retryAfter time.Duration) {
-	h.sim.answer(h.sim.requests[id], false, retryAfter)
+	h.sim.handleAnswer(h.sim.requests[id], false, retryAfter)
 }
 
-func (h *fleetHost) FailRequest(id string) { h.sim.answer(h.sim.requests[id], false, 0) }
+func (h *fleetHost) FailRequest(id string) { h.sim.handleAnswer(h.sim.requests[id], false, 0) }
 
 func (h *fleetHost) WatchEndpoints(bool) {}
 
 func (h *fleetHost) Log(LogEvent) {}
 
 func (h *fleetHost) SetTimer(token uint64, d time.Duration) {
-	h.afterIfLive(d, func(e *Engine) { e.TimerFired(h.sim.now, token, h) })
+	h.scheduleIfRunning(d, func(e *Engine) { e.TimerFired(h.sim.now, token, h) })
 }
 
 func (h *fleetHost) CheckHealth(id string) {
-	s, server := h.sim, h.sim.byID[id]
+	s, server := h.sim, h.sim.serversByID[id]
 	s.total.healthChecks++
 	result, took := h.checkConnection(server, s.pool(h.engine, id))
 	var report *LoadReport
 	if result == OK {
 		report = server.loadReport(s)
 	}
-	h.afterIfLive(took, func(e *Engine) { e.HealthCheckCompleted(s.now, id, result, report, h) })
+	h.scheduleIfRunning(took, func(e *Engine) { e.HealthCheckCompleted(s.now, id, result, report, h) })
 }
 
-// checkConnection finds or makes the connection that a health check goes over.
+// checkConnection returns the result and the duration of a health check, which uses an idle connection or opens one.
 func (h *fleetHost) checkConnection(server *simServer, pool *connectionPool) (Result, time.Duration) {
 	s := h.sim
 	if server == nil || server.isDown {
@@ -229,24 +231,24 @@
 	server.connections++
 	s.total.connectionsOpened++
 	pool.idleSince = append(pool.idleSince, s.now)
-	server.use(s, fleetDialWork)
+	server.addWork(s, fleetDialWork)
 	return OK, fleetCheckTime
 }
 
 func (h *fleetHost) SendGossip(peer int, message []byte) {
 	s := h.sim
 	s.total.gossipMessages++
-	if s.dropsGossip || s.rng.Float64() < s.loss {
+	if s.dropsGossip || s.rng.Float64() < s.gossipLoss {
 		return
 	}
 	message = bytes.Clone(message)
 	receive := func() { s.engines[peer].GossipReceived(s.now, h.engine, message, s.hosts[peer]) }
 	took := time.Duration(1+s.rng.IntN(30)) * ms
-	if s.reordersGossip && s.rng.Float64() < fleetDisorderShare {
-		s.after(took+time.Duration(s.rng.IntN(300))*ms, receive)
+	if s.reordersGossip && s.rng.Float64() < fleetReorderFraction {
+		s.schedule(took+time.Duration(s.rng.IntN(300))*ms, receive)
 	}
-	if s.reordersGossip && s.rng.Float64() < fleetDisorderShare {
+	if s.reordersGossip && s.rng.Float64() < fleetReorderFraction {
 		took += time.Duration(s.rng.IntN(300)) * ms
 	}
-	s.after(took, receive)
+	s.schedule(took, receive)
 }
--- a/policy/fleet_quota_test.go
+++ b/policy/fleet_quota_test.go
@@ -9,14 +9,14 @@
 	"mulleinmux/internal/seedtest"
 )
 
-// fleetLedger compares what a fleet admits with each customer's true quota.
+// fleetLedger compares the units that a fleet admits with each customer's true quota.
 type fleetLedger struct {
 	plan          Plan
-	fleetQuotas   map[int]*trueQuota // filled and spent as by the fleet
-	idealQuotas   map[int]*trueQuota // as by one instance that sees all requests
-	idealValue    float64            // value that the latter admits
-	overQuotaCost float64            // what the fleet admitted beyond quotas costs
-	units         [2]int             // admitted inside the quotas, by each
+	fleetQuotas   map[int]*trueQuota // charged with the requests that the fleet forwards
+	idealQuotas   map[int]*trueQuota // charged with all requests, as by one instance that receives them all
+	idealValue    float64            // value of the requests inside idealQuotas
+	overQuotaCost float64            // cost of the requests that the fleet forwards beyond fleetQuotas
+	units         [2]int             // admitted inside fleetQuotas and inside idealQuotas
 }
 
 // trueQuota is a customer's quota over all instances together.
@@ -25,12 +25,12 @@
 	refilledAt time.Duration
 }
 
-// take takes a unit of the customer's quota and reports whether there was one.
-func (l *fleetLedger) take(of map[int]*trueQuota, now time.Duration, customer int) bool {
-	quota := of[customer]
+// take takes a unit from the customer's quota, and reports whether there was one.
+func (l *fleetLedger) take(quotas map[int]*trueQuota, now time.Duration, customer int) bool {
+	quota := quotas[customer]
 	if quota == nil {
 		quota = &trueQuota{tokens: l.plan.Burst, refilledAt: now}
-		of[customer] = quota
+		quotas[customer] = quota
 	}
 	quota.tokens = math.Min(quota.tokens+l.plan.Rate*(now-quota.refilledAt).Seconds(), l.plan.Burst)
 	quota.refilledAt = now
@@ -41,7 +41,7 @@
 	return true
 }
 
-func valueOf(r *fleetRequest) float64 {
+func requestValue(r *fleetRequest) float64 {
 	if r.class == "keyed" {
 		return 9
 	}
@@ -52,7 +52,7 @@
 func (l *fleetLedger) requestReceived(now time.Duration, r *fleetRequest) {
 	if l != nil && l.take(l.idealQuotas, now, r.customer) {
 		l.units[1]++
-		l.idealValue += valueOf(r)
+		l.idealValue += requestValue(r)
 	}
 }
 
@@ -63,38 +63,39 @@
 	case l.take(l.fleetQuotas, now, r.customer):
 		l.units[0]++
 	default:
-		l.overQuotaCost += valueOf(r) * l.plan.OverQuotaCost
+		l.overQuotaCost += requestValue(r) * l.plan.OverQuotaCost
 	}
 }
 
-// makeCustomersHeavy has one in so many customers send several times as much, on top of the rest.
-func (s *fleetSim) makeCustomersHeavy(each int, times float64) {
-	was, sum, last := s.cumulativeRates[len(s.cumulativeRates)-1], 0.0, 0.0
-	for i, upTo := range s.cumulativeRates {
-		mine := upTo - last
-		last = upTo
-		if i%each == 0 {
-			mine *= times
+// makeCustomersHeavy multiplies the request rate of every customer whose index is a multiple of interval. The total
+// load grows accordingly.
+func (s *fleetSim) makeCustomersHeavy(interval int, factor float64) {
+	oldSum, sum, last := s.cumulativeRates[len(s.cumulativeRates)-1], 0.0, 0.0
+	for i, cumulativeRate := range s.cumulativeRates {
+		rate := cumulativeRate - last
+		last = cumulativeRate
+		if i%interval == 0 {
+			rate *= factor
 		}
-		sum += mine
+		sum += rate
 		s.cumulativeRates[i] = sum
 	}
-	load := s.load
-	s.load = func(at time.Duration) float64 { return load(at) * sum / was }
+	oldRate := s.requestRate
+	s.requestRate = func(at time.Duration) float64 { return oldRate(at) * sum / oldSum }
 }
 
-// At normal load, with one in eight customers sending four times as much as the others and messages lost, late and
-// doubled, what passes beyond the quotas costs at most 0.1 of the value: it may be 0.1 more than under a policy
-// that sees the true state late, which counts as costing nothing here.
+// At normal load, with one in eight customers sending four times as much as the others and with messages lost, delayed
+// and duplicated, the units forwarded beyond the quotas cost at most 0.1 of the value. The target is a cost of at most
+// 0.1 more than that of a policy that sees the true state late, whose cost is taken as 0 here.
 func TestQuotasHoldOnAQuietDay(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ engines, servers int }{{3, 12}, {8, 16}, {70, 40}} {
 		t.Run(fmt.Sprintf("%d_engines", c.engines), func(t *testing.T) {
 			t.Parallel()
 			seedtest.ForEach(t, 0, 3, func(t *testing.T, seed uint64) {
-				ledger := runQuietDay(seed, c.engines, c.servers)
+				ledger := runNormalLoad(seed, c.engines, c.servers)
 				cost := ledger.overQuotaCost / ledger.idealValue
-				const text = "%d instances: %d of %d units admitted inside quotas, beyond them at %.3f of the value"
+				const text = "%d instances: %d of %d units admitted inside quotas, cost beyond them %.3f of the value"
 				result := fmt.Sprintf(text, c.engines, ledger.units[0], ledger.units[1], cost)
 				t.Log(result)
 				if cost > 0.1 || 2*ledger.units[0] < ledger.units[1] {
@@ -105,14 +106,14 @@
 	}
 }
 
-// runQuietDay runs a fleet at normal load with some heavy customers, and returns what it admitted.
-func runQuietDay(seed uint64, engines, servers int) *fleetLedger {
+// runNormalLoad runs a fleet at normal load with some heavy customers, and returns what it admitted.
+func runNormalLoad(seed uint64, engines, servers int) *fleetLedger {
 	s := newFleet(seed, engines, servers, 0.3)
-	s.loss, s.reordersGossip = 0.08, true
-	s.settings.Plans[0].HardLimitRate = 0 // nothing but the quota bounds what passes
+	s.gossipLoss, s.reordersGossip = 0.08, true
+	s.settings.Plans[0].HardLimitRate = 0 // only the quota limits the units that are forwarded
 	s.makeCustomersHeavy(8, 4)
 	for i := range s.engines {
-		s.start(i)
+		s.startEngine(i)
 	}
 	s.ledger = &fleetLedger{
 		plan:        s.settings.Plans[0],
--- a/policy/fleet_servers_test.go
+++ b/policy/fleet_servers_test.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	fleetCores       = 2
-	fleetQueue       = 30 // requests that a server holds at most
-	fleetIdleTimeout = 30 * time.Second
-	fleetConnectTime = 3 * ms // until a new connection stands
-	fleetWarmAfter   = 200    // requests served
+	fleetCores          = 2
+	fleetMaxInFlight    = 30 // requests that a server accepts at once
+	fleetIdleTimeout    = 30 * time.Second
+	fleetConnectTime    = 3 * ms // time to open a connection
+	fleetWarmupRequests = 200    // requests after which a server is warm
 )
 
-// simServer is a server that works, queues, holds only so many connections, starts cold and falls over.
+// simServer is a simulated server. It queues requests, limits its connections, starts cold and can be overloaded while
+// cold.
 type simServer struct {
 	Server
 	coreFreeAt     [fleetCores]time.Duration
@@ -23,9 +24,9 @@
 	bootedAt       time.Duration // 0: long ago
 	isDown         bool
 	served         int
-	warmupSentAt   []time.Duration // while cold: when work of the latest window began
-	warmupWork     []float64       // and how much
-	isOverloaded   bool            // it was sent more than it could take while cold
+	warmupSentAt   []time.Duration // times at which work was sent within the last ColdOverloadWindow
+	warmupWork     []float64       // work sent at each of these times
+	isOverloaded   bool            // it was sent more work than it can take while cold
 	workReceived   float64         // since the last summary
 	rejections     int
 	utilizations   [4]float64 // samples of health checks
@@ -37,12 +38,12 @@
 	inUse     int
 }
 
-// use takes work, in seconds of a warm core, and returns when it is done.
-func (b *simServer) use(s *fleetSim, work float64) time.Duration {
+// addWork adds work, in seconds of a warm core, and returns the time at which it is done.
+func (b *simServer) addWork(s *fleetSim, work float64) time.Duration {
 	capacity := 1.0
 	if b.bootedAt > 0 {
 		least := s.settings.SlowStartMinFraction
-		capacity = min(least+(1-least)*float64(b.served)/fleetWarmAfter, 1)
+		capacity = min(least+(1-least)*float64(b.served)/fleetWarmupRequests, 1)
 		b.recordWarmupWork(s, work, capacity)
 	}
 	b.workReceived += work
@@ -56,7 +57,8 @@
 	return b.coreFreeAt[core]
 }
 
-// recordWarmupWork holds what was sent in a window against what the server could do in it: rule 4.
+// recordWarmupWork compares the work sent within ColdOverloadWindow with the server's capacity in that time. A cold
+// server that is sent more than ColdOverloadMultiple times its capacity becomes overloaded.
 func (b *simServer) recordWarmupWork(s *fleetSim, work, capacity float64) {
 	b.warmupSentAt, b.warmupWork = append(b.warmupSentAt, s.now), append(b.warmupWork, work)
 	for s.now-b.warmupSentAt[0] > s.settings.ColdOverloadWindow {
@@ -73,7 +75,7 @@
 	}
 }
 
-// loadReport is what a health check brings, which costs work itself.
+// loadReport returns the load report of a health check, which itself costs work.
 func (b *simServer) loadReport(s *fleetSim) *LoadReport {
 	busy := 0.0
 	for _, freeAt := range b.coreFreeAt {
@@ -81,7 +83,7 @@
 			busy += 1.0 / fleetCores
 		}
 	}
-	b.use(s, fleetCheckWork)
+	b.addWork(s, fleetCheckWork)
 	b.utilizations[s.rng.IntN(len(b.utilizations))] = busy
 	mean := 0.0
 	for _, u := range b.utilizations {
@@ -90,8 +92,8 @@
 	return &LoadReport{InFlight: -1, Utilization: mean, QueueLength: max(float64(b.inFlight-fleetCores), 0)}
 }
 
-// work draws the work of a request, in seconds of a warm core.
-func (s *fleetSim) work(class string) float64 {
+// drawWork returns the random work of a request, in seconds of a warm core.
+func (s *fleetSim) drawWork(class string) float64 {
 	mean := 0.06
 	if class == "keyed" {
 		mean = 0.09
@@ -109,19 +111,19 @@
 	return pool
 }
 
-// addServer adds a server that has run for long.
+// addServer adds a warm server.
 func (s *fleetSim) addServer() *simServer {
 	k := len(s.servers)
 	id := fmt.Sprintf("s-%04x", s.rng.IntN(1<<16)*1000+k)
 	listed := Server{ID: id, Kind: "k", Weight: 1, Zone: []string{"a", "b"}[k%2], Cell: k % 7}
 	b := &simServer{Server: listed, maxConnections: 200}
 	s.servers = append(s.servers, b)
-	s.byID[b.ID] = b
+	s.serversByID[b.ID] = b
 	return b
 }
 
-// list is what discovery knows.
-func (s *fleetSim) list() (servers []Server) {
+// endpointList returns the current endpoint list.
+func (s *fleetSim) endpointList() (servers []Server) {
 	for _, b := range s.servers {
 		if !b.isDown {
 			servers = append(servers, b.Server)
@@ -130,41 +132,41 @@
 	return servers
 }
 
-// sendEndpoints sends each engine the list, some time later.
+// sendEndpoints sends the endpoint list to each engine after a delay.
 func (s *fleetSim) sendEndpoints() {
 	for i := range s.engines {
-		s.after(s.listDelay+time.Duration(s.rng.IntN(700))*ms, func() {
+		s.schedule(s.endpointListDelay+time.Duration(s.rng.IntN(700))*ms, func() {
 			if s.incarnations[i] >= 0 {
-				s.engines[i].EndpointsChanged(s.now, EndpointsComplete, s.list(), s.hosts[i])
+				s.engines[i].EndpointsChanged(s.now, EndpointsComplete, s.endpointList(), s.hosts[i])
 			}
 		})
 	}
 }
 
-// replaceServers puts a new cold server in the place of each of some, one by one.
+// replaceServers replaces the first n servers by cold ones, one by one.
 func (s *fleetSim) replaceServers(n int, within time.Duration) {
 	for k := range n {
-		s.after(within*time.Duration(k)/time.Duration(n), func() {
+		s.schedule(within*time.Duration(k)/time.Duration(n), func() {
 			old := s.servers[k]
 			old.State = Draining
 			next := s.addServer()
 			next.Zone = old.Zone
 			next.bootedAt, next.StartedAt = s.now, s.now
-			s.after(2*time.Second, func() { old.isDown = true })
+			s.schedule(2*time.Second, func() { old.isDown = true })
 		})
 	}
 	for at := time.Duration(0); at < within+3*time.Second; at += 300 * ms {
-		s.after(at, s.sendEndpoints)
+		s.schedule(at, s.sendEndpoints)
 	}
 }
 
-// loseZone has the servers of a zone down for a while; they start again cold.
-func (s *fleetSim) loseZone(zone string, d time.Duration) {
+// failZone stops the servers of a zone, which restart cold after the downtime.
+func (s *fleetSim) failZone(zone string, downtime time.Duration) {
 	for _, b := range s.servers {
 		if b.Zone == zone && !b.isDown {
 			b.isDown, b.connections = true, 0
-			s.after(d, func() { b.isDown, b.bootedAt, b.StartedAt, b.served = false, s.now, s.now, 0 })
+			s.schedule(downtime, func() { b.isDown, b.bootedAt, b.StartedAt, b.served = false, s.now, s.now, 0 })
 		}
 	}
-	s.after(d+ms, s.sendEndpoints)
+	s.schedule(downtime+ms, s.sendEndpoints)
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -6,7 +6,7 @@
 	"mulleinmux/policy/quota"
 )
 
-// newQuotaFleet returns this instance's place in the fleet that the settings describe.
+// newQuotaFleet returns the fleet that the settings describe, as seen from this instance.
 func newQuotaFleet(s *Settings) quota.Fleet {
 	return quota.Fleet{
 		InstanceIndex:   s.InstanceIndex,
@@ -17,7 +17,7 @@
 	}
 }
 
-// GossipReceived handles a message of another instance. A malformed one has no effect.
+// GossipReceived handles a message from another instance. It ignores malformed messages and invalid sender indexes.
 func (e *Engine) GossipReceived(now time.Duration, from int, message []byte, actions Actions) {
 	e.beginEvent(now, actions)
 	if from < 0 || from >= e.settings.InstanceCount || from == e.settings.InstanceIndex || len(message) == 0 {
@@ -38,5 +38,5 @@
 // OverQuotaUnits counts the units that were forwarded beyond customers' quotas since the start.
 type OverQuotaUnits = quota.OverQuotaUnits
 
-// OverQuotaUnits returns the units forwarded beyond quotas, as far as this instance knows.
+// OverQuotaUnits returns this instance's counts of the units forwarded beyond quotas.
 func (e *Engine) OverQuotaUnits() OverQuotaUnits { return e.quotas.OverQuota }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -8,7 +8,7 @@
 	"mulleinmux/policy/quota"
 )
 
-// Gossiped units are charged at the peer once, whether messages are lost, repeated or late.
+// A peer charges gossiped units once, whether messages are lost, repeated or late.
 func TestGossipSurvivesLossAndReordering(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -32,13 +32,13 @@
 				b.GossipReceived(t0, 0, ra.gossip[1][i], rb)
 			}
 			if got := 20 - b.quotas.Lookup(1).Tokens; got != 9 {
-				t.Errorf("%v units taken, want 9", got)
+				t.Errorf("peer charged %v units, want 9", got)
 			}
 		})
 	}
 }
 
-// A broadcast must not lose the entries that its first message has no room for.
+// A broadcast must include the entries that do not fit into its first message.
 func TestEveryEntryIsBroadcast(t *testing.T) {
 	s := testSettings()
 	s.InstanceCount = 2
@@ -53,16 +53,16 @@
 	const maxMessageSize = 256 // bytes, the limit of Actions.SendGossip
 	for _, m := range ra.gossip[1] {
 		if len(m) > maxMessageSize {
-			t.Errorf("message of %d bytes", len(m))
+			t.Errorf("gossip message has %d bytes, more than the limit", len(m))
 		}
 		b.GossipReceived(t0, 0, m, rb)
 	}
 	if b.quotas.Len() != 100 {
-		t.Errorf("%d of 100 customers received", b.quotas.Len())
+		t.Errorf("peer has quotas of %d customers, want 100", b.quotas.Len())
 	}
 }
 
-// What instances overspend together is paid back: tokens go below zero.
+// Units that instances together spend beyond the quota make its tokens negative, so that they are paid back.
 func TestRemoteUnitsOverdrawTokens(t *testing.T) {
 	a, ra := newInstance(t, 0, 2)
 	b, rb := newInstance(t, 1, 2)
@@ -77,7 +77,7 @@
 		b.GossipReceived(t0+6*ms, 0, m, rb)
 	}
 	if b.quotas.Lookup(1).Tokens >= 0 {
-		t.Errorf("%v tokens after both spent most of the quota", b.quotas.Lookup(1).Tokens)
+		t.Errorf("%v tokens after both instances spent most of the quota, want less than 0", b.quotas.Lookup(1).Tokens)
 	}
 }
 
@@ -94,7 +94,7 @@
 		b.GossipReceived(t0, 1, good, rb)
 		b.GossipReceived(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), rb)
 		if b.quotas.Len() != 0 || len(rb.actions) != 0 {
-			t.Fatalf("%d bytes of %d were accepted", n, len(good))
+			t.Fatalf("malformed gossip of %d bytes (of %d) was accepted", n, len(good))
 		}
 	}
 }
@@ -114,34 +114,34 @@
 		e.Start(t0, r)
 		e.GossipReceived(t0, 1, b, r)
 		if e.quotas.Len() > len(b) {
-			t.Errorf("%d quotas from %d bytes", e.quotas.Len(), len(b))
+			t.Errorf("message of %d bytes created %d quotas", e.quotas.Len(), len(b))
 		}
 	})
 }
 
-// sentReport is the report of a quota response of one instance as another one decodes it.
+// sentReport returns the report of one instance's quota response, as another instance decodes it.
 func sentReport(t *testing.T, from, to *Engine) quota.Report {
 	t.Helper()
 	response := quota.Response{Number: 7, IsGranted: true, GrantFraction: 1}
 	encoded := from.quotas.Codec().EncodeResponse(response, newPeerReport(from.now, &from.overload, &from.failures))
 	_, report, err := to.quotas.Codec().DecodeMessage(encoded)
 	if err != nil {
-		t.Fatalf("a response with a report is malformed: %v", err)
+		t.Fatalf("decoding a response with a report: %v", err)
 	}
 	return report
 }
 
-// Sums of occupancy below zero, as latencies under the lowest mean give, must reach peers as they are.
+// Negative sums of occupancy, which latencies below the lowest mean cause, must reach peers unchanged.
 func TestFleetMeansAreEncodedSigned(t *testing.T) {
 	e, _ := newOwnerEngine(t, 10)
 	e.overload.ReceiveMeans(overload.Means{-0.5, 0.25, 2, 0, 1})
 	if got := sentReport(t, e, e).FleetMeans; got != e.overload.FleetMeans() {
-		t.Errorf("%v arrived as %v", e.overload.FleetMeans(), got)
+		t.Errorf("fleet means sent: %v, received: %v", e.overload.FleetMeans(), got)
 	}
 }
 
-// What an instance finds out of servers travels with its quota messages, for a while.
-func TestFindingsTravelWithQuotaMessages(t *testing.T) {
+// The findings of an instance are sent with its quota messages until they expire.
+func TestFindingsAreSentWithQuotaMessages(t *testing.T) {
 	e, _ := newSubsetEngine(t)
 	e.now = t0 + 10*time.Second
 	for i, s := range e.subset.members[:6] {
@@ -150,10 +150,10 @@
 	read := func() []quota.Finding { return sentReport(t, e, e).Findings }
 	got := read()
 	if len(got) != quota.MaxFindings || got[3].ServerID != e.subset.members[5].gossipID || got[3].IsUp {
-		t.Fatalf("findings %+v", got)
+		t.Fatalf("got findings %+v, want the latest MaxFindings ones", got)
 	}
 	e.now += findingTTL
 	if got := read(); len(got) != 0 {
-		t.Errorf("old findings are sent: %+v", got)
+		t.Errorf("expired findings are sent: %+v", got)
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -10,13 +10,13 @@
 
 const (
 	ms = time.Millisecond
-	t0 = 1000 * time.Second // the engines' start
+	t0 = 1000 * time.Second // clock reading at which the engines start
 )
 
-// recorder keeps an engine's actions as text.
+// recorder records an engine's actions as text.
 type recorder struct {
 	actions []string
-	timers  []timerRequest
+	timers  []recordedTimer
 	gossip  map[int][][]byte
 }
 
@@ -29,7 +29,7 @@
 func (r *recorder) CancelAttempt(id string, n int) { r.add("cancel %s %d", id, n) }
 
 func (r *recorder) SetTimer(token uint64, d time.Duration) {
-	r.timers = append(r.timers, timerRequest{token, d})
+	r.timers = append(r.timers, recordedTimer{token, d})
 }
 
 func (r *recorder) CheckHealth(server string) { r.add("check %s", server) }
@@ -66,8 +66,8 @@
 	return r.actions[len(r.actions)-1]
 }
 
-// timerRequest is a timer that an engine has set.
-type timerRequest struct {
+// recordedTimer is a timer that an engine has set.
+type recordedTimer struct {
 	token uint64
 	after time.Duration
 }
@@ -85,7 +85,7 @@
 	return e, r
 }
 
-// newInstance returns one of several instances that share each customer's quota.
+// newInstance returns an engine that is one of several instances, which share each customer's quota.
 func newInstance(t *testing.T, index, count int) (*Engine, *recorder) {
 	t.Helper()
 	s := testSettings()
@@ -100,7 +100,7 @@
 	return q
 }
 
-// newRequest returns a request of one unit, of a customer that comes in through one instance alone.
+// newRequest returns a request of one unit, of a customer whose traffic arrives at one instance only.
 func newRequest(n int, class, plan string, customer uint64) Request {
 	return Request{ID: fmt.Sprintf("r%d", n), Class: class, Plan: plan, Customer: customer,
 		Timeout: 2 * time.Second, Units: 1, InstanceCount: 1}
@@ -114,19 +114,19 @@
 	return list
 }
 
-// offerRequests offers n requests of one customer at once and returns how many were sent.
+// offerRequests passes n requests of one customer to an engine at the same time, and returns how many were sent.
 func offerRequests(e *Engine, r *recorder, now time.Duration, n int, q Request) int {
 	before := r.count("send")
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Customer, now, i)
 		q.Units = max(q.Units, 1)
-		e.load.inFlight = 0 // only the quota counts
+		e.load.inFlight = 0 // so that the bound on work in flight rejects none
 		e.RequestReceived(now, q, r)
 	}
 	return r.count("send") - before
 }
 
-// completeAttempts ends all attempts since the last call with a result.
+// completeAttempts completes all attempts sent since the last call with a result, and clears the recorded actions.
 func completeAttempts(e *Engine, r *recorder, now, took time.Duration, res Result) {
 	for _, a := range r.actions {
 		var id, server string
@@ -138,8 +138,8 @@
 	r.actions = nil
 }
 
-// testSettings returns settings with a class of each idempotency, and plans with a hard limit, a rate alone and a
-// limit in flight.
+// testSettings returns settings with a class of each idempotency, and plans with a hard limit, with a rate only, and
+// with an in-flight limit.
 func testSettings() Settings {
 	return Settings{
 		InstanceCount: 1, Zone: "a",
@@ -173,7 +173,7 @@
 	}
 }
 
-// healthCheckSettings returns testSettings with health checks that bring load reports.
+// healthCheckSettings returns testSettings with health checks whose responses contain load reports.
 func healthCheckSettings() Settings {
 	s := testSettings()
 	s.AllowsHealthChecks, s.LoadReports = true, LoadReportsInHealthChecks
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -1,8 +1,8 @@
 package policy
 
-// Hot restart: the state that a process passes to its successor, which continues in its place. It holds what customers
-// have spent and what was learned of classes, servers and load. Requests in flight stay with the process that received
-// them. Times are readings of the clock, which both processes share.
+// Hot restart: a process exports its state, and the successor that replaces it imports it. The state holds the
+// customers' quotas, and the statistics of classes, servers and load. Requests in flight stay with the process that
+// received them. Times are readings of the clock, which both processes share.
 
 import (
 	"encoding/json"
@@ -13,12 +13,12 @@
 	"mulleinmux/policy/quota"
 )
 
-// stateFormat is the latest format that is understood. It is incremented for each change that a successor of an older
-// version would misread.
+// stateFormat is the newest state format that this version reads. It is incremented with each change that a successor
+// of an older version would misread.
 const stateFormat = 1
 
-// engineState is the encoded state. It identifies classes, plans and kinds by name, since their indexes may differ
-// in the successor's settings.
+// engineState is the exported state of an engine. It identifies classes, plans and machine kinds by name, since their
+// indexes may differ in the successor's settings.
 type engineState struct {
 	Format            int           `json:"Form"` // stateFormat of the writer
 	InstanceCount     int           `json:"Instances"`
@@ -40,8 +40,8 @@
 	HealthCheckCredit float64 `json:"ProbeDue"`
 }
 
-// ExportState returns the state for [Engine.ImportState], as JSON. The engine continues to serve its requests. The
-// error is that of the encoder.
+// ExportState returns the state for [Engine.ImportState], as JSON. The engine continues to serve its requests. An
+// error comes from the JSON encoder.
 func (e *Engine) ExportState(now time.Duration) ([]byte, error) {
 	e.now = now
 	state := engineState{
@@ -75,12 +75,12 @@
 }
 
 // ImportState restores the state that the predecessor process exported. Call it after [Engine.Start] and the first
-// endpoint list, before the first request. With an error, for a text that is malformed or of other settings, nothing
-// changes: the engine continues as after a start.
+// endpoint list, before the first request. If the state is malformed, of a newer format or of another instance,
+// ImportState returns an error and changes nothing: the engine continues as after a start without inherited state.
 func (e *Engine) ImportState(now time.Duration, text []byte) error {
 	var state engineState
 	if err := json.Unmarshal(text, &state); err != nil {
-		return fmt.Errorf("what was handed over: %w", err)
+		return fmt.Errorf("inherited state: %w", err)
 	}
 	if err := state.validate(&e.settings); err != nil {
 		return err
@@ -113,15 +113,15 @@
 // validate returns an error if an engine with the settings cannot import the state.
 func (state *engineState) validate(settings *Settings) error {
 	if state.Format > stateFormat {
-		return fmt.Errorf("what was handed over has form %d, and %d is the latest known", state.Format, stateFormat)
+		return fmt.Errorf("inherited state: unsupported format %d (newest supported: %d)", state.Format, stateFormat)
 	}
 	if state.InstanceCount != settings.InstanceCount || state.InstanceIndex != settings.InstanceIndex {
-		return fmt.Errorf("what was handed over is of gateway %d of %d, and this is %d of %d",
+		return fmt.Errorf("inherited state: exported by instance %d of %d, but this is instance %d of %d",
 			state.InstanceIndex, state.InstanceCount, settings.InstanceIndex, settings.InstanceCount)
 	}
 	for _, saved := range state.Quotas {
 		if !saved.IsValid(len(state.Plans), settings.InstanceCount) {
-			return fmt.Errorf("what was handed over has a customer's store that can't be: %+v", saved)
+			return fmt.Errorf("inherited state: invalid quota of a customer: %+v", saved)
 		}
 	}
 	return nil
--- a/policy/hot_restart_learned.go
+++ b/policy/hot_restart_learned.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// latencyState is the encoded latency of a class.
+// latencyState is the exported latency statistics of a class.
 type latencyState struct {
 	Mean            float64
 	Deviation       float64       `json:"Dev"`
 	Samples         int           `json:"N"`
-	Lowest          []float64     // by index in the exported kinds
+	Lowest          []float64     // by index in engineState.Kinds
 	FirstTryTimeout time.Duration `json:"Fresh"`
 }
 
@@ -19,7 +19,8 @@
 	return state
 }
 
-// restoreClass restores the latency of a class. The kinds are those of the export, in its order.
+// restoreClass restores the latency statistics of a class. kinds holds the names of the machine kinds in the order of
+// the export, in which saved.Lowest is indexed.
 func (t *latencyTable) restoreClass(class int, saved latencyState, kinds []string) {
 	c := &t.classes[class]
 	c.mean, c.deviation, c.samples = saved.Mean, saved.Deviation, saved.Samples
@@ -34,7 +35,7 @@
 	}
 }
 
-// kindNames returns the names of the kinds by their index.
+// kindNames returns the names of the machine kinds, by index.
 func (t *latencyTable) kindNames() []string {
 	names := make([]string, len(t.kindIndex))
 	for name, i := range t.kindIndex {
@@ -43,7 +44,7 @@
 	return names
 }
 
-// restoreKinds restores the latencies of the machine kinds.
+// restoreKinds restores the latency ratios of the machine kinds.
 func (t *latencyTable) restoreKinds(state *engineState) {
 	for k, name := range state.Kinds {
 		if k < len(state.KindRatios) && k < len(state.KindSamples) {
@@ -52,7 +53,7 @@
 	}
 }
 
-// savedServer is the encoded state of a server. The engine's types are mapped field by field, so that they can change
+// savedServer is the exported state of a server. It is copied field by field, so that the engine's types can change
 // while the encoding stays.
 type savedServer struct {
 	ID                   string
@@ -81,7 +82,7 @@
 		BudgetUpdatedAt:      s.warmup.updatedAt,
 		ConnectFailedAt:      s.connectFailedAt,
 		ConnectFailures:      s.connectFailures,
-		LastHeardAt:          s.lastHeardAt,
+		LastHeardAt:          s.lastResponseAt,
 		LastHealthCheckAt:    s.lastHealthCheckAt,
 		LatencyRatio:         s.latencyRatio,
 		FailureRate:          s.failureRate,
@@ -92,13 +93,13 @@
 	}
 }
 
-// restore restores what was learned of the same process of the server.
+// restore restores the statistics of the server. They must have been saved for the process that is running.
 func (s *server) restore(saved savedServer, now time.Duration) {
 	s.lastProgressAt = saved.LastProgressAt
 	s.ejectedUntil = saved.EjectedUntil
 	s.warmup.updatedAt = min(saved.BudgetUpdatedAt, now)
 	s.connectFailedAt, s.connectFailures = saved.ConnectFailedAt, saved.ConnectFailures
-	s.lastHeardAt, s.lastHealthCheckAt = saved.LastHeardAt, saved.LastHealthCheckAt
+	s.lastResponseAt, s.lastHealthCheckAt = saved.LastHeardAt, saved.LastHealthCheckAt
 	s.latencyRatio, s.failureRate = saved.LatencyRatio, saved.FailureRate
 	s.queueLength = saved.QueueLength
 	s.warmup.work = saved.WarmupBudget
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -22,7 +22,7 @@
 	return s
 }
 
-// newUsedEngine returns an engine with a past: spent quotas, gossip of a peer, an unresponsive server.
+// newUsedEngine returns an engine with state to export: spent quotas, gossip of a peer, an unresponsive server.
 func newUsedEngine(t *testing.T) (*Engine, *recorder) {
 	t.Helper()
 	e, r := newEngine(t, hotRestartSettings(), testServers(4)...)
@@ -52,7 +52,7 @@
 	return e, r
 }
 
-// newSuccessor returns an engine that starts now.
+// newSuccessor returns an engine that is started at a time, without inherited state.
 func newSuccessor(t *testing.T, s Settings, now time.Duration, servers ...Server) (*Engine, *recorder) {
 	t.Helper()
 	e, err := New(s, 2)
@@ -65,7 +65,7 @@
 	return e, r
 }
 
-// newContinuation returns an engine that has been used for 4 s and a successor that has imported its state then.
+// newContinuation returns an engine that has been used for 4 s, and a successor that has then imported its state.
 func newContinuation(t *testing.T) (e, next *Engine, r, rn *recorder, now time.Duration) {
 	t.Helper()
 	e, r = newUsedEngine(t)
@@ -85,30 +85,31 @@
 func TestSuccessorContinuesQuotas(t *testing.T) {
 	e, next, _, _, now := newContinuation(t)
 	continued := quotaStates(next, now)
-	for customer, was := range quotaStates(e, now) {
-		to, isKnown := continued[customer]
-		own, nexts := e.quotas.Lookup(customer), next.quotas.Lookup(customer)
-		if !isKnown || nexts.Tokens != own.Tokens || nexts.HardLimitTokens != own.HardLimitTokens ||
-			to.PendingUnits != was.PendingUnits || to.NeedsGossip != was.NeedsGossip ||
-			to.UnitsInTransit != was.UnitsInTransit {
-			t.Fatalf("quota %d: %+v became %+v", customer, was, to)
+	for customer, before := range quotaStates(e, now) {
+		after, isKnown := continued[customer]
+		predecessor, successor := e.quotas.Lookup(customer), next.quotas.Lookup(customer)
+		if !isKnown || successor.Tokens != predecessor.Tokens ||
+			successor.HardLimitTokens != predecessor.HardLimitTokens ||
+			after.PendingUnits != before.PendingUnits || after.NeedsGossip != before.NeedsGossip ||
+			after.UnitsInTransit != before.UnitsInTransit {
+			t.Fatalf("quota of customer %d: exported %+v, imported %+v", customer, before, after)
 		}
 	}
 	if e.quotas.Lookup(1).HardLimitTokens > 7.9 || e.quotas.Lookup(1).Tokens > 5.5 {
-		t.Fatalf("nothing was spent: %+v", e.quotas.Lookup(1))
+		t.Fatalf("the predecessor spent too little of the quota: %+v", e.quotas.Lookup(1))
 	}
-	// Attempts in flight at the predecessor count for the successor as leases: see TestRestoredQuotaKeepsCapacity.
+	// The successor counts attempts in flight at the predecessor as leases: see TestRestoredQuotaKeepsCapacity.
 	open, openWas := continued[2], quotaStates(e, now)[2]
 	hasPeers := slices.Equal(open.PeerInFlight, openWas.PeerInFlight) &&
 		slices.Equal(open.PeerReceivedAt, openWas.PeerReceivedAt)
 	if len(open.LeaseFrom) != openWas.InFlight+len(openWas.LeaseFrom) || openWas.InFlight == 0 || !hasPeers {
-		t.Errorf("attempts in flight of %+v became %+v", openWas, open)
+		t.Errorf("attempts in flight: exported %+v, imported %+v", openWas, open)
 	}
-	// A customer that neither remembers has what its quota has filled to since the first one's start.
+	// The quota of a customer unknown to both has been filling since the start of the first process.
 	scope := quota.Scope{InstanceCount: 3}
 	fresh, was := next.quotas.QuotaInPlan(77, scope, now), e.quotas.QuotaInPlan(77, scope, now)
 	if math.Abs(fresh.Tokens-was.Tokens) > 1e-9 || math.Abs(fresh.HardLimitTokens-was.HardLimitTokens) > 1e-9 {
-		t.Errorf("unknown customer: %+v, was %+v", fresh, was)
+		t.Errorf("quota of an unknown customer: got %+v, want %+v as at the predecessor", fresh, was)
 	}
 }
 
@@ -121,23 +122,23 @@
 	return states
 }
 
-// A successor continues with what its predecessor has learned of load, classes and servers.
-func TestSuccessorContinuesWhatWasLearned(t *testing.T) {
+// A successor continues with its predecessor's statistics of load, classes and servers.
+func TestSuccessorContinuesStatistics(t *testing.T) {
 	e, next, _, _, now := newContinuation(t)
 	if a, b := fmt.Sprintf("%+v", e.overload), fmt.Sprintf("%+v", next.overload); a != b {
-		t.Errorf("overload control\n%s became\n%s", a, b)
+		t.Errorf("overload control: exported\n%s\nimported\n%s", a, b)
 	}
 	latency, nextLatency := e.latencies.classes[0], next.latencies.classes[0]
 	hasSameWork := next.latencies.learnedWork(0) == e.latencies.learnedWork(0)
 	if latency.mean != nextLatency.mean || latency.mean == 0 || !hasSameWork {
-		t.Errorf("latency %+v became %+v", latency, nextLatency)
+		t.Errorf("latency of class 0: exported %+v, imported %+v", latency, nextLatency)
 	}
 	if listed, avoided := next.ServerCounts(now); listed != 4 || avoided != 1 {
-		t.Errorf("%d servers, %d avoided", listed, avoided)
+		t.Errorf("got %d servers listed and %d avoided, want 4 and 1", listed, avoided)
 	}
 }
 
-// Predecessor and successor decide alike from the handover on.
+// After the handover the successor makes the same decisions as its predecessor would.
 func TestSuccessorDecidesAlike(t *testing.T) {
 	e, next, r, rn, now := newContinuation(t)
 	for i := range 30 {
@@ -148,12 +149,12 @@
 		e.RequestReceived(at, q, r)
 		next.RequestReceived(at, q, rn)
 		if (r.count("send") > before) != (rn.count("send") > beforeNext) {
-			t.Fatalf("request %d: %q and %q", i, r.last(), rn.last())
+			t.Fatalf("request %d: predecessor %q, successor %q", i, r.last(), rn.last())
 		}
 	}
 }
 
-// Gossip that the predecessor has received is not charged again.
+// The successor does not charge gossip again that its predecessor has received.
 func TestSuccessorKeepsGossipSequence(t *testing.T) {
 	e, _ := newUsedEngine(t)
 	now := t0 + 4*time.Second
@@ -164,21 +165,21 @@
 	}
 	old := e.gossip.Export()[0]
 	if !old.IsKnown {
-		t.Fatal("no gossip was received")
+		t.Fatal("the predecessor received no gossip")
 	}
 	level := next.quotas.Lookup(1).Tokens
 	next.GossipReceived(now, 0, gossipOfTwoUnits(old.Epoch, old.ReceivedSequence), rn)
 	if next.quotas.Lookup(1).Tokens != level {
-		t.Errorf("an old message took %v", level-next.quotas.Lookup(1).Tokens)
+		t.Errorf("gossip with an old sequence number took %v units, want 0", level-next.quotas.Lookup(1).Tokens)
 	}
 	next.GossipReceived(now, 0, gossipOfTwoUnits(old.Epoch, old.ReceivedSequence+1), rn)
 	if next.quotas.Lookup(1).Tokens != level-2 {
-		t.Errorf("a new message took %v of 2", level-next.quotas.Lookup(1).Tokens)
+		t.Errorf("gossip with the next sequence number took %v units, want 2", level-next.quotas.Lookup(1).Tokens)
 	}
 }
 
-// gossipOfTwoUnits is a message of two units that customer 1 has spent at an instance of three: one entry, with the
-// customer, its scope (plan 0, three instances from 0 on), the units, none transferred and none lacking.
+// gossipOfTwoUnits returns the gossip of an instance, of three, at which customer 1 has spent two units. Its only entry
+// has the customer, the scope (plan 0, three instances from 0 on), the units, no transfer and no deficit.
 func gossipOfTwoUnits(epoch, sequence uint64) []byte {
 	const kindGossip, scope, twoUnits = 4, (0*3+2)*3 + 0, 2 << 1 // signed numbers are zigzag-encoded
 	message := binary.AppendUvarint([]byte{kindGossip}, epoch)
@@ -187,8 +188,8 @@
 	return append(message, 0) // no entry is repeated
 }
 
-// Under a changed plan what was spent stays spent; a plan that is gone is left out, and so are a server that has
-// restarted since and an unknown class.
+// Units spent stay spent if a plan has changed. Quotas of a plan that was removed are not imported, nor is the state of
+// a server that has restarted since, or of an unknown class.
 func TestSuccessorWithOtherSettings(t *testing.T) {
 	e, _ := newUsedEngine(t)
 	now := t0 + 4*time.Second
@@ -206,23 +207,23 @@
 		t.Fatal(err)
 	}
 	if _, avoided := next.ServerCounts(now); avoided != 0 {
-		t.Error("a server that has restarted since is avoided")
+		t.Error("a server that has restarted since the export is avoided")
 	}
 	moved, was := next.quotas.Lookup(1), e.quotas.Lookup(1)
 	if next.quotas.Lookup(2) != nil || moved == nil || moved.Plan != 1 {
-		t.Fatalf("quotas %v", next.quotas)
+		t.Fatalf("got quotas %v, want that of customer 1 alone, with plan 1", next.quotas)
 	}
 	if spent, want := 60-moved.Tokens, 6-was.Tokens; math.Abs(spent-want) > 1e-9 {
-		t.Errorf("spent %v of the quota, was %v", spent, want)
+		t.Errorf("spent units of the quota: got %v, want %v", spent, want)
 	}
 	const part = 1.0 / 3 // of the hard limit, at each of three instances
 	spent, want := 120*part-moved.HardLimitTokens, 30*part-was.HardLimitTokens
 	if math.Abs(spent-want) > 1e-9 {
-		t.Errorf("spent %v of the hard limit, was %v", spent, want)
+		t.Errorf("spent units of the hard limit: got %v, want %v", spent, want)
 	}
 }
 
-// A state that cannot be taken over changes nothing.
+// A state that cannot be imported changes nothing.
 func TestInvalidStateIsRejected(t *testing.T) {
 	e, _ := newUsedEngine(t)
 	now := t0 + 4*time.Second
@@ -233,15 +234,15 @@
 		set  Settings
 		text string
 	}{
-		"cut short":        {hotRestartSettings(), string(text[:len(text)/2])},
-		"another's":        {other, string(text)},
-		"nothing":          {hotRestartSettings(), ""},
-		"store that can't": {hotRestartSettings(), strings.Replace(string(text), `"Spread":3`, `"Spread":9`, 1)},
+		"cut short":      {hotRestartSettings(), string(text[:len(text)/2])},
+		"other instance": {other, string(text)},
+		"empty":          {hotRestartSettings(), ""},
+		"invalid quota":  {hotRestartSettings(), strings.Replace(string(text), `"Spread":3`, `"Spread":9`, 1)},
 	} {
 		next, _ := newEngine(t, c.set, testServers(4)...)
 		err := next.ImportState(now, []byte(c.text))
 		if err == nil || next.quotas.Len() != 0 || next.startedAt != t0 {
-			t.Errorf("%s: error %v, %d quotas", name, err, next.quotas.Len())
+			t.Errorf("state %s: got error %v and %d quotas, want an error and 0", name, err, next.quotas.Len())
 		}
 	}
 }
--- a/policy/in_flight.go
+++ b/policy/in_flight.go
@@ -10,15 +10,15 @@
 	// youngAttemptFraction is the age, as a fraction of its latency objective, up to which an attempt counts in the
 	// fleet's means.
 	youngAttemptFraction = 0.5
-	// An attempt is unanswered from an age of this many mean latencies, and not before the latency objective divided by
-	// unansweredObjectiveDivisor.
+	// An attempt counts as unanswered from an age of unansweredLatencyFactor mean latencies, but not before the latency
+	// objective divided by unansweredObjectiveDivisor.
 	unansweredLatencyFactor    = 3
 	unansweredObjectiveDivisor = 4
 )
 
-// reachableInFlight returns the attempts in flight at servers considered up, without overdue ones, and the number of
-// these servers, in which one that warms up counts as its capacity fraction. Servers outside of the subset are assumed
-// to be up in the same proportion as its members.
+// reachableInFlight returns the attempts in flight at servers considered up, without overdue attempts, and the number
+// of these servers. A server in slow start counts as its capacity fraction. Servers outside the subset are assumed to
+// be up in the same proportion as its members.
 func (m *loadMeter) reachableInFlight(
 	now time.Duration, servers []*server, settings *Settings,
 ) (inFlight, reachable float64) {
@@ -46,22 +46,22 @@
 // attemptAges counts the attempts in flight by their age.
 type attemptAges struct {
 	young      float64             // sent less than a fraction of their class's latency objective ago
-	overdue    float64             // past the objective, at servers not known to be unresponsive
-	unanswered []unansweredAttempt // in no order; only with a subset
+	overdue    float64             // past the objective or unanswered, at servers not known to be unresponsive
+	unanswered []unansweredAttempt // in no order; only measured with a subset
 }
 
-// unansweredAttempt is an attempt that has been in flight for several times the mean latency, at a server that has
-// sent no response of any kind meanwhile.
+// unansweredAttempt is an attempt that has been in flight for several times the mean latency, at a server that has sent
+// no response of any kind since the attempt was sent.
 type unansweredAttempt struct {
 	*attempt
 	requestNumber uint64
 }
 
-// attemptAgeLimits are the ages, in seconds, by which the attempts of a class are counted.
+// attemptAgeLimits are the limits of age, in seconds, by which the attempts of a class are counted.
 type attemptAgeLimits struct {
-	young      float64 // up to which an attempt counts as young
-	overdue    float64 // past which it is overdue
-	unanswered float64 // past which it may be evidence of a failed server
+	young      float64 // below which an attempt counts as young
+	overdue    float64 // above which it is overdue
+	unanswered float64 // above which it may be evidence of a failed server
 }
 
 // newAttemptAgeLimits returns the limits for a class, by its latency objective and mean latency, in seconds.
@@ -74,12 +74,12 @@
 }
 
 // measureAges counts the attempts in flight by their age. Attempts whose body or response is being streamed are left
-// out. Only with a subset do unanswered ones count as evidence of failed servers.
+// out. Unanswered attempts count as evidence of failed servers only with a subset.
 func (t *requestTable) measureAges(
 	now time.Duration, settings *Settings, latencies *latencyTable, hasSubset bool,
 ) (ages attemptAges) {
 	for _, r := range t.byID {
-		limits := newAttemptAgeLimits(settings.classOf(r).LatencyObjective.Seconds(), latencies.of(r).mean)
+		limits := newAttemptAgeLimits(settings.classOf(r).LatencyObjective.Seconds(), latencies.forRequest(r).mean)
 		for i := range r.attempts {
 			a := &r.attempts[i]
 			if a.isDone || a.isStreaming {
@@ -97,9 +97,9 @@
 	return ages
 }
 
-// isUnanswered reports whether an attempt of an age in seconds is evidence of a server that has failed rather than of
-// queued work: the server has sent nothing since. If such attempts counted as load, the bound on work in flight would
-// reject requests that the remaining servers can take.
+// isUnanswered reports whether an attempt of an age in seconds is evidence of a failed server rather than of queued
+// work: the server has sent no response since the attempt was sent. If such attempts counted as load, the bound on work
+// in flight would reject requests that the remaining servers have capacity for.
 func (a *attempt) isUnanswered(age float64, limits attemptAgeLimits) bool {
-	return a.server.lastHeardAt < a.sentAt && age > limits.unanswered
+	return a.server.lastResponseAt < a.sentAt && age > limits.unanswered
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	latencyWeight      = 0.15 // of a new sample in a server's latency ratio
-	minBatchSamples    = 16   // in a mean that may count as the lowest latency
-	lowestLatencyDrift = 0.01 // by which the lowest latency grows with each batch
-	firstTrySteps      = 20   // steps of the first try's timeout in a latency objective
-	firstTryDecaySteps = 10   // by how much smaller a step down is: converges to the 90th percentile
-	initialWorkDivisor = 4    // of a latency objective, for the estimate of work that is not known
-	minLatencyDivisor  = 1e-6 // seconds, to avoid a division by 0
+	latencyWeight      = 0.15 // weight of a new sample in a server's latency ratio
+	minBatchSamples    = 16   // samples of a batch whose mean may become the lowest latency
+	lowestLatencyDrift = 0.01 // fraction by which the lowest latency grows with each batch
+	firstTrySteps      = 20   // a step up of the first-try timeout is the latency objective divided by this
+	firstTryDecaySteps = 10   // a step down is smaller by this factor: the estimate converges to the 90th percentile
+	initialWorkDivisor = 4    // unknown work is estimated as the latency objective divided by this
+	minLatencyDivisor  = 1e-6 // seconds; avoids a division by 0
 )
 
 // latencyTable holds the latencies learned per class and per machine kind.
@@ -28,14 +28,14 @@
 	mean, deviation float64 // seconds
 	samples         int
 	kinds           []kindLatency // by kind index
-	firstTryTimeout time.Duration // timeout of clients' first tries
+	firstTryTimeout time.Duration // estimated timeout of clients' first tries
 }
 
 // kindLatency measures the lowest mean latency of a class on one machine kind.
 type kindLatency struct {
-	sum     float64 // of the open batch, in seconds
-	samples int     // in the open batch
-	lowest  float64 // mean of a batch, in seconds; 0: not known
+	sum     float64 // sum of the open batch, in seconds
+	samples int     // number of samples in the open batch
+	lowest  float64 // lowest mean of a batch, in seconds; 0: not known
 }
 
 // kindRatio is the mean latency of a kind as a multiple of that of the class.
@@ -60,13 +60,13 @@
 	return i
 }
 
-// latencySample is a latency beside what is known of its class.
+// latencySample is a latency compared with what was measured for its class.
 type latencySample struct {
 	ratio  float64 // the latency as a multiple of the class's mean
 	lowest float64 // lowest mean latency of the class on the machine kind, in seconds; 0: not known
 }
 
-// record adds the latency, in seconds, of one response of a class from a kind.
+// record adds the latency, in seconds, of one response of a class from a machine kind.
 func (t *latencyTable) record(class int, kind string, seconds float64) latencySample {
 	c := &t.classes[class]
 	c.record(seconds)
@@ -90,8 +90,9 @@
 	c.mean += slowMeanWeight * (seconds - c.mean)
 }
 
-// learnFirstTryTimeout updates the timeout of first tries with that of a client's try. It estimates a high quantile and
-// not the maximum, since a few clients with long timeouts must not make all others look late.
+// learnFirstTryTimeout updates the estimate of the first tries' timeout with the timeout of a request. It estimates a
+// high quantile and not the maximum, so that a few clients with long timeouts do not make all other requests count as
+// late.
 func (c *classLatency) learnFirstTryTimeout(timeout, objective time.Duration) {
 	if c.firstTryTimeout == 0 {
 		c.firstTryTimeout = timeout
@@ -110,8 +111,8 @@
 	r.mean += math.Max(1/(r.samples+1), slowMeanWeight) * (ratio - r.mean)
 }
 
-// record adds a latency to the batch. The mean of a full batch may be the lowest, which drifts up with each batch so
-// that it follows servers that become slower.
+// record adds a latency to the batch. The mean of a full batch may become the lowest, which drifts up with each batch
+// so that it follows servers that become slower.
 func (k *kindLatency) record(seconds float64) {
 	k.sum += seconds
 	k.samples++
@@ -170,10 +171,11 @@
 	return classes[class].PriorityWeight / t.expectedWork(classes, class) / best
 }
 
-// of returns the latency learned for the class of a request.
-func (t *latencyTable) of(r *request) *classLatency { return &t.classes[r.class] }
+// forRequest returns the latency learned for the class of a request.
+func (t *latencyTable) forRequest(r *request) *classLatency { return &t.classes[r.class] }
 
-// kindSpeed returns the speed of a kind as a fraction of the mean, at most 1. For one not measured isKnown is false.
+// kindSpeed returns the speed of a machine kind as a fraction of the mean, at most 1. If it has not been measured,
+// isKnown is false.
 func (t *latencyTable) kindSpeed(kind string) (speed float64, isKnown bool) {
 	r := t.kindRatios[t.kindIndex[kind]]
 	if r.samples <= 0 {
--- a/policy/lateness/lateness.go
+++ b/policy/lateness/lateness.go
@@ -1,47 +1,47 @@
-// Package lateness estimates by how much a process acts later than it means to, on a machine that has less processor
-// time to give than is asked for. A request that would be answered at its deadline is then given up earlier, so that
-// its answer comes in time. All times are readings of one monotonic clock; the package does no I/O and is not safe for
-// concurrent use.
+// Package lateness estimates by how much a process acts later than scheduled, on a machine that is short of processor
+// time. A request that would be answered at its deadline is then given up earlier, so that its answer is written in
+// time. All times are readings of one monotonic clock; the package does no I/O and is not safe for concurrent use.
 package lateness
 
 import "time"
 
 const (
-	// window is the time over which the longest lateness is taken: an estimate holds for one to two windows.
+	// window is the length of the periods over which the maximum lateness is taken. An estimate covers one to two
+	// windows.
 	window = 2 * time.Second
-	// maxFraction bounds how much of a request's time is kept back, so that a process that is held up once for long
-	// still serves.
-	maxFraction = 0.25
-	// ignored is a lateness that the slack of answers covers.
-	ignored = 2 * time.Millisecond
-	// actions that may be late count for a request's time: its reading, of which nothing tells how late it was, and its
-	// answer.
-	actions = 2
+	// maxMarginFraction is the maximum margin as a fraction of a request's timeout, so that a process that was delayed
+	// once for long still serves requests.
+	maxMarginFraction = 0.25
+	// negligibleLateness is the lateness up to which no margin is needed, since the response slack covers it.
+	negligibleLateness = 2 * time.Millisecond
+	// lateActionsPerRequest is the number of actions of a request that may be late: reading the request, whose lateness
+	// is not measured, and writing its answer.
+	lateActionsPerRequest = 2
 )
 
-// Estimator takes the longest lateness of the latest one to two windows for that of the next action.
+// Estimator estimates the lateness of the next action as the maximum lateness in the latest one to two windows.
 type Estimator struct {
-	windowEnd time.Duration // of current
-	current   time.Duration // the longest of the window under way
-	previous  time.Duration // the longest of the window before
+	windowEnd time.Duration // end of the current window
+	current   time.Duration // maximum of the current window
+	previous  time.Duration // maximum of the previous window
 }
 
-// Record takes an action that was due at a time and came at a later one, and returns the estimate from then on.
+// Record records an action that was due at one time and happened at a later one, and returns the new estimate.
 func (e *Estimator) Record(due, now time.Duration) (estimate time.Duration) {
 	e.advance(now)
 	e.current = max(e.current, now-due)
 	return max(e.current, e.previous)
 }
 
-// Margin decides by how much earlier than its timeout a request is given up, at an estimate of the lateness.
+// Margin returns by how much earlier than its timeout a request is given up, given an estimate of the lateness.
 func Margin(estimate, timeout time.Duration) time.Duration {
-	if estimate <= ignored || timeout <= 0 {
+	if estimate <= negligibleLateness || timeout <= 0 {
 		return 0
 	}
-	return min(actions*estimate, time.Duration(maxFraction*float64(timeout)))
+	return min(lateActionsPerRequest*estimate, time.Duration(maxMarginFraction*float64(timeout)))
 }
 
-// advance begins a new window if the one under way has ended.
+// advance starts a new window if the current one has ended.
 func (e *Estimator) advance(now time.Duration) {
 	if now < e.windowEnd {
 		return
--- a/policy/lateness/lateness_test.go
+++ b/policy/lateness/lateness_test.go
@@ -7,16 +7,16 @@
 
 const ms = time.Millisecond
 
-// start is a clock's first reading, which is not near 0.
+// start is the clock reading at the start of a test; clocks do not start near 0.
 const start = 1000 * time.Hour
 
-// The estimate is the longest lateness of the latest one to two windows.
+// The estimate is the maximum lateness in the latest one to two windows.
 func TestEstimator(t *testing.T) {
 	type record struct{ due, now time.Duration }
 	for _, test := range []struct {
 		name    string
 		records []record
-		want    time.Duration // after the last
+		want    time.Duration // estimate after the last record
 	}{
 		{"in time", []record{{0, 0}, {10 * ms, 10 * ms}}, 0},
 		{"the longest", []record{{0, 40 * ms}, {50 * ms, 60 * ms}}, 40 * ms},
@@ -32,14 +32,14 @@
 				got = e.Record(start+r.due, start+r.now)
 			}
 			if got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("got estimate %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// The lateness of the reading and of the answer is kept back of a request's time, a quarter of it at most; one that the
-// slack covers is not.
+// The margin covers the lateness of reading a request and of writing its answer, and is at most a quarter of the
+// timeout. A lateness that the response slack covers needs no margin.
 func TestMargin(t *testing.T) {
 	for _, test := range []struct{ estimate, timeout, want time.Duration }{
 		{0, 2 * time.Second, 0},
@@ -50,7 +50,7 @@
 		{40 * ms, -time.Second, 0},
 	} {
 		if got := Margin(test.estimate, test.timeout); got != test.want {
-			t.Errorf("%v of %v: %v, want %v", test.estimate, test.timeout, got, test.want)
+			t.Errorf("lateness %v, timeout %v: got margin %v, want %v", test.estimate, test.timeout, got, test.want)
 		}
 	}
 }
--- a/policy/load_meter.go
+++ b/policy/load_meter.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	slowMeanWeight = 0.05            // of a new value in the slow moving averages
-	rateWeight     = 0.1             // of a sample in the rate of responses: a time constant of one second
-	decayTime      = 5 * time.Second // time constant for forgetting what was learned of a server
+	slowMeanWeight = 0.05            // weight of a new value in the slow moving averages
+	rateWeight     = 0.1             // weight of a sample in the rate of responses: a time constant of one second
+	decayTime      = 5 * time.Second // time constant of the decay of what was measured of a server
 )
 
 // throughput measures what servers complete for this node.
@@ -19,7 +19,7 @@
 	warmRate     float64 // such work per second and unit of weight, moving average
 }
 
-// record counts a good response and, of a warm server, its work in seconds.
+// record counts a good response and, if the server is warm, its work in seconds.
 func (t *throughput) record(work float64, isWarm bool) {
 	t.responses++
 	if isWarm {
@@ -27,8 +27,9 @@
 	}
 }
 
-// closeSample updates the rates with the counts of a sample. The warm weight is that of all warm servers together; the
-// response weight is that of the sample in the rate of responses. Without warm servers their rate stays.
+// closeSample updates the rates with the counts of the open sample. The warm weight is the total weight of the warm
+// servers; the response weight is the weight of the sample in the rate of responses. Without warm servers, warmRate
+// stays unchanged.
 func (t *throughput) closeSample(warmWeight, responseWeight float64) {
 	if warmWeight > 0 {
 		t.warmRate += slowMeanWeight * (t.warmWork/warmWeight/sampleInterval.Seconds() - t.warmRate)
@@ -37,16 +38,16 @@
 	t.warmWork, t.responses = 0, 0
 }
 
-// loadMeter measures what this node has in flight and how fast it is answered.
+// loadMeter measures this node's attempts in flight and the rate at which they are answered.
 type loadMeter struct {
 	throughput
-	inFlight int     // attempts that occupy servers
-	overdue  float64 // of these, as of the last sample: past their latency objective, at responsive servers
+	inFlight int     // attempts that count as load of servers
+	overdue  float64 // attempts past their latency objective at responsive servers, as of the last sample
 }
 
-// recordResponse records a good response, in its zone too if that has limits. Its work, in seconds, counts only at warm
-// members of the subset, and only what is known of it: draining servers, or an estimate that is too high, would inflate
-// the budget of servers that warm up.
+// recordResponse records a good response, also in its zone if that has limits. Its work, in seconds, counts only for
+// warm members of the subset, and only if it has been measured: draining servers, or an estimate that is too high,
+// would inflate the budget of servers in slow start.
 func (m *loadMeter) recordResponse(zone *zoneState, knownWork float64, isWarmMember bool) {
 	m.record(knownWork, isWarmMember)
 	if zone != nil {
@@ -54,21 +55,21 @@
 	}
 }
 
-// occupy counts an attempt as in flight at a server.
-func (m *loadMeter) occupy(s *server) {
+// addInFlight counts an attempt as in flight at a server.
+func (m *loadMeter) addInFlight(s *server) {
 	s.inFlight++
 	m.inFlight++
 }
 
-// release reverses occupy.
-func (m *loadMeter) release(s *server) {
+// removeInFlight reverses addInFlight.
+func (m *loadMeter) removeInFlight(s *server) {
 	s.inFlight--
 	m.inFlight--
 }
 
-// updateRates closes a sample. The warm weight is that of all warm members of the subset; the uptime counts in samples.
-// After a start the rate of responses is the mean of all samples: one that grows from 0 would reject the first second's
-// requests.
+// updateRates closes a sample. The warm weight is the total weight of the warm members of the subset; the uptime is in
+// samples. After a start the rate of responses is the mean of all samples, since an average that grows from 0 would
+// cause requests of the first second to be rejected.
 func (m *loadMeter) updateRates(warmWeight, uptime float64) {
 	m.closeSample(warmWeight, math.Max(rateWeight, 1/(1+uptime)))
 }
--- a/policy/log_event.go
+++ b/policy/log_event.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// LogSeverity says how much a log event matters to operators.
+// LogSeverity is the severity of a log event.
 type LogSeverity int
 
 // The severities of log events.
@@ -11,13 +11,13 @@
 	SeverityWarning                    // something that an operator should look at
 )
 
-// LogAttr is a named detail of a log event.
+// LogAttr is a key-value attribute of a log event.
 type LogAttr struct {
 	Key   string
 	Value any
 }
 
-// The keys of log events' details.
+// The attribute keys of log events.
 const (
 	logKeyServer               = "server"
 	logKeyZone                 = "zone"
@@ -27,20 +27,21 @@
 	logKeyOccupancy            = "occupancy"
 )
 
-// LogEvent is something that operators are told in the log: a constant message and its details. Its String is one
-// line with both, for hosts whose log has no fields; others read these lines, which must not change.
+// LogEvent is an event for the operators' log: a constant message with attributes. String returns both as one line,
+// for hosts whose log has no attributes. Other programs read these lines: they must not change.
 type LogEvent interface {
 	fmt.Stringer
-	// Message is the same for all events of a type.
+	// Message returns the message, which is the same for all events of a type.
 	Message() string
 	Severity() LogSeverity
 	Attrs() []LogAttr
 }
 
-// ServerEjected tells that an outlier gets no request for a while.
+// ServerEjected reports that a server was ejected as an outlier: for a limited time it gets only requests that no other
+// server can serve.
 type ServerEjected struct {
 	Server               string
-	Result               Result // of the attempt that ejected it
+	Result               Result // of the attempt that caused the ejection
 	ConsecutiveEjections int
 }
 
@@ -59,12 +60,13 @@
 func (e ServerEjected) Attrs() []LogAttr {
 	return []LogAttr{
 		{logKeyServer, e.Server},
-		{logKeyResult, resultName(e.Result)},
+		{logKeyResult, logResultName(e.Result)},
 		{logKeyConsecutiveEjections, e.ConsecutiveEjections},
 	}
 }
 
-// ServerUnresponsive tells that a server gets no request until it responds to a health check.
+// ServerUnresponsive reports that a server does not respond. Until it responds, usually to a health check, it gets only
+// requests that no other server can serve.
 type ServerUnresponsive struct{ Server string }
 
 // String returns the event as one line.
@@ -81,7 +83,7 @@
 // Attrs implements [LogEvent].
 func (e ServerUnresponsive) Attrs() []LogAttr { return []LogAttr{{logKeyServer, e.Server}} }
 
-// ServerResponsive tells that a server responds again.
+// ServerResponsive reports that an unresponsive server responds again.
 type ServerResponsive struct{ Server string }
 
 // String returns the event as one line.
@@ -96,9 +98,9 @@
 // Attrs implements [LogEvent].
 func (e ServerResponsive) Attrs() []LogAttr { return []LogAttr{{logKeyServer, e.Server}} }
 
-// OverloadThrottled tells that the overload controller has begun to reject requests that quotas admit.
+// OverloadThrottled reports that the overload controller has begun to reject requests that quotas admit.
 type OverloadThrottled struct {
-	AdmitFraction float64 // of what quotas admit
+	AdmitFraction float64 // fraction, 0 to 1, of the requests that quotas admit
 	Occupancy     float64
 }
 
@@ -118,7 +120,7 @@
 	return []LogAttr{{logKeyAdmitFraction, e.AdmitFraction}, {logKeyOccupancy, e.Occupancy}}
 }
 
-// ZoneUnresponsive tells that the servers of a zone are suspected until one responds.
+// ZoneUnresponsive reports that a zone does not respond: its servers are suspected until one of them responds.
 type ZoneUnresponsive struct{ Zone string }
 
 // String returns the event as one line.
@@ -135,8 +137,8 @@
 // Attrs implements [LogEvent].
 func (e ZoneUnresponsive) Attrs() []LogAttr { return []LogAttr{{logKeyZone, e.Zone}} }
 
-// resultName is a result's name in the log.
-func resultName(result Result) string {
+// logResultName returns the value of a result in log attributes.
+func logResultName(result Result) string {
 	names := [...]string{
 		OK:               "ok",
 		ErrorResponse:    "error_response",
--- a/policy/log_event_test.go
+++ b/policy/log_event_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The lines are those that the simulator's adapter has always printed; the messages are constant.
+// The lines must stay as the simulator's adapter has always printed them. The messages are constant.
 func TestLogEvents(t *testing.T) {
 	for _, c := range []struct {
 		event    LogEvent
@@ -29,25 +29,26 @@
 	} {
 		e := c.event
 		if e.String() != c.line || e.Message() != c.message {
-			t.Errorf("%T: %q, %q", e, e, e.Message())
+			t.Errorf("%T: got line %q, message %q", e, e, e.Message())
 		}
 		if e.Severity() != c.severity || !slices.Equal(e.Attrs(), c.attrs) {
-			t.Errorf("%T: %q, %q, severity %d, %v", e, e, e.Message(), e.Severity(), e.Attrs())
+			t.Errorf("%T (line %q, message %q): got severity %d, attributes %v",
+				e, e, e.Message(), e.Severity(), e.Attrs())
 		}
 	}
 }
 
-// Every result of an attempt has a name, and one that is unknown does no harm.
+// Every result of an attempt has a name of its own in the log, also one that is unknown.
 func TestResultNames(t *testing.T) {
 	seen := map[string]bool{}
 	for result := OK; result <= NotSent; result++ {
-		name := resultName(result)
+		name := logResultName(result)
 		if name == "" || seen[name] {
-			t.Errorf("result %d is called %q", result, name)
+			t.Errorf("result %d has the name %q, which is empty or not unique", result, name)
 		}
 		seen[name] = true
 	}
-	if name := resultName(NotSent + 1); name != "result_8" {
-		t.Errorf("an unknown result is called %q", name)
+	if name := logResultName(NotSent + 1); name != "result_8" {
+		t.Errorf("unknown result: got name %q, want result_8", name)
 	}
 }
--- a/policy/occupancy.go
+++ b/policy/occupancy.go
@@ -10,8 +10,8 @@
 // utilizationWeight is the weight of a new report in the moving average of a server's utilization.
 const utilizationWeight = 0.3
 
-// occupancyReadings turns what is learned of servers into readings of the occupancy for the overload controller: load
-// reports, latencies in their place, and attempts that a server rejected or left unanswered.
+// occupancyReadings adds readings of the occupancy to the overload controller: load reports or, in their place,
+// latencies, and attempts that a server rejected or left unanswered.
 type occupancyReadings struct {
 	settings   *Settings
 	subset     *serverSubset
@@ -41,8 +41,9 @@
 	o.controller.AddReading(utilization)
 }
 
-// recordLatency records the latency of a good response of a class. In the place of load reports it is a reading of the
-// occupancy, 1 - lowest/latency with the weight latency/lowest: the mean of these over a sample is 1 - lowest/mean.
+// recordLatency records the latency of a good response of a class. Where load reports are missing, the latency is a
+// reading of the occupancy, 1 - lowest/latency with the weight latency/lowest: the mean of these readings over a sample
+// is 1 - lowest/mean.
 func (o *occupancyReadings) recordLatency(now time.Duration, s *server, class int, latency time.Duration) {
 	seconds := latency.Seconds()
 	sample := o.latencies.record(class, s.Kind, seconds)
@@ -53,15 +54,15 @@
 	if sample.lowest > 0 {
 		o.controller.AddReadings(seconds/sample.lowest-1, seconds/sample.lowest)
 	} else {
-		o.controller.AddReading(0) // else rejections by servers would be the only readings
+		o.controller.AddReading(0) // otherwise rejections by servers would be the only readings
 	}
 }
 
 // recordSaturated records that a server had no capacity for an attempt.
 func (o *occupancyReadings) recordSaturated() { o.controller.AddReading(1) }
 
-// lacksLoadReport reports whether latency has to take the place of a server's load report. With a subset, whose servers
-// are checked rarely, one recent report of any server is enough: readings by latency would outnumber the reports.
+// lacksLoadReport reports whether latencies replace the load reports of a server. With a subset, whose servers are
+// checked rarely, one recent report of any server is enough: readings by latency would outnumber the reports.
 func (o *occupancyReadings) lacksLoadReport(now time.Duration, s *server) bool {
 	if o.subset.usesAllServers() {
 		return s.reportedAt == 0
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -10,7 +10,8 @@
 	"mulleinmux/policy/quota"
 )
 
-// A refused connection ejects at once, for longer each time, and a response ends that.
+// A refused connection ejects a server at once, and for longer each time. A good response resets the count of
+// ejections.
 func TestEjectionTimeDoubles(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(2)...)
 	s := e.servers.byID["s0"]
@@ -25,19 +26,19 @@
 		e.learnFromAttempt(q, s, AttemptResult{Result: ConnectFailed})
 		span := s.ejectedUntil - e.now
 		if span <= last && span != maxEjectionTime {
-			t.Errorf("ejection %d lasts %v after %v", i, span, last)
+			t.Errorf("ejection %d lasts %v, want longer than the previous %v", i, span, last)
 		}
 		last = span
 	}
 	e.learnFromAttempt(q, s, AttemptResult{Result: OK, Latency: ms})
 	if s.consecutiveEjections != 0 {
-		t.Errorf("%d strikes after an answer", s.consecutiveEjections)
+		t.Errorf("got %d consecutive ejections after a good response, want 0", s.consecutiveEjections)
 	}
 }
 
-// A server that answers neither a health check nor anything else since gets no request until it answers one; a
-// response that came meanwhile shows that it is up.
-func TestUnresponsiveServerIsOutUntilItAnswers(t *testing.T) {
+// A server that has left a health check and everything since unanswered gets no request until it responds to a health
+// check. A response received after the check was sent shows that the server is up.
+func TestUnresponsiveServerGetsNoRequestsUntilItResponds(t *testing.T) {
 	e, r := newEngine(t, healthCheckSettings(), testServers(2)...)
 	s, now := e.servers.byID["s0"], t0
 	sentTo := func(id string) (n int) {
@@ -53,19 +54,19 @@
 	s.lastHealthCheckAt = now
 	e.HealthCheckCompleted(now+ms, "s0", TimedOut, nil, r)
 	if n := sentTo("s0"); n != 0 {
-		t.Errorf("%d requests sent to a server that is unresponsive to health checks", n)
+		t.Errorf("got %d requests sent to an unresponsive server, want 0", n)
 	}
 	e.HealthCheckCompleted(now, "s0", OK, nil, r)
 	if n := sentTo("s0"); n == 0 {
-		t.Error("no request sent to a server that answers again")
+		t.Error("no request sent to a server that responds again")
 	}
 	e.RequestReceived(now+ms, newRequest(1, "safe", "rate", 9), r)
-	s.lastHealthCheckAt, s.lastHeardAt = now, now+ms
+	s.lastHealthCheckAt, s.lastResponseAt = now, now+ms
 	e.HealthCheckCompleted(now+2*ms, "s0", TimedOut, nil, r)
 	if s.isUnresponsive {
-		t.Error("a server that has answered since the health check counts as unresponsive")
+		t.Error("a server that has responded since the health check counts as unresponsive")
 	}
-	// Nor does one that was restarted.
+	// A restarted server does not count as unresponsive either.
 	s.isUnresponsive = true
 	e.EndpointsChanged(now, EndpointsDelta, []Server{{ID: "s0", Kind: "k", Zone: "a", StartedAt: now}}, r)
 	if s.isUnresponsive {
@@ -73,10 +74,10 @@
 	}
 }
 
-// Health checks reach all servers in turn, though server selection shuffles them.
+// Health checks are sent to all servers in turn, although server selection shuffles the servers.
 func TestHealthChecksRotate(t *testing.T) {
 	e, r := newEngine(t, healthCheckSettings(), testServers(10)...)
-	probes := map[string]int{}
+	checks := map[string]int{}
 	for i := range 200 {
 		now := t0 + time.Duration(i)*5*ms
 		e.RequestReceived(now, newRequest(i, "safe", "rate", uint64(i)), r)
@@ -85,54 +86,56 @@
 			setFleetMean(e, overload.MeanAccepted, 2)
 			e.TimerFired(now, timerToken(timerSample, 0), r)
 			for id := range e.servers.byID {
-				probes[id] += r.count("check " + id)
+				checks[id] += r.count("check " + id)
 			}
 			r.actions = nil
 		}
 	}
 	for id := range e.servers.byID {
-		if probes[id] != 2 {
-			t.Errorf("%d health checks of %s, want 2 of each in 20", probes[id], id)
+		if checks[id] != 2 {
+			t.Errorf("got %d health checks of %s, want 2 of each server in 20", checks[id], id)
 		}
 	}
 }
 
-// failConnection has an engine send a request and meet a failed connection at its only server.
+// failConnection passes a request to an engine whose only server then refuses the connection.
 func failConnection(e *Engine, r *recorder, n int, at time.Duration) {
 	r.actions = nil
 	e.RequestReceived(at, newRequest(n, "unsafe", "rate", uint64(n)), r)
 	e.AttemptCompleted(at, AttemptResult{ID: fmt.Sprint("r", n), Result: ConnectFailed, Server: "s0"}, r)
 }
 
-// A connection that failed is no restart where an answer to a health check sent at once shows the process up.
+// A failed connection is no sign of a restart if a health check sent at once is answered, which shows that the process
+// is up.
 func TestFailedConnectionIsChecked(t *testing.T) {
 	e, r := newEngine(t, healthCheckSettings(), testServers(1)...)
 	s := e.servers.list[0]
 	isCold := func() bool { return s.capacityFraction(e.now, &e.settings) < 1 }
 	failConnection(e, r, 1, t0)
 	if r.count("check s0") != 1 || !isCold() {
-		t.Errorf("%d health checks sent, cold %v after a failed connection", r.count("check s0"), isCold())
+		t.Errorf("after a failed connection: got %d health checks and cold %v, want 1 and true",
+			r.count("check s0"), isCold())
 	}
 	e.HealthCheckCompleted(t0+5*ms, "s0", OK, nil, r)
 	if isCold() {
-		t.Error("cold though a health check sent at once was answered")
+		t.Error("server is cold although a health check sent at once was answered")
 	}
 	failConnection(e, r, 2, t0+time.Second)
 	if r.count("check s0") != 1 {
-		t.Errorf("%d health checks sent", r.count("check s0"))
+		t.Errorf("after a second failed connection: got %d health checks, want 1", r.count("check s0"))
 	}
 	e.HealthCheckCompleted(t0+time.Second, "s0", ConnectFailed, nil, r)
 	if !isCold() {
-		t.Error("warm though the health check failed as well")
+		t.Error("server is warm although the health check failed as well")
 	}
 	e.HealthCheckCompleted(t0+2*time.Second, "s0", OK, nil, r)
 	if !isCold() {
-		t.Error("warm after a later health check's answer: the process may have started since")
+		t.Error("server is warm after a later health check was answered, although the process may have started since")
 	}
 }
 
-// A response on a connection that was made before the failures shows the process up, too. What failed before that is
-// still suspected.
+// A response on a connection that was established before a failed connection shows that the process was up. Connections
+// that failed before it was established still count as a sign of a restart.
 func TestResponseOnOlderConnectionClearsFailures(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(1)...)
 	s := e.servers.list[0]
@@ -140,85 +143,85 @@
 		s.recordConnectFailure(t0 + time.Duration(i+1)*ms)
 	}
 	e.now, e.actions = t0+time.Second, r
-	e.occupancy.recordLatency(e.now, s, 0, ms) // its class is known
+	e.occupancy.recordLatency(e.now, s, 0, ms) // so that the latency of the class is known
 	q := &request{}
 	e.learnFromAttempt(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + 3*ms/2})
 	if s.connectFailedAt != t0+ms {
-		t.Errorf("suspected since %v, want the failure before the connection was made", s.connectFailedAt-t0)
+		t.Errorf("got last failed connection at %v, want 1ms, before the response's connection", s.connectFailedAt-t0)
 	}
 	e.learnFromAttempt(q, s, AttemptResult{Result: OK, Latency: ms, ConnectedAt: t0 + ms/2})
 	if s.connectFailedAt != 0 {
-		t.Error("cold after an answer on a connection older than all failures")
+		t.Error("server is cold after a response on a connection older than all failures")
 	}
 }
 
-// suspectAll has an engine receive a peer's findings that all servers are unresponsive.
-func suspectAll(e *Engine, from int) {
+// receiveDownFindings passes a peer's findings that all servers are unresponsive to an engine.
+func receiveDownFindings(e *Engine, from int) {
 	for _, s := range e.servers.list {
 		receiveFinding(e, from, quota.Finding{ServerID: s.gossipID})
 	}
 }
 
-// countSuspected returns how many members of the subset are suspected. None may count as unresponsive.
+// countSuspected returns how many members of the subset are suspected. It fails the test if any counts as unresponsive.
 func countSuspected(t *testing.T, e *Engine) (suspected int) {
 	t.Helper()
 	for _, s := range e.subset.members {
 		suspected += boolToInt(e.now < s.suspectedUntil)
 		if s.isUnresponsive {
-			t.Fatalf("%s counts as unresponsive by suspicion alone", s.ID)
+			t.Fatalf("server %s counts as unresponsive by suspicion alone", s.ID)
 		}
 	}
 	return suspected
 }
 
-// Suspicion by one peer that all servers are unresponsive changes nothing. By two it makes no server unresponsive:
-// a health check goes to each, and at most half of the subset is avoided for it.
+// The findings of one peer that all servers are unresponsive have no effect. Those of two peers make no server
+// unresponsive: each server is checked, and at most half of the subset is suspected and avoided.
 func TestSuspicionNeedsTwoPeers(t *testing.T) {
 	e, r := newSubsetEngine(t)
 	e.now, e.actions = t0+10*time.Second, r
 	for range 5 {
-		suspectAll(e, 9)
+		receiveDownFindings(e, 9)
 	}
 	if n := countSuspected(t, e); n > 0 || r.count("check") > 0 {
-		t.Fatalf("one report: %d servers suspected, %d health checks", n, r.count("check"))
+		t.Fatalf("findings of one peer: got %d servers suspected and %d health checks, want none", n, r.count("check"))
 	}
-	suspectAll(e, 10)
+	receiveDownFindings(e, 10)
 	if n := countSuspected(t, e); n == 0 || 2*n > len(e.subset.members)+1 || r.count("check") == 0 {
 		t.Fatalf(
-			"two reports: %d of %d servers suspected, %d health checks",
+			"findings of two peers: got %d of %d servers suspected and %d health checks, want up to half",
 			n, len(e.subset.members), r.count("check"),
 		)
 	}
 	for range 40 {
 		s := e.selector.selectServer(e.now, &request{Request: Request{ID: "x"}})
 		if s == nil || e.now < s.suspectedUntil {
-			t.Fatalf("a suspected server was selected: %+v", s)
+			t.Fatalf("got server %+v, want one that is not suspected", s)
 		}
 	}
 	for _, s := range e.subset.members {
 		e.failures.recordResponse(e.now, s)
 	}
 	if n := countSuspected(t, e); n != 0 {
-		t.Errorf("%d servers suspected that have answered since", n)
+		t.Errorf("got %d suspected servers after all have responded, want 0", n)
 	}
 }
 
-// Old reports do not count, and peers count for less than a response of a moment ago.
+// Old findings of peers do not count, and findings of peers count for less than a response received a moment ago.
 func TestSuspicionYieldsToEvidence(t *testing.T) {
 	e, r := newSubsetEngine(t)
 	e.now, e.actions = t0+10*time.Second, r
-	suspectAll(e, 10)
+	receiveDownFindings(e, 10)
 	e.now += 10 * time.Second
-	suspectAll(e, 9)
+	receiveDownFindings(e, 9)
 	if n := countSuspected(t, e); n != 0 {
-		t.Errorf("an old report counted: %d servers suspected", n)
+		t.Errorf("got %d servers suspected by an old finding, want 0", n)
 	}
 	for _, s := range e.subset.members {
-		s.lastHeardAt = e.now - freshEvidenceAge/2
+		s.lastResponseAt = e.now - freshEvidenceAge/2
 	}
-	suspectAll(e, 10)
+	receiveDownFindings(e, 10)
 	if countSuspected(t, e) != 0 {
-		t.Error("peers count for more than a response of a moment ago")
+		t.Error("servers that have just responded are suspected")
 	}
 }
 
@@ -241,18 +244,18 @@
 		}
 		e.failures.recordResponse(e.now, s)
 	}
-	z.pass(100 * ms)
+	z.advance(100 * ms)
 	return z
 }
 
-// pass lets time pass, in which zone a goes on responding, and closes a sample.
-func (z *twoZones) pass(d time.Duration) {
+// advance advances the time, records a response of zone a, and closes a sample.
+func (z *twoZones) advance(d time.Duration) {
 	z.now += d
 	z.failures.recordResponse(z.now, z.a[0])
 	z.closeSample()
 }
 
-// countRequestsToB returns how many of 100 requests would go to zone b.
+// countRequestsToB returns how many of 100 requests would be sent to zone b.
 func (z *twoZones) countRequestsToB() (n int) {
 	for range 100 {
 		n += boolToInt(z.selector.selectServer(z.now, &request{Request: Request{ID: "x"}}).Zone == "b")
@@ -260,68 +263,69 @@
 	return n
 }
 
-// failTwoOfB has two servers of zone b leave unanswered what was sent to them.
-func (z *twoZones) failTwoOfB() {
+// failTwoServersOfB makes two servers of zone b leave unanswered what was sent to them.
+func (z *twoZones) failTwoServersOfB() {
 	sent := z.now
-	z.pass(300 * ms)
+	z.advance(300 * ms)
 	z.failures.recordNoResponse(z.now, z.b[0], sent)
 	z.failures.recordNoResponse(z.now, z.b[1], sent)
-	z.pass(100 * ms)
+	z.advance(100 * ms)
 }
 
-// One unresponsive server is no lost zone, however often it fails.
-func TestOneServerIsNoUnresponsiveZone(t *testing.T) {
+// One unresponsive server does not make its zone unresponsive, however often it fails.
+func TestOneUnresponsiveServerIsNotAZoneFailure(t *testing.T) {
 	z := newTwoZones(t)
 	if z.countRequestsToB() == 0 {
-		t.Fatal("zone b gets no requests while all is well")
+		t.Fatal("zone b gets no requests while all servers respond")
 	}
 	sent := z.now
-	z.pass(300 * ms)
+	z.advance(300 * ms)
 	z.failures.recordNoResponse(z.now, z.b[0], sent)
 	z.failures.recordNoResponse(z.now, z.b[0], sent)
-	z.pass(100 * ms)
+	z.advance(100 * ms)
 	if z.countRequestsToB() == 0 {
 		t.Fatal("one unresponsive server made its zone unresponsive")
 	}
 }
 
-// An unresponsive zone gets no more requests as soon as two of its servers have failed, though nothing was sent to
-// the others, and the bound on work in flight excludes it; one response of any of them brings it back.
+// A zone is unresponsive as soon as two of its servers have failed: it gets no more requests, although nothing was sent
+// to its other servers, and does not count in the bound on work in flight. One response of any of its servers ends
+// that.
 func TestUnresponsiveZone(t *testing.T) {
 	z := newTwoZones(t)
-	z.failTwoOfB()
+	z.failTwoServersOfB()
 	if n := z.countRequestsToB(); n > 0 {
-		t.Errorf("%d of 100 requests go to an unresponsive zone", n)
+		t.Errorf("got %d of 100 requests sent to an unresponsive zone, want 0", n)
 	}
 	want := 170 * float64(len(z.a)) / float64(len(z.subset.members))
 	if _, n := z.load.reachableInFlight(z.now, z.servers.list, &z.settings); math.Abs(n-want) > 1e-9 {
-		t.Errorf("%v servers in reach, want %v", n, want)
+		t.Errorf("got %v reachable servers, want %v", n, want)
 	}
-	z.pass(5 * time.Second)
+	z.advance(5 * time.Second)
 	if z.countRequestsToB() > 0 {
-		t.Error("the zone is back by itself")
+		t.Error("the unresponsive zone gets requests again without a response")
 	}
 	z.failures.recordResponse(z.now, z.b[2])
-	z.pass(300 * ms)
+	z.advance(300 * ms)
 	if z.countRequestsToB() == 0 {
-		t.Error("the zone stays unresponsive though one of its servers has answered")
+		t.Error("the zone gets no requests although one of its servers has responded")
 	}
 }
 
-// The findings of three peers make a zone unresponsive of which this node has no evidence of its own.
+// The findings of three peers make a zone unresponsive although this node has no evidence of its own.
 func TestPeersFindUnresponsiveZone(t *testing.T) {
 	z := newTwoZones(t)
-	z.pass(time.Second)
+	z.advance(time.Second)
 	for peer := range 3 {
 		receiveFinding(z.Engine, peer+10, quota.Finding{ServerID: z.b[peer+3].gossipID})
 	}
-	z.pass(100 * ms)
+	z.advance(100 * ms)
 	if z.countRequestsToB() > 0 {
-		t.Error("the findings of three peers on an unresponsive zone count for nothing")
+		t.Error("the zone gets requests despite the findings of three peers")
 	}
 }
 
-// An unresponsive server's turn to be checked comes earlier.
+// The next health check of an unresponsive server is due earlier.
 func TestUnresponsiveServersAreCheckedEarlier(t *testing.T) {
 	e, r := newSubsetEngine(t)
 	e.now, e.actions = t0+10*time.Second, r
@@ -333,18 +337,18 @@
 	e.healthChecks.credit = 1
 	e.closeSample()
 	if r.count(want) != 1 {
-		t.Errorf("%v, want %s", r.actions, want)
+		t.Errorf("got actions %v, want %s", r.actions, want)
 	}
 }
 
-// receiveFinding has an engine receive a finding of a peer.
+// receiveFinding passes a finding of a peer to an engine, and sends the health checks that follow from it.
 func receiveFinding(e *Engine, from int, finding quota.Finding) {
 	for _, s := range e.failures.receiveFinding(e.now, from, finding) {
 		e.healthChecks.send(e.now, s, e.actions)
 	}
 }
 
-// setFleetMean sets one of the fleet's means, as an engine knows them.
+// setFleetMean sets one of the fleet's means of an engine.
 func setFleetMean(e *Engine, mean int, value float64) {
 	state := e.overload.State()
 	state.FleetMeans[mean] = value
--- a/policy/overload/estimate.go
+++ b/policy/overload/estimate.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	minOwnReadings    = 10  // readings of ρ; with fewer of its own a node uses the fleet's means
-	minLearnOccupancy = 0.1 // ρ̂ from which µmax is sampled
-	throughputWeight  = 0.1 // of a new sample in the moving average of µmax
+	minOwnReadings    = 10  // readings of ρ; a node with fewer of its own uses the fleet's means
+	minLearnOccupancy = 0.1 // ρ̂ from which µmax is updated
+	throughputWeight  = 0.1 // weight of a new sample in the moving average of µmax
 
 	// minFleetReadings is the number of readings of ρ, per sample of the fleet's means, below which ρ̂ counts as 0.
 	minFleetReadings = minOwnReadings * ownMeansWeight / 25
 )
 
-// CountAccepted counts an accepted request, of which α is the rate.
+// CountAccepted counts an accepted request; α is the rate of accepted requests.
 func (c *Controller) CountAccepted() { c.accepted[c.sampleIndex()]++ }
 
 // AddReading records one reading of ρ, 0 to 1.
--- a/policy/overload/in_flight.go
+++ b/policy/overload/in_flight.go
@@ -3,24 +3,26 @@
 import "math"
 
 const (
-	queueTimeFraction     = 0.3 // of a latency objective, for what is in flight
-	certainOverloadFactor = 3.0 // multiple of the bound that is no random fluctuation
+	queueTimeFraction     = 0.3 // fraction of a latency objective in which all work in flight must be answered
+	certainOverloadFactor = 3.0 // multiple of the bound that cannot be a random fluctuation
 
 	// MinInFlightPerServer is the lower limit of the bound on work in flight: attempts for each server, over all nodes.
 	MinInFlightPerServer = 2.0
 )
 
-// The bound on work in flight is an exception to ARO, whose f reacts to responses and so is late when work queues up.
-// By Little's law the attempts in flight over the responses per second are the delay of a new request; if that is too
-// long for its latency objective, it is rejected. It is wrong for latency that is long without queueing.
+// The bound on work in flight is not part of ARO, whose f depends on responses and so reacts late when work queues up.
+// By Little's law the attempts in flight divided by the responses per second are the delay of a new request. If the
+// delay is too long for the latency objective of the request, the request is rejected. The bound rejects too many
+// requests if latency is long without queueing.
 
-// QueueTime returns the seconds in which all that is in flight must be answered for a new request to be admitted, by
-// its latency objective in seconds and its value, from 0 to 1. Requests of low value are rejected first.
+// QueueTime returns the time, in seconds, in which all work in flight must be answered for a new request to be
+// admitted. It depends on the request's latency objective, in seconds, and its value, from 0 to 1: requests of low
+// value are rejected first.
 func QueueTime(latencyObjective, value float64) float64 {
 	return queueTimeFraction * (1 + value) / 2 * latencyObjective
 }
 
-// Load is what the bound on work in flight of a node compares.
+// Load is the load of a node, which is compared with the bound on work in flight.
 type Load struct {
 	InFlight      float64 // attempts at reachable servers, without overdue ones
 	Servers       float64 // reachable servers, each counted as its capacity fraction
@@ -33,8 +35,9 @@
 	FleetResponseRate float64 // good responses per second and node
 }
 
-// IsOverBound reports whether more is in flight than can be answered within a queue time, in seconds. With few attempts
-// in flight the bound may be passed at random: unless it is passed by far, the fleet's means must pass it too.
+// IsOverBound reports whether more work is in flight than can be answered within a queue time, in seconds. With few
+// attempts in flight, the bound may be exceeded at random: unless it is exceeded by certainOverloadFactor, the fleet's
+// means must exceed it too.
 func (l Load) IsOverBound(queueTime float64) bool {
 	floor := MinInFlightPerServer * l.Servers / float64(l.InstanceCount)
 	bound := l.ResponseRate * queueTime
--- a/policy/overload/in_flight_test.go
+++ b/policy/overload/in_flight_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestIsOverBound(t *testing.T) {
-	// 100 responses a second within 0.1 s: a bound of 10; 4 servers of 2 nodes: a floor of 4.
+	// 100 responses per second and a queue time of 0.1 s give a bound of 10; 4 servers and 2 nodes a lower limit of 4.
 	busy := Load{Servers: 4, InstanceCount: 2, ResponseRate: 100}
 	quiet := Load{Servers: 4, InstanceCount: 2, ResponseRate: 50}
 	with := func(l Load, inFlight, fleetInFlight, fleetRate float64) Load {
@@ -27,15 +27,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.load.IsOverBound(0.1); got != c.want {
-				t.Errorf("over the bound: %v, want %v", got, c.want)
+				t.Errorf("got over the bound %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Requests of low value leave room to those of high value.
+// Requests of low value are rejected earlier than those of high value.
 func TestQueueTimeGrowsWithValue(t *testing.T) {
 	if low, high := QueueTime(1, 0), QueueTime(1, 1); low != 0.15 || high != 0.3 {
-		t.Errorf("%v s for the lowest value and %v s for the highest, want 0.15 and 0.3", low, high)
+		t.Errorf("got queue times of %v s for the lowest and %v s for the highest value, want 0.15 and 0.3", low, high)
 	}
 }
--- a/policy/overload/means.go
+++ b/policy/overload/means.go
@@ -1,18 +1,18 @@
 package overload
 
 const (
-	ownMeansWeight  = 0.05 // of an own sample in the fleet's means: a time constant of two seconds
-	peerMeansWeight = 0.3  // of a peer's means in them
-	minMeanSamples  = 20   // own samples, two seconds, after which the means are sent
+	ownMeansWeight  = 0.05 // weight of an own sample in the fleet's means: a time constant of two seconds
+	peerMeansWeight = 0.3  // weight of a peer's means in the fleet's means
+	minMeanSamples  = 20   // own samples, over two seconds, after which the means are sent
 )
 
-// Means are the fleet's means, per sample and node, by the Mean constants. Messages hold them in this order.
+// Means are the fleet's means per sample and node, indexed by the Mean constants. Messages contain them in this order.
 type Means [meanCount]float64
 
 // The indexes of [Means].
 const (
 	MeanReadingSum = iota // sum of the readings of the occupancy
-	MeanReadings          // their number
+	MeanReadings          // number of these readings
 	MeanAccepted          // requests accepted
 	MeanResponses         // good responses
 	MeanInFlight          // young attempts in flight
@@ -29,9 +29,9 @@
 	}
 }
 
-// ReceiveMeans merges a peer's means. The first ones replace this node's, which begin at zero: when many nodes start
-// together, all would otherwise admit too much at the same moment. Nodes that know nothing yet send zeros, which are
-// ignored since they would lower the others' means.
+// ReceiveMeans merges a peer's means. The first means received replace this node's, which start at zero: when many
+// nodes start together, all would otherwise admit too much at the same moment. Nodes without measurements send zeros,
+// which are ignored since they would lower the other nodes' means.
 func (c *Controller) ReceiveMeans(means Means) {
 	if means == (Means{}) {
 		return
--- a/policy/overload/overload.go
+++ b/policy/overload/overload.go
@@ -1,9 +1,9 @@
-// Package overload is ARO, "Acceptance-Rate Occupancy", of "Fast and Robust Signaling Overload Control" (section 4.3),
-// with its deterministic throttling (4.4), and the bound on work in flight beside it. It does no I/O: the caller
-// closes a sample every [SampleInterval].
+// Package overload implements ARO, "Acceptance-Rate Occupancy", of "Fast and Robust Signaling Overload Control"
+// (section 4.3), with its deterministic throttling (4.4), and a separate bound on work in flight. It does no I/O: the
+// caller closes a sample every [SampleInterval].
 //
-// Comments name the paper's symbols. Not the paper's: f starts at 1, fA acts from highOccupancy on and once µmax is
-// known, K = k, and the bound on work in flight.
+// Comments use the paper's symbols. The package differs from the paper as follows: f starts at 1, fA applies from
+// highOccupancy on and once µmax is known, K = k, and the bound on work in flight is added.
 package overload
 
 import (
@@ -22,15 +22,15 @@
 	occupancyTarget      = 0.95 // ρtarg
 	maxGrowth            = 1.3  // φmax
 	minAdmitFraction     = 0.1  // fmin, so that a recovery is always noticed
-	highOccupancy        = 0.8  // ρ from which fA acts as well as fO
+	highOccupancy        = 0.8  // ρ from which fA applies as well as fO
 	lowOccupancy         = 0.5  // ρ up to which requests beyond quotas may be forwarded
 	lowSubsetOccupancy   = 0.7  // the same with a subset of the servers
-	minOccupancy         = 1e-9 // as a divisor
+	minOccupancy         = 1e-9 // lower limit of ρ̂ as a divisor
 )
 
-// Controller is ARO: of the requests that quotas admit, it admits the fraction that the servers can take. A node with
-// too few samples of its own uses the means over the fleet. It is not safe for concurrent use.
-// Invariant: minAdmitFraction <= admitFraction <= 1 once started; 0 <= throttleCredit < 1 between requests.
+// Controller implements ARO: of the requests that quotas admit, it admits the fraction that the servers have capacity
+// for. A node with too few samples of its own uses the means over the fleet. A Controller is not safe for concurrent
+// use. Invariant: minAdmitFraction <= admitFraction <= 1 once started; 0 <= throttleCredit < 1 between requests.
 type Controller struct {
 	admitFraction  float64 // f
 	throttleCredit float64 // r
@@ -39,15 +39,15 @@
 	maxThroughput  float64 // µmax, moving average, in requests per sample; 0: not known
 
 	sampleCount      int                           // samples closed so far
-	occupancySums    [samplesPerAssessment]float64 // of each sample: sum of the readings of ρ
-	occupancySamples [samplesPerAssessment]float64 // their number
-	accepted         [samplesPerAssessment]float64 // requests accepted
+	occupancySums    [samplesPerAssessment]float64 // sum of the readings of ρ, by sample
+	occupancySamples [samplesPerAssessment]float64 // number of the readings of ρ, by sample
+	accepted         [samplesPerAssessment]float64 // requests accepted, by sample
 
 	hasPeerMeans bool
 	fleetMeans   Means // per sample, over this node and its peers
 }
 
-// Start has the controller admit all requests until its first assessment.
+// Start makes the controller admit all requests until its first assessment.
 func (c *Controller) Start() { c.admitFraction = 1 }
 
 // AdmitFraction returns f, the fraction of requests admitted, 0 to 1.
@@ -66,8 +66,9 @@
 	return true
 }
 
-// CloseSample ends a sample, in which so many good responses came and at whose end so many attempts are in flight.
-// Every k-th one is followed by an assessment. It reports whether throttling has just begun.
+// CloseSample ends a sample, given the number of good responses received in it and the number of young attempts in
+// flight at its end. Every k-th sample is followed by an assessment. CloseSample reports whether throttling has just
+// started.
 func (c *Controller) CloseSample(responses, inFlight float64) (startedThrottling bool) {
 	before := c.admitFraction
 	i := c.sampleIndex()
@@ -96,7 +97,7 @@
 	return clampFraction(phi * c.admitFraction)
 }
 
-// fractionByAcceptanceRate returns fA, with αtarg = ρtarg·µmax, or 1 while it does not act.
+// fractionByAcceptanceRate returns fA, with αtarg = ρtarg·µmax, or 1 while fA does not apply.
 func (c *Controller) fractionByAcceptanceRate() float64 {
 	if c.maxThroughput <= 0 || c.occupancy < highOccupancy || c.acceptanceRate <= 0 {
 		return 1
@@ -104,10 +105,10 @@
 	return clampFraction(occupancyTarget * c.maxThroughput / c.acceptanceRate * c.admitFraction)
 }
 
-// clampFraction keeps f between fmin and 1.
+// clampFraction clamps f to the range from fmin to 1.
 func clampFraction(f float64) float64 { return math.Min(math.Max(f, minAdmitFraction), 1) }
 
-// HasSpareCapacity reports whether the servers can take requests beyond quotas.
+// HasSpareCapacity reports whether the servers have capacity for requests beyond quotas.
 func (c *Controller) HasSpareCapacity(usesAllServers bool) bool {
 	limit := lowOccupancy
 	if !usesAllServers {
@@ -116,5 +117,6 @@
 	return c.occupancy < limit && c.admitFraction >= 1
 }
 
-// IsHighlyOccupied reports whether the servers are so occupied that late and hedged requests are given up.
+// IsHighlyOccupied reports whether the occupancy is so high that late requests are rejected and no hedged requests are
+// sent.
 func (c *Controller) IsHighlyOccupied() bool { return c.occupancy >= highOccupancy }
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// ARO: full rejections drive f down, calm brings it back, and the throttle is even.
+// Full occupancy lowers f, and low occupancy raises it to 1 again.
 func TestAdmitFractionFollowsOccupancy(t *testing.T) {
 	var c Controller
 	c.Start()
@@ -14,7 +14,7 @@
 		c.CloseSample(0, 0)
 	}
 	if c.admitFraction > 0.9 {
-		t.Errorf("f %v after 5 s at occupancy 1", c.admitFraction)
+		t.Errorf("got f = %v after 5 s at occupancy 1, want at most 0.9", c.admitFraction)
 	}
 	low := c.admitFraction
 	for range 50 {
@@ -22,7 +22,7 @@
 		c.CloseSample(0, 0)
 	}
 	if c.admitFraction != 1 || low < minAdmitFraction {
-		t.Errorf("f %v after 5 s of calm, least %v", c.admitFraction, low)
+		t.Errorf("got f = %v after 5 s at low occupancy and %v before, want 1 and at least fmin", c.admitFraction, low)
 	}
 }
 
@@ -31,12 +31,12 @@
 	c := Controller{admitFraction: 0.25}
 	for i := 1; i <= 20; i++ {
 		if got, want := c.Admit(), i%4 == 0; got != want {
-			t.Errorf("request %d: admitted %v, want %v", i, got, want)
+			t.Errorf("request %d: got admitted %v, want %v", i, got, want)
 		}
 	}
 }
 
-// Requests beyond quotas are taken while the servers are little occupied and nothing is throttled.
+// Requests beyond quotas are admitted while occupancy is low and no requests are throttled.
 func TestHasSpareCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -52,7 +52,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.controller.HasSpareCapacity(c.usesAllServers); got != c.want {
-				t.Errorf("spare capacity: %v, want %v", got, c.want)
+				t.Errorf("got spare capacity %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -63,12 +63,12 @@
 	var c Controller
 	for i := range minMeanSamples {
 		if c.HasMeansToShare() {
-			t.Fatalf("means are sent after %d samples", i)
+			t.Fatalf("got means to share after %d samples, want none", i)
 		}
 		c.CloseSample(1, 1)
 	}
 	if !c.HasMeansToShare() || c.hasPeerMeans {
-		t.Error("what it measured for two seconds is not sent")
+		t.Error("got no own means to share after two seconds")
 	}
 }
 
@@ -87,13 +87,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			c.own.ReceiveMeans(c.received)
 			if got := c.own.FleetMeans(); got != c.want {
-				t.Errorf("means %v, want %v", got, c.want)
+				t.Errorf("got means %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A successor continues with the fraction of its predecessor, within its range.
+// A successor continues with the admit fraction of its predecessor, clamped to its range.
 func TestRestore(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -105,9 +105,9 @@
 			var restored Controller
 			restored.Restore(State{AdmitFraction: c.saved, SampleCount: -1})
 			if got := restored.AdmitFraction(); got != c.want {
-				t.Errorf("f %v, want %v", got, c.want)
+				t.Errorf("got f = %v, want %v", got, c.want)
 			}
-			restored.CloseSample(0, 0) // a negative count of samples would panic
+			restored.CloseSample(0, 0) // would panic with a negative sample count
 		})
 	}
 }
--- a/policy/overload/state.go
+++ b/policy/overload/state.go
@@ -1,7 +1,7 @@
 package overload
 
-// State is the encoded state of a [Controller], which a process hands to its successor. Its keys are stored and must
-// not change.
+// State is the encoded state of a [Controller], which a process sends to its successor. Its JSON keys are stored and
+// must not change.
 type State struct {
 	AdmitFraction    float64                       `json:"F"`
 	ThrottleCredit   float64                       `json:"R"`
@@ -31,7 +31,8 @@
 	}
 }
 
-// Restore replaces the controller's state with that of a predecessor, brought into range.
+// Restore replaces the controller's state with that of a predecessor. The admit fraction and the sample count are
+// clamped to their valid ranges.
 func (c *Controller) Restore(saved State) {
 	*c = Controller{
 		admitFraction:    clampFraction(saved.AdmitFraction),
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -10,28 +10,29 @@
 	"mulleinmux/zonehealth"
 )
 
-// The intervals of the overload controller, in whose steps the engine measures.
+// The intervals of the overload controller. The engine takes its own measurements in the same samples.
 const (
 	sampleInterval     = overload.SampleInterval
 	assessmentInterval = overload.AssessmentInterval
 )
 
-// Engine decides for one edge node. It is composed of types that each own their state; its exported methods are the
-// events of the host, and the order in which an event asks these types stands in the engine's methods alone.
+// Engine makes the decisions of one edge node. It is composed of types that each own their state. Its exported methods
+// handle the events of the host; the order in which an event evaluates the rules is defined in the methods of Engine
+// alone.
 type Engine struct {
 	settings  Settings
 	rng       *rand.Rand
-	index     settingsIndex // of the tables in the settings
+	index     settingsIndex // of the classes and plans in the settings
 	startedAt time.Duration
 
-	// Of the event being handled.
+	// The event being handled.
 	now     time.Duration
 	actions Actions
 
 	// Requests.
 	requests   requestTable
 	retries    retryBudget
-	rejections [rejectReasonCount]uint64 // requests rejected, by reason
+	rejections [rejectReasonCount]uint64 // number of rejected requests, by reason
 
 	// Servers.
 	servers      serverTable
@@ -59,7 +60,7 @@
 }
 
 // New returns an engine for the settings, or an error that wraps a [*SettingError]. The seed determines all random
-// numbers: two engines with the same seed and the same events call the same actions.
+// numbers: two engines with the same settings, the same seed and the same events call the same actions.
 func New(s Settings, seed uint64) (*Engine, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -85,12 +86,12 @@
 	e.quotas = quota.NewTable(newQuotaFleet(&e.settings), e.settings.Plans)
 	e.gossip = quota.NewGossip(uint64(e.rng.Uint32()>>16), s.InstanceCount)
 	e.requests = newRequestTable(uint64(e.rng.Uint32() >> 12))
-	connectParts(e)
+	wireComponents(e)
 	return e, nil
 }
 
-// connectParts gives each part of a new engine the state of others that it reads.
-func connectParts(e *Engine) {
+// wireComponents gives each component of a new engine references to the other components' state that it reads.
+func wireComponents(e *Engine) {
 	e.failures = failureDetector{
 		settings: &e.settings, subset: &e.subset, zones: zonehealth.New(zonehealth.DefaultSettings),
 	}
@@ -111,13 +112,13 @@
 	}
 }
 
-// Start begins the engine's work. Call it once, before any other event.
+// Start starts the engine. The host calls it once, before any other event.
 func (e *Engine) Start(now time.Duration, actions Actions) {
 	e.beginEvent(now, actions)
 	e.startedAt = now
 	e.overload.Start()
 	e.quotas.StartedAt = now
-	// Nodes that are started together must not take their samples and gossip at the same moments.
+	// Random delays prevent nodes that start together from sampling and gossiping at the same moments.
 	e.actions.SetTimer(timerToken(timerSample, 0), randomDelay(e.rng, sampleInterval))
 	if e.settings.AllowsGossip && e.settings.InstanceCount > 1 {
 		e.actions.SetTimer(timerToken(timerGossip, 0), randomDelay(e.rng, e.quotas.Fleet.GossipInterval))
@@ -127,7 +128,7 @@
 	}
 }
 
-// beginEvent sets the time and the actions of the event that is being handled.
+// beginEvent sets the time and the actions of the event being handled.
 func (e *Engine) beginEvent(now time.Duration, actions Actions) {
 	e.now = now
 	e.actions = actions
@@ -138,8 +139,8 @@
 	return time.Duration(rng.Int64N(int64(limit)))
 }
 
-// log tells the operators of an event; nil is none. It drops events within a second of the last one, and in the first
-// second: a missing line proves nothing.
+// log writes an event to the operators' log; nil is ignored. It drops events within a second of the last one, and in
+// the first second of the clock: a missing line does not prove that nothing happened.
 func (e *Engine) log(event LogEvent) {
 	if event != nil && e.now-e.lastLogAt >= time.Second {
 		e.lastLogAt = e.now
--- a/policy/quota_exchange.go
+++ b/policy/quota_exchange.go
@@ -1,7 +1,7 @@
 package policy
 
-// The exchange between the instances of a customer (members) and the owner of its quota. What the owner grants is
-// decided in policy/quota/owner.go, and what a member does without a response in policy/quota/member.go.
+// Messages between the owner of a customer's quota and the customer's other instances, the members. The rules of the
+// owner are in policy/quota/owner.go, those of a member that gets no response in policy/quota/member.go.
 
 import (
 	"time"
@@ -10,8 +10,8 @@
 	"mulleinmux/policy/quota"
 )
 
-// receiveQuotaMessage handles a message of a member to the owner, or of the owner to a member. A malformed one has no
-// effect.
+// receiveQuotaMessage handles a message from a member to the quota owner, or from the owner to a member. A malformed
+// message is ignored.
 func (e *Engine) receiveQuotaMessage(from int, encoded []byte) {
 	message, report, err := e.quotas.Codec().DecodeMessage(encoded)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}
 }
 
-// newPeerReport returns the report of this instance, without findings that have expired.
+// newPeerReport returns the report that this instance attaches to its quota messages. It has no expired findings.
 func newPeerReport(now time.Duration, controller *overload.Controller, failures *failureDetector) quota.Report {
 	var report quota.Report
 	if controller.HasMeansToShare() {
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -1,12 +1,12 @@
 package policy
 
-// The member's side of a quota with an owner: the requests to the owner, what is done without its response, and what is
-// returned to it. The rules are in policy/quota/member.go.
+// The member's side of a quota with an owner: quota requests, the decision if the owner does not respond, and the
+// return of unused units. The rules are in policy/quota/member.go.
 
 import "mulleinmux/policy/quota"
 
-// requestQuota sends the owner of a request's quota a request for its units, and waits for the response unless owners
-// are unresponsive.
+// requestQuota sends a quota request to the owner, and has the request wait for the response. If the owner is
+// unresponsive, the request is admitted or rejected at once.
 func (e *Engine) requestQuota(r *request) {
 	message := quota.Request{Charge: chargeOf(r), IsLate: r.isLate}
 	report := newPeerReport(e.now, &e.overload, &e.failures)
@@ -24,10 +24,10 @@
 	return quota.Charge{Number: r.number, Customer: r.quota.Customer, Scope: r.quota.Scope, Units: r.Units}
 }
 
-// admitWithoutOwner admits or rejects a request that its owner has not answered, and tells the owner of the units
-// spent.
+// admitWithoutOwner admits or rejects a request without a response from the quota owner, and reports the units that are
+// spent to the owner.
 func (e *Engine) admitWithoutOwner(r *request) {
-	r.ownerUnreachable = true
+	r.decidedWithoutOwner = true
 	e.ownerTimeouts.RecordTimeout(r.owner)
 	decision := r.quota.DecideWithoutOwner(e.rng.Float64())
 	e.admit(r, decision)
@@ -38,8 +38,8 @@
 	}
 }
 
-// receiveQuotaResponse admits or rejects the request that has waited for its owner. If it has been answered meanwhile
-// (its client has left, for example), the units granted are returned.
+// receiveQuotaResponse admits or rejects the request that waits for the owner's response. If the request was answered
+// during the wait (because its client disconnected, for example), the granted units are returned.
 func (e *Engine) receiveQuotaResponse(from int, m quota.Response) {
 	e.ownerTimeouts.RecordResponse(from)
 	r := e.requests.byNumber[m.Number]
@@ -56,8 +56,8 @@
 	e.admit(r, quota.Decision{IsInside: m.IsGranted, RetryAfter: m.Wait})
 }
 
-// endOwnerWait ends a request's wait for its owner, and reports whether the request has been answered meanwhile: then
-// nothing is kept of it.
+// endOwnerWait ends a request's wait for the quota owner, and reports whether the request was answered during the wait.
+// In that case it is removed from byNumber.
 func (t *requestTable) endOwnerWait(r *request) (wasAnswered bool) {
 	r.awaitsOwner = false
 	if r.isAnswered {
@@ -66,8 +66,8 @@
 	return r.isAnswered
 }
 
-// returnUnits returns units of a request that were not used to its quota, here or at the owner, and the lease under a
-// limit in flight.
+// returnUnits returns unused units of a request to its quota, on this instance or at the owner, and returns the
+// request's lease under an in-flight limit.
 func (e *Engine) returnUnits(r *request, units float64) {
 	limitsInFlight := e.quotas.PlanOf(r.quota).MaxInFlight > 0
 	units, hasReturn := r.quotaToReturn(units, limitsInFlight)
@@ -82,16 +82,16 @@
 	message := quota.EncodeReturn(quota.Return{Number: r.number, Customer: r.quota.Customer, Units: units})
 	e.actions.SendGossip(r.owner, message)
 	if limitsInFlight && units == 0 {
-		e.actions.SendGossip(r.owner, message) // repeated: if lost, the lease would last until it expires
+		e.actions.SendGossip(r.owner, message) // sent twice: if it is lost, the lease is held until it expires
 	}
 }
 
-// quotaToReturn decides how many of the units that a request has not used are returned to its quota, and whether there
-// is anything to return. Of a request that the owner did not answer, it is only the lease under a limit in flight:
-// whether its units were granted is not known.
+// quotaToReturn returns how many unused units of a request are to be returned to its quota, and whether there is
+// anything to return. If the owner did not respond, it is not known whether the units were granted: only the lease
+// under an in-flight limit is returned.
 func (r *request) quotaToReturn(unused float64, limitsInFlight bool) (units float64, hasReturn bool) {
 	switch {
-	case r.ownerUnreachable:
+	case r.decidedWithoutOwner:
 		return 0, limitsInFlight
 	case r.inQuota:
 		return unused, unused != 0 || limitsInFlight
--- a/policy/quota_member_test.go
+++ b/policy/quota_member_test.go
@@ -7,14 +7,13 @@
 	"mulleinmux/policy/quota"
 )
 
-// Where a client disconnects while the owner is asked, its units are returned once they are granted, and nothing
-// is forwarded. Where they are rejected, or no response comes, nothing is returned, and nothing is kept of the
-// request.
+// If a client disconnects during the quota request, the units are returned once they are granted, and nothing is
+// forwarded. If they are rejected, or no response arrives, nothing is returned. The request is kept in no case.
 func TestClientDisconnectsDuringQuotaRequest(t *testing.T) {
 	granted := quota.Response{IsGranted: true, GrantFraction: 1}
 	for _, c := range []struct {
 		name      string
-		responses []quota.Response // before the owner's timeout; then the grant comes, late or again
+		responses []quota.Response // received before the owner timeout; a grant follows in each case
 		returned  []quota.Return   // without the number
 	}{
 		{"granted", []quota.Response{granted}, []quota.Return{{Customer: ownedCustomer, Units: 1}}},
@@ -24,7 +23,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			member, r := newOwnerEngine(t, 10)
 			member.RequestReceived(t0, ownerRequest(1, ownedCustomer), r)
-			ownerIndex, number := ownerAskedBy(member), member.requests.byID["r1"].number
+			ownerIndex, number := ownerIndexOf(member), member.requests.byID["r1"].number
 			member.ClientDisconnected(t0+10*ms, "r1", r)
 			r.gossip = nil
 			for _, response := range c.responses {
@@ -35,13 +34,13 @@
 
 			kept := len(member.requests.byID) + len(member.requests.byNumber)
 			if r.count("send") != 0 || kept != 0 {
-				t.Errorf("forwarded, or %d requests kept: %v", kept, r.actions)
+				t.Errorf("request was forwarded, or %d entries kept, want neither: %v", kept, r.actions)
 			}
 			for i := range c.returned {
 				c.returned[i].Number = number
 			}
 			if got := returnsTo(member, r, ownerIndex); !slices.Equal(got, c.returned) {
-				t.Errorf("returned: %+v, want %+v", got, c.returned)
+				t.Errorf("got returns %+v, want %+v", got, c.returned)
 			}
 		})
 	}
@@ -53,7 +52,7 @@
 	return quota.Codec{}.EncodeResponse(response, quota.Report{})
 }
 
-// returnsTo returns what a member has returned to an owner.
+// returnsTo returns the messages with which a member has returned units to an owner.
 func returnsTo(member *Engine, r *recorder, owner int) (returned []quota.Return) {
 	for _, message := range r.gossip[owner] {
 		decoded, _, err := member.quotas.Codec().DecodeMessage(message)
@@ -64,8 +63,8 @@
 	return returned
 }
 
-// A request returns what it did not use. Of one that the owner did not answer it is not known whether units were
-// granted: it returns the lease under a limit in flight alone.
+// A request returns the units that it did not use. If the owner did not respond, it is not known whether units were
+// granted: only the lease under an in-flight limit is returned.
 func TestQuotaToReturn(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -81,23 +80,23 @@
 		{"in the quota, used more", request{inQuota: true}, -3, false, -3, true},
 		{"in the quota, all used", request{inQuota: true}, 0, false, 0, false},
 		{"in the quota, lease", request{inQuota: true}, 0, true, 0, true},
-		{"owner unreachable", request{inQuota: true, ownerUnreachable: true}, 2, false, 0, false},
-		{"owner unreachable, lease", request{ownerUnreachable: true}, 2, true, 0, true},
+		{"owner unreachable", request{inQuota: true, decidedWithoutOwner: true}, 2, false, 0, false},
+		{"owner unreachable, lease", request{decidedWithoutOwner: true}, 2, true, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			units, hasReturn := c.request.quotaToReturn(c.unused, c.limitsInFlight)
 			if units != c.units || hasReturn != c.hasReturn {
-				t.Errorf("%v units, %v; want %v, %v", units, hasReturn, c.units, c.hasReturn)
+				t.Errorf("got %v units, hasReturn %v; want %v, %v", units, hasReturn, c.units, c.hasReturn)
 			}
 		})
 	}
 }
 
-// A request whose owner is not waited for, since it has not responded recently, is not kept for its response.
+// A request that does not wait for its owner, since the owner has not responded recently, is not kept for the response.
 func TestNoWaitForUnresponsiveOwner(t *testing.T) {
 	const maxOwnerTimeouts = 3 // in a row: see TestOwnerIsUnresponsive of package quota
 	e, r := newOwnerEngine(t, 10)
-	ownedCustomerQuota(e).GrantFraction = 0 // as of the last response: nothing is granted
+	ownedCustomerQuota(e).GrantFraction = 0 // as if the last responses had granted nothing
 	for n := range maxOwnerTimeouts + 1 {
 		e.RequestReceived(t0, ownerRequest(n, ownedCustomer), r)
 		for num := range e.requests.byNumber {
@@ -105,15 +104,15 @@
 		}
 	}
 	if r.count("reject") != maxOwnerTimeouts+1 || len(r.timers) < maxOwnerTimeouts {
-		t.Fatalf("not rejected without waiting: %v", r.actions)
+		t.Fatalf("requests were not rejected after the owner timeouts: %v", r.actions)
 	}
 	e.RequestReceived(t0, ownerRequest(maxOwnerTimeouts+1, ownedCustomer), r)
 	if len(e.requests.byID)+len(e.requests.byNumber) != 0 {
-		t.Errorf("%d requests are kept", len(e.requests.byNumber))
+		t.Errorf("%d requests are kept under their numbers, want none under number or ID", len(e.requests.byNumber))
 	}
 }
 
-// An owner that is down costs a wait: the fraction granted recently decides.
+// After the timeout of an owner, the fraction granted recently decides on the request.
 func TestOwnerTimeoutUsesGrantFraction(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -129,13 +128,13 @@
 			e.RequestReceived(t0, ownerRequest(1, ownedCustomer), r)
 			e.TimerFired(t0+quota.OwnerTimeout, timerToken(timerOwnerTimeout, e.requests.lastNumber), r)
 			if r.count("send") != c.sent || r.count("reject") != c.rejected {
-				t.Errorf("%v", r.actions)
+				t.Errorf("wrong number of requests sent or rejected: %v", r.actions)
 			}
 		})
 	}
 }
 
-// A request whose client waits less long than its owner takes is answered in time.
+// A request whose client's timeout is shorter than the owner timeout is answered in time.
 func TestRequestAwaitingOwnerIsAnswered(t *testing.T) {
 	e, r := newOwnerEngine(t, 10)
 	q := ownerRequest(1, ownedCustomer)
@@ -147,6 +146,6 @@
 		}
 	}
 	if r.count("reject") != 1 {
-		t.Errorf("%v", r.actions)
+		t.Errorf("got actions %v, want one rejection", r.actions)
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -10,15 +10,15 @@
 	q := newSharedRequest("rate", 1, 2)
 	// A new quota holds 40/2; half of it may be spent before the next broadcast.
 	if n := offerRequests(e, r, t0, 50, q); n != 10 {
-		t.Errorf("%d sent before the first broadcast, want 10", n)
+		t.Errorf("%d requests sent before the first broadcast, want 10", n)
 	}
 	e.TimerFired(t0, timerToken(timerGossip, 0), r)
 	if n := offerRequests(e, r, t0, 50, q); n != 5 {
-		t.Errorf("%d sent before the second broadcast, want 5", n)
+		t.Errorf("%d requests sent before the second broadcast, want 5", n)
 	}
 }
 
-// A split quota smaller than a request must not starve its customer.
+// A customer must get requests through even if an instance's part of its quota is smaller than one request.
 func TestSmallQuotaAdmitsOneRequest(t *testing.T) {
 	s := testSettings()
 	s.InstanceCount, s.Plans[1].Rate, s.Plans[1].Burst = 3, 0.5, 2
@@ -26,11 +26,11 @@
 	q := newSharedRequest("rate", 1, 3)
 	now := t0 + 4*time.Second
 	if n := offerRequests(e, r, now, 5, q); n != 1 {
-		t.Errorf("%d sent, want 1", n)
+		t.Errorf("%d requests sent, want 1", n)
 	}
 }
 
-// A customer that was rejected must not get one request from each instance as soon as one unit is free.
+// Once one unit is free, a customer that was rejected must not get a request through at each instance.
 func TestContendedCustomerWaitsForItsFraction(t *testing.T) {
 	e, r := newInstance(t, 0, 3)
 	q := newSharedRequest("rate", 1, 3)
@@ -38,14 +38,14 @@
 	e.quotas.Lookup(1).Tokens = 1.5
 	e.TimerFired(t0, timerToken(timerGossip, 0), r)
 	if n := offerRequests(e, r, t0+ms, 5, q); n != 0 {
-		t.Errorf("%d sent with units for one instance of three", n)
+		t.Errorf("%d requests sent with units for one instance of three, want 0", n)
 	}
 	if n := offerRequests(e, r, t0+60*ms, 5, q); n != 1 {
-		t.Errorf("%d sent with units for all, want 1", n)
+		t.Errorf("%d requests sent with units for all instances, want 1", n)
 	}
 }
 
-// The limit in flight counts the attempts that peers report.
+// The in-flight limit counts the attempts that peers report.
 func TestInFlightLimitCountsPeers(t *testing.T) {
 	a, ra := newInstance(t, 0, 2)
 	q := newSharedRequest("open", 1, 2)
@@ -58,11 +58,11 @@
 		b.TimerFired(t0, timerToken(timerGossip, 0), rb)
 	}
 	if got := sentA + rb.count("send"); sentA == 0 || got < 5 || got > 6 {
-		t.Errorf("%d in flight, %d of them on the peer; want 5 or 6", got, sentA)
+		t.Errorf("%d attempts in flight, %d of them at the peer; want 5 or 6", got, sentA)
 	}
 }
 
-// The true units that come with the response settle the quota.
+// The quota is corrected to the true units that the response reports.
 func TestSettledUnits(t *testing.T) {
 	s := testSettings()
 	s.SettlesUnits = true
@@ -70,11 +70,11 @@
 	e.RequestReceived(t0, newRequest(1, "safe", "rate", 1), r)
 	e.AttemptCompleted(t0, AttemptResult{ID: "r1", Result: OK, RequestAnswered: true, Units: 4}, r)
 	if got := e.quotas.Lookup(1).Tokens; got != 36 {
-		t.Errorf("%v tokens, want 36", got)
+		t.Errorf("quota has %v tokens, want 36", got)
 	}
 }
 
-// Customers seen once only must not fill the memory.
+// Quotas of customers that send no more requests must not fill the memory.
 func TestIdleQuotasAreDropped(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(4)...)
 	for i := 0; i < 20000; i++ {
@@ -86,6 +86,6 @@
 		}
 	}
 	if e.quotas.Len() > 5000 {
-		t.Errorf("%d quotas", e.quotas.Len())
+		t.Errorf("%d quotas are kept, want at most 5000", e.quotas.Len())
 	}
 }
