--- a/policy/quota_transfer_test.go
+++ b/policy/quota_transfer_test.go
@@ -11,13 +11,13 @@
 	"mulleinmux/policy/quota"
 )
 
-// transferSim is a fleet whose messages take time, get lost and are reordered, and one customer under a hard limit
-// whose requests come in bursts, now at one instance and now at another.
+// transferSim simulates a fleet whose messages are delayed, lost and reordered, with one customer under a hard limit
+// whose requests come in bursts at changing instances.
 type transferSim struct {
 	settings     Settings
 	engines      []*Engine
 	recorders    []*recorder
-	timers       [][]timerRequest // with the time at which each is due
+	timers       [][]recordedTimer // with the time at which each is due
 	network      []datagram
 	now          time.Duration
 	requestCount int
@@ -37,102 +37,103 @@
 
 func newTransferSim(t *testing.T, seed uint64, instances int) *transferSim {
 	t.Helper()
-	w := &transferSim{settings: testSettings(), now: t0, rng: rand.New(rand.NewPCG(seed, 4)),
+	s := &transferSim{settings: testSettings(), now: t0, rng: rand.New(rand.NewPCG(seed, 4)),
 		engines:   make([]*Engine, instances),
-		recorders: make([]*recorder, instances), timers: make([][]timerRequest, instances)}
-	w.settings.InstanceCount = instances
-	w.settings.Plans = []Plan{
+		recorders: make([]*recorder, instances), timers: make([][]recordedTimer, instances)}
+	s.settings.InstanceCount = instances
+	s.settings.Plans = []Plan{
 		{Name: "hard", Rate: 1000, Burst: 1000, HardLimitRate: 25, HardLimitBurst: 24, PriorityFactor: 1},
 	}
 	for i := range instances {
-		w.start(t, i)
+		s.start(t, i)
 	}
-	return w
+	return s
 }
 
-func (w *transferSim) start(t *testing.T, i int) {
+func (s *transferSim) start(t *testing.T, i int) {
 	t.Helper()
-	w.settings.InstanceIndex = i
-	e, err := New(w.settings, w.rng.Uint64())
+	s.settings.InstanceIndex = i
+	e, err := New(s.settings, s.rng.Uint64())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.engines[i], w.recorders[i], w.timers[i] = e, &recorder{}, nil
-	e.Start(w.now, w.recorders[i])
-	e.EndpointsChanged(w.now, EndpointsSaved, testServers(4), w.recorders[i])
-	w.collect(i, 0)
+	s.engines[i], s.recorders[i], s.timers[i] = e, &recorder{}, nil
+	e.Start(s.now, s.recorders[i])
+	e.EndpointsChanged(s.now, EndpointsSaved, testServers(4), s.recorders[i])
+	s.performActions(i, 0)
 }
 
-// collect carries out what an instance asked for: a fraction of its messages is lost.
-func (w *transferSim) collect(i int, loss float64) {
-	r := w.recorders[i]
+// performActions performs the actions of an instance since the last call. A fraction of its messages is lost.
+func (s *transferSim) performActions(i int, loss float64) {
+	r := s.recorders[i]
 	for _, tm := range r.timers {
-		w.timers[i] = append(w.timers[i], timerRequest{tm.token, w.now + tm.after})
+		s.timers[i] = append(s.timers[i], recordedTimer{tm.token, s.now + tm.after})
 	}
-	for to, msgs := range r.gossip {
-		for _, m := range msgs {
-			if w.rng.Float64() >= loss {
-				w.network = append(w.network, datagram{w.now + time.Duration(1+w.rng.IntN(60))*ms, i, to, m})
+	for to, messages := range r.gossip {
+		for _, m := range messages {
+			if s.rng.Float64() >= loss {
+				s.network = append(s.network, datagram{s.now + time.Duration(1+s.rng.IntN(60))*ms, i, to, m})
 			}
 		}
 	}
 	r.timers, r.gossip = nil, nil
 }
 
-// step moves the clock by a millisecond.
-func (w *transferSim) step(loss float64) {
-	w.now += ms
-	kept := w.network[:0]
-	for _, p := range w.network {
-		if p.at > w.now {
+// step advances the clock by a millisecond.
+func (s *transferSim) step(loss float64) {
+	s.now += ms
+	kept := s.network[:0]
+	for _, p := range s.network {
+		if p.at > s.now {
 			kept = append(kept, p)
 			continue
 		}
-		w.engines[p.to].GossipReceived(w.now, p.from, p.message, w.recorders[p.to])
-		w.collect(p.to, loss)
+		s.engines[p.to].GossipReceived(s.now, p.from, p.message, s.recorders[p.to])
+		s.performActions(p.to, loss)
 	}
-	w.network = kept
-	for i := range w.engines {
-		timers := w.timers[i]
-		if !slices.ContainsFunc(timers, func(tm timerRequest) bool { return tm.after <= w.now }) {
+	s.network = kept
+	for i := range s.engines {
+		timers := s.timers[i]
+		if !slices.ContainsFunc(timers, func(tm recordedTimer) bool { return tm.after <= s.now }) {
 			continue
 		}
-		w.timers[i] = nil
+		s.timers[i] = nil
 		for _, tm := range timers {
-			if tm.after > w.now {
-				w.timers[i] = append(w.timers[i], tm)
+			if tm.after > s.now {
+				s.timers[i] = append(s.timers[i], tm)
 			} else {
-				w.engines[i].TimerFired(w.now, tm.token, w.recorders[i])
-				w.collect(i, loss)
+				s.engines[i].TimerFired(s.now, tm.token, s.recorders[i])
+				s.performActions(i, loss)
 			}
 		}
 	}
 }
 
-// offer sends a request of the customer through an instance and completes what it forwards at once.
-func (w *transferSim) offer(i int) (sent bool) {
-	w.requestCount++
-	q := newRequest(w.requestCount, "safe", "hard", transferCustomer)
-	q.InstanceCount = len(w.engines)
-	r := w.recorders[i]
+// offer sends a request of the customer to an instance, and completes it at once if it is forwarded.
+func (s *transferSim) offer(i int) (sent bool) {
+	s.requestCount++
+	q := newRequest(s.requestCount, "safe", "hard", transferCustomer)
+	q.InstanceCount = len(s.engines)
+	r := s.recorders[i]
 	r.actions = nil
-	w.engines[i].RequestReceived(w.now, q, r)
+	s.engines[i].RequestReceived(s.now, q, r)
 	sent = r.count("send") == 1
 	if sent {
-		w.unitsSent++
+		s.unitsSent++
 		server := r.actions[0][len("send ")+len(q.ID)+1:]
 		completed := AttemptResult{ID: q.ID, Result: OK, Server: server, Latency: ms, RequestAnswered: true}
-		w.engines[i].AttemptCompleted(w.now, completed, r)
+		s.engines[i].AttemptCompleted(s.now, completed, r)
 	}
 	return sent
 }
 
-// hardLimitTokens returns what all parts hold, with what is in transit to an instance that can receive it.
-func (w *transferSim) hardLimitTokens() (units float64) {
-	for _, g := range w.engines {
-		if quota := g.quotas.Lookup(transferCustomer); quota != nil {
-			g.now = w.now
-			g.quotas.Refill(quota, w.now)
+// hardLimitTokens returns the sum of the tokens of all parts, with the units in transit to an instance that has yet to
+// receive them.
+func (s *transferSim) hardLimitTokens() (units float64) {
+	for _, e := range s.engines {
+		if quota := e.quotas.Lookup(transferCustomer); quota != nil {
+			e.now = s.now
+			e.quotas.Refill(quota, s.now)
 			units += quota.HardLimitTokens
 		}
 	}
@@ -141,9 +142,9 @@
 		epoch, sequence uint64
 	}
 	seen := map[messageID]bool{}
-	for _, p := range w.network {
-		m, _ := w.engines[p.to].quotas.Codec().DecodeGossip(p.message)
-		by := w.engines[p.to].gossip.Export()[p.from]
+	for _, p := range s.network {
+		m, _ := s.engines[p.to].quotas.Codec().DecodeGossip(p.message)
+		by := s.engines[p.to].gossip.Export()[p.from]
 		known := by.IsKnown && m.Epoch == by.Epoch
 		for i, es := range [][]quota.Entry{m.Entries, m.PreviousEntries} {
 			id := messageID{p.from, p.to, m.Epoch, m.Sequence - uint64(i)}
@@ -159,59 +160,59 @@
 	return units
 }
 
-// All parts of a hard limit, with the units in transit between them, hold no more than the whole, and what is
-// forwarded never exceeds the hard limit, whatever is lost, late or restarted.
+// All parts of a hard limit, with the units in transit between them, hold no more than the whole. The units forwarded
+// never exceed the hard limit, whichever messages are lost or late and whichever instances restart.
 func TestTransfersKeepTheHardLimit(t *testing.T) {
 	t.Parallel()
 	inTransit := seedtest.Collect(t, 1, 40, runTransferSeed)
 	if slices.Max(inTransit) == 0 {
-		t.Error("nothing was transferred: the sequences exercise nothing")
+		t.Error("no units were transferred: the runs do not exercise transfers")
 	}
 }
 
 // runTransferSeed checks the hard limit over 8 s, and returns the most units that an instance had in transit.
 func runTransferSeed(t *testing.T, seed uint64) (inTransit float64) {
-	w := newTransferSim(t, seed, 3)
-	p := w.settings.Plans[0]
+	s := newTransferSim(t, seed, 3)
+	p := s.settings.Plans[0]
 	loss := []float64{0, 0.1, 0.4}[seed%3]
-	busy, rate := 0, 0.0
-	level := 0.0 // of the true hard limit, were it empty at the start as the parts are
-	for w.now < t0+8*time.Second {
-		if w.rng.IntN(300) == 0 {
-			busy, rate = w.rng.IntN(3), []float64{0, 0.02, 0.3}[w.rng.IntN(3)]
+	busyInstance, rate := 0, 0.0
+	level := 0.0 // tokens of the true hard limit, if it is empty at the start as its parts are
+	for s.now < t0+8*time.Second {
+		if s.rng.IntN(300) == 0 {
+			busyInstance, rate = s.rng.IntN(3), []float64{0, 0.02, 0.3}[s.rng.IntN(3)]
 		}
-		if w.rng.IntN(4000) == 0 {
-			w.start(t, w.rng.IntN(3))
+		if s.rng.IntN(4000) == 0 {
+			s.start(t, s.rng.IntN(3))
 		}
-		w.step(loss)
+		s.step(loss)
 		level = math.Min(level+p.HardLimitRate/1000, p.HardLimitBurst)
-		if w.rng.Float64() < rate && w.offer(w.mostly(busy)) {
+		if s.rng.Float64() < rate && s.offer(s.pickInstance(busyInstance)) {
 			level--
 		}
 		if level < -1e-6 {
-			t.Fatalf("seed %d, %v: the hard limit is exceeded by %.2f units", seed, w.now-t0, -level)
+			t.Fatalf("seed %d, %v: hard limit exceeded by %.2f units", seed, s.now-t0, -level)
 		}
 		if loss == 0 {
-			if sum := w.hardLimitTokens(); sum > p.HardLimitBurst+1e-6 {
-				t.Fatalf("seed %d, %v: parts hold %.2f of %v", seed, w.now-t0, sum, p.HardLimitBurst)
+			if sum := s.hardLimitTokens(); sum > p.HardLimitBurst+1e-6 {
+				t.Fatalf("seed %d, %v: parts hold %.2f units, want at most %v", seed, s.now-t0, sum, p.HardLimitBurst)
 			}
 		}
-		inTransit = math.Max(inTransit, w.maxInTransit())
+		inTransit = math.Max(inTransit, s.maxInTransit())
 	}
 	return inTransit
 }
 
-// mostly returns an instance with three in four draws, and a random one of the three otherwise.
-func (w *transferSim) mostly(instance int) int {
-	if w.rng.IntN(4) == 0 {
-		return w.rng.IntN(3)
+// pickInstance returns the instance with a probability of 3/4, and otherwise one of the three at random.
+func (s *transferSim) pickInstance(instance int) int {
+	if s.rng.IntN(4) == 0 {
+		return s.rng.IntN(3)
 	}
 	return instance
 }
 
 // maxInTransit returns the most units that an instance has in transit.
-func (w *transferSim) maxInTransit() (units float64) {
-	for _, e := range w.engines {
+func (s *transferSim) maxInTransit() (units float64) {
+	for _, e := range s.engines {
 		if held := e.quotas.Lookup(transferCustomer); held != nil {
 			units = math.Max(units, held.UnitsInTransit())
 		}
@@ -219,20 +220,20 @@
 	return units
 }
 
-// A customer whose requests all come through one instance has nearly all of its hard limit's rate there.
+// A customer whose requests all go to one instance gets nearly the whole rate of its hard limit there.
 func TestBusyInstanceReceivesTransfers(t *testing.T) {
-	w := newTransferSim(t, 1, 3)
-	for w.now < t0+6*time.Second {
-		w.step(0)
-		if w.now%(10*ms) == 0 {
-			w.offer(2)
+	s := newTransferSim(t, 1, 3)
+	for s.now < t0+6*time.Second {
+		s.step(0)
+		if s.now%(10*ms) == 0 {
+			s.offer(2)
 		}
-		if w.now == t0+time.Second {
-			w.unitsSent = 0
+		if s.now == t0+time.Second {
+			s.unitsSent = 0
 		}
 	}
-	whole := 5 * w.settings.Plans[0].HardLimitRate
-	if w.unitsSent < 0.85*whole {
-		t.Errorf("%v units forwarded in 5 s through one of three instances, want nearly %v", w.unitsSent, whole)
+	whole := 5 * s.settings.Plans[0].HardLimitRate
+	if s.unitsSent < 0.85*whole {
+		t.Errorf("%v units forwarded in 5 s by one of three instances, want at least 0.85 of %v", s.unitsSent, whole)
 	}
 }
--- a/policy/rejections.go
+++ b/policy/rejections.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// rejection is why a request is rejected, and after how long its client should retry.
+// rejection is the reason why a request is rejected, and the delay after which its client should retry.
 type rejection struct {
 	reason     rejectReason
 	retryAfter time.Duration
 }
 
-// reject gives a request its final answer: trying again is harmless.
+// reject sends the final answer of a request that is rejected by a rule, which states to its client that a retry is
+// safe.
 func (e *Engine) reject(id string, rejected rejection) {
 	e.rejections[rejected.reason]++
 	e.actions.RejectRequest(id, e.settings.clientRetryAfter(rejected.retryAfter))
 }
 
-// clientRetryAfter returns the wait that a rejected client is told, for the one that its rule asks for.
+// clientRetryAfter returns the retry delay that is sent to the client, given the delay of the rule that rejected the
+// request.
 func (s *Settings) clientRetryAfter(wait time.Duration) time.Duration {
 	if !s.SendsRetryAfter {
 		wait = 0
@@ -29,17 +31,17 @@
 	rejectNone         rejectReason = iota
 	rejectUnknown                   // unknown class or plan, or no timeout
 	rejectOverloaded                // too much work in flight
-	rejectLate                      // a late try at high occupancy
+	rejectLate                      // late request at high occupancy
 	rejectShortTimeout              // a timeout shorter than the mean latency
 	rejectQuota                     // beyond the quota
 	rejectHardLimit                 // beyond this node's part of the hard limit
-	rejectThrottled                 // overload control
+	rejectThrottled                 // throttled by overload control
 	rejectNoServer                  // no server may serve it
-	rejectUnserved                  // no attempt has served it in time, and trying again is harmless
+	rejectUnserved                  // no attempt succeeded in time, and a retry by the client is safe
 	rejectReasonCount
 )
 
-// rejectReasonNames are the names in the metrics and in the operators' pages; they must not change.
+// rejectReasonNames are the names in the metrics and in the operators' documentation; they must not change.
 var rejectReasonNames = [rejectReasonCount]string{
 	rejectUnknown:      "unknown",
 	rejectOverloaded:   "jammed",
--- a/policy/request.go
+++ b/policy/request.go
@@ -11,57 +11,56 @@
 type attempt struct {
 	server        *server
 	sentAt        time.Duration
-	zone          string // of the server when it was sent
-	cell          int    // likewise
+	zone          string // the zone of the server when the attempt was sent
+	cell          int    // the cell of the server when the attempt was sent
 	isDone        bool
-	isStreaming   bool // its body or response is being streamed: it does not occupy the server
-	neverExecuted bool // known not to have run
+	isStreaming   bool // the request body or the response is being streamed; not counted as load of the server
+	neverExecuted bool // the server is known not to have executed it
 	result        Result
 }
 
-// request is a request that has no final answer yet, or attempts in flight. Invariant: inFlight counts the attempts
-// that have not ended, whether or not the request has its answer.
+// request is a request without a final answer, or one with attempts in flight. Invariant: inFlight counts the attempts
+// that have not ended, including those that are in flight after the final answer.
 type request struct {
 	Request
-	number           uint64 // identifies it in timers and quota messages
-	class            int
-	quota            *quota.Quota
-	deadline         time.Duration // clock reading at which the final answer is due
-	attempts         []attempt
-	inFlight         int
-	inQuota          bool
-	isLate           bool // it is known to come too late for its latency objective
-	ownerUnreachable bool // the owner did not answer in time: admitted at random by its recent grants
-	awaitsOwner      bool // a quota request is in flight
-	isGranted        bool // the owner granted its units, those of the hard limit included
-	owner            int  // index of the instance that was asked for its units, or of this one
-	isSettled        bool // its units have been corrected to the true ones
-	isAnswered       bool // it has its final answer, or its client has left
-	isStreaming      bool // its response has begun
+	number              uint64 // identifies it in timers and quota messages
+	class               int
+	quota               *quota.Quota
+	deadline            time.Duration // clock reading at which the final answer is due
+	attempts            []attempt
+	inFlight            int
+	inQuota             bool
+	isLate              bool // it cannot be answered within its latency objective: see [classLatency.isTooLate]
+	decidedWithoutOwner bool // the owner did not respond in time: admitted or rejected at random, by its recent grants
+	awaitsOwner         bool // a quota request to the owner is in flight
+	isGranted           bool // the owner granted its units, including those of the hard limit
+	owner               int  // index of the instance from which its units were requested, or of this one
+	isSettled           bool // its estimated units have been corrected to the true ones
+	isAnswered          bool // it has its final answer, or its client has disconnected
+	isStreaming         bool // its response has started
 }
 
-// requestTable holds the requests. Invariant: a request stands under its number until it is answered
-// and, where its quota's owner was asked, the owner has answered or timed out; and under its ID until its last
-// attempt has ended.
+// requestTable holds the requests. Invariant: a request is in byNumber until it is answered and no quota request to its
+// owner is in flight, and in byID until it is answered and its last attempt has ended.
 type requestTable struct {
 	byID       map[string]*request
 	byNumber   map[uint64]*request
 	lastNumber uint64
 }
 
-// newRequestTable returns an empty table. The last number used should be random: a response of an owner to an earlier
-// process of this instance must match no request.
+// newRequestTable returns an empty table. The last number used should be random, so that a response of a quota owner to
+// an earlier process of this instance matches no request.
 func newRequestTable(lastNumber uint64) requestTable {
 	return requestTable{byID: map[string]*request{}, byNumber: map[uint64]*request{}, lastNumber: lastNumber}
 }
 
-// nextNumber returns the number of a new request.
+// nextNumber returns the number for a new request.
 func (t *requestTable) nextNumber() uint64 {
 	t.lastNumber++
 	return t.lastNumber
 }
 
-// add enters a request under its ID and its number.
+// add adds a request under its ID and its number.
 func (t *requestTable) add(r *request) {
 	t.byID[r.ID] = r
 	t.byNumber[r.number] = r
@@ -75,28 +74,28 @@
 	return &r.attempts[index]
 }
 
-// end records how an attempt ended.
+// end records the result of an attempt that has ended.
 func (a *attempt) end(result Result) {
 	a.isDone = true
 	a.result = result
 	a.neverExecuted = neverExecuted(result)
 }
 
-// boundFigures returns a received request with its figures brought into range.
-func (s *Settings) boundFigures(received Request) Request {
+// clampRequest returns a received request with its units and its instance count clamped to their valid ranges.
+func (s *Settings) clampRequest(received Request) Request {
 	received.Units = math.Max(received.Units, 0)
 	received.InstanceCount = min(max(received.InstanceCount, 1), s.InstanceCount)
 	return received
 }
 
-// answerDeadline returns when the final answer of a received request is due: earlier than its client's timeout by two
-// event intervals, so that the answer is written in time.
+// answerDeadline returns the time at which the final answer of a received request is due: two event intervals before
+// its client's timeout, so that the answer is written in time.
 func (s *Settings) answerDeadline(received Request, now time.Duration) time.Duration {
 	return now + received.BodyTimeout + received.Timeout - 2*s.MinEventInterval
 }
 
-// settle decides how many units a request took too many of its quota, once its true units are known; a negative number
-// is too few. It is settled once, and only if it was inside its quota.
+// settle returns how many units a request took from its quota in excess of its true units; the number is negative if it
+// took too few. It settles a request once, when its true units are known, and only if it was inside its quota.
 func (r *request) settle(outcome AttemptResult, settings *Settings) (unused float64, isSettled bool) {
 	isKnown := outcome.Result == OK && outcome.Units > 0
 	if !isKnown || !settings.SettlesUnits || !r.inQuota || r.isSettled {
@@ -106,7 +105,7 @@
 	return r.Units - outcome.Units, true
 }
 
-// cancelAttempts cancels the attempts that are still in flight, if that is allowed.
+// cancelAttempts cancels the attempts that are still in flight, if the settings allow it.
 func (r *request) cancelAttempts(settings *Settings, actions Actions) {
 	if !settings.AllowsCancel {
 		return
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -1,10 +1,10 @@
 package policy
 
-// A request from its arrival to its end: its attempts, their ends, and its final answer.
+// The life cycle of a request: its attempts, their results, and its final answer.
 
 // startAttempt sends a request to a server and records the attempt.
 func (e *Engine) startAttempt(r *request, s *server) {
-	plan := planAttempt(e.now, r, e.latencies.of(r), e.overload.IsHighlyOccupied(), &e.settings)
+	plan := planAttempt(e.now, r, e.latencies.forRequest(r), e.overload.IsHighlyOccupied(), &e.settings)
 	if plan.isHedged {
 		e.actions.SetTimer(timerToken(timerHedge, r.number), plan.hedgeAfter)
 	}
@@ -12,9 +12,9 @@
 		s.lastProgressAt = e.now
 	}
 	s.recordConnectionUse(e.now)
-	// While its body is being received, an attempt does not occupy the server.
+	// An attempt whose request body is still being received does not count as load of the server.
 	if r.BodyTimeout == 0 {
-		e.load.occupy(s)
+		e.load.addInFlight(s)
 	}
 	r.inFlight++
 	r.quota.InFlight++
@@ -30,7 +30,7 @@
 func (e *Engine) endAttempt(r *request, a *attempt, result Result) {
 	a.end(result)
 	if !a.isStreaming {
-		e.load.release(a.server)
+		e.load.removeInFlight(a.server)
 	}
 	a.server.recordConnectionEnd(e.now, result)
 	r.inFlight--
@@ -38,10 +38,10 @@
 	e.quotas.MarkForGossip(r.quota)
 }
 
-// retry starts a further attempt if the budget, the deadline and the servers allow one, and reports whether
-// it did.
+// retry starts a further attempt if the retry budget, the deadline and the servers allow one, and reports whether it
+// did.
 func (e *Engine) retry(r *request) bool {
-	if !e.retries.allows() || !r.mayRetryInTime(e.now, e.latencies.of(r).mean) {
+	if !e.retries.allows() || !r.mayRetryInTime(e.now, e.latencies.forRequest(r).mean) {
 		return false
 	}
 	s := e.selector.selectServer(e.now, r)
@@ -53,8 +53,8 @@
 	return true
 }
 
-// answerUnserved gives a request that has no response its final answer: a rejection if trying again is harmless, or a
-// failure.
+// answerUnserved sends the final answer of a request that got no response: a rejection if a retry by the client is
+// safe, otherwise a failure.
 func (e *Engine) answerUnserved(r *request) {
 	if r.isAnswered {
 		return
@@ -68,14 +68,15 @@
 	r.cancelAttempts(&e.settings, e.actions)
 }
 
-// expireRequest gives a request its final answer if it has none. The request may be nil.
+// expireRequest sends the final answer of a request, unless it has one or its response is being streamed. The request
+// may be nil.
 func (e *Engine) expireRequest(r *request) {
 	if r != nil && !r.isAnswered && !r.isStreaming {
 		e.answerUnserved(r)
 	}
 }
 
-// closeRequest marks the request as answered. It stays in the table until its attempts have ended.
+// closeRequest marks the request as answered. The request stays in the table until its attempts have ended.
 func (e *Engine) closeRequest(r *request) {
 	r.isAnswered = true
 	if !r.awaitsOwner { // otherwise the owner may still grant units, which have to be returned
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	retryTokensPerRequest = 0.2 // that a forwarded request earns: one retry for each five
-	maxRetryTokens        = 20  // that can be saved
+	retryTokensPerRequest = 0.2 // tokens that each forwarded request adds: one retry for five requests
+	maxRetryTokens        = 20  // capacity of the budget
 )
 
 // retryBudget limits retries to a fraction of the requests forwarded, so that they cannot multiply an overload. A retry
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -10,10 +10,10 @@
 	"mulleinmux/internal/eventqueue"
 )
 
-// The rule checker: seeded random legal sequences drive several engines, and what they do is held against the text of
-// the five rules. Results are drawn at random; there is no model of how servers perform.
+// The rule checker: seeded random but valid sequences of events are passed to several engines, and their actions are
+// checked against the five rules. Results of attempts are drawn at random; the performance of servers is not modelled.
 
-// ruleAttempt is one attempt that an engine has sent.
+// ruleAttempt is an attempt that an engine has sent.
 type ruleAttempt struct {
 	server        string
 	sentAt        time.Duration
@@ -22,24 +22,25 @@
 	endedAt       time.Duration
 }
 
-// ruleRequest is a request and what became of it.
+// ruleRequest is a request, its attempts and its final answers.
 type ruleRequest struct {
-	request      Request
-	engine       int
-	incarnation  int // of the engine
-	receivedAt   time.Duration
-	attempts     []ruleAttempt
-	finalAnswers int
-	isKilled     bool
+	request         Request
+	engine          int
+	incarnation     int // incarnation of the engine that received it
+	receivedAt      time.Duration
+	attempts        []ruleAttempt
+	finalAnswers    int
+	engineRestarted bool
 }
 
-// trueHardLimit is a customer's hard limit over all engines together.
-type trueHardLimit struct {
+// referenceHardLimit is the token bucket of a customer's hard limit over all engines together, against which rule 5 is
+// checked.
+type referenceHardLimit struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// ruleChecker hosts several engines in simulated time and checks what they do.
+// ruleChecker hosts several engines in simulated time and checks their actions.
 type ruleChecker struct {
 	t               *testing.T
 	rng             *rand.Rand
@@ -52,60 +53,60 @@
 	requests        map[string]*ruleRequest
 	servers         map[string]Server
 	serverIDs       []string
-	drainNotifiedAt []map[string]time.Duration // per engine: when it was told that a server drains
+	drainNotifiedAt []map[string]time.Duration // by engine: when it was notified that a server is draining
 	bootedAt        map[string]time.Duration
-	sendsTo         map[string][]time.Duration // to each server
+	sendsTo         map[string][]time.Duration // times of the attempts sent to each server
 	responsesOf     map[string][]time.Duration
-	hardLimits      map[uint64]*trueHardLimit
-	loss            float64
+	hardLimits      map[uint64]*referenceHardLimit
+	gossipLoss      float64
 	log             []string
 	served          int
 }
 
-const serverRate = 40 // requests a second that a warm server answers; more are RejectedByServer
+const serverRate = 40 // requests per second that a warm server answers; it rejects more
 
-// ruleHost carries out what one process of an engine asks for.
+// ruleHost is the host of one process of an engine.
 type ruleHost struct {
 	checker     *ruleChecker
 	engine      int
 	incarnation int
 }
 
-func (w *ruleChecker) after(d time.Duration, run func()) {
-	w.events++
-	w.queue.Push(eventqueue.Event{At: w.now + max(d, ms), Order: w.events, Run: run})
+func (c *ruleChecker) schedule(d time.Duration, run func()) {
+	c.events++
+	c.queue.Push(eventqueue.Event{At: c.now + max(d, ms), Order: c.events, Run: run})
 }
 
-func (w *ruleChecker) fail(format string, args ...any) {
-	w.t.Helper()
-	w.t.Errorf("at %v: %s", w.now, fmt.Sprintf(format, args...))
+func (c *ruleChecker) fail(format string, args ...any) {
+	c.t.Helper()
+	c.t.Errorf("at %v: %s", c.now, fmt.Sprintf(format, args...))
 }
 
-func (p ruleHost) record(format string, args ...any) {
-	p.checker.log = append(p.checker.log, fmt.Sprintf("%v %d ", p.checker.now, p.engine)+fmt.Sprintf(format, args...))
+func (h ruleHost) record(format string, args ...any) {
+	h.checker.log = append(h.checker.log, fmt.Sprintf("%v %d ", h.checker.now, h.engine)+fmt.Sprintf(format, args...))
 }
 
-func (p ruleHost) SendAttempt(id, server string, timeout time.Duration) {
-	w := p.checker
-	p.record("send %s %s %v", id, server, timeout)
-	r := w.requests[id]
-	if r == nil || r.engine != p.engine {
-		w.fail("send of unknown request %s", id)
+func (h ruleHost) SendAttempt(id, server string, timeout time.Duration) {
+	checker := h.checker
+	h.record("send %s %s %v", id, server, timeout)
+	r := checker.requests[id]
+	if r == nil || r.engine != h.engine {
+		checker.fail("attempt of unknown request %s sent", id)
 		return
 	}
 	if r.finalAnswers > 0 {
-		w.fail("rule 1: %s sent after its final answer", id)
+		checker.fail("rule 1: attempt of %s sent after its final answer", id)
 	}
-	w.checkRetry(r, server)
-	if at, ok := w.drainNotifiedAt[p.engine][server]; ok && w.now-at > w.settings.DrainGracePeriod {
-		w.fail("rule 3: send to %s %v after its drain was told", server, w.now-at)
+	checker.checkRetry(r, server)
+	if at, ok := checker.drainNotifiedAt[h.engine][server]; ok && checker.now-at > checker.settings.DrainGracePeriod {
+		checker.fail("rule 3: attempt sent to %s %v after its draining was reported", server, checker.now-at)
 	}
 	if len(r.attempts) == 0 {
-		w.chargeHardLimit(r.request)
+		checker.chargeHardLimit(r.request)
 	}
-	w.checkCold(server)
-	res, took := w.drawResult(server)
-	limit := r.receivedAt + r.request.Timeout - w.now
+	checker.checkColdServer(server)
+	res, took := checker.drawResult(server)
+	limit := r.receivedAt + r.request.Timeout - checker.now
 	if timeout > 0 {
 		limit = min(limit, timeout)
 	}
@@ -113,23 +114,23 @@
 		res, took = TimedOut, limit
 	}
 	n := len(r.attempts)
-	r.attempts = append(r.attempts, ruleAttempt{server: server, sentAt: w.now})
-	w.after(took, func() { w.finish(p, r, n, res) })
+	r.attempts = append(r.attempts, ruleAttempt{server: server, sentAt: checker.now})
+	checker.schedule(took, func() { checker.completeAttempt(h, r, n, res) })
 }
 
 // classOf returns the class of a request.
-func (w *ruleChecker) classOf(q Request) Class {
-	for _, class := range w.settings.Classes {
+func (c *ruleChecker) classOf(q Request) Class {
+	for _, class := range c.settings.Classes {
 		if class.Name == q.Class {
 			return class
 		}
 	}
-	return w.settings.Classes[0]
+	return c.settings.Classes[0]
 }
 
-// checkRetry holds a further attempt against those before it: rule 2.
-func (w *ruleChecker) checkRetry(r *ruleRequest, server string) {
-	id, class, inFlight := r.request.ID, w.classOf(r.request), 0
+// checkRetry checks a further attempt against the earlier ones: rule 2.
+func (c *ruleChecker) checkRetry(r *ruleRequest, server string) {
+	id, class, inFlight := r.request.ID, c.classOf(r.request), 0
 	for _, a := range r.attempts {
 		if !a.isDone {
 			inFlight++
@@ -137,27 +138,27 @@
 		if a.neverExecuted {
 			continue
 		}
-		was, is := w.servers[a.server], w.servers[server]
+		was, is := c.servers[a.server], c.servers[server]
 		switch {
 		case class.Idempotency == NonIdempotent:
-			w.fail("rule 2: unsafe %s sent again", id)
-		case class.Idempotency == IdempotentWithKey && w.now-a.sentAt > class.DedupWindow:
-			w.fail("rule 2: keyed %s sent again after %v", id, w.now-a.sentAt)
+			c.fail("rule 2: non-idempotent %s sent again", id)
+		case class.Idempotency == IdempotentWithKey && c.now-a.sentAt > class.DedupWindow:
+			c.fail("rule 2: keyed %s sent again after %v, past its deduplication window", id, c.now-a.sentAt)
 		case class.Idempotency == IdempotentWithKey && class.DedupScope == DedupZone && was.Zone != is.Zone,
 			class.Idempotency == IdempotentWithKey && class.DedupScope == DedupCell && was.Cell != is.Cell:
-			w.fail("rule 2: keyed %s sent outside its group", id)
+			c.fail("rule 2: keyed %s sent again outside its deduplication scope", id)
 		}
 	}
-	if inFlight > 0 && !w.settings.AllowsHedging {
-		w.fail("rule 2: %s has two attempts in flight", id)
+	if inFlight > 0 && !c.settings.AllowsHedging {
+		c.fail("rule 2: %s has two attempts in flight", id)
 	}
 }
 
-// drawResult draws how an attempt at a server ends, and after how long.
-func (w *ruleChecker) drawResult(server string) (Result, time.Duration) {
-	took := time.Duration(w.rng.ExpFloat64() * float64(60*ms))
+// drawResult draws the result of an attempt at a server and its latency.
+func (c *ruleChecker) drawResult(server string) (Result, time.Duration) {
+	took := time.Duration(c.rng.ExpFloat64() * float64(60*ms))
 	res := OK
-	switch w.rng.IntN(24) {
+	switch c.rng.IntN(24) {
 	case 0:
 		res = ErrorResponse
 	case 1:
@@ -169,106 +170,107 @@
 	case 4:
 		took = time.Hour
 	}
-	if w.isOverRate(server) {
+	if c.isOverRate(server) {
 		res, took = RejectedByServer, ms
 	}
 	return res, took
 }
 
-// isOverRate tells whether a server has answered as many requests in the last second as it can.
-func (w *ruleChecker) isOverRate(server string) bool {
+// isOverRate reports whether a server has answered as many requests in the last second as it can.
+func (c *ruleChecker) isOverRate(server string) bool {
 	n := 0
-	for _, at := range w.responsesOf[server] {
-		if w.now-at < time.Second {
+	for _, at := range c.responsesOf[server] {
+		if c.now-at < time.Second {
 			n++
 		}
 	}
 	return n >= serverRate
 }
 
-func (w *ruleChecker) finish(p ruleHost, r *ruleRequest, n int, res Result) {
+func (c *ruleChecker) completeAttempt(host ruleHost, r *ruleRequest, n int, res Result) {
 	a := &r.attempts[n]
 	if a.isDone {
 		return
 	}
-	a.isDone, a.endedAt = true, w.now
+	a.isDone, a.endedAt = true, c.now
 	a.neverExecuted = res == RejectedByServer || res == ConnectFailed || res == NotSent
 	if res == OK {
-		w.responsesOf[a.server] = append(w.responsesOf[a.server], w.now)
+		c.responsesOf[a.server] = append(c.responsesOf[a.server], c.now)
 		if r.finalAnswers == 0 {
 			r.finalAnswers++
-			w.served++
+			c.served++
 		}
 	}
-	if r.isKilled || w.incarnations[p.engine] != p.incarnation {
+	if r.engineRestarted || c.incarnations[host.engine] != host.incarnation {
 		return
 	}
-	o := AttemptResult{ID: r.request.ID, Attempt: n, RequestAnswered: r.finalAnswers > 0, Result: res,
-		Server: a.server, Latency: w.now - a.sentAt}
-	w.engines[p.engine].AttemptCompleted(w.now, o, p)
+	result := AttemptResult{ID: r.request.ID, Attempt: n, RequestAnswered: r.finalAnswers > 0, Result: res,
+		Server: a.server, Latency: c.now - a.sentAt}
+	c.engines[host.engine].AttemptCompleted(c.now, result, host)
 }
 
-// chargeHardLimit takes a request's first attempt from its customer's hard limit: rule 5.
-func (w *ruleChecker) chargeHardLimit(q Request) {
-	p := w.settings.Plans[0]
+// chargeHardLimit charges a request's first attempt to its customer's hard limit, and checks rule 5.
+func (c *ruleChecker) chargeHardLimit(q Request) {
+	p := c.settings.Plans[0]
 	if q.Plan != p.Name {
 		return
 	}
-	s := w.hardLimits[q.Customer]
+	s := c.hardLimits[q.Customer]
 	if s == nil {
-		s = &trueHardLimit{p.HardLimitBurst, 0}
-		w.hardLimits[q.Customer] = s
+		s = &referenceHardLimit{p.HardLimitBurst, 0}
+		c.hardLimits[q.Customer] = s
 	}
-	s.tokens = math.Min(p.HardLimitBurst, s.tokens+p.HardLimitRate*(w.now-s.refilledAt).Seconds()) - q.Units
-	s.refilledAt = w.now
+	s.tokens = math.Min(p.HardLimitBurst, s.tokens+p.HardLimitRate*(c.now-s.refilledAt).Seconds()) - q.Units
+	s.refilledAt = c.now
 	if s.tokens < -p.HardLimitSlack-1e-6 {
-		w.fail("rule 5: hard limit of customer %d at %.2f", q.Customer, s.tokens)
+		c.fail("rule 5: hard limit of customer %d exceeded: %.2f tokens left", q.Customer, s.tokens)
 	}
 }
 
-// checkCold counts what all engines send a cold server in any window: rule 4.
-func (w *ruleChecker) checkCold(server string) {
-	w.sendsTo[server] = append(w.sendsTo[server], w.now)
-	boot, ok := w.bootedAt[server]
-	if !ok || w.now-boot >= w.settings.SlowStartWindow {
+// checkColdServer checks the number of attempts that all engines send to a cold server in any window: rule 4.
+func (c *ruleChecker) checkColdServer(server string) {
+	c.sendsTo[server] = append(c.sendsTo[server], c.now)
+	boot, ok := c.bootedAt[server]
+	if !ok || c.now-boot >= c.settings.SlowStartWindow {
 		return
 	}
-	age := (w.now - boot).Seconds() / w.settings.SlowStartWindow.Seconds()
-	share := w.settings.SlowStartMinFraction + (1-w.settings.SlowStartMinFraction)*age
+	age := (c.now - boot).Seconds() / c.settings.SlowStartWindow.Seconds()
+	capacity := c.settings.SlowStartMinFraction + (1-c.settings.SlowStartMinFraction)*age
 	n := 0.0
-	for _, at := range w.sendsTo[server] {
-		if at >= boot && w.now-at <= w.settings.ColdOverloadWindow {
+	for _, at := range c.sendsTo[server] {
+		if at >= boot && c.now-at <= c.settings.ColdOverloadWindow {
 			n++
 		}
 	}
-	if n > w.settings.ColdOverloadMultiple*share*serverRate*w.settings.ColdOverloadWindow.Seconds() {
-		w.fail("rule 4: %v sends in %v to cold %s at %.2f", n, w.settings.ColdOverloadWindow, server, share)
+	if n > c.settings.ColdOverloadMultiple*capacity*serverRate*c.settings.ColdOverloadWindow.Seconds() {
+		c.fail("rule 4: %v attempts in %v sent to cold server %s with %.2f of its capacity",
+			n, c.settings.ColdOverloadWindow, server, capacity)
 	}
 }
 
-func (p ruleHost) finalAnswer(id, how string) *ruleRequest {
-	r := p.checker.requests[id]
-	p.record("%s %s", how, id)
-	if r == nil || r.engine != p.engine {
-		p.checker.fail("answer to unknown request %s", id)
+func (h ruleHost) recordFinalAnswer(id, action string) *ruleRequest {
+	r := h.checker.requests[id]
+	h.record("%s %s", action, id)
+	if r == nil || r.engine != h.engine {
+		h.checker.fail("final answer to unknown request %s", id)
 		return nil
 	}
 	if r.finalAnswers > 0 {
-		p.checker.fail("rule 1: second answer to %s", id)
+		h.checker.fail("rule 1: second final answer to %s", id)
 	}
-	if p.checker.now > r.receivedAt+r.request.Timeout+p.checker.settings.ResponseSlack {
-		p.checker.fail("rule 1: answer to %s late", id)
+	if h.checker.now > r.receivedAt+r.request.Timeout+h.checker.settings.ResponseSlack {
+		h.checker.fail("rule 1: final answer to %s is late", id)
 	}
 	r.finalAnswers++
 	return r
 }
 
-func (p ruleHost) RejectRequest(id string, _ time.Duration) {
-	r := p.finalAnswer(id, "reject")
+func (h ruleHost) RejectRequest(id string, _ time.Duration) {
+	r := h.recordFinalAnswer(id, "reject")
 	if r == nil {
 		return
 	}
-	for _, c := range p.checker.settings.Classes {
+	for _, c := range h.checker.settings.Classes {
 		isHarmless := c.Idempotency == Idempotent ||
 			c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAllServers
 		if c.Name != r.request.Class || isHarmless {
@@ -276,81 +278,81 @@
 		}
 		for _, a := range r.attempts {
 			if !a.neverExecuted {
-				p.checker.fail("rule 2: %s rejected though it may have run", id)
+				h.checker.fail("rule 2: %s rejected although it may have run", id)
 			}
 		}
 	}
 }
 
-func (p ruleHost) FailRequest(id string) { p.finalAnswer(id, "fail") }
+func (h ruleHost) FailRequest(id string) { h.recordFinalAnswer(id, "fail") }
 
-func (p ruleHost) CancelAttempt(id string, n int) {
-	p.record("cancel %s %d", id, n)
-	r := p.checker.requests[id]
-	p.checker.after(ms, func() { p.checker.finish(p, r, n, Cancelled) })
+func (h ruleHost) CancelAttempt(id string, n int) {
+	h.record("cancel %s %d", id, n)
+	r := h.checker.requests[id]
+	h.checker.schedule(ms, func() { h.checker.completeAttempt(h, r, n, Cancelled) })
 }
 
-func (p ruleHost) SetTimer(token uint64, d time.Duration) {
-	p.checker.after(d, func() {
-		if p.checker.incarnations[p.engine] == p.incarnation {
-			p.checker.engines[p.engine].TimerFired(p.checker.now, token, p)
+func (h ruleHost) SetTimer(token uint64, d time.Duration) {
+	h.checker.schedule(d, func() {
+		if h.checker.incarnations[h.engine] == h.incarnation {
+			h.checker.engines[h.engine].TimerFired(h.checker.now, token, h)
 		}
 	})
 }
 
-func (p ruleHost) CheckHealth(string) {}
+func (h ruleHost) CheckHealth(string) {}
 
-func (p ruleHost) SendGossip(to int, m []byte) {
+func (h ruleHost) SendGossip(to int, m []byte) {
 	if len(m) > 256 {
-		p.checker.fail("message of %d bytes", len(m))
+		h.checker.fail("gossip message has %d bytes, want at most 256", len(m))
 	}
 	b := append([]byte(nil), m...)
-	p.record("tell %d %x", to, b)
-	for k := p.checker.rng.IntN(2); k >= 0; k-- { // some come twice
-		if p.checker.rng.Float64() < p.checker.loss {
+	h.record("tell %d %x", to, b)
+	for k := h.checker.rng.IntN(2); k >= 0; k-- { // some are delivered twice
+		if h.checker.rng.Float64() < h.checker.gossipLoss {
 			continue
 		}
-		p.checker.after(time.Duration(p.checker.rng.IntN(150))*ms, func() {
-			p.checker.engines[to].GossipReceived(
-				p.checker.now, p.engine, b, ruleHost{p.checker, to, p.checker.incarnations[to]},
+		h.checker.schedule(time.Duration(h.checker.rng.IntN(150))*ms, func() {
+			h.checker.engines[to].GossipReceived(
+				h.checker.now, h.engine, b, ruleHost{h.checker, to, h.checker.incarnations[to]},
 			)
 		})
 	}
 }
 
-func (p ruleHost) WatchEndpoints(bool) {}
+func (h ruleHost) WatchEndpoints(bool) {}
 
-func (p ruleHost) Log(LogEvent) {}
+func (h ruleHost) Log(LogEvent) {}
 
-func (w *ruleChecker) start(i int) {
-	w.incarnations[i]++
-	for _, r := range w.requests {
+func (c *ruleChecker) startEngine(i int) {
+	c.incarnations[i]++
+	for _, r := range c.requests {
 		if r.engine == i && r.finalAnswers == 0 {
-			r.isKilled = true
+			r.engineRestarted = true
 		}
 	}
-	s := w.settings
+	s := c.settings
 	s.InstanceIndex = i
-	e, err := New(s, w.rng.Uint64())
+	e, err := New(s, c.rng.Uint64())
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	w.engines[i] = e
-	p := ruleHost{w, i, w.incarnations[i]}
-	e.Start(w.now, p)
-	w.sendEndpoints(i, EndpointsSaved, w.serverIDs...)
+	c.engines[i] = e
+	host := ruleHost{c, i, c.incarnations[i]}
+	e.Start(c.now, host)
+	c.sendEndpoints(i, EndpointsSaved, c.serverIDs...)
 }
 
-func (w *ruleChecker) sendEndpoints(i int, form EndpointUpdateKind, ids ...string) {
+func (c *ruleChecker) sendEndpoints(i int, kind EndpointUpdateKind, ids ...string) {
 	var list []Server
 	for _, id := range ids {
-		s := w.servers[id]
+		s := c.servers[id]
 		list = append(list, s)
 		if s.State == Up {
-			delete(w.drainNotifiedAt[i], id)
-		} else if _, ok := w.drainNotifiedAt[i][id]; !ok {
-			w.drainNotifiedAt[i][id] = w.now
+			delete(c.drainNotifiedAt[i], id)
+		} else if _, ok := c.drainNotifiedAt[i][id]; !ok {
+			c.drainNotifiedAt[i][id] = c.now
 		}
 	}
-	w.engines[i].EndpointsChanged(w.now, form, list, ruleHost{w, i, w.incarnations[i]})
+	c.engines[i].EndpointsChanged(c.now, kind, list, ruleHost{c, i, c.incarnations[i]})
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Factors on the cost of a server.
+// Factors of the cost of a server.
 const (
-	failureCostFactor      = 8   // added for a failure rate of 1
-	triedCostFactor        = 4   // for each failed attempt of the request at it
-	noConnectionCostFactor = 1.5 // without an idle connection to it
-	coldCostFactor         = 0.5 // while it warms up, with a subset: its warm-up budget limits it
-	crossZoneCostFactor    = 1.1 // in another zone, where sending there has a price
-	minLatencyRatio        = 0.1 // lower limit of the latency ratio
+	failureCostFactor       = 8   // the cost is multiplied by 1 plus this at a failure rate of 1
+	failedAttemptCostFactor = 4   // for each failed attempt of the request at the server
+	noConnectionCostFactor  = 1.5 // without an idle connection to the server
+	coldCostFactor          = 0.5 // during slow start, with a subset: its warm-up budget limits its load
+	crossZoneCostFactor     = 1.1 // in another zone, if attempts to other zones have a price
+	minLatencyRatio         = 0.1 // lower limit of the latency ratio
 )
 
-// Costs that are added, so that all other servers precede.
+// Costs that are added so that all other servers are preferred.
 const (
-	ejectedCost  = 1e6 // while it is ejected
-	notDrawnCost = 1e3 // while it is suspected, or when it was not drawn by its size
+	ejectedCost       = 1e6 // while the server is ejected
+	deprioritizedCost = 1e3 // while the server is suspected, or if a random choice by its size skips it
 )
 
-// serverSelector selects the server of an attempt: the least costly of a few random ones. If all nodes chose the best
-// of all servers, they would overload it.
+// serverSelector selects the server of an attempt: the least costly of a few random candidates. If all nodes chose the
+// best of all servers, they would overload it.
 type serverSelector struct {
 	settings  *Settings
 	rng       *rand.Rand
@@ -34,8 +34,8 @@
 	slowStart *slowStart
 }
 
-// selectServer returns the server for a request's next attempt, or nil: one of this node's subset or, if none
-// of it can serve the request or only ejected ones, one of all.
+// selectServer returns the server for a request's next attempt, or nil if no server can serve it. It selects a member
+// of this node's subset or, if no member or only an ejected one can serve the request, any server.
 func (p *serverSelector) selectServer(now time.Duration, r *request) *server {
 	s := p.leastCostServer(now, r, p.subset.members)
 	if p.subset.usesAllServers() || s != nil && !s.isEjected(now) {
@@ -48,12 +48,12 @@
 }
 
 // leastCostServer returns the least costly of a few random servers that may serve the request, or nil. It shuffles the
-// servers.
+// slice of servers.
 func (p *serverSelector) leastCostServer(now time.Duration, r *request, servers []*server) *server {
 	var best *server
-	var coldZone *zoneState // of a server left out for lack of warm-up budget
+	var coldZone *zoneState // zone of a server that was skipped for lack of warm-up budget
 	bestCost := math.Inf(1)
-	candidates := p.candidateCount() // to compare yet
+	candidates := p.candidateCount() // still to be compared
 	for i := range servers {
 		if best != nil && candidates == 0 && !best.isEjected(now) {
 			break
@@ -83,19 +83,19 @@
 	return best
 }
 
-// candidateCount returns how many servers are compared: more where there are many servers for each node.
+// candidateCount returns how many servers are compared. It grows with the number of servers for each node.
 func (p *serverSelector) candidateCount() int {
 	return max(len(p.servers.list)/p.settings.InstanceCount+1, 2)
 }
 
-// drawNext moves a random one of the servers from index i on to that index, and returns it.
+// drawNext swaps a random server of those from index i on to index i, and returns it.
 func (p *serverSelector) drawNext(servers []*server, i int) *server {
 	j := i + p.rng.IntN(len(servers)-i)
 	servers[i], servers[j] = servers[j], servers[i]
 	return servers[i]
 }
 
-// mayServe reports whether the request may go to the server at all.
+// mayServe reports whether the next attempt of the request may be sent to the server.
 func (p *serverSelector) mayServe(now time.Duration, r *request, s *server) bool {
 	if r.Zone != "" && s.Zone != r.Zone || !s.acceptsRequests() || !mayAttempt(now, r, s, p.settings) {
 		return false
@@ -106,31 +106,31 @@
 	return !isZoneOverloaded
 }
 
-// rank returns the cost of a server for a request, and whether it counts as one of the candidates compared:
-// ejected, suspected and not drawn ones do not, nor those of a subset that warm up.
+// rank returns the cost of a server for a request, and whether the server counts as one of the candidates compared.
+// Ejected, suspected and randomly skipped servers do not count, nor do members of a subset during slow start.
 func (p *serverSelector) rank(now time.Duration, r *request, s *server) (cost float64, isCandidate bool) {
 	cost = p.cost(now, s)
 	switch {
 	case s.isEjected(now):
 		cost += ejectedCost
 	case now < s.suspectedUntil, p.rng.Float64()*p.subset.maxWeight > p.serverSize(s):
-		cost += notDrawnCost
+		cost += deprioritizedCost
 	default:
 		isCandidate = p.subset.usesAllServers() || s.capacityFraction(now, p.settings) >= 1
 	}
 	for _, a := range r.attempts {
 		if a.server == s && a.result != OK {
-			cost *= triedCostFactor
+			cost *= failedAttemptCostFactor
 		}
 	}
 	return cost, isCandidate
 }
 
-// cost returns the expected delay at a server, as a multiple of the mean latency.
+// cost returns the expected delay at a server as a multiple of the mean latency.
 func (p *serverSelector) cost(now time.Duration, s *server) float64 {
 	latency := s.latencyRatio
 	if s.inFlight > 0 {
-		// Time without a response counts as latency: the server may be paused, down or cut off.
+		// Time without a response counts as latency: the server may be paused, down or unreachable.
 		stalled := (now - s.lastProgressAt).Seconds()
 		latency = math.Max(latency, stalled/math.Max(p.latencies.mean(), minMeanLatency))
 	}
@@ -151,7 +151,8 @@
 	return cost
 }
 
-// serverSize returns the server's weight or, where all have the same, the speed of its machine kind.
+// serverSize returns the server's weight, corrected for its number of holders. If all servers have the same weight, it
+// is multiplied by the speed of the server's machine kind.
 func (p *serverSelector) serverSize(s *server) float64 {
 	size := s.weight() * s.subsetCorrection
 	if speed, isKnown := p.latencies.kindSpeed(s.Kind); isKnown && !p.servers.weightsDiffer {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -13,23 +13,23 @@
 	q := newRequest(0, "safe", "rate", 1)
 	offerRequests(e, r, t0, 20, q)
 	if r.count("send") == 0 {
-		t.Fatal("nothing sent")
+		t.Fatal("no request was sent")
 	}
 	for _, a := range r.actions {
 		if strings.HasSuffix(a, " s0") {
-			t.Fatalf("%q", a)
+			t.Fatalf("action %q selects the draining server s0", a)
 		}
 	}
 	e.EndpointsChanged(t0, EndpointsComplete, nil, r)
 	r.actions = nil
 	if n := offerRequests(e, r, t0, 5, q); n != 0 {
-		t.Errorf("%d sent to servers gone from the list", n)
+		t.Errorf("got %d requests sent to servers removed from the list, want 0", n)
 	}
 }
 
-// Of two servers alike, the unresponsive, the failing, the slow, the cold and the busy one costs more.
+// Of two otherwise equal servers, the one that is unresponsive, failing, slow, cold or busy costs more.
 func TestServerCostRisesWithSymptoms(t *testing.T) {
-	for name, spoil := range map[string]func(*server){
+	for name, degrade := range map[string]func(*server){
 		"silent":    func(s *server) { s.lastProgressAt = t0 - time.Second },
 		"failing":   func(s *server) { s.failureRate = 0.3 },
 		"slow":      func(s *server) { s.latencyRatio = 2 },
@@ -45,17 +45,18 @@
 				s.inFlight, s.lastProgressAt = 1, t0
 			}
 			e.latencies.classes[0].mean = 0.1
-			spoil(b)
+			degrade(b)
 			if e.selector.cost(e.now, b) < 1.3*e.selector.cost(e.now, a) {
-				t.Errorf("%s: cost %v against %v", name, e.selector.cost(e.now, b), e.selector.cost(e.now, a))
+				t.Errorf("%s: got cost %v, want at least 1.3 times %v",
+					name, e.selector.cost(e.now, b), e.selector.cost(e.now, a))
 			}
 		})
 	}
 }
 
-// offerUnsafeRequests offers n requests one after the other. Those sent to s0 end as atFirst has it; the others are
-// answered. It returns how many went to s0.
-func offerUnsafeRequests(e *Engine, r *recorder, n int, atFirst func(now time.Duration, id string)) (sentToFirst int) {
+// offerUnsafeRequests passes n non-idempotent requests to an engine, one after the other. The parameter complete
+// completes those sent to s0; the others are answered. It returns how many were sent to s0.
+func offerUnsafeRequests(e *Engine, r *recorder, n int, complete func(now time.Duration, id string)) (sentToFirst int) {
 	for i := range n {
 		now := t0 + time.Duration(i)*20*ms
 		q := newRequest(i, "unsafe", "rate", uint64(i))
@@ -63,7 +64,7 @@
 		a := strings.Fields(r.last())
 		if a[0] == "send" && a[2] == "s0" {
 			sentToFirst++
-			atFirst(now, q.ID)
+			complete(now, q.ID)
 		} else {
 			completed := AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Server: a[2], Latency: 50 * ms}
 			e.AttemptCompleted(now+10*ms, completed, r)
@@ -72,32 +73,32 @@
 	return sentToFirst
 }
 
-// A server that fails fast must not draw traffic; the last one must not be ejected.
+// A server that fails fast must not attract requests, but is used when it is the only one.
 func TestFastFailingServerIsAvoided(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(4)...)
-	bad := offerUnsafeRequests(e, r, 400, func(now time.Duration, id string) {
+	sentToFailing := offerUnsafeRequests(e, r, 400, func(now time.Duration, id string) {
 		e.AttemptCompleted(now+ms, AttemptResult{ID: id, Result: ErrorResponse, Server: "s0", Latency: ms}, r)
 	})
-	if bad > 20 {
-		t.Errorf("%d of 400 requests went to the failing server", bad)
+	if sentToFailing > 20 {
+		t.Errorf("got %d of 400 requests sent to the failing server, want at most 20", sentToFailing)
 	}
 	e.EndpointsChanged(t0+9*time.Second, EndpointsComplete, testServers(1), r)
 	e.RequestReceived(t0+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
 	if r.last() != "send r1000 s0" {
-		t.Errorf("the last server is not used: %q", r.last())
+		t.Errorf("got action %q, want the request sent to the only server", r.last())
 	}
 }
 
-// Silence with work in flight counts as latency.
+// Time without a response while attempts are in flight counts as latency.
 func TestUnresponsiveServerIsAvoided(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(2)...)
-	toSilent := offerUnsafeRequests(e, r, 200, func(time.Duration, string) {})
-	if toSilent > 10 {
-		t.Errorf("%d of 200 requests went to the unresponsive server", toSilent)
+	sentToUnresponsive := offerUnsafeRequests(e, r, 200, func(time.Duration, string) {})
+	if sentToUnresponsive > 10 {
+		t.Errorf("got %d of 200 requests sent to the unresponsive server, want at most 10", sentToUnresponsive)
 	}
 }
 
-// Ejected servers must not use up the candidates: the choice among the others would be blind.
+// Ejected servers must not count as candidates: otherwise too few of the other servers would be compared.
 func TestEjectedServersUseNoCandidateSlot(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(12)...)
 	e.settings.InstanceCount = 6
@@ -107,19 +108,19 @@
 	for _, id := range []string{"s9", "s10"} {
 		e.servers.byID[id].inFlight, e.servers.byID[id].lastProgressAt = 9, t0
 	}
-	blind := 0
+	suboptimal := 0
 	for i := range 100 {
 		e.actions, e.now = r, t0
 		if s := e.selector.selectServer(e.now, &request{number: uint64(i)}); s.ID != "s11" {
-			blind++
+			suboptimal++
 		}
 	}
-	if blind > 5 {
-		t.Errorf("%d of 100 went past the idle server of three", blind)
+	if suboptimal > 5 {
+		t.Errorf("got %d of 100 selections that missed the only idle server, want at most 5", suboptimal)
 	}
 }
 
-// Of two equal servers, one with an idle connection is chosen.
+// Of two otherwise equal servers, the one with an idle connection is selected.
 func TestIdleConnectionsArePreferred(t *testing.T) {
 	e, r := newSubsetEngine(t)
 	e.now, e.actions = t0+time.Second, r
@@ -128,21 +129,22 @@
 			s.expectedConnections, s.lastUsedAt = 1, e.now
 		}
 	}
-	stand := 0
+	idle := 0
 	for range 400 {
-		stand += boolToInt(e.selector.selectServer(e.now, &request{Request: Request{ID: "x"}}).hasIdleConnection(e.now))
+		idle += boolToInt(e.selector.selectServer(e.now, &request{Request: Request{ID: "x"}}).hasIdleConnection(e.now))
 	}
-	if stand < 260 {
-		t.Errorf("%d of 400 went where a connection is idle, as it is at half of the subset", stand)
+	if idle < 260 {
+		t.Errorf("got %d of 400 selections with an idle connection, which half of the subset has, want at least 260",
+			idle)
 	}
 	s := e.subset.members[0]
 	s.expectedConnections, s.lastUsedAt = 1, e.now-idleConnectionTimeout
 	if s.hasIdleConnection(e.now) {
-		t.Error("a connection idle for long counts as open")
+		t.Error("a connection that has been idle for idleConnectionTimeout counts as open")
 	}
 }
 
-// A request that is kept to a zone goes to its servers alone, and to none where it has none.
+// A request restricted to a zone is sent only to servers of that zone, and rejected if there are none.
 func TestRequestRestrictedToZone(t *testing.T) {
 	s := Settings{InstanceCount: 1, MaxAttempts: 3,
 		Classes: []Class{{Name: "a", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
@@ -154,7 +156,7 @@
 		want := []string{"send " + q.ID + " x", "send " + q.ID + " y", "reject " + q.ID}[i%3]
 		e.RequestReceived(t0, q, r)
 		if r.last() != want {
-			t.Errorf("%s, want %s", r.last(), want)
+			t.Errorf("got action %s, want %s", r.last(), want)
 		}
 		e.AttemptCompleted(t0, AttemptResult{ID: q.ID, Result: OK, RequestAnswered: true, Latency: ms}, r)
 	}
@@ -165,12 +167,12 @@
 	s.PollsEndpoints = true
 	e, r := newEngine(t, s)
 	if r.count("watch true") != 1 {
-		t.Fatalf("%q", r.actions)
+		t.Fatalf("got actions %q, want one watch of the endpoint list", r.actions)
 	}
 	e.EndpointsChanged(t0, EndpointsUnavailable, nil, r)
 	last := r.timers[len(r.timers)-1]
 	e.TimerFired(t0+last.after, last.token, r)
 	if r.count("watch true") != 2 {
-		t.Errorf("no new subscription after an error: %q", r.actions)
+		t.Errorf("got actions %q after a failed poll, want a second watch of the endpoint list", r.actions)
 	}
 }
--- a/policy/server.go
+++ b/policy/server.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// minCapacityFraction is the least capacity fraction, used as a divisor.
+// minCapacityFraction is the lower limit of the capacity fraction, which is used as a divisor.
 const minCapacityFraction = 0.01
 
-// server is what is known of one server.
-// Invariant: inFlight counts the attempts that it is processing; what was learned of it applies to the process that
-// began at StartedAt, and is forgotten when the endpoint list shows a restart.
+// server is the engine's state of one server. Invariant: inFlight counts the attempts that the server is processing;
+// what was measured applies to the process that started at StartedAt, and is reset when the endpoint list shows a
+// restart.
 type server struct {
 	Server
 	isListed bool   // in the endpoint list and not removed
 	gossipID uint16 // identifies it in findings sent to peers; not unique
 	inFlight int    // attempts in flight
 
-	// Load and latency, for its cost.
+	// Load and latency, from which its cost is computed.
 	latencyRatio   float64       // moving average of the latency as a multiple of its class's mean
 	lastProgressAt time.Duration // clock reading of the last response, or of the first attempt when none was in flight
 	queueLength    float64       // reported; below 0: not reported
@@ -30,19 +30,19 @@
 	ejectedUntil         time.Duration
 	consecutiveEjections int
 
-	// Signs of life.
-	lastHeardAt       time.Duration    // clock reading of the last response of any kind
-	isUnresponsive    bool             // nothing recent was answered: until it responds, the last resort
-	suspectedUntil    time.Duration    // until then peers, or the detector of failed zones, report it down
-	downReports       suspicionReports // recent reports of peers that it is down
-	upReports         suspicionReports // recent reports of peers that it is up
-	healthCheckSince  time.Duration    // when a failed connection caused a health check that is in flight; 0: none
-	lastHealthCheckAt time.Duration
+	// Liveness.
+	lastResponseAt     time.Duration    // clock reading of the last response of any kind
+	isUnresponsive     bool             // nothing sent lately was answered; a last resort until it responds
+	suspectedUntil     time.Duration    // until then considered down, by peers or by the detector of failed zones
+	downReports        suspicionReports // recent reports of peers that it is down
+	upReports          suspicionReports // recent reports of peers that it is up
+	restartCheckSentAt time.Duration    // when a check due to a failed connection was sent, while in flight; 0: none
+	lastHealthCheckAt  time.Duration
 
 	// Connections, as the engine estimates them.
 	connectFailedAt     time.Duration   // last failure that may be due to a restart; 0: none
 	connectFailures     []time.Duration // such failures, oldest first
-	expectedConnections int             // connections that should be open
+	expectedConnections int             // connections that are assumed to be open
 	lastUsedAt          time.Duration   // when a connection was last used
 
 	warmup warmupBudget
@@ -51,7 +51,7 @@
 	subsetCorrection float64 // factor on its weight: above 1 if fewer nodes than average have it in their subset
 }
 
-// newServer returns a server of which nothing is known.
+// newServer returns a server of which nothing has been measured.
 func newServer(id string) *server {
 	return &server{
 		latencyRatio:     1,
@@ -63,13 +63,14 @@
 	}
 }
 
-// resetEjection forgets that the server was ejected.
+// resetEjection clears the ejection of the server and the count of its ejections.
 func (s *server) resetEjection() {
 	s.ejectedUntil = 0
 	s.consecutiveEjections = 0
 }
 
-// update sets the server's entry of the endpoint list. After a restart nothing that was learned of it applies.
+// update sets the server's entry of the endpoint list. If the entry shows a restart, update resets what was measured of
+// the earlier process.
 func (s *server) update(listed Server) {
 	if s.StartedAt != listed.StartedAt {
 		s.resetEjection()
@@ -84,7 +85,7 @@
 	s.isListed = listed.State != Removed
 }
 
-// isEjected reports whether the server gets a request only when no other can serve it.
+// isEjected reports whether the server gets a request only if no other server can serve it.
 func (s *server) isEjected(now time.Duration) bool { return s.isUnresponsive || now < s.ejectedUntil }
 
 // isSuspected reports whether this node or its peers consider the server down.
@@ -95,12 +96,12 @@
 // acceptsRequests reports whether the server is in the list and not draining.
 func (s *server) acceptsRequests() bool { return s.isListed && s.State == Up }
 
-// isWarmMember reports whether the server is a member of the subset that takes requests with its full capacity.
+// isWarmMember reports whether the server is a member of the subset that accepts requests at its full capacity.
 func (s *server) isWarmMember(now time.Duration, settings *Settings) bool {
 	return s.acceptsRequests() && s.inSubset && s.capacityFraction(now, settings) >= 1
 }
 
-// weight returns the server's relative size as listed, or 1.
+// weight returns the server's relative size as listed, or 1 if that is not known.
 func (s *server) weight() float64 {
 	if s.Weight > 0 {
 		return s.Weight
@@ -108,7 +109,8 @@
 	return 1
 }
 
-// decay keeps a fraction of what was learned of a server, if it has nothing in flight.
+// decay moves the latency ratio and the failure rate of a server with nothing in flight towards their initial values.
+// The fraction keep of the difference remains.
 func (s *server) decay(keep float64) {
 	if s.inFlight == 0 {
 		s.latencyRatio = 1 + (s.latencyRatio-1)*keep
@@ -116,8 +118,8 @@
 	}
 }
 
-// gossipIDOf returns the hash that identifies a server in findings. Of two servers with the same hash, a finding of one
-// has the other checked needlessly, and nothing worse.
+// gossipIDOf returns the hash that identifies a server in findings. If two servers have the same hash, a finding about
+// one causes a needless health check of the other, and nothing worse.
 func gossipIDOf(id string) uint16 {
 	f := fnv.New32a()
 	f.Write([]byte(id))
@@ -125,9 +127,9 @@
 	return uint16(h ^ h>>16)
 }
 
-// capacityFraction returns the fraction of its capacity that a server has, which grows linearly from
-// SlowStartMinFraction at its start to 1 after SlowStartWindow. A failed connection may be due to a start that the
-// endpoint list does not show yet.
+// capacityFraction returns the server's current capacity as a fraction of its full capacity. It grows linearly from
+// SlowStartMinFraction at the start of the server to 1 after SlowStartWindow. A failed connection counts as a start,
+// since it may be due to one that the endpoint list does not show yet.
 func (s *server) capacityFraction(now time.Duration, settings *Settings) float64 {
 	startedAt := max(s.StartedAt, s.connectFailedAt)
 	age := now - startedAt
--- a/policy/server_events.go
+++ b/policy/server_events.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// The events of servers: the endpoint list, health checks, and what the end of an attempt shows of its server.
+// Handlers of the events of servers: endpoint updates, health checks, and what the result of an attempt shows about its
+// server.
 
-// EndpointsChanged delivers the endpoint list or changes of it.
+// EndpointsChanged handles an update of the endpoint list.
 func (e *Engine) EndpointsChanged(now time.Duration, kind EndpointUpdateKind, entries []Server, actions Actions) {
 	e.beginEvent(now, actions)
 	if kind == EndpointsUnavailable {
@@ -20,7 +21,7 @@
 	e.subset.form(e.servers.list)
 }
 
-// HealthCheckCompleted handles the result of a health check of a server. The report is nil if none came.
+// HealthCheckCompleted handles the result of a health check of a server. The report is nil if the response had none.
 func (e *Engine) HealthCheckCompleted(
 	now time.Duration, server string, result Result, report *LoadReport, actions Actions,
 ) {
@@ -36,17 +37,17 @@
 		}
 		e.log(e.failures.recordResponse(now, s))
 		s.recordHealthCheckAnswer(now)
-		s.clearConnectFailuresSince(s.healthCheckSince)
+		s.clearConnectFailuresSince(s.restartCheckSentAt)
 	case ConnectFailed:
 		s.recordConnectFailure(now)
 		e.log(e.failures.recordNoResponse(now, s, s.lastHealthCheckAt))
 	case TimedOut:
 		e.log(e.failures.recordNoResponse(now, s, s.lastHealthCheckAt))
 	}
-	s.healthCheckSince = 0
+	s.restartCheckSentAt = 0
 }
 
-// learnFromAttempt updates what is known of a server with the end of an attempt.
+// learnFromAttempt updates the state of a server with the result of an attempt.
 func (e *Engine) learnFromAttempt(r *request, s *server, outcome AttemptResult) {
 	if e.settings.LoadReports == LoadReportsInResponses {
 		e.occupancy.recordLoadReport(e.now, s, outcome.LoadReport)
@@ -70,7 +71,7 @@
 		return
 	case TimedOut:
 		e.occupancy.recordSaturated()
-		s.recordTimeout(outcome.Latency, e.latencies.of(r).mean)
+		s.recordTimeout(outcome.Latency, e.latencies.forRequest(r).mean)
 	case ConnectFailed:
 		if e.failures.recordConnectFailure(e.now, s) {
 			e.healthChecks.send(e.now, s, e.actions)
--- a/policy/server_table.go
+++ b/policy/server_table.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// minEndpointPollDelay is how long after a failed poll of the endpoint list the next one begins, at least. It begins up
-// to as much later, so that nodes do not poll at the same moments.
+// minEndpointPollDelay is the minimum delay from a failed poll of the endpoint list to the next one. A random delay of
+// up to the same length is added, so that nodes do not poll at the same moments.
 const minEndpointPollDelay = time.Second
 
-// endpointPollDelay returns how long after a failed poll of the endpoint list the next one begins.
+// endpointPollDelay returns the delay from a failed poll of the endpoint list to the next one.
 func endpointPollDelay(rng *rand.Rand) time.Duration {
 	return minEndpointPollDelay + randomDelay(rng, minEndpointPollDelay)
 }
@@ -21,10 +21,10 @@
 type serverTable struct {
 	list          []*server
 	byID          map[string]*server
-	weightsDiffer bool // among the servers that accept requests
+	weightsDiffer bool // the servers that accept requests have different weights
 }
 
-// update applies the endpoint list or changes of it.
+// update applies a complete endpoint list or a delta.
 func (t *serverTable) update(kind EndpointUpdateKind, entries []Server) {
 	if kind != EndpointsDelta {
 		for _, s := range t.list {
@@ -44,7 +44,7 @@
 	t.compareWeights()
 }
 
-// prune drops removed servers that have nothing in flight.
+// prune drops removed servers that have no attempts in flight.
 func (t *serverTable) prune() {
 	kept := t.list[:0]
 	for _, s := range t.list {
@@ -99,8 +99,8 @@
 	return inFlight
 }
 
-// warmUtilization returns the mean utilization that the warm servers of a zone have reported of late; negative if none
-// has.
+// warmUtilization returns the mean utilization of the warm servers of a zone that have reported it within decayTime;
+// negative if none has.
 func (t *serverTable) warmUtilization(zone string, now time.Duration, settings *Settings) float64 {
 	sum, reports := 0.0, 0.0
 	for _, s := range t.list {
@@ -118,8 +118,8 @@
 	return sum / reports
 }
 
-// closeSample ends a sample: it forgets part of what was learned of servers, and returns the weight of the warm members
-// of the subset, each corrected for its number of holders.
+// closeSample ends a sample: it decays what was measured of each server, and returns the total weight of the warm
+// members of the subset, each corrected for its number of holders.
 func (t *serverTable) closeSample(now time.Duration, settings *Settings) (warmWeight float64) {
 	keep := math.Exp(-sampleInterval.Seconds() / decayTime.Seconds())
 	for _, s := range t.list {
@@ -131,8 +131,8 @@
 	return warmWeight
 }
 
-// ServerCounts returns the number of servers in the endpoint list, and of those that are avoided because they are
-// unresponsive or ejected.
+// ServerCounts returns the number of servers in the endpoint list, and the number of these that are avoided because
+// they are unresponsive or ejected.
 func (e *Engine) ServerCounts(now time.Duration) (listed, avoided int) {
 	for _, s := range e.servers.list {
 		if s.isListed {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -7,13 +7,13 @@
 	"mulleinmux/policy/quota"
 )
 
-// Idempotency is what repeating a request of a class does.
+// Idempotency states whether a request of a class may run more than once.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may be repeated freely
-	IdempotentWithKey                    // a repeat is dropped by its DedupScope during its DedupWindow
+	IdempotentWithKey                    // servers of its DedupScope drop a repeat during its DedupWindow
 	NonIdempotent                        // must never run twice
 )
 
@@ -32,15 +32,15 @@
 	Name             string
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotentWithKey
-	DedupWindow      time.Duration // likewise: how long a key is remembered, from the first send that may have run
+	DedupWindow      time.Duration // likewise; time that a key is kept from the first attempt that may have run
 	LatencyObjective time.Duration // up to this latency a response earns the full priority weight
-	Deadline         time.Duration // the client's total wait over all its tries
-	PriorityWeight   float64       // value of one response in time, relative to other classes
-	LateFraction     float64       // of the weight, earned between LatencyObjective and Deadline, 0 to 1
+	Deadline         time.Duration // a client's total wait over all its tries
+	PriorityWeight   float64       // value of a response within the latency objective, relative to other classes
+	LateFraction     float64       // fraction of the weight earned between LatencyObjective and Deadline, 0 to 1
 	IsStreaming      bool          // responses arrive as streams: see [Engine.ResponseStarted]
 }
 
-// Plan describes the quotas of each customer of one plan, over all nodes together.
+// Plan describes the quotas of each customer of a plan, over all nodes together.
 type Plan = quota.Plan
 
 // LoadReportMode is how servers report their load.
@@ -53,8 +53,9 @@
 	LoadReportsInHealthChecks                       // in health checks only
 )
 
-// Settings are fixed when an engine is created, except for [Engine.SetClasses] and [Engine.SetPlans]. The zero value
-// of a field means that the feature is absent, unless noted otherwise.
+// Settings are the settings of an [Engine]. They are fixed when it is created, except for the classes and plans, which
+// [Engine.SetClasses] and [Engine.SetPlans] replace. The zero value of a field means that the feature is absent, unless
+// noted otherwise.
 type Settings struct {
 	InstanceIndex int    // this node's index, from 0
 	InstanceCount int    // number of nodes, at least 1
@@ -62,12 +63,12 @@
 	Classes       []Class
 	Plans         []Plan
 
-	ResponseSlack        time.Duration // how long after the deadline a final answer still counts
+	ResponseSlack        time.Duration // time after the deadline for which a final answer still counts
 	DrainGracePeriod     time.Duration // how long a draining server may still be sent requests; unused
 	SlowStartMinFraction float64       // fraction of its capacity that a server has at its start, 0 to 1
-	SlowStartWindow      time.Duration // after its start, until a server has its full capacity
-	ColdOverloadMultiple float64       // multiple of its capacity at which a cold server fails,
-	ColdOverloadWindow   time.Duration // if it is sent that much for this long
+	SlowStartWindow      time.Duration // time from its start until a server has its full capacity
+	ColdOverloadMultiple float64       // multiple of its capacity that overloads a cold server
+	ColdOverloadWindow   time.Duration // time for which a cold server must be sent that much to be overloaded
 
 	MaxAttempts        int           // per request; 0: no limit
 	AllowsHedging      bool          // two attempts of one request may be in flight at once
@@ -75,16 +76,16 @@
 	AllowsGossip       bool          // [Actions.SendGossip] is allowed
 	AllowsHealthChecks bool          // [Actions.CheckHealth] is allowed
 	SendsRetryAfter    bool          // clients receive the Retry-After of a rejection
-	MaxRetryAfter      time.Duration // longer ones are cut to this
+	MaxRetryAfter      time.Duration // a longer Retry-After is cut to this
 
 	LoadReports          LoadReportMode
-	PollsEndpoints       bool          // the list must be subscribed to with [Actions.WatchEndpoints]
+	PollsEndpoints       bool          // the endpoint list must be subscribed to with [Actions.WatchEndpoints]
 	EndpointPollInterval time.Duration // with PollsEndpoints: interval at which an unsubscribed node must poll; unused
-	GossipInboxRate      float64       // gossip messages per second that a node receives at most; 0: no limit
-	SettlesUnits         bool          // [Request.Units] is an estimate until the first good response
-	MaxUnits             float64       // of one request; 0: not known
-	MinEventInterval     time.Duration // the shortest time between events
-	ConnectTimeout       time.Duration // a request that is sent may arrive this much later
+	GossipInboxRate      float64       // most gossip messages per second that a node receives; 0: no limit
+	SettlesUnits         bool          // [Request.Units] is an estimate until the first OK response
+	MaxUnits             float64       // most units of one request; 0: not known
+	MinEventInterval     time.Duration // shortest time between events
+	ConnectTimeout       time.Duration // an attempt may reach its server up to this much after it is sent
 
 	// Prices, in points.
 	CrossZonePrice   float64 // for attempts to other zones, as a fraction of requests
@@ -93,10 +94,10 @@
 	WastedWorkPrice  float64 // for server work whose response is not used
 }
 
-// SettingError is an invalid setting. Field names it as operators know it from earlier versions.
+// SettingError reports an invalid setting. Field has the name of the setting in earlier versions, which operators know.
 type SettingError struct {
 	Field   string // one name or several
-	Entry   string // name of the invalid class or plan; empty: the field as a whole
+	Entry   string // name of the invalid class or plan; empty: the setting as a whole
 	Problem string
 }
 
@@ -113,7 +114,7 @@
 	case s.InstanceCount < 1:
 		return &SettingError{Field: "Instances", Problem: "is below 1"}
 	case s.InstanceIndex < 0 || s.InstanceIndex >= s.InstanceCount:
-		return &SettingError{Field: "Me", Problem: "is outside Instances"}
+		return &SettingError{Field: "Me", Problem: "is not from 0 to Instances-1"}
 	case len(s.Classes) == 0:
 		return &SettingError{Field: "Classes", Problem: "is empty"}
 	case s.SlowStartMinFraction < 0 || s.SlowStartMinFraction > 1 || s.SlowStartWindow < 0 ||
@@ -133,11 +134,11 @@
 	names := map[string]bool{}
 	for _, c := range classes {
 		if names[c.Name] {
-			return &SettingError{Field: "Classes", Entry: c.Name, Problem: "stands twice"}
+			return &SettingError{Field: "Classes", Entry: c.Name, Problem: "is listed twice"}
 		}
 		names[c.Name] = true
 		if c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0 || c.PriorityWeight < 0 {
-			return &SettingError{Field: "Classes", Entry: c.Name, Problem: "has a negative figure"}
+			return &SettingError{Field: "Classes", Entry: c.Name, Problem: "has a negative value"}
 		}
 	}
 	return nil
@@ -148,12 +149,12 @@
 	names := map[string]bool{}
 	for _, p := range plans {
 		if names[p.Name] {
-			return &SettingError{Field: "Plans", Entry: p.Name, Problem: "stands twice"}
+			return &SettingError{Field: "Plans", Entry: p.Name, Problem: "is listed twice"}
 		}
 		names[p.Name] = true
 		if p.Rate < 0 || p.Burst < 0 || p.MaxInFlight < 0 ||
 			p.HardLimitRate < 0 || p.HardLimitBurst < 0 || p.HardLimitSlack < 0 {
-			return &SettingError{Field: "Plans", Entry: p.Name, Problem: "has a negative figure"}
+			return &SettingError{Field: "Plans", Entry: p.Name, Problem: "has a negative value"}
 		}
 	}
 	return nil
@@ -167,7 +168,7 @@
 	return s.AllowsHealthChecks && s.LoadReports != LoadReportsNone
 }
 
-// maxLatencyObjective returns the longest latency objective of all classes.
+// maxLatencyObjective returns the longest latency objective of any class.
 func (s *Settings) maxLatencyObjective() (longest time.Duration) {
 	for i := range s.Classes {
 		longest = max(longest, s.Classes[i].LatencyObjective)
--- a/policy/settings_update.go
+++ b/policy/settings_update.go
@@ -14,22 +14,23 @@
 		return err
 	}
 	if inForce := len(e.settings.Plans); len(plans) < inForce {
-		return &SettingError{Field: "Plans:", Problem: fmt.Sprintf("%d, and %d have a place", len(plans), inForce)}
+		return &SettingError{Field: "Plans:",
+			Problem: fmt.Sprintf("%d, fewer than the %d in force, which can't be removed", len(plans), inForce)}
 	}
 	return nil
 }
 
-// SetClasses replaces the table of classes while the engine runs. A class with the name of one in force keeps what was
-// learned of it and gets the new figures. New requests of a class that is not in the new table are rejected; those in
-// flight keep its figures, and its index is reused once the last of them has ended. It returns the error of
-// [Engine.ValidateTables], and then changes nothing.
+// SetClasses replaces the table of classes while the engine runs. A class with the name of one in force keeps its
+// statistics and gets the new settings. New requests of a class that is not in the new table are rejected; those in
+// flight keep its settings, and its index is reused once the last of them has ended. If [Engine.ValidateTables] returns
+// an error, SetClasses returns it and changes nothing.
 func (e *Engine) SetClasses(classes []Class) error {
 	if err := e.ValidateTables(classes, e.settings.Plans); err != nil {
 		return err
 	}
-	free := classSlots{isUsed: make([]bool, len(e.settings.Classes))}
+	slots := classSlots{isUsed: make([]bool, len(e.settings.Classes))}
 	for _, r := range e.requests.byID {
-		free.isUsed[r.class] = true
+		slots.isUsed[r.class] = true
 	}
 	old := e.index.classes
 	e.index.classes = make(map[string]int, len(classes))
@@ -37,17 +38,17 @@
 		if i, ok := old[c.Name]; ok {
 			e.index.classes[c.Name] = i
 			e.settings.Classes[i] = c
-			free.isUsed[i] = true
+			slots.isUsed[i] = true
 		}
 	}
 	for name, i := range old {
 		if _, ok := e.index.classes[name]; !ok {
-			e.settings.Classes[i].PriorityWeight = 0 // else relativeValue would compare the others with it
+			e.settings.Classes[i].PriorityWeight = 0 // otherwise relativeValue would compare the other classes with it
 		}
 	}
 	for _, c := range classes {
 		if _, ok := e.index.classes[c.Name]; !ok {
-			i := free.take()
+			i := slots.take()
 			e.index.classes[c.Name] = i
 			e.settings.Classes = setAt(e.settings.Classes, i, c)
 			e.latencies.classes = setAt(e.latencies.classes, i, classLatency{})
@@ -56,13 +57,13 @@
 	return nil
 }
 
-// classSlots finds an index for each new class.
+// classSlots allocates the indexes of new classes.
 type classSlots struct {
 	isUsed []bool // by index
-	next   int    // all below it are used
+	next   int    // all indexes below it are used
 }
 
-// take returns the lowest index that is not used, and uses it. It may be one more than the highest index.
+// take allocates the lowest unused index. It may be one more than the highest index so far.
 func (c *classSlots) take() int {
 	for c.next < len(c.isUsed) && c.isUsed[c.next] {
 		c.next++
@@ -71,7 +72,7 @@
 	return c.next
 }
 
-// setAt sets the value at an index, which may be one more than the last.
+// setAt sets the value at an index, and appends it if the index is one more than the last.
 func setAt[T any](values []T, i int, value T) []T {
 	if i == len(values) {
 		return append(values, value)
@@ -81,8 +82,8 @@
 }
 
 // SetPlans replaces the table of plans while the engine runs. Gossip identifies a plan by its index: all nodes must
-// have the same order, in which a plan keeps its index for good. A customer's quota keeps what it has spent. SetPlans
-// returns the error of [Engine.ValidateTables], and then changes nothing.
+// have the same order, in which a plan keeps its index for good. Units that a customer has spent stay spent. If
+// [Engine.ValidateTables] returns an error, SetPlans returns it and changes nothing.
 func (e *Engine) SetPlans(now time.Duration, plans []Plan) error {
 	if err := e.ValidateTables([]Class{{}}, plans); err != nil {
 		return err
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-const coldBudgetFraction = 0.5 // of what overloads a cold server: the work of a request varies
+const coldBudgetFraction = 0.5 // of the load that overloads a cold server: a margin, as the work of requests varies
 
-// slowStart decides which requests a server that warms up may be sent. Each node's budget follows from the work that it
-// sends to a warm server, so that all nodes together stay below what overloads a cold one.
+// slowStart decides which requests may be sent to a server that is warming up. Each node derives its budget from the
+// work that it sends to a warm server, so that all nodes together stay below the load that overloads a cold one.
 type slowStart struct {
 	settings  *Settings
 	rng       *rand.Rand
@@ -18,8 +18,8 @@
 	load      *loadMeter
 }
 
-// admits reports whether a server may be sent a request of a class; a warm one always may. The zone is the server's, or
-// nil if it has no limits. The budget is in seconds of work.
+// admits reports whether a request of a class may be sent to a server, which a warm server always admits. zone is the
+// zone of the server, or nil if it has no limits. The warm-up budget is in seconds of work.
 func (w *slowStart) admits(now time.Duration, s *server, class int, zone *zoneState) bool {
 	capacity := s.capacityFraction(now, w.settings)
 	if capacity >= 1 || zone != nil && zone.IsRemote {
@@ -27,7 +27,7 @@
 		return true
 	}
 	if !s.inSubset {
-		return false // the nodes with it in their subset warm it up
+		return false // only the nodes that have it in their subset warm it up
 	}
 	serverRate := w.warmServerRate(s, zone)
 	rate := coldBudgetFraction * w.settings.ColdOverloadMultiple * capacity * s.weight() * serverRate
@@ -36,7 +36,7 @@
 	return s.warmup.work >= w.workToSave(class, zone, limit)
 }
 
-// spend takes the work of a request of a class from the budget of a server that warms up.
+// spend takes the work of a request of a class from the budget of a server that is warming up.
 func (w *slowStart) spend(now time.Duration, s *server, class int, zone *zoneState) {
 	if s.capacityFraction(now, w.settings) >= 1 {
 		return
@@ -48,13 +48,14 @@
 	}
 }
 
-// recordUnmet records that a zone's servers had no budget for a request of a class.
+// recordUnmet records that no cold server of a zone had budget for a request of a class.
 func (w *slowStart) recordUnmet(class int, zone *zoneState) {
 	zone.unmetWork += w.latencies.expectedWork(w.settings.Classes, class)
 }
 
-// workToSave returns the seconds of work that the budget must hold for a request of a class. Where the host has set the
-// zone's rate, requests of low value leave part of the budget to others: they are mostly light and would use it up.
+// workToSave returns the seconds of work that the budget must hold before a request of a class may be sent. If the host
+// has set the zone's rate, requests of low value leave part of the budget to others: most of them are light and would
+// use it up.
 func (w *slowStart) workToSave(class int, zone *zoneState, limit float64) float64 {
 	work := w.latencies.expectedWork(w.settings.Classes, class)
 	if zone != nil && zone.WarmServerRate > 0 {
@@ -63,18 +64,18 @@
 	return work
 }
 
-// warmServerRate returns the work per second and unit of weight that this node may send the server once warm.
+// warmServerRate returns the work per second and unit of weight that this node may send to the server once it is warm.
 func (w *slowStart) warmServerRate(s *server, zone *zoneState) float64 {
 	if zone != nil {
 		return zone.WarmServerRate
 	}
-	// A server does at least one second of work per second: the estimate while none is warm.
+	// A server does at least one second of work per second, which is the estimate while no server is warm.
 	return math.Max(w.load.warmRate, 1/w.subset.meanHolders) * s.subsetCorrection / w.subset.width.Factor()
 }
 
-// minLimit returns the work that the budget must be able to hold, so that a request of the class can be sent. With a
-// subset, saving for one request takes seconds: the limit is the same for all classes, or a check for a light one would
-// cut what is saved for a heavy one.
+// minLimit returns the least limit of the budget with which a request of the class can be sent. With a subset, it takes
+// seconds until the budget suffices for one request. The limit is then the same for all classes: otherwise a check for
+// a light request would cut the budget saved for a heavy one.
 func (w *slowStart) minLimit(class int) float64 {
 	classes := w.settings.Classes
 	largest := w.latencies.expectedWork(classes, class)
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -8,16 +8,16 @@
 	"mulleinmux/policy/quota"
 )
 
-// Rule 4: all instances together must keep a cold server within the budget, also when there are hundreds that
-// each would send it one request, when nothing is known of its size, and when all servers are cold.
+// All instances together must not send a cold server more than its budget. That includes hundreds of instances that
+// each would send it one request, a server of unknown size, and a fleet whose servers all are cold.
 func TestWarmingServerStaysWithinBudget(t *testing.T) {
 	for _, n := range []int{1, 3, 300} {
 		s := testSettings()
 		s.InstanceCount = n
 		work, sent := 0.0, 0
-		for me := 0; me < n; me++ {
-			s.InstanceIndex = me
-			e, err := New(s, uint64(me))
+		for instance := 0; instance < n; instance++ {
+			s.InstanceIndex = instance
+			e, err := New(s, uint64(instance))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -31,55 +31,57 @@
 			}
 			work = float64(sent) * e.latencies.expectedWork(e.settings.Classes, 0)
 		}
-		// One core's work, the least that a server can do when warm, is what the budget is taken of.
+		// The budget is derived from the work of one core, which is the least that a warm server can do.
 		age := s.ColdOverloadWindow.Seconds() / s.SlowStartWindow.Seconds()
-		share := s.SlowStartMinFraction + (1-s.SlowStartMinFraction)*age
-		budget := s.ColdOverloadMultiple * share * s.ColdOverloadWindow.Seconds()
+		capacity := s.SlowStartMinFraction + (1-s.SlowStartMinFraction)*age
+		budget := s.ColdOverloadMultiple * capacity * s.ColdOverloadWindow.Seconds()
 		if sent == 0 && n > 100 || work > math.Max(budget, 2*s.Classes[0].LatencyObjective.Seconds()) {
-			t.Errorf("%d instances sent %d requests of work %.2f to a cold server, budget %.2f", n, sent, work, budget)
+			t.Errorf("%d instances sent %d requests of work %.2f to a cold server, want at most %.2f",
+				n, sent, work, budget)
 		}
 	}
 }
 
-// A connection that is refused may mean a restart that the list shows later. One that was reset does not:
-// connections break one by one as well, and all servers would count as cold.
+// A refused connection may be due to a restart that the endpoint list shows later. A reset connection is not taken for
+// a restart: connections also break one by one, and all servers would count as cold.
 func TestRefusedConnectionStartsWarmUp(t *testing.T) {
 	for res, cold := range map[Result]bool{ConnectFailed: true, ConnectionReset: false, ErrorResponse: false} {
 		e, r := newEngine(t, testSettings(), testServers(1)...)
 		e.RequestReceived(t0, newRequest(1, "unsafe", "rate", 1), r)
 		e.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: res, Server: "s0"}, r)
 		if got := e.servers.list[0].capacityFraction(e.now, &e.settings) < 1; got != cold {
-			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
+			t.Errorf("after result %d: server is cold: %v, want %v", res, got, cold)
 		}
 		r.actions = nil
 		if n := offerRequests(e, r, t0+2*ms, 30, newRequest(0, "safe", "rate", 2)); cold && n > 1 {
-			t.Errorf("%d sent after the refused connection, want 1 at most", n)
+			t.Errorf("%d requests sent after the refused connection, want at most 1", n)
 		}
 	}
 }
 
-// Only the instances that have a cold server in their subset warm it up: others would add to what these send,
-// which is all that it can take.
+// Only the instances that have a cold server in their subset warm it up: they use its whole budget, and requests of
+// others would exceed it.
 func TestNoWarmupBudgetOutsideSubset(t *testing.T) {
 	e, _ := newSubsetEngine(t)
 	for _, s := range e.servers.list {
 		s.StartedAt = t0 - 100*ms
 		s.warmup.work = 100
 		if !s.inSubset && e.slowStart.admits(e.now, s, 0, e.zones.of(s)) {
-			t.Fatalf("cold server %s has budget and is not in the subset", s.ID)
+			t.Fatalf("cold server %s outside the subset was admitted", s.ID)
 		}
 	}
 }
 
-// coldSubset is an engine with a subset of which every second server is cold. Of its classes one is light; the other
-// takes twice the work, a quarter of the latency objective until that is learned.
+// coldSubset is an engine with a subset in which every second server is cold. It has a light class, and a heavy one of
+// twice the work: until the work is measured, it is taken as a quarter of the latency objective.
 type coldSubset struct {
 	*Engine
 	light, heavy int
 	cold         map[string]bool // by ID
 }
 
-// newColdSubset returns an engine whose cold servers have saved budget for 4 s, while light requests looked at them.
+// newColdSubset returns an engine whose cold servers have saved budget for 4 s, while they were checked for light
+// requests.
 func newColdSubset(t *testing.T) coldSubset {
 	t.Helper()
 	e, r := newSubsetEngine(t)
@@ -121,34 +123,35 @@
 	return c.selector.selectServer(c.now, &request{Request: Request{ID: "x"}, class: c.heavy})
 }
 
-// Light requests do not use up what has been saved for heavier ones.
+// Checks for light requests do not reduce the budget saved for heavier ones.
 func TestLightRequestsLeaveBudgetToHeavyOnes(t *testing.T) {
 	c := newColdSubset(t)
 	if ready := c.countReady(); ready < len(c.cold)/2 {
-		t.Fatalf("%d of %d cold servers may be sent a heavy request after 4 s", ready, len(c.cold))
+		t.Fatalf("%d of %d cold servers may be sent a heavy request after 4 s, want at least half", ready, len(c.cold))
 	}
 }
 
-// Where some servers of the subset are cold, their budget is used before warm servers get requests, and no more.
+// If some servers of the subset are cold, their budget is used up before warm servers get requests. They are not sent
+// more than their budget.
 func TestWarmingServersOfSubsetGetTheirBudget(t *testing.T) {
 	c := newColdSubset(t)
 	ready := c.countReady()
-	asked, toCold := 0, 0
-	for ; toCold < ready && asked < 100; asked++ { // two warm ones may be looked at first
+	selected, toCold := 0, 0
+	for ; toCold < ready && selected < 100; selected++ { // two warm servers may be compared first
 		if s := c.selectHeavy(); c.cold[s.ID] {
 			toCold++
 			s.warmup.work = 0
 		}
 	}
-	if toCold < ready || asked > 2*ready {
-		t.Errorf("%d of %d requests go to cold servers with budget for %d", toCold, asked, ready)
+	if toCold < ready || selected > 2*ready {
+		t.Errorf("%d of %d requests went to cold servers, which have budget for %d", toCold, selected, ready)
 	}
 	if c.cold[c.selectHeavy().ID] {
-		t.Error("a cold server is sent more than its budget")
+		t.Error("cold server without budget was selected")
 	}
 }
 
-// countHolders returns by ID how many nodes have a server in their subset.
+// countHolders returns, by server ID, the number of nodes that have the server in their subset.
 func countHolders(e *Engine) map[string]int {
 	holders := map[string]int{}
 	for node := range e.settings.InstanceCount {
@@ -167,8 +170,8 @@
 	return holders
 }
 
-// The warm-up budget of a server is shared by the instances that have it in their subset, and by no others. Where
-// nothing is known it is a second's work a second over them all.
+// The warm-up budget of a server is shared by the instances that have it in their subset, and by no others. Before any
+// work is measured, the server is assumed to do one second of work per second.
 func TestSubsetHoldersShareWarmupBudget(t *testing.T) {
 	e, _ := newSubsetEngine(t)
 	e.now = t0 + time.Second
@@ -177,17 +180,17 @@
 		s.StartedAt, s.warmup.work, s.warmup.updatedAt = e.now, 0, e.now-10*ms
 		e.slowStart.admits(e.now, s, 0, e.zones.of(s))
 		all := s.warmup.work * float64(holders[s.ID]) / 0.01
-		most := coldBudgetFraction * e.settings.ColdOverloadMultiple * s.capacityFraction(e.now, &e.settings)
-		if math.Abs(all/most-1) > 0.15 {
+		limit := coldBudgetFraction * e.settings.ColdOverloadMultiple * s.capacityFraction(e.now, &e.settings)
+		if math.Abs(all/limit-1) > 0.15 {
 			t.Errorf(
-				"%s: %d holders may send it %.3f of a second's work a second, want %.3f",
-				s.ID, holders[s.ID], all, most,
+				"server %s: its %d holders may send it %.3f seconds of work per second, want %.3f",
+				s.ID, holders[s.ID], all, limit,
 			)
 		}
 	}
 }
 
-// What warm servers carry is learned from the members of the subset alone.
+// The rate of warm servers is measured at the members of the subset alone.
 func TestWarmRateCountsSubsetMembers(t *testing.T) {
 	e, _ := newSubsetEngine(t)
 	e.now = t0 + time.Second
@@ -200,9 +203,9 @@
 		}
 	}
 	if e.load.warmWork != 0 {
-		t.Error("work of servers outside of the subset counts for what its members carry")
+		t.Error("work of servers outside the subset counts in the rate of its members")
 	}
 	if e.learnFromAttempt(r, e.subset.members[0], success); e.load.warmWork == 0 {
-		t.Error("work of a member does not count")
+		t.Error("work of a member does not count in the rate")
 	}
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -7,24 +7,24 @@
 	"mulleinmux/subset"
 )
 
-// defaultSubsetSizing sizes a node's subset. Of 12 servers half may fail, and a few requests per second keep their
-// connections open. Each server is in 16 subsets or more, so that a node with several times the mean load does not
-// overload single servers.
+// defaultSubsetSizing is the sizing of the nodes' subsets. Of 12 servers half may fail, and a few requests per second
+// keep their connections open. Each server is in at least 16 subsets, so that a node with several times the mean load
+// does not overload single servers.
 var defaultSubsetSizing = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
 
-// subsetSeed has to be the same at all nodes of a fleet: each derives the same subsets of all nodes.
+// subsetSeed must be the same at all nodes of a fleet, so that each node derives the same subsets for all of them.
 const subsetSeed = 1
 
-// serverSubset is the servers that a node uses while they can serve its requests (deterministic subsetting).
-// Invariant: inSubset holds for the members and for no other server.
+// serverSubset is the set of servers that a node uses while they can serve its requests (deterministic subsetting).
+// Invariant: inSubset is true for the members and for no other server.
 type serverSubset struct {
 	instance      int // this node's index
 	instanceCount int
 	sizing        subset.Sizing
 
 	members     []*server // all servers if not isPartial
-	isPartial   bool      // the rule leaves servers out
-	meanHolders float64   // mean number of nodes with the same server in their subset
+	isPartial   bool      // the sizing leaves servers out
+	meanHolders float64   // mean over the members of the number of nodes with the server in their subset
 	maxWeight   float64   // highest corrected weight of the members that accept requests
 	width       subset.WidthController
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// formPartial selects the members where the rule leaves servers out.
+// formPartial selects the members if the sizing leaves servers out.
 func (p *serverSubset) formPartial(servers []*server, fleet subset.Tier) {
 	var accepting []*server
 	var list []subset.Server
@@ -77,8 +77,8 @@
 	}
 }
 
-// needsResize reports whether the subset has to be formed again, because it is too small for the load, in attempts in
-// flight, or larger than needed.
+// needsResize reports whether the subset must be formed again because it is too small for the attempts in flight, or
+// larger than needed.
 func (p *serverSubset) needsResize(now time.Duration, settings *Settings, inFlight int) bool {
 	var availableWeight, totalWeight float64
 	for _, s := range p.members {
@@ -94,11 +94,11 @@
 	return p.width.Update(now, availableWeight/totalWeight, len(p.members), float64(inFlight))
 }
 
-// usesAllServers reports whether the rule gives this node all servers. A subset that has grown to all of them still
-// is a subset, and shrinks again.
+// usesAllServers reports whether the sizing gives this node all servers. A subset that has widened to all servers does
+// not count: it shrinks again.
 func (p *serverSubset) usesAllServers() bool { return !p.isPartial }
 
-// suspectedCount returns the number of members that this node or its peers consider down.
+// suspectedCount returns the number of members that are suspected to be down.
 func (p *serverSubset) suspectedCount(now time.Duration) (n int) {
 	for _, s := range p.members {
 		n += boolToInt(s.isSuspected(now))
@@ -106,8 +106,8 @@
 	return n
 }
 
-// SubsetServerIDs returns the IDs of the servers in this node's subset, to which the host keeps connections; nil: all
-// servers.
+// SubsetServerIDs returns the IDs of the servers in this node's subset, to which the host keeps connections. Without a
+// subset it returns nil, which means all servers.
 func (e *Engine) SubsetServerIDs() map[string]bool {
 	if e.subset.usesAllServers() {
 		return nil
@@ -119,8 +119,8 @@
 	return ids
 }
 
-// SubsetCounts returns the number of servers in this node's subset, and of those suspected to be down. Without a subset
-// both are 0.
+// SubsetCounts returns the number of servers in this node's subset, and how many of them are suspected to be down.
+// Without a subset both are 0.
 func (e *Engine) SubsetCounts() (servers, suspected int) {
 	if e.subset.usesAllServers() {
 		return 0, 0
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newSubsetEngine returns instance 5 of 300 over 170 servers, half of them in each of two zones.
+// newSubsetEngine returns instance 5 of 300, with 170 servers, half of them in each of two zones.
 func newSubsetEngine(t *testing.T) (*Engine, *recorder) {
 	t.Helper()
 	set := fleetSettings(1)
@@ -18,11 +18,12 @@
 	return newEngine(t, set, list...)
 }
 
-// A keyed request that may have run in one zone is retried only there, outside of the subset if need be.
+// A request with an idempotency key that may have run in one zone is retried only there, outside the subset if
+// necessary.
 func TestKeyedRetryLeavesSubset(t *testing.T) {
 	e, r := newSubsetEngine(t)
 	if e.subset.usesAllServers() {
-		t.Fatal("the subset is all servers")
+		t.Fatal("subset has all servers, want a part of them")
 	}
 	e.retries.tokens = 5
 	e.RequestReceived(t0, newRequest(1, "keyed", "kubwa", 1), r)
@@ -40,26 +41,27 @@
 	}
 	first.Server.State = Draining
 	e.AttemptCompleted(t0+ms, AttemptResult{ID: "r1", Result: ErrorResponse, Server: first.ID}, r)
-	at := e.requests.byID["r1"].attempts
-	if len(at) != 2 || at[1].server.Zone != first.Zone || at[1].server.inSubset {
-		t.Fatalf("%d attempts, the last at %+v", len(at), at[len(at)-1].server.Server)
+	attempts := e.requests.byID["r1"].attempts
+	if len(attempts) != 2 || attempts[1].server.Zone != first.Zone || attempts[1].server.inSubset {
+		t.Fatalf("%d attempts, the last at %+v; want a second one in the same zone, outside the subset",
+			len(attempts), attempts[len(attempts)-1].server.Server)
 	}
 }
 
-// A subset that has widened to all servers, since all seemed unresponsive, shrinks again when they respond; so
-// does one that has widened for its attempts in flight.
+// A subset that has widened to all servers, because all were unresponsive, shrinks again when they respond. So does one
+// that has widened for its attempts in flight.
 func TestWidenedSubsetShrinks(t *testing.T) {
-	for _, why := range []string{"silent", "load"} {
+	for _, cause := range []string{"silent", "load"} {
 		e, r := newSubsetEngine(t)
 		e.now, e.actions = t0, r
 		narrow, widest := len(e.subset.members), 0
-		step := func(pressed bool) {
+		step := func(isActive bool) {
 			e.now += sampleInterval
 			for _, s := range e.servers.list {
-				s.isUnresponsive = pressed && why == "silent"
+				s.isUnresponsive = isActive && cause == "silent"
 			}
 			e.load.inFlight = 0
-			if pressed && why == "load" {
+			if isActive && cause == "load" {
 				e.load.inFlight = 8 * narrow
 			}
 			if e.subset.needsResize(e.now, &e.settings, e.load.inFlight) {
@@ -70,14 +72,14 @@
 		for range 100 {
 			step(true)
 		}
-		if want := map[string]int{"silent": 170, "load": 4 * narrow}[why]; widest < want {
-			t.Errorf("%s: the subset grew from %d to %d servers, want %d", why, narrow, widest, want)
+		if want := map[string]int{"silent": 170, "load": 4 * narrow}[cause]; widest < want {
+			t.Errorf("%s: subset grew from %d to %d servers, want at least %d", cause, narrow, widest, want)
 		}
 		for range 600 {
 			step(false)
 		}
 		if len(e.subset.members) != narrow {
-			t.Errorf("%s: a minute later the subset has %d servers, not %d", why, len(e.subset.members), narrow)
+			t.Errorf("%s: subset has %d servers a minute later, want %d", cause, len(e.subset.members), narrow)
 		}
 	}
 }
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	freshEvidenceAge = 500 * time.Millisecond // up to which own evidence outweighs the peers'
-	findingTTL       = 2 * time.Second        // for which peers' findings count
+	freshEvidenceAge = 500 * time.Millisecond // younger evidence of this node overrides findings of peers
+	findingTTL       = 2 * time.Second        // how long a finding is valid
 
-	// zoneSuspicionTTL is how long the servers of a zone are suspected after each evaluation that finds it down.
+	// zoneSuspicionTTL is how long the servers of a zone are suspected after an evaluation that finds the zone down.
 	zoneSuspicionTTL = 2 * sampleInterval
 )
 
-// failureDetector finds servers that have failed or are cut off, which the endpoint list shows much later: from what
-// they leave unanswered, from the findings of peers as in SWIM, and for whole zones. Peers and zones are heard only by
-// nodes with a subset: those that use all servers learn of each server soon enough.
+// failureDetector detects servers that have failed or are unreachable, which the endpoint list shows much later. It
+// uses unanswered messages, the findings of peers as in SWIM, and evidence on whole zones. Findings of peers and zones
+// are used only by nodes with a subset: a node that uses all servers detects the failure of each soon enough by itself.
 type failureDetector struct {
 	settings *Settings
 	subset   *serverSubset
 
 	zones    *zonehealth.Detector
-	findings []quota.Finding // recent own findings, for the next messages to peers
+	findings []quota.Finding // recent findings of this node, for the next messages to peers
 
-	newlyDown []string // zones found down by the evaluation under way
+	newlyDown []string // zones newly found down by the evaluation in progress
 }
 
-// recordAttempt records whether a server responded to an attempt that was sent. It returns the event to log if the
-// server has become responsive or unresponsive, else nil.
+// recordAttempt records whether a server responded to an attempt. It returns the event to log if the server has become
+// responsive or unresponsive, else nil.
 func (d *failureDetector) recordAttempt(now time.Duration, s *server, outcome AttemptResult) LogEvent {
 	switch outcome.Result {
 	case OK, RejectedByServer, ErrorResponse:
@@ -44,12 +44,13 @@
 	return nil
 }
 
-// recordNoResponse marks a server as unresponsive if something sent at a time was not answered, nor anything since.
-// Until it responds it gets first attempts only where no other server can serve them, and no retry. Without health
-// checks, which would find it up again, nothing is marked. It is wrong for servers that pause for as long as a check
-// waits. It returns the event to log if the server was responsive before, else nil.
+// recordNoResponse records that a server did not respond to an attempt or health check sent at sentAt. If it has sent
+// no other response since then, the server is marked as unresponsive. Until it responds, it gets no retries, and first
+// attempts only if no other server can serve them. Without health checks, which would detect that the server is up
+// again, no server is marked. A server that pauses for as long as the timeout of a health check is marked although it
+// has not failed. recordNoResponse returns the event to log if the server was responsive before, else nil.
 func (d *failureDetector) recordNoResponse(now time.Duration, s *server, sentAt time.Duration) LogEvent {
-	if !d.settings.usesHealthChecks() || s.lastHeardAt >= sentAt {
+	if !d.settings.usesHealthChecks() || s.lastResponseAt >= sentAt {
 		return nil
 	}
 	if !d.subset.usesAllServers() {
@@ -63,8 +64,8 @@
 	return ServerUnresponsive{Server: s.ID}
 }
 
-// recordResponse records that a server sent a response of any kind, so that it is up. It returns the event to log if
-// the server was unresponsive before, else nil.
+// recordResponse records that a server sent a response of any kind, and thus is up. It returns the event to log if the
+// server was unresponsive before, else nil.
 func (d *failureDetector) recordResponse(now time.Duration, s *server) (change LogEvent) {
 	if s.isUnresponsive {
 		s.isUnresponsive = false
@@ -72,7 +73,7 @@
 		d.addFinding(quota.Finding{ServerID: s.gossipID, IsUp: true, FoundAt: now})
 		change = ServerResponsive{Server: s.ID}
 	}
-	s.lastHeardAt = now
+	s.lastResponseAt = now
 	s.suspectedUntil = 0
 	if !d.subset.usesAllServers() {
 		d.zones.ObserveResponse(s.Zone, now)
@@ -80,20 +81,20 @@
 	return change
 }
 
-// recordConnectFailure treats a failed connection as a sign that the process has restarted and warms up, which the
-// endpoint list shows much later. A reset is no such sign: where connections break one by one, all servers would count
-// as cold. It reports whether the server has to be checked at once: connections also fail at servers that are up, and
-// the check or a response on an older connection corrects that.
+// recordConnectFailure treats a failed connection as a sign that the server's process has restarted and is warming up,
+// which the endpoint list shows much later. A connection reset is not treated so: where connections break one by one,
+// all servers would count as cold. It reports whether the server needs a health check at once: connections also fail at
+// servers that are up, and the check or a response on an older connection corrects the assumption.
 func (d *failureDetector) recordConnectFailure(now time.Duration, s *server) (needsCheck bool) {
 	s.recordConnectFailure(now)
-	if !d.settings.usesHealthChecks() || s.healthCheckSince != 0 || !s.acceptsRequests() {
+	if !d.settings.usesHealthChecks() || s.restartCheckSentAt != 0 || !s.acceptsRequests() {
 		return false
 	}
-	s.healthCheckSince = now
+	s.restartCheckSentAt = now
 	return true
 }
 
-// addFinding adds a finding to the next messages to peers.
+// addFinding adds a finding to those for the next messages to peers. It replaces older findings on the same server.
 func (d *failureDetector) addFinding(finding quota.Finding) {
 	if d.subset.usesAllServers() {
 		return
@@ -107,17 +108,18 @@
 	}
 }
 
-// hasExpired reports whether an own finding no longer counts.
+// hasExpired reports whether a finding of this node is no longer valid.
 func hasExpired(f quota.Finding, now time.Duration) bool { return now-f.FoundAt >= findingTTL }
 
-// currentFindings returns the own findings that have not expired.
+// currentFindings returns this node's findings that have not expired.
 func (d *failureDetector) currentFindings(now time.Duration) []quota.Finding {
 	d.findings = slices.DeleteFunc(d.findings, func(f quota.Finding) bool { return hasExpired(f, now) })
 	return d.findings
 }
 
-// receiveFinding handles a peer's finding of a server of this node's subset: that it is unresponsive, or that it
-// responds again. It returns the servers to be checked at once, for evidence of this node.
+// receiveFinding handles a peer's finding that a server is unresponsive or responds again. It ignores findings on
+// servers outside this node's subset. It returns the servers that need a health check at once, which gives this node
+// evidence of its own.
 func (d *failureDetector) receiveFinding(now time.Duration, from int, finding quota.Finding) (toCheck []*server) {
 	if d.subset.usesAllServers() {
 		return nil
@@ -128,17 +130,18 @@
 		}
 		d.observeZoneFinding(now, s, from, finding)
 		isDue := now-s.lastHealthCheckAt >= freshEvidenceAge && d.settings.AllowsHealthChecks
-		if d.isConfirmed(now, s, from, finding) && isDue {
+		if d.recordPeerFinding(now, s, from, finding) && isDue {
 			toCheck = append(toCheck, s)
 		}
 	}
 	return toCheck
 }
 
-// isConfirmed reports whether a second peer has made a finding that contradicts this node's view of the server. One
-// peer has no effect; two make a server suspected: it gets no request while others of the subset can serve. Findings
-// have no effect once half of the subset is suspected: a faulty node or link cannot empty it.
-func (d *failureDetector) isConfirmed(now time.Duration, s *server, from int, finding quota.Finding) bool {
+// recordPeerFinding records a peer's finding, and reports whether the finding is confirmed: two peers have made it, and
+// it contradicts this node's view of the server. The finding of a single peer has no effect. A server that two peers
+// find down is suspected: it gets no requests while others of the subset can serve them. Once half of the subset is
+// suspected, no more servers are: a faulty node or link cannot empty the subset.
+func (d *failureDetector) recordPeerFinding(now time.Duration, s *server, from int, finding quota.Finding) bool {
 	reports := &s.downReports
 	if finding.IsUp {
 		reports = &s.upReports
@@ -149,7 +152,7 @@
 	if finding.IsUp {
 		return true
 	}
-	hasFreshEvidence := now-s.lastHeardAt < freshEvidenceAge
+	hasFreshEvidence := now-s.lastResponseAt < freshEvidenceAge
 	if hasFreshEvidence || 2*d.subset.suspectedCount(now) >= len(d.subset.members) {
 		return false
 	}
@@ -157,7 +160,7 @@
 	return true
 }
 
-// observeZoneFinding records in the zone's health a peer's finding of a server.
+// observeZoneFinding passes a peer's finding on a server to the failure detector of zones.
 func (d *failureDetector) observeZoneFinding(now time.Duration, s *server, from int, finding quota.Finding) {
 	if finding.IsUp {
 		d.zones.ObservePeerResponse(s.Zone, from, now)
@@ -166,14 +169,14 @@
 	}
 }
 
-// updateZones evaluates each zone, with the unanswered attempts as evidence, and suspects the servers of zones that are
-// down: they get no request while others can serve it, and do not count in the bound on work in flight. It returns the
-// zones that have just been found down.
+// updateZones evaluates each zone, with the unanswered attempts as evidence. It suspects the servers of zones that are
+// down: they get no requests while others can serve them, and do not count in the in-flight bound. It returns the zones
+// that have just been found down.
 func (d *failureDetector) updateZones(now time.Duration, unanswered []unansweredAttempt) (newlyDown []string) {
 	if d.subset.usesAllServers() {
 		return nil
 	}
-	slices.SortStableFunc(unanswered, func(a, b unansweredAttempt) int { // reproducible, unlike the map's order
+	slices.SortStableFunc(unanswered, func(a, b unansweredAttempt) int { // reproducible, unlike a map's order
 		return cmp.Compare(a.requestNumber, b.requestNumber)
 	})
 	for _, a := range unanswered {
@@ -193,7 +196,7 @@
 	return newlyDown
 }
 
-// evaluateZone reports whether a zone is down, and notes it if it has just been found so.
+// evaluateZone reports whether a zone is down, and adds it to newlyDown if it was not down before.
 func (d *failureDetector) evaluateZone(now time.Duration, zone string) bool {
 	isDown, isNew := d.zones.Evaluate(zone, now)
 	if isNew {
@@ -202,13 +205,13 @@
 	return isDown
 }
 
-// suspicionReports holds the last reports of one finding by two peers. Invariant: the peers differ.
+// suspicionReports holds the latest reports of one finding by up to two peers. Invariant: the peers differ.
 type suspicionReports struct {
 	from       [2]int           // index of the peer
 	reportedAt [2]time.Duration // clock reading; 0: no report
 }
 
-// add records a peer's report, and returns whether another peer made the same one within findingTTL.
+// add records a peer's report, and reports whether another peer sent the same finding within findingTTL.
 func (r *suspicionReports) add(from int, now time.Duration) bool {
 	i := r.indexFor(from)
 	r.from[i] = from
@@ -217,7 +220,8 @@
 	return other != 0 && r.from[1-i] != from && now-other < findingTTL
 }
 
-// indexFor returns the index for a peer's report: that of its last one, a free one, or that of the older report.
+// indexFor returns the index at which to store a peer's report: that of the peer's last report, an unused one, or that
+// of the older report.
 func (r *suspicionReports) indexFor(from int) int {
 	if r.reportedAt[0] == 0 || r.from[0] == from {
 		return 0
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -6,22 +6,22 @@
 
 const (
 	timerSample       timerKind = iota // end of a sample
-	timerGossip                        // next broadcast
+	timerGossip                        // next gossip broadcast
 	timerDeadline                      // a request's final answer is due
-	timerHedge                         // an attempt has become slow
+	timerHedge                         // an attempt is slow: a hedged request may be sent
 	timerEndpointPoll                  // next subscription to the endpoint list
 	timerOwnerTimeout                  // the owner of a quota has not responded
 )
 
-// timerBits is how many bits of a token hold the kind.
-const timerBits = 3
+// timerKindBits is the number of bits of a token that hold the kind.
+const timerKindBits = 3
 
 // timerToken returns the token of a timer.
 func timerToken(kind timerKind, requestNumber uint64) uint64 {
-	return requestNumber<<timerBits | uint64(kind)
+	return requestNumber<<timerKindBits | uint64(kind)
 }
 
-// parseTimerToken splits a token into its parts.
+// parseTimerToken returns the kind and the request number of a token.
 func parseTimerToken(token uint64) (kind timerKind, requestNumber uint64) {
-	return timerKind(token & (1<<timerBits - 1)), token >> timerBits
+	return timerKind(token & (1<<timerKindBits - 1)), token >> timerKindBits
 }
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -12,34 +12,35 @@
 type ZoneLimits struct {
 	IsRemote          bool    // its servers are gateways of another site, which need no slow start
 	WarmServerRate    float64 // seconds of work per second that this node may send a warm server of unit weight
-	InFlightFraction  float64 // this node's fraction, 0 to 1, of the attempts that may be in flight there
+	InFlightFraction  float64 // this node's fraction, 0 to 1, of the attempts that may be in flight at its servers
 	RemoteServerCount float64 // with IsRemote: warm servers of that site; 0: not known
 }
 
-// zoneState is a zone with limits, and what is measured of it. Invariant: servers is 0 if none accepts requests. The
-// counts are reset at the end of each sample or by [Engine.ColdServerWork].
+// zoneState holds the limits and the measurements of a zone. Invariant: availableServers is 0 if no server accepts
+// requests. The counts are reset at the end of each sample or by [Engine.ColdServerWork].
 type zoneState struct {
 	ZoneLimits
 	throughput
-	isOverloaded bool    // for the request being handled
-	servers      float64 // available ones as of the last sample, each counted as its capacity fraction
+	isOverloaded     bool    // for the request being handled
+	availableServers float64 // as of the last sample, each server counted as its capacity fraction
 
 	sentWork  float64 // seconds of work sent to cold servers since the last call of ColdServerWork
-	unmetWork float64 // seconds of work for which they had no budget, likewise
+	unmetWork float64 // seconds of work for which cold servers had no budget since then
 }
 
-// countServers updates the number of available servers.
+// countServers updates availableServers.
 func (z *zoneState) countServers(available iter.Seq2[*server, float64]) {
-	z.servers = 0
+	z.availableServers = 0
 	for _, capacity := range available {
-		z.servers += capacity
+		z.availableServers += capacity
 	}
-	if z.IsRemote && z.servers > 0 && z.RemoteServerCount > 0 {
-		z.servers = z.RemoteServerCount
+	if z.IsRemote && z.availableServers > 0 && z.RemoteServerCount > 0 {
+		z.availableServers = z.RemoteServerCount
 	}
 }
 
-// updateRates closes a sample. Unlike a node's rate, that of a zone without warm servers is 0.
+// updateRates updates the zone's rates at the end of a sample. Unlike a node's warm rate, that of a zone without warm
+// servers is 0.
 func (z *zoneState) updateRates(available iter.Seq2[*server, float64]) {
 	var warmWeight float64
 	for s, capacity := range available {
@@ -53,23 +54,24 @@
 	z.closeSample(warmWeight, rateWeight)
 }
 
-// isOverBound reports whether more attempts are in flight at the zone's servers than this node's part of them can
-// answer within a queue time, in seconds.
+// isOverBound reports whether the attempts in flight at the zone's servers have reached the number that the servers
+// answer for this node within queueTime, in seconds. The bound is at least a minimum per available server; a zone
+// without available servers is always over it.
 func (z *zoneState) isOverBound(inFlight, queueTime float64) bool {
-	bound := math.Max(z.responseRate*queueTime, overload.MinInFlightPerServer*z.servers*z.InFlightFraction)
-	return z.servers == 0 || inFlight >= bound
+	bound := math.Max(z.responseRate*queueTime, overload.MinInFlightPerServer*z.availableServers*z.InFlightFraction)
+	return z.availableServers == 0 || inFlight >= bound
 }
 
-// zoneTable holds the zones for which the host has set limits, by name.
+// zoneTable holds, by name, the zones for which the host has set limits.
 type zoneTable map[string]*zoneState
 
 // of returns the zone of a server, or nil.
 func (t zoneTable) of(s *server) *zoneState { return t[s.Zone] }
 
-// areOverloaded judges each zone by its own bound, so that one cannot idle the others, and notes it in the zone for
-// server selection. It reports whether the named zone or, for an empty name, every zone is overloaded for a queue time
-// in seconds.
-func (t zoneTable) areOverloaded(zone string, queueTime float64, servers *serverTable) bool {
+// updateOverload sets isOverloaded of each zone, for server selection. Each zone has its own bound, so that overload of
+// one does not leave the others idle. It reports whether the named zone or, for an empty name, every zone is overloaded
+// for a queue time in seconds.
+func (t zoneTable) updateOverload(zone string, queueTime float64, servers *serverTable) bool {
 	areOverloaded := true
 	for name, z := range t {
 		z.isOverloaded = z.isOverBound(servers.inFlightIn(name), queueTime)
@@ -80,7 +82,7 @@
 	return areOverloaded
 }
 
-// updateRates closes a sample of each zone.
+// updateRates updates the rates and the available servers of each zone at the end of a sample.
 func (t zoneTable) updateRates(now time.Duration, servers *serverTable, settings *Settings) {
 	for name, zone := range t {
 		available := servers.availableIn(name, now, settings)
@@ -89,9 +91,9 @@
 	}
 }
 
-// SetZoneLimits sets a zone's limits. They replace the engine's own estimate for cold servers, and the bound on work in
-// flight becomes one for each zone. The host sets them for all zones or none, and again after each change; if it no
-// longer knows them, it sets a rate of 0.
+// SetZoneLimits sets a zone's limits. They replace the engine's own estimate for cold servers, and the in-flight bound
+// then applies to each zone by itself. The host sets limits for all zones or for none, and sets them again after each
+// change. If it no longer knows the limits, it sets a WarmServerRate of 0.
 func (e *Engine) SetZoneLimits(name string, limits ZoneLimits) {
 	zone := e.zones[name]
 	if zone == nil {
