--- a/cmd/edgeproxy/main.go
+++ b/cmd/edgeproxy/main.go
@@ -13,9 +13,9 @@
 	"mulleinmux/internal/logging"
 )
 
-// The garbage collector's settings. The heap is a few megabytes, so that letting it grow fivefold between collections
-// costs little memory; the limit, a fraction of what the node may use, makes collections more frequent before that runs
-// out.
+// Settings of the garbage collector. The heap is a few megabytes, so letting it grow fivefold between collections costs
+// little memory. The memory limit, a fraction of the node's memory, makes collections more frequent before that is used
+// up.
 const (
 	gcPercent      = 400
 	memoryFraction = 0.6
@@ -23,8 +23,8 @@
 
 func main() {
 	logger := logging.New(os.Stderr)
-	// Handled from the first moment: SIGHUP ends a program that does not handle it. One that is received while another is
-	// being handled is kept, and the file is read once more.
+	// Registered before anything else, because an unhandled SIGHUP terminates the program. A signal that arrives while
+	// another one is being handled stays in the channel and causes one more reload.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	cfg, err := edgeproxy.LoadConfig(os.Getenv)
--- a/cmd/edgeproxy/main_test.go
+++ b/cmd/edgeproxy/main_test.go
@@ -14,7 +14,7 @@
 	"mulleinmux/internal/testserver"
 )
 
-// TestMain lets the test binary run as the program.
+// TestMain runs the test binary as the program if MULLEINMUX_TEST_PROGRAM is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("MULLEINMUX_TEST_PROGRAM") != "" {
 		main()
@@ -23,11 +23,12 @@
 	os.Exit(m.Run())
 }
 
-// msgNoInheritedState is logged where a process starts without a predecessor's state.
+// msgNoInheritedState is logged if a process can't use the state of a predecessor.
 const msgNoInheritedState = "starting without inherited state"
 
-// program is the program with a configuration, and what it has logged so far; it ends with the test.
-func program(t *testing.T, config string) (*exec.Cmd, func() string) {
+// newProgram returns the command that runs the program with a configuration, and a function that returns its log so
+// far. The program is killed at the end of the test.
+func newProgram(t *testing.T, config string) (*exec.Cmd, func() string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -50,16 +51,16 @@
 	}
 }
 
-// An invalid configuration ends the program with a code and the field's name.
+// An invalid configuration ends the program with exit code 1 and a log line that names the field.
 func TestBadConfigExits(t *testing.T) {
-	cmd, logs := program(t, `{"name":"n0","listen":"nowhere"}`)
+	cmd, logs := newProgram(t, `{"name":"n0","listen":"nowhere"}`)
 	err := cmd.Run()
 	if cmd.ProcessState.ExitCode() != 1 || !testserver.HasLogLine(logs(), "invalid configuration", "listen") {
-		t.Errorf("%v, logged %q", err, logs())
+		t.Errorf("error %v, log %q, want exit code 1 and a line that names listen", err, logs())
 	}
 }
 
-// configText is a configuration with the address of clients and, unless it is empty, that of operators.
+// configText returns a configuration with an address for clients and, unless it is empty, one for administration calls.
 func configText(listen, management string) string {
 	if management != "" {
 		management = fmt.Sprintf(`"management":%q,`, management)
@@ -70,7 +71,7 @@
 		listen, management)
 }
 
-// awaitReady waits until a node answers that it is ready.
+// awaitReady waits until the health check of a node succeeds.
 func awaitReady(t *testing.T, addr string) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -83,14 +84,14 @@
 			return
 		}
 	}
-	t.Error("never ready")
+	t.Error("node not ready within 30 s")
 }
 
-// SIGHUP reads the configuration again and ends nothing; a planned restart's SIGTERM ends
-// the program with 0.
+// On SIGHUP the program reads its configuration again and keeps running; on SIGTERM, as at a planned restart, it ends
+// with exit code 0.
 func TestSignals(t *testing.T) {
-	addr := freePort(t)
-	cmd, logs := program(t, configText(addr, ""))
+	addr := freeAddr(t)
+	cmd, logs := newProgram(t, configText(addr, ""))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -98,24 +99,24 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	logged(t, logs, "discovery reloaded")
+	awaitLog(t, logs, "discovery reloaded")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	// Signals that come once it drains change nothing: it ends by itself and without an error.
-	logged(t, logs, "draining")
+	// Signals during the drain have no effect: the program ends by itself without an error.
+	awaitLog(t, logs, "draining")
 	for _, again := range []os.Signal{syscall.SIGTERM, syscall.SIGHUP, os.Interrupt} {
 		if err := cmd.Process.Signal(again); err != nil {
 			t.Error(err)
 		}
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v, logged %q", err, logs())
+		t.Errorf("program ended with %v, log %q, want exit code 0", err, logs())
 	}
 }
 
-// freePort is an address on which nothing listens.
-func freePort(t *testing.T) string {
+// freeAddr returns a TCP address on which nothing listens.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,18 +126,18 @@
 	return ln.Addr().String()
 }
 
-// logged waits until a process has logged a line with a message.
-func logged(t *testing.T, logs func() string, message string) {
+// awaitLog waits until a process has logged a line with a message.
+func awaitLog(t *testing.T, logs func() string, message string) {
 	t.Helper()
 	end := time.Now().Add(30 * time.Second)
 	for ; !testserver.HasLogLine(logs(), message); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never logged %q, but %q", message, logs())
+			t.Fatalf("no log line %q within 30 s:\n%s", message, logs())
 		}
 	}
 }
 
-// sharedSocket is a clients' listening socket that the platform holds, and the folder that processes on it share.
+// sharedSocket is a listening socket for clients that several processes inherit, and the directory that they share.
 type sharedSocket struct {
 	addr string
 	file *os.File
@@ -158,10 +159,10 @@
 	return &sharedSocket{addr: ln.Addr().String(), file: file, dir: t.TempDir()}
 }
 
-// start starts the program on the socket, as descriptor 5.
+// start starts the program with the socket as descriptor 5.
 func (s *sharedSocket) start(t *testing.T) (*exec.Cmd, func() string) {
 	t.Helper()
-	cmd, logs := program(t, configText(s.addr, freePort(t)))
+	cmd, logs := newProgram(t, configText(s.addr, freeAddr(t)))
 	cmd.Env = append(cmd.Env, "TMPDIR="+s.dir, "PROXY_ACCEPT_FD=5")
 	cmd.ExtraFiles = []*os.File{s.file, s.file, s.file} // 3, 4 and 5
 	if err := cmd.Start(); err != nil {
@@ -180,38 +181,38 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("health check: status %d, want 200", resp.StatusCode)
 	}
 }
 
-// Three processes on one socket that the platform holds as descriptor 5: the first is killed while the second waits,
-// which then begins from nothing, and hands over to the third.
+// Three processes inherit one socket as descriptor 5. The first is killed while the second waits for it; the second
+// then starts without inherited state and hands over to the third.
 func TestHotRestartOfProcesses(t *testing.T) {
 	socket := newSharedSocket(t)
 	first, firstLogs := socket.start(t)
-	logged(t, firstLogs, "ready")
+	awaitLog(t, firstLogs, "ready")
 	second, secondLogs := socket.start(t)
-	logged(t, secondLogs, "waiting for predecessor")
+	awaitLog(t, secondLogs, "waiting for predecessor")
 	if err := first.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	first.Wait()
-	logged(t, secondLogs, msgNoInheritedState)
-	logged(t, secondLogs, "ready")
+	awaitLog(t, secondLogs, msgNoInheritedState)
+	awaitLog(t, secondLogs, "ready")
 	socket.wantReady(t)
 	third, thirdLogs := socket.start(t)
-	logged(t, secondLogs, "successor waiting")
+	awaitLog(t, secondLogs, "successor waiting")
 	second.Process.Signal(syscall.SIGTERM)
-	logged(t, thirdLogs, "ready")
+	awaitLog(t, thirdLogs, "ready")
 	if testserver.HasLogLine(thirdLogs(), msgNoInheritedState) {
-		t.Errorf("the third process: %s", thirdLogs())
+		t.Errorf("third process started without inherited state: %s", thirdLogs())
 	}
 	socket.wantReady(t)
 	if err := second.Wait(); err != nil {
-		t.Errorf("the second process: %v, %s", err, secondLogs())
+		t.Errorf("second process ended with %v, want exit code 0: %s", err, secondLogs())
 	}
 	third.Process.Signal(syscall.SIGTERM)
 	if err := third.Wait(); err != nil {
-		t.Errorf("the third process: %v, %s", err, thirdLogs())
+		t.Errorf("third process ended with %v, want exit code 0: %s", err, thirdLogs())
 	}
 }
--- a/internal/edgeproxy/admin_server.go
+++ b/internal/edgeproxy/admin_server.go
@@ -13,20 +13,20 @@
 	"mulleinmux/internal/logging"
 )
 
-// Paths and limits of operators' calls.
+// Paths and limits of the administration calls.
 const (
 	adminReadyPath        = "/control/ready"
 	adminCountersPath     = "/control/counters"
 	adminOutOfServicePath = "/control/out-of-service"
 	adminInServicePath    = "/control/in-service"
 
-	maxAdminConns       = 12                     // calls at once; one more evicts the oldest
-	adminReadTimeout    = 800 * time.Millisecond // for a call's head; a slower one is not answered
+	maxAdminConns       = 12                     // concurrent calls; one more evicts the oldest connection
+	adminReadTimeout    = 800 * time.Millisecond // for the head of a call; a slower call gets no response
 	adminWriteTimeout   = 2 * time.Second
 	maxAdminHeaderBytes = 8 << 10
 )
 
-// adminMethods has the method of each call.
+// adminMethods maps the path of each call to its HTTP method.
 var adminMethods = map[string]string{
 	adminReadyPath:        http.MethodGet,
 	adminCountersPath:     http.MethodGet,
@@ -34,15 +34,15 @@
 	adminInServicePath:    http.MethodPost,
 }
 
-// adminServer answers operators' calls on an address of its own, one a connection. The calls have a few descriptors
-// of their own and take none from clients; nor does a crowd of clients keep a call waiting.
+// adminServer serves the administration calls on a separate address, one call per connection. Its connections have a
+// limit of their own: they take no descriptors from clients, and a large number of clients doesn't delay them.
 type adminServer struct {
 	clients    *clientServer
-	isReady    func() bool // whether this process is ready to serve
+	isReady    func() bool // reports whether this process is ready to serve
 	httpServer *http.Server
 }
 
-// newAdminServer returns a server of the calls about clients; isReady tells whether the process is ready to serve.
+// newAdminServer returns an administration server for clients; isReady reports whether the process is ready to serve.
 func newAdminServer(clients *clientServer, isReady func() bool) *adminServer {
 	s := &adminServer{clients: clients, isReady: isReady}
 	s.httpServer = &http.Server{
@@ -58,17 +58,17 @@
 	return s
 }
 
-// serve answers calls until close.
+// serve accepts calls on ln until close is called.
 func (s *adminServer) serve(ln net.Listener) error {
 	l := &limitedListener{Listener: graceful.NewListener(ln), limiter: newConnectionLimiter(maxAdminConns)}
-	l.limiter.evictsOldest = true // a call is sent in one piece
+	l.limiter.evictsOldest = true // a call arrives in one piece: a partial head needs no protection
 	if err := s.httpServer.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("management: %w", err)
 	}
 	return nil
 }
 
-// close ends serving: the calls that were accepted are answered.
+// close shuts the server down. Calls that were accepted are answered, for adminReadTimeout at most.
 func (s *adminServer) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), adminReadTimeout)
 	defer cancel()
@@ -77,7 +77,7 @@
 	}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements [http.Handler].
 func (s *adminServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := clientConnOf(r)
 	conn.setState(stateActive)
--- a/internal/edgeproxy/answer_writing.go
+++ b/internal/edgeproxy/answer_writing.go
@@ -10,7 +10,7 @@
 	"mulleinmux/policy"
 )
 
-// unreadBodyTimeout bounds the wait for the rest of a body that is not needed any more.
+// unreadBodyTimeout bounds the wait for the remainder of a request body whose content is no longer needed.
 const unreadBodyTimeout = 250 * time.Millisecond
 
 // writeAnswer writes a final answer that is not streamed.
@@ -21,7 +21,7 @@
 		setContentType(h, a.response)
 		h["Content-Length"] = []string{strconv.Itoa(len(a.response.body))}
 		w.WriteHeader(http.StatusOK)
-		w.Write(a.response.body) // a client that has disconnected by now misses nothing
+		w.Write(a.response.body) // an error means that the client has disconnected
 	case answerRejected:
 		if a.retryAfter > 0 {
 			h["Retry-After"] = []string{strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64)}
@@ -32,8 +32,8 @@
 	}
 }
 
-// writeBadRequest answers a request that is the client's mistake. A body that was not read is not waited for: the
-// connection closes, or what is left of the body would be read as the next request.
+// writeBadRequest writes the response to an invalid request. It does not wait for the unread part of a body: the
+// connection is closed, because net/http would read that part as the next request.
 func (s *clientServer) writeBadRequest(w http.ResponseWriter, r *http.Request, err error) {
 	bad := &badRequestError{status: http.StatusBadRequest}
 	if errors.As(err, &bad); bad.allow != "" {
@@ -41,14 +41,14 @@
 	}
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
-		// net/http reads a short rest before it closes, or the client could miss the response. Half a body would keep
-		// it reading for ever.
+		// net/http reads a short remainder of the body before it closes the connection, so that the client receives the
+		// response. Without a deadline it would wait forever for the rest of an incomplete body.
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadBodyTimeout))
 	}
 	writeText(w, bad.status, err.Error())
 }
 
-// streamResponse forwards a long response as it is received, and returns how that ended.
+// streamResponse forwards a long response while it is being received, and returns the result.
 func (s *clientServer) streamResponse(w http.ResponseWriter, rep serverResponse) policy.Result {
 	setContentType(w.Header(), rep)
 	if rep.stream.length >= 0 {
@@ -60,7 +60,8 @@
 	return result
 }
 
-// setContentType forwards a response's Content-Type. If it has none, net/http must not guess one.
+// setContentType forwards a response's Content-Type. The nil value keeps net/http from guessing a type where the
+// response has none.
 func setContentType(h http.Header, rep serverResponse) {
 	h["Content-Type"] = nil
 	if rep.contentType != "" {
@@ -68,7 +69,7 @@
 	}
 }
 
-// writeText writes a response of one line.
+// writeText writes a plain-text response of one line.
 func writeText(w http.ResponseWriter, status int, text string) {
 	h := w.Header()
 	h["Content-Type"] = []string{"text/plain; charset=utf-8"}
--- a/internal/edgeproxy/client_conn.go
+++ b/internal/edgeproxy/client_conn.go
@@ -13,49 +13,49 @@
 	"mulleinmux/internal/graceful"
 )
 
-// clientConnState is the state of a client's connection.
+// clientConnState is the state of a client connection.
 type clientConnState int
 
 const (
-	stateSilent   clientConnState = iota // new: nothing has been received
+	stateSilent   clientConnState = iota // new: no data has been received
 	stateReading                         // part of a request's head has been received
 	stateActive                          // a request is being served
-	stateAnswered                        // its response may still have to be written to the end, or closes the connection
+	stateAnswered                        // answered; the end of the response, or the close after it, may be pending
 	stateIdle                            // between requests
-	stateClosed                          // closed
+	stateClosed
 )
 
-// isBetweenRequests tells whether the last request has its response and nothing of a next one was received.
+// isBetweenRequests reports whether the last request has been answered and no part of the next one has been received.
 func (s clientConnState) isBetweenRequests() bool { return s == stateAnswered || s == stateIdle }
 
-// clientConn is a client's connection, which counts at its limiter until it is closed or handed over. One goroutine of
-// net/http's reads from it; others look at its state.
+// clientConn is a client connection. It counts towards its limiter until it is closed or handed over. One net/http
+// goroutine reads from it; other goroutines read its state.
 type clientConn struct {
 	net.Conn
-	raw     syscall.RawConn // nil where Conn has no socket
+	raw     syscall.RawConn // nil if Conn has no socket
 	limiter *connectionLimiter
 
 	// Guarded by limiter.mu.
 	state             clientConnState
 	stateSince        time.Time
-	lastReadAt        time.Time     // when something was last received
-	hasUnrecordedData bool          // data has left the socket and is not recorded here yet
-	head              headRecorder  // of the request being read
-	headReceivedAt    time.Time     // if that was while the request before it was active; else zero
-	later             laterRequests // what was received behind the active request
+	lastReadAt        time.Time         // when data was last received
+	hasUnrecordedData bool              // data was read from the socket and is not yet recorded in head or pipelined
+	head              headRecorder      // of the request being read
+	headReceivedAt    time.Time         // if that was while the previous request was active; else zero
+	pipelined         pipelinedRequests // data received after the active request
 }
 
 func newClientConn(nc net.Conn, l *connectionLimiter) *clientConn {
 	c := &clientConn{Conn: nc, limiter: l}
 	if sc, ok := nc.(syscall.Conn); ok {
-		c.raw, _ = sc.SyscallConn() // a connection that is closed already has nothing to read
+		c.raw, _ = sc.SyscallConn() // the error means that the connection is closed: there is nothing to read
 	}
 	return c
 }
 
-// Read records what it receives. What is received after the connection was evicted is not returned: the client can
-// tell that it was not read. A connection that is to be handed over is handed over here, where nothing else can
-// read from it any more.
+// Read records the data that it receives. Data received after the connection was evicted is not returned: the close of
+// the connection shows the client that its request was not processed. If a handover is pending, Read performs it,
+// because no other goroutine can be reading from the connection at this point.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.handOverIfPossible() {
 		return 0, io.EOF
@@ -63,7 +63,7 @@
 	if len(p) == 1 && c.isDisconnectWatch() {
 		return c.watchForDisconnect(p)
 	}
-	n := c.takeKept(p)
+	n := c.takePipelined(p)
 	var err error
 	if n == 0 {
 		n, err = c.readSocket(p)
@@ -83,7 +83,7 @@
 	return n, err
 }
 
-// Close closes the connection, which counts no more.
+// Close closes the connection and removes it from its limiter.
 func (c *clientConn) Close() error {
 	c.limiter.mu.Lock()
 	if c.state != stateClosed {
@@ -94,8 +94,8 @@
 	return c.Conn.Close()
 }
 
-// setState changes the state and returns false if the connection has been closed. Data that is received while a
-// request is active, or while a head is being read, changes nothing.
+// setState changes the state. It returns false if the connection has been closed. Data that is received while a request
+// is active, or in the middle of a head, does not change the state.
 func (c *clientConn) setState(state clientConnState) bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -106,11 +106,11 @@
 		c.lastReadAt, c.hasUnrecordedData = time.Now(), false
 	}
 	startsRequest := state == stateReading && (c.state == stateSilent || c.state.isBetweenRequests()) ||
-		state == stateAnswered && !c.later.isEmpty()
+		state == stateAnswered && !c.pipelined.isEmpty()
 	if startsRequest {
 		state = stateReading
-		c.headReceivedAt = c.later.headReceivedAt()
-		c.head.begin(c.later.beginNext())
+		c.headReceivedAt = c.pipelined.headReceivedAt()
+		c.head.begin(c.pipelined.beginNext())
 	}
 	if state != stateReading || startsRequest {
 		c.limiter.changeState(c, state)
@@ -119,20 +119,20 @@
 	return true
 }
 
-// activity is what the connection does now. Called under limiter.mu.
+// activity returns the connection's state and ages for the eviction decision. Called under limiter.mu.
 func (c *clientConn) activity(now time.Time) connActivity {
 	return connActivity{state: c.state, age: now.Sub(c.stateSince), sinceRead: now.Sub(c.lastReadAt)}
 }
 
-// hasUnreadData tells whether something was received that net/http has not read, or read a moment ago and is not
-// recorded yet. It does not wait for the goroutine that reads. Called under limiter.mu.
+// hasUnreadData reports whether data has been received that net/http has not read, or has just read and that is not yet
+// recorded. It doesn't wait for the reading goroutine. Called under limiter.mu.
 func (c *clientConn) hasUnreadData() bool {
-	return c.later.hasKept() || c.hasUnrecordedData || graceful.HasUnreadData(c.Conn)
+	return c.pipelined.hasBuffered() || c.hasUnrecordedData || graceful.HasUnreadData(c.Conn)
 }
 
-// readSocket reads from the socket. The read and hasUnrecordedData change together, under the mutex (the call never
-// waits), until setState or keepLater records the data: else the connection would look idle in between, and be evicted
-// with a request that was received.
+// readSocket reads from the socket. The non-blocking read and the update of hasUnrecordedData happen together under the
+// mutex, and the flag stays set until setState or bufferPipelined records the data. Otherwise the connection would look
+// idle in between and could be evicted although a request was received.
 func (c *clientConn) readSocket(p []byte) (n int, err error) {
 	if c.raw == nil {
 		return c.Conn.Read(p)
@@ -160,21 +160,21 @@
 	return n, nil
 }
 
-// hasLateRequest tells whether a request was received just as the connection's idle timeout expired: it has to be
-// answered.
+// hasLateRequest reports whether a request was received just as the connection's idle timeout expired. Such a request
+// must be answered.
 func (c *clientConn) hasLateRequest() bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	return (c.state.isBetweenRequests() || c.state == stateSilent) && c.hasUnreadData()
 }
 
-// canHandOver decides whether the connection may go to the successor process: its last response is written to the end,
-// and no part of a next request was received. Called under limiter.mu.
+// canHandOver reports whether the connection may be handed over to the successor process: its last response is fully
+// written, and no part of a next request has been received. Called under limiter.mu.
 func (c *clientConn) canHandOver() bool {
-	return (c.state == stateSilent || c.state == stateIdle) && !c.later.hasKept() && !c.hasUnrecordedData
+	return (c.state == stateSilent || c.state == stateIdle) && !c.pipelined.hasBuffered() && !c.hasUnrecordedData
 }
 
-// markResponseWritten records that the last response is written to the end. The state's age goes on.
+// markResponseWritten records that the last response is fully written. The age of the state is not reset.
 func (c *clientConn) markResponseWritten() {
 	c.limiter.mu.Lock()
 	if c.state == stateAnswered {
@@ -183,8 +183,8 @@
 	c.limiter.mu.Unlock()
 }
 
-// handOverIfPossible hands the connection to the successor process if that was asked for and no request is on it,
-// and tells whether it has.
+// handOverIfPossible hands the connection over to the successor process if a handover is pending and no request is on
+// the connection. It reports whether it did.
 func (c *clientConn) handOverIfPossible() bool {
 	l := c.limiter
 	l.mu.Lock()
@@ -197,7 +197,7 @@
 	handOver := l.handOver
 	l.handOverCount++
 	l.mu.Unlock()
-	// A connection that can't be handed over is closed: a client retries what it sends at that moment.
+	// If the handover fails the connection is only closed: a client retries a request that it sends at that moment.
 	_ = handOver(c)
 	c.Conn.Close()
 	l.mu.Lock()
@@ -214,7 +214,7 @@
 	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
-// clientConnOf returns the connection of a request.
+// clientConnOf returns the connection on which a request was received.
 func clientConnOf(r *http.Request) *clientConn {
 	return r.Context().Value(clientConnKey{}).(*clientConn)
 }
--- a/internal/edgeproxy/client_conn_test.go
+++ b/internal/edgeproxy/client_conn_test.go
@@ -13,58 +13,58 @@
 	"mulleinmux/policy"
 )
 
-// A request that is received just as the idle timeout expires is read all the same.
+// A request that is received just as the idle timeout expires is still read.
 func TestRequestRacesIdleTimeout(t *testing.T) {
 	s := newConnectionLimiter(2)
-	far, c := newClientConnPair(t, s)
+	clientEnd, c := newClientConnPair(t, s)
 	s.add(c)
-	far.send(readyRequest)
-	eventually(t, "arrived", c.hasNextRequest)
+	clientEnd.send(readyRequest)
+	eventually(t, "request received", c.hasNextRequest)
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 	buf := make([]byte, 100)
 	if n, err := c.Read(buf); n != len(readyRequest) || err != nil {
-		t.Errorf("read %d bytes, %v", n, err)
+		t.Errorf("Read after the idle timeout: got %d bytes, error %v", n, err)
 	}
 }
 
-// newPipedConn returns a connection without a socket, as a limiter has it, to which it is not added, and its client's
-// end.
-func newPipedConn(t *testing.T, l *connectionLimiter) (c *clientConn, far net.Conn) {
+// newPipedConn returns a connection without a socket and its client's end. The connection belongs to the limiter but is
+// not added to it.
+func newPipedConn(t *testing.T, l *connectionLimiter) (c *clientConn, clientEnd net.Conn) {
 	t.Helper()
-	near, far := net.Pipe()
+	serverEnd, clientEnd := net.Pipe()
 	t.Cleanup(func() {
-		near.Close()
-		far.Close()
+		serverEnd.Close()
+		clientEnd.Close()
 	})
-	return newClientConn(near, l), far
+	return newClientConn(serverEnd, l), clientEnd
 }
 
-// readHead reads as much as a head has, and checks that the connection has kept it.
-func readHead(t *testing.T, c *clientConn, want string) {
+// requireHeadRecorded reads as many bytes as want has and checks that the connection has recorded them as the head.
+func requireHeadRecorded(t *testing.T, c *clientConn, want string) {
 	t.Helper()
 	if _, err := io.ReadFull(c, make([]byte, len(want))); err != nil {
 		t.Fatal(err)
 	}
 	if head, _ := c.takeHead(); string(head) != want {
-		t.Fatalf("head %q, want %q", head, want)
+		t.Fatalf("recorded head: got %q, want %q", head, want)
 	}
 }
 
-// The first byte of a request may be received before the handler of the one before has returned: its head is kept
-// whole all the same, and the connection is neither idle nor handed over.
+// The first byte of a request may be received before the handler of the previous request has returned. The head must
+// still be recorded completely, and the connection must be neither idle nor handed over.
 func TestEarlyByte(t *testing.T) {
 	l := newConnectionLimiter(4)
-	c, far := newPipedConn(t, l)
+	c, clientEnd := newPipedConn(t, l)
 	l.add(c)
 	const first, second = "GET / HTTP/1.1\r\n\r\n", "POST /b HTTP/1.1\r\nA: b\r\n\r\n"
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		io.WriteString(far, first+second)
+		io.WriteString(clientEnd, first+second)
 	}()
-	readHead(t, c, first)
+	requireHeadRecorded(t, c, first)
 	c.setState(stateActive)
-	// As the library's background reader does, which ends once the handler has: it waits on for the client to leave.
+	// Does what net/http's background read does: it waits for the client to disconnect until the handler has returned.
 	watch := make(chan error, 1)
 	go func() {
 		_, err := c.Read(make([]byte, 1))
@@ -74,18 +74,18 @@
 	c.setState(stateAnswered)
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 	if err := <-watch; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the watch ended with %v", err)
+		t.Fatalf("background read: got error %v, want a deadline error", err)
 	}
 	c.Conn.SetReadDeadline(time.Time{})
 	c.markResponseWritten()
 	if l.mu.Lock(); c.state != stateReading || c.canHandOver() {
-		t.Errorf("state %d, may be handed over: %v", c.state, c.canHandOver())
+		t.Errorf("connection with part of a request: state %d, can be handed over: %v", c.state, c.canHandOver())
 	}
 	l.mu.Unlock()
-	readHead(t, c, second)
+	requireHeadRecorded(t, c, second)
 }
 
-// A client that sends more behind its request and disconnects has left: the attempt is cancelled.
+// If a client sends more data after its request and then disconnects, the attempt is cancelled.
 func TestDisconnectAfterPipelinedBytes(t *testing.T) {
 	for name, more := range map[string]string{
 		"a byte":    "G",
@@ -100,51 +100,51 @@
 			n := runNode(t, cfg)
 			c := dial(t, n.addr)
 			c.send(request("check", "t1", "X-Expires-In", "3600"))
-			eventually(t, "request out", func() bool { return len(app.requests()) == 1 })
+			eventually(t, "request forwarded", func() bool { return len(app.requests()) == 1 })
 			c.send(more)
 			c.Close()
 			wantClosed(t, <-app.conns)
 			if sent := app.requests(); len(sent) != 1 {
-				t.Errorf("forwarded: %q", sent)
+				t.Errorf("forwarded requests: got %q, want one", sent)
 			}
 		})
 	}
 }
 
-// The disconnect of a client that sends more than is read ahead is noticed when something is about to be sent.
+// If a client sends more data than is read ahead, its disconnect is noticed only right before an attempt is sent.
 func TestDisconnectAfterReadAheadIsFull(t *testing.T) {
 	s := newConnectionLimiter(2)
-	far, c := newClientConnPair(t, s)
+	clientEnd, c := newClientConnPair(t, s)
 	s.add(c)
-	far.send(readyRequest)
+	clientEnd.send(readyRequest)
 	if _, err := io.ReadFull(c, make([]byte, len(readyRequest))); err != nil {
 		t.Fatal(err)
 	}
 	c.takeHead()
 	c.setState(stateActive)
-	far.send(strings.Repeat("x", maxReadAhead+4<<10))
+	clientEnd.send(strings.Repeat("x", maxReadAhead+4<<10))
 	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
-		t.Fatalf("the watch ended with %d, %v", n, err)
+		t.Fatalf("background read with a full buffer: got %d bytes, error %v, want 1 byte", n, err)
 	}
-	if c.isClientGone() {
-		t.Error("gone, and the client is there")
+	if c.hasClientDisconnected() {
+		t.Error("connected client is reported as disconnected")
 	}
-	far.Close()
-	eventually(t, "seen to have left", c.isClientGone)
+	clientEnd.Close()
+	eventually(t, "disconnect noticed", c.hasClientDisconnected)
 	app := newAppServer(t, respondWith(okAnswer))
 	pool := newTestPool(app.instance("a"))
 	m := get
-	m.isClientGone = c.isClientGone
+	m.hasClientDisconnected = c.hasClientDisconnected
 	_, res := pool.exchange(t.Context(), "a", &m)
 	wantResult(t, res, policy.NotSent)
 	wantClosed(t, <-app.conns)
 	if len(app.requests()) != 0 || pool.Snapshot().OpenCount != 0 {
-		t.Errorf("forwarded: %q, %d connections counted", app.requests(), pool.Snapshot().OpenCount)
+		t.Errorf("forwarded %q with %d open connections, want none", app.requests(), pool.Snapshot().OpenCount)
 	}
 }
 
-// A process counts a connection until it is handed over: it ends once it has none left, and one that it was just
-// sending to its successor would be dropped.
+// A process ends once it has no connections left. A connection therefore counts until its handover is complete, or the
+// process could end in the middle of it and drop the connection.
 func TestConnectionCountsUntilHandedOver(t *testing.T) {
 	s := newConnectionLimiter(2)
 	_, c := newClientConnPair(t, s)
@@ -161,28 +161,29 @@
 	})
 	<-begun
 	if n := s.count(); n != 1 {
-		t.Errorf("%d connections, and one is on its way", n)
+		t.Errorf("during the handover: got %d connections, want 1", n)
 	}
 	close(sent)
 	<-ended
 	if n := s.count(); n != 0 {
-		t.Errorf("%d connections are left", n)
+		t.Errorf("after the handover: got %d connections, want 0", n)
 	}
 }
 
-// newClientConnPair returns a connection, as its client has it and as a limiter has it, to which it is not added.
-func newClientConnPair(t *testing.T, s *connectionLimiter) (far *client, near *clientConn) {
+// newClientConnPair returns both ends of a TCP connection. The server's end belongs to the limiter but is not added to
+// it.
+func newClientConnPair(t *testing.T, s *connectionLimiter) (clientEnd *client, serverEnd *clientConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	far = dial(t, ln.Addr().String())
+	clientEnd = dial(t, ln.Addr().String())
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	return far, newClientConn(nc, s)
+	return clientEnd, newClientConn(nc, s)
 }
--- a/internal/edgeproxy/client_server.go
+++ b/internal/edgeproxy/client_server.go
@@ -15,44 +15,44 @@
 )
 
 const (
-	readyPath         = "/health/ready"         // of the load balancer's health check
-	readHeaderTimeout = 2500 * time.Millisecond // for a request's header, from the connection's start or the first byte
-	writeTimeout      = 10 * time.Second        // from a request's header to the end of its response
+	readyPath         = "/health/ready"         // path of the load balancer's health check
+	readHeaderTimeout = 2500 * time.Millisecond // for a request's head, from the connection's start or the first byte
+	writeTimeout      = 10 * time.Second        // from the end of a request's head to the end of its response
 	clientIdleTimeout = 30 * time.Second        // for a connection between requests
 	maxHeaderBytes    = 16 << 10
 
-	// writeTimeoutRenewal is the time after a request's header from which on the write of its answer gets writeTimeout
-	// anew.
+	// writeTimeoutRenewal is the time since a request's head was received after which the write timeout is restarted
+	// before the response is written.
 	writeTimeoutRenewal = writeTimeout / 4
 
-	reservedDescriptors = 48 // descriptors that are neither a client's nor an app server's
+	reservedDescriptors = 48 // descriptors used neither for clients nor for app servers
 )
 
-// The phases of a clientServer, in their order.
+// The phases of a clientServer, in order.
 const (
 	phaseStarting int32 = iota
 	phaseServing
 	phaseDraining // each response closes its connection
 )
 
-// clientServer accepts clients' connections, reads their requests and writes the final answers.
+// clientServer accepts client connections, reads requests from them and writes the final answers.
 type clientServer struct {
 	node       *Node
 	httpServer *http.Server
 	limiter    *connectionLimiter
 	classes    map[string]policy.Class // by name
-	plans      map[string]bool         // names
+	plans      map[string]bool         // names of the plans
 	shutdown   *shutdownTimer
 
-	phase          atomic.Int32 // one of the phases
-	hasPredecessor atomic.Bool  // a predecessor still hands clients over
+	phase          atomic.Int32 // one of the phase constants
+	hasPredecessor atomic.Bool  // a predecessor is still handing over client connections
 	maintenance    maintenance
 
 	listenersMu sync.Mutex
-	listeners   []*limitedListener // on which it accepts, or did
+	listeners   []*limitedListener // all that serve was called with, finished ones included
 }
 
-// newClientServer returns the server of a node's clients, which is not ready yet.
+// newClientServer returns the server for a node's clients, in its starting phase.
 func newClientServer(n *Node) *clientServer {
 	s := &clientServer{
 		node:     n,
@@ -84,7 +84,7 @@
 	return s
 }
 
-// serve answers clients that a listener accepts, until drain has ended.
+// serve serves the clients that a listener accepts, until drain finishes the listener.
 func (s *clientServer) serve(ln net.Listener) error {
 	l := &limitedListener{Listener: graceful.NewListener(ln), limiter: s.limiter, done: make(chan struct{})}
 	defer close(l.done)
@@ -97,13 +97,13 @@
 	return nil
 }
 
-// servePredecessor answers the clients that a predecessor hands over, until it has none left.
-func (s *clientServer) servePredecessor(before *predecessor) {
+// servePredecessor serves the client connections that a predecessor hands over, until it has none left.
+func (s *clientServer) servePredecessor(from *predecessor) {
 	defer s.hasPredecessor.Store(false)
-	s.serve(before)
+	s.serve(from)
 }
 
-// longestDeadline is the longest deadline of all classes.
+// longestDeadline returns the longest deadline of all classes.
 func (s *clientServer) longestDeadline() (d time.Duration) {
 	for _, c := range s.node.cfg.Settings.Classes {
 		d = max(d, c.Deadline)
@@ -111,21 +111,22 @@
 	return d
 }
 
-// longestRequest is how long the last request that was accepted may still take.
-func (s *clientServer) longestRequest() time.Duration {
+// longestRequestTime returns how long a request that has just been accepted may take.
+func (s *clientServer) longestRequestTime() time.Duration {
 	return s.longestDeadline() + s.node.cfg.Settings.ResponseSlack
 }
 
-// maxConnsPerSide decides how many connections to app servers, and as many of clients, are open at once with maxSockets
-// descriptors: most requests have one attempt in flight. Hedged requests and health checks take from the same.
+// maxConnsPerSide returns the limit of open connections to app servers, which is also the limit of client connections,
+// for maxSockets descriptors. The two are equal because most requests have one attempt in flight. Hedged requests and
+// health checks count towards the connections to app servers.
 func maxConnsPerSide(maxSockets int) int { return (maxSockets - reservedDescriptors) / 2 }
 
-// closesConnections decides whether responses close their connections, for a drain.
+// closesConnections reports whether responses close their connections because of a drain.
 func (s *clientServer) closesConnections() bool {
 	return s.phase.Load() == phaseDraining || s.maintenance.isOutOfService.Load()
 }
 
-// isAvailable decides whether the load balancer may send clients here.
+// isAvailable reports whether the load balancer may send clients to this node.
 func (s *clientServer) isAvailable() bool {
 	return s.phase.Load() == phaseServing && !s.maintenance.isOutOfService.Load()
 }
--- a/internal/edgeproxy/client_watch.go
+++ b/internal/edgeproxy/client_watch.go
@@ -7,120 +7,121 @@
 	"mulleinmux/internal/graceful"
 )
 
-// maxReadAhead limits the bytes that are read of later requests while one is active.
+// maxReadAhead limits the bytes of pipelined requests that are read while a request is active.
 const maxReadAhead = 16 << 10
 
-// laterRequests is what was received behind the active request.
-type laterRequests struct {
-	given        []byte    // net/http has got it
-	kept         []byte    // behind given; net/http has not got it
-	receivedAt   time.Time // the last of both
-	isWatchEnded bool      // kept was full: that the client disconnects goes unnoticed
+// pipelinedRequests is the data received after the active request.
+type pipelinedRequests struct {
+	delivered    []byte    // already returned to net/http
+	buffered     []byte    // follows delivered; not yet returned to net/http
+	receivedAt   time.Time // when the latest of the data was received
+	isWatchEnded bool      // buffered reached its limit: a disconnect of the client is no longer noticed
 }
 
-// headReceivedAt returns when the next request's head had been received; zero if it has not, or not whole.
-func (l *laterRequests) headReceivedAt() time.Time {
-	if !bytes.Contains(append(l.given[:len(l.given):len(l.given)], l.kept...), headEnd) {
+// headReceivedAt returns when the next request's head was completely received. It is zero if part of the head is
+// missing.
+func (l *pipelinedRequests) headReceivedAt() time.Time {
+	if !bytes.Contains(append(l.delivered[:len(l.delivered):len(l.delivered)], l.buffered...), headEnd) {
 		return time.Time{}
 	}
 	return l.receivedAt
 }
 
-// isEmpty tells whether nothing was received.
-func (l *laterRequests) isEmpty() bool { return len(l.given)+len(l.kept) == 0 }
+// isEmpty reports whether no data has been received.
+func (l *pipelinedRequests) isEmpty() bool { return len(l.delivered)+len(l.buffered) == 0 }
 
-// hasKept tells whether something was received that net/http has not got.
-func (l *laterRequests) hasKept() bool { return len(l.kept) > 0 }
+// hasBuffered reports whether data has been received that was not yet returned to net/http.
+func (l *pipelinedRequests) hasBuffered() bool { return len(l.buffered) > 0 }
 
-// addGiven takes in what net/http has got of later requests, received at a time.
-func (l *laterRequests) addGiven(p []byte, receivedAt time.Time) {
-	l.given, l.receivedAt = append(l.given, p...), receivedAt
+// addDelivered adds data of later requests that net/http has read, received at receivedAt.
+func (l *pipelinedRequests) addDelivered(p []byte, receivedAt time.Time) {
+	l.delivered, l.receivedAt = append(l.delivered, p...), receivedAt
 }
 
-// keep keeps what was received and tells whether the limit is reached.
-func (l *laterRequests) keep(p []byte) (isFull bool) {
+// appendBuffered adds received data to the buffer and reports whether the limit is reached.
+func (l *pipelinedRequests) appendBuffered(p []byte) (isFull bool) {
 	if len(p) > 0 {
-		l.kept, l.receivedAt = append(l.kept, p...), time.Now()
+		l.buffered, l.receivedAt = append(l.buffered, p...), time.Now()
 	}
-	return len(l.kept) >= maxReadAhead
+	return len(l.buffered) >= maxReadAhead
 }
 
-// take copies what is kept to p, which is given to net/http, and returns its length.
-func (l *laterRequests) take(p []byte) int {
-	n := copy(p, l.kept)
-	if l.kept = l.kept[n:]; len(l.kept) == 0 {
-		l.kept = nil
+// takeBuffered moves buffered data to p, which net/http reads, and returns the number of bytes.
+func (l *pipelinedRequests) takeBuffered(p []byte) int {
+	n := copy(p, l.buffered)
+	if l.buffered = l.buffered[n:]; len(l.buffered) == 0 {
+		l.buffered = nil
 	}
 	return n
 }
 
-// endWatch ends the watch for the client's disconnect, by the first byte that is kept, which is given to net/http.
-func (l *laterRequests) endWatch() byte {
+// endWatch ends the watch for the client's disconnect. It returns the first buffered byte, which net/http reads.
+func (l *pipelinedRequests) endWatch() byte {
 	l.isWatchEnded = true
-	first := l.kept[0]
-	l.kept = l.kept[1:]
-	l.given = append(l.given, first)
+	first := l.buffered[0]
+	l.buffered = l.buffered[1:]
+	l.delivered = append(l.delivered, first)
 	return first
 }
 
-// beginNext begins the next request and returns what net/http has got of it.
-func (l *laterRequests) beginNext() (early []byte) {
-	early = l.given
-	l.given, l.isWatchEnded = nil, false
+// beginNext begins the next request and returns the part of it that net/http has already read.
+func (l *pipelinedRequests) beginNext() (early []byte) {
+	early = l.delivered
+	l.delivered, l.isWatchEnded = nil, false
 	return early
 }
 
-// isDisconnectWatch tells whether a read of one byte is that by which net/http notices that the client of a
-// complete request disconnects.
+// isDisconnectWatch reports whether a read of one byte is the background read by which net/http notices that the client
+// of a complete request disconnects.
 func (c *clientConn) isDisconnectWatch() bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
-	return (c.state == stateActive || c.state == stateReading) && !c.head.isRecording && !c.later.isWatchEnded
+	return (c.state == stateActive || c.state == stateReading) && !c.head.isRecording && !c.pipelined.isWatchEnded
 }
 
-// watchForDisconnect waits until the client disconnects or net/http ends its watch. The watch of net/http itself
-// ends with the first byte behind the request, and the request of a client that disconnects after that would be
-// forwarded: so what is received is kept here, for the reads of the next request.
+// watchForDisconnect waits until the client disconnects or net/http ends its background read. That read would end with
+// the first byte after the request, and the request of a client that disconnects later would still be forwarded. So the
+// data received meanwhile is buffered here, for the reads of the next request.
 func (c *clientConn) watchForDisconnect(p []byte) (int, error) {
 	var buf []byte
 	for {
 		if buf == nil {
-			// Most clients send nothing: a buffer of one byte is enough to wait with.
+			// Most clients send nothing while they wait, so a buffer of one byte is enough at first.
 			n, err := c.readSocket(p)
-			if c.keepLater(p[:n]); err != nil {
+			if c.bufferPipelined(p[:n]); err != nil {
 				return 0, err
 			}
 			buf = make([]byte, 2<<10)
 		}
 		n, err := c.readSocket(buf)
-		isFull := c.keepLater(buf[:n])
+		isFull := c.bufferPipelined(buf[:n])
 		if err != nil {
 			return 0, err
 		}
 		if isFull {
 			c.limiter.mu.Lock()
 			defer c.limiter.mu.Unlock()
-			p[0] = c.later.endWatch()
+			p[0] = c.pipelined.endWatch()
 			return 1, nil
 		}
 	}
 }
 
-// keepLater keeps what was received of later requests and tells whether the limit is reached.
-func (c *clientConn) keepLater(p []byte) (isFull bool) {
+// bufferPipelined buffers received data of later requests and reports whether the limit is reached.
+func (c *clientConn) bufferPipelined(p []byte) (isFull bool) {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	c.hasUnrecordedData = false
-	return c.later.keep(p)
+	return c.pipelined.appendBuffered(p)
 }
 
-// takeKept copies what is kept of later requests to p and returns its length.
-func (c *clientConn) takeKept(p []byte) int {
+// takePipelined moves buffered data of later requests to p and returns the number of bytes.
+func (c *clientConn) takePipelined(p []byte) int {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
-	return c.later.take(p)
+	return c.pipelined.takeBuffered(p)
 }
 
-// isClientGone tells whether the client of the active request has disconnected. It asks the socket: the watch may have
-// ended before, or its goroutine may run later than the one that asks.
-func (c *clientConn) isClientGone() bool { return graceful.IsPeerGone(c.Conn) }
+// hasClientDisconnected reports whether the client of the active request has disconnected. It queries the socket,
+// because the watch may have ended already, or its goroutine may run after the caller's.
+func (c *clientConn) hasClientDisconnected() bool { return graceful.IsPeerGone(c.Conn) }
--- a/internal/edgeproxy/config.go
+++ b/internal/edgeproxy/config.go
@@ -16,52 +16,52 @@
 	"mulleinmux/policy"
 )
 
-// Config is what an edge node is configured with at its start.
+// Config is the configuration of an edge node.
 type Config struct {
 	Name           string
-	Listen         netip.AddrPort // where clients connect
-	Discovery      netip.AddrPort // the agent or service that tells the endpoint list
-	AdminListen    netip.AddrPort // where operators call; invalid where they don't
-	AcceptFD       int            // the descriptor of a clients' listening socket that the platform holds; 0: none
-	HandoverSocket string         // path of the socket on which a successor takes over; empty: none does
-	Seed           uint64         // of the engine's random draws
-	MemoryMB       int            // the node's memory in MiB; 0: no limit is known
-	MaxSockets     int            // descriptors that the process may hold
-
-	GossipListen    netip.AddrPort   // invalid where edge nodes may not gossip
-	GossipPeers     []netip.AddrPort // by instance index, this node's own among them
+	Listen         netip.AddrPort // listening address for clients
+	Discovery      netip.AddrPort // the agent or service that provides the endpoint list
+	AdminListen    netip.AddrPort // listening address for administration calls; invalid if they are disabled
+	AcceptFD       int            // descriptor of the inherited listening socket for clients; 0 if there is none
+	HandoverSocket string         // path of the hot restart socket; empty if hot restart is disabled
+	Seed           uint64         // seed of the engine's random numbers
+	MemoryMB       int            // memory limit of the node in MiB; 0 if unknown
+	MaxSockets     int            // limit of the process's descriptors
+
+	GossipListen    netip.AddrPort   // invalid if the edge nodes may not gossip
+	GossipPeers     []netip.AddrPort // by instance index, including this node
 	GossipBroadcast netip.AddrPort   // reaches every edge node of the tier
 
-	SavedEndpoints discovery.EndpointList // the app servers as this node last had them
+	SavedEndpoints discovery.EndpointList // the endpoint list that this node had last
 	Settings       policy.Settings
 	Transport      simwire.ConnectionSettings
 
 	reread           func() (*Config, error) // reads the configuration again, for a reload
 	skippedEndpoints []error                 // invalid entries of the saved list
-	drainDelay       time.Duration           // defaultDrainDelay but in tests
-	firstListTimeout time.Duration           // defaultFirstListTimeout but in tests; 0: it is not waited for
-	minIdleTime      time.Duration           // defaultMinIdleTime but in tests
+	drainDelay       time.Duration           // defaultDrainDelay except in tests
+	firstListTimeout time.Duration           // defaultFirstListTimeout except in tests; 0 disables the wait
+	minIdleTime      time.Duration           // defaultMinIdleTime except in tests
 }
 
 const (
-	defaultSockets = 1024    // descriptors where the configuration names no limit
-	minSockets     = 64      // leaves enough for clients and servers
-	maxSockets     = 1 << 20 // more is taken as a mistake
-	maxMemoryMB    = 1 << 20 // likewise
-	minInheritedFD = 3       // after standard input, output and error
+	defaultSockets = 1024    // descriptor limit if the configuration has none
+	minSockets     = 64      // leaves enough descriptors for clients and app servers
+	maxSockets     = 1 << 20 // a higher limit is rejected as a mistake
+	maxMemoryMB    = 1 << 20 // a higher limit is rejected as a mistake
+	minInheritedFD = 3       // 0 to 2 are standard input, output and error
 	maxInheritedFD = 1 << 16
 )
 
-// defaultConnIdle and defaultConnectTimeout hold where the settings are silent.
+// Timeouts of connections to app servers for settings that omit them.
 const (
 	defaultConnIdle       = 30 * time.Second
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// LoadConfig reads the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN,
-// PROXY_DISCOVERY and PROXY_MANAGEMENT, where set, go before what the file says.
-// PROXY_ACCEPT_FD names an inherited listening socket; with one and a $TMPDIR, which both
-// processes share, a successor takes over there. getenv is os.Getenv but for tests.
+// LoadConfig reads the configuration file at the path in PROXY_CONFIG. PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and
+// PROXY_MANAGEMENT override the values of the file. PROXY_ACCEPT_FD is the descriptor of an inherited listening socket;
+// if TMPDIR is set as well, the hot restart socket is created in that directory, which predecessor and successor share.
+// getenv is os.Getenv except in tests.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -79,7 +79,8 @@
 		return nil, err
 	}
 	c.reread = func() (*Config, error) {
-		// The environment is that of the start: it would hide the address in a file replaced since.
+		// The environment dates from the start of the process. Its address would hide the one in a file that was
+		// replaced since.
 		return load(func(name string) string {
 			if name == envDiscovery {
 				return ""
@@ -90,7 +91,8 @@
 	return c, nil
 }
 
-// rawConfig is the configuration file. It and rawLimits are aliases, as the errors of encoding/json tell a type's name.
+// rawConfig is the layout of the configuration file. It and rawLimits are aliases because the errors of encoding/json
+// contain the names of defined types.
 type rawConfig = struct {
 	Name, Listen, Discovery, Seed, Management string
 	Limits                                    rawLimits
@@ -101,13 +103,13 @@
 	Settings                                  json.RawMessage
 }
 
-// rawLimits is what the platform lets the process use.
+// rawLimits are the resource limits that the platform sets for the process.
 type rawLimits = struct {
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  float64
 }
 
-// parseConfig validates the configuration; an error names the field at fault.
+// parseConfig parses and validates the configuration file. An error names the invalid field.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	var raw rawConfig
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -121,17 +123,17 @@
 		minIdleTime:      defaultMinIdleTime,
 	}
 	if c.Name == "" {
-		return nil, errors.New("name: is empty")
+		return nil, errors.New("name: must not be empty")
 	}
 	if err := c.setAddresses(&raw); err != nil {
 		return nil, err
 	}
-	if err := c.setInheritance(getenv); err != nil {
+	if err := c.setHotRestart(getenv); err != nil {
 		return nil, err
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is not a 64-bit hex number", raw.Seed)
+		return nil, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", raw.Seed)
 	}
 	if err := c.setLimits(raw.Limits); err != nil {
 		return nil, err
@@ -152,7 +154,7 @@
 	return c, nil
 }
 
-// applyEnvironment replaces what the environment says in place of the file.
+// applyEnvironment overrides values of the file with those of the environment.
 func applyEnvironment(raw *rawConfig, getenv func(string) string) {
 	for env, field := range map[string]*string{
 		envName: &raw.Name, envListen: &raw.Listen, envDiscovery: &raw.Discovery, envAdmin: &raw.Management,
@@ -163,7 +165,7 @@
 	}
 }
 
-// setAddresses reads the addresses of clients, discovery and operators.
+// setAddresses parses the addresses for clients, discovery and administration calls.
 func (c *Config) setAddresses(raw *rawConfig) error {
 	var err error
 	if c.Listen, err = discovery.ParseAddress("listen", raw.Listen); err != nil {
@@ -179,15 +181,15 @@
 	return err
 }
 
-// setInheritance reads what a process inherits for a hot restart.
-func (c *Config) setInheritance(getenv func(string) string) error {
+// setHotRestart reads the inherited descriptor and the path of the hot restart socket from the environment.
+func (c *Config) setHotRestart(getenv func(string) string) error {
 	text := getenv(envAcceptFD)
 	if text == "" {
 		return nil
 	}
 	var err error
 	if c.AcceptFD, err = strconv.Atoi(text); err != nil || c.AcceptFD < minInheritedFD || c.AcceptFD > maxInheritedFD {
-		return fmt.Errorf(envAcceptFD+": %q is not the number of an inherited descriptor", text)
+		return fmt.Errorf(envAcceptFD+": %q is not a valid number of an inherited descriptor", text)
 	}
 	if dir := getenv(envTempDir); dir != "" {
 		c.HandoverSocket = filepath.Join(dir, handoverSocketName)
@@ -195,7 +197,7 @@
 	return nil
 }
 
-// setLimits reads the limits of memory and descriptors.
+// setLimits validates and sets the limits of memory and descriptors.
 func (c *Config) setLimits(limits rawLimits) error {
 	if m := limits.MemoryMB; m < 0 || m > maxMemoryMB || math.IsNaN(m) {
 		return fmt.Errorf("limits.memory_mb: %v is out of range", m)
@@ -210,10 +212,10 @@
 	return nil
 }
 
-// setSettings reads the settings of the engine and of the transport to app servers.
+// setSettings parses the settings of the engine and of the connections to app servers.
 func (c *Config) setSettings(text json.RawMessage) error {
 	if len(text) == 0 {
-		return errors.New("settings: is missing")
+		return errors.New("settings: field is missing")
 	}
 	var err error
 	if c.Settings, c.Transport, err = simwire.ParseSettings(text); err != nil {
@@ -229,14 +231,15 @@
 	return nil
 }
 
-// setGossip reads the addresses on which edge nodes gossip.
+// setGossip parses the gossip addresses of this node and its peers.
 func (c *Config) setGossip(raw *rawConfig) error {
 	var err error
 	if c.GossipListen, err = discovery.ParseAddress("peer_listen", raw.PeerListen); err != nil {
 		return err
 	}
 	if len(raw.Peers) != c.Settings.InstanceCount {
-		return fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.InstanceCount)
+		return fmt.Errorf("peers: %d addresses, want one for each of %d instances",
+			len(raw.Peers), c.Settings.InstanceCount)
 	}
 	for i, text := range raw.Peers {
 		address, err := discovery.ParseAddress(fmt.Sprintf("peers[%d]", i), text)
--- a/internal/edgeproxy/config_test.go
+++ b/internal/edgeproxy/config_test.go
@@ -16,17 +16,17 @@
 	"mulleinmux/policy"
 )
 
-// The descriptors of both sides and the rest stay inside the limit together.
+// The descriptors for clients, app servers and everything else don't exceed the limit together.
 func TestDescriptorShares(t *testing.T) {
 	for _, all := range []int{minSockets, 1024} {
 		if conns := maxConnsPerSide(all); conns < 1 || 2*conns+reservedDescriptors > all {
-			t.Errorf("of %d: %d for clients, and as many for servers", all, conns)
+			t.Errorf("limit of %d descriptors: %d connections per side, too few or too many", all, conns)
 		}
 	}
 }
 
-// goodConfig has the fields of a valid configuration.
-var goodConfig = map[string]string{
+// validConfig has the fields of a valid configuration.
+var validConfig = map[string]string{
 	"name": `"n1"`, "listen": `"127.0.0.1:1"`, "discovery": `"127.0.0.1:2"`, "seed": `"8c1f30d27a5be964"`,
 	"limits":      `{"memory_mb":192,"sockets":1024}`,
 	"peer_listen": `"127.0.0.1:3"`, "peers": `["127.0.0.1:4","127.0.0.1:5"]`,
@@ -35,10 +35,10 @@
 		`"policyLimits":{"peers":true}}`,
 }
 
-// configWith is a valid configuration but for one field, which has another value or, where that is empty, is missing.
+// configWith returns a valid configuration in which one field has another value, or is missing if value is empty.
 func configWith(field, value string) []byte {
 	var parts []string
-	for name, good := range goodConfig {
+	for name, good := range validConfig {
 		if name == field {
 			good = value
 		}
@@ -49,14 +49,14 @@
 	return []byte("{" + strings.Join(parts, ",") + "}")
 }
 
-// noEnvironment is an environment without variables.
+// noEnvironment is a getenv function of an environment without variables.
 func noEnvironment(string) string { return "" }
 
 func TestParseConfig(t *testing.T) {
 	c, err := parseConfig(configWith("", ""), noEnvironment)
 	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.SavedEndpoints.Generation != 41 ||
 		c.Settings.InstanceIndex != 1 || len(c.GossipPeers) != 2 || c.MemoryMB != 192 {
-		t.Fatalf("%+v, error %v", c, err)
+		t.Fatalf("valid configuration: parsed %+v, error %v", c, err)
 	}
 }
 
@@ -81,10 +81,10 @@
 
 func TestConfigFileErrors(t *testing.T) {
 	if _, err := LoadConfig(noEnvironment); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-		t.Errorf("error %v", err)
+		t.Errorf("without a path: error %v, want one that names PROXY_CONFIG", err)
 	}
 	if _, err := LoadConfig(func(string) string { return "/nonexistent" }); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("error %v", err)
+		t.Errorf("missing file: error %v, want fs.ErrNotExist", err)
 	}
 }
 
@@ -92,11 +92,11 @@
 	environment := map[string]string{"PROXY_LISTEN": "127.0.0.1:9"}
 	c, err := parseConfig(configWith("", ""), func(name string) string { return environment[name] })
 	if err != nil || c.Listen.Port() != 9 {
-		t.Errorf("PROXY_LISTEN: %v, error %v", c.Listen, err)
+		t.Errorf("listening address with PROXY_LISTEN: %v, error %v, want port 9", c.Listen, err)
 	}
 }
 
-// The error for an address that can't be used names the field.
+// The error for an administration address that is in use names the field.
 func TestInvalidAdminAddress(t *testing.T) {
 	cfg := testConfig()
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,14 +111,14 @@
 	cfg.AdminListen = addrOf(taken)
 	err = runOn(context.Background(), cfg, nil, discard, ln)
 	if err == nil || !strings.Contains(err.Error(), "management") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one that names management", err)
 	}
 }
 
-// deployment is one customer's deployment with its app server and node.
+// deployment is a deployment with its own settings, app server and node.
 type deployment struct {
 	idempotent, other, plan string // names of two classes and a plan
-	key                     string // of requests of the other class; empty: they have none
+	key                     string // idempotency key of requests of the other class; empty if they have none
 	deadline, rate          float64
 	allowsHealthChecks      bool
 
@@ -140,32 +140,32 @@
 	d.node = runNode(t, cfg)
 }
 
-// ask has a client of the deployment send a request of a class on a plan.
-func (d *deployment) ask(t *testing.T, class, plan, id string) clientResponse {
+// sendRequest sends a request of a class on a plan over a new connection and returns the response.
+func (d *deployment) sendRequest(t *testing.T, class, plan, id string) clientResponse {
 	t.Helper()
 	method, key := "GET", ""
 	if class == d.other {
 		method, key = "POST", d.key
 	}
-	return dial(t, d.node.addr).ask(request(class, id, "", method+" /"+class+"/x?customer=00000000b4d65521 HTTP/1.1",
+	return dial(t, d.node.addr).do(request(class, id, "", method+" /"+class+"/x?customer=00000000b4d65521 HTTP/1.1",
 		"X-Contract", plan, "Idempotency-Key", key, "X-Expires-In", "20"))
 }
 
-// requireOwnNames checks that names of the other deployment are unknown at this one.
-func (d *deployment) requireOwnNames(t *testing.T, other *deployment) {
+// requireOtherNamesRejected checks that this deployment rejects class and plan names of the other one.
+func (d *deployment) requireOtherNamesRejected(t *testing.T, other *deployment) {
 	t.Helper()
 	for _, c := range []struct{ class, plan string }{
 		{other.idempotent, d.plan}, {d.idempotent, other.plan}, {other.other, d.plan},
 	} {
-		if a := d.ask(t, c.class, c.plan, "x"); a.status != 400 {
-			t.Errorf("class %s, plan %s at the other customer's node: %d", c.class, c.plan, a.status)
+		if a := d.sendRequest(t, c.class, c.plan, "x"); a.status != 400 {
+			t.Errorf("class %s, plan %s at the other deployment's node: status %d, want 400", c.class, c.plan, a.status)
 		}
 	}
 }
 
-// requireOwnDeadlines checks that a request that hangs at one deployment ends by its own deadline beside one at the
-// other.
-func requireOwnDeadlines(t *testing.T, fast, slow *deployment) {
+// requireSeparateDeadlines checks that a request that hangs at one deployment ends at the deadline of that deployment
+// while another request hangs at the other one.
+func requireSeparateDeadlines(t *testing.T, fast, slow *deployment) {
 	t.Helper()
 	startedAt := time.Now()
 	hang := func(d *deployment) string {
@@ -174,50 +174,49 @@
 	}
 	c := dial(t, slow.node.addr)
 	c.send(hang(slow))
-	a := dial(t, fast.node.addr).ask(hang(fast))
+	a := dial(t, fast.node.addr).do(hang(fast))
 	if a.status != 429 || time.Since(startedAt) > 10*time.Second {
-		t.Errorf("%d after %v", a.status, time.Since(startedAt))
+		t.Errorf("request that hangs: status %d after %v, want 429 within 10 s", a.status, time.Since(startedAt))
 	}
 	c.Close()
 }
 
-// Two customers' deployments in one process, in use at the same time: nothing of one shows in the other. Their
-// classes, plans, quotas, deadlines and idempotency come from the settings alone; a name of the one is unknown at
-// the other.
+// Two deployments that are used at the same time in one process don't affect one another. Their classes, plans, quotas,
+// deadlines and idempotency come from the settings alone; each rejects the names of the other.
 func TestTwoDeploymentsInOneProcess(t *testing.T) {
 	t.Parallel()
-	small := &deployment{idempotent: "reading-fetch", other: "meter-swap", plan: "household", deadline: 1, rate: 0.01}
-	wide := &deployment{idempotent: "parcel-trace", other: "pickup-order", plan: "chain", key: "k", deadline: 20,
+	limited := &deployment{idempotent: "reading-fetch", other: "meter-swap", plan: "household", deadline: 1, rate: 0.01}
+	unlimited := &deployment{idempotent: "parcel-trace", other: "pickup-order", plan: "chain", key: "k", deadline: 20,
 		rate: 1e6, allowsHealthChecks: true}
-	small.start(t)
-	wide.start(t)
+	limited.start(t)
+	unlimited.start(t)
 	var both sync.WaitGroup
 	for _, c := range []struct {
 		own, other *deployment
 		statuses   []int // of requests whose IDs, customer and units are the same at both, at the same time
 	}{
-		{small, wide, []int{200, 200, 429, 429}},
-		{wide, small, []int{200, 200, 200, 200}},
+		{limited, unlimited, []int{200, 200, 429, 429}},
+		{unlimited, limited, []int{200, 200, 200, 200}},
 	} {
 		both.Go(func() {
 			for k, want := range c.statuses {
-				if a := c.own.ask(t, c.own.idempotent, c.own.plan, fmt.Sprint("t", k)); a.status != want {
-					t.Errorf("%s, request %d: %d, want %d", c.own.plan, k, a.status, want)
+				if a := c.own.sendRequest(t, c.own.idempotent, c.own.plan, fmt.Sprint("t", k)); a.status != want {
+					t.Errorf("plan %s, request %d: status %d, want %d", c.own.plan, k, a.status, want)
 				}
 			}
-			c.own.requireOwnNames(t, c.other)
+			c.own.requireOtherNamesRejected(t, c.other)
 		})
 	}
 	both.Wait()
-	for _, line := range small.app.requests() {
+	for _, line := range limited.app.requests() {
 		if line == "GET /stats " {
-			t.Error("a health check, where none are allowed")
+			t.Error("app server received a health check, which the settings don't allow")
 		}
 	}
-	requireOwnDeadlines(t, small, wide)
+	requireSeparateDeadlines(t, limited, unlimited)
 }
 
-// settings is the settings object of the deployment, as its node is told it.
+// settings returns the parsed settings of the deployment.
 func (d *deployment) settings(t *testing.T) (policy.Settings, simwire.ConnectionSettings) {
 	t.Helper()
 	idempotency, scope, reports := "fragile", "", "answers"
--- a/internal/edgeproxy/connection_limiter.go
+++ b/internal/edgeproxy/connection_limiter.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// connectionLimiter limits the connections of clients, so that descriptors never run out. A new connection is
-// accepted first; if it is one too many, the one with the highest eviction priority is closed, and never one on which
-// a request is active.
+// connectionLimiter limits the number of client connections, so that the process never runs out of descriptors. A new
+// connection is accepted first; if it exceeds the limit, the connection with the highest eviction priority is closed. A
+// connection with an active request is never evicted.
 type connectionLimiter struct {
 	maxConns     int
-	evictsOldest bool // whatever its state is, unless a request is active
+	evictsOldest bool // ignore states and evict the oldest connection that has no active request
 
 	mu            sync.Mutex // also guards the state of each connection
 	conns         map[*clientConn]struct{}
-	silentCount   int                     // connections of conns in stateSilent
-	handOver      func(*clientConn) error // gives a connection to the successor process; nil: there is no handover
-	handOverCount int                     // connections that are being handed over
+	silentCount   int                     // connections in stateSilent
+	handOver      func(*clientConn) error // hands a connection over to the successor process; nil: no handover
+	handOverCount int                     // connections whose handover is in progress
 }
 
-// newConnectionLimiter returns a limiter of maxConns connections.
+// newConnectionLimiter returns a limiter for at most maxConns connections.
 func newConnectionLimiter(maxConns int) *connectionLimiter {
 	return &connectionLimiter{maxConns: maxConns, conns: map[*clientConn]struct{}{}}
 }
 
-// isCrowded tells whether responses should close their connections, by the rule of isCrowdedBy.
-func (l *connectionLimiter) isCrowded() bool {
+// isNearLimit reports whether responses should close their connections; see isNearConnLimit.
+func (l *connectionLimiter) isNearLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return isCrowdedBy(len(l.conns)-l.silentCount, l.maxConns)
+	return isNearConnLimit(len(l.conns)-l.silentCount, l.maxConns)
 }
 
-// add counts a new connection and returns the one to be closed for it, if any, which is the new one if no other can
-// be evicted. The caller closes it.
+// add adds a new connection and returns the connection to be evicted for it, if any; that is the new one if no other
+// can be evicted. The caller closes the returned connection.
 func (l *connectionLimiter) add(c *clientConn) (evicted *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +45,7 @@
 			c.state = stateClosed
 			return c
 		case (evicted.state != stateReading || !l.evictsOldest) && evicted.hasUnreadData():
-			// A request was received that is not read yet, or the rest of one: it has to be answered.
+			// A request, or the rest of one, was received and has not been read yet: it must be answered.
 			l.changeState(evicted, stateReading)
 			evicted.stateSince, evicted.lastReadAt = now, now
 			evicted = nil
@@ -59,8 +59,8 @@
 	return evicted
 }
 
-// evictionCandidate returns the connection with the highest eviction priority, the oldest of several, or nil if none
-// can be evicted. Called under the mutex.
+// evictionCandidate returns the connection with the highest eviction priority and, among equals, the oldest. It returns
+// nil if none can be evicted. Called under the mutex.
 func (l *connectionLimiter) evictionCandidate(now time.Time) (candidate *clientConn) {
 	highest := evictNever
 	for c := range l.conns {
@@ -73,8 +73,8 @@
 	return candidate
 }
 
-// evictIdle takes out connections on which no request is active, for a drain: those that isUnusedFor names. A request
-// that was received on a connection and not read keeps it. The caller closes what is returned.
+// evictIdle removes connections without an active request, for a drain: those for which isUnusedFor is true and that
+// have no unread data. The caller closes the returned connections.
 func (l *connectionLimiter) evictIdle(minIdle, minSilent time.Duration) (evicted []*clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +89,7 @@
 	return evicted
 }
 
-// changeState changes the state of a connection that counts. Called under the mutex.
+// changeState changes the state of a connection that is in the limiter. Called under the mutex.
 func (l *connectionLimiter) changeState(c *clientConn, to clientConnState) {
 	if c.state == stateSilent {
 		l.silentCount--
@@ -97,7 +97,7 @@
 	c.state = to
 }
 
-// startHandOver has every connection handed over by handOver as soon as no request is on it.
+// startHandOver calls handOver for every connection as soon as no request is on it.
 func (l *connectionLimiter) startHandOver(handOver func(*clientConn) error) {
 	l.mu.Lock()
 	l.handOver = handOver
@@ -109,12 +109,12 @@
 	}
 	l.mu.Unlock()
 	for _, c := range idle {
-		c.Conn.SetReadDeadline(expiredDeadline) // ends its Read, which hands it over
+		c.Conn.SetReadDeadline(expiredDeadline) // ends the pending Read, which performs the handover
 	}
 }
 
-// count returns the number of connections, with those that are being handed over: a process that ended now would
-// drop them.
+// count returns the number of connections, including those whose handover is in progress: if the process exited now,
+// they would be dropped.
 func (l *connectionLimiter) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/edgeproxy/connection_limiter_test.go
+++ b/internal/edgeproxy/connection_limiter_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// newLimitedServer serves clients on at most so many connections.
-func newLimitedServer(t *testing.T, most int, servers ...Instance) (*clientServer, string) {
+// newLimitedServer serves clients on at most maxConns connections.
+func newLimitedServer(t *testing.T, maxConns int, servers ...Instance) (*clientServer, string) {
 	t.Helper()
 	server := newIdleClientServer(t, testConfig(servers...))
-	server.limiter.maxConns = most
+	server.limiter.maxConns = maxConns
 	server.phase.Store(phaseServing)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,7 +24,7 @@
 	return server, ln.Addr().String()
 }
 
-// ageConns makes all connections in a state older and returns their number.
+// ageConns adds to the age of all connections in a state and returns their number.
 func (l *connectionLimiter) ageConns(state clientConnState, by time.Duration) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,94 +39,95 @@
 
 const readyRequest = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"
 
-// Clients that connect by hundreds and send nothing keep nobody out, and cost no one a connection that is in use.
+// Hundreds of clients that connect and send nothing must neither keep other clients out nor cost an active client its
+// connection.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	s := newAppServer(t, respondWith(okAnswer))
 	server, addr := newLimitedServer(t, 8, s.instance("a"))
 	kept := dial(t, addr)
-	if a := kept.ask(readyRequest); a.status != 200 {
-		t.Errorf("before: %+v", a)
+	if a := kept.do(readyRequest); a.status != 200 {
+		t.Errorf("before the silent clients: got %+v, want status 200", a)
 	}
-	var silents []*client
+	var silentClients []*client
 	for i := range 40 {
-		silents = append(silents, dial(t, addr))
+		silentClients = append(silentClients, dial(t, addr))
 		if i%10 == 0 {
-			if a := dial(t, addr).ask(request("check", fmt.Sprint("t", i))); a.status != 200 || a.close {
-				t.Errorf("between %d silent ones: %+v", i, a)
+			if a := dial(t, addr).do(request("check", fmt.Sprint("t", i))); a.status != 200 || a.close {
+				t.Errorf("with %d silent clients: got %+v, want status 200 on an open connection", i, a)
 			}
 		}
 	}
 	for i := range 20 {
-		wantEOF(t, fmt.Sprint("silent ", i), silents[i])
+		wantEOF(t, fmt.Sprint("silent ", i), silentClients[i])
 	}
-	if a := kept.ask(request("check", "kept")); a.status != 200 {
-		t.Errorf("on the connection kept: %+v", a)
+	if a := kept.do(request("check", "kept")); a.status != 200 {
+		t.Errorf("on the idle connection: got %+v, want status 200", a)
 	}
 	server.limiter.mu.Lock()
 	defer server.limiter.mu.Unlock()
 	if n := len(server.limiter.conns); n > 8 {
-		t.Errorf("%d connections where 8 may be open", n)
+		t.Errorf("got %d open connections, want at most 8", n)
 	}
 }
 
-// When three quarters of the connections are in use, responses close theirs; silent ones don't count, and their
-// number follows every way to end.
-func TestCrowdedResponsesClose(t *testing.T) {
+// Responses close their connections once three quarters of the connections are in use. Silent connections don't count
+// as in use, and their number stays correct however a connection ends.
+func TestResponsesCloseNearConnLimit(t *testing.T) {
 	server, addr := newLimitedServer(t, 4)
 	first := dial(t, addr)
 	var others []*client
 	for range 3 {
 		others = append(others, dial(t, addr))
 	}
-	silents := func(n int) func() bool {
+	hasSilentCount := func(n int) func() bool {
 		return func() bool {
 			server.limiter.mu.Lock()
 			defer server.limiter.mu.Unlock()
 			return server.limiter.silentCount == n
 		}
 	}
-	eventually(t, "all accepted", silents(4))
-	if a := first.ask(readyRequest); a.status != 200 || a.close {
-		t.Errorf("among silent ones: %+v", a)
+	eventually(t, "all accepted", hasSilentCount(4))
+	if a := first.do(readyRequest); a.status != 200 || a.close {
+		t.Errorf("with silent clients only: got %+v, want status 200 without a close", a)
 	}
-	if a := others[0].ask(readyRequest); a.status != 200 || a.close {
-		t.Errorf("with half in use: %+v", a)
+	if a := others[0].do(readyRequest); a.status != 200 || a.close {
+		t.Errorf("with half of the connections in use: got %+v, want status 200 without a close", a)
 	}
-	if a := others[1].ask(readyRequest); a.status != 200 || !a.close {
-		t.Errorf("with three quarters in use: %+v", a)
+	if a := others[1].do(readyRequest); a.status != 200 || !a.close {
+		t.Errorf("with three quarters in use: got %+v, want status 200 with a close", a)
 	}
-	wantEOF(t, "after it", others[1])
+	wantEOF(t, "connection after its closing response", others[1])
 	for _, c := range []*client{first, others[0], others[2]} {
 		c.Close()
 	}
-	eventually(t, "all gone", func() bool {
+	eventually(t, "all connections removed", func() bool {
 		server.limiter.mu.Lock()
 		defer server.limiter.mu.Unlock()
 		return len(server.limiter.conns) == 0
 	})
-	if !silents(0)() {
-		t.Errorf("%d silent connections counted, none open", server.limiter.silentCount)
+	if !hasSilentCount(0)() {
+		t.Errorf("without connections: got a silent count of %d, want 0", server.limiter.silentCount)
 	}
 }
 
-// Without silent ones the connection that has been idle for longest is evicted, then one that does not finish its
-// head; never one whose request is active. With only those, the new one is closed: it might have waited in vain
-// otherwise.
+// Without silent connections, the connection that has been idle for longest is evicted first, then one with an
+// incomplete head; a connection with an active request never is. If all requests are active, the new connection is
+// closed, because its client might otherwise wait in vain.
 func TestEvictionOrder(t *testing.T) {
 	hold := make(chan struct{})
 	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-hold
 		return respondWith(okAnswer)(c, r, body)
 	})
-	server, addr := newLimitedServer(t, 100, s.instance("a"), s.instance("b")) // so that nobody is told to close
+	server, addr := newLimitedServer(t, 100, s.instance("a"), s.instance("b")) // so high that no response closes
 
-	busy, half, rested := dial(t, addr), dial(t, addr), dial(t, addr)
+	busy, incomplete, idle := dial(t, addr), dial(t, addr), dial(t, addr)
 	busy.send(request("check", "t1"))
-	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
-	half.send("GET /check")
-	eventually(t, "head begun", func() bool { return server.limiter.ageConns(stateReading, readingGrace) == 1 })
-	if a := rested.ask(readyRequest); a.status != 200 {
-		t.Errorf("%+v", a)
+	eventually(t, "request forwarded", func() bool { return len(s.requests()) == 1 })
+	incomplete.send("GET /check")
+	eventually(t, "partial head", func() bool { return server.limiter.ageConns(stateReading, readingGrace) == 1 })
+	if a := idle.do(readyRequest); a.status != 200 {
+		t.Errorf("before the connection is idle: got %+v, want status 200", a)
 	}
 	eventually(t, "idle", func() bool { return server.limiter.ageConns(stateIdle, idleGrace) == 1 })
 	server.limiter.mu.Lock()
@@ -134,22 +135,22 @@
 	server.limiter.mu.Unlock()
 	second := dial(t, addr)
 	second.send(request("check", "t2"))
-	wantEOF(t, "the idle one", rested)
+	wantEOF(t, "idle connection", idle)
 	third := dial(t, addr)
 	third.send(request("check", "t3"))
-	wantEOF(t, "the one with half a head", half)
-	eventually(t, "requests out", func() bool { return len(s.requests()) == 3 })
-	wantEOF(t, "a newcomer with all busy", dial(t, addr))
+	wantEOF(t, "connection with an incomplete head", incomplete)
+	eventually(t, "all requests forwarded", func() bool { return len(s.requests()) == 3 })
+	wantEOF(t, "new connection while all requests are active", dial(t, addr))
 	close(hold)
 	for i, c := range []*client{busy, second, third} {
 		if a := c.read(); a.status != 200 {
-			t.Errorf("request %d: %+v", i, a)
+			t.Errorf("request %d: got %+v, want status 200", i, a)
 		}
 	}
 }
 
-// newFullLimiter returns a limiter that holds two connections at most, and has them. sends is the client's end of the
-// first; the third is not added.
+// newFullLimiter returns a limiter at its limit of two connections. sends is the client's end of the first connection;
+// the third connection is not added.
 func newFullLimiter(t *testing.T) (l *connectionLimiter, sends *client, first, second, third *clientConn) {
 	t.Helper()
 	l = newConnectionLimiter(2)
@@ -161,17 +162,17 @@
 	return l, sends, first, second, third
 }
 
-// A connection on which a request was received that is not read yet does not count as silent: its goroutine may not
-// have been scheduled.
+// A connection with a received but unread request does not count as silent: its goroutine may not have been scheduled
+// yet.
 func TestUnreadRequestIsNotSilent(t *testing.T) {
 	l, sends, first, second, third := newFullLimiter(t)
 	sends.send(readyRequest)
-	eventually(t, "request arrived", first.hasUnreadData)
+	eventually(t, "request received", first.hasUnreadData)
 	if evicted := l.add(third); evicted != second {
-		t.Errorf("the one with a request was evicted, or none: %v", evicted)
+		t.Errorf("add evicted %v, want the connection without a request", evicted)
 	}
 	if second.setState(stateActive) {
-		t.Error("a request was begun on a connection that was evicted")
+		t.Error("a request became active on an evicted connection")
 	}
 	buf := make([]byte, 10)
 	if _, err := io.ReadFull(first, buf); err != nil {
@@ -179,8 +180,8 @@
 	}
 }
 
-// Of two slow requests the one that has stalled is evicted, though the other began earlier. Where no other is left that
-// is evicted as well: a trickle must not keep others out.
+// Of two slow requests the stalled one is evicted first, although the other one began earlier. If no other candidate is
+// left, the slow one is evicted as well: a client that sends a trickle must not keep others out.
 func TestStalledHeadIsEvictedFirst(t *testing.T) {
 	l := newConnectionLimiter(2)
 	slow, _ := newPipedConn(t, l)
@@ -193,28 +194,28 @@
 	stalled.setState(stateReading)
 	l.ageConns(stateReading, 3*readingGrace)
 	slow.stateSince = slow.stateSince.Add(-time.Second)
-	slow.setState(stateReading) // a further piece has come
+	slow.setState(stateReading) // another piece was received
 	if got := l.add(third); got != stalled {
-		t.Error("the wrong one was evicted")
+		t.Error("add did not evict the stalled connection first")
 	}
 	third.setState(stateActive)
 	if got := l.add(fourth); got != slow {
-		t.Error("a slow writer keeps a new client out")
+		t.Error("add did not evict the slow connection for a new client")
 	}
 }
 
-// Of two heads that are slow, one whose rest is in the socket is not stalled.
+// A connection with a slow head is not stalled if the rest of the head is in the socket.
 func TestUnreadHeadIsNotEvicted(t *testing.T) {
 	l, sends, first, second, third := newFullLimiter(t)
 	first.setState(stateReading)
 	second.setState(stateReading)
 	l.ageConns(stateReading, time.Minute)
 	l.mu.Lock()
-	second.stateSince = second.stateSince.Add(time.Second) // the younger: the other would go first
+	second.stateSince = second.stateSince.Add(time.Second) // the younger one, so that first would be evicted
 	l.mu.Unlock()
 	sends.send(readyRequest)
-	eventually(t, "arrived", first.hasNextRequest)
+	eventually(t, "rest of the head received", first.hasNextRequest)
 	if evicted := l.add(third); evicted != second {
-		t.Errorf("the one whose request has come was evicted, or none: %v", evicted)
+		t.Errorf("add evicted %v, want the connection without unread data", evicted)
 	}
 }
--- a/internal/edgeproxy/discovery_watch.go
+++ b/internal/edgeproxy/discovery_watch.go
@@ -13,76 +13,79 @@
 // discoveryWatch follows the endpoint list of one discovery agent.
 type discoveryWatch struct {
 	addr    netip.AddrPort
-	isLocal bool // the agent is on this machine, and lists are pushed to it
+	isLocal bool // the agent runs on this machine and has lists pushed to it
 	cancel  context.CancelFunc
 	done    chan struct{}
 
-	firstCall <-chan struct{} // closed once a list has come, the first call for it has failed, or the watch has ended
+	// firstListDone is closed once a list was received, the first request for it has failed, or the watch has ended.
+	firstListDone <-chan struct{}
 }
 
-// defaultFirstListTimeout is how long a node waits for its agent's list before it is ready: an agent answers at
-// once.
+// defaultFirstListTimeout is how long a node waits for the list of a local agent, which answers at once, before it
+// becomes ready.
 const defaultFirstListTimeout = 300 * time.Millisecond
 
-// awaitFirst waits until a list was received from an agent on this machine or is known not to be, for the timeout
-// at most. A service that a whole fleet polls may be slow: it is not waited for.
-func (w *discoveryWatch) awaitFirst(ctx context.Context, timeout time.Duration) {
+// awaitFirstList waits until the first list was received from a local agent or the request for it has failed, for the
+// timeout at most. It returns at once for a discovery service that the whole fleet polls, which may be slow.
+func (w *discoveryWatch) awaitFirstList(ctx context.Context, timeout time.Duration) {
 	if !w.isLocal {
 		return
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-w.firstCall:
+	case <-w.firstListDone:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// firstGeneration decides from which version of the list a watch begins, held being the version that is held; 0 stands
-// for the complete list. An agent on this machine tells that at no cost, and may have begun its versions anew since.
-func firstGeneration(isLocalAgent bool, held uint64) uint64 {
+// firstGeneration returns the generation from which a watch starts, given that of the list that the node has; 0
+// requests the complete list. A local agent sends the complete list at no cost, and may have restarted its generations
+// since.
+func firstGeneration(isLocalAgent bool, lastGeneration uint64) uint64 {
 	if isLocalAgent {
 		return 0
 	}
-	return held
+	return lastGeneration
 }
 
-// startWatch follows an agent from the version of the list that is held.
-func startWatch(ctx context.Context, n *Node, addr netip.AddrPort, held uint64) *discoveryWatch {
+// startWatch starts to watch the endpoint list at addr; lastGeneration is that of the list that the node has.
+func startWatch(ctx context.Context, n *Node, addr netip.AddrPort, lastGeneration uint64) *discoveryWatch {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &discoveryWatch{addr: addr, isLocal: !n.cfg.Settings.PollsEndpoints, cancel: cancel, done: make(chan struct{})}
-	firstCall, endFirstCall := context.WithCancel(ctx)
-	w.firstCall = firstCall.Done()
-	follower := &discovery.Watcher{
+	firstListCtx, endFirstListWait := context.WithCancel(ctx)
+	w.firstListDone = firstListCtx.Done()
+	watcher := &discovery.Watcher{
 		Addr:           addr,
 		SilenceTimeout: discovery.SilenceTimeout,
-		LastGeneration: firstGeneration(w.isLocal, held),
+		LastGeneration: firstGeneration(w.isLocal, lastGeneration),
 		IsLocalAgent:   w.isLocal,
 		Logger:         n.logger,
 		Backoff:        discovery.NewBackoff(n.cfg.Settings.InstanceCount, n.cfg.Seed),
 		OnList: func(l discovery.EndpointList) {
 			n.endpointsReceived(l)
-			endFirstCall()
+			endFirstListWait()
 		},
-		OnFailure: endFirstCall,
+		OnFailure: endFirstListWait,
 	}
 	go func() { // ends with ctx; stop waits for it
 		defer close(w.done)
-		defer endFirstCall()
-		follower.Run(ctx)
+		defer endFirstListWait()
+		watcher.Run(ctx)
 	}()
 	return w
 }
 
-// stop ends the watch; nothing is received from its agent afterwards.
+// stop ends the watch. No list is received from its agent afterwards.
 func (w *discoveryWatch) stop() {
 	w.cancel()
 	<-w.done
 }
 
-// reload reads the configuration again and decides which address is watched from now on: the one that it names, or the
-// present one if it is invalid, which is logged. What else has changed takes effect at the next start.
+// reload reads the configuration again and returns the watch of its discovery address. It returns the present watch if
+// that address is unchanged or the configuration is invalid, which is logged. Other changes take effect at the next
+// start.
 func (w *discoveryWatch) reload(ctx context.Context, n *Node) *discoveryWatch {
 	cfg, err := n.cfg.reread()
 	if err != nil {
@@ -95,6 +98,6 @@
 		return w
 	}
 	w.stop()
-	// Another agent may count its versions differently.
+	// Another agent may number its generations differently.
 	return startWatch(ctx, n, cfg.Discovery, 0)
 }
--- a/internal/edgeproxy/discovery_watch_test.go
+++ b/internal/edgeproxy/discovery_watch_test.go
@@ -22,44 +22,46 @@
 	"mulleinmux/policy"
 )
 
-// startDiscovery is an agent that answers each watch with what script gives for it.
+// startDiscovery starts a discovery agent and returns its address. It calls script for each watch, with the number of
+// the watch and the generation from which it starts, to write the response.
 func startDiscovery(t *testing.T, script func(n int, from string, w io.Writer, ctx context.Context)) netip.AddrPort {
 	t.Helper()
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/registry/instances" || r.URL.Query().Get("watch") != "1" {
-			t.Errorf("call of %s", r.URL)
+			t.Errorf("unexpected request to the discovery agent: %s", r.URL)
 		}
 		w.WriteHeader(200)
 		w.(http.Flusher).Flush()
-		script(int(calls.Add(1)), r.URL.Query().Get("from"), flushing{w}, r.Context())
+		script(int(calls.Add(1)), r.URL.Query().Get("from"), flushingWriter{w}, r.Context())
 	}))
 	t.Cleanup(srv.Close)
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-// flushing sends what is written at once.
-type flushing struct{ http.ResponseWriter }
+// flushingWriter flushes the response after each write.
+type flushingWriter struct{ http.ResponseWriter }
 
-func (f flushing) Write(p []byte) (int, error) {
+func (f flushingWriter) Write(p []byte) (int, error) {
 	n, err := f.ResponseWriter.Write(p)
 	f.ResponseWriter.(http.Flusher).Flush()
 	return n, err
 }
 
-// followScript runs a registry against the script and gives the lists and starting versions.
-func followScript(
-	t *testing.T, silent time.Duration, script func(n int, w io.Writer, ctx context.Context),
-) (lists chan List, froms chan string) {
+// watchScriptedAgent starts an agent that responds by script and a watcher of its list. It returns channels with the
+// lists received and the generations from which the watches start.
+func watchScriptedAgent(
+	t *testing.T, silenceTimeout time.Duration, script func(n int, w io.Writer, ctx context.Context),
+) (lists chan List, startGenerations chan string) {
 	t.Helper()
-	lists, froms = make(chan List, 10), make(chan string, 100)
+	lists, startGenerations = make(chan List, 10), make(chan string, 100)
 	addr := startDiscovery(t, func(n int, from string, w io.Writer, ctx context.Context) {
-		froms <- from
+		startGenerations <- from
 		script(n, w, ctx)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	r := &discovery.Watcher{Addr: addr, SilenceTimeout: silent, LastGeneration: 7,
+	r := &discovery.Watcher{Addr: addr, SilenceTimeout: silenceTimeout, LastGeneration: 7,
 		OnList: func(l List) { lists <- l }, Logger: logging.New(t.Output())}
 	go func() {
 		r.Run(ctx)
@@ -69,14 +71,14 @@
 		cancel()
 		<-ended
 	})
-	return lists, froms
+	return lists, startGenerations
 }
 
-// A watch resumes from the version held, on the same and on a new connection.
+// A watch starts from the generation of the latest list, also after a reconnect.
 func TestWatchResumes(t *testing.T) {
 	a := Instance{Server: policy.Server{ID: "a", Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, StartedAt: 5 * time.Second,
 		State: policy.Draining}, Addr: netip.MustParseAddrPort("127.0.0.1:9")}
-	lists, froms := followScript(t, testTimeout, func(n int, w io.Writer, ctx context.Context) {
+	lists, startGenerations := watchScriptedAgent(t, testTimeout, func(n int, w io.Writer, ctx context.Context) {
 		if n > 1 {
 			<-ctx.Done()
 			return
@@ -85,38 +87,40 @@
 		fmt.Fprintf(w, "%s\n", listJSON(9, false))
 	})
 	if l := <-lists; !l.IsComplete || len(l.Servers) != 1 || l.Servers[0] != a {
-		t.Errorf("list %+v, want %+v", l, a)
+		t.Errorf("first list %+v, want a complete one with %+v", l, a)
 	}
 	if l := <-lists; l.IsComplete || l.Generation != 9 {
-		t.Errorf("second list %+v", l)
+		t.Errorf("second list %+v, want a delta of generation 9", l)
 	}
-	if first, second := <-froms, <-froms; first != "7" || second != "9" {
-		t.Errorf("watches from %s and %s, want 7 and 9", first, second)
+	if first, second := <-startGenerations, <-startGenerations; first != "7" || second != "9" {
+		t.Errorf("watches from generations %s and %s, want 7 and 9", first, second)
 	}
 }
 
-// A watch can die with its connection open: silence well past the heartbeat is taken for that.
+// A watch can fail with its connection still open: it is reopened after the silence timeout.
 func TestSilentWatchIsReopened(t *testing.T) {
-	_, froms := followScript(t, 100*time.Millisecond, func(n int, w io.Writer, ctx context.Context) { <-ctx.Done() })
-	<-froms
-	<-froms
+	_, startGenerations := watchScriptedAgent(t, 100*time.Millisecond,
+		func(n int, w io.Writer, ctx context.Context) { <-ctx.Done() })
+	<-startGenerations
+	<-startGenerations
 }
 
-// The content of a malformed line is lost: the complete list is requested.
+// The content of a malformed line is lost, so the complete list is requested.
 func TestMalformedListIsRequestedAgain(t *testing.T) {
-	_, froms := followScript(t, testTimeout, func(n int, w io.Writer, ctx context.Context) {
+	_, startGenerations := watchScriptedAgent(t, testTimeout, func(n int, w io.Writer, ctx context.Context) {
 		if n == 1 {
 			io.WriteString(w, `{"generation":8,"instances":[{"instanceId":"a",`+"\n")
 			return
 		}
 		<-ctx.Done()
 	})
-	if first, second := <-froms, <-froms; first != "7" || second != "0" {
-		t.Errorf("watches from %s and %s, want 7 and 0", first, second)
+	if first, second := <-startGenerations, <-startGenerations; first != "7" || second != "0" {
+		t.Errorf("watches from generations %s and %s, want 7 and 0", first, second)
 	}
 }
 
-// An invalid entry costs no other: the rest of the list holds, and it is not requested again for ever.
+// Invalid entries are skipped without affecting the rest of the list, and don't cause the list to be requested again
+// forever.
 func TestInvalidEntriesAreSkipped(t *testing.T) {
 	good := Instance{Server: policy.Server{ID: "good", State: policy.Up}, Addr: netip.MustParseAddrPort("127.0.0.1:9")}
 	text := listJSON(8, true, good)
@@ -127,23 +131,23 @@
 		`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":1e300}`} {
 		text = strings.Replace(text, "[", "["+entry+",", 1)
 	}
-	lists, froms := followScript(t, testTimeout, func(n int, w io.Writer, ctx context.Context) {
+	lists, startGenerations := watchScriptedAgent(t, testTimeout, func(n int, w io.Writer, ctx context.Context) {
 		fmt.Fprintf(w, "%s\n%s\n", text, listJSON(9, false))
 		<-ctx.Done()
 	})
 	if l := <-lists; !l.IsComplete || len(l.Servers) != 1 || l.Servers[0] != good {
-		t.Errorf("list %+v, want the good entry", l)
+		t.Errorf("first list %+v, want a complete one with the valid entry alone", l)
 	}
 	if l := <-lists; l.Generation != 9 { // on the same watch
-		t.Errorf("second list %+v", l)
+		t.Errorf("second list %+v, want generation 9", l)
 	}
-	if len(froms) != 1 {
-		t.Errorf("%d watches", len(froms))
+	if len(startGenerations) != 1 {
+		t.Errorf("%d watches, want 1", len(startGenerations))
 	}
 }
 
-// The agent's list holds from a new process's first moment: nothing is sent by a saved list that it contradicts,
-// and its versions may be another agent's than those of the saved list.
+// A new process uses the agent's list from its first request on: no request is sent by a saved list that contradicts
+// it. The saved generation may be that of another agent, so the complete list is requested.
 func TestAgentListPrecedesFirstRequest(t *testing.T) {
 	a, b := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
 	called, release := make(chan string, 10), make(chan struct{})
@@ -159,77 +163,77 @@
 	})
 	n := runNode(t, cfg)
 	if from := <-called; from != "0" {
-		t.Errorf("the whole list is wanted, and not what came after version %s of whatever agent", from)
+		t.Errorf("first watch from generation %s, want 0 for the complete list", from)
 	}
 	clients := make([]*client, 2)
 	for i := range clients {
 		clients[i] = dial(t, n.addr)
 		clients[i].send(request("check", fmt.Sprint("r", i)))
 	}
-	time.Sleep(50 * time.Millisecond) // a node that does not wait has sent them on by then
+	time.Sleep(50 * time.Millisecond) // a node that doesn't wait has forwarded them by then
 	close(release)
 	for _, c := range clients {
 		if r := c.read(); r.status != 200 {
-			t.Errorf("answered %d", r.status)
+			t.Errorf("status %d, want 200", r.status)
 		}
 	}
 	if sent := a.requests(); len(sent) != 0 {
-		t.Errorf("%d requests went to a server that the agent had told of as draining", len(sent))
+		t.Errorf("%d requests were sent to a server that the agent's list has as draining, want 0", len(sent))
 	}
 }
 
-// An agent that does not answer at the start keeps the node waiting for a moment only.
+// The node starts to serve after firstListTimeout even if the agent does not answer.
 func TestUnresponsiveAgentAtStart(t *testing.T) {
 	app := newAppServer(t, respondWith(okAnswer))
 	cfg := testConfig(app.instance("a"))
 	cfg.firstListTimeout = 20 * time.Millisecond
 	cfg.Discovery = startDiscovery(t, func(_ int, _ string, _ io.Writer, ctx context.Context) { <-ctx.Done() })
-	if r := dial(t, runNode(t, cfg).addr).ask(request("check", "x")); r.status != 200 {
-		t.Errorf("answered %d", r.status)
+	if r := dial(t, runNode(t, cfg).addr).do(request("check", "x")); r.status != 200 {
+		t.Errorf("status %d, want 200", r.status)
 	}
 }
 
-// What discovery tells reaches server selection.
+// Server selection uses the lists from discovery.
 func TestWatchMovesTraffic(t *testing.T) {
-	old, young := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
+	old, replacement := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
 	cfg := testConfig(old.instance("a"))
 	cfg.Discovery = startDiscovery(t, func(n int, _ string, w io.Writer, ctx context.Context) {
-		fmt.Fprintf(w, "%s\n", listJSON(8, true, young.instance("b")))
+		fmt.Fprintf(w, "%s\n", listJSON(8, true, replacement.instance("b")))
 		<-ctx.Done()
 	})
-	c := requireServed(t, runNode(t, cfg), young)
+	c := requestUntilServedBy(t, runNode(t, cfg), replacement)
 	before := len(old.requests())
-	c.ask(request("check", "last"))
+	c.do(request("check", "last"))
 	if len(old.requests()) != before {
-		t.Error("a server that is gone is still used")
+		t.Error("a request was sent to a server that is no longer listed")
 	}
 }
 
-// servingAgent is an agent that tells each watch one list until that is left.
-type servingAgent struct {
-	addr  netip.AddrPort
-	froms chan string   // takes the version from which each watch begins
-	left  chan struct{} // closed once a watch is left
+// staticAgent is an agent that sends the same list to each watch.
+type staticAgent struct {
+	addr             netip.AddrPort
+	startGenerations chan string   // generation from which each watch starts
+	watchClosed      chan struct{} // closed once the node has closed a watch
 }
 
-func newServingAgent(t *testing.T, generation int, servers ...Instance) *servingAgent {
+func newStaticAgent(t *testing.T, generation int, servers ...Instance) *staticAgent {
 	t.Helper()
-	agent := &servingAgent{froms: make(chan string, 100), left: make(chan struct{})}
-	var leave sync.Once
+	agent := &staticAgent{startGenerations: make(chan string, 100), watchClosed: make(chan struct{})}
+	var closeOnce sync.Once
 	agent.addr = startDiscovery(t, func(_ int, from string, w io.Writer, ctx context.Context) {
-		agent.froms <- from
+		agent.startGenerations <- from
 		fmt.Fprintf(w, "%s\n", listJSON(generation, true, servers...))
 		<-ctx.Done()
-		leave.Do(func() { close(agent.left) })
+		closeOnce.Do(func() { close(agent.watchClosed) })
 	})
 	return agent
 }
 
-// A reload moves the watch at once and requests the complete list from the new agent: its versions are its own. An
-// invalid configuration changes nothing.
+// A reload switches to the new agent at once and requests its complete list, because each agent numbers its generations
+// by itself. An invalid configuration changes nothing.
 func TestReloadMovesTheWatch(t *testing.T) {
-	old, young := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
-	first, second := newServingAgent(t, 900, old.instance("a")), newServingAgent(t, 3, young.instance("b"))
+	old, replacement := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
+	first, second := newStaticAgent(t, 900, old.instance("a")), newStaticAgent(t, 3, replacement.instance("b"))
 	cfg := testConfig(old.instance("a"))
 	cfg.Discovery = first.addr
 	rereadErrors := make(chan error, 1)
@@ -239,42 +243,43 @@
 		return &moved, <-rereadErrors
 	}
 	n := runNode(t, cfg)
-	<-first.froms // else the first agent may not have been called yet when the watch moves
+	<-first.startGenerations // otherwise the watch could be switched before the first agent is called
 	rereadErrors <- errors.New("discovery: no port")
-	n.hup <- syscall.SIGHUP
+	n.reload <- syscall.SIGHUP
 	eventually(t, "bad configuration logged", func() bool {
 		return n.logs.HasLine("reload failed", `error="discovery: no port"`)
 	})
 	select {
-	case <-first.left:
-		t.Fatal("the watch was left for a configuration that can't be")
+	case <-first.watchClosed:
+		t.Fatal("watch of the first agent was closed by a reload of an invalid configuration")
 	default:
 	}
 	rereadErrors <- nil
-	n.hup <- syscall.SIGHUP
-	<-first.left
+	n.reload <- syscall.SIGHUP
+	<-first.watchClosed
 	if !n.logs.HasLine("discovery reloaded", fmt.Sprint("address=", second.addr, " previous_address=", first.addr)) {
-		t.Errorf("the move is not logged:\n%s", n.logs)
+		t.Errorf("log has no line for the new discovery address:\n%s", n.logs)
 	}
-	if from := <-second.froms; from != "0" {
-		t.Errorf("the new agent is watched from version %s of the old one's", from)
+	if from := <-second.startGenerations; from != "0" {
+		t.Errorf("watch of the new agent from generation %s, want 0", from)
 	}
-	requireServed(t, n, young)
+	requestUntilServedBy(t, n, replacement)
 }
 
-// requireServed asks a node until a server has got a request.
-func requireServed(t *testing.T, n *runningNode, by *appServer) *client {
+// requestUntilServedBy sends requests to a node until a server has received one. It returns the client connection.
+func requestUntilServedBy(t *testing.T, n *runningNode, server *appServer) *client {
 	t.Helper()
 	c, i := dial(t, n.addr), 0
 	eventually(t, "new server used", func() bool {
 		i++
-		c.ask(request("check", fmt.Sprint("t", i)))
-		return len(by.requests()) > 0
+		c.do(request("check", fmt.Sprint("t", i)))
+		return len(server.requests()) > 0
 	})
 	return c
 }
 
-// The environment's address is that of the start: on a reload the file's counts, or none could ever move the watch.
+// PROXY_DISCOVERY dates from the start of the process. A reload takes the address from the file, because the watch
+// could not be moved otherwise.
 func TestReloadReadsDiscoveryFromFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
@@ -292,22 +297,22 @@
 		t.Fatal(err)
 	}
 	write("127.0.0.1:3")
-	again, err := cfg.reread()
-	if err != nil || again.Discovery != netip.MustParseAddrPort("127.0.0.1:3") || again.Name != "n1" {
-		t.Errorf("read again: %+v, %v", again, err)
+	reread, err := cfg.reread()
+	if err != nil || reread.Discovery != netip.MustParseAddrPort("127.0.0.1:3") || reread.Name != "n1" {
+		t.Errorf("reread: got %+v, error %v, want the file's discovery and the environment's name", reread, err)
 	}
 	write("nowhere")
 	if _, err := cfg.reread(); err == nil || !strings.Contains(err.Error(), "discovery") {
-		t.Errorf("error %v does not name the field", err)
+		t.Errorf("invalid address: error %v, want one that names discovery", err)
 	}
 }
 
-// The saved list serves while discovery is down.
+// The node uses the saved list while discovery is down.
 func TestSavedEndpointsServe(t *testing.T) {
 	s := newAppServer(t, respondWith(okAnswer))
 	n := runNode(t, testConfig(s.instance("a"))) // its discovery refuses connections
 	eventually(t, "discovery found down", func() bool { return n.logs.HasLine("discovery watch ended", "error=") })
-	if a := dial(t, n.addr).ask(request("check", "t1")); a.status != 200 {
-		t.Errorf("status %d", a.status)
+	if a := dial(t, n.addr).do(request("check", "t1")); a.status != 200 {
+		t.Errorf("status %d, want 200", a.status)
 	}
 }
--- a/internal/edgeproxy/engine_actions.go
+++ b/internal/edgeproxy/engine_actions.go
@@ -9,11 +9,11 @@
 	"mulleinmux/policy"
 )
 
-// engineActions carries out what the engine asks for. All methods are called under the node's mutex.
+// engineActions implements the actions of the engine. All methods are called under the node's mutex.
 type engineActions Node
 
-// SendAttempt starts an attempt, bounded by its timeout (0: none) and by the client's deadline. Its goroutine ends
-// with the attempt; close waits for it.
+// SendAttempt starts an attempt. Its deadline is the client's deadline, or the end of the timeout if that is earlier; a
+// timeout of 0 means none. Its goroutine ends with the attempt; close waits for it.
 func (a *engineActions) SendAttempt(id, server string, timeout time.Duration) {
 	n := (*Node)(a)
 	pending := n.requests[id]
@@ -41,7 +41,7 @@
 	go n.runAttempt(ctx, pending, started)
 }
 
-// RejectRequest ends a request with a rejection, which a client may retry after a while.
+// RejectRequest ends a request with a rejection. The client may retry after retryAfter.
 func (a *engineActions) RejectRequest(id string, retryAfter time.Duration) {
 	if pending := a.requests[id]; pending != nil {
 		(*Node)(a).finishRequest(pending, finalAnswer{kind: answerRejected, retryAfter: retryAfter})
@@ -55,14 +55,14 @@
 	}
 }
 
-// CancelAttempt gives an attempt up.
+// CancelAttempt cancels an attempt.
 func (a *engineActions) CancelAttempt(id string, attempt int) {
 	if pending := a.requests[id]; pending != nil && attempt >= 0 && attempt < len(pending.attempts) {
 		pending.attempts[attempt].cancel()
 	}
 }
 
-// SetTimer fires the timer with a token after a time.
+// SetTimer delivers TimerFired with the token to the engine after the given time.
 func (a *engineActions) SetTimer(token uint64, after time.Duration) {
 	n := (*Node)(a)
 	time.AfterFunc(after, func() {
@@ -77,8 +77,8 @@
 	go n.checkHealth(server)
 }
 
-// SendGossip sends a message to a peer once the event is over. The message is copied: the engine uses its buffer
-// again.
+// SendGossip sends a message to a peer once the event has been handled. The message is copied because the engine reuses
+// its buffer.
 func (a *engineActions) SendGossip(peer int, message []byte) {
 	n := (*Node)(a)
 	message = append([]byte(nil), message...)
@@ -87,10 +87,10 @@
 	}
 }
 
-// WatchEndpoints has nothing to do: the endpoint list is always watched.
+// WatchEndpoints does nothing, because the endpoint list is always watched.
 func (a *engineActions) WatchEndpoints(bool) {}
 
-// Log logs what the engine reports, once the event is over.
+// Log logs an event of the engine once the event that is being handled is over.
 func (a *engineActions) Log(event policy.LogEvent) {
 	n := (*Node)(a)
 	n.afterEvent = append(n.afterEvent, func() { logging.PolicyEvent(n.logger, event) })
--- a/internal/edgeproxy/eviction.go
+++ b/internal/edgeproxy/eviction.go
@@ -4,45 +4,47 @@
 	"time"
 )
 
-// Ages of a state from which a connection is evicted more easily.
+// Ages of a connection's state from which the connection is evicted with a higher priority.
 const (
 	silentGrace  = 100 * time.Millisecond // most clients send a request as soon as they have connected
-	idleGrace    = 2 * time.Second        // for which a client may expect an idle connection to stay open
-	readingGrace = 500 * time.Millisecond // between the pieces of a head
-	writtenGrace = 100 * time.Millisecond // by then the last response has reached the client
+	idleGrace    = 2 * time.Second        // clients may expect an idle connection to stay open this long
+	readingGrace = 500 * time.Millisecond // of a head, and between two pieces of it
+	writtenGrace = 100 * time.Millisecond // for the last response to reach the client
 )
 
-// crowdedPercent is the part of a limiter's connections from which on responses close theirs.
-const crowdedPercent = 75
+// nearConnLimitPercent is the percentage of a limiter's connections in use from which on responses close their
+// connections.
+const nearConnLimitPercent = 75
 
-// isCrowdedBy decides whether responses should close their connections, so many of maxConns being in use. A client
-// whose response announces the close loses nothing; one whose idle connection is evicted loses its next request. Silent
-// connections don't count as in use: to evict them costs nothing.
-func isCrowdedBy(inUse, maxConns int) bool { return inUse*100 >= maxConns*crowdedPercent }
+// isNearConnLimit decides whether responses should close their connections, given the connections in use and their
+// limit. A client whose response announces the close loses nothing, while a client whose idle connection is evicted
+// loses its next request. Silent connections don't count as in use, because evicting them costs nothing.
+func isNearConnLimit(inUse, maxConns int) bool { return inUse*100 >= maxConns*nearConnLimitPercent }
 
-// connActivity is what a client's connection does at one moment.
+// connActivity describes a client connection at one moment.
 type connActivity struct {
 	state     clientConnState
 	age       time.Duration // of the state
-	sinceRead time.Duration // since something was last received
+	sinceRead time.Duration // since data was last received
 }
 
-// evictionPriority orders connections by how easily they are evicted.
+// evictionPriority orders connections for eviction; the highest is evicted first.
 type evictionPriority int
 
 const (
 	evictNever       evictionPriority = iota
-	evictSlowHead                     // still sends a request, if slowly
-	evictIdleShort                    // idle, and its last response has reached the client
-	evictSilent                       // silent
-	evictStalledHead                  // has stopped in the middle of a head
-	evictIdleLong                     // idle for longer than a client may expect
-	evictSilentLong                   // silent for longer than a client that is about to ask
+	evictSlowHead                     // still sending a request, but slowly
+	evictIdleShort                    // idle for long enough that the last response has reached the client
+	evictSilent                       // silent for a shorter time
+	evictStalledHead                  // stopped in the middle of a head
+	evictIdleLong                     // idle for longer than idleGrace
+	evictSilentLong                   // silent for longer than silentGrace
 )
 
-// evictionPriority decides how easily a connection is evicted for a new one at the limit of connections. Those that
-// were opened by hundreds and send nothing go first, then those idle for long or slow to send, and only then the rest;
-// never one with an active request. With evictsOldest all the others are equal.
+// evictionPriority returns the priority with which a connection is evicted for a new one at the limit of connections.
+// First are long-silent connections, which some clients open by the hundred, then connections that have been idle for
+// long or stalled in a head, then the rest. A connection with an active request is never evicted. With evictsOldest all
+// other connections have the same priority.
 func (a connActivity) evictionPriority(evictsOldest bool) evictionPriority {
 	switch {
 	case evictsOldest:
@@ -66,8 +68,9 @@
 	return evictNever
 }
 
-// isUnusedFor decides whether a drain evicts a connection: one between requests for at least minIdle, and for as long
-// as its last response may be on its way, or silent since it was accepted for at least minSilent.
+// isUnusedFor reports whether a drain evicts a connection: one that has been between requests for at least minIdle and
+// long enough for its last response to reach the client, or one that has been silent since it was accepted for at least
+// minSilent.
 func (a connActivity) isUnusedFor(minIdle, minSilent time.Duration) bool {
 	if a.state == stateSilent {
 		return a.age >= minSilent
--- a/internal/edgeproxy/exchange.go
+++ b/internal/edgeproxy/exchange.go
@@ -19,20 +19,20 @@
 	"mulleinmux/policy"
 )
 
-// exchange writes the request to the server, once at most, and reads the complete response, or the first part of one
-// that is streamed. It gives up when ctx ends, by closing the connection before it returns.
+// exchange writes the request to the server at most once and reads the complete response, or the first part of a
+// response that is streamed. If ctx ends before that, exchange closes the connection before it returns.
 func (p *serverPool) exchange(
 	ctx context.Context, server string, request *serverRequest,
 ) (serverResponse, policy.Result) {
-	if request.rest != nil && request.rest.isUsed.Load() {
-		return serverResponse{}, policy.NotSent // some of its body is gone
+	if request.rest != nil && request.rest.hasStartedForwarding.Load() {
+		return serverResponse{}, policy.NotSent // part of its body has already been forwarded and can't be read again
 	}
 	pooled, err := p.Acquire(ctx, server)
 	if err != nil {
 		return serverResponse{}, unsentResult(ctx, err)
 	}
 	conn := pooled.HostConn
-	conn.reader.expect(ctx)
+	conn.reader.beginResponse(ctx)
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(expiredDeadline) })
 	req := request.httpRequest(ctx)
 	err = p.checkBeforeSend(ctx, pooled, request)
@@ -40,7 +40,7 @@
 		err = request.writeTo(conn, req)
 	}
 	if err != nil {
-		// A server begins a request when it has received the last byte, and that was not written.
+		// A server begins a request only when it has received the last byte, which has not been written.
 		stop()
 		p.Discard(pooled)
 		return serverResponse{}, unsentResult(ctx, err)
@@ -50,7 +50,7 @@
 	}
 	writtenAt := time.Now()
 	if p.onSent != nil && request.id != "" {
-		p.onSent(request.clientLeft != nil && request.clientLeft.Load())
+		p.onSent(request.disconnectRecorded != nil && request.disconnectRecorded.Load())
 	}
 	response, result, isReusable := conn.readResponse(req)
 	if result == policy.ConnectionReset && !conn.reader.hasBegun {
@@ -62,7 +62,7 @@
 	if request.rest != nil {
 		conn.SetReadDeadline(time.Time{})
 	}
-	// stop is false once the deadline has been changed.
+	// stop returns false if the end of ctx has already changed the connection's deadline.
 	if stop() && isReusable {
 		p.Release(pooled)
 	} else {
@@ -80,8 +80,8 @@
 	return response, result
 }
 
-// writeTo writes the request to a connection and ends its permit once nothing more is written; with a streamed body it
-// ends before, for a response may come before all of a long body.
+// writeTo writes the request to a connection and ends its permit once nothing more will be written. The permit of a
+// request with a streamed body ends before the write, because the response may arrive before all of the body is sent.
 func (r *serverRequest) writeTo(c *serverConn, req *http.Request) error {
 	if r.rest != nil {
 		r.endPermit()
@@ -96,18 +96,19 @@
 	return err
 }
 
-// endPermit says that nothing more is written under the request's permit, if it has one.
+// endPermit signals that nothing more is written under the request's permit, if it has one.
 func (r *serverRequest) endPermit() {
 	if r.permit != nil {
 		close(r.permit.done)
 	}
 }
 
-// startStream returns a response that is streamed, unless the exchange was given up; stop is that of its context.
+// startStream returns a response that is streamed, unless the exchange has been cancelled. stop stops the function that
+// runs when the exchange's context ends.
 func (p *serverPool) startStream(
 	pooled *pooledConn, response serverResponse, stop func() bool,
 ) (serverResponse, policy.Result) {
-	if !stop() { // given up: nothing of it is forwarded
+	if !stop() { // cancelled: no part of the response is forwarded
 		p.Discard(pooled)
 		return serverResponse{}, policy.Cancelled
 	}
@@ -116,8 +117,8 @@
 	return response, policy.OK
 }
 
-// startResponseTimeout begins the client's wait for the response to a streamed body, of which ctx, which was made
-// before, knows nothing.
+// startResponseTimeout starts the timeout of the response to a streamed body. It is independent of ctx, which was
+// created before the body was sent.
 func (c *serverConn) startResponseTimeout(ctx context.Context, timeout time.Duration) {
 	c.reader.deadline = time.Now().Add(timeout)
 	c.SetReadDeadline(c.reader.deadline)
@@ -126,13 +127,13 @@
 	}
 }
 
-// failureResult decides what an exchange ended with whose connection failed after the request was written: a reset, or
-// the end of its time or of ctx. hasOwnTimeout says that the response had a timeout beside that of ctx.
+// failureResult returns the result of an exchange whose connection failed after the request was written: a reset, a
+// timeout, or the end of ctx. hasOwnTimeout is true if the response had a timeout besides that of ctx.
 func (c *serverConn) failureResult(ctx context.Context, hasOwnTimeout bool) policy.Result {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return policy.Cancelled
-	case ctx.Err() != nil && c.reader.hasBegun: // half a response is no silence
+	case ctx.Err() != nil && c.reader.hasBegun: // the server responds, so this is no timeout
 		return policy.ErrorResponse
 	case ctx.Err() != nil:
 		return policy.TimedOut
@@ -142,12 +143,12 @@
 	return policy.ConnectionReset
 }
 
-// checkBeforeSend is called right before an attempt's first byte. Since the connection was acquired the client may
-// have disconnected or the attempt's time have expired, which another goroutine brings to the connection later, or
-// the server may have begun to drain.
+// checkBeforeSend is called right before the first byte of an attempt is written. Since the connection was acquired,
+// the client may have disconnected, the attempt's time may have expired (which another goroutine applies to the
+// connection only later), or the server may have begun to drain.
 func (p *serverPool) checkBeforeSend(ctx context.Context, conn *pooledConn, r *serverRequest) error {
-	if r.isClientGone != nil && r.isClientGone() {
-		return errClientGone
+	if r.hasClientDisconnected != nil && r.hasClientDisconnected() {
+		return errClientDisconnected
 	}
 	if !p.IsServerUp(conn) {
 		return serverpool.ErrServerNotUp
@@ -161,15 +162,16 @@
 	return nil
 }
 
-// localErrors are those for which an attempt was not sent by no fault of the server's.
-var localErrors = []error{
-	serverpool.ErrNoDescriptor, syscall.EMFILE, syscall.ENFILE, errBodyIncomplete, errClientGone, errAlreadyAnswered,
+// localSendErrors are the errors for which an attempt was not sent although its server did not fail.
+var localSendErrors = []error{
+	serverpool.ErrNoDescriptor, syscall.EMFILE, syscall.ENFILE,
+	errBodyIncomplete, errClientDisconnected, errAlreadyAnswered,
 }
 
-// unsentResult decides what an attempt ended with whose last byte was not written because of an error: it never ran. If
-// its own time expired first, that says nothing of the server.
+// unsentResult returns the result of an attempt whose last byte was not written because of an error: the server never
+// executed it. An attempt whose own timeout expired before that says nothing about the server.
 func unsentResult(ctx context.Context, err error) policy.Result {
-	for _, local := range localErrors {
+	for _, local := range localSendErrors {
 		if errors.Is(err, local) {
 			return policy.NotSent
 		}
@@ -183,32 +185,32 @@
 	return policy.ConnectFailed
 }
 
-// serverRequest is what is forwarded to an app server.
+// serverRequest is a request as it is sent to an app server.
 type serverRequest struct {
-	method       string
-	target       string // path and query, byte for byte as the client sent them
-	host         string
-	id           string // empty: a health check
-	key          string // for idempotency; empty: none
-	contentType  string
-	body         []byte       // complete, or its first part
-	rest         *requestBody // from which the rest is read; nil: body is complete
-	isClientGone func() bool  // tells whether the client has disconnected unnoticed; nil: not known
-	clientLeft   *atomic.Bool // set once the client is known to have disconnected; nil: there is no client
-	permit       *sendPermit  // of this attempt; nil: nobody revokes it
+	method                string
+	target                string // path and query, byte for byte as the client sent them
+	host                  string
+	id                    string // empty for a health check
+	key                   string // idempotency key; empty if there is none
+	contentType           string
+	body                  []byte       // complete, or the first part
+	rest                  *requestBody // reads the rest of the body; nil if body is complete
+	hasClientDisconnected func() bool  // queries the client's socket; nil: not queried
+	disconnectRecorded    *atomic.Bool // set once the client's disconnect is known; nil if there is no client
+	permit                *sendPermit  // of this attempt; nil if it can't be revoked
 }
 
-// Headers and host that are forwarded without having come from the client.
+// Values that are sent to app servers and don't come from the client.
 const (
 	minExpiresIn = 0.001 // seconds
 	defaultHost  = "app.svc"
 )
 
-// httpRequest returns the request as net/http writes it. The target is forwarded as received: as the opaque part of
-// a URL it is not encoded anew.
+// httpRequest returns the request in the form that net/http writes. The target is passed as the opaque part of a URL,
+// so that net/http doesn't encode it again.
 func (r *serverRequest) httpRequest(ctx context.Context) *http.Request {
-	path, query, force := strings.Cut(r.target, "?")
-	h := http.Header{"User-Agent": {""}} // none, rather than that of net/http
+	path, query, forceQuery := strings.Cut(r.target, "?")
+	h := http.Header{"User-Agent": {""}} // omits the header; net/http would add its own
 	if r.id != "" {
 		h[headerRequestID] = []string{r.id}
 	}
@@ -218,12 +220,12 @@
 	if r.contentType != "" {
 		h["Content-Type"] = []string{r.contentType}
 	}
-	if until, ok := ctx.Deadline(); ok {
-		left := math.Max(time.Until(until).Seconds(), minExpiresIn)
-		h[headerTimeout] = []string{strconv.FormatFloat(left, 'f', 3, 64)}
+	if deadline, ok := ctx.Deadline(); ok {
+		remaining := math.Max(time.Until(deadline).Seconds(), minExpiresIn)
+		h[headerTimeout] = []string{strconv.FormatFloat(remaining, 'f', 3, 64)}
 	}
 	req := &http.Request{Method: r.method, Host: r.host, Header: h,
-		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: force}}
+		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: forceQuery}}
 	if req.Host == "" {
 		req.Host = defaultHost
 	}
@@ -235,24 +237,24 @@
 	return req
 }
 
-// sendPermit permits an attempt to be written until the request has its final answer: an attempt whose connection is
-// established later is not sent, and the answer waits for one that is just being written.
+// sendPermit allows an attempt to be written until the request has its final answer. An attempt whose connection is
+// established later is not sent, and the final answer waits for an attempt that is being written.
 type sendPermit struct {
 	state atomic.Int32  // one of the permit states
-	done  chan struct{} // closed once nothing more of the attempt is written
+	done  chan struct{} // closed once nothing more of the attempt will be written
 }
 
-// States of a permit.
+// The states of a sendPermit.
 const (
 	permitUnused int32 = iota
-	permitUsed         // the attempt is being written, or was
+	permitUsed         // the attempt is being written or has been written
 	permitRevoked
 )
 
 func newSendPermit() *sendPermit { return &sendPermit{done: make(chan struct{})} }
 
-// use uses the permit and returns false if it was revoked.
+// use marks the permit as used. It returns false if the permit was revoked.
 func (p *sendPermit) use() bool { return p.state.CompareAndSwap(permitUnused, permitUsed) }
 
-// revoke revokes the permit and returns false if it was used.
+// revoke revokes the permit. It returns false if the permit was used.
 func (p *sendPermit) revoke() bool { return p.state.CompareAndSwap(permitUnused, permitRevoked) }
--- a/internal/edgeproxy/exchange_test.go
+++ b/internal/edgeproxy/exchange_test.go
@@ -14,11 +14,11 @@
 	"mulleinmux/policy"
 )
 
-// responseCases are responses that can be read.
+// responseCases are valid responses.
 var responseCases = []struct {
 	name, text string
 	want       policy.Result
-	isReused   bool // the connection is used again
+	isReused   bool // the connection returns to the pool
 }{
 	{"served", okAnswer, policy.OK, true},
 	{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", policy.OK, true},
@@ -54,17 +54,17 @@
 			rep, res := runExchange(t, pool, "a")
 			wantResult(t, res, c.want)
 			if res == policy.OK && string(rep.body) != "body" {
-				t.Errorf("body %q", rep.body)
+				t.Errorf("response body: got %q, want \"body\"", rep.body)
 			}
 			if got := len(idleConns(pool, "a")) == 1; got != c.isReused {
-				t.Errorf("kept: %v, want %v", got, c.isReused)
+				t.Errorf("connection kept in the pool: got %v, want %v", got, c.isReused)
 			}
 		})
 	}
 }
 
-// A connection that breaks is a reset, whichever part of the response it cuts: forwarded in part, it could not be
-// retried.
+// A connection that breaks is a reset, whichever part of the response was received. A response that was forwarded in
+// part could not be retried.
 func TestBrokenResponseIsReset(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing":       "",
@@ -83,8 +83,8 @@
 	}
 }
 
-// endless serves a response with a line that is repeated without end.
-func endless(line string) func(net.Conn, *http.Request, []byte) bool {
+// respondEndlessly returns a serve function that repeats a line without end after the status line.
+func respondEndlessly(line string) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		for err == nil {
@@ -96,7 +96,7 @@
 
 const bodyAfterHead = "\r\n\r\nbody"
 
-// invalidResponses are responses that can't be read.
+// invalidResponses are responses that can't be parsed.
 var invalidResponses = []struct {
 	name  string
 	serve func(net.Conn, *http.Request, []byte) bool
@@ -112,8 +112,8 @@
 	{"no length", respondWith("HTTP/1.1 200 OK" + bodyAfterHead)},
 	{"length too large", respondWith("HTTP/1.1 200 OK\r\nContent-Length: 5" + bodyAfterHead)},
 	{"half a head", respondWith("HTTP/1.1 200 OK\r\nContent-")},
-	{"endless head", endless("X-Pad: pppppppppppppppppppppppp\r\n")},
-	{"endless line", endless("pppppppppppppppppppppppp")},
+	{"endless head", respondEndlessly("X-Pad: pppppppppppppppppppppppp\r\n")},
+	{"endless line", respondEndlessly("pppppppppppppppppppppppp")},
 	{"endless 1xx answers", func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
 		for err == nil {
@@ -121,15 +121,15 @@
 		}
 		return false
 	}},
-	{"endless body", endless("Content-Length: 3000000000\r\n\r\n")},
+	{"endless body", respondEndlessly("Content-Length: 3000000000\r\n\r\n")},
 	{"endless chunks' heads",
-		endless("Transfer-Encoding: chunked\r\n\r\n" +
+		respondEndlessly("Transfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("1;"+strings.Repeat("x", 500)+"\r\nx\r\n", 1000))},
 }
 
-// A response that can't be read is an error that may have run, known at once: not a reset, which would make a warm
-// server count as restarted and cold, and not a timeout, which would count as overload and cost the server its idle
-// connections.
+// An invalid response is an error response to a request that may have been executed, and is detected at once. As a
+// reset it would make a warm server count as restarted and cold; as a timeout it would count as overload and cost the
+// server its idle connections.
 func TestInvalidResponses(t *testing.T) {
 	for _, c := range invalidResponses {
 		t.Run(c.name, func(t *testing.T) {
@@ -149,14 +149,14 @@
 			wantResult(t, res, policy.ErrorResponse)
 			pool.Release(spare)
 			if idle, open := len(idleConns(pool, "a")), pool.Snapshot().OpenCount; idle != 1 || open != 1 {
-				t.Errorf("%d connections idle, %d counted, want the other one", idle, open)
+				t.Errorf("connections: got %d idle and %d open, want 1 idle and 1 open", idle, open)
 			}
-			wantResult(t, runFineExchange(t, pool), policy.OK)
+			wantResult(t, runAnsweredExchange(t, pool), policy.OK)
 		})
 	}
 }
 
-// Half a response when the attempt's time expires is an error response, not a timeout.
+// An incomplete response at the end of the attempt's time is an error response and not a timeout.
 func TestHalfResponseIsNoTimeout(t *testing.T) {
 	s := newAppServer(t, respondWith("HTTP/1.1 200 OK\r\n"))
 	pool := newTestPool(s.instance("a"))
@@ -175,15 +175,15 @@
 	_, res := pool.exchange(ctx, "a", &get)
 	wantResult(t, res, policy.ErrorResponse)
 	if len(idleConns(pool, "a")) != 1 {
-		t.Error("the other idle connection is gone")
+		t.Error("the server's other idle connection was closed")
 	}
 }
 
-// An interim (1xx) response is no part of the final one, which may come as late as it likes.
+// An interim (1xx) response is not part of the final response, which may follow at any time after it.
 func TestInterimResponse(t *testing.T) {
 	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
-		time.Sleep(responsePieceTimeout * 3 / 2) // the server at work
+		time.Sleep(responsePieceTimeout * 3 / 2) // the server's processing time
 		return respondWith(okAnswer)(c, r, body)
 	})
 	pool := newTestPool(s.instance("a"))
@@ -191,7 +191,7 @@
 	wantResult(t, res, policy.OK)
 }
 
-// An attempt whose own time expires before it is written says nothing of its server.
+// An attempt whose timeout expires before it is written says nothing about its server.
 func TestAttemptTimesOutBeforeSend(t *testing.T) {
 	s := newAppServer(t, respondWith(okAnswer))
 	pool := newTestPool(s.instance("a"))
@@ -201,8 +201,8 @@
 	wantResult(t, res, policy.NotSent)
 }
 
-// A pooled connection that breaks under a request ends it as a reset. A client that resends by itself would make an
-// attempt that nobody counts.
+// A pooled connection that breaks under a request ends the exchange with a reset. If the HTTP client resent the request
+// by itself, it would make an attempt that is not counted.
 func TestNothingIsResent(t *testing.T) {
 	first := true
 	s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -219,11 +219,12 @@
 	_, res = runExchange(t, pool, "a")
 	wantResult(t, res, policy.ConnectionReset)
 	if n := len(s.requests()); n != 2 {
-		t.Errorf("%d copies arrived of 2 requests", n)
+		t.Errorf("requests received by the server: got %d, want 2", n)
 	}
 }
 
-// Giving up closes the connection before the result is known, or the next attempt would run beside this one.
+// A cancelled exchange closes its connection before it returns its result. Otherwise the next attempt would run
+// concurrently with this one.
 func TestCancelClosesConnection(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -252,8 +253,8 @@
 	}
 }
 
-// A request whose time or client has gone while it waited is not written, also to a connection that is ready: the
-// deadline that ends its I/O is set by another goroutine, which comes later.
+// A request is not written after its deadline or its client's disconnect, even to an established connection. The
+// deadline that makes the connection's I/O fail is set by another goroutine and may come later.
 func TestNothingIsSentAfterDeadlineOrDisconnect(t *testing.T) {
 	app := newAppServer(t, respondWith(okAnswer))
 	pool := newTestPool(app.instance("a"))
@@ -268,42 +269,43 @@
 			wantClosed(t, <-app.conns)
 		}
 		if n := len(app.requests()); n != sent {
-			t.Fatal("a request was forwarded after its end")
+			t.Fatal("a cancelled request was forwarded")
 		}
 	}
 }
 
-// The endpoint list says that a server drains between the acquisition of its connection and the first byte.
+// The endpoint list marks a server as draining after its connection was acquired and before the first byte is written.
 func TestNothingIsSentToDrainingServer(t *testing.T) {
 	app := newAppServer(t, respondWith(okAnswer))
 	pool := newTestPool(app.instance("a"))
 	runExchange(t, pool, "a")
 	m := get
-	m.isClientGone = func() bool { // asked at that moment
-		drains := app.instance("a")
-		drains.State = policy.Draining
-		pool.UpdateEndpoints([]Instance{drains}, policy.EndpointsDelta).Close()
+	m.hasClientDisconnected = func() bool { // called between the two
+		draining := app.instance("a")
+		draining.State = policy.Draining
+		pool.UpdateEndpoints([]Instance{draining}, policy.EndpointsDelta).Close()
 		return false
 	}
 	_, res := pool.exchange(t.Context(), "a", &m)
 	wantResult(t, res, policy.ConnectFailed)
 	wantClosed(t, <-app.conns)
 	if len(app.requests()) != 1 {
-		t.Errorf("requests %q", app.requests())
+		t.Errorf("requests received by the server: got %q, want only the first", app.requests())
 	}
 	wantOpenConns(t, pool, 0)
 }
 
-// A response that is sent twice, the second some milliseconds late, is not taken for that of the next request.
+// A response that is sent twice, the second copy some milliseconds late, is not taken for the response to the next
+// request.
 func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	var mu sync.Mutex
-	asked := map[net.Conn]int{}
+	requestCounts := map[net.Conn]int{}
 	app := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		mu.Lock()
-		asked[c]++
-		second := asked[c] > 1
+		requestCounts[c]++
+		second := requestCounts[c] > 1
 		mu.Unlock()
-		if second { // what came late for the first request comes now
+		if second { // the late copy of the first response arrives now
 			io.WriteString(c, strings.Replace(okAnswer, "body", "evil", 1))
 		}
 		_, err := io.WriteString(c, okAnswer)
@@ -315,7 +317,7 @@
 	for range 5 {
 		rep, res := runExchange(t, pool, "a")
 		if wantResult(t, res, policy.OK); string(rep.body) != "body" {
-			t.Fatalf("body %q", rep.body)
+			t.Fatalf("response body: got %q, want \"body\"", rep.body)
 		}
 	}
 	c, err := pool.Acquire(t.Context(), "a")
@@ -328,7 +330,7 @@
 	want := idle[len(idle)-1]
 	got, err := pool.Acquire(t.Context(), "a")
 	if err != nil || got.HostConn != want {
-		t.Errorf("one that has stood idle is not used again: %v", err)
+		t.Errorf("a connection past the minimum idle time was not reused: error %v", err)
 	}
 }
 
@@ -346,7 +348,7 @@
 		t.Run(text, func(t *testing.T) {
 			got := loadreport.Parse(text)
 			if (got == nil) != (want == nil) || got != nil && *got != *want {
-				t.Errorf("%q: %v, want %v", text, got, want)
+				t.Errorf("Parse(%q): got %v, want %v", text, got, want)
 			}
 		})
 	}
@@ -359,8 +361,8 @@
 	return pool.exchange(ctx, server, &get)
 }
 
-// runFineExchange runs an exchange that servers of some tests tell by its ID from others.
-func runFineExchange(t *testing.T, pool *serverPool) policy.Result {
+// runAnsweredExchange runs an exchange whose request ID some test servers recognize and answer with OK.
+func runAnsweredExchange(t *testing.T, pool *serverPool) policy.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -371,7 +373,7 @@
 func wantResult(t *testing.T, got, want policy.Result) {
 	t.Helper()
 	if got != want {
-		t.Errorf("result %d, want %d", got, want)
+		t.Errorf("exchange result: got %d, want %d", got, want)
 	}
 }
 
--- a/internal/edgeproxy/fixture_test.go
+++ b/internal/edgeproxy/fixture_test.go
@@ -16,11 +16,11 @@
 	"time"
 )
 
-// What a node says to operators and to the process before and after it is recorded under testdata, on purpose
-// alone, with
+// The responses to operators and the messages between processes of a hot restart are recorded under testdata. After an
+// intended change they are recorded again with
 //
 //	go test ./internal/edgeproxy -run TestRecorded -update
-var update = flag.Bool("update", false, "record testdata anew")
+var update = flag.Bool("update", false, "record testdata again")
 
 // compareRecorded compares a text with the recorded one, byte for byte.
 func compareRecorded(t *testing.T, name, got string) {
@@ -37,14 +37,15 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s:\n%s\nrecorded\n%s", name, got, want)
+		t.Errorf("%s: got\n%s\nwant the recorded text\n%s", name, got, want)
 	}
 }
 
 var dateHeader = regexp.MustCompile(`(?m)^Date: .*$`)
 
-// rawAnswer returns the bytes of the answer to a call, whose date alone is replaced.
-func rawAnswer(t *testing.T, addr, method, path string) string {
+// rawResponse sends a call and returns the request line and the bytes of the response, except that the date is
+// replaced.
+func rawResponse(t *testing.T, addr, method, path string) string {
 	t.Helper()
 	c := dial(t, addr)
 	c.send(method + " " + path + " HTTP/1.1\r\nHost: n\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
@@ -55,30 +56,31 @@
 	return method + " " + path + "\n" + dateHeader.ReplaceAllString(string(text), "Date: -\r") + "\n\n"
 }
 
-// TestRecordedCalls compares the answers to operators' calls and to the load balancer's check, before requests, after
-// them and out of service.
+// TestRecordedCalls compares the responses to administration calls and to the load balancer's health check with
+// recorded ones, before and after requests and while the node is out of service.
 func TestRecordedCalls(t *testing.T) {
 	n, at := runNodeWithAdmin(t, respondWith(okAnswer), nil)
-	text := rawAnswer(t, at.String(), "GET", "/control/ready") + rawAnswer(t, at.String(), "GET", "/control/counters") +
-		rawAnswer(t, n.addr, "GET", "/health/ready")
+	text := rawResponse(t, at.String(), "GET", "/control/ready") +
+		rawResponse(t, at.String(), "GET", "/control/counters") + rawResponse(t, n.addr, "GET", "/health/ready")
 	c := dial(t, n.addr)
-	c.ask(request("check", "a"))
-	c.ask(request("book", "b"))
-	c.ask(request("check", "c", "X-Contract", "tight"))
-	c.ask(request("check", "d", "X-Contract", "tight"))
-	eventually(t, "all counted", hasMetric(t, at, "app.current=0"))
-	eventually(t, "the rejection counted", hasMetric(t, at, "app.deferred.check=1"))
-	text += rawAnswer(t, at.String(), "GET", "/control/counters") +
-		rawAnswer(t, at.String(), "POST", "/control/ready") + rawAnswer(t, at.String(), "GET", "/control/in-service") +
-		rawAnswer(t, at.String(), "GET", "/control/novel") +
-		rawAnswer(t, at.String(), "POST", "/control/out-of-service") +
-		rawAnswer(t, at.String(), "GET", "/control/ready") + rawAnswer(t, n.addr, "GET", "/health/ready") +
-		rawAnswer(t, at.String(), "POST", "/control/in-service") + rawAnswer(t, n.addr, "GET", "/health/ready")
+	c.do(request("check", "a"))
+	c.do(request("book", "b"))
+	c.do(request("check", "c", "X-Contract", "tight"))
+	c.do(request("check", "d", "X-Contract", "tight"))
+	eventually(t, "no request in flight", hasMetric(t, at, "app.current=0"))
+	eventually(t, "rejection counted", hasMetric(t, at, "app.deferred.check=1"))
+	text += rawResponse(t, at.String(), "GET", "/control/counters") +
+		rawResponse(t, at.String(), "POST", "/control/ready") +
+		rawResponse(t, at.String(), "GET", "/control/in-service") +
+		rawResponse(t, at.String(), "GET", "/control/novel") +
+		rawResponse(t, at.String(), "POST", "/control/out-of-service") +
+		rawResponse(t, at.String(), "GET", "/control/ready") + rawResponse(t, n.addr, "GET", "/health/ready") +
+		rawResponse(t, at.String(), "POST", "/control/in-service") + rawResponse(t, n.addr, "GET", "/health/ready")
 	compareRecorded(t, "calls.txt", text)
 }
 
-// packetOf reads one message between processes.
-func packetOf(t *testing.T, c net.Conn) string {
+// readPacket reads one hot restart message.
+func readPacket(t *testing.T, c net.Conn) string {
 	t.Helper()
 	buf := make([]byte, 64<<10)
 	c.SetReadDeadline(time.Now().Add(testTimeout))
@@ -89,7 +91,7 @@
 	return string(buf[:n])
 }
 
-// recordedState is the recorded state of a predecessor's engine, as of now.
+// recordedState returns the recorded state of a predecessor's engine, with the current time as its time.
 func recordedState(t *testing.T) string {
 	t.Helper()
 	state, err := os.ReadFile(filepath.Join("testdata", "handover_state.json"))
@@ -99,7 +101,7 @@
 	return strings.ReplaceAll(string(state), "1234567890", fmt.Sprint(time.Now().UnixNano()))
 }
 
-// sendPacket sends one message between processes.
+// sendPacket sends one hot restart message.
 func sendPacket(t *testing.T, c net.Conn, message string) {
 	t.Helper()
 	if _, err := io.WriteString(c, message); err != nil {
@@ -107,7 +109,7 @@
 	}
 }
 
-// TestRecordedPredecessor plays a predecessor to a node: what it is sent is recorded text.
+// TestRecordedPredecessor acts as the predecessor of a node and sends it a recorded state.
 func TestRecordedPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	cfg := hotRestartConfig(t, dir, newAppServer(t, respondWith(okAnswer)).instance("a"))
@@ -122,39 +124,39 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if got := packetOf(t, c); got != "h\x01" {
-		t.Errorf("the successor begins with %q", got)
+	if got := readPacket(t, c); got != "h\x01" {
+		t.Errorf("first message of the successor %q, want a hello of version 1", got)
 	}
 	state := recordedState(t)
 	sendPacket(t, c, "s"+string(binary.BigEndian.AppendUint32(nil, uint32(len(state)))))
 	sendPacket(t, c, "s"+state[:100])
 	sendPacket(t, c, "s"+state[100:])
 	sendPacket(t, c, "g")
-	if got := packetOf(t, c); got != "y" {
-		t.Errorf("the successor answers %q", got)
+	if got := readPacket(t, c); got != "y" {
+		t.Errorf("message of the successor after the state %q, want taken over (y)", got)
 	}
 	next.awaitLog(t, "ready")
 	client := dial(t, next.addr)
-	if a := client.ask(spendingCheck("a")); a.status != 429 {
-		t.Errorf("a customer that had spent its quota at the predecessor gets %d", a.status)
+	if a := client.do(quotaSpendingCheck("a")); a.status != 429 {
+		t.Errorf("customer that used up its quota at the predecessor: status %d, want 429", a.status)
 	}
-	if a := client.ask(request("check", "b", "X-Contract", "tight")); a.status != 200 {
-		t.Errorf("another customer gets %d", a.status)
+	if a := client.do(request("check", "b", "X-Contract", "tight")); a.status != 200 {
+		t.Errorf("another customer: status %d, want 200", a.status)
 	}
 }
 
 var digits = regexp.MustCompile(`-?\d+(\.\d+)?(e[+-]\d+)?`)
 
-// TestRecordedSuccessor plays a successor to a node: the kinds and order of what it is sent are compared, and the
-// state but for its numbers.
+// TestRecordedSuccessor acts as the successor of a node. It checks the kinds and order of the messages that it
+// receives, and compares the state, except for numbers, with a recorded one.
 func TestRecordedSuccessor(t *testing.T) {
 	dir := t.TempDir()
 	cfg := hotRestartConfig(t, dir, newAppServer(t, respondWith(okAnswer)).instance("a"))
 	old := newSharedListener(t).start(t, cfg)
 	old.awaitLog(t, "ready")
 	client := dial(t, old.addr)
-	client.ask(request("check", "a"))
-	client.ask(request("check", "b", "X-Contract", "tight"))
+	client.do(request("check", "a"))
+	client.do(request("check", "b", "X-Contract", "tight"))
 	c, err := net.Dial("unixpacket", cfg.HandoverSocket)
 	if err != nil {
 		t.Fatal(err)
@@ -163,25 +165,25 @@
 	sendPacket(t, c, "h\x01")
 	old.awaitLog(t, "successor waiting")
 	old.stop()
-	size := packetOf(t, c)
+	size := readPacket(t, c)
 	if len(size) != 5 || size[0] != 's' {
-		t.Fatalf("begins with %q", size)
+		t.Fatalf("first message of the predecessor %q, want a state size", size)
 	}
-	state := packetOf(t, c)
+	state := readPacket(t, c)
 	if state[0] != 's' || len(state)-1 != int(binary.BigEndian.Uint32([]byte(size[1:]))) {
-		t.Errorf("a state of %d bytes, announced %q", len(state)-1, size)
+		t.Errorf("state has %d bytes, the announced size is %q", len(state)-1, size)
 	}
 	compareRecorded(t, "handover_layout.json", digits.ReplaceAllString(state[1:], "0"))
-	if got := packetOf(t, c); got != "g" {
-		t.Errorf("after the state comes %q", got)
+	if got := readPacket(t, c); got != "g" {
+		t.Errorf("message after the state %q, want state complete (g)", got)
 	}
 	sendPacket(t, c, "y")
-	if got := packetOf(t, c); got != "c" {
-		t.Errorf("after the word to go comes %q", got)
+	if got := readPacket(t, c); got != "c" {
+		t.Errorf("message after the takeover %q, want a client (c)", got)
 	}
 }
 
-// TestRecordedConfig compares what a node reads from a sample of its configuration.
+// TestRecordedConfig compares the values that are parsed from a sample configuration with recorded ones.
 func TestRecordedConfig(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "config.json"))
 	if err != nil {
@@ -201,7 +203,7 @@
 	compareRecorded(t, "config.txt", b.String())
 }
 
-// writeValues words the values of a structure in order, without the names of fields, types and constants.
+// writeValues writes the values in v in order, without the names of fields, types and constants.
 func writeValues(b *strings.Builder, v reflect.Value) {
 	if address, ok := v.Interface().(netip.AddrPort); ok {
 		fmt.Fprintf(b, "%v ", address)
--- a/internal/edgeproxy/framing.go
+++ b/internal/edgeproxy/framing.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// checkFraming rejects a request that can be read in two ways. One with a Transfer-Encoding as well as a
-// Content-Length can hide another one in its body; net/http lets the first win and hides the second, and ignores
-// the first below HTTP/1.1. So the head is looked at as received.
+// checkFraming rejects a request whose framing is ambiguous. A request with both Transfer-Encoding and Content-Length
+// can smuggle another request in its body: net/http uses the Transfer-Encoding and drops the Content-Length, and below
+// HTTP/1.1 it ignores the Transfer-Encoding. So the head is checked as it was received.
 func checkFraming(r *http.Request, head []byte) error {
 	if r.ProtoMajor != 1 || r.ProtoMinor != 1 {
 		return &badRequestError{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 is spoken here"}
@@ -15,7 +15,7 @@
 	if len(r.TransferEncoding) == 0 {
 		return nil
 	}
-	if len(r.TransferEncoding) != 1 || r.TransferEncoding[0] != "chunked" || !isPlainlyChunked(r, head) {
+	if len(r.TransferEncoding) != 1 || r.TransferEncoding[0] != "chunked" || !isUnambiguouslyChunked(r, head) {
 		return &badRequestError{
 			status: http.StatusLengthRequired,
 			text:   "Transfer-Encoding: one \"chunked\" without a Content-Length is wanted",
@@ -24,9 +24,9 @@
 	return nil
 }
 
-// isPlainlyChunked tells whether a head is that of the request and has one Transfer-Encoding and no Content-Length.
-// What stands behind its empty line is body, whatever it looks like.
-func isPlainlyChunked(r *http.Request, head []byte) bool {
+// isUnambiguouslyChunked reports whether head belongs to the request and has exactly one Transfer-Encoding and no
+// Content-Length. Lines after the empty line belong to the body, even if they look like headers.
+func isUnambiguouslyChunked(r *http.Request, head []byte) bool {
 	if !isHeadOf(r, head) {
 		return false
 	}
@@ -46,13 +46,13 @@
 	return encodings == 1
 }
 
-// isHeadOf tells whether a head is that of the request.
+// isHeadOf reports whether head belongs to the request.
 func isHeadOf(r *http.Request, head []byte) bool {
 	return bytes.HasPrefix(head, []byte(r.Method+" "+r.RequestURI+" "))
 }
 
-// pipelinedBytes returns what was received in one piece with a request, whose head is given as received, and is
-// part of the next one.
+// pipelinedBytes returns the bytes that were received together with a request and belong to the next one. head is the
+// request's head as received, with the bytes that follow it.
 func pipelinedBytes(r *http.Request, head []byte) []byte {
 	end := bytes.Index(head, []byte("\r\n\r\n")) + 4
 	if end < 4 || r.ContentLength < 0 || int64(len(head)-end) <= r.ContentLength || !isHeadOf(r, head) {
--- a/internal/edgeproxy/harness_test.go
+++ b/internal/edgeproxy/harness_test.go
@@ -28,15 +28,15 @@
 	Instance = discovery.Endpoint
 )
 
-// testTimeout bounds every wait of a test; none is expected to come near it.
+// testTimeout limits every wait of a test. No passing test should come near it.
 const testTimeout = 30 * time.Second
 
-// appServer is an app server on a loopback socket. serve answers one request that
-// has come whole; it returns false to have the connection closed.
+// appServer is an app server on a loopback socket. serve answers one complete request; it returns false to close the
+// connection.
 type appServer struct {
 	ln    net.Listener
 	serve func(c net.Conn, r *http.Request, body []byte) bool
-	conns chan net.Conn // every connection accepted
+	conns chan net.Conn // all accepted connections, which are closed at the end of the test
 
 	mu   sync.Mutex
 	seen []string // the first line and the body of each request
@@ -62,13 +62,13 @@
 				return
 			}
 			s.conns <- c
-			go s.loop(c)
+			go s.serveConn(c)
 		}
 	}()
 	return s
 }
 
-func (s *appServer) loop(c net.Conn) {
+func (s *appServer) serveConn(c net.Conn) {
 	testserver.ServeRequests(c, func(r *http.Request, body []byte) bool {
 		s.mu.Lock()
 		s.seen = append(s.seen, r.Method+" "+r.RequestURI+" "+string(body))
@@ -99,8 +99,8 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 
-// testConfig is a tier of one edge node, with a safe class, a keyed one and a plan
-// whose second request within seconds is beyond its quota.
+// testConfig returns the configuration of a tier of one edge node, with an idempotent class, one that is idempotent
+// with a key, and a plan whose second request within seconds is over quota.
 func testConfig(servers ...Instance) *Config {
 	return &Config{
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
@@ -125,22 +125,22 @@
 	}
 }
 
-// runningNode is a node that runs in this process.
+// runningNode is a node that runs in the test process.
 type runningNode struct {
-	addr string
-	stop context.CancelFunc // a planned restart's SIGTERM
-	hup  chan os.Signal     // takes SIGHUP
-	done chan error
-	logs *testserver.Log
+	addr   string
+	stop   context.CancelFunc // has the effect of SIGTERM
+	reload chan os.Signal     // has the effect of SIGHUP
+	done   chan error
+	logs   *testserver.Log
 }
 
 func runNode(t testing.TB, cfg *Config) *runningNode {
 	t.Helper()
-	return runNodeOver(t, cfg, func(ln *net.TCPListener) net.Listener { return ln })
+	return runNodeWithListener(t, cfg, func(ln *net.TCPListener) net.Listener { return ln })
 }
 
-// runNodeOver is run with the clients' listener wrapped.
-func runNodeOver(t testing.TB, cfg *Config, wrap func(*net.TCPListener) net.Listener) *runningNode {
+// runNodeWithListener runs a node whose listener for clients is wrapped.
+func runNodeWithListener(t testing.TB, cfg *Config, wrap func(*net.TCPListener) net.Listener) *runningNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,13 +148,13 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	r := &runningNode{
-		addr: ln.Addr().String(),
-		stop: stop,
-		hup:  make(chan os.Signal, 1),
-		done: make(chan error, 1),
-		logs: &testserver.Log{},
+		addr:   ln.Addr().String(),
+		stop:   stop,
+		reload: make(chan os.Signal, 1),
+		done:   make(chan error, 1),
+		logs:   &testserver.Log{},
 	}
-	go func() { r.done <- runOn(ctx, cfg, r.hup, r.logs.Logger(), wrap(ln.(*net.TCPListener))) }()
+	go func() { r.done <- runOn(ctx, cfg, r.reload, r.logs.Logger(), wrap(ln.(*net.TCPListener))) }()
 	t.Cleanup(func() {
 		stop()
 		if err := testserver.AwaitEnd(r.done, testTimeout); err != nil {
@@ -164,7 +164,7 @@
 	return r
 }
 
-// client is one connection of a client.
+// client is a client connection.
 type client struct {
 	net.Conn
 	br *bufio.Reader
@@ -181,7 +181,7 @@
 	return &client{Conn: c, br: br, t: t}
 }
 
-// clientResponse is an answer as a client reads it.
+// clientResponse is a response that a client has read.
 type clientResponse struct {
 	status int
 	header http.Header
@@ -205,14 +205,14 @@
 	return clientResponse{r.Status, r.Header, r.Body, r.Close}
 }
 
-func (c *client) ask(text string) clientResponse {
+func (c *client) do(text string) clientResponse {
 	c.t.Helper()
 	c.send(text)
 	return c.read()
 }
 
-// request is the text of a good request, some of whose lines may be replaced: "" as
-// the value of a header leaves it out, "" as its name replaces the first line.
+// request returns the text of a valid request. replace is a list of names and values: a header name sets that header,
+// or omits it if the value is empty; "" sets the request line, and "body" the body.
 func request(class, id string, replace ...string) string {
 	lines := map[string]string{"Host": "app.svc", "X-Trace-Id": id, "X-Qos": class, "X-Contract": "wide",
 		"X-Expires-In": "20", "X-Metering": "units=1,spread=1,first=0"}
@@ -240,12 +240,12 @@
 	return text + "\r\n" + body
 }
 
-// eventually waits for a condition that other goroutines bring about.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !cond(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met within testTimeout: %s", what)
 		}
 	}
 }
@@ -266,14 +266,14 @@
 	return string(b)
 }
 
-// awaitEndBeforeCleanup waits for the node's end, before the clean-up does.
+// awaitEndBeforeCleanup waits until the node has ended. It puts a result back for the wait of the clean-up.
 func (r *runningNode) awaitEndBeforeCleanup(t *testing.T) {
 	t.Helper()
 	r.awaitEnd(t)
 	r.done <- nil
 }
 
-// awaitLog waits until a line with a message was logged.
+// awaitLog waits until a line with the message is logged.
 func (r *runningNode) awaitLog(t *testing.T, message string) {
 	t.Helper()
 	eventually(t, message, func() bool { return r.logs.HasLine(message) })
@@ -284,19 +284,19 @@
 	select {
 	case err := <-r.done:
 		if err != nil {
-			t.Fatalf("ended with %v", err)
+			t.Fatalf("node ended with error %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("does not end")
+		t.Fatal("node did not end within testTimeout")
 	}
 }
 
-// finalMetrics are the figures that a node logs as it ends.
+// finalMetrics returns the metrics that a node has logged at its end.
 func (r *runningNode) finalMetrics(t *testing.T) map[string]int {
 	t.Helper()
 	_, text, ok := strings.Cut(r.logs.String(), " msg=drained ")
 	if !ok {
-		t.Fatalf("no figures in the log:\n%s", r.logs)
+		t.Fatalf("log has no line with the final metrics:\n%s", r.logs)
 	}
 	text, _, _ = strings.Cut(text, "\n")
 	figures := map[string]int{}
@@ -308,7 +308,7 @@
 		name, val, _ := strings.Cut(f, "=")
 		n, err := strconv.Atoi(val)
 		if err != nil {
-			t.Fatalf("figure %q: %v", f, err)
+			t.Fatalf("metric %q: %v", f, err)
 		}
 		figures[name] = n
 	}
@@ -329,26 +329,26 @@
 func wantEOF(t *testing.T, what string, c *client) {
 	t.Helper()
 	if _, err := c.br.ReadByte(); err == nil {
-		t.Errorf("%s: something came, want a close", what)
+		t.Errorf("%s: received data, want a closed connection", what)
 	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		t.Errorf("%s: still open", what)
+		t.Errorf("%s: connection is still open, want it closed", what)
 	}
 }
 
-// newBlockingServer is an app server that says on held that it has a request with "hold" in its target, and
-// answers that one once hold is closed.
-func newBlockingServer(t *testing.T) (app *appServer, held, hold chan bool) {
-	hold, held = make(chan bool), make(chan bool, 1)
+// newBlockingServer returns an app server that blocks each request whose target contains "hold": it sends to blocked
+// when it has received the request, and answers it once release is closed.
+func newBlockingServer(t *testing.T) (app *appServer, blocked, release chan bool) {
+	release, blocked = make(chan bool), make(chan bool, 1)
 	return newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if strings.Contains(r.RequestURI, "hold") {
-			held <- true
-			<-hold
+			blocked <- true
+			<-release
 		}
 		return respondWith(okAnswer)(c, r, body)
-	}), held, hold
+	}), blocked, release
 }
 
-// wantClosed waits until the peer has closed its end.
+// wantClosed waits until the peer has closed or reset the connection.
 func wantClosed(t *testing.T, c net.Conn) {
 	t.Helper()
 	eventually(t, "connection closed by the node", func() bool {
@@ -366,7 +366,7 @@
 	})
 }
 
-// freeAddr is an address on which nothing listens.
+// freeAddr returns a TCP address on which nothing listens.
 func freeAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -377,14 +377,14 @@
 	return addrOf(ln)
 }
 
-// callAdmin is an operator's call.
+// callAdmin makes an administration call and returns the status and body of the response.
 func callAdmin(t *testing.T, method string, addr netip.AddrPort, path string) (int, string) {
 	t.Helper()
-	a := dial(t, addr.String()).ask(method + " " + path + " HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n")
+	a := dial(t, addr.String()).do(method + " " + path + " HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n")
 	return a.status, a.body
 }
 
-// hasMetric tells whether a node's figures have a line.
+// hasMetric returns a function that reports whether the metrics of a node contain a line.
 func hasMetric(t *testing.T, at netip.AddrPort, line string) func() bool {
 	return func() bool {
 		_, text := callAdmin(t, "GET", at, adminCountersPath)
@@ -392,7 +392,7 @@
 	}
 }
 
-// runNodeWithAdmin runs a node with a management address; it has one app server.
+// runNodeWithAdmin runs a node with one app server and an administration address, which it returns.
 func runNodeWithAdmin(
 	t *testing.T, serve func(net.Conn, *http.Request, []byte) bool, change func(*Config),
 ) (*runningNode, netip.AddrPort) {
--- a/internal/edgeproxy/health_check.go
+++ b/internal/edgeproxy/health_check.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	loadReportPath     = "/stats"               // an app server's load report
-	healthCheckTimeout = 500 * time.Millisecond // a check that takes longer tells nothing of the present
+	loadReportPath     = "/stats"               // path of an app server's load report
+	healthCheckTimeout = 500 * time.Millisecond // a later result would no longer describe the server's current state
 )
 
-// checkHealth asks a server for its load and tells the engine the result.
+// checkHealth requests a server's load report and passes the result to the engine.
 func (n *Node) checkHealth(server string) {
 	defer n.work.Done()
 	ctx, cancel := context.WithTimeout(n.ctx, healthCheckTimeout)
--- a/internal/edgeproxy/hot_restart.go
+++ b/internal/edgeproxy/hot_restart.go
@@ -7,57 +7,57 @@
 	"time"
 )
 
-// Hot restart: a second process, the successor, is started while the first, its predecessor, still serves. Both have
-// the clients' listening socket and share $TMPDIR, where the successor connects to a socket of its predecessor's. Once
-// the predecessor is told to end, these messages go between them, each one datagram with its kind in the first byte and
-// a descriptor beside it where there is one:
+// Hot restart: a second process, the successor, is started while the first, its predecessor, still serves. Both inherit
+// the listening socket for clients and share $TMPDIR, where the successor connects to a socket of the predecessor. The
+// successor sends its hello when it starts and then waits. When the predecessor receives SIGTERM, the other messages
+// follow. Each message is one datagram with its kind in the first byte, and carries at most one descriptor:
 //
-//	hello       to the predecessor: the version of this protocol; sent at the start of the successor, which then waits
-//	state       to the successor: the size of the engine's state, then its parts
-//	gossip      to the successor: the gossip socket, where there is one
-//	go          to the successor: all of the above was sent
-//	taken over  to the predecessor: the successor serves from here on
-//	client      to the successor: one client's connection
+//	hello           to the predecessor: the version of this protocol
+//	state           to the successor: the size of the engine's state, then the state in chunks
+//	gossip socket   to the successor: the gossip socket, if the predecessor has one
+//	state complete  to the successor: all of the above was sent
+//	taken over      to the predecessor: the successor serves from now on
+//	client          to the successor: the connection of one client
 //
-// Who owns what:
+// Ownership during a hot restart:
 //
-//	new clients         the predecessor until it closes its listener, before it exports its state; the successor once
-//	                    it has taken over; in between they wait in the kernel's backlog
-//	the engine's state  the predecessor until it is exported, the successor from go on; the predecessor's engine only
-//	                    finishes the requests that it has
-//	gossip              the successor from go on; on the predecessor's side nothing is sent once the state is exported
-//	a client's          the predecessor until no request is on it, the successor once it is sent; none is closed
-//	connection
-//	the socket's path   the predecessor until its state is exported, the successor from go on
-//	app servers'        each process has its own; the predecessor closes its idle ones once the successor has taken over
-//	connections
+//	new connections     the predecessor until it closes its listener, before it exports its state; the successor once it
+//	                    has taken over; in between they wait in the kernel's backlog
+//	engine state        the predecessor until the state is exported; the successor from state complete on; after the
+//	                    export the engine of the predecessor only finishes the requests in flight
+//	gossip              the successor from state complete on; the predecessor sends nothing after the export
+//	client connection   the predecessor until no request is active on it; the successor once the connection is sent;
+//	                    none is closed
+//	socket path         the predecessor until the state is exported; the successor from state complete on
+//	connections to      each process has its own; the predecessor closes its idle ones once the successor has taken over
+//	app servers
 //
-// So no two processes decide on requests of new connections at the same moment. Until a connection is handed over, what
-// comes on it is decided by the predecessor's engine, and not known to the successor's. A successor that has gone before
-// it has taken over leaves the predecessor with all that it had, which then drains as at a planned restart.
+// So two processes never decide on requests of new connections at the same time. Requests on a connection that was not
+// handed over yet are decided by the predecessor's engine and unknown to the successor's. If the successor disconnects
+// before it has taken over, the predecessor keeps everything and drains as at a planned restart.
 const (
 	handoverSocketName     = "mulleinmux-handover"
 	handoverMessageTimeout = 2 * time.Second       // for one message: the other process may be busy
-	handoverVersion        = 1                     // sent by the successor; version 0 sent none and did not answer
+	handoverVersion        = 1                     // version in the hello; version 0 sent neither hello nor taken over
 	maxStateChunk          = 32 << 10              // bytes of the engine's state in one message
-	handOverPollInterval   = 10 * time.Millisecond // between looks whether the last connection has gone
+	handOverPollInterval   = 10 * time.Millisecond // between checks whether connections are left
 )
 
 // The kinds of the messages.
 const (
-	msgHello        = 'h'
-	msgState        = 's'
-	msgGossipSocket = 'p'
-	msgGo           = 'g'
-	msgTakenOver    = 'y'
-	msgClient       = 'c'
+	msgHello         = 'h'
+	msgState         = 's'
+	msgGossipSocket  = 'p'
+	msgStateComplete = 'g'
+	msgTakenOver     = 'y'
+	msgClient        = 'c'
 )
 
-// handOver gives clients and the engine's state to the successor process. It returns once this process has answered
-// its own requests and its predecessor has no more clients to hand over. ln, on which clients were accepted, is
-// closed first; the socket behind it stays with the successor. An error means that nothing was handed over: the
-// caller drains the node as at a planned restart, and accepts on again meanwhile.
-func (s *clientServer) handOver(successors *successorListener, ln net.Listener) (again net.Listener, err error) {
+// handOver hands the engine's state and the clients over to the successor process. It first closes ln, the listener for
+// clients; the successor has the same socket. It returns once this process has answered its own requests and its
+// predecessor has no more clients to hand over. An error means that nothing was handed over: the caller drains the node
+// as at a planned restart, and accepts clients on reopened, if it is not nil, in the meantime.
+func (s *clientServer) handOver(successors *successorListener, ln net.Listener) (reopened net.Listener, err error) {
 	socket, err := duplicateDescriptor(ln)
 	if err != nil {
 		return nil, err
@@ -69,31 +69,31 @@
 		successors.stopListening()
 		err = successors.sendInheritedState(state, gossipSocket)
 	}
-	if err == nil && successors.awaitTakeover() == successorGone {
+	if err == nil && successors.awaitTakeover() == takeoverFailed {
 		err = errNoSuccessor
 	}
 	if err != nil {
 		if gossipSocket != nil {
 			s.node.setGossipSocket(gossipSocket)
 		}
-		again, listenErr := net.FileListener(socket)
-		return again, errors.Join(err, listenErr)
+		reopened, listenErr := net.FileListener(socket)
+		return reopened, errors.Join(err, listenErr)
 	}
 	if gossipSocket != nil {
 		gossipSocket.Close() // from here on the successor receives gossip
 	}
 	s.limiter.startHandOver(successors.sendClient)
 	s.node.pool.CloseIdle()
-	s.awaitClientsGone()
+	s.awaitClientsDisconnected()
 	return nil, nil
 }
 
-// awaitClientsGone waits until no client is left, neither this process's nor its predecessor's, for longestRequest at
-// most: by then the last request must have been answered.
-func (s *clientServer) awaitClientsGone() {
+// awaitClientsDisconnected waits until neither this process nor its predecessor has a client left, for longestRequest
+// at most: by then the last request must have been answered.
+func (s *clientServer) awaitClientsDisconnected() {
 	ticker := time.NewTicker(handOverPollInterval)
 	defer ticker.Stop()
-	end := time.Now().Add(s.longestRequest())
+	end := time.Now().Add(s.longestRequestTime())
 	for (s.limiter.count() > 0 || s.hasPredecessor.Load()) && time.Now().Before(end) {
 		<-ticker.C
 	}
@@ -103,7 +103,7 @@
 func (l *successorListener) sendClient(c *clientConn) error {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return errors.New("handover: no descriptor")
+		return errors.New("handover: client connection has no descriptor")
 	}
 	rc, err := socket.SyscallConn()
 	if err != nil {
--- a/internal/edgeproxy/idle_conns_test.go
+++ b/internal/edgeproxy/idle_conns_test.go
@@ -12,16 +12,17 @@
 	"mulleinmux/policy"
 )
 
-// staleConnCase is a request that is reset, by what preceded that.
+// staleConnCase is a request that is reset, with what preceded the reset.
 type staleConnCase struct {
 	idleTime     time.Duration // of its connection
 	responseTime time.Duration // from the request to the reset
-	learns       bool          // a shorter idle timeout
+	learns       bool          // the pool shortens its idle timeout
 }
 
-// A server that closes idle connections sooner than the settings say shows only when one is written to, which may
-// have run: from the first on they are kept for less. A reset of a request that the server had begun, or on a
-// connection just used, teaches nothing.
+// A server that closes idle connections earlier than the settings say is noticed only when a request is written to such
+// a connection, and that request may have been executed. So after the first such reset the pool keeps the server's
+// connections for a shorter time. A reset of a request that the server had begun, or on a connection that was just
+// used, must not change the idle timeout.
 func TestStaleConnections(t *testing.T) {
 	for name, c := range map[string]staleConnCase{
 		"stale":           {10 * conntable.MinIdleTimeout, 0, true},
@@ -33,13 +34,13 @@
 	}
 }
 
-// run checks what is learned from the reset, and for how long.
+// run checks the idle timeout after the reset, and that it recovers later.
 func (c staleConnCase) run(t *testing.T) {
 	s := newAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("X-Trace-Id") == "fine" {
 			return respondWith(okAnswer)(conn, r, body)
 		}
-		time.Sleep(c.responseTime) // the server at work
+		time.Sleep(c.responseTime) // the server's processing time
 		conn.(*net.TCPConn).SetLinger(0)
 		return false
 	})
@@ -48,32 +49,32 @@
 	idleTimeout := func() time.Duration { return pool.Snapshot().Servers["a"].IdleTimeout }
 	maxIdleTimeout := idleTimeout()
 
-	runFineExchange(t, pool)
+	runAnsweredExchange(t, pool)
 	clock.advance(c.idleTime)
 	_, res := runExchange(t, pool, "a")
 	wantResult(t, res, policy.ConnectionReset)
 	if got := idleTimeout() != maxIdleTimeout; got != c.learns {
-		t.Fatalf("kept for %v, learned: %v, want %v", idleTimeout(), got, c.learns)
+		t.Fatalf("idle timeout %v after the reset: shortened %v, want %v", idleTimeout(), got, c.learns)
 	}
 
-	runFineExchange(t, pool)
+	runAnsweredExchange(t, pool)
 	clock.advance(c.idleTime)
 	old := idleConns(pool, "a")[0]
-	runFineExchange(t, pool)
+	runAnsweredExchange(t, pool)
 	if again := idleConns(pool, "a")[0] == old; again == c.learns {
-		t.Errorf("used again: %v", again)
+		t.Errorf("connection idle for the same time: reused %v", again)
 	}
 	clock.advance(12 * conntable.IdleTimeoutDoublingInterval)
 	if keep := idleTimeout(); keep != maxIdleTimeout {
-		t.Errorf("kept for %v long after, want %v", keep, maxIdleTimeout)
+		t.Errorf("idle timeout long after the reset: got %v, want %v", keep, maxIdleTimeout)
 	}
 }
 
-// A connection near the age at which servers close it is closed, when acquired and while idle.
+// A connection close to the age at which servers close it is closed, both when it is acquired and while it is idle.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	s := newAppServer(t, respondWith(okAnswer))
 	clock := newTestClock()
-	const serverIdleTimeout = 50 * time.Millisecond // sets the pace of pruning
+	const serverIdleTimeout = 50 * time.Millisecond // determines the interval of pruning
 	pool := newTestPoolWith(serverIdleTimeout, serverPoolOptions{now: clock.now}, s.instance("a"))
 	maxIdleTimeout := serverpool.MaxIdleTimeout(serverIdleTimeout)
 	runExchange(t, pool, "a")
@@ -88,7 +89,8 @@
 	wantOpenConns(t, pool, 0)
 }
 
-// Outside of the node's subset an idle connection is closed soon; in it, and where there is no subset, it stays.
+// An idle connection to a server outside of the node's subset is closed soon. Inside the subset, or without a subset,
+// it is kept.
 func TestIdleConnectionsOutsideSubset(t *testing.T) {
 	near, far := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
 	clock := newTestClock()
@@ -106,11 +108,11 @@
 	wantClosed(t, <-far.conns)
 	wantOpenConns(t, pool, 1)
 	if len(idleConns(pool, "near")) != 1 {
-		t.Error("the connection to the server in the subset is closed")
+		t.Error("the connection to the server in the subset was closed")
 	}
 }
 
-// After a timeout on one connection the others of that server are not used again: if its machine is gone they are
+// After a timeout on one connection, the server's other connections are not reused. If the machine has failed they are
 // unresponsive too, and each would cost a request its time.
 func TestTimeoutClosesIdleConnections(t *testing.T) {
 	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
--- a/internal/edgeproxy/limited_listener.go
+++ b/internal/edgeproxy/limited_listener.go
@@ -8,15 +8,15 @@
 	"mulleinmux/internal/graceful"
 )
 
-// limitedListener accepts connections that count at a limiter.
+// limitedListener accepts client connections within the limit of a connectionLimiter.
 type limitedListener struct {
 	*graceful.Listener
 	limiter *connectionLimiter
 
-	done chan struct{} // closed once nothing more is accepted; nil where nobody waits for that
+	done chan struct{} // closed once no more connections are accepted; nil if nothing waits for that
 }
 
-// Accept returns the next connection that is within the limit; a connection that is evicted for it is closed.
+// Accept returns the next connection that is within the limit. It closes the connection that is evicted for it.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
--- a/internal/edgeproxy/maintenance.go
+++ b/internal/edgeproxy/maintenance.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// Times of a drain by an operator's call. The load balancer notices it within 0.1 s, and new clients come for 0.2 s
-// more; clients go on using the connections that they have.
+// Times of a drain that an operator requests. The load balancer notices it within 0.1 s, and new clients arrive for
+// 0.2 s more; clients continue to use the connections that they have.
 const (
 	evictionInterval   = 50 * time.Millisecond
-	evictionDelay      = 600 * time.Millisecond  // after the call: no new client comes any more
-	evictionIdleTime   = 1 * time.Second         // of a connection that is evicted from then on
-	evictAllDelay      = 1700 * time.Millisecond // after the call: every idle connection is evicted from then on
-	evictionSilentTime = 400 * time.Millisecond  // of a connection on which no request came
+	evictionDelay      = 600 * time.Millisecond  // from the call to the first evictions; no new client arrives any more
+	evictionIdleTime   = 1 * time.Second         // minimum idle time of evicted connections after evictionDelay
+	evictAllDelay      = 1700 * time.Millisecond // from the call to the eviction of every idle connection
+	evictionSilentTime = 400 * time.Millisecond  // minimum age of evicted connections without any request
 )
 
-// maintenance is a drain by an operator's call: the node is not ready, each response closes its connection, and idle
-// connections are evicted until the node returns to service.
+// maintenance is the state of a drain that an operator requested: the node is not ready, each response closes its
+// connection, and idle connections are evicted until the node returns to service.
 type maintenance struct {
 	isOutOfService atomic.Bool // changes under mu
 
 	mu  sync.Mutex
-	end chan struct{} // closed by the call that ends the maintenance; nil: the node is in service
+	end chan struct{} // closed by returnToService; nil while the node is in service
 }
 
-// maintenanceEviction decides, so long after the call, how long a connection has to be idle to be evicted. At first
-// none is, for the next request on it loses nothing; then those that nobody used; in the end all.
+// maintenanceEviction returns how long a connection has to be idle to be evicted, given the time since the call, and
+// whether any is evicted. At first none is, because the response to its next request closes it without loss; then those
+// that are unused; at the end all idle ones.
 func maintenanceEviction(sinceCall time.Duration) (minIdle time.Duration, evicts bool) {
 	switch {
 	case sinceCall < evictionDelay:
@@ -38,8 +39,8 @@
 	}
 }
 
-// takeOutOfService drains the node until returnToService. It does not wait until no client is left; a second call
-// changes nothing.
+// takeOutOfService starts to drain the node, until returnToService is called. It does not wait until all clients have
+// disconnected. A second call has no effect.
 func (s *clientServer) takeOutOfService() {
 	s.maintenance.mu.Lock()
 	defer s.maintenance.mu.Unlock()
@@ -53,7 +54,7 @@
 	s.node.spawn(func() { s.evictClients(end) })
 }
 
-// evictClients evicts idle clients until end is closed or the node ends.
+// evictClients evicts idle connections until end is closed or the node's context ends.
 func (s *clientServer) evictClients(end <-chan struct{}) {
 	startedAt := time.Now()
 	ticker := time.NewTicker(evictionInterval)
@@ -76,7 +77,7 @@
 	}
 }
 
-// returnToService ends a drain by takeOutOfService: the node is ready again.
+// returnToService ends the drain that takeOutOfService started: the node is ready again.
 func (s *clientServer) returnToService() {
 	s.maintenance.mu.Lock()
 	defer s.maintenance.mu.Unlock()
--- a/internal/edgeproxy/metrics.go
+++ b/internal/edgeproxy/metrics.go
@@ -8,24 +8,24 @@
 	"sync"
 )
 
-// metricsKey is the key of the metrics in the log.
+// metricsKey is the key of the metrics in log lines.
 const metricsKey = "metrics"
 
-// metrics count requests by class and outcome since the start, for operators.
+// metrics counts requests by class and outcome, and attempts, since the start of the process.
 type metrics struct {
 	classes []string // sorted
 
-	mu             sync.Mutex
-	outcomes       map[string]*outcomeCounts // by class
-	inFlight       int                       // requests received and not yet ended
-	sentAttempts   int64                     // attempts written to the end
-	sentAfterLeave int64                     // of these, those whose client was known to have disconnected
+	mu                  sync.Mutex
+	outcomes            map[string]*outcomeCounts // by class
+	inFlight            int                       // requests received and not yet ended
+	sentAttempts        int64                     // attempts that were written completely
+	sentAfterDisconnect int64                     // of these, those whose client was known to have disconnected
 }
 
-// outcomeCounts counts the final answers to one class's requests.
+// outcomeCounts counts the final answers to the requests of one class.
 type outcomeCounts struct{ served, rejected, failed int64 }
 
-// newMetrics returns the metrics of some classes, by name.
+// newMetrics returns metrics for the classes with the given names.
 func newMetrics(classes []string) *metrics {
 	m := &metrics{classes: append([]string(nil), classes...), outcomes: map[string]*outcomeCounts{}}
 	sort.Strings(m.classes)
@@ -42,7 +42,7 @@
 	m.mu.Unlock()
 }
 
-// requestEnded counts a request as ended, once its last byte is written or its client has disconnected.
+// requestEnded counts the outcome of a request once its last byte was written or its client has disconnected.
 func (m *metrics) requestEnded(class string, kind answerKind) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,17 +57,17 @@
 	}
 }
 
-// attemptSent counts an attempt whose last byte is written, and whether its client had disconnected by then.
-func (m *metrics) attemptSent(clientLeft bool) {
+// attemptSent counts an attempt whose last byte was written, and whether its client had disconnected by then.
+func (m *metrics) attemptSent(isClientDisconnected bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.sentAttempts++; clientLeft {
-		m.sentAfterLeave++
+	if m.sentAttempts++; isClientDisconnected {
+		m.sentAfterDisconnect++
 	}
 }
 
-// text returns the metrics as operators read them, one key=value a line.
-func (m *metrics) text(size, unhealthy int) string {
+// text formats the metrics as one key=value pair per line.
+func (m *metrics) text(serverCount, unhealthyCount int) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var b strings.Builder
@@ -75,15 +75,15 @@
 		o := m.outcomes[name]
 		fmt.Fprintf(&b, metricServed+metricRejected+metricFailed, name, o.served, name, o.rejected, name, o.failed)
 	}
-	fmt.Fprintf(&b, metricSentAttempts+metricSentAfterLeave, m.sentAttempts, m.sentAfterLeave)
-	fmt.Fprintf(&b, metricInFlight+metricServers+metricUnhealthy, m.inFlight, size, unhealthy)
+	fmt.Fprintf(&b, metricSentAttempts+metricSentAfterDisconnect, m.sentAttempts, m.sentAfterDisconnect)
+	fmt.Fprintf(&b, metricInFlight+metricServers+metricUnhealthy, m.inFlight, serverCount, unhealthyCount)
 	return b.String()
 }
 
-// metricsText returns the metrics of the node and of its engine, one key=value a line.
+// metricsText formats the metrics of the node and its engine as one key=value pair per line.
 func (n *Node) metricsText() string {
 	n.mu.Lock()
-	size, unhealthy := n.engine.ServerCounts(n.now())
+	serverCount, unhealthyCount := n.engine.ServerCounts(n.now())
 	subsetSize, suspectedCount := n.engine.SubsetCounts()
 	var b strings.Builder
 	fmt.Fprintf(&b, metricSubsetSize+metricSubsetSuspected, subsetSize, suspectedCount)
@@ -94,10 +94,10 @@
 	fmt.Fprintf(&b, metricOverQuotaSent, overQuota.Sent)
 	fmt.Fprintf(&b, metricOverQuotaDiscovered, overQuota.Discovered)
 	n.mu.Unlock()
-	return n.metrics.text(size, unhealthy) + b.String()
+	return n.metrics.text(serverCount, unhealthyCount) + b.String()
 }
 
-// metricsAttr returns the metrics as an attribute of a log line.
+// metricsAttr returns the metrics as a log attribute.
 func (n *Node) metricsAttr() slog.Attr {
 	var attrs []any
 	for _, metric := range strings.Fields(n.metricsText()) {
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -1,23 +1,24 @@
-// Package edgeproxy is the edge node: the host of a [policy.Engine] on sockets. It moves bytes, keeps the clock and
-// enforces what the engine relies on; which request is admitted, where it is forwarded and whether it is retried is
-// decided in package policy alone.
+// Package edgeproxy implements the edge node: it runs a [policy.Engine] on sockets. It transfers data, provides the
+// clock and enforces what the engine relies on. Package policy alone decides which requests are admitted, where they
+// are forwarded and whether they are retried.
 //
-// It owns the clients' connections, the connections to app servers, the requests under way, the watch of the endpoint
-// list, the gossip socket, the calls of operators and the hot restart. The way of a request:
+// The package owns the connections of clients and to app servers, the pending requests, the watch of the endpoint list,
+// the gossip socket, the administration calls and the hot restart. A request passes through these files:
 //
-//   - limited_listener.go accepts the connection, which counts in connection_limiter.go, where eviction.go says which
-//     one is closed for it; client_conn.go reads from it, client_watch.go notices that the client disconnects.
-//   - serve_request.go has the request checked (framing.go on the head that request_head.go keeps, request_parsing.go)
-//     and its body read (request_body.go, within memory_budget.go).
-//   - request_table.go records it and asks the engine, whose decision engine_actions.go carries out.
-//   - exchange.go writes an attempt to a connection of server_pool.go and reads the response (server_conn.go); package
-//     serverpool keeps connections between exchanges, health_check.go asks for a server's load.
-//   - request_table.go tells the engine the result; answer_writing.go writes the final answer, and response_stream.go
-//     forwards a long response.
+//   - limited_listener.go accepts the connection. connection_limiter.go counts it, and eviction.go selects the
+//     connection that is closed if there are too many. client_conn.go reads from the connection, and client_watch.go
+//     detects that the client disconnects.
+//   - serve_request.go has the request checked (framing.go, on the head that request_head.go records, and
+//     request_parsing.go) and its body read (request_body.go, within memory_budget.go).
+//   - request_table.go records the request and passes it to the engine, whose decision engine_actions.go carries out.
+//   - exchange.go writes an attempt to a connection of server_pool.go and reads the response (server_conn.go). Package
+//     serverpool keeps connections between exchanges; health_check.go queries the load of a server.
+//   - request_table.go reports the result to the engine; answer_writing.go writes the final answer, and
+//     response_stream.go forwards a long response.
 //
-// run.go starts and ends a process (shutdown.go); maintenance.go drains it by an operator's call (admin_server.go,
-// with the figures of metrics.go); hot_restart.go describes how a process takes over from another
-// (successor_listener.go, predecessor.go); discovery_watch.go follows the endpoint list.
+// run.go starts and stops a process (shutdown.go); maintenance.go drains it when an operator requests that
+// (admin_server.go, which also serves metrics.go); hot_restart.go describes how a process takes over from another
+// (successor_listener.go, predecessor.go); discovery_watch.go watches the endpoint list.
 package edgeproxy
 
 import (
@@ -33,14 +34,14 @@
 	"mulleinmux/policy"
 )
 
-// Node hosts the engine of one edge node. Its events come from many goroutines; one mutex makes them one sequence.
-// The engine's actions change the request table under the mutex; what does I/O runs after it is released or in a
-// goroutine of its own.
+// Node runs the engine of one edge node. Its events come from many goroutines and are serialized by one mutex. The
+// engine's actions change the request table under the mutex; I/O is done after the mutex is released or in a separate
+// goroutine.
 type Node struct {
 	cfg     *Config
 	logger  *slog.Logger
-	start   time.Time       // the clock reads Unix time at the start plus the monotonic time since
-	ctx     context.Context // ends attempts and health checks
+	start   time.Time       // the clock is the Unix time at the start plus the monotonic time since then
+	ctx     context.Context // cancels attempts and health checks
 	pool    *serverPool
 	metrics *metrics
 	memory  *memoryBudget
@@ -48,13 +49,13 @@
 
 	mu           sync.Mutex
 	engine       *policy.Engine
-	gossipSocket *gossip.Socket             // nil where edge nodes may not gossip, or another process does
+	gossipSocket *gossip.Socket             // nil if edge nodes may not gossip, or another process of this node does
 	requests     map[string]*pendingRequest // by ID
-	afterEvent   []func()                   // what the event under way leaves to do without the mutex
-	isClosed     bool                       // no more events
+	afterEvent   []func()                   // called once the current event has released the mutex
+	isClosed     bool                       // no more events are handled
 }
 
-// newNode returns a node whose goroutines end with ctx.
+// newNode returns a node whose goroutines end when ctx ends.
 func newNode(ctx context.Context, cfg *Config, logger *slog.Logger) (*Node, error) {
 	engine, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -83,16 +84,17 @@
 	return n, nil
 }
 
-// now reads the clock: Unix time, so that start times in lists convert, which never goes back.
+// now returns the node's time, which never goes back. It is a Unix time, so that it compares with the start times in
+// endpoint lists.
 func (n *Node) now() time.Duration {
 	return time.Duration(n.start.UnixNano()) + time.Since(n.start)
 }
 
-// handleEvent runs one event of the engine, then what its actions left to do. It tells whether the event was
-// handled: a panic of the engine is logged, with the stack that names its cause, and costs the one event.
+// handleEvent runs one event of the engine, then the functions in afterEvent. It reports whether the event was handled.
+// A panic of the engine is logged with its stack and ends only the event that caused it.
 func (n *Node) handleEvent(event func(now time.Duration, out policy.Actions)) bool {
 	n.mu.Lock()
-	ok := !n.isClosed && n.runGuarded(event)
+	ok := !n.isClosed && n.runWithRecovery(event)
 	after := n.afterEvent
 	n.afterEvent = nil
 	n.mu.Unlock()
@@ -102,8 +104,8 @@
 	return ok
 }
 
-// runGuarded runs an event and tells whether it did not panic. Called under the mutex.
-func (n *Node) runGuarded(event func(now time.Duration, out policy.Actions)) (ok bool) {
+// runWithRecovery runs an event and returns false if it panicked. The caller holds the mutex.
+func (n *Node) runWithRecovery(event func(now time.Duration, out policy.Actions)) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			stack := debug.Stack()
@@ -114,7 +116,8 @@
 	return true
 }
 
-// close ends the node's events, then waits for its attempts and health checks, whose context has ended.
+// close rejects further events, then waits for attempts, health checks and spawned goroutines. The node's context must
+// have ended.
 func (n *Node) close() {
 	n.mu.Lock()
 	n.isClosed = true
@@ -123,8 +126,8 @@
 	n.pool.Close()
 }
 
-// spawn runs f in a goroutine that close waits for; f ends with the node's context. It returns false if the node is
-// closed.
+// spawn runs f in a goroutine that close waits for; f must return when the node's context ends. It returns false if the
+// node is closed.
 func (n *Node) spawn(f func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -135,14 +138,14 @@
 	return true
 }
 
-// setGossipSocket gives the node the socket on which it gossips.
+// setGossipSocket sets the socket on which the node sends gossip.
 func (n *Node) setGossipSocket(socket *gossip.Socket) {
 	n.mu.Lock()
 	n.gossipSocket = socket
 	n.mu.Unlock()
 }
 
-// takeGossipSocket takes the gossip socket away from the node.
+// takeGossipSocket removes the gossip socket from the node and returns it; nil if there is none.
 func (n *Node) takeGossipSocket() *gossip.Socket {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -151,8 +154,8 @@
 	return socket
 }
 
-// exportState returns the engine's state for the successor process, and the gossip socket, on which nothing is sent
-// any more. The requests in flight go on.
+// exportState returns the engine's state for the successor process, and the gossip socket, on which the node sends
+// nothing any more. The requests in flight continue.
 func (n *Node) exportState() (state []byte, socket *gossip.Socket, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -161,7 +164,7 @@
 	return state, socket, err
 }
 
-// importState goes on from the state of another process's engine. One that is invalid is logged, and not used.
+// importState imports the engine's state of the predecessor. An invalid state is logged and not used.
 func (n *Node) importState(state []byte) {
 	n.mu.Lock()
 	err := n.engine.ImportState(n.now(), state)
@@ -171,7 +174,7 @@
 	}
 }
 
-// subsetServers returns the IDs of the servers to which idle connections are kept; nil: all.
+// subsetServers returns the IDs of the servers to which idle connections are kept; nil means all servers.
 func (n *Node) subsetServers() map[string]bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -184,7 +187,7 @@
 	n.updateEndpoints(n.cfg.SavedEndpoints, policy.EndpointsSaved)
 }
 
-// updateEndpoints hands an endpoint list to the server pool and to the engine, as one event.
+// updateEndpoints updates the server pool and the engine with an endpoint list, as one event.
 func (n *Node) updateEndpoints(l discovery.EndpointList, kind policy.EndpointUpdateKind) {
 	servers := make([]policy.Server, len(l.Servers))
 	for i, s := range l.Servers {
@@ -197,7 +200,7 @@
 	})
 }
 
-// endpointsReceived hands a list from discovery on.
+// endpointsReceived handles an endpoint list from discovery.
 func (n *Node) endpointsReceived(l discovery.EndpointList) {
 	kind := policy.EndpointsDelta
 	if l.IsComplete {
@@ -206,7 +209,7 @@
 	n.updateEndpoints(l, kind)
 }
 
-// gossipReceived hands a peer's message on.
+// gossipReceived passes a gossip message from a peer to the engine.
 func (n *Node) gossipReceived(from int, message []byte) {
 	n.handleEvent(func(now time.Duration, out policy.Actions) { n.engine.GossipReceived(now, from, message, out) })
 }
--- a/internal/edgeproxy/paused_conn_test.go
+++ b/internal/edgeproxy/paused_conn_test.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// gatedListener accepts nothing before its gate opens: the kernel has accepted connections that the process has
-// not.
+// gatedListener accepts no connections until the channel gate is closed. Until then the kernel has accepted connections
+// that the process has not.
 type gatedListener struct {
 	*net.TCPListener
 	gate   chan struct{}
@@ -29,9 +29,9 @@
 	return l.TCPListener.Close()
 }
 
-// pausedListener accepts connections whose reads, once paused is closed, notice data and leave it in the socket
-// until resume is closed, or take it out (readsFirst) and return once resume is closed: the goroutine that reads is
-// not scheduled.
+// pausedListener accepts connections whose reads block after paused is closed and until resume is closed, as if the
+// reading goroutine was not scheduled. Such a read waits with the data still in the socket or, with readsFirst, with
+// the data already read.
 type pausedListener struct {
 	*net.TCPListener
 	readsFirst     bool
