--- a/internal/edgeproxy/predecessor.go
+++ b/internal/edgeproxy/predecessor.go
@@ -12,18 +12,18 @@
 
 const (
 	stateSizeLength  = 4 // bytes of the first state message
-	descriptorLength = 4 // bytes of a descriptor in a control message
+	descriptorLength = 4 // bytes of a file descriptor in a control message
 )
 
-// predecessor is the successor's side of a hot restart: the connection to the process that serves. As a listener it
-// accepts the clients that this process hands over.
+// predecessor is the successor's side of a hot restart: the connection to the process that still serves. It implements
+// [net.Listener], which accepts the client connections that the predecessor hands over.
 type predecessor struct {
 	conn *net.UnixConn
 	buf  []byte
 }
 
-// findPredecessor connects to the process that serves. It returns nil if there is none, with an error if something
-// else stands at the path.
+// findPredecessor connects to the predecessor's socket. It returns nil if nothing exists at the path, and an error if
+// the path exists but the connection fails.
 func findPredecessor(path string) (*predecessor, error) {
 	c, err := net.DialTimeout("unixpacket", path, handoverMessageTimeout)
 	if errors.Is(err, os.ErrNotExist) {
@@ -35,30 +35,30 @@
 		}
 	}
 	if err != nil {
-		return nil, fmt.Errorf("handover: no predecessor: %w", err)
+		return nil, fmt.Errorf("handover: connection to the predecessor failed: %w", err)
 	}
 	return &predecessor{conn: c.(*net.UnixConn), buf: make([]byte, maxStateChunk+1)}, nil
 }
 
-// confirmTakeover tells the predecessor that this process has taken over.
+// confirmTakeover reports to the predecessor that this process has taken over.
 func (p *predecessor) confirmTakeover() {
-	// A predecessor that has gone meanwhile needs no answer.
+	// A predecessor that has disconnected in the meantime needs no confirmation.
 	_, _ = p.conn.Write([]byte{msgTakenOver})
 }
 
-// inheritedState is what a predecessor sends before clients.
+// inheritedState is what the predecessor sends before client connections.
 type inheritedState struct {
 	engineState []byte
-	gossipConn  *net.UDPConn // nil: it sent none
+	gossipConn  *net.UDPConn // nil if the predecessor sent none
 }
 
-// awaitState waits for the predecessor's state until the successor may go. Its error means that the predecessor has
-// ended before, or that ctx has. A gossip socket that came before it is the successor's all the same: peers know its
-// address, which nobody else could open.
+// awaitState receives the predecessor's state until it is complete. An error means that the predecessor disconnected or
+// sent an invalid message before, or that ctx ended. A gossip socket that was received before the error is returned all
+// the same: peers have its address, which no other socket could be opened on.
 func (p *predecessor) awaitState(ctx context.Context) (state inheritedState, err error) {
 	stop := context.AfterFunc(ctx, func() { p.conn.SetReadDeadline(expiredDeadline) })
 	defer stop()
-	stateSize := -1 // not known yet
+	stateSize := -1 // not received yet
 	for {
 		message, err := p.readMessage()
 		if err != nil {
@@ -70,43 +70,43 @@
 		case message.kind == msgState:
 			state.engineState = append(state.engineState, message.body...)
 			if len(state.engineState) > stateSize {
-				return state, errors.New("handover: more state than was announced")
+				return state, errors.New("handover: engine state is longer than its announced size")
 			}
 		case message.kind == msgGossipSocket && message.file != nil:
 			if err := state.takeGossipSocket(message.file); err != nil {
 				return state, err
 			}
-		case message.kind == msgGo && len(state.engineState) == stateSize:
+		case message.kind == msgStateComplete && len(state.engineState) == stateSize:
 			return state, nil
 		default:
 			if message.file != nil {
 				message.file.Close()
 			}
-			return state, fmt.Errorf("handover: message %q of %d bytes out of place", message.kind, len(message.body))
+			return state, fmt.Errorf("handover: unexpected message %q of %d bytes", message.kind, len(message.body))
 		}
 	}
 }
 
-// takeGossipSocket takes the gossip socket from its descriptor, which it closes.
+// takeGossipSocket opens the gossip socket from a descriptor, which it closes.
 func (s *inheritedState) takeGossipSocket(file *os.File) error {
 	conn, err := net.FilePacketConn(file)
 	file.Close()
 	if err != nil {
-		return fmt.Errorf("handover: peers' socket: %w", err)
+		return fmt.Errorf("handover: gossip socket: %w", err)
 	}
 	var isUDP bool
 	if s.gossipConn, isUDP = conn.(*net.UDPConn); !isUDP {
 		conn.Close()
-		return errors.New("handover: peers' socket is none")
+		return errors.New("handover: gossip socket is not a UDP socket")
 	}
 	return nil
 }
 
-// handoverMessage is one message of the predecessor.
+// handoverMessage is one message from the predecessor.
 type handoverMessage struct {
 	kind byte
 	body []byte   // valid until the next message is read
-	file *os.File // the descriptor beside it; nil: there is none
+	file *os.File // the descriptor sent with the message; nil if there is none
 }
 
 // readMessage reads one message.
@@ -117,7 +117,7 @@
 		err = net.ErrClosed
 	}
 	if err == nil && flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-		err = errors.New("message cut short")
+		err = errors.New("message is truncated")
 	}
 	if err != nil {
 		return handoverMessage{}, fmt.Errorf("handover: %w", err)
@@ -131,21 +131,21 @@
 	return message, nil
 }
 
-// receivedDescriptor returns the descriptor that was received beside a message.
+// receivedDescriptor returns the descriptor in the control message oob.
 func receivedDescriptor(oob []byte) (*os.File, error) {
 	msgs, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil || len(msgs) != 1 {
-		return nil, errors.Join(errors.New("no descriptor where one was announced"), err)
+		return nil, errors.Join(errors.New("want exactly one valid control message"), err)
 	}
 	fds, err := syscall.ParseUnixRights(&msgs[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errors.New("not one descriptor"), err)
+		return nil, errors.Join(errors.New("want exactly one descriptor in the control message"), err)
 	}
 	syscall.CloseOnExec(fds[0])
 	return os.NewFile(uintptr(fds[0]), "inherited"), nil
 }
 
-// Accept returns the next client's connection that the predecessor hands over. Its error is final.
+// Accept returns the next client connection that the predecessor hands over. After an error there are no more.
 func (p *predecessor) Accept() (net.Conn, error) {
 	for {
 		message, err := p.readMessage()
@@ -170,20 +170,20 @@
 // Close closes the connection to the predecessor.
 func (p *predecessor) Close() error { return p.conn.Close() }
 
-// Addr is the address of the socket between both processes.
+// Addr returns the address of the socket between both processes.
 func (p *predecessor) Addr() net.Addr { return p.conn.LocalAddr() }
 
-// inheritedListener returns the listening socket that the process was started with.
+// inheritedListener returns a listener on the listening socket with descriptor fd, which the process has inherited.
 func inheritedListener(fd int) (net.Listener, error) {
-	// Checked before os.NewFile, which would own, and some day close, a descriptor that is not ours.
+	// Checked before os.NewFile, whose file would own and eventually close a descriptor that has another use.
 	switch accepts, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); {
 	case err != nil:
 		return nil, fmt.Errorf(envAcceptFD+": descriptor %d: %w", fd, err)
 	case accepts == 0:
-		return nil, fmt.Errorf(envAcceptFD+": descriptor %d is a socket that does not listen", fd)
+		return nil, fmt.Errorf(envAcceptFD+": descriptor %d is not a listening socket", fd)
 	}
 	file := os.NewFile(uintptr(fd), "clients")
-	defer file.Close() // the listener has one of its own
+	defer file.Close() // the listener has a duplicate of the descriptor
 	ln, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf(envAcceptFD+": descriptor %d: %w", fd, err)
--- a/internal/edgeproxy/quota_test.go
+++ b/internal/edgeproxy/quota_test.go
@@ -13,18 +13,20 @@
 	"mulleinmux/policy"
 )
 
-// lossyNetwork is the network between nodes: what one sends another goes through a socket of its own, which loses,
-// duplicates and delays some. sockets[i][j] is where node i sends what is for node j, and receives j from.
+// lossyNetwork is the network between nodes. Each ordered pair of nodes has a socket of its own that loses, duplicates
+// and delays some messages: sockets[i][j] is the socket to which node i sends messages for node j, and from which node
+// i receives those of node j.
 type lossyNetwork struct {
 	nodes   []netip.AddrPort
 	sockets [][]*net.UDPConn
-	loses   func(messageNumber int) bool
+	isLost  func(messageNumber int) bool
 }
 
-// newLossyNetwork returns a network that runs until the end of the test.
-func newLossyNetwork(t *testing.T, nodes []netip.AddrPort, loses func(messageNumber int) bool) *lossyNetwork {
+// newLossyNetwork returns a network that forwards messages for the rest of the test. isLost decides which messages are
+// dropped.
+func newLossyNetwork(t *testing.T, nodes []netip.AddrPort, isLost func(messageNumber int) bool) *lossyNetwork {
 	t.Helper()
-	network := &lossyNetwork{nodes: nodes, loses: loses}
+	network := &lossyNetwork{nodes: nodes, isLost: isLost}
 	for range nodes {
 		var sockets []*net.UDPConn
 		for range nodes {
@@ -42,8 +44,8 @@
 	return network
 }
 
-// peersOf returns the addresses at which a node reaches each node.
-func (n *lossyNetwork) peersOf(node int) []netip.AddrPort {
+// peerAddrs returns the addresses at which a node reaches each node.
+func (n *lossyNetwork) peerAddrs(node int) []netip.AddrPort {
 	var addrs []netip.AddrPort
 	for peer, socket := range n.sockets[node] {
 		addr := socket.LocalAddr().(*net.UDPAddr).AddrPort()
@@ -55,8 +57,8 @@
 	return addrs
 }
 
-// forward forwards the messages of one node to another until the socket is closed: of 20 one comes late and one twice,
-// beside those that are lost.
+// forward forwards messages from one node to another until the socket is closed. Of 20 messages it delays one and
+// duplicates one, besides those that are lost.
 func (n *lossyNetwork) forward(from, to int) {
 	buf := make([]byte, 300)
 	for number := 1; ; number++ {
@@ -64,10 +66,10 @@
 		if err != nil {
 			return
 		}
-		// A lost message is part of the contract.
+		// A failed write is a lost message, which gossip must tolerate.
 		deliver := func(message []byte) { n.sockets[to][from].WriteToUDPAddrPort(message, n.nodes[to]) }
 		switch {
-		case n.loses(number):
+		case n.isLost(number):
 		case number%20 == 7:
 			late := append([]byte(nil), buf[:size]...)
 			time.AfterFunc(300*time.Millisecond, func() { deliver(late) })
@@ -80,7 +82,7 @@
 	}
 }
 
-// referenceQuota is a customer's quota over all nodes together, as it is.
+// referenceQuota is the exact state of a customer's quota over all nodes together.
 type referenceQuota struct {
 	level float64
 	at    time.Time
@@ -100,7 +102,8 @@
 	return true
 }
 
-// runGossipingNodes runs nodes that gossip over a lossy network; plan is the second of each.
+// runGossipingNodes runs nodes that gossip over a lossy network. plan replaces the second plan of each node's
+// configuration.
 func runGossipingNodes(t *testing.T, nodes int, plan policy.Plan, app *appServer) []*runningNode {
 	t.Helper()
 	var listens []netip.AddrPort
@@ -114,37 +117,38 @@
 		cfg.Settings.Plans[1] = plan
 		cfg.Settings.InstanceCount, cfg.Settings.InstanceIndex = nodes, i
 		cfg.Settings.AllowsGossip, cfg.Settings.GossipInboxRate = true, 40
-		cfg.GossipListen, cfg.GossipPeers, cfg.GossipBroadcast = listens[i], network.peersOf(i), listens[i]
+		cfg.GossipListen, cfg.GossipPeers, cfg.GossipBroadcast = listens[i], network.peerAddrs(i), listens[i]
 		running = append(running, runNode(t, cfg))
 	}
 	return running
 }
 
-// askAtRate sends a customer's requests at a rate, in 1/s, for three seconds; before is called before each.
-func askAtRate(t *testing.T, c *client, rate float64, id string, customer int, before func()) {
+// sendAtRate sends a customer's requests at the given rate per second for three seconds. It calls before ahead of each
+// request.
+func sendAtRate(t *testing.T, c *client, rate float64, id string, customer int, before func()) {
 	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer tick.Stop()
 	for k := range int(3 * rate) {
 		<-tick.C
 		before()
-		a := c.ask(request("check", fmt.Sprintf("%s-%d", id, k), "",
+		a := c.do(request("check", fmt.Sprintf("%s-%d", id, k), "",
 			fmt.Sprintf("GET /check/x?customer=%016x HTTP/1.1", customer),
 			"X-Contract", "tight", "X-Metering", "units=1,spread=3,first=0"))
 		if a.status != 200 && a.status != 429 {
-			t.Errorf("answered %d", a.status)
+			t.Errorf("got status %d, want 200 or 429", a.status)
 			return
 		}
 	}
 }
 
-// quotaAccount counts the units of some customers against reference quotas.
+// quotaAccount compares the units of several customers with reference quotas.
 type quotaAccount struct {
 	plan policy.Plan
 
 	mu                     sync.Mutex
 	sent, forwarded        []referenceQuota // by customer
-	admissible             float64          // units that clients sent and the reference admits
-	insideQuota, overQuota float64          // units that were forwarded
+	admissible             float64          // units that were sent and that the reference quota admits
+	insideQuota, overQuota float64          // units that were forwarded inside and over the reference quota
 }
 
 func newQuotaAccount(plan policy.Plan, customers int) *quotaAccount {
@@ -164,7 +168,7 @@
 	}
 }
 
-// serve counts a request that was forwarded, and answers it.
+// serve counts a request that was forwarded and answers it.
 func (a *quotaAccount) serve(c net.Conn, r *http.Request, _ []byte) bool {
 	var customer int
 	fmt.Sscanf(r.URL.Query().Get("customer"), "%x", &customer)
@@ -179,9 +183,9 @@
 	return err == nil
 }
 
-// Three nodes without faults: one customer of eight sends four times its quota through all of them, the others less
-// than theirs. What passes over quotas costs at most 0.1 of the value that a reference admits which sees the true
-// state.
+// Three nodes run without faults. Of eight customers one sends four times its quota through all of them, and the others
+// send less than theirs. The cost of units over the quotas must not exceed 0.1 of the value that a reference with the
+// exact state admits.
 func TestQuotasHoldOverSockets(t *testing.T) {
 	t.Parallel()
 	const nodes, customers = 3, 8
@@ -197,7 +201,7 @@
 			}
 			all.Go(func() {
 				id := fmt.Sprintf("t%d-%d", i, customer)
-				askAtRate(t, c, rate, id, customer, func() { account.requestSent(customer) })
+				sendAtRate(t, c, rate, id, customer, func() { account.requestSent(customer) })
 			})
 		}
 	}
@@ -212,7 +216,7 @@
 	t.Logf("%.0f of %.0f units passed inside quotas, %.0f over them at %.3f of the value, of which the nodes found %d",
 		account.insideQuota, account.admissible, account.overQuota, cost, discovered)
 	if cost > 0.1 || 2*account.insideQuota < account.admissible {
-		t.Errorf("%.0f of %.0f units passed, %.0f over quotas at %.3f of the value",
+		t.Errorf("forwarded %.0f of %.0f admissible units, %.0f over quotas, cost %.3f; want half and at most 0.1",
 			account.insideQuota, account.admissible, account.overQuota, cost)
 	}
 }
--- a/internal/edgeproxy/request_body.go
+++ b/internal/edgeproxy/request_body.go
@@ -11,42 +11,42 @@
 	"time"
 )
 
-// A request's body is buffered where memory allows that, so that a retry can send it again and the engine is asked
-// when the client's wait begins. For a longer one the engine is asked with its first part, and the rest is streamed:
-// once some of that is forwarded there is no retry.
+// A request's body is buffered if the memory budget allows it, so that a retry can send it again; the engine then
+// decides once the client has sent all of it. For a longer body the engine decides after the first part, and the rest
+// is streamed: once part of that has been forwarded, the request can't be retried.
 const (
-	alwaysBufferedBody  = 64 << 10                // bytes of a request's body that is buffered whatever memory is left
-	maxBufferedBody     = 2 << 20                 // bytes of one request's body that are buffered
-	maxRequestBody      = 40 << 20                // bytes of a request's body
-	minBodyTimeout      = 2300 * time.Millisecond // for a short body; clients may write one in 2 s
-	bodyStallTimeout    = 1500 * time.Millisecond // without a byte of a longer one
-	minBodyRate         = 16 << 10                // bytes a second that a longer one must keep
+	alwaysBufferedBody  = 64 << 10                // bytes of a request's body that is buffered whatever the budget
+	maxBufferedBody     = 2 << 20                 // bytes of the longest request body that is buffered
+	maxRequestBody      = 40 << 20                // bytes of the longest request body that is accepted
+	minBodyTimeout      = 2300 * time.Millisecond // for a short body; clients may take 2 s to send one
+	bodyStallTimeout    = 1500 * time.Millisecond // without data of a longer body
+	minBodyRate         = 16 << 10                // bytes a second that a longer body must reach on average
 	forwardWriteTimeout = 5 * time.Second         // for an app server to accept a chunk of a body
 	initialChunkedBody  = 2 << 10                 // bytes of the first buffer for a body of unknown length
 )
 
-// requestBody is a request's body as it is received from the client. The client's handler reads its first part, then
-// one attempt the rest, or the handler again.
+// requestBody is a request's body as it is received from the client. The client's handler reads the first part; one
+// attempt reads the rest, or the handler discards it.
 type requestBody struct {
 	source          io.Reader
 	controller      *http.ResponseController
 	startedAt       time.Time     // when the request's first byte was received
-	length          int64         // bytes, with those that are buffered already; -1: not known
-	responseTimeout time.Duration // that the client waits, from the last byte
+	length          int64         // bytes, including those already buffered; -1 if unknown
+	responseTimeout time.Duration // of the client, starting when the last byte is forwarded
 	onForwarded     func()        // called once the last byte is forwarded
 
-	// Changed by the goroutine that reads.
+	// Written by the goroutine that reads the body.
 	received    int64     // bytes
 	forwardedAt time.Time // when the last byte was forwarded
 
-	isUsed       atomic.Bool // some of it is forwarded
-	isForwarding atomic.Bool // an attempt reads it
-	isBroken     atomic.Bool // its client has stopped sending
+	hasStartedForwarding atomic.Bool // part of the body may have been forwarded
+	isForwarding         atomic.Bool // an attempt is reading the body
+	hasReadFailed        atomic.Bool // the client stalled, disconnected or exceeded the limit
 }
 
-// bodyPieceDeadline decides by when the next piece of a body has to come, of which so many bytes were received since
-// startedAt: minBodyTimeout after that at the earliest, and else within bodyStallTimeout, and in time to keep
-// minBodyRate.
+// bodyPieceDeadline returns the deadline for the next piece of a body of which received bytes have arrived since
+// startedAt. It is the earlier of the stall timeout and the time at which the average rate would fall below
+// minBodyRate, but never before minBodyTimeout has passed.
 func bodyPieceDeadline(startedAt, now time.Time, received int64) time.Time {
 	earliest := startedAt.Add(minBodyTimeout)
 	byRate := earliest.Add(time.Duration(received) * time.Second / minBodyRate)
@@ -61,8 +61,8 @@
 	return deadline
 }
 
-// Read waits for as long as the client keeps sending. Errors are errBodyIncomplete, or errBodyTooLarge which wraps
-// it.
+// Read reads from the client within the deadline of the next piece. It fails with errBodyIncomplete, or with
+// errBodyTooLarge, which wraps it.
 func (b *requestBody) Read(p []byte) (int, error) {
 	deadline := bodyPieceDeadline(b.startedAt, time.Now(), b.received)
 	if err := b.controller.SetReadDeadline(deadline); err != nil {
@@ -70,17 +70,17 @@
 	}
 	n, err := b.source.Read(p)
 	if b.received += int64(n); b.received > maxRequestBody {
-		b.isBroken.Store(true)
+		b.hasReadFailed.Store(true)
 		return 0, errBodyTooLarge
 	}
 	if err != nil && err != io.EOF {
-		b.isBroken.Store(true)
+		b.hasReadFailed.Store(true)
 		err = errors.Join(errBodyIncomplete, err)
 	}
 	return n, err
 }
 
-// maxRemainingTime is how long the rest may take at most.
+// maxRemainingTime returns the longest time that receiving the rest of the body may take.
 func (b *requestBody) maxRemainingTime() time.Duration {
 	remaining := maxRequestBody - b.received
 	if b.length >= 0 {
@@ -89,16 +89,17 @@
 	return minBodyTimeout + bodyStallTimeout + time.Duration(remaining)*time.Second/minBodyRate
 }
 
-// discard reads the rest and drops it: the client has its response, and might not read it before it has sent all.
+// discard reads the rest of the body and drops it: the response has been written, but the client may not read it before
+// it has sent the whole body.
 func (b *requestBody) discard() {
 	if !b.isForwarding.Load() {
 		io.Copy(io.Discard, b)
 	}
 }
 
-// forward writes a request whose body it is.
+// forward writes req, whose body reads from b, to an app server.
 func (b *requestBody) forward(req *http.Request, c net.Conn) error {
-	b.isUsed.Store(true)
+	b.hasStartedForwarding.Store(true)
 	b.isForwarding.Store(true)
 	defer b.isForwarding.Store(false)
 	w := bufio.NewWriterSize(&chunkWriter{c, forwardWriteTimeout}, streamBufferSize)
@@ -115,33 +116,32 @@
 	return nil
 }
 
-// errBodyIncomplete is the error of a body that the client does not send to its end, or that was read already.
-var errBodyIncomplete = errors.New("body: incomplete")
+// errBodyIncomplete is the error of a body that the client did not send completely, or that has already been read.
+var errBodyIncomplete = errors.New("request body is incomplete")
 
-// errBodyTooLarge is the error of a body of more than maxRequestBody bytes.
-var errBodyTooLarge = fmt.Errorf("%w: over %d MiB", errBodyIncomplete, maxRequestBody>>20)
+// errBodyTooLarge is the error of a body longer than maxRequestBody.
+var errBodyTooLarge = fmt.Errorf("%w: longer than the limit of %d MiB", errBodyIncomplete, maxRequestBody>>20)
 
-// chunkWriter gives each write a timeout of its own.
+// chunkWriter sets a new deadline for each write.
 type chunkWriter struct {
 	net.Conn
 	timeout time.Duration
 }
 
-// Write writes a chunk within the timeout.
 func (w *chunkWriter) Write(p []byte) (int, error) {
 	w.SetWriteDeadline(time.Now().Add(w.timeout))
 	return w.Conn.Write(p)
 }
 
-// bufferedBody is what is buffered of a request's body: all of it, or the first part of one that is too long.
+// bufferedBody is the buffered part of a request's body: all of it, or the first part of a longer one.
 type bufferedBody struct {
 	bytes         []byte
-	rest          *requestBody // that follows bytes; nil: bytes is the whole body
-	reservedBytes int64        // of the memory budget
+	rest          *requestBody // follows bytes; nil if bytes is the whole body
+	reservedBytes int64        // taken from the memory budget
 }
 
-// readBody reads a request's body, as far as it is buffered. startedAt is when the request's first byte was received.
-// Beside an error the result still says what is reserved of the budget.
+// readBody reads the part of a request's body that is buffered. startedAt is when the request's first byte was
+// received. reservedBytes of the result is valid also if there is an error.
 func readBody(
 	w http.ResponseWriter, r *http.Request, startedAt time.Time, budget *memoryBudget,
 ) (buffered bufferedBody, err error) {
@@ -177,11 +177,11 @@
 	return buffered, err
 }
 
-// readSized reads a body whose length is known. Its results are those of readBody.
+// readSized reads a body of known length. Its results are those of readBody.
 func (b *requestBody) readSized(budget *memoryBudget) (buffered bufferedBody, err error) {
 	size := b.length
 	reserved, isBuffered := budget.reserveBody(size, 0)
-	defer budget.releaseAtPanic(&reserved)
+	defer budget.releaseOnPanic(&reserved)
 	if buffered.reservedBytes = reserved; !isBuffered {
 		buffered.rest = b
 		size = alwaysBufferedBody
@@ -191,11 +191,11 @@
 	return buffered, err
 }
 
-// readChunked reads a body whose length is not known. Its results are those of readBody.
+// readChunked reads a body of unknown length. Its results are those of readBody.
 func (b *requestBody) readChunked(budget *memoryBudget) (buffered bufferedBody, err error) {
 	body := make([]byte, 0, initialChunkedBody)
 	var reserved int64
-	defer budget.releaseAtPanic(&reserved)
+	defer budget.releaseOnPanic(&reserved)
 	for {
 		if len(body) == cap(body) {
 			var isBuffered bool
--- a/internal/edgeproxy/request_body_test.go
+++ b/internal/edgeproxy/request_body_test.go
@@ -16,7 +16,7 @@
 	"mulleinmux/policy"
 )
 
-// pattern is n bytes that tell where they stand.
+// pattern returns n bytes whose values depend on their position.
 func pattern(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -25,8 +25,8 @@
 	return b
 }
 
-// chunked words a body in chunks of a size.
-func chunked(body []byte, size int) string {
+// encodeChunked encodes a body in chunks of at most size bytes, with chunk extensions and a trailer.
+func encodeChunked(body []byte, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
 		n := min(size, len(body))
@@ -36,16 +36,17 @@
 	return b.String() + "0\r\nX-Sum: 1\r\n\r\n"
 }
 
-// longBody sends a body with a declared length or in chunks.
+// longBody returns a request whose body has a declared length or is chunked.
 func longBody(id string, body []byte, inChunks bool) string {
 	if inChunks {
-		return request("book", id, "Content-Length", "", "Transfer-Encoding", "chunked", "body", chunked(body, 5000))
+		return request("book", id, "Content-Length", "", "Transfer-Encoding", "chunked",
+			"body", encodeChunked(body, 5000))
 	}
 	return request("book", id, "Content-Length", strconv.Itoa(len(body)), "body", string(body))
 }
 
-// newSummingServer is an app server that sends the checksum of each body on sums.
-func newSummingServer(t *testing.T) (app *appServer, sums chan [32]byte) {
+// newChecksumServer returns an app server that sends the checksum of each body it receives on sums.
+func newChecksumServer(t *testing.T) (app *appServer, sums chan [32]byte) {
 	t.Helper()
 	sums = make(chan [32]byte, 1)
 	return newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -56,11 +57,10 @@
 	}), sums
 }
 
-// Bodies of every length and framing arrive as they were sent: those that are buffered, and those that are
-// streamed. The memory that they took is released.
+// Bodies of every length and framing, buffered and streamed, arrive unchanged, and the memory taken by one is released.
 func TestLongRequestBodies(t *testing.T) {
 	t.Parallel()
-	app, sums := newSummingServer(t)
+	app, sums := newChecksumServer(t)
 	cfg := testConfig(app.instance("a"))
 	cfg.MemoryMB = 32
 	n := runNode(t, cfg)
@@ -71,8 +71,8 @@
 		for _, inChunks := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d bytes, chunked %v", size, inChunks), func(t *testing.T) {
 				c := dial(t, n.addr)
-				if a := c.ask(request("check", fmt.Sprintf("a%d-%v", i, inChunks))); a.status != 200 {
-					t.Fatalf("the request before: %d %s", a.status, a.body)
+				if a := c.do(request("check", fmt.Sprintf("a%d-%v", i, inChunks))); a.status != 200 {
+					t.Fatalf("preceding request: got status %d, body %q, want 200", a.status, a.body)
 				}
 				<-sums
 				requireBodyArrives(t, c, sums, fmt.Sprintf("b%d-%v", i, inChunks), pattern(size), inChunks)
@@ -85,8 +85,8 @@
 	})
 	t.Run("a body over the limit", func(t *testing.T) {
 		tooLong := request("book", "z", "Content-Length", strconv.Itoa(maxRequestBody+1))
-		if a := dial(t, n.addr).ask(tooLong); a.status != 413 {
-			t.Errorf("status %d", a.status)
+		if a := dial(t, n.addr).do(tooLong); a.status != 413 {
+			t.Errorf("body over the limit: got status %d, want 413", a.status)
 		}
 	})
 }
@@ -96,28 +96,28 @@
 	t *testing.T, c *client, sums <-chan [32]byte, id string, body []byte, inChunks bool,
 ) {
 	t.Helper()
-	if a := c.ask(longBody(id, body, inChunks)); a.status != 200 {
-		t.Fatalf("%d %s", a.status, a.body)
+	if a := c.do(longBody(id, body, inChunks)); a.status != 200 {
+		t.Fatalf("got status %d, body %q, want 200", a.status, a.body)
 	}
 	if <-sums != sha256.Sum256(body) {
-		t.Fatal("other bytes arrived")
+		t.Fatal("the app server received a different body")
 	}
 }
 
-// The memory that bodies take is limited.
+// The memory taken by bodies is limited.
 func TestMemoryBudgetIsLimited(t *testing.T) {
 	b := newMemoryBudget(1)
 	all := b.available.Load()
 	if !b.reserve(all) || b.reserve(1) {
-		t.Error("more was given than there is")
+		t.Error("reserve exceeded the budget")
 	}
 	b.release(all)
 	if b.available.Load() != all {
-		t.Error("not all of it came back")
+		t.Error("release did not restore the whole budget")
 	}
 }
 
-// A body that finds no memory left is streamed.
+// A body for which the budget has no memory left is streamed.
 func TestMemoryBudget(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
@@ -131,68 +131,69 @@
 	first, second := dial(t, r.addr), dial(t, r.addr)
 	first.send(longBody("a", pattern(100000), false))
 	second.send(longBody("b", pattern(100000), true))
-	eventually(t, "both are written", func() bool { return len(app.requests()) == 2 })
+	eventually(t, "both requests forwarded", func() bool { return len(app.requests()) == 2 })
 	close(hold)
 	for _, c := range []*client{first, second} {
 		if a := c.read(); a.status != 200 {
-			t.Errorf("status %d", a.status)
+			t.Errorf("got status %d, want 200", a.status)
 		}
 	}
 }
 
-// A streamed body is rejected at once, before its end, and its rest is read so that the client finds the response.
+// A request with a streamed body is rejected before the end of the body, and the rest of the body is read, so that the
+// client receives the response.
 func TestLongBodyRejected(t *testing.T) {
 	app := newAppServer(t, respondWith(okAnswer))
 	n := runNode(t, testConfig(app.instance("a")))
-	dial(t, n.addr).ask(request("check", "a", "X-Contract", "tight"))
+	dial(t, n.addr).do(request("check", "a", "X-Contract", "tight"))
 	text := request("book", "b", "X-Contract", "tight",
 		"Content-Length", strconv.Itoa(maxBufferedBody+1), "body", string(pattern(maxBufferedBody+1)))
 	c := dial(t, n.addr)
 	c.send(text[:len(text)-100])
 	if a := c.read(); a.status != 429 || a.header.Get("Retry-After") == "" || !a.close {
-		t.Errorf("status %d, header %v", a.status, a.header)
+		t.Errorf("got status %d, header %v, want 429 with a Retry-After and a close", a.status, a.header)
 	}
 	c.send(text[len(text)-100:])
 	if len(app.requests()) != 1 {
-		t.Errorf("%q was forwarded", app.requests())
+		t.Errorf("forwarded requests: got %q, want only the first", app.requests())
 	}
 }
 
-// A long body whose server can't be reached never ran: the client is told that it may retry.
+// A long body whose server can't be reached was never executed, so the client may retry the request.
 func TestLongBodyUnsent(t *testing.T) {
 	t.Parallel()
 	n := runNode(t, testConfig(instanceAt("dead", freeAddr(t))))
-	if a := dial(t, n.addr).ask(longBody("a", pattern(maxBufferedBody+1), false)); a.status != 429 {
-		t.Errorf("status %d", a.status)
+	if a := dial(t, n.addr).do(longBody("a", pattern(maxBufferedBody+1), false)); a.status != 429 {
+		t.Errorf("unsent long body: got status %d, want 429", a.status)
 	}
 }
 
-// Once some of a long body is forwarded there is no second attempt: both servers break off half way; the first meets
-// it, and the other gets nothing.
+// Once part of a long body has been forwarded there is no second attempt. Both servers reset the connection in the
+// middle of the body; only one of them may receive an attempt.
 func TestLongBodyIsForwardedOnce(t *testing.T) {
 	t.Parallel()
 	attempts := make(chan bool, 10)
-	first, second := newBreakingServer(t, attempts), newBreakingServer(t, attempts)
+	first, second := newResettingServer(t, attempts), newResettingServer(t, attempts)
 	n := runNode(t, testConfig(instanceAt("a", first), instanceAt("b", second)))
-	for i := range 20 { // they earn retries
-		dial(t, n.addr).ask(request("check", fmt.Sprint("e", i)))
+	for i := range 20 { // first attempts earn retries
+		dial(t, n.addr).do(request("check", fmt.Sprint("e", i)))
 	}
-	if a := dial(t, n.addr).ask(longBody("b", pattern(20<<20), false)); a.status != 429 {
-		t.Errorf("status %d", a.status)
+	if a := dial(t, n.addr).do(longBody("b", pattern(20<<20), false)); a.status != 429 {
+		t.Errorf("long body cut off by its server: got status %d, want 429", a.status)
 	}
 	if len(attempts) != 1 {
-		t.Errorf("%d attempts, want 1", len(attempts))
+		t.Errorf("got %d attempts, want 1", len(attempts))
 	}
 }
 
-// instanceAt is the entry of an app server at an address.
+// instanceAt returns the endpoint of an app server at an address.
 func instanceAt(id string, addr netip.AddrPort) Instance {
 	return Instance{Server: policy.Server{ID: id, Weight: 1, Kind: "k", Zone: "z"}, Addr: addr}
 }
 
-// newBreakingServer is an app server that resets its connection in the middle of a body, after it has said so on
-// attempts. It answers requests without a body.
-func newBreakingServer(t *testing.T, attempts chan<- bool) netip.AddrPort {
+// newResettingServer returns the address of an app server that resets its connection in the middle of a body, after
+// reporting the attempt on attempts. It answers requests without a body.
+func newResettingServer(t *testing.T, attempts chan<- bool) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -211,7 +212,7 @@
 	return addrOf(ln)
 }
 
-// serveUntilBody answers requests on a connection until one has a body, in the middle of which it resets it.
+// serveUntilBody answers requests on a connection until one has a body, and resets the connection in the middle of it.
 func serveUntilBody(c net.Conn, attempts chan<- bool) {
 	defer c.Close()
 	br := bufio.NewReader(c)
@@ -230,7 +231,7 @@
 	}
 }
 
-// A client that stalls in the middle of a long body is not waited for, and its request reaches no server complete.
+// A client that stalls in the middle of a long body is not waited for, and no server receives its request completely.
 func TestLongBodyStalls(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, respondWith(okAnswer))
@@ -241,18 +242,18 @@
 	text := longBody("a", pattern(maxBufferedBody+1), false)
 	c.send(text[:len(text)/2])
 	if rest, err := io.ReadAll(c.br); err == nil && strings.Contains(string(rest), " 200 ") {
-		t.Errorf("answered %q", rest)
+		t.Errorf("incomplete request was served: %q", rest)
 	}
 	if d := time.Since(began); d > 5*time.Second {
-		t.Errorf("ended after %v", d)
+		t.Errorf("request ended after %v, want at most 5s", d)
 	}
 	if len(app.requests()) != 0 {
-		t.Error("half a body was forwarded as a complete one")
+		t.Error("an incomplete body was forwarded as a complete one")
 	}
-	eventually(t, "nothing in flight", hasMetric(t, at, "app.current=0"))
+	eventually(t, "no request in flight", hasMetric(t, at, "app.current=0"))
 }
 
-// A request that is sent slowly, but sent, is served; its wait begins with its last byte.
+// A request that is sent slowly but steadily is served. Its timeout starts with its last byte.
 func TestSlowRequest(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, respondWith(okAnswer))
@@ -261,43 +262,43 @@
 	for i := range len(text) {
 		c.send(text[i : i+1])
 		if i%(len(text)/8) == 0 {
-			time.Sleep(200 * time.Millisecond) // the client is slow, which is what is tested
+			time.Sleep(200 * time.Millisecond) // the slow client under test
 		}
 	}
 	if a := c.read(); a.status != 200 {
-		t.Errorf("status %d", a.status)
+		t.Errorf("slow request: got status %d, want 200", a.status)
 	}
 }
 
-// panickingReader gives some bytes, then panics.
-type panickingReader struct{ left int }
+// panickingReader returns a number of bytes and then panics.
+type panickingReader struct{ remaining int }
 
 func (r *panickingReader) Read(p []byte) (int, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		panic("while a body is read")
 	}
-	n := min(len(p), r.left)
-	r.left -= n
+	n := min(len(p), r.remaining)
+	r.remaining -= n
 	return n, nil
 }
 
-// deadlineWriter is a response writer whose read deadline can be set.
+// deadlineWriter is a response writer that accepts read deadlines.
 type deadlineWriter struct{ http.ResponseWriter }
 
 func (deadlineWriter) SetReadDeadline(time.Time) error { return nil }
 
-// A panic while a body is read gives its memory back.
+// A panic while a body is read returns the body's memory to the budget.
 func TestPanicWhileBodyIsRead(t *testing.T) {
 	t.Parallel()
 	for name, length := range map[string]int64{"of known length": 1 << 20, "chunked": -1} {
 		budget := newMemoryBudget(64)
 		before := budget.available.Load()
-		body := &requestBody{source: &panickingReader{left: 500 << 10}, startedAt: time.Now(), length: length,
+		body := &requestBody{source: &panickingReader{remaining: 500 << 10}, startedAt: time.Now(), length: length,
 			controller: http.NewResponseController(deadlineWriter{})}
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%s: no panic", name)
+					t.Errorf("%s: reading the body did not panic", name)
 				}
 			}()
 			if length > 0 {
@@ -307,7 +308,7 @@
 			}
 		}()
 		if left := budget.available.Load(); left != before {
-			t.Errorf("%s: %d bytes of the budget are left of %d", name, left, before)
+			t.Errorf("%s: available budget: got %d bytes, want %d", name, left, before)
 		}
 	}
 }
--- a/internal/edgeproxy/request_head.go
+++ b/internal/edgeproxy/request_head.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// maxRecordedHead limits the bytes that are kept of a head; net/http accepts no longer one.
+// maxRecordedHead limits the recorded bytes of a head. net/http rejects longer heads.
 const maxRecordedHead = 32 << 10
 
-// headEnd ends a request's head.
+// headEnd is the byte sequence that ends a request's head.
 var headEnd = []byte("\r\n\r\n")
 
-// headRecorder keeps the head of the request being read as received, for what net/http does not tell of it. It may keep
-// more than the head, and never less.
+// headRecorder records the head of the request being read as received, because net/http doesn't expose all of it. It
+// may record bytes after the head, but never misses part of the head.
 type headRecorder struct {
 	bytes       []byte
-	isRecording bool // more of the head is to come
+	isRecording bool // the head is not complete yet
 }
 
-// begin begins a head with what was received of it early.
+// begin begins a new head with the part of it that was received early.
 func (r *headRecorder) begin(early []byte) {
 	r.bytes, r.isRecording = early, !bytes.Contains(early, headEnd)
 }
 
-// add records a further piece, unless the head is complete.
+// add records another piece, unless the head is already complete.
 func (r *headRecorder) add(p []byte) {
 	if !r.isRecording {
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-// take returns the head and ends its recording; nil if it was not kept whole.
+// take returns the recorded head and resets the recorder. It returns nil if the head is incomplete or too long.
 func (r *headRecorder) take() []byte {
 	head, isComplete := bytes.TrimLeft(r.bytes, "\r\n"), !r.isRecording
 	*r = headRecorder{}
@@ -45,50 +45,50 @@
 	return head
 }
 
-// recordHead records what was received. While a request is active net/http reads the first byte of the next one, which
-// comes early if a client has its response before the handler returns.
+// recordHead records received data. While a request is active, net/http's background read may read the first byte of
+// the next request, which a client may send as soon as it has its response, before the handler returns.
 func (c *clientConn) recordHead(p []byte, isOneByteRead bool) {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	if isOneByteRead && c.state == stateActive {
-		c.later.addGiven(p, time.Now())
+		c.pipelined.addDelivered(p, time.Now())
 		return
 	}
 	c.head.add(p)
 }
 
-// recordEarlyBytes records what net/http has of the next request.
-func (c *clientConn) recordEarlyBytes(p []byte) {
+// recordPipelinedBytes records the bytes of the next request that net/http has already read.
+func (c *clientConn) recordPipelinedBytes(p []byte) {
 	if len(p) > 0 {
 		c.limiter.mu.Lock()
 		defer c.limiter.mu.Unlock()
-		receivedAt := c.headReceivedAt // they came with the head of this one
+		receivedAt := c.headReceivedAt // they were received with the current request's head
 		if receivedAt.IsZero() {
 			receivedAt = time.Now()
 		}
-		c.later.addGiven(p, receivedAt)
+		c.pipelined.addDelivered(p, receivedAt)
 	}
 }
 
-// earlyHeadAt returns when the head of the request whose handler calls had been received, if that was while the one
-// before it was active; else zero.
-func (c *clientConn) earlyHeadAt() time.Time {
+// pipelinedHeadReceivedAt returns when the head of the current request was received, if that was while the previous
+// request was active; otherwise the zero time.
+func (c *clientConn) pipelinedHeadReceivedAt() time.Time {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	return c.headReceivedAt
 }
 
-// takeHead returns the head of the request whose handler calls, or nil if it was not kept whole, and when its first
-// byte was received.
+// takeHead returns the head of the current request, or nil if it was not recorded completely, and when its first byte
+// was received.
 func (c *clientConn) takeHead() ([]byte, time.Time) {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	return c.head.take(), c.stateSince
 }
 
-// hasNextRequest tells whether part of a later request was received.
+// hasNextRequest reports whether part of a later request has been received.
 func (c *clientConn) hasNextRequest() bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
-	return len(c.later.given) > 0 || c.hasUnreadData()
+	return len(c.pipelined.delivered) > 0 || c.hasUnreadData()
 }
--- a/internal/edgeproxy/request_parsing.go
+++ b/internal/edgeproxy/request_parsing.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	clientTransitDelay = 10 * time.Millisecond // taken off a client's timeout, which counts from its send
-	defaultMaxUnits    = 1e6                   // of one request, where the settings name no limit
+	clientTransitDelay = 10 * time.Millisecond // subtracted from a client's timeout, which starts when the client sends
+	defaultMaxUnits    = 1e6                   // of one request, if the settings set no limit
 	maxIDLength        = 64
-	customerDigits     = 16 // hexadecimal
+	customerDigits     = 16 // hexadecimal digits of a customer's number
 	maxCustomerBits    = 33
 )
 
-// parseRequest reads a request's head: engineRequest is what the engine is asked, forwarded what an app server is
-// sent, still without the body. Its error is a badRequestError.
+// parseRequest parses a request's head. engineRequest is passed to the engine; forwarded is sent to an app server and
+// has no body yet. The error is a badRequestError.
 func (s *clientServer) parseRequest(r *http.Request) (
 	engineRequest policy.Request, forwarded serverRequest, err error,
 ) {
@@ -57,7 +57,7 @@
 	return engineRequest, forwarded, err
 }
 
-// checkNames checks a request's ID, class and plan, and returns the class.
+// checkNames validates a request's ID, class and plan, and returns the class.
 func (s *clientServer) checkNames(r *http.Request, engineRequest *policy.Request) (policy.Class, error) {
 	class, isKnown := s.classes[engineRequest.Class]
 	firstSegment, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
@@ -74,8 +74,8 @@
 	return class, nil
 }
 
-// parseTimeout reads how long a client waits, from its header. Nobody waits for longer than the class's deadline:
-// requests must not pile up.
+// parseTimeout parses the client's timeout from its header. It is limited to the class's deadline, so that requests
+// can't pile up.
 func parseTimeout(text string, deadline time.Duration) (time.Duration, error) {
 	seconds, isNumber := loadreport.ParseDecimal(text)
 	if !isNumber || seconds <= 0 {
@@ -85,7 +85,7 @@
 	return time.Duration(seconds*float64(time.Second)) - clientTransitDelay, nil
 }
 
-// singleHeader returns the value of a header that must have one.
+// singleHeader returns the value of a header that must have exactly one value.
 func singleHeader(r *http.Request, name string) (string, error) {
 	values := r.Header[name]
 	if len(values) != 1 || values[0] == "" {
@@ -94,8 +94,8 @@
 	return values[0], nil
 }
 
-// forwardedRequest returns what is forwarded of a request, without its body, after a check of method and headers
-// against the idempotency of its class.
+// forwardedRequest returns the request to be sent to an app server, without its body. It checks the method and the
+// headers against the idempotency of the request's class.
 func forwardedRequest(r *http.Request, id string, idempotency policy.Idempotency) (forwarded serverRequest, err error) {
 	forwarded = serverRequest{target: r.RequestURI, host: r.Host, id: id, contentType: r.Header.Get("Content-Type")}
 	forwarded.method = http.MethodPost
@@ -120,7 +120,7 @@
 	return forwarded, err
 }
 
-// isValidID tells whether an ID is one word of letters, digits and "-_.".
+// isValidID reports whether an ID consists of 1 to maxIDLength letters, digits and characters of "-_.".
 func isValidID(id string) bool {
 	for i := 0; i < len(id); i++ {
 		c := id[i]
@@ -131,7 +131,7 @@
 	return len(id) > 0 && len(id) <= maxIDLength
 }
 
-// parseCustomer reads the customer from the query: 16 hex digits, a number below 2^33.
+// parseCustomer parses the customer from the query: 16 hexadecimal digits, a number below 2^33.
 func parseCustomer(query string) (uint64, error) {
 	values, err := url.ParseQuery(query)
 	if err != nil || len(values[queryCustomer]) != 1 {
@@ -145,8 +145,8 @@
 	return x, nil
 }
 
-// parseMetering reads units and the instances of the customer. What can't be of a valid client must not reach the
-// engine: it would count for the customer's quota at every node.
+// parseMetering parses a request's units and the instances that serve its customer. Values that no valid client sends
+// must not reach the engine, because they would count towards the customer's quota at every node.
 func (s *clientServer) parseMetering(text string, engineRequest *policy.Request) error {
 	settings := &s.node.cfg.Settings
 	maxUnits := settings.MaxUnits
@@ -184,23 +184,24 @@
 	return nil
 }
 
-// parseIntIn reads a whole number and tells whether it is one within the limits.
+// parseIntIn parses an integer and reports whether it is within the limits.
 func parseIntIn(text string, smallest, largest int) (int, bool) {
 	x, isNumber := loadreport.ParseDecimal(text)
 	return int(x), isNumber && x == math.Trunc(x) && x >= float64(smallest) && x <= float64(largest)
 }
 
-// badRequestError is a mistake in what a client sent. None is answered as a rejection.
+// badRequestError is an error in a client's request. Its status is never that of a rejection, which a client would
+// retry.
 type badRequestError struct {
 	status int
 	text   string
-	allow  string // the method of the class, for the header Allow; empty: none
+	allow  string // the class's method, for the Allow header; empty if there is none
 }
 
-// Error returns the text that the client is answered.
+// Error returns the text of the response.
 func (e *badRequestError) Error() string { return e.text }
 
-// badRequestf returns an error that is answered with 400 Bad Request.
+// badRequestf returns an error whose response has the status 400 Bad Request.
 func badRequestf(format string, args ...any) error {
 	return &badRequestError{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
 }
--- a/internal/edgeproxy/request_table.go
+++ b/internal/edgeproxy/request_table.go
@@ -8,25 +8,25 @@
 	"mulleinmux/policy"
 )
 
-// pendingRequest is a client's request until it is answered and its attempts have ended. All but its channel and atomic
-// fields change under the node's mutex.
+// pendingRequest is a client's request until it has been answered and its attempts have ended. Its fields, except for
+// the channel and the atomic one, change under the node's mutex.
 type pendingRequest struct {
-	id            string
-	request       serverRequest
-	deadline      time.Time
-	answer        chan finalAnswer // takes the one final answer
-	isAnswered    bool
-	attempts      []*attempt
-	inFlight      int         // attempts that have not ended
-	reservedBytes int64       // of the memory budget, by its body
-	clientLeft    atomic.Bool // its client has disconnected
+	id                 string
+	request            serverRequest
+	deadline           time.Time
+	answer             chan finalAnswer // receives the one final answer
+	isAnswered         bool
+	attempts           []*attempt
+	inFlight           int         // number of attempts that have not ended
+	reservedBytes      int64       // taken from the memory budget by the body
+	disconnectRecorded atomic.Bool // the client has disconnected
 }
 
 // attempt is one attempt of a request.
 type attempt struct {
 	number int
 	server string
-	sentAt time.Duration // by the node's clock
+	sentAt time.Duration // on the node's clock
 	cancel context.CancelFunc
 	permit *sendPermit
 }
@@ -34,12 +34,12 @@
 // finalAnswer is the final answer to a request.
 type finalAnswer struct {
 	kind          answerKind
-	retryAfter    time.Duration  // of a rejection; 0: none
+	retryAfter    time.Duration  // of a rejection; 0 if there is none
 	response      serverResponse // of a served request
-	pendingWrites []*sendPermit  // of attempts that were just being written: the client is answered once they are
+	pendingWrites []*sendPermit  // of attempts that are still being written; the client is answered after them
 }
 
-// answerKind says how a request ended.
+// answerKind is the outcome of a request.
 type answerKind int
 
 const (
@@ -48,8 +48,8 @@
 	answerFailed
 )
 
-// beginRequest records a client's request and asks the engine. It returns nil if its ID is in use. The final answer
-// is sent on the pending request's channel, also if the engine gives none in time.
+// beginRequest adds a client's request to the table and passes it to the engine. It returns nil if the ID is in use.
+// The final answer is sent on the pending request's channel; the node supplies it if the engine gives none in time.
 func (n *Node) beginRequest(
 	engineRequest policy.Request, forwarded serverRequest, deadline time.Time, reservedBytes int64,
 ) *pendingRequest {
@@ -60,7 +60,7 @@
 		answer:        make(chan finalAnswer, 1),
 		reservedBytes: reservedBytes,
 	}
-	pending.request.clientLeft = &pending.clientLeft
+	pending.request.disconnectRecorded = &pending.disconnectRecorded
 	isInUse := false
 	isHandled := n.handleEvent(func(now time.Duration, out policy.Actions) {
 		if isInUse = n.requests[engineRequest.ID] != nil; isInUse {
@@ -81,15 +81,15 @@
 
 // clientDisconnected ends a request whose client has disconnected.
 func (n *Node) clientDisconnected(pending *pendingRequest) {
-	pending.clientLeft.Store(true)
+	pending.disconnectRecorded.Store(true)
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
 		n.finishRequest(pending, finalAnswer{kind: answerFailed})
 		n.engine.ClientDisconnected(now, pending.id, out)
 	})
 }
 
-// deadlineExceeded ends a request that can't wait any longer, or that the engine failed to answer: it is rejected
-// if a retry does no harm, as at least for one that was never forwarded.
+// deadlineExceeded ends a request whose time has expired, or for which the engine failed to give an answer. The request
+// is rejected if a retry is harmless, which is certain for a request that was never forwarded.
 func (n *Node) deadlineExceeded(pending *pendingRequest) {
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
 		if !pending.isAnswered {
@@ -105,15 +105,15 @@
 	})
 }
 
-// finishRequest gives a request its final answer unless it has one. Called under the mutex.
+// finishRequest sets the final answer of a request that has none yet. Called under the mutex.
 func (n *Node) finishRequest(pending *pendingRequest, answer finalAnswer) {
 	if pending.isAnswered {
 		return
 	}
 	pending.isAnswered = true
 	for _, attempt := range pending.attempts {
-		// Nothing is sent after the final answer: neither a hedged request, nor an attempt for a client that has
-		// disconnected, whose connection is established late.
+		// Nothing is sent after the final answer: no hedged request, and no attempt whose connection is established
+		// after its client has disconnected.
 		if attempt.permit.revoke() {
 			attempt.cancel()
 			continue
@@ -129,7 +129,8 @@
 	n.removeIfEnded(pending)
 }
 
-// removeIfEnded removes a request once it is answered and its attempts have ended. Called under the mutex.
+// removeIfEnded removes a request from the table once it is answered and its attempts have ended. Called under the
+// mutex.
 func (n *Node) removeIfEnded(pending *pendingRequest) {
 	if pending.isAnswered && pending.inFlight == 0 && n.requests[pending.id] == pending {
 		delete(n.requests, pending.id)
@@ -138,7 +139,7 @@
 	}
 }
 
-// runAttempt carries out one attempt and tells the engine its result.
+// runAttempt runs one attempt and passes its result to the engine.
 func (n *Node) runAttempt(ctx context.Context, pending *pendingRequest, a *attempt) {
 	defer n.work.Done()
 	request := pending.request
@@ -148,8 +149,8 @@
 	if rest := pending.request.rest; rest != nil {
 		if !rest.forwardedAt.IsZero() {
 			latency = time.Since(rest.forwardedAt)
-		} else if rest.isBroken.Load() {
-			n.clientDisconnected(pending) // its client sends no more of it
+		} else if rest.hasReadFailed.Load() {
+			n.clientDisconnected(pending) // its client stopped sending the body
 		}
 	}
 	if response.stream != nil {
@@ -175,23 +176,24 @@
 	})
 }
 
-// streamAnswer answers the client with a streamed response, and waits for its end. If the request has its final
-// answer already, the response is cut off.
+// streamAnswer makes a streamed response the final answer and waits until it has been forwarded. If the request already
+// has its final answer, the response is cancelled.
 func (n *Node) streamAnswer(pending *pendingRequest, a *attempt, response serverResponse) policy.Result {
-	isTaken := false
+	isFinal := false
 	n.handleEvent(func(now time.Duration, out policy.Actions) {
-		if isTaken = !pending.isAnswered; isTaken {
+		if isFinal = !pending.isAnswered; isFinal {
 			n.engine.ResponseStarted(now, pending.id, a.number, out)
 			n.finishRequest(pending, finalAnswer{kind: answerServed, response: response})
 		}
 	})
-	if !isTaken {
+	if !isFinal {
 		response.stream.finish(policy.Cancelled)
 	}
 	return <-response.stream.result
 }
 
-// connectedAt is the clock's reading when the connection of a response was established, 0 if there was no response.
+// connectedAt returns when the connection of a response was established, on the node's clock, or 0 if there was no
+// response.
 func (n *Node) connectedAt(response serverResponse) time.Duration {
 	if response.connectedAt.IsZero() {
 		return 0
--- a/internal/edgeproxy/request_table_test.go
+++ b/internal/edgeproxy/request_table_test.go
@@ -16,7 +16,7 @@
 	"mulleinmux/internal/testserver"
 )
 
-// A request that can't wait any longer is rejected if it was never forwarded, and failed if it may have run.
+// A request whose time has expired is rejected if it was never forwarded, and failed if it may have been executed.
 func TestDeadlineExceeded(t *testing.T) {
 	cfg := testConfig()
 	server := newIdleClientServer(t, cfg)
@@ -33,7 +33,7 @@
 			server.node.requests["t1"] = pending
 			server.node.deadlineExceeded(pending)
 			if a := <-pending.answer; a.kind != c.want {
-				t.Errorf("%d attempts: answer %v, want %v", len(c.attempts), a.kind, c.want)
+				t.Errorf("final answer with %d attempts: got kind %v, want %v", len(c.attempts), a.kind, c.want)
 			}
 			if len(server.node.requests) != 0 {
 				t.Error("the request is still in the table")
@@ -45,8 +45,8 @@
 	}
 }
 
-// The final answer revokes the permit of each attempt: one that was not written never is, one that is just being
-// written is cancelled and waited for, and one that was written is neither.
+// The final answer revokes the permit of each attempt. An attempt that was not yet written never is, one that is being
+// written is cancelled and waited for, and one that was written is left alone.
 func TestFinalAnswerRevokesPermits(t *testing.T) {
 	server := newIdleClientServer(t, testConfig())
 	cancelled := map[string]bool{}
@@ -55,7 +55,7 @@
 	}
 	waits, writing, written := at("waits"), at("writing"), at("written")
 	if !writing.permit.use() || !written.permit.use() {
-		t.Fatal("no permit at first")
+		t.Fatal("an unused permit could not be used")
 	}
 	close(written.permit.done)
 	attempts := []*attempt{waits, writing, written}
@@ -63,18 +63,18 @@
 	server.node.finishRequest(pending, finalAnswer{kind: answerServed})
 	a := <-pending.answer
 	if len(a.pendingWrites) != 1 || a.pendingWrites[0] != writing.permit || a.kind != answerServed {
-		t.Errorf("the answer waits for %d attempts, want the one that is being written", len(a.pendingWrites))
+		t.Errorf("final answer waits for %d attempts, want only the one that is being written", len(a.pendingWrites))
 	}
 	if waits.permit.use() {
-		t.Error("forwarded after the final answer")
+		t.Error("a permit could be used after the final answer")
 	}
 	if !cancelled["waits"] || !cancelled["writing"] || cancelled["written"] {
-		t.Errorf("cancelled: %v", cancelled)
+		t.Errorf("cancelled attempts: got %v, want waits and writing", cancelled)
 	}
 }
 
-// answerAfterFillers accepts from a listener until it closes; all but the first connections, which fill its queue, are
-// answered, and the ID of each request is sent on ids.
+// answerAfterFillers accepts connections until the listener is closed. It answers all but the first ones, which fill
+// the listener's queue, and sends each request's ID on ids.
 func answerAfterFillers(ln net.Listener, fillers int, ids chan<- string) {
 	for k := 0; ; k++ {
 		c, err := ln.Accept()
@@ -95,16 +95,16 @@
 	}
 }
 
-// lateServers are entries of app servers at one address: so many that the bound on work in flight rejects none of a
+// serversAtAddr returns count app servers at one address, enough that the in-flight bound rejects no request of a
 // burst.
-func lateServers(addr netip.AddrPort, count int) (servers []Instance) {
+func serversAtAddr(addr netip.AddrPort, count int) (servers []Instance) {
 	for i := range count {
 		servers = append(servers, instanceAt(fmt.Sprint("late-", i), addr))
 	}
 	return servers
 }
 
-// sendBurst has as many clients send a request each.
+// sendBurst sends one request from each of count clients.
 func sendBurst(t *testing.T, addr string, count int) (clients []*client) {
 	t.Helper()
 	for i := range count {
@@ -115,13 +115,13 @@
 	return clients
 }
 
-// Clients disconnect, by FIN and by reset, while their requests wait for connections that are established late:
-// when these are, nothing is sent.
+// Clients disconnect, by FIN and by reset, while their requests wait for connections to be established. Once the
+// connections are established, nothing is sent on them.
 func TestNothingIsSentAfterClientsDisconnect(t *testing.T) {
 	t.Parallel()
 	ln, fillers := fullListener(t)
 	const burst = 12
-	cfg := testConfig(lateServers(addrOf(ln), 2*burst)...)
+	cfg := testConfig(serversAtAddr(addrOf(ln), 2*burst)...)
 	cfg.AdminListen = freeAddr(t)
 	n := runNode(t, cfg)
 	n.awaitLog(t, "ready")
@@ -130,17 +130,17 @@
 	eventually(t, "all received", metric(fmt.Sprintf("app.current=%d", burst)))
 	for i, c := range clients {
 		if i%3 == 0 {
-			c.Conn.(*net.TCPConn).SetLinger(0) // by reset
+			c.Conn.(*net.TCPConn).SetLinger(0) // close by reset
 		}
 		c.Close()
 	}
 	eventually(t, "all seen to have left", metric("app.current=0"))
-	stays := dial(t, n.addr)
-	stays.send(request("check", "stays"))
+	remainingClient := dial(t, n.addr)
+	remainingClient.send(request("check", "stays"))
 	eventually(t, "one more received", metric("app.current=1"))
 	ids := make(chan string, burst)
 	go answerAfterFillers(ln, fillers, ids)
-	if a := stays.read(); a.status != 200 {
+	if a := remainingClient.read(); a.status != 200 {
 		t.Errorf("the one that stayed: %d", a.status)
 	}
 	if id := <-ids; id != "stays" || len(ids) != 0 {
@@ -152,24 +152,24 @@
 	}
 }
 
-// The same in a process that gets no processor meanwhile: the goroutine that would notice the disconnect runs later than
-// the one that sends.
+// Like TestNothingIsSentAfterClientsDisconnect, but the process gets no processor time in between: the goroutine that
+// would notice the disconnect runs after the one that sends.
 func TestNothingIsSentAfterUnnoticedDisconnect(t *testing.T) {
 	t.Parallel()
 	ln, fillers := fullListener(t)
 	const burst = 12
-	cfg := testConfig(lateServers(addrOf(ln), 2*burst)...)
+	cfg := testConfig(serversAtAddr(addrOf(ln), 2*burst)...)
 	cfg.AdminListen = freeAddr(t)
 	l := &pausedListener{paused: make(chan struct{}), resume: make(chan struct{})}
-	n := runNodeOver(t, cfg, func(ln *net.TCPListener) net.Listener {
+	n := runNodeWithListener(t, cfg, func(ln *net.TCPListener) net.Listener {
 		l.TCPListener = ln
 		return l
 	})
 	n.awaitLog(t, "ready")
 	metric := func(line string) func() bool { return hasMetric(t, cfg.AdminListen, line) }
 	clients := sendBurst(t, n.addr, burst)
-	stays := dial(t, n.addr)
-	stays.send(request("check", "stays"))
+	remainingClient := dial(t, n.addr)
+	remainingClient.send(request("check", "stays"))
 	eventually(t, "all received", metric(fmt.Sprintf("app.current=%d", burst+1)))
 	close(l.paused)
 	for _, c := range clients {
@@ -177,7 +177,7 @@
 	}
 	ids := make(chan string, burst+1)
 	go answerAfterFillers(ln, fillers, ids)
-	if a := stays.read(); a.status != 200 {
+	if a := remainingClient.read(); a.status != 200 {
 		t.Errorf("the one that stayed: %d", a.status)
 	}
 	close(l.resume)
@@ -187,20 +187,21 @@
 	}
 }
 
-// requireNothingSent checks that on no connection for which the node waits at a full listener anything is sent.
+// requireNothingSent checks that nothing is sent on the connections that the node is establishing to a full listener.
 func requireNothingSent(t *testing.T, ln net.Listener, fillers int) {
 	t.Helper()
-	// Connections come up in the order in which they were asked for: what the node still waits for, then this.
-	mine, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK, 0)
+	// Connections are established in the order in which they were requested: first those that the node waits for, then
+	// this one.
+	probe, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Close(mine)
+	defer syscall.Close(probe)
 	to := &syscall.SockaddrInet4{Port: int(addrOf(ln).Port()), Addr: [4]byte{127, 0, 0, 1}}
-	if err := syscall.Connect(mine, to); err != syscall.EINPROGRESS {
-		t.Fatal("the queue is not full: ", err)
+	if err := syscall.Connect(probe, to); err != syscall.EINPROGRESS {
+		t.Fatal("connect to the full listener: want EINPROGRESS, got ", err)
 	}
-	from, err := syscall.Getsockname(mine)
+	from, err := syscall.Getsockname(probe)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,20 +219,20 @@
 			continue
 		}
 		c.SetDeadline(time.Now().Add(testTimeout))
-		if said, _ := io.ReadAll(io.LimitReader(c, 20)); len(said) > 0 {
-			t.Errorf("%q... was forwarded after its final answer", said)
+		if data, _ := io.ReadAll(io.LimitReader(c, 20)); len(data) > 0 {
+			t.Errorf("forwarded after the final answer: %q...", data)
 		}
 	}
 }
 
-// startGrowingDiscovery is an agent whose list has a second server once added is closed.
+// startGrowingDiscovery starts a discovery agent whose endpoint list gets a second server once added is closed.
 func startGrowingDiscovery(t *testing.T, first, second Instance, added <-chan bool) netip.AddrPort {
 	t.Helper()
 	return startDiscovery(t, func(_ int, _ string, w io.Writer, ctx context.Context) {
 		fmt.Fprintf(w, "%s\n", listJSON(8, true, first))
 		select {
 		case <-added:
-		case <-ctx.Done(): // the watch was given up, and another is open
+		case <-ctx.Done(): // the watch ended and another one is open
 			return
 		}
 		fmt.Fprintf(w, "%s\n", listJSON(9, true, first, second))
@@ -239,8 +240,8 @@
 	})
 }
 
-// Where two attempts may be in flight, the response to one is final while the other's connection is not established
-// yet: the other is not sent, also where attempts may not be cancelled.
+// If two attempts of a request may be in flight, one may get the final response before the connection of the other is
+// established. The other attempt must not be sent, even if the settings don't allow attempts to be cancelled.
 func TestNothingIsSentAfterFinalAnswer(t *testing.T) {
 	for name, cancels := range map[string]bool{"cancels": true, "may not cancel": false} {
 		t.Run(name, func(t *testing.T) {
@@ -257,16 +258,16 @@
 			cfg.Discovery = startGrowingDiscovery(t, app.instance("a"), late, add)
 			n := runNode(t, cfg)
 			c := dial(t, n.addr)
-			for i := range 30 { // it learns how long responses take, and so when to hedge
-				c.ask(request("check", fmt.Sprint("known", i)))
+			for i := range 30 { // the engine learns the usual latency, which determines when it hedges
+				c.do(request("check", fmt.Sprint("known", i)))
 			}
 			close(add)
 			i := 0
-			eventually(t, "an attempt that waits for its connection, and a second one that is answered", func() bool {
+			eventually(t, "a request with one attempt waiting and another one answered", func() bool {
 				i++
 				begun := time.Now()
-				if a := c.ask(request("check", fmt.Sprint("t", i))); a.status != 200 {
-					t.Fatalf("answered %d", a.status)
+				if a := c.do(request("check", fmt.Sprint("t", i))); a.status != 200 {
+					t.Fatalf("got status %d, want 200", a.status)
 				}
 				return time.Since(begun) >= cfg.Settings.Classes[0].LatencyObjective/4
 			})
@@ -275,9 +276,9 @@
 	}
 }
 
-// fullListener listens with its queue filled: connections are established late, once the queue is accepted from,
-// and in the order in which they were asked for. fillers is how many fill it, which send nothing and are closed
-// with the test.
+// fullListener returns a listener whose queue is full. Connections to it are established once connections are accepted
+// from the queue, in the order in which they were requested. fillers is the number of connections that fill the queue;
+// they send nothing and are closed at the end of the test.
 func fullListener(t *testing.T) (ln net.Listener, fillers int) {
 	t.Helper()
 	l, err := testserver.NewFullListener()
@@ -288,14 +289,14 @@
 	return l.TCPListener, l.FillerCount()
 }
 
-// A request on which the engine does not decide gets its answer from the host.
+// The node itself answers a request for which the engine makes no decision.
 func TestUndecidedRequestIsAnswered(t *testing.T) {
 	cfg := testConfig()
 	server, pending := newIdleClientServer(t, cfg), &pendingRequest{id: "t1", answer: make(chan finalAnswer, 1)}
 	server.node.requests["t1"] = pending
 	server.node.clientDisconnected(pending)
 	if a := <-pending.answer; a.kind != answerFailed {
-		t.Errorf("answer %+v", a)
+		t.Errorf("final answer: got %+v, want a failure", a)
 	}
 	if len(server.node.requests) != 0 {
 		t.Error("the request is still in the table")
@@ -305,7 +306,8 @@
 	}
 }
 
-// Two active requests with one ID could not be told apart by the engine.
+// A request whose ID is that of an active request gets the status 409, because the engine could not distinguish the
+// two.
 func TestIDInUse(t *testing.T) {
 	hold := make(chan struct{})
 	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -315,17 +317,17 @@
 	n := runNode(t, testConfig(s.instance("a")))
 	c := dial(t, n.addr)
 	c.send(request("check", "t1"))
-	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
-	if a := dial(t, n.addr).ask(request("check", "t1")); a.status != 409 {
+	eventually(t, "request forwarded", func() bool { return len(s.requests()) == 1 })
+	if a := dial(t, n.addr).do(request("check", "t1")); a.status != 409 {
 		t.Errorf("status %d, want 409", a.status)
 	}
 	close(hold)
 	if a := c.read(); a.status != 200 {
-		t.Errorf("the first: status %d", a.status)
+		t.Errorf("first request: got status %d, want 200", a.status)
 	}
 }
 
-// The engine decides what follows a reset: an idempotent request is retried at the other server.
+// The engine decides what follows a reset: an idempotent request is retried at another server.
 func TestResetIsRetried(t *testing.T) {
 	var broken atomic.Bool
 	var resets atomic.Int32
@@ -342,20 +344,20 @@
 	i := 0
 	ask := func() clientResponse {
 		i++
-		return c.ask(request("check", fmt.Sprint("t", i)))
+		return c.do(request("check", fmt.Sprint("t", i)))
 	}
-	for range 20 { // the engine earns retries by first attempts
+	for range 20 { // first attempts earn retries
 		ask()
 	}
 	broken.Store(true)
-	eventually(t, "a reset and an answer for one request", func() bool {
+	eventually(t, "a request that is answered after a reset", func() bool {
 		before := resets.Load()
 		return ask().status == 200 && resets.Load() > before
 	})
 }
 
-// A panic of the engine costs one request, which is rejected, since nothing of it was forwarded, and is logged with
-// its stack.
+// A panic of the engine affects only one request. The request is rejected, because no part of it was forwarded, and the
+// panic is logged with its stack.
 func TestPanicIsAnswered(t *testing.T) {
 	server := newIdleClientServer(t, testConfig())
 	logs := &testserver.Log{}
@@ -367,49 +369,49 @@
 	}
 	go server.serve(ln)
 	t.Cleanup(func() { server.httpServer.Close() })
-	a := dial(t, ln.Addr().String()).ask(request("check", "t1"))
+	a := dial(t, ln.Addr().String()).do(request("check", "t1"))
 	if a.status != 429 || !logs.HasLine("panic recovered", "policy.(*Engine).RequestReceived") {
-		t.Errorf("status %d, logged %q", a.status, logs.String())
+		t.Errorf("after a panic of the engine: got status %d, want 429; log %q", a.status, logs.String())
 	}
-	// One of the host's own.
+	// A panic outside of the engine.
 	server.node.cfg = nil
-	if a := dial(t, ln.Addr().String()).ask(request("check", "t2")); a.status != 500 {
-		t.Errorf("status %d", a.status)
+	if a := dial(t, ln.Addr().String()).do(request("check", "t2")); a.status != 500 {
+		t.Errorf("after a panic outside of the engine: got status %d, want 500", a.status)
 	}
 }
 
-// The host bounds every request by its client's deadline, also at a server that never answers, and one with a key
-// that may have run is failed, not rejected.
+// The node bounds every request by its client's deadline, even if the server never responds. A keyed request that may
+// have been executed is failed and not rejected.
 func TestUnresponsiveServer(t *testing.T) {
 	t.Parallel()
 	s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := runNode(t, testConfig(s.instance("a")))
-	a := dial(t, n.addr).ask(request("book", "t1", "X-Expires-In", "2"))
+	a := dial(t, n.addr).do(request("book", "t1", "X-Expires-In", "2"))
 	if a.status != 502 {
-		t.Errorf("status %d, want 502", a.status)
+		t.Errorf("got status %d, want 502", a.status)
 	}
 	wantClosed(t, <-s.conns)
 }
 
-// A client that disconnects ends its request: the attempt is cancelled, the request table empty.
+// A client that disconnects ends its request: the attempt is cancelled and the request is removed from the table.
 func TestClientDisconnect(t *testing.T) {
 	s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	cfg := testConfig(s.instance("a"))
 	n := runNode(t, cfg)
 	c := dial(t, n.addr)
 	c.send(request("check", "t1"))
-	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
+	eventually(t, "request forwarded", func() bool { return len(s.requests()) == 1 })
 	c.Close()
 	wantClosed(t, <-s.conns)
-	// The id is free once nothing is held any more.
-	eventually(t, "second request taken", func() bool {
+	// The ID can be used again once the request has been removed.
+	eventually(t, "second request with the ID accepted", func() bool {
 		again := dial(t, n.addr)
 		again.send(request("check", "t1", "X-Expires-In", "0.05"))
 		return again.read().status != 409
 	})
 }
 
-// newIdleClientServer is the client side of a node that has no goroutines of its own.
+// newIdleClientServer returns the client server of a node that has started no goroutines.
 func newIdleClientServer(t *testing.T, cfg *Config) *clientServer {
 	t.Helper()
 	n, err := newNode(t.Context(), cfg, discard)
@@ -420,12 +422,12 @@
 	return newClientServer(n)
 }
 
-// The clock is Unix time, so that a server's start converts to the engine's.
+// The clock reads Unix time, so that a server's start time can be converted to the engine's time.
 func TestClock(t *testing.T) {
 	server := newIdleClientServer(t, testConfig())
 	before := time.Duration(time.Now().UnixNano())
 	now := server.node.now()
 	if d := now - before; d < -time.Second || d > testTimeout || server.node.now() < now {
-		t.Errorf("the clock reads %v past Unix time", d)
+		t.Errorf("difference of the node's clock to Unix time: got %v, want about 0 and no step back", d)
 	}
 }
--- a/internal/edgeproxy/response_stream.go
+++ b/internal/edgeproxy/response_stream.go
@@ -15,21 +15,22 @@
 const (
 	streamWriteTimeout = 30 * time.Second // for a client to accept a chunk of a response
 	streamBufferSize   = 16 << 10         // bytes
-	streamPieceTimeout = 10 * time.Second // between the pieces of a response of which some is forwarded
+	streamPieceTimeout = 10 * time.Second // between two pieces of a streamed response
 )
 
-// responseStream is a long response as it is received from an app server. Its owner calls finish once.
+// responseStream is a long response that is still being received from an app server. Its owner must call finish once.
 type responseStream struct {
 	conn       *serverConn
-	pooled     *pooledConn // with conn in it
+	pooled     *pooledConn // contains conn
 	pool       *serverPool
 	body       io.Reader
-	length     int64              // bytes; -1: not known
-	closesConn bool               // the connection ends with it
-	result     chan policy.Result // takes the result of finish
+	length     int64              // bytes; -1 if unknown
+	closesConn bool               // the response ends by the close of the connection, or is followed by it
+	result     chan policy.Result // receives the result that finish is called with
 }
 
-// finish ends the stream: with OK it was forwarded to its end.
+// finish ends the stream. The result OK means that the response was forwarded completely; only then may the connection
+// be reused.
 func (s *responseStream) finish(result policy.Result) {
 	if result == policy.OK && !s.closesConn && s.conn.buffered.Buffered() == 0 {
 		s.conn.reader.clearPieceDeadline()
@@ -41,8 +42,8 @@
 	s.result <- result
 }
 
-// copyTo forwards a response, first its first part, then each piece as it is received. The result is Cancelled if
-// the client does not take it.
+// copyTo forwards a response: the first part, then each piece as it is received. The result is Cancelled if writing to
+// the client fails.
 func (s *responseStream) copyTo(w http.ResponseWriter, first []byte) policy.Result {
 	controller := http.NewResponseController(w)
 	reader := s.conn.reader
@@ -79,7 +80,7 @@
 	}
 }
 
-// streamBuffers holds the buffers of streams, as *[]byte.
+// streamBuffers is a pool of copy buffers, as *[]byte.
 var streamBuffers = sync.Pool{New: func() any {
 	buffer := make([]byte, streamBufferSize)
 	return &buffer
--- a/internal/edgeproxy/response_stream_test.go
+++ b/internal/edgeproxy/response_stream_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// respondInTwoParts returns a serve function that writes a response's head and the first part of a body, and its rest
-// once halfRead says so. framing is the end of the head.
+// respondInTwoParts returns a serve function that writes a response's head and the first part of a body, and the rest
+// after a receive from halfRead. framing is the end of the head.
 func respondInTwoParts(body []byte, framing string, halfRead <-chan bool) func(net.Conn, *http.Request, []byte) bool {
 	isChunked, closes := strings.Contains(framing, "chunked"), strings.Contains(framing, "close")
 	first, rest := string(body[:len(body)/3]), string(body[len(body)/3:])
 	if isChunked {
-		first = strings.TrimSuffix(chunked([]byte(first), 7000), "0\r\nX-Sum: 1\r\n\r\n")
-		rest = chunked([]byte(rest), 7000)
+		first = strings.TrimSuffix(encodeChunked([]byte(first), 7000), "0\r\nX-Sum: 1\r\n\r\n")
+		rest = encodeChunked([]byte(rest), 7000)
 	}
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		if r.RequestURI == loadReportPath {
@@ -31,7 +31,7 @@
 	}
 }
 
-// requireStreamed reads a response whose rest is sent once its first part is read.
+// requireStreamed reads a response whose rest is sent only after its first part has been read.
 func requireStreamed(t *testing.T, c *client, want []byte, halfRead chan<- bool) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.br, nil)
@@ -39,26 +39,26 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		t.Fatalf("status %d", resp.StatusCode)
+		t.Fatalf("got status %d, want 200", resp.StatusCode)
 	}
 	got := make([]byte, len(want)/6)
 	if _, err := io.ReadFull(resp.Body, got); err != nil {
-		t.Fatalf("the first part, while the rest is still to come: %v", err)
+		t.Fatalf("read the first part before the rest is sent: %v", err)
 	}
 	halfRead <- true
 	rest, err := io.ReadAll(resp.Body)
 	got = append(got, rest...)
 	if err != nil || !bytes.Equal(got, want) || resp.Header.Get("Content-Type") != "a/b" {
-		t.Fatalf("%d of %d bytes, error %v, header %v", len(got), len(want), err, resp.Header)
+		t.Fatalf("response: got %d of %d bytes, error %v, header %v", len(got), len(want), err, resp.Header)
 	}
 }
 
-// A long response is forwarded as received, whatever marks its end.
+// A long response is forwarded as it is received, whatever delimits its body.
 func TestStreamedResponses(t *testing.T) {
 	body := pattern(3 << 20)
 	for name, c := range map[string]struct {
 		framing     string
-		connections int // for two responses
+		connections int // used for two responses
 	}{
 		"length":  {"Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n", 1},
 		"chunked": {"Transfer-Encoding: chunked\r\n\r\n", 1},
@@ -80,7 +80,7 @@
 	}
 }
 
-// A long response that breaks off has failed, and the client can tell; no other is sent after it.
+// A long response that breaks off counts as failed, and the client can detect it. No other response follows it.
 func TestStreamedResponseBreaks(t *testing.T) {
 	for name, framing := range map[string]string{
 		"length":  "Content-Length: 1000000\r\n\r\n",
@@ -101,26 +101,26 @@
 				t.Fatal(err)
 			}
 			if got, err := io.ReadAll(resp.Body); err == nil {
-				t.Errorf("%d bytes were read as a complete response", len(got))
+				t.Errorf("broken response was read as complete with %d bytes", len(got))
 			}
 			eventually(t, "counted as failed", hasMetric(t, at, "app.errored.check=1"))
-			eventually(t, "nothing in flight", hasMetric(t, at, "app.current=0"))
+			eventually(t, "no request in flight", hasMetric(t, at, "app.current=0"))
 		})
 	}
 }
 
-// A response in pieces is waited for while they are received.
+// A response that arrives in small pieces is read completely.
 func TestResponseInPieces(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		for _, b := range []byte(okAnswer) {
 			c.Write([]byte{b})
-			time.Sleep(6 * time.Millisecond) // the server is slow, which is what is tested
+			time.Sleep(6 * time.Millisecond) // the slow server under test
 		}
 		return true
 	})
 	n := runNode(t, testConfig(app.instance("a")))
-	if a := dial(t, n.addr).ask(request("check", "a")); a.status != 200 || a.body != "body" {
-		t.Errorf("%+v", a)
+	if a := dial(t, n.addr).do(request("check", "a")); a.status != 200 || a.body != "body" {
+		t.Errorf("got %+v, want status 200 with the body", a)
 	}
 }
--- a/internal/edgeproxy/rules_test.go
+++ b/internal/edgeproxy/rules_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// Connections that are silent or idle for long go first, those that send a request last, and one with an active request
-// never; where the oldest goes, all but that one are equal.
+// Connections that are silent or idle for long are evicted first, those on which a request is being received last, and
+// those with an active request never. With evictsOldest all but the latter have the same priority.
 func TestEvictionPriority(t *testing.T) {
 	for name, c := range map[string]struct {
 		activity     connActivity
@@ -42,7 +42,7 @@
 	}
 }
 
-// A drain evicts connections between requests, and silent ones, after times of their own.
+// A drain evicts idle and silent connections, each after a minimum time.
 func TestIsUnusedFor(t *testing.T) {
 	for name, c := range map[string]struct {
 		activity           connActivity
@@ -60,22 +60,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.activity.isUnusedFor(c.minIdle, c.minSilent); got != c.want {
-				t.Errorf("evicted: %v, want %v", got, c.want)
+				t.Errorf("isUnusedFor: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Three quarters of the connections in use make a crowd.
-func TestIsCrowdedBy(t *testing.T) {
+// The limit is near once three quarters of the connections are in use.
+func TestIsNearConnLimit(t *testing.T) {
 	for inUse, want := range []bool{false, false, false, true, true} {
-		if got := isCrowdedBy(inUse, 4); got != want {
-			t.Errorf("%d of 4: %v, want %v", inUse, got, want)
+		if got := isNearConnLimit(inUse, 4); got != want {
+			t.Errorf("%d of 4 connections in use: got %v, want %v", inUse, got, want)
 		}
 	}
 }
 
-// A maintenance evicts no connection at first, then those that nobody uses, then all that are idle.
+// A drain by an operator evicts no connection at first, then those that are unused, then all idle ones.
 func TestMaintenanceEviction(t *testing.T) {
 	for _, c := range []struct {
 		sinceCall, minIdle time.Duration
@@ -89,13 +89,13 @@
 	} {
 		t.Run(c.sinceCall.String(), func(t *testing.T) {
 			if minIdle, evicts := maintenanceEviction(c.sinceCall); minIdle != c.minIdle || evicts != c.evicts {
-				t.Errorf("evicts %v those idle for %v, want %v, %v", evicts, minIdle, c.evicts, c.minIdle)
+				t.Errorf("evicts %v, minIdle %v, want %v, %v", evicts, minIdle, c.evicts, c.minIdle)
 			}
 		})
 	}
 }
 
-// A process answers until 150 ms before the platform kills it, which counts deadlines up to 3 s.
+// A process answers until 150 ms before the platform kills it. The platform limits the longest deadline to 3 s.
 func TestShutdownTimeout(t *testing.T) {
 	for longestDeadline, want := range map[time.Duration]time.Duration{
 		400 * ms:         950 * ms,
@@ -103,31 +103,32 @@
 		20 * time.Second: 3550 * ms,
 	} {
 		if got := shutdownTimeout(longestDeadline); got != want {
-			t.Errorf("longest deadline %v: %v, want %v", longestDeadline, got, want)
+			t.Errorf("longest deadline %v: timeout %v, want %v", longestDeadline, got, want)
 		}
 	}
 }
 
-// Before the shutdown a request has its own timeout; then what is left of the shutdown's time, if anything is.
+// Before the shutdown a request has its own timeout; afterwards at most the time until the shutdown timer expires,
+// minus slack.
 func TestRequestTimeoutInShutdown(t *testing.T) {
 	timer := newShutdownTimer()
 	if got, isLeft := timer.requestTimeout(time.Minute, time.Second); got != time.Minute || !isLeft {
-		t.Errorf("before: %v, %v", got, isLeft)
+		t.Errorf("before the start: timeout %v, isLeft %v, want 1m and true", got, isLeft)
 	}
 	timer.start(time.Hour)
 	if got, isLeft := timer.requestTimeout(time.Minute, time.Second); got != time.Minute || !isLeft {
-		t.Errorf("with time enough: %v, %v", got, isLeft)
+		t.Errorf("with enough time left: timeout %v, isLeft %v, want 1m and true", got, isLeft)
 	}
 	got, isLeft := timer.requestTimeout(2*time.Hour, time.Second)
 	if got > time.Hour-time.Second || got < 50*time.Minute || !isLeft {
-		t.Errorf("with less time than its own: %v, %v", got, isLeft)
+		t.Errorf("with less time left than the timeout: timeout %v, isLeft %v, want almost 1h and true", got, isLeft)
 	}
 	if _, isLeft := timer.requestTimeout(time.Minute, time.Hour); isLeft {
-		t.Error("time is left, and its response could not be written")
+		t.Error("isLeft is true although no time is left after slack")
 	}
 }
 
-// A body may come slowly at first; then it must not stall, and keep its rate.
+// A body may be received slowly at first; afterwards it must not stall and must keep the minimum rate.
 func TestBodyPieceDeadline(t *testing.T) {
 	startedAt := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
@@ -144,13 +145,13 @@
 		t.Run(name, func(t *testing.T) {
 			got := bodyPieceDeadline(startedAt, startedAt.Add(c.sinceStart), c.received).Sub(startedAt)
 			if got != c.want {
-				t.Errorf("due %v after the start, want %v", got, c.want)
+				t.Errorf("deadline %v after the start, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A short body is always buffered, one of medium size as long as the budget has room, a long one never.
+// A short body is always buffered, one of medium size if the budget has room, and a long one never.
 func TestReserveBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		size, alreadyReserved, available int64 // bytes
@@ -173,39 +174,39 @@
 				t.Errorf("reserved %d, buffered %v, want %d, %v", reserved, isBuffered, c.wantReserved, c.wantBuffered)
 			}
 			if left := budget.available.Load(); left != c.available-(reserved-c.alreadyReserved) {
-				t.Errorf("%d bytes are left", left)
+				t.Errorf("available budget is %d bytes, which doesn't match the reservation", left)
 			}
 		})
 	}
 }
 
-// A local agent's list is always wanted whole; a server tells what changed since the version held.
+// The complete list is always requested from a local agent; from a service the changes since the last generation.
 func TestFirstGeneration(t *testing.T) {
 	if got := firstGeneration(true, 7); got != 0 {
-		t.Errorf("local agent: from %d", got)
+		t.Errorf("local agent: generation %d, want 0", got)
 	}
 	if got := firstGeneration(false, 7); got != 7 {
-		t.Errorf("server: from %d", got)
+		t.Errorf("service: generation %d, want 7", got)
 	}
 }
 
-// A request with an obstacle is answered by the obstacle, and forwarded to no server.
-func TestFindObstacle(t *testing.T) {
+// A request is skipped, and not forwarded, if the shutdown time is over or its connection was evicted.
+func TestFindSkipReason(t *testing.T) {
 	server := newIdleClientServer(t, testConfig())
 	conn, _ := newPipedConn(t, server.limiter)
 	server.limiter.add(conn)
 	conn.setState(stateReading)
 	r := httptest.NewRequest(http.MethodGet, "/check", nil)
 	request := policy.Request{Timeout: time.Second}
-	if got := server.findObstacle(r, conn, &request); got != noObstacle || request.Timeout != time.Second {
-		t.Errorf("obstacle %d, timeout %v", got, request.Timeout)
+	if got := server.findSkipReason(r, conn, &request); got != skipNone || request.Timeout != time.Second {
+		t.Errorf("before the shutdown: skip reason %d, timeout %v, want none and 1s", got, request.Timeout)
 	}
 	server.shutdown.start(0)
-	if got := server.findObstacle(r, conn, &request); got != shutdownTimeIsOver {
-		t.Errorf("after the shutdown: obstacle %d", got)
+	if got := server.findSkipReason(r, conn, &request); got != skipShuttingDown {
+		t.Errorf("after the shutdown: skip reason %d, want skipShuttingDown", got)
 	}
 	conn.Close()
-	if got := server.findObstacle(r, conn, &request); got != connectionEvicted {
-		t.Errorf("on an evicted connection: obstacle %d", got)
+	if got := server.findSkipReason(r, conn, &request); got != skipConnectionEvicted {
+		t.Errorf("on an evicted connection: skip reason %d, want skipConnectionEvicted", got)
 	}
 }
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -14,8 +14,8 @@
 	"mulleinmux/internal/logging"
 )
 
-// Run runs an edge node until ctx ends, then drains it, or hands over to the process that
-// waits to take its place. At each signal on reload it reads its configuration again.
+// Run runs an edge node until ctx ends, then hands over to a waiting successor process, or else drains the node. At
+// each signal on reload it reads its configuration again.
 func Run(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger) error {
 	var ln net.Listener
 	var err error
@@ -30,35 +30,35 @@
 	return runOn(ctx, cfg, reload, logger, ln)
 }
 
-// msgNoInheritedState is logged where a process starts without a predecessor's state, and says why.
+// msgNoInheritedState is logged, with the reason, if a process can't use the state of a predecessor.
 const msgNoInheritedState = "starting without inherited state"
 
-// errStoppedBeforeServing says that a process was told to end while it waited for its predecessor.
+// errStoppedBeforeServing means that the context ended while the process waited for its predecessor.
 var errStoppedBeforeServing = errors.New("stopped before serving")
 
-// maxServeErrors is how many goroutines may report that they can't serve: calls, clients, and clients after a hot
-// restart that failed.
+// maxServeErrors is how many goroutines may report that they can't continue to serve: those for administration calls,
+// for clients, and for clients after a failed handover.
 const maxServeErrors = 3
 
-// process is one run of an edge node: what its start-up steps make and its end takes down.
+// process is one process of an edge node: what its start-up creates and its shutdown closes.
 type process struct {
-	cfg        *Config
-	logger     *slog.Logger
-	reload     <-chan os.Signal
-	lifetime   context.Context // of what runs in the background
-	background sync.WaitGroup  // its goroutines, which end with lifetime or with what they serve
-	failed     chan error      // takes the error of one that can't go on serving
+	cfg         *Config
+	logger      *slog.Logger
+	reload      <-chan os.Signal
+	lifetime    context.Context // of the background goroutines
+	background  sync.WaitGroup  // goroutines that end with lifetime or with the listener or socket that they serve
+	serveErrors chan error      // errors of goroutines that can't continue to serve
 
 	node    *Node
 	clients *clientServer
 	watch   *discoveryWatch
 
-	predecessor          *predecessor // nil: there is none
+	predecessor          *predecessor // nil if there is none
 	isPredecessorAwaited atomic.Bool
-	successors           *successorListener // nil: no successor can take over
+	successors           *successorListener // nil if no successor can take over
 }
 
-// newProcess returns a process whose background ends with lifetime, and of which nothing runs yet.
+// newProcess returns a process whose background goroutines will end with lifetime. It starts none yet.
 func newProcess(
 	lifetime context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger,
 ) (*process, error) {
@@ -68,16 +68,16 @@
 		return nil, err
 	}
 	return &process{
-		cfg:      cfg,
-		logger:   logger,
-		reload:   reload,
-		lifetime: lifetime,
-		failed:   make(chan error, maxServeErrors),
-		node:     n,
+		cfg:         cfg,
+		logger:      logger,
+		reload:      reload,
+		lifetime:    lifetime,
+		serveErrors: make(chan error, maxServeErrors),
+		node:        n,
 	}, nil
 }
 
-// runOn is Run on a listener that is open.
+// runOn is Run on an open listener, which it closes.
 func runOn(
 	ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger, ln net.Listener,
 ) error {
@@ -93,10 +93,10 @@
 		return err
 	}
 	defer p.leaveGossip()
-	p.startDecisions()
+	p.startEngineAndWatch()
 	defer func() { p.watch.stop() }()
 	p.background.Go(func() { p.node.pool.RunPruning(lifetime) })
-	defer stop() // before the wait for what lifetime owns
+	defer stop() // runs before the deferred waits for the watch and the background goroutines
 
 	p.clients = newClientServer(p.node)
 	admin, err := p.startAdmin()
@@ -106,9 +106,9 @@
 	if admin != nil {
 		defer admin.close()
 	}
-	// What the agent has counts as told from the first moment, and the saved list may be old. With the agent
-	// down the saved list serves.
-	p.watch.awaitFirst(ctx, cfg.firstListTimeout)
+	// The node is expected to use the agent's list from its first request on, and the saved list may be old. The saved
+	// list is used while the agent is down.
+	p.watch.awaitFirstList(ctx, cfg.firstListTimeout)
 	if err := p.takeOver(ctx); errors.Is(err, errStoppedBeforeServing) {
 		return nil
 	} else if err != nil {
@@ -123,7 +123,7 @@
 		defer p.predecessor.Close()
 	}
 	p.startServing(ln)
-	if isStopped, err := p.awaitEnd(ctx); !isStopped {
+	if isStopped, err := p.awaitStopOrFailure(ctx); !isStopped {
 		return err
 	}
 	p.shutDown(ln)
@@ -133,7 +133,8 @@
 	return nil
 }
 
-// joinGossip looks for a predecessor, and opens the gossip socket where there is none that holds it.
+// joinGossip connects to the predecessor, if there is one, whose gossip socket this process will inherit. Otherwise it
+// opens the gossip socket.
 func (p *process) joinGossip() error {
 	if p.cfg.HandoverSocket != "" {
 		var err error
@@ -147,7 +148,7 @@
 	return p.startGossip(nil)
 }
 
-// startGossip opens the gossip socket, or takes the one that was handed over, and receives on it until it is closed.
+// startGossip opens the gossip socket, or uses conn if one was handed over, and receives messages until it is closed.
 func (p *process) startGossip(conn *net.UDPConn) error {
 	cfg := p.cfg
 	if !cfg.GossipListen.IsValid() {
@@ -172,15 +173,15 @@
 	return nil
 }
 
-// leaveGossip closes the gossip socket, unless it was handed over.
+// leaveGossip closes the gossip socket, unless it was handed over to a successor.
 func (p *process) leaveGossip() {
 	if socket := p.node.takeGossipSocket(); socket != nil {
 		socket.Close()
 	}
 }
 
-// startDecisions starts the engine on the saved list, and the watch of the endpoint list.
-func (p *process) startDecisions() {
+// startEngineAndWatch starts the engine on the saved list, and the watch of the endpoint list.
+func (p *process) startEngineAndWatch() {
 	if skipped := p.cfg.skippedEndpoints; len(skipped) > 0 {
 		p.logger.Warn("saved endpoints skipped", slog.Int(logging.KeyCount, len(skipped)), logging.Error(skipped[0]))
 	}
@@ -188,8 +189,8 @@
 	p.watch = startWatch(p.lifetime, p.node, p.cfg.Discovery, p.cfg.SavedEndpoints.Generation)
 }
 
-// startAdmin answers operators' calls until the server that it returns is closed; nil where the configuration names no
-// address for them.
+// startAdmin starts the administration server, which the caller closes. It returns nil if the configuration has no
+// address for it.
 func (p *process) startAdmin() (*adminServer, error) {
 	if !p.cfg.AdminListen.IsValid() {
 		return nil, nil
@@ -201,14 +202,14 @@
 	admin := newAdminServer(p.clients, func() bool { return p.isPredecessorAwaited.Load() || p.clients.isAvailable() })
 	p.background.Go(func() {
 		if err := admin.serve(ln); err != nil {
-			p.failed <- err
+			p.serveErrors <- err
 		}
 	})
 	return admin, nil
 }
 
-// takeOver waits until the predecessor, if there is one, has sent its state and gossip socket, and goes on from these. Without a
-// predecessor that hands over the node begins from nothing. It returns errStoppedBeforeServing where ctx ends before.
+// takeOver waits until the predecessor, if there is one, has sent its state and gossip socket, and starts to use them.
+// If the handover fails the node starts without inherited state. It returns errStoppedBeforeServing if ctx ends first.
 func (p *process) takeOver(ctx context.Context) error {
 	if p.predecessor == nil {
 		return nil
@@ -231,15 +232,15 @@
 	return p.startGossip(in.gossipConn)
 }
 
-// awaitPredecessorState waits for the predecessor's state until this process may go on, and imports its engine's
-// state. A reload in the meantime counts.
+// awaitPredecessorState waits for the complete state of the predecessor and imports its engine state. It handles
+// reloads in the meantime.
 func (p *process) awaitPredecessorState(ctx context.Context) (inheritedState, error) {
 	type result struct {
 		state inheritedState
 		err   error
 	}
 	received := make(chan result, 1)
-	go func() { // ends with ctx, or with the predecessor
+	go func() { // ends with ctx, or when the predecessor disconnects
 		state, err := p.predecessor.awaitState(ctx)
 		received <- result{state, err}
 	}()
@@ -256,8 +257,8 @@
 	}
 }
 
-// listenForSuccessor lets a successor take over. Without that the node serves all the same; only the next upgrade
-// would be a restart.
+// listenForSuccessor starts to accept successors. If that fails the node serves all the same; only the next upgrade
+// will be a planned restart instead of a hot restart.
 func (p *process) listenForSuccessor() {
 	if p.cfg.HandoverSocket == "" {
 		return
@@ -271,33 +272,33 @@
 	p.background.Go(successors.acceptSuccessors)
 }
 
-// servePredecessorClients tells the predecessor, if there is one, that its place is taken, and serves the clients
+// servePredecessorClients confirms the takeover to the predecessor, if there is one, and starts to serve the clients
 // that it hands over.
 func (p *process) servePredecessorClients() {
-	before := p.predecessor
-	if before == nil {
+	predecessorConn := p.predecessor
+	if predecessorConn == nil {
 		return
 	}
-	before.confirmTakeover()
+	predecessorConn.confirmTakeover()
 	p.clients.hasPredecessor.Store(true)
-	p.background.Go(func() { p.clients.servePredecessor(before) })
+	p.background.Go(func() { p.clients.servePredecessor(predecessorConn) })
 }
 
-// startServing answers clients on a listener, and says that the node is ready.
+// startServing starts to serve clients on ln and makes the node ready.
 func (p *process) startServing(ln net.Listener) {
-	p.background.Go(func() { p.failed <- p.clients.serve(ln) })
+	p.background.Go(func() { p.serveErrors <- p.clients.serve(ln) })
 	p.clients.phase.Store(phaseServing)
 	p.isPredecessorAwaited.Store(false)
 	p.logger.Info("ready",
 		slog.Any(logging.KeyAddress, p.cfg.Listen), slog.Int("servers", len(p.cfg.SavedEndpoints.Servers)))
 }
 
-// awaitEnd serves until ctx ends, which stops the process in order, or until something can't go on serving, whose
-// error it returns.
-func (p *process) awaitEnd(ctx context.Context) (isStopped bool, err error) {
+// awaitStopOrFailure handles reloads until ctx ends, after which the process is to be shut down, or until a goroutine
+// can't continue to serve, whose error it returns.
+func (p *process) awaitStopOrFailure(ctx context.Context) (isStopped bool, err error) {
 	for {
 		select {
-		case err := <-p.failed:
+		case err := <-p.serveErrors:
 			p.clients.httpServer.Close()
 			return false, err
 		case <-p.reload:
@@ -308,21 +309,21 @@
 	}
 }
 
-// shutDown hands over to a successor that waits, or else lets clients come for a while, and answers all that has
-// come. ln is the listener on which clients are accepted.
+// shutDown hands over to a waiting successor, or else accepts clients for the drain delay and answers every request
+// that was received. ln is the listener for clients.
 func (p *process) shutDown(ln net.Listener) {
 	p.clients.startShutdownTimer()
 	drainDelay := p.cfg.drainDelay
 	if p.successors.hasSuccessor() {
 		p.logger.Info("handing over")
-		again, err := p.clients.handOver(p.successors, ln)
+		reopened, err := p.clients.handOver(p.successors, ln)
 		if err != nil {
 			p.logger.Warn("handover failed", logging.Error(err))
 		} else {
 			drainDelay = immediateDrainDelay
 		}
-		if again != nil {
-			p.background.Go(func() { p.failed <- p.clients.serve(again) })
+		if reopened != nil {
+			p.background.Go(func() { p.serveErrors <- p.clients.serve(reopened) })
 		}
 	}
 	p.logger.Info("draining")
--- a/internal/edgeproxy/serve_request.go
+++ b/internal/edgeproxy/serve_request.go
@@ -9,15 +9,14 @@
 	"mulleinmux/policy"
 )
 
-// ServeHTTP answers one request of a client. It runs in a goroutine of net/http's, which ends with the client's
-// connection.
+// ServeHTTP handles one request of a client. It runs in a net/http goroutine, which ends with the client's connection.
 func (s *clientServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer s.recoverPanic(w)
-	takenAt := time.Now()
+	headReceivedAt := time.Now()
 	conn := clientConnOf(r)
 	defer conn.setState(stateAnswered)
 	head, firstByteAt := conn.takeHead()
-	conn.recordEarlyBytes(pipelinedBytes(r, head))
+	conn.recordPipelinedBytes(pipelinedBytes(r, head))
 	s.setConnectionClose(w, conn)
 	if err := checkFraming(r, head); err != nil {
 		s.writeBadRequest(w, r, err)
@@ -37,76 +36,77 @@
 		s.writeBadRequest(w, r, err)
 		return
 	}
-	if obstacle := s.findObstacle(r, conn, &engineRequest); obstacle != noObstacle {
+	if reason := s.findSkipReason(r, conn, &engineRequest); reason != skipNone {
 		s.node.memory.release(body.reservedBytes)
-		obstacle.answer(w)
+		reason.writeAnswer(w)
 		return
 	}
 	forwarded.body, forwarded.rest = body.bytes, body.rest
-	forwarded.isClientGone = conn.isClientGone
-	arrival := requestArrival{conn: conn, at: takenAt, reservedBytes: body.reservedBytes}
-	s.serveRequest(w, r, &engineRequest, &forwarded, arrival)
+	forwarded.hasClientDisconnected = conn.hasClientDisconnected
+	received := receivedRequest{conn: conn, headReceivedAt: headReceivedAt, reservedBytes: body.reservedBytes}
+	s.serveRequest(w, r, &engineRequest, &forwarded, received)
 }
 
-// obstacle is why a request that was read is not brought to the engine.
-type obstacle int
+// skipReason is why a request that has been read is not passed to the engine.
+type skipReason int
 
 const (
-	noObstacle         obstacle = iota
-	connectionEvicted           // for another: the client can tell that nothing was forwarded
-	requestTimeIsOver           // it came behind one that took long
-	shutdownTimeIsOver          // the process ends before the request could be answered
-	clientIsGone
+	skipNone              skipReason = iota
+	skipConnectionEvicted            // the connection was closed: the client can tell that nothing was forwarded
+	skipTimeoutExpired               // the request waited too long behind another one on its connection
+	skipShuttingDown                 // the process exits before the request could be answered
+	skipClientDisconnected
 )
 
-// findObstacle decides whether a request that was read is brought to the engine, and limits its timeout to what is left
-// to its client, which may have sent it behind another, and to what a shutdown leaves.
-func (s *clientServer) findObstacle(r *http.Request, conn *clientConn, engineRequest *policy.Request) obstacle {
+// findSkipReason decides whether a request that has been read is passed to the engine. It reduces the request's timeout
+// by the time that the request waited behind another one on its connection, and limits it to the time that a shutdown
+// leaves.
+func (s *clientServer) findSkipReason(r *http.Request, conn *clientConn, engineRequest *policy.Request) skipReason {
 	if !conn.setState(stateActive) {
-		return connectionEvicted
+		return skipConnectionEvicted
 	}
-	if receivedAt := conn.earlyHeadAt(); !receivedAt.IsZero() {
+	if receivedAt := conn.pipelinedHeadReceivedAt(); !receivedAt.IsZero() {
 		if engineRequest.Timeout -= time.Since(receivedAt); engineRequest.Timeout <= 0 {
-			return requestTimeIsOver
+			return skipTimeoutExpired
 		}
 	}
 	var isTimeLeft bool
 	slack := s.node.cfg.Settings.ResponseSlack
 	if engineRequest.Timeout, isTimeLeft = s.shutdown.requestTimeout(engineRequest.Timeout, slack); !isTimeLeft {
-		return shutdownTimeIsOver
+		return skipShuttingDown
 	}
 	if r.Context().Err() != nil {
-		return clientIsGone
+		return skipClientDisconnected
 	}
-	return noObstacle
+	return skipNone
 }
 
-// answer answers a request with an obstacle; where no answer is due for a client that is gone, it panics with
-// http.ErrAbortHandler.
-func (o obstacle) answer(w http.ResponseWriter) {
-	switch o {
-	case requestTimeIsOver:
+// writeAnswer writes the answer to a request that is not passed to the engine. For a client that has disconnected it
+// panics with http.ErrAbortHandler, because no answer is due.
+func (r skipReason) writeAnswer(w http.ResponseWriter) {
+	switch r {
+	case skipTimeoutExpired:
 		writeText(w, http.StatusTooManyRequests, textRejected)
-	case shutdownTimeIsOver:
+	case skipShuttingDown:
 		w.Header().Set("Connection", "close")
 		writeText(w, http.StatusServiceUnavailable, textShuttingDown)
-	case clientIsGone:
+	case skipClientDisconnected:
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// requestArrival is how a request came.
-type requestArrival struct {
-	conn          *clientConn
-	at            time.Time // when its head had come
-	reservedBytes int64     // of the memory budget, by its body
+// receivedRequest describes how a request was received.
+type receivedRequest struct {
+	conn           *clientConn
+	headReceivedAt time.Time // when the handler was called with the complete head
+	reservedBytes  int64     // taken from the memory budget by the body
 }
 
-// serveRequest has the engine decide on a request that is read, and writes its final answer. engineRequest is what
-// the engine is asked, forwarded what an app server is sent.
+// serveRequest passes a request that has been read to the engine and writes the final answer. forwarded is the request
+// as it is sent to an app server.
 func (s *clientServer) serveRequest(
 	w http.ResponseWriter, r *http.Request,
-	engineRequest *policy.Request, forwarded *serverRequest, arrival requestArrival,
+	engineRequest *policy.Request, forwarded *serverRequest, received receivedRequest,
 ) {
 	timeout := engineRequest.Timeout + s.node.cfg.Settings.ResponseSlack // from the request's last byte
 	deadline := time.Now().Add(timeout)
@@ -117,9 +117,9 @@
 		deadline = deadline.Add(engineRequest.BodyTimeout)
 		timer.Reset(engineRequest.BodyTimeout + timeout)
 		forwarded.rest.responseTimeout, forwarded.rest.onForwarded = timeout, func() { timer.Reset(timeout) }
-		w.Header().Set("Connection", "close") // an answer may come before all of the body
+		w.Header().Set("Connection", "close") // the answer may be written before all of the body is received
 	}
-	pending := s.node.beginRequest(*engineRequest, *forwarded, deadline, arrival.reservedBytes)
+	pending := s.node.beginRequest(*engineRequest, *forwarded, deadline, received.reservedBytes)
 	if pending == nil {
 		writeText(w, http.StatusConflict, headerRequestID+" is in use")
 		return
@@ -131,13 +131,13 @@
 	for _, permit := range answer.pendingWrites {
 		<-permit.done
 	}
-	s.setConnectionClose(w, arrival.conn) // a drain may have begun since
-	if time.Since(arrival.at) > writeTimeoutRenewal {
+	s.setConnectionClose(w, received.conn) // a drain may have begun in the meantime
+	if time.Since(received.headReceivedAt) > writeTimeoutRenewal {
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	}
 	if answer.response.stream != nil {
 		if result := s.streamResponse(w, answer.response); result != policy.OK {
-			panic(http.ErrAbortHandler) // the client can tell that it is not complete
+			panic(http.ErrAbortHandler) // shows the client that the response is incomplete
 		}
 		kind = answerServed
 		return
@@ -150,9 +150,9 @@
 	}
 }
 
-// awaitAnswer waits for the final answer, which comes at the latest when the request's timer fires or the process ends.
-// Where the client leaves before, it panics with http.ErrAbortHandler: no answer is due, and net/http would write an
-// empty one.
+// awaitAnswer waits for the final answer. At the latest when the request's timer fires or the shutdown time expires, it
+// ends the request itself. If the client disconnects first, it panics with http.ErrAbortHandler: no answer is due, and
+// net/http would otherwise write an empty one.
 func (s *clientServer) awaitAnswer(r *http.Request, pending *pendingRequest, timeout <-chan time.Time) finalAnswer {
 	select {
 	case a := <-pending.answer:
@@ -170,7 +170,7 @@
 	return <-pending.answer
 }
 
-// recoverPanic is deferred: a panic costs the one request, which is answered as an internal error, and is logged.
+// recoverPanic must be deferred. It logs a panic and answers the one affected request with an internal error.
 func (s *clientServer) recoverPanic(w http.ResponseWriter) {
 	p := recover()
 	if p == nil {
@@ -183,10 +183,11 @@
 	writeText(w, http.StatusInternalServerError, "internal error")
 }
 
-// setConnectionClose decides whether an answer closes its connection: in a drain, or where connections are scarce. A
-// client that has sent its next request is owed an answer to that as well: then a later one closes it.
+// setConnectionClose makes the answer close its connection during a drain or near the limit of connections. If the
+// client has already sent its next request, which must be answered as well, a later answer closes the connection
+// instead.
 func (s *clientServer) setConnectionClose(w http.ResponseWriter, conn *clientConn) {
-	if (s.closesConnections() || s.limiter.isCrowded()) && !conn.hasNextRequest() {
+	if (s.closesConnections() || s.limiter.isNearLimit()) && !conn.hasNextRequest() {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/edgeproxy/serve_request_test.go
+++ b/internal/edgeproxy/serve_request_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// What is forwarded to an app server is what the client sent, byte for byte, with the time that is left; headers
-// that concern one connection alone are not forwarded.
+// An app server receives the request byte for byte as the client sent it, with the remaining time. Headers that apply
+// to a single connection are not forwarded.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -21,32 +21,32 @@
 		return respondWith(answer)(c, r, body)
 	})
 	n := runNode(t, testConfig(s.instance("a")))
-	a := dial(t, n.addr).ask(request("book", "t1", "Connection", "keep-alive, X-Hop", "X-Hop", "1", "TE", "trailers"))
+	a := dial(t, n.addr).do(request("book", "t1", "Connection", "keep-alive, X-Hop", "X-Hop", "1", "TE", "trailers"))
 	if a.status != 200 || a.body != "body" || a.header.Get("Content-Type") != "a/b" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("got answer %+v, want that of the app server", a)
 	}
 	r := <-got
 	want := []string{"POST /book/a%2fb?customer=00000000b4d65521&x=%41+ slot"}
 	if fmt.Sprint(s.requests()) != fmt.Sprint(want) {
-		t.Errorf("%q arrived, want %q", s.requests(), want)
+		t.Errorf("forwarded requests: got %q, want %q", s.requests(), want)
 	}
 	if r.Header.Get("X-Trace-Id") != "t1" || r.Header.Get("Idempotency-Key") != "key-t1" {
-		t.Errorf("header %v", r.Header)
+		t.Errorf("forwarded header %v lacks the request's ID or key", r.Header)
 	}
 	for _, hop := range []string{"Connection", "X-Hop", "TE"} {
 		if v := r.Header.Get(hop); v != "" {
-			t.Errorf("%s: %s was forwarded", hop, v)
+			t.Errorf("hop-by-hop header was forwarded: %s: %s", hop, v)
 		}
 	}
-	left, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
-	if err != nil || left <= 0 || left >= 20 {
-		t.Errorf("X-Expires-In %q of 20", r.Header.Get("X-Expires-In"))
+	remaining, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
+	if err != nil || remaining <= 0 || remaining >= 20 {
+		t.Errorf("forwarded X-Expires-In: got %q, want between 0 and 20", r.Header.Get("X-Expires-In"))
 	}
 }
 
 const checkPath = "/check?customer=00000000b4d65521"
 
-// badRequests are requests that are the client's mistake, each by what it replaces in a good one.
+// badRequests are invalid requests, each with its replacements in a valid request and the expected status.
 var badRequests = []struct {
 	name    string
 	class   string
@@ -108,8 +108,8 @@
 		[]string{"", "POST " + checkPath + " HTTP/1.1", "Content-Length", "4", "body", "slot"}, 405},
 }
 
-// A client's mistake is its own: a plain 4xx that no client takes for a rejection, nothing forwarded, and the
-// connection good for the next request.
+// An invalid request gets a 4xx or 5xx status that no client takes for a rejection. Nothing is forwarded, and the
+// connection is either closed or serves the next request.
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, respondWith(okAnswer))
@@ -120,32 +120,32 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			client := dial(t, n.addr)
-			a := client.ask(request(c.class, "t1", c.replace...))
+			a := client.do(request(c.class, "t1", c.replace...))
 			if a.status != c.status {
-				t.Errorf("status %d, want %d: %s", a.status, c.status, a.body)
+				t.Errorf("got status %d, want %d; body %q", a.status, c.status, a.body)
 			}
 			if c.status == 405 && a.header.Get("Allow") != "GET" {
-				t.Errorf("Allow %q", a.header.Get("Allow"))
+				t.Errorf("Allow header: got %q, want \"GET\"", a.header.Get("Allow"))
 			}
 			if forwarded := app.requests(); len(forwarded) != 0 {
-				t.Errorf("%q was forwarded", forwarded)
+				t.Errorf("invalid request was forwarded: %q", forwarded)
 			}
 			requireStillUsable(t, client, a.close)
 		})
 	}
 }
 
-// requireStillUsable checks that a connection is closed, or serves the next request.
+// requireStillUsable checks that a connection is closed if isClosed is true, and otherwise serves the next request.
 func requireStillUsable(t *testing.T, c *client, isClosed bool) {
 	t.Helper()
 	if isClosed {
 		if _, err := c.br.ReadByte(); err != io.EOF {
-			t.Errorf("after the last answer: %v, want EOF", err)
+			t.Errorf("read after the last answer: got error %v, want EOF", err)
 		}
 		return
 	}
-	if a := c.ask(readyRequest); a.status != 200 {
-		t.Errorf("next request on the connection: status %d", a.status)
+	if a := c.do(readyRequest); a.status != 200 {
+		t.Errorf("next request on the connection: got status %d, want 200", a.status)
 	}
 }
 
@@ -160,15 +160,15 @@
 		}
 	}()
 	if line, err := c.br.ReadString('\n'); err != nil || !strings.Contains(line, "431") {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("status line of an oversized head: got %q, error %v, want status 431", line, err)
 	}
 }
 
-// A header or body that stalls, or a silent connection, holds its socket for a limited time.
+// A head or body that stalls, or a silent connection, holds its socket only for a limited time.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	t.Parallel()
 	if readHeaderTimeout >= 3*time.Second || minBodyTimeout >= 3*time.Second {
-		t.Errorf("limits of %v and %v: an error or a close is owed within 3 s", readHeaderTimeout, minBodyTimeout)
+		t.Errorf("timeouts of %v and %v: an error or a close must come within 3 s", readHeaderTimeout, minBodyTimeout)
 	}
 	n := runNode(t, testConfig())
 	whole := request("book", "t1")
@@ -180,12 +180,12 @@
 	}
 	for i, c := range clients {
 		if _, err := io.ReadAll(c.br); err != nil {
-			t.Errorf("part %d: %v", i, err)
+			t.Errorf("incomplete request %d: got error %v, want a close", i, err)
 		}
 	}
 }
 
-// No client waits for longer than its class allows, so that requests can't pile up.
+// A client's timeout is limited to its class's deadline, so that requests can't pile up.
 func TestTimeoutIsLimitedByClassDeadline(t *testing.T) {
 	s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	cfg := testConfig(s.instance("a"))
@@ -193,36 +193,36 @@
 	n := runNode(t, cfg)
 	c := dial(t, n.addr)
 	c.SetDeadline(time.Now().Add(testTimeout))
-	if a := c.ask(request("check", "t1", "X-Expires-In", "1000000")); a.status != 429 && a.status != 502 {
-		t.Errorf("status %d", a.status)
+	if a := c.do(request("check", "t1", "X-Expires-In", "1000000")); a.status != 429 && a.status != 502 {
+		t.Errorf("request with a long timeout: got status %d, want 429 or 502", a.status)
 	}
 }
 
-// Over its quota a customer is rejected at once, with a Retry-After.
+// A customer over its quota is rejected at once, with a Retry-After header.
 func TestRejection(t *testing.T) {
 	s := newAppServer(t, respondWith(okAnswer))
 	n := runNode(t, testConfig(s.instance("a")))
 	c := dial(t, n.addr)
-	if a := c.ask(request("check", "t1", "X-Contract", "tight")); a.status != 200 {
-		t.Errorf("inside the quota: status %d", a.status)
+	if a := c.do(request("check", "t1", "X-Contract", "tight")); a.status != 200 {
+		t.Errorf("inside the quota: got status %d, want 200", a.status)
 	}
-	a := c.ask(request("check", "t2", "X-Contract", "tight"))
+	a := c.do(request("check", "t2", "X-Contract", "tight"))
 	wait, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 	if a.status != 429 || err != nil || wait <= 0 || wait > 2 {
-		t.Errorf("beyond it: status %d, Retry-After %q", a.status, a.header.Get("Retry-After"))
+		t.Errorf("over quota: got status %d, Retry-After %q, want 429, up to 2", a.status, a.header.Get("Retry-After"))
 	}
 	if got := len(s.requests()); got != 1 {
-		t.Errorf("%d requests were forwarded, want 1", got)
+		t.Errorf("forwarded requests: got %d, want 1", got)
 	}
 }
 
-// A request that was sent behind one that takes long has the time that is left to its client, and is rejected without
-// an attempt where that is over.
+// A request that was sent behind a slow one has only the remaining time of its client. If none remains it is rejected
+// without an attempt.
 func TestPipelinedRequestHasItsOwnTime(t *testing.T) {
 	t.Parallel()
-	lefts := make(chan string, 10)
+	timeouts := make(chan string, 10)
 	app := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		lefts <- r.Header.Get("X-Trace-Id") + " " + r.Header.Get("X-Expires-In")
+		timeouts <- r.Header.Get("X-Trace-Id") + " " + r.Header.Get("X-Expires-In")
 		if strings.Contains(r.RequestURI, "slow") {
 			time.Sleep(400 * time.Millisecond)
 		}
@@ -234,10 +234,10 @@
 	c.send(slow + request("check", "b", "X-Expires-In", "0.3") + request("book", "c", "X-Expires-In", "5"))
 	for i, want := range []int{200, 429, 200} {
 		if a := c.read(); a.status != want {
-			t.Errorf("answer %d: %d, want %d", i, a.status, want)
+			t.Errorf("answer %d: got status %d, want %d", i, a.status, want)
 		}
 	}
-	if first, second := <-lefts, <-lefts; first[:2] != "a " || second[:2] != "c " || second > "c 4.61" {
-		t.Errorf("forwarded: %q, %q", first, second)
+	if first, second := <-timeouts, <-timeouts; first[:2] != "a " || second[:2] != "c " || second > "c 4.61" {
+		t.Errorf("forwarded IDs and timeouts: got %q and %q, want a and c less its wait", first, second)
 	}
 }
--- a/internal/edgeproxy/server_conn.go
+++ b/internal/edgeproxy/server_conn.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	maxBufferedResponse     = 64 << 10                // bytes of a body that is read whole before any is forwarded
-	maxResponseHeads        = 96 << 10                // bytes of a response's head, with interim (1xx) ones
-	maxBufferedResponseWire = 4 * maxBufferedResponse // bytes of a buffered body with the heads of its chunks
-	maxStreamedResponse     = 64 << 20                // bytes of a response; no server makes a longer one
-	responsePieceTimeout    = 250 * time.Millisecond  // between the pieces of a buffered response
+	maxBufferedResponse     = 64 << 10                // bytes of the longest response body that is buffered
+	maxResponseHeads        = 96 << 10                // bytes of a response's heads, including interim (1xx) ones
+	maxBufferedResponseWire = 4 * maxBufferedResponse // bytes of a buffered body, including chunk headers
+	maxStreamedResponse     = 64 << 20                // bytes of the longest response; no server sends a longer one
+	responsePieceTimeout    = 250 * time.Millisecond  // between two pieces of a buffered response
 )
 
-// expiredDeadline ends the reads and writes of a connection that are under way.
+// expiredDeadline is a deadline in the past: it makes a connection's pending reads and writes fail.
 var expiredDeadline = time.Unix(1, 0)
 
 // serverConn is a connection to an app server. It carries one request at a time; between exchanges it is in the pool.
@@ -32,21 +32,21 @@
 	net.Conn
 	raw         syscall.RawConn
 	reader      *responseReader
-	buffered    *bufio.Reader // over reader
+	buffered    *bufio.Reader // reads from reader
 	connectedAt time.Time
 }
 
-// IsQuiet tells whether an idle connection is as it was left: open, with nothing to read.
+// IsQuiet reports whether an idle connection is open and has no data to read.
 func (c *serverConn) IsQuiet() bool { return serverpool.IsQuiet(c.raw) }
 
-// readResponse reads the complete response, or the first part of one to be streamed, and tells whether the
-// connection can be used again. A response that was received and can't be read is an error response: only a
-// connection that broke is a reset, which hints at a server that has restarted. An invalid response is not read to
-// its end: the connection is closed.
+// readResponse reads the complete response, or the first part of a response that is streamed, and reports whether the
+// connection can be reused. A response that was received but is invalid is an error response. Only a broken connection
+// is a reset, because a reset suggests that the server has restarted. An invalid response is not read to its end; its
+// connection is closed.
 func (c *serverConn) readResponse(req *http.Request) (response serverResponse, result policy.Result, isReusable bool) {
 	resp, err := c.readFinalHead(req)
 	if err != nil {
-		return serverResponse{}, c.readFailure(), false
+		return serverResponse{}, c.readErrorResult(), false
 	}
 	c.reader.remainingBytes = maxBufferedResponseWire
 	if resp.ContentLength > maxStreamedResponse {
@@ -54,7 +54,7 @@
 	}
 	body, isLong, err := readFirstBody(resp)
 	if err != nil {
-		return serverResponse{}, c.readFailure(), false
+		return serverResponse{}, c.readErrorResult(), false
 	}
 	response = serverResponse{body: body, contentType: resp.Header.Get("Content-Type")}
 	if isLong {
@@ -71,24 +71,24 @@
 		return response, policy.OK, false
 	}
 	c.reader.clearPieceDeadline()
-	// What stands behind the response belongs to no request: the next one would take it for its own.
+	// Data after the response belongs to no request: it would be taken for the response to the next one.
 	isReusable = !resp.Close && c.buffered.Buffered() == 0
 	return response, statusResult(resp), isReusable
 }
 
-// readFinalHead reads the head of the response, after those of any interim (1xx) ones.
+// readFinalHead reads the head of the final response, skipping interim (1xx) responses.
 func (c *serverConn) readFinalHead(req *http.Request) (*http.Response, error) {
 	resp, err := http.ReadResponse(c.buffered, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 		c.reader.clearPieceDeadline()
-		c.reader.hasBegun = c.buffered.Buffered() > 0 // the final response may come later
+		c.reader.hasBegun = c.buffered.Buffered() > 0 // the final response may follow much later
 		resp, err = http.ReadResponse(c.buffered, req)
 	}
 	return resp, err
 }
 
-// readFirstBody reads the body of a response, or the first part of one that is too long to be buffered. A body
-// without a length ends with its connection, by a close and not a reset.
+// readFirstBody reads the body of a response, or the first part of a body that is too long to be buffered. A body
+// without a length ends when the server closes the connection; a reset is an error.
 func readFirstBody(resp *http.Response) (body []byte, isLong bool, err error) {
 	if resp.ContentLength < 0 {
 		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
@@ -102,15 +102,15 @@
 	return body, false, err
 }
 
-// readFailure is the result of an exchange whose response can't be read.
-func (c *serverConn) readFailure() policy.Result {
+// readErrorResult returns the result of an exchange whose response could not be read.
+func (c *serverConn) readErrorResult() policy.Result {
 	if c.reader.err == nil || c.reader.hasPieceDeadline && errors.Is(c.reader.err, os.ErrDeadlineExceeded) {
 		return policy.ErrorResponse
 	}
 	return policy.ConnectionReset
 }
 
-// statusResult is the result of an exchange by its response's status.
+// statusResult returns the result of an exchange for its response's status.
 func statusResult(resp *http.Response) policy.Result {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -123,24 +123,24 @@
 	return policy.ErrorResponse
 }
 
-// responseReader reads from a connection, with limits for each response: of bytes against heads and bodies without
-// end, and of time against a response that stops half-way.
+// responseReader reads from a connection with limits for each response: a limit of bytes against endless heads and
+// bodies, and a time limit against a response that stalls.
 type responseReader struct {
 	conn             net.Conn
 	ctx              context.Context // of the exchange
-	remainingBytes   int             // that the response may still take
-	hasBegun         bool            // part of the response was received
-	hasPieceDeadline bool            // the connection's deadline is that of the next piece
-	deadline         time.Time       // of the response, beside the exchange's; zero: none
-	pieceTimeout     time.Duration   // between pieces
-	err              error           // how the connection failed
+	remainingBytes   int             // that may still be read for the response
+	hasBegun         bool            // part of the response has been received
+	hasPieceDeadline bool            // the connection's read deadline is that of the next piece
+	deadline         time.Time       // of the response, besides that of ctx; zero: none
+	pieceTimeout     time.Duration   // between two pieces
+	err              error           // last error of the connection
 }
 
-// errResponseTooLong is the error of a response over its limit of bytes.
-var errResponseTooLong = errors.New("answer too long")
+// errResponseTooLong is the error of a response that exceeds its limit of bytes.
+var errResponseTooLong = errors.New("response exceeds its size limit")
 
-// expect prepares for a response.
-func (r *responseReader) expect(ctx context.Context) {
+// beginResponse resets the reader for the response of a new exchange, whose context is ctx.
+func (r *responseReader) beginResponse(ctx context.Context) {
 	r.ctx = ctx
 	r.remainingBytes = maxResponseHeads
 	r.hasBegun = false
@@ -148,7 +148,7 @@
 	r.deadline = time.Time{}
 }
 
-// Read reads within the limits. From the second read of a response on each has a deadline of its own.
+// Read reads within the limits. Each read after the first one of a response has its own deadline.
 func (r *responseReader) Read(p []byte) (int, error) {
 	if r.remainingBytes <= 0 {
 		return 0, errResponseTooLong
@@ -156,7 +156,7 @@
 	if r.hasBegun { // most responses are complete after the first read
 		r.hasPieceDeadline = true
 		r.conn.SetReadDeadline(time.Now().Add(r.pieceTimeout))
-		if r.ctx.Err() != nil { // the end of ctx set a deadline that this one has replaced
+		if r.ctx.Err() != nil { // the new deadline has replaced the one set at the end of ctx
 			r.conn.SetReadDeadline(expiredDeadline)
 		}
 	}
@@ -177,11 +177,11 @@
 	}
 }
 
-// serverResponse is an app server's response: complete, or the first part of one that is streamed.
+// serverResponse is an app server's response: complete, or the first part of a response that is streamed.
 type serverResponse struct {
 	body        []byte
-	stream      *responseStream // from which the rest is read; nil: body is complete
+	stream      *responseStream // provides the rest; nil if body is complete
 	contentType string
-	loadReport  *policy.LoadReport // nil: it carried no report
-	connectedAt time.Time          // when its connection was established; zero: there was no response
+	loadReport  *policy.LoadReport // nil if the response carried none
+	connectedAt time.Time          // when its connection was established; zero if there was no response
 }
--- a/internal/edgeproxy/server_pool.go
+++ b/internal/edgeproxy/server_pool.go
@@ -13,37 +13,37 @@
 	"mulleinmux/internal/simwire"
 )
 
-// defaultMinIdleTime is how long a connection is idle before its next request. A faulty server or proxy may send a
-// response twice, the second some milliseconds late: serverConn.IsQuiet finds what is received meanwhile, where later
-// it would be taken for the response to the next request.
+// defaultMinIdleTime is how long a connection stays idle before it may carry the next request. A faulty server or proxy
+// may send a response twice, the second copy some milliseconds late: if it arrives while the connection is idle,
+// serverConn.IsQuiet detects it; after that it would be taken for the response to the next request.
 const defaultMinIdleTime = 50 * time.Millisecond
 
 var (
-	errClientGone      = errors.New("the client has left")
-	errAlreadyAnswered = errors.New("the request has its final answer")
+	errClientDisconnected = errors.New("client has disconnected")
+	errAlreadyAnswered    = errors.New("request already has its final answer")
 )
 
-// serverPool holds the connections to app servers. One call of exchange writes a request once at most.
+// serverPool holds the connections to app servers. Each call of exchange writes a request at most once.
 type serverPool struct {
 	*serverpool.Pool[*serverConn]
 
-	// onSent is called when the last byte of an attempt, not of a health check, is written, with whether its client had
-	// disconnected; may be nil.
-	onSent func(clientLeft bool)
+	// onSent is called when the last byte of an attempt has been written, with whether the client's disconnect was
+	// already known. It is not called for health checks. It may be nil.
+	onSent func(isDisconnectRecorded bool)
 }
 
-// pooledConn is a serverConn as its pool knows it.
+// pooledConn is a serverConn with the pool's own state of it.
 type pooledConn = serverpool.Conn[*serverConn]
 
-// serverPoolOptions is what a pool is made with, beside the settings of connections.
+// serverPoolOptions are the options of a pool besides the connection settings.
 type serverPoolOptions struct {
-	maxConns      int                    // connections open at once, descriptors being limited
-	minIdleTime   time.Duration          // that a connection is idle at least before its next request
-	subsetServers func() map[string]bool // servers to which idle connections are kept; nil, or a nil map: all
+	maxConns      int                    // limit of open connections; each takes a descriptor
+	minIdleTime   time.Duration          // a connection's idle time before its next request
+	subsetServers func() map[string]bool // servers whose idle connections are kept; nil, or a nil map: all
 	now           func() time.Time       // the clock; nil: time.Now
 }
 
-// newServerPool returns a pool that has no server yet.
+// newServerPool returns a pool without servers.
 func newServerPool(settings simwire.ConnectionSettings, options serverPoolOptions) *serverPool {
 	dialer := serverDialer{net.Dialer{Timeout: settings.ConnectTimeout, KeepAlive: -1}}
 	return &serverPool{Pool: serverpool.New(serverpool.Config[*serverConn]{
@@ -58,10 +58,10 @@
 	})}
 }
 
-// serverDialer makes connections to app servers.
+// serverDialer dials app servers.
 type serverDialer struct{ net.Dialer }
 
-// dial makes a connection to the server at addr.
+// dial connects to the app server at addr.
 func (d *serverDialer) dial(ctx context.Context, _ string, addr netip.AddrPort) (*serverConn, error) {
 	nc, err := d.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
--- a/internal/edgeproxy/server_pool_test.go
+++ b/internal/edgeproxy/server_pool_test.go
@@ -19,8 +19,8 @@
 	return newTestPoolWith(time.Minute, serverPoolOptions{}, servers...)
 }
 
-// newTestPoolWith returns a pool with options, of 100 connections where they don't say, to servers which close
-// connections that have been idle for a time.
+// newTestPoolWith returns a pool to servers that close connections after the given idle time. The limit of connections
+// is 100 if the options set none.
 func newTestPoolWith(serverIdleTimeout time.Duration, options serverPoolOptions, servers ...Instance) *serverPool {
 	if options.maxConns == 0 {
 		options.maxConns = 100
@@ -31,7 +31,7 @@
 	return pool
 }
 
-// testClock is a clock that stands still until it is advanced.
+// testClock is a clock that changes only when advance is called.
 type testClock struct {
 	start  time.Time
 	passed atomic.Int64 // nanoseconds
@@ -43,7 +43,7 @@
 
 func (c *testClock) advance(d time.Duration) { c.passed.Add(int64(d)) }
 
-// idleConns returns a server's idle connections, the one used last at the end.
+// idleConns returns a server's idle connections, the most recently used one last.
 func idleConns(pool *serverPool, server string) []*serverConn {
 	return pool.Snapshot().Servers[server].Idle
 }
@@ -51,11 +51,11 @@
 func wantOpenConns(t *testing.T, pool *serverPool, want int) {
 	t.Helper()
 	if got := pool.Snapshot().OpenCount; got != want {
-		t.Errorf("%d connections counted, %d open", got, want)
+		t.Errorf("open connections: got %d, want %d", got, want)
 	}
 }
 
-// The connection used last is used next, so that with little traffic the others time out.
+// The most recently used connection is used next, so that the others time out when there is little traffic.
 func TestPoolIsLIFO(t *testing.T) {
 	hold := make(chan struct{})
 	s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -70,40 +70,40 @@
 			done <- res
 		}()
 	}
-	eventually(t, "two requests out", func() bool { return len(s.requests()) == 2 })
+	eventually(t, "two requests forwarded", func() bool { return len(s.requests()) == 2 })
 	close(hold)
 	wantResult(t, <-done, policy.OK)
 	wantResult(t, <-done, policy.OK)
 	idle := idleConns(pool, "a")
 	if len(idle) != 2 {
-		t.Fatalf("%d idle connections for two requests at once", len(idle))
+		t.Fatalf("idle connections after two concurrent requests: got %d, want 2", len(idle))
 	}
-	older, last := idle[0], idle[1]
+	older, latest := idle[0], idle[1]
 	runExchange(t, pool, "a")
-	if idle = idleConns(pool, "a"); len(idle) != 2 || idle[0] != older || idle[1] != last {
-		t.Error("another connection was used than the last")
+	if idle = idleConns(pool, "a"); len(idle) != 2 || idle[0] != older || idle[1] != latest {
+		t.Error("the most recently used connection was not used next")
 	}
 }
 
-// A connection that the server has closed meanwhile is noticed: a request written to it would end as a reset, after
-// which one with a key may not always be retried.
+// An idle connection that the server has closed is not used. A request written to it would end as a reset, after which
+// a keyed request may not always be retried.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	s := newAppServer(t, respondWith(okAnswer))
 	pool := newTestPool(s.instance("a"))
 	runExchange(t, pool, "a")
 	(<-s.conns).Close()
 	c := idleConns(pool, "a")[0]
-	eventually(t, "close arrived", func() bool { return !c.IsQuiet() })
+	eventually(t, "close received", func() bool { return !c.IsQuiet() })
 	_, res := runExchange(t, pool, "a")
 	wantResult(t, res, policy.OK)
 	wantOpenConns(t, pool, 1)
 }
 
-// A server that moved, restarted, drains or is gone keeps no connection, neither an idle one nor one that was in
-// use when the list changed.
+// The connections to a server that has moved, restarted, begun to drain or been removed are closed, the idle ones as
+// well as those in use when the list changed.
 func TestEndpointUpdateClosesConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*Instance) // nil: the list lacks the server
+		change func(*Instance) // nil: the list doesn't contain the server
 		kind   policy.EndpointUpdateKind
 	}{
 		"moved":     {func(i *Instance) { i.Addr = netip.MustParseAddrPort("127.0.0.1:1") }, policy.EndpointsDelta},
@@ -115,7 +115,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, held, hold := newBlockingServer(t)
 			pool := newTestPool(s.instance("a"))
-			runExchange(t, pool, "a") // leaves one idle
+			runExchange(t, pool, "a") // leaves an idle connection
 			done := make(chan policy.Result)
 			go func() {
 				_, res := pool.exchange(context.Background(), "a", &serverRequest{method: "GET", target: "/hold", id: "t2"})
@@ -136,36 +136,36 @@
 	}
 }
 
-// Nothing new is sent to a server that began to drain while the connection was established.
+// No request is sent to a server that begins to drain while the connection is being established.
 func TestDrainDuringDial(t *testing.T) {
 	s := newAppServer(t, respondWith(okAnswer))
-	drains := s.instance("a")
-	drains.State = policy.Draining
+	draining := s.instance("a")
+	draining.State = policy.Draining
 	var pool serverPool
 	dialer := serverDialer{}
 	pool.Pool = serverpool.New(serverpool.Config[*serverConn]{
 		Config: conntable.Config{MaxOpen: 1},
 		Dial: func(ctx context.Context, id string, addr netip.AddrPort) (*serverConn, error) {
 			conn, err := dialer.dial(ctx, id, addr)
-			pool.UpdateEndpoints([]Instance{drains}, policy.EndpointsDelta).Close()
+			pool.UpdateEndpoints([]Instance{draining}, policy.EndpointsDelta).Close()
 			return conn, err
 		},
 	})
 	pool.UpdateEndpoints([]Instance{s.instance("a")}, policy.EndpointsComplete).Close()
 	if _, err := pool.Acquire(context.Background(), "a"); err != serverpool.ErrServerNotUp {
-		t.Errorf("error %v, want %v", err, serverpool.ErrServerNotUp)
+		t.Errorf("Acquire: got error %v, want %v", err, serverpool.ErrServerNotUp)
 	}
 	wantClosed(t, <-s.conns)
 	_, res := runExchange(t, &pool, "a")
 	wantResult(t, res, policy.ConnectFailed)
 	if len(s.requests()) != 0 {
-		t.Errorf("requests %q", s.requests())
+		t.Errorf("draining server received requests: %q", s.requests())
 	}
 	wantOpenConns(t, &pool, 0)
 }
 
-// At the limit of descriptors an idle connection is closed; with none idle the attempt is not sent, which is held
-// against no server.
+// At the limit of descriptors an idle connection is closed for a new one. Without an idle connection the attempt is not
+// sent, which does not count against the server.
 func TestDescriptorLimit(t *testing.T) {
 	a, b := newAppServer(t, respondWith(okAnswer)), newAppServer(t, respondWith(okAnswer))
 	pool := newTestPoolWith(time.Minute, serverPoolOptions{maxConns: 1}, a.instance("a"), b.instance("b"))
@@ -183,10 +183,9 @@
 	wantOpenConns(t, pool, 1)
 }
 
-// A server whose machine is gone does not answer: the dial has a timeout of its own, and what it ends has never
-// run.
+// A failed machine does not respond, so dialing has its own timeout. The attempt that it ends was never executed.
 func TestDialTimeout(t *testing.T) {
-	ln, _ := fullListener(t) // it drops what comes
+	ln, _ := fullListener(t) // drops new connections
 	settings := simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 50 * time.Millisecond}
 	pool := newServerPool(settings, serverPoolOptions{maxConns: 100})
 	pool.UpdateEndpoints([]Instance{{Server: policy.Server{ID: "a"}, Addr: addrOf(ln)}}, policy.EndpointsComplete)
@@ -195,7 +194,7 @@
 	_, res := pool.exchange(ctx, "a", &get)
 	wantResult(t, res, policy.ConnectFailed)
 	if ctx.Err() != nil {
-		t.Errorf("context %v", ctx.Err())
+		t.Errorf("dial used the whole time of the attempt: %v", ctx.Err())
 	}
 	wantOpenConns(t, pool, 0)
 }
--- a/internal/edgeproxy/socket.go
+++ b/internal/edgeproxy/socket.go
@@ -6,11 +6,11 @@
 	"os"
 )
 
-// duplicateDescriptor returns another descriptor of a listener's socket.
+// duplicateDescriptor returns a duplicate of the descriptor of a listener's socket.
 func duplicateDescriptor(ln net.Listener) (*os.File, error) {
 	l, ok := ln.(interface{ File() (*os.File, error) })
 	if !ok {
-		return nil, errors.New("handover: the clients' socket has no descriptor")
+		return nil, errors.New("handover: client listener has no descriptor")
 	}
 	return l.File()
 }
--- a/internal/edgeproxy/successor_conn.go
+++ b/internal/edgeproxy/successor_conn.go
@@ -9,24 +9,24 @@
 	"mulleinmux/internal/graceful"
 )
 
-// successorState is how far a process that connected to take over has come.
+// successorState is the progress of a successor.
 type successorState int
 
 const (
-	successorConnected successorState = iota // no hello was received: it is just starting, or of version 0
+	successorConnected successorState = iota // no hello was received: the successor is starting, or has version 0
 	successorWaiting                         // its hello was received
 	successorServing                         // it has taken over
-	successorEnded                           // it has ended before
+	successorEnded                           // it disconnected before it had taken over
 )
 
-// successorConn is the connection to a process that waits to take over.
+// successorConn is the connection to a successor.
 //
-// Invariant: a message is recorded in the same step, under the mutex, in which it leaves the socket. So whoever looks
-// knows all that has been received, whether or not the goroutine that reads has run since.
+// Invariant: a message is read from the socket and recorded in one step under the mutex. So currentState returns a
+// state that includes every message received, whether or not the reading goroutine has run since.
 type successorConn struct {
 	conn        *net.UnixConn
 	connectedAt time.Time
-	changed     chan struct{} // receives after a change of the state
+	changed     chan struct{} // receives a value after each change of state, with capacity 1
 
 	mu    sync.Mutex
 	state successorState // guarded by mu
@@ -36,33 +36,33 @@
 	return &successorConn{conn: conn, connectedAt: time.Now(), changed: make(chan struct{}, 1)}
 }
 
-// maxSuccessorMessage is the size of a buffer for a successor's messages, which have two bytes.
+// maxSuccessorMessage is the size of the buffer for a successor's messages, which have at most two bytes.
 const maxSuccessorMessage = 16
 
-// read receives messages until the successor has gone.
+// read receives messages until the successor disconnects.
 func (s *successorConn) read() {
 	raw, err := s.conn.SyscallConn()
 	if err == nil {
 		err = raw.Read(func(fd uintptr) bool { return s.receivePending(int(fd)) })
 	}
-	if err != nil { // closed by this process
+	if err != nil { // the connection was closed by this process
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.end()
+		s.recordDisconnect()
 	}
 }
 
-// currentState receives what has come, and returns the state by then.
+// currentState receives all pending messages and returns the state after them.
 func (s *successorConn) currentState() successorState {
-	// One that this process has closed is ended by read.
+	// On a connection that this process has closed, read records the disconnect.
 	_ = graceful.ControlSocket(s.conn, func(fd int) { s.receivePending(fd) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
 }
 
-// receivePending receives what has come, without waiting, and reports whether the successor has gone.
-func (s *successorConn) receivePending(fd int) (hasGone bool) {
+// receivePending receives all pending messages, without waiting, and reports whether the successor has disconnected.
+func (s *successorConn) receivePending(fd int) (isDisconnected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var buffer [maxSuccessorMessage]byte
@@ -73,71 +73,71 @@
 		case err == syscall.EAGAIN:
 			return false
 		case err != nil || n == 0:
-			s.end()
+			s.recordDisconnect()
 			return true
 		default:
-			s.record(buffer[:n])
+			s.recordMessage(buffer[:n])
 		}
 	}
 }
 
-// record records a message. Called under the mutex.
-func (s *successorConn) record(message []byte) {
+// recordMessage changes the state by a message from the successor. The caller holds the mutex.
+func (s *successorConn) recordMessage(message []byte) {
 	switch {
 	case message[0] == msgHello && len(message) == 2 && message[1] > 0 && s.state == successorConnected:
-		s.change(successorWaiting)
+		s.setState(successorWaiting)
 	case message[0] == msgTakenOver:
-		s.change(successorServing)
+		s.setState(successorServing)
 	}
 }
 
-// end records that the connection has ended. Called under the mutex.
-func (s *successorConn) end() {
+// recordDisconnect records that the connection has ended. The caller holds the mutex.
+func (s *successorConn) recordDisconnect() {
 	if s.state != successorServing {
-		s.change(successorEnded)
+		s.setState(successorEnded)
 	}
 }
 
-// change changes the state. Called under the mutex.
-func (s *successorConn) change(state successorState) {
+// setState sets the state and signals the change. The caller holds the mutex.
+func (s *successorConn) setState(state successorState) {
 	s.state = state
 	select {
 	case s.changed <- struct{}{}:
-	default: // an earlier change was not looked at yet
+	default: // an earlier change is still signaled
 	}
 }
 
-// takeoverAnswer is what a successor answered to the message that it may go.
-type takeoverAnswer int
+// takeoverResult is the result of awaitTakeover.
+type takeoverResult int
 
 const (
-	takeoverConfirmed   takeoverAnswer = iota // it has taken over
-	takeoverUnconfirmed                       // it lives and may have taken over: nothing may be taken back
-	successorGone                             // it has gone before, or there is none
+	takeoverConfirmed   takeoverResult = iota // the successor has taken over
+	takeoverUnconfirmed                       // the successor may have taken over, so nothing may be taken back
+	takeoverFailed                            // the successor disconnected before it had taken over, or there is none
 )
 
-// awaitTakeover waits for the answer, for handoverMessageTimeout at most. One of version 0 gives none: that is one
-// whose hello has not come for so long since it connected.
-func (s *successorConn) awaitTakeover() takeoverAnswer {
+// awaitTakeover waits for the successor to confirm the takeover, for handoverMessageTimeout at most. A successor of
+// version 0 never confirms; it is recognized by the lack of a hello for handoverMessageTimeout since it connected.
+func (s *successorConn) awaitTakeover() takeoverResult {
 	timeout := time.NewTimer(handoverMessageTimeout)
 	defer timeout.Stop()
 	helloTimeout := time.NewTimer(time.Until(s.connectedAt.Add(handoverMessageTimeout)))
 	defer helloTimeout.Stop()
-	for isOver, isHelloDue := false, false; ; {
+	for isTimedOut, isHelloOverdue := false, false; ; {
 		switch state := s.currentState(); {
 		case state == successorServing:
 			return takeoverConfirmed
 		case state == successorEnded:
-			return successorGone
-		case isOver || isHelloDue && state == successorConnected:
+			return takeoverFailed
+		case isTimedOut || isHelloOverdue && state == successorConnected:
 			return takeoverUnconfirmed
 		}
 		select {
 		case <-s.changed:
 		case <-timeout.C:
-			isOver = true
+			isTimedOut = true
 		case <-helloTimeout.C:
-			isHelloDue = true
+			isHelloOverdue = true
 		}
 	}
 }
--- a/internal/edgeproxy/successor_conn_test.go
+++ b/internal/edgeproxy/successor_conn_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// successorPair is a successor's connection, from which no goroutine reads, and the successor's own end.
-func successorPair(t *testing.T) (*successorListener, *successorConn, handoverPeer) {
+// newSuccessorPair returns a listener, the connection of its successor, from which no goroutine reads, and the
+// successor's end of the connection.
+func newSuccessorPair(t *testing.T) (*successorListener, *successorConn, handoverPeer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), handoverSocketName)
 	l, err := listenForSuccessor(path, discard)
@@ -27,56 +28,56 @@
 	return l, s, peer
 }
 
-// What a successor has sent by the time of its death, or of its answer, counts however late it is read: here it is not
-// read before the predecessor looks.
+// awaitTakeover takes all messages into account that the successor sent before it disconnected or confirmed, even if
+// they are read late: here nothing reads them before awaitTakeover.
 func TestSuccessorMessagesReadLate(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		says []string
-		dies bool
-		want takeoverAnswer
+		messages    []string
+		disconnects bool
+		want        takeoverResult
 	}{
-		"hello, and dies":                                 {[]string{hello}, true, successorGone},
-		"dies without a hello":                            {nil, true, successorGone},
+		"hello, and dies":                                 {[]string{hello}, true, takeoverFailed},
+		"dies without a hello":                            {nil, true, takeoverFailed},
 		"takes over":                                      {[]string{hello, string(msgTakenOver)}, false, takeoverConfirmed},
 		"takes over, and dies":                            {[]string{hello, string(msgTakenOver)}, true, takeoverConfirmed},
-		"a false hello, and dies":                         {[]string{"h"}, true, successorGone},
-		"noise and a torn hello, and dies":                {[]string{"?", "hello to you", "h\x00"}, true, successorGone},
+		"a false hello, and dies":                         {[]string{"h"}, true, takeoverFailed},
+		"noise and a torn hello, and dies":                {[]string{"?", "hello to you", "h\x00"}, true, takeoverFailed},
 		"takes over without a hello, version 0 never did": {[]string{string(msgTakenOver)}, false, takeoverConfirmed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, _, peer := successorPair(t)
-			for _, text := range c.says {
+			l, _, peer := newSuccessorPair(t)
+			for _, text := range c.messages {
 				peer.send(text)
 			}
-			if c.dies {
+			if c.disconnects {
 				peer.Close()
 			}
-			if answer := l.awaitTakeover(); answer != c.want {
-				t.Errorf("answer %v, want %v", answer, c.want)
+			if result := l.awaitTakeover(); result != c.want {
+				t.Errorf("awaitTakeover: result %v, want %v", result, c.want)
 			}
 		})
 	}
 }
 
-// A successor whose hello, or whose death, comes while the predecessor waits is not taken for one of an old version;
-// one of an old version is not waited for.
+// A successor whose hello or disconnect is received while the predecessor waits is not treated as one of version 0. For
+// a successor of version 0 the predecessor does not wait.
 func TestSuccessorMessagesComeLate(t *testing.T) {
 	t.Parallel()
 	const pause = 300 * time.Millisecond
 	for name, c := range map[string]struct {
 		connectedFor time.Duration
-		acts         func(peer handoverPeer)
-		want         takeoverAnswer
-		isAtOnce     bool
+		act          func(peer handoverPeer)
+		want         takeoverResult
+		isImmediate  bool
 	}{
 		"hello, then it dies": {0, func(peer handoverPeer) {
 			time.Sleep(pause)
 			peer.send(hello)
 			time.Sleep(pause)
 			peer.Close()
-		}, successorGone, false},
+		}, takeoverFailed, false},
 		"stopped before its hello, then it takes over": {0, func(peer handoverPeer) {
 			time.Sleep(pause)
 			peer.send(hello)
@@ -89,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, s, peer := successorPair(t)
+			l, s, peer := newSuccessorPair(t)
 			s.connectedAt = s.connectedAt.Add(-c.connectedFor)
 			l.readers.Go(s.read)
 			t.Cleanup(func() {
@@ -99,19 +100,19 @@
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				c.acts(peer)
+				c.act(peer)
 			}()
-			began := time.Now()
-			answer := l.awaitTakeover()
-			if took := time.Since(began); answer != c.want || c.isAtOnce && took > handoverMessageTimeout/2 {
-				t.Errorf("answer %v after %v, want %v", answer, took, c.want)
+			startedAt := time.Now()
+			result := l.awaitTakeover()
+			if took := time.Since(startedAt); result != c.want || c.isImmediate && took > handoverMessageTimeout/2 {
+				t.Errorf("awaitTakeover: result %v after %v, want %v", result, took, c.want)
 			}
 			<-done
 		})
 	}
 }
 
-// A successor that has connected and was not accepted yet waits to take over.
+// hasSuccessor accepts a pending connection of a successor.
 func TestSuccessorAcceptedLate(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), handoverSocketName)
@@ -120,14 +121,14 @@
 		t.Fatal(err)
 	}
 	if l.hasSuccessor() {
-		t.Error("there is none")
+		t.Error("hasSuccessor is true without a connection")
 	}
 	peer := connectAsSuccessor(t, path, hello)
 	if !l.hasSuccessor() {
-		t.Error("one has connected")
+		t.Error("hasSuccessor is false although a successor has connected")
 	}
 	if _, err := net.Dial("unixpacket", path); err != nil {
-		t.Errorf("it goes on listening: %v", err)
+		t.Errorf("second connection to the listener: %v, want it to be still listening", err)
 	}
 	peer.Close()
 	l.close()
--- a/internal/edgeproxy/successor_listener.go
+++ b/internal/edgeproxy/successor_listener.go
@@ -15,21 +15,22 @@
 	"mulleinmux/internal/graceful"
 )
 
-// successorListener is the predecessor's side of a hot restart: it accepts a process that waits to take over.
+// successorListener is the predecessor's side of a hot restart: it accepts the connection of a successor and sends to
+// it.
 type successorListener struct {
 	listener *net.UnixListener
 	logger   *slog.Logger
 	readers  sync.WaitGroup // goroutines that read from successors; acceptSuccessors waits for them
 
 	mu        sync.Mutex
-	successor *successorConn // the latest one, unless it has gone; nil: none
+	successor *successorConn // the latest one; nil if none is connected
 	isClosed  bool
 }
 
-// errNoSuccessor says that no successor waits, or that it has gone.
-var errNoSuccessor = errors.New("handover: no successor")
+// errNoSuccessor means that no successor is connected.
+var errNoSuccessor = errors.New("handover: no successor is connected")
 
-// listenForSuccessor listens for successors until close. The socket of a process that was killed is replaced.
+// listenForSuccessor opens the hot restart socket at path. It replaces the socket of a process that was killed.
 func listenForSuccessor(path string, logger *slog.Logger) (*successorListener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -41,7 +42,7 @@
 	return &successorListener{listener: ln, logger: logger}, nil
 }
 
-// acceptSuccessors accepts successors until stopListening, and waits until the last has gone.
+// acceptSuccessors accepts successors until stopListening is called, then waits until all have disconnected.
 func (l *successorListener) acceptSuccessors() {
 	defer l.readers.Wait()
 	for {
@@ -49,12 +50,12 @@
 		if err != nil {
 			return
 		}
-		l.admit(conn)
+		l.setSuccessor(conn)
 	}
 }
 
-// admit makes a process that has connected the successor; it replaces an earlier one.
-func (l *successorListener) admit(conn *net.UnixConn) {
+// setSuccessor makes the process at the other end of conn the successor, in place of an earlier one.
+func (l *successorListener) setSuccessor(conn *net.UnixConn) {
 	s := newSuccessorConn(conn)
 	l.mu.Lock()
 	replaced := l.successor
@@ -67,13 +68,13 @@
 	}
 	l.readers.Go(func() {
 		s.read()
-		l.remove(s)
+		l.removeIfCurrent(s)
 	})
 	l.logger.Info("successor waiting")
 }
 
-// remove forgets a successor that has gone.
-func (l *successorListener) remove(s *successorConn) {
+// removeIfCurrent removes a successor that has disconnected, unless it was replaced already.
+func (l *successorListener) removeIfCurrent(s *successorConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.successor != s {
@@ -86,40 +87,40 @@
 	}
 }
 
-// current returns the successor; nil: there is none.
+// current returns the successor, or nil if none is connected.
 func (l *successorListener) current() *successorConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.successor
 }
 
-// hasSuccessor tells whether a successor waits, one that has connected and was not accepted yet among them. A nil
+// hasSuccessor reports whether a successor is connected, including one whose connection is not accepted yet. A nil
 // listener has none.
 func (l *successorListener) hasSuccessor() bool {
 	if l == nil {
 		return false
 	}
 	for _, conn := range graceful.AcceptPending(l.listener) {
-		l.admit(conn.(*net.UnixConn))
+		l.setSuccessor(conn.(*net.UnixConn))
 	}
 	s := l.current()
 	return s != nil && s.currentState() != successorEnded
 }
 
-// awaitTakeover waits for the successor's answer to the message that it may go.
-func (l *successorListener) awaitTakeover() takeoverAnswer {
+// awaitTakeover waits for the successor to confirm the takeover.
+func (l *successorListener) awaitTakeover() takeoverResult {
 	s := l.current()
 	if s == nil {
-		return successorGone
+		return takeoverFailed
 	}
-	answer := s.awaitTakeover()
-	if answer == takeoverUnconfirmed && s.currentState() == successorWaiting {
+	result := s.awaitTakeover()
+	if result == takeoverUnconfirmed && s.currentState() == successorWaiting {
 		l.logger.Warn("successor did not confirm takeover")
 	}
-	return answer
+	return result
 }
 
-// stopListening ends the listening, so that the successor can take the path; messages can still be sent.
+// stopListening closes the listener, so that the successor can listen at the path. Messages can still be sent.
 func (l *successorListener) stopListening() {
 	l.mu.Lock()
 	l.isClosed = true
@@ -127,7 +128,7 @@
 	l.listener.Close()
 }
 
-// close ends the listening and the connection to the successor.
+// close closes the listener and the connection to the successor.
 func (l *successorListener) close() {
 	l.stopListening()
 	l.mu.Lock()
@@ -138,7 +139,7 @@
 	}
 }
 
-// send sends one message, with the descriptor of rc beside it unless that is nil.
+// send sends one message, with the descriptor of rc unless rc is nil.
 func (l *successorListener) send(kind byte, body []byte, rc syscall.RawConn) error {
 	successor := l.current()
 	if successor == nil {
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// sendState sends the engine's state, in parts after its size.
+// sendState sends the size of the engine's state, then the state in chunks.
 func (l *successorListener) sendState(state []byte) error {
 	size := binary.BigEndian.AppendUint32(nil, uint32(len(state)))
 	if err := l.send(msgState, size, nil); err != nil {
@@ -181,13 +182,14 @@
 	return nil
 }
 
-// sendInheritedState sends everything that precedes clients, and that the successor may go.
-func (l *successorListener) sendInheritedState(state []byte, sock *gossip.Socket) error {
+// sendInheritedState sends everything that precedes client connections: the engine's state, the gossip socket if it is
+// not nil, and that the state is complete.
+func (l *successorListener) sendInheritedState(state []byte, socket *gossip.Socket) error {
 	if err := l.sendState(state); err != nil {
 		return err
 	}
-	if sock != nil {
-		rc, err := sock.RawConn()
+	if socket != nil {
+		rc, err := socket.RawConn()
 		if err == nil {
 			err = l.send(msgGossipSocket, nil, rc)
 		}
@@ -195,5 +197,5 @@
 			return err
 		}
 	}
-	return l.send(msgGo, nil, nil)
+	return l.send(msgStateComplete, nil, nil)
 }
--- a/internal/edgeproxy/successor_test.go
+++ b/internal/edgeproxy/successor_test.go
@@ -12,18 +12,19 @@
 	"testing"
 )
 
-// A predecessor that dies unannounced, or left only its socket's name, is followed by a start from nothing.
+// If the predecessor dies during the handover, or only the path of its socket is left, the process starts without
+// inherited state.
 func TestPredecessorDies(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, respondWith(okAnswer))
-	dir, door := t.TempDir(), newSharedListener(t)
+	dir, listener := t.TempDir(), newSharedListener(t)
 	path := filepath.Join(dir, handoverSocketName)
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.SetUnlinkOnClose(false)
-	next := door.start(t, hotRestartConfig(t, dir, app.instance("a")))
+	next := listener.start(t, hotRestartConfig(t, dir, app.instance("a")))
 	c, err := ln.AcceptUnix()
 	if err != nil {
 		t.Fatal(err)
@@ -34,14 +35,14 @@
 	c.Close()
 	next.awaitLog(t, msgNoInheritedState)
 	requireServesAndEnds(t, next)
-	// The name of a killed process's socket is still there.
-	last := door.start(t, hotRestartConfig(t, dir, app.instance("a")))
+	// The path of a killed process's socket still exists.
+	last := listener.start(t, hotRestartConfig(t, dir, app.instance("a")))
 	last.awaitLog(t, "ready")
 	last.stop()
 	last.awaitEnd(t)
 }
 
-// listenAsPredecessor listens where a process that serves does, until the end of the test.
+// listenAsPredecessor listens on the hot restart socket in dir until the end of the test.
 func listenAsPredecessor(t *testing.T, dir string) *net.UnixListener {
 	t.Helper()
 	path := filepath.Join(dir, handoverSocketName)
@@ -53,7 +54,7 @@
 	return ln
 }
 
-// exportedState is the state of an engine that has just started, as a predecessor sends it.
+// exportedState returns the exported state of an engine that has just started.
 func exportedState(t *testing.T) string {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -70,21 +71,21 @@
 	return string(state)
 }
 
-// stateMessages are a predecessor's messages with a state, and that the successor may go.
+// stateMessages returns a predecessor's messages with a state: its size, the state, and state complete.
 func stateMessages(state string) []string {
 	size := binary.BigEndian.AppendUint32(nil, uint32(len(state)))
-	return []string{string(msgState) + string(size), string(msgState) + state, string(msgGo)}
+	return []string{string(msgState) + string(size), string(msgState) + state, string(msgStateComplete)}
 }
 
-// Invalid messages from a predecessor, or its death on the way, are followed by a start from nothing, which is
-// logged; one that dies once the successor may go has left all that is needed.
+// If a predecessor sends invalid messages or disconnects before state complete, the process starts without inherited
+// state and logs that. If the predecessor disconnects after state complete, the state is used.
 func TestInvalidPredecessorMessages(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, respondWith(okAnswer))
 	good := exportedState(t)
 	for name, c := range map[string]struct {
-		messages          []string
-		startsFromNothing bool
+		messages           []string
+		startsWithoutState bool
 	}{
 		"none":                {nil, true},
 		"half a state":        {stateMessages(good)[:1], true},
@@ -93,22 +94,22 @@
 		"state is no JSON":    {stateMessages("{"), true},
 		"more than announced": {[]string{string(msgState) + "\x00\x00\x00\x01", string(msgState) + "two"}, true},
 		"of a later version":  {[]string{"?what"}, true},
-		"go without a state":  {[]string{string(msgGo)}, true},
+		"go without a state":  {[]string{string(msgStateComplete)}, true},
 		"complete":            {stateMessages(good), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			next := startAfterPredecessor(t, app, c.messages)
 			next.awaitLog(t, "ready")
-			if got := next.logs.HasLine(msgNoInheritedState, "error="); got != c.startsFromNothing {
-				t.Errorf("from nothing %v, want %v:\n%s", got, c.startsFromNothing, next.logs)
+			if got := next.logs.HasLine(msgNoInheritedState, "error="); got != c.startsWithoutState {
+				t.Errorf("start without inherited state: %v, want %v:\n%s", got, c.startsWithoutState, next.logs)
 			}
 			requireServesAndEnds(t, next)
 		})
 	}
 }
 
-// startAfterPredecessor starts a node whose predecessor sends some messages, once it has its hello, and dies.
+// startAfterPredecessor starts a node whose predecessor sends messages after the hello and then disconnects.
 func startAfterPredecessor(t *testing.T, app *appServer, messages []string) *runningNode {
 	t.Helper()
 	dir := t.TempDir()
@@ -127,7 +128,7 @@
 	return next
 }
 
-// sendGossipSocket hands a socket over as a predecessor does.
+// sendGossipSocket sends the gossip socket as a predecessor does.
 func (h handoverPeer) sendGossipSocket(conn *net.UDPConn) {
 	h.t.Helper()
 	raw, err := conn.SyscallConn()
@@ -142,8 +143,8 @@
 	}
 }
 
-// A gossip socket that a predecessor has handed over goes on, also if the predecessor dies before the rest has come or
-// sends what is out of place.
+// A gossip socket that a predecessor has handed over is used even if the predecessor then disconnects before state
+// complete or sends an unexpected message.
 func TestGossipSocketOutlivesFailedHandover(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, respondWith(okAnswer))
@@ -171,9 +172,9 @@
 			}
 			peer.Close()
 			next.awaitLog(t, "ready")
-			spender := []string{"X-Contract", "tight", "X-Metering", "units=1,spread=2,first=0"}
-			if a := dial(t, next.addr).ask(request("check", "a", spender...)); a.status != 200 {
-				t.Errorf("status %d", a.status)
+			quotaHeaders := []string{"X-Contract", "tight", "X-Metering", "units=1,spread=2,first=0"}
+			if a := dial(t, next.addr).do(request("check", "a", quotaHeaders...)); a.status != 200 {
+				t.Errorf("request after the failed handover: status %d, want 200", a.status)
 			}
 			awaitGossipFrom(t, gossipPeer, mine)
 			next.stop()
@@ -182,17 +183,17 @@
 	}
 }
 
-// requireServesAndEnds checks that a node serves a request, and ends it.
+// requireServesAndEnds checks that a node serves a request and ends when it is stopped.
 func requireServesAndEnds(t *testing.T, n *runningNode) {
 	t.Helper()
-	if a := dial(t, n.addr).ask(request("check", "a")); a.status != 200 {
-		t.Errorf("status %d", a.status)
+	if a := dial(t, n.addr).do(request("check", "a")); a.status != 200 {
+		t.Errorf("status %d, want 200", a.status)
 	}
 	n.stop()
 	n.awaitEnd(t)
 }
 
-// writeFile writes a file, in a folder of its own, and returns its path.
+// writeFile writes a file, creates its directory if necessary, and returns the path.
 func writeFile(t *testing.T, path, text string, mode os.FileMode) string {
 	t.Helper()
 	err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), os.WriteFile(path, []byte(text), mode))
@@ -202,8 +203,8 @@
 	return path
 }
 
-// leaveSocket leaves the name of a socket on which nobody listens any more.
-func leaveSocket(t *testing.T, path string) string {
+// createStaleSocket creates the path of a socket on which nothing listens any more, and returns it.
+func createStaleSocket(t *testing.T, path string) string {
 	t.Helper()
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
@@ -214,7 +215,7 @@
 	return path
 }
 
-// Whatever stands at the socket's path, and where nothing can, the node starts, logs it and serves.
+// If the path of the hot restart socket is in use or invalid, the node logs that, starts and serves.
 func TestInvalidHandoverSocket(t *testing.T) {
 	t.Parallel()
 	app := newAppServer(t, respondWith(okAnswer))
@@ -227,7 +228,7 @@
 			writeFile(t, in("old"), `{"Form":1,"Stor`, 0o600), msgNoInheritedState, "error="},
 		"one that can't be read":       {writeFile(t, in("locked"), "", 0), msgNoInheritedState, "error="},
 		"a folder that is not empty":   {full, msgUnavailable, "not empty"},
-		"the socket of a dead process": {leaveSocket(t, in("dead")), msgNoInheritedState, "error="},
+		"the socket of a dead process": {createStaleSocket(t, in("dead")), msgNoInheritedState, "error="},
 		"no folder":                    {writeFile(t, in("file"), "", 0o600) + "/in", msgUnavailable, "not a directory"},
 		"where nothing can be made":    {"/proc/self/handover", msgUnavailable, `error="handover: `},
 		"a path that is too long":      {in(strings.Repeat("x", 120)), msgUnavailable, `error="handover: `},
@@ -239,7 +240,7 @@
 			n := newSharedListener(t).start(t, cfg)
 			n.awaitLog(t, "ready")
 			if !n.logs.HasLine(c.message, c.detail) {
-				t.Errorf("the log does not say %q with %q:\n%s", c.message, c.detail, n.logs)
+				t.Errorf("log has no line %q with %q:\n%s", c.message, c.detail, n.logs)
 			}
 			requireServesAndEnds(t, n)
 		})
--- a/internal/edgeproxy/wire_names.go
+++ b/internal/edgeproxy/wire_names.go
@@ -1,6 +1,6 @@
 package edgeproxy
 
-// Headers of requests and responses beside those of HTTP.
+// Headers of requests and responses in addition to those of HTTP.
 const (
 	headerRequestID      = "X-Trace-Id"
 	headerClass          = "X-Qos"
@@ -8,11 +8,11 @@
 	headerTimeout        = "X-Expires-In" // seconds
 	headerMetering       = "X-Metering"
 	headerIdempotencyKey = "Idempotency-Key"
-	headerNeverExecuted  = "X-Never-Ran" // of an app server's response; 1: it did not begin the request
+	headerNeverExecuted  = "X-Never-Ran" // in an app server's response; 1 if it did not start to execute the request
 	headerLoadReport     = "Endpoint-Load-Metrics"
 )
 
-// What X-Metering says of a request, and the parameter of its query.
+// Fields of X-Metering, and the query parameter with the customer.
 const (
 	meteringUnits         = "units"
 	meteringInstanceCount = "spread"
@@ -21,7 +21,7 @@
 	queryCustomer = "customer"
 )
 
-// Texts of answers.
+// Bodies of answers.
 const (
 	textRejected     = "refused: trying again is harmless"
 	textShuttingDown = "refused: ending"
@@ -30,16 +30,16 @@
 	textNotReady     = "not ready"
 )
 
-// Formats of the metrics' lines; those by class take its name and a count.
+// Formats of metric lines. Those with two verbs take a class or rule name and a count.
 const (
-	metricServed         = "app.answered.%s=%d\n"
-	metricRejected       = "app.deferred.%s=%d\n"
-	metricFailed         = "app.errored.%s=%d\n"
-	metricSentAttempts   = "app.sends=%d\n"
-	metricSentAfterLeave = "app.sends_after_leave=%d\n"
-	metricInFlight       = "app.current=%d\n"
-	metricServers        = "app.cluster_size=%d\n"
-	metricUnhealthy      = "app.cluster_unhealthy=%d\n"
+	metricServed              = "app.answered.%s=%d\n"
+	metricRejected            = "app.deferred.%s=%d\n"
+	metricFailed              = "app.errored.%s=%d\n"
+	metricSentAttempts        = "app.sends=%d\n"
+	metricSentAfterDisconnect = "app.sends_after_leave=%d\n"
+	metricInFlight            = "app.current=%d\n"
+	metricServers             = "app.cluster_size=%d\n"
+	metricUnhealthy           = "app.cluster_unhealthy=%d\n"
 
 	metricSubsetSize          = "choice.part=%d\n"
 	metricSubsetSuspected     = "choice.part_doubted=%d\n"
--- a/internal/gossip/socket.go
+++ b/internal/gossip/socket.go
@@ -1,5 +1,4 @@
-// Package gossip is the UDP transport of the gossip messages that the nodes of a tier exchange. It does not
-// read them.
+// Package gossip is the UDP transport of the gossip messages between the nodes of a tier. It does not interpret them.
 package gossip
 
 import (
@@ -16,10 +15,10 @@
 	"mulleinmux/policy"
 )
 
-// readRetryDelay is the time after an error of the socket until it is read again.
+// readRetryDelay is the delay before the next read after a read error.
 const readRetryDelay = time.Millisecond
 
-// maxMessage is the longest datagram that may be sent to a peer.
+// maxMessage is the maximum size of a message in bytes.
 const maxMessage = 256
 
 // Socket sends and receives gossip messages.
@@ -28,38 +27,38 @@
 	addrs     []netip.AddrPort
 	broadcast netip.AddrPort
 	peerIndex map[netip.AddrPort]int
-	isFailing atomic.Bool // the latest message could not be sent
+	isFailing atomic.Bool // whether the latest send failed
 }
 
-// Listen opens the socket of node me. addrs has the address of each node by number; broadcast
-// reaches every node at once, and may be invalid where there is no such address.
-func Listen(listen netip.AddrPort, me int, addrs []netip.AddrPort, broadcast netip.AddrPort) (*Socket, error) {
+// Listen opens the gossip socket of the node with index selfIndex. addrs has the address of each node by index;
+// broadcast reaches every node at once, and may be invalid if there is no such address.
+func Listen(listen netip.AddrPort, selfIndex int, addrs []netip.AddrPort, broadcast netip.AddrPort) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return NewSocket(conn, me, addrs, broadcast), nil
+	return NewSocket(conn, selfIndex, addrs, broadcast), nil
 }
 
-// NewSocket is [Listen] on a connection that is open.
-func NewSocket(conn *net.UDPConn, me int, addrs []netip.AddrPort, broadcast netip.AddrPort) *Socket {
+// NewSocket is like [Listen] but uses an open connection.
+func NewSocket(conn *net.UDPConn, selfIndex int, addrs []netip.AddrPort, broadcast netip.AddrPort) *Socket {
 	s := &Socket{conn: conn, addrs: addrs, broadcast: broadcast, peerIndex: map[netip.AddrPort]int{}}
 	for i, a := range addrs {
-		if i != me {
+		if i != selfIndex {
 			s.peerIndex[a] = i
 		}
 	}
 	return s
 }
 
-// RawConn is the socket's descriptor, for handing it to another process.
+// RawConn gives access to the socket's file descriptor, which can be passed to another process.
 func (s *Socket) RawConn() (syscall.RawConn, error) { return s.conn.SyscallConn() }
 
 // Close closes the socket, which ends Receive.
 func (s *Socket) Close() error { return s.conn.Close() }
 
-// Send sends a message to a peer, or to all with [policy.AllInstances]. A message may be lost; that messages
-// can't be sent is logged once, and so is that they can again.
+// Send sends a message to the peer with an index, or to all peers if it is [policy.AllInstances]. Messages may be lost.
+// The first failed send and the first successful one after it are logged.
 func (s *Socket) Send(peer int, message []byte, logger *slog.Logger) {
 	err := s.write(peer, message)
 	wasFailing := s.isFailing.Swap(err != nil)
@@ -74,19 +73,19 @@
 	to := s.broadcast
 	if peer != policy.AllInstances {
 		if peer < 0 || peer >= len(s.addrs) {
-			return fmt.Errorf("message to unknown peer %d", peer)
+			return fmt.Errorf("gossip: unknown peer %d", peer)
 		}
 		to = s.addrs[peer]
 	}
 	if len(message) > maxMessage {
-		return fmt.Errorf("message of %d bytes to peer %d", len(message), peer)
+		return fmt.Errorf("gossip: message of %d bytes to peer %d is too long", len(message), peer)
 	}
 	_, err := s.conn.WriteToUDPAddrPort(message, to)
 	return err
 }
 
-// Receive hands on the messages of peers until the socket is closed. A datagram from
-// an unknown address or over the limit is dropped; package policy drops malformed ones.
+// Receive calls onMessage with each message from a peer until the socket is closed. It drops datagrams from unknown
+// addresses and those that exceed maxMessage; package policy drops malformed messages.
 func (s *Socket) Receive(onMessage func(from int, message []byte)) {
 	buf := make([]byte, maxMessage+1)
 	for {
@@ -95,8 +94,8 @@
 			return
 		}
 		if err != nil {
-			// A peer that is down may answer a datagram with an ICMP error, which ends up here. The
-			// delay keeps a lasting error from taking the core.
+			// The host of a peer that is down may answer a datagram with an ICMP error, which is reported here. The
+			// delay keeps a persistent error from using up the core.
 			time.Sleep(readRetryDelay)
 			continue
 		}
--- a/internal/gossip/socket_test.go
+++ b/internal/gossip/socket_test.go
@@ -13,7 +13,7 @@
 	"mulleinmux/policy"
 )
 
-// testTimeout bounds every wait of a test; none is expected to come near it.
+// testTimeout limits every wait of a test. No passing test should come near it.
 const testTimeout = 30 * time.Second
 
 // listenUDP opens a socket for a test.
@@ -29,26 +29,26 @@
 
 func addrOf(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// testNetwork is a socket of node 0, the one of its peer, which is node 1, and the one that the broadcast reaches.
+// testNetwork has the gossip socket of node 0, the socket of its peer, node 1, and the one at the broadcast address.
 type testNetwork struct {
-	socket     *Socket
-	peer       *net.UDPConn
-	everywhere *net.UDPConn
+	socket    *Socket
+	peer      *net.UDPConn
+	broadcast *net.UDPConn
 }
 
 func newTestNetwork(t *testing.T) testNetwork {
 	t.Helper()
-	n := testNetwork{peer: listenUDP(t), everywhere: listenUDP(t)}
+	n := testNetwork{peer: listenUDP(t), broadcast: listenUDP(t)}
 	addrs := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addrOf(n.peer)}
 	var err error
-	if n.socket, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), 0, addrs, addrOf(n.everywhere)); err != nil {
+	if n.socket, err = Listen(netip.MustParseAddrPort("127.0.0.1:0"), 0, addrs, addrOf(n.broadcast)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { n.socket.Close() })
 	return n
 }
 
-// Only complete datagrams of known peers are received, under the sender's number.
+// Receive passes on only datagrams of known peers that are not too long, with the index of the sender.
 func TestReceive(t *testing.T) {
 	n, stranger := newTestNetwork(t), listenUDP(t)
 	received := make(chan string, 10)
@@ -62,14 +62,15 @@
 		}
 	}
 	if got := <-received; got != "1 hi" {
-		t.Errorf("received %q, want the peer's message alone", got)
+		t.Errorf("received %q, want only the peer's message", got)
 	}
 }
 
-// A message to one peer or to all reaches them, from the socket's address.
+// A message to one peer or to all is sent to the peer's address or the broadcast address, from the address of the
+// socket.
 func TestSend(t *testing.T) {
 	n := newTestNetwork(t)
-	for peer, c := range map[int]*net.UDPConn{1: n.peer, policy.AllInstances: n.everywhere} {
+	for peer, c := range map[int]*net.UDPConn{1: n.peer, policy.AllInstances: n.broadcast} {
 		if err := n.socket.write(peer, []byte("hello")); err != nil {
 			t.Fatal(err)
 		}
@@ -77,15 +78,15 @@
 		c.SetReadDeadline(time.Now().Add(testTimeout))
 		size, from, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil || string(buf[:size]) != "hello" || from != addrOf(n.socket.conn) {
-			t.Errorf("to %d: %q from %v, error %v", peer, buf[:size], from, err)
+			t.Errorf("message to %d: received %q from %v, error %v", peer, buf[:size], from, err)
 		}
 	}
 	if n.socket.write(1, make([]byte, maxMessage+1)) == nil || n.socket.write(2, []byte("hello")) == nil {
-		t.Error("a message too long or to nobody was sent")
+		t.Error("write of a message that is too long or to an unknown peer succeeded")
 	}
 }
 
-// That messages can't be sent is logged once, and so is that they can again.
+// The first failed send and the first successful one after it are logged.
 func TestSendLogsChangesOfState(t *testing.T) {
 	n := newTestNetwork(t)
 	var logs bytes.Buffer
@@ -96,6 +97,6 @@
 	failed := strings.Index(logs.String(), `msg="gossip send failed" error=`)
 	resumed := strings.Index(logs.String(), `msg="gossip send resumed"`)
 	if strings.Count(logs.String(), "\n") != 2 || failed < 0 || resumed < failed {
-		t.Errorf("logged %q", logs.String())
+		t.Errorf("log %q, want one line for the failure and then one for the recovery", logs.String())
 	}
 }
--- a/internal/graceful/listener.go
+++ b/internal/graceful/listener.go
@@ -8,23 +8,23 @@
 	"syscall"
 )
 
-// ErrFinished is the error of Accept once a finished listener has no connection left. It is a net.ErrClosed.
+// ErrFinished is returned by Accept once a finished listener has no connection left. It wraps [net.ErrClosed].
 var ErrFinished = fmt.Errorf("listener finished: %w", net.ErrClosed)
 
-// Listener is a listener that can be closed without a reset for the connections that the kernel has accepted and the
-// process has not. Its methods may be called by several goroutines.
+// Listener is a listener that can be closed without resetting the connections in the kernel's backlog, which the
+// process has not accepted. Its methods may be called by several goroutines.
 type Listener struct {
 	net.Listener
 
 	mu         sync.Mutex
 	isFinished bool
-	backlog    []net.Conn // accepted by Finish
+	backlog    []net.Conn // accepted by Finish and not yet returned by Accept
 }
 
-// NewListener returns a Listener of another listener, which it closes.
+// NewListener returns a Listener that wraps inner. Closing it closes inner.
 func NewListener(inner net.Listener) *Listener { return &Listener{Listener: inner} }
 
-// Finish ends the listening. Connections that the kernel has accepted by then are still returned by Accept.
+// Finish closes the listener. Accept still returns the connections that were in the kernel's backlog.
 func (l *Listener) Finish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,7 +33,7 @@
 	l.Listener.Close()
 }
 
-// Accept returns the next connection, those that were accepted by Finish last.
+// Accept returns the next connection. Those that Finish has accepted are returned last.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
@@ -51,26 +51,26 @@
 	return conn, nil
 }
 
-// AcceptPending returns the connections that the kernel has accepted at a listener, without waiting for more. One that
-// is closed has none.
-func AcceptPending(listener net.Listener) (all []net.Conn) {
-	_ = ControlSocket(listener, func(fd int) { all = acceptPending(fd) })
-	return all
+// AcceptPending accepts the connections in the kernel's backlog of a listener, without waiting for more. It returns
+// none for a closed listener.
+func AcceptPending(listener net.Listener) (conns []net.Conn) {
+	_ = ControlSocket(listener, func(fd int) { conns = acceptPending(fd) })
+	return conns
 }
 
-// acceptPending is AcceptPending of a listening socket's descriptor.
-func acceptPending(fd int) (all []net.Conn) {
+// acceptPending is AcceptPending on the descriptor of a listening socket.
+func acceptPending(fd int) (conns []net.Conn) {
 	for {
-		n, _, err := syscall.Accept4(fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		connFD, _, err := syscall.Accept4(fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		if err == syscall.EINTR || err == syscall.ECONNABORTED {
 			continue
 		}
 		if err != nil {
-			return all
+			return conns
 		}
-		file := os.NewFile(uintptr(n), "client")
+		file := os.NewFile(uintptr(connFD), "client")
 		if conn, err := net.FileConn(file); err == nil {
-			all = append(all, conn)
+			conns = append(conns, conn)
 		}
 		file.Close()
 	}
--- a/internal/graceful/socket.go
+++ b/internal/graceful/socket.go
@@ -1,5 +1,5 @@
-// Package graceful has what a server needs to end without cutting off a client: a listener that accepts what the kernel
-// has accepted before it closes, and a look at what a socket has received and nobody has read.
+// Package graceful helps a server to shut down without cutting off clients: a listener that accepts the kernel's
+// backlog before it closes, and checks for unread data and disconnected peers.
 package graceful
 
 import (
@@ -8,13 +8,13 @@
 	"syscall"
 )
 
-// ErrNoSocket is the error of a connection or listener without a descriptor.
-var ErrNoSocket = errors.New("no socket")
+// ErrNoSocket is returned for a connection or listener without a file descriptor.
+var ErrNoSocket = errors.New("connection or listener has no file descriptor")
 
-// ControlSocket calls f with the descriptor of a connection or a listener, whatever its deadlines. The error is
-// ErrNoSocket if it has none; any other error means that it is closed.
-func ControlSocket(of any, f func(fd int)) error {
-	conn, ok := of.(syscall.Conn)
+// ControlSocket calls f with the file descriptor of a connection or listener, regardless of its deadlines. It returns
+// ErrNoSocket if there is no descriptor; any other error means that the connection or listener is closed.
+func ControlSocket(socket any, f func(fd int)) error {
+	conn, ok := socket.(syscall.Conn)
 	if !ok {
 		return ErrNoSocket
 	}
@@ -25,7 +25,7 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// HasUnreadData reports whether a connection's socket has received something that was not read.
+// HasUnreadData reports whether a connection's socket has received data that was not read.
 func HasUnreadData(conn net.Conn) bool {
 	hasData := false
 	var buffer [1]byte
@@ -36,19 +36,19 @@
 	return err == nil && hasData
 }
 
-// States of a TCP connection in Linux: reset, and closed by the peer (TCP_CLOSE, TCP_CLOSE_WAIT and TCP_LAST_ACK).
+// Linux states of a TCP connection that was reset (TCP_CLOSE) or closed by the peer (TCP_CLOSE_WAIT, TCP_LAST_ACK).
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
 	tcpLastAck   = 9
 )
 
-// IsPeerGone reports whether the peer of a connection has closed or reset it, also behind data that was not read.
+// IsPeerGone reports whether the peer of a connection has closed or reset it, even if there is unread data.
 func IsPeerGone(conn net.Conn) bool {
 	isGone := false
 	err := ControlSocket(conn, func(fd int) {
 		info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
-		state := info & 0xff // its first byte
+		state := info & 0xff // the state is the first byte of TCP_INFO
 		isGone = err == nil && (state == tcpClose || state == tcpCloseWait || state == tcpLastAck)
 	})
 	return isGone || err != nil && err != ErrNoSocket
--- a/internal/loadreport/fixture_test.go
+++ b/internal/loadreport/fixture_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// TestReportsAsRead states what the program reads from load reports today, well formed and not, so that no later change
-// alters it unseen.
+// TestReportsAsRead fixes the result of parsing valid and invalid load reports, so that changes to it are noticed.
 func TestReportsAsRead(t *testing.T) {
 	for text, want := range map[string]string{
 		"TEXT inflight=7, queue=2, util=0.61":          "7 2 0.61",
@@ -31,7 +30,7 @@
 			got = fmt.Sprint(l.InFlight, l.QueueLength, l.Utilization)
 		}
 		if got != want {
-			t.Errorf("%q: read %s, want %s", text, got, want)
+			t.Errorf("Parse(%q): got %s, want %s", text, got, want)
 		}
 	}
 }
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -8,29 +8,28 @@
 	"mulleinmux/policy"
 )
 
-// Largest figures that a load report can hold: reports are noisy, but a core can't be
-// busy several times over, nor can a server hold more requests than it has connections.
+// Maximum values in a load report. Reports are noisy, but a core can't be utilized several times over, and a server
+// can't hold more requests than it has connections.
 const (
 	maxUtilization = 2
 	maxCount       = 1e5
 )
 
-// Words of a load report. The figures have a second name each.
+// Prefix and names of a load report. Each value has an alias.
 const (
 	reportPrefix = "TEXT"
 
-	wordInFlight    = "inflight"
-	wordQueueLength = "queue"
-	wordUtilization = "util"
+	nameInFlight    = "inflight"
+	nameQueueLength = "queue"
+	nameUtilization = "util"
 
-	otherWordInFlight    = "outstanding"
-	otherWordQueueLength = "backlog"
-	otherWordUtilization = "utilization"
+	aliasInFlight    = "outstanding"
+	aliasQueueLength = "backlog"
+	aliasUtilization = "utilization"
 )
 
-// Parse parses a load report such as "TEXT inflight=7, queue=2, util=0.61".
-// Unknown names and figures out of range are skipped; nil means that there is no
-// report in the text.
+// Parse parses a load report such as "TEXT inflight=7, queue=2, util=0.61". Unknown names and values out of range are
+// skipped. It returns nil if the text is not a load report.
 func Parse(text string) *policy.LoadReport {
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), reportPrefix)
 	if !ok {
@@ -45,21 +44,21 @@
 		}
 		switch {
 		case x > maxCount:
-		case name == wordInFlight || name == otherWordInFlight:
+		case name == nameInFlight || name == aliasInFlight:
 			report.InFlight = x
-		case name == wordQueueLength || name == otherWordQueueLength:
+		case name == nameQueueLength || name == aliasQueueLength:
 			report.QueueLength = x
-		case (name == wordUtilization || name == otherWordUtilization) && x <= maxUtilization:
+		case (name == nameUtilization || name == aliasUtilization) && x <= maxUtilization:
 			report.Utilization = x
 		}
 	}
 	return &report
 }
 
-// maxDecimalLength bounds the text of a number, in bytes.
+// maxDecimalLength is the maximum length of a number in bytes.
 const maxDecimalLength = 20
 
-// ParseDecimal parses a plain decimal number from 0: no sign, exponent, hex or infinity.
+// ParseDecimal parses a plain non-negative decimal number: no sign, exponent, hexadecimal or infinity.
 func ParseDecimal(text string) (float64, bool) {
 	if text == "" || len(text) > maxDecimalLength || strings.Trim(text, "0123456789.") != "" {
 		return 0, false
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging builds the programs' loggers, and names the attributes that several packages log. A line stands for
-// a change of state, never for a request; its message is constant, and details are attributes.
+// Package logging creates the loggers of the programs, and defines the attribute keys that several packages log. A log
+// line reports a change of state, never a single request. Its message is constant; details are attributes.
 package logging
 
 import (
@@ -12,7 +12,7 @@
 	"mulleinmux/policy"
 )
 
-// The keys of attributes that more than one package logs.
+// Attribute keys that more than one package logs.
 const (
 	KeyAddress  = "address"
 	KeyCount    = "count"
@@ -28,15 +28,15 @@
 	KeyVersion  = "version"
 )
 
-// timeLayout is the layout of a line's time.
+// timeLayout is the time layout of log lines.
 const timeLayout = "2006-01-02T15:04:05.000000Z07:00"
 
-// New returns a logger that writes lines of text to w.
+// New returns a logger that writes text lines to w.
 func New(w io.Writer) *slog.Logger {
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{ReplaceAttr: formatTime}))
 }
 
-// formatTime gives a line's time microseconds.
+// formatTime formats the time of a log line to the microsecond.
 func formatTime(groups []string, attr slog.Attr) slog.Attr {
 	if len(groups) == 0 && attr.Key == slog.TimeKey && attr.Value.Kind() == slog.KindTime {
 		attr.Value = slog.StringValue(attr.Value.Time().Format(timeLayout))
@@ -44,7 +44,7 @@
 	return attr
 }
 
-// Error returns the attribute of an error.
+// Error returns an attribute with an error.
 func Error(err error) slog.Attr { return slog.Any(KeyError, err) }
 
 // PolicyEvent logs an event of the policy's engine.
@@ -64,20 +64,20 @@
 	logger.LogAttrs(context.Background(), level, event.Message(), attrs...)
 }
 
-// Panic logs a panic that was recovered, with the stack that names its cause.
+// Panic logs a recovered panic with its stack, which shows the cause.
 func Panic(logger *slog.Logger, recovered any, stack []byte) {
 	logger.Error("panic recovered", slog.Any(KeyError, recovered), slog.String(KeyStack, string(stack)))
 }
 
-// HTTPErrors returns the error log of an [net/http.Server], whose lines become warnings of logger.
+// HTTPErrors returns an error log for a [net/http.Server] that writes each line as a warning to logger.
 func HTTPErrors(logger *slog.Logger) *log.Logger {
 	return log.New(httpErrorWriter{logger}, "", 0)
 }
 
-// httpErrorWriter logs each line that it is written.
+// httpErrorWriter logs each line that is written to it.
 type httpErrorWriter struct{ logger *slog.Logger }
 
-// Write logs a line; it never fails.
+// Write implements [io.Writer]. It never fails.
 func (w httpErrorWriter) Write(line []byte) (int, error) {
 	w.logger.Warn("http server error", slog.String(KeyError, strings.TrimSpace(string(line))))
 	return len(line), nil
