--- a/cmd/simadapter/fixture_test.go
+++ b/cmd/simadapter/fixture_test.go
@@ -16,13 +16,13 @@
 	"testing"
 )
 
-// The recorded inputs under testdata are what the bench sent to this program on short days, cut at the end of a
-// batch. The replies are recorded, on purpose alone, with
+// The recorded inputs under testdata are what the bench sent to this program on short simulated days, cut at the end of
+// a batch. The replies are recorded again only with
 //
 //	go test ./cmd/simadapter -run TestRecordedTraces -update
-var update = flag.Bool("update", false, "record the replies to the traces in testdata anew")
+var update = flag.Bool("update", false, "record the replies to the traces in testdata again")
 
-// variant is a change to a trace: old is a regular expression, and new what its matches become.
+// variant is a change to a trace: old is a regular expression, and new replaces its matches.
 type variant struct{ name, old, new string }
 
 // apply returns the changed trace.
@@ -37,8 +37,9 @@
 	return changed
 }
 
-// variants are changes to a trace, mostly to the settings of its instances, under which it is played as well. The
-// events are then not those that a world would answer with; what the program makes of them is determined all the same.
+// variants are changes to a trace, mostly to the settings of its instances, under which it is replayed as well. The
+// changed events no longer match what the simulator would send after the program's replies, but the replies to them are
+// still deterministic.
 var variants = []variant{
 	{name: "as_recorded"},
 	{"hedging", `"parallelTries":false`, `"parallelTries":true`},
@@ -64,8 +65,8 @@
 	{"no_cancelling", `"cancel":true`, `"cancel":false`},
 }
 
-// linesPerMark is the number of lines of replies that one short mark in a recording stands for.
-const linesPerMark = 250
+// linesPerChecksum is the number of reply lines that each checksum in a recording covers.
+const linesPerChecksum = 250
 
 func TestRecordedTraces(t *testing.T) {
 	traces, err := filepath.Glob("testdata/*.in.gz")
@@ -76,28 +77,28 @@
 		name := strings.TrimSuffix(filepath.Base(path), ".in.gz")
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			playTrace(t, name)
+			replayTrace(t, name)
 		})
 	}
 }
 
-// playTrace plays a trace in parallel under all variants that change it.
-func playTrace(t *testing.T, name string) {
+// replayTrace replays a trace under all variants that change it, in parallel.
+func replayTrace(t *testing.T, name string) {
 	t.Helper()
 	input := string(unzip(t, filepath.Join("testdata", name+".in.gz")))
 	recording := filepath.Join("testdata", name+".replies.txt")
 	want := readRecording(t, recording)
 	lines := make([]string, len(variants)) // of the new recording
-	played := 0
+	replayed := 0
 	for i, v := range variants {
 		changed := v.apply(input)
 		if v.old != "" && changed == input {
-			continue // the trace is so already
+			continue // the variant does not change the trace
 		}
-		played++
+		replayed++
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
-			got := playedSummary(t, changed)
+			got := replySummary(t, changed)
 			lines[i] = v.name + " " + got + "\n"
 			if !*update {
 				compareSummaries(t, got, want[v.name])
@@ -106,13 +107,13 @@
 	}
 	if *update {
 		t.Cleanup(func() { writeRecording(t, recording, lines) }) // after the variants
-	} else if played != len(want) {
-		t.Errorf("%s: %d variants played, %d recorded", name, played, len(want))
+	} else if replayed != len(want) {
+		t.Errorf("%s: %d variants replayed, want the %d recorded", name, replayed, len(want))
 	}
 }
 
-// playedSummary returns the summary of the program's replies to a trace.
-func playedSummary(t *testing.T, trace string) string {
+// replySummary returns the summary of the program's replies to a trace.
+func replySummary(t *testing.T, trace string) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(strings.NewReader(trace), &out); err != nil {
@@ -143,29 +144,31 @@
 	return summaries
 }
 
-// summary is the SHA-256 of replies, and after it a short mark of each part of them, which tells where two differ.
+// summary returns the SHA-256 of replies, followed by a checksum of each part of them, which shows where two replies
+// differ.
 func summary(replies []byte) string {
 	words := []string{fmt.Sprintf("%x", sha256.Sum256(replies))}
 	lines := bytes.SplitAfter(replies, []byte("\n"))
-	for part := range slices.Chunk(lines, linesPerMark) {
+	for part := range slices.Chunk(lines, linesPerChecksum) {
 		words = append(words, fmt.Sprintf("%08x", crc32.ChecksumIEEE(bytes.Join(part, nil))))
 	}
 	return strings.Join(words, " ")
 }
 
-// compareSummaries names the first lines of the replies that differ from those recorded.
+// compareSummaries fails the test if the replies differ from the recorded ones, and reports the first part that
+// differs.
 func compareSummaries(t *testing.T, got, want string) {
 	t.Helper()
 	if got == want {
 		return
 	}
-	gotMarks, wantMarks := strings.Fields(got)[1:], strings.Fields(want + " -")[1:]
-	for i := range min(len(gotMarks), len(wantMarks)) {
-		if gotMarks[i] != wantMarks[i] {
-			t.Fatalf("the replies differ from those recorded from line %d to %d", i*linesPerMark+1, (i+1)*linesPerMark)
+	gotChecksums, wantChecksums := strings.Fields(got)[1:], strings.Fields(want + " -")[1:]
+	for i := range min(len(gotChecksums), len(wantChecksums)) {
+		if gotChecksums[i] != wantChecksums[i] {
+			t.Fatalf("replies differ from the recorded ones in lines %d to %d", i*linesPerChecksum+1, (i+1)*linesPerChecksum)
 		}
 	}
-	t.Fatalf("%d parts of replies, recorded %d", len(gotMarks), len(wantMarks))
+	t.Fatalf("got %d parts of replies, want the %d recorded", len(gotChecksums), len(wantChecksums))
 }
 
 func unzip(t *testing.T, path string) []byte {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts policy engines on the simulator's wire: batches of events on standard input, one reply each on
-// standard output. It decides nothing.
+// Command simadapter connects policy engines to the simulator. It reads batches of events from standard input and
+// writes one reply per batch to standard output. It makes no decisions of its own.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// host is the state of the process: its instances and the reply being written.
+// host holds the engines of all instances and the reply to the current batch.
 type host struct {
 	engines     map[int]*policy.Engine // by instance
 	now         time.Duration
@@ -29,7 +29,7 @@
 	reply       simwire.Reply
 }
 
-// run answers batches of events until the end of the input.
+// run replies to batches of events until the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	r := simwire.NewReader(in)
 	w := bufio.NewWriterSize(out, 1<<16)
@@ -60,7 +60,7 @@
 	}
 }
 
-// openBatch begins a batch of events at a time.
+// openBatch begins a batch of events that happen at time now.
 func (h *host) openBatch(now time.Duration) error {
 	if h.isBatchOpen {
 		return errors.New("CLOCK inside a batch")
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// deliver hands one event to an instance's engine; a panic of the engine is reported in the reply.
+// deliver passes one event to an instance's engine. A panic of the engine is reported in the reply.
 func (h *host) deliver(instance int, event func(*policy.Engine)) error {
 	engine, ok := h.engines[instance]
 	if !ok {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-const launch = `LAUNCH 3 99 {"instances":1,"me":0,` +
+const startLine = `LAUNCH 3 99 {"instances":1,"me":0,` +
 	`"lanes":[{"name":"c","idempotency":"retryable","onTime":1,"deadline":4}],` +
 	`"tariffs":[{"name":"p","quotaRate":2,"peakUnits":7}],"policyLimits":{"mostTries":3}}`
 
 func TestRun(t *testing.T) {
-	in := "CLOCK 8\nCOMMIT\nCLOCK 8.1\n" + launch + "\nPAGE 0 1\nITEM s.a IN 1 k z 0 -\nFLEET 3 1 0 Persisted\n" +
+	in := "CLOCK 8\nCOMMIT\nCLOCK 8.1\n" + startLine + "\nPAGE 0 1\nITEM s.a IN 1 k z 0 -\nFLEET 3 1 0 Persisted\n" +
 		"ACCEPT 3 rq_a c p 5 0.5 1 1 0 0\nCOMMIT\n"
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -19,7 +19,7 @@
 	}
 	if !strings.HasPrefix(out.String(), "FINISHED\n") || !strings.Contains(out.String(), "CALL_OUT 3 rq_a s.a ") ||
 		strings.Count(out.String(), "FINISHED\n") != 2 {
-		t.Errorf("%q", out.String())
+		t.Errorf("got output %q, want an empty reply and one that sends an attempt", out.String())
 	}
 }
 
@@ -32,12 +32,12 @@
 		"CLOCK 1\nCLOCK 2\n":              "line 2: CLOCK inside a batch",
 		"CLOCK 1\n":                       "line 1: input ends inside a batch",
 		"CLOCK 1\nLAUNCH 3 1 {}\n":        "line 2: settings: Instances is below 1",
-		"CLOCK 1\nTIMEOUT_FIRED 3 zero\n": `line 2: TIMEOUT_FIRED: bad ctx "zero"`,
+		"CLOCK 1\nTIMEOUT_FIRED 3 zero\n": `line 2: TIMEOUT_FIRED: invalid ctx "zero"`,
 	} {
 		t.Run(want, func(t *testing.T) {
 			err := run(strings.NewReader(in), &bytes.Buffer{})
 			if err == nil || err.Error() != want {
-				t.Errorf("%q: error %v, want %s", in, err, want)
+				t.Errorf("%q: got error %v, want %s", in, err, want)
 			}
 		})
 	}
--- a/internal/discovery/assembler.go
+++ b/internal/discovery/assembler.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// What is wrong with the text of a list.
+// The errors of a list that is not one complete JSON object.
 var (
-	errBreaksOff    = errors.New("breaks off")
-	errTrailingText = errors.New("has something behind its end")
-	errNoObject     = errors.New("is no object")
+	errTruncated    = errors.New("JSON object is truncated")
+	errTrailingText = errors.New("text after the end of the JSON object")
+	errNotObject    = errors.New("not a JSON object")
 )
 
-// objectAssembler puts together the lines of one JSON object, which may be indented over many.
+// objectAssembler joins the lines of one JSON object, which may be indented over several lines.
 type objectAssembler struct {
 	text      []byte
 	depth     int
@@ -20,16 +20,17 @@
 	isEscaped bool
 }
 
-// isOpen reports whether an object has begun.
+// isOpen reports whether an object has been started and not taken yet.
 func (a *objectAssembler) isOpen() bool { return len(a.text) > 0 }
 
-// addLine adds a line, with no space around it, and reports whether the object is complete.
+// addLine adds a line without surrounding white space and reports whether the object is complete. The line must not be
+// empty.
 func (a *objectAssembler) addLine(line []byte) (isComplete bool, err error) {
 	if !a.isOpen() && line[0] != '{' {
-		return false, errNoObject
+		return false, errNotObject
 	}
 	if len(a.text)+len(line) > maxListBytes {
-		return false, fmt.Errorf("over %d bytes", maxListBytes)
+		return false, fmt.Errorf("longer than the limit of %d bytes", maxListBytes)
 	}
 	a.text = append(a.text, line...)
 	for i, c := range line {
@@ -48,8 +49,8 @@
 			}
 		}
 	}
-	if a.inString { // no string goes on in the next line
-		return false, errBreaksOff
+	if a.inString { // a JSON string can't contain a line break
+		return false, errTruncated
 	}
 	return a.depth <= 0, nil
 }
--- a/internal/discovery/endpoint.go
+++ b/internal/discovery/endpoint.go
@@ -11,24 +11,24 @@
 	"mulleinmux/policy"
 )
 
-// maxListBytes bounds one watch event.
+// maxListBytes is the size limit of one watch event.
 const maxListBytes = 4 << 20
 
-// EndpointList is one watch event: the list of app servers, or the entries that changed.
+// EndpointList is one watch event: the complete endpoint list, or only the entries that changed.
 type EndpointList struct {
 	Generation uint64
-	IsComplete bool // a server missing from the list is gone
+	IsComplete bool // servers that are not in Servers have been removed
 	Servers    []Endpoint
 }
 
-// Endpoint is one app server and where it listens.
+// Endpoint is one app server and the address that it listens on.
 type Endpoint struct {
 	policy.Server
 	Addr netip.AddrPort
 }
 
-// ParseEndpointList parses one watch event. An invalid entry is skipped, or one would cost all others; the
-// errors in skipped name each.
+// ParseEndpointList parses one watch event. An invalid entry is skipped, so that it does not invalidate the others;
+// skipped has an error for each, with its index and field.
 func ParseEndpointList(text []byte) (list EndpointList, skipped []error, err error) {
 	var raw struct {
 		Generation uint64
@@ -50,7 +50,7 @@
 	return list, skipped, nil
 }
 
-// endpointEntry is an entry of a watch event as it is written.
+// endpointEntry is the JSON form of an entry of a watch event.
 type endpointEntry struct {
 	InstanceID  string
 	HostPort    string
@@ -62,20 +62,20 @@
 	StartedAtMs float64
 }
 
-// maxStartedAtMs is the latest start that a time.Duration holds, in milliseconds.
+// maxStartedAtMs is the latest start time that a time.Duration can hold, in milliseconds.
 const maxStartedAtMs = math.MaxInt64 / float64(time.Millisecond)
 
-// parseEndpoint parses one entry; an error names the field.
+// parseEndpoint parses one entry. The error of an invalid value names the field.
 func parseEndpoint(text []byte) (Endpoint, error) {
 	var entry endpointEntry
 	if err := json.Unmarshal(text, &entry); err != nil {
 		if typeErr, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
-			return Endpoint{}, fmt.Errorf("%s: is a %s", typeErr.Field, typeErr.Value)
+			return Endpoint{}, fmt.Errorf("%s: wrong JSON type: %s", typeErr.Field, typeErr.Value)
 		}
 		return Endpoint{}, err
 	}
 	if entry.InstanceID == "" {
-		return Endpoint{}, errors.New("instanceId: is empty")
+		return Endpoint{}, errors.New("instanceId: must not be empty")
 	}
 	state, err := parseLifecycle(entry.Lifecycle)
 	if err != nil {
@@ -103,23 +103,23 @@
 	return Endpoint{Server: server, Addr: addr}, nil
 }
 
-// lifecycles has the meaning of the words for a server's state.
+// lifecycles maps the lifecycle field to the server's state.
 var lifecycles = map[string]policy.ServerState{
 	"up":       policy.Up,
 	"draining": policy.Draining,
 	"removed":  policy.Removed,
 }
 
-// parseLifecycle parses the word for a server's state.
+// parseLifecycle returns the server's state for a value of the lifecycle field.
 func parseLifecycle(word string) (policy.ServerState, error) {
 	state, isKnown := lifecycles[word]
 	if !isKnown {
-		return 0, fmt.Errorf("lifecycle: unknown word %q", word)
+		return 0, fmt.Errorf("lifecycle: unknown state %q (want up, draining or removed)", word)
 	}
 	return state, nil
 }
 
-// ParseAddress parses an address with a port; an error names the field.
+// ParseAddress parses an IP address with a port, the value of the named field. The error names the field.
 func ParseAddress(field, v string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(v)
 	if err != nil {
--- a/internal/discovery/watch_limits.go
+++ b/internal/discovery/watch_limits.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// SilenceTimeout is how long a watch may say nothing: a line comes every 2 s, and what is published counts as known
-// 6 s later.
+// SilenceTimeout is how long a watch may receive nothing. The server sends a line every 2 s, and a node is expected to
+// act on a list 6 s after its publication.
 const SilenceTimeout = 3 * time.Second
 
 const (
-	// localConnectTimeout is for a connection on one machine, which is made at once or not at all.
+	// localConnectTimeout limits the connection to a local agent, which on one machine succeeds or fails at once.
 	localConnectTimeout = 250 * time.Millisecond
-	// localFirstLineTimeout is for the first line of a watch, of a local agent that is up.
+	// localFirstLineTimeout limits the time until a local agent sends the first data of a watch.
 	localFirstLineTimeout = time.Second
-	// maxListSilences is how many silence timeouts one list may take to come, in pieces.
+	// maxListSilences limits the time that one list may take to arrive, in multiples of the silence timeout.
 	maxListSilences = 4
 )
 
-// Why a watch is given up, beside the errors of its connection and malformedListError.
+// The reasons to end a watch, besides the errors of its connection and malformedListError.
 var (
-	errSilent   = errors.New("silent for too long")
-	errSlowList = errors.New("a list comes too slowly")
+	errSilent   = errors.New("watch received no data before its timeout")
+	errSlowList = errors.New("endpoint list took too long to arrive")
 )
 
-// watchLimits says when a watch is given up.
+// watchLimits holds the time limits of a watch.
 type watchLimits struct {
-	connect   time.Duration // for its connection to be made
-	firstLine time.Duration // from its beginning to the first piece of its stream
+	connect   time.Duration // to establish the connection
+	firstLine time.Duration // from the start of the watch to the first piece of its stream
 	silence   time.Duration // between two pieces
-	list      time.Duration // from the first piece of one list to its last
+	list      time.Duration // from the first piece of a list to its last
 }
 
-// newWatchLimits returns the limits of a watch. A local agent answers at once while it is up, so that less time is lost
-// on one that is down.
+// newWatchLimits returns the limits of a watch. They are shorter for a local agent: it responds at once while it is up,
+// and a long wait for one that is down would only lose time.
 func newWatchLimits(silence time.Duration, isLocalAgent bool) watchLimits {
 	limits := watchLimits{connect: silence, firstLine: silence, silence: silence, list: maxListSilences * silence}
 	if isLocalAgent {
@@ -46,49 +46,50 @@
 	return limits
 }
 
-// watchdog gives up a watch that goes over its limits. Each piece of its stream is a sign of life, but one list may not
-// come for ever. The goroutine that reads the stream owns it.
+// watchdog cancels a watch that exceeds its limits. Each piece of the stream restarts the silence timeout, but one list
+// must arrive within a limit of its own, however steadily its pieces come. The watchdog is used by the goroutine that
+// reads the stream.
 type watchdog struct {
 	limits        watchLimits
-	giveUp        context.CancelCauseFunc // takes errSilent or errSlowList
-	silence       *time.Timer             // runs out with the silence that is allowed
-	listStartedAt time.Time               // when the first piece of the present list came; zero: between lists
+	cancel        context.CancelCauseFunc // cancels the watch with errSilent or errSlowList
+	silence       *time.Timer             // fires when the silence limit is exceeded
+	listStartedAt time.Time               // when the first piece of the current list arrived; zero between lists
 }
 
-// startWatchdog starts a watchdog at the beginning of a watch. Its caller stops it.
-func startWatchdog(limits watchLimits, giveUp context.CancelCauseFunc) *watchdog {
+// startWatchdog starts a watchdog for a new watch. The caller must call stop.
+func startWatchdog(limits watchLimits, cancel context.CancelCauseFunc) *watchdog {
 	return &watchdog{
 		limits:  limits,
-		giveUp:  giveUp,
-		silence: time.AfterFunc(limits.firstLine, func() { giveUp(errSilent) }),
+		cancel:  cancel,
+		silence: time.AfterFunc(limits.firstLine, func() { cancel(errSilent) }),
 	}
 }
 
-// stop ends the wait for signs of life.
+// stop stops the silence timer.
 func (d *watchdog) stop() { d.silence.Stop() }
 
-// pieceReceived takes in that a piece of the stream came: the silence begins anew, and a list that is overdue ends the
-// watch.
+// pieceReceived handles a piece of the stream: it restarts the silence timeout, and cancels the watch if the current
+// list has taken too long.
 func (d *watchdog) pieceReceived(piece []byte) {
 	if d.listStartedAt.IsZero() && len(bytes.TrimSpace(piece)) > 0 {
 		d.listStartedAt = time.Now()
 	}
 	d.silence.Reset(d.limits.silence)
 	if !d.listStartedAt.IsZero() && time.Since(d.listStartedAt) > d.limits.list {
-		d.giveUp(errSlowList)
+		d.cancel(errSlowList)
 	}
 }
 
-// listCompleted takes in that the present list has come to its end.
+// listCompleted records that the current list has been received in full.
 func (d *watchdog) listCompleted() { d.listStartedAt = time.Time{} }
 
-// guardedReader reads a stream and tells a watchdog of each piece.
+// guardedReader is a reader that reports each piece read to a watchdog.
 type guardedReader struct {
 	io.Reader
 	watchdog *watchdog
 }
 
-// Read reads the next piece.
+// Read implements io.Reader.
 func (r guardedReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
 	if n > 0 {
--- a/internal/discovery/watch_limits_test.go
+++ b/internal/discovery/watch_limits_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A local agent is up or down, so that it is given up sooner; no limit is longer than the silence that is allowed.
+// The limits for a local agent are shorter, since it responds at once or is down. Its connection and its first data
+// must not take longer than the silence timeout.
 func TestWatchLimits(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
@@ -24,21 +25,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := newWatchLimits(c.silence, c.isLocalAgent); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("got limits %+v, want %+v", got, c.want)
 			}
 		})
 	}
 }
 
-// watchdogCase is a stream of one piece a second, and when it is given up.
+// watchdogCase is a stream of one piece per second, with the time and the reason of its cancellation.
 type watchdogCase struct {
-	pieces       []string
-	completesAll bool // each piece is a list
-	givenUpAfter time.Duration
-	want         error
+	pieces         []string
+	completesAll   bool // each piece is a complete list
+	cancelledAfter time.Duration
+	want           error
 }
 
-// Pieces are signs of life, and blank ones begin no list; a list that takes too long ends the watch all the same.
+// Each piece restarts the silence timeout, and a blank piece does not start a list. A list that takes too long cancels
+// the watch even if its pieces keep arriving.
 func TestWatchdog(t *testing.T) {
 	for name, c := range map[string]watchdogCase{
 		"nothing comes":         {nil, false, time.Second, errSilent},
@@ -51,7 +53,7 @@
 	}
 }
 
-// run brings the stream to a watchdog, in virtual time, until that gives up.
+// run passes the stream to a watchdog in virtual time and checks when and why the watch is cancelled.
 func (c watchdogCase) run(t *testing.T) {
 	limits := watchLimits{firstLine: 1100 * time.Millisecond, silence: 3 * time.Second, list: 4500 * time.Millisecond}
 	ctx, cancel := context.WithCancelCause(t.Context())
@@ -71,14 +73,14 @@
 	}
 	<-ctx.Done()
 	if got := context.Cause(ctx); got != c.want {
-		t.Errorf("given up: %v, want %v", got, c.want)
+		t.Errorf("watch cancelled with %v, want %v", got, c.want)
 	}
-	if took := time.Since(startedAt).Truncate(time.Second); took != c.givenUpAfter {
-		t.Errorf("given up after %v, want %v", took, c.givenUpAfter)
+	if took := time.Since(startedAt).Truncate(time.Second); took != c.cancelledAfter {
+		t.Errorf("watch cancelled after %v, want %v", took, c.cancelledAfter)
 	}
 }
 
-// At a local agent the next watch is opened at once, but after a list that can't be read.
+// The next watch of a local agent is opened after the short retry delay, except after a malformed list.
 func TestPollSchedule(t *testing.T) {
 	for name, c := range map[string]struct {
 		isLocalAgent bool
@@ -86,20 +88,20 @@
 		want         []time.Duration
 	}{
 		"local agent": {true,
-			[]watchOutcome{watchUnheard, watchUnheard, watchHeard},
+			[]watchOutcome{watchNothingReceived, watchNothingReceived, watchReceived},
 			[]time.Duration{localRetryDelay, localRetryDelay, localRetryDelay}},
 		"local agent with malformed lists": {true,
-			[]watchOutcome{watchMalformed, watchMalformed, watchUnheard, watchMalformed},
+			[]watchOutcome{watchMalformed, watchMalformed, watchNothingReceived, watchMalformed},
 			[]time.Duration{minBackoff, 2 * minBackoff, localRetryDelay, 2 * minBackoff}},
 		"server": {false,
-			[]watchOutcome{watchHeard, watchUnheard, watchMalformed, watchHeard},
+			[]watchOutcome{watchReceived, watchNothingReceived, watchMalformed, watchReceived},
 			[]time.Duration{minBackoff, 2 * minBackoff, 4 * minBackoff, minBackoff}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			schedule := newPollSchedule(c.isLocalAgent, nil)
+			schedule := newRetrySchedule(c.isLocalAgent, nil)
 			for i, outcome := range c.outcomes {
 				if got := schedule.nextDelay(outcome); got != c.want[i] {
-					t.Errorf("delay %d: %v, want %v", i, got, c.want[i])
+					t.Errorf("delay %d: got %v, want %v", i, got, c.want[i])
 				}
 			}
 		})
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of app servers that a discovery server or a node's own agent publishes:
-// it reads the list and its changes as watch events (HTTP/1.1, one JSON object a line).
+// Package discovery watches the endpoint list that a discovery server or a local agent on the node publishes. It reads
+// the list and its changes as watch events: JSON objects, usually one per line, in the body of an HTTP/1.1 response.
 package discovery
 
 import (
@@ -18,54 +18,56 @@
 	"mulleinmux/internal/logging"
 )
 
-// malformedListError is returned for a list that can't be read.
+// malformedListError is returned for an endpoint list that can't be parsed.
 type malformedListError struct{ err error }
 
-// Error says what is wrong with the list.
-func (e *malformedListError) Error() string { return "malformed list: " + e.err.Error() }
+// Error implements error.
+func (e *malformedListError) Error() string { return "malformed endpoint list: " + e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *malformedListError) Unwrap() error { return e.err }
 
-// Watcher follows the changes of the list of app servers. Its exported fields are set before Run.
+// Watcher watches the endpoint list of one discovery server or local agent. Its exported fields are set before Run.
 type Watcher struct {
 	// Addr is the address of the discovery server or agent.
 	Addr netip.AddrPort
-	// SilenceTimeout is the constant [SilenceTimeout] but in tests.
+	// SilenceTimeout is how long a watch may receive nothing. It is the constant [SilenceTimeout] except in tests.
 	SilenceTimeout time.Duration
-	// LastGeneration is the version of the list that is held; 0: none.
+	// LastGeneration is the version of the endpoint list received last, or 0 if there is none.
 	LastGeneration uint64
-	// IsLocalAgent says that Addr is an agent on this machine, to which lists are pushed, and not a server
-	// that a whole tier asks.
+	// IsLocalAgent is true if Addr is an agent on this machine, to which lists are pushed. Otherwise Addr is a
+	// discovery server that all nodes of the tier watch.
 	IsLocalAgent bool
-	// Backoff paces the calls of a server that is no local agent; nil: that of a single node.
+	// Backoff delays the retries at a discovery server; nil means the backoff of a tier of one node. It is not used
+	// with a local agent.
 	Backoff *Backoff
-	// OnList is called by Run, one list at a time.
+	// OnList is called by Run for each list received. Calls do not overlap.
 	OnList func(EndpointList)
-	// OnFailure is called by Run after a watch on which nothing was heard; may be nil.
+	// OnFailure is called by Run after a watch that received neither a list nor a heartbeat, or that ended with a
+	// malformed list. It may be nil.
 	OnFailure func()
-	// Logger is told where the watch ends and resumes.
+	// Logger receives the events of the watch: its end, its resumption and skipped endpoints.
 	Logger *slog.Logger
 
-	isDisconnected bool // the latest watch ended and nothing has been heard since; Run's own
+	isDisconnected bool // the last watch ended and no line has been received since; used by Run's goroutine only
 }
 
-// Run watches until ctx ends, and asks for no list after that. A watch that breaks, ends or is given up is opened again
-// from the version held, after the delay that [pollSchedule] gives.
+// Run watches the endpoint list until ctx is done, and sends no request after that. When a watch fails, ends or exceeds
+// its limits, Run opens a new one from the version received last, after the delay that [retrySchedule] returns.
 func (w *Watcher) Run(ctx context.Context) {
 	limits := newWatchLimits(w.SilenceTimeout, w.IsLocalAgent)
-	schedule := newPollSchedule(w.IsLocalAgent, w.Backoff)
+	schedule := newRetrySchedule(w.IsLocalAgent, w.Backoff)
 	client := newClient(limits.connect)
 	for {
 		outcome, err := w.watch(ctx, client, limits)
 		if ctx.Err() != nil {
 			return
 		}
-		if !w.isDisconnected { // one line for an outage, however often the watch is tried
+		if !w.isDisconnected { // log an outage once, however often the watch is retried
 			w.isDisconnected = true
 			w.Logger.Warn("discovery watch ended", logging.Error(err))
 		}
-		if outcome != watchHeard && w.OnFailure != nil {
+		if outcome != watchReceived && w.OnFailure != nil {
 			w.OnFailure()
 		}
 		select {
@@ -76,7 +78,7 @@
 	}
 }
 
-// newClient returns a client that makes a connection for each watch.
+// newClient returns an HTTP client that opens a new connection for each watch.
 func newClient(connectTimeout time.Duration) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:       (&net.Dialer{Timeout: connectTimeout}).DialContext,
@@ -84,17 +86,17 @@
 	}}
 }
 
-// watchOutcome is what came of a watch that has ended.
+// watchOutcome tells what a watch received before it ended.
 type watchOutcome int
 
 // The outcomes of a watch.
 const (
-	watchUnheard   watchOutcome = iota // nothing was heard on it
-	watchHeard                         // a list or a sign of life was heard
-	watchMalformed                     // it ended with a list that can't be read, which may come again
+	watchNothingReceived watchOutcome = iota // neither a list nor a heartbeat was received
+	watchReceived                            // at least one list or heartbeat was received
+	watchMalformed                           // it ended with a malformed list, which the server may send again
 )
 
-// watch follows one watch to its end, which always has a reason.
+// watch opens one watch and reads it until it ends. The error is never nil: it is the reason for the end.
 func (w *Watcher) watch(
 	ctx context.Context, client *http.Client, limits watchLimits,
 ) (outcome watchOutcome, err error) {
@@ -109,24 +111,24 @@
 	}()
 	events, err := w.open(ctx, client)
 	if err != nil {
-		return watchUnheard, err
+		return watchNothingReceived, err
 	}
 	defer events.Close()
-	hasHeard, err := w.readLists(guardedReader{events, watchdog}, watchdog.listCompleted)
+	hasReceived, err := w.readLists(guardedReader{events, watchdog}, watchdog.listCompleted)
 	if _, isMalformed := errors.AsType[*malformedListError](err); isMalformed {
-		w.LastGeneration = 0 // what the list said is lost: only the complete one makes up for it
+		w.LastGeneration = 0 // the changes in the malformed list are lost, so the next watch requests the complete list
 		return watchMalformed, err
 	}
-	if hasHeard {
-		return watchHeard, err
+	if hasReceived {
+		return watchReceived, err
 	}
-	return watchUnheard, err
+	return watchNothingReceived, err
 }
 
-// watchURLFormat takes the address of the discovery server or agent and the version held.
+// watchURLFormat takes the address of the discovery server or agent and the version received last.
 const watchURLFormat = "http://%s/registry/instances?watch=1&from=%d"
 
-// open requests the changes since the version held, and returns the stream of events.
+// open requests the changes since the version received last and returns the stream of watch events.
 func (w *Watcher) open(ctx context.Context, client *http.Client) (io.ReadCloser, error) {
 	url := fmt.Sprintf(watchURLFormat, w.Addr, w.LastGeneration)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -139,14 +141,14 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		return nil, fmt.Errorf("status %s", resp.Status)
+		return nil, fmt.Errorf("discovery server responded with status %s", resp.Status)
 	}
 	return resp.Body, nil
 }
 
-// readLists hands on the lists of a watch until its stream ends, and calls listCompleted at the end of each. An empty
-// line is a sign of life between lists; a list may be indented over several lines.
-func (w *Watcher) readLists(stream io.Reader, listCompleted func()) (hasHeard bool, err error) {
+// readLists applies the lists of a watch until its stream ends, and calls listCompleted when a list has been received
+// in full. An empty line between lists is a heartbeat; a list may be indented over several lines.
+func (w *Watcher) readLists(stream io.Reader, listCompleted func()) (hasReceived bool, err error) {
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(nil, maxListBytes)
 	var object objectAssembler
@@ -157,43 +159,43 @@
 			w.Logger.Info("discovery watch resumed")
 		}
 		if len(line) == 0 {
-			if hasHeard = true; object.isOpen() {
-				return hasHeard, &malformedListError{errBreaksOff}
+			if hasReceived = true; object.isOpen() {
+				return hasReceived, &malformedListError{errTruncated}
 			}
 			continue
 		}
 		isComplete, err := object.addLine(line)
 		if err != nil {
-			return hasHeard, &malformedListError{err}
+			return hasReceived, &malformedListError{err}
 		}
 		if !isComplete {
 			continue
 		}
 		listCompleted()
 		if err := w.applyList(object.take()); err != nil {
-			return hasHeard, &malformedListError{err}
+			return hasReceived, &malformedListError{err}
 		}
-		hasHeard = true
+		hasReceived = true
 	}
 	err = lines.Err()
 	switch {
 	case errors.Is(err, bufio.ErrTooLong):
-		return hasHeard, &malformedListError{err}
+		return hasReceived, &malformedListError{err}
 	case err != nil:
-		return hasHeard, err
+		return hasReceived, err
 	case object.isOpen():
-		return hasHeard, &malformedListError{io.ErrUnexpectedEOF}
+		return hasReceived, &malformedListError{io.ErrUnexpectedEOF}
 	}
-	return hasHeard, io.EOF
+	return hasReceived, io.EOF
 }
 
-// applyList parses one list and hands it on.
+// applyList parses one list and passes it to OnList.
 func (w *Watcher) applyList(text []byte) error {
 	list, skipped, err := ParseEndpointList(text)
 	if err != nil {
 		return err
 	}
-	if len(skipped) > 0 { // one line for each list, however many entries
+	if len(skipped) > 0 { // log once per list, however many entries are skipped
 		w.Logger.Warn("endpoints skipped", slog.Int(logging.KeyCount, len(skipped)), logging.Error(skipped[0]))
 	}
 	w.LastGeneration = list.Generation
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -18,8 +18,9 @@
 
 const testTimeout = 30 * time.Second
 
-// startAgent serves watches over a real connection, the n-th by script(n, ...), until gone is closed; w sends what is
-// written at once.
+// startAgent starts an agent that serves watches over real connections and returns a watcher for it. Watch number n,
+// counted from 1, is served by script(n, ...); writes to w are sent at once, and gone is closed when the watcher
+// disconnects.
 func startAgent(t *testing.T, script func(n int, from string, w io.Writer, gone <-chan struct{})) *Watcher {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,16 +47,16 @@
 	return n, err
 }
 
-// startWatcher runs the follower and gives the lists that it hands on.
-func startWatcher(t *testing.T, f *Watcher) <-chan EndpointList {
+// startWatcher runs the watcher until the end of the test and returns a channel of the lists that it receives.
+func startWatcher(t *testing.T, watcher *Watcher) <-chan EndpointList {
 	t.Helper()
 	lists := make(chan EndpointList, 100)
-	f.OnList = func(l EndpointList) { lists <- l }
+	watcher.OnList = func(l EndpointList) { lists <- l }
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		f.Run(ctx)
+		watcher.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -70,7 +71,7 @@
 	case l := <-lists:
 		return l
 	case <-time.After(testTimeout):
-		t.Fatal("no list comes")
+		t.Fatal("no endpoint list received in time")
 		return EndpointList{}
 	}
 }
@@ -81,17 +82,18 @@
 		`{"instanceId":"b","hostPort":"127.0.0.1:8","lifecycle":"draining"}]}`, generation)
 }
 
-// What a silent agent has at its return counts as known at once: at any size of the tier the node asks it again soon.
+// A node is expected to act on what an agent publishes as soon as the agent responds again. A silent agent is therefore
+// watched again soon, whatever the size of the tier.
 func TestSilentAgentIsPolledAgainAtOnce(t *testing.T) {
 	for _, nodes := range []int{1, 80, 300, 1000} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			t.Parallel()
 			const silent = 100 * time.Millisecond
-			f := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
+			watcher := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
 				switch n {
 				case 1: // opened and silent
 				case 2:
-					io.WriteString(w, "\n") // silent after a sign of life
+					io.WriteString(w, "\n") // silent after a heartbeat
 				case 3, 4, 5:
 					io.WriteString(w, listText(8)[:40]) // silent in the middle of a list
 				default:
@@ -99,23 +101,23 @@
 				}
 				<-gone
 			})
-			f.SilenceTimeout, f.Backoff = silent, NewBackoff(nodes, 3)
+			watcher.SilenceTimeout, watcher.Backoff = silent, NewBackoff(nodes, 3)
 			startedAt := time.Now()
-			if l := nextList(t, startWatcher(t, f)); l.Generation != 9 {
-				t.Errorf("list %+v", l)
+			if l := nextList(t, startWatcher(t, watcher)); l.Generation != 9 {
+				t.Errorf("got list %+v, want version 9", l)
 			}
 			if took := time.Since(startedAt); took > 2200*time.Millisecond {
-				t.Errorf("%d nodes: the list came after %v, with five silences of %v", nodes, took, silent)
+				t.Errorf("%d nodes: list received after %v, with five silence timeouts of %v", nodes, took, silent)
 			}
 		})
 	}
 }
 
-// An agent that says nothing on a new watch is given up well before one that has fallen silent: both
-// together stay inside the 6 s after which a list counts as known.
+// An agent that sends nothing on a new watch is given up well before one that falls silent later. Both timeouts
+// together stay below the 6 s within which a node must act on a published list.
 func TestTwoSilencesInARow(t *testing.T) {
 	t.Parallel()
-	f := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
+	watcher := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
 		switch n {
 		case 1:
 			io.WriteString(w, listText(8)+"\n")
@@ -125,42 +127,41 @@
 		}
 		<-gone
 	})
-	lists := startWatcher(t, f)
+	lists := startWatcher(t, watcher)
 	nextList(t, lists)
 	silentSince := time.Now()
 	nextList(t, lists)
 	if took := time.Since(silentSince); took > 5500*time.Millisecond {
-		t.Errorf("the next list came %v after the watch had fallen silent", took)
+		t.Errorf("next list received %v after the watch fell silent, want at most 5.5s", took)
 	}
 }
 
-// A list may come indented, over many lines and in pieces with pauses, and counts once it is complete.
+// A list may be indented over many lines or arrive in pieces with pauses; it is applied once it is complete.
 func TestListsInOtherForms(t *testing.T) {
 	t.Parallel()
 	var wide bytes.Buffer
 	if err := json.Indent(&wide, []byte(listText(8)), "", "\t"); err != nil {
 		t.Fatal(err)
 	}
-	f := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
+	watcher := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
 		fmt.Fprintf(w, "\n%s\n\n%s\r\n", wide.String(), strings.ReplaceAll(listText(9), ",", " ,\n"))
-		for piece := range strings.SplitAfterSeq(listText(10), ",") { // longer than a silence in all
+		for piece := range strings.SplitAfterSeq(listText(10), ",") { // takes longer than the silence timeout in total
 			io.WriteString(w, piece)
 			time.Sleep(60 * time.Millisecond)
 		}
 		io.WriteString(w, "\n")
 		<-gone
 	})
-	f.SilenceTimeout = 200 * time.Millisecond
-	lists := startWatcher(t, f)
+	watcher.SilenceTimeout = 200 * time.Millisecond
+	lists := startWatcher(t, watcher)
 	for want := uint64(8); want <= 10; want++ {
 		if l := nextList(t, lists); l.Generation != want || len(l.Servers) != 2 || l.Servers[0].ID != `a "{[` {
-			t.Fatalf("list %+v, want version %d", l, want)
+			t.Fatalf("got list %+v, want version %d with two servers", l, want)
 		}
 	}
 }
 
-// What was said is lost with a list that breaks off: the complete list is requested. Nothing of the truncated
-// one counts.
+// The changes in a malformed list are lost: the watcher applies no part of it and requests the complete list.
 func TestTruncatedListsAreRequestedAgain(t *testing.T) {
 	for name, truncated := range map[string]string{
 		"before a sign of life": listText(8)[:60] + "\n\n",
@@ -174,7 +175,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			froms, startedAt := make(chan string, 10), time.Now()
-			f := startAgent(t, func(n int, from string, w io.Writer, gone <-chan struct{}) {
+			watcher := startAgent(t, func(n int, from string, w io.Writer, gone <-chan struct{}) {
 				froms <- from
 				if n > 1 {
 					io.WriteString(w, listText(9)+"\n")
@@ -183,27 +184,27 @@
 				}
 				<-gone
 			})
-			f.LastGeneration, f.Backoff = 7, NewBackoff(300, 3)
-			if l := nextList(t, startWatcher(t, f)); l.Generation != 9 {
-				t.Errorf("a truncated list counted: %+v", l)
+			watcher.LastGeneration, watcher.Backoff = 7, NewBackoff(300, 3)
+			if l := nextList(t, startWatcher(t, watcher)); l.Generation != 9 {
+				t.Errorf("malformed list was applied: got %+v, want version 9", l)
 			}
-			// An agent serves this node alone: there is no queue that calls of a tier could lengthen.
+			// An agent serves only this node, so there is no queue of a tier's calls that a retry could lengthen.
 			if took := time.Since(startedAt); took > 2200*time.Millisecond {
-				t.Errorf("the next list came after %v", took)
+				t.Errorf("next list received after %v, want at most 2.2s", took)
 			}
 			if a, b := <-froms, <-froms; a != "7" || b != "0" {
-				t.Errorf("asked from %s and %s, want 7 and 0", a, b)
+				t.Errorf("watches requested from versions %s and %s, want 7 and 0", a, b)
 			}
 		})
 	}
 }
 
-// One list may not take for ever, however steadily its pieces come.
+// The watch of a list that never ends is given up, however steadily its pieces arrive.
 func TestEndlessList(t *testing.T) {
 	for name, end := range map[string]string{"indented": "\n", "in one line": ""} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
+			watcher := startAgent(t, func(n int, _ string, w io.Writer, gone <-chan struct{}) {
 				if n > 1 {
 					io.WriteString(w, listText(9)+"\n")
 					<-gone
@@ -219,15 +220,15 @@
 					}
 				}
 			})
-			f.SilenceTimeout = 50 * time.Millisecond
-			if l := nextList(t, startWatcher(t, f)); l.Generation != 9 {
-				t.Errorf("list %+v", l)
+			watcher.SilenceTimeout = 50 * time.Millisecond
+			if l := nextList(t, startWatcher(t, watcher)); l.Generation != 9 {
+				t.Errorf("got list %+v, want version 9", l)
 			}
 		})
 	}
 }
 
-// One line tells of an outage, one of its end, and one of all entries that a list leaves out.
+// The watcher logs one line for an outage, one for its end, and one for all entries of a list that it skips.
 func TestWatcherLogsChangesOfState(t *testing.T) {
 	t.Parallel()
 	const bad = `{"generation":9,"reset":true,"instances":[{"instanceId":"a","hostPort":"nowhere","lifecycle":"up"},` +
@@ -250,10 +251,10 @@
 		{"endpoints skipped", `count=2 error="instances[0].`},
 	} {
 		if !logs.HasLine(line.message, line.detail) {
-			t.Errorf("never logged %q with %q", line.message, line.detail)
+			t.Errorf("no log line with message %q and %q", line.message, line.detail)
 		}
 	}
 	if n := strings.Count(logs.String(), "\n"); n != 3 {
-		t.Errorf("%d lines:\n%s", n, &logs)
+		t.Errorf("got %d log lines, want 3:\n%s", n, &logs)
 	}
 }
--- a/internal/serverpool/conntable/acquire.go
+++ b/internal/serverpool/conntable/acquire.go
@@ -8,30 +8,30 @@
 
 // The errors of [Table.Acquire].
 var (
-	ErrServerNotUp  = errors.New("server is not up in the list")
-	ErrNoDescriptor = errors.New("no descriptor left for a connection")
+	ErrServerNotUp  = errors.New("server is not up in the endpoint list")
+	ErrNoDescriptor = errors.New("limit of open connections reached and none is idle")
 )
 
-// StepKind says what the caller does next for a connection.
+// StepKind is the action that the caller takes next to get a connection.
 type StepKind int
 
-// The kinds of a step.
+// The kinds of steps.
 const (
-	Reuse  StepKind = iota // use Conn, if it is as it was left; else close it, report it as closed and acquire again
-	Expire                 // close Conn, report it as closed and acquire again
-	Dial                   // close Evicted, then dial Server, which is counted as open
+	Reuse  StepKind = iota // use Conn if it is quiet; otherwise close it, call [Table.RecordClosed] and acquire again
+	Expire                 // close Conn, call [Table.RecordClosed] and acquire again
+	Dial                   // close Evicted, then dial Server; the new connection is already counted as open
 )
 
-// Step is what [Table.Acquire] asks for.
+// Step is the result of [Table.Acquire].
 type Step[C any] struct {
 	Kind    StepKind
-	Conn    *Conn[C]
-	Server  *Server[C]
-	Evicted *Conn[C] // nil: none
+	Conn    *Conn[C]   // set for Reuse and Expire
+	Server  *Server[C] // set for Dial
+	Evicted *Conn[C]   // may be set for Dial
 }
 
-// Acquire decides how to get a connection to a server, by its ID: the idle one used last that may be used again, or a
-// new one. The error says why there is none: the server is not up, or no descriptor is left.
+// Acquire decides how to get a connection to the server with the given ID: by reusing the most recently used idle one
+// that is reusable, or by dialling a new one. The error is ErrServerNotUp or ErrNoDescriptor.
 func (t *Table[C]) Acquire(now time.Time, id string) (Step[C], error) {
 	server := t.servers[id]
 	if server == nil || !server.isUp {
@@ -51,8 +51,9 @@
 	return Step[C]{Kind: Dial, Server: server, Evicted: evicted}, nil
 }
 
-// takeLatestIdle returns the idle connection used last that has been idle for at least minIdleTime, which is no longer
-// its server's, or nil. With little traffic the others time out.
+// takeLatestIdle removes and returns the most recently used connection that has been idle for at least minIdleTime, or
+// nil if there is none. Since the most recently used one is preferred, the others time out when there is little
+// traffic.
 func (s *Server[C]) takeLatestIdle(now time.Time, minIdleTime time.Duration) *Conn[C] {
 	for n := len(s.idle) - 1; n >= 0; n-- {
 		if conn := s.idle[n]; now.Sub(conn.idleSince) >= minIdleTime {
@@ -63,9 +64,8 @@
 	return nil
 }
 
-// reserveDial decides whether a connection may be dialled, which then counts as open. At the limit of descriptors the
-// connection that has been idle for longest is evicted for it, whichever server it leads to; with none idle the answer
-// is ErrNoDescriptor.
+// reserveDial counts a new connection as open if it may be dialled. At the limit of open connections it evicts the one
+// that has been idle for longest, of whichever server; if none is idle it returns ErrNoDescriptor.
 func (t *Table[C]) reserveDial() (evicted *Conn[C], err error) {
 	if t.openCount >= t.config.MaxOpen {
 		if evicted = t.takeLongestIdle(); evicted == nil {
@@ -76,7 +76,7 @@
 	return evicted, nil
 }
 
-// takeLongestIdle returns the connection that has been idle for longest, which is no longer its server's, or nil.
+// takeLongestIdle removes and returns the connection that has been idle for longest, or nil if none is idle.
 func (t *Table[C]) takeLongestIdle() *Conn[C] {
 	var longest *Server[C]
 	for _, server := range t.servers {
@@ -93,20 +93,21 @@
 	return conn
 }
 
-// Dialled returns the connection that was dialled for a step, ready to be used; nil if the list has changed meanwhile
-// and nothing new may be sent there: then the caller closes it and reports that.
-func (t *Table[C]) Dialled(server *Server[C], hostConn C) *Conn[C] {
+// CompleteDial returns the connection for a dial that succeeded. It returns nil if the endpoint list changed in the
+// meantime, so that no new request may be sent to the server; the caller then closes hostConn and calls
+// [Table.RecordClosed].
+func (t *Table[C]) CompleteDial(server *Server[C], hostConn C) *Conn[C] {
 	if !server.isUp {
 		return nil
 	}
 	return &Conn[C]{HostConn: hostConn, server: server}
 }
 
-// Closed counts a connection as closed that was in use, or a dial that failed or was cancelled.
-func (t *Table[C]) Closed() { t.openCount-- }
+// RecordClosed counts a connection as closed after its use, or a dial as failed or cancelled.
+func (t *Table[C]) RecordClosed() { t.openCount-- }
 
-// Release makes a connection idle whose use is over. It returns false if nothing more may be sent on it: then the
-// caller closes it and reports that.
+// Release makes a connection idle after its use. It returns false if no new request may be sent on it; the caller then
+// closes it and calls [Table.RecordClosed].
 func (t *Table[C]) Release(now time.Time, conn *Conn[C]) bool {
 	if !conn.server.isUp {
 		return false
--- a/internal/serverpool/conntable/idle_timeout.go
+++ b/internal/serverpool/conntable/idle_timeout.go
@@ -3,28 +3,31 @@
 import "time"
 
 const (
-	// OutsideSubsetIdleTimeout is the idle timeout of connections to servers outside of the instance's subset.
+	// OutsideSubsetIdleTimeout is the idle timeout of connections to servers outside the instance's subset.
 	OutsideSubsetIdleTimeout = time.Second
-	// MinIdleTimeout is the shortest idle timeout that is learned: a connection idle for less is not reset for that.
+	// MinIdleTimeout is the shortest idle timeout that is learned. The reset of a connection that was idle for less is
+	// not attributed to the server's idle timeout.
 	MinIdleTimeout = 50 * time.Millisecond
-	// StaleResetWindow is the time from the write to the reset of a connection that was closed as idle.
+	// StaleResetWindow limits the time from the write to the reset for which the connection is taken to have been closed
+	// as idle.
 	StaleResetWindow = 20 * time.Millisecond
-	// IdleTimeoutDoublingInterval is the time after which a shortened idle timeout doubles.
+	// IdleTimeoutDoublingInterval is the interval at which a learned idle timeout doubles.
 	IdleTimeoutDoublingInterval = 10 * time.Second
 
-	maxIdleTimeoutDoublings = 20 // by then any shortened timeout is over the configured one
+	maxIdleTimeoutDoublings = 20 // after this many, any learned timeout exceeds the configured one
 )
 
-// learnedIdleTimeout is how long a server keeps idle connections, where resets show that it closes them sooner than the
-// settings say.
+// learnedIdleTimeout is the idle timeout of a server whose resets show that it closes idle connections sooner than
+// configured.
 type learnedIdleTimeout struct {
-	timeout   time.Duration // at learnedAt; 0: nothing was learned
+	timeout   time.Duration // as of learnedAt; 0 if nothing was learned
 	learnedAt time.Time
 }
 
-// learn takes in that a connection was reset before a byte of the response, so long after the request was written, and
-// so long idle before that; it tells whether the server, or a proxy in between, had closed it as idle. Then half of
-// idleTime is learned: a request that meets such a close may have run.
+// learn records the reset of a connection before the first byte of the response. The connection had been idle for
+// idleTime, and the reset came sinceWrite after the request was written. learn reports whether the server, or a proxy
+// in between, had closed the connection as idle. If so, half of idleTime is learned as the timeout: the margin is wide
+// because a request that coincides with such a close may have been executed.
 func (l *learnedIdleTimeout) learn(now time.Time, idleTime, sinceWrite time.Duration) (wasClosedAsIdle bool) {
 	if idleTime < MinIdleTimeout || sinceWrite >= StaleResetWindow {
 		return false
@@ -33,8 +36,8 @@
 	return true
 }
 
-// current is how long an idle connection may be used again: what was learned, doubled with each
-// IdleTimeoutDoublingInterval since, up to the configured timeout.
+// current returns how long an idle connection may be reused: the learned timeout, doubled for each
+// IdleTimeoutDoublingInterval since it was learned, up to the configured timeout.
 func (l *learnedIdleTimeout) current(now time.Time, configured time.Duration) time.Duration {
 	if l.timeout == 0 {
 		return configured
@@ -47,17 +50,18 @@
 	return l.timeout << doublings
 }
 
-// Reset takes in that conn was reset so long after the request was written to it, before a byte of the response. If it
-// had been closed as idle, the server's idle connections are returned for the caller to close.
-func (t *Table[C]) Reset(now time.Time, conn *Conn[C], sinceWrite time.Duration) (stale []*Conn[C]) {
+// RecordReset records that conn was reset before the first byte of the response, sinceWrite after the request was
+// written to it. If the server had closed it as idle, RecordReset returns the server's other idle connections for the
+// caller to close.
+func (t *Table[C]) RecordReset(now time.Time, conn *Conn[C], sinceWrite time.Duration) (stale []*Conn[C]) {
 	if !conn.server.idleTimeout.learn(now, conn.idleTime, sinceWrite) {
 		return nil
 	}
 	return t.takeIdle(conn.server)
 }
 
-// Prune returns the connections that have been idle for too long, for the caller to close. A nil subset stands for all
-// servers.
+// Prune removes the connections that have been idle for at least their timeout and returns them for the caller to
+// close. A nil subset means that all servers are in the subset.
 func (t *Table[C]) Prune(now time.Time, subset map[string]bool) (stale []*Conn[C]) {
 	for id, server := range t.servers {
 		timeout := t.config.pruneTimeout(subset == nil || subset[id])
@@ -67,8 +71,8 @@
 	return stale
 }
 
-// pruneTimeout is how long idle connections to a server are kept: outside of the instance's subset only for a moment,
-// as each server accepts only so many and a fleet has many instances.
+// pruneTimeout returns how long idle connections to a server are kept. Outside the instance's subset the time is short,
+// because each server accepts a limited number of connections and a fleet has many instances.
 func (c Config) pruneTimeout(isInSubset bool) time.Duration {
 	if isInSubset {
 		return c.MaxIdleTimeout
@@ -76,7 +80,7 @@
 	return min(c.MaxIdleTimeout, OutsideSubsetIdleTimeout)
 }
 
-// takeIdleFor returns the connections that have been idle for at least a time, which are no longer the server's.
+// takeIdleFor removes and returns the connections that have been idle for at least timeout.
 func (s *Server[C]) takeIdleFor(now time.Time, timeout time.Duration) []*Conn[C] {
 	count := 0
 	for count < len(s.idle) && now.Sub(s.idle[count].idleSince) >= timeout {
--- a/internal/serverpool/conntable/snapshot.go
+++ b/internal/serverpool/conntable/snapshot.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Snapshot describes a table at one moment.
+// Snapshot is the state of a table at one point in time.
 type Snapshot[C any] struct {
-	OpenCount int                          // connections, idle or not, with those that are being dialled
+	OpenCount int                          // connections in use, idle or being dialled
 	Servers   map[string]ServerSnapshot[C] // by ID
 }
 
-// ServerSnapshot describes a server at one moment.
+// ServerSnapshot is the state of a server at one point in time.
 type ServerSnapshot[C any] struct {
 	IsUp        bool
-	Idle        []C // the one used last at the end
+	Idle        []C // most recently used last
 	IdleTimeout time.Duration
 }
 
-// Snapshot describes the table.
+// Snapshot returns the state of the table.
 func (t *Table[C]) Snapshot(now time.Time) Snapshot[C] {
 	snapshot := Snapshot[C]{OpenCount: t.openCount, Servers: map[string]ServerSnapshot[C]{}}
 	for id, server := range t.servers {
--- a/internal/serverpool/conntable/table.go
+++ b/internal/serverpool/conntable/table.go
@@ -1,9 +1,10 @@
-// Package conntable decides on a host's connections to app servers: which idle connection is used again, when a new one
-// is dialled, which one is evicted at the limit of descriptors and which ones are closed. It does no I/O and reads no
-// clock: package serverpool brings it events with the time, carries out what it decides, and guards it with a mutex.
+// Package conntable decides about a host's connections to app servers: which idle connection is reused, when a new one
+// is dialled, which one is evicted at the limit of open connections and which ones are closed. It does no I/O and reads
+// no clock: package serverpool passes it events with the current time, executes its decisions and guards it with a
+// mutex.
 //
-// A connection is open, and counted, from the step that asks for its dial until [Table.Closed]. The connections that a
-// method returns for the caller to close are counted as closed already.
+// A connection counts as open from the [Dial] step on, until [Table.RecordClosed] is called. The connections that a
+// method returns for the caller to close are already counted as closed.
 package conntable
 
 import (
@@ -15,27 +16,27 @@
 
 // Config holds the limits of a table.
 type Config struct {
-	MaxIdleTimeout time.Duration // of a server whose connections were not reset
-	MinIdleTime    time.Duration // that a connection is idle at least before it is used again
-	MaxOpen        int           // connections open at once, descriptors being limited
+	MaxIdleTimeout time.Duration // idle timeout for servers without a shorter learned one
+	MinIdleTime    time.Duration // time that a connection must be idle before it is reused
+	MaxOpen        int           // limit of open connections, since file descriptors are limited
 }
 
-// Table holds the app servers of the endpoint list and their idle connections. C is the host's type of a connection,
-// which the table does not look into.
+// Table holds the app servers of the endpoint list and their idle connections. C is the host's connection type, which
+// is opaque to the table.
 type Table[C any] struct {
 	config    Config
 	servers   map[string]*Server[C] // by ID
-	openCount int                   // connections, idle or not, with those that are being dialled
+	openCount int                   // connections in use, idle or being dialled
 }
 
-// Server is an app server at one address since one start: one that moves or restarts becomes another Server.
+// Server is one run of an app server at one address. A server that moves or restarts is represented by a new Server.
 type Server[C any] struct {
 	ID   string
 	Addr netip.AddrPort
 
 	startedAt   time.Duration
-	isUp        bool       // something new may be sent to it, by the endpoint list
-	idle        []*Conn[C] // the one used last at the end
+	isUp        bool       // new requests may be sent to it, according to the endpoint list
+	idle        []*Conn[C] // most recently used last
 	idleTimeout learnedIdleTimeout
 }
 
@@ -43,9 +44,9 @@
 type Conn[C any] struct {
 	HostConn C
 
-	server    *Server[C]    // to which it may return; one that moved or restarted is not in the table any more
-	idleSince time.Time     // while it is idle
-	idleTime  time.Duration // how long it was idle before its use under way; 0 for a new one
+	server    *Server[C]    // no longer in the table if the server moved, restarted or was removed
+	idleSince time.Time     // valid while the connection is idle
+	idleTime  time.Duration // how long it was idle before its current use; 0 for a new connection
 }
 
 // New returns a table without servers.
@@ -53,8 +54,9 @@
 	return &Table[C]{config: config, servers: map[string]*Server[C]{}}
 }
 
-// UpdateServer takes in the endpoint list's entry of one server and returns the idle connections of no more use. A
-// server that drains, moved, restarted or was removed keeps none, and no connection in use returns to it.
+// UpdateServer applies the endpoint list's entry for one server and returns the idle connections that may no longer be
+// used. A server that is draining, moved, restarted or was removed keeps none. A connection in use does not become idle
+// while its server is draining, and never again if the server moved, restarted or was removed.
 func (t *Table[C]) UpdateServer(entry policy.Server, addr netip.AddrPort) (stale []*Conn[C]) {
 	if entry.State == policy.Removed {
 		return t.removeServer(entry.ID)
@@ -75,7 +77,7 @@
 	return stale
 }
 
-// RemoveUnlisted removes the servers that a complete list lacks and returns their idle connections.
+// RemoveUnlisted removes the servers that are not in a complete list and returns their idle connections.
 func (t *Table[C]) RemoveUnlisted(listed map[string]bool) (stale []*Conn[C]) {
 	for id := range t.servers {
 		if !listed[id] {
@@ -85,7 +87,7 @@
 	return stale
 }
 
-// removeServer removes a server, if it is there, and returns its idle connections.
+// removeServer removes a server if it is in the table, and returns its idle connections.
 func (t *Table[C]) removeServer(id string) []*Conn[C] {
 	server := t.servers[id]
 	if server == nil {
@@ -96,13 +98,13 @@
 	return t.takeIdle(server)
 }
 
-// IsServerUp tells whether something new may be sent on a connection, by the endpoint list.
+// IsServerUp reports whether a new request may be sent on a connection according to the endpoint list.
 func (t *Table[C]) IsServerUp(conn *Conn[C]) bool { return conn.server.isUp }
 
-// TakeIdleOf returns the idle connections of the server that conn leads to, for the caller to close.
+// TakeIdleOf removes the idle connections of the server of conn and returns them for the caller to close.
 func (t *Table[C]) TakeIdleOf(conn *Conn[C]) []*Conn[C] { return t.takeIdle(conn.server) }
 
-// TakeAllIdle returns all idle connections, for the caller to close.
+// TakeAllIdle removes all idle connections and returns them for the caller to close.
 func (t *Table[C]) TakeAllIdle() (idle []*Conn[C]) {
 	for _, server := range t.servers {
 		idle = append(idle, t.takeIdle(server)...)
@@ -110,7 +112,7 @@
 	return idle
 }
 
-// takeIdle returns the idle connections of a server, which are no longer its own.
+// takeIdle removes and returns the idle connections of a server.
 func (t *Table[C]) takeIdle(server *Server[C]) []*Conn[C] {
 	idle := server.idle
 	server.idle = nil
--- a/internal/serverpool/conntable/table_test.go
+++ b/internal/serverpool/conntable/table_test.go
@@ -7,14 +7,14 @@
 
 var testConfig = Config{MaxIdleTimeout: 8 * time.Second, MinIdleTime: 50 * time.Millisecond, MaxOpen: 4}
 
-// withMaxOpen is a configuration whose connections may be used again at once.
+// withMaxOpen returns a configuration with the given limit whose connections may be reused at once.
 func withMaxOpen(count int) Config { return Config{MaxIdleTimeout: 8 * time.Second, MaxOpen: count} }
 
-// A connection that was used just now stays idle for a while; the one used last of those that may be used again is.
+// The most recently used connection that has been idle for MinIdleTime is reused; a newer one stays idle.
 func TestLatestIdleIsReused(t *testing.T) {
 	runTranscript(t, testConfig, `
 	> acquire a
-	server is not up in the list, open 0
+	server is not up in the endpoint list, open 0
 	> list a up
 	close none, open 0
 	> acquire a
@@ -41,7 +41,7 @@
 	counted, open 2`)
 }
 
-// With little traffic the others time out; one that has been idle for too long is not used.
+// With little traffic the less recently used connections time out. One that has been idle for too long is not reused.
 func TestLongIdleExpires(t *testing.T) {
 	runTranscript(t, testConfig, `
 	> list a up
@@ -76,8 +76,9 @@
 	dial port 1, open 2`)
 }
 
-// A server that closes idle connections sooner than configured shows at the first reset, which closes its idle ones. A
-// reset of a server at work, or of a connection that was not idle, teaches nothing.
+// The first reset of a reused connection shows that the server closes idle connections sooner than configured, and its
+// other idle connections are closed. Nothing is learned from a reset that comes long after the write, or from one of a
+// connection that was not idle before.
 func TestIdleTimeoutIsLearned(t *testing.T) {
 	runTranscript(t, testConfig, `
 	> list a up
@@ -114,7 +115,7 @@
 	expire a4, open 1`)
 }
 
-// The timeout that was learned doubles back.
+// A learned timeout doubles at intervals until it reaches the configured one.
 func TestLearnedIdleTimeoutDoubles(t *testing.T) {
 	runTranscript(t, testConfig, `
 	> list a up
@@ -149,7 +150,7 @@
 	8s, open 0`)
 }
 
-// No learned timeout is below the least.
+// No learned timeout is below MinIdleTimeout.
 func TestLeastLearnedIdleTimeout(t *testing.T) {
 	runTranscript(t, withMaxOpen(4), `
 	> list a up
@@ -182,8 +183,8 @@
 	8s, open 1`)
 }
 
-// At the limit the connection that has been idle for longest goes, whichever server it leads to; with none idle there
-// is no further one. A dial under way counts, until it has failed.
+// At the limit of open connections the one that has been idle for longest is evicted, of whichever server. If none is
+// idle, Acquire fails. A pending dial counts as open until it fails.
 func TestDescriptorLimit(t *testing.T) {
 	runTranscript(t, withMaxOpen(2), `
 	> list a up
@@ -195,7 +196,7 @@
 	> acquire b
 	dial port 2, open 2
 	> acquire b
-	no descriptor left for a connection, open 2
+	limit of open connections reached and none is idle, open 2
 	> failed a
 	counted, open 1
 	> acquire a
@@ -215,14 +216,14 @@
 	> acquire a
 	evict b1, dial port 1, open 2
 	> acquire b
-	no descriptor left for a connection, open 2
+	limit of open connections reached and none is idle, open 2
 	> failed a
 	counted, open 1
 	> acquire b
 	dial port 2, open 2`)
 }
 
-// Of the idle connections of several servers the one that has been idle for longest is evicted.
+// Among the idle connections of several servers, the one that has been idle for longest is evicted.
 func TestLongestIdleIsEvicted(t *testing.T) {
 	runTranscript(t, withMaxOpen(3), `
 	> up a b c
@@ -256,10 +257,11 @@
 	> acquire b
 	evict a1, dial port 1, open 3
 	> acquire b
-	no descriptor left for a connection, open 3`)
+	limit of open connections reached and none is idle, open 3`)
 }
 
-// A server that drains keeps no idle connection; one that is in use ends with its use, unless the server is up again.
+// A draining server keeps no idle connection. A connection in use is closed on its release, unless the server is up
+// again by then.
 func TestDrainingServer(t *testing.T) {
 	runTranscript(t, withMaxOpen(4), `
 	> list a up
@@ -271,7 +273,7 @@
 	> list a draining
 	close a1, open 1
 	> acquire a
-	server is not up in the list, open 1
+	server is not up in the endpoint list, open 1
 	> release a2
 	close a2, open 0
 	> list a up
@@ -288,7 +290,8 @@
 	close none, open 1`)
 }
 
-// A connection in use while its server restarts or moves returns to no server, also where one of that name is up again.
+// A connection in use while its server restarts or moves is closed on its release, although the new server with the
+// same ID is up.
 func TestRestartedServer(t *testing.T) {
 	for name, change := range map[string]string{
 		"restarted":           "list a up start 1",
@@ -315,7 +318,8 @@
 	}
 }
 
-// A connection in use while its server leaves the list returns to no server, also where it is in the list again.
+// A connection in use while its server is removed from the list is closed on its release, although the server is in the
+// list again.
 func TestRemovedServer(t *testing.T) {
 	runTranscript(t, testConfig, `
 	> up a b
@@ -340,7 +344,8 @@
 	close a1, open 0`)
 }
 
-// After the end of the list, as at the host's end, a dial and a connection in use end with their next step.
+// After an empty complete list, as at the host's shutdown, a connection in use is closed on its release and a pending
+// dial on its completion.
 func TestReleaseAfterClose(t *testing.T) {
 	runTranscript(t, testConfig, `
 	> list a up
@@ -354,7 +359,7 @@
 	> listed
 	close none, open 3
 	> acquire a
-	server is not up in the list, open 3
+	server is not up in the endpoint list, open 3
 	> release a1
 	close a1, open 2
 	> failed a
@@ -363,7 +368,7 @@
 	close a2, open 0`)
 }
 
-// twoServers is the beginning of a transcript: two servers, connections to both in use.
+// twoServers is the beginning of a transcript: two servers with one idle connection each, and one in use to server a.
 const twoServers = `
 	> up a b
 	close none, open 0
@@ -374,7 +379,7 @@
 	> release a1 b1
 	idle, open 3`
 
-// Idle connections are closed with their timeout, outside of the subset sooner.
+// Prune closes idle connections after their timeout, and sooner outside the subset.
 func TestPrune(t *testing.T) {
 	runTranscript(t, withMaxOpen(9), twoServers+`
 	> wait 1s
@@ -395,7 +400,7 @@
 	close a1, open 1`)
 }
 
-// A hot restart closes all idle connections, and those in use go on.
+// TakeAllIdle, which a hot restart calls, takes the idle connections and leaves those in use open.
 func TestTakeAllIdle(t *testing.T) {
 	runTranscript(t, withMaxOpen(9), twoServers+`
 	> acquire b
@@ -412,7 +417,7 @@
 	close b2, open 2`)
 }
 
-// Silence on one connection closes the idle ones of its server, and of no other.
+// A response timeout on one connection closes the idle connections of its server, but none of other servers.
 func TestSilentServer(t *testing.T) {
 	runTranscript(t, withMaxOpen(9), twoServers+`
 	> silent a2
--- a/internal/serverpool/conntable/transcript_test.go
+++ b/internal/serverpool/conntable/transcript_test.go
@@ -12,28 +12,28 @@
 	"mulleinmux/policy"
 )
 
-// transcript runs the events of a text on a table and writes the text anew, with what the table does behind each event:
-// a test is a text that stays the same. A line that begins with "> " is an event:
+// transcript applies the events of a text to a table and writes the text again, with the table's response after each
+// event. A test passes if the new text equals the old one. A line that begins with "> " is an event:
 //
 //	list ID STATE [port N] [start N]  an entry of the endpoint list
 //	up ID...                          entries of servers that are up at port 1
 //	listed ID...                      the end of a complete list with these servers
-//	acquire ID                        a connection is wanted
-//	open ID CONN...                   connections are wanted, dialled and made, for none is idle
-//	dialled ID CONN                   the oldest dial of a server under way has made a connection
-//	failed ID                         the oldest dial of a server under way has failed or was cancelled
-//	release CONN..., discard CONN     the end of a use
-//	reset CONN TIME                   a reset so long after the write
-//	silent CONN                       no response in time
-//	prune [ID...]                     the idle connections are looked through; the subset
-//	close all                         all idle connections are taken
-//	timeout ID                        the server's idle timeout is asked for
-//	wait TIME                         time passes
+//	acquire ID                        acquires a connection
+//	open ID CONN...                   acquires and dials connections while none is idle
+//	dialled ID CONN                   the server's oldest pending dial has succeeded
+//	failed ID                         the server's oldest pending dial has failed or was cancelled
+//	release CONN..., discard CONN     the end of a connection's use
+//	reset CONN TIME                   a reset, with the time since the write
+//	silent CONN                       a response timeout
+//	prune [ID...]                     prunes the idle connections, with the IDs of the subset
+//	close all                         takes all idle connections
+//	timeout ID                        queries the server's idle timeout
+//	wait TIME                         advances the clock
 type transcript struct {
 	table *Table[string]
 	now   time.Time
 	conns map[string]*Conn[string]
-	dials map[string][]*Server[string] // under way, by server ID
+	dials map[string][]*Server[string] // pending, by server ID
 	out   strings.Builder
 }
 
@@ -52,11 +52,11 @@
 		}
 	}
 	if got := strings.TrimSpace(r.out.String()); got != text {
-		t.Errorf("the transcript is:\n%s\n\nwant:\n%s", got, text)
+		t.Errorf("got transcript:\n%s\n\nwant:\n%s", got, text)
 	}
 }
 
-// run runs an event and words what the table did.
+// run applies an event and returns a description of the table's response.
 func (r *transcript) run(t *testing.T, words []string) string {
 	t.Helper()
 	switch words[0] {
@@ -78,15 +78,15 @@
 		return r.dialled(words[1], words[2])
 	case "failed":
 		r.takeDial(words[1])
-		r.table.Closed()
+		r.table.RecordClosed()
 		return "counted"
 	case "release":
 		return r.release(words[1:])
 	case "discard":
-		r.table.Closed()
+		r.table.RecordClosed()
 		return "counted"
 	case "reset":
-		return closed(r.table.Reset(r.now, r.conns[words[1]], duration(t, words[2])))
+		return closed(r.table.RecordReset(r.now, r.conns[words[1]], duration(t, words[2])))
 	case "silent":
 		return closed(r.table.TakeIdleOf(r.conns[words[1]]))
 	case "prune":
@@ -99,7 +99,7 @@
 		r.now = r.now.Add(duration(t, words[1]))
 		return "at " + r.now.Sub(time.Unix(0, 0)).String()
 	}
-	t.Fatalf("no event: %q", words)
+	t.Fatalf("unknown event: %q", words)
 	return ""
 }
 
@@ -120,7 +120,7 @@
 	return fmt.Sprintf("dial port %d", step.Server.Addr.Port())
 }
 
-// open opens connections to a server and words where they lead.
+// open opens connections to a server and returns a description of their dials, which must all have the same port.
 func (r *transcript) open(t *testing.T, id string, names []string) string {
 	t.Helper()
 	outcome := ""
@@ -130,7 +130,7 @@
 			t.Fatalf("open %s: %s", name, acquired)
 		}
 		if outcome != "" && outcome != acquired {
-			t.Fatalf("open %s: %s, and %s before", name, acquired, outcome)
+			t.Fatalf("open %s: got %s, want %s as before", name, acquired, outcome)
 		}
 		outcome = acquired
 		if used := r.dialled(id, name); used != "in use" {
@@ -140,13 +140,13 @@
 	return outcome + ", in use"
 }
 
-// release releases connections and words what becomes of them.
+// release releases connections and returns a description of their new states.
 func (r *transcript) release(names []string) string {
 	var outcomes []string
 	for _, name := range names {
 		outcome := "idle"
 		if !r.table.Release(r.now, r.conns[name]) {
-			r.table.Closed()
+			r.table.RecordClosed()
 			outcome = "close " + name
 		}
 		outcomes = append(outcomes, outcome)
@@ -155,23 +155,23 @@
 }
 
 func (r *transcript) dialled(id, name string) string {
-	conn := r.table.Dialled(r.takeDial(id), name)
+	conn := r.table.CompleteDial(r.takeDial(id), name)
 	if conn == nil {
-		r.table.Closed()
+		r.table.RecordClosed()
 		return "close " + name
 	}
 	r.conns[name] = conn
 	return "in use"
 }
 
-// takeDial returns the server of the oldest dial under way, which has ended.
+// takeDial removes the server's oldest pending dial and returns its Server.
 func (r *transcript) takeDial(id string) *Server[string] {
 	server := r.dials[id][0]
 	r.dials[id] = r.dials[id][1:]
 	return server
 }
 
-// closed words that connections are closed, in the order of their names: the order of servers is none.
+// closed returns a description of closed connections, sorted by name because the order of the servers is random.
 func closed(conns []*Conn[string]) string {
 	if len(conns) == 0 {
 		return "close none"
@@ -184,7 +184,7 @@
 	return "close " + strings.Join(names, " ")
 }
 
-// set is nil without names.
+// set returns the set of the names, or nil if there are none.
 func set(names []string) map[string]bool {
 	if len(names) == 0 {
 		return nil
@@ -205,13 +205,13 @@
 	return d
 }
 
-// listEntry reads an entry of the endpoint list.
+// listEntry parses an entry of the endpoint list.
 func listEntry(t *testing.T, words []string) (policy.Server, netip.AddrPort) {
 	t.Helper()
 	states := map[string]policy.ServerState{"up": policy.Up, "draining": policy.Draining, "removed": policy.Removed}
 	state, ok := states[words[1]]
 	if !ok {
-		t.Fatalf("no state: %q", words)
+		t.Fatalf("unknown server state: %q", words)
 	}
 	entry, port := policy.Server{ID: words[0], State: state}, 1
 	for i := 2; i+1 < len(words); i += 2 {
--- a/internal/serverpool/idle_conns.go
+++ b/internal/serverpool/idle_conns.go
@@ -9,17 +9,17 @@
 	prunesPerIdleTimeout = 8
 	minPruneInterval     = 10 * time.Millisecond
 
-	// idleTimeoutFraction is the part of the servers' own idle timeout for which a connection is used again: a
-	// request must not cross the server's close.
+	// idleTimeoutFraction is the fraction of the servers' own idle timeout during which an idle connection may be reused.
+	// A request must not be sent at the moment when the server closes the connection.
 	idleTimeoutFraction = 0.8
 )
 
-// MaxIdleTimeout is how long an idle connection may be used again to servers that close it after a time.
+// MaxIdleTimeout returns how long an idle connection may be reused if servers close it after serverIdleTimeout.
 func MaxIdleTimeout(serverIdleTimeout time.Duration) time.Duration {
 	return time.Duration(idleTimeoutFraction * float64(serverIdleTimeout))
 }
 
-// RunPruning closes connections that have been idle for too long, at intervals until ctx ends.
+// RunPruning prunes the pool at regular intervals until ctx is done.
 func (p *Pool[C]) RunPruning(ctx context.Context) {
 	ticker := time.NewTicker(max(p.config.MaxIdleTimeout/prunesPerIdleTimeout, minPruneInterval))
 	defer ticker.Stop()
@@ -33,7 +33,7 @@
 	}
 }
 
-// Prune closes the connections that have been idle for too long.
+// Prune closes the connections that have been idle for longer than their timeout.
 func (p *Pool[C]) Prune() {
 	var subset map[string]bool
 	if p.config.SubsetServers != nil {
@@ -45,18 +45,19 @@
 	StaleConns[C](stale).Close()
 }
 
-// RecordReset learns from a connection that was reset so long after the request was written to it, before a byte of the
-// response: see [conntable.Table.Reset].
+// RecordReset records that a connection was reset before the first byte of the response; sinceWrite is the time from
+// writing the request to the reset. It closes the server's idle connections if the reset shows that the server closes
+// them sooner than configured: see [conntable.Table.RecordReset].
 func (p *Pool[C]) RecordReset(conn *Conn[C], sinceWrite time.Duration) {
 	p.mu.Lock()
-	stale := p.table.Reset(p.config.Now(), conn, sinceWrite)
+	stale := p.table.RecordReset(p.config.Now(), conn, sinceWrite)
 	p.mu.Unlock()
 	StaleConns[C](stale).Close()
 }
 
-// CloseIdleOf closes the idle connections of a server after conn was unresponsive. A machine that vanished or is cut
-// off leaves all of them open and silent; a request written to another would time out as well and might have run, while
-// a new connection that can't be established proves that it has not.
+// CloseIdleOf closes the idle connections of the server of conn after conn was unresponsive. If the server's machine
+// crashed or is partitioned, all of them stay open but silent. A request written to one of them would time out as well
+// and might have been executed, whereas a failed dial proves that the request was not executed.
 func (p *Pool[C]) CloseIdleOf(conn *Conn[C]) {
 	p.mu.Lock()
 	stale := p.table.TakeIdleOf(conn)
--- a/internal/serverpool/pool.go
+++ b/internal/serverpool/pool.go
@@ -1,10 +1,10 @@
-// Package serverpool is a pool of connections to app servers, which both hosts use. Package conntable decides under the
-// pool's mutex; what does I/O, a dial or a close, runs without it. The bytes on a connection are the host's own matter:
-// each host has a type of connection, which the pool dials, looks into and closes by way of functions and methods that
-// the host provides.
+// Package serverpool provides the pool of connections to app servers that both hosts, gateway and edge proxy, use.
+// Package conntable makes the decisions under the pool's mutex; I/O, that is dials and closes, runs outside it. What is
+// sent on a connection is up to the host: each host has its own connection type, which the pool dials, checks and
+// closes through functions and methods that the host provides.
 //
-// net/http's own client is not used: it silently sends a request again when a connection from its pool turns out dead,
-// which would be an attempt that nobody counts.
+// The pool replaces net/http's client, which silently resends a request when a connection from its pool turns out to be
+// dead. Such an attempt would not be counted.
 package serverpool
 
 import (
@@ -18,7 +18,7 @@
 	"mulleinmux/policy"
 )
 
-// The errors of an acquisition, beside those of a dial.
+// The errors of an acquisition, besides those of Config.Dial.
 var (
 	ErrServerNotUp  = conntable.ErrServerNotUp
 	ErrNoDescriptor = conntable.ErrNoDescriptor
@@ -27,30 +27,30 @@
 // HostConn is a host's connection to an app server.
 type HostConn interface {
 	Close() error
-	// IsQuiet tells whether an idle connection is as it was left: open, with nothing to read.
+	// IsQuiet reports whether an idle connection is still open and has nothing to read.
 	IsQuiet() bool
 }
 
-// Conn is a connection of a pool, with the host's own connection in it.
+// Conn is a connection of a pool. It wraps the host's own connection.
 type Conn[C any] = conntable.Conn[C]
 
-// Config is what a pool is made with.
+// Config configures a pool.
 type Config[C HostConn] struct {
 	conntable.Config
 
-	// Dial makes a connection to a server. It is called without the pool's mutex.
+	// Dial establishes a connection to a server. It is called without the pool's mutex.
 	Dial func(ctx context.Context, serverID string, addr netip.AddrPort) (C, error)
 
-	// SubsetServers returns the IDs of the servers to which idle connections are kept; nil, or a nil map: all. It is
-	// called without the pool's mutex.
+	// SubsetServers returns the IDs of the servers in the instance's subset. Idle connections to other servers are closed
+	// sooner. If it is nil or returns nil, all servers are in the subset. It is called without the pool's mutex.
 	SubsetServers func() map[string]bool
 
-	// Now reads the clock; nil: time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Pool holds the connections to app servers. A connection is with one user at a time, from its acquisition until
-// [Pool.Release] or [Pool.Discard], one of which is called once.
+// Pool holds the connections to app servers. A connection has one user at a time, from its acquisition until the user
+// calls [Pool.Release] or [Pool.Discard]. Exactly one of them must be called, once.
 type Pool[C HostConn] struct {
 	config Config[C]
 
@@ -66,7 +66,7 @@
 	return &Pool[C]{config: config, table: conntable.New[C](config.Config)}
 }
 
-// StaleConns are connections out of the pool, for the caller to close without a mutex.
+// StaleConns are connections that were removed from the pool. The caller closes them without holding a mutex.
 type StaleConns[C HostConn] []*Conn[C]
 
 // Close closes the connections.
@@ -76,8 +76,9 @@
 	}
 }
 
-// UpdateEndpoints takes in entries of the endpoint list and returns the idle connections that are of no more use, for
-// the caller to close. A server that drains, moved, restarted or is not in the list any more keeps none.
+// UpdateEndpoints applies entries of the endpoint list and returns the idle connections that may no longer be used, for
+// the caller to close. These are all idle connections of servers that are draining, moved, restarted or were removed
+// from the list.
 func (p *Pool[C]) UpdateEndpoints(
 	entries []discovery.Endpoint, kind policy.EndpointUpdateKind,
 ) (stale StaleConns[C]) {
@@ -96,7 +97,7 @@
 	return stale
 }
 
-// Acquire returns a connection to a server: the idle one used last, if it is still good, or a new one.
+// Acquire returns a connection to a server: the most recently used idle one that is still usable, or a new one.
 func (p *Pool[C]) Acquire(ctx context.Context, serverID string) (*Conn[C], error) {
 	conn, reservation, err := p.AcquireIdle(serverID)
 	if conn != nil || err != nil {
@@ -105,7 +106,8 @@
 	return p.Dial(ctx, reservation)
 }
 
-// Reservation permits a dial: the connection counts as open already. Its owner calls [Pool.Dial] with it, once.
+// Reservation permits one dial. Its connection is already counted as open, so the owner must call [Pool.Dial] with it,
+// exactly once.
 type Reservation[C any] struct{ server *conntable.Server[C] }
 
 // AcquireIdle returns an idle connection to a server, or a reservation for a new one if there is none.
@@ -130,7 +132,7 @@
 	}
 }
 
-// Dial makes a new connection.
+// Dial establishes the connection of a reservation.
 func (p *Pool[C]) Dial(ctx context.Context, r Reservation[C]) (*Conn[C], error) {
 	hostConn, err := p.config.Dial(ctx, r.server.ID, r.server.Addr)
 	if err != nil {
@@ -138,10 +140,10 @@
 		return nil, err
 	}
 	p.mu.Lock()
-	conn := p.table.Dialled(r.server, hostConn)
+	conn := p.table.CompleteDial(r.server, hostConn)
 	p.mu.Unlock()
 	if conn == nil {
-		// The list changed while the connection was established: nothing new may be sent there.
+		// The endpoint list changed during the dial, so that no new request may be sent on this connection.
 		hostConn.Close()
 		p.countClosed()
 		return nil, ErrServerNotUp
@@ -149,14 +151,14 @@
 	return conn, nil
 }
 
-// IsServerUp tells whether something new may be sent on a connection, by the endpoint list.
+// IsServerUp reports whether a new request may be sent on a connection according to the endpoint list.
 func (p *Pool[C]) IsServerUp(conn *Conn[C]) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.IsServerUp(conn)
 }
 
-// Release returns a connection whose use is over to the pool.
+// Release returns a connection to the pool after its use, or closes it if its server is no longer up.
 func (p *Pool[C]) Release(conn *Conn[C]) {
 	p.mu.Lock()
 	isIdle := p.table.Release(p.config.Now(), conn)
@@ -166,7 +168,7 @@
 	}
 }
 
-// Discard closes a connection that is out of the pool.
+// Discard closes a connection that is not idle in the pool.
 func (p *Pool[C]) Discard(conn *Conn[C]) {
 	conn.HostConn.Close()
 	p.countClosed()
@@ -175,16 +177,16 @@
 // countClosed counts a connection as closed.
 func (p *Pool[C]) countClosed() {
 	p.mu.Lock()
-	p.table.Closed()
+	p.table.RecordClosed()
 	p.mu.Unlock()
 }
 
-// Close closes all idle connections and removes all servers. Connections in use are closed when they are released.
+// Close closes all idle connections and removes all servers. A connection in use is closed when it is released.
 func (p *Pool[C]) Close() {
 	p.UpdateEndpoints(nil, policy.EndpointsComplete).Close()
 }
 
-// Snapshot describes the pool, for its hosts' tests.
+// Snapshot returns a description of the pool's state, for tests of the hosts.
 func (p *Pool[C]) Snapshot() conntable.Snapshot[C] {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/serverpool/pool_test.go
+++ b/internal/serverpool/pool_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func setUp(pool *Pool[*fakeConn], ids ...string) {
+func setServersUp(pool *Pool[*fakeConn], ids ...string) {
 	var entries []discovery.Endpoint
 	for _, id := range ids {
 		entries = append(entries, endpoint(id, policy.Up))
@@ -70,31 +70,31 @@
 	return conn
 }
 
-func wantOpen(t *testing.T, pool *Pool[*fakeConn], want int) {
+func checkOpenCount(t *testing.T, pool *Pool[*fakeConn], want int) {
 	t.Helper()
 	if got := pool.Snapshot().OpenCount; got != want {
-		t.Errorf("%d connections counted, %d open", got, want)
+		t.Errorf("got %d connections counted as open, want %d", got, want)
 	}
 }
 
-// A connection that is not as it was left is closed, and the next one tried.
+// An idle connection that is not quiet is closed, and the next idle one is tried.
 func TestUnquietConnectionIsDiscarded(t *testing.T) {
 	pool := newFakePool(9, dialFakeConn)
-	setUp(pool, "a")
+	setServersUp(pool, "a")
 	quiet, unquiet := mustAcquire(t, pool, "a"), mustAcquire(t, pool, "a")
 	pool.Release(quiet)
 	pool.Release(unquiet)
 	unquiet.HostConn.isUnquiet.Store(true)
 	if conn := mustAcquire(t, pool, "a"); conn != quiet {
-		t.Error("not the quiet connection")
+		t.Error("acquired connection is not the quiet one")
 	}
 	if n := unquiet.HostConn.closeCount.Load(); n != 1 {
-		t.Errorf("closed %d times", n)
+		t.Errorf("unquiet connection closed %d times, want once", n)
 	}
-	wantOpen(t, pool, 1)
+	checkOpenCount(t, pool, 1)
 }
 
-// A dial that fails, or is cancelled, gives its descriptor back.
+// A dial that fails or is cancelled is no longer counted as an open connection.
 func TestCancelledDialIsNotCounted(t *testing.T) {
 	dialling := make(chan bool)
 	pool := newFakePool(1, func(ctx context.Context, _ string, _ netip.AddrPort) (*fakeConn, error) {
@@ -102,7 +102,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	setUp(pool, "a")
+	setServersUp(pool, "a")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	failed := make(chan error, 1)
@@ -111,18 +111,18 @@
 		failed <- err
 	}()
 	<-dialling
-	wantOpen(t, pool, 1)
+	checkOpenCount(t, pool, 1)
 	if _, err := pool.Acquire(ctx, "a"); err != ErrNoDescriptor {
-		t.Errorf("error %v, want %v", err, ErrNoDescriptor)
+		t.Errorf("Acquire at the limit: got error %v, want %v", err, ErrNoDescriptor)
 	}
 	cancel()
 	if err := <-failed; !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("cancelled Acquire: got error %v, want context canceled", err)
 	}
-	wantOpen(t, pool, 0)
+	checkOpenCount(t, pool, 0)
 }
 
-// A connection that was dialled while the endpoint list changed is closed, whatever the change.
+// If the endpoint list moves, restarts, drains or removes a server during a dial, the new connection is closed.
 func TestEndpointsChangeDuringDial(t *testing.T) {
 	moved := endpoint("a", policy.Up)
 	moved.Addr = netip.MustParseAddrPort("127.0.0.1:2")
@@ -145,14 +145,14 @@
 				pool.UpdateEndpoints(change.entries, change.kind).Close()
 				return dialled, nil
 			})
-			setUp(pool, "a")
+			setServersUp(pool, "a")
 			if _, err := pool.Acquire(t.Context(), "a"); err != ErrServerNotUp {
-				t.Errorf("error %v, want %v", err, ErrServerNotUp)
+				t.Errorf("got error %v, want %v", err, ErrServerNotUp)
 			}
 			if n := dialled.closeCount.Load(); n != 1 {
-				t.Errorf("closed %d times", n)
+				t.Errorf("dialled connection closed %d times, want once", n)
 			}
-			wantOpen(t, pool, 0)
+			checkOpenCount(t, pool, 0)
 		})
 	}
 }
@@ -161,41 +161,41 @@
 func newPoolInUse(t *testing.T) (pool *Pool[*fakeConn], idle, used *Conn[*fakeConn]) {
 	t.Helper()
 	pool = newFakePool(9, dialFakeConn)
-	setUp(pool, "a")
+	setServersUp(pool, "a")
 	idle, used = mustAcquire(t, pool, "a"), mustAcquire(t, pool, "a")
 	pool.Release(idle)
 	return pool, idle, used
 }
 
-// A connection in use when the pool is closed is closed when it is released.
+// A connection that is in use when the pool is closed is closed on its release.
 func TestReleaseAfterClose(t *testing.T) {
 	pool, idle, used := newPoolInUse(t)
 	pool.Close()
-	wantOpen(t, pool, 1)
+	checkOpenCount(t, pool, 1)
 	pool.Release(used)
-	wantOpen(t, pool, 0)
+	checkOpenCount(t, pool, 0)
 	for _, conn := range []*Conn[*fakeConn]{idle, used} {
 		if n := conn.HostConn.closeCount.Load(); n != 1 {
-			t.Errorf("closed %d times", n)
+			t.Errorf("connection closed %d times, want once", n)
 		}
 	}
 }
 
-// At a hot restart the idle connections are closed, and those in use go on.
+// CloseIdle, which a hot restart calls, closes the idle connections and leaves those in use open.
 func TestCloseIdleLeavesConnectionsInUse(t *testing.T) {
 	pool, idle, used := newPoolInUse(t)
 	pool.CloseIdle()
-	wantOpen(t, pool, 1)
+	checkOpenCount(t, pool, 1)
 	if idle.HostConn.closeCount.Load() != 1 || used.HostConn.closeCount.Load() != 0 {
-		t.Error("not the idle connection was closed, or not it alone")
+		t.Error("want the idle connection closed, and no other")
 	}
 	pool.Release(used)
 	if conn := mustAcquire(t, pool, "a"); conn != used {
-		t.Error("the connection in use was not kept")
+		t.Error("connection in use was not kept for reuse")
 	}
 }
 
-// closingUses are the ways to end the use of a connection, each of which closes some.
+// closingUses are the ways to end the use of a connection that close at least one connection.
 var closingUses = map[string]func(pool *Pool[*fakeConn], conn *Conn[*fakeConn]){
 	"discard":       func(pool *Pool[*fakeConn], conn *Conn[*fakeConn]) { pool.Discard(conn) },
 	"close idle":    func(pool *Pool[*fakeConn], conn *Conn[*fakeConn]) { pool.Release(conn); pool.CloseIdle() },
@@ -216,9 +216,9 @@
 	},
 }
 
-// newSelfAskingPool returns a pool of two connections whose dials, closes and subset ask the pool itself for something,
-// and the connections that it dials.
-func newSelfAskingPool() (pool *Pool[*fakeConn], conns *[]*fakeConn) {
+// newReentrantPool returns a pool with a limit of two connections and the connections that it dials. Its dial, close
+// and subset functions call the pool, so that each would block if it were called with the pool's mutex locked.
+func newReentrantPool() (pool *Pool[*fakeConn], conns *[]*fakeConn) {
 	conns = new([]*fakeConn)
 	pool = newFakePool(2, func(context.Context, string, netip.AddrPort) (*fakeConn, error) {
 		pool.Snapshot()
@@ -233,12 +233,12 @@
 	return pool, conns
 }
 
-// No I/O runs under the mutex: a dial or a close that asked the pool for something would wait for ever.
+// No dial or close runs with the mutex locked: one that called the pool would deadlock.
 func TestNoIOUnderMutex(t *testing.T) {
 	for name, use := range closingUses {
 		t.Run(name, func(t *testing.T) {
-			pool, conns := newSelfAskingPool()
-			setUp(pool, "a", "b")
+			pool, conns := newReentrantPool()
+			setServersUp(pool, "a", "b")
 			done := make(chan error, 1)
 			go func() {
 				conn, err := pool.Acquire(context.Background(), "a")
@@ -253,22 +253,22 @@
 					t.Fatal(err)
 				}
 			case <-time.After(30 * time.Second):
-				t.Fatal("a step waits for the mutex")
+				t.Fatal("pool deadlocked on its mutex")
 			}
-			wantOpen(t, pool, 0)
-			setUp(pool, "a") // after a close as well
+			checkOpenCount(t, pool, 0)
+			setServersUp(pool, "a") // the pool must be usable after Close, too
 			pool.Discard(mustAcquire(t, pool, "a"))
-			wantOpen(t, pool, 0)
+			checkOpenCount(t, pool, 0)
 			for i, conn := range *conns {
 				if n := conn.closeCount.Load(); n != 1 {
-					t.Errorf("connection %d closed %d times", i, n)
+					t.Errorf("connection %d closed %d times, want once", i, n)
 				}
 			}
 		})
 	}
 }
 
-// Whatever runs at once, each connection is closed once, and none is counted or open at the end.
+// Under concurrent use each connection is closed exactly once, and none is counted as open at the end.
 func TestConcurrentUseLeavesNothingOpen(t *testing.T) {
 	const users, rounds = 8, 400
 	var mu sync.Mutex
@@ -283,7 +283,7 @@
 		mu.Unlock()
 		return conn, nil
 	})
-	setUp(pool, "0", "1", "2")
+	setServersUp(pool, "0", "1", "2")
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	var work sync.WaitGroup
@@ -297,15 +297,16 @@
 	}
 	work.Wait()
 	pool.Close()
-	wantOpen(t, pool, 0)
+	checkOpenCount(t, pool, 0)
 	for i, conn := range all {
 		if n := conn.closeCount.Load(); n != 1 {
-			t.Errorf("connection %d of %d closed %d times", i, len(all), n)
+			t.Errorf("connection %d of %d closed %d times, want once", i, len(all), n)
 		}
 	}
 }
 
-// useOnce acquires a connection, uses it in one of the ways there are, and changes the list now and then.
+// useOnce acquires a connection and ends its use in a random way. Before that it sometimes prunes the pool, closes its
+// idle connections or changes the endpoint list.
 func useOnce(pool *Pool[*fakeConn], random *rand.Rand, cancelled context.Context) {
 	ctx, id := context.Background(), fmt.Sprint(random.IntN(3))
 	switch random.IntN(20) {
@@ -345,7 +346,7 @@
 	}
 }
 
-// Pruning goes on at its pace until its context ends.
+// RunPruning closes an expired connection and returns when its context is done.
 func TestRunPruning(t *testing.T) {
 	closed := make(chan bool)
 	pool := New(Config[*fakeConn]{
@@ -354,7 +355,7 @@
 			return &fakeConn{onClose: func() { close(closed) }}, nil
 		},
 	})
-	setUp(pool, "a")
+	setServersUp(pool, "a")
 	pool.Release(mustAcquire(t, pool, "a"))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
@@ -365,5 +366,5 @@
 	<-closed
 	cancel()
 	<-ended
-	wantOpen(t, pool, 0)
+	checkOpenCount(t, pool, 0)
 }
--- a/internal/serverpool/quiet.go
+++ b/internal/serverpool/quiet.go
@@ -2,9 +2,8 @@
 
 import "syscall"
 
-// IsQuiet tells whether an idle connection is as it was left: open, with nothing to read. If the server has closed it,
-// or sent something unasked, a request written to it would end as a reset, after which not every request may be
-// retried.
+// IsQuiet reports whether an idle connection is still open and has nothing to read. If the server has closed it or has
+// sent unsolicited data, a request written to it would fail with a reset, after which not every request may be retried.
 func IsQuiet(raw syscall.RawConn) bool {
 	var b [1]byte
 	isQuiet := false
--- a/internal/serverpool/quiet_test.go
+++ b/internal/serverpool/quiet_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A connection is quiet until its far end writes or closes, and not after its own close.
+// A connection is quiet until its peer writes or closes it, or until it is closed locally.
 func TestIsQuiet(t *testing.T) {
 	for name, end := range map[string]func(near, far net.Conn) error{
 		"written to":    func(_, far net.Conn) error { _, err := far.Write([]byte("x")); return err },
@@ -20,21 +20,21 @@
 				t.Fatal(err)
 			}
 			if !IsQuiet(raw) {
-				t.Error("a new connection is not quiet")
+				t.Error("new connection is not quiet")
 			}
 			if err := end(near, far); err != nil {
 				t.Fatal(err)
 			}
 			for limit := time.Now().Add(30 * time.Second); IsQuiet(raw); time.Sleep(time.Millisecond) {
 				if time.Now().After(limit) {
-					t.Fatal("still quiet")
+					t.Fatal("connection is still quiet after 30s")
 				}
 			}
 		})
 	}
 }
 
-// connPair returns the two ends of a connection.
+// connPair returns the two ends of a TCP connection.
 func connPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -6,70 +6,71 @@
 	"mulleinmux/policy"
 )
 
-// Clock opens a batch of events at a time.
+// Clock begins a batch of events, all of which happen at time Now.
 type Clock struct{ Now time.Duration }
 
-// BatchEnd closes a batch: a reply is due.
+// BatchEnd ends a batch. The adapter then writes its reply.
 type BatchEnd struct{}
 
-// InstanceStarted makes an instance.
+// InstanceStarted starts an instance.
 type InstanceStarted struct {
 	Instance int
 	Seed     uint64
 	Settings policy.Settings
 }
 
-// InstanceStopped ends an instance.
+// InstanceStopped stops an instance.
 type InstanceStopped struct{ Instance int }
 
-// EndpointsChanged is an update of the endpoint list, with the entries of its table resolved.
+// EndpointsChanged is an update of the endpoint list. Servers holds the entries of the table that the message refers
+// to.
 type EndpointsChanged struct {
 	Instance int
 	Kind     policy.EndpointUpdateKind
 	Servers  []policy.Server
 }
 
-// RequestArrived is a client's request.
+// RequestArrived reports a new request of a client.
 type RequestArrived struct {
 	Instance int
 	Request  policy.Request
 }
 
-// ResponseHeadersReceived says that a server has begun to respond to an attempt.
+// ResponseHeadersReceived reports that a server started to respond to an attempt.
 type ResponseHeadersReceived struct {
 	Instance int
 	ID       string // of the request
 	Attempt  int
 }
 
-// AttemptCompleted is the outcome of an attempt.
+// AttemptCompleted reports the outcome of an attempt.
 type AttemptCompleted struct {
 	Instance int
 	Outcome  policy.AttemptResult
 }
 
-// ClientDisconnected says that the client of a request has gone.
+// ClientDisconnected reports that the client of a request has disconnected.
 type ClientDisconnected struct {
 	Instance int
 	ID       string // of the request
 }
 
-// TimerFired says that a timer of the policy has run out.
+// TimerFired reports that a timer of the policy has fired.
 type TimerFired struct {
 	Instance int
 	Token    uint64
 }
 
-// HealthCheckCompleted is the outcome of a health check.
+// HealthCheckCompleted reports the outcome of a health check.
 type HealthCheckCompleted struct {
 	Instance   int
 	Server     string
 	Result     policy.Result
 	Latency    time.Duration
-	LoadReport *policy.LoadReport // nil: none came
+	LoadReport *policy.LoadReport // nil if the server sent none
 }
 
-// GossipReceived is a message of another instance.
+// GossipReceived is a gossip message from another instance.
 type GossipReceived struct {
 	Instance int
 	Peer     int
@@ -79,7 +80,8 @@
 // TotalReceived is the simulator's account of an instance; the policy does not use it.
 type TotalReceived struct{ Instance int }
 
-// eventParsers read the values of the messages that need nothing but their line, in the order of the wire.
+// eventParsers maps message names to the parsers of messages that consist of one line. Each reads the values in the
+// order of the wire.
 var eventParsers = map[string]func(f *fields) any{
 	msgClock:             func(f *fields) any { return Clock{f.duration(fieldClock)} },
 	msgBatchEnd:          func(*fields) any { return BatchEnd{} },
@@ -87,7 +89,7 @@
 	msgRequestArrived:    parseRequestArrived,
 	msgResponseStarted:   parseResponseStarted,
 	msgAttemptCompleted:  parseAttemptCompleted,
-	msgClientGone:        func(f *fields) any { return ClientDisconnected{f.int(fieldInstance), f.str(fieldRequestID)} },
+	msgDisconnected:      func(f *fields) any { return ClientDisconnected{f.int(fieldInstance), f.str(fieldRequestID)} },
 	msgTimerFired:        func(f *fields) any { return TimerFired{f.int(fieldInstance), f.uint(fieldTimerToken)} },
 	msgHealthCheckResult: parseHealthCheckCompleted,
 	msgGossipReceived: func(f *fields) any {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -11,24 +11,24 @@
 	"mulleinmux/policy"
 )
 
-// maxSeconds bounds the times on the wire, in seconds.
+// maxSeconds is the largest absolute value of a time on the wire, in seconds.
 const maxSeconds = 1e9
 
-// fields takes the values of one line in order and keeps the first error.
+// fields parses the values of one line in order and keeps the first error.
 type fields struct {
 	values []string
 	next   int
 	err    error
 }
 
-// left is the number of values that have not been taken.
+// left returns the number of values that have not been read.
 func (f *fields) left() int { return len(f.values) - f.next }
 
-// str returns the next value; an absent one, written as wordAbsent, is "".
-func (f *fields) str(what string) string {
+// str reads the next value. It returns "" for an absent value, which is written as wordAbsent.
+func (f *fields) str(field string) string {
 	if f.next >= len(f.values) {
 		if f.err == nil {
-			f.err = fmt.Errorf("%s is missing", what)
+			f.err = fmt.Errorf("value of %s is missing", field)
 		}
 		return ""
 	}
@@ -38,108 +38,112 @@
 		return ""
 	}
 	if v == "" && f.err == nil {
-		f.err = fmt.Errorf("%s is empty", what)
+		f.err = fmt.Errorf("value of %s is empty", field)
 	}
 	return v
 }
 
 // int reads an integer.
-func (f *fields) int(what string) int {
-	v := f.str(what)
+func (f *fields) int(field string) int {
+	v := f.str(field)
 	x, err := strconv.Atoi(v)
 	if err != nil {
-		f.reject(what, v)
+		f.reject(field, v)
 	}
 	return x
 }
 
-// uint reads an integer from 0.
-func (f *fields) uint(what string) uint64 {
-	v := f.str(what)
+// uint reads a non-negative integer. An absent value is 0.
+func (f *fields) uint(field string) uint64 {
+	v := f.str(field)
 	if v == "" {
 		return 0
 	}
 	x, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		f.reject(what, v)
+		f.reject(field, v)
 	}
 	return x
 }
 
 // bool reads 0 or 1.
-func (f *fields) bool(what string) bool {
-	v := f.str(what)
+func (f *fields) bool(field string) bool {
+	v := f.str(field)
 	if v != "0" && v != "1" {
-		f.reject(what, v)
+		f.reject(field, v)
 	}
 	return v == "1"
 }
 
-// bytes reads base64.
-func (f *fields) bytes(what string) []byte {
-	v := f.str(what)
+// bytes reads base64-encoded bytes.
+func (f *fields) bytes(field string) []byte {
+	v := f.str(field)
 	b, err := base64.StdEncoding.DecodeString(v)
 	if err != nil {
-		f.reject(what, v)
+		f.reject(field, v)
 	}
 	return b
 }
 
-// word reads a word that stands for one of some values; an unknown one is an error, and reads as otherwise.
-func word[T any](f *fields, what string, meanings map[string]T, otherwise T) T {
-	text := f.str(what)
+// wordValue reads a word and returns its value in meanings. An unknown word is an error and yields fallback.
+func wordValue[T any](f *fields, field string, meanings map[string]T, fallback T) T {
+	text := f.str(field)
 	value, isKnown := meanings[text]
 	if !isKnown {
-		f.reject(what, text)
-		return otherwise
+		f.reject(field, text)
+		return fallback
 	}
 	return value
 }
 
 // state reads the state of a server.
-func (f *fields) state(what string) policy.ServerState { return word(f, what, serverStates, policy.Up) }
+func (f *fields) state(field string) policy.ServerState {
+	return wordValue(f, field, serverStates, policy.Up)
+}
 
-// result reads why an attempt ended.
-func (f *fields) result(what string) policy.Result { return word(f, what, results, policy.NotSent) }
+// result reads the result of an attempt.
+func (f *fields) result(field string) policy.Result {
+	return wordValue(f, field, results, policy.NotSent)
+}
 
-// seconds turns a number of seconds into a duration, to the microsecond.
+// seconds converts a number of seconds to a duration, rounded to microseconds.
 func seconds(x float64) time.Duration {
 	return time.Duration(math.Round(x*1e6)) * time.Microsecond
 }
 
-// reject keeps the error of a bad value, unless there was one before.
-func (f *fields) reject(what, v string) {
+// reject records the error of an invalid value, unless there was an error before.
+func (f *fields) reject(field, v string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("bad %s %q", what, v)
+		f.err = fmt.Errorf("invalid %s %q", field, v)
 	}
 }
 
-// number reads a finite number.
-func (f *fields) number(what string) float64 {
-	v := f.str(what)
+// number reads a finite number. An absent value is 0.
+func (f *fields) number(field string) float64 {
+	v := f.str(field)
 	if v == "" {
 		return 0
 	}
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		f.reject(what, v)
+		f.reject(field, v)
 	}
 	return x
 }
 
 // duration reads a time in seconds.
-func (f *fields) duration(what string) time.Duration {
-	x := f.number(what)
+func (f *fields) duration(field string) time.Duration {
+	x := f.number(field)
 	if math.Abs(x) > maxSeconds {
-		f.reject(what, strconv.FormatFloat(x, 'g', -1, 64))
+		f.reject(field, strconv.FormatFloat(x, 'g', -1, 64))
 		return 0
 	}
 	return seconds(x)
 }
 
-// loadReport parses a load report. Unknown names are skipped.
-func (f *fields) loadReport(what string) *policy.LoadReport {
-	v := f.str(what)
+// loadReport reads a load report and skips unknown names in it. An absent value is nil.
+func (f *fields) loadReport(field string) *policy.LoadReport {
+	v := f.str(field)
 	if v == "" {
 		return nil
 	}
@@ -148,7 +152,7 @@
 		name, val, ok := strings.Cut(pair, ":")
 		x, err := strconv.ParseFloat(val, 64)
 		if !ok || err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-			f.reject(what, v)
+			f.reject(field, v)
 			return nil
 		}
 		switch name {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,5 +1,5 @@
-// Package simwire is the codec of the simulator's line protocol: it turns lines
-// into typed events and the policy's actions into lines. It decides nothing.
+// Package simwire implements the simulator's line protocol: it parses lines into typed events and formats the policy's
+// actions as lines. It makes no decisions of its own.
 package simwire
 
 import (
@@ -14,33 +14,33 @@
 )
 
 const (
-	// maxLineBytes bounds one line; settings and lists of entries are the longest.
+	// maxLineBytes is the size limit of a line; those with settings or lists of entries are the longest.
 	maxLineBytes = 1 << 24
-	// initialLineBytes is the size of the reader's buffer at first.
+	// initialLineBytes is the initial size of the reader's buffer.
 	initialLineBytes = 1 << 16
-	// maxTable is the highest number of a table of servers.
+	// maxTable is the highest number of a server table.
 	maxTable = 15
 )
 
-// Reader reads events. It keeps the numbered tables of servers, which belong to the process.
+// Reader reads events. It keeps the numbered server tables, which all instances share.
 type Reader struct {
 	scanner *bufio.Scanner
 	line    int
 	tables  map[int][]policy.Server
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	return &Reader{scanner: scanner, tables: map[int][]policy.Server{}}
 }
 
-// Line returns the number of the line read last.
+// Line returns the number of the last line read.
 func (r *Reader) Line() int { return r.line }
 
-// Next returns the next event, io.EOF at the end of input between messages, or an
-// error that names the line.
+// Next returns the next event. At the end of the input between messages the error is io.EOF; any other error includes
+// the line number.
 func (r *Reader) Next() (any, error) {
 	for {
 		text, err := r.readLine()
@@ -71,7 +71,7 @@
 	return r.scanner.Text(), nil
 }
 
-// parse parses one message. A table of servers is no event: nil is returned for it.
+// parse parses one message. It returns a nil event for a server table, which is kept by the reader.
 func (r *Reader) parse(text string) (any, error) {
 	name, rest, _ := strings.Cut(text, " ")
 	if name == msgInstanceStarted {
@@ -89,12 +89,12 @@
 		return nil, fmt.Errorf("%s: %w", name, f.err)
 	}
 	if left := f.left(); left > 0 {
-		return nil, fmt.Errorf("%s: %d values more than expected", name, left)
+		return nil, fmt.Errorf("%s: %d unexpected values at the end", name, left)
 	}
 	return event, nil
 }
 
-// parseFields parses the values of a message by its name. Errors of single values stay with the fields.
+// parseFields parses the values of the named message. Errors of single values are left in f.err.
 func (r *Reader) parseFields(name string, f *fields) (any, error) {
 	switch name {
 	case msgTable:
@@ -109,7 +109,7 @@
 	return parse(f), nil
 }
 
-// readTable reads a table of servers: its line and one for each server.
+// readTable reads a server table: the values of its first line, and one more line for each server.
 func (r *Reader) readTable(f *fields) error {
 	table, rows := f.int(fieldTable), f.int(fieldTableRows)
 	if f.err != nil {
@@ -150,7 +150,7 @@
 		StartedAt: f.duration(fieldStartedAt),
 	}
 	if f.err == nil && f.left() > 0 {
-		f.err = errors.New("too many values")
+		f.err = errors.New("unexpected values at the end")
 	}
 	if f.err != nil {
 		return policy.Server{}, fmt.Errorf(msgTableEntry+": %w", f.err)
@@ -158,7 +158,7 @@
 	return server, nil
 }
 
-// unexpectedEOF turns an end of input inside a message into an error.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, for an end of the input inside a message.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -166,7 +166,7 @@
 	return err
 }
 
-// parseEndpointsChanged parses an update of the endpoint list, whose servers are those of the table that it names.
+// parseEndpointsChanged parses an update of the endpoint list. Its servers are those of the table that it refers to.
 func (r *Reader) parseEndpointsChanged(f *fields) (any, error) {
 	event := EndpointsChanged{Instance: f.int(fieldInstance)}
 	f.number(fieldSequenceNumber)
@@ -183,7 +183,7 @@
 	}
 	table, err := strconv.Atoi(tableText)
 	if err != nil {
-		return nil, fmt.Errorf(msgEndpointsChanged+": bad table %q", tableText)
+		return nil, fmt.Errorf(msgEndpointsChanged+": invalid table %q", tableText)
 	}
 	if event.Servers, ok = r.tables[table]; !ok {
 		return nil, fmt.Errorf(msgEndpointsChanged+": unknown table %d", table)
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -9,15 +9,14 @@
 	"mulleinmux/policy"
 )
 
-// Reply gathers the lines of one reply. Its methods are the actions of the
-// instance Instance, which the adapter sets before it hands over an event.
+// Reply collects the lines of one reply. Its methods append the actions of one instance, whose number the adapter sets
+// in Instance before it passes an event to that instance.
 type Reply struct {
 	Instance int
 	buf      []byte
 }
 
-// Take returns the reply with its last line and empties it; the slice is
-// valid until the next action.
+// Take returns the complete reply, including its end line, and resets r. The slice is valid until the next action.
 func (r *Reply) Take() []byte {
 	b := append(r.buf, msgReplyEnd+"\n"...)
 	r.buf = r.buf[:0]
@@ -40,7 +39,7 @@
 	r.buf = strconv.AppendInt(r.buf, x, 10)
 }
 
-func (r *Reply) dur(d time.Duration) {
+func (r *Reply) duration(d time.Duration) {
 	r.buf = append(r.buf, ' ')
 	r.buf = strconv.AppendFloat(r.buf, d.Round(time.Microsecond).Seconds(), 'f', -1, 64)
 }
@@ -52,19 +51,19 @@
 	r.begin(msgSendAttempt)
 	r.str(id)
 	r.str(server)
-	r.dur(timeout)
+	r.duration(timeout)
 	r.end()
 }
 
-// RejectRequest rejects a request; a retryAfter of 0 gives no advice.
+// RejectRequest rejects a request. A retryAfter of 0 means that the client is given no retry delay.
 func (r *Reply) RejectRequest(id string, retryAfter time.Duration) {
 	r.begin(msgRejectRequest)
 	r.str(id)
-	r.dur(retryAfter)
+	r.duration(retryAfter)
 	r.end()
 }
 
-// FailRequest gives up a request whose attempts have failed.
+// FailRequest fails a request whose attempts have failed.
 func (r *Reply) FailRequest(id string) {
 	r.begin(msgFailRequest)
 	r.str(id)
@@ -79,11 +78,11 @@
 	r.end()
 }
 
-// SetTimer asks for a timer event with the token.
+// SetTimer requests a timer event with the token after the given time.
 func (r *Reply) SetTimer(token uint64, after time.Duration) {
 	r.begin(msgSetTimer)
 	r.int(int64(token))
-	r.dur(after)
+	r.duration(after)
 	r.end()
 }
 
@@ -94,7 +93,7 @@
 	r.end()
 }
 
-// SendGossip sends a message to a peer, or to all with [policy.AllInstances].
+// SendGossip sends a message to a peer, or to all instances if peer is [policy.AllInstances].
 func (r *Reply) SendGossip(peer int, message []byte) {
 	r.begin(msgSendGossip)
 	if peer < 0 {
@@ -111,7 +110,7 @@
 	r.end()
 }
 
-// WatchEndpoints starts or stops the events of changed endpoints.
+// WatchEndpoints starts or stops the delivery of EndpointsChanged events.
 func (r *Reply) WatchEndpoints(on bool) {
 	r.begin(msgWatchEndpoints)
 	if on {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,17 +8,16 @@
 	"mulleinmux/policy"
 )
 
-// ConnectionSettings is the part of the settings that concerns connections: the host's
-// business, not the policy's.
+// ConnectionSettings is the part of the settings that concerns connections, which the host manages and not the policy.
 type ConnectionSettings struct {
-	ConnIdleTimeout time.Duration // a server closes a connection that has stood idle this long
-	ConnectTimeout  time.Duration // a connection that is not made within this has failed
+	ConnIdleTimeout time.Duration // time after which a server closes an idle connection
+	ConnectTimeout  time.Duration // time within which a connection must be established
 }
 
-// ParseSettings parses the settings object, in the form in which both the
-// simulator and a real edge node's configuration give it.
+// ParseSettings parses the settings object. The simulator and the configuration of a real edge node use the same
+// format.
 func ParseSettings(text []byte) (policy.Settings, ConnectionSettings, error) {
-	var in info
+	var in wireSettings
 	if err := json.Unmarshal(text, &in); err != nil {
 		return policy.Settings{}, ConnectionSettings{}, err
 	}
@@ -30,9 +29,9 @@
 	return settings, connections, err
 }
 
-// info mirrors the settings object, which the wire calls info; its fields are named as the keys are, and
-// other keys are skipped.
-type info struct {
+// wireSettings is the JSON form of the settings object, which the wire calls info. Its fields have the names of
+// the keys; other keys are ignored.
+type wireSettings struct {
 	Instances, Me int
 	Zone          string
 	Tick          float64
@@ -65,12 +64,12 @@
 	}
 }
 
-// settings returns the policy's settings. Words that are unknown are errors.
-func (in *info) settings() (policy.Settings, error) {
+// settings converts the object to the policy's settings. An unknown word is an error.
+func (in *wireSettings) settings() (policy.Settings, error) {
 	s := in.scalarSettings()
 	var isKnown bool
 	if s.LoadReports, isKnown = loadReportModes[in.Feedback.How]; !isKnown {
-		return s, fmt.Errorf("feedback.how: unknown word %q", in.Feedback.How)
+		return s, fmt.Errorf("feedback.how: unknown load report mode %q", in.Feedback.How)
 	}
 	var err error
 	if s.Classes, err = in.classes(); err != nil {
@@ -80,8 +79,8 @@
 	return s, nil
 }
 
-// scalarSettings returns the settings but for classes, plans and load reports.
-func (in *info) scalarSettings() policy.Settings {
+// scalarSettings returns the settings except classes, plans and load reports.
+func (in *wireSettings) scalarSettings() policy.Settings {
 	limits, rules, penalties := &in.PolicyLimits, &in.Rules, &in.Penalties
 	return policy.Settings{
 		InstanceIndex: in.Me,
@@ -118,8 +117,8 @@
 	}
 }
 
-// classes returns the classes up to the first invalid one, which is an error.
-func (in *info) classes() ([]policy.Class, error) {
+// classes converts the classes. If one is invalid, it returns the classes before it and an error.
+func (in *wireSettings) classes() ([]policy.Class, error) {
 	var classes []policy.Class
 	for i := range in.Lanes {
 		lane := &in.Lanes[i]
@@ -146,7 +145,8 @@
 	return classes, nil
 }
 
-func (in *info) plans() []policy.Plan {
+// plans converts the plans.
+func (in *wireSettings) plans() []policy.Plan {
 	var plans []policy.Plan
 	for i := range in.Tariffs {
 		tariff := &in.Tariffs[i]
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -24,18 +24,18 @@
 	}
 }
 
-const launchLine = `LAUNCH 3 99 {"instances":2,"me":1,"zone":"z","newKey":[1],"tick":0.004,` +
+const instanceStartedLine = `LAUNCH 3 99 {"instances":2,"me":1,"zone":"z","newKey":[1],"tick":0.004,` +
 	`"feedback":{"how":"answers"},` +
 	`"lanes":[{"name":"c","idempotency":"dedup","keyScope":"cell","memorySpan":5,"onTime":1,"deadline":4}],` +
 	`"tariffs":[{"name":"p","quotaRate":2.5,"peakUnits":7,"maxOut":3}],` +
 	`"policyLimits":{"mostTries":3},"rules":{"drainGrace":2}}`
 
-// mustRead reads lines that have so many events in all.
+// mustRead reads lines and fails the test unless they contain count events.
 func mustRead(t *testing.T, text string, count int) []any {
 	t.Helper()
 	events, err := readAll(text)
 	if err != nil || len(events) != count {
-		t.Fatalf("%d events, error %v", len(events), err)
+		t.Fatalf("unexpected result of reading: %d events, error %v", len(events), err)
 	}
 	return events
 }
@@ -43,18 +43,18 @@
 func TestReadClock(t *testing.T) {
 	events := mustRead(t, "CLOCK 8.41225\nCOMMIT\n", 2)
 	if c := events[0].(Clock); c.Now != 8412250*time.Microsecond {
-		t.Errorf("clock %v", c.Now)
+		t.Errorf("got clock %v, want 8.41225s", c.Now)
 	}
 }
 
 func TestReadInstanceStarted(t *testing.T) {
-	l := mustRead(t, launchLine+"\n", 1)[0].(InstanceStarted)
+	l := mustRead(t, instanceStartedLine+"\n", 1)[0].(InstanceStarted)
 	s := l.Settings
 	if l.Seed != 99 || s.InstanceIndex != 1 ||
 		s.Classes[0].Idempotency != policy.IdempotentWithKey || s.Classes[0].DedupScope != policy.DedupCell ||
 		s.Plans[0].MaxInFlight != 3 || s.Plans[0].Burst != 7 || s.LoadReports != policy.LoadReportsInResponses ||
 		s.DrainGracePeriod != 2*time.Second {
-		t.Errorf("launch %+v", l)
+		t.Errorf("unexpected InstanceStarted event: %+v", l)
 	}
 }
 
@@ -64,10 +64,10 @@
 	list := events[0].(EndpointsChanged)
 	if len(list.Servers) != 2 || list.Servers[1].State != policy.Draining ||
 		list.Servers[1].StartedAt != 6100*time.Millisecond {
-		t.Errorf("list %+v", list)
+		t.Errorf("unexpected endpoint list: %+v", list)
 	}
 	if e := events[1].(EndpointsChanged); e.Kind != policy.EndpointsUnavailable {
-		t.Errorf("form %v", e.Kind)
+		t.Errorf("got update kind %v, want EndpointsUnavailable", e.Kind)
 	}
 }
 
@@ -77,21 +77,21 @@
 		"LEFT 3 rq_a\n", 5)
 	q := events[0].(RequestArrived).Request
 	if q.Customer != 4569004829183723 || q.Units != 2 || q.InstanceCount != 3 || q.FirstInstance != 1 {
-		t.Errorf("request %+v", q)
+		t.Errorf("unexpected request: %+v", q)
 	}
 	o := events[1].(AttemptCompleted).Outcome
 	if o.Result != policy.RejectedByServer || !o.RequestAnswered ||
 		o.LoadReport == nil || o.LoadReport.QueueLength != 3 || o.Units != 3 {
-		t.Errorf("outcome %+v", o)
+		t.Errorf("unexpected outcome: %+v", o)
 	}
 	if e := events[2].(TimerFired); e.Token != 77 {
-		t.Errorf("token %d", e.Token)
+		t.Errorf("got timer token %d, want 77", e.Token)
 	}
 	if w := events[3].(GossipReceived); string(w.Payload) != "hi 7" {
-		t.Errorf("payload %q", w.Payload)
+		t.Errorf("got gossip payload %q, want hi 7", w.Payload)
 	}
 	if e := events[4].(ClientDisconnected); e.ID != "rq_a" {
-		t.Errorf("request %q", e.ID)
+		t.Errorf("got disconnected request %q, want rq_a", e.ID)
 	}
 }
 
@@ -107,7 +107,7 @@
 	} {
 		_, err := readAll("CLOCK 1\n" + bad + "\n")
 		if err == nil || !strings.HasPrefix(err.Error(), "line ") {
-			t.Errorf("%q: error %v", bad, err)
+			t.Errorf("%q: got error %v, want one that begins with the line number", bad, err)
 		}
 	}
 }
@@ -132,13 +132,13 @@
 		t.Errorf("got %q\nwant %q", got, want)
 	}
 	if got := string(r.Take()); got != "FINISHED\n" {
-		t.Errorf("empty reply %q", got)
+		t.Errorf("got reply %q without actions, want only the end line", got)
 	}
 }
 
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("CLOCK 1\nCOMMIT\n"))
-	f.Add([]byte(launchLine + "\n"))
+	f.Add([]byte(instanceStartedLine + "\n"))
 	f.Add([]byte("PAGE 0 1\nITEM s IN 1 k z 0 -\nFLEET 3 41 0 Partial\n"))
 	f.Add([]byte("COMPLETED 3 rq 1 0 s 0 0 0 0 backlog:3\nACCEPT 3 r c p 1 1 1 1 1 1\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -149,7 +149,7 @@
 				return
 			}
 			if ev == nil || n > len(b) {
-				t.Fatalf("event %d is %v", n, ev)
+				t.Fatalf("event %d is %v, want a non-nil event and no more events than bytes", n, ev)
 			}
 		}
 	})
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -2,7 +2,7 @@
 
 import "mulleinmux/policy"
 
-// The names of the messages that come, in the order in which an instance meets them.
+// The names of the messages from the simulator, in the order in which an instance first receives them.
 const (
 	msgClock             = "CLOCK"
 	msgBatchEnd          = "COMMIT"
@@ -14,7 +14,7 @@
 	msgRequestArrived    = "ACCEPT"
 	msgResponseStarted   = "HEADERS"
 	msgAttemptCompleted  = "COMPLETED"
-	msgClientGone        = "LEFT"
+	msgDisconnected      = "LEFT"
 	msgTimerFired        = "TIMEOUT_FIRED"
 	msgHealthCheckResult = "PROBE_DONE"
 	msgGossipReceived    = "WHISPER"
@@ -36,7 +36,7 @@
 	msgReplyEnd       = "FINISHED"
 )
 
-// The names of the values of a line, as errors tell them.
+// The names of the values of a line, for error messages.
 const (
 	fieldClock          = "clock"
 	fieldInstance       = "i"
@@ -85,10 +85,10 @@
 	reportQueueLength = "backlog"
 	reportUtilization = "utilization"
 
-	registryModePolled = "subscribe" // the endpoint list has to be asked for
+	registryModePolled = "subscribe" // the instance has to request the endpoint list
 )
 
-// loadReportModes has the meaning of the words for how servers report their load.
+// loadReportModes maps words to the ways in which servers report their load.
 var loadReportModes = map[string]policy.LoadReportMode{
 	"answers": policy.LoadReportsInResponses,
 	"probe":   policy.LoadReportsInHealthChecks,
@@ -96,7 +96,7 @@
 	"":        policy.LoadReportsNone,
 }
 
-// results has the meaning of the codes for the end of an attempt.
+// results maps codes to the results of an attempt.
 var results = map[string]policy.Result{
 	"0":   policy.OK,
 	"255": policy.ErrorResponse,
@@ -108,14 +108,14 @@
 	"249": policy.NotSent,
 }
 
-// serverStates has the meaning of the words for a server's state.
+// serverStates maps words to the states of a server.
 var serverStates = map[string]policy.ServerState{
 	"IN":   policy.Up,
 	"LAME": policy.Draining,
 	"OUT":  policy.Removed,
 }
 
-// updateKinds has the meaning of the words for the form of a list of servers.
+// updateKinds maps words to the kinds of an endpoint list update.
 var updateKinds = map[string]policy.EndpointUpdateKind{
 	"Partial":   policy.EndpointsDelta,
 	"Complete":  policy.EndpointsComplete,
@@ -123,14 +123,14 @@
 	"Error":     policy.EndpointsUnavailable,
 }
 
-// idempotencies has the meaning of the words for what repeating a request does.
+// idempotencies maps words to the effects of repeating a request.
 var idempotencies = map[string]policy.Idempotency{
 	"retryable": policy.Idempotent,
 	"dedup":     policy.IdempotentWithKey,
 	"fragile":   policy.NonIdempotent,
 }
 
-// dedupScopes has the meaning of the words for the servers that drop a repeat.
+// dedupScopes maps words to the sets of servers that deduplicate a repeated request.
 var dedupScopes = map[string]policy.DedupScope{
 	"all":  policy.DedupAllServers,
 	"zone": policy.DedupZone,
