--- a/internal/openapi/checker.go
+++ b/internal/openapi/checker.go
@@ -18,8 +18,8 @@
 	"mulleinmux/routing"
 )
 
-// Checker checks requests against all that a description says of parameters and bodies.
-// It may be used by many goroutines.
+// Checker validates the parameters and bodies of requests against a description. It is
+// safe for concurrent use.
 type Checker struct {
 	routes map[operationKey]*routers.Route
 }
@@ -27,7 +27,7 @@
 // operationKey identifies an operation in its document.
 type operationKey struct{ method, path string }
 
-// Checker returns a checker of the description's operations.
+// Checker returns a [Checker] for the operations of the description.
 func (d *Description) Checker() *Checker {
 	c := &Checker{routes: map[operationKey]*routers.Route{}}
 	for path, item := range d.spec.Paths.Map() {
@@ -40,7 +40,8 @@
 	return c
 }
 
-// Check returns what is wrong with a request of an operation, in one line, or nil.
+// Check validates a request of an operation. The error text is one line that states what
+// is wrong with the request.
 func (c *Checker) Check(op *routing.Operation, head *httpwire.Head, body []byte) error {
 	path, values := op.PathParams(head.Target)
 	route := c.routes[operationKey{op.Method, path}]
@@ -69,7 +70,7 @@
 	return errors.New(validationMessage(err))
 }
 
-// validationMessage says what is wrong in one line, without the schema.
+// validationMessage returns the text of a validation error as one line, without the schema.
 func validationMessage(err error) string {
 	text := err.Error()
 	if requestError, ok := errors.AsType[*openapi3filter.RequestError](err); ok {
@@ -79,7 +80,7 @@
 	return text
 }
 
-// requestErrorMessage names the part of the request that is wrong, and the reason.
+// requestErrorMessage returns a text with the invalid part of the request and the reason.
 func requestErrorMessage(requestError *openapi3filter.RequestError) string {
 	part := "body"
 	if requestError.Parameter != nil {
--- a/internal/openapi/checker_test.go
+++ b/internal/openapi/checker_test.go
@@ -7,7 +7,7 @@
 	"mulleinmux/internal/httpwire"
 )
 
-// TestChecker checks that the errors of a request name the part that is wrong.
+// TestChecker checks that the error for an invalid request names the part that is invalid.
 func TestChecker(t *testing.T) {
 	table, description, err := Compile("booking.yaml", exampleText(t), testOptions())
 	if err != nil {
@@ -34,13 +34,13 @@
 			err := check.Check(op, head, []byte(c.body))
 			if (err == nil) != (c.want == "") ||
 				err != nil && (!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")) {
-				t.Errorf("%s %s %s: %v, want %q", c.method, c.target, c.body, err, c.want)
+				t.Errorf("%s %s, body %s: got error %v, want one line with %q", c.method, c.target, c.body, err, c.want)
 			}
 		})
 	}
 }
 
-// TestPathParams checks that the values of a path are decoded.
+// TestPathParams checks that the values of path parameters are decoded.
 func TestPathParams(t *testing.T) {
 	table, _, err := Compile("booking.yaml", exampleText(t), testOptions())
 	if err != nil {
@@ -49,6 +49,6 @@
 	op, _, _ := table.Match("GET", "/v1/reports/2026-12-01.csv")
 	path, values := op.PathParams("/v1/reports/2026%3A1.csv?x")
 	if path != "/reports/{day}.csv" || values["day"] != "2026:1" {
-		t.Errorf("%s %v", path, values)
+		t.Errorf("got template %s, values %v, want /reports/{day}.csv, day 2026:1", path, values)
 	}
 }
--- a/internal/openapi/description.go
+++ b/internal/openapi/description.go
@@ -1,6 +1,6 @@
 // Package openapi reads OpenAPI 3.0 and 3.1 descriptions, in YAML or JSON, into the
-// form that package routing compiles. It reads only the one file it is given: a
-// reference to anything outside that file is a problem, and is never fetched.
+// form that package routing compiles. It reads a single file: a reference to anything
+// outside that file is reported as a problem, and its target is never fetched.
 package openapi
 
 import (
@@ -15,25 +15,25 @@
 	"mulleinmux/routing"
 )
 
-// MaxBytes is the largest length of a description, in bytes.
+// MaxBytes is the maximum length of a description, in bytes.
 const MaxBytes = 16 << 20
 
-// A description longer than largeDescriptionBytes is read with a garbage collection
-// between two steps and at a quicker pace until the end, because the trees of a large
-// text are short-lived.
+// To limit the memory for the short-lived trees of a description that is longer than
+// largeDescriptionBytes, [Read] runs a garbage collection before the library loads it,
+// and lowers the GC percentage until it returns.
 const (
 	largeDescriptionBytes     = 1 << 20
-	largeDescriptionGCPercent = 30 // as in GOGC
+	largeDescriptionGCPercent = 30 // GOGC value
 )
 
-// Description is a description that was read and validated.
+// Description is a parsed and validated description.
 type Description struct {
 	Doc  *routing.Document
 	spec *openapi3.T
 }
 
-// Read parses and validates a description. file names it in problems. The error is
-// [routing.Problems].
+// Read parses and validates a description. file is its name in problems. The error is of
+// type [routing.Problems].
 func Read(file string, text []byte) (*Description, error) {
 	r := &reader{file: file, text: text, aliasSizes: map[*yaml.Node]int{}}
 	doc := r.readDocument()
@@ -41,7 +41,7 @@
 		return nil, r.problems
 	}
 	if len(text) > largeDescriptionBytes {
-		runtime.GC() // or the library's trees would be laid beside this one
+		runtime.GC() // otherwise this tree is still in memory while the library builds its own
 		defer debug.SetGCPercent(debug.SetGCPercent(largeDescriptionGCPercent))
 	}
 	spec, err := loadSpec(text)
@@ -56,7 +56,7 @@
 	return &Description{Doc: doc, spec: spec}, nil
 }
 
-// Compile reads a description and compiles it. The error is [routing.Problems].
+// Compile reads a description and compiles it. The error is of type [routing.Problems].
 func Compile(file string, text []byte, opt routing.Options) (*routing.Table, *Description, error) {
 	description, err := Read(file, text)
 	if err != nil {
@@ -67,10 +67,10 @@
 }
 
 // readDocument checks the YAML tree and returns its paths and extensions. The result is
-// usable only if it left no problems.
+// valid only if r.problems is empty afterwards.
 func (r *reader) readDocument() *routing.Document {
 	if len(r.text) > MaxBytes {
-		r.addProblem(nil, "", "is %d bytes long: %d are the most", len(r.text), MaxBytes)
+		r.addProblem(nil, "", "is %d bytes long (limit %d)", len(r.text), MaxBytes)
 		return nil
 	}
 	if r.parse(); len(r.problems) > 0 {
@@ -84,30 +84,31 @@
 		return nil
 	}
 	doc := r.outline()
-	r.root, r.aliasSizes = nil, nil // as large as all that follows: not held through that
+	r.root, r.aliasSizes = nil, nil // freed here, since they are as large as everything that is built next
 	return doc
 }
 
-// checkVersion checks that the description is of OpenAPI 3.0 or 3.1.
+// checkVersion checks that the OpenAPI version of the description is 3.0 or 3.1.
 func (r *reader) checkVersion() {
 	version := fieldValue(r.root, "openapi")
 	if version == nil {
-		r.addProblem(r.root, "openapi", "version 3.0 or 3.1 is wanted")
+		r.addProblem(r.root, "openapi", "must be version 3.0 or 3.1")
 		return
 	}
 	if !strings.HasPrefix(version.Value, "3.0.") && !strings.HasPrefix(version.Value, "3.1.") {
-		r.addProblem(version, "openapi", "version 3.0 or 3.1 is wanted")
+		r.addProblem(version, "openapi", "must be version 3.0 or 3.1")
 	}
 }
 
 // loadSpec loads and validates the description with the OpenAPI library. The text must
-// have passed [reader.checkNode], so that it refers to nothing outside.
+// have passed [reader.checkNode], which ensures that it has no references to other files.
 func loadSpec(text []byte) (*openapi3.T, error) {
 	spec, err := openapi3.NewLoader().LoadFromData(text)
 	if err != nil {
 		return nil, err
 	}
-	// Examples decide nothing. The library does not know path items as components.
+	// Examples are not validated, since they affect neither routing nor charging. The library does not support path
+	// items as components.
 	err = spec.Validate(context.Background(), openapi3.EnableMultiError(), openapi3.DisableExamplesValidation(),
 		openapi3.DisableSchemaPatternValidation(), openapi3.AllowExtraSiblingFields("pathItems"))
 	if err != nil {
--- a/internal/openapi/description_test.go
+++ b/internal/openapi/description_test.go
@@ -9,7 +9,7 @@
 	"mulleinmux/routing"
 )
 
-// testOptions are the classes that the tests' descriptions use.
+// testOptions returns options with the classes that the descriptions of the tests use.
 func testOptions() routing.Options {
 	return routing.Options{
 		Classes: []routing.Class{
@@ -20,7 +20,7 @@
 	}
 }
 
-// exampleText is the deployment's example description.
+// exampleText returns the example description of the deployment.
 func exampleText(tb testing.TB) []byte {
 	tb.Helper()
 	text, err := os.ReadFile("../../deploy/booking.yaml")
@@ -30,30 +30,31 @@
 	return text
 }
 
-// descriptionStart begins a valid description, without its paths.
+// descriptionStart is the part of a valid description before its paths.
 const descriptionStart = "openapi: 3.1.0\ninfo: {title: t, version: '1'}\n" +
 	"x-mulleinmux: {class: slot-check, units: 1}\n"
 
 // okResponses is the responses field of a valid operation.
 const okResponses = "responses: {'200': {description: ok}}"
 
-// TestCompileExample compiles the deployment's example.
+// TestCompileExample checks that the example description of the deployment compiles without
+// warnings about inherited fields.
 func TestCompileExample(t *testing.T) {
 	table, _, err := Compile("booking.yaml", exampleText(t), testOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n := len(table.Operations); n != 21 {
-		t.Errorf("%d operations", n)
+		t.Errorf("got %d operations, want 21", n)
 	}
 	for _, o := range table.Operations {
 		if len(o.InheritedFields) > 0 || o.Pos.Line == 0 || o.Class.PriorityWeight == 0 {
-			t.Errorf("%s: %+v", o.ID, o)
+			t.Errorf("%s: inherits fields from the document, or has no line or priority weight: %+v", o.ID, o)
 		}
 	}
 }
 
-// TestCompileJSON checks that JSON is read like YAML, with tabs too.
+// TestCompileJSON checks that JSON is read like YAML, and may be indented with tabs.
 func TestCompileJSON(t *testing.T) {
 	text := "{\n" +
 		"\t\"openapi\": \"3.0.3\",\n" +
@@ -62,21 +63,22 @@
 		"\t\"paths\": {\"\\u002fa\": {\"get\": {\"responses\": {\"200\": {\"description\": \"ok\"}}}}}\n}"
 	table, _, err := Compile("d.json", []byte(text), testOptions())
 	if err != nil || table.Operations[0].Template != "/a" || table.Operations[0].Pos.Line != 5 {
-		t.Errorf("%+v %v", table, err)
+		t.Errorf("got table %+v, error %v, want template /a at line 5", table, err)
 	}
 }
 
-// TestCompileTenMegabytes checks that a description of 10 MB is read; it is no attack by itself.
+// TestCompileTenMegabytes checks that a description of 10 MB is accepted: its size alone does
+// not make it an attack.
 func TestCompileTenMegabytes(t *testing.T) {
 	text := append(largeDescription(100),
 		"components:\n  schemas:\n    big:\n      type: string\n"+
 			"      description: '"+strings.Repeat("x", 10<<20)+"'\n"...)
 	if table, _, err := Compile("d.yaml", text, testOptions()); err != nil || len(table.Operations) != 100 {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want a table of 100 operations", err)
 	}
 }
 
-// FuzzRead checks that any text is read or rejected with problems.
+// FuzzRead checks that any text is either accepted or rejected with [routing.Problems].
 func FuzzRead(f *testing.F) {
 	for _, text := range []string{
 		descriptionStart + "paths: {/a: {get: {" + okResponses + "}}}",
@@ -89,7 +91,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, _, err := Compile("d.yaml", text, testOptions()); err != nil {
 			if _, ok := errors.AsType[routing.Problems](err); !ok {
-				t.Errorf("%T: %v", err, err)
+				t.Errorf("got error of type %T, want routing.Problems: %v", err, err)
 			}
 		}
 	})
--- a/internal/openapi/extension.go
+++ b/internal/openapi/extension.go
@@ -6,10 +6,11 @@
 	"mulleinmux/routing"
 )
 
-// maxExtensionDepth is how deep the values of an extension are read.
+// maxExtensionDepth is the maximum nesting depth of the values that are read from an
+// extension.
 const maxExtensionDepth = 8
 
-// extension returns a node's own extension, or nil.
+// extension returns the extension of a node, or nil if the node itself has none.
 func extension(node *yaml.Node) *routing.Value {
 	value := fieldValue(node, routing.ExtensionName)
 	if value == nil {
@@ -19,7 +20,8 @@
 	return &v
 }
 
-// extensionValue converts a value of an extension, with its place.
+// extensionValue converts a value of an extension, with its position. A value nested deeper
+// than [maxExtensionDepth] becomes [routing.OtherValue].
 func extensionValue(node *yaml.Node, depth int) routing.Value {
 	v := routing.Value{Pos: position(node), Kind: routing.OtherValue}
 	if node = resolveAlias(node); node == nil || depth > maxExtensionDepth {
--- a/internal/openapi/libraryerror.go
+++ b/internal/openapi/libraryerror.go
@@ -8,8 +8,8 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// addLibraryProblems records what the OpenAPI library found, each error with the nearest
-// place that it names.
+// addLibraryProblems records the errors of the OpenAPI library as problems, each at the
+// innermost node that the error identifies.
 func (r *reader) addLibraryProblems(err error) {
 	if several, ok := errors.AsType[openapi3.MultiError](err); ok {
 		for _, e := range several {
@@ -18,53 +18,55 @@
 		return
 	}
 	if r.root == nil {
-		r.parse() // once more, for the places
+		r.parse() // again, for the positions of the problems
 	}
-	place := locate(r.root, err)
-	r.addProblem(place.node, place.field, "%s", strings.ReplaceAll(strings.TrimSpace(err.Error()), "\n", " "))
+	location := locate(r.root, err)
+	r.addProblem(location.node, location.field, "%s", strings.ReplaceAll(strings.TrimSpace(err.Error()), "\n", " "))
 }
 
-// nodePlace is a node of the tree and the path of the field that leads to it.
-type nodePlace struct {
+// nodeLocation is a node of the YAML tree and the dotted path of its field.
+type nodeLocation struct {
 	node  *yaml.Node
 	field string
 }
 
-// locate returns the nearest place that an error of the library names.
-func locate(root *yaml.Node, err error) nodePlace {
-	place := nodePlace{node: root}
+// locate returns the location of the innermost node that an error of the library
+// identifies.
+func locate(root *yaml.Node, err error) nodeLocation {
+	location := nodeLocation{node: root}
 	if section, ok := errors.AsType[*openapi3.SectionValidationError](err); ok {
-		place.enter(section.Section)
+		location.enter(section.Section)
 	}
 	if component, ok := errors.AsType[*openapi3.ComponentValidationError](err); ok {
-		place.enterFirst(component.Section, component.Section+"s")
-		place.enter(component.Name)
+		location.enterFirst(component.Section, component.Section+"s")
+		location.enter(component.Name)
 	}
 	if path, ok := errors.AsType[*openapi3.PathValidationError](err); ok {
-		place.enter(path.Path)
+		location.enter(path.Path)
 	}
 	if operation, ok := errors.AsType[*openapi3.OperationValidationError](err); ok {
-		place.enter(strings.ToLower(operation.Method))
+		location.enter(strings.ToLower(operation.Method))
 	}
-	return place
+	return location
 }
 
-// enter moves to a field of the node. A field that the node lacks is named, but the node
-// stays.
-func (p *nodePlace) enter(name string) {
-	if key, value := fieldEntry(p.node, name); key != nil {
-		node := *key // the name's place, the value's content
+// enter moves to a field of the node. If the node does not have the field, only the path
+// changes.
+func (l *nodeLocation) enter(name string) {
+	if key, value := fieldEntry(l.node, name); key != nil {
+		node := *key // with the position of the key and the content of the value
 		node.Kind, node.Content = value.Kind, value.Content
-		p.node = &node
+		l.node = &node
 	}
-	p.field = joinField(p.field, name)
+	l.field = joinField(l.field, name)
 }
 
-// enterFirst moves to the first of the named fields that the node has, if any.
-func (p *nodePlace) enterFirst(names ...string) {
+// enterFirst moves to the first of the named fields that the node has. If it has none of
+// them, the location does not change.
+func (l *nodeLocation) enterFirst(names ...string) {
 	for _, name := range names {
-		if key, _ := fieldEntry(p.node, name); key != nil {
-			p.enter(name)
+		if key, _ := fieldEntry(l.node, name); key != nil {
+			l.enter(name)
 			return
 		}
 	}
--- a/internal/openapi/load_bench_test.go
+++ b/internal/openapi/load_bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// largeDescription describes n operations.
+// largeDescription returns a description of n operations.
 func largeDescription(n int) []byte {
 	var b strings.Builder
 	b.WriteString(descriptionStart + "paths:\n")
@@ -21,8 +21,8 @@
 	return []byte(b.String())
 }
 
-// BenchmarkLoad reads and compiles 10,000 operations; MB-peak is the most memory that the
-// process has held, with the text and the test itself.
+// BenchmarkLoad reads and compiles a description of 10,000 operations. MB-peak is the peak
+// resident memory of the process, including the text and the test itself.
 func BenchmarkLoad(b *testing.B) {
 	text := largeDescription(10000)
 	b.SetBytes(int64(len(text)))
--- a/internal/openapi/operation.go
+++ b/internal/openapi/operation.go
@@ -8,34 +8,35 @@
 	"mulleinmux/routing"
 )
 
-// jsonMediaType is the media type of request bodies whose schema is taken over.
+// jsonMediaType is the media type of the request bodies whose schema is converted.
 const jsonMediaType = "application/json"
 
-// fillDocument adds to an outline what the library resolved: identifiers, servers,
-// parameters and bodies. Fields under paths that are not paths are dropped.
+// fillDocument completes the outline of a document with what the library resolved:
+// identifiers, servers, parameters and bodies. It removes fields under "paths" that are not
+// paths.
 func (r *reader) fillDocument(doc *routing.Document, spec *openapi3.T) {
 	doc.Version = spec.Info.Version
-	known := doc.Paths[:0]
+	described := doc.Paths[:0]
 	for _, path := range doc.Paths {
 		item := spec.Paths.Value(path.Template)
 		if item == nil {
-			continue // an extension
+			continue // not a path but an extension
 		}
 		for i := range path.Methods {
 			if operation := item.GetOperation(path.Methods[i].Name); operation != nil {
 				r.fillMethod(&path.Methods[i], path.Template, spec, item, operation)
 			}
 		}
-		known = append(known, path)
+		described = append(described, path)
 	}
-	doc.Paths = known
+	doc.Paths = described
 }
 
-// fillMethod adds to one operation what the library resolved.
+// fillMethod completes one operation with what the library resolved.
 func (r *reader) fillMethod(method *routing.Method, template string, spec *openapi3.T, item *openapi3.PathItem,
 	operation *openapi3.Operation) {
 	method.ID = operation.OperationID
-	for _, server := range serversInForce(spec, item, operation) {
+	for _, server := range effectiveServers(spec, item, operation) {
 		base, err := basePath(server)
 		if err != nil {
 			r.problems = append(r.problems, routing.Problem{File: r.file, Pos: method.Pos,
@@ -51,8 +52,8 @@
 	}
 }
 
-// params converts the parameters of the lists. Of two with the same place and name, the
-// one in the earlier list counts.
+// params converts the parameters of the lists. Of parameters with the same location and
+// name, only the first one is converted.
 func params(lists ...openapi3.Parameters) []routing.Param {
 	type identity struct{ in, name string }
 	seen := map[identity]bool{}
--- a/internal/openapi/operationid.go
+++ b/internal/openapi/operationid.go
@@ -2,8 +2,8 @@
 
 import "go.yaml.in/yaml/v4"
 
-// checkOperationIDs checks that each operationId is unique: the library reports a
-// duplicate without the lines.
+// checkOperationIDs checks that each operationId is unique. It is checked here because the
+// library reports a duplicate without the lines.
 func (r *reader) checkOperationIDs() {
 	firstIDs := map[string]*yaml.Node{}
 	paths := fieldValue(r.root, "paths")
@@ -22,13 +22,15 @@
 	}
 }
 
-// checkOperationID checks one operationId, which may be nil, against those before it.
+// checkOperationID reports an operationId that is already in firstIDs, and otherwise adds it.
+// id may be nil.
 func (r *reader) checkOperationID(firstIDs map[string]*yaml.Node, field string, id *yaml.Node) {
 	if id == nil {
 		return
 	}
 	if first := firstIDs[id.Value]; first != nil {
-		r.addProblem(id, field, "%q names the operation at line %d too: give each its own", id.Value, first.Line)
+		r.addProblem(id, field, "%q is already used by the operation at line %d: give each operation its own",
+			id.Value, first.Line)
 		return
 	}
 	firstIDs[id.Value] = id
--- a/internal/openapi/outline.go
+++ b/internal/openapi/outline.go
@@ -12,7 +12,7 @@
 // methods are the HTTP methods that a path item may describe.
 var methods = []string{"GET", "PUT", "POST", "DELETE", "OPTIONS", "HEAD", "PATCH", "TRACE"}
 
-// outline returns the places and extensions of all paths and operations.
+// outline returns a document with the positions and extensions of all paths and operations.
 func (r *reader) outline() *routing.Document {
 	doc := &routing.Document{File: r.file, Extension: extension(r.root)}
 	paths := fieldValue(r.root, "paths")
@@ -28,8 +28,8 @@
 	return doc
 }
 
-// outlineMethods returns the places and extensions of a path item's operations. item may
-// be nil.
+// outlineMethods returns the operations of a path item with their positions and
+// extensions. item may be nil.
 func outlineMethods(item *yaml.Node) []routing.Method {
 	if item == nil || item.Kind != yaml.MappingNode {
 		return nil
--- a/internal/openapi/problems_test.go
+++ b/internal/openapi/problems_test.go
@@ -11,7 +11,8 @@
 	"mulleinmux/routing"
 )
 
-// aliasBomb is an alias bomb of nine levels with nine aliases each.
+// aliasBomb returns a description whose size grows exponentially when its aliases are
+// expanded: nine levels with nine aliases each.
 func aliasBomb() string {
 	text := descriptionStart + "x-a: &a0 [x, x]\n"
 	for i := 1; i < 10; i++ {
@@ -21,17 +22,17 @@
 	return text + "paths: {}\n"
 }
 
-// problemCase is an unusable description, and what its problems say.
+// problemCase is an invalid description and a part of the expected error.
 type problemCase struct{ text, want string }
 
-// documentProblems are descriptions that can't be read, or that describe nothing.
+// documentProblems are descriptions that cannot be read or that describe no operation.
 var documentProblems = map[string]problemCase{
 	"nothing": {"", "d.yaml"},
 	"a list":  {"[1]", "an object with openapi"},
 	"no YAML": {descriptionStart + "paths: {\n", "d.yaml"},
 	"another version": {
 		strings.Replace(descriptionStart, "3.1.0", "2.0", 1) + "paths: {}",
-		"d.yaml:1:10: openapi: version 3.0 or 3.1",
+		"d.yaml:1:10: openapi: must be version 3.0 or 3.1",
 	},
 	"no version":    {"info: {}\npaths: {}", "version 3.0 or 3.1"},
 	"no operation":  {descriptionStart + "paths: {}", "describes no operation"},
@@ -39,7 +40,7 @@
 	"an alias of itself": {
 		descriptionStart + "x-a: &a {b: *a}\n" +
 			"paths: {}\n",
-		"holds itself",
+		"contains itself",
 	},
 	"a name twice": {
 		descriptionStart + "paths:\n" +
@@ -52,22 +53,23 @@
 			"paths: {}\n",
 		"depth of 200",
 	},
-	"too long": {descriptionStart + strings.Repeat("#", MaxBytes), "are the most"},
+	"too long": {descriptionStart + strings.Repeat("#", MaxBytes), "bytes long (limit"},
 }
 
-// referenceProblems are references that lead nowhere, or outside. OUTSIDE stands for the URL of a server.
+// referenceProblems are descriptions whose references have no target, are circular or refer
+// outside the file. OUTSIDE is replaced by the URL of a server.
 var referenceProblems = map[string]problemCase{
 	"a remote reference": {
 		descriptionStart + "paths:\n" +
 			"  /a:\n" +
 			"    $ref: 'OUTSIDE/x.yaml'\n",
-		"d.yaml:6:11: paths./a.$ref: \"OUTSIDE/x.yaml\" lies outside this file",
+		"d.yaml:6:11: paths./a.$ref: \"OUTSIDE/x.yaml\" refers outside this file",
 	},
 	"a file": {
 		descriptionStart + "paths:\n" +
 			"  /a:\n" +
 			"    $ref: 'description_test.go'\n",
-		"lies outside this file",
+		"refers outside this file",
 	},
 	"a dead reference": {
 		descriptionStart + "paths:\n" +
@@ -80,16 +82,16 @@
 			"  /a: {get: {parameters: [{$ref: '#/components/parameters/a'}], " + okResponses + "}}\n" +
 			"components: {parameters: {a: {$ref: '#/components/parameters/b'}, " +
 			"b: {$ref: '#/components/parameters/a'}}}\n",
-		"in a circle",
+		"is a circular reference",
 	},
 	"a circle of schemas": {
 		descriptionStart + "paths: {/a: {get: {" + okResponses + "}}}\n" +
 			"components: {schemas: {a: {$ref: '#/components/schemas/a'}}}\n",
-		"in a circle",
+		"is a circular reference",
 	},
 }
 
-// operationProblems are operations that can't be matched or charged.
+// operationProblems are descriptions with operations that cannot be matched or charged.
 var operationProblems = map[string]problemCase{
 	"a merge key": {
 		descriptionStart + "x-a: &a {units: 1}\n" +
@@ -123,13 +125,13 @@
 		descriptionStart + "paths:\n" +
 			"  /a:\n" +
 			"    get: {x-mulleinmux: {unit: 4}, " + okResponses + "}\n",
-		"d.yaml:6:26: paths./a.get.x-mulleinmux.unit: is no field",
+		"d.yaml:6:26: paths./a.get.x-mulleinmux.unit: is not a field",
 	},
 	"a list as extension": {
 		descriptionStart + "paths:\n" +
 			"  /a:\n" +
 			"    get: {x-mulleinmux: [], " + okResponses + "}\n",
-		"a mapping is wanted",
+		"must be a mapping",
 	},
 	"a conflict": {
 		descriptionStart + "paths:\n" +
@@ -146,7 +148,7 @@
 	},
 }
 
-// TestCompileRejects checks that an unusable description is rejected with the file, the line
+// TestCompileRejects checks that an invalid description is rejected with the file, the line
 // and the field, and that nothing outside the file is fetched.
 func TestCompileRejects(t *testing.T) {
 	fetched := false
@@ -159,16 +161,16 @@
 				want := strings.ReplaceAll(c.want, "OUTSIDE", outside.URL)
 				_, _, err := Compile("d.yaml", []byte(text), testOptions())
 				if _, ok := errors.AsType[routing.Problems](err); !ok {
-					t.Fatalf("error %v is not of problems", err)
+					t.Fatalf("got error %v, want routing.Problems", err)
 				}
 				if !strings.Contains(err.Error(), want) {
-					t.Errorf("%q lacks %q", err, want)
+					t.Errorf("error %q does not contain %q", err, want)
 				}
 			})
 		}
 	}
 	if fetched {
-		t.Error("something was fetched")
+		t.Error("got a request at the server outside the file, want none")
 	}
 }
 
@@ -180,6 +182,6 @@
 	}
 	_, _, err := Compile("d.yaml", []byte(text), testOptions())
 	if problems, _ := errors.AsType[routing.Problems](err); len(problems) != 5 || problems[4].Pos.Line != 9 {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want 5 problems, the last one at line 9", err)
 	}
 }
--- a/internal/openapi/reader.go
+++ b/internal/openapi/reader.go
@@ -9,16 +9,16 @@
 	"mulleinmux/routing"
 )
 
-// maxProblems is how many problems of one description are reported.
+// maxProblems is the maximum number of problems that are reported for one description.
 const maxProblems = 100
 
 // reader holds the state of reading one description.
 type reader struct {
 	file       string
 	text       []byte
-	root       *yaml.Node         // nil once what is needed of it was taken
-	aliasSizes map[*yaml.Node]int // node counts of alias targets; countingAlias while being counted
-	nodeCount  int
+	root       *yaml.Node         // released by readDocument after its last use
+	aliasSizes map[*yaml.Node]int // node counts of alias targets; countingAlias during the count
+	nodeCount  int                // nodes checked so far, with those of aliases counted at each use
 	problems   routing.Problems
 }
 
@@ -31,13 +31,14 @@
 	}
 	if document.Kind != yaml.DocumentNode || len(document.Content) != 1 ||
 		document.Content[0].Kind != yaml.MappingNode {
-		r.addProblem(&document, "", "is no OpenAPI description: an object with openapi, info and paths is wanted")
+		r.addProblem(&document, "", "is not an OpenAPI description: must be an object with openapi, info and paths")
 		return
 	}
 	r.root = document.Content[0]
 }
 
-// addProblem records a problem at a node, which may be nil, up to [maxProblems].
+// addProblem records a problem at a node, which may be nil. It discards problems beyond
+// [maxProblems].
 func (r *reader) addProblem(node *yaml.Node, field, format string, args ...any) {
 	if len(r.problems) >= maxProblems {
 		return
--- a/internal/openapi/reference.go
+++ b/internal/openapi/reference.go
@@ -7,23 +7,23 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// localPrefix begins a reference that stays within the file.
+// localPrefix is the prefix of references to the same file.
 const localPrefix = "#/"
 
-// maxReferenceChain is how many references one after another are followed.
+// maxReferenceChain is the maximum number of references in a chain that is followed.
 const maxReferenceChain = 32
 
-// pointerUnescaper decodes one part of a JSON pointer.
+// pointerUnescaper decodes one reference token of a JSON pointer (RFC 6901).
 var pointerUnescaper = strings.NewReplacer("~1", "/", "~0", "~", "%7B", "{", "%7D", "}", "%7b", "{", "%7d", "}")
 
-// checkReference checks that a reference stays within the file, has a target and is not
-// part of a circular chain.
+// checkReference checks that a reference is to the same file, has a target and does not lead
+// into a circular chain.
 func (r *reader) checkReference(node *yaml.Node, field string) {
 	seen := map[*yaml.Node]bool{}
 	for reference := node; ; {
 		if !strings.HasPrefix(reference.Value, localPrefix) {
 			r.addProblem(node, field,
-				"%q lies outside this file and is not fetched: copy what it names into components", reference.Value)
+				"%q refers outside this file and is not fetched: copy its target into components", reference.Value)
 			return
 		}
 		target := r.lookup(reference.Value)
@@ -32,7 +32,7 @@
 			return
 		}
 		if seen[target] {
-			r.addProblem(node, field, "%q refers to itself in a circle", node.Value)
+			r.addProblem(node, field, "%q is a circular reference", node.Value)
 			return
 		}
 		seen[target] = true
@@ -43,34 +43,34 @@
 	}
 }
 
-// lookup follows a JSON pointer from the root, through references on its way. It returns
-// nil if the pointer has no target.
+// lookup returns the node that a JSON pointer identifies, and follows references on the way
+// to it. It returns nil if the pointer has no target.
 func (r *reader) lookup(pointer string) *yaml.Node {
 	node := r.root
-	for _, part := range pointerParts(pointer) {
+	for _, token := range referenceTokens(pointer) {
 		if node = r.dereference(node); node == nil {
 			return nil
 		}
 		if node.Kind == yaml.SequenceNode {
-			node = element(node, part)
+			node = element(node, token)
 		} else {
-			node = fieldValue(node, pointerUnescaper.Replace(part))
+			node = fieldValue(node, pointerUnescaper.Replace(token))
 		}
 	}
 	return node
 }
 
-// element returns the element of a sequence that a pointer's part names, or nil.
-func element(sequence *yaml.Node, part string) *yaml.Node {
+// element returns the element of a sequence whose index is the reference token, or nil.
+func element(sequence *yaml.Node, token string) *yaml.Node {
 	index := -1
-	if _, err := fmt.Sscanf(part, "%d", &index); err != nil || index < 0 || index >= len(sequence.Content) {
+	if _, err := fmt.Sscanf(token, "%d", &index); err != nil || index < 0 || index >= len(sequence.Content) {
 		return nil
 	}
 	return sequence.Content[index]
 }
 
-// dereference follows references to a node that is not one. It returns nil if a
-// reference has no target or the chain is longer than [maxReferenceChain].
+// dereference follows references until it reaches a node that is not a local reference. It
+// returns nil if a reference has no target or the chain is longer than [maxReferenceChain].
 func (r *reader) dereference(node *yaml.Node) *yaml.Node {
 	for range maxReferenceChain {
 		if node = resolveAlias(node); node == nil {
@@ -81,8 +81,8 @@
 			return node
 		}
 		target := r.root
-		for _, part := range pointerParts(reference.Value) {
-			if target = fieldValue(target, pointerUnescaper.Replace(part)); target == nil {
+		for _, token := range referenceTokens(reference.Value) {
+			if target = fieldValue(target, pointerUnescaper.Replace(token)); target == nil {
 				return nil
 			}
 		}
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// pointerParts splits a local reference into the parts of its JSON pointer.
-func pointerParts(pointer string) []string {
+// referenceTokens splits a local reference into the reference tokens of its JSON pointer.
+func referenceTokens(pointer string) []string {
 	return strings.Split(strings.TrimPrefix(pointer, localPrefix), "/")
 }
--- a/internal/openapi/reference_test.go
+++ b/internal/openapi/reference_test.go
@@ -6,8 +6,9 @@
 	"mulleinmux/routing"
 )
 
-// TestReferences checks that an operation's parameter overrides the path's of the same name,
-// that references are followed, and that recursive schemas have an end.
+// TestReferences checks that a parameter of an operation overrides the parameter of the path
+// with the same name, that references are followed, and that the conversion of recursive
+// schemas terminates.
 func TestReferences(t *testing.T) {
 	text := descriptionStart + `paths:
   /a/{id}:
@@ -41,9 +42,9 @@
 		t.Fatal(err)
 	}
 	if u := table.Operations[0].Units; u.Min != 2 || u.Max != 7 {
-		t.Errorf("%+v", u)
+		t.Errorf("POST /a/{id}: got units %+v, want 2 to 7", u)
 	}
 	if u := table.Operations[1].Units; u.Source.In != routing.InBody || u.Max != 5 {
-		t.Errorf("%+v", u)
+		t.Errorf("POST /b: got units %+v, want a body property up to 5", u)
 	}
 }
--- a/internal/openapi/schema.go
+++ b/internal/openapi/schema.go
@@ -6,12 +6,13 @@
 	"mulleinmux/routing"
 )
 
-// maxAllOfDepth is how deep nested allOf schemas are searched for one property.
+// maxAllOfDepth is the maximum depth of nested allOf schemas that are searched for a
+// property.
 const maxAllOfDepth = 16
 
-// convertSchema converts a schema; it returns nil if there is none or allOfDepth exceeds
-// [maxAllOfDepth]. Properties are looked up only when they are asked for, so that a
-// recursive schema has an end.
+// convertSchema converts a schema. It returns nil if there is no schema or allOfDepth
+// exceeds [maxAllOfDepth]. Properties are converted on demand, so that the conversion of a
+// recursive schema terminates.
 func convertSchema(reference *openapi3.SchemaRef, allOfDepth int) *routing.Schema {
 	if reference == nil || reference.Value == nil || allOfDepth > maxAllOfDepth {
 		return nil
--- a/internal/openapi/server.go
+++ b/internal/openapi/server.go
@@ -7,9 +7,9 @@
 	"github.com/getkin/kin-openapi/openapi3"
 )
 
-// serversInForce returns the servers of an operation: its own before the path's before
-// the document's.
-func serversInForce(spec *openapi3.T, item *openapi3.PathItem, operation *openapi3.Operation) openapi3.Servers {
+// effectiveServers returns the servers that apply to an operation: its own, or else those
+// of the path, or else those of the document.
+func effectiveServers(spec *openapi3.T, item *openapi3.PathItem, operation *openapi3.Operation) openapi3.Servers {
 	if operation.Servers != nil && len(*operation.Servers) > 0 {
 		return *operation.Servers
 	}
@@ -19,8 +19,8 @@
 	return spec.Servers
 }
 
-// basePath returns the path of a server's address, with the defaults of its variables
-// and without a slash at its end.
+// basePath returns the path of a server's URL, with the default values of its variables
+// and without trailing slashes.
 func basePath(server *openapi3.Server) (string, error) {
 	url := server.URL
 	for name, variable := range server.Variables {
@@ -36,12 +36,12 @@
 	}
 	path := urlPath(url)
 	if path != "" && !strings.HasPrefix(path, "/") || strings.ContainsAny(path, "{}?#") {
-		return "", fmt.Errorf("server %q: a URL or a path that begins with a slash is wanted", server.URL)
+		return "", fmt.Errorf("server %q: must be a URL or a path that begins with a slash", server.URL)
 	}
 	return strings.TrimRight(path, "/"), nil
 }
 
-// urlPath returns what follows the scheme and the host of a URL.
+// urlPath returns the part of a URL after the scheme and the host.
 func urlPath(url string) string {
 	_, rest, hasScheme := strings.Cut(url, "://")
 	if !hasScheme {
--- a/internal/openapi/server_test.go
+++ b/internal/openapi/server_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestServers checks that the servers in force give the base path: the operation's before
-// the path's before the document's.
+// TestServers checks that the base paths are those of the operation's servers, or else of the
+// path's, or else of the document's.
 func TestServers(t *testing.T) {
 	text := descriptionStart + `servers:
   - url: 'https://{region}.example.org/{v}/'
@@ -28,6 +28,6 @@
 		got = append(got, o.Method+" "+o.Template)
 	}
 	if want := "GET /v1/a POST /v9/a POST /a GET /other/b"; strings.Join(got, " ") != want {
-		t.Errorf("%s, want %s", strings.Join(got, " "), want)
+		t.Errorf("got operations %s, want %s", strings.Join(got, " "), want)
 	}
 }
--- a/internal/openapi/treecheck.go
+++ b/internal/openapi/treecheck.go
@@ -8,24 +8,25 @@
 
 // Limits on the YAML tree of a description.
 const (
-	maxNodes = 4_000_000 // values, with those of aliases counted at each use
-	maxDepth = 200       // nesting of values
+	maxNodes = 4_000_000 // number of values, with those of aliases counted at each use
+	maxDepth = 200       // nesting depth of values
 )
 
-// countingAlias marks in aliasSizes an alias target whose size is being counted.
+// countingAlias is the value in aliasSizes of an alias target whose size is being counted.
 const countingAlias = -1
 
-// limitReported is the node count that marks that an excess over maxNodes was reported.
+// limitReported is a node count that marks an excess over a limit as already reported.
 const limitReported = 2 * maxNodes
 
-// checkNode checks the tree before anything interprets it: its size with aliases expanded,
-// duplicate names, merge keys and references. A duplicate name would let the last cost win
-// in one program and the first in another.
+// checkNode checks the tree below a node before it is interpreted: the size with aliases
+// expanded, duplicate names, merge keys and references. Duplicate names are rejected because
+// some programs would use the first value, such as the units of an operation, and some the
+// last.
 func (r *reader) checkNode(node *yaml.Node, field string, depth int) {
 	if r.nodeCount++; r.nodeCount > maxNodes || depth > maxDepth {
 		if r.nodeCount < limitReported {
 			r.nodeCount = limitReported
-			r.addProblem(node, field, "is too large: %d values and a depth of %d are the most, aliases spelt out",
+			r.addProblem(node, field, "is too large (limit %d values and a depth of %d, with aliases expanded)",
 				maxNodes, maxDepth)
 		}
 		return
@@ -40,11 +41,11 @@
 	}
 }
 
-// checkAlias checks an alias target once and counts its size at each use.
+// checkAlias checks the target of an alias at its first use and counts its size at each use.
 func (r *reader) checkAlias(node *yaml.Node, field string, depth int) {
 	size, isKnown := r.aliasSizes[node.Alias]
 	if size < 0 {
-		r.addProblem(node, field, "alias *%s holds itself", node.Value)
+		r.addProblem(node, field, "alias *%s contains itself", node.Value)
 		return
 	}
 	if !isKnown {
@@ -56,7 +57,7 @@
 	}
 	if r.nodeCount += size; r.nodeCount > maxNodes && r.nodeCount < limitReported {
 		r.nodeCount = limitReported
-		r.addProblem(node, field, "is too large with its aliases spelt out: %d values are the most", maxNodes)
+		r.addProblem(node, field, "is too large with its aliases expanded (limit %d values)", maxNodes)
 	}
 }
 
@@ -71,20 +72,20 @@
 	}
 }
 
-// checkMapping checks the names and the values of a mapping.
+// checkMapping checks the keys and the values of a mapping.
 func (r *reader) checkMapping(node *yaml.Node, field string, depth int) {
 	firstKeys := make(map[string]*yaml.Node, len(node.Content)/2)
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		key, value := node.Content[i], node.Content[i+1]
 		if first := firstKeys[key.Value]; first != nil {
-			r.addProblem(key, joinField(field, key.Value), "stands twice: first at line %d", first.Line)
+			r.addProblem(key, joinField(field, key.Value), "duplicate name: first declared at line %d", first.Line)
 		}
 		firstKeys[key.Value] = key
 		switch {
 		case key.Kind != yaml.ScalarNode:
-			r.addProblem(key, field, "a name is wanted before the colon")
+			r.addProblem(key, field, "mapping key must be a scalar")
 		case isMergeKey(key):
-			r.addProblem(key, field, "merge keys (<<) are not read: write the fields out, or use $ref")
+			r.addProblem(key, field, "merge keys (<<) are not supported: write the fields out, or use $ref")
 		case key.Value == "$ref" && value.Kind == yaml.ScalarNode:
 			r.checkReference(value, joinField(field, "$ref"))
 		case value.Kind != yaml.ScalarNode:
@@ -95,7 +96,7 @@
 	}
 }
 
-// isMergeKey reports whether a key is YAML's unquoted merge key.
+// isMergeKey reports whether a key is an unquoted YAML merge key (<<).
 func isMergeKey(key *yaml.Node) bool {
 	return key.Value == "<<" && key.Style&(yaml.SingleQuotedStyle|yaml.DoubleQuotedStyle) == 0
 }
--- a/internal/openapi/yamlnode.go
+++ b/internal/openapi/yamlnode.go
@@ -6,7 +6,7 @@
 	"mulleinmux/routing"
 )
 
-// resolveAlias returns the node that an alias stands for, or the node itself.
+// resolveAlias returns the target of an alias, or the node itself if it is not an alias.
 func resolveAlias(node *yaml.Node) *yaml.Node {
 	for node != nil && node.Kind == yaml.AliasNode {
 		node = node.Alias
@@ -14,7 +14,8 @@
 	return node
 }
 
-// fieldEntry returns the key and the value of a mapping's field, or nil.
+// fieldEntry returns the key and the value of a field of a mapping, or nil if the node is
+// not a mapping or does not have the field. It resolves aliases.
 func fieldEntry(node *yaml.Node, name string) (key, value *yaml.Node) {
 	if node = resolveAlias(node); node == nil || node.Kind != yaml.MappingNode {
 		return nil, nil
@@ -27,13 +28,13 @@
 	return nil, nil
 }
 
-// fieldValue returns the value of a mapping's field, or nil.
+// fieldValue returns the value that [fieldEntry] returns.
 func fieldValue(node *yaml.Node, name string) *yaml.Node {
 	_, value := fieldEntry(node, name)
 	return value
 }
 
-// position returns where a node stands in the text; zero for nil.
+// position returns the position of a node in the text, or the zero Pos for nil.
 func position(node *yaml.Node) routing.Pos {
 	if node == nil {
 		return routing.Pos{}
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// benchTable describes n operations as large APIs have them: resources with literal and
-// templated paths of two to five segments. It returns paths that match them in turn.
-func benchTable(n int) (ops, paths []string) {
+// benchOperations returns n operations like those of large APIs: resources with literal and
+// templated paths of two to five segments. paths holds the method and a matching path for
+// each of them.
+func benchOperations(n int) (ops, paths []string) {
 	for i := 0; len(ops) < n; i++ {
 		for _, op := range []string{
 			"GET /v1/res%d", "POST /v1/res%d", "GET /v1/res%d/new",
@@ -26,8 +27,8 @@
 	return ops, paths
 }
 
-// benchTargets are requests for paths.
-func benchTargets(b *testing.B, paths []string) (requests []*http.Request) {
+// newBenchRequests returns a request for each path, which follows its method.
+func newBenchRequests(b *testing.B, paths []string) (requests []*http.Request) {
 	b.Helper()
 	for _, p := range paths {
 		method, path, _ := strings.Cut(p, " ")
@@ -40,13 +41,13 @@
 	return requests
 }
 
-// benchEach measures match over targets in a scattered order.
-func benchEach(b *testing.B, name string, targets []*http.Request, match func(r *http.Request) bool) {
+// benchmarkRequests measures match over the requests, in an order that is not sequential.
+func benchmarkRequests(b *testing.B, name string, requests []*http.Request, match func(r *http.Request) bool) {
 	b.Helper()
 	b.Run(name, func(b *testing.B) {
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			if r := targets[i*7919%len(targets)]; !match(r) {
+			if r := requests[i*7919%len(requests)]; !match(r) {
 				b.Fatal(r.URL.Path)
 			}
 		}
@@ -55,7 +56,7 @@
 
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
-		operations, paths := benchTable(n)
+		operations, paths := benchOperations(n)
 		table, err := Compile(makeDocument(operations...), classOptions())
 		if err != nil {
 			b.Fatal(err)
@@ -64,15 +65,15 @@
 		for _, operation := range operations {
 			mux.HandleFunc(operation, func(http.ResponseWriter, *http.Request) {})
 		}
-		targets := benchTargets(b, paths)
-		benchEach(b, fmt.Sprintf("ops=%d/table", n), targets, func(r *http.Request) bool {
+		requests := newBenchRequests(b, paths)
+		benchmarkRequests(b, fmt.Sprintf("ops=%d/table", n), requests, func(r *http.Request) bool {
 			if table.CheckPath(r.URL.Path) != "" {
 				return false
 			}
 			operation, _, _ := table.Match(r.Method, r.URL.Path)
 			return operation != nil
 		})
-		benchEach(b, fmt.Sprintf("ops=%d/servemux", n), targets, func(r *http.Request) bool {
+		benchmarkRequests(b, fmt.Sprintf("ops=%d/servemux", n), requests, func(r *http.Request) bool {
 			_, pattern := mux.Handler(r)
 			return pattern != ""
 		})
--- a/routing/body.go
+++ b/routing/body.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// Errors of the value of a property.
+// Errors of a body property whose value has the wrong type.
 var (
 	errWantString         = errors.New("a string is wanted")
 	errWantNumber         = errors.New("a number is wanted, not a string")
 	errWantNumberOrString = errors.New("a number or a string is wanted")
 )
 
-// checkJSONType checks that a body is JSON in UTF-8 without a content coding: a server could read any other differently
-// from this package. The error is a [*ChargeError].
+// checkJSONType checks that the header declares a body of JSON in UTF-8 without a content coding, since a server could
+// read any other body differently from this package. The error is a [*ChargeError].
 func checkJSONType(h Header) error {
 	contentType, lines := h.Values("Content-Type")
 	media, params, _ := strings.Cut(contentType, ";")
@@ -34,8 +34,9 @@
 	return nil
 }
 
-// bodyValue returns the text of a property of a JSON object. The body must consist of one JSON value. In each object on
-// the path the name must occur once, in the described case only, since servers differ in how they treat duplicates.
+// bodyValue returns the text of the property at a path in a JSON object. The body must consist of one JSON value. In
+// each object on the path the name must occur once, and in the case of the description. Names that differ only in case
+// count as duplicates, since servers differ in how they treat them.
 func bodyValue(body []byte, path []string, want valueType) (string, error) {
 	reader := bodyReader{decoder: json.NewDecoder(bytes.NewReader(body)), want: want}
 	reader.decoder.UseNumber()
@@ -96,7 +97,7 @@
 	return value, nil
 }
 
-// readValue reads the value of the path's first name: the property itself, or an object that contains it.
+// readValue reads the value of the first name of the path. It is the property itself, or an object that contains it.
 func (r *bodyReader) readValue(path []string) (string, error) {
 	if len(path) > 1 {
 		return r.readObject(path[1:])
@@ -120,6 +121,7 @@
 	return "", errWantNumberOrString
 }
 
+// skipValue discards the next value.
 func (r *bodyReader) skipValue() error {
 	var skipped json.RawMessage
 	if err := r.decoder.Decode(&skipped); err != nil {
@@ -128,6 +130,7 @@
 	return nil
 }
 
+// token reads the next token. The error is a [*ChargeError].
 func (r *bodyReader) token() (json.Token, error) {
 	token, err := r.decoder.Token()
 	if err != nil {
--- a/routing/charge.go
+++ b/routing/charge.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// maxNumberDigits is the most digits of a number in a request, so that it fits an int.
+// maxNumberDigits is the maximum number of digits of a number in a request, so that it fits an int.
 const maxNumberDigits = 9
 
 // Statuses of a [ChargeError] (RFC 9110, 15.5). They are not imported from net/http, since that package does I/O.
@@ -14,7 +14,7 @@
 	statusUnsupportedMediaType = 415
 )
 
-// ChargeError is why a request cannot be charged. Such a request must not be forwarded.
+// ChargeError reports why a request cannot be charged. Such a request must not be forwarded.
 type ChargeError struct {
 	Status int    // of the response: 400 or 415
 	Text   string // for the client
@@ -23,12 +23,13 @@
 // Error returns the text for the client.
 func (e *ChargeError) Error() string { return e.Text }
 
-// newChargeError returns an error for a request whose parameters or body are wrong.
+// newChargeError returns an error with status 400 for a request whose parameters or body are invalid.
 func newChargeError(format string, args ...any) error {
 	return &ChargeError{statusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// asChargeError returns an error of a parameter as a [*ChargeError] that names the parameter.
+// asChargeError returns an error of a parameter as a [*ChargeError] whose text begins with the parameter. It returns a
+// [*ChargeError] unchanged.
 func asChargeError(source ParamSource, err error) error {
 	if _, ok := errors.AsType[*ChargeError](err); ok {
 		return err
@@ -36,8 +37,8 @@
 	return newChargeError("%s: %v", source, err)
 }
 
-// ReadKey returns the idempotency key of a request that has been charged; empty if the operation has none. path is the
-// path of the request line.
+// ReadKey returns the idempotency key of a request that [Operation.Charge] has accepted, or "" if the operation has no
+// key. path is the path of the request line.
 func (o *Operation) ReadKey(r Request, path string) string {
 	switch o.KeySource.In {
 	case InNowhere:
@@ -47,14 +48,14 @@
 	}
 	key, err := o.KeySource.read(r, stringType)
 	if err != nil {
-		return "" // Charge has rejected it
+		return "" // not reached after Charge, which rejects such a request
 	}
 	return key
 }
 
-// Charge returns the units of a request, and checks that it has its idempotency key if the operation requires one.
-// Servers must read the same values: a parameter that occurs twice or in another spelling, or a number in any but
-// the plain form, is a [*ChargeError].
+// Charge returns the units of a request, and checks that the request has an idempotency key if the operation requires
+// one. Since servers must read the same values, a parameter that occurs twice or in another spelling, or a number in
+// any but the plain form, is a [*ChargeError].
 func (o *Operation) Charge(r Request) (units int, err error) {
 	if err := o.checkKey(r); err != nil {
 		return 0, err
@@ -80,7 +81,8 @@
 	return n, nil
 }
 
-// checkKey checks that a request has its idempotency key. A key in the path is always present.
+// checkKey checks that a request has the idempotency key that the operation requires. A key in the path is always
+// present.
 func (o *Operation) checkKey(r Request) error {
 	if o.KeySource.In == InNowhere || o.KeySource.In == InPath {
 		return nil
@@ -95,8 +97,8 @@
 	return nil
 }
 
-// parsePlainNumber parses digits without a sign, an exponent or leading zeros, which parsers treat differently (as
-// octal, for example).
+// parsePlainNumber parses a number of digits only. It rejects signs, exponents and leading zeros, since parsers differ
+// in how they treat them (a leading zero as octal, for example).
 func parsePlainNumber(text string) (n int, ok bool) {
 	if len(text) == 0 || len(text) > maxNumberDigits || len(text) > 1 && text[0] == '0' {
 		return 0, false
--- a/routing/charge_test.go
+++ b/routing/charge_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// chargeCase is a request with the units that are read from it: from the one parameter and in the one form in which
-// every server reads them.
+// chargeCase is a request and its expected units. A request is accepted only if the units are in the declared parameter
+// and in the only form that every server reads in the same way.
 type chargeCase struct {
 	request Request
 	want    int // 0: rejected
 }
 
-// checkCharges charges requests of an operation whose units stand in one parameter.
+// checkCharges charges the requests of the cases for an operation whose units are the value of one parameter.
 func checkCharges(t *testing.T, in Location, name string, defaultUnits int, cases []chargeCase) {
 	t.Helper()
 	op := &Operation{Units: Units{
@@ -26,7 +26,7 @@
 			n, err := op.Charge(c.request)
 			_, isChargeError := errors.AsType[*ChargeError](err)
 			if n != c.want || (err != nil) != (c.want == 0) || err != nil && !isChargeError {
-				t.Errorf("%s: %d, %v; want %d", op.Units.Source, n, err, c.want)
+				t.Errorf("%s: got %d units, error %v, want %d units", op.Units.Source, n, err, c.want)
 			}
 		})
 	}
@@ -107,8 +107,9 @@
 	})
 }
 
-// A request of an operation with an idempotency key must have the key, once.
-func TestChargeWantsKey(t *testing.T) {
+// TestChargeRequiresKey checks that a request of an operation with an idempotency key is rejected unless it has the key
+// once.
+func TestChargeRequiresKey(t *testing.T) {
 	keyed := &Operation{KeySource: ParamSource{In: InHeader, Name: "Idempotency-Key"}, Units: Units{Fixed: 1}}
 	for _, c := range []struct {
 		name string
@@ -122,7 +123,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := keyed.Charge(Request{Header: c.h}); (err == nil) != c.want {
-				t.Errorf("key in %v: %v", c.h, err)
+				t.Errorf("header %v: got error %v", c.h, err)
 			}
 		})
 	}
--- a/routing/class.go
+++ b/routing/class.go
@@ -8,23 +8,23 @@
 	"mulleinmux/policy"
 )
 
-// Class is a class as operators configure it: the priority of its requests, and the defaults of operations that declare
-// no latency objective or deadline.
+// Class is a class as operators configure it: the priority of its requests, and the latency objective and deadline of
+// operations that do not declare their own.
 type Class struct {
 	Name             string
 	PriorityWeight   float64
-	LateFraction     float64 // of PriorityWeight, between LatencyObjective and Deadline; 0 to 1
+	LateFraction     float64 // 0 to 1: fraction of PriorityWeight that applies between LatencyObjective and Deadline
 	LatencyObjective time.Duration
 	Deadline         time.Duration
 }
 
-// Options are the parts of the operators' configuration that a description is compiled with.
+// Options are the parts of the operators' configuration on which the compilation of a description depends.
 type Options struct {
 	Classes  []Class
-	MaxUnits int // of one request; 0: no limit
+	MaxUnits int // of one request; 0: the limit is maxUnits
 }
 
-// class reads the class of an operation, with the operators' values.
+// class reads the class of an operation, and takes its values from the operators' configuration.
 func (r *extensionReader) class() policy.Class {
 	var names []string
 	for _, class := range r.compiler.options.Classes {
@@ -32,7 +32,8 @@
 	}
 	field, ok := r.fields[fieldClass]
 	if !ok {
-		r.reportMissing(fieldClass, "no class is declared here, on the path or on the document: one of %s is wanted",
+		r.reportMissing(fieldClass,
+			"no class is declared on the operation, its path or the document: declare one of %s",
 			strings.Join(names, ", "))
 		return policy.Class{}
 	}
@@ -52,8 +53,8 @@
 	return policy.Class{}
 }
 
-// internClass gives each combination of a class and its figures a unique name, which is the same in every table, and
-// adds it to the table once.
+// internClass names a class after its combination of values, such that the name is unique in the table and the same in
+// every table, and adds the class to the table unless it is already there.
 func (c *compiler) internClass(class policy.Class) policy.Class {
 	name := fmt.Sprintf("%s/%s/%v/%v",
 		class.Name, idempotencyNames[class.Idempotency], class.LatencyObjective, class.Deadline)
--- a/routing/compile.go
+++ b/routing/compile.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// maxProblems is the most problems that are reported for one description.
+// maxProblems is the maximum number of problems that are reported for one description.
 const maxProblems = 100
 
-// maxConflictProblems is the number of problems at which the search for conflicts ends: if all templates conflict,
-// their number grows with the square of the templates'.
+// maxConflictProblems is the number of problems at which the search for conflicts ends. Without it, the number of
+// conflicts could grow with the square of the number of templates.
 const maxConflictProblems = 10 * maxProblems
 
 // compiler builds a table and collects the problems of its description.
@@ -19,13 +19,13 @@
 	doc        *Document
 	options    Options
 	table      *Table
-	items      []*pathItem // in order, each once
+	items      []*pathItem // all path items of the table, in the order of the description
 	problems   Problems
 	classNames map[string]bool // names in table.Classes
 }
 
-// Compile checks a description and returns its table. The error is [Problems]: all that were found, in the order of the
-// file.
+// Compile checks a description and returns its table. The error is of type [Problems] and holds the problems in the
+// order of the file.
 func Compile(doc *Document, options Options) (*Table, error) {
 	c := newCompiler(doc, options)
 	c.compileOperations()
@@ -53,7 +53,8 @@
 	}
 }
 
-// compileOperations compiles all operations, except for those with the operationId of an earlier one.
+// compileOperations compiles all operations. It reports an operation that has the operationId of an earlier one, and
+// does not compile it.
 func (c *compiler) compileOperations() {
 	declaredAt := map[string]Pos{} // by operationId
 	for i := range c.doc.Paths {
@@ -62,8 +63,9 @@
 			method := &path.Methods[j]
 			first, isTaken := declaredAt[method.ID]
 			if isTaken {
-				c.addProblem(method.Pos, fieldOf(path, method)+".operationId",
-					"%q names the operation at line %d too: give each its own", method.ID, first.Line)
+				c.addProblem(method.Pos, operationField(path, method)+".operationId",
+					"%q is already used by the operation at line %d: give each operation its own",
+					method.ID, first.Line)
 				continue
 			}
 			if method.ID != "" {
@@ -76,7 +78,7 @@
 
 // compileOperation compiles one operation and adds it under each of its base paths.
 func (c *compiler) compileOperation(path *Path, method *Method) {
-	field := fieldOf(path, method)
+	field := operationField(path, method)
 	problemsBefore := len(c.problems)
 	segments, names, err := parseTemplate(path.Template)
 	if err != nil {
@@ -100,9 +102,10 @@
 	c.addAtBasePaths(op, path, method, segments)
 }
 
-// addAtBasePaths adds an operation, whose template has the segments, under each of its base paths.
+// addAtBasePaths adds an operation under each of its base paths. segments are those of its template, without a base
+// path.
 func (c *compiler) addAtBasePaths(op *Operation, path *Path, method *Method, segments []segment) {
-	field := fieldOf(path, method)
+	field := operationField(path, method)
 	basePaths := method.BasePaths
 	if len(basePaths) == 0 {
 		basePaths = []string{""}
@@ -111,41 +114,41 @@
 		baseSegments, baseNames, err := parseTemplate(base + "/")
 		if err != nil || len(baseNames) > 0 {
 			c.addProblem(method.Pos, field+".servers",
-				"base path %q can't be: a plain path such as /v1 is wanted", base)
+				"base path %q is invalid: use a plain path such as /v1", base)
 			return
 		}
-		based := op
+		opAtBase := op
 		if i > 0 {
-			based = new(Operation)
-			*based = *op
+			opAtBase = new(Operation)
+			*opAtBase = *op
 		}
-		based.Template = base + path.Template
+		opAtBase.Template = base + path.Template
 		prefix := baseSegments[:len(baseSegments)-1] // without the empty segment after the last slash
-		c.addOperation(based, path, append(slices.Clip(prefix), segments...), field)
+		c.addOperation(opAtBase, path, append(slices.Clip(prefix), segments...), field)
 	}
 }
 
-// addOperation adds an operation at its template.
+// addOperation adds an operation to the table under its template, which has the segments.
 func (c *compiler) addOperation(op *Operation, path *Path, segments []segment, field string) {
-	leaf := c.table.root.insert(segments)
-	if leaf.item == nil {
-		leaf.item = &pathItem{
+	templateNode := c.table.root.insert(segments)
+	if templateNode.item == nil {
+		templateNode.item = &pathItem{
 			template:     op.Template,
 			segments:     segments,
 			declaredPath: path.Template,
 			pos:          path.Pos,
 		}
-		c.items = append(c.items, leaf.item)
+		c.items = append(c.items, templateNode.item)
 	}
-	item := leaf.item
+	item := templateNode.item
 	if item.declaredPath != path.Template || item.pos != path.Pos || item.template != op.Template {
 		c.addProblem(path.Pos, field,
-			"%s %s and %s %s (line %d) are the same path to a router, for example %s: keep one",
+			"%s %s and %s %s (line %d) match the same paths, for example %s: remove one of them",
 			op.Method, op.Template, item.firstMethod(), item.template, item.pos.Line, examplePath(segments))
 		return
 	}
 	if item.hasMethod(op.Method) {
-		return // the same base path twice
+		return // two servers of the operation have the same base path
 	}
 	op.Index = len(c.table.Operations)
 	c.table.Operations = append(c.table.Operations, op)
@@ -153,8 +156,8 @@
 	c.table.addLiterals(segments, item)
 }
 
-// reportConflicts reports pairs of templates that match the same path, if neither is narrower. A template without
-// parameters is narrower than any other that matches its path.
+// reportConflicts reports each pair of templates that both match some path, if neither of them is more specific. A
+// template without parameters is more specific than any other that matches its path.
 func (c *compiler) reportConflicts() {
 	order := map[*pathItem]int{}
 	for i, item := range c.items {
@@ -170,20 +173,21 @@
 			}
 			if example, isConflict := findConflict(item.segments, other.segments); isConflict {
 				c.addProblem(item.pos, "paths."+item.declaredPath,
-					"%s %s and %s %s (line %d) both match %s and neither is the narrower: "+
-						"rename one or describe that path by itself",
+					"%s %s and %s %s (line %d) both match %s and neither is more specific: "+
+						"rename one or describe that path separately",
 					item.firstMethod(), item.template, other.firstMethod(), other.template, other.pos.Line, example)
 			}
 		})
 	}
 }
 
+// addProblem records a problem.
 func (c *compiler) addProblem(pos Pos, field, format string, args ...any) {
 	c.problems = append(c.problems, Problem{c.doc.File, pos, field, fmt.Sprintf(format, args...)})
 }
 
-// addProblemOnce adds a problem unless it was added before: declarations of a path or the document are read again
-// for each operation.
+// addProblemOnce records a problem unless the same one is already recorded. Declarations of a path or the document are
+// read again for each operation, which would otherwise report their problems repeatedly.
 func (c *compiler) addProblemOnce(pos Pos, field, format string, args ...any) {
 	problem := Problem{c.doc.File, pos, field, fmt.Sprintf(format, args...)}
 	if !slices.Contains(c.problems, problem) {
@@ -191,7 +195,8 @@
 	}
 }
 
-// sortedProblems returns at most maxProblems problems, in the order of the file, and the number of the others.
+// sortedProblems returns the first maxProblems problems in the order of the file. If there are more, it appends a
+// problem that states the number of the others.
 func (c *compiler) sortedProblems() Problems {
 	problems := c.problems
 	slices.SortStableFunc(problems, func(a, b Problem) int {
@@ -204,7 +209,7 @@
 	return problems
 }
 
-// fieldOf returns the field of an operation for problems.
-func fieldOf(path *Path, method *Method) string {
+// operationField returns the dotted path of an operation's field in the description, for problems.
+func operationField(path *Path, method *Method) string {
 	return "paths." + path.Template + "." + strings.ToLower(method.Name)
 }
--- a/routing/document.go
+++ b/routing/document.go
@@ -1,16 +1,17 @@
-// Package routing classifies requests: by an OpenAPI description it determines the operation, class, units and
-// idempotency of each.
+// Package routing classifies requests: it determines the operation, class, units and idempotency of each request from
+// an OpenAPI description.
 //
 // [Compile] compiles a description, parsed by package openapi, into an immutable [Table]; [Table.Match] finds the
-// operation of a request and [Operation.Charge] reads its units. The package does no I/O and has no state: a table is
-// safe for concurrent use, and a request that holds its [Operation] keeps the version that it was matched with.
+// operation of a request and [Operation.Charge] reads its units. The package does no I/O and has no state. A table is
+// safe for concurrent use. A request that holds its [Operation] continues to use the version of the description that it
+// was matched with.
 package routing
 
 // Document is the part of a description on which routing and units depend.
 type Document struct {
-	File      string // its name, for problems
+	File      string // file name, for problems
 	Version   string // info.version
-	Extension *Value // x-mulleinmux of the document; nil: none
+	Extension *Value // x-mulleinmux of the document; nil if it has none
 	Paths     []Path
 }
 
@@ -18,24 +19,24 @@
 type Path struct {
 	Template  string // as written, beginning with a slash
 	Pos       Pos
-	Extension *Value
+	Extension *Value // nil if it has none
 	Methods   []Method
 }
 
 // Method is one operation of a path.
 type Method struct {
 	Name      string // upper case
-	ID        string // operationId; empty: none
+	ID        string // operationId; empty if it has none
 	Pos       Pos
-	Extension *Value
-	BasePaths []string // of the servers that apply to it; each without a trailing slash
-	Params    []Param  // of the operation, and of the path unless the operation overrides them
-	Body      *Schema  // of a JSON body; nil: none is described
+	Extension *Value   // nil if it has none
+	BasePaths []string // of the servers that apply to the operation, each without a trailing slash
+	Params    []Param  // of the operation, and those of the path that the operation does not override
+	Body      *Schema  // of a JSON body; nil if none is described
 }
 
 // Param is a described parameter.
 type Param struct {
-	Name, In string // In: "path", "query", "header" or "cookie"
+	Name, In string // In is "path", "query", "header" or "cookie"
 	Schema   Schema
 }
 
@@ -43,10 +44,10 @@
 type Schema struct {
 	Integer          bool
 	Minimum, Maximum *float64
-	Properties       func(name string) *Schema // nil: no such property is described
+	Properties       func(name string) *Schema // returns nil if no such property is described
 }
 
-// Pos is a position in a file, from line 1 and column 1. The zero Pos is unknown.
+// Pos is a position in a file. Lines and columns count from 1. The zero Pos is an unknown position.
 type Pos struct{ Line, Column int }
 
 // Value is a value of an x-mulleinmux extension, with its position.
@@ -60,7 +61,7 @@
 // Kind is the kind of a [Value].
 type Kind int
 
-// The kinds.
+// Kinds of values.
 const (
 	TextValue Kind = iota
 	NumberValue
--- a/routing/extension.go
+++ b/routing/extension.go
@@ -9,10 +9,10 @@
 	"mulleinmux/policy"
 )
 
-// maxDuration is the longest latency objective, deadline or deduplication window.
+// maxDuration is the maximum latency objective, deadline and deduplication window.
 const maxDuration = time.Hour
 
-// declaredField is a field of an extension, with its path for problems.
+// declaredField is a field of an extension, with its dotted path for problems.
 type declaredField struct {
 	Field
 	path string // from the root of the document
@@ -26,8 +26,8 @@
 	path     string // of the operation, from the root of the document
 }
 
-// readExtensions sets the fields of an operation from the extensions. Each field is taken from the nearest extension
-// that has it: that of the operation, its path or the document.
+// readExtensions sets the fields of an operation from the extensions. Each extension field is taken from the first of
+// the operation, its path and the document whose extension declares it.
 func (c *compiler) readExtensions(op *Operation, path *Path, method *Method, operationPath string) {
 	r := &extensionReader{compiler: c, fields: map[string]declaredField{}, method: method, path: operationPath}
 	r.collect(method.Extension, operationPath)
@@ -41,7 +41,7 @@
 	if class.LatencyObjective > class.Deadline {
 		objective := r.fields[fieldLatencyObjective]
 		c.addProblemOnce(cmp.Or(objective.Pos, method.Pos), cmp.Or(objective.path, operationPath),
-			"the aim %v is past the deadline %v", class.LatencyObjective, class.Deadline)
+			"aim %v is longer than the deadline %v", class.LatencyObjective, class.Deadline)
 	}
 	if class.Idempotency == policy.IdempotentWithKey {
 		class.DedupScope = r.dedupScope()
@@ -57,20 +57,21 @@
 	op.Class = c.internClass(class)
 }
 
-// collect adds the fields of an extension that no nearer one has.
+// collect adds the fields of an extension that no extension collected before declares. owner is the dotted path of the
+// object that has the extension.
 func (r *extensionReader) collect(extension *Value, owner string) {
 	if extension == nil {
 		return
 	}
 	path := strings.TrimPrefix(owner+"."+ExtensionName, ".")
 	if extension.Kind != MappingValue {
-		r.compiler.addProblemOnce(extension.Pos, path, "a mapping is wanted, such as {class: slot-check, units: 1}")
+		r.compiler.addProblemOnce(extension.Pos, path, "must be a mapping, such as {class: slot-check, units: 1}")
 		return
 	}
 	for _, field := range extension.Fields {
 		if !slices.Contains(extensionFields, field.Name) {
 			r.compiler.addProblemOnce(field.Pos, path+"."+field.Name,
-				"is no field of x-mulleinmux: one of %s is wanted", strings.Join(extensionFields, ", "))
+				"is not a field of x-mulleinmux: use one of %s", strings.Join(extensionFields, ", "))
 			continue
 		}
 		if _, isDeclared := r.fields[field.Name]; !isDeclared {
@@ -79,13 +80,13 @@
 	}
 }
 
-// ownPath returns the path of a field that the operation itself declares.
-func (r *extensionReader) ownPath(name string) string {
+// operationFieldPath returns the dotted path of a field in the extension of the operation itself.
+func (r *extensionReader) operationFieldPath(name string) string {
 	return r.path + "." + ExtensionName + "." + name
 }
 
-// isOwn reports whether the operation itself declares a field.
-func (r *extensionReader) isOwn(field declaredField) bool {
+// isDeclaredByOperation reports whether the field is in the extension of the operation itself.
+func (r *extensionReader) isDeclaredByOperation(field declaredField) bool {
 	return strings.HasPrefix(field.path, r.path+".")
 }
 
@@ -94,27 +95,27 @@
 	r.compiler.addProblemOnce(field.Value.Pos, field.path, format, args...)
 }
 
-// reportMissing adds a problem for a field that no extension has.
+// reportMissing adds a problem for a required field that no extension declares.
 func (r *extensionReader) reportMissing(name, format string, args ...any) {
-	r.compiler.addProblemOnce(r.method.Pos, r.ownPath(name), format, args...)
+	r.compiler.addProblemOnce(r.method.Pos, r.operationFieldPath(name), format, args...)
 }
 
-// enum reads a field whose value is one of some words. It returns "" if the field is missing or, which it reports, has
-// another value.
+// enum reads a field whose value is one of the words. It returns "" if the field is missing or has another value, which
+// it reports.
 func (r *extensionReader) enum(name string, words ...string) string {
 	field, ok := r.fields[name]
 	if !ok {
 		return ""
 	}
 	if field.Value.Kind != TextValue || !slices.Contains(words, field.Value.Text) {
-		r.report(field, "%q is unknown: one of %s is wanted", field.Value.Text, strings.Join(words, ", "))
+		r.report(field, "unknown value %q: must be one of %s", field.Value.Text, strings.Join(words, ", "))
 		return ""
 	}
 	return field.Value.Text
 }
 
-// duration reads a field whose value is a duration. It returns the default if the field is missing or, which it
-// reports, invalid.
+// duration reads a field whose value is a duration. It returns the default value if the field is missing, or invalid,
+// which it reports.
 func (r *extensionReader) duration(name string, defaultValue time.Duration) time.Duration {
 	field, ok := r.fields[name]
 	if !ok {
@@ -122,20 +123,20 @@
 	}
 	value, err := time.ParseDuration(field.Value.Text)
 	if field.Value.Kind != TextValue || err != nil || value <= 0 || value > maxDuration {
-		r.report(field, "%q is no duration from 1ns to %v: write it with a unit, such as 400ms or 2s",
+		r.report(field, "%q is not a duration from 1ns to %v: write it with a unit, such as 400ms or 2s",
 			field.Value.Text, maxDuration)
 		return defaultValue
 	}
 	return value
 }
 
-// rejectKeyedFields reports fields that only operations with an idempotency key may have, if the operation itself
-// declares them. Those of a path or the document are for other operations.
+// rejectKeyedFields reports each field that requires an idempotency key, if the operation itself declares it. Fields
+// that the path or the document declares are not reported, since they may be meant for other operations.
 func (r *extensionReader) rejectKeyedFields() {
 	for _, name := range []string{fieldKeySource, fieldDedupScope, fieldDedupWindow} {
-		if field, ok := r.fields[name]; ok && field.path == r.ownPath(name) {
+		if field, ok := r.fields[name]; ok && field.path == r.operationFieldPath(name) {
 			r.compiler.addProblemOnce(field.Pos, field.path,
-				"only a keyed operation has a %s: declare effect: keyed", name)
+				"allowed only for keyed operations: declare effect: keyed or remove %s", name)
 		}
 	}
 }
--- a/routing/fields.go
+++ b/routing/fields.go
@@ -2,8 +2,8 @@
 
 import "mulleinmux/policy"
 
-// What an extension of a description holds, by the code's terms. Descriptions are written with these words, and the
-// names of compiled classes contain some: none may be renamed.
+// The values of the constants in this file must not change: descriptions contain them, and the names of compiled
+// classes contain some of them.
 
 // ExtensionName is the key of an extension in a description.
 const ExtensionName = "x-mulleinmux"
@@ -52,14 +52,14 @@
 	policy.DedupCell:       dedupCell,
 }
 
-// Fields of a mapping that is the value of fieldUnits, besides the one that names the parameter.
+// Fields of a mapping that is the value of fieldUnits, in addition to the one that names the parameter.
 const (
 	fieldMin     = "least"
 	fieldMax     = "most"
 	fieldDefault = "default"
 )
 
-// Fields that name a parameter: its location, with its name as the value.
+// Fields that name a parameter. The field is the location of the parameter, and its value is the name of the parameter.
 const (
 	locationPath   = "path"
 	locationQuery  = "query"
--- a/routing/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -8,30 +8,30 @@
 	"testing"
 )
 
-// referenceMatch finds the operation of a path in the obvious way: of all templates that match
-// it, the one that is within each other one.
-func referenceMatch(tab *Table, method, path string) *Operation {
+// referenceMatch is the reference model of [Table.Match], without a tree: of all templates that
+// match the path, it takes the most specific one.
+func referenceMatch(table *Table, method, path string) *Operation {
 	var best *Operation
-	var bestSegs []segment
+	var bestSegments []segment
 	parts := strings.Split(path[1:], "/")
-	for _, op := range tab.Operations {
-		segs, _, err := parseTemplate(op.Template)
-		if err != nil || len(segs) != len(parts) {
+	for _, op := range table.Operations {
+		segments, _, err := parseTemplate(op.Template)
+		if err != nil || len(segments) != len(parts) {
 			continue
 		}
-		matches, within := true, best != nil
-		for i, s := range segs {
+		matches, isMoreSpecific := true, best != nil
+		for i, s := range segments {
 			matches = matches && (parts[i] != "" || !s.isParam) && s.matches(parts[i])
-			within = within && s.isWithin(bestSegs[i])
+			isMoreSpecific = isMoreSpecific && s.isSubsetOf(bestSegments[i])
 		}
-		if matches && (best == nil || within) {
-			best, bestSegs = op, segs
+		if matches && (best == nil || isMoreSpecific) {
+			best, bestSegments = op, segments
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	for _, op := range tab.Operations {
+	for _, op := range table.Operations {
 		if op.Template == best.Template && op.Method == method {
 			return op
 		}
@@ -41,8 +41,8 @@
 
 var segmentWords = []string{"a", "b", "ab", "a.csv", "b.csv", "abc", "visits", "new", "x:run", ""}
 
-// randomTable makes templates of few words, so that many overlap, and compiles those that
-// don't conflict.
+// randomTable compiles random templates that consist of few words, so that many overlap. It
+// leaves out templates that conflict with an earlier one.
 func randomTable(rng *rand.Rand) *Table {
 	var ops []string
 	seen := map[string]bool{}
@@ -67,38 +67,39 @@
 			}
 		}
 	}
-	tab, err := Compile(makeDocument(ops...), classOptions())
+	table, err := Compile(makeDocument(ops...), classOptions())
 	if err != nil {
-		panic(err) // each was taken beside the others
+		panic(err) // each operation has compiled together with the earlier ones
 	}
-	return tab
+	return table
 }
 
-// The tree finds what the obvious way finds, and conflicts leave one narrowest template,
-// on random tables and paths.
+// FuzzMatch compares [Table.Match] with the reference model on random tables and paths. This
+// also checks that of the templates that match a path, one is more specific than all others.
 func FuzzMatch(f *testing.F) {
 	for seed := range uint64(200) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		tab := randomTable(rng)
+		table := randomTable(rng)
 		for range 40 {
 			path := ""
 			for range 1 + rng.IntN(4) {
 				path += "/" + segmentWords[rng.IntN(len(segmentWords))]
 			}
-			if tab.CheckPath(path) != "" {
+			if table.CheckPath(path) != "" {
 				continue
 			}
-			got, _, _ := tab.Match("GET", path)
-			if want := referenceMatch(tab, "GET", path); got != want {
-				t.Fatalf("%s: %v, want %v", path, operationName(got), operationName(want))
+			got, _, _ := table.Match("GET", path)
+			if want := referenceMatch(table, "GET", path); got != want {
+				t.Fatalf("GET %s: got operation %v, want %v", path, operationName(got), operationName(want))
 			}
 		}
 	})
 }
 
+// operationName returns the method and the template of an operation.
 func operationName(o *Operation) string {
 	if o == nil {
 		return "none"
@@ -106,7 +107,8 @@
 	return o.Method + " " + o.Template
 }
 
-// Matching and charging take any bytes.
+// FuzzRequest checks that arbitrary requests can be matched and charged: a request is either
+// rejected or has a valid result.
 func FuzzRequest(f *testing.F) {
 	f.Add("GET", "/visits/new", "n=1", []byte(`{"n":1}`))
 	f.Add("POST", "/%2e%2e//", "n=1;n=2", []byte(`{"n":1,"\u006e":2}`))
@@ -114,22 +116,22 @@
 		{Units: Units{Source: ParamSource{In: InQuery, Name: "n"}, Min: 1, Max: 50}},
 		{Units: Units{Source: ParamSource{In: InBody, Name: "n", Path: []string{"n"}}, Min: 1, Max: 50}},
 	}
-	tab, err := Compile(makeDocument("GET /visits/{id}", "GET /visits/new", "POST /a/{x}.csv"), classOptions())
+	table, err := Compile(makeDocument("GET /visits/{id}", "GET /visits/new", "POST /a/{x}.csv"), classOptions())
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, method, path, query string, body []byte) {
-		if tab.CheckPath(path) == "" {
-			if op, _, a := tab.Match(method, path); (op != nil) != (a == Found) {
-				t.Errorf("%s %s: %v, %v", method, path, op, a)
+		if table.CheckPath(path) == "" {
+			if op, _, result := table.Match(method, path); (op != nil) != (result == Found) {
+				t.Errorf("%s %s: got operation %v with result %v", method, path, op, result)
 			}
 		}
 		for _, op := range ops {
 			if n, err := op.Charge(Request{Query: query, Header: jsonHeader, Body: body}); err == nil &&
 				(n < 1 || n > 50) {
-				t.Errorf("%q %q: %d units", query, body, n)
+				t.Errorf("query %q, body %q: got %d units, want 1 to 50", query, body, n)
 			} else if err == nil && op.Units.Source.In == InBody && !json.Valid(body) {
-				t.Errorf("%q is no JSON and was charged", body)
+				t.Errorf("body %q was charged, but is not valid JSON", body)
 			}
 		}
 	})
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// makeDocument describes operations such as "GET /a/{x}", each at a line of its own from 10 on.
+// makeDocument returns a description of operations such as "GET /a/{x}", each on its own line, from line 10.
 func makeDocument(ops ...string) *Document {
 	d := &Document{File: "d.yaml", Extension: makeExtension(1)}
 	byPath := map[string]int{}
@@ -28,23 +28,24 @@
 	return d
 }
 
+// mustCompile returns the table of a description of the operations.
 func mustCompile(t *testing.T, ops ...string) *Table {
 	t.Helper()
-	tab, err := Compile(makeDocument(ops...), classOptions())
+	table, err := Compile(makeDocument(ops...), classOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return tab
+	return table
 }
 
-// makeExtension is an extension with class and units, and further fields.
+// makeExtension returns an extension with class, units and the fields given.
 func makeExtension(line int, fields ...Field) *Value {
 	required := []Field{textField(line, "class", "check"), numberField(line, "units", "1")}
 	v := mappingValue(line, append(required, fields...)...)
 	return &v
 }
 
-// scalarValue makes a value of a kind at a line.
+// scalarValue returns a value of a kind at a line.
 func scalarValue(line int, kind Kind, text string) Value {
 	return Value{Pos: Pos{line, 1}, Kind: kind, Text: text}
 }
@@ -71,7 +72,7 @@
 		{Name: "book", PriorityWeight: 9, LatencyObjective: 750 * time.Millisecond, Deadline: 2 * time.Second}}}
 }
 
-// testHeader is a request's head in a test.
+// testHeader implements [Header] with a map from names to values.
 type testHeader map[string][]string
 
 func (h testHeader) Values(name string) (string, int) {
--- a/routing/match_test.go
+++ b/routing/match_test.go
@@ -14,9 +14,9 @@
 	"GET /w{n}/x", "GET /slots/",
 }
 
-// matchCase is a request, and which of matchOperations it is for.
+// matchCase is a request and its expected match in a table of matchOperations.
 type matchCase struct {
-	method, path, want string // want is empty without an operation
+	method, path, want string // want is empty if no operation matches
 	result             MatchResult
 	allow              string
 }
@@ -32,7 +32,7 @@
 	{"GET", "/reports/.csv", "GET /reports/{day}", Found, ""},
 	{"GET", "/reports/all.csv", "GET /reports/all.csv", Found, ""},
 	{"GET", "/a/b/c", "GET /a/b/c", Found, ""},
-	{"GET", "/a/b/c/d", "GET /a/{x}/c/d", Found, ""}, // back from /a/b/c
+	{"GET", "/a/b/c/d", "GET /a/{x}/c/d", Found, ""}, // backtracks from /a/b/c
 	{"GET", "/w1/x", "GET /w{n}/x", Found, ""},
 	{"GET", "/w/x", "", UnknownPath, ""},
 	{"GET", "/", "GET /", Found, ""},
@@ -49,8 +49,8 @@
 	{"HEAD", "/a/b:run", "", UnknownMethod, "OPTIONS, PUT"},
 }
 
-// The narrowest template wins, whatever the order of the description, and a path that
-// only looks like another is not it.
+// TestMatch checks that the most specific template matches a path, in any order of the
+// description, and that a similar path does not match.
 func TestMatch(t *testing.T) {
 	reversed := slices.Clone(matchOperations)
 	slices.Reverse(reversed)
@@ -64,19 +64,19 @@
 					got = operation.Method + " " + operation.Template
 				}
 				if got != c.want || result != c.result || allow != c.allow {
-					t.Errorf("%q, %v, allow %q; want %q, %v, %q", got, result, allow, c.want, c.result, c.allow)
+					t.Errorf("got %q, %v, allow %q, want %q, %v, allow %q", got, result, allow, c.want, c.result, c.allow)
 				}
 			})
 		}
 	}
 }
 
-// Two templates of which neither is the narrower are rejected, with both operations, their
-// lines and a path that both match.
+// TestConflicts checks that two templates are rejected if both match some path and neither
+// is more specific. The error must contain both operations, their lines and such a path.
 func TestConflicts(t *testing.T) {
 	for _, c := range []struct {
 		ops     []string
-		example string // of a path; empty: no conflict
+		example string // path that both match; empty if there is no conflict
 	}{
 		{[]string{"GET /a/{x}/c", "GET /a/b/{y}"}, "/a/b/c"},
 		{[]string{"GET /a/{x}", "GET /a/{y}"}, "/a/x"},
@@ -93,25 +93,26 @@
 			_, err := Compile(makeDocument(c.ops...), classOptions())
 			if c.example == "" {
 				if err != nil {
-					t.Errorf("%v: %v", c.ops, err)
+					t.Errorf("%v: got error %v, want none", c.ops, err)
 				}
 				return
 			}
 			if err == nil {
-				t.Errorf("%v: is accepted", c.ops)
+				t.Errorf("%v: got no error, want a conflict", c.ops)
 				return
 			}
 			for _, want := range []string{c.example, c.ops[0], c.ops[1], "line 10", "d.yaml:11"} {
 				if !strings.Contains(err.Error(), want) {
-					t.Errorf("%v: %q lacks %q", c.ops, err, want)
+					t.Errorf("%v: error %q does not contain %q", c.ops, err, want)
 				}
 			}
 		})
 	}
 }
 
-// The conflicts of a description are told in the same order, and the same of them, each time.
-func TestConflictsKeepTheirOrder(t *testing.T) {
+// TestConflictOrderIsDeterministic checks that each compilation of a description reports the
+// same conflicts in the same order.
+func TestConflictOrderIsDeterministic(t *testing.T) {
 	ops := []string{"GET /{x}/b"}
 	for i := range 12 {
 		ops = append(ops, fmt.Sprintf("GET /a%d/{y}", i))
@@ -119,11 +120,11 @@
 	ops = append(ops, "GET /{x}/{z}.b", "GET /{v}/b")
 	_, first := Compile(makeDocument(ops...), classOptions())
 	if first == nil {
-		t.Fatal("no conflict")
+		t.Fatal("got no error, want conflicts")
 	}
 	for range 50 {
 		if _, err := Compile(makeDocument(ops...), classOptions()); err.Error() != first.Error() {
-			t.Fatalf("%v\nand\n%v", first, err)
+			t.Fatalf("got different errors for the same description:\n%v\nand\n%v", first, err)
 		}
 	}
 }
--- a/routing/operation.go
+++ b/routing/operation.go
@@ -9,24 +9,25 @@
 
 // Operation is one operation of a description. It is immutable.
 type Operation struct {
-	ID        string // operationId, or method and path
+	ID        string // operationId, or method and path if there is none
 	Method    string
-	Template  string // with its base path
+	Template  string // path template, including the base path
 	Pos       Pos
-	Index     int // among the table's operations, from 0
+	Index     int // in Table.Operations
 	Class     policy.Class
-	KeySource ParamSource // of the idempotency key; InNowhere: it has none
+	KeySource ParamSource // of the idempotency key; In is InNowhere if the operation has no key
 	Units     Units
-	// InheritedFields are the required fields (class, units) that an operation that is not idempotent inherits from
-	// the document, for a warning: a new operation may have been left without its own by mistake.
+	// InheritedFields are the names of the required fields (class, units) that the operation inherits from the
+	// document, for a warning: they may be missing from a new operation by mistake. It is empty for idempotent
+	// operations.
 	InheritedFields []string
 
 	table        *Table
-	declaredPath string // as the document writes it, without a base path
+	declaredPath string // path template as written in the document, without a base path
 }
 
-// PathParams returns the path template as written in the document, and the decoded values of its parameters in a target
-// that was matched to the operation.
+// PathParams returns the path template as written in the document, and the decoded values of its parameters in a
+// request target that was matched to the operation.
 func (o *Operation) PathParams(target string) (template string, values map[string]string) {
 	path, _, _ := strings.Cut(target, "?")
 	values = map[string]string{}
--- a/routing/path.go
+++ b/routing/path.go
@@ -1,20 +1,20 @@
 package routing
 
-// The accepted spellings of a path. A server may decode, merge or truncate a path before it matches a route, and must
-// then find the operation that was charged here. So only the spelling that no such step changes is accepted, and is
-// forwarded byte for byte: the normal form of RFC 3986, 6.2.2. Other spellings are rejected and not normalized.
+// This file checks the spelling of paths. A server may decode, merge or truncate a path before it matches a route, and
+// must then find the operation that was charged here. Therefore only the normal form of RFC 3986, 6.2.2 is accepted,
+// which no such step changes, and it is forwarded byte for byte. Other spellings are rejected and not normalized.
 
-// byteClass is how a byte may be written in a segment.
+// byteClass determines how a byte may be written in a segment.
 type byteClass uint8
 
 const (
 	encoded    byteClass = iota // percent-encoded only
-	unreserved                  // bare only
-	delimiter                   // sub-delims, ':' and '@': bare, or percent-encoded where no literal has it
+	unreserved                  // never percent-encoded
+	delimiter                   // sub-delims, ':' and '@': percent-encoded only if no literal contains it
 )
 
-// pathBytes holds the class of each byte. The semicolon is not a delimiter, since some servers truncate a segment
-// there.
+// pathBytes holds the class of each byte. The semicolon is not a delimiter, since some servers truncate a segment at a
+// semicolon.
 var pathBytes = func() (classes [256]byteClass) {
 	for c := '0'; c <= '9'; c++ {
 		classes[c] = unreserved
@@ -32,7 +32,7 @@
 	return classes
 }()
 
-// allDelimiters allows all delimiters in their bare spelling only, for the literal parts of templates.
+// allDelimiters is the set of all delimiters. In the literal parts of templates none of them may be percent-encoded.
 var allDelimiters = func() (isBareOnly [256]bool) {
 	for c := range isBareOnly {
 		isBareOnly[c] = pathBytes[c] == delimiter
@@ -40,17 +40,18 @@
 	return isBareOnly
 }()
 
-// CheckPath returns why a path, the part of a request's target before any '?', is rejected, or "" if it is accepted. It
-// does not allocate. Delimiters that no literal part of a template contains may be percent-encoded, as some client
-// libraries do: by RFC 3986 the two spellings are different, and neither can become another operation's path.
+// CheckPath checks the spelling of a path, which is the part of a request target before any '?'. It returns the reason
+// why the path is rejected, or "" if it is accepted. It does not allocate. Delimiters that no literal part of a
+// template contains may be percent-encoded, as some client libraries encode them: by RFC 3986 the two spellings are
+// different, and neither can become the path of another operation.
 func (t *Table) CheckPath(path string) string { return checkPath(path, &t.literalDelimiters) }
 
-// checkPath is [Table.CheckPath] for a set of delimiters that must not be percent-encoded.
+// checkPath implements [Table.CheckPath]. isBareOnly is the set of delimiters that must not be percent-encoded.
 func checkPath(path string, isBareOnly *[256]bool) string {
 	if len(path) == 0 || path[0] != '/' {
 		return "the path does not begin with a slash"
 	}
-	dots, length := 0, 0 // of the present segment
+	dots, length := 0, 0 // of the current segment
 	for i := 1; i <= len(path); i++ {
 		if i == len(path) || path[i] == '/' {
 			if dots == length && (dots == 1 || dots == 2) {
@@ -82,7 +83,8 @@
 	return ""
 }
 
-// checkEncoding checks the percent-encoded character that a text begins with.
+// checkEncoding checks the percent-encoded byte at the beginning of a text. It returns the reason why it is rejected,
+// or "" if it is accepted.
 func checkEncoding(text string, isBareOnly *[256]bool) string {
 	if len(text) < len("%41") {
 		return "the path has a broken percent-encoding"
--- a/routing/path_item.go
+++ b/routing/path_item.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// pathItem holds the operations of one path. Invariant: each method occurs once, and get and allowHeader are derived
-// from operations.
+// pathItem holds the operations of one path. Invariant: the operations have different methods, and get and allowHeader
+// are derived from operations.
 type pathItem struct {
 	template     string
 	segments     []segment
-	declaredPath string // as the document writes it
+	declaredPath string // path template as written in the document, without a base path
 	pos          Pos
 	operations   []*Operation
-	get          *Operation // for fast access: GET is the most frequent method
-	allowHeader  string     // value of an Allow header
+	get          *Operation // operation of GET or nil; stored separately because GET is the most frequent method
+	allowHeader  string     // value of the Allow header
 }
 
-// operation returns the operation of a method, or nil.
+// operation returns the operation for a method, or nil. HEAD falls back to the operation of GET.
 func (item *pathItem) operation(method string) *Operation {
 	if method == "GET" {
 		return item.get
@@ -34,12 +34,12 @@
 	return nil
 }
 
-// hasMethod reports whether an operation of a method is described.
+// hasMethod reports whether an operation with the method is described.
 func (item *pathItem) hasMethod(method string) bool {
 	return slices.ContainsFunc(item.operations, func(o *Operation) bool { return o.Method == method })
 }
 
-// add adds an operation whose method is new to the path.
+// add adds an operation. No operation of the path may have its method yet.
 func (item *pathItem) add(op *Operation) {
 	item.operations = append(item.operations, op)
 	if op.Method == "GET" {
@@ -48,7 +48,7 @@
 	item.allowHeader = item.buildAllowHeader()
 }
 
-// firstMethod returns the method of the path's first operation, for problems.
+// firstMethod returns the method of the path's first operation, or "" if it has none. It is used in problems.
 func (item *pathItem) firstMethod() string {
 	if len(item.operations) == 0 {
 		return ""
@@ -56,7 +56,7 @@
 	return item.operations[0].Method
 }
 
-// buildAllowHeader returns the value of an Allow header: the methods described and those that they imply.
+// buildAllowHeader returns the value of the Allow header: the described methods, OPTIONS, and HEAD if GET is described.
 func (item *pathItem) buildAllowHeader() string {
 	var methods []string
 	for _, o := range item.operations {
--- a/routing/path_test.go
+++ b/routing/path_test.go
@@ -4,16 +4,16 @@
 	"testing"
 )
 
-// Only the spelling that no server changes is accepted.
+// TestCheckPath checks that a path is accepted only in the spelling that no server changes.
 func TestCheckPath(t *testing.T) {
-	tab := mustCompile(t, "GET /a/{x}", "PUT /a/b:run")
+	table := mustCompile(t, "GET /a/{x}", "PUT /a/b:run")
 	for _, good := range []string{
 		"/", "/a", "/a/", "/a/b:run", "/a/%C3%A9", "/a/%20", "/a/100%25",
 		"/a/~x-y_z.!$&'()*+,=:@", "/a/..x", "/a/...", "/a/x%2Cy", "/a/%3F%23",
 	} {
 		t.Run("good "+good, func(t *testing.T) {
-			if reason := tab.CheckPath(good); reason != "" {
-				t.Errorf("%s: %s", good, reason)
+			if reason := table.CheckPath(good); reason != "" {
+				t.Errorf("path %s: got reason %q, want none", good, reason)
 			}
 		})
 	}
@@ -25,8 +25,8 @@
 		"/a/%252F", "/a/%252e", "/a/b%3Arun", "/a/x%3Ay", "/a/{x}", "/a/b|c", "/a/b#c", "/a/b%7E",
 	} {
 		t.Run("bad "+bad, func(t *testing.T) {
-			if tab.CheckPath(bad) == "" {
-				t.Errorf("%s is accepted", bad)
+			if table.CheckPath(bad) == "" {
+				t.Errorf("path %s: got no reason, want one", bad)
 			}
 		})
 	}
--- a/routing/problem.go
+++ b/routing/problem.go
@@ -9,11 +9,11 @@
 type Problem struct {
 	File  string
 	Pos   Pos
-	Field string // such as "paths./visits.post.x-mulleinmux.units"; empty: the document
-	Text  string // what is wrong and what to do
+	Field string // dotted path such as "paths./visits.post.x-mulleinmux.units"; empty for the document itself
+	Text  string // what is wrong and how to correct it
 }
 
-// Error returns the text, preceded by the file, the position and the field.
+// Error returns the text, prefixed with the file, the position and the field.
 func (p Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -33,7 +33,7 @@
 // Problems are the errors in a description, in the order of the file.
 type Problems []Problem
 
-// Error returns one line for each problem.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
--- a/routing/query.go
+++ b/routing/query.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Errors of a query.
+// Errors for queries that servers could parse differently.
 var (
 	errSemicolon      = errors.New("the query has a semicolon, which some take for a separator")
 	errBrokenEncoding = errors.New("the query has a broken percent-encoding")
 )
 
-// queryValue returns the only value of a name. It does not allocate for a query without percent-encoding. Names that
-// differ only in case, or are followed by brackets as for lists, count as the same name, since some servers treat
-// them so.
+// queryValue returns the value of the parameter with the name, which must occur once. It does not allocate for a query
+// without percent-encoding. Names that differ only in case, or that are followed by the brackets of a list, count as
+// the same name, since some servers treat them as the same.
 func queryValue(query, name string) (string, error) {
 	if strings.IndexByte(query, ';') >= 0 {
 		return "", errSemicolon
@@ -49,13 +49,14 @@
 	return value, nil
 }
 
-// bareQueryName returns a name without the brackets of a list and the white space that some servers remove.
+// bareQueryName returns a name without the brackets of a list, and without the white space and NUL bytes that some
+// servers remove.
 func bareQueryName(key string) string {
 	bare, _, _ := strings.Cut(key, "[")
 	return strings.Trim(bare, " \t\x00")
 }
 
-// unescapeQuery decodes a name or value. It does not allocate for one that is not encoded.
+// unescapeQuery decodes a name or value. It does not allocate if nothing is encoded.
 func unescapeQuery(text string) (string, error) {
 	if !strings.ContainsAny(text, "%+") {
 		return text, nil
--- a/routing/request.go
+++ b/routing/request.go
@@ -2,16 +2,16 @@
 
 // Header is the header of a request.
 type Header interface {
-	// Values returns the first value of a field and the number of its lines. Names are case-insensitive.
+	// Values returns the value of the first line of a field and the number of its lines. Names are case-insensitive.
 	Values(name string) (first string, lines int)
-	// Resembles reports whether there is a field whose name a server could mistake for this one, such as X_Units for
-	// X-Units.
+	// Resembles reports whether the header has a field whose name a server could mistake for the given name, such as
+	// X_Units for X-Units.
 	Resembles(name string) bool
 }
 
-// Request is the part of a request on which its units and key can depend.
+// Request is the part of a request on which its units and idempotency key can depend.
 type Request struct {
-	Query  string // raw, without '?'
+	Query  string // not decoded, without '?'
 	Header Header
 	Body   []byte
 }
--- a/routing/source.go
+++ b/routing/source.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// maxBodyDepth is the deepest nesting of a property in a body.
+// maxBodyDepth is the maximum nesting depth of a property in a body.
 const maxBodyDepth = 8
 
-// Errors of a parameter of a request.
+// Errors of a request's parameter.
 var (
 	errMissing   = errors.New("is missing")
-	errDuplicate = errors.New("stands more than once") // only one is allowed
+	errDuplicate = errors.New("stands more than once") // a parameter must occur once
 )
 
 // Location is the part of a request that holds a parameter.
 type Location int
 
-// The locations.
+// Locations of parameters.
 const (
 	InNowhere Location = iota // there is no parameter
 	InPath
@@ -31,10 +31,10 @@
 type ParamSource struct {
 	In   Location
 	Name string
-	Path []string // of a body: the names from the outermost object inwards
+	Path []string // for InBody: the property names from the outermost object inwards
 }
 
-// String returns the parameter's description for problems and errors.
+// String returns the location and name of the parameter for problems and errors.
 func (s ParamSource) String() string {
 	return [...]string{
 		InNowhere: "nowhere",
@@ -45,7 +45,7 @@
 	}[s.In] + s.Name
 }
 
-// valueType is the required type of a property in a body.
+// valueType is the required JSON type of a body property.
 type valueType int
 
 const (
@@ -53,7 +53,8 @@
 	numberType
 )
 
-// read returns the text of a parameter. A property of a body must be of the type wanted.
+// read returns the text of a parameter in a request. A body property must be of type want. The error is errMissing if
+// the request does not have the parameter.
 func (s ParamSource) read(r Request, want valueType) (string, error) {
 	switch s.In {
 	case InQuery:
@@ -69,7 +70,7 @@
 	return "", errMissing
 }
 
-// headerValue returns the only value of a header field.
+// headerValue returns the value of a header field, which must have a single line.
 func headerValue(h Header, name string) (string, error) {
 	value, lines := h.Values(name)
 	if lines > 1 || h.Resembles(name) {
@@ -86,7 +87,7 @@
 func (r *extensionReader) paramSource(field Field) (ParamSource, *Schema, error) {
 	source := ParamSource{Name: field.Value.Text}
 	if field.Value.Kind != TextValue || field.Value.Text == "" {
-		return source, nil, fmt.Errorf("%s: a name is wanted", field.Name)
+		return source, nil, fmt.Errorf("%s: must be the name of a parameter", field.Name)
 	}
 	switch field.Name {
 	case locationPath:
@@ -101,7 +102,7 @@
 		schema, err := r.method.bodyProperty(source)
 		return source, schema, err
 	default:
-		return source, nil, fmt.Errorf("%q is no place: path, query, header or body is wanted", field.Name)
+		return source, nil, fmt.Errorf("unknown parameter location %q: must be path, query, header or body", field.Name)
 	}
 	param := r.method.param(field.Name, source.Name)
 	if param == nil {
@@ -110,7 +111,7 @@
 	return source, &param.Schema, nil
 }
 
-// param returns a described parameter, or nil.
+// param returns the described parameter with the location and the name, or nil.
 func (m *Method) param(in, name string) *Param {
 	for i := range m.Params {
 		p := &m.Params[i]
@@ -122,10 +123,10 @@
 	return nil
 }
 
-// bodyProperty returns the schema of a described property of the body.
+// bodyProperty returns the schema of a body property. A property that is not described is an error.
 func (m *Method) bodyProperty(source ParamSource) (*Schema, error) {
 	if len(source.Path) > maxBodyDepth {
-		return nil, fmt.Errorf("%q is deeper than %d", source.Name, maxBodyDepth)
+		return nil, fmt.Errorf("body property %q is nested more than %d levels deep", source.Name, maxBodyDepth)
 	}
 	schema := m.Body
 	for _, name := range source.Path {
--- a/routing/table.go
+++ b/routing/table.go
@@ -6,7 +6,7 @@
 	"mulleinmux/policy"
 )
 
-// Table is a compiled description. It is immutable. Invariant: of the templates that match a path, one is narrower
+// Table is a compiled description. It is immutable. Invariant: of the templates that match a path, one is more specific
 // than all others.
 type Table struct {
 	File       string
@@ -16,28 +16,28 @@
 
 	literalPaths      map[string]*pathItem // templates without parameters, by path
 	root              *node
-	literalDelimiters [256]bool // delimiters that literal parts contain
+	literalDelimiters [256]bool // delimiters that the literal parts of templates contain
 }
 
-// MatchResult is whether a request's method and path have an operation.
+// MatchResult is the result of matching the method and path of a request against the templates.
 type MatchResult int
 
-// The results of a match.
+// Results of [Table.Match].
 const (
 	Found         MatchResult = iota
 	UnknownPath               // no template matches
-	UnknownMethod             // a template matches, but has no operation of the method
-	Preflight                 // OPTIONS of a path that describes no such operation
+	UnknownMethod             // a template matches, but has no operation with the method
+	Preflight                 // OPTIONS request for a path without an OPTIONS operation
 )
 
 var matchResultNames = [...]string{"found", "unknown path", "unknown method", "preflight"}
 
-// String returns the result's name.
+// String returns the name of the result.
 func (r MatchResult) String() string { return matchResultNames[r] }
 
-// Match finds the operation of a method and a path, which [Table.CheckPath] must have accepted. It does not
-// allocate. With UnknownMethod and Preflight, allow is the value of an Allow header. HEAD matches the operation of
-// GET unless it has one of its own.
+// Match finds the operation of a request with a method and a path, which [Table.CheckPath] must have accepted. It does
+// not allocate. If the result is UnknownMethod or Preflight, allow is the value of the Allow header of the response.
+// HEAD matches the operation of GET unless the path has an operation of HEAD.
 func (t *Table) Match(method, path string) (op *Operation, allow string, result MatchResult) {
 	item := t.literalPaths[path]
 	if item == nil && path != "" {
@@ -56,7 +56,7 @@
 }
 
 // KeyLifetimes returns the longest deadline and the shortest deduplication window of all operations with an idempotency
-// key; 0 without such operations.
+// key. Both are 0 if there is no such operation.
 func (t *Table) KeyLifetimes() (deadline, dedupWindow time.Duration) {
 	for _, op := range t.Operations {
 		if op.KeySource.In == InNowhere {
@@ -70,7 +70,8 @@
 	return deadline, dedupWindow
 }
 
-// addLiterals records the delimiters in the literal parts of a template, and its path if it has no parameters.
+// addLiterals records the delimiters in the literal parts of a template. If the template has no parameters, it also
+// maps its path to the item.
 func (t *Table) addLiterals(segments []segment, item *pathItem) {
 	path := ""
 	for _, s := range segments {
@@ -83,6 +84,7 @@
 	}
 }
 
+// addDelimiters records the delimiters in a literal part.
 func (t *Table) addDelimiters(literal string) {
 	for i := range len(literal) {
 		c := literal[i]
--- a/routing/template.go
+++ b/routing/template.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// exampleValue is a parameter's value in examples of paths.
+// exampleValue is the value of each parameter in example paths.
 const exampleValue = "x"
 
 // segment is one segment of a template: a literal, or a parameter with a literal prefix and suffix, which may be empty.
 type segment struct {
 	isParam        bool
-	prefix, suffix string // a literal is in prefix
+	prefix, suffix string // a literal has its whole text in prefix
 }
 
-// matches reports whether the segment matches one of a path.
+// matches reports whether the segment matches the text of a path segment.
 func (s segment) matches(text string) bool {
 	if !s.isParam {
 		return text == s.prefix
@@ -23,11 +23,11 @@
 	return len(text) > s.literalLen() && strings.HasPrefix(text, s.prefix) && strings.HasSuffix(text, s.suffix)
 }
 
-// literalLen returns the length of the literal parts.
+// literalLen returns the total length of the literal parts.
 func (s segment) literalLen() int { return len(s.prefix) + len(s.suffix) }
 
-// isWithin reports whether o matches everything that s matches.
-func (s segment) isWithin(o segment) bool {
+// isSubsetOf reports whether o matches every text that s matches.
+func (s segment) isSubsetOf(o segment) bool {
 	if !o.isParam {
 		return !s.isParam && s.prefix == o.prefix
 	}
@@ -37,8 +37,8 @@
 	return strings.HasPrefix(s.prefix, o.prefix) && strings.HasSuffix(s.suffix, o.suffix)
 }
 
-// common returns a text that both segments match, and whether there is one.
-func (s segment) common(o segment) (string, bool) {
+// commonText returns an example of a text that both segments match, and whether there is such a text.
+func (s segment) commonText(o segment) (string, bool) {
 	switch {
 	case !s.isParam:
 		return s.prefix, o.matches(s.prefix)
@@ -57,8 +57,8 @@
 	return longPrefix + exampleValue + longSuffix, isCommon
 }
 
-// parseTemplate parses a template into segments, with literals in the spelling that [Table.CheckPath] accepts, and
-// returns the names of its parameters.
+// parseTemplate parses a template into segments, whose literals have the spelling that [Table.CheckPath] accepts. It
+// also returns the names of the template's parameters.
 func parseTemplate(text string) (segments []segment, names []string, err error) {
 	if !strings.HasPrefix(text, "/") {
 		return nil, nil, fmt.Errorf("path %q does not begin with a slash", text)
@@ -74,7 +74,7 @@
 		}
 		if s.isParam {
 			if slices.Contains(names, name) {
-				return nil, nil, fmt.Errorf("parameter %q stands twice in the path", name)
+				return nil, nil, fmt.Errorf("parameter %q occurs twice in the path", name)
 			}
 			names = append(names, name)
 		}
@@ -86,7 +86,7 @@
 	return segments, names, nil
 }
 
-// parseSegment parses one segment, and returns the name of its parameter.
+// parseSegment parses one segment. It also returns the name of the segment's parameter, or "" if it is a literal.
 func parseSegment(part string) (s segment, name string, err error) {
 	open, end := strings.IndexByte(part, '{'), strings.IndexByte(part, '}')
 	if open < 0 && end < 0 {
@@ -95,17 +95,18 @@
 	isOneParam := open >= 0 && end >= open+2 &&
 		!strings.ContainsAny(part[end+1:], "{}") && strings.Count(part, "{") == 1
 	if !isOneParam {
-		const text = "segment %q: one parameter in braces is wanted, such as {id} or {id}.pdf"
+		const text = "segment %q: invalid parameter: write one name in braces, such as {id} or {id}.pdf"
 		return segment{}, "", fmt.Errorf(text, part)
 	}
 	s = segment{isParam: true, prefix: escapeLiteral(part[:open]), suffix: escapeLiteral(part[end+1:])}
 	return s, part[open+1 : end], nil
 }
 
-// checkSpelling checks that paths with the literal parts of a segment are accepted.
+// checkSpelling checks that [Table.CheckPath] accepts paths with the literal parts of the segment. declared is the
+// segment as written in the document, for the error.
 func (s segment) checkSpelling(declared string) error {
 	if declared == "" {
-		return nil // after the last slash
+		return nil // an empty segment is allowed after the last slash
 	}
 	path := "/" + s.prefix
 	if s.isParam {
@@ -121,17 +122,18 @@
 	return slices.ContainsFunc(segments, func(s segment) bool { return s.isParam })
 }
 
-// examplePath returns a path that a template matches.
+// examplePath returns an example of a path that a template matches.
 func examplePath(segments []segment) string {
 	var b strings.Builder
 	for _, s := range segments {
-		text, _ := s.common(s)
+		text, _ := s.commonText(s)
 		b.WriteString("/" + text)
 	}
 	return b.String()
 }
 
-// escapeLiteral percent-encodes the bytes that a path must not contain bare, and leaves encoded ones unchanged.
+// escapeLiteral percent-encodes the bytes that must be percent-encoded in a path. It does not change bytes that already
+// are.
 func escapeLiteral(s string) string {
 	const hex = "0123456789ABCDEF"
 	var b strings.Builder
@@ -147,17 +149,18 @@
 	return b.String()
 }
 
-// findConflict returns a path that both templates match, if neither is narrower.
+// findConflict reports whether two templates with the same number of segments conflict: both match some path, of which
+// example is one, and neither is more specific.
 func findConflict(a, b []segment) (example string, isConflict bool) {
-	isAWithin, isBWithin := true, true
+	isASubset, isBSubset := true, true
 	for i := range a {
-		text, ok := a[i].common(b[i])
+		text, ok := a[i].commonText(b[i])
 		if !ok {
 			return "", false
 		}
 		example += "/" + text
-		isAWithin = isAWithin && a[i].isWithin(b[i])
-		isBWithin = isBWithin && b[i].isWithin(a[i])
+		isASubset = isASubset && a[i].isSubsetOf(b[i])
+		isBSubset = isBSubset && b[i].isSubsetOf(a[i])
 	}
-	return example, isAWithin == isBWithin
+	return example, isASubset == isBSubset
 }
--- a/routing/tree.go
+++ b/routing/tree.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// node is a node in the tree of templates, with an edge for each segment that may follow.
+// node is a node in the tree of templates. It has an edge for each segment that can follow.
 type node struct {
 	literals map[string]*node // by literal segment
-	affixed  []edge           // longer literal parts first: of two that match a segment, the narrower
-	wildcard *node            // for a parameter alone; nil: none
-	item     *pathItem        // of the template that ends here; nil: none
+	affixed  []edge           // longest literal parts first, so that the first match is the most specific
+	wildcard *node            // for a segment that is only a parameter; nil if there is none
+	item     *pathItem        // of the template that ends at this node; nil if there is none
 }
 
-// edge is a segment with a parameter between literal parts, at least one of which is not empty.
+// edge leads to the child for a segment that has a parameter and a literal prefix, suffix or both.
 type edge struct {
 	segment segment
 	child   *node
 }
 
-// insert returns the node of a template, which it adds if there is none.
+// insert returns the node at the end of a template, and adds missing nodes on the way to it.
 func (n *node) insert(segments []segment) *node {
 	for _, s := range segments {
 		n = n.ensureChild(s)
@@ -29,7 +29,7 @@
 	return n
 }
 
-// ensureChild returns the node after a segment, which it adds if there is none.
+// ensureChild returns the child for a segment, and adds it if it is missing.
 func (n *node) ensureChild(s segment) *node {
 	switch {
 	case !s.isParam:
@@ -59,9 +59,9 @@
 	return child
 }
 
-// find returns the narrowest item below n that the rest of a path, without a leading slash, matches; nil: none. Of
-// two templates that match, one is narrower at every segment, or Compile would have rejected them. So the first
-// match is the narrowest if narrower edges are tried first.
+// find returns the item of the most specific template below n that matches the rest of a path, or nil if none does.
+// rest has no leading slash. Of two templates that match, one is at least as specific at every segment, since [Compile]
+// rejects conflicting templates. Therefore find tries more specific edges first and returns the first match.
 func (n *node) find(rest string) *pathItem {
 	text, more, isLast := rest, "", true
 	if i := strings.IndexByte(rest, '/'); i >= 0 {
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// descend continues after a segment: the path ends here, or has more segments.
+// descend returns the item at n if the matched segment was the last one of the path, and otherwise continues the search
+// with the rest of the path.
 func (n *node) descend(more string, isLast bool) *pathItem {
 	if isLast {
 		return n.item
@@ -93,8 +94,8 @@
 	return n.find(more)
 }
 
-// visitOverlaps calls visit for each item below n whose template and segments have a path in common, always in the same
-// order.
+// visitOverlaps calls visit for each item below n whose template matches a path that the segments also match. The order
+// of the calls is deterministic.
 func (n *node) visitOverlaps(segments []segment, visit func(*pathItem)) {
 	if len(segments) == 0 {
 		if n.item != nil {
@@ -115,7 +116,7 @@
 		}
 	}
 	for _, e := range n.affixed {
-		if _, ok := s.common(e.segment); ok {
+		if _, ok := s.commonText(e.segment); ok {
 			e.child.visitOverlaps(segments[1:], visit)
 		}
 	}
--- a/routing/units.go
+++ b/routing/units.go
@@ -6,32 +6,32 @@
 	"strconv"
 )
 
-// maxUnits is the most units of one request, the limit of messages between instances.
+// maxUnits is the maximum number of units of one request. Messages between instances have the same limit.
 const maxUnits = 1_000_000
 
-// Units determines how many units a request of an operation takes from the quota.
+// Units determines how many units of the quota a request of an operation takes.
 type Units struct {
-	Fixed      int         // units of each request; 0: Source determines them
-	Source     ParamSource // of a number from Min to Max
+	Fixed      int         // units of each request; 0 if Source holds them
+	Source     ParamSource // parameter that holds the units, from Min to Max
 	Min, Max   int
-	Default    int // if the parameter is missing
+	Default    int // units of a request without the parameter, if HasDefault is set
 	HasDefault bool
 }
 
-// unitsDeclaration is the mapping that declares units of a parameter.
+// unitsDeclaration is a mapping that declares the units as the value of a parameter.
 type unitsDeclaration struct {
 	source      ParamSource
-	schema      *Schema        // of the source
-	sourceCount int            // number of sources named; must be 1
-	bounds      map[string]int // fieldMin, fieldMax and fieldDefault, if declared
+	schema      *Schema        // of source
+	sourceCount int            // number of parameters that the mapping names; must be 1
+	bounds      map[string]int // values of fieldMin, fieldMax and fieldDefault, if declared
 }
 
-// units reads how many units a request takes from the quota.
+// units reads how many units of the quota a request takes.
 func (r *extensionReader) units() Units {
 	field, ok := r.fields[fieldUnits]
 	if !ok {
-		r.reportMissing(fieldUnits, "no units are declared here, on the path or on the document: "+
-			"a whole number is wanted, or the parameter that tells it")
+		r.reportMissing(fieldUnits, "no units are declared on the operation, its path or the document: "+
+			"declare a whole number or the parameter that holds it")
 		return Units{}
 	}
 	limit := r.compiler.options.MaxUnits
@@ -48,11 +48,11 @@
 	case MappingValue:
 		return r.parameterUnits(field, limit)
 	}
-	r.report(field, "a whole number is wanted, or a parameter such as {query: count, least: 1, most: 50}")
+	r.report(field, "must be a whole number, or a parameter such as {query: count, least: 1, most: 50}")
 	return Units{}
 }
 
-// parameterUnits reads units that depend on a parameter of the request.
+// parameterUnits reads units that are declared as the value of a parameter.
 func (r *extensionReader) parameterUnits(field declaredField, limit int) Units {
 	declaration, ok := r.unitsDeclaration(field, limit)
 	if !ok {
@@ -60,11 +60,11 @@
 	}
 	source := declaration.source
 	if declaration.sourceCount != 1 || source.In == InPath {
-		r.report(field, "one of query, header and body must tell the units")
+		r.report(field, "exactly one of query, header and body must name the parameter with the units")
 		return Units{}
 	}
 	if declaration.schema == nil || !declaration.schema.Integer {
-		r.report(field, "%s is not described as an integer: units are whole", source)
+		r.report(field, "%s is not described as an integer: units are whole numbers", source)
 		return Units{}
 	}
 	u := Units{Source: source}
@@ -78,16 +78,16 @@
 	u.Default, u.HasDefault = declaration.bounds[fieldDefault]
 	switch {
 	case u.Max == 0:
-		r.report(field, "no most is told: add most, or a maximum to the schema of %s", source)
+		r.report(field, "no maximum is declared: add most, or a maximum to the schema of %s", source)
 	case u.Min > u.Max:
-		r.report(field, "least %d is over most %d", u.Min, u.Max)
+		r.report(field, "least %d exceeds most %d", u.Min, u.Max)
 	case u.HasDefault && (u.Default < u.Min || u.Default > u.Max):
 		r.report(field, "default %d is outside %d to %d", u.Default, u.Min, u.Max)
 	}
 	return u
 }
 
-// unitsDeclaration reads the fields of a mapping. It reports the first invalid one and returns false.
+// unitsDeclaration reads the fields of a mapping. It reports the first invalid field and then returns false.
 func (r *extensionReader) unitsDeclaration(field declaredField, limit int) (d unitsDeclaration, ok bool) {
 	d.bounds = map[string]int{}
 	for _, part := range field.Value.Fields {
@@ -107,7 +107,7 @@
 	return d, true
 }
 
-// unitsRange returns the range of units that a schema allows; largest is 0 if it has no maximum.
+// unitsRange returns the range of units that a schema allows, up to limit. largest is 0 if the schema has no maximum.
 func (s *Schema) unitsRange(limit int) (smallest, largest int) {
 	smallest = 1
 	if s.Minimum != nil && *s.Minimum > 1 {
@@ -119,11 +119,11 @@
 	return smallest, largest
 }
 
-// parseWholeNumber parses a number from 1 to a limit.
+// parseWholeNumber parses a whole number from 1 to limit.
 func parseWholeNumber(v Value, limit int) (int, error) {
 	n, err := strconv.Atoi(v.Text)
 	if v.Kind != NumberValue || err != nil {
-		return 0, fmt.Errorf("%q is no whole number", v.Text)
+		return 0, fmt.Errorf("%q is not a whole number", v.Text)
 	}
 	if n < 1 || n > limit {
 		return 0, fmt.Errorf("%d is outside 1 to %d", n, limit)
