--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// AccessLog writes a line of JSON for each request that was charged or rejected. It never
-// holds a request up: a line that finds the queue full is dropped and counted.
+// AccessLog writes a JSON line for each request that was charged or rejected. Recording never blocks a request: if the
+// queue is full, the line is dropped and counted.
 type AccessLog struct{ log *lineLog[accessLine] }
 
-// RequestRecord is what became of one request that was charged or rejected.
+// RequestRecord is the access log entry of a request that was charged or rejected.
 type RequestRecord struct {
 	Trace        string `json:"trace"` // X-Trace-Id
 	Operation    string `json:"operation"`
 	Licensee     string `json:"licensee"`
-	Version      uint64 `json:"version"` // of the setup that it was matched with
+	Version      uint64 `json:"version"` // of the setup by which the request was matched
 	Units        int    `json:"units"`
-	Sent         bool   `json:"sent"` // an attempt was written whole: the units count
+	Sent         bool   `json:"sent"` // an attempt was written completely, so the units count
 	Attempts     int    `json:"attempts"`
-	Status       int    `json:"status"`        // of the final answer
+	Status       int    `json:"status"`        // of the response to the client
 	Answer       string `json:"answer"`        // one of outcomeTexts
-	KeyRejection string `json:"why,omitempty"` // a request with a key was rejected for the sake of its key
+	KeyRejection string `json:"why,omitempty"` // why the idempotency key caused the rejection; empty: it did not
 }
 
 type accessLine struct {
@@ -29,14 +29,13 @@
 	RequestRecord
 }
 
-// NewAccessLog starts a log on w. Close ends it.
+// NewAccessLog returns an access log that writes to w until Close is called.
 func NewAccessLog(w io.Writer) *AccessLog { return &AccessLog{newLineLog[accessLine](w)} }
 
-// Record takes a record; it is a [Config.Observe].
+// Record queues a record. It can be used as [Config.Observe].
 func (l *AccessLog) Record(r RequestRecord) { l.log.record(accessLine{time.Now(), r}) }
 
-// Close writes what is queued and returns the first error of writing. Observe must not be
-// called after it.
+// Close writes the queued records and returns the first write error. Record must not be called after Close.
 func (l *AccessLog) Close() error {
 	if err := l.log.close(); err != nil {
 		return fmt.Errorf("access log: %w", err)
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -8,10 +8,11 @@
 	"mulleinmux/policy"
 )
 
-// actions carries out what the engine asks for. All are called under the mutex.
+// actions implements [policy.Actions] for the engine. The engine calls its methods while engineHost.mu is held.
 type actions Instance
 
-// SendAttempt notes the request's next attempt. The request's goroutine begins it once no other is in flight.
+// SendAttempt schedules the next attempt of a request. The request's goroutine begins the attempt once no other attempt
+// of the request is in flight.
 func (a *actions) SendAttempt(id, server string, timeout time.Duration) {
 	in := (*Instance)(a)
 	r := in.requests.byID[id]
@@ -21,43 +22,44 @@
 		})
 		return
 	}
-	r.next, r.hasNext = attempt{server: server, deadline: attemptDeadline(time.Now(), timeout, r.deadline)}, true
+	r.nextAttempt, r.hasNext = attempt{server: server, deadline: attemptDeadline(time.Now(), timeout, r.deadline)}, true
 	r.wakeUp()
 }
 
-// RejectRequest ends a request with a rejection, which a client may retry after a while.
+// RejectRequest answers a request with a rejection. The client may retry the request after retryAfter.
 func (a *actions) RejectRequest(id string, retryAfter time.Duration) {
 	if r := a.requests.byID[id]; r != nil {
 		(*Instance)(a).answer(r, rejected, retryAfter)
 	}
 }
 
-// FailRequest ends a request with a failure.
+// FailRequest answers a request with a failure.
 func (a *actions) FailRequest(id string) {
 	if r := a.requests.byID[id]; r != nil {
 		(*Instance)(a).answer(r, failed, 0)
 	}
 }
 
-// CancelAttempt aborts an attempt if it is the one in flight.
+// CancelAttempt aborts the given attempt if it is still in flight.
 func (a *actions) CancelAttempt(id string, attempt int) {
 	if r := a.requests.byID[id]; r != nil && r.current != nil && attempt == r.attempts-1 {
 		a.host.afterEvent(r.current.abort)
 	}
 }
 
-// SetTimer fires the timer with a token after a time.
+// SetTimer schedules the engine's timer with the given token to fire after the given time.
 func (a *actions) SetTimer(token uint64, after time.Duration) { a.host.setTimer(token, after) }
 
-// CheckHealth starts a health check. Its goroutine ends at its timeout; close waits for it.
+// CheckHealth starts a health check in a goroutine, which ends by healthCheckTimeout. Closing the instance waits for
+// it.
 func (a *actions) CheckHealth(server string) {
 	in := (*Instance)(a)
 	in.healthChecks.Add(1)
 	go in.checkHealth(server)
 }
 
-// SendGossip sends a message to a peer once the event is over. The message is copied: the engine uses its buffer
-// again.
+// SendGossip sends a message to a peer after the current event. The message is copied because the engine reuses its
+// buffer.
 func (a *actions) SendGossip(peer int, message []byte) {
 	in := (*Instance)(a)
 	message = append([]byte(nil), message...)
@@ -66,10 +68,10 @@
 	}
 }
 
-// WatchEndpoints has nothing to do: the endpoint lists are always watched.
+// WatchEndpoints does nothing: the instance always watches the endpoint lists.
 func (a *actions) WatchEndpoints(bool) {}
 
-// Log logs what the engine reports, once the event is over.
+// Log logs an event that the engine reports, after the current event.
 func (a *actions) Log(event policy.LogEvent) {
 	in := (*Instance)(a)
 	in.host.afterEvent(func() { logging.PolicyEvent(in.logger, event) })
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -12,8 +12,8 @@
 	deadline time.Time
 }
 
-// attemptDeadline decides when an attempt that begins now ends: after the engine's timeout for it (0: none), but no
-// later than the request, whose client then has its answer.
+// attemptDeadline returns the deadline of an attempt that begins now: it ends after the engine's timeout (0: no
+// timeout) and never later than the request's deadline, by which the client must have its response.
 func attemptDeadline(now time.Time, timeout time.Duration, requestDeadline time.Time) time.Time {
 	if end := now.Add(timeout); timeout != 0 && end.Before(requestDeadline) {
 		return end
@@ -21,16 +21,16 @@
 	return requestDeadline
 }
 
-// attemptEnd is how an attempt ended.
+// attemptEnd describes an attempt that has ended.
 type attemptEnd struct {
-	sentAt  time.Duration // by the instance's clock
-	result  policy.Result
-	usedKey bool // the key table counts the attempt as under way
+	sentAt          time.Duration // reading of the instance's clock
+	result          policy.Result
+	isKeyRegistered bool // the attempt was registered with the key owners and must be ended there
 }
 
-// runAttempt carries out one attempt and brings its result to the engine. It asks in this order whether the attempt may
-// be sent: whether the relay has capacity, whether the site still owns the request's key, and, right before the first
-// byte, whether the client is still there.
+// runAttempt carries out one attempt and reports its result to the engine. The attempt is sent only if, checked in this
+// order, the relay has capacity, the site still owns the request's key and, immediately before the first byte is
+// written, the client is still connected.
 func (in *Instance) runAttempt(r *pendingRequest, a attempt, source requestSource) requestStep {
 	end := attemptEnd{sentAt: in.host.now()}
 	r.response.wasWritten, r.response.connectedAt = false, time.Time{}
@@ -38,23 +38,23 @@
 	r.recorder.add(TraceStep{Kind: StepBegun, Attempt: r.attempts, Server: a.server, Relayed: r.isRelayed})
 	if r.isRelayed {
 		if !in.relay.acquire(r) {
-			end.result = policy.RejectedByServer // no more may be relayed now
+			end.result = policy.RejectedByServer // the relay has no capacity now
 			return in.completeAttempt(r, a, end)
 		}
 		defer in.relay.release(r)
 	}
 	if r.hasKeyOwner {
-		end.usedKey = in.confirmKeyOwner(r, a)
+		end.isKeyRegistered = in.confirmKeyOwner(r, a)
 	}
-	if r.hasKeyOwner && !end.usedKey {
+	if r.hasKeyOwner && !end.isKeyRegistered {
 		end.result = policy.NotSent
 	} else {
-		end.result = in.sendWatched(r, a, source)
+		end.result = in.sendWithCloseWatch(r, a, source)
 	}
 	return in.completeAttempt(r, a, end)
 }
 
-// completeAttempt counts an attempt that has ended and brings its result to the engine.
+// completeAttempt updates the counters for an attempt that has ended and reports its result to the engine.
 func (in *Instance) completeAttempt(r *pendingRequest, a attempt, end attemptEnd) requestStep {
 	r.recorder.attemptEnded(r.attempts, a, end.result)
 	r.countAttempt(end.result)
@@ -64,10 +64,10 @@
 		if end.result == policy.TimedOut && !r.isRelayed {
 			in.host.recordLateness(in.host.reading(a.deadline), now)
 		}
-		if r.tellsOfSite(end.result) {
+		if r.indicatesSiteHealth(end.result) {
 			in.sites.recordResult(now, a.server, end.result, end.sentAt)
 		}
-		if end.usedKey {
+		if end.isKeyRegistered {
 			in.sites.keys.EndAttempt(r.key, r.neverExecuted(end.result))
 		}
 		if end.result == policy.OK {
@@ -77,15 +77,15 @@
 	})
 }
 
-// tellsOfSite decides whether the latest attempt's result says something of the health of its server's site. What a
-// remote instance rejects or answers with an error does not: the fault may be its own.
-func (r *pendingRequest) tellsOfSite(result policy.Result) bool {
+// indicatesSiteHealth reports whether the result of the latest attempt counts for the health of its server's site. A
+// rejection or an error response from a remote instance does not: the fault may lie with that instance alone.
+func (r *pendingRequest) indicatesSiteHealth(result policy.Result) bool {
 	return !r.isRelayed || result != policy.RejectedByServer && result != policy.ErrorResponse
 }
 
-// confirmKeyOwner reports whether the attempt's site still owns the request's key: key owners may have changed since
-// the request was admitted. If not, the request is answered: it fails if an attempt of it was sent before, else it is
-// rejected.
+// confirmKeyOwner reports whether the attempt's site still owns the request's key, and registers the attempt if it
+// does. Key owners may have changed since the request was admitted. If the site no longer owns the key, the request
+// fails if an earlier attempt was sent and is rejected otherwise.
 func (in *Instance) confirmKeyOwner(r *pendingRequest, a attempt) (isOwner bool) {
 	isOwner = true
 	in.host.handleEvent(func(now time.Duration, out policy.Actions) {
@@ -102,16 +102,17 @@
 	return isOwner
 }
 
-// fail gives a request that has no answer yet a failure.
+// fail answers a request with a failure unless it already has its answer.
 func (in *Instance) fail(r *pendingRequest) {
 	in.host.handleEvent(func(time.Duration, policy.Actions) { in.answer(r, failed, 0) })
 }
 
-// sendWatched sends an attempt unless the client has left by the time its connection has come up, and ends it if another
-// site's instance gives its request up.
-func (in *Instance) sendWatched(r *pendingRequest, a attempt, source requestSource) policy.Result {
+// sendWithCloseWatch sends an attempt. For a request from another site's instance, it abandons the request if that
+// instance closes its connection. Nothing is sent if the client has disconnected by the time the connection to the
+// server is established.
+func (in *Instance) sendWithCloseWatch(r *pendingRequest, a attempt, source requestSource) policy.Result {
 	r.current.source = source
-	if !r.cameByRelay {
+	if !r.isFromRelay {
 		return in.send(r, a)
 	}
 	stop := source.watchClose(func() {
@@ -122,18 +123,18 @@
 	return in.send(r, a)
 }
 
-// send exchanges an attempt with its server. The other site is asked what became of a relayed one that may still be in
-// flight there. If it does not say, a further attempt could be a second one in flight: unless the request is
-// idempotent, so that this would do no harm, it fails.
+// send sends an attempt to its server and reads the response. If a relayed attempt may still be in flight at the other
+// site, send queries its execution status there. If the status stays unknown, a retry could run beside the first
+// attempt, so the request fails unless it is idempotent.
 func (in *Instance) send(r *pendingRequest, a attempt) policy.Result {
 	begunAt := time.Now()
 	result := in.servers.exchange(in.ctx, r.current, a.server, a.deadline, r.requestHead.Method == "HEAD", &r.response,
 		func(b []byte) []byte { return r.appendRequest(b, a.deadline) })
 	r.recorder.attemptExchanged(r.attempts, a, &r.response, result)
-	if r.current.wasClientGone {
+	if r.current.isClientGone {
 		in.fail(r)
 	}
-	r.current.source = nil // a question of what became of the attempt harms nobody
+	r.current.source = nil // the status query below is sent even if the client has disconnected
 	if !r.isRelayed {
 		return result
 	}
@@ -141,7 +142,7 @@
 	if !isWanted {
 		return result
 	}
-	query := relayedStatusQuery{servers: in.servers, control: r.current, id: r.attemptRelayID(), begunAt: begunAt,
+	query := relayedStatusQuery{servers: in.servers, control: r.current, id: r.attemptRelayID(), startedAt: begunAt,
 		server: a.server, deadline: deadline}
 	r.recorder.add(TraceStep{Kind: StepStatusAsked, Attempt: r.attempts, Server: a.server})
 	status, hasEnded := query.await(in.ctx)
@@ -152,12 +153,12 @@
 	return r.resolveRelayed(result, status)
 }
 
-// countAttempt counts an attempt that was written whole, and the request's units with the first of these.
+// countAttempt counts an attempt that was written completely. The first such attempt also counts the request's units.
 func (r *pendingRequest) countAttempt(result policy.Result) {
 	if !r.response.wasWritten {
 		return
 	}
-	r.mayRun = r.mayRun || result != policy.RejectedByServer
+	r.mayHaveRun = r.mayHaveRun || result != policy.RejectedByServer
 	r.counters.Attempts.Add(1)
 	if !r.wasSent {
 		r.wasSent = true
@@ -166,7 +167,8 @@
 	}
 }
 
-// neverExecuted decides whether the latest attempt surely never ran, so that the request's key may go to another site.
+// neverExecuted reports whether the latest attempt certainly did not run, so that the request's key may move to another
+// site.
 func (r *pendingRequest) neverExecuted(result policy.Result) bool {
 	switch result {
 	case policy.RejectedByServer, policy.ConnectFailed, policy.NotSent:
@@ -175,7 +177,7 @@
 	return !r.response.wasWritten
 }
 
-// attemptResult is what the engine learns of an attempt's end.
+// attemptResult returns the report to the engine on an attempt that has ended.
 func (r *pendingRequest) attemptResult(
 	c clock, a attempt, result policy.Result, latency time.Duration, report *policy.LoadReport,
 ) policy.AttemptResult {
--- a/internal/gateway/bad_request.go
+++ b/internal/gateway/bad_request.go
@@ -12,21 +12,21 @@
 	"mulleinmux/routing"
 )
 
-// badRequest is the error of a request that is answered without being forwarded or charged. Most are mistakes of the
-// client; one with a retryAfter is a rejection.
+// badRequest is the error for a request that is answered without being forwarded or charged. Most are client errors;
+// one with a retryAfter is a rejection.
 type badRequest struct {
 	status     int
 	text       string
-	allow      string        // the methods of the path, for the header Allow; empty: none
-	retryAfter time.Duration // of a rejection; 0: it is none
-	close      bool          // where the next request on the connection begins is not known
-	mayRun     bool          // it was relayed here before, and that may have run
+	allow      string        // value of the Allow header: the methods of the path; empty: no header
+	retryAfter time.Duration // of a rejection; 0: the error is no rejection
+	close      bool          // the start of the next request on the connection is unknown
+	mayHaveRun bool          // the request was relayed here before and may have run then
 }
 
-// Error returns the text that the client is answered.
+// Error returns the text that is sent to the client.
 func (e *badRequest) Error() string { return e.text }
 
-// badRequestOf returns an error of reading or parsing a request as a badRequest.
+// badRequestOf converts an error from reading or parsing a request to a badRequest.
 func badRequestOf(err error) *badRequest {
 	if charge, ok := errors.AsType[*routing.ChargeError](err); ok {
 		return &badRequest{status: charge.Status, text: err.Error()}
@@ -37,25 +37,25 @@
 	return &badRequest{status: http.StatusBadRequest, text: err.Error()}
 }
 
-// lateRetryAfter is the Retry-After of a request that was read too late.
+// lateRetryAfter is the Retry-After of a request that was read too late to be served.
 const lateRetryAfter = 50 * time.Millisecond
 
-// errDraining rejects a request that is served too late in a drain: another instance has the time.
+// errDraining rejects a request for which a draining instance has no time left. Another instance can serve it.
 var errDraining = &badRequest{
 	status: http.StatusServiceUnavailable, text: textDraining, retryAfter: lateRetryAfter,
 }
 
-// errLate rejects a request whose time was over before it could be served.
-var errLate = &badRequest{status: http.StatusTooManyRequests, text: textRejected, retryAfter: lateRetryAfter}
+// errTimeoutExpired rejects a request whose timeout expired before it could be served.
+var errTimeoutExpired = &badRequest{status: http.StatusTooManyRequests, text: textRejected, retryAfter: lateRetryAfter}
 
-// rejectBadRequest answers a request that is not to be forwarded, for the reason in err.
+// rejectBadRequest answers a request that is not forwarded because of err.
 func (c *clientConn) rejectBadRequest(err error) (isReusable bool) {
 	bad := badRequestOf(err)
 	if bad.close {
 		c.request.requestHead.Close = true
 	}
-	if c.isRelay && !bad.close && !bad.mayRun {
-		// Whatever it is, it did not run here, and the client is answered at the site where the request entered.
+	if c.isRelay && !bad.close && !bad.mayHaveRun {
+		// The request did not run here in any case. The instance that relayed it answers the client.
 		return c.writeNeverRan(bad.text, bad.retryAfter)
 	}
 	isPreflight := bad.status == http.StatusNoContent
@@ -78,7 +78,8 @@
 	return isReusable
 }
 
-// rejectUnreadable answers a request whose head can't be read, unless none has come.
+// rejectUnreadable answers a request whose head could not be read because of err, unless unreadableStatus has no status
+// for the error.
 func (c *clientConn) rejectUnreadable(err error) (isReusable bool) {
 	status, isAnswered := unreadableStatus(err)
 	if !isAnswered {
@@ -87,8 +88,8 @@
 	return c.rejectBadRequest(&badRequest{status: status, text: err.Error(), close: true})
 }
 
-// unreadableStatus decides the status for a request whose head could not be read for an error. One whose connection
-// broke is not answered.
+// unreadableStatus returns the status for a request whose head could not be read because of err. A request whose
+// connection broke is not answered.
 func unreadableStatus(err error) (status int, isAnswered bool) {
 	switch {
 	case errors.Is(err, httpwire.ErrTooLarge):
@@ -105,14 +106,14 @@
 	return 0, false
 }
 
-// Limits of what is read and dropped of a request that can't be read.
+// Limits on the input that is read and discarded after an invalid request.
 const (
 	discardTimeout  = requestReadTimeout / 6
 	maxDiscardInput = 256 << 10 // bytes
 )
 
-// discardInput reads for a moment what a client still sends: closing at once could reset the connection before the
-// client has read the answer.
+// discardInput closes the write side and briefly reads what the client still sends. Closing the connection at once
+// could reset it before the client has read the response.
 func (c *clientConn) discardInput() {
 	if conn, ok := c.nc.(*net.TCPConn); ok && conn.CloseWrite() == nil {
 		c.nc.SetReadDeadline(time.Now().Add(discardTimeout))
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	readyPath          = "/health/ready"         // of the load balancer's health check
-	maxRequestBody     = 64 << 10                // bytes that the body of a request may hold
-	clientTransit      = 10 * time.Millisecond   // taken off a client's timeout, which counts from its send
-	requestReadTimeout = 1500 * time.Millisecond // for a request, from its first bytes to its last
-	clientIdleTimeout  = 30 * time.Second        // for a connection between requests
-	clientWriteTimeout = 10 * time.Second        // for an answer
-	minConfigAgeShown  = 2 * time.Second         // since the setup was confirmed: answers show a longer one
-	deadlineSlack      = 5 * time.Second         // by which the idle and the write timeout may be shorter
+	readyPath          = "/health/ready"         // polled by the load balancer's health check
+	maxRequestBody     = 64 << 10                // bytes
+	clientTransitTime  = 10 * time.Millisecond   // deducted from the timeout, which starts when the client sends
+	requestReadTimeout = 1500 * time.Millisecond // from a request's first bytes to its last
+	clientIdleTimeout  = 30 * time.Second        // for the wait for a connection's next request
+	clientWriteTimeout = 10 * time.Second        // for a response
+	minConfigAgeShown  = 2 * time.Second         // least time since the setup's confirmation that is reported
+	deadlineSlack      = 5 * time.Second         // by which the idle and write timeouts may be shortened
 )
 
-// isDeadlineDue decides whether a connection's deadline has to be set anew for a timeout. One that is at most
-// deadlineSlack too short stays, which saves a call of the system for each request.
-func isDeadlineDue(deadline, now time.Time, timeout time.Duration) bool {
+// needsNewDeadline reports whether a connection's deadline has to be set again to allow the timeout. A deadline that is
+// at most deadlineSlack too early is kept, which saves a system call per request.
+func needsNewDeadline(deadline, now time.Time, timeout time.Duration) bool {
 	return deadline.Sub(now) < timeout-deadlineSlack
 }
 
@@ -40,40 +40,39 @@
 	input       requestInput
 	output      responseOutput
 	closeWatch  closeWatch // set if isRelay
-	receivedAt  time.Time  // when the head of the request under way had come
-	life        connLife
-	isRelay     bool   // the other end is another site's instance
-	lastRelayID string // of the last relayed request that came on it; set if isRelay
+	receivedAt  time.Time  // when the head of the current request was received
+	lifecycle   connLifecycle
+	isRelay     bool   // the peer is another site's instance
+	lastRelayID string // of the last relayed request received; set if isRelay
 }
 
-// requestInput reads the requests of a connection. Its goroutine alone uses it.
+// requestInput reads the requests of a connection. Only the connection's goroutine uses it.
 type requestInput struct {
 	conn         net.Conn
-	deadline     time.Time // read deadline in force
-	readCount    int       // since the request under way began
+	deadline     time.Time // current read deadline
+	readCount    int       // reads since the current request began
 	hasReadAhead bool      // readAhead is set
-	readAhead    byte      // read before it was asked for
+	readAhead    byte      // a byte that closeWatch read, which the next Read returns
 }
 
-// setDeadline sets the read deadline.
 func (i *requestInput) setDeadline(deadline time.Time) {
 	i.deadline = deadline
 	i.conn.SetReadDeadline(deadline)
 }
 
-// keep keeps a byte that was read for the next call of Read.
-func (i *requestInput) keep(b byte) { i.readAhead, i.hasReadAhead = b, true }
+// unreadByte stores a byte that was read ahead, for the next call of Read.
+func (i *requestInput) unreadByte(b byte) { i.readAhead, i.hasReadAhead = b, true }
 
-// beginRequest has the next request awaited for clientIdleTimeout.
+// beginRequest prepares the input for the next request and allows clientIdleTimeout for the wait.
 func (i *requestInput) beginRequest(now time.Time) {
-	if i.readCount > 1 || isDeadlineDue(i.deadline, now, clientIdleTimeout) {
+	if i.readCount > 1 || needsNewDeadline(i.deadline, now, clientIdleTimeout) {
 		i.setDeadline(now.Add(clientIdleTimeout))
 	}
 	i.readCount = 0
 }
 
-// Read counts the reads of a request: one that does not arrive whole in the first gets a deadline of its own, so that
-// no client holds a connection by sending slowly.
+// Read counts the reads of a request. A request that does not arrive in a single read gets requestReadTimeout for the
+// rest, so that a slow client cannot hold a connection.
 func (i *requestInput) Read(p []byte) (int, error) {
 	if i.readCount == 1 {
 		i.setDeadline(time.Now().Add(requestReadTimeout))
@@ -87,7 +86,7 @@
 	return i.conn.Read(p)
 }
 
-// serve answers the requests of one connection, until it ends or the instance drains.
+// serve answers the requests of a connection until the connection closes or the instance drains.
 func (c *clientConn) serve() {
 	defer func() {
 		c.nc.Close()
@@ -96,45 +95,45 @@
 	if c.isRelay && !c.verifyPeer() {
 		return
 	}
-	for c.awaitRequest() && c.serveOne() {
-		c.life.idle()
+	for c.awaitRequest() && c.serveNextRequest() {
+		c.lifecycle.markIdle()
 	}
 }
 
-// awaitRequest waits until the next request begins to arrive, and reports whether it has. A request that was received
-// by the end of the wait, whether that is the idle timeout's or a drain's, counts as arrived.
+// awaitRequest waits until the next request begins to arrive and reports whether it did. If the idle timeout or a drain
+// ends the wait, a request that is already in the socket's receive buffer still counts as arrived.
 func (c *clientConn) awaitRequest() bool {
 	c.input.beginRequest(time.Now())
 	err := c.reader.Fill()
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.hasUnread() {
-		c.life.activate()
+		c.lifecycle.markActive()
 		c.input.setDeadline(time.Now().Add(requestReadTimeout))
 		err = c.reader.Fill()
 	}
 	if err != nil {
 		return false
 	}
-	if c.life.activate() {
+	if c.lifecycle.markActive() {
 		c.input.setDeadline(time.Now().Add(requestReadTimeout))
 	}
 	return true
 }
 
-// hasUnread reports whether something was received that was not read, whatever the read deadline.
+// hasUnread reports whether received data has not been read yet, even if the read deadline has passed.
 func (c *clientConn) hasUnread() bool {
 	if c.isRelay {
-		return c.closeWatch.poll()
+		return c.closeWatch.hasUnread()
 	}
 	return graceful.HasUnreadData(c.nc)
 }
 
-// hasNextRequest reports whether the client has sent its next request already.
+// hasNextRequest reports whether data of the next request has already been received.
 func (c *clientConn) hasNextRequest() bool {
 	return c.reader.Buffered() > 0 || !c.isRelay && graceful.HasUnreadData(c.nc)
 }
 
-// serveOne answers one request and reports whether the connection can be used again.
-func (c *clientConn) serveOne() (isReusable bool) {
+// serveNextRequest reads and answers one request and reports whether the connection can be reused.
+func (c *clientConn) serveNextRequest() (isReusable bool) {
 	r := &c.request
 	r.reset(c.isRelay)
 	defer func() {
@@ -146,21 +145,21 @@
 	if err := c.reader.Request(&r.requestHead); err != nil {
 		return c.rejectUnreadable(err)
 	}
-	if c.input.readCount > 0 { // else it had come with the request before it
+	if c.input.readCount > 0 { // otherwise it arrived together with the previous request
 		c.receivedAt = time.Now()
 	}
 	if err := c.readBody(); err != nil {
 		return c.rejectBadRequest(err)
 	}
-	if handler := c.ownHandler(); handler != nil {
+	if handler := c.localHandler(); handler != nil {
 		return handler()
 	}
 	engineRequest, err := c.server.parse(r, c.receivedAt)
 	if err == nil {
-		engineRequest.Timeout, err = c.limitTime(engineRequest.Timeout)
+		engineRequest.Timeout, err = c.limitTimeout(engineRequest.Timeout)
 	}
 	if err == nil && c.isRelay {
-		r.counters = &Counters{} // it counts where it entered
+		r.counters = &Counters{} // the instance that relayed the request counts it
 		err = c.acceptRelayed()
 	}
 	if err != nil {
@@ -176,26 +175,26 @@
 	return isReusable
 }
 
-// limitTime sets the deadline of the request by what is left of its timeout, less what this instance is late by at
-// present, and returns what the engine may use of it.
-// Its error rejects a request that has no time left: it came behind one that took long, or late in a drain.
-func (c *clientConn) limitTime(timeout time.Duration) (limited time.Duration, err error) {
+// limitTimeout sets the request's deadline from its remaining timeout, less a margin for the current lateness of this
+// instance, and returns the part of the timeout that the engine may use. It returns an error if no time is left: the
+// request waited behind a slow one on its connection, or it was received late in a drain.
+func (c *clientConn) limitTimeout(timeout time.Duration) (limited time.Duration, err error) {
 	now, slack := time.Now(), c.server.instance.config.Settings.ResponseSlack
 	if timeout <= 0 {
-		return 0, errLate
+		return 0, errTimeoutExpired
 	}
 	limited, isLeft := c.server.drainState.requestTimeout(now, timeout, slack)
 	if !isLeft {
 		return 0, errDraining
 	}
-	limited -= c.server.instance.host.margin(limited)
+	limited -= c.server.instance.host.latenessMargin(limited)
 	c.request.deadline = now.Add(limited + slack)
 	return limited, nil
 }
 
-// ownHandler returns what answers a request to the instance itself, or nil for one that is to be forwarded. Like
-// serveOne it tells whether the connection can be used again.
-func (c *clientConn) ownHandler() func() bool {
+// localHandler returns the handler of a request that the instance answers itself, or nil if the request is to be
+// forwarded. The handler reports whether the connection can be reused.
+func (c *clientConn) localHandler() func() bool {
 	head := &c.request.requestHead
 	if head.Method != http.MethodGet {
 		return nil
@@ -211,7 +210,8 @@
 	return nil
 }
 
-// checkBodyLength decides whether a request's body is read: one whose length is told and at most maxRequestBody bytes.
+// checkBodyLength returns an error unless the body's length is given by Content-Length and at most maxRequestBody
+// bytes.
 func checkBodyLength(head *httpwire.Head) error {
 	switch {
 	case head.Chunked:
@@ -223,7 +223,7 @@
 	return nil
 }
 
-// readBody reads the body of the request whose head has been read. Its error is a *badRequest or nil.
+// readBody reads the body of the current request, whose head has been read. The error is nil or a *badRequest.
 func (c *clientConn) readBody() error {
 	head := &c.request.requestHead
 	if err := checkBodyLength(head); err != nil || head.Length <= 0 {
@@ -240,15 +240,15 @@
 	return nil
 }
 
-// watchClose calls onClose once if another site's instance closes its connection, until stop is called. The connection
-// must be such an instance's.
+// watchClose calls onClose once if the other site's instance closes the connection before stop is called. The
+// connection must be one of another site's instance.
 func (c *clientConn) watchClose(onClose func()) (stop func()) {
 	c.closeWatch.start(onClose)
 	return c.closeWatch.stop
 }
 
-// hasDisconnected reports whether the client, or the other site's instance, has closed its connection. It asks the socket:
-// a goroutine that watches the connection may run later than the one that asks.
+// hasDisconnected reports whether the client or the other site's instance has closed the connection. It checks the
+// socket itself: a goroutine that watches the connection may not have run since the close.
 func (c *clientConn) hasDisconnected() bool {
 	if c.isRelay {
 		return c.closeWatch.hasClosed()
--- a/internal/gateway/client_conn_state.go
+++ b/internal/gateway/client_conn_state.go
@@ -6,34 +6,36 @@
 	"time"
 )
 
-// connState is the state of a connection of a client, or of another site's instance.
+// connState is the state of a clientConn.
 type connState int
 
 const (
-	stateNew    connState = iota // accepted, and nothing was read
-	stateActive                  // a request was read, or a part of one, and has no response yet
+	stateNew    connState = iota // accepted; nothing has been read
+	stateActive                  // a request has been received, at least in part, and has no response yet
 	stateIdle                    // between requests
 )
 
-// newConnGrace is how long a draining instance waits for the first request of a connection: a client connects in order
-// to send one, and it may be on its way.
+// newConnGrace is how long a draining instance waits for the first request of a new connection. A client connects to
+// send a request, so one may already be in transit.
 const newConnGrace = 400 * time.Millisecond
 
-// connLife is the state of a connection. Its goroutine changes the state; a drain interrupts its wait for a request.
+// connLifecycle tracks the state of a connection. The connection's goroutine changes the state, and a drain may
+// interrupt its wait for a request.
 //
-// Invariant: the read deadline of an active connection is never one that interrupt has set.
-type connLife struct {
+// Invariant: an active connection never has the read deadline that interrupt sets.
+type connLifecycle struct {
 	conn net.Conn
 
 	mu            sync.Mutex // guards all below, and calls of conn.SetReadDeadline by interrupt
 	state         connState
 	acceptedAt    time.Time
-	isInterrupted bool // since the connection waits for its next request
+	isInterrupted bool // the current wait for a request was interrupted
 }
 
-// interrupt ends a connection's wait for a request, if a drain at this time may: what was received by then is still
-// read. It is called again until the connection has ended, since its goroutine may have set a deadline meanwhile.
-func (l *connLife) interrupt(now time.Time) {
+// interrupt ends the connection's wait for a request, unless a request is being served or the connection is younger
+// than newConnGrace. Data received by then is still read. A drain calls interrupt repeatedly until the connection has
+// closed, because the connection's goroutine may set a new deadline in between.
+func (l *connLifecycle) interrupt(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state == stateActive || l.state == stateNew && now.Sub(l.acceptedAt) < newConnGrace {
@@ -43,9 +45,9 @@
 	l.conn.SetReadDeadline(pastDeadline)
 }
 
-// activate records that a request, or part of one, was received. It reports whether the wait for it was interrupted:
-// the connection then needs a new read deadline.
-func (l *connLife) activate() (wasInterrupted bool) {
+// markActive records that a request was received, at least in part. It reports whether the wait for the request was
+// interrupted, in which case the connection needs a new read deadline.
+func (l *connLifecycle) markActive() (wasInterrupted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wasInterrupted = l.isInterrupted
@@ -53,8 +55,8 @@
 	return wasInterrupted
 }
 
-// idle records that the last request has its response.
-func (l *connLife) idle() {
+// markIdle records that the current request has been answered.
+func (l *connLifecycle) markIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state = stateIdle
--- a/internal/gateway/client_server.go
+++ b/internal/gateway/client_server.go
@@ -13,22 +13,22 @@
 	"mulleinmux/internal/httpwire"
 )
 
-// tooManyConnections answers a connection beyond the limit.
+// tooManyConnections is the response to a client whose connection exceeds the limit.
 const tooManyConnections = "HTTP/1.1 503 Service Unavailable\r\n" +
 	"Retry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// acceptRetryInterval is the wait after an error that accepting may get over.
+// acceptRetryInterval is the wait before Accept is called again after a transient error.
 const acceptRetryInterval = time.Millisecond
 
-// clientServer accepts the connections of clients, and of other sites' instances.
+// clientServer accepts and serves the connections of clients and of other sites' instances.
 type clientServer struct {
 	instance   *Instance
 	drainState drainState
 	conns      clientConns
-	acceptors  sync.WaitGroup // calls of serve
-	handlers   sync.WaitGroup // connections; an acceptor adds to it, so that it is awaited after them
+	acceptors  sync.WaitGroup // running calls of serve
+	handlers   sync.WaitGroup // goroutines of connections; acceptors add to it, so wait for acceptors first
 
-	listeners []*graceful.Listener // on which it accepts, the relay's last
+	listeners []*graceful.Listener // the relay's listener is the last
 }
 
 func newClientServer(in *Instance) *clientServer {
@@ -40,14 +40,14 @@
 
 // clientConns are the open connections of clients and of other sites' instances.
 type clientConns struct {
-	limit int // connections
+	limit int // maximum number of open connections
 
 	mu   sync.Mutex
 	open map[*clientConn]struct{} // guarded by mu
 }
 
-// add decides whether a connection is served: as long as fewer than the limit are open, so that descriptors are left
-// for servers. One that is counts until remove.
+// add records an open connection until remove is called. It reports false, without recording it, if the limit has been
+// reached; the limit leaves file descriptors for connections to servers.
 func (l *clientConns) add(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +64,7 @@
 	delete(l.open, c)
 }
 
-// each calls do with each connection, under the mutex.
+// each calls do for each open connection while holding the mutex.
 func (l *clientConns) each(do func(*clientConn)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// serve answers clients until the listener closes.
+// serve accepts connections and starts a goroutine for each, until the listener is closed.
 func (s *clientServer) serve(listener net.Listener) error {
 	_, isRelay := listener.(relayListener)
 	for {
@@ -82,10 +82,10 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case isTransientAcceptError(err):
-			time.Sleep(acceptRetryInterval) // a connection may end meanwhile
+			time.Sleep(acceptRetryInterval) // another connection may close in the meantime
 			continue
 		case err != nil:
-			return fmt.Errorf("listen: %w", err)
+			return fmt.Errorf("accept connections: %w", err)
 		}
 		c := newClientConn(s, conn, isRelay)
 		if !s.conns.add(c) {
@@ -96,16 +96,16 @@
 	}
 }
 
-// isTransientAcceptError decides whether accepting goes on after an error: no descriptor was left for the connection,
-// or it was closed before it could be accepted.
+// isTransientAcceptError reports whether Accept may succeed if called again after err: no file descriptor was left for
+// the connection, or the connection was closed before it was accepted.
 func isTransientAcceptError(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED)
 }
 
-// newClientConn returns a connection that was accepted, which does not count as one of the server's yet.
+// newClientConn returns a clientConn for an accepted connection. The caller adds it to server.conns.
 func newClientConn(server *clientServer, conn net.Conn, isRelay bool) *clientConn {
 	c := &clientConn{server: server, nc: conn, isRelay: isRelay}
-	c.life = connLife{conn: conn, acceptedAt: time.Now()}
+	c.lifecycle = connLifecycle{conn: conn, acceptedAt: time.Now()}
 	c.input.conn = conn
 	if relayConn, ok := conn.(*relayServerConn); ok {
 		c.closeWatch = closeWatch{conn: relayConn, input: &c.input}
@@ -116,8 +116,8 @@
 	return c
 }
 
-// rejectConnection closes a connection beyond the limit. A client is answered; another site's instance, which would
-// need a handshake for that, is not.
+// rejectConnection closes a connection that exceeds the limit. A client gets a response first; another site's instance
+// does not, since that would need a TLS handshake.
 func (c *clientConn) rejectConnection() {
 	defer c.nc.Close()
 	if !c.isRelay {
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -11,7 +11,7 @@
 	"mulleinmux/internal/testserver"
 )
 
-// testClient is one connection of a client.
+// testClient is a client with one connection.
 type testClient struct {
 	net.Conn
 	br     *bufio.Reader
@@ -53,7 +53,7 @@
 	return a.readResponse()
 }
 
-// getRequest returns the text of a request without a body; lines are added to its head.
+// getRequest returns the text of a request without a body. lines are additional header lines.
 func getRequest(line string, lines ...string) string {
 	text := line + " HTTP/1.1\r\nHost: h\r\n"
 	if !strings.Contains(strings.Join(lines, "\n"), "X-Licensee") {
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// clock reads Unix time that never goes back: the time at its start plus the monotonic time since. Start times in
-// endpoint lists, which are Unix times, convert to its readings.
+// clock is a monotonic clock whose readings are Unix times: the time at the clock's start plus the monotonic time since
+// then. The start times in endpoint lists are Unix times and can be compared with its readings.
 type clock struct{ startedAt time.Time }
 
 func (c clock) now() time.Duration {
 	return time.Duration(c.startedAt.UnixNano()) + time.Since(c.startedAt)
 }
 
-// reading returns the clock's reading at a time of this process.
+// reading returns the clock's reading at a time that was taken in this process.
 func (c clock) reading(at time.Time) time.Duration {
 	return time.Duration(c.startedAt.UnixNano()) + at.Sub(c.startedAt)
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,7 +1,6 @@
-// Package gateway is one instance of the gateway on sockets: it reads clients' requests,
-// finds their operation in the description in force, has the policy engine decide what is to
-// become of them, and carries that out. Routes and costs are decided in package routing,
-// admission, servers and retries in package policy; here bytes are moved.
+// Package gateway implements one gateway instance on network sockets. It reads clients' requests, matches each to an
+// operation of the description in force, and carries out what the policy engine decides. Package routing determines
+// routes and costs, package policy decides on admission, servers and retries; this package does the network I/O.
 package gateway
 
 import (
@@ -17,81 +16,84 @@
 	"mulleinmux/routing"
 )
 
-// Site is a site's servers, which a service discovery of their own lists.
+// Site is a group of servers with its own service discovery.
 type Site struct {
-	Name      string         // the zone of its servers
-	Discovery netip.AddrPort // its agent: the protocol of package discovery
+	Name      string         // zone of its servers
+	Discovery netip.AddrPort // of its discovery agent, which speaks the protocol of package discovery
 }
 
-// Config is the configuration of an instance, fixed at its start.
+// Config is the configuration of an instance. It does not change after the start.
 type Config struct {
 	Name   string
 	Listen netip.AddrPort
 	Seed   uint64
 	Sites  []Site
 
-	PeerListen netip.AddrPort   // invalid: instances don't message each other
-	Peers      []netip.AddrPort // by number, this instance's own among them
+	PeerListen netip.AddrPort   // for gossip; invalid: no gossip, unless UseSockets has set a socket
+	Peers      []netip.AddrPort // gossip addresses by instance index, including this instance's own
 
-	Settings policy.Settings // without Classes, which follow from the description
+	Settings policy.Settings // Classes is ignored: the classes come from the description
 	Classes  []routing.Class
 
 	Licensees map[string]Licensee // by name
 
-	// Agreement, if set, has the instance serve only on a setup on which instances have agreed, and which is
+	// Agreement, if set, restricts the instance to setups that the instances have agreed on and that have been
 	// confirmed (see [Instance.ConfirmVersion]).
 	Agreement *Agreement
 
-	// Keys, if set, keeps a keyed request to the site that package multisite gives it.
+	// Keys, if set, routes each request with an idempotency key to the site that owns the key: see
+	// [multisite.KeyTable].
 	Keys *multisite.KeyConfig
 
-	// Health, if set, has the instance judge the sites: see package multisite.
+	// Health, if set, enables health monitoring of the sites: see [multisite.HealthMonitor].
 	Health *multisite.HealthConfig
 
-	// QuorumConfirmation, if set, has key owners confirmed by a quorum of the voters, without which no newer ones can
-	// be agreed on.
+	// QuorumConfirmation, if set, has the key owners confirmed by a quorum of the voters. Newer key owners cannot be
+	// agreed on without that quorum.
 	QuorumConfirmation *multisite.ConfirmationConfig
 
-	// RecoveryRamp, if set, has the instances share out what cold servers may be sent: see package multisite.
+	// RecoveryRamp, if set, divides the load that cold servers may receive among the instances: see
+	// [multisite.RecoveryRamp].
 	RecoveryRamp *multisite.RampConfig
 
-	// Relay, if set, has the instance reach other sites through their instances.
+	// Relay, if set, makes the instance reach other sites through their instances.
 	Relay *RelayConfig
 
 	MaxClientConns    int           // connections of clients
 	MaxServerConns    int           // connections to servers
 	ConnectTimeout    time.Duration // for a connection to a server
 	ServerIdleTimeout time.Duration // after which a server may close an idle connection
-	DrainTimeout      time.Duration // for which a draining instance still takes requests
-	FullValidation    bool          // all parameters and bodies are checked against their schemas
+	DrainTimeout      time.Duration // for which a draining instance still accepts requests
+	FullValidation    bool          // check all parameters and bodies against their schemas
 
-	// Observe is called with each final answer, if set; it must not block.
+	// Observe, if set, is called with each final answer; it must not block.
 	Observe func(RequestRecord)
 
-	// Trace is called with the trace of each request once its answer was written, if set; it must not block.
+	// Trace, if set, is called with the trace of each request once its answer was written or could not be; it must not
+	// block.
 	Trace func(RequestTrace)
 
-	listener net.Listener // open, in tests and scenarios
-	peerConn *net.UDPConn
+	listener net.Listener // open client listener, in tests and scenarios; nil: Listen is used
+	peerConn *net.UDPConn // open gossip socket, in tests and scenarios; nil: PeerListen is used
 }
 
-// Agreement is how an instance deals with a setup that may no longer be the one in force.
+// Agreement configures how an instance handles requests while its setup may have been superseded.
 type Agreement struct {
-	StaleAfter   time.Duration // since it was last confirmed; 30 s where 0
-	RejectsStale bool          // then requests are rejected; else they are served on
+	StaleAfter   time.Duration // age of the last confirmation beyond which a setup is stale; 30 s if 0
+	RejectsStale bool          // reject requests while the setup is stale; otherwise they are served on it
 }
 
 // Setup is the part of the configuration that can be replaced while an instance runs.
 type Setup struct {
-	Number    uint64         // its version, which servers and clients see
-	Table     *routing.Table // nil: as it is
-	Check     Checker        // with Table; nil: only what the cost depends on is checked
+	Number    uint64         // version number, which is sent to servers and clients
+	Table     *routing.Table // nil: the table in force stays
+	Check     Checker        // for Table; nil: only the values that determine the cost are checked
 	Licensees map[string]Licensee
 	Plans     []policy.Plan // by index, as [policy.Engine.SetPlans] expects them
 	Sites     []Site
 }
 
-// Setup is the one that a configuration holds.
+// Setup returns the setup that the configuration contains.
 func (c *Config) Setup(number uint64, table *routing.Table, check Checker) Setup {
 	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees,
 		Plans: c.Settings.Plans, Sites: c.Sites}
@@ -107,23 +109,24 @@
 	defaultStaleAfter        = 30 * time.Second
 )
 
-// Options are what a description is compiled with.
+// Options returns the options for compiling a description.
 func (c *Config) Options() routing.Options {
 	return routing.Options{Classes: c.Classes, MaxUnits: int(c.Settings.MaxUnits)}
 }
 
-// UseSockets has the instance serve on sockets that are open. conn is nil without peers.
+// UseSockets makes the instance use sockets that are already open: ln for clients, conn for gossip. conn is nil without
+// peers.
 func (c *Config) UseSockets(ln net.Listener, conn *net.UDPConn) { c.listener, c.peerConn = ln, conn }
 
-// check returns what is wrong with the configuration, or sets the defaults.
+// check validates the configuration and sets the defaults.
 func (c *Config) check() error {
 	switch {
 	case c.Name == "":
-		return errors.New("name: is empty")
+		return errors.New("name: must not be empty")
 	case c.PeerListen.IsValid() && len(c.Peers) != c.Settings.InstanceCount:
-		return fmt.Errorf("peers: %d addresses for %d instances", len(c.Peers), c.Settings.InstanceCount)
+		return fmt.Errorf("peers: got %d addresses, want %d (one per instance)", len(c.Peers), c.Settings.InstanceCount)
 	case !c.PeerListen.IsValid() && c.peerConn == nil && c.Settings.InstanceCount > 1:
-		return errors.New("peers: instances that share quotas must message each other")
+		return errors.New("peers: peer_listen is required: instances that share quotas exchange messages")
 	}
 	c.MaxClientConns = orDefault(c.MaxClientConns, defaultMaxClientConns)
 	c.MaxServerConns = orDefault(c.MaxServerConns, defaultMaxServerConns)
@@ -136,7 +139,7 @@
 	return nil
 }
 
-// orDefault returns a value, or its default where it is not set.
+// orDefault returns value if it is positive, otherwise defaultValue.
 func orDefault[T int | time.Duration](value, defaultValue T) T {
 	if value <= 0 {
 		return defaultValue
@@ -144,13 +147,13 @@
 	return value
 }
 
-// Licensee is what the configuration says of a licensee.
+// Licensee is the configuration of a licensee.
 type Licensee struct {
 	Plan     string
-	Customer uint64 // the engine's name for it, the same at every instance
+	Customer uint64 // its ID in the engine, the same at every instance
 }
 
-// CustomerOf gives a licensee its number.
+// CustomerOf returns the customer ID of the licensee with a name.
 func CustomerOf(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -8,15 +8,15 @@
 	"mulleinmux/routing"
 )
 
-// Counters count the requests of one operation.
+// Counters holds the request counters of one operation.
 type Counters struct {
-	Served, Refused, Failed atomic.Int64 // final answers; Refused counts rejections
-	Units                   atomic.Int64 // of requests of which an attempt was written whole
-	Sent                    atomic.Int64 // these requests
-	Attempts                atomic.Int64 // written whole
+	Served, Refused, Failed atomic.Int64 // requests by final answer; Refused counts rejections
+	Units                   atomic.Int64 // of the requests counted by Sent
+	Sent                    atomic.Int64 // requests with an attempt that was written completely
+	Attempts                atomic.Int64 // attempts that were written completely
 }
 
-// countAnswer counts a final answer.
+// countAnswer counts the final answer of a request.
 func (c *Counters) countAnswer(answer outcome) {
 	switch answer {
 	case served:
@@ -28,14 +28,15 @@
 	}
 }
 
-// operationCounters has the counters of every operation that was ever in force, so that they go on over versions.
+// operationCounters holds the counters of every operation that was ever in force, so that counting continues when the
+// version changes.
 type operationCounters struct {
 	mu   sync.Mutex
 	byID map[string]*Counters // guarded by mu
 }
 
-// of returns the counters of some operations, in their order.
-func (o *operationCounters) of(operations []*routing.Operation) (counters []*Counters) {
+// forOperations returns the counters of the given operations, in the same order, and creates those that do not exist.
+func (o *operationCounters) forOperations(operations []*routing.Operation) (counters []*Counters) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, operation := range operations {
@@ -55,15 +56,15 @@
 	return maps.Clone(o.byID)
 }
 
-// EachOperation calls f with the counters of each operation that was ever in force.
+// EachOperation calls f for each operation that was ever in force.
 func (in *Instance) EachOperation(f func(operation string, c *Counters)) {
 	for id, c := range in.counters.all() {
 		f(id, c)
 	}
 }
 
-// BadRequestCount is the number of requests that were rejected before they were charged.
+// BadRequestCount returns the number of invalid requests, which were answered without being charged.
 func (in *Instance) BadRequestCount() int64 { return in.badRequestCount.Load() }
 
-// UnconfirmedCount is the number of requests rejected because the setup was not confirmed.
+// UnconfirmedCount returns the number of requests that were rejected because the setup was not confirmed.
 func (in *Instance) UnconfirmedCount() int64 { return in.versions.unconfirmedCount.Load() }
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -7,57 +7,57 @@
 	"mulleinmux/policy"
 )
 
-// drainPollInterval is the time between two looks at the connections that are left.
+// drainPollInterval is the interval at which a draining instance interrupts connections that have become idle.
 const drainPollInterval = 10 * time.Millisecond
 
-// drainState says how far an instance's life has come. Its fields are atomic: any goroutine may read them.
+// drainState is the state of an instance's readiness and drain. Its fields are atomic, so any goroutine may read them.
 type drainState struct {
-	isReady    atomic.Bool // since it listens, until it drains
-	isDraining atomic.Bool
-	finishBy   atomic.Int64 // Unix time in ns by which every request must have its answer; 0: not known yet
+	isReady        atomic.Bool // from when the instance listens until it drains
+	isDraining     atomic.Bool
+	finishDeadline atomic.Int64 // Unix time in ns by which every request must have its answer; 0: not set yet
 }
 
-// requestTimeout decides how long a request may take that is served from now on, and whether any time is left: its own
-// timeout, or what the drain leaves after slack for writing the answer.
-func (d *drainState) requestTimeout(now time.Time, timeout, slack time.Duration) (limited time.Duration, isLeft bool) {
-	finishBy := d.finishBy.Load()
-	if finishBy == 0 {
+// requestTimeout limits the timeout of a request that is served from now on. Once finishDeadline is set, the limit is
+// the time until then, less slack for writing the answer. hasTime is false if no time is left.
+func (d *drainState) requestTimeout(now time.Time, timeout, slack time.Duration) (limited time.Duration, hasTime bool) {
+	finishDeadline := d.finishDeadline.Load()
+	if finishDeadline == 0 {
 		return timeout, true
 	}
-	limited = min(timeout, time.Unix(0, finishBy).Sub(now)-slack)
+	limited = min(timeout, time.Unix(0, finishDeadline).Sub(now)-slack)
 	return limited, limited > 0
 }
 
-// isOver decides whether every request must have its answer by now.
-func (d *drainState) isOver(now time.Time) bool {
-	finishBy := d.finishBy.Load()
-	return finishBy != 0 && now.UnixNano() >= finishBy
+// isPastFinishDeadline reports whether the time by which every request must have its answer has come.
+func (d *drainState) isPastFinishDeadline(now time.Time) bool {
+	finishDeadline := d.finishDeadline.Load()
+	return finishDeadline != 0 && now.UnixNano() >= finishDeadline
 }
 
-// begin has the instance drain: it is not ready any more, so that load balancers send it no new connections.
+// begin starts the drain: the instance is no longer ready, so that load balancers send it no new connections.
 func (d *drainState) begin() {
 	d.isReady.Store(false)
 	d.isDraining.Store(true)
 }
 
-// isReadyToServe decides what a load balancer's health check is told: an instance serves from when it listens until it
-// drains, as long as requests are served on its setup.
+// isReadyToServe decides the result of a load balancer's health check: an instance is ready from when it listens until
+// it drains, provided that requests are served on its setup.
 func (s *clientServer) isReadyToServe(now time.Time) bool {
 	_, serves := s.instance.versions.confirmation(now)
 	return serves && s.drainState.isReady.Load()
 }
 
-// drain ends serving. Clients still come for DrainTimeout and are answered, on connections that close behind the
-// answer; then the listeners close, and what was taken is finished within maxFinishDuration: what the kernel has
-// accepted by then, and every request that was received, read or not. Connections that have nothing to read are closed,
-// new ones after newConnGrace.
+// drain stops serving. For DrainTimeout new requests are still accepted, and each answer closes its connection. Then
+// the listeners close, and the instance finishes within maxFinishDuration the connections that the kernel has accepted
+// by then and every request that was received, read or not. Connections that have nothing to read are closed, new ones
+// after newConnGrace.
 func (s *clientServer) drain() {
 	s.drainState.begin()
 	<-time.After(s.instance.config.DrainTimeout)
 	for _, listener := range s.listeners {
 		listener.Finish()
 	}
-	s.acceptors.Wait() // what is accepted in the moment of the close is drained with the others
+	s.acceptors.Wait() // connections accepted during the close are drained with the others
 	ended := make(chan struct{})
 	go func() {
 		s.handlers.Wait()
@@ -68,20 +68,21 @@
 	<-ended
 }
 
-// interruptUntil interrupts connections as they become idle, until all have ended or maxFinishDuration is over. What
-// was received is answered before: what is still being read then may need requestReadTimeout, and is rejected.
+// interruptUntil interrupts connections as they become idle, until all have ended or maxFinishDuration has passed.
+// Requests that were received are answered before finishDeadline. A request that is still being read at finishDeadline
+// may take requestReadTimeout more and is rejected.
 func (s *clientServer) interruptUntil(ended <-chan struct{}) {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	finish := maxFinishDuration(s.instance.Table().Classes, s.instance.config.Settings.ResponseSlack)
-	s.drainState.finishBy.Store(time.Now().Add(finish - requestReadTimeout).UnixNano())
-	over := time.After(finish)
+	finishDuration := maxFinishDuration(s.instance.Table().Classes, s.instance.config.Settings.ResponseSlack)
+	s.drainState.finishDeadline.Store(time.Now().Add(finishDuration - requestReadTimeout).UnixNano())
+	timeout := time.After(finishDuration)
 	for {
 		now := time.Now()
-		s.conns.each(func(c *clientConn) { c.life.interrupt(now) })
+		s.conns.each(func(c *clientConn) { c.lifecycle.interrupt(now) })
 		select {
 		case <-ticker.C:
-		case <-over:
+		case <-timeout:
 			return
 		case <-ended:
 			return
@@ -89,8 +90,8 @@
 	}
 }
 
-// maxFinishDuration decides for how long a draining instance finishes what it has taken: a request that is being read
-// may need requestReadTimeout and then its class's deadline, with the slack for its response.
+// maxFinishDuration returns how long a draining instance may take to finish the requests that it has accepted: one that
+// is being read may take requestReadTimeout and then its class's deadline, with the slack for its response.
 func maxFinishDuration(classes []policy.Class, responseSlack time.Duration) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
--- a/internal/gateway/drain_late_test.go
+++ b/internal/gateway/drain_late_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// heldInstance is an instance with one server whose clients' connections can be held back.
+// heldInstance is an instance with one server, whose calls on client connections can be blocked.
 type heldInstance struct {
 	*testInstance
 	sites *testSites
 	held  *heldListener
 }
 
-func startHeldInstance(t *testing.T, at heldAt) *heldInstance {
+func startHeldInstance(t *testing.T, at holdPoint) *heldInstance {
 	t.Helper()
 	g := &heldInstance{sites: newTestSites(t), held: &heldListener{at: at}}
 	g.sites.startServer("site-a", "s")
@@ -27,13 +27,13 @@
 	return g
 }
 
-// serveNext has the server answer the next request.
+// serveNext makes the server answer the next request.
 func (g *heldInstance) serveNext(body string) {
 	g.sites.nextRequest().response <- responseText(200, "", body)
 }
 
-// awaitFinished waits until the instance's listener has closed, by which a drain has reached its last phase.
-func (g *heldInstance) awaitFinished(t *testing.T) {
+// awaitListenerClosed waits until the instance's listener has closed, which begins the last phase of a drain.
+func (g *heldInstance) awaitListenerClosed(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		conn, err := net.Dial("tcp", g.addr)
@@ -42,15 +42,16 @@
 		}
 		conn.Close()
 	}
-	t.Fatal("the instance goes on listening")
+	t.Fatal("the instance still accepts connections, want its listener closed")
 }
 
-// readDelays are the times for which a process gets no processor.
-var readDelays = []time.Duration{1, 50, 300, 2000}
+// readDelaysMs are the times in milliseconds by which reads or writes are delayed, as if the process were not
+// scheduled.
+var readDelaysMs = []time.Duration{1, 50, 300, 2000}
 
-// forEachDelay runs a test for each of readDelays, side by side.
+// forEachDelay runs a test with each delay of readDelaysMs, in parallel.
 func forEachDelay(t *testing.T, test func(t *testing.T, delay time.Duration)) {
-	for _, milliseconds := range readDelays {
+	for _, milliseconds := range readDelaysMs {
 		t.Run(strconv.Itoa(int(milliseconds))+"ms", func(t *testing.T) {
 			t.Parallel()
 			test(t, milliseconds*time.Millisecond)
@@ -58,11 +59,11 @@
 	}
 }
 
-// A request that was received before a drain closes its connection is answered, however late it is read: on a new
-// connection and on an idle one, in the socket or just out of it.
+// A request that was received before a drain closes its connection is answered, however late the process reads it:
+// on a new and on an idle connection, whether the request is still in the socket or has just left it.
 func TestDrainAnswersRequestReadLate(t *testing.T) {
 	for name, c := range map[string]struct {
-		at     heldAt
+		at     holdPoint
 		isIdle bool
 	}{
 		"new, in the socket":      {heldBeforeRead, false},
@@ -86,19 +87,19 @@
 				}
 				client.send(getRequest("GET /visits/2"))
 				g.stop()
-				g.awaitFinished(t)
+				g.awaitListenerClosed(t)
 				time.Sleep(delay)
 				release()
 				g.serveNext("second")
 				if r := client.readResponse(); r.Body != "second" || !r.Close {
-					t.Errorf("%+v", r)
+					t.Errorf("request read late: got %+v, want body second and a close", r)
 				}
 			})
 		})
 	}
 }
 
-// A client that has connected before the listener closes is answered if its request follows soon, also in pieces.
+// A client that connects before the listener closes is answered if its request follows soon, even in several pieces.
 func TestDrainAwaitsFirstRequest(t *testing.T) {
 	text := postRequest("POST /visits", `{"installers": 1}`, "Idempotency-Key: k")
 	for name, pieces := range map[string][]string{
@@ -112,7 +113,7 @@
 			g := startHeldInstance(t, heldAfterRead)
 			client := dial(t, g.addr)
 			g.stop()
-			g.awaitFinished(t)
+			g.awaitListenerClosed(t)
 			for _, piece := range pieces {
 				time.Sleep(newConnGrace / 4)
 				client.send(piece)
@@ -120,14 +121,14 @@
 			client.method = "POST"
 			g.serveNext("booked")
 			if r := client.readResponse(); r.Body != "booked" || !r.Close {
-				t.Errorf("%+v", r)
+				t.Errorf("first request: got %+v, want body booked and a close", r)
 			}
 		})
 	}
 }
 
-// A drain that begins between a response that leaves its connection open and the next read does not close the
-// connection on the client's next request.
+// A drain may begin after a response that leaves its connection open and before the next read. The client's next
+// request on the connection must still be answered.
 func TestDrainBetweenResponseAndNextRead(t *testing.T) {
 	forEachDelay(t, func(t *testing.T, delay time.Duration) {
 		g := startHeldInstance(t, heldAfterWrite)
@@ -137,7 +138,7 @@
 		defer release()
 		g.serveNext("first")
 		if r := client.readResponse(); r.Close {
-			t.Fatalf("%+v", r)
+			t.Fatalf("response before the drain: got %+v, want no close", r)
 		}
 		g.stop()
 		time.Sleep(delay)
@@ -145,56 +146,56 @@
 		release()
 		g.serveNext("second")
 		if r := client.readResponse(); r.Body != "second" || !r.Close {
-			t.Errorf("%+v", r)
+			t.Errorf("response in the drain: got %+v, want body second and a close", r)
 		}
 	})
 }
 
-// Requests that were sent one behind the other before a drain are all answered; the last answer closes the connection.
+// Requests that were pipelined before a drain are all answered; the last answer closes the connection.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	g := startHeldInstance(t, heldAfterRead)
 	client := dial(t, g.addr)
 	client.send(getRequest("GET /visits/1") + getRequest("GET /visits/2") + getRequest("GET /visits/3"))
 	first := g.sites.nextRequest()
 	g.stop()
-	g.awaitFinished(t)
+	g.awaitListenerClosed(t)
 	first.response <- responseText(200, "", "1")
 	for i, want := range []string{"1", "2", "3"} {
 		if i > 0 {
 			g.serveNext(want)
 		}
 		if r := client.readResponse(); r.Body != want || r.Close != (i == 2) {
-			t.Errorf("%+v", r)
+			t.Errorf("pipelined request: got %+v", r)
 		}
 	}
 	if _, err := client.br.ReadByte(); err != io.EOF {
-		t.Errorf("after the last: %v", err)
+		t.Errorf("read after the last response: got error %v, want io.EOF", err)
 	}
 }
 
-// closedUntilEndListener accepts nothing until it is closed: what connects waits in the kernel's backlog.
-type closedUntilEndListener struct {
+// nonAcceptingListener accepts no connections, so that they wait in the kernel's backlog until it is closed.
+type nonAcceptingListener struct {
 	*net.TCPListener
 	closing   chan struct{}
 	closeOnce sync.Once
 }
 
-func (l *closedUntilEndListener) Accept() (net.Conn, error) {
+func (l *nonAcceptingListener) Accept() (net.Conn, error) {
 	<-l.closing
 	return nil, net.ErrClosed
 }
 
-func (l *closedUntilEndListener) Close() error {
+func (l *nonAcceptingListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closing) })
 	return l.TCPListener.Close()
 }
 
-// Connections that the kernel has accepted before the listener closes, and the process has not, are answered.
+// Connections that the kernel has accepted before the listener closes, but the process has not, are answered.
 func TestDrainAnswersBacklog(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s")
 	g := startInstance(t, h, 1, func(c *Config) {
-		c.listener = &closedUntilEndListener{TCPListener: c.listener.(*net.TCPListener), closing: make(chan struct{})}
+		c.listener = &nonAcceptingListener{TCPListener: c.listener.(*net.TCPListener), closing: make(chan struct{})}
 	})
 	defer h.respondToAll(responseText(200, "", "x"))()
 	var clients []*testClient
@@ -204,15 +205,15 @@
 	}
 	g.stop()
 	for _, client := range clients {
-		// An instance that has just started may reject some of several at once.
+		// An instance that has just started may reject some of several concurrent requests.
 		if r := client.readResponse(); r.Status != 200 && r.Status != 429 || !r.Close {
-			t.Errorf("%+v", r)
+			t.Errorf("connection in the backlog: got %+v, want status 200 or 429 and a close", r)
 		}
 	}
 }
 
-// A request that was sent behind one that takes long has the time that is left to its client, and is rejected without
-// an attempt where that is over.
+// The timeout of a pipelined request counts from when it was sent, also while the request before it takes long. If no
+// time is left, the request is rejected without an attempt.
 func TestPipelinedRequestHasItsOwnTime(t *testing.T) {
 	h, _, c := startWithServer(t)
 	c.send(getRequest("GET /visits/1", "X-Expires-In: 0.6") + getRequest("GET /visits/2", "X-Expires-In: 0.3") +
@@ -221,17 +222,17 @@
 	time.Sleep(400 * time.Millisecond)
 	first.response <- responseText(200, "", "1")
 	if r := c.readResponse(); r.Body != "1" {
-		t.Errorf("%+v", r)
+		t.Errorf("first request: got %+v, want body 1", r)
 	}
 	if r := c.readResponse(); r.Status != 429 || r.Header.Get("Retry-After") == "" {
-		t.Errorf("with its time over: %+v", r)
+		t.Errorf("request whose timeout has passed: got %+v, want status 429 with Retry-After", r)
 	}
 	third := h.nextRequest()
 	if left := third.header.Get("X-Expires-In"); third.line != "GET /visits/3" || left > "4.6" {
-		t.Errorf("%s has %s s left", third.line, left)
+		t.Errorf("%s is sent with %s s left, want GET /visits/3 with at most 4.6 s", third.line, left)
 	}
 	third.response <- responseText(200, "", "3")
 	if r := c.readResponse(); r.Body != "3" {
-		t.Errorf("%+v", r)
+		t.Errorf("third request: got %+v, want body 3", r)
 	}
 }
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A drain finishes what was taken, answers what still comes and ends.
+// A drain finishes accepted requests, answers those that still arrive during DrainTimeout, and ends.
 func TestDrain(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s")
@@ -22,7 +22,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("goes on being ready")
+			t.Fatal("a draining instance still reports that it is ready")
 		}
 	}
 	late := dial(t, g.addr)
@@ -30,32 +30,32 @@
 	b := h.nextRequest()
 	b.response <- responseText(200, "", "late")
 	if r := late.readResponse(); r.Status != 200 || !r.Close {
-		t.Errorf("while draining: %+v", r)
+		t.Errorf("request received while draining: got %+v, want status 200 and a close", r)
 	}
 	if _, err := idle.br.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("read on an idle connection: got error %v, want io.EOF", err)
 	}
 	a.response <- responseText(200, "", "x")
 	if r := c.readResponse(); r.Status != 200 || !r.Close {
-		t.Errorf("taken before: %+v", r)
+		t.Errorf("request received before the drain: got %+v, want status 200 and a close", r)
 	}
 	select {
 	case g.done <- <-g.done:
 	case <-time.After(testTimeout):
-		t.Error("the instance does not end")
+		t.Error("the drained instance does not end")
 	}
 }
 
-// lateListener accepts nothing until it is closed, and then the one connection that waits, as a listener may that is
-// closed while a connection arrives.
-type lateListener struct {
+// acceptOnCloseListener accepts nothing until it is closed, and then the one connection that waits. A listener may
+// behave so if it is closed while a connection arrives.
+type acceptOnCloseListener struct {
 	net.Listener
 	closing     chan struct{}
 	closeOnce   sync.Once
 	hasAccepted bool
 }
 
-func (l *lateListener) Accept() (net.Conn, error) {
+func (l *acceptOnCloseListener) Accept() (net.Conn, error) {
 	<-l.closing
 	if l.hasAccepted {
 		l.Listener.Close()
@@ -64,17 +64,17 @@
 	return l.Listener.Accept()
 }
 
-func (l *lateListener) Close() error {
+func (l *acceptOnCloseListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closing) })
 	return nil
 }
 
-// A connection that is accepted in the moment in which its listener closes is served before the instance ends.
+// A connection that is accepted while its listener closes is served before the instance ends.
 func TestDrainServesLastAcceptedConnection(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s")
 	g := startInstance(t, h, 1, func(c *Config) {
-		c.listener = &lateListener{Listener: c.listener, closing: make(chan struct{})}
+		c.listener = &acceptOnCloseListener{Listener: c.listener, closing: make(chan struct{})}
 	})
 	c := dial(t, g.addr)
 	c.send(getRequest("GET /visits/1"))
@@ -82,24 +82,24 @@
 	a := h.nextRequest()
 	select {
 	case err := <-g.done:
-		t.Fatalf("the instance has ended before the request: %v", err)
+		t.Fatalf("the instance ended before the request was answered: %v", err)
 	default:
 	}
 	a.response <- responseText(200, "", "x")
 	if r := c.readResponse(); r.Status != 200 || !r.Close {
-		t.Errorf("accepted at the close: %+v", r)
+		t.Errorf("connection accepted during the close: got %+v, want status 200 and a close", r)
 	}
 }
 
-// An endpoint list of one site says nothing of the other's servers; a server that drains gets
-// nothing new.
+// A change of one site's endpoint list affects only the servers that it names, neither others of the site nor those of
+// other sites. A removed server is sent no new requests.
 func TestSitesAreIndependent(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s")
 	h.startServer("site-a", "t")
 	h.startServer("site-b", "s")
 	g := startInstance(t, h, 3, nil)
-	h.listServer("site-a", "t", "127.0.0.1:1", "removed") // a change says nothing of the site's others
+	h.listServer("site-a", "t", "127.0.0.1:1", "removed") // a change leaves the site's other servers
 	h.awaitServerCount(g, "site-a", 1)
 	h.listServer("site-a", "s", "127.0.0.1:1", "removed")
 	h.awaitServerCount(g, "site-a", 0)
@@ -108,11 +108,11 @@
 		c.send(getRequest("GET /visits/1"))
 		a := h.nextRequest()
 		if a.server != "site-b/s" {
-			t.Errorf("sent to %s", a.server)
+			t.Errorf("request sent to %s, want site-b/s", a.server)
 		}
 		a.response <- responseText(200, "", "")
 		if r := c.readResponse(); r.Status != 200 {
-			t.Errorf("%+v", r)
+			t.Errorf("got %+v, want status 200", r)
 		}
 	}
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -5,13 +5,13 @@
 	"mulleinmux/policy"
 )
 
-// siteEndpoints has the servers that each site's endpoint lists have named. The mutex of engineHost guards it.
+// siteEndpoints holds the IDs of the servers in the endpoint lists of each site. It is guarded by engineHost.mu.
 type siteEndpoints struct {
 	serverIDs map[string]map[string]bool // by site
 }
 
-// changes returns the entries of a site's endpoint list by their names over all sites, with an entry that removes it
-// for each server that a complete list does not have any more.
+// changes returns the entries of a site's endpoint list with server IDs that are unique across sites. If the list is
+// complete, it adds a removal for each known server that the list no longer contains.
 func (e *siteEndpoints) changes(site string, list discovery.EndpointList) []discovery.Endpoint {
 	known := e.serverIDs[site]
 	if known == nil {
@@ -46,7 +46,7 @@
 
 func (e *siteEndpoints) removeSite(site string) { delete(e.serverIDs, site) }
 
-// count returns how many servers are known, over all sites.
+// count returns the number of known servers of all sites.
 func (e *siteEndpoints) count() int {
 	count := 0
 	for _, servers := range e.serverIDs {
--- a/internal/gateway/engine_host.go
+++ b/internal/gateway/engine_host.go
@@ -14,38 +14,38 @@
 	"mulleinmux/policy/lateness"
 )
 
-// engineEvent brings one event to the engine, which asks for what follows through out. It runs under the mutex.
+// engineEvent passes one event to the engine, which requests actions through out. It runs while engineHost.mu is held.
 type engineEvent func(now time.Duration, out policy.Actions)
 
-// engineHost runs the engine. Its events come from many goroutines; the mutex makes them one sequence. What an event
-// leaves to do that does I/O runs after the mutex is released.
+// engineHost runs the engine. Its mutex serializes events from many goroutines. Actions that do I/O are deferred until
+// the mutex is released.
 type engineHost struct {
 	clock
 	logger  *slog.Logger
-	actions policy.Actions // carries out what the engine asks for, under the mutex
+	actions policy.Actions // carries out the engine's actions; called with mu held
 
 	mu          sync.Mutex
-	engine      *policy.Engine // guarded by mu, as all below
-	deferred    []func()       // what the event under way leaves to do without the mutex
-	isClosed    bool           // no more events
+	engine      *policy.Engine // guarded by mu, as are all fields down to lateness
+	deferred    []func()       // functions to run after mu is released
+	isClosed    bool           // events are ignored
 	timers      timerQueue
 	nextTimer   *time.Timer // fires at nextTimerAt
 	nextTimerAt time.Duration
-	lateness    lateness.Estimator // of what is due at a time
+	lateness    lateness.Estimator // estimates how late timers and timeouts are handled
 
-	lateBy atomic.Int64 // the estimate of lateness, in ns
+	latenessNanos atomic.Int64 // current estimate of lateness
 }
 
-// noTimer is the reading at which no timer fires.
+// noTimer is the value of nextTimerAt when no timer is set.
 const noTimer = time.Duration(math.MaxInt64)
 
-// start has timers fire from now on.
+// start creates the timer that runs fireTimers. Timers fire only after start was called.
 func (h *engineHost) start() {
 	h.nextTimer = time.AfterFunc(time.Hour, h.fireTimers)
 	h.nextTimerAt = noTimer
 }
 
-// handleEvent runs one event of the engine, then what its actions left to do.
+// handleEvent runs one event of the engine, then the functions that its actions deferred.
 func (h *engineHost) handleEvent(event engineEvent) {
 	h.mu.Lock()
 	h.runEvent(event)
@@ -54,10 +54,11 @@
 	runAll(deferred)
 }
 
-// afterEvent has a function run when the event under way is over, without the mutex. Called under the mutex.
+// afterEvent defers a function until the current event has ended and mu is released. The caller must hold mu.
 func (h *engineHost) afterEvent(function func()) { h.deferred = append(h.deferred, function) }
 
-// takeDeferred returns what the events so far left to do, for when the mutex is released. Called under the mutex.
+// takeDeferred returns and clears the deferred functions, which the caller runs after it releases mu. The caller must
+// hold mu.
 func (h *engineHost) takeDeferred() []func() {
 	deferred := h.deferred
 	h.deferred = nil
@@ -70,8 +71,8 @@
 	}
 }
 
-// runEvent runs an event unless the host is closed. A panic of the engine is logged, with the stack that names its
-// cause, and costs the one event. Called under the mutex.
+// runEvent runs an event unless the host is closed. It recovers from a panic of the engine and logs the panic with its
+// stack, so that only this event is lost. The caller must hold mu.
 func (h *engineHost) runEvent(event engineEvent) {
 	if h.isClosed {
 		return
@@ -85,7 +86,7 @@
 	event(h.now(), h.actions)
 }
 
-// close ends the events, and runs last under the mutex.
+// close stops the processing of events and timers and calls last while holding mu.
 func (h *engineHost) close(last func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,21 +95,21 @@
 	last()
 }
 
-// subsetServers returns the IDs of the servers to which idle connections are kept; nil: all.
+// subsetServers returns the IDs of the servers to which idle connections are kept; nil means all servers.
 func (h *engineHost) subsetServers() map[string]bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.engine.SubsetServerIDs()
 }
 
-// setTimer has the engine's timer with a token fire after a time. Called under the mutex.
+// setTimer schedules the engine's timer with the given token to fire after the given time. The caller must hold mu.
 func (h *engineHost) setTimer(token uint64, after time.Duration) {
 	now := h.now()
 	h.timers.push(timer{now + after, token})
 	h.scheduleTimer(now)
 }
 
-// fireTimers brings the engine the timers that are due.
+// fireTimers passes the timers that are due to the engine.
 func (h *engineHost) fireTimers() {
 	h.handleEvent(func(now time.Duration, out policy.Actions) {
 		if len(h.timers) > 0 && h.timers[0].at <= now {
@@ -128,17 +129,19 @@
 	})
 }
 
-// recordLateness records that what was due at a time comes now. Called under the mutex.
+// recordLateness updates the estimate of lateness with an event that was due at one time and is handled now. The caller
+// must hold mu.
 func (h *engineHost) recordLateness(due, now time.Duration) {
-	h.lateBy.Store(int64(h.lateness.Record(due, now)))
+	h.latenessNanos.Store(int64(h.lateness.Record(due, now)))
 }
 
-// margin decides by how much earlier than its timeout a request is given up, so that its answer is not late.
-func (h *engineHost) margin(timeout time.Duration) time.Duration {
-	return lateness.Margin(time.Duration(h.lateBy.Load()), timeout)
+// latenessMargin returns the time by which a timeout is shortened to compensate for the current estimate of lateness,
+// so that the response to the client is not late.
+func (h *engineHost) latenessMargin(timeout time.Duration) time.Duration {
+	return lateness.Margin(time.Duration(h.latenessNanos.Load()), timeout)
 }
 
-// scheduleTimer has fireTimers called at the earliest timer. Called under the mutex.
+// scheduleTimer makes sure that fireTimers runs when the earliest timer is due. The caller must hold mu.
 func (h *engineHost) scheduleTimer(now time.Duration) {
 	if len(h.timers) > 0 && h.timers[0].at < h.nextTimerAt {
 		h.nextTimerAt = h.timers[0].at
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -14,21 +14,21 @@
 	"mulleinmux/policy"
 )
 
-// attemptControl lets other goroutines end an exchange early. Its mutex guards all fields but the last two, which are the
-// exchange's own.
+// attemptControl lets other goroutines abort an exchange. The mutex guards all fields except the last two, which only
+// the goroutine of the exchange uses.
 type attemptControl struct {
 	mu         sync.Mutex
-	conn       *serverConn        // that carries the exchange; nil: none yet, or no longer
-	cancelDial context.CancelFunc // of the dial in progress; nil: none
+	conn       *serverConn        // that carries the exchange; nil: before start and after finish
+	cancelDial context.CancelFunc // of the dial in progress; nil: no dial is in progress
 	deadline   time.Time
 	isAborted  bool
-	aborted    chan struct{} // closed by abort; nil: nobody waits for that
+	aborted    chan struct{} // closed by abort; nil: awaitAbort has not been called
 
-	source        requestSource // asked right before the first byte whether the client is there; nil: it is not
-	wasClientGone bool          // it was not, and nothing was written
+	source       requestSource // checked for a disconnect before the first byte is written; nil: no check
+	isClientGone bool          // source had disconnected, so nothing was written
 }
 
-// abort ends the exchange at once.
+// abort makes the exchange return at once.
 func (k *attemptControl) abort() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -57,23 +57,23 @@
 	return k.aborted
 }
 
-// start gives the exchange its connection, and the connection the deadline. It returns false if the exchange was
+// start attaches a connection to the exchange and sets the connection's deadline. It returns false if the exchange was
 // aborted.
-func (k *attemptControl) start(c *serverConn, until time.Time) bool {
+func (k *attemptControl) start(c *serverConn, deadline time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.isAborted {
 		return false
 	}
-	k.conn, k.deadline = c, until
+	k.conn, k.deadline = c, deadline
 	c.remaining, c.hasBytes, c.hasRestDeadline, c.attempt = maxResponseSize, false, false, k
-	c.nc.SetDeadline(until)
+	c.nc.SetDeadline(deadline)
 	return true
 }
 
-// limitRest sets a deadline for the rest of a response that has begun: servers write it in one piece, and half of one
-// must not use up the time that a retry would need.
-func (k *attemptControl) limitRest(c *serverConn) {
+// setRestDeadline sets a deadline for the rest of a response that has begun. Servers write a response in one piece, so
+// an incomplete one must not use up the time that a retry would need.
+func (k *attemptControl) setRestDeadline(c *serverConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if rest := time.Now().Add(responseRestTimeout); !k.isAborted && rest.Before(k.deadline) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// restoreDeadline undoes limitRest: an interim (1xx) response was read, and the final one may come later.
+// restoreDeadline undoes setRestDeadline after an interim (1xx) response: the final response may follow much later.
 func (k *attemptControl) restoreDeadline(c *serverConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -107,16 +107,17 @@
 	}
 }
 
-// exchange writes a request to a server, once at most, and reads the whole response. appendRequest appends the
-// request to a buffer. It ends at the deadline or when control is aborted; the connection is closed by then.
+// exchange writes a request to a server, at most once, and reads the complete response. appendRequest appends the
+// request to a buffer. An exchange that reaches the deadline or is aborted through control closes its connection before
+// it returns.
 func (p *serverPool) exchange(
-	ctx context.Context, control *attemptControl, server string, deadline time.Time, headOnly bool, rep *response,
+	ctx context.Context, control *attemptControl, server string, deadline time.Time, isHeadRequest bool, resp *response,
 	appendRequest func([]byte) []byte,
 ) policy.Result {
-	*rep = response{head: rep.head}
+	*resp = response{head: resp.head}
 	pooled, err := p.acquire(ctx, control, server, deadline)
 	if err != nil {
-		return failedConnect(err, control, deadline)
+		return connectFailureResult(err, control, deadline)
 	}
 	c := pooled.HostConn
 	if !control.start(c, deadline) {
@@ -125,54 +126,55 @@
 	}
 	c.buffer = appendRequest(c.buffer[:0])
 	if control.source != nil && control.source.hasDisconnected() {
-		control.wasClientGone = true
+		control.isClientGone = true
 		p.releaseUnused(pooled, control)
 		return policy.NotSent
 	}
 	if _, err = c.nc.Write(c.buffer); err != nil {
-		// A server begins a request when its last byte has come, and that was not written.
+		// A server executes a request only after its last byte, which was not written.
 		control.finish()
 		p.Discard(pooled)
-		return neverSent(control, deadline)
+		return unsentResult(control, deadline)
 	}
-	rep.wasWritten, rep.writtenAt = true, time.Now()
-	result, isReusable, err := c.read(rep, headOnly)
+	resp.wasWritten, resp.writtenAt = true, time.Now()
+	result, isReusable, err := c.read(resp, isHeadRequest)
 	isAborted := !control.finish()
 	if isReusable && !isAborted {
 		p.release(pooled)
 	} else {
 		p.Discard(pooled)
-		rep.closedAt = time.Now()
+		resp.closedAt = time.Now()
 	}
 	if err != nil {
-		result = p.failedRead(pooled, err, isAborted, rep.writtenAt)
+		result = p.readErrorResult(pooled, err, isAborted, resp.writtenAt)
 	}
 	if result == policy.OK || result == policy.RejectedByServer || result == policy.ErrorResponse {
-		rep.connectedAt = c.connectedAt
+		resp.connectedAt = c.connectedAt
 	}
 	return result
 }
 
-// failedConnect decides the result of an attempt that got no connection. Want of descriptors is no fault of the
-// server's.
-func failedConnect(err error, control *attemptControl, deadline time.Time) policy.Result {
+// connectFailureResult returns the result of an attempt that got no connection. A lack of file descriptors is not
+// attributed to the server.
+func connectFailureResult(err error, control *attemptControl, deadline time.Time) policy.Result {
 	if errors.Is(err, serverpool.ErrNoDescriptor) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return policy.NotSent
 	}
-	return neverSent(control, deadline)
+	return unsentResult(control, deadline)
 }
 
-// failedRead decides the result of an attempt that was written whole and whose response could not be read. Silence
-// until the deadline makes a server suspect, half a response does not; after either the request may have run.
-func (p *serverPool) failedRead(pooled *pooledConn, err error, isAborted bool, writtenAt time.Time) policy.Result {
+// readErrorResult returns the result of an attempt that was written completely but whose response could not be read.
+// No response by the deadline (TimedOut) makes the server suspected of being unresponsive; an incomplete response does
+// not. The request may have run in both cases.
+func (p *serverPool) readErrorResult(pooled *pooledConn, err error, isAborted bool, writtenAt time.Time) policy.Result {
 	switch {
 	case isAborted:
 		return policy.Cancelled
 	case errors.Is(err, os.ErrDeadlineExceeded) && !pooled.HostConn.hasBytes:
 		p.CloseIdleOf(pooled)
 		return policy.TimedOut
-	case errors.Is(err, os.ErrDeadlineExceeded) || wasAnswered(err):
-		return policy.ErrorResponse // half a response, or one that can't be read, is no silence
+	case errors.Is(err, os.ErrDeadlineExceeded) || isInvalidResponse(err):
+		return policy.ErrorResponse // the server has responded, though incompletely or invalidly
 	}
 	if !pooled.HostConn.hasBytes {
 		p.RecordReset(pooled, time.Since(writtenAt))
@@ -180,8 +182,8 @@
 	return policy.ConnectionReset
 }
 
-// wasAnswered reports whether an answer came that can't be read, rather than none.
-func wasAnswered(err error) bool {
+// isInvalidResponse reports whether err means that a response was received but is invalid or too large.
+func isInvalidResponse(err error) bool {
 	unreadable := []error{
 		httpwire.ErrMalformed, httpwire.ErrTooLarge, httpwire.ErrLength, httpwire.ErrCoding, errTooLong, errNoLength,
 	}
@@ -193,76 +195,76 @@
 	return false
 }
 
-// neverSent decides the result of an attempt whose last byte was not written. Where its own
-// time ended first, that says nothing of the server.
-func neverSent(k *attemptControl, until time.Time) policy.Result {
+// unsentResult returns the result of an attempt that was not written completely. If the attempt's deadline has passed,
+// the result does not count against the server.
+func unsentResult(k *attemptControl, deadline time.Time) policy.Result {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
 	case k.isAborted:
 		return policy.Cancelled
-	case !time.Now().Before(until):
+	case !time.Now().Before(deadline):
 		return policy.NotSent
 	}
 	return policy.ConnectFailed
 }
 
-var errNoLength = errors.New("answer does not tell its length")
+var errNoLength = errors.New("server response: neither Content-Length nor chunked transfer coding")
 
-var errTooLong = errors.New("answer too long")
+var errTooLong = errors.New("server response: larger than the limit of 1 MiB for the body and 64 KiB for the rest")
 
-// response is a server's whole answer.
+// response is a server's response.
 type response struct {
 	head        httpwire.Head
 	body        []byte
-	connectedAt time.Time // when the connection that it came on was made; zero: there was no answer
-	wasWritten  bool      // the request was written whole
+	connectedAt time.Time // when its connection was established; zero: no response was received
+	wasWritten  bool      // the request was written completely
 	writtenAt   time.Time // set if wasWritten
-	closedAt    time.Time // when the connection was closed behind the exchange; zero: it was not
+	closedAt    time.Time // when the connection was closed after the exchange; zero: it was kept
 }
 
-// read reads the whole answer and reports whether the connection can be used again.
-func (c *serverConn) read(rep *response, headOnly bool) (result policy.Result, reuse bool, err error) {
+// read reads the complete response and reports whether the connection can be reused.
+func (c *serverConn) read(resp *response, isHeadRequest bool) (result policy.Result, isReusable bool, err error) {
 	for {
-		if err := c.reader.Answer(&rep.head); err != nil {
+		if err := c.reader.Answer(&resp.head); err != nil {
 			return 0, false, err
 		}
-		if rep.head.Status >= 200 || rep.head.Status == 101 {
+		if resp.head.Status >= 200 || resp.head.Status == 101 {
 			break
 		}
-		c.hasBytes = c.reader.Buffered() > 0 // the answer that counts may come later
+		c.hasBytes = c.reader.Buffered() > 0 // the final response may follow later
 		if c.hasRestDeadline {
 			c.hasRestDeadline = false
 			c.attempt.restoreDeadline(c)
 		}
 	}
-	h := &rep.head
+	h := &resp.head
 	switch {
-	case headOnly || h.Status == 204 || h.Status == 304:
+	case isHeadRequest || h.Status == 204 || h.Status == 304:
 	case h.Chunked:
-		if rep.body, err = c.reader.Chunked(maxResponseBody); err != nil {
+		if resp.body, err = c.reader.Chunked(maxResponseBody); err != nil {
 			return 0, false, err
 		}
-	case h.Length < 0: // it ends with its connection: whether it is whole can't be told
+	case h.Length < 0: // delimited by the connection's close: truncation could not be detected
 		return 0, false, errNoLength
 	case h.Length > maxResponseBody:
 		return 0, false, errTooLong
 	case h.Length > 0:
-		rep.body = make([]byte, h.Length)
-		if err = c.reader.Body(rep.body); err != nil {
+		resp.body = make([]byte, h.Length)
+		if err = c.reader.Body(resp.body); err != nil {
 			return 0, false, err
 		}
 	}
 	if h.Status < 200 {
-		return policy.ErrorResponse, false, nil // 101: what follows is no HTTP
+		return policy.ErrorResponse, false, nil // 101: the connection no longer carries HTTP
 	}
-	// What stands behind the answer belongs to no request: the next one would take it for its own.
-	return resultOf(h), !h.Close && c.reader.Buffered() == 0, nil
+	// Data after the response belongs to no request. The next request would take it for its response.
+	return classifyResponse(h), !h.Close && c.reader.Buffered() == 0, nil
 }
 
-// resultOf decides what a server's answer means for the engine. A status that clients may retry counts as a rejection
-// only with the server's word that the request never ran.
-func resultOf(h *httpwire.Head) policy.Result {
+// classifyResponse returns the engine's result for a server's response. A retryable status counts as a rejection only
+// if the server states in neverRanField that the request never ran.
+func classifyResponse(h *httpwire.Head) policy.Result {
 	neverRan := h.Status == 429 || h.Status == 503 || h.Status == 504
 	switch {
 	case neverRan && h.Get(neverRanField) == neverRanValue:
@@ -273,7 +275,7 @@
 	return policy.OK
 }
 
-// report returns an answer's load report, or nil.
+// report returns the load report in the response's head, or nil if there is none.
 func (r *response) report() *policy.LoadReport {
 	if r.connectedAt.IsZero() {
 		return nil
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -9,7 +9,7 @@
 	"mulleinmux/internal/fixture"
 )
 
-// Lines of the access log, and the numbers of keys and of licensees, are as they were recorded. Times are masked.
+// The lines of the access log, the customer IDs and the key numbers match the recorded fixture. Times are masked.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/gateway -run Fixture
 func TestFixtureAccessLogAndNumbers(t *testing.T) {
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"", "bahari", "kilima"} {
-		fmt.Fprintln(&out, CustomerOf(name), keyNumber(name, ""), keyNumber(name, "key-1"), keyNumber("key-1", name))
+		fmt.Fprintln(&out, CustomerOf(name), hashKey(name, ""), hashKey(name, "key-1"), hashKey("key-1", name))
 	}
 	times := regexp.MustCompile(`"time":"\d{4}-\d\d-\d\dT[0-9:.]+(Z|[+-]\d\d:\d\d)"`)
 	fixture.Compare(t, "access.txt", times.ReplaceAll(out.Bytes(), []byte(`"time":"TIME"`)))
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// What is matched is forwarded byte for byte, under the version that it was matched with, and
-// the answer comes back with its status, fields and body.
+// A request is forwarded unchanged except for the fields that the gateway sets, with the version by which it was
+// matched. The server's status, fields and body are returned to the client.
 func TestForwardsUnchanged(t *testing.T) {
 	h, g, c := startWithServer(t)
 	c.send(postRequest("POST /visits?x=%26a;b&&c", `{"installers": 7}`, "Idempotency-Key: k1", "X-Trace-Id: t1",
@@ -17,78 +17,79 @@
 		a.header.Get("Accept") != "a/b" ||
 		a.header.Get("Idempotency-Key") != "k1" || len(a.header["X-Mulleinmux-Version"]) != 1 ||
 		a.header.Get("X-Mulleinmux-Version") != "1" || a.header.Get("Te") != "" {
-		t.Errorf("forwarded: %s %v %q", a.line, a.header, a.body)
+		t.Errorf("forwarded request: got %s, header %v, body %q; want it unchanged except for the gateway's own fields",
+			a.line, a.header, a.body)
 	}
 	if s, err := strconv.ParseFloat(a.header.Get("X-Expires-In"), 64); err != nil || s <= 0 || s > 20.01 {
-		t.Errorf("X-Expires-In %q", a.header.Get("X-Expires-In"))
+		t.Errorf("forwarded X-Expires-In: got %q, want a number of seconds in (0, 20.01]", a.header.Get("X-Expires-In"))
 	}
 	a.response <- responseText(201, "X-Own: 1\r\nEndpoint-Load-Metrics: TEXT util=0.1\r\nConnection: keep-alive\r\n",
 		"made")
 	r := c.readResponse()
 	if r.Status != 201 || r.Body != "made" || r.Header.Get("X-Own") != "1" ||
 		r.Header.Get("Endpoint-Load-Metrics") != "" {
-		t.Errorf("answer %+v", r)
+		t.Errorf("response: got %+v, want status 201 with body made, X-Own and no load report", r)
 	}
 	if r.Header.Get("X-Mulleinmux-Operation") != "book" || r.Header.Get("X-Mulleinmux-Units") != "7" ||
 		r.Header.Get("X-Mulleinmux-Version") != "1" {
-		t.Errorf("explained as %v", r.Header)
+		t.Errorf("explanation fields: got header %v, want operation book, 7 units, version 1", r.Header)
 	}
 	if units, sent, _ := g.totals(); units != 7 || sent != 1 {
-		t.Errorf("%d units of %d requests", units, sent)
+		t.Errorf("counters: got %d units of %d requests, want 7 units of 1 request", units, sent)
 	}
 }
 
-// HEAD is charged as the GET of the same target, and its answer has no body.
+// A HEAD request is charged like a GET of the same target, and its response has no body.
 func TestHeadRequest(t *testing.T) {
 	h, g, c := startWithServer(t)
 	c.send(getRequest("HEAD /slots?days=3"))
 	a := h.nextRequest()
 	if a.line != "HEAD /slots?days=3" {
-		t.Errorf("forwarded: %s", a.line)
+		t.Errorf("forwarded request: got %s, want HEAD /slots?days=3", a.line)
 	}
 	a.response <- "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 	resp, err := http.ReadResponse(c.br, &http.Request{Method: "HEAD"})
 	if err != nil || resp.StatusCode != 200 || resp.ContentLength != 5 {
-		t.Fatalf("%+v, %v", resp, err)
+		t.Fatalf("response to HEAD: got %+v, error %v; want status 200 with Content-Length 5", resp, err)
 	}
-	// The connection goes on: no body stood behind the head.
+	// The response had no body, so the connection can be reused.
 	c.send(getRequest("GET /visits/1"))
 	h.nextRequest().response <- responseText(200, "", "x")
 	if r := c.readResponse(); r.Status != 200 || r.Body != "x" {
-		t.Errorf("then %+v", r)
+		t.Errorf("second response on the connection: got %+v, want status 200 with body x", r)
 	}
 	if units, _, _ := g.totals(); units != 4 {
-		t.Errorf("%d units", units)
+		t.Errorf("counters: got %d units, want 4", units)
 	}
 }
 
-// An answer that belongs to another request, or noise behind one, reaches nobody.
+// Data that a server sends after a response, such as a stray second response, is not delivered to any client.
 func TestBytesAfterResponse(t *testing.T) {
 	h, _, c := startWithServer(t)
 	c.send(getRequest("GET /visits/1"))
 	h.nextRequest().response <- responseText(200, "", "one") + responseText(200, "", "stray")
 	if r := c.readResponse(); r.Body != "one" {
-		t.Errorf("%+v", r)
+		t.Errorf("first response: got %+v, want body one", r)
 	}
 	c.send(getRequest("GET /visits/2"))
 	h.nextRequest().response <- "HTTP/1.1 100 Continue\r\n\r\n" +
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\ntw\r\n1\r\no\r\n0\r\nX: y\r\n\r\n"
 	if r := c.readResponse(); r.Body != "two" {
-		t.Errorf("%+v", r)
+		t.Errorf("second response: got %+v, want body two", r)
 	}
 }
 
-// A connection that a server has made into something else carries no further request.
+// A server connection is not reused after a 101 (Switching Protocols) response.
 func TestUpgradedConnection(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s")
 	g := startInstance(t, h, 1,
-		func(c *Config) { c.Settings.AllowsHealthChecks = false }) // which have connections of their own
+		func(c *Config) { c.Settings.AllowsHealthChecks = false }) // health checks open further connections
 	c := dial(t, g.addr)
 	c.send(getRequest("DELETE /visits/1"))
 	h.nextRequest().response <- "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nContent-Length: 0\r\n\r\n"
 	if r := c.readResponse(); r.Status != 502 {
-		t.Errorf("%+v", r)
+		t.Errorf("response of the upgraded connection: got %+v, want status 502", r)
 	}
 	h.mu.Lock()
 	before := len(h.conns)
@@ -96,11 +97,11 @@
 	c.send(getRequest("GET /visits/1"))
 	h.nextRequest().response <- responseText(200, "", "x")
 	if r := c.readResponse(); r.Status != 200 {
-		t.Errorf("%+v", r)
+		t.Errorf("response after the upgrade: got %+v, want status 200", r)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.conns) == before {
-		t.Error("the upgraded connection was used again")
+		t.Error("the upgraded connection was reused, want a new connection")
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -15,7 +15,7 @@
 	"mulleinmux/routing"
 )
 
-// testTimeout bounds every wait of a test; none is expected to come near it.
+// testTimeout bounds every wait of a test. It is far above the expected waits.
 const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -75,7 +75,7 @@
 	return tab, d
 }
 
-// testInstance is an instance in this process.
+// testInstance is an instance that runs in the test process.
 type testInstance struct {
 	*Instance
 	cfg  *Config
@@ -93,7 +93,7 @@
 			{Name: "tight", Rate: 0.1, Burst: 3, PriorityFactor: 1}}}
 }
 
-// testConfig returns an instance's configuration, with a listening socket, and the address of that.
+// testConfig returns an instance's configuration with an open listener, and the listener's address.
 func (h *testSites) testConfig() (cfg *Config, addr string) {
 	h.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,8 +109,9 @@
 	return cfg, ln.Addr().String()
 }
 
-// startInstance starts an instance between the sites and waits until it knows so many servers.
-func startInstance(t *testing.T, h *testSites, known int, change func(*Config)) *testInstance {
+// startInstance starts an instance that uses the sites and waits until it has discovered serverCount servers. change,
+// if set, changes its configuration first.
+func startInstance(t *testing.T, h *testSites, serverCount int, change func(*Config)) *testInstance {
 	t.Helper()
 	tab, d := testTable(t, description)
 	cfg, addr := h.testConfig()
@@ -137,15 +138,15 @@
 	select {
 	case r.Instance = <-ready:
 	case <-time.After(testTimeout):
-		t.Fatal("the instance does not become ready")
+		t.Fatal("the instance is not ready within testTimeout")
 	}
-	if err := r.AwaitServers(ctx, known, testTimeout); err != nil {
+	if err := r.AwaitServers(ctx, serverCount, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// startWithServer starts an instance with one server, at site-a, and connects a client.
+// startWithServer starts an instance with one server at site-a and connects a client.
 func startWithServer(t *testing.T) (*testSites, *testInstance, *testClient) {
 	t.Helper()
 	h := newTestSites(t)
@@ -154,15 +155,15 @@
 	return h, g, dial(t, g.addr)
 }
 
-// earnRetries has n requests served, which fill the retry budget that others may need.
-func (r *testInstance) earnRetries(h *testSites, n int) {
+// fillRetryBudget has n requests served, each of which adds to the budget for retries.
+func (r *testInstance) fillRetryBudget(h *testSites, n int) {
 	h.t.Helper()
 	c := dial(h.t, r.addr)
 	for range n {
 		c.send(getRequest("GET /visits/new"))
 		h.nextRequest().response <- responseText(200, "", "")
 		if a := c.readResponse(); a.Status != 200 {
-			h.t.Fatalf("warming up: %+v", a)
+			h.t.Fatalf("request that fills the retry budget: got %+v, want status 200", a)
 		}
 	}
 }
--- a/internal/gateway/health_check.go
+++ b/internal/gateway/health_check.go
@@ -12,18 +12,19 @@
 	healthCheckTimeout = 500 * time.Millisecond
 )
 
-// checkHealth asks a server for its load, within healthCheckTimeout.
+// checkHealth sends a health check to a server and passes the result and the server's load report to the engine. The
+// check takes at most healthCheckTimeout.
 func (in *Instance) checkHealth(id string) {
 	defer in.healthChecks.Done()
-	var rep response
+	var resp response
 	sent := in.host.now()
 	deadline := time.Now().Add(healthCheckTimeout)
-	result := in.servers.exchange(in.ctx, &attemptControl{}, id, deadline, false, &rep, func(b []byte) []byte {
+	result := in.servers.exchange(in.ctx, &attemptControl{}, id, deadline, false, &resp, func(b []byte) []byte {
 		return append(b, "GET "+healthCheckPath+" HTTP/1.1\r\nHost: "+healthCheckHost+"\r\n\r\n"...)
 	})
-	report := rep.report()
+	report := resp.report()
 	if report == nil && result == policy.OK {
-		report = loadreport.Parse(string(rep.body))
+		report = loadreport.Parse(string(resp.body))
 	}
 	in.host.handleEvent(func(now time.Duration, out policy.Actions) {
 		if !isRemoteServer(id) || result != policy.OK {
--- a/internal/gateway/held_listener_test.go
+++ b/internal/gateway/held_listener_test.go
@@ -6,25 +6,26 @@
 	"syscall"
 )
 
-// heldAt is where the calls of a heldListener's connections are held back, as at a process that gets no processor.
-type heldAt int
+// holdPoint is the point of a heldListener's connections at which calls are held. Holding a call simulates a process
+// that is not scheduled.
+type holdPoint int
 
 const (
-	heldAfterRead  heldAt = iota // what was received has left the socket and is not returned
-	heldBeforeRead               // what was received is still in the socket
-	heldAfterWrite               // what was written has gone, and the writer does not know
+	heldAfterRead  holdPoint = iota // data has been read from the socket but not returned to the caller
+	heldBeforeRead                  // received data is still in the socket
+	heldAfterWrite                  // data has been sent but the call has not returned
 )
 
-// heldListener accepts connections whose calls can be held back until they are released.
+// heldListener accepts connections whose Read and Write calls can be held until they are released.
 type heldListener struct {
 	net.Listener
-	at heldAt
+	at holdPoint
 
 	mu       sync.Mutex
-	released chan struct{} // closed when the calls are released; nil: none is held
+	released chan struct{} // closed when the calls are released; nil: no calls are held
 }
 
-// hold holds back, from now on, every call that comes to the place, also of new connections, until release is called.
+// hold holds every call that reaches the hold point, also on new connections, until release is called.
 func (l *heldListener) hold() (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,8 +39,8 @@
 	})
 }
 
-// wait waits at a place while calls are held there.
-func (l *heldListener) wait(at heldAt) {
+// wait blocks while calls are held at the given point.
+func (l *heldListener) wait(at holdPoint) {
 	l.mu.Lock()
 	released := l.released
 	l.mu.Unlock()
@@ -56,7 +57,7 @@
 	return &heldConn{conn.(*net.TCPConn), l}, nil
 }
 
-// SyscallConn returns the descriptor of the listening socket.
+// SyscallConn returns the raw connection of the listening socket.
 func (l *heldListener) SyscallConn() (syscall.RawConn, error) {
 	return l.Listener.(*net.TCPListener).SyscallConn()
 }
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -16,17 +16,18 @@
 	"mulleinmux/routing"
 )
 
-// Instance is one instance of the gateway. It wires the parts that own its state: see their types for what guards each.
+// Instance is one instance of the gateway. It connects the components that own its state; their types document what
+// guards each of them.
 //
-// A request's own goroutine carries out its attempts, one after the other, so that no two
-// can be in flight at once: an action of the engine only notes what comes next.
+// Each request has its own goroutine, which executes the request's attempts one after another, so that no two can be in
+// flight at once. The engine's actions only record the next attempt.
 type Instance struct {
 	config       *Config
 	logger       *slog.Logger
 	ctx          context.Context
 	servers      *serverPool
-	peers        *gossip.Socket // nil: there are none
-	relay        *relay         // nil: it reaches all sites itself
+	peers        *gossip.Socket // nil: no gossip
+	relay        *relay         // nil: the instance reaches all sites directly
 	healthChecks sync.WaitGroup
 
 	versions        versions
@@ -42,11 +43,12 @@
 	watches   siteWatches
 }
 
-// placeholderClasses is a class that no operation has: the engine wants one before there is a table.
+// placeholderClasses are the engine's classes while no table is installed, since the engine requires at least one
+// class. No operation belongs to it.
 var placeholderClasses = []policy.Class{{Name: "/none"}}
 
-// newInstance makes an instance whose goroutines end with ctx. Without a table it rejects all requests until one is
-// installed.
+// newInstance returns an instance whose goroutines end when ctx is done. Without a table it rejects all requests until
+// one is installed.
 func newInstance(ctx context.Context, config *Config, setup Setup, logger *slog.Logger) (*Instance, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -80,16 +82,15 @@
 	return in, in.Install(setup)
 }
 
-// Install puts a setup in force at one moment: requests that are matched from then on obey
-// it; those matched before keep theirs to their final answer. With an error nothing has
-// changed.
+// Install puts a setup in force atomically: requests that are matched from then on use it; requests that were matched
+// before keep their version until their final answer. If Install returns an error, nothing has changed.
 func (in *Instance) Install(s Setup) error {
 	for i, site := range s.Sites {
 		if slices.ContainsFunc(s.Sites[:i], func(other Site) bool { return other.Name == site.Name }) {
 			return fmt.Errorf(textDuplicateSite, site.Name)
 		}
 	}
-	err := errors.New("the instance has ended")
+	err := errors.New("gateway: instance is closed")
 	in.host.handleEvent(func(now time.Duration, out policy.Actions) {
 		old := in.versions.current.Load()
 		if s.Table == nil {
@@ -106,7 +107,8 @@
 	return err
 }
 
-// setTables gives the engine a setup's classes and plans, or changes nothing. Called under the mutex.
+// setTables passes a setup's classes and plans to the engine. If one is invalid, it changes nothing and returns an
+// error. Called under the mutex.
 func (in *Instance) setTables(now time.Duration, s Setup, old *version) error {
 	engine := in.host.engine
 	classes := s.Table.Classes
@@ -122,36 +124,34 @@
 	return engine.SetClasses(classes)
 }
 
-// newVersion makes a version of a setup.
+// newVersion returns the version for a setup. It keeps the counters of the old version if the table stays.
 func (in *Instance) newVersion(s Setup, old *version) *version {
 	v := &version{number: s.Number, table: s.Table, checker: s.Check, licensees: s.Licensees}
 	if s.Table == old.table {
 		v.counters = old.counters
 	} else {
-		v.counters = in.counters.of(s.Table.Operations)
+		v.counters = in.counters.forOperations(s.Table.Operations)
 	}
 	return v
 }
 
-// ConfirmVersion tells that a quorum has confirmed at a time that the setup in force is the one
-// that is agreed on.
+// ConfirmVersion records that a quorum has confirmed, as of a time, that the setup in force is the agreed one.
 func (in *Instance) ConfirmVersion(at time.Time) { in.versions.confirm(at) }
 
-// Confirmation tells how long ago the setup in force was confirmed, and whether requests are
-// served on it.
+// Confirmation returns how long ago the setup in force was confirmed, and whether requests are served on it.
 func (in *Instance) Confirmation(now time.Time) (age time.Duration, serves bool) {
 	return in.versions.confirmation(now)
 }
 
-// Version is the number of the setup in force.
+// Version returns the version number of the setup in force.
 func (in *Instance) Version() uint64 { return in.versions.current.Load().number }
 
-// Table is the description in force.
+// Table returns the routing table in force.
 func (in *Instance) Table() *routing.Table { return in.versions.current.Load().table }
 
-// watchSites follows the service discovery of these sites and of no others. The servers of a site that is no longer
-// there are removed; those of one whose discovery has moved stay until the new one answers. A remote site has no
-// discovery: its servers are its instances, which the configuration lists. Called under the mutex.
+// watchSites watches the service discovery of these sites and of no others. The servers of a site that is no longer
+// listed are removed; those of a site whose discovery address has changed stay until the new discovery responds. A
+// remote site has no discovery: its servers are its instances, which the configuration lists. Called under the mutex.
 func (in *Instance) watchSites(now time.Duration, sites []Site, out policy.Actions) {
 	for _, name := range in.watches.stopUnneeded(sites) {
 		in.applyEndpoints(now, name, discovery.EndpointList{IsComplete: true}, out)
@@ -167,11 +167,11 @@
 			in.applyEndpoints(now, site.Name, in.relay.remoteServers(site.Name), out)
 			continue
 		}
-		in.watches.follow(ctx, site, func(list discovery.EndpointList) { in.endpointsReceived(ctx, site.Name, list) })
+		in.watches.start(ctx, site, func(list discovery.EndpointList) { in.endpointsReceived(ctx, site.Name, list) })
 	}
 }
 
-// endpointsReceived applies a site's endpoint list, unless its watch has ended.
+// endpointsReceived applies a site's endpoint list unless its watch was stopped.
 func (in *Instance) endpointsReceived(ctx context.Context, site string, list discovery.EndpointList) {
 	in.host.handleEvent(func(now time.Duration, out policy.Actions) {
 		if ctx.Err() == nil {
@@ -180,8 +180,8 @@
 	})
 }
 
-// applyEndpoints brings a site's endpoint list to the engine as changes: the lists of the other sites stay as they
-// are. Called under the mutex.
+// applyEndpoints passes a site's endpoint list to the server pool and the engine as a delta, which leaves the servers
+// of other sites unchanged. Called under the mutex.
 func (in *Instance) applyEndpoints(now time.Duration, site string, list discovery.EndpointList, out policy.Actions) {
 	changes := in.endpoints.changes(site, list)
 	stale := in.servers.UpdateEndpoints(changes, policy.EndpointsDelta)
@@ -193,17 +193,17 @@
 	in.host.engine.EndpointsChanged(now, policy.EndpointsDelta, servers, out)
 }
 
-// gossipReceived hands a message of a peer on.
+// gossipReceived passes a peer's gossip message to the engine.
 func (in *Instance) gossipReceived(from int, message []byte) {
 	in.host.handleEvent(func(now time.Duration, out policy.Actions) {
 		in.host.engine.GossipReceived(now, from, message, out)
 	})
 }
 
-// close ends the instance's events, then waits for its health checks, whose context has ended, and
-// the followers of its sites' service discovery.
+// close stops the engine's events and the watches, then waits for the goroutines of the health checks and the watches.
+// The instance's context must be done.
 func (in *Instance) close() {
 	in.host.close(in.watches.stopAll)
 	in.healthChecks.Wait()
-	in.watches.followers.Wait()
+	in.watches.watchers.Wait()
 }
--- a/internal/gateway/key_owners_test.go
+++ b/internal/gateway/key_owners_test.go
@@ -9,8 +9,8 @@
 	"mulleinmux/multisite"
 )
 
-// The number of a key, from which its owner follows, is the same with another body and in another attempt; another key
-// has another.
+// The number of a key, which determines the key's owner, depends neither on the body nor on the trace ID. Different
+// keys have different numbers.
 func TestKeyOwnerDependsOnKeyAlone(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s1")
@@ -28,15 +28,15 @@
 		}
 		r.body = []byte(body)
 		if _, err := server.parse(&r, time.Now()); err != nil || !r.hasKeyOwner {
-			t.Fatalf("%v, has a key owner: %v", err, r.hasKeyOwner)
+			t.Fatalf("parse: error %v, hasKeyOwner %v; want no error, true", err, r.hasKeyOwner)
 		}
 		return r.key
 	}
 	first := number(`{"installers": 1}`, "Idempotency-Key: k1")
 	if number(`{"installers": 2}`, "Idempotency-Key: k1", "X-Trace-Id: other") != first {
-		t.Error("another body moves the key")
+		t.Error("the key number changes with the body or the trace ID")
 	}
 	if number(`{"installers": 1}`, "Idempotency-Key: k2") == first {
-		t.Error("two keys are one")
+		t.Error("two different keys have the same number")
 	}
 }
--- a/internal/gateway/late_dial_test.go
+++ b/internal/gateway/late_dial_test.go
@@ -8,8 +8,8 @@
 	"mulleinmux/internal/testserver"
 )
 
-// startLateServer lists a server of a site whose connections come up late.
-func (h *testSites) startLateServer(site, id string) *testserver.FullListener {
+// startFullBacklogServer lists a server whose accept backlog is full, so that connections to it are established late.
+func (h *testSites) startFullBacklogServer(site, id string) *testserver.FullListener {
 	h.t.Helper()
 	listener, err := testserver.NewFullListener()
 	if err != nil {
@@ -20,21 +20,22 @@
 	return listener
 }
 
-// awaitServing waits until an instance serves a request.
+// awaitServing waits until the instance is serving a request.
 func (r *testInstance) awaitServing(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !r.isServing(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no request is served")
+			t.Fatal("awaitServing: got no request in service before the timeout, want one")
 		}
 	}
 }
 
-// synRetryTime is more than the kernel waits until it asks a second time for a connection that a full backlog refused.
+// synRetryTime is longer than the kernel waits before it retransmits the SYN of a connection that a full backlog
+// refused.
 const synRetryTime = 2500 * time.Millisecond
 
-// requireNothingSent accepts what fills the backlog and what an instance has dialled since, and checks that nothing but
-// health checks is sent.
+// requireNothingSent accepts the connections that fill the backlog and those that instances have dialed since, and
+// checks that only health checks are sent on the latter.
 func requireNothingSent(t *testing.T, listener *testserver.FullListener) {
 	t.Helper()
 	end := time.Now().Add(synRetryTime)
@@ -42,7 +43,7 @@
 	for n := 0; ; n++ {
 		conn, err := listener.Accept()
 		if err != nil {
-			return // nothing more comes
+			return // no further connections
 		}
 		defer conn.Close()
 		if n < listener.FillerCount() {
@@ -51,15 +52,15 @@
 		conn.SetDeadline(end)
 		var first [4]byte
 		if _, err := io.ReadFull(conn, first[:]); err == nil && string(first[:]) == "DELE" {
-			t.Error("a request was sent for a client that has left")
+			t.Error("a request was sent, want none after the client disconnected")
 		}
 	}
 }
 
-// A client leaves while the connection for its attempt comes up: when it has, nothing is sent.
+// If the client disconnects while the connection for its attempt is being established, the request is not sent.
 func TestNothingIsSentAfterClientLeavesDuringDial(t *testing.T) {
 	h := newTestSites(t)
-	listener := h.startLateServer("site-a", "late")
+	listener := h.startFullBacklogServer("site-a", "late")
 	g := startInstance(t, h, 1, func(c *Config) { c.ConnectTimeout = testTimeout })
 	c := dial(t, g.addr)
 	c.send(getRequest("DELETE /visits/1"))
@@ -68,18 +69,18 @@
 	requireNothingSent(t, listener)
 }
 
-// The near instance gives a relayed request up while the far one dials, and the far one's watch runs later than the
-// goroutine that sends: when the connection has come up, nothing is sent.
+// If the near instance abandons a relayed request while the far instance dials its server, the request is not sent,
+// even if the goroutine that watches the near instance's connection has not run when the dial completes.
 func TestNothingIsSentAfterRelayIsGivenUpDuringDial(t *testing.T) {
 	h := newTestSites(t)
 	held := &heldListener{at: heldAfterRead}
 	link := &heldLink{heldListener: held}
-	listener := h.startLateServer("site-b", "late")
-	_, link.far, _ = twoSitesWith(t, h, func(near, far *RelayConfig) {
+	listener := h.startFullBacklogServer("site-b", "late")
+	_, link.far, _ = startTwoSitesWith(t, h, func(near, far *RelayConfig) {
 		link.config = near.TLS
 		holdFarReads(held)(near, far)
 	}, func(c *Config) { c.ConnectTimeout = testTimeout })
-	h.listServer("site-b", "s1", "127.0.0.1:1", "removed") // its scripted one
+	h.listServer("site-b", "s1", "127.0.0.1:1", "removed") // the scripted server
 	h.awaitServerCount(link.far, "site-b", 1)
 	c := link.dial(t)
 	c.send(getRequest("DELETE /visits/1", relayIDField+": a.1", "X-Expires-In: 15"))
--- a/internal/gateway/lateness_test.go
+++ b/internal/gateway/lateness_test.go
@@ -8,8 +8,9 @@
 	"mulleinmux/policy"
 )
 
-// An instance that is late by some time gives requests up earlier by it, once for their reading and once for their
-// answer: a server is told so, and a client whose server hangs has its answer within its time.
+// An instance that runs late gives requests up earlier by twice its lateness, for reading the request and for writing
+// the answer. The server is sent the shorter timeout, and a client whose server hangs is answered within its own
+// timeout.
 func TestLateInstanceGivesUpEarlier(t *testing.T) {
 	const late, timeout = 150 * time.Millisecond, 2 * time.Second
 	h, g, c := startWithServer(t)
@@ -19,16 +20,16 @@
 	attempt := h.nextRequest()
 	left, err := strconv.ParseFloat(attempt.header.Get(timeoutField), 64)
 	if err != nil || left > (timeout-2*late).Seconds() {
-		t.Errorf("the server is told %v s: %v", left, err)
+		t.Errorf("the server is sent a timeout of %v s (error %v), want at least twice the lateness less", left, err)
 	}
 	got := c.readResponse()
 	if took := time.Since(began); got.Status != 502 || took > timeout-late {
-		t.Errorf("%d after %v", got.Status, took)
+		t.Errorf("got status %d after %v, want 502 before the client's timeout less the lateness", got.Status, took)
 	}
 	attempt.response <- ""
 }
 
-// A timer that is held up is what an instance learns its lateness from.
+// An instance estimates its lateness from how late its timers fire.
 func TestLatenessIsLearnedFromTimers(t *testing.T) {
 	const late = 80 * time.Millisecond
 	_, g, _ := startWithServer(t)
@@ -37,13 +38,13 @@
 	host.setTimer(unusedToken, time.Millisecond)
 	time.Sleep(late)
 	host.mu.Unlock()
-	for end := time.Now().Add(testTimeout); host.margin(time.Second) < 2*late-10*time.Millisecond; {
+	for end := time.Now().Add(testTimeout); host.latenessMargin(time.Second) < 2*late-10*time.Millisecond; {
 		if time.Now().After(end) {
-			t.Fatalf("margin %v", host.margin(time.Second))
+			t.Fatalf("margin after a late timer: %v, want about twice the lateness", host.latenessMargin(time.Second))
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// unusedToken is of a timer that the engine knows nothing of.
+// unusedToken is a timer token that the engine does not use.
 const unusedToken = 1 << 60
--- a/internal/gateway/line_log.go
+++ b/internal/gateway/line_log.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	lineLogQueue         = 4096                   // lines
-	lineLogFlushInterval = 200 * time.Millisecond // between writes of buffered lines
+	lineLogQueueLength   = 4096                   // lines
+	lineLogFlushInterval = 200 * time.Millisecond // between flushes of buffered lines
 )
 
-// lineLog writes values as lines of JSON. It never holds a request up: a line that finds the queue full is dropped and
-// counted.
+// lineLog writes values as lines of JSON. It never blocks a request: a line is dropped and counted if the queue is
+// full.
 type lineLog[T any] struct {
 	lines   chan T
 	done    chan struct{} // closed when run has ended
 	dropped atomic.Int64
-	err     error // of run; read once done is closed
+	err     error // first write error of run; may be read once done is closed
 }
 
-// newLineLog starts a log on w. close ends it.
+// newLineLog starts a log that writes to w. close stops it.
 func newLineLog[T any](w io.Writer) *lineLog[T] {
-	l := &lineLog[T]{lines: make(chan T, lineLogQueue), done: make(chan struct{})}
+	l := &lineLog[T]{lines: make(chan T, lineLogQueueLength), done: make(chan struct{})}
 	go l.run(w)
 	return l
 }
 
-// record takes a line.
+// record queues a line.
 func (l *lineLog[T]) record(line T) {
 	select {
 	case l.lines <- line:
@@ -44,7 +44,7 @@
 	enc := json.NewEncoder(out)
 	tick := time.NewTicker(lineLogFlushInterval)
 	defer tick.Stop()
-	keep := func(err error) {
+	recordError := func(err error) {
 		if l.err == nil {
 			l.err = err
 		}
@@ -54,19 +54,19 @@
 		case line, ok := <-l.lines:
 			if !ok {
 				if n := l.dropped.Load(); n > 0 {
-					keep(enc.Encode(map[string]any{"time": time.Now(), "dropped": n}))
+					recordError(enc.Encode(map[string]any{"time": time.Now(), "dropped": n}))
 				}
-				keep(out.Flush())
+				recordError(out.Flush())
 				return
 			}
-			keep(enc.Encode(line))
+			recordError(enc.Encode(line))
 		case <-tick.C:
-			keep(out.Flush())
+			recordError(out.Flush())
 		}
 	}
 }
 
-// close writes what is queued and returns the first error of writing. record must not be called after it.
+// close writes the queued lines and returns the first write error. record must not be called after close.
 func (l *lineLog[T]) close() error {
 	close(l.lines)
 	<-l.done
--- a/internal/gateway/rejection_test.go
+++ b/internal/gateway/rejection_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// rejectedRequest is a request that is answered with a status and, for a wrong method, the methods that are allowed.
+// rejectedRequest is a request with the status and the Allow header that its response must have.
 type rejectedRequest struct {
 	name   string
 	text   string
@@ -66,7 +66,7 @@
 	{"negative timeout", getRequest("GET /visits/1", "X-Expires-In: -1"), 400, ""},
 }
 
-// What is no operation, or can't be charged for certain, is rejected: nothing is forwarded, and nothing is charged.
+// Requests that match no operation or whose cost is uncertain are rejected. They are neither forwarded nor charged.
 func TestRejectedRequests(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s")
@@ -75,26 +75,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			a := dial(t, g.addr).roundTrip(c.text)
 			if a.Status != c.status || a.Header.Get("Allow") != c.allow {
-				t.Errorf("%.60q: %d, allow %q (%s); want %d, %q", c.text, a.Status, a.Header.Get("Allow"),
+				t.Errorf("%.60q: got status %d, Allow %q (body %s); want %d, %q", c.text, a.Status, a.Header.Get("Allow"),
 					strings.TrimSpace(a.Body), c.status, c.allow)
 			}
 			if a.Close {
-				t.Errorf("%.60q: closes the connection", c.text)
+				t.Errorf("%.60q: the response closes the connection, want it kept open", c.text)
 			}
 		})
 	}
 	h.expectNoRequest()
 	if units, sent, answers := g.totals(); units+sent+answers != 0 {
-		t.Errorf("%d units, %d sent, %d answers", units, sent, answers)
+		t.Errorf("counters: got %d units, %d sent, %d answers; want 0, 0, 0", units, sent, answers)
 	}
 }
 
-// framingCase is a request after which the connection closes.
+// framingCase is an invalid request whose response closes the connection.
 type framingCase struct {
-	name       string
-	text       string
-	status     int
-	closesHalf bool // the client closes its side
+	name            string
+	text            string
+	status          int
+	closesWriteSide bool // the client closes its write side after the request
 }
 
 const (
@@ -123,8 +123,8 @@
 		"GET /visits/1 HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("a", 17<<10) + "\r\n\r\n", 431, false},
 }
 
-// Framing that can be read in two ways, heads without end and bodies cut short are rejected on a connection that
-// closes.
+// Requests with ambiguous framing, an oversized or malformed head or a truncated body are rejected, and their
+// connection is closed.
 func TestInvalidFraming(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s")
@@ -133,33 +133,33 @@
 		t.Run(c.name, func(t *testing.T) {
 			a := dial(t, g.addr)
 			a.send(c.text)
-			if c.closesHalf {
+			if c.closesWriteSide {
 				a.Conn.(interface{ CloseWrite() error }).CloseWrite()
 			}
 			r := a.readResponse()
 			if r.Status != c.status || !r.Close {
-				t.Errorf("%.60q: %d, close %v; want %d", c.text, r.Status, r.Close, c.status)
+				t.Errorf("%.60q: got status %d, close %v; want %d, close true", c.text, r.Status, r.Close, c.status)
 			}
 			if _, err := a.br.ReadByte(); err != io.EOF {
-				t.Errorf("%.60q: then %v, not the connection's end", c.text, err)
+				t.Errorf("%.60q: read after the response: got error %v, want EOF", c.text, err)
 			}
 		})
 	}
 	h.expectNoRequest()
 }
 
-// A request that comes in parts gets its time, and no more.
+// A request whose head does not arrive completely within requestReadTimeout is answered with 408.
 func TestSlowHead(t *testing.T) {
 	h := newTestSites(t)
 	g := startInstance(t, h, 0, nil)
 	c := dial(t, g.addr)
 	c.send("GET /visits/1 HT")
 	if r := c.readResponse(); r.Status != 408 || !r.Close {
-		t.Errorf("%+v", r)
+		t.Errorf("response to an incomplete head: got %+v, want status 408 and a closed connection", r)
 	}
 }
 
-// With full validation what the cost does not depend on is checked too.
+// Full validation also checks the parts of a request that its cost does not depend on.
 func TestFullValidation(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s")
@@ -172,31 +172,31 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if r := dial(t, full.addr).roundTrip(c.text); r.Status != 400 || !strings.Contains(r.Body, c.field) {
-				t.Errorf("with full validation: %+v, want 400 for %s", r, c.field)
+				t.Errorf("with full validation: got %+v, want status 400 with a body that names %s", r, c.field)
 			}
 			h.expectNoRequest()
 			client := dial(t, costOnly.addr)
 			client.send(c.text)
 			h.nextRequest().response <- responseText(200, "", "")
 			if r := client.readResponse(); r.Status != 200 {
-				t.Errorf("with validation of the cost alone: %+v", r)
+				t.Errorf("with validation of the cost only: got %+v, want status 200", r)
 			}
 			h.expectNoRequest()
 		})
 	}
 }
 
-// Beyond its connections an instance answers 503, instead of holding them unanswered.
+// An instance answers a connection over MaxClientConns with 503 instead of leaving it without a response.
 func TestConnectionLimit(t *testing.T) {
 	h := newTestSites(t)
 	g := startInstance(t, h, 0, func(c *Config) { c.MaxClientConns = 2 })
 	kept := []*testClient{dial(t, g.addr), dial(t, g.addr)}
 	for _, c := range kept {
 		if r := c.roundTrip(getRequest("GET /health/ready")); r.Status != 200 {
-			t.Errorf("%+v", r)
+			t.Errorf("connection within the limit: got %+v, want status 200", r)
 		}
 	}
 	if r := dial(t, g.addr).readResponse(); r.Status != 503 || r.Header.Get("Retry-After") == "" {
-		t.Errorf("%+v", r)
+		t.Errorf("connection over the limit: got %+v, want status 503 with Retry-After", r)
 	}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -20,25 +20,28 @@
 	"mulleinmux/policy"
 )
 
-// The relay between sites. An instance reaches the servers of its own sites itself; those of another site it reaches
-// through that site's instances, which to the engine are servers of that site. A request is relayed over mutual TLS
-// as it came, with an ID that is new for each attempt. The remote instance forwards it within its own sites alone, so
-// that nothing is relayed twice, and reports truthfully what became of it: an answer; "never ran" (503 with
-// X-Never-Ran); or that it may have run (502). Its units were counted where it entered. If the connection breaks
-// before the answer, the remote instance is asked over another one: see [multisite.ForwardedRequests]. An instance that
-// gives a relayed request up closes its connection; the remote one then begins no attempt of it, and ends the one that
-// is in flight. No further attempt follows before the remote instance has said that none is in flight there; if it does
-// not say so in time, the request fails unless it is idempotent.
-
-// RelayConfig is an instance's part in the relay.
+// The relay between sites. An instance reaches the servers of its own sites directly. It reaches the servers of another
+// site through that site's instances, which the engine treats as servers of that site. A request is relayed unchanged
+// over mutual TLS, with an ID that is new for each attempt. The remote instance forwards it only to servers of its own
+// sites, so that no request is relayed twice, and reports the outcome: the server's answer; 503 with X-Never-Ran if the
+// request did not run and never will; or 502 if it may have run. Only the instance that the client sent the request to
+// counts its units.
+//
+// If the connection breaks before the answer, the relaying instance queries the remote one for the request's status
+// over another connection: see [multisite.ForwardedRequests]. An instance that gives up a relayed request closes its
+// connection; the remote instance then starts no attempt of the request and ends the one in flight. No further attempt
+// follows until the remote instance has reported that none is in flight there; if it does not report that in time, the
+// request fails unless it is idempotent.
+
+// RelayConfig configures an instance's relay to and from other sites.
 type RelayConfig struct {
-	Own         []string                                  // sites whose servers it reaches itself
-	Listen      netip.AddrPort                            // where other sites' instances connect
-	Remote      map[string][]RelayPeer                    // by each other site: the instances that reach it
-	TLS         *tls.Config                               // for both sides: mutual, with session tickets off
-	Verify      func(tls.ConnectionState) (uint64, error) // names the member at the other end
-	MaxInFlight int                                       // relayed requests in flight at once; 64 where 0
-	listener    net.Listener                              // open, in tests and scenarios
+	Own         []string                                  // sites whose servers the instance reaches directly
+	Listen      netip.AddrPort                            // for connections from other sites' instances
+	Remote      map[string][]RelayPeer                    // by remote site: the instances that reach it directly
+	TLS         *tls.Config                               // for both directions: mutual, with session tickets disabled
+	Verify      func(tls.ConnectionState) (uint64, error) // returns the member ID of the peer's certificate
+	MaxInFlight int                                       // relayed requests in flight at once; 64 if 0
+	listener    net.Listener                              // open listener, in tests and scenarios; nil: Listen is used
 }
 
 // RelayPeer is an instance of another site.
@@ -49,32 +52,32 @@
 
 const (
 	defaultMaxRelayed     = 64                     // relayed requests in flight
-	relayRetryTokens      = 0.1                    // relayed retries that a first attempt earns
+	relayRetryTokens      = 0.1                    // relayed retries that each first attempt earns
 	maxRelayRetryTokens   = 10                     // relayed retries that can be saved up
 	relayHandshakeTimeout = time.Second            // for TLS, at both ends
-	arrivalTTL            = 30 * time.Second       // no broken connection delivers anything after that
-	maxArrivals           = 1 << 16                // relayed requests recorded
-	maxRetainedBody       = 16 << 10               // bytes of an answer's body that is retained
-	statusPollInterval    = 20 * time.Millisecond  // between two queries of a request that is still executing
-	statusTimeout         = 300 * time.Millisecond // for the answer to one query
-	remoteServerMark      = "/@"                   // in the engine's name of a remote instance
+	forwardedTTL          = 30 * time.Second       // no broken connection delivers a request after that
+	maxForwarded          = 1 << 16                // relayed requests recorded
+	maxRetainedBody       = 16 << 10               // bytes of a retained answer's body
+	statusPollInterval    = 20 * time.Millisecond  // between two status queries of an executing request
+	statusTimeout         = 300 * time.Millisecond // for the answer to one status query
+	remoteServerSeparator = "/@"                   // between site and member ID in a remote instance's server ID
 )
 
-// relay carries out an instance's part in the relay.
+// relay holds the state of an instance's relay in both directions.
 type relay struct {
-	config       *RelayConfig
-	listensSince time.Time // set before the first connection is accepted
+	config         *RelayConfig
+	listeningSince time.Time // set before the first connection is accepted
 
-	mu       sync.Mutex // guards all below
-	arrivals *multisite.ForwardedRequests
-	budget   *multisite.RelayBudget
+	mu        sync.Mutex // guards the fields below
+	forwarded *multisite.ForwardedRequests
+	budget    *multisite.RelayBudget
 }
 
 func newRelay(config *RelayConfig) (*relay, error) {
 	if len(config.Own) == 0 || config.TLS == nil || config.Verify == nil {
 		return nil, errRelayConfig
 	}
-	arrivals, err := multisite.NewForwardedRequests(arrivalTTL, maxArrivals)
+	forwarded, err := multisite.NewForwardedRequests(forwardedTTL, maxForwarded)
 	if err != nil {
 		return nil, err
 	}
@@ -86,10 +89,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &relay{config: config, arrivals: arrivals, budget: budget}, nil
+	return &relay{config: config, forwarded: forwarded, budget: budget}, nil
 }
 
-// listen returns the listener for other sites' instances.
+// listen returns the listener for connections from other sites' instances.
 func (c *RelayConfig) listen() (net.Listener, error) {
 	if c.listener != nil {
 		return c.listener, nil
@@ -101,10 +104,11 @@
 	return listener, nil
 }
 
-// isRemoteServer reports whether a server, as the engine names it, is an instance of another site.
-func isRemoteServer(server string) bool { return strings.Contains(server, remoteServerMark) }
+// isRemoteServer reports whether a server ID of the engine denotes an instance of another site.
+func isRemoteServer(server string) bool { return strings.Contains(server, remoteServerSeparator) }
 
-// remoteServers is the endpoint list of another site: its instances, in place of the servers that only they reach.
+// remoteServers returns the endpoint list of a remote site: its instances, in place of the servers that only they
+// reach.
 func (r *relay) remoteServers(site string) discovery.EndpointList {
 	list := discovery.EndpointList{IsComplete: true}
 	for _, peer := range r.config.Remote[site] {
@@ -114,46 +118,47 @@
 	return list
 }
 
-// isRemote reports whether a site's servers are reached through that site's instances alone.
+// isRemote reports whether a site's servers are reached only through that site's instances.
 func (r *relay) isRemote(site string) bool { return r != nil && !r.ownsSite(site) }
 
-// ownsSite reports whether this instance reaches a site's servers itself.
+// ownsSite reports whether this instance reaches a site's servers directly.
 func (r *relay) ownsSite(site string) bool { return slices.Contains(r.config.Own, site) }
 
-// secure makes a new connection to a remote instance one of mutual TLS.
+// secure upgrades a new connection to a remote instance to mutual TLS and verifies that the peer is the expected
+// member.
 func (r *relay) secure(ctx context.Context, server string, nc net.Conn) (net.Conn, error) {
-	_, number, _ := strings.Cut(server, remoteServerMark)
+	_, number, _ := strings.Cut(server, remoteServerSeparator)
 	want, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("link: %q is no instance", server)
+		return nil, fmt.Errorf("link: server ID %q has no valid member ID", server)
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayHandshakeTimeout)
 	defer cancel()
 	c := tls.Client(nc, r.config.TLS)
 	if err := c.HandshakeContext(ctx); err != nil {
-		return nil, fmt.Errorf("link: %w", err)
+		return nil, fmt.Errorf("link: TLS handshake: %w", err)
 	}
 	if got, err := r.config.Verify(c.ConnectionState()); err != nil || got != want {
-		return nil, fmt.Errorf("link: member %d answers where member %d is expected: %w", got, want, err)
+		return nil, fmt.Errorf("link: peer certificate is for member %d, want member %d: %w", got, want, err)
 	}
 	return c, nil
 }
 
-// raw returns the descriptor of a connection, with TLS or without.
-func raw(nc net.Conn) (syscall.RawConn, error) {
+// syscallConn returns the raw connection of a socket, with or without TLS on top.
+func syscallConn(nc net.Conn) (syscall.RawConn, error) {
 	if secured, ok := nc.(interface{ NetConn() net.Conn }); ok {
 		nc = secured.NetConn()
 	}
 	return nc.(syscall.Conn).SyscallConn()
 }
 
-// relayListener accepts connections of other sites' instances; each shows its certificate before its first request.
+// relayListener accepts connections from other sites' instances, which present a certificate before the first request.
 type relayListener struct {
 	net.Listener
 	relay *relay
 }
 
-// Accept returns the next connection. Its handshake takes place in verifyPeer.
+// Accept returns the next connection. Its TLS handshake takes place in verifyPeer.
 func (l relayListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -167,7 +172,7 @@
 	return &relayServerConn{tls.Server(transport, l.relay.config.TLS), transport}, nil
 }
 
-// verifyPeer checks the certificate at the other end of a connection of another site's instance.
+// verifyPeer completes the TLS handshake with another site's instance and reports whether its certificate is valid.
 func (c *clientConn) verifyPeer() bool {
 	conn, ok := c.nc.(*relayServerConn)
 	if !ok {
--- a/internal/gateway/relay_harness_test.go
+++ b/internal/gateway/relay_harness_test.go
@@ -10,18 +10,18 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// linkForwarder is the network between two sites: a forwarder whose connections can be broken, or held back from the
-// far side while they look open to the near one.
+// linkForwarder simulates the link from the near to the far site. It forwards connections, which can be reset, or whose
+// data can be held back from the far side while they look open to the near side.
 type linkForwarder struct {
 	ln         net.Listener
 	goroutines sync.WaitGroup
 
-	mu    sync.Mutex // guards all below
-	to    string     // the far side
-	conns []net.Conn // of the near side
-	all   []net.Conn
-	hold  chan struct{} // what comes waits for its close; nil: nothing waits
-	held  chan bool     // receives once for each piece that waits
+	mu         sync.Mutex // guards the fields below
+	targetAddr string     // the far side
+	nearConns  []net.Conn // from the near side
+	openConns  []net.Conn
+	hold       chan struct{} // received data waits until it is closed; nil: nothing waits
+	held       chan bool     // receives a value for each piece of data that waits
 }
 
 func newLinkForwarder(t *testing.T, to string) *linkForwarder {
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &linkForwarder{ln: ln, to: to, held: make(chan bool, 100)}
+	w := &linkForwarder{ln: ln, targetAddr: to, held: make(chan bool, 100)}
 	w.goroutines.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -43,7 +43,7 @@
 				continue
 			}
 			w.mu.Lock()
-			w.conns, w.all = append(w.conns, c), append(w.all, c, far)
+			w.nearConns, w.openConns = append(w.nearConns, c), append(w.openConns, c, far)
 			w.mu.Unlock()
 			w.goroutines.Go(func() { w.forward(c, far) })
 			w.goroutines.Go(func() { io.Copy(c, far); c.Close() })
@@ -52,7 +52,7 @@
 	t.Cleanup(func() {
 		ln.Close()
 		w.mu.Lock()
-		for _, c := range w.all {
+		for _, c := range w.openConns {
 			c.Close()
 		}
 		w.mu.Unlock()
@@ -79,32 +79,32 @@
 	}
 }
 
-// target is the far side's address.
+// target returns the far side's address.
 func (w *linkForwarder) target() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.to
+	return w.targetAddr
 }
 
-// redirect has connections go to another address from now on.
+// redirect forwards new connections to another address.
 func (w *linkForwarder) redirect(to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.to = to
+	w.targetAddr = to
 }
 
-// breakAll resets the connections of the near side.
+// breakAll resets the connections from the near side.
 func (w *linkForwarder) breakAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, c := range w.conns {
+	for _, c := range w.nearConns {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
-	w.conns = nil
+	w.nearConns = nil
 }
 
-// setHold has what comes from now on wait.
+// setHold turns the holding back of received data on or off. release delivers the data held back so far.
 func (w *linkForwarder) setHold(on bool) (release func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,18 +117,19 @@
 	return nil
 }
 
-// twoSites starts an instance of each site, a link between them, and a server at the far site alone.
-func twoSites(
+// startTwoSites starts an instance at each of two sites, a link between them, and a server at the far site only. The
+// near instance relays requests to the far one.
+func startTwoSites(
 	t *testing.T,
 	h *testSites,
 	change func(near, far *RelayConfig),
 ) (near, far *testInstance, w *linkForwarder) {
 	t.Helper()
-	return twoSitesWith(t, h, change, func(*Config) {})
+	return startTwoSitesWith(t, h, change, func(*Config) {})
 }
 
-// twoSitesWith is twoSites with a change of the far instance's configuration.
-func twoSitesWith(
+// startTwoSitesWith is startTwoSites with a function that changes the far instance's configuration.
+func startTwoSitesWith(
 	t *testing.T,
 	h *testSites,
 	change func(near, far *RelayConfig),
@@ -140,7 +141,7 @@
 		t.Fatal(err)
 	}
 	h.authority = auth
-	part := func(member uint64, own string) *RelayConfig {
+	newConfig := func(member uint64, own string) *RelayConfig {
 		creds, err := auth.IssueCredentials(member)
 		if err != nil {
 			t.Fatal(err)
@@ -150,7 +151,7 @@
 		verify := func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("test", s) }
 		return &RelayConfig{Own: []string{own}, TLS: c, Verify: verify}
 	}
-	a, b := part(1, "site-a"), part(2, "site-b")
+	a, b := newConfig(1, "site-a"), newConfig(2, "site-b")
 	if b.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/relay_late_test.go
+++ b/internal/gateway/relay_late_test.go
@@ -14,12 +14,13 @@
 	"mulleinmux/internal/testserver"
 )
 
-// silentServer is a server of site-b that answers health checks alone. It tells of each other request, and of its end.
+// silentServer is a server of site-b that answers only health checks. It reports each other request on began, and on
+// ended when the request's connection is closed.
 type silentServer struct {
 	began, ended chan string // method and target
 }
 
-// newSilentServer starts a silent server and lists it.
+// newSilentServer starts a silent server and adds it to the site's endpoint list.
 func newSilentServer(t *testing.T, h *testSites, id string) *silentServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,17 +56,17 @@
 	})
 }
 
-// receive waits for what a channel of the server's tells, within a time.
-func receive(t *testing.T, events <-chan string, what string, timeout time.Duration) {
+// awaitEvent waits for an event of a silent server and fails the test after the timeout.
+func awaitEvent(t *testing.T, events <-chan string, what string, timeout time.Duration) {
 	t.Helper()
 	select {
 	case <-events:
 	case <-time.After(timeout):
-		t.Fatalf("%s: not within %v", what, timeout)
+		t.Fatalf("%s: no event within %v", what, timeout)
 	}
 }
 
-// holdFarReads has twoSites start the far instance with a link listener whose reads can be held back.
+// holdFarReads returns a change for startTwoSites that lets the far instance's reads from the link be blocked.
 func holdFarReads(held *heldListener) func(near, far *RelayConfig) {
 	return func(_, far *RelayConfig) {
 		held.Listener = far.listener
@@ -73,7 +74,8 @@
 	}
 }
 
-// heldLink is a far instance whose link is held, and what it takes to connect as the near instance does.
+// heldLink is a far instance whose reads from the link can be blocked, with the TLS configuration to connect to it as
+// the near instance does.
 type heldLink struct {
 	*heldListener
 	far    *testInstance
@@ -83,7 +85,7 @@
 func newHeldLink(t *testing.T, h *testSites) *heldLink {
 	t.Helper()
 	link := &heldLink{heldListener: &heldListener{}}
-	_, link.far, _ = twoSites(t, h, func(near, far *RelayConfig) {
+	_, link.far, _ = startTwoSites(t, h, func(near, far *RelayConfig) {
 		link.config = near.TLS
 		holdFarReads(link.heldListener)(near, far)
 	})
@@ -101,19 +103,19 @@
 	return linkClient{&testClient{conn, bufio.NewReader(conn), t, ""}}
 }
 
-// awaitArrivals waits until the far instance has recorded so many relayed requests.
-func (l *heldLink) awaitArrivals(t *testing.T, want int) {
+// awaitRecordedRequests waits until the far instance has recorded want relayed requests.
+func (l *heldLink) awaitRecordedRequests(t *testing.T, want int) {
 	t.Helper()
 	relay := l.far.relay
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		relay.mu.Lock()
-		n := relay.arrivals.Len()
+		n := relay.forwarded.Len()
 		relay.mu.Unlock()
 		if n == want {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d relayed requests are recorded, not %d", n, want)
+			t.Fatalf("recorded relayed requests: got %d, want %d", n, want)
 		}
 	}
 }
@@ -127,7 +129,7 @@
 	return status
 }
 
-// A relayed request that is read after the near instance has given it up begins no attempt, however late it is read.
+// No attempt begins for a relayed request that is read after the near instance has given it up, however late that is.
 func TestRelayedRequestReadAfterClose(t *testing.T) {
 	for _, milliseconds := range []time.Duration{1, 50, 300, 2000} {
 		delay := milliseconds * time.Millisecond
@@ -136,16 +138,16 @@
 			h := newTestSites(t)
 			link := newHeldLink(t, h)
 			c := link.dial(t)
-			c.executionStatus("other.1") // the connection is there
+			c.executionStatus("other.1") // completes the handshake
 			release := link.hold()
 			defer release()
 			c.send(getRequest("GET /visits/new", relayIDField+": late.1", "X-Expires-In: 15"))
 			c.Close()
 			time.Sleep(delay)
 			release()
-			link.awaitArrivals(t, 2)
+			link.awaitRecordedRequests(t, 2)
 			if status := link.dial(t).finalStatus("late.1"); status != "never" {
-				t.Errorf("a request that was given up: %s", status)
+				t.Errorf("status of a request that was given up: got %q, want \"never\"", status)
 			}
 			h.expectNoRequest()
 		})
@@ -157,18 +159,18 @@
 	h := newTestSites(t)
 	server := newSilentServer(t, h, "s0")
 	link := newHeldLink(t, h)
-	h.listServer("site-b", "s1", "127.0.0.1:1", "removed") // its scripted one
+	h.listServer("site-b", "s1", "127.0.0.1:1", "removed") // the scripted server of startTwoSites
 	const timeout = 15 * time.Second
 	for i := range 3 {
 		c := link.dial(t)
 		c.send(getRequest("GET /visits/"+strconv.Itoa(i), relayIDField+": a."+strconv.Itoa(i), "X-Expires-In: 15"))
-		receive(t, server.began, "the attempt's begin", timeout)
+		awaitEvent(t, server.began, "start of the attempt", timeout)
 		c.Close()
-		receive(t, server.ended, "the attempt's end", timeout/3)
+		awaitEvent(t, server.ended, "end of the attempt", timeout/3)
 	}
 }
 
-// A link that breaks is not a request that was given up: its attempt goes on, and the answer is kept.
+// A broken link does not mean that the request was given up: its attempt continues, and the answer is retained.
 func TestRelayedAttemptOutlivesBrokenLink(t *testing.T) {
 	h := newTestSites(t)
 	link := newHeldLink(t, h)
@@ -179,16 +181,16 @@
 	query := link.dial(t)
 	time.Sleep(2 * statusPollInterval)
 	if status := query.executionStatus("b.1"); status != "underway" {
-		t.Errorf("once the link is broken: %s", status)
+		t.Errorf("status after the link broke: got %q, want \"underway\"", status)
 	}
 	a.response <- responseText(200, "", "made")
 	if status := query.finalStatus("b.1"); status != "ran" {
-		t.Errorf("after its answer: %s", status)
+		t.Errorf("status after the answer: got %q, want \"ran\"", status)
 	}
 }
 
-// quickBooking is a description whose bookings are retried early.
-const quickBooking = `openapi: 3.0.3
+// earlyRetryDescription is a description with latency objectives so low that the engine retries slow requests early.
+const earlyRetryDescription = `openapi: 3.0.3
 info: {title: t, version: "1"}
 x-mulleinmux: {class: check, units: 1}
 paths:
@@ -203,8 +205,8 @@
       responses: {"200": {description: ok}}
 `
 
-// startSecondFar starts another instance of site-b, which listens for the near one on a socket.
-func startSecondFar(t *testing.T, h *testSites, listener net.Listener, member uint64) *testInstance {
+// startFarInstance starts an instance of site-b that accepts the near instance's connections on a listener.
+func startFarInstance(t *testing.T, h *testSites, listener net.Listener, member uint64) *testInstance {
 	t.Helper()
 	credentials, err := h.authority.IssueCredentials(member)
 	if err != nil {
@@ -216,15 +218,16 @@
 	return startInstance(t, h, 1, func(c *Config) { c.Relay = config })
 }
 
-// isServing reports whether an instance has a request without a final answer.
+// isServing reports whether the instance has a request without a final answer.
 func (r *testInstance) isServing() bool {
 	r.host.mu.Lock()
 	defer r.host.mu.Unlock()
 	return len(r.requests.byID) > 0
 }
 
-// twoFarInstances starts a near instance and two far ones, whose links can be held back, and which know quickBooking.
-func twoFarInstances(t *testing.T, h *testSites) (near, second *testInstance, links []*heldListener) {
+// startTwoFarInstances starts a near instance and two far ones, with earlyRetryDescription. The far instances' reads
+// from their links can be blocked.
+func startTwoFarInstances(t *testing.T, h *testSites) (near, second *testInstance, links []*heldListener) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -232,81 +235,81 @@
 	}
 	links = []*heldListener{{}, {Listener: listener}}
 	const secondMember = 3
-	near, first, _ := twoSites(t, h, func(near, far *RelayConfig) {
+	near, first, _ := startTwoSites(t, h, func(near, far *RelayConfig) {
 		holdFarReads(links[0])(near, far)
 		second := RelayPeer{secondMember, listener.Addr().(*net.TCPAddr).AddrPort()}
 		near.Remote["site-b"] = append(near.Remote["site-b"], second)
 	})
-	second = startSecondFar(t, h, links[1], secondMember)
+	second = startFarInstance(t, h, links[1], secondMember)
 	for _, instance := range []*testInstance{near, first, second} {
-		instance.install(t, 2, quickBooking)
+		instance.install(t, 2, earlyRetryDescription)
 	}
 	return near, second, links
 }
 
-// learnLatencies has requests served, so that slow ones are retried early.
-func learnLatencies(t *testing.T, send func(key string) *receivedRequest, c *testClient) {
+// serveWarmUpRequests has requests served, from which the engine learns the latencies that it retries slow requests by.
+func serveWarmUpRequests(t *testing.T, send func(key string) *receivedRequest, c *testClient) {
 	t.Helper()
 	for i := range 40 {
 		send("warm" + strconv.Itoa(i)).response <- responseText(201, "", "")
 		if got := c.readResponse(); got.Status != 201 {
-			t.Fatalf("warming up: %+v", got)
+			t.Fatalf("warm-up request: got %+v, want status 201", got)
 		}
 	}
 }
 
-// holdServing holds back the far instance that serves a request.
-func holdServing(second *testInstance, links []*heldListener) (release func()) {
+// holdServingInstance blocks the link reads of the far instance that is serving a request.
+func holdServingInstance(second *testInstance, links []*heldListener) (release func()) {
 	if second.isServing() {
 		return links[1].hold()
 	}
 	return links[0].hold()
 }
 
-// While the far instance does not say that the first attempt of a booking has ended, no second one begins, neither
-// there nor at the site's other instance.
+// While the far instance has not reported that the first attempt of a non-idempotent request has ended, no second
+// attempt begins, neither there nor at the site's other instance.
 func TestNoSecondAttemptWhileFirstMayRun(t *testing.T) {
 	h := newTestSites(t)
-	near, second, links := twoFarInstances(t, h)
+	near, second, links := startTwoFarInstances(t, h)
 	c := dial(t, near.addr)
 	book := func(key string) *receivedRequest {
 		c.send(postRequest("POST /visits", `{}`, "Idempotency-Key: "+key))
 		return h.nextRequest()
 	}
-	learnLatencies(t, book, c)
+	serveWarmUpRequests(t, book, c)
 	attempt := book("k")
-	release := holdServing(second, links)
+	release := holdServingInstance(second, links)
 	defer release()
 	if got := c.readResponse(); got.Status != 502 {
-		t.Errorf("with an attempt in doubt: %+v", got)
+		t.Errorf("request with an attempt of unknown status: got %+v, want status 502", got)
 	}
 	h.expectNoRequest()
 	release()
 	attempt.response <- ""
 }
 
-// An idempotent request goes on to the site's other instance, once the far one has had time to say that its attempt has
-// ended.
+// An idempotent request is retried at the site's other instance once the far instance has had statusTimeout to report
+// that the first attempt has ended.
 func TestIdempotentRequestOutlivesSilentInstance(t *testing.T) {
 	h := newTestSites(t)
-	near, second, links := twoFarInstances(t, h)
+	near, second, links := startTwoFarInstances(t, h)
 	c := dial(t, near.addr)
 	get := func(key string) *receivedRequest {
 		c.send(getRequest("GET /visits/" + key))
 		return h.nextRequest()
 	}
-	learnLatencies(t, get, c)
+	serveWarmUpRequests(t, get, c)
 	began := time.Now()
 	attempt := get("k")
-	release := holdServing(second, links)
+	release := holdServingInstance(second, links)
 	defer release()
 	retry := h.nextRequest()
 	if waited := time.Since(began); waited < statusTimeout {
-		t.Errorf("the next attempt follows after %v", waited)
+		t.Errorf("the next attempt began after %v, want at least statusTimeout", waited)
 	}
 	retry.response <- responseText(200, "", "x")
 	if got := c.readResponse(); got.Status != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("retried request: got %+v, want status 200", got)
 	}
 	release()
 	attempt.response <- ""
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -13,60 +13,62 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// A request is relayed as it came, with less time than it came with, and is counted where it entered alone.
+// A request is relayed unchanged but with a shorter timeout, and only the instance that received it from the client
+// counts it.
 func TestRelay(t *testing.T) {
 	h := newTestSites(t)
-	near, far, _ := twoSites(t, h, nil)
+	near, far, _ := startTwoSites(t, h, nil)
 	c := dial(t, near.addr)
 	c.send(getRequest("GET /visits/new", "X-Expires-In: 1.000", "X-Mulleinmux-Crossing: mine"))
 	a := h.nextRequest()
 	if left := a.header.Get("X-Expires-In"); a.server != "site-b/s1" || left < "0.5" || left > "0.985" {
-		t.Errorf("reached %s with %s s left of 1", a.server, left)
+		t.Errorf("request reached %s with a timeout of %s s, want site-b/s1 with 0.5 to 0.985", a.server, left)
 	}
 	if a.header.Get(relayIDField) != "" {
-		t.Error("the relay ID is forwarded to the server")
+		t.Error("the relay ID was forwarded to the server")
 	}
 	a.response <- responseText(200, "X-Of-Site: 1\r\n", "slots")
 	if got := c.readResponse(); got.Status != 200 || got.Body != "slots" || got.Header.Get("X-Of-Site") != "1" {
-		t.Errorf("%+v", got)
+		t.Errorf("relayed response: got %+v", got)
 	}
 	if units, sent, answers := near.totals(); units == 0 || sent != 1 || answers != 1 {
-		t.Errorf("where it entered: %d units, %d sent, %d answers", units, sent, answers)
+		t.Errorf("near instance: got %d units, %d sent, %d answers; want units, 1 sent, 1 answer", units, sent, answers)
 	}
 	if units, sent, answers := far.totals(); units+sent+answers != 0 {
-		t.Errorf("where it was relayed to: %d units, %d sent, %d answers", units, sent, answers)
+		t.Errorf("far instance: got %d units, %d sent, %d answers; want none", units, sent, answers)
 	}
 }
 
-// A far instance records one relayed request for each connection whose answers are read, not all of half a minute.
+// A far instance drops its record of a relayed request once the answer has been read. So it records one request per
+// connection, not all of the last 30 s.
 func TestAnsweredRelaysAreForgotten(t *testing.T) {
 	h := newTestSites(t)
-	near, far, _ := twoSites(t, h, nil)
+	near, far, _ := startTwoSites(t, h, nil)
 	c := dial(t, near.addr)
 	for range 20 {
 		c.send(getRequest("GET /visits/new"))
 		(h.nextRequest()).response <- responseText(200, "", "slots")
 		if got := c.readResponse(); got.Status != 200 {
-			t.Fatalf("%+v", got)
+			t.Fatalf("relayed request: got %+v, want status 200", got)
 		}
 	}
 	l := far.relay
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if n := l.arrivals.Len(); n == 0 || n > 2 {
-		t.Errorf("%d relayed requests are recorded after 20, one after the other", n)
+	if n := l.forwarded.Len(); n == 0 || n > 2 {
+		t.Errorf("recorded relayed requests after 20 sequential ones: got %d, want 1 or 2", n)
 	}
 }
 
-// What the far site can't take is told truthfully: never ran, which the near instance may retry elsewhere or reject;
-// and "it may have run", which it may not.
+// The far site reports whether a request that it can't serve never ran or may have run. The near instance may retry or
+// reject a request that never ran; one that may have run fails.
 func TestRelayFails(t *testing.T) {
 	h := newTestSites(t)
-	near, _, _ := twoSites(t, h, nil)
+	near, _, _ := startTwoSites(t, h, nil)
 	c := dial(t, near.addr)
 	for _, test := range []struct {
 		name     string
-		response string // to every attempt
+		response string // of the server to every attempt
 		status   int
 	}{
 		{"never ran", responseText(503, "X-Never-Ran: 1\r\n", ""), 429},
@@ -78,13 +80,13 @@
 				h.nextRequest().response <- test.response
 			}
 			if got := c.readResponse(); got.Status != test.status {
-				t.Errorf("%+v, want %d", got, test.status)
+				t.Errorf("got %+v, want status %d", got, test.status)
 			}
 		})
 	}
 }
 
-// hasResponse tells whether a response begins within a moment.
+// hasResponse reports whether a response begins to arrive within 50 ms.
 func (a *testClient) hasResponse() bool {
 	defer a.SetDeadline(time.Now().Add(testTimeout))
 	a.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -92,11 +94,11 @@
 	return err == nil
 }
 
-// The link breaks with the request at the site: the answer is fetched over another connection, and the booking has
-// run once.
+// If the link breaks while a relayed request is executing, its answer is fetched over another connection, and the
+// request runs only once.
 func TestLinkBreaksBeforeResponse(t *testing.T) {
 	h := newTestSites(t)
-	near, _, w := twoSites(t, h, nil)
+	near, _, w := startTwoSites(t, h, nil)
 	c := dial(t, near.addr)
 	c.send(postRequest("POST /visits", `{"installers": 1}`, "Idempotency-Key: k"))
 	a := h.nextRequest()
@@ -105,16 +107,17 @@
 	a.response <- responseText(201, "Content-Type: text/plain\r\n", "booked")
 	if got := c.readResponse(); got.Status != 201 || got.Body != "booked" ||
 		got.Header.Get("Content-Type") != "text/plain" {
-		t.Errorf("%+v", got)
+		t.Errorf("retained response: got %+v, want status 201, text/plain, body booked", got)
 	}
 	h.expectNoRequest()
 }
 
-// The link breaks before the request has come through, and delivers it later: once its status was queried it is void.
+// A link may break before it delivers a request and deliver it later. The request must not run then, as the status
+// query has voided it.
 func TestLinkDeliversLate(t *testing.T) {
 	h := newTestSites(t)
-	near, _, w := twoSites(t, h, nil)
-	near.earnRetries(h, 20) // the connection is there, and retries are earned
+	near, _, w := startTwoSites(t, h, nil)
+	near.fillRetryBudget(h, 20) // opens the link's connection and earns retries
 	release := w.setHold(true)
 	c := dial(t, near.addr)
 	c.send(postRequest("POST /visits", `{"installers": 1}`, "Idempotency-Key: k"))
@@ -122,16 +125,16 @@
 	w.setHold(false)
 	w.breakAll()
 	a := h.nextRequest() // the retry
-	release()            // and now the first one comes through
+	release()            // delivers the first attempt
 	h.expectNoRequest()
 	a.response <- responseText(201, "", "")
 	if got := c.readResponse(); got.Status != 201 {
-		t.Errorf("%+v", got)
+		t.Errorf("retried request: got %+v, want status 201", got)
 	}
 	h.expectNoRequest()
 }
 
-// What has come over the link goes to the site's own servers or nowhere.
+// A relayed request is sent only to the site's own servers.
 func TestNothingIsRelayedTwice(t *testing.T) {
 	h := newTestSites(t)
 	third, err := net.Listen("tcp", "127.0.0.1:0")
@@ -139,7 +142,7 @@
 		t.Fatal(err)
 	}
 	defer third.Close()
-	near, _, _ := twoSites(t, h, func(_, far *RelayConfig) {
+	near, _, _ := startTwoSites(t, h, func(_, far *RelayConfig) {
 		// The far site's instance could relay to a third site.
 		far.Remote = map[string][]RelayPeer{"site-a": {{9, third.Addr().(*net.TCPAddr).AddrPort()}}}
 	})
@@ -150,25 +153,25 @@
 		got = c.roundTrip(getRequest("GET /visits/new"))
 	}
 	if got.Status != 429 {
-		t.Errorf("%+v", got)
+		t.Errorf("relayed request without a server at the far site: got %+v, want status 429", got)
 	}
 	h.expectNoRequest()
 	third.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Millisecond))
 	if c, err := third.Accept(); err == nil {
 		c.Close()
-		t.Error("a relayed request is relayed to a third site")
+		t.Error("a relayed request was relayed to a third site")
 	}
 }
 
-// linkClient is another site's instance on a connection of the link.
+// linkClient is a client that connects to an instance as another site's instance does.
 type linkClient struct{ *testClient }
 
-// dialLink connects a client with the near site's certificate to the far site's instance.
+// dialLink starts two sites and connects a client to the far instance with the near instance's certificate.
 func dialLink(t *testing.T, h *testSites) linkClient {
 	t.Helper()
 	var config *tls.Config
 	var addr string
-	twoSites(t, h, func(a, b *RelayConfig) { config, addr = a.TLS, b.listener.Addr().String() })
+	startTwoSites(t, h, func(a, b *RelayConfig) { config, addr = a.TLS, b.listener.Addr().String() })
 	conn, err := tls.Dial("tcp", addr, config)
 	if err != nil {
 		t.Fatal(err)
@@ -185,30 +188,30 @@
 	return c.roundTrip(query).Header.Get(executionStatusField)
 }
 
-// What a site says over the link of requests that failed there: never ran, or not known; and a second copy of a relayed
-// request runs nothing.
+// An instance reports to the other site whether a failed request never ran or may have run, and does not run a second
+// copy of a relayed request.
 func TestExecutionStatus(t *testing.T) {
 	h := newTestSites(t)
 	c := dialLink(t, h)
 	got := c.roundTrip(getRequest("GET /unknown", relayIDField+": a.1"))
 	if got.Status != 503 || got.Header.Get("X-Never-Ran") != "1" || c.executionStatus("a.1") != "never" {
-		t.Errorf("an operation that is not known here: %+v", got)
+		t.Errorf("unknown operation: got %+v, want status 503 with X-Never-Ran, and \"never\" as its status", got)
 	}
 	c.send(getRequest("GET /visits/new", relayIDField+": b.1"))
-	stop := h.respondToAll(responseText(500, "", "")) // an idempotent request may be retried, and rejected after it ran
+	stop := h.respondToAll(responseText(500, "", "")) // a retry may be rejected after the request has run
 	got = c.readResponse()
 	stop()
 	if got.Status == 200 || got.Header.Get("X-Never-Ran") != "" || c.executionStatus("b.1") != "unknown" {
-		t.Errorf("rejected after it may have run: %+v", got)
+		t.Errorf("failed request that may have run: got %+v, want no X-Never-Ran, and \"unknown\" as its status", got)
 	}
 	if got := c.roundTrip(getRequest("GET /visits/new", relayIDField+": b.1")); got.Status != 502 ||
 		got.Header.Get("X-Never-Ran") != "" {
-		t.Errorf("a second copy: %+v", got)
+		t.Errorf("second copy of a relayed request: got %+v, want status 502 without X-Never-Ran", got)
 	}
 	h.expectNoRequest()
 }
 
-// respondToAll gives every request that reaches a server the same response, until stop is called.
+// respondToAll answers every request that reaches a server with the same response, until stop is called.
 func (h *testSites) respondToAll(response string) (stop func()) {
 	stopping, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -228,14 +231,14 @@
 	}
 }
 
-// An instance without a certificate of this cluster is not answered, and one that is another member than expected is
-// sent nothing.
+// An instance does not answer a peer without a member certificate of its cluster, and sends no request to a peer that
+// is another member than expected.
 func TestLinkAuthenticatesPeers(t *testing.T) {
 	h := newTestSites(t)
 	var linkAddr string
 	dir := t.TempDir()
 	var operator *tls.Config
-	near, _, _ := twoSites(t, h, func(a, b *RelayConfig) {
+	near, _, _ := startTwoSites(t, h, func(a, b *RelayConfig) {
 		linkAddr = b.listener.Addr().String()
 		a.Remote["site-b"][0].Member = 7
 		auth := h.authority
@@ -250,46 +253,45 @@
 	})
 	if got := dial(t, near.addr).roundTrip(postRequest("POST /visits", `{"installers": 1}`,
 		"Idempotency-Key: k")); got.Status != 429 {
-		t.Errorf("by a member that is not the one expected: %+v", got)
+		t.Errorf("request via an unexpected member: got %+v, want status 429", got)
 	}
 	for name, cfg := range map[string]*tls.Config{"a stranger": {InsecureSkipVerify: true}, "an operator": operator} {
 		c, err := tls.Dial("tcp", linkAddr, cfg)
 		if err != nil {
 			continue
 		}
-		defer c.Close() // in TLS 1.3 the client learns of it with its first read
+		defer c.Close() // in TLS 1.3 the client's first read returns the rejection
 		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, strings.Replace(getRequest("GET /visits/new"), "\r\n\r\n",
 			"\r\n"+relayIDField+": x.1\r\n\r\n", 1))
 		if n, err := c.Read(make([]byte, 1)); err == nil {
-			t.Errorf("%d bytes for %s", n, name)
+			t.Errorf("got %d bytes as %s, want an error", n, name)
 		}
 	}
 	h.expectNoRequest()
 }
 
-// Where a request enters its units are counted; the far instance, which has a count of its own clients, does not
-// reject it for that.
+// The near instance charges a relayed request. The far instance does not reject it even if the customer's quota is
+// exhausted there.
 func TestRelayIsChargedWhereItEntered(t *testing.T) {
 	h := newTestSites(t)
-	near, far, _ := twoSites(t, h, nil)
+	near, far, _ := startTwoSites(t, h, nil)
 	defer h.respondToAll(responseText(200, "", ""))()
 	request := getRequest("GET /visits/new", "X-Licensee: small")
-	for status := 200; status == 200; { // until the far instance has no units left for it
+	for status := 200; status == 200; { // until the customer's quota at the far instance is exhausted
 		status = dial(t, far.addr).roundTrip(request).Status
 	}
 	if status := dial(t, near.addr).roundTrip(request).Status; status != 200 {
-		t.Errorf("a relayed request that is charged: %d", status)
+		t.Errorf("relayed request that the near instance charges: got status %d, want 200", status)
 	}
 }
 
-// No more is relayed at once than the budget allows: the surplus is rejected at once, and one that has ended makes way
-// for another.
+// At most MaxInFlight requests are relayed concurrently. Others are rejected immediately, until one of these has ended.
 func TestRelayLimit(t *testing.T) {
 	h := newTestSites(t)
-	near, _, _ := twoSites(t, h, func(near, _ *RelayConfig) { near.MaxInFlight = 2 })
+	near, _, _ := startTwoSites(t, h, func(near, _ *RelayConfig) { near.MaxInFlight = 2 })
 	for began := time.Now(); time.Since(began) < 300*time.Millisecond; {
-		near.earnRetries(h, 1) // or the engine would take two in flight at one server for an overload
+		near.fillRetryBudget(h, 1) // otherwise the engine treats two in flight at one server as an overload
 	}
 	book := func(key string) *testClient {
 		c := dial(t, near.addr)
@@ -301,7 +303,7 @@
 	second := book("b")
 	atSecond := h.nextRequest()
 	if got := book("c").readResponse(); got.Status != 429 {
-		t.Errorf("a third in flight: %+v", got)
+		t.Errorf("third request in flight: got %+v, want status 429", got)
 	}
 	h.expectNoRequest()
 	atFirst.response <- responseText(201, "", "")
@@ -309,7 +311,7 @@
 	next := book("d")
 	h.nextRequest().response <- responseText(201, "", "")
 	if got := next.readResponse(); got.Status != 201 {
-		t.Errorf("after one has ended: %+v", got)
+		t.Errorf("request after one has ended: got %+v, want status 201", got)
 	}
 	atSecond.response <- responseText(201, "", "")
 	second.readResponse()
--- a/internal/gateway/relayed_request.go
+++ b/internal/gateway/relayed_request.go
@@ -12,21 +12,21 @@
 	"mulleinmux/policy"
 )
 
-// Lower limits of what relative values are divided by.
+// Lower bounds of the divisors of relative values.
 const (
 	minLatencyObjective = 1e-3 // seconds
 	minRelativeValue    = 1e-9
 )
 
-// maxUptime bounds the uptime that a remote instance may tell.
+// maxUptime bounds the uptime that a remote instance may report.
 const maxUptime = 100 * 365 * 24 * time.Hour
 
-// relativeValue is what a class earns for its latency objective, in priority weight a second.
+// relativeValue returns a class's priority weight per second of its latency objective.
 func relativeValue(class *policy.Class) float64 {
 	return class.PriorityWeight / max(class.LatencyObjective.Seconds(), minLatencyObjective)
 }
 
-// acquire decides whether an attempt may be relayed now, and counts it as in flight if so; release ends that. See
+// acquire decides whether an attempt may be relayed now. If so, the attempt counts as in flight until release. See
 // [multisite.RelayBudget].
 func (r *relay) acquire(request *pendingRequest) bool {
 	classes := request.version.table.Classes
@@ -41,20 +41,20 @@
 	return r.budget.Acquire(request.licensee, value, isRetry)
 }
 
-// release ends what acquire began.
+// release records that an attempt admitted by acquire is no longer in flight.
 func (r *relay) release(request *pendingRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.Release(request.licensee)
 }
 
-// attemptRelayID is the id of the attempt under way, as a relayed request.
-func (r *pendingRequest) attemptRelayID() string { return r.trace + "." + strconv.Itoa(r.attempts) }
+// attemptRelayID returns the relay ID of the attempt under way.
+func (r *pendingRequest) attemptRelayID() string { return r.traceID + "." + strconv.Itoa(r.attempts) }
 
-// relayedStatus is what became of a relayed request, as the remote instance reports it.
+// relayedStatus is the execution status of a relayed request, as the remote instance reports it.
 type relayedStatus struct {
 	status   multisite.ExecutionStatus
-	retained *retainedResponse // of one that was executed, where its response was retained
+	retained *retainedResponse // of an executed request; nil: its response was not retained
 }
 
 // isIdempotent reports whether the request may run any number of times.
@@ -62,36 +62,37 @@
 	return r.operation.Class.Idempotency == policy.Idempotent
 }
 
-// statusDeadline decides whether the remote instance is asked what became of a relayed attempt, and until when. If the
-// connection broke, it is, for statusTimeout or to the attempt's own deadline if that is later: the request may have been
-// answered, or may never run, and an idempotent one goes on when this is over. If the attempt timed out, it is where
-// there is time for a further attempt: this one must have ended before.
+// statusDeadline decides whether the remote instance is queried for the status of a relayed attempt, and until when. If
+// the connection broke, it is queried for statusTimeout, or until the attempt's own deadline if that is later: the
+// request may have been answered or may never run, and an idempotent one may be retried after the deadline. If the
+// attempt timed out, the remote instance is queried if there is time for a further attempt, before which this one must
+// have ended.
 func (r *pendingRequest) statusDeadline(
 	now time.Time, a attempt, result policy.Result,
-) (deadline time.Time, isWanted bool) {
-	shortest := attemptDeadline(now, statusTimeout, r.deadline)
+) (deadline time.Time, needsQuery bool) {
+	earliest := attemptDeadline(now, statusTimeout, r.deadline)
 	switch {
-	case result == policy.ConnectionReset && a.deadline.After(shortest):
+	case result == policy.ConnectionReset && a.deadline.After(earliest):
 		return a.deadline, true
 	case result == policy.ConnectionReset:
-		return shortest, true
+		return earliest, true
 	case result == policy.TimedOut && r.deadline.Sub(now) > statusPollInterval:
-		return shortest, true
+		return earliest, true
 	}
 	return time.Time{}, false
 }
 
-// relayedStatusQuery asks a remote instance, over another connection, what became of a relayed attempt.
+// relayedStatusQuery queries a remote instance for the status of a relayed attempt, over another connection.
 type relayedStatusQuery struct {
-	servers  *serverPool
-	control  *attemptControl // of the relayed attempt: what ends that ends the query
-	id       string          // of the relayed attempt
-	begunAt  time.Time       // the relayed attempt
-	server   string          // the remote instance
-	deadline time.Time
+	servers   *serverPool
+	control   *attemptControl // of the relayed attempt; its abort also ends the query
+	id        string          // relay ID of the attempt
+	startedAt time.Time       // when the attempt started
+	server    string          // the remote instance
+	deadline  time.Time
 }
 
-// await asks until the attempt has ended, the query's deadline is over or the request has its answer.
+// await repeats the query until the attempt has ended, the query's deadline has passed or the request has its answer.
 func (q *relayedStatusQuery) await(ctx context.Context) (status relayedStatus, hasEnded bool) {
 	aborted := q.control.awaitAbort()
 	for time.Now().Before(q.deadline) {
@@ -112,20 +113,20 @@
 	return relayedStatus{status: multisite.ExecutionUnknown}, false
 }
 
-// send asks once, and reports whether the attempt has ended: the instance answered, and the request is not executing
-// any more.
+// send sends one query. hasEnded is true if the remote instance has responded and the attempt is not executing any
+// more.
 func (q *relayedStatusQuery) send(ctx context.Context) (result relayedStatus, hasEnded bool) {
 	deadline := attemptDeadline(time.Now(), statusTimeout, q.deadline)
 	var rep response
-	sent := q.servers.exchange(ctx, q.control, q.server, deadline, false, &rep, func(b []byte) []byte {
+	exchangeResult := q.servers.exchange(ctx, q.control, q.server, deadline, false, &rep, func(b []byte) []byte {
 		b = append(b, "GET "+executionStatusPath+" HTTP/1.1\r\nHost: "+executionStatusHost+"\r\n"...)
 		return append(httpwire.AppendField(b, relayIDField, q.id), "\r\n"...)
 	})
-	if sent != policy.OK {
+	if exchangeResult != policy.OK {
 		return relayedStatus{}, false
 	}
 	result.status = multisite.ParseExecutionStatus(rep.head.Get(executionStatusField)).
-		AsTold(parseUptime(rep.head.Get(uptimeField)), time.Since(q.begunAt))
+		AsTold(parseUptime(rep.head.Get(uptimeField)), time.Since(q.startedAt))
 	if result.status == multisite.Executed && rep.head.Status != http.StatusNoContent {
 		result.retained = &retainedResponse{
 			status:      rep.head.Status,
@@ -136,22 +137,23 @@
 	return result, result.status != multisite.Executing
 }
 
-// resolveRelayed decides the result of an attempt without an answer from what became of it at the remote instance. One
-// that never ran there counts as never written, so that a retry is harmless.
-func (r *pendingRequest) resolveRelayed(result policy.Result, became relayedStatus) policy.Result {
+// resolveRelayed decides the result of an attempt without an answer from its status at the remote instance. An attempt
+// that never ran there counts as never written, so that a retry does no harm.
+func (r *pendingRequest) resolveRelayed(result policy.Result, remote relayedStatus) policy.Result {
 	switch {
-	case became.status == multisite.NeverExecuted:
-		r.response.wasWritten = false // as if it had not been written; and the remote instance lives
+	case remote.status == multisite.NeverExecuted:
+		// The attempt counts as not written, as nothing ran, and as rejected, as the remote instance is responsive.
+		r.response.wasWritten = false
 		return policy.RejectedByServer
-	case became.status == multisite.Executed && became.retained != nil:
-		r.response.head = became.retained.head()
-		r.response.body = became.retained.body
+	case remote.status == multisite.Executed && remote.retained != nil:
+		r.response.head = remote.retained.head()
+		r.response.body = remote.retained.body
 		return policy.OK
 	}
 	return result
 }
 
-// serveExecutionStatus answers another site's query of what became of a relayed request.
+// serveExecutionStatus answers another site's query for the status of a relayed request.
 func (c *clientConn) serveExecutionStatus() (isReusable bool) {
 	relay := c.server.instance.relay
 	id, err := relayID(&c.request.requestHead)
@@ -159,7 +161,7 @@
 		return c.rejectBadRequest(err)
 	}
 	relay.mu.Lock()
-	status, answer := relay.arrivals.ResolveStatus(time.Now(), id)
+	status, answer := relay.forwarded.ResolveStatus(time.Now(), id)
 	relay.mu.Unlock()
 	retained, _ := answer.(*retainedResponse)
 	if retained == nil {
@@ -174,15 +176,15 @@
 	return c.writeResponse(b, wholeBody(retained.body))
 }
 
-// appendStatus appends the fields that tell a status, and for how long the instance knows what was relayed to it.
+// appendStatus appends the header fields of a status and of how long the instance has recorded what was relayed to it.
 func (r *relay) appendStatus(b []byte, status multisite.ExecutionStatus) []byte {
 	b = httpwire.AppendField(b, executionStatusField, status.String())
 	b = append(b, uptimeField+": "...)
-	b = appendSeconds(b, time.Since(r.listensSince))
+	b = appendSeconds(b, time.Since(r.listeningSince))
 	return append(b, "\r\n"...)
 }
 
-// parseUptime returns the uptime that a remote instance tells; 0 where it tells none or what can't be read.
+// parseUptime returns the uptime that a remote instance reports, or 0 if it is missing or invalid.
 func parseUptime(text string) time.Duration {
 	seconds, ok := loadreport.ParseDecimal(text)
 	if !ok || !(seconds >= 0 && seconds < maxUptime.Seconds()) {
@@ -191,7 +193,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// relayID returns the id that a relayed request, or a query of one, must have.
+// relayID returns the relay ID of a relayed request or of a status query. Exactly one is required.
 func relayID(head *httpwire.Head) (string, error) {
 	id, count := head.Values(relayIDField)
 	if count != 1 || id == "" {
@@ -200,7 +202,7 @@
 	return id, nil
 }
 
-// acceptRelayed decides whether a relayed request may run here, and records it, or returns why not.
+// acceptRelayed records a relayed request that may run here. Its error rejects one that may not.
 func (c *clientConn) acceptRelayed() error {
 	relay, r := c.server.instance.relay, &c.request
 	id, err := relayID(&r.requestHead)
@@ -209,12 +211,12 @@
 	}
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
-	// A connection carries one after the other: the last answer has been read.
+	// Requests on a connection are sequential, so the other instance has read the answer to the previous one.
 	if c.lastRelayID != "" && c.lastRelayID != id {
-		relay.arrivals.Acknowledge(c.lastRelayID)
+		relay.forwarded.Acknowledge(c.lastRelayID)
 	}
 	c.lastRelayID = id
-	status, isAdmitted := relay.arrivals.Admit(time.Now(), id)
+	status, isAdmitted := relay.forwarded.Admit(time.Now(), id)
 	if !isAdmitted {
 		return relayRejection(status)
 	}
@@ -222,16 +224,16 @@
 	return nil
 }
 
-// relayRejection decides the answer to a relayed request that is not admitted, from its status: one that never runs may
-// be sent elsewhere; a repeated one may have run.
+// relayRejection decides the answer to a relayed request that is not admitted, from its status: a request that never
+// runs may be sent elsewhere; a repeated one may have run.
 func relayRejection(status multisite.ExecutionStatus) *badRequest {
 	if status == multisite.NeverExecuted {
 		return &badRequest{status: http.StatusConflict, text: textVoided}
 	}
-	return &badRequest{status: http.StatusBadGateway, text: textRepeated, mayRun: true}
+	return &badRequest{status: http.StatusBadGateway, text: textRepeated, mayHaveRun: true}
 }
 
-// finishRelayed records what became of a relayed request that has its final answer.
+// finishRelayed records the status of a relayed request that has its final answer.
 func (c *clientConn) finishRelayed() {
 	relay, r := c.server.instance.relay, &c.request
 	status := r.finalExecutionStatus()
@@ -246,30 +248,30 @@
 	}
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
-	relay.arrivals.Complete(time.Now(), r.relayID, status, answer)
+	relay.forwarded.Complete(time.Now(), r.relayID, status, answer)
 }
 
-// finalExecutionStatus decides what the other site is told of a relayed request that has its final answer. "Never
-// executed" is a promise: it holds only if no attempt may have run.
+// finalExecutionStatus decides the status that is reported to the other site for a relayed request that has its final
+// answer. NeverExecuted is a guarantee, which requires that no attempt may have run.
 func (r *pendingRequest) finalExecutionStatus() multisite.ExecutionStatus {
 	switch {
 	case r.answer == served:
 		return multisite.Executed
-	case !r.mayRun:
+	case !r.mayHaveRun:
 		return multisite.NeverExecuted
 	}
 	return multisite.ExecutionUnknown
 }
 
-// isRetainable decides whether the response is retained to be given again later: one of at most maxRetainedBody bytes
-// that has a body of its own.
+// isRetainable decides whether the response is retained for status queries: its body has at most maxRetainedBody bytes,
+// and its method and status allow a body.
 func (r *pendingRequest) isRetainable() bool {
 	status := r.response.head.Status
 	return len(r.response.body) <= maxRetainedBody && r.requestHead.Method != http.MethodHead &&
 		status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// writeNeverRan answers a relayed request that did not run here. retryAfter is 0 where there is none.
+// writeNeverRan answers a relayed request that did not run here. A retryAfter of 0 sends no Retry-After.
 func (c *clientConn) writeNeverRan(text string, retryAfter time.Duration) (isReusable bool) {
 	b := c.appendStatusLine(http.StatusServiceUnavailable, "Service Unavailable")
 	b = httpwire.AppendField(b, neverRanField, neverRanValue)
@@ -277,14 +279,14 @@
 	return c.writeResponse(b, wholeBody([]byte(text+"\n")))
 }
 
-// retainedResponse is what is retained of the response to a relayed request.
+// retainedResponse is the part of a relayed request's response that is retained for status queries.
 type retainedResponse struct {
 	status      int
 	contentType string // empty: it had none
 	body        []byte
 }
 
-// head returns the head of a response that gives a retained one again.
+// head returns the response head that corresponds to the retained response.
 func (r *retainedResponse) head() httpwire.Head {
 	head := httpwire.Head{Status: r.status, Reason: http.StatusText(r.status), Length: int64(len(r.body))}
 	if r.contentType != "" {
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -34,17 +34,16 @@
 	}
 }
 
-// A description that changes while a keyed request waits for its second attempt does not
-// touch it: it keeps class, version and price, and is charged once. A retry of the same
-// client under the new version is charged at the new price. Servers of the keyed
-// request's own site alone get the second attempt.
+// A change of the description does not affect a keyed request that waits for its second attempt: it keeps its class,
+// version and cost, and is charged once. The second attempt goes only to servers of the first attempt's site. A retry
+// by the client under the new version is charged the new cost.
 func TestDescriptionChangesInFlight(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s0")
 	h.startServer("site-a", "s1")
 	h.startServer("site-b", "s2")
 	g := startInstance(t, h, 3, nil)
-	g.earnRetries(h, 40)
+	g.fillRetryBudget(h, 40)
 	for i := range 3 {
 		book := func(trace string) string {
 			return postRequest("POST /visits", `{"installers": 7}`, "Idempotency-Key: k"+strconv.Itoa(i),
@@ -58,33 +57,32 @@
 		first.response <- responseText(500, "", "") // it may have run
 		h.expectSecondAttempt(first, c)
 		if units, sent, _ := g.totals(); units != int64(40+27*i+7) || sent != int64(40+2*i+1) {
-			t.Fatalf("round %d: %d units of %d requests", i, units, sent)
+			t.Fatalf("round %d: got %d units for %d requests, each charged once at its version's cost", i, units, sent)
 		}
 		c.send(book("u"))
 		h.expectNonIdempotent(changedNumber, c)
 		// An operation that the new version lacks is not found.
 		if r := c.roundTrip(getRequest("GET /slots?days=1")); r.Status != 404 {
-			t.Errorf("an operation that has gone: %+v", r)
+			t.Errorf("operation that the new version lacks: got %+v, want status 404", r)
 		}
 		g.install(t, changedNumber+1, description)
 	}
 }
 
-// expectSecondAttempt expects the second attempt of a request, as the first one and at the same site, and has it
-// served.
+// expectSecondAttempt expects a second attempt that equals the first one, at the same site, and answers it.
 func (h *testSites) expectSecondAttempt(first *receivedRequest, c *testClient) {
 	h.t.Helper()
 	second := h.nextRequest()
 	if site := strings.Split(first.server, "/")[0]; !strings.HasPrefix(second.server, site) {
-		h.t.Errorf("first at %s, then at %s", first.server, second.server)
+		h.t.Errorf("first attempt at %s, second at %s; want the same site", first.server, second.server)
 	}
 	if v := second.header.Get("X-Mulleinmux-Version"); v != first.header.Get("X-Mulleinmux-Version") ||
 		second.line != first.line || second.body != first.body {
-		h.t.Errorf("sent again as %s, version %s, %q", second.line, v, second.body)
+		h.t.Errorf("second attempt: got %s, version %s, body %q; want those of the first", second.line, v, second.body)
 	}
 	second.response <- responseText(200, "", "ok")
 	if r := c.readResponse(); r.Status != 200 {
-		h.t.Errorf("answer %+v", r)
+		h.t.Errorf("retried request: got %+v, want status 200", r)
 	}
 }
 
@@ -93,16 +91,16 @@
 	h.t.Helper()
 	only := h.nextRequest()
 	if v := only.header.Get("X-Mulleinmux-Version"); v != strconv.FormatUint(version, 10) {
-		h.t.Errorf("retried under version %s", v)
+		h.t.Errorf("request under the wrong version: got %s", v)
 	}
 	only.response <- responseText(500, "", "")
 	if r := c.readResponse(); r.Status != 502 {
-		h.t.Errorf("answer %+v", r)
+		h.t.Errorf("request that may have run: got %+v, want status 502", r)
 	}
 	h.expectNoRequest()
 }
 
-// A request of an operation that a new version lacks is finished.
+// A request in flight is finished even if a new version lacks its operation.
 func TestRemovedOperationFinishes(t *testing.T) {
 	h, g, c := startWithServer(t)
 	c.send(getRequest("GET /slots?days=4"))
@@ -110,14 +108,14 @@
 	g.install(t, 2, changedDescription)
 	a.response <- responseText(200, "", "late")
 	if r := c.readResponse(); r.Status != 200 || r.Body != "late" {
-		t.Errorf("%+v", r)
+		t.Errorf("request of a removed operation: got %+v, want status 200, body late", r)
 	}
 	if units, _, answers := g.totals(); units != 4 || answers != 1 {
-		t.Errorf("%d units, %d answers", units, answers)
+		t.Errorf("counters: got %d units, %d answers; want 4 and 1", units, answers)
 	}
 }
 
-// invalidChanges make setups that an instance must reject.
+// invalidChanges change a setup so that an instance must reject it.
 var invalidChanges = map[string]func(*Setup){
 	"a site twice":        func(s *Setup) { s.Sites = append(s.Sites, s.Sites[0]) },
 	"a plan twice":        func(s *Setup) { s.Plans = append(s.Plans, s.Plans[0]) },
@@ -129,14 +127,14 @@
 	"neither sites nor plans": func(s *Setup) { s.Sites, s.Plans = nil, nil },
 }
 
-// change puts a setup in force that differs from the configuration's.
-func (r *testInstance) change(number uint64, change func(*Setup)) error {
+// installChanged installs the configuration's setup with a change.
+func (r *testInstance) installChanged(number uint64, change func(*Setup)) error {
 	s := r.cfg.Setup(number, nil, nil)
 	change(&s)
 	return r.Install(s)
 }
 
-// expectServedAt has requests served, all at servers of a site.
+// expectServedAt sends requests and expects that servers of a site receive all of them.
 func (h *testSites) expectServedAt(c *testClient, site string) {
 	h.t.Helper()
 	for range 8 {
@@ -144,14 +142,13 @@
 		a := h.nextRequest()
 		a.response <- responseText(200, "", "ok")
 		if r := c.readResponse(); r.Status != 200 || !strings.HasPrefix(a.server, site) {
-			h.t.Fatalf("%+v at %s, want %s", r, a.server, site)
+			h.t.Fatalf("got %+v from server %s, want status 200 from site %s", r, a.server, site)
 		}
 	}
 }
 
-// Sites, licensees and plans change while the instance runs: a site that goes takes its
-// servers along, one that comes is used, a licensee's new plan holds from its next request,
-// and what can't be leaves all as it was.
+// Sites, licensees and plans may change while the instance runs: the servers of a removed site are no longer used,
+// those of an added site are, and a licensee's new plan applies from its next request. An invalid change has no effect.
 func TestSitesAndPlansChange(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s0")
@@ -159,11 +156,11 @@
 	g := startInstance(t, h, 2, nil)
 	c := dial(t, g.addr)
 	h.expectServedAt(c, "") // at any
-	if err := g.change(2, func(s *Setup) { s.Sites = s.Sites[1:] }); err != nil || g.Version() != 2 {
+	if err := g.installChanged(2, func(s *Setup) { s.Sites = s.Sites[1:] }); err != nil || g.Version() != 2 {
 		t.Fatal(err)
 	}
 	h.expectServedAt(c, "site-b")
-	if err := g.change(3, func(s *Setup) { s.Sites = s.Sites[:1] }); err != nil {
+	if err := g.installChanged(3, func(s *Setup) { s.Sites = s.Sites[:1] }); err != nil {
 		t.Fatal(err)
 	}
 	if err := g.AwaitServers(context.Background(), 1, testTimeout); err != nil {
@@ -172,21 +169,21 @@
 	h.expectServedAt(c, "site-a")
 	for name, change := range invalidChanges {
 		t.Run(name, func(t *testing.T) {
-			if err := g.change(9, change); err == nil || g.Version() != 3 {
-				t.Errorf("is accepted: version %d", g.Version())
+			if err := g.installChanged(9, change); err == nil || g.Version() != 3 {
+				t.Errorf("the invalid setup was accepted or the version changed: got version %d, want 3", g.Version())
 			}
 		})
 	}
 	h.expectServedAt(c, "site-a")
 	// The licensee moves to a plan of three units.
-	if err := g.change(4, func(s *Setup) {
+	if err := g.installChanged(4, func(s *Setup) {
 		s.Sites = s.Sites[:1]
 		s.Licensees = map[string]Licensee{"honest": {"tight", 1}}
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if r := c.roundTrip(getRequest("GET /slots?days=7")); r.Status != 429 {
-		t.Errorf("%+v", r)
+		t.Errorf("request over the new plan's burst: got %+v, want status 429", r)
 	}
 }
 
