--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -8,71 +8,71 @@
 	"mulleinmux/routing"
 )
 
-// pendingRequest is a client's request until it has its final answer.
+// pendingRequest is a client's request that has no final answer yet.
 type pendingRequest struct {
-	id              string // the engine's
-	trace           string // X-Trace-Id
+	id              string // that the engine uses
+	traceID         string // X-Trace-Id
 	requestHead     httpwire.Head
 	body            []byte
-	version         *version      // in force when it was matched: it keeps it
-	confirmationAge time.Duration // of the version's last confirmation, then
+	version         *version      // in force when the request was matched; the request keeps this version
+	confirmationAge time.Duration // time since the version's last confirmation when the request was matched
 	operation       *routing.Operation
 	counters        *Counters
 	licensee        string
 	units           int
 	deadline        time.Time
-	wasSent         bool // an attempt was written whole
-	hasKeyOwner     bool // it has an idempotency key, and one site owns that
+	wasSent         bool // an attempt was written completely
+	hasKeyOwner     bool // it has an idempotency key that is owned by one site
 	key             uint64
-	mayRun          bool // an attempt may have run
+	mayHaveRun      bool // an attempt may have run
 
-	cameByRelay bool   // another site's instance relayed it
-	relayID     string // set if cameByRelay
-	isRelayed   bool   // the attempt under way goes to another site's instance
+	isFromRelay bool   // another site's instance relayed the request to this one
+	relayID     string // set if isFromRelay
+	isRelayed   bool   // the current attempt is sent to another site's instance
 
-	// Under the instance's mutex:
-	isAnswered   bool // answer is final
+	// Guarded by the instance's mutex:
+	isAnswered   bool // answer is set and final
 	answer       outcome
-	retryAfter   time.Duration   // of a rejection; 0: none
-	keyRejection string          // why its key made it a rejection; empty: it did not
-	next         attempt         // asked for and not begun
-	hasNext      bool            // next is set
-	current      *attemptControl // the attempt under way
+	retryAfter   time.Duration   // of a rejection; 0: no Retry-After
+	keyRejection string          // why the idempotency key caused the rejection; empty: it did not
+	nextAttempt  attempt         // requested by the engine and not begun yet
+	hasNext      bool            // nextAttempt is set
+	current      *attemptControl // of the current attempt
 	attempts     int
-	isWaiting    bool // its goroutine waits for wake
+	isWaiting    bool // the request's goroutine waits for wake
 	wake         chan struct{}
 	response     response // of the latest attempt
 
-	recorder *traceRecorder // nil: no trace is wanted
+	recorder *traceRecorder // nil: tracing is off
 }
 
-// reset makes the request ready for the next one on its connection. Nothing else may use it any more.
-func (r *pendingRequest) reset(cameByRelay bool) {
+// reset prepares the struct for the next request on its connection. No other goroutine may still use the struct.
+func (r *pendingRequest) reset(isFromRelay bool) {
 	r.body, r.current, r.attempts = nil, nil, 0
 	r.isAnswered, r.hasNext, r.isWaiting = false, false, false
-	r.wasSent, r.mayRun, r.isRelayed = false, false, false
-	r.cameByRelay, r.keyRejection, r.recorder = cameByRelay, "", nil
+	r.wasSent, r.mayHaveRun, r.isRelayed = false, false, false
+	r.isFromRelay, r.keyRejection, r.recorder = isFromRelay, "", nil
 	select {
-	case <-r.wake: // sent just as the last request's deadline ended its wait
+	case <-r.wake: // sent while the previous request's wait ended at its deadline
 	default:
 	}
 }
 
-// requestStep is what a request's goroutine does next.
+// requestStep is the next step of a request's goroutine.
 type requestStep struct {
 	action  stepAction
-	attempt attempt // of stepSend
+	attempt attempt // set for stepSend
 }
 
 type stepAction int
 
 const (
-	stepWait   stepAction = iota // until the engine has decided
-	stepSend                     // an attempt
-	stepAnswer                   // the client: the answer is final
+	stepWait   stepAction = iota // wait for a decision of the engine
+	stepSend                     // send an attempt
+	stepAnswer                   // send the final answer to the client
 )
 
-// takeNextStep returns what the request's goroutine does next. Called under the instance's mutex.
+// takeNextStep returns the next step of the request's goroutine. The caller must hold the instance's mutex.
 func (r *pendingRequest) takeNextStep() requestStep {
 	hasNext := r.hasNext
 	r.hasNext = false
@@ -83,12 +83,12 @@
 	case hasNext:
 		r.current = &attemptControl{}
 		r.attempts++
-		return requestStep{action: stepSend, attempt: r.next}
+		return requestStep{action: stepSend, attempt: r.nextAttempt}
 	}
 	return requestStep{action: stepWait}
 }
 
-// outcome says how a request ended.
+// outcome is the kind of a request's final answer.
 type outcome int
 
 const (
@@ -97,21 +97,21 @@
 	failed
 )
 
-// String returns the word that access log and figures have for an outcome.
+// String returns the outcome's name in the access log and in metrics.
 func (o outcome) String() string { return outcomeTexts[o] }
 
-// requestSource is the connection that a request came on.
+// requestSource is the connection on which a request was received.
 type requestSource interface {
-	// hasDisconnected reports whether the client, or the other site's instance that has relayed the request, has closed
-	// its connection, whatever watchClose has seen.
+	// hasDisconnected reports whether the client, or the other site's instance that relayed the request, has closed the
+	// connection, even if watchClose has not noticed it yet.
 	hasDisconnected() bool
 
-	// watchClose calls onClose once if another site's instance, which has relayed the request, has closed its connection,
-	// before it returns, or closes it, until stop is called.
+	// watchClose calls onClose once if the other site's instance that relayed the request closes the connection before
+	// stop is called. If the connection is closed already, onClose is called before watchClose returns.
 	watchClose(onClose func()) (stop func())
 }
 
-// serveRequest takes a request to its final answer.
+// serveRequest carries out a request until it has its final answer.
 func (in *Instance) serveRequest(r *pendingRequest, engineRequest policy.Request, source requestSource) {
 	step := in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) {
 		in.admit(r, engineRequest, now, out)
@@ -126,8 +126,8 @@
 	in.host.handleEvent(func(time.Duration, policy.Actions) { in.requests.remove(r) })
 }
 
-// handleRequestEvent runs an event of one request, then what its actions left to do, and returns what the request's
-// goroutine does next.
+// handleRequestEvent runs an event of one request, then the functions that its actions deferred, and returns the next
+// step of the request's goroutine.
 func (in *Instance) handleRequestEvent(r *pendingRequest, event engineEvent) requestStep {
 	host := &in.host
 	host.mu.Lock()
@@ -142,8 +142,7 @@
 	return step
 }
 
-// awaitDecision waits until the engine has decided what comes next for a request. One for which it decides nothing
-// in time fails.
+// awaitDecision waits for the engine's next decision on a request. The request fails if there is none by its deadline.
 func (in *Instance) awaitDecision(r *pendingRequest) requestStep {
 	timeout := time.NewTimer(time.Until(r.deadline))
 	defer timeout.Stop()
@@ -153,13 +152,13 @@
 	case <-timeout.C:
 	case <-in.ctx.Done():
 	}
-	return in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) { // the engine gave no answer in time
+	return in.handleRequestEvent(r, func(now time.Duration, out policy.Actions) { // no decision by the deadline
 		in.host.recordLateness(in.host.reading(r.deadline), now)
 		in.abandonEvent(r)(now, out)
 	})
 }
 
-// abandonEvent fails a request whose answer nobody waits for any more, and ends its attempt in flight.
+// abandonEvent returns the event that fails a request whose answer is no longer awaited and ends its attempt in flight.
 func (in *Instance) abandonEvent(r *pendingRequest) engineEvent {
 	return func(now time.Duration, out policy.Actions) {
 		in.answer(r, failed, 0)
@@ -167,15 +166,16 @@
 	}
 }
 
-// admit records a request and brings it to the engine, unless no site owns its key now. Called under the mutex.
+// admit records a request and passes it to the engine. A request whose key has no available owner is rejected instead.
+// The caller must hold the instance's mutex.
 func (in *Instance) admit(r *pendingRequest, engineRequest policy.Request, now time.Duration, out policy.Actions) {
 	in.requests.add(r)
 	engineRequest.ID = r.id
-	if r.cameByRelay { // nothing is relayed twice
+	if r.isFromRelay { // a request is relayed at most once
 		engineRequest.Zone, engineRequest.IsCharged = in.relay.config.Own[0], true
 	}
 	if r.hasKeyOwner {
-		decision := in.sites.routeKey(now, r.key, r.cameByRelay)
+		decision := in.sites.routeKey(now, r.key, r.isFromRelay)
 		if decision.Site == "" {
 			r.keyRejection = decision.Reason
 			in.answer(r, rejected, keyRejectionWait(decision.RetryAfter, in.config.Settings.MaxRetryAfter))
@@ -186,23 +186,23 @@
 	in.host.engine.RequestReceived(now, engineRequest, out)
 }
 
-// answer gives a request its final answer unless it has one. Called under the mutex.
+// answer sets the final answer of a request unless it has one. The caller must hold the instance's mutex.
 func (in *Instance) answer(r *pendingRequest, result outcome, retryAfter time.Duration) {
 	if r.isAnswered {
 		return
 	}
 	r.isAnswered, r.answer, r.retryAfter = true, result, retryAfter
 	r.recorder.answerDecided(result)
-	if r.current != nil { // no response to the attempt in flight counts any more
+	if r.current != nil { // the response to the attempt in flight is no longer needed
 		in.host.afterEvent(r.current.abort)
 	}
 	r.wakeUp()
 }
 
-// wakeUp ends the wait of the request's goroutine, if it waits. Called under the instance's mutex.
+// wakeUp wakes the request's goroutine if it waits in awaitDecision. The caller must hold the instance's mutex.
 func (r *pendingRequest) wakeUp() {
 	if r.isWaiting {
 		r.isWaiting = false
-		r.wake <- struct{}{} // never blocks: its buffer holds one, and one is sent for each wait
+		r.wake <- struct{}{} // never blocks: the channel buffers one value, and each wait gets one
 	}
 }
--- a/internal/gateway/request_parse.go
+++ b/internal/gateway/request_parse.go
@@ -14,11 +14,11 @@
 	"mulleinmux/routing"
 )
 
-// parse finds a request's operation and what the engine must know of it. The version in force is read once: the
-// request keeps it.
+// parse matches a request to its operation and returns the request as the engine needs it. The version in force is read
+// once, and the request keeps it.
 func (s *clientServer) parse(r *pendingRequest, receivedAt time.Time) (policy.Request, error) {
 	var err error
-	if r.version, r.confirmationAge, err = s.instance.versions.take(time.Now()); err != nil {
+	if r.version, r.confirmationAge, err = s.instance.versions.forRequest(time.Now()); err != nil {
 		return policy.Request{}, err
 	}
 	path, query, _ := strings.Cut(r.requestHead.Target, "?")
@@ -26,14 +26,14 @@
 		return policy.Request{}, err
 	}
 	call := routing.Request{Query: query, Header: &r.requestHead, Body: r.body}
-	if err := r.checkCall(call); err != nil {
+	if err := r.chargeAndValidate(call); err != nil {
 		return policy.Request{}, err
 	}
 	licensee, err := r.identifyLicensee()
 	if err != nil {
 		return policy.Request{}, err
 	}
-	if err := r.takeTrace(); err != nil {
+	if err := r.setTraceID(); err != nil {
 		return policy.Request{}, err
 	}
 	timeout, err := r.clientTimeout()
@@ -42,20 +42,20 @@
 	}
 	r.hasKeyOwner = s.instance.sites.keys != nil && r.operation.KeySource.In != routing.InNowhere
 	if r.hasKeyOwner {
-		r.key = keyNumber(r.licensee, r.operation.ReadKey(call, path))
+		r.key = hashKey(r.licensee, r.operation.ReadKey(call, path))
 	}
 	return policy.Request{
 		Class:         r.operation.Class.Name,
 		Plan:          licensee.Plan,
 		Customer:      licensee.Customer,
-		Timeout:       timeout - clientTransit - time.Since(receivedAt),
+		Timeout:       timeout - clientTransitTime - time.Since(receivedAt),
 		Units:         float64(r.units),
 		InstanceCount: s.instance.config.Settings.InstanceCount,
 	}, nil
 }
 
-// checkCall reads what the request costs and checks it against its operation's description.
-func (r *pendingRequest) checkCall(call routing.Request) (err error) {
+// chargeAndValidate sets the request's cost in units and validates the request against its operation's description.
+func (r *pendingRequest) chargeAndValidate(call routing.Request) (err error) {
 	if r.units, err = r.operation.Charge(call); err != nil {
 		return err
 	}
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// match finds the operation of a request whose target can be read in one way only.
+// match finds the operation of a request. It returns an error if servers could interpret the method or the target
+// differently.
 func (r *pendingRequest) match(path, query string) error {
 	head, table := &r.requestHead, r.version.table
 	if reason := table.CheckPath(path); reason != "" {
@@ -78,8 +79,8 @@
 	if strings.IndexByte(query, '#') >= 0 {
 		return &badRequest{status: http.StatusBadRequest, text: "the target has a fragment"}
 	}
-	if head.Nominated {
-		// A field that Connection names is dropped on the way: the cost could stand in it.
+	if head.NamesConnectionFields {
+		// Intermediaries drop the fields that Connection names, and the cost could depend on such a field.
 		return &badRequest{status: http.StatusBadRequest,
 			text: "Connection: names other fields than close and keep-alive"}
 	}
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// identifyLicensee finds the customer that the request names.
+// identifyLicensee returns the licensee that the request names.
 func (r *pendingRequest) identifyLicensee() (Licensee, error) {
 	name, n := r.requestHead.Values(licenseeField)
 	r.licensee = name
@@ -113,27 +114,27 @@
 	return licensee, nil
 }
 
-// takeTrace takes the request's trace id, or makes one.
-func (r *pendingRequest) takeTrace() error {
+// setTraceID sets the trace ID from the request's header, or a new one if there is no such header.
+func (r *pendingRequest) setTraceID() error {
 	trace, n := r.requestHead.Values(traceIDField)
-	r.trace = trace
+	r.traceID = trace
 	switch {
 	case n == 0:
-		r.trace = newTrace()
-	case n > 1 || !validTrace(trace):
+		r.traceID = newTraceID()
+	case n > 1 || !isValidTraceID(trace):
 		return &badRequest{status: http.StatusBadRequest, text: traceIDField + ": malformed"}
 	}
 	return nil
 }
 
-// newTrace makes an id for a request that came without one.
-func newTrace() string {
+// newTraceID returns a random trace ID.
+func newTraceID() string {
 	var b [16]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// clientTimeout decides how long the client waits: what X-Expires-In says, but no longer than the class's deadline.
+// clientTimeout returns the timeout of the request: the value of X-Expires-In, limited to the class's deadline.
 func (r *pendingRequest) clientTimeout() (time.Duration, error) {
 	timeout := r.operation.Class.Deadline
 	text, n := r.requestHead.Values(timeoutField)
@@ -150,8 +151,8 @@
 	return timeout, nil
 }
 
-// keyNumber gives a licensee's key its number, the same at every instance (FNV-1a).
-func keyNumber(licensee, key string) uint64 {
+// hashKey returns the FNV-1a hash of a licensee's idempotency key, which is the same at all instances.
+func hashKey(licensee, key string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(licensee))
 	hash.Write([]byte{0})
@@ -159,12 +160,12 @@
 	return hash.Sum64()
 }
 
-// overridingFields make some servers take a request for another than its request line says.
+// overridingFields are header fields that some servers use in place of the method or target in the request line.
 var overridingFields = [...]string{
 	"X-HTTP-Method", "X-Method-Override", "X-HTTP-Method-Override", "X-Original-URL", "X-Rewrite-URL",
 }
 
-// checkOverrides returns an error if a server could take the request for another than its request line says.
+// checkOverrides returns an error if a server could use a method or target other than that of the request line.
 func checkOverrides(head *httpwire.Head, query string) error {
 	for i := range head.Fields {
 		if field := overridingField(head.Fields[i].Name); field != "" {
@@ -178,7 +179,8 @@
 	return nil
 }
 
-// overridingField returns which of overridingFields a name is, or "". Servers read "_" in a name as "-".
+// overridingField returns the element of overridingFields that a field name matches, or "". Some servers treat "_" in a
+// name as "-".
 func overridingField(name string) string {
 	for _, field := range overridingFields {
 		if len(field) != len(name) {
@@ -191,8 +193,8 @@
 	return ""
 }
 
-// validTrace reports whether a trace id is one word of letters, digits and "-_.", of 64 bytes at most.
-func validTrace(id string) bool {
+// isValidTraceID reports whether id consists of 1 to 64 ASCII letters, digits, "-", "_" and ".".
+func isValidTraceID(id string) bool {
 	for i := range len(id) {
 		c := id[i]
 		if !('0' <= c && c <= '9' || 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || c == '-' || c == '_' || c == '.') {
--- a/internal/gateway/request_table.go
+++ b/internal/gateway/request_table.go
@@ -2,13 +2,13 @@
 
 import "strconv"
 
-// requestTable has the requests without a final answer, and numbers them. The mutex of engineHost guards it.
+// requestTable holds the pending requests and assigns their IDs. It is guarded by engineHost.mu.
 type requestTable struct {
 	byID       map[string]*pendingRequest
 	lastNumber uint64
 }
 
-// add gives a request the engine's ID for it and records it.
+// add assigns the ID that the engine uses to a request and records the request.
 func (t *requestTable) add(r *pendingRequest) {
 	t.lastNumber++
 	var digits [20]byte
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -10,75 +10,75 @@
 	"mulleinmux/policy"
 )
 
-// RequestTrace is a request's way through one instance: its steps with their times. Instances of one machine share a
-// clock, so that the traces of a relayed request at both its instances can be put side by side: Trace is the same in
-// both, and RelayID names the near instance's attempt.
+// RequestTrace records the steps of a request at one instance, with their times. Instances on one machine share a
+// clock, so that the traces of a relayed request at its two instances can be compared: Trace is the same in both, and
+// RelayID identifies the attempt of the relaying instance.
 type RequestTrace struct {
 	Instance     string      `json:"instance"`
 	Trace        string      `json:"trace"` // X-Trace-Id
 	RelayID      string      `json:"relay_id,omitempty"`
 	Operation    string      `json:"operation"`
 	Idempotent   bool        `json:"idempotent"` // it may run any number of times
-	Deadline     time.Time   `json:"deadline"`   // of its answer
+	Deadline     time.Time   `json:"deadline"`   // for the answer
 	Steps        []TraceStep `json:"steps"`
-	DroppedSteps int         `json:"dropped_steps,omitempty"` // those beyond maxTraceSteps
+	DroppedSteps int         `json:"dropped_steps,omitempty"` // number of steps beyond maxTraceSteps
 }
 
 // TraceStep is one step of a request.
 type TraceStep struct {
 	At      time.Time `json:"at"`
 	Kind    StepKind  `json:"step"`
-	Attempt int       `json:"attempt,omitempty"` // from 1 on; 0: the step is of no attempt
+	Attempt int       `json:"attempt,omitempty"` // from 1; 0: the step belongs to no attempt
 	Server  string    `json:"server,omitempty"`
 	Relayed bool      `json:"relayed,omitempty"` // the server is an instance of another site
 	Detail  string    `json:"detail,omitempty"`  // see StepKind
 }
 
-// StepKind is what happened in a step.
+// StepKind is the kind of a step.
 type StepKind string
 
-// The steps of a request, in the order in which they come.
+// The kinds of steps, in the order in which they occur.
 const (
-	StepReceived       StepKind = "received"          // its head was read
-	StepBegun          StepKind = "attempt begun"     // its server is chosen
-	StepWritten        StepKind = "attempt written"   // its last byte
-	StepConnClosed     StepKind = "connection closed" // to the server, behind the exchange; detail: the exchange's result
-	StepStatusAsked    StepKind = "status asked"      // of a relayed attempt that ended without an answer
-	StepStatusTold     StepKind = "status told"       // detail: the far instance's answer
-	StepStatusUnknown  StepKind = "status unknown"    // the far instance did not say that it has ended in time
-	StepEnded          StepKind = "attempt ended"     // detail: its result
-	StepClosedByPeer   StepKind = "closed by peer"    // the near instance gave the relayed request up
+	StepReceived       StepKind = "received"          // the request's head was read
+	StepBegun          StepKind = "attempt begun"     // the attempt's server was chosen
+	StepWritten        StepKind = "attempt written"   // the attempt's last byte was written
+	StepConnClosed     StepKind = "connection closed" // to the server, after the exchange; detail: the exchange's result
+	StepStatusAsked    StepKind = "status asked"      // status query for a relayed attempt that ended without an answer
+	StepStatusTold     StepKind = "status told"       // detail: the status that the remote instance reported
+	StepStatusUnknown  StepKind = "status unknown"    // the remote instance did not report the attempt's end in time
+	StepEnded          StepKind = "attempt ended"     // detail: the attempt's result
+	StepClosedByPeer   StepKind = "closed by peer"    // the relaying instance gave up the relayed request
 	StepAnswerDecided  StepKind = "answer decided"    // detail: the outcome
-	StepAnswerWritten  StepKind = "answer written"    // detail: its status
-	StepAnswerNotTaken StepKind = "answer not taken"  // it could not be written; detail: its status
+	StepAnswerWritten  StepKind = "answer written"    // detail: the HTTP status
+	StepAnswerNotTaken StepKind = "answer not taken"  // the answer could not be written; detail: the HTTP status
 )
 
 // maxTraceSteps bounds the memory of a trace.
 const maxTraceSteps = 128
 
-// traceRecorder records the steps of one request. A nil recorder records nothing, at no cost.
+// traceRecorder records the steps of one request. A nil recorder records nothing and allocates nothing.
 type traceRecorder struct {
 	mu    sync.Mutex
 	trace RequestTrace // guarded by mu
 }
 
-// newTraceRecorder returns a recorder for a request that has been matched, or nil if no traces are wanted.
+// newTraceRecorder returns a recorder for a request that has been matched, or nil if tracing is off.
 func (in *Instance) newTraceRecorder(r *pendingRequest, receivedAt time.Time) *traceRecorder {
 	if in.config.Trace == nil {
 		return nil
 	}
 	t := &traceRecorder{trace: RequestTrace{
-		Instance: in.config.Name, Trace: r.trace, RelayID: r.relayID, Operation: r.operation.ID,
+		Instance: in.config.Name, Trace: r.traceID, RelayID: r.relayID, Operation: r.operation.ID,
 		Idempotent: r.isIdempotent(), Deadline: r.deadline,
 	}}
-	if !r.cameByRelay {
+	if !r.isFromRelay {
 		t.trace.RelayID = ""
 	}
 	t.add(TraceStep{At: receivedAt, Kind: StepReceived})
 	return t
 }
 
-// add records a step; one without a time happens now.
+// add records a step. A zero time is set to the current time.
 func (t *traceRecorder) add(step TraceStep) {
 	if t == nil {
 		return
@@ -95,7 +95,7 @@
 	t.trace.Steps = append(t.trace.Steps, step)
 }
 
-// attemptExchanged records the steps of an attempt whose exchange with its server is over.
+// attemptExchanged records the steps of an attempt whose exchange with its server has ended.
 func (t *traceRecorder) attemptExchanged(number int, a attempt, rep *response, result policy.Result) {
 	if t == nil {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// attemptEnded records the result of an attempt, whether it was sent or not.
+// attemptEnded records the result of an attempt, whether or not it was sent.
 func (t *traceRecorder) attemptEnded(number int, a attempt, result policy.Result) {
 	if t == nil {
 		return
@@ -124,7 +124,7 @@
 	t.add(TraceStep{Kind: StepAnswerDecided, Detail: result.String()})
 }
 
-// statusResolved records what a far instance said of a relayed attempt.
+// statusResolved records the result of the status query for a relayed attempt.
 func (t *traceRecorder) statusResolved(number int, server string, status multisite.ExecutionStatus, hasEnded bool) {
 	if t == nil {
 		return
@@ -136,8 +136,8 @@
 	t.add(step)
 }
 
-// finish hands the trace on, once the answer was written or could not be.
-func (t *traceRecorder) finish(status int, isWritten bool, handOn func(RequestTrace)) {
+// finish records that the answer was written or could not be, and delivers the trace.
+func (t *traceRecorder) finish(status int, isWritten bool, deliver func(RequestTrace)) {
 	if t == nil {
 		return
 	}
@@ -148,20 +148,20 @@
 	t.add(step)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	handOn(t.trace)
+	deliver(t.trace)
 }
 
-// TraceLog writes a line of JSON for each request's trace. It never holds a request up: a line that finds the queue
-// full is dropped and counted.
+// TraceLog writes a line of JSON for each request's trace. It never blocks a request: a line is dropped and counted if
+// the queue is full.
 type TraceLog struct{ log *lineLog[RequestTrace] }
 
-// NewTraceLog starts a log on w. Close ends it.
+// NewTraceLog starts a log that writes to w. Close stops it.
 func NewTraceLog(w io.Writer) *TraceLog { return &TraceLog{newLineLog[RequestTrace](w)} }
 
-// Record takes a trace; it is a [Config.Trace].
+// Record queues a trace. It can be used as [Config.Trace].
 func (l *TraceLog) Record(trace RequestTrace) { l.log.record(trace) }
 
-// Close writes what is queued and returns the first error of writing. Record must not be called after it.
+// Close writes the queued traces and returns the first write error. Record must not be called after Close.
 func (l *TraceLog) Close() error {
 	if err := l.log.close(); err != nil {
 		return fmt.Errorf("trace log: %w", err)
--- a/internal/gateway/request_trace_test.go
+++ b/internal/gateway/request_trace_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// traceCollector keeps the traces of an instance.
+// traceCollector collects the traces of an instance.
 type traceCollector struct {
 	mu     sync.Mutex
 	traces []RequestTrace
@@ -34,12 +34,12 @@
 		}
 		c.mu.Unlock()
 	}
-	t.Fatalf("no trace of %s", id)
+	t.Fatalf("no trace of request %s within testTimeout", id)
 	return RequestTrace{}
 }
 
-// kinds returns the steps of a trace with their details, in a line.
-func kinds(trace RequestTrace) string {
+// stepSummary returns the steps of a trace with their details, in one line.
+func stepSummary(trace RequestTrace) string {
 	var words []string
 	for _, step := range trace.Steps {
 		words = append(words, strings.TrimSpace(string(step.Kind)+" "+step.Detail))
@@ -47,41 +47,41 @@
 	return strings.Join(words, ", ")
 }
 
-// A trace has the steps of each attempt in their order, and what allowed the next one.
+// A trace contains the steps of each attempt in order, and the result after which the next attempt followed.
 func TestRequestTrace(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s0")
 	h.startServer("site-a", "s1")
 	traces := &traceCollector{}
 	g := startInstance(t, h, 2, func(c *Config) { c.Trace = traces.record })
-	g.earnRetries(h, 8)
+	g.fillRetryBudget(h, 8)
 	c := dial(t, g.addr)
 	c.send(getRequest("GET /visits/1", "X-Trace-Id: r.0"))
 	h.nextRequest().response <- "" // the connection is reset
 	h.nextRequest().response <- responseText(200, "", "ok")
 	if got := c.readResponse(); got.Status != 200 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("retried request: got %+v, want status 200", got)
 	}
 	trace := traces.await(t, "r.0")
 	want := "received, attempt begun, attempt written, connection closed connection reset, attempt ended connection reset, " +
 		"attempt begun, attempt written, attempt ended OK, answer decided served, answer written 200"
-	if got := kinds(trace); got != want {
-		t.Errorf("got  %s\nwant %s", got, want)
+	if got := stepSummary(trace); got != want {
+		t.Errorf("steps:\ngot  %s\nwant %s", got, want)
 	}
 	if !trace.Idempotent || trace.Operation != "get" || trace.RelayID != "" || trace.Instance != "g" {
-		t.Errorf("%+v", trace)
+		t.Errorf("trace: got %+v, want instance g, operation get, idempotent, no relay ID", trace)
 	}
 	if !slices.IsSortedFunc(trace.Steps, func(a, b TraceStep) int { return a.At.Compare(b.At) }) {
-		t.Errorf("times go back: %+v", trace.Steps)
+		t.Errorf("the steps' times are not in order: %+v", trace.Steps)
 	}
 }
 
-// The trace of a relayed request has what the far instance said of it when their connection broke.
+// The trace of a relayed request contains the status that the far instance reported after the connection broke.
 func TestRelayedRequestTrace(t *testing.T) {
 	h := newTestSites(t)
 	traces := &traceCollector{}
-	near, _, link := twoSites(t, h, nil)
-	near.config.Trace = traces.record // no request has come yet
+	near, _, link := startTwoSites(t, h, nil)
+	near.config.Trace = traces.record // before the first request
 	c := dial(t, near.addr)
 	c.send(getRequest("GET /visits/1", "X-Trace-Id: r.0"))
 	attempt := h.nextRequest()
@@ -89,16 +89,16 @@
 	time.Sleep(2 * statusPollInterval)
 	attempt.response <- responseText(200, "", "ok")
 	if got := c.readResponse(); got.Status != 200 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("relayed request: got %+v, want status 200", got)
 	}
 	want := "received, attempt begun, attempt written, connection closed connection reset, status asked, " +
 		"status told ran, attempt ended OK, answer decided served, answer written 200"
-	if got := kinds(traces.await(t, "r.0")); got != want {
-		t.Errorf("got  %s\nwant %s", got, want)
+	if got := stepSummary(traces.await(t, "r.0")); got != want {
+		t.Errorf("steps:\ngot  %s\nwant %s", got, want)
 	}
 }
 
-// A trace keeps so many steps and counts the others; a recorder that is off does nothing.
+// A trace keeps maxTraceSteps steps and counts the others. A nil recorder records and allocates nothing.
 func TestTraceIsBounded(t *testing.T) {
 	var off *traceRecorder
 	off.add(TraceStep{Kind: StepReceived})
@@ -107,18 +107,18 @@
 		recorder.add(TraceStep{Kind: StepBegun})
 	}
 	if n, dropped := len(recorder.trace.Steps), recorder.trace.DroppedSteps; n != maxTraceSteps || dropped != 3 {
-		t.Errorf("%d steps, %d dropped", n, dropped)
+		t.Errorf("got %d steps, %d dropped; want maxTraceSteps, 3 dropped", n, dropped)
 	}
 	if allocs := testing.AllocsPerRun(100, func() {
 		off.add(TraceStep{Kind: StepReceived})
 		off.answerDecided(served)
 		off.finish(200, true, nil)
 	}); allocs != 0 {
-		t.Errorf("a recorder that is off allocates %v times", allocs)
+		t.Errorf("allocations of a nil recorder: got %v, want 0", allocs)
 	}
 }
 
-// The log of traces has a line of JSON for each.
+// The trace log contains a line of JSON for each trace.
 func TestTraceLog(t *testing.T) {
 	var out bytes.Buffer
 	l := NewTraceLog(&out)
@@ -129,7 +129,8 @@
 		t.Fatal(err)
 	}
 	var got RequestTrace
-	if err := json.Unmarshal(out.Bytes(), &got); err != nil || kinds(got) != kinds(want) || got.Steps[0] != want.Steps[0] {
-		t.Errorf("%s: %v", out.String(), err)
+	if err := json.Unmarshal(out.Bytes(), &got); err != nil || stepSummary(got) != stepSummary(want) ||
+		got.Steps[0] != want.Steps[0] {
+		t.Errorf("trace log: got %s (error %v), want the recorded trace", out.String(), err)
 	}
 }
--- a/internal/gateway/request_write.go
+++ b/internal/gateway/request_write.go
@@ -9,13 +9,13 @@
 	"mulleinmux/internal/httpwire"
 )
 
-// appendSeconds appends a duration as a header field has it: in seconds, 1 ms at least.
+// appendSeconds appends a duration in the format of header fields: in seconds, at least 1 ms.
 func appendSeconds(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, math.Max(d.Seconds(), 0.001), 'f', 3, 64)
 }
 
-// appendRequest appends the request to b, for an attempt that ends at until.
-func (r *pendingRequest) appendRequest(b []byte, until time.Time) []byte {
+// appendRequest appends the request to b as it is sent for an attempt with the given deadline.
+func (r *pendingRequest) appendRequest(b []byte, deadline time.Time) []byte {
 	h := &r.requestHead
 	b = append(b, h.Method...)
 	b = append(b, ' ')
@@ -23,21 +23,21 @@
 	b = append(b, " HTTP/1.1\r\n"...)
 	for i := range h.Fields {
 		f := &h.Fields[i]
-		if httpwire.HopByHop(f.Name) || isOwnField(f.Name) {
+		if httpwire.HopByHop(f.Name) || isSetByGateway(f.Name) {
 			continue
 		}
 		b = httpwire.AppendField(b, f.Name, f.Value)
 	}
-	b = httpwire.AppendField(b, traceIDField, r.trace)
+	b = httpwire.AppendField(b, traceIDField, r.traceID)
 	b = append(b, timeoutField+": "...)
-	b = appendSeconds(b, time.Until(until))
+	b = appendSeconds(b, time.Until(deadline))
 	if r.isRelayed {
 		b = append(b, "\r\n"+relayIDField+": "...)
 		b = append(b, r.attemptRelayID()...)
 	}
 	b = append(b, "\r\n"+versionField+": "...)
-	if from, n := h.Values(versionField); r.cameByRelay && n == 1 {
-		b = append(b, from...) // it keeps the version that it was matched with where it entered
+	if from, n := h.Values(versionField); r.isFromRelay && n == 1 {
+		b = append(b, from...) // the version by which the first instance matched it
 	} else {
 		b = strconv.AppendUint(b, r.version.number, 10)
 	}
@@ -51,8 +51,8 @@
 	return append(b, r.body...)
 }
 
-// isOwnField reports whether a field is one that the gateway sets itself.
-func isOwnField(name string) bool {
+// isSetByGateway reports whether the gateway sets a request field itself instead of forwarding it.
+func isSetByGateway(name string) bool {
 	switch len(name) {
 	case len(traceIDField):
 		return strings.EqualFold(name, traceIDField)
@@ -60,7 +60,7 @@
 		return strings.EqualFold(name, timeoutField)
 	case len(relayIDField):
 		return strings.EqualFold(name, relayIDField)
-	case len(versionField): // and of explainField
+	case len(versionField): // also the length of explainField
 		return strings.EqualFold(name, versionField) || strings.EqualFold(name, explainField)
 	}
 	return false
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -13,30 +13,30 @@
 
 // responseBody is the body of a response to a client.
 type responseBody struct {
-	content        []byte // what is written
-	declaredLength int    // in Content-Length, more than is written in response to HEAD; noLength: no such header
+	content        []byte // the bytes that are written
+	declaredLength int    // Content-Length, also where a response to HEAD has no content; noLength: no header
 }
 
-// noLength is the declared length of a response that has no body by its status.
+// noLength is the declared length of a response whose status allows no body.
 const noLength = -1
 
-// noBody is the body of a response that has none by its status.
+// noBody is the body of a response whose status allows none.
 var noBody = responseBody{declaredLength: noLength}
 
-// wholeBody is a body that is written as it is.
+// wholeBody returns a body that is written completely.
 func wholeBody(content []byte) responseBody {
 	return responseBody{content: content, declaredLength: len(content)}
 }
 
-// responseOutput writes the responses of a connection. Its goroutine alone uses it.
+// responseOutput writes the responses of a connection. Only the connection's goroutine uses it.
 type responseOutput struct {
 	conn     net.Conn
-	deadline time.Time // write deadline in force
-	buffer   []byte    // of the response under way
+	deadline time.Time // current write deadline
+	buffer   []byte    // of the current response
 	err      error     // of the last write
 }
 
-// begin returns a buffer with the status line; closes adds that the connection closes after the response.
+// begin returns a buffer that starts with the status line and, if closes is set, "Connection: close".
 func (o *responseOutput) begin(status int, reason string, closes bool) []byte {
 	b := append(o.buffer[:0], "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -49,7 +49,7 @@
 	return b
 }
 
-// finish ends the response that b begins with its body and writes it.
+// finish appends the body to the head in b and writes the response.
 func (o *responseOutput) finish(b []byte, body responseBody) error {
 	if body.declaredLength != noLength {
 		b = append(b, "Content-Length: "...)
@@ -67,7 +67,7 @@
 
 // write writes to the client within clientWriteTimeout.
 func (o *responseOutput) write(b []byte) error {
-	if now := time.Now(); isDeadlineDue(o.deadline, now, clientWriteTimeout) {
+	if now := time.Now(); needsNewDeadline(o.deadline, now, clientWriteTimeout) {
 		o.deadline = now.Add(clientWriteTimeout)
 		o.conn.SetWriteDeadline(o.deadline)
 	}
@@ -75,37 +75,37 @@
 	return o.err
 }
 
-// appendStatusLine starts an answer. While the instance drains, it closes the connection, unless the client's next
-// request has come: that one is owed an answer too, and closes the connection.
+// appendStatusLine begins a response. While the instance drains, the response closes the connection, unless the
+// client's next request has been received. That request must also be answered, and its response closes the connection.
 func (c *clientConn) appendStatusLine(status int, reason string) []byte {
 	head := &c.request.requestHead
 	head.Close = head.Close || c.closesForDrain()
 	return c.output.begin(status, reason, head.Close)
 }
 
-// closesForDrain decides whether an answer closes its connection because the instance drains.
+// closesForDrain reports whether the response closes the connection because the instance drains.
 func (c *clientConn) closesForDrain() bool {
 	state := &c.server.drainState
 	switch {
 	case !state.isDraining.Load():
 		return false
-	case state.isOver(time.Now()):
+	case state.isPastFinishDeadline(time.Now()):
 		return c.reader.Buffered() == 0
 	}
 	return !c.hasNextRequest()
 }
 
-// writeResponse ends the response that b begins with its body, writes it and reports whether the connection can be used
-// again.
+// writeResponse appends the body to the head in b, writes the response and reports whether the connection can be
+// reused.
 func (c *clientConn) writeResponse(b []byte, body responseBody) (isReusable bool) {
 	return c.output.finish(b, body) == nil && !c.request.requestHead.Close
 }
 
-// writeAnswer writes the final answer of the request, counts it, and reports whether the connection can be used again.
+// writeAnswer counts and writes the final answer of the request and reports whether the connection can be reused.
 func (c *clientConn) writeAnswer() (isReusable bool) {
 	r := &c.request
 	r.counters.countAnswer(r.answer)
-	if c.isRelay && !r.mayRun {
+	if c.isRelay && !r.mayHaveRun {
 		switch r.answer {
 		case rejected:
 			return c.writeNeverRan(textRelayRejected, r.retryAfter)
@@ -114,7 +114,7 @@
 		}
 	}
 	record := RequestRecord{
-		Trace: r.trace, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number,
+		Trace: r.traceID, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number,
 		Units: r.units, Sent: r.wasSent, Attempts: r.attempts,
 		Answer: r.answer.String(), KeyRejection: r.keyRejection, Status: r.answerStatus(),
 	}
@@ -127,8 +127,8 @@
 	return c.writeResponse(b, body)
 }
 
-// answerStatus decides the status of the final answer: the server's, 429 for a rejection, which never ran and may be
-// retried, and 502 for a failure, which promises nothing.
+// answerStatus returns the status of the final answer: the server's status; 429 for a rejected request, which never ran
+// and may be retried; or 502 for a failed request, which may have run.
 func (r *pendingRequest) answerStatus() int {
 	switch r.answer {
 	case served:
@@ -139,22 +139,22 @@
 	return http.StatusBadGateway
 }
 
-// appendAnswer starts the final answer of the request and returns its body.
+// appendAnswer begins the final answer of the request and returns its body.
 func (c *clientConn) appendAnswer(status int) ([]byte, responseBody) {
 	r := &c.request
 	switch {
 	case r.answer == served:
-		return c.appendServed()
+		return c.appendServerResponse()
 	case r.answer == rejected:
-		return c.appendOwn(status, r.retryAfter, textRejected+"\n")
+		return c.appendGatewayResponse(status, r.retryAfter, textRejected+"\n")
 	case r.wasSent:
-		return c.appendOwn(status, 0, textMayHaveRun+"\n")
+		return c.appendGatewayResponse(status, 0, textMayHaveRun+"\n")
 	}
-	return c.appendOwn(status, 0, textNotSent+"\n")
+	return c.appendGatewayResponse(status, 0, textNotSent+"\n")
 }
 
-// appendServed starts an answer with the head of a server's response, and returns its body.
-func (c *clientConn) appendServed() ([]byte, responseBody) {
+// appendServerResponse begins an answer from the head of the server's response and returns the body.
+func (c *clientConn) appendServerResponse() ([]byte, responseBody) {
 	r := &c.request
 	head := &r.response.head
 	b := c.appendStatusLine(head.Status, head.Reason)
@@ -179,18 +179,18 @@
 	return strings.EqualFold(name, loadReportField) || strings.EqualFold(name, neverRanField)
 }
 
-// declaredLength is the Content-Length of a server's response, noLength if it has none.
+// declaredLength returns the Content-Length of a server's response, or noLength if it has none.
 func declaredLength(head *httpwire.Head) int { return max(int(head.Length), noLength) }
 
-// appendOwn starts an answer of the gateway's own, with a line of text as its body. retryAfter is 0 where there is
-// none.
-func (c *clientConn) appendOwn(status int, retryAfter time.Duration, text string) ([]byte, responseBody) {
+// appendGatewayResponse begins a response that the gateway itself generates and returns its body, a line of text. If
+// retryAfter is 0, the response has no Retry-After.
+func (c *clientConn) appendGatewayResponse(status int, retryAfter time.Duration, text string) ([]byte, responseBody) {
 	b := c.appendStatusLine(status, http.StatusText(status))
 	b = appendRetryAfter(b, retryAfter)
 	return c.appendText(b, text)
 }
 
-// appendText appends the type of a body of text, and returns the body, which is not written in response to HEAD.
+// appendText appends the Content-Type of plain text and returns the body, which has no content in a response to HEAD.
 func (c *clientConn) appendText(b []byte, text string) ([]byte, responseBody) {
 	b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
 	if c.request.requestHead.Method == http.MethodHead {
@@ -199,7 +199,7 @@
 	return b, wholeBody([]byte(text))
 }
 
-// appendRetryAfter appends the field, unless retryAfter is 0.
+// appendRetryAfter appends a Retry-After field unless retryAfter is 0.
 func appendRetryAfter(b []byte, retryAfter time.Duration) []byte {
 	if retryAfter <= 0 {
 		return b
@@ -209,8 +209,8 @@
 	return append(b, "\r\n"...)
 }
 
-// appendExplanation appends how the request was matched and carried out, if the client asked for that, and the age of
-// a configuration that may be old.
+// appendExplanation appends the fields that explain how the request was matched and carried out, if the client
+// requested them, and the configuration's age if it exceeds minConfigAgeShown.
 func (c *clientConn) appendExplanation(b []byte, record *RequestRecord) []byte {
 	if _, n := c.request.requestHead.Values(explainField); n > 0 {
 		b = fmt.Appendf(b, versionField+": %d\r\n", record.Version)
@@ -226,7 +226,7 @@
 	return b
 }
 
-// serveHealth answers the load balancer's health check.
+// serveHealth responds to the load balancer's health check.
 func (c *clientConn) serveHealth() (isReusable bool) {
 	if c.server.isReadyToServe(time.Now()) {
 		return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), wholeBody([]byte("ready\n")))
@@ -235,7 +235,7 @@
 	return c.writeResponse(b, wholeBody([]byte("not ready\n")))
 }
 
-// serveRelayHealth answers the health check of another site's instance.
+// serveRelayHealth responds to the health check of another site's instance.
 func (c *clientConn) serveRelayHealth() (isReusable bool) {
 	return c.writeResponse(c.appendStatusLine(http.StatusOK, "OK"), wholeBody(nil))
 }
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// retryCase is a request, the first server's answer to it, and what follows.
+// retryCase is a request, the response to its first attempt, and whether a retry is expected.
 type retryCase struct {
 	name, text, answer string
-	isRetried          bool // another attempt is made
-	status             int  // if not
+	isRetried          bool // a second attempt is expected
+	status             int  // of the final response if not isRetried
 }
 
 func retryCases() []retryCase {
@@ -35,7 +35,7 @@
 	}
 }
 
-// What an attempt's end says of whether it ran decides what follows.
+// The result of an attempt, which determines whether the request may have run, decides whether it is retried.
 func TestRetries(t *testing.T) {
 	for _, c := range retryCases() {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 				h.startServer("site-a", id)
 			}
 			g := startInstance(t, h, 3, nil)
-			g.earnRetries(h, 8)
+			g.fillRetryBudget(h, 8)
 			a := dial(t, g.addr)
 			a.send(c.text)
 			h.nextRequest().response <- c.answer
@@ -54,14 +54,14 @@
 				want = 200
 			}
 			if r := a.readResponse(); r.Status != want {
-				t.Errorf("%+v, want %d", r, want)
+				t.Errorf("response: got %+v, want status %d", r, want)
 			}
 			h.expectNoRequest()
 		})
 	}
 }
 
-// A request that nobody answers gets its final answer in time.
+// A request to a server that does not respond gets its final answer within its timeout.
 func TestUnresponsiveServer(t *testing.T) {
 	h, g, c := startWithServer(t)
 	began := time.Now()
@@ -69,22 +69,22 @@
 	a := h.nextRequest()
 	r := c.readResponse()
 	if took := time.Since(began); r.Status != 502 || took > time.Second {
-		t.Errorf("%+v after %v", r, took)
+		t.Errorf("response: got %+v after %v, want status 502 within 1s", r, took)
 	}
 	a.response <- ""
 	if units, _, _ := g.totals(); units != 2 {
-		t.Errorf("%d units", units)
+		t.Errorf("counters: got %d units, want 2", units)
 	}
 }
 
-// A client that has left gets no further attempt.
+// A request is not retried after its client has disconnected.
 func TestNoRetryAfterClientLeft(t *testing.T) {
 	h := newTestSites(t)
 	h.startServer("site-a", "s0")
 	h.startServer("site-a", "s1")
 	var last atomic.Pointer[RequestRecord]
 	g := startInstance(t, h, 2, func(c *Config) { c.Observe = func(r RequestRecord) { last.Store(&r) } })
-	g.earnRetries(h, 8)
+	g.fillRetryBudget(h, 8)
 	last.Store(nil)
 	c := dial(t, g.addr)
 	c.send(getRequest("GET /visits/1"))
@@ -93,11 +93,11 @@
 	a.response <- ""
 	for end := time.Now().Add(testTimeout); last.Load() == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the request has no end")
+			t.Fatal("access log: got no record of the request before the timeout, want one")
 		}
 	}
 	h.expectNoRequest()
 	if r := last.Load(); r.Answer != "failed" || !r.Sent {
-		t.Errorf("%+v", r)
+		t.Errorf("access log record: got %+v, want a failed request that was sent", r)
 	}
 }
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -22,14 +22,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := attemptDeadline(now, c.timeout, requestDeadline); !got.Equal(c.want) {
-				t.Errorf("%v from now, want %v", got.Sub(now), c.want.Sub(now))
+				t.Errorf("deadline: got %v from now, want %v", got.Sub(now), c.want.Sub(now))
 			}
 		})
 	}
 }
 
-// The wait of a request whose key has no site is neither so short that nothing can have changed nor longer than clients
-// are told.
+// The Retry-After of a request whose key has no owning site is at least minKeyRetryAfter, so that the owners can have
+// changed by then, and at most the longest Retry-After.
 func TestKeyRejectionWait(t *testing.T) {
 	const longest = 2 * time.Second
 	for _, c := range []struct {
@@ -43,13 +43,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := keyRejectionWait(c.wait, longest); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("Retry-After: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// An instance serves on an old setup unless operators chose otherwise, and never before its first confirmation.
+// An instance serves requests on a stale setup unless operators chose to reject them, and never before the setup's
+// first confirmation.
 func TestConfirmationDecidesServing(t *testing.T) {
 	startedAt := time.Now()
 	const staleAfter = 30 * time.Second
@@ -71,24 +72,25 @@
 			v := versions{agreement: c.agreement, startedAt: startedAt}
 			if c.isConfirmed {
 				v.confirm(startedAt.Add(time.Second))
-				v.confirm(startedAt) // an older confirmation takes nothing back
+				v.confirm(startedAt) // an earlier confirmation has no effect
 			}
 			if _, serves := v.confirmation(startedAt.Add(c.now)); serves != c.serves {
-				t.Errorf("serves %v, want %v", serves, c.serves)
+				t.Errorf("serves: got %v, want %v", serves, c.serves)
 			}
 		})
 	}
 }
 
-// A draining instance waits for the longest deadline of a request that is just being read.
+// While an instance drains, a request's timeout ends before the finish deadline, with slack for writing the answer.
 func TestDrainLimitsRequestTimeout(t *testing.T) {
 	now := time.Unix(100, 0)
 	var d drainState
 	const slack = 10 * time.Millisecond
-	if timeout, isLeft := d.requestTimeout(now, time.Second, slack); timeout != time.Second || !isLeft || d.isOver(now) {
-		t.Errorf("before a drain: %v, %v", timeout, isLeft)
+	if timeout, isLeft := d.requestTimeout(now, time.Second, slack); timeout != time.Second || !isLeft ||
+		d.isPastFinishDeadline(now) {
+		t.Errorf("before a drain: got timeout %v, isLeft %v; want 1s, true", timeout, isLeft)
 	}
-	d.finishBy.Store(now.Add(time.Second).UnixNano())
+	d.finishDeadline.Store(now.Add(time.Second).UnixNano())
 	for _, c := range []struct {
 		at, timeout, want time.Duration
 		isLeft, isOver    bool
@@ -101,8 +103,9 @@
 	} {
 		at := now.Add(c.at)
 		timeout, isLeft := d.requestTimeout(at, c.timeout, slack)
-		if timeout != c.want || isLeft != c.isLeft || d.isOver(at) != c.isOver {
-			t.Errorf("%v after: %v, %v, over %v", c.at, timeout, isLeft, d.isOver(at))
+		if timeout != c.want || isLeft != c.isLeft || d.isPastFinishDeadline(at) != c.isOver {
+			t.Errorf("at %v: got timeout %v, isLeft %v, isPastFinishDeadline %v", c.at, timeout, isLeft,
+				d.isPastFinishDeadline(at))
 		}
 	}
 }
@@ -110,9 +113,9 @@
 func TestMaxFinishDuration(t *testing.T) {
 	classes := []policy.Class{{Deadline: 2 * time.Second}, {Deadline: 5 * time.Second}, {Deadline: time.Second}}
 	if got, want := maxFinishDuration(classes, 8*time.Millisecond), 6508*time.Millisecond; got != want {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("with classes: got %v, want %v", got, want)
 	}
 	if got, want := maxFinishDuration(nil, 0), 1500*time.Millisecond; got != want {
-		t.Errorf("%v without classes, want %v", got, want)
+		t.Errorf("without classes: got %v, want %v", got, want)
 	}
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -14,14 +14,14 @@
 	"mulleinmux/routing"
 )
 
-// Run runs an instance until ctx ends, then drains it: it takes requests for DrainTimeout more, finishes what it has
-// taken, within the longest deadline, and returns. onListening is called once the instance listens. With
-// Config.Agreement it is ready when a setup with a table has been installed and confirmed, else at once.
+// Run runs an instance until ctx ends, then drains it: the instance accepts requests for another DrainTimeout, finishes
+// the accepted ones within the longest deadline, and returns. onListening is called once the instance listens. With
+// Config.Agreement the instance is ready when a setup with a table has been installed and confirmed, otherwise at once.
 func Run(ctx context.Context, config *Config, setup Setup, logger *slog.Logger, onListening func(*Instance)) error {
-	life, stop := context.WithCancel(context.Background())
+	instanceCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	logger = logger.With(slog.String(logging.KeyInstance, config.Name))
-	in, err := newInstance(life, config, setup, logger)
+	in, err := newInstance(instanceCtx, config, setup, logger)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 		defer in.peers.Close()
 		background.Go(func() { in.peers.Receive(in.gossipReceived) })
 	}
-	background.Go(func() { in.servers.pruneIdle(life) })
+	background.Go(func() { in.servers.pruneIdle(instanceCtx) })
 
 	return in.serve(ctx, ln, stop, func() {
 		logListening(logger, ln.Addr(), setup.Table)
@@ -53,14 +53,14 @@
 	})
 }
 
-// serve serves until ctx ends or a listener fails. When ctx ends it drains, then stops what the instance does by
-// itself.
+// serve serves clients and other sites' instances until ctx ends or a listener fails. When ctx ends it drains the
+// instance, then stops the instance's background work.
 func (in *Instance) serve(ctx context.Context, ln net.Listener, stop, onListening func()) error {
 	server := newClientServer(in)
-	clients := graceful.NewListener(ln)
-	server.listeners = []*graceful.Listener{clients}
-	failed := make(chan error, 2)
-	server.acceptors.Go(func() { failed <- server.serve(clients) })
+	clientListener := graceful.NewListener(ln)
+	server.listeners = []*graceful.Listener{clientListener}
+	serveErrors := make(chan error, 2)
+	server.acceptors.Go(func() { serveErrors <- server.serve(clientListener) })
 	defer server.acceptors.Wait()
 	defer ln.Close()
 	if in.relay != nil {
@@ -70,15 +70,15 @@
 			return err
 		}
 		defer relayLn.Close()
-		in.relay.listensSince = time.Now()
-		instances := graceful.NewListener(relayLn)
-		server.listeners = append(server.listeners, instances)
-		server.acceptors.Go(func() { failed <- server.serve(relayListener{instances, in.relay}) })
+		in.relay.listeningSince = time.Now()
+		instanceListener := graceful.NewListener(relayLn)
+		server.listeners = append(server.listeners, instanceListener)
+		server.acceptors.Go(func() { serveErrors <- server.serve(relayListener{instanceListener, in.relay}) })
 	}
 	server.drainState.isReady.Store(true)
 	onListening()
 	select {
-	case err := <-failed:
+	case err := <-serveErrors:
 		return err
 	case <-ctx.Done():
 	}
@@ -102,7 +102,7 @@
 	return ln, nil
 }
 
-// openGossip opens the socket for messages between instances; nil: they send none.
+// openGossip returns the gossip socket, or nil if the configuration has none.
 func (c *Config) openGossip() (*gossip.Socket, error) {
 	switch {
 	case c.peerConn != nil:
@@ -113,7 +113,7 @@
 	return nil, nil
 }
 
-// logListening tells operators that the instance serves, or what it waits for.
+// logListening logs that the instance listens, and that it is ready if it has a table.
 func logListening(logger *slog.Logger, addr net.Addr, table *routing.Table) {
 	if table == nil {
 		logger.Info("listening", slog.Any(logging.KeyAddress, addr))
--- a/internal/gateway/scripted_server_test.go
+++ b/internal/gateway/scripted_server_test.go
@@ -13,20 +13,20 @@
 	"mulleinmux/internal/testserver"
 )
 
-// receivedRequest is a request as a scripted server reads it.
+// receivedRequest is a request that a scripted server has received.
 type receivedRequest struct {
 	server   string
 	line     string // method and target, byte for byte
 	header   http.Header
 	body     string
-	response chan string // takes the response's text; "" closes the connection
+	response chan string // receives the text of the response; "" closes the connection
 }
 
-// testSites is a set of scripted servers, which hand each request to the test.
+// testSites is a set of sites with scripted servers, whose responses the test provides.
 type testSites struct {
 	t          *testing.T
 	discovery  map[string]*testserver.Discovery // by site
-	authority  *raftnode.Authority              // of the link's certificates
+	authority  *raftnode.Authority              // issues the certificates for the relay
 	requests   chan *receivedRequest
 	goroutines sync.WaitGroup
 	mu         sync.Mutex
@@ -34,7 +34,7 @@
 	done       chan struct{} // closed when the test ends
 }
 
-// newTestSites makes two sites without servers.
+// newTestSites creates two sites, site-a and site-b, without servers.
 func newTestSites(t *testing.T) *testSites {
 	t.Helper()
 	h := &testSites{t: t, discovery: map[string]*testserver.Discovery{}, requests: make(chan *receivedRequest, 100),
@@ -54,7 +54,7 @@
 	return h
 }
 
-// startServer starts a scripted server and lists it.
+// startServer starts a scripted server and adds it to the endpoint list of its site.
 func (h *testSites) startServer(site, id string) {
 	h.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -84,13 +84,13 @@
 	h.listServer(site, id, ln.Addr().String(), "up")
 }
 
-// listServer has service discovery announce a server.
+// listServer adds a server to the endpoint list of a site, or updates its entry.
 func (h *testSites) listServer(site, id, addr, lifecycle string) {
 	h.discovery[site].Put(testserver.Entry{InstanceID: id, HostPort: addr, Zone: site, MachineType: "k",
 		Lifecycle: lifecycle, Weight: 1})
 }
 
-// serveConn hands each request to the test, and answers health checks itself.
+// serveConn passes each request to the test for a response, except health checks, which it answers itself.
 func (h *testSites) serveConn(c net.Conn, id string) {
 	testserver.ServeRequests(c, func(r *http.Request, body []byte) bool {
 		if r.URL.Path == healthCheckPath {
@@ -109,14 +109,14 @@
 	})
 }
 
-// nextRequest is the next request that reaches a server.
+// nextRequest waits for the next request that reaches a server and returns it.
 func (h *testSites) nextRequest() *receivedRequest {
 	h.t.Helper()
 	select {
 	case a := <-h.requests:
 		return a
 	case <-time.After(testTimeout):
-		h.t.Fatal("no request reaches a server")
+		h.t.Fatal("nextRequest: got no request at any server before the timeout, want one")
 		return nil
 	}
 }
@@ -127,28 +127,28 @@
 	select {
 	case a := <-h.requests:
 		a.response <- ""
-		h.t.Errorf("%s reached %s", a.line, a.server)
+		h.t.Errorf("got request %s at server %s, want none", a.line, a.server)
 	default:
 	}
 }
 
-// awaitServerCount waits until an instance knows so many servers of a site.
-func (h *testSites) awaitServerCount(g *testInstance, site string, left int) {
+// awaitServerCount waits until the number of servers of a site that an instance knows has fallen to want.
+func (h *testSites) awaitServerCount(g *testInstance, site string, want int) {
 	h.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		g.host.mu.Lock()
 		n := len(g.endpoints.serverIDs[site])
 		g.host.mu.Unlock()
-		if n == left {
+		if n == want {
 			return
 		}
-		if n < left || time.Now().After(end) {
-			h.t.Fatalf("%s: %d servers known, not %d", site, n, left)
+		if n < want || time.Now().After(end) {
+			h.t.Fatalf("site %s: got %d known servers, want %d", site, n, want)
 		}
 	}
 }
 
-// responseText is a whole response; extra is added to its head.
+// responseText returns the text of a complete response. extra holds additional header lines.
 func responseText(status int, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d Status\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
 }
--- a/internal/gateway/server_pool.go
+++ b/internal/gateway/server_pool.go
@@ -11,31 +11,33 @@
 	"mulleinmux/internal/serverpool/conntable"
 )
 
-// pastDeadline ends the reads and writes of a connection that are under way.
+// pastDeadline is a deadline that makes pending and later reads and writes of a connection fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// noDeadline has reads and writes wait without a limit.
+// noDeadline is the deadline with which reads and writes never time out.
 var noDeadline time.Time
 
 // serverPool holds the connections to the servers of all sites. A connection carries one request at a time, and a call
-// of exchange writes a request once at most.
+// of exchange writes its request at most once.
 type serverPool struct {
 	*serverpool.Pool[*serverConn]
 
 	dialer net.Dialer
-	secure func(ctx context.Context, server string, nc net.Conn) (net.Conn, error) // for instances of other sites
+
+	// secure performs the TLS handshake with an instance of another site; nil: no TLS.
+	secure func(ctx context.Context, server string, nc net.Conn) (net.Conn, error)
 }
 
-// pooledConn is a serverConn as its pool knows it.
+// pooledConn is a serverConn with the pool's bookkeeping.
 type pooledConn = serverpool.Conn[*serverConn]
 
-// serverPoolOptions is what a pool is made with, beside the configuration.
+// serverPoolOptions holds the settings of a server pool that are not part of Config.
 type serverPoolOptions struct {
-	subsetServers func() map[string]bool // servers to which idle connections are kept; nil, or a nil map: all
+	subsetServers func() map[string]bool // IDs of servers to which idle connections are kept; nil, or a nil map: all
 	now           func() time.Time       // the clock; nil: time.Now
 }
 
-// newServerPool returns a pool that has no server yet.
+// newServerPool returns a pool without servers.
 func newServerPool(cfg *Config, options serverPoolOptions) *serverPool {
 	p := &serverPool{dialer: net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1}}
 	p.Pool = serverpool.New(serverpool.Config[*serverConn]{
@@ -50,7 +52,7 @@
 	return p
 }
 
-// dial makes a connection to the server at addr, over TLS if it is an instance of another site.
+// dial connects to the server at addr, over TLS if the server is an instance of another site.
 func (p *serverPool) dial(ctx context.Context, server string, addr netip.AddrPort) (*serverConn, error) {
 	nc, err := p.dialer.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
@@ -64,7 +66,7 @@
 		}
 		nc = secured
 	}
-	rawConn, err := raw(nc)
+	rawConn, err := syscallConn(nc)
 	if err != nil {
 		nc.Close()
 		return nil, err
@@ -74,8 +76,9 @@
 	return conn, nil
 }
 
-// acquire returns a connection to a server: the idle one used last, if it is still good, or a new one. Its dial, with the
-// handshake at an instance of another site, ends at the deadline or when control is aborted.
+// acquire returns a connection to a server: the idle connection that was used last, if it is still usable, or a new
+// one. Dialing, including the TLS handshake with another site's instance, ends at the deadline or when control is
+// aborted.
 func (p *serverPool) acquire(
 	ctx context.Context, control *attemptControl, server string, deadline time.Time,
 ) (*pooledConn, error) {
@@ -90,13 +93,14 @@
 	return p.Dial(ctx, reservation)
 }
 
-// release returns a connection whose exchange is over to the pool.
+// release returns a connection to the pool after its exchange has ended.
 func (p *serverPool) release(conn *pooledConn) {
 	conn.HostConn.trimBuffer()
 	p.Release(conn)
 }
 
-// releaseUnused returns a connection on which nothing was written to the pool, unless the exchange was aborted.
+// releaseUnused returns a connection on which nothing was written to the pool, or closes it if the exchange was
+// aborted.
 func (p *serverPool) releaseUnused(conn *pooledConn, control *attemptControl) {
 	if control.finish() {
 		p.release(conn)
@@ -105,7 +109,7 @@
 	}
 }
 
-// pruneIdle closes what has been idle for too long, until ctx ends, then all that is idle.
+// pruneIdle closes connections that have been idle for too long until ctx ends, then closes all idle connections.
 func (p *serverPool) pruneIdle(ctx context.Context) {
 	p.RunPruning(ctx)
 	p.CloseIdle()
--- a/internal/gateway/server_pool_test.go
+++ b/internal/gateway/server_pool_test.go
@@ -18,13 +18,13 @@
 	"mulleinmux/policy"
 )
 
-// poolServer is a server on a socket whose connections answer each request by a function, which tells whether the
-// connection goes on; one that does not is reset.
+// poolServer is a TCP server that passes each request to a function. The function reports whether the connection stays
+// open; if not, the connection is reset.
 type poolServer struct {
 	ln           net.Listener
 	goroutines   sync.WaitGroup
 	requestCount atomic.Int64
-	connCount    atomic.Int64 // accepted
+	connCount    atomic.Int64 // accepted connections
 }
 
 func startPoolServer(t *testing.T, serve func(c net.Conn, r *http.Request) bool) *poolServer {
@@ -79,17 +79,17 @@
 	return err == nil
 }
 
-// testClock is a clock that stands still until it is advanced.
+// testClock is a clock that only moves when it is advanced.
 type testClock struct {
-	start  time.Time
-	passed atomic.Int64 // nanoseconds
+	start   time.Time
+	elapsed atomic.Int64 // nanoseconds
 }
 
 func newTestClock() *testClock { return &testClock{start: time.Now()} }
 
-func (c *testClock) now() time.Time { return c.start.Add(time.Duration(c.passed.Load())) }
+func (c *testClock) now() time.Time { return c.start.Add(time.Duration(c.elapsed.Load())) }
 
-func (c *testClock) advance(d time.Duration) { c.passed.Add(int64(d)) }
+func (c *testClock) advance(d time.Duration) { c.elapsed.Add(int64(d)) }
 
 func newTestPool(t *testing.T, options serverPoolOptions, servers ...discovery.Endpoint) *serverPool {
 	t.Helper()
@@ -100,12 +100,13 @@
 	return pool
 }
 
-// runExchange sends a request for a path to a server; beforeWrite, if set, is called right before its first byte.
+// runExchange sends a request for a path to a server. If beforeWrite is set, it is called before the first byte is
+// written.
 func runExchange(t *testing.T, pool *serverPool, server, path string, beforeWrite func()) policy.Result {
 	t.Helper()
-	var rep response
+	var resp response
 	deadline := time.Now().Add(testTimeout)
-	return pool.exchange(context.Background(), &attemptControl{}, server, deadline, false, &rep, func(b []byte) []byte {
+	return pool.exchange(context.Background(), &attemptControl{}, server, deadline, false, &resp, func(b []byte) []byte {
 		if beforeWrite != nil {
 			beforeWrite()
 		}
@@ -116,25 +117,26 @@
 func wantResult(t *testing.T, got, want policy.Result) {
 	t.Helper()
 	if got != want {
-		t.Errorf("result %v, want %v", got, want)
+		t.Errorf("exchange result: got %v, want %v", got, want)
 	}
 }
 
 func wantOpenConns(t *testing.T, pool *serverPool, want int) {
 	t.Helper()
 	if got := pool.Snapshot().OpenCount; got != want {
-		t.Errorf("%d connections counted, %d open", got, want)
+		t.Errorf("open connections in the pool: got %d, want %d", got, want)
 	}
 }
 
-// A server that closes idle connections sooner than configured shows only when one is written to, which may have run:
-// from the first on they are kept for less. A reset of a request that the server had begun, or on a connection just
-// used, teaches nothing.
+// If a server closes idle connections earlier than configured, the gateway notices only when a request on such a
+// connection is reset, and that request may have run. After the first such reset, idle connections to the server are
+// kept for a shorter time. A reset after the server has begun the request, or on a connection used shortly before, does
+// not change that time.
 func TestStaleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		idleTime, work time.Duration // before the request, and until its reset
-		response       string        // what of it comes before the reset
-		learns         bool
+		idleTime, work      time.Duration // idle time before the request, and time from the request to the reset
+		response            string        // part of the response that is sent before the reset
+		shortensIdleTimeout bool
 	}{
 		"stale":              {10 * conntable.MinIdleTimeout, 0, "", true},
 		"just used":          {0, 0, "", false},
@@ -160,15 +162,16 @@
 			before := server.connCount.Load()
 			clock.advance(c.idleTime)
 			wantResult(t, runExchange(t, pool, "a", "/fine", nil), policy.OK)
-			if isNew := server.connCount.Load() != before; isNew != c.learns {
-				t.Errorf("a connection as idle as the reset one was replaced: %v, want %v", isNew, c.learns)
+			if isNew := server.connCount.Load() != before; isNew != c.shortensIdleTimeout {
+				t.Errorf("connection idle for as long as the reset one: got replaced %v, want %v", isNew, c.shortensIdleTimeout)
 			}
 			wantOpenConns(t, pool, 1)
 		})
 	}
 }
 
-// Outside of the instance's subset an idle connection is closed soon; in it, and where there is no subset, it stays.
+// Idle connections to servers outside the instance's subset are closed after OutsideSubsetIdleTimeout. Those to servers
+// in the subset, or without a subset, are kept.
 func TestIdleConnectionsOutsideSubset(t *testing.T) {
 	near, far := startPoolServer(t, respondOK), startPoolServer(t, respondOK)
 	clock := newTestClock()
@@ -185,19 +188,19 @@
 	pool.Prune()
 	wantOpenConns(t, pool, 1)
 	if servers := pool.Snapshot().Servers; len(servers["near"].Idle) != 1 || len(servers["far"].Idle) != 0 {
-		t.Errorf("not the connection outside of the subset is closed: %+v", servers)
+		t.Errorf("idle connections: got %+v, want one to near and none to far", servers)
 	}
 }
 
-// An instance's pool goes by the subset that its engine forms: of many servers and instances, some connections that
-// have been idle for little more than a second are closed, and some stay.
+// An instance's pool uses the subset that its engine selects. With many servers and instances, connections that have
+// been idle for OutsideSubsetIdleTimeout are closed if their server is outside the subset, and kept otherwise.
 func TestInstancePrunesBySubset(t *testing.T) {
 	const serverCount, instanceCount = 100, 20
 	server := startPoolServer(t, respondOK)
 	settings := testSettings()
 	settings.InstanceCount = instanceCount
 	cfg := &Config{Name: "g", Settings: settings, Classes: testClasses(),
-		peerConn: &net.UDPConn{}} // not used: the instance does not run
+		peerConn: &net.UDPConn{}} // not used, because the instance does not run
 	table, _ := testTable(t, description)
 	in, err := newInstance(t.Context(), cfg, cfg.Setup(1, table, nil), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -213,7 +216,7 @@
 	in.host.handleEvent(func(now time.Duration, out policy.Actions) { in.applyEndpoints(now, "site-a", list, out) })
 	subset := in.host.subsetServers()
 	if len(subset) == 0 || len(subset) == serverCount {
-		t.Fatalf("%d of %d servers in the subset", len(subset), serverCount)
+		t.Fatalf("subset: got %d of %d servers, want some but not all", len(subset), serverCount)
 	}
 	in.healthChecks.Wait()
 	in.servers.CloseIdle()
--- a/internal/gateway/site_broadcast.go
+++ b/internal/gateway/site_broadcast.go
@@ -7,16 +7,17 @@
 	"mulleinmux/policy"
 )
 
-// siteBroadcast makes a message to the other instances from what the engine knows of the sites' servers.
+// siteBroadcast adds this instance's reports on the sites to a message for the other instances. It takes the load and
+// capacity of the sites' servers from the engine.
 type siteBroadcast struct {
 	*siteCoordinator
 	engine   *policy.Engine
 	settings *policy.Settings
-	sites    map[string]siteWatch // by name: those whose servers the instance knows
+	sites    map[string]siteWatch // the sites whose servers the instance knows, by name
 }
 
-// addReports adds to a message what this instance reports of the sites, of the recovery ramps and of the confirmation
-// of key owners. fence returns this member's fence index: see [multisite.QuorumConfirmation].
+// addReports adds this instance's reports on the sites' health, the recovery ramps and the confirmation of key owners
+// to a message. fence returns this member's fence index: see [multisite.QuorumConfirmation].
 func (b *siteBroadcast) addReports(now time.Duration, message *multisite.Message, fence func() uint64) {
 	if b.health != nil {
 		b.recordCapacities(now)
@@ -33,7 +34,7 @@
 	}
 }
 
-// recordCapacities gives the health monitor the capacity of the servers that this instance reaches itself.
+// recordCapacities passes the capacity of the servers that this instance reaches directly to the health monitor.
 func (b *siteBroadcast) recordCapacities(now time.Duration) {
 	for site := range b.sites {
 		if b.relay.isRemote(site) {
@@ -44,8 +45,8 @@
 	}
 }
 
-// updateRecoveryRamp has the engine obey this instance's share in the recovery ramps of the sites, and returns the
-// message about them for the other instances.
+// updateRecoveryRamp limits the engine to this instance's share of the sites' recovery ramps, and returns the message
+// on the ramps for the other instances.
 func (b *siteBroadcast) updateRecoveryRamp(now time.Duration) multisite.RampMessage {
 	message := b.ramp.NextBroadcast(now, b.recordWarmUp(now))
 	for site := range b.sites {
@@ -54,11 +55,11 @@
 	return message
 }
 
-// recordWarmUp gives the ramps what the cold servers of this instance's own sites need, and returns what the warm ones
-// carry.
+// recordWarmUp passes the load of the cold servers at this instance's own sites to the ramps, and returns the load of
+// the warm ones.
 func (b *siteBroadcast) recordWarmUp(now time.Duration) (loads []multisite.WarmLoad) {
 	for site := range b.sites {
-		if b.relay.isRemote(site) { // its own instances know which of its servers are cold
+		if b.relay.isRemote(site) { // only its own instances know which of its servers are cold
 			continue
 		}
 		if rate, utilization := b.engine.WarmServerLoad(now, site); rate > 0 {
@@ -71,8 +72,9 @@
 	return loads
 }
 
-// zoneLimits decides what the engine may send to the servers of a site: of a remote one, this instance's equal part
-// among all; of one that it reaches itself, its share of the ramp and an equal part among those that reach it.
+// zoneLimits decides the engine's limits for the servers of a site: for a remote site, an equal fraction among all
+// instances; for a site that this instance reaches directly, its share of the recovery ramp and an equal fraction among
+// the instances that reach the site directly.
 func (b *siteBroadcast) zoneLimits(now time.Duration, site string) policy.ZoneLimits {
 	serverCount, directInstances := b.health.Capacity(now, site)
 	if b.relay.isRemote(site) {
@@ -87,13 +89,13 @@
 	}
 }
 
-// coldBudgetFactor is the multiple of a cold server's capacity that all instances together send it at the most: the
-// engine saves up half as much again, and the whole must not overload the server.
+// coldBudgetFactor is the multiple of a cold server's capacity that all instances together send it at most. The
+// engine's budget can save up half as much again, and the total must not overload the server.
 const coldBudgetFactor = 1.4
 
-// warmServerRate returns the rate for a warm server, in seconds of work per second, from which the engine derives what
-// it may send to the cold ones: of a warm server's capacity (seconds of work per second) this instance's share (0 to
-// 1), so that with the engine's own multiple the instances together keep to coldBudgetFactor.
+// warmServerRate returns the rate of a warm server, in seconds of work per second, from which the engine derives the
+// budget for cold servers: this instance's share (0 to 1) of a warm server's capacity (seconds of work per second),
+// scaled so that with the engine's own multiple all instances together stay within coldBudgetFactor.
 func warmServerRate(capacity, share, engineMultiple float64) float64 {
 	factor := coldBudgetFactor / engineMultiple
 	return factor * capacity * share
--- a/internal/gateway/site_coordinator.go
+++ b/internal/gateway/site_coordinator.go
@@ -8,15 +8,15 @@
 	"mulleinmux/policy"
 )
 
-// siteCoordinator decides between sites: which one owns a key, which are healthy, and which part of their warming
-// servers' capacity this instance has. It has the parts that the configuration names. The mutex of engineHost guards
-// it.
+// siteCoordinator decides which site owns a key, which sites are healthy, and which share of the capacity of a site's
+// cold servers this instance may use. Components that the configuration leaves out are nil. The mutex of engineHost
+// guards it.
 type siteCoordinator struct {
-	keys         *multisite.KeyTable           // nil: keyed requests are kept to a site for one request only
-	health       *multisite.HealthMonitor      // nil: site health is not judged
-	confirmation *multisite.QuorumConfirmation // nil: key owners are confirmed by [Instance.ConfirmKeyOwners] alone
-	ramp         *multisite.RecoveryRamp       // nil: what cold servers are sent is each instance's own guess
-	relay        *relay                        // nil: the instance reaches all sites itself
+	keys         *multisite.KeyTable           // nil: only the attempts of one keyed request are kept to one site
+	health       *multisite.HealthMonitor      // nil: site health is not monitored
+	confirmation *multisite.QuorumConfirmation // nil: only [Instance.ConfirmKeyOwners] confirms key owners
+	ramp         *multisite.RecoveryRamp       // nil: each instance estimates by itself what cold servers may be sent
+	relay        *relay                        // nil: the instance reaches all sites directly
 }
 
 func newSiteCoordinator(config *Config, now time.Duration) (c *siteCoordinator, err error) {
@@ -49,7 +49,7 @@
 	return c, nil
 }
 
-// maxRequestTransit is how long a request may be on its way beyond its client's deadline.
+// maxRequestTransit is how long a request may be in transit beyond its client's deadline.
 const maxRequestTransit = 500 * time.Millisecond
 
 // setKeyLifetimes applies a description's longest deadline of keyed requests and its deduplication window.
@@ -59,7 +59,7 @@
 	}
 }
 
-// installEpoch applies an agreed epoch of key owners, and the voters of that moment.
+// installEpoch applies an agreed ownership epoch and the voters as of the same log entry.
 func (c *siteCoordinator) installEpoch(now time.Duration, epoch multisite.OwnershipEpoch, agreed AgreedVoters) {
 	c.keys.InstallEpoch(now, epoch)
 	if c.confirmation != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// setAgreedSites applies which sites there are, which of them are lost, and the members.
+// setAgreedSites applies the agreed sites, which of them are lost, and the members.
 func (c *siteCoordinator) setAgreedSites(
 	now time.Duration, sites []multisite.Site, lost map[string]int, members []uint64,
 ) {
@@ -79,8 +79,8 @@
 	}
 }
 
-// routeKey decides which site a request's key may go to. A relayed request whose key this instance's site does not own
-// is rejected: one of the two sites goes by older key owners.
+// routeKey decides which site may serve a request with a key. A relayed request whose key is owned by none of this
+// instance's sites is rejected: this instance or the relaying one has outdated key owners.
 func (c *siteCoordinator) routeKey(now time.Duration, key uint64, cameByRelay bool) multisite.RoutingDecision {
 	decision := c.keys.Route(now, key)
 	if decision.Site != "" && cameByRelay && !c.relay.ownsSite(decision.Site) {
@@ -89,12 +89,13 @@
 	return decision
 }
 
-// minKeyRetryAfter is the shortest Retry-After of a request whose key no site owns now: time for a message between
-// sites.
+// minKeyRetryAfter is the shortest Retry-After of a request whose key has no owning site now. It leaves time for a
+// message between sites.
 const minKeyRetryAfter = 50 * time.Millisecond
 
-// keyRejectionWait decides the Retry-After of a request whose key has no site now, from the one of the routing decision
-// and the longest that clients are told. Where a retry can't succeed (0) there is none.
+// keyRejectionWait decides the Retry-After of a request whose key has no owning site now: the wait of the routing
+// decision, raised to minKeyRetryAfter and limited to maxRetryAfter. If the wait is 0, a retry cannot succeed and there
+// is no Retry-After (0).
 func keyRejectionWait(wait, maxRetryAfter time.Duration) time.Duration {
 	if wait == 0 {
 		return 0
@@ -102,8 +103,9 @@
 	return min(max(wait, minKeyRetryAfter), maxRetryAfter)
 }
 
-// recordResult records what an attempt or a health check, sent at a time, says of the health of its server's site. An
-// answer of any kind is a sign of life; an attempt that this instance itself ended says nothing.
+// recordResult records what the result of an attempt or a health check, sent at sentAt, indicates about the health of
+// its server's site. Any response shows that the site is alive. An attempt that this instance itself ended is not
+// recorded.
 func (c *siteCoordinator) recordResult(now time.Duration, server string, result policy.Result, sentAt time.Duration) {
 	if c.health == nil {
 		return
@@ -116,13 +118,13 @@
 	}
 }
 
-// siteOf returns the site of a server, as the engine names it.
+// siteOf returns the site part of a server ID of the engine.
 func siteOf(server string) string {
 	site, _, _ := strings.Cut(server, "/")
 	return site
 }
 
-// receive applies a message of another instance.
+// receive applies a message from another instance.
 func (c *siteCoordinator) receive(now time.Duration, message multisite.Message) {
 	c.keys.Receive(now, message)
 	if c.health != nil && message.Views != nil {
@@ -137,7 +139,7 @@
 	}
 }
 
-// confirmByQuorum confirms the key owners in force if a quorum does.
+// confirmByQuorum confirms the key owners in force if a quorum of the voters has confirmed them.
 func (c *siteCoordinator) confirmByQuorum() {
 	if confirmedAt, ok := c.confirmation.ConfirmedAt(); ok {
 		c.keys.ConfirmEpoch(confirmedAt)
--- a/internal/gateway/site_watches.go
+++ b/internal/gateway/site_watches.go
@@ -10,22 +10,22 @@
 	"mulleinmux/internal/logging"
 )
 
-// siteWatches follows the service discovery of the sites. The mutex of engineHost guards the map.
+// siteWatches holds the watches of the sites' service discovery. The mutex of engineHost guards bySite.
 type siteWatches struct {
-	ctx       context.Context
-	logger    *slog.Logger
-	bySite    map[string]siteWatch
-	followers sync.WaitGroup // goroutines of watches
+	ctx      context.Context
+	logger   *slog.Logger
+	bySite   map[string]siteWatch
+	watchers sync.WaitGroup // goroutines of watches
 }
 
-// siteWatch follows the service discovery of one site.
+// siteWatch is the watch of one site's service discovery.
 type siteWatch struct {
 	discovery netip.AddrPort
 	stop      context.CancelFunc
 }
 
-// stopUnneeded ends the watches that these sites do not need: of sites that are not among them, which it returns, and
-// of those whose discovery has moved.
+// stopUnneeded stops the watches of sites that are not in the list, and of sites whose discovery address has changed.
+// It returns the former sites' names.
 func (w *siteWatches) stopUnneeded(sites []Site) (removedSites []string) {
 	wanted := map[string]netip.AddrPort{}
 	for _, site := range sites {
@@ -50,21 +50,21 @@
 	return isWatched
 }
 
-// add records the watch of a site. It returns the context that ends with it.
+// add records the watch of a site and returns its context, which ends when the watch is stopped.
 func (w *siteWatches) add(site Site) context.Context {
 	ctx, stop := context.WithCancel(w.ctx)
 	w.bySite[site.Name] = siteWatch{discovery: site.Discovery, stop: stop}
 	return ctx
 }
 
-// follow hands on a site's endpoint lists until ctx ends.
-func (w *siteWatches) follow(ctx context.Context, site Site, onList func(discovery.EndpointList)) {
+// start starts a goroutine that passes a site's endpoint lists to onList until ctx ends.
+func (w *siteWatches) start(ctx context.Context, site Site, onList func(discovery.EndpointList)) {
 	watcher := &discovery.Watcher{Addr: site.Discovery, SilenceTimeout: discovery.SilenceTimeout, OnList: onList,
 		Logger: w.logger.With(slog.String(logging.KeySite, site.Name))}
-	w.followers.Go(func() { watcher.Run(ctx) })
+	w.watchers.Go(func() { watcher.Run(ctx) })
 }
 
-// stopAll ends all watches. Their goroutines end later: see followers.
+// stopAll stops all watches. Their goroutines end later: see watchers.
 func (w *siteWatches) stopAll() {
 	for _, watch := range w.bySite {
 		watch.stop()
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -9,28 +9,28 @@
 	"mulleinmux/policy"
 )
 
-// AgreedVoters are the members that vote, as of an entry of the log; zero at an instance that is no member.
+// AgreedVoters are the voting members as of a log entry. An instance that is not a member uses the zero value.
 type AgreedVoters struct {
-	Index   uint64 // of the entry
+	Index   uint64 // of the log entry
 	Voters  []uint64
-	IsJoint bool // they are being changed
+	IsJoint bool // a change of the voters is in progress
 }
 
-// InstallKeyOwners applies an agreed epoch of key owners, and the voters of that moment.
+// InstallKeyOwners applies an agreed ownership epoch and the voters as of the same log entry.
 func (in *Instance) InstallKeyOwners(epoch multisite.OwnershipEpoch, agreed AgreedVoters) {
 	in.host.handleEvent(func(now time.Duration, _ policy.Actions) { in.sites.installEpoch(now, epoch, agreed) })
 }
 
-// ConfirmKeyOwners records that a quorum, asked at a time, has confirmed the epoch in force.
-func (in *Instance) ConfirmKeyOwners(askedAt time.Time) {
+// ConfirmKeyOwners records that a quorum, queried at queriedAt, has confirmed the ownership epoch in force.
+func (in *Instance) ConfirmKeyOwners(queriedAt time.Time) {
 	in.host.handleEvent(func(time.Duration, policy.Actions) {
-		in.sites.keys.ConfirmEpoch(in.host.reading(askedAt))
+		in.sites.keys.ConfirmEpoch(in.host.reading(queriedAt))
 	})
 }
 
-// NextMessage returns the next message to the other instances, with maxKeys keys at most, and whether more are due
-// now. The last of them carries what else is due. fence returns this member's fence index: see
-// [multisite.QuorumConfirmation].
+// NextMessage returns the next message to the other instances, with at most maxKeys keys, and whether more messages are
+// due now. The last of them also carries this instance's reports on the sites. fence returns this member's fence index:
+// see [multisite.QuorumConfirmation].
 func (in *Instance) NextMessage(maxKeys int, fence func() uint64) (message multisite.Message, hasMore bool) {
 	in.host.handleEvent(func(now time.Duration, _ policy.Actions) {
 		message, hasMore = in.sites.keys.NextBroadcast(now, maxKeys)
@@ -42,19 +42,19 @@
 	return message, hasMore
 }
 
-// ReceiveMessage applies a message of another instance.
+// ReceiveMessage applies a message from another instance.
 func (in *Instance) ReceiveMessage(message multisite.Message) {
 	in.host.handleEvent(func(now time.Duration, _ policy.Actions) { in.sites.receive(now, message) })
 }
 
-// SetAgreedSites applies which sites there are, which of them are lost, and the members.
+// SetAgreedSites applies the agreed sites, which of them are lost, and the members.
 func (in *Instance) SetAgreedSites(sites []multisite.Site, lost map[string]int, members []uint64) {
 	in.host.handleEvent(func(now time.Duration, _ policy.Actions) {
 		in.sites.setAgreedSites(now, sites, lost, members)
 	})
 }
 
-// ProposeSiteChange is [multisite.HealthMonitor.ProposeChange].
+// ProposeSiteChange calls [multisite.HealthMonitor.ProposeChange]. ok is false if site health is not monitored.
 func (in *Instance) ProposeSiteChange() (change multisite.SiteChange, ok bool) {
 	in.host.handleEvent(func(now time.Duration, _ policy.Actions) {
 		if in.sites.health != nil {
@@ -64,7 +64,7 @@
 	return change, ok
 }
 
-// SiteStates returns the state of each site, by its name, as this instance judges it.
+// SiteStates returns the health state of each site by name, as this instance observes it.
 func (in *Instance) SiteStates() map[string]string {
 	states := map[string]string{}
 	in.host.handleEvent(func(now time.Duration, _ policy.Actions) {
@@ -77,10 +77,10 @@
 	return states
 }
 
-// serverPollInterval is how often AwaitServers looks.
+// serverPollInterval is the interval at which AwaitServers checks the number of servers.
 const serverPollInterval = 5 * time.Millisecond
 
-// AwaitServers waits until so many servers are known, over all sites.
+// AwaitServers waits until at least wanted servers are known over all sites.
 func (in *Instance) AwaitServers(ctx context.Context, wanted int, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -93,13 +93,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %d servers known of %d: %w", in.config.Name, known, wanted, ctx.Err())
+			return fmt.Errorf("%s: discovered %d of %d servers: %w", in.config.Name, known, wanted, ctx.Err())
 		case <-ticker.C:
 		}
 	}
 }
 
-// serverCount is how many servers are known, over all sites.
+// serverCount returns the number of servers known over all sites.
 func (in *Instance) serverCount() int {
 	in.host.mu.Lock()
 	defer in.host.mu.Unlock()
--- a/internal/gateway/texts.go
+++ b/internal/gateway/texts.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// Texts that others read, in older words than the code's; none may be reworded. Keys of the access log are the JSON
-// tags of [RequestRecord].
+// Texts that clients, servers, other instances and operators' tools read. They use older terms than the code and must
+// not be changed. The keys of the access log are the JSON tags of [RequestRecord].
 
-// outcomeTexts are the outcomes of requests in the access log.
+// outcomeTexts are the names of outcomes in the access log.
 var outcomeTexts = [...]string{served: "served", rejected: "refused", failed: "failed"}
 
 // Header fields of the protocol between clients, instances and servers.
@@ -13,7 +13,7 @@
 	licenseeField        = "X-Licensee"
 	traceIDField         = "X-Trace-Id"
 	timeoutField         = "X-Expires-In" // seconds
-	neverRanField        = "X-Never-Ran"  // neverRanValue: the request did not run and never will
+	neverRanField        = "X-Never-Ran"  // with neverRanValue: the request did not run and never will
 	neverRanValue        = "1"
 	loadReportField      = "Endpoint-Load-Metrics"
 	versionField         = "X-Mulleinmux-Version"
@@ -24,17 +24,17 @@
 	configAgeField       = "X-Mulleinmux-Config-Age"
 	relayIDField         = "X-Mulleinmux-Crossing"
 	executionStatusField = "X-Mulleinmux-Fate"
-	uptimeField          = "X-Mulleinmux-Uptime" // seconds since which an instance knows what was relayed to it
+	uptimeField          = "X-Mulleinmux-Uptime" // seconds since which relayed requests are recorded
 )
 
-// Requests to servers and between instances.
+// Paths and Host values of requests to servers and other instances.
 const (
 	executionStatusPath = "/link/fate"
 	executionStatusHost = "link"
 	healthCheckHost     = "hall"
 )
 
-// Bodies of answers.
+// Bodies of responses.
 const (
 	textRejected    = "refused: trying again does no harm"
 	textUnconfirmed = "refused: trying again at another instance does no harm"
@@ -47,14 +47,14 @@
 	textRelayRejected = "refused" // to another site's instance
 )
 
-// The reasons for which a request is rejected because of its key, beside those of multisite, as texts of the access
-// log.
+// Reasons in the access log for rejecting a request because of its idempotency key, in addition to those of package
+// multisite.
 const (
 	reasonOwnerChanged = "its home has moved meanwhile"
 	reasonSitesDiffer  = "the sites differ on its home"
 )
 
-// Errors of a configuration.
+// errRelayConfig is the error for an incomplete relay configuration.
 var errRelayConfig = errors.New("link: a hall of its own, certificates and a check of them are needed")
 
 const textDuplicateSite = "halls: %q stands twice"
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timerQueue are the engine's timers, the earliest first.
+// timerQueue is a heap of the engine's timers, ordered by time. It implements [heap.Interface].
 type timerQueue []timer
 
 type timer struct {
@@ -28,7 +28,7 @@
 	return x
 }
 
-// push is heap.Push without the allocation.
+// push is like heap.Push, but does not allocate.
 func (t *timerQueue) push(x timer) {
 	*t = append(*t, x)
 	heap.Fix(t, len(*t)-1)
--- a/internal/gateway/timers_test.go
+++ b/internal/gateway/timers_test.go
@@ -7,7 +7,7 @@
 	"mulleinmux/policy"
 )
 
-// The engine's timers fire in order, each once, and a panic in one event costs that event.
+// The timer queue keeps its heap order, and an instance keeps serving after a panic in an event of the engine.
 func TestTimersAndPanics(t *testing.T) {
 	h := newTestSites(t)
 	g := startInstance(t, h, 0, nil)
@@ -20,10 +20,10 @@
 	g.host.mu.Unlock()
 	for i := 1; i < len(ts); i++ {
 		if ts[(i-1)/2].at > ts[i].at {
-			t.Errorf("no heap: %v", ts)
+			t.Errorf("timer queue: got %v, which violates the heap order", ts)
 		}
 	}
 	if r := dial(t, g.addr).roundTrip(getRequest("GET /health/ready")); r.Status != 200 {
-		t.Errorf("%+v", r)
+		t.Errorf("health check after the panic: got %+v, want status 200", r)
 	}
 }
--- a/internal/httpwire/answer_test.go
+++ b/internal/httpwire/answer_test.go
@@ -10,7 +10,7 @@
 	"testing/iotest"
 )
 
-// readAnswer reads a head, and a chunked body of at most 10 bytes.
+// readAnswer reads the head of a response and, if the body is chunked, a body of at most 10 bytes.
 func readAnswer(text string) (Head, []byte, error) {
 	var h Head
 	r := NewReader(iotest.HalfReader(strings.NewReader(text)))
@@ -23,24 +23,24 @@
 
 const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestAnswer checks heads and chunked bodies of answers.
+// TestAnswer checks that heads and chunked bodies of responses are read.
 func TestAnswer(t *testing.T) {
 	t.Run("chunked, with a trailer", func(t *testing.T) {
 		h, body, err := readAnswer("HTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"03\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n")
 		if err != nil || string(body) != "abcd" || h.Status != 200 {
-			t.Errorf("%+v %q %v", h, body, err)
+			t.Errorf("got head %+v, body %q, error %v; want status 200 with body abcd", h, body, err)
 		}
 	})
 	t.Run("HTTP/1.0", func(t *testing.T) {
 		h, _, err := readAnswer("HTTP/1.0 404 Not Found\r\n\r\n")
 		if err != nil || !h.Close || h.Reason != "Not Found" {
-			t.Errorf("%+v %v", h, err)
+			t.Errorf("got head %+v, error %v; want reason Not Found and Close", h, err)
 		}
 	})
 }
 
-// TestAnswerRejected checks that a malformed answer is rejected.
+// TestAnswerRejected checks that a malformed or oversized response is rejected.
 func TestAnswerRejected(t *testing.T) {
 	for _, c := range []struct{ name, text string }{
 		{"body over the limit",
@@ -58,13 +58,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if h, body, err := readAnswer(c.text); err == nil {
-				t.Errorf("%+v %q", h, body)
+				t.Errorf("got head %+v, body %q without an error, want an error", h, body)
 			}
 		})
 	}
 }
 
-// FuzzChunked checks that whatever is read here as a chunked body, net/http reads as the same one.
+// FuzzChunked checks that net/http reads the same body from every chunked body that Chunked accepts.
 func FuzzChunked(f *testing.F) {
 	f.Add([]byte("3\r\nabc\r\n0\r\n\r\n"))
 	f.Add([]byte("a;x\r\n0123456789\r\n0\r\nA: b\r\n\r\n"))
@@ -81,7 +81,7 @@
 		}
 		other, err := io.ReadAll(resp.Body)
 		if err == nil && !bytes.Equal(body, other) {
-			t.Fatalf("%q: %q here and %q there", text, body, other)
+			t.Fatalf("%q: body from Chunked is %q, from net/http %q", text, body, other)
 		}
 	})
 }
--- a/internal/httpwire/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -6,10 +6,10 @@
 	"io"
 )
 
-// maxSizeDigits is how many hexadecimal digits a chunk's size may have.
+// maxSizeDigits is the largest number of hexadecimal digits in a chunk size.
 const maxSizeDigits = 7
 
-// Chunked reads a chunked body of at most maxBytes bytes. Trailers are read and dropped.
+// Chunked reads a chunked body of at most maxBytes bytes. Trailers are read and discarded.
 func (r *Reader) Chunked(maxBytes int) ([]byte, error) {
 	var body []byte
 	for {
@@ -38,7 +38,7 @@
 	return body, nil
 }
 
-// readChunkSize reads the line that gives a chunk's size; its extensions are dropped.
+// readChunkSize reads the line with a chunk's size. Chunk extensions are discarded.
 func (r *Reader) readChunkSize() (int, error) {
 	line, err := r.readLine()
 	if err != nil {
@@ -63,7 +63,7 @@
 	return size, nil
 }
 
-// skipTrailer reads the lines after the last chunk, to the empty one.
+// skipTrailer reads the trailer section, up to and including the empty line that ends it.
 func (r *Reader) skipTrailer() error {
 	for range maxFields {
 		line, err := r.readLine()
@@ -77,7 +77,7 @@
 	return ErrTooLarge
 }
 
-// readLine returns the next line without its end; it holds until the next read.
+// readLine returns the next line without its CR LF. The slice is valid until the next read.
 func (r *Reader) readLine() ([]byte, error) {
 	seen := 0
 	for {
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -1,10 +1,9 @@
-// Package httpwire parses and writes HTTP/1.1 messages in the one framing that is
-// unambiguous (RFC 9112): lines end in CR LF, a field has no space before its colon and
-// is not folded, and a body's length is given once. A gateway that charges for a request
-// must see the message that the server behind it will see, so what lenient parsers accept
-// is an error here.
+// Package httpwire parses and writes HTTP/1.1 messages (RFC 9112). It accepts only unambiguous framing: lines end in
+// CRLF, a field name is followed by its colon without a space, fields are not folded, and the length of a body is given
+// only once. A gateway that charges for a request must interpret it exactly as the server behind it does, so messages
+// that lenient parsers accept are rejected here.
 //
-// A head is read into one string, and all its parts are slices of it.
+// A head is read into one string, and its parts are substrings of that string.
 package httpwire
 
 import (
@@ -12,15 +11,15 @@
 	"strings"
 )
 
-// MaxHead is the largest length of a head, in bytes, with the empty line that ends it.
+// MaxHead is the largest size of a head in bytes, including the empty line that ends it.
 const MaxHead = 16 << 10
 
 const (
-	maxFields       = 100 // in a head, and in a chunked body's trailer
-	maxLengthDigits = 15  // of a Content-Length
+	maxFields       = 100 // in a head or in the trailer section of a chunked body
+	maxLengthDigits = 15  // in the value of Content-Length
 )
 
-// Errors of a message. Each is final for its connection.
+// Errors of invalid messages. After any of them the connection cannot be used further.
 var (
 	ErrTooLarge  = errors.New("head is too large")
 	ErrMalformed = errors.New("head is malformed")
@@ -29,23 +28,23 @@
 	ErrVersion   = errors.New("HTTP/1.1 is spoken here")
 )
 
-// Field is one line of a head.
+// Field is one field line of a head.
 type Field struct{ Name, Value string }
 
-// Head is the head of a request or an answer. Its strings stay valid; the next head that
-// is read into it reuses its Fields.
+// Head is the head of a request or a response. The strings stay valid, but reading another head into the Head
+// overwrites Fields.
 type Head struct {
-	Method, Target string // of a request
-	Status         int    // of an answer
-	Reason         string
-	Fields         []Field
-	Length         int64 // of the body in bytes, or -1: not given
-	Chunked        bool
-	Close          bool // the connection ends with this message
-	Nominated      bool // Connection has options other than close and keep-alive
+	Method, Target        string // of a request
+	Status                int    // of a response
+	Reason                string
+	Fields                []Field
+	Length                int64 // Content-Length in bytes; -1: not given
+	Chunked               bool
+	Close                 bool // the connection closes after this message
+	NamesConnectionFields bool // Connection names fields: it has options other than close and keep-alive
 }
 
-// Values returns the first value of a field and the number of its lines.
+// Values returns the first value of a field and the number of field lines with its name.
 func (h *Head) Values(name string) (first string, lines int) {
 	for i := range h.Fields {
 		if f := &h.Fields[i]; len(f.Name) == len(name) && strings.EqualFold(f.Name, name) {
@@ -63,8 +62,8 @@
 	return v
 }
 
-// Resembles reports whether a field has a name that gateway interfaces such as CGI take
-// for the given one: with underscores where that has hyphens.
+// Resembles reports whether a field has a name that differs from the given name but that gateway interfaces such as CGI
+// treat as the same, with underscores in place of hyphens.
 func (h *Head) Resembles(name string) bool {
 	for i := range h.Fields {
 		n := h.Fields[i].Name
@@ -79,7 +78,7 @@
 	return false
 }
 
-// isTokenByte tells which bytes a token may have (RFC 9110, section 5.6.2).
+// isTokenByte marks the bytes that are allowed in a token (RFC 9110, section 5.6.2).
 var isTokenByte = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
@@ -103,8 +102,8 @@
 	return s != ""
 }
 
-// ParseRequest parses a request's head, which must end with its empty line. Its error is
-// one of this package's.
+// ParseRequest parses the head of a request, including the empty line that ends it. It returns an error of this
+// package.
 func (h *Head) ParseRequest(text string) error {
 	line, rest, err := h.parseStart(text)
 	if err != nil {
@@ -139,9 +138,9 @@
 	return nil
 }
 
-// ParseAnswer parses an answer's head, which must end with its empty line. Its error is
-// one of this package's.
-func (h *Head) ParseAnswer(text string) error {
+// ParseResponse parses the head of a response, including the empty line that ends it. It returns an error of this
+// package.
+func (h *Head) ParseResponse(text string) error {
 	line, rest, err := h.parseStart(text)
 	if err != nil {
 		return err
@@ -160,7 +159,7 @@
 		return ErrMalformed
 	}
 	h.Reason = strings.TrimPrefix(line[12:], " ")
-	if line[7] != '1' { // an older server closes unless it says otherwise
+	if line[7] != '1' { // HTTP/1.0 servers close the connection by default
 		h.Close = true
 	}
 	if err := h.parseFields(rest); err != nil {
@@ -172,9 +171,9 @@
 	return nil
 }
 
-// parseStart resets the head and returns its first line and the rest.
+// parseStart resets the head and splits the text into the first line and the rest.
 func (h *Head) parseStart(text string) (line, rest string, err error) {
-	h.Fields, h.Length, h.Chunked, h.Close, h.Nominated = h.Fields[:0], -1, false, false, false
+	h.Fields, h.Length, h.Chunked, h.Close, h.NamesConnectionFields = h.Fields[:0], -1, false, false, false
 	line, rest, ok := strings.Cut(text, "\r\n")
 	if !ok {
 		return "", "", ErrMalformed
@@ -182,7 +181,7 @@
 	return line, rest, nil
 }
 
-// parseFields parses the lines after the first.
+// parseFields parses the field lines and the empty line.
 func (h *Head) parseFields(rest string) error {
 	for {
 		var line string
@@ -216,7 +215,7 @@
 	}
 }
 
-// applyFraming applies a field that decides where the message or the connection ends.
+// applyFraming evaluates a field that determines where the message or the connection ends.
 func (h *Head) applyFraming(f Field) error {
 	switch {
 	case len(f.Name) == len("Content-Length") && strings.EqualFold(f.Name, "Content-Length"):
@@ -232,7 +231,7 @@
 	return nil
 }
 
-// applyContentLength applies the value of a Content-Length field.
+// applyContentLength evaluates a Content-Length field.
 func (h *Head) applyContentLength(value string) error {
 	if h.Length >= 0 || value == "" || len(value) > maxLengthDigits {
 		return ErrLength
@@ -248,7 +247,7 @@
 	return nil
 }
 
-// applyConnection applies the value of a Connection field.
+// applyConnection evaluates a Connection field.
 func (h *Head) applyConnection(value string) {
 	for rest := value; rest != ""; {
 		var option string
@@ -258,12 +257,12 @@
 			h.Close = true
 		case option == "" || strings.EqualFold(option, "keep-alive"):
 		default:
-			h.Nominated = true
+			h.NamesConnectionFields = true
 		}
 	}
 }
 
-// HopByHop reports whether a field concerns one connection only and is not forwarded.
+// HopByHop reports whether a field applies to a single connection only and is not forwarded.
 func HopByHop(name string) bool {
 	switch len(name) {
 	case 2:
@@ -275,7 +274,7 @@
 	case 10:
 		return strings.EqualFold(name, "Connection") || strings.EqualFold(name, "Keep-Alive")
 	case 14:
-		return strings.EqualFold(name, "Content-Length") // written anew
+		return strings.EqualFold(name, "Content-Length") // the forwarded message gets its own
 	case 16:
 		return strings.EqualFold(name, "Proxy-Connection")
 	case 17:
@@ -288,7 +287,7 @@
 	return false
 }
 
-// AppendField appends a field's line to a head.
+// AppendField appends a field line to b.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
--- a/internal/httpwire/reader.go
+++ b/internal/httpwire/reader.go
@@ -6,29 +6,29 @@
 	"io"
 )
 
-// Reader reads messages off one connection. It reads no byte of a message before it is
-// asked for one, but may hold bytes of the next.
+// Reader reads messages from one connection. It reads from the connection only during a call, but may then buffer bytes
+// of later messages.
 type Reader struct {
 	src        io.Reader
 	buf        []byte
-	start, end int // of the bytes in buf that were read and not yet asked for
+	start, end int // bounds of the unconsumed bytes in buf
 }
 
 const (
 	initialBufferBytes = 2 << 10
-	maxLineBytes       = 4 << 10 // of a line of a chunked body
-	maxEmptyReads      = 100     // reads in a row without a byte or an error
+	maxLineBytes       = 4 << 10 // of a chunk size or trailer line
+	maxEmptyReads      = 100     // consecutive reads that return neither bytes nor an error
 )
 
-// NewReader returns a Reader of src.
+// NewReader returns a Reader that reads from src.
 func NewReader(src io.Reader) *Reader {
 	return &Reader{src: src, buf: make([]byte, initialBufferBytes)}
 }
 
-// Buffered returns the number of bytes that were read and not yet asked for.
+// Buffered returns the number of bytes that were read from the connection but not consumed yet.
 func (r *Reader) Buffered() int { return r.end - r.start }
 
-// Fill waits until there is something to read. Its error is that of the connection.
+// Fill waits until at least one byte is buffered. It returns the error of the connection.
 func (r *Reader) Fill() error {
 	if r.end > r.start {
 		return nil
@@ -37,7 +37,7 @@
 	return r.readMore()
 }
 
-// readMore reads at least one byte into the buffer, which it makes room in first.
+// readMore reads at least one byte into the buffer. It makes room in the buffer first.
 func (r *Reader) readMore() error {
 	if r.start > 0 && r.end == len(r.buf) {
 		r.end = copy(r.buf, r.buf[r.start:r.end])
@@ -59,10 +59,10 @@
 	return io.ErrNoProgress
 }
 
-// headEnd ends a head: the end of its last line and the empty line.
+// headEnd is the end of a head: the CR LF of the last line and the empty line.
 var headEnd = []byte("\r\n\r\n")
 
-// readHead returns the text of the next head, with the empty line that ends it.
+// readHead returns the text of the next head, including the empty line that ends it.
 func (r *Reader) readHead() (string, error) {
 	seen := 0
 	for {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Request reads the head of a request into h. Its error is one of this package's, or the
-// connection's: io.EOF if it ended before the first byte.
+// Request reads the head of a request into h. It returns an error of this package or of the connection; the error is
+// io.EOF if the connection ended before the first byte.
 func (r *Reader) Request(h *Head) error {
 	text, err := r.readHead()
 	if err != nil {
@@ -99,16 +99,16 @@
 	return h.ParseRequest(text)
 }
 
-// Answer reads the head of an answer into h. Its errors are those of [Reader.Request].
+// Answer reads the head of a response into h. It returns the same errors as [Reader.Request].
 func (r *Reader) Answer(h *Head) error {
 	text, err := r.readHead()
 	if err != nil {
 		return err
 	}
-	return h.ParseAnswer(text)
+	return h.ParseResponse(text)
 }
 
-// Body reads a body of a known length: it fills b.
+// Body fills b with the body of a message whose length is known.
 func (r *Reader) Body(b []byte) error {
 	n := copy(b, r.buf[r.start:r.end])
 	r.start += n
--- a/internal/httpwire/request_test.go
+++ b/internal/httpwire/request_test.go
@@ -11,12 +11,12 @@
 	"testing/iotest"
 )
 
-// goodRequest is a valid request with the first bytes of another behind it.
+// goodRequest is a valid request, followed by the first bytes of another.
 const goodRequest = "POST /a?b=%20 HTTP/1.1\r\nHost: h\r\nX-A:  v \r\n" +
 	"content-length: 3\r\nConnection: Keep-Alive , close\r\n\r\nabcGET"
 
-// TestRequest checks that a head is read the same however it comes in, and that no byte
-// behind the message is taken.
+// TestRequest checks that a request is parsed the same however its bytes are split over reads, and that no byte after
+// the message is consumed.
 func TestRequest(t *testing.T) {
 	for name, src := range map[string]io.Reader{
 		"whole":     strings.NewReader(goodRequest),
@@ -34,18 +34,18 @@
 				t.Fatal(err)
 			}
 			if v, n := h.Values("x-a"); h.Method != "POST" || h.Target != "/a?b=%20" || v != "v" || n != 1 ||
-				string(body) != "abc" || !h.Close || h.Nominated || h.Chunked {
-				t.Errorf("%+v %q", h, body)
+				string(body) != "abc" || !h.Close || h.NamesConnectionFields || h.Chunked {
+				t.Errorf("got head %+v, body %q; want those of goodRequest", h, body)
 			}
 			rest, _ := io.ReadAll(io.MultiReader(bytes.NewReader(r.buf[r.start:r.end]), r.src))
 			if string(rest) != "GET" {
-				t.Errorf("left %q", rest)
+				t.Errorf("bytes after the message: got %q, want GET", rest)
 			}
 		})
 	}
 }
 
-// rejectedHeads are ambiguous or malformed heads, and their errors.
+// rejectedHeads are ambiguous or malformed heads with the expected errors.
 var rejectedHeads = []struct {
 	name, text string
 	want       error
@@ -79,19 +79,19 @@
 	{"nothing", "", io.EOF},
 }
 
-// TestRequestRejected checks that an ambiguous or malformed head is rejected with its error.
+// TestRequestRejected checks that an ambiguous or malformed head is rejected with the expected error.
 func TestRequestRejected(t *testing.T) {
 	for _, c := range rejectedHeads {
 		t.Run(c.name, func(t *testing.T) {
 			var h Head
 			if err := NewReader(strings.NewReader(c.text)).Request(&h); !errors.Is(err, c.want) {
-				t.Errorf("%v, want %v", err, c.want)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 		})
 	}
 }
 
-// FuzzRequest checks that whatever is read here as a request, net/http reads as the same one.
+// FuzzRequest checks that net/http parses every request that Request accepts the same way, or rejects it.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(goodRequest))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
@@ -104,19 +104,19 @@
 		}
 		other, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
 		if err != nil {
-			return // stricter there is fine: it goes no further
+			return // net/http may be stricter: a server then rejects the request
 		}
 		hasNoBody := h.Length < 0 && !h.Chunked && other.ContentLength == 0
 		if other.Method != h.Method || other.RequestURI != h.Target || other.ContentLength != h.Length && !hasNoBody ||
 			h.Chunked != (len(other.TransferEncoding) > 0) {
-			t.Fatalf("%q: read as %+v here and %s %s of %d bytes there",
+			t.Fatalf("%q: head from Request is %+v, from net/http %s %s with Content-Length %d",
 				text, h, other.Method, other.RequestURI, other.ContentLength)
 		}
 		for _, fl := range h.Fields {
 			v, n := h.Values(fl.Name)
 			values := other.Header.Values(fl.Name)
 			if len(values) > 0 && (values[0] != v || len(values) != n) {
-				t.Fatalf("%q: %s is %q (%d) here and %q there", text, fl.Name, v, n, values)
+				t.Fatalf("%q: field %s from Request is %q (%d lines), from net/http %q", text, fl.Name, v, n, values)
 			}
 		}
 	})
