--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -20,17 +20,19 @@
 
 // The admin API serves operators and members over HTTP/1.1 and TLS, in JSON. The certificate identifies the caller.
 //
-//	GET  /v1/status   this member's view                          Status
-//	GET  /v1/config   the objects; with ?local=1: as applied here  Objects
-//	GET  /v1/stream   the followers' status                       FollowerList
-//	GET  /v1/history  the versions retained                       []clusterconfig.HistoryRecord
-//	POST /v1/check    a clusterconfig.Proposal: is it applicable?  clusterconfig.Outcome
-//	POST /v1/propose  a clusterconfig.Proposal                    clusterconfig.Outcome
-//	POST /v1/members  a MembershipChange                          Status
-//	GET  /metrics     in the Prometheus text format
+//	GET  /v1/status   returns the status of this member                      Status
+//	GET  /v1/config   returns the agreed objects, or with ?local=1           Objects
+//	                  the objects of the version applied at this member
+//	GET  /v1/stream   returns the status of the followers                    FollowerList
+//	GET  /v1/history  returns the retained versions                          []clusterconfig.HistoryRecord
+//	POST /v1/check    checks a clusterconfig.Proposal without applying it    clusterconfig.Outcome
+//	POST /v1/propose  proposes a clusterconfig.Proposal                      clusterconfig.Outcome
+//	POST /v1/members  applies a MembershipChange                             Status
+//	GET  /metrics     returns metrics in the Prometheus text format
 //
-// Errors are {"error": text}: 400 bad input, 403 not of this cluster, 409 rejected, 503 no leader or no quorum within
-// the time that the header X-Timeout-Ms leaves.
+// An error response has a body {"error": text} and status 400 for invalid input, 403 for a caller that is not an
+// operator or a member of this cluster, or 503 if there is no leader or no quorum within the timeout that the header
+// X-Timeout-Ms sets. A rejected proposal has status 409 and its clusterconfig.Outcome as the body.
 const (
 	pathStatus  = "/v1/status"
 	pathConfig  = "/v1/config"
@@ -52,11 +54,11 @@
 	adminHeaderTimeout     = 5 * time.Second
 	adminReadTimeout       = time.Minute
 	adminIdleTimeout       = time.Minute
-	adminWriteSlack        = 10 * time.Second // beside maxAdminTimeout
+	adminWriteSlack        = 10 * time.Second // added to maxAdminTimeout
 	leaderLookupTimeout    = time.Second
 	maxAdminHeaderBytes    = 16 << 10
-	maxConcurrentAdminReqs = 16                                 // calls at a time
-	maxAdminBodyBytes      = 2 * clusterconfig.MaxProposalBytes // a body may be spaced more widely than an entry
+	maxConcurrentAdminReqs = 16
+	maxAdminBodyBytes      = 2 * clusterconfig.MaxProposalBytes // whitespace can make a body longer than the log entry
 )
 
 // errorResponse is the JSON body of an error.
@@ -64,7 +66,7 @@
 	Error string `json:"error"`
 }
 
-// statusError is an error that is answered with a status and a JSON body of its own.
+// statusError is an error with the HTTP status and the JSON body of its response.
 type statusError struct {
 	status int
 	body   any // errorResponse or clusterconfig.Outcome
@@ -80,14 +82,14 @@
 // and at most maxConcurrentAdminReqs calls at a time.
 type adminServer struct {
 	member   *Member
-	inFlight chan struct{} // holds a token for each call
+	inFlight chan struct{} // holds a token for each call in progress
 }
 
 func newAdminServer(m *Member) *adminServer {
 	return &adminServer{member: m, inFlight: make(chan struct{}, maxConcurrentAdminReqs)}
 }
 
-// serve serves the admin API until the server is closed, which the caller does.
+// serve serves the admin API until the caller closes the returned server.
 func (a *adminServer) serve(ln net.Listener, tasks *sync.WaitGroup) *http.Server {
 	server := &http.Server{
 		ErrorLog:          logging.HTTPErrors(a.member.logger),
@@ -105,21 +107,21 @@
 
 func (a *adminServer) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathStatus, respond(a, func(ctx context.Context, _ *http.Request) (*Status, error) {
+	mux.HandleFunc("GET "+pathStatus, newHandler(a, func(ctx context.Context, _ *http.Request) (*Status, error) {
 		return a.status(ctx)
 	}))
-	mux.HandleFunc("GET "+pathConfig, respond(a, a.objects))
-	mux.HandleFunc("GET "+pathHistory, respond(a, a.history))
-	mux.HandleFunc("GET "+pathStream, respond(a, a.followerList))
-	mux.HandleFunc("POST "+pathCheck, respondTo(a, a.checkProposal))
-	mux.HandleFunc("POST "+pathPropose, respondTo(a, a.propose))
-	mux.HandleFunc("POST "+pathMembers, respondTo(a, a.changeMembers))
+	mux.HandleFunc("GET "+pathConfig, newHandler(a, a.objects))
+	mux.HandleFunc("GET "+pathHistory, newHandler(a, a.history))
+	mux.HandleFunc("GET "+pathStream, newHandler(a, a.followerList))
+	mux.HandleFunc("POST "+pathCheck, newBodyHandler(a, a.checkProposal))
+	mux.HandleFunc("POST "+pathPropose, newBodyHandler(a, a.propose))
+	mux.HandleFunc("POST "+pathMembers, newBodyHandler(a, a.changeMembers))
 	mux.HandleFunc("GET "+pathMetrics, a.serveMetrics)
 	return mux
 }
 
-// admitCallers rejects calls without an operator's or a member's certificate with status 403, and those beyond
-// maxConcurrentAdminReqs at a time with 503.
+// admitCallers rejects calls without an operator's or a member's certificate with status 403, and calls beyond
+// maxConcurrentAdminReqs with status 503.
 func (a *adminServer) admitCallers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := a.authenticate(r); err != nil {
@@ -155,8 +157,9 @@
 	return raftnode.IdentityOf(r.TLS.PeerCertificates[0])
 }
 
-// authorizeOperator returns why the holder of a certificate may not call the admin API of a cluster: another cluster's
-// name, which one authority may have signed too, or a follower, which only receives.
+// authorizeOperator returns an error if the holder of a certificate may not call the admin API of a cluster. The
+// certificate may name another cluster, since one authority can sign for several, or a follower, which only receives
+// the configuration.
 func authorizeOperator(holder raftnode.Identity, cluster string) error {
 	if holder.Cluster != cluster {
 		return fmt.Errorf("the certificate is of cluster %q: this is cluster %q", holder.Cluster, cluster)
@@ -167,8 +170,8 @@
 	return nil
 }
 
-// respond returns a handler that responds with the result of serve, within the caller's timeout.
-func respond[Response any](a *adminServer,
+// newHandler returns a handler that calls serve with the caller's timeout and responds with its result.
+func newHandler[Response any](a *adminServer,
 	serve func(context.Context, *http.Request) (Response, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), adminTimeout(r))
@@ -182,10 +185,10 @@
 	}
 }
 
-// respondTo is [respond] for requests with a JSON body.
-func respondTo[Request, Response any](a *adminServer,
+// newBodyHandler is [newHandler] for requests with a JSON body.
+func newBodyHandler[Request, Response any](a *adminServer,
 	serve func(context.Context, *http.Request, *Request) (Response, error)) http.HandlerFunc {
-	return respond(a, func(ctx context.Context, r *http.Request) (response Response, err error) {
+	return newHandler(a, func(ctx context.Context, r *http.Request) (response Response, err error) {
 		request := new(Request)
 		if err := readJSON(r, request); err != nil {
 			return response, err
@@ -194,8 +197,8 @@
 	})
 }
 
-// adminTimeout returns the time that a request may take: what the caller says in headerTimeout, in milliseconds, up to
-// maxAdminTimeout, or else defaultAdminTimeout.
+// adminTimeout returns the timeout of a request: the milliseconds in headerTimeout, up to maxAdminTimeout, or
+// defaultAdminTimeout if the header is missing or invalid.
 func adminTimeout(r *http.Request) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get(headerTimeout))
 	if err != nil || ms <= 0 {
@@ -212,12 +215,13 @@
 	writeJSON(w, http.StatusServiceUnavailable, errorResponse{a.explain(ctx, err)})
 }
 
-// explain returns an error's text for operators, with the voters and the leader where a quorum is missing.
+// explain returns the text of an error for operators. If there was no leader or no quorum, it adds the voters and the
+// leader.
 func (a *adminServer) explain(ctx context.Context, err error) string {
 	if !errors.Is(err, raftnode.ErrNoLeader) && !errors.Is(err, raftnode.ErrOutcomeUnknown) {
 		return err.Error()
 	}
-	// The request's own time may be over.
+	// The request's own timeout may have expired.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaderLookupTimeout)
 	defer cancel()
 	status, statusErr := a.member.node.Status(ctx)
--- a/internal/cluster/admin_members.go
+++ b/internal/cluster/admin_members.go
@@ -23,20 +23,21 @@
 )
 
 const (
-	maxVoterLag        = 64 // committed entries that a learner may lack when it becomes a voter
-	ticksPerLagRequest = 2  // ticks between two checks of a learner's lag
+	maxVoterLag        = 64 // committed entries that a learner may be behind when it becomes a voter
+	ticksPerLagRequest = 2  // Raft ticks between two checks of a learner's replication lag
 )
 
 // MembershipChange is a request to change the members or the leader.
 type MembershipChange struct {
 	Op            string                `json:"op"` // "add", "remove", "replace" or "transfer"
 	MemberID      uint64                `json:"member"`
-	ReplacementID uint64                `json:"with,omitempty"` // for replace: the new member
-	Addrs         *clusterconfig.Member `json:"at,omitempty"`   // for add and replace: of the new member
+	ReplacementID uint64                `json:"with,omitempty"` // for replace: ID of the new member
+	Addrs         *clusterconfig.Member `json:"at,omitempty"`   // for add and replace: addresses of the new member
 }
 
-// check returns why a change is rejected, given the members in force: one of them is meant but for an addition; a
-// leader is a voter; the last voter stays; and a new member has a number of its own and addresses.
+// check returns an error if a change is invalid for the current voters and learners. Each operation other than add must
+// name one of them, only a voter can become the leader, the last voter can't be removed, and a new member needs
+// addresses and an ID other than that of the member that it replaces.
 func (c *MembershipChange) check(voters, learners []uint64) error {
 	isMember := slices.Contains(voters, c.MemberID) || slices.Contains(learners, c.MemberID)
 	if c.Op != opAddMember && !isMember {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// checkNewMember returns why a new member is rejected: without a number or addresses.
+// checkNewMember returns an error if a new member has no ID or no addresses.
 func checkNewMember(id uint64, addrs *clusterconfig.Member) error {
 	if id == 0 || addrs == nil {
 		return newBadRequest("member and at: the number and the addresses of the new member are wanted")
@@ -72,14 +73,15 @@
 	return nil
 }
 
-// isCaughtUp reports whether a member has enough of the log, by the committed entries that it lacks, to become a voter
-// or the leader without others having to wait for it.
+// isCaughtUp reports whether a member whose replication lag is known, in committed entries, has enough of the log to
+// become a voter or the leader without delaying the other members.
 func isCaughtUp(lag uint64, known bool) bool { return known && lag < maxVoterLag }
 
-// voterChange returns the changes of voters and learners that remain to be made. Several at once are a joint change.
+// voterChange returns the changes that are still needed, given the current voters and learners. Several changes are
+// applied as one joint change.
 type voterChange func(voters, learners []uint64) []*raftpb.ConfChangeSingle
 
-// changeMembers changes the members. A new one is a learner until it has caught up.
+// changeMembers applies a membership change at the leader. A new member is a learner until it has caught up.
 func (a *adminServer) changeMembers(ctx context.Context, r *http.Request, change *MembershipChange) (*Status, error) {
 	status, err := a.member.node.Status(ctx)
 	if err != nil {
@@ -130,7 +132,7 @@
 	return a.proposeMemberAddrs(ctx, change.MemberID, nil)
 }
 
-// addMember makes a member a learner, waits until it has caught up, and promotes it by the change.
+// addMember adds a member as a learner, waits until it has caught up, and applies promote.
 func (a *adminServer) addMember(ctx context.Context, id uint64, addrs *clusterconfig.Member,
 	promote voterChange) error {
 	if err := a.proposeMemberAddrs(ctx, id, addrs); err != nil {
@@ -188,7 +190,8 @@
 	return &raftpb.ConfChangeSingle{Type: &kind, NodeId: &id}
 }
 
-// forwardToLeader has the leader make a change. A request that was forwarded to this member is not forwarded again.
+// forwardToLeader forwards a membership change to the leader. A request that was forwarded to this member is not
+// forwarded again.
 func (a *adminServer) forwardToLeader(ctx context.Context, r *http.Request, leader uint64, change *MembershipChange) (
 	*Status, error) {
 	addr := a.member.addrsOf(leader).AdminAddress
--- a/internal/cluster/admin_proposals.go
+++ b/internal/cluster/admin_proposals.go
@@ -11,7 +11,7 @@
 
 const maxProposalIDBytes = 200
 
-// completeProposal sets a proposal's author, which the certificate names, and its time, and checks its ID.
+// completeProposal sets a proposal's author from the certificate, sets its time if it has none, and checks its ID.
 func (a *adminServer) completeProposal(r *http.Request, p *clusterconfig.Proposal) error {
 	caller, err := a.authenticate(r)
 	if err != nil {
@@ -36,31 +36,31 @@
 	if err := a.completeProposal(r, p); err != nil {
 		return outcome, err
 	}
-	state, err := a.readAgreed(ctx)
+	state, err := a.readConfirmedState(ctx)
 	if err != nil {
 		return outcome, err
 	}
 	return rejectedAsError(dryRun(state, p))
 }
 
-// propose has a proposal applied.
+// propose proposes a change to the cluster and returns the outcome.
 func (a *adminServer) propose(ctx context.Context, r *http.Request, p *clusterconfig.Proposal) (
 	outcome clusterconfig.Outcome, err error) {
 	if err := a.completeProposal(r, p); err != nil {
 		return outcome, err
 	}
 	// A proposal that can't be applied is not sent to all members. This member's state may be behind, so its rejection
-	// counts only if the quorum's state rejects the proposal as well.
+	// counts only if the state that a quorum confirms rejects the proposal as well.
 	local, err := a.member.node.AppliedState(ctx)
 	if err != nil {
 		return outcome, err
 	}
 	if local.Check(p) != nil {
-		outcome, isSettled, err := a.settleRejected(ctx, p)
+		outcome, isFinal, err := a.recheckRejected(ctx, p)
 		if err != nil {
 			return outcome, err
 		}
-		if isSettled {
+		if isFinal {
 			return rejectedAsError(outcome)
 		}
 	}
@@ -70,10 +70,11 @@
 	return rejectedAsError(outcome)
 }
 
-// settleRejected returns the outcome of a proposal that this member's state rejects: the recorded one of a repeated
-// proposal, or the rejection by the quorum's state. If the quorum's state accepts it, the proposal is not settled.
-func (a *adminServer) settleRejected(ctx context.Context, p *clusterconfig.Proposal) (
-	outcome clusterconfig.Outcome, isSettled bool, err error) {
+// recheckRejected checks a proposal that this member's state rejects against the state that a quorum confirms. The
+// outcome is final if it is the recorded outcome of a repeated proposal or another rejection. Otherwise the proposal
+// can be applied, and has yet to be proposed.
+func (a *adminServer) recheckRejected(ctx context.Context, p *clusterconfig.Proposal) (
+	outcome clusterconfig.Outcome, isFinal bool, err error) {
 	var newest *clusterconfig.State
 	var isRepeated bool
 	err = a.member.node.LinearizableRead(ctx, func(s *clusterconfig.State) {
@@ -103,7 +104,7 @@
 	return outcome, nil
 }
 
-// proposeMemberAddrs proposes the addresses of a member; nil removes them.
+// proposeMemberAddrs proposes the addresses of a member, or their removal if addrs is nil.
 func (a *adminServer) proposeMemberAddrs(ctx context.Context, id uint64, addrs *clusterconfig.Member) error {
 	name := fmt.Sprint(id)
 	change := clusterconfig.Change{Op: clusterconfig.OpRemove, Kind: clusterconfig.KindMember, Name: name}
--- a/internal/cluster/admin_status.go
+++ b/internal/cluster/admin_status.go
@@ -11,19 +11,20 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// Status is a member's view, as operators see it.
+// Status is a member's status and its view of the cluster.
 type Status struct {
 	raftnode.Status
 	Cluster string `json:"cluster"`
 
-	// InstalledVersion is in force at the instance. InstallError says why the agreed version is not.
+	// InstalledVersion is the version in force at the instance. InstallError is the reason why the agreed version is
+	// not in force, or empty if it is.
 	InstalledVersion uint64 `json:"installed"`
-	// ConfirmedAgeMs is the time since a quorum last confirmed the version; -1: not since the start.
+	// ConfirmedAgeMs is the time since a quorum last confirmed the version, or -1 if none has since the start.
 	ConfirmedAgeMs int64  `json:"age_ms"`
 	IsServing      bool   `json:"serves"`
 	InstallError   string `json:"note,omitempty"`
 
-	SiteStates map[string]string               `json:"halls,omitempty"` // as this instance sees them
+	SiteStates map[string]string               `json:"halls,omitempty"` // by site, as seen by this instance
 	Members    map[uint64]clusterconfig.Member `json:"members"`         // voters and learners
 }
 
@@ -34,7 +35,7 @@
 	Objects map[string]map[string]json.RawMessage `json:"objects"`
 }
 
-// status returns this member's view.
+// status returns this member's status.
 func (a *adminServer) status(ctx context.Context) (*Status, error) {
 	s, err := a.member.node.Status(ctx)
 	if err != nil {
@@ -67,9 +68,10 @@
 	return status, nil
 }
 
-// objects returns the objects that a quorum has agreed on or, with the query "local", that are applied here.
+// objects returns the objects of the state that a quorum confirms or, with the query parameter "local", those of the
+// state applied at this member.
 func (a *adminServer) objects(ctx context.Context, r *http.Request) (*Objects, error) {
-	read := a.readAgreed
+	read := a.readConfirmedState
 	if r.URL.Query().Get(queryLocal) != "" {
 		read = a.member.node.AppliedState
 	}
@@ -99,8 +101,8 @@
 	return records, err
 }
 
-// readAgreed returns the state that a quorum confirms to be the newest.
-func (a *adminServer) readAgreed(ctx context.Context) (state *clusterconfig.State, err error) {
+// readConfirmedState returns the newest state, as confirmed by a quorum.
+func (a *adminServer) readConfirmedState(ctx context.Context) (state *clusterconfig.State, err error) {
 	err = a.member.node.LinearizableRead(ctx, func(newest *clusterconfig.State) { state = newest.Freeze() })
 	return state, err
 }
--- a/internal/cluster/agreement_test.go
+++ b/internal/cluster/agreement_test.go
@@ -15,9 +15,9 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// Instances reject requests until a first configuration is agreed on, then all serve with it; a change comes into force
-// at all; what can't be applied is rejected with its reason; a repeated proposal is applied once; callers of other
-// clusters are rejected.
+// Instances reject requests until a first configuration is agreed on, and then all serve with it. A change is put in
+// force at all instances, a proposal that can't be applied is rejected with its reason, and a repeated proposal is
+// applied once. Callers of other clusters are rejected.
 func TestAgreement(t *testing.T) {
 	t.Parallel()
 	c := newTestCluster(t, 3)
@@ -26,29 +26,29 @@
 	c.checkRejectedProposals()
 	h, err := c.admin.History(c.ctx())
 	if err != nil || len(h) != 2 || h[1].Author != testOperator || h[1].Reason != "dearer" || h[1].ProposedAtMs == 0 {
-		t.Errorf("history %+v, error %v", h, err)
+		t.Errorf("got history %+v, error %v, want 2 records, the second with author, reason and time", h, err)
 	}
 	if o, err := c.admin.Objects(c.ctx(), false); err != nil || o.Version != 2 || len(o.Objects["plan"]) != 1 {
-		t.Errorf("%+v, %v", o, err)
+		t.Errorf("got objects %+v, error %v, want version 2 with one plan", o, err)
 	}
 	c.proposeChanges("third", newChange("remove", "licensee", "bahari", ""))
 	c.awaitInstalled(3)
 	if r := c.get(2, "/slots"); r.status != 403 {
-		t.Errorf("a licensee that was removed: %+v", r)
+		t.Errorf("request of a removed licensee: got %+v, want status 403", r)
 	}
 	c.checkForeignCertificates()
 }
 
-// checkFirstVersion checks that members reject requests before version 1, and serve with it.
+// checkFirstVersion checks that members reject requests before version 1, and serve with version 1 once it is in force.
 func (c *testCluster) checkFirstVersion() {
 	c.t.Helper()
 	for id := range c.members {
 		if r := c.get(id, "/slots"); r.status != 503 || r.header.Get("Retry-After") == "" {
-			c.t.Errorf("before anything is agreed on: %+v", r)
+			c.t.Errorf("request before version 1: got %+v, want status 503 and Retry-After", r)
 		}
 	}
 	if o := c.propose(c.initialProposal()); !o.IsApplied || o.Version != 1 {
-		c.t.Fatalf("%+v", o)
+		c.t.Fatalf("first proposal: got outcome %+v, want version 1 applied", o)
 	}
 	c.awaitInstalled(1)
 	for id := range c.members {
@@ -56,12 +56,13 @@
 		c.awaitServing(id)
 		if r := c.get(id, "/slots"); r.body != "1" || r.header.Get("X-Mulleinmux-Version") != "1" ||
 			r.header.Get("X-Mulleinmux-Units") != "1" || r.header.Get("X-Mulleinmux-Config-Age") != "" {
-			c.t.Errorf("%+v", r)
+			c.t.Errorf("request: got %+v, want version 1, 1 unit and no config age", r)
 		}
 	}
 }
 
-// checkRepeatedProposal checks that a proposal that is made twice makes version 2, with which all members serve.
+// checkRepeatedProposal checks that a proposal that is sent twice creates version 2 once, and that all members serve
+// with it.
 func (c *testCluster) checkRepeatedProposal() {
 	c.t.Helper()
 	base := uint64(1)
@@ -69,13 +70,13 @@
 		Changes: []clusterconfig.Change{putDescription(7)}}
 	for range 2 {
 		if o := c.propose(second); o.Version != 2 {
-			c.t.Errorf("%+v", o)
+			c.t.Errorf("repeated proposal: got outcome %+v, want version 2", o)
 		}
 	}
 	c.awaitInstalled(2)
 	for id := range c.members {
 		if r := c.get(id, "/slots"); r.header.Get("X-Mulleinmux-Units") != "7" || r.body != "2" {
-			c.t.Errorf("%+v", r)
+			c.t.Errorf("request: got %+v, want version 2 and 7 units", r)
 		}
 	}
 }
@@ -100,15 +101,15 @@
 			Changes:     []clusterconfig.Change{test.change},
 		}
 		if _, err := c.admin.Propose(c.ctx(), p); !hasStatus(err, http.StatusConflict, test.want) {
-			c.t.Errorf("%s: %v", test.name, err)
+			c.t.Errorf("Propose, %s: got error %v, want status 409 and the reason", test.name, err)
 		}
 		if _, err := c.admin.Check(c.ctx(), p); !hasStatus(err, http.StatusConflict, "") {
-			c.t.Errorf("%s, checked: %v", test.name, err)
+			c.t.Errorf("Check, %s: got error %v, want status 409", test.name, err)
 		}
 	}
 }
 
-// checkForeignCertificates checks that clients of other clusters are rejected. It renames the cluster's authority.
+// checkForeignCertificates checks that clients of other clusters are rejected. It renames the authority of the cluster.
 func (c *testCluster) checkForeignCertificates() {
 	c.t.Helper()
 	// Another cluster of the same name, and one of another name.
@@ -117,28 +118,28 @@
 		client := NewClient(name, creds, c.addrs[1].AdminAddress)
 		_, err := client.Status(c.ctx())
 		if !errors.Is(err, raftnode.ErrUnknownAuthority) || !strings.Contains(err.Error(), "is not of cluster") {
-			c.t.Errorf("a foreign client: %v", err)
+			c.t.Errorf("client of another cluster: got error %v, want ErrUnknownAuthority", err)
 		}
 		client.Close()
 	}
-	// The same authority with another cluster's name in the certificate.
+	// A certificate of the same authority that names another cluster.
 	c.authority.Cluster = "renamed"
 	client := NewClient(testClusterName, memberCredentials(c.t, c.authority, 1), c.addrs[1].AdminAddress)
 	defer client.Close()
 	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), `is of cluster "renamed"`) {
-		c.t.Errorf("a certificate of another cluster: %v", err)
+		c.t.Errorf("certificate that names another cluster: got error %v, want a rejection", err)
 	}
 }
 
-// An instance that restarts forwards nothing until a quorum has confirmed its version, with which it has served before;
-// then it serves with the newest.
+// A restarted instance forwards no request until a quorum has confirmed the version, although it served with its stored
+// version before the restart. Then it serves with the newest version.
 func TestRestartServesOnlyConfirmedVersion(t *testing.T) {
 	t.Parallel()
 	c := newTestCluster(t, 3)
 	c.propose(c.initialProposal())
 	c.awaitInstalled(1)
 	c.awaitServing(1)
-	for i := range 5 { // that an entry is committed is written with the entry after it
+	for i := range 5 { // the commit index of an entry is persisted with the entry after it
 		c.proposeChanges(fmt.Sprint("more", i), putDescription(2+i))
 	}
 	c.awaitInstalled(6)
@@ -147,28 +148,28 @@
 	c.stop(2)
 	c.stop(3)
 	c.start(1)
-	// It has an old version in force, and no quorum to confirm it.
+	// Member 1 has an old version in force, and there is no quorum to confirm it.
 	c.await("a version is in force", func() bool { return c.members[1].member.Instance().Version() > 0 })
-	end := time.Now().Add(500 * time.Millisecond) // 50 ticks: two elections and more
+	end := time.Now().Add(500 * time.Millisecond) // 50 ticks, more than two election timeouts
 	for time.Now().Before(end) {
 		if r := c.get(1, "/slots"); r.status != 503 {
-			t.Fatalf("served without a quorum: %+v", r)
+			t.Fatalf("request without a quorum: got %+v, want status 503", r)
 		}
 		if c.isReady(1) {
-			t.Fatal("ready without a quorum")
+			t.Fatal("member 1 is ready without a quorum")
 		}
 	}
 	c.start(2)
 	c.await("ready", func() bool { return c.isReady(1) })
 	c.awaitServing(1)
 	if r := c.get(1, "/slots"); r.body != "7" || r.header.Get("X-Mulleinmux-Units") != "20" {
-		t.Errorf("after its restart: %+v", r)
+		t.Errorf("request after the restart: got %+v, want version 7 and 20 units", r)
 	}
 }
 
-// A minority that is cut off serves on within its bound and says how old its version is; past the bound it does what
-// was chosen. When the quorum is back, both serve. Not parallel: the age is counted from the last confirmation, which
-// other clusters would delay.
+// Members without a quorum continue to serve within the staleness bound. Beyond the bound, a member either rejects
+// requests or serves and reports the age of its version, depending on its configuration. Both serve normally once the
+// quorum is back. Not parallel: the age counts from the last confirmation, which other clusters would delay.
 func TestMinorityServesUntilStale(t *testing.T) {
 	staleness := map[uint64]gateway.Agreement{
 		1: {StaleAfter: time.Second},
@@ -180,24 +181,24 @@
 	c.awaitServing(1)
 	c.awaitServing(2)
 	c.stop(3)
-	// Each is alone: the link between them goes as well.
+	// Members 1 and 2 are also disconnected from each other.
 	c.members[1].member.node.SetPeers(nil)
 	c.members[2].member.node.SetPeers(nil)
 	cutOffAt := time.Now()
 	if r := c.get(2, "/slots"); r.status != 200 {
-		t.Errorf("within its bound: %+v", r)
+		t.Errorf("request within the staleness bound: got %+v, want status 200", r)
 	}
 	c.await("member 2 rejects", func() bool { return c.get(2, "/slots").status == 503 })
 	if after := time.Since(cutOffAt); after > 5*time.Second {
-		t.Errorf("rejects after %v", after)
+		t.Errorf("member 2 rejects requests after %v, want at most 5s", after)
 	}
 	if age, serves := c.members[2].member.Instance().Confirmation(time.Now()); serves || age < time.Second {
-		t.Errorf("rejects a version that was confirmed %v ago, serves %v", age, serves)
+		t.Errorf("member 2: got confirmation age %v, serving %v, want at least 1s and not serving", age, serves)
 	}
 	if c.isReady(2) || !c.isReady(1) {
-		t.Error("ready: member 2, or not member 1")
+		t.Error("member 2 is ready, or member 1 is not")
 	}
-	c.await("member 1 says an age", func() bool {
+	c.await("member 1 reports the age of its version", func() bool {
 		r := c.get(1, "/slots")
 		return r.status == 200 && configAge(r.header) >= 2
 	})
@@ -210,23 +211,24 @@
 	})
 }
 
-// configAge returns the age of the version that a response tells, in seconds; 0: none.
+// configAge returns the age of the version that a response reports, in seconds, or 0 if it reports none.
 func configAge(header http.Header) float64 {
 	age, _ := strconv.ParseFloat(header.Get("X-Mulleinmux-Config-Age"), 64)
 	return age
 }
 
-// checkNoChangeWithoutQuorum checks that member 1, which serves without a quorum, takes no change and says so.
+// checkNoChangeWithoutQuorum checks that member 1, which serves without a quorum, rejects a proposal with an error that
+// names it, and reports the age of its version.
 func (c *testCluster) checkNoChangeWithoutQuorum() {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 600*time.Millisecond)
 	defer cancel()
 	late := &clusterconfig.Proposal{ID: "late", Changes: []clusterconfig.Change{putDescription(3)}}
 	if _, err := c.admin.Propose(ctx, late); !hasStatus(err, http.StatusServiceUnavailable, "member 1") {
-		c.t.Errorf("a change without a quorum: %v", err)
+		c.t.Errorf("proposal without a quorum: got error %v, want status 503 from member 1", err)
 	}
 	s, err := c.admin.Status(c.ctx())
 	if err != nil || s.ConfirmedAgeMs < 1000 || !s.IsServing {
-		c.t.Errorf("status %+v, %v", s, err)
+		c.t.Errorf("got status %+v, error %v, want an age of at least 1000 ms and serving", s, err)
 	}
 }
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -21,12 +21,12 @@
 	clientDialTimeout      = time.Second
 	clientHandshakeTimeout = 2 * time.Second
 	clientIdleTimeout      = 10 * time.Second
-	clientMaxIdleConns     = 4 // to one instance
+	clientMaxIdleConns     = 4 // per instance
 	clientMaxResponseBytes = 256 << 20
 	memberStatusTimeout    = 2 * time.Second // for each member's response
 )
 
-// Client calls the admin API as an operator. It calls the first address that can be reached.
+// Client calls the admin API as an operator. It uses the first address that can be reached.
 type Client struct {
 	cluster    string
 	addrs      []string
@@ -59,10 +59,10 @@
 // adminCall is a call of the admin API.
 type adminCall struct {
 	method, path string
-	request      any // marshalled as the body; nil: none
-	response     any // the response's body is unmarshalled into it
+	request      any // marshaled as the request body; nil for no body
+	response     any // the response body is unmarshaled into it
 
-	isForwarded bool // by a member to the leader
+	isForwarded bool // whether a member forwards the call to the leader
 }
 
 // call calls the instances in turn until one can be reached.
@@ -70,7 +70,7 @@
 	var unreachable error
 	for _, addr := range c.addrs {
 		err := c.callAt(ctx, addr, call)
-		if _, hasAnswered := errors.AsType[*ResponseError](err); err == nil || hasAnswered || ctx.Err() != nil {
+		if _, hasResponse := errors.AsType[*ResponseError](err); err == nil || hasResponse || ctx.Err() != nil {
 			return err
 		}
 		unreachable = errors.Join(unreachable, err)
@@ -105,7 +105,7 @@
 		return newResponseError(response, text)
 	}
 	if err := json.Unmarshal(text, call.response); err != nil {
-		return fmt.Errorf("%s: answer: %w", addr, err)
+		return fmt.Errorf("%s: invalid response body: %w", addr, err)
 	}
 	return nil
 }
@@ -146,7 +146,7 @@
 	return fmt.Errorf("%s: %w", addr, err)
 }
 
-// newResponseError reads the reason from an answer's body: an errorResponse, or a rejected proposal's outcome.
+// newResponseError returns the error in a response body: an errorResponse, or a rejected proposal's outcome.
 func newResponseError(response *http.Response, text []byte) *ResponseError {
 	var body struct {
 		errorResponse
@@ -158,25 +158,25 @@
 		message = response.Status
 	}
 	if body.Rejected != "" {
-		message = wordRejected + ": " + body.Rejected
+		message = rejectedLabel + ": " + body.Rejected
 	}
 	return &ResponseError{response.StatusCode, message}
 }
 
-// Status returns the view of one instance.
+// Status returns the status of one instance.
 func (c *Client) Status(ctx context.Context) (s Status, err error) {
 	err = c.get(ctx, pathStatus, &s)
 	return s, err
 }
 
-// StatusAt returns the view of the instance at an admin address.
+// StatusAt returns the status of the instance at an admin address.
 func (c *Client) StatusAt(ctx context.Context, addr string) (s Status, err error) {
 	err = c.callAt(ctx, addr, adminCall{method: http.MethodGet, path: pathStatus, response: &s})
 	return s, err
 }
 
-// AllStatuses returns the views of all members that one instance knows of. Those that don't answer have an error
-// instead.
+// AllStatuses returns the statuses of all members that one instance knows of, and the errors of those that do not
+// respond, by member ID.
 func (c *Client) AllStatuses(ctx context.Context) (map[uint64]Status, map[uint64]error, error) {
 	first, err := c.Status(ctx)
 	if err != nil {
@@ -195,7 +195,7 @@
 	return statuses, failures, nil
 }
 
-// Objects returns the agreed objects; with local, as applied at the instance that answers.
+// Objects returns the agreed objects or, with local, those of the version applied at the responding instance.
 func (c *Client) Objects(ctx context.Context, local bool) (o Objects, err error) {
 	path := pathConfig
 	if local {
@@ -211,26 +211,27 @@
 	return records, err
 }
 
-// Check returns the outcome that a proposal would have. One that would be rejected is a [ResponseError] with status
-// 409.
+// Check returns the outcome that a proposal would have. The error for a proposal that would be rejected is a
+// [ResponseError] with status 409.
 func (c *Client) Check(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
 	err = c.post(ctx, pathCheck, p, &o)
 	return o, err
 }
 
-// Propose has a proposal applied. One that is rejected is a [ResponseError] with status 409.
+// Propose proposes a change and returns the outcome. The error for a rejected proposal is a [ResponseError] with status
+// 409.
 func (c *Client) Propose(ctx context.Context, p *clusterconfig.Proposal) (o clusterconfig.Outcome, err error) {
 	err = c.post(ctx, pathPropose, p, &o)
 	return o, err
 }
 
-// ChangeMembers changes the members, and returns the answering instance's view afterwards.
+// ChangeMembers applies a membership change, and returns the responding instance's status afterwards.
 func (c *Client) ChangeMembers(ctx context.Context, change *MembershipChange) (s Status, err error) {
 	err = c.post(ctx, pathMembers, change, &s)
 	return s, err
 }
 
-// Followers returns the followers' status as one instance knows it.
+// Followers returns the status of the followers as known to one instance.
 func (c *Client) Followers(ctx context.Context) (list FollowerList, err error) {
 	err = c.get(ctx, pathStream, &list)
 	return list, err
--- a/internal/cluster/client_await.go
+++ b/internal/cluster/client_await.go
@@ -14,11 +14,12 @@
 const awaitPollInterval = 50 * time.Millisecond
 
 // AwaitInstalled waits until a version is in force at the instances of all members, and at all but
-// maxFollowersBehind followers. If ctx ends first, the error names those that the last complete answer lacked.
+// maxFollowersBehind followers. If ctx ends first, the error names the instances that were behind at the last complete
+// check.
 func (c *Client) AwaitInstalled(ctx context.Context, version uint64, maxFollowersBehind int) error {
 	var reason awaitReason
 	for {
-		missing, err := c.missingAt(ctx, version, maxFollowersBehind)
+		missing, err := c.instancesBehind(ctx, version, maxFollowersBehind)
 		if err == nil && missing == "" {
 			return nil
 		}
@@ -34,20 +35,20 @@
 	}
 }
 
-// awaitReason is why a wait has not ended yet: what the last answer lacked that was complete.
+// awaitReason is the reason why a wait has not ended: the result of the last complete check.
 type awaitReason struct{ text string }
 
-// record records what an answer lacks. One that the end of the wait cut off tells only that: it counts if there is no
-// other.
-func (r *awaitReason) record(missing string, wasCut bool) {
-	if r.text == "" || !wasCut {
+// record records the result of a check, which lists the instances behind or is an error. A check that was canceled
+// because the wait ended does not replace an earlier result.
+func (r *awaitReason) record(missing string, wasCanceled bool) {
+	if r.text == "" || !wasCanceled {
 		r.text = missing
 	}
 }
 
-// missingAt lists the members or followers at which a version is not in force yet. It returns "" if these are at most
-// maxFollowersBehind followers.
-func (c *Client) missingAt(ctx context.Context, version uint64, maxFollowersBehind int) (string, error) {
+// instancesBehind lists the members, or else the followers, at which a version is not in force yet. It returns "" if
+// all members have the version in force and at most maxFollowersBehind followers do not.
+func (c *Client) instancesBehind(ctx context.Context, version uint64, maxFollowersBehind int) (string, error) {
 	missing, err := c.membersBehind(ctx, version)
 	if err != nil || missing != "" {
 		return missing, err
@@ -59,7 +60,7 @@
 	return missing, nil
 }
 
-// membersBehind lists the members at whose instances a version is not in force.
+// membersBehind lists the members at whose instances a version is not in force, and those that do not respond.
 func (c *Client) membersBehind(ctx context.Context, version uint64) (string, error) {
 	statuses, failures, err := c.AllStatuses(ctx)
 	var missing strings.Builder
@@ -78,8 +79,9 @@
 	return missing.String(), err
 }
 
-// followersBehind lists the followers that don't run a version, and counts them. A member that does not have the
-// version itself counts as one more. Instances that serve no followers have none behind.
+// followersBehind lists the followers that don't run a version, and counts them. If the responding member does not have
+// the version itself, the count includes all followers and that member. An instance that serves no followers responds
+// with status 400, and the count is 0.
 func (c *Client) followersBehind(ctx context.Context, version uint64) (missing string, count int, err error) {
 	list, err := c.Followers(ctx)
 	if e, ok := errors.AsType[*ResponseError](err); ok && e.Status == http.StatusBadRequest {
@@ -101,7 +103,7 @@
 	return missing, count, nil
 }
 
-// runsVersion reports whether a follower runs a version or, if it is pinned to an older one, that.
+// runsVersion reports whether a follower runs at least a version, or at least the version that it is pinned to.
 func runsVersion(follower configstream.StreamStatus, version uint64) bool {
 	if follower.State != configstream.StateRunning {
 		return false
--- a/internal/cluster/client_await_test.go
+++ b/internal/cluster/client_await_test.go
@@ -2,28 +2,28 @@
 
 import "testing"
 
-// The reason of a wait that ended is what the last complete answer lacked.
+// A wait that times out reports the result of the last complete check.
 func TestAwaitReason(t *testing.T) {
-	type answer struct {
-		missing string
-		wasCut  bool
+	type checkResult struct {
+		missing     string
+		wasCanceled bool
 	}
 	for _, test := range []struct {
 		name    string
-		answers []answer
+		results []checkResult
 		want    string
 	}{
-		{"the last answer", []answer{{"member 1", false}, {"follower a", false}}, "follower a"},
-		{"the last one cut off", []answer{{"follower a", false}, {"deadline exceeded", true}}, "follower a"},
-		{"the only one cut off", []answer{{"deadline exceeded", true}}, "deadline exceeded"},
+		{"the last answer", []checkResult{{"member 1", false}, {"follower a", false}}, "follower a"},
+		{"the last one cut off", []checkResult{{"follower a", false}, {"deadline exceeded", true}}, "follower a"},
+		{"the only one cut off", []checkResult{{"deadline exceeded", true}}, "deadline exceeded"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var reason awaitReason
-			for _, answer := range test.answers {
-				reason.record(answer.missing, answer.wasCut)
+			for _, result := range test.results {
+				reason.record(result.missing, result.wasCanceled)
 			}
 			if reason.text != test.want {
-				t.Errorf("reason %q, want %q", reason.text, test.want)
+				t.Errorf("got reason %q, want %q", reason.text, test.want)
 			}
 		})
 	}
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -28,21 +28,22 @@
 type MemberConfig struct {
 	Cluster     string // name in the certificates
 	MemberID    uint64 // never reused after the member was removed
-	DataFile    string // of the member's Raft state
+	DataFile    string // stores the member's Raft state
 	Credentials raftnode.Credentials
 
-	// Members holds the initial addresses of the members; agreed addresses replace it.
+	// Members holds the initial addresses of the members by ID; agreed addresses replace them.
 	Members map[uint64]clusterconfig.Member
 
-	// RaftListenAddr is for the other members and AdminListenAddr for operators; where empty, the addresses in Members
-	// are listened at. StreamListenAddr is for followers; where empty, none are served.
+	// RaftListenAddr is the listen address for the other members and AdminListenAddr that for operators. Each defaults
+	// to this member's address in Members. StreamListenAddr is the listen address for followers; if it is empty, the
+	// member serves no followers.
 	RaftListenAddr   string
 	AdminListenAddr  string
 	StreamListenAddr string
 
-	SendFullVersions    bool          // to followers, in place of deltas; for benchmarks
+	SendFullVersions    bool          // push full versions to followers in place of deltas; for benchmarks
 	DisableKeyOwnership bool          // requests with an idempotency key may go to any site: see package multisite
-	TickInterval        time.Duration // of Raft; 0: 50 ms. An election follows 10 to 20 ticks without a leader
+	TickInterval        time.Duration // Raft tick, 50 ms if 0. An election starts after 10 to 20 ticks without a leader
 
 	// WrapStorage and WrapSend inject faults in scenarios; nil otherwise.
 	WrapStorage func(raftnode.Storage) raftnode.Storage
@@ -54,14 +55,16 @@
 var ErrNotInitialized = errors.New("there is no such file: make it once with gateway init, " +
 	"--new-cluster for the first members or --join for a further one")
 
-// ValidateDescription checks an OpenAPI description as all members do. maxUnits bounds the cost of an operation.
+// ValidateDescription checks an OpenAPI description in the same way as all other members. maxUnits bounds the cost of
+// an operation.
 func ValidateDescription(file, text string, classes []clusterconfig.Class, maxUnits int) error {
 	_, _, err := openapi.Compile(file, []byte(text), compileOptions(classes, maxUnits))
 	return err
 }
 
-// InitMember creates a member's data file: for a new cluster whose voters are all members of the configuration or, with
-// join, an empty one for a member that will be added. An existing file is not changed: the error wraps [fs.ErrExist].
+// InitMember creates a member's data file, for a new cluster whose voters are all members of the configuration. With
+// join, it creates an empty file for a member that will be added to a cluster. It does not change an existing file: the
+// error wraps [fs.ErrExist].
 func InitMember(cfg *MemberConfig, join bool) error {
 	if _, err := os.Stat(cfg.DataFile); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: %w", cfg.DataFile, fs.ErrExist)
@@ -79,14 +82,14 @@
 	return errors.Join(err, storage.Close())
 }
 
-// checkIdentity checks that the data file exists and that the certificate is this member's.
+// checkIdentity checks that the data file exists and that the certificate identifies this member.
 func (c *MemberConfig) checkIdentity() error {
 	if _, err := os.Stat(c.DataFile); errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: %w", c.DataFile, ErrNotInitialized)
 	}
-	if h, err := c.Credentials.Identity(); err != nil || h.Cluster != c.Cluster || h.Member != c.MemberID {
-		return fmt.Errorf("certificate: is that of member %d of %q, not of %d of %q: %w",
-			h.Member, h.Cluster, c.MemberID, c.Cluster, err)
+	if id, err := c.Credentials.Identity(); err != nil || id.Cluster != c.Cluster || id.Member != c.MemberID {
+		return fmt.Errorf("certificate: issued to member %d of cluster %q, want member %d of cluster %q: %w",
+			id.Member, id.Cluster, c.MemberID, c.Cluster, err)
 	}
 	return nil
 }
@@ -120,22 +123,22 @@
 			instance.RecoveryRamp = recoveryRampConfig(c.MemberID, incarnation, settings.ColdBudgetMultiple())
 		}
 	}
-	if link := instance.Relay; link != nil {
-		link.TLS = c.Credentials.TLSConfig()
-		// A session ticket that has not been read yet would make an idle connection look used.
-		link.TLS.SessionTicketsDisabled = true
-		link.Verify = func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember(c.Cluster, s) }
+	if relay := instance.Relay; relay != nil {
+		relay.TLS = c.Credentials.TLSConfig()
+		// An unread session ticket would make an idle connection look used.
+		relay.TLS.SessionTicketsDisabled = true
+		relay.Verify = func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember(c.Cluster, s) }
 	}
 	if instance.Agreement == nil {
 		instance.Agreement = &gateway.Agreement{}
 	}
 }
 
-// memberListeners are a member's listeners. The server that is started on each closes it; close is for a start that
-// fails before.
+// memberListeners are a member's listeners. Each is closed by the server that is started on it, or by close if the
+// start fails before.
 type memberListeners struct {
 	raft, admin net.Listener
-	stream      net.Listener // nil: no followers are served
+	stream      net.Listener // nil if no followers are served
 }
 
 func (c *MemberConfig) listen() (*memberListeners, error) {
--- a/internal/cluster/exposition_test.go
+++ b/internal/cluster/exposition_test.go
@@ -14,8 +14,8 @@
 	"mulleinmux/internal/fixture"
 )
 
-// expositionLines returns what an exposition in the Prometheus text format says, a line each: TYPE and HELP as they
-// stand, and each sample with its labels by name and its value.
+// expositionLines parses an exposition in the Prometheus text format. It returns the TYPE and HELP lines unchanged, and
+// a line for each sample with its value and its labels sorted by name.
 func expositionLines(text string) ([]string, error) {
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(strings.NewReader(text))
@@ -36,7 +36,7 @@
 	return lines, nil
 }
 
-// sampleLine returns a sample of a gauge, a counter or of no type as a line.
+// sampleLine formats a sample of a gauge, a counter or an untyped metric as a line.
 func sampleLine(name string, metric *dto.Metric) string {
 	var labels []string
 	for _, pair := range metric.Label {
@@ -59,8 +59,8 @@
 	return line
 }
 
-// diffExpositions returns how two expositions differ in what they say, whatever the order of their metrics and labels
-// and the spelling of their numbers: lines that got lacks, after a "-", and those that it has beside want's, after "+".
+// diffExpositions compares two expositions, ignoring the order of metrics and labels and the format of numbers. It
+// returns the lines that got lacks with the prefix "- ", and those that only got has with the prefix "+ ".
 func diffExpositions(got, want string) ([]string, error) {
 	gotLines, err := expositionLines(got)
 	if err != nil {
@@ -90,11 +90,11 @@
 	return diff, nil
 }
 
-// maskedValue stands for the value of a sample that differs from run to run, and is no number.
+// maskedValue replaces the value of a sample that differs between runs. It is not a number.
 const maskedValue = " N\n"
 
-// compareExposition compares the exposition within got, between two texts, with the one that stands there in the
-// recorded file, by what they say. All around it is compared byte by byte.
+// compareExposition compares got with the recorded file of this name. The exposition between begin and end is compared
+// by its samples, and the text around it byte by byte.
 func compareExposition(t *testing.T, name string, got []byte, begin, end string) {
 	t.Helper()
 	want := fixture.Read(t, name)
@@ -111,7 +111,7 @@
 	fixture.Compare(t, name, bytes.Replace(got, gotText, recorded, 1))
 }
 
-// cutBetween returns the part of a text between two others, without the last line's end before the second.
+// cutBetween returns the part of a text between begin and end.
 func cutBetween(t *testing.T, text []byte, begin, end string) []byte {
 	t.Helper()
 	_, after, hasBegin := bytes.Cut(text, []byte(begin))
@@ -122,8 +122,8 @@
 	return part
 }
 
-// Expositions that say the same are equal; one sample, label, value, TYPE or HELP that is missing, more or changed
-// shows, and so does what is no exposition.
+// Expositions with the same content are equal. A missing, additional or changed sample, label, value, TYPE or HELP is
+// reported, and so is a text that is not an exposition.
 func TestDiffExpositions(t *testing.T) {
 	t.Parallel()
 	const recorded = "# HELP a_total Help of a.\n# TYPE a_total counter\n" +
@@ -150,15 +150,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if !strings.Contains(recorded, test.old) {
-				t.Fatalf("%q is not there", test.old)
+				t.Fatalf("the recorded exposition does not contain %q", test.old)
 			}
 			diff, err := diffExpositions(strings.Replace(recorded, test.old, test.to, 1), recorded)
 			if err != nil || !slices.Equal(diff, test.want) {
-				t.Errorf("%q, want %q: %v", diff, test.want, err)
+				t.Errorf("got diff %q, want %q; error %v", diff, test.want, err)
 			}
 		})
 	}
 	if _, err := diffExpositions("b = 1\n", recorded); err == nil {
-		t.Error("what is no exposition is parsed")
+		t.Error("an invalid exposition was parsed, want an error")
 	}
 }
--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -22,11 +22,11 @@
 	"mulleinmux/multisite"
 )
 
-// fixtureVersions returns three versions, each made from the one before it.
+// fixtureVersions returns three versions, each derived from the previous one.
 func fixtureVersions(t *testing.T) (one, two, three *configstream.Version) {
 	t.Helper()
 	s := clusterconfig.New(nil)
-	version := func(before *configstream.Version, id string, changes ...clusterconfig.Change) *configstream.Version {
+	version := func(previous *configstream.Version, id string, changes ...clusterconfig.Change) *configstream.Version {
 		entry, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{ID: id, Changes: changes})
 		if err != nil {
 			t.Fatal(err)
@@ -34,7 +34,7 @@
 		if _, o, err := s.Apply(entry); err != nil || !o.IsApplied {
 			t.Fatal(o, err)
 		}
-		return configstream.NewVersion(s.Freeze(), before)
+		return configstream.NewVersion(s.Freeze(), previous)
 	}
 	site := clusterconfig.Site{DiscoveryAddress: "127.0.0.1:1"}
 	one = version(
@@ -47,7 +47,8 @@
 	return one, two, three
 }
 
-// fixtureDurableState returns a state with all fields set, of a follower that has started so often.
+// fixtureDurableState returns a state with all fields set, of a follower that has started startCount
+// times.
 func fixtureDurableState(t *testing.T, startCount uint64) configstream.DurableState {
 	t.Helper()
 	one, two, three := fixtureVersions(t)
@@ -87,7 +88,7 @@
 	return file, state
 }
 
-// A follower's file holds the recorded values under the recorded keys.
+// The content of a follower's file matches the recorded keys and values.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureFollowerFileWritten(t *testing.T) {
@@ -107,7 +108,7 @@
 	fixture.RecordFile(t, "follower.db.gz", path)
 }
 
-// A follower's file that was recorded is read, counts the start, and is written again as it was.
+// A recorded follower's file can be loaded, which increments its start count, and is saved with the same content.
 func TestFixtureFollowerFileRead(t *testing.T) {
 	t.Parallel()
 	path := fixture.Restore(t, "follower.db.gz")
@@ -119,7 +120,7 @@
 		got.Accepted.Hash != want.Accepted.Hash || got.Previous.Ref != want.Previous.Ref || !got.WasActivated ||
 		got.ActivationAttempts != 2 || got.Candidate != want.Candidate || got.CheckAttempts != 1 ||
 		!reflect.DeepEqual(got.Rejections, want.Rejections) {
-		t.Errorf("%+v", got)
+		t.Errorf("got state %+v, want that of the recorded file", got)
 	}
 	got.StartCount--
 	if err := errors.Join(file.save(&got), file.close()); err != nil {
@@ -128,7 +129,7 @@
 	fixture.Compare(t, "follower.txt", dumpFollowerFile(t, path))
 }
 
-// fixtureKeyMessages are the recorded messages of members on keys: none set, all set, and empty parts.
+// fixtureKeyMessages returns the recorded messages about keys: with no field set, all fields set, and empty parts.
 func fixtureKeyMessages() []multisite.Message {
 	full := multisite.Message{
 		From:              1,
@@ -159,8 +160,8 @@
 	return []multisite.Message{{}, full, emptyParts}
 }
 
-// The messages on keys, sites and recovery ramps that members send each other are as they were recorded, and read as
-// what was sent.
+// The messages about keys, sites and recovery ramps between members are encoded as recorded, and decoding the recorded
+// messages returns the original ones.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureKeyMessages(t *testing.T) {
@@ -177,15 +178,15 @@
 	for _, m := range messages {
 		var got multisite.Message
 		if err := decoder.Decode(&got); err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("%+v, want %+v: %v", got, m, err)
+			t.Errorf("got message %+v, want %+v; error %v", got, m, err)
 		}
 	}
 }
 
-// adminMasks replace what differs from run to run in an answer of the admin side.
+// adminMasks replace values that differ between runs in a response of the admin API.
 var adminMasks = []struct {
-	of *regexp.Regexp
-	to string
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`127\.0\.0\.1:\d+`), "ADDR"},
 	{regexp.MustCompile(`"(hash|digest)":"[0-9a-f]{64}"`), `"$1":"HASH"`},
@@ -193,10 +194,10 @@
 	{regexp.MustCompile(`(?m)^(mulleingate_(?:config_age_seconds|raft_applied_index)) .*$`), "$1 N"},
 }
 
-// adminRequest is a request to the admin side; body is JSON or empty.
+// adminRequest is a request to the admin API. Its body is JSON or empty.
 type adminRequest struct{ method, path, body string }
 
-// adminRequests are sent in this order to the admin side of a member that is alone.
+// adminRequests are sent in this order to the admin API of a cluster of one member.
 var adminRequests = []adminRequest{
 	{"GET", "/v1/status", ""}, {"GET", "/v1/config", ""}, {"GET", "/v1/config?local=1", ""},
 	{"GET", "/v1/history", ""}, {"GET", "/v1/stream", ""}, {"GET", "/metrics", ""},
@@ -219,15 +220,15 @@
 	{"GET", "/v1/none", ""}, {"POST", "/v1/status", ""},
 }
 
-// The answers of the admin side of a member that is alone: status, layout and keys, headers and figures. What differs
-// from run to run (ports, times, terms, indices, hashes) is masked. Figures are compared by what they say, the rest by
-// its bytes.
+// The responses of the admin API of a cluster of one member match the recorded ones in status, headers and body. Values
+// that differ between runs (ports, times, terms, indices, hashes) are masked. Metrics are compared by their samples,
+// the rest byte by byte.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureAdmin(t *testing.T) {
 	t.Parallel()
 	c := newTestClusterWith(t, 1, func(_ uint64, m *testMember) { m.cfg.StreamListenAddr = freeAddr(t) })
-	c.await("it leads", func() bool { _, err := c.admin.Objects(c.ctx(), false); return err == nil })
+	c.await("the member leads", func() bool { _, err := c.admin.Objects(c.ctx(), false); return err == nil })
 	c.propose(c.initialProposal())
 	c.awaitInstalled(1)
 	c.propose(&clusterconfig.Proposal{
@@ -235,11 +236,11 @@
 		Reason:  "a follower",
 		Changes: []clusterconfig.Change{newChange("put", "follower", "edge-1", `{"note":"x"}`)},
 	})
-	c.await("it has the second", func() bool { // the follower never comes
+	c.await("the second version is in force", func() bool { // the follower never connects
 		s, err := c.admin.Status(c.ctx())
 		return err == nil && s.InstalledVersion == 2 && s.Ready
 	})
-	c.await("it is ready", func() bool { return c.isReady(1) })
+	c.await("the member is ready", func() bool { return c.isReady(1) })
 	var out bytes.Buffer
 	for _, request := range adminRequests {
 		out.WriteString(c.exchangeAdmin(request))
@@ -249,7 +250,7 @@
 	)
 }
 
-// exchangeAdmin sends a request to the admin side of member 1 and returns both the request and the masked answer.
+// exchangeAdmin sends a request to the admin API of member 1. It returns the request and the masked response as text.
 func (c *testCluster) exchangeAdmin(r adminRequest) string {
 	c.t.Helper()
 	url := "https://" + c.addrs[1].AdminAddress + r.path
@@ -257,30 +258,30 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	answer, err := c.admin.httpClient.Do(request)
+	httpResponse, err := c.admin.httpClient.Do(request)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	text, err := io.ReadAll(answer.Body)
-	answer.Body.Close()
+	text, err := io.ReadAll(httpResponse.Body)
+	httpResponse.Body.Close()
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	for _, mask := range adminMasks {
-		text = mask.of.ReplaceAll(text, []byte(mask.to))
+		text = mask.pattern.ReplaceAll(text, []byte(mask.replacement))
 	}
-	answer.Header.Del("Date")
-	answer.Header.Del("Content-Length")
+	httpResponse.Header.Del("Date")
+	httpResponse.Header.Del("Content-Length")
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s %s %s\n%d", r.method, r.path, r.body, answer.StatusCode)
-	for _, key := range slices.Sorted(maps.Keys(answer.Header)) {
-		fmt.Fprintf(&out, " %s: %s", key, answer.Header.Get(key))
+	fmt.Fprintf(&out, "%s %s %s\n%d", r.method, r.path, r.body, httpResponse.StatusCode)
+	for _, key := range slices.Sorted(maps.Keys(httpResponse.Header)) {
+		fmt.Fprintf(&out, " %s: %s", key, httpResponse.Header.Get(key))
 	}
 	fmt.Fprintf(&out, "\n%s\n", text)
 	return out.String()
 }
 
-// The forms of answers are as they were recorded: all fields set, and none.
+// The JSON encoding of responses matches the recorded one, with all fields set and with none set.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/cluster -run Fixture
 func TestFixtureAnswers(t *testing.T) {
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -15,8 +15,9 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// keyHeartbeatInterval is for followers that forward requests with idempotency keys: the key ownership is confirmed
-// with each answer to a heartbeat, and its lease (ownershipLeaseTTL) must not end between two.
+// keyHeartbeatInterval is the heartbeat interval of followers that forward requests with idempotency keys. Each
+// response to a heartbeat confirms the key ownership, and its lease (ownershipLeaseTTL) must not expire between two
+// responses.
 const keyHeartbeatInterval = 300 * time.Millisecond
 
 // FollowerConfig configures a [Follower].
@@ -25,21 +26,21 @@
 	Name                string // as in its certificate
 	DataFile            string
 	Credentials         raftnode.Credentials
-	MemberStreamAddrs   map[uint64]string // by member
+	MemberStreamAddrs   map[uint64]string // by member ID
 	DisableKeyOwnership bool              // requests with an idempotency key may go to any site
-	HeartbeatInterval   time.Duration     // 0: one second, or less with key ownership
+	HeartbeatInterval   time.Duration     // 0 means one second, or keyHeartbeatInterval with key ownership
 }
 
-// checkIdentity checks that the certificate is this follower's.
+// checkIdentity checks that the certificate identifies this follower.
 func (c *FollowerConfig) checkIdentity() error {
-	if h, err := c.Credentials.Identity(); err != nil || h.Cluster != c.Cluster || h.Follower != c.Name {
-		return fmt.Errorf("certificate: is that of follower %q of %q, not of %q of %q: %w",
-			h.Follower, h.Cluster, c.Name, c.Cluster, err)
+	if id, err := c.Credentials.Identity(); err != nil || id.Cluster != c.Cluster || id.Follower != c.Name {
+		return fmt.Errorf("certificate: issued to follower %q of cluster %q, want follower %q of cluster %q: %w",
+			id.Follower, id.Cluster, c.Name, c.Cluster, err)
 	}
 	return nil
 }
 
-// setHeartbeatInterval replaces a zero interval: by that of key ownership where it is in use.
+// setHeartbeatInterval replaces a zero interval by keyHeartbeatInterval if key ownership is enabled.
 func (c *FollowerConfig) setHeartbeatInterval() {
 	if !c.DisableKeyOwnership && c.HeartbeatInterval == 0 {
 		c.HeartbeatInterval = keyHeartbeatInterval
@@ -50,8 +51,8 @@
 type FollowerStatus struct {
 	Name           string                   `json:"name"`
 	Running        *configstream.Ref        `json:"running,omitempty"`
-	MemberID       uint64                   `json:"member,omitempty"` // at the other end of its stream; 0: none
-	ConfirmedAgeMs int64                    `json:"age_ms"`           // since Running was last confirmed; -1: never
+	MemberID       uint64                   `json:"member,omitempty"` // that serves its stream; 0 if none
+	ConfirmedAgeMs int64                    `json:"age_ms"`           // since Running was last confirmed; -1 if never
 	IsServing      bool                     `json:"serves"`
 	Note           string                   `json:"note,omitempty"`
 	Rejected       []configstream.Rejection `json:"refused,omitempty"`
@@ -66,29 +67,29 @@
 
 	// Used only by the goroutine of the stream client that calls check and install.
 	setups       setupBuilder
-	checkedSetup gateway.Setup // of the version checked last
-	isRestored   bool          // the version to be installed first was in force before the process started
+	checkedSetup gateway.Setup // setup of the version checked last
+	hasRestored  bool          // whether the version to be installed first was in force before the process started
 }
 
-// RunFollower runs a follower and its instance until ctx ends. It serves at once with the version that was in force
-// before, without contacting a member, as long as the setting for stale configurations allows. started is called
-// once the instance has started. The error of an unusable file wraps [ErrInvalidFollowerFile].
+// RunFollower runs a follower and its instance until ctx ends. It serves immediately with the version that was in force
+// before the restart, without contacting a member, as long as the setting for stale configurations allows. started is
+// called once the instance has started. The error of an unusable file wraps [ErrInvalidFollowerFile].
 func RunFollower(ctx context.Context, cfg *FollowerConfig, instanceConfig *gateway.Config, logger *slog.Logger,
 	started func(*Follower)) (err error) {
 	if err := cfg.checkIdentity(); err != nil {
 		return err
 	}
-	file, disk, err := openFollowerFile(cfg.DataFile, cfg.Cluster, cfg.Name)
+	file, durable, err := openFollowerFile(cfg.DataFile, cfg.Cluster, cfg.Name)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, file.close()) }()
-	if disk.Accepted == nil {
+	if durable.Accepted == nil {
 		logger.Info("waiting for a confirmed version",
 			slog.String(logging.KeyFollower, cfg.Name), slog.String("file", cfg.DataFile))
 	}
 	if !cfg.DisableKeyOwnership {
-		instanceConfig.Keys = keyOwnershipConfig(anyFollower, disk.StartCount)
+		instanceConfig.Keys = keyOwnershipConfig(anyFollower, durable.StartCount)
 	}
 	if instanceConfig.Agreement == nil {
 		instanceConfig.Agreement = &gateway.Agreement{}
@@ -100,9 +101,9 @@
 		return err
 	}
 	cfg.setHeartbeatInterval()
-	f := &Follower{cfg: cfg, instanceConfig: instanceConfig, instance: instance, isRestored: disk.Accepted != nil}
+	f := &Follower{cfg: cfg, instanceConfig: instanceConfig, instance: instance, hasRestored: durable.Accepted != nil}
 	handlers := StreamHandlers{Persist: file.save, Check: f.check, Install: f.install, Confirm: f.confirm}
-	f.client = NewStreamClient(cfg, disk, handlers, logger)
+	f.client = NewStreamClient(cfg, durable, handlers, logger)
 	receiving, stopReceiving := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
@@ -118,7 +119,7 @@
 	return <-instanceEnded
 }
 
-// check builds the setup of a version, and returns why it can't be served.
+// check builds the setup of a version, and returns the problems that prevent serving with it.
 func (f *Follower) check(version *configstream.Version) []configstream.Problem {
 	state, err := version.State()
 	if err == nil {
@@ -152,12 +153,13 @@
 	return nil
 }
 
-// confirmRestored has the version that was in force before the process started count as confirmed at the start, so that
-// it is served for as long as a stale configuration may be. Later versions need a quorum's confirmation.
+// confirmRestored treats the version that was in force before the process started as confirmed at the start of the
+// process, so that it is served for as long as a stale configuration may be. Later versions need a quorum's
+// confirmation.
 func (f *Follower) confirmRestored() {
-	if f.isRestored {
-		f.isRestored = false
-		f.instance.ConfirmVersion(f.client.begun)
+	if f.hasRestored {
+		f.hasRestored = false
+		f.instance.ConfirmVersion(f.client.startedAt)
 	}
 }
 
@@ -171,8 +173,8 @@
 	}
 }
 
-// problemsOf returns an error that a version can't be served as problems. It takes object and field from texts such as
-// "kind name: field: ...".
+// problemsOf converts the error of a version that can't be served to problems. It parses the object and the field in
+// texts such as "kind name: field: ...".
 func problemsOf(err error) []configstream.Problem {
 	problem := configstream.Problem{Text: err.Error()}
 	for _, kind := range objectKinds {
--- a/internal/cluster/follower_file.go
+++ b/internal/cluster/follower_file.go
@@ -33,7 +33,7 @@
 	keyState       = []byte("disk")
 )
 
-// followerFileHeader identifies the follower of a file.
+// followerFileHeader identifies the follower to which a file belongs.
 type followerFileHeader struct {
 	Format  int    `json:"form"`
 	Cluster string `json:"cluster"`
@@ -52,13 +52,13 @@
 	Rejections         []configstream.Rejection `json:"refused,omitempty"`
 }
 
-// ErrInvalidFollowerFile reports that a follower's file is damaged or another follower's.
+// ErrInvalidFollowerFile reports that a follower's file is damaged or belongs to another follower.
 var ErrInvalidFollowerFile = errors.New("is no file of this follower: move it away, " +
 	"and it begins with what a quorum confirms")
 
-// openFollowerFile opens or creates a follower's file and counts the start. The caller closes it. The error of an
-// unusable file wraps [ErrInvalidFollowerFile].
-func openFollowerFile(path, cluster, name string) (f *followerFile, disk configstream.DurableState, err error) {
+// openFollowerFile opens or creates a follower's file and increments its start count. The caller closes it. The error
+// of an unusable file wraps [ErrInvalidFollowerFile].
+func openFollowerFile(path, cluster, name string) (f *followerFile, durable configstream.DurableState, err error) {
 	defer func() {
 		if p := recover(); p != nil { // bbolt panics on damaged pages
 			err = fmt.Errorf("%s: %w: %v", path, ErrInvalidFollowerFile, p)
@@ -67,32 +67,32 @@
 	options := &bbolt.Options{Timeout: followerFileLockTimeout, FreelistType: bbolt.FreelistMapType}
 	db, err := bbolt.Open(path, followerFileMode, options)
 	if errors.Is(err, bbolterrors.ErrTimeout) {
-		return nil, disk, fmt.Errorf("%s: another process has it open", path)
+		return nil, durable, fmt.Errorf("%s: another process has it open", path)
 	}
 	if err != nil {
 		if _, statErr := os.Stat(path); statErr == nil {
 			err = fmt.Errorf("%w: %w", ErrInvalidFollowerFile, err)
 		}
-		return nil, disk, fmt.Errorf("%s: %w", path, err)
+		return nil, durable, fmt.Errorf("%s: %w", path, err)
 	}
 	f = &followerFile{db}
 	err = f.initOrVerifyHeader(followerFileHeader{followerFileFormat, cluster, name})
 	if err == nil {
-		disk, err = f.load()
+		durable, err = f.load()
 	}
 	if err == nil {
-		disk.StartCount++
-		err = f.save(&disk)
+		durable.StartCount++
+		err = f.save(&durable)
 	}
 	if err != nil {
-		return nil, disk, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
+		return nil, durable, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
 	}
-	return f, disk, nil
+	return f, durable, nil
 }
 
 func (f *followerFile) close() error { return f.db.Close() }
 
-// initOrVerifyHeader writes the header of a new file, or checks that of an old one.
+// initOrVerifyHeader writes the header of a new file, or verifies that of an existing file.
 func (f *followerFile) initOrVerifyHeader(want followerFileHeader) error {
 	return f.db.Update(func(tx *bbolt.Tx) error {
 		bucket, err := tx.CreateBucketIfNotExists(bucketFollower)
@@ -108,7 +108,7 @@
 		}
 		var header followerFileHeader
 		if err := json.Unmarshal(text, &header); err != nil || header != want {
-			return fmt.Errorf("%w: it is that of %q of cluster %q, in form %d",
+			return fmt.Errorf("%w: it belongs to follower %q of cluster %q, format %d",
 				ErrInvalidFollowerFile, header.Name, header.Cluster, header.Format)
 		}
 		return nil
@@ -116,7 +116,7 @@
 }
 
 // load reads the state and verifies the digests of its versions.
-func (f *followerFile) load() (disk configstream.DurableState, err error) {
+func (f *followerFile) load() (durable configstream.DurableState, err error) {
 	err = f.db.View(func(tx *bbolt.Tx) error {
 		text := tx.Bucket(bucketFollower).Get(keyState)
 		if text == nil {
@@ -126,7 +126,7 @@
 		if err := json.Unmarshal(text, &state); err != nil {
 			return fmt.Errorf("%w: %w", ErrInvalidFollowerFile, err)
 		}
-		disk = configstream.DurableState{
+		durable = configstream.DurableState{
 			StartCount:         state.StartCount,
 			WasActivated:       state.WasActivated,
 			ActivationAttempts: state.ActivationAttempts,
@@ -135,16 +135,16 @@
 			Rejections:         state.Rejections,
 		}
 		contents := tx.Bucket(bucketContents)
-		if disk.Accepted, err = loadVersion(contents, state.Accepted); err != nil {
+		if durable.Accepted, err = loadVersion(contents, state.Accepted); err != nil {
 			return err
 		}
-		disk.Previous, err = loadVersion(contents, state.Previous)
+		durable.Previous, err = loadVersion(contents, state.Previous)
 		return err
 	})
-	return disk, err
+	return durable, err
 }
 
-// loadVersion reads the version of a reference; nil: none.
+// loadVersion reads the version of a reference. It returns nil for a nil reference.
 func loadVersion(contents *bbolt.Bucket, ref *configstream.Ref) (*configstream.Version, error) {
 	if ref == nil {
 		return nil, nil
@@ -165,21 +165,21 @@
 }
 
 // save writes the state and returns once it is synced.
-func (f *followerFile) save(disk *configstream.DurableState) error {
+func (f *followerFile) save(durable *configstream.DurableState) error {
 	state := followerFileState{
-		StartCount:         disk.StartCount,
-		WasActivated:       disk.WasActivated,
-		ActivationAttempts: disk.ActivationAttempts,
-		Candidate:          disk.Candidate,
-		CheckAttempts:      disk.CheckAttempts,
-		Rejections:         disk.Rejections,
+		StartCount:         durable.StartCount,
+		WasActivated:       durable.WasActivated,
+		ActivationAttempts: durable.ActivationAttempts,
+		Candidate:          durable.Candidate,
+		CheckAttempts:      durable.CheckAttempts,
+		Rejections:         durable.Rejections,
 	}
 	return f.db.Update(func(tx *bbolt.Tx) (err error) {
 		contents := tx.Bucket(bucketContents)
-		if state.Accepted, err = saveVersion(contents, disk.Accepted); err != nil {
+		if state.Accepted, err = saveVersion(contents, durable.Accepted); err != nil {
 			return err
 		}
-		if state.Previous, err = saveVersion(contents, disk.Previous); err != nil {
+		if state.Previous, err = saveVersion(contents, durable.Previous); err != nil {
 			return err
 		}
 		if err := deleteOtherVersions(contents, state.Accepted, state.Previous); err != nil {
@@ -189,7 +189,8 @@
 	})
 }
 
-// saveVersion writes a version's content, unless it is there, and returns the version's reference; nil: none.
+// saveVersion writes a version's content unless it is already stored, and returns the version's reference. It returns
+// nil for a nil version.
 func saveVersion(contents *bbolt.Bucket, version *configstream.Version) (*configstream.Ref, error) {
 	if version == nil {
 		return nil, nil
--- a/internal/cluster/follower_server.go
+++ b/internal/cluster/follower_server.go
@@ -17,55 +17,55 @@
 	"mulleinmux/internal/logging"
 )
 
-// The configuration stream: see package configstream.
+// Parameters of the configuration stream (see package configstream).
 const (
-	streamHeartbeatInterval = time.Second
-	streamSilenceTimeout    = 4 * time.Second
-	streamReplyTimeout      = 30 * time.Second // checking a description of 16 MB takes several seconds
-	streamConfirmationWait  = 500 * time.Millisecond
-	streamDeltaVersions     = 256
-	maxFollowers            = 4096
-	maxHandshakesPerSecond  = 500
-	maxHandshakeBurst       = 500
-	streamTickInterval      = 50 * time.Millisecond
-	followerSummaryInterval = time.Second            // between broadcasts about all followers
-	followerChangeInterval  = 100 * time.Millisecond // between broadcasts about changed ones
-	maxFollowersPerMessage  = 60
-	streamSendQueue         = 8 // messages to one end: a push and pongs
-	streamReadHeaderTimeout = 5 * time.Second
-	streamIdleTimeout       = time.Minute
-	maxStreamHeaderBytes    = 16 << 10
-	followerMessagePrefix   = 's' // of messages about followers; those about keys begin with a brace
+	streamHeartbeatInterval   = time.Second
+	streamSilenceTimeout      = 4 * time.Second
+	pushReplyTimeout          = 30 * time.Second // checking a description of 16 MB takes several seconds
+	streamConfirmationTimeout = 500 * time.Millisecond
+	maxRetainedVersions       = 256
+	maxFollowers              = 4096
+	maxHandshakesPerSecond    = 500
+	maxHandshakeBurst         = 500
+	streamTickInterval        = 50 * time.Millisecond
+	followerSummaryInterval   = time.Second            // between broadcasts about all followers
+	followerChangeInterval    = 100 * time.Millisecond // between broadcasts about changed ones
+	maxFollowersPerMessage    = 60
+	streamSendQueueSize       = 8 // messages to one peer, such as a push and several pongs
+	streamReadHeaderTimeout   = 5 * time.Second
+	streamIdleTimeout         = time.Minute
+	maxStreamHeaderBytes      = 16 << 10
+	followerMessagePrefix     = 's' // first byte of messages about followers; those about keys begin with a brace
 )
 
 // FollowerList is a member's response with the followers' statuses.
 type FollowerList struct {
-	MemberID      uint64                      `json:"member"` // of the member that answers
-	NewestVersion uint64                      `json:"newest"` // at that member
+	MemberID      uint64                      `json:"member"` // ID of the responding member
+	NewestVersion uint64                      `json:"newest"` // newest version at that member
 	Followers     []configstream.StreamStatus `json:"followers"`
 }
 
 // followerServer serves the configuration stream to followers. The publisher decides what is sent; a session's
 // goroutines send it. The methods publish, confirm and receiveMessage do nothing on a nil server.
 type followerServer struct {
-	member *Member
-	begun  time.Time
+	member    *Member
+	startedAt time.Time
 
-	mu          sync.Mutex
-	publisher   *configstream.Publisher
-	sessions    map[uint64]*followerSession
-	lastSession uint64
-	newest      *configstream.Version
-	encoded     map[*configstream.Body]*configstreampb.Push // bodies of the newest version's pushes
+	mu            sync.Mutex
+	publisher     *configstream.Publisher
+	sessions      map[uint64]*followerSession
+	lastSessionID uint64
+	newest        *configstream.Version
+	encoded       map[*configstream.Body]*configstreampb.Push // bodies of the newest version's pushes
 }
 
 func newFollowerServer(m *Member) *followerServer {
 	cfg := configstream.PublisherConfig{
 		Member:              m.cfg.MemberID,
 		SilenceTimeout:      streamSilenceTimeout,
-		PushReplyTimeout:    streamReplyTimeout,
-		ConfirmationTimeout: streamConfirmationWait,
-		MaxRetainedVersions: streamDeltaVersions,
+		PushReplyTimeout:    pushReplyTimeout,
+		ConfirmationTimeout: streamConfirmationTimeout,
+		MaxRetainedVersions: maxRetainedVersions,
 		MaxFollowers:        maxFollowers,
 		AdmissionRate:       maxHandshakesPerSecond,
 		AdmissionBurst:      maxHandshakeBurst,
@@ -73,32 +73,32 @@
 	}
 	return &followerServer{
 		member:    m,
-		begun:     time.Now(),
+		startedAt: time.Now(),
 		publisher: configstream.NewPublisher(cfg, rand.Uint64()),
 		sessions:  map[uint64]*followerSession{},
 		encoded:   map[*configstream.Body]*configstreampb.Push{},
 	}
 }
 
-func (s *followerServer) now() time.Duration { return time.Since(s.begun) }
+func (s *followerServer) now() time.Duration { return time.Since(s.startedAt) }
 
 // publisherEvent passes an event to the publisher and returns the resulting actions.
 type publisherEvent func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction
 
-// handle has the publisher handle an event, and queues the messages to send. It does not block on a session.
+// handle passes an event to the publisher and queues the messages to send. It does not block on a session.
 func (s *followerServer) handle(event publisherEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, out := range event(s.publisher, s.now()) {
-		session := s.sessions[out.SessionID]
+	for _, action := range event(s.publisher, s.now()) {
+		session := s.sessions[action.SessionID]
 		switch {
 		case session == nil:
-		case out.CloseReason != "":
-			session.end(out.CloseReason)
-		case out.Push != nil:
-			session.enqueue(configstreampb.NewPush(out.Push, s.encodedBody(out.Push.Body)))
+		case action.CloseReason != "":
+			session.end(action.CloseReason)
+		case action.Push != nil:
+			session.enqueue(configstreampb.NewPush(action.Push, s.encodedBody(action.Push.Body)))
 		default:
-			session.enqueue(out.Pong)
+			session.enqueue(action.Pong)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	})
 }
 
-// confirm passes the confirmation of a quorum that a state was the newest to the publisher.
+// confirm notifies the publisher that a quorum has confirmed a state as the newest.
 func (s *followerServer) confirm(c confirmation) {
 	if s == nil {
 		return
@@ -142,13 +142,13 @@
 	s.publish(c.state)
 	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
 		if s.newest == nil || s.newest.Number != c.state.Version() {
-			return nil // a newer one was agreed on later, and is confirmed later
+			return nil // a newer version has been agreed on, and is confirmed later
 		}
-		return p.Confirm(now, c.askedAt.Sub(s.begun), s.newest.Ref)
+		return p.Confirm(now, c.requestedAt.Sub(s.startedAt), s.newest.Ref)
 	})
 }
 
-// serve serves followers until ctx ends and the server is closed; the caller does both.
+// serve serves followers until the caller cancels ctx and closes the returned server.
 func (s *followerServer) serve(ctx context.Context, ln net.Listener, tasks *sync.WaitGroup) *http.Server {
 	server := &http.Server{
 		ErrorLog:          logging.HTTPErrors(s.member.logger),
@@ -188,7 +188,7 @@
 	}
 }
 
-// rateLimitedListener closes connections that arrive faster than the publisher admits, before any handshake.
+// rateLimitedListener closes connections that arrive faster than the publisher admits, before the TLS handshake.
 type rateLimitedListener struct {
 	net.Listener
 	server *followerServer
@@ -234,7 +234,7 @@
 
 func isFollowerMessage(text []byte) bool { return len(text) > 0 && text[0] == followerMessagePrefix }
 
-// receiveMessage handles another member's message about its followers. A malformed one is ignored.
+// receiveMessage handles another member's message about its followers. An invalid message is ignored.
 func (s *followerServer) receiveMessage(from uint64, text []byte) {
 	if s == nil {
 		return
@@ -249,8 +249,8 @@
 	s.publisher.GossipReceived(s.now(), message)
 }
 
-// authenticate returns the name of the follower at the other end, from its certificate. The certificate of a member
-// or an operator is an error.
+// authenticate returns the name of the follower in the caller's certificate. It returns an error for the certificate of
+// a member or an operator.
 func (s *followerServer) authenticate(r *http.Request) (name string, err error) {
 	holder, err := callerIdentity(r)
 	if err != nil {
--- a/internal/cluster/follower_session.go
+++ b/internal/cluster/follower_session.go
@@ -19,10 +19,10 @@
 	sendQueue chan any    // *configstreampb.Push or *configstream.Pong
 	endReason chan string // holds the first reason to end
 
-	id uint64 // 0 before the hello; set once by the goroutine that runs the session
+	id uint64 // 0 before the hello message; set once by the goroutine that runs the session
 }
 
-// enqueue queues a message, and ends a session whose follower does not read.
+// enqueue queues a message. It ends the session if the queue is full because the follower does not read.
 func (c *followerSession) enqueue(message any) {
 	select {
 	case c.sendQueue <- message:
@@ -39,7 +39,8 @@
 	}
 }
 
-// serveSession serves one follower until ctx or its session ends. It returns the reason, which the follower is sent.
+// serveSession serves one follower until ctx or its session ends. It returns the reason, which is sent to the
+// follower.
 func (s *followerServer) serveSession(ctx context.Context, stream *configstreampb.MemberStream) error {
 	name, err := s.authenticate(stream.Request)
 	if err != nil {
@@ -49,7 +50,7 @@
 		server:    s,
 		follower:  name,
 		stream:    stream,
-		sendQueue: make(chan any, streamSendQueue),
+		sendQueue: make(chan any, streamSendQueueSize),
 		endReason: make(chan string, 1),
 	}
 	received := make(chan any)
@@ -80,7 +81,7 @@
 	}
 }
 
-// send sends what is queued until the stream or the session ends.
+// send sends the queued messages until the stream or the session ends.
 func (c *followerSession) send(ended <-chan struct{}) {
 	for {
 		select {
@@ -95,7 +96,7 @@
 	}
 }
 
-// run handles the session's events, and returns why it ends.
+// run handles the session's events, and returns the reason why the session ends.
 func (c *followerSession) run(ctx context.Context, received <-chan any) (reason string) {
 	helloTimeout := time.NewTimer(streamSilenceTimeout)
 	defer helloTimeout.Stop()
@@ -117,7 +118,7 @@
 	}
 }
 
-// handleMessage has the publisher handle a follower's message. It returns a reason to end the session, or "".
+// handleMessage passes a follower's message to the publisher. It returns a reason to end the session, or "".
 func (c *followerSession) handleMessage(message any) (endReason string) {
 	switch message := message.(type) {
 	case configstream.Hello:
@@ -147,8 +148,8 @@
 func (c *followerSession) add(hello configstream.Hello) {
 	s := c.server
 	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
-		s.lastSession++
-		c.id = s.lastSession
+		s.lastSessionID++
+		c.id = s.lastSessionID
 		s.sessions[c.id] = c
 		return p.OpenStream(now, c.id, hello)
 	})
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -12,7 +12,7 @@
 	"mulleinmux/internal/testserver"
 )
 
-// followerTest is a cluster of three members with two followers, whose instances have the IDs 101 and 102.
+// followerTest is a cluster of three members with two followers, whose instances have the IDs northID and southID.
 type followerTest struct {
 	*testCluster
 	north, south *testFollower
@@ -21,8 +21,8 @@
 const (
 	northID       = 101
 	southID       = 102
-	secondSouthID = 103 // of another process with the name of south
-	wrongID       = 104
+	secondSouthID = 103 // another process with the name of south
+	rejectedID    = 104
 )
 
 func newFollowerTest(t *testing.T) *followerTest {
@@ -39,8 +39,8 @@
 	return c
 }
 
-// A version is pushed to followers, acknowledged and served, or rejected with the reason; a follower serves without any
-// member, after a restart too; once it is removed it receives nothing more.
+// A version is pushed to followers, which acknowledge it and serve with it, or reject it with the reason. A follower
+// serves without any member, even after a restart. A removed follower receives no further version.
 func TestFollowersServeAgreedVersions(t *testing.T) {
 	t.Parallel()
 	c := newFollowerTest(t)
@@ -48,10 +48,10 @@
 	c.checkRejectedVersion()
 	c.checkRestartWithoutMembers()
 	c.checkRemovedFollower()
-	c.checkNorthEnds()
+	c.checkCleanStop()
 }
 
-// A name that two processes use is found out by the members that are left, and by both processes.
+// A name that two processes use is reported by the remaining members and by both processes.
 func TestFollowerNameConflict(t *testing.T) {
 	t.Parallel()
 	c := newFollowerTest(t)
@@ -60,7 +60,8 @@
 	c.checkNameConflict()
 }
 
-// Nobody receives the stream with another's certificate, nor starts with another's file.
+// Only a follower's certificate gives access to the stream, and a follower does not start with another follower's
+// certificate or file.
 func TestFollowerIdentity(t *testing.T) {
 	t.Parallel()
 	c := newFollowerTest(t)
@@ -70,19 +71,19 @@
 	c.checkOtherFollowersIdentity()
 }
 
-// checkNorthEnds checks that a follower ends without an error.
-func (c *followerTest) checkNorthEnds() {
+// checkCleanStop checks that follower north stops without an error.
+func (c *followerTest) checkCleanStop() {
 	c.t.Helper()
 	if err := c.stop(northID); err != nil {
-		c.t.Errorf("north ends with %v", err)
+		c.t.Errorf("follower north stopped with error %v, want nil", err)
 	}
 }
 
-// checkFirstVersions checks that followers serve nothing before version 1 and then versions 1 and 2.
+// checkFirstVersions checks that followers reject requests before version 1, and then serve with versions 1 and 2.
 func (c *followerTest) checkFirstVersions() {
 	c.t.Helper()
 	if r := c.get(northID, "/slots"); r.status != 503 {
-		c.t.Errorf("before anything is received: %+v", r)
+		c.t.Errorf("request before version 1: got %+v, want status 503", r)
 	}
 	p := c.initialProposal()
 	p.Changes = append(p.Changes,
@@ -93,18 +94,18 @@
 	for _, id := range []uint64{northID, southID} {
 		c.awaitServing(id)
 		if r := c.get(id, "/slots"); r.body != "1" || r.header.Get("X-Mulleinmux-Version") != "1" {
-			c.t.Errorf("%+v", r)
+			c.t.Errorf("request to follower: got %+v, want version 1", r)
 		}
 	}
 	c.proposeChanges("two", putDescription(7))
 	c.awaitInstalled(2)
 	if r := c.get(southID, "/slots"); r.body != "2" || r.header.Get("X-Mulleinmux-Units") != "7" {
-		c.t.Errorf("%+v", r)
+		c.t.Errorf("request to south: got %+v, want version 2 and 7 units", r)
 	}
 }
 
-// checkRejectedVersion agrees on version 3, which can't be served: it has two descriptions. The followers say which
-// object is wrong, and serve on.
+// checkRejectedVersion proposes version 3, which can't be served because it has two descriptions. It checks that the
+// followers report the reason and continue to serve with version 2.
 func (c *followerTest) checkRejectedVersion() {
 	c.t.Helper()
 	second := putDescription(8)
@@ -113,17 +114,18 @@
 	c.awaitFollower("north", "refused 3")
 	c.awaitFollower("south", "2 descriptions are agreed on")
 	if r := c.get(northID, "/slots"); r.body != "2" {
-		c.t.Errorf("after a rejection: %+v", r)
+		c.t.Errorf("request after a rejected version: got %+v, want version 2", r)
 	}
 	list, err := c.admin.Followers(c.ctx())
 	if err != nil || len(list.Followers) != 2 ||
 		!strings.Contains(list.Followers[0].Explain(list.NewestVersion), "mends that") {
-		c.t.Errorf("%+v, %v", list, err)
+		c.t.Errorf("got followers %+v, error %v, want 2 and an explanation of the rejection", list, err)
 	}
 }
 
-// checkRestartWithoutMembers checks that a follower that restarts serves what it had, without any member, and does not
-// try the rejected version again; and that both run version 4 once two members are back. The first member stays dead.
+// checkRestartWithoutMembers checks that a restarted follower serves with its stored version while no member runs, and
+// does not install the rejected version. Both followers run version 4 once two members are back; member 1 stays
+// stopped.
 func (c *followerTest) checkRestartWithoutMembers() {
 	c.t.Helper()
 	c.stopAll(northID, 1, 2, 3)
@@ -132,10 +134,10 @@
 	}
 	c.awaitServing(northID)
 	if r := c.get(northID, "/slots"); r.body != "2" {
-		c.t.Errorf("with no member alive: %+v", r)
+		c.t.Errorf("request while no member runs: got %+v, want version 2", r)
 	}
 	if s := c.north.follower.Status(); s.ConfirmedAgeMs != -1 || len(s.Rejected) != 1 || s.MemberID != 0 {
-		c.t.Errorf("%+v", s)
+		c.t.Errorf("got status %+v, want one rejection, no member and no confirmation", s)
 	}
 	for id := uint64(2); id <= 3; id++ {
 		c.start(id)
@@ -146,7 +148,7 @@
 	s := c.north.follower.Status()
 	if len(s.Rejected) != 1 || c.north.logs.HasLine("version installed", "version=3") ||
 		!c.north.logs.HasLine("version installed", "version=4") {
-		c.t.Errorf("%+v", s)
+		c.t.Errorf("got status %+v, want one rejection, and version 4 but not 3 installed", s)
 	}
 	c.await("confirmed", func() bool {
 		s := c.north.follower.Status()
@@ -154,7 +156,7 @@
 	})
 }
 
-// checkNameConflict checks that two processes of one name are found out, and that both are told.
+// checkNameConflict checks that the members and both processes report two processes of one name.
 func (c *followerTest) checkNameConflict() {
 	c.t.Helper()
 	cfg := *c.south.cfg
@@ -165,34 +167,34 @@
 	}
 	c.awaitFollower("south", "are both called south")
 	const msgWarning = "configuration stream warning"
-	c.await("both are told", func() bool {
+	c.await("both processes report the name conflict", func() bool {
 		return c.south.logs.HasLine(msgWarning, "both called") && second.logs.HasLine(msgWarning, "both called")
 	})
 	c.stop(secondSouthID)
 	c.awaitFollower("south", "runs 2")
 }
 
-// checkRemovedFollower checks that a follower that is no longer agreed on receives nothing any more, and serves on.
+// checkRemovedFollower checks that a removed follower receives no further version and continues to serve.
 func (c *followerTest) checkRemovedFollower() {
 	c.t.Helper()
 	c.proposeChanges("five", newChange("remove", "follower", "south", ""))
-	c.await("it is rejected", func() bool {
+	c.await("the removed follower is rejected", func() bool {
 		return c.south.logs.HasLine("configuration stream ended", "not agreed on as a follower")
 	})
 	if r := c.get(southID, "/slots"); r.status != 200 || r.body != "4" {
-		c.t.Errorf("%+v", r)
+		c.t.Errorf("request to the removed follower: got %+v, want version 4", r)
 	}
 	c.awaitFollower("north", "runs 5")
 }
 
-// checkFollowerCertificates checks that a follower's certificate is no operator's, and a member's or an operator's no
-// follower's.
+// checkFollowerCertificates checks that a follower's certificate gives no access to the admin API, and that a member's
+// or an operator's certificate gives no access to the stream.
 func (c *followerTest) checkFollowerCertificates() {
 	c.t.Helper()
 	client := NewClient(testClusterName, c.south.cfg.Credentials, c.addrs[2].AdminAddress)
 	defer client.Close()
 	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), "no operator") {
-		c.t.Errorf("a follower calls as an operator: %v", err)
+		c.t.Errorf("admin API call with a follower's certificate: got error %v, want a rejection", err)
 	}
 	for name, creds := range map[string]raftnode.Credentials{
 		"a member":    c.members[2].cfg.Credentials,
@@ -208,7 +210,7 @@
 			defer close(done)
 			stream.Run(ctx)
 		}()
-		c.await(name+" receives nothing", func() bool {
+		c.await(name+" is rejected as a follower", func() bool {
 			return logs.HasLine("configuration stream ended", "is not of a follower")
 		})
 		stop()
@@ -216,19 +218,20 @@
 	}
 }
 
-// checkOtherFollowersIdentity checks that a follower does not start with another's certificate or file. It stops south.
+// checkOtherFollowersIdentity checks that a follower does not start with the certificate or the file of another
+// follower. It stops south.
 func (c *followerTest) checkOtherFollowersIdentity() {
 	c.t.Helper()
 	cfg := *c.north.cfg
 	cfg.Name, cfg.DataFile = "west", filepath.Join(c.dir, "w.db")
-	err := c.startFollower(c.addFollower(wrongID, &cfg))
+	err := c.startFollower(c.addFollower(rejectedID, &cfg))
 	if err == nil || !strings.Contains(err.Error(), `"north"`) {
-		c.t.Errorf("another's certificate: %v", err)
+		c.t.Errorf("start with another follower's certificate: got error %v, want one that names it", err)
 	}
 	c.stop(southID)
 	cfg = *c.north.cfg
 	cfg.DataFile = c.south.cfg.DataFile
-	if err := c.startFollower(c.addFollower(wrongID, &cfg)); !errors.Is(err, ErrInvalidFollowerFile) {
-		c.t.Errorf("another's file: %v", err)
+	if err := c.startFollower(c.addFollower(rejectedID, &cfg)); !errors.Is(err, ErrInvalidFollowerFile) {
+		c.t.Errorf("start with another follower's file: got error %v, want ErrInvalidFollowerFile", err)
 	}
 }
--- a/internal/cluster/key_messages.go
+++ b/internal/cluster/key_messages.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// broadcastJSON sends all other members a message: prefix and the JSON text of body.
+// broadcastJSON sends all other members a message that consists of prefix and the JSON encoding of body.
 func (m *Member) broadcastJSON(prefix []byte, body any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -59,8 +59,8 @@
 	return m.node.Broadcast(append(prefix, text...))
 }
 
-// receiveMessage handles another member's message about followers or keys. A malformed one is ignored, which has the
-// effect of a lost message: a gap in the sequence numbers.
+// receiveMessage handles another member's message about followers or keys. An invalid message is ignored, which
+// has the effect of a lost message: a gap in the sequence numbers.
 func (m *Member) receiveMessage(from uint64, text []byte) {
 	if isFollowerMessage(text) {
 		m.followers.receiveMessage(from, text)
--- a/internal/cluster/key_ownership.go
+++ b/internal/cluster/key_ownership.go
@@ -9,16 +9,16 @@
 	"mulleinmux/multisite"
 )
 
-// Key ownership (see package multisite): clients wait for 2 s at most over all attempts with a key, and sites drop
-// repeated requests for 4 s.
+// Parameters of key ownership (see package multisite). Clients wait for at most 2 s over all attempts with a key, and
+// sites drop repeated requests for 4 s.
 const (
-	ownershipLeaseTTL      = time.Second // of a confirmed ownership
+	ownershipLeaseTTL      = time.Second // lifetime of a confirmed ownership
 	keyTTL                 = 2500 * time.Millisecond
 	keyDeduplicationWindow = 4 * time.Second
-	maxKeys                = 1 << 20 // remembered at a time
+	maxKeys                = 1 << 20 // recorded at a time
 )
 
-// Instance IDs of key ownership that no member has. anyFollower represents all followers, which do not broadcast
+// Instance IDs in the key ownership that no member has. anyFollower represents all followers, which do not broadcast
 // their keys, and anyMember all members, from which a follower receives no broadcasts. So while there are followers,
 // a key whose owner changes is rejected until the fence time of package multisite has passed.
 const (
@@ -44,14 +44,14 @@
 	keyEighths map[string]int   // by lost site: eighths of its keys that it owns again
 }
 
-// ownsKeys reports whether a site owns keys: not while an operator has closed it, and while it is lost only once it has
-// recovered some eighths of them.
+// ownsKeys reports whether a site owns keys. A site that an operator has closed owns none, and a lost site owns keys
+// only once it has recovered some eighths of them.
 func ownsKeys(isClosed, isLost bool, recoveredEighths int) bool {
 	return !isClosed && (!isLost || recoveredEighths > 0)
 }
 
-// keyOwnershipOf derives the key ownership from a state. instances are those whose announcements are awaited;
-// [anyFollower] is added if the state has followers.
+// keyOwnershipOf derives the key ownership from a state. instances are the IDs of the instances whose announcements
+// are awaited; [anyFollower] is added if the state has followers.
 func keyOwnershipOf(state *clusterconfig.State, instances []uint64) keyOwnership {
 	o := keyOwnership{
 		epoch:      multisite.OwnershipEpoch{Number: state.PlacementVersion(), Instances: slices.Clone(instances)},
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -7,19 +7,19 @@
 	"mulleinmux/internal/gateway"
 )
 
-// A member that does not reach a site itself forwards its requests over the link to a member that does.
-func TestLinkBetweenMembers(t *testing.T) {
+// A member that can't reach a site relays requests to a member that can.
+func TestRelayBetweenMembers(t *testing.T) {
 	t.Parallel()
-	linkAddr := netip.MustParseAddrPort(freeAddr(t))
-	links := map[uint64]*gateway.RelayConfig{
+	relayAddr := netip.MustParseAddrPort(freeAddr(t))
+	relays := map[uint64]*gateway.RelayConfig{
 		1: {
 			Own:    []string{"hall-z"},
 			Listen: netip.MustParseAddrPort(freeAddr(t)),
-			Remote: map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: linkAddr}}},
+			Remote: map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: relayAddr}}},
 		},
-		2: {Own: []string{"hall-a"}, Listen: linkAddr},
+		2: {Own: []string{"hall-a"}, Listen: relayAddr},
 	}
-	c := newTestClusterWith(t, 2, func(id uint64, m *testMember) { m.link = links[id] })
+	c := newTestClusterWith(t, 2, func(id uint64, m *testMember) { m.relay = relays[id] })
 	outcome := c.propose(c.initialProposal())
 	c.awaitInstalled(outcome.Version)
 	c.awaitServing(1)
@@ -28,6 +28,6 @@
 		sent += counters.Sent.Load()
 	})
 	if sent != 0 {
-		t.Errorf("the far member counts %d requests that entered at the other", sent)
+		t.Errorf("member 2 counts %d requests that member 1 received, want 0", sent)
 	}
 }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -16,23 +16,23 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// leaderTransferTimeout bounds how long a leader that stops waits for another member to lead.
+// leaderTransferTimeout bounds how long a stopping leader waits for another member to become the leader.
 const leaderTransferTimeout = 2 * time.Second
 
-// Member is a member of the cluster and its gateway instance. It wires the Raft node to the types that own the rest:
-// versionInstaller (which version is in force), adminServer, followerServer and siteJudge.
+// Member is a member of the cluster and its gateway instance. It connects the Raft node to versionInstaller,
+// which puts versions in force, adminServer, followerServer and siteMonitor.
 type Member struct {
 	cfg            *MemberConfig
 	instanceConfig *gateway.Config
 	logger         *slog.Logger
 	node           *raftnode.Node
 	stateChanged   chan struct{}   // holds a token while a change has not been applied to the instance
-	followers      *followerServer // nil: no followers are served
+	followers      *followerServer // nil if no followers are served
 
 	mu           sync.Mutex        // guards the fields below
 	instance     *gateway.Instance // nil until it has started, set once
 	members      map[uint64]clusterconfig.Member
-	installError string // why the agreed version is not in force at the instance
+	installError string // why the agreed version is not in force at the instance; empty if it is
 }
 
 // RunMember runs a member and its instance until ctx ends. Then a leader transfers its leadership, the instance drains
@@ -124,7 +124,7 @@
 	tasks.Go(func() { newVersionInstaller(m).run(background) })
 	if m.instanceConfig.Keys != nil {
 		tasks.Go(func() { m.broadcastKeys(background) })
-		tasks.Go(func() { newSiteJudge(m).run(background) })
+		tasks.Go(func() { newSiteMonitor(m).run(background) })
 	}
 	started(m)
 
@@ -142,8 +142,8 @@
 	return errors.Join(err, <-instanceEnded)
 }
 
-// startInstance starts a gateway instance, without a version in force, which runs until ctx ends. Its result is sent
-// on the channel. If it fails to start, the instance is nil and the error says why.
+// startInstance starts a gateway instance without a version in force. The instance runs until ctx ends, and its result
+// is sent on the channel. If it fails to start, the returned instance and channel are nil and the result is returned.
 func startInstance(ctx context.Context, cfg *gateway.Config, logger *slog.Logger) (
 	*gateway.Instance, <-chan error, error) {
 	ended := make(chan error, 1)
@@ -187,14 +187,15 @@
 	}
 }
 
-// addrsOf returns the addresses of a member; they are empty if it is not known.
+// addrsOf returns the addresses of a member, which are empty if the member is unknown.
 func (m *Member) addrsOf(id uint64) clusterconfig.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.members[id]
 }
 
-// setInstallError records why the agreed version is not in force, nil if it is, and reports whether that has changed.
+// setInstallError records the error because of which the agreed version is not in force, or nil if it is in force. It
+// reports whether the error's text has changed.
 func (m *Member) setInstallError(err error) (changed bool) {
 	text := ""
 	if err != nil {
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -17,7 +17,7 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// join starts a member that the cluster does not have yet.
+// join starts a new member, which has not been added to the cluster.
 func (c *testCluster) join(id uint64) {
 	c.t.Helper()
 	c.addrs[id] = clusterconfig.Member{RaftAddress: freeAddr(c.t), AdminAddress: freeAddr(c.t)}
@@ -34,9 +34,9 @@
 	return &addrs
 }
 
-// Members are added, replaced and removed while the cluster serves; a learner votes only once it has caught up;
-// leadership is transferred on request; a removed member ends. Not parallel: a leader that loses its leadership under
-// load, while its removal is being agreed on, is not told that it was removed.
+// Members are added, replaced and removed while the cluster serves. A learner votes only once it has caught up,
+// leadership is transferred on request, and a removed member stops. Not parallel: a leader that loses its leadership
+// under load, while its removal is being agreed on, does not learn that it was removed.
 func TestMembershipChanges(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.propose(c.initialProposal())
@@ -44,23 +44,23 @@
 	c.join(4)
 	s, err := c.admin.ChangeMembers(c.ctx(), &MembershipChange{Op: "add", MemberID: 4, Addrs: c.addrsOf(4)})
 	if err != nil || len(s.Voters) != 4 || len(s.Learners) != 0 {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("add member 4: got status %+v, error %v, want 4 voters and no learner", s, err)
 	}
 	c.await("member 4 serves", func() bool { return c.isReady(4) })
-	// Each member leads that is asked for, through whichever member.
+	// A transfer makes the requested member the leader, whichever member receives the request.
 	for _, id := range []uint64{4, 2} {
 		s, err := c.admin.ChangeMembers(c.ctx(), &MembershipChange{Op: "transfer", MemberID: id})
 		if err != nil || s.Leader != id {
-			t.Errorf("transfer to %d: %+v, %v", id, s, err)
+			t.Errorf("transfer leadership to member %d: got status %+v, error %v", id, s, err)
 		}
-		c.awaitAllStatuses("all know the leader", 4, func(s Status) bool { return s.Leader == id })
+		c.awaitAllStatuses("all members report the leader", 4, func(s Status) bool { return s.Leader == id })
 	}
-	// A dead member is replaced in one step.
+	// A stopped member is replaced in one step.
 	c.stop(3)
 	c.join(5)
 	replace := &MembershipChange{Op: "replace", MemberID: 3, ReplacementID: 5, Addrs: c.addrsOf(5)}
 	if s, err = c.admin.ChangeMembers(c.ctx(), replace); err != nil || fmt.Sprint(s.Voters) != "[1 2 4 5]" {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("replace member 3: got status %+v, error %v, want voters 1, 2, 4 and 5", s, err)
 	}
 	c.checkRemovalOfLeader(2)
 	for _, change := range []*MembershipChange{
@@ -70,13 +70,13 @@
 		{Op: "replace", MemberID: 1, ReplacementID: 1},
 	} {
 		if _, err := c.admin.ChangeMembers(c.ctx(), change); !hasStatus(err, http.StatusBadRequest, "") {
-			t.Errorf("%+v: %v", change, err)
+			t.Errorf("change %+v: got error %v, want status 400", change, err)
 		}
 	}
 }
 
 // A new member that does not run stays a learner, does not count for the quorum, and can be removed. Not parallel: the
-// answer is due 100 ms before the caller's time ends, and other clusters would delay it.
+// response is due 100 ms before the caller's timeout, and other clusters would delay it.
 func TestLearnerThatDoesNotRun(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.propose(c.initialProposal())
@@ -86,40 +86,41 @@
 	addrs := &clusterconfig.Member{RaftAddress: freeAddr(t), AdminAddress: freeAddr(t)}
 	_, err := c.admin.ChangeMembers(ctx, &MembershipChange{Op: "add", MemberID: 9, Addrs: addrs})
 	if err == nil || !strings.Contains(err.Error(), "learner") {
-		t.Errorf("a member that does not run: %v", err)
+		t.Errorf("add a member that does not run: got error %v, want one that calls it a learner", err)
 	}
 	if s, err := c.admin.Status(c.ctx()); err != nil || len(s.Voters) != 3 || len(s.Learners) != 1 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("got status %+v, error %v, want 3 voters and 1 learner", s, err)
 	}
 	if _, err := c.admin.ChangeMembers(c.ctx(), &MembershipChange{Op: "remove", MemberID: 9}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// checkRemovalOfLeader checks that a leader that is removed ends, and that the other three go on.
+// checkRemovalOfLeader checks that a removed leader stops, and that the other three members apply changes without it.
 func (c *testCluster) checkRemovalOfLeader(id uint64) {
 	c.t.Helper()
 	_, err := c.admin.ChangeMembers(c.ctx(), &MembershipChange{Op: "remove", MemberID: id})
 	if err != nil && !strings.Contains(err.Error(), "stopped") {
-		c.t.Logf("the leader's answer on its own removal: %v", err)
+		c.t.Logf("the leader's response to its own removal: %v", err)
 	}
 	if err := c.awaitEnd(id); !errors.Is(err, raftnode.ErrRemoved) {
-		c.t.Errorf("a removed member ends with %v", err)
+		c.t.Errorf("removed member stopped with error %v, want ErrRemoved", err)
 	}
 	var outcome clusterconfig.Outcome
-	c.await("a change without it", func() bool {
+	c.await("a change without the removed leader", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		p := &clusterconfig.Proposal{ID: "after", Changes: []clusterconfig.Change{putDescription(2)}}
 		outcome, err = c.admin.Propose(ctx, p)
 		return err == nil
 	})
-	c.awaitAllStatuses("all that are left have it", 3, func(s Status) bool {
+	c.awaitAllStatuses("all remaining members have the change in force", 3, func(s Status) bool {
 		return s.InstalledVersion >= outcome.Version
 	})
 }
 
-// A member without its file does not start anew under its number, nor does one with another's certificate.
+// A member without its data file does not start under its ID, and neither does one with the certificate of another
+// member.
 func TestStartNeedsOwnDataFile(t *testing.T) {
 	t.Parallel()
 	cfg := &MemberConfig{
@@ -133,16 +134,16 @@
 		return RunMember(context.Background(), cfg, &gateway.Config{}, slog.New(slog.DiscardHandler), nil)
 	}
 	if err := run(); !errors.Is(err, ErrNotInitialized) {
-		t.Errorf("without a file: %v", err)
+		t.Errorf("start without a data file: got error %v, want ErrNotInitialized", err)
 	}
 	if err := InitMember(cfg, false); err != nil {
 		t.Fatal(err)
 	}
 	if err := InitMember(cfg, false); err == nil {
-		t.Error("a file was made over another")
+		t.Error("InitMember succeeded although the data file exists, want an error")
 	}
 	cfg.MemberID = 2
 	if err := run(); err == nil || !strings.Contains(err.Error(), "certificate") {
-		t.Errorf("with another's certificate: %v", err)
+		t.Errorf("start with another member's certificate: got error %v, want one about the certificate", err)
 	}
 }
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -24,7 +24,7 @@
 // Values of [labelAnswer].
 const (
 	answerServed   = "served"
-	answerRejected = wordRejected
+	answerRejected = rejectedLabel
 	answerFailed   = "failed"
 )
 
@@ -70,10 +70,10 @@
 var followersDesc = prometheus.NewDesc("mulleingate_followers",
 	"Followers agreed on, by how they stand.", []string{labelState}, nil)
 
-// followerGauge is the number of followers of which something holds.
+// followerGauge is a gauge of the followers whose status matches a condition.
 type followerGauge struct {
-	desc  *prometheus.Desc
-	holds func(*configstream.StreamStatus) bool
+	desc    *prometheus.Desc
+	matches func(*configstream.StreamStatus) bool
 }
 
 // followerGauges are the gauges of followers besides those by state.
@@ -93,7 +93,7 @@
 	},
 }
 
-// Metrics of an instance's requests. Those by operation have never had a help text.
+// Metrics of an instance's requests. The metrics by operation have no help text.
 var (
 	requestsUnconfirmedDesc = newGaugeDesc("mulleingate_requests_unconfirmed",
 		"Requests refused because the configuration was not confirmed.")
@@ -103,7 +103,7 @@
 		[]string{labelOperation}, nil)
 )
 
-// confirmedAgeSeconds is an age in seconds, or -1 where there was no confirmation.
+// confirmedAgeSeconds converts an age to seconds. It returns -1 if there was no confirmation.
 func confirmedAgeSeconds(ageMs int64) float64 {
 	if ageMs < 0 {
 		return -1
@@ -111,22 +111,22 @@
 	return float64(ageMs) / 1000
 }
 
-// newGaugeDesc describes a gauge without labels.
+// newGaugeDesc returns the description of a gauge without labels.
 func newGaugeDesc(name, help string) *prometheus.Desc {
 	return prometheus.NewDesc(name, help, nil, nil)
 }
 
-// gauge returns the value of a gauge.
+// gauge returns a sample of a gauge.
 func gauge(desc *prometheus.Desc, value float64, labels ...string) prometheus.Metric {
 	return constMetric(desc, prometheus.GaugeValue, value, labels)
 }
 
-// counter returns the value of a counter.
+// counter returns a sample of a counter.
 func counter(desc *prometheus.Desc, value int64, labels ...string) prometheus.Metric {
 	return constMetric(desc, prometheus.CounterValue, float64(value), labels)
 }
 
-// constMetric returns a value as it is now. One that the library rejects makes the scrape fail, and nothing else.
+// constMetric returns a sample with a fixed value. A sample that the library rejects fails only the scrape.
 func constMetric(
 	desc *prometheus.Desc, valueType prometheus.ValueType, value float64, labels []string,
 ) prometheus.Metric {
@@ -137,7 +137,7 @@
 	return metric
 }
 
-// boolValue is 1 for true.
+// boolValue returns 1 for true and 0 for false.
 func boolValue(b bool) float64 {
 	if b {
 		return 1
@@ -162,16 +162,16 @@
 	w.Write(text)
 }
 
-// metricsCollector collects a member's metrics for one scrape. The hosts' counters are read here and nowhere else, so
-// that requests pay for their atomic additions alone.
+// metricsCollector collects a member's metrics for one scrape. The instance's counters are read only here, so that the
+// metrics cost a request no more than atomic additions.
 type metricsCollector struct {
 	status    *Status
-	followers *followerServer   // nil: the member serves none
-	instance  *gateway.Instance // nil: it has not started
+	followers *followerServer   // nil if the member serves none
+	instance  *gateway.Instance // nil if it has not started
 }
 
-// exposition returns the metrics in the Prometheus text format. The registry is the scrape's own: it has none of the
-// library's metrics of the process, and the status that it is given cannot fail to be read.
+// exposition returns the metrics in the Prometheus text format. Each scrape has a registry of its own, which
+// has none of the library's process metrics. The status was read before, so that collecting it can't fail.
 func (c *metricsCollector) exposition() ([]byte, error) {
 	registry := prometheus.NewPedanticRegistry()
 	if err := registry.Register(c); err != nil {
@@ -230,7 +230,7 @@
 	})
 }
 
-// collect sends the number of followers in each state, as far as the members know.
+// collect sends the number of followers in each state, as known to the members.
 func (s *followerServer) collect(out chan<- prometheus.Metric) {
 	s.mu.Lock()
 	followers := s.publisher.Statuses(s.now())
@@ -250,7 +250,7 @@
 	for _, g := range followerGauges {
 		count := 0
 		for i := range followers {
-			if g.holds(&followers[i]) {
+			if g.matches(&followers[i]) {
 				count++
 			}
 		}
--- a/internal/cluster/metrics_test.go
+++ b/internal/cluster/metrics_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The age of the confirmation is in seconds, and -1 where there was none, as the metric's help says.
+// The metric of the confirmation's age is in seconds, and -1 if there was none, as its help text says.
 func TestConfirmedAgeMetric(t *testing.T) {
 	for ageMs, want := range map[int64]float64{-1: -1, 0: 0, 1500: 1.5} {
 		found := false
@@ -10,12 +10,12 @@
 			if got := g.value(&Status{ConfirmedAgeMs: ageMs}); g.desc == confirmedAgeDesc {
 				found = true
 				if got != want {
-					t.Errorf("%d ms: %v s, want %v", ageMs, got, want)
+					t.Errorf("age of %d ms: got %v s, want %v", ageMs, got, want)
 				}
 			}
 		}
 		if !found {
-			t.Error("the metric is missing")
+			t.Error("statusGauges does not contain the gauge of the confirmation's age")
 		}
 	}
 }
--- a/internal/cluster/names.go
+++ b/internal/cluster/names.go
@@ -1,8 +1,8 @@
 package cluster
 
-// Words that operators read in answers and metrics, and their terms in the code. The JSON keys stand in the tags of the
-// types (halls: sites; refused: rejected), the metrics' names in metrics.go (refusing: rejecting; twins: name
-// conflicts).
+// Some names in responses and metrics differ from the terms in the code. JSON keys are in the tags of the types
+// ("halls" for sites, "refused" for rejected), and metric names are in metrics.go ("refusing" for rejecting, "twins"
+// for name conflicts).
 
-// wordRejected stands for a rejected request or proposal.
-const wordRejected = "refused"
+// rejectedLabel denotes rejected requests in metrics and rejected proposals in error messages.
+const rejectedLabel = "refused"
--- a/internal/cluster/run_every.go
+++ b/internal/cluster/run_every.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// runEvery calls f at each interval until ctx ends. An interval that passes while f runs is dropped.
+// runEvery calls f at each interval until ctx ends. It drops ticks if f takes longer than an interval.
 func runEvery(ctx context.Context, interval time.Duration, f func()) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -21,16 +21,17 @@
 // objectKinds are the kinds of the agreed configuration's objects, sorted.
 var objectKinds = clusterconfig.Kinds()
 
-// removedPlanPrefix makes the name of a removed plan, which keeps its index, one that no licensee's plan can have.
+// removedPlanPrefix is prepended to the name of a removed plan, which keeps its index, so that the name differs from
+// that of any licensee's plan.
 const removedPlanPrefix = "/removed/"
 
-// errNoDescription reports that there is nothing to serve yet.
+// errNoDescription reports that no description has been agreed on, so that the instance has nothing to serve.
 var errNoDescription = errors.New("no description is agreed on yet: gateway config apply")
 
 // setupBuilder builds an instance's setup from an agreed state. It caches the parts that are expensive to build. It
 // is not safe for concurrent use.
 type setupBuilder struct {
-	tableKey  []byte // what the table was compiled from
+	tableKey  []byte // inputs from which the table was compiled
 	table     *routing.Table
 	checker   gateway.Checker
 	licensees map[string]cachedLicensee
@@ -63,7 +64,7 @@
 	return setup, nil
 }
 
-// compilationKey returns all that the compilation of the description depends on, and the number of descriptions.
+// compilationKey returns all inputs to the compilation of the description, and the number of descriptions.
 func compilationKey(state *clusterconfig.State) (key []byte, descriptionCount int) {
 	key = binary.AppendVarint(nil, int64(state.MaxUnits()))
 	state.Each(clusterconfig.KindDescription, func(_ string, text json.RawMessage) {
@@ -84,7 +85,7 @@
 	}
 	descriptions := clusterconfig.ObjectsByName[clusterconfig.Description](state, clusterconfig.KindDescription)
 	var description clusterconfig.Description
-	for _, description = range descriptions { // there is one, as build has checked
+	for _, description = range descriptions { // there is exactly one, as build has checked
 	}
 	options := compileOptions(state.Classes(), state.MaxUnits())
 	table, document, err := openapi.Compile(description.File, []byte(description.Text), options)
@@ -124,7 +125,7 @@
 	return sites, nil
 }
 
-// plansOf returns the plans in plan order, in which each keeps its index for good.
+// plansOf returns the plans in plan order, in which each plan keeps its index permanently.
 func plansOf(state *clusterconfig.State) (plans []policy.Plan) {
 	agreed := clusterconfig.ObjectsByName[clusterconfig.Plan](state, clusterconfig.KindPlan)
 	for _, name := range state.PlanOrder() {
@@ -157,7 +158,7 @@
 		if !cached || !bytes.Equal(l.text, text) {
 			var agreed clusterconfig.Licensee
 			if json.Unmarshal(text, &agreed) != nil {
-				return // impossible: it was checked before it was agreed on
+				return // unreachable: the object was checked before it was agreed on
 			}
 			l = cachedLicensee{text, gateway.Licensee{Plan: agreed.Plan, Customer: gateway.CustomerOf(name)}}
 		}
--- a/internal/cluster/site_health.go
+++ b/internal/cluster/site_health.go
@@ -11,16 +11,16 @@
 	"mulleinmux/multisite"
 )
 
-// Site health. A loss moves keys to other sites, so it needs a majority and half a second. If a site flaps, the
-// delay until it counts as recovered grows to half a minute.
+// Parameters of site health. The loss of a site moves keys to other sites, so it takes a majority and half a second. If
+// a site flaps, the delay until it counts as recovered grows to half a minute.
 const (
-	minSiteMisses        = 3 // health checks
+	minSiteMisses        = 3 // missed health checks
 	siteLossTimeout      = 500 * time.Millisecond
-	siteViewTTL          = time.Second // of what another member says of a site
+	siteViewTTL          = time.Second // lifetime of another member's view of a site
 	siteRecoveryDelay    = time.Second
 	maxSiteRecoveryDelay = 30 * time.Second
-	siteLossWindow       = time.Minute // within which a site that is lost again flaps
-	siteJudgeInterval    = 50 * time.Millisecond
+	siteLossWindow       = time.Minute // a site that is lost again within it counts as flapping
+	siteMonitorInterval  = 50 * time.Millisecond
 	rampLoanTTL          = 500 * time.Millisecond
 
 	siteProposalTimeout = 2 * time.Second
@@ -49,44 +49,46 @@
 	}
 }
 
-// siteJudge logs changes of the sites' health and, on the leader, proposes which sites are lost and recovered. One
-// goroutine, run, owns it.
-type siteJudge struct {
+// siteMonitor logs changes of the sites' health and, on the leader, proposes which sites are lost and recovered. Only
+// the goroutine of run uses it.
+type siteMonitor struct {
 	member *Member
-	states map[string]string // by site, as last logged
+	states map[string]string // last logged state by site
 }
 
-func newSiteJudge(m *Member) *siteJudge { return &siteJudge{member: m, states: map[string]string{}} }
+func newSiteMonitor(m *Member) *siteMonitor {
+	return &siteMonitor{member: m, states: map[string]string{}}
+}
 
-// run judges the sites until ctx ends.
-func (j *siteJudge) run(ctx context.Context) {
-	runEvery(ctx, siteJudgeInterval, func() {
-		j.logChanges(j.member.instance.SiteStates())
-		change, ok := j.member.instance.ProposeSiteChange()
-		if !ok || !j.isProposer(ctx) {
+// run logs and proposes changes of the sites' health until ctx ends.
+func (s *siteMonitor) run(ctx context.Context) {
+	runEvery(ctx, siteMonitorInterval, func() {
+		s.logChanges(s.member.instance.SiteStates())
+		change, ok := s.member.instance.ProposeSiteChange()
+		if !ok || !s.isProposer(ctx) {
 			return
 		}
-		if err := j.member.proposeSiteChange(ctx, change); err != nil {
-			j.member.logger.Warn("site change proposal failed",
+		if err := s.member.proposeSiteChange(ctx, change); err != nil {
+			s.member.logger.Warn("site change proposal failed",
 				slog.String(logging.KeySite, change.Site), logging.Error(err))
 		}
 	})
 }
 
-// isProposer reports whether this member proposes changes of sites: the leader does. Any member could: a second
-// proposal of the same change is rejected.
-func (j *siteJudge) isProposer(ctx context.Context) bool {
-	status, err := j.member.node.Status(ctx)
+// isProposer reports whether this member proposes changes of sites. Only the leader does. Proposals by several members
+// would do no harm, because a second proposal of the same change is rejected.
+func (s *siteMonitor) isProposer(ctx context.Context) bool {
+	status, err := s.member.node.Status(ctx)
 	return err == nil && status.Leader == status.ID
 }
 
-// logChanges logs the sites whose state has changed since the last call. A site that is seen first is not logged.
-func (j *siteJudge) logChanges(states map[string]string) {
-	previous := j.states
-	j.states = states
+// logChanges logs the sites whose state has changed since the last call. A new site is not logged.
+func (s *siteMonitor) logChanges(states map[string]string) {
+	previous := s.states
+	s.states = states
 	for name, state := range states {
 		if before, known := previous[name]; known && before != state {
-			j.member.logger.Info("site state changed", slog.String(logging.KeySite, name),
+			s.member.logger.Info("site state changed", slog.String(logging.KeySite, name),
 				slog.String("state", state), slog.String("previous_state", before))
 		}
 	}
@@ -126,7 +128,7 @@
 	return fmt.Sprintf("%s-%s-%v-%d-%d", kind, site.Site, site.IsLost, site.KeyEighths, state.PlacementVersion())
 }
 
-// siteChange returns the change of the agreed configuration that a change of a site's health comes to.
+// siteChange converts a change of a site's health to a change of the agreed configuration.
 func siteChange(site multisite.SiteChange) clusterconfig.Change {
 	if !site.IsLost && site.KeyEighths == 0 {
 		return clusterconfig.Change{Op: clusterconfig.OpRemove, Kind: clusterconfig.KindLostSite, Name: site.Site}
--- a/internal/cluster/storage_test.go
+++ b/internal/cluster/storage_test.go
@@ -16,7 +16,7 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// fullStorage is a storage that is full from a moment on.
+// fullStorage is a storage whose synced writes fail with ENOSPC while isFull is set.
 type fullStorage struct {
 	raftnode.Storage
 	isFull *atomic.Bool
@@ -29,8 +29,8 @@
 	return s.Storage.Save(hs, entries, snap, sync)
 }
 
-// A member whose storage is full, the leader above all, ends with that as its reason; the others go on without losing a
-// change, and it comes back once there is room.
+// A leader whose storage is full stops with that error. The other members lose no change, and the stopped member can
+// rejoin once there is space.
 func TestFullStorage(t *testing.T) {
 	t.Parallel()
 	c := newTestCluster(t, 3)
@@ -49,27 +49,27 @@
 		return err == nil && leader != 0
 	})
 	isFull[leader].Store(true)
-	changes := c.startConcurrentChanges(10)
+	awaitChanges := c.startConcurrentChanges(10)
 	if err := c.awaitEnd(leader); !errors.Is(err, syscall.ENOSPC) {
-		t.Errorf("the member ends with %v", err)
+		t.Errorf("leader stopped with error %v, want ENOSPC", err)
 	}
-	proposals := changes()
+	proposals := awaitChanges()
 	isFull[leader].Store(false)
 	c.start(leader)
 	c.awaitInstalled(11)
 	h, err := c.admin.History(c.ctx())
 	if err != nil || len(h) != 11 {
-		t.Fatalf("%d versions, error %v", len(h), err)
+		t.Fatalf("got %d versions, error %v, want 11", len(h), err)
 	}
 	for _, record := range h[1:] {
 		if proposals[record.Version] != record.ID {
-			t.Errorf("version %d is %s, and was answered as %s", record.Version, record.ID, proposals[record.Version])
+			t.Errorf("version %d: got proposal %s, want %s", record.Version, record.ID, proposals[record.Version])
 		}
 	}
 }
 
-// startConcurrentChanges proposes so many changes at a time, each until it is applied. The function that it returns
-// waits for all, and returns the IDs of the proposals by version.
+// startConcurrentChanges proposes count changes concurrently and retries each until it is applied. The returned
+// function waits for all of them, and returns the IDs of the proposals by version.
 func (c *testCluster) startConcurrentChanges(count int) (wait func() map[uint64]string) {
 	var mu sync.Mutex
 	proposals := map[uint64]string{}
@@ -81,7 +81,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if before, exists := proposals[outcome.Version]; exists {
-				c.t.Errorf("%s and %s are both version %d", before, p.ID, outcome.Version)
+				c.t.Errorf("proposals %s and %s both have version %d", before, p.ID, outcome.Version)
 			}
 			proposals[outcome.Version] = p.ID
 		})
--- a/internal/cluster/stream_client.go
+++ b/internal/cluster/stream_client.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	silentHeartbeats = 5 // heartbeat intervals without a message after which the stream is closed
-	maxInstallTries  = 2 // of a version that ends the process
-	minRetryDelay    = 100 * time.Millisecond
-	maxRetryDelay    = 3 * time.Second // so that all followers are back soon after the members are
+	maxMissedHeartbeats = 5 // heartbeat intervals without a message after which the stream is closed
+	maxInstallAttempts  = 2 // attempts to install a version that ends the process
+	minRetryDelay       = 100 * time.Millisecond
+	maxRetryDelay       = 3 * time.Second // short, so that all followers reconnect soon after the members are back
 )
 
 // StreamHandlers are the callbacks of a [StreamClient]. Persist, Check and Install are called one at a time by one
@@ -27,60 +27,60 @@
 type StreamHandlers struct {
 	// Persist returns once the state is synced to disk.
 	Persist func(*configstream.DurableState) error
-	// Check returns why a version must not be put in force; none: it may.
+	// Check returns the problems because of which a version must not be put in force, if any.
 	Check func(*configstream.Version) []configstream.Problem
 	// Install puts a version in force.
 	Install func(*configstream.Version) error
-	// Confirm is called with the last confirmations of the running version.
+	// Confirm is called with the latest confirmations of the running version.
 	Confirm func(VersionConfirmation)
 }
 
-// VersionConfirmation is when a quorum last confirmed that a follower's version, and its key ownership, were the
-// newest. A zero time means that it has not since the version is in force.
+// VersionConfirmation holds the times at which a quorum last confirmed that a follower's version and its key ownership
+// were the newest. A zero time means that there was no confirmation since the version was put in force.
 type VersionConfirmation struct {
 	VersionAt   time.Time
 	OwnershipAt time.Time
 }
 
-// StreamClient is a follower's end of the configuration stream, without an instance. It connects to one member at a
+// StreamClient is a follower's client of the configuration stream, without an instance. It connects to one member at a
 // time and carries out the actions of the state machine in package configstream.
 type StreamClient struct {
-	cfg      *FollowerConfig
-	handlers StreamHandlers
-	logger   *slog.Logger
-	begun    time.Time
+	cfg       *FollowerConfig
+	handlers  StreamHandlers
+	logger    *slog.Logger
+	startedAt time.Time
 
 	jobs      chan configstream.Action // Persist, Check or Activate; at most one is in progress
 	sendQueue chan any                 // configstream.Report, or a ping's sequence number
 
 	mu          sync.Mutex
 	follower    *configstream.Follower
-	stream      *configstreampb.FollowerStream // nil: not connected
-	member      uint64                         // at the other end of the stream
-	hasReceived bool                           // a message on this stream
+	stream      *configstreampb.FollowerStream // nil if not connected
+	member      uint64                         // member that serves the stream; 0 if not connected
+	hasReceived bool                           // whether a message was received on this stream
 }
 
 // NewStreamClient returns the client of a follower with the state that its file holds. It does nothing before
 // [StreamClient.Run].
-func NewStreamClient(cfg *FollowerConfig, disk configstream.DurableState, handlers StreamHandlers,
+func NewStreamClient(cfg *FollowerConfig, durable configstream.DurableState, handlers StreamHandlers,
 	logger *slog.Logger) *StreamClient {
 	c := &StreamClient{
 		cfg:       cfg,
 		handlers:  handlers,
 		logger:    logger.With(slog.String(logging.KeyFollower, cfg.Name)),
-		begun:     time.Now(),
+		startedAt: time.Now(),
 		jobs:      make(chan configstream.Action, 1),
-		sendQueue: make(chan any, streamSendQueue),
+		sendQueue: make(chan any, streamSendQueueSize),
 	}
 	follower, actions := configstream.NewFollower(configstream.FollowerConfig{
 		Name:              cfg.Name,
 		ProcessID:         rand.Uint64(),
 		HeartbeatInterval: c.heartbeatInterval(),
 		SilenceTimeout:    silenceTimeout(c.heartbeatInterval()),
-		MaxAttempts:       maxInstallTries,
-	}, disk)
+		MaxAttempts:       maxInstallAttempts,
+	}, durable)
 	c.follower = follower
-	c.carryOut(actions)
+	c.dispatch(actions)
 	return c
 }
 
@@ -88,10 +88,10 @@
 	return cmp.Or(c.cfg.HeartbeatInterval, streamHeartbeatInterval)
 }
 
-// silenceTimeout returns for how long a follower waits for a message before it tries the next member: a few heartbeats,
-// and not longer than a member waits for the follower.
+// silenceTimeout returns how long a follower waits for a message before it tries the next member: maxMissedHeartbeats
+// intervals, but no longer than a member waits for a message of the follower.
 func silenceTimeout(heartbeat time.Duration) time.Duration {
-	return min(silentHeartbeats*heartbeat, streamSilenceTimeout)
+	return min(maxMissedHeartbeats*heartbeat, streamSilenceTimeout)
 }
 
 // Run receives the configuration until ctx ends, and returns once its goroutines have ended.
@@ -102,20 +102,20 @@
 	c.followMembers(ctx)
 }
 
-func (c *StreamClient) now() time.Duration { return time.Since(c.begun) }
+func (c *StreamClient) now() time.Duration { return time.Since(c.startedAt) }
 
 // followerEvent passes an event to the state machine and returns the resulting actions.
 type followerEvent func(f *configstream.Follower, now time.Duration) []configstream.Action
 
-// handle has the state machine handle an event, and carries out its actions.
+// handle passes an event to the state machine and dispatches the resulting actions.
 func (c *StreamClient) handle(event followerEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(event(c.follower, c.now()))
+	c.dispatch(event(c.follower, c.now()))
 }
 
-// carryOut carries out actions or queues them, without blocking. The caller holds the mutex.
-func (c *StreamClient) carryOut(actions []configstream.Action) {
+// dispatch executes or queues actions, without blocking. The caller holds the mutex.
+func (c *StreamClient) dispatch(actions []configstream.Action) {
 	for _, action := range actions {
 		switch {
 		case action.Send != nil:
@@ -135,7 +135,8 @@
 	}
 }
 
-// enqueue queues a message, and aborts the stream if the member does not read. The caller holds the mutex.
+// enqueue queues a message. It aborts the stream if the queue is full because the member does not read. The caller
+// holds the mutex.
 func (c *StreamClient) enqueue(message any) {
 	select {
 	case c.sendQueue <- message:
@@ -144,7 +145,7 @@
 	}
 }
 
-// abortStream ends the stream. The caller holds the mutex.
+// abortStream aborts the current stream, if any. The caller holds the mutex.
 func (c *StreamClient) abortStream(reason string) {
 	if c.stream != nil {
 		c.logger.Info("leaving member",
@@ -165,7 +166,7 @@
 	}
 }
 
-// runJob does one job and returns the event of its end.
+// runJob runs one job and returns the event of its completion.
 func (c *StreamClient) runJob(job configstream.Action) followerEvent {
 	switch {
 	case job.Persist != nil:
@@ -191,18 +192,18 @@
 	}
 }
 
-// followMembers keeps a stream to one member after the other until ctx ends.
+// followMembers runs a stream to one member after the other until ctx ends.
 func (c *StreamClient) followMembers(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	assignment := configstream.NewMemberSelector(configstream.MemberSelectorConfig{
+	selector := configstream.NewMemberSelector(configstream.MemberSelectorConfig{
 		Name:           c.cfg.Name,
 		Members:        slices.Sorted(maps.Keys(c.cfg.MemberStreamAddrs)),
 		InitialBackoff: minRetryDelay,
 		MaxBackoff:     maxRetryDelay,
 	}, rng)
 	for ctx.Err() == nil {
-		member := assignment.Member()
-		hasReceived, err := c.follow(ctx, member)
+		member := selector.Member()
+		hasReceived, err := c.runStream(ctx, member)
 		if ctx.Err() != nil {
 			return
 		}
@@ -210,10 +211,10 @@
 		if reason == "" {
 			reason = err.Error()
 		}
-		delay := assignment.StreamEnded(hasReceived)
+		delay := selector.StreamEnded(hasReceived)
 		c.logger.Warn("configuration stream ended",
 			slog.Uint64(logging.KeyMember, member), slog.String(logging.KeyReason, reason),
-			slog.Uint64("next_member", assignment.Member()),
+			slog.Uint64("next_member", selector.Member()),
 			slog.Duration("retry_delay", delay.Round(time.Millisecond)))
 		select {
 		case <-ctx.Done():
@@ -222,7 +223,7 @@
 	}
 }
 
-// confirm passes the confirmations of the running version on.
+// confirm passes the latest confirmations of the running version to the handler.
 func (c *StreamClient) confirm() {
 	c.mu.Lock()
 	versionAt, isVersionConfirmed := c.follower.ConfirmedAt()
@@ -230,10 +231,10 @@
 	c.mu.Unlock()
 	var confirmed VersionConfirmation
 	if isVersionConfirmed {
-		confirmed.VersionAt = c.begun.Add(versionAt)
+		confirmed.VersionAt = c.startedAt.Add(versionAt)
 	}
 	if isOwnershipConfirmed {
-		confirmed.OwnershipAt = c.begun.Add(ownershipAt)
+		confirmed.OwnershipAt = c.startedAt.Add(ownershipAt)
 	}
 	c.handlers.Confirm(confirmed)
 }
--- a/internal/cluster/stream_connection.go
+++ b/internal/cluster/stream_connection.go
@@ -20,19 +20,19 @@
 
 // newTransport returns a transport for one stream. The caller closes its idle connections.
 func (c *StreamClient) newTransport() *http.Transport {
-	tls := c.cfg.Credentials.TLSConfig()
-	tls.NextProtos = []string{"h2"}
+	tlsConfig := c.cfg.Credentials.TLSConfig()
+	tlsConfig.NextProtos = []string{"h2"}
 	return &http.Transport{
-		TLSClientConfig:     tls,
+		TLSClientConfig:     tlsConfig,
 		ForceAttemptHTTP2:   true,
 		TLSHandshakeTimeout: streamHandshakeTimeout,
 		DialContext:         (&net.Dialer{Timeout: streamDialTimeout}).DialContext,
 	}
 }
 
-// follow runs one stream with a member until it ends. It returns whether the member has sent a message, and why the
-// stream ended.
-func (c *StreamClient) follow(ctx context.Context, member uint64) (hasReceived bool, err error) {
+// runStream runs one stream with a member until it ends. It returns whether the member has sent a message, and the
+// reason why the stream ended.
+func (c *StreamClient) runStream(ctx context.Context, member uint64) (hasReceived bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	transport := c.newTransport()
@@ -76,7 +76,7 @@
 	return sendErr
 }
 
-// setStream makes a stream the current one, and returns the hello to begin it with.
+// setStream sets the current stream, and returns the hello message that opens it.
 func (c *StreamClient) setStream(stream *configstreampb.FollowerStream, member uint64) configstream.Hello {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +99,8 @@
 	stream.Abort()
 }
 
-// send sends the hello and the queued messages, and calls the state machine's Tick, until ctx or the stream ends.
+// send sends the hello message and the queued messages, and calls the state machine's Tick, until ctx or the stream
+// ends.
 func (c *StreamClient) send(ctx context.Context, stream *configstreampb.FollowerStream,
 	hello configstream.Hello) error {
 	if err := stream.Send(hello); err != nil {
@@ -121,7 +122,7 @@
 	}
 }
 
-// handleMessage has the state machine handle a member's message.
+// handleMessage passes a member's message to the state machine.
 func (c *StreamClient) handleMessage(message any) {
 	switch message := message.(type) {
 	case *configstream.Push:
--- a/internal/cluster/testcluster_test.go
+++ b/internal/cluster/testcluster_test.go
@@ -27,7 +27,7 @@
 )
 
 const (
-	testTimeout      = 30 * time.Second // of every wait of a test; none is expected to come near it
+	testTimeout      = 30 * time.Second // of each wait in a test, far above the expected durations
 	testPollInterval = 2 * time.Millisecond
 	testClusterName  = "test"
 	testOperator     = "amina"
@@ -35,7 +35,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testDescription has one operation, of so many units.
+// testDescription is the format of a description with one operation, whose units are the argument.
 const testDescription = `openapi: 3.1.0
 info: {title: t, version: "1"}
 servers: [{url: /}]
@@ -47,8 +47,8 @@
       responses: {"200": {description: ok}}
 `
 
-// testCluster is a cluster in this process, with one site of one server. The server answers with the version that the
-// gateway has sent it.
+// testCluster is a cluster in this process, with one site of one server. The server responds with the version in the
+// request that it receives from the gateway.
 type testCluster struct {
 	t         *testing.T
 	dir       string
@@ -60,10 +60,10 @@
 	admin     *Client
 }
 
-// testInstance is a member or a follower that runs, or may.
+// testInstance is the instance of a member or a follower, which may be stopped.
 type testInstance struct {
 	listenAddr string
-	cancel     context.CancelFunc // nil: it does not run
+	cancel     context.CancelFunc // nil if the instance is stopped
 	done       chan error
 }
 
@@ -71,7 +71,7 @@
 	*testInstance
 	cfg       *MemberConfig
 	staleness gateway.Agreement
-	link      *gateway.RelayConfig
+	relay     *gateway.RelayConfig
 	member    *Member
 }
 
@@ -102,13 +102,13 @@
 	return creds
 }
 
-// newTestCluster starts a cluster of so many members, which have agreed on nothing yet.
+// newTestCluster starts a cluster of memberCount members, without an agreed configuration.
 func newTestCluster(t *testing.T, memberCount uint64) *testCluster {
 	t.Helper()
 	return newTestClusterWith(t, memberCount, nil)
 }
 
-// newTestClusterWith is newTestCluster for members that are configured, by ID, before they start.
+// newTestClusterWith is newTestCluster with a function that configures each member before it starts.
 func newTestClusterWith(t *testing.T, memberCount uint64, configure func(uint64, *testMember)) *testCluster {
 	t.Helper()
 	c := &testCluster{
@@ -181,7 +181,7 @@
 	return creds
 }
 
-// newMember describes a member that does not run yet.
+// newMember adds a member to the test cluster without starting it.
 func (c *testCluster) newMember(id uint64) *testMember {
 	c.t.Helper()
 	m := &testMember{
@@ -229,7 +229,7 @@
 	staleness := m.staleness
 	instanceConfig := testInstanceConfig(fmt.Sprint("g", id), id)
 	instanceConfig.Agreement = &staleness
-	instanceConfig.Relay = m.link
+	instanceConfig.Relay = m.relay
 	m.listen(c.t, instanceConfig)
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel, m.done = cancel, make(chan error, 1)
@@ -242,13 +242,13 @@
 	select {
 	case m.member = <-started:
 	case err := <-m.done:
-		c.t.Fatalf("member %d: %v", id, err)
+		c.t.Fatalf("member %d failed to start: %v", id, err)
 	case <-time.After(testTimeout):
-		c.t.Fatal("a member does not start")
+		c.t.Fatal("timeout waiting for a member to start")
 	}
 }
 
-// stop stops a member or follower, if it runs, and returns why it ended.
+// stop stops a member or follower, if it runs, and returns its error.
 func (c *testCluster) stop(id uint64) error {
 	c.t.Helper()
 	i := c.instances[id]
@@ -261,12 +261,12 @@
 	case err := <-i.done:
 		return err
 	case <-time.After(testTimeout):
-		c.t.Errorf("instance %d does not end", id)
+		c.t.Errorf("timeout waiting for instance %d to stop", id)
 		return nil
 	}
 }
 
-// stopAll stops members or followers at the same time.
+// stopAll stops members or followers concurrently.
 func (c *testCluster) stopAll(ids ...uint64) {
 	c.t.Helper()
 	var stopping sync.WaitGroup
@@ -276,8 +276,9 @@
 	stopping.Wait()
 }
 
-// stopCluster stops all instances: the leader once it has lost its leadership, since it would wait for a successor that
-// stops as well, and followers together with it, since they wait for their member.
+// stopCluster stops all instances. It stops the leader once it has lost its leadership, because a leader that stops
+// waits for a successor, which would be stopping too. It stops the followers together with the leader, because they
+// wait for the member that they are connected to.
 func (c *testCluster) stopCluster() {
 	c.t.Helper()
 	leader := c.leader()
@@ -292,7 +293,7 @@
 	c.stopAll(slices.Collect(maps.Keys(c.instances))...)
 }
 
-// leader returns the running member that leads others, or 0.
+// leader returns the running member that leads a cluster of several voters, or 0.
 func (c *testCluster) leader() uint64 {
 	for id, m := range c.members {
 		if m.cancel == nil || m.member == nil {
@@ -306,7 +307,7 @@
 	return 0
 }
 
-// awaitEnd waits until a member ends by itself, and returns why.
+// awaitEnd waits until a member stops without a call of stop, and returns its error.
 func (c *testCluster) awaitEnd(id uint64) error {
 	c.t.Helper()
 	i := c.instances[id]
@@ -316,7 +317,7 @@
 		i.cancel = nil
 		return err
 	case <-time.After(testTimeout):
-		c.t.Fatalf("member %d does not end by itself", id)
+		c.t.Fatalf("timeout waiting for member %d to stop by itself", id)
 		return nil
 	}
 }
@@ -333,7 +334,7 @@
 	header http.Header
 }
 
-// get sends an instance a client's request.
+// get sends a client's request to an instance.
 func (c *testCluster) get(id uint64, path string) response {
 	c.t.Helper()
 	url := "http://" + c.instances[id].listenAddr + path
@@ -344,16 +345,16 @@
 	request.Close = true
 	request.Header.Set("X-Licensee", "bahari")
 	request.Header.Set("X-Mulleinmux-Explain", "1")
-	answer, err := http.DefaultClient.Do(request)
+	httpResponse, err := http.DefaultClient.Do(request)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(httpResponse.Body)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return response{answer.StatusCode, string(body), answer.Header}
+	return response{httpResponse.StatusCode, string(body), httpResponse.Header}
 }
 
 func (c *testCluster) isReady(id uint64) bool {
@@ -365,7 +366,7 @@
 	c.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(testPollInterval) {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("timeout waiting for condition: %s", what)
 		}
 	}
 }
@@ -378,13 +379,13 @@
 	}
 }
 
-// awaitServing waits until an instance knows the server and serves a request.
+// awaitServing waits until an instance has discovered the server and serves a request.
 func (c *testCluster) awaitServing(id uint64) {
 	c.t.Helper()
 	c.await("a request is served", func() bool { return c.get(id, "/slots").status == http.StatusOK })
 }
 
-// awaitAllStatuses waits until all members of the cluster answer, and the condition holds for each.
+// awaitAllStatuses waits until memberCount members respond, and the condition holds for each.
 func (c *testCluster) awaitAllStatuses(what string, memberCount int, condition func(Status) bool) {
 	c.t.Helper()
 	c.await(what, func() bool {
@@ -424,13 +425,13 @@
 	return change
 }
 
-// putDescription puts a description whose operation costs so many units.
+// putDescription returns a change that puts a description whose operation costs the given units.
 func putDescription(units int) clusterconfig.Change {
 	text := strconv.Quote(fmt.Sprintf(testDescription, units))
 	return newChange("put", "description", "d", fmt.Sprintf(`{"file":"d.yaml","text":%s}`, text))
 }
 
-// initialProposal is a whole first configuration.
+// initialProposal returns a proposal with a complete first configuration.
 func (c *testCluster) initialProposal() *clusterconfig.Proposal {
 	return &clusterconfig.Proposal{ID: "first", Changes: []clusterconfig.Change{
 		newChange("put", "class", "check", `{"worth":1,"aim_ms":5000,"deadline_ms":10000}`),
@@ -441,7 +442,7 @@
 	}}
 }
 
-// hasStatus tells whether an error is an answer with a status, and some text in it.
+// hasStatus reports whether an error is a response with a status whose message contains a text.
 func hasStatus(err error, status int, text string) bool {
 	e, ok := errors.AsType[*ResponseError](err)
 	return ok && e.Status == status && strings.Contains(e.Message, text)
--- a/internal/cluster/testfollower_test.go
+++ b/internal/cluster/testfollower_test.go
@@ -19,7 +19,8 @@
 	logs     *testserver.Log
 }
 
-// newFollower describes a follower that does not run yet. Its ID, above those of members, is for get and stop.
+// newFollower adds a follower to the test cluster without starting it. Its ID, which no member has, is for get and
+// stop.
 func (c *testCluster) newFollower(id uint64, name string) *testFollower {
 	c.t.Helper()
 	if err := c.authority.WriteFollower(c.dir, name); err != nil {
@@ -44,7 +45,7 @@
 	return c.addFollower(id, cfg)
 }
 
-// addFollower describes a follower with a configuration.
+// addFollower adds a follower with the given configuration to the test cluster without starting it.
 func (c *testCluster) addFollower(id uint64, cfg *FollowerConfig) *testFollower {
 	c.t.Helper()
 	f := &testFollower{testInstance: &testInstance{listenAddr: freeAddr(c.t)}, cfg: cfg}
@@ -52,7 +53,8 @@
 	return f
 }
 
-// startFollower starts a follower and waits until its instance has started. It returns why it does not.
+// startFollower starts a follower and waits until its instance has started. It returns the error if it
+// does not start.
 func (c *testCluster) startFollower(f *testFollower) error {
 	c.t.Helper()
 	instanceConfig := testInstanceConfig(f.cfg.Name, 9)
@@ -75,7 +77,7 @@
 		f.cancel = nil
 		return err
 	case <-time.After(testTimeout):
-		return errors.New("a follower does not start")
+		return errors.New("timeout waiting for the follower to start")
 	}
 }
 
@@ -98,5 +100,5 @@
 			}
 		}
 	}
-	c.t.Fatalf("follower %s %q, want %q", name, last, want)
+	c.t.Fatalf("summary of follower %s: got %q, want one that contains %q", name, last, want)
 }
--- a/internal/cluster/verdict_test.go
+++ b/internal/cluster/verdict_test.go
@@ -10,29 +10,29 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// addrsOfNewMember are those of a new member, in the cases of TestMembershipChangeCheck.
-var addrsOfNewMember = &clusterconfig.Member{RaftAddress: "127.0.0.1:1", AdminAddress: "127.0.0.1:2"}
+// newMemberAddrs are the addresses of a new member in the cases of TestMembershipChangeCheck.
+var newMemberAddrs = &clusterconfig.Member{RaftAddress: "127.0.0.1:1", AdminAddress: "127.0.0.1:2"}
 
 var membershipChangeCases = []struct {
 	name     string
 	change   MembershipChange
 	voters   []uint64
 	learners []uint64
-	want     string // a part of the rejection; empty: none
+	want     string // part of the error; empty if the change is valid
 }{
-	{"add", MembershipChange{Op: "add", MemberID: 4, Addrs: addrsOfNewMember}, []uint64{1, 2, 3}, nil, ""},
-	{"add without a number", MembershipChange{Op: "add", Addrs: addrsOfNewMember}, []uint64{1}, nil, "member and at"},
+	{"add", MembershipChange{Op: "add", MemberID: 4, Addrs: newMemberAddrs}, []uint64{1, 2, 3}, nil, ""},
+	{"add without a number", MembershipChange{Op: "add", Addrs: newMemberAddrs}, []uint64{1}, nil, "member and at"},
 	{"add without addresses", MembershipChange{Op: "add", MemberID: 4}, []uint64{1}, nil, "member and at"},
 	{"remove a voter", MembershipChange{Op: "remove", MemberID: 1}, []uint64{1, 2}, nil, ""},
 	{"remove a learner", MembershipChange{Op: "remove", MemberID: 2}, []uint64{1}, []uint64{2}, ""},
 	{"remove the only voter", MembershipChange{Op: "remove", MemberID: 1}, []uint64{1}, []uint64{2}, "only voter"},
 	{"remove a stranger", MembershipChange{Op: "remove", MemberID: 9}, []uint64{1}, nil, "is none of voters [1]"},
 	{
-		"replace", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 4, Addrs: addrsOfNewMember},
+		"replace", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 4, Addrs: newMemberAddrs},
 		[]uint64{1, 2, 3}, nil, "",
 	},
 	{
-		"replace by itself", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 1, Addrs: addrsOfNewMember},
+		"replace by itself", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 1, Addrs: newMemberAddrs},
 		[]uint64{1, 2, 3}, nil, "a new number is wanted",
 	},
 	{
@@ -47,26 +47,26 @@
 	{"unknown operation", MembershipChange{Op: "move", MemberID: 1}, []uint64{1}, nil, "op: add, remove"},
 }
 
-// Which changes of the members are rejected, whoever asks, and why.
+// Invalid membership changes are rejected with the reason.
 func TestMembershipChangeCheck(t *testing.T) {
 	t.Parallel()
 	for _, test := range membershipChangeCases {
 		t.Run(test.name, func(t *testing.T) {
 			err := test.change.check(test.voters, test.learners)
 			if (err == nil) != (test.want == "") || !strings.Contains(fmt.Sprint(err), test.want) {
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("check: got error %v, want %q", err, test.want)
 			}
 		})
 	}
 }
 
-// Who may call the admin API of cluster c.
+// Only operators and members of cluster c may call its admin API.
 func TestAuthorizeOperator(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		name   string
 		holder raftnode.Identity
-		want   string // a part of the rejection; empty: none
+		want   string // part of the error; empty if the holder is authorized
 	}{
 		{"operator", raftnode.Identity{Cluster: "c", Operator: "amina"}, ""},
 		{"member", raftnode.Identity{Cluster: "c", Member: 1}, ""},
@@ -76,13 +76,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			err := authorizeOperator(test.holder, "c")
 			if (err == nil) != (test.want == "") || !strings.Contains(fmt.Sprint(err), test.want) {
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("authorizeOperator: got error %v, want %q", err, test.want)
 			}
 		})
 	}
 }
 
-// When an unconfirmed version is logged.
+// An unconfirmed version is logged only if its confirmation is old, and at most once per interval.
 func TestStaleLog(t *testing.T) {
 	t.Parallel()
 	start := time.Unix(1000, 0)
@@ -99,10 +99,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			log := staleLog{loggedAt: start}
 			if got := log.isDue(test.age, start.Add(test.sinceStart)); got != test.want {
-				t.Errorf("due %v, want %v", got, test.want)
+				t.Errorf("isDue: got %v, want %v", got, test.want)
 			}
 			if again := log.isDue(test.age, start.Add(test.sinceStart)); again {
-				t.Error("due twice at a time")
+				t.Error("isDue: got true twice at the same time, want false")
 			}
 		})
 	}
@@ -126,12 +126,12 @@
 	} {
 		log := newStaleLog(start)
 		if got := log.unconfirmedFor(test.age, test.isServing, now); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// Which version has to be put in force.
+// A version has to be put in force if it is newer than the one in force, or the first since the start.
 func TestNeedsInstall(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
@@ -149,13 +149,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			installer := &versionInstaller{hasInstalled: test.hasInstalled}
 			if got := installer.needsInstall(test.version, test.inForce); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("needsInstall: got %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Which sites own keys.
+// A site owns keys if it is open, and not lost or partly recovered.
 func TestOwnsKeys(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
@@ -172,13 +172,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := ownsKeys(test.isClosed, test.isLost, test.recoveredEighths); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("ownsKeys: got %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// A follower leaves a silent member after five heartbeats, and not later than a member would leave it.
+// A follower closes the stream to a silent member after five heartbeat intervals, but no later than a member would
+// close the stream to a silent follower.
 func TestSilenceTimeout(t *testing.T) {
 	t.Parallel()
 	for heartbeat, want := range map[time.Duration]time.Duration{
@@ -187,7 +188,7 @@
 	} {
 		t.Run(heartbeat.String(), func(t *testing.T) {
 			if got := silenceTimeout(heartbeat); got != want {
-				t.Errorf("%v, want %v", got, want)
+				t.Errorf("silenceTimeout: got %v, want %v", got, want)
 			}
 		})
 	}
--- a/internal/cluster/versions.go
+++ b/internal/cluster/versions.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	ticksPerConfirmation = 4               // ticks between two reads that have a quorum confirm the version
-	confirmationTimeout  = 2 * time.Second // of such a read
+	ticksPerConfirmation = 4               // Raft ticks between two reads by which a quorum confirms the version
+	confirmationTimeout  = 2 * time.Second // timeout of each of these reads
 	staleCheckInterval   = time.Second
-	staleAge             = 2 * time.Second // of a confirmation, from which on it is logged
+	staleAge             = 2 * time.Second // age of a confirmation beyond which it is logged
 	staleLogInterval     = 5 * time.Second
-	staleAgePrecision    = 100 * time.Millisecond // of the age in the log
+	staleAgePrecision    = 100 * time.Millisecond // to which logged ages are rounded
 )
 
-// confirmation is a state that a quorum has confirmed to be the newest as of a time.
+// confirmation is a state that a quorum has confirmed to be the newest as of requestedAt.
 type confirmation struct {
-	askedAt   time.Time
-	siteEpoch uint64 // of key ownership
-	state     *clusterconfig.State
+	requestedAt    time.Time
+	ownershipEpoch uint64
+	state          *clusterconfig.State
 }
 
-// versionInstaller puts the agreed versions in force at a member's instance and passes on which of them a quorum has
-// confirmed. One goroutine, run, owns it.
+// versionInstaller puts the agreed versions in force at a member's instance and passes the confirmations of a quorum to
+// it. Only the goroutine of run uses it.
 type versionInstaller struct {
 	member       *Member
 	setups       setupBuilder
-	hasInstalled bool     // a version, since the start
-	staleLog     staleLog // of unconfirmed versions
+	hasInstalled bool     // whether a version was put in force since the start
+	staleLog     staleLog // limits the log messages about unconfirmed versions
 }
 
 func newVersionInstaller(m *Member) *versionInstaller {
 	return &versionInstaller{member: m, staleLog: newStaleLog(time.Now())}
 }
 
-// run puts each agreed version in force at the instance and passes confirmations on, until ctx ends.
+// run puts each agreed version in force at the instance and passes the confirmations to it, until ctx ends.
 func (v *versionInstaller) run(ctx context.Context) {
 	m := v.member
 	confirmations := make(chan confirmation)
@@ -74,13 +74,13 @@
 // staleLog decides when a member logs that its version is not confirmed.
 type staleLog struct {
 	startedAt time.Time
-	loggedAt  time.Time // last; the start at first
+	loggedAt  time.Time // time of the last log message; initially the start
 }
 
 func newStaleLog(start time.Time) staleLog { return staleLog{startedAt: start, loggedAt: start} }
 
-// unconfirmedFor returns for how long the version has not been confirmed: the age of its confirmation, or the time since
-// the start if it has none, which the instance tells as an age of 0 at which it does not serve.
+// unconfirmedFor returns how long the version has not been confirmed: the age of its confirmation, or the time since
+// the start if it has none. An instance without a confirmation reports an age of 0 and does not serve.
 func (l *staleLog) unconfirmedFor(age time.Duration, isServing bool, now time.Time) time.Duration {
 	if age == 0 && !isServing {
 		return now.Sub(l.startedAt)
@@ -88,8 +88,8 @@
 	return age
 }
 
-// isDue reports whether a confirmation of an age is logged now, and records it: from staleAge on, every
-// staleLogInterval.
+// isDue reports whether a confirmation of this age is to be logged now, and if so records the time. Ages above staleAge
+// are logged once per staleLogInterval.
 func (l *staleLog) isDue(age time.Duration, now time.Time) bool {
 	if age <= staleAge || now.Sub(l.loggedAt) <= staleLogInterval {
 		return false
@@ -98,28 +98,29 @@
 	return true
 }
 
-// confirm passes the confirmation of a quorum to the followers and the instance. The version is confirmed only if it is
-// in force, and the key owners only if those of the confirmed state or later ones are.
+// confirm passes the confirmation of a quorum to the followers and the instance. The version is confirmed only if it
+// or a newer one is in force, and the key owners only if their epoch is that of the confirmed state or a later one.
 func (v *versionInstaller) confirm(ctx context.Context, c confirmation) {
 	m := v.member
 	m.followers.confirm(c)
 	if !v.install(c.state) {
 		return
 	}
-	m.instance.ConfirmVersion(c.askedAt)
-	if m.instanceConfig.Keys != nil && m.applyKeyOwnership(ctx) >= c.siteEpoch {
-		m.instance.ConfirmKeyOwners(c.askedAt)
+	m.instance.ConfirmVersion(c.requestedAt)
+	if m.instanceConfig.Keys != nil && m.applyKeyOwnership(ctx) >= c.ownershipEpoch {
+		m.instance.ConfirmKeyOwners(c.requestedAt)
 	}
 }
 
-// needsInstall reports whether a version has to be put in force: not if it, or a newer one, is. The first one is put in
-// force even if it is empty, so that the instance answers why it does not serve.
+// needsInstall reports whether a version has to be put in force, which is the case unless it or a newer one is in
+// force. The first version is put in force even if it is empty, so that the instance's responses say why it does not
+// serve.
 func (v *versionInstaller) needsInstall(version, inForce uint64) bool {
 	return version > inForce || version == inForce && !v.hasInstalled
 }
 
-// install puts a version in force at the instance if that is needed. It returns false if the instance cannot serve with
-// it: the one before stays in force, and the reason is logged when it changes.
+// install puts a version in force at the instance if that is necessary. It returns false if the instance cannot serve
+// with it. The previous version then stays in force, and the reason is logged if it has changed.
 func (v *versionInstaller) install(state *clusterconfig.State) bool {
 	m := v.member
 	if !v.needsInstall(state.Version(), m.instance.Version()) {
@@ -140,14 +141,14 @@
 	return true
 }
 
-// confirmVersions regularly has a quorum confirm the newest state, until ctx or the Raft node ends.
+// confirmVersions regularly reads the newest state, as confirmed by a quorum, until ctx or the Raft node ends.
 func (m *Member) confirmVersions(ctx context.Context, confirmations chan<- confirmation) {
 	for ctx.Err() == nil {
-		c := confirmation{askedAt: time.Now()}
+		c := confirmation{requestedAt: time.Now()}
 		readCtx, cancel := context.WithTimeout(ctx, confirmationTimeout)
 		err := m.node.LinearizableRead(readCtx, func(s *clusterconfig.State) {
 			c.state = s.Freeze()
-			c.siteEpoch = s.PlacementVersion()
+			c.ownershipEpoch = s.PlacementVersion()
 		})
 		cancel()
 		if err == nil {
