--- a/internal/raftnode/authority.go
+++ b/internal/raftnode/authority.go
@@ -56,7 +56,7 @@
 	return &Authority{Cluster: cluster, certificate: certificate, key: key}, nil
 }
 
-// newTemplate returns a certificate with the fields that all certificates share.
+// newTemplate returns a certificate template with the fields that all certificates share.
 func newTemplate(commonName string) (*x509.Certificate, error) {
 	serialNumber, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialNumberBits))
 	if err != nil {
@@ -70,12 +70,12 @@
 	}, nil
 }
 
-// IssueMember creates a member's certificate and key, in PEM.
+// IssueMember creates a member's certificate and private key, both in PEM.
 func (a *Authority) IssueMember(member uint64) (certificate, key []byte, err error) {
 	return a.issueCertificate(memberCommonName(a.Cluster, member))
 }
 
-// issueCertificate creates a certificate and its key, in PEM.
+// issueCertificate creates a certificate with the given common name and its private key, both in PEM.
 func (a *Authority) issueCertificate(commonName string) (certificate, key []byte, err error) {
 	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: der})
 }
 
-// encodePrivateKey returns a key in PEM.
+// encodePrivateKey returns a private key in PKCS #8 and PEM.
 func encodePrivateKey(key *ecdsa.PrivateKey) ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
--- a/internal/raftnode/benchmark_test.go
+++ b/internal/raftnode/benchmark_test.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// BenchmarkCommit is a change over three members on loopback beside one synced commit of
-// the same file system, with one operator and with 64.
+// BenchmarkCommit measures the latency of a change in a cluster of three members on loopback, proposed by one operator
+// and by 64, and, for comparison, the latency of one synced bbolt commit on the same file system.
 func BenchmarkCommit(b *testing.B) {
 	b.Run("bbolt", benchmarkBoltCommit)
 	for _, operatorCount := range []int{1, 64} {
@@ -23,7 +23,7 @@
 	}
 }
 
-// benchmarkBoltCommit commits a value of the size of a change.
+// benchmarkBoltCommit measures commits of one value of the size of a change.
 func benchmarkBoltCommit(b *testing.B) {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "x.db"), 0o600, nil)
 	if err != nil {
@@ -48,7 +48,7 @@
 	reportLatencies(b, latencies)
 }
 
-// benchmarkClusterCommit has operators propose changes at the leader, b.N in all.
+// benchmarkClusterCommit measures b.N changes that the operators together propose to the leader.
 func benchmarkClusterCommit(b *testing.B, operatorCount int) {
 	c := newLiveClusterWith(b, 3, 10*time.Millisecond, 2000)
 	c.await("ready", isLed)
@@ -86,8 +86,8 @@
 	b.ReportMetric(float64(len(latencies))/b.Elapsed().Seconds(), "changes/s")
 }
 
-// BenchmarkCatchUp is the time in which a member with an empty log catches up with 50,000
-// versions of the two others.
+// BenchmarkCatchUp measures the time until a restarted member, whose log lacks 50,000 versions that the other two have
+// committed meanwhile, has caught up.
 func BenchmarkCatchUp(b *testing.B) {
 	const (
 		versions      = 50_000
@@ -97,13 +97,13 @@
 		b.StopTimer()
 		c := newLiveClusterWith(b, 3, 20*time.Millisecond, 2000)
 		c.await("ready", isLed)
-		late, other := c.followers()
-		c.stop(late)
+		lagging, other := c.followers()
+		c.stop(lagging)
 		c.proposeConcurrently(other, operatorCount, versions/operatorCount)
 		want := c.status(other).Version
-		c.start(late) // its file holds what it had before the changes: nothing but its vote
+		c.start(lagging) // its file holds its vote, and none of the changes
 		b.StartTimer()
-		for c.status(late).Version < want || !c.status(late).Ready {
+		for c.status(lagging).Version < want || !c.status(lagging).Ready {
 			time.Sleep(time.Millisecond)
 		}
 		b.StopTimer()
--- a/internal/raftnode/bolt_format.go
+++ b/internal/raftnode/bolt_format.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Buckets and keys of the file: see the package comment.
+// Buckets and keys of the file. The package comment describes the file format.
 var (
 	bucketMeta  = []byte("meta")
 	bucketState = []byte("state")
@@ -38,10 +38,11 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeUint64 encodes an index or another number of meta, so that indexes sort as numbers.
+// encodeUint64 encodes an index, or a number in the meta bucket. The encoding is big-endian, so that the byte order of
+// the keys is the order of the indexes.
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// putChecksummed stores a message, preceded by its checksum.
+// putChecksummed stores an encoded message, preceded by its checksum.
 func putChecksummed(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
 	value, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, checksumBytes), m)
 	if err != nil {
@@ -51,8 +52,8 @@
 	return bucket.Put(key, value)
 }
 
-// decodeChecksummed verifies a value of putChecksummed and decodes it. Its errors wrap
-// [ErrCorruptFile].
+// decodeChecksummed verifies the checksum of a value that putChecksummed has stored, and decodes the value. Its errors
+// wrap [ErrCorruptFile].
 func decodeChecksummed(value []byte, m proto.Message) error {
 	if len(value) < checksumBytes {
 		return ErrCorruptFile
--- a/internal/raftnode/bolt_load.go
+++ b/internal/raftnode/bolt_load.go
@@ -9,8 +9,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Load returns all that is stored. It verifies every checksum, and that no entry is missing:
-// its errors wrap [ErrCorruptFile].
+// Load returns the stored state. It verifies every checksum, and that no entry is missing. The error of a failed
+// verification wraps [ErrCorruptFile].
 func (s *BoltStorage) Load() (persisted PersistedState, err error) {
 	defer recoverCorruption(&err, s.db.Path())()
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -27,13 +27,13 @@
 		if err != nil {
 			return err
 		}
-		return verifyComplete(&persisted, lastIndex)
+		return verifyNothingMissing(&persisted, lastIndex)
 	})
 	return persisted, err
 }
 
-// loadLastIndex returns the index of the log's last entry, or 0. A key of the state bucket
-// that is not known is an error.
+// loadLastIndex returns the recorded index of the log's last entry, or 0 if none is recorded. An unknown key in the
+// state bucket is an error.
 func loadLastIndex(state *bbolt.Bucket) (uint64, error) {
 	last := &pb.Entry{}
 	err := state.ForEach(func(key, value []byte) error {
@@ -43,13 +43,13 @@
 		case bytes.Equal(key, keyHardState), bytes.Equal(key, keySnapshot):
 			return nil
 		default:
-			return fmt.Errorf("state %q: %w", key, ErrCorruptFile)
+			return fmt.Errorf("state bucket: unknown key %q: %w", key, ErrCorruptFile)
 		}
 	})
 	return last.GetIndex(), err
 }
 
-// loadState reads the hard state and the snapshot, where they are stored.
+// loadState reads the hard state and the snapshot, if they are stored.
 func loadState(state *bbolt.Bucket, persisted *PersistedState) error {
 	if value := state.Get(keyHardState); value != nil {
 		persisted.HardState = &pb.HardState{}
@@ -66,17 +66,17 @@
 	return nil
 }
 
-// loadEntries reads the log from an index on.
+// loadEntries reads the log's entries from index next to the end.
 func loadEntries(log *bbolt.Bucket, next uint64) ([]*pb.Entry, error) {
 	var entries []*pb.Entry
 	cursor := log.Cursor()
 	for key, value := cursor.Seek(encodeUint64(next)); key != nil; key, value = cursor.Next() {
 		entry := &pb.Entry{}
 		if err := decodeChecksummed(value, entry); err != nil {
-			return nil, fmt.Errorf("entry %x: %w", key, err)
+			return nil, fmt.Errorf("log entry with key %x: %w", key, err)
 		}
 		if entry.GetIndex() != next || binary.BigEndian.Uint64(key) != next {
-			return nil, fmt.Errorf("entry %d is missing: %w", next, ErrCorruptFile)
+			return nil, fmt.Errorf("log entry %d is missing: %w", next, ErrCorruptFile)
 		}
 		entries = append(entries, entry)
 		next++
@@ -84,19 +84,19 @@
 	return entries, nil
 }
 
-// verifyComplete verifies that no part of the stored state is missing. lastIndex is the index
+// verifyNothingMissing verifies that no part of the stored state is missing. lastIndex is the index
 // of the log's last entry as recorded in the state bucket.
-func verifyComplete(persisted *PersistedState, lastIndex uint64) error {
+func verifyNothingMissing(persisted *PersistedState, lastIndex uint64) error {
 	hasOtherState := persisted.Snapshot != nil || len(persisted.Entries) > 0 || lastIndex > 0
 	if persisted.HardState == nil && hasOtherState {
 		return fmt.Errorf("the hard state is missing: %w", ErrCorruptFile)
 	}
 	end := persisted.Snapshot.GetMetadata().GetIndex() + uint64(len(persisted.Entries))
 	if end < lastIndex {
-		return fmt.Errorf("the log ends at %d, not at %d: %w", end, lastIndex, ErrCorruptFile)
+		return fmt.Errorf("the log ends at entry %d, but entry %d was written: %w", end, lastIndex, ErrCorruptFile)
 	}
 	if commit := persisted.HardState.GetCommit(); commit > end {
-		return fmt.Errorf("entries up to %d were committed, and %d is missing: %w", commit, end+1, ErrCorruptFile)
+		return fmt.Errorf("entries up to %d were committed, but entry %d is missing: %w", commit, end+1, ErrCorruptFile)
 	}
 	return nil
 }
--- a/internal/raftnode/bolt_meta.go
+++ b/internal/raftnode/bolt_meta.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// maxStatusChangeDelay is how much later than its last write a file's status may have changed
-// (its ctime, which nobody can set).
+// maxStatusChangeDelay is the longest time between the last write recorded in a file and the file's status change time
+// (ctime, which cannot be set by a program). A longer time means that the file was copied or restored.
 const maxStatusChangeDelay = 30 * time.Second
 
 // initialize creates the buckets of a new file and records its cluster and member.
@@ -33,10 +33,9 @@
 	})
 }
 
-// verifyIdentity verifies the file's format, member and cluster. It does not use bbolt's own
-// check, which runs in a goroutine whose faults would end the process; Load verifies the
-// checksums instead. Its errors wrap [ErrCorruptFile] or [ErrForeignFile], except for that of
-// a newer format.
+// verifyIdentity verifies the file's format, member and cluster. It does not use bbolt's own check, which runs in a
+// goroutine of its own: a fault there would end the process. [BoltStorage.Load] verifies the checksums instead. Its
+// errors wrap [ErrCorruptFile] or [ErrForeignFile], except for the error of a newer format.
 func (s *BoltStorage) verifyIdentity(cluster string, member uint64) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -49,25 +48,25 @@
 			return ErrCorruptFile
 		}
 		if version := binary.BigEndian.Uint32(format); version > formatVersion {
-			return fmt.Errorf("format %d is newer than this program knows: update it", version)
+			return fmt.Errorf("file format %d is newer than this program supports: update the program", version)
 		}
 		fileCluster := string(meta.Get(keyCluster))
 		fileMember := binary.BigEndian.Uint64(storedMember)
 		if fileCluster != cluster || fileMember != member {
-			return fmt.Errorf("%w: member %d of %q, not %d of %q",
+			return fmt.Errorf("%w: it is of member %d of cluster %q, want member %d of cluster %q",
 				ErrForeignFile, fileMember, fileCluster, member, cluster)
 		}
 		return nil
 	})
 }
 
-// verifyNotRestored verifies that a file was not copied or restored since its member last
-// wrote it, which would have changed its status later. If it was, the error
-// wraps [ErrRestoredFile].
+// verifyNotRestored verifies that a file was not copied or restored after its member last wrote it. Copying or
+// restoring sets the file's status change time to a time after the last recorded write. The error then wraps
+// [ErrRestoredFile].
 func (s *BoltStorage) verifyNotRestored(info os.FileInfo) error {
 	stat, ok := info.Sys().(*syscall.Stat_t)
 	if !ok {
-		return nil // unknown on this system: only the peers' records of the incarnation protect
+		return nil // no ctime on this system: an old copy is detected only by the peers' records of the incarnation
 	}
 	writtenAt, err := s.writtenAt()
 	if err != nil {
@@ -75,13 +74,13 @@
 	}
 	changedAt := time.Unix(stat.Ctim.Unix())
 	if changedAt.Sub(writtenAt) > maxStatusChangeDelay {
-		return fmt.Errorf("written %s, changed %s: %w",
+		return fmt.Errorf("last written at %s, status changed at %s: %w",
 			writtenAt.UTC().Format(time.RFC3339), changedAt.UTC().Format(time.RFC3339), ErrRestoredFile)
 	}
 	return nil
 }
 
-// writtenAt returns the time of the file's last transaction.
+// writtenAt returns the recorded time of the file's last transaction.
 func (s *BoltStorage) writtenAt() (time.Time, error) {
 	var encoded []byte
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -97,7 +96,7 @@
 	return time.Unix(0, int64(binary.BigEndian.Uint64(encoded))), nil
 }
 
-// beginIncarnation increments the incarnation, which counts how often the file was opened.
+// beginIncarnation increments the stored incarnation, the number of times that the file was opened.
 func (s *BoltStorage) beginIncarnation() error {
 	return s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -109,7 +108,7 @@
 	})
 }
 
-// update runs a read-write transaction, which also records its time.
+// update runs a read-write transaction and records its time in the file.
 func (s *BoltStorage) update(change func(tx *bbolt.Tx) error) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := change(tx); err != nil {
--- a/internal/raftnode/bolt_save.go
+++ b/internal/raftnode/bolt_save.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Save writes one transaction, which bbolt syncs before it returns. A state that needs no sync
-// (a commit index alone) is not written: after a restart the leader sends it again.
+// Save writes its arguments in one transaction, which bbolt syncs before Save returns. A hard state that needs no sync
+// (only its commit index has changed) is not written: after a restart the leader sends the commit index again.
 func (s *BoltStorage) Save(hardState *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot, sync bool) error {
 	if !sync {
 		return nil
@@ -58,7 +58,7 @@
 	return putLastIndex(tx, snapshot.GetMetadata().GetIndex())
 }
 
-// replaceLogTail stores entries, which replace all from the first one's index on.
+// replaceLogTail stores entries. They replace all stored entries from the first one's index on.
 func replaceLogTail(tx *bbolt.Tx, entries []*pb.Entry) error {
 	log := tx.Bucket(bucketLog)
 	if err := deleteFrom(log, entries[0].GetIndex()); err != nil {
@@ -77,7 +77,7 @@
 	return putChecksummed(tx.Bucket(bucketState), keyLastEntry, &pb.Entry{Index: proto.Uint64(index)})
 }
 
-// deletePrefix removes the entries at the log's beginning as long as shouldDelete holds.
+// deletePrefix removes entries from the beginning of the log, up to the first one for which shouldDelete returns false.
 func deletePrefix(log *bbolt.Bucket, shouldDelete func(index uint64) bool) error {
 	cursor := log.Cursor()
 	for key, _ := cursor.First(); key != nil && shouldDelete(binary.BigEndian.Uint64(key)); key, _ = cursor.First() {
--- a/internal/raftnode/bolt_storage.go
+++ b/internal/raftnode/bolt_storage.go
@@ -11,11 +11,11 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// lockTimeout is how long to wait for a file that another process has open.
+// lockTimeout is the longest wait for a file that another process has open.
 const lockTimeout = time.Second
 
-// BoltStorage is a [Storage] in one bbolt file, whose format is in the package comment. It is
-// safe for concurrent use.
+// BoltStorage is a [Storage] in one bbolt file. The package comment describes the file format. It is safe for
+// concurrent use.
 type BoltStorage struct {
 	db          *bbolt.DB
 	incarnation uint64
@@ -27,8 +27,8 @@
 	return openBoltStorage(path, cluster, member, rejectRestored)
 }
 
-// AdoptFile accepts a file that was moved to path as the newest of its member, so that
-// [OpenBoltStorage] opens it. It is for an operator who knows that it is no old copy.
+// AdoptFile accepts a file that was moved to path as the newest file of its member, so that [OpenBoltStorage] opens it.
+// Only an operator can know that the file is not an old copy.
 func AdoptFile(path, cluster string, member uint64) error {
 	storage, err := openBoltStorage(path, cluster, member, acceptRestored)
 	if err != nil {
@@ -37,8 +37,7 @@
 	return storage.Close()
 }
 
-// restoredFilePolicy is how to treat a file that was copied or restored since its member last
-// wrote it.
+// restoredFilePolicy selects how a file is treated that was copied or restored after its member last wrote it.
 type restoredFilePolicy int
 
 const (
@@ -72,8 +71,8 @@
 	return storage, nil
 }
 
-// openDatabase opens or creates a bbolt file. An existing file that cannot be opened is
-// corrupt.
+// openDatabase opens or creates a bbolt file. The error of an existing file that bbolt cannot open wraps
+// [ErrCorruptFile], unless another process has the file open.
 func openDatabase(path string, isNew bool) (*bbolt.DB, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	switch {
@@ -88,9 +87,10 @@
 	}
 }
 
-// recoverCorruption turns the panics that a corrupt file causes into errors: bbolt panics on
-// invalid pages, and the memory map of a truncated file faults. Use:
-// defer recoverCorruption(&err, path)().
+// recoverCorruption converts the panics that a corrupt file causes into errors that wrap [ErrCorruptFile]: bbolt panics
+// on invalid pages, and an access to the memory map of a truncated file faults. Usage:
+//
+//	defer recoverCorruption(&err, path)()
 func recoverCorruption(err *error, path string) func() {
 	before := debug.SetPanicOnFault(true)
 	return func() {
@@ -101,8 +101,7 @@
 	}
 }
 
-// Incarnation returns how often the file was opened, including this time.
+// Incarnation returns the number of times that the file was opened, including this time.
 func (s *BoltStorage) Incarnation() uint64 { return s.incarnation }
 
-// Close closes the file.
 func (s *BoltStorage) Close() error { return s.db.Close() }
--- a/internal/raftnode/bolt_storage_test.go
+++ b/internal/raftnode/bolt_storage_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// What was saved is there after a restart: the newest hard state, a log whose tail was
-// replaced, and of a leader's snapshot nothing that it has replaced.
+// Tests that saved state survives a restart: the newest hard state, a log whose tail was replaced, and a snapshot of
+// the leader, which removes the entries of the earlier log.
 func TestBoltStoragePersists(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "raft.db")
@@ -66,7 +66,7 @@
 		return persisted
 	}
 	if p := reopen(); p.HardState != nil || p.Snapshot != nil || p.Entries != nil {
-		t.Errorf("a new file holds %+v", p)
+		t.Errorf("state in a new file: got %+v, want none", p)
 	}
 	must(t,
 		storage.Save(hardState(1, 2, 0), []*pb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}, nil, true),
@@ -74,22 +74,22 @@
 	)
 	p := reopen()
 	if len(p.Entries) != 2 || string(p.Entries[1].GetData()) != "B" || p.HardState.GetVote() != 3 {
-		t.Errorf("%+v", p)
+		t.Errorf("state after replacing entry 2: got %+v, want 2 entries, the last \"B\", and a vote for 3", p)
 	}
 	must(t, storage.SaveSnapshot(snapshotOf(1, 1, "own")), storage.Compact(1))
 	if p = reopen(); len(p.Entries) != 1 || string(p.Snapshot.GetData()) != "own" {
-		t.Errorf("%+v", p)
+		t.Errorf("state after compaction: got %+v, want 1 entry and snapshot \"own\"", p)
 	}
 	must(t, storage.Save(hardState(3, 0, 9), nil, snapshotOf(1, 3, "leader's"), true))
-	// The old entry 2 must not stand behind the snapshot, though its index would fit.
+	// The old entry 2 must not follow the snapshot in the log, although its index is the next one.
 	must(t, storage.Save(hardState(3, 0, 1), nil, nil, true))
 	if p = reopen(); len(p.Entries) != 0 || string(p.Snapshot.GetData()) != "leader's" {
-		t.Errorf("%+v", p)
+		t.Errorf("state after the leader's snapshot: got %+v, want no entry and snapshot \"leader's\"", p)
 	}
 	must(t, storage.Close())
 }
 
-// writeSample writes a file of member 1 of cluster "c" with two entries, and returns its content.
+// writeSample writes a file of member 1 of cluster "c" with two entries and returns the file's content.
 func writeSample(t *testing.T, path string) []byte {
 	t.Helper()
 	storage := openStorage(t, path)
@@ -103,14 +103,14 @@
 	return readFile(t, path)
 }
 
-// A file that is open, or that belongs to another member or cluster, does not open.
+// Tests that a file that is already open, or that belongs to another member or cluster, is not opened.
 func TestBoltStorageRejectsForeignFile(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "raft.db")
 	writeSample(t, path)
 	storage := openStorage(t, path)
 	if _, err := OpenBoltStorage(path, "c", 1); err == nil {
-		t.Error("two have it open")
+		t.Error("second OpenBoltStorage of an open file: got no error")
 	}
 	must(t, storage.Close())
 	for _, test := range []struct {
@@ -129,8 +129,8 @@
 	}
 }
 
-// loadCopy loads a file's content from a file of its own: one that made bbolt panic stays
-// locked in this process.
+// loadCopy writes content to a new file and loads it. Each call uses a new file, since a file that has made bbolt panic
+// stays locked in this process.
 func loadCopy(t *testing.T, content []byte) (PersistedState, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "copy.db")
@@ -143,21 +143,21 @@
 	return persisted, errors.Join(err, storage.Close())
 }
 
-// A file that is cut short is rejected or complete all the same, and never taken for empty.
+// Tests that a truncated file is rejected, or is loaded completely if the missing bytes were not in use. It must never
+// be loaded as an empty one.
 func TestBoltStorageDetectsTruncation(t *testing.T) {
 	t.Parallel()
 	content := writeSample(t, filepath.Join(t.TempDir(), "raft.db"))
 	for _, length := range []int{0, 1, 100, 4096, 4097, len(content) / 2, len(content) - 1} {
 		t.Run(fmt.Sprint(length), func(t *testing.T) {
 			if p, err := loadCopy(t, content[:length]); err == nil && (len(p.Entries) != 2 || length == 0) {
-				t.Errorf("cut to %d of %d bytes: taken as %+v", length, len(content), p)
+				t.Errorf("file truncated to %d of %d bytes: got %+v, want an error or both entries", length, len(content), p)
 			}
 		})
 	}
 }
 
-// A file in which a bit has flipped is rejected, or the flip is in a page that is not in use
-// and changes nothing.
+// Tests that a file with a flipped bit is rejected, or is loaded unchanged if the bit is in a page that is not in use.
 func TestBoltStorageDetectsBitFlips(t *testing.T) {
 	t.Parallel()
 	const stride = 67 // bytes between two flips
@@ -177,17 +177,17 @@
 		}
 		if !proto.Equal(p.HardState, intact.HardState) || len(p.Entries) != 2 ||
 			!proto.Equal(p.Entries[0], intact.Entries[0]) || !proto.Equal(p.Entries[1], intact.Entries[1]) {
-			t.Fatalf("a bit of byte %d flipped: taken as %+v", i, p)
+			t.Fatalf("bit flipped in byte %d: got %+v, want an error or the original state", i, p)
 		}
 	}
 	if detected == 0 {
-		t.Error("no flip was found")
+		t.Error("bit flips: none was detected")
 	}
 	t.Logf("%d flips found of %d", detected, len(content)/stride)
 }
 
-// A file whose status changed long after its member last wrote it was put there: it is an old
-// copy, as far as can be known, until an operator says that it was only moved.
+// Tests that a file whose status changed long after its member last wrote it is rejected, since it may be an old copy,
+// until an operator adopts it.
 func TestBoltStorageDetectsRestoredFile(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "raft.db")
@@ -195,24 +195,24 @@
 	must(t, storage.Save(hardState(3, 2, 0), nil, nil, true), storage.Close())
 	storage = openStorage(t, path)
 	if storage.Incarnation() != 2 {
-		t.Errorf("incarnation %d", storage.Incarnation())
+		t.Errorf("incarnation at the second opening: got %d, want 2", storage.Incarnation())
 	}
-	// As if all of this had been written an hour ago and the file put here now.
+	// Simulates a file that was last written an hour ago and copied to this path now.
 	must(t, storage.db.Update(func(tx *bbolt.Tx) error {
 		writtenAt := time.Now().Add(-time.Hour).UnixNano()
 		return tx.Bucket(bucketMeta).Put(keyWrittenAt, encodeUint64(uint64(writtenAt)))
 	}))
 	must(t, storage.Close())
 	if _, err := OpenBoltStorage(path, "c", 1); !errors.Is(err, ErrRestoredFile) {
-		t.Fatalf("an old copy opens: %v", err)
+		t.Fatalf("OpenBoltStorage of a restored file: got error %v, want ErrRestoredFile", err)
 	}
 	if err := AdoptFile(path, "c", 2); !errors.Is(err, ErrForeignFile) {
-		t.Errorf("another member's file is adopted: %v", err)
+		t.Errorf("AdoptFile as another member: got error %v, want ErrForeignFile", err)
 	}
 	must(t, AdoptFile(path, "c", 1))
 	storage = openStorage(t, path)
 	if p, err := storage.Load(); err != nil || p.HardState.GetVote() != 2 {
-		t.Errorf("%+v, %v", p, err)
+		t.Errorf("adopted file: got %+v, error %v, want a vote for 2", p, err)
 	}
 	must(t, storage.Close())
 }
--- a/internal/raftnode/caller_error_test.go
+++ b/internal/raftnode/caller_error_test.go
@@ -8,16 +8,16 @@
 	"mulleinmux/clusterconfig"
 )
 
-// A caller whose own time is over, while the member's queue is full, does not read that the member has stopped; one of
-// a member that has stopped does.
-func TestCallersDeadlineIsNoStop(t *testing.T) {
+// Tests that a call whose context ends while the member's event queue is full returns the context's error and not
+// ErrStopped, and that a call to a stopped member returns ErrStopped.
+func TestCallerDeadlineIsNotErrStopped(t *testing.T) {
 	loop := newEventLoop()
 	for range eventQueueSize {
 		loop.events <- func() {}
 	}
 	n := &Node{loop: loop, core: &Core{cfg: Config{ElectionTicks: 10}}}
-	ended, end := context.WithCancel(context.Background())
-	end()
+	canceled, cancel := context.WithCancel(context.Background())
+	cancel()
 	calls := map[string]func(context.Context) error{
 		"call":   func(ctx context.Context) error { return loop.call(ctx, func() {}) },
 		"status": func(ctx context.Context) error { _, err := n.Status(ctx); return err },
@@ -28,20 +28,20 @@
 		},
 	}
 	for name, call := range calls {
-		if err := call(ended); !errors.Is(err, context.Canceled) || errors.Is(err, ErrStopped) {
-			t.Errorf("%s, running: %v", name, err)
+		if err := call(canceled); !errors.Is(err, context.Canceled) || errors.Is(err, ErrStopped) {
+			t.Errorf("%s, member running: got error %v, want context.Canceled without ErrStopped", name, err)
 		}
 	}
 	close(loop.done)
 	for name, call := range calls {
 		if err := call(context.Background()); !errors.Is(err, ErrStopped) {
-			t.Errorf("%s, stopped: %v", name, err)
+			t.Errorf("%s, member stopped: got error %v, want ErrStopped", name, err)
 		}
 	}
 }
 
-// A read beyond the limit is rejected as such: the member runs.
-func TestReadBeyondLimitIsNoStop(t *testing.T) {
+// Tests that a read beyond the limit of pending reads is rejected with errTooManyReads and not with ErrStopped.
+func TestReadBeyondLimitIsNotErrStopped(t *testing.T) {
 	c := &Core{reads: newPendingReads()}
 	for !c.reads.isFull() {
 		c.reads.add(func(error) {})
@@ -49,6 +49,6 @@
 	var got error
 	c.ReadIndex(func(err error) { got = err })
 	if !errors.Is(got, errTooManyReads) || errors.Is(got, ErrStopped) {
-		t.Errorf("over the limit: %v", got)
+		t.Errorf("read beyond the limit: got error %v, want errTooManyReads", got)
 	}
 }
--- a/internal/raftnode/certificate_files.go
+++ b/internal/raftnode/certificate_files.go
@@ -11,7 +11,8 @@
 	"strings"
 )
 
-// Names of the files of certificates. A holder's are its prefix with one of the suffixes.
+// Names of certificate and key files. The files of a member, operator or follower are named by its prefix and one of
+// the suffixes.
 const (
 	authorityFile     = "authority.pem"
 	authorityKeyFile  = "authority-key.pem" // must not be copied to the instances
@@ -24,19 +25,19 @@
 	keyMode         os.FileMode = 0o600
 )
 
-// memberFilePrefix returns the common part of the names of a member's files.
+// memberFilePrefix returns the common prefix of the names of a member's certificate and key files.
 func memberFilePrefix(member uint64) string { return fmt.Sprintf("member-%d", member) }
 
-// OperatorFilePrefix returns the common part of the names of an operator's certificate and key files.
+// OperatorFilePrefix returns the common prefix of the names of an operator's certificate and key files.
 func OperatorFilePrefix(name string) string { return roleFilePrefix(operatorRole, name) }
 
-// FollowerFilePrefix returns the common part of the names of a follower's certificate and key files.
+// FollowerFilePrefix returns the common prefix of the names of a follower's certificate and key files.
 func FollowerFilePrefix(name string) string { return roleFilePrefix(followerRole, name) }
 
 func roleFilePrefix(role, name string) string { return role + "-" + name }
 
-// Write writes the authority's certificate and key into a directory. An existing file is
-// never overwritten: the error is then [os.ErrExist].
+// Write writes the authority's certificate and key into a directory. It does not overwrite an existing file: its error
+// then wraps [os.ErrExist].
 func (a *Authority) Write(dir string) error {
 	key, err := encodePrivateKey(a.key)
 	if err != nil {
@@ -48,8 +49,8 @@
 	return writeNewFile(dir, authorityFile, encodeCertificate(a.certificate.Raw), certificateMode)
 }
 
-// WriteMembers issues and writes a certificate and a key for each member; as [Authority.Write]
-// does, it overwrites nothing.
+// WriteMembers issues and writes a certificate and a key for each member. Like [Authority.Write], it does not overwrite
+// an existing file.
 func (a *Authority) WriteMembers(dir string, members []uint64) error {
 	for _, member := range members {
 		if err := a.writeCertificate(dir, memberFilePrefix(member), memberCommonName(a.Cluster, member)); err != nil {
@@ -72,7 +73,7 @@
 
 func (a *Authority) writeRoleCertificate(dir, role, name string) error {
 	if name == "" || strings.ContainsAny(name, "/\\") {
-		return fmt.Errorf("%s %q: a name without slashes is wanted", role, name)
+		return fmt.Errorf("%s name %q is empty or contains a slash", role, name)
 	}
 	return a.writeCertificate(dir, roleFilePrefix(role, name), roleCommonName(a.Cluster, role, name))
 }
@@ -89,7 +90,7 @@
 	return writeNewFile(dir, filePrefix+certificateSuffix, certificate, certificateMode)
 }
 
-// writeNewFile writes and syncs a file that must not exist yet.
+// writeNewFile creates, writes and syncs a file. The file must not exist.
 func writeNewFile(dir, name string, content []byte, mode os.FileMode) error {
 	file, err := os.OpenFile(filepath.Join(dir, name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return errors.Join(err, file.Sync(), file.Close())
 }
 
-// LoadAuthority reads an authority that [Authority.Write] has written.
+// LoadAuthority reads an authority from the files that [Authority.Write] has written.
 func LoadAuthority(dir string) (*Authority, error) {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, authorityFile), filepath.Join(dir, authorityKeyFile))
 	if err != nil {
@@ -108,7 +109,7 @@
 	key, isECDSA := pair.PrivateKey.(*ecdsa.PrivateKey)
 	certificate, err := x509.ParseCertificate(pair.Certificate[0])
 	if err != nil || !isECDSA {
-		return nil, fmt.Errorf("authority: no certificate with an ECDSA key: %w", err)
+		return nil, fmt.Errorf("authority: invalid certificate, or not an ECDSA key: %w", err)
 	}
 	return &Authority{Cluster: certificate.Subject.CommonName, certificate: certificate, key: key}, nil
 }
@@ -118,8 +119,8 @@
 	return LoadCredentialFiles(dir, memberFilePrefix(member))
 }
 
-// LoadCredentialFiles reads credentials by the common part of their files' names, such as
-// [OperatorFilePrefix] returns.
+// LoadCredentialFiles reads credentials from a directory. filePrefix is the common prefix of the names of the
+// certificate and key files, as returned by [OperatorFilePrefix] or [FollowerFilePrefix].
 func LoadCredentialFiles(dir, filePrefix string) (Credentials, error) {
 	certificateFile := filepath.Join(dir, filePrefix+certificateSuffix)
 	keyFile := filepath.Join(dir, filePrefix+keySuffix)
@@ -133,7 +134,7 @@
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(encodedAuthority) {
-		return Credentials{}, fmt.Errorf("authority: %s holds no certificate", authorityFile)
+		return Credentials{}, fmt.Errorf("authority: %s contains no PEM certificate", authorityFile)
 	}
 	return Credentials{Certificate: certificate, Authority: authority}, nil
 }
--- a/internal/raftnode/certificates_test.go
+++ b/internal/raftnode/certificates_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A certificate makes its holder a member of its own cluster alone, and none of a follower or
-// operator whose name is like a member's.
+// Tests that a member's certificate is accepted only for its own cluster, and that the certificate of a follower or an
+// operator is not accepted for a member's, even if its name looks like a member id.
 func TestVerifyMember(t *testing.T) {
 	t.Parallel()
 	authority := newAuthority(t, "test")
@@ -35,14 +35,14 @@
 			}
 			state := tls.ConnectionState{PeerCertificates: []*x509.Certificate{certificate}}
 			if id, err := VerifyMember("test", state); id != want || (err == nil) != (want > 0) {
-				t.Errorf("is taken for member %d: %v", id, err)
+				t.Errorf("VerifyMember: got member %d, error %v", id, err)
 			}
 		})
 	}
 }
 
-// Certificates are written once and read back; a further member's comes from the same
-// authority.
+// Tests that certificate files can be read back and are not overwritten, and that the loaded authority can issue the
+// certificate of a further member.
 func TestCertificateFiles(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -51,27 +51,27 @@
 		t.Fatal(err)
 	}
 	if err := written.Write(dir); !errors.Is(err, fs.ErrExist) {
-		t.Errorf("the authority was overwritten: %v", err)
+		t.Errorf("second Write of the authority: got error %v, want fs.ErrExist", err)
 	}
 	if err := written.WriteMembers(dir, []uint64{1}); !errors.Is(err, fs.ErrExist) {
-		t.Errorf("a member's files were overwritten: %v", err)
+		t.Errorf("second WriteMembers of a member: got error %v, want fs.ErrExist", err)
 	}
 	loaded, err := LoadAuthority(dir)
 	if err != nil || loaded.Cluster != "c" {
-		t.Fatalf("%+v %v", loaded, err)
+		t.Fatalf("LoadAuthority: got %+v, error %v, want cluster \"c\"", loaded, err)
 	}
 	if _, err := LoadMemberCredentials(dir, 2); err != nil {
 		t.Error(err)
 	}
 	if _, err := LoadMemberCredentials(dir, 3); err == nil {
-		t.Error("member 3 has no certificate")
+		t.Error("credentials of member 3, which has no certificate: got no error")
 	}
 	if _, _, err := loaded.IssueMember(3); err != nil {
 		t.Error(err)
 	}
 }
 
-// A member whose clock is an hour behind the one that issued the certificates accepts them.
+// Tests that a member whose clock is up to an hour behind the issuer's clock accepts a new certificate.
 func TestCertificateClockSkew(t *testing.T) {
 	t.Parallel()
 	credentials, err := newAuthority(t, "c").IssueCredentials(1)
@@ -89,7 +89,7 @@
 			KeyUsages:   []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 		})
 		if err != nil {
-			t.Errorf("at %v: %v", offset, err)
+			t.Errorf("certificate verified with a clock offset of %v: %v", offset, err)
 		}
 	}
 }
--- a/internal/raftnode/connection_reader.go
+++ b/internal/raftnode/connection_reader.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxAcceptedConns = 64                    // of all peers at once
+	maxAcceptedConns = 64                    // of all peers together
 	acceptRetryDelay = 10 * time.Millisecond // after a failed accept
 )
 
@@ -28,7 +28,7 @@
 			if t.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptRetryDelay) // out of file descriptors: one may become free
+			time.Sleep(acceptRetryDelay) // for example out of file descriptors, until one is closed
 			continue
 		}
 		if !t.registerConnection(conn) {
@@ -39,7 +39,8 @@
 	}
 }
 
-// registerConnection records an accepted connection and reports whether it may be served.
+// registerConnection records an accepted connection. It reports false, without recording it, if maxAcceptedConns
+// connections are open or the transport is stopping.
 func (t *transport) registerConnection(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -50,7 +51,7 @@
 	return true
 }
 
-// serveConnection reads a registered connection until it ends.
+// serveConnection reads a registered connection until it ends, and closes it.
 func (t *transport) serveConnection(conn net.Conn) {
 	err := t.readFrames(conn)
 	if t.ctx.Err() == nil && !errors.Is(err, io.EOF) {
@@ -68,10 +69,11 @@
 	transport *transport
 	from      uint64
 	frames    *frameReader
-	snapshot  []byte // the parts so far of a message with a snapshot
+	snapshot  []byte // the parts received so far of a message with a snapshot
 }
 
-// readFrames verifies the peer and handles its frames until the connection ends. The error is the reason.
+// readFrames verifies the peer and handles its frames until the connection ends. It returns the error that ended the
+// connection.
 func (t *transport) readFrames(rawConn net.Conn) error {
 	conn := tls.Server(rawConn, t.credentials.TLSConfig())
 	rawConn.SetDeadline(time.Now().Add(handshakeTimeout))
@@ -91,15 +93,14 @@
 	}
 }
 
-// readNext reads and handles one frame. A hello must be the connection's first frame, and
-// only that.
+// readNext reads and handles one frame. The first frame of a connection must be a hello, and no later one may be.
 func (r *connectionReader) readNext(isFirst bool) error {
 	header, err := r.frames.readHeader()
 	if err != nil {
 		return err
 	}
 	if header.exceedsBounds(len(r.snapshot)) || isFirst != (header.kind == frameHello) {
-		return fmt.Errorf("member %d sends a frame of kind %d with %d bytes",
+		return fmt.Errorf("member %d sent an unexpected frame (kind %d, %d bytes)",
 			r.from, uint32(header.kind), header.length)
 	}
 	payload, err := r.frames.readPayload(header.length)
@@ -134,15 +135,15 @@
 	}
 }
 
-// deliverMessage decodes a message and passes it to onMessage. Its sender must be the
-// connection's peer.
+// deliverMessage decodes a message and passes it to onMessage. The message must be from the connection's peer to this
+// member.
 func (r *connectionReader) deliverMessage(encoded []byte) error {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(encoded, m); err != nil {
-		return fmt.Errorf("member %d: %w", r.from, err)
+		return fmt.Errorf("member %d: undecodable message: %w", r.from, err)
 	}
 	if m.GetFrom() != r.from || m.GetTo() != r.transport.memberID {
-		return fmt.Errorf("member %d sends in the name of %d to %d", r.from, m.GetFrom(), m.GetTo())
+		return fmt.Errorf("member %d sent a message from member %d to member %d", r.from, m.GetFrom(), m.GetTo())
 	}
 	r.transport.onMessage(m)
 	r.frames.releaseLargePayload()
--- a/internal/raftnode/connection_writer.go
+++ b/internal/raftnode/connection_writer.go
@@ -13,34 +13,34 @@
 
 var errConnectionEnded = errors.New("the connection has ended")
 
-// connectionWriter writes what is queued for one member to one connection, and at most one
-// snapshot at a time in parts between the other frames.
+// connectionWriter writes the queued items of one member's sender to one connection. It transfers at most one snapshot
+// at a time, in parts between which it writes other frames.
 type connectionWriter struct {
 	sender       *peerSender
 	frames       *frameWriter
-	ended        <-chan struct{} // closed when the peer has ended the connection
+	ended        <-chan struct{} // closed when the connection has ended
 	onSendResult func(m *pb.Message, ok bool)
 
-	snapshot  *pb.Message // being transferred; nil: none
-	remaining []byte      // of the encoded snapshot message, not yet written
+	snapshot  *pb.Message // the message whose snapshot is being transferred, or nil
+	remaining []byte      // the part of the encoded snapshot message that is not yet written
 }
 
-// queued is an item of a sender's queues: a message, a broadcast or, if both are empty, neither.
-type queued struct {
+// queuedItem is an item of a sender's queues: a message or a broadcast. If both are nil, no item was queued.
+type queuedItem struct {
 	message   *pb.Message
 	broadcast []byte
 }
 
-// writeFrames writes the queued items until the connection breaks or ctx ends. Frames of items
-// that are queued at the same time are flushed together.
+// writeFrames writes the queued items to a connection until the connection fails or ctx ends. It flushes the frames of
+// all items that are queued at the same time together.
 func (t *transport) writeFrames(ctx context.Context, sender *peerSender, conn *tls.Conn) error {
 	rawConn := conn.NetConn()
 	stopWatching := context.AfterFunc(ctx, func() { rawConn.Close() })
 	defer stopWatching()
 	ended := make(chan struct{})
-	t.goroutines.Go(func() { // ends when the connection does, at the latest with the Close below
+	t.goroutines.Go(func() { // ends with the connection, at the latest after the Close below
 		defer close(ended)
-		io.Copy(io.Discard, conn) // the peer sends nothing: this returns at the connection's end
+		io.Copy(io.Discard, conn) // the peer sends nothing on this connection: Copy returns when it ends
 	})
 	defer func() {
 		rawConn.Close()
@@ -58,7 +58,8 @@
 	}
 }
 
-// writeNext waits for the next item or part of a snapshot, and writes it.
+// writeNext waits for the next item, if no snapshot is being transferred, and writes it. It then writes the next part
+// of the snapshot, unless the item was a broadcast.
 func (w *connectionWriter) writeNext(ctx context.Context) error {
 	next, err := w.dequeue(ctx)
 	if err != nil {
@@ -78,41 +79,42 @@
 	return nil
 }
 
-// dequeue returns the next queued item. If there is nothing to write, it flushes and waits.
-func (w *connectionWriter) dequeue(ctx context.Context) (queued, error) {
+// dequeue returns the next queued item, or an empty one if only a part of a snapshot remains to be written. If there is
+// nothing to write, it flushes the buffer and waits for an item.
+func (w *connectionWriter) dequeue(ctx context.Context) (queuedItem, error) {
 	if w.snapshot == nil && w.sender.isEmpty() {
 		return w.flushAndWait(ctx)
 	}
 	select {
 	case m := <-w.sender.messages:
-		return queued{message: m}, nil
+		return queuedItem{message: m}, nil
 	case text := <-w.sender.broadcasts:
-		return queued{broadcast: text}, nil
+		return queuedItem{broadcast: text}, nil
 	case <-w.ended:
-		return queued{}, errConnectionEnded
+		return queuedItem{}, errConnectionEnded
 	default:
-		return queued{}, nil
+		return queuedItem{}, nil
 	}
 }
 
 // flushAndWait flushes the buffer and waits for the next item.
-func (w *connectionWriter) flushAndWait(ctx context.Context) (queued, error) {
+func (w *connectionWriter) flushAndWait(ctx context.Context) (queuedItem, error) {
 	if err := w.frames.flush(); err != nil {
-		return queued{}, err
+		return queuedItem{}, err
 	}
 	select {
 	case m := <-w.sender.messages:
-		return queued{message: m}, nil
+		return queuedItem{message: m}, nil
 	case text := <-w.sender.broadcasts:
-		return queued{broadcast: text}, nil
+		return queuedItem{broadcast: text}, nil
 	case <-w.ended:
-		return queued{}, errConnectionEnded
+		return queuedItem{}, errConnectionEnded
 	case <-ctx.Done():
-		return queued{}, ctx.Err()
+		return queuedItem{}, ctx.Err()
 	}
 }
 
-// writeMessage writes a message, or begins the transfer of its snapshot.
+// writeMessage writes a message. For a message with a snapshot, it begins the transfer.
 func (w *connectionWriter) writeMessage(m *pb.Message) error {
 	w.sender.releaseBytes(proto.Size(m))
 	encoded, err := encodeMessage(m)
@@ -131,19 +133,20 @@
 	return nil
 }
 
-// encodeMessage encodes a message, which must fit in a frame or, with a snapshot, in its parts.
+// encodeMessage encodes a message. Its size is limited to maxFrameBytes, also if it holds a snapshot and is sent in
+// parts.
 func encodeMessage(m *pb.Message) ([]byte, error) {
 	encoded, err := proto.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
 	if len(encoded) > maxFrameBytes {
-		return nil, fmt.Errorf("message of %d bytes", len(encoded))
+		return nil, fmt.Errorf("message of %d bytes exceeds the maximum frame size", len(encoded))
 	}
 	return encoded, nil
 }
 
-// beginSnapshot begins the transfer of a snapshot. A second one during a transfer is dropped.
+// beginSnapshot begins the transfer of a snapshot. It drops the snapshot if another transfer is in progress.
 func (w *connectionWriter) beginSnapshot(m *pb.Message, encoded []byte) {
 	if w.snapshot != nil {
 		w.onSendResult(m, false)
@@ -175,7 +178,7 @@
 	return nil
 }
 
-// failSnapshot reports a snapshot as failed if its transfer was interrupted.
+// failSnapshot reports the snapshot in transfer, if any, as failed.
 func (w *connectionWriter) failSnapshot() {
 	if w.snapshot != nil {
 		w.onSendResult(w.snapshot, false)
--- a/internal/raftnode/core.go
+++ b/internal/raftnode/core.go
@@ -14,20 +14,20 @@
 type Config struct {
 	ID                 uint64   // of this member, above 0; never reused after its removal
 	Voters             []uint64 // of a new cluster; nil: this member joins a cluster or restarts
-	ElectionTicks      int      // without a leader's message until an election; 0: defaultElectionTicks
-	EntriesPerSnapshot uint64   // applied between snapshots; 0: defaultEntriesPerSnapshot
-	CatchUpEntries     uint64   // kept before a snapshot for slow followers; 0: defaultCatchUpEntries
+	ElectionTicks      int      // least ticks without a leader before an election; 0: defaultElectionTicks
+	EntriesPerSnapshot uint64   // entries applied between two snapshots; 0: defaultEntriesPerSnapshot
+	CatchUpEntries     uint64   // entries kept in the log before a snapshot, for lagging members; 0: defaultCatchUpEntries
 	Validate           clusterconfig.Validator
 	Logger             raft.Logger // of the protocol engine; nil: nothing is logged
 }
 
 const (
-	defaultElectionTicks      = 10   // ticks; the engine draws up to twice as many
+	defaultElectionTicks      = 10   // ticks; the engine chooses a random number from this one to less than twice as many
 	defaultEntriesPerSnapshot = 2000 // entries
-	defaultCatchUpEntries     = 500  // entries: a member that lacks more gets a snapshot
+	defaultCatchUpEntries     = 500  // entries; a member that lacks more is sent a snapshot
 )
 
-// withDefaults returns the configuration with its zero values replaced.
+// withDefaults returns the configuration with its zero values replaced by the defaults.
 func (cfg Config) withDefaults() Config {
 	if cfg.ElectionTicks == 0 {
 		cfg.ElectionTicks = defaultElectionTicks
@@ -44,22 +44,23 @@
 	return cfg
 }
 
-// maxPendingRequests limits the proposals, and also the reads, that wait for their result: memory is bounded while no
-// quorum answers.
+// maxPendingRequests limits the number of pending proposals and, separately, of pending reads. It bounds the memory in
+// use while no quorum is reachable.
 const maxPendingRequests = 10_000
 
-// Core is one member without its clock and its network: the engine, wired to types that each decide on
-// their own state. After calls of its methods, [Core.ProcessReady] must be called to persist, send and
-// apply their results. One goroutine owns it, that of the [Node]; only [Core.FenceIndex] is safe for others.
+// Core is one member without its clock and its network: the protocol engine, and the types that hold the member's
+// state. After its methods are called, [Core.ProcessReady] must be called to persist, send and apply their results. It
+// must be used by one goroutine at a time (the event loop of its [Node]); only [Core.FenceIndex] is safe for concurrent
+// use.
 type Core struct {
 	cfg     Config
 	rawNode *raft.RawNode
-	log     durableLog // that rawNode reads
-	stopErr error      // why the member has stopped; nil: it is running
+	log     durableLog // read by rawNode
+	stopErr error      // the reason why the member has stopped, or nil while it runs
 
 	state           *clusterconfig.State
 	appliedIndex    uint64
-	membership      membership // as of appliedIndex
+	membership      membership // in force at appliedIndex
 	fence           fence
 	quorumConfirmed bool // see IsReady
 
@@ -69,24 +70,24 @@
 	snapshots         snapshotSchedule
 	transfers         snapshotTransfers
 
-	// OnApplied, if set, is called after each entry that holds a proposal was applied.
+	// OnApplied, if set, is called after each applied entry that contains a proposal.
 	OnApplied func(index uint64, id string, o clusterconfig.Outcome)
 }
 
-// State returns the configuration as applied here. It must not be changed.
+// State returns the configuration as applied by this member. The caller must not modify it.
 func (c *Core) State() *clusterconfig.State { return c.state }
 
-// IsReady reports whether a quorum has confirmed, since this member's start, that the version
-// applied here was the newest. Until then the member must not forward requests.
+// IsReady reports whether a quorum has confirmed, since this member's start, that the version applied by this member
+// was the newest. Until then the member must not forward requests.
 func (c *Core) IsReady() bool { return c.quorumConfirmed }
 
-// Leader returns the id of the leader as known here, or 0.
+// Leader returns the id of the leader as known to this member, or 0 if none is known.
 func (c *Core) Leader() uint64 { return c.rawNode.BasicStatus().Lead }
 
-// AppliedIndex returns the index of the last entry applied.
+// AppliedIndex returns the index of the last applied entry.
 func (c *Core) AppliedIndex() uint64 { return c.appliedIndex }
 
-// ReplicationLag returns how many committed entries a member lacks. Only the leader knows it,
+// ReplicationLag returns the number of committed entries that a member lacks. It is known only on the leader, and only
 // for members that have acknowledged an entry.
 func (c *Core) ReplicationLag(id uint64) (entries uint64, known bool) {
 	status := c.rawNode.Status()
@@ -111,8 +112,8 @@
 	}
 }
 
-// confirmQuorum has a quorum confirm, by a linearizable read, that the version applied here is the
-// newest, unless one has since the start or another read waits.
+// confirmQuorum starts a linearizable read, by which a quorum confirms that the version applied by this member is the
+// newest. It does nothing if a quorum has confirmed that since the start, or while another read is pending.
 func (c *Core) confirmQuorum() {
 	if c.quorumConfirmed || len(c.reads.byID) > 0 {
 		return
@@ -120,33 +121,33 @@
 	c.ReadIndex(func(err error) { c.quorumConfirmed = c.quorumConfirmed || err == nil })
 }
 
-// Step handles a message of another member.
+// Step handles a message from another member.
 func (c *Core) Step(m *pb.Message) {
 	if c.stopErr != nil || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	defer c.recoverEnginePanic()
-	// An error means that the message is unexpected (of a removed member, or late): it is dropped.
+	// An error means that the message is unexpected (delayed, or from a removed member): it is dropped.
 	_ = c.rawNode.Step(m)
 }
 
-// recoverEnginePanic stops the member if the engine panics, which it does when it detects that
-// its log lacks committed entries.
+// recoverEnginePanic stops the member if the engine panics. The engine panics when it detects that its log lacks
+// committed entries.
 func (c *Core) recoverEnginePanic() {
 	if p := recover(); p != nil {
 		c.fail(fmt.Errorf("%w (%v)", ErrStaleStorage, p))
 	}
 }
 
-// FenceIndex returns the index of the last entry saved here that changes key owners or the
-// membership, committed or not. It is updated before any message that acknowledges
-// the entry is sent. It is safe for concurrent use.
+// FenceIndex returns the index of the last entry saved by this member that changes key owners or the membership,
+// committed or not. It is updated before any message that acknowledges the entry is sent. It is safe for concurrent
+// use.
 func (c *Core) FenceIndex() uint64 { return c.fence.index() }
 
-// ReportUnreachable reports that messages to a member can't be sent.
+// ReportUnreachable reports that a message to a member could not be sent.
 func (c *Core) ReportUnreachable(id uint64) { c.rawNode.ReportUnreachable(id) }
 
-// fail stops the member. All waiting requests end with the error.
+// fail stops the member. All pending requests end with the error.
 func (c *Core) fail(err error) error {
 	c.stopErr = err
 	reason := errors.Join(ErrStopped, err)
--- a/internal/raftnode/core_start.go
+++ b/internal/raftnode/core_start.go
@@ -8,24 +8,24 @@
 	"mulleinmux/clusterconfig"
 )
 
-// Tuning of the protocol engine; sizes are in bytes.
+// Settings of the protocol engine; sizes are in bytes.
 const (
 	heartbeatTicks      = 1
-	maxMessageBytes     = 1 << 20 // of entries in one message; a single entry may be longer
+	maxMessageBytes     = 1 << 20 // size of the entries in one message; a single entry may be longer
 	maxCommittedBytes   = 16 << 20
-	maxInflightMessages = 64 // with entries, not yet acknowledged by a follower
+	maxInflightMessages = 64 // messages with entries that a member has not yet acknowledged
 	maxInflightBytes    = 32 << 20
-	maxUncommittedBytes = 64 << 20 // of proposals that wait for a quorum
+	maxUncommittedBytes = 64 << 20 // size of the proposals that are not yet committed
 )
 
-// A new cluster's members all begin with the same empty snapshot, at this index and term.
+// All members of a new cluster start from the same empty snapshot, at this index and term.
 const (
 	bootstrapIndex = 1
 	bootstrapTerm  = 1
 )
 
-// NewCore starts a member from its storage. Its errors are those of the storage and of a state
-// that cannot be restored: see [clusterconfig.State.Restore].
+// NewCore starts a member from its storage. It returns the storage's errors, and those of a state that cannot be
+// restored (see [clusterconfig.State.Restore]).
 func NewCore(cfg Config, storage Storage) (*Core, error) {
 	persisted, err := storage.Load()
 	if err != nil {
@@ -75,7 +75,7 @@
 	return c.log.storage.Save(persisted.HardState, nil, persisted.Snapshot, true)
 }
 
-// restorePersisted restores the state and the engine's log from what the storage holds.
+// restorePersisted restores the configuration state and the engine's log from the persisted state.
 func (c *Core) restorePersisted(persisted *PersistedState) error {
 	if persisted.Snapshot != nil {
 		if err := c.restoreSnapshot(persisted.Snapshot); err != nil {
--- a/internal/raftnode/credentials.go
+++ b/internal/raftnode/credentials.go
@@ -6,14 +6,14 @@
 	"fmt"
 )
 
-// Credentials are the certificate and key of a member, operator or follower, and the authority
-// of its cluster.
+// Credentials are the certificate and key of a member, operator or follower, and the authority's certificate of its
+// cluster.
 type Credentials struct {
 	Certificate tls.Certificate
 	Authority   *x509.CertPool
 }
 
-// Identity returns the identity to which these credentials were issued.
+// Identity returns the identity in the certificate.
 func (c Credentials) Identity() (Identity, error) {
 	if len(c.Certificate.Certificate) == 0 {
 		return Identity{}, errNoCertificate
@@ -25,21 +25,21 @@
 	return IdentityOf(certificate)
 }
 
-// TLSConfig returns a configuration for both sides of a connection: each presents its
-// certificate and verifies that the authority has signed the other's. Host names are not
-// verified: the identity of the other side is in its certificate, see [IdentityOf].
+// TLSConfig returns a TLS configuration for both sides of a connection. Each side presents its certificate and verifies
+// that the authority has signed the peer's. Host names are not verified: the peer's identity is the one in its
+// certificate (see [IdentityOf]).
 func (c Credentials) TLSConfig() *tls.Config {
 	return &tls.Config{
 		Certificates:          []tls.Certificate{c.Certificate},
 		ClientAuth:            tls.RequireAnyClientCert,
 		MinVersion:            tls.VersionTLS13,
-		InsecureSkipVerify:    true, // of the host name; verifyAuthority takes its place
+		InsecureSkipVerify:    true, // skips the check of the host name; verifyAuthority verifies the certificate
 		VerifyPeerCertificate: c.verifyAuthority,
 	}
 }
 
-// verifyAuthority verifies that the authority has signed the peer's certificate. Otherwise
-// its error wraps [ErrUnknownAuthority].
+// verifyAuthority verifies that the authority has signed the peer's certificate. If not, its error wraps
+// [ErrUnknownAuthority].
 func (c Credentials) verifyAuthority(rawCertificates [][]byte, _ [][]*x509.Certificate) error {
 	if len(rawCertificates) == 0 {
 		return errNoCertificate
--- a/internal/raftnode/doc.go
+++ b/internal/raftnode/doc.go
@@ -6,31 +6,30 @@
 //
 // # Layers
 //
-//   - [Core] is one member without its clock and its network: its inputs are ticks and
-//     messages, its outputs messages. It starts no goroutine, so that a test can simulate a
-//     whole cluster.
+//   - [Core] is one member without its clock and its network. Its inputs are ticks, messages and requests; its output
+//     is messages. It starts no goroutine, so that a test can simulate a whole cluster.
 //   - [Storage] is the member's durable state; [BoltStorage] stores it in a bbolt file.
-//   - [Node] runs a Core on real time, TLS connections and a Storage. One goroutine, the event
-//     loop, owns the Core; [Node.Stop] ends it and all others.
-//   - [Authority], [Credentials] and [Identity] are the certificates that identify members,
+//   - [Node] runs a Core with a ticker, TLS connections and a Storage. One goroutine, the event loop, owns the Core;
+//     [Node.Stop] ends the event loop and all other goroutines of the Node.
+//   - [Authority], [Credentials] and [Identity] issue, hold and read the certificates that identify members,
 //     operators and followers.
 //
-// # Failure
+// # Failures
 //
-// A proposal whose outcome was returned has been committed by a quorum and survives the loss
-// of any minority. A proposal that ends with [ErrOutcomeUnknown] may have been applied;
-// repeating it with the same id applies it at most once. A member whose storage fails stops
-// and must be started again. A member that lost part of what it has acknowledged (a damaged
-// file, an older copy) is not started, or its connections are rejected, because it could vote
-// twice in a term: see [ErrCorruptFile], [ErrRestoredFile] and [ErrStaleStorage].
+// A proposal whose outcome was returned has been committed by a quorum and survives the loss of any minority. A
+// proposal that ends with [ErrOutcomeUnknown] may have been applied; repeating it with the same id applies it at most
+// once. A member whose storage fails stops and must be started again. A member whose file lacks a part of what the
+// member has acknowledged (a damaged file, an older copy) could vote twice in a term. Therefore the member does not
+// start, or stops, or the other members reject its connections: see [ErrCorruptFile], [ErrRestoredFile] and
+// [ErrStaleStorage].
 //
 // # File format
 //
-// The file of a member is a bbolt database with three buckets. Each value except those of
-// meta is a CRC-32C (Castagnoli, 4 bytes, big-endian) of the rest, and a protocol buffer.
+// The file of a member is a bbolt database with three buckets. Each value outside the meta bucket is an encoded
+// protocol buffer, preceded by its CRC-32C checksum (Castagnoli, 4 bytes).
 //
 //	meta  format (4 bytes), cluster (text), member (8 bytes), starts (8 bytes: incarnation,
-//	      how often the file was opened), written (8 bytes: Unix time of the last
+//	      the number of times that the file was opened), written (8 bytes: Unix time of the last
 //	      transaction, in ns)
 //	state hard: HardState; snapshot: Snapshot; last: an Entry with the index of the log's
 //	      last entry, so that a missing tail is detected
@@ -40,10 +39,9 @@
 //
 // # Wire format
 //
-// A connection is TLS 1.3 with certificates on both sides, and carries frames from the side
-// that dialed to the other. A frame is a header of 4 bytes, big-endian, with the frame's kind
-// in the upper four bits and the payload's length in the others, and the payload. The first
-// frame is a hello (incarnation and process id, 8 bytes each); messages of the protocol are
-// protocol buffers. A message with a snapshot is split into parts, between which other frames
-// pass, so that a long transfer delays no heartbeat.
+// A connection uses TLS 1.3 with certificates on both sides, and carries frames only from the side that dialed to the
+// side that accepted. A frame consists of a header and a payload. The header has 4 bytes, big-endian: the frame's kind
+// in the upper 4 bits and the payload's length in the lower 28. The first frame is a hello (incarnation and process id,
+// 8 bytes each). Messages of the Raft protocol are protocol buffers. A message with a snapshot is split into parts,
+// between which other frames are sent, so that a long transfer does not delay heartbeats.
 package raftnode
--- a/internal/raftnode/durable_log.go
+++ b/internal/raftnode/durable_log.go
@@ -9,15 +9,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// durableLog is a member's log, hard state and snapshot: in its storage, and in memory for the engine to read.
+// durableLog holds a member's log, hard state and snapshot twice: in its storage, and in memory, where the engine reads
+// them.
 //
-// Invariant: memory holds nothing that storage has not saved before.
+// Invariant: whatever memory holds was saved in storage before.
 type durableLog struct {
 	storage Storage
 	memory  *raft.MemoryStorage
 }
 
-// restore fills the memory with what the storage holds.
+// restore adds the persisted state to the memory.
 func (l *durableLog) restore(persisted *PersistedState) error {
 	if persisted.Snapshot != nil {
 		if err := l.memory.ApplySnapshot(persisted.Snapshot); err != nil {
@@ -25,7 +26,8 @@
 		}
 	}
 	if hs := persisted.HardState; hs != nil {
-		// A commit index alone is not saved, but the entries that a snapshot covers were committed.
+		// A hard state of which only the commit index has changed is not saved. The entries that a snapshot covers are
+		// committed, so that the commit index is at least the snapshot's.
 		snapshotIndex := persisted.Snapshot.GetMetadata().GetIndex()
 		if hs.GetCommit() < snapshotIndex {
 			hs.Commit = proto.Uint64(snapshotIndex)
@@ -40,7 +42,7 @@
 	return nil
 }
 
-// save saves the hard state, entries and snapshot of a Ready, and adds them to the memory.
+// save writes the hard state, entries and snapshot of a Ready to the storage, and then adds them to the memory.
 func (l *durableLog) save(ready *raft.Ready) error {
 	var snapshot *pb.Snapshot
 	if !raft.IsEmptySnap(ready.Snapshot) {
@@ -55,7 +57,7 @@
 		hardState = l.hardState()
 	}
 	if err := l.storage.Save(hardState, ready.Entries, snapshot, sync); err != nil {
-		return fmt.Errorf("saving: %w", err)
+		return fmt.Errorf("storage: save hard state and entries: %w", err)
 	}
 	if snapshot != nil {
 		if err := l.memory.ApplySnapshot(snapshot); err != nil {
@@ -71,7 +73,7 @@
 }
 
 // hardState returns the hard state in memory, or nil if it is empty. It is saved together with entries, so that a
-// commit index that was received alone, which is not synced, survives a restart.
+// commit index that was received without entries, and was therefore not saved, survives a restart.
 func (l *durableLog) hardState() *pb.HardState {
 	hardState, _, err := l.memory.InitialState()
 	if err != nil || raft.IsEmptyHardState(hardState) {
@@ -80,19 +82,19 @@
 	return hardState
 }
 
-// saveSnapshot saves a snapshot that the member has taken of its state at an index.
+// saveSnapshot saves a snapshot, data, that the member has taken of its state at an index.
 func (l *durableLog) saveSnapshot(index uint64, m membership, data []byte) error {
 	snapshot, err := l.memory.CreateSnapshot(index, m.confState, data)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	if err := l.storage.SaveSnapshot(snapshot); err != nil {
-		return fmt.Errorf("saving a snapshot: %w", err)
+		return fmt.Errorf("storage: save snapshot: %w", err)
 	}
 	return nil
 }
 
-// compact drops the entries that a snapshot at an index covers, except for the last retained ones.
+// compact removes the entries that the snapshot at snapshotIndex covers, but keeps the last ones, retained in number.
 func (l *durableLog) compact(snapshotIndex, retained uint64) error {
 	if snapshotIndex <= retained {
 		return nil
--- a/internal/raftnode/election_jitter_test.go
+++ b/internal/raftnode/election_jitter_test.go
@@ -10,20 +10,20 @@
 	"testing"
 )
 
-// electionJitter is the source of randomness of the engine, which draws its election timeouts from [cryptorand.Reader]
-// and from nothing else. Each simulation runs on a goroutine of its own, and draws there what follows from its seed,
-// so that simulations run side by side; all other goroutines draw from the system.
+// electionJitter replaces [cryptorand.Reader], from which alone the engine draws its random election timeouts. Each
+// simulation runs on a goroutine of its own, on which the reader is seeded, so that several simulations can run in
+// parallel. All other goroutines read from the system.
 type electionJitter struct {
 	system io.Reader
 
 	mu     sync.RWMutex         // guards seeded
-	seeded map[string]io.Reader // by goroutine
+	seeded map[string]io.Reader // by goroutine id
 }
 
-// jitter is the source from the start of the tests on: see TestMain.
+// jitter replaces [cryptorand.Reader] in all tests, see TestMain.
 var jitter = &electionJitter{system: cryptorand.Reader, seeded: map[string]io.Reader{}}
 
-// Read fills p from the source of the goroutine that calls it.
+// Read fills p from the source of the calling goroutine.
 func (j *electionJitter) Read(p []byte) (int, error) {
 	j.mu.RLock()
 	source, ok := j.seeded[goroutineID()]
@@ -34,7 +34,7 @@
 	return source.Read(p)
 }
 
-// seed has the election jitter on this goroutine follow from a seed, until the test ends or seeds it anew.
+// seed makes the jitter on the calling goroutine depend only on a seed, until the test ends or calls seed again.
 func (j *electionJitter) seed(t testing.TB, seed uint64) {
 	id := goroutineID()
 	j.mu.Lock()
@@ -47,14 +47,15 @@
 	})
 }
 
-// goroutineID returns the number of the goroutine that calls it, as in the first line of its stack: "goroutine 7 [".
+// goroutineID returns the id of the calling goroutine, which it parses from the first line of the stack: "goroutine 7
+// [".
 func goroutineID() string {
 	var line [64]byte
 	fields := bytes.Fields(line[:runtime.Stack(line[:], false)])
 	return string(fields[1])
 }
 
-// seededReader is a source of bytes that follows from a seed.
+// seededReader reads random bytes that depend only on the seed of rng.
 type seededReader struct{ rng *rand.Rand }
 
 func (s seededReader) Read(p []byte) (int, error) {
--- a/internal/raftnode/event_loop.go
+++ b/internal/raftnode/event_loop.go
@@ -7,24 +7,24 @@
 
 const (
 	eventQueueSize = 1024 // events
-	// maxEventBatch limits the events that are handled before the Core's Ready is processed.
-	// Proposals of one batch are synced together.
+	// maxEventBatch limits the number of events that are handled before the Core's Ready is processed. The proposals of
+	// one batch are synced together.
 	maxEventBatch = 256
 )
 
-// eventLoop passes events to the one goroutine that uses the Core, [Node.runEventLoop]. Its methods
-// may be called by any goroutine, but for runQueued.
+// eventLoop passes events to [Node.runEventLoop], the only goroutine that uses the Core. Its methods are safe for
+// concurrent use, except for runQueued.
 type eventLoop struct {
 	events chan func()
 	done   chan struct{} // closed when the goroutine, and the transport after it, have ended
-	err    error         // why the goroutine has ended; written before done is closed
+	err    error         // the reason why the goroutine has ended; written before done is closed
 }
 
 func newEventLoop() *eventLoop {
 	return &eventLoop{events: make(chan func(), eventQueueSize), done: make(chan struct{})}
 }
 
-// enqueue queues an event. It returns false, without having queued it, when ctx or the loop has ended.
+// enqueue queues an event. It returns false, without queuing it, if ctx or the loop ends first.
 func (l *eventLoop) enqueue(ctx context.Context, event func()) bool {
 	select {
 	case l.events <- event:
@@ -35,8 +35,8 @@
 	return false
 }
 
-// enqueueError is the error where enqueue has returned false: ErrStopped if the loop has ended, else that of ctx, whose
-// caller could not wait any longer.
+// enqueueError returns the reason why enqueue has returned false: ErrStopped if the loop has ended, or else the error
+// of ctx.
 func (l *eventLoop) enqueueError(ctx context.Context) error {
 	select {
 	case <-l.done:
@@ -46,8 +46,8 @@
 	}
 }
 
-// call runs f on the loop and waits for its end. ctx limits only the wait until f is queued, so that f may use the
-// caller's variables.
+// call runs f on the loop and waits until f has returned. ctx limits only the wait until f is queued: call does not
+// return while f runs, so that f may use the caller's variables.
 func (l *eventLoop) call(ctx context.Context, f func()) error {
 	finished := make(chan struct{})
 	event := func() {
@@ -65,7 +65,7 @@
 	}
 }
 
-// runQueued runs a batch of the events that are queued. Only the loop's goroutine calls it.
+// runQueued runs up to maxEventBatch queued events. Only the loop's goroutine may call it.
 func (l *eventLoop) runQueued() {
 	for i := 0; i < maxEventBatch && len(l.events) > 0; i++ {
 		event := <-l.events
--- a/internal/raftnode/fence.go
+++ b/internal/raftnode/fence.go
@@ -9,19 +9,20 @@
 	"mulleinmux/clusterconfig"
 )
 
-// fence is the index of the last entry saved here that changes key owners or the membership, committed or not. A member
-// that confirms key owners to another one tells it, so that a change which may have been committed is never missed.
+// fence tracks the index of the last entry saved by this member that changes key owners or the membership, committed or
+// not. A member sends this index when it confirms key owners to another member, so that the other one never misses a
+// change that may have been committed.
 type fence struct {
-	applied   uint64        // index of the last such entry that was applied, or a later index
-	unapplied []uint64      // of those saved and not applied, ascending
-	published atomic.Uint64 // the largest of all; read by other goroutines
+	applied   uint64        // index of the last applied such entry, or a later index
+	unapplied []uint64      // indexes of the saved such entries that are not applied, ascending
+	published atomic.Uint64 // the largest of these indexes; read by other goroutines
 }
 
-// index returns the fence. It is safe for concurrent use.
+// index returns the tracked index. It is safe for concurrent use.
 func (f *fence) index() uint64 { return f.published.Load() }
 
-// record records the fences among entries that were saved. The entries replace all that were saved before from the
-// first one's index on.
+// record records which of the newly saved entries change key owners or the membership. The new entries replace all
+// earlier saved ones from the first one's index on.
 func (f *fence) record(entries []*pb.Entry, appliedIndex uint64) {
 	if len(entries) > 0 {
 		first := entries[0].GetIndex()
@@ -35,13 +36,14 @@
 	f.advance(appliedIndex)
 }
 
-// restore takes a snapshot's index for that of a fence: the index of the entry itself is not known any more.
+// restore advances the fence to a snapshot's index, since the index of the last such entry that the snapshot covers is
+// no longer known.
 func (f *fence) restore(snapshotIndex uint64) {
 	f.applied = max(f.applied, snapshotIndex)
 	f.advance(snapshotIndex)
 }
 
-// advance records that entries were applied up to an index, and publishes the fence.
+// advance records that the entries up to an index were applied, and publishes the new fence index.
 func (f *fence) advance(appliedIndex uint64) {
 	count := 0
 	for ; count < len(f.unapplied) && f.unapplied[count] <= appliedIndex; count++ {
@@ -55,7 +57,7 @@
 	f.published.Store(last)
 }
 
-// isFence reports whether an entry changes the membership or key owners.
+// isFence reports whether an entry changes key owners or the membership.
 func isFence(entry *pb.Entry) bool {
 	if entry.GetType() != pb.EntryNormal {
 		return true
--- a/internal/raftnode/fixture_test.go
+++ b/internal/raftnode/fixture_test.go
@@ -19,7 +19,8 @@
 	"mulleinmux/internal/logging"
 )
 
-// dumpMemberFile returns the content of a member's file. Times of writing and counts of starts are those of the run.
+// dumpMemberFile returns the content of a member's file as text. The time of writing and the incarnation are replaced
+// by their lengths, since they differ between runs.
 func dumpMemberFile(t *testing.T, path string) []byte {
 	t.Helper()
 	return fixture.DumpBolt(t, path, func(bucket, key, value []byte) string {
@@ -31,7 +32,7 @@
 	})
 }
 
-// fixtureState returns a log entry, and the snapshot of the state after it.
+// fixtureState returns a log entry and the snapshot of the state after it.
 func fixtureState(t *testing.T) (text, snapshot []byte) {
 	t.Helper()
 	text, err := clusterconfig.EncodeProposal(&clusterconfig.Proposal{
@@ -53,7 +54,7 @@
 	return text, snapshot
 }
 
-// A new member's file holds the recorded bytes under the recorded keys.
+// Tests that a newly written member file holds the recorded keys and values.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/raftnode -run Fixture
 func TestFixtureFileWritten(t *testing.T) {
@@ -74,7 +75,7 @@
 	fixture.RecordFile(t, "member.db.gz", path)
 }
 
-// A member's file that was recorded opens with the same term, log and snapshot.
+// Tests that the recorded member file is read with the recorded hard state, log and snapshot.
 func TestFixtureFileRead(t *testing.T) {
 	t.Parallel()
 	_, snapshot := fixtureState(t)
@@ -92,15 +93,14 @@
 	if storage.Incarnation() != 3 || !proto.Equal(persisted.HardState, hardState(4, 1, 3)) ||
 		!proto.Equal(persisted.Snapshot, snapshotOf(2, 1, string(snapshot))) || len(persisted.Entries) != 2 ||
 		!proto.Equal(persisted.Entries[0], entry(3, 4, "")) || !proto.Equal(persisted.Entries[1], entry(4, 4, "tail")) {
-		t.Errorf("start %d: %+v", storage.Incarnation(), persisted)
+		t.Errorf("recorded file: got incarnation %d, state %+v", storage.Incarnation(), persisted)
 	}
 	if err := clusterconfig.New(nil).Restore(persisted.Snapshot.GetData()); err != nil {
 		t.Error(err)
 	}
 }
 
-// fixtureTransport returns the transport of a member of cluster "c", on a listener of its own, that drops what it
-// receives.
+// fixtureTransport returns the transport of a member of cluster "c" on a new listener. It discards received messages.
 func fixtureTransport(t *testing.T, member uint64, credentials Credentials) *transport {
 	t.Helper()
 	return &transport{
@@ -137,7 +137,7 @@
 	return one, two
 }
 
-// fixtureMessages are the recorded messages of member 1 to member 2.
+// fixtureMessages returns the recorded messages from member 1 to member 2.
 func fixtureMessages() []*pb.Message {
 	message := func(kind pb.MessageType, index uint64) *pb.Message {
 		return &pb.Message{
@@ -157,7 +157,8 @@
 	return []*pb.Message{message(pb.MsgHeartbeat, 0), appends, message(pb.MsgVote, 4), snapshot}
 }
 
-// acceptFrames accepts a connection as a member and returns a function that copies the next frame to out.
+// acceptFrames accepts a connection as a member. It returns the connection and a function that copies the next frame to
+// out.
 func acceptFrames(t *testing.T, listener net.Listener, credentials Credentials, out io.Writer) (
 	conn *tls.Conn, copyFrame func()) {
 	t.Helper()
@@ -181,7 +182,7 @@
 	}
 }
 
-// What a member sends to another one is as it was recorded.
+// Tests that a member sends the recorded frames to another one.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/raftnode -run Fixture
 func TestFixtureFramesSent(t *testing.T) {
@@ -202,7 +203,7 @@
 	copyFrame() // the hello
 	for _, m := range fixtureMessages() {
 		sender.send(m)
-		copyFrame() // one by one, so that the order of queues plays no part
+		copyFrame() // sent one at a time, so that the order does not depend on the sender's queues
 	}
 	copyFrame() // the end of the snapshot
 	sender.broadcast([]byte("a word"))
@@ -217,7 +218,7 @@
 	)
 }
 
-// Recorded frames are read as the messages that were sent.
+// Tests that the recorded frames are read as the messages that were sent.
 func TestFixtureFramesReceived(t *testing.T) {
 	t.Parallel()
 	peerCredentials, ownCredentials := fixtureCredentials(t)
@@ -242,15 +243,15 @@
 	}
 	for _, message := range want {
 		if m := receiveNext(ctx, t, received); !proto.Equal(m, message) {
-			t.Errorf("%v is received where %v is sent", m.GetType(), message.GetType())
+			t.Errorf("received message: got %v, want %v", m.GetType(), message.GetType())
 		}
 	}
 	if text := receiveNext(ctx, t, broadcasts); text != "1 a word" {
-		t.Errorf("the broadcast %q", text)
+		t.Errorf("received broadcast: got %q, want \"1 a word\"", text)
 	}
 }
 
-// receiveNext returns the next value of a channel, and fails the test if none comes before ctx ends.
+// receiveNext returns the next value of a channel. It fails the test if ctx ends first.
 func receiveNext[T any](ctx context.Context, t *testing.T, values <-chan T) T {
 	t.Helper()
 	select {
--- a/internal/raftnode/identity.go
+++ b/internal/raftnode/identity.go
@@ -7,33 +7,34 @@
 	"strings"
 )
 
-// Roles in certificates other than members'. Their common names are "cluster/role/name".
+// Roles in the certificates of operators and followers, whose common names are "cluster/role/name". The common name of
+// a member is "cluster/id".
 const (
 	operatorRole = "operator"
 	followerRole = "follower"
 )
 
-// Identity is the subject of a certificate: a member, an operator or a follower.
+// Identity identifies the subject of a certificate: a member, an operator or a follower.
 type Identity struct {
 	Cluster  string
-	Member   uint64 // 0: an operator or a follower
-	Operator string // name; "": not an operator
-	Follower string // name; "": not a follower
+	Member   uint64 // member id, or 0 if the subject is not a member
+	Operator string // operator name, or "" if the subject is not an operator
+	Follower string // follower name, or "" if the subject is not a follower
 }
 
-// IdentityOf returns the identity in a certificate. It does not verify the signature.
+// IdentityOf returns the identity in a certificate. It does not verify the certificate's signature.
 func IdentityOf(certificate *x509.Certificate) (Identity, error) {
 	commonName := certificate.Subject.CommonName
-	owner, name, ok := cutLast(commonName, "/")
-	if cluster, isOperator := strings.CutSuffix(owner, "/"+operatorRole); isOperator {
+	prefix, name, ok := cutLast(commonName, "/")
+	if cluster, isOperator := strings.CutSuffix(prefix, "/"+operatorRole); isOperator {
 		return Identity{Cluster: cluster, Operator: name}, nil
 	}
-	if cluster, isFollower := strings.CutSuffix(owner, "/"+followerRole); isFollower {
+	if cluster, isFollower := strings.CutSuffix(prefix, "/"+followerRole); isFollower {
 		return Identity{Cluster: cluster, Follower: name}, nil
 	}
 	member, err := strconv.ParseUint(name, 10, 64)
-	identity := Identity{Cluster: owner, Member: member}
-	if !ok || err != nil || member == 0 || commonName != memberCommonName(owner, member) {
+	identity := Identity{Cluster: prefix, Member: member}
+	if !ok || err != nil || member == 0 || commonName != memberCommonName(prefix, member) {
 		return identity, fmt.Errorf("certificate of %q, which is no member's, operator's or follower's", commonName)
 	}
 	return identity, nil
--- a/internal/raftnode/live_cluster_test.go
+++ b/internal/raftnode/live_cluster_test.go
@@ -20,7 +20,7 @@
 	"mulleinmux/internal/testserver"
 )
 
-// testTimeout bounds every wait of a test; none is expected to come near it.
+// testTimeout limits every wait in the tests. It is far longer than any expected wait.
 const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) {
@@ -35,16 +35,15 @@
 	liveCatchUpEntries     = 20
 )
 
-// liveCluster is a cluster of nodes on real time, sockets and files. Its members have the ids
-// from 1 on.
+// liveCluster is a cluster of nodes that use real time, sockets and files. Its members have ids from 1 on.
 type liveCluster struct {
 	t                  testing.TB
 	dir                string
 	authority          *Authority
 	addresses          map[uint64]string
-	listeners          map[uint64]net.Listener // opened for a first start
-	nodes              map[uint64]*Node        // that are up
-	storages           map[uint64]*BoltStorage // that are open
+	listeners          map[uint64]net.Listener // opened for the first start of a member
+	nodes              map[uint64]*Node        // running members
+	storages           map[uint64]*BoltStorage // open files
 	tickInterval       time.Duration
 	entriesPerSnapshot uint64
 }
@@ -69,7 +68,7 @@
 		entriesPerSnapshot: entriesPerSnapshot,
 	}
 	for id := uint64(1); id <= uint64(memberCount); id++ {
-		address, err := testserver.FreeAddr("tcp") // that no other connection takes while the member is down
+		address, err := testserver.FreeAddr("tcp") // stays reserved while the member is stopped
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,7 +101,7 @@
 	return filepath.Join(c.dir, fmt.Sprint(id, ".db"))
 }
 
-// start starts a member, at the address that it had.
+// start starts a member, always at the same address.
 func (c *liveCluster) start(id uint64) {
 	c.t.Helper()
 	listener := c.listeners[id]
@@ -168,23 +167,23 @@
 	return status
 }
 
-// isReady and isLed are conditions to await.
+// isReady and isLed are conditions for await.
 func isReady(s Status) bool { return s.Ready }
 func isLed(s Status) bool   { return s.Ready && s.Leader != 0 }
 
-// await waits until a condition holds of every member that is up.
+// await waits until a condition holds for every running member.
 func (c *liveCluster) await(what string, condition func(Status) bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(testTimeout)
-	for !c.holdsOfAll(condition) {
+	for !c.holdsForAll(condition) {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("condition not met within the timeout: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (c *liveCluster) holdsOfAll(condition func(Status) bool) bool {
+func (c *liveCluster) holdsForAll(condition func(Status) bool) bool {
 	c.t.Helper()
 	for id := range c.nodes {
 		if !condition(c.status(id)) {
@@ -194,12 +193,12 @@
 	return true
 }
 
-// elect has a member become the leader of a cluster that has none, without waiting for the election timeout.
+// elect makes a member the leader of a cluster without a leader, without waiting for the election timeout.
 func (c *liveCluster) elect(id uint64) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	for c.status(id).Leader != id { // until the members are connected, votes are lost
+	for c.status(id).Leader != id { // repeated, since votes are lost until the members are connected
 		node := c.nodes[id]
 		if err := node.loop.call(ctx, func() { node.core.rawNode.Campaign() }); err != nil {
 			c.t.Fatal(err)
@@ -208,8 +207,8 @@
 	}
 }
 
-// awaitConverged waits until every member that is up is ready, at a version, and has the
-// state of the one given.
+// awaitConverged waits until every running member is ready, has the given version, and has the same state as the member
+// reference.
 func (c *liveCluster) awaitConverged(version, reference uint64) {
 	c.t.Helper()
 	c.await("ready and converged", func(s Status) bool {
@@ -217,7 +216,7 @@
 	})
 }
 
-// followers returns the two members of three that do not lead, as member 1 sees it.
+// followers returns the two followers of a cluster of three, according to member 1.
 func (c *liveCluster) followers() (first, second uint64) {
 	c.t.Helper()
 	leader := c.status(1).Leader
@@ -225,7 +224,7 @@
 	return first, 6 - first - leader
 }
 
-// propose has a proposal applied by way of a member.
+// propose proposes a change to a member and returns its outcome.
 func (c *liveCluster) propose(id uint64, p *clusterconfig.Proposal) clusterconfig.Outcome {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -237,7 +236,8 @@
 	return outcome
 }
 
-// proposeConcurrently has operators propose so many changes each by way of a member, and waits for all.
+// proposeConcurrently runs concurrent operators, each of which proposes changesEach changes to a member, and waits for
+// all of them.
 func (c *liveCluster) proposeConcurrently(id uint64, operators, changesEach int) {
 	c.t.Helper()
 	var running sync.WaitGroup
@@ -251,7 +251,7 @@
 	running.Wait()
 }
 
-// putPlanProposal puts a plan, under the same name each time.
+// putPlanProposal returns a proposal that puts a plan, always under the same name.
 func putPlanProposal(id string, price int) *clusterconfig.Proposal {
 	plan := json.RawMessage(fmt.Sprintf(`{"rate":0,"burst":0,"price":%d}`, price))
 	return &clusterconfig.Proposal{
@@ -260,7 +260,7 @@
 	}
 }
 
-// putDescriptionProposal puts a description of a text.
+// putDescriptionProposal returns a proposal that puts a description.
 func putDescriptionProposal(t testing.TB, id string, description clusterconfig.Description) *clusterconfig.Proposal {
 	t.Helper()
 	value, err := json.Marshal(description)
--- a/internal/raftnode/membership.go
+++ b/internal/raftnode/membership.go
@@ -6,13 +6,13 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// membership is the membership in force: that of the last applied entry which changes it.
+// membership is the cluster's membership as of the last applied entry that changes it.
 type membership struct {
 	confState *pb.ConfState
 }
 
-// ids returns the ids of all members in ascending order: voters, outgoing voters and learners of a joint configuration
-// among them.
+// ids returns the ids of all members in ascending order: voters and learners and, in a joint configuration, also the
+// outgoing voters and the next learners.
 func (m membership) ids() []uint64 {
 	ids := slices.Concat(
 		m.confState.GetVoters(),
@@ -24,16 +24,18 @@
 	return slices.Compact(ids)
 }
 
-// contains reports whether a member is in any role.
+// contains reports whether a member belongs to the membership in any role.
 func (m membership) contains(id uint64) bool { return slices.Contains(m.ids(), id) }
 
-// isJoint reports whether it is a joint configuration: the voters are changing.
+// isJoint reports whether the membership is a joint configuration, that is, whether a change of the voters is in
+// progress.
 func (m membership) isJoint() bool { return len(m.confState.GetVotersOutgoing()) > 0 }
 
-// membershipWaiters are the functions that wait for membership changes, by the context of the entry.
+// membershipWaiters holds the callbacks of pending membership changes, by the change's id, which is the context of its
+// entry.
 type membershipWaiters map[string]func(error)
 
-// complete calls what waits for a change that was applied.
+// complete calls and removes the callback of a change that was applied.
 func (w membershipWaiters) complete(id string) {
 	done := w[id]
 	if done == nil {
@@ -43,7 +45,7 @@
 	done(nil)
 }
 
-// fail calls all that wait with an error.
+// fail calls and removes all callbacks, with an error.
 func (w membershipWaiters) fail(err error) {
 	for id, done := range w {
 		delete(w, id)
@@ -56,8 +58,8 @@
 	return c.membership.confState.GetVoters(), c.membership.confState.GetLearners()
 }
 
-// ProposeConfChange proposes a change of the membership; several changes at once use a joint configuration. done
-// is called when the change is applied here, or with an error. id must be unique.
+// ProposeConfChange proposes a change of the membership. Several changes at once use a joint configuration. done is
+// called with nil when this member has applied the change, or with an error. id must be unique.
 func (c *Core) ProposeConfChange(id string, changes []*pb.ConfChangeSingle, done func(error)) {
 	if c.stopErr != nil {
 		done(c.stopErr)
@@ -71,8 +73,9 @@
 	c.membershipChanges[id] = done
 }
 
-// AbandonMembershipChange stops waiting for a membership change, without calling done. The change may still be applied.
+// AbandonMembershipChange stops waiting for a membership change; its done is not called. The change may still be
+// applied.
 func (c *Core) AbandonMembershipChange(id string) { delete(c.membershipChanges, id) }
 
-// TransferLeadership requests the leader to transfer its leadership to another member.
+// TransferLeadership requests that the leader transfer its leadership to another member.
 func (c *Core) TransferLeadership(to uint64) { c.rawNode.TransferLeader(to) }
--- a/internal/raftnode/memory_storage_test.go
+++ b/internal/raftnode/memory_storage_test.go
@@ -7,18 +7,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// memoryStorage is a Storage in memory. It holds encoded copies, so that what a member does
-// to a message later does not reach it.
+// memoryStorage is a [Storage] in memory. It holds encoded copies, so that later changes to a stored message do not
+// affect it.
 type memoryStorage struct {
 	hardState []byte
 	snapshot  []byte
 	log       map[uint64][]byte // by index
-	failsSync func() bool       // reports whether this fsync fails; nil: none does
+	failsSync func() bool       // reports whether the next fsync fails; nil: no fsync fails
 }
 
-var errSyncFailed = errors.New("fsync failed on purpose")
+var errSyncFailed = errors.New("injected fsync failure")
 
-// Load returns what was stored, decoded.
+// Load decodes and returns the stored state.
 func (d *memoryStorage) Load() (persisted PersistedState, err error) {
 	if d.hardState != nil {
 		persisted.HardState = &pb.HardState{}
@@ -38,8 +38,8 @@
 	return persisted, err
 }
 
-// Save stores all of its arguments or, where the fsync fails, none. What needs no sync is
-// always lost.
+// Save stores all of its arguments, or none of them if the fsync fails. It discards arguments that need no sync, as a
+// crash may.
 func (d *memoryStorage) Save(hardState *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot, sync bool) error {
 	if !sync {
 		return nil
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -16,36 +16,37 @@
 // NodeConfig configures a [Node].
 type NodeConfig struct {
 	Config
-	Cluster       string // name; a certificate of another cluster's member is rejected
+	Cluster       string // name of the cluster; peers with a certificate of another cluster are rejected
 	Credentials   Credentials
-	Incarnation   uint64            // of the member's file, see [BoltStorage.Incarnation]; 0: not known
-	TickInterval  time.Duration     // 0: defaultTickInterval; see [Config.ElectionTicks]
-	PeerAddresses map[uint64]string // of all members, by id
+	Incarnation   uint64            // incarnation of the member's file, see [BoltStorage.Incarnation]; 0: unknown
+	TickInterval  time.Duration     // the unit of [Config.ElectionTicks]; 0: defaultTickInterval
+	PeerAddresses map[uint64]string // addresses of all members, by id
 	Logger        *slog.Logger
 
-	// OnChange, if set, is called after the state has changed. It must not block.
+	// OnChange, if set, is called on the event loop after the state has changed. It must not block.
 	OnChange func()
-	// OnBroadcast, if set, is called with another member's [Node.Broadcast]. It must not retain text.
+	// OnBroadcast, if set, is called with each received [Node.Broadcast] of another member. It must not retain text.
 	OnBroadcast func(from uint64, text []byte)
 	// WrapSend, if set, wraps the sending of messages, to inject faults in tests and scenarios.
 	WrapSend func(send func(*pb.Message)) func(*pb.Message)
 }
 
-// defaultTickInterval has an election begin after 0.5 to 1 s without a leader.
+// defaultTickInterval, with defaultElectionTicks, starts an election after 0.5 to 1 s without a message from the
+// leader.
 const defaultTickInterval = 50 * time.Millisecond
 
-// Node is a member on real time, sockets and storage. It is safe for concurrent use. Only its
-// event loop, one goroutine from [Start] until [Node.Done], uses the Core.
+// Node is a member that runs with a ticker, network connections and a storage. It is safe for concurrent use. Only its
+// event loop, one goroutine that runs from [Start] until [Node.Done] is closed, uses the Core.
 type Node struct {
 	cfg       NodeConfig
 	loop      *eventLoop
 	core      *Core // used only by the event loop
 	transport *transport
 	send      func(*pb.Message)
-	cancel    context.CancelFunc // ends the event loop and the transport
+	cancel    context.CancelFunc // stops the event loop and the transport
 }
 
-// Start starts a member on a listener, which it closes when it stops.
+// Start starts a member. The member closes the listener when it stops, but not the storage.
 func Start(cfg NodeConfig, storage Storage, listener net.Listener) (*Node, error) {
 	if cfg.TickInterval == 0 {
 		cfg.TickInterval = defaultTickInterval
@@ -75,7 +76,8 @@
 	return n, nil
 }
 
-// newTransport returns a transport whose callbacks run on the event loop.
+// newTransport returns a transport that passes messages and send results to the event loop. OnBroadcast is called
+// directly by the transport.
 func (n *Node) newTransport(ctx context.Context, listener net.Listener) *transport {
 	return &transport{
 		cluster:     n.cfg.Cluster,
@@ -89,7 +91,7 @@
 			n.loop.enqueue(ctx, func() { n.core.Step(m) })
 		},
 		onSendResult: func(m *pb.Message, ok bool) {
-			// The event loop itself may call this while it sends. It must not block on its own queue.
+			// The event loop may call this while it sends a message, and must not block on its own queue.
 			n.transport.goroutines.Go(func() {
 				n.loop.enqueue(ctx, func() { n.reportSendResult(m, ok) })
 			})
@@ -97,7 +99,8 @@
 	}
 }
 
-// reportSendResult reports to the Core whether a message was sent. It runs on the event loop.
+// reportSendResult reports to the Core that a snapshot was sent or not, or that another message could not be sent. It
+// must run on the event loop.
 func (n *Node) reportSendResult(m *pb.Message, ok bool) {
 	if m.GetType() == pb.MsgSnap {
 		n.core.ReportSnapshot(m.GetTo(), ok)
@@ -106,7 +109,7 @@
 	}
 }
 
-// runEventLoop drives the Core until ctx ends or the Core fails.
+// runEventLoop runs the Core until ctx ends or the Core has stopped with an error.
 func (n *Node) runEventLoop(ctx context.Context) {
 	defer close(n.loop.done)
 	defer n.transport.wait()
@@ -133,16 +136,16 @@
 	}
 }
 
-// Stop ends the node and waits until it has ended.
+// Stop stops the node and waits until all its goroutines have ended.
 func (n *Node) Stop() {
 	n.cancel()
 	<-n.loop.done
 }
 
-// Done is closed when the node has ended; [Node.Err] returns the reason.
+// Done returns a channel that is closed when the node has stopped. [Node.Err] then returns the reason.
 func (n *Node) Done() <-chan struct{} { return n.loop.done }
 
-// Err returns why the node has ended, or nil while it runs.
+// Err returns the reason why the node has stopped, or nil while it runs.
 func (n *Node) Err() error {
 	select {
 	case <-n.loop.done:
@@ -152,5 +155,5 @@
 	}
 }
 
-// SetPeers sets the addresses of all members.
+// SetPeers replaces the addresses of all members, by member id.
 func (n *Node) SetPeers(addresses map[uint64]string) { n.transport.setPeers(addresses) }
--- a/internal/raftnode/node_broadcast.go
+++ b/internal/raftnode/node_broadcast.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Broadcast sends a text of up to 64 KiB to all other members, whose [NodeConfig.OnBroadcast]
-// is called with it. Texts may be lost, but are not reordered.
+// Broadcast sends a text of up to 64 KiB to all other members, which call their [NodeConfig.OnBroadcast] with it. A
+// broadcast may be lost; broadcasts to the same member are not reordered.
 func (n *Node) Broadcast(text []byte) error {
 	if len(text) > maxBroadcastBytes {
-		return fmt.Errorf("a word of %d bytes: %d are the most", len(text), maxBroadcastBytes)
+		return fmt.Errorf("broadcast of %d bytes exceeds the maximum of %d bytes", len(text), maxBroadcastBytes)
 	}
 	n.transport.broadcast(text)
 	return nil
--- a/internal/raftnode/node_membership.go
+++ b/internal/raftnode/node_membership.go
@@ -10,14 +10,12 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// transferPollTicks is the number of ticks between checks whether the leadership was
-// transferred.
+// transferPollTicks is the number of ticks between two checks whether the leadership was transferred.
 const transferPollTicks = 2
 
-// ChangeMembership changes the membership. remaining is called, on the event loop, with the
-// voters and learners in force and returns the changes that remain to be made; it is
-// called until it returns none. Several changes at once use a joint configuration. A call may
-// be repeated if its result was lost.
+// ChangeMembership changes the membership. It calls remaining on the event loop with the current voters and learners.
+// remaining returns the changes that remain to be made; they are proposed, and remaining is called again until it
+// returns none. Several changes at once use a joint configuration. The caller may repeat a call whose result was lost.
 func (n *Node) ChangeMembership(ctx context.Context,
 	remaining func(voters, learners []uint64) []*pb.ConfChangeSingle) error {
 	for round := 0; ; round++ {
@@ -45,8 +43,8 @@
 	}
 }
 
-// proposeRemaining proposes the changes that remain to be made, and returns their number.
-// The proposal's result is sent to results.
+// proposeRemaining proposes the changes that remain to be made, and returns their number. The result of the proposal is
+// sent to results.
 func (n *Node) proposeRemaining(ctx context.Context, id string,
 	remaining func(voters, learners []uint64) []*pb.ConfChangeSingle, results chan<- error) (int, error) {
 	changeCount := 0
@@ -64,9 +62,9 @@
 	return changeCount, err
 }
 
-// awaitMembershipChange waits for the result of a membership change, for an election timeout
-// at most: a change that was lost, or dropped for another one in progress, has to be proposed
-// again. If no leader is known, it returns [ErrNoLeader] at the end of that time.
+// awaitMembershipChange waits for the result of a membership change, for at most one election timeout. It returns nil
+// at the end of that time or of ctx: a change that was lost, or that was dropped because another one is in progress,
+// has to be proposed again. If no leader is known, it returns [ErrNoLeader] after the election timeout.
 func (n *Node) awaitMembershipChange(ctx context.Context, results <-chan error) error {
 	timer := time.NewTimer(n.electionTimeout())
 	defer timer.Stop()
@@ -83,8 +81,8 @@
 	}
 }
 
-// TransferLeadership has the leader transfer its leadership to a voter and waits until this
-// member knows of it.
+// TransferLeadership requests that the leader transfer its leadership to a voter, and repeats the request until this
+// member knows the voter as leader.
 func (n *Node) TransferLeadership(ctx context.Context, to uint64) error {
 	for {
 		var leader uint64
--- a/internal/raftnode/node_propose.go
+++ b/internal/raftnode/node_propose.go
@@ -11,56 +11,57 @@
 )
 
 const (
-	proposalRetryTicks   = 4       // ticks between attempts while no leader is known
-	proposalElections    = 3       // election timeouts until a small proposal is repeated
-	proposalBytesPerWait = 1 << 20 // bytes of values for which it is one election timeout more
+	proposalRetryTicks       = 4       // ticks between attempts while no leader is known
+	proposalTimeoutElections = 3       // election timeouts after which a small proposal is repeated
+	proposalBytesPerElection = 1 << 20 // bytes of values for which the wait is one election timeout longer
 )
 
-// errNotEnqueued and errNoAnswer are errors of an attempt besides those of the Core.
+// errNotEnqueued and errNoResult are the errors of an attempt to propose that do not come from the Core. They are not
+// returned to callers.
 var (
-	errNotEnqueued = errors.New("the event loop has ended, or the caller's time")
-	errNoAnswer    = errors.New("no answer came in time")
+	errNotEnqueued = errors.New("proposal not queued: the event loop or the context has ended")
+	errNoResult    = errors.New("no result of the proposal before the timeout or the end of the context")
 )
 
-// proposalRetry decides whether a proposal is repeated after an attempt. A repeat has the same id, so that the proposal
-// is applied at most once.
+// proposalRetry decides after each attempt whether a proposal is repeated. A repeated proposal has the same id, so that
+// it is applied at most once.
 type proposalRetry struct {
-	answerTimeout time.Duration // of the next attempt
+	resultTimeout time.Duration // longest wait for the result of the next attempt
 	lastErr       error
-	mayBeApplied  bool // an attempt has reached a leader, and its result was lost
+	mayBeApplied  bool // an attempt may have reached a leader, and its result was lost
 }
 
-// retryVerdict is what follows an attempt.
-type retryVerdict int
+// retryDecision is the decision whether a proposal is repeated after an attempt.
+type retryDecision int
 
 const (
-	retryNever retryVerdict = iota // the result stands
+	retryNever retryDecision = iota // the attempt's result is final
 	retryNow
 	retryLater // after proposalRetryTicks
 )
 
-// newProposalRetry returns the state before a proposal's first attempt. A long proposal that is repeated too early adds
-// to the load that delays it, so that the wait for an answer, of proposalElections election timeouts, grows with its
-// size.
+// newProposalRetry returns the state before a proposal's first attempt. The wait for a result is
+// proposalTimeoutElections election timeouts and grows with the proposal's size: a long proposal that is repeated too
+// early adds to the load that delays it.
 func newProposalRetry(p *clusterconfig.Proposal, electionTimeout time.Duration) *proposalRetry {
 	size := 0
 	for _, change := range p.Changes {
 		size += len(change.Value)
 	}
-	elections := time.Duration(proposalElections + size/proposalBytesPerWait)
-	return &proposalRetry{answerTimeout: elections * electionTimeout, lastErr: ErrNoLeader}
+	elections := time.Duration(proposalTimeoutElections + size/proposalBytesPerElection)
+	return &proposalRetry{resultTimeout: elections * electionTimeout, lastErr: ErrNoLeader}
 }
 
-// afterAttempt decides what follows an attempt that ended with an error, or nil. Without an answer the next attempt
-// follows at once and waits twice as long; without a leader it waits for one.
-func (r *proposalRetry) afterAttempt(err error) retryVerdict {
+// afterAttempt decides whether a proposal is repeated after an attempt that ended with err, which may be nil. Without a
+// result it is repeated at once, with twice the wait; while no leader is known it is repeated after a delay.
+func (r *proposalRetry) afterAttempt(err error) retryDecision {
 	switch {
 	case err == nil:
 		return retryNever
-	case errors.Is(err, errNoAnswer):
+	case errors.Is(err, errNoResult):
 		r.lastErr = ErrOutcomeUnknown
 		r.mayBeApplied = true
-		r.answerTimeout *= 2
+		r.resultTimeout *= 2
 		return retryNow
 	case errors.Is(err, ErrOutcomeUnknown):
 		r.lastErr = err
@@ -73,26 +74,26 @@
 	return retryNever
 }
 
-// giveUp returns the error at the end of the caller's time.
-func (r *proposalRetry) giveUp(ctxErr error) error {
+// contextError returns the error of a proposal whose caller's context has ended, with ctxErr.
+func (r *proposalRetry) contextError(ctxErr error) error {
 	if r.mayBeApplied {
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctxErr)
 	}
 	return fmt.Errorf("%w: %w", r.lastErr, ctxErr)
 }
 
-// Propose has a proposal replicated and returns its outcome. If the result is lost (for
-// example with a leader), it repeats the proposal with the same id until ctx ends, which
-// applies it at most once. At ctx's end the error wraps ctx.Err() and [ErrNoLeader] if the
-// proposal has reached no leader, or else [ErrOutcomeUnknown].
+// Propose replicates a proposal and returns its outcome. If the result is lost, for example because the leader failed,
+// it repeats the proposal with the same id until ctx ends; the proposal is applied at most once. If ctx ends first, the
+// error wraps ctx.Err(), and also [ErrNoLeader] if no leader can have received the proposal, or else
+// [ErrOutcomeUnknown].
 func (n *Node) Propose(ctx context.Context, p *clusterconfig.Proposal) (clusterconfig.Outcome, error) {
 	retry := newProposalRetry(p, n.electionTimeout())
 	for {
-		outcome, err := n.proposeOnce(ctx, p, retry.answerTimeout)
+		outcome, err := n.proposeOnce(ctx, p, retry.resultTimeout)
 		if errors.Is(err, errNotEnqueued) {
 			err := n.loop.enqueueError(ctx)
 			if !errors.Is(err, ErrStopped) {
-				return clusterconfig.Outcome{}, retry.giveUp(err)
+				return clusterconfig.Outcome{}, retry.contextError(err)
 			}
 			return clusterconfig.Outcome{}, errors.Join(err, retry.lastErr)
 		}
@@ -104,18 +105,18 @@
 		}
 		if ctx.Err() != nil {
 			n.loop.enqueue(context.Background(), func() { n.core.AbandonProposal(p.ID) })
-			return clusterconfig.Outcome{}, retry.giveUp(ctx.Err())
+			return clusterconfig.Outcome{}, retry.contextError(ctx.Err())
 		}
 	}
 }
 
-// electionTimeout returns the least time without a leader after which an election begins.
+// electionTimeout returns the least time without a message from the leader after which a member starts an election.
 func (n *Node) electionTimeout() time.Duration {
 	return time.Duration(n.core.cfg.ElectionTicks) * n.cfg.TickInterval
 }
 
-// proposeOnce makes one attempt. Besides the Core's errors it returns errNotEnqueued, and
-// errNoAnswer where the timeout has passed or ctx has ended first.
+// proposeOnce makes one attempt to propose. Besides the Core's errors, it returns errNotEnqueued if the event loop did
+// not accept the attempt, and errNoResult if the timeout or ctx ends before there is a result.
 func (n *Node) proposeOnce(ctx context.Context, p *clusterconfig.Proposal,
 	timeout time.Duration) (clusterconfig.Outcome, error) {
 	type result struct {
@@ -123,7 +124,7 @@
 		err     error
 	}
 	results := make(chan result, 1)
-	var once sync.Once // several attempts may wait for one id, so that done may be called twice
+	var once sync.Once // done may be called twice, since several attempts may wait for one id
 	done := func(outcome clusterconfig.Outcome, err error) {
 		once.Do(func() { results <- result{outcome, err} })
 	}
@@ -136,8 +137,8 @@
 	case r := <-results:
 		return r.outcome, r.err
 	case <-timer.C:
-		return clusterconfig.Outcome{}, errNoAnswer
+		return clusterconfig.Outcome{}, errNoResult
 	case <-ctx.Done():
-		return clusterconfig.Outcome{}, errNoAnswer
+		return clusterconfig.Outcome{}, errNoResult
 	}
 }
--- a/internal/raftnode/node_read.go
+++ b/internal/raftnode/node_read.go
@@ -9,12 +9,12 @@
 	"mulleinmux/clusterconfig"
 )
 
-// LinearizableRead calls read with the state as soon as all entries that were committed at the
-// time of the call, at any member, are applied here. read runs on the event loop: it must not
-// block or retain the state. It is not called after LinearizableRead has returned.
+// LinearizableRead calls read with the state as soon as this member has applied all entries that were committed in the
+// cluster at the time of the call. read runs on the event loop: it must not block or retain the state. It is not called
+// after LinearizableRead has returned.
 func (n *Node) LinearizableRead(ctx context.Context, read func(*clusterconfig.State)) error {
 	results := make(chan error, 1)
-	var mu sync.Mutex // guards hasReturned, and read against the return
+	var mu sync.Mutex // guards hasReturned, and delays the return while read runs
 	hasReturned := false
 	defer func() {
 		mu.Lock()
@@ -40,10 +40,10 @@
 	}
 }
 
-// Status is a member's local view.
+// Status is a member's local view of the cluster.
 type Status struct {
 	ID           uint64   `json:"id"`
-	Leader       uint64   `json:"leader"` // 0: none is known
+	Leader       uint64   `json:"leader"` // id of the leader, or 0 if none is known
 	Ready        bool     `json:"ready"`  // see [Core.IsReady]
 	Version      uint64   `json:"version"`
 	AppliedIndex uint64   `json:"index"`
@@ -52,7 +52,7 @@
 	Learners     []uint64 `json:"learners"`
 }
 
-// Status returns the member's local view, without contacting others.
+// Status returns the member's local view, without contacting other members.
 func (n *Node) Status(ctx context.Context) (Status, error) {
 	statuses := make(chan Status, 1)
 	if !n.loop.enqueue(ctx, func() { statuses <- n.core.status() }) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// status returns the member's view.
+// status returns the member's local view.
 func (c *Core) status() Status {
 	voters, learners := c.Members()
 	return Status{
@@ -83,23 +83,22 @@
 	}
 }
 
-// AppliedState returns the configuration as applied here, without contacting others.
+// AppliedState returns the configuration as applied by this member, without contacting other members.
 func (n *Node) AppliedState(ctx context.Context) (*clusterconfig.State, error) {
 	var state *clusterconfig.State
 	err := n.loop.call(ctx, func() { state = n.core.State().Freeze() })
 	return state, err
 }
 
-// Membership is the membership in force at an index of the log.
+// Membership is the cluster's membership as of an index of the log.
 type Membership struct {
 	AppliedIndex uint64
 	Members      []uint64 // voters and learners
 	Voters       []uint64
-	IsJoint      bool // a joint configuration: the voters are changing
+	IsJoint      bool // a joint configuration: a change of the voters is in progress
 }
 
-// AppliedStateAndMembership returns the result of [Node.AppliedState] and the membership in force at
-// the same index.
+// AppliedStateAndMembership returns the result of [Node.AppliedState] and the membership as of the same index.
 func (n *Node) AppliedStateAndMembership(ctx context.Context) (*clusterconfig.State, Membership, error) {
 	var state *clusterconfig.State
 	var membership Membership
@@ -116,10 +115,10 @@
 	return state, membership, err
 }
 
-// FenceIndex is [Core.FenceIndex].
+// FenceIndex returns the result of [Core.FenceIndex].
 func (n *Node) FenceIndex() uint64 { return n.core.FenceIndex() }
 
-// ReplicationLag is [Core.ReplicationLag].
+// ReplicationLag returns the result of [Core.ReplicationLag].
 func (n *Node) ReplicationLag(ctx context.Context, member uint64) (entries uint64, known bool, err error) {
 	err = n.loop.call(ctx, func() { entries, known = n.core.ReplicationLag(member) })
 	return entries, known, err
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -10,9 +10,9 @@
 	"mulleinmux/clusterconfig"
 )
 
-// A leader that is lost under a stream of changes takes none of the answered ones along; one
-// that comes back, and one that missed so much that the log was compacted, catch up before
-// they are ready; all have one history.
+// Tests that no acknowledged change is lost when the leader stops during a series of changes. The old leader, restarted
+// after the log was compacted past its last entry, must catch up before it is ready, and all members must end with the
+// same state.
 func TestLeaderLoss(t *testing.T) {
 	t.Parallel()
 	c := newLiveCluster(t, 3)
@@ -21,18 +21,18 @@
 	via := leader%3 + 1
 	for i := range 20 {
 		if o := c.propose(via, putPlanProposal(fmt.Sprint("a", i), i)); !o.IsApplied || o.Version != uint64(i+1) {
-			t.Fatalf("%+v", o)
+			t.Fatalf("outcome of a change: got %+v, want it applied as the next version", o)
 		}
 	}
 	c.stop(leader)
 	stoppedAt := time.Now()
 	if o := c.propose(via, putPlanProposal("b", 1)); !o.IsApplied || o.Version != 21 {
-		t.Fatalf("after the leader was lost: %+v", o)
+		t.Fatalf("change after the leader stopped: got %+v, want it applied as version 21", o)
 	}
 	t.Logf("the next change was applied %v after the leader was stopped", time.Since(stoppedAt))
-	// A repeated proposal has the outcome that it had.
+	// A repeated proposal has its original outcome.
 	if o := c.propose(via, putPlanProposal("a3", 3)); !o.IsApplied || o.Version != 4 {
-		t.Errorf("repeated: %+v", o)
+		t.Errorf("repeated proposal: got %+v, want it applied as version 4", o)
 	}
 	c.proposeConcurrently(via, 8, 60)
 	c.start(leader)
@@ -40,7 +40,7 @@
 	c.checkReads(501)
 }
 
-// checkReads checks that a linearizable read at each member sees a version.
+// checkReads checks that a linearizable read at each member returns the given version.
 func (c *liveCluster) checkReads(want uint64) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -49,13 +49,13 @@
 		version := uint64(0)
 		err := node.LinearizableRead(ctx, func(s *clusterconfig.State) { version = s.Version() })
 		if err != nil || version != want {
-			c.t.Errorf("member %d reads version %d, error %v", id, version, err)
+			c.t.Errorf("read at member %d: got version %d, error %v", id, version, err)
 		}
 	}
 }
 
-// A minority takes no change and confirms no read, and says so; it is not ready after a
-// restart until a quorum is back.
+// Tests that a minority commits no change and confirms no read, and returns an error for both. After a restart it must
+// not be ready until a quorum is running again.
 func TestMinorityCannotCommit(t *testing.T) {
 	t.Parallel()
 	c := newLiveCluster(t, 3)
@@ -69,41 +69,41 @@
 	defer cancel()
 	if _, err := c.nodes[1].Propose(ctx, putPlanProposal("b", 2)); err == nil ||
 		!strings.Contains(err.Error(), "leader") {
-		t.Errorf("a change by a minority: %v", err)
+		t.Errorf("change proposed to a minority: got error %v, want one about the leader", err)
 	}
-	read := func(*clusterconfig.State) { t.Error("a read by a minority") }
+	read := func(*clusterconfig.State) { t.Error("read at a minority: the state was read") }
 	if err := c.nodes[1].LinearizableRead(ctx, read); err == nil {
-		t.Error("a read by a minority is confirmed")
+		t.Error("read at a minority: got no error")
 	}
 	if s := c.status(1); s.Ready || s.Version > 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("status of a minority: got %+v, want not ready and at most version 1", s)
 	}
 	c.start(2)
 	c.await("ready again", func(s Status) bool { return s.Ready && s.Version >= 1 })
 }
 
-// A change of 8 MB is applied, and one over the limit is rejected with its size.
+// Tests that a change of 8 MiB is applied, and that one over the limit is rejected with an error about its size.
 func TestLargeProposal(t *testing.T) {
 	t.Parallel()
-	c := newLiveClusterWith(t, 3, 200*time.Millisecond, 200) // no election may come while 8 MB are written and read
+	c := newLiveClusterWith(t, 3, 200*time.Millisecond, 200) // no election may start while 8 MiB are written
 	c.elect(1)
 	c.await("ready", isReady)
 	text := strings.Repeat("x", 8<<20)
 	proposal := putDescriptionProposal(t, "a", clusterconfig.Description{File: "d.yaml", Text: text})
 	if o := c.propose(2, proposal); !o.IsApplied {
-		t.Errorf("%+v", o)
+		t.Errorf("change of 8 MiB: got %+v, want it applied", o)
 	}
 	c.await("applied everywhere", func(s Status) bool { return s.Version == 1 })
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	tooLarge := putDescriptionProposal(t, "b", clusterconfig.Description{File: "d.yaml", Text: text + text})
 	if _, err := c.nodes[1].Propose(ctx, tooLarge); err == nil || !strings.Contains(err.Error(), "are the most") {
-		t.Errorf("%v", err)
+		t.Errorf("change over the limit: got error %v, want one about its size", err)
 	}
 }
 
-// Broadcasts go to all other members, in order and with the sender's id; one that is too long
-// is rejected. (That one received too long ends the connection: TestRejectsForeignPeers.)
+// Tests that broadcasts reach all other members in order and with the sender's id, and that one that is too long is
+// rejected. (TestRejectsForeignPeers tests that receiving one that is too long ends the connection.)
 func TestBroadcast(t *testing.T) {
 	t.Parallel()
 	c := newLiveCluster(t, 3)
@@ -128,14 +128,14 @@
 		select {
 		case d := <-deliveries:
 			if d.from != 1 || d.to == 1 || d.text != fmt.Sprint("message ", next[d.to]) {
-				t.Fatalf("%+v after %v", d, next)
+				t.Fatalf("delivery %+v is misdirected or out of order; next broadcast by receiver: %v", d, next)
 			}
 			next[d.to]++
 		case <-time.After(testTimeout):
-			t.Fatalf("broadcasts are missing: %v", next)
+			t.Fatalf("broadcasts not received within the timeout; next broadcast by receiver: %v", next)
 		}
 	}
 	if err := c.nodes[1].Broadcast(make([]byte, maxBroadcastBytes+1)); err == nil {
-		t.Error("a broadcast that is too long is accepted")
+		t.Error("broadcast over the maximum size: got no error")
 	}
 }
--- a/internal/raftnode/partition_test.go
+++ b/internal/raftnode/partition_test.go
@@ -10,14 +10,14 @@
 	"mulleinmux/clusterconfig"
 )
 
-// newFaultlessCluster returns a simulated cluster without random faults, and its leader.
+// newFaultlessCluster returns a simulated cluster of three members without random faults, and its leader.
 func newFaultlessCluster(t *testing.T, seed uint64) (c *simCluster, leader *simMember) {
 	c = newSimCluster(t, seed, 3)
 	c.faultsEnded = true
 	return c, c.awaitLeader()
 }
 
-// awaitNewLeader steps until a member knows of another leader than the old one.
+// awaitNewLeader steps until member m knows a leader other than old.
 func (c *simCluster) awaitNewLeader(m, old *simMember) {
 	for range 400 {
 		c.step()
@@ -27,7 +27,7 @@
 	}
 }
 
-// awaitSameState steps until a member is up and has the state of another.
+// awaitSameState steps until member m is up and has the same state as reference.
 func (c *simCluster) awaitSameState(m, reference *simMember) {
 	c.t.Helper()
 	for i := 0; m.core == nil || m.core.State().Hash() != reference.core.State().Hash(); i++ {
@@ -36,14 +36,16 @@
 			continue
 		}
 		if m.core == nil {
-			c.fatalf("member %d is down", m.id)
+			c.fatalf("member %d is still down", m.id)
 		}
-		c.fatalf("member %d has version %d of %d", m.id, m.core.State().Version(), reference.core.State().Version())
+		c.fatalf("member %d did not converge: got version %d, want %d",
+			m.id, m.core.State().Version(), reference.core.State().Version())
 	}
 }
 
-// A member that was removed while it was cut off does not know it, and calls elections once
-// it is reachable again: the leader stays, in its term, and changes go on.
+// Tests that a member that was removed while it was isolated cannot disrupt the cluster. It has not received its
+// removal and starts elections when it is reachable again: the leader must keep its term, and changes must still be
+// applied.
 func TestRemovedMemberCannotDisrupt(t *testing.T) {
 	t.Parallel()
 	c, leader := newFaultlessCluster(t, 11)
@@ -62,7 +64,7 @@
 		c.step()
 	}
 	if !isRemoved {
-		c.fatalf("the member is not removed")
+		c.fatalf("the removal of the member was not applied")
 	}
 	term := leader.core.rawNode.BasicStatus().GetTerm()
 	c.reconnect(removed)
@@ -73,37 +75,38 @@
 		c.propose(leader, fmt.Sprint("a", i))
 	}
 	if now := leader.core.rawNode.BasicStatus().GetTerm(); now != term || leader.core.Leader() != leader.id {
-		c.fatalf("term %d became %d, leader %d", term, now, leader.core.Leader())
+		c.fatalf("the removed member disrupted the leader: term was %d, is %d, leader %d", term, now, leader.core.Leader())
 	}
 	if voters, _ := removed.core.Members(); len(voters) != 3 {
-		c.fatalf("the removed member knows it")
+		c.fatalf("the removed member has received its removal, which the test assumes it cannot")
 	}
 }
 
-// A member that was cut off until the log behind it was compacted gets a snapshot when the
-// cut ends, and serves on what it then has.
+// Tests that a member that was isolated until the leader's log was compacted past the member's last entry receives a
+// snapshot after it is reconnected, and can propose changes then.
 func TestSnapshotAfterCompaction(t *testing.T) {
 	t.Parallel()
 	c, leader := newFaultlessCluster(t, 12)
-	late := c.otherMember(leader)
-	c.isolate(late)
-	lateIndex := late.core.AppliedIndex()
+	lagging := c.otherMember(leader)
+	c.isolate(lagging)
+	laggingIndex := lagging.core.AppliedIndex()
 	for i := range 60 {
 		c.propose(leader, fmt.Sprint("a", i))
 	}
-	if first, err := leader.core.log.memory.FirstIndex(); err != nil || first <= lateIndex+1 {
-		c.fatalf("the log begins at %d, the late member ends at %d", first, lateIndex)
+	if first, err := leader.core.log.memory.FirstIndex(); err != nil || first <= laggingIndex+1 {
+		c.fatalf("the leader's log is not compacted far enough: it begins at %d, the lagging member has applied %d",
+			first, laggingIndex)
 	}
-	if late.core.AppliedIndex() > lateIndex+1 {
-		c.fatalf("the cut member has got to %d", late.core.AppliedIndex())
+	if lagging.core.AppliedIndex() > laggingIndex+1 {
+		c.fatalf("the isolated member has applied entries up to %d", lagging.core.AppliedIndex())
 	}
-	c.reconnect(late)
-	c.awaitSameState(late, leader)
-	c.propose(late, "through the late one")
+	c.reconnect(lagging)
+	c.awaitSameState(lagging, leader)
+	c.propose(lagging, "through the late one")
 }
 
-// A leader that was cut off and deposed, and does not know it, confirms no read, and takes no
-// change; what others have agreed on meanwhile stands.
+// Tests that an isolated leader, which does not know that another one was elected, confirms no read and commits no
+// change, and that the changes that the others have committed meanwhile are kept.
 func TestDeposedLeader(t *testing.T) {
 	t.Parallel()
 	c, old := newFaultlessCluster(t, 13)
@@ -119,19 +122,20 @@
 	c.awaitNewLeader(next, old)
 	c.propose(next, "after")
 	if isReadConfirmed || isProposalApplied {
-		c.fatalf("the deposed leader has confirmed a read (%v) or a change (%v)", isReadConfirmed, isProposalApplied)
+		c.fatalf("the old leader confirmed a read (%v) or committed a change (%v)", isReadConfirmed, isProposalApplied)
 	}
 	c.reconnect(old)
 	c.awaitSameState(old, next)
-	// Its read may be answered now: with all that was agreed on.
+	// Its read may be confirmed now, on a state with all committed changes.
 	if version := old.core.State().Version(); version < 2 || isProposalApplied {
-		c.fatalf("version %d, proposed %v", version, isProposalApplied)
+		c.fatalf("reconnected old leader: got version %d (want at least 2), its change applied: %v",
+			version, isProposalApplied)
 	}
 }
 
-// A leader is lost after a proposal is in its storage and before anyone else has it: the
-// proposal comes to nothing there, is applied once when its client repeats it, and the old
-// leader gives its entry up when it comes back.
+// Tests a leader that fails after it has saved a proposal and before any other member has received it. The proposal
+// must not be committed from the old leader's log, must be applied once when its client repeats it, and the restarted
+// old leader must replace its entry by the committed ones.
 func TestUncommittedProposalIsRetried(t *testing.T) {
 	t.Parallel()
 	c, old := newFaultlessCluster(t, 14)
@@ -139,13 +143,13 @@
 	c.isolate(old)
 	old.core.Propose(putPlanProposal("once", 7), func(o clusterconfig.Outcome, err error) {
 		if err == nil {
-			c.fatalf("answered without a quorum: %+v", o)
+			c.fatalf("proposal completed without a quorum: %+v", o)
 		}
 	})
 	c.processReady(old)
 	last, err := old.core.log.memory.LastIndex()
 	if err != nil || old.storage.log[last] == nil {
-		c.fatalf("the proposal is not in the leader's storage: index %d, %v", last, err)
+		c.fatalf("proposal not saved by the leader: no entry %d in its storage, error %v", last, err)
 	}
 	c.kill(old)
 	next := c.otherMember(old)
@@ -158,6 +162,6 @@
 	c.awaitSameState(old, next)
 	history := old.core.State().History()
 	if len(history) != 3 || history[1].ID != "meanwhile" || history[2].ID != "once" {
-		c.fatalf("history %+v", history)
+		c.fatalf("history of the old leader: got %+v, want 3 changes that end with \"meanwhile\" and \"once\"", history)
 	}
 }
--- a/internal/raftnode/peer_sender.go
+++ b/internal/raftnode/peer_sender.go
@@ -17,7 +17,7 @@
 // Limits of one peer's queues.
 const (
 	maxQueuedMessages   = 256
-	maxQueuedBytes      = 96 << 20 // of the queued messages: above the largest frame
+	maxQueuedBytes      = 96 << 20 // total size of the queued messages; more than maxFrameBytes
 	maxQueuedBroadcasts = 64
 )
 
@@ -29,20 +29,20 @@
 	maxRedialDelay   = time.Second
 )
 
-// peerSender holds the bounded queues of messages and broadcasts to one member. One goroutine,
+// peerSender holds the bounded queues of messages and broadcasts to one member. One goroutine, which runs
 // [transport.runSender], reads them.
 type peerSender struct {
 	memberID   uint64
 	address    string
 	messages   chan *pb.Message
 	broadcasts chan []byte
-	cancel     context.CancelFunc // ends runSender
+	cancel     context.CancelFunc // stops runSender
 
 	mu          sync.Mutex // guards the field below
-	queuedBytes int        // of the queued messages
+	queuedBytes int        // total size of the queued messages
 }
 
-// newPeerSender returns the queues to a member; cancel ends the goroutine that reads them.
+// newPeerSender returns empty queues to a member. cancel stops the goroutine that reads them.
 func newPeerSender(memberID uint64, address string, cancel context.CancelFunc) *peerSender {
 	return &peerSender{
 		memberID:   memberID,
@@ -53,7 +53,7 @@
 	}
 }
 
-// enqueue queues a message of size bytes and reports whether the queue had space for it.
+// enqueue queues a message of size bytes. It reports false, without queuing it, if the queue is full.
 func (s *peerSender) enqueue(m *pb.Message, size int) bool {
 	if !s.reserveBytes(size) {
 		return false
@@ -67,8 +67,8 @@
 	}
 }
 
-// reserveBytes counts bytes as queued and reports whether they fit in the queue, of maxQueuedBytes. What does not is
-// dropped, as Raft allows.
+// reserveBytes adds size to the queued bytes. It reports false, without adding it, if the sum would exceed
+// maxQueuedBytes. The caller then drops the message, as Raft allows.
 func (s *peerSender) reserveBytes(size int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +79,7 @@
 	return true
 }
 
-// releaseBytes counts bytes as no longer queued.
+// releaseBytes subtracts size from the queued bytes.
 func (s *peerSender) releaseBytes(size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +89,8 @@
 // isEmpty reports whether nothing is queued.
 func (s *peerSender) isEmpty() bool { return len(s.messages) == 0 && len(s.broadcasts) == 0 }
 
-// runSender maintains a connection to a member and writes the queued items, until ctx ends. It
-// logs only the first failure after a connection.
+// runSender maintains a connection to a member and writes the queued items to it, until ctx ends. Of consecutive
+// failures it logs only the first.
 func (t *transport) runSender(ctx context.Context, sender *peerSender) {
 	backoff := newRedialBackoff()
 	isFailureLogged := false
@@ -115,22 +115,23 @@
 	}
 }
 
-// redialBackoff is the delay before a member is dialed again: minRedialDelay after a connection that was established,
-// then twice as long after each failure, up to maxRedialDelay. It has no jitter, since a member dials few others.
+// redialBackoff computes the delay before a member is dialed again: minRedialDelay after the end of an established
+// connection, then twice as long after each failure, up to maxRedialDelay. It has no jitter, since a member dials few
+// others.
 type redialBackoff struct {
-	delay time.Duration // before the next attempt
+	delay time.Duration // delay before the next attempt
 }
 
 func newRedialBackoff() redialBackoff { return redialBackoff{delay: minRedialDelay} }
 
-// next returns the delay before the next attempt, and doubles that of the one after it.
+// next returns the delay before the next attempt, and doubles the delay of the attempt after it.
 func (b *redialBackoff) next() time.Duration {
 	delay := b.delay
 	b.delay = min(2*delay, maxRedialDelay)
 	return delay
 }
 
-// sleepContext returns after a delay, or when ctx ends.
+// sleepContext returns after a delay, or earlier if ctx ends.
 func sleepContext(ctx context.Context, delay time.Duration) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -140,8 +141,7 @@
 	}
 }
 
-// dropQueued drops the queued messages to a member that cannot be reached: they would be
-// outdated when it can.
+// dropQueued drops the queued messages to an unreachable member: they would be outdated when it is reachable again.
 func (t *transport) dropQueued(sender *peerSender) {
 	for {
 		select {
@@ -154,7 +154,7 @@
 	}
 }
 
-// dial connects to a member and verifies that it is the one expected.
+// dial connects to a member and verifies that the peer is that member.
 func (t *transport) dial(ctx context.Context, sender *peerSender) (*tls.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	rawConn, err := dialer.DialContext(ctx, "tcp", sender.address)
--- a/internal/raftnode/proposals.go
+++ b/internal/raftnode/proposals.go
@@ -8,14 +8,14 @@
 	"mulleinmux/clusterconfig"
 )
 
-// proposalWaiters are the functions that wait for the outcome of proposals, by proposal id. Several may wait for one.
+// proposalWaiters holds the callbacks of pending proposals, by proposal id. A proposal may have several.
 type proposalWaiters map[string][]func(clusterconfig.Outcome, error)
 
 func (w proposalWaiters) add(id string, done func(clusterconfig.Outcome, error)) {
 	w[id] = append(w[id], done)
 }
 
-// complete calls all that wait for a proposal.
+// complete calls and removes all callbacks of a proposal.
 func (w proposalWaiters) complete(id string, o clusterconfig.Outcome, err error) {
 	for _, done := range w[id] {
 		done(o, err)
@@ -23,7 +23,7 @@
 	delete(w, id)
 }
 
-// fail calls all that wait for any proposal with an error.
+// fail calls and removes the callbacks of all proposals, with an error.
 func (w proposalWaiters) fail(err error) {
 	for id, waiting := range w {
 		delete(w, id)
@@ -33,8 +33,8 @@
 	}
 }
 
-// Propose has a proposal replicated, if it can be encoded. done is called with its outcome once it is applied here, or
-// with an error; it may be called before Propose returns.
+// Propose replicates a proposal. done is called with the outcome once this member has applied the proposal, or with an
+// error. It may be called before Propose returns.
 func (c *Core) Propose(p *clusterconfig.Proposal, done func(clusterconfig.Outcome, error)) {
 	if err := c.proposeEntry(p); err != nil {
 		done(clusterconfig.Outcome{}, err)
@@ -43,7 +43,7 @@
 	c.proposals.add(p.ID, done)
 }
 
-// proposeEntry passes a proposal to the engine.
+// proposeEntry encodes a proposal and passes it to the engine.
 func (c *Core) proposeEntry(p *clusterconfig.Proposal) error {
 	entry, err := clusterconfig.EncodeProposal(p)
 	if err != nil {
@@ -59,8 +59,8 @@
 	return err
 }
 
-// checkProposable returns why no proposal is taken now: the member has stopped, maxPendingRequests proposals wait, or
-// no leader is known to pass it to.
+// checkProposable returns an error if no proposal can be accepted now: if the member has stopped, if maxPendingRequests
+// proposals are pending, or if no leader is known.
 func (c *Core) checkProposable() error {
 	switch {
 	case c.stopErr != nil:
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// AbandonProposal stops waiting for a proposal: done is called with [ErrOutcomeUnknown]. The proposal may still be
-// applied.
+// AbandonProposal stops waiting for a proposal: its callbacks are called with [ErrOutcomeUnknown]. The proposal may
+// still be applied.
 func (c *Core) AbandonProposal(id string) {
 	c.proposals.complete(id, clusterconfig.Outcome{}, ErrOutcomeUnknown)
 }
--- a/internal/raftnode/quorum_confirmation_test.go
+++ b/internal/raftnode/quorum_confirmation_test.go
@@ -10,25 +10,25 @@
 	"mulleinmux/multisite"
 )
 
-// confirmationCluster is a simulated cluster whose members confirm key owners to each other, on
+// confirmationCluster is a simulated cluster whose members also exchange quorum confirmations of the key owners, over
 // the same faulty network.
 type confirmationCluster struct {
 	*simCluster
 	incarnations        map[uint64]uint64                        // by member id
 	quorumConfirmations map[uint64]*multisite.QuorumConfirmation // by member id
-	processes           map[uint64]*Core                         // that the quorumConfirmations belong to
-	messages            []confirmationMessage                    // on their way
+	processes           map[uint64]*Core                         // by member id: the process of the confirmation
+	messages            []confirmationMessage                    // messages in flight
 
-	moves        []uint64       // indexes of the committed entries that change key owners
-	commitTicks  map[uint64]int // by index of the moves
-	checkedIndex uint64         // up to which entries were looked at
+	ownerChanges []uint64       // indexes of the committed entries that change key owners
+	commitTicks  map[uint64]int // tick at which an entry was seen as committed, by the index in ownerChanges
+	checkedIndex uint64         // last committed index that recordCommits has examined
 
 	confirmations         int
-	minorityConfirmations int // while no majority was reachable
+	minorityConfirmations int // confirmations while no majority was reachable
 	proposalCount         int
 }
 
-// confirmationMessage is a message between quorumConfirmations, on its way.
+// confirmationMessage is a message of the quorum confirmation in flight.
 type confirmationMessage struct {
 	arrivalTick int
 	from, to    uint64
@@ -45,13 +45,13 @@
 	}
 }
 
-// clock returns a member's time. The members' clocks differ by hours.
+// clock returns a member's clock reading. The members' clocks differ by hours.
 func (c *confirmationCluster) clock(id uint64) time.Duration {
 	return time.Duration(c.tick)*time.Millisecond + time.Duration(id)*time.Hour
 }
 
-// exchangeConfirmations has each member receive what has arrived, send its message and check what
-// is confirmed.
+// exchangeConfirmations delivers the due confirmation messages. Then each running member sends its next message, and
+// its confirmation is checked.
 func (c *confirmationCluster) exchangeConfirmations() {
 	c.recordCommits()
 	c.deliverConfirmationMessages()
@@ -70,8 +70,7 @@
 	}
 }
 
-// deliverConfirmationMessages delivers what has arrived. What was sent to a process that has ended
-// is lost.
+// deliverConfirmationMessages delivers the due messages. A message whose receiver was killed or restarted is lost.
 func (c *confirmationCluster) deliverConfirmationMessages() {
 	remaining := c.messages[:0:0]
 	for _, message := range c.messages {
@@ -86,7 +85,7 @@
 	c.messages = remaining
 }
 
-// restartConfirmation begins a member's next incarnation.
+// restartConfirmation starts the quorum confirmation of a member's next incarnation.
 func (c *confirmationCluster) restartConfirmation(m *simMember) {
 	c.incarnations[m.id]++
 	confirmation, err := multisite.NewQuorumConfirmation(multisite.ConfirmationConfig{
@@ -100,7 +99,7 @@
 	c.processes[m.id] = m.core
 }
 
-// sendConfirmationMessage sends a message to all other members, which may be lost or late.
+// sendConfirmationMessage sends a message to all other members. It may be lost or delayed on each link.
 func (c *confirmationCluster) sendConfirmationMessage(m *simMember, body multisite.ConfirmationMessage) {
 	for _, other := range c.members {
 		if other.id == m.id || c.cutLinks[link{m.id, other.id}] || c.rng.Float64() < 0.1 {
@@ -114,8 +113,7 @@
 	}
 }
 
-// recordCommits records when entries that change key owners were committed, as far as any
-// member knows.
+// recordCommits records the ticks at which entries that change key owners are first known as committed to any member.
 func (c *confirmationCluster) recordCommits() {
 	for _, m := range c.members {
 		if m.core == nil {
@@ -123,16 +121,16 @@
 		}
 		for commit := m.core.rawNode.BasicStatus().GetCommit(); c.checkedIndex < commit; {
 			c.checkedIndex++
-			if movesOwners(m.core, c.checkedIndex) {
-				c.moves = append(c.moves, c.checkedIndex)
+			if changesOwners(m.core, c.checkedIndex) {
+				c.ownerChanges = append(c.ownerChanges, c.checkedIndex)
 				c.commitTicks[c.checkedIndex] = c.tick
 			}
 		}
 	}
 }
 
-// movesOwners reports whether a member's log has an entry at an index that changes key owners.
-func movesOwners(core *Core, index uint64) bool {
+// changesOwners reports whether the entry at an index of a member's log changes key owners.
+func changesOwners(core *Core, index uint64) bool {
 	entries, err := core.log.memory.Entries(index, index+1, 1<<30)
 	if err != nil || len(entries) != 1 || len(entries[0].GetData()) == 0 {
 		return false
@@ -140,17 +138,17 @@
 	return clusterconfig.ChangesPlacement(entries[0].GetData())
 }
 
-// checkConfirmation checks the promise: no owners were agreed on, by the time confirmed, after
-// those in force.
+// checkConfirmation checks the guarantee of a confirmation: by the confirmed time, no change of key owners was
+// committed that the member has not applied.
 func (c *confirmationCluster) checkConfirmation(m *simMember, confirmation *multisite.QuorumConfirmation) {
 	confirmedAt, ok := confirmation.ConfirmedAt()
 	if !ok {
 		return
 	}
 	confirmedTick := c.tick + int((confirmedAt-c.clock(m.id))/time.Millisecond)
-	for _, index := range c.moves {
+	for _, index := range c.ownerChanges {
 		if index > m.core.AppliedIndex() && c.commitTicks[index] < confirmedTick {
-			c.fatalf("member %d has key owners of entry %d confirmed as of tick %d; entry %d moved them at tick %d",
+			c.fatalf("member %d: key owners as of entry %d confirmed as of tick %d, but entry %d changed them at tick %d",
 				m.id, m.core.AppliedIndex(), confirmedTick, index, c.commitTicks[index])
 		}
 	}
@@ -160,7 +158,7 @@
 	}
 }
 
-// reachableCount returns the number of members that one can talk with, itself among them.
+// reachableCount returns the number of running members that a member can exchange messages with, including itself.
 func (c *confirmationCluster) reachableCount(m *simMember) int {
 	count := 0
 	for _, other := range c.members {
@@ -172,7 +170,7 @@
 	return count
 }
 
-// cutSites cuts the members with odd ids from those with even ids, as two sites.
+// cutSites cuts all links between the members with odd ids and those with even ids, as between two sites.
 func (c *confirmationCluster) cutSites() {
 	for _, a := range c.members {
 		for _, b := range c.members {
@@ -183,8 +181,8 @@
 	}
 }
 
-// proposeRandom has a random member, in one tick of five, propose a change: in half of the
-// cases one of key owners.
+// proposeRandom proposes a change to a random member, on average in one tick of five. Half of the changes are of key
+// owners.
 func (c *confirmationCluster) proposeRandom() {
 	m := c.randomMember()
 	if m.core == nil || c.rng.Float64() >= 0.2 {
@@ -200,9 +198,9 @@
 	c.processReady(m)
 }
 
-// Key owners that are confirmed by half of an even number of members, or a majority of an odd
-// one, are the newest as of then, while the members are killed, cut from each other (half
-// from half more often than not) and change owners.
+// Tests that confirmed key owners are the newest ones as of the confirmed time while members are killed, links are cut
+// (often so that the members are split into two sites) and key owners change. Half of an even number of members, or a
+// majority of an odd number, is sufficient for a confirmation.
 func TestQuorumConfirmationUnderPartitions(t *testing.T) {
 	seedCount := 300
 	if testing.Short() {
@@ -210,7 +208,7 @@
 	} else if raceEnabled {
 		seedCount = 25
 	}
-	type counts struct{ minorityConfirmations, confirmations, moves int }
+	type counts struct{ minorityConfirmations, confirmations, ownerChanges int }
 	results := seedtest.Collect(t, 0, uint64(seedCount), func(t *testing.T, seed uint64) counts {
 		c := newConfirmationCluster(t, seed, 2+int(seed%4))
 		for c.tick < 500 {
@@ -221,18 +219,18 @@
 			}
 			c.proposeRandom()
 		}
-		return counts{c.minorityConfirmations, c.confirmations, len(c.moves)}
+		return counts{c.minorityConfirmations, c.confirmations, len(c.ownerChanges)}
 	})
-	var minorityConfirmations, confirmations, moves int
+	var minorityConfirmations, confirmations, ownerChanges int
 	for _, result := range results {
 		minorityConfirmations += result.minorityConfirmations
 		confirmations += result.confirmations
-		moves += result.moves
+		ownerChanges += result.ownerChanges
 	}
 	t.Logf("%d seeds: %d changes of key owners, %d confirmations, %d of them without a majority in reach",
-		seedCount, moves, confirmations, minorityConfirmations)
-	if moves < 5*seedCount || minorityConfirmations < 20*seedCount {
-		t.Errorf("%d changes of key owners and %d confirmations without a majority put too little to the test",
-			moves, minorityConfirmations)
+		seedCount, ownerChanges, confirmations, minorityConfirmations)
+	if ownerChanges < 5*seedCount || minorityConfirmations < 20*seedCount {
+		t.Errorf("too few events to test: %d changes of key owners, %d confirmations without a majority",
+			ownerChanges, minorityConfirmations)
 	}
 }
--- a/internal/raftnode/read_index.go
+++ b/internal/raftnode/read_index.go
@@ -9,37 +9,39 @@
 	"go.etcd.io/raft/v3"
 )
 
-// pendingReads are the linearizable reads that wait: first for their read index, which a quorum confirms, and then for
-// that index to be applied (section 6.4 of Ongaro's dissertation, "Consensus: Bridging Theory and Practice", 2014).
+// pendingReads holds the pending linearizable reads. A read waits first until a quorum confirms its read index, and
+// then until that index is applied (section 6.4 of Ongaro's dissertation, "Consensus: Bridging Theory and Practice",
+// 2014).
 type pendingReads struct {
 	byID   map[uint64]*pendingRead
 	lastID uint64
 }
 
-// pendingRead is one of them.
+// pendingRead is one pending linearizable read.
 type pendingRead struct {
-	index        uint64 // the read index; 0: not yet confirmed by a quorum
+	index        uint64 // the read index, or 0 until a quorum has confirmed it
 	ticksWaiting int
 	done         func(error)
 }
 
 func newPendingReads() pendingReads { return pendingReads{byID: map[uint64]*pendingRead{}} }
 
-// isFull reports whether no further read may wait.
+// isFull reports whether maxPendingRequests reads are pending.
 func (r *pendingReads) isFull() bool { return len(r.byID) >= maxPendingRequests }
 
-// add adds a read and returns its id.
+// add adds a read, whose result is passed to done, and returns its id.
 func (r *pendingReads) add(done func(error)) (id uint64) {
 	r.lastID++
 	r.byID[r.lastID] = &pendingRead{done: done}
 	return r.lastID
 }
 
-// ids returns the ids of the reads in ascending order, so that runs of a simulation are repeatable.
+// ids returns the ids of the reads in ascending order, so that simulations are deterministic.
 func (r *pendingReads) ids() []uint64 { return slices.Sorted(maps.Keys(r.byID)) }
 
-// tick counts a tick and returns the reads whose read index has to be requested again: those without one after each
-// election timeout, since a request is lost with a leader or a message.
+// tick advances the clock by one tick and returns the ids of the reads whose read index has to be requested again.
+// These are the reads without a read index, after each election timeout: a request may be lost with a message or a
+// leader.
 func (r *pendingReads) tick(electionTicks int) (due []uint64) {
 	for _, id := range r.ids() {
 		read := r.byID[id]
@@ -51,7 +53,7 @@
 	return due
 }
 
-// confirm records the read indexes that a quorum has confirmed.
+// confirm records read indexes that a quorum has confirmed.
 func (r *pendingReads) confirm(states []raft.ReadState) {
 	for _, state := range states {
 		read := r.byID[decodeReadID(state.RequestCtx)]
@@ -61,7 +63,7 @@
 	}
 }
 
-// complete calls done for the reads whose read index is applied.
+// complete removes the reads whose read index is applied and calls their done.
 func (r *pendingReads) complete(appliedIndex uint64) {
 	for _, id := range r.ids() {
 		read := r.byID[id]
@@ -72,7 +74,7 @@
 	}
 }
 
-// fail calls done with an error for all reads.
+// fail removes all reads and calls their done with an error.
 func (r *pendingReads) fail(err error) {
 	for id, read := range r.byID {
 		delete(r.byID, id)
@@ -80,13 +82,14 @@
 	}
 }
 
-// encodeReadID returns the context of the engine's request for a read index, and decodeReadID is its inverse.
+// encodeReadID encodes a read's id as the context of the engine's request for a read index. decodeReadID is its
+// inverse.
 func encodeReadID(id uint64) []byte { return binary.BigEndian.AppendUint64(nil, id) }
 
 func decodeReadID(context []byte) uint64 { return binary.BigEndian.Uint64(context) }
 
-// ReadIndex calls done as soon as all entries that were committed at the time of the call, at any member, are applied
-// here.
+// ReadIndex calls done with nil as soon as this member has applied all entries that were committed in the cluster at
+// the time of the call, or with an error.
 func (c *Core) ReadIndex(done func(error)) {
 	switch {
 	case c.stopErr != nil:
@@ -99,5 +102,5 @@
 	c.requestReadIndex(c.reads.add(done))
 }
 
-// requestReadIndex asks the leader for the read index of a pending read.
+// requestReadIndex requests the read index of a pending read from the leader.
 func (c *Core) requestReadIndex(id uint64) { c.rawNode.ReadIndex(encodeReadID(id)) }
--- a/internal/raftnode/ready.go
+++ b/internal/raftnode/ready.go
@@ -8,10 +8,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ProcessReady persists, sends and applies the engine's pending output. Each message is passed
-// to send as soon as the state that it acknowledges is saved: a leader's entries at once (section
-// 10.2.1 of Ongaro's dissertation). After an error the member has stopped; a new [NewCore] may
-// restart it.
+// ProcessReady persists, sends and applies the engine's pending output. It passes each message to send as soon as the
+// state that the message acknowledges is saved. A leader's entries are sent at once, while it saves them itself
+// (section 10.2.1 of Ongaro's dissertation). After an error the member has stopped; [NewCore] may restart it from its
+// storage.
 func (c *Core) ProcessReady(send func(*pb.Message)) error {
 	for c.stopErr == nil && c.rawNode.HasReady() {
 		ready := c.rawNode.Ready()
@@ -51,13 +51,14 @@
 	return c.snapshotIfDue()
 }
 
-// isSendableBeforePersist reports whether a message acknowledges nothing that its sender has to
-// save first: those with which a leader replicates.
+// isSendableBeforePersist reports whether a message acknowledges nothing that its sender has to save first. This holds
+// for the messages by which a leader replicates entries and sends heartbeats.
 func isSendableBeforePersist(m *pb.Message) bool {
 	return m.GetType() == pb.MsgApp || m.GetType() == pb.MsgHeartbeat
 }
 
-// sendAfterPersist sends the messages that depend on what was persisted.
+// sendAfterPersist sends the messages that were held back until the Ready's state was persisted. It also starts the
+// timeouts of snapshots that are sent.
 func (c *Core) sendAfterPersist(messages []*pb.Message, send func(*pb.Message)) {
 	for _, m := range messages {
 		if m.GetType() == pb.MsgSnap {
@@ -69,7 +70,7 @@
 	}
 }
 
-// applyEntry applies one committed entry.
+// applyEntry applies one committed entry, unless it was applied before.
 func (c *Core) applyEntry(entry *pb.Entry) error {
 	if entry.GetIndex() <= c.appliedIndex {
 		return nil
@@ -83,10 +84,10 @@
 	}
 }
 
-// applyProposal applies an entry of the configuration state.
+// applyProposal applies an entry that holds a proposal to the configuration state.
 func (c *Core) applyProposal(entry *pb.Entry) error {
 	if len(entry.GetData()) == 0 {
-		return nil // the first entry of a new leader's term
+		return nil // the empty entry at the start of a new leader's term
 	}
 	id, outcome, err := c.state.Apply(entry.GetData())
 	if err != nil {
@@ -103,11 +104,11 @@
 func (c *Core) applyConfChange(entry *pb.Entry) error {
 	var change pb.ConfChangeV2
 	if err := proto.Unmarshal(entry.GetData(), &change); err != nil {
-		return fmt.Errorf("entry %d: change of members: %w", entry.GetIndex(), err)
+		return fmt.Errorf("entry %d: decode membership change: %w", entry.GetIndex(), err)
 	}
 	wasMember := c.membership.contains(c.cfg.ID)
 	c.membership = membership{c.rawNode.ApplyConfChange(&change)}
-	c.snapshots.hasNewMembers = true
+	c.snapshots.membershipChanged = true
 	if wasMember && !c.membership.contains(c.cfg.ID) {
 		return ErrRemoved
 	}
--- a/internal/raftnode/silent_logger.go
+++ b/internal/raftnode/silent_logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// silentLogger is a logger of the protocol engine that logs nothing. Fatal and Panic still
-// panic, since the engine relies on it.
+// silentLogger is a logger for the protocol engine that discards all messages. Its Fatal and Panic methods still panic,
+// since the engine relies on it.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)                   {}
--- a/internal/raftnode/sim_client_test.go
+++ b/internal/raftnode/sim_client_test.go
@@ -9,20 +9,19 @@
 	"mulleinmux/clusterconfig"
 )
 
-// The object that clients read and write, as the linearizability checker sees it, is a
-// register: a value, and the version in force, since a proposal may require the version that
-// it builds on.
+// registerState is the state of the object that clients read and write, as modeled for the linearizability checker: a
+// register with a value and the current version, since a proposal may require the version on which it is based.
 type registerState struct {
 	value   string
 	version uint64
 }
 
-// anyBase is the base of a write that requires no version.
+// anyBase is the base of a write that requires no particular version.
 const anyBase = -1
 
 type registerRequest struct {
 	read  bool
-	value string // to be written
+	value string // the value to write
 	base  int64  // the version that a write requires, or anyBase
 }
 
@@ -30,7 +29,7 @@
 	value    string
 	version  uint64
 	rejected bool
-	unknown  bool // it may have been applied, then or later, or never
+	unknown  bool // the request may have been applied at that time, later or never
 }
 
 var registerModel = porcupine.NondeterministicModel{
@@ -41,8 +40,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// nextStates returns the states in which a request may have left the register, given its
-// response; none if the response is impossible.
+// nextStates returns the possible states of the register after a request with the given response. It returns nil if the
+// response is impossible.
 func nextStates(state registerState, request registerRequest, response registerResponse) []any {
 	if request.read {
 		if response.unknown || response.value == state.value && response.version == state.version {
@@ -65,18 +64,18 @@
 	return nil
 }
 
-// simClient is one operator, with one request under way at a time.
+// simClient is one operator. It has at most one request pending at a time.
 type simClient struct {
 	isWaiting   bool
 	operationID int
 	request     registerRequest
-	proposal    *clusterconfig.Proposal // of a write
-	sentTick    int                     // of the first attempt
-	version     uint64                  // last seen
-	member      *simMember              // that the request was last sent to
+	proposal    *clusterconfig.Proposal // the proposal of a write
+	sentTick    int                     // tick of the first attempt
+	version     uint64                  // version in the last response
+	member      *simMember              // member to which the request was last sent
 }
 
-// beginRequest has a client begin a random request at a random member.
+// beginRequest starts a random request of a client at a random member.
 func (c *simCluster) beginRequest(client *simClient) {
 	client.isWaiting = true
 	client.operationID = c.operationCount
@@ -92,7 +91,7 @@
 	c.sendRequest(client)
 }
 
-// drawWrite has a client write a new value, in half of the cases on the version it has seen.
+// drawWrite prepares a client's write of a new value. Half of the writes require the version that the client last saw.
 func (c *simCluster) drawWrite(client *simClient) {
 	c.valueCount++
 	client.request = registerRequest{value: fmt.Sprintf("plan-%d", c.valueCount), base: anyBase}
@@ -104,8 +103,7 @@
 	}
 }
 
-// sendRequest sends the client's request to the member that it has chosen. A response is
-// taken unless the client has given the request up.
+// sendRequest sends the client's request to its chosen member. A response is ignored if the request has already ended.
 func (c *simCluster) sendRequest(client *simClient) {
 	core := client.member.core
 	if core == nil {
@@ -131,7 +129,7 @@
 	})
 }
 
-// completeRequest ends a client's request with a response.
+// completeRequest records the response to a client's request, which ends the request.
 func (c *simCluster) completeRequest(client *simClient, response registerResponse) {
 	client.isWaiting = false
 	if !response.unknown {
@@ -140,8 +138,8 @@
 	c.recordEvent(porcupine.ReturnEvent, client.operationID, response)
 }
 
-// runClient has a client begin or repeat a request. A proposal whose answer is lost is
-// repeated, under its id, at another member; a read is given up after a while.
+// runClient runs one tick of a client, which may start or repeat a request. A proposal without a response is repeated
+// with the same id at a random member. A read without a response is repeated, and abandoned after 100 ticks.
 func (c *simCluster) runClient(client *simClient) {
 	waited := c.tick - client.sentTick
 	switch {
@@ -161,15 +159,15 @@
 	c.events = append(c.events, porcupine.Event{ClientId: 0, Kind: kind, Value: value, Id: operationID})
 }
 
-// checkHistory checks that what the clients have seen is linearizable.
+// checkHistory checks that the clients' history is linearizable.
 func (c *simCluster) checkHistory() {
 	result := porcupine.CheckEventsTimeout(registerModel.ToModel(), c.events, 20*time.Second)
 	if result != porcupine.Ok {
-		c.fatalf("the history of %d operations is %s", c.operationCount, result)
+		c.fatalf("linearizability check of %d operations: got %s, want Ok", c.operationCount, result)
 	}
 }
 
-// valueOf returns the register's value in a state.
+// valueOf returns the register's value in a configuration state.
 func valueOf(s *clusterconfig.State) string {
 	if plan, ok := clusterconfig.ObjectsByName[clusterconfig.Plan](s, "plan")["x"]; ok {
 		return fmt.Sprintf("plan-%d", int(plan.PriorityFactor))
--- a/internal/raftnode/sim_cluster_test.go
+++ b/internal/raftnode/sim_cluster_test.go
@@ -14,7 +14,7 @@
 	"mulleinmux/clusterconfig"
 )
 
-// Snapshots of simulated members are so frequent that a lagging one often needs one.
+// Settings of simulated members. Snapshots are frequent, so that a lagging member often needs one.
 const (
 	simEntriesPerSnapshot = 20
 	simCatchUpEntries     = 5
@@ -25,23 +25,22 @@
 	id            uint64
 	core          *Core // nil while it is down
 	storage       *memoryStorage
-	restartTick   int    // from which on it is up again, where it is down
-	servedVersion uint64 // the newest one that it has served on
+	restartTick   int    // tick from which a killed member is restarted
+	servedVersion uint64 // the newest version with which it was ready
 }
 
-// inFlightMessage is a message on its way.
+// inFlightMessage is an encoded message in flight.
 type inFlightMessage struct {
 	arrivalTick int
 	encoded     []byte
 }
 
-// link is the way of messages from one member to another, by ids.
+// link is a one-way link between two members, by member id.
 type link struct {
 	from, to uint64
 }
 
-// simCluster is a simulated cluster with its network and clients. All that happens follows
-// from its seed.
+// simCluster is a simulated cluster with its network and clients. Its run depends only on the seed.
 type simCluster struct {
 	t    testing.TB
 	seed uint64
@@ -49,7 +48,7 @@
 	tick int
 
 	members     []*simMember
-	hashByIndex map[uint64]string // of the state, by applied index, as first seen
+	hashByIndex map[uint64]string // hash of the first state seen at each applied index
 
 	inFlight    []inFlightMessage
 	sentCount   int
@@ -79,7 +78,7 @@
 	return c
 }
 
-// fatalf fails the test, with what repeats the run.
+// fatalf fails the test with a message that includes the seed and the tick.
 func (c *simCluster) fatalf(format string, args ...any) {
 	c.t.Helper()
 	c.t.Fatalf("seed %d, tick %d: %s", c.seed, c.tick, fmt.Sprintf(format, args...))
@@ -92,8 +91,8 @@
 	return ids
 }
 
-// start starts a member from its storage. All that it applies must be what others have
-// applied at the same index.
+// start starts a member from its storage. It checks that the member's state after each applied entry equals the states
+// of the other members at the same index.
 func (c *simCluster) start(m *simMember) {
 	core, err := NewCore(Config{
 		ID:                 m.id,
@@ -102,19 +101,19 @@
 		CatchUpEntries:     simCatchUpEntries,
 	}, m.storage)
 	if err != nil {
-		c.fatalf("member %d does not start: %v", m.id, err)
+		c.fatalf("start of member %d: %v", m.id, err)
 	}
 	m.core = core
 	core.OnApplied = func(index uint64, _ string, _ clusterconfig.Outcome) {
 		hash := core.State().Hash()
 		if first, ok := c.hashByIndex[index]; ok && first != hash {
-			c.fatalf("member %d has applied another entry at index %d", m.id, index)
+			c.fatalf("member %d: state after entry %d differs from that of another member", m.id, index)
 		}
 		c.hashByIndex[index] = hash
 	}
 }
 
-// processReady has a member do what is due; one whose storage fails goes down.
+// processReady processes a member's pending output. It kills the member if its storage fails.
 func (c *simCluster) processReady(m *simMember) {
 	err := m.core.ProcessReady(c.send)
 	if err == nil {
@@ -126,13 +125,13 @@
 	c.kill(m)
 }
 
-// kill takes a member down for a random time.
+// kill stops a member for a random time.
 func (c *simCluster) kill(m *simMember) {
 	m.core = nil
 	m.restartTick = c.tick + 5 + c.rng.IntN(60)
 }
 
-// send sends a message through the network, which may lose, duplicate and delay it.
+// send sends a message through the simulated network, which may lose, duplicate or delay it.
 func (c *simCluster) send(msg *pb.Message) {
 	isCut := c.cutLinks[link{msg.GetFrom(), msg.GetTo()}]
 	if isCut || !c.faultsEnded && c.rng.Float64() < 0.05 {
@@ -149,7 +148,7 @@
 	}
 }
 
-// drawDelay returns the ticks that a message takes.
+// drawDelay returns a random delivery delay in ticks.
 func (c *simCluster) drawDelay() int {
 	delay := 1
 	if c.faultsEnded {
@@ -162,7 +161,7 @@
 	return delay
 }
 
-// step is one tick of the simulation.
+// step runs one tick of the simulation.
 func (c *simCluster) step() {
 	c.tick++
 	c.injectFaults()
@@ -182,7 +181,7 @@
 	}
 }
 
-// takeDue takes the messages off the network that arrive in this tick, in random order.
+// takeDue removes the messages that are due from the network and returns them in random order.
 func (c *simCluster) takeDue() []inFlightMessage {
 	var due []inFlightMessage
 	remaining := c.inFlight[:0]
@@ -198,7 +197,7 @@
 	return due
 }
 
-// deliver hands a message to its receiver, if that is up.
+// deliver passes a message to its receiver, if the receiver is running.
 func (c *simCluster) deliver(message inFlightMessage) {
 	msg := &pb.Message{}
 	if err := proto.Unmarshal(message.encoded, msg); err != nil {
@@ -218,20 +217,20 @@
 	c.processReady(receiver)
 }
 
-// checkServedVersion checks the rule of serving: a member that is ready serves on a version no
-// older than one that it has served on before, across its restarts.
+// checkServedVersion checks that the version of a ready member is never older than an earlier version with which it was
+// ready, also across restarts.
 func (c *simCluster) checkServedVersion(m *simMember) {
 	if m.core == nil || !m.core.IsReady() {
 		return
 	}
 	version := m.core.State().Version()
 	if version < m.servedVersion {
-		c.fatalf("member %d serves on version %d after it has answered on %d", m.id, version, m.servedVersion)
+		c.fatalf("member %d is ready with version %d after it was ready with version %d", m.id, version, m.servedVersion)
 	}
 	m.servedVersion = version
 }
 
-// awaitLeader steps until a member leads and is ready, and returns it.
+// awaitLeader steps until a leader is ready and returns it.
 func (c *simCluster) awaitLeader() *simMember {
 	for range 2000 {
 		c.step()
@@ -241,16 +240,16 @@
 			}
 		}
 	}
-	c.fatalf("no leader")
+	c.fatalf("no leader is ready after the maximum number of ticks")
 	return nil
 }
 
-// propose has a proposal applied at a member.
+// propose proposes a change to a member and steps until it is applied.
 func (c *simCluster) propose(m *simMember, id string) {
 	isApplied := false
 	m.core.Propose(putPlanProposal(id, 1), func(o clusterconfig.Outcome, err error) {
 		if err != nil || !o.IsApplied {
-			c.fatalf("%s: %+v, %v", id, o, err)
+			c.fatalf("proposal %s: got %+v, error %v, want it applied", id, o, err)
 		}
 		isApplied = true
 	})
@@ -261,13 +260,13 @@
 		}
 		c.step()
 	}
-	c.fatalf("%s is not applied", id)
+	c.fatalf("proposal %s is not applied after the maximum number of ticks", id)
 }
 
-// otherMember returns the first member that is none of those given.
-func (c *simCluster) otherMember(than ...*simMember) *simMember {
+// otherMember returns the first member that is not among the given ones.
+func (c *simCluster) otherMember(excluded ...*simMember) *simMember {
 	for _, m := range c.members {
-		if !slices.Contains(than, m) {
+		if !slices.Contains(excluded, m) {
 			return m
 		}
 	}
--- a/internal/raftnode/sim_faults_test.go
+++ b/internal/raftnode/sim_faults_test.go
@@ -1,6 +1,6 @@
 package raftnode
 
-// injectFaults injects at most one random fault, or ends the cuts.
+// injectFaults injects at most one random fault, or restores all cut links.
 func (c *simCluster) injectFaults() {
 	if c.faultsEnded {
 		return
@@ -23,7 +23,7 @@
 	return c.members[c.rng.IntN(len(c.members))]
 }
 
-// killRandomMember kills a member, the leader rather than another.
+// killRandomMember kills a random member, with a preference for the leader.
 func (c *simCluster) killRandomMember() {
 	victim := c.randomMember()
 	for _, m := range c.members {
@@ -36,7 +36,7 @@
 	}
 }
 
-// cutRandomLink cuts the link between two members, one way or both.
+// cutRandomLink cuts the link between two random members in one or both directions.
 func (c *simCluster) cutRandomLink() {
 	a := c.randomMember().id
 	b := c.randomMember().id
@@ -46,7 +46,7 @@
 	}
 }
 
-// failRandomSync has one of the next fsyncs of a member fail.
+// failRandomSync makes one of the next three fsyncs of a random member fail.
 func (c *simCluster) failRandomSync() {
 	m := c.randomMember()
 	remaining := 1 + c.rng.IntN(3)
@@ -56,7 +56,7 @@
 	}
 }
 
-// isolate cuts all links of a member.
+// isolate cuts all links of a member in both directions.
 func (c *simCluster) isolate(m *simMember) {
 	for _, other := range c.members {
 		c.cutLinks[link{m.id, other.id}] = true
@@ -64,7 +64,7 @@
 	}
 }
 
-// reconnect ends the cuts of all links of a member.
+// reconnect restores all links of a member.
 func (c *simCluster) reconnect(m *simMember) {
 	for _, other := range c.members {
 		delete(c.cutLinks, link{m.id, other.id})
@@ -72,7 +72,7 @@
 	}
 }
 
-// endFaults ends all faults: all members are up in the next tick.
+// endFaults ends all faults. All members are running after the next tick.
 func (c *simCluster) endFaults() {
 	c.faultsEnded = true
 	clear(c.cutLinks)
--- a/internal/raftnode/sim_test.go
+++ b/internal/raftnode/sim_test.go
@@ -9,8 +9,8 @@
 
 const simClientCount = 4
 
-// runSeed runs a cluster with clients under faults, then without until all members agree, and
-// checks the clients' history.
+// runSeed runs a simulated cluster with clients under faults for a number of ticks, then without faults until all
+// members have converged. It checks the clients' history and returns the cluster.
 func runSeed(t testing.TB, seed uint64, ticks int) *simCluster {
 	memberCount := 3 + int(seed%2)*2
 	c := newSimCluster(t, seed, memberCount)
@@ -35,8 +35,8 @@
 	return c
 }
 
-// awaitConvergence steps until all members are up, ready and have the same state, and at
-// least 60 ticks. It must come within maxTicks.
+// awaitConvergence steps until the cluster has converged and more than 60 ticks have passed. It fails the test after
+// maxTicks.
 func (c *simCluster) awaitConvergence(maxTicks int) {
 	begin := c.tick
 	for {
@@ -46,12 +46,12 @@
 		}
 		if c.tick > begin+maxTicks {
 			c.logMembers()
-			c.fatalf("not converged %d ticks after the last fault", maxTicks)
+			c.fatalf("the members have not converged %d ticks after the last fault", maxTicks)
 		}
 	}
 }
 
-// hasConverged reports whether all members are up, ready and have the same state.
+// hasConverged reports whether all members are running and ready, know a leader, and have the same state.
 func (c *simCluster) hasConverged() bool {
 	first := c.members[0].core
 	for _, m := range c.members {
@@ -76,14 +76,14 @@
 	}
 }
 
-// Under kills, cuts, loss, duplicates, reordering and failing fsyncs, all members apply the
-// same entries in the same order, histories are linearizable, none serves on an older version
-// than it has answered on, and soon after the last fault all agree.
+// Tests simulated clusters under killed members, cut links, lost, duplicated and reordered messages and failing fsyncs.
+// All members must apply the same entries in the same order, the clients' histories must be linearizable, no member may
+// be ready with an older version than before, and the members must converge soon after the last fault.
 func TestSeedsAreLinearizable(t *testing.T) {
 	seedCount := 500
 	if testing.Short() {
 		seedCount = 20
-	} else if raceEnabled { // ten times slower: all are run without it
+	} else if raceEnabled { // ten times slower with the race detector; all seeds run without it
 		seedCount = 60
 	}
 	type counts struct {
@@ -102,11 +102,11 @@
 	}
 	t.Logf("%d seeds, %d operations, %d versions", seedCount, operations, versions)
 	if versions < uint64(5*seedCount) {
-		t.Errorf("only %d versions: the clusters were down most of the time", versions)
+		t.Errorf("only %d versions were committed in all seeds: the clusters were unavailable most of the time", versions)
 	}
 }
 
-// A seed has the same run every time.
+// Tests that runs with the same seed are identical.
 func TestSeedIsDeterministic(t *testing.T) {
 	t.Parallel()
 	var results []string
@@ -115,6 +115,6 @@
 		results = append(results, fmt.Sprint(c.members[0].core.State().Hash(), c.sentCount, c.operationCount))
 	}
 	if results[0] != results[1] || results[1] != results[2] {
-		t.Errorf("%v", results)
+		t.Errorf("runs with the same seed differ: %v", results)
 	}
 }
--- a/internal/raftnode/snapshot.go
+++ b/internal/raftnode/snapshot.go
@@ -8,27 +8,28 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// snapshotTimeoutElections is the number of election timeouts after which a snapshot without a
-// reported result counts as lost.
+// snapshotTimeoutElections is the number of election timeouts after which a sent snapshot without a reported result is
+// treated as lost.
 const snapshotTimeoutElections = 10
 
-// snapshotSchedule decides when a member takes a snapshot of its own.
+// snapshotSchedule decides when a member takes a snapshot of its own state.
 type snapshotSchedule struct {
-	lastIndex     uint64 // of the newest snapshot
-	hasNewMembers bool   // the membership has changed: new members need a snapshot that includes the change
+	lastIndex         uint64 // index of the newest snapshot
+	membershipChanged bool   // since the newest snapshot: new members need a snapshot that includes the change
 }
 
-// isDue reports whether a snapshot is taken now: when entriesPerSnapshot entries were applied since the last one, or
-// the membership has changed.
+// isDue reports whether a snapshot has to be taken: whether entriesPerSnapshot entries were applied, or the membership
+// has changed, since the newest one.
 func (s *snapshotSchedule) isDue(appliedIndex, entriesPerSnapshot uint64) bool {
-	isLogLong := appliedIndex-s.lastIndex >= entriesPerSnapshot
-	return isLogLong || s.hasNewMembers && appliedIndex > s.lastIndex
+	hasEnoughEntries := appliedIndex-s.lastIndex >= entriesPerSnapshot
+	return hasEnoughEntries || s.membershipChanged && appliedIndex > s.lastIndex
 }
 
-// snapshotTransfers are the snapshots in flight: by receiver, the ticks since the snapshot was sent.
+// snapshotTransfers holds the snapshots in flight: the ticks since each was sent, by the receiver's id.
 type snapshotTransfers map[uint64]int
 
-// tick counts a tick and returns the receivers whose snapshot counts as lost, in ascending order.
+// tick advances the clock by one tick and returns the receivers whose snapshots are treated as lost, in ascending
+// order.
 func (t snapshotTransfers) tick(timeoutTicks int) (lost []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(t)) {
 		t[id]++
@@ -39,7 +40,7 @@
 	return lost
 }
 
-// restoreSnapshot replaces the state by that of a snapshot.
+// restoreSnapshot replaces the configuration state and the membership by those of a snapshot.
 func (c *Core) restoreSnapshot(snapshot *pb.Snapshot) error {
 	if err := c.state.Restore(snapshot.GetData()); err != nil {
 		return err
@@ -52,12 +53,12 @@
 	return nil
 }
 
-// snapshotIfDue takes a snapshot if one is due, and compacts the log behind it.
+// snapshotIfDue takes a snapshot if one is due, and removes the log entries that it makes unnecessary.
 func (c *Core) snapshotIfDue() error {
 	if !c.snapshots.isDue(c.appliedIndex, c.cfg.EntriesPerSnapshot) {
 		return nil
 	}
-	c.snapshots.hasNewMembers = false
+	c.snapshots.membershipChanged = false
 	data, err := c.state.Snapshot()
 	if err != nil {
 		return err
@@ -69,7 +70,7 @@
 	return c.log.compact(c.appliedIndex, c.cfg.CatchUpEntries)
 }
 
-// ReportSnapshot reports whether a snapshot was delivered to a member.
+// ReportSnapshot reports whether a snapshot was sent to a member successfully.
 func (c *Core) ReportSnapshot(id uint64, ok bool) {
 	delete(c.transfers, id)
 	status := raft.SnapshotFinish
@@ -79,9 +80,9 @@
 	c.rawNode.ReportSnapshot(id, status)
 }
 
-// expireSnapshots reports the snapshots in flight that count as lost as failed. The engine sends
-// a member nothing else until the result of its snapshot is reported: if both were lost, the
-// member would stall for good.
+// expireSnapshots reports to the engine that the snapshots that are treated as lost have failed. The engine sends a
+// member nothing else until the result of its snapshot is reported: if the snapshot and its result were both lost, the
+// member would stall forever.
 func (c *Core) expireSnapshots() {
 	for _, id := range c.transfers.tick(snapshotTimeoutElections * c.cfg.ElectionTicks) {
 		c.ReportSnapshot(id, false)
--- a/internal/raftnode/transport.go
+++ b/internal/raftnode/transport.go
@@ -12,28 +12,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// transport sends messages to the other members and receives theirs. The memory for each peer
-// is bounded: by the queues of its [peerSender], and by one frame and one snapshot for each of
-// its connections. start's context ends all goroutines, and wait awaits them.
+// transport sends messages to the other members and receives their messages. The memory for each peer is bounded by the
+// queues of its [peerSender], and by one frame and one snapshot for each of its connections. All goroutines of the
+// transport end with the context of start; wait waits for them.
 type transport struct {
 	cluster      string
 	memberID     uint64
 	credentials  Credentials
-	hello        hello // of this process; incarnation 0: not known
+	hello        hello // identifies this process to the peers
 	listener     net.Listener
-	onMessage    func(*pb.Message)            // from a verified member
-	onSendResult func(m *pb.Message, ok bool) // called for snapshots, and for messages that could not be sent
+	onMessage    func(*pb.Message)            // called with each message of a verified member
+	onSendResult func(m *pb.Message, ok bool) // called for each snapshot, and for each message that could not be sent
 	logger       *slog.Logger
 
 	ctx        context.Context // set by start
 	goroutines sync.WaitGroup
 
-	// mu guards the fields below. No I/O is done and no callback is called under it.
+	// mu guards the fields below. It is not held during I/O or while a callback runs.
 	mu            sync.Mutex
 	senders       map[uint64]*peerSender // by member id
 	acceptedConns map[net.Conn]struct{}
 	newestHello   helloTable
-	onBroadcast   func(from uint64, text []byte) // from a verified member; nil: broadcasts are dropped
+	onBroadcast   func(from uint64, text []byte) // called with each broadcast of a verified member; nil: drops it
 }
 
 // start accepts connections until ctx ends. It must be called before any other method.
@@ -49,7 +49,7 @@
 	})
 }
 
-// closeAccepted closes the listener and all accepted connections; none is accepted any more.
+// closeAccepted closes the listener and all accepted connections.
 func (t *transport) closeAccepted() {
 	t.listener.Close()
 	t.mu.Lock()
@@ -60,10 +60,11 @@
 	}
 }
 
-// wait returns when all goroutines have ended.
+// wait returns when all goroutines of the transport have ended.
 func (t *transport) wait() { t.goroutines.Wait() }
 
-// setPeers sets the addresses of all members. Senders to removed members and old addresses end.
+// setPeers sets the addresses of all members. It stops the senders to removed members and to old addresses, and starts
+// senders to new members and addresses.
 func (t *transport) setPeers(addresses map[uint64]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// broadcast queues a text for all other members. It is lost for those whose queue is full.
+// broadcast queues a text for all other members. It is dropped for a member whose queue is full.
 func (t *transport) broadcast(text []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +97,8 @@
 	}
 }
 
-// send queues a message for its receiver. It is dropped if the queue is full, as Raft allows.
+// send queues a message for its receiver. If the queue is full or there is no sender to the receiver, it drops the
+// message, as Raft allows, and reports that to onSendResult.
 func (t *transport) send(m *pb.Message) {
 	t.mu.Lock()
 	sender := t.senders[m.GetTo()]
