--- a/clusterconfig/apply.go
+++ b/clusterconfig/apply.go
@@ -9,16 +9,17 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Check returns why a proposal would be rejected now, or nil. It changes nothing. It is meant for use before a proposal
-// is replicated; [State.Apply] checks it again.
+// Check returns why a proposal would be rejected in the current state, or nil. It does not modify the state. Callers
+// use it before a proposal is replicated; [State.Apply] checks the proposal again.
 func (s *State) Check(p *Proposal) error {
 	_, err := s.preview(p)
 	return err
 }
 
-// Apply applies the next log entry and returns the ID of its proposal with the outcome. A proposal whose ID was
-// applied before gets the same outcome again. An error, which wraps [ErrMalformed] or [ErrNewerFormat], means that the
-// entry cannot be decoded: the state is unchanged, and the member must stop, since others may have decoded it.
+// Apply applies the next log entry and returns the ID of its proposal with the outcome. A proposal whose ID is that of
+// an earlier entry has no effect and the same outcome as that entry. An error, which wraps [ErrMalformed] or
+// [ErrNewerFormat], means that the entry cannot be decoded. The state is unchanged then, and the member must stop,
+// since others may have decoded the entry.
 func (s *State) Apply(entry []byte) (id string, o Outcome, err error) {
 	p, err := decodeProposal(entry)
 	if err != nil {
@@ -39,7 +40,7 @@
 	return p.ID, o, nil
 }
 
-// extendHash extends the hash chain by an entry and whether it was applied.
+// extendHash extends the hash chain by an entry and by whether it was applied.
 func (s *State) extendHash(entry []byte, isApplied bool) {
 	h := sha256.New()
 	h.Write(s.hash[:])
@@ -50,7 +51,7 @@
 	h.Sum(s.hash[:0])
 }
 
-// commit makes the objects the next version. The hash chain must include the proposal already.
+// commit makes the objects the next version. The hash chain must already include the proposal's entry.
 func (s *State) commit(p *Proposal, objects *Tree) {
 	s.version++
 	s.objects = objects
@@ -59,13 +60,13 @@
 			s.placementVersion = s.version
 		}
 		if c.addsPlan() {
-			s.planOrder = s.planOrder.with(c.Name)
+			s.planOrder = s.planOrder.withName(c.Name)
 		}
 	}
 	s.history.add(newHistoryRecord(p, s.version, s.Hash()))
 }
 
-// preview returns the objects after a proposal, or why it is rejected.
+// preview returns the objects as they would be after a proposal, or why the proposal is rejected.
 func (s *State) preview(p *Proposal) (*Tree, error) {
 	if err := p.check(s.version); err != nil {
 		return nil, err
@@ -84,8 +85,8 @@
 	return objects, s.checkReferences(objects, touched)
 }
 
-// applyChange applies a change to the transaction and adds its object to the touched ones, or returns why the change by
-// itself is rejected.
+// applyChange applies a change to the transaction and adds the changed object to touched. It returns why the change is
+// rejected on its own, without regard to references between objects.
 func applyChange(txn *iradix.Txn[json.RawMessage], c *Change, touched touchedSet) error {
 	canonicalize, err := c.canonicalizer()
 	if err != nil {
@@ -107,8 +108,8 @@
 	}
 }
 
-// putObject puts an object. The loss of a site that is lost to the same extent already is rejected: several instances
-// propose each loss, and only one shall make a version.
+// putObject puts an object. A site's loss is rejected if the same loss is already recorded: several instances propose
+// each loss, and only one proposal must make a version.
 func putObject(txn *iradix.Txn[json.RawMessage], c *Change, key []byte, value json.RawMessage) error {
 	before, exists := txn.Get(key)
 	if exists && c.Kind == KindLostSite && isSameLoss(before, value) {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// removeObject removes an object, which must exist, and the loss of a site together with the site.
+// removeObject removes an object, which must exist. With a site it also removes the record of the site's loss.
 func removeObject(txn *iradix.Txn[json.RawMessage], c *Change, key []byte) error {
 	if _, ok := txn.Delete(key); !ok {
 		return errors.New("there is none")
@@ -129,15 +130,15 @@
 	return nil
 }
 
-// isSameLoss reports whether two values of a [LostSite] differ in nothing but their reason.
+// isSameLoss reports whether two [LostSite] values are equal except for their reasons.
 func isSameLoss(a, b json.RawMessage) bool {
 	var x, y LostSite
 	isReadable := json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil
 	return isReadable && x.RecoveredEighths == y.RecoveredEighths
 }
 
-// touchedSet contains the kinds and the keys of the objects that a proposal changes. All keys contain a slash, and no
-// kind does.
+// touchedSet is the set of kinds and keys of the objects that a proposal changes. They cannot be confused: every key
+// contains a slash, and no kind does.
 type touchedSet map[string]bool
 
 func (t touchedSet) add(kind string, key []byte) {
--- a/clusterconfig/fixture_test.go
+++ b/clusterconfig/fixture_test.go
@@ -8,7 +8,7 @@
 	"mulleinmux/internal/fixture"
 )
 
-// fixtureProposals are the recorded proposals, in the order of the log.
+// fixtureProposals returns the recorded proposals, in the order of the log.
 func fixtureProposals() []Proposal {
 	base := func(v uint64) *uint64 { return &v }
 	full := Plan{
@@ -91,7 +91,7 @@
 	}
 }
 
-// Entries of the log are encoded as they were recorded, and recorded ones are encoded again to the same bytes.
+// Log entries are encoded as recorded, and decoding and encoding a recorded entry returns the same bytes.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./clusterconfig -run Fixture
 func TestFixtureEntries(t *testing.T) {
@@ -110,19 +110,19 @@
 			t.Fatal(err)
 		}
 		if again, err := EncodeProposal(p); err != nil || !bytes.Equal(again, entry) {
-			t.Errorf("%q is encoded again as %q, %v", entry, again, err)
+			t.Errorf("entry %q: got %q after decoding and encoding, error %v", entry, again, err)
 		}
 	}
 }
 
-// recordedEntries returns the recorded entries of the log.
+// recordedEntries returns the recorded log entries.
 func recordedEntries(t *testing.T) [][]byte {
 	t.Helper()
 	return bytes.Split(bytes.TrimSuffix(fixture.Read(t, "entries.txt"), []byte("\n")), []byte("\n"))
 }
 
-// The outcomes of recorded entries, and the snapshots of the state after them, are as they were recorded; a recorded
-// snapshot is restored to the same state.
+// The outcomes of recorded entries, and the snapshots of the state after them, are as recorded. Restoring a recorded
+// snapshot gives the same state.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./clusterconfig -run Fixture
 func TestFixtureOutcomesAndSnapshot(t *testing.T) {
@@ -158,7 +158,7 @@
 	return text
 }
 
-// Why a proposal is rejected is agreed on: its text is stored at each member.
+// The texts of rejections are as recorded. Each member stores them, so that a change would make members' states differ.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./clusterconfig -run Fixture
 func TestFixtureRejections(t *testing.T) {
@@ -188,7 +188,7 @@
 		p := &Proposal{ID: "p", Changes: changes}
 		err := s.Check(p)
 		if err == nil {
-			t.Fatalf("%+v is not rejected", p)
+			t.Fatalf("proposal %+v: got no rejection, want one", p)
 		}
 		out.WriteString(err.Error() + "\n")
 	}
--- a/clusterconfig/format_test.go
+++ b/clusterconfig/format_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// encode returns a proposal as a log entry.
+// encode encodes a proposal as a log entry.
 func encode(t *testing.T, p Proposal) []byte {
 	t.Helper()
 	entry, err := EncodeProposal(&p)
@@ -16,7 +16,8 @@
 	return entry
 }
 
-// Entries are written in the oldest format possible: a program that knows no lost sites stops at those alone.
+// Entries are written in the oldest possible format, so that an older program fails only at entries with objects that
+// it does not support.
 func TestEntryFormats(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -30,13 +31,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if entry := encode(t, Proposal{ID: "q", Changes: []Change{test.change}}); entry[0] != test.want {
-				t.Errorf("format %d, want %d", entry[0], test.want)
+				t.Errorf("got format %d, want %d", entry[0], test.want)
 			}
 		})
 	}
 }
 
-// Entries of a newer program, and malformed ones, are errors; nothing of them is applied.
+// Entries of a newer program and malformed entries are rejected with an error and leave the state unchanged.
 func TestNewerAndMalformedEntries(t *testing.T) {
 	s := New(nil)
 	apply(t, s, Proposal{ID: "p", Changes: []Change{put(KindPlan, "kati", planText)}})
@@ -55,16 +56,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, _, err := s.Apply([]byte(test.entry)); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("got error %v, want %v", err, test.want)
 			}
 			if s.Hash() != hash || s.Version() != 1 {
-				t.Error("something was applied")
+				t.Error("the entry changed the state")
 			}
 		})
 	}
 }
 
-// Snapshots of a newer program, and malformed ones, are errors; nothing of them is restored.
+// Snapshots of a newer program and malformed snapshots are rejected with an error and leave the state unchanged.
 func TestNewerAndMalformedSnapshots(t *testing.T) {
 	s := New(nil)
 	apply(t, s, Proposal{ID: "p", Changes: []Change{put(KindPlan, "kati", planText)}})
@@ -83,7 +84,7 @@
 				t.Error(err)
 			}
 			if s.Hash() != hash || s.Version() != 1 {
-				t.Error("something was restored")
+				t.Error("the snapshot changed the state")
 			}
 		})
 	}
--- a/clusterconfig/helpers_test.go
+++ b/clusterconfig/helpers_test.go
@@ -19,8 +19,8 @@
 	classText = `{"worth":3,"aim_ms":400,"deadline_ms":2000}`
 )
 
-// checkText is a [Validator] that rejects texts with "bad" in them and those that are not the name of a class.
-func checkText(file, text string, classes []Class, _ int) error {
+// validateText is a [Validator] that rejects texts that contain "bad" and texts that are not the name of a class.
+func validateText(file, text string, classes []Class, _ int) error {
 	if strings.Contains(text, "bad") {
 		return fmt.Errorf("%s: bad", file)
 	}
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	if o.IsApplied != (rejection == nil) {
-		t.Errorf("%s: Check returned %v, and the outcome is %+v", p.ID, rejection, o)
+		t.Errorf("proposal %s: Check returned %v, but the outcome is %+v", p.ID, rejection, o)
 	}
 	return o
 }
--- a/clusterconfig/history.go
+++ b/clusterconfig/history.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Limits on what is retained of past proposals.
+// Limits on the retained state of past proposals.
 const (
-	maxOutcomes = 10_000 // proposals whose repeat is recognized
-	maxHistory  = 2_000  // versions
+	maxOutcomes = 10_000 // outcomes, by which repeated proposals are recognized
+	maxHistory  = 2_000  // history records
 )
 
 // Outcome is the result of a proposal.
 type Outcome struct {
-	Version         uint64 `json:"version"`           // in force after the proposal
-	IsApplied       bool   `json:"applied"`           // the proposal made that version
-	RejectionReason string `json:"refused,omitempty"` // of a proposal that was not applied
+	Version         uint64 `json:"version"`           // version in force after the proposal
+	IsApplied       bool   `json:"applied"`           // whether the proposal made that version
+	RejectionReason string `json:"refused,omitempty"` // empty if the proposal was applied
 }
 
-// outcomeLog retains the outcomes of the latest proposals, so that none is applied twice.
+// outcomeLog retains the outcomes of the latest proposals, so that a repeated proposal is not applied again.
 //
-// Invariant: order contains each key of byID once, oldest first, and maxOutcomes of them at most.
+// Invariant: order contains each key of byID once, oldest first, and at most maxOutcomes keys.
 type outcomeLog struct {
 	byID  map[string]Outcome
 	order []string
@@ -30,7 +30,7 @@
 	return o, ok
 }
 
-// add adds the outcome of a proposal whose ID is not in the log.
+// add adds the outcome of a proposal and drops the oldest outcome beyond maxOutcomes. The ID must not be in the log.
 func (l *outcomeLog) add(id string, o Outcome) {
 	l.byID[id] = o
 	l.order = append(l.order, id)
@@ -40,15 +40,15 @@
 	}
 }
 
-// HistoryRecord describes one version in the history.
+// HistoryRecord describes the proposal that made a version.
 type HistoryRecord struct {
 	Version      uint64   `json:"version"`
-	ID           string   `json:"id"` // of its proposal
+	ID           string   `json:"id"` // ID of the proposal
 	Author       string   `json:"author,omitempty"`
 	Reason       string   `json:"why,omitempty"`
 	ProposedAtMs int64    `json:"at_ms,omitempty"`
-	Changes      []string `json:"changes"` // such as "put plan kubwa"
-	Hash         string   `json:"hash"`    // of the chain after it
+	Changes      []string `json:"changes"` // summaries such as "put plan kubwa"
+	Hash         string   `json:"hash"`    // hash chain up to the version
 }
 
 func newHistoryRecord(p *Proposal, version uint64, hash string) HistoryRecord {
@@ -66,8 +66,8 @@
 	return r
 }
 
-// history retains the records of the latest maxHistory versions, oldest first. It may hold up to as many older ones,
-// since dropping old records in bulk is cheaper than one at a time.
+// history retains the records of the latest maxHistory versions, oldest first. It may hold up to as many older records,
+// since dropping them in bulk is cheaper than one at a time.
 type history struct {
 	records []HistoryRecord
 }
@@ -79,5 +79,5 @@
 	}
 }
 
-// latest returns the latest maxHistory records. The slice is not a copy.
+// latest returns the latest maxHistory records, oldest first. The slice is not a copy.
 func (h *history) latest() []HistoryRecord { return h.records[max(len(h.records)-maxHistory, 0):] }
--- a/clusterconfig/history_test.go
+++ b/clusterconfig/history_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What is retained of past proposals is bounded, and so is a proposal.
+// The retained outcomes and history records are bounded, and so is the length of a proposal.
 func TestRetentionIsBounded(t *testing.T) {
 	t.Parallel()
 	s := New(nil)
@@ -18,15 +18,15 @@
 		}
 	}
 	if len(s.outcomes.byID) != maxOutcomes || len(s.outcomes.order) != maxOutcomes {
-		t.Errorf("%d outcomes, %d ids", len(s.outcomes.byID), len(s.outcomes.order))
+		t.Errorf("got %d outcomes and %d ids, want maxOutcomes", len(s.outcomes.byID), len(s.outcomes.order))
 	}
 	if len(s.history.records) >= 2*maxHistory || len(s.History()) != maxHistory {
-		t.Errorf("%d records, %d of them count", len(s.history.records), len(s.History()))
+		t.Errorf("got %d records, %d of them in History", len(s.history.records), len(s.History()))
 	}
 	if last := s.History()[maxHistory-1].Version; last != maxOutcomes+50 {
-		t.Errorf("the newest record is of version %d", last)
+		t.Errorf("newest history record: got version %d", last)
 	}
 	if _, err := EncodeProposal(&Proposal{ID: "big", Reason: strings.Repeat("x", MaxProposalBytes)}); err == nil {
-		t.Error("a proposal of more than MaxProposalBytes is encoded")
+		t.Error("encoding a proposal of more than MaxProposalBytes: got no error")
 	}
 }
--- a/clusterconfig/names.go
+++ b/clusterconfig/names.go
@@ -1,10 +1,10 @@
 package clusterconfig
 
-// Names that operators write and read, with the terms that the code uses for them: kinds of objects, operations and
-// the fields that rejections mention. They stand in log entries, snapshots and stored rejections, so that none may
-// change. The tags in objects.go name the same fields.
+// This file maps terms of the code to the names that operators write and read: kinds of objects, operations, and the
+// fields that rejection reasons mention. The names are part of log entries, snapshots and stored rejections and must
+// not change. The tags in objects.go use the same field names.
 
-// Kinds of objects, one for each type of objects.go.
+// Kinds of objects, one for each type in objects.go.
 const (
 	KindPlan        = "plan"
 	KindLicensee    = "licensee"
@@ -18,7 +18,7 @@
 	KindDescription = "description"
 )
 
-// Names of the objects of kinds that have only one.
+// Object names of the kinds that have only one object.
 const (
 	epochName      = "epoch"
 	unitsLimitName = "units"
@@ -46,7 +46,7 @@
 	fieldOverQuotaCost     = "over_cost"
 )
 
-// Fields of the other types that a rejection mentions.
+// Fields of the other types, as far as rejection reasons mention them.
 const (
 	fieldLossReason       = "why"
 	fieldRecoveredEighths = "part"
--- a/clusterconfig/objects.go
+++ b/clusterconfig/objects.go
@@ -1,7 +1,7 @@
 package clusterconfig
 
-// Plan is the quotas of a tariff: its fields are those of Plan in package policy. Rates are in units per second,
-// bursts and slack in units.
+// Plan contains the quotas of a customer plan. Its fields have the meaning of those of Plan in package policy. Rates
+// are in units per second, bursts and slack in units.
 type Plan struct {
 	Rate              float64 `json:"rate"`
 	Burst             float64 `json:"burst"`
@@ -14,55 +14,55 @@
 	OverQuotaCost     float64 `json:"over_cost,omitempty"`
 }
 
-// Licensee is a customer and its plan.
+// Licensee is a customer.
 type Licensee struct {
 	Plan string `json:"plan"`
 }
 
-// Site is a site's servers.
+// Site is a site with its servers.
 type Site struct {
-	DiscoveryAddress string `json:"register"`         // host and port of its service discovery
-	IsClosed         bool   `json:"closed,omitempty"` // other sites own its keys
+	DiscoveryAddress string `json:"register"`         // IP address and port of the site's service discovery
+	IsClosed         bool   `json:"closed,omitempty"` // the site owns no keys; other sites own them
 }
 
-// LostSite records that the instances have agreed on the loss of the site of that name: it owns no keys or, while it
-// recovers, a part of them until the record is removed. Instances put and remove it (see package multisite).
+// LostSite records the committed loss of the site of the same name. Until the record is removed, the site owns no keys
+// or, while it recovers, only a part of its keys. Instances put and remove the record (see package multisite).
 type LostSite struct {
 	Reason           string `json:"why"`
-	RecoveredEighths int    `json:"part,omitempty"` // eighths of its keys that it owns
+	RecoveredEighths int    `json:"part,omitempty"` // eighths of the site's keys that it owns again
 }
 
-// Class is the priority of a class of requests, and the durations, in milliseconds, for operations that declare none.
+// Class is a class of requests: its priority, and the durations in milliseconds for operations that declare none.
 type Class struct {
-	Name               string  `json:"name,omitempty"` // that of its object; must be empty in a put
+	Name               string  `json:"name,omitempty"` // name of the object; must be empty in a put
 	PriorityWeight     float64 `json:"worth"`
-	LateFraction       float64 `json:"late,omitempty"` // of the weight, earned by answers after the latency objective
+	LateFraction       float64 `json:"late,omitempty"` // part of the weight for responses after the latency objective
 	LatencyObjectiveMs int64   `json:"aim_ms"`
 	DeadlineMs         int64   `json:"deadline_ms"`
 }
 
-// Member is the addresses of a gateway instance that is a voting member of the cluster. Both have a port.
+// Member contains the addresses, with ports, of a gateway instance that is a voting member of the cluster.
 type Member struct {
-	RaftAddress  string `json:"raft"`  // for the other members
-	AdminAddress string `json:"admin"` // for operators
+	RaftAddress  string `json:"raft"`  // address for the other members
+	AdminAddress string `json:"admin"` // address for operators
 }
 
 // Follower is an instance that is not a member and receives the configuration as a stream (see package configstream).
-// Its name is the one in its certificate.
+// The object's name is the name in the follower's certificate.
 type Follower struct {
-	Note          string `json:"note,omitempty"` // for operators
-	PinnedVersion uint64 `json:"pin,omitempty"`  // the version that it has to keep; 0: the newest
+	Note          string `json:"note,omitempty"` // free text for operators
+	PinnedVersion uint64 `json:"pin,omitempty"`  // version that the follower has to keep; 0 for the newest
 }
 
-// Epoch identifies a control service. After a restore or a replacement, version numbers start lower again; a new
-// epoch tells such versions from old ones that arrive late. Later epochs have higher numbers, and no two services
-// the same ID. The only object of the kind is called "epoch".
+// Epoch identifies a control service. After a restore or a replacement of the service, version numbers start lower
+// again; the new epoch distinguishes the new versions from old ones that arrive late. Later epochs have higher numbers,
+// and no two services have the same ID. The only object of this kind is named "epoch".
 type Epoch struct {
 	Number uint64 `json:"number"`
 	ID     string `json:"id"`
 }
 
-// Limit is the most that one request may ask for. The only known one is called "units".
+// Limit is the maximum that one request may consume. The only known limit is named "units".
 type Limit struct {
 	Max int `json:"most"`
 }
--- a/clusterconfig/placement.go
+++ b/clusterconfig/placement.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// placementKinds are the kinds of objects whose changes make a new placement version. Key owners do not depend on
-// followers, but the instances whose announcements of keys have to be awaited do.
+// placementKinds are the kinds of objects whose changes make a new placement version. Followers do not affect which
+// site owns a key, but they are among the instances whose announcements of keys have to be awaited.
 var placementKinds = []string{KindSite, KindLostSite, KindFollower}
 
 // PlacementVersion is the version of the last change that may have moved keys between sites.
 func (s *State) PlacementVersion() uint64 { return s.placementVersion }
 
-// ChangesPlacement reports whether a log entry may move keys between sites when it is applied. For an entry that cannot
-// be decoded it returns true.
+// ChangesPlacement reports whether a log entry may move keys between sites when it is applied. It returns true for an
+// entry that cannot be decoded.
 func ChangesPlacement(entry []byte) bool {
 	if !mentionsPlacement(entry) {
 		return false
@@ -23,8 +23,8 @@
 	return err != nil || slices.ContainsFunc(p.Changes, func(c Change) bool { return c.changesPlacement() })
 }
 
-// mentionsPlacement reports whether an entry contains the name of a placement kind. If not, a long entry, such as one
-// with a description, need not be decoded here.
+// mentionsPlacement reports whether an entry contains the name of a placement kind. If it does not, a long entry, such
+// as one with a description, need not be decoded.
 func mentionsPlacement(entry []byte) bool {
 	return slices.ContainsFunc(placementKinds, func(kind string) bool {
 		return bytes.Contains(entry, []byte(`"`+kind+`"`))
@@ -33,7 +33,7 @@
 
 func (c *Change) changesPlacement() bool { return slices.Contains(placementKinds, c.Kind) }
 
-// hasAvailableSite reports whether any site can own keys: it is neither closed nor lost.
+// hasAvailableSite reports whether any site can own keys, which requires that it is neither closed nor lost.
 func hasAvailableSite(objects *Tree) (found bool) {
 	forEachObject(objects, KindSite, func(name string, value json.RawMessage) {
 		var site Site
@@ -45,7 +45,7 @@
 	return found
 }
 
-// isLost reports whether a site owns no keys because it is lost. A recovering site owns some.
+// isLost reports whether a site is lost and owns no keys. A recovering site owns some keys and does not count as lost.
 func isLost(objects *Tree, site string) bool {
 	text, ok := objects.Get(objectKey(KindLostSite, site))
 	if !ok {
--- a/clusterconfig/placement_test.go
+++ b/clusterconfig/placement_test.go
@@ -6,35 +6,36 @@
 	"testing"
 )
 
-// Keys are placed anew when a site is lost and when it is back, and a site that is removed is no longer lost.
+// The placement version changes when a site is lost and when the loss is removed. Removing a site also removes its
+// loss.
 func TestLostSites(t *testing.T) {
 	s := New(nil)
 	n := 0
-	do := func(want uint64, cs ...Change) {
+	applyChanges := func(want uint64, cs ...Change) {
 		t.Helper()
 		n++
 		if o := apply(t, s, Proposal{ID: fmt.Sprint(n), Changes: cs}); !o.IsApplied {
-			t.Fatalf("%+v", o)
+			t.Fatalf("got outcome %+v, want it applied", o)
 		}
 		if s.PlacementVersion() != want {
-			t.Errorf("placement version %d, want %d", s.PlacementVersion(), want)
+			t.Errorf("got placement version %d, want %d", s.PlacementVersion(), want)
 		}
 	}
-	do(1,
+	applyChanges(1,
 		NewPutChange(KindSite, "a", Site{DiscoveryAddress: "127.0.0.1:1"}),
 		NewPutChange(KindSite, "b", Site{DiscoveryAddress: "127.0.0.1:2"}))
-	do(2, NewPutChange(KindLostSite, "a", LostSite{Reason: "silent"}))
+	applyChanges(2, NewPutChange(KindLostSite, "a", LostSite{Reason: "silent"}))
 	text, err := s.Snapshot()
 	if err != nil || !strings.Contains(string(text), `"format":2`) {
-		t.Errorf("%v: %.40s", err, text)
+		t.Errorf("snapshot with a lost site, want format 2: got error %v, snapshot %.40s", err, text)
 	}
-	do(3, Change{Op: "remove", Kind: KindLostSite, Name: "a"})
+	applyChanges(3, Change{Op: "remove", Kind: KindLostSite, Name: "a"})
 	if text, _ := s.Snapshot(); !strings.Contains(string(text), `"format":1`) {
-		t.Errorf("a snapshot that an older program could read says %.40s", text)
+		t.Errorf("snapshot without lost sites: got %.40s, want format 1", text)
 	}
-	do(4, NewPutChange(KindLostSite, "a", LostSite{Reason: "silent"}))
-	do(5, Change{Op: "remove", Kind: KindSite, Name: "a"})
+	applyChanges(4, NewPutChange(KindLostSite, "a", LostSite{Reason: "silent"}))
+	applyChanges(5, Change{Op: "remove", Kind: KindSite, Name: "a"})
 	if _, ok := s.Get(KindLostSite, "a"); ok {
-		t.Error("a site that was removed is lost")
+		t.Error("a removed site is still recorded as lost")
 	}
 }
--- a/clusterconfig/plan_order.go
+++ b/clusterconfig/plan_order.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// maxPlans limits the plans that were ever put, since the plan order only grows.
+// maxPlans is the maximum length of the plan order, which only grows.
 const maxPlans = 1_000
 
-// planOrder holds the names of all plans that were ever put, in that order.
+// planOrder holds the names of all plans that were ever put, in the order of their first put.
 //
-// Invariant: a name stands at the same index for good, and there are no two of a name.
+// Invariant: names are unique, and the index of a name never changes.
 type planOrder []string
 
-// PlanOrder returns the names of all plans that were ever put, including removed ones. A name's index is the same at
-// all instances and never changes: messages between instances identify plans by it.
+// PlanOrder returns the names of all plans that were ever put, including removed ones. The index of a name is the same
+// at all instances and never changes, since messages between instances identify plans by it.
 func (s *State) PlanOrder() []string { return slices.Clone(s.planOrder) }
 
-// addsPlan reports whether a change may lengthen the plan order.
+// addsPlan reports whether a change may add a name to the plan order.
 func (c *Change) addsPlan() bool { return c.Op == OpPut && c.Kind == KindPlan }
 
-// with returns the order with a name, at its end if it is new.
-func (o planOrder) with(name string) planOrder {
+// withName returns the order including a name, which is appended if it is new.
+func (o planOrder) withName(name string) planOrder {
 	if slices.Contains(o, name) {
 		return o
 	}
 	return append(o, name)
 }
 
-// checkGrowth returns why changes are rejected that would make the order longer than maxPlans names, or nil.
+// checkGrowth returns an error if the changes would make the order longer than maxPlans names.
 func (o planOrder) checkGrowth(changes []Change) error {
 	touchesPlans := slices.ContainsFunc(changes, func(c Change) bool { return c.Kind == KindPlan })
 	if !touchesPlans {
--- a/clusterconfig/proposal.go
+++ b/clusterconfig/proposal.go
@@ -20,18 +20,18 @@
 
 // Change puts or removes one object.
 type Change struct {
-	Op    string          `json:"op"` // OpPut or OpRemove
+	Op    string          `json:"op"` // [OpPut] or [OpRemove]
 	Kind  string          `json:"kind"`
 	Name  string          `json:"name"`
-	Value json.RawMessage `json:"value,omitempty"` // of a put
+	Value json.RawMessage `json:"value,omitempty"` // JSON value of a put
 }
 
-// NewPutChange returns the change that puts an object. It panics on a value that JSON cannot represent; all types of
-// this package can be.
+// NewPutChange returns a change that puts an object. It panics if the value cannot be encoded as JSON; values of this
+// package's object types always can.
 func NewPutChange(kind, name string, value any) Change {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(fmt.Sprintf("clusterconfig: %s %s: %v", kind, name, err))
+		panic(fmt.Sprintf("clusterconfig: cannot encode value of %s %s: %v", kind, name, err))
 	}
 	return Change{Op: OpPut, Kind: kind, Name: name, Value: text}
 }
@@ -39,7 +39,8 @@
 // summary returns the change without its value, such as "put plan kubwa".
 func (c *Change) summary() string { return c.Op + " " + c.Kind + " " + c.Name }
 
-// canonicalizer returns the function that checks the change's value, or why the change's name or kind is rejected.
+// canonicalizer returns the function that checks and encodes the change's value, or why the change's name or kind is
+// rejected.
 func (c *Change) canonicalizer() (canonicalizer, error) {
 	if c.Name == "" || len(c.Name) > maxNameBytes || strings.ContainsAny(c.Name, forbiddenNameChars) {
 		return nil, fmt.Errorf("name: 1 to %d bytes without a slash are wanted", maxNameBytes)
@@ -51,18 +52,19 @@
 	return canonicalize, nil
 }
 
-// Proposal is a set of changes by an operator or an instance: all of them are applied, or none.
+// Proposal is a set of changes by an operator or an instance. Either all of them are applied or none.
 type Proposal struct {
-	ID           string   `json:"id"`             // of the proposal: a repeat with the same ID has no further effect
-	BaseVersion  *uint64  `json:"base,omitempty"` // the version that the changes were made against; nil: any
+	ID           string   `json:"id"`             // a repeated proposal with the same ID has no further effect
+	BaseVersion  *uint64  `json:"base,omitempty"` // version that the changes were made against; nil for any
 	Author       string   `json:"author,omitempty"`
 	Reason       string   `json:"why,omitempty"`
-	ProposedAtMs int64    `json:"at_ms,omitempty"` // by the proposer's clock, in Unix milliseconds; informational
+	ProposedAtMs int64    `json:"at_ms,omitempty"` // Unix milliseconds by the proposer's clock; informational only
 	Changes      []Change `json:"changes"`
 }
 
-// check returns why a proposal is rejected whatever its changes do; current is the version in force. A proposal made
-// against another version is rejected, so that no change is overwritten unseen.
+// check returns why a proposal is rejected regardless of its individual changes, or nil. current is the version in
+// force. A proposal made against another version is rejected, so that it does not overwrite changes that its author has
+// not seen.
 func (p *Proposal) check(current uint64) error {
 	switch {
 	case p.ID == "" || len(p.ID) > maxIDBytes:
@@ -78,8 +80,8 @@
 	return nil
 }
 
-// EncodeProposal returns a proposal as a log entry, in the oldest format that contains all of its changes. It returns
-// an error if the entry would be longer than [MaxProposalBytes].
+// EncodeProposal encodes a proposal as a log entry, in the oldest format that supports all of its changes. It returns
+// an error if the encoded proposal is longer than [MaxProposalBytes].
 func EncodeProposal(p *Proposal) ([]byte, error) {
 	text, err := json.Marshal(p)
 	if err != nil {
--- a/clusterconfig/proposal_test.go
+++ b/clusterconfig/proposal_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// proposalCases are proposals that are made one after the other.
+// proposalCases are proposals that are applied in this order.
 var proposalCases = []struct {
 	name      string
 	base      *uint64
 	changes   []Change
-	rejection string // a part of it; empty: applied
+	rejection string // part of the rejection's text; empty if the proposal is applied
 }{
 	{name: "first plan", changes: []Change{put("plan", "kati", planText)}},
 	{name: "licensee of a plan", changes: []Change{put("licensee", "a", `{"plan":"kati"}`)}},
@@ -167,37 +167,37 @@
 	{name: "class in use removed", changes: []Change{remove("class", "c")}, rejection: "no class c"},
 }
 
-// Each applied proposal makes the next version, completely or not at all; an invalid one is rejected with the name of
-// the field.
+// Each valid proposal makes the next version, with all of its changes. An invalid one has no effect and is rejected
+// with the name of the invalid field.
 func TestProposals(t *testing.T) {
-	s := New(checkText)
+	s := New(validateText)
 	for i, c := range proposalCases {
 		t.Run(c.name, func(t *testing.T) {
 			before, hash := s.Version(), s.Hash()
 			o := apply(t, s, Proposal{ID: fmt.Sprint("p", i), BaseVersion: c.base, Changes: c.changes})
-			isRight := o.IsApplied && o.Version == before+1
+			isExpected := o.IsApplied && o.Version == before+1
 			if c.rejection != "" {
-				isRight = !o.IsApplied && o.Version == before && strings.Contains(o.RejectionReason, c.rejection)
+				isExpected = !o.IsApplied && o.Version == before && strings.Contains(o.RejectionReason, c.rejection)
 			}
-			if !isRight {
-				t.Errorf("%+v, want rejection %q", o, c.rejection)
+			if !isExpected {
+				t.Errorf("got outcome %+v, want rejection %q", o, c.rejection)
 			}
 			if s.Hash() == hash {
-				t.Error("the hash of the chain has not changed")
+				t.Error("the hash chain has not changed")
 			}
 		})
 	}
 	h := s.History()
 	if len(h) != int(s.Version()) || h[3].Changes[1] != "remove plan kati" || h[len(h)-1].Version != s.Version() {
-		t.Errorf("%+v", h)
+		t.Errorf("got history %+v", h)
 	}
 	if _, ok := s.Get("plan", "kati"); ok {
 		t.Error("a removed plan is still there")
 	}
 }
 
-// A repeated proposal, whose answer was lost, has its first outcome: applied once, or rejected though it would be
-// applied by now.
+// A proposal that is repeated after its response was lost has the outcome of the first attempt. It is not applied a
+// second time, and stays rejected even if it would be valid now.
 func TestRepeatedProposal(t *testing.T) {
 	s := New(nil)
 	p := Proposal{ID: "p", Changes: []Change{put("licensee", "a", `{"plan":"kati"}`)}}
@@ -205,20 +205,20 @@
 	apply(t, s, Proposal{ID: "q", Changes: []Change{put("plan", "kati", planText)}})
 	entry, _ := EncodeProposal(&p)
 	if _, o, _ := s.Apply(entry); o != first || o.IsApplied || s.Version() != 1 {
-		t.Errorf("%+v, first %+v", o, first)
+		t.Errorf("repeated rejected proposal: got outcome %+v, want %+v", o, first)
 	}
 	hash := s.Hash()
 	q := Proposal{ID: "q", Changes: []Change{put("plan", "kati", planText)}}
 	entry, _ = EncodeProposal(&q)
 	if _, o, _ := s.Apply(entry); !o.IsApplied || o.Version != 1 || s.Version() != 1 || s.Hash() != hash {
-		t.Errorf("%+v", o)
+		t.Errorf("repeated applied proposal: got outcome %+v, want version 1 and an unchanged state", o)
 	}
 }
 
-// A proposer's clock decides nothing: one that jumps back an hour changes neither order nor outcome, and the history
-// has its times as they were proposed.
-func TestClockDecidesNothing(t *testing.T) {
-	run := func(times ...int64) *State {
+// The proposer's clock has no effect on the order and outcome of proposals, even if it jumps back by an hour. The
+// history contains the times as they were proposed.
+func TestProposerClockHasNoEffect(t *testing.T) {
+	applyAtTimes := func(times ...int64) *State {
 		s := New(nil)
 		for i, at := range times {
 			p := Proposal{
@@ -227,21 +227,21 @@
 				Changes:      []Change{put("plan", fmt.Sprint("p", i), `{"rate":1,"burst":1,"price":1}`)},
 			}
 			if o := apply(t, s, p); !o.IsApplied || o.Version != uint64(i+1) {
-				t.Fatalf("%+v", o)
+				t.Fatalf("got outcome %+v, want it applied as the next version", o)
 			}
 		}
 		return s
 	}
-	a, b := run(1_000, 2_000, 3_000), run(3_600_000, 0, 7_200_000)
+	a, b := applyAtTimes(1_000, 2_000, 3_000), applyAtTimes(3_600_000, 0, 7_200_000)
 	if fmt.Sprint(a.PlanOrder()) != fmt.Sprint(b.PlanOrder()) || a.Version() != b.Version() {
-		t.Errorf("%v, %v", a.PlanOrder(), b.PlanOrder())
+		t.Errorf("states with different clocks: got plan orders %v and %v", a.PlanOrder(), b.PlanOrder())
 	}
 	if h := b.History(); h[0].ProposedAtMs != 3_600_000 || h[1].ProposedAtMs != 0 {
-		t.Errorf("%+v", h)
+		t.Errorf("got history %+v, want the proposed times", h)
 	}
 }
 
-// Any entry and any snapshot is applied or rejected, by two states alike.
+// Two states handle any log entry in the same way, and any snapshot is restored or rejected without a panic.
 func FuzzApply(f *testing.F) {
 	entry, _ := EncodeProposal(&Proposal{
 		ID:      "q",
@@ -249,11 +249,11 @@
 	})
 	f.Add(entry)
 	f.Fuzz(func(t *testing.T, entry []byte) {
-		a, b := New(checkText), New(checkText)
+		a, b := New(validateText), New(validateText)
 		_, oa, ea := a.Apply(entry)
 		_, ob, eb := b.Apply(entry)
 		if oa != ob || (ea == nil) != (eb == nil) || a.Hash() != b.Hash() {
-			t.Errorf("%+v %v, %+v %v", oa, ea, ob, eb)
+			t.Errorf("two equal states: got outcome %+v, error %v and outcome %+v, error %v", oa, ea, ob, eb)
 		}
 		_ = a.Restore(entry)
 	})
--- a/clusterconfig/query.go
+++ b/clusterconfig/query.go
@@ -2,15 +2,15 @@
 
 import "encoding/json"
 
-// defaultMaxUnits is the limit of units if none is agreed on.
+// defaultMaxUnits is the limit of units per request if none is configured.
 const defaultMaxUnits = 50
 
-// ObjectsByName returns all objects of a kind by name. T is the kind's type.
+// ObjectsByName returns all objects of a kind by name. T must be the type of that kind.
 func ObjectsByName[T any](s *State, kind string) map[string]T {
 	out := map[string]T{}
 	s.Each(kind, func(name string, value json.RawMessage) {
 		var v T
-		if json.Unmarshal(value, &v) == nil { // it was checked when it was put
+		if json.Unmarshal(value, &v) == nil { // values are checked when they are put
 			out[name] = v
 		}
 	})
@@ -20,15 +20,15 @@
 // Classes returns the classes, sorted by name.
 func (s *State) Classes() []Class { return classesOf(s.objects) }
 
-// Epoch returns the epoch in force; its number is 0 if none is agreed on.
+// Epoch returns the epoch in force, or the zero value if none is configured.
 func (s *State) Epoch() (e Epoch) {
 	if text, ok := s.Get(KindEpoch, epochName); ok {
-		json.Unmarshal(text, &e) // it was checked when it was put
+		json.Unmarshal(text, &e) // values are checked when they are put
 	}
 	return e
 }
 
-// MaxUnits returns the most units that one request may cost.
+// MaxUnits returns the maximum number of units that one request may cost.
 func (s *State) MaxUnits() int { return maxUnits(s.objects) }
 
 func classesOf(objects *Tree) (classes []Class) {
--- a/clusterconfig/references.go
+++ b/clusterconfig/references.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// checkReferences checks names and that the objects that others refer to exist. It checks only objects that depend
-// on the touched ones, sorted by key, since all members must reject with the same text.
+// checkReferences checks that names are valid and that referenced objects exist. It checks only the objects that may
+// depend on the touched ones, in the order of their keys, since all members must reject a proposal with the same text.
 func (s *State) checkReferences(objects *Tree, touched touchedSet) error {
 	for _, key := range affectedKeys(objects, touched) {
 		if err := s.checkObject(objects, touched, key); err != nil {
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// affectedKeys returns the keys of the objects that a proposal touched and of those that may depend on them, sorted.
+// affectedKeys returns the sorted keys of the objects that a proposal touched and of those that may depend on them.
 func affectedKeys(objects *Tree, touched touchedSet) []string {
 	keys := []string{}
 	for key := range touched {
@@ -39,7 +39,8 @@
 	return slices.Compact(keys)
 }
 
-// checkObject checks an object's name and references, as far as what the proposal touched can have changed the answer.
+// checkObject checks an object's name and references. It skips checks whose result cannot have changed with the touched
+// objects.
 func (s *State) checkObject(objects *Tree, touched touchedSet, key string) error {
 	kind, name := splitKey(key)
 	value, _ := objects.Get([]byte(key))
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// checkMemberName checks that a member's name is its number, without leading zeros.
+// checkMemberName checks that a member's name is its number, which is positive and written without leading zeros.
 func checkMemberName(name string) error {
 	n, err := strconv.ParseUint(name, 10, 64)
 	if err != nil || n == 0 || strconv.FormatUint(n, 10) != name {
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// checkLimitName checks that a limit is a known one.
+// checkLimitName checks that the name of a limit is known.
 func checkLimitName(name string) error {
 	if name != unitsLimitName {
 		return fmt.Errorf("limit %s: is not known: %s is", name, unitsLimitName)
@@ -92,7 +93,8 @@
 	return nil
 }
 
-// checkLostSite checks that the site exists and, if the proposal touches its loss, that another one can own its keys.
+// checkLostSite checks that the lost site exists and, if the proposal touches the loss, that another site can own its
+// keys.
 func checkLostSite(objects *Tree, name string, isTouched bool) error {
 	if _, ok := objects.Get(objectKey(KindSite, name)); !ok {
 		return fmt.Errorf("%s %s: there is no such %s", KindLostSite, name, KindSite)
@@ -103,7 +105,8 @@
 	return nil
 }
 
-// checkEpoch checks that the only epoch is replaced by a later one: followers take versions of later epochs for newer.
+// checkEpoch checks that the epoch has the only valid name and is later than the one in force, since followers treat
+// versions of later epochs as newer.
 func (s *State) checkEpoch(name string, value json.RawMessage) error {
 	if name != epochName {
 		return fmt.Errorf("epoch %s: there is one, called epoch", name)
@@ -116,7 +119,7 @@
 	return nil
 }
 
-// checkDescription has the validator check a description against the classes and the limit of units.
+// checkDescription checks a description with the validator, against the classes and the limit of units.
 func (s *State) checkDescription(objects *Tree, name string, value json.RawMessage) error {
 	if s.validate == nil {
 		return nil
--- a/clusterconfig/snapshot.go
+++ b/clusterconfig/snapshot.go
@@ -22,8 +22,8 @@
 	History          []HistoryRecord            `json:"history"`
 }
 
-// Snapshot encodes the state in the oldest format that contains all of it. Equal states have equal encodings. The error
-// is that of the encoder.
+// Snapshot encodes the state in the oldest format that supports all of its objects. Equal states have equal encodings.
+// The error is that of the encoder.
 func (s *State) Snapshot() ([]byte, error) {
 	format := byte(formatInitial)
 	objects := make(map[string]json.RawMessage, s.objects.Len())
@@ -49,7 +49,7 @@
 	return json.Marshal(snap)
 }
 
-// Restore replaces the state by that of a snapshot. On an error, which wraps [ErrMalformed] or [ErrNewerFormat], the
+// Restore replaces the state with that of a snapshot. On an error, which wraps [ErrMalformed] or [ErrNewerFormat], the
 // state is unchanged.
 func (s *State) Restore(text []byte) error {
 	snap, hash, err := decodeSnapshot(text)
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// decodeSnapshot decodes a snapshot and its hash. The format is decoded first, since a newer one may have other fields.
+// decodeSnapshot decodes a snapshot and its hash. It decodes the format first, since newer formats may have other
+// fields.
 func decodeSnapshot(text []byte) (snap *snapshot, hash [sha256.Size]byte, err error) {
 	var header struct {
 		Format int `json:"format"`
--- a/clusterconfig/state.go
+++ b/clusterconfig/state.go
@@ -1,8 +1,9 @@
-// Package clusterconfig is the replicated configuration of a cluster of gateways: a state machine whose log entries are
-// proposals, applied in the same order by all members. It does no I/O; package raftnode replicates the log.
+// Package clusterconfig implements the replicated configuration of a cluster of gateways as a state machine. Its log
+// entries are proposals, which all members apply in the same order. The package does no I/O; package raftnode
+// replicates the log.
 //
 // Invariant: the state is a function of the applied entries and their order. [State.Apply] therefore reads no clock and
-// depends on no map's iteration order, and a proposal is rejected by all members or none, with the same text.
+// does not depend on the iteration order of maps. A proposal is rejected by all members or none, with the same text.
 package clusterconfig
 
 import (
@@ -15,19 +16,19 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Tree holds objects by their key, "kind/name". It is a persistent data structure: successive versions share what
-// did not change.
+// Tree holds objects by their key, "kind/name". It is a persistent data structure: successive versions share unchanged
+// objects.
 type Tree = iradix.Tree[json.RawMessage]
 
-// Validator checks an OpenAPI description against the classes and the limit of units in force. Its result must depend
-// only on its arguments.
+// Validator checks an OpenAPI description against the classes and the limit of units. Its result must depend only on
+// its arguments.
 type Validator func(file, text string, classes []Class, maxUnits int) error
 
 // State is the replicated configuration. It is not safe for concurrent use.
 type State struct {
 	validate         Validator
 	version          uint64
-	hash             [sha256.Size]byte // chained over all entries so far, including rejected ones
+	hash             [sha256.Size]byte // hash chain of all entries so far, including rejected ones
 	objects          *Tree             // replaced by each commit, never modified
 	placementVersion uint64            // version of the last change that may have moved keys
 	planOrder        planOrder
@@ -40,8 +41,8 @@
 	return &State{validate: v, objects: iradix.New[json.RawMessage](), outcomes: newOutcomeLog()}
 }
 
-// NewFrozenState returns a state like that of [State.Freeze] from its parts. The hash is in the form of
-// [State.Hash]; the error for any other wraps [ErrMalformed].
+// NewFrozenState returns a state like that of [State.Freeze] from its parts. The hash must have the form of
+// [State.Hash]; otherwise the error wraps [ErrMalformed].
 func NewFrozenState(version, placementVersion uint64, hash string, plans []string, objects *Tree) (*State, error) {
 	s := &State{
 		version:          version,
@@ -50,7 +51,7 @@
 		planOrder:        plans,
 		outcomes:         newOutcomeLog(),
 	}
-	if len(hash) != hex.EncodedLen(len(s.hash)) { // hex.Decode panics beyond its room
+	if len(hash) != hex.EncodedLen(len(s.hash)) { // hex.Decode panics if s.hash is too short
 		return nil, fmt.Errorf("hash of %d digits: %w", len(hash), ErrMalformed)
 	}
 	if _, err := hex.Decode(s.hash[:], []byte(hash)); err != nil {
@@ -59,8 +60,8 @@
 	return s, nil
 }
 
-// Freeze returns a copy of the configuration without the history and the outcomes of proposals. Later changes of s
-// do not affect it, and it may be read concurrently.
+// Freeze returns a copy of the state without the history and the outcomes of proposals. Later changes to s do not
+// affect the copy, and it may be read concurrently.
 func (s *State) Freeze() *State {
 	return &State{
 		validate:         s.validate,
@@ -73,28 +74,29 @@
 	}
 }
 
-// Version returns the version in force; 0: nothing has been applied.
+// Version returns the version in force, or 0 if no proposal has been applied.
 func (s *State) Version() uint64 { return s.version }
 
-// Hash returns the hash chained over all entries so far, in hex. Two states with the same hash have applied the same
+// Hash returns the hash chain of all entries so far, in hex. Two states with the same hash have processed the same
 // entries in the same order.
 func (s *State) Hash() string { return hex.EncodeToString(s.hash[:]) }
 
 // History returns the retained history, oldest first.
 func (s *State) History() []HistoryRecord { return slices.Clone(s.history.latest()) }
 
-// Outcome returns the outcome of a proposal by its ID; false if it is unknown or no longer retained.
+// Outcome returns the outcome of the proposal with an ID. It returns false if the ID is unknown or the outcome no
+// longer retained.
 func (s *State) Outcome(id string) (Outcome, bool) { return s.outcomes.get(id) }
 
-// Get returns an object's value; false if there is no such object.
+// Get returns the value of an object, or false if the object does not exist.
 func (s *State) Get(kind, name string) (json.RawMessage, bool) {
 	return s.objects.Get(objectKey(kind, name))
 }
 
-// Tree returns all objects. Its values must not be modified.
+// Tree returns all objects. The values must not be modified.
 func (s *State) Tree() *Tree { return s.objects }
 
-// Each calls f for each object of a kind, sorted by name.
+// Each calls f for each object of a kind, in the order of their names.
 func (s *State) Each(kind string, f func(name string, value json.RawMessage)) {
 	forEachObject(s.objects, kind, f)
 }
--- a/clusterconfig/validation.go
+++ b/clusterconfig/validation.go
@@ -11,20 +11,20 @@
 
 // Limits of objects' fields.
 const (
-	maxPlanFigure     = 1e12      // exclusive; of each figure of a plan, in its unit
+	maxPlanFigure     = 1e12      // exclusive; for each numeric field of a plan, in the field's unit
 	maxPriorityWeight = 1e9       // exclusive
-	maxDeadlineMs     = 3_600_000 // milliseconds: one hour
-	maxEighths        = 7         // of a site's keys: a site that owns all is not lost
+	maxDeadlineMs     = 3_600_000 // one hour in milliseconds
+	maxEighths        = 7         // a site that owns all eighths of its keys is not lost
 	maxNoteBytes      = 1000
 	maxEpochIDBytes   = 100
-	maxUnitsLimit     = 1_000_000 // units of one request
+	maxUnitsLimit     = 1_000_000 // units per request
 )
 
 // canonicalizer checks the value of a put and returns its canonical encoding.
 type canonicalizer func(json.RawMessage) (json.RawMessage, error)
 
-// canonicalizers are the canonicalizers by kind. Their errors are stored in
-// outcomes by all members, so that neither their texts nor the order of the checks may change.
+// canonicalizers contains the canonicalizer of each kind. All members store the errors in outcomes, so that neither the
+// error texts nor the order of the checks may change.
 var canonicalizers = map[string]canonicalizer{
 	KindPlan:        newCanonicalizer((*Plan).check),
 	KindLicensee:    newCanonicalizer((*Licensee).check),
@@ -41,7 +41,7 @@
 // Kinds returns all kinds of objects, sorted.
 func Kinds() []string { return slices.Sorted(maps.Keys(canonicalizers)) }
 
-// newCanonicalizer returns the canonicalizer of a type, which rejects unknown fields and what check rejects.
+// newCanonicalizer returns the canonicalizer of a type. It rejects unknown fields and values that check rejects.
 func newCanonicalizer[T any](check func(*T) error) canonicalizer {
 	return func(text json.RawMessage) (json.RawMessage, error) {
 		var v T
@@ -55,8 +55,8 @@
 	}
 }
 
-// check rejects figures that are negative or out of range, and limits without what they need. The order of the fields
-// is fixed: all members must reject with the same text.
+// check rejects fields that are negative or too large, rates and hard limits without a burst, and hard limits below the
+// rate. The order of the fields is fixed, since all members must reject with the same text.
 func (p *Plan) check() error {
 	for _, f := range []struct {
 		key   string
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// check rejects a licensee without a plan. That the plan exists is checked with the references.
+// check rejects a customer without a plan. checkReferences checks that the plan exists.
 func (l *Licensee) check() error {
 	if l.Plan == "" {
 		return errors.New("plan: is missing")
@@ -93,10 +93,10 @@
 	return nil
 }
 
-// check rejects a site whose service discovery has no address with a port.
+// check rejects a site whose discovery address is not an IP address with a port.
 func (s *Site) check() error { return checkAddress(FieldDiscoveryAddress, s.DiscoveryAddress) }
 
-// check rejects a loss without a reason for operators, and a recovered part other than 0 to 7 eighths of the keys.
+// check rejects a loss without a reason for operators, and recovered eighths outside 0 to maxEighths.
 func (l *LostSite) check() error {
 	if l.Reason == "" {
 		return errors.New(fieldLossReason + ": is missing")
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// check rejects a class of no weight, one whose late answers would earn more than punctual ones, and objectives and
-// deadlines, in milliseconds, that are out of order.
+// check rejects a class without weight, one whose late responses would count more than timely ones, a latency objective
+// that is not positive or longer than the deadline, and a deadline longer than maxDeadlineMs.
 func (c *Class) check() error {
 	switch {
 	case c.Name != "":
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// check rejects a member without both addresses.
+// check rejects a member unless both addresses are IP addresses with a port.
 func (m *Member) check() error {
 	if err := checkAddress(fieldRaftAddress, m.RaftAddress); err != nil {
 		return err
@@ -132,7 +132,7 @@
 	return checkAddress(fieldAdminAddress, m.AdminAddress)
 }
 
-// check rejects a note that is too long. Any version may be pinned, also one that is not agreed on yet.
+// check rejects a note that is too long. Any version may be pinned, including one that is not committed yet.
 func (f *Follower) check() error {
 	if len(f.Note) > maxNoteBytes {
 		return fmt.Errorf("note: %d bytes are the most", maxNoteBytes)
@@ -140,7 +140,8 @@
 	return nil
 }
 
-// check rejects an epoch without a number or ID. That it follows the one in force is checked with the references.
+// check rejects an epoch without a number or with an invalid ID. checkReferences checks that it is later than the epoch
+// in force.
 func (e *Epoch) check() error {
 	if e.Number == 0 || e.ID == "" || len(e.ID) > maxEpochIDBytes {
 		return fmt.Errorf("number: from 1, and an id of 1 to %d bytes are wanted", maxEpochIDBytes)
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// check rejects a limit that is out of range, in units of one request.
+// check rejects a limit outside 1 to maxUnitsLimit.
 func (l *Limit) check() error {
 	if l.Max < 1 || l.Max > maxUnitsLimit {
 		return fmt.Errorf("%s: is outside 1 to %d", fieldLimitMax, maxUnitsLimit)
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// check rejects an empty description. Its text is checked with the references, against classes and limits.
+// check rejects a description without a file name or text. checkReferences checks the text against classes and limits.
 func (d *Description) check() error {
 	if d.File == "" || d.Text == "" {
 		return errors.New("file or text is missing")
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// checkAddress rejects what is not an IP address with a port.
+// checkAddress rejects an address that is not an IP address with a port.
 func checkAddress(field, address string) error {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return fmt.Errorf("%s: an address with a port is wanted", field)
--- a/configstream/action.go
+++ b/configstream/action.go
@@ -1,15 +1,15 @@
 package configstream
 
-// Action is an action for a follower's host; exactly one field is set. At most one of Persist, Check and Activate is in
-// progress. The host reports its end with [Follower.PersistCompleted], [Follower.CheckCompleted] or
-// [Follower.ActivationCompleted].
+// Action is an action that a follower's host carries out; exactly one field is set. At most one of Persist, Check and
+// Activate is in progress at a time. The host reports its completion with [Follower.PersistCompleted],
+// [Follower.CheckCompleted] or [Follower.ActivationCompleted].
 type Action struct {
-	Persist     *DurableState // write it and sync
-	Check       *Version      // check whether it can be put in force
-	Activate    *Version      // put it in force
-	Send        *Report       // to the member
-	Ping        uint64        // sequence number of a ping to send; 0: none
-	CloseStream string        // why the stream has to be closed; empty: it has not
-	Warning     string        // for operators
-	Rejected    *Rejection    // for operators: the version that is rejected, and why
+	Persist     *DurableState // state to write and sync
+	Check       *Version      // version to check before it is put in force
+	Activate    *Version      // version to put in force
+	Send        *Report       // message to send to the member
+	Ping        uint64        // sequence number of a ping to send; 0 if no ping is sent
+	CloseStream string        // reason for closing the stream; empty if it stays open
+	Warning     string        // problem to log for operators
+	Rejected    *Rejection    // rejected version to log for operators, with its problems
 }
--- a/configstream/admission.go
+++ b/configstream/admission.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// admissionLimiter decides which connections and streams of followers a member accepts. For connections it is a token
-// bucket: their handshakes are expensive, and when a member fails, all of its followers connect to other members at
-// the same time.
+// admissionLimiter decides which connections and streams of followers a member accepts. A token bucket limits the rate
+// of new connections: their handshakes are expensive, and when a member fails, all of its followers connect to other
+// members at the same time.
 type admissionLimiter struct {
-	maxStreams int     // open at once
+	maxStreams int     // maximum number of open streams
 	rate       float64 // tokens per second
 	burst      float64 // maximum number of tokens
 	tokens     float64
@@ -26,9 +26,9 @@
 	}
 }
 
-// admitConnection reports whether a new connection is accepted before its handshake, and takes a token for it if so.
-// It is rejected while the bucket is empty or the member has as many streams as it may: the follower tries the next
-// member.
+// admitConnection reports whether a new connection is accepted before its handshake, and takes a token if it is. The
+// connection is rejected while the bucket is empty or the member has maxStreams open streams; the follower then tries
+// the next member.
 func (l *admissionLimiter) admitConnection(now time.Duration, openStreams int) bool {
 	l.refill(now)
 	if l.tokens < 1 || !l.admitStream(openStreams) {
@@ -38,8 +38,8 @@
 	return true
 }
 
-// admitStream reports whether one more stream is accepted beside those that are open. Connections admitted before may
-// have become streams since.
+// admitStream reports whether another stream is accepted. It is checked again when a stream opens, since connections
+// that were admitted earlier may have opened streams in the meantime.
 func (l *admissionLimiter) admitStream(openStreams int) bool { return openStreams < l.maxStreams }
 
 func (l *admissionLimiter) refill(now time.Duration) {
--- a/configstream/body.go
+++ b/configstream/body.go
@@ -11,10 +11,11 @@
 	"mulleinmux/clusterconfig"
 )
 
-// ErrCorrupt reports that the version built from a body does not have the digest that the body names.
-var ErrCorrupt = errors.New("the content does not make the version that it is said to be")
+// ErrCorrupt reports that the version built from a body does not have the digest in the body's reference, or that a
+// body or a digest is invalid.
+var ErrCorrupt = errors.New("content does not match the digest of its version")
 
-// Estimates of the encoding's overhead in [Body.Size], in bytes.
+// Estimated encoding overheads in [Body.Size], in bytes.
 const (
 	bodyOverhead   = 100
 	objectOverhead = 8
@@ -27,17 +28,17 @@
 	Value json.RawMessage `json:"Value"`
 }
 
-// Body is the content of a version: complete, or as the difference to a base. Pushes share it, so that it must not be
-// modified.
+// Body is the content of a version, either complete or as the difference from a base version. It is shared by pushes
+// and must not be modified.
 type Body struct {
 	Ref
-	Base             *Ref     `json:"Base"`   // nil: the body is complete
-	Format           int      `json:"Format"` // the oldest one that contains all of it
+	Base             *Ref     `json:"Base"`   // base of the difference; nil if the body is complete
+	Format           int      `json:"Format"` // oldest format that can represent all objects in Put
 	Hash             string   `json:"Hash"`
 	PlacementVersion uint64   `json:"Homes"`
-	PlanOrder        []string `json:"Places"` // complete, or the names that the base lacks
+	PlanOrder        []string `json:"Places"` // all names, or those appended since the base
 	Put              []Object `json:"Put"`
-	Removed          []string `json:"Removed"` // keys
+	Removed          []string `json:"Removed"` // keys of the base's objects that the version does not contain
 }
 
 // Size estimates the length of the encoded body in bytes.
@@ -55,7 +56,7 @@
 	return size
 }
 
-// Body returns the difference of v to base, or the complete content if base is nil.
+// Body returns the difference from base to v, or the complete content if base is nil.
 func (v *Version) Body(base *Version) *Body {
 	b := &Body{
 		Ref:              v.Ref,
@@ -82,14 +83,14 @@
 	return b
 }
 
-// Build returns the version of a body. If the body is a difference, base must be its base. The error wraps
-// [ErrCorrupt].
+// Build returns the version that a body describes. If the body is a difference, base must be the version that it refers
+// to as its base. The error wraps [ErrCorrupt].
 func (b *Body) Build(base *Version) (*Version, error) {
 	v := &Version{Ref: b.Ref, Hash: b.Hash, PlacementVersion: b.PlacementVersion, PlanOrder: b.PlanOrder}
 	tree := iradix.New[json.RawMessage]()
 	if b.Base != nil {
 		if base == nil || base.Ref != *b.Base {
-			return nil, fmt.Errorf("made against version %v: %w", *b.Base, ErrCorrupt)
+			return nil, fmt.Errorf("base version %v is not available: %w", *b.Base, ErrCorrupt)
 		}
 		tree, v.objectsDigest = base.Tree, base.objectsDigest
 		v.PlanOrder = slices.Concat(base.PlanOrder, b.PlanOrder)
@@ -102,7 +103,7 @@
 	for _, key := range b.Removed {
 		old, ok := txn.Delete([]byte(key))
 		if !ok {
-			return nil, fmt.Errorf("%s is to be removed and is not there: %w", key, ErrCorrupt)
+			return nil, fmt.Errorf("removed object %s is not in the base version: %w", key, ErrCorrupt)
 		}
 		v.objectsDigest.replace([]byte(key), old, nil)
 	}
--- a/configstream/confirmation.go
+++ b/configstream/confirmation.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// confirmation is the latest confirmation by a quorum that nothing newer than a version had been agreed on.
+// confirmation is the latest quorum confirmation that no version newer than a given one had been committed.
 type confirmation struct {
-	askedAt time.Duration // clock reading at which it was requested, for which it holds
-	isValid bool          // false: there is none for the version
+	requestedAt time.Duration // clock reading when the quorum was queried: the confirmation holds as of this time
+	isValid     bool          // false if the version has no confirmation
 }
--- a/configstream/difference.go
+++ b/configstream/difference.go
@@ -7,8 +7,8 @@
 	"mulleinmux/clusterconfig"
 )
 
-// forEachDifference calls f for each object that differs between two trees, sorted by key. nil means that a tree
-// does not have it.
+// forEachDifference calls f for each object that differs between two trees, sorted by key. A nil value means that the
+// tree does not contain the object.
 func forEachDifference(a, b *clusterconfig.Tree, f func(key []byte, old, current json.RawMessage)) {
 	if a == b {
 		return
@@ -43,7 +43,8 @@
 	}
 }
 
-// isSameValue reports whether two values are equal. Both trees share most values, so it compares their addresses first.
+// isSameValue reports whether two values are equal. It compares their addresses first, since the trees share most
+// values.
 func isSameValue(a, b json.RawMessage) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0] || bytes.Equal(a, b))
 }
--- a/configstream/digest.go
+++ b/configstream/digest.go
@@ -8,12 +8,13 @@
 	"fmt"
 )
 
-// digestWordBytes is the length of one word of a [Digest].
+// digestWordBytes is the length of one word of a [Digest] in bytes.
 const digestWordBytes = 8
 
-// Digest identifies the content of a version. It is the sum of the hashes of its objects, so that it can be updated
-// from the changes alone: M. Bellare and D. Micciancio, "A New Paradigm for Collision-Free Hashing: Incrementality
-// at Reduced Cost", 1997 (AdHash). It detects errors; TLS on the connection prevents forgery.
+// Digest identifies the content of a version. It is the sum of the hashes of the version's objects, so that it can be
+// updated from the changed objects alone (AdHash: M. Bellare and D. Micciancio, "A New Paradigm for Collision-Free
+// Hashing: Incrementality at Reduced Cost", 1997). It detects corruption only; forgery is prevented by TLS on the
+// connection.
 type Digest [4]uint64
 
 // String returns the digest in hex.
@@ -28,11 +29,11 @@
 // MarshalText returns the digest in hex.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText is the inverse of MarshalText. The error wraps [ErrCorrupt].
+// UnmarshalText decodes the form that MarshalText returns. The error wraps [ErrCorrupt].
 func (d *Digest) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil || len(b) != digestWordBytes*len(d) {
-		return fmt.Errorf("digest %q: %w", text, ErrCorrupt)
+		return fmt.Errorf("invalid digest %q: %w", text, ErrCorrupt)
 	}
 	for i := range d {
 		d[i] = binary.BigEndian.Uint64(b[digestWordBytes*i:])
@@ -40,7 +41,8 @@
 	return nil
 }
 
-// replace removes an object's old value from the digest and adds its current one; nil means that there is none.
+// replace subtracts the hash of an object's old value from the digest and adds that of its current value. A nil value
+// means that the object is absent.
 func (d *Digest) replace(key []byte, old, current json.RawMessage) {
 	if old != nil {
 		for i, word := range hashObject(key, old) {
@@ -54,7 +56,7 @@
 	}
 }
 
-// hashObject returns the SHA-256 of the key's length, the key and the value.
+// hashObject returns the SHA-256 hash of an object: the key's length, the key and the value.
 func hashObject(key []byte, value json.RawMessage) (words Digest) {
 	h := sha256.New()
 	h.Write(binary.AppendUvarint(nil, uint64(len(key))))
--- a/configstream/durable_state.go
+++ b/configstream/durable_state.go
@@ -1,47 +1,47 @@
 package configstream
 
-// DurableState is the state of a follower that survives restarts. Each change of it is an [Action]; the host must have
-// written and synced it before it reports the action's end.
+// DurableState is the state of a follower that survives restarts. Each change to it results in an [Action] with Persist
+// set; the host must write and sync the state before it reports completion.
 type DurableState struct {
-	StartCount         uint64   // processes that have used it, including this one
-	Accepted           *Version // checked; in force or to be put in force
-	WasActivated       bool     // Accepted has been in force
-	ActivationAttempts int      // starts with an Accepted that has not been in force
-	Previous           *Version // in force before Accepted
-	Candidate          Ref      // the version being checked; zero: none
-	CheckAttempts      int      // checks of Candidate that were started
+	StartCount         uint64   // number of processes that have used the state, including this one
+	Accepted           *Version // version that passed its check, and is in force or about to be
+	WasActivated       bool     // whether Accepted has been in force
+	ActivationAttempts int      // process starts with an Accepted that has not been in force
+	Previous           *Version // version that was in force before Accepted
+	Candidate          Ref      // version being checked; the zero value if none is
+	CheckAttempts      int      // number of checks of Candidate that were started
 	Rejections         []Rejection
 }
 
-// startupVerdict is what a follower does at its start with the version that it had accepted.
-type startupVerdict int
+// startupDecision is what a follower does at its start with the accepted version.
+type startupDecision int
 
 const (
-	startWithNothing  startupVerdict = iota // none was accepted
-	startAtOnce                             // it has been in force: it is put in force without contacting a member
-	startAsAttempt                          // it has not been in force yet: the attempt is counted first
-	startWithFallback                       // it has ended the process too often: it is rejected
+	startEmpty             startupDecision = iota // no version was accepted
+	activateAccepted                              // it has been in force: no member has to be contacted
+	countActivationAttempt                        // it has not been in force yet: persist the attempt, then activate it
+	rejectAccepted                                // it has ended the process too often
 )
 
-// judgeStartup decides how a process starts. maxAttempts is the number of attempts to put a version in force, each of
-// which ended the process, after which the version is rejected.
-func (d *DurableState) judgeStartup(maxAttempts int) startupVerdict {
+// decideStartup returns what a follower does at its start. maxAttempts is the number of activation attempts, each of
+// which ended the process, after which a version is rejected.
+func (d *DurableState) decideStartup(maxAttempts int) startupDecision {
 	switch {
 	case d.Accepted == nil:
-		return startWithNothing
+		return startEmpty
 	case d.WasActivated:
-		return startAtOnce
+		return activateAccepted
 	case d.ActivationAttempts >= maxAttempts:
-		return startWithFallback
+		return rejectAccepted
 	}
-	return startAsAttempt
+	return countActivationAttempt
 }
 
-// hasFailedChecks reports whether the candidate has ended the process in maxAttempts checks, so that it is rejected
-// unchecked.
+// hasFailedChecks reports whether checks of the candidate have ended the process maxAttempts times. Such a candidate is
+// rejected without another check.
 func (d *DurableState) hasFailedChecks(maxAttempts int) bool { return d.CheckAttempts >= maxAttempts }
 
-// beginCheck counts a check of a version.
+// beginCheck makes a version the candidate and counts the check.
 func (d *DurableState) beginCheck(ref Ref) {
 	if d.Candidate != ref {
 		d.Candidate = ref
@@ -67,8 +67,8 @@
 	d.endCheck()
 }
 
-// reject adds a rejection. If it is of the accepted version, the previous one, if any, becomes accepted again and is
-// returned.
+// reject adds a rejection. If it is of the accepted version, the previous version is accepted again and returned;
+// otherwise, or if there is no previous version, reject returns nil.
 func (d *DurableState) reject(r Rejection) (fallback *Version) {
 	d.Rejections = appendRejection(d.Rejections, r)
 	d.endCheck()
--- a/configstream/fixture_test.go
+++ b/configstream/fixture_test.go
@@ -15,7 +15,7 @@
 	"mulleinmux/internal/fixture"
 )
 
-// fixtureMessages are the recorded values by name: one is the first version and two is made from it.
+// fixtureMessages returns the recorded values by name. Version two was made from version one.
 func fixtureMessages(one, two *Version) map[string]any {
 	problems := []Problem{{"plan/kati", "rate", "out of range"}}
 	ref := one.Ref
@@ -69,7 +69,7 @@
 	}
 }
 
-// fixtureVersions returns the versions of the recorded values: the second is made from the first.
+// fixtureVersions returns the versions in the recorded values. Version two was made from version one.
 func fixtureVersions(t *testing.T) (one, two *Version) {
 	t.Helper()
 	s := clusterconfig.New(nil)
@@ -94,8 +94,7 @@
 	return one, two
 }
 
-// What members tell each other and what followers keep is encoded as it was recorded: digests, keys of JSON, texts of
-// results and orders.
+// Gossip messages and persisted state are encoded as recorded, including digests, JSON keys and the names of results.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./configstream -run Fixture
 func TestFixtureMessagesEncoded(t *testing.T) {
@@ -112,7 +111,7 @@
 	fixture.Compare(t, "words.txt", out.Bytes())
 }
 
-// Recorded gossip and bodies are read as what was sent.
+// Recorded gossip messages and bodies are decoded to the original values.
 func TestFixtureMessagesDecoded(t *testing.T) {
 	one, two := fixtureVersions(t)
 	recorded := map[string][]byte{}
@@ -132,16 +131,16 @@
 		t.Fatal(err)
 	}
 	if second, err := difference.Build(first); err != nil || second.Ref != two.Ref || second.Hash != two.Hash {
-		t.Errorf("%v, %v", second, err)
+		t.Errorf("version built from the recorded difference: got %v, error %v", second, err)
 	}
 	var message GossipMessage
 	want := fixtureMessages(one, two)["word"]
 	if err := json.Unmarshal(recorded["word"], &message); err != nil || !reflect.DeepEqual(message, want) {
-		t.Errorf("%+v, %v", message, err)
+		t.Errorf("decoded gossip message: got %+v, error %v", message, err)
 	}
 }
 
-// Each follower's order of members, and its waits for fixed draws, are as they were recorded.
+// Each follower's order of members, and its backoffs for fixed random numbers, are as recorded.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./configstream -run Fixture
 func TestFixtureMemberSelection(t *testing.T) {
--- a/configstream/follower.go
+++ b/configstream/follower.go
@@ -9,44 +9,45 @@
 type FollowerConfig struct {
 	Name              string
 	ProcessID         uint64        // random, chosen at the start of the process
-	HeartbeatInterval time.Duration // between pings
-	SilenceTimeout    time.Duration // without a message from the member until the stream is closed
-	MaxAttempts       int           // checks or activations of a version that end the process until it is rejected
+	HeartbeatInterval time.Duration // interval between pings
+	SilenceTimeout    time.Duration // time without a message from the member after which the stream is closed
+	MaxAttempts       int           // checks or activations that end the process before the version is rejected
 }
 
-// Follower is a follower's side of its stream. It is not safe for concurrent use. Its methods are the events; what is
-// decided by its types: how it starts (DurableState), which pushes it takes (Push.screen), when it pings and when the
-// member is silent (followerStream), and what an answer to a ping confirms (Pong).
+// Follower is the follower's side of a configuration stream. It is not safe for concurrent use. The host calls its
+// methods for each event and carries out the actions that they return. The decisions are made by the types that hold
+// the state: DurableState decides how the follower starts, Push.immediateReply which pushes are processed,
+// followerStream when a ping is sent and when the member counts as silent, and Pong what the reply to a ping confirms.
 type Follower struct {
 	cfg          FollowerConfig
 	durable      DurableState
-	running      *Version // in force now; nil: nothing
+	running      *Version // version in force; nil if none is
 	runningSince time.Duration
 	update       update
-	pendingPush  *Push // the newest that was received during the update
+	pendingPush  *Push // latest push received during the update
 	stream       followerStream
 	warning      string // see Warning
 
-	// Confirmations that running, and its placement of keys, are the newest.
+	// Quorum confirmations that running, and its placement of keys, are the newest.
 	confirmation          confirmation
 	placementConfirmation confirmation
 }
 
-// NewFollower returns a follower's side and its first actions. The version that was in force before the restart is
-// put in force again without contacting a member. A version that has ended the process too often is rejected
-// instead.
+// NewFollower returns a follower and its first actions. The version that was in force before the restart is activated
+// again without contacting a member. A version whose checks or activations have ended the process too often is
+// rejected.
 func NewFollower(cfg FollowerConfig, durable DurableState) (*Follower, []Action) {
 	f := &Follower{cfg: cfg, durable: durable, stream: newFollowerStream()}
-	f.durable.Rejections = readableRejections(durable.Rejections)
+	f.durable.Rejections = validRejections(durable.Rejections)
 	accepted := f.durable.Accepted
-	switch f.durable.judgeStartup(cfg.MaxAttempts) {
-	case startAtOnce:
+	switch f.durable.decideStartup(cfg.MaxAttempts) {
+	case activateAccepted:
 		return f, f.activate(accepted)
-	case startAsAttempt:
+	case countActivationAttempt:
 		f.durable.ActivationAttempts++
 		f.update = update{step: stepPersistAccepted, version: accepted, isStartup: true}
 		return f, f.persist()
-	case startWithFallback:
+	case rejectAccepted:
 		const text = "the process ended %d times while this version was put in force"
 		f.update.version = accepted
 		return f, f.rejectWithText(fmt.Sprintf(text, f.durable.ActivationAttempts))
@@ -55,18 +56,18 @@
 	}
 }
 
-// readableRejections returns the rejections that remain valid at a start: those for a newer format do not, since the
-// program may have been updated.
-func readableRejections(list []Rejection) (readable []Rejection) {
+// validRejections returns the rejections that remain valid after a restart. Those for an unsupported format are
+// dropped, since the program may have been updated.
+func validRejections(list []Rejection) (valid []Rejection) {
 	for _, r := range list {
 		if !r.IsUnsupportedFormat {
-			readable = append(readable, r)
+			valid = append(valid, r)
 		}
 	}
-	return readable
+	return valid
 }
 
-// Running returns the version in force; nil: none.
+// Running returns the version in force, or nil if there is none.
 func (f *Follower) Running() *Ref {
 	if f.running == nil {
 		return nil
@@ -86,18 +87,18 @@
 	f.placementConfirmation.isValid = false
 }
 
-// ConfirmedAt returns the time as of which a quorum last confirmed that the version in force is the newest; false: none
-// has since it was put in force.
+// ConfirmedAt returns the time as of which a quorum last confirmed that the version in force is the newest. It returns
+// false if there has been no confirmation since the version was put in force.
 func (f *Follower) ConfirmedAt() (at time.Duration, ok bool) {
-	return f.confirmation.askedAt, f.confirmation.isValid
+	return f.confirmation.requestedAt, f.confirmation.isValid
 }
 
-// PlacementConfirmedAt is ConfirmedAt for the placement of keys only.
+// PlacementConfirmedAt is like [Follower.ConfirmedAt], for the placement of keys only.
 func (f *Follower) PlacementConfirmedAt() (at time.Duration, ok bool) {
-	return f.placementConfirmation.askedAt, f.placementConfirmation.isValid
+	return f.placementConfirmation.requestedAt, f.placementConfirmation.isValid
 }
 
-// Warning returns the present problem for operators; empty: none.
+// Warning returns the current problem that operators should see, or "".
 func (f *Follower) Warning() string { return f.warning }
 
 // Rejections returns the rejected versions, oldest rejection first.
--- a/configstream/follower_stream.go
+++ b/configstream/follower_stream.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// maxPendingPings limits the pings whose answers are accepted: the latest ones.
+// maxPendingPings is the number of latest pings whose replies are accepted.
 const maxPendingPings = 16
 
 // followerStream is the state of a follower's current stream.
 type followerStream struct {
-	isOpen   bool
-	heardAt  time.Duration            // clock reading of the last message
-	number   uint64                   // of streams in this process so far
-	lastPing uint64                   // sequence number
-	pingedAt time.Duration            // clock reading of the last ping
-	pings    map[uint64]time.Duration // when the last ones were sent, by sequence number
+	isOpen     bool
+	receivedAt time.Duration            // time of the last message from the member
+	number     uint64                   // number of streams that this process has opened
+	lastPing   uint64                   // sequence number of the last ping
+	pingedAt   time.Duration            // time of the last ping
+	pings      map[uint64]time.Duration // send times of the latest pings by sequence number
 }
 
 func newFollowerStream() followerStream { return followerStream{pings: map[uint64]time.Duration{}} }
 
-// OpenStream begins a stream and returns its first message.
+// OpenStream begins a stream and returns the first message to send on it.
 func (f *Follower) OpenStream(now time.Duration) Hello {
 	f.pendingPush = nil
-	f.update.nonce = 0 // its push was received on another stream
+	f.update.nonce = 0 // the update's push was received on another stream
 	s := &f.stream
 	s.isOpen = true
-	s.heardAt = now
+	s.receivedAt = now
 	s.number++
 	s.pingedAt = now - f.cfg.HeartbeatInterval
 	clear(s.pings)
@@ -42,14 +42,14 @@
 	}
 }
 
-// StreamClosed records that the stream has ended. The version in force remains.
+// StreamClosed records that the stream has ended. The version in force is kept.
 func (f *Follower) StreamClosed() {
 	f.stream.isOpen = false
 	f.pendingPush = nil
 }
 
-// report returns the reply to a push; rejection may be nil. Without a stream there is no reply: the hello of the next
-// stream contains the same.
+// report returns the action that sends the reply to a push; rejection may be nil. Without an open stream nothing is
+// sent, since the hello of the next stream contains the same state.
 func (f *Follower) report(nonce uint64, result Result, ref Ref, rejection *Rejection) []Action {
 	if !f.stream.isOpen {
 		return nil
@@ -61,11 +61,11 @@
 	return []Action{{Send: r}}
 }
 
-// isSilent reports whether the stream is given up because the member has sent nothing for longer than the timeout.
-func (s *followerStream) isSilent(now, timeout time.Duration) bool { return now-s.heardAt > timeout }
+// isSilent reports whether the member has sent nothing for longer than the timeout.
+func (s *followerStream) isSilent(now, timeout time.Duration) bool { return now-s.receivedAt > timeout }
 
-// nextPing returns the sequence number of the ping that is due, and records it; 0: the last one is more recent than the
-// interval.
+// nextPing records the ping that is due and returns its sequence number. It returns 0 if the interval since the last
+// ping has not passed.
 func (s *followerStream) nextPing(now, interval time.Duration) (sequence uint64) {
 	if now-s.pingedAt < interval {
 		return 0
@@ -77,7 +77,7 @@
 	return s.lastPing
 }
 
-// Tick sends a ping if one is due, or closes a stream whose member is silent. The host calls it regularly.
+// Tick sends a ping if one is due, or closes the stream if the member is silent. The host calls it periodically.
 func (f *Follower) Tick(now time.Duration) []Action {
 	s := &f.stream
 	if !s.isOpen {
@@ -92,22 +92,22 @@
 	return nil
 }
 
-// PongReceived handles the answer to a ping.
+// PongReceived handles the reply to a ping.
 func (f *Follower) PongReceived(now time.Duration, p Pong) (actions []Action) {
-	f.stream.heardAt = now
-	askedAt, ok := f.stream.pings[p.Sequence]
+	f.stream.receivedAt = now
+	requestedAt, ok := f.stream.pings[p.Sequence]
 	if !ok {
 		return nil
 	}
 	warning := p.NameConflict
 	if f.running != nil {
 		if p.confirmsVersion(f.running) {
-			f.confirmation = confirmation{askedAt, true}
+			f.confirmation = confirmation{requestedAt, true}
 		}
 		if p.confirmsPlacement(f.running) {
-			f.placementConfirmation = confirmation{askedAt, true}
+			f.placementConfirmation = confirmation{requestedAt, true}
 		}
-		if divergence := p.divergenceFrom(f.running); divergence != "" {
+		if divergence := p.divergenceWarning(f.running); divergence != "" {
 			warning = divergence
 		}
 	}
@@ -118,19 +118,20 @@
 	return actions
 }
 
-// confirmsVersion reports whether a quorum has confirmed, as of the ping, that the version in force is the newest.
+// confirmsVersion reports whether a quorum has confirmed that the version in force was the newest as of the ping.
 func (p *Pong) confirmsVersion(running *Version) bool {
 	return p.IsConfirmed && p.Newest.Compare(running.Ref) == OrderSame
 }
 
-// confirmsPlacement reports whether a quorum has confirmed, as of the ping, that no key owners newer than those in
-// force had been agreed on. The version in force may be older otherwise.
+// confirmsPlacement reports whether a quorum has confirmed that no newer placement of keys than the one in force had
+// been committed as of the ping. Changes of other objects may be newer than the version in force.
 func (p *Pong) confirmsPlacement(running *Version) bool {
 	return p.IsConfirmed && p.Newest.Epoch == running.Epoch && p.PlacementVersion == running.PlacementVersion
 }
 
-// divergenceFrom returns a warning if the members' newest version does not follow the one in force, or "".
-func (p *Pong) divergenceFrom(running *Version) string {
+// divergenceWarning returns a warning if the members' newest version diverges from the version in force, or is
+// confirmed and older. Otherwise it returns "".
+func (p *Pong) divergenceWarning(running *Version) string {
 	const (
 		diverged = "the members have version %v, which is not the version %v in force here: " +
 			"two services have one epoch, or one was restored: agree on a new epoch"
--- a/configstream/follower_test.go
+++ b/configstream/follower_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// followerTest drives a follower event by event.
+// followerTest is a follower whose events a test triggers one by one.
 type followerTest struct {
 	*Follower
 	t *testing.T
 }
 
-// expect fails the test unless the actions are those of the text.
+// expect fails the test unless describeActions returns want for the actions.
 func (f *followerTest) expect(step, want string, actions []Action) {
 	f.t.Helper()
 	if got := describeActions(actions); got != want {
-		f.t.Fatalf("%s: %q, want %q", step, got, want)
+		f.t.Fatalf("%s: got actions %q, want %q", step, got, want)
 	}
 }
 
@@ -28,8 +28,9 @@
 func (f *followerTest) checked(problems ...Problem) []Action { return f.CheckCompleted(0, problems) }
 func (f *followerTest) activated(err error) []Action         { return f.ActivationCompleted(0, err) }
 
-// A follower, event by event: what it does. Each part goes on where the one before it has ended.
-func TestFollowerTranscript(t *testing.T) {
+// A sequence of events results in the expected actions of a follower. Each part continues from the state at the end of
+// the previous one.
+func TestFollowerEventSequence(t *testing.T) {
 	vs := numberedVersions(t, 6)
 	follower, first := NewFollower(FollowerConfig{
 		Name:              "f",
@@ -45,11 +46,12 @@
 	f.expectFailures(vs)
 	f.expectHeartbeats()
 	if f.Running() == nil || *f.Running() != vs[0].Ref {
-		t.Errorf("runs %v", f.Running())
+		t.Errorf("version in force: got %v, want version 1", f.Running())
 	}
 }
 
-// expectFirstVersion checks that version 1 is put in force, and then the push that came meanwhile.
+// expectFirstVersion checks that version 1 is put in force, and that the push received during the update is handled
+// afterwards.
 func (f *followerTest) expectFirstVersion(vs []*Version) {
 	f.t.Helper()
 	f.expect("first push", "persist", f.push(1, vs[0], nil))
@@ -58,17 +60,18 @@
 	f.expect("checked", "persist", f.checked())
 	f.expect("accepted", "activate 1", f.persisted())
 	f.expect("activated", "persist", f.activated(nil))
-	f.expect("the push that came meanwhile follows", "1 applied 1, persist", f.persisted())
+	f.expect("activation persisted, pending push handled", "1 applied 1, persist", f.persisted())
 }
 
-// expectRejection checks that version 2 is rejected on another stream, and which pushes are answered at once.
+// expectRejection checks that version 2 is rejected after the stream was replaced, and which pushes are replied to
+// immediately.
 func (f *followerTest) expectRejection(vs []*Version) {
 	f.t.Helper()
 	f.StreamClosed()
 	f.OpenStream(0)
 	f.expect("candidate persisted on another stream", "check 2", f.persisted())
 	f.expect("problem found", "persist", f.checked(Problem{Object: "plan big", Field: "rate", Text: "is odd"}))
-	f.expect("rejected, the push was another stream's", "rejected 2, 0 refused 2", f.persisted())
+	f.expect("rejected, pushed on an earlier stream", "rejected 2, 0 refused 2", f.persisted())
 	f.expect("push of a rejected version", "3 refused 2", f.push(3, vs[1], vs[0]))
 	f.expect("push with a missing base", "4 needs-full 4", f.push(4, vs[3], vs[2]))
 	f.expect("push of the same version", "5 not-newer 1", f.push(5, vs[0], nil))
@@ -89,7 +92,7 @@
 	f.expect("rejected, 1 stays in force", "rejected 5, 7 refused 5", f.persisted())
 }
 
-// expectHeartbeats checks when a ping is due, and that a silent member is left.
+// expectHeartbeats checks when a ping is due, and that the stream of a silent member is closed.
 func (f *followerTest) expectHeartbeats() {
 	f.t.Helper()
 	f.expect("heartbeat due", "ping", f.Tick(time.Second))
--- a/configstream/helpers_test.go
+++ b/configstream/helpers_test.go
@@ -10,20 +10,21 @@
 	"mulleinmux/clusterconfig"
 )
 
-// seconds returns a time on the virtual clock.
+// seconds returns a time on the virtual clock from a number of seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// agreedVersions returns the versions after each list of changes.
-func agreedVersions(t *testing.T, changes ...[]clusterconfig.Change) []*Version {
+// committedVersions returns the versions that the lists of changes make, one for each list.
+func committedVersions(t *testing.T, changes ...[]clusterconfig.Change) []*Version {
 	t.Helper()
 	sim := newVersionLog(t, rand.New(rand.NewPCG(1, 1)))
 	for _, cs := range changes {
-		sim.agree(cs...)
+		sim.commit(cs...)
 	}
 	return sim.log
 }
 
-// numberedVersions returns n versions that differ in a limit, the first with a follower called f.
+// numberedVersions returns n versions. The first one has a follower named f and a plan, and each later one changes a
+// limit.
 func numberedVersions(t *testing.T, n int) []*Version {
 	t.Helper()
 	changes := [][]clusterconfig.Change{{
@@ -34,10 +35,10 @@
 		limit := clusterconfig.NewPutChange("limit", "units", clusterconfig.Limit{Max: i + 1})
 		changes = append(changes, []clusterconfig.Change{limit})
 	}
-	return agreedVersions(t, changes...)
+	return committedVersions(t, changes...)
 }
 
-// describeStreamActions returns a publisher's actions as a text for comparison. "!" marks a confirmed push.
+// describeStreamActions returns a publisher's actions as text for comparisons. A "!" marks a confirmed push.
 func describeStreamActions(actions []StreamAction) string {
 	var all []string
 	for _, a := range actions {
@@ -63,7 +64,7 @@
 	return text
 }
 
-// describeActions returns a follower's actions as a text for comparison.
+// describeActions returns a follower's actions as text for comparisons.
 func describeActions(actions []Action) string {
 	var all []string
 	for _, a := range actions {
--- a/configstream/messages.go
+++ b/configstream/messages.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Hello is the first message of a follower on a stream. Name is the one in its certificate.
+// Hello is the first message of a follower on a stream.
 type Hello struct {
-	Name         string
+	Name         string // name in the follower's certificate
 	ProcessID    uint64 // random, chosen at the start of the process
-	StartCount   uint64 // processes that have used the follower's file, including this one
-	StreamNumber uint64 // streams of the process, including this one
-	Running      *Ref   // nil: it has persisted nothing, and accepts only versions that a quorum confirms from now on
+	StartCount   uint64 // number of processes that have used the follower's file, including this one
+	StreamNumber uint64 // number of streams that the process has opened, including this one
+	Running      *Ref   // version in force; nil if nothing is persisted: only versions confirmed from now on are accepted
 	RunningFor   time.Duration
 	Rejections   []Rejection
-	MaxFormat    int // the newest format that it can read
+	MaxFormat    int // newest format that the follower can read
 }
 
 // Push offers a version to a follower.
 type Push struct {
 	Nonce       uint64
 	Body        *Body
-	IsConfirmed bool // a quorum has confirmed, since the stream began, that nothing newer had been agreed on
+	IsConfirmed bool // a quorum has confirmed, since the stream began, that no newer version had been committed
 }
 
 // Result is the outcome of a push at its follower.
 type Result int
 
-// The results.
+// Results of a push.
 const (
-	ResultStatusOnly  Result = iota // not a reply to a push, but a report of the version in force
-	ResultApplied                   // the version is in force, and persisted
-	ResultRejected                  // it never will be in force; the report contains the problems
+	ResultStatusOnly  Result = iota // the report is not a reply to a push and contains the version in force only
+	ResultApplied                   // the version is in force and persisted
+	ResultRejected                  // the version will never be in force; the report contains the problems
 	ResultNeedsFull                 // the base of the delta is missing, or the body is corrupt
-	ResultNotNewer                  // the version in force is as new or newer
-	ResultUnconfirmed               // nothing is in force, and the version is not confirmed
+	ResultNotNewer                  // the version in force is the same or newer
+	ResultUnconfirmed               // no version is in force, and the pushed one is not confirmed
 	ResultDiverged                  // two control services use the same epoch
 )
 
-// String returns the name of the result in logs.
+// String returns the name that logs use for the result.
 func (r Result) String() string { return resultNames[r] }
 
 // Report is a follower's reply to a push, or a report of its status.
 type Report struct {
-	Nonce               uint64 // of the push; 0: none
+	Nonce               uint64 // nonce of the push; 0 if the report is not a reply
 	Result              Result
-	Ref                 Ref  // of the version pushed
-	Running             *Ref // the version in force; nil: none
+	Ref                 Ref  // pushed version
+	Running             *Ref // version in force; nil if there is none
 	Problems            []Problem
-	IsUnsupportedFormat bool // of a rejection: see [Rejection]
+	IsUnsupportedFormat bool // see [Rejection]
 }
 
-// Pong answers a ping.
+// Pong is the reply to a ping.
 type Pong struct {
-	Sequence         uint64 // of the ping
-	Newest           Ref    // at this member
-	PlacementVersion uint64 // of Newest
-	IsConfirmed      bool   // a quorum has confirmed, since the ping, that nothing newer had been agreed on
-	NameConflict     string // why this follower gets no newer version: another process uses its name; empty: none does
+	Sequence         uint64 // sequence number of the ping
+	Newest           Ref    // newest version at this member
+	PlacementVersion uint64 // placement version of Newest
+	IsConfirmed      bool   // a quorum has confirmed, since the ping, that no newer version had been committed
+	NameConflict     string // describes another process with this follower's name, which blocks updates; empty if none
 }
--- a/configstream/name_conflict.go
+++ b/configstream/name_conflict.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// findNameConflict returns a description of another process that uses a follower's name; empty: there is none. While
-// there is one, neither process gets a newer version.
+// findNameConflict returns a description of the conflict with another process that uses the follower's name, or "".
+// During a conflict neither process is sent a newer version.
 func (p *Publisher) findNameConflict(now time.Duration, s *session) (conflict string) {
 	const text = "processes %x and %x, at members %d and %d, are both called %s: " +
 		"end one, and give it a name and a file of its own"
@@ -22,9 +22,9 @@
 	return conflict
 }
 
-// conflictsWith reports whether two streams with one name are of two processes that both live. Streams that overlap may
-// also be those of one follower that was restarted, or has lost the older stream unnoticed: so both must have sent
-// messages after the later one had connected, and the other one within the silence timeout.
+// conflictsWith reports whether two streams with the same name belong to two processes that are both running. Streams
+// can also overlap when a follower was restarted, or when it lost the older stream unnoticed. Therefore both streams
+// must have received messages since the later one was opened, and the other stream one within the silence timeout.
 func (o *ObservedStream) conflictsWith(other *ObservedStream, silenceTimeout time.Duration) bool {
 	areBothActive := max(o.SilentFor, other.SilentFor) < min(o.StreamAge, other.StreamAge)
 	return o.ProcessID != other.ProcessID && areBothActive && other.SilentFor < silenceTimeout
--- a/configstream/names.go
+++ b/configstream/names.go
@@ -1,12 +1,13 @@
 package configstream
 
-// Words that operators read in logs, statuses and summaries, and their terms in the code. The JSON keys stand in the
-// tags of the types (refused: rejected; twin: name conflict; homes: placement; places: plan order).
+// This file maps terms of the code to the older words that operators read in logs, statuses and summaries. The words
+// that are used as JSON keys are in the tags of the types: "refused" means rejected, "twin" a name conflict, "homes"
+// the placement and "places" the plan order.
 
-// wordRejected stands for a rejected version.
+// wordRejected is the word for a rejected version.
 const wordRejected = "refused"
 
-// resultNames are the names of the results in logs, by [Result].
+// resultNames are the names of results in logs, by [Result].
 var resultNames = [...]string{
 	ResultStatusOnly:  "stated",
 	ResultApplied:     "applied",
@@ -19,8 +20,8 @@
 
 // States of a [StreamStatus]. They are part of the management API's JSON.
 const (
-	StateRunning = "running" // a version is in force
-	StateWaiting = "waiting" // connected, nothing in force
-	StateUnknown = "unknown" // no message for the silence timeout
-	StateNever   = "never"   // no member has had a stream of it
+	StateRunning = "running" // the follower has a version in force
+	StateWaiting = "waiting" // the follower is connected and has no version in force
+	StateUnknown = "unknown" // no message was received for longer than the silence timeout
+	StateNever   = "never"   // no member has observed a stream of the follower
 )
--- a/configstream/pin_test.go
+++ b/configstream/pin_test.go
@@ -8,14 +8,14 @@
 	"mulleinmux/clusterconfig"
 )
 
-// A follower that is pinned goes up to that version and stays, and takes the newest once it is unpinned.
+// A pinned follower is pushed versions up to the pinned one only, and the newest after it is unpinned.
 func TestPinnedFollower(t *testing.T) {
 	follower := func(pinned uint64) []clusterconfig.Change {
 		f := clusterconfig.Follower{PinnedVersion: pinned}
 		return []clusterconfig.Change{clusterconfig.NewPutChange("follower", "f", f)}
 	}
 	limit := clusterconfig.NewPutChange("limit", "units", clusterconfig.Limit{Max: 2})
-	vs := agreedVersions(t, follower(0), []clusterconfig.Change{limit}, follower(2), follower(0))
+	vs := committedVersions(t, follower(0), []clusterconfig.Change{limit}, follower(2), follower(0))
 	p := &publisherTest{t: t, Publisher: NewPublisher(PublisherConfig{
 		Member:              1,
 		SilenceTimeout:      time.Hour,
@@ -32,7 +32,7 @@
 	p.expect("pinned", "", p.ReportReceived(0, 1, p.reply(ResultApplied, vs[1], vs[1])))
 	st := p.Statuses(0)[0]
 	if st.PinnedVersion != 2 || !strings.Contains(st.Explain(3), "until it is unpinned") {
-		t.Errorf("%+v", st)
+		t.Errorf("status of the pinned follower: got %+v, want version 2 pinned, explained as pinned", st)
 	}
 	p.expect("unpinned", "1 push 4 on 2", p.Publish(0, vs[3]))
 }
--- a/configstream/publisher.go
+++ b/configstream/publisher.go
@@ -9,31 +9,32 @@
 // PublisherConfig is the configuration of a [Publisher].
 type PublisherConfig struct {
 	Member              uint64
-	SilenceTimeout      time.Duration // without a message of a follower until its stream is closed
-	PushReplyTimeout    time.Duration // without a reply to a push until the stream is closed
-	ConfirmationTimeout time.Duration // for which the answer to a ping waits for the confirmation of a quorum
-	MaxRetainedVersions int           // versions retained as bases of differences
-	MaxFollowers        int           // connected to this member
-	AdmissionRate       float64       // new connections per second
-	AdmissionBurst      float64       // new connections at once
+	SilenceTimeout      time.Duration // time without a message from a follower after which its stream is closed
+	PushReplyTimeout    time.Duration // time without a reply to a push after which the stream is closed
+	ConfirmationTimeout time.Duration // time that the reply to a ping waits for a quorum confirmation
+	MaxRetainedVersions int           // number of versions retained as bases of differences
+	MaxFollowers        int           // maximum number of open streams at this member
+	AdmissionRate       float64       // sustained rate of new connections per second
+	AdmissionBurst      float64       // maximum burst of new connections
 	DisableDeltas       bool          // push complete versions only; for benchmarks
 }
 
-// StreamAction is an action for a publisher's host: a message to send on a stream, or the stream's closing.
+// StreamAction is an action that a publisher's host carries out: send a message on a stream, or close the stream.
 type StreamAction struct {
 	SessionID   uint64
 	Push        *Push
 	Pong        *Pong
-	CloseReason string // empty: the stream stays open
+	CloseReason string // reason for closing the stream; empty if it stays open
 }
 
-// nonceBits is the number of low bits of a nonce that count the pushes of a process.
+// nonceBits is the number of low bits of a nonce that hold the count of a process's pushes.
 const nonceBits = 20
 
-// Publisher is a member's side of the streams to its followers. It is not safe for concurrent use. Its methods are the
-// events, in the order in which they ask the types that hold the state: which connections are accepted
-// (admissionLimiter), which version a follower should run (versionStore), what it gets on its stream (session), and
-// which other process uses its name (observationTable).
+// Publisher is the member's side of the streams to its followers. It is not safe for concurrent use. The host calls its
+// methods for each event and carries out the actions that they return. The decisions are made by the types that hold
+// the state: admissionLimiter decides which connections are accepted, versionStore which version a follower should run,
+// session what is sent on a stream, and observationTable holds the streams at other members, for name conflicts and
+// statuses.
 type Publisher struct {
 	cfg          PublisherConfig
 	admission    admissionLimiter
@@ -43,8 +44,8 @@
 	lastNonce    uint64
 }
 
-// NewPublisher returns a member's side without a version. The seed must differ from those of the member's earlier
-// processes, so that nonces do.
+// NewPublisher returns a publisher that has no version. The seed must differ from those of the member's earlier
+// processes, so that their nonces differ too.
 func NewPublisher(cfg PublisherConfig, seed uint64) *Publisher {
 	return &Publisher{
 		cfg:          cfg,
@@ -56,47 +57,47 @@
 	}
 }
 
-// Newest returns the newest version that was published here; nil: none.
+// Newest returns the newest version that was published at this member, or nil if there is none.
 func (p *Publisher) Newest() *Version { return p.versions.newest }
 
-// Admit reports whether a new connection is accepted now, and counts it if so.
+// Admit reports whether a new connection is accepted, and counts it against the limit if it is.
 func (p *Publisher) Admit(now time.Duration) bool {
 	return p.admission.admitConnection(now, p.sessions.count())
 }
 
-// Publish makes an agreed version the newest and pushes it. A version that is not newer than the last is ignored.
+// Publish makes a committed version the newest and pushes it. A version that is not newer than the last one is ignored.
 func (p *Publisher) Publish(now time.Duration, v *Version) []StreamAction {
 	if !p.versions.publish(v) {
 		return nil
 	}
-	p.observations.dropRemoved(p.versions.isFollower)
+	p.observations.dropRemovedFollowers(p.versions.isFollower)
 	return p.sessions.each(func(s *session) []StreamAction {
 		if !p.versions.isFollower(s.hello.Name) {
 			return p.endStream(now, s, "is no longer agreed on as a follower")
 		}
-		return p.offer(now, s)
+		return p.pushIfDue(now, s)
 	})
 }
 
-// Confirm records the confirmation of a quorum that, as of askedAt, nothing newer than ref had been agreed on.
-func (p *Publisher) Confirm(now, askedAt time.Duration, ref Ref) []StreamAction {
-	if !p.versions.confirm(askedAt, ref) {
+// Confirm records that a quorum has confirmed that no version newer than ref had been committed as of requestedAt.
+func (p *Publisher) Confirm(now, requestedAt time.Duration, ref Ref) []StreamAction {
+	if !p.versions.confirm(requestedAt, ref) {
 		return nil
 	}
 	return p.sessions.each(func(s *session) (actions []StreamAction) {
 		if s.isPingConfirmed(p.versions.confirmation) {
 			actions = append(actions, s.pong(p.versions.newest, true))
 		}
-		return append(actions, p.offer(now, s)...)
+		return append(actions, p.pushIfDue(now, s)...)
 	})
 }
 
-// Tick closes streams that are silent or whose follower does not reply to a push, answers pings without a confirmation
-// after a timeout, and detects name conflicts. The host calls it regularly.
+// Tick closes streams whose follower is silent or does not reply to a push, answers pings that were not confirmed
+// within the timeout, and detects name conflicts. The host calls it periodically.
 func (p *Publisher) Tick(now time.Duration) []StreamAction {
 	p.observations.expire(now, gossipRetention*p.cfg.SilenceTimeout, p.versions.isFollower)
 	return p.sessions.each(func(s *session) []StreamAction {
-		if reason := s.expired(now, &p.cfg); reason != "" {
+		if reason := s.timeoutReason(now, &p.cfg); reason != "" {
 			return p.endStream(now, s, reason)
 		}
 		hadConflict := s.nameConflict != ""
@@ -106,13 +107,13 @@
 		case hasConflict && !hadConflict, s.isPongLate(now, p.cfg.ConfirmationTimeout):
 			return []StreamAction{s.pong(p.versions.newest, false)}
 		case hadConflict && !hasConflict:
-			return p.offer(now, s)
+			return p.pushIfDue(now, s)
 		}
 		return nil
 	})
 }
 
-// PingReceived handles a ping. It is answered when a quorum confirms the newest version, or after a timeout.
+// PingReceived handles a ping. The reply is sent when a quorum confirms the newest version, or after a timeout.
 func (p *Publisher) PingReceived(now time.Duration, id, sequence uint64) []StreamAction {
 	if s := p.sessions.byID[id]; s != nil {
 		s.recordPing(now, sequence)
@@ -129,20 +130,20 @@
 	if s.recordReport(now, &r) {
 		p.observations.changed[s.hello.Name] = true
 	}
-	switch s.judgeReply(&r, p.versions.newest) {
-	case offerAgain:
-		return p.offer(now, s)
-	case endDamaged:
+	switch s.handleReply(&r, p.versions.newest) {
+	case pushTargetIfDue:
+		return p.pushIfDue(now, s)
+	case closeCorrupt:
 		return p.endStream(now, s, "the whole version did not reach it as it is")
 	}
 	return nil
 }
 
-// offer pushes the version that a follower should run, if that is due. Versions published while a push is in flight are
-// not queued; the newest is pushed after the reply.
-func (p *Publisher) offer(now time.Duration, s *session) []StreamAction {
+// pushIfDue pushes the version that a follower should run, unless decidePush withholds it. Versions published while a
+// push is in flight are not queued; the newest is pushed after the reply.
+func (p *Publisher) pushIfDue(now time.Duration, s *session) []StreamAction {
 	v := p.versions.target(s.hello.Name)
-	if s.judgePush(v, p.versions.confirmation) != pushNow {
+	if s.decidePush(v, p.versions.confirmation) != pushNow {
 		return nil
 	}
 	p.lastNonce++
@@ -150,12 +151,13 @@
 	push := &Push{
 		Nonce:       p.lastNonce,
 		Body:        p.versions.body(s.bodyBase(), v),
-		IsConfirmed: s.isConfirmedSinceBegin(p.versions.confirmation),
+		IsConfirmed: s.isConfirmedSinceStreamBegan(p.versions.confirmation),
 	}
 	return []StreamAction{{SessionID: s.id, Push: push}}
 }
 
-// OpenStream handles a new stream and its first message. Its ID must be higher than those of all earlier streams.
+// OpenStream handles the first message of a new stream. The stream's ID must be higher than those of all earlier
+// streams.
 func (p *Publisher) OpenStream(now time.Duration, id uint64, h Hello) (actions []StreamAction) {
 	if !p.versions.isFollower(h.Name) {
 		reason := fmt.Sprintf("%q is not agreed on as a follower", h.Name)
@@ -172,7 +174,7 @@
 	s := newSession(now, id, &h)
 	p.sessions.add(s)
 	p.observations.changed[h.Name] = true
-	return append(actions, p.offer(now, s)...)
+	return append(actions, p.pushIfDue(now, s)...)
 }
 
 // endStream closes a stream from the member's side.
@@ -181,7 +183,7 @@
 	return []StreamAction{{SessionID: s.id, CloseReason: reason}}
 }
 
-// StreamClosed records that a stream has ended. The last state of its follower is retained.
+// StreamClosed records that a stream has ended. The last observed state of its follower is retained.
 func (p *Publisher) StreamClosed(now time.Duration, id uint64) {
 	s := p.sessions.byID[id]
 	if s == nil {
@@ -191,6 +193,6 @@
 	name := s.hello.Name
 	p.observations.changed[name] = true
 	if p.versions.isFollower(name) {
-		p.observations.recordDeparture(now, s)
+		p.observations.recordDisconnect(now, s)
 	}
 }
--- a/configstream/publisher_test.go
+++ b/configstream/publisher_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// publisherTest drives a publisher event by event and keeps the nonce of its last push.
+// publisherTest is a publisher whose events a test triggers one by one.
 type publisherTest struct {
 	*Publisher
 	t     *testing.T
-	nonce uint64
+	nonce uint64 // nonce of the last push
 }
 
-// expect fails the test unless the actions are those of the text.
+// expect fails the test unless describeStreamActions returns want for the actions.
 func (p *publisherTest) expect(step, want string, actions []StreamAction) {
 	p.t.Helper()
 	if got := describeStreamActions(actions); got != want {
-		p.t.Fatalf("%s: %q, want %q", step, got, want)
+		p.t.Fatalf("%s: got actions %q, want %q", step, got, want)
 	}
 	for _, a := range actions {
 		if a.Push != nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-// hello returns the hello of a process of the follower f.
+// hello returns the hello of a process of the follower named f.
 func hello(processID, streamNumber uint64, running *Version) Hello {
 	h := Hello{Name: "f", ProcessID: processID, StreamNumber: streamNumber}
 	if running != nil {
@@ -52,8 +52,9 @@
 	}, 1<<40)}
 }
 
-// A publisher, event by event: what it sends. Each part goes on where the one before it has ended.
-func TestPublisherTranscript(t *testing.T) {
+// A sequence of events results in the expected actions of a publisher. Each part continues from the state at the end of
+// the previous one.
+func TestPublisherEventSequence(t *testing.T) {
 	vs := numberedVersions(t, 9)
 	p := newPublisherTest(t)
 	p.expectPushes(vs)
@@ -62,11 +63,11 @@
 	p.expectAdmission()
 }
 
-// expectPushes checks which versions are pushed to a follower, up to its rejection of the newest, until 2.3 s.
+// expectPushes checks which versions are pushed to a follower until it rejects the newest, from 0 s until 2.3 s.
 func (p *publisherTest) expectPushes(vs []*Version) {
 	p.t.Helper()
 	at := seconds
-	p.expect("nobody is agreed on yet", "1 close", p.OpenStream(at(0), 1, hello(7, 1, nil)))
+	p.expect("follower not configured", "1 close", p.OpenStream(at(0), 1, hello(7, 1, nil)))
 	p.expect("first version", "", p.Publish(at(0), vs[0]))
 	p.expect("follower with nothing persisted", "", p.OpenStream(at(1), 2, hello(7, 1, nil)))
 	p.expect("confirmed as of before the stream", "", p.Confirm(at(1.1), at(0.9), vs[0].Ref))
@@ -74,19 +75,19 @@
 	p.expect("one push at a time", "", p.Publish(at(1.3), vs[1]))
 	p.expect("one push at a time", "", p.Publish(at(1.3), vs[2]))
 	applied := p.reply(ResultApplied, vs[0], vs[0])
-	p.expect("the newest, not a queue", "2 push 3 on 1", p.ReportReceived(at(1.4), 2, applied))
+	p.expect("only the newest is pushed", "2 push 3 on 1", p.ReportReceived(at(1.4), 2, applied))
 	otherReply := Report{Nonce: p.nonce - 1, Result: ResultApplied, Ref: vs[2].Ref, Running: &vs[0].Ref}
 	p.expect("reply to another push", "", p.ReportReceived(at(1.4), 2, otherReply))
 	p.expect("one push at a time", "", p.Publish(at(1.5), vs[3]))
-	p.expect("full version wanted", "2 push 4", p.ReportReceived(at(1.6), 2, p.reply(ResultNeedsFull, vs[2], vs[0])))
-	p.expect("full version damaged", "2 close", p.ReportReceived(at(1.7), 2, p.reply(ResultNeedsFull, vs[3], vs[0])))
+	p.expect("full version requested", "2 push 4", p.ReportReceived(at(1.6), 2, p.reply(ResultNeedsFull, vs[2], vs[0])))
+	p.expect("full version corrupt", "2 close", p.ReportReceived(at(1.7), 2, p.reply(ResultNeedsFull, vs[3], vs[0])))
 	p.expect("connected again", "3 push 4 on 1", p.OpenStream(at(2), 3, hello(7, 2, vs[0])))
 	p.expect("another stream of the process", "3 close, 4 push 4 on 1", p.OpenStream(at(2.1), 4, hello(7, 3, vs[0])))
 	p.expect("version rejected", "", p.ReportReceived(at(2.2), 4, p.reply(ResultRejected, vs[3], vs[0])))
 	p.expect("rejected version confirmed", "", p.Confirm(at(2.3), at(2.2), vs[3].Ref))
 }
 
-// expectPongs checks how pings are answered and which streams are closed, from 2.3 s until 13.1 s.
+// expectPongs checks the replies to pings and which streams are closed, from 2.3 s until 13.1 s.
 func (p *publisherTest) expectPongs(vs []*Version) {
 	p.t.Helper()
 	at := seconds
@@ -101,18 +102,18 @@
 	p.expect("newer version", "4 push 6 on 5", p.Publish(at(4), vs[5]))
 	p.expect("third ping", "", p.PingReceived(at(6), 4, 3))
 	p.expect("fourth ping", "", p.PingReceived(at(8.9), 4, 4))
-	p.expect("alive, and no reply to the push", "4 close", p.Tick(at(9.1)))
-	p.expect("base not retained any more", "5 push 6", p.OpenStream(at(10), 5, hello(7, 4, vs[1])))
+	p.expect("pings received, but no reply to the push", "4 close", p.Tick(at(9.1)))
+	p.expect("base no longer retained", "5 push 6", p.OpenStream(at(10), 5, hello(7, 4, vs[1])))
 	p.expect("silent", "5 close", p.Tick(at(13.1)))
 }
 
-// expectNameConflict checks that two processes of one name get nothing, from 14 s until 18 s.
+// expectNameConflict checks that neither of two processes with the same name is sent a version, from 14 s until 18 s.
 func (p *publisherTest) expectNameConflict(vs []*Version) {
 	p.t.Helper()
 	at := seconds
 	p.expect("follower with the newest version", "", p.OpenStream(at(14), 6, hello(7, 5, vs[5])))
-	p.expect("another process, restarted or not", "", p.OpenStream(at(14.1), 7, hello(8, 1, vs[5])))
-	p.expect("neither process heard since", "", p.Tick(at(14.2)))
+	p.expect("another process with the name", "", p.OpenStream(at(14.1), 7, hello(8, 1, vs[5])))
+	p.expect("no message from either process since then", "", p.Tick(at(14.2)))
 	p.expect("ping of one process", "", p.PingReceived(at(14.3), 6, 9))
 	p.expect("ping of the other process", "", p.PingReceived(at(14.3), 7, 9))
 	p.expect("name conflict", "6 pong 9 false, 7 pong 9 false", p.Tick(at(14.4)))
@@ -121,7 +122,7 @@
 	p.expect("silent", "7 close", p.Tick(at(18)))
 }
 
-// Connections are admitted two at once and one a second.
+// Connections are admitted in a burst of two, and at one per second.
 func TestPublisherAdmission(t *testing.T) { newPublisherTest(t).expectAdmission() }
 
 // expectAdmission fails the test unless connections from 20 s on are admitted as configured.
@@ -140,7 +141,7 @@
 		{"again a second later", 21, false},
 	} {
 		if got := p.Admit(seconds(c.at)); got != c.want {
-			p.t.Errorf("%s: admitted %v, want %v", c.name, got, c.want)
+			p.t.Errorf("%s: got admitted %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/configstream/push.go
+++ b/configstream/push.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// pushVerdict is whether a version is pushed to a follower now, or why not.
-type pushVerdict int
+// pushDecision is whether a version is pushed to a follower now, or why not.
+type pushDecision int
 
 const (
-	pushNow              pushVerdict = iota
-	withheldNoVersion                // the follower's target is not retained here
-	withheldReplyPending             // one push is in flight at a time: after its reply the newest is pushed
-	withheldNameConflict             // two processes use the name, and neither gets a newer version
-	withheldUnconfirmed              // the follower runs nothing, so that it could not recognize an old version
-	withheldNotNewer                 // the follower runs the version or a newer one
-	withheldRejected                 // the follower has rejected the version
+	pushNow              pushDecision = iota
+	withheldNoVersion                 // the follower's target version is not retained at this member
+	withheldReplyPending              // only one push is in flight at a time; after its reply the newest is pushed
+	withheldNameConflict              // two processes use the name, and neither is sent a newer version
+	withheldUnconfirmed               // without a version in force, the follower cannot recognize an outdated one
+	withheldNotNewer                  // the follower runs the target version or a newer one
+	withheldRejected                  // the follower has rejected the target version
 )
 
-// judgePush decides whether the target version is pushed now.
-func (s *session) judgePush(target *Version, c confirmation) pushVerdict {
+// decidePush decides whether the target version is pushed now.
+func (s *session) decidePush(target *Version, c confirmation) pushDecision {
 	switch {
 	case target == nil:
 		return withheldNoVersion
@@ -24,7 +24,7 @@
 		return withheldReplyPending
 	case s.nameConflict != "":
 		return withheldNameConflict
-	case s.running == nil && !s.isConfirmedSinceBegin(c):
+	case s.running == nil && !s.isConfirmedSinceStreamBegan(c):
 		return withheldUnconfirmed
 	case s.running != nil && target.Compare(*s.running) != OrderNewer:
 		return withheldNotNewer
@@ -34,12 +34,12 @@
 	return pushNow
 }
 
-// isConfirmedSinceBegin reports whether a quorum's confirmation was requested since the stream began.
-func (s *session) isConfirmedSinceBegin(c confirmation) bool {
-	return c.isValid && c.askedAt >= s.beganAt
+// isConfirmedSinceStreamBegan reports whether a quorum confirmation was requested after the stream began.
+func (s *session) isConfirmedSinceStreamBegan(c confirmation) bool {
+	return c.isValid && c.requestedAt >= s.beganAt
 }
 
-// bodyBase returns the version that the next push may be a difference to; nil: the push must be complete.
+// bodyBase returns the version that the next push may be a difference from, or nil if the push must be complete.
 func (s *session) bodyBase() *Ref {
 	if s.needsFull {
 		return nil
@@ -47,51 +47,51 @@
 	return s.running
 }
 
-// recordPush records a push that is sent now.
+// recordPush records a push that is being sent.
 func (s *session) recordPush(now time.Duration, nonce uint64, ref Ref) {
 	s.pendingNonce = nonce
 	s.offered = &ref
 	s.pushedAt = now
 }
 
-// replyVerdict is what a member does after a follower's report.
-type replyVerdict int
+// reportDecision is what a member does after a report from a follower.
+type reportDecision int
 
 const (
-	awaitNext  replyVerdict = iota // the next version or confirmation causes the next push
-	offerAgain                     // push what the follower should run, if that is due
-	endDamaged                     // close the stream: a complete version has arrived damaged
+	noAction        reportDecision = iota // the next push follows the next version or confirmation
+	pushTargetIfDue                       // push the version that the follower should run, if it is due
+	closeCorrupt                          // close the stream: a complete version was received corrupt
 )
 
-// judgeReply decides what follows a report, and ends the push that it replies to. A follower that could not use a
-// difference gets the complete version, once.
-func (s *session) judgeReply(r *Report, newest *Version) replyVerdict {
+// handleReply returns what to do after a report, and ends the push that the report replies to. A follower that could
+// not use a difference is sent the complete version once.
+func (s *session) handleReply(r *Report, newest *Version) reportDecision {
 	if r.Nonce == 0 || r.Nonce != s.pendingNonce {
-		return awaitNext // a status, or the reply to a push of another stream
+		return noAction // the report is a status, or the reply to a push on another stream
 	}
 	s.pendingNonce = 0
 	switch r.Result {
 	case ResultApplied, ResultRejected:
 		s.needsFull = false
-		return offerAgain
+		return pushTargetIfDue
 	case ResultNeedsFull:
 		if s.needsFull {
-			return endDamaged
+			return closeCorrupt
 		}
 		s.needsFull = true
-		return offerAgain
+		return pushTargetIfDue
 	case ResultNotNewer:
 		isBehind := r.Running != nil && newest.Compare(*r.Running) == OrderNewer
 		if isBehind && s.offered != nil && newest.Ref != *s.offered {
-			return offerAgain
+			return pushTargetIfDue
 		}
 	}
-	return awaitNext
+	return noAction
 }
 
-// recordReport records the follower's state from a report, and reports whether it has changed.
+// recordReport updates the follower's state from a report and returns whether it has changed.
 func (s *session) recordReport(now time.Duration, r *Report) (hasChanged bool) {
-	s.heardAt = now
+	s.receivedAt = now
 	if r.Running != nil && (s.running == nil || *s.running != *r.Running) {
 		s.running = r.Running
 		s.runningSince = now
--- a/configstream/ref.go
+++ b/configstream/ref.go
@@ -16,7 +16,7 @@
 	Digest Digest `json:"digest"`
 }
 
-// String returns the number, and the epoch if there is one.
+// String returns the version number, followed by the epoch's number if there is an epoch.
 func (r Ref) String() string {
 	if r.Epoch.Number == 0 {
 		return fmt.Sprint(r.Number)
@@ -27,12 +27,12 @@
 // Order is the order of a version relative to another one.
 type Order int
 
-// The orders.
+// Orders of versions.
 const (
 	OrderSame     Order = iota
-	OrderOlder          // of an earlier epoch, or with a lower number in the same one
-	OrderNewer          // of a later epoch, or with a higher number in the same one
-	OrderDiverged       // none of these: two control services use the same epoch
+	OrderOlder          // earlier epoch, or lower number in the same epoch
+	OrderNewer          // later epoch, or higher number in the same epoch
+	OrderDiverged       // none of the other orders: two control services use the same epoch
 )
 
 var orderNames = [...]string{"same", "older", "newer", "diverged"}
@@ -40,7 +40,7 @@
 // String returns the order's name.
 func (o Order) String() string { return orderNames[o] }
 
-// Compare returns the order of r relative to other: OrderOlder means that r is older.
+// Compare returns the order of r relative to other: [OrderOlder] means that r is older than other.
 func (r Ref) Compare(other Ref) Order {
 	switch {
 	case r.Epoch.Number != other.Epoch.Number:
--- a/configstream/rejection.go
+++ b/configstream/rejection.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// maxRejections limits the rejections that either side retains of a follower, to the latest.
+// maxRejections is the number of latest rejections that the follower and the member each retain of a follower.
 const maxRejections = 16
 
-// Problem is why a version is rejected: the object and field at fault, if known, and what is wrong with them.
+// Problem is a reason for which a version is rejected: the invalid object and field, if known, and what is wrong with
+// them.
 type Problem struct {
 	Object string `json:"object,omitempty"`
 	Field  string `json:"field,omitempty"`
@@ -24,21 +25,22 @@
 	return text
 }
 
-// Rejection is a version that a follower has rejected, and why.
+// Rejection is a version that a follower has rejected, with the problems found.
 type Rejection struct {
 	Ref
 	Problems            []Problem `json:"problems"`
 	IsUnsupportedFormat bool      `json:"unread,omitempty"` // a newer program may accept it
 }
 
-// appendRejection returns a copy of the list with r at its end, which replaces any of the same version.
+// appendRejection returns a copy of the list with r at its end, without an earlier rejection of the same version. Only
+// the latest maxRejections are kept.
 func appendRejection(list []Rejection, r Rejection) []Rejection {
 	list = slices.DeleteFunc(slices.Clone(list), func(o Rejection) bool { return o.Ref == r.Ref })
 	list = append(list, r)
 	return list[max(len(list)-maxRejections, 0):]
 }
 
-// newestRejection returns the rejection of the newest version; nil: there is none.
+// newestRejection returns the rejection of the newest version, or nil if the list is empty.
 func newestRejection(list []Rejection) (newest *Rejection) {
 	for i := range list {
 		if newest == nil || list[i].Compare(newest.Ref) == OrderNewer {
@@ -48,7 +50,7 @@
 	return newest
 }
 
-// findRejection returns the rejection of a version; nil: there is none.
+// findRejection returns the rejection of a version, or nil if there is none.
 func findRejection(list []Rejection, ref Ref) *Rejection {
 	i := slices.IndexFunc(list, func(r Rejection) bool { return r.Ref == ref })
 	if i < 0 {
--- a/configstream/session_table.go
+++ b/configstream/session_table.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// sessionTable holds the streams at a member.
+// sessionTable holds the open streams at a member.
 //
-// Invariant: order holds the keys of byID, ascending; byName holds the same streams in the same order, and no empty
-// list.
+// Invariant: order holds the keys of byID in ascending order. byName holds the same streams in the same order and
+// contains no empty list.
 type sessionTable struct {
 	byID   map[uint64]*session
 	order  []uint64
@@ -18,7 +18,7 @@
 
 func (t *sessionTable) count() int { return len(t.byID) }
 
-// add adds a stream whose ID must be higher than all others.
+// add adds a stream. Its ID must be higher than those of all streams in the table.
 func (t *sessionTable) add(s *session) {
 	t.byID[s.id] = s
 	t.order = append(t.order, s.id)
@@ -37,7 +37,7 @@
 	}
 }
 
-// each calls f for all streams in the order of their IDs and returns all actions. f may remove streams.
+// each calls f for all streams in the order of their IDs and returns the actions of all calls. f may remove streams.
 func (t *sessionTable) each(f func(*session) []StreamAction) (actions []StreamAction) {
 	for _, id := range slices.Clone(t.order) {
 		if s := t.byID[id]; s != nil {
--- a/configstream/simulation_follower_test.go
+++ b/configstream/simulation_follower_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// simFollower is a follower's machine.
+// simFollower is the simulated machine of a follower.
 type simFollower struct {
-	name     string
-	disk     *DurableState
-	process  int // counts processes
-	isUp     bool
-	node     *Follower
-	stream   *simStream
-	selector *MemberSelector
-	firstRef Ref  // agreed on when the process with nothing persisted began
-	newest   *Ref // that was ever in force, with this disk
-	running  *Ref // in force now
+	name          string
+	disk          *DurableState
+	process       int // number of processes started or ended so far; identifies the current one
+	isUp          bool
+	node          *Follower
+	stream        *simStream
+	selector      *MemberSelector
+	newestAtStart Ref  // newest committed version at the last start with an empty disk
+	lastActivated *Ref // last version put in force with this disk
+	running       *Ref // version in force
 }
 
 func (sim *simulation) startFollower(f *simFollower) {
 	f.process++
 	f.isUp, f.running, f.stream = true, nil, nil
 	if f.disk.Accepted == nil && f.disk.Previous == nil {
-		f.firstRef, f.newest = sim.newest().Ref, nil
+		f.newestAtStart, f.lastActivated = sim.newest().Ref, nil
 	}
 	f.disk.StartCount++
 	var actions []Action
@@ -38,8 +38,8 @@
 	sim.connect(f, sim.randomMillis(100))
 }
 
-// crash ends a follower's process; another one starts later, by chance on another machine.
-func (sim *simulation) crash(f *simFollower) {
+// crashFollower ends a follower's process. Another process starts after a delay, by chance on another machine.
+func (sim *simulation) crashFollower(f *simFollower) {
 	f.isUp = false
 	f.process++
 	sim.breakStream(f.stream)
@@ -53,7 +53,7 @@
 	})
 }
 
-// scheduleFollower schedules a follower's regular work and its faults.
+// scheduleFollower schedules a follower's periodic events and its faults.
 func (sim *simulation) scheduleFollower(f *simFollower) {
 	sim.every(50*time.Millisecond, func() {
 		if f.isUp {
@@ -62,7 +62,7 @@
 	})
 	sim.every(900*time.Millisecond, func() {
 		if f.isUp && sim.chance(0.2) {
-			sim.crash(f)
+			sim.crashFollower(f)
 		}
 	})
 	sim.every(300*time.Millisecond, func() {
@@ -72,8 +72,8 @@
 	})
 }
 
-// faultyPush returns a push of a faulty member: any version, complete or a delta, by chance with another number or a
-// part of its content.
+// faultyPush returns a push of a faulty member. It contains any version, complete or as a delta, by chance with a wrong
+// number or with only a part of the content.
 func (sim *simulation) faultyPush() *Push {
 	v := sim.all[sim.rng.IntN(len(sim.all))]
 	var base *Version
@@ -90,7 +90,7 @@
 	return &Push{Nonce: sim.rng.Uint64(), Body: &body}
 }
 
-// connect opens a stream after a while, and tries again until a member accepts it.
+// connect opens a stream after a delay, and retries until a member accepts it.
 func (sim *simulation) connect(f *simFollower, wait time.Duration) {
 	process := f.process
 	sim.after(wait, func() {
@@ -114,8 +114,8 @@
 	})
 }
 
-// later schedules the end of a follower's action, unless the process ends before.
-func (sim *simulation) later(f *simFollower, do func()) {
+// completeLater schedules the completion of a follower's action. It has no effect if the process ends earlier.
+func (sim *simulation) completeLater(f *simFollower, do func()) {
 	process := f.process
 	sim.after(sim.randomMillis(30)+time.Millisecond, func() {
 		if f.isUp && f.process == process {
@@ -158,11 +158,11 @@
 		if sim.rng.IntN(2) == 0 {
 			f.disk = &durable
 		}
-		sim.crash(f)
+		sim.crashFollower(f)
 		return
 	}
 	hasFailed := sim.chance(0.01)
-	sim.later(f, func() {
+	sim.completeLater(f, func() {
 		var err error
 		if hasFailed {
 			err = errors.New("no space left")
@@ -174,9 +174,9 @@
 }
 
 func (sim *simulation) performCheck(f *simFollower, v *Version) {
-	sim.later(f, func() {
-		if sim.chance(0.02) || hasPlanWithPrice(v, checkCrashPrice) {
-			sim.crash(f)
+	sim.completeLater(f, func() {
+		if sim.chance(0.02) || hasPlanWithPriorityFactor(v, checkCrashFactor) {
+			sim.crashFollower(f)
 			return
 		}
 		sim.perform(f, f.node.CheckCompleted(sim.now, problemsOf(v)))
@@ -184,22 +184,23 @@
 }
 
 func (sim *simulation) performActivate(f *simFollower, v *Version) {
-	if sim.chance(0.01) || hasPlanWithPrice(v, activationCrashPrice) {
-		sim.crash(f)
+	if sim.chance(0.01) || hasPlanWithPriorityFactor(v, activationCrashFactor) {
+		sim.crashFollower(f)
 		return
 	}
 	if sim.chance(0.01) {
-		sim.later(f, func() { sim.perform(f, f.node.ActivationCompleted(sim.now, errors.New("could not"))) })
+		sim.completeLater(f, func() { sim.perform(f, f.node.ActivationCompleted(sim.now, errors.New("activation failed"))) })
 		return
 	}
 	sim.checkActivation(f, v)
-	sim.later(f, func() { sim.perform(f, f.node.ActivationCompleted(sim.now, nil)) })
+	sim.completeLater(f, func() { sim.perform(f, f.node.ActivationCompleted(sim.now, nil)) })
 }
 
-// sendToMember has receive called at the member's end of the follower's stream, unless the message is lost.
+// sendToMember calls receive at the member's end of the follower's stream after the network delay, unless the message
+// is lost.
 func (sim *simulation) sendToMember(f *simFollower, receive func(*simStream) []StreamAction) {
 	s := f.stream
-	if s == nil || s.isMute {
+	if s == nil || s.dropsMessages {
 		return
 	}
 	sim.after(10*time.Millisecond, func() {
--- a/configstream/simulation_member_test.go
+++ b/configstream/simulation_member_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// simMember is a member's machine.
+// simMember is the simulated machine of a member.
 type simMember struct {
 	id            uint64
-	applied       int  // entries of the log
-	isPartitioned bool // from the other members: it may go on serving followers
+	applied       int  // number of applied log entries
+	isPartitioned bool // cut off from the other members, but not from followers
 	isDown        bool
-	process       int // counts processes
+	process       int // number of processes started so far; identifies the current one
 	publisher     *Publisher
 	streams       map[uint64]*simStream
 }
@@ -25,10 +25,10 @@
 	memberProcess   int
 	followerProcess int
 	isBroken        bool
-	isMute          bool // what is sent on it is lost, and neither side notices
+	dropsMessages   bool // whether all messages on it are lost without either side noticing
 }
 
-// isMemberUp reports whether the stream is one of the member's current process.
+// isMemberUp reports whether the stream is unbroken and belongs to the member's current process.
 func (s *simStream) isMemberUp() bool { return !s.isBroken && s.member.process == s.memberProcess }
 
 // isFollowerUp reports whether the stream is the current one of the follower's current process.
@@ -60,7 +60,7 @@
 	}
 }
 
-// scheduleMember schedules a member's regular work and its faults.
+// scheduleMember schedules a member's periodic events and its faults.
 func (sim *simulation) scheduleMember(m *simMember) {
 	sim.every(60*time.Millisecond, func() { sim.replicate(m) })
 	sim.every(50*time.Millisecond, func() {
@@ -82,27 +82,28 @@
 	})
 }
 
-// replicate has a member apply what is agreed on, and a quorum confirm it.
+// replicate lets a member apply the committed versions, and confirms its newest version if no newer one was committed
+// when the confirmation was requested.
 func (sim *simulation) replicate(m *simMember) {
 	if m.isDown || m.isPartitioned {
 		return
 	}
-	askedAt, agreed, process := sim.now, len(sim.log), m.process
+	requestedAt, committedCount, process := sim.now, len(sim.log), m.process
 	sim.after(sim.randomMillis(40), func() {
-		if m.isDown || m.isPartitioned || m.process != process || agreed > len(sim.log) {
+		if m.isDown || m.isPartitioned || m.process != process || committedCount > len(sim.log) {
 			return
 		}
 		if sim.rng.IntN(3) > 0 {
-			m.applied = max(m.applied, min(agreed, len(sim.log)))
+			m.applied = max(m.applied, min(committedCount, len(sim.log)))
 			sim.publish(m)
 		}
-		if m.applied >= agreed {
-			sim.deliver(m, m.publisher.Confirm(sim.now, askedAt, sim.log[m.applied-1].Ref))
+		if m.applied >= committedCount {
+			sim.deliver(m, m.publisher.Confirm(sim.now, requestedAt, sim.log[m.applied-1].Ref))
 		}
 	})
 }
 
-// gossip sends what a member knows to the others; messages get lost.
+// gossip sends a member's observations to the other members. Some messages are lost.
 func (sim *simulation) gossip(m *simMember) {
 	if m.isDown {
 		return
@@ -128,7 +129,7 @@
 	}
 }
 
-// breakStream ends a stream; the follower notices later, and connects again.
+// breakStream ends a stream. The follower notices after a delay and connects again.
 func (sim *simulation) breakStream(s *simStream) {
 	if s == nil || s.isBroken {
 		return
@@ -147,7 +148,7 @@
 	})
 }
 
-// deliver carries out a member's actions. Messages reach followers in their order unless the stream breaks.
+// deliver carries out a member's actions. Followers receive the messages in order unless the stream breaks.
 func (sim *simulation) deliver(m *simMember, actions []StreamAction) {
 	for _, a := range actions {
 		s := m.streams[a.SessionID]
@@ -158,8 +159,8 @@
 			sim.breakStream(s)
 			continue
 		}
-		s.isMute = s.isMute || sim.chance(0.005)
-		if s.isMute {
+		s.dropsMessages = s.dropsMessages || sim.chance(0.005)
+		if s.dropsMessages {
 			continue
 		}
 		sim.after(10*time.Millisecond, func() { sim.deliverToFollower(s, a) })
--- a/configstream/simulation_test.go
+++ b/configstream/simulation_test.go
@@ -12,30 +12,30 @@
 	"mulleinmux/internal/eventqueue"
 )
 
-// simulation runs members, followers and a network between them from a seed, on a virtual clock.
+// simulation simulates members, followers and the network between them from a seed, on a virtual clock.
 type simulation struct {
 	t         *testing.T
 	seed      uint64
 	rng       *rand.Rand
 	now       time.Duration
 	queue     eventqueue.Queue
-	lastEvent int // its order
+	lastEvent int // order of the last scheduled event
 	hasFaults bool
 	members   []*simMember
 	followers []*simFollower
-	lastID    uint64 // of streams
+	lastID    uint64 // ID of the last stream
 
-	state  *clusterconfig.State
-	log    []*Version // agreed on, by number from 1; of the newest epoch
-	agreed map[Ref]agreement
-	all    []*Version // agreed on in all epochs
+	state     *clusterconfig.State
+	log       []*Version // committed versions of the newest epoch, by number from 1
+	committed map[Ref]commitRecord
+	all       []*Version // committed versions of all epochs
 
 	activationCount int
 	rejectionCount  int
 }
 
-// agreement is a version that was agreed on, and when.
-type agreement struct {
+// commitRecord is a committed version and the time of its commit.
+type commitRecord struct {
 	version *Version
 	at      time.Duration
 }
@@ -48,16 +48,16 @@
 	simulatedDuration      = 16 * time.Second
 )
 
-// Prices of plans that no follower can serve.
+// Priority factors of plans that no follower can serve.
 const (
-	rejectedPrice        = 1 // a check finds it
-	checkCrashPrice      = 3 // ends the process that checks it
-	activationCrashPrice = 5 // ends the process that puts it in force
+	rejectedFactor        = 1 // the check finds a problem
+	checkCrashFactor      = 3 // the check ends the process
+	activationCrashFactor = 5 // the activation ends the process
 )
 
-// newVersionLog returns a simulation without members and followers, for its log of versions.
+// newVersionLog returns a simulation without members and followers, for tests that use only its log of versions.
 func newVersionLog(t *testing.T, rng *rand.Rand) *simulation {
-	return &simulation{t: t, rng: rng, state: clusterconfig.New(nil), agreed: map[Ref]agreement{}}
+	return &simulation{t: t, rng: rng, state: clusterconfig.New(nil), committed: map[Ref]commitRecord{}}
 }
 
 func newSimulation(t *testing.T, seed uint64, followers int) *simulation {
@@ -76,7 +76,7 @@
 		changes = append(changes, clusterconfig.NewPutChange("follower", f.name, clusterconfig.Follower{}))
 	}
 	epoch := clusterconfig.Epoch{Number: 1, ID: "first"}
-	sim.agree(append(changes, clusterconfig.NewPutChange("epoch", "epoch", epoch))...)
+	sim.commit(append(changes, clusterconfig.NewPutChange("epoch", "epoch", epoch))...)
 	for i := range uint64(simulatedMembers) {
 		sim.members = append(sim.members, &simMember{id: i + 1})
 		sim.startMember(sim.members[i])
@@ -93,14 +93,14 @@
 	sim.queue.Push(eventqueue.Event{At: sim.now + d, Order: sim.lastEvent, Run: do})
 }
 
-// every schedules an event at each interval, from a random phase on.
+// every schedules an event at each interval, starting at a random phase.
 func (sim *simulation) every(d time.Duration, do func()) {
 	var again func()
 	again = func() { do(); sim.after(d, again) }
 	sim.after(sim.randomDuration(d), again)
 }
 
-// runUntil runs the events up to a time.
+// runUntil runs the events in order until a time is reached.
 func (sim *simulation) runUntil(end time.Duration) {
 	for sim.queue.Len() > 0 && sim.now < end {
 		e := sim.queue.Pop()
@@ -119,7 +119,7 @@
 	return time.Duration(sim.rng.IntN(bound)) * time.Millisecond
 }
 
-// chance reports whether a fault with a probability happens.
+// chance reports whether a fault occurs, with a probability; without faults it returns false.
 func (sim *simulation) chance(p float64) bool { return sim.hasFaults && sim.rng.Float64() < p }
 
 func (sim *simulation) fail(format string, args ...any) {
@@ -127,11 +127,11 @@
 	sim.t.Fatalf("seed %d, %v: %s", sim.seed, sim.now, fmt.Sprintf(format, args...))
 }
 
-// newest returns the newest version that is agreed on.
+// newest returns the newest committed version.
 func (sim *simulation) newest() *Version { return sim.log[len(sim.log)-1] }
 
-// agree adds a version to the log.
-func (sim *simulation) agree(changes ...clusterconfig.Change) {
+// commit adds the version that the changes make to the log.
+func (sim *simulation) commit(changes ...clusterconfig.Change) {
 	sim.t.Helper()
 	p := clusterconfig.Proposal{ID: fmt.Sprint(sim.rng.Uint64()), Changes: changes}
 	if err := applyProposal(sim.state, &p); err != nil {
@@ -144,7 +144,7 @@
 	v := NewVersion(sim.state.Freeze(), before)
 	sim.log = append(sim.log, v)
 	sim.all = append(sim.all, v)
-	sim.agreed[v.Ref] = agreement{v, sim.now}
+	sim.committed[v.Ref] = commitRecord{v, sim.now}
 }
 
 // applyProposal returns an error if the proposal is rejected.
@@ -160,35 +160,35 @@
 	return err
 }
 
-// agreeOnRandomChange agrees on a plan, by chance one that no follower can serve, or on the removal of one.
-func (sim *simulation) agreeOnRandomChange() {
+// commitRandomChange commits a plan, by chance one that no follower can serve, or the removal of a plan.
+func (sim *simulation) commitRandomChange() {
 	name := fmt.Sprintf("p%d", sim.rng.IntN(6))
-	price := float64(2 * (1 + sim.rng.IntN(50)))
+	factor := float64(2 * (1 + sim.rng.IntN(50)))
 	if sim.chance(0.2) {
-		prices := []float64{rejectedPrice, rejectedPrice, checkCrashPrice, activationCrashPrice}
-		price = prices[sim.rng.IntN(4)]
+		factors := []float64{rejectedFactor, rejectedFactor, checkCrashFactor, activationCrashFactor}
+		factor = factors[sim.rng.IntN(4)]
 	}
 	if _, ok := sim.state.Get("plan", name); ok && sim.rng.IntN(4) == 0 {
-		sim.agree(clusterconfig.Change{Op: "remove", Kind: "plan", Name: name})
+		sim.commit(clusterconfig.Change{Op: "remove", Kind: "plan", Name: name})
 		return
 	}
-	plan := clusterconfig.Plan{Rate: float64(len(sim.log)), Burst: 1, PriorityFactor: price}
-	sim.agree(clusterconfig.NewPutChange("plan", name, plan))
+	plan := clusterconfig.Plan{Rate: float64(len(sim.log)), Burst: 1, PriorityFactor: factor}
+	sim.commit(clusterconfig.NewPutChange("plan", name, plan))
 }
 
-// restoreOldVersion has the service go back to an old version, in a new epoch.
+// restoreOldVersion restores the control service to an old version, in a new epoch.
 func (sim *simulation) restoreOldVersion() {
 	old := sim.log[sim.rng.IntN(len(sim.log))]
 	sim.state = sim.stateOf(old)
 	sim.log = sim.log[:old.Number]
-	sim.agree(clusterconfig.NewPutChange("epoch", "epoch", sim.nextEpoch()))
+	sim.commit(clusterconfig.NewPutChange("epoch", "epoch", sim.nextEpoch()))
 	for _, m := range sim.members {
 		m.applied = 0
 		sim.startMember(m)
 	}
 }
 
-// stateOf returns the state that a snapshot of a version restores.
+// stateOf returns the state restored from a snapshot of a version.
 func (sim *simulation) stateOf(v *Version) *clusterconfig.State {
 	objects := map[string]json.RawMessage{}
 	v.Tree.Root().Walk(func(key []byte, value json.RawMessage) bool {
@@ -213,12 +213,12 @@
 	return s
 }
 
-// nextEpoch returns an epoch later than all that followers know.
+// nextEpoch returns an epoch that is later than the current one and those of all followers.
 func (sim *simulation) nextEpoch() clusterconfig.Epoch {
 	highest := sim.state.Epoch().Number
 	for _, f := range sim.followers {
-		if f.newest != nil {
-			highest = max(highest, f.newest.Epoch.Number)
+		if f.lastActivated != nil {
+			highest = max(highest, f.lastActivated.Epoch.Number)
 		}
 	}
 	return clusterconfig.Epoch{Number: highest + 1, ID: fmt.Sprint(sim.rng.Uint64())}
--- a/configstream/status.go
+++ b/configstream/status.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// summaryPrecision is the precision of durations in summaries.
+// summaryPrecision is the precision to which durations in summaries are rounded.
 const summaryPrecision = 100 * time.Millisecond
 
-// StreamStatus is the status of a follower, as far as the members know.
+// StreamStatus is the status of a follower as observed by the members.
 type StreamStatus struct {
 	Name            string        `json:"name"`
 	State           string        `json:"state"` // StateRunning, StateWaiting, StateUnknown or StateNever
 	Running         *Ref          `json:"running,omitempty"`
-	StateAge        time.Duration `json:"since_ns,omitempty"` // how long it has been in that state with that version
-	Offered         *Ref          `json:"offered,omitempty"`  // the newest push to it
+	StateAge        time.Duration `json:"since_ns,omitempty"` // time in State with the version Running
+	Offered         *Ref          `json:"offered,omitempty"`  // version in the last push
 	LatestRejection *Rejection    `json:"refused,omitempty"`
-	LastMember      uint64        `json:"member,omitempty"` // the member that served it last
-	IsBehind        bool          `json:"behind,omitempty"` // it does not run the newest version
-	PinnedVersion   uint64        `json:"pinned,omitempty"` // the version that it has to keep
+	LastMember      uint64        `json:"member,omitempty"` // member with the latest observation
+	IsBehind        bool          `json:"behind,omitempty"` // whether it runs another version than the newest
+	PinnedVersion   uint64        `json:"pinned,omitempty"` // see [clusterconfig.Follower]; 0 if not pinned
 	NameConflict    string        `json:"twin,omitempty"`   // see [Pong]
 }
 
-// Statuses returns the statuses of all followers that are agreed on, sorted by name.
+// Statuses returns the statuses of all configured followers, sorted by name.
 func (p *Publisher) Statuses(now time.Duration) (all []StreamStatus) {
 	for _, name := range p.versions.followerNames() {
 		all = append(all, p.status(now, name))
@@ -57,8 +57,8 @@
 	return st
 }
 
-// latestObservation returns the most recent observation of a follower, of its last stream if several are as recent, and
-// the member that made it.
+// latestObservation returns the observation of a follower with the most recent message, and the member that made it. Of
+// equally recent observations it returns that of the latest stream.
 func (p *Publisher) latestObservation(now time.Duration, name string) (latest ObservedStream, member uint64, ok bool) {
 	p.forEachObservation(now, name, func(from uint64, o ObservedStream) {
 		order := cmp.Or(cmp.Compare(latest.SilentFor, o.SilentFor), cmp.Compare(o.StreamNumber, latest.StreamNumber))
@@ -69,7 +69,7 @@
 	return latest, member, ok
 }
 
-// IsRejecting reports whether the follower has rejected a version that is newer than the one that it runs.
+// IsRejecting reports whether the follower has rejected a newer version than the one that it runs.
 func (s *StreamStatus) IsRejecting() bool {
 	r := s.LatestRejection
 	return r != nil && (s.Running == nil || r.Compare(*s.Running) == OrderNewer)
@@ -104,7 +104,7 @@
 	return s.State
 }
 
-// Explain describes for operators why a follower does not run the newest version, whose number is given.
+// Explain describes the status for operators, with the reason for which the follower does not run the newest version.
 func (s *StreamStatus) Explain(newest uint64) string {
 	text := s.Name + " " + s.Summary()
 	if reason := s.reason(newest); reason != "" {
@@ -113,7 +113,7 @@
 	return text
 }
 
-// reason returns why a follower does not run the newest version; empty: not known.
+// reason returns why the follower does not run the newest version, or "" if that is unknown.
 func (s *StreamStatus) reason(newest uint64) string {
 	const (
 		isOlder = "the members' newest is %d, which is older. " +
--- a/configstream/update.go
+++ b/configstream/update.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// step is the action whose end an update waits for.
+// step is the action whose completion an update waits for.
 type step int
 
-// Steps of an update: persist the candidate, check it, persist it as accepted, activate it, persist that it was
-// activated. After a failure the rejection is persisted, and the previous version activated again if necessary.
+// Steps of an update, in their order. After a failure the rejection is persisted instead of the remaining steps, and
+// the previous version is activated again if necessary.
 const (
 	stepIdle step = iota
 	stepPersistCandidate
@@ -27,26 +27,26 @@
 // String returns the step's name.
 func (s step) String() string { return stepNames[s] }
 
-// update is the progress of putting one version in force. The zero value means that there is none.
+// update is the progress of putting a version in force. The zero value means that no update is in progress.
 type update struct {
 	step      step
-	version   *Version   // the subject of the step
-	nonce     uint64     // of its push; 0: none on this stream
-	rejection *Rejection // the rejection being persisted
-	fallback  *Version   // activated once the rejection is persisted; nil: none
-	isStartup bool       // at a start: only the count of activation attempts is being persisted
+	version   *Version   // version that the step processes
+	nonce     uint64     // nonce of the push; 0 if the version was not pushed on the current stream
+	rejection *Rejection // rejection with which the update ends; nil if there is none
+	fallback  *Version   // version to activate after the rejection was persisted; nil if there is none
+	isStartup bool       // whether the step persists the count of activation attempts at a start
 }
 
 // PushReceived handles a push.
 func (f *Follower) PushReceived(now time.Duration, p *Push) []Action {
-	f.stream.heardAt = now
+	f.stream.receivedAt = now
 	if f.update.step != stepIdle {
-		f.pendingPush = p // replaces an earlier one, which is older
+		f.pendingPush = p // replaces an earlier pending push
 		return nil
 	}
 	b := p.Body
-	if answer := p.screen(f.running, f.durable.Rejections); answer != nil {
-		return f.report(p.Nonce, answer.result, b.Ref, answer.rejection)
+	if reply := p.immediateReply(f.running, f.durable.Rejections); reply != nil {
+		return f.report(p.Nonce, reply.result, b.Ref, reply.rejection)
 	}
 	f.update.nonce = p.Nonce
 	if b.Format > Format {
@@ -59,7 +59,7 @@
 		})
 	}
 	v, err := b.Build(f.running)
-	if err != nil { // the base is missing, or the body was damaged by the network or its author
+	if err != nil { // the base is missing, or the body was corrupted by the network or the member
 		return f.report(p.Nonce, ResultNeedsFull, b.Ref, nil)
 	}
 	f.update.version = v
@@ -68,39 +68,39 @@
 	return f.persist()
 }
 
-// pushAnswer is the reply to a push whose content is not needed for it.
-type pushAnswer struct {
+// pushReply is a reply to a push that does not depend on the push's content.
+type pushReply struct {
 	result    Result
-	rejection *Rejection // of a version that was rejected before; nil otherwise
+	rejection *Rejection // the earlier rejection if the version was rejected before; nil otherwise
 }
 
-// screen returns the answer to a push that a follower does not take, or nil if its content is to be checked. running is
-// the version in force. A follower that runs nothing takes only what a quorum confirms; any other only what is newer
-// than running; and none a version that it has rejected.
-func (p *Push) screen(running *Version, rejections []Rejection) *pushAnswer {
+// immediateReply returns the reply to a push that the follower declines without checking its content, or nil if the
+// content has to be checked. running is the version in force. A follower without one accepts only versions that a
+// quorum confirms, any other follower only versions newer than running. A rejected version is never accepted.
+func (p *Push) immediateReply(running *Version, rejections []Rejection) *pushReply {
 	if running == nil && !p.IsConfirmed {
-		return &pushAnswer{result: ResultUnconfirmed}
+		return &pushReply{result: ResultUnconfirmed}
 	}
 	if running != nil {
 		switch p.Body.Compare(running.Ref) {
 		case OrderSame, OrderOlder:
-			return &pushAnswer{result: ResultNotNewer}
+			return &pushReply{result: ResultNotNewer}
 		case OrderDiverged:
-			return &pushAnswer{result: ResultDiverged}
+			return &pushReply{result: ResultDiverged}
 		}
 	}
 	if r := findRejection(rejections, p.Body.Ref); r != nil {
-		return &pushAnswer{result: ResultRejected, rejection: r}
+		return &pushReply{result: ResultRejected, rejection: r}
 	}
 	return nil
 }
 
-// PersistCompleted handles the end of the last Persist. After an error the state may not be on the disk: the update
-// ends, the version in force remains, and the stream is closed, since a report might be wrong after a restart.
+// PersistCompleted handles the completion of the last Persist. After an error the state may not be on disk: the update
+// ends, the version in force is kept, and the stream is closed, since a report could be wrong after a restart.
 func (f *Follower) PersistCompleted(now time.Duration, err error) []Action {
 	u := &f.update
 	if err != nil && u.isStartup {
-		// An accepted version is served even if its count of attempts cannot be written.
+		// The accepted version is activated even if the count of attempts cannot be persisted.
 		f.warning = err.Error()
 		return f.activate(u.version)
 	}
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// CheckCompleted handles the result of a check: without problems the version is accepted, or else rejected.
+// CheckCompleted handles the result of a check. The version is accepted if there are no problems, and rejected
+// otherwise.
 func (f *Follower) CheckCompleted(_ time.Duration, problems []Problem) []Action {
 	if f.update.step != stepCheck {
 		return nil
@@ -140,7 +141,8 @@
 	return f.persist()
 }
 
-// ActivationCompleted handles the result of an activation. After an error the previous version must be in force again.
+// ActivationCompleted handles the result of an activation. After an error the host must have the previous version in
+// force again.
 func (f *Follower) ActivationCompleted(now time.Duration, err error) []Action {
 	u := &f.update
 	if u.step != stepActivate {
@@ -148,7 +150,7 @@
 	}
 	isFallback := u.rejection != nil
 	switch {
-	case err != nil && isFallback: // nothing is left to fall back to
+	case err != nil && isFallback: // there is no other version to fall back to
 		f.warning = err.Error()
 		return f.finish(now)
 	case err != nil:
@@ -177,8 +179,7 @@
 	return []Action{{Activate: v}}
 }
 
-// reject persists a rejection of the update's version, so that it is not put in force by any later push, even after a
-// restart.
+// reject persists a rejection of the update's version, so that no later push puts it in force, even after a restart.
 func (f *Follower) reject(r Rejection) []Action {
 	f.update.fallback = f.durable.reject(r)
 	f.update.rejection = &r
@@ -186,12 +187,12 @@
 	return f.persist()
 }
 
-// rejectWithText rejects the update's version for a problem that concerns no single object.
+// rejectWithText rejects the update's version for a problem that is not specific to one object.
 func (f *Follower) rejectWithText(text string) []Action {
 	return f.reject(Rejection{Ref: f.update.version.Ref, Problems: []Problem{{Text: text}}})
 }
 
-// rejectFailedCandidate rejects a version that has ended the process too often while it was checked.
+// rejectFailedCandidate rejects the candidate if its checks have ended the process too often.
 func (f *Follower) rejectFailedCandidate() []Action {
 	if !f.durable.hasFailedChecks(f.cfg.MaxAttempts) {
 		return nil
@@ -201,8 +202,8 @@
 	return f.rejectWithText(fmt.Sprintf(text, f.durable.CheckAttempts))
 }
 
-// finish ends the update, replies to its push and handles the push that was received meanwhile. If the update's version
-// is the fallback, the reply is about the rejected one.
+// finish ends the update, replies to its push and handles the push that was received during the update. If the update
+// ended with a rejection, the reply reports the rejected version, not the fallback.
 func (f *Follower) finish(now time.Duration) (actions []Action) {
 	result, ref, rejection := ResultApplied, f.update.version.Ref, f.update.rejection
 	if rejection != nil {
--- a/configstream/verdict_test.go
+++ b/configstream/verdict_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// refOf returns a reference of a version without an epoch.
+// refOf returns a reference to a version without an epoch.
 func refOf(number uint64) *Ref { return &Ref{Number: number, Digest: Digest{number}} }
 
-// When a follower is pushed the version that it should run, and why not otherwise.
-func TestPushVerdict(t *testing.T) {
+// decidePush pushes the target version or returns why it is withheld.
+func TestPushDecision(t *testing.T) {
 	target := &Version{Ref: *refOf(3)}
-	confirmed := confirmation{askedAt: 2 * time.Second, isValid: true}
+	confirmed := confirmation{requestedAt: 2 * time.Second, isValid: true}
 	for _, test := range []struct {
 		name         string
 		session      session
 		target       *Version
 		confirmation confirmation
-		want         pushVerdict
+		want         pushDecision
 	}{
 		{"older version runs", session{running: refOf(2)}, target, confirmation{}, pushNow},
 		{"nothing runs, confirmed since", session{beganAt: time.Second}, target, confirmed, pushNow},
@@ -35,14 +35,15 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.session.judgePush(test.target, test.confirmation); got != test.want {
-				t.Errorf("verdict %d, want %d", got, test.want)
+			if got := test.session.decidePush(test.target, test.confirmation); got != test.want {
+				t.Errorf("got decision %d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// Two streams with one name are of two processes that live only if both were heard since the later one began.
+// Two streams with the same name conflict only if they belong to different processes and both have received messages
+// since the later stream began.
 func TestNameConflictRule(t *testing.T) {
 	const silenceTimeout = 3 * time.Second
 	stream := func(process uint64, age, silence time.Duration) ObservedStream {
@@ -62,64 +63,64 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.own.conflictsWith(&test.other, silenceTimeout); got != test.conflict {
-				t.Errorf("conflict %v, want %v", got, test.conflict)
+				t.Errorf("got conflict %v, want %v", got, test.conflict)
 			}
 		})
 	}
 }
 
-// What a follower does at its start with the version that it had accepted.
-func TestStartupVerdict(t *testing.T) {
+// decideStartup decides how the accepted version is handled at a start, by its activations and attempts before.
+func TestStartupDecision(t *testing.T) {
 	const maxAttempts = 2
 	accepted := &Version{Ref: *refOf(1)}
 	for _, test := range []struct {
 		name  string
 		state DurableState
-		want  startupVerdict
+		want  startupDecision
 	}{
-		{"empty", DurableState{}, startWithNothing},
-		{"in force before", DurableState{Accepted: accepted, WasActivated: true, ActivationAttempts: 5}, startAtOnce},
-		{"last attempt", DurableState{Accepted: accepted, ActivationAttempts: 1}, startAsAttempt},
-		{"attempts used up", DurableState{Accepted: accepted, ActivationAttempts: 2}, startWithFallback},
+		{"empty", DurableState{}, startEmpty},
+		{"in force before", DurableState{Accepted: accepted, WasActivated: true, ActivationAttempts: 5}, activateAccepted},
+		{"last attempt", DurableState{Accepted: accepted, ActivationAttempts: 1}, countActivationAttempt},
+		{"attempts used up", DurableState{Accepted: accepted, ActivationAttempts: 2}, rejectAccepted},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.state.judgeStartup(maxAttempts); got != test.want {
-				t.Errorf("verdict %d, want %d", got, test.want)
+			if got := test.state.decideStartup(maxAttempts); got != test.want {
+				t.Errorf("got decision %d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// What a member does after a report, on a stream whose push of version 3 has the nonce 7.
-func TestReplyVerdict(t *testing.T) {
+// handleReply returns what a member does after a report, on a stream whose push of version 2 has the nonce 7.
+func TestReplyDecision(t *testing.T) {
 	newest := &Version{Ref: *refOf(3)}
 	for _, test := range []struct {
 		name      string
 		needsFull bool
 		report    Report
-		want      replyVerdict
+		want      reportDecision
 	}{
-		{"status", false, Report{Running: refOf(2)}, awaitNext},
-		{"reply to another push", false, Report{Nonce: 6, Result: ResultApplied}, awaitNext},
-		{"applied", false, Report{Nonce: 7, Result: ResultApplied}, offerAgain},
-		{"rejected", false, Report{Nonce: 7, Result: ResultRejected}, offerAgain},
-		{"difference not usable", false, Report{Nonce: 7, Result: ResultNeedsFull}, offerAgain},
-		{"complete version damaged", true, Report{Nonce: 7, Result: ResultNeedsFull}, endDamaged},
-		{"not newer, runs the newest", false, Report{Nonce: 7, Result: ResultNotNewer, Running: refOf(3)}, awaitNext},
-		{"not newer than offered", false, Report{Nonce: 7, Result: ResultNotNewer, Running: refOf(2)}, offerAgain},
-		{"unconfirmed", false, Report{Nonce: 7, Result: ResultUnconfirmed}, awaitNext},
-		{"diverged", false, Report{Nonce: 7, Result: ResultDiverged}, awaitNext},
+		{"status", false, Report{Running: refOf(2)}, noAction},
+		{"reply to another push", false, Report{Nonce: 6, Result: ResultApplied}, noAction},
+		{"applied", false, Report{Nonce: 7, Result: ResultApplied}, pushTargetIfDue},
+		{"rejected", false, Report{Nonce: 7, Result: ResultRejected}, pushTargetIfDue},
+		{"difference not usable", false, Report{Nonce: 7, Result: ResultNeedsFull}, pushTargetIfDue},
+		{"complete version damaged", true, Report{Nonce: 7, Result: ResultNeedsFull}, closeCorrupt},
+		{"not newer, runs the newest", false, Report{Nonce: 7, Result: ResultNotNewer, Running: refOf(3)}, noAction},
+		{"not newer than offered", false, Report{Nonce: 7, Result: ResultNotNewer, Running: refOf(2)}, pushTargetIfDue},
+		{"unconfirmed", false, Report{Nonce: 7, Result: ResultUnconfirmed}, noAction},
+		{"diverged", false, Report{Nonce: 7, Result: ResultDiverged}, noAction},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := session{pendingNonce: 7, offered: refOf(2), needsFull: test.needsFull}
-			if got := s.judgeReply(&test.report, newest); got != test.want {
-				t.Errorf("verdict %d, want %d", got, test.want)
+			if got := s.handleReply(&test.report, newest); got != test.want {
+				t.Errorf("got decision %d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// The bound of the backoff doubles with each failure, up to its limit, however many there are.
+// The upper bound of the backoff doubles with each failure up to MaxBackoff, for any number of failures.
 func TestMaxBackoffAfter(t *testing.T) {
 	cfg := MemberSelectorConfig{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second}
 	for _, test := range []struct {
@@ -134,13 +135,14 @@
 	} {
 		t.Run(fmt.Sprint(test.failures), func(t *testing.T) {
 			if got := cfg.maxBackoffAfter(test.failures); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("got bound %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Connections are admitted up to the burst and at the rate, and none while there are as many streams as there may be.
+// Connections are admitted up to the burst and at the configured rate, and none while the maximum number of streams is
+// open.
 func TestAdmissionLimiter(t *testing.T) {
 	limiter := newAdmissionLimiter(&PublisherConfig{MaxFollowers: 3, AdmissionRate: 1, AdmissionBurst: 2})
 	for _, test := range []struct {
@@ -157,7 +159,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := limiter.admitConnection(test.now, test.openStreams); got != test.want {
-				t.Errorf("admitted %v, want %v", got, test.want)
+				t.Errorf("got admitted %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/configstream/version.go
+++ b/configstream/version.go
@@ -8,25 +8,25 @@
 	"mulleinmux/clusterconfig"
 )
 
-// Format is the newest format of a version's content that this program reads: that of the log entries.
+// Format is the newest format of a version's content that this program can read. It is the format of log entries.
 const Format = clusterconfig.Format
 
-// headerKey is the key in the digest for a version's fields other than its objects. No object has it, since their
-// keys do not begin with a zero byte.
+// headerKey is the key under which the digest includes a version's fields other than its objects. It differs from the
+// keys of all objects, which do not begin with a zero byte.
 const headerKey = "\x00head"
 
 // Version is one version of the configuration. It must not be modified.
 type Version struct {
 	Ref
-	Hash             string   // chained over the log entries up to it
+	Hash             string   // hash chain of the log entries up to the version
 	PlacementVersion uint64   // see [clusterconfig.State.PlacementVersion]
 	PlanOrder        []string // see [clusterconfig.State.PlanOrder]
 	Tree             *clusterconfig.Tree
-	objectsDigest    Digest // the part of Digest for the objects
+	objectsDigest    Digest // sum of the hashes of the objects only
 }
 
-// NewVersion returns the version of a state. If before, an earlier version, is not nil, only the differences to it are
-// hashed.
+// NewVersion returns the version of a state. If before, an earlier version, is not nil, only the objects that differ
+// from it are hashed.
 func NewVersion(s *clusterconfig.State, before *Version) *Version {
 	v := &Version{
 		Ref:              Ref{Epoch: s.Epoch(), Number: s.Version()},
@@ -46,15 +46,15 @@
 	return v
 }
 
-// State returns the configuration of a version, without history. The error wraps [clusterconfig.ErrMalformed].
+// State returns the version's configuration, without a history. The error wraps [clusterconfig.ErrMalformed].
 func (v *Version) State() (*clusterconfig.State, error) {
 	return clusterconfig.NewFrozenState(v.Number, v.PlacementVersion, v.Hash, v.PlanOrder, v.Tree)
 }
 
-// setDigest sets Digest from the objects' digest and the other fields.
+// setDigest sets Digest from objectsDigest and the fields other than the objects.
 func (v *Version) setDigest() {
 	v.Digest = v.objectsDigest
-	// These values can always be encoded.
+	// Encoding these values never fails.
 	header, _ := json.Marshal([]any{v.Epoch, v.Number, v.Hash, v.PlacementVersion, v.PlanOrder})
 	v.Digest.replace([]byte(headerKey), nil, header)
 }
--- a/configstream/version_store.go
+++ b/configstream/version_store.go
@@ -11,21 +11,22 @@
 // followerPrefix is the prefix of the keys of followers' objects.
 const followerPrefix = clusterconfig.KindFollower + "/"
 
-// versionStore holds the versions that a member has for its followers, and decides which of them a follower should run.
+// versionStore holds the versions that a member can push to its followers, and decides which of them a follower should
+// run.
 //
-// Invariant: newest is the last of retained, and pins are those of newest.
+// Invariant: newest is the last element of retained, and pins are those of newest.
 type versionStore struct {
-	maxRetained   int  // versions
-	disableDeltas bool // all bodies are complete
+	maxRetained   int  // maximum length of retained
+	disableDeltas bool // whether all bodies are complete
 
-	newest       *Version   // nil: none yet
+	newest       *Version   // nil before the first version
 	retained     []*Version // oldest first
 	confirmation confirmation
 	pins         map[string]uint64 // pinned version numbers by follower
-	bodies       map[bodyKey]*Body // of pushes since the newest version was published
+	bodies       map[bodyKey]*Body // bodies of the pushes since newest was published
 }
 
-// bodyKey identifies the body of a push by its base (zero: the body is complete) and the version.
+// bodyKey identifies the body of a push by its version and its base, which is zero if the body is complete.
 type bodyKey struct{ base, version Ref }
 
 func newVersionStore(cfg *PublisherConfig) versionStore {
@@ -37,8 +38,9 @@
 	}
 }
 
-// publish makes a version the newest, and reports whether it is newer than the last; otherwise it is ignored. The
-// oldest version beyond maxRetained is dropped: followers that run it are pushed complete versions from now on.
+// publish makes a version the newest. It reports whether the version is newer than the last one; otherwise the version
+// is ignored. The oldest version beyond maxRetained is dropped: followers that run it are sent complete versions from
+// then on.
 func (s *versionStore) publish(v *Version) bool {
 	if s.newest != nil && v.Compare(s.newest.Ref) != OrderNewer {
 		return false
@@ -52,20 +54,20 @@
 	return true
 }
 
-// confirm records the confirmation of a quorum that, as of askedAt, nothing newer than ref had been agreed on. It
-// reports whether ref is the newest version here; the confirmation of any other says nothing.
-func (s *versionStore) confirm(askedAt time.Duration, ref Ref) bool {
+// confirm records that a quorum has confirmed that no version newer than ref had been committed as of requestedAt. It
+// reports whether ref is the newest version at this member; the confirmation of another version is ignored.
+func (s *versionStore) confirm(requestedAt time.Duration, ref Ref) bool {
 	if s.newest == nil || s.newest.Ref != ref {
 		return false
 	}
-	if !s.confirmation.isValid || askedAt > s.confirmation.askedAt {
-		s.confirmation = confirmation{askedAt, true}
+	if !s.confirmation.isValid || requestedAt > s.confirmation.requestedAt {
+		s.confirmation = confirmation{requestedAt, true}
 	}
 	return true
 }
 
-// target returns the version that a follower should run: the newest, or the one that it is pinned to. It is nil if that
-// is not retained here, so that the follower keeps what it has.
+// target returns the version that a follower should run: the newest, or the one that the follower is pinned to. It
+// returns nil if that version is not retained; the follower then keeps its version.
 func (s *versionStore) target(follower string) *Version {
 	pin, ok := s.pins[follower]
 	if !ok || s.newest == nil || pin >= s.newest.Number {
@@ -74,7 +76,7 @@
 	return s.find(func(v *Version) bool { return v.Number == pin && v.Epoch == s.newest.Epoch })
 }
 
-// find returns the oldest retained version that matches; nil: none does.
+// find returns the oldest retained version that matches, or nil if none does.
 func (s *versionStore) find(matches func(*Version) bool) *Version {
 	i := slices.IndexFunc(s.retained, matches)
 	if i < 0 {
@@ -83,11 +85,12 @@
 	return s.retained[i]
 }
 
-// body returns the content of a version for a follower that runs another: the difference to that one if it is retained
-// and the difference is smaller, or else the complete content. Followers with the same base share it. running is nil
-// for a follower that runs nothing or needs the complete content.
+// body returns the content of version v for a follower that runs version running. That is the difference between the
+// two if running is retained and the difference is smaller than the complete content, or else the complete content.
+// running is nil for a follower that has no version in force or needs the complete content. Followers with the same
+// base share the body.
 func (s *versionStore) body(running *Ref, v *Version) *Body {
-	var base Ref // none
+	var base Ref // zero: the body is complete
 	if running != nil && !s.disableDeltas {
 		base = *running
 	}
@@ -98,7 +101,7 @@
 	full := s.fullBody(v)
 	baseVersion := s.find(func(o *Version) bool { return o.Ref == base })
 	if baseVersion == nil {
-		return full // not cached under key: a follower may claim to run anything
+		return full // not cached under key, since a follower can report any version as running
 	}
 	body := v.Body(baseVersion)
 	if body.Size() >= full.Size() {
@@ -117,7 +120,7 @@
 	return s.bodies[key]
 }
 
-// isFollower reports whether a follower of that name is agreed on.
+// isFollower reports whether a follower of that name is configured in the newest version.
 func (s *versionStore) isFollower(name string) bool {
 	if s.newest == nil {
 		return false
@@ -126,7 +129,7 @@
 	return ok
 }
 
-// followerNames returns the followers that are agreed on, sorted.
+// followerNames returns the sorted names of the followers that are configured in the newest version.
 func (s *versionStore) followerNames() (names []string) {
 	if s.newest == nil {
 		return nil
@@ -135,7 +138,7 @@
 	return names
 }
 
-// forEachFollower calls f for each follower that is agreed on in a version, sorted by name.
+// forEachFollower calls f for each follower that is configured in a version, sorted by name.
 func forEachFollower(v *Version, f func(name string, value json.RawMessage)) {
 	v.Tree.Root().WalkPrefix([]byte(followerPrefix), func(key []byte, value json.RawMessage) bool {
 		f(string(key[len(followerPrefix):]), value)
@@ -143,7 +146,7 @@
 	})
 }
 
-// pinnedVersions returns the version numbers that followers are pinned to, by name.
+// pinnedVersions returns the version numbers to which followers are pinned, by follower.
 func pinnedVersions(v *Version) map[string]uint64 {
 	pins := map[string]uint64{}
 	forEachFollower(v, func(name string, value json.RawMessage) {
--- a/internal/configstreampb/fixture_test.go
+++ b/internal/configstreampb/fixture_test.go
@@ -17,7 +17,7 @@
 	"mulleinmux/internal/fixture"
 )
 
-// The versions and problems in the recorded messages.
+// Versions and problems in the recorded messages.
 var (
 	fixtureRef = configstream.Ref{
 		Epoch:  configstream.Epoch{Number: 2, ID: "one"},
@@ -30,7 +30,7 @@
 	}
 )
 
-// followerMessages are the recorded messages of a follower, in the order in which they are sent.
+// followerMessages returns the recorded messages of a follower, in the order in which they are sent.
 func followerMessages() []any {
 	return []any{
 		configstream.Hello{
@@ -63,7 +63,7 @@
 	}
 }
 
-// memberMessages are the recorded messages of a member, in the order in which they are sent.
+// memberMessages returns the recorded messages of a member, in the order in which they are sent.
 func memberMessages() []any {
 	object := configstream.Object{Key: "plan/kati", Value: []byte(`{"rate":0,"burst":0,"price":1}`)}
 	hash := strings.Repeat("0123456789abcdef", 4)
@@ -103,7 +103,7 @@
 	}
 }
 
-// testTimeout bounds a test; none is expected to come near it.
+// testTimeout is the maximum duration of a test, far above the expected one.
 const testTimeout = 30 * time.Second
 
 // serveHTTP2 serves a handler over HTTP/2 and TLS until the test ends.
@@ -116,17 +116,17 @@
 	return server
 }
 
-// checkReceived checks that a message is received as it was sent.
+// checkReceived checks that a received message equals the one that was sent.
 func checkReceived(t *testing.T, got, want any, err error) {
 	t.Helper()
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v is read where %+v is sent: %v", got, want, err)
+		t.Errorf("received message: got %+v, want %+v, error %v", got, want, err)
 	}
 }
 
-// A follower's messages are on the wire (frames of the Connect protocol with protobuf in them) as they were recorded,
-// and recorded ones of a member are read as what was sent. The server takes all of the former and answers with the
-// latter.
+// A follower sends messages as the recorded bytes (Connect protocol frames that contain protobuf messages), and decodes
+// the recorded messages of a member to the original values. The test server reads all of the follower's messages and
+// responds with the recorded messages of a member.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/configstreampb -run Fixture
 func TestFixtureFollowerStream(t *testing.T) {
@@ -157,12 +157,12 @@
 		checkReceived(t, got, m, err)
 	}
 	if _, err := c.Receive(); EndReason(err) != "enough" {
-		t.Errorf("%v", err)
+		t.Errorf("end of the stream: got error %v, want the reason \"enough\"", err)
 	}
 }
 
-// A member's messages are on the wire as they were recorded, and recorded ones of a follower are read as what was sent.
-// A bare client sends the latter.
+// A member sends messages as the recorded bytes, and decodes the recorded messages of a follower to the original
+// values. A plain HTTP client sends the recorded messages.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./internal/configstreampb -run Fixture
 func TestFixtureMemberStream(t *testing.T) {
--- a/internal/configstreampb/gen/main.go
+++ b/internal/configstreampb/gen/main.go
@@ -1,5 +1,5 @@
-// Command gen makes the Go code of the stream's messages: go generate ./internal/configstreampb. It needs no compiler
-// of its own on the machine.
+// Command gen generates the Go code of the stream's messages. It is run by go generate ./internal/configstreampb and
+// does not require an installed protobuf compiler.
 package main
 
 import (
@@ -7,7 +7,8 @@
 	"fmt"
 	"os"
 
-	_ "buf.build/gen/go/bufbuild/protovalidate/protocolbuffers/go/buf/validate" // its description can be imported
+	// Registers the descriptor that stream.proto imports.
+	_ "buf.build/gen/go/bufbuild/protovalidate/protocolbuffers/go/buf/validate"
 	"github.com/bufbuild/protocompile"
 	"github.com/bufbuild/protocompile/linker"
 	"google.golang.org/protobuf/cmd/protoc-gen-go/internal_gengo"
@@ -20,30 +21,30 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
-const file = "stream.proto"
+const protoFile = "stream.proto"
 
 func main() {
-	if err := run(); err != nil {
+	if err := generate(); err != nil {
 		fmt.Fprintln(os.Stderr, "gen:", err)
 		os.Exit(1)
 	}
 }
 
-func run() error {
-	linked := protocompile.ResolverFunc(func(path string) (r protocompile.SearchResult, err error) {
+func generate() error {
+	linkedFiles := protocompile.ResolverFunc(func(path string) (r protocompile.SearchResult, err error) {
 		r.Desc, err = protoregistry.GlobalFiles.FindFileByPath(path)
 		return r, err
 	})
-	c := protocompile.Compiler{
-		Resolver:       protocompile.CompositeResolver{&protocompile.SourceResolver{}, linked},
+	compiler := protocompile.Compiler{
+		Resolver:       protocompile.CompositeResolver{&protocompile.SourceResolver{}, linkedFiles},
 		SourceInfoMode: protocompile.SourceInfoStandard,
 	}
-	files, err := c.Compile(context.Background(), file)
+	files, err := compiler.Compile(context.Background(), protoFile)
 	if err != nil {
 		return err
 	}
-	// Files that it imports come first.
-	var all []*descriptorpb.FileDescriptorProto
+	// A file must come after descriptors files that it imports.
+	var descriptors []*descriptorpb.FileDescriptorProto
 	seen := map[string]bool{}
 	var add func(protoreflect.FileDescriptor)
 	add = func(d protoreflect.FileDescriptor) {
@@ -55,16 +56,16 @@
 			add(d.Imports().Get(i).FileDescriptor)
 		}
 		if r, ok := d.(linker.Result); ok {
-			all = append(all, r.FileDescriptorProto())
+			descriptors = append(descriptors, r.FileDescriptorProto())
 		} else {
-			all = append(all, protodesc.ToFileDescriptorProto(d))
+			descriptors = append(descriptors, protodesc.ToFileDescriptorProto(d))
 		}
 	}
 	add(files[0])
 	plugin, err := protogen.Options{}.New(&pluginpb.CodeGeneratorRequest{
-		FileToGenerate: []string{file},
+		FileToGenerate: []string{protoFile},
 		Parameter:      proto.String("paths=source_relative"),
-		ProtoFile:      all,
+		ProtoFile:      descriptors,
 	})
 	if err != nil {
 		return err
--- a/internal/configstreampb/messages.go
+++ b/internal/configstreampb/messages.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	maxSinceMs = 1 << 40 // so that it fits a time.Duration
+	maxSinceMs = 1 << 40 // bound on since_ms, so that it does not overflow a time.Duration
 
-	// Bounds of what a follower says of a rejected version; what is beyond is cut off.
+	// Bounds on the problems that a follower reports for a rejected version. Problems and bytes beyond them are not sent.
 	maxProblems         = 100
 	maxProblemNameBytes = 500
 	maxProblemTextBytes = 4000
@@ -134,7 +134,7 @@
 	}
 }
 
-// NewPush returns an encoded push with a body made by [EncodeBody], which pushes of the same body share.
+// NewPush returns an encoded push of a body from [EncodeBody]. Pushes of the same body share its encoding.
 func NewPush(p *configstream.Push, body *Push) *Push {
 	return &Push{
 		Nonce:     p.Nonce,
@@ -150,7 +150,7 @@
 	}
 }
 
-// EncodeBody encodes what pushes of one body share: all but the nonce and the confirmation.
+// EncodeBody encodes the part that pushes of the same body share, which is all but the nonce and the confirmation.
 func EncodeBody(b *configstream.Body) *Push {
 	out := &Push{
 		Ref:     encodeRef(&b.Ref),
@@ -183,7 +183,7 @@
 	return &configstream.Push{Nonce: in.Nonce, Body: body, IsConfirmed: in.Confirmed}
 }
 
-// encodeRef encodes a version's reference; nil: none.
+// encodeRef encodes a reference to a version; it returns nil for nil.
 func encodeRef(r *configstream.Ref) *Ref {
 	if r == nil {
 		return nil
@@ -198,7 +198,7 @@
 	return out
 }
 
-// decodeRef decodes a valid reference; nil: none.
+// decodeRef decodes a reference that was validated before; it returns nil for nil.
 func decodeRef(in *Ref) *configstream.Ref {
 	if in == nil {
 		return nil
@@ -225,7 +225,7 @@
 	return out
 }
 
-// truncate cuts a text to at most maxBytes of valid UTF-8.
+// truncate returns the first maxBytes bytes of a text at most, as valid UTF-8.
 func truncate(s string, maxBytes int) string {
 	return strings.ToValidUTF8(s[:min(len(s), maxBytes)], "?")
 }
--- a/internal/configstreampb/messages_test.go
+++ b/internal/configstreampb/messages_test.go
@@ -26,8 +26,8 @@
 	return configstream.NewVersion(s.Freeze(), nil)
 }
 
-// A push arrives as it was sent, also with fields of a newer program in it; one that breaks a rule of the schema is
-// rejected.
+// A push is decoded to the original value even if it contains unknown fields of a newer program. A push that violates a
+// rule of the schema is rejected.
 func TestPush(t *testing.T) {
 	v := newVersion(t)
 	push := NewPush(&configstream.Push{Nonce: 7, Body: v.Body(nil), IsConfirmed: true}, EncodeBody(v.Body(nil)))
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text = protowire.AppendTag(text, 900, protowire.VarintType) // a field that is not known here
+	text = protowire.AppendTag(text, 900, protowire.VarintType) // unknown field number
 	text = protowire.AppendVarint(text, 1)
 	var in FromMember
 	if err := proto.Unmarshal(text, &in); err != nil {
@@ -44,10 +44,10 @@
 	got, err := fromMember(&in)
 	p, ok := got.(*configstream.Push)
 	if err != nil || !ok || p.Nonce != 7 || !p.IsConfirmed {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("decoded push: got %+v, error %v", got, err)
 	}
-	if made, err := p.Body.Build(nil); err != nil || made.Ref != v.Ref {
-		t.Errorf("%v, want %v: %v", made, v.Ref, err)
+	if built, err := p.Body.Build(nil); err != nil || built.Ref != v.Ref {
+		t.Errorf("version built from the push: got %v, want %v, error %v", built, v.Ref, err)
 	}
 	for name, corrupt := range map[string]func(p *Push){
 		"no version":      func(p *Push) { p.Ref = nil },
@@ -59,15 +59,15 @@
 		bad := proto.CloneOf(push)
 		corrupt(bad)
 		if got, err := fromMember(&FromMember{Body: &FromMember_Push{bad}}); err == nil {
-			t.Errorf("%s: is accepted: %+v", name, got)
+			t.Errorf("push with %s: got %+v, want an error", name, got)
 		}
 	}
 	if _, err := fromFollower(&FromFollower{}); err == nil {
-		t.Error("a message without a body is accepted")
+		t.Error("message without a body: got no error")
 	}
 }
 
-// Whatever comes from a member is rejected or makes a version with the digest that it names.
+// Any message from a member is rejected, or its body builds the version with the digest in its reference.
 func FuzzPush(f *testing.F) {
 	v := newVersion(f)
 	push := NewPush(&configstream.Push{Nonce: 7, Body: v.Body(nil)}, EncodeBody(v.Body(nil)))
@@ -84,8 +84,8 @@
 		got, err := fromMember(&in)
 		if p, ok := got.(*configstream.Push); err == nil && ok {
 			for _, base := range []*configstream.Version{nil, v} {
-				if made, err := p.Body.Build(base); err == nil && made.Ref != p.Body.Ref {
-					t.Fatalf("%v is made of a push of %v", made.Ref, p.Body.Ref)
+				if built, err := p.Body.Build(base); err == nil && built.Ref != p.Body.Ref {
+					t.Fatalf("version built from a push: got %v, want %v", built.Ref, p.Body.Ref)
 				}
 			}
 		}
--- a/internal/configstreampb/stream.go
+++ b/internal/configstreampb/stream.go
@@ -1,5 +1,6 @@
-// Package configstreampb is the configuration stream on the wire: protobuf messages over the Connect protocol on
-// HTTP/2, each checked against the rules in stream.proto before it is used. The certificate says which follower it is.
+// Package configstreampb implements the configuration stream on the wire: protobuf messages over the Connect protocol
+// on HTTP/2. Each received message is validated against the rules in stream.proto. The TLS certificate identifies the
+// follower.
 package configstreampb
 
 //go:generate go run ./gen
@@ -19,26 +20,26 @@
 const (
 	procedure = "/mulleinmux.stream.v1.Configuration/Follow"
 
-	// MaxMessageBytes bounds a member's message: a description of 16 MB and 100,000 licensees fit.
+	// MaxMessageBytes is the maximum size of a member's message. A description of 16 MB and 100,000 customers fit.
 	MaxMessageBytes = 64 << 20
 
 	maxFollowerMessageBytes = 1 << 20
-	endMessageTimeout       = time.Second // for the reason to reach the follower
+	endMessageTimeout       = time.Second // time to send the reason for which a stream is closed
 )
 
-// MemberStream is a member's end of a stream. Send and Receive may be called at the same time, each by one goroutine.
+// MemberStream is the member's end of a stream. Send and Receive may be called concurrently, each by one goroutine.
 type MemberStream struct {
-	Request *http.Request // its TLS state says who the follower is
+	Request *http.Request // its TLS state identifies the follower
 
 	bidi    *connect.BidiStream[FromFollower, FromMember]
 	control *http.ResponseController
 }
 
-// streamKey is the context key under which NewHandler passes a MemberStream on.
+// streamKey is the context key with which NewHandler passes a MemberStream to the handler of the stream.
 type streamKey struct{}
 
-// NewHandler returns a handler that serves each stream by a call of serve, and ends it when serve returns. The error
-// made by [NewEndError] tells the follower why.
+// NewHandler returns a handler that calls serve for each stream and ends the stream when serve returns. If serve
+// returns an error made by [NewEndError], the follower receives its reason.
 func NewHandler(serve func(context.Context, *MemberStream) error) http.Handler {
 	handleBidi := func(ctx context.Context, bidi *connect.BidiStream[FromFollower, FromMember]) error {
 		stream := ctx.Value(streamKey{}).(*MemberStream)
@@ -53,7 +54,8 @@
 	})
 }
 
-// Abort makes Receive fail at once, and Send after a moment in which the reason of the end can still be sent.
+// Abort makes Receive fail immediately, and Send after endMessageTimeout, in which the reason for which the stream is
+// closed can still be sent.
 func (s *MemberStream) Abort() {
 	now := time.Now()
 	s.control.SetReadDeadline(now)
@@ -69,12 +71,13 @@
 	case *configstream.Pong:
 		out.Body = &FromMember_Pong{encodePong(m)}
 	default:
-		return fmt.Errorf("a %T is no message of a member", message)
+		return fmt.Errorf("configstreampb: a member cannot send a message of type %T", message)
 	}
 	return s.bidi.Send(out)
 }
 
-// Receive returns a [configstream.Hello], a [configstream.Report] or, as a uint64, the sequence number of a ping.
+// Receive receives a message: a [configstream.Hello], a [configstream.Report] or the sequence number of a ping, as a
+// uint64.
 func (s *MemberStream) Receive() (any, error) {
 	in, err := s.bidi.Receive()
 	if err != nil {
@@ -83,22 +86,21 @@
 	return fromFollower(in)
 }
 
-// FollowerStream is a follower's end of a stream. Send and Receive may be called at the same time, each by one
-// goroutine.
+// FollowerStream is the follower's end of a stream. Send and Receive may be called concurrently, each by one goroutine.
 type FollowerStream struct {
 	bidi   *connect.BidiStreamForClient[FromFollower, FromMember]
 	cancel context.CancelFunc
 }
 
-// Dial begins a stream with the member at an address. It is established with the first message that is sent. It ends
-// with ctx, which cancel must end.
+// Dial begins a stream to the member at an address. The stream is established when the first message is sent, and ends
+// when ctx is done. cancel must be the function that cancels ctx.
 func Dial(ctx context.Context, client *http.Client, addr string, cancel context.CancelFunc) *FollowerStream {
 	c := connect.NewClient[FromFollower, FromMember](client, "https://"+addr+procedure,
 		connect.WithReadMaxBytes(MaxMessageBytes))
 	return &FollowerStream{c.CallBidiStream(ctx), cancel}
 }
 
-// Abort ends the stream at once. It may be called at any time, by any goroutine.
+// Abort ends the stream immediately. It may be called at any time and from any goroutine.
 func (s *FollowerStream) Abort() { s.cancel() }
 
 // Close ends the stream.
@@ -107,7 +109,7 @@
 	return s.bidi.CloseResponse()
 }
 
-// Send sends a [configstream.Hello], a [configstream.Report] or, as a uint64, the sequence number of a ping.
+// Send sends a message: a [configstream.Hello], a [configstream.Report] or the sequence number of a ping, as a uint64.
 func (s *FollowerStream) Send(message any) error {
 	out := &FromFollower{}
 	switch m := message.(type) {
@@ -118,12 +120,12 @@
 	case uint64:
 		out.Body = &FromFollower_Ping{&Ping{Seq: m}}
 	default:
-		return fmt.Errorf("a %T is no message of a follower", message)
+		return fmt.Errorf("configstreampb: a follower cannot send a message of type %T", message)
 	}
 	return s.bidi.Send(out)
 }
 
-// Receive returns a [*configstream.Push] or a [*configstream.Pong].
+// Receive receives a message: a [*configstream.Push] or a [*configstream.Pong].
 func (s *FollowerStream) Receive() (any, error) {
 	in, err := s.bidi.Receive()
 	if err != nil {
@@ -132,12 +134,12 @@
 	return fromMember(in)
 }
 
-// NewEndError returns the error with which a member ends a stream, for a reason that the follower is sent.
+// NewEndError returns an error with which a member ends a stream. The reason is sent to the follower.
 func NewEndError(reason string) error {
 	return connect.NewError(connect.CodeUnavailable, errors.New(reason))
 }
 
-// EndReason returns the reason that the member sent as it ended a stream; it is empty if err carries none.
+// EndReason returns the reason with which the member ended a stream, or "" if err contains none.
 func EndReason(err error) string {
 	if e, ok := errors.AsType[*connect.Error](err); ok && e.Code() == connect.CodeUnavailable {
 		return e.Message()
