--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak plays seeded runs of a real program that is told to end, upgraded, stopped or killed under clients that
-// keep using their connections, and exits with 0 only if every rule was kept.
+// Command soak runs the real edge proxy or gateway under the load of clients that keep using their connections while
+// the program is terminated, upgraded, stopped or killed by seeded plans. It exits with status 0 only if all runs were
+// executed and none that was undisturbed broke a rule.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	"mulleinmux/internal/soak"
 )
 
-// arguments are those of the command line.
+// arguments are the command-line arguments.
 type arguments struct {
 	Target   string        `help:"Program under test: ${enum}." enum:"edgeproxy,gateway" required:""`
 	Seeds    string        `help:"Seed, or range of seeds, such as 1-50." default:"1-10"`
@@ -40,7 +41,7 @@
 	maxBusy     = 1024
 )
 
-// parseSeeds reads a seed or a range of seeds.
+// parseSeeds parses a seed, or a range of seeds such as 1-50.
 func parseSeeds(text string) (first, last uint64, err error) {
 	low, high, isRange := strings.Cut(text, "-")
 	if !isRange {
@@ -51,18 +52,18 @@
 		last, err = strconv.ParseUint(high, 10, 64)
 	}
 	if err != nil || last < first || last-first >= maxSeeds {
-		return 0, 0, fmt.Errorf("--seeds: %q is no seed and no range of at most %d", text, maxSeeds)
+		return 0, 0, fmt.Errorf("--seeds: %q is neither a seed nor an ascending range of at most %d seeds", text, maxSeeds)
 	}
 	return first, last, nil
 }
 
-// check returns what is wrong with the arguments.
+// check returns an error if an argument is out of range.
 func (a *arguments) check() error {
 	switch {
 	case a.Parallel < 1 || a.Parallel > maxParallel:
-		return fmt.Errorf("--parallel: %d is outside 1 to %d", a.Parallel, maxParallel)
+		return fmt.Errorf("--parallel: %d is out of range (1 to %d)", a.Parallel, maxParallel)
 	case a.Busy < 0 || a.Busy > maxBusy:
-		return fmt.Errorf("--busy: %d is outside 0 to %d", a.Busy, maxBusy)
+		return fmt.Errorf("--busy: %d is out of range (0 to %d)", a.Busy, maxBusy)
 	}
 	_, err := soak.NewPlan(soak.Target(a.Target), 0, a.For)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// errRuleBroken means that a run broke a rule.
-var errRuleBroken = errors.New("a rule was broken")
+// errRuleBroken is returned if an undisturbed run broke a rule.
+var errRuleBroken = errors.New("an undisturbed run broke a rule")
 
 func main() {
 	var a arguments
@@ -87,7 +88,7 @@
 	}
 }
 
-// run plays the runs.
+// run executes the runs of all seeds, a.Parallel at a time.
 func (a *arguments) run(ctx context.Context) error {
 	if err := a.check(); err != nil {
 		return err
@@ -109,7 +110,7 @@
 	for range a.Parallel {
 		workers.Go(func() {
 			for seed := range seeds {
-				s.play(ctx, seed, program)
+				s.runSeed(ctx, seed, program)
 			}
 		})
 	}
@@ -121,7 +122,7 @@
 	return s.finish()
 }
 
-// build returns the program's path, and builds it if none is named.
+// build returns the path of the program, which it builds unless --program names one. cleanUp removes what was built.
 func (a *arguments) build(ctx context.Context) (program string, cleanUp func(), err error) {
 	if a.Program != "" {
 		return a.Program, func() {}, nil
@@ -140,7 +141,7 @@
 	return program, func() { os.RemoveAll(dir) }, nil
 }
 
-// startBusyLoops keeps processors busy until stop is called.
+// startBusyLoops starts processes that loop until stop is called.
 func startBusyLoops(count int) (stop func()) {
 	var loops []*exec.Cmd
 	for range count {
@@ -157,18 +158,18 @@
 	}
 }
 
-// summary prints verdicts and adds them up.
+// summary prints verdicts and counts their results.
 type summary struct {
 	arguments *arguments
 
-	mu                               sync.Mutex // guards all below
+	mu                               sync.Mutex // guards the fields below
 	runs, broken, disturbed          int
-	disturbedBroken, failedToPlay    int
+	disturbedBroken, failedToRun     int
 	requests, crossed, excused, left int
 }
 
-// play plays one seed and prints its verdict.
-func (s *summary) play(ctx context.Context, seed uint64, program string) {
+// runSeed executes the run of one seed and prints its verdict.
+func (s *summary) runSeed(ctx context.Context, seed uint64, program string) {
 	plan, err := soak.NewPlan(soak.Target(s.arguments.Target), seed, s.arguments.For)
 	var v *soak.Verdict
 	if err == nil {
@@ -178,7 +179,7 @@
 	defer s.mu.Unlock()
 	s.runs++
 	if err != nil {
-		s.failedToPlay++
+		s.failedToRun++
 		fmt.Printf("seed %d: could not be played: %v\n", seed, err)
 		return
 	}
@@ -186,7 +187,7 @@
 	s.print(v)
 }
 
-// add adds a verdict up. Called under the mutex.
+// add counts a verdict. The caller must hold s.mu.
 func (s *summary) add(v *soak.Verdict) {
 	s.requests += v.Requests
 	s.crossed += v.Crossed
@@ -202,7 +203,7 @@
 	}
 }
 
-// print prints a verdict. Called under the mutex.
+// print prints a verdict. The caller must hold s.mu.
 func (s *summary) print(v *soak.Verdict) {
 	if s.arguments.JSON {
 		text, err := json.Marshal(v)
@@ -232,20 +233,20 @@
 	}
 }
 
-// finish prints the sums, and returns an error if a rule was broken in a run that was not disturbed.
+// finish prints the totals. It returns an error if an undisturbed run broke a rule, or if a run was not executed.
 func (s *summary) finish() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.arguments.JSON {
 		fmt.Printf("%d runs of %s: %d broke a rule, %d were disturbed (%d of them with a rule broken), "+
 			"%d could not be played; %d requests, %d left, %d crossed, %d excused\n", s.runs, s.arguments.Target, s.broken,
-			s.disturbed+s.disturbedBroken, s.disturbedBroken, s.failedToPlay, s.requests, s.left, s.crossed, s.excused)
+			s.disturbed+s.disturbedBroken, s.disturbedBroken, s.failedToRun, s.requests, s.left, s.crossed, s.excused)
 	}
 	if s.broken > 0 {
 		return errRuleBroken
 	}
-	if s.failedToPlay > 0 {
-		return fmt.Errorf("%d runs could not be played", s.failedToPlay)
+	if s.failedToRun > 0 {
+		return fmt.Errorf("%d runs ended without a verdict", s.failedToRun)
 	}
 	return nil
 }
--- a/internal/benchmark/changes.go
+++ b/internal/benchmark/changes.go
@@ -10,8 +10,9 @@
 	"mulleinmux/internal/cluster"
 )
 
-// MeasureChanges measures one of three instances that agree, by turns without changes of what is agreed on and with one
-// in each interval. report gets the results, "still" and "changing", and how many changes took place during the latter.
+// MeasureChanges measures a member of a cluster of three, alternately without configuration changes and with one change
+// in each interval. It calls report with the results, named "still" and "changing", and the number of changes that were
+// committed during the measurement.
 func MeasureChanges(
 	ctx context.Context, opt Options, interval time.Duration, report func(result Result, changes int),
 ) (err error) {
@@ -19,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, c.end()) }()
+	defer func() { err = errors.Join(err, c.stop()) }()
 	front := c.members[0]
 	for range opt.Rounds {
 		result, err := measure(opt, "still", opt.Procs[0], front.addrs, front)
@@ -41,10 +42,10 @@
 	return nil
 }
 
-// changedLicensees is how many licensees changeRepeatedly changes in turn.
+// changedLicensees is the number of licensees that changeRepeatedly changes in turn.
 const changedLicensees = 50
 
-// changeRepeatedly changes a licensee in each interval until ctx ends, and returns how many changes were agreed on.
+// changeRepeatedly changes a licensee in each interval until ctx ends, and returns the number of committed changes.
 func changeRepeatedly(ctx context.Context, client *cluster.Client, interval time.Duration) (count int) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -19,7 +19,7 @@
 	"mulleinmux/internal/testserver"
 )
 
-// startMember starts an instance that agrees with others on what it serves.
+// startMember starts an instance that is a member of a cluster, and returns the address on which it serves.
 func startMember(ctx context.Context, p *Part) ([]string, error) {
 	credentials, err := raftnode.LoadMemberCredentials(p.Dir, p.Member)
 	if err != nil {
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	instanceConfig := &gateway.Config{Name: fmt.Sprint("gate-", p.Member), Settings: settings()}
-	instanceConfig.Settings.Plans = nil // they are agreed on
+	instanceConfig.Settings.Plans = nil // plans come from the cluster's configuration
 	instanceConfig.UseSockets(listener, nil)
 	logger := logging.New(os.Stderr)
 	started := make(chan struct{})
@@ -63,11 +63,11 @@
 	operatorName = "op"
 	clusterSize  = 3
 
-	agreementTimeout       = 20 * time.Second // until the first configuration is in force
-	agreementRetryInterval = 50 * time.Millisecond
+	installTimeout        = 20 * time.Second // until the first configuration is installed
+	proposalRetryInterval = 50 * time.Millisecond
 )
 
-// followerService says whether members serve followers, and what they send them.
+// followerService is whether members serve followers, and in which form they send them versions.
 type followerService int
 
 const (
@@ -76,30 +76,31 @@
 	followersGetFullVersions
 )
 
-// benchCluster is three members as processes, of which the first has the measured processors, with servers behind them.
+// benchCluster is a cluster of three members in processes of their own, with servers behind them. The first member is
+// measured and runs with the GOMAXPROCS of the measurement.
 type benchCluster struct {
-	dir       string // of certificates and members' files
+	dir       string // holds certificates and members' files
 	authority *raftnode.Authority
 	members   []*process
-	streams   map[uint64]string // addresses for followers
+	streams   map[uint64]string // addresses on which members serve followers
 	client    *cluster.Client
-	cleanups  []func() error // run by end, the last first
+	cleanups  []func() error // run by stop in reverse order
 }
 
-// end ends the members and the servers, and removes the folder.
-func (c *benchCluster) end() (err error) {
+// stop stops the members and the servers, and removes the cluster's directory.
+func (c *benchCluster) stop() (err error) {
 	for _, cleanup := range slices.Backward(c.cleanups) {
 		err = errors.Join(err, cleanup())
 	}
 	return err
 }
 
-// startCluster starts members that have agreed on the benchmark's configuration.
+// startCluster starts a cluster and waits until the benchmark's configuration is installed.
 func startCluster(ctx context.Context, opt Options, service followerService) (c *benchCluster, err error) {
 	c = &benchCluster{streams: map[uint64]string{}}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, c.end())
+			err = errors.Join(err, c.stop())
 		}
 	}()
 	if err := c.writeCertificates(); err != nil {
@@ -119,10 +120,10 @@
 	if err := c.connect(members); err != nil {
 		return c, err
 	}
-	return c, agree(ctx, c.client, registry.Addr().String())
+	return c, installConfiguration(ctx, c.client, registry.Addr().String())
 }
 
-// writeCertificates makes the cluster's folder, with the certificates of its members and of an operator.
+// writeCertificates creates the cluster's directory, with the certificates of its members and of an operator.
 func (c *benchCluster) writeCertificates() (err error) {
 	if c.dir, err = os.MkdirTemp("", "gateway-bench-"); err != nil {
 		return err
@@ -138,14 +139,14 @@
 	return err
 }
 
-// startServers starts a process of servers, and the service discovery that lists them.
+// startServers starts a process that runs the servers, and a service discovery that lists them.
 func (c *benchCluster) startServers(ctx context.Context, program string) (*testserver.Discovery, error) {
-	servers, err := begin(ctx, program, 0, Part{Role: roleServers})
+	servers, err := startPart(ctx, program, 0, Part{Role: roleServers})
 	if err != nil {
 		return nil, err
 	}
-	c.cleanups = append(c.cleanups, servers.end)
-	registry, err := listServers(servers.addrs)
+	c.cleanups = append(c.cleanups, servers.stop)
+	registry, err := startDiscovery(servers.addrs)
 	if err != nil {
 		return nil, err
 	}
@@ -153,7 +154,8 @@
 	return registry, nil
 }
 
-// reserveAddresses returns the members with addresses that are free, and keeps those for followers.
+// reserveAddresses picks free addresses for the members and returns the members with them. If members serve followers,
+// it also sets c.streams.
 func (c *benchCluster) reserveAddresses(service followerService) (map[uint64]clusterconfig.Member, error) {
 	members := map[uint64]clusterconfig.Member{}
 	for id := uint64(1); id <= clusterSize; id++ {
@@ -172,7 +174,7 @@
 	return members, nil
 }
 
-// startMembers starts a process for each member. The first is measured.
+// startMembers starts a process for each member. The first one gets the profile and the processors of the measurement.
 func (c *benchCluster) startMembers(
 	ctx context.Context, opt Options, members map[uint64]clusterconfig.Member, service followerService,
 ) error {
@@ -189,17 +191,17 @@
 		if id == 1 {
 			part.Profile, procs = opt.Profile, opt.Procs[0]
 		}
-		member, err := begin(ctx, opt.Self, procs, part)
+		member, err := startPart(ctx, opt.Self, procs, part)
 		if err != nil {
 			return err
 		}
 		c.members = append(c.members, member)
-		c.cleanups = append(c.cleanups, func() error { member.end(); return nil }) // it may have been killed
+		c.cleanups = append(c.cleanups, func() error { member.stop(); return nil }) // a killed member's error is expected
 	}
 	return nil
 }
 
-// connect makes the operator's client, which goes to the last member first.
+// connect creates the operator's client, which tries the last member first.
 func (c *benchCluster) connect(members map[uint64]clusterconfig.Member) error {
 	credentials, err := raftnode.LoadCredentialFiles(c.dir, raftnode.OperatorFilePrefix(operatorName))
 	if err != nil {
@@ -214,10 +216,11 @@
 	return nil
 }
 
-// agree has the instances agree on the benchmark's configuration and waits until it is in force.
-func agree(ctx context.Context, client *cluster.Client, registryAddr string) error {
+// installConfiguration proposes the benchmark's configuration, retrying until a leader commits it, and waits until the
+// version is installed.
+func installConfiguration(ctx context.Context, client *cluster.Client, registryAddr string) error {
 	proposal := firstProposal(registryAddr)
-	ctx, cancel := context.WithTimeout(ctx, agreementTimeout)
+	ctx, cancel := context.WithTimeout(ctx, installTimeout)
 	defer cancel()
 	for {
 		outcome, err := client.Propose(ctx, proposal)
@@ -227,12 +230,12 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(agreementRetryInterval):
+		case <-time.After(proposalRetryInterval):
 		}
 	}
 }
 
-// firstProposal returns the benchmark's configuration: that of startGateway, as objects that members agree on.
+// firstProposal returns a proposal with the benchmark's configuration, which is that of startGateway.
 func firstProposal(registryAddr string) *clusterconfig.Proposal {
 	put := clusterconfig.NewPutChange
 	changes := []clusterconfig.Change{
--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -18,35 +18,35 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// FollowersResult is what followers cost and how soon they have a change.
+// FollowersResult holds what followers cost and how long they take to install a change.
 type FollowersResult struct {
-	Full        bool    // by whole versions alone
-	Followers   int     // how many
-	JoinS       float64 // until all had the first version
-	P50Ms       float64 // from agreed to in force, over all followers and changes of one plan
-	P99Ms       float64 // the same
-	AllMs       float64 // until the last has it: the median of the changes
-	MemoryKB    float64 // of the first member, for each follower that it serves
-	MemberCores float64 // of the first member at ten changes a second
-	BackS       float64 // after the first member was killed, until all its followers had the next version
+	Full        bool    // members send full versions only, no deltas
+	Followers   int     // number of followers
+	JoinS       float64 // seconds until all followers have installed the first version
+	P50Ms       float64 // median time from commit to installation of a plan change, over all followers and changes
+	P99Ms       float64 // 99th percentile of the same times
+	AllMs       float64 // time from commit until the last follower has installed the change, median over changes
+	MemoryKB    float64 // memory growth of the first member per follower that it serves
+	MemberCores float64 // processors used by the first member at ten changes a second
+	BackS       float64 // seconds from the kill of the first member until all followers have the next version
 }
 
-// quietFollower is a follower without an instance: it accepts every version and persists nothing.
-type quietFollower struct {
+// stubFollower is a follower without an instance: it accepts every version and persists nothing.
+type stubFollower struct {
 	stream *cluster.StreamClient
 
 	mu          sync.Mutex
-	installedAt map[uint64]time.Time // by version
+	installedAt map[uint64]time.Time // by version number
 }
 
-// FollowersLoad is what MeasureFollowers measures.
+// FollowersLoad are the parameters of MeasureFollowers.
 type FollowersLoad struct {
 	Followers    int
-	Changes      int  // one by one
-	FullVersions bool // members send whole versions alone, no deltas
+	Changes      int  // number of configuration changes, made one after the other
+	FullVersions bool // members send full versions only, no deltas
 }
 
-// MeasureFollowers measures a cluster with followers, which all run in this process.
+// MeasureFollowers measures a cluster with followers, all of which run in this process.
 func MeasureFollowers(ctx context.Context, opt Options, load FollowersLoad) (r FollowersResult, err error) {
 	r = FollowersResult{Full: load.FullVersions, Followers: load.Followers}
 	service := followersGetDeltas
@@ -58,7 +58,7 @@
 		return r, err
 	}
 	defer func() {
-		if e := c.end(); err == nil {
+		if e := c.stop(); err == nil {
 			err = e
 		}
 	}()
@@ -66,7 +66,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
-	followers, err := r.join(ctx, c, load.Followers, func(f *quietFollower) {
+	followers, err := r.join(ctx, c, load.Followers, func(f *stubFollower) {
 		running.Go(func() { f.stream.Run(followersCtx) })
 	})
 	if err != nil {
@@ -75,48 +75,49 @@
 	if err := r.measureChanges(ctx, c, followers, load.Changes); err != nil {
 		return r, err
 	}
-	if r.MemberCores, err = coresAtTen(ctx, opt, c); err != nil {
+	if r.MemberCores, err = measureMemberCores(ctx, opt, c); err != nil {
 		return r, err
 	}
 	r.BackS, err = measureFailover(ctx, c, followers, load.Changes)
 	return r, err
 }
 
-// join starts followers and notes how soon all have the first version, and how much memory they cost the first member.
+// join starts followers. It sets r.JoinS, the time until all have installed the first version, and r.MemoryKB, the
+// memory that each costs the first member.
 func (r *FollowersResult) join(
-	ctx context.Context, c *benchCluster, count int, start func(*quietFollower),
-) ([]*quietFollower, error) {
-	version, err := agreeFollowers(ctx, c, count)
+	ctx context.Context, c *benchCluster, count int, start func(*stubFollower),
+) ([]*stubFollower, error) {
+	version, err := proposeFollowers(ctx, c, count)
 	if err != nil {
 		return nil, err
 	}
-	before, err := resident(c.members[0])
+	before, err := residentKB(c.members[0])
 	if err != nil {
 		return nil, err
 	}
-	followers := make([]*quietFollower, count)
+	followers := make([]*stubFollower, count)
 	began := time.Now()
 	for i := range followers {
-		if followers[i], err = newQuietFollower(c, followerName(i)); err != nil {
+		if followers[i], err = newStubFollower(c, followerName(i)); err != nil {
 			return nil, err
 		}
 		start(followers[i])
 	}
-	if _, err := awaitAll(ctx, followers, version, time.Now()); err != nil {
+	if _, err := awaitInstalled(ctx, followers, version, time.Now()); err != nil {
 		return nil, err
 	}
 	r.JoinS = time.Since(began).Seconds()
-	after, err := resident(c.members[0])
+	after, err := residentKB(c.members[0])
 	if err != nil {
 		return nil, err
 	}
-	r.MemoryKB = float64(after-before) / float64(max(followersOfFirst(followers), 1))
+	r.MemoryKB = float64(after-before) / float64(max(countFirstMemberFollowers(followers), 1))
 	return followers, nil
 }
 
-// agreeFollowers has the members agree on n followers and returns the version. Each has a name of its own: with one
-// certificate for all, the members would take them for one follower that runs twice.
-func agreeFollowers(ctx context.Context, c *benchCluster, n int) (version uint64, err error) {
+// proposeFollowers adds n followers to the configuration and returns the version. Each has a name of its own, because
+// members would take followers that share a certificate for one follower that runs more than once.
+func proposeFollowers(ctx context.Context, c *benchCluster, n int) (version uint64, err error) {
 	p := &clusterconfig.Proposal{ID: "followers"}
 	for i := range n {
 		change := clusterconfig.NewPutChange(clusterconfig.KindFollower, followerName(i), clusterconfig.Follower{})
@@ -126,8 +127,8 @@
 	return outcome.Version, err
 }
 
-// newQuietFollower returns a follower with a certificate of its own; its stream does not run yet.
-func newQuietFollower(c *benchCluster, name string) (*quietFollower, error) {
+// newStubFollower returns a follower with a certificate of its own. Its stream has not been started.
+func newStubFollower(c *benchCluster, name string) (*stubFollower, error) {
 	if err := c.authority.WriteFollower(c.dir, name); err != nil {
 		return nil, err
 	}
@@ -135,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &quietFollower{installedAt: map[uint64]time.Time{}}
+	f := &stubFollower{installedAt: map[uint64]time.Time{}}
 	cfg := &cluster.FollowerConfig{Cluster: clusterName, Name: name, Credentials: creds, MemberStreamAddrs: c.streams}
 	handlers := cluster.StreamHandlers{
 		Persist: func(*configstream.DurableState) error { return nil },
@@ -148,15 +149,15 @@
 	return f, nil
 }
 
-func (f *quietFollower) install(v *configstream.Version) error {
+func (f *stubFollower) install(v *configstream.Version) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.installedAt[v.Number] = time.Now()
 	return nil
 }
 
-// followersOfFirst returns how many followers the first member serves.
-func followersOfFirst(followers []*quietFollower) (count int) {
+// countFirstMemberFollowers returns the number of followers that the first member serves.
+func countFirstMemberFollowers(followers []*stubFollower) (count int) {
 	for _, f := range followers {
 		if f.stream.Status().MemberID == 1 {
 			count++
@@ -165,31 +166,31 @@
 	return count
 }
 
-// measureChanges changes a plan again and again, and notes how soon followers have each change.
+// measureChanges changes a plan several times and sets the percentiles of the followers' installation delays.
 func (r *FollowersResult) measureChanges(
-	ctx context.Context, c *benchCluster, followers []*quietFollower, changes int,
+	ctx context.Context, c *benchCluster, followers []*stubFollower, changes int,
 ) error {
-	var each, last []float64
+	var delays, lastDelays []float64
 	for i := range changes {
-		outcome, err := c.client.Propose(ctx, onePlan(i))
+		outcome, err := c.client.Propose(ctx, planChange(i))
 		agreed := time.Now()
 		if err != nil {
 			return err
 		}
-		took, err := awaitAll(ctx, followers, outcome.Version, agreed)
+		took, err := awaitInstalled(ctx, followers, outcome.Version, agreed)
 		if err != nil {
 			return err
 		}
-		each, last = append(each, took...), append(last, took[len(took)-1])
+		delays, lastDelays = append(delays, took...), append(lastDelays, took[len(took)-1])
 	}
-	r.P50Ms, r.P99Ms, r.AllMs = quantile(each, 0.5), quantile(each, 0.99), quantile(last, 0.5)
+	r.P50Ms, r.P99Ms, r.AllMs = quantile(delays, 0.5), quantile(delays, 0.99), quantile(lastDelays, 0.5)
 	return nil
 }
 
-// measureFailover kills the first member, whose followers go to the others, and returns the seconds until all followers
-// have the next version.
+// measureFailover kills the first member, so that its followers reconnect to the others, and returns the seconds until
+// all followers have installed the next version.
 func measureFailover(
-	ctx context.Context, c *benchCluster, followers []*quietFollower, changes int,
+	ctx context.Context, c *benchCluster, followers []*stubFollower, changes int,
 ) (seconds float64, err error) {
 	if err := c.members[0].cmd.Process.Kill(); err != nil {
 		return 0, err
@@ -197,11 +198,11 @@
 	killed := time.Now()
 	var outcome clusterconfig.Outcome
 	for outcome.Version == 0 {
-		if outcome, err = c.client.Propose(ctx, onePlan(changes)); err != nil && ctx.Err() != nil {
+		if outcome, err = c.client.Propose(ctx, planChange(changes)); err != nil && ctx.Err() != nil {
 			return 0, err
 		}
 	}
-	if _, err := awaitAll(ctx, followers, outcome.Version, killed); err != nil {
+	if _, err := awaitInstalled(ctx, followers, outcome.Version, killed); err != nil {
 		return 0, err
 	}
 	return time.Since(killed).Seconds(), nil
@@ -209,8 +210,8 @@
 
 func followerName(i int) string { return fmt.Sprintf("follower-%04d", i) }
 
-// onePlan returns a proposal that changes the priority of a plan to the i-th value.
-func onePlan(i int) *clusterconfig.Proposal {
+// planChange returns a proposal that sets the priority factor of a plan to the i-th value.
+func planChange(i int) *clusterconfig.Proposal {
 	plan := clusterconfig.Plan{
 		Rate:           1e5,
 		Burst:          1e5,
@@ -224,9 +225,9 @@
 	}
 }
 
-// coresAtTen is the processors that the first member takes at ten changes a second.
-func coresAtTen(ctx context.Context, opt Options, c *benchCluster) (float64, error) {
-	before, err := c.members[0].used()
+// measureMemberCores returns how many processors the first member uses at ten changes a second.
+func measureMemberCores(ctx context.Context, opt Options, c *benchCluster) (float64, error) {
+	before, err := c.members[0].queryUsage()
 	if err != nil {
 		return 0, err
 	}
@@ -234,25 +235,27 @@
 	changing, stop := context.WithTimeout(ctx, opt.For)
 	defer stop()
 	changeRepeatedly(changing, c.client, 100*time.Millisecond)
-	after, err := c.members[0].used()
+	after, err := c.members[0].queryUsage()
 	return (after.cpu - before.cpu).Seconds() / time.Since(began).Seconds(), err
 }
 
-// awaitAll waits until a version, or a later one, is in force at all followers, and returns how long each took, sorted.
-func awaitAll(ctx context.Context, qs []*quietFollower, version uint64, from time.Time) (ms []float64, err error) {
+// awaitInstalled waits until all followers have installed a version or a later one, and returns the delays from a time
+// until then in milliseconds, sorted.
+func awaitInstalled(
+	ctx context.Context, followers []*stubFollower, version uint64, from time.Time) (ms []float64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	for _, q := range qs {
+	for _, follower := range followers {
 		for {
-			took, ok := q.took(version, from)
+			took, ok := follower.installDelay(version, from)
 			if ok {
 				ms = append(ms, took)
 				break
 			}
 			select {
 			case <-ctx.Done():
-				status := q.stream.Status()
-				return nil, fmt.Errorf("%s does not have version %d: %+v", status.Name, version, status)
+				status := follower.stream.Status()
+				return nil, fmt.Errorf("benchmark: follower %s did not install version %d: %+v", status.Name, version, status)
 			case <-time.After(time.Millisecond):
 			}
 		}
@@ -261,8 +264,9 @@
 	return ms, nil
 }
 
-// took is the time until a version, or a later one, was in force.
-func (f *quietFollower) took(version uint64, from time.Time) (ms float64, ok bool) {
+// installDelay returns the milliseconds from a time until the follower installed a version or a later one, whichever
+// came first. ok is false if it has installed neither.
+func (f *stubFollower) installDelay(version uint64, from time.Time) (ms float64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for v, at := range f.installedAt {
@@ -273,8 +277,8 @@
 	return ms, ok
 }
 
-// resident is the memory of a process, in KB.
-func resident(p *process) (int, error) {
+// residentKB returns the residentKB memory of a process in KB.
+func residentKB(p *process) (int, error) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "status"))
 	if err != nil {
 		return 0, err
@@ -284,5 +288,5 @@
 			return strconv.Atoi(f[1])
 		}
 	}
-	return 0, fmt.Errorf("no resident memory in the status of process %d", p.cmd.Process.Pid)
+	return 0, fmt.Errorf("benchmark: status of process %d has no VmRSS line", p.cmd.Process.Pid)
 }
--- a/internal/benchmark/gateway.go
+++ b/internal/benchmark/gateway.go
@@ -18,20 +18,20 @@
 
 const (
 	licenseeCount       = 100
-	serverListedTimeout = 10 * time.Second // until an instance knows its servers
+	serverListedTimeout = 10 * time.Second // until an instance has the endpoint list of its servers
 )
 
 // Names of the sites.
 const (
-	serverSite = "hall-a" // has the servers
-	otherSite  = "hall-b" // has none: its instance relays
+	serverSite = "hall-a" // the servers' site
+	otherSite  = "hall-b" // a site without servers, whose instance relays
 )
 
-// licenseeName is the name of a licensee, by its number below licenseeCount.
+// licenseeName returns the name of the i-th licensee; i is below licenseeCount.
 func licenseeName(i int) string { return fmt.Sprint("licensee-", i) }
 
-// listServers starts a service discovery that lists servers of one site.
-func listServers(addrs []string) (*testserver.Discovery, error) {
+// startDiscovery starts a service discovery that lists servers of one site.
+func startDiscovery(addrs []string) (*testserver.Discovery, error) {
 	registry, err := testserver.NewDiscovery()
 	if err != nil {
 		return nil, err
@@ -49,10 +49,10 @@
 	return registry, nil
 }
 
-// startGateway starts one instance with the embedded description, quotas and rules, and returns its address. relay
-// makes it one of two sites; nil: there is one site.
+// startGateway starts an instance with the embedded description and the settings of instanceConfig, and returns its
+// address. relay configures it as an instance of one of two sites; nil means that there is only one site.
 func startGateway(ctx context.Context, servers []string, relay *gateway.RelayConfig) ([]string, error) {
-	registry, err := listServers(servers)
+	registry, err := startDiscovery(servers)
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 	return []string{listener.Addr().String()}, nil
 }
 
-// instanceConfig returns the configuration of an instance with one site, whose servers a registry lists.
+// instanceConfig returns the configuration of an instance with one site, whose servers are listed by registry.
 func instanceConfig(registry *testserver.Discovery) *gateway.Config {
 	const objective, deadline = 2 * time.Second, 4 * time.Second
 	config := &gateway.Config{
@@ -111,10 +111,10 @@
 	return config
 }
 
-// maxUnits is how many units one request may have.
+// maxUnits is the highest number of units of a request.
 const maxUnits = 50
 
-// settings are those of an instance under measurement.
+// settings returns the policy settings of the measured instances.
 func settings() policy.Settings {
 	return policy.Settings{
 		InstanceCount:        1,
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -12,12 +12,13 @@
 	"mulleinmux/internal/httpwire"
 )
 
-// measure sends requests on all connections for the time of a measurement. p is the process of the front; nil: none.
+// measure sends requests on all connections for opt.For after a warm-up and returns the figures. p is the process of
+// the front; it is nil for direct calls.
 func measure(opt Options, front string, procs int, addrs []string, p *process) (Result, error) {
 	generator := &loadGenerator{opt: opt, stop: make(chan struct{})}
-	await := generator.start(addrs)
+	stopAndWait := generator.start(addrs)
 	time.Sleep(warmUp)
-	before, err := p.used()
+	before, err := p.queryUsage()
 	if err != nil {
 		return Result{}, err
 	}
@@ -26,27 +27,27 @@
 	time.Sleep(opt.For)
 	generator.counting.Store(false)
 	took := time.Since(startedAt)
-	after, err := p.used()
+	after, err := p.queryUsage()
 	if err != nil {
 		return Result{}, err
 	}
-	latencies, err := await()
+	latencies, err := stopAndWait()
 	if err != nil {
 		return Result{}, err
 	}
 	res := Result{Front: front, Procs: procs}
 	res.Requests, res.Other = int(generator.served.Load()), int(generator.other.Load())
 	res.PerS = float64(res.Requests) / took.Seconds()
-	requests := float64(max(res.Requests, 1)) // what was rejected is charged to what was served
+	requests := float64(max(res.Requests, 1)) // the cost of rejected requests is charged to served ones
 	res.CPU = float64((after.cpu - before.cpu).Microseconds()) / requests
 	res.Allocs = float64(after.allocs-before.allocs) / requests
 	res.P50, res.P99 = quantiles(latencies)
 	return res, nil
 }
 
-// start sends on all connections. The function that it returns ends that, and returns the latencies by connection and
-// an error of one.
-func (g *loadGenerator) start(addrs []string) (await func() ([][]float64, error)) {
+// start starts to send requests on all connections. The function that it returns stops the sending, and returns the
+// latencies by connection, or the error of one of the connections.
+func (g *loadGenerator) start(addrs []string) (stopAndWait func() ([][]float64, error)) {
 	var connections sync.WaitGroup
 	latencies := make([][]float64, g.opt.Conns)
 	errs := make(chan error, g.opt.Conns)
@@ -70,7 +71,7 @@
 	}
 }
 
-// The requests of a connection, with the numbers of the connection, the request and the licensee.
+// Formats of the requests. The arguments include the numbers of the connection, the request and the licensee.
 const (
 	bookingFormat = "POST /v1/visits HTTP/1.1\r\n" +
 		"Host: booking.example.org\r\n" +
@@ -88,18 +89,18 @@
 		"Accept: application/json\r\n\r\n"
 )
 
-// loadGenerator sends requests on connections until stop is closed, and counts those that are answered while it is
-// counting.
+// loadGenerator sends requests on connections until stop is closed. It counts the responses that arrive while counting
+// is set.
 type loadGenerator struct {
 	opt      Options
 	stop     chan struct{}
 	counting atomic.Bool
 	served   atomic.Int64
-	other    atomic.Int64 // answers that are no 200
+	other    atomic.Int64 // responses with a status other than 200
 }
 
-// sendOn sends one request at a time on the i-th connection: a booking, then a look-up. It returns the latencies of
-// those that were served, in microseconds.
+// sendOn sends one request at a time on the i-th connection, bookings and look-ups alternately. It returns the
+// latencies of the served ones in microseconds.
 func (g *loadGenerator) sendOn(addr string, i int) (latencies []float64, err error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -137,8 +138,8 @@
 	}
 }
 
-// awaitTurn waits, where the rate is limited, until a connection may send its next request, and returns when that is.
-// What a pause has delayed is not caught up.
+// awaitTurn waits until a connection may send its next request if the rate is limited, and returns that request's
+// scheduled time. A connection that is more than an interval late restarts its schedule rather than catch up.
 func (g *loadGenerator) awaitTurn(last time.Time) time.Time {
 	if g.opt.Rate <= 0 {
 		return last
@@ -152,7 +153,7 @@
 	return next
 }
 
-// bookingBody is the body of a booking.
+// bookingBody is the body of a booking request.
 const bookingBody = `{"slot":"2026-12-24T10:00:00+03:00","installers":2,"district":"Ilala"}`
 
 // appendRequest appends the n-th request of the i-th connection.
@@ -164,10 +165,10 @@
 	return fmt.Appendf(b, lookupFormat, i, n, licensee)
 }
 
-// maxAnswerBody limits the body of an answer whose length is not known, in bytes.
+// maxAnswerBody is the longest accepted body of a chunked response, in bytes.
 const maxAnswerBody = 64 << 10
 
-// readAnswer reads an answer, its body into buffer, which it returns.
+// readAnswer reads a response. It reads a body of known length into buffer, which it grows as needed and returns.
 func readAnswer(reader *httpwire.Reader, head *httpwire.Head, buffer []byte) ([]byte, error) {
 	if err := reader.Answer(head); err != nil {
 		return buffer, err
@@ -183,7 +184,7 @@
 	return buffer, reader.Body(buffer)
 }
 
-// quantiles returns the median and the 99th percentile over all connections; 0 without any request.
+// quantiles returns the median and the 99th percentile over all connections, or 0 if there are no latencies.
 func quantiles(latencies [][]float64) (p50, p99 float64) {
 	all := slices.Concat(latencies...)
 	if len(all) == 0 {
@@ -193,7 +194,7 @@
 	return all[len(all)/2], all[len(all)*99/100]
 }
 
-// quantile returns the value below which a fraction q of the values are.
+// quantile returns the value below which a fraction q of xs lies. xs must not be empty.
 func quantile(xs []float64, q float64) float64 {
 	xs = slices.Sorted(slices.Values(xs))
 	return xs[min(int(q*float64(len(xs))), len(xs)-1)]
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -18,9 +18,9 @@
 	"mulleinmux/clusterconfig"
 )
 
-// Roles of parts.
+// Roles of the processes of a measurement.
 const (
-	roleServers      = "halls" // the app servers
+	roleServers      = "halls" // the test servers
 	roleGateway      = "gateway"
 	roleNear         = "near" // an instance that relays to the far one
 	roleFar          = "far"  // an instance at the servers' site
@@ -28,30 +28,31 @@
 	roleMember       = "member" // an instance of a cluster
 )
 
-// Part is what a process does in a measurement, as the argument with which it is started.
+// Part describes what a process does in a measurement. It is passed to the process as a JSON argument.
 type Part struct {
-	Role    string   `json:"role"` // one of the roles
+	Role    string   `json:"role"` // one of the role constants
 	Servers []string `json:"servers,omitempty"`
 	Profile string   `json:"profile,omitempty"`
 
-	// Of an instance at one of two sites, with Dir.
-	Link string `json:"link,omitempty"` // address of the far one for the near one
+	// Link is set for an instance at one of two sites.
+	Link string `json:"link,omitempty"` // the far instance's relay address
 
-	// Of a member.
+	// The fields below are set for a member of a cluster, Dir also for an instance at one of two sites.
 	Member  uint64                          `json:"member,omitempty"`
-	Dir     string                          `json:"dir,omitempty"` // with certificates
+	Dir     string                          `json:"dir,omitempty"` // directory with certificates
 	Members map[uint64]clusterconfig.Member `json:"members,omitempty"`
-	Stream  string                          `json:"stream,omitempty"` // for followers
+	Stream  string                          `json:"stream,omitempty"` // address for followers
 
-	StreamFull bool `json:"stream_full,omitempty"` // by whole versions alone
+	StreamFull bool `json:"stream_full,omitempty"` // followers get full versions only, no deltas
 }
 
-// RunPart carries out a part until standard input ends. It prints the addresses on which it listens, and at each line
-// of input what it has used so far.
+// RunPart runs the part that text describes until stdin ends. It prints the addresses on which the part listens, and
+// for each line of input the CPU time and the allocations of this process so far. The first line of input also starts
+// the CPU profile, if there is one.
 func RunPart(ctx context.Context, text string, stdin io.Reader, stdout io.Writer) error {
 	var p Part
 	if err := json.Unmarshal([]byte(text), &p); err != nil {
-		return fmt.Errorf("part: %w", err)
+		return fmt.Errorf("benchmark: parsing the part's JSON argument: %w", err)
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -82,7 +83,7 @@
 	return lines.Err()
 }
 
-// start starts what the part is, until ctx ends, and returns the addresses on which it listens.
+// start starts the part, which runs until ctx ends, and returns the addresses on which it listens.
 func (p *Part) start(ctx context.Context) (addrs []string, err error) {
 	switch p.Role {
 	case roleServers:
@@ -96,10 +97,10 @@
 	case roleReverseProxy:
 		return startReverseProxy(p.Servers)
 	}
-	return nil, fmt.Errorf("part: unknown role %q", p.Role)
+	return nil, fmt.Errorf("benchmark: part has the unknown role %q", p.Role)
 }
 
-// printUsage prints this process's usage: CPU time in nanoseconds, and allocations.
+// printUsage prints the CPU time of this process in nanoseconds and its number of allocations.
 func printUsage(out io.Writer) error {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// process is a part in a process of its own.
+// process is a part that runs in a process of its own.
 type process struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
@@ -119,16 +120,16 @@
 	addrs []string
 }
 
-// begin starts a part in a process of its own, with procs processors (0: all), and waits until it listens. self is the
-// program.
-func begin(ctx context.Context, self string, procs int, p Part) (*process, error) {
+// startPart starts a part in a process of its own and waits until it listens. self is the path of the program. procs is
+// the GOMAXPROCS of the process; 0 leaves it at the default.
+func startPart(ctx context.Context, self string, procs int, p Part) (*process, error) {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return nil, err
 	}
 	cmd := exec.CommandContext(ctx, self, "bench-part", string(text))
 	cmd.Env = os.Environ()
-	if p.Stream == "" { // its memory counts
+	if p.Stream == "" { // the memory of members with followers is measured with the default GOGC
 		cmd.Env = append(cmd.Env, "GOGC=400")
 	}
 	if procs > 0 {
@@ -149,20 +150,20 @@
 	started := &process{cmd: cmd, in: in, out: bufio.NewReader(out)}
 	line, err := started.out.ReadString('\n')
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("%s: %w", p.Role, err), started.end())
+		return nil, errors.Join(fmt.Errorf("benchmark: starting part %s: %w", p.Role, err), started.stop())
 	}
 	started.addrs = strings.Fields(line)
 	return started, nil
 }
 
-// usage is what a process has used since its start.
+// usage is the CPU time and the number of allocations of a process since its start.
 type usage struct {
 	cpu    time.Duration
 	allocs uint64
 }
 
-// used returns what a process has used so far; nothing where there is none.
-func (p *process) used() (usage, error) {
+// queryUsage returns the usage of a process so far; of a nil process it is zero.
+func (p *process) queryUsage() (usage, error) {
 	if p == nil {
 		return usage{}, nil
 	}
@@ -175,8 +176,8 @@
 	return usage{cpu: time.Duration(nanoseconds), allocs: allocs}, err
 }
 
-// end has a process end and waits for that.
-func (p *process) end() error {
+// stop closes the standard input of a process, which makes it exit, and waits until it has exited.
+func (p *process) stop() error {
 	p.in.Close()
 	return p.cmd.Wait()
 }
--- a/internal/benchmark/relay.go
+++ b/internal/benchmark/relay.go
@@ -14,13 +14,14 @@
 	"mulleinmux/internal/testserver"
 )
 
-// Members of the two sites: the near one, where clients come in, and the far one, which reaches the servers.
+// Member IDs of the two sites' instances. Clients connect to the near one, which relays to the far one at the servers'
+// site.
 const (
 	nearMember = 1
 	farMember  = 2
 )
 
-// startSite starts an instance at one of two sites, of which the near one relays to the far one.
+// startSite starts the near or the far instance, as the part's role says.
 func startSite(ctx context.Context, p *Part) ([]string, error) {
 	farAddr, err := netip.ParseAddrPort(p.Link)
 	if err != nil {
@@ -49,26 +50,26 @@
 	return startGateway(ctx, p.Servers, relay)
 }
 
-// relaySites are the processes of a measurement of relayed requests.
+// relaySites holds the processes of a measurement of relayed requests.
 type relaySites struct {
-	direct, near, far *process // instances
+	direct, near, far *process // direct serves without a relay, near relays to far
 	cleanups          []func() error
 }
 
-// end ends the processes and removes their folder.
-func (s *relaySites) end() (err error) {
+// stop stops the processes and removes their directory.
+func (s *relaySites) stop() (err error) {
 	for _, cleanup := range slices.Backward(s.cleanups) {
 		err = errors.Join(err, cleanup())
 	}
 	return err
 }
 
-// startRelaySites starts servers, an instance that sends to them itself, and a pair of which the near one relays.
+// startRelaySites starts servers, an instance that sends to them directly, and the near and far instances.
 func startRelaySites(ctx context.Context, opt Options) (s *relaySites, err error) {
 	s = &relaySites{}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, s.end())
+			err = errors.Join(err, s.stop())
 		}
 	}()
 	dir, err := os.MkdirTemp("", "gateway-bench-")
@@ -83,11 +84,11 @@
 	if err := errors.Join(authority.Write(dir), authority.WriteMembers(dir, []uint64{nearMember, farMember})); err != nil {
 		return s, err
 	}
-	servers, err := begin(ctx, opt.Self, 0, Part{Role: roleServers})
+	servers, err := startPart(ctx, opt.Self, 0, Part{Role: roleServers})
 	if err != nil {
 		return s, err
 	}
-	s.cleanups = append(s.cleanups, servers.end)
+	s.cleanups = append(s.cleanups, servers.stop)
 	farAddr, err := testserver.FreeAddr("tcp")
 	if err != nil {
 		return s, err
@@ -98,24 +99,25 @@
 		process **process
 	}{{roleGateway, &s.direct}, {roleFar, &s.far}, {roleNear, &s.near}} {
 		part.Role = instance.role
-		p, err := begin(ctx, opt.Self, opt.Procs[0], part)
+		p, err := startPart(ctx, opt.Self, opt.Procs[0], part)
 		if err != nil {
 			return s, err
 		}
 		*instance.process = p
-		s.cleanups = append(s.cleanups, func() error { p.end(); return nil })
+		s.cleanups = append(s.cleanups, func() error { p.stop(); return nil })
 	}
 	return s, nil
 }
 
-// MeasureRelay measures what a request costs that is relayed to another site, in CPU of both instances together, beside
-// one that an instance sends to a server itself. report gets the results by turns, "direct" and "crossing".
+// MeasureRelay measures the CPU time of a request that is relayed to another site, in both instances together, beside
+// that of one that an instance sends to a server directly. It calls report with the results, alternately "direct" and
+// "crossing".
 func MeasureRelay(ctx context.Context, opt Options, report func(Result)) (err error) {
 	sites, err := startRelaySites(ctx, opt)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, sites.end()) }()
+	defer func() { err = errors.Join(err, sites.stop()) }()
 	for range opt.Rounds {
 		result, err := measure(opt, "direct", opt.Procs[0], sites.direct.addrs, sites.direct)
 		if err != nil {
@@ -130,9 +132,9 @@
 	return nil
 }
 
-// measureRelayed measures requests that near relays to far, with the use of both.
+// measureRelayed measures requests that near relays to far, with the usage of both.
 func measureRelayed(opt Options, near, far *process) (Result, error) {
-	before, err := far.used()
+	before, err := far.queryUsage()
 	if err != nil {
 		return Result{}, err
 	}
@@ -141,11 +143,11 @@
 	if err != nil {
 		return result, err
 	}
-	after, err := far.used()
+	after, err := far.queryUsage()
 	if err != nil {
 		return result, err
 	}
-	// The far instance's use is taken from before the warm-up to the end: its part in the measurement is that of time.
+	// The far instance's usage covers the warm-up too, so it is scaled by the measurement's share of the elapsed time.
 	share := opt.For.Seconds() / time.Since(startedAt).Seconds()
 	requests := float64(max(result.Requests, 1))
 	result.CPU += float64((after.cpu - before.cpu).Microseconds()) * share / requests
--- a/internal/benchmark/reverseproxy.go
+++ b/internal/benchmark/reverseproxy.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// startReverseProxy starts the standard library's proxy with its transport tuned: enough
-// idle connections for each server, no compression, no copy buffers to collect.
+// startReverseProxy starts the standard library's proxy, which sends to the servers in turn. It is tuned with enough
+// idle connections for each server, no compression, and pooled copy buffers.
 func startReverseProxy(servers []string) ([]string, error) {
 	var next atomic.Uint64
 	targets := make([]*url.URL, len(servers))
@@ -39,6 +39,7 @@
 	return []string{ln.Addr().String()}, nil
 }
 
+// buffers implements httputil.BufferPool.
 type buffers struct{ p sync.Pool }
 
 func (b *buffers) Get() []byte { return b.p.Get().([]byte) }
--- a/internal/benchmark/servers.go
+++ b/internal/benchmark/servers.go
@@ -7,7 +7,7 @@
 	"mulleinmux/internal/httpwire"
 )
 
-// startServers starts servers that answer at once, and returns their addresses.
+// startServers starts servers that respond without delay, and returns their addresses.
 func startServers() (addrs []string, err error) {
 	body := `{"visit":"9b1f03aa5c7e2d41","slot":"2026-12-24T10:00:00+03:00","installers":2,"district":"Ilala"}`
 	answer := []byte("HTTP/1.1 200 OK\r\n" +
@@ -27,7 +27,8 @@
 	return addrs, nil
 }
 
-// serveRequests accepts connections and answers every request on them, a health check with load, until ln is closed.
+// serveRequests accepts connections until ln is closed. It responds to health checks with load and to other requests
+// with answer.
 func serveRequests(ln net.Listener, answer, load []byte) {
 	for {
 		c, err := ln.Accept()
@@ -38,7 +39,7 @@
 	}
 }
 
-// answerRequests answers the requests of one connection until it ends.
+// answerRequests responds to the requests of one connection until it is closed.
 func answerRequests(c net.Conn, answer, load []byte) {
 	defer c.Close()
 	r := httpwire.NewReader(c)
--- a/internal/benchmark/subset_figures.go
+++ b/internal/benchmark/subset_figures.go
@@ -9,57 +9,58 @@
 	"mulleinmux/subset"
 )
 
-// SubsetFigures are what the subsets of package subset come to in a fleet of one size. Loads are of servers by their
-// weight, as multiples of the mean over the fleet.
+// SubsetFigures are the figures of package subset's subsets in a fleet of one size. Loads are servers' loads divided by
+// their weights, as multiples of the mean over the fleet.
 type SubsetFigures struct {
 	Method         string  `json:"Way"` // always subsetMethod
 	Nodes          int     `json:"Nodes"`
 	Servers        int     `json:"Servers"`
-	MeanSize       float64 `json:"Members"` // servers in a subset, on average
-	MinSize        int     `json:"Fewest"`  // in the smallest subset
-	MaxSubsets     int     `json:"Held"`    // that one server is in: connections that it must hold at the least
-	LoadDeviation  float64 `json:"Spread"`  // standard deviation of the load, with all nodes alike
-	MaxLoad        float64 `json:"Most"`    // with all nodes alike
-	UnevenNodes    float64 `json:"Uneven"`  // standard deviation of the load, where nodes' own loads vary by their mean
-	MaxLoadZoneOut float64 `json:"Zone"`    // of the servers left when one of two zones is lost
-	// Members that nodes change when one server goes, or one comes, as multiples of the fewest possible.
+	MeanSize       float64 `json:"Members"` // mean size of a subset
+	MinSize        int     `json:"Fewest"`  // size of the smallest subset
+	MaxSubsets     int     `json:"Held"`    // most subsets with one server, which has at least one connection for each
+	LoadDeviation  float64 `json:"Spread"`  // standard deviation of the load, if all nodes have the same load
+	MaxLoad        float64 `json:"Most"`    // highest load, if all nodes have the same load
+	UnevenNodes    float64 `json:"Uneven"`  // standard deviation of the load, if that of nodes' loads equals their mean
+	MaxLoadZoneOut float64 `json:"Zone"`    // highest load of the remaining servers when one of two zones is lost
+	// Subset members that all nodes replace when one server is removed (ServerGone) or added (ServerCame), as multiples of
+	// the fewest possible.
 	ServerGone float64 `json:"Gone"`
 	ServerCame float64 `json:"Came"`
-	// Fraction of its members that a node changes when it takes the tier for a tenth larger than it is.
+	// Fraction of its subset that a node replaces if it assumes a tier a tenth larger than it is.
 	WrongNodeCount float64 `json:"Miscut"`
 }
 
-// subsetMethod is what the results call the method of package subset.
+// subsetMethod is the name of package subset's method in the results.
 const subsetMethod = "lots"
 
-// fleet is nodes of which each has a subset of the servers.
+// fleet is a number of nodes, each with a subset of the servers.
 type fleet struct {
 	servers []subset.Server
 	nodes   int
-	size    int // of a subset, as wanted
+	size    int // target size of a subset
 	seed    uint64
 }
 
-// selectSubset is a method of subsetting: it returns the subset of a node.
-type selectSubset func(f *fleet, node int) []subset.Member
+// subsetSelector is a method of subsetting. It returns the subset of a node.
+type subsetSelector func(f *fleet, node int) []subset.Member
 
-// selectByTier is the method of package subset, which instances use.
+// selectByTier selects a subset by the method of package subset, as instances do.
 func selectByTier(f *fleet, node int) []subset.Member {
 	tier := subset.Tier{Nodes: f.nodes, Seed: f.seed, Sizing: subset.Sizing{TargetServers: f.size}}
 	return tier.Select(f.servers, node, 1)
 }
 
-// MeasureSubsets measures the subsets of a fleet of one size: size servers for each of the nodes.
+// MeasureSubsets measures the subsets of a fleet with random servers. size is the target size of a subset.
 func MeasureSubsets(nodes, servers, size int, seed uint64) (SubsetFigures, error) {
 	if nodes < 1 || servers < 2 || size < 1 {
-		return SubsetFigures{}, fmt.Errorf("parts of %d servers for %d nodes over %d servers: "+
-			"all must be above 0, and servers above 1", size, nodes, servers)
+		return SubsetFigures{}, fmt.Errorf("benchmark: subsets of %d servers for %d nodes and %d servers: "+
+			"all numbers must be at least 1, and the servers at least 2", size, nodes, servers)
 	}
 	f, rates := newFleet(nodes, servers, size, seed)
 	return f.measure(selectByTier, rates), nil
 }
 
-// newFleet returns a fleet of random servers, and loads of its nodes that differ.
+// newFleet returns a fleet of random servers, and a random load for each of its nodes.
 func newFleet(nodes, servers, size int, seed uint64) (f *fleet, rates []float64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(nodes)<<32|uint64(servers)))
 	f = &fleet{servers: randomServers(rng, servers), nodes: nodes, size: min(size, servers), seed: seed}
@@ -70,7 +71,7 @@
 	return f, rates
 }
 
-// randomServers returns servers of two zones whose weights vary by half.
+// randomServers returns servers of two zones with weights from 0.75 to 1.25.
 func randomServers(rng *rand.Rand, count int) []subset.Server {
 	servers := make([]subset.Server, count)
 	for i := range servers {
@@ -83,11 +84,11 @@
 	return servers
 }
 
-// movementSamples is for how many servers that go, or come, the members that change are counted.
+// movementSamples is the number of removed, and of added, servers over which ServerGone and ServerCame are averaged.
 const movementSamples = 4
 
-// measure returns the figures of one method. rates are the loads of the nodes, where they differ.
-func (f *fleet) measure(method selectSubset, rates []float64) SubsetFigures {
+// measure returns the figures of one method. rates are the loads of the nodes for UnevenNodes.
+func (f *fleet) measure(method subsetSelector, rates []float64) SubsetFigures {
 	serverCount := len(f.servers)
 	figures := SubsetFigures{Method: subsetMethod, Nodes: f.nodes, Servers: serverCount, MinSize: serverCount}
 	subsets := make([][]subset.Member, f.nodes)
@@ -101,10 +102,10 @@
 		}
 	}
 	figures.MaxSubsets = slices.Max(subsetsOfServer)
-	figures.LoadDeviation, figures.MaxLoad = load(f.servers, subsets, nil, nil)
-	figures.UnevenNodes, _ = load(f.servers, subsets, rates, nil)
+	figures.LoadDeviation, figures.MaxLoad = loadStatistics(f.servers, subsets, nil, nil)
+	figures.UnevenNodes, _ = loadStatistics(f.servers, subsets, rates, nil)
 	isZoneA := func(server subset.Server) bool { return server.Zone == "a" }
-	_, figures.MaxLoadZoneOut = load(f.servers, subsets, nil, isZoneA)
+	_, figures.MaxLoadZoneOut = loadStatistics(f.servers, subsets, nil, isZoneA)
 
 	fewestChanges := figures.MeanSize * float64(f.nodes) / float64(serverCount)
 	for sample := range movementSamples {
@@ -122,8 +123,8 @@
 	return figures
 }
 
-// newMembers counts the members that f's nodes have in another fleet and not in their subsets of f.
-func (f *fleet) newMembers(subsets [][]subset.Member, other *fleet, method selectSubset) (count float64) {
+// newMembers counts the members of the nodes' subsets in another fleet that their subsets in f lack.
+func (f *fleet) newMembers(subsets [][]subset.Member, other *fleet, method subsetSelector) (count float64) {
 	for node := range subsets {
 		before := f.memberIDs(subsets[node])
 		for id := range other.memberIDs(method(other, node)) {
@@ -144,18 +145,19 @@
 	return ids
 }
 
-// load returns the standard deviation and the highest of the servers' loads by their weight. Nodes without rates have
-// 1 each; a node shares its load among the members that are not lost, or over all that are left if it has none. lost
-// is nil where no server is.
-func load(
+// loadStatistics returns the standard deviation and the maximum of the servers' loads, divided by their weights and
+// relative to the mean. rates are the nodes' loads; if nil, all nodes have the same load. A node divides its load among
+// the members that are not lost, or among all remaining servers if all its members are lost. lost is nil if no server
+// is lost.
+func loadStatistics(
 	servers []subset.Server, subsets [][]subset.Member, rates []float64, lost func(subset.Server) bool,
 ) (deviation, highest float64) {
-	isLeft := make([]bool, len(servers))
-	var weightLeft float64
+	isAvailable := make([]bool, len(servers))
+	var availableWeight float64
 	for i, server := range servers {
-		isLeft[i] = lost == nil || !lost(server)
-		if isLeft[i] {
-			weightLeft += server.Weight
+		isAvailable[i] = lost == nil || !lost(server)
+		if isAvailable[i] {
+			availableWeight += server.Weight
 		}
 	}
 	work := make([]float64, len(servers))
@@ -166,11 +168,11 @@
 			rate = rates[node]
 		}
 		total += rate
-		addWork(work, servers, members, isLeft, rate, weightLeft)
+		addNodeLoad(work, servers, members, isAvailable, rate, availableWeight)
 	}
-	mean, count := total/weightLeft, 0.0
+	mean, count := total/availableWeight, 0.0
 	for i, server := range servers {
-		if !isLeft[i] {
+		if !isAvailable[i] {
 			continue
 		}
 		relative := work[i] / server.Weight / mean
@@ -181,27 +183,27 @@
 	return math.Sqrt(deviation / count), highest
 }
 
-// addWork adds the work of one node, of some rate, to that of the servers.
-func addWork(
-	work []float64, servers []subset.Server, members []subset.Member, isLeft []bool, rate, weightLeft float64,
+// addNodeLoad adds the load of one node, which is rate, to that of the servers.
+func addNodeLoad(
+	work []float64, servers []subset.Server, members []subset.Member, isAvailable []bool, rate, availableWeight float64,
 ) {
-	var fractionLeft float64
+	var availableFraction float64
 	for _, member := range members {
-		if isLeft[member.Index] {
-			fractionLeft += member.TrafficFraction
+		if isAvailable[member.Index] {
+			availableFraction += member.TrafficFraction
 		}
 	}
-	if fractionLeft == 0 {
+	if availableFraction == 0 {
 		for i, server := range servers {
-			if isLeft[i] {
-				work[i] += rate * server.Weight / weightLeft
+			if isAvailable[i] {
+				work[i] += rate * server.Weight / availableWeight
 			}
 		}
 		return
 	}
 	for _, member := range members {
-		if isLeft[member.Index] {
-			work[member.Index] += rate * member.TrafficFraction / fractionLeft
+		if isAvailable[member.Index] {
+			work[member.Index] += rate * member.TrafficFraction / availableFraction
 		}
 	}
 }
--- a/internal/benchmark/subset_figures_test.go
+++ b/internal/benchmark/subset_figures_test.go
@@ -8,13 +8,14 @@
 	"mulleinmux/subset"
 )
 
-// selectRandom draws by chance: another list of servers is another draw.
+// selectRandom selects random servers. A different number of servers gives an unrelated selection.
 func selectRandom(f *fleet, node int) []subset.Member {
 	rng := rand.New(rand.NewPCG(f.seed+uint64(node), uint64(len(f.servers)*1009+f.nodes)))
 	return byWeight(f.servers, rng.Perm(len(f.servers))[:min(f.size, len(f.servers))])
 }
 
-// selectUncounted is the method of package subset without the count of a server's holders.
+// selectUncounted selects the subsets of package subset, but divides the traffic by weight alone, without correcting
+// for the number of subsets that a server is in.
 func selectUncounted(f *fleet, node int) []subset.Member {
 	var indexes []int
 	for _, member := range selectByTier(f, node) {
@@ -23,7 +24,7 @@
 	return byWeight(f.servers, indexes)
 }
 
-// byWeight gives the servers at some indexes fractions of the traffic by their weights alone.
+// byWeight returns the servers at some indexes as members with traffic fractions by their weights alone.
 func byWeight(servers []subset.Server, indexes []int) (members []subset.Member) {
 	for _, i := range indexes {
 		members = append(members, subset.Member{Index: i, TrafficFraction: servers[i].Weight})
@@ -31,8 +32,8 @@
 	return subset.NormalizeFractions(members)
 }
 
-// The subsets of package subset move little where a list changes, and counting holders balances them: beside a draw by
-// chance and beside the same subsets without the count.
+// Compared with random subsets, those of package subset change little when a server is removed. Their load is balanced
+// better than that of random subsets and than that of the same subsets without the correction of traffic fractions.
 func TestSubsetFiguresBesideControls(t *testing.T) {
 	f, rates := newFleet(120, 70, 16, 3)
 	tier := f.measure(selectByTier, rates)
@@ -40,20 +41,21 @@
 	uncounted := f.measure(selectUncounted, rates)
 	for name, figures := range map[string]SubsetFigures{"tier": tier, "random": random, "uncounted": uncounted} {
 		if figures.MeanSize < 10 || figures.MeanSize > 20 || figures.MaxLoad < 1 || figures.MinSize < 1 {
-			t.Errorf("%s: %+v", name, figures)
+			t.Errorf("%s: got %+v, want MeanSize 10 to 20, and MaxLoad and MinSize of at least 1", name, figures)
 		}
 	}
 	if random.ServerGone < 10*tier.ServerGone {
-		t.Errorf("one server's end moves %v, by chance %v", tier.ServerGone, random.ServerGone)
+		t.Errorf("ServerGone: got %v for tier and %v for random, want 10 times more for random",
+			tier.ServerGone, random.ServerGone)
 	}
 	if random.LoadDeviation < 2*tier.LoadDeviation || uncounted.LoadDeviation < 2*tier.LoadDeviation {
-		t.Errorf("load deviates by %v, by chance %v, uncounted %v", tier.LoadDeviation, random.LoadDeviation,
-			uncounted.LoadDeviation)
+		t.Errorf("LoadDeviation: got %v for tier, want at most half of random's %v and uncounted's %v",
+			tier.LoadDeviation, random.LoadDeviation, uncounted.LoadDeviation)
 	}
 }
 
-// Loads come out as counted by hand.
-func TestLoad(t *testing.T) {
+// loadStatistics returns the deviation and maximum that were calculated by hand for small fleets.
+func TestLoadStatistics(t *testing.T) {
 	subsetOf := func(indexes ...int) (members []subset.Member) {
 		for _, i := range indexes {
 			members = append(members, subset.Member{Index: i, TrafficFraction: 1 / float64(len(indexes))})
@@ -81,17 +83,17 @@
 			deviation: 0.5, highest: 1.5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			deviation, highest := load(servers, c.subsets, c.rates, c.lost)
+			deviation, highest := loadStatistics(servers, c.subsets, c.rates, c.lost)
 			if math.Abs(deviation-c.deviation) > 1e-9 || math.Abs(highest-c.highest) > 1e-9 {
-				t.Errorf("deviation %v, highest %v; want %v, %v", deviation, highest, c.deviation, c.highest)
+				t.Errorf("got deviation %v, highest load %v; want %v, %v", deviation, highest, c.deviation, c.highest)
 			}
 		})
 	}
 }
 
-// A node has as many new members as servers that its old subset lacks, wherever these stand in the list.
+// newMembers counts the servers that the old subset lacks, by ID and not by their index in the list.
 func TestNewMembers(t *testing.T) {
-	first := func(_ *fleet, _ int) []subset.Member { return []subset.Member{{Index: 0}, {Index: 1}} }
+	selectFirstTwo := func(_ *fleet, _ int) []subset.Member { return []subset.Member{{Index: 0}, {Index: 1}} }
 	before := &fleet{nodes: 1, servers: []subset.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	for name, c := range map[string]struct {
 		ids  []string
@@ -107,23 +109,23 @@
 			for _, id := range c.ids {
 				after.servers = append(after.servers, subset.Server{ID: id})
 			}
-			if got := before.newMembers([][]subset.Member{first(before, 0)}, after, first); got != c.want {
-				t.Errorf("%v new members, want %v", got, c.want)
+			if got := before.newMembers([][]subset.Member{selectFirstTwo(before, 0)}, after, selectFirstTwo); got != c.want {
+				t.Errorf("got %v new members, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// The same seed gives the same figures.
+// MeasureSubsets returns the same figures for the same seed, and an error for a fleet without nodes.
 func TestMeasureSubsetsRepeats(t *testing.T) {
 	first, err := MeasureSubsets(120, 70, 16, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if again, err := MeasureSubsets(120, 70, 16, 3); err != nil || again != first {
-		t.Errorf("%+v and %+v, %v", first, again, err)
+		t.Errorf("got %+v and %+v (error %v) for the same seed, want equal figures", first, again, err)
 	}
 	if _, err := MeasureSubsets(0, 70, 16, 3); err == nil {
-		t.Error("no nodes: no error")
+		t.Error("got no error for 0 nodes, want one")
 	}
 }
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -1,4 +1,4 @@
-// Package layering holds the repository to the layers of its packages: see docs/ARCHITECTURE.md.
+// Package layering tests that the imports of the repository's packages follow the layers of docs/ARCHITECTURE.md.
 package layering
 
 import (
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// layerOf is the layer of each package, which may import those of its own layer and below; layer 1 imports layer 1
-// alone.
+// layerOf maps each package to its layer. A package may import packages of its own layer and of lower ones, so layer 1
+// imports only layer 1.
 var layerOf = map[string]int{
 	"policy":                        1,
 	"policy/lateness":               1,
@@ -63,7 +63,7 @@
 	"internal/configstreampb/gen": 5,
 }
 
-// testHarness names the packages that tests and scenarios alone use.
+// testHarness lists the packages that only tests and scenarios may use.
 var testHarness = []string{
 	"internal/eventqueue",
 	"internal/fixture",
@@ -74,7 +74,7 @@
 	"internal/benchmark",
 }
 
-// goListLines returns the lines that go list prints.
+// goListLines runs go list at the root of the repository and returns the lines of its output.
 func goListLines(t *testing.T, args ...string) []string {
 	t.Helper()
 	cmd := exec.Command("go", append([]string{"list"}, args...)...)
@@ -86,31 +86,33 @@
 	return strings.Split(strings.TrimSpace(string(out)), "\n")
 }
 
-func TestImportsGoDown(t *testing.T) {
+// A package of this repository imports no package of a higher layer, and layers 1 to 3 import no test harness.
+func TestImportsFollowLayers(t *testing.T) {
 	for _, line := range goListLines(t, "-f", `{{.ImportPath}}{{range .Imports}} {{.}}{{end}}`, "./...") {
 		full, imports, _ := strings.Cut(line, " ")
 		name := strings.TrimPrefix(full, "mulleinmux/")
 		own, ok := layerOf[name]
 		if !ok {
-			t.Errorf("%s is in no layer: add it to this test and to docs/ARCHITECTURE.md", name)
+			t.Errorf("package %s has no layer: add it to layerOf in this test and to docs/ARCHITECTURE.md", name)
 			continue
 		}
 		for _, dep := range strings.Fields(imports) {
-			dep, ours := strings.CutPrefix(dep, "mulleinmux/")
-			if !ours {
+			dep, isOwn := strings.CutPrefix(dep, "mulleinmux/")
+			if !isOwn {
 				continue
 			}
 			if layerOf[dep] > own {
-				t.Errorf("%s in layer %d imports %s in layer %d", name, own, dep, layerOf[dep])
+				t.Errorf("package %s of layer %d imports package %s of the higher layer %d", name, own, dep, layerOf[dep])
 			}
 			if slices.Contains(testHarness, dep) && own < 4 {
-				t.Errorf("%s imports the test harness %s", name, dep)
+				t.Errorf("package %s imports the test harness %s, want that only from layer 4 up", name, dep)
 			}
 		}
 	}
 }
 
-// What layer 1 must not use: packages, and functions that read a clock or a source of randomness of their own.
+// What layer 1 must not use: forbiddenPackages; of package time, clockFunctions; of package rand, all functions but
+// seededRandFunctions.
 var (
 	forbiddenPackages = []string{
 		"net", "net/http", "os", "os/exec", "io/fs", "log", "log/slog", "sync", "crypto/rand", "math/rand", "syscall",
@@ -122,18 +124,19 @@
 	seededRandFunctions = []string{"New", "NewPCG", "Rand"}
 )
 
-// allowedModule is a data structure, and nothing else.
+// allowedModule is the only third-party module that layer 1 may import. It is a data structure without I/O.
 const allowedModule = "github.com/hashicorp/go-immutable-radix/v2"
 
-// Layer 1 decides and does no I/O: no sockets, files, goroutines, clock or randomness of its own.
-func TestDecisionsDoNoIO(t *testing.T) {
+// Packages of layer 1 hold decision logic without I/O: they use no sockets, files, goroutines, clock or unseeded
+// randomness.
+func TestLayer1DoesNoIO(t *testing.T) {
 	for name, layer := range layerOf {
 		if layer != 1 {
 			continue
 		}
 		files, err := filepath.Glob(filepath.Join("..", "..", name, "*.go"))
 		if err != nil || len(files) == 0 {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("package %s: got no Go files (error %v), want at least one", name, err)
 		}
 		for _, file := range files {
 			if !strings.HasSuffix(file, "_test.go") {
@@ -143,7 +146,7 @@
 	}
 }
 
-// checkDoesNoIO checks a file of layer 1.
+// checkDoesNoIO reports the forbidden imports, calls and go statements of a file of layer 1.
 func checkDoesNoIO(t *testing.T, file string) {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
@@ -154,23 +157,23 @@
 		path := strings.Trim(imported.Path.Value, `"`)
 		isForeign := strings.Contains(path, ".") && path != allowedModule
 		if slices.Contains(forbiddenPackages, path) || isForeign {
-			t.Errorf("%s imports %s", file, path)
+			t.Errorf("%s imports %s, which is forbidden in layer 1", file, path)
 		}
 	}
 	ast.Inspect(f, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.GoStmt:
-			t.Errorf("%s starts a goroutine", file)
+			t.Errorf("%s starts a goroutine, which is forbidden in layer 1", file)
 		case *ast.SelectorExpr:
 			if x, ok := n.X.(*ast.Ident); ok && isImpure(x.Name, n.Sel.Name) {
-				t.Errorf("%s uses %s.%s", file, x.Name, n.Sel.Name)
+				t.Errorf("%s uses %s.%s, which is forbidden in layer 1", file, x.Name, n.Sel.Name)
 			}
 		}
 		return true
 	})
 }
 
-// isImpure reports whether a function of a package reads a clock or a source of randomness of its own.
+// isImpure reports whether a function of a package reads the clock or an unseeded source of randomness.
 func isImpure(packageName, function string) bool {
 	switch packageName {
 	case "time":
@@ -181,19 +184,19 @@
 	return false
 }
 
-// The edge node links nothing but this repository and the standard library.
-func TestEdgeNodeIsLean(t *testing.T) {
+// The edge proxy links only packages of this repository and of the standard library, and none of the gateway's.
+func TestEdgeProxyDependencies(t *testing.T) {
 	deps := goListLines(t, "-deps", "mulleinmux/cmd/edgeproxy")
 	if !slices.Contains(deps, "mulleinmux/policy") {
-		t.Fatalf("not the edge node: %v", deps)
+		t.Fatalf("dependencies of cmd/edgeproxy lack mulleinmux/policy: %v", deps)
 	}
 	for _, dep := range deps {
 		if first, _, _ := strings.Cut(dep, "/"); strings.Contains(first, ".") && first != "vendor" {
-			t.Errorf("links %s", dep)
+			t.Errorf("cmd/edgeproxy links the third-party package %s", dep)
 		}
-		if own, ours := strings.CutPrefix(dep, "mulleinmux/"); ours &&
+		if own, isOwn := strings.CutPrefix(dep, "mulleinmux/"); isOwn &&
 			(own == "routing" || own == "internal/gateway" || own == "internal/httpwire") {
-			t.Errorf("links %s", dep)
+			t.Errorf("cmd/edgeproxy links the gateway's package %s", dep)
 		}
 	}
 }
--- a/internal/schedwait/monitor.go
+++ b/internal/schedwait/monitor.go
@@ -1,5 +1,5 @@
-// Package schedwait measures for how long the threads of processes wait for a processor, so that a test on a busy
-// machine can tell a late program from one that did not run.
+// Package schedwait measures how long the threads of processes wait for a processor. A test on a busy machine can then
+// tell a slow program from one that was not scheduled.
 package schedwait
 
 import (
@@ -11,54 +11,55 @@
 )
 
 const (
-	sampleInterval = 5 * time.Millisecond // between two measurements
-	minWait        = 2 * time.Millisecond // of the waits that are kept
-	maxWaits       = 1 << 18              // kept; later ones are counted only
+	sampleInterval = 5 * time.Millisecond // between two samples
+	minWait        = 2 * time.Millisecond // shorter waits are not recorded
+	maxWaits       = 1 << 18              // recorded; later ones are only counted
 )
 
-// Wait is a time in which a thread waited for a processor.
+// Wait is a period in which a thread waited for a processor.
 type Wait struct {
 	Process  string
 	From, To time.Time
-	Waited   time.Duration // at most from From to To
+	Waited   time.Duration // time without a processor, at most To minus From
 }
 
-// Monitor measures processes by the kernel's count of the time that each thread waited, and its own process by its
-// clock. The kernel counts a wait when it ends, so that one that lasts is not seen yet.
+// Monitor samples the kernel's counters of the time that each thread of the added processes has waited for a processor.
+// The process that runs the monitor is measured by how late its own timer fires. The kernel adds a wait to its counter
+// when the wait ends, so a wait that is still in progress is not seen yet.
 type Monitor struct {
 	done    chan struct{}
 	stopped chan struct{}
 
-	mu        sync.Mutex // guards all below
-	processes []process
-	waited    map[string]time.Duration // so far, by the thread's file
-	waits     []Wait
-	lost      int // waits that were not kept
-	longest   time.Duration
+	mu         sync.Mutex // guards the fields below
+	processes  []process
+	lastTotals map[string]time.Duration // total at the last sample, by the thread's schedstat file
+	waits      []Wait
+	dropped    int // waits dropped because maxWaits was reached
+	longest    time.Duration
 }
 
-// process is a process that is measured.
+// process is a measured process.
 type process struct {
 	name string
 	id   int
 }
 
-// New returns a monitor that measures nothing yet.
+// New returns a monitor without processes. Start begins the sampling.
 func New() *Monitor {
-	return &Monitor{done: make(chan struct{}), stopped: make(chan struct{}), waited: map[string]time.Duration{}}
+	return &Monitor{done: make(chan struct{}), stopped: make(chan struct{}), lastTotals: map[string]time.Duration{}}
 }
 
-// Add has a process measured.
+// Add adds a process to those that are sampled.
 func (m *Monitor) Add(name string, id int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.processes = append(m.processes, process{name: name, id: id})
 }
 
-// Start begins the measurement.
+// Start begins sampling in a goroutine of its own.
 func (m *Monitor) Start() { go m.run() }
 
-// Stop ends the measurement and returns the longest wait. It must be called once, after Start.
+// Stop ends the sampling and returns the longest wait. It must be called once, after Start.
 func (m *Monitor) Stop() time.Duration {
 	close(m.done)
 	<-m.stopped
@@ -67,8 +68,9 @@
 	return m.longest
 }
 
-// Between returns the waits that overlap a time, and how many there may be beside them that were not kept.
-func (m *Monitor) Between(from, to time.Time) (waits []Wait, lost int) {
+// Between returns the recorded waits that overlap the period between two times. dropped is the number of waits, at any
+// time, that were not recorded because maxWaits was reached.
+func (m *Monitor) Between(from, to time.Time) (waits []Wait, dropped int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, wait := range m.waits {
@@ -76,10 +78,10 @@
 			waits = append(waits, wait)
 		}
 	}
-	return waits, m.lost
+	return waits, m.dropped
 }
 
-// run measures until Stop.
+// run samples every sampleInterval until Stop is called.
 func (m *Monitor) run() {
 	defer close(m.stopped)
 	for last := time.Now(); ; {
@@ -95,7 +97,7 @@
 	}
 }
 
-// sample measures all threads, at a time after the last sample.
+// sample reads the counters of all threads at time now. last is the time of the previous sample.
 func (m *Monitor) sample(last, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,15 +113,15 @@
 	}
 }
 
-// sampleThread records for how long a thread has waited since the last sample. Called under the mutex.
+// sampleThread records how long a thread has waited since the last sample. The caller must hold m.mu.
 func (m *Monitor) sampleThread(name, file string, last time.Time) {
-	sum, isRead := waitedFor(file)
+	total, isRead := waitedFor(file)
 	if !isRead {
 		return // the thread has ended
 	}
-	before, isKnown := m.waited[file]
-	m.waited[file] = sum
-	waited, now := sum-before, time.Now()
+	before, isKnown := m.lastTotals[file]
+	m.lastTotals[file] = total
+	waited, now := total-before, time.Now()
 	if !isKnown || waited <= 0 {
 		return
 	}
@@ -128,17 +130,18 @@
 		return
 	}
 	if len(m.waits) == maxWaits {
-		m.lost++
+		m.dropped++
 		return
 	}
-	from := now.Add(-waited) // it may have begun before the last sample
+	from := now.Add(-waited) // the wait may have begun before the last sample
 	if from.After(last) {
 		from = last
 	}
 	m.waits = append(m.waits, Wait{Process: name, From: from, To: now, Waited: waited})
 }
 
-// waitedFor returns for how long a thread has waited for a processor so far, and whether its file could be read.
+// waitedFor returns the total time for which a thread has waited for a processor, from its schedstat file. isRead is
+// false if the file can't be read or parsed.
 func waitedFor(file string) (waited time.Duration, isRead bool) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/schedwait/monitor_test.go
+++ b/internal/schedwait/monitor_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// writeSchedstat writes a thread's file, as the kernel shows it: time on a processor, time waited, slices.
+// writeSchedstat writes a schedstat file in the kernel's format: time on a processor and time waited, both in
+// nanoseconds, and the number of time slices.
 func writeSchedstat(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -15,7 +16,8 @@
 	}
 }
 
-// What the kernel counts between two samples is a wait that ended between them; one too short is not kept.
+// An increase of a thread's counter between two samples is recorded as a wait that ended between them, unless it is
+// shorter than minWait.
 func TestWaitsBetweenSamples(t *testing.T) {
 	m := New()
 	file := filepath.Join(t.TempDir(), "schedstat")
@@ -27,14 +29,15 @@
 	waits, lost := m.Between(began, time.Now())
 	if len(waits) != 1 || lost != 0 || waits[0].Waited != 40*time.Millisecond || waits[0].Process != "p" ||
 		m.longest != 40*time.Millisecond {
-		t.Errorf("%+v, %d lost, longest %v", waits, lost, m.longest)
+		t.Errorf("got waits %+v, %d dropped, longest %v; want one wait of 40ms of process p", waits, lost, m.longest)
 	}
 	if waits, _ := m.Between(time.Now().Add(time.Second), time.Now().Add(time.Minute)); len(waits) != 0 {
-		t.Errorf("later: %+v", waits)
+		t.Errorf("got waits %+v after the last sample, want none", waits)
 	}
 }
 
-// A file that can't be read, or holds something else, is no wait, and none follows from it.
+// A schedstat file that can't be read or parsed records no wait, and the next valid sample is compared with the last
+// valid one.
 func TestUnreadableSchedstat(t *testing.T) {
 	m := New()
 	file := filepath.Join(t.TempDir(), "schedstat")
@@ -44,20 +47,20 @@
 		m.sampleThread("p", file, time.Now())
 	}
 	if waits, _ := m.Between(time.Time{}, time.Now()); len(waits) != 0 {
-		t.Errorf("%+v", waits)
+		t.Errorf("got waits %+v, want none", waits)
 	}
 }
 
-// A monitor measures its own process until it is stopped.
+// A started monitor samples the threads of an added process.
 func TestMonitor(t *testing.T) {
 	m := New()
 	m.Add("self", os.Getpid())
 	m.Start()
 	time.Sleep(5 * sampleInterval)
 	if longest := m.Stop(); longest < 0 {
-		t.Errorf("longest %v", longest)
+		t.Errorf("got longest wait %v, want at least 0", longest)
 	}
-	if len(m.waited) == 0 {
-		t.Error("no thread was measured")
+	if len(m.lastTotals) == 0 {
+		t.Error("no thread of the added process was sampled")
 	}
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -7,49 +7,49 @@
 	"time"
 )
 
-// Tolerances of the rules.
+// Tolerances within which a measured time does not break a rule, and minEvictableIdle.
 const (
-	answerTolerance   = 60 * time.Millisecond // of clocks and schedulers, beyond answerSlack
-	inFlightTolerance = 25 * time.Millisecond // until a server sees that a connection has ended
-	leaveTolerance    = 100 * time.Millisecond
-	minCrowdedIdle    = 90 * time.Millisecond // of a connection that is closed for another in a crowd
-	killTolerance     = 20 * time.Millisecond // until a process that was killed has ended
-	crossTolerance    = 50 * time.Millisecond // around the end of a drain's first phase
+	responseTolerance    = 60 * time.Millisecond  // clock and scheduling delay of a response, beyond responseSlack
+	inFlightTolerance    = 25 * time.Millisecond  // until a server notices that a connection was closed
+	clientCloseTolerance = 100 * time.Millisecond // for attempts that begin after the client has closed
+	minEvictableIdle     = 90 * time.Millisecond  // a connection idle for this long may be closed to free its descriptor
+	killTolerance        = 20 * time.Millisecond  // until a killed process has exited
+	drainTolerance       = 50 * time.Millisecond  // around the time at which a draining process stops accepting
 )
 
-// maxExamples is how many violations a verdict shows.
+// maxExamples is the number of violations that a verdict describes.
 const maxExamples = 8
 
-// Verdict is what came of a run.
+// Verdict is the result of a run: the number of requests by outcome, and the violations of the rules.
 type Verdict struct {
 	Target    Target         `json:"target"`
 	Seed      uint64         `json:"seed"`
 	Series    string         `json:"series"`
 	OK        bool           `json:"ok"`
 	Disturbed bool           `json:"disturbed"`
-	Stall     time.Duration  `json:"stall_ns"` // the longest time for which the tool or the program got no processor
+	Stall     time.Duration  `json:"stall_ns"` // longest time for which the tool or the program waited for a processor
 	Requests  int            `json:"requests"`
 	Served    int            `json:"served"`
 	Rejected  int            `json:"rejected"`
 	Failed    int            `json:"failed"`
 	Left      int            `json:"left"`
-	Crossed   int            `json:"crossed"` // sent as a connection closed, and surely not forwarded
-	Excused   int            `json:"excused"` // at a process that the plan killed
+	Crossed   int            `json:"crossed"` // sent as the connection was closed, and not forwarded
+	Excused   int            `json:"excused"` // open at a process as the plan killed it
 	Attempts  int            `json:"attempts"`
-	Broken    map[string]int `json:"broken,omitempty"` // violations, by rule
+	Broken    map[string]int `json:"broken,omitempty"` // number of violations by rule
 	Examples  []string       `json:"examples,omitempty"`
 	Plan      string         `json:"plan"`
 }
 
 // Names of the rules.
 const (
-	ruleAnswer   = "answer"   // one final answer, in time
-	ruleAttempts = "attempts" // never two attempts in flight, and an unsafe request is not sent again
-	ruleLeave    = "leave"    // nothing begins once the client has closed
-	ruleProcess  = "process"  // ready in time, ended in time and in order
+	ruleAnswer   = "answer"   // each request gets one final response, in time
+	ruleAttempts = "attempts" // no two attempts of a request in flight, no retry of an unsafe one that may have run
+	ruleLeave    = "leave"    // no attempt begins after the client has closed its connection
+	ruleProcess  = "process"  // processes are ready in time, and exit in time with status 0 and no logged errors
 )
 
-// violation counts a violation, and keeps the first as examples.
+// violation counts a violation and adds its description to the examples, up to maxExamples.
 func (v *Verdict) violation(rule, format string, arguments ...any) {
 	v.Broken[rule]++
 	if len(v.Examples) < maxExamples {
@@ -57,11 +57,12 @@
 	}
 }
 
-// judge checks the rules over what clients, servers and processes have recorded.
-func (r *run) judge(stall time.Duration) *Verdict {
+// checkRules checks the rules against the records of clients, servers and processes. stall is the longest time that a
+// thread waited for a processor.
+func (r *run) checkRules(stall time.Duration) *Verdict {
 	r.records.mu.Lock()
 	defer r.records.mu.Unlock()
-	stall = max(stall, r.longestKill())
+	stall = max(stall, r.longestKillDelay())
 	v := &Verdict{Target: r.plan.Target, Seed: r.plan.Seed, Series: string(r.plan.Series), Stall: stall,
 		Disturbed: stall >= stallThreshold, Broken: map[string]int{}, Plan: r.plan.String()}
 	attempts := map[string][]*attempt{}
@@ -70,12 +71,12 @@
 	}
 	v.Attempts = len(r.records.attempts)
 	v.Requests = len(r.records.requests)
-	ends := r.processEnds()
+	service := r.serviceTimes()
 	for _, request := range r.records.requests {
-		v.checkAnswer(request, attempts[request.id], ends)
+		v.checkResponse(request, attempts[request.id], service)
 		v.checkAttempts(request, attempts[request.id])
 	}
-	for _, problem := range r.problems {
+	for _, problem := range r.processProblems {
 		v.violation(ruleProcess, "%s", problem)
 	}
 	for _, p := range r.processes {
@@ -85,83 +86,85 @@
 	return v
 }
 
-// longestKill is the longest time between a process's SIGKILL for being late and its end, in which the kernel alone held it.
-func (r *run) longestKill() (longest time.Duration) {
+// longestKillDelay returns the longest time from the SIGKILL of a process that exceeded the kill delay to its exit.
+// Only the kernel can cause that delay.
+func (r *run) longestKillDelay() (longest time.Duration) {
 	for _, p := range r.processes {
-		if p.wasKilled {
-			longest = max(longest, p.exitedAt.Sub(p.lateAt))
+		if p.killedForTimeout {
+			longest = max(longest, p.exitedAt.Sub(p.timedOutAt))
 		}
 	}
 	return longest
 }
 
-// processEnds is when no request needs an answer any more.
-type processEnds struct {
-	killed   []time.Time // processes that served were killed
-	served   time.Time   // the last process went on to accept until then
-	hasCrowd bool        // new connections, and idle ones, may be closed unread
-	gaps     []interval  // in which a restart has nobody accept
-	outages  []interval  // in which no process runs that accepts: clients wait in the backlog
+// serviceTimes holds when the processes of a run accepted, which determines the requests that need no response.
+type serviceTimes struct {
+	killedAt           []time.Time // when the plan killed processes that had clients
+	acceptedUntil      time.Time   // when the last process may have stopped accepting; zero if none drained
+	hasIdleConnections bool        // connections that are new or idle may be closed without a response
+	restartGaps        []interval  // periods between two processes of a restart
+	outages            []interval  // periods without an accepting process; clients wait in the socket's backlog
 }
 
-// interval is a time without a process that accepts.
+// interval is a period in which no process accepts connections.
 type interval struct{ from, to time.Time }
 
-// processEnds gathers what processes still owed to whom.
-func (r *run) processEnds() (ends processEnds) {
-	ends.hasCrowd, ends.outages = r.plan.Crowd > 0, r.outages
+// serviceTimes derives the service times from the signals that the processes received and from their logs.
+func (r *run) serviceTimes() (service serviceTimes) {
+	service.hasIdleConnections, service.outages = r.plan.IdleConnections > 0, r.outages
 	for i, p := range r.processes {
 		isLast := i == len(r.processes)-1
-		if !p.killedAt.IsZero() && r.hadClients(p) {
-			ends.killed = append(ends.killed, p.killedAt)
+		if !p.killedByPlanAt.IsZero() && r.hadClients(p) {
+			service.killedAt = append(service.killedAt, p.killedByPlanAt)
 		}
-		if p.toldToEnd.IsZero() {
+		if p.sigtermAt.IsZero() {
 			continue
 		}
 		if r.plan.isRestart() && !isLast {
-			ends.gaps = append(ends.gaps, interval{p.servesUntil(), r.processes[i+1].readyAt})
+			service.restartGaps = append(service.restartGaps, interval{p.servesUntil(), r.processes[i+1].readyAt})
 		}
-		if until := p.servesUntil(); p.hasLogged("draining") && until.After(ends.served) {
-			ends.served = until
+		if until := p.servesUntil(); p.hasLogged("draining") && until.After(service.acceptedUntil) {
+			service.acceptedUntil = until
 		}
 	}
-	return ends
+	return service
 }
 
-// hadClients reports whether a process that was killed had clients: it served, and its predecessor has not taken them
-// back.
+// hadClients reports whether a killed process had clients. It had if it became ready, or if it is a successor whose
+// predecessor did not report a failed handover and so did not take the clients back.
 func (r *run) hadClients(p *process) bool {
 	return p.hasLogged("ready") || p.number > 0 && !r.processes[p.number-1].hasLogged("handover failed")
 }
 
-// isExcused reports whether a request was open when a process was killed that may have had it.
-func (e *processEnds) isExcused(request *request) bool {
-	return slices.ContainsFunc(e.killed, func(at time.Time) bool {
+// wasOpenAtKill reports whether a request was open when the plan killed a process that may have been handling it.
+func (s *serviceTimes) wasOpenAtKill(request *request) bool {
+	return slices.ContainsFunc(s.killedAt, func(at time.Time) bool {
 		return !request.endedAt.Before(at) && !request.connectedAt.After(at.Add(killTolerance))
 	})
 }
 
-// mayCross reports whether a request that was not forwarded need not be answered: it was sent as connections closed. One
-// that was sent together with the one ahead of it crosses the same close.
-func (e *processEnds) mayCross(request *request) bool {
+// mayGoUnanswered reports whether a request that was not forwarded needs no response, because it was sent while the
+// program was closing the connection. A request that was pipelined behind another one and ended together with it was
+// cut off by the same close.
+func (s *serviceTimes) mayGoUnanswered(request *request) bool {
 	if ahead := request.ahead; ahead != nil && ahead.end == endClosed && ahead.endedAt.Equal(request.endedAt) {
-		return e.mayCross(ahead)
+		return s.mayGoUnanswered(ahead)
 	}
-	isUnused := request.isFirst || request.idleFor >= minCrowdedIdle
-	if request.end == endTurnedAway || e.hasCrowd && isUnused {
+	isUnused := request.isFirst || request.idleFor >= minEvictableIdle
+	if request.end == endConnectionRejected || s.hasIdleConnections && isUnused {
 		return true
 	}
-	if !e.served.IsZero() && request.sentAt.After(e.served.Add(-crossTolerance)) {
+	if !s.acceptedUntil.IsZero() && request.sentAt.After(s.acceptedUntil.Add(-drainTolerance)) {
 		return true
 	}
-	return slices.ContainsFunc(e.gaps, func(gap interval) bool {
-		return request.sentAt.After(gap.from.Add(-crossTolerance)) && request.sentAt.Before(gap.to)
+	return slices.ContainsFunc(s.restartGaps, func(gap interval) bool {
+		return request.sentAt.After(gap.from.Add(-drainTolerance)) && request.sentAt.Before(gap.to)
 	})
 }
 
-// since is when a process could first answer a request: as it was sent, or after an outage.
-func (e *processEnds) since(request *request) time.Time {
-	for _, outage := range e.outages {
+// servableFrom returns when a process could first serve a request: when it was sent, or after an outage.
+func (s *serviceTimes) servableFrom(request *request) time.Time {
+	for _, outage := range s.outages {
 		if request.sentAt.After(outage.from) && request.sentAt.Before(outage.to) {
 			return outage.to
 		}
@@ -169,39 +172,40 @@
 	return request.sentAt
 }
 
-// answerBy is when a request must have its answer: in its time, or behind the answer to the one ahead of it.
-func (e *processEnds) answerBy(request *request) time.Time {
-	by := e.since(request).Add(request.timeout + answerSlack)
+// responseDeadline returns when a request must have got its response: after its own timeout, or after the response of
+// the request ahead of it if that is later.
+func (s *serviceTimes) responseDeadline(request *request) time.Time {
+	by := s.servableFrom(request).Add(request.timeout + responseSlack)
 	if ahead := request.ahead; ahead != nil && ahead.endedAt.After(by) {
 		return ahead.endedAt
 	}
 	return by
 }
 
-// checkAnswer checks that a request has its final answer in time.
-func (v *Verdict) checkAnswer(request *request, attempts []*attempt, ends processEnds) {
+// checkResponse checks that a request got its final response in time.
+func (v *Verdict) checkResponse(request *request, attempts []*attempt, service serviceTimes) {
 	switch {
-	case request.end == endLeft:
+	case request.end == endClientClosed:
 		v.Left++
 	case request.end == endAnswered:
 		v.countStatus(request.status)
-		if late := request.endedAt.Sub(ends.answerBy(request)); late > answerTolerance {
-			v.violation(ruleAnswer, "%s was answered %v beyond its time", request, late)
+		if late := request.endedAt.Sub(service.responseDeadline(request)); late > responseTolerance {
+			v.violation(ruleAnswer, "%s got its response %v too late", request, late)
 		}
 		if request.err != nil {
 			v.violation(ruleAnswer, "%s: %v", request, request.err)
 		}
-	case ends.isExcused(request):
+	case service.wasOpenAtKill(request):
 		v.Excused++
-	case len(attempts) == 0 && request.end != endNone && ends.mayCross(request):
+	case len(attempts) == 0 && request.end != endTimedOut && service.mayGoUnanswered(request):
 		v.Crossed++
 	default:
-		v.violation(ruleAnswer, "%s got no answer (%s after %v, %v), %d attempts", request, request.end,
+		v.violation(ruleAnswer, "%s got no response (end %q after %v, error %v) after %d attempts", request, request.end,
 			request.endedAt.Sub(request.sentAt).Round(time.Millisecond), request.err, len(attempts))
 	}
 }
 
-// countStatus counts an answer by its status.
+// countStatus counts a response by its status.
 func (v *Verdict) countStatus(status int) {
 	switch status {
 	case 200:
@@ -213,49 +217,51 @@
 	}
 }
 
-// checkAttempts checks the attempts of a request.
+// checkAttempts checks ruleLeave and ruleAttempts for the attempts of a request.
 func (v *Verdict) checkAttempts(request *request, attempts []*attempt) {
 	slices.SortFunc(attempts, func(a, b *attempt) int { return a.began.Compare(b.began) })
 	for i, a := range attempts {
-		if request.end == endLeft && a.began.After(request.endedAt.Add(leaveTolerance)) {
-			v.violation(ruleLeave, "%s: an attempt begins %v after its client has left", request, a.began.Sub(request.endedAt))
+		if request.end == endClientClosed && a.began.After(request.endedAt.Add(clientCloseTolerance)) {
+			v.violation(ruleLeave, "%s: an attempt began %v after the client closed its connection", request,
+				a.began.Sub(request.endedAt))
 		}
 		if i == 0 {
 			continue
 		}
 		before := attempts[i-1]
 		if before.ended.IsZero() || before.ended.After(a.began.Add(inFlightTolerance)) {
-			v.violation(ruleAttempts, "%s: two attempts in flight at %v", request, a.began.Format(timeFormat))
+			v.violation(ruleAttempts, "%s: a second attempt began at %v with the previous one in flight", request,
+				a.began.Format(timeFormat))
 		}
 		if request.class == classPay && !before.wasNeverRun {
-			v.violation(ruleAttempts, "%s: unsafe, may have run, and sent again", request)
+			v.violation(ruleAttempts, "%s: unsafe request was retried though it may have run", request)
 		}
 	}
 }
 
-// timeFormat is how times are printed.
+// timeFormat is the format of printed times.
 const timeFormat = "15:04:05.000"
 
-// String tells a request with its times.
+// String describes a request with its class, connection and times.
 func (r *request) String() string {
 	return fmt.Sprintf("%s (%s, first %v, connected %s, sent %s, timeout %v)", r.id, r.class, r.isFirst,
 		r.connectedAt.Format(timeFormat), r.sentAt.Format(timeFormat), r.timeout.Round(time.Millisecond))
 }
 
-// checkProcess checks that a process has ended as it should.
+// checkProcess checks that a process exited in time with status 0, unless the plan killed it, and logged no errors.
 func (v *Verdict) checkProcess(p *process) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.wasKilled:
-		v.violation(ruleProcess, "process %d was told to end at %s, had not ended %v later, was killed and gone after "+
-			"%v more; its threads: %s; its log ends with %.120s", p.number, p.toldToEnd.Format(timeFormat),
-			p.lateAt.Sub(p.toldToEnd).Round(time.Millisecond), p.exitedAt.Sub(p.lateAt).Round(time.Millisecond),
-			p.lateThreads, p.lastLogLine())
-	case p.killedAt.IsZero() && p.exitStatus != 0:
-		v.violation(ruleProcess, "process %d ended with %d", p.number, p.exitStatus)
+	case p.killedForTimeout:
+		v.violation(ruleProcess, "process %d got SIGTERM at %s, still ran %v later, was killed and exited after "+
+			"%v more; its threads before: %s; its last log line: %.120s", p.number, p.sigtermAt.Format(timeFormat),
+			p.timedOutAt.Sub(p.sigtermAt).Round(time.Millisecond), p.exitedAt.Sub(p.timedOutAt).Round(time.Millisecond),
+			p.threadsAtTimeout, p.lastLogLine())
+	case p.killedByPlanAt.IsZero() && p.exitStatus != 0:
+		v.violation(ruleProcess, "process %d exited with status %d", p.number, p.exitStatus)
 	}
 	if lines := p.errorLines(); len(lines) > 0 {
-		v.violation(ruleProcess, "process %d logged %s", p.number, strings.Join(lines[:min(len(lines), 3)], " | "))
+		v.violation(ruleProcess, "process %d logged errors: %s", p.number, strings.Join(lines[:min(len(lines), 3)], " | "))
 	}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -7,15 +7,18 @@
 	"time"
 )
 
-// base is the time of the recorded runs.
-var base = time.Unix(1000, 0)
+// runStart is the start time of the recorded runs.
+var runStart = time.Unix(1000, 0)
 
-// at is a time of a recorded run, in milliseconds.
-func at(milliseconds int) time.Time { return base.Add(time.Duration(milliseconds) * time.Millisecond) }
+// at returns the time of a recorded run that is a number of milliseconds after its start.
+func at(milliseconds int) time.Time {
+	return runStart.Add(time.Duration(milliseconds) * time.Millisecond)
+}
 
-// recordedRun is a run with one process that was told to end at 1,000 ms, and a request that was sent at 100 ms.
+// recordedRun returns a run with one process that got SIGTERM at 1,000 ms, and a request that was sent at 100 ms and
+// got its response at 200 ms. change modifies them.
 func recordedRun(change func(*request, *run)) *run {
-	p := &process{exited: make(chan struct{}), logPath: "/dev/null", toldToEnd: at(1000), exitedAt: at(1500)}
+	p := &process{exited: make(chan struct{}), logPath: "/dev/null", sigtermAt: at(1000), exitedAt: at(1500)}
 	r := &run{plan: &Plan{Target: TargetEdgeProxy, Series: seriesTerm}, processes: []*process{p}}
 	request := &request{id: "a", class: classPay, connectedAt: at(0), sentAt: at(100), timeout: time.Second,
 		end: endAnswered, endedAt: at(200), status: 200}
@@ -24,7 +27,8 @@
 	return r
 }
 
-// addAttempt records an attempt of the request between two times; an end of 0: it has none.
+// addAttempt records an attempt of the request between two times in milliseconds. An end of 0 means that the attempt is
+// still in flight.
 func (r *run) addAttempt(began, ended int, wasNeverRun bool) {
 	a := &attempt{id: "a", began: at(began), wasNeverRun: wasNeverRun}
 	if ended > 0 {
@@ -33,18 +37,18 @@
 	r.records.attempts = append(r.records.attempts, a)
 }
 
-// Each rule is found broken in a record that breaks it, and in no other.
-func TestRulesAreFoundBroken(t *testing.T) {
+// checkRules finds a violation of a rule in a record that breaks it, and none in similar records that don't.
+func TestRuleViolations(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*request, *run)
-		rule   string // empty: none
+		rule   string // the violated rule; empty if none is
 	}{
 		"served":           {func(*request, *run) {}, ""},
 		"late":             {func(q *request, _ *run) { q.endedAt = at(1700) }, ruleAnswer},
 		"just in time":     {func(q *request, _ *run) { q.endedAt = at(1650) }, ""},
-		"another's answer": {func(q *request, _ *run) { q.err = errors.New("the answer is b's") }, ruleAnswer},
+		"another's answer": {func(q *request, _ *run) { q.err = errors.New("got the response of request b") }, ruleAnswer},
 		"closed":           {func(q *request, _ *run) { q.end, q.err = endClosed, io.EOF }, ruleAnswer},
-		"never answered":   {func(q *request, _ *run) { q.end = endNone }, ruleAnswer},
+		"never answered":   {func(q *request, _ *run) { q.end = endTimedOut }, ruleAnswer},
 		"closed once forwarded, at the end": {func(q *request, r *run) {
 			q.sentAt, q.end, q.endedAt = at(1600), endClosed, at(1601)
 			r.addAttempt(1600, 1601, false)
@@ -71,37 +75,37 @@
 			r.addAttempt(150, 195, false)
 		}, ""},
 		"begun after the client left": {func(q *request, r *run) {
-			q.end = endLeft
+			q.end = endClientClosed
 			r.addAttempt(310, 320, false)
 		}, ruleLeave},
 		"begun as the client left": {func(q *request, r *run) {
-			q.end = endLeft
+			q.end = endClientClosed
 			r.addAttempt(290, 320, false)
 		}, ""},
-		"killed late":    {func(_ *request, r *run) { r.processes[0].wasKilled = true }, ruleProcess},
+		"killed late":    {func(_ *request, r *run) { r.processes[0].killedForTimeout = true }, ruleProcess},
 		"ended in error": {func(_ *request, r *run) { r.processes[0].exitStatus = 1 }, ruleProcess},
-		"not ready":      {func(_ *request, r *run) { r.problems = []string{"process 0 is not ready"} }, ruleProcess},
+		"not ready":      {func(_ *request, r *run) { r.processProblems = []string{"process 0 is not ready"} }, ruleProcess},
 		"killed by plan": {func(_ *request, r *run) {
-			r.processes[0].killedAt, r.processes[0].exitStatus = at(150), -1
+			r.processes[0].killedByPlanAt, r.processes[0].exitStatus = at(150), -1
 		}, ""},
 		"in a plan's kill": {func(q *request, r *run) {
-			r.processes[0].killedAt, r.processes[0].exitStatus = at(150), -1
+			r.processes[0].killedByPlanAt, r.processes[0].exitStatus = at(150), -1
 			r.processes[0].number = 1
 			r.processes = append([]*process{{exited: make(chan struct{}), logPath: "/dev/null"}}, r.processes...)
 			q.end = endClosed
 		}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := recordedRun(c.change).judge(0)
+			v := recordedRun(c.change).checkRules(0)
 			if v.OK != (c.rule == "") || c.rule != "" && v.Broken[c.rule] == 0 {
-				t.Errorf("%v %v, want %q", v.Broken, v.Examples, c.rule)
+				t.Errorf("got violations %v %v, want rule %q", v.Broken, v.Examples, c.rule)
 			}
 		})
 	}
 }
 
-// A plan follows from its seed, and a false target or duration is an error.
-func TestPlans(t *testing.T) {
+// The same seed gives the same plan, all series are drawn, and an unknown target or a bad duration is an error.
+func TestNewPlan(t *testing.T) {
 	seen := map[series]bool{}
 	for seed := range uint64(300) {
 		a, err := NewPlan(TargetEdgeProxy, seed, time.Second)
@@ -110,16 +114,16 @@
 		}
 		b, _ := NewPlan(TargetEdgeProxy, seed, time.Second)
 		if a.String() != b.String() {
-			t.Errorf("seed %d: %v and %v", seed, a, b)
+			t.Errorf("seed %d: got the plans %v and %v, want equal ones", seed, a, b)
 		}
 		seen[a.Series] = true
 	}
 	if len(seen) != len(edgeSeries) {
-		t.Errorf("300 seeds have the series %v", seen)
+		t.Errorf("300 seeds draw only the series %v, want all", seen)
 	}
 	for _, err := range []error{planError("other", time.Second), planError(TargetGateway, 0)} {
 		if err == nil {
-			t.Error("accepted")
+			t.Error("NewPlan accepted an unknown target or a duration of 0, want an error")
 		}
 	}
 }
@@ -129,18 +133,19 @@
 	return err
 }
 
-// A killed process that the kernel holds on to disturbs its run.
+// A run counts as disturbed if the kernel takes long to end a killed process.
 func TestSlowKillDisturbs(t *testing.T) {
 	for _, test := range []struct {
-		goneAfterMs int
+		exitDelayMs int
 		isDisturbed bool
 	}{{10, false}, {600, true}} {
 		r := recordedRun(func(_ *request, r *run) {
 			p := r.processes[0]
-			p.wasKilled, p.lateAt, p.exitedAt = true, at(2700), at(2700+test.goneAfterMs)
+			p.killedForTimeout, p.timedOutAt, p.exitedAt = true, at(2700), at(2700+test.exitDelayMs)
 		})
-		if v := r.judge(0); v.Disturbed != test.isDisturbed || v.Broken[ruleProcess] == 0 {
-			t.Errorf("gone after %d ms: disturbed %v, broken %v", test.goneAfterMs, v.Disturbed, v.Broken)
+		if v := r.checkRules(0); v.Disturbed != test.isDisturbed || v.Broken[ruleProcess] == 0 {
+			t.Errorf("exited %d ms after the kill: got disturbed %v, violations %v; want rule process, disturbed only at 600 ms",
+				test.exitDelayMs, v.Disturbed, v.Broken)
 		}
 	}
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	answerSlack   = 500 * time.Millisecond // after its time an answer still ends a request, if it earns nothing
-	clientsTimeUp = 5 * time.Second        // beyond a request's time: it has no answer
-	maxPause      = 20 * time.Millisecond  // between an answer and the next request
-	maxRest       = 900 * time.Millisecond // of a client that rests
-	maxPieceGap   = 30 * time.Millisecond
-	hangingEvery  = 8 // one batch of pipelined requests in so many is answered by no server
+	dialTimeout        = time.Second
+	responseSlack      = 500 * time.Millisecond // a final response may arrive this long after the request's deadline
+	clientTimeoutSlack = 5 * time.Second        // a client gives up on a request this long after its deadline
+	maxPause           = 20 * time.Millisecond  // between a response and the next request
+	maxLongPause       = 900 * time.Millisecond // between requests of a clientPausing
+	maxPieceGap        = 30 * time.Millisecond  // between the pieces of a request
+	hangingEvery       = 8                      // servers respond to none of one pipelined batch in this many
 )
 
-// client sends requests until its context ends.
+// client sends requests, over one connection at a time.
 type client struct {
 	run    *run
 	kind   clientKind
@@ -34,27 +34,27 @@
 	count  int
 }
 
-// connection is a client's connection with the requests that are open on it.
+// connection is a client's connection.
 type connection struct {
 	net.Conn
-	reader      *bufio.Reader
-	connectedAt time.Time
-	answeredAt  time.Time // the last answer; zero: none
-	sent        int
+	reader         *bufio.Reader
+	connectedAt    time.Time
+	lastResponseAt time.Time // time of the last response; zero before the first
+	sent           int       // number of requests
 }
 
-// idleFor is how long the connection has been idle since its last answer, or since it was made.
+// idleFor returns the time since the connection's last response, or since it was opened if there is none.
 func (c *connection) idleFor() time.Duration {
-	if c.answeredAt.IsZero() {
+	if c.lastResponseAt.IsZero() {
 		return time.Since(c.connectedAt)
 	}
-	return time.Since(c.answeredAt)
+	return time.Since(c.lastResponseAt)
 }
 
-// runUntil connects anew whenever the last connection has ended.
+// runUntil sends requests until ctx ends, and opens a new connection whenever the last one was closed.
 func (c *client) runUntil(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !c.run.acceptsClients.Load() {
+		if !c.run.clientsMayConnect.Load() {
 			sleep(ctx, time.Millisecond)
 			continue
 		}
@@ -63,35 +63,35 @@
 			sleep(ctx, maxPause)
 			continue
 		}
-		c.use(ctx, &connection{Conn: conn, reader: bufio.NewReader(conn), connectedAt: time.Now()})
+		c.sendRequests(ctx, &connection{Conn: conn, reader: bufio.NewReader(conn), connectedAt: time.Now()})
 	}
 }
 
-// use sends requests on a connection until it has ended.
-func (c *client) use(ctx context.Context, conn *connection) {
+// sendRequests sends requests on a connection until it is closed or ctx ends.
+func (c *client) sendRequests(ctx context.Context, conn *connection) {
 	defer conn.Close()
 	for ctx.Err() == nil {
 		batch := 1
 		if c.kind == clientPipelines {
 			batch = 2 + c.random.IntN(3)
 		}
-		if !c.exchange(conn, batch) || c.kind == clientIsNew {
+		if !c.exchange(conn, batch) || c.kind == clientReconnects {
 			return
 		}
-		pause := c.draw(maxPause)
-		if c.kind == clientRests {
-			pause = c.draw(maxRest)
+		pause := c.randomDuration(maxPause)
+		if c.kind == clientPausing {
+			pause = c.randomDuration(maxLongPause)
 		}
 		sleep(ctx, pause)
 	}
 }
 
-// draw returns a time below a bound.
-func (c *client) draw(bound time.Duration) time.Duration {
+// randomDuration returns a random duration below a bound.
+func (c *client) randomDuration(bound time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(bound)))
 }
 
-// exchange sends requests one behind the other, reads their answers and reports whether the connection stays open.
+// exchange sends a batch of pipelined requests, reads their responses and reports whether the connection is still open.
 func (c *client) exchange(conn *connection, batch int) (isOpen bool) {
 	var open []*request
 	var text strings.Builder
@@ -108,18 +108,18 @@
 		text.WriteString(c.run.target.requestText(r))
 	}
 	timeout := open[0].timeout
-	conn.SetDeadline(time.Now().Add(timeout + clientsTimeUp))
+	conn.SetDeadline(time.Now().Add(timeout + clientTimeoutSlack))
 	if c.write(conn, text.String()) != nil {
-		// What was not written whole is no request.
+		// A request that was not fully written isn't recorded.
 		return false
 	}
 	for _, r := range open {
 		r.sentAt = time.Now()
 		c.run.records.addRequest(r)
 	}
-	if c.kind == clientLeaves && c.random.IntN(2) == 0 {
-		time.Sleep(c.draw(maxPieceGap))
-		c.endAll(open, endLeft, nil)
+	if c.kind == clientDisconnects && c.random.IntN(2) == 0 {
+		time.Sleep(c.randomDuration(maxPieceGap))
+		c.recordEnd(open, endClientClosed, nil)
 		return false
 	}
 	for i, r := range open {
@@ -127,22 +127,22 @@
 		if err != nil {
 			end := endClosed
 			if netError, ok := errors.AsType[net.Error](err); ok && netError.Timeout() {
-				end = endNone
+				end = endTimedOut
 			}
-			c.endAll(open[i:], end, err)
+			c.recordEnd(open[i:], end, err)
 			return false
 		}
-		c.endAnswered(r, response)
-		conn.answeredAt = r.endedAt
+		c.recordResponse(r, response)
+		conn.lastResponseAt = r.endedAt
 		if response.Close {
-			c.endBehind(open[i+1:], response)
+			c.recordUnansweredBehind(open[i+1:], response)
 			return false
 		}
 	}
 	return true
 }
 
-// nextRequest makes the next request of a connection.
+// nextRequest returns a new random request for a connection.
 func (c *client) nextRequest(conn *connection) *request {
 	classes := []class{classCheck, classCheck, classBook, classPay}
 	c.count++
@@ -153,48 +153,49 @@
 		isSecond:    conn.sent == 1,
 		idleFor:     conn.idleFor(),
 		connectedAt: conn.connectedAt,
-		timeout:     c.run.plan.Deadline - c.draw(c.run.plan.Deadline/2),
+		timeout:     c.run.plan.Deadline - c.randomDuration(c.run.plan.Deadline/2),
 	}
 	conn.sent++
 	return r
 }
 
-// write writes a text, in pieces if the client is slow.
+// write writes a text, in random pieces if the client is a clientSlowWriter.
 func (c *client) write(conn *connection, text string) error {
-	for c.kind == clientIsSlow && len(text) > 1 {
+	for c.kind == clientSlowWriter && len(text) > 1 {
 		n := 1 + c.random.IntN(len(text)-1)
 		if _, err := io.WriteString(conn, text[:n]); err != nil {
 			return err
 		}
 		text = text[n:]
-		time.Sleep(c.draw(maxPieceGap))
+		time.Sleep(c.randomDuration(maxPieceGap))
 	}
 	_, err := io.WriteString(conn, text)
 	return err
 }
 
-// endAnswered records a whole answer.
-func (c *client) endAnswered(r *request, response testserver.Response) {
+// recordResponse records the response of a request.
+func (c *client) recordResponse(r *request, response testserver.Response) {
 	c.run.records.mu.Lock()
 	defer c.run.records.mu.Unlock()
 	r.end, r.endedAt, r.status = endAnswered, time.Now(), response.Status
 	if response.Status == 200 && response.Body != r.id {
-		r.err = fmt.Errorf("the answer is %q's", response.Body)
+		r.err = fmt.Errorf("got the response of request %q", response.Body)
 	}
 }
 
-// endBehind records the end of the requests behind an answer that closes the connection. One that turns the connection
-// away as one too many says that they are not read; any other must not close it while they have come.
-func (c *client) endBehind(open []*request, closing testserver.Response) {
+// recordUnansweredBehind records the end of the requests that were pipelined behind a response that closes the
+// connection. A 503 to the first request rejects a connection above the limit, so the requests behind it are not read
+// and need no response. Any other response must not close the connection while requests behind it have arrived.
+func (c *client) recordUnansweredBehind(open []*request, closing testserver.Response) {
 	end := endClosed
 	if closing.Status == 503 && len(open) > 0 && open[0].isSecond {
-		end = endTurnedAway
+		end = endConnectionRejected
 	}
-	c.endAll(open, end, io.EOF)
+	c.recordEnd(open, end, io.EOF)
 }
 
-// endAll records one end of several requests.
-func (c *client) endAll(open []*request, end requestEnd, err error) {
+// recordEnd records the same end for several requests.
+func (c *client) recordEnd(open []*request, end requestEnd, err error) {
 	c.run.records.mu.Lock()
 	defer c.run.records.mu.Unlock()
 	now := time.Now()
@@ -203,7 +204,7 @@
 	}
 }
 
-// sleep waits, or until ctx ends.
+// sleep waits for a duration, or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -213,11 +214,12 @@
 	}
 }
 
-// crowd holds silent connections open, as many as it gets.
-func crowd(ctx context.Context, address string, size int, isOpen *atomic.Bool) {
+// holdIdleConnections opens up to size connections that send nothing, and keeps them open until ctx ends. It opens no
+// more once mayConnect is false or a connection fails.
+func holdIdleConnections(ctx context.Context, address string, size int, mayConnect *atomic.Bool) {
 	var conns []net.Conn
 	for range size {
-		if !isOpen.Load() || ctx.Err() != nil {
+		if !mayConnect.Load() || ctx.Err() != nil {
 			break
 		}
 		conn, err := net.DialTimeout("tcp", address, dialTimeout)
--- a/internal/soak/peers.go
+++ b/internal/soak/peers.go
@@ -8,56 +8,56 @@
 	"time"
 )
 
-// The other side of a handover, which the tool takes to force a moment: see internal/edgeproxy, hot_restart.go, for the
-// messages.
+// Messages of a handover. The tool takes the part of a predecessor or a successor to force a certain order of events.
+// See internal/edgeproxy/hot_restart.go for the protocol.
 const (
-	handoverSocketName = "mulleinmux-handover" // in the process's $TMPDIR
+	handoverSocketName = "mulleinmux-handover" // in the $TMPDIR of the process
 	handoverHello      = "h\x01"
-	handoverEmptyState = "s\x00\x00\x00\x00" // its size: no state follows
+	handoverEmptyState = "s\x00\x00\x00\x00" // the size of the state, which is empty
 	handoverGossip     = "p"
 )
 
-// handoverSocket is the socket's path.
+// handoverSocket returns the address of the handover socket.
 func (r *run) handoverSocket() *net.UnixAddr {
 	return &net.UnixAddr{Name: filepath.Join(r.dir, handoverSocketName), Net: "unixpacket"}
 }
 
-// connectAsSuccessor connects to a process as its successor does, and says nothing.
+// connectAsSuccessor connects to a process as its successor does, without sending a message.
 func (r *run) connectAsSuccessor() (*net.UnixConn, error) {
 	conn, err := net.DialUnix("unixpacket", nil, r.handoverSocket())
 	if err != nil {
-		return nil, fmt.Errorf("as a successor: %w", err)
+		return nil, fmt.Errorf("soak: connecting as a successor: %w", err)
 	}
 	return conn, nil
 }
 
-// abandonedHandover is the tool in the place of a predecessor that dies in the middle of a handover: it waits for a
-// successor, hands the gossip socket over and ends without the word to go.
-func (r *run) abandonedHandover(listener *net.UnixListener) error {
+// abandonHandover takes the part of a predecessor that dies in the middle of a handover. It waits for a successor,
+// hands over the gossip socket and closes the connection without sending the message after which the successor starts.
+func (r *run) abandonHandover(listener *net.UnixListener) error {
 	defer listener.Close()
 	listener.SetDeadline(time.Now().Add(processTimeout))
 	conn, err := listener.AcceptUnix()
 	if err != nil {
-		return fmt.Errorf("as a predecessor: %w", err)
+		return fmt.Errorf("soak: accepting a successor: %w", err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(processTimeout))
 	if _, err := conn.Read(make([]byte, len(handoverHello))); err != nil {
-		return fmt.Errorf("as a predecessor: %w", err)
+		return fmt.Errorf("soak: reading the hello of a successor: %w", err)
 	}
 	if _, err := conn.Write([]byte(handoverEmptyState)); err != nil {
-		return fmt.Errorf("as a predecessor: %w", err)
+		return fmt.Errorf("soak: sending the state to a successor: %w", err)
 	}
 	return r.peer.handOverSocket(conn)
 }
 
-// gossipPeer is the tool in the place of another node of the tier, which hears whether the node under test sends gossip.
+// gossipPeer takes the part of another node of the tier, to check whether the node under test sends gossip.
 type gossipPeer struct {
-	conn   *net.UDPConn
-	nodeAt *net.UDPAddr // the node's address
+	conn     *net.UDPConn
+	nodeAddr *net.UDPAddr // gossip address of the node under test
 }
 
-// newGossipPeer returns a peer of a node that is to listen at an address of its own.
+// newGossipPeer returns a peer with a socket of its own, and picks the address on which the node is to listen.
 func newGossipPeer() (*gossipPeer, error) {
 	loopback := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}
 	conn, err := net.ListenUDP("udp", loopback)
@@ -70,15 +70,15 @@
 		return nil, err
 	}
 	defer node.Close()
-	return &gossipPeer{conn: conn, nodeAt: node.LocalAddr().(*net.UDPAddr)}, nil
+	return &gossipPeer{conn: conn, nodeAddr: node.LocalAddr().(*net.UDPAddr)}, nil
 }
 
-// address is the peer's own address.
+// address returns the peer's own address.
 func (p *gossipPeer) address() string { return p.conn.LocalAddr().String() }
 
-// handOverSocket opens the node's socket and sends it to a successor.
+// handOverSocket opens the node's gossip socket and sends its descriptor to a successor.
 func (p *gossipPeer) handOverSocket(successor *net.UnixConn) error {
-	socket, err := net.ListenUDP("udp", p.nodeAt)
+	socket, err := net.ListenUDP("udp", p.nodeAddr)
 	if err != nil {
 		return err
 	}
@@ -92,8 +92,8 @@
 	return err
 }
 
-// hearsNode reports whether a message of the node comes within a time.
-func (p *gossipPeer) hearsNode(timeout time.Duration) bool {
+// awaitNodeMessage reports whether a message from the node arrives within the timeout.
+func (p *gossipPeer) awaitNodeMessage(timeout time.Duration) bool {
 	var buffer [1]byte
 	p.conn.SetReadDeadline(time.Now().Add(timeout))
 	for {
@@ -101,14 +101,14 @@
 		if err != nil {
 			return false
 		}
-		if from == p.nodeAt.AddrPort() {
+		if from == p.nodeAddr.AddrPort() {
 			return true
 		}
 	}
 }
 
-// forget drops what has come so far.
-func (p *gossipPeer) forget() {
+// discardReceived drops the messages that have arrived so far.
+func (p *gossipPeer) discardReceived() {
 	var buffer [1]byte
 	p.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	for {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,6 +1,6 @@
-// Package soak runs a real program under clients that keep using their connections while it is told to end, upgraded,
-// stopped or killed, and checks from the clients' and the servers' own records that no request was lost. A seed draws
-// the whole plan of a run.
+// Package soak runs the real edge proxy or gateway under the load of clients that keep using their connections while
+// the program is terminated, upgraded, stopped or killed. It checks from what clients and servers have recorded that no
+// request was lost. The plan of a run is drawn from a seed.
 package soak
 
 import (
@@ -12,45 +12,45 @@
 // Target is the program under test.
 type Target string
 
-// The programs.
+// The programs that can be tested.
 const (
 	TargetEdgeProxy Target = "edgeproxy"
 	TargetGateway   Target = "gateway"
 )
 
-// series is the order of the signals of a run.
+// series is the sequence of signals that a run sends.
 type series string
 
 const (
-	seriesTerm           series = "term"                // SIGTERM
-	seriesTermTwice      series = "term-twice"          // and again while it drains
-	seriesHangupTerm     series = "hangup-term"         // SIGHUP just before
-	seriesTermHangup     series = "term-hangup"         // SIGHUP just after
-	seriesRestarts       series = "restarts"            // three processes, one after the other
-	seriesUpgrade        series = "upgrade"             // a successor takes over, then that one is told to end
-	seriesUpgradeTwice   series = "upgrade-twice"       // two upgrades in a row
-	seriesUpgradeBoth    series = "upgrade-both"        // both processes are told to end at once
-	seriesSuccessorStops series = "upgrade-sigstop"     // the successor is stopped for a while during the handover
-	seriesSuccessorDies  series = "upgrade-sigkill"     // the successor is killed at a moment around the handover
-	seriesSuccessorEnds  series = "upgrade-cancelled"   // the successor is told to end before the old process is
-	seriesOldDies        series = "upgrade-old-sigkill" // the old process is killed while a successor waits
-	seriesLateHello      series = "late-hello"          // a successor's hello and its end come while the old one is stopped
-	seriesLostGo         series = "lost-go"             // a predecessor dies once it has handed its gossip socket over
+	seriesTerm                series = "term"                // one SIGTERM
+	seriesTermTwice           series = "term-twice"          // a second SIGTERM while the process drains
+	seriesHangupTerm          series = "hangup-term"         // SIGHUP just before SIGTERM
+	seriesTermHangup          series = "term-hangup"         // SIGHUP just after SIGTERM
+	seriesRestarts            series = "restarts"            // two restarts, each once the old process has exited
+	seriesUpgrade             series = "upgrade"             // a successor takes over, and is later terminated
+	seriesUpgradeTwice        series = "upgrade-twice"       // two upgrades in a row
+	seriesUpgradeBoth         series = "upgrade-both"        // predecessor and successor get SIGTERM during the handover
+	seriesSuccessorStopped    series = "upgrade-sigstop"     // SIGSTOP to the successor during the handover, SIGCONT later
+	seriesSuccessorKilled     series = "upgrade-sigkill"     // SIGKILL to the successor around the handover
+	seriesSuccessorTerminated series = "upgrade-cancelled"   // SIGTERM to the successor, then to the old process
+	seriesOldKilled           series = "upgrade-old-sigkill" // SIGKILL to the old process while a successor waits
+	seriesLateHello           series = "late-hello"          // hello of a dead successor to a stopped process
+	seriesLostGo              series = "lost-go"             // the predecessor dies after handing over its gossip socket
 )
 
 var (
 	gatewaySeries = []series{seriesTerm, seriesTermTwice, seriesHangupTerm, seriesTermHangup, seriesRestarts}
-	edgeSeries    = append([]series{seriesUpgrade, seriesUpgradeTwice, seriesUpgradeBoth, seriesSuccessorStops,
-		seriesSuccessorDies, seriesSuccessorEnds, seriesOldDies, seriesLateHello, seriesLostGo}, gatewaySeries...)
+	edgeSeries    = append([]series{seriesUpgrade, seriesUpgradeTwice, seriesUpgradeBoth, seriesSuccessorStopped,
+		seriesSuccessorKilled, seriesSuccessorTerminated, seriesOldKilled, seriesLateHello, seriesLostGo}, gatewaySeries...)
 )
 
-// step is a step of a handover, as its process logs it.
+// step is a step of a handover, named by the message that the process logs.
 type step string
 
 const (
-	stepNone        step = ""             // the signals follow each other at once
-	stepHandingOver step = "handing over" // the old process begins to hand over
-	stepReady       step = "ready"        // the successor has taken over
+	stepNone        step = ""             // the next signal waits for no step
+	stepHandingOver step = "handing over" // logged by the old process as the handover begins
+	stepReady       step = "ready"        // logged by the successor once it has taken over
 )
 
 var handoverSteps = []step{stepNone, stepHandingOver, stepReady}
@@ -59,64 +59,65 @@
 type clientKind string
 
 const (
-	clientKeepsOn   clientKind = "keeps-on"  // the next request follows the answer
-	clientPipelines clientKind = "pipelines" // several requests at once
-	clientRests     clientKind = "rests"     // long pauses between requests
-	clientIsSlow    clientKind = "slow"      // requests in pieces
-	clientLeaves    clientKind = "leaves"    // closes its connection with a request open
-	clientIsNew     clientKind = "new"       // a connection for each request
+	clientSequential  clientKind = "keeps-on"  // the next request follows the response
+	clientPipelines   clientKind = "pipelines" // several requests without waiting for responses
+	clientPausing     clientKind = "rests"     // long pauses between requests
+	clientSlowWriter  clientKind = "slow"      // each request is written in pieces
+	clientDisconnects clientKind = "leaves"    // closes some connections with a request open
+	clientReconnects  clientKind = "new"       // a new connection for each request
 )
 
-var clientKinds = []clientKind{clientKeepsOn, clientPipelines, clientRests, clientIsSlow, clientLeaves, clientIsNew}
+var clientKinds = []clientKind{clientSequential, clientPipelines, clientPausing, clientSlowWriter, clientDisconnects,
+	clientReconnects}
 
-// Bounds of what a plan draws.
+// Bounds of the drawn values.
 const (
-	minDuration       = 100 * time.Millisecond
-	maxDuration       = time.Hour
-	serverCount       = 3
-	clientsOfEachKind = 3
-	crowdEvery        = 4                      // one run in so many has a crowd
-	minDeadline       = 600 * time.Millisecond // of the classes
-	maxDeadline       = 2 * time.Second
-	maxSignalGap      = 700 * time.Millisecond // between signals of a series
-	maxStepGap        = 5 * time.Millisecond   // from a step of a handover to the next signal
-	maxStop           = 1500 * time.Millisecond
-	minStop           = 20 * time.Millisecond
+	minDuration          = 100 * time.Millisecond
+	maxDuration          = time.Hour
+	serverCount          = 3
+	clientsOfEachKind    = 3
+	idleConnectionsEvery = 4                      // one run in this many has idle connections
+	minDeadline          = 600 * time.Millisecond // of classes
+	maxDeadline          = 2 * time.Second
+	maxSignalGap         = 700 * time.Millisecond // between the signals of a series
+	maxStepGap           = 5 * time.Millisecond   // from a handover step to the next signal
+	maxStop              = 1500 * time.Millisecond
+	minStop              = 20 * time.Millisecond
 )
 
-// Plan is what happens in a run. All of it follows from the target, the seed and the duration.
+// Plan describes a run. It depends only on the target, the seed and the duration.
 type Plan struct {
-	Target   Target
-	Seed     uint64
-	Duration time.Duration // of clients' requests before the first signal
-	Series   series
-	Deadline time.Duration // of every class
-	Gap      time.Duration // between the signals of a series
-	Step     step          // of a handover, which the next signal follows
-	StepGap  time.Duration // from the step to the signal
-	Stop     time.Duration // for which a process is stopped
-	Servers  []serverPlan
-	Crowd    int  // silent connections, which fill the descriptors
-	Inherits bool // the clients' listening socket is inherited
+	Target          Target
+	Seed            uint64
+	Duration        time.Duration // how long clients send requests before the first signal
+	Series          series
+	Deadline        time.Duration // deadline of every class
+	Gap             time.Duration // between the signals of a series
+	Step            step          // handover step that the next signal waits for
+	StepGap         time.Duration // from that step to the signal
+	StopDuration    time.Duration // from SIGSTOP to SIGCONT
+	Servers         []serverPlan
+	IdleConnections int  // connections that send nothing and use up the program's descriptors
+	InheritsSocket  bool // processes inherit the listening socket for clients
 }
 
-// serverPlan is how a server behaves, as probabilities of a request.
+// serverPlan is the behavior of a server. The fractions are probabilities per request.
 type serverPlan struct {
 	MaxLatency  time.Duration
-	Hangs       float64 // never answered
-	HangsAtEnd  bool    // answers nothing from the first signal on
-	Resets      float64 // its connection is reset once it has run
-	Rejects     float64 // it is told to have never run
+	Hangs       float64 // the request gets no response
+	HangsAtEnd  bool    // no request gets a response after the first SIGTERM
+	Resets      float64 // the connection is closed without a response after the request has run
+	Rejects     float64 // the request is rejected as never run
 	IdleTimeout time.Duration
 }
 
-// NewPlan draws the plan of a seed.
+// NewPlan draws the plan of a seed. It returns an error if the target is unknown or the duration out of range.
 func NewPlan(target Target, seed uint64, duration time.Duration) (*Plan, error) {
 	if target != TargetEdgeProxy && target != TargetGateway {
-		return nil, fmt.Errorf("target %q: want %s or %s", target, TargetEdgeProxy, TargetGateway)
+		return nil, fmt.Errorf("unknown target %q (want %s or %s)", target, TargetEdgeProxy, TargetGateway)
 	}
 	if duration < minDuration || duration > maxDuration {
-		return nil, fmt.Errorf("duration %v: want %v to %v", duration, minDuration, maxDuration)
+		return nil, fmt.Errorf("duration %v is out of range (%v to %v)", duration, minDuration, maxDuration)
 	}
 	random := rand.New(rand.NewPCG(seed, 0))
 	between := func(low, high time.Duration) time.Duration {
@@ -128,11 +129,11 @@
 	}
 	p := &Plan{
 		Target: target, Seed: seed, Duration: duration, Series: all[random.IntN(len(all))],
-		Deadline: between(minDeadline, maxDeadline),
-		Gap:      between(0, maxSignalGap),
-		Step:     handoverSteps[random.IntN(len(handoverSteps))],
-		StepGap:  between(0, maxStepGap),
-		Stop:     between(minStop, maxStop),
+		Deadline:     between(minDeadline, maxDeadline),
+		Gap:          between(0, maxSignalGap),
+		Step:         handoverSteps[random.IntN(len(handoverSteps))],
+		StepGap:      between(0, maxStepGap),
+		StopDuration: between(minStop, maxStop),
 	}
 	for range serverCount {
 		p.Servers = append(p.Servers, serverPlan{
@@ -144,20 +145,20 @@
 			IdleTimeout: between(time.Second, 30*time.Second),
 		})
 	}
-	if random.IntN(crowdEvery) == 0 {
-		p.Crowd = 100 + random.IntN(400)
+	if random.IntN(idleConnectionsEvery) == 0 {
+		p.IdleConnections = 100 + random.IntN(400)
 	}
-	p.Inherits = target == TargetEdgeProxy && (p.isUpgrade() || random.IntN(2) == 0)
+	p.InheritsSocket = target == TargetEdgeProxy && (p.isUpgrade() || random.IntN(2) == 0)
 	return p, nil
 }
 
-// hasPeer reports whether the node gossips with a peer, which is the tool.
+// hasPeer reports whether the node under test gossips with a peer, which the tool simulates.
 func (p *Plan) hasPeer() bool { return p.Series == seriesLostGo }
 
-// isRestart reports whether a process is started once the one before it has ended.
+// isRestart reports whether each process is started only after the previous one has exited.
 func (p *Plan) isRestart() bool { return p.Series == seriesRestarts || p.Series == seriesLostGo }
 
-// isUpgrade reports whether a successor waits to take over.
+// isUpgrade reports whether the series contains a handover to a successor.
 func (p *Plan) isUpgrade() bool {
 	switch p.Series {
 	case seriesTerm, seriesTermTwice, seriesHangupTerm, seriesTermHangup, seriesRestarts:
@@ -166,19 +167,20 @@
 	return true
 }
 
-// killDelay is the earliest time after SIGTERM at which the platform kills a process.
+// killDelay returns the earliest time after SIGTERM at which the platform kills a process.
 func (p *Plan) killDelay() time.Duration { return min(p.Deadline, maxKillDeadline) + killGrace }
 
-// The platform kills a process that was told to end after the longest deadline, maxKillDeadline at most, and killGrace.
+// The platform kills a process that still runs when the longest deadline (at most maxKillDeadline) and killGrace have
+// passed since its SIGTERM.
 const (
 	maxKillDeadline = 3 * time.Second
 	killGrace       = 700 * time.Millisecond
 )
 
-// String returns the plan in a line.
+// String returns the plan in one line.
 func (p *Plan) String() string {
 	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 	return fmt.Sprintf("%s seed %d: %s, gap %v, step %q and %v, stop %v, deadline %v, crowd %d, inherits %v, servers %+v",
-		p.Target, p.Seed, p.Series, round(p.Gap), p.Step, p.StepGap, round(p.Stop), round(p.Deadline), p.Crowd, p.Inherits,
-		p.Servers)
+		p.Target, p.Seed, p.Series, round(p.Gap), p.Step, p.StepGap, round(p.StopDuration), round(p.Deadline),
+		p.IdleConnections, p.InheritsSocket, p.Servers)
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,20 +18,20 @@
 	number  int
 	cmd     *exec.Cmd
 	logPath string
-	exited  chan struct{} // closed when it has ended
-
-	mu          sync.Mutex // guards all below
-	readyAt     time.Time  // zero: it was not awaited
-	toldToEnd   time.Time  // the first SIGTERM; zero: none
-	killedAt    time.Time  // by the plan, not for being late
-	wasKilled   bool       // for being late
-	lateAt      time.Time  // when it was, set if wasKilled
-	lateThreads string     // what its threads did then
-	exitStatus  int
-	exitedAt    time.Time
+	exited  chan struct{} // closed once it has exited
+
+	mu               sync.Mutex // guards the fields below
+	readyAt          time.Time  // zero if its readiness was not awaited or not reached
+	sigtermAt        time.Time  // first SIGTERM; zero if there was none
+	killedByPlanAt   time.Time  // SIGKILL that the plan sent; zero if there was none
+	killedForTimeout bool       // it still ran after the kill delay
+	timedOutAt       time.Time  // when it was killed for that; set if killedForTimeout
+	threadsAtTimeout string     // states of its threads just before
+	exitStatus       int
+	exitedAt         time.Time
 }
 
-// startProcess starts a command whose log goes to a file.
+// startProcess starts a command whose output is written to a log file in dir.
 func startProcess(number int, cmd *exec.Cmd, dir string) (*process, error) {
 	p := &process{number: number, cmd: cmd, exited: make(chan struct{}),
 		logPath: filepath.Join(dir, fmt.Sprint("log-", number))}
@@ -54,7 +54,7 @@
 	return p, nil
 }
 
-// hasExited reports whether the process has ended.
+// hasExited reports whether the process has exited.
 func (p *process) hasExited() bool {
 	select {
 	case <-p.exited:
@@ -64,7 +64,7 @@
 	}
 }
 
-// log is what the process has logged so far.
+// log returns the process's log so far, or the error of reading it.
 func (p *process) log() string {
 	text, err := os.ReadFile(p.logPath)
 	if err != nil {
@@ -73,10 +73,11 @@
 	return string(text)
 }
 
-// hasLogged reports whether a line with a message was logged.
+// hasLogged reports whether the log has a line with the message.
 func (p *process) hasLogged(message string) bool { return testserver.HasLogLine(p.log(), message) }
 
-// awaitLog waits until a line with a message was logged, and reports whether it was in time.
+// awaitLog waits until the log has a line with the message, and reports whether that was within the timeout and before
+// the process exited.
 func (p *process) awaitLog(message string, timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if p.hasLogged(message) {
@@ -89,7 +90,8 @@
 	return false
 }
 
-// awaitStep waits until a line with a message was logged, for processTimeout at most, and goes on at once then.
+// awaitStep waits until the log has a line with the message, for processTimeout at most. It polls more often than
+// awaitLog, to return as soon as possible after the step.
 func (p *process) awaitStep(message string) {
 	for end := time.Now().Add(processTimeout); time.Now().Before(end) && !p.hasExited(); time.Sleep(stepPollInterval) {
 		if p.hasLogged(message) {
@@ -98,23 +100,23 @@
 	}
 }
 
-// stepPollInterval is the time between two looks at a log for a step.
+// stepPollInterval is the time between two checks of a log for a step.
 const stepPollInterval = 200 * time.Microsecond
 
-// signal sends a signal, and notes the first SIGTERM.
+// signal sends a signal, and records the time of the first SIGTERM and of a SIGKILL.
 func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
-	if signal == syscall.SIGTERM && p.toldToEnd.IsZero() {
-		p.toldToEnd = time.Now()
+	if signal == syscall.SIGTERM && p.sigtermAt.IsZero() {
+		p.sigtermAt = time.Now()
 	}
 	if signal == syscall.SIGKILL {
-		p.killedAt = time.Now()
+		p.killedByPlanAt = time.Now()
 	}
 	p.mu.Unlock()
 	p.cmd.Process.Signal(signal)
 }
 
-// awaitExit kills the process at a time if it has not ended by itself.
+// awaitExit waits until the process has exited, and kills it at a time if it still runs then.
 func (p *process) awaitExit(killAt time.Time) {
 	timer := time.NewTimer(time.Until(killAt))
 	defer timer.Stop()
@@ -124,14 +126,14 @@
 	case <-timer.C:
 	}
 	p.mu.Lock()
-	p.wasKilled, p.lateAt, p.lateThreads = true, time.Now(), threadStates(p.cmd.Process.Pid)
+	p.killedForTimeout, p.timedOutAt, p.threadsAtTimeout = true, time.Now(), threadStates(p.cmd.Process.Pid)
 	p.mu.Unlock()
 	p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// threadStates returns the kernel's states of a process's threads, with what each waits for: "D" is a wait that no signal
-// ends, as for a disk.
+// threadStates returns the kernel's states of a process's threads, each with the kernel function in which it waits.
+// State "D" is a wait that no signal interrupts, such as one for a disk.
 func threadStates(pid int) string {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	if err != nil {
@@ -140,15 +142,15 @@
 	var states []string
 	for _, file := range files {
 		text, _ := os.ReadFile(file)
-		_, behindName, _ := strings.Cut(string(text), ") ")
-		state, _, _ := strings.Cut(behindName, " ")
-		waitsFor, _ := os.ReadFile(strings.TrimSuffix(file, "stat") + "wchan")
-		states = append(states, state+" "+string(waitsFor))
+		_, afterName, _ := strings.Cut(string(text), ") ")
+		state, _, _ := strings.Cut(afterName, " ")
+		waitFunction, _ := os.ReadFile(strings.TrimSuffix(file, "stat") + "wchan")
+		states = append(states, state+" "+string(waitFunction))
 	}
 	return strings.Join(states, ", ")
 }
 
-// lastLogLine is the last line of the log.
+// lastLogLine returns the last line of the log.
 func (p *process) lastLogLine() (last string) {
 	for line := range strings.Lines(p.log()) {
 		last = strings.TrimSpace(line)
@@ -156,7 +158,7 @@
 	return last
 }
 
-// errorLines are the lines of the log that tell of an error or a panic.
+// errorLines returns the lines of the log that report an error, a panic or a data race.
 func (p *process) errorLines() (lines []string) {
 	for line := range strings.Lines(p.log()) {
 		if strings.Contains(line, "level=ERROR") || strings.Contains(line, "panic") ||
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// class is the kind of a request.
+// class is the name of a request's class, which determines whether the request may be retried.
 type class string
 
 const (
 	classCheck class = "check" // idempotent
-	classBook  class = "book"  // idempotent with a key
+	classBook  class = "book"  // idempotent with an idempotency key
 	classPay   class = "pay"   // not idempotent
 )
 
@@ -18,32 +18,32 @@
 type requestEnd string
 
 const (
-	endNone     requestEnd = ""         // no answer in time, and the connection stays open
-	endAnswered requestEnd = "answered" // a whole answer
-	endClosed   requestEnd = "closed"   // the connection ended without one
-	endLeft     requestEnd = "left"     // the client closed its connection
+	endTimedOut     requestEnd = ""         // no response in time, and the connection was still open
+	endAnswered     requestEnd = "answered" // a complete response
+	endClosed       requestEnd = "closed"   // the connection was closed without a response
+	endClientClosed requestEnd = "left"     // the client closed its connection
 
-	endTurnedAway requestEnd = "turned away" // behind the answer to a connection that is one too many
+	endConnectionRejected requestEnd = "turned away" // pipelined behind the 503 that rejects a connection above the limit
 )
 
-// request is a request as its client knows it.
+// request is a client's record of a request.
 type request struct {
 	id          string
 	class       class
-	isFirst     bool          // on its connection
-	isSecond    bool          // on its connection
-	idleFor     time.Duration // the connection, before it
+	isFirst     bool          // first request on its connection
+	isSecond    bool          // second request on its connection
+	idleFor     time.Duration // idle time of the connection before the request
 	connectedAt time.Time
-	sentAt      time.Time // the last byte of it
-	ahead       *request  // sent before it without a pause, whose answer comes first; nil: none
-	timeout     time.Duration
+	sentAt      time.Time     // when the last byte was written
+	ahead       *request      // the pipelined request before this one, whose response comes first; nil if none
+	timeout     time.Duration // remaining time that the request states
 	end         requestEnd
 	endedAt     time.Time
 	status      int
-	err         error // of endClosed
+	err         error // why there was no response, or what was wrong with it
 }
 
-// method is the request's method.
+// method returns the HTTP method of the request.
 func (r *request) method() string {
 	if r.class == classCheck {
 		return "GET"
@@ -51,15 +51,15 @@
 	return "POST"
 }
 
-// attempt is a request as a server received it.
+// attempt is a server's record of an attempt of a request.
 type attempt struct {
 	id           string
 	server       int
-	began, ended time.Time
-	wasNeverRun  bool // rejected without an effect
+	began, ended time.Time // ended is zero while the attempt is in flight
+	wasNeverRun  bool      // rejected without having run
 }
 
-// records are what clients and servers have seen.
+// records are the requests and attempts of a run.
 type records struct {
 	mu       sync.Mutex
 	requests []*request
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -15,35 +15,37 @@
 	"mulleinmux/internal/testserver"
 )
 
-// Timings of the platform, which sends clients to a process that was told to end for a while.
+// Timings of a run. The tool plays the platform, whose load balancer still sends clients to a process for some time
+// after its SIGTERM.
 const (
-	balancerDelay  = 400 * time.Millisecond
+	balancerDelay  = 400 * time.Millisecond // from a SIGTERM until no client connects any more
 	readyTimeout   = 6 * time.Second
-	afterHandover  = 300 * time.Millisecond // for which a process serves before the next signal
-	stallThreshold = 50 * time.Millisecond  // from which on a run counts as disturbed
+	servingTime    = 300 * time.Millisecond // for which a new process serves before the next signal
+	stallThreshold = 50 * time.Millisecond  // a run with a stall as long as this counts as disturbed
 )
 
-// run is one run of a plan.
+// run is the state of one run of a plan.
 type run struct {
 	plan      *Plan
 	target    target
 	address   string
 	dir       string
-	socket    *os.File // the inherited listening socket; nil: there is none
+	socket    *os.File // the listening socket that processes inherit; nil if each opens its own
 	records   records
 	discovery *testserver.Discovery
 	servers   []*appServer
-	peer      *gossipPeer // nil: the node has none
-
-	acceptsClients atomic.Bool // clients may connect
-	isEnding       atomic.Bool // the first signal was sent
-	processes      []*process
-	stalls         *schedwait.Monitor
-	problems       []string // of processes
-	outages        []interval
+	peer      *gossipPeer // nil if the plan has no gossip peer
+
+	clientsMayConnect atomic.Bool // clients open new connections only while it is set
+	sigtermSent       atomic.Bool // a process has received the first SIGTERM
+	processes         []*process
+	stalls            *schedwait.Monitor
+	processProblems   []string // violations of ruleProcess found while the signals were sent
+	outages           []interval
 }
 
-// Run plays a plan with a program, and returns its verdict. An error means that it could not be played.
+// Run executes a plan with a program and returns the verdict. It returns an error if the plan was not executed to its
+// end.
 func Run(ctx context.Context, plan *Plan, program string) (*Verdict, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -56,7 +58,7 @@
 	}
 	defer r.discovery.Close()
 	for i := range plan.Servers {
-		server, err := startServer(i, plan, &r.records, &r.isEnding, r.discovery)
+		server, err := startServer(i, plan, &r.records, &r.sigtermSent, r.discovery)
 		if err != nil {
 			return nil, err
 		}
@@ -79,10 +81,10 @@
 		return nil, err
 	}
 	defer r.killAll()
-	return r.play(ctx)
+	return r.execute(ctx)
 }
 
-// listen opens the socket that processes inherit, or finds an address for them.
+// listen picks the address on which processes listen, and opens the listening socket if they inherit it.
 func (r *run) listen() error {
 	listener, err := listenLoopback()
 	if err != nil {
@@ -90,13 +92,13 @@
 	}
 	defer listener.Close()
 	r.address = listener.Addr().String()
-	if r.plan.Inherits {
+	if r.plan.InheritsSocket {
 		r.socket, err = listener.File()
 	}
 	return err
 }
 
-// killAll ends what a run that could not be played to its end has left.
+// killAll kills the processes that still run because the run ended early.
 func (r *run) killAll() {
 	for _, p := range r.processes {
 		if !p.hasExited() {
@@ -106,38 +108,39 @@
 	}
 }
 
-// play starts the first process and the clients, sends the signals, and waits until all has ended.
-func (r *run) play(ctx context.Context) (*Verdict, error) {
+// execute starts the first process and the clients, sends the signals, waits until all processes have exited, and
+// checks the rules.
+func (r *run) execute(ctx context.Context) (*Verdict, error) {
 	first, err := r.start()
 	if err != nil {
 		return nil, err
 	}
 	if !r.awaitReady(first) {
-		return nil, fmt.Errorf("the first process does not become ready: %s", first.log())
+		return nil, fmt.Errorf("soak: the first process did not become ready; its log: %s", first.log())
 	}
 	r.stalls.Start()
 	clientsCtx, stopClients := context.WithCancel(ctx)
 	defer stopClients()
-	r.acceptsClients.Store(true)
+	r.clientsMayConnect.Store(true)
 	clients := r.startClients(clientsCtx)
 	sleep(ctx, r.plan.Duration)
-	if err := r.playSeries(ctx, first); err != nil {
+	if err := r.runSignalSeries(ctx, first); err != nil {
 		return nil, err
 	}
 	stopClients()
 	clients.Wait()
 	r.closeServers()
-	return r.judge(r.stalls.Stop()), ctx.Err()
+	return r.checkRules(r.stalls.Stop()), ctx.Err()
 }
 
-// closeServers ends the attempts that are in flight.
+// closeServers closes the servers with the attempts that are in flight.
 func (r *run) closeServers() {
 	for _, server := range r.servers {
 		server.close()
 	}
 }
 
-// startClients starts the clients and the crowd.
+// startClients starts the clients, and those that hold idle connections.
 func (r *run) startClients(ctx context.Context) *sync.WaitGroup {
 	var clients sync.WaitGroup
 	for i := range clientsOfEachKind * len(clientKinds) {
@@ -145,8 +148,8 @@
 			random: rand.New(rand.NewPCG(r.plan.Seed, uint64(i)+1000))}
 		clients.Go(func() { c.runUntil(ctx) })
 	}
-	if r.plan.Crowd > 0 {
-		clients.Go(func() { crowd(ctx, r.address, r.plan.Crowd, &r.acceptsClients) })
+	if r.plan.IdleConnections > 0 {
+		clients.Go(func() { holdIdleConnections(ctx, r.address, r.plan.IdleConnections, &r.clientsMayConnect) })
 	}
 	return &clients
 }
@@ -163,50 +166,50 @@
 	return p, nil
 }
 
-// awaitReady waits until a process serves, which it must within readyTimeout.
+// awaitReady waits until a process is ready, and records a violation if it is not within readyTimeout.
 func (r *run) awaitReady(p *process) bool {
 	if p.awaitLog("ready", readyTimeout) {
 		p.readyAt = time.Now()
 		return true
 	}
-	r.problems = append(r.problems, fmt.Sprintf("process %d is not ready within %v", p.number, readyTimeout))
+	r.processProblems = append(r.processProblems, fmt.Sprintf("process %d is not ready after %v", p.number, readyTimeout))
 	return false
 }
 
-// errNoSuccessor means that a successor does not reach the point at which it waits.
-var errNoSuccessor = errors.New("the successor does not wait for its predecessor")
+// errSuccessorNotWaiting is returned if a successor does not begin to wait for its predecessor in time.
+var errSuccessorNotWaiting = errors.New("soak: successor did not begin to wait for its predecessor")
 
-// startSuccessor starts a process and waits until it waits to take over.
+// startSuccessor starts a successor of a process, and returns once the successor waits to take over.
 func (r *run) startSuccessor(old *process) (*process, error) {
 	p, err := r.start()
 	if err == nil && !(p.awaitLog("waiting for predecessor", processTimeout) &&
 		old.awaitLog("successor waiting", processTimeout)) {
-		err = fmt.Errorf("%w: %s", errNoSuccessor, p.log())
+		err = fmt.Errorf("%w; its log: %s", errSuccessorNotWaiting, p.log())
 	}
 	return p, err
 }
 
-// tell tells a process to end: SIGTERM.
-func (r *run) tell(p *process) {
-	r.isEnding.Store(true)
+// terminate sends SIGTERM to a process.
+func (r *run) terminate(p *process) {
+	r.sigtermSent.Store(true)
 	p.signal(syscall.SIGTERM)
 }
 
-// tellLast tells a process to end that no other follows: clients connect for balancerDelay only.
-func (r *run) tellLast(p *process) {
-	r.tell(p)
-	r.endClients(p)
+// terminateLast sends SIGTERM to a process without a successor, and blocks new client connections after balancerDelay.
+func (r *run) terminateLast(p *process) {
+	r.terminate(p)
+	r.blockConnectsAfterSigterm(p)
 }
 
-// endClients has clients connect for balancerDelay after a process was told to end.
-func (r *run) endClients(p *process) {
-	time.AfterFunc(time.Until(p.toldToEnd.Add(balancerDelay)), func() { r.acceptsClients.Store(false) })
+// blockConnectsAfterSigterm blocks new client connections once balancerDelay has passed since the process's SIGTERM.
+func (r *run) blockConnectsAfterSigterm(p *process) {
+	time.AfterFunc(time.Until(p.sigtermAt.Add(balancerDelay)), func() { r.clientsMayConnect.Store(false) })
 }
 
-// awaitEnd waits until a process that was told to end has ended, and kills it at the platform's earliest.
-func (r *run) awaitEnd(p *process) {
+// awaitTermination waits until a process has exited, and kills it once plan.killDelay has passed since its SIGTERM.
+func (r *run) awaitTermination(p *process) {
 	p.mu.Lock()
-	told := p.toldToEnd
+	sigtermAt := p.sigtermAt
 	p.mu.Unlock()
-	p.awaitExit(told.Add(r.plan.killDelay()))
+	p.awaitExit(sigtermAt.Add(r.plan.killDelay()))
 }
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -8,67 +8,67 @@
 	"time"
 )
 
-// playSeries sends the signals of the plan, and waits until every process has ended.
-func (r *run) playSeries(ctx context.Context, first *process) error {
+// runSignalSeries sends the signals of the plan, and waits until every process has exited.
+func (r *run) runSignalSeries(ctx context.Context, first *process) error {
 	gap := r.plan.Gap
 	last := first
 	var err error
 	switch r.plan.Series {
 	case seriesTerm:
-		r.tellLast(first)
+		r.terminateLast(first)
 	case seriesTermTwice:
-		r.tellLast(first)
+		r.terminateLast(first)
 		sleep(ctx, gap)
 		first.signal(syscall.SIGTERM)
 	case seriesHangupTerm:
 		first.signal(syscall.SIGHUP)
 		sleep(ctx, gap/100)
-		r.tellLast(first)
+		r.terminateLast(first)
 	case seriesTermHangup:
-		r.tellLast(first)
+		r.terminateLast(first)
 		sleep(ctx, gap/100)
 		first.signal(syscall.SIGHUP)
 	case seriesRestarts:
-		last, err = r.playRestarts(ctx, first)
+		last, err = r.runRestarts(ctx, first)
 	case seriesUpgrade:
 		last, err = r.upgrade(ctx, first)
 	case seriesLateHello:
-		err = r.playLateHello(ctx, first)
+		err = r.runLateHello(ctx, first)
 	case seriesLostGo:
-		last, err = r.playLostGo(ctx, first)
+		last, err = r.runLostGo(ctx, first)
 	case seriesUpgradeTwice:
 		if last, err = r.upgrade(ctx, first); err == nil {
 			last, err = r.upgrade(ctx, last)
 		}
 	default:
-		last, err = r.playFailingUpgrade(ctx, first)
+		last, err = r.runDisturbedUpgrade(ctx, first)
 	}
 	if err != nil {
 		return err
 	}
-	if last.toldToEnd.IsZero() && !last.hasExited() {
-		r.tellLast(last)
+	if last.sigtermAt.IsZero() && !last.hasExited() {
+		r.terminateLast(last)
 	}
-	r.awaitEnd(last)
+	r.awaitTermination(last)
 	for _, p := range r.processes {
 		if !p.hasExited() {
-			r.awaitEnd(p)
+			r.awaitTermination(p)
 		}
 	}
 	return nil
 }
 
-// playRestarts ends a process and starts the next, twice. With an inherited socket clients wait in its backlog
-// meanwhile.
-func (r *run) playRestarts(ctx context.Context, p *process) (last *process, err error) {
+// runRestarts terminates a process and starts the next, twice. Between them, clients wait in the backlog of an
+// inherited socket. Without one, they are blocked from connecting.
+func (r *run) runRestarts(ctx context.Context, p *process) (last *process, err error) {
 	for range 2 {
 		before := p
-		r.tell(p)
-		if r.socket == nil { // else clients wait in its backlog
+		r.terminate(p)
+		if r.socket == nil { // otherwise clients wait in the socket's backlog
 			time.Sleep(balancerDelay)
-			r.acceptsClients.Store(false)
+			r.clientsMayConnect.Store(false)
 		}
-		r.awaitEnd(p)
+		r.awaitTermination(p)
 		if p, err = r.start(); err != nil {
 			return nil, err
 		}
@@ -76,77 +76,78 @@
 			return p, nil
 		}
 		if r.socket != nil {
-			r.outages = append(r.outages, interval{before.servesUntil().Add(-crossTolerance), time.Now()})
+			r.outages = append(r.outages, interval{before.servesUntil().Add(-drainTolerance), time.Now()})
 		}
-		r.acceptsClients.Store(true)
-		sleep(ctx, afterHandover+r.plan.Gap)
+		r.clientsMayConnect.Store(true)
+		sleep(ctx, servingTime+r.plan.Gap)
 	}
 	return p, nil
 }
 
-// upgrade starts a successor and ends the old process for it.
+// upgrade starts a successor, terminates the old process and waits until the successor is ready.
 func (r *run) upgrade(ctx context.Context, old *process) (next *process, err error) {
 	if next, err = r.startSuccessor(old); err != nil {
 		return nil, err
 	}
 	sleep(ctx, r.plan.Gap/10)
-	r.tell(old)
+	r.terminate(old)
 	r.awaitReady(next)
-	sleep(ctx, afterHandover)
+	sleep(ctx, servingTime)
 	return next, nil
 }
 
-// playFailingUpgrade disturbs an upgrade, and returns the process that serves afterwards.
-func (r *run) playFailingUpgrade(ctx context.Context, old *process) (last *process, err error) {
+// runDisturbedUpgrade runs an upgrade in which a process is stopped, killed or terminated. It returns the
+// process that serves afterwards.
+func (r *run) runDisturbedUpgrade(ctx context.Context, old *process) (last *process, err error) {
 	next, err := r.startSuccessor(old)
 	if err != nil {
 		return nil, err
 	}
 	switch r.plan.Series {
 	case seriesUpgradeBoth:
-		r.tell(old)
+		r.terminate(old)
 		r.awaitStep(ctx, old, next)
-		r.tellLast(next)
+		r.terminateLast(next)
 		return next, nil
-	case seriesSuccessorEnds:
-		r.tell(next)
+	case seriesSuccessorTerminated:
+		r.terminate(next)
 		sleep(ctx, r.plan.StepGap)
-		r.tellLast(old)
+		r.terminateLast(old)
 		return old, nil
-	case seriesSuccessorStops:
+	case seriesSuccessorStopped:
 		began := time.Now()
 		if r.plan.Step == stepNone {
 			next.signal(syscall.SIGSTOP)
 		}
 		sleep(ctx, r.plan.StepGap)
-		r.tell(old)
+		r.terminate(old)
 		if r.plan.Step != stepNone {
 			r.awaitStep(ctx, old, next)
 			next.signal(syscall.SIGSTOP)
 		}
-		sleep(ctx, r.plan.Stop)
+		sleep(ctx, r.plan.StopDuration)
 		next.signal(syscall.SIGCONT)
 		r.awaitReady(next)
 		r.outages = append(r.outages, interval{began, time.Now()})
-		sleep(ctx, afterHandover)
+		sleep(ctx, servingTime)
 		return next, nil
-	case seriesSuccessorDies:
-		r.tell(old)
+	case seriesSuccessorKilled:
+		r.terminate(old)
 		r.awaitStep(ctx, old, next)
 		next.signal(syscall.SIGKILL)
 		<-next.exited
 		return r.replaceSuccessor(ctx, old, next)
-	case seriesOldDies:
+	case seriesOldKilled:
 		old.signal(syscall.SIGKILL)
 		<-old.exited
 		r.awaitReady(next)
-		sleep(ctx, afterHandover)
+		sleep(ctx, servingTime)
 		return next, nil
 	}
-	return nil, fmt.Errorf("series %q is unknown", r.plan.Series)
+	return nil, fmt.Errorf("soak: series %q has no implementation", r.plan.Series)
 }
 
-// awaitStep waits for the plan's step of a handover, and a moment.
+// awaitStep waits for the plan's handover step, and then for plan.StepGap.
 func (r *run) awaitStep(ctx context.Context, old, next *process) {
 	switch r.plan.Step {
 	case stepHandingOver:
@@ -157,9 +158,10 @@
 	sleep(ctx, r.plan.StepGap)
 }
 
-// playLateHello has a successor that dies: its hello, its end and the signal to the old process come while that one is
-// stopped, so that all are in its sockets as it runs on. The old process keeps its clients.
-func (r *run) playLateHello(ctx context.Context, old *process) error {
+// runLateHello runs a handover to a successor that dies early. The successor's hello, its disconnect and the SIGTERM to
+// the old process all arrive while the old process is stopped, so all are pending when it continues. The old process
+// must keep serving its clients.
+func (r *run) runLateHello(ctx context.Context, old *process) error {
 	successor, err := r.connectAsSuccessor()
 	if err != nil {
 		return err
@@ -169,27 +171,27 @@
 	began := time.Now()
 	old.signal(syscall.SIGSTOP)
 	if _, err := successor.Write([]byte(handoverHello)); err != nil {
-		return fmt.Errorf("as a successor: %w", err)
+		return fmt.Errorf("soak: sending the hello of a successor: %w", err)
 	}
 	successor.Close()
-	r.tellLast(old)
+	r.terminateLast(old)
 	sleep(ctx, r.plan.StepGap)
 	old.signal(syscall.SIGCONT)
 	r.outages = append(r.outages, interval{began, time.Now()})
 	return nil
 }
 
-// playLostGo restarts a node whose predecessor, in its successor's eyes, dies once it has handed the gossip socket over.
-// The node starts from nothing, and gossips.
-func (r *run) playLostGo(ctx context.Context, first *process) (last *process, err error) {
-	r.tell(first)
-	r.awaitEnd(first) // clients wait in the backlog of the inherited socket
+// runLostGo restarts a node while the tool takes the part of its predecessor, which dies after handing over the gossip
+// socket. The node must start without inherited state, and must send gossip.
+func (r *run) runLostGo(ctx context.Context, first *process) (last *process, err error) {
+	r.terminate(first)
+	r.awaitTermination(first) // clients wait in the backlog of the inherited socket
 	listener, err := net.ListenUnix("unixpacket", r.handoverSocket())
 	if err != nil {
 		return nil, err
 	}
 	handover := make(chan error, 1)
-	go func() { handover <- r.abandonedHandover(listener) }()
+	go func() { handover <- r.abandonHandover(listener) }()
 	next, err := r.start()
 	if err != nil {
 		listener.Close()
@@ -202,23 +204,24 @@
 	if !r.awaitReady(next) {
 		return next, nil
 	}
-	r.outages = append(r.outages, interval{first.servesUntil().Add(-crossTolerance), time.Now()})
-	r.peer.forget()
-	if !r.peer.hearsNode(gossipTimeout) {
-		r.problems = append(r.problems, fmt.Sprintf("process %d sends no gossip within %v", next.number, gossipTimeout))
+	r.outages = append(r.outages, interval{first.servesUntil().Add(-drainTolerance), time.Now()})
+	r.peer.discardReceived()
+	if !r.peer.awaitNodeMessage(gossipTimeout) {
+		r.processProblems = append(r.processProblems,
+			fmt.Sprintf("process %d sent no gossip within %v", next.number, gossipTimeout))
 	}
-	sleep(ctx, afterHandover)
+	sleep(ctx, servingTime)
 	return next, nil
 }
 
-// gossipTimeout is far more than a node with clients is silent for.
+// gossipTimeout is much longer than the gossip interval of a node with clients.
 const gossipTimeout = 3 * time.Second
 
-// replaceSuccessor returns the process that serves after a successor was killed: the old one, which has taken back what
-// it had handed over, or a new one if the successor had taken over.
+// replaceSuccessor returns the process that serves after a successor was killed: the old process if it reports that the
+// handover failed and so keeps serving, or a new process if the successor had already taken over.
 func (r *run) replaceSuccessor(ctx context.Context, old, killed *process) (*process, error) {
 	if !killed.hasLogged("ready") && old.awaitLog("handover failed", handoverTimeout) {
-		r.endClients(old)
+		r.blockConnectsAfterSigterm(old)
 		return old, nil
 	}
 	third, err := r.start()
@@ -226,16 +229,16 @@
 		return nil, err
 	}
 	r.awaitReady(third)
-	r.outages = append(r.outages, interval{killed.killedAt, time.Now()})
-	sleep(ctx, afterHandover)
+	r.outages = append(r.outages, interval{killed.killedByPlanAt, time.Now()})
+	sleep(ctx, servingTime)
 	return third, nil
 }
 
-// handoverTimeout is more than an old process waits for its successor.
+// handoverTimeout is longer than an old process waits for its successor.
 const handoverTimeout = 2500 * time.Millisecond
 
-// servesUntil is when a process stops taking requests that it need not answer: half a second after it was told to end.
-func (p *process) servesUntil() time.Time { return p.toldToEnd.Add(drainDelay) }
+// servesUntil returns when a process may stop accepting requests: drainDelay after its SIGTERM.
+func (p *process) servesUntil() time.Time { return p.sigtermAt.Add(drainDelay) }
 
-// drainDelay is for how long a process that was told to end goes on accepting, whatever comes.
+// drainDelay is how long a process keeps accepting requests after SIGTERM in every case.
 const drainDelay = 500 * time.Millisecond
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -14,74 +14,75 @@
 	"mulleinmux/internal/testserver"
 )
 
-// traceHeader names a request, to servers as to the program.
+// traceHeader is the header with a request's ID, which the program forwards to servers.
 const traceHeader = "X-Trace-Id"
 
-// hangingSuffix ends the name of a request that no server answers.
+// hangingSuffix marks the ID of a request that no server responds to.
 const hangingSuffix = "-hangs"
 
-// appServer is a server that behaves as its plan says, and records what it receives.
+// appServer is a test server that behaves as its plan says and records the attempts that it receives.
 type appServer struct {
-	index    int
-	plan     serverPlan
-	records  *records
-	listener net.Listener
-	server   *http.Server
-	isEnding *atomic.Bool // the first signal was sent
+	index       int
+	plan        serverPlan
+	records     *records
+	listener    net.Listener
+	server      *http.Server
+	sigtermSent *atomic.Bool // a process has received the first SIGTERM
 
 	mu     sync.Mutex
 	random *rand.Rand // guarded by mu
 }
 
-// startServer starts a server and lists it.
+// startServer starts a server and adds it to the service discovery.
 func startServer(
-	index int, p *Plan, records *records, isEnding *atomic.Bool, discovery *testserver.Discovery,
+	index int, p *Plan, records *records, sigtermSent *atomic.Bool, discovery *testserver.Discovery,
 ) (*appServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("server: %w", err)
+		return nil, fmt.Errorf("soak: opening the socket of a server: %w", err)
 	}
-	s := &appServer{index: index, plan: p.Servers[index], records: records, listener: listener, isEnding: isEnding,
+	s := &appServer{index: index, plan: p.Servers[index], records: records, listener: listener, sigtermSent: sigtermSent,
 		random: rand.New(rand.NewPCG(p.Seed, uint64(index)+1))}
 	s.server = &http.Server{Handler: s, IdleTimeout: s.plan.IdleTimeout}
-	go s.server.Serve(listener) // ends with close
+	go s.server.Serve(listener) // returns once close is called
 	discovery.Put(testserver.Entry{InstanceID: fmt.Sprint("s", index), HostPort: listener.Addr().String(), Zone: "z",
 		MachineType: "k", Lifecycle: "up", Weight: 1})
 	return s, nil
 }
 
-// draw is what happens to one request.
-type draw struct {
-	latency               time.Duration
-	hangs, resets, denied bool
+// behavior is how a server treats one request.
+type behavior struct {
+	latency                time.Duration
+	hangs, resets, rejects bool
 }
 
-func (s *appServer) draw() draw {
+// drawBehavior draws the behavior for the next request.
+func (s *appServer) drawBehavior() behavior {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return draw{
+	return behavior{
 		latency: time.Duration(s.random.Int64N(int64(s.plan.MaxLatency))),
-		hangs:   s.random.Float64() < s.plan.Hangs || s.plan.HangsAtEnd && s.isEnding.Load(),
+		hangs:   s.random.Float64() < s.plan.Hangs || s.plan.HangsAtEnd && s.sigtermSent.Load(),
 		resets:  s.random.Float64() < s.plan.Resets,
-		denied:  s.random.Float64() < s.plan.Rejects,
+		rejects: s.random.Float64() < s.plan.Rejects,
 	}
 }
 
-// ServeHTTP answers one request, or not.
+// ServeHTTP handles one request as the plan says: it responds, rejects, resets the connection, or does not respond.
 func (s *appServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(traceHeader)
 	if id == "" { // a health check
 		fmt.Fprint(w, "TEXT queue=0, util=0.10")
 		return
 	}
-	if _, err := io.Copy(io.Discard, r.Body); err != nil { // only then net/http watches for the connection's end
+	if _, err := io.Copy(io.Discard, r.Body); err != nil { // net/http detects a disconnect only after reading the body
 		return
 	}
 	a := &attempt{id: id, server: s.index, began: time.Now()}
 	s.records.addAttempt(a)
-	d := s.draw()
-	d.hangs = d.hangs || strings.HasSuffix(id, hangingSuffix)
-	if d.denied && !d.hangs {
+	b := s.drawBehavior()
+	b.hangs = b.hangs || strings.HasSuffix(id, hangingSuffix)
+	if b.rejects && !b.hangs {
 		s.records.endAttempt(a, true)
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -89,15 +90,15 @@
 	}
 	defer s.records.endAttempt(a, false)
 	var done <-chan time.Time
-	if !d.hangs {
-		done = time.After(d.latency)
+	if !b.hangs {
+		done = time.After(b.latency)
 	}
 	select {
 	case <-done:
 	case <-r.Context().Done():
 		return
 	}
-	if d.resets {
+	if b.resets {
 		panic(http.ErrAbortHandler)
 	}
 	fmt.Fprint(w, id)
--- a/internal/soak/target.go
+++ b/internal/soak/target.go
@@ -10,27 +10,28 @@
 	"time"
 )
 
-// target is how a program is configured, started and called.
+// target configures and starts a program under test, and formats requests for it.
 type target interface {
-	// command returns the command that starts one more process, which inherits the listening socket if that is not nil.
+	// command returns the command that starts a process, which inherits the listening socket if socket is not nil.
 	command(socket *os.File) *exec.Cmd
+	// requestText returns a request in HTTP/1.1 syntax.
 	requestText(r *request) string
 }
 
-// descriptorLimit is how many descriptors a process may hold: few, so that a crowd fills them.
+// descriptorLimit is the number of descriptors that a process may hold. It is low so that idle connections exhaust it.
 const descriptorLimit = 256
 
-// inheritedDescriptor is the descriptor of the inherited socket: the first after the standard ones.
+// inheritedDescriptor is the descriptor of the inherited socket: the first one after standard error.
 const inheritedDescriptor = 3
 
-// edgeTarget is the edge node.
+// edgeTarget is the edge proxy.
 type edgeTarget struct {
 	program, dir, address string
-	config                string // its file
-	nodes                 int    // of the tier
+	config                string // path of the configuration file
+	nodes                 int    // number of nodes in the tier
 }
 
-// edgeSettings are the settings of a tier of so many nodes.
+// edgeSettings are the policy settings. Its arguments are the deadline of classes in seconds and the number of nodes.
 const edgeSettings = `{"instances":%[2]d,"familyInfo":{"inboxPerS":40},"lanes":[
 	{"name":"check","idempotency":"retryable","onTime":0.4,"deadline":%[1]v,"worth":1},
 	{"name":"book","idempotency":"dedup","keyScope":"all","memorySpan":30,"onTime":0.4,"deadline":%[1]v,"worth":2},
@@ -46,7 +47,7 @@
 	gossip := ""
 	if peer != nil {
 		t.nodes = 2
-		gossip = fmt.Sprintf(`"peer_listen":%q,"peers":[%[1]q,%q],"peers_all":%[2]q,`, peer.nodeAt, peer.address())
+		gossip = fmt.Sprintf(`"peer_listen":%q,"peers":[%[1]q,%q],"peers_all":%[2]q,`, peer.nodeAddr, peer.address())
 	}
 	settings := fmt.Sprintf(edgeSettings, p.Deadline.Seconds(), t.nodes)
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"%x",%s"limits":{"memory_mb":192,"sockets":%d},
@@ -70,7 +71,7 @@
 	return text + commonFields(r)
 }
 
-// commonFields are the fields that both programs want, and the body.
+// commonFields returns the header fields that both programs expect, and the body.
 func commonFields(r *request) string {
 	text := fmt.Sprintf("%s: %s\r\nX-Expires-In: %.3f\r\n", traceHeader, r.id, r.timeout.Seconds())
 	if r.class == classCheck {
@@ -83,7 +84,7 @@
 	return text + fmt.Sprintf("Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// gatewayTarget is one instance of the gateway, without a cluster.
+// gatewayTarget is an instance of the gateway that is no member of a cluster.
 type gatewayTarget struct {
 	program, dir, config string
 }
@@ -135,7 +136,7 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nX-Licensee: honest\r\n", r.method(), path) + commonFields(r)
 }
 
-// newTarget configures a plan's program.
+// newTarget writes the configuration of a plan's program.
 func newTarget(
 	p *Plan, program, dir, address string, discovery netip.AddrPort, peer *gossipPeer,
 ) (target, error) {
@@ -145,7 +146,7 @@
 	return newGatewayTarget(p, program, dir, address, discovery)
 }
 
-// listenLoopback opens a listening socket.
+// listenLoopback opens a listening socket on a free port of the loopback interface.
 func listenLoopback() (*net.TCPListener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -154,5 +155,5 @@
 	return listener.(*net.TCPListener), nil
 }
 
-// processTimeout bounds what a process may need for a step that is no rule.
+// processTimeout limits how long a process may take for a step that no rule bounds.
 const processTimeout = 10 * time.Second
