--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -9,7 +9,7 @@
 	"mulleinmux/internal/benchmark"
 )
 
-// benchCmd measures what requests, changes, relays and followers cost.
+// benchCmd measures the cost of requests, configuration changes, relayed requests and followers.
 type benchCmd struct {
 	For     time.Duration `help:"Length of each measurement." default:"3s"`
 	Conns   int           `help:"Connections of clients, each with one request at a time." default:"32"`
@@ -29,7 +29,7 @@
 
 func (c *benchCmd) Run(e *environment) error {
 	if c.Parts {
-		return c.runParts(e)
+		return c.runSubsets(e)
 	}
 	if c.For <= 0 || !(c.Rate >= 0) || c.Conns < 1 || c.Conns > maxBenchConns || c.Rounds < 1 ||
 		len(c.Procs) == 0 || slices.Min(c.Procs) < 1 {
@@ -51,10 +51,10 @@
 	}
 }
 
-// maxBenchConns is how many connections a measurement may have.
+// maxBenchConns is the largest --conns.
 const maxBenchConns = 10000
 
-// runFronts measures the gateway beside ReverseProxy and direct requests.
+// runFronts measures the gateway, httputil.ReverseProxy and direct requests for comparison.
 func (c *benchCmd) runFronts(e *environment, self string) error {
 	const progress = "%-12s %d procs: %8.0f requests/s, %6.1f us CPU and %5.1f allocations a request, " +
 		"p50 %.0f us, p99 %.0f us, %d other answers\n"
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// benchmarkOptions returns the options of a measurement with the program self.
+// benchmarkOptions returns the options of a measurement; self is the path of this program.
 func (c *benchCmd) benchmarkOptions(self string) benchmark.Options {
 	return benchmark.Options{
 		Self:    self,
@@ -116,14 +116,15 @@
 	count                   int
 }
 
-// summarizeRatios summarizes the ratios of a figure of each second measurement to that of the one before it.
+// summarizeRatios summarizes the ratios of a figure in pairs of successive measurements, the second divided by the
+// first.
 func summarizeRatios(results []benchmark.Result, figure func(benchmark.Result) float64) ratioSummary {
 	ratios := pairRatios(results, figure)
 	count := len(ratios)
 	return ratioSummary{median: ratios[count/2], lowest: ratios[0], highest: ratios[count-1], count: count}
 }
 
-// pairRatios returns the ratios of each second measurement to the one before it, sorted.
+// pairRatios returns the ratio of the second to the first measurement of each pair, sorted.
 func pairRatios(results []benchmark.Result, figure func(benchmark.Result) float64) (ratios []float64) {
 	for i := 0; i+1 < len(results); i += 2 {
 		ratios = append(ratios, figure(results[i+1])/figure(results[i]))
--- a/cmd/gateway/bench_changes.go
+++ b/cmd/gateway/bench_changes.go
@@ -7,7 +7,7 @@
 	"mulleinmux/internal/benchmark"
 )
 
-// runChanges measures what changes of the agreed configuration cost.
+// runChanges measures the cost of changes of the agreed configuration.
 func (c *benchCmd) runChanges(e *environment, self string) error {
 	if c.Changes < time.Millisecond {
 		return usageError{fmt.Errorf("--changes: %v is below 1ms", c.Changes)}
--- a/cmd/gateway/bench_followers.go
+++ b/cmd/gateway/bench_followers.go
@@ -6,10 +6,10 @@
 	"mulleinmux/internal/benchmark"
 )
 
-// followerChangeCount is how many changes a measurement of followers makes one by one.
+// followerChangeCount is the number of changes that a measurement of followers makes one by one.
 const followerChangeCount = 10
 
-// runFollowers measures what followers cost, by deltas and by whole versions.
+// runFollowers measures the cost of followers, first with deltas and then with whole versions.
 func (c *benchCmd) runFollowers(e *environment, self string) error {
 	const line = "%d followers, %s: all there after %.1f s; a change in force after %.0f ms (p50), %.0f ms (p99), " +
 		"at all after %.0f ms; %.0f KB a follower; %.2f processors at ten changes a second; " +
--- a/cmd/gateway/bench_part.go
+++ b/cmd/gateway/bench_part.go
@@ -6,7 +6,7 @@
 	"mulleinmux/internal/benchmark"
 )
 
-// partCmd runs one process of a measurement; bench starts it.
+// partCmd runs one process of a measurement; the bench command starts it.
 type partCmd struct {
 	Part string `arg:""`
 }
--- a/cmd/gateway/bench_relay.go
+++ b/cmd/gateway/bench_relay.go
@@ -6,7 +6,7 @@
 	"mulleinmux/internal/benchmark"
 )
 
-// runRelay measures what a request costs that one site's instance relays to another site's.
+// runRelay measures the cost of a request that an instance of one site relays to an instance of another site.
 func (c *benchCmd) runRelay(e *environment, self string) error {
 	const progress = "%-8s %8.0f requests/s, %6.1f us CPU and %5.1f allocations a request, " +
 		"p50 %.0f us, p99 %.0f us, %d other answers\n"
--- a/cmd/gateway/bench_subsets.go
+++ b/cmd/gateway/bench_subsets.go
@@ -9,8 +9,8 @@
 // maxSubsetSize is the largest --size.
 const maxSubsetSize = 1000
 
-// runParts measures the subsets that the nodes of fleets of several sizes get; nothing is sent.
-func (c *benchCmd) runParts(e *environment) error {
+// runSubsets computes figures of the subsets of servers in fleets of several sizes, without sending requests.
+func (c *benchCmd) runSubsets(e *environment) error {
 	if c.Size < 1 || c.Size > maxSubsetSize {
 		return usageError{fmt.Errorf("--size: %d is not from 1 to %d", c.Size, maxSubsetSize)}
 	}
--- a/cmd/gateway/certs.go
+++ b/cmd/gateway/certs.go
@@ -9,7 +9,7 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// certsCmd makes certificates.
+// certsCmd issues certificates for members, operators and followers.
 type certsCmd struct {
 	Dir       string   `help:"Folder to write to; it is made where it is not there." required:"" type:"path"`
 	Cluster   string   `help:"Name of a new cluster. Without it the folder's authority issues for further members."`
@@ -35,7 +35,7 @@
 		err = c.writeCertificates(authority)
 	}
 	if errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) {
-		return usageError{err} // nothing is written over
+		return usageError{err} // existing files are never overwritten
 	}
 	if err != nil {
 		return err
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// openAuthority makes the authority of a new cluster, or loads the folder's.
+// openAuthority creates the authority of a new cluster, or loads the one in the folder.
 func (c *certsCmd) openAuthority() (*raftnode.Authority, error) {
 	if c.Cluster == "" {
 		return raftnode.LoadAuthority(c.Dir)
@@ -58,7 +58,7 @@
 	return authority, authority.Write(c.Dir)
 }
 
-// writeCertificates issues the certificates that the command line names, up to the first error.
+// writeCertificates issues the certificates that the command line names. It stops at the first error.
 func (c *certsCmd) writeCertificates(authority *raftnode.Authority) error {
 	if err := authority.WriteMembers(c.Dir, c.Members); err != nil {
 		return err
--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -103,7 +103,7 @@
 	return result
 }
 
-// compile reads and compiles the result's file, and notes the operations and warnings of its description.
+// compile reads and compiles the result's file, and records the operations and warnings of its description.
 func (r *checkResult) compile(opt routing.Options) error {
 	text, err := os.ReadFile(r.File)
 	if err != nil {
@@ -115,7 +115,7 @@
 		if err != nil {
 			return err
 		}
-		if f.Member != nil || f.Follower != nil { // it names no description
+		if f.Member != nil || f.Follower != nil { // its file names no description
 			return nil
 		}
 		description, opt = resolvePath(r.File, f.Description), f.Config.Options()
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// addOperation notes an operation, with a warning where it changes something and inherits what it is charged.
+// addOperation records an operation, with a warning if it changes something and inherits its class or units.
 func (r *checkResult) addOperation(description string, op *routing.Operation) {
 	class, _, _ := strings.Cut(op.Class.Name, "/")
 	r.Operations = append(r.Operations, checkOperation{
@@ -153,7 +153,8 @@
 	r.Warnings = append(r.Warnings, fmt.Sprintf(format, description, op.Pos.Line, op.Method, op.Template, fields))
 }
 
-// problemsOf returns the problems that an error holds, with their places where it has any.
+// problemsOf returns the problems that an error contains, with their positions. An error of another type becomes one
+// problem without a position.
 func problemsOf(err error) []checkProblem {
 	found, ok := errors.AsType[routing.Problems](err)
 	if !ok {
@@ -172,7 +173,7 @@
 	return problems
 }
 
-// formatUnits returns how many units an operation is charged, and where they are read.
+// formatUnits formats the number of units that an operation is charged, or their range and the source of the value.
 func formatUnits(u routing.Units) string {
 	if u.Fixed > 0 {
 		return fmt.Sprint(u.Fixed)
@@ -184,7 +185,7 @@
 	return text
 }
 
-// printCheckResults prints results for people.
+// printCheckResults prints results as text.
 func printCheckResults(out io.Writer, all []checkResult) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, r := range all {
--- a/cmd/gateway/check_test.go
+++ b/cmd/gateway/check_test.go
@@ -14,7 +14,7 @@
 	"mulleinmux/deploy"
 )
 
-// exampleFolder is a folder with the files of deploy, some of them edited.
+// exampleFolder is a temporary folder with example files of package deploy and edited copies of them.
 type exampleFolder struct {
 	t   *testing.T
 	dir string
@@ -23,26 +23,26 @@
 func newExampleFolder(t *testing.T) *exampleFolder {
 	t.Helper()
 	x := &exampleFolder{t, t.TempDir()}
-	file(t, x.dir, "booking.yaml", string(deploy.Booking))
-	file(t, x.dir, "gateway.toml", string(deploy.Gateway))
-	file(t, x.dir, "member.toml", string(deploy.Member))
-	file(t, x.dir, "follower.toml", string(deploy.Follower))
+	writeFile(t, x.dir, "booking.yaml", string(deploy.Booking))
+	writeFile(t, x.dir, "gateway.toml", string(deploy.Gateway))
+	writeFile(t, x.dir, "member.toml", string(deploy.Member))
+	writeFile(t, x.dir, "follower.toml", string(deploy.Follower))
 	return x
 }
 
 func (x *exampleFolder) path(name string) string { return filepath.Join(x.dir, name) }
 
-// edited writes the example of, with one text replaced once, as name.
-func (x *exampleFolder) edited(name, of, old, to string) string {
+// writeEdited writes a copy of source as name, in which the first occurrence of old is replaced, and returns its path.
+func (x *exampleFolder) writeEdited(name, source, old, replacement string) string {
 	x.t.Helper()
-	text, err := os.ReadFile(x.path(of))
+	text, err := os.ReadFile(x.path(source))
 	if err != nil || !strings.Contains(string(text), old) {
-		x.t.Fatalf("%s lacks %q: %v", of, old, err)
+		x.t.Fatalf("example %s does not contain %q (read error: %v)", source, old, err)
 	}
-	return file(x.t, x.dir, name, strings.Replace(string(text), old, to, 1))
+	return writeFile(x.t, x.dir, name, strings.Replace(string(text), old, replacement, 1))
 }
 
-// commandCase is a command line, how it exits, and what is among what it prints on both outputs.
+// commandCase is a command line, its exit status, and texts that its standard output and standard error contain.
 type commandCase struct {
 	name   string
 	args   []string
@@ -54,16 +54,16 @@
 	var out, errs bytes.Buffer
 	status := run(context.Background(), c.args, &out, &errs)
 	if status != c.status {
-		t.Errorf("%v: exit %d, want %d: %s%s", c.args, status, c.status, out.String(), errs.String())
+		t.Errorf("%v: got exit status %d, want %d; output:\n%s%s", c.args, status, c.status, out.String(), errs.String())
 	}
 	for _, want := range c.want {
 		if !strings.Contains(out.String()+errs.String(), want) {
-			t.Errorf("%v: %q is not in %s%s", c.args, want, out.String(), errs.String())
+			t.Errorf("%v: output lacks %q:\n%s%s", c.args, want, out.String(), errs.String())
 		}
 	}
 }
 
-// Bad input is told with its place and exits with 2; good files are shown.
+// Invalid input is reported with its position and exit status 2; valid files are summarized with exit status 0.
 func TestCheck(t *testing.T) {
 	x := newExampleFolder(t)
 	cases := slices.Concat(
@@ -85,10 +85,10 @@
 		run(context.Background(), args, &out, io.Discard)
 		var got []checkResult
 		if err := json.Unmarshal(out.Bytes(), &got); err != nil || len(got) != 2 {
-			t.Fatalf("%v %+v", err, got)
+			t.Fatalf("check --json of two files: error %v, got %+v, want 2 results", err, got)
 		}
 		if !got[0].OK || got[1].OK || len(got[1].Problems) != 2 || got[1].Problems[0].Line == 0 {
-			t.Errorf("%+v", got)
+			t.Errorf("check --json: got %+v, want the first file valid and the second with 2 problems and their lines", got)
 		}
 	})
 }
@@ -104,11 +104,11 @@
 			[]string{"check", "--config", x.path("gateway.toml"), x.path("booking.yaml")}, 0,
 			[]string{"can be used"}},
 		{"description that warns",
-			[]string{"check", x.edited("cheap.yaml", "booking.yaml",
+			[]string{"check", x.writeEdited("cheap.yaml", "booking.yaml",
 				"x-mulleinmux: {class: visit-book, units: 2}\n", "description: cheap\n")}, 0,
 			[]string{"warning", "PATCH /v1/visits/{visit} changes something and takes its class and units"}},
 		{"description with two problems",
-			[]string{"check", x.edited("bad.yaml", "booking.yaml",
+			[]string{"check", x.writeEdited("bad.yaml", "booking.yaml",
 				"{class: visit-book, units: 2}", "{class: visit-bok, units: 0}")}, 2,
 			[]string{"bad.yaml:", `class "visit-bok"`, "0 is outside 1 to 50",
 				"paths./visits/{visit}.patch.x-mulleinmux.class"}},
@@ -122,28 +122,28 @@
 func configurationCases(x *exampleFolder) []commandCase {
 	return []commandCase{
 		{"plan that is unknown",
-			[]string{"check", x.edited("a.toml", "gateway.toml", `plan = "kubwa"`, `plan = "kubva"`)}, 2,
+			[]string{"check", x.writeEdited("a.toml", "gateway.toml", `plan = "kubwa"`, `plan = "kubva"`)}, 2,
 			[]string{"a.toml:81", "licensee[0].plan", `"kubva" is no [[plan]]`}},
 		{"zone that is unknown",
-			[]string{"check", x.edited("b.toml", "gateway.toml", `zone = "hall-a"`, `zone = "hall-c"`)}, 2,
+			[]string{"check", x.writeEdited("b.toml", "gateway.toml", `zone = "hall-a"`, `zone = "hall-c"`)}, 2,
 			[]string{"b.toml:6", "zone"}},
 		{"unknown field",
-			[]string{"check", x.edited("c.toml", "gateway.toml", "rate = 18", "rat = 18")}, 2,
+			[]string{"check", x.writeEdited("c.toml", "gateway.toml", "rate = 18", "rat = 18")}, 2,
 			[]string{"c.toml:", "plan.rat", "is no field of this file"}},
 		{"wrong type",
-			[]string{"check", x.edited("d.toml", "gateway.toml", `aim = "400ms"`, `aim = 400`)}, 2,
+			[]string{"check", x.writeEdited("d.toml", "gateway.toml", `aim = "400ms"`, `aim = 400`)}, 2,
 			[]string{"d.toml:"}},
 		{"address without a port",
-			[]string{"check", x.edited("e.toml", "gateway.toml", `"127.0.0.1:8501"`, `"127.0.0.1"`)}, 2,
+			[]string{"check", x.writeEdited("e.toml", "gateway.toml", `"127.0.0.1:8501"`, `"127.0.0.1"`)}, 2,
 			[]string{"e.toml:", "hall[1].register"}},
 		{"hard limit below the rate",
-			[]string{"check", x.edited("f.toml", "gateway.toml", "ceiling_rate = 40", "ceiling_rate = 10")}, 2,
-			[]string{"plan[2].ceiling_rate", "lies above the rate"}},
+			[]string{"check", x.writeEdited("f.toml", "gateway.toml", "ceiling_rate = 40", "ceiling_rate = 10")}, 2,
+			[]string{"plan[2].ceiling_rate", "must not be below rate"}},
 		{"broken TOML",
-			[]string{"check", x.edited("g.toml", "gateway.toml", "[limits]", "[limits")}, 2,
+			[]string{"check", x.writeEdited("g.toml", "gateway.toml", "[limits]", "[limits")}, 2,
 			[]string{"g.toml:16"}},
 		{"missing description of a configuration",
-			[]string{"check", x.edited("h.toml", "gateway.toml",
+			[]string{"check", x.writeEdited("h.toml", "gateway.toml",
 				`description = "booking.yaml"`, `description = "nowhere.yaml"`)}, 2,
 			[]string{"nowhere.yaml"}},
 		{"check without files",
@@ -182,7 +182,7 @@
 	}
 }
 
-// certificateCases make certificates, one after the other in one folder.
+// certificateCases issue certificates, one after the other in one folder.
 func certificateCases(x *exampleFolder) []commandCase {
 	return []commandCase{
 		{"certificates of a new cluster",
@@ -216,24 +216,24 @@
 			[]string{"check", x.path("member.toml")}, 0,
 			[]string{"can be used"}},
 		{"member that is not listed",
-			[]string{"check", x.edited("m1.toml", "member.toml", "number = 1 ", "number = 7 ")}, 2,
-			[]string{"m1.toml:33", "cluster.number", "7 is no [[cluster.member]]"}},
+			[]string{"check", x.writeEdited("m1.toml", "member.toml", "number = 1 ", "number = 7 ")}, 2,
+			[]string{"m1.toml:33", "cluster.number", "7 is not the number of a [[cluster.member]]"}},
 		{"member address without a port",
-			[]string{"check", x.edited("m2.toml", "member.toml", `raft = "127.0.0.1:7102"`, `raft = "127.0.0.1"`)}, 2,
-			[]string{"cluster.member[1].raft", "no address"}},
+			[]string{"check", x.writeEdited("m2.toml", "member.toml", `raft = "127.0.0.1:7102"`, `raft = "127.0.0.1"`)}, 2,
+			[]string{"cluster.member[1].raft", "is not an IP address with a port"}},
 		{"unknown answer to staleness",
-			[]string{"check", x.edited("m3.toml", "member.toml", `"serve"`, `"maybe"`)}, 2,
+			[]string{"check", x.writeEdited("m3.toml", "member.toml", `"serve"`, `"maybe"`)}, 2,
 			[]string{"cluster.when_stale", "maybe"}},
 		{"member with a description",
-			[]string{"check", x.edited("m4.toml", "member.toml",
+			[]string{"check", x.writeEdited("m4.toml", "member.toml",
 				`zone = "hall-a"`, "zone = \"hall-a\"\ndescription = \"x.yaml\"")}, 2,
 			[]string{"description", "agreed on by the cluster"}},
 		{"unknown rule for keys",
-			[]string{"check", x.edited("m6.toml", "member.toml", `"home"`, `"here"`)}, 2,
+			[]string{"check", x.writeEdited("m6.toml", "member.toml", `"home"`, `"here"`)}, 2,
 			[]string{"cluster.keys", "here"}},
 		{"member listed twice",
-			[]string{"check", x.edited("m5.toml", "member.toml", "number = 2", "number = 1")}, 2,
-			[]string{"cluster.member[1].number", "stands twice"}},
+			[]string{"check", x.writeEdited("m5.toml", "member.toml", "number = 2", "number = 1")}, 2,
+			[]string{"cluster.member[1].number", "used twice"}},
 	}
 }
 
@@ -241,29 +241,30 @@
 func followerFileCases(x *exampleFolder) []commandCase {
 	return []commandCase{
 		{"follower",
-			[]string{"check", x.edited("f0.toml", "follower.toml", "", "")}, 0,
+			[]string{"check", x.writeEdited("f0.toml", "follower.toml", "", "")}, 0,
 			[]string{"can be used"}},
 		{"stream address without a port",
-			[]string{"check", x.edited("f1.toml", "follower.toml",
+			[]string{"check", x.writeEdited("f1.toml", "follower.toml",
 				`stream = "127.0.0.1:7302"`, `stream = "nowhere"`)}, 2,
-			[]string{"f1.toml:", "follow.member[1].stream", "no address"}},
+			[]string{"f1.toml:", "follow.member[1].stream", "is not an IP address with a port"}},
 		{"followed member listed twice",
-			[]string{"check", x.edited("f2.toml", "follower.toml", "number = 3", "number = 2")}, 2,
-			[]string{"follow.member[2].number", "stands twice"}},
+			[]string{"check", x.writeEdited("f2.toml", "follower.toml", "number = 3", "number = 2")}, 2,
+			[]string{"follow.member[2].number", "used twice"}},
 		{"unknown rule for keys of a follower",
-			[]string{"check", x.edited("f3.toml", "follower.toml", `keys = "home"`, `keys = "here"`)}, 2,
+			[]string{"check", x.writeEdited("f3.toml", "follower.toml", `keys = "home"`, `keys = "here"`)}, 2,
 			[]string{"follow.keys", "here"}},
 		{"follower with a plan",
-			[]string{"check", x.edited("f4.toml", "follower.toml", "[limits]", "[[plan]]\nname = \"a\"\n[limits]")}, 2,
+			[]string{"check", x.writeEdited("f4.toml", "follower.toml", "[limits]", "[[plan]]\nname = \"a\"\n[limits]")}, 2,
 			[]string{"plan", "agreed on by the cluster"}},
 		{"follower without certificates",
-			[]string{"run", "--config", x.edited("f5.toml", "follower.toml",
+			[]string{"run", "--config", x.writeEdited("f5.toml", "follower.toml",
 				`certs = "certs"`, `certs = "nowhere"`)}, 2,
 			[]string{"follow.certs", "--followers edge-1"}},
 	}
 }
 
-// clusterCases make a member and ask a cluster; they follow certificateCases.
+// clusterCases create a member's data file and send requests to a cluster. They use the certificates that
+// certificateCases issued.
 func clusterCases(x *exampleFolder) []commandCase {
 	return []commandCase{
 		{"certificate of a follower",
@@ -300,12 +301,12 @@
 			[]string{"config", "--timeout", "1h", "status"}, 2,
 			[]string{"--timeout"}},
 		{"cluster file without its parts",
-			[]string{"config", "apply", file(x.t, x.dir, "empty.toml", "description = \"none.yaml\"\n")}, 2,
+			[]string{"config", "apply", writeFile(x.t, x.dir, "empty.toml", "description = \"none.yaml\"\n")}, 2,
 			[]string{"empty.toml", "hall", "class"}},
 	}
 }
 
-// commandLineCases are about the command line itself.
+// commandLineCases run an unknown command, and the help.
 func commandLineCases(x *exampleFolder) []commandCase {
 	return []commandCase{
 		{"unknown command",
--- a/cmd/gateway/config.go
+++ b/cmd/gateway/config.go
@@ -12,7 +12,7 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// clusterFlags tell which instances a command goes to, and as which operator.
+// clusterFlags select the instances that a command is sent to, and the operator who sends it.
 type clusterFlags struct {
 	At       []string      `help:"Admin addresses of instances: the first that can be reached is asked." default:"127.0.0.1:7201" env:"MULLEINGATE_AT"`
 	Certs    string        `help:"Folder with the operator's certificate." default:"certs" env:"MULLEINGATE_CERTS" type:"path"`
@@ -54,8 +54,8 @@
 	maxClientTimeout = 2 * time.Minute
 )
 
-// withClient runs f with a client and a context that ends after --timeout. A request that the cluster calls bad is a
-// mistake of the operator's.
+// withClient runs f with a client and a context that ends after --timeout. A request that the cluster rejects as a bad
+// request is returned as a usage error.
 func (c *clusterFlags) withClient(e *environment, f func(context.Context, *cluster.Client) error) error {
 	if c.Timeout < minClientTimeout || c.Timeout > maxClientTimeout {
 		return usageError{fmt.Errorf("--timeout: %v is outside 100ms to 2m", c.Timeout)}
@@ -74,8 +74,7 @@
 	return err
 }
 
-// showResult prints the result of a request to the cluster: as JSON with --json, else by print. The request is run as
-// by withClient.
+// showResult sends a request to the cluster by withClient and prints the result: as JSON with --json, else with print.
 func showResult[T any](
 	c *clusterFlags,
 	e *environment,
--- a/cmd/gateway/config_apply.go
+++ b/cmd/gateway/config_apply.go
@@ -12,7 +12,7 @@
 	"mulleinmux/internal/cluster"
 )
 
-// applyCmd has the instances agree on what a file says.
+// applyCmd proposes the configuration in a file to the cluster.
 type applyCmd struct {
 	File  string `arg:"" help:"The file: all that is to be agreed on. What it lacks is removed; members stay." type:"path"`
 	Why   string `help:"Why, for the history."`
@@ -21,10 +21,10 @@
 	Wait  string `help:"What to wait for: 'agreed', 'applied-everywhere' (at members and followers) or 'all-but-N', which leaves out up to N followers." default:"agreed"`
 }
 
-// noWait is the result of maxMissingFollowers where the command does not wait for any instance.
+// noWait is the result of maxMissingFollowers if the command does not wait for instances to install the version.
 const noWait = -1
 
-// maxMissingFollowers returns how many followers may lack the version when the command ends, by --wait.
+// maxMissingFollowers returns how many followers --wait allows to lack the version when the command ends.
 func (c *applyCmd) maxMissingFollowers() (count int, err error) {
 	switch c.Wait {
 	case "agreed":
@@ -62,7 +62,8 @@
 	})
 }
 
-// propose proposes changes of a version, or has them checked alone. No changes are no proposal.
+// propose proposes changes on top of the version base, or only has the cluster check them with --check. Without changes
+// it sends no proposal.
 func (c *applyCmd) propose(
 	ctx context.Context, client *cluster.Client, base uint64, changes []clusterconfig.Change,
 ) (clusterconfig.Outcome, error) {
@@ -79,7 +80,7 @@
 	return client.Propose(ctx, p)
 }
 
-// print prints the outcome for people.
+// print prints the outcome as text.
 func (c *applyCmd) print(out io.Writer, version uint64, changeCount int) {
 	switch {
 	case changeCount == 0:
--- a/cmd/gateway/config_desired.go
+++ b/cmd/gateway/config_desired.go
@@ -14,14 +14,14 @@
 	"mulleinmux/internal/gatewayconfig"
 )
 
-// objectsByKind are the values of objects by kind and name.
+// objectsByKind holds the values of objects by kind and name.
 type objectsByKind map[string]map[string]json.RawMessage
 
-// defaultMaxUnits is how many units an operation may be charged where a file sets no limit.
+// defaultMaxUnits is the largest number of units that an operation may be charged if a file sets no limit.
 const defaultMaxUnits = 50
 
-// readDesiredObjects reads the objects that a file asks for: a file as fleet.toml, or one that config get --json
-// printed.
+// readDesiredObjects reads the desired objects from a cluster's TOML file, such as fleet.toml, or from a JSON file that
+// config get --json printed.
 func readDesiredObjects(file string) (objectsByKind, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return f.Objects, err
 }
 
-// parseSavedObjects parses what config get --json printed.
+// parseSavedObjects parses the output of config get --json.
 func parseSavedObjects(file string, text []byte) (objectsByKind, error) {
 	var saved cluster.Objects
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -53,14 +53,14 @@
 	}
 	for kind := range saved.Objects {
 		if !slices.Contains(gatewayconfig.ClusterFileKinds, kind) && kind != clusterconfig.KindMember && kind != clusterconfig.KindLostSite {
-			return nil, fmt.Errorf("%s: objects.%s: is no kind of this program", file, kind)
+			return nil, fmt.Errorf("%s: objects.%s: unknown kind of objects", file, kind)
 		}
 	}
 	return saved.Objects, nil
 }
 
 // readClusterDescription reads the description that a cluster's file names. It is validated here as well as by the
-// cluster, as only here its problems have their places.
+// cluster, because only here problems have their positions in the operator's files.
 func readClusterDescription(file string, f *gatewayconfig.ClusterFile) (d clusterconfig.Description, err error) {
 	path := resolvePath(file, f.Description)
 	text, err := os.ReadFile(path)
--- a/cmd/gateway/config_diff.go
+++ b/cmd/gateway/config_diff.go
@@ -16,7 +16,7 @@
 )
 
 // errDiffers is returned for a file that would change something, after the difference has been printed.
-var errDiffers = errors.New("the file differs from what is agreed on")
+var errDiffers = errors.New("the file differs from the agreed configuration")
 
 // diffCmd shows what a file would change.
 type diffCmd struct {
@@ -26,7 +26,7 @@
 // diffResult is what config diff --json prints.
 type diffResult struct {
 	Changes []clusterconfig.Change `json:"changes"`
-	Version uint64                 `json:"version"` // that the file was compared with
+	Version uint64                 `json:"version"` // version that the file was compared with
 }
 
 func (c *diffCmd) Run(e *environment, cc *configCmd) error {
@@ -41,7 +41,7 @@
 	})
 }
 
-// withDiff runs f with a client, as withClient does, and with the changes that a file asks for.
+// withDiff runs f by withClient, with the difference between the agreed objects and those that a file describes.
 func (c *configCmd) withDiff(
 	e *environment, file string, f func(context.Context, *cluster.Client, *objectsDiff) error,
 ) error {
@@ -60,14 +60,14 @@
 	})
 }
 
-// objectsDiff is what turns the agreed objects into the desired ones.
+// objectsDiff holds the changes that turn the agreed objects into the desired ones.
 type objectsDiff struct {
 	version uint64 // of the agreed objects
 	changes []clusterconfig.Change
-	lines   []string // for people: "-" before an agreed value, "+" before a desired one
+	lines   []string // as text: "-" before an agreed value, "+" before a desired one
 }
 
-// print prints the changes, as JSON or for people.
+// print prints the changes as JSON or as text.
 func (d *objectsDiff) print(out io.Writer, asJSON bool) error {
 	if asJSON {
 		return printJSON(out, diffResult{Changes: d.changes, Version: d.version})
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// diffObjects compares objects of the kinds that a cluster's file holds; members are left alone.
+// diffObjects compares the objects of the kinds that a cluster's file holds. Members are not among them.
 func diffObjects(agreed, desired objectsByKind) *objectsDiff {
 	diff := &objectsDiff{}
 	for _, kind := range gatewayconfig.ClusterFileKinds {
@@ -95,7 +95,7 @@
 	return diff
 }
 
-// put adds the change to a desired value, unless the agreed one says the same.
+// put adds the change that sets a desired value, unless the agreed value is equal.
 func (d *objectsDiff) put(kind, name string, agreed map[string]json.RawMessage, value json.RawMessage) {
 	before, ok := agreed[name]
 	if ok && equalJSON(before, value) {
@@ -114,13 +114,13 @@
 	d.lines = append(d.lines, fmt.Sprintf("- %s %s %s", kind, name, formatValue(before)))
 }
 
-// equalJSON reports whether two values say the same, whatever their spaces and the order of their keys.
+// equalJSON reports whether two values are equal, regardless of white space and the order of keys.
 func equalJSON(a, b json.RawMessage) bool {
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
 		return false
 	}
-	p, errP := json.Marshal(x)
-	q, errQ := json.Marshal(y)
-	return errP == nil && errQ == nil && bytes.Equal(p, q)
+	canonicalA, errP := json.Marshal(x)
+	canonicalB, errQ := json.Marshal(y)
+	return errP == nil && errQ == nil && bytes.Equal(canonicalA, canonicalB)
 }
--- a/cmd/gateway/config_epoch.go
+++ b/cmd/gateway/config_epoch.go
@@ -12,7 +12,7 @@
 	Why string `help:"Why, for the history."`
 }
 
-// epochName is the name of the only object of its kind.
+// epochName is the name of the only object of kind [clusterconfig.KindEpoch].
 const epochName = "epoch"
 
 func (c *epochCmd) Run(e *environment, cc *configCmd) error {
--- a/cmd/gateway/config_get.go
+++ b/cmd/gateway/config_get.go
@@ -33,7 +33,7 @@
 	return agreed, err
 }
 
-// selectObjects leaves only the objects that the command line names.
+// selectObjects removes all objects but those that the command line names.
 func (c *getCmd) selectObjects(o *cluster.Objects) error {
 	if c.Kind == "" {
 		return nil
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// printObjects prints objects for people, a line each.
+// printObjects prints objects as text, one line each.
 func printObjects(out io.Writer, o cluster.Objects) error {
 	fmt.Fprintf(out, "version %d\n", o.Version)
 	for _, kind := range slices.Sorted(maps.Keys(o.Objects)) {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// formatValue returns an object's value for a line: of a description only its file and size.
+// formatValue formats an object's value for one line. A description is shortened to its file name and size.
 func formatValue(value json.RawMessage) string {
 	var d clusterconfig.Description
 	if json.Unmarshal(value, &d) == nil && d.Text != "" {
--- a/cmd/gateway/config_history.go
+++ b/cmd/gateway/config_history.go
@@ -30,7 +30,7 @@
 	return history, err
 }
 
-// printHistory prints versions for people, a line each.
+// printHistory prints versions as text, one line each.
 func printHistory(out io.Writer, history []clusterconfig.HistoryRecord) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, r := range history {
--- a/cmd/gateway/config_members.go
+++ b/cmd/gateway/config_members.go
@@ -24,7 +24,7 @@
 	Admin  string `help:"Address for operators." required:""`
 }
 
-// replaceMemberCmd puts a new member in the place of one.
+// replaceMemberCmd replaces a member by a new one in one step.
 type replaceMemberCmd struct {
 	Member uint64 `arg:"" help:"Number of the one that goes."`
 	With   uint64 `help:"Number of the one that comes." required:""`
@@ -67,7 +67,7 @@
 	return cc.changeMembership(e, &cluster.MembershipChange{Op: "transfer", MemberID: c.Member})
 }
 
-// changeMembership has the members changed and prints who they are after it.
+// changeMembership requests a change of the members and prints the resulting members.
 func (c *configCmd) changeMembership(e *environment, change *cluster.MembershipChange) error {
 	request := func(ctx context.Context, client *cluster.Client) (cluster.Status, error) {
 		return client.ChangeMembers(ctx, change)
@@ -75,7 +75,7 @@
 	return showResult(&c.clusterFlags, e, request, printMembership)
 }
 
-// printMembership prints for people who the members are.
+// printMembership prints the voters, the learners and the leader as text.
 func printMembership(out io.Writer, status cluster.Status) error {
 	fmt.Fprintf(out, "voters %v, learners %v, leader %d\n", status.Voters, status.Learners, status.Leader)
 	return nil
--- a/cmd/gateway/config_status.go
+++ b/cmd/gateway/config_status.go
@@ -17,7 +17,7 @@
 
 // statusResult is what config status --json prints.
 type statusResult struct {
-	Failed  map[uint64]string         `json:"failed"` // errors of the members that do not answer
+	Failed  map[uint64]string         `json:"failed"` // errors of the members that did not respond
 	Members map[uint64]cluster.Status `json:"members"`
 }
 
@@ -38,7 +38,7 @@
 	})
 }
 
-// printStatuses prints the status of each member for people, a line each.
+// printStatuses prints the status of each member as text, one line each.
 func printStatuses(out io.Writer, statuses map[uint64]cluster.Status, failed map[uint64]error) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "member\tleader\tversion\tin force\tconfirmed\tserves\thalls\tnote")
--- a/cmd/gateway/config_update.go
+++ b/cmd/gateway/config_update.go
@@ -11,12 +11,13 @@
 	"mulleinmux/internal/cluster"
 )
 
-// objectUpdate changes an object that was read at a version; exists is false where that version lacks it. It returns
-// what the change does, for people.
+// objectUpdate changes an object that was read at a version; exists is false if that version lacks the object. It
+// returns a summary of the change as text.
 type objectUpdate[T any] func(object *T, version uint64, exists bool) (summary string, err error)
 
-// updateObject has the instances agree on one object as update leaves it, on the version that it was read at.
-func updateObject[T any](at *clusterFlags, e *environment, kind, name, why string, update objectUpdate[T]) error {
+// updateObject reads an agreed object, changes it with update, and proposes the result on the version that was read. It
+// prints the outcome.
+func updateObject[T any](flags *clusterFlags, e *environment, kind, name, reason string, update objectUpdate[T]) error {
 	var summary string
 	request := func(ctx context.Context, client *cluster.Client) (outcome clusterconfig.Outcome, err error) {
 		agreed, err := client.Objects(ctx, false)
@@ -36,11 +37,11 @@
 		return client.Propose(ctx, &clusterconfig.Proposal{
 			ID:          rand.Text(),
 			BaseVersion: &agreed.Version,
-			Reason:      why,
+			Reason:      reason,
 			Changes:     []clusterconfig.Change{clusterconfig.NewPutChange(kind, name, object)},
 		})
 	}
-	return showResult(at, e, request, func(out io.Writer, outcome clusterconfig.Outcome) error {
+	return showResult(flags, e, request, func(out io.Writer, outcome clusterconfig.Outcome) error {
 		fmt.Fprintf(out, "version %d: %s\n", outcome.Version, summary)
 		return nil
 	})
--- a/cmd/gateway/files.go
+++ b/cmd/gateway/files.go
@@ -4,7 +4,7 @@
 	"path/filepath"
 )
 
-// resolvePath resolves a file name that a configuration holds.
+// resolvePath resolves a file name in a configuration file, relative to the folder of that file.
 func resolvePath(config, name string) string {
 	if filepath.IsAbs(name) {
 		return name
--- a/cmd/gateway/fixture_cluster_test.go
+++ b/cmd/gateway/fixture_cluster_test.go
@@ -17,10 +17,10 @@
 	"mulleinmux/internal/testserver"
 )
 
-// placeholder replaces one kind of text that differs from run to run, or with the program's name.
+// placeholder replaces one kind of text that differs from run to run, or between programs of different names.
 type placeholder struct {
-	pattern *regexp.Regexp
-	to      string
+	pattern     *regexp.Regexp
+	replacement string
 }
 
 // placeholders are what [maskVolatile] replaces, in this order.
@@ -38,34 +38,34 @@
 	{regexp.MustCompile(`\bsince \d+(\.\d+)?m?s\b`), "since DURATION"},
 }
 
-// maskVolatile replaces what differs from run to run in the output of a command by the placeholders' names, and the
-// folder of the run by DIR.
+// maskVolatile replaces the parts of a command's output that differ from run to run by placeholders, and the run's
+// folder by DIR.
 func maskVolatile(text, dir string) string {
 	text = strings.ReplaceAll(text, dir, "DIR")
 	for _, p := range placeholders {
-		text = p.pattern.ReplaceAllString(text, p.to)
+		text = p.pattern.ReplaceAllString(text, p.replacement)
 	}
 	return text
 }
 
-// commandRecorder carries out commands of an operator and keeps what they print and how they exit.
+// commandRecorder runs an operator's commands and records their output and exit statuses.
 type commandRecorder struct {
 	*operatorTest
 	transcript bytes.Buffer
 }
 
-// record carries out a command, as text and as JSON.
+// record runs a command twice, with text and with JSON output, and records both.
 func (r *commandRecorder) record(command string, args ...string) {
 	r.t.Helper()
 	r.recordOnce(command, args...)
 	r.recordOnce(command, append([]string{"--json"}, args...)...)
 }
 
-// recordOnce carries out a command and keeps its output.
+// recordOnce runs a command and records its output and exit status.
 func (r *commandRecorder) recordOnce(command string, args ...string) {
 	r.t.Helper()
 	var out, errs bytes.Buffer
-	all := append([]string{command, "--certs", r.certs, "--operator", "amina", "--at", r.admins[0]}, args...)
+	all := append([]string{command, "--certs", r.certs, "--operator", "amina", "--at", r.adminAddrs[0]}, args...)
 	status := runProgram(context.Background(), all, &out, &errs)
 	fmt.Fprintf(&r.transcript, "$ %s %s\n%s", command, strings.Join(args, " "), &out)
 	if errs.Len() > 0 {
@@ -74,7 +74,7 @@
 	fmt.Fprintf(&r.transcript, "exit %d\n\n", status)
 }
 
-// The placeholders replace what differs from run to run, and nothing beside it.
+// The placeholders replace the parts of an output that differ from run to run, and no others.
 func TestMaskVolatile(t *testing.T) {
 	hash := strings.Repeat("0a", 32)
 	for _, test := range []struct{ name, text, want string }{
@@ -93,20 +93,20 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := maskVolatile(test.text, "/tmp/x"); got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("masked text: got %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// What config and stream print of a live cluster with two followers, one of which runs, and how they exit is as it was
-// recorded from the program before its first renaming, built from commit 49080d0 (./cmd/mulleingate).
+// The output and exit statuses of config and stream commands on a running cluster with two followers, one of which
+// runs, equal those recorded from the program before its first renaming, built from commit 49080d0 (./cmd/mulleingate).
 //
 // Recorded with: MULLEINMUX_RECORD=1 MULLEINMUX_PROGRAM=/path/to/mulleingate go test ./cmd/gateway -run FixtureCluster
 func TestFixtureCluster(t *testing.T) {
 	dir := t.TempDir()
 	r := &commandRecorder{operatorTest: &operatorTest{t: t, dir: dir, certs: filepath.Join(dir, "certs")}}
-	r.must(0, "certs", "--cluster", "dodoma", "--members", "1,2,3", "--operators", "amina",
+	r.mustRun(0, "certs", "--cluster", "dodoma", "--members", "1,2,3", "--operators", "amina",
 		"--followers", "edge-1,edge-2", "--dir", r.certs)
 	members, follower := r.writeClusterFiles()
 	defer r.startMembers(members)()
@@ -134,38 +134,38 @@
 		swap = append(swap, fmt.Sprintf("127.0.0.1:730%d", i+1), stream,
 			fmt.Sprintf("127.0.0.1:794%d", i+6), freeAddr(r.t))
 	}
-	return members, file(r.t, r.dir, "follower.toml", strings.NewReplacer(swap...).Replace(string(deploy.Follower)))
+	return members, writeFile(r.t, r.dir, "follower.toml", strings.NewReplacer(swap...).Replace(string(deploy.Follower)))
 }
 
-// replaceInFile replaces a text that a file must hold.
-func replaceInFile(t *testing.T, name, old, to string) {
+// replaceInFile replaces the first occurrence of a text that the file must contain.
+func replaceInFile(t *testing.T, name, old, replacement string) {
 	t.Helper()
 	text, err := os.ReadFile(name)
 	if err != nil || !strings.Contains(string(text), old) {
-		t.Fatalf("%s lacks %q: %v", name, old, err)
+		t.Fatalf("%s does not contain %q (read error: %v)", name, old, err)
 	}
-	if err := os.WriteFile(name, []byte(strings.Replace(string(text), old, to, 1)), 0o600); err != nil {
+	if err := os.WriteFile(name, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// writeFleet writes a first configuration with two followers, of sites that have a discovery service but no servers.
+// writeFleet writes a first configuration with two followers and with sites whose discovery services list no servers.
 func (r *commandRecorder) writeFleet() string {
 	r.t.Helper()
 	text, _ := startDiscoveries(r.t, deploy.Fleet)
 	text += "\n[[follower]]\nname = \"edge-1\"\nnote = \"Kigoma\"\n\n[[follower]]\nname = \"edge-2\"\n"
-	file(r.t, r.dir, "booking.yaml", string(deploy.Booking))
-	return file(r.t, r.dir, "fleet.toml", text)
+	writeFile(r.t, r.dir, "booking.yaml", string(deploy.Booking))
+	return writeFile(r.t, r.dir, "fleet.toml", text)
 }
 
-// startProgram runs the program until the returned function is called, which waits for its end.
+// startProgram starts the program. The returned function stops it and waits until it has ended.
 func (r *commandRecorder) startProgram(args ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() {
 		var errs testserver.Log
 		if status := runProgram(ctx, args, &errs, &errs); status != 0 {
-			r.t.Errorf("%v: exit %d: %s", args, status, errs.String())
+			r.t.Errorf("%v: got exit status %d, want 0: %s", args, status, errs.String())
 		}
 	})
 	return func() {
@@ -174,11 +174,11 @@
 	}
 }
 
-// awaitFollower waits until the members know that the follower runs the newest version.
+// awaitFollower waits until the members report that the follower runs the newest version.
 func (r *commandRecorder) awaitFollower() {
 	r.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
-		got := r.must(0, "stream", "--certs", r.certs, "--operator", "amina", "--at", r.admins[0], "explain", "edge-1")
+	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
+		got := r.mustRun(0, "stream", "--certs", r.certs, "--operator", "amina", "--at", r.adminAddrs[0], "explain", "edge-1")
 		if strings.Contains(got, "that is the newest") {
 			return
 		}
@@ -188,7 +188,7 @@
 	}
 }
 
-// recordFirst has the members agree on a first configuration.
+// recordFirst applies a first configuration.
 func (r *commandRecorder) recordFirst(fleet string) {
 	r.t.Helper()
 	r.record("config", "get")
@@ -200,7 +200,7 @@
 	r.record("config", "diff", fleet)
 }
 
-// recordStatuses asks how things stand.
+// recordStatuses records the agreed objects, the history, and the status of members and followers.
 func (r *commandRecorder) recordStatuses() {
 	r.t.Helper()
 	r.record("config", "get")
@@ -240,7 +240,7 @@
 	r.recordOnce("config", "history", "--last", "2")
 }
 
-// recordMistakes makes mistakes that the members have to reject.
+// recordMistakes records commands that the members must reject.
 func (r *commandRecorder) recordMistakes() {
 	r.t.Helper()
 	r.record("config", "get", "plan", "none")
--- a/cmd/gateway/fixture_json_test.go
+++ b/cmd/gateway/fixture_json_test.go
@@ -13,7 +13,7 @@
 	"mulleinmux/internal/fixture"
 )
 
-// jsonShape returns the paths of a JSON text with the types of their values, a line each, sorted. The elements of an
+// jsonShape returns the paths in a JSON text with the types of their values, one line each, sorted. The elements of an
 // array share a path.
 func jsonShape(text []byte) (string, error) {
 	var value any
@@ -25,7 +25,7 @@
 	return strings.Join(slices.Sorted(maps.Keys(lines)), ""), nil
 }
 
-// addShape adds the lines of a value and of all that it holds.
+// addShape adds the lines of a value and of all values in it.
 func addShape(lines map[string]bool, path string, value any) {
 	typeName := "null"
 	switch value := value.(type) {
@@ -49,16 +49,16 @@
 	lines[path+" "+typeName+"\n"] = true
 }
 
-// A shape names each path and each type once, whatever the values.
+// A shape contains each pair of a path and a type once, regardless of the values.
 func TestJSONShape(t *testing.T) {
 	got, err := jsonShape([]byte(`[{"a": 1, "b": {"c": "x"}}, {"a": 2.5, "b": null, "d": [true]}]`))
 	want := "$ array\n$[] object\n$[].a number\n$[].b null\n$[].b object\n$[].b.c string\n" +
 		"$[].d array\n$[].d[] boolean\n"
 	if err != nil || got != want {
-		t.Errorf("%q, want %q: %v", got, want, err)
+		t.Errorf("shape: got %q, want %q (error: %v)", got, want, err)
 	}
 	if _, err := jsonShape([]byte(`{`)); err == nil {
-		t.Error("a text that is no JSON has a shape")
+		t.Error("jsonShape of invalid JSON: got no error")
 	}
 }
 
@@ -67,13 +67,13 @@
 	t.Helper()
 	shape, err := jsonShape(result)
 	if err != nil {
-		t.Fatalf("%s: %v: %s", name, err, result)
+		t.Fatalf("%s: result is not valid JSON: %v: %s", name, err, result)
 	}
 	fixture.Compare(t, name, []byte(shape))
 }
 
-// The keys of the results that bench prints as JSON, and the types of their values, are as they were recorded from
-// commit 49080d0 (./cmd/mulleingate). The comparison takes an empty result of each type: a measurement takes seconds.
+// The keys of the results that bench prints as JSON, and the types of their values, equal those recorded from commit
+// 49080d0 (./cmd/mulleingate). An empty result of each type is compared, because a measurement takes seconds.
 //
 // Recorded with: MULLEINMUX_RECORD=1 MULLEINMUX_PROGRAM=/path/to/mulleingate go test ./cmd/gateway \
 // -run 'FixtureBench|TestLab$'
@@ -95,7 +95,7 @@
 					t.Fatal(err)
 				}
 			} else if status := runProgram(t.Context(), strings.Fields(test.command), &out, &errs); status != 0 {
-				t.Fatalf("exit %d: %s", status, &errs)
+				t.Fatalf("got exit status %d, want 0: %s", status, &errs)
 			}
 			compareShape(t, "result-"+test.name+".txt", out.Bytes())
 		})
--- a/cmd/gateway/fixture_relay_test.go
+++ b/cmd/gateway/fixture_relay_test.go
@@ -24,25 +24,25 @@
 	"mulleinmux/internal/testserver"
 )
 
-// relayIDField is the field with the id of a relayed request.
+// relayIDField is the header field with the id of a relayed request.
 const relayIDField = "X-Mulleinmux-Crossing"
 
-// relayPlaceholders are what [maskRelayed] replaces.
+// relayPlaceholders are the replacements of [maskRelayed].
 var relayPlaceholders = []placeholder{
 	{regexp.MustCompile(`(?m)^(X-Expires-In|Retry-After|X-Mulleinmux-Uptime): \d+\.\d{3}$`), "$1: SECONDS.MILLISECONDS"},
 	{regexp.MustCompile(`(?m)^Date: [A-Z][a-z]{2}, \d\d [A-Z][a-z]{2} \d{4} \d\d:\d\d:\d\d GMT$`), "Date: TIME"},
 	{regexp.MustCompile(`\bserved-\d+\b`), "served-NUMBER"},
 }
 
-// maskRelayed replaces what differs from run to run in messages of the link.
+// maskRelayed replaces the parts of relay messages that differ from run to run by placeholders.
 func maskRelayed(text string) string {
 	for _, p := range relayPlaceholders {
-		text = p.pattern.ReplaceAllString(text, p.to)
+		text = p.pattern.ReplaceAllString(text, p.replacement)
 	}
 	return text
 }
 
-// The placeholders of messages replace values of the recorded form alone.
+// The placeholders of relay messages replace only values in the format that was recorded.
 func TestMaskRelayed(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
 		{"seconds with milliseconds", "X-Expires-In: 1.995\nX-Trace-Id: a",
@@ -54,13 +54,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := maskRelayed(test.text); got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("masked text: got %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// readMessage reads a head as it came, with \n for the ends of its lines, and its body of Content-Length.
+// readMessage reads a message: its unparsed head, with \n at the ends of lines, and the body of Content-Length bytes.
 func readMessage(r *bufio.Reader) (head string, body []byte, err error) {
 	lines := textproto.NewReader(r)
 	length := 0
@@ -84,8 +84,8 @@
 	return head, body, err
 }
 
-// fieldOf returns the value of a field of a head, empty where it has none.
-func fieldOf(head, name string) string {
+// headerValue returns the value of a header field, or an empty string if the head lacks the field.
+func headerValue(head, name string) string {
 	for line := range strings.Lines(head) {
 		if key, value, ok := strings.Cut(strings.TrimSuffix(line, "\n"), ": "); ok && key == name {
 			return value
@@ -94,16 +94,16 @@
 	return ""
 }
 
-// remoteSite stands for an instance of another site: it keeps the first message of each relayed request and of each
-// status query, and answers by script.
+// remoteSite is a fake instance of another site. It records the first message of each relayed request and of each
+// status query, and sends scripted responses.
 type remoteSite struct {
-	script map[string]string // by first word of the head and relay id; without an answer the connection is closed
+	responses map[string]string // by [messageKey]; the connection is closed if there is none
 
 	mu       sync.Mutex
 	messages map[string]string
 }
 
-// serve answers on a listener until it is closed.
+// serve accepts connections on a listener until it is closed.
 func (s *remoteSite) serve(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -128,7 +128,7 @@
 			s.messages[key] = head + "\n" + string(body)
 		}
 		s.mu.Unlock()
-		answer, ok := s.script[key]
+		answer, ok := s.responses[key]
 		if !ok {
 			return
 		}
@@ -138,23 +138,24 @@
 	}
 }
 
-// messageKey names a message: "ask" for a status query or "request", and its relay id.
+// messageKey returns the key of a message: "ask" for a status query, else "request", and its relay id.
 func messageKey(head string) string {
 	kind := "request "
 	if strings.HasPrefix(head, "GET /link/") {
 		kind = "ask "
 	}
-	return kind + fieldOf(head, relayIDField)
+	return kind + headerValue(head, relayIDField)
 }
 
-// Requests, answers and status queries on the link between two sites have the fields that were recorded from the program before
-// its first renaming, built from commit 49080d0 (./cmd/mulleingate), in both directions: the test is the other site.
+// Relayed requests, their responses and status queries between two sites have the same form, in both directions, as
+// those recorded from the program before its first renaming, built from commit 49080d0 (./cmd/mulleingate). The test
+// acts as the other site.
 //
 // Recorded with: MULLEINMUX_RECORD=1 MULLEINMUX_PROGRAM=/path/to/mulleingate go test ./cmd/gateway -run FixtureRelay
 func TestFixtureRelay(t *testing.T) {
 	dir := t.TempDir()
 	r := &relayRecorder{operatorTest: &operatorTest{t: t, dir: dir, certs: filepath.Join(dir, "certs")}}
-	r.must(0, "certs", "--cluster", "dodoma", "--members", "1,2,3", "--operators", "amina", "--dir", r.certs)
+	r.mustRun(0, "certs", "--cluster", "dodoma", "--members", "1,2,3", "--operators", "amina", "--dir", r.certs)
 	site := r.startRemoteSite()
 	members := r.writeMemberFiles()
 	linkAddr := freeAddr(t)
@@ -170,7 +171,7 @@
 	fixture.Compare(t, "relay.txt", []byte(maskRelayed(r.transcript.String())))
 }
 
-// relayRecorder keeps the messages of the link between the first member and the test.
+// relayRecorder records the messages between the first member and the test, which acts as the other site.
 type relayRecorder struct {
 	*operatorTest
 	remoteAddr string
@@ -178,7 +179,7 @@
 	transcript bytes.Buffer
 }
 
-// memberTLS returns a configuration with the certificate of the second member.
+// memberTLS returns a TLS configuration with the certificate of the second member.
 func (r *relayRecorder) memberTLS() *tls.Config {
 	r.t.Helper()
 	credentials, err := raftnode.LoadMemberCredentials(r.certs, 2)
@@ -188,11 +189,11 @@
 	return credentials.TLSConfig()
 }
 
-// startRemoteSite starts the other end of the link.
+// startRemoteSite starts the fake instance of the other site.
 func (r *relayRecorder) startRemoteSite() *remoteSite {
 	r.t.Helper()
 	const ok = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Served-By: s1\r\nContent-Length: 3\r\n\r\nok\n"
-	site := &remoteSite{messages: map[string]string{}, script: map[string]string{
+	site := &remoteSite{messages: map[string]string{}, responses: map[string]string{
 		"request plain.1":  ok,
 		"request change.1": ok,
 		"ask broken.1":     strings.Replace(ok, "X-Served-By: s1", "X-Mulleinmux-Fate: ran", 1),
@@ -207,19 +208,19 @@
 	return site
 }
 
-// applySites has the members agree on two sites without servers of their own.
+// applySites applies a configuration with two sites whose discovery services list no servers.
 func (r *relayRecorder) applySites() {
 	r.t.Helper()
 	text, discoveries := startDiscoveries(r.t, deploy.Fleet)
 	r.discovery = discoveries[0]
-	file(r.t, r.dir, "booking.yaml", string(deploy.Booking))
-	r.mustConfig(0, "apply", file(r.t, r.dir, "fleet.toml", text), "--wait", "applied-everywhere")
+	writeFile(r.t, r.dir, "booking.yaml", string(deploy.Booking))
+	r.mustConfig(0, "apply", writeFile(r.t, r.dir, "fleet.toml", text), "--wait", "applied-everywhere")
 }
 
-// exchange sends a message and keeps it with its answer under a title.
+// exchange sends a message and returns the response formatted under a title.
 func (r *relayRecorder) exchange(conn net.Conn, title, request string) (answer string) {
 	r.t.Helper()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, strings.ReplaceAll(request, "\n", "\r\n")); err != nil {
 		r.t.Fatalf("%s: %v", title, err)
 	}
@@ -230,7 +231,7 @@
 	return fmt.Sprintf("# %s\n%s\n%s\n", title, head, body)
 }
 
-// recordRelayed sends requests to the instance, which relays them, and keeps what crossed.
+// recordRelayed sends requests to the instance, which relays them, and records the responses and the relayed messages.
 func (r *relayRecorder) recordRelayed(site *remoteSite) {
 	r.t.Helper()
 	for _, request := range []string{
@@ -241,7 +242,7 @@
 		"PATCH /v1/visits/7 HTTP/1.1\nHost: example.test\nX-Licensee: bahari-net\nX-Trace-Id: change\n" +
 			"Content-Type: application/json\nContent-Length: 16\nConnection: close\n\n{\"installers\":2}",
 	} {
-		conn, err := net.Dial("tcp", r.listens[0])
+		conn, err := net.Dial("tcp", r.listenAddrs[0])
 		if err != nil {
 			r.t.Fatal(err)
 		}
@@ -255,18 +256,18 @@
 	}
 }
 
-// relayedRequest returns a request as another site relays it.
+// relayedRequest returns a request in the form in which another site relays it.
 func relayedRequest(id string) string {
 	return "GET /v1/visits/new HTTP/1.1\nHost: example.test\nX-Licensee: bahari-net\nX-Trace-Id: " + id +
 		"\nX-Expires-In: 1.500\n" + relayIDField + ": " + id + ".1\nX-Mulleinmux-Version: 1\n\n"
 }
 
-// statusRequest returns a query of what became of a relayed request.
+// statusRequest returns a query for the status of a relayed request.
 func statusRequest(id string) string {
 	return "GET /link/fate HTTP/1.1\nHost: link\n" + relayIDField + ": " + id + ".1\n\n"
 }
 
-// recordAnswers relays requests to the instance and keeps its answers.
+// recordAnswers relays requests to the instance and records its responses.
 func (r *relayRecorder) recordAnswers(linkAddr string) {
 	r.t.Helper()
 	exchange := func(title, request string) string {
@@ -287,9 +288,9 @@
 	record("ask without an id", strings.Replace(statusRequest("none"), relayIDField, "X-Other", 1))
 	r.startServer()
 	id, answer := "", ""
-	for end, i := time.Now().Add(patience), 0; !strings.Contains(answer, "HTTP/1.1 200"); i++ {
+	for end, i := time.Now().Add(testTimeout), 0; !strings.Contains(answer, "HTTP/1.1 200"); i++ {
 		if time.Now().After(end) {
-			r.t.Fatalf("the server is never reached: %s", answer)
+			r.t.Fatalf("the instance sends no request to the server: last response %s", answer)
 		}
 		id = fmt.Sprint("served-", i)
 		answer = exchange("served", relayedRequest(id))
@@ -300,7 +301,7 @@
 	record("the same again", relayedRequest(id))
 }
 
-// startServer starts a server of the instance's own site.
+// startServer starts a server and lists it with the discovery service of the instance's own site.
 func (r *relayRecorder) startServer() {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain")
--- a/cmd/gateway/fixture_test.go
+++ b/cmd/gateway/fixture_test.go
@@ -15,9 +15,10 @@
 	"mulleinmux/internal/fixture"
 )
 
-// fixtureCommands are the recorded commands, in the order in which they run: in is the path of a file of the run, and
-// edited that of a copy in which one text is replaced.
-func fixtureCommands(in func(name string) string, edited func(name, of, old, to string) string) [][]string {
+// fixtureCommands returns the recorded commands in the order in which they run. in returns the path of a file in the
+// run's folder, and edited that of a copy in which one text is replaced.
+func fixtureCommands(
+	in func(name string) string, edited func(name, source, old, replacement string) string) [][]string {
 	return [][]string{
 		{"--help"},
 		{},
@@ -90,23 +91,23 @@
 	return files
 }
 
-// What commands print, on both outputs, and how they exit is as it was recorded: help, lists, mistakes, and each file
-// of deploy/ as check sees it. Folders of the run are masked.
+// The standard output, standard error and exit statuses of commands equal the recorded ones: help texts, lists, usage
+// errors, and check with each file of deploy/. Paths of the run's folders are masked.
 //
 // Recorded with: MULLEINMUX_RECORD=1 go test ./cmd/gateway -run Fixture
 func TestFixtureCommands(t *testing.T) {
 	dir := t.TempDir()
 	files := copyDeploy(t, dir)
 	if len(files) < 8 {
-		t.Fatalf("deploy/ holds %v", files)
+		t.Fatalf("deploy/: got files %v, want at least 8", files)
 	}
 	in := func(name string) string { return filepath.Join(dir, name) }
-	edited := func(name, of, old, to string) string {
-		text, err := os.ReadFile(in(of))
+	edited := func(name, source, old, replacement string) string {
+		text, err := os.ReadFile(in(source))
 		if err != nil || !strings.Contains(string(text), old) {
-			t.Fatalf("%s lacks %q: %v", of, old, err)
+			t.Fatalf("%s does not contain %q (read error: %v)", source, old, err)
 		}
-		return file(t, dir, name, strings.Replace(string(text), old, to, 1))
+		return writeFile(t, dir, name, strings.Replace(string(text), old, replacement, 1))
 	}
 	commands := slices.Concat(fixtureCommands(in, edited), helpCommands(), checkCommands(in, files))
 
@@ -123,7 +124,7 @@
 	fixture.Compare(t, "commands.txt.gz", got)
 }
 
-// helpCommands ask commands for their help.
+// helpCommands returns command lines that print the help of commands.
 func helpCommands() (commands [][]string) {
 	for _, c := range []string{
 		"lab", "check", "bench", "certs", "init", "config", "config apply", "config members", "stream", "run",
@@ -133,7 +134,7 @@
 	return commands
 }
 
-// checkCommands check each of the files.
+// checkCommands returns command lines that check each file, with text and with JSON output.
 func checkCommands(in func(name string) string, files []string) (commands [][]string) {
 	for _, name := range files {
 		commands = append(commands, []string{"check", in(name)}, []string{"check", "--json", in(name)})
@@ -141,7 +142,7 @@
 	return commands
 }
 
-// appendCommand carries out a command and appends what it prints and how it exits.
+// appendCommand runs a command and appends its output and exit status.
 func appendCommand(transcript *bytes.Buffer, args []string) {
 	var out, errs bytes.Buffer
 	status := run(context.Background(), args, &out, &errs)
@@ -152,7 +153,7 @@
 	fmt.Fprintf(transcript, "exit %d\n\n", status)
 }
 
-// appendFileModes appends the modes and paths of a folder and all that it holds, sorted by path.
+// appendFileModes appends the modes and paths of a folder and of everything in it, sorted by path.
 func appendFileModes(t *testing.T, transcript *bytes.Buffer, folder string) {
 	t.Helper()
 	modes := map[string]string{}
--- a/cmd/gateway/init.go
+++ b/cmd/gateway/init.go
@@ -11,7 +11,7 @@
 	"mulleinmux/internal/raftnode"
 )
 
-// initCmd makes the data file of a member.
+// initCmd creates the data file of a member, or adopts one that was moved.
 type initCmd struct {
 	Config     string `help:"The instance's file." required:"" type:"path"`
 	NewCluster bool   `help:"The members that the file has begin a new cluster." xor:"how" required:""`
@@ -54,7 +54,7 @@
 	return f, err
 }
 
-// memberConfig returns how an instance takes part in its cluster, by its file, without credentials.
+// memberConfig returns the configuration of a cluster member from its file, without credentials.
 func memberConfig(config string, f *gatewayconfig.File) *cluster.MemberConfig {
 	c := f.Member
 	return &cluster.MemberConfig{
--- a/cmd/gateway/lab.go
+++ b/cmd/gateway/lab.go
@@ -79,7 +79,7 @@
 	}, err
 }
 
-// print prints a verdict, as JSON or for people.
+// print prints a verdict as JSON or as text.
 func (c *labCmd) print(e *environment, verdict *scenario.Verdict) error {
 	if c.JSON {
 		return printJSON(e.stdout, verdict)
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command gateway is the gateway between sites, and its operators' tool.
+// Command gateway runs a gateway instance, and has the commands with which operators manage and test instances.
 package main
 
 import (
@@ -26,21 +26,21 @@
 	Run    runCmd    `cmd:"" help:"Run one instance until SIGTERM. SIGHUP reads its description again. Example: gateway run --config deploy/gateway.toml"`
 }
 
-// environment is what a command needs of the world.
+// environment holds the context and the outputs of a command, and environment variables for processes that it starts.
 type environment struct {
 	ctx    context.Context
 	stdout io.Writer
 	stderr io.Writer
-	labEnv []string // for the processes of the lab
+	labEnv []string // additional variables for the processes of the lab command
 }
 
 // errRuleBroken is returned for a scenario that broke a rule, after its verdict has been printed.
 var errRuleBroken = errors.New("a rule was broken")
 
-// usageError marks a mistake of the operator's: the program exits with exitUsage.
+// usageError marks an error that the operator's input caused: the program exits with exitUsage.
 type usageError struct{ error }
 
-// extraLabEnv is added to the environment variables of the lab's processes; tests set it.
+// extraLabEnv is added to the environment variables of the lab command's processes; tests set it.
 var extraLabEnv []string
 
 func main() {
@@ -52,11 +52,11 @@
 // Exit statuses of the program.
 const (
 	exitOK      = 0
-	exitFailure = 1 // also of a broken rule, and of a file that differs
+	exitFailure = 1 // also for a scenario that broke a rule, and for a file that differs
 	exitUsage   = 2 // bad input
 )
 
-// run carries out a command line and returns the exit status.
+// run executes a command line and returns the exit status.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var c cli
 	exit := -1
@@ -71,7 +71,7 @@
 	}
 	parsed, err := parser.Parse(args)
 	if exit >= 0 {
-		return exit // help was asked for
+		return exit // kong has printed the requested help
 	}
 	if err != nil {
 		fmt.Fprintln(stderr, "gateway:", err)
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -18,10 +18,10 @@
 	"mulleinmux/internal/testserver"
 )
 
-// patience bounds every wait of a test; none is expected to come near it.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of a test. It is far longer than any wait is expected to take.
+const testTimeout = 30 * time.Second
 
-// The test's binary is the program for the processes of the lab.
+// The test binary also serves as the program that the lab command starts as processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("MULLEINGATE_TEST_MAIN") != "" {
 		main()
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-func file(t *testing.T, dir, name, text string) string {
+func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -39,8 +39,8 @@
 	return path
 }
 
-// startDiscoveries starts a discovery service for each of the two sites of an example, first that of hall-a, and
-// returns the example's text with their addresses.
+// startDiscoveries starts a discovery service for each of the two sites of an example, first that of hall-a. It returns
+// the example's text with the services' addresses, and the services.
 func startDiscoveries(t *testing.T, text []byte) (string, []*testserver.Discovery) {
 	t.Helper()
 	var discoveries []*testserver.Discovery
@@ -57,25 +57,25 @@
 	return strings.NewReplacer(pairs...).Replace(string(text)), discoveries
 }
 
-// runTest is an instance that runs from its files in this process.
-type runTest struct {
+// instanceTest is an instance that runs from its files in this process.
+type instanceTest struct {
 	t         *testing.T
 	dir       string
 	log       testserver.Log
 	addr      string // for clients
 	interrupt context.CancelFunc
-	exit      chan int // has its exit status once it has ended
+	exit      chan int // receives the exit status when the instance has ended
 }
 
-// startInstance writes the files of an instance, whose sites have no servers, and runs it until it is ready.
-func startInstance(t *testing.T) *runTest {
+// startInstance writes the files of an instance, whose sites have no servers, starts it and waits until it is ready.
+func startInstance(t *testing.T) *instanceTest {
 	t.Helper()
-	r := &runTest{t: t, dir: t.TempDir(), exit: make(chan int, 1)}
+	r := &instanceTest{t: t, dir: t.TempDir(), exit: make(chan int, 1)}
 	text, _ := startDiscoveries(t, deploy.Gateway)
 	text = strings.Replace(text, "127.0.0.1:8080", "127.0.0.1:0", 1)
 	text = strings.Replace(text, `access_log = ""`, `access_log = "access.log"`, 1)
 	r.writeDescription(string(deploy.Booking))
-	config := file(t, r.dir, "gateway.toml", text)
+	config := writeFile(t, r.dir, "gateway.toml", text)
 	ctx, interrupt := context.WithCancel(context.Background())
 	t.Cleanup(interrupt)
 	r.interrupt = interrupt
@@ -85,27 +85,27 @@
 }
 
 // writeDescription writes the description that the instance reads.
-func (r *runTest) writeDescription(text string) {
+func (r *instanceTest) writeDescription(text string) {
 	r.t.Helper()
-	file(r.t, r.dir, "booking.yaml", text)
+	writeFile(r.t, r.dir, "booking.yaml", text)
 }
 
-// awaitLog waits until the instance's log has a match of pattern, and returns the match.
-func (r *runTest) awaitLog(pattern string) []string {
+// awaitLog waits until the instance's log matches pattern, and returns the match.
+func (r *instanceTest) awaitLog(pattern string) []string {
 	r.t.Helper()
 	re := regexp.MustCompile(pattern)
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if match := re.FindStringSubmatch(r.log.String()); match != nil {
 			return match
 		}
 		if time.Now().After(end) {
-			r.t.Fatalf("the log never has %q:\n%s", pattern, r.log.String())
+			r.t.Fatalf("log has no match of %q:\n%s", pattern, r.log.String())
 		}
 	}
 }
 
-// get sends a request with fields, in pairs of name and value, and returns the status of its answer.
-func (r *runTest) get(path string, fields ...string) int {
+// get sends a GET request with header fields, given as pairs of name and value, and returns the response's status.
+func (r *instanceTest) get(path string, fields ...string) int {
 	r.t.Helper()
 	request, err := http.NewRequest("GET", "http://"+r.addr+path, nil)
 	if err != nil {
@@ -123,40 +123,40 @@
 	return resp.StatusCode
 }
 
-// wantStatus checks the status of the answer to a request.
-func (r *runTest) wantStatus(event string, want int, path string, fields ...string) {
+// wantStatus checks the status of the response to a GET request.
+func (r *instanceTest) wantStatus(event string, want int, path string, fields ...string) {
 	r.t.Helper()
 	if got := r.get(path, fields...); got != want {
-		r.t.Errorf("%s: %s is answered %d, want %d", event, path, got, want)
+		r.t.Errorf("%s: GET %s: got status %d, want %d", event, path, got, want)
 	}
 }
 
-// reload has the instance read its description again.
-func (r *runTest) reload() {
+// reload sends SIGHUP to this process, on which the instance reads its description again.
+func (r *instanceTest) reload() {
 	r.t.Helper()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// stop ends the instance as SIGTERM does and checks that it drains.
-func (r *runTest) stop() {
+// stop cancels the instance's context, as SIGTERM does, and checks that the instance drains and ends.
+func (r *instanceTest) stop() {
 	r.t.Helper()
 	http.DefaultClient.CloseIdleConnections()
 	r.interrupt()
 	select {
 	case status := <-r.exit:
 		if status != 0 {
-			r.t.Errorf("exit %d", status)
+			r.t.Errorf("instance: got exit status %d, want 0", status)
 		}
-	case <-time.After(patience):
-		r.t.Error("the instance does not end")
+	case <-time.After(testTimeout):
+		r.t.Error("instance has not ended within testTimeout")
 	}
 	r.awaitLog("msg=drained ")
 }
 
-// An instance that runs from its files takes a new description on SIGHUP, keeps the old one where the new is bad, and
-// drains on SIGTERM.
+// An instance without a cluster installs a changed description on SIGHUP, keeps the installed one if the changed one is
+// invalid, and drains when it is stopped.
 func TestRun(t *testing.T) {
 	booking := string(deploy.Booking)
 	extended := strings.Replace(booking, "paths:\n",
@@ -182,17 +182,17 @@
 	access, err := os.ReadFile(filepath.Join(r.dir, "access.log"))
 	want := `"trace":"logged","operation":"listInstallers","licensee":"bahari-net","version":2,"units":2,"sent":false`
 	if err != nil || !strings.Contains(string(access), want) {
-		t.Errorf("%s %v", access, err)
+		t.Errorf("access log lacks the rejected request: got %s (read error: %v)", access, err)
 	}
 }
 
-// The verdict goes out as JSON, and the exit status says whether every rule was kept. Its keys are recorded as those of
-// TestFixtureBench.
+// The lab command prints the verdict as JSON and exits with 0 if every rule was kept. The keys of the verdict are
+// recorded together with those of TestFixtureBench.
 func TestLab(t *testing.T) {
 	var out, errs bytes.Buffer
 	args := []string{"lab", "--for", "2s", "--seed", "3", "--json"}
 	if s := runProgram(context.Background(), args, &out, &errs); s != 0 {
-		t.Errorf("exit %d: %s", s, errs.String())
+		t.Errorf("lab: got exit status %d, want 0: %s", s, errs.String())
 	}
 	compareShape(t, "result-lab.txt", out.Bytes())
 	var v map[string]any
@@ -204,13 +204,13 @@
 		"units_counted", "duplicates", "unanswered", "figures",
 	} {
 		if _, ok := v[name]; !ok {
-			t.Errorf("%s is missing", name)
+			t.Errorf("verdict lacks the key %s", name)
 		}
 	}
 	if v["units_counted"] != v["units_declared"] || v["served"].(float64) == 0 {
-		t.Errorf("%v", v)
+		t.Errorf("verdict %v: want units_counted equal to units_declared, and served above 0", v)
 	}
 	if !strings.Contains(errs.String(), "calm 1s of 2s") {
-		t.Errorf("progress: %q", errs.String())
+		t.Errorf("progress output: got %q, want a line with the elapsed time", errs.String())
 	}
 }
--- a/cmd/gateway/operators_test.go
+++ b/cmd/gateway/operators_test.go
@@ -15,35 +15,35 @@
 	"mulleinmux/internal/testserver"
 )
 
-// operatorTest is a cluster of three members that run in this process, and an operator with a certificate.
+// operatorTest is a cluster of three members that run in this process, and an operator who has a certificate.
 type operatorTest struct {
-	t       *testing.T
-	dir     string
-	certs   string
-	admins  []string // addresses of the members for operators
-	listens []string // addresses of the members for requests
+	t           *testing.T
+	dir         string
+	certs       string
+	adminAddrs  []string // addresses of the members for operators
+	listenAddrs []string // addresses of the members for requests
 }
 
-// must runs a command that has to exit with a status, and returns what it printed on both outputs.
-func (o *operatorTest) must(status int, args ...string) string {
+// mustRun runs a command, checks its exit status, and returns its standard output followed by its standard error.
+func (o *operatorTest) mustRun(status int, args ...string) string {
 	o.t.Helper()
 	var out, errs bytes.Buffer
 	if got := runProgram(context.Background(), args, &out, &errs); got != status {
-		o.t.Fatalf("%v: exit %d, want %d: %s%s", args, got, status, out.String(), errs.String())
+		o.t.Fatalf("%v: got exit status %d, want %d; output:\n%s%s", args, got, status, out.String(), errs.String())
 	}
 	return out.String() + errs.String()
 }
 
-// configArgs returns the command line of gateway config with args.
+// configArgs returns the command line of gateway config with the operator's flags and args.
 func (o *operatorTest) configArgs(args ...string) []string {
-	at := []string{"config", "--certs", o.certs, "--operator", "amina", "--at", strings.Join(o.admins, ",")}
+	at := []string{"config", "--certs", o.certs, "--operator", "amina", "--at", strings.Join(o.adminAddrs, ",")}
 	return append(at, args...)
 }
 
-// mustConfig runs gateway config as must.
+// mustConfig runs gateway config with args like mustRun.
 func (o *operatorTest) mustConfig(status int, args ...string) string {
 	o.t.Helper()
-	return o.must(status, o.configArgs(args...)...)
+	return o.mustRun(status, o.configArgs(args...)...)
 }
 
 func freeAddr(t *testing.T) string {
@@ -55,23 +55,23 @@
 	return addr
 }
 
-// writeMemberFiles writes the files of the members, which all have the same free addresses in place of the example's.
+// writeMemberFiles writes the files of the members, with free addresses in place of those in the example.
 func (o *operatorTest) writeMemberFiles() (files []string) {
 	o.t.Helper()
 	var pairs []string
 	for i := 1; i <= 3; i++ {
-		o.admins = append(o.admins, freeAddr(o.t))
+		o.adminAddrs = append(o.adminAddrs, freeAddr(o.t))
 		pairs = append(pairs, fmt.Sprintf("127.0.0.1:710%d", i), freeAddr(o.t))
-		pairs = append(pairs, fmt.Sprintf("127.0.0.1:720%d", i), o.admins[i-1])
+		pairs = append(pairs, fmt.Sprintf("127.0.0.1:720%d", i), o.adminAddrs[i-1])
 		pairs = append(pairs, fmt.Sprintf("127.0.0.1:794%d", i+5), freeAddr(o.t))
-		o.listens = append(o.listens, freeAddr(o.t))
+		o.listenAddrs = append(o.listenAddrs, freeAddr(o.t))
 	}
 	swap := strings.NewReplacer(pairs...)
 	for i := 1; i <= 3; i++ {
 		text := swap.Replace(string(deploy.Member))
 		udp := []string{"127.0.0.1:7946", "127.0.0.1:7947", "127.0.0.1:7948"}[i-1]
 		for old, to := range map[string]string{
-			`listen = "127.0.0.1:8081"`: fmt.Sprintf("listen = %q", o.listens[i-1]),
+			`listen = "127.0.0.1:8081"`: fmt.Sprintf("listen = %q", o.listenAddrs[i-1]),
 			"number = 1 ":               fmt.Sprintf("number = %d ", i),
 			"instance = 0":              fmt.Sprintf("instance = %d", i-1),
 			"member-1.db":               fmt.Sprintf("member-%d.db", i),
@@ -79,17 +79,17 @@
 				fmt.Sprintf("%q", swap.Replace(udp)),
 		} {
 			if !strings.Contains(text, old) {
-				o.t.Fatalf("the example lacks %q", old)
+				o.t.Fatalf("the example of a member's file does not contain %q", old)
 			}
 			text = strings.Replace(text, old, to, 1)
 		}
-		files = append(files, file(o.t, o.dir, fmt.Sprintf("member-%d.toml", i), text))
+		files = append(files, writeFile(o.t, o.dir, fmt.Sprintf("member-%d.toml", i), text))
 	}
 	return files
 }
 
-// startMembers makes the members' data files and runs the members until the returned function is called, which waits
-// for their ends.
+// startMembers creates the members' data files and starts the members. The returned function stops them and waits until
+// they have ended.
 func (o *operatorTest) startMembers(files []string) (stop func()) {
 	o.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -98,23 +98,23 @@
 		cancel()
 		running.Wait()
 	}
-	o.t.Cleanup(stop) // also where a later file makes the test fail
+	o.t.Cleanup(stop) // also if the test fails at a later file
 	for i, config := range files {
-		o.must(0, "init", "--config", config, "--new-cluster")
+		o.mustRun(0, "init", "--config", config, "--new-cluster")
 		running.Go(func() {
 			var errs testserver.Log
 			if status := runProgram(ctx, []string{"run", "--config", config}, &errs, &errs); status != 0 {
-				o.t.Errorf("member %d: exit %d: %s", i+1, status, errs.String())
+				o.t.Errorf("member %d: got exit status %d, want 0: %s", i+1, status, errs.String())
 			}
 		})
 	}
 	return stop
 }
 
-// awaitAnswer waits until the members answer operators.
+// awaitAnswer waits until the members respond to operators' requests.
 func (o *operatorTest) awaitAnswer() {
 	o.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
 		var out, errs bytes.Buffer
 		if runProgram(context.Background(), o.configArgs("get"), &out, &errs) == 0 {
 			return
@@ -128,8 +128,8 @@
 // awaitReady waits until all members are ready to serve requests.
 func (o *operatorTest) awaitReady() {
 	o.t.Helper()
-	for _, at := range o.listens {
-		for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for _, at := range o.listenAddrs {
+		for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 			resp, err := http.Get("http://" + at + "/health/ready")
 			if err == nil {
 				resp.Body.Close()
@@ -144,27 +144,27 @@
 	}
 }
 
-// The operators' page from its beginning to a change: certificates, files, instances, a first
-// configuration, a diff, a change that all have, the history, a backup and its return.
+// An operator sets up a cluster and changes its configuration: certificates, members' files and data files, a first
+// configuration, a diff, a change that all instances install, the history, and a backup that is applied again.
 func TestOperators(t *testing.T) {
 	dir := t.TempDir()
 	o := &operatorTest{t: t, dir: dir, certs: filepath.Join(dir, "certs")}
-	o.must(0, "certs", "--cluster", "dodoma", "--members", "1,2,3", "--operators", "amina", "--dir", o.certs)
+	o.mustRun(0, "certs", "--cluster", "dodoma", "--members", "1,2,3", "--operators", "amina", "--dir", o.certs)
 	defer o.startMembers(o.writeMemberFiles())()
 	o.awaitAnswer()
 	o.applyFirst()
 	o.awaitReady()
-	backup := file(t, dir, "backup.json", o.mustConfig(0, "--json", "get"))
+	backup := writeFile(t, dir, "backup.json", o.mustConfig(0, "--json", "get"))
 	o.applySecond()
 	o.applyBackup(backup)
 	o.rejectMistakes()
 }
 
-// applyFirst has the members agree on a first configuration.
+// applyFirst applies a first configuration.
 func (o *operatorTest) applyFirst() {
 	o.t.Helper()
-	file(o.t, o.dir, "booking.yaml", string(deploy.Booking))
-	first := file(o.t, o.dir, "fleet.toml", string(deploy.Fleet))
+	writeFile(o.t, o.dir, "booking.yaml", string(deploy.Booking))
+	first := writeFile(o.t, o.dir, "fleet.toml", string(deploy.Fleet))
 	got := o.mustConfig(1, "diff", first)
 	if !strings.Contains(got, "against version 0") || !strings.Contains(got, "+ plan kubwa") {
 		o.t.Error(got)
@@ -177,11 +177,11 @@
 	o.mustConfig(0, "diff", first)
 }
 
-// applySecond changes a plan.
+// applySecond applies a configuration in which one plan differs.
 func (o *operatorTest) applySecond() {
 	o.t.Helper()
 	text := strings.Replace(string(deploy.Fleet), "rate = 18", "rate = 19", 1)
-	second := file(o.t, o.dir, "fleet2.toml", text)
+	second := writeFile(o.t, o.dir, "fleet2.toml", text)
 	got := o.mustConfig(1, "diff", second)
 	if strings.Count(got, "plan kubwa") != 2 || !strings.Contains(got, "1 changes") {
 		o.t.Error(got)
@@ -194,12 +194,12 @@
 	got = o.mustConfig(0, "history")
 	for _, want := range []string{"amina", "new tariff", "put plan kubwa"} {
 		if !strings.Contains(got, want) {
-			o.t.Errorf("%q is not in %s", want, got)
+			o.t.Errorf("history lacks %q: got %s", want, got)
 		}
 	}
 }
 
-// applyBackup has the members agree on a backup of the first configuration again.
+// applyBackup applies a backup of the first configuration.
 func (o *operatorTest) applyBackup(backup string) {
 	o.t.Helper()
 	o.mustConfig(0, "apply", backup, "--why", "back", "--wait", "applied-everywhere")
@@ -211,11 +211,11 @@
 	}
 }
 
-// rejectMistakes makes mistakes that the program or the members have to reject.
+// rejectMistakes runs commands that the program or the members must reject.
 func (o *operatorTest) rejectMistakes() {
 	o.t.Helper()
 	o.mustConfig(1, "get", "plan", "none")
 	o.mustConfig(2, "members", "remove", "9")
 	text := strings.Replace(string(deploy.Fleet), "rate = 18", "rate = -1", 1)
-	o.mustConfig(2, "apply", file(o.t, o.dir, "bad.toml", text))
+	o.mustConfig(2, "apply", writeFile(o.t, o.dir, "bad.toml", text))
 }
--- a/cmd/gateway/program_test.go
+++ b/cmd/gateway/program_test.go
@@ -10,11 +10,11 @@
 	"syscall"
 )
 
-// programVariable names the environment variable with the path of another build of the program, which then carries out
-// the command lines of [runProgram]: fixtures are recorded from an older one by it.
+// programVariable names the environment variable with the path of another build of the program, which [runProgram] then
+// executes. Fixtures are recorded from an older build in this way.
 const programVariable = "MULLEINMUX_PROGRAM"
 
-// runProgram carries out a command line as [run] does.
+// runProgram executes a command line like [run], or with the program that programVariable names.
 func runProgram(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	path := os.Getenv(programVariable)
 	if path == "" {
@@ -23,7 +23,7 @@
 	cmd := exec.CommandContext(ctx, path, args...)
 	cmd.Stdout, cmd.Stderr = stdout, stderr
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
-	cmd.WaitDelay = patience
+	cmd.WaitDelay = testTimeout
 	err := cmd.Run()
 	if cmd.ProcessState == nil {
 		fmt.Fprintln(stderr, err)
--- a/cmd/gateway/run.go
+++ b/cmd/gateway/run.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// openLog opens the file that a field of the instance's file names, to write behind what it holds.
+// openLog opens for appending the log that a field of the instance's file names.
 func (c *runCmd) openLog(field, name string) (*os.File, error) {
 	out, err := os.OpenFile(resolvePath(c.Config, name), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return out, nil
 }
 
-// runStandalone runs an instance with a description of its own, which SIGHUP has it read again.
+// runStandalone runs an instance without a cluster. On SIGHUP it reads its description again.
 func (c *runCmd) runStandalone(e *environment, f *gatewayconfig.File, logger *slog.Logger) error {
 	cfg := &f.Config
 	description := resolvePath(c.Config, f.Description)
@@ -111,7 +111,7 @@
 	}
 }
 
-// reloadDescription reads the description again and installs it as a version; it returns the count of operations.
+// reloadDescription reads the description again and installs it as a version. It returns the number of operations.
 func reloadDescription(in *gateway.Instance, file string, cfg *gateway.Config, version uint64) (int, error) {
 	table, check, err := loadDescription(file, cfg)
 	if err != nil {
@@ -160,18 +160,19 @@
 
 // runFollower runs an instance that follows the configuration stream of a cluster's members.
 func (c *runCmd) runFollower(e *environment, f *gatewayconfig.File, logger *slog.Logger) error {
-	k := f.Follower
-	creds, err := raftnode.LoadCredentialFiles(resolvePath(c.Config, k.CertDir), raftnode.FollowerFilePrefix(k.Name))
+	follower := f.Follower
+	creds, err := raftnode.LoadCredentialFiles(resolvePath(c.Config, follower.CertDir),
+		raftnode.FollowerFilePrefix(follower.Name))
 	if err != nil {
-		return usageError{fmt.Errorf("follow.certs: %w (made by gateway certs --followers %s)", err, k.Name)}
+		return usageError{fmt.Errorf("follow.certs: %w (made by gateway certs --followers %s)", err, follower.Name)}
 	}
 	cfg := &cluster.FollowerConfig{
-		Cluster:             k.Cluster,
-		Name:                k.Name,
-		DataFile:            resolvePath(c.Config, k.DataFile),
+		Cluster:             follower.Cluster,
+		Name:                follower.Name,
+		DataFile:            resolvePath(c.Config, follower.DataFile),
 		Credentials:         creds,
-		MemberStreamAddrs:   k.MemberStreamAddrs,
-		DisableKeyOwnership: k.DisableKeyOwnership,
+		MemberStreamAddrs:   follower.MemberStreamAddrs,
+		DisableKeyOwnership: follower.DisableKeyOwnership,
 	}
 	err = cluster.RunFollower(e.ctx, cfg, &f.Config, logger, func(*cluster.Follower) {})
 	if errors.Is(err, cluster.ErrInvalidFollowerFile) {
--- a/cmd/gateway/stream.go
+++ b/cmd/gateway/stream.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// streamCmd shows how the followers of the configuration stream stand, and pins them to versions.
+// streamCmd shows the status of the followers of the configuration stream, and pins them to versions.
 type streamCmd struct {
 	clusterFlags
 	Status  streamStatusCmd  `cmd:"" help:"Show which version each follower runs. Example: gateway stream status --watch"`
@@ -13,7 +13,7 @@
 	Explain streamExplainCmd `cmd:"" help:"Show why a follower does not run the newest version. Example: gateway stream explain edge-7"`
 }
 
-// unknownFollowerError returns the error for a follower that is not agreed on.
+// unknownFollowerError returns the error for a follower that the agreed configuration lacks.
 func unknownFollowerError(name string) error {
 	return fmt.Errorf("no follower is called %q: those agreed on are in gateway config get follower", name)
 }
--- a/cmd/gateway/stream_pin.go
+++ b/cmd/gateway/stream_pin.go
@@ -7,14 +7,14 @@
 	"mulleinmux/clusterconfig"
 )
 
-// streamPinCmd has a follower stay at a version.
+// streamPinCmd pins a follower to a version.
 type streamPinCmd struct {
 	Follower string `arg:"" help:"Its name."`
 	Version  uint64 `arg:"" help:"The version."`
 	Why      string `help:"Why, for the history."`
 }
 
-// streamUnpinCmd has a follower take the newest version again.
+// streamUnpinCmd removes a follower's pin, so that it takes the newest version again.
 type streamUnpinCmd struct {
 	Follower string `arg:"" help:"Its name."`
 	Why      string `help:"Why, for the history."`
@@ -31,11 +31,11 @@
 	return sc.pin(e, c.Follower, noPinnedVersion, c.Why)
 }
 
-// noPinnedVersion is the pinned version of a follower that takes the newest.
+// noPinnedVersion is the pinned version of a follower that takes the newest version.
 const noPinnedVersion = 0
 
-// pin has the instances agree on the version that a follower stays at.
-func (sc *streamCmd) pin(e *environment, name string, version uint64, why string) error {
+// pin proposes the version that a follower is pinned to.
+func (sc *streamCmd) pin(e *environment, name string, version uint64, reason string) error {
 	setVersion := func(follower *clusterconfig.Follower, newest uint64, exists bool) (string, error) {
 		switch {
 		case !exists:
@@ -46,5 +46,5 @@
 		follower.PinnedVersion = version
 		return fmt.Sprintf("%s is pinned to %d (0: to none)", name, version), nil
 	}
-	return updateObject(&sc.clusterFlags, e, clusterconfig.KindFollower, name, why, setVersion)
+	return updateObject(&sc.clusterFlags, e, clusterconfig.KindFollower, name, reason, setVersion)
 }
--- a/cmd/gateway/stream_status.go
+++ b/cmd/gateway/stream_status.go
@@ -16,7 +16,7 @@
 	Every time.Duration `help:"How often." default:"1s"`
 }
 
-// minWatchInterval is the least time between two statuses of a watch.
+// minWatchInterval is the lower bound of --every.
 const minWatchInterval = 100 * time.Millisecond
 
 func (c *streamStatusCmd) Run(e *environment, sc *streamCmd) error {
@@ -40,7 +40,7 @@
 	return showResult(&sc.clusterFlags, e, request, printFollowers)
 }
 
-// printFollowers prints the status of each follower for people, a line each.
+// printFollowers prints the status of each follower as text, one line each.
 func printFollowers(out io.Writer, list cluster.FollowerList) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "newest version %d, by member %d\nfollower\tmember\tstands\n", list.NewestVersion, list.MemberID)
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,10 +1,9 @@
-// Package deploy holds the operators' files that programs of this repository have as
-// embedded defaults.
+// Package deploy embeds the example files for operators that programs of this repository use as defaults.
 package deploy
 
 import _ "embed"
 
-// Booking is the example description, booking.yaml.
+// Booking is the example of an OpenAPI description, booking.yaml.
 //
 //go:embed booking.yaml
 var Booking []byte
@@ -14,12 +13,12 @@
 //go:embed gateway.toml
 var Gateway []byte
 
-// Member is the example of the file of an instance in a cluster, member.toml.
+// Member is the example of the file of an instance that is a member of a cluster, member.toml.
 //
 //go:embed member.toml
 var Member []byte
 
-// Fleet is the example of what instances agree on, fleet.toml.
+// Fleet is the example of the configuration that a cluster's members agree on, fleet.toml.
 //
 //go:embed fleet.toml
 var Fleet []byte
--- a/internal/gatewayconfig/agreed.go
+++ b/internal/gatewayconfig/agreed.go
@@ -9,7 +9,7 @@
 	"mulleinmux/routing"
 )
 
-// Bounds of values, to find slips.
+// Upper bounds of values, which catch typing errors.
 const (
 	maxUnits          = 1_000_000 // of a request
 	maxPriorityWeight = 1e9
@@ -18,7 +18,7 @@
 
 func (p *parser) requireDescription(form *agreedForm) {
 	if form.Description == "" {
-		p.addProblem("description", "is missing: the file name of an OpenAPI description")
+		p.addProblem("description", "is missing: set it to the file name of an OpenAPI description")
 	}
 }
 
@@ -27,7 +27,7 @@
 	for i, s := range form.Sites {
 		section := fmt.Sprintf("%s[%d]", fieldSite, i)
 		if s.Name == "" || names[s.Name] || strings.Contains(s.Name, "/") {
-			p.addProblem(section+".name", "%q is empty, stands twice or has a slash", s.Name)
+			p.addProblem(section+".name", "%q is empty, used twice or contains a slash", s.Name)
 		}
 		names[s.Name] = true
 		site := gateway.Site{Name: s.Name, Discovery: p.address(section+"."+fieldDiscovery, s.Register)}
@@ -45,17 +45,17 @@
 	names := map[string]bool{}
 	for i, c := range form.Classes {
 		section := fmt.Sprintf("class[%d]", i)
-		switch { // comparisons that are negated as a whole are true of NaN
+		switch { // the comparisons are negated as a whole, so that NaN is rejected
 		case c.Name == "" || names[c.Name]:
-			p.addProblem(section+".name", "%q is empty or stands twice", c.Name)
+			p.addProblem(section+".name", "%q is empty or used twice", c.Name)
 		case !(c.Worth > 0 && c.Worth < maxPriorityWeight):
-			p.addProblem(section+"."+fieldPriorityWeight, "%v is not above 0", c.Worth)
+			p.addProblem(section+"."+fieldPriorityWeight, "%v is not above 0 and below 1e9", c.Worth)
 		case !(c.Late >= 0 && c.Late <= 1):
 			p.addProblem(section+"."+fieldLateFraction, "%v is outside 0 to 1", c.Late)
 		case c.Aim.d <= 0 || c.Deadline.d <= 0:
 			p.addProblem(section+".deadline", textNoDeadline)
 		case c.Aim.d > c.Deadline.d:
-			p.addProblem(section+"."+fieldLatencyObjective, "%v is past the deadline %v", c.Aim.d, c.Deadline.d)
+			p.addProblem(section+"."+fieldLatencyObjective, "%v is longer than the deadline %v", c.Aim.d, c.Deadline.d)
 		}
 		names[c.Name] = true
 		cfg.Classes = append(cfg.Classes, routing.Class{
@@ -74,7 +74,7 @@
 		plan := &form.Plans[i]
 		section := fmt.Sprintf("plan[%d]", i)
 		if plan.Name == "" || names[plan.Name] {
-			p.addProblem(section+".name", "%q is empty or stands twice", plan.Name)
+			p.addProblem(section+".name", "%q is empty or used twice", plan.Name)
 		}
 		names[plan.Name] = true
 		p.checkPlan(section, plan)
@@ -108,19 +108,19 @@
 		{fieldOverQuotaCost, plan.OverCost},
 		{fieldMaxInFlight, float64(plan.Open)},
 	} {
-		if !(f.value >= 0 && f.value < maxPlanValue) { // so that NaN is out of range
+		if !(f.value >= 0 && f.value < maxPlanValue) { // negated, so that NaN is out of range
 			p.addProblem(section+"."+f.name, "%v is out of range", f.value)
 		}
 	}
 	if plan.Rate > 0 && plan.Burst <= 0 {
-		p.addProblem(section+".burst", "a rate needs a burst, or nothing is ever inside the quota")
+		p.addProblem(section+".burst", "must be above 0 if rate is set: without a burst no request is within the quota")
 	}
 	if plan.CeilingRate > 0 && (plan.CeilingBurst <= 0 || plan.CeilingRate < plan.Rate) {
 		p.addProblem(section+"."+fieldHardLimitRate, textHardLimit)
 	}
 }
 
-// licensees reads the licensees, each of which has a plan of the same file.
+// licensees reads the licensees and checks that each names a plan of the same file.
 func (p *parser) licensees(form *agreedForm, cfg *gateway.Config) {
 	plans := map[string]bool{}
 	for i := range form.Plans {
@@ -130,7 +130,7 @@
 	for i, l := range form.Licensees {
 		section := fmt.Sprintf("licensee[%d]", i)
 		if _, exists := cfg.Licensees[l.Name]; l.Name == "" || exists {
-			p.addProblem(section+".name", "%q is empty or stands twice", l.Name)
+			p.addProblem(section+".name", "%q is empty or used twice", l.Name)
 		}
 		if !plans[l.Plan] {
 			p.addProblem(section+".plan", "%q is no [[plan]] of this file", l.Plan)
--- a/internal/gatewayconfig/cluster_file.go
+++ b/internal/gatewayconfig/cluster_file.go
@@ -11,20 +11,21 @@
 
 const maxObjectNameBytes = 200
 
-// ClusterFile is the file of what a cluster's members agree on: sites, classes, plans and licensees in the form that
-// they have in an instance's file, the followers, and the file name of a description.
+// ClusterFile is the parsed file of the configuration that a cluster's members agree on: sites, classes, plans and
+// licensees, each written as in an instance's file, the followers, and the file name of an OpenAPI description.
 type ClusterFile struct {
 	Description string                                // file name, as written
 	Objects     map[string]map[string]json.RawMessage // by kind and name, without the description
 }
 
-// ClusterFileKinds are the kinds of objects of which such a file names all.
+// ClusterFileKinds are the kinds of objects that a cluster's file lists completely: an agreed object of such a kind is
+// to be removed if the file lacks it.
 var ClusterFileKinds = []string{
 	clusterconfig.KindClass, clusterconfig.KindDescription, clusterconfig.KindFollower, clusterconfig.KindSite,
 	clusterconfig.KindLicensee, clusterconfig.KindLimit, clusterconfig.KindPlan,
 }
 
-// ParseClusterFile reads the text of a cluster's file. The error is [routing.Problems].
+// ParseClusterFile parses the text of a cluster's file. The error is [routing.Problems].
 func ParseClusterFile(file string, text []byte) (*ClusterFile, error) {
 	p := &parser{file: file, text: text}
 	var form clusterForm
@@ -48,17 +49,17 @@
 	return &ClusterFile{Description: form.Description, Objects: objects.objects}, nil
 }
 
-// objectSet collects a file's objects, and problems with their names.
+// objectSet collects the objects of a cluster's file. It adds a problem to the parser for each invalid name.
 type objectSet struct {
 	parser  *parser
 	objects map[string]map[string]json.RawMessage
 }
 
-// add adds an object of a kind.
+// add adds an object, or a problem if its name is invalid.
 func (s *objectSet) add(kind, name string, object any) {
 	text, err := json.Marshal(object)
 	if err != nil || strings.ContainsAny(name, "/\n\x00") || len(name) > maxObjectNameBytes {
-		s.parser.addProblem(kind, "%q can't be a name", name)
+		s.parser.addProblem(kind, "%q is not a valid name: use at most 200 bytes without slash, newline and NUL", name)
 		return
 	}
 	if s.objects[kind] == nil {
@@ -67,7 +68,7 @@
 	s.objects[kind][name] = text
 }
 
-// addAll adds the objects of a file whose sites, classes, plans and licensees were read into cfg.
+// addAll adds all objects of a form, whose sites, classes, plans and licensees have already been read into cfg.
 func (s *objectSet) addAll(form *clusterForm, cfg *gateway.Config) {
 	for i, site := range cfg.Sites {
 		s.add(clusterconfig.KindSite, site.Name, clusterconfig.Site{
@@ -108,7 +109,7 @@
 func (s *objectSet) addFollowers(followers []clusterFollowerForm) {
 	for i, f := range followers {
 		if _, exists := s.objects[clusterconfig.KindFollower][f.Name]; f.Name == "" || exists {
-			s.parser.addProblem(fmt.Sprintf("follower[%d].name", i), "%q is empty or stands twice", f.Name)
+			s.parser.addProblem(fmt.Sprintf("follower[%d].name", i), "%q is empty or used twice", f.Name)
 			continue
 		}
 		s.add(clusterconfig.KindFollower, f.Name, clusterconfig.Follower{Note: f.Note, PinnedVersion: f.Pin})
--- a/internal/gatewayconfig/fields.go
+++ b/internal/gatewayconfig/fields.go
@@ -1,7 +1,7 @@
 package gatewayconfig
 
-// Fields of the files whose names are older words than the code's, by the code's terms. Tags of the forms have the same
-// names; problems name fields by these. None may be renamed.
+// Names of fields in the files that differ from the code's terms. The tags of the forms have the same names, and
+// problems are reported under them, so none may be renamed.
 const (
 	fieldSite             = "hall"
 	fieldDiscovery        = "register"
@@ -23,21 +23,21 @@
 	fieldRelayMaxInFlight = "most"
 )
 
-// Texts of problems that use such words.
+// Texts of problems that contain these field names.
 const (
-	textNoSite        = "none is described: add a [[hall]] with name and register"
-	textNoClass       = "none is described: add a [[class]] with name, worth, aim and deadline"
-	textNoDeadline    = "aim and deadline are wanted"
-	textHardLimit     = "a ceiling needs a burst and lies above the rate"
-	textZoneNoSite    = "%q is no hall's name"
-	textZoneMissing   = "is missing: the hall of this instance's own site"
-	textNotRemoteSite = "%q is no hall of another site"
+	textNoSite        = "no site is described: add a [[hall]] with name and register"
+	textNoClass       = "no class is described: add a [[class]] with name, worth, aim and deadline"
+	textNoDeadline    = "aim and deadline must both be set, above 0"
+	textHardLimit     = "must not be below rate, and ceiling_burst must be above 0"
+	textZoneNoSite    = "%q is not the name of a [[hall]] in this file"
+	textZoneMissing   = "is missing: set it to the name of this instance's own hall"
+	textNotRemoteSite = "%q is empty or this instance's own hall: name a hall of another site"
 )
 
-// textUnknownValue is the problem of a field that has one of two values.
+// textUnknownValue is the text of the problem of a field that accepts only two values.
 const textUnknownValue = "%q is unknown: %q or %q is wanted"
 
-// Values of the field when_stale.
+// Values of the field when_stale: an instance whose configuration is stale continues to serve, or rejects requests.
 const (
 	whenStaleServe  = "serve"
 	whenStaleReject = "refuse"
--- a/internal/gatewayconfig/form.go
+++ b/internal/gatewayconfig/form.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// duration is a duration with its unit. It is a struct so that a bare number is no duration.
+// duration is a duration that is written with its unit. It is a struct, so that a bare number is rejected.
 type duration struct{ d time.Duration }
 
 // UnmarshalText reads a text such as "400ms".
 func (d *duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil || parsed < 0 {
-		return fmt.Errorf("%q is no duration: write it with a unit, such as \"400ms\"", text)
+		return fmt.Errorf("%q is not a valid duration: write it from 0 up with a unit, such as \"400ms\"", text)
 	}
 	d.d = parsed
 	return nil
 }
 
-// The names of the forms and of their fields stand in errors of the TOML library, so they keep older words, as the tags
-// do. They are read into types with the code's terms.
+// Errors of the TOML library contain the Go names of the forms and of their fields. These names therefore stay as they
+// are, as the tags do, even where the code has other terms. The forms are converted into types with the code's terms.
 
 // instanceForm is the form of an instance's file.
 type instanceForm struct {
@@ -122,7 +122,7 @@
 	Pin  uint64 `toml:"pin"`
 }
 
-// agreedForm is what stands in a cluster's file or, without a cluster, in an instance's.
+// agreedForm holds the fields that belong in a cluster's file or, without a cluster, in an instance's own file.
 type agreedForm struct {
 	Description string         `toml:"description"`
 	Sites       []siteForm     `toml:"hall"`
--- a/internal/gatewayconfig/instance.go
+++ b/internal/gatewayconfig/instance.go
@@ -9,7 +9,7 @@
 	"mulleinmux/policy"
 )
 
-// Values that the file does not set.
+// Defaults of fields that a file may omit, and settings that no field changes.
 const (
 	defaultMaxRetryAfter   = 2 * time.Second
 	defaultGossipInboxRate = 40
@@ -20,13 +20,13 @@
 	wastedWorkPrice        = 0.05
 )
 
-// instance checks an instance's file and turns it into the instance's configuration.
+// instance checks the form of an instance's file and converts it into the instance's configuration.
 func (p *parser) instance(form *instanceForm) *File {
 	out := &File{Description: form.Description, AccessLog: form.AccessLog, TraceLog: form.TraceLog}
 	cfg := &out.Config
 	cfg.Name, cfg.Seed = form.Name, form.Seed
 	if cfg.Name == "" {
-		p.addProblem("name", "is missing")
+		p.addProblem("name", "is missing: set it to the name of this instance")
 	}
 	cfg.Listen = p.address("listen", form.Listen)
 	switch form.Validate {
@@ -41,7 +41,7 @@
 	setLimits(form, cfg)
 	cfg.Settings = settingsOf(form, peerCount)
 	if form.Cluster != nil && form.Follow != nil {
-		p.addProblem("follow", "a member of a cluster follows none: cluster or follow is wanted")
+		p.addProblem("follow", "conflicts with cluster: an instance is a member or a follower; remove one section")
 	}
 	switch {
 	case form.Cluster != nil:
@@ -56,7 +56,7 @@
 	return out
 }
 
-// agreedConfig reads the rest of the file of an instance without a cluster.
+// agreedConfig reads the fields that only an instance without a cluster has in its own file.
 func (p *parser) agreedConfig(form *instanceForm, cfg *gateway.Config) {
 	p.requireDescription(&form.agreedForm)
 	p.sites(&form.agreedForm, cfg)
@@ -69,11 +69,11 @@
 	p.licensees(&form.agreedForm, cfg)
 }
 
-// peers reads the instances that gossip with each other, and returns how many they are, at least 1.
+// peers reads the addresses of the instances that gossip with each other, and returns their number, at least 1.
 func (p *parser) peers(form *instanceForm, cfg *gateway.Config) (count int) {
 	count = max(len(form.Peers), 1)
 	if form.Instance < 0 || form.Instance >= count {
-		p.addProblem("instance", "%d is no number of %d peers, counted from 0", form.Instance, count)
+		p.addProblem("instance", "%d is not an index of the %d peers, counted from 0", form.Instance, count)
 	}
 	for i, peer := range form.Peers {
 		cfg.Peers = append(cfg.Peers, p.address(fmt.Sprintf("peers[%d]", i), peer))
@@ -99,7 +99,7 @@
 		{"servers.cold_from", servers.ColdFrom, 0, 1},
 		{"servers.fall_multiple", servers.FallMultiple, 0, 1000},
 	} {
-		if !(f.value >= f.min && f.value <= f.max) { // so that NaN is outside
+		if !(f.value >= f.min && f.value <= f.max) { // negated, so that NaN is outside
 			p.addProblem(f.name, "%v is outside %v to %v", f.value, f.min, f.max)
 		}
 	}
@@ -113,7 +113,7 @@
 	cfg.DrainTimeout = limits.DrainFor.d
 }
 
-// settingsOf returns the policy's settings, without the plans.
+// settingsOf returns the settings of the policy without its plans.
 func settingsOf(form *instanceForm, peerCount int) policy.Settings {
 	limits, servers := &form.Limits, &form.Servers
 	settings := policy.Settings{
--- a/internal/gatewayconfig/link_test.go
+++ b/internal/gatewayconfig/link_test.go
@@ -17,12 +17,12 @@
 address = "127.0.0.1:7302"
 `
 
-// parseWithLink parses a member's file with a link section.
+// parseWithLink parses the example of a member's file with a section cluster.link appended.
 func parseWithLink(section string) (*File, error) {
 	return Parse("member.toml", slices.Concat(deploy.Member, []byte(section)))
 }
 
-// The link's settings are read.
+// The section cluster.link is converted into the relay configuration.
 func TestLink(t *testing.T) {
 	f, err := parseWithLink(linkSection)
 	if err != nil {
@@ -31,11 +31,11 @@
 	link := f.Config.Relay
 	if link == nil || link.Own[0] != "hall-a" || link.Remote["hall-b"][0].Member != 2 ||
 		link.Remote["hall-b"][0].Addr.Port() != 7302 {
-		t.Errorf("%+v", link)
+		t.Errorf("relay configuration: got %+v, want own site hall-a and member 2 of hall-b at port 7302", link)
 	}
 }
 
-// Each setting of the link that can't be is named.
+// A problem names the invalid field of the section cluster.link.
 func TestLinkProblems(t *testing.T) {
 	farTables := linkSection[strings.Index(linkSection, "[[cluster.link.far"):]
 	for _, test := range []struct{ field, old, new string }{
--- a/internal/gatewayconfig/membership.go
+++ b/internal/gatewayconfig/membership.go
@@ -17,7 +17,8 @@
 	maxRelayInFlight = 1 << 16 // relayed requests at once
 )
 
-// rejectAgreedFields adds a problem for what the members of a cluster agree on and thus stands in the cluster's file.
+// rejectAgreedFields adds a problem for each field that belongs in the cluster's file because the members agree on it,
+// and for a missing zone.
 func (p *parser) rejectAgreedFields(form *instanceForm) {
 	for _, f := range []struct {
 		field string
@@ -31,7 +32,7 @@
 		{"limits." + fieldMaxRequestUnits, form.Limits.MaxUnits != 0},
 	} {
 		if f.isSet {
-			p.addProblem(f.field, "is agreed on by the cluster: it belongs into the file of gateway config apply")
+			p.addProblem(f.field, "is agreed on by the cluster: move it to the file of gateway config apply")
 		}
 	}
 	if form.Zone == "" {
@@ -39,7 +40,8 @@
 	}
 }
 
-// staleness reads what an instance does whose configuration has not been confirmed lately.
+// staleness reads how long an instance's configuration may stay unconfirmed until it is stale, and whether the instance
+// then rejects requests.
 func (p *parser) staleness(section string, staleAfter duration, whenStale string) *gateway.Agreement {
 	staleness := &gateway.Agreement{StaleAfter: staleAfter.d}
 	switch whenStale {
@@ -52,7 +54,7 @@
 	return staleness
 }
 
-// disablesKeyOwnership reads whether requests with an idempotency key may go to any site.
+// disablesKeyOwnership reports whether requests with an idempotency key may go to any site.
 func (p *parser) disablesKeyOwnership(section, keys string) bool {
 	if keys != "" && keys != keysToOwner && keys != keysToAny {
 		p.addProblem(section+".keys", textUnknownValue, keys, keysToOwner, keysToAny)
@@ -60,7 +62,7 @@
 	return keys == keysToAny
 }
 
-// follower reads the section of an instance that receives what a cluster agrees on.
+// follower reads the section follow of an instance that receives the configuration that a cluster agrees on.
 func (p *parser) follower(form *instanceForm, out *File) {
 	f := form.Follow
 	cfg := &FollowerConfig{
@@ -74,7 +76,7 @@
 	p.requireValues("follow", namedValue{"cluster", f.Cluster}, namedValue{"name", f.Name},
 		namedValue{"data", f.Data}, namedValue{"certs", f.Certs})
 	if strings.Contains(f.Cluster+f.Name, "/") {
-		p.addProblem("follow.name", "%q or the cluster's has a slash", f.Name)
+		p.addProblem("follow.name", "%q or the name of the cluster contains a slash", f.Name)
 	}
 	for i, m := range f.Members {
 		section := fmt.Sprintf("follow.member[%d]", i)
@@ -83,13 +85,13 @@
 		cfg.MemberStreamAddrs[m.Number] = p.address(section+".stream", m.Stream).String()
 	}
 	if len(f.Members) == 0 {
-		p.addProblem("follow.member", "none is named: add a [[follow.member]] with number and stream")
+		p.addProblem("follow.member", "no member is named: add a [[follow.member]] with number and stream")
 	}
 	out.Config.Agreement = p.staleness("follow", f.StaleAfter, f.WhenStale)
 	cfg.DisableKeyOwnership = p.disablesKeyOwnership("follow", f.Keys)
 }
 
-// member reads the section of an instance that is a member of a cluster.
+// member reads the section cluster of an instance that is a member of a cluster.
 func (p *parser) member(form *instanceForm, out *File) {
 	m := form.Cluster
 	cfg := &MemberConfig{
@@ -102,11 +104,11 @@
 	out.Member = cfg
 	p.requireValues("cluster", namedValue{"name", m.Name}, namedValue{"data", m.Data}, namedValue{"certs", m.Certs})
 	if strings.Contains(m.Name, "/") {
-		p.addProblem("cluster.name", "%q has a slash", m.Name)
+		p.addProblem("cluster.name", "%q contains a slash", m.Name)
 	}
 	cfg.Members = p.memberAddrs(m.Members)
 	if _, isNamed := cfg.Members[m.Number]; !isNamed {
-		p.addProblem("cluster.number", "%d is no [[cluster.member]] of this file", m.Number)
+		p.addProblem("cluster.number", "%d is not the number of a [[cluster.member]] in this file", m.Number)
 	}
 	if m.Tick.d != 0 && (m.Tick.d < minTickInterval || m.Tick.d > maxTickInterval) {
 		p.addProblem("cluster.tick", "%v is outside 1ms to 1s", m.Tick.d)
@@ -117,7 +119,7 @@
 		cfg.StreamListenAddr = p.address("cluster.stream", m.Stream).String()
 	}
 	if m.Link != nil {
-		out.Config.Relay = p.link(m.Link, form.Zone, cfg)
+		out.Config.Relay = p.relay(m.Link, form.Zone, cfg)
 	}
 }
 
@@ -135,16 +137,17 @@
 	return members
 }
 
-// checkMemberNumber adds a problem for a member whose number can't be. isTaken tells that an earlier member has it.
+// checkMemberNumber adds a problem for a member's number that is 0, or that an earlier member has (isTaken).
 func (p *parser) checkMemberNumber(section string, number uint64, isTaken bool) {
 	if number == 0 || isTaken {
-		p.addProblem(section+".number", "%d is 0 or stands twice", number)
+		p.addProblem(section+".number", "%d is 0 or used twice", number)
 	}
 }
 
-// link reads over which members an instance reaches the sites that it does not reach itself.
-func (p *parser) link(form *linkForm, zone string, member *MemberConfig) *gateway.RelayConfig {
-	link := &gateway.RelayConfig{
+// relay reads the section cluster.link: where the instance accepts relayed requests, and through which members it
+// reaches the sites that it does not reach itself.
+func (p *parser) relay(form *linkForm, zone string, member *MemberConfig) *gateway.RelayConfig {
+	relay := &gateway.RelayConfig{
 		Own:         []string{zone},
 		Listen:      p.address(fieldRelay+".listen", form.Listen),
 		MaxInFlight: form.Most,
@@ -155,7 +158,7 @@
 			form.Most, minRelayInFlight, maxRelayInFlight)
 	}
 	if len(form.Far) == 0 {
-		p.addProblem(fieldRelay+"."+fieldRelayPeers, "is missing: at least one instance of another site is wanted")
+		p.addProblem(fieldRelay+"."+fieldRelayPeers, "is missing: add a [[cluster.link.far]] for an instance of another site")
 	}
 	for i, f := range form.Far {
 		section := fmt.Sprintf("%s.%s[%d]", fieldRelay, fieldRelayPeers, i)
@@ -163,14 +166,14 @@
 			p.addProblem(section+"."+fieldSite, textNotRemoteSite, f.Site)
 		}
 		if _, isMember := member.Members[f.Member]; !isMember || f.Member == member.MemberID {
-			p.addProblem(section+".member", "%d is no other [[cluster.member]] of this file", f.Member)
+			p.addProblem(section+".member", "%d is not the number of another [[cluster.member]] in this file", f.Member)
 		}
 		isSame := func(peer gateway.RelayPeer) bool { return peer.Member == f.Member }
-		if slices.ContainsFunc(link.Remote[f.Site], isSame) {
-			p.addProblem(section+".member", "%d stands twice for %s", f.Member, f.Site)
+		if slices.ContainsFunc(relay.Remote[f.Site], isSame) {
+			p.addProblem(section+".member", "%d is used twice for hall %s", f.Member, f.Site)
 		}
 		peer := gateway.RelayPeer{Member: f.Member, Addr: p.address(section+".address", f.Address)}
-		link.Remote[f.Site] = append(link.Remote[f.Site], peer)
+		relay.Remote[f.Site] = append(relay.Remote[f.Site], peer)
 	}
-	return link
+	return relay
 }
--- a/internal/gatewayconfig/parser.go
+++ b/internal/gatewayconfig/parser.go
@@ -13,14 +13,15 @@
 	"mulleinmux/routing"
 )
 
-// parser reads one file and collects its problems. Its methods add a problem for a field and go on.
+// parser parses one file and collects its problems. Its methods add a problem for an invalid field and continue, so
+// that all problems of a file are reported at once.
 type parser struct {
 	file     string
 	text     []byte
 	problems routing.Problems
 }
 
-// decode reads the text into a form. It returns false if the text does not have that form.
+// decode decodes the text into a form. If that fails, it adds problems and returns false.
 func (p *parser) decode(form any) bool {
 	decoder := toml.NewDecoder(bytes.NewReader(p.text))
 	decoder.DisallowUnknownFields()
@@ -31,7 +32,7 @@
 	return true
 }
 
-// addDecodeError adds the library's errors as problems.
+// addDecodeError adds the errors of the TOML library as problems.
 func (p *parser) addDecodeError(err error) {
 	if strict, ok := errors.AsType[*toml.StrictMissingError](err); ok {
 		for _, e := range strict.Errors {
@@ -66,23 +67,23 @@
 	})
 }
 
-// address reads an IP address with a port.
+// address parses an IP address with a port.
 func (p *parser) address(field, value string) netip.AddrPort {
 	addr, err := discovery.ParseAddress(field, value)
 	if err != nil {
-		p.addProblem(field, "%q is no address with a port, such as \"127.0.0.1:8080\"", value)
+		p.addProblem(field, "%q is not an IP address with a port, such as \"127.0.0.1:8080\"", value)
 	}
 	return addr
 }
 
-// namedValue is a field's value by the field's name.
+// namedValue is the name and the value of a field.
 type namedValue struct{ name, value string }
 
 // requireValues adds a problem for each field of a section that has no value.
 func (p *parser) requireValues(section string, fields ...namedValue) {
 	for _, f := range fields {
 		if f.value == "" {
-			p.addProblem(section+"."+f.name, "is missing")
+			p.addProblem(section+"."+f.name, "is missing: a value is required")
 		}
 	}
 }
@@ -107,7 +108,7 @@
 	return path
 }
 
-// lineOf finds a field's line, from 1: that of its key, or else of its table, or else 1.
+// lineOf returns the line of a field, counted from 1: the line of its key, else that of its table, else 1.
 func lineOf(text []byte, field string) int {
 	path := parseFieldPath(field)
 	tableLine, currentTable, currentIndex := 1, "", -1
