--- a/internal/edgeproxy/client_conn.go
+++ b/internal/edgeproxy/client_conn.go
@@ -41,7 +41,7 @@
 	lastReadAt        time.Time         // when data was last received
 	hasUnrecordedData bool              // data was read from the socket and is not yet recorded in head or pipelined
 	head              headRecorder      // of the request being read
-	headReceivedAt    time.Time         // if that was while the previous request was active; else zero
+	headReceivedAt    time.Time         // of the head, if the previous request was still active then; else zero
 	pipelined         pipelinedRequests // data received after the active request
 }
 
--- a/internal/edgeproxy/config.go
+++ b/internal/edgeproxy/config.go
@@ -79,8 +79,8 @@
 		return nil, err
 	}
 	c.reread = func() (*Config, error) {
-		// The environment dates from the start of the process. Its address would hide the one in a file that was
-		// replaced since.
+		// The environment is that of the start of the process: its discovery address would override the one in a file
+		// that has been replaced since.
 		return load(func(name string) string {
 			if name == envDiscovery {
 				return ""
--- a/internal/edgeproxy/discovery_watch.go
+++ b/internal/edgeproxy/discovery_watch.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// firstGeneration returns the generation from which a watch starts, given that of the list that the node has; 0
-// requests the complete list. A local agent sends the complete list at no cost, and may have restarted its generations
-// since.
+// firstGeneration returns the generation from which a watch starts; 0 requests the complete list. lastGeneration is the
+// generation of the list that the node has. A local agent sends the complete list at no cost, and may have restarted
+// its generations since.
 func firstGeneration(isLocalAgent bool, lastGeneration uint64) uint64 {
 	if isLocalAgent {
 		return 0
@@ -50,7 +50,7 @@
 	return lastGeneration
 }
 
-// startWatch starts to watch the endpoint list at addr; lastGeneration is that of the list that the node has.
+// startWatch starts to watch the endpoint list at addr; lastGeneration is the generation of the list that the node has.
 func startWatch(ctx context.Context, n *Node, addr netip.AddrPort, lastGeneration uint64) *discoveryWatch {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &discoveryWatch{addr: addr, isLocal: !n.cfg.Settings.PollsEndpoints, cancel: cancel, done: make(chan struct{})}
--- a/internal/edgeproxy/eviction.go
+++ b/internal/edgeproxy/eviction.go
@@ -8,7 +8,7 @@
 const (
 	silentGrace  = 100 * time.Millisecond // most clients send a request as soon as they have connected
 	idleGrace    = 2 * time.Second        // clients may expect an idle connection to stay open this long
-	readingGrace = 500 * time.Millisecond // of a head, and between two pieces of it
+	readingGrace = 500 * time.Millisecond // since the start of a head, and since its latest piece
 	writtenGrace = 100 * time.Millisecond // for the last response to reach the client
 )
 
--- a/internal/edgeproxy/exchange.go
+++ b/internal/edgeproxy/exchange.go
@@ -144,8 +144,8 @@
 }
 
 // checkBeforeSend is called right before the first byte of an attempt is written. Since the connection was acquired,
-// the client may have disconnected, the attempt's time may have expired (which another goroutine applies to the
-// connection only later), or the server may have begun to drain.
+// the client may have disconnected, the attempt's time may have expired (another goroutine makes the connection's
+// writes fail, but only later), or the server may have begun to drain.
 func (p *serverPool) checkBeforeSend(ctx context.Context, conn *pooledConn, r *serverRequest) error {
 	if r.hasClientDisconnected != nil && r.hasClientDisconnected() {
 		return errClientDisconnected
--- a/internal/edgeproxy/hot_restart.go
+++ b/internal/edgeproxy/hot_restart.go
@@ -88,8 +88,8 @@
 	return nil, nil
 }
 
-// awaitClientsDisconnected waits until neither this process nor its predecessor has a client left, for longestRequest
-// at most: by then the last request must have been answered.
+// awaitClientsDisconnected waits until neither this process nor its predecessor has a client left, for
+// longestRequestTime at most: by then the last request must have been answered.
 func (s *clientServer) awaitClientsDisconnected() {
 	ticker := time.NewTicker(handOverPollInterval)
 	defer ticker.Stop()
--- a/internal/edgeproxy/maintenance.go
+++ b/internal/edgeproxy/maintenance.go
@@ -26,8 +26,9 @@
 }
 
 // maintenanceEviction returns how long a connection has to be idle to be evicted, given the time since the call, and
-// whether any is evicted. At first none is, because the response to its next request closes it without loss; then those
-// that are unused; at the end all idle ones.
+// whether any is evicted. Before evictionDelay none is evicted, because the response to the next request on a
+// connection closes it without loss. Then connections that have been idle for evictionIdleTime are evicted, and from
+// evictAllDelay on all idle ones.
 func maintenanceEviction(sinceCall time.Duration) (minIdle time.Duration, evicts bool) {
 	switch {
 	case sinceCall < evictionDelay:
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -1,6 +1,6 @@
 // Package edgeproxy implements the edge node: it runs a [policy.Engine] on sockets. It transfers data, provides the
-// clock and enforces what the engine relies on. Package policy alone decides which requests are admitted, where they
-// are forwarded and whether they are retried.
+// clock and guarantees what the engine relies on, such as one event at a time. Package policy alone decides which
+// requests are admitted, where they are forwarded and whether they are retried.
 //
 // The package owns the connections of clients and to app servers, the pending requests, the watch of the endpoint list,
 // the gossip socket, the administration calls and the hot restart. A request passes through these files:
--- a/internal/edgeproxy/request_body.go
+++ b/internal/edgeproxy/request_body.go
@@ -32,7 +32,7 @@
 	controller      *http.ResponseController
 	startedAt       time.Time     // when the request's first byte was received
 	length          int64         // bytes, including those already buffered; -1 if unknown
-	responseTimeout time.Duration // of the client, starting when the last byte is forwarded
+	responseTimeout time.Duration // the client's, which starts when the last byte is forwarded
 	onForwarded     func()        // called once the last byte is forwarded
 
 	// Written by the goroutine that reads the body.
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -53,8 +53,8 @@
 	clients *clientServer
 	watch   *discoveryWatch
 
-	predecessor          *predecessor // nil if there is none
-	isPredecessorAwaited atomic.Bool
+	predecessor          *predecessor       // nil if there is none
+	isPredecessorAwaited atomic.Bool        // waiting for its state; the administration server then reports ready
 	successors           *successorListener // nil if no successor can take over
 }
 
@@ -89,7 +89,7 @@
 		return err
 	}
 	defer p.background.Wait()
-	if err := p.joinGossip(); err != nil {
+	if err := p.findPredecessorOrStartGossip(); err != nil {
 		return err
 	}
 	defer p.leaveGossip()
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// joinGossip connects to the predecessor, if there is one, whose gossip socket this process will inherit. Otherwise it
-// opens the gossip socket.
-func (p *process) joinGossip() error {
+// findPredecessorOrStartGossip connects to the predecessor, if there is one, whose gossip socket this process will
+// inherit. Otherwise it opens the gossip socket.
+func (p *process) findPredecessorOrStartGossip() error {
 	if p.cfg.HandoverSocket != "" {
 		var err error
 		if p.predecessor, err = findPredecessor(p.cfg.HandoverSocket); err != nil {
@@ -216,10 +216,10 @@
 	}
 	p.logger.Info("waiting for predecessor")
 	p.isPredecessorAwaited.Store(true)
-	in, err := p.awaitPredecessorState(ctx)
+	inherited, err := p.awaitPredecessorState(ctx)
 	if ctx.Err() != nil {
-		if in.gossipConn != nil {
-			in.gossipConn.Close()
+		if inherited.gossipConn != nil {
+			inherited.gossipConn.Close()
 		}
 		p.predecessor.Close()
 		return errStoppedBeforeServing
@@ -229,7 +229,7 @@
 		p.predecessor.Close()
 		p.predecessor = nil
 	}
-	return p.startGossip(in.gossipConn)
+	return p.startGossip(inherited.gossipConn)
 }
 
 // awaitPredecessorState waits for the complete state of the predecessor and imports its engine state. It handles
--- a/internal/edgeproxy/serve_request.go
+++ b/internal/edgeproxy/serve_request.go
@@ -58,9 +58,9 @@
 	skipClientDisconnected
 )
 
-// findSkipReason decides whether a request that has been read is passed to the engine. It reduces the request's timeout
-// by the time that the request waited behind another one on its connection, and limits it to the time that a shutdown
-// leaves.
+// findSkipReason decides whether a request that has been read is passed to the engine, and marks its connection as
+// active. It reduces the request's timeout by the time that the request waited behind another one on its connection,
+// and limits it to the time that a shutdown leaves.
 func (s *clientServer) findSkipReason(r *http.Request, conn *clientConn, engineRequest *policy.Request) skipReason {
 	if !conn.setState(stateActive) {
 		return skipConnectionEvicted
--- a/internal/edgeproxy/successor_conn.go
+++ b/internal/edgeproxy/successor_conn.go
@@ -112,7 +112,7 @@
 
 const (
 	takeoverConfirmed   takeoverResult = iota // the successor has taken over
-	takeoverUnconfirmed                       // the successor may have taken over, so nothing may be taken back
+	takeoverUnconfirmed                       // the successor may have taken over: do not resume serving
 	takeoverFailed                            // the successor disconnected before it had taken over, or there is none
 )
 
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// AllInstances as the peer of [Actions.SendGossip] addresses every other node.
+// AllInstances is the peer index that makes [Actions.SendGossip] send to every other node.
 const AllInstances = -1
 
 // Actions is the interface through which an engine acts on the network and the timers. The engine calls its methods in
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -11,7 +11,8 @@
 // overload.
 const throttleRetryDivisor = 4
 
-// minFleetMeansRate is the rate of received gossip messages, per second, above which the fleet's means are used.
+// minFleetMeansRate is the rate of received gossip messages, per second, above which the in-flight bound may use the
+// means over the fleet.
 const minFleetMeansRate = 1
 
 // overloadRetryAfter returns the retry delay of a request that is rejected because the servers are overloaded or
--- a/policy/events.go
+++ b/policy/events.go
@@ -45,7 +45,7 @@
 	plan := e.quotas.PlanOf(r.quota)
 	retryAfter := e.settings.classOf(r).overloadRetryAfter()
 	switch {
-	case e.inFlight.isOverloaded(e.now, r.class, r.Zone, plan.PriorityFactor):
+	case e.inFlightBound.isOverloaded(e.now, r.class, r.Zone, plan.PriorityFactor):
 		return rejection{rejectOverloaded, retryAfter}
 	case r.isLate && e.overload.IsHighlyOccupied():
 		return rejection{rejectLate, retryAfter}
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -8,7 +8,7 @@
 const (
 	healthChecksPerForward       = 0.5
 	subsetHealthChecksPerForward = 0.17            // lower with a subset: several nodes check each server
-	unresponsiveCheckLead        = 3 * time.Second // by which the check of an unresponsive server is due earlier
+	unresponsiveCheckLead        = 3 * time.Second // an unresponsive server is checked earlier by this time
 )
 
 // healthChecker selects the server of each scheduled health check, and limits the checks to a fraction of the requests
--- a/policy/hot_restart_learned.go
+++ b/policy/hot_restart_learned.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// restore restores the statistics of the server. They must have been saved for the process that is running.
+// restore restores the statistics of the server. They must be those of the server process that is running now.
 func (s *server) restore(saved savedServer, now time.Duration) {
 	s.lastProgressAt = saved.LastProgressAt
 	s.ejectedUntil = saved.EjectedUntil
--- a/policy/in_flight.go
+++ b/policy/in_flight.go
@@ -16,9 +16,9 @@
 	unansweredObjectiveDivisor = 4
 )
 
-// reachableInFlight returns the attempts in flight at servers considered up, without overdue attempts, and the number
-// of these servers. A server in slow start counts as its capacity fraction. Servers outside the subset are assumed to
-// be up in the same proportion as its members.
+// reachableInFlight returns the number of attempts in flight, without overdue attempts and those at unresponsive
+// servers, and the number of servers considered up. A server in slow start counts as its capacity fraction. Servers
+// outside the subset are assumed to be up in the same proportion as its members.
 func (m *loadMeter) reachableInFlight(
 	now time.Duration, servers []*server, settings *Settings,
 ) (inFlight, reachable float64) {
--- a/policy/occupancy.go
+++ b/policy/occupancy.go
@@ -10,8 +10,8 @@
 // utilizationWeight is the weight of a new report in the moving average of a server's utilization.
 const utilizationWeight = 0.3
 
-// occupancyReadings adds readings of the occupancy to the overload controller: load reports or, in their place,
-// latencies, and attempts that a server rejected or left unanswered.
+// occupancyReadings adds readings of the occupancy to the overload controller. The readings come from load reports, or
+// from latencies where reports are missing, and from attempts that a server rejected or did not answer in time.
 type occupancyReadings struct {
 	settings   *Settings
 	subset     *serverSubset
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -63,12 +63,12 @@
 // place.
 func TestOverdueAttemptsAreNotOverload(t *testing.T) {
 	e, r := newEngine(t, healthCheckSettings(), testServers(2)...)
-	for i := 0; !e.inFlight.isOverloaded(e.now, e.index.classes["safe"], "", 1); i++ {
+	for i := 0; !e.inFlightBound.isOverloaded(e.now, e.index.classes["safe"], "", 1); i++ {
 		e.RequestReceived(t0, newRequest(i, "safe", "rate", uint64(i)), r)
 	}
 	now := t0 + e.settings.Classes[e.index.classes["safe"]].LatencyObjective + ms
 	e.TimerFired(now, timerToken(timerSample, 0), r)
-	if e.inFlight.isOverloaded(e.now, e.index.classes["safe"], "", 1) {
+	if e.inFlightBound.isOverloaded(e.now, e.index.classes["safe"], "", 1) {
 		t.Errorf("%d attempts past their latency objective count as an overload", e.load.inFlight)
 	}
 	for _, s := range e.servers.list {
@@ -84,11 +84,11 @@
 func TestUnresponsiveServersAreNotOverload(t *testing.T) {
 	e, _ := newEngine(t, healthCheckSettings(), testServers(2)...)
 	e.servers.byID["s0"].inFlight, e.load.inFlight = 9, 9
-	if !e.inFlight.isOverloaded(e.now, 0, "", 1) {
+	if !e.inFlightBound.isOverloaded(e.now, 0, "", 1) {
 		t.Fatal("9 attempts in flight at two servers do not count as an overload")
 	}
 	e.servers.byID["s0"].isUnresponsive = true
-	if e.inFlight.isOverloaded(e.now, 0, "", 1) {
+	if e.inFlightBound.isOverloaded(e.now, 0, "", 1) {
 		t.Error("attempts at an unresponsive server count as an overload of all servers")
 	}
 }
@@ -99,7 +99,7 @@
 	const n = 12
 	e, _ := newEngine(t, healthCheckSettings(), testServers(n)...)
 	maxInFlight := func() (out int) {
-		for e.load.inFlight = 0; !e.inFlight.isOverloaded(e.now, 0, "", 1); e.load.inFlight++ {
+		for e.load.inFlight = 0; !e.inFlightBound.isOverloaded(e.now, 0, "", 1); e.load.inFlight++ {
 		}
 		return e.load.inFlight
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -44,11 +44,11 @@
 	selector     serverSelector
 
 	// Load.
-	overload  overload.Controller
-	occupancy occupancyReadings
-	inFlight  inFlightBound
-	latencies latencyTable
-	load      loadMeter
+	overload      overload.Controller
+	occupancy     occupancyReadings
+	inFlightBound inFlightBound
+	latencies     latencyTable
+	load          loadMeter
 
 	// Quotas.
 	quotas        quota.Table
@@ -106,7 +106,7 @@
 	e.occupancy = occupancyReadings{
 		settings: &e.settings, subset: &e.subset, latencies: &e.latencies, controller: &e.overload,
 	}
-	e.inFlight = inFlightBound{
+	e.inFlightBound = inFlightBound{
 		settings: &e.settings, servers: &e.servers, zones: e.zones, latencies: &e.latencies,
 		load: &e.load, overload: &e.overload, gossip: &e.gossip,
 	}
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -24,8 +24,8 @@
 	return quota.Charge{Number: r.number, Customer: r.quota.Customer, Scope: r.quota.Scope, Units: r.Units}
 }
 
-// admitWithoutOwner admits or rejects a request without a response from the quota owner, and reports the units that are
-// spent to the owner.
+// admitWithoutOwner admits or rejects a request without a response from the quota owner, and sends the owner the number
+// of units spent.
 func (e *Engine) admitWithoutOwner(r *request) {
 	r.decidedWithoutOwner = true
 	e.ownerTimeouts.RecordTimeout(r.owner)
--- a/policy/request.go
+++ b/policy/request.go
@@ -31,9 +31,9 @@
 	inFlight            int
 	inQuota             bool
 	isLate              bool // it cannot be answered within its latency objective: see [classLatency.isTooLate]
-	decidedWithoutOwner bool // the owner did not respond in time: admitted or rejected at random, by its recent grants
+	decidedWithoutOwner bool // admitted or rejected without the owner's response: see [quota.Quota.DecideWithoutOwner]
 	awaitsOwner         bool // a quota request to the owner is in flight
-	isGranted           bool // the owner granted its units, including those of the hard limit
+	isGranted           bool // the owner or another node has charged its units, also to the hard limit
 	owner               int  // index of the instance from which its units were requested, or of this one
 	isSettled           bool // its estimated units have been corrected to the true ones
 	isAnswered          bool // it has its final answer, or its client has disconnected
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -23,7 +23,7 @@
 	return true
 }
 
-// mayRepeat reports whether the server may run an attempt again that may have run already.
+// mayRepeat reports whether an attempt that may have run already may be repeated at the server.
 func mayRepeat(now time.Duration, class *Class, a *attempt, s *server, settings *Settings) bool {
 	switch class.Idempotency {
 	case Idempotent:
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -151,8 +151,8 @@
 	return cost
 }
 
-// serverSize returns the server's weight, corrected for its number of holders. If all servers have the same weight, it
-// is multiplied by the speed of the server's machine kind.
+// serverSize returns the server's weight, corrected for the number of nodes that have it in their subset. If all
+// servers have the same weight, it is multiplied by the speed of the server's machine kind.
 func (p *serverSelector) serverSize(s *server) float64 {
 	size := s.weight() * s.subsetCorrection
 	if speed, isKnown := p.latencies.kindSpeed(s.Kind); isKnown && !p.servers.weightsDiffer {
--- a/policy/server.go
+++ b/policy/server.go
@@ -32,11 +32,11 @@
 
 	// Liveness.
 	lastResponseAt     time.Duration    // clock reading of the last response of any kind
-	isUnresponsive     bool             // nothing sent lately was answered; a last resort until it responds
+	isUnresponsive     bool             // no response since a failed attempt or check; avoided until it responds
 	suspectedUntil     time.Duration    // until then considered down, by peers or by the detector of failed zones
 	downReports        suspicionReports // recent reports of peers that it is down
 	upReports          suspicionReports // recent reports of peers that it is up
-	restartCheckSentAt time.Duration    // when a check due to a failed connection was sent, while in flight; 0: none
+	restartCheckSentAt time.Duration    // when the check in flight after a failed connection was sent; 0: none
 	lastHealthCheckAt  time.Duration
 
 	// Connections, as the engine estimates them.
@@ -85,7 +85,8 @@
 	s.isListed = listed.State != Removed
 }
 
-// isEjected reports whether the server gets a request only if no other server can serve it.
+// isEjected reports whether the server is ejected or unresponsive. It gets a request only if all servers that can
+// serve the request are ejected or unresponsive.
 func (s *server) isEjected(now time.Duration) bool { return s.isUnresponsive || now < s.ejectedUntil }
 
 // isSuspected reports whether this node or its peers consider the server down.
@@ -119,7 +120,8 @@
 }
 
 // gossipIDOf returns the hash that identifies a server in findings. If two servers have the same hash, a finding about
-// one causes a needless health check of the other, and nothing worse.
+// one counts for the other as well: a confirmed one causes a needless health check of the other, which may be suspected
+// until it responds or findingTTL has passed. See [failureDetector.recordPeerFinding].
 func gossipIDOf(id string) uint16 {
 	f := fnv.New32a()
 	f.Write([]byte(id))
@@ -129,7 +131,7 @@
 
 // capacityFraction returns the server's current capacity as a fraction of its full capacity. It grows linearly from
 // SlowStartMinFraction at the start of the server to 1 after SlowStartWindow. A failed connection counts as a start,
-// since it may be due to one that the endpoint list does not show yet.
+// since it may be due to a restart that the endpoint list does not show yet.
 func (s *server) capacityFraction(now time.Duration, settings *Settings) float64 {
 	startedAt := max(s.StartedAt, s.connectFailedAt)
 	age := now - startedAt
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -32,7 +32,7 @@
 	Name             string
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotentWithKey
-	DedupWindow      time.Duration // likewise; time that a key is kept from the first attempt that may have run
+	DedupWindow      time.Duration // for IdempotentWithKey; key lifetime from the first attempt that may have run
 	LatencyObjective time.Duration // up to this latency a response earns the full priority weight
 	Deadline         time.Duration // a client's total wait over all its tries
 	PriorityWeight   float64       // value of a response within the latency objective, relative to other classes
@@ -87,7 +87,7 @@
 	MinEventInterval     time.Duration // shortest time between events
 	ConnectTimeout       time.Duration // an attempt may reach its server up to this much after it is sent
 
-	// Prices, in points.
+	// Prices, in points. The engine only checks whether CrossZonePrice is above 0; the others are unused.
 	CrossZonePrice   float64 // for attempts to other zones, as a fraction of requests
 	GossipPrice      float64 // for full gossip messages per request
 	HealthCheckPrice float64 // for health checks per request
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -18,8 +18,8 @@
 	load      *loadMeter
 }
 
-// admits reports whether a request of a class may be sent to a server, which a warm server always admits. zone is the
-// zone of the server, or nil if it has no limits. The warm-up budget is in seconds of work.
+// admits reports whether a request of a class may be sent to a server. It is always true for a warm server. zone is the
+// zone of the server, or nil if the zone has no limits. The warm-up budget is in seconds of work.
 func (w *slowStart) admits(now time.Duration, s *server, class int, zone *zoneState) bool {
 	capacity := s.capacityFraction(now, w.settings)
 	if capacity >= 1 || zone != nil && zone.IsRemote {
@@ -33,7 +33,7 @@
 	rate := coldBudgetFraction * w.settings.ColdOverloadMultiple * capacity * s.weight() * serverRate
 	limit := math.Max(w.minLimit(class), rate*w.settings.ColdOverloadWindow.Seconds()/2)
 	s.warmup.refill(now, rate, limit, w.rng)
-	return s.warmup.work >= w.workToSave(class, zone, limit)
+	return s.warmup.work >= w.requiredBudget(class, zone, limit)
 }
 
 // spend takes the work of a request of a class from the budget of a server that is warming up.
@@ -53,10 +53,10 @@
 	zone.unmetWork += w.latencies.expectedWork(w.settings.Classes, class)
 }
 
-// workToSave returns the seconds of work that the budget must hold before a request of a class may be sent. If the host
-// has set the zone's rate, requests of low value leave part of the budget to others: most of them are light and would
-// use it up.
-func (w *slowStart) workToSave(class int, zone *zoneState, limit float64) float64 {
+// requiredBudget returns the seconds of work that the budget must hold before a request of a class may be sent. If the
+// host has set the zone's rate, requests of low value leave part of the budget to others: most of them are light and
+// would use it up.
+func (w *slowStart) requiredBudget(class int, zone *zoneState, limit float64) float64 {
 	work := w.latencies.expectedWork(w.settings.Classes, class)
 	if zone != nil && zone.WarmServerRate > 0 {
 		work += (1 - w.latencies.relativeValue(w.settings.Classes, class)) * limit / 2
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -45,10 +45,11 @@
 }
 
 // recordNoResponse records that a server did not respond to an attempt or health check sent at sentAt. If it has sent
-// no other response since then, the server is marked as unresponsive. Until it responds, it gets no retries, and first
-// attempts only if no other server can serve them. Without health checks, which would detect that the server is up
-// again, no server is marked. A server that pauses for as long as the timeout of a health check is marked although it
-// has not failed. recordNoResponse returns the event to log if the server was responsive before, else nil.
+// no other response since then, the server is marked as unresponsive. Until it responds, it gets no retries or hedged
+// requests, and first attempts only if all other servers that can serve them are ejected or unresponsive as well.
+// Without health checks, which would detect that the server is up again, no server is marked. A server that pauses for
+// as long as the timeout of a health check is marked although it has not failed. recordNoResponse returns the event to
+// log if the server was responsive before, else nil.
 func (d *failureDetector) recordNoResponse(now time.Duration, s *server, sentAt time.Duration) LogEvent {
 	if !d.settings.usesHealthChecks() || s.lastResponseAt >= sentAt {
 		return nil
@@ -138,9 +139,10 @@
 }
 
 // recordPeerFinding records a peer's finding, and reports whether the finding is confirmed: two peers have made it, and
-// it contradicts this node's view of the server. The finding of a single peer has no effect. A server that two peers
-// find down is suspected: it gets no requests while others of the subset can serve them. Once half of the subset is
-// suspected, no more servers are: a faulty node or link cannot empty the subset.
+// it contradicts this node's view of the server. The finding of a single peer changes nothing about the server. If a
+// confirmed finding is that the server is down, the server is suspected: it gets no requests while others of the subset
+// can serve them. Such a finding is not confirmed if this node has fresh evidence that the server is up, nor once half
+// of the subset is suspected: a faulty node or link cannot empty the subset.
 func (d *failureDetector) recordPeerFinding(now time.Duration, s *server, from int, finding quota.Finding) bool {
 	reports := &s.downReports
 	if finding.IsUp {
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -8,7 +8,7 @@
 	"mulleinmux/policy/overload"
 )
 
-// ZoneLimits are this node's limits for a zone, where the nodes agree on what each may send to its servers.
+// ZoneLimits are this node's limits for a zone, if the nodes agree on what each of them may send to the zone's servers.
 type ZoneLimits struct {
 	IsRemote          bool    // its servers are gateways of another site, which need no slow start
 	WarmServerRate    float64 // seconds of work per second that this node may send a warm server of unit weight
@@ -17,7 +17,8 @@
 }
 
 // zoneState holds the limits and the measurements of a zone. Invariant: availableServers is 0 if no server accepts
-// requests. The counts are reset at the end of each sample or by [Engine.ColdServerWork].
+// requests. The counts of throughput are reset at the end of each sample, sentWork and unmetWork by
+// [Engine.ColdServerWork].
 type zoneState struct {
 	ZoneLimits
 	throughput
@@ -91,9 +92,10 @@
 	}
 }
 
-// SetZoneLimits sets a zone's limits. They replace the engine's own estimate for cold servers, and the in-flight bound
-// then applies to each zone by itself. The host sets limits for all zones or for none, and sets them again after each
-// change. If it no longer knows the limits, it sets a WarmServerRate of 0.
+// SetZoneLimits sets a zone's limits. Their WarmServerRate replaces the engine's own estimate, from which the warm-up
+// budgets of cold servers are derived, and the in-flight bound then applies to each zone by itself. The host sets
+// limits for all zones or for none, and sets them again after each change. If it no longer knows the limits, it sets a
+// WarmServerRate of 0.
 func (e *Engine) SetZoneLimits(name string, limits ZoneLimits) {
 	zone := e.zones[name]
 	if zone == nil {
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -102,7 +102,7 @@
 		e, _ := newTwoZoneEngine(t, isRemote)
 		e.servers.byID["s1"].inFlight, e.load.inFlight = 50, 50
 		safe := e.index.classes["safe"]
-		isOverloaded := func(zone string) bool { return e.inFlight.isOverloaded(e.now, safe, zone, 1) }
+		isOverloaded := func(zone string) bool { return e.inFlightBound.isOverloaded(e.now, safe, zone, 1) }
 		if !isOverloaded("b") || isOverloaded("a") || isOverloaded("") {
 			t.Errorf("remote %v, 50 attempts in flight at b: overloaded at b %v, a %v, both %v; want b only", isRemote,
 				isOverloaded("b"), isOverloaded("a"), isOverloaded(""))
@@ -136,7 +136,7 @@
 		e.SetZoneLimits("b", ZoneLimits{IsRemote: true, InFlightFraction: fraction, RemoteServerCount: 4})
 		e.zones.updateRates(e.now, &e.servers, &e.settings)
 		s := e.servers.byID["s1"]
-		for s.inFlight = 0; !e.inFlight.isOverloaded(e.now, 0, "b", 1) && s.inFlight < 1000; s.inFlight++ {
+		for s.inFlight = 0; !e.inFlightBound.isOverloaded(e.now, 0, "b", 1) && s.inFlight < 1000; s.inFlight++ {
 		}
 		if want := int(overload.MinInFlightPerServer * 4 * fraction); s.inFlight != want {
 			t.Errorf("fraction %v: overloaded at %d attempts in flight, want %d", fraction, s.inFlight, want)
@@ -224,7 +224,7 @@
 	e.zones["a"].responseRate = 100
 	keyed, s := e.index.classes["keyed"], e.servers.byID["s0"]
 	maxInFlight := func(priorityFactor float64) int {
-		for s.inFlight = 0; !e.inFlight.isOverloaded(e.now, keyed, "a", priorityFactor); s.inFlight++ {
+		for s.inFlight = 0; !e.inFlightBound.isOverloaded(e.now, keyed, "a", priorityFactor); s.inFlight++ {
 		}
 		return s.inFlight
 	}
