--- a/internal/edgeproxy/client_watch.go
+++ b/internal/edgeproxy/client_watch.go
@@ -124,4 +124,4 @@
 
 // hasClientDisconnected reports whether the client of the active request has disconnected. It queries the socket,
 // because the watch may have ended already, or its goroutine may run after the caller's.
-func (c *clientConn) hasClientDisconnected() bool { return graceful.IsPeerGone(c.Conn) }
+func (c *clientConn) hasClientDisconnected() bool { return graceful.IsPeerDisconnected(c.Conn) }
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -253,5 +253,5 @@
 	if c.isRelay {
 		return c.closeWatch.hasClosed()
 	}
-	return graceful.IsPeerGone(c.nc)
+	return graceful.IsPeerDisconnected(c.nc)
 }
--- a/internal/gateway/relay_conn.go
+++ b/internal/gateway/relay_conn.go
@@ -138,7 +138,7 @@
 // since. It stops the watch if the stream has ended, as nothing is left to wait for. Called by the goroutine that calls
 // start and stop.
 func (w *closeWatch) hasClosed() (isClosed bool) {
-	if !graceful.IsPeerGone(w.conn.transport) {
+	if !graceful.IsPeerDisconnected(w.conn.transport) {
 		return false
 	}
 	w.stop()
--- a/internal/graceful/socket.go
+++ b/internal/graceful/socket.go
@@ -43,8 +43,8 @@
 	tcpLastAck   = 9
 )
 
-// IsPeerGone reports whether the peer of a connection has closed or reset it, even if there is unread data.
-func IsPeerGone(conn net.Conn) bool {
+// IsPeerDisconnected reports whether the peer of a connection has closed or reset it, even if there is unread data.
+func IsPeerDisconnected(conn net.Conn) bool {
 	isGone := false
 	err := ControlSocket(conn, func(fd int) {
 		info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
--- a/internal/testserver/clientconn.go
+++ b/internal/testserver/clientconn.go
@@ -119,7 +119,7 @@
 	for n := len(clients.idle[addr]); n > 0; n-- {
 		conn := clients.idle[addr][n-1]
 		clients.idle[addr] = clients.idle[addr][:n-1]
-		if time.Since(conn.idleSince) <= maxIdleTime && !graceful.IsPeerGone(conn.Conn) {
+		if time.Since(conn.idleSince) <= maxIdleTime && !graceful.IsPeerDisconnected(conn.Conn) {
 			return conn
 		}
 		conn.Close()
