--- a/internal/gateway/site_coordinator.go
+++ b/internal/gateway/site_coordinator.go
@@ -114,7 +114,7 @@
 	case policy.OK, policy.ErrorResponse, policy.RejectedByServer:
 		c.health.RecordAnswer(now, siteOf(server))
 	case policy.TimedOut, policy.ConnectFailed:
-		c.health.RecordMiss(now, siteOf(server), sentAt)
+		c.health.RecordUnanswered(now, siteOf(server), sentAt)
 	}
 }
 
--- a/multisite/health_monitor.go
+++ b/multisite/health_monitor.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// RecordMiss records that an attempt or a health check that was sent to a site at sentAt was not answered.
-func (h *HealthMonitor) RecordMiss(now time.Duration, site string, sentAt time.Duration) {
+// RecordUnanswered records that an attempt or a health check that was sent to a site at sentAt was not answered.
+func (h *HealthMonitor) RecordUnanswered(now time.Duration, site string, sentAt time.Duration) {
 	if o := h.ownObservation(site); o != nil {
 		o.recordMiss(now, sentAt, h.cfg.MinMisses)
 	}
--- a/multisite/health_monitor_test.go
+++ b/multisite/health_monitor_test.go
@@ -100,7 +100,7 @@
 	answeringB := SiteView{Site: "b", Duration: time.Minute}
 	h.Receive(time.Second, 2, []SiteView{{Site: "a", IsSilent: true, Duration: time.Minute}, answeringB})
 	for now := 1500 * time.Millisecond; now < 3*time.Second; now += 100 * time.Millisecond {
-		h.RecordMiss(now, "a", now-50*time.Millisecond)
+		h.RecordUnanswered(now, "a", now-50*time.Millisecond)
 		h.RecordAnswer(now, "b")
 		h.Receive(now, 3, []SiteView{answeringB})
 		if _, ok := h.ProposeChange(now); ok && now > 2*time.Second {
@@ -117,12 +117,12 @@
 	if _, ok := h.ProposeChange(time.Hour); ok || h.State(time.Hour, "a") != SiteHealthy {
 		t.Error("site a is not healthy, or a change is proposed, although no request was sent to it for an hour")
 	}
-	h.RecordMiss(1100*time.Millisecond, "b", 1050*time.Millisecond)
+	h.RecordUnanswered(1100*time.Millisecond, "b", 1050*time.Millisecond)
 	if h.State(1100*time.Millisecond, "b") != SiteHealthy {
 		t.Error("one attempt without an answer made site b silent")
 	}
 	for range 9 { // all sent before the last answer
-		h.RecordMiss(1100*time.Millisecond, "a", 900*time.Millisecond)
+		h.RecordUnanswered(1100*time.Millisecond, "a", 900*time.Millisecond)
 	}
 	if h.State(1200*time.Millisecond, "a") != SiteHealthy {
 		t.Error("attempts that were sent before the last answer made site a silent")
--- a/multisite/site_change_test.go
+++ b/multisite/site_change_test.go
@@ -16,7 +16,7 @@
 		}
 	}
 	for now := time.Second; now <= 2*time.Second; now += 100 * time.Millisecond {
-		h.RecordMiss(now, "a", now)
+		h.RecordUnanswered(now, "a", now)
 		h.RecordAnswer(now, "b")
 	}
 	expect(2*time.Second, SiteChange{"a", true, 0, "1 of 1 members have met silence for 500ms"})
--- a/multisite/site_health_simulation_test.go
+++ b/multisite/site_health_simulation_test.go
@@ -198,12 +198,12 @@
 		if s.isAnswered(id, site) {
 			monitor.RecordAnswer(now, site)
 		} else {
-			monitor.RecordMiss(now, site, now-250*time.Millisecond)
+			monitor.RecordUnanswered(now, site, now-250*time.Millisecond)
 		}
 	case 1: // an unanswered attempt has no effect if a later one is answered
 		if s.isAnswered(id, site) && s.rng.IntN(10) == 0 {
 			monitor.RecordAnswer(now-5*time.Millisecond, site)
-			monitor.RecordMiss(now, site, now-250*time.Millisecond)
+			monitor.RecordUnanswered(now, site, now-250*time.Millisecond)
 		}
 	}
 }
