--- a/internal/gateway/relayed_request.go
+++ b/internal/gateway/relayed_request.go
@@ -126,7 +126,7 @@
 		return relayedStatus{}, false
 	}
 	result.status = multisite.ParseExecutionStatus(rep.head.Get(executionStatusField)).
-		AsTold(parseUptime(rep.head.Get(uptimeField)), time.Since(q.startedAt))
+		CheckedAgainstUptime(parseUptime(rep.head.Get(uptimeField)), time.Since(q.startedAt))
 	if result.status == multisite.Executed && rep.head.Status != http.StatusNoContent {
 		result.retained = &retainedResponse{
 			status:      rep.head.Status,
--- a/multisite/execution_status.go
+++ b/multisite/execution_status.go
@@ -20,11 +20,11 @@
 // uptimePrecision is the largest amount by which the uptime that a site reports may be too long, due to rounding.
 const uptimePrecision = time.Millisecond
 
-// AsTold returns the status that the querying site may rely on, given the status and the uptime that an instance of
-// another site has reported. An instance reports NeverExecuted for each request of which it has no record. If it was
-// restarted after the request was sent, its predecessor may have executed the request: the uptime does not exceed the
-// time since the request was sent, and the status is ExecutionUnknown.
-func (s ExecutionStatus) AsTold(uptime, sinceSent time.Duration) ExecutionStatus {
+// CheckedAgainstUptime returns the status that the querying site may rely on, given the status and the uptime that an
+// instance of another site has reported. An instance reports NeverExecuted for each request of which it has no record.
+// If it was restarted after the request was sent, its predecessor may have executed the request: the uptime does not
+// exceed the time since the request was sent, and the status is ExecutionUnknown.
+func (s ExecutionStatus) CheckedAgainstUptime(uptime, sinceSent time.Duration) ExecutionStatus {
 	if s == NeverExecuted && uptime-uptimePrecision <= sinceSent {
 		return ExecutionUnknown
 	}
--- a/multisite/execution_status_test.go
+++ b/multisite/execution_status_test.go
@@ -7,7 +7,7 @@
 
 // A request of which an instance has no record counts as never executed only if the instance was up before the request
 // was sent: the process before a restart may have executed it.
-func TestAsToldAfterRestart(t *testing.T) {
+func TestStatusCheckedAgainstUptime(t *testing.T) {
 	const sinceSent = 300 * time.Millisecond
 	for _, test := range []struct {
 		name     string
@@ -24,7 +24,7 @@
 		{"executed", Executed, 0, Executed},
 		{"unknown", ExecutionUnknown, time.Hour, ExecutionUnknown},
 	} {
-		if got := test.reported.AsTold(test.uptime, sinceSent); got != test.want {
+		if got := test.reported.CheckedAgainstUptime(test.uptime, sinceSent); got != test.want {
 			t.Errorf("%s: got status %v, want %v", test.name, got, test.want)
 		}
 	}
