--- a/policy/events.go
+++ b/policy/events.go
@@ -62,7 +62,7 @@
 	if r.IsCharged {
 		r.Units = 0
 		r.isGranted = true
-		e.admit(r, quota.Decision{IsInside: true})
+		e.admit(r, quota.Decision{IsWithinQuota: true})
 		return
 	}
 	r.owner = e.quotas.Fleet.OwnerFor(r.quota)
@@ -71,7 +71,7 @@
 		return
 	}
 	decision := e.quotas.Check(r.quota, quota.Demand{Units: r.Units, IsLate: r.isLate}, e.now)
-	if decision.IsInside {
+	if decision.IsWithinQuota {
 		e.quotas.TakeUnits(r.quota, r.Units)
 	}
 	e.admit(r, decision)
@@ -80,7 +80,7 @@
 // admit forwards or rejects a request whose quota has been checked. The units of a request inside its quota have been
 // taken before.
 func (e *Engine) admit(r *request, decision quota.Decision) {
-	r.inQuota = decision.IsInside
+	r.inQuota = decision.IsWithinQuota
 	s, rejected := e.chooseServer(r, decision.RetryAfter)
 	if s == nil {
 		e.returnUnits(r, r.Units)
@@ -88,7 +88,7 @@
 		e.closeRequest(r)
 		return
 	}
-	e.quotas.RecordForwarded(r.quota, quota.Forwarded{Units: r.Units, IsInside: r.inQuota, IsGranted: r.isGranted})
+	e.quotas.RecordForwarded(r.quota, quota.Forwarded{Units: r.Units, IsWithinQuota: r.inQuota, IsGranted: r.isGranted})
 	e.overload.CountAccepted()
 	e.retries.earn()
 	e.startAttempt(r, s)
--- a/policy/quota/check.go
+++ b/policy/quota/check.go
@@ -22,8 +22,8 @@
 
 // Decision is whether a request is within its customer's quota and, if not, when to retry it.
 type Decision struct {
-	IsInside   bool
-	RetryAfter time.Duration
+	IsWithinQuota bool
+	RetryAfter    time.Duration
 }
 
 // Check decides whether a demand is within the customer's quota: its units within the rate, and one more attempt within
@@ -47,7 +47,7 @@
 		quota.ContendedUntil = now + quota.contentionTime(plan, demand.Units)
 		return Decision{RetryAfter: max(quota.refillWait(plan, demand.Units), t.Fleet.quotaUpdateWait())}
 	}
-	return Decision{IsInside: true}
+	return Decision{IsWithinQuota: true}
 }
 
 // hasInFlightCapacity reports whether one more attempt stays within the limit in flight, of which capacity attempts are
--- a/policy/quota/check_test.go
+++ b/policy/quota/check_test.go
@@ -41,14 +41,14 @@
 		want             Decision
 		contendedFor     time.Duration
 	}{
-		{"full", 40, 0, false, false, Decision{IsInside: true}, 0},
-		{"late, not contended", 40, 0, false, true, Decision{IsInside: true}, 0},
+		{"full", 40, 0, false, false, Decision{IsWithinQuota: true}, 0},
+		{"late, not contended", 40, 0, false, true, Decision{IsWithinQuota: true}, 0},
 		{"late, contended", 40, 0, true, true, Decision{}, 100 * ms},
-		{"last unit", 1, 0, false, false, Decision{IsInside: true}, 0},
+		{"last unit", 1, 0, false, false, Decision{IsWithinQuota: true}, 0},
 		{"last unit, contended", 1, 0, true, false, Decision{RetryAfter: wait}, time.Second},
-		{"a unit for each, contended", 2, 0, true, false, Decision{IsInside: true}, 100 * ms},
+		{"a unit for each, contended", 2, 0, true, false, Decision{IsWithinQuota: true}, 100 * ms},
 		{"half spent since the gossip", 10, 9, false, false, Decision{RetryAfter: wait}, time.Second},
-		{"less than half spent since the gossip", 11, 8, false, false, Decision{IsInside: true}, 0},
+		{"less than half spent since the gossip", 11, 8, false, false, Decision{IsWithinQuota: true}, 0},
 		{"empty", 0, 0, false, false, Decision{RetryAfter: wait}, time.Second},
 		{"overdrawn", -3, 0, false, false, Decision{RetryAfter: 100 * ms}, time.Second},
 	} {
--- a/policy/quota/hard_limit_test.go
+++ b/policy/quota/hard_limit_test.go
@@ -84,10 +84,10 @@
 		tokens    float64 // left of the hard limit's 10
 		overQuota float64
 	}{
-		{"inside the quota", hardLimitPlan, Forwarded{Units: 2, IsInside: true}, 8, 0},
+		{"inside the quota", hardLimitPlan, Forwarded{Units: 2, IsWithinQuota: true}, 8, 0},
 		{"over the quota", hardLimitPlan, Forwarded{Units: 2}, 8, 2},
-		{"granted by the owner", hardLimitPlan, Forwarded{Units: 2, IsInside: true, IsGranted: true}, 10, 0},
-		{"plan without a hard limit", ratePlan, Forwarded{Units: 2, IsInside: true}, 10, 0},
+		{"granted by the owner", hardLimitPlan, Forwarded{Units: 2, IsWithinQuota: true, IsGranted: true}, 10, 0},
+		{"plan without a hard limit", ratePlan, Forwarded{Units: 2, IsWithinQuota: true}, 10, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := newPairTable()
--- a/policy/quota/member.go
+++ b/policy/quota/member.go
@@ -18,7 +18,7 @@
 // covers lost messages and owners that are down, paused or overloaded. The decisions are wrong by as much as the
 // owner's fraction has changed since its last response.
 func (q *Quota) DecideWithoutOwner(draw float64) Decision {
-	return Decision{IsInside: draw < q.GrantFraction, RetryAfter: OwnerTimeout}
+	return Decision{IsWithinQuota: draw < q.GrantFraction, RetryAfter: OwnerTimeout}
 }
 
 // RecordResponse records the owner's response to a request of this instance.
--- a/policy/quota/member_test.go
+++ b/policy/quota/member_test.go
@@ -48,8 +48,8 @@
 		draw float64
 		want Decision
 	}{
-		{"lowest draw", 0, Decision{IsInside: true, RetryAfter: 100 * ms}},
-		{"below the fraction", 0.24, Decision{IsInside: true, RetryAfter: 100 * ms}},
+		{"lowest draw", 0, Decision{IsWithinQuota: true, RetryAfter: 100 * ms}},
+		{"below the fraction", 0.24, Decision{IsWithinQuota: true, RetryAfter: 100 * ms}},
 		{"at the fraction", 0.25, Decision{RetryAfter: 100 * ms}},
 		{"above the fraction", 0.9, Decision{RetryAfter: 100 * ms}},
 	} {
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -28,13 +28,13 @@
 		return Response{}, false
 	}
 	decision := t.decideGrant(quota, Demand{m.Units, m.IsLate}, owner.InboxRate, now)
-	if decision.IsInside {
+	if decision.IsWithinQuota {
 		t.grant(quota, from, m.Charge, owner.LeaseTTL, now)
 	}
 	if !m.IsLate {
-		quota.updateGrantFraction(decision.IsInside)
+		quota.updateGrantFraction(decision.IsWithinQuota)
 	}
-	return Response{m.Number, decision.IsInside, decision.RetryAfter, quota.GrantFraction}, true
+	return Response{m.Number, decision.IsWithinQuota, decision.RetryAfter, quota.GrantFraction}, true
 }
 
 // updateGrantFraction includes a decision on a quota request in the moving average of the grants.
@@ -52,8 +52,8 @@
 	quota *Quota, demand Demand, inboxRate float64, now time.Duration,
 ) Decision {
 	decision := t.Check(quota, demand, now)
-	if decision.IsInside && !quota.ExceedsHardLimit(t.PlanOf(quota), demand.Units) {
-		return Decision{IsInside: true}
+	if decision.IsWithinQuota && !quota.ExceedsHardLimit(t.PlanOf(quota), demand.Units) {
+		return Decision{IsWithinQuota: true}
 	}
 	wait := decision.RetryAfter
 	if inboxRate > ownerOverloadFraction*t.Fleet.GossipInboxRate {
--- a/policy/quota/owner_test.go
+++ b/policy/quota/owner_test.go
@@ -18,9 +18,9 @@
 		inboxRate       float64
 		want            Decision
 	}{
-		{"inside", 5, 0, 0, normalInbox, Decision{IsInside: true}},
-		{"inside, inbox overloaded", 5, 0, 0, overloadedInbox, Decision{IsInside: true}},
-		{"inside both limits", 5, 25, 1, normalInbox, Decision{IsInside: true}},
+		{"inside", 5, 0, 0, normalInbox, Decision{IsWithinQuota: true}},
+		{"inside, inbox overloaded", 5, 0, 0, overloadedInbox, Decision{IsWithinQuota: true}},
+		{"inside both limits", 5, 25, 1, normalInbox, Decision{IsWithinQuota: true}},
 		{"beyond the quota", 0, 0, 0, normalInbox, Decision{RetryAfter: 100 * ms}},
 		{"beyond the quota by more", -2, 0, 0, normalInbox, Decision{RetryAfter: 300 * ms}},
 		{"beyond the quota, inbox overloaded", 0, 0, 0, overloadedInbox,
--- a/policy/quota/table.go
+++ b/policy/quota/table.go
@@ -117,9 +117,9 @@
 
 // Forwarded describes the units of a request that is forwarded.
 type Forwarded struct {
-	Units     float64
-	IsInside  bool // the units are within the quota, and taken from it
-	IsGranted bool // the owner has granted the units, from its share of the hard limit
+	Units         float64
+	IsWithinQuota bool // the units are within the quota, and taken from it
+	IsGranted     bool // the owner has granted the units, from its share of the hard limit
 }
 
 // RecordForwarded records a request that is forwarded. Its units are deducted from this instance's share of the hard
@@ -129,7 +129,7 @@
 		quota.chargeHardLimit(t.PlanOf(quota), forwarded.Units)
 	}
 	quota.startedSinceGossip++
-	if !forwarded.IsInside {
+	if !forwarded.IsWithinQuota {
 		t.OverQuota.Sent += forwarded.Units
 	}
 }
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -31,7 +31,7 @@
 	e.ownerTimeouts.RecordTimeout(r.owner)
 	decision := r.quota.DecideWithoutOwner(e.rng.Float64())
 	e.admit(r, decision)
-	if decision.IsInside && len(r.attempts) > 0 {
+	if decision.IsWithinQuota && len(r.attempts) > 0 {
 		message := quota.Spent{Charge: chargeOf(r)}
 		report := newPeerReport(e.now, &e.overload, &e.failures)
 		e.actions.SendGossip(r.owner, e.quotas.Codec().EncodeSpent(message, report))
@@ -53,7 +53,7 @@
 	}
 	r.quota.RecordResponse(m, e.now)
 	r.isGranted = m.IsGranted
-	e.admit(r, quota.Decision{IsInside: m.IsGranted, RetryAfter: m.Wait})
+	e.admit(r, quota.Decision{IsWithinQuota: m.IsGranted, RetryAfter: m.Wait})
 }
 
 // endOwnerWait ends a request's wait for the quota owner, and reports whether the request was answered during the wait.
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -270,7 +270,7 @@
 	owned := owner.quotas.Lookup(ownedCustomer)
 	owned.InFlight = owner.settings.Plans[owner.index.plans["open"]].MaxInFlight
 	decision := owner.quotas.Check(owned, quota.Demand{Units: 1}, t0+200*ms)
-	if decision.IsInside || decision.RetryAfter > quota.OwnerTimeout {
+	if decision.IsWithinQuota || decision.RetryAfter > quota.OwnerTimeout {
 		t.Errorf("got decision %+v, want a rejection with at most OwnerTimeout to wait", decision)
 	}
 }
