--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return
 	}
-	e.quotas.ReceiveEntries(from, e.gossip.NewEntries(from, decoded), now)
+	e.quotas.ReceiveEntries(from, e.gossip.AcceptMessage(from, decoded), now)
 }
 
 // OverQuotaUnits counts the units that were forwarded beyond customers' quotas since the start.
--- a/policy/quota/gossip.go
+++ b/policy/quota/gossip.go
@@ -65,9 +65,11 @@
 	g.received = 0
 }
 
-// NewEntries records the epoch and sequence number of a peer's message and returns those of its entries that were not
-// received before.
-func (g *Gossip) NewEntries(from int, m GossipMessage) []Entry { return g.peers[from].acceptMessage(m) }
+// AcceptMessage records the epoch and sequence number of a peer's message and returns those of its entries that were
+// not received before.
+func (g *Gossip) AcceptMessage(from int, m GossipMessage) []Entry {
+	return g.peers[from].acceptMessage(m)
+}
 
 // ReceiveEntries applies the entries received from a peer. The two instances may have different plans for a customer
 // for a while; the units that the peer took are charged in either case.
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -81,5 +81,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	i.ReceiveEntries(from, i.gossip.NewEntries(from, decoded), now)
+	i.ReceiveEntries(from, i.gossip.AcceptMessage(from, decoded), now)
 }
