--- a/policy/admission.go
+++ b/policy/admission.go
@@ -67,7 +67,7 @@
 		Servers:           servers,
 		InstanceCount:     b.settings.InstanceCount,
 		ResponseRate:      b.load.responseRate,
-		HasFleetMeans:     b.gossip.Rate > minFleetMeansRate,
+		HasFleetMeans:     b.gossip.InboxRate > minFleetMeansRate,
 		FleetInFlight:     means[overload.MeanInFlight],
 		FleetResponseRate: means[overload.MeanResponses] / sampleInterval.Seconds(),
 	}
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -56,7 +56,7 @@
 		Overload:          e.overload.State(),
 		Peers:             e.gossip.Export(),
 		RetryTokens:       e.retries.tokens,
-		GossipRate:        e.gossip.Rate,
+		GossipRate:        e.gossip.InboxRate,
 		ResponseRate:      e.load.responseRate,
 		WarmRate:          e.load.warmRate,
 		HealthCheckCredit: e.healthChecks.credit,
@@ -103,7 +103,7 @@
 	e.overload.Restore(state.Overload)
 	e.gossip.Restore(state.Peers)
 	e.retries.tokens = state.RetryTokens
-	e.gossip.Rate = state.GossipRate
+	e.gossip.InboxRate = state.GossipRate
 	e.load.responseRate = state.ResponseRate
 	e.load.warmRate = state.WarmRate
 	e.healthChecks.credit = state.HealthCheckCredit
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -131,7 +131,7 @@
 	const n = 4
 	const maxBurst = 24 // three times the lower limit of the bound: more cannot be a random fluctuation
 	e, r := newEngine(t, testSettings(), testServers(n)...)
-	e.gossip.Rate = 10
+	e.gossip.InboxRate = 10
 	for i := range 200 {
 		q := newRequest(i, "safe", "rate", uint64(i))
 		q.InstanceCount = 1
--- a/policy/quota/gossip.go
+++ b/policy/quota/gossip.go
@@ -26,7 +26,7 @@
 // Gossip is the state of an instance's gossip: the sequence numbers exchanged with each peer, and the rate of messages
 // received. The quotas to be broadcast are in the [Table].
 type Gossip struct {
-	Rate float64 // messages received per second, a moving average; restored by a hot restart
+	InboxRate float64 // messages received per second, a moving average; restored by a hot restart
 
 	epoch    uint64  // random, distinguishes this process from earlier ones
 	peers    []peer  // by instance
@@ -61,7 +61,7 @@
 
 // CloseSample updates the rate with the messages received in a sample, which lasts [overload.SampleInterval].
 func (g *Gossip) CloseSample() {
-	g.Rate += inboxRateWeight * (g.received/overload.SampleInterval.Seconds() - g.Rate)
+	g.InboxRate += inboxRateWeight * (g.received/overload.SampleInterval.Seconds() - g.InboxRate)
 	g.received = 0
 }
 
--- a/policy/quota_exchange.go
+++ b/policy/quota_exchange.go
@@ -25,7 +25,7 @@
 	}
 	switch m := message.(type) {
 	case quota.Request:
-		owner := quota.OwnerState{InboxRate: e.gossip.Rate, LeaseTTL: e.settings.maxLatencyObjective()}
+		owner := quota.OwnerState{InboxRate: e.gossip.InboxRate, LeaseTTL: e.settings.maxLatencyObjective()}
 		if response, isOwner := e.quotas.AnswerRequest(from, m, owner, e.now); isOwner {
 			report := newPeerReport(e.now, &e.overload, &e.failures)
 			e.actions.SendGossip(from, e.quotas.Codec().EncodeResponse(response, report))
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -134,7 +134,7 @@
 		member.RequestReceived(t0, ownerRequest(1, ownedCustomer), r)
 		ownerIndex := ownerIndexOf(member)
 		owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
-		owner.gossip.Rate = inboxRate
+		owner.gossip.InboxRate = inboxRate
 		ownedCustomerQuota(owner).Tokens = 0
 		owner.GossipReceived(t0, 10, r.gossip[ownerIndex][0], ownerRecorder)
 		member.GossipReceived(t0, ownerIndex, ownerRecorder.gossip[10][0], r)
