--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -144,7 +144,7 @@
 	}
 	query := relayedStatusQuery{servers: in.servers, control: r.current, id: r.attemptRelayID(), startedAt: begunAt,
 		server: a.server, deadline: deadline}
-	r.recorder.add(TraceStep{Kind: StepStatusAsked, Attempt: r.attempts, Server: a.server})
+	r.recorder.add(TraceStep{Kind: StepStatusQueried, Attempt: r.attempts, Server: a.server})
 	status, hasEnded := query.await(in.ctx)
 	r.recorder.statusResolved(r.attempts, a.server, status.status, hasEnded)
 	if !hasEnded && !r.isIdempotent() {
--- a/internal/gateway/relay_restart_test.go
+++ b/internal/gateway/relay_restart_test.go
@@ -86,7 +86,7 @@
 	attempt := h.nextRequest()
 	release := holdServingInstance(second, links)
 	defer release()
-	request := near.awaitStep(t, StepStatusAsked)
+	request := near.awaitStep(t, StepStatusQueried)
 	askedAt := time.Now()
 	near.fail(request)
 	if got := c.readResponse(); got.Status != 502 {
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -43,8 +43,8 @@
 	StepBegun          StepKind = "attempt begun"     // the attempt's server was chosen
 	StepWritten        StepKind = "attempt written"   // the attempt's last byte was written
 	StepConnClosed     StepKind = "connection closed" // to the server, after the exchange; detail: the exchange's result
-	StepStatusAsked    StepKind = "status asked"      // status query for a relayed attempt that ended without an answer
-	StepStatusTold     StepKind = "status told"       // detail: the status that the remote instance reported
+	StepStatusQueried  StepKind = "status asked"      // status query for a relayed attempt that ended without an answer
+	StepStatusReported StepKind = "status told"       // detail: the status that the remote instance reported
 	StepStatusUnknown  StepKind = "status unknown"    // the remote instance did not report the attempt's end in time
 	StepEnded          StepKind = "attempt ended"     // detail: the attempt's result
 	StepClosedByPeer   StepKind = "closed by peer"    // the relaying instance gave up the relayed request
@@ -131,7 +131,7 @@
 	}
 	step := TraceStep{Kind: StepStatusUnknown, Attempt: number, Server: server}
 	if hasEnded {
-		step.Kind, step.Detail = StepStatusTold, status.String()
+		step.Kind, step.Detail = StepStatusReported, status.String()
 	}
 	t.add(step)
 }
--- a/internal/scenario/request_traces.go
+++ b/internal/scenario/request_traces.go
@@ -117,9 +117,9 @@
 		o.wasConnClosed = true
 	case gateway.StepEnded:
 		o.isInFlight = o.mayBeInFlight(step.Detail)
-	case gateway.StepStatusAsked:
+	case gateway.StepStatusQueried:
 		o.statusAskedAt = step.At
-	case gateway.StepStatusTold:
+	case gateway.StepStatusReported:
 		o.wasEndTold = true
 	}
 	return fault
--- a/internal/scenario/request_traces_test.go
+++ b/internal/scenario/request_traces_test.go
@@ -34,7 +34,7 @@
 func TestAttemptOrderCheck(t *testing.T) {
 	written, closed := stepOf(gateway.StepWritten, ""), stepOf(gateway.StepConnClosed, "")
 	timedOut := stepOf(gateway.StepEnded, "timed out")
-	asked := stepOf(gateway.StepStatusAsked, "")
+	asked := stepOf(gateway.StepStatusQueried, "")
 	for _, test := range []struct {
 		name       string
 		idempotent bool
@@ -46,7 +46,8 @@
 		{"never written", false, stepsOf(directAttempt(1), stepOf(gateway.StepEnded, "not sent"), directAttempt(2)), 0},
 		{"answered", false, stepsOf(relayedAttempt(1), written, stepOf(gateway.StepEnded, "error response"),
 			directAttempt(2)), 0},
-		{"end told", false, stepsOf(relayedAttempt(1), written, closed, asked, stepOf(gateway.StepStatusTold, "unknown"),
+		{"end told", false, stepsOf(relayedAttempt(1), written, closed, asked,
+			stepOf(gateway.StepStatusReported, "unknown"),
 			timedOut, directAttempt(2)), 0},
 		{"relayed, end not told", false, stepsOf(relayedAttempt(1), written, closed, asked,
 			stepOf(gateway.StepStatusUnknown, ""), timedOut, directAttempt(2)), 1},
@@ -66,7 +67,7 @@
 // An idempotent request goes on without the far instance's word after the stated time.
 func TestAttemptOrderAfterUnansweredStatus(t *testing.T) {
 	steps := stepsOf(relayedAttempt(1), stepOf(gateway.StepWritten, ""), stepOf(gateway.StepConnClosed, ""),
-		stepOf(gateway.StepStatusAsked, ""), stepOf(gateway.StepStatusUnknown, ""),
+		stepOf(gateway.StepStatusQueried, ""), stepOf(gateway.StepStatusUnknown, ""),
 		stepOf(gateway.StepEnded, "timed out"), relayedAttempt(2))
 	steps[6].At = steps[3].At.Add(unansweredStatusWait)
 	for _, isIdempotent := range []bool{true, false} {
