--- a/internal/benchmark/gateway.go
+++ b/internal/benchmark/gateway.go
@@ -106,7 +106,7 @@
 	}
 	for i := range licenseeCount {
 		name := licenseeName(i)
-		config.Licensees[name] = gateway.Licensee{Plan: "kubwa", Customer: gateway.CustomerOf(name)}
+		config.Licensees[name] = gateway.Licensee{Plan: "kubwa", Customer: gateway.CustomerID(name)}
 	}
 	return config
 }
--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -160,7 +160,7 @@
 			if json.Unmarshal(text, &agreed) != nil {
 				return // unreachable: the object was checked before it was agreed on
 			}
-			l = cachedLicensee{text, gateway.Licensee{Plan: agreed.Plan, Customer: gateway.CustomerOf(name)}}
+			l = cachedLicensee{text, gateway.Licensee{Plan: agreed.Plan, Customer: gateway.CustomerID(name)}}
 		}
 		next[name] = l
 		licensees[name] = l.value
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -153,8 +153,8 @@
 	Customer uint64 // its ID in the engine, the same at every instance
 }
 
-// CustomerOf returns the customer ID of the licensee with a name.
-func CustomerOf(name string) uint64 {
+// CustomerID returns the customer ID of the licensee with a name.
+func CustomerID(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64() >> 1
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"", "bahari", "kilima"} {
-		fmt.Fprintln(&out, CustomerOf(name), hashKey(name, ""), hashKey(name, "key-1"), hashKey("key-1", name))
+		fmt.Fprintln(&out, CustomerID(name), hashKey(name, ""), hashKey(name, "key-1"), hashKey("key-1", name))
 	}
 	times := regexp.MustCompile(`"time":"\d{4}-\d\d-\d\dT[0-9:.]+(Z|[+-]\d\d:\d\d)"`)
 	fixture.Compare(t, "access.txt", times.ReplaceAll(out.Bytes(), []byte(`"time":"TIME"`)))
--- a/internal/gatewayconfig/agreed.go
+++ b/internal/gatewayconfig/agreed.go
@@ -135,6 +135,6 @@
 		if !plans[l.Plan] {
 			p.addProblem(section+".plan", "%q is no [[plan]] of this file", l.Plan)
 		}
-		cfg.Licensees[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerOf(l.Name)}
+		cfg.Licensees[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerID(l.Name)}
 	}
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -235,7 +235,7 @@
 func knownLicensees() map[string]gateway.Licensee {
 	known := map[string]gateway.Licensee{}
 	for _, l := range allLicensees() {
-		known[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerOf(l.Name)}
+		known[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerID(l.Name)}
 	}
 	return known
 }
