--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -169,18 +169,18 @@
 
 // readAnswer reads an answer, its body into buffer, which it returns.
 func readAnswer(reader *httpwire.Reader, head *httpwire.Head, buffer []byte) ([]byte, error) {
-	if err := reader.Answer(head); err != nil {
+	if err := reader.ReadResponse(head); err != nil {
 		return buffer, err
 	}
 	if head.Chunked {
-		_, err := reader.Chunked(maxAnswerBody)
+		_, err := reader.ReadChunkedBody(maxAnswerBody)
 		return buffer, err
 	}
 	if head.Length <= 0 {
 		return buffer, nil
 	}
 	buffer = append(buffer[:0], make([]byte, head.Length)...)
-	return buffer, reader.Body(buffer)
+	return buffer, reader.ReadBody(buffer)
 }
 
 // quantiles returns the median and the 99th percentile over all connections; 0 without any request.
--- a/internal/benchmark/servers.go
+++ b/internal/benchmark/servers.go
@@ -44,10 +44,10 @@
 	r := httpwire.NewReader(c)
 	var h httpwire.Head
 	var body []byte
-	for r.Request(&h) == nil {
+	for r.ReadRequest(&h) == nil {
 		if h.Length > 0 {
 			body = append(body[:0], make([]byte, h.Length)...)
-			if r.Body(body) != nil {
+			if r.ReadBody(body) != nil {
 				return
 			}
 		}
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -142,7 +142,7 @@
 			isReusable = false
 		}
 	}()
-	if err := c.reader.Request(&r.requestHead); err != nil {
+	if err := c.reader.ReadRequest(&r.requestHead); err != nil {
 		return c.rejectUnreadable(err)
 	}
 	if c.input.readCount > 0 { // otherwise it arrived together with the previous request
@@ -234,7 +234,7 @@
 		c.output.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	c.request.body = make([]byte, head.Length)
-	if err := c.reader.Body(c.request.body); err != nil {
+	if err := c.reader.ReadBody(c.request.body); err != nil {
 		return &badRequest{status: http.StatusBadRequest, text: "body: incomplete", close: true}
 	}
 	return nil
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -226,7 +226,7 @@
 // read reads the complete response and reports whether the connection can be reused.
 func (c *serverConn) read(resp *response, isHeadRequest bool) (result policy.Result, isReusable bool, err error) {
 	for {
-		if err := c.reader.Answer(&resp.head); err != nil {
+		if err := c.reader.ReadResponse(&resp.head); err != nil {
 			return 0, false, err
 		}
 		if resp.head.Status >= 200 || resp.head.Status == 101 {
@@ -242,7 +242,7 @@
 	switch {
 	case isHeadRequest || h.Status == 204 || h.Status == 304:
 	case h.Chunked:
-		if resp.body, err = c.reader.Chunked(maxResponseBody); err != nil {
+		if resp.body, err = c.reader.ReadChunkedBody(maxResponseBody); err != nil {
 			return 0, false, err
 		}
 	case h.Length < 0: // delimited by the connection's close: truncation could not be detected
@@ -251,7 +251,7 @@
 		return 0, false, errTooLong
 	case h.Length > 0:
 		resp.body = make([]byte, h.Length)
-		if err = c.reader.Body(resp.body); err != nil {
+		if err = c.reader.ReadBody(resp.body); err != nil {
 			return 0, false, err
 		}
 	}
--- a/internal/gateway/key_owners_test.go
+++ b/internal/gateway/key_owners_test.go
@@ -23,7 +23,7 @@
 		t.Helper()
 		var r pendingRequest
 		if err := httpwire.NewReader(strings.NewReader(postRequest("POST /visits", body,
-			fields...))).Request(&r.requestHead); err != nil {
+			fields...))).ReadRequest(&r.requestHead); err != nil {
 			t.Fatal(err)
 		}
 		r.body = []byte(body)
--- a/internal/httpwire/answer_test.go
+++ b/internal/httpwire/answer_test.go
@@ -14,10 +14,10 @@
 func readAnswer(text string) (Head, []byte, error) {
 	var h Head
 	r := NewReader(iotest.HalfReader(strings.NewReader(text)))
-	if err := r.Answer(&h); err != nil || !h.Chunked {
+	if err := r.ReadResponse(&h); err != nil || !h.Chunked {
 		return h, nil, err
 	}
-	body, err := r.Chunked(10)
+	body, err := r.ReadChunkedBody(10)
 	return h, body, err
 }
 
@@ -69,7 +69,7 @@
 	f.Add([]byte("3\r\nabc\r\n0\r\n\r\n"))
 	f.Add([]byte("a;x\r\n0123456789\r\n0\r\nA: b\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		body, err := NewReader(bytes.NewReader(text)).Chunked(1 << 16)
+		body, err := NewReader(bytes.NewReader(text)).ReadChunkedBody(1 << 16)
 		if err != nil {
 			return
 		}
--- a/internal/httpwire/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -9,8 +9,8 @@
 // maxSizeDigits is the largest number of hexadecimal digits in a chunk size.
 const maxSizeDigits = 7
 
-// Chunked reads a chunked body of at most maxBytes bytes. Trailers are read and discarded.
-func (r *Reader) Chunked(maxBytes int) ([]byte, error) {
+// ReadChunkedBody reads a chunked body of at most maxBytes bytes. Trailers are read and discarded.
+func (r *Reader) ReadChunkedBody(maxBytes int) ([]byte, error) {
 	var body []byte
 	for {
 		size, err := r.readChunkSize()
@@ -25,7 +25,7 @@
 		}
 		start := len(body)
 		body = append(body, make([]byte, size)...)
-		if err := r.Body(body[start:]); err != nil {
+		if err := r.ReadBody(body[start:]); err != nil {
 			return nil, err
 		}
 		if end, err := r.readLine(); err != nil || len(end) > 0 {
--- a/internal/httpwire/reader.go
+++ b/internal/httpwire/reader.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// Request reads the head of a request into h. It returns an error of this package or of the connection; the error is
-// io.EOF if the connection ended before the first byte.
-func (r *Reader) Request(h *Head) error {
+// ReadRequest reads the head of a request into h. It returns an error of this package or of the connection; the error
+// is io.EOF if the connection ended before the first byte.
+func (r *Reader) ReadRequest(h *Head) error {
 	text, err := r.readHead()
 	if err != nil {
 		return err
@@ -99,8 +99,8 @@
 	return h.ParseRequest(text)
 }
 
-// Answer reads the head of a response into h. It returns the same errors as [Reader.Request].
-func (r *Reader) Answer(h *Head) error {
+// ReadResponse reads the head of a response into h. It returns the same errors as [Reader.ReadRequest].
+func (r *Reader) ReadResponse(h *Head) error {
 	text, err := r.readHead()
 	if err != nil {
 		return err
@@ -108,8 +108,8 @@
 	return h.ParseResponse(text)
 }
 
-// Body fills b with the body of a message whose length is known.
-func (r *Reader) Body(b []byte) error {
+// ReadBody fills b with the body of a message whose length is known.
+func (r *Reader) ReadBody(b []byte) error {
 	n := copy(b, r.buf[r.start:r.end])
 	r.start += n
 	if n == len(b) {
--- a/internal/httpwire/request_test.go
+++ b/internal/httpwire/request_test.go
@@ -26,11 +26,11 @@
 		t.Run(name, func(t *testing.T) {
 			r := NewReader(src)
 			var h Head
-			if err := r.Request(&h); err != nil {
+			if err := r.ReadRequest(&h); err != nil {
 				t.Fatal(err)
 			}
 			body := make([]byte, h.Length)
-			if err := r.Body(body); err != nil {
+			if err := r.ReadBody(body); err != nil {
 				t.Fatal(err)
 			}
 			if v, n := h.Values("x-a"); h.Method != "POST" || h.Target != "/a?b=%20" || v != "v" || n != 1 ||
@@ -84,7 +84,7 @@
 	for _, c := range rejectedHeads {
 		t.Run(c.name, func(t *testing.T) {
 			var h Head
-			if err := NewReader(strings.NewReader(c.text)).Request(&h); !errors.Is(err, c.want) {
+			if err := NewReader(strings.NewReader(c.text)).ReadRequest(&h); !errors.Is(err, c.want) {
 				t.Errorf("got error %v, want %v", err, c.want)
 			}
 		})
@@ -99,7 +99,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var h Head
 		r := NewReader(bytes.NewReader(text))
-		if r.Request(&h) != nil || !strings.HasPrefix(h.Target, "/") {
+		if r.ReadRequest(&h) != nil || !strings.HasPrefix(h.Target, "/") {
 			return
 		}
 		other, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
