--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -146,7 +146,7 @@
 		},
 		Ramp: &multisite.RampMessage{
 			RequestID: 10,
-			Loads:     []multisite.WarmLoad{{Site: "hall-a", Rate: 2.5, Utilization: 0.5}},
+			Loads:     []multisite.WarmServerLoad{{Site: "hall-a", Rate: 2.5, Utilization: 0.5}},
 			Requests:  []multisite.ShareRequest{{Site: "hall-b", Share: 0.25}},
 			Grants:    []multisite.ShareGrant{{Site: "hall-b", Borrower: 11, RequestID: 12, Share: 0.125}},
 		},
--- a/internal/gateway/site_broadcast.go
+++ b/internal/gateway/site_broadcast.go
@@ -57,16 +57,16 @@
 
 // recordWarmUp passes the load of the cold servers at this instance's own sites to the ramps, and returns the load of
 // the warm ones.
-func (b *siteBroadcast) recordWarmUp(now time.Duration) (loads []multisite.WarmLoad) {
+func (b *siteBroadcast) recordWarmUp(now time.Duration) (loads []multisite.WarmServerLoad) {
 	for site := range b.sites {
 		if b.relay.isRemote(site) { // only its own instances know which of its servers are cold
 			continue
 		}
 		if rate, utilization := b.engine.WarmServerLoad(now, site); rate > 0 {
-			loads = append(loads, multisite.WarmLoad{Site: site, Rate: rate, Utilization: utilization})
+			loads = append(loads, multisite.WarmServerLoad{Site: site, Rate: rate, Utilization: utilization})
 		}
 		weight, sent, rejected := b.engine.ColdServerWork(now, site)
-		load := multisite.WarmUpLoad{ServerWeight: weight, SentWork: sent, RejectedWork: rejected}
+		load := multisite.WarmingServersLoad{ServerWeight: weight, SentWork: sent, RejectedWork: rejected}
 		b.ramp.RecordWarmUpLoad(now, site, load)
 	}
 	return loads
--- a/multisite/messages_test.go
+++ b/multisite/messages_test.go
@@ -15,7 +15,7 @@
 	Views: []SiteView{{"east", true, time.Second, 2.5, true}, {"west", false, -1, 0, false}},
 	Ramp: &RampMessage{
 		RequestID: 19,
-		Loads:     []WarmLoad{{"east", 1.5, -1}},
+		Loads:     []WarmServerLoad{{"east", 1.5, -1}},
 		Requests:  []ShareRequest{{"east", 0.25}},
 		Grants:    []ShareGrant{{"west", 2, 23, 0.125}},
 	},
@@ -46,7 +46,7 @@
 		{"a sent key", SentKey{1, "a", 2}, `{"Key":1,"Hall":"a","Ago":2}`},
 		{"an empty view", SiteView{}, `{"Hall":"","Silent":false,"For":0,"Carry":0}`},
 		{"an empty ramp message", RampMessage{}, `{"Ask":0}`},
-		{"an empty load of warm servers", WarmLoad{}, `{"Hall":"","Rate":0,"Util":0}`},
+		{"an empty load of warm servers", WarmServerLoad{}, `{"Hall":"","Rate":0,"Util":0}`},
 		{"an empty request for a share", ShareRequest{}, `{"Hall":"","Share":0}`},
 		{"an empty grant of a share", ShareGrant{}, `{"Hall":"","To":0,"Ask":0,"Share":0}`},
 		{"an empty confirmation message", ConfirmationMessage{}, `{"Ask":0,"Fence":0}`},
--- a/multisite/ramp_messages.go
+++ b/multisite/ramp_messages.go
@@ -8,14 +8,14 @@
 
 // RampMessage is the part of a [Message] for a [RecoveryRamp]. Its JSON is read by instances of other versions.
 type RampMessage struct {
-	RequestID uint64         `json:"Ask"` // ID of all requests in the message
-	Loads     []WarmLoad     `json:"Carried,omitempty"`
-	Requests  []ShareRequest `json:"Asks,omitempty"`
-	Grants    []ShareGrant   `json:"Grants,omitempty"`
+	RequestID uint64           `json:"Ask"` // ID of all requests in the message
+	Loads     []WarmServerLoad `json:"Carried,omitempty"`
+	Requests  []ShareRequest   `json:"Asks,omitempty"`
+	Grants    []ShareGrant     `json:"Grants,omitempty"`
 }
 
-// WarmLoad is the load that an instance sends to a warm server of a site that it reaches directly.
-type WarmLoad struct {
+// WarmServerLoad is the load that an instance sends to a warm server of a site that it reaches directly.
+type WarmServerLoad struct {
 	Site        string  `json:"Hall"`
 	Rate        float64 `json:"Rate"` // seconds of work per second, for a server of unit weight
 	Utilization float64 `json:"Util"` // utilization of the server's cores, 0 to 1; negative if unknown
@@ -37,7 +37,7 @@
 
 // NextBroadcast returns the next message to the other members. loads are this instance's loads on warm servers, one for
 // each site.
-func (r *RecoveryRamp) NextBroadcast(now time.Duration, loads []WarmLoad) RampMessage {
+func (r *RecoveryRamp) NextBroadcast(now time.Duration, loads []WarmServerLoad) RampMessage {
 	r.broadcastAt = now
 	r.recordLoads(now, r.cfg.InstanceID, loads)
 	m := RampMessage{RequestID: r.requests.next(now), Loads: loads}
@@ -81,7 +81,7 @@
 	}
 }
 
-func (r *RecoveryRamp) recordLoads(now time.Duration, member uint64, loads []WarmLoad) {
+func (r *RecoveryRamp) recordLoads(now time.Duration, member uint64, loads []WarmServerLoad) {
 	for _, load := range loads {
 		if site := r.sites[load.Site]; site != nil {
 			site.warm.record(now, member, load)
--- a/multisite/ramp_simulation_test.go
+++ b/multisite/ramp_simulation_test.go
@@ -152,11 +152,12 @@
 
 // recordLoad records the load of a member that uses its share up to its demand.
 func (s *rampSimulation) recordLoad(id uint64) {
-	load := WarmUpLoad{}
+	load := WarmingServersLoad{}
 	if demand := s.demand[id]; demand > 0 {
 		seconds := (broadcastIntervals * rampTestInterval).Seconds()
 		sent := min(demand, s.share(id)) * seconds
-		load = WarmUpLoad{ServerWeight: 1 / rampTestMultiple, SentWork: sent, RejectedWork: demand*seconds - sent}
+		load = WarmingServersLoad{
+			ServerWeight: 1 / rampTestMultiple, SentWork: sent, RejectedWork: demand*seconds - sent}
 	}
 	s.ramps[id].RecordWarmUpLoad(s.clock(id), rampTestSite, load)
 }
--- a/multisite/recovery_ramp.go
+++ b/multisite/recovery_ramp.go
@@ -64,8 +64,8 @@
 	warm              warmCapacity
 }
 
-// WarmUpLoad is the load of an instance on a site's warming servers since its last broadcast.
-type WarmUpLoad struct {
+// WarmingServersLoad is the load of an instance on a site's warming servers since its last broadcast.
+type WarmingServersLoad struct {
 	ServerWeight float64 // sum of weight times capacity fraction of the servers reached directly; 0 if there are none
 	SentWork     float64 // seconds of work sent
 	RejectedWork float64 // seconds of work rejected for lack of capacity
@@ -156,7 +156,7 @@
 }
 
 // RecordWarmUpLoad records the instance's load on a site's warming servers since its last broadcast.
-func (r *RecoveryRamp) RecordWarmUpLoad(now time.Duration, site string, load WarmUpLoad) {
+func (r *RecoveryRamp) RecordWarmUpLoad(now time.Duration, site string, load WarmingServersLoad) {
 	s := r.sites[site]
 	if s == nil {
 		return
--- a/multisite/warm_capacity.go
+++ b/multisite/warm_capacity.go
@@ -19,14 +19,14 @@
 }
 
 type memberLoad struct {
-	WarmLoad
+	WarmServerLoad
 	receivedAt time.Duration
 }
 
 func newWarmCapacity() warmCapacity { return warmCapacity{loads: map[uint64]memberLoad{}} }
 
 // record records a member's load on warm servers. Invalid figures are ignored.
-func (w *warmCapacity) record(now time.Duration, member uint64, load WarmLoad) {
+func (w *warmCapacity) record(now time.Duration, member uint64, load WarmServerLoad) {
 	if load.Rate >= 0 && !math.IsInf(load.Rate, 0) && !math.IsNaN(load.Utilization) {
 		w.loads[member] = memberLoad{load, now}
 	}
--- a/multisite/warm_capacity_test.go
+++ b/multisite/warm_capacity_test.go
@@ -18,21 +18,22 @@
 	r.ApplyAgreed(0, []Site{{Name: "a"}, {Name: "b"}}, []uint64{1, 2, 3})
 	for _, c := range []struct {
 		name                 string
-		own, other           WarmLoad
+		own, other           WarmServerLoad
 		now                  time.Duration
 		capacityA, capacityB float64
 	}{
-		{"nothing is known: a second's work a second", WarmLoad{"a", 0, -1}, WarmLoad{"a", 0, -1}, 0, 1, 1},
-		{"busy", WarmLoad{"a", 0.5, 0.5}, WarmLoad{"a", 0.7, 0.6}, 100 * time.Millisecond, 2, 2},
-		{"idle: as learned before", WarmLoad{"a", 0.1, 0.1}, WarmLoad{"a", 0.1, 0.1}, 200 * time.Millisecond, 2, 2},
+		{"nothing is known: a second's work a second", WarmServerLoad{"a", 0, -1}, WarmServerLoad{"a", 0, -1}, 0, 1, 1},
+		{"busy", WarmServerLoad{"a", 0.5, 0.5}, WarmServerLoad{"a", 0.7, 0.6}, 100 * time.Millisecond, 2, 2},
+		{"idle: as learned before",
+			WarmServerLoad{"a", 0.1, 0.1}, WarmServerLoad{"a", 0.1, 0.1}, 200 * time.Millisecond, 2, 2},
 		{"another site's servers are larger",
-			WarmLoad{"b", 1, 0.25}, WarmLoad{"b", 3, 0.5}, 300 * time.Millisecond, 2, 8},
+			WarmServerLoad{"b", 1, 0.25}, WarmServerLoad{"b", 3, 0.5}, 300 * time.Millisecond, 2, 8},
 		{"no reports: at least what they are sent",
-			WarmLoad{"a", 3, -1}, WarmLoad{"a", 3, -1}, 400 * time.Millisecond, 6, 8},
+			WarmServerLoad{"a", 3, -1}, WarmServerLoad{"a", 3, -1}, 400 * time.Millisecond, 6, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r.Receive(c.now, 2, RampMessage{Loads: []WarmLoad{c.other}})
-			r.NextBroadcast(c.now, []WarmLoad{c.own})
+			r.Receive(c.now, 2, RampMessage{Loads: []WarmServerLoad{c.other}})
+			r.NextBroadcast(c.now, []WarmServerLoad{c.own})
 			got := fmt.Sprintf("%.2f %.2f", r.WarmServerCapacity(c.now, "a"), r.WarmServerCapacity(c.now, "b"))
 			if want := fmt.Sprintf("%.2f %.2f", c.capacityA, c.capacityB); got != want {
 				t.Errorf("capacities at sites a and b: got %s, want %s", got, want)
