--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -170,18 +170,18 @@
 
 // readAnswer reads a response. It reads a body of known length into buffer, which it grows as needed and returns.
 func readAnswer(reader *httpwire.Reader, head *httpwire.Head, buffer []byte) ([]byte, error) {
-	if err := reader.Answer(head); err != nil {
+	if err := reader.ReadResponse(head); err != nil {
 		return buffer, err
 	}
 	if head.Chunked {
-		_, err := reader.Chunked(maxAnswerBody)
+		_, err := reader.ReadChunkedBody(maxAnswerBody)
 		return buffer, err
 	}
 	if head.Length <= 0 {
 		return buffer, nil
 	}
 	buffer = append(buffer[:0], make([]byte, head.Length)...)
-	return buffer, reader.Body(buffer)
+	return buffer, reader.ReadBody(buffer)
 }
 
 // quantiles returns the median and the 99th percentile over all connections, or 0 if there are no latencies.
--- a/policy/quota/gossip.go
+++ b/policy/quota/gossip.go
@@ -26,7 +26,7 @@
 // Gossip is the state of an instance's gossip: the sequence numbers exchanged with each peer, and the rate of messages
 // received. The quotas to be broadcast are in the [Table].
 type Gossip struct {
-	Rate float64 // messages received per second, a moving average; restored by a hot restart
+	InboxRate float64 // messages received per second, a moving average; restored by a hot restart
 
 	epoch    uint64  // random, distinguishes this process from earlier ones
 	peers    []peer  // by instance
@@ -61,13 +61,15 @@
 
 // CloseSample updates the rate with the messages received in a sample, which lasts [overload.SampleInterval].
 func (g *Gossip) CloseSample() {
-	g.Rate += inboxRateWeight * (g.received/overload.SampleInterval.Seconds() - g.Rate)
+	g.InboxRate += inboxRateWeight * (g.received/overload.SampleInterval.Seconds() - g.InboxRate)
 	g.received = 0
 }
 
-// NewEntries records the epoch and sequence number of a peer's message and returns those of its entries that were not
-// received before.
-func (g *Gossip) NewEntries(from int, m GossipMessage) []Entry { return g.peers[from].acceptMessage(m) }
+// AcceptMessage records the epoch and sequence number of a peer's message and returns those of its entries that were
+// not received before.
+func (g *Gossip) AcceptMessage(from int, m GossipMessage) []Entry {
+	return g.peers[from].acceptMessage(m)
+}
 
 // ReceiveEntries applies the entries received from a peer. The two instances may have different plans for a customer
 // for a while; the units that the peer took are charged in either case.
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -134,7 +134,7 @@
 		member.RequestReceived(t0, ownerRequest(1, ownedCustomer), r)
 		ownerIndex := ownerIndexOf(member)
 		owner, ownerRecorder := newOwnerEngine(t, ownerIndex)
-		owner.gossip.Rate = inboxRate
+		owner.gossip.InboxRate = inboxRate
 		ownedCustomerQuota(owner).Tokens = 0
 		owner.GossipReceived(t0, 10, r.gossip[ownerIndex][0], ownerRecorder)
 		member.GossipReceived(t0, ownerIndex, ownerRecorder.gossip[10][0], r)
@@ -270,7 +270,7 @@
 	owned := owner.quotas.Lookup(ownedCustomer)
 	owned.InFlight = owner.settings.Plans[owner.index.plans["open"]].MaxInFlight
 	decision := owner.quotas.Check(owned, quota.Demand{Units: 1}, t0+200*ms)
-	if decision.IsInside || decision.RetryAfter > quota.OwnerTimeout {
+	if decision.IsWithinQuota || decision.RetryAfter > quota.OwnerTimeout {
 		t.Errorf("got decision %+v, want a rejection with at most OwnerTimeout to wait", decision)
 	}
 }
