--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -3,20 +3,20 @@
 
 import "time"
 
-// Event is something that happens at a time. Of events of one time, the one with the lowest order comes first.
+// Event is a function to run at a virtual time. Of events at the same time, the one with the lowest Order comes first.
 type Event struct {
 	At    time.Duration
 	Order int
 	Run   func()
 }
 
-// isBefore reports whether the event comes before another.
+// isBefore reports whether the event precedes another.
 func (e *Event) isBefore(other *Event) bool {
 	return e.At < other.At || e.At == other.At && e.Order < other.Order
 }
 
-// Queue is a binary heap of the events to come; the zero value is empty. It is typed, as container/heap would allocate
-// for each event, of which simulations have millions.
+// Queue is a binary heap of pending events. The zero value is empty. It doesn't use container/heap, which would
+// allocate for each event: simulations have millions of them.
 type Queue struct{ heap []Event }
 
 // Len returns the number of events.
@@ -43,14 +43,14 @@
 func (q *Queue) Pop() Event {
 	next, last := q.heap[0], len(q.heap)-1
 	q.heap[0] = q.heap[last]
-	q.heap[last] = Event{} // its function is garbage
+	q.heap[last] = Event{} // allows its function to be garbage collected
 	q.heap = q.heap[:last]
-	q.sinkFirst()
+	q.siftDown()
 	return next
 }
 
-// sinkFirst moves the first event down to where it belongs.
-func (q *Queue) sinkFirst() {
+// siftDown restores the heap order by moving the first event down.
+func (q *Queue) siftDown() {
 	parent := 0
 	for {
 		child := 2*parent + 1
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Events come in the order of their times and, at one time, of their order, also where some are added in between.
+// Pop must return events by time and, at equal times, by order, also if others are pushed between two calls.
 func TestPopsInOrder(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -18,19 +18,19 @@
 		queue.Push(event)
 		pending = append(pending, event)
 		for queue.Len() > 0 && rng.IntN(2) == 0 {
-			pending = popBoth(t, &queue, pending)
+			pending = popAndCompare(t, &queue, pending)
 		}
 	}
 	for queue.Len() > 0 {
-		pending = popBoth(t, &queue, pending)
+		pending = popAndCompare(t, &queue, pending)
 	}
 	if len(pending) > 0 {
-		t.Errorf("%d events were not returned", len(pending))
+		t.Errorf("the queue is empty, but %d events were not popped", len(pending))
 	}
 }
 
-// popBoth pops an event, fails the test unless it is the first of those pending, and returns the others.
-func popBoth(t *testing.T, queue *Queue, pending []Event) []Event {
+// popAndCompare pops an event, fails the test unless it is the first of those pending, and returns the others.
+func popAndCompare(t *testing.T, queue *Queue, pending []Event) []Event {
 	t.Helper()
 	first := 0
 	for i := range pending {
@@ -40,7 +40,7 @@
 	}
 	nextAt, got, want := queue.NextAt(), queue.Pop(), pending[first]
 	if got.At != want.At || got.Order != want.Order || nextAt != want.At {
-		t.Fatalf("event %d at %v, announced for %v, want %d at %v", got.Order, got.At, nextAt, want.Order, want.At)
+		t.Fatalf("popped event %d at %v (NextAt: %v), want %d at %v", got.Order, got.At, nextAt, want.Order, want.At)
 	}
 	return slices.Delete(pending, first, first+1)
 }
@@ -55,6 +55,6 @@
 		queue.Pop().Run()
 	}
 	if ran != "first second" {
-		t.Errorf("ran %q", ran)
+		t.Errorf("events ran in the order %q, want first second", ran)
 	}
 }
--- a/internal/scenario/booking.go
+++ b/internal/scenario/booking.go
@@ -7,19 +7,19 @@
 	"mulleinmux/internal/testserver"
 )
 
-// Work of the two kinds of operations. It is a part of the real one, so that a short run
-// has enough requests to judge by.
+// Core time of the two kinds of operations. It is a fraction of the real core time, so that a
+// short run has enough requests for the rules' checks.
 const (
 	checkWork = 12 * time.Millisecond
 	bookWork  = 20 * time.Millisecond
 )
 
-// unitsFunc reads the units of a request as a site would.
+// unitsFunc determines the units of a request as a site would.
 type unitsFunc = func(version int, r *http.Request, body []byte) int
 
-// routes is the booking API as the sites know it, written by hand and not taken from the
-// description: what the gateway makes of that is held against it. With a price, an
-// operation's fixed units depend on the version of the description.
+// routes returns the booking API of the sites. It is written by hand and not derived from the
+// description, so that the gateway's interpretation of the description can be compared with it.
+// price returns the fixed units of an operation in a version of the description.
 func routes(price func(version int, operation string, units int) int) []testserver.Route {
 	fixed := func(operation string, units int) unitsFunc {
 		return func(version int, _ *http.Request, _ []byte) int { return price(version, operation, units) }
@@ -67,10 +67,10 @@
 	}
 }
 
-// sameUnits is a price that is the same in each version of the description.
+// sameUnits is a price function for units that are the same in each version of the description.
 func sameUnits(_ int, _ string, units int) int { return units }
 
-// calmMix is the two operations that most licensees use.
+// calmMix returns requests of the two operations that most licensees use.
 func calmMix() []testserver.RequestTemplate {
 	return []testserver.RequestTemplate{
 		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=2", Weight: 56,
@@ -80,7 +80,7 @@
 	}
 }
 
-// mixedMix has all operations, with units from each place that may tell them.
+// mixedMix returns requests of all operations, with units from each possible source: query, header, body and default.
 func mixedMix() []testserver.RequestTemplate {
 	key := "Idempotency-Key: {key}"
 	return []testserver.RequestTemplate{
--- a/internal/scenario/chaos.go
+++ b/internal/scenario/chaos.go
@@ -15,15 +15,15 @@
 const (
 	dropShare       = 0.02
 	repeatShare     = 0.02
-	delayShare      = 0.04 // by up to maxDelay: others overtake them
+	delayShare      = 0.04 // delayed by up to maxDelay, so that others overtake them
 	failedSyncShare = 0.002
-	reliableSyncs   = 100 // the first syncs go well, so that a member comes up at all
+	reliableSyncs   = 100 // the first syncs succeed, so that a member can start
 
 	maxDelay = 80 * time.Millisecond
 )
 
-// Chaos has a member's messages to others dropped, repeated, delayed and so reordered, and
-// syncs of its disk fail, by a seed.
+// Chaos injects faults into a member, by a seed: messages to others are dropped, repeated or
+// delayed and thereby reordered, and syncs of its disk fail.
 func Chaos(cfg *cluster.MemberConfig, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, cfg.MemberID)) // used by the member's goroutine alone
 	cfg.WrapSend = func(send func(*pb.Message)) func(*pb.Message) {
@@ -40,23 +40,23 @@
 			send(m)
 		}
 	}
-	cfg.WrapStorage = func(d raftnode.Storage) raftnode.Storage { return &chaosDisk{Storage: d, rng: rng} }
+	cfg.WrapStorage = func(d raftnode.Storage) raftnode.Storage { return &faultyStorage{Storage: d, rng: rng} }
 }
 
-// chaosDisk fails to sync now and then.
-type chaosDisk struct {
+// faultyStorage is a storage whose syncs sometimes fail.
+type faultyStorage struct {
 	raftnode.Storage
 	rng   *rand.Rand
 	syncs int
 }
 
-// errSync is what a sync that must fail returns.
-var errSync = errors.New("fsync failed on purpose")
+// errInjectedSync is the error of an injected sync failure.
+var errInjectedSync = errors.New("fsync failed on purpose")
 
-// Save implements raftnode.Storage.
-func (d *chaosDisk) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
+// Save implements [raftnode.Storage].
+func (d *faultyStorage) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
 	if d.syncs++; sync && d.syncs > reliableSyncs && d.rng.Float64() < failedSyncShare {
-		return errSync
+		return errInjectedSync
 	}
 	return d.Storage.Save(hs, entries, snap, sync)
 }
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -17,78 +17,78 @@
 	"mulleinmux/internal/testserver"
 )
 
-// The scenarios of this file run instances as processes of their own, which agree on their
-// configuration while operators change it, and members are killed, partitioned and restarted.
+// Scenarios with processes run each instance as a process. The members agree on their configuration by Raft while
+// operators change it, and members are killed, partitioned and restarted.
 
 // Sizes and times of scenarios with processes.
 const (
 	clusterName      = "lab"
 	operatorCount    = 3
-	operatorInterval = 30 * time.Millisecond // between two changes of one operator, on average
-	tickInterval     = 20 * time.Millisecond // elections come after 200 to 400 ms
+	operatorInterval = 30 * time.Millisecond // mean time between two operations of one operator
+	tickInterval     = 20 * time.Millisecond // elections start after 200 to 400 ms
 	startTimeout     = 20 * time.Second
-	lostLogWindow    = time.Second     // of an access log that a killed instance may not have written
-	staleTimeout     = 2 * time.Second // staleness bound of the last member, which then refuses
+	lostLogWindow    = time.Second     // access log records of this time before a kill may be missing
+	staleTimeout     = 2 * time.Second // staleness bound of the last member, which rejects requests beyond it
 	settleTimeout    = 20 * time.Second
-	maxDrainTime     = 2500 * time.Millisecond // for an instance to finish what it has taken
+	maxDrainTime     = 2500 * time.Millisecond // for an instance to finish the requests that it has accepted
 )
 
-// clusterDrawStream is the stream of the random numbers of faults; the operators have others.
-const clusterDrawStream = 0xc1
+// faultRandomStream is the stream of the random numbers of faults. The operators use other streams.
+const faultRandomStream = 0xc1
 
-// clusterRun is a scenario with processes under way.
+// clusterRun is the state of a running scenario with processes.
 type clusterRun struct {
-	environment *environment
-	dir         string
-	members     []*member
-	followers   []*member          // instances that follow the configuration stream
-	streamLinks map[linkEnds]*link // from a follower to a member
-	raftLinks   map[linkEnds]*link // from, to
-	relayLinks  map[linkEnds]*link // between sites, likewise
-	clients     []*cluster.Client  // one for each operator
-	hasChaos    bool
-	rng         *rand.Rand
-	afterClose  func() // called when siteCloses has closed a site; nil: nothing more
+	environment     *environment
+	dir             string
+	members         []*clusterInstance
+	followers       []*clusterInstance // instances that follow the configuration stream
+	streamLinks     map[linkKey]*link  // from a follower to a member
+	raftLinks       map[linkKey]*link  // from a member to another
+	relayLinks      map[linkKey]*link  // from a member to one at the other site
+	operatorClients []*cluster.Client  // one for each operator
+	hasChaos        bool
+	rng             *rand.Rand
+	afterClose      func() // called after siteCloses has closed a site; may be nil
 
 	mu               sync.Mutex
-	configChanges    []configChange
+	configOperations []configOperation
 	killCount        int
-	failedDiskCount  int // members that ended by themselves: their disk failed
-	flapCount        int // times that a site was partitioned or came back
+	failedDiskCount  int // members whose process ended because their disk failed
+	flapCount        int // partitions of a site or of links, and returns
 	losses           []siteLoss
-	surge            *surge          // nil: there was none
-	isolations       []interval      // the sites were cut from each other
-	leaderLossDelays []time.Duration // from the leader's kill to the next applied change
+	outage           *siteOutage     // of siteLostSurge, else nil
+	isolations       []interval      // during which the sites were partitioned from each other
+	leaderLossDelays []time.Duration // from each kill of the leader to the next applied change
 }
 
-// siteLoss is how long the instances took to agree on a site's loss and on its return.
+// siteLoss records how long the instances took to agree on a site's loss and on its return.
 type siteLoss struct {
-	untilLost time.Duration // from its partition
-	untilBack time.Duration // from its return
+	lossDelay   time.Duration // from its partition
+	returnDelay time.Duration // from its return
 }
 
-// newClusterRun returns a run with a folder of its own, which the caller removes.
-func newClusterRun(w *environment) (*clusterRun, error) {
+// newClusterRun returns a run with a new directory, which the caller removes.
+func newClusterRun(env *environment) (*clusterRun, error) {
 	dir, err := os.MkdirTemp("", "gateway-lab-")
 	return &clusterRun{
-		environment: w,
+		environment: env,
 		dir:         dir,
-		streamLinks: map[linkEnds]*link{},
-		raftLinks:   map[linkEnds]*link{},
-		relayLinks:  map[linkEnds]*link{},
-		rng:         rand.New(rand.NewPCG(w.options.Seed, clusterDrawStream)),
-		hasChaos:    w.scenario.Name == "chaos-config",
+		streamLinks: map[linkKey]*link{},
+		raftLinks:   map[linkKey]*link{},
+		relayLinks:  map[linkKey]*link{},
+		rng:         rand.New(rand.NewPCG(env.options.Seed, faultRandomStream)),
+		hasChaos:    env.scenario.Name == "chaos-config",
 	}, err
 }
 
 // runCluster runs a scenario with processes.
-func (w *environment) runCluster(ctx context.Context) (*Verdict, error) {
-	c, err := newClusterRun(w)
+func (env *environment) runCluster(ctx context.Context) (*Verdict, error) {
+	c, err := newClusterRun(env)
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(c.dir)
-	sites, closeSites, err := w.startSites()
+	sites, closeSites, err := env.startSites()
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	return c.checkRules(ctx, clientAttempts, began), nil
 }
 
-// startInstances starts all processes, has them agree on a first configuration, and returns once all are ready.
+// startInstances starts all processes, applies the first configuration, and returns once all are ready.
 func (c *clusterRun) startInstances(ctx context.Context, sites []gateway.Site) error {
 	for _, m := range c.instances() {
 		if err := c.start(m); err != nil {
@@ -127,31 +127,31 @@
 	return nil
 }
 
-// runClients runs the clients for the scenario's time, beside its faults and the operators' changes. It returns once
-// all three have ended.
+// runClients runs the clients for the scenario's duration, concurrently with its faults and the operators' changes. It
+// returns once all three have ended.
 func (c *clusterRun) runClients(ctx context.Context) []testserver.Attempt {
-	w := c.environment
-	clientsCtx, end := context.WithTimeout(ctx, w.options.For)
+	env := c.environment
+	clientsCtx, end := context.WithTimeout(ctx, env.options.For)
 	defer end()
 	operatorsCtx, stopOperators := context.WithCancel(ctx)
 	defer stopOperators()
-	var beside, operators sync.WaitGroup
+	var background, operators sync.WaitGroup
 	for i := range operatorCount {
 		operators.Go(func() { c.runOperator(operatorsCtx, i) })
 	}
-	beside.Go(func() { w.scenario.cluster(clientsCtx, c) })
-	beside.Go(func() { c.reportProgress(clientsCtx) })
-	clientAttempts := w.newClients().Run(clientsCtx)
-	beside.Wait()
+	background.Go(func() { env.scenario.runOnCluster(clientsCtx, c) })
+	background.Go(func() { c.reportProgress(clientsCtx) })
+	clientAttempts := env.newClients().Run(clientsCtx)
+	background.Wait()
 	stopOperators()
 	operators.Wait()
 	return clientAttempts
 }
 
-// instances are all that serve: members and followers.
-func (c *clusterRun) instances() []*member { return slices.Concat(c.members, c.followers) }
+// instances returns all instances: members and followers.
+func (c *clusterRun) instances() []*clusterInstance { return slices.Concat(c.members, c.followers) }
 
-// prepare makes certificates, links, files and addresses.
+// prepare creates certificates, addresses, links, configuration files, the members' data and the operators' clients.
 func (c *clusterRun) prepare() error {
 	authority, err := raftnode.NewAuthority(clusterName)
 	if err != nil {
@@ -179,10 +179,10 @@
 	return c.addClients(authority, certs)
 }
 
-// addInstances gives each member and each follower its addresses and its certificates.
+// addInstances adds the members and the followers, with their addresses and certificates.
 func (c *clusterRun) addInstances(authority *raftnode.Authority, certs string) error {
 	for i := range c.environment.memberCount() + c.environment.scenario.followerCount {
-		m := &member{id: uint64(i + 1)}
+		m := &clusterInstance{id: uint64(i + 1)}
 		if i >= c.environment.memberCount() {
 			m.followerName = fmt.Sprint("edge-", m.id)
 		}
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// reserveAddrs finds free addresses for all that an instance listens on.
-func (m *member) reserveAddrs() (err error) {
+// reserveAddrs finds a free address for each listener of an instance.
+func (m *clusterInstance) reserveAddrs() (err error) {
 	for _, addr := range []*string{&m.listen, &m.admin, &m.raft, &m.relay, &m.stream} {
 		if *addr, err = testserver.FreeAddr("tcp"); err != nil {
 			return err
@@ -216,12 +216,12 @@
 	return err
 }
 
-// openLinks puts a link on each path between two instances: the configuration stream from followers to members, Raft
-// between members, and the relay between members of two sites.
+// openLinks opens a link for each path between two instances: the configuration stream from followers to members, Raft
+// between members, and the relay between members of different sites.
 func (c *clusterRun) openLinks() (err error) {
 	for i := range c.followers {
 		for j, to := range c.members {
-			if c.streamLinks[linkEnds{from: i, to: j}], err = newLink(to.stream); err != nil {
+			if c.streamLinks[linkKey{from: i, to: j}], err = newLink(to.stream); err != nil {
 				return err
 			}
 		}
@@ -231,11 +231,11 @@
 			if i == j {
 				continue
 			}
-			if c.raftLinks[linkEnds{from: i, to: j}], err = newLink(to.raft); err != nil {
+			if c.raftLinks[linkKey{from: i, to: j}], err = newLink(to.raft); err != nil {
 				return err
 			}
 			if c.environment.scenario.hasTwoSites && i%2 != j%2 {
-				if c.relayLinks[linkEnds{from: i, to: j}], err = newLink(to.relay); err != nil {
+				if c.relayLinks[linkKey{from: i, to: j}], err = newLink(to.relay); err != nil {
 					return err
 				}
 			}
@@ -244,7 +244,7 @@
 	return nil
 }
 
-// writeConfigs writes the file of each instance.
+// writeConfigs writes the configuration file of each instance.
 func (c *clusterRun) writeConfigs() error {
 	for i, m := range c.instances() {
 		path := filepath.Join(c.dir, m.configFile())
@@ -255,8 +255,8 @@
 	return nil
 }
 
-// initMembers has each member begin a new cluster, side by side: a process built with the race detector takes a second
-// to end.
+// initMembers initializes each member's data for a new cluster. The commands run in parallel, as a process built with
+// the race detector takes a second to exit.
 func (c *clusterRun) initMembers() error {
 	errs := make([]error, len(c.members))
 	var running sync.WaitGroup
@@ -264,7 +264,7 @@
 		running.Go(func() {
 			path := filepath.Join(c.dir, m.configFile())
 			if out, err := c.command("init", "--config", path, "--new-cluster").CombinedOutput(); err != nil {
-				errs[i] = fmt.Errorf("init: %w: %s", err, out)
+				errs[i] = fmt.Errorf("initializing a cluster member: %w: %s", err, out)
 			}
 		})
 	}
@@ -272,7 +272,7 @@
 	return errors.Join(errs...)
 }
 
-// addClients makes the client of each operator. Each goes to another member first.
+// addClients creates the client of each operator. Each client tries a different member first.
 func (c *clusterRun) addClients(authority *raftnode.Authority, certs string) error {
 	for i := range operatorCount {
 		name := fmt.Sprint("op", i)
@@ -287,12 +287,12 @@
 		for k := range c.members {
 			addrs = append(addrs, c.members[(i+k)%len(c.members)].admin)
 		}
-		c.clients = append(c.clients, cluster.NewClient(clusterName, credentials, addrs...))
+		c.operatorClients = append(c.operatorClients, cluster.NewClient(clusterName, credentials, addrs...))
 	}
 	return nil
 }
 
-// close ends all processes.
+// close kills all processes and closes links and clients.
 func (c *clusterRun) close() {
 	for _, m := range c.instances() {
 		if m.cmd != nil && m.cmd.Process != nil {
@@ -309,12 +309,12 @@
 	for _, l := range c.streamLinks {
 		l.close()
 	}
-	for _, cl := range c.clients {
+	for _, cl := range c.operatorClients {
 		cl.Close()
 	}
 }
 
-// reportProgress reports how far a scenario has come, once a second.
+// reportProgress reports the scenario's progress once a second, until ctx ends.
 func (c *clusterRun) reportProgress(ctx context.Context) {
 	for n := 1; ; n++ {
 		if pause(ctx, time.Second); ctx.Err() != nil {
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -12,41 +12,41 @@
 	"mulleinmux/internal/testserver"
 )
 
-// checkCharges holds the instances' records against the sites and the history: each request that
+// checkCharges compares the instances' records with those of the sites and with the history: each request that
 // reached a site was charged once, at the price of the version that it was matched with.
-// Records that a killed instance did not get to write are missed.
+// Records that a killed instance may not have written yet may be missing.
 func (c *clusterRun) checkCharges(
-	j *ruleChecker,
+	checker *ruleChecker,
 	byTrace map[string][]testserver.Arrival,
 	clientAttempts []testserver.Attempt,
-	at map[string]*member,
+	instanceByAddr map[string]*clusterInstance,
 	history []clusterconfig.HistoryRecord,
 ) {
 	variants := variantsByVersion(history)
-	records := c.readAccessLogs(j)
-	addKeyRejectionFraction(j, clientAttempts, records)
-	tryByTrace := map[string]testserver.Attempt{}
+	records := c.readAccessLogs(checker)
+	addKeyRejectionFraction(checker, clientAttempts, records)
+	attemptByTrace := map[string]testserver.Attempt{}
 	for _, t := range clientAttempts {
-		tryByTrace[t.Trace] = t
+		attemptByTrace[t.Trace] = t
 	}
-	missing := 0
+	missingCount := 0
 	for trace, arrivals := range byTrace {
-		t, sentByClient := tryByTrace[trace]
+		t, sentByClient := attemptByTrace[trace]
 		if !sentByClient {
-			continue // a scenario's own
+			continue // sent by the scenario itself
 		}
 		record, isRecorded := records[trace]
 		if !isRecorded {
-			missing++
-			checkMissingRecord(j, arrivals[0], t, at[t.Instance])
+			missingCount++
+			checkMissingRecord(checker, arrivals[0], t, instanceByAddr[t.Instance])
 			continue
 		}
-		checkCharge(j, arrivals, record, variants)
+		checkCharge(checker, arrivals, record, variants)
 	}
-	j.v.Figures["records_lost_with_kills"] = float64(missing)
+	checker.verdict.Figures["records_lost_with_kills"] = float64(missingCount)
 }
 
-// variantsByVersion tells which variant of the description is in force in each version.
+// variantsByVersion returns the variant of the description in each version.
 func variantsByVersion(history []clusterconfig.HistoryRecord) map[uint64]int {
 	variants := map[uint64]int{}
 	current := 1
@@ -59,17 +59,17 @@
 	return variants
 }
 
-// readAccessLogs reads what the instances recorded of their requests, by trace.
-func (c *clusterRun) readAccessLogs(j *ruleChecker) map[string]gateway.RequestRecord {
+// readAccessLogs reads the instances' records of their requests, by trace.
+func (c *clusterRun) readAccessLogs(checker *ruleChecker) map[string]gateway.RequestRecord {
 	records := map[string]gateway.RequestRecord{}
 	for _, m := range c.instances() {
 		path := filepath.Join(c.dir, fmt.Sprintf("access-%d.jsonl", m.id))
-		eachLogLine(j, path, func(r gateway.RequestRecord) {
+		eachLogLine(checker, path, func(r gateway.RequestRecord) {
 			if r.Trace == "" {
-				return // the count of lines that were dropped
+				return // a line with the count of dropped lines
 			}
 			if _, isRepeated := records[r.Trace]; isRepeated {
-				j.violation(ruleAnswers, "%s was answered twice by the instances", r.Trace)
+				checker.violation(ruleAnswers, "%s was answered twice by the instances", r.Trace)
 			}
 			records[r.Trace] = r
 		})
@@ -77,9 +77,9 @@
 	return records
 }
 
-// addKeyRejectionFraction tells which fraction of the bookings was rejected for the owner of their key.
+// addKeyRejectionFraction adds the fraction of bookings that were rejected because of the owner of their key.
 func addKeyRejectionFraction(
-	j *ruleChecker,
+	checker *ruleChecker,
 	clientAttempts []testserver.Attempt,
 	records map[string]gateway.RequestRecord,
 ) {
@@ -94,27 +94,27 @@
 		}
 	}
 	if booked > 0 {
-		j.v.Figures[figureKeyRejectionFraction] = math.Round(float64(rejected)/float64(booked)*10000) / 10000
+		checker.verdict.Figures[figureKeyRejectionFraction] = math.Round(float64(rejected)/float64(booked)*10000) / 10000
 	}
 }
 
-// checkMissingRecord checks a request that reached a site and that its instance m has no record of: m must have been
-// killed at a time when it may not have written it yet.
-func checkMissingRecord(j *ruleChecker, first testserver.Arrival, t testserver.Attempt, m *member) {
+// checkMissingRecord checks a request that reached a site but is not in the access log of its instance m: m must have
+// been killed before it had to have written the record.
+func checkMissingRecord(checker *ruleChecker, first testserver.Arrival, t testserver.Attempt, m *clusterInstance) {
 	m.downMu.Lock()
 	isLost := slices.ContainsFunc(m.killed, func(killed time.Time) bool {
 		return t.At.Before(killed) && killed.Sub(t.Ended) < lostLogWindow
 	})
 	m.downMu.Unlock()
 	if !isLost && time.Since(t.Ended) > lostLogWindow {
-		j.violation(ruleUnits, "%s (%s) reached %s and was charged by no instance", first.Trace, first.Operation,
+		checker.violation(ruleUnits, "%s (%s) reached %s and was charged by no instance", first.Trace, first.Operation,
 			first.Site)
 	}
 }
 
-// checkCharge checks the record of one request against its attempts, as the sites saw them.
+// checkCharge compares an instance's record of a request with its attempts, as the sites recorded them.
 func checkCharge(
-	j *ruleChecker,
+	checker *ruleChecker,
 	arrivals []testserver.Arrival,
 	r gateway.RequestRecord,
 	variants map[uint64]int,
@@ -122,43 +122,43 @@
 	first := arrivals[0]
 	variant, isKnown := variants[r.Version]
 	want := changingPrice(variant, first.Operation, first.Units)
-	j.v.UnitsDeclared += want
-	j.v.UnitsCounted += r.Units
+	checker.verdict.UnitsDeclared += want
+	checker.verdict.UnitsCounted += r.Units
 	switch {
 	case !isKnown:
-		j.violation(ruleVersions, "%s was matched with version %d, which is not in the history", r.Trace, r.Version)
+		checker.violation(ruleVersions, "%s was matched with version %d, which is not in the history", r.Trace, r.Version)
 	case !r.Sent || r.Operation != first.Operation:
-		j.violation(ruleOperations, "%s was charged as %s (sent: %v) and reached %s as %s",
+		checker.violation(ruleOperations, "%s was charged as %s (sent: %v) and reached %s as %s",
 			r.Trace, r.Operation, r.Sent, first.Site, first.Operation)
 	case r.Units != want:
-		j.violation(ruleUnits, "%s (%s, version %d, variant %d) was charged %d units; %d are right",
+		checker.violation(ruleUnits, "%s (%s, version %d, variant %d) was charged %d units; %d are right",
 			r.Trace, r.Operation, r.Version, variant, r.Units, want)
 	}
-	j.checkSentVersions(arrivals, &r)
+	checker.checkSentVersions(arrivals, &r)
 }
 
-// checkVersionOrder checks, on the sites' record, that no instance routes a request with an older
-// version than one that it had answered a client on before the request began.
+// checkVersionOrder checks, with the sites' records, that no instance routes a request with a version
+// older than one with which it had answered a client before the request began.
 func checkVersionOrder(
-	j *ruleChecker,
+	checker *ruleChecker,
 	clientAttempts []testserver.Attempt,
 	byTrace map[string][]testserver.Arrival,
 ) {
-	for instance, events := range versionEventsOf(clientAttempts, byTrace) {
+	for instance, events := range versionEventsByInstance(clientAttempts, byTrace) {
 		slices.SortStableFunc(events, func(a, b versionEvent) int { return a.at.Compare(b.at) })
 		newest := 0
 		for _, e := range events {
 			if e.isAnswer {
 				newest = max(newest, e.version)
 			} else if e.version < newest {
-				j.violation(ruleVersions, "%s was routed with version %d at %s, which had answered on %d", e.trace,
+				checker.violation(ruleVersions, "%s was routed with version %d at %s, which had answered on %d", e.trace,
 					e.version, instance, newest)
 			}
 		}
 	}
 }
 
-// versionEvent is the begin of a client's attempt, with the version that it was later routed with, or its answer.
+// versionEvent is the start of a client's attempt, with the version that it was later routed with, or its answer.
 type versionEvent struct {
 	at       time.Time
 	trace    string
@@ -166,8 +166,8 @@
 	isAnswer bool
 }
 
-// versionEventsOf returns the events of each instance, by its address.
-func versionEventsOf(
+// versionEventsByInstance returns the events of each instance, by the instance's address.
+func versionEventsByInstance(
 	clientAttempts []testserver.Attempt,
 	byTrace map[string][]testserver.Arrival,
 ) map[string][]versionEvent {
@@ -190,9 +190,9 @@
 	return byInstance
 }
 
-// checkConfigChanges checks operators' changes and reads: what was answered as applied is in the history, once
-// and as the version told; they are in the order of real time.
-func (c *clusterRun) checkConfigChanges(j *ruleChecker, history []clusterconfig.HistoryRecord) {
+// checkConfigOperations checks operators' changes and reads. Each change that was reported as applied is in the history
+// exactly once and with the reported version, and all operations are in real-time order.
+func (c *clusterRun) checkConfigOperations(checker *ruleChecker, history []clusterconfig.HistoryRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(history) == 0 {
@@ -201,52 +201,52 @@
 	versions := map[string]uint64{} // by the id of the change
 	for _, r := range history {
 		if _, isRepeated := versions[r.ID]; isRepeated {
-			j.violation(ruleConfigChanges, "%s stands twice in the history", r.ID)
+			checker.violation(ruleConfigChanges, "%s stands twice in the history", r.ID)
 		}
 		versions[r.ID] = r.Version
 	}
-	var known []configChange
-	for _, o := range c.configChanges {
-		if !o.isKnown {
+	var known []configOperation
+	for _, o := range c.configOperations {
+		if !o.isOutcomeKnown {
 			continue
 		}
 		known = append(known, o)
 		if o.isApplied && versions[o.id] != o.version && o.version >= history[0].Version {
-			j.violation(ruleConfigChanges, "%s was answered as version %d; the history has it as %d (0: lost)", o.id,
+			checker.violation(ruleConfigChanges, "%s was answered as version %d; the history has it as %d (0: lost)", o.id,
 				o.version, versions[o.id])
 		}
 	}
-	checkRealTimeOrder(j, known)
+	checkRealTimeOrder(checker, known)
 }
 
-// changeEvent is the call or the return of an operator's change or read.
-type changeEvent struct {
-	at       time.Time
-	change   configChange
-	isReturn bool
+// operationEvent is the call or the return of an operator's operation.
+type operationEvent struct {
+	at        time.Time
+	operation configOperation
+	isReturn  bool
 }
 
-// checkRealTimeOrder checks that each change or read was answered a version that is no older than any that another had
-// been answered before it was called, and newer if it was applied.
-func checkRealTimeOrder(j *ruleChecker, changes []configChange) {
-	var events []changeEvent
+// checkRealTimeOrder checks that each operation returned a version no older than any that was returned before its call,
+// and a newer one if it applied a change.
+func checkRealTimeOrder(checker *ruleChecker, changes []configOperation) {
+	var events []operationEvent
 	for _, o := range changes {
-		events = append(events, changeEvent{at: o.called, change: o},
-			changeEvent{at: o.returned, change: o, isReturn: true})
+		events = append(events, operationEvent{at: o.called, operation: o},
+			operationEvent{at: o.returned, operation: o, isReturn: true})
 	}
-	slices.SortStableFunc(events, func(a, b changeEvent) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(events, func(a, b operationEvent) int { return a.at.Compare(b.at) })
 	newest := uint64(0)
 	newestAtCall := map[string]uint64{} // by the id of the change
 	for _, e := range events {
-		o := e.change
+		o := e.operation
 		if !e.isReturn {
 			newestAtCall[o.id] = newest
 			continue
 		}
 		atCall := newestAtCall[o.id]
 		if o.version < atCall || o.isApplied && o.version == atCall {
-			j.violation(ruleConfigChanges, "%s was answered version %d after another ask had ended on %d", o.id,
-				o.version, atCall)
+			checker.violation(ruleConfigChanges, "%s returned version %d, though version %d had been returned before its call",
+				o.id, o.version, atCall)
 		}
 		newest = max(newest, o.version)
 	}
--- a/internal/scenario/cluster_checks_test.go
+++ b/internal/scenario/cluster_checks_test.go
@@ -12,12 +12,12 @@
 	"mulleinmux/internal/testserver"
 )
 
-// newRuleChecker returns a checker of an empty verdict.
+// newRuleChecker returns a checker with an empty verdict.
 func newRuleChecker() *ruleChecker {
-	return &ruleChecker{v: &Verdict{Rules: map[string]int{}, Figures: map[string]float64{}}}
+	return &ruleChecker{verdict: &Verdict{Rules: map[string]int{}, Figures: map[string]float64{}}}
 }
 
-// No instance may route with an older version than one that it has answered on.
+// The check must find a request that is routed with an older version than one with which its instance had answered.
 func TestVersionOrderCheck(t *testing.T) {
 	at := millisecondsAfterStart
 	attempt := func(trace, instance string, from, to int) testserver.Attempt {
@@ -25,9 +25,9 @@
 			Served: true, Status: 200}
 	}
 	for name, c := range map[string]struct {
-		attempts []testserver.Attempt
-		versions map[string]int // of the attempts, by trace
-		broken   int
+		attempts   []testserver.Attempt
+		versions   map[string]int // of the attempts, by trace
+		violations int
 	}{
 		"newer after older": {[]testserver.Attempt{attempt("a", "x", 0, 10), attempt("b", "x", 20, 30)},
 			map[string]int{"a": 1, "b": 2}, 0},
@@ -43,63 +43,64 @@
 			for trace, version := range c.versions {
 				byTrace[trace] = []testserver.Arrival{{Trace: trace, Version: version}}
 			}
-			j := newRuleChecker()
-			checkVersionOrder(j, c.attempts, byTrace)
-			if j.v.Rules["versions"] != c.broken {
-				t.Errorf("%v", j.v.Rules)
+			checker := newRuleChecker()
+			checkVersionOrder(checker, c.attempts, byTrace)
+			if checker.verdict.Rules["versions"] != c.violations {
+				t.Errorf("unexpected number of violations: %v", checker.verdict.Rules)
 			}
 		})
 	}
 }
 
-// What operators were answered must agree with the history and with the order of real time.
+// The check must find results of operators' operations that contradict the history or the real-time order.
 func TestConfigChangeCheck(t *testing.T) {
 	at := millisecondsAfterStart
 	history := []clusterconfig.HistoryRecord{{Version: 1, ID: "a"}, {Version: 2, ID: "b"}}
-	change := func(id string, from, to int, version uint64) configChange {
-		return configChange{id: id, called: at(from), returned: at(to), version: version, isApplied: true, isKnown: true}
+	change := func(id string, from, to int, version uint64) configOperation {
+		return configOperation{id: id, called: at(from), returned: at(to), version: version, isApplied: true,
+			isOutcomeKnown: true}
 	}
-	read := func(id string, from, to int, version uint64) configChange {
-		return configChange{id: id, called: at(from), returned: at(to), version: version, isKnown: true}
+	read := func(id string, from, to int, version uint64) configOperation {
+		return configOperation{id: id, called: at(from), returned: at(to), version: version, isOutcomeKnown: true}
 	}
 	for name, c := range map[string]struct {
-		changes []configChange
-		history []clusterconfig.HistoryRecord
-		broken  int
+		changes    []configOperation
+		history    []clusterconfig.HistoryRecord
+		violations int
 	}{
-		"in order": {[]configChange{change("a", 0, 1, 1), change("b", 2, 3, 2), read("r", 4, 5, 2)},
+		"in order": {[]configOperation{change("a", 0, 1, 1), change("b", 2, 3, 2), read("r", 4, 5, 2)},
 			history, 0},
-		"lost":                          {[]configChange{change("c", 0, 1, 2)}, history, 1},
-		"answered with another version": {[]configChange{change("a", 0, 1, 2)}, history, 1},
-		"stale read":                    {[]configChange{change("b", 0, 1, 2), read("r", 2, 3, 1)}, history, 1},
-		"against real time":             {[]configChange{change("b", 0, 1, 2), change("a", 2, 3, 1)}, history, 1},
-		"at once":                       {[]configChange{change("b", 0, 4, 2), change("a", 2, 3, 1)}, history, 0},
+		"lost":                          {[]configOperation{change("c", 0, 1, 2)}, history, 1},
+		"answered with another version": {[]configOperation{change("a", 0, 1, 2)}, history, 1},
+		"stale read":                    {[]configOperation{change("b", 0, 1, 2), read("r", 2, 3, 1)}, history, 1},
+		"against real time":             {[]configOperation{change("b", 0, 1, 2), change("a", 2, 3, 1)}, history, 1},
+		"at once":                       {[]configOperation{change("b", 0, 4, 2), change("a", 2, 3, 1)}, history, 0},
 		"twice in the history":          {nil, append(history, clusterconfig.HistoryRecord{Version: 3, ID: "a"}), 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			j := newRuleChecker()
-			(&clusterRun{configChanges: c.changes}).checkConfigChanges(j, c.history)
-			if j.v.Rules["changes"] != c.broken {
-				t.Errorf("%v %v", j.v.Rules, j.v.Examples)
+			checker := newRuleChecker()
+			(&clusterRun{configOperations: c.changes}).checkConfigOperations(checker, c.history)
+			if checker.verdict.Rules["changes"] != c.violations {
+				t.Errorf("unexpected number of violations: %v: %v", checker.verdict.Rules, checker.verdict.Examples)
 			}
 		})
 	}
 }
 
-// A member is excused from answering while it is down, and then alone.
+// An instance must count as down after markDown and no longer after markUp.
 func TestMemberDownTime(t *testing.T) {
-	m := &member{}
+	m := &clusterInstance{}
 	m.markDown()
 	if !m.wasDown(time.Now(), time.Now().Add(time.Second)) {
-		t.Error("a member that is down is held to answer")
+		t.Error("wasDown is false for an instance that is down")
 	}
 	if m.markUp(); m.wasDown(time.Now().Add(time.Second), time.Now().Add(2*time.Second)) {
-		t.Error("a member that is up is excused")
+		t.Error("wasDown is true for an instance that is up")
 	}
 }
 
-// What an instance charged is held against the version that it was matched with; only what
-// a killed instance can't have written is missed.
+// The check must compare a charge with the version that the request was matched with. A record may be missing only if
+// its instance was killed before it had to have written it.
 func TestChargeChecks(t *testing.T) {
 	began := time.Now().Add(-time.Minute)
 	price := changingPrice(3, "getDayReport", 5) // in force from version 2 on
@@ -107,9 +108,9 @@
 		return fmt.Sprintf(`{"trace":"a","operation":%q,"version":%d,"units":%d,"sent":true}`, operation, version, units)
 	}
 	for name, c := range map[string]struct {
-		log    string // of the instance
-		killed []time.Time
-		broken string // rule; empty: none
+		log          string // access log of the instance
+		killed       []time.Time
+		violatedRule string // empty for none
 	}{
 		"right":               {charged("getDayReport", 3, price), nil, ""},
 		"another price":       {charged("getDayReport", 3, price+1), nil, "units"},
@@ -124,19 +125,19 @@
 		"answered twice over": {strings.Repeat(charged("getDayReport", 3, price)+"\n", 2), nil, "one_answer"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			j := checkOneCharge(t, began, c.log, &member{id: 1, killed: c.killed})
+			checker := checkOneCharge(t, began, c.log, &clusterInstance{id: 1, killed: c.killed})
 			for _, rule := range []string{"units", "versions", "operations", "one_answer"} {
-				if (j.v.Rules[rule] > 0) != (rule == c.broken) {
-					t.Errorf("%v", j.v.Rules)
+				if (checker.verdict.Rules[rule] > 0) != (rule == c.violatedRule) {
+					t.Errorf("unexpected violations: %v", checker.verdict.Rules)
 				}
 			}
 		})
 	}
 }
 
-// checkOneCharge checks the charge of trace a, a request of a day's report that was matched with version 3. Member m
-// has it in its access log or not.
-func checkOneCharge(t *testing.T, began time.Time, log string, m *member) *ruleChecker {
+// checkOneCharge checks the charge of trace a, a request for a day's report that was matched with version 3. log is the
+// access log of its instance m, and may lack the record.
+func checkOneCharge(t *testing.T, began time.Time, log string, m *clusterInstance) *ruleChecker {
 	t.Helper()
 	history := []clusterconfig.HistoryRecord{
 		{Version: 1, Reason: variantReason(1)},
@@ -149,8 +150,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "access-1.jsonl"), []byte(log+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	j := newRuleChecker()
-	run := &clusterRun{dir: dir, members: []*member{m}}
-	run.checkCharges(j, byTrace, attempts, map[string]*member{"x": m}, history)
-	return j
+	checker := newRuleChecker()
+	run := &clusterRun{dir: dir, members: []*clusterInstance{m}}
+	run.checkCharges(checker, byTrace, attempts, map[string]*clusterInstance{"x": m}, history)
+	return checker
 }
--- a/internal/scenario/cluster_operators.go
+++ b/internal/scenario/cluster_operators.go
@@ -15,22 +15,22 @@
 	"mulleinmux/internal/gateway"
 )
 
-// configChange is one request of an operator.
-type configChange struct {
+// configOperation is one operation of an operator: a change or a read of the configuration.
+type configOperation struct {
 	id               string
 	called, returned time.Time
 	version          uint64
 	isApplied        bool
-	isKnown          bool // its outcome
+	isOutcomeKnown   bool // the operator received a result
 }
 
-// applyFirstConfig has the instances agree on what they serve at first.
+// applyFirstConfig proposes the first configuration until it is applied.
 func (c *clusterRun) applyFirstConfig(ctx context.Context, sites []gateway.Site) error {
 	p := &clusterconfig.Proposal{ID: "begin", Reason: variantReason(1), Changes: c.firstChanges(sites)}
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
-		o, err := c.clients[0].Propose(ctx, p)
+		o, err := c.operatorClients[0].Propose(ctx, p)
 		if err == nil && !o.IsApplied {
 			err = errors.New(o.RejectionReason)
 		}
@@ -39,13 +39,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("the first configuration: %w", err)
+			return fmt.Errorf("proposing the first configuration: %w", err)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// firstChanges are the changes from nothing to the first configuration.
+// firstChanges returns the changes from an empty configuration to the first one.
 func (c *clusterRun) firstChanges(sites []gateway.Site) (changes []clusterconfig.Change) {
 	put := func(kind, name string, object any) {
 		changes = append(changes, clusterconfig.NewPutChange(kind, name, object))
@@ -83,15 +83,15 @@
 	return changes
 }
 
-// descriptionObject is variant n of the description, as instances agree on it.
+// descriptionObject returns variant n of the description as a configuration object.
 func descriptionObject(n int) clusterconfig.Description {
 	return clusterconfig.Description{File: "booking.yaml", Text: string(descriptionVariant(n, false))}
 }
 
-// variantReason is the reason of a proposal that brings variant n of the description.
+// variantReason returns the reason of a proposal with variant n of the description.
 func variantReason(n int) string { return "variant " + strconv.Itoa(n) }
 
-// variantOf is the variant of the description that is in force from a record on, or 0.
+// variantOf returns the variant of the description that a change brings, or 0 if it brings none.
 func variantOf(r clusterconfig.HistoryRecord) int {
 	if text, ok := strings.CutPrefix(r.Reason, "variant "); ok {
 		n, _ := strconv.Atoi(text)
@@ -100,26 +100,26 @@
 	return 0
 }
 
-// What an operator does, each up to the bound of a draw from 0 to 1: the rest are changes against the version that it
-// has read.
+// Operations of an operator, each for random numbers (0 to 1) below its bound and above the previous one. The remaining
+// operations are changes with the base version that the operator has read.
 const (
 	readBound        = 0.1
-	descriptionBound = 0.2 // three prices, and a class that is new
-	invalidBound     = 0.3 // rejected by all alike
-	trialPlanBound   = 0.5 // a plan that comes and goes
-	removalBound     = 0.6
+	descriptionBound = 0.2 // three prices and a new class
+	invalidBound     = 0.3 // must be rejected
+	trialPlanBound   = 0.5 // adds a trial plan
+	removalBound     = 0.6 // removes a trial plan
 	planBound        = 0.8
 )
 
-// operatorTimeout is how long an operator waits for one answer.
+// operatorTimeout is how long an operator waits for the result of one operation.
 const operatorTimeout = 4 * time.Second
 
-// runOperator is one operator: it changes descriptions, plans and licensees at random moments,
-// some against the version it has read, some bad, and reads.
+// runOperator runs one operator until ctx ends. At random times it reads the configuration or changes descriptions,
+// plans and licensees. Some changes have a base version, some are invalid.
 func (c *clusterRun) runOperator(ctx context.Context, operator int) {
 	rng := rand.New(rand.NewPCG(c.environment.options.Seed, uint64(100+operator)))
 	gap := operatorInterval
-	if c.environment.scenario.isSmall {
+	if c.environment.scenario.hasSmallSites {
 		gap *= 10
 	}
 	for n := 0; ; n++ {
@@ -128,20 +128,20 @@
 			return
 		case <-time.After(time.Duration(rng.ExpFloat64() * float64(gap))):
 		}
-		o := configChange{id: fmt.Sprintf("op%d-%d", operator, n), called: time.Now()}
+		o := configOperation{id: fmt.Sprintf("op%d-%d", operator, n), called: time.Now()}
 		callCtx, cancel := context.WithTimeout(ctx, operatorTimeout)
-		err := c.operate(callCtx, operator, rng, &o)
+		err := c.runOperation(callCtx, operator, rng, &o)
 		cancel()
-		o.returned, o.isKnown = time.Now(), err == nil
+		o.returned, o.isOutcomeKnown = time.Now(), err == nil
 		c.mu.Lock()
-		c.configChanges = append(c.configChanges, o)
+		c.configOperations = append(c.configOperations, o)
 		c.mu.Unlock()
 	}
 }
 
-// operate reads, or proposes a random change, and notes the answer in o.
-func (c *clusterRun) operate(ctx context.Context, operator int, rng *rand.Rand, o *configChange) error {
-	client := c.clients[operator]
+// runOperation reads, or proposes a random change, and records the result in o.
+func (c *clusterRun) runOperation(ctx context.Context, operator int, rng *rand.Rand, o *configOperation) error {
+	client := c.operatorClients[operator]
 	draw := rng.Float64()
 	if draw < readBound {
 		objects, err := client.Objects(ctx, false)
@@ -165,7 +165,7 @@
 	return proposeUntilKnown(ctx, client, p, o)
 }
 
-// randomChange returns the change of an operator's draw below planBound, and its reason.
+// randomChange returns the change for a random number below planBound, and its reason.
 func randomChange(rng *rand.Rand, draw float64) (change clusterconfig.Change, reason string) {
 	put := clusterconfig.NewPutChange
 	switch {
@@ -187,12 +187,13 @@
 	}
 }
 
-// proposeUntilKnown repeats a proposal until its outcome is known. The id stays the same, so that it is applied once.
+// proposeUntilKnown repeats a proposal until its outcome is known. The ID stays the same, so that it is applied only
+// once.
 func proposeUntilKnown(
 	ctx context.Context,
 	client *cluster.Client,
 	p *clusterconfig.Proposal,
-	o *configChange,
+	o *configOperation,
 ) error {
 	for {
 		outcome, err := client.Propose(ctx, p)
@@ -209,11 +210,11 @@
 	}
 }
 
-// countApplied counts the changes that operators know to be applied, and tells when the last was answered.
+// countApplied returns how many changes were reported to operators as applied, and when the last of them was.
 func (c *clusterRun) countApplied() (n int, last time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, o := range c.configChanges {
+	for _, o := range c.configOperations {
 		if o.isApplied {
 			n++
 			if o.returned.After(last) {
@@ -224,15 +225,15 @@
 	return n, last
 }
 
-// notef notes a violation that the scenario itself found.
-func (c *clusterRun) notef(format string, args ...any) {
+// reportViolation records a violation that the scenario itself found.
+func (c *clusterRun) reportViolation(format string, args ...any) {
 	c.environment.mu.Lock()
-	c.environment.notes = append(c.environment.notes, fmt.Sprintf(format, args...))
+	c.environment.scenarioViolations = append(c.environment.scenarioViolations, fmt.Sprintf(format, args...))
 	c.environment.mu.Unlock()
 }
 
-// leader finds the member that says it is the leader.
-func (c *clusterRun) leader(ctx context.Context) *member {
+// leader waits for a member that reports itself as the leader and returns it, or nil if ctx ends first.
+func (c *clusterRun) leader(ctx context.Context) *clusterInstance {
 	for ctx.Err() == nil {
 		for _, m := range c.members {
 			if s, err := c.status(ctx, m); err == nil && s.Leader == m.id {
@@ -245,10 +246,10 @@
 }
 
 // status returns a member's status.
-func (c *clusterRun) status(ctx context.Context, m *member) (cluster.Status, error) {
+func (c *clusterRun) status(ctx context.Context, m *clusterInstance) (cluster.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	return c.clients[0].StatusAt(ctx, m.admin)
+	return c.operatorClients[0].StatusAt(ctx, m.admin)
 }
 
 // pause waits for d, or until ctx ends.
--- a/internal/scenario/cluster_process.go
+++ b/internal/scenario/cluster_process.go
@@ -17,29 +17,29 @@
 	"time"
 )
 
-// member is one instance.
-type member struct {
+// clusterInstance is one instance, a member or a follower, with its process.
+type clusterInstance struct {
 	id                    uint64
 	listen, admin, gossip string
 	raft, relay, stream   string
-	followerName          string // name of a follower; empty: it is a member
+	followerName          string // empty for a member
 	cmd                   *exec.Cmd
-	process               *process // of the latest start
+	process               *process // of the last start
 	startCount            int
 
 	downMu  sync.Mutex
-	down    []interval // when it could not be expected to answer
+	down    []interval // when it was not expected to answer
 	killed  []time.Time
 	stopped []interval // by SIGSTOP
 }
 
-// name is the instance's name, in its logs and traces.
-func (m *member) name() string { return fmt.Sprintf("gate-%d", m.id) }
+// name returns the instance's name in its logs and traces.
+func (m *clusterInstance) name() string { return fmt.Sprintf("gate-%d", m.id) }
 
-// configFile is the name of the instance's configuration file.
-func (m *member) configFile() string { return fmt.Sprintf("gate-%d.toml", m.id) }
+// configFile returns the name of the instance's configuration file.
+func (m *clusterInstance) configFile() string { return fmt.Sprintf("gate-%d.toml", m.id) }
 
-// config is the text of the configuration file of instance i.
+// config returns the configuration file of instance i.
 func (c *clusterRun) config(i int) string {
 	var b strings.Builder
 	c.writeInstanceConfig(&b, i)
@@ -51,7 +51,7 @@
 	return b.String()
 }
 
-// writeInstanceConfig writes what members and followers have alike.
+// writeInstanceConfig writes the settings that members and followers share.
 func (c *clusterRun) writeInstanceConfig(b *strings.Builder, i int) {
 	m := c.instances()[i]
 	fmt.Fprintf(b, "name = %q\nlisten = %q\nzone = %q\ninstance = %d\npeer_listen = %q\npeers = [", m.name(),
@@ -62,24 +62,24 @@
 	fmt.Fprintf(b, "]\naccess_log = \"access-%d.jsonl\"\ntrace_log = %q\n", m.id, m.traceLogName())
 	fmt.Fprintf(b, "[limits]\ndrain_for = %q\nanswer_slack = %q\nmax_attempts = 5\n", drainTimeout, responseSlack)
 	fmt.Fprintf(b, "[servers]\ndrain_grace = %q\n", drainGracePeriod)
-	if !c.environment.options.RampOff { // without these every server is warm, and sites have no bounds of their own
+	if !c.environment.options.RampOff { // without these settings all servers are warm, and sites have no load bounds
 		fmt.Fprintf(b, "cold_from = %v\nramp_time = %q\nfall_multiple = %v\noverload_for = %q\n",
 			coldCapacity, slowStartWindow, collapseMultiple, collapseWindow)
 	}
 }
 
-// writeFollowerConfig writes of follower i from which members it gets the configuration.
+// writeFollowerConfig writes the members from which follower i receives the configuration.
 func (c *clusterRun) writeFollowerConfig(b *strings.Builder, i int) {
 	m := c.instances()[i]
 	fmt.Fprintf(b, "[follow]\ncluster = %q\nname = %q\ndata = \"gate-%d.db\"\ncerts = \"certs\"\n", clusterName,
 		m.followerName, m.id)
 	for j, other := range c.members {
 		fmt.Fprintf(b, "[[follow.member]]\nnumber = %d\nstream = %q\n", other.id,
-			c.streamLinks[linkEnds{from: i - len(c.members), to: j}].addr())
+			c.streamLinks[linkKey{from: i - len(c.members), to: j}].addr())
 	}
 }
 
-// writeMemberConfig writes how member i reaches the others.
+// writeMemberConfig writes the cluster settings of member i, with the addresses of the other members.
 func (c *clusterRun) writeMemberConfig(b *strings.Builder, i int) {
 	m := c.members[i]
 	fmt.Fprintf(b, "[cluster]\nname = %q\nnumber = %d\ndata = \"gate-%d.db\"\ncerts = \"certs\"\ntick = %q\n",
@@ -97,25 +97,25 @@
 	}
 	for j, other := range c.members {
 		raft := other.raft
-		if l := c.raftLinks[linkEnds{from: i, to: j}]; l != nil {
+		if l := c.raftLinks[linkKey{from: i, to: j}]; l != nil {
 			raft = l.addr()
 		}
 		fmt.Fprintf(b, "[[cluster.member]]\nnumber = %d\nraft = %q\nadmin = %q\n", other.id, raft, other.admin)
 	}
 }
 
-// writeRelayConfig writes how member i reaches the members of the other site.
+// writeRelayConfig writes the relay links from member i to the members of the other site.
 func (c *clusterRun) writeRelayConfig(b *strings.Builder, i int) {
 	fmt.Fprintf(b, "[cluster.link]\nlisten = %q\n", c.members[i].relay)
 	for j, other := range c.members {
-		if l := c.relayLinks[linkEnds{from: i, to: j}]; l != nil {
+		if l := c.relayLinks[linkKey{from: i, to: j}]; l != nil {
 			fmt.Fprintf(b, "[[cluster.link.far]]\nhall = %q\nmember = %d\naddress = %q\n", siteNames[j%2], other.id,
 				l.addr())
 		}
 	}
 }
 
-// command is the gateway's program with arguments.
+// command returns a command that runs the gateway program with arguments.
 func (c *clusterRun) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(c.environment.options.Program, args...)
 	cmd.Env = append(os.Environ(), c.environment.options.Env...)
@@ -123,14 +123,14 @@
 }
 
 // start starts the process of an instance.
-func (c *clusterRun) start(m *member) error {
+func (c *clusterRun) start(m *clusterInstance) error {
 	args := []string{"run", "--config", filepath.Join(c.dir, m.configFile())}
 	if m.startCount++; c.hasChaos {
 		args = append(args, "--chaos", strconv.FormatUint(c.environment.options.Seed*1000+uint64(m.startCount), 10))
 	}
 	m.cmd = c.command(args...)
 	m.cmd.Stdout, m.cmd.Stderr = io.Discard, c.environment.options.Log
-	// The instance must not outlive a scenario.
+	// The instance must not outlive this process.
 	m.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	m.markDown()
 	if err := m.cmd.Start(); err != nil {
@@ -150,9 +150,9 @@
 	return nil
 }
 
-// markEndedAt notes that a member has ended. One that did so by itself drained before, and took
-// no more requests.
-func (m *member) markEndedAt(at time.Time) {
+// markEndedAt records that an instance's process has ended. If it was not marked as down, the instance ended by itself:
+// it drained first and accepted no more requests for up to maxDrainTime.
+func (m *clusterInstance) markEndedAt(at time.Time) {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
 	if n := len(m.down); n == 0 || !m.down[n-1].to.IsZero() {
@@ -160,8 +160,8 @@
 	}
 }
 
-// markDown notes that a member can't be expected to answer from now on.
-func (m *member) markDown() {
+// markDown records that an instance isn't expected to answer from now on.
+func (m *clusterInstance) markDown() {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
 	if n := len(m.down); n == 0 || !m.down[n-1].to.IsZero() {
@@ -169,8 +169,8 @@
 	}
 }
 
-// markUp notes that a member can be expected to answer from now on.
-func (m *member) markUp() {
+// markUp records that an instance is expected to answer from now on.
+func (m *clusterInstance) markUp() {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
 	if n := len(m.down); n > 0 && m.down[n-1].to.IsZero() {
@@ -178,8 +178,8 @@
 	}
 }
 
-// wasDown tells whether a member was down at any time of a span.
-func (m *member) wasDown(from, to time.Time) bool {
+// wasDown reports whether an instance was down at any time between from and to.
+func (m *clusterInstance) wasDown(from, to time.Time) bool {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
 	return slices.ContainsFunc(m.down, func(s interval) bool {
@@ -188,8 +188,8 @@
 	})
 }
 
-// kill ends a member with SIGKILL.
-func (c *clusterRun) kill(m *member) {
+// kill kills an instance with SIGKILL and waits until its process has ended.
+func (c *clusterRun) kill(m *clusterInstance) {
 	m.markDown()
 	m.downMu.Lock()
 	m.killed = append(m.killed, time.Now())
@@ -201,14 +201,14 @@
 	c.mu.Unlock()
 }
 
-// restart starts a member that is down, again where it ends by itself (its disk may fail),
-// and waits until it is ready.
-func (c *clusterRun) restart(ctx context.Context, m *member) error {
+// restart starts an instance that is down and waits until it is ready. If the process ends before
+// that (its disk may fail), it is started again.
+func (c *clusterRun) restart(ctx context.Context, m *clusterInstance) error {
 	for {
 		if err := c.start(m); err != nil {
 			return err
 		}
-		if err := c.awaitReady(ctx, m); !errors.Is(err, errEnded) {
+		if err := c.awaitReady(ctx, m); !errors.Is(err, errProcessEnded) {
 			if err == nil {
 				m.markUp()
 			}
@@ -217,11 +217,11 @@
 	}
 }
 
-// errEnded is of an instance whose process has ended.
-var errEnded = errors.New("the instance has ended")
+// errProcessEnded is the error of an instance whose process has ended.
+var errProcessEnded = errors.New("process ended before the instance was ready")
 
-// isReady tells whether a member answers its health check.
-func isReady(ctx context.Context, m *member) bool {
+// isReady reports whether an instance's readiness check succeeds.
+func isReady(ctx context.Context, m *clusterInstance) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.listen+"/health/ready", nil)
@@ -237,12 +237,12 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// awaitReady waits until an instance is ready. The error is errEnded where its process has ended.
-func (c *clusterRun) awaitReady(ctx context.Context, m *member) error {
+// awaitReady waits until an instance is ready. The error wraps errProcessEnded if its process has ended.
+func (c *clusterRun) awaitReady(ctx context.Context, m *clusterInstance) error {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); {
 		select {
 		case <-m.process.done:
-			return fmt.Errorf("member %d: %w: %w", m.id, errEnded, m.process.err)
+			return fmt.Errorf("member %d: %w: %w", m.id, errProcessEnded, m.process.err)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(10 * time.Millisecond):
@@ -251,20 +251,20 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("member %d does not become ready", m.id)
+	return fmt.Errorf("member %d is not ready within the start timeout", m.id)
 }
 
-// process is an instance's process. Any number of goroutines may wait for its end.
+// process is the state of an instance's process. Any number of goroutines may wait for its end.
 type process struct {
 	done chan struct{} // closed at the end
-	err  error         // of the process, once done is closed
+	err  error         // result of the process; valid once done is closed
 }
 
-// interval is a span of time; a zero to means that it has not ended.
+// interval is a time span. If to is zero, the span has not ended.
 type interval struct{ from, to time.Time }
 
-// within returns how much of the span lies between two times; at most 0: nothing.
-func (i interval) within(from, to time.Time) time.Duration {
+// overlap returns how much of the interval lies between two times. The result is 0 or negative if nothing does.
+func (i interval) overlap(from, to time.Time) time.Duration {
 	if i.from.After(from) {
 		from = i.from
 	}
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -16,73 +16,73 @@
 	"mulleinmux/internal/testserver"
 )
 
-// checkRules waits until all members agree and judges the run.
+// checkRules waits until all members agree, checks all rules and returns the verdict.
 func (c *clusterRun) checkRules(ctx context.Context, clientAttempts []testserver.Attempt, began time.Time) *Verdict {
-	w := c.environment
-	v := w.newVerdict(ruleAgreement, ruleConfigChanges)
-	j := &ruleChecker{v: v}
-	history := c.checkAgreement(ctx, j)
-	c.checkFollowers(ctx, j)
-	arrivals, byTrace := w.arrivals()
-	byAddr := map[string]*member{}
+	env := c.environment
+	v := env.newVerdict(ruleAgreement, ruleConfigChanges)
+	checker := &ruleChecker{verdict: v}
+	history := c.checkAgreement(ctx, checker)
+	c.checkFollowers(ctx, checker)
+	arrivals, byTrace := env.arrivals()
+	instanceByAddr := map[string]*clusterInstance{}
 	for _, m := range c.instances() {
-		byAddr[m.listen] = m
+		instanceByAddr[m.listen] = m
 	}
-	traces := c.readTraces(j)
-	if w.scenario.stopsInstances {
-		w.stoppedBetween = c.stoppedBetween
-		j.stoppedFor = func(t testserver.Attempt) time.Duration {
-			return byAddr[t.Instance].stoppedBetween(t.At, t.Ended)
+	traces := c.readTraces(checker)
+	if env.scenario.stopsInstances {
+		env.stoppedBetween = c.stoppedBetween
+		checker.stoppedFor = func(t testserver.Attempt) time.Duration {
+			return instanceByAddr[t.Instance].stoppedBetween(t.At, t.Ended)
 		}
-		j.mayOverlap = traces.mayOverlap
+		checker.mayOverlap = traces.mayOverlap
 	}
-	excused := 0
-	j.checkAnswers(clientAttempts, func(t testserver.Attempt) bool {
-		wasDown := byAddr[t.Instance].wasDown(t.At, t.Ended)
+	unansweredWhileDown := 0
+	checker.checkAnswers(clientAttempts, func(t testserver.Attempt) bool {
+		wasDown := instanceByAddr[t.Instance].wasDown(t.At, t.Ended)
 		if wasDown {
-			excused++
+			unansweredWhileDown++
 		}
 		return wasDown
 	})
-	j.checkEffects(arrivals, byTrace)
-	w.checkSites(j)
-	j.checkHardLimits(byTrace)
-	c.checkCharges(j, byTrace, clientAttempts, byAddr, history)
-	checkVersionOrder(j, clientAttempts, byTrace)
-	c.checkConfigChanges(j, history)
-	w.reportNotes(j)
-	j.addFigures(clientAttempts, len(arrivals), time.Since(began))
-	v.Figures[figureUnansweredWhileDown] = float64(excused)
+	checker.checkEffects(arrivals, byTrace)
+	env.checkSites(checker)
+	checker.checkHardLimits(byTrace)
+	c.checkCharges(checker, byTrace, clientAttempts, instanceByAddr, history)
+	checkVersionOrder(checker, clientAttempts, byTrace)
+	c.checkConfigOperations(checker, history)
+	env.addScenarioViolations(checker)
+	checker.addFigures(clientAttempts, len(arrivals), time.Since(began))
+	v.Figures[figureUnansweredWhileDown] = float64(unansweredWhileDown)
 	c.addFaultFigures(v)
-	c.checkFaults(j, clientAttempts, arrivals, byTrace, history)
-	w.checkTraces(j, traces)
-	w.explain(j, clientAttempts, byTrace, traces)
-	v.judge()
+	c.checkFaults(checker, clientAttempts, arrivals, byTrace, history)
+	env.checkTraces(checker, traces)
+	env.explain(checker, clientAttempts, byTrace, traces)
+	v.setOK()
 	return v
 }
 
-// checkFaults checks what a scenario's own faults have to lead to.
+// checkFaults checks the expected effects of the scenario's faults.
 func (c *clusterRun) checkFaults(
-	j *ruleChecker,
+	checker *ruleChecker,
 	clientAttempts []testserver.Attempt,
 	arrivals []testserver.Arrival,
 	byTrace map[string][]testserver.Arrival,
 	history []clusterconfig.HistoryRecord,
 ) {
-	w := c.environment
-	if c.surge != nil {
-		size := siteSize{servers: w.serverCount(), cores: w.coreCount()}
-		c.surge.figures(j, clientAttempts, arrivals, byTrace, size)
+	env := c.environment
+	if c.outage != nil {
+		size := siteSize{servers: env.serverCount(), cores: env.coreCount()}
+		c.outage.addFigures(checker, clientAttempts, arrivals, byTrace, size)
 	}
 	for _, s := range c.isolations {
-		c.checkIsolated(j, s, arrivals)
+		c.checkIsolated(checker, s, arrivals)
 	}
-	if c.flapCount > 0 && w.scenario.Name == "flapping" {
-		c.checkFlapping(j, history)
+	if c.flapCount > 0 && env.scenario.Name == "flapping" {
+		c.checkFlapping(checker, history)
 	}
 }
 
-// addFaultFigures tells of the faults of the run and how long the instances took to agree on them.
+// addFaultFigures adds the numbers of faults, and how long the instances took to agree on them.
 func (c *clusterRun) addFaultFigures(v *Verdict) {
 	applied, _ := c.countApplied()
 	v.Figures["changes"] = float64(applied)
@@ -92,14 +92,15 @@
 		v.Figures[fmt.Sprint(figureLeaderLossMs, i+1)] = math.Round(g.Seconds() * 1000)
 	}
 	for i, l := range c.losses {
-		v.Figures[fmt.Sprint(figureSiteLostMs, i+1)] = math.Round(l.untilLost.Seconds() * 1000)
-		v.Figures[fmt.Sprint(figureSiteBackMs, i+1)] = math.Round(l.untilBack.Seconds() * 1000)
+		v.Figures[fmt.Sprint(figureSiteLostMs, i+1)] = math.Round(l.lossDelay.Seconds() * 1000)
+		v.Figures[fmt.Sprint(figureSiteBackMs, i+1)] = math.Round(l.returnDelay.Seconds() * 1000)
 	}
 }
 
-// checkFlapping checks that a site that fails and returns all the time is agreed to be lost no more often than the
-// holds allow: a loss takes half a second without an answer, a return a hold that doubles.
-func (c *clusterRun) checkFlapping(j *ruleChecker, history []clusterconfig.HistoryRecord) {
+// checkFlapping checks that a site that fails and returns repeatedly is agreed to be lost no more often than the hold
+// times allow: a loss is detected after half a second without an answer, and the hold before a return doubles each
+// time.
+func (c *clusterRun) checkFlapping(checker *ruleChecker, history []clusterconfig.HistoryRecord) {
 	lossCount, maxLosses := 0, 0
 	for _, r := range history {
 		putsLost := slices.ContainsFunc(r.Changes, func(s string) bool { return strings.HasPrefix(s, "put lost") })
@@ -110,60 +111,64 @@
 	for spent := time.Duration(0); spent < c.environment.options.For; maxLosses++ {
 		spent += 500*time.Millisecond + time.Second<<min(maxLosses, 5)
 	}
-	j.v.Figures["flaps"] = float64(c.flapCount)
-	j.v.Figures["losses_agreed"] = float64(lossCount)
-	j.v.Figures["losses_at_most"] = float64(maxLosses)
+	checker.verdict.Figures["flaps"] = float64(c.flapCount)
+	checker.verdict.Figures["losses_agreed"] = float64(lossCount)
+	checker.verdict.Figures["losses_at_most"] = float64(maxLosses)
 	if lossCount > maxLosses {
-		j.violation(ruleScenario, "the halls were agreed to be lost %d times; their holds allow %d", lossCount, maxLosses)
+		checker.violation(ruleScenario, "the halls were agreed to be lost %d times; their holds allow %d", lossCount,
+			maxLosses)
 	}
 }
 
-// checkIsolated wants bookings served at both sites while the sites were cut from each other.
-func (c *clusterRun) checkIsolated(j *ruleChecker, s interval, arrivals []testserver.Arrival) {
+// checkIsolated checks that both sites served bookings while they were partitioned from each other.
+func (c *clusterRun) checkIsolated(checker *ruleChecker, s interval, arrivals []testserver.Arrival) {
 	booked := map[string]int{}
 	for _, a := range arrivals {
 		if a.Effected && a.Effect == testserver.IdempotentWithKey && a.At.After(s.from) && a.At.Before(s.to) {
 			booked[a.Site]++
 		}
 	}
-	for _, h := range c.environment.sites {
-		if j.v.Figures[figureBookedIsolated+h.Name] = float64(booked[h.Name]); booked[h.Name] == 0 {
-			j.violation(ruleScenario, "%s took no bookings while the sites were cut from each other", h.Name)
+	for _, site := range c.environment.sites {
+		if checker.verdict.Figures[figureBookedIsolated+site.Name] = float64(booked[site.Name]); booked[site.Name] == 0 {
+			checker.violation(ruleScenario, "%s took no bookings while the sites were cut from each other", site.Name)
 		}
 	}
 }
 
-// checkAgreement waits until all members have the same version and chain, and returns the history.
-func (c *clusterRun) checkAgreement(ctx context.Context, j *ruleChecker) []clusterconfig.HistoryRecord {
+// checkAgreement heals the links between members, waits until all members have the same version and hash, and returns
+// the history.
+func (c *clusterRun) checkAgreement(ctx context.Context, checker *ruleChecker) []clusterconfig.HistoryRecord {
 	for _, l := range c.raftLinks {
 		l.setCut(false)
 	}
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for {
-		state, isAgreed := c.agreedState(ctx, j)
+		state, isAgreed := c.agreedState(ctx, checker)
 		if isAgreed {
 			break
 		}
 		if pause(ctx, 20*time.Millisecond); ctx.Err() != nil {
-			j.violation(ruleAgreement, "the members are not of one mind %v after the last change: the last seen is %s",
+			checker.violation(ruleAgreement,
+				"the members disagree %v after the last change: the last version and hash seen are %s",
 				settleTimeout, state)
 			return nil
 		}
 	}
-	history, err := c.clients[0].History(ctx)
+	history, err := c.operatorClients[0].History(ctx)
 	if err != nil {
-		j.violation(ruleAgreement, "history: %v", err)
+		checker.violation(ruleAgreement, "history: %v", err)
 	}
 	return history
 }
 
-// agreedState returns the version and hash that the first member serves on, and whether all serve on it. It looks at no
-// more members after one that has not installed its version. Those whose disk failed on purpose are restarted.
-func (c *clusterRun) agreedState(ctx context.Context, j *ruleChecker) (state string, isAgreed bool) {
+// agreedState returns the version and hash that the first member serves, and whether all members serve the same. It
+// stops at a member without status or that has not installed its version. Members that ended by an injected disk
+// failure are restarted.
+func (c *clusterRun) agreedState(ctx context.Context, checker *ruleChecker) (state string, isAgreed bool) {
 	sameCount := 0
 	for _, m := range c.members {
-		c.restartEnded(m, j)
+		c.restartEnded(m, checker)
 		s, err := c.status(ctx, m)
 		if err != nil || s.InstalledVersion != s.Version {
 			break
@@ -177,8 +182,8 @@
 	return state, sameCount == len(c.members)
 }
 
-// restartEnded starts a member again whose disk failed of late.
-func (c *clusterRun) restartEnded(m *member, j *ruleChecker) {
+// restartEnded restarts a member whose process has ended because its disk failed.
+func (c *clusterRun) restartEnded(m *clusterInstance, checker *ruleChecker) {
 	select {
 	case <-m.process.done:
 	default:
@@ -190,13 +195,13 @@
 	c.failedDiskCount++
 	m.markDown()
 	if err := c.start(m); err != nil {
-		j.violation(ruleAgreement, "%v", err)
+		checker.violation(ruleAgreement, "%v", err)
 	}
 }
 
-// checkFollowers waits until every member says of every follower that it runs the newest version, and holds that
-// against what the follower itself answers.
-func (c *clusterRun) checkFollowers(ctx context.Context, j *ruleChecker) {
+// checkFollowers waits until every member reports that every follower runs the newest version, and the followers' own
+// answers confirm it.
+func (c *clusterRun) checkFollowers(ctx context.Context, checker *ruleChecker) {
 	for _, l := range c.streamLinks {
 		l.setCut(false)
 	}
@@ -208,22 +213,23 @@
 	defer cancel()
 	for {
 		behind := ""
-		for _, client := range c.clients { // each goes to another member first
+		for _, client := range c.operatorClients { // each tries a different member first
 			behind += c.followersBehind(ctx, client)
 		}
 		if behind == "" {
-			j.v.Figures[figureFollowersSettled] = math.Round(time.Since(began).Seconds()*10) / 10
+			checker.verdict.Figures[figureFollowersSettled] = math.Round(time.Since(began).Seconds()*10) / 10
 			return
 		}
 		if pause(ctx, 50*time.Millisecond); ctx.Err() != nil {
-			j.violation(ruleAgreement, "the followers do not run what the members agree on %v after the last fault: %s",
+			checker.violation(ruleAgreement, "the followers do not run what the members agree on %v after the last fault: %s",
 				settleTimeout, behind)
 			return
 		}
 	}
 }
 
-// followersBehind says which followers do not run the newest version, by a member or by their own answers; empty: none.
+// followersBehind describes the followers that don't run the newest version, according to a member or to their own
+// answers. It returns an empty text if all do.
 func (c *clusterRun) followersBehind(ctx context.Context, client *cluster.Client) (text string) {
 	list, err := client.Followers(ctx)
 	if err != nil {
@@ -235,7 +241,7 @@
 		if i < 0 || list.Followers[i].State != "running" || list.Followers[i].Running.Number != list.NewestVersion {
 			text += fmt.Sprintf("member %d has version %d, and %s: %+v; ", list.MemberID, list.NewestVersion,
 				f.followerName, list.Followers)
-		} else if v, err := versionAt(ctx, f); err != nil || v != list.NewestVersion {
+		} else if v, err := servedVersion(ctx, f); err != nil || v != list.NewestVersion {
 			text += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", list.MemberID,
 				f.followerName, list.NewestVersion, v, err)
 		}
@@ -243,8 +249,8 @@
 	return text
 }
 
-// versionAt returns the version that an instance serves on.
-func versionAt(ctx context.Context, m *member) (uint64, error) {
+// servedVersion returns the version that an instance serves.
+func servedVersion(ctx context.Context, m *clusterInstance) (uint64, error) {
 	h, err := m.configHeaders(ctx)
 	if err != nil {
 		return 0, err
@@ -252,9 +258,9 @@
 	return strconv.ParseUint(h.Get("X-Mulleinmux-Version"), 10, 64)
 }
 
-// configHeaders requests an installer of an instance and returns the header fields of its answer, which tell of the
-// configuration.
-func (m *member) configHeaders(ctx context.Context) (http.Header, error) {
+// configHeaders sends an instance a request with the explain header and returns the header fields of its answer, which
+// contain the configuration's version and age.
+func (m *clusterInstance) configHeaders(ctx context.Context) (http.Header, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.listen+"/v1/installers/i1", nil)
 	if err != nil {
 		return nil, err
--- a/internal/scenario/contract.go
+++ b/internal/scenario/contract.go
@@ -11,15 +11,15 @@
 	"mulleinmux/routing"
 )
 
-// Changes of the description in the scenario contract-change: ten, of which two are invalid.
+// Changes of the description in the scenario contract-change, of which two are invalid.
 const (
 	changeCount   = 10
 	firstInvalid  = 4
 	secondInvalid = 8
 )
 
-// changingPrice is the units of an operation in a version of the description: those of three operations change with
-// every version.
+// changingPrice returns the units of an operation in a version of the description. Those of three operations differ
+// from version to version.
 func changingPrice(version int, operation string, units int) int {
 	if version > 1 && (operation == "getVisitSheet" || operation == "getDayReport" || operation == "changeVisit") {
 		return units + (version-1)%5
@@ -27,8 +27,8 @@
 	return units
 }
 
-// descriptionVariant writes version n of the description: three prices and a latency objective differ in each, the
-// objective making a class that the engine has not met. An invalid one must be rejected.
+// descriptionVariant returns version n of the description. Three prices and a latency objective differ in each; the
+// objective makes a class that is new to the engine. An invalid variant must be rejected.
 func descriptionVariant(n int, isInvalid bool) []byte {
 	text := string(deploy.Booking)
 	replace := func(old, to string) {
@@ -49,9 +49,9 @@
 	return []byte(text)
 }
 
-// changeContract puts new descriptions in force at all instances, spread over the run.
-func changeContract(ctx context.Context, w *environment) {
-	gap := w.options.For / (changeCount + 1)
+// changeContract installs new descriptions at all instances, at equal intervals over the run.
+func changeContract(ctx context.Context, env *environment) {
+	gap := env.options.For / (changeCount + 1)
 	number := 1
 	for n := 1; n <= changeCount; n++ {
 		select {
@@ -59,27 +59,28 @@
 			return
 		case <-time.After(gap):
 		}
-		if table := w.compileChange(n, number+1); table != nil {
+		if table := env.compileChange(n, number+1); table != nil {
 			number++
-			w.install(number, table)
+			env.install(number, table)
 		}
 	}
 }
 
 // compileChange compiles the n-th change of the description, as version number. It returns nil if the change is
-// invalid, and notes an error that was not found or that is none.
-func (w *environment) compileChange(n, number int) *routing.Table {
+// rejected, and reports an invalid change that was accepted or a valid one that was rejected.
+func (env *environment) compileChange(n, number int) *routing.Table {
 	isInvalid := n == firstInvalid || n == secondInvalid
 	table, _, err := openapi.Compile(fmt.Sprintf("booking-%d.yaml", number), descriptionVariant(number, isInvalid),
-		w.compile)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.changeCount++
+		env.compileOptions)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.changeCount++
 	switch {
 	case isInvalid && err == nil:
-		w.notes = append(w.notes, fmt.Sprintf("change %d is bad and was taken", n))
+		env.scenarioViolations = append(env.scenarioViolations, fmt.Sprintf("change %d is invalid and was accepted", n))
 	case !isInvalid && err != nil:
-		w.notes = append(w.notes, fmt.Sprintf("change %d is good and was refused: %v", n, err))
+		env.scenarioViolations = append(env.scenarioViolations,
+			fmt.Sprintf("change %d is valid and was rejected: %v", n, err))
 	}
 	if err != nil {
 		return nil
@@ -87,13 +88,13 @@
 	return table
 }
 
-// install puts a version of the description in force at all instances.
-func (w *environment) install(number int, table *routing.Table) {
-	for i, in := range w.instances {
-		if err := in.Install(w.configs[i].Setup(uint64(number), table, nil)); err != nil {
-			w.mu.Lock()
-			w.notes = append(w.notes, err.Error())
-			w.mu.Unlock()
+// install installs a version of the description at all instances.
+func (env *environment) install(number int, table *routing.Table) {
+	for i, in := range env.instances {
+		if err := in.Install(env.configs[i].Setup(uint64(number), table, nil)); err != nil {
+			env.mu.Lock()
+			env.scenarioViolations = append(env.scenarioViolations, err.Error())
+			env.mu.Unlock()
 		}
 	}
 }
--- a/internal/scenario/evidence.go
+++ b/internal/scenario/evidence.go
@@ -12,21 +12,21 @@
 
 const (
 	harnessProcess = "harness" // the process of clients, test servers and links
-	maxExplained   = 6         // requests of a verdict
-	maxShownWaits  = 12        // waits for a processor of a request
+	maxExplained   = 6         // requests of a verdict with evidence
+	maxShownWaits  = 12        // waits for a processor listed for a request
 	minShownWait   = 10 * time.Millisecond
 	evidenceTime   = "05.0000"
 )
 
-// explain puts beside each of the first requests that broke a rule what clients, servers and instances recorded of it,
-// and which processes waited for a processor meanwhile.
-func (w *environment) explain(
-	j *ruleChecker,
+// explain adds to the verdict, for the first requests that violated a rule, the records of clients, servers and
+// instances and the processes that waited for a processor meanwhile.
+func (env *environment) explain(
+	checker *ruleChecker,
 	clientAttempts []testserver.Attempt,
 	byTrace map[string][]testserver.Arrival,
 	traces requestTraces,
 ) {
-	for _, trace := range j.suspects {
+	for _, trace := range checker.violatingTraces {
 		e := &evidence{}
 		for i := range clientAttempts {
 			if clientAttempts[i].Trace == trace {
@@ -39,18 +39,18 @@
 		for i := range byTrace[trace] {
 			e.addArrival(&byTrace[trace][i])
 		}
-		e.addWaits(w.waits)
-		j.v.Evidence = append(j.v.Evidence, trace+"\n"+e.text.String())
+		e.addWaits(env.waits)
+		checker.verdict.Evidence = append(checker.verdict.Evidence, trace+"\n"+e.text.String())
 	}
 }
 
-// evidence is the text of what was recorded of one request, and the time that it spans.
+// evidence is the text of the records of one request, and the time span of these records.
 type evidence struct {
 	text     strings.Builder
 	from, to time.Time
 }
 
-// line adds a line about something at a time.
+// line adds a line about an event at a time.
 func (e *evidence) line(at time.Time, format string, args ...any) {
 	if e.from.IsZero() || at.Before(e.from) {
 		e.from = at
--- a/internal/scenario/faults_members_test.go
+++ b/internal/scenario/faults_members_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// A leader that was killed is restarted also when the scenario's time ends before the next change is applied.
+// A killed leader must be restarted even if the scenario's time ends before the next change is applied.
 func TestKilledLeaderIsRestartedAtTheEnd(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
@@ -36,8 +36,8 @@
 	run := &clusterRun{dir: t.TempDir(), environment: &environment{options: Options{
 		Program: program, Env: []string{fakeInstanceEnv + "=" + addr}, Log: io.Discard,
 	}}}
-	leader := &member{id: 1, listen: addr}
-	run.members = []*member{leader}
+	leader := &clusterInstance{id: 1, listen: addr}
+	run.members = []*clusterInstance{leader}
 	if err := run.restart(t.Context(), leader); err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if run.failLeader(ctx, leader) {
-		t.Error("a change is reported as applied, and there was none")
+		t.Error("failLeader reports an applied change, but there was none")
 	}
 	if !isReady(t.Context(), leader) {
 		t.Error("the killed leader was not restarted")
@@ -54,7 +54,7 @@
 	if now := time.Now(); leader.wasDown(now, now.Add(time.Second)) {
 		t.Error("the restarted leader is still marked as down")
 	}
-	if run.killCount != 1 || len(run.environment.notes) != 1 {
-		t.Errorf("%d kills, notes %q", run.killCount, run.environment.notes)
+	if run.killCount != 1 || len(run.environment.scenarioViolations) != 1 {
+		t.Errorf("got %d kills and violations %q, want one of each", run.killCount, run.environment.scenarioViolations)
 	}
 }
--- a/internal/scenario/faults_relay.go
+++ b/internal/scenario/faults_relay.go
@@ -11,32 +11,33 @@
 // Times of the scenario relay-chaos.
 const (
 	minRelayFault   = 20 * time.Millisecond
-	maxRelayFault   = 1500 * time.Millisecond // of an instance that is stopped
+	maxRelayFault   = 1500 * time.Millisecond // of a stopped instance
 	maxLinkFault    = 600 * time.Millisecond
-	maxLinkDelay    = 80 * time.Millisecond // of each piece on a slow link
+	maxLinkDelay    = 80 * time.Millisecond // of each read on a slow link
 	maxSiteLoss     = 2500 * time.Millisecond
 	maxRelayPause   = 500 * time.Millisecond // between two faults
 	drainEndTimeout = 10 * time.Second
 )
 
-// relayChaos disturbs the links between the sites, the instances at both ends and the sites themselves, by the seed.
+// relayChaos injects faults into the links between the sites, the instances at both ends and the sites themselves, by
+// the seed.
 func relayChaos(ctx context.Context, c *clusterRun) {
 	for until := c.faultsEnd(ctx); time.Now().Before(until) && ctx.Err() == nil; {
-		pause(ctx, c.draw(0, maxRelayPause))
-		if err := c.disturbRelays(ctx); err != nil {
-			c.notef("%v", err)
+		pause(ctx, c.randomDuration(0, maxRelayPause))
+		if err := c.injectRelayFault(ctx); err != nil {
+			c.reportViolation("%v", err)
 			return
 		}
 	}
 }
 
-// draw returns a time between two bounds.
-func (c *clusterRun) draw(low, high time.Duration) time.Duration {
+// randomDuration returns a random duration from low up to but not including high.
+func (c *clusterRun) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(c.rng.Int64N(int64(high-low)))
 }
 
-// disturbRelays has one fault come and go.
-func (c *clusterRun) disturbRelays(ctx context.Context) error {
+// injectRelayFault injects a random fault and ends it after a while.
+func (c *clusterRun) injectRelayFault(ctx context.Context) error {
 	m := c.members[c.rng.IntN(len(c.members))]
 	if c.rng.IntN(4) == 0 {
 		if leader := c.leader(ctx); leader != nil {
@@ -45,34 +46,34 @@
 	}
 	switch c.rng.IntN(8) {
 	case 0:
-		c.disturbLinks(ctx, (*link).setCut)
+		c.injectLinkFault(ctx, (*link).setCut)
 	case 1:
-		c.disturbLinks(ctx, (*link).setSilentBack)
+		c.injectLinkFault(ctx, (*link).setDropsReplies)
 	case 2:
-		delay := c.draw(0, maxLinkDelay)
-		c.disturbLinks(ctx, func(l *link, isSlow bool) { l.setDelay(delay, isSlow) })
+		delay := c.randomDuration(0, maxLinkDelay)
+		c.injectLinkFault(ctx, func(l *link, isSlow bool) { l.setDelay(delay, isSlow) })
 	case 3:
-		c.disturbLinks(ctx, func(l *link, _ bool) { l.closeAll() })
+		c.injectLinkFault(ctx, func(l *link, _ bool) { l.closeAll() })
 	case 4:
 		site := c.environment.sites[c.rng.IntN(len(c.environment.sites))]
 		site.SetPartitioned(true)
-		pause(ctx, c.draw(minRelayFault, maxSiteLoss))
+		pause(ctx, c.randomDuration(minRelayFault, maxSiteLoss))
 		site.SetPartitioned(false)
 		c.flapCount++
 	case 5:
 		c.kill(m)
-		pause(ctx, c.draw(0, minRelayFault))
+		pause(ctx, c.randomDuration(0, minRelayFault))
 		return c.restart(context.WithoutCancel(ctx), m)
 	case 6:
 		return c.drainAndRestart(ctx, m)
 	default:
-		c.stopFor(m, c.draw(minRelayFault, maxRelayFault))
+		c.stopFor(m, c.randomDuration(minRelayFault, maxRelayFault))
 	}
 	return nil
 }
 
-// disturbLinks sets a fault on some of the links between the sites, and takes it back after a while.
-func (c *clusterRun) disturbLinks(ctx context.Context, set func(l *link, on bool)) {
+// injectLinkFault sets a fault on random links between the sites and removes it after a while.
+func (c *clusterRun) injectLinkFault(ctx context.Context, set func(l *link, on bool)) {
 	var disturbed []*link
 	for _, l := range c.relayLinks {
 		if c.rng.IntN(2) == 0 {
@@ -80,30 +81,30 @@
 			set(l, true)
 		}
 	}
-	pause(ctx, c.draw(minRelayFault, maxLinkFault))
+	pause(ctx, c.randomDuration(minRelayFault, maxLinkFault))
 	for _, l := range disturbed {
 		set(l, false)
 	}
 }
 
-// drainAndRestart tells a member to end, and starts it again.
-func (c *clusterRun) drainAndRestart(ctx context.Context, m *member) error {
+// drainAndRestart shuts a member down gracefully and restarts it.
+func (c *clusterRun) drainAndRestart(ctx context.Context, m *clusterInstance) error {
 	m.markDown()
 	m.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-m.process.done:
 		if err := m.process.err; err != nil {
-			c.notef("member %d: %v", m.id, err)
+			c.reportViolation("member %d failed while it shut down: %v", m.id, err)
 		}
 	case <-time.After(drainEndTimeout):
-		c.notef("member %d does not end", m.id)
+		c.reportViolation("member %d has not exited in time after SIGTERM", m.id)
 		c.kill(m)
 	}
 	return c.restart(context.WithoutCancel(ctx), m)
 }
 
-// stopFor stops a member for a while.
-func (c *clusterRun) stopFor(m *member, duration time.Duration) {
+// stopFor stops a member's process for a while (SIGSTOP).
+func (c *clusterRun) stopFor(m *clusterInstance, duration time.Duration) {
 	began := time.Now()
 	m.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(duration)
@@ -113,17 +114,17 @@
 	m.stopped = append(m.stopped, interval{from: began, to: time.Now()})
 }
 
-// stoppedBetween returns for how long a member was stopped between two times.
-func (m *member) stoppedBetween(from, to time.Time) (sum time.Duration) {
+// stoppedBetween returns how long an instance was stopped between two times.
+func (m *clusterInstance) stoppedBetween(from, to time.Time) (sum time.Duration) {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
 	for _, stopped := range m.stopped {
-		sum += max(stopped.within(from, to), 0)
+		sum += max(stopped.overlap(from, to), 0)
 	}
 	return sum
 }
 
-// stoppedBetween is that of the member with a name.
+// stoppedBetween returns how long the instance with a name was stopped between two times.
 func (c *clusterRun) stoppedBetween(instance string, from, to time.Time) time.Duration {
 	for _, m := range c.instances() {
 		if m.name() == instance {
@@ -133,8 +134,8 @@
 	return 0
 }
 
-// mayOverlap reports whether the attempts of a request may overlap by its class: it is idempotent, and the far instance
-// was asked what became of an attempt and did not say.
+// mayOverlap reports whether the attempts of a request may overlap: it is idempotent, and the far instance was queried
+// for the status of an attempt and did not answer.
 func (t requestTraces) mayOverlap(request string) bool {
 	for _, trace := range t[request] {
 		for _, step := range trace.Steps {
--- a/internal/scenario/faults_sites.go
+++ b/internal/scenario/faults_sites.go
@@ -10,8 +10,8 @@
 	"mulleinmux/internal/testserver"
 )
 
-// persistentClients is calmMix with clients that repeat a booking after any failure, at any instance.
-func persistentClients() []testserver.RequestTemplate {
+// repeatingMix is calmMix with clients that retry a booking after any failure, at any instance.
+func repeatingMix() []testserver.RequestTemplate {
 	templates := calmMix()
 	for i := range templates {
 		templates[i].Repeat = true
@@ -19,8 +19,8 @@
 	return templates
 }
 
-// killedHoldingKeys is siteCloses with an instance killed as each site closes: what it has sent
-// and not yet announced is lost with it.
+// killedHoldingKeys is siteCloses with an instance killed as each site closes: the keys that it has
+// sent and not yet announced are lost with it.
 func killedHoldingKeys(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	faultsCtx, cancel := context.WithDeadline(ctx, until.Add(-c.environment.options.For/6))
@@ -30,13 +30,13 @@
 		c.kill(m)
 		pause(faultsCtx, time.Duration(c.rng.IntN(600))*time.Millisecond)
 		if err := c.restart(context.WithoutCancel(ctx), m); err != nil {
-			c.notef("%v", err)
+			c.reportViolation("%v", err)
 		}
 	}
 	siteCloses(faultsCtx, c)
 }
 
-// siteCloses closes one site after the other for keys, and opens it again.
+// siteCloses alternately closes and reopens each site for keys.
 func siteCloses(ctx context.Context, c *clusterRun) {
 	for n := 0; ctx.Err() == nil; n++ {
 		site := c.environment.sites[n%2]
@@ -53,38 +53,38 @@
 	}
 }
 
-// proposeSite has the instances agree on whether a site is closed for keys, also where ctx has ended.
+// proposeSite proposes that a site is closed or open for keys. It does so even if ctx has ended.
 func (c *clusterRun) proposeSite(ctx context.Context, id string, site *testserver.Site, isClosed bool) {
 	object := clusterconfig.Site{DiscoveryAddress: site.Discovery.Addr().String(), IsClosed: isClosed}
 	p := &clusterconfig.Proposal{ID: id,
 		Changes: []clusterconfig.Change{clusterconfig.NewPutChange(clusterconfig.KindSite, site.Name, object)}}
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), operatorTimeout)
 	defer cancel()
-	if _, err := c.clients[0].Propose(callCtx, p); err != nil {
-		c.notef("%s: %v", id, err)
+	if _, err := c.operatorClients[0].Propose(callCtx, p); err != nil {
+		c.reportViolation("%s: %v", id, err)
 	}
 }
 
-// siteLost partitions one site after the other. The instances must detect it, agree on it and
-// move its keys, and take it back once it answers again.
+// siteLost partitions one site at a time. The instances must detect and agree on the loss, move
+// the site's keys, and use the site again once it answers.
 func siteLost(ctx context.Context, c *clusterRun) {
-	c.loseSites(ctx, func(int) int { return []int{-1, serversPerSite}[c.rng.IntN(2)] })
+	c.partitionSites(ctx, func(int) int { return []int{-1, serversPerSite}[c.rng.IntN(2)] })
 }
 
-// siteReturnsEmpty is siteLost with sites that come back with cold servers alone: one, all, half of
-// them, and twice in a row.
+// siteReturnsEmpty is siteLost with sites that return with cold servers only: one, all or half of them, and sometimes
+// the same site twice in a row.
 func siteReturnsEmpty(ctx context.Context, c *clusterRun) {
-	c.loseSites(ctx, func(n int) int { return []int{1, serversPerSite, serversPerSite / 2}[n%3] })
+	c.partitionSites(ctx, func(n int) int { return []int{1, serversPerSite, serversPerSite / 2}[n%3] })
 }
 
-// serversReplaced has the warm servers of a site end a moment after a cold one has come, while clients go on with the
-// load that they served.
+// serversReplaced kills the warm servers of a site shortly after a cold one has started, while the clients' load
+// continues.
 func serversReplaced(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	site := c.environment.sites[c.rng.IntN(2)]
 	pause(ctx, c.environment.options.For/2)
 	if _, err := site.StartCold("cold"); err != nil {
-		c.notef("%v", err)
+		c.reportViolation("%v", err)
 	}
 	pause(ctx, time.Duration(300+c.rng.IntN(700))*time.Millisecond)
 	for n := range c.environment.serverCount() {
@@ -93,7 +93,7 @@
 	pause(ctx, time.Until(until))
 }
 
-// flapping partitions one site and has it back by the seed, for as long as the scenario lasts.
+// flapping partitions one site and heals it repeatedly, by the seed, until a quarter of the run is left.
 func flapping(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.environment.options.For / 4)
@@ -106,9 +106,9 @@
 	site.SetPartitioned(false)
 }
 
-// loseSites partitions sites in turn and has them back with as many cold servers as back tells,
-// or as they were where that is below 0.
-func (c *clusterRun) loseSites(ctx context.Context, back func(n int) int) {
+// partitionSites repeatedly partitions a random site and has it return with coldServerCount(n) cold servers, where n
+// counts the losses from 0. If that is negative, the site returns with its old servers.
+func (c *clusterRun) partitionSites(ctx context.Context, coldServerCount func(n int) int) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.environment.options.For / 8)
 	var last *testserver.Site
@@ -122,45 +122,47 @@
 			site = last // twice in a row
 		}
 		last = site
-		if !c.loseSite(ctx, n, site, back) {
+		if !c.partitionSite(ctx, n, site, coldServerCount) {
 			return
 		}
 	}
 }
 
-// loseSite partitions a site and has it back, for the n-th time, and records how long the instances took to agree on
-// either. It reports whether the scenario can go on.
-func (c *clusterRun) loseSite(ctx context.Context, n int, site *testserver.Site, back func(n int) int) bool {
+// partitionSite partitions a site and heals it, as loss n, and records how long the instances took to agree on the loss
+// and on the return. It reports whether the scenario can continue.
+func (c *clusterRun) partitionSite(
+	ctx context.Context, n int, site *testserver.Site, coldServerCount func(n int) int) bool {
 	lostAt := time.Now()
 	site.SetPartitioned(true)
-	untilLost, isLost := c.awaitLost(ctx, site.Name, true, lostAt)
+	lossDelay, isLost := c.awaitAgreedLost(ctx, site.Name, true, lostAt)
 	pause(ctx, time.Duration(300+c.rng.IntN(1200))*time.Millisecond)
-	if servers := back(n); servers >= 0 {
+	if servers := coldServerCount(n); servers >= 0 {
 		ids := []string{}
 		for k := range servers {
 			ids = append(ids, fmt.Sprintf("r%d-%d", n, k))
 		}
 		if err := site.ReplaceServers(ids...); err != nil {
-			c.notef("%v", err)
+			c.reportViolation("%v", err)
 		}
 	}
-	backAt := time.Now()
+	returnedAt := time.Now()
 	site.SetPartitioned(false)
-	untilBack, isBack := c.awaitLost(ctx, site.Name, false, backAt)
+	returnDelay, isBack := c.awaitAgreedLost(ctx, site.Name, false, returnedAt)
 	if ctx.Err() != nil {
 		return false
 	}
 	if !isLost || !isBack {
-		c.notef("loss %d: %s was not agreed to be lost and back: %v, %v", n+1, site.Name, isLost, isBack)
+		c.reportViolation("loss %d of %s: agreement in time on the loss: %v, on the return: %v", n+1, site.Name,
+			isLost, isBack)
 		return false
 	}
 	c.mu.Lock()
-	c.losses = append(c.losses, siteLoss{untilLost: untilLost, untilBack: untilBack})
+	c.losses = append(c.losses, siteLoss{lossDelay: lossDelay, returnDelay: returnDelay})
 	c.mu.Unlock()
 	return true
 }
 
-// linkDrops cuts the links between the sites and heals them, each for itself, until the end is near.
+// linkDrops repeatedly cuts random links between the sites and heals them, until a sixth of the run is left.
 func linkDrops(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	until = until.Add(-c.environment.options.For / 6)
@@ -179,29 +181,29 @@
 	}
 }
 
-// bothCut cuts the sites from each other, for clients' requests and for the members' own messages, in the middle
-// third. Each must go on with the bookings whose keys its own site owns.
+// bothCut partitions the sites from each other for a third of the run, from its middle on: relay links and Raft links
+// are cut. Each site must continue to serve bookings whose keys it owns.
 func bothCut(ctx context.Context, c *clusterRun) {
 	pause(ctx, c.environment.options.For/2)
-	c.cutSites(true)
+	c.setSitesPartitioned(true)
 	pause(ctx, cutSettleTime)
 	from := time.Now()
 	pause(ctx, c.environment.options.For/3-cutSettleTime)
 	c.isolations = append(c.isolations, interval{from: from, to: time.Now()})
-	c.cutSites(false)
+	c.setSitesPartitioned(false)
 }
 
-// keyHoldAfterStart is for how long instances that have just started take no bookings: their clients' keys may be
-// remembered from before.
+// keyHoldAfterStart is how long instances that have just started accept no bookings: sites may still remember their
+// clients' keys from before.
 const keyHoldAfterStart = idempotencyTTL
 
-// cutSettleTime is how long after a cut nobody can be confirmed by a majority any more.
+// cutSettleTime is how long after a partition no member can still be confirmed by a majority.
 const cutSettleTime = 1500 * time.Millisecond
 
-// cutSites cuts all links between the sites, or heals them.
-func (c *clusterRun) cutSites(cut bool) {
-	for ends, l := range c.raftLinks {
-		if ends.from%2 != ends.to%2 {
+// setSitesPartitioned cuts all relay and Raft links between the sites, or heals them.
+func (c *clusterRun) setSitesPartitioned(cut bool) {
+	for key, l := range c.raftLinks {
+		if key.from%2 != key.to%2 {
 			l.setCut(cut)
 		}
 	}
@@ -210,12 +212,14 @@
 	}
 }
 
-// maxLossDetection is the longest that a loss, or a return, may stay unknown in a scenario, with the hold of the
+// maxLossDetection is how long the instances may take to agree on a loss or on a return. It includes the hold of the
 // third loss.
 const maxLossDetection = 6 * time.Second
 
-// awaitLost waits until it is agreed whether a site is lost, and returns how long that took since a time.
-func (c *clusterRun) awaitLost(ctx context.Context, site string, want bool, since time.Time) (time.Duration, bool) {
+// awaitAgreedLost waits until the instances agree that a site is lost (want) or not, and returns the time since it
+// happened. It returns false if that takes too long.
+func (c *clusterRun) awaitAgreedLost(
+	ctx context.Context, site string, want bool, since time.Time) (time.Duration, bool) {
 	for time.Since(since) < maxLossDetection && ctx.Err() == nil {
 		if isLost, err := c.isAgreedLost(ctx, site); err == nil && isLost == want {
 			return time.Since(since), true
@@ -225,11 +229,11 @@
 	return 0, false
 }
 
-// isAgreedLost tells whether it is agreed that a site is lost and has none of its keys back.
+// isAgreedLost reports whether the instances agree that a site is lost and has recovered none of its keys.
 func (c *clusterRun) isAgreedLost(ctx context.Context, site string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	agreed, err := c.clients[0].Objects(ctx, false)
+	agreed, err := c.operatorClients[0].Objects(ctx, false)
 	if err != nil {
 		return false, err
 	}
--- a/internal/scenario/link.go
+++ b/internal/scenario/link.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// linkEnds are the indexes of two instances: a link goes from the one to the other.
-type linkEnds struct{ from, to int }
+// linkKey identifies a link by the indexes of the two instances that it connects.
+type linkKey struct{ from, to int }
 
-// link is the path from one member to another: a forwarder on loopback that can be cut. The
-// bytes of a member's messages go in one direction, so that a cut is one-way.
+// link is a forwarder on loopback for the path from one instance to another. It can be cut. There is
+// a link for each direction: the bytes of a member's messages go in one direction, so that a cut is one-way.
 type link struct {
-	ln         net.Listener
-	to         string
-	cut        atomic.Bool
-	silentBack atomic.Bool  // what comes back is lost
-	delay      atomic.Int64 // of each piece, in ns
-	mu         sync.Mutex
-	conns      map[net.Conn]struct{}
-	goroutines sync.WaitGroup
+	ln           net.Listener
+	to           string
+	cut          atomic.Bool
+	dropsReplies atomic.Bool  // bytes from the far instance are lost
+	delay        atomic.Int64 // of each read, in ns
+	mu           sync.Mutex
+	conns        map[net.Conn]struct{}
+	goroutines   sync.WaitGroup
 }
 
 // newLink opens a link to an address.
@@ -36,25 +36,25 @@
 	return l, nil
 }
 
-// addr is the address at which the link is reached.
+// addr returns the address on which the link listens.
 func (l *link) addr() string { return l.ln.Addr().String() }
 
-// setCut cuts the link or heals it. Connections on a cut link carry nothing, as on a network
-// that loses all packets; they end when it heals.
+// setCut cuts the link or heals it. Connections on a cut link lose all bytes, as on a network
+// that drops all packets. They are closed when the link heals.
 func (l *link) setCut(cut bool) {
 	if l.cut.Swap(cut) && !cut {
 		l.closeAll()
 	}
 }
 
-// setSilentBack has what comes back on the link be lost, or heals it as setCut does.
-func (l *link) setSilentBack(silent bool) {
-	if l.silentBack.Swap(silent) && !silent {
+// setDropsReplies makes the link lose the bytes that come back, or heals it as setCut does.
+func (l *link) setDropsReplies(silent bool) {
+	if l.dropsReplies.Swap(silent) && !silent {
 		l.closeAll()
 	}
 }
 
-// setDelay holds back each piece on the link for a time, or none any more.
+// setDelay delays each read on the link if isSlow, else removes the delay.
 func (l *link) setDelay(delay time.Duration, isSlow bool) {
 	if !isSlow {
 		delay = 0
@@ -71,14 +71,14 @@
 	l.mu.Unlock()
 }
 
-// close ends the link.
+// close closes the link with its connections and waits until its goroutines have ended.
 func (l *link) close() {
 	l.ln.Close()
 	l.closeAll()
 	l.goroutines.Wait()
 }
 
-// track notes a connection; the function that it returns closes and forgets it.
+// track registers a connection. The function that it returns closes and unregisters it.
 func (l *link) track(c net.Conn) func() {
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
@@ -91,7 +91,7 @@
 	}
 }
 
-// serve accepts connections and forwards what comes on them.
+// serve accepts connections and forwards their bytes in both directions.
 func (l *link) serve() {
 	for {
 		c, err := l.ln.Accept()
@@ -99,43 +99,43 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(time.Millisecond) // out of descriptors: one may come free
+			time.Sleep(time.Millisecond) // out of file descriptors: wait until one is free
 			continue
 		}
 		l.goroutines.Go(func() {
 			defer l.track(c)()
-			if l.cut.Load() { // nothing answers
+			if l.cut.Load() { // like a peer that doesn't answer
 				io.Copy(io.Discard, c)
 				return
 			}
-			d, err := net.DialTimeout("tcp", l.to, time.Second)
+			upstream, err := net.DialTimeout("tcp", l.to, time.Second)
 			if err != nil {
 				return
 			}
-			defer l.track(d)()
+			defer l.track(upstream)()
 			back := make(chan struct{})
 			go func() {
 				defer close(back)
-				l.forward(c, d, &l.silentBack)
+				l.forward(c, upstream, &l.dropsReplies)
 				c.Close()
 			}()
-			l.forward(d, c, &l.cut)
-			d.Close()
+			l.forward(upstream, c, &l.cut)
+			upstream.Close()
 			<-back
 		})
 	}
 }
 
-// forward copies until an end closes. What comes while the link is cut, or silent, is lost, and with it the
-// connection, once the link heals.
-func (l *link) forward(to, from net.Conn, isSilent *atomic.Bool) {
+// forward copies bytes until either connection ends. Bytes that arrive while the link is cut, or isDropping is set, are
+// lost; their connection is therefore closed once the link heals.
+func (l *link) forward(to, from net.Conn, isDropping *atomic.Bool) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
 		if delay := l.delay.Load(); delay > 0 {
 			time.Sleep(time.Duration(delay))
 		}
-		if n > 0 && !l.cut.Load() && !isSilent.Load() {
+		if n > 0 && !l.cut.Load() && !isDropping.Load() {
 			if _, err := to.Write(b[:n]); err != nil {
 				return
 			}
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -11,18 +11,18 @@
 	"mulleinmux/policy"
 )
 
-// The scenario hall-lost-surge loses a site that is needed and has it back cold, and holds what was served against an
-// oracle that knows the true state of all servers at once, has no delay between sites, and chooses among all requests.
-// No gateway can serve more than it.
+// The scenario hall-lost-surge partitions a site without which the load can't be carried, and has it return with cold
+// servers. It compares what was served with a reference model, which knows the true state of all servers at any time,
+// has no latency between sites, and chooses among all requests. No gateway can serve more than the model.
 
-// Moments of the scenario, as fractions of its length: a site is lost, and returns.
+// Times of the scenario hall-lost-surge. Fractions are of its length.
 const (
-	surgeLost   = 0.2
-	surgeBack   = 0.48
-	surgeAfter  = 10 * time.Second // looked at after the loss, at most until the return
-	surgeReturn = 20 * time.Second // after the return, at most until the end
-	oracleStep  = 20 * time.Millisecond
-	fullShare   = 0.9 // of what a site did before it was lost: full use
+	outageStartFraction = 0.2
+	outageEndFraction   = 0.48
+	afterLossWindow     = 10 * time.Second // measured after the loss, at most until the return
+	afterReturnWindow   = 20 * time.Second // measured after the return, at most until the end
+	referenceStep       = 20 * time.Millisecond
+	fullUseFraction     = 0.9 // of its work rate before the loss: a site at this rate is in full use
 )
 
 // siteSize is the size of one site.
@@ -31,62 +31,63 @@
 	cores   int // of each server
 }
 
-// coreCount is the number of all cores of the site.
+// coreCount returns the number of cores of all servers of the site.
 func (s siteSize) coreCount() float64 { return float64(s.servers * s.cores) }
 
-// surge is what happened to the site.
-type surge struct {
-	site                  string
-	calm, lost, back, end time.Time
+// siteOutage records the times of the site's outage. The baseline is measured from baselineStart to lostAt.
+type siteOutage struct {
+	site                                       string
+	baselineStart, lostAt, returnedAt, endedAt time.Time
 }
 
-// siteLostSurge partitions a site that carries half of the load, and has it back with cold servers alone.
+// siteLostSurge partitions a site that carries half of the load, and has it return with cold servers only.
 func siteLostSurge(ctx context.Context, c *clusterRun) {
 	began := time.Now()
 	until := func(fraction float64) {
 		pause(ctx, time.Until(began.Add(time.Duration(fraction*float64(c.environment.options.For)))))
 	}
 	site := c.environment.sites[c.rng.IntN(2)]
-	s := &surge{site: site.Name}
-	until(surgeLost / 2)
-	s.calm = time.Now()
-	until(surgeLost)
-	s.lost = time.Now()
+	s := &siteOutage{site: site.Name}
+	until(outageStartFraction / 2)
+	s.baselineStart = time.Now()
+	until(outageStartFraction)
+	s.lostAt = time.Now()
 	site.SetPartitioned(true)
-	until(surgeBack)
+	until(outageEndFraction)
 	ids := []string{"cold-0", "cold-1", "cold-2", "cold-3", "cold-4"}[:c.environment.serverCount()]
 	if err := site.ReplaceServers(ids...); err != nil {
-		c.notef("%v", err)
+		c.reportViolation("%v", err)
 	}
-	s.back = time.Now()
+	s.returnedAt = time.Now()
 	site.SetPartitioned(false)
 	until(0.99)
-	s.end = time.Now()
-	c.surge = s
+	s.endedAt = time.Now()
+	c.outage = s
 }
 
-// demand is one request of a client, over all its attempts.
-type demand struct {
+// clientRequest is one request of a client, over all its attempts.
+type clientRequest struct {
 	at               time.Time // of the first attempt
 	licensee         string
 	units            int
-	value            float64 // priority weight earned by an answer within the latency objective
-	lateValue        float64 // likewise, by a later answer
+	value            float64 // priority weight of an answer within the latency objective
+	lateValue        float64 // priority weight of a later answer
 	latencyObjective time.Duration
 	work             float64   // core seconds
-	servedAt         time.Time // zero: it was not served
+	servedAt         time.Time // zero if it was not served
 }
 
-// demandFactory makes demands of clients' attempts.
-type demandFactory struct {
+// clientRequestBuilder builds requests from clients' attempts.
+type clientRequestBuilder struct {
 	plans           map[string]string  // by licensee
 	priorityFactors map[string]float64 // by plan
-	units           map[string]int     // by operation: of a request that a site has seen
+	units           map[string]int     // by operation, of a request that reached a site
 }
 
-// newDemandFactory returns a factory that knows what the sites have seen of requests.
-func newDemandFactory(byTrace map[string][]testserver.Arrival) *demandFactory {
-	f := &demandFactory{plans: map[string]string{}, priorityFactors: map[string]float64{}, units: map[string]int{}}
+// newClientRequestBuilder returns a builder with the units of the requests that reached the sites.
+func newClientRequestBuilder(byTrace map[string][]testserver.Arrival) *clientRequestBuilder {
+	f := &clientRequestBuilder{plans: map[string]string{}, priorityFactors: map[string]float64{},
+		units: map[string]int{}}
 	for _, l := range allLicensees() {
 		f.plans[l.Name] = l.Plan
 	}
@@ -99,36 +100,36 @@
 	return f
 }
 
-// newDemand returns the demand that an attempt belongs to.
-func (f *demandFactory) newDemand(t *testserver.Attempt) *demand {
+// newClientRequest returns a request with the data of one of its attempts.
+func (f *clientRequestBuilder) newClientRequest(t *testserver.Attempt) *clientRequest {
 	class := classes()[0]
 	if t.Operation == "bookVisit" {
 		class = classes()[1]
 	}
 	factor := f.priorityFactors[f.plans[t.Licensee]]
-	return &demand{
+	return &clientRequest{
 		at:               t.At,
 		licensee:         t.Licensee,
 		units:            max(f.units[t.Operation], 1),
 		value:            class.PriorityWeight * factor,
 		lateValue:        class.PriorityWeight * class.LateFraction * factor,
 		latencyObjective: class.LatencyObjective,
-		work:             workOf(t.Operation).Seconds(),
+		work:             operationWork(t.Operation).Seconds(),
 	}
 }
 
-// demandsOf joins the attempts at each client's request to one demand. Units of a request that no site has seen are
-// those of its operation's others.
-func demandsOf(clientAttempts []testserver.Attempt, byTrace map[string][]testserver.Arrival) []*demand {
-	factory := newDemandFactory(byTrace)
-	byFirst := map[string]*demand{}
-	var all []*demand
+// groupByRequest groups clients' attempts by request, in the order of the first attempts. A request that didn't reach a
+// site has the units of others of its operation.
+func groupByRequest(clientAttempts []testserver.Attempt, byTrace map[string][]testserver.Arrival) []*clientRequest {
+	builder := newClientRequestBuilder(byTrace)
+	byFirst := map[string]*clientRequest{}
+	var all []*clientRequest
 	for i := range clientAttempts {
 		t := &clientAttempts[i]
-		d := byFirst[t.First]
+		d := byFirst[t.FirstTrace]
 		if d == nil {
-			d = factory.newDemand(t)
-			byFirst[t.First] = d
+			d = builder.newClientRequest(t)
+			byFirst[t.FirstTrace] = d
 			all = append(all, d)
 		}
 		if d.at.After(t.At) {
@@ -138,111 +139,117 @@
 			d.servedAt = t.Ended
 		}
 	}
-	slices.SortFunc(all, func(a, b *demand) int { return a.at.Compare(b.at) })
+	slices.SortFunc(all, func(a, b *clientRequest) int { return a.at.Compare(b.at) })
 	return all
 }
 
-// capacity is the seconds of work a second that all sites can do at a moment, as the test servers have it.
-func (s *surge) capacity(at time.Time, size siteSize) float64 {
+// capacity returns the work that all sites can do at a time, in core seconds per second, as the test servers compute
+// it.
+func (s *siteOutage) capacity(at time.Time, size siteSize) float64 {
 	full := size.coreCount()
 	switch {
-	case at.Before(s.lost):
+	case at.Before(s.lostAt):
 		return 2 * full
-	case at.Before(s.back):
+	case at.Before(s.returnedAt):
 		return full
 	}
-	return full + full*s.warmth(at)
+	return full + full*s.capacityFraction(at)
 }
 
-// warmth is the fraction of its capacity that the returned site has at a moment.
-func (s *surge) warmth(at time.Time) float64 {
-	gained := (1 - coldCapacity) * at.Sub(s.back).Seconds() / slowStartWindow.Seconds()
+// capacityFraction returns the fraction of its capacity that the returned site has at a time.
+func (s *siteOutage) capacityFraction(at time.Time) float64 {
+	gained := (1 - coldCapacity) * at.Sub(s.returnedAt).Seconds() / slowStartWindow.Seconds()
 	return math.Min(coldCapacity+gained, 1)
 }
 
-// oracleBucket is the token bucket of a licensee, and its demands that wait for units.
-type oracleBucket struct {
+// referenceBucket is the token bucket of a licensee, with the requests that wait for units.
+type referenceBucket struct {
 	plan    policy.Plan
 	tokens  float64
-	waiting []*demand
+	waiting []*clientRequest
 }
 
-// oracleRun is the oracle at one moment.
-type oracleRun struct {
-	surge   *surge
-	size    siteSize
-	at      time.Time
-	buckets []*oracleBucket          // in the order of the licensees
-	byName  map[string]*oracleBucket // by licensee
-	open    []*demand                // that have their units and are not done
-	left    map[*demand]float64      // core seconds
-	served  map[*demand]bool
+// referenceModel is the state of the reference model at one time.
+type referenceModel struct {
+	outage   *siteOutage
+	size     siteSize
+	at       time.Time
+	buckets  []*referenceBucket          // in the order of allLicensees
+	byName   map[string]*referenceBucket // by licensee
+	admitted []*clientRequest            // have their units and are not completed
+	workLeft map[*clientRequest]float64  // core seconds
+	served   map[*clientRequest]bool
 }
 
-// newOracleRun returns an oracle with full buckets.
-func newOracleRun(s *surge, size siteSize) *oracleRun {
-	o := &oracleRun{surge: s, size: size, byName: map[string]*oracleBucket{}, left: map[*demand]float64{},
-		served: map[*demand]bool{}}
+// newReferenceModel returns a reference model with full buckets.
+func newReferenceModel(s *siteOutage, size siteSize) *referenceModel {
+	model := &referenceModel{outage: s, size: size, byName: map[string]*referenceBucket{},
+		workLeft: map[*clientRequest]float64{}, served: map[*clientRequest]bool{}}
 	for _, l := range allLicensees() {
 		for _, p := range settings(0).Plans {
 			if p.Name == l.Plan {
-				bucket := &oracleBucket{plan: p, tokens: p.Burst}
-				o.byName[l.Name] = bucket
-				o.buckets = append(o.buckets, bucket)
+				bucket := &referenceBucket{plan: p, tokens: p.Burst}
+				model.byName[l.Name] = bucket
+				model.buckets = append(model.buckets, bucket)
 			}
 		}
 	}
-	return o
+	return model
 }
 
-// oracle runs the whole run: which demands can be served within their latency objectives. Each takes units of its
-// licensee's quota, in the order in which they come, and waits for them within its objective, as a client does that
-// retries; of those that have them, what is worth most for its work is served first.
-func (s *surge) oracle(all []*demand, size siteSize) (served map[*demand]bool) {
-	o := newOracleRun(s, size)
+// runReferenceModel simulates the whole run and returns the requests that can be served within their latency
+// objectives. Each request takes units of its licensee's quota, in the order of arrival, and waits for them until its
+// objective has passed, like a client that retries. Of the requests that have their units, those with the highest value
+// per work are served first.
+func (s *siteOutage) runReferenceModel(all []*clientRequest, size siteSize) (served map[*clientRequest]bool) {
+	model := newReferenceModel(s, size)
 	next := 0
-	for o.at = all[0].at; next < len(all) || len(o.open) > 0; o.at = o.at.Add(oracleStep) {
-		for ; next < len(all) && all[next].at.Before(o.at.Add(oracleStep)); next++ {
-			bucket := o.byName[all[next].licensee]
+	for model.at = all[0].at; next < len(all) || len(model.admitted) > 0; model.at = model.at.Add(referenceStep) {
+		for ; next < len(all) && all[next].at.Before(model.at.Add(referenceStep)); next++ {
+			bucket := model.byName[all[next].licensee]
 			bucket.waiting = append(bucket.waiting, all[next])
 		}
-		for _, bucket := range o.buckets {
-			o.admit(bucket)
+		for _, bucket := range model.buckets {
+			model.admit(bucket)
 		}
-		o.work()
+		model.serveStep()
 	}
-	return o.served
+	return model.served
 }
 
-// isLate tells whether a demand's latency objective is over.
-func (o *oracleRun) isLate(d *demand) bool { return o.at.Sub(d.at) > d.latencyObjective }
+// isLate reports whether a request's latency objective has passed.
+func (model *referenceModel) isLate(d *clientRequest) bool {
+	return model.at.Sub(d.at) > d.latencyObjective
+}
 
-// admit refills a bucket by one step and gives units to the demands that wait for them.
-func (o *oracleRun) admit(bucket *oracleBucket) {
-	bucket.tokens = math.Min(bucket.tokens+bucket.plan.Rate*oracleStep.Seconds(), bucket.plan.Burst)
-	bucket.waiting = slices.DeleteFunc(bucket.waiting, o.isLate)
+// admit refills a bucket for one step and admits the waiting requests for which it has units, in their order.
+func (model *referenceModel) admit(bucket *referenceBucket) {
+	bucket.tokens = math.Min(bucket.tokens+bucket.plan.Rate*referenceStep.Seconds(), bucket.plan.Burst)
+	bucket.waiting = slices.DeleteFunc(bucket.waiting, model.isLate)
 	for len(bucket.waiting) > 0 && bucket.tokens >= float64(bucket.waiting[0].units) {
 		d := bucket.waiting[0]
 		bucket.waiting = bucket.waiting[1:]
 		bucket.tokens -= float64(d.units)
-		o.open = append(o.open, d)
-		o.left[d] = d.work
+		model.admitted = append(model.admitted, d)
+		model.workLeft[d] = d.work
 	}
 }
 
-// minWorkLeft is the core seconds below which a demand is done.
+// minWorkLeft is the core seconds of remaining work below which a request is completed.
 const minWorkLeft = 1e-12
 
-// work does the work of one step: first what earns most for its work.
-func (o *oracleRun) work() {
-	o.open = slices.DeleteFunc(o.open, func(d *demand) bool { return o.left[d] <= 0 || o.isLate(d) })
-	slices.SortStableFunc(o.open, func(a, b *demand) int { return cmp.Compare(b.value/b.work, a.value/a.work) })
-	available := o.surge.capacity(o.at, o.size) * oracleStep.Seconds()
-	for _, d := range o.open {
-		part := math.Min(available, o.left[d])
-		available -= part
-		if o.left[d] -= part; o.left[d] <= minWorkLeft {
-			o.left[d], o.served[d] = 0, true
+// serveStep simulates the work of one step. Requests with the highest value per work are served first.
+func (model *referenceModel) serveStep() {
+	model.admitted = slices.DeleteFunc(model.admitted,
+		func(d *clientRequest) bool { return model.workLeft[d] <= 0 || model.isLate(d) })
+	slices.SortStableFunc(model.admitted,
+		func(a, b *clientRequest) int { return cmp.Compare(b.value/b.work, a.value/a.work) })
+	available := model.outage.capacity(model.at, model.size) * referenceStep.Seconds()
+	for _, d := range model.admitted {
+		workDone := math.Min(available, model.workLeft[d])
+		available -= workDone
+		if model.workLeft[d] -= workDone; model.workLeft[d] <= minWorkLeft {
+			model.workLeft[d], model.served[d] = 0, true
 		}
 		if available <= 0 {
 			break
@@ -250,13 +257,14 @@
 	}
 }
 
-// earnedValue is what was served, and what the oracle serves, of the demands that begin in a span.
-func earnedValue(all []*demand, oracle map[*demand]bool, from, to time.Time) (got, best float64) {
+// earnedValue returns the value of the requests that began in a time span: of those served in the run (got), and of
+// those that the reference model serves (best).
+func earnedValue(all []*clientRequest, servedByModel map[*clientRequest]bool, from, to time.Time) (got, best float64) {
 	for _, d := range all {
 		if d.at.Before(from) || !d.at.Before(to) {
 			continue
 		}
-		if oracle[d] {
+		if servedByModel[d] {
 			best += d.value
 		}
 		switch {
@@ -270,27 +278,28 @@
 	return got, best
 }
 
-// figures holds what was served against the oracle, and the time to full use against the shortest.
-func (s *surge) figures(
-	j *ruleChecker,
+// addFigures adds the value of what was served as fractions of what the reference model serves, and the time to full
+// use with the shortest possible one.
+func (s *siteOutage) addFigures(
+	checker *ruleChecker,
 	clientAttempts []testserver.Attempt,
 	arrivals []testserver.Arrival,
 	byTrace map[string][]testserver.Arrival,
 	size siteSize,
 ) {
-	all := demandsOf(clientAttempts, byTrace)
-	oracle := s.oracle(all, size)
+	all := groupByRequest(clientAttempts, byTrace)
+	servedByModel := s.runReferenceModel(all, size)
 	addFraction := func(name string, from, to time.Time) {
-		got, best := earnedValue(all, oracle, from, to)
-		j.v.Figures[name] = math.Round(got/best*1000) / 1000
+		got, best := earnedValue(all, servedByModel, from, to)
+		checker.verdict.Figures[name] = math.Round(got/best*1000) / 1000
 	}
-	addFraction(figureValueBeforeLoss, s.calm, s.lost)
-	addFraction(figureValueAfterLoss, s.lost, earliest(s.lost.Add(surgeAfter), s.back))
-	addFraction(figureValueAfterReturn, s.back, earliest(s.back.Add(surgeReturn), s.end))
-	s.addFullUseFigures(j, arrivals, size)
+	addFraction(figureValueBeforeLoss, s.baselineStart, s.lostAt)
+	addFraction(figureValueAfterLoss, s.lostAt, earliest(s.lostAt.Add(afterLossWindow), s.returnedAt))
+	addFraction(figureValueAfterReturn, s.returnedAt, earliest(s.returnedAt.Add(afterReturnWindow), s.endedAt))
+	s.addFullUseFigures(checker, arrivals, size)
 }
 
-// earliest is the earlier of two times.
+// earliest returns the earlier of two times.
 func earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -298,33 +307,33 @@
 	return b
 }
 
-// addFullUseFigures tells how long the returned site took until it did nearly as much as before its loss, and the
-// shortest time in which its cold servers can.
-func (s *surge) addFullUseFigures(j *ruleChecker, arrivals []testserver.Arrival, size siteSize) {
-	wanted := fullShare * s.workRate(arrivals, s.calm, s.lost)
+// addFullUseFigures adds how long the returned site took to reach fullUseFraction of its work rate before the loss, and
+// the shortest time in which its cold servers can reach it.
+func (s *siteOutage) addFullUseFigures(checker *ruleChecker, arrivals []testserver.Arrival, size siteSize) {
+	wanted := fullUseFraction * s.workRate(arrivals, s.baselineStart, s.lostAt)
 	fraction := wanted / size.coreCount() // of the site's cores, to do the wanted work
 	shortest := math.Max((fraction-coldCapacity)/(1-coldCapacity)*slowStartWindow.Seconds(), 0)
-	j.v.Figures[figureFullUseShortestSeconds] = math.Round(shortest*10) / 10
-	for at := s.back; at.Add(time.Second).Before(s.end); at = at.Add(100 * time.Millisecond) {
+	checker.verdict.Figures[figureFullUseShortestSeconds] = math.Round(shortest*10) / 10
+	for at := s.returnedAt; at.Add(time.Second).Before(s.endedAt); at = at.Add(100 * time.Millisecond) {
 		if s.workRate(arrivals, at, at.Add(time.Second)) >= wanted {
-			j.v.Figures[figureFullUseSeconds] = math.Round(at.Add(time.Second/2).Sub(s.back).Seconds()*10) / 10
+			checker.verdict.Figures[figureFullUseSeconds] = math.Round(at.Add(time.Second/2).Sub(s.returnedAt).Seconds()*10) / 10
 			break
 		}
 	}
 }
 
-// workRate is the seconds of work a second that the site did in a span.
-func (s *surge) workRate(arrivals []testserver.Arrival, from, to time.Time) (work float64) {
+// workRate returns the work that the site did in a time span, in core seconds per second.
+func (s *siteOutage) workRate(arrivals []testserver.Arrival, from, to time.Time) (work float64) {
 	for _, a := range arrivals {
 		if a.Site == s.site && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
-			work += workOf(a.Operation).Seconds()
+			work += operationWork(a.Operation).Seconds()
 		}
 	}
 	return work / to.Sub(from).Seconds()
 }
 
-// workOf is the core time that an operation takes.
-func workOf(operation string) time.Duration {
+// operationWork returns the core time that an operation takes.
+func operationWork(operation string) time.Duration {
 	if operation == "bookVisit" {
 		return bookWork
 	}
--- a/internal/scenario/path_spelling_test.go
+++ b/internal/scenario/path_spelling_test.go
@@ -13,50 +13,50 @@
 	"mulleinmux/internal/testserver"
 )
 
-// No spelling of a path reaches a site as another operation than the one charged: a site
-// that decodes, cleans and cuts whatever it can finds the same one.
+// No spelling of a path may reach a site as another operation than the one that was charged, even
+// if the site decodes, cleans and shortens paths as leniently as it can.
 func FuzzPathSpelling(f *testing.F) {
 	for seed := range uint64(300) {
 		f.Add(seed)
 	}
-	tab, _, err := openapi.Compile("booking.yaml", deploy.Booking, (&gateway.Config{Classes: classes()}).Options())
+	table, _, err := openapi.Compile("booking.yaml", deploy.Booking, (&gateway.Config{Classes: classes()}).Options())
 	if err != nil {
 		f.Fatal(err)
 	}
-	rs := routes(sameUnits)
+	siteRoutes := routes(sameUnits)
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		found := 0
+		matchCount := 0
 		for range 50 {
-			r := rs[rng.IntN(len(rs))]
+			r := siteRoutes[rng.IntN(len(siteRoutes))]
 			path := fillTemplate(rng, r.Template)
 			for range rng.IntN(3) {
 				path = respell(rng, path)
 			}
 			target := path + "?days=3"
-			if tab.CheckPath(path) != "" {
+			if table.CheckPath(path) != "" {
 				continue
 			}
-			op, _, _ := tab.Match(r.Method, path)
+			op, _, _ := table.Match(r.Method, path)
 			if op == nil {
 				continue
 			}
-			found++
-			reached := testserver.Lookup(rs, r.Method, target, http.Header{})
+			matchCount++
+			reached := testserver.Lookup(siteRoutes, r.Method, target, http.Header{})
 			if reached == nil || reached.Operation != op.ID {
 				t.Fatalf("%s %s is charged as %s and reaches the site as %+v", r.Method, path, op.ID, reached)
 			}
 		}
-		if found == 0 {
-			t.Errorf("no path was found")
+		if matchCount == 0 {
+			t.Errorf("no generated path matched an operation")
 		}
 	})
 }
 
-// parameterValues are what fillTemplate puts in the place of a parameter; some are literal segments of other templates.
+// parameterValues are the values of parameters that fillTemplate uses. Some are literal segments of other templates.
 var parameterValues = []string{"7", "new", "batch", "search", "x.csv", "sheet.pdf", "a b", "..", "visits"}
 
-// fillTemplate returns a path that fits a template.
+// fillTemplate returns a path that matches a template, with random parameters.
 func fillTemplate(rng *rand.Rand, template string) string {
 	path := template
 	for strings.Contains(path, "{") {
@@ -66,7 +66,7 @@
 	return path
 }
 
-// respell writes a path in another way, which a site may or may not take for the same.
+// respell returns a variant of a path that a site may or may not treat as the same path.
 func respell(rng *rand.Rand, path string) string {
 	i := 1 + rng.IntN(len(path)-1)
 	switch rng.IntN(12) {
--- a/internal/scenario/request_traces.go
+++ b/internal/scenario/request_traces.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// unansweredStatusWait is how long an instance waits for a far one's word on an attempt before it sends an
-	// idempotent request again.
+	// unansweredStatusWait is how long an instance waits for a far instance's status of an attempt before it retries an
+	// idempotent request.
 	unansweredStatusWait = 300 * time.Millisecond
-	// timerTolerance is what a timer may be late in a process that waits for no processor.
+	// timerTolerance is how late a timer may fire in a process that doesn't wait for a processor.
 	timerTolerance = 10 * time.Millisecond
-	// traceLogFlushTime is for how long the latest traces may not have been written.
+	// traceLogFlushTime is the time within which instances write their latest traces.
 	traceLogFlushTime = 400 * time.Millisecond
 )
 
-// requestTraces are the traces of a request by the instances that it came to, in the order of their starts.
+// requestTraces holds, for each request, the traces of the instances that received it, in the order in which they
+// started.
 type requestTraces map[string][]gateway.RequestTrace
 
 // add records a trace.
@@ -32,15 +33,15 @@
 	t[trace.Trace] = append(t[trace.Trace], trace)
 }
 
-// traceLogName is the file name of an instance's log of traces.
-func (m *member) traceLogName() string { return fmt.Sprintf("trace-%d.jsonl", m.id) }
+// traceLogName returns the file name of an instance's trace log.
+func (m *clusterInstance) traceLogName() string { return fmt.Sprintf("trace-%d.jsonl", m.id) }
 
 // readTraces reads the traces that the instances have written.
-func (c *clusterRun) readTraces(j *ruleChecker) requestTraces {
+func (c *clusterRun) readTraces(checker *ruleChecker) requestTraces {
 	time.Sleep(traceLogFlushTime)
 	traces := requestTraces{}
 	for _, m := range c.instances() {
-		eachLogLine(j, filepath.Join(c.dir, m.traceLogName()), func(trace gateway.RequestTrace) {
+		eachLogLine(checker, filepath.Join(c.dir, m.traceLogName()), func(trace gateway.RequestTrace) {
 			if trace.Trace != "" {
 				traces.add(trace)
 			}
@@ -49,63 +50,63 @@
 	return traces
 }
 
-// eachLogLine calls take with each line of an instance's log that can be read: half of one is of an instance that was
-// killed.
-func eachLogLine[T any](j *ruleChecker, path string, take func(T)) {
+// eachLogLine calls handle with each line of an instance's log that can be parsed. A killed instance may have written
+// an incomplete last line.
+func eachLogLine[T any](checker *ruleChecker, path string, handle func(T)) {
 	f, err := os.Open(path)
 	if err != nil {
-		j.violation(ruleScenario, "%v", err)
+		checker.violation(ruleScenario, "%v", err)
 		return
 	}
 	defer f.Close()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		var line T
 		if json.Unmarshal(lines.Bytes(), &line) == nil {
-			take(line)
+			handle(line)
 		}
 	}
 }
 
-// checkTraces checks, on the instances' own traces, that the attempts of each request came in order and that its answer
-// was written in time. No load on the machine changes the order of an instance's steps; for the time of an answer the
-// instance's waits for a processor are allowed.
-func (w *environment) checkTraces(j *ruleChecker, traces requestTraces) {
+// checkTraces checks, with the instances' own traces, that the attempts of each request don't overlap and that its
+// answer was written in time. The load of the machine can't change the order of an instance's steps. An answer may be
+// late by the time that the instance waited for a processor.
+func (env *environment) checkTraces(checker *ruleChecker, traces requestTraces) {
 	steps := 0
-	for _, ofRequest := range traces {
-		for i := range ofRequest {
-			trace := &ofRequest[i]
+	for _, tracesOfRequest := range traces {
+		for i := range tracesOfRequest {
+			trace := &tracesOfRequest[i]
 			steps += len(trace.Steps)
-			j.checkAttemptOrder(trace)
-			w.checkAnswerTime(j, trace)
+			checker.checkAttemptOrder(trace)
+			env.checkAnswerTime(checker, trace)
 		}
 	}
-	j.v.Figures[figureTraceSteps] = float64(steps)
+	checker.verdict.Figures[figureTraceSteps] = float64(steps)
 }
 
-// checkAttemptOrder checks that each attempt of a trace began when the one before had ended.
-func (j *ruleChecker) checkAttemptOrder(trace *gateway.RequestTrace) {
+// checkAttemptOrder checks that each attempt of a trace began after the previous one had ended.
+func (checker *ruleChecker) checkAttemptOrder(trace *gateway.RequestTrace) {
 	order := attemptOrder{}
 	for k := range trace.Steps {
-		if fault := order.take(trace, &trace.Steps[k]); fault != "" {
-			j.violationOf(trace.Trace, ruleSteps, "%s at %s: %s", trace.Trace, trace.Instance, fault)
+		if fault := order.addStep(trace, &trace.Steps[k]); fault != "" {
+			checker.requestViolation(trace.Trace, ruleSteps, "%s at %s: %s", trace.Trace, trace.Instance, fault)
 		}
 	}
 }
 
-// attemptOrder follows the attempts of one trace.
+// attemptOrder is the state of the latest attempt of a trace, while its steps are checked in order.
 type attemptOrder struct {
-	attempt        int  // the latest
-	isInFlight     bool // nothing has told its end
-	isRelayed      bool
-	wasWritten     bool
-	wasConnClosed  bool
-	wasEndTold     bool // by the far instance
-	statusAskedAt  time.Time
-	isClosedByPeer bool
+	attempt         int  // number of the latest attempt
+	isInFlight      bool // its end is not known
+	isRelayed       bool
+	wasWritten      bool
+	wasConnClosed   bool
+	wasEndReported  bool // the far instance reported its end
+	statusQueriedAt time.Time
+	isClosedByPeer  bool
 }
 
-// take follows one step and returns what is wrong with its place; empty: nothing.
-func (o *attemptOrder) take(trace *gateway.RequestTrace, step *gateway.TraceStep) (fault string) {
+// addStep processes the next step and returns why it is not allowed at this place, or an empty text.
+func (o *attemptOrder) addStep(trace *gateway.RequestTrace, step *gateway.TraceStep) (fault string) {
 	switch step.Kind {
 	case gateway.StepClosedByPeer:
 		o.isClosedByPeer = true
@@ -118,28 +119,28 @@
 	case gateway.StepEnded:
 		o.isInFlight = o.mayBeInFlight(step.Detail)
 	case gateway.StepStatusAsked:
-		o.statusAskedAt = step.At
+		o.statusQueriedAt = step.At
 	case gateway.StepStatusTold:
-		o.wasEndTold = true
+		o.wasEndReported = true
 	}
 	return fault
 }
 
-// mayBeInFlight reports whether an attempt that has ended for its instance may go on elsewhere: one without an answer
-// whose connection is open or, if it was relayed, whose far instance has not told its end.
+// mayBeInFlight reports whether an attempt that has ended for its instance may still run: it has no answer, and its
+// connection is open or, if it was relayed, the far instance has not reported its end.
 func (o *attemptOrder) mayBeInFlight(result string) bool {
 	hasAnswer := result == policy.OK.String() || result == policy.RejectedByServer.String() ||
 		result == policy.ErrorResponse.String()
 	hasEnded := o.wasConnClosed
 	if o.isRelayed {
-		hasEnded = o.wasEndTold
+		hasEnded = o.wasEndReported
 	}
 	return o.wasWritten && !hasAnswer && !hasEnded
 }
 
-// begin follows the begin of an attempt.
+// begin processes the start of an attempt.
 func (o *attemptOrder) begin(trace *gateway.RequestTrace, step *gateway.TraceStep) (fault string) {
-	hasWaited := !o.statusAskedAt.IsZero() && step.At.Sub(o.statusAskedAt) >= unansweredStatusWait-time.Millisecond
+	hasWaited := !o.statusQueriedAt.IsZero() && step.At.Sub(o.statusQueriedAt) >= unansweredStatusWait-time.Millisecond
 	switch {
 	case o.isClosedByPeer:
 		fault = fmt.Sprintf("attempt %d begins after the near instance's close was seen", step.Attempt)
@@ -152,40 +153,42 @@
 	return fault
 }
 
-// checkAnswerTime checks that an answer was written by its deadline and what the instance waited for a processor.
-func (w *environment) checkAnswerTime(j *ruleChecker, trace *gateway.RequestTrace) {
+// checkAnswerTime checks that an answer was written by its deadline, extended by the time that the instance waited for
+// a processor or was stopped.
+func (env *environment) checkAnswerTime(checker *ruleChecker, trace *gateway.RequestTrace) {
 	last := trace.Steps[len(trace.Steps)-1]
 	late := last.At.Sub(trace.Deadline)
 	if late <= timerTolerance {
 		return
 	}
-	waited := w.waitedFor(trace.Instance, trace.Deadline, last.At)
-	if w.stoppedBetween != nil {
-		waited += w.stoppedBetween(trace.Instance, trace.Deadline, last.At)
+	waited := env.waitedFor(trace.Instance, trace.Deadline, last.At)
+	if env.stoppedBetween != nil {
+		waited += env.stoppedBetween(trace.Instance, trace.Deadline, last.At)
 	}
 	if late > waited+timerTolerance {
-		j.violationOf(trace.Trace, ruleSteps, "%s at %s: its answer was written %v after its deadline, and the instance "+
-			"waited %v for a processor", trace.Trace, trace.Instance, late, waited)
+		checker.requestViolation(trace.Trace, ruleSteps,
+			"%s at %s: its answer was written %v after its deadline, and the instance "+
+				"waited %v for a processor", trace.Trace, trace.Instance, late, waited)
 	}
 }
 
-// waitedFor returns for how long between two times any thread of an instance's process waited for a processor.
-func (w *environment) waitedFor(instance string, from, to time.Time) time.Duration {
+// waitedFor returns how long any thread of an instance's process waited for a processor between two times.
+func (env *environment) waitedFor(instance string, from, to time.Time) time.Duration {
 	process := instance
-	if w.scenario.cluster == nil {
+	if env.scenario.runOnCluster == nil {
 		process = harnessProcess
 	}
-	waits, _ := w.waits.Between(from, to)
+	waits, _ := env.waits.Between(from, to)
 	waits = slices.DeleteFunc(waits, func(wait schedwait.Wait) bool { return wait.Process != process })
-	return unionOf(waits, from, to)
+	return unionDuration(waits, from, to)
 }
 
-// unionOf returns for how long between two times any of the waits lasted.
-func unionOf(waits []schedwait.Wait, from, to time.Time) (sum time.Duration) {
+// unionDuration returns the length of the union of the waits between two times.
+func unionDuration(waits []schedwait.Wait, from, to time.Time) (sum time.Duration) {
 	slices.SortFunc(waits, func(a, b schedwait.Wait) int { return a.From.Compare(b.From) })
 	for _, wait := range waits {
-		if within := (interval{wait.From, wait.To}).within(from, to); within > 0 {
-			sum += within
+		if waited := (interval{wait.From, wait.To}).overlap(from, to); waited > 0 {
+			sum += waited
 			from = wait.To
 		}
 	}
--- a/internal/scenario/request_traces_test.go
+++ b/internal/scenario/request_traces_test.go
@@ -30,11 +30,11 @@
 	return gateway.TraceStep{Kind: kind, Detail: detail}
 }
 
-// The next attempt of a request begins only when the one before is known to have ended.
+// The check must find an attempt that begins before the previous one is known to have ended.
 func TestAttemptOrderCheck(t *testing.T) {
 	written, closed := stepOf(gateway.StepWritten, ""), stepOf(gateway.StepConnClosed, "")
 	timedOut := stepOf(gateway.StepEnded, "timed out")
-	asked := stepOf(gateway.StepStatusAsked, "")
+	statusQuery := stepOf(gateway.StepStatusAsked, "")
 	for _, test := range []struct {
 		name       string
 		idempotent bool
@@ -46,68 +46,70 @@
 		{"never written", false, stepsOf(directAttempt(1), stepOf(gateway.StepEnded, "not sent"), directAttempt(2)), 0},
 		{"answered", false, stepsOf(relayedAttempt(1), written, stepOf(gateway.StepEnded, "error response"),
 			directAttempt(2)), 0},
-		{"end told", false, stepsOf(relayedAttempt(1), written, closed, asked, stepOf(gateway.StepStatusTold, "unknown"),
-			timedOut, directAttempt(2)), 0},
-		{"relayed, end not told", false, stepsOf(relayedAttempt(1), written, closed, asked,
+		{"end told", false, stepsOf(relayedAttempt(1), written, closed, statusQuery,
+			stepOf(gateway.StepStatusTold, "unknown"), timedOut, directAttempt(2)), 0},
+		{"relayed, end not told", false, stepsOf(relayedAttempt(1), written, closed, statusQuery,
 			stepOf(gateway.StepStatusUnknown, ""), timedOut, directAttempt(2)), 1},
-		{"idempotent, not asked for long enough", true, stepsOf(relayedAttempt(1), written, closed, asked,
+		{"idempotent, not asked for long enough", true, stepsOf(relayedAttempt(1), written, closed, statusQuery,
 			stepOf(gateway.StepStatusUnknown, ""), timedOut, relayedAttempt(2)), 1},
 		{"no end", false, stepsOf(directAttempt(1), directAttempt(2)), 1},
 		{"after the peer's close", true, stepsOf(stepOf(gateway.StepClosedByPeer, ""), directAttempt(1)), 1},
 	} {
-		j := newRuleChecker()
-		j.checkAttemptOrder(&gateway.RequestTrace{Trace: "r", Idempotent: test.idempotent, Steps: test.steps})
-		if j.v.Rules[ruleSteps] != test.violations {
-			t.Errorf("%s: %d violations, want %d: %v", test.name, j.v.Rules[ruleSteps], test.violations, j.v.Examples)
+		checker := newRuleChecker()
+		checker.checkAttemptOrder(&gateway.RequestTrace{Trace: "r", Idempotent: test.idempotent, Steps: test.steps})
+		if checker.verdict.Rules[ruleSteps] != test.violations {
+			t.Errorf("%s: %d violations, want %d: %v", test.name, checker.verdict.Rules[ruleSteps], test.violations,
+				checker.verdict.Examples)
 		}
 	}
 }
 
-// An idempotent request goes on without the far instance's word after the stated time.
+// After unansweredStatusWait, an idempotent request may be retried without the far instance's status, and no other may.
 func TestAttemptOrderAfterUnansweredStatus(t *testing.T) {
 	steps := stepsOf(relayedAttempt(1), stepOf(gateway.StepWritten, ""), stepOf(gateway.StepConnClosed, ""),
 		stepOf(gateway.StepStatusAsked, ""), stepOf(gateway.StepStatusUnknown, ""),
 		stepOf(gateway.StepEnded, "timed out"), relayedAttempt(2))
 	steps[6].At = steps[3].At.Add(unansweredStatusWait)
 	for _, isIdempotent := range []bool{true, false} {
-		j := newRuleChecker()
-		j.checkAttemptOrder(&gateway.RequestTrace{Trace: "r", Idempotent: isIdempotent, Steps: steps})
-		if wasFound := j.v.Rules[ruleSteps] > 0; wasFound == isIdempotent {
-			t.Errorf("idempotent %v: %v", isIdempotent, j.v.Examples)
+		checker := newRuleChecker()
+		checker.checkAttemptOrder(&gateway.RequestTrace{Trace: "r", Idempotent: isIdempotent, Steps: steps})
+		if wasFound := checker.verdict.Rules[ruleSteps] > 0; wasFound == isIdempotent {
+			t.Errorf("idempotent %v: unexpected violations or none: %v", isIdempotent, checker.verdict.Examples)
 		}
 	}
 }
 
-// A late answer breaks the rule but for the time in which its instance waited for a processor.
+// An answer that is late by more than the timer tolerance must violate the rule if its instance didn't wait for a
+// processor.
 func TestAnswerTimeCheck(t *testing.T) {
 	for _, test := range []struct {
 		lateMs     int
 		violations int
 	}{{5, 0}, {30, 1}} {
-		j := newRuleChecker()
-		w := &environment{waits: schedwait.New()}
-		w.checkAnswerTime(j, &gateway.RequestTrace{Trace: "r", Instance: "g", Deadline: ruleTestStart,
+		checker := newRuleChecker()
+		env := &environment{waits: schedwait.New()}
+		env.checkAnswerTime(checker, &gateway.RequestTrace{Trace: "r", Instance: "g", Deadline: ruleTestStart,
 			Steps: []gateway.TraceStep{{Kind: gateway.StepAnswerWritten, At: millisecondsAfterStart(test.lateMs)}}})
-		if j.v.Rules[ruleSteps] != test.violations {
-			t.Errorf("%d ms late: %v", test.lateMs, j.v.Examples)
+		if checker.verdict.Rules[ruleSteps] != test.violations {
+			t.Errorf("answer %d ms late: unexpected number of violations: %v", test.lateMs, checker.verdict.Examples)
 		}
 	}
 }
 
-// Waits of threads that overlap count once, and only within the time.
+// Overlapping waits of threads must count once, and only their parts within the time span.
 func TestUnionOfWaits(t *testing.T) {
 	wait := func(from, to int) schedwait.Wait {
 		return schedwait.Wait{From: millisecondsAfterStart(from), To: millisecondsAfterStart(to)}
 	}
 	waits := []schedwait.Wait{wait(20, 30), wait(-5, 3), wait(2, 6), wait(25, 28), wait(90, 200)}
-	got := unionOf(waits, ruleTestStart, millisecondsAfterStart(100))
+	got := unionDuration(waits, ruleTestStart, millisecondsAfterStart(100))
 	if want := 26 * time.Millisecond; got != want {
-		t.Error(fmt.Sprint(got, " want ", want))
+		t.Error(fmt.Sprint(got, ", want ", want))
 	}
 }
 
-// A client that gives up while its instance is stopped breaks no rule; one that waited for longer than the stop explains
-// does, and so does one whose connection was lost.
+// A client that gives up while its instance is stopped is no violation. One that waited longer than the stop accounts
+// for is, and so is one whose connection was lost.
 func TestGaveUpWhileStopped(t *testing.T) {
 	const waited = clientDeadline + time.Second
 	for _, test := range []struct {
@@ -116,11 +118,11 @@
 		want    bool
 	}{{1200 * time.Millisecond, false, true}, {500 * time.Millisecond, false, false}, {0, false, false},
 		{1200 * time.Millisecond, true, false}} {
-		j := newRuleChecker()
-		j.stoppedFor = func(testserver.Attempt) time.Duration { return test.stopped }
+		checker := newRuleChecker()
+		checker.stoppedFor = func(testserver.Attempt) time.Duration { return test.stopped }
 		attempt := testserver.Attempt{At: ruleTestStart, Ended: ruleTestStart.Add(waited), ConnectionLost: test.isLost}
-		if got := j.gaveUpWhileStopped(attempt); got != test.want {
-			t.Errorf("stopped for %v, lost %v: %v", test.stopped, test.isLost, got)
+		if got := checker.gaveUpWhileStopped(attempt); got != test.want {
+			t.Errorf("stopped for %v, connection lost %v: gaveUpWhileStopped returns %v", test.stopped, test.isLost, got)
 		}
 	}
 }
--- a/internal/scenario/rule_checks_test.go
+++ b/internal/scenario/rule_checks_test.go
@@ -14,13 +14,13 @@
 	"mulleinmux/internal/testserver"
 )
 
-// A scenario whose rules are broken on purpose fails: a booking is sent to both sites
-// past the gateway.
+// The verdict must report a violation that the test causes by sending a booking to both sites,
+// bypassing the gateway.
 func TestBrokenRuleIsFound(t *testing.T) {
 	t.Parallel()
 	v, err := Run(context.Background(), Options{Scenario: "calm", For: 2 * time.Second, Seed: 7,
-		breakRule: func(w *environment) {
-			for _, site := range w.sites {
+		breakRule: func(env *environment) {
+			for _, site := range env.sites {
 				bookDirectly(t, site, "twice", `{"installers":2}`)
 			}
 			http.DefaultClient.CloseIdleConnections()
@@ -30,11 +30,11 @@
 	}
 	if v.OK || v.Duplicates != 1 || v.Rules["no_effect_twice"] != 1 || v.Rules["units"] < 2 ||
 		v.UnitsDeclared-v.UnitsCounted != 4 {
-		t.Errorf("%+v", v)
+		t.Errorf("verdict lacks the duplicate or the 4 uncounted units: %+v", v)
 	}
 }
 
-// bookDirectly sends a booking with an idempotency key to one server of a site, past the gateway.
+// bookDirectly sends a booking with an idempotency key to one server of a site, bypassing the gateway.
 func bookDirectly(t *testing.T, site *testserver.Site, key, body string) {
 	t.Helper()
 	r, err := http.NewRequest("POST", "http://"+site.Addrs()[0]+"/v1/visits", strings.NewReader(body))
@@ -53,10 +53,10 @@
 	resp.Body.Close()
 }
 
-// ruleTestStart is when the recorded requests of the cases began.
+// ruleTestStart is the start time of the recorded requests.
 var ruleTestStart = time.Now()
 
-// arrivalOf is an attempt that ran from and to so many milliseconds after ruleTestStart.
+// arrivalOf returns an attempt that ran between two times, in milliseconds after ruleTestStart.
 func arrivalOf(trace, site string, effect testserver.Effect, from, to int) testserver.Arrival {
 	return testserver.Arrival{Site: site, Server: "s", Operation: "op", Effect: effect, Trace: trace,
 		Key: "k-" + trace, Licensee: "kubwa-0", Version: 1, Units: 2,
@@ -67,33 +67,33 @@
 	return ruleTestStart.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// ruleCase is a request as the sites, its instance and its client recorded it.
+// ruleCase is a request with the records of the sites, its instance and its client.
 type ruleCase struct {
 	name     string
 	arrivals []testserver.Arrival
 	record   gateway.RequestRecord
 	attempt  testserver.Attempt
-	want     string // rule; empty: none
+	want     string // violated rule; empty for none
 }
 
-// attemptOf is an attempt of request a.
+// attemptOf returns an attempt of request a.
 func attemptOf(site string, effect testserver.Effect, from, to int) testserver.Arrival {
 	return arrivalOf("a", site, effect, from, to)
 }
 
-// effected returns an attempt as one that had its effect.
+// effected returns the attempt with its effect.
 func effected(a testserver.Arrival) testserver.Arrival { a.Effected = true; return a }
 
-// neverRan returns an attempt as one that the server did not begin.
+// neverRan returns the attempt as one that the server did not run.
 func neverRan(a testserver.Arrival) testserver.Arrival { a.Ran = false; return a }
 
-// drained returns an attempt as one at a server that had been listed as draining for a time.
+// drained returns the attempt as one at a server that had been listed as draining for a time.
 func drained(a testserver.Arrival, since time.Duration) testserver.Arrival {
 	a.Draining = since
 	return a
 }
 
-// ruleCases are requests that keep all rules, or break one.
+// ruleCases returns requests that violate no rule or one.
 func ruleCases() []ruleCase { return slices.Concat(effectCases(), chargeCases(), answerCases()) }
 
 // rightRecord is an instance's record of request a, and servedAttempt the attempt of its client.
@@ -103,7 +103,7 @@
 		AnswerCount: 1, Status: 200, Served: true}
 )
 
-// effectCases are about the attempts of a request.
+// effectCases returns cases that differ in the attempts of a request.
 func effectCases() (cases []ruleCase) {
 	const (
 		idempotent = testserver.Idempotent
@@ -130,7 +130,7 @@
 	return cases
 }
 
-// chargeCases are about the record of a request.
+// chargeCases returns cases that differ in the instance's record of a request.
 func chargeCases() (cases []ruleCase) {
 	add := func(name, want string, change func(*gateway.RequestRecord), arrivals ...testserver.Arrival) {
 		record := rightRecord
@@ -147,7 +147,7 @@
 	return cases
 }
 
-// answerCases are about what the client got.
+// answerCases returns cases that differ in the client's record of the answer.
 func answerCases() (cases []ruleCase) {
 	add := func(name, want string, attempt testserver.Attempt) {
 		attempt.Trace = "a"
@@ -163,43 +163,43 @@
 	return cases
 }
 
-// Each rule's check finds what it is for, and finds nothing where the rule was kept.
+// The checks must find the violation of each case, and no violation of another rule.
 func TestRuleChecks(t *testing.T) {
 	for _, c := range ruleCases() {
 		t.Run(c.name, func(t *testing.T) {
-			j := newRuleChecker()
+			checker := newRuleChecker()
 			byTrace := map[string][]testserver.Arrival{}
 			if len(c.arrivals) > 0 {
 				byTrace["a"] = c.arrivals
 			}
-			j.checkAnswers([]testserver.Attempt{c.attempt}, func(testserver.Attempt) bool { return false })
-			j.checkEffects(c.arrivals, byTrace)
-			j.checkCosts(byTrace, map[string]gateway.RequestRecord{"a": c.record})
-			for rule, n := range j.v.Rules {
+			checker.checkAnswers([]testserver.Attempt{c.attempt}, func(testserver.Attempt) bool { return false })
+			checker.checkEffects(c.arrivals, byTrace)
+			checker.checkCosts(byTrace, map[string]gateway.RequestRecord{"a": c.record})
+			for rule, n := range checker.verdict.Rules {
 				if rule != c.want && n > 0 {
-					t.Errorf("%v", j.v.Examples)
+					t.Errorf("unexpected violations: %v", checker.verdict.Examples)
 				}
 			}
-			if c.want != "" && j.v.Rules[c.want] == 0 {
-				t.Errorf("%s is not found broken", c.want)
+			if c.want != "" && checker.verdict.Rules[c.want] == 0 {
+				t.Errorf("no violation of rule %s was found", c.want)
 			}
 		})
 	}
 }
 
-// The check of hard limits finds units beyond a limit and its slack, and none below.
+// The check must find units beyond a hard limit and its tolerance, and no violation below that.
 func TestHardLimitCheck(t *testing.T) {
 	// The hard limit of kubwa: 300 at once and 180 a second, with a slack of 57.
 	for units, want := range map[int]bool{350: false, 370: true} {
 		t.Run(fmt.Sprint(units, " units at once"), func(t *testing.T) {
-			j := newRuleChecker()
+			checker := newRuleChecker()
 			byTrace := map[string][]testserver.Arrival{}
 			for i := range units / 2 {
 				name := fmt.Sprint("t", i)
 				byTrace[name] = []testserver.Arrival{arrivalOf(name, "A", testserver.Idempotent, 0, 10)}
 			}
-			if j.checkHardLimits(byTrace); (j.v.Rules["ceilings"] > 0) != want {
-				t.Errorf("%d violations", j.v.Rules["ceilings"])
+			if checker.checkHardLimits(byTrace); (checker.verdict.Rules["ceilings"] > 0) != want {
+				t.Errorf("got %d violations of the hard limit", checker.verdict.Rules["ceilings"])
 			}
 		})
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario runs scenarios: real instances of the gateway on loopback sockets, between
-// test server sites and licensees' clients. When one ends, it holds what the sites recorded
-// against what the instances counted, and tells which rules were kept.
+// Package scenario runs scenarios: instances of the gateway on loopback sockets, between sites
+// of test servers and licensees' clients. At the end of a run it compares the sites' records
+// with the instances' and reports the violations of each rule.
 package scenario
 
 import (
@@ -16,93 +16,94 @@
 	"mulleinmux/routing"
 )
 
-// Options are an operator's choices.
+// Options are the parameters of a run.
 type Options struct {
 	Scenario string
 	For      time.Duration
 	Seed     uint64
-	Progress func(line string) // nil: none
-	Log      io.Writer         // of the instances; nil: dropped
-	Program  string            // gateway, for scenarios with processes
-	Env      []string          // added to its environment
+	Progress func(line string) // receives a line each second; may be nil
+	Log      io.Writer         // receives the instances' logs; nil discards them
+	Program  string            // path of the gateway program, for scenarios with processes
+	Env      []string          // added to the program's environment
 
-	RampOff      bool // no slow start: servers-replaced must then show an overloaded server
-	KeysAnywhere bool // without key ownership: hall-closes must then show double bookings
+	RampOff      bool // disables slow start: servers-replaced must then report an overloaded server
+	KeysAnywhere bool // disables key ownership: hall-closes must then report duplicate bookings
 
-	breakRule func(*environment) // a test breaks a rule on purpose
+	breakRule func(*environment) // lets a test break a rule during the run
 }
 
-// Scenario is one that can be run.
+// Scenario describes a scenario that [Run] can run.
 type Scenario struct {
-	Name, About string
-	mix         func() []testserver.RequestTemplate
-	faults      testserver.Faults
-	price       func(version int, operation string, units int) int
-	during      func(context.Context, *environment) // runs beside the clients, until ctx ends
-	cluster     func(context.Context, *clusterRun)  // likewise, with instances as processes that agree
-	// Times the licensees' rates otherwise; 0: once, or twice where it is small.
+	Name, About  string
+	mix          func() []testserver.RequestTemplate
+	faults       testserver.Faults
+	price        func(version int, operation string, units int) int
+	runInProcess func(context.Context, *environment) // runs concurrently with the clients, until ctx ends
+	runOnCluster func(context.Context, *clusterRun)  // likewise, with instances that are processes of a cluster
+	// Factor of the licensees' rates. 0 means 1, or 2 with small sites.
 	loadMultiple float64
-	// Sites of three servers with one core: one alone can't carry the load.
-	isSmall       bool
-	followerCount int // instances beside the members that are told the configuration
-	// Two instances at each of two sites; each reaches its own site alone, the other over the link.
+	// Sites have three servers with one core each, so that one site alone can't carry the load.
+	hasSmallSites bool
+	followerCount int // instances that are not members and receive the configuration stream
+	// There are two instances at each of two sites. Each instance reaches only its own site directly, and the other
+	// site over a relay link.
 	hasTwoSites bool
-	// Instances are stopped (SIGSTOP) for a while: that time counts for none of their answers, and an idempotent request
-	// may have a second attempt where the first one's instance does not answer.
+	// Instances are stopped for a while (SIGSTOP). This time is deducted from the latency of their answers, and an
+	// idempotent request may have a second attempt in flight if the far instance of the first does not answer.
 	stopsInstances bool
 }
 
-// environment is a scenario under way.
+// environment is the state of a running scenario.
 type environment struct {
-	options   Options
-	scenario  Scenario
-	ledger    *testserver.Ledger
-	sites     []*testserver.Site
-	instances []*gateway.Instance
-	configs   []*gateway.Config
-	addrs     []string
-	compile   routing.Options
-	waits     *schedwait.Monitor // nil: none is measured
-	// stoppedBetween returns for how long an instance was stopped between two times; nil: none was.
+	options        Options
+	scenario       Scenario
+	ledger         *testserver.Ledger
+	sites          []*testserver.Site
+	instances      []*gateway.Instance
+	configs        []*gateway.Config
+	addrs          []string
+	compileOptions routing.Options
+	waits          *schedwait.Monitor // nil: waits for a processor are not measured
+	// stoppedBetween returns how long an instance was stopped between two times; nil: no instance was stopped.
 	stoppedBetween func(instance string, from, to time.Time) time.Duration
 
-	mu          sync.Mutex
-	records     []gateway.RequestRecord
-	traces      requestTraces
-	changeCount int
-	notes       []string // what a scenario found wrong
+	mu                 sync.Mutex
+	records            []gateway.RequestRecord
+	traces             requestTraces
+	changeCount        int
+	scenarioViolations []string // reported by the scenario itself
 }
 
-// memberCount is the number of instances: two at each of two sites, or three that reach both sites.
-func (w *environment) memberCount() int {
-	if w.scenario.hasTwoSites {
+// memberCount returns the number of members: two at each of two sites, or three that reach both sites.
+func (env *environment) memberCount() int {
+	if env.scenario.hasTwoSites {
 		return 4
 	}
 	return instanceCount
 }
 
-// licensees are the clients with their rates: those of a small scenario take nine tenths of what both sites can do.
-func (w *environment) licensees() []testserver.Licensee {
+// licensees returns the clients with their rates. With small sites, they use nine tenths of the capacity of both sites.
+func (env *environment) licensees() []testserver.Licensee {
 	ls := allLicensees()
 	for i := range ls {
-		if w.scenario.isSmall || w.scenario.loadMultiple > 0 {
-			ls[i].Rate *= cmp.Or(w.scenario.loadMultiple, 2)
+		if env.scenario.hasSmallSites || env.scenario.loadMultiple > 0 {
+			ls[i].Rate *= cmp.Or(env.scenario.loadMultiple, 2)
 		}
 	}
 	return ls
 }
 
-// serverCount is the number of servers of a site at the start.
-func (w *environment) serverCount() int {
-	if w.scenario.isSmall {
+// serverCount returns the number of servers of a site at the start.
+func (env *environment) serverCount() int {
+	if env.scenario.hasSmallSites {
 		return 3
 	}
 	return serversPerSite
 }
 
-// coreCount is the number of cores of each server.
-func (w *environment) coreCount() int {
-	if w.scenario.isSmall {
+// coreCount returns the number of cores of each server.
+func (env *environment) coreCount() int {
+	if env.scenario.hasSmallSites {
 		return 1
 	}
 	return 2
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Each scenario keeps every rule, and the units that the sites recorded are those that the instances counted.
+// Each scenario must keep every rule; among them, the instances count the units that the sites recorded.
 func TestScenarios(t *testing.T) {
 	for _, s := range Scenarios() {
-		if s.cluster != nil { // run with the program, by its own tests
+		if s.runOnCluster != nil { // needs the gateway program, whose tests run it
 			continue
 		}
 		t.Run(s.Name, func(t *testing.T) {
@@ -19,7 +19,7 @@
 				t.Fatal(err)
 			}
 			if !v.OK || v.Served == 0 || v.UnitsCounted == 0 {
-				t.Errorf("%+v", v)
+				t.Errorf("rules violated or no requests counted: %+v", v)
 			}
 		})
 	}
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -11,29 +11,29 @@
 
 // Times that instances, test servers and checks share.
 const (
-	clientDeadline   = 2 * time.Second        // of a request with all its attempts, and of each class
-	idempotencyTTL   = 4 * time.Second        // for which a site remembers an idempotency key
-	drainGracePeriod = 250 * time.Millisecond // for which a draining server still takes requests
-	slowStartWindow  = 15 * time.Second       // until a cold server has all its capacity
-	collapseWindow   = 2 * time.Second        // over which a cold server's load is summed
-	responseSlack    = 8 * time.Millisecond   // that instances leave for their answers
-	drainTimeout     = 50 * time.Millisecond  // of an instance
+	clientDeadline   = 2 * time.Second        // for a request with all its attempts, and of each class
+	idempotencyTTL   = 4 * time.Second        // how long a site remembers an idempotency key
+	drainGracePeriod = 250 * time.Millisecond // how long a draining server still accepts requests
+	slowStartWindow  = 15 * time.Second       // time until a cold server has all its capacity
+	collapseWindow   = 2 * time.Second        // over which the load of a cold server is summed
+	responseSlack    = 8 * time.Millisecond   // time before the deadline that instances reserve for their answers
+	drainTimeout     = 50 * time.Millisecond  // of an instance's graceful shutdown
 )
 
 // Bounds that instances, test servers and clients share.
 const (
-	maxUnits          = 50 // of one request
-	maxQueueLength    = 60 // of a test server
-	maxClientAttempts = 3  // at one request
+	maxUnits          = 50 // maximum units of one request
+	maxQueueLength    = 60 // waiting requests of a test server
+	maxClientAttempts = 3  // for one request
 )
 
 // Capacity of cold servers.
 const (
-	coldCapacity     = 0.17 // fraction of a warm one's, at the start
-	collapseMultiple = 2.5  // of its capacity: a cold server that receives more collapses
+	coldCapacity     = 0.17 // fraction of a warm server's capacity, at the start
+	collapseMultiple = 2.5  // a cold server that receives more than this multiple of its capacity collapses
 )
 
-// classes are those of the booking platform.
+// classes returns the classes of the booking platform.
 func classes() []routing.Class {
 	return []routing.Class{
 		{Name: "slot-check", PriorityWeight: 3, LatencyObjective: 400 * time.Millisecond, Deadline: clientDeadline},
@@ -42,12 +42,12 @@
 	}
 }
 
-// settings are those of instance me, with the plans of the booking platform at rates for a short run.
-func settings(me int) policy.Settings {
+// settings returns the settings of one instance, with the plans of the booking platform at rates for a short run.
+func settings(instanceIndex int) policy.Settings {
 	return policy.Settings{
-		InstanceIndex: me,
+		InstanceIndex: instanceIndex,
 		InstanceCount: instanceCount,
-		Zone:          siteNames[me%2],
+		Zone:          siteNames[instanceIndex%2],
 		Plans: []policy.Plan{
 			{Name: "msingi", Rate: 6, Burst: 24, PriorityFactor: 0.88, OverQuotaFraction: 0.3},
 			{Name: "kati", Rate: 24, Burst: 60, PriorityFactor: 1.1, OverQuotaCost: 0.6},
@@ -77,7 +77,7 @@
 	}
 }
 
-// allLicensees are all clients of the scenarios, each with its rate in requests a second.
+// allLicensees returns all licensees of the scenarios, each with its rate in requests a second.
 func allLicensees() (ls []testserver.Licensee) {
 	for i := range 12 {
 		ls = append(ls, testserver.Licensee{Name: fmt.Sprintf("msingi-%d", i), Plan: "msingi", Rate: 2})
@@ -88,6 +88,6 @@
 	for i := range 3 {
 		ls = append(ls, testserver.Licensee{Name: fmt.Sprintf("kubwa-%d", i), Plan: "kubwa", Rate: 25})
 	}
-	// One sends several times its quota.
+	// kubwa-greedy sends several times its quota.
 	return append(ls, testserver.Licensee{Name: "kubwa-greedy", Plan: "kubwa", Rate: 120})
 }
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -14,27 +14,27 @@
 	"mulleinmux/internal/testserver"
 )
 
-// Verdict is what came of a scenario. It is also its JSON.
+// Verdict is the result of a run, and its JSON form.
 type Verdict struct {
 	Scenario      string             `json:"scenario"`
 	Seed          uint64             `json:"seed"`
 	OK            bool               `json:"ok"`
-	Rules         map[string]int     `json:"rules"` // violations
+	Rules         map[string]int     `json:"rules"` // violations by rule
 	Requests      int                `json:"requests"`
 	Served        int                `json:"served"`
 	Refused       int                `json:"refused"`
 	Failed        int                `json:"failed"`
-	UnitsDeclared int                `json:"units_declared"` // by what the sites read of each request that reached them
-	UnitsCounted  int                `json:"units_counted"`  // by the instances
+	UnitsDeclared int                `json:"units_declared"` // read by the sites from the requests that reached them
+	UnitsCounted  int                `json:"units_counted"`  // charged by the instances
 	Duplicates    int                `json:"duplicates"`
 	Unanswered    int                `json:"unanswered"`
 	Figures       map[string]float64 `json:"figures"`
-	Examples      []string           `json:"examples,omitempty"` // of violations
-	Evidence      []string           `json:"evidence,omitempty"` // of requests that broke a rule: see explain
+	Examples      []string           `json:"examples,omitempty"` // the first violations
+	Evidence      []string           `json:"evidence,omitempty"` // of the first requests that violated a rule
 	Operations    []OperationFigures `json:"operations"`
 }
 
-// OperationFigures are those of one operation.
+// OperationFigures are the totals of one operation.
 type OperationFigures struct {
 	Operation string `json:"operation"`
 	Sent      int    `json:"sent"` // requests that reached a site
@@ -43,80 +43,81 @@
 	Counted   int    `json:"units_counted"`
 }
 
-// Tolerances of the rules: what a record's time may be off.
+// Tolerances of the checks, as the records of clients, instances and sites are not exact.
 const (
-	inFlightSlack     = 25 * time.Millisecond                  // until a site sees that a connection has ended
-	drainGrace        = drainGracePeriod + 50*time.Millisecond // since a server was listed as draining
-	lateSlack         = 60 * time.Millisecond                  // of an answer beyond its client's deadline
-	windowSlack       = 50 * time.Millisecond                  // of a repeat beyond the keys' life
-	hardLimitTime     = 150 * time.Millisecond                 // for which a hard limit's rate is allowed on top
-	minHardLimitSlack = 0.1                                    // of the burst of a hard limit
+	inFlightSlack      = 25 * time.Millisecond                  // for a site to notice that a connection has ended
+	drainGrace         = drainGracePeriod + 50*time.Millisecond // after which a draining server may receive no request
+	deadlineSlack      = 60 * time.Millisecond                  // for an answer after its client's deadline
+	keyTTLSlack        = 50 * time.Millisecond                  // for a repeat after idempotencyTTL
+	hardLimitTimeSlack = 150 * time.Millisecond                 // units of a hard limit's rate in this time are tolerated
+	minHardLimitSlack  = 0.1                                    // fraction of the burst of a hard limit
 )
 
-// maxExamples is how many violations a verdict shows.
+// maxExamples is the maximum number of violations that a verdict describes.
 const maxExamples = 12
 
 // ruleChecker checks the rules of a run and counts their violations in its verdict.
 type ruleChecker struct {
-	v *Verdict
-	// stoppedFor is for how long an attempt's instance was stopped; nil: none was.
+	verdict *Verdict
+	// stoppedFor returns how long an attempt's instance was stopped during the attempt; nil: no instance was stopped.
 	stoppedFor func(testserver.Attempt) time.Duration
-	// mayOverlap reports whether a request's attempts may overlap; nil: none may.
+	// mayOverlap reports whether the attempts of a request may overlap; nil: they never may.
 	mayOverlap func(trace string) bool
 
-	suspects []string // traces of requests that broke a rule, each once
+	violatingTraces []string // traces of the first requests that violated a rule, without duplicates
 }
 
-// violation counts a violation of a rule, and keeps the first as examples.
-func (j *ruleChecker) violation(rule, format string, args ...any) {
-	j.v.Rules[rule]++
-	if len(j.v.Examples) < maxExamples {
-		j.v.Examples = append(j.v.Examples, rule+": "+fmt.Sprintf(format, args...))
+// violation counts a violation of a rule. The first maxExamples are kept as examples.
+func (checker *ruleChecker) violation(rule, format string, args ...any) {
+	checker.verdict.Rules[rule]++
+	if len(checker.verdict.Examples) < maxExamples {
+		checker.verdict.Examples = append(checker.verdict.Examples, rule+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// violationOf counts a violation of a rule by one request, which is explained if it is among the first.
-func (j *ruleChecker) violationOf(trace, rule, format string, args ...any) {
-	j.violation(rule, format, args...)
-	if len(j.suspects) < maxExplained && !slices.Contains(j.suspects, trace) {
-		j.suspects = append(j.suspects, trace)
+// requestViolation counts a violation of a rule by one request. The first maxExplained requests get evidence in the
+// verdict.
+func (checker *ruleChecker) requestViolation(trace, rule, format string, args ...any) {
+	checker.violation(rule, format, args...)
+	if len(checker.violatingTraces) < maxExplained && !slices.Contains(checker.violatingTraces, trace) {
+		checker.violatingTraces = append(checker.violatingTraces, trace)
 	}
 }
 
-// checkRules holds the account of the sites and of the clients against the instances' own.
-func (w *environment) checkRules(clientAttempts []testserver.Attempt, began time.Time) *Verdict {
-	v := w.newVerdict()
-	j := &ruleChecker{v: v}
-	arrivals, byTrace := w.arrivals()
+// checkRules compares the records of the sites and the clients with those of the instances and returns the verdict.
+func (env *environment) checkRules(clientAttempts []testserver.Attempt, began time.Time) *Verdict {
+	v := env.newVerdict()
+	checker := &ruleChecker{verdict: v}
+	arrivals, byTrace := env.arrivals()
 	records := map[string]gateway.RequestRecord{}
-	for _, r := range w.records {
+	for _, r := range env.records {
 		if _, twice := records[r.Trace]; twice {
-			j.violation(ruleAnswers, "%s was answered twice by the instances", r.Trace)
+			checker.violation(ruleAnswers, "%s was answered twice by the instances", r.Trace)
 		}
 		records[r.Trace] = r
 	}
-	j.checkAnswers(clientAttempts, func(testserver.Attempt) bool { return false })
-	j.checkEffects(arrivals, byTrace)
-	j.checkCosts(byTrace, records)
-	w.checkSites(j)
-	j.checkHardLimits(byTrace)
-	w.checkCounters(j)
-	w.reportNotes(j)
-	j.addFigures(clientAttempts, len(arrivals), time.Since(began))
-	w.mu.Lock()
-	traces := w.traces
-	w.mu.Unlock()
-	w.checkTraces(j, traces)
-	w.explain(j, clientAttempts, byTrace, traces)
-	v.judge()
+	checker.checkAnswers(clientAttempts, func(testserver.Attempt) bool { return false })
+	checker.checkEffects(arrivals, byTrace)
+	checker.checkCosts(byTrace, records)
+	env.checkSites(checker)
+	checker.checkHardLimits(byTrace)
+	env.checkCounters(checker)
+	env.addScenarioViolations(checker)
+	checker.addFigures(clientAttempts, len(arrivals), time.Since(began))
+	env.mu.Lock()
+	traces := env.traces
+	env.mu.Unlock()
+	env.checkTraces(checker, traces)
+	env.explain(checker, clientAttempts, byTrace, traces)
+	v.setOK()
 	return v
 }
 
-// newVerdict begins a verdict with the rules of every scenario and those given.
-func (w *environment) newVerdict(rules ...string) *Verdict {
+// newVerdict returns a verdict without violations, with the rules of every scenario and the given ones.
+func (env *environment) newVerdict(rules ...string) *Verdict {
 	v := &Verdict{
-		Scenario: w.scenario.Name,
-		Seed:     w.options.Seed,
+		Scenario: env.scenario.Name,
+		Seed:     env.options.Seed,
 		Figures:  map[string]float64{},
 		Rules: map[string]int{
 			ruleAnswers: 0, ruleEffects: 0, ruleDraining: 0, ruleWarmup: 0, ruleHardLimits: 0,
@@ -129,17 +130,17 @@
 	return v
 }
 
-// judge sets whether every rule was kept.
-func (v *Verdict) judge() {
+// setOK sets OK if no rule was violated.
+func (v *Verdict) setOK() {
 	v.OK = true
 	for _, violations := range v.Rules {
 		v.OK = v.OK && violations == 0
 	}
 }
 
-// arrivals are the requests that reached the sites, in the order of their times, and the same by trace.
-func (w *environment) arrivals() (all []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
-	all = w.ledger.Arrivals()
+// arrivals returns the requests that reached the sites, ordered by time, and the same grouped by trace.
+func (env *environment) arrivals() (all []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
+	all = env.ledger.Arrivals()
 	slices.SortStableFunc(all, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
 	byTrace = map[string][]testserver.Arrival{}
 	for _, a := range all {
@@ -148,61 +149,61 @@
 	return all, byTrace
 }
 
-// checkSites reports requests that no operation is for, and servers that were overloaded while they warmed up.
-func (w *environment) checkSites(j *ruleChecker) {
-	for _, s := range w.ledger.Strays() {
-		j.violation(ruleOperations, "the halls know no operation for %s", s)
+// checkSites reports requests that no operation of the sites matched, and servers that collapsed while they warmed up.
+func (env *environment) checkSites(checker *ruleChecker) {
+	for _, s := range env.ledger.Unmatched() {
+		checker.violation(ruleOperations, "no operation of the halls matches %s", s)
 	}
-	for _, s := range w.ledger.Collapsed() {
-		j.violation(ruleWarmup, "%s was pushed over", s)
+	for _, s := range env.ledger.Collapsed() {
+		checker.violation(ruleWarmup, "cold server %s collapsed under overload", s)
 	}
 }
 
-// reportNotes reports what the scenario itself found wrong.
-func (w *environment) reportNotes(j *ruleChecker) {
-	for _, n := range w.notes {
-		j.violation(ruleScenario, "%s", n)
+// addScenarioViolations reports the violations that the scenario itself found.
+func (env *environment) addScenarioViolations(checker *ruleChecker) {
+	for _, n := range env.scenarioViolations {
+		checker.violation(ruleScenario, "%s", n)
 	}
 }
 
-// checkAnswers checks that each attempt of a client had one whole answer, its own and in time. An attempt
-// without one is excused where its instance was down.
-func (j *ruleChecker) checkAnswers(attempts []testserver.Attempt, excused func(testserver.Attempt) bool) {
+// checkAnswers checks that each attempt of a client received exactly one complete answer, to its own request and in
+// time. An attempt without an answer is no violation if its instance was down, or stopped for long enough.
+func (checker *ruleChecker) checkAnswers(attempts []testserver.Attempt, wasInstanceDown func(testserver.Attempt) bool) {
 	for _, t := range attempts {
-		j.v.Requests++
+		checker.verdict.Requests++
 		switch {
 		case t.Served:
-			j.v.Served++
+			checker.verdict.Served++
 		case t.Status == 429 || t.Status == 503:
-			j.v.Refused++
+			checker.verdict.Refused++
 		default:
-			j.v.Failed++
+			checker.verdict.Failed++
 		}
 		switch {
-		case t.AnswerCount == 0 && (excused(t) || j.gaveUpWhileStopped(t)):
+		case t.AnswerCount == 0 && (wasInstanceDown(t) || checker.gaveUpWhileStopped(t)):
 		case t.AnswerCount == 0:
-			j.v.Unanswered++
-			j.violationOf(t.Trace, ruleAnswers, "%s (%s) had no answer", t.Trace, t.Operation)
+			checker.verdict.Unanswered++
+			checker.requestViolation(t.Trace, ruleAnswers, "%s (%s) had no answer", t.Trace, t.Operation)
 		case t.AnswerCount > 1:
-			j.violation(ruleAnswers, "%s (%s) had more than one answer", t.Trace, t.Operation)
+			checker.violation(ruleAnswers, "%s (%s) had more than one answer", t.Trace, t.Operation)
 		case t.Mismatch != "":
-			j.violation(ruleAnswers, "%s: %s", t.Trace, t.Mismatch)
-		case t.Ended.Sub(t.At) > clientDeadline+lateSlack+j.timeStopped(t):
-			j.violationOf(t.Trace, ruleAnswers, "%s was answered after %v", t.Trace, t.Ended.Sub(t.At))
+			checker.violation(ruleAnswers, "%s: %s", t.Trace, t.Mismatch)
+		case t.Ended.Sub(t.At) > clientDeadline+deadlineSlack+checker.timeStopped(t):
+			checker.requestViolation(t.Trace, ruleAnswers, "%s was answered after %v", t.Trace, t.Ended.Sub(t.At))
 		}
 		if t.Status == 400 || t.Status == 404 || t.Status == 405 || t.Status == 403 {
-			j.violation(ruleOperations, "%s (%s) was turned down with %d", t.Trace, t.Operation, t.Status)
+			checker.violation(ruleOperations, "%s (%s) was turned down with %d", t.Trace, t.Operation, t.Status)
 		}
 	}
 }
 
-// checkEffects checks what the attempts of each request did: no effect twice, repeats only
-// within their class, never two attempts at once, drains kept.
-func (j *ruleChecker) checkEffects(arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
-	effectAt := map[string]string{} // the server of each effect, by its idempotency key or trace
+// checkEffects checks the attempts of each request: no effect occurs twice, repeats are
+// allowed for the operation's effect, attempts don't overlap, and none goes to a draining server.
+func (checker *ruleChecker) checkEffects(arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
+	serverByEffect := map[string]string{} // the server of each effect, by its idempotency key or trace
 	for _, a := range arrivals {
 		if a.Draining > drainGrace {
-			j.violation(ruleDraining, "%s came to %s %v after it drained", a.Trace, a.Server, a.Draining)
+			checker.violation(ruleDraining, "%s came to %s %v after it drained", a.Trace, a.Server, a.Draining)
 		}
 		if !a.Effected || a.Effect == testserver.Idempotent {
 			continue
@@ -211,50 +212,50 @@
 		if a.Effect == testserver.IdempotentWithKey {
 			name = a.Key
 		}
-		if before, isRepeated := effectAt[name]; isRepeated {
-			j.v.Duplicates++
-			j.violation(ruleEffects, "%s (%s) had its effect at %s and at %s", name, a.Operation, before, server)
+		if before, isRepeated := serverByEffect[name]; isRepeated {
+			checker.verdict.Duplicates++
+			checker.violation(ruleEffects, "%s (%s) had its effect at %s and at %s", name, a.Operation, before, server)
 		}
-		effectAt[name] = server
+		serverByEffect[name] = server
 	}
 	for trace, attempts := range byTrace {
-		j.checkInFlight(trace, attempts)
-		j.checkRepeats(trace, attempts)
+		checker.checkInFlight(trace, attempts)
+		checker.checkRepeats(trace, attempts)
 	}
 }
 
-// timeStopped is for how long an attempt's instance was stopped meanwhile.
-func (j *ruleChecker) timeStopped(t testserver.Attempt) time.Duration {
-	if j.stoppedFor == nil {
+// timeStopped returns how long an attempt's instance was stopped during the attempt.
+func (checker *ruleChecker) timeStopped(t testserver.Attempt) time.Duration {
+	if checker.stoppedFor == nil {
 		return 0
 	}
-	return j.stoppedFor(t)
+	return checker.stoppedFor(t)
 }
 
-// gaveUpWhileStopped reports whether a client gave up, long after its deadline, because its instance was stopped: less the
-// time of the stop it had waited for no longer than an answer may take.
-func (j *ruleChecker) gaveUpWhileStopped(t testserver.Attempt) bool {
-	stopped := j.timeStopped(t)
-	return stopped > 0 && !t.ConnectionLost && t.Ended.Sub(t.At)-stopped <= clientDeadline+lateSlack
+// gaveUpWhileStopped reports whether a client gave up, long after its deadline, because its instance was stopped:
+// without the time of the stop, it had waited no longer than an answer may take.
+func (checker *ruleChecker) gaveUpWhileStopped(t testserver.Attempt) bool {
+	stopped := checker.timeStopped(t)
+	return stopped > 0 && !t.ConnectionLost && t.Ended.Sub(t.At)-stopped <= clientDeadline+deadlineSlack
 }
 
 // checkInFlight checks that each attempt of a request had ended when the next one arrived.
-func (j *ruleChecker) checkInFlight(trace string, attempts []testserver.Arrival) {
+func (checker *ruleChecker) checkInFlight(trace string, attempts []testserver.Arrival) {
 	for i := 1; i < len(attempts); i++ {
 		before, a := &attempts[i-1], &attempts[i]
 		if !a.At.Add(inFlightSlack).Before(before.Ended) {
 			continue
 		}
-		if j.mayOverlap != nil && j.mayOverlap(trace) {
-			j.v.Figures[figureOverlapsAllowed]++
+		if checker.mayOverlap != nil && checker.mayOverlap(trace) {
+			checker.verdict.Figures[figureOverlapsAllowed]++
 		} else {
-			j.violationOf(trace, ruleEffects, "%s had two attempts out for %v", trace, before.Ended.Sub(a.At))
+			checker.requestViolation(trace, ruleEffects, "%s had two attempts out for %v", trace, before.Ended.Sub(a.At))
 		}
 	}
 }
 
-// checkRepeats checks the attempts of a request after the first that may have run.
-func (j *ruleChecker) checkRepeats(trace string, attempts []testserver.Arrival) {
+// checkRepeats checks that each attempt after the first one that may have run is allowed for the operation's effect.
+func (checker *ruleChecker) checkRepeats(trace string, attempts []testserver.Arrival) {
 	first := slices.IndexFunc(attempts, func(a testserver.Arrival) bool { return a.Ran })
 	if first < 0 {
 		return
@@ -265,18 +266,19 @@
 		isKeyed := a.Effect == testserver.IdempotentWithKey
 		switch {
 		case a.Effect == testserver.NonIdempotent:
-			j.violation(ruleEffects, "%s (%s) is unsafe, may have run and was sent again", trace, a.Operation)
+			checker.violation(ruleEffects, "%s (%s) is unsafe, may have run and was sent again", trace, a.Operation)
 		case isKeyed && a.Site != ran.Site:
-			j.violation(ruleEffects, "%s (%s) may have run at %s and was sent to %s", trace, a.Operation, ran.Site, a.Site)
-		case isKeyed && a.At.Sub(ran.At) > idempotencyTTL+windowSlack:
-			j.violation(ruleEffects, "%s (%s) was sent again after %v", trace, a.Operation, a.At.Sub(ran.At))
+			checker.violation(ruleEffects, "%s (%s) may have run at %s and was sent to %s", trace, a.Operation, ran.Site, a.Site)
+		case isKeyed && a.At.Sub(ran.At) > idempotencyTTL+keyTTLSlack:
+			checker.violation(ruleEffects, "%s (%s) was sent again after %v", trace, a.Operation, a.At.Sub(ran.At))
 		}
 	}
 }
 
 // checkCosts checks that each request that reached a site was charged once, as the operation
-// that the site saw, at the price of one version.
-func (j *ruleChecker) checkCosts(byTrace map[string][]testserver.Arrival, records map[string]gateway.RequestRecord) {
+// that reached the site, at the price of one version.
+func (checker *ruleChecker) checkCosts(
+	byTrace map[string][]testserver.Arrival, records map[string]gateway.RequestRecord) {
 	operations := map[string]*OperationFigures{}
 	for trace, attempts := range byTrace {
 		first := &attempts[0]
@@ -288,62 +290,64 @@
 		f.Sent++
 		f.Attempts += len(attempts)
 		f.Declared += first.Units
-		j.v.UnitsDeclared += first.Units
+		checker.verdict.UnitsDeclared += first.Units
 		if r, isRecorded := records[trace]; isRecorded && r.Sent {
-			j.checkRecord(attempts, &r)
+			checker.checkRecord(attempts, &r)
 			continue
 		}
-		j.violation(ruleUnits, "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Site)
+		checker.violation(ruleUnits, "%s (%s) reached %s and was charged by no instance", trace, first.Operation, first.Site)
 	}
 	for trace, r := range records {
 		if r.Sent && byTrace[trace] == nil {
-			j.violation(ruleUnits, "%s (%s) was charged and reached no hall", trace, r.Operation)
+			checker.violation(ruleUnits, "%s (%s) was charged and reached no hall", trace, r.Operation)
 		}
 	}
 	for _, f := range operations {
-		j.v.Operations = append(j.v.Operations, *f)
+		checker.verdict.Operations = append(checker.verdict.Operations, *f)
 	}
-	slices.SortFunc(j.v.Operations, func(a, b OperationFigures) int { return cmp.Compare(a.Operation, b.Operation) })
+	slices.SortFunc(checker.verdict.Operations,
+		func(a, b OperationFigures) int { return cmp.Compare(a.Operation, b.Operation) })
 }
 
-// checkRecord checks an instance's record of a request against its attempts, as the sites saw them.
-func (j *ruleChecker) checkRecord(attempts []testserver.Arrival, r *gateway.RequestRecord) {
+// checkRecord compares an instance's record of a request with its attempts, as the sites recorded them.
+func (checker *ruleChecker) checkRecord(attempts []testserver.Arrival, r *gateway.RequestRecord) {
 	first := &attempts[0]
 	if r.Operation != first.Operation {
-		j.violation(ruleOperations, "%s was charged as %s and reached %s as %s", r.Trace, r.Operation, first.Site,
+		checker.violation(ruleOperations, "%s was charged as %s and reached %s as %s", r.Trace, r.Operation, first.Site,
 			first.Operation)
 	}
 	if r.Units != first.Units {
-		j.violation(ruleUnits, "%s (%s, version %d) was charged %d units; %d were declared", r.Trace, r.Operation,
+		checker.violation(ruleUnits, "%s (%s, version %d) was charged %d units; %d were declared", r.Trace, r.Operation,
 			r.Version, r.Units, first.Units)
 	}
 	if r.Attempts < len(attempts) {
-		j.violation(ruleUnits, "%s: the instance knows of %d attempts of %d", r.Trace, r.Attempts, len(attempts))
+		checker.violation(ruleUnits, "%s: the instance knows of %d attempts of %d", r.Trace, r.Attempts, len(attempts))
 	}
-	j.checkSentVersions(attempts, r)
+	checker.checkSentVersions(attempts, r)
 }
 
-// checkSentVersions checks that all attempts of a request went out with the version that it was matched with.
-func (j *ruleChecker) checkSentVersions(attempts []testserver.Arrival, r *gateway.RequestRecord) {
+// checkSentVersions checks that all attempts of a request were sent with the version that it was matched with.
+func (checker *ruleChecker) checkSentVersions(attempts []testserver.Arrival, r *gateway.RequestRecord) {
 	for i := range attempts {
 		if sent := attempts[i].Version; uint64(sent) != r.Version {
-			j.violation(ruleVersions, "%s was matched with version %d and sent on with %d", r.Trace, r.Version, sent)
+			checker.violation(ruleVersions, "%s was matched with version %d and sent on with %d", r.Trace, r.Version, sent)
 		}
 	}
 }
 
-// checkHardLimits runs the token buckets of the plans' hard limits over what the sites recorded. The slack is that of
-// the plan or a tenth, whichever is more, and what the rate gives in hardLimitTime.
-func (j *ruleChecker) checkHardLimits(byTrace map[string][]testserver.Arrival) {
+// checkHardLimits applies the token buckets of the plans' hard limits to the requests that the sites recorded.
+// Tolerated are the plan's slack or a tenth of the burst, whichever is more, plus the rate's units in
+// hardLimitTimeSlack.
+func (checker *ruleChecker) checkHardLimits(byTrace map[string][]testserver.Arrival) {
 	plans := map[string]string{}
 	for _, l := range allLicensees() {
 		plans[l.Name] = l.Plan
 	}
-	firsts := map[string][]testserver.Arrival{}
+	firstArrivals := map[string][]testserver.Arrival{}
 	for _, as := range byTrace {
-		firsts[as[0].Licensee] = append(firsts[as[0].Licensee], as[0])
+		firstArrivals[as[0].Licensee] = append(firstArrivals[as[0].Licensee], as[0])
 	}
-	for name, as := range firsts {
+	for name, as := range firstArrivals {
 		for _, p := range settings(0).Plans {
 			if p.Name != plans[name] || p.HardLimitRate <= 0 {
 				continue
@@ -351,70 +355,72 @@
 			slices.SortFunc(as, func(a, b testserver.Arrival) int { return a.At.Compare(b.At) })
 			level, at := p.HardLimitBurst, as[0].At
 			slack := math.Max(p.HardLimitSlack, minHardLimitSlack*p.HardLimitBurst) +
-				p.HardLimitRate*hardLimitTime.Seconds()
+				p.HardLimitRate*hardLimitTimeSlack.Seconds()
 			for _, a := range as {
 				level = math.Min(level+p.HardLimitRate*a.At.Sub(at).Seconds(), p.HardLimitBurst) - float64(a.Units)
 				if at = a.At; level < -slack {
-					j.violation(ruleHardLimits, "%s is %.0f units over its ceiling", name, -level)
+					checker.violation(ruleHardLimits, "%s is %.0f units over its ceiling", name, -level)
 				}
 			}
 		}
 	}
 }
 
-// checkCounters holds the instances' counters against the records and the sites.
-func (w *environment) checkCounters(j *ruleChecker) {
+// checkCounters compares the instances' counters with the records of clients and sites.
+func (env *environment) checkCounters(checker *ruleChecker) {
 	counted := map[string]int{}
 	answers := map[string]int{}
-	for _, in := range w.instances {
+	for _, in := range env.instances {
 		in.EachOperation(func(op string, c *gateway.Counters) {
 			counted[op] += int(c.Units.Load())
-			j.v.UnitsCounted += int(c.Units.Load())
+			checker.verdict.UnitsCounted += int(c.Units.Load())
 			answers["served"] += int(c.Served.Load())
 			answers["refused"] += int(c.Refused.Load())
 			answers["failed"] += int(c.Failed.Load())
 		})
 	}
-	for i := range j.v.Operations {
-		f := &j.v.Operations[i]
+	for i := range checker.verdict.Operations {
+		f := &checker.verdict.Operations[i]
 		if f.Counted = counted[f.Operation]; f.Counted != f.Declared {
-			j.violation(ruleUnits, "%s: %d units counted, %d declared", f.Operation, f.Counted, f.Declared)
+			checker.violation(ruleUnits, "%s: %d units counted, %d declared", f.Operation, f.Counted, f.Declared)
 		}
 	}
-	if j.v.UnitsCounted != j.v.UnitsDeclared {
-		j.violation(ruleUnits, "%d units counted in all, %d declared", j.v.UnitsCounted, j.v.UnitsDeclared)
+	if checker.verdict.UnitsCounted != checker.verdict.UnitsDeclared {
+		checker.violation(ruleUnits, "%d units counted in all, %d declared", checker.verdict.UnitsCounted,
+			checker.verdict.UnitsDeclared)
 	}
-	if answers["served"] != j.v.Served || answers["refused"] != j.v.Refused || answers["failed"] != j.v.Failed {
-		j.violation(ruleAnswers, "the instances count %v; clients had %d served, %d refused, %d failed", answers,
-			j.v.Served, j.v.Refused, j.v.Failed)
+	if answers["served"] != checker.verdict.Served || answers["refused"] != checker.verdict.Refused ||
+		answers["failed"] != checker.verdict.Failed {
+		checker.violation(ruleAnswers, "the instances count %v; clients had %d served, %d refused, %d failed", answers,
+			checker.verdict.Served, checker.verdict.Refused, checker.verdict.Failed)
 	}
 }
 
-// addFigures tells how well clients were served.
-func (j *ruleChecker) addFigures(clientAttempts []testserver.Attempt, attempts int, took time.Duration) {
-	var lat []float64
+// addFigures adds the figures of how well clients were served.
+func (checker *ruleChecker) addFigures(clientAttempts []testserver.Attempt, attempts int, elapsed time.Duration) {
+	var latencies []float64
 	for _, t := range clientAttempts {
 		if t.Served {
-			lat = append(lat, t.Ended.Sub(t.At).Seconds()*1000)
+			latencies = append(latencies, t.Ended.Sub(t.At).Seconds()*1000)
 		}
 	}
-	slices.Sort(lat)
+	slices.Sort(latencies)
 	at := func(q float64) float64 {
-		if len(lat) == 0 {
+		if len(latencies) == 0 {
 			return 0
 		}
-		return math.Round(lat[min(int(q*float64(len(lat))), len(lat)-1)]*10) / 10
+		return math.Round(latencies[min(int(q*float64(len(latencies))), len(latencies)-1)]*10) / 10
 	}
-	f := j.v.Figures
-	f["seconds"] = math.Round(took.Seconds()*10) / 10
+	f := checker.verdict.Figures
+	f["seconds"] = math.Round(elapsed.Seconds()*10) / 10
 	f["attempts"] = float64(attempts)
 	f["served_p50_ms"], f["served_p99_ms"] = at(0.5), at(0.99)
-	if j.v.Requests > 0 {
-		f[figureServedFraction] = math.Round(float64(j.v.Served)/float64(j.v.Requests)*1000) / 1000
+	if checker.verdict.Requests > 0 {
+		f[figureServedFraction] = math.Round(float64(checker.verdict.Served)/float64(checker.verdict.Requests)*1000) / 1000
 	}
 }
 
-// Print writes a verdict for a person.
+// Print writes a verdict as text.
 func (v *Verdict) Print(w io.Writer) error {
 	word := "every rule was kept"
 	if !v.OK {
--- a/internal/scenario/words.go
+++ b/internal/scenario/words.go
@@ -1,22 +1,23 @@
 package scenario
 
-// Rules, as a verdict names them.
+// Names of the rules in a verdict.
 const (
-	ruleAnswers       = "one_answer"      // a client's attempt has one whole answer, its own and in time
-	ruleEffects       = "no_effect_twice" // no effect twice, and no two attempts in flight
-	ruleDraining      = "drains"          // nothing goes to a server that has been draining for a while
-	ruleWarmup        = "cold_servers"    // no server is overloaded while it warms up
-	ruleHardLimits    = "ceilings"        // no customer passes the hard limit of its plan
-	ruleUnits         = "units"           // what reached a site was charged once, and at its price
-	ruleOperations    = "operations"      // sites see the operation that was charged
-	ruleVersions      = "versions"        // a request keeps one version, and none is older than one in force before
-	ruleScenario      = "scenario"        // what the scenario itself checks
-	ruleSteps         = "steps"           // an instance's own steps: attempts one after the other, answers in time
-	ruleAgreement     = "one_mind"        // in the end all instances run one version
+	ruleAnswers       = "one_answer"      // a client's attempt receives one complete answer, its own and in time
+	ruleEffects       = "no_effect_twice" // no request has its effect twice or two attempts in flight
+	ruleDraining      = "drains"          // no request is sent to a server that has been draining for a while
+	ruleWarmup        = "cold_servers"    // no cold server is overloaded
+	ruleHardLimits    = "ceilings"        // no customer exceeds the hard limit of its plan
+	ruleUnits         = "units"           // each request that reached a site was charged once, at its price
+	ruleOperations    = "operations"      // the operation that reached a site is the one that was charged
+	ruleVersions      = "versions"        // a request keeps one version, and no instance returns to an older one
+	ruleScenario      = "scenario"        // the checks of the scenario itself
+	ruleSteps         = "steps"           // in instances' traces, attempts don't overlap and answers are in time
+	ruleAgreement     = "one_mind"        // at the end all instances serve the same version
 	ruleConfigChanges = "changes"         // operators' changes are linearizable
 )
 
-// Figures of a verdict whose names differ from the code's terms. Those with a number get it at their ends.
+// Names of figures in a verdict that differ from the code's terms. A trailing underscore is followed by a number or,
+// where noted, a name.
 const (
 	figureTraceSteps             = "trace_steps"
 	figureOverlapsAllowed        = "overlaps_allowed" // of idempotent requests whose far instance did not answer
@@ -27,7 +28,7 @@
 	figureKeyRejectionFraction   = "refused_for_key_share"
 	figureServedFraction         = "served_share"
 	figureFollowersSettled       = "followed_s"
-	figureBookedIsolated         = "booked_alone_" // with a site's name
+	figureBookedIsolated         = "booked_alone_" // followed by the site's name
 	figureValueBeforeLoss        = "worth_before_of_oracle"
 	figureValueAfterLoss         = "worth_after_loss_of_oracle"
 	figureValueAfterReturn       = "worth_after_return_of_oracle"
@@ -35,5 +36,6 @@
 	figureFullUseSeconds         = "full_use_s"
 )
 
-// siteNames are the names of the two sites. Those of scenarios, figures and files hold the older word likewise.
+// siteNames are the names of the two sites. "hall" is an older word for site, also in the names of scenarios, figures
+// and files.
 var siteNames = [...]string{"hall-a", "hall-b"}
--- a/internal/seedtest/seedtest.go
+++ b/internal/seedtest/seedtest.go
@@ -1,5 +1,4 @@
-// Package seedtest runs a simulation for many seeds at once, in tests. The simulations must share nothing that one of
-// them changes.
+// Package seedtest runs a simulation for many seeds in parallel subtests. Simulations must not share mutable state.
 package seedtest
 
 import (
@@ -21,8 +20,8 @@
 	})
 }
 
-// Collect is ForEach for simulations with results, and returns these in the order of the seeds. The result of one
-// that fails at once is the zero value.
+// Collect runs simulations as [ForEach] does and returns their results in the order of the seeds. The result of a
+// simulation that calls t.FailNow is the zero value.
 func Collect[R any](t *testing.T, first, count uint64, simulate func(t *testing.T, seed uint64) R) []R {
 	t.Helper()
 	results := make([]R, count)
