--- a/internal/testserver/appserver.go
+++ b/internal/testserver/appserver.go
@@ -61,7 +61,7 @@
 	}
 	route := Lookup(server.site.routes, r.Method, r.RequestURI, r.Header)
 	if route == nil {
-		server.site.ledger.addStray(r.Method + " " + r.RequestURI)
+		server.site.ledger.addUnmatched(r.Method + " " + r.RequestURI)
 		http.Error(w, "no such operation", http.StatusNotFound)
 		return
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-// admission is what a server decides about a request when it arrives.
+// admission is a server's decision about a request on its arrival.
 type admission struct {
 	isCollapse  bool // the request made the server collapse
 	isQueueFull bool
@@ -129,7 +129,7 @@
 }
 
 // acquireCore waits in the queue for a core and leaves the queue. It reports whether
-// there was a core before ctx ended.
+// a core became free before ctx ended.
 func (server *AppServer) acquireCore(ctx context.Context) bool {
 	defer server.leaveQueue()
 	select {
@@ -140,7 +140,7 @@
 	}
 }
 
-// run uses the acquired core for a time and releases it.
+// run occupies the acquired core for the cost's duration and releases it.
 func (server *AppServer) run(cost time.Duration) {
 	server.mu.Lock()
 	server.runningCount++
@@ -161,7 +161,7 @@
 	response http.ResponseWriter
 	request  *http.Request
 	arrival  *Arrival
-	status   atomic.Int64 // end may be called while the answer is written
+	status   atomic.Int64 // atomic, as end may be called while the answer is written
 }
 
 // serve queues, runs and answers the request.
@@ -194,7 +194,7 @@
 		exchange.reject(http.StatusGatewayTimeout)
 		return
 	}
-	ledger.change(func() { exchange.arrival.Ran = true })
+	ledger.updateArrival(func() { exchange.arrival.Ran = true })
 	server.run(time.Duration(exchange.route.Work.Seconds() / server.capacity(now) * float64(time.Second)))
 	exchange.applyEffect(draws)
 	exchange.answer(draws)
@@ -211,7 +211,7 @@
 
 // end records in the ledger that the exchange is over, once.
 func (exchange *exchange) end() {
-	exchange.server.site.ledger.change(func() {
+	exchange.server.site.ledger.updateArrival(func() {
 		if !exchange.arrival.Ended.IsZero() {
 			return
 		}
@@ -235,7 +235,7 @@
 		return
 	}
 	effected := exchange.route.Effect != IdempotentWithKey || site.rememberKey(exchange.arrival.Key, time.Now())
-	site.ledger.change(func() { exchange.arrival.Effected = effected })
+	site.ledger.updateArrival(func() { exchange.arrival.Effected = effected })
 }
 
 // answer writes the answer of a request that ran, or the fault that was drawn.
--- a/internal/testserver/clientconn.go
+++ b/internal/testserver/clientconn.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// maxIdleTime is how long a client keeps an idle connection: less than an instance does.
+	// maxIdleTime is how long a client keeps an idle connection. It is less than the idle timeout of instances.
 	maxIdleTime = 10 * time.Second
-	// lateAnswerWindow is how long after its deadline an answer is still read, so that it is
-	// seen as late.
+	// lateAnswerWindow is how long after its deadline an answer is still read, so that it can
+	// be recorded as late.
 	lateAnswerWindow = time.Second
 	// clientDialTimeout is how long a client tries to connect.
 	clientDialTimeout = time.Second
@@ -30,8 +30,8 @@
 	idleSince time.Time
 }
 
-// send sends an attempt's request and reads its answer, which must be all that comes. It
-// returns what the answer's Retry-After says.
+// send sends an attempt's request and reads its answer. Data that follows the answer counts as a second one. It
+// returns the delay of the answer's Retry-After header, or 0.
 func (clients *Clients) send(attempt *Attempt, text string, deadline time.Time) (retryAfter time.Duration) {
 	for {
 		conn, isReused, err := clients.connect(attempt.Instance)
@@ -45,7 +45,7 @@
 		}
 		conn.Close()
 		if isReused && !clients.NoResend && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) {
-			continue // closed between requests: sent once more on a new one
+			continue // the idle connection had been closed: resend on another one
 		}
 		if netError, ok := errors.AsType[net.Error](err); !ok || !netError.Timeout() {
 			attempt.ConnectionLost = true
@@ -99,7 +99,7 @@
 	return strings.Contains(body, `"`+attempt.Trace+`"`) && strings.Contains(body, `"`+attempt.Operation+`"`)
 }
 
-// connect returns a kept connection to an address, or else a new one.
+// connect returns an idle connection to an address, or dials a new one.
 func (clients *Clients) connect(addr string) (conn *clientConn, isReused bool, err error) {
 	if conn := clients.takeIdle(addr); conn != nil {
 		return conn, true, nil
@@ -111,8 +111,9 @@
 	return &clientConn{Conn: netConn, reader: bufio.NewReader(netConn)}, false, nil
 }
 
-// takeIdle returns the connection to an address that was idle for the shortest time, or
-// nil, and closes those on its way that were idle for too long or that the instance has closed, as HTTP clients do.
+// takeIdle removes and returns the connection to an address that was idle for the shortest time, or nil if there is
+// none. It closes the connections it meets that were idle for too long or that the instance has closed, as HTTP clients
+// do.
 func (clients *Clients) takeIdle(addr string) *clientConn {
 	clients.mu.Lock()
 	defer clients.mu.Unlock()
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// keep keeps a connection for a later request.
+// keep stores an idle connection for a later request.
 func (clients *Clients) keep(addr string, conn *clientConn) {
 	conn.idleSince = time.Now()
 	clients.mu.Lock()
--- a/internal/testserver/clients.go
+++ b/internal/testserver/clients.go
@@ -24,32 +24,32 @@
 	Rate       float64 // requests a second that it begins
 }
 
-// RequestTemplate is one request that a licensee may send. {n} in its texts stands for a
-// number that is new with every request, {key} for such an idempotency key.
+// RequestTemplate is one request that a licensee may send. In its texts, {n} is replaced by a
+// number drawn for each request, and {key} by an idempotency key of the request.
 type RequestTemplate struct {
 	Operation    string
 	Method       string
 	Target       string
-	Header, Body string  // Header: lines without their ends, set apart by "|"
+	Header, Body string  // Header: field lines without line ends, separated by "|"
 	Weight       float64 // share in the mix, relative to the other templates
-	Repeat       bool    // the client repeats it after any failure, not after a rejection alone
+	Repeat       bool    // the client retries it after any failure; otherwise only after a rejection
 }
 
 // Attempt is one attempt of a client at a request, and how it ended.
 type Attempt struct {
 	Trace, Operation, Licensee string
-	First                      string // trace of the first attempt
+	FirstTrace                 string // trace of the first attempt
 	Instance                   string // address of the instance that it was sent to
 	Units                      int    // declared, as the client counts; -1: not known
 	At, Ended                  time.Time
-	AnswerCount                int // final answers that came
+	AnswerCount                int // final answers received
 	Status                     int // 0: none
 	Served                     bool
 	Mismatch                   string // what is wrong with the answer, if anything
-	ConnectionLost             bool   // the connection ended with no answer
+	ConnectionLost             bool   // the connection ended without a complete answer
 }
 
-// Clients send a mix of requests for licensees through the instances.
+// Clients send a mix of requests of licensees to the instances.
 type Clients struct {
 	Instances   []string // addresses
 	Licensees   []Licensee
@@ -58,8 +58,8 @@
 	Deadline    time.Duration // for all attempts at a request
 	Seed        uint64
 
-	// NoResend turns off the silent resend of a request whose kept connection ended without
-	// an answer: where instances are killed, that request may have been running.
+	// NoResend disables the transparent resend of a request whose reused connection ended without
+	// an answer: if its instance was killed, the request may already have run.
 	NoResend bool
 
 	mu       sync.Mutex
@@ -67,8 +67,8 @@
 	idle     map[string][]*clientConn // by address
 }
 
-// Run sends until ctx ends, then waits for the answers to what was sent. It returns all
-// attempts, in the order in which they ended.
+// Run sends requests until ctx ends, then waits for the answers to those in flight. It returns
+// all attempts, in the order in which they ended.
 func (clients *Clients) Run(ctx context.Context) []Attempt {
 	clients.idle = map[string][]*clientConn{}
 	var running sync.WaitGroup
@@ -120,7 +120,8 @@
 	return clients.Mix[len(clients.Mix)-1]
 }
 
-// request attempts a request until it is served, may not be repeated or its deadline is near.
+// request makes attempts at a request until one is served, a retry is not allowed, MaxAttempts is reached or the
+// deadline is near.
 func (clients *Clients) request(licensee Licensee, template RequestTemplate, name string, rng *rand.Rand) {
 	deadline := time.Now().Add(clients.Deadline)
 	placeholders := strings.NewReplacer("{n}", strconv.Itoa(1+rng.IntN(1e6)), "{key}", "key-"+name)
@@ -130,12 +131,12 @@
 			return
 		}
 		attempt := Attempt{
-			Trace:     fmt.Sprintf("%s.%d", name, n),
-			First:     name + ".0",
-			Operation: template.Operation,
-			Licensee:  licensee.Name,
-			Instance:  clients.Instances[rng.IntN(len(clients.Instances))],
-			At:        time.Now(),
+			Trace:      fmt.Sprintf("%s.%d", name, n),
+			FirstTrace: name + ".0",
+			Operation:  template.Operation,
+			Licensee:   licensee.Name,
+			Instance:   clients.Instances[rng.IntN(len(clients.Instances))],
+			At:         time.Now(),
 		}
 		text := template.text(placeholders, &attempt, remaining)
 		retryAfter := clients.send(&attempt, text, deadline)
@@ -155,8 +156,7 @@
 	clients.mu.Unlock()
 }
 
-// text returns an attempt's request as it goes over the wire. The request says that it
-// expires after the remaining time.
+// text returns an attempt's request as it is sent. Its X-Expires-In header is the remaining time.
 func (template RequestTemplate) text(placeholders *strings.Replacer, attempt *Attempt, remaining time.Duration) string {
 	var builder strings.Builder
 	body := placeholders.Replace(template.Body)
@@ -176,8 +176,8 @@
 	return builder.String()
 }
 
-// mayRetry reports whether a client may make another attempt after this one: after a
-// rejection always, after another failure only if the template repeats it.
+// mayRetry reports whether a client may make another attempt after this one: always after a rejection (429 or 503),
+// never after another 4xx status, and after any other failure only if the template sets Repeat.
 func (attempt *Attempt) mayRetry(template RequestTemplate) bool {
 	switch {
 	case attempt.Served:
--- a/internal/testserver/connection.go
+++ b/internal/testserver/connection.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Response is a response as a client has read it, whole.
+// Response is a response that a client has read completely.
 type Response struct {
 	Status int
 	Header http.Header
@@ -18,7 +18,7 @@
 	Close  bool // the server closes the connection
 }
 
-// DialClient connects a client, whose reads and writes all end within timeout.
+// DialClient connects a client to addr. Reads and writes on the connection fail once timeout has passed.
 func DialClient(addr string, timeout time.Duration) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -28,21 +28,21 @@
 	return conn, bufio.NewReader(conn), nil
 }
 
-// ReadResponse reads the response to a request with a method; empty: GET.
+// ReadResponse reads the response to a request with the given method. An empty method means GET.
 func ReadResponse(reader *bufio.Reader, method string) (Response, error) {
 	response, err := http.ReadResponse(reader, &http.Request{Method: method})
 	if err != nil {
-		return Response{}, fmt.Errorf("reading the answer: %w", err)
+		return Response{}, fmt.Errorf("reading response: %w", err)
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Response{}, fmt.Errorf("reading the answer's body: %w", err)
+		return Response{}, fmt.Errorf("reading response body: %w", err)
 	}
 	return Response{response.StatusCode, response.Header, string(body), response.Close}, nil
 }
 
-// ServeRequests hands the requests of a connection, each with its whole body, to serve, one after the other, until that
-// returns false or the connection ends. It closes the connection.
+// ServeRequests reads requests from a connection and passes each, with its whole body, to serve, until serve returns
+// false or the connection ends. It closes the connection.
 func ServeRequests(conn net.Conn, serve func(r *http.Request, body []byte) bool) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -58,15 +58,15 @@
 	}
 }
 
-// errNotEnded is the error of what goes on after it was stopped.
-var errNotEnded = errors.New("it does not end")
+// errNotStopped is returned if something that was stopped still runs after the timeout.
+var errNotStopped = errors.New("not ended in time after it was stopped")
 
-// AwaitEnd waits until what was stopped ends, and returns its error.
+// AwaitEnd waits for the result of something that was stopped and returns it, or an error after timeout.
 func AwaitEnd(done <-chan error, timeout time.Duration) error {
 	select {
 	case err := <-done:
 		return err
 	case <-time.After(timeout):
-		return errNotEnded
+		return errNotStopped
 	}
 }
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// heartbeatInterval is how often a watch without changes gets an empty line.
+// heartbeatInterval is the interval at which an empty line is sent on a watch without changes.
 const heartbeatInterval = 2 * time.Second
 
 // Entry is one app server in an endpoint list, in its JSON form.
@@ -26,7 +26,7 @@
 	StartedAtMs float64 `json:"startedAtMs"`
 }
 
-// Discovery is a service discovery: it lists app servers and streams changes of the list.
+// Discovery is a service discovery server: it lists app servers and streams changes of the list.
 type Discovery struct {
 	listener net.Listener
 	server   *http.Server
@@ -38,13 +38,13 @@
 	changed    chan struct{} // closed at the next change
 }
 
-// change is an entry that was put, with the generation of the list since then.
+// change is an entry that was put, with the list's generation after that change.
 type change struct {
 	generation uint64
 	entry      Entry
 }
 
-// NewDiscovery starts a discovery with an empty list. [Discovery.Close] ends it.
+// NewDiscovery starts a discovery with an empty list. [Discovery.Close] stops it.
 func NewDiscovery() (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +66,7 @@
 	return discovery.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Close ends the discovery and its watches.
+// Close stops the discovery and closes its watches.
 func (discovery *Discovery) Close() { discovery.server.Close() }
 
 // Put adds, changes or removes an entry, by its lifecycle state.
@@ -111,7 +111,7 @@
 	return list, discovery.changed
 }
 
-// ServeHTTP answers a list or a watch.
+// ServeHTTP answers with the list since the generation of the from parameter and, with watch=1, streams later changes.
 func (discovery *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
--- a/internal/testserver/faults.go
+++ b/internal/testserver/faults.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 )
 
-// Faults are probabilities, from 0 to 1, of what goes wrong with an attempt. What happens
-// to an attempt follows from the seed, its trace and its number.
+// Faults are the probabilities, from 0 to 1, of the faults of an attempt. Which faults an
+// attempt has is determined by the seed, the site, the attempt's trace and its number.
 type Faults struct {
 	Error           float64 // answers 500 after it ran
 	Reset           float64 // closes the connection after it ran
@@ -15,7 +15,7 @@
 	ErrorWithoutRun float64 // answers 500 without having run
 }
 
-// Draws of an attempt. Their numbers are part of what a seed stands for.
+// Draws of an attempt. Their numbers are hashed: another number changes the faults of every seed.
 const (
 	drawReject = iota
 	drawErrorWithoutRun
@@ -45,7 +45,7 @@
 	}
 }
 
-// isHit reports whether the fault of a draw happens at a probability.
+// isHit reports whether the fault of a draw occurs, given its probability.
 func (draws faultDraws) isHit(draw int, probability float64) bool {
 	return draws.uniform(draw) < probability
 }
--- a/internal/testserver/full_listener.go
+++ b/internal/testserver/full_listener.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	fullListenerBacklog = 40                     // connections that the kernel accepts unasked
-	fullListenerWait    = 200 * time.Millisecond // without an answer: the backlog is full
+	fullListenerBacklog = 40                     // backlog passed to listen(2)
+	fullListenerWait    = 200 * time.Millisecond // after which an unanswered connect means that the backlog is full
 )
 
-// FullListener listens with a full backlog: connections to it are established late, once it is accepted from, and in the
-// order in which they were asked for.
+// FullListener is a listener whose backlog is full. Further connections are established only once others have been
+// accepted, in the order in which they were requested.
 type FullListener struct {
 	*net.TCPListener
-	fillers []net.Conn // fill the backlog, and send nothing
+	fillers []net.Conn // connections that fill the backlog and send nothing
 }
 
 // NewFullListener returns a listener on loopback whose backlog is full.
@@ -47,10 +47,10 @@
 	}
 }
 
-// FillerCount is how many connections that send nothing come first.
+// FillerCount returns how many connections that send nothing are accepted before any other.
 func (l *FullListener) FillerCount() int { return len(l.fillers) }
 
-// Close ends the listener and closes what fills its backlog.
+// Close closes the listener and the connections that fill its backlog.
 func (l *FullListener) Close() error {
 	for _, conn := range l.fillers {
 		conn.Close()
--- a/internal/testserver/idempotency.go
+++ b/internal/testserver/idempotency.go
@@ -6,10 +6,10 @@
 func (site *Site) rememberKey(key string, now time.Time) bool {
 	site.mu.Lock()
 	defer site.mu.Unlock()
-	firstRun, isKnown := site.keyTimes[key]
+	firstRun, isKnown := site.keyRunTimes[key]
 	if isKnown && now.Sub(firstRun) < site.config.IdempotencyTTL {
 		return false
 	}
-	site.keyTimes[key] = now
+	site.keyRunTimes[key] = now
 	return true
 }
--- a/internal/testserver/ledger.go
+++ b/internal/testserver/ledger.go
@@ -13,7 +13,7 @@
 	Version, Units          int
 	At, Ended               time.Time     // Ended: its answer was written or its connection ended
 	Ran                     bool          // the server began to run it, so that it may have an effect
-	Effected                bool          // it had its effect: its key was not remembered
+	Effected                bool          // it had its effect; a repeat with a remembered key has none
 	Draining                time.Duration // how long the server had been listed as draining; 0: it was not
 	Status                  int           // 0: no answer
 }
@@ -22,21 +22,21 @@
 type Ledger struct {
 	mu        sync.Mutex
 	arrivals  []*Arrival
-	strays    []string // requests that no route knows
+	unmatched []string // requests that no route matched
 	collapsed []string // servers that collapsed under overload
 }
 
-// add records an arrival; later changes to it go through change.
+// add records an arrival. Later updates of it are made with updateArrival.
 func (ledger *Ledger) add(arrival *Arrival) {
 	ledger.mu.Lock()
 	ledger.arrivals = append(ledger.arrivals, arrival)
 	ledger.mu.Unlock()
 }
 
-// addStray records a request that no route matched.
-func (ledger *Ledger) addStray(text string) {
+// addUnmatched records a request that no route matched.
+func (ledger *Ledger) addUnmatched(text string) {
 	ledger.mu.Lock()
-	ledger.strays = append(ledger.strays, text)
+	ledger.unmatched = append(ledger.unmatched, text)
 	ledger.mu.Unlock()
 }
 
@@ -58,11 +58,11 @@
 	return arrivals
 }
 
-// Strays returns the requests that no route of the servers matched, as text.
-func (ledger *Ledger) Strays() []string {
+// Unmatched returns the requests that no route of the servers matched, as text.
+func (ledger *Ledger) Unmatched() []string {
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
-	return append([]string(nil), ledger.strays...)
+	return append([]string(nil), ledger.unmatched...)
 }
 
 // Collapsed returns the servers that collapsed under overload, as site/server.
@@ -72,8 +72,8 @@
 	return append([]string(nil), ledger.collapsed...)
 }
 
-// change calls update, which changes an arrival, under the ledger's mutex.
-func (ledger *Ledger) change(update func()) {
+// updateArrival calls update, which modifies an arrival, with the ledger's mutex held.
+func (ledger *Ledger) updateArrival(update func()) {
 	ledger.mu.Lock()
 	update()
 	ledger.mu.Unlock()
--- a/internal/testserver/load.go
+++ b/internal/testserver/load.go
@@ -11,7 +11,7 @@
 	loadReportWork = 200 * time.Microsecond
 	// minReportInterval is the least time between two computations of the utilization.
 	minReportInterval = 100 * time.Millisecond
-	// collapseTolerance is how many requests above its budget a cold server endures.
+	// collapseTolerance is how many requests beyond its budget a cold server tolerates before it collapses.
 	collapseTolerance = 3
 )
 
@@ -21,7 +21,7 @@
 	cost time.Duration
 }
 
-// capacity returns the share of its capacity that a server has at a time.
+// capacity returns the fraction of its full capacity that a server has at a time.
 func (server *AppServer) capacity(now time.Time) float64 {
 	config := &server.site.config
 	if !server.isCold || config.WarmupWindow <= 0 {
@@ -31,8 +31,8 @@
 	return math.Min(config.ColdCapacity+gained, 1)
 }
 
-// receive records work that reached the server, rejected work too, and reports whether it
-// makes the server collapse. The caller holds server.mu.
+// receive records work that reached the server, including rejected work, and reports whether
+// the server collapses under it. The caller holds server.mu.
 func (server *AppServer) receive(now time.Time, cost time.Duration) bool {
 	config := &server.site.config
 	capacity := server.capacity(now)
@@ -55,8 +55,8 @@
 	return true
 }
 
-// updateUtilization computes the utilization anew: the mean of the core time used since the last report and of the
-// cores in use now. The caller holds server.mu.
+// updateUtilization recomputes the utilization as the mean of two fractions of the cores: the core time used since the
+// last report, and the cores in use now. The caller holds server.mu.
 func (server *AppServer) updateUtilization(now time.Time, elapsed time.Duration) {
 	cores := float64(server.site.config.Cores)
 	utilization := server.busyTime.Seconds()/elapsed.Seconds()/cores/2 + float64(server.runningCount)/cores/2
--- a/internal/testserver/log.go
+++ b/internal/testserver/log.go
@@ -11,27 +11,27 @@
 	"mulleinmux/internal/logging"
 )
 
-// Log keeps what is written to it, for tests to read while others write.
+// Log is a buffer of log output that tests can read while it is written to.
 type Log struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
-// Write appends text; it never fails.
+// Write appends text. It never fails.
 func (log *Log) Write(text []byte) (int, error) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	return log.buffer.Write(text)
 }
 
-// String returns all that was written so far.
+// String returns everything written so far.
 func (log *Log) String() string {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	return log.buffer.String()
 }
 
-// Logger returns a logger that writes to log as the programs log.
+// Logger returns a logger that writes to log in the programs' log format.
 func (log *Log) Logger() *slog.Logger { return logging.New(log) }
 
 // HasLine reports whether a line was logged with exactly a message, and with all details in its attributes.
@@ -39,7 +39,7 @@
 	return HasLogLine(log.String(), message, details...)
 }
 
-// HasLogLine is [Log.HasLine] on what a program has logged.
+// HasLogLine is like [Log.HasLine] for a text that a program has logged.
 func HasLogLine(text, message string, details ...string) bool {
 	if strings.Contains(message, " ") {
 		message = strconv.Quote(message)
--- a/internal/testserver/log_test.go
+++ b/internal/testserver/log_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A line counts by its whole message, and with all details in its own attributes.
+// HasLine must match the whole message of a line, and details only in the attributes of the same line.
 func TestLogHasLine(t *testing.T) {
 	var logs Log
 	logs.Logger().Info("ready", "address", "a:1")
@@ -23,7 +23,7 @@
 		{"handover failed", []string{"no successor", "address"}, false},
 	} {
 		if got := logs.HasLine(c.message, c.details...); got != c.want {
-			t.Errorf("%q with %q: %v", c.message, c.details, got)
+			t.Errorf("HasLine(%q, %q) = %v", c.message, c.details, got)
 		}
 	}
 }
--- a/internal/testserver/routes.go
+++ b/internal/testserver/routes.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Effect is what a repeat of an operation does.
+// Effect is the effect of a repeat of an operation.
 type Effect int
 
 // Effects of operations.
@@ -20,7 +20,7 @@
 	NonIdempotent                   // a repeat has its effect again
 )
 
-// Route is one operation as a site knows it, written by hand.
+// Route is one operation of a site. Routes are written by hand, not derived from the description.
 type Route struct {
 	Operation, Method, Template string
 	Effect                      Effect
@@ -28,10 +28,10 @@
 	Units                       func(version int, r *http.Request, body []byte) int
 }
 
-// Lookup finds the route of a request by trying all of them, as leniently as any
-// server might: the path is decoded, cleaned, freed of parameters and of a slash at
-// its end, and a method may be overridden. Of two templates the one that is literal at
-// the first segment in which they differ counts.
+// Lookup finds the route of a request, or nil, as leniently as any server might: the
+// path is decoded and cleaned, segment parameters and a trailing slash are removed, and
+// headers may override the method. Of two matching templates, the one that is more
+// specific at the first differing segment takes precedence.
 func Lookup(routes []Route, method, target string, header http.Header) *Route {
 	for _, name := range []string{"X-Http-Method-Override", "X-Http-Method", "X-Method-Override"} {
 		if override := header.Get(name); override != "" {
@@ -55,7 +55,7 @@
 	return best
 }
 
-// serves reports whether the route answers a method: its own, and HEAD where that is GET.
+// serves reports whether the route answers a method: its own, and HEAD if its own is GET.
 func (route *Route) serves(method string) bool {
 	return route.Method == method || method == http.MethodHead && route.Method == http.MethodGet
 }
@@ -100,7 +100,7 @@
 		strings.HasPrefix(segment, before) && strings.HasSuffix(segment, after)
 }
 
-// isMoreSpecific reports whether template a counts before b.
+// isMoreSpecific reports whether template a takes precedence over b.
 func isMoreSpecific(a, b string) bool {
 	segmentsOfA := strings.Split(a, "/")
 	segmentsOfB := strings.Split(b, "/")
@@ -127,17 +127,18 @@
 	return len(before) + len(after)
 }
 
-// QueryUnits reads units from a query parameter as an app server would; d is the default where there is none.
+// QueryUnits reads units from a query parameter. They are defaultUnits if it is absent or not a number.
 func QueryUnits(name string, defaultUnits int) func(int, *http.Request, []byte) int {
 	return func(_ int, r *http.Request, _ []byte) int { return atoi(r.URL.Query().Get(name), defaultUnits) }
 }
 
-// HeaderUnits reads units from a header field, as [QueryUnits] does from the query.
+// HeaderUnits reads units from a header field, as [QueryUnits] does from a query parameter.
 func HeaderUnits(name string, defaultUnits int) func(int, *http.Request, []byte) int {
 	return func(_ int, r *http.Request, _ []byte) int { return atoi(r.Header.Get(name), defaultUnits) }
 }
 
-// BodyUnits reads units from the property of a JSON body that the names lead to; -1 if the body is no JSON.
+// BodyUnits reads units from the property at the path of names in a JSON body. They are defaultUnits if that is not a
+// number, and -1 if the body is not valid JSON.
 func BodyUnits(defaultUnits int, names ...string) func(int, *http.Request, []byte) int {
 	return func(_ int, _ *http.Request, body []byte) int {
 		var value any
@@ -155,7 +156,7 @@
 	}
 }
 
-// atoi returns the number in text, or defaultNumber where it holds none.
+// atoi returns the number in text, or defaultNumber if text is not a number.
 func atoi(text string, defaultNumber int) int {
 	number, err := strconv.Atoi(text)
 	if err != nil {
--- a/internal/testserver/site.go
+++ b/internal/testserver/site.go
@@ -19,7 +19,7 @@
 	lifecycleRemoved  = "removed"
 )
 
-// temperature is whether a server has all its capacity from its start.
+// temperature tells whether a server has all its capacity from its start (warm) or has to warm up (cold).
 type temperature int
 
 const (
@@ -31,16 +31,16 @@
 type SiteConfig struct {
 	Cores            int
 	MaxQueueLength   int           // waiting requests
-	IdempotencyTTL   time.Duration // for which an idempotency key is remembered
-	ColdCapacity     float64       // share of capacity at the start
-	WarmupWindow     time.Duration // until a cold server has all its capacity
-	CollapseMultiple float64       // of its capacity: a cold server that receives more within CollapseWindow collapses
-	CollapseWindow   time.Duration
+	IdempotencyTTL   time.Duration // how long an idempotency key is remembered
+	ColdCapacity     float64       // fraction of its capacity that a cold server has at its start
+	WarmupWindow     time.Duration // time until a cold server has all its capacity
+	CollapseMultiple float64       // a cold server collapses that receives more than this multiple of its capacity
+	CollapseWindow   time.Duration // over which the work that a cold server receives is summed
 	Faults           Faults
 	Seed             uint64
 }
 
-// Site runs app servers that share a memory of idempotency keys, and their discovery.
+// Site runs app servers and their discovery. The servers share the remembered idempotency keys.
 type Site struct {
 	Name      string
 	Discovery *Discovery
@@ -48,15 +48,15 @@
 	config    SiteConfig
 	ledger    *Ledger
 
-	isPartitioned atomic.Bool // it answers no requests, and answers under way are not sent
+	isPartitioned atomic.Bool // the site answers no requests, including those in flight
 
 	mu            sync.Mutex
 	servers       map[string]*AppServer
-	keyTimes      map[string]time.Time // when an idempotency key was first run
+	keyRunTimes   map[string]time.Time // when the first request with an idempotency key ran
 	attemptCounts map[string]int       // attempts seen of a trace
 }
 
-// NewSite starts a site with its discovery and no servers. [Site.Close] ends it.
+// NewSite starts a site with its discovery and no servers. [Site.Close] stops it.
 func NewSite(name string, routes []Route, config SiteConfig, ledger *Ledger) (*Site, error) {
 	discovery, err := NewDiscovery()
 	if err != nil {
@@ -64,25 +64,25 @@
 	}
 	return &Site{
 		Name: name, Discovery: discovery, routes: routes, config: config, ledger: ledger,
-		servers: map[string]*AppServer{}, keyTimes: map[string]time.Time{}, attemptCounts: map[string]int{},
+		servers: map[string]*AppServer{}, keyRunTimes: map[string]time.Time{}, attemptCounts: map[string]int{},
 	}, nil
 }
 
-// Start starts a warm server and lists it.
+// Start starts a warm server and publishes it in the discovery.
 func (site *Site) Start(id string) (*AppServer, error) { return site.start(id, warm) }
 
-// StartCold starts a server that has to warm up, and lists it.
+// StartCold starts a server that has to warm up, and publishes it in the discovery.
 func (site *Site) StartCold(id string) (*AppServer, error) { return site.start(id, cold) }
 
-// start starts a server at a temperature and lists it.
-func (site *Site) start(id string, startsAt temperature) (*AppServer, error) {
+// start starts a server at a temperature and publishes it in the discovery.
+func (site *Site) start(id string, startTemperature temperature) (*AppServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("site %s: %w", site.Name, err)
 	}
 	now := time.Now()
 	server := &AppServer{
-		ID: id, site: site, listener: listener, startedAt: now, isCold: startsAt == cold,
+		ID: id, site: site, listener: listener, startedAt: now, isCold: startTemperature == cold,
 		cores: make(chan struct{}, site.config.Cores), lastReportAt: now,
 	}
 	server.server = &http.Server{Handler: server, ReadHeaderTimeout: headerTimeout}
@@ -90,12 +90,12 @@
 	site.mu.Lock()
 	site.servers[id] = server
 	site.mu.Unlock()
-	site.list(server, lifecycleUp)
+	site.publish(server, lifecycleUp)
 	return server, nil
 }
 
-// list publishes a server's lifecycle state in the discovery.
-func (site *Site) list(server *AppServer, lifecycle string) {
+// publish puts a server with a lifecycle state into the discovery's list.
+func (site *Site) publish(server *AppServer, lifecycle string) {
 	entry := Entry{
 		InstanceID: server.ID, HostPort: server.listener.Addr().String(), Zone: site.Name,
 		MachineType: "std-2core", Lifecycle: lifecycle, Weight: 1,
@@ -106,12 +106,11 @@
 	site.Discovery.Put(entry)
 }
 
-// SetPartitioned cuts the site off, or ends the partition: what it runs goes on, and nothing
-// that it sends arrives. Its discovery still lists its servers.
+// SetPartitioned starts or ends a partition of the site. A partitioned site continues to run requests but sends no
+// answers. Its discovery still lists its servers.
 func (site *Site) SetPartitioned(partitioned bool) { site.isPartitioned.Store(partitioned) }
 
-// ReplaceServers replaces all servers by cold ones under new ids. The site's memory of
-// idempotency keys stays.
+// ReplaceServers replaces all servers by cold ones with the given ids. The site still remembers its idempotency keys.
 func (site *Site) ReplaceServers(ids ...string) error {
 	site.mu.Lock()
 	var old []string
@@ -130,7 +129,7 @@
 	return nil
 }
 
-// Drain has the discovery list a server as draining.
+// Drain publishes a server as draining in the discovery.
 func (site *Site) Drain(id string) {
 	server := site.server(id)
 	if server == nil {
@@ -139,30 +138,30 @@
 	server.mu.Lock()
 	server.drainedAt = time.Now()
 	server.mu.Unlock()
-	site.list(server, lifecycleDraining)
+	site.publish(server, lifecycleDraining)
 }
 
-// Kill ends a server at once and has the discovery list it as removed.
+// Kill stops a server at once and publishes it as removed in the discovery.
 func (site *Site) Kill(id string) {
 	server := site.server(id)
 	if server == nil {
 		return
 	}
 	server.server.Close()
-	site.list(server, lifecycleRemoved)
+	site.publish(server, lifecycleRemoved)
 	site.mu.Lock()
 	delete(site.servers, id)
 	site.mu.Unlock()
 }
 
-// server returns the running server of an id, or nil.
+// server returns the running server with an id, or nil.
 func (site *Site) server(id string) *AppServer {
 	site.mu.Lock()
 	defer site.mu.Unlock()
 	return site.servers[id]
 }
 
-// Close ends the site with its servers and its discovery.
+// Close stops the site's servers and its discovery.
 func (site *Site) Close() {
 	site.mu.Lock()
 	for _, server := range site.servers {
@@ -172,7 +171,7 @@
 	site.Discovery.Close()
 }
 
-// Addrs returns the addresses of the site's servers, in no order.
+// Addrs returns the addresses of the site's servers, in no particular order.
 func (site *Site) Addrs() (addrs []string) {
 	site.mu.Lock()
 	defer site.mu.Unlock()
