--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -277,7 +277,7 @@
 	return ms, ok
 }
 
-// residentKB returns the residentKB memory of a process in KB.
+// residentKB returns the resident memory of a process in KB.
 func residentKB(p *process) (int, error) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "status"))
 	if err != nil {
--- a/internal/configstreampb/gen/main.go
+++ b/internal/configstreampb/gen/main.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	// A file must come after descriptors files that it imports.
+	// A file must come after all files that it imports.
 	var descriptors []*descriptorpb.FileDescriptorProto
 	seen := map[string]bool{}
 	var add func(protoreflect.FileDescriptor)
