--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -231,6 +231,9 @@
 	for _, example := range v.Examples {
 		fmt.Println("    " + example)
 	}
+	if s.arguments.Verbose || !v.OK {
+		fmt.Println("    " + strings.Join(v.Processes, "; "))
+	}
 }
 
 // finish prints the totals. It returns an error if an undisturbed run broke a rule, or if a run was not executed.
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -39,6 +39,7 @@
 	Broken    map[string]int `json:"broken,omitempty"` // number of violations by rule
 	Examples  []string       `json:"examples,omitempty"`
 	Plan      string         `json:"plan"`
+	Processes []string       `json:"processes"` // signals and exit of each process, with their times
 }
 
 // Names of the rules.
@@ -81,6 +82,7 @@
 	}
 	for _, p := range r.processes {
 		v.checkProcess(p)
+		v.Processes = append(v.Processes, p.String())
 	}
 	v.OK = len(v.Broken) == 0
 	return v
@@ -102,10 +104,23 @@
 	killedAt           []time.Time // when the plan killed processes that had clients
 	acceptedUntil      time.Time   // when the last process may have stopped accepting; zero if none drained
 	hasIdleConnections bool        // connections that are new or idle may be closed without a response
-	restartGaps        []interval  // periods between two processes of a restart
+	restarts           []restart   // restarts in which each process was started once the previous one had exited
 	outages            []interval  // periods without an accepting process; clients wait in the socket's backlog
 }
 
+// restart is the end of a process that a later process replaced.
+type restart struct {
+	servesUntil time.Time // when the process may have stopped accepting requests
+	exitedAt    time.Time
+}
+
+// mayHaveDropped reports whether the process may have closed the request's connection without reading the request: the
+// connection was opened before the process exited, and the request was sent after the process may have stopped. A
+// client that was idle may send on such a connection long after the restart.
+func (e restart) mayHaveDropped(request *request) bool {
+	return request.sentAt.After(e.servesUntil.Add(-drainTolerance)) && request.connectedAt.Before(e.exitedAt)
+}
+
 // interval is a period in which no process accepts connections.
 type interval struct{ from, to time.Time }
 
@@ -121,7 +136,7 @@
 			continue
 		}
 		if r.plan.isRestart() && !isLast {
-			service.restartGaps = append(service.restartGaps, interval{p.servesUntil(), r.processes[i+1].readyAt})
+			service.restarts = append(service.restarts, restart{p.servesUntil(), p.exitedAt})
 		}
 		if until := p.servesUntil(); p.hasLogged("draining") && until.After(service.acceptedUntil) {
 			service.acceptedUntil = until
@@ -157,9 +172,7 @@
 	if !s.acceptedUntil.IsZero() && request.sentAt.After(s.acceptedUntil.Add(-drainTolerance)) {
 		return true
 	}
-	return slices.ContainsFunc(s.restartGaps, func(gap interval) bool {
-		return request.sentAt.After(gap.from.Add(-drainTolerance)) && request.sentAt.Before(gap.to)
-	})
+	return slices.ContainsFunc(s.restarts, func(e restart) bool { return e.mayHaveDropped(request) })
 }
 
 // servableFrom returns when a process could first serve a request: when it was sent, or after an outage.
@@ -244,8 +257,9 @@
 
 // String describes a request with its class, connection and times.
 func (r *request) String() string {
-	return fmt.Sprintf("%s (%s, first %v, connected %s, sent %s, timeout %v)", r.id, r.class, r.isFirst,
-		r.connectedAt.Format(timeFormat), r.sentAt.Format(timeFormat), r.timeout.Round(time.Millisecond))
+	return fmt.Sprintf("%s (%s, first %v, connected %s, idle for %v, sent %s, timeout %v)", r.id, r.class, r.isFirst,
+		r.connectedAt.Format(timeFormat), r.idleFor.Round(time.Millisecond), r.sentAt.Format(timeFormat),
+		r.timeout.Round(time.Millisecond))
 }
 
 // checkProcess checks that a process exited in time with status 0, unless the plan killed it, and logged no errors.
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -37,6 +37,14 @@
 	r.records.attempts = append(r.records.attempts, a)
 }
 
+// restartProcess records that the process exited at 2,000 ms and that the next one was ready at 2,050 ms.
+func (r *run) restartProcess() {
+	r.plan.Series = seriesRestarts
+	r.processes[0].exitedAt = at(2000)
+	r.processes = append(r.processes, &process{number: 1, exited: make(chan struct{}), logPath: "/dev/null",
+		readyAt: at(2050)})
+}
+
 // checkRules finds a violation of a rule in a record that breaks it, and none in similar records that don't.
 func TestRuleViolations(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -94,6 +102,22 @@
 			r.processes = append([]*process{{exited: make(chan struct{}), logPath: "/dev/null"}}, r.processes...)
 			q.end = endClosed
 		}, ""},
+		"closed before a restart": {func(q *request, r *run) {
+			r.restartProcess()
+			q.sentAt, q.end, q.endedAt = at(1400), endClosed, at(1400)
+		}, ruleAnswer},
+		"closed between the processes of a restart": {func(q *request, r *run) {
+			r.restartProcess()
+			q.sentAt, q.end, q.endedAt = at(1600), endClosed, at(1600)
+		}, ""},
+		"closed after a restart, on a connection to the exited process": {func(q *request, r *run) {
+			r.restartProcess()
+			q.sentAt, q.end, q.endedAt = at(2060), endClosed, at(2060)
+		}, ""},
+		"closed between the processes of a restart, on a connection opened after the exit": {func(q *request, r *run) {
+			r.restartProcess()
+			q.connectedAt, q.sentAt, q.end, q.endedAt = at(2010), at(2020), endClosed, at(2020)
+		}, ruleAnswer},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := recordedRun(c.change).checkRules(0)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -132,6 +132,22 @@
 	<-p.exited
 }
 
+// String describes a process with the times at which it became ready, got its signals and exited.
+func (p *process) String() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	text := fmt.Sprint("process ", p.number)
+	for _, event := range []struct {
+		name string
+		at   time.Time
+	}{{"ready", p.readyAt}, {"SIGTERM", p.sigtermAt}, {"SIGKILL", p.killedByPlanAt}, {"exited", p.exitedAt}} {
+		if !event.at.IsZero() {
+			text += fmt.Sprintf(", %s %s", event.name, event.at.Format(timeFormat))
+		}
+	}
+	return text
+}
+
 // threadStates returns the kernel's states of a process's threads, each with the kernel function in which it waits.
 // State "D" is a wait that no signal interrupts, such as one for a disk.
 func threadStates(pid int) string {
