--- a/policy/admission.go
+++ b/policy/admission.go
@@ -20,8 +20,9 @@
 func (c *Class) overloadRetryAfter() time.Duration { return c.LatencyObjective / throttleRetryDivisor }
 
 // isTooLate reports whether a request can no longer be answered within its latency objective, because its client has
-// already waited in earlier tries. The first tries of a class are assumed to have the same timeout, and a later try
-// only what is left of it. Late tries of clients that give each try a full timeout are not detected.
+// already waited in earlier tries. All first tries of a class are assumed to have the same timeout, and the timeout of
+// a later try to be shorter by the time that its client has waited. Late tries of clients that give each try the full
+// timeout are not detected.
 func (c *classLatency) isTooLate(timeout, objective time.Duration) bool {
 	waited := c.firstTryTimeout - timeout
 	return waited.Seconds()+c.mean > objective.Seconds()
--- a/policy/event_types.go
+++ b/policy/event_types.go
@@ -80,9 +80,14 @@
 	Attempt         int    // index of the attempt, in the order of the calls of [Actions.SendAttempt]
 	RequestAnswered bool   // the request has its final answer, from this result or before it
 	Result          Result
-	Server          string        // ID of the server
-	Latency         time.Duration // from the end of sending the attempt to the response, or its first bytes if streamed
-	Units           float64       // with [Settings.SettlesUnits]: the true units, on the first OK; else 0
-	LoadReport      *LoadReport   // nil: the response had none
-	ConnectedAt     time.Duration // clock reading at which the response's connection was established; 0: not known
+	Server          string // ID of the server
+
+	// Latency is the time from the start of the attempt, before it gets a connection, to its failure, its complete
+	// response, or the first part of a streamed response. If the request body is streamed, the time starts when the
+	// body has been forwarded completely.
+	Latency time.Duration
+
+	Units       float64       // with [Settings.SettlesUnits]: the true units, on the first OK; else 0
+	LoadReport  *LoadReport   // nil: the response had none
+	ConnectedAt time.Duration // clock reading at which the response's connection was established; 0: not known
 }
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -345,7 +345,7 @@
 	}, "; ")
 }
 
-// killEngines kills a random fraction of the engines, which restart after a downtime of at most 500 ms more.
+// killEngines kills a random fraction of the engines. Each restarts after the downtime and a random time below 500 ms.
 func (s *fleetSim) killEngines(fraction float64, downtime time.Duration) {
 	for i := range s.engines {
 		if s.rng.Float64() < fraction {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	healthChecksPerForward       = 0.5
-	subsetHealthChecksPerForward = 0.17            // lower with a subset: several nodes check each server
+	healthChecksPerForward       = 0.5             // maximum number of health checks per request forwarded
+	subsetHealthChecksPerForward = 0.17            // the same with a subset, where several nodes check each server
 	unresponsiveCheckLead        = 3 * time.Second // an unresponsive server is checked earlier by this time
 )
 
--- a/policy/in_flight.go
+++ b/policy/in_flight.go
@@ -6,7 +6,6 @@
 )
 
 const (
-
 	// youngAttemptFraction is the age, as a fraction of its latency objective, up to which an attempt counts in the
 	// fleet's means.
 	youngAttemptFraction = 0.5
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,8 +9,13 @@
 	latencyWeight      = 0.15 // weight of a new sample in a server's latency ratio
 	minBatchSamples    = 16   // samples of a batch whose mean may become the lowest latency
 	lowestLatencyDrift = 0.01 // fraction by which the lowest latency grows with each batch
-	firstTrySteps      = 20   // a step up of the first-try timeout is the latency objective divided by this
-	firstTryDecaySteps = 10   // a step down is smaller by this factor: the estimate converges to the 90th percentile
+
+	// Each request moves the estimate of the first tries' timeout towards its own timeout, at most by a step: up by the
+	// latency objective divided by firstTrySteps, down by an upward step divided by firstTryDecaySteps. The estimate
+	// converges to a timeout that one request in firstTryDecaySteps+1 exceeds, about the 91st percentile.
+	firstTrySteps      = 20
+	firstTryDecaySteps = 10
+
 	initialWorkDivisor = 4    // unknown work is estimated as the latency objective divided by this
 	minLatencyDivisor  = 1e-6 // seconds; avoids a division by 0
 )
@@ -60,7 +65,7 @@
 	return i
 }
 
-// latencySample is a latency compared with what was measured for its class.
+// latencySample is a latency compared with the statistics of its class.
 type latencySample struct {
 	ratio  float64 // the latency as a multiple of the class's mean
 	lowest float64 // lowest mean latency of the class on the machine kind, in seconds; 0: not known
@@ -174,8 +179,8 @@
 // forRequest returns the latency learned for the class of a request.
 func (t *latencyTable) forRequest(r *request) *classLatency { return &t.classes[r.class] }
 
-// kindSpeed returns the speed of a machine kind as a fraction of the mean, at most 1. If it has not been measured,
-// isKnown is false.
+// kindSpeed returns the speed of a machine kind as a fraction of the mean, at most 1. If no latency of the kind has
+// been recorded, isKnown is false.
 func (t *latencyTable) kindSpeed(kind string) (speed float64, isKnown bool) {
 	r := t.kindRatios[t.kindIndex[kind]]
 	if r.samples <= 0 {
--- a/policy/quota/check.go
+++ b/policy/quota/check.go
@@ -10,7 +10,7 @@
 
 const (
 	contentionWindow      = time.Second // shortest time for which a quota counts as contended after a rejection
-	contentionRequests    = 2           // requests whose units an owner's quota refills while it counts as contended
+	contentionRequests    = 2           // requests whose units an owner's quota must refill before its contention ends
 	peerCountTTLIntervals = 10          // gossip intervals after which a peer's count in flight expires
 )
 
--- a/policy/quota/gossip.go
+++ b/policy/quota/gossip.go
@@ -13,7 +13,7 @@
 const (
 	minGossipInterval    = 40 * time.Millisecond // lower bound where the inbox limit allows more frequent broadcasts
 	gossipIntervalFactor = 1.3                   // interval as a multiple of the shortest that the inbox limit allows
-	maxIdleGossipRounds  = 3                     // consecutive messages that report nothing in flight: some may be lost
+	maxIdleGossipRounds  = 3                     // messages that report nothing in flight, of which some may be lost
 	inboxRateWeight      = 0.1                   // weight of a sample in the moving average of the messages received
 )
 
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -8,7 +8,7 @@
 import "time"
 
 const (
-	ownerOverloadFraction = 0.6 // of the gossip inbox limit, above which retries are delayed
+	ownerOverloadFraction = 0.6 // fraction of the gossip inbox limit above which retries are delayed
 	grantFractionWeight   = 0.1 // weight of a new request in the moving average of the grants
 )
 
@@ -63,9 +63,9 @@
 }
 
 // ownerOverloadWait returns the shortest wait of a member whose request is rejected while the owner's inbox is
-// overloaded. Rejected requests fill the inbox, so the members wait longer, which keeps their requests together within
-// their fraction of the inbox limit. In large fleets the requests of all customers at normal load take a third of an
-// inbox.
+// overloaded. It is so long that the requests of all members together stay within ownerInboxFraction of the inbox
+// limit. At normal load, the requests of all customers of a large fleet take a third of an inbox, which does not count
+// as an overload.
 func (f *Fleet) ownerOverloadWait(quota *Quota) time.Duration {
 	members := float64(quota.InstanceCount / quota.partCount)
 	return refillTime(members, ownerInboxFraction*f.GossipInboxRate)
--- a/policy/quota/split.go
+++ b/policy/quota/split.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	memberBurstFraction = 0.5 // of a hard limit's burst: split evenly among all instances; the owners get the rest
-	memberRateFraction  = 0.4 // of a hard limit's rate: split in the same way
-	ownerInboxFraction  = 0.3 // of an owner's gossip inbox limit: for the quota requests of one customer
+	memberBurstFraction = 0.5 // fraction of a hard limit's burst that all instances share evenly; owners get the rest
+	memberRateFraction  = 0.4 // fraction of a hard limit's rate that is shared in the same way
+	ownerInboxFraction  = 0.3 // fraction of an owner's gossip inbox limit for the quota requests of one customer
 )
 
 // Fleet describes this instance's place in the fleet that shares customers' quotas, and how the instances gossip.
--- a/policy/quota/transfer.go
+++ b/policy/quota/transfer.go
@@ -12,9 +12,9 @@
 
 const (
 	transferAheadIntervals   = 4.0                    // gossip intervals for which a share should suffice
-	transferReserveFraction  = 0.25                   // of its share's capacity, which a sender keeps
+	transferReserveFraction  = 0.25                   // fraction of its full share that a sender keeps
 	minTransferTimeout       = 300 * time.Millisecond // shortest time after which a transfer has arrived or is lost
-	transferTimeoutIntervals = 3                      // shortest such time in gossip intervals
+	transferTimeoutIntervals = 3                      // gossip intervals after which it has, if that is longer
 )
 
 // transferTimeout returns how long a gossip message and its repeat in the next one may be in transit.
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Rule 2: what may follow each result of an attempt depends on the idempotency of the class: a retry, a rejection or a
-// failure.
+// Rule 2 of the rule checker: the idempotency of the class determines whether a retry, a rejection or a failure follows
+// each result of an attempt.
 func TestActionAfterEachAttemptResult(t *testing.T) {
 	mayRun := map[Result]bool{OK: true, ErrorResponse: true, TimedOut: true, ConnectionReset: true, Cancelled: true}
 	for res := OK; res <= NotSent; res++ {
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -11,7 +11,14 @@
 )
 
 // The rule checker: seeded random but valid sequences of events are passed to several engines, and their actions are
-// checked against the five rules. Results of attempts are drawn at random; the performance of servers is not modelled.
+// checked against five rules. Results of attempts are drawn at random; the performance of servers is not modelled.
+//
+//  1. Each request gets exactly one final answer, in time, and is not sent to a server after it.
+//  2. No request runs twice unless its class allows it. Otherwise, one that may have run is neither sent again nor
+//     rejected, which would state to its client that a retry is safe. Without hedging, it has one attempt in flight.
+//  3. No attempt is sent to a server later than DrainGracePeriod after it was reported to be draining.
+//  4. All engines together send a cold server no more than it can take without being overloaded.
+//  5. The units forwarded for a customer exceed its hard limit by no more than the slack.
 
 // ruleAttempt is an attempt that an engine has sent.
 type ruleAttempt struct {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -11,7 +11,7 @@
 	failureCostFactor       = 8   // the cost is multiplied by 1 plus this at a failure rate of 1
 	failedAttemptCostFactor = 4   // for each failed attempt of the request at the server
 	noConnectionCostFactor  = 1.5 // without an idle connection to the server
-	coldCostFactor          = 0.5 // during slow start, with a subset: its warm-up budget limits its load
+	coldCostFactor          = 0.5 // in slow start, if the node has a subset: preferred up to its warm-up budget
 	crossZoneCostFactor     = 1.1 // in another zone, if attempts to other zones have a price
 	minLatencyRatio         = 0.1 // lower limit of the latency ratio
 )
@@ -19,7 +19,7 @@
 // Costs that are added so that all other servers are preferred.
 const (
 	ejectedCost       = 1e6 // while the server is ejected
-	deprioritizedCost = 1e3 // while the server is suspected, or if a random choice by its size skips it
+	deprioritizedCost = 1e3 // while the server is suspected, or is skipped at random, the more often the smaller it is
 )
 
 // serverSelector selects the server of an attempt: the least costly of a few random candidates. If all nodes chose the
@@ -83,7 +83,7 @@
 	return best
 }
 
-// candidateCount returns how many servers are compared. It grows with the number of servers for each node.
+// candidateCount returns how many servers are compared: one more than the number of servers per node, but at least two.
 func (p *serverSelector) candidateCount() int {
 	return max(len(p.servers.list)/p.settings.InstanceCount+1, 2)
 }
--- a/policy/server.go
+++ b/policy/server.go
@@ -10,8 +10,8 @@
 const minCapacityFraction = 0.01
 
 // server is the engine's state of one server. Invariant: inFlight counts the attempts that the server is processing;
-// what was measured applies to the process that started at StartedAt, and is reset when the endpoint list shows a
-// restart.
+// the statistics are those of the server process that started at StartedAt, and are reset when the endpoint list shows
+// a restart.
 type server struct {
 	Server
 	isListed bool   // in the endpoint list and not removed
@@ -51,7 +51,7 @@
 	subsetCorrection float64 // factor on its weight: above 1 if fewer nodes than average have it in their subset
 }
 
-// newServer returns a server of which nothing has been measured.
+// newServer returns a server without statistics.
 func newServer(id string) *server {
 	return &server{
 		latencyRatio:     1,
@@ -69,7 +69,7 @@
 	s.consecutiveEjections = 0
 }
 
-// update sets the server's entry of the endpoint list. If the entry shows a restart, update resets what was measured of
+// update sets the server's entry of the endpoint list. If the entry shows a restart, update resets the statistics of
 // the earlier process.
 func (s *server) update(listed Server) {
 	if s.StartedAt != listed.StartedAt {
--- a/policy/server_table.go
+++ b/policy/server_table.go
@@ -118,8 +118,8 @@
 	return sum / reports
 }
 
-// closeSample ends a sample: it decays what was measured of each server, and returns the total weight of the warm
-// members of the subset, each corrected for the number of nodes that have it in their subset.
+// closeSample ends a sample: it decays the statistics of each server, and returns the total weight of the warm members
+// of the subset, each corrected for the number of nodes that have it in their subset.
 func (t *serverTable) closeSample(now time.Duration, settings *Settings) (warmWeight float64) {
 	keep := math.Exp(-sampleInterval.Seconds() / decayTime.Seconds())
 	for _, s := range t.list {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -81,9 +81,9 @@
 	LoadReports          LoadReportMode
 	PollsEndpoints       bool          // the endpoint list must be subscribed to with [Actions.WatchEndpoints]
 	EndpointPollInterval time.Duration // with PollsEndpoints: interval at which an unsubscribed node must poll; unused
-	GossipInboxRate      float64       // most gossip messages per second that a node receives; 0: no limit
+	GossipInboxRate      float64       // maximum number of gossip messages per second that a node receives; 0: no limit
 	SettlesUnits         bool          // [Request.Units] is an estimate until the first OK response
-	MaxUnits             float64       // most units of one request; 0: not known
+	MaxUnits             float64       // maximum number of units of one request; 0: not known
 	MinEventInterval     time.Duration // shortest time between events
 	ConnectTimeout       time.Duration // an attempt may reach its server up to this much after it is sent
 
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,7 +6,9 @@
 	"time"
 )
 
-const coldBudgetFraction = 0.5 // of the load that overloads a cold server: a margin, as the work of requests varies
+// coldBudgetFraction is the load that all nodes together may send to a cold server, as a fraction of the load that
+// overloads it. The rest is a margin, since the work of requests varies.
+const coldBudgetFraction = 0.5
 
 // slowStart decides which requests may be sent to a server that is warming up. Each node derives its budget from the
 // work that it sends to a warm server, so that all nodes together stay below the load that overloads a cold one.
@@ -54,8 +56,8 @@
 }
 
 // requiredBudget returns the seconds of work that the budget must hold before a request of a class may be sent. If the
-// host has set the zone's rate, requests of low value leave part of the budget to others: most of them are light and
-// would use it up.
+// host has set the zone's rate, the budget must hold more than the work of a request of low value: most of these
+// requests are light, and would otherwise use up the budget of the others.
 func (w *slowStart) requiredBudget(class int, zone *zoneState, limit float64) float64 {
 	work := w.latencies.expectedWork(w.settings.Classes, class)
 	if zone != nil && zone.WarmServerRate > 0 {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -7,9 +7,9 @@
 	"mulleinmux/subset"
 )
 
-// defaultSubsetSizing is the sizing of the nodes' subsets. Of 12 servers half may fail, and a few requests per second
-// keep their connections open. Each server is in at least 16 subsets, so that a node with several times the mean load
-// does not overload single servers.
+// defaultSubsetSizing is the sizing of the nodes' subsets. A subset of 12 servers still suffices if half of them fail,
+// and is so small that a few requests per second keep a connection to each server open. A server is in 16 subsets or
+// more on average, so that a node with several times the mean load does not overload the servers of its subset.
 var defaultSubsetSizing = subset.Sizing{TargetServers: 12, MinHolders: 16, MaxOmitted: 8}
 
 // subsetSeed must be the same at all nodes of a fleet, so that each node derives the same subsets for all of them.
--- a/routing/class.go
+++ b/routing/class.go
@@ -48,7 +48,7 @@
 			}
 		}
 	}
-	r.report(field, "class %q has no worth in the operator's file: one of %s is wanted",
+	r.report(field, "class %q is not in the operators' configuration: must be one of %s",
 		field.Value.Text, strings.Join(names, ", "))
 	return policy.Class{}
 }
--- a/routing/extension_test.go
+++ b/routing/extension_test.go
@@ -103,7 +103,10 @@
 func TestClassFields(t *testing.T) {
 	checkExtensions(t, []extensionCase{
 		{"an unknown field", "GET", []Field{textField(20, "unit", "4")}, "is not a field of x-mulleinmux"},
-		{"an unknown class", "GET", []Field{textField(20, "class", "cheap")}, `"cheap" has no worth`},
+		{
+			"an unknown class", "GET", []Field{textField(20, "class", "cheap")},
+			`"cheap" is not in the operators' configuration`,
+		},
 		{"an unknown effect", "GET", []Field{textField(20, "effect", "idempotent")}, "one of safe, keyed, unsafe"},
 		{"an aim without a unit", "GET", []Field{numberField(20, "aim", "400")}, "write it with a unit"},
 		{"a negative aim", "GET", []Field{textField(20, "aim", "-4s")}, "not a duration"},
--- a/routing/idempotency.go
+++ b/routing/idempotency.go
@@ -10,9 +10,9 @@
 // safeMethods are the safe methods of HTTP (RFC 9110, 9.2.1).
 var safeMethods = []string{"GET", "HEAD", "OPTIONS", "TRACE"}
 
-// idempotency returns whether the operation is idempotent. Unless the extension declares it, this follows from the HTTP
-// method (RFC 9110, 9.2), except that idempotent methods that are not safe count as non-idempotent: a
-// repeated request would undo a change that another request made in between.
+// idempotency returns the idempotency of the operation. Unless the extension declares it, it follows from the HTTP
+// method (RFC 9110, 9.2), except that idempotent methods that are not safe count as non-idempotent: a repeated request
+// would undo a change that another request made in between.
 func (r *extensionReader) idempotency() policy.Idempotency {
 	isSafeMethod := slices.Contains(safeMethods, r.method.Name)
 	isRepeatable := r.isRepeatable()
