--- a/internal/cluster/site_health.go
+++ b/internal/cluster/site_health.go
@@ -29,7 +29,7 @@
 func siteHealthConfig(instance uint64, warmUpWindow time.Duration) *multisite.HealthConfig {
 	return &multisite.HealthConfig{
 		InstanceID:       instance,
-		MinMisses:        minSiteMisses,
+		MinUnanswered:    minSiteMisses,
 		LossTimeout:      siteLossTimeout,
 		ViewTTL:          siteViewTTL,
 		RecoveryDelay:    siteRecoveryDelay,
--- a/multisite/health_monitor.go
+++ b/multisite/health_monitor.go
@@ -10,7 +10,7 @@
 // HealthConfig configures a [HealthMonitor].
 type HealthConfig struct {
 	InstanceID       uint64
-	MinMisses        int           // number of consecutive unanswered attempts or health checks that make a site silent
+	MinUnanswered    int           // number of consecutive unanswered attempts or health checks that make a site silent
 	LossTimeout      time.Duration // a site silent to a majority for this long is lost
 	ViewTTL          time.Duration // age above which another instance's view is outdated
 	RecoveryDelay    time.Duration // time for which a lost site must answer before it counts as recovered
@@ -48,9 +48,9 @@
 
 // NewHealthMonitor returns a monitor without sites. The error names the fields that are out of range.
 func NewHealthMonitor(cfg HealthConfig) (*HealthMonitor, error) {
-	if cfg.MinMisses < 1 || cfg.LossTimeout <= 0 || cfg.ViewTTL <= 0 || cfg.RecoveryDelay <= 0 ||
+	if cfg.MinUnanswered < 1 || cfg.LossTimeout <= 0 || cfg.ViewTTL <= 0 || cfg.RecoveryDelay <= 0 ||
 		cfg.MaxRecoveryDelay < cfg.RecoveryDelay {
-		return nil, errors.New("multisite: MinMisses, LossTimeout, ViewTTL and RecoveryDelay must be above 0, " +
+		return nil, errors.New("multisite: MinUnanswered, LossTimeout, ViewTTL and RecoveryDelay must be above 0, " +
 			"MaxRecoveryDelay at least RecoveryDelay")
 	}
 	return &HealthMonitor{
@@ -126,7 +126,7 @@
 // RecordUnanswered records that an attempt or a health check that was sent to a site at sentAt was not answered.
 func (h *HealthMonitor) RecordUnanswered(now time.Duration, site string, sentAt time.Duration) {
 	if o := h.ownObservation(site); o != nil {
-		o.recordMiss(now, sentAt, h.cfg.MinMisses)
+		o.recordUnanswered(now, sentAt, h.cfg.MinUnanswered)
 	}
 }
 
--- a/multisite/site_health_simulation_test.go
+++ b/multisite/site_health_simulation_test.go
@@ -14,7 +14,7 @@
 func testHealthConfig(id uint64) HealthConfig {
 	return HealthConfig{
 		InstanceID:       id,
-		MinMisses:        3,
+		MinUnanswered:    3,
 		LossTimeout:      500 * time.Millisecond,
 		ViewTTL:          time.Second,
 		RecoveryDelay:    time.Second,
--- a/multisite/site_view.go
+++ b/multisite/site_view.go
@@ -36,9 +36,9 @@
 // ownObservation is this instance's own observation of a site.
 type ownObservation struct {
 	observation
-	lastAnswerAt time.Duration
-	missCount    int // number of attempts without an answer since lastAnswerAt
-	firstMissAt  time.Duration
+	lastAnswerAt      time.Duration
+	unansweredCount   int // number of unanswered attempts and health checks since lastAnswerAt
+	firstUnansweredAt time.Duration
 }
 
 func (o *ownObservation) recordAnswer(now time.Duration) {
@@ -47,23 +47,24 @@
 	}
 	o.observedAt = now
 	o.lastAnswerAt = now
-	o.missCount = 0
+	o.unansweredCount = 0
 }
 
-// recordMiss records an attempt without an answer. It has no effect if the site has answered since sentAt.
-func (o *ownObservation) recordMiss(now, sentAt time.Duration, minMisses int) {
+// recordUnanswered records an unanswered attempt or health check. It has no effect if the site has answered since
+// sentAt.
+func (o *ownObservation) recordUnanswered(now, sentAt time.Duration, minUnanswered int) {
 	if o.lastAnswerAt >= sentAt && o.lastAnswerAt > 0 {
 		return
 	}
-	o.missCount++
-	if o.missCount == 1 {
-		o.firstMissAt = now
+	o.unansweredCount++
+	if o.unansweredCount == 1 {
+		o.firstUnansweredAt = now
 	}
-	if o.missCount < minMisses {
+	if o.unansweredCount < minUnanswered {
 		return
 	}
 	if !o.isKnown || !o.isSilent {
-		o.startPeriod(true, o.firstMissAt)
+		o.startPeriod(true, o.firstUnansweredAt)
 	}
 	o.observedAt = now
 }
