--- a/internal/gateway/site_broadcast.go
+++ b/internal/gateway/site_broadcast.go
@@ -67,7 +67,7 @@
 		}
 		weight, sent, rejected := b.engine.ColdServerWork(now, site)
 		load := multisite.WarmingServersLoad{ServerWeight: weight, SentWork: sent, RejectedWork: rejected}
-		b.ramp.RecordWarmUpLoad(now, site, load)
+		b.ramp.RecordWarmingServersLoad(now, site, load)
 	}
 	return loads
 }
--- a/multisite/ramp_simulation_test.go
+++ b/multisite/ramp_simulation_test.go
@@ -159,7 +159,7 @@
 		load = WarmingServersLoad{
 			ServerWeight: 1 / rampTestMultiple, SentWork: sent, RejectedWork: demand*seconds - sent}
 	}
-	s.ramps[id].RecordWarmUpLoad(s.clock(id), rampTestSite, load)
+	s.ramps[id].RecordWarmingServersLoad(s.clock(id), rampTestSite, load)
 }
 
 // send puts a packet in transit; with faults, it may be lost, late or repeated.
--- a/multisite/recovery_ramp.go
+++ b/multisite/recovery_ramp.go
@@ -155,8 +155,8 @@
 	return max(lowest, minWarmCapacity)
 }
 
-// RecordWarmUpLoad records the instance's load on a site's warming servers since its last broadcast.
-func (r *RecoveryRamp) RecordWarmUpLoad(now time.Duration, site string, load WarmingServersLoad) {
+// RecordWarmingServersLoad records the instance's load on a site's warming servers since its last broadcast.
+func (r *RecoveryRamp) RecordWarmingServersLoad(now time.Duration, site string, load WarmingServersLoad) {
 	s := r.sites[site]
 	if s == nil {
 		return
