--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -9,11 +9,11 @@
 // newQuotaFleet returns the fleet that the settings describe, as seen from this instance.
 func newQuotaFleet(s *Settings) quota.Fleet {
 	return quota.Fleet{
-		InstanceIndex:   s.InstanceIndex,
-		InstanceCount:   s.InstanceCount,
-		AllowsGossip:    s.AllowsGossip,
-		GossipInterval:  quota.GossipInterval(s.GossipInboxRate, s.InstanceCount, s.MinEventInterval),
-		GossipInboxRate: s.GossipInboxRate,
+		InstanceIndex:      s.InstanceIndex,
+		InstanceCount:      s.InstanceCount,
+		AllowsGossip:       s.AllowsGossip,
+		GossipInterval:     quota.GossipInterval(s.GossipInboxRate, s.InstanceCount, s.MinEventInterval),
+		MaxGossipInboxRate: s.GossipInboxRate,
 	}
 }
 
--- a/policy/quota/harness_test.go
+++ b/policy/quota/harness_test.go
@@ -39,11 +39,11 @@
 // messages a second.
 func newTable(index, count int, inboxRate float64) *Table {
 	table := NewTable(Fleet{
-		InstanceIndex:   index,
-		InstanceCount:   count,
-		AllowsGossip:    true,
-		GossipInterval:  GossipInterval(inboxRate, count, ms),
-		GossipInboxRate: inboxRate,
+		InstanceIndex:      index,
+		InstanceCount:      count,
+		AllowsGossip:       true,
+		GossipInterval:     GossipInterval(inboxRate, count, ms),
+		MaxGossipInboxRate: inboxRate,
 	}, testPlans())
 	table.StartedAt = t0
 	return &table
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -56,7 +56,7 @@
 		return Decision{IsWithinQuota: true}
 	}
 	wait := decision.RetryAfter
-	if inboxRate > ownerOverloadFraction*t.Fleet.GossipInboxRate {
+	if inboxRate > ownerOverloadFraction*t.Fleet.MaxGossipInboxRate {
 		wait = max(wait, t.Fleet.ownerOverloadWait(quota))
 	}
 	return Decision{RetryAfter: wait}
@@ -68,7 +68,7 @@
 // as an overload.
 func (f *Fleet) ownerOverloadWait(quota *Quota) time.Duration {
 	members := float64(quota.InstanceCount / quota.partCount)
-	return refillTime(members, ownerInboxFraction*f.GossipInboxRate)
+	return refillTime(members, ownerInboxFraction*f.MaxGossipInboxRate)
 }
 
 // ownedQuota returns the quota of a member's message, or nil if this instance does not own it: the member or this
--- a/policy/quota/split.go
+++ b/policy/quota/split.go
@@ -17,11 +17,11 @@
 
 // Fleet describes this instance's place in the fleet that shares customers' quotas, and how the instances gossip.
 type Fleet struct {
-	InstanceIndex   int
-	InstanceCount   int
-	AllowsGossip    bool
-	GossipInterval  time.Duration // between broadcasts
-	GossipInboxRate float64       // maximum number of messages per second that an instance receives; 0 means no limit
+	InstanceIndex      int
+	InstanceCount      int
+	AllowsGossip       bool
+	GossipInterval     time.Duration // between broadcasts
+	MaxGossipInboxRate float64       // maximum number of messages per second that an instance receives; 0: no limit
 }
 
 // Scope is a customer's plan and the instances that receive its requests: InstanceCount instances from FirstInstance
@@ -59,7 +59,7 @@
 	if !f.AllowsGossip || scope.InstanceCount <= 1 || !gossipIsLate {
 		return quotaSplit{partCount: scope.InstanceCount, bucketCount: 1}
 	}
-	owners := int(math.Ceil(plan.Rate / (ownerInboxFraction * f.GossipInboxRate)))
+	owners := int(math.Ceil(plan.Rate / (ownerInboxFraction * f.MaxGossipInboxRate)))
 	parts := min(max(1, owners), scope.InstanceCount)
 	return quotaSplit{UsesOwner: true, partCount: parts, bucketCount: float64(parts)}
 }
--- a/policy/quota/split_test.go
+++ b/policy/quota/split_test.go
@@ -21,9 +21,9 @@
 // TestSplitQuota checks that a quota has owners where gossip is later than an assessment (0.5 s): as many as it takes
 // for each owner to receive at most 0.3 of its 40 messages a second for the customer.
 func TestSplitQuota(t *testing.T) {
-	inTime := Fleet{AllowsGossip: true, GossipInterval: 500 * ms, GossipInboxRate: 40}
-	late := Fleet{AllowsGossip: true, GossipInterval: 501 * ms, GossipInboxRate: 40}
-	noGossip := Fleet{GossipInterval: 501 * ms, GossipInboxRate: 40}
+	inTime := Fleet{AllowsGossip: true, GossipInterval: 500 * ms, MaxGossipInboxRate: 40}
+	late := Fleet{AllowsGossip: true, GossipInterval: 501 * ms, MaxGossipInboxRate: 40}
+	noGossip := Fleet{GossipInterval: 501 * ms, MaxGossipInboxRate: 40}
 	for _, c := range []struct {
 		name          string
 		fleet         Fleet
