--- a/policy/quota/codec.go
+++ b/policy/quota/codec.go
@@ -19,7 +19,7 @@
 	kindQuotaResponse
 	kindQuotaReturn
 	kindGossip
-	kindQuotaSpent
+	kindUsageReport
 	kindLateQuotaRequest
 )
 
--- a/policy/quota/message.go
+++ b/policy/quota/message.go
@@ -8,8 +8,8 @@
 	"mulleinmux/policy/overload"
 )
 
-// Message is a message between an instance of a customer and an owner of the customer's quota: a [Request], [Spent],
-// [Response] or [Return].
+// Message is a message between an instance of a customer and an owner of the customer's quota: a [Request],
+// [UsageReport], [Response] or [Return].
 type Message interface{ isMessage() }
 
 // Charge is what one request takes from its customer's quota.
@@ -26,8 +26,8 @@
 	IsLate bool // the request cannot meet its latency objective
 }
 
-// Spent reports units to the owner that a member has used without the owner's response.
-type Spent struct{ Charge }
+// UsageReport reports to the owner the units that a member has used without the owner's response.
+type UsageReport struct{ Charge }
 
 // Response is the owner's response to a [Request].
 type Response struct {
@@ -44,10 +44,10 @@
 	Units    float64
 }
 
-func (Request) isMessage()  {}
-func (Spent) isMessage()    {}
-func (Response) isMessage() {}
-func (Return) isMessage()   {}
+func (Request) isMessage()     {}
+func (UsageReport) isMessage() {}
+func (Response) isMessage()    {}
+func (Return) isMessage()      {}
 
 // Report is the sender's information about the fleet and its servers. It is appended to all messages except [Return].
 type Report struct {
@@ -83,9 +83,9 @@
 	return appendReport(c.appendCharge([]byte{kind}, m.Charge), report)
 }
 
-// EncodeSpent encodes the same fields as [Codec.EncodeRequest] under another kind.
-func (c Codec) EncodeSpent(m Spent, report Report) []byte {
-	return appendReport(c.appendCharge([]byte{kindQuotaSpent}, m.Charge), report)
+// EncodeUsageReport encodes the same fields as [Codec.EncodeRequest] under another kind.
+func (c Codec) EncodeUsageReport(m UsageReport, report Report) []byte {
+	return appendReport(c.appendCharge([]byte{kindUsageReport}, m.Charge), report)
 }
 
 func (c Codec) appendCharge(b []byte, m Charge) []byte {
@@ -123,8 +123,8 @@
 		m = Request{Charge: c.readCharge(&r)}
 	case kindLateQuotaRequest:
 		m = Request{Charge: c.readCharge(&r), IsLate: true}
-	case kindQuotaSpent:
-		m = Spent{c.readCharge(&r)}
+	case kindUsageReport:
+		m = UsageReport{c.readCharge(&r)}
 	case kindQuotaResponse:
 		m = readResponse(&r)
 	case kindQuotaReturn:
--- a/policy/quota/message_test.go
+++ b/policy/quota/message_test.go
@@ -27,7 +27,7 @@
 	}{
 		{"request", codec.EncodeRequest(Request{Charge: charge}, report), Request{Charge: charge}, report},
 		{"late request", codec.EncodeRequest(Request{charge, true}, report), Request{charge, true}, report},
-		{"spent", codec.EncodeSpent(Spent{charge}, Report{}), Spent{charge}, Report{}},
+		{"spent", codec.EncodeUsageReport(UsageReport{charge}, Report{}), UsageReport{charge}, Report{}},
 		{"granted", codec.EncodeResponse(granted, report), granted, report},
 		{"rejected", codec.EncodeResponse(rejected, report), rejected, report},
 		{"return", EncodeReturn(returned), returned, Report{}},
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -95,9 +95,9 @@
 	quota.recordGrant(from, m.Number, now)
 }
 
-// ReceiveSpent charges units that a member has used without a response. If the owner has granted the member's request,
-// the units have already been taken.
-func (t *Table) ReceiveSpent(from int, m Spent, now time.Duration) {
+// ReceiveUsageReport charges units that a member has used without a response. If the owner has granted the member's
+// request, the units have already been taken.
+func (t *Table) ReceiveUsageReport(from int, m UsageReport, now time.Duration) {
 	quota := t.ownedQuota(from, m.Charge, now)
 	if quota == nil || quota.hasGrant(from, m.Number) {
 		return
--- a/policy/quota_exchange.go
+++ b/policy/quota_exchange.go
@@ -30,8 +30,8 @@
 			report := newPeerReport(e.now, &e.overload, &e.failures)
 			e.actions.SendGossip(from, e.quotas.Codec().EncodeResponse(response, report))
 		}
-	case quota.Spent:
-		e.quotas.ReceiveSpent(from, m, e.now)
+	case quota.UsageReport:
+		e.quotas.ReceiveUsageReport(from, m, e.now)
 	case quota.Response:
 		e.receiveQuotaResponse(from, m)
 	case quota.Return:
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -32,9 +32,9 @@
 	decision := r.quota.DecideWithoutOwner(e.rng.Float64())
 	e.admit(r, decision)
 	if decision.IsWithinQuota && len(r.attempts) > 0 {
-		message := quota.Spent{Charge: chargeOf(r)}
+		message := quota.UsageReport{Charge: chargeOf(r)}
 		report := newPeerReport(e.now, &e.overload, &e.failures)
-		e.actions.SendGossip(r.owner, e.quotas.Codec().EncodeSpent(message, report))
+		e.actions.SendGossip(r.owner, e.quotas.Codec().EncodeUsageReport(message, report))
 	}
 }
 
