--- a/internal/gateway/request_parse.go
+++ b/internal/gateway/request_parse.go
@@ -56,7 +56,7 @@
 
 // chargeAndValidate sets the request's cost in units and validates the request against its operation's description.
 func (r *pendingRequest) chargeAndValidate(call routing.Request) (err error) {
-	if r.units, err = r.operation.Charge(call); err != nil {
+	if r.units, err = r.operation.CheckAndReadUnits(call); err != nil {
 		return err
 	}
 	checker := r.version.checker
--- a/routing/charge.go
+++ b/routing/charge.go
@@ -37,8 +37,8 @@
 	return newChargeError("%s: %v", source, err)
 }
 
-// ReadKey returns the idempotency key of a request that [Operation.Charge] has accepted, or "" if the operation has no
-// key. path is the path of the request line.
+// ReadKey returns the idempotency key of a request that [Operation.CheckAndReadUnits] has accepted, or "" if the
+// operation has no key. path is the path of the request line.
 func (o *Operation) ReadKey(r Request, path string) string {
 	switch o.KeySource.In {
 	case InNowhere:
@@ -48,15 +48,15 @@
 	}
 	key, err := o.KeySource.read(r, stringType)
 	if err != nil {
-		return "" // not reached after Charge, which rejects such a request
+		return "" // not reached after CheckAndReadUnits, which rejects such a request
 	}
 	return key
 }
 
-// Charge returns the units of a request, and checks that the request has an idempotency key if the operation requires
-// one. Since servers must read the same values, a parameter that occurs twice or in another spelling, or a number in
-// any but the plain form, is a [*ChargeError].
-func (o *Operation) Charge(r Request) (units int, err error) {
+// CheckAndReadUnits returns the units of a request, and checks that the request has an idempotency key if the operation
+// requires one. Since servers must read the same values, a parameter that occurs twice or in another spelling, or a
+// number in any but the plain form, is a [*ChargeError].
+func (o *Operation) CheckAndReadUnits(r Request) (units int, err error) {
 	if err := o.checkKey(r); err != nil {
 		return 0, err
 	}
--- a/routing/charge_test.go
+++ b/routing/charge_test.go
@@ -23,7 +23,7 @@
 	}}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%q %v %s", c.request.Query, c.request.Header, c.request.Body), func(t *testing.T) {
-			n, err := op.Charge(c.request)
+			n, err := op.CheckAndReadUnits(c.request)
 			_, isChargeError := errors.AsType[*ChargeError](err)
 			if n != c.want || (err != nil) != (c.want == 0) || err != nil && !isChargeError {
 				t.Errorf("%s: got %d units, error %v, want %d units", op.Units.Source, n, err, c.want)
@@ -122,7 +122,7 @@
 		{"two", testHeader{"Idempotency-Key": {"k", "l"}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := keyed.Charge(Request{Header: c.h}); (err == nil) != c.want {
+			if _, err := keyed.CheckAndReadUnits(Request{Header: c.h}); (err == nil) != c.want {
 				t.Errorf("header %v: got error %v", c.h, err)
 			}
 		})
--- a/routing/document.go
+++ b/routing/document.go
@@ -2,9 +2,9 @@
 // an OpenAPI description.
 //
 // [Compile] compiles a description, parsed by package openapi, into an immutable [Table]; [Table.Match] finds the
-// operation of a request and [Operation.Charge] reads its units. The package does no I/O and has no state. A table is
-// safe for concurrent use. A request that holds its [Operation] continues to use the version of the description that it
-// was matched with.
+// operation of a request and [Operation.CheckAndReadUnits] reads its units. The package does no I/O and has no state. A
+// table is safe for concurrent use. A request that holds its [Operation] continues to use the version of the
+// description that it was matched with.
 package routing
 
 // Document is the part of a description on which routing and units depend.
--- a/routing/fuzz_test.go
+++ b/routing/fuzz_test.go
@@ -127,7 +127,7 @@
 			}
 		}
 		for _, op := range ops {
-			if n, err := op.Charge(Request{Query: query, Header: jsonHeader, Body: body}); err == nil &&
+			if n, err := op.CheckAndReadUnits(Request{Query: query, Header: jsonHeader, Body: body}); err == nil &&
 				(n < 1 || n > 50) {
 				t.Errorf("query %q, body %q: got %d units, want 1 to 50", query, body, n)
 			} else if err == nil && op.Units.Source.In == InBody && !json.Valid(body) {
