--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -8,7 +8,7 @@
 import "time"
 
 const (
-	ownerOverloadFraction = 0.6 // of the gossip inbox limit, above which retries are delayed
+	ownerOverloadFraction = 0.6 // fraction of the gossip inbox limit above which retries are delayed
 	grantFractionWeight   = 0.1 // weight of a new request in the moving average of the grants
 )
 
@@ -56,19 +56,19 @@
 		return Decision{IsWithinQuota: true}
 	}
 	wait := decision.RetryAfter
-	if inboxRate > ownerOverloadFraction*t.Fleet.GossipInboxRate {
+	if inboxRate > ownerOverloadFraction*t.Fleet.MaxGossipInboxRate {
 		wait = max(wait, t.Fleet.ownerOverloadWait(quota))
 	}
 	return Decision{RetryAfter: wait}
 }
 
 // ownerOverloadWait returns the shortest wait of a member whose request is rejected while the owner's inbox is
-// overloaded. Rejected requests fill the inbox, so the members wait longer, which keeps their requests together within
-// their fraction of the inbox limit. In large fleets the requests of all customers at normal load take a third of an
-// inbox.
+// overloaded. It is so long that the requests of all members together stay within ownerInboxFraction of the inbox
+// limit. At normal load, the requests of all customers of a large fleet take a third of an inbox, which does not count
+// as an overload.
 func (f *Fleet) ownerOverloadWait(quota *Quota) time.Duration {
 	members := float64(quota.InstanceCount / quota.partCount)
-	return refillTime(members, ownerInboxFraction*f.GossipInboxRate)
+	return refillTime(members, ownerInboxFraction*f.MaxGossipInboxRate)
 }
 
 // ownedQuota returns the quota of a member's message, or nil if this instance does not own it: the member or this
@@ -95,9 +95,9 @@
 	quota.recordGrant(from, m.Number, now)
 }
 
-// ReceiveSpent charges units that a member has used without a response. If the owner has granted the member's request,
-// the units have already been taken.
-func (t *Table) ReceiveSpent(from int, m Spent, now time.Duration) {
+// ReceiveUsageReport charges units that a member has used without a response. If the owner has granted the member's
+// request, the units have already been taken.
+func (t *Table) ReceiveUsageReport(from int, m UsageReport, now time.Duration) {
 	quota := t.ownedQuota(from, m.Charge, now)
 	if quota == nil || quota.hasGrant(from, m.Number) {
 		return
--- a/policy/quota/split.go
+++ b/policy/quota/split.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	memberBurstFraction = 0.5 // of a hard limit's burst: split evenly among all instances; the owners get the rest
-	memberRateFraction  = 0.4 // of a hard limit's rate: split in the same way
-	ownerInboxFraction  = 0.3 // of an owner's gossip inbox limit: for the quota requests of one customer
+	memberBurstFraction = 0.5 // fraction of a hard limit's burst that all instances share evenly; owners get the rest
+	memberRateFraction  = 0.4 // fraction of a hard limit's rate that is shared in the same way
+	ownerInboxFraction  = 0.3 // fraction of an owner's gossip inbox limit for the quota requests of one customer
 )
 
 // Fleet describes this instance's place in the fleet that shares customers' quotas, and how the instances gossip.
 type Fleet struct {
-	InstanceIndex   int
-	InstanceCount   int
-	AllowsGossip    bool
-	GossipInterval  time.Duration // between broadcasts
-	GossipInboxRate float64       // maximum number of messages per second that an instance receives; 0 means no limit
+	InstanceIndex      int
+	InstanceCount      int
+	AllowsGossip       bool
+	GossipInterval     time.Duration // between broadcasts
+	MaxGossipInboxRate float64       // maximum number of messages per second that an instance receives; 0: no limit
 }
 
 // Scope is a customer's plan and the instances that receive its requests: InstanceCount instances from FirstInstance
@@ -59,7 +59,7 @@
 	if !f.AllowsGossip || scope.InstanceCount <= 1 || !gossipIsLate {
 		return quotaSplit{partCount: scope.InstanceCount, bucketCount: 1}
 	}
-	owners := int(math.Ceil(plan.Rate / (ownerInboxFraction * f.GossipInboxRate)))
+	owners := int(math.Ceil(plan.Rate / (ownerInboxFraction * f.MaxGossipInboxRate)))
 	parts := min(max(1, owners), scope.InstanceCount)
 	return quotaSplit{UsesOwner: true, partCount: parts, bucketCount: float64(parts)}
 }
