--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -79,7 +79,9 @@
 }
 
 // adminServer serves the admin API of a member. It admits only callers with an operator's or a member's certificate,
-// and at most maxConcurrentAdminReqs calls at a time.
+// and at most maxConcurrentAdminReqs calls at a time. It serves from the start of the member's Raft node, before the
+// gateway instance has started: until then a status lacks the fields of the instance, and /metrics the metrics of its
+// requests.
 type adminServer struct {
 	member   *Member
 	inFlight chan struct{} // holds a token for each call in progress
@@ -133,7 +135,7 @@
 			defer func() { <-a.inFlight }()
 			next.ServeHTTP(w, r)
 		default:
-			writeJSON(w, http.StatusServiceUnavailable, errorResponse{"too many operators ask at a time"})
+			writeJSON(w, http.StatusServiceUnavailable, errorResponse{"too many admin requests are in progress"})
 		}
 	})
 }
@@ -162,10 +164,10 @@
 // the configuration.
 func authorizeOperator(holder raftnode.Identity, cluster string) error {
 	if holder.Cluster != cluster {
-		return fmt.Errorf("the certificate is of cluster %q: this is cluster %q", holder.Cluster, cluster)
+		return fmt.Errorf("the certificate belongs to cluster %q: this is cluster %q", holder.Cluster, cluster)
 	}
 	if holder.Follower != "" {
-		return fmt.Errorf("follower %q is no operator", holder.Follower)
+		return fmt.Errorf("follower %q is not authorized: only operators and members may call the admin API", holder.Follower)
 	}
 	return nil
 }
@@ -232,13 +234,13 @@
 	if status.Leader != 0 {
 		leader = fmt.Sprint(status.Leader)
 	}
-	return fmt.Sprintf("member %d: %v; voters are %v, leader %s", status.ID, err, status.Voters, leader)
+	return fmt.Sprintf("member %d: %v (voters: %v, leader: %s)", status.ID, err, status.Voters, leader)
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		status, text = http.StatusInternalServerError, []byte(`{"error":"the answer can't be worded"}`)
+		status, text = http.StatusInternalServerError, []byte(`{"error":"the response cannot be encoded"}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/cluster/admin_members.go
+++ b/internal/cluster/admin_members.go
@@ -46,21 +46,21 @@
 	switch c.Op {
 	case opTransferLeadership:
 		if !slices.Contains(voters, c.MemberID) {
-			return newBadRequest("member: %d is no voter", c.MemberID)
+			return newBadRequest("member: %d is not a voter, so it cannot become the leader", c.MemberID)
 		}
 	case opRemoveMember:
 		if len(voters) == 1 && voters[0] == c.MemberID {
-			return newBadRequest("member: %d is the only voter", c.MemberID)
+			return newBadRequest("member: %d is the only voter, so it cannot be removed", c.MemberID)
 		}
 	case opAddMember:
 		return checkNewMember(c.MemberID, c.Addrs)
 	case opReplaceMember:
 		if c.ReplacementID == c.MemberID {
-			return newBadRequest("with: a new number is wanted: that of a member is never used again")
+			return newBadRequest("with: must differ from member: the number of a removed member is never reused")
 		}
 		return checkNewMember(c.ReplacementID, c.Addrs)
 	default:
-		return newBadRequest("op: add, remove, replace or transfer is wanted")
+		return newBadRequest("op: must be add, remove, replace or transfer")
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 // checkNewMember returns an error if a new member has no ID or no addresses.
 func checkNewMember(id uint64, addrs *clusterconfig.Member) error {
 	if id == 0 || addrs == nil {
-		return newBadRequest("member and at: the number and the addresses of the new member are wanted")
+		return newBadRequest("the new member needs a number (member or, to replace one, with) and addresses (at)")
 	}
 	return nil
 }
@@ -151,8 +151,8 @@
 		}
 		select {
 		case <-ctx.Done():
-			text := fmt.Sprintf("member %d is a learner and has not caught up yet (does it run?): "+
-				"ask again for the same change", id)
+			text := fmt.Sprintf("member %d is a learner and has not caught up yet: check that it runs, "+
+				"then repeat the same change", id)
 			return &statusError{http.StatusServiceUnavailable, errorResponse{text}}
 		case <-time.After(ticksPerLagRequest * a.member.cfg.tickInterval()):
 		}
@@ -196,7 +196,7 @@
 	*Status, error) {
 	addr := a.member.addrsOf(leader).AdminAddress
 	if r.Header.Get(headerForwarded) != "" || addr == "" {
-		return nil, fmt.Errorf("member %d leads, at %q: ask there", leader, addr)
+		return nil, fmt.Errorf("member %d is the leader: send the request to its admin address %q", leader, addr)
 	}
 	client := NewClient(a.member.cfg.Cluster, a.member.cfg.Credentials, addr)
 	defer client.Close()
--- a/internal/cluster/admin_proposals.go
+++ b/internal/cluster/admin_proposals.go
@@ -25,7 +25,7 @@
 		p.ProposedAtMs = time.Now().UnixMilli()
 	}
 	if len(p.ID) == 0 || len(p.ID) > maxProposalIDBytes {
-		return newBadRequest("id: 1 to %d bytes are wanted", maxProposalIDBytes)
+		return newBadRequest("id: must have 1 to %d bytes", maxProposalIDBytes)
 	}
 	return nil
 }
--- a/internal/cluster/admin_status.go
+++ b/internal/cluster/admin_status.go
@@ -16,13 +16,13 @@
 	raftnode.Status
 	Cluster string `json:"cluster"`
 
-	// InstalledVersion is the version in force at the instance. InstallError is the reason why the agreed version is
-	// not in force, or empty if it is.
+	// InstalledVersion is the version in force at the instance.
 	InstalledVersion uint64 `json:"installed"`
 	// ConfirmedAgeMs is the time since a quorum last confirmed the version, or -1 if none has since the start.
-	ConfirmedAgeMs int64  `json:"age_ms"`
-	IsServing      bool   `json:"serves"`
-	InstallError   string `json:"note,omitempty"`
+	ConfirmedAgeMs int64 `json:"age_ms"`
+	IsServing      bool  `json:"serves"`
+	// InstallError is the reason why the agreed version is not in force at the instance, or empty if it is.
+	InstallError string `json:"note,omitempty"`
 
 	SiteStates map[string]string               `json:"halls,omitempty"` // by site, as seen by this instance
 	Members    map[uint64]clusterconfig.Member `json:"members"`         // voters and learners
--- a/internal/cluster/agreement_test.go
+++ b/internal/cluster/agreement_test.go
@@ -117,7 +117,7 @@
 		creds := memberCredentials(c.t, newTestAuthority(c.t, name), 1)
 		client := NewClient(name, creds, c.addrs[1].AdminAddress)
 		_, err := client.Status(c.ctx())
-		if !errors.Is(err, raftnode.ErrUnknownAuthority) || !strings.Contains(err.Error(), "is not of cluster") {
+		if !errors.Is(err, raftnode.ErrUnknownAuthority) || !strings.Contains(err.Error(), "does not belong to cluster") {
 			c.t.Errorf("client of another cluster: got error %v, want ErrUnknownAuthority", err)
 		}
 		client.Close()
@@ -126,7 +126,7 @@
 	c.authority.Cluster = "renamed"
 	client := NewClient(testClusterName, memberCredentials(c.t, c.authority, 1), c.addrs[1].AdminAddress)
 	defer client.Close()
-	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), `is of cluster "renamed"`) {
+	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), `belongs to cluster "renamed"`) {
 		c.t.Errorf("certificate that names another cluster: got error %v, want a rejection", err)
 	}
 }
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -137,11 +137,11 @@
 // explainUnreachable returns an error that distinguishes a certificate of another cluster from other reasons.
 func (c *Client) explainUnreachable(addr string, err error) error {
 	if errors.Is(err, raftnode.ErrUnknownAuthority) {
-		return fmt.Errorf("%s: is not of cluster %q: %w", addr, c.cluster, raftnode.ErrUnknownAuthority)
+		return fmt.Errorf("%s: does not belong to cluster %q: %w", addr, c.cluster, raftnode.ErrUnknownAuthority)
 	}
 	// crypto/tls has no exported type for an alert from the other end.
 	if strings.Contains(err.Error(), "remote error: tls") {
-		return fmt.Errorf("%s: does not take the certificate: is it of cluster %q? %w", addr, c.cluster, err)
+		return fmt.Errorf("%s: rejects the certificate: check that it belongs to cluster %q: %w", addr, c.cluster, err)
 	}
 	return fmt.Errorf("%s: %w", addr, err)
 }
--- a/internal/cluster/client_await.go
+++ b/internal/cluster/client_await.go
@@ -91,7 +91,7 @@
 		return "", 0, err
 	}
 	if list.NewestVersion < version {
-		missing = fmt.Sprintf("; member %d offers version %d", list.MemberID, list.NewestVersion)
+		missing = fmt.Sprintf("; the newest version of member %d is %d", list.MemberID, list.NewestVersion)
 		return missing, 1 + len(list.Followers), nil
 	}
 	for _, follower := range list.Followers {
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -52,8 +52,8 @@
 
 // ErrNotInitialized reports that a member has no data file. Only [InitMember] creates one: a member that started
 // with an empty file under its old ID could vote twice in a term.
-var ErrNotInitialized = errors.New("there is no such file: make it once with gateway init, " +
-	"--new-cluster for the first members or --join for a further one")
+var ErrNotInitialized = errors.New("the file does not exist: create it once with gateway init, " +
+	"with --new-cluster for the first members or --join for a further one")
 
 // ValidateDescription checks an OpenAPI description in the same way as all other members. maxUnits bounds the cost of
 // an operation.
--- a/internal/cluster/follower_file.go
+++ b/internal/cluster/follower_file.go
@@ -53,8 +53,8 @@
 }
 
 // ErrInvalidFollowerFile reports that a follower's file is damaged or belongs to another follower.
-var ErrInvalidFollowerFile = errors.New("is no file of this follower: move it away, " +
-	"and it begins with what a quorum confirms")
+var ErrInvalidFollowerFile = errors.New("the file is damaged or belongs to another follower: move it away, " +
+	"and the follower begins with the next version that a quorum confirms")
 
 // openFollowerFile opens or creates a follower's file and increments its start count. The caller closes it. The error
 // of an unusable file wraps [ErrInvalidFollowerFile].
@@ -108,7 +108,7 @@
 		}
 		var header followerFileHeader
 		if err := json.Unmarshal(text, &header); err != nil || header != want {
-			return fmt.Errorf("%w: it belongs to follower %q of cluster %q, format %d",
+			return fmt.Errorf("%w: its header names follower %q of cluster %q, format %d",
 				ErrInvalidFollowerFile, header.Name, header.Cluster, header.Format)
 		}
 		return nil
--- a/internal/cluster/follower_server.go
+++ b/internal/cluster/follower_server.go
@@ -257,7 +257,7 @@
 		return "", err
 	}
 	if cluster := s.member.cfg.Cluster; holder.Cluster != cluster || holder.Follower == "" {
-		return "", fmt.Errorf("the certificate is not of a follower of cluster %q", cluster)
+		return "", fmt.Errorf("the certificate does not belong to a follower of cluster %q", cluster)
 	}
 	return holder.Follower, nil
 }
@@ -266,7 +266,7 @@
 func (a *adminServer) followerList(context.Context, *http.Request) (*FollowerList, error) {
 	s := a.member.followers
 	if s == nil {
-		return nil, newBadRequest("stream: this member serves no followers: it has no cluster.stream")
+		return nil, newBadRequest("stream: this member serves no followers: its configuration does not set cluster.stream")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/follower_session.go
+++ b/internal/cluster/follower_session.go
@@ -27,7 +27,7 @@
 	select {
 	case c.sendQueue <- message:
 	default:
-		c.end("does not read")
+		c.end("the follower does not read its messages")
 	}
 }
 
@@ -103,12 +103,12 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return "the member stops"
+			return "the member is stopping"
 		case reason := <-c.endReason:
 			return reason
 		case <-helloTimeout.C:
 			if c.id == 0 {
-				return "no hello came"
+				return "no hello was received within the timeout"
 			}
 		case message := <-received:
 			if reason := c.handleMessage(message); reason != "" {
@@ -123,7 +123,7 @@
 	switch message := message.(type) {
 	case configstream.Hello:
 		if c.id != 0 {
-			return "a second hello"
+			return "a second hello was received"
 		}
 		message.Name = c.follower
 		c.add(message)
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -179,7 +179,7 @@
 	c.t.Helper()
 	c.proposeChanges("five", newChange("remove", "follower", "south", ""))
 	c.await("the removed follower is rejected", func() bool {
-		return c.south.logs.HasLine("configuration stream ended", "not agreed on as a follower")
+		return c.south.logs.HasLine("configuration stream ended", "is not a configured follower")
 	})
 	if r := c.get(southID, "/slots"); r.status != 200 || r.body != "4" {
 		c.t.Errorf("request to the removed follower: got %+v, want version 4", r)
@@ -193,7 +193,7 @@
 	c.t.Helper()
 	client := NewClient(testClusterName, c.south.cfg.Credentials, c.addrs[2].AdminAddress)
 	defer client.Close()
-	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), "no operator") {
+	if _, err := client.Status(c.ctx()); err == nil || !strings.Contains(err.Error(), "is not authorized") {
 		c.t.Errorf("admin API call with a follower's certificate: got error %v, want a rejection", err)
 	}
 	for name, creds := range map[string]raftnode.Credentials{
@@ -211,7 +211,7 @@
 			stream.Run(ctx)
 		}()
 		c.await(name+" is rejected as a follower", func() bool {
-			return logs.HasLine("configuration stream ended", "is not of a follower")
+			return logs.HasLine("configuration stream ended", "does not belong to a follower")
 		})
 		stop()
 		<-done
--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -26,7 +26,7 @@
 const removedPlanPrefix = "/removed/"
 
 // errNoDescription reports that no description has been agreed on, so that the instance has nothing to serve.
-var errNoDescription = errors.New("no description is agreed on yet: gateway config apply")
+var errNoDescription = errors.New("no description is agreed on yet: apply one with gateway config apply")
 
 // setupBuilder builds an instance's setup from an agreed state. It caches the parts that are expensive to build. It
 // is not safe for concurrent use.
@@ -49,7 +49,7 @@
 		return setup, errNoDescription
 	}
 	if descriptionCount > 1 {
-		const text = "%d descriptions are agreed on, and one is served: remove the others"
+		const text = "%d descriptions are agreed on, but only one can be served: remove the others"
 		return setup, fmt.Errorf(text, descriptionCount)
 	}
 	if setup.Sites, err = sitesOf(state); err != nil {
--- a/internal/cluster/stream_client.go
+++ b/internal/cluster/stream_client.go
@@ -141,7 +141,7 @@
 	select {
 	case c.sendQueue <- message:
 	default:
-		c.abortStream("the member does not read")
+		c.abortStream("the member does not read its messages")
 	}
 }
 
--- a/internal/cluster/verdict_test.go
+++ b/internal/cluster/verdict_test.go
@@ -21,8 +21,8 @@
 	want     string // part of the error; empty if the change is valid
 }{
 	{"add", MembershipChange{Op: "add", MemberID: 4, Addrs: newMemberAddrs}, []uint64{1, 2, 3}, nil, ""},
-	{"add without a number", MembershipChange{Op: "add", Addrs: newMemberAddrs}, []uint64{1}, nil, "member and at"},
-	{"add without addresses", MembershipChange{Op: "add", MemberID: 4}, []uint64{1}, nil, "member and at"},
+	{"add without a number", MembershipChange{Op: "add", Addrs: newMemberAddrs}, []uint64{1}, nil, "needs a number"},
+	{"add without addresses", MembershipChange{Op: "add", MemberID: 4}, []uint64{1}, nil, "needs a number"},
 	{"remove a voter", MembershipChange{Op: "remove", MemberID: 1}, []uint64{1, 2}, nil, ""},
 	{"remove a learner", MembershipChange{Op: "remove", MemberID: 2}, []uint64{1}, []uint64{2}, ""},
 	{"remove the only voter", MembershipChange{Op: "remove", MemberID: 1}, []uint64{1}, []uint64{2}, "only voter"},
@@ -33,18 +33,18 @@
 	},
 	{
 		"replace by itself", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 1, Addrs: newMemberAddrs},
-		[]uint64{1, 2, 3}, nil, "a new number is wanted",
+		[]uint64{1, 2, 3}, nil, "with: must differ from member",
 	},
 	{
 		"replace without addresses", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 4},
-		[]uint64{1, 2, 3}, nil, "member and at",
+		[]uint64{1, 2, 3}, nil, "needs a number",
 	},
 	{"transfer to a voter", MembershipChange{Op: "transfer", MemberID: 2}, []uint64{1, 2}, nil, ""},
 	{
 		"transfer to a learner", MembershipChange{Op: "transfer", MemberID: 2}, []uint64{1}, []uint64{2},
-		"2 is no voter",
+		"2 is not a voter",
 	},
-	{"unknown operation", MembershipChange{Op: "move", MemberID: 1}, []uint64{1}, nil, "op: add, remove"},
+	{"unknown operation", MembershipChange{Op: "move", MemberID: 1}, []uint64{1}, nil, "op: must be add, remove"},
 }
 
 // Invalid membership changes are rejected with the reason.
@@ -70,8 +70,8 @@
 	}{
 		{"operator", raftnode.Identity{Cluster: "c", Operator: "amina"}, ""},
 		{"member", raftnode.Identity{Cluster: "c", Member: 1}, ""},
-		{"follower", raftnode.Identity{Cluster: "c", Follower: "north"}, `"north" is no operator`},
-		{"another cluster", raftnode.Identity{Cluster: "d", Operator: "amina"}, `of cluster "d"`},
+		{"follower", raftnode.Identity{Cluster: "c", Follower: "north"}, `"north" is not authorized`},
+		{"another cluster", raftnode.Identity{Cluster: "d", Operator: "amina"}, `belongs to cluster "d"`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			err := authorizeOperator(test.holder, "c")
