--- a/configstream/follower.go
+++ b/configstream/follower.go
@@ -48,7 +48,7 @@
 		f.update = update{step: stepPersistAccepted, version: accepted, isStartup: true}
 		return f, f.persist()
 	case rejectAccepted:
-		const text = "the process ended %d times while this version was put in force"
+		const text = "the process ended %d times while this version was being put in force"
 		f.update.version = accepted
 		return f, f.rejectWithText(fmt.Sprintf(text, f.durable.ActivationAttempts))
 	default:
--- a/configstream/follower_stream.go
+++ b/configstream/follower_stream.go
@@ -133,10 +133,10 @@
 // confirmed and older. Otherwise it returns "".
 func (p *Pong) divergenceWarning(running *Version) string {
 	const (
-		diverged = "the members have version %v, which is not the version %v in force here: " +
-			"two services have one epoch, or one was restored: agree on a new epoch"
-		older = "the members agree on version %v, older than %v in force here: " +
-			"the service was restored: agree on a new epoch"
+		diverged = "the members' newest version %v diverges from version %v in force here: " +
+			"two control services use one epoch, or one was restored; agree on a new epoch"
+		older = "the members' newest version %v is older than version %v in force here: " +
+			"the control service was restored; agree on a new epoch"
 	)
 	order := p.Newest.Compare(running.Ref)
 	switch {
--- a/configstream/messages.go
+++ b/configstream/messages.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Hello is the first message of a follower on a stream.
+// Hello is the first message of a follower on a stream. A follower without a version in force accepts only a push that
+// a quorum has confirmed since the stream began: it could not recognize an outdated one.
 type Hello struct {
 	Name         string // name in the follower's certificate
 	ProcessID    uint64 // random, chosen at the start of the process
 	StartCount   uint64 // number of processes that have used the follower's file, including this one
 	StreamNumber uint64 // number of streams that the process has opened, including this one
-	Running      *Ref   // version in force; nil if nothing is persisted: only versions confirmed from now on are accepted
+	Running      *Ref   // version in force in this process; nil if none is, or not yet
 	RunningFor   time.Duration
 	Rejections   []Rejection
 	MaxFormat    int // newest format that the follower can read
--- a/configstream/name_conflict.go
+++ b/configstream/name_conflict.go
@@ -8,8 +8,8 @@
 // findNameConflict returns a description of the conflict with another process that uses the follower's name, or "".
 // During a conflict neither process is sent a newer version.
 func (p *Publisher) findNameConflict(now time.Duration, s *session) (conflict string) {
-	const text = "processes %x and %x, at members %d and %d, are both called %s: " +
-		"end one, and give it a name and a file of its own"
+	const text = "processes %x and %x, connected to members %d and %d, are both called %s: " +
+		"stop one, and give it a name and a file of its own"
 	own := s.observed(now)
 	p.forEachObservation(now, s.hello.Name, func(member uint64, o ObservedStream) {
 		if !own.conflictsWith(&o, p.cfg.SilenceTimeout) {
--- a/configstream/publisher.go
+++ b/configstream/publisher.go
@@ -73,7 +73,7 @@
 	p.observations.dropRemovedFollowers(p.versions.isFollower)
 	return p.sessions.each(func(s *session) []StreamAction {
 		if !p.versions.isFollower(s.hello.Name) {
-			return p.endStream(now, s, "is no longer agreed on as a follower")
+			return p.endStream(now, s, "the follower is no longer configured")
 		}
 		return p.pushIfDue(now, s)
 	})
@@ -134,7 +134,7 @@
 	case pushTargetIfDue:
 		return p.pushIfDue(now, s)
 	case closeCorrupt:
-		return p.endStream(now, s, "the whole version did not reach it as it is")
+		return p.endStream(now, s, "the follower received a corrupt complete version")
 	}
 	return nil
 }
@@ -160,11 +160,11 @@
 // streams.
 func (p *Publisher) OpenStream(now time.Duration, id uint64, h Hello) (actions []StreamAction) {
 	if !p.versions.isFollower(h.Name) {
-		reason := fmt.Sprintf("%q is not agreed on as a follower", h.Name)
+		reason := fmt.Sprintf("%q is not a configured follower", h.Name)
 		return []StreamAction{{SessionID: id, CloseReason: reason}}
 	}
 	if !p.admission.admitStream(p.sessions.count()) {
-		return []StreamAction{{SessionID: id, CloseReason: "too many followers here"}}
+		return []StreamAction{{SessionID: id, CloseReason: "the member has the maximum number of followers"}}
 	}
 	for _, earlier := range slices.Clone(p.sessions.byName[h.Name]) {
 		if earlier.isReplacedBy(&h) {
--- a/configstream/session.go
+++ b/configstream/session.go
@@ -61,9 +61,9 @@
 func (s *session) timeoutReason(now time.Duration, cfg *PublisherConfig) (reason string) {
 	switch {
 	case now-s.receivedAt > cfg.SilenceTimeout:
-		return "silent"
+		return "the follower is silent"
 	case s.pendingNonce != 0 && now-s.pushedAt > cfg.PushReplyTimeout:
-		return "does not reply to a push"
+		return "the follower does not reply to a push"
 	}
 	return ""
 }
--- a/configstream/status.go
+++ b/configstream/status.go
@@ -95,9 +95,9 @@
 	case s.State == StateRunning:
 		return fmt.Sprintf("runs %v since %v", *s.Running, age)
 	case s.State == StateUnknown && s.Running != nil:
-		return fmt.Sprintf("is unknown since %v; it ran %v", age, *s.Running)
+		return fmt.Sprintf("has been unknown for %v; it ran %v", age, *s.Running)
 	case s.State == StateUnknown, s.State == StateWaiting:
-		return fmt.Sprintf("is %s since %v", s.State, age)
+		return fmt.Sprintf("has been %s for %v", s.State, age)
 	case s.State == StateNever:
 		return "was never heard of"
 	}
@@ -116,8 +116,8 @@
 // reason returns why the follower does not run the newest version, or "" if that is unknown.
 func (s *StreamStatus) reason(newest uint64) string {
 	const (
-		isOlder = "the members' newest is %d, which is older. " +
-			"A service that was restored needs a new epoch before followers take its versions"
+		isOlder = "the members' newest version is %d, which is older: " +
+			"after a restore, the control service needs a new epoch before followers accept its versions"
 		isPinned = "it takes nothing newer until it is unpinned; what is older than what it runs it never takes"
 		isNever  = "no member has had a stream from it. " +
 			"Does it run, with a certificate of that name and the members' stream addresses?"
@@ -135,11 +135,11 @@
 	case s.State == StateNever:
 		return isNever
 	case s.State == StateUnknown:
-		return "no member hears it. If it runs, it serves on what it had"
+		return "no member receives messages from it; if it runs, it serves with the version that it had"
 	case s.State == StateWaiting:
-		return "it has kept nothing and waits for a version that a quorum confirms"
+		return "it has no version in force and waits for one that a quorum confirms"
 	case s.Offered != nil && s.Offered.Number == newest:
-		return "it was offered the newest and has not replied yet"
+		return "the newest version was pushed to it, and it has not replied yet"
 	}
 	return ""
 }
--- a/configstream/update.go
+++ b/configstream/update.go
@@ -50,7 +50,7 @@
 	}
 	f.update.nonce = p.Nonce
 	if b.Format > Format {
-		const text = "it is in format %d, and this program knows up to %d: update it"
+		const text = "the version has format %d, and this program supports formats up to %d: update the program"
 		f.update.version = &Version{Ref: b.Ref}
 		return f.reject(Rejection{
 			Ref:                 b.Ref,
@@ -107,7 +107,7 @@
 	if err != nil {
 		f.update = update{}
 		f.pendingPush = nil
-		f.warning = fmt.Sprintf("its file can't be written: %v", err)
+		f.warning = fmt.Sprintf("the follower's file cannot be written: %v", err)
 		return []Action{{CloseStream: f.warning}}
 	}
 	switch u.step {
@@ -198,7 +198,7 @@
 		return nil
 	}
 	f.update.version = &Version{Ref: f.durable.Candidate}
-	const text = "the process ended %d times while this version was checked"
+	const text = "the process ended %d times while this version was being checked"
 	return f.rejectWithText(fmt.Sprintf(text, f.durable.CheckAttempts))
 }
 
