--- a/internal/raftnode/errors.go
+++ b/internal/raftnode/errors.go
@@ -14,8 +14,8 @@
 	// ErrRemoved reports that a membership change has removed this member.
 	ErrRemoved = errors.New("this member was removed from the cluster: its number is not used again")
 	// ErrOutcomeUnknown reports that the result of a proposal was lost: it may or may not be applied.
-	ErrOutcomeUnknown = errors.New("the leader changed meanwhile: " +
-		"it is not known whether the proposal will be applied; repeat it with the same id")
+	ErrOutcomeUnknown = errors.New("the leader has changed: " +
+		"the proposal may or may not be applied; repeat it with the same id")
 	// ErrUnknownAuthority reports that the peer's certificate is not signed by this cluster's authority.
 	ErrUnknownAuthority = errors.New("the certificate is not signed by this cluster's authority")
 )
@@ -31,11 +31,11 @@
 	// the member's last vote, and entries that the member has acknowledged.
 	ErrRestoredFile = errors.New("the file was changed or put here after its member last wrote it: " +
 		"if it is an old copy, let this member join again under a new number; " +
-		"if it is the newest, moved here, say so with gateway init --adopt")
+		"if it is the newest file and was moved here, accept it with gateway init --adopt")
 )
 
 // errTooManyReads rejects a read while maxPendingRequests reads are pending.
-var errTooManyReads = errors.New("too many reads are under way")
+var errTooManyReads = errors.New("too many reads are pending")
 
 // errTooManyProposals rejects a proposal while maxPendingRequests proposals are pending.
-var errTooManyProposals = errors.New("too many proposals are under way")
+var errTooManyProposals = errors.New("too many proposals are pending")
