--- a/configstream/action.go
+++ b/configstream/action.go
@@ -1,9 +1,9 @@
 package configstream
 
-// Action is an action that a follower's host carries out; exactly one field is set. At most one of Persist, Check and
-// Activate is in progress at a time. The host reports its completion with [Follower.PersistCompleted],
+// FollowerAction is an action that a follower's host carries out; exactly one field is set. At most one of Persist,
+// Check and Activate is in progress at a time. The host reports its completion with [Follower.PersistCompleted],
 // [Follower.CheckCompleted] or [Follower.ActivationCompleted].
-type Action struct {
+type FollowerAction struct {
 	Persist     *DurableState // state to write and sync
 	Check       *Version      // version to check before it is put in force
 	Activate    *Version      // version to put in force
--- a/configstream/durable_state.go
+++ b/configstream/durable_state.go
@@ -1,7 +1,7 @@
 package configstream
 
-// DurableState is the state of a follower that survives restarts. Each change to it results in an [Action] with Persist
-// set; the host must write and sync the state before it reports completion.
+// DurableState is the state of a follower that survives restarts. Each change to it results in a [FollowerAction] with
+// Persist set; the host must write and sync the state before it reports completion.
 type DurableState struct {
 	StartCount         uint64   // number of processes that have used the state, including this one
 	Accepted           *Version // version that passed its check, and is in force or about to be
--- a/configstream/follower.go
+++ b/configstream/follower.go
@@ -36,7 +36,7 @@
 // NewFollower returns a follower and its first actions. The version that was in force before the restart is activated
 // again without contacting a member. A version whose checks or activations have ended the process too often is
 // rejected.
-func NewFollower(cfg FollowerConfig, durable DurableState) (*Follower, []Action) {
+func NewFollower(cfg FollowerConfig, durable DurableState) (*Follower, []FollowerAction) {
 	f := &Follower{cfg: cfg, durable: durable, stream: newFollowerStream()}
 	f.durable.Rejections = validRejections(durable.Rejections)
 	accepted := f.durable.Accepted
--- a/configstream/follower_stream.go
+++ b/configstream/follower_stream.go
@@ -50,7 +50,7 @@
 
 // report returns the action that sends the reply to a push; rejection may be nil. Without an open stream nothing is
 // sent, since the hello of the next stream contains the same state.
-func (f *Follower) report(nonce uint64, result Result, ref Ref, rejection *Rejection) []Action {
+func (f *Follower) report(nonce uint64, result Result, ref Ref, rejection *Rejection) []FollowerAction {
 	if !f.stream.isOpen {
 		return nil
 	}
@@ -58,7 +58,7 @@
 	if rejection != nil {
 		r.Problems, r.IsUnsupportedFormat = rejection.Problems, rejection.IsUnsupportedFormat
 	}
-	return []Action{{Send: r}}
+	return []FollowerAction{{Send: r}}
 }
 
 // isSilent reports whether the member has sent nothing for longer than the timeout.
@@ -78,22 +78,22 @@
 }
 
 // Tick sends a ping if one is due, or closes the stream if the member is silent. The host calls it periodically.
-func (f *Follower) Tick(now time.Duration) []Action {
+func (f *Follower) Tick(now time.Duration) []FollowerAction {
 	s := &f.stream
 	if !s.isOpen {
 		return nil
 	}
 	if s.isSilent(now, f.cfg.SilenceTimeout) {
-		return []Action{{CloseStream: "the member is silent"}}
+		return []FollowerAction{{CloseStream: "the member is silent"}}
 	}
 	if sequence := s.nextPing(now, f.cfg.HeartbeatInterval); sequence != 0 {
-		return []Action{{Ping: sequence}}
+		return []FollowerAction{{Ping: sequence}}
 	}
 	return nil
 }
 
 // PongReceived handles the reply to a ping.
-func (f *Follower) PongReceived(now time.Duration, p Pong) (actions []Action) {
+func (f *Follower) PongReceived(now time.Duration, p Pong) (actions []FollowerAction) {
 	f.stream.receivedAt = now
 	requestedAt, ok := f.stream.pings[p.Sequence]
 	if !ok {
@@ -112,7 +112,7 @@
 		}
 	}
 	if warning != f.warning && warning != "" {
-		actions = append(actions, Action{Warning: warning})
+		actions = append(actions, FollowerAction{Warning: warning})
 	}
 	f.warning = warning
 	return actions
--- a/configstream/follower_test.go
+++ b/configstream/follower_test.go
@@ -13,20 +13,22 @@
 }
 
 // expect fails the test unless describeActions returns want for the actions.
-func (f *followerTest) expect(step, want string, actions []Action) {
+func (f *followerTest) expect(step, want string, actions []FollowerAction) {
 	f.t.Helper()
 	if got := describeActions(actions); got != want {
 		f.t.Fatalf("%s: got actions %q, want %q", step, got, want)
 	}
 }
 
-func (f *followerTest) push(nonce uint64, v, base *Version) []Action {
+func (f *followerTest) push(nonce uint64, v, base *Version) []FollowerAction {
 	return f.PushReceived(0, &Push{Nonce: nonce, Body: v.Body(base), IsConfirmed: true})
 }
 
-func (f *followerTest) persisted() []Action                  { return f.PersistCompleted(0, nil) }
-func (f *followerTest) checked(problems ...Problem) []Action { return f.CheckCompleted(0, problems) }
-func (f *followerTest) activated(err error) []Action         { return f.ActivationCompleted(0, err) }
+func (f *followerTest) persisted() []FollowerAction { return f.PersistCompleted(0, nil) }
+func (f *followerTest) checked(problems ...Problem) []FollowerAction {
+	return f.CheckCompleted(0, problems)
+}
+func (f *followerTest) activated(err error) []FollowerAction { return f.ActivationCompleted(0, err) }
 
 // A sequence of events results in the expected actions of a follower. Each part continues from the state at the end of
 // the previous one.
--- a/configstream/helpers_test.go
+++ b/configstream/helpers_test.go
@@ -65,7 +65,7 @@
 }
 
 // describeActions returns a follower's actions as text for comparisons.
-func describeActions(actions []Action) string {
+func describeActions(actions []FollowerAction) string {
 	var all []string
 	for _, a := range actions {
 		all = append(all, describeAction(&a))
@@ -73,7 +73,7 @@
 	return strings.Join(all, ", ")
 }
 
-func describeAction(a *Action) string {
+func describeAction(a *FollowerAction) string {
 	switch {
 	case a.Persist != nil:
 		return "persist"
--- a/configstream/simulation_follower_test.go
+++ b/configstream/simulation_follower_test.go
@@ -26,7 +26,7 @@
 		f.newestAtStart, f.lastActivated = sim.newest().Ref, nil
 	}
 	f.disk.StartCount++
-	var actions []Action
+	var actions []FollowerAction
 	f.node, actions = NewFollower(FollowerConfig{
 		Name:              f.name,
 		ProcessID:         sim.rng.Uint64(),
@@ -125,7 +125,7 @@
 }
 
 // perform carries out a follower's actions.
-func (sim *simulation) perform(f *simFollower, actions []Action) {
+func (sim *simulation) perform(f *simFollower, actions []FollowerAction) {
 	process := f.process
 	for _, a := range actions {
 		if !f.isUp || f.process != process {
--- a/configstream/update.go
+++ b/configstream/update.go
@@ -38,7 +38,7 @@
 }
 
 // PushReceived handles a push.
-func (f *Follower) PushReceived(now time.Duration, p *Push) []Action {
+func (f *Follower) PushReceived(now time.Duration, p *Push) []FollowerAction {
 	f.stream.receivedAt = now
 	if f.update.step != stepIdle {
 		f.pendingPush = p // replaces an earlier pending push
@@ -97,7 +97,7 @@
 
 // PersistCompleted handles the completion of the last Persist. After an error the state may not be on disk: the update
 // ends, the version in force is kept, and the stream is closed, since a report could be wrong after a restart.
-func (f *Follower) PersistCompleted(now time.Duration, err error) []Action {
+func (f *Follower) PersistCompleted(now time.Duration, err error) []FollowerAction {
 	u := &f.update
 	if err != nil && u.isStartup {
 		// The accepted version is activated even if the count of attempts cannot be persisted.
@@ -108,12 +108,12 @@
 		f.update = update{}
 		f.pendingPush = nil
 		f.warning = fmt.Sprintf("the follower's file cannot be written: %v", err)
-		return []Action{{CloseStream: f.warning}}
+		return []FollowerAction{{CloseStream: f.warning}}
 	}
 	switch u.step {
 	case stepPersistCandidate:
 		u.step = stepCheck
-		return []Action{{Check: u.version}}
+		return []FollowerAction{{Check: u.version}}
 	case stepPersistAccepted:
 		return f.activate(u.version)
 	case stepPersistActivation:
@@ -129,7 +129,7 @@
 
 // CheckCompleted handles the result of a check. The version is accepted if there are no problems, and rejected
 // otherwise.
-func (f *Follower) CheckCompleted(_ time.Duration, problems []Problem) []Action {
+func (f *Follower) CheckCompleted(_ time.Duration, problems []Problem) []FollowerAction {
 	if f.update.step != stepCheck {
 		return nil
 	}
@@ -143,7 +143,7 @@
 
 // ActivationCompleted handles the result of an activation. After an error the host must have the previous version in
 // force again.
-func (f *Follower) ActivationCompleted(now time.Duration, err error) []Action {
+func (f *Follower) ActivationCompleted(now time.Duration, err error) []FollowerAction {
 	u := &f.update
 	if u.step != stepActivate {
 		return nil
@@ -167,20 +167,20 @@
 	return f.persist()
 }
 
-func (f *Follower) persist() []Action {
+func (f *Follower) persist() []FollowerAction {
 	durable := f.durable
-	return []Action{{Persist: &durable}}
+	return []FollowerAction{{Persist: &durable}}
 }
 
-func (f *Follower) activate(v *Version) []Action {
+func (f *Follower) activate(v *Version) []FollowerAction {
 	f.update.step = stepActivate
 	f.update.version = v
 	f.update.isStartup = false
-	return []Action{{Activate: v}}
+	return []FollowerAction{{Activate: v}}
 }
 
 // reject persists a rejection of the update's version, so that no later push puts it in force, even after a restart.
-func (f *Follower) reject(r Rejection) []Action {
+func (f *Follower) reject(r Rejection) []FollowerAction {
 	f.update.fallback = f.durable.reject(r)
 	f.update.rejection = &r
 	f.update.step = stepPersistRejection
@@ -188,12 +188,12 @@
 }
 
 // rejectWithText rejects the update's version for a problem that is not specific to one object.
-func (f *Follower) rejectWithText(text string) []Action {
+func (f *Follower) rejectWithText(text string) []FollowerAction {
 	return f.reject(Rejection{Ref: f.update.version.Ref, Problems: []Problem{{Text: text}}})
 }
 
 // rejectFailedCandidate rejects the candidate if its checks have ended the process too often.
-func (f *Follower) rejectFailedCandidate() []Action {
+func (f *Follower) rejectFailedCandidate() []FollowerAction {
 	if !f.durable.hasFailedChecks(f.cfg.MaxAttempts) {
 		return nil
 	}
@@ -204,11 +204,11 @@
 
 // finish ends the update, replies to its push and handles the push that was received during the update. If the update
 // ended with a rejection, the reply reports the rejected version, not the fallback.
-func (f *Follower) finish(now time.Duration) (actions []Action) {
+func (f *Follower) finish(now time.Duration) (actions []FollowerAction) {
 	result, ref, rejection := ResultApplied, f.update.version.Ref, f.update.rejection
 	if rejection != nil {
 		result, ref = ResultRejected, rejection.Ref
-		actions = append(actions, Action{Rejected: rejection})
+		actions = append(actions, FollowerAction{Rejected: rejection})
 	}
 	actions = append(actions, f.report(f.update.nonce, result, ref, rejection)...)
 	f.update = update{}
--- a/internal/cluster/stream_client.go
+++ b/internal/cluster/stream_client.go
@@ -50,8 +50,8 @@
 	logger    *slog.Logger
 	startedAt time.Time
 
-	jobs      chan configstream.Action // Persist, Check or Activate; at most one is in progress
-	sendQueue chan any                 // configstream.Report, or a ping's sequence number
+	jobs      chan configstream.FollowerAction // Persist, Check or Activate; at most one is in progress
+	sendQueue chan any                         // configstream.Report, or a ping's sequence number
 
 	mu          sync.Mutex
 	follower    *configstream.Follower
@@ -69,7 +69,7 @@
 		handlers:  handlers,
 		logger:    logger.With(slog.String(logging.KeyFollower, cfg.Name)),
 		startedAt: time.Now(),
-		jobs:      make(chan configstream.Action, 1),
+		jobs:      make(chan configstream.FollowerAction, 1),
 		sendQueue: make(chan any, streamSendQueueSize),
 	}
 	follower, actions := configstream.NewFollower(configstream.FollowerConfig{
@@ -105,7 +105,7 @@
 func (c *StreamClient) now() time.Duration { return time.Since(c.startedAt) }
 
 // followerEvent passes an event to the state machine and returns the resulting actions.
-type followerEvent func(f *configstream.Follower, now time.Duration) []configstream.Action
+type followerEvent func(f *configstream.Follower, now time.Duration) []configstream.FollowerAction
 
 // handle passes an event to the state machine and dispatches the resulting actions.
 func (c *StreamClient) handle(event followerEvent) {
@@ -115,7 +115,7 @@
 }
 
 // dispatch executes or queues actions, without blocking. The caller holds the mutex.
-func (c *StreamClient) dispatch(actions []configstream.Action) {
+func (c *StreamClient) dispatch(actions []configstream.FollowerAction) {
 	for _, action := range actions {
 		switch {
 		case action.Send != nil:
@@ -167,16 +167,16 @@
 }
 
 // runJob runs one job and returns the event of its completion.
-func (c *StreamClient) runJob(job configstream.Action) followerEvent {
+func (c *StreamClient) runJob(job configstream.FollowerAction) followerEvent {
 	switch {
 	case job.Persist != nil:
 		err := c.handlers.Persist(job.Persist)
-		return func(f *configstream.Follower, now time.Duration) []configstream.Action {
+		return func(f *configstream.Follower, now time.Duration) []configstream.FollowerAction {
 			return f.PersistCompleted(now, err)
 		}
 	case job.Check != nil:
 		problems := c.handlers.Check(job.Check)
-		return func(f *configstream.Follower, now time.Duration) []configstream.Action {
+		return func(f *configstream.Follower, now time.Duration) []configstream.FollowerAction {
 			return f.CheckCompleted(now, problems)
 		}
 	case job.Activate != nil:
@@ -184,11 +184,11 @@
 		if err == nil {
 			c.logger.Info("version installed", slog.Any(logging.KeyVersion, job.Activate.Ref))
 		}
-		return func(f *configstream.Follower, now time.Duration) []configstream.Action {
+		return func(f *configstream.Follower, now time.Duration) []configstream.FollowerAction {
 			return f.ActivationCompleted(now, err)
 		}
 	default:
-		return func(*configstream.Follower, time.Duration) []configstream.Action { return nil }
+		return func(*configstream.Follower, time.Duration) []configstream.FollowerAction { return nil }
 	}
 }
 
--- a/internal/cluster/stream_connection.go
+++ b/internal/cluster/stream_connection.go
@@ -113,7 +113,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-			c.handle(func(f *configstream.Follower, now time.Duration) []configstream.Action { return f.Tick(now) })
+			c.handle(func(f *configstream.Follower, now time.Duration) []configstream.FollowerAction { return f.Tick(now) })
 		case message := <-c.sendQueue:
 			if err := stream.Send(message); err != nil {
 				return err
@@ -126,11 +126,11 @@
 func (c *StreamClient) handleMessage(message any) {
 	switch message := message.(type) {
 	case *configstream.Push:
-		c.handle(func(f *configstream.Follower, now time.Duration) []configstream.Action {
+		c.handle(func(f *configstream.Follower, now time.Duration) []configstream.FollowerAction {
 			return f.PushReceived(now, message)
 		})
 	case *configstream.Pong:
-		c.handle(func(f *configstream.Follower, now time.Duration) []configstream.Action {
+		c.handle(func(f *configstream.Follower, now time.Duration) []configstream.FollowerAction {
 			return f.PongReceived(now, *message)
 		})
 		c.confirm()
