--- a/configstream/gossip.go
+++ b/configstream/gossip.go
@@ -129,7 +129,7 @@
 // call.
 func (p *Publisher) GossipMessages(now time.Duration, batchSize int, isFull bool) (messages []GossipMessage) {
 	var all []ObservedStream
-	p.sessions.each(func(s *session) []StreamAction {
+	p.sessions.each(func(s *session) []PublisherAction {
 		if isFull || p.observations.changed[s.hello.Name] {
 			all = append(all, s.observed(now))
 		}
--- a/configstream/helpers_test.go
+++ b/configstream/helpers_test.go
@@ -39,7 +39,7 @@
 }
 
 // describeStreamActions returns a publisher's actions as text for comparisons. A "!" marks a confirmed push.
-func describeStreamActions(actions []StreamAction) string {
+func describeStreamActions(actions []PublisherAction) string {
 	var all []string
 	for _, a := range actions {
 		all = append(all, fmt.Sprint(a.SessionID, " ", describeStreamAction(&a)))
@@ -47,7 +47,7 @@
 	return strings.Join(all, ", ")
 }
 
-func describeStreamAction(a *StreamAction) string {
+func describeStreamAction(a *PublisherAction) string {
 	if a.CloseReason != "" {
 		return "close"
 	}
--- a/configstream/publisher.go
+++ b/configstream/publisher.go
@@ -19,8 +19,8 @@
 	DisableDeltas       bool          // push complete versions only; for benchmarks
 }
 
-// StreamAction is an action that a publisher's host carries out: send a message on a stream, or close the stream.
-type StreamAction struct {
+// PublisherAction is an action that a publisher's host carries out: send a message on a stream, or close the stream.
+type PublisherAction struct {
 	SessionID   uint64
 	Push        *Push
 	Pong        *Pong
@@ -66,12 +66,12 @@
 }
 
 // Publish makes a committed version the newest and pushes it. A version that is not newer than the last one is ignored.
-func (p *Publisher) Publish(now time.Duration, v *Version) []StreamAction {
+func (p *Publisher) Publish(now time.Duration, v *Version) []PublisherAction {
 	if !p.versions.publish(v) {
 		return nil
 	}
 	p.observations.dropRemovedFollowers(p.versions.isFollower)
-	return p.sessions.each(func(s *session) []StreamAction {
+	return p.sessions.each(func(s *session) []PublisherAction {
 		if !p.versions.isFollower(s.hello.Name) {
 			return p.endStream(now, s, "the follower is no longer configured")
 		}
@@ -80,11 +80,11 @@
 }
 
 // Confirm records that a quorum has confirmed that no version newer than ref had been committed as of requestedAt.
-func (p *Publisher) Confirm(now, requestedAt time.Duration, ref Ref) []StreamAction {
+func (p *Publisher) Confirm(now, requestedAt time.Duration, ref Ref) []PublisherAction {
 	if !p.versions.confirm(requestedAt, ref) {
 		return nil
 	}
-	return p.sessions.each(func(s *session) (actions []StreamAction) {
+	return p.sessions.each(func(s *session) (actions []PublisherAction) {
 		if s.isPingConfirmed(p.versions.confirmation) {
 			actions = append(actions, s.pong(p.versions.newest, true))
 		}
@@ -94,9 +94,9 @@
 
 // Tick closes streams whose follower is silent or does not reply to a push, answers pings that were not confirmed
 // within the timeout, and detects name conflicts. The host calls it periodically.
-func (p *Publisher) Tick(now time.Duration) []StreamAction {
+func (p *Publisher) Tick(now time.Duration) []PublisherAction {
 	p.observations.expire(now, gossipRetention*p.cfg.SilenceTimeout, p.versions.isFollower)
-	return p.sessions.each(func(s *session) []StreamAction {
+	return p.sessions.each(func(s *session) []PublisherAction {
 		if reason := s.timeoutReason(now, &p.cfg); reason != "" {
 			return p.endStream(now, s, reason)
 		}
@@ -105,7 +105,7 @@
 		hasConflict := s.nameConflict != ""
 		switch {
 		case hasConflict && !hadConflict, s.isPongLate(now, p.cfg.ConfirmationTimeout):
-			return []StreamAction{s.pong(p.versions.newest, false)}
+			return []PublisherAction{s.pong(p.versions.newest, false)}
 		case hadConflict && !hasConflict:
 			return p.pushIfDue(now, s)
 		}
@@ -114,7 +114,7 @@
 }
 
 // PingReceived handles a ping. The reply is sent when a quorum confirms the newest version, or after a timeout.
-func (p *Publisher) PingReceived(now time.Duration, id, sequence uint64) []StreamAction {
+func (p *Publisher) PingReceived(now time.Duration, id, sequence uint64) []PublisherAction {
 	if s := p.sessions.byID[id]; s != nil {
 		s.recordPing(now, sequence)
 	}
@@ -122,7 +122,7 @@
 }
 
 // ReportReceived handles a follower's report.
-func (p *Publisher) ReportReceived(now time.Duration, id uint64, r Report) []StreamAction {
+func (p *Publisher) ReportReceived(now time.Duration, id uint64, r Report) []PublisherAction {
 	s := p.sessions.byID[id]
 	if s == nil {
 		return nil
@@ -141,7 +141,7 @@
 
 // pushIfDue pushes the version that a follower should run, unless decidePush withholds it. Versions published while a
 // push is in flight are not queued; the newest is pushed after the reply.
-func (p *Publisher) pushIfDue(now time.Duration, s *session) []StreamAction {
+func (p *Publisher) pushIfDue(now time.Duration, s *session) []PublisherAction {
 	v := p.versions.target(s.hello.Name)
 	if s.decidePush(v, p.versions.confirmation) != pushNow {
 		return nil
@@ -153,18 +153,18 @@
 		Body:        p.versions.body(s.bodyBase(), v),
 		IsConfirmed: s.isConfirmedSinceStreamBegan(p.versions.confirmation),
 	}
-	return []StreamAction{{SessionID: s.id, Push: push}}
+	return []PublisherAction{{SessionID: s.id, Push: push}}
 }
 
 // OpenStream handles the first message of a new stream. The stream's ID must be higher than those of all earlier
 // streams.
-func (p *Publisher) OpenStream(now time.Duration, id uint64, h Hello) (actions []StreamAction) {
+func (p *Publisher) OpenStream(now time.Duration, id uint64, h Hello) (actions []PublisherAction) {
 	if !p.versions.isFollower(h.Name) {
 		reason := fmt.Sprintf("%q is not a configured follower", h.Name)
-		return []StreamAction{{SessionID: id, CloseReason: reason}}
+		return []PublisherAction{{SessionID: id, CloseReason: reason}}
 	}
 	if !p.admission.admitStream(p.sessions.count()) {
-		return []StreamAction{{SessionID: id, CloseReason: "the member has the maximum number of followers"}}
+		return []PublisherAction{{SessionID: id, CloseReason: "the member has the maximum number of followers"}}
 	}
 	for _, earlier := range slices.Clone(p.sessions.byName[h.Name]) {
 		if earlier.isReplacedBy(&h) {
@@ -178,9 +178,9 @@
 }
 
 // endStream closes a stream from the member's side.
-func (p *Publisher) endStream(now time.Duration, s *session, reason string) []StreamAction {
+func (p *Publisher) endStream(now time.Duration, s *session, reason string) []PublisherAction {
 	p.StreamClosed(now, s.id)
-	return []StreamAction{{SessionID: s.id, CloseReason: reason}}
+	return []PublisherAction{{SessionID: s.id, CloseReason: reason}}
 }
 
 // StreamClosed records that a stream has ended. The last observed state of its follower is retained.
--- a/configstream/publisher_test.go
+++ b/configstream/publisher_test.go
@@ -13,7 +13,7 @@
 }
 
 // expect fails the test unless describeStreamActions returns want for the actions.
-func (p *publisherTest) expect(step, want string, actions []StreamAction) {
+func (p *publisherTest) expect(step, want string, actions []PublisherAction) {
 	p.t.Helper()
 	if got := describeStreamActions(actions); got != want {
 		p.t.Fatalf("%s: got actions %q, want %q", step, got, want)
--- a/configstream/session.go
+++ b/configstream/session.go
@@ -88,9 +88,9 @@
 }
 
 // pong returns the reply to the last ping. During a name conflict no version is confirmed to either process.
-func (s *session) pong(newest *Version, isConfirmed bool) StreamAction {
+func (s *session) pong(newest *Version, isConfirmed bool) PublisherAction {
 	s.isPongDue = false
-	return StreamAction{SessionID: s.id, Pong: &Pong{
+	return PublisherAction{SessionID: s.id, Pong: &Pong{
 		Sequence:         s.pingSequence,
 		Newest:           newest.Ref,
 		PlacementVersion: newest.PlacementVersion,
--- a/configstream/session_table.go
+++ b/configstream/session_table.go
@@ -38,7 +38,7 @@
 }
 
 // each calls f for all streams in the order of their IDs and returns the actions of all calls. f may remove streams.
-func (t *sessionTable) each(f func(*session) []StreamAction) (actions []StreamAction) {
+func (t *sessionTable) each(f func(*session) []PublisherAction) (actions []PublisherAction) {
 	for _, id := range slices.Clone(t.order) {
 		if s := t.byID[id]; s != nil {
 			actions = append(actions, f(s)...)
--- a/configstream/simulation_follower_test.go
+++ b/configstream/simulation_follower_test.go
@@ -140,11 +140,11 @@
 			sim.performActivate(f, a.Activate)
 		case a.Send != nil:
 			report := *a.Send
-			sim.sendToMember(f, func(s *simStream) []StreamAction {
+			sim.sendToMember(f, func(s *simStream) []PublisherAction {
 				return s.member.publisher.ReportReceived(sim.now, s.id, report)
 			})
 		case a.Ping != 0:
-			sim.sendToMember(f, func(s *simStream) []StreamAction {
+			sim.sendToMember(f, func(s *simStream) []PublisherAction {
 				return s.member.publisher.PingReceived(sim.now, s.id, a.Ping)
 			})
 		case a.CloseStream != "":
@@ -198,7 +198,7 @@
 
 // sendToMember calls receive at the member's end of the follower's stream after the network delay, unless the message
 // is lost.
-func (sim *simulation) sendToMember(f *simFollower, receive func(*simStream) []StreamAction) {
+func (sim *simulation) sendToMember(f *simFollower, receive func(*simStream) []PublisherAction) {
 	s := f.stream
 	if s == nil || s.dropsMessages {
 		return
--- a/configstream/simulation_member_test.go
+++ b/configstream/simulation_member_test.go
@@ -149,7 +149,7 @@
 }
 
 // deliver carries out a member's actions. Followers receive the messages in order unless the stream breaks.
-func (sim *simulation) deliver(m *simMember, actions []StreamAction) {
+func (sim *simulation) deliver(m *simMember, actions []PublisherAction) {
 	for _, a := range actions {
 		s := m.streams[a.SessionID]
 		if s == nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-func (sim *simulation) deliverToFollower(s *simStream, a StreamAction) {
+func (sim *simulation) deliverToFollower(s *simStream, a PublisherAction) {
 	if s.isBroken || !s.isFollowerUp() {
 		return
 	}
--- a/internal/cluster/follower_server.go
+++ b/internal/cluster/follower_server.go
@@ -83,7 +83,7 @@
 func (s *followerServer) now() time.Duration { return time.Since(s.startedAt) }
 
 // publisherEvent passes an event to the publisher and returns the resulting actions.
-type publisherEvent func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction
+type publisherEvent func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction
 
 // handle passes an event to the publisher and queues the messages to send. It does not block on a session.
 func (s *followerServer) handle(event publisherEvent) {
@@ -125,7 +125,7 @@
 		return
 	}
 	version := configstream.NewVersion(state, newest) // takes long for a large state
-	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 		if s.newest == nil || version.Number > s.newest.Number {
 			s.newest = version
 			clear(s.encoded)
@@ -140,7 +140,7 @@
 		return
 	}
 	s.publish(c.state)
-	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 		if s.newest == nil || s.newest.Number != c.state.Version() {
 			return nil // a newer version has been agreed on, and is confirmed later
 		}
@@ -177,7 +177,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+			s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 				return p.Tick(now)
 			})
 		case <-summary.C:
--- a/internal/cluster/follower_session.go
+++ b/internal/cluster/follower_session.go
@@ -133,11 +133,11 @@
 				slog.String(logging.KeyFollower, c.follower), slog.Any(logging.KeyVersion, message.Ref),
 				slog.Any(logging.KeyProblems, message.Problems))
 		}
-		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 			return p.ReportReceived(now, c.id, message)
 		})
 	case uint64: // the sequence number of a ping
-		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 			return p.PingReceived(now, c.id, message)
 		})
 	}
@@ -147,7 +147,7 @@
 // add assigns the session an ID and opens its stream at the publisher.
 func (c *followerSession) add(hello configstream.Hello) {
 	s := c.server
-	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 		s.lastSessionID++
 		c.id = s.lastSessionID
 		s.sessions[c.id] = c
