--- a/cmd/gateway/stream_explain.go
+++ b/cmd/gateway/stream_explain.go
@@ -17,13 +17,13 @@
 
 func (c *streamExplainCmd) Run(e *environment, sc *streamCmd) error {
 	var newest uint64
-	request := func(ctx context.Context, client *cluster.Client) (status configstream.StreamStatus, err error) {
+	request := func(ctx context.Context, client *cluster.Client) (status configstream.ObservedStatus, err error) {
 		list, err := client.Followers(ctx)
 		if err != nil {
 			return status, err
 		}
 		newest = list.NewestVersion
-		i := slices.IndexFunc(list.Followers, func(status configstream.StreamStatus) bool {
+		i := slices.IndexFunc(list.Followers, func(status configstream.ObservedStatus) bool {
 			return status.Name == c.Follower
 		})
 		if i < 0 {
@@ -31,7 +31,7 @@
 		}
 		return list.Followers[i], nil
 	}
-	return showResult(&sc.clusterFlags, e, request, func(out io.Writer, status configstream.StreamStatus) error {
+	return showResult(&sc.clusterFlags, e, request, func(out io.Writer, status configstream.ObservedStatus) error {
 		fmt.Fprintln(out, status.Explain(newest))
 		return nil
 	})
--- a/configstream/fixture_test.go
+++ b/configstream/fixture_test.go
@@ -19,7 +19,7 @@
 func fixtureMessages(one, two *Version) map[string]any {
 	problems := []Problem{{"plan/kati", "rate", "out of range"}}
 	ref := one.Ref
-	status := StreamStatus{
+	status := ObservedStatus{
 		Name:            "edge-1",
 		State:           "running",
 		Running:         &ref,
@@ -56,7 +56,7 @@
 				},
 			},
 		},
-		"standing, empty":     StreamStatus{},
+		"standing, empty":     ObservedStatus{},
 		"standing":            status,
 		"standing, plain":     status.Summary(),
 		"standing, explained": status.Explain(2),
--- a/configstream/names.go
+++ b/configstream/names.go
@@ -18,7 +18,7 @@
 	ResultDiverged:    "foreign",
 }
 
-// States of a [StreamStatus]. They are part of the management API's JSON.
+// States of an [ObservedStatus]. They are part of the management API's JSON.
 const (
 	StateRunning = "running" // the follower has a version in force
 	StateWaiting = "waiting" // the follower is connected and has no version in force
--- a/configstream/status.go
+++ b/configstream/status.go
@@ -9,8 +9,8 @@
 // summaryPrecision is the precision to which durations in summaries are rounded.
 const summaryPrecision = 100 * time.Millisecond
 
-// StreamStatus is the status of a follower as observed by the members.
-type StreamStatus struct {
+// ObservedStatus is the status of a follower as observed by the members.
+type ObservedStatus struct {
 	Name            string        `json:"name"`
 	State           string        `json:"state"` // StateRunning, StateWaiting, StateUnknown or StateNever
 	Running         *Ref          `json:"running,omitempty"`
@@ -24,15 +24,15 @@
 }
 
 // Statuses returns the statuses of all configured followers, sorted by name.
-func (p *Publisher) Statuses(now time.Duration) (all []StreamStatus) {
+func (p *Publisher) Statuses(now time.Duration) (all []ObservedStatus) {
 	for _, name := range p.versions.followerNames() {
 		all = append(all, p.status(now, name))
 	}
 	return all
 }
 
-func (p *Publisher) status(now time.Duration, name string) StreamStatus {
-	st := StreamStatus{Name: name, State: StateNever, PinnedVersion: p.versions.pins[name]}
+func (p *Publisher) status(now time.Duration, name string) ObservedStatus {
+	st := ObservedStatus{Name: name, State: StateNever, PinnedVersion: p.versions.pins[name]}
 	for _, s := range p.sessions.byName[name] {
 		st.NameConflict = cmp.Or(s.nameConflict, st.NameConflict)
 	}
@@ -70,13 +70,13 @@
 }
 
 // IsRejecting reports whether the follower has rejected a newer version than the one that it runs.
-func (s *StreamStatus) IsRejecting() bool {
+func (s *ObservedStatus) IsRejecting() bool {
 	r := s.LatestRejection
 	return r != nil && (s.Running == nil || r.Compare(*s.Running) == OrderNewer)
 }
 
 // Summary describes the status for operators.
-func (s *StreamStatus) Summary() string {
+func (s *ObservedStatus) Summary() string {
 	text := s.stateSummary()
 	if s.PinnedVersion > 0 {
 		text += fmt.Sprintf(", pinned to %d", s.PinnedVersion)
@@ -87,7 +87,7 @@
 	return text
 }
 
-func (s *StreamStatus) stateSummary() string {
+func (s *ObservedStatus) stateSummary() string {
 	age := s.StateAge.Round(summaryPrecision)
 	switch {
 	case s.NameConflict != "":
@@ -105,7 +105,7 @@
 }
 
 // Explain describes the status for operators, with the reason for which the follower does not run the newest version.
-func (s *StreamStatus) Explain(newest uint64) string {
+func (s *ObservedStatus) Explain(newest uint64) string {
 	text := s.Name + " " + s.Summary()
 	if reason := s.reason(newest); reason != "" {
 		text += ": " + reason
@@ -114,7 +114,7 @@
 }
 
 // reason returns why the follower does not run the newest version, or "" if that is unknown.
-func (s *StreamStatus) reason(newest uint64) string {
+func (s *ObservedStatus) reason(newest uint64) string {
 	const (
 		isOlder = "the members' newest version is %d, which is older: " +
 			"after a restore, the control service needs a new epoch before followers accept its versions"
--- a/internal/cluster/client_await.go
+++ b/internal/cluster/client_await.go
@@ -104,7 +104,7 @@
 }
 
 // runsVersion reports whether a follower runs at least a version, or at least the version that it is pinned to.
-func runsVersion(follower configstream.StreamStatus, version uint64) bool {
+func runsVersion(follower configstream.ObservedStatus, version uint64) bool {
 	if follower.State != configstream.StateRunning {
 		return false
 	}
--- a/internal/cluster/fixture_test.go
+++ b/internal/cluster/fixture_test.go
@@ -313,7 +313,7 @@
 		MembershipChange{Op: "add", MemberID: 1, ReplacementID: 2, Addrs: at},
 		errorResponse{"why"},
 		FollowerList{},
-		FollowerList{MemberID: 1, NewestVersion: 2, Followers: []configstream.StreamStatus{{}}},
+		FollowerList{MemberID: 1, NewestVersion: 2, Followers: []configstream.ObservedStatus{{}}},
 		FollowerStatus{},
 	} {
 		writeJSON(w, 200, v)
--- a/internal/cluster/follower_server.go
+++ b/internal/cluster/follower_server.go
@@ -40,9 +40,9 @@
 
 // FollowerList is a member's response with the followers' statuses.
 type FollowerList struct {
-	MemberID      uint64                      `json:"member"` // ID of the responding member
-	NewestVersion uint64                      `json:"newest"` // newest version at that member
-	Followers     []configstream.StreamStatus `json:"followers"`
+	MemberID      uint64                        `json:"member"` // ID of the responding member
+	NewestVersion uint64                        `json:"newest"` // newest version at that member
+	Followers     []configstream.ObservedStatus `json:"followers"`
 }
 
 // followerServer serves the configuration stream to followers. The publisher decides what is sent; a session's
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -73,23 +73,23 @@
 // followerGauge is a gauge of the followers whose status matches a condition.
 type followerGauge struct {
 	desc    *prometheus.Desc
-	matches func(*configstream.StreamStatus) bool
+	matches func(*configstream.ObservedStatus) bool
 }
 
 // followerGauges are the gauges of followers besides those by state.
 var followerGauges = []followerGauge{
 	{
 		newGaugeDesc("mulleingate_followers_behind", "Followers that run and do not have the newest version."),
-		func(s *configstream.StreamStatus) bool { return s.IsBehind },
+		func(s *configstream.ObservedStatus) bool { return s.IsBehind },
 	},
 	{
 		newGaugeDesc("mulleingate_followers_refusing",
 			"Followers that have refused a version newer than what they run."),
-		(*configstream.StreamStatus).IsRejecting,
+		(*configstream.ObservedStatus).IsRejecting,
 	},
 	{
 		newGaugeDesc("mulleingate_followers_twins", "Names that two processes have."),
-		func(s *configstream.StreamStatus) bool { return s.NameConflict != "" },
+		func(s *configstream.ObservedStatus) bool { return s.NameConflict != "" },
 	},
 }
 
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -237,7 +237,7 @@
 	}
 	for _, f := range c.followers {
 		i := slices.IndexFunc(list.Followers,
-			func(s configstream.StreamStatus) bool { return s.Name == f.followerName })
+			func(s configstream.ObservedStatus) bool { return s.Name == f.followerName })
 		if i < 0 || list.Followers[i].State != "running" || list.Followers[i].Running.Number != list.NewestVersion {
 			text += fmt.Sprintf("member %d has version %d, and %s: %+v; ", list.MemberID, list.NewestVersion,
 				f.followerName, list.Followers)
