--- a/configstream/names.go
+++ b/configstream/names.go
@@ -20,8 +20,8 @@
 
 // States of an [ObservedStatus]. They are part of the management API's JSON.
 const (
-	StateRunning = "running" // the follower has a version in force
-	StateWaiting = "waiting" // the follower is connected and has no version in force
-	StateUnknown = "unknown" // no message was received for longer than the silence timeout
-	StateNever   = "never"   // no member has observed a stream of the follower
+	StateRunning        = "running" // the follower has a version in force
+	StateWaiting        = "waiting" // the follower is connected and has no version in force
+	StateUnknown        = "unknown" // no message was received for longer than the silence timeout
+	StateNeverConnected = "never"   // no member has observed a stream of the follower
 )
--- a/configstream/status.go
+++ b/configstream/status.go
@@ -12,7 +12,7 @@
 // ObservedStatus is the status of a follower as observed by the members.
 type ObservedStatus struct {
 	Name            string        `json:"name"`
-	State           string        `json:"state"` // StateRunning, StateWaiting, StateUnknown or StateNever
+	State           string        `json:"state"` // one of the State constants, such as StateRunning
 	Running         *Ref          `json:"running,omitempty"`
 	StateAge        time.Duration `json:"since_ns,omitempty"` // time in State with the version Running
 	Offered         *Ref          `json:"offered,omitempty"`  // version in the last push
@@ -32,7 +32,7 @@
 }
 
 func (p *Publisher) status(now time.Duration, name string) ObservedStatus {
-	st := ObservedStatus{Name: name, State: StateNever, PinnedVersion: p.versions.pins[name]}
+	st := ObservedStatus{Name: name, State: StateNeverConnected, PinnedVersion: p.versions.pins[name]}
 	for _, s := range p.sessions.byName[name] {
 		st.NameConflict = cmp.Or(s.nameConflict, st.NameConflict)
 	}
@@ -98,7 +98,7 @@
 		return fmt.Sprintf("has been unknown for %v; it ran %v", age, *s.Running)
 	case s.State == StateUnknown, s.State == StateWaiting:
 		return fmt.Sprintf("has been %s for %v", s.State, age)
-	case s.State == StateNever:
+	case s.State == StateNeverConnected:
 		return "was never heard of"
 	}
 	return s.State
@@ -132,7 +132,7 @@
 		return fmt.Sprintf(isOlder, newest)
 	case s.LatestRejection != nil && s.LatestRejection.Number == newest:
 		return "it takes the next version that mends that"
-	case s.State == StateNever:
+	case s.State == StateNeverConnected:
 		return isNever
 	case s.State == StateUnknown:
 		return "no member receives messages from it; if it runs, it serves with the version that it had"
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -236,10 +236,10 @@
 	followers := s.publisher.Statuses(s.now())
 	s.mu.Unlock()
 	states := map[string]int{
-		configstream.StateRunning: 0,
-		configstream.StateWaiting: 0,
-		configstream.StateUnknown: 0,
-		configstream.StateNever:   0,
+		configstream.StateRunning:        0,
+		configstream.StateWaiting:        0,
+		configstream.StateUnknown:        0,
+		configstream.StateNeverConnected: 0,
 	}
 	for _, f := range followers {
 		states[f.State]++
