--- a/configstream/follower_stream.go
+++ b/configstream/follower_stream.go
@@ -50,7 +50,7 @@
 
 // report returns the action that sends the reply to a push; rejection may be nil. Without an open stream nothing is
 // sent, since the hello of the next stream contains the same state.
-func (f *Follower) report(nonce uint64, result Result, ref Ref, rejection *Rejection) []FollowerAction {
+func (f *Follower) report(nonce uint64, result PushResult, ref Ref, rejection *Rejection) []FollowerAction {
 	if !f.stream.isOpen {
 		return nil
 	}
--- a/configstream/messages.go
+++ b/configstream/messages.go
@@ -22,27 +22,27 @@
 	IsConfirmed bool // a quorum has confirmed, since the stream began, that no newer version had been committed
 }
 
-// Result is the outcome of a push at its follower.
-type Result int
+// PushResult is the outcome of a push at its follower.
+type PushResult int
 
 // Results of a push.
 const (
-	ResultStatusOnly  Result = iota // the report is not a reply to a push and contains the version in force only
-	ResultApplied                   // the version is in force and persisted
-	ResultRejected                  // the version will never be in force; the report contains the problems
-	ResultNeedsFull                 // the base of the delta is missing, or the body is corrupt
-	ResultNotNewer                  // the version in force is the same or newer
-	ResultUnconfirmed               // no version is in force, and the pushed one is not confirmed
-	ResultDiverged                  // two control services use the same epoch
+	ResultStatusOnly  PushResult = iota // the report is not a reply to a push and contains the version in force only
+	ResultApplied                       // the version is in force and persisted
+	ResultRejected                      // the version will never be in force; the report contains the problems
+	ResultNeedsFull                     // the base of the delta is missing, or the body is corrupt
+	ResultNotNewer                      // the version in force is the same or newer
+	ResultUnconfirmed                   // no version is in force, and the pushed one is not confirmed
+	ResultDiverged                      // two control services use the same epoch
 )
 
 // String returns the name that logs use for the result.
-func (r Result) String() string { return resultNames[r] }
+func (r PushResult) String() string { return resultNames[r] }
 
 // Report is a follower's reply to a push, or a report of its status.
 type Report struct {
 	Nonce               uint64 // nonce of the push; 0 if the report is not a reply
-	Result              Result
+	Result              PushResult
 	Ref                 Ref  // pushed version
 	Running             *Ref // version in force; nil if there is none
 	Problems            []Problem
--- a/configstream/names.go
+++ b/configstream/names.go
@@ -7,7 +7,7 @@
 // wordRejected is the word for a rejected version.
 const wordRejected = "refused"
 
-// resultNames are the names of results in logs, by [Result].
+// resultNames are the names of results in logs, by [PushResult].
 var resultNames = [...]string{
 	ResultStatusOnly:  "stated",
 	ResultApplied:     "applied",
--- a/configstream/publisher_test.go
+++ b/configstream/publisher_test.go
@@ -35,7 +35,7 @@
 }
 
 // reply returns the reply to the last push.
-func (p *publisherTest) reply(result Result, pushed, running *Version) Report {
+func (p *publisherTest) reply(result PushResult, pushed, running *Version) Report {
 	return Report{Nonce: p.nonce, Result: result, Ref: pushed.Ref, Running: &running.Ref}
 }
 
--- a/configstream/update.go
+++ b/configstream/update.go
@@ -70,7 +70,7 @@
 
 // pushReply is a reply to a push that does not depend on the push's content.
 type pushReply struct {
-	result    Result
+	result    PushResult
 	rejection *Rejection // the earlier rejection if the version was rejected before; nil otherwise
 }
 
--- a/internal/configstreampb/messages.go
+++ b/internal/configstreampb/messages.go
@@ -106,7 +106,7 @@
 func decodeReport(in *Report) configstream.Report {
 	return configstream.Report{
 		Nonce:               in.Nonce,
-		Result:              configstream.Result(in.Result),
+		Result:              configstream.PushResult(in.Result),
 		Ref:                 *decodeRef(in.Ref),
 		Running:             decodeRef(in.Running),
 		Problems:            decodeProblems(in.Problems),
