--- a/clusterconfig/objects.go
+++ b/clusterconfig/objects.go
@@ -14,7 +14,7 @@
 	OverQuotaCost     float64 `json:"over_cost,omitempty"`
 }
 
-// Licensee is a customer.
+// Licensee is a licensed customer, named by the object's name. The named plan contains its quotas.
 type Licensee struct {
 	Plan string `json:"plan"`
 }
