--- a/configstream/messages.go
+++ b/configstream/messages.go
@@ -9,7 +9,7 @@
 	ProcessID    uint64 // random, chosen at the start of the process
 	StartCount   uint64 // number of processes that have used the follower's file, including this one
 	StreamNumber uint64 // number of streams that the process has opened, including this one
-	Running      *Ref   // version in force in this process; nil if none is, or not yet
+	Running      *Ref   // version in force; nil until the process has put one in force, even if one is persisted
 	RunningFor   time.Duration
 	Rejections   []Rejection
 	MaxFormat    int // newest format that the follower can read
--- a/configstream/publisher.go
+++ b/configstream/publisher.go
@@ -21,7 +21,7 @@
 
 // PublisherAction is an action that a publisher's host carries out: send a message on a stream, or close the stream.
 type PublisherAction struct {
-	SessionID   uint64
+	SessionID   uint64 // the ID that the host has passed to OpenStream
 	Push        *Push
 	Pong        *Pong
 	CloseReason string // reason for closing the stream; empty if it stays open
