--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -49,16 +49,16 @@
 )
 
 const (
-	defaultAdminTimeout    = 10 * time.Second
-	maxAdminTimeout        = 2 * time.Minute
-	adminHeaderTimeout     = 5 * time.Second
-	adminReadTimeout       = time.Minute
-	adminIdleTimeout       = time.Minute
-	adminWriteSlack        = 10 * time.Second // added to maxAdminTimeout
-	leaderLookupTimeout    = time.Second
-	maxAdminHeaderBytes    = 16 << 10
-	maxConcurrentAdminReqs = 16
-	maxAdminBodyBytes      = 2 * clusterconfig.MaxProposalBytes // whitespace can make a body longer than the log entry
+	defaultAdminTimeout        = 10 * time.Second
+	maxAdminTimeout            = 2 * time.Minute
+	adminHeaderTimeout         = 5 * time.Second
+	adminReadTimeout           = time.Minute
+	adminIdleTimeout           = time.Minute
+	adminWriteSlack            = 10 * time.Second // added to maxAdminTimeout
+	leaderLookupTimeout        = time.Second
+	maxAdminHeaderBytes        = 16 << 10
+	maxConcurrentAdminRequests = 16
+	maxAdminBodyBytes          = 2 * clusterconfig.MaxProposalBytes // whitespace can make a body longer than the log entry
 )
 
 // errorResponse is the JSON body of an error.
@@ -79,7 +79,7 @@
 }
 
 // adminServer serves the admin API of a member. It admits only callers with an operator's or a member's certificate,
-// and at most maxConcurrentAdminReqs calls at a time. It serves from the start of the member's Raft node, before the
+// and at most maxConcurrentAdminRequests calls at a time. It serves from the start of the member's Raft node, before the
 // gateway instance has started: until then a status lacks the fields of the instance, and /metrics the metrics of its
 // requests.
 type adminServer struct {
@@ -88,7 +88,7 @@
 }
 
 func newAdminServer(m *Member) *adminServer {
-	return &adminServer{member: m, inFlight: make(chan struct{}, maxConcurrentAdminReqs)}
+	return &adminServer{member: m, inFlight: make(chan struct{}, maxConcurrentAdminRequests)}
 }
 
 // serve serves the admin API until the caller closes the returned server.
@@ -123,7 +123,7 @@
 }
 
 // admitCallers rejects calls without an operator's or a member's certificate with status 403, and calls beyond
-// maxConcurrentAdminReqs with status 503.
+// maxConcurrentAdminRequests with status 503.
 func (a *adminServer) admitCallers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := a.authenticate(r); err != nil {
