--- a/configstream/gossip.go
+++ b/configstream/gossip.go
@@ -146,7 +146,7 @@
 	})
 	for i := 0; i < len(all); {
 		end := endOfNameGroup(all, min(i+batchSize, len(all)))
-		messages = append(messages, GossipMessage{p.cfg.Member, all[i:end]})
+		messages = append(messages, GossipMessage{p.cfg.MemberID, all[i:end]})
 		i = end
 	}
 	return messages
@@ -163,7 +163,7 @@
 
 // GossipReceived handles another member's message. Its observations of a follower replace that member's earlier ones.
 func (p *Publisher) GossipReceived(now time.Duration, m GossipMessage) {
-	if m.Member != p.cfg.Member {
+	if m.Member != p.cfg.MemberID {
 		p.observations.receive(now, m, p.versions.isFollower)
 	}
 }
@@ -171,7 +171,7 @@
 // forEachObservation calls f for each observation of a follower's streams, by this member and by the others.
 func (p *Publisher) forEachObservation(now time.Duration, name string, f func(member uint64, o ObservedStream)) {
 	for _, s := range p.sessions.byName[name] {
-		f(p.cfg.Member, s.observed(now))
+		f(p.cfg.MemberID, s.observed(now))
 	}
 	p.observations.each(now, name, f)
 }
--- a/configstream/name_conflict.go
+++ b/configstream/name_conflict.go
@@ -17,7 +17,7 @@
 		}
 		conflict = fmt.Sprintf(text,
 			min(own.ProcessID, o.ProcessID), max(own.ProcessID, o.ProcessID),
-			min(p.cfg.Member, member), max(p.cfg.Member, member), own.Name)
+			min(p.cfg.MemberID, member), max(p.cfg.MemberID, member), own.Name)
 	})
 	return conflict
 }
--- a/configstream/pin_test.go
+++ b/configstream/pin_test.go
@@ -17,7 +17,7 @@
 	limit := clusterconfig.NewPutChange("limit", "units", clusterconfig.Limit{Max: 2})
 	vs := committedVersions(t, follower(0), []clusterconfig.Change{limit}, follower(2), follower(0))
 	p := &publisherTest{t: t, Publisher: NewPublisher(PublisherConfig{
-		Member:              1,
+		MemberID:            1,
 		SilenceTimeout:      time.Hour,
 		PushReplyTimeout:    time.Hour,
 		MaxRetainedVersions: 9,
--- a/configstream/publisher.go
+++ b/configstream/publisher.go
@@ -8,7 +8,7 @@
 
 // PublisherConfig is the configuration of a [Publisher].
 type PublisherConfig struct {
-	Member              uint64
+	MemberID            uint64
 	SilenceTimeout      time.Duration // time without a message from a follower after which its stream is closed
 	PushReplyTimeout    time.Duration // time without a reply to a push after which the stream is closed
 	ConfirmationTimeout time.Duration // time that the reply to a ping waits for a quorum confirmation
@@ -52,7 +52,7 @@
 		admission:    newAdmissionLimiter(&cfg),
 		versions:     newVersionStore(&cfg),
 		sessions:     newSessionTable(),
-		observations: newObservationTable(cfg.Member),
+		observations: newObservationTable(cfg.MemberID),
 		lastNonce:    seed &^ (1<<nonceBits - 1),
 	}
 }
--- a/configstream/publisher_test.go
+++ b/configstream/publisher_test.go
@@ -41,7 +41,7 @@
 
 func newPublisherTest(t *testing.T) *publisherTest {
 	return &publisherTest{t: t, Publisher: NewPublisher(PublisherConfig{
-		Member:              1,
+		MemberID:            1,
 		SilenceTimeout:      3 * time.Second,
 		PushReplyTimeout:    5 * time.Second,
 		ConfirmationTimeout: time.Second,
--- a/configstream/simulation_member_test.go
+++ b/configstream/simulation_member_test.go
@@ -42,7 +42,7 @@
 	m.process++
 	m.isDown, m.streams = false, map[uint64]*simStream{}
 	m.publisher = NewPublisher(PublisherConfig{
-		Member:              m.id,
+		MemberID:            m.id,
 		SilenceTimeout:      time.Second,
 		PushReplyTimeout:    2 * time.Second,
 		ConfirmationTimeout: 300 * time.Millisecond,
--- a/internal/cluster/follower_server.go
+++ b/internal/cluster/follower_server.go
@@ -61,7 +61,7 @@
 
 func newFollowerServer(m *Member) *followerServer {
 	cfg := configstream.PublisherConfig{
-		Member:              m.cfg.MemberID,
+		MemberID:            m.cfg.MemberID,
 		SilenceTimeout:      streamSilenceTimeout,
 		PushReplyTimeout:    pushReplyTimeout,
 		ConfirmationTimeout: streamConfirmationTimeout,
