--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -79,9 +79,9 @@
 }
 
 // adminServer serves the admin API of a member. It admits only callers with an operator's or a member's certificate,
-// and at most maxConcurrentAdminRequests calls at a time. It serves from the start of the member's Raft node, before the
-// gateway instance has started: until then a status lacks the fields of the instance, and /metrics the metrics of its
-// requests.
+// and at most maxConcurrentAdminRequests calls at a time. It serves from the start of the member's Raft node, before
+// the gateway instance has started: until then a status lacks the fields of the instance, and /metrics the metrics of
+// its requests.
 type adminServer struct {
 	member   *Member
 	inFlight chan struct{} // holds a token for each call in progress
