--- a/configstream/names.go
+++ b/configstream/names.go
@@ -7,7 +7,7 @@
 // wordRejected is the word for a rejected version.
 const wordRejected = "refused"
 
-// resultNames are the names of results in logs, by [Result].
+// resultNames are the names of results in logs, by [PushResult].
 var resultNames = [...]string{
 	ResultStatusOnly:  "stated",
 	ResultApplied:     "applied",
@@ -18,10 +18,10 @@
 	ResultDiverged:    "foreign",
 }
 
-// States of a [StreamStatus]. They are part of the management API's JSON.
+// States of an [ObservedStatus]. They are part of the management API's JSON.
 const (
-	StateRunning = "running" // the follower has a version in force
-	StateWaiting = "waiting" // the follower is connected and has no version in force
-	StateUnknown = "unknown" // no message was received for longer than the silence timeout
-	StateNever   = "never"   // no member has observed a stream of the follower
+	StateRunning        = "running" // the follower has a version in force
+	StateWaiting        = "waiting" // the follower is connected and has no version in force
+	StateUnknown        = "unknown" // no message was received for longer than the silence timeout
+	StateNeverConnected = "never"   // no member has observed a stream of the follower
 )
--- a/configstream/publisher_test.go
+++ b/configstream/publisher_test.go
@@ -13,7 +13,7 @@
 }
 
 // expect fails the test unless describeStreamActions returns want for the actions.
-func (p *publisherTest) expect(step, want string, actions []StreamAction) {
+func (p *publisherTest) expect(step, want string, actions []PublisherAction) {
 	p.t.Helper()
 	if got := describeStreamActions(actions); got != want {
 		p.t.Fatalf("%s: got actions %q, want %q", step, got, want)
@@ -35,13 +35,13 @@
 }
 
 // reply returns the reply to the last push.
-func (p *publisherTest) reply(result Result, pushed, running *Version) Report {
+func (p *publisherTest) reply(result PushResult, pushed, running *Version) Report {
 	return Report{Nonce: p.nonce, Result: result, Ref: pushed.Ref, Running: &running.Ref}
 }
 
 func newPublisherTest(t *testing.T) *publisherTest {
 	return &publisherTest{t: t, Publisher: NewPublisher(PublisherConfig{
-		Member:              1,
+		MemberID:            1,
 		SilenceTimeout:      3 * time.Second,
 		PushReplyTimeout:    5 * time.Second,
 		ConfirmationTimeout: time.Second,
--- a/configstream/session.go
+++ b/configstream/session.go
@@ -61,9 +61,9 @@
 func (s *session) timeoutReason(now time.Duration, cfg *PublisherConfig) (reason string) {
 	switch {
 	case now-s.receivedAt > cfg.SilenceTimeout:
-		return "silent"
+		return "the follower is silent"
 	case s.pendingNonce != 0 && now-s.pushedAt > cfg.PushReplyTimeout:
-		return "does not reply to a push"
+		return "the follower does not reply to a push"
 	}
 	return ""
 }
@@ -88,9 +88,9 @@
 }
 
 // pong returns the reply to the last ping. During a name conflict no version is confirmed to either process.
-func (s *session) pong(newest *Version, isConfirmed bool) StreamAction {
+func (s *session) pong(newest *Version, isConfirmed bool) PublisherAction {
 	s.isPongDue = false
-	return StreamAction{SessionID: s.id, Pong: &Pong{
+	return PublisherAction{SessionID: s.id, Pong: &Pong{
 		Sequence:         s.pingSequence,
 		Newest:           newest.Ref,
 		PlacementVersion: newest.PlacementVersion,
--- a/configstream/status.go
+++ b/configstream/status.go
@@ -9,10 +9,10 @@
 // summaryPrecision is the precision to which durations in summaries are rounded.
 const summaryPrecision = 100 * time.Millisecond
 
-// StreamStatus is the status of a follower as observed by the members.
-type StreamStatus struct {
+// ObservedStatus is the status of a follower as observed by the members.
+type ObservedStatus struct {
 	Name            string        `json:"name"`
-	State           string        `json:"state"` // StateRunning, StateWaiting, StateUnknown or StateNever
+	State           string        `json:"state"` // one of the State constants, such as StateRunning
 	Running         *Ref          `json:"running,omitempty"`
 	StateAge        time.Duration `json:"since_ns,omitempty"` // time in State with the version Running
 	Offered         *Ref          `json:"offered,omitempty"`  // version in the last push
@@ -24,15 +24,15 @@
 }
 
 // Statuses returns the statuses of all configured followers, sorted by name.
-func (p *Publisher) Statuses(now time.Duration) (all []StreamStatus) {
+func (p *Publisher) Statuses(now time.Duration) (all []ObservedStatus) {
 	for _, name := range p.versions.followerNames() {
 		all = append(all, p.status(now, name))
 	}
 	return all
 }
 
-func (p *Publisher) status(now time.Duration, name string) StreamStatus {
-	st := StreamStatus{Name: name, State: StateNever, PinnedVersion: p.versions.pins[name]}
+func (p *Publisher) status(now time.Duration, name string) ObservedStatus {
+	st := ObservedStatus{Name: name, State: StateNeverConnected, PinnedVersion: p.versions.pins[name]}
 	for _, s := range p.sessions.byName[name] {
 		st.NameConflict = cmp.Or(s.nameConflict, st.NameConflict)
 	}
@@ -70,13 +70,13 @@
 }
 
 // IsRejecting reports whether the follower has rejected a newer version than the one that it runs.
-func (s *StreamStatus) IsRejecting() bool {
+func (s *ObservedStatus) IsRejecting() bool {
 	r := s.LatestRejection
 	return r != nil && (s.Running == nil || r.Compare(*s.Running) == OrderNewer)
 }
 
 // Summary describes the status for operators.
-func (s *StreamStatus) Summary() string {
+func (s *ObservedStatus) Summary() string {
 	text := s.stateSummary()
 	if s.PinnedVersion > 0 {
 		text += fmt.Sprintf(", pinned to %d", s.PinnedVersion)
@@ -87,7 +87,7 @@
 	return text
 }
 
-func (s *StreamStatus) stateSummary() string {
+func (s *ObservedStatus) stateSummary() string {
 	age := s.StateAge.Round(summaryPrecision)
 	switch {
 	case s.NameConflict != "":
@@ -95,17 +95,17 @@
 	case s.State == StateRunning:
 		return fmt.Sprintf("runs %v since %v", *s.Running, age)
 	case s.State == StateUnknown && s.Running != nil:
-		return fmt.Sprintf("is unknown since %v; it ran %v", age, *s.Running)
+		return fmt.Sprintf("has been unknown for %v; it ran %v", age, *s.Running)
 	case s.State == StateUnknown, s.State == StateWaiting:
-		return fmt.Sprintf("is %s since %v", s.State, age)
-	case s.State == StateNever:
+		return fmt.Sprintf("has been %s for %v", s.State, age)
+	case s.State == StateNeverConnected:
 		return "was never heard of"
 	}
 	return s.State
 }
 
 // Explain describes the status for operators, with the reason for which the follower does not run the newest version.
-func (s *StreamStatus) Explain(newest uint64) string {
+func (s *ObservedStatus) Explain(newest uint64) string {
 	text := s.Name + " " + s.Summary()
 	if reason := s.reason(newest); reason != "" {
 		text += ": " + reason
@@ -114,10 +114,10 @@
 }
 
 // reason returns why the follower does not run the newest version, or "" if that is unknown.
-func (s *StreamStatus) reason(newest uint64) string {
+func (s *ObservedStatus) reason(newest uint64) string {
 	const (
-		isOlder = "the members' newest is %d, which is older. " +
-			"A service that was restored needs a new epoch before followers take its versions"
+		isOlder = "the members' newest version is %d, which is older: " +
+			"after a restore, the control service needs a new epoch before followers accept its versions"
 		isPinned = "it takes nothing newer until it is unpinned; what is older than what it runs it never takes"
 		isNever  = "no member has had a stream from it. " +
 			"Does it run, with a certificate of that name and the members' stream addresses?"
@@ -132,14 +132,14 @@
 		return fmt.Sprintf(isOlder, newest)
 	case s.LatestRejection != nil && s.LatestRejection.Number == newest:
 		return "it takes the next version that mends that"
-	case s.State == StateNever:
+	case s.State == StateNeverConnected:
 		return isNever
 	case s.State == StateUnknown:
-		return "no member hears it. If it runs, it serves on what it had"
+		return "no member receives messages from it; if it runs, it serves with the version that it had"
 	case s.State == StateWaiting:
-		return "it has kept nothing and waits for a version that a quorum confirms"
+		return "it has no version in force and waits for one that a quorum confirms"
 	case s.Offered != nil && s.Offered.Number == newest:
-		return "it was offered the newest and has not replied yet"
+		return "the newest version was pushed to it, and it has not replied yet"
 	}
 	return ""
 }
--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -49,16 +49,16 @@
 )
 
 const (
-	defaultAdminTimeout    = 10 * time.Second
-	maxAdminTimeout        = 2 * time.Minute
-	adminHeaderTimeout     = 5 * time.Second
-	adminReadTimeout       = time.Minute
-	adminIdleTimeout       = time.Minute
-	adminWriteSlack        = 10 * time.Second // added to maxAdminTimeout
-	leaderLookupTimeout    = time.Second
-	maxAdminHeaderBytes    = 16 << 10
-	maxConcurrentAdminReqs = 16
-	maxAdminBodyBytes      = 2 * clusterconfig.MaxProposalBytes // whitespace can make a body longer than the log entry
+	defaultAdminTimeout        = 10 * time.Second
+	maxAdminTimeout            = 2 * time.Minute
+	adminHeaderTimeout         = 5 * time.Second
+	adminReadTimeout           = time.Minute
+	adminIdleTimeout           = time.Minute
+	adminWriteSlack            = 10 * time.Second // added to maxAdminTimeout
+	leaderLookupTimeout        = time.Second
+	maxAdminHeaderBytes        = 16 << 10
+	maxConcurrentAdminRequests = 16
+	maxAdminBodyBytes          = 2 * clusterconfig.MaxProposalBytes // whitespace can make a body longer than the log entry
 )
 
 // errorResponse is the JSON body of an error.
@@ -79,14 +79,16 @@
 }
 
 // adminServer serves the admin API of a member. It admits only callers with an operator's or a member's certificate,
-// and at most maxConcurrentAdminReqs calls at a time.
+// and at most maxConcurrentAdminRequests calls at a time. It serves from the start of the member's Raft node, before
+// the gateway instance has started: until then a status lacks the fields of the instance, and /metrics the metrics of
+// its requests.
 type adminServer struct {
 	member   *Member
 	inFlight chan struct{} // holds a token for each call in progress
 }
 
 func newAdminServer(m *Member) *adminServer {
-	return &adminServer{member: m, inFlight: make(chan struct{}, maxConcurrentAdminReqs)}
+	return &adminServer{member: m, inFlight: make(chan struct{}, maxConcurrentAdminRequests)}
 }
 
 // serve serves the admin API until the caller closes the returned server.
@@ -121,7 +123,7 @@
 }
 
 // admitCallers rejects calls without an operator's or a member's certificate with status 403, and calls beyond
-// maxConcurrentAdminReqs with status 503.
+// maxConcurrentAdminRequests with status 503.
 func (a *adminServer) admitCallers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := a.authenticate(r); err != nil {
@@ -133,7 +135,7 @@
 			defer func() { <-a.inFlight }()
 			next.ServeHTTP(w, r)
 		default:
-			writeJSON(w, http.StatusServiceUnavailable, errorResponse{"too many operators ask at a time"})
+			writeJSON(w, http.StatusServiceUnavailable, errorResponse{"too many admin requests are in progress"})
 		}
 	})
 }
@@ -162,10 +164,10 @@
 // the configuration.
 func authorizeOperator(holder raftnode.Identity, cluster string) error {
 	if holder.Cluster != cluster {
-		return fmt.Errorf("the certificate is of cluster %q: this is cluster %q", holder.Cluster, cluster)
+		return fmt.Errorf("the certificate belongs to cluster %q: this is cluster %q", holder.Cluster, cluster)
 	}
 	if holder.Follower != "" {
-		return fmt.Errorf("follower %q is no operator", holder.Follower)
+		return fmt.Errorf("follower %q is not authorized: only operators and members may call the admin API", holder.Follower)
 	}
 	return nil
 }
@@ -232,13 +234,13 @@
 	if status.Leader != 0 {
 		leader = fmt.Sprint(status.Leader)
 	}
-	return fmt.Sprintf("member %d: %v; voters are %v, leader %s", status.ID, err, status.Voters, leader)
+	return fmt.Sprintf("member %d: %v (voters: %v, leader: %s)", status.ID, err, status.Voters, leader)
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		status, text = http.StatusInternalServerError, []byte(`{"error":"the answer can't be worded"}`)
+		status, text = http.StatusInternalServerError, []byte(`{"error":"the response cannot be encoded"}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/cluster/client_await.go
+++ b/internal/cluster/client_await.go
@@ -91,7 +91,7 @@
 		return "", 0, err
 	}
 	if list.NewestVersion < version {
-		missing = fmt.Sprintf("; member %d offers version %d", list.MemberID, list.NewestVersion)
+		missing = fmt.Sprintf("; the newest version of member %d is %d", list.MemberID, list.NewestVersion)
 		return missing, 1 + len(list.Followers), nil
 	}
 	for _, follower := range list.Followers {
@@ -104,7 +104,7 @@
 }
 
 // runsVersion reports whether a follower runs at least a version, or at least the version that it is pinned to.
-func runsVersion(follower configstream.StreamStatus, version uint64) bool {
+func runsVersion(follower configstream.ObservedStatus, version uint64) bool {
 	if follower.State != configstream.StateRunning {
 		return false
 	}
--- a/internal/cluster/follower_server.go
+++ b/internal/cluster/follower_server.go
@@ -40,9 +40,9 @@
 
 // FollowerList is a member's response with the followers' statuses.
 type FollowerList struct {
-	MemberID      uint64                      `json:"member"` // ID of the responding member
-	NewestVersion uint64                      `json:"newest"` // newest version at that member
-	Followers     []configstream.StreamStatus `json:"followers"`
+	MemberID      uint64                        `json:"member"` // ID of the responding member
+	NewestVersion uint64                        `json:"newest"` // newest version at that member
+	Followers     []configstream.ObservedStatus `json:"followers"`
 }
 
 // followerServer serves the configuration stream to followers. The publisher decides what is sent; a session's
@@ -61,7 +61,7 @@
 
 func newFollowerServer(m *Member) *followerServer {
 	cfg := configstream.PublisherConfig{
-		Member:              m.cfg.MemberID,
+		MemberID:            m.cfg.MemberID,
 		SilenceTimeout:      streamSilenceTimeout,
 		PushReplyTimeout:    pushReplyTimeout,
 		ConfirmationTimeout: streamConfirmationTimeout,
@@ -83,7 +83,7 @@
 func (s *followerServer) now() time.Duration { return time.Since(s.startedAt) }
 
 // publisherEvent passes an event to the publisher and returns the resulting actions.
-type publisherEvent func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction
+type publisherEvent func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction
 
 // handle passes an event to the publisher and queues the messages to send. It does not block on a session.
 func (s *followerServer) handle(event publisherEvent) {
@@ -125,7 +125,7 @@
 		return
 	}
 	version := configstream.NewVersion(state, newest) // takes long for a large state
-	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 		if s.newest == nil || version.Number > s.newest.Number {
 			s.newest = version
 			clear(s.encoded)
@@ -140,7 +140,7 @@
 		return
 	}
 	s.publish(c.state)
-	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 		if s.newest == nil || s.newest.Number != c.state.Version() {
 			return nil // a newer version has been agreed on, and is confirmed later
 		}
@@ -177,7 +177,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+			s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 				return p.Tick(now)
 			})
 		case <-summary.C:
@@ -257,7 +257,7 @@
 		return "", err
 	}
 	if cluster := s.member.cfg.Cluster; holder.Cluster != cluster || holder.Follower == "" {
-		return "", fmt.Errorf("the certificate is not of a follower of cluster %q", cluster)
+		return "", fmt.Errorf("the certificate does not belong to a follower of cluster %q", cluster)
 	}
 	return holder.Follower, nil
 }
@@ -266,7 +266,7 @@
 func (a *adminServer) followerList(context.Context, *http.Request) (*FollowerList, error) {
 	s := a.member.followers
 	if s == nil {
-		return nil, newBadRequest("stream: this member serves no followers: it has no cluster.stream")
+		return nil, newBadRequest("stream: this member serves no followers: its configuration does not set cluster.stream")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/follower_session.go
+++ b/internal/cluster/follower_session.go
@@ -27,7 +27,7 @@
 	select {
 	case c.sendQueue <- message:
 	default:
-		c.end("does not read")
+		c.end("the follower does not read its messages")
 	}
 }
 
@@ -103,12 +103,12 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return "the member stops"
+			return "the member is stopping"
 		case reason := <-c.endReason:
 			return reason
 		case <-helloTimeout.C:
 			if c.id == 0 {
-				return "no hello came"
+				return "no hello was received within the timeout"
 			}
 		case message := <-received:
 			if reason := c.handleMessage(message); reason != "" {
@@ -123,7 +123,7 @@
 	switch message := message.(type) {
 	case configstream.Hello:
 		if c.id != 0 {
-			return "a second hello"
+			return "a second hello was received"
 		}
 		message.Name = c.follower
 		c.add(message)
@@ -133,11 +133,11 @@
 				slog.String(logging.KeyFollower, c.follower), slog.Any(logging.KeyVersion, message.Ref),
 				slog.Any(logging.KeyProblems, message.Problems))
 		}
-		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 			return p.ReportReceived(now, c.id, message)
 		})
 	case uint64: // the sequence number of a ping
-		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+		c.server.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 			return p.PingReceived(now, c.id, message)
 		})
 	}
@@ -147,7 +147,7 @@
 // add assigns the session an ID and opens its stream at the publisher.
 func (c *followerSession) add(hello configstream.Hello) {
 	s := c.server
-	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.StreamAction {
+	s.handle(func(p *configstream.Publisher, now time.Duration) []configstream.PublisherAction {
 		s.lastSessionID++
 		c.id = s.lastSessionID
 		s.sessions[c.id] = c
