--- a/internal/edgeproxy/framing.go
+++ b/internal/edgeproxy/framing.go
@@ -10,7 +10,7 @@
 // HTTP/1.1 it ignores the Transfer-Encoding. So the head is checked as it was received.
 func checkFraming(r *http.Request, head []byte) error {
 	if r.ProtoMajor != 1 || r.ProtoMinor != 1 {
-		return &badRequestError{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 is spoken here"}
+		return &badRequestError{status: http.StatusHTTPVersionNotSupported, text: "only HTTP/1.1 is supported"}
 	}
 	if len(r.TransferEncoding) == 0 {
 		return nil
@@ -18,7 +18,7 @@
 	if len(r.TransferEncoding) != 1 || r.TransferEncoding[0] != "chunked" || !isUnambiguouslyChunked(r, head) {
 		return &badRequestError{
 			status: http.StatusLengthRequired,
-			text:   "Transfer-Encoding: one \"chunked\" without a Content-Length is wanted",
+			text:   "Transfer-Encoding: must be a single \"chunked\", without a Content-Length",
 		}
 	}
 	return nil
--- a/internal/edgeproxy/request_body.go
+++ b/internal/edgeproxy/request_body.go
@@ -150,7 +150,7 @@
 	}
 	tooLarge := &badRequestError{
 		status: http.StatusRequestEntityTooLarge,
-		text:   fmt.Sprintf("body: over %d MiB", maxRequestBody>>20),
+		text:   fmt.Sprintf("body: larger than the limit of %d MiB", maxRequestBody>>20),
 	}
 	if r.ContentLength > maxRequestBody {
 		return bufferedBody{}, tooLarge
--- a/internal/edgeproxy/request_parsing.go
+++ b/internal/edgeproxy/request_parsing.go
@@ -89,7 +89,7 @@
 func singleHeader(r *http.Request, name string) (string, error) {
 	values := r.Header[name]
 	if len(values) != 1 || values[0] == "" {
-		return "", badRequestf("%s: %d values where one is wanted", name, len(values))
+		return "", badRequestf("%s: exactly one non-empty value is required (got %d values)", name, len(values))
 	}
 	return values[0], nil
 }
@@ -105,12 +105,12 @@
 	if r.Method != forwarded.method {
 		return forwarded, &badRequestError{
 			status: http.StatusMethodNotAllowed,
-			text:   "method: the class wants " + forwarded.method,
+			text:   "method: the class requires " + forwarded.method,
 			allow:  forwarded.method,
 		}
 	}
 	if idempotency == policy.Idempotent && r.ContentLength != 0 {
-		return forwarded, badRequestf("body: the class has none")
+		return forwarded, badRequestf("body: not allowed for this class")
 	}
 	if idempotency == policy.IdempotentWithKey {
 		forwarded.key, err = singleHeader(r, headerIdempotencyKey)
@@ -157,7 +157,7 @@
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if seen[name] {
-			return badRequestf(headerMetering+": %q stands twice", name)
+			return badRequestf(headerMetering+": %q is given twice", name)
 		}
 		seen[name] = true
 		isValid := true
@@ -179,7 +179,7 @@
 	}
 	offset := (settings.InstanceIndex - engineRequest.FirstInstance + settings.InstanceCount) % settings.InstanceCount
 	if offset >= engineRequest.InstanceCount {
-		return badRequestf(headerMetering + ": the customer does not come through this node")
+		return badRequestf(headerMetering + ": this node does not serve the customer")
 	}
 	return nil
 }
--- a/internal/edgeproxy/wire_names.go
+++ b/internal/edgeproxy/wire_names.go
@@ -23,8 +23,8 @@
 
 // Bodies of answers.
 const (
-	textRejected     = "refused: trying again is harmless"
-	textShuttingDown = "refused: ending"
+	textRejected     = "rejected: a retry is safe"
+	textShuttingDown = "rejected: the node is shutting down"
 	textFailed       = "failed"
 	textReady        = "ready"
 	textNotReady     = "not ready"
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -216,9 +216,10 @@
 	switch {
 	case head.Chunked:
 		return &badRequest{status: http.StatusLengthRequired, close: true,
-			text: "Content-Length is wanted, not Transfer-Encoding"}
+			text: "Content-Length is required; Transfer-Encoding is not supported"}
 	case head.Length > maxRequestBody:
-		return &badRequest{status: http.StatusRequestEntityTooLarge, text: "body: over 64 KiB", close: true}
+		return &badRequest{status: http.StatusRequestEntityTooLarge, close: true,
+			text: "body: larger than the limit of 64 KiB"}
 	}
 	return nil
 }
--- a/internal/gateway/relayed_request.go
+++ b/internal/gateway/relayed_request.go
@@ -197,7 +197,8 @@
 func relayID(head *httpwire.Head) (string, error) {
 	id, count := head.Values(relayIDField)
 	if count != 1 || id == "" {
-		return "", &badRequest{status: http.StatusBadRequest, text: relayIDField + ": one is wanted"}
+		return "", &badRequest{status: http.StatusBadRequest,
+			text: relayIDField + ": exactly one non-empty value is required"}
 	}
 	return id, nil
 }
--- a/internal/gateway/request_parse.go
+++ b/internal/gateway/request_parse.go
@@ -82,7 +82,7 @@
 	if head.NamesConnectionFields {
 		// Intermediaries drop the fields that Connection names, and the cost could depend on such a field.
 		return &badRequest{status: http.StatusBadRequest,
-			text: "Connection: names other fields than close and keep-alive"}
+			text: "Connection: options other than close and keep-alive are not supported"}
 	}
 	if err := checkOverrides(head, query); err != nil {
 		return err
@@ -105,11 +105,12 @@
 	name, n := r.requestHead.Values(licenseeField)
 	r.licensee = name
 	if n != 1 || name == "" {
-		return Licensee{}, &badRequest{status: http.StatusBadRequest, text: licenseeField + ": one is wanted"}
+		return Licensee{}, &badRequest{status: http.StatusBadRequest,
+			text: licenseeField + ": exactly one non-empty value is required"}
 	}
 	licensee, ok := r.version.licensees[name]
 	if !ok {
-		return Licensee{}, &badRequest{status: http.StatusForbidden, text: licenseeField + ": is not known"}
+		return Licensee{}, &badRequest{status: http.StatusForbidden, text: licenseeField + ": unknown licensee"}
 	}
 	return licensee, nil
 }
@@ -170,11 +171,12 @@
 	for i := range head.Fields {
 		if field := overridingField(head.Fields[i].Name); field != "" {
 			return &badRequest{status: http.StatusBadRequest,
-				text: field + ": the method and path are those of the request's line"}
+				text: field + ": overriding the method or target of the request line is not supported"}
 		}
 	}
 	if strings.Contains(query, "_method") {
-		return &badRequest{status: http.StatusBadRequest, text: "_method: the method is that of the request's line"}
+		return &badRequest{status: http.StatusBadRequest,
+			text: "_method: overriding the method of the request line is not supported"}
 	}
 	return nil
 }
--- a/internal/gateway/texts.go
+++ b/internal/gateway/texts.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Texts that clients, servers, other instances and operators' tools read. They use older terms than the code and must
-// not be changed. The keys of the access log are the JSON tags of [RequestRecord].
+// Texts that clients, servers, other instances and operators' tools read. Names, paths, outcomes and reasons use older
+// terms than the code and must not be changed. The keys of the access log are the JSON tags of [RequestRecord].
 
 // outcomeTexts are the names of outcomes in the access log.
 var outcomeTexts = [...]string{served: "served", rejected: "refused", failed: "failed"}
@@ -34,13 +34,14 @@
 	healthCheckHost     = "hall"
 )
 
-// Bodies of responses.
+// Bodies of responses. The IDs of relayed requests are called crossings in textVoided and textRepeated, which other
+// instances receive; these two must not be changed.
 const (
-	textRejected    = "refused: trying again does no harm"
-	textUnconfirmed = "refused: trying again at another instance does no harm"
-	textDraining    = "refused: ending; trying again at another instance does no harm"
+	textRejected    = "rejected: a retry is safe"
+	textUnconfirmed = "rejected: a retry at another instance is safe"
+	textDraining    = "rejected: the instance is draining; a retry at another instance is safe"
 	textMayHaveRun  = "failed: it may have run"
-	textNotSent     = "failed: nothing was sent on"
+	textNotSent     = "failed: the request was not forwarded"
 	textVoided      = "the crossing is void or can't be remembered"
 	textRepeated    = "the crossing has come before"
 
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -23,9 +23,9 @@
 var (
 	ErrTooLarge  = errors.New("head is too large")
 	ErrMalformed = errors.New("head is malformed")
-	ErrLength    = errors.New("body's length is malformed or told twice")
-	ErrCoding    = errors.New("transfer coding is not read")
-	ErrVersion   = errors.New("HTTP/1.1 is spoken here")
+	ErrLength    = errors.New("body length is malformed or given twice")
+	ErrCoding    = errors.New("transfer coding is not supported")
+	ErrVersion   = errors.New("only HTTP/1.1 is supported")
 )
 
 // Field is one field line of a head.
