--- a/internal/edgeproxy/answer_writing.go
+++ b/internal/edgeproxy/answer_writing.go
@@ -49,23 +49,23 @@
 }
 
 // streamResponse forwards a long response while it is being received, and returns the result.
-func (s *clientServer) streamResponse(w http.ResponseWriter, rep serverResponse) policy.Result {
-	setContentType(w.Header(), rep)
-	if rep.stream.length >= 0 {
-		w.Header()["Content-Length"] = []string{strconv.FormatInt(rep.stream.length, 10)}
+func (s *clientServer) streamResponse(w http.ResponseWriter, resp serverResponse) policy.Result {
+	setContentType(w.Header(), resp)
+	if resp.stream.length >= 0 {
+		w.Header()["Content-Length"] = []string{strconv.FormatInt(resp.stream.length, 10)}
 	}
 	w.WriteHeader(http.StatusOK)
-	result := rep.stream.copyTo(w, rep.body)
-	rep.stream.finish(result)
+	result := resp.stream.copyTo(w, resp.body)
+	resp.stream.finish(result)
 	return result
 }
 
 // setContentType forwards a response's Content-Type. The nil value keeps net/http from guessing a type where the
 // response has none.
-func setContentType(h http.Header, rep serverResponse) {
+func setContentType(h http.Header, resp serverResponse) {
 	h["Content-Type"] = nil
-	if rep.contentType != "" {
-		h["Content-Type"] = []string{rep.contentType}
+	if resp.contentType != "" {
+		h["Content-Type"] = []string{resp.contentType}
 	}
 }
 
--- a/internal/edgeproxy/exchange_test.go
+++ b/internal/edgeproxy/exchange_test.go
@@ -51,10 +51,10 @@
 				return respondWith(c.text)(conn, r, body) && !strings.Contains(c.text, "Connection: close")
 			})
 			pool := newTestPool(s.instance("a"))
-			rep, res := runExchange(t, pool, "a")
+			resp, res := runExchange(t, pool, "a")
 			wantResult(t, res, c.want)
-			if res == policy.OK && string(rep.body) != "body" {
-				t.Errorf("response body: got %q, want \"body\"", rep.body)
+			if res == policy.OK && string(resp.body) != "body" {
+				t.Errorf("response body: got %q, want \"body\"", resp.body)
 			}
 			if got := len(idleConns(pool, "a")) == 1; got != c.isReused {
 				t.Errorf("connection kept in the pool: got %v, want %v", got, c.isReused)
@@ -315,9 +315,9 @@
 	options := serverPoolOptions{minIdleTime: defaultMinIdleTime, now: clock.now}
 	pool := newTestPoolWith(time.Hour, options, app.instance("a"))
 	for range 5 {
-		rep, res := runExchange(t, pool, "a")
-		if wantResult(t, res, policy.OK); string(rep.body) != "body" {
-			t.Fatalf("response body: got %q, want \"body\"", rep.body)
+		resp, res := runExchange(t, pool, "a")
+		if wantResult(t, res, policy.OK); string(resp.body) != "body" {
+			t.Fatalf("response body: got %q, want \"body\"", resp.body)
 		}
 	}
 	c, err := pool.Acquire(t.Context(), "a")
--- a/internal/edgeproxy/request_body.go
+++ b/internal/edgeproxy/request_body.go
@@ -18,9 +18,9 @@
 	alwaysBufferedBody  = 64 << 10                // bytes of a request's body that is buffered whatever the budget
 	maxBufferedBody     = 2 << 20                 // bytes of the longest request body that is buffered
 	maxRequestBody      = 40 << 20                // bytes of the longest request body that is accepted
-	minBodyTimeout      = 2300 * time.Millisecond // for a short body; clients may take 2 s to send one
-	bodyStallTimeout    = 1500 * time.Millisecond // without data of a longer body
-	minBodyRate         = 16 << 10                // bytes a second that a longer body must reach on average
+	minBodyTimeout      = 2300 * time.Millisecond // for any body; clients may take 2 s to send a short one
+	bodyStallTimeout    = 1500 * time.Millisecond // between two pieces of a body, once minBodyTimeout has passed
+	minBodyRate         = 16 << 10                // average bytes per second, once minBodyTimeout has passed
 	forwardWriteTimeout = 5 * time.Second         // for an app server to accept a chunk of a body
 	initialChunkedBody  = 2 << 10                 // bytes of the first buffer for a body of unknown length
 )
--- a/internal/edgeproxy/request_table_test.go
+++ b/internal/edgeproxy/request_table_test.go
@@ -39,7 +39,7 @@
 				t.Error("the request is still in the table")
 			}
 			if server.node.deadlineExceeded(pending); len(pending.answer) != 0 {
-				t.Error("a second final answer")
+				t.Error("request got a second final answer")
 			}
 		})
 	}
@@ -134,21 +134,21 @@
 		}
 		c.Close()
 	}
-	eventually(t, "all seen to have left", metric("app.current=0"))
+	eventually(t, "all disconnects noticed", metric("app.current=0"))
 	remainingClient := dial(t, n.addr)
 	remainingClient.send(request("check", "stays"))
 	eventually(t, "one more received", metric("app.current=1"))
 	ids := make(chan string, burst)
 	go answerAfterFillers(ln, fillers, ids)
 	if a := remainingClient.read(); a.status != 200 {
-		t.Errorf("the one that stayed: %d", a.status)
+		t.Errorf("request of the client that stayed: got status %d, want 200", a.status)
 	}
 	if id := <-ids; id != "stays" || len(ids) != 0 {
-		t.Errorf("%q was forwarded, and %d more", id, len(ids))
+		t.Errorf("forwarded requests: got %q and %d more, want only \"stays\"", id, len(ids))
 	}
 	if !metric("app.sends=1")() || !metric("app.sends_after_leave=0")() {
 		_, text := callAdmin(t, "GET", cfg.AdminListen, adminCountersPath)
-		t.Errorf("one request had a client, and forwarded were:\n%s", text)
+		t.Errorf("metrics do not count exactly one forwarded request:\n%s", text)
 	}
 }
 
@@ -178,12 +178,12 @@
 	ids := make(chan string, burst+1)
 	go answerAfterFillers(ln, fillers, ids)
 	if a := remainingClient.read(); a.status != 200 {
-		t.Errorf("the one that stayed: %d", a.status)
+		t.Errorf("request of the client that stayed: got status %d, want 200", a.status)
 	}
 	close(l.resume)
-	eventually(t, "all seen to have left", metric("app.current=0"))
+	eventually(t, "all disconnects noticed", metric("app.current=0"))
 	if id := <-ids; id != "stays" || len(ids) != 0 {
-		t.Errorf("%q was forwarded, and %d more", id, len(ids))
+		t.Errorf("forwarded requests: got %q and %d more, want only \"stays\"", id, len(ids))
 	}
 }
 
@@ -302,7 +302,7 @@
 		t.Error("the request is still in the table")
 	}
 	if server.node.clientDisconnected(pending); len(pending.answer) != 0 {
-		t.Error("a second final answer")
+		t.Error("request got a second final answer")
 	}
 }
 
@@ -342,17 +342,17 @@
 	n := runNode(t, testConfig(bad.instance("a"), good.instance("b")))
 	c := dial(t, n.addr)
 	i := 0
-	ask := func() clientResponse {
+	sendNext := func() clientResponse {
 		i++
 		return c.do(request("check", fmt.Sprint("t", i)))
 	}
 	for range 20 { // first attempts earn retries
-		ask()
+		sendNext()
 	}
 	broken.Store(true)
 	eventually(t, "a request that is answered after a reset", func() bool {
 		before := resets.Load()
-		return ask().status == 200 && resets.Load() > before
+		return sendNext().status == 200 && resets.Load() > before
 	})
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -138,8 +138,8 @@
 	if !r.isRelayed {
 		return result
 	}
-	deadline, isWanted := r.statusDeadline(time.Now(), a, result)
-	if !isWanted {
+	deadline, needsQuery := r.statusDeadline(time.Now(), a, result)
+	if !needsQuery {
 		return result
 	}
 	query := relayedStatusQuery{servers: in.servers, control: r.current, id: r.attemptRelayID(), startedAt: begunAt,
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -218,8 +218,8 @@
 		return &badRequest{status: http.StatusLengthRequired, close: true,
 			text: "Content-Length is required; Transfer-Encoding is not supported"}
 	case head.Length > maxRequestBody:
-		return &badRequest{status: http.StatusRequestEntityTooLarge, close: true,
-			text: "body: larger than the limit of 64 KiB"}
+		return &badRequest{status: http.StatusRequestEntityTooLarge,
+			text: "body: larger than the limit of 64 KiB", close: true}
 	}
 	return nil
 }
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -48,9 +48,9 @@
 }
 
 // drain stops serving. For DrainTimeout new requests are still accepted, and each answer closes its connection. Then
-// the listeners close, and the instance finishes within maxFinishDuration the connections that the kernel has accepted
-// by then and every request that was received, read or not. Connections that have nothing to read are closed, new ones
-// after newConnGrace.
+// the listeners close. Within maxFinishDuration the instance answers every request that was received, whether or not it
+// was read, also those on connections in the kernel's backlog. Connections that have nothing to read are closed, new
+// ones after newConnGrace.
 func (s *clientServer) drain() {
 	s.drainState.begin()
 	<-time.After(s.instance.config.DrainTimeout)
--- a/internal/gateway/relay_restart_test.go
+++ b/internal/gateway/relay_restart_test.go
@@ -87,12 +87,12 @@
 	release := holdServingInstance(second, links)
 	defer release()
 	request := near.awaitStep(t, StepStatusQueried)
-	askedAt := time.Now()
+	queriedAt := time.Now()
 	near.fail(request)
 	if got := c.readResponse(); got.Status != 502 {
 		t.Errorf("request answered during the query: got %+v, want status 502", got)
 	}
-	if took := time.Since(askedAt); took > statusTimeout/2 {
+	if took := time.Since(queriedAt); took > statusTimeout/2 {
 		t.Errorf("answered %v after the query began, want at most half of statusTimeout", took)
 	}
 	release()
@@ -139,9 +139,9 @@
 	defer release()
 	const timeout = 200 * time.Millisecond
 	began := time.Now()
-	var rep response
+	var resp response
 	result := near.servers.exchange(t.Context(), &attemptControl{}, "site-b"+remoteServerSeparator+"2",
-		began.Add(timeout), false, &rep, func(b []byte) []byte { return append(b, getRequest("GET /visits/new")...) })
+		began.Add(timeout), false, &resp, func(b []byte) []byte { return append(b, getRequest("GET /visits/new")...) })
 	if took := time.Since(began); took > 2*timeout || result != policy.NotSent {
 		t.Errorf("handshake with an unresponsive instance: got %v after %v, want NotSent at the deadline", result, took)
 	}
--- a/internal/gateway/relayed_request.go
+++ b/internal/gateway/relayed_request.go
@@ -117,21 +117,21 @@
 // more.
 func (q *relayedStatusQuery) send(ctx context.Context) (result relayedStatus, hasEnded bool) {
 	deadline := attemptDeadline(time.Now(), statusTimeout, q.deadline)
-	var rep response
-	exchangeResult := q.servers.exchange(ctx, q.control, q.server, deadline, false, &rep, func(b []byte) []byte {
+	var resp response
+	exchangeResult := q.servers.exchange(ctx, q.control, q.server, deadline, false, &resp, func(b []byte) []byte {
 		b = append(b, "GET "+executionStatusPath+" HTTP/1.1\r\nHost: "+executionStatusHost+"\r\n"...)
 		return append(httpwire.AppendField(b, relayIDField, q.id), "\r\n"...)
 	})
 	if exchangeResult != policy.OK {
 		return relayedStatus{}, false
 	}
-	result.status = multisite.ParseExecutionStatus(rep.head.Get(executionStatusField)).
-		CheckedAgainstUptime(parseUptime(rep.head.Get(uptimeField)), time.Since(q.startedAt))
-	if result.status == multisite.Executed && rep.head.Status != http.StatusNoContent {
+	result.status = multisite.ParseExecutionStatus(resp.head.Get(executionStatusField)).
+		CheckedAgainstUptime(parseUptime(resp.head.Get(uptimeField)), time.Since(q.startedAt))
+	if result.status == multisite.Executed && resp.head.Status != http.StatusNoContent {
 		result.retained = &retainedResponse{
-			status:      rep.head.Status,
-			contentType: rep.head.Get("Content-Type"),
-			body:        rep.body,
+			status:      resp.head.Status,
+			contentType: resp.head.Get("Content-Type"),
+			body:        resp.body,
 		}
 	}
 	return result, result.status != multisite.Executing
@@ -142,7 +142,7 @@
 func (r *pendingRequest) resolveRelayed(result policy.Result, remote relayedStatus) policy.Result {
 	switch {
 	case remote.status == multisite.NeverExecuted:
-		// The attempt counts as not written, as nothing ran, and as rejected, as the remote instance is responsive.
+		// Nothing ran, so the attempt counts as not written. The remote instance is responsive, so it counts as a rejection.
 		r.response.wasWritten = false
 		return policy.RejectedByServer
 	case remote.status == multisite.Executed && remote.retained != nil:
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -96,15 +96,15 @@
 }
 
 // attemptExchanged records the steps of an attempt whose exchange with its server has ended.
-func (t *traceRecorder) attemptExchanged(number int, a attempt, rep *response, result policy.Result) {
+func (t *traceRecorder) attemptExchanged(number int, a attempt, resp *response, result policy.Result) {
 	if t == nil {
 		return
 	}
-	if rep.wasWritten {
-		t.add(TraceStep{At: rep.writtenAt, Kind: StepWritten, Attempt: number, Server: a.server})
+	if resp.wasWritten {
+		t.add(TraceStep{At: resp.writtenAt, Kind: StepWritten, Attempt: number, Server: a.server})
 	}
-	if !rep.closedAt.IsZero() {
-		t.add(TraceStep{At: rep.closedAt, Kind: StepConnClosed, Attempt: number, Server: a.server, Detail: result.String()})
+	if !resp.closedAt.IsZero() {
+		t.add(TraceStep{At: resp.closedAt, Kind: StepConnClosed, Attempt: number, Server: a.server, Detail: result.String()})
 	}
 }
 
--- a/internal/gateway/request_write.go
+++ b/internal/gateway/request_write.go
@@ -37,7 +37,7 @@
 	}
 	b = append(b, "\r\n"+versionField+": "...)
 	if from, n := h.Values(versionField); r.isFromRelay && n == 1 {
-		b = append(b, from...) // the version by which the first instance matched it
+		b = append(b, from...) // the version by which the relaying instance matched it
 	} else {
 		b = strconv.AppendUint(b, r.version.number, 10)
 	}
--- a/internal/gateway/site_broadcast.go
+++ b/internal/gateway/site_broadcast.go
@@ -93,9 +93,9 @@
 // engine's budget can save up half as much again, and the total must not overload the server.
 const coldBudgetFactor = 1.4
 
-// warmServerRate returns the rate of a warm server, in seconds of work per second, from which the engine derives the
-// budget for cold servers: this instance's share (0 to 1) of a warm server's capacity (seconds of work per second),
-// scaled so that with the engine's own multiple all instances together stay within coldBudgetFactor.
+// warmServerRate returns the rate of a warm server from which the engine derives the budget for cold servers: this
+// instance's share of a warm server's capacity, scaled so that with the engine's own multiple all instances together
+// stay within coldBudgetFactor. capacity and the result are in seconds of work per second; share is from 0 to 1.
 func warmServerRate(capacity, share, engineMultiple float64) float64 {
 	factor := coldBudgetFactor / engineMultiple
 	return factor * capacity * share
--- a/internal/gateway/site_coordinator.go
+++ b/internal/gateway/site_coordinator.go
@@ -94,8 +94,8 @@
 const minKeyRetryAfter = 50 * time.Millisecond
 
 // keyRejectionWait decides the Retry-After of a request whose key has no owning site now: the wait of the routing
-// decision, raised to minKeyRetryAfter and limited to maxRetryAfter. If the wait is 0, a retry cannot succeed and there
-// is no Retry-After (0).
+// decision, raised to minKeyRetryAfter and limited to maxRetryAfter. A wait of 0 means that a retry cannot succeed; the
+// result is then 0, for no Retry-After.
 func keyRejectionWait(wait, maxRetryAfter time.Duration) time.Duration {
 	if wait == 0 {
 		return 0
--- a/internal/gateway/site_watches.go
+++ b/internal/gateway/site_watches.go
@@ -27,16 +27,16 @@
 // stopUnneeded stops the watches of sites that are not in the list, and of sites whose discovery address has changed.
 // It returns the former sites' names.
 func (w *siteWatches) stopUnneeded(sites []Site) (removedSites []string) {
-	wanted := map[string]netip.AddrPort{}
+	addrs := map[string]netip.AddrPort{}
 	for _, site := range sites {
-		wanted[site.Name] = site.Discovery
+		addrs[site.Name] = site.Discovery
 	}
 	for name, watch := range w.bySite {
-		addr, isWanted := wanted[name]
-		if isWanted && addr == watch.discovery {
+		addr, isListed := addrs[name]
+		if isListed && addr == watch.discovery {
 			continue
 		}
-		if !isWanted {
+		if !isListed {
 			removedSites = append(removedSites, name)
 		}
 		watch.stop()
--- a/internal/gateway/sites.go
+++ b/internal/gateway/sites.go
@@ -80,20 +80,20 @@
 // serverPollInterval is the interval at which AwaitServers checks the number of servers.
 const serverPollInterval = 5 * time.Millisecond
 
-// AwaitServers waits until at least wanted servers are known over all sites.
-func (in *Instance) AwaitServers(ctx context.Context, wanted int, timeout time.Duration) error {
+// AwaitServers waits until at least minCount servers are known over all sites.
+func (in *Instance) AwaitServers(ctx context.Context, minCount int, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ticker := time.NewTicker(serverPollInterval)
 	defer ticker.Stop()
 	for {
 		known := in.serverCount()
-		if known >= wanted {
+		if known >= minCount {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: discovered %d of %d servers: %w", in.config.Name, known, wanted, ctx.Err())
+			return fmt.Errorf("%s: discovered %d of %d servers: %w", in.config.Name, known, minCount, ctx.Err())
 		case <-ticker.C:
 		}
 	}
--- a/internal/gateway/texts.go
+++ b/internal/gateway/texts.go
@@ -56,6 +56,6 @@
 )
 
 // errRelayConfig is the error for an incomplete relay configuration.
-var errRelayConfig = errors.New("link: a hall of its own, certificates and a check of them are needed")
+var errRelayConfig = errors.New("link: own halls, TLS certificates and their verification are required")
 
-const textDuplicateSite = "halls: %q stands twice"
+const textDuplicateSite = "halls: %q is listed twice"
--- a/internal/httpwire/answer_test.go
+++ b/internal/httpwire/answer_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// FuzzChunked checks that net/http reads the same body from every chunked body that Chunked accepts.
+// FuzzChunked checks that net/http reads the same body from every chunked body that ReadChunkedBody accepts.
 func FuzzChunked(f *testing.F) {
 	f.Add([]byte("3\r\nabc\r\n0\r\n\r\n"))
 	f.Add([]byte("a;x\r\n0123456789\r\n0\r\nA: b\r\n\r\n"))
@@ -81,7 +81,7 @@
 		}
 		other, err := io.ReadAll(resp.Body)
 		if err == nil && !bytes.Equal(body, other) {
-			t.Fatalf("%q: body from Chunked is %q, from net/http %q", text, body, other)
+			t.Fatalf("%q: body from ReadChunkedBody is %q, from net/http %q", text, body, other)
 		}
 	})
 }
--- a/internal/httpwire/request_test.go
+++ b/internal/httpwire/request_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// FuzzRequest checks that net/http parses every request that Request accepts the same way, or rejects it.
+// FuzzRequest checks that net/http parses every request that ReadRequest accepts the same way, or rejects it.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(goodRequest))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
@@ -109,14 +109,14 @@
 		hasNoBody := h.Length < 0 && !h.Chunked && other.ContentLength == 0
 		if other.Method != h.Method || other.RequestURI != h.Target || other.ContentLength != h.Length && !hasNoBody ||
 			h.Chunked != (len(other.TransferEncoding) > 0) {
-			t.Fatalf("%q: head from Request is %+v, from net/http %s %s with Content-Length %d",
+			t.Fatalf("%q: head from ReadRequest is %+v, from net/http %s %s with Content-Length %d",
 				text, h, other.Method, other.RequestURI, other.ContentLength)
 		}
 		for _, fl := range h.Fields {
 			v, n := h.Values(fl.Name)
 			values := other.Header.Values(fl.Name)
 			if len(values) > 0 && (values[0] != v || len(values) != n) {
-				t.Fatalf("%q: field %s from Request is %q (%d lines), from net/http %q", text, fl.Name, v, n, values)
+				t.Fatalf("%q: field %s from ReadRequest is %q (%d lines), from net/http %q", text, fl.Name, v, n, values)
 			}
 		}
 	})
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -77,7 +77,8 @@
 	Payload  []byte
 }
 
-// TotalReceived is the simulator's account of an instance; the policy does not use it.
+// TotalReceived reports the total of a shared counter of the simulator, after an instance has added to the counter. The
+// policy uses no shared counters, so the event has no effect.
 type TotalReceived struct{ Instance int }
 
 // eventParsers maps message names to the parsers of messages that consist of one line. Each reads the values in the
@@ -115,10 +116,10 @@
 
 func parseTotalReceived(f *fields) any {
 	e := TotalReceived{f.int(fieldInstance)}
-	f.number(fieldTotalLevel)
+	f.number(fieldCounterTotal)
 	f.result(fieldResult)
 	f.duration(fieldLatency)
-	f.uint(fieldTotalSlot)
+	f.uint(fieldCounterName)
 	return e
 }
 
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -72,8 +72,8 @@
 	fieldTimerToken     = "ctx"
 	fieldPeer           = "neighbour"
 	fieldMessage        = "payload"
-	fieldTotalLevel     = "level"
-	fieldTotalSlot      = "slotName"
+	fieldCounterTotal   = "level"
+	fieldCounterName    = "slotName"
 )
 
 // Words of values and of load reports.
