--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -33,7 +33,7 @@
 	Addr netip.AddrPort
 	// SilenceTimeout is how long a watch may receive nothing. It is the constant [SilenceTimeout] except in tests.
 	SilenceTimeout time.Duration
-	// LastGeneration is the version of the endpoint list received last, or 0 if there is none.
+	// LastGeneration is the generation of the endpoint list received last, or 0 if there is none.
 	LastGeneration uint64
 	// IsLocalAgent is true if Addr is an agent on this machine, to which lists are pushed. Otherwise Addr is a
 	// discovery server that all nodes of the tier watch.
@@ -53,7 +53,7 @@
 }
 
 // Run watches the endpoint list until ctx is done, and sends no request after that. When a watch fails, ends or exceeds
-// its limits, Run opens a new one from the version received last, after the delay that [retrySchedule] returns.
+// its limits, Run opens a new one from the generation received last, after the delay that [retrySchedule] returns.
 func (w *Watcher) Run(ctx context.Context) {
 	limits := newWatchLimits(w.SilenceTimeout, w.IsLocalAgent)
 	schedule := newRetrySchedule(w.IsLocalAgent, w.Backoff)
@@ -125,10 +125,10 @@
 	return watchNothingReceived, err
 }
 
-// watchURLFormat takes the address of the discovery server or agent and the version received last.
+// watchURLFormat takes the address of the discovery server or agent and the generation received last.
 const watchURLFormat = "http://%s/registry/instances?watch=1&from=%d"
 
-// open requests the changes since the version received last and returns the stream of watch events.
+// open requests the changes since the generation received last and returns the stream of watch events.
 func (w *Watcher) open(ctx context.Context, client *http.Client) (io.ReadCloser, error) {
 	url := fmt.Sprintf(watchURLFormat, w.Addr, w.LastGeneration)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -104,7 +104,7 @@
 			watcher.SilenceTimeout, watcher.Backoff = silent, NewBackoff(nodes, 3)
 			startedAt := time.Now()
 			if l := nextList(t, startWatcher(t, watcher)); l.Generation != 9 {
-				t.Errorf("got list %+v, want version 9", l)
+				t.Errorf("got list %+v, want generation 9", l)
 			}
 			if took := time.Since(startedAt); took > 2200*time.Millisecond {
 				t.Errorf("%d nodes: list received after %v, with five silence timeouts of %v", nodes, took, silent)
@@ -156,7 +156,7 @@
 	lists := startWatcher(t, watcher)
 	for want := uint64(8); want <= 10; want++ {
 		if l := nextList(t, lists); l.Generation != want || len(l.Servers) != 2 || l.Servers[0].ID != `a "{[` {
-			t.Fatalf("got list %+v, want version %d with two servers", l, want)
+			t.Fatalf("got list %+v, want generation %d with two servers", l, want)
 		}
 	}
 }
@@ -186,14 +186,14 @@
 			})
 			watcher.LastGeneration, watcher.Backoff = 7, NewBackoff(300, 3)
 			if l := nextList(t, startWatcher(t, watcher)); l.Generation != 9 {
-				t.Errorf("malformed list was applied: got %+v, want version 9", l)
+				t.Errorf("malformed list was applied: got %+v, want generation 9", l)
 			}
 			// An agent serves only this node, so there is no queue of a tier's calls that a retry could lengthen.
 			if took := time.Since(startedAt); took > 2200*time.Millisecond {
 				t.Errorf("next list received after %v, want at most 2.2s", took)
 			}
 			if a, b := <-froms, <-froms; a != "7" || b != "0" {
-				t.Errorf("watches requested from versions %s and %s, want 7 and 0", a, b)
+				t.Errorf("watches requested from generations %s and %s, want 7 and 0", a, b)
 			}
 		})
 	}
@@ -222,7 +222,7 @@
 			})
 			watcher.SilenceTimeout = 50 * time.Millisecond
 			if l := nextList(t, startWatcher(t, watcher)); l.Generation != 9 {
-				t.Errorf("got list %+v, want version 9", l)
+				t.Errorf("got list %+v, want generation 9", l)
 			}
 		})
 	}
