--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -224,7 +224,7 @@
 	out <- gauge(requestsUnconfirmedDesc, float64(instance.UnconfirmedCount()))
 	instance.EachOperation(func(operation string, c *gateway.Counters) {
 		out <- counter(requestsDesc, c.Served.Load(), operation, answerServed)
-		out <- counter(requestsDesc, c.Refused.Load(), operation, answerRejected)
+		out <- counter(requestsDesc, c.Rejected.Load(), operation, answerRejected)
 		out <- counter(requestsDesc, c.Failed.Load(), operation, answerFailed)
 		out <- counter(unitsDesc, c.Units.Load(), operation)
 	})
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -10,10 +10,10 @@
 
 // Counters holds the request counters of one operation.
 type Counters struct {
-	Served, Refused, Failed atomic.Int64 // requests by final answer; Refused counts rejections
-	Units                   atomic.Int64 // of the requests counted by Sent
-	Sent                    atomic.Int64 // requests with an attempt that was written completely
-	Attempts                atomic.Int64 // attempts that were written completely
+	Served, Rejected, Failed atomic.Int64 // requests by final answer
+	Units                    atomic.Int64 // of the requests counted by Sent
+	Sent                     atomic.Int64 // requests with an attempt that was written completely
+	Attempts                 atomic.Int64 // attempts that were written completely
 }
 
 // countAnswer counts the final answer of a request.
@@ -22,7 +22,7 @@
 	case served:
 		c.Served.Add(1)
 	case rejected:
-		c.Refused.Add(1)
+		c.Rejected.Add(1)
 	default:
 		c.Failed.Add(1)
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -173,7 +173,7 @@
 	r.EachOperation(func(_ string, c *Counters) {
 		units += c.Units.Load()
 		sent += c.Sent.Load()
-		answers += c.Served.Load() + c.Refused.Load() + c.Failed.Load()
+		answers += c.Served.Load() + c.Rejected.Load() + c.Failed.Load()
 	})
 	return units, sent, answers
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -271,7 +271,7 @@
 		var served, refused, failed int64
 		for _, in := range env.instances {
 			in.EachOperation(func(_ string, c *gateway.Counters) {
-				served, refused, failed = served+c.Served.Load(), refused+c.Refused.Load(), failed+c.Failed.Load()
+				served, refused, failed = served+c.Served.Load(), refused+c.Rejected.Load(), failed+c.Failed.Load()
 			})
 		}
 		env.mu.Lock()
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -375,7 +375,7 @@
 			counted[op] += int(c.Units.Load())
 			checker.verdict.UnitsCounted += int(c.Units.Load())
 			answers["served"] += int(c.Served.Load())
-			answers["refused"] += int(c.Refused.Load())
+			answers["refused"] += int(c.Rejected.Load())
 			answers["failed"] += int(c.Failed.Load())
 		})
 	}
