--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -226,7 +226,7 @@
 		out <- counter(requestsDesc, c.Served.Load(), operation, answerServed)
 		out <- counter(requestsDesc, c.Rejected.Load(), operation, answerRejected)
 		out <- counter(requestsDesc, c.Failed.Load(), operation, answerFailed)
-		out <- counter(unitsDesc, c.Units.Load(), operation)
+		out <- counter(unitsDesc, c.SentUnits.Load(), operation)
 	})
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -163,7 +163,7 @@
 	if !r.wasSent {
 		r.wasSent = true
 		r.counters.Sent.Add(1)
-		r.counters.Units.Add(int64(r.units))
+		r.counters.SentUnits.Add(int64(r.units))
 	}
 }
 
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -171,7 +171,7 @@
 // totals sums the counters of all operations.
 func (r *testInstance) totals() (units, sent, answers int64) {
 	r.EachOperation(func(_ string, c *Counters) {
-		units += c.Units.Load()
+		units += c.SentUnits.Load()
 		sent += c.Sent.Load()
 		answers += c.Served.Load() + c.Rejected.Load() + c.Failed.Load()
 	})
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -372,8 +372,8 @@
 	answers := map[string]int{}
 	for _, in := range env.instances {
 		in.EachOperation(func(op string, c *gateway.Counters) {
-			counted[op] += int(c.Units.Load())
-			checker.verdict.UnitsCounted += int(c.Units.Load())
+			counted[op] += int(c.SentUnits.Load())
+			checker.verdict.UnitsCounted += int(c.SentUnits.Load())
 			answers["served"] += int(c.Served.Load())
 			answers["refused"] += int(c.Rejected.Load())
 			answers["failed"] += int(c.Failed.Load())
