--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -25,7 +25,7 @@
 	c.awaitServing(1)
 	sent := int64(0)
 	c.members[2].member.Instance().EachOperation(func(_ string, counters *gateway.Counters) {
-		sent += counters.Sent.Load()
+		sent += counters.SentRequests.Load()
 	})
 	if sent != 0 {
 		t.Errorf("member 2 counts %d requests that member 1 received, want 0", sent)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -162,7 +162,7 @@
 	r.counters.Attempts.Add(1)
 	if !r.wasSent {
 		r.wasSent = true
-		r.counters.Sent.Add(1)
+		r.counters.SentRequests.Add(1)
 		r.counters.SentUnits.Add(int64(r.units))
 	}
 }
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -11,8 +11,8 @@
 // Counters holds the request counters of one operation.
 type Counters struct {
 	Served, Rejected, Failed atomic.Int64 // requests by final answer
-	SentUnits                atomic.Int64 // of the requests counted by Sent
-	Sent                     atomic.Int64 // requests with an attempt that was written completely
+	SentUnits                atomic.Int64 // of the requests counted by SentRequests
+	SentRequests             atomic.Int64 // requests with an attempt that was written completely
 	Attempts                 atomic.Int64 // attempts that were written completely
 }
 
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -172,7 +172,7 @@
 func (r *testInstance) totals() (units, sent, answers int64) {
 	r.EachOperation(func(_ string, c *Counters) {
 		units += c.SentUnits.Load()
-		sent += c.Sent.Load()
+		sent += c.SentRequests.Load()
 		answers += c.Served.Load() + c.Rejected.Load() + c.Failed.Load()
 	})
 	return units, sent, answers
