--- a/internal/benchmark/gateway.go
+++ b/internal/benchmark/gateway.go
@@ -70,7 +70,7 @@
 	serverCount := len(servers)
 	if relay != nil {
 		config.Relay = relay
-		config.Settings.Zone = relay.Own[0]
+		config.Settings.Zone = relay.OwnSites[0]
 		serverCount = 1
 	}
 	logger := logging.New(os.Stderr)
--- a/internal/benchmark/relay.go
+++ b/internal/benchmark/relay.go
@@ -37,14 +37,14 @@
 		return nil, err
 	}
 	relay := &gateway.RelayConfig{
-		Own:    []string{serverSite},
-		Listen: farAddr,
-		TLS:    credentials.TLSConfig(),
-		Verify: func(state tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember(clusterName, state) },
+		OwnSites: []string{serverSite},
+		Listen:   farAddr,
+		TLS:      credentials.TLSConfig(),
+		Verify:   func(state tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember(clusterName, state) },
 	}
 	relay.TLS.SessionTicketsDisabled = true
 	if isNear {
-		relay.Own, relay.Listen = []string{otherSite}, netip.MustParseAddrPort("127.0.0.1:0")
+		relay.OwnSites, relay.Listen = []string{otherSite}, netip.MustParseAddrPort("127.0.0.1:0")
 		relay.Remote = map[string][]gateway.RelayPeer{serverSite: {{Member: farMember, Addr: farAddr}}}
 	}
 	return startGateway(ctx, p.Servers, relay)
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -13,11 +13,11 @@
 	relayAddr := netip.MustParseAddrPort(freeAddr(t))
 	relays := map[uint64]*gateway.RelayConfig{
 		1: {
-			Own:    []string{"hall-z"},
-			Listen: netip.MustParseAddrPort(freeAddr(t)),
-			Remote: map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: relayAddr}}},
+			OwnSites: []string{"hall-z"},
+			Listen:   netip.MustParseAddrPort(freeAddr(t)),
+			Remote:   map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: relayAddr}}},
 		},
-		2: {Own: []string{"hall-a"}, Listen: relayAddr},
+		2: {OwnSites: []string{"hall-a"}, Listen: relayAddr},
 	}
 	c := newTestClusterWith(t, 2, func(id uint64, m *testMember) { m.relay = relays[id] })
 	outcome := c.propose(c.initialProposal())
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -35,7 +35,7 @@
 
 // RelayConfig configures an instance's relay to and from other sites.
 type RelayConfig struct {
-	Own         []string                                  // sites whose servers the instance reaches directly
+	OwnSites    []string                                  // whose servers the instance reaches directly
 	Listen      netip.AddrPort                            // for connections from other sites' instances
 	Remote      map[string][]RelayPeer                    // by remote site: the instances that reach it directly
 	TLS         *tls.Config                               // for both directions: mutual, with session tickets disabled
@@ -74,7 +74,7 @@
 }
 
 func newRelay(config *RelayConfig) (*relay, error) {
-	if len(config.Own) == 0 || config.TLS == nil || config.Verify == nil {
+	if len(config.OwnSites) == 0 || config.TLS == nil || config.Verify == nil {
 		return nil, errRelayConfig
 	}
 	forwarded, err := multisite.NewForwardedRequests(forwardedTTL, maxForwarded)
@@ -122,7 +122,7 @@
 func (r *relay) isRemote(site string) bool { return r != nil && !r.ownsSite(site) }
 
 // ownsSite reports whether this instance reaches a site's servers directly.
-func (r *relay) ownsSite(site string) bool { return slices.Contains(r.config.Own, site) }
+func (r *relay) ownsSite(site string) bool { return slices.Contains(r.config.OwnSites, site) }
 
 // secure upgrades a new connection to a remote instance to mutual TLS and verifies that the peer is the expected
 // member.
--- a/internal/gateway/relay_harness_test.go
+++ b/internal/gateway/relay_harness_test.go
@@ -149,7 +149,7 @@
 		c := creds.TLSConfig()
 		c.SessionTicketsDisabled = true
 		verify := func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("test", s) }
-		return &RelayConfig{Own: []string{own}, TLS: c, Verify: verify}
+		return &RelayConfig{OwnSites: []string{own}, TLS: c, Verify: verify}
 	}
 	a, b := newConfig(1, "site-a"), newConfig(2, "site-b")
 	if b.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
--- a/internal/gateway/relay_late_test.go
+++ b/internal/gateway/relay_late_test.go
@@ -212,7 +212,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config := &RelayConfig{Own: []string{"site-b"}, TLS: credentials.TLSConfig(), listener: listener,
+	config := &RelayConfig{OwnSites: []string{"site-b"}, TLS: credentials.TLSConfig(), listener: listener,
 		Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("test", s) }}
 	config.TLS.SessionTicketsDisabled = true
 	return startInstance(t, h, 1, func(c *Config) { c.Relay = config })
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -172,7 +172,7 @@
 	in.requests.add(r)
 	engineRequest.ID = r.id
 	if r.isFromRelay { // a request is relayed at most once
-		engineRequest.Zone, engineRequest.IsCharged = in.relay.config.Own[0], true
+		engineRequest.Zone, engineRequest.IsCharged = in.relay.config.OwnSites[0], true
 	}
 	if r.hasKeyOwner {
 		decision := in.sites.routeKey(now, r.key, r.isFromRelay)
--- a/internal/gatewayconfig/membership.go
+++ b/internal/gatewayconfig/membership.go
@@ -148,7 +148,7 @@
 // reaches the sites that it does not reach itself.
 func (p *parser) relay(form *linkForm, zone string, member *MemberConfig) *gateway.RelayConfig {
 	relay := &gateway.RelayConfig{
-		Own:         []string{zone},
+		OwnSites:    []string{zone},
 		Listen:      p.address(fieldRelay+".listen", form.Listen),
 		MaxInFlight: form.Most,
 		Remote:      map[string][]gateway.RelayPeer{},
