--- a/internal/benchmark/relay.go
+++ b/internal/benchmark/relay.go
@@ -45,7 +45,7 @@
 	relay.TLS.SessionTicketsDisabled = true
 	if isNear {
 		relay.OwnSites, relay.Listen = []string{otherSite}, netip.MustParseAddrPort("127.0.0.1:0")
-		relay.Remote = map[string][]gateway.RelayPeer{serverSite: {{Member: farMember, Addr: farAddr}}}
+		relay.PeersBySite = map[string][]gateway.RelayPeer{serverSite: {{Member: farMember, Addr: farAddr}}}
 	}
 	return startGateway(ctx, p.Servers, relay)
 }
--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -13,9 +13,9 @@
 	relayAddr := netip.MustParseAddrPort(freeAddr(t))
 	relays := map[uint64]*gateway.RelayConfig{
 		1: {
-			OwnSites: []string{"hall-z"},
-			Listen:   netip.MustParseAddrPort(freeAddr(t)),
-			Remote:   map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: relayAddr}}},
+			OwnSites:    []string{"hall-z"},
+			Listen:      netip.MustParseAddrPort(freeAddr(t)),
+			PeersBySite: map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: relayAddr}}},
 		},
 		2: {OwnSites: []string{"hall-a"}, Listen: relayAddr},
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -37,7 +37,7 @@
 type RelayConfig struct {
 	OwnSites    []string                                  // whose servers the instance reaches directly
 	Listen      netip.AddrPort                            // for connections from other sites' instances
-	Remote      map[string][]RelayPeer                    // by remote site: the instances that reach it directly
+	PeersBySite map[string][]RelayPeer                    // instances that reach a remote site directly
 	TLS         *tls.Config                               // for both directions: mutual, with session tickets disabled
 	Verify      func(tls.ConnectionState) (uint64, error) // returns the member ID of the peer's certificate
 	MaxInFlight int                                       // relayed requests in flight at once; 64 if 0
@@ -111,7 +111,7 @@
 // reach.
 func (r *relay) remoteServers(site string) discovery.EndpointList {
 	list := discovery.EndpointList{IsComplete: true}
-	for _, peer := range r.config.Remote[site] {
+	for _, peer := range r.config.PeersBySite[site] {
 		server := policy.Server{ID: "@" + strconv.FormatUint(peer.Member, 10), Weight: 1, Kind: "instance", Zone: site}
 		list.Servers = append(list.Servers, discovery.Endpoint{Addr: peer.Addr, Server: server})
 	}
--- a/internal/gateway/relay_harness_test.go
+++ b/internal/gateway/relay_harness_test.go
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	w = newLinkForwarder(t, b.listener.Addr().String())
-	a.Remote = map[string][]RelayPeer{"site-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
+	a.PeersBySite = map[string][]RelayPeer{"site-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
 	if change != nil {
 		change(a, b)
 	}
--- a/internal/gateway/relay_late_test.go
+++ b/internal/gateway/relay_late_test.go
@@ -238,7 +238,7 @@
 	near, first, _ := startTwoSites(t, h, func(near, far *RelayConfig) {
 		holdFarReads(links[0])(near, far)
 		second := RelayPeer{secondMember, listener.Addr().(*net.TCPAddr).AddrPort()}
-		near.Remote["site-b"] = append(near.Remote["site-b"], second)
+		near.PeersBySite["site-b"] = append(near.PeersBySite["site-b"], second)
 	})
 	second = startFarInstance(t, h, links[1], secondMember)
 	for _, instance := range []*testInstance{near, first, second} {
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -144,7 +144,7 @@
 	defer third.Close()
 	near, _, _ := startTwoSites(t, h, func(_, far *RelayConfig) {
 		// The far site's instance could relay to a third site.
-		far.Remote = map[string][]RelayPeer{"site-a": {{9, third.Addr().(*net.TCPAddr).AddrPort()}}}
+		far.PeersBySite = map[string][]RelayPeer{"site-a": {{9, third.Addr().(*net.TCPAddr).AddrPort()}}}
 	})
 	h.listServer("site-b", "s1", "127.0.0.1:1", "removed")
 	c := dial(t, near.addr)
@@ -240,7 +240,7 @@
 	var operator *tls.Config
 	near, _, _ := startTwoSites(t, h, func(a, b *RelayConfig) {
 		linkAddr = b.listener.Addr().String()
-		a.Remote["site-b"][0].Member = 7
+		a.PeersBySite["site-b"][0].Member = 7
 		auth := h.authority
 		if err := errors.Join(auth.Write(dir), auth.WriteOperator(dir, "op")); err != nil {
 			t.Fatal(err)
--- a/internal/gatewayconfig/link_test.go
+++ b/internal/gatewayconfig/link_test.go
@@ -29,8 +29,8 @@
 		t.Fatal(err)
 	}
 	link := f.Config.Relay
-	if link == nil || link.OwnSites[0] != "hall-a" || link.Remote["hall-b"][0].Member != 2 ||
-		link.Remote["hall-b"][0].Addr.Port() != 7302 {
+	if link == nil || link.OwnSites[0] != "hall-a" || link.PeersBySite["hall-b"][0].Member != 2 ||
+		link.PeersBySite["hall-b"][0].Addr.Port() != 7302 {
 		t.Errorf("relay configuration: got %+v, want own site hall-a and member 2 of hall-b at port 7302", link)
 	}
 }
--- a/internal/gatewayconfig/membership.go
+++ b/internal/gatewayconfig/membership.go
@@ -151,7 +151,7 @@
 		OwnSites:    []string{zone},
 		Listen:      p.address(fieldRelay+".listen", form.Listen),
 		MaxInFlight: form.Most,
-		Remote:      map[string][]gateway.RelayPeer{},
+		PeersBySite: map[string][]gateway.RelayPeer{},
 	}
 	if form.Most != 0 && (form.Most < minRelayInFlight || form.Most > maxRelayInFlight) {
 		p.addProblem(fieldRelay+"."+fieldRelayMaxInFlight, "%d is outside %d to %d",
@@ -169,11 +169,11 @@
 			p.addProblem(section+".member", "%d is not the number of another [[cluster.member]] in this file", f.Member)
 		}
 		isSame := func(peer gateway.RelayPeer) bool { return peer.Member == f.Member }
-		if slices.ContainsFunc(relay.Remote[f.Site], isSame) {
+		if slices.ContainsFunc(relay.PeersBySite[f.Site], isSame) {
 			p.addProblem(section+".member", "%d is used twice for hall %s", f.Member, f.Site)
 		}
 		peer := gateway.RelayPeer{Member: f.Member, Addr: p.address(section+".address", f.Address)}
-		relay.Remote[f.Site] = append(relay.Remote[f.Site], peer)
+		relay.PeersBySite[f.Site] = append(relay.PeersBySite[f.Site], peer)
 	}
 	return relay
 }
