--- a/internal/gateway/request_write.go
+++ b/internal/gateway/request_write.go
@@ -23,7 +23,7 @@
 	b = append(b, " HTTP/1.1\r\n"...)
 	for i := range h.Fields {
 		f := &h.Fields[i]
-		if httpwire.HopByHop(f.Name) || isSetByGateway(f.Name) {
+		if httpwire.IsHopByHop(f.Name) || isSetByGateway(f.Name) {
 			continue
 		}
 		b = httpwire.AppendField(b, f.Name, f.Value)
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -160,7 +160,7 @@
 	b := c.appendStatusLine(head.Status, head.Reason)
 	for i := range head.Fields {
 		field := &head.Fields[i]
-		if !isForGateway(field.Name) && !httpwire.HopByHop(field.Name) {
+		if !isForGateway(field.Name) && !httpwire.IsHopByHop(field.Name) {
 			b = httpwire.AppendField(b, field.Name, field.Value)
 		}
 	}
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// HopByHop reports whether a field applies to a single connection only and is not forwarded.
-func HopByHop(name string) bool {
+// IsHopByHop reports whether a field applies to a single connection only and is not forwarded.
+func IsHopByHop(name string) bool {
 	switch len(name) {
 	case 2:
 		return strings.EqualFold(name, "TE")
