--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -177,10 +177,10 @@
 		_, err := reader.ReadChunkedBody(maxAnswerBody)
 		return buffer, err
 	}
-	if head.Length <= 0 {
+	if head.ContentLength <= 0 {
 		return buffer, nil
 	}
-	buffer = append(buffer[:0], make([]byte, head.Length)...)
+	buffer = append(buffer[:0], make([]byte, head.ContentLength)...)
 	return buffer, reader.ReadBody(buffer)
 }
 
--- a/internal/benchmark/servers.go
+++ b/internal/benchmark/servers.go
@@ -46,8 +46,8 @@
 	var h httpwire.Head
 	var body []byte
 	for r.ReadRequest(&h) == nil {
-		if h.Length > 0 {
-			body = append(body[:0], make([]byte, h.Length)...)
+		if h.ContentLength > 0 {
+			body = append(body[:0], make([]byte, h.ContentLength)...)
 			if r.ReadBody(body) != nil {
 				return
 			}
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -217,7 +217,7 @@
 	case head.Chunked:
 		return &badRequest{status: http.StatusLengthRequired, close: true,
 			text: "Content-Length is required; Transfer-Encoding is not supported"}
-	case head.Length > maxRequestBody:
+	case head.ContentLength > maxRequestBody:
 		return &badRequest{status: http.StatusRequestEntityTooLarge,
 			text: "body: larger than the limit of 64 KiB", close: true}
 	}
@@ -227,14 +227,14 @@
 // readBody reads the body of the current request, whose head has been read. The error is nil or a *badRequest.
 func (c *clientConn) readBody() error {
 	head := &c.request.requestHead
-	if err := checkBodyLength(head); err != nil || head.Length <= 0 {
+	if err := checkBodyLength(head); err != nil || head.ContentLength <= 0 {
 		return err
 	}
 	expect, n := head.Values("Expect")
 	if n > 0 && strings.EqualFold(expect, "100-continue") && c.reader.Buffered() == 0 {
 		c.output.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	c.request.body = make([]byte, head.Length)
+	c.request.body = make([]byte, head.ContentLength)
 	if err := c.reader.ReadBody(c.request.body); err != nil {
 		return &badRequest{status: http.StatusBadRequest, text: "body: incomplete", close: true}
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -245,12 +245,12 @@
 		if resp.body, err = c.reader.ReadChunkedBody(maxResponseBody); err != nil {
 			return 0, false, err
 		}
-	case h.Length < 0: // delimited by the connection's close: truncation could not be detected
+	case h.ContentLength < 0: // delimited by the connection's close: truncation could not be detected
 		return 0, false, errNoLength
-	case h.Length > maxResponseBody:
+	case h.ContentLength > maxResponseBody:
 		return 0, false, errTooLong
-	case h.Length > 0:
-		resp.body = make([]byte, h.Length)
+	case h.ContentLength > 0:
+		resp.body = make([]byte, h.ContentLength)
 		if err = c.reader.ReadBody(resp.body); err != nil {
 			return 0, false, err
 		}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -37,7 +37,7 @@
 type RelayConfig struct {
 	OwnSites    []string                                  // whose servers the instance reaches directly
 	Listen      netip.AddrPort                            // for connections from other sites' instances
-	PeersBySite map[string][]RelayPeer                    // instances that reach a remote site directly
+	PeersBySite map[string][]RelayPeer                    // for each remote site: the instances that reach it directly
 	TLS         *tls.Config                               // for both directions: mutual, with session tickets disabled
 	Verify      func(tls.ConnectionState) (uint64, error) // returns the member ID of the peer's certificate
 	MaxInFlight int                                       // relayed requests in flight at once; 64 if 0
--- a/internal/gateway/relayed_request.go
+++ b/internal/gateway/relayed_request.go
@@ -289,7 +289,7 @@
 
 // head returns the response head that corresponds to the retained response.
 func (r *retainedResponse) head() httpwire.Head {
-	head := httpwire.Head{Status: r.status, Reason: http.StatusText(r.status), Length: int64(len(r.body))}
+	head := httpwire.Head{Status: r.status, Reason: http.StatusText(r.status), ContentLength: int64(len(r.body))}
 	if r.contentType != "" {
 		head.Fields = append(head.Fields, httpwire.Field{Name: "Content-Type", Value: r.contentType})
 	}
--- a/internal/gateway/request_write.go
+++ b/internal/gateway/request_write.go
@@ -42,7 +42,7 @@
 		b = strconv.AppendUint(b, r.version.number, 10)
 	}
 	b = append(b, "\r\n"...)
-	if len(r.body) > 0 || h.Length >= 0 {
+	if len(r.body) > 0 || h.ContentLength >= 0 {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(r.body)), 10)
 		b = append(b, "\r\n"...)
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -180,7 +180,7 @@
 }
 
 // declaredLength returns the Content-Length of a server's response, or noLength if it has none.
-func declaredLength(head *httpwire.Head) int { return max(int(head.Length), noLength) }
+func declaredLength(head *httpwire.Head) int { return max(int(head.ContentLength), noLength) }
 
 // appendGatewayResponse begins a response that the gateway itself generates and returns its body, a line of text. If
 // retryAfter is 0, the response has no Retry-After.
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -38,7 +38,7 @@
 	Status                int    // of a response
 	Reason                string
 	Fields                []Field
-	Length                int64 // Content-Length in bytes; -1: not given
+	ContentLength         int64 // bytes; -1: not given
 	Chunked               bool
 	Close                 bool // the connection closes after this message
 	NamesConnectionFields bool // Connection names fields: it has options other than close and keep-alive
@@ -132,7 +132,7 @@
 	if _, n := h.Values("Host"); n != 1 {
 		return ErrMalformed
 	}
-	if h.Chunked && h.Length >= 0 {
+	if h.Chunked && h.ContentLength >= 0 {
 		return ErrLength
 	}
 	return nil
@@ -165,7 +165,7 @@
 	if err := h.parseFields(rest); err != nil {
 		return err
 	}
-	if h.Chunked && h.Length >= 0 {
+	if h.Chunked && h.ContentLength >= 0 {
 		return ErrLength
 	}
 	return nil
@@ -173,7 +173,7 @@
 
 // parseStart resets the head and splits the text into the first line and the rest.
 func (h *Head) parseStart(text string) (line, rest string, err error) {
-	h.Fields, h.Length, h.Chunked, h.Close, h.NamesConnectionFields = h.Fields[:0], -1, false, false, false
+	h.Fields, h.ContentLength, h.Chunked, h.Close, h.NamesConnectionFields = h.Fields[:0], -1, false, false, false
 	line, rest, ok := strings.Cut(text, "\r\n")
 	if !ok {
 		return "", "", ErrMalformed
@@ -233,16 +233,16 @@
 
 // applyContentLength evaluates a Content-Length field.
 func (h *Head) applyContentLength(value string) error {
-	if h.Length >= 0 || value == "" || len(value) > maxLengthDigits {
+	if h.ContentLength >= 0 || value == "" || len(value) > maxLengthDigits {
 		return ErrLength
 	}
-	h.Length = 0
+	h.ContentLength = 0
 	for i := range len(value) {
 		c := value[i]
 		if c < '0' || c > '9' {
 			return ErrLength
 		}
-		h.Length = h.Length*10 + int64(c-'0')
+		h.ContentLength = h.ContentLength*10 + int64(c-'0')
 	}
 	return nil
 }
--- a/internal/httpwire/request_test.go
+++ b/internal/httpwire/request_test.go
@@ -29,7 +29,7 @@
 			if err := r.ReadRequest(&h); err != nil {
 				t.Fatal(err)
 			}
-			body := make([]byte, h.Length)
+			body := make([]byte, h.ContentLength)
 			if err := r.ReadBody(body); err != nil {
 				t.Fatal(err)
 			}
@@ -106,8 +106,8 @@
 		if err != nil {
 			return // net/http may be stricter: a server then rejects the request
 		}
-		hasNoBody := h.Length < 0 && !h.Chunked && other.ContentLength == 0
-		if other.Method != h.Method || other.RequestURI != h.Target || other.ContentLength != h.Length && !hasNoBody ||
+		hasNoBody := h.ContentLength < 0 && !h.Chunked && other.ContentLength == 0
+		if other.Method != h.Method || other.RequestURI != h.Target || other.ContentLength != h.ContentLength && !hasNoBody ||
 			h.Chunked != (len(other.TransferEncoding) > 0) {
 			t.Fatalf("%q: head from ReadRequest is %+v, from net/http %s %s with Content-Length %d",
 				text, h, other.Method, other.RequestURI, other.ContentLength)
