--- a/cmd/gateway/run.go
+++ b/cmd/gateway/run.go
@@ -41,7 +41,7 @@
 		defer out.Close()
 		access := gateway.NewAccessLog(out)
 		defer func() { err = errors.Join(err, access.Close()) }()
-		f.Config.Observe = access.Record
+		f.Config.OnAnswer = access.Record
 	}
 	if f.TraceLog != "" {
 		out, openErr := c.openLog("trace_log", f.TraceLog)
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -32,7 +32,7 @@
 // NewAccessLog returns an access log that writes to w until Close is called.
 func NewAccessLog(w io.Writer) *AccessLog { return &AccessLog{newLineLog[accessLine](w)} }
 
-// Record queues a record. It can be used as [Config.Observe].
+// Record queues a record. It can be used as [Config.OnAnswer].
 func (l *AccessLog) Record(r RequestRecord) { l.log.record(accessLine{time.Now(), r}) }
 
 // Close writes the queued records and returns the first write error. Record must not be called after Close.
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -66,8 +66,8 @@
 	DrainTimeout      time.Duration // for which a draining instance still accepts requests
 	FullValidation    bool          // check all parameters and bodies against their schemas
 
-	// Observe, if set, is called with each final answer; it must not block.
-	Observe func(RequestRecord)
+	// OnAnswer, if set, is called with each final answer; it must not block.
+	OnAnswer func(RequestRecord)
 
 	// Trace, if set, is called with the trace of each request once its answer was written or could not be; it must not
 	// block.
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -120,8 +120,8 @@
 	}
 	b, body := c.appendAnswer(record.Status)
 	b = c.appendExplanation(b, &record)
-	if observe := c.server.instance.config.Observe; observe != nil && !c.isRelay {
-		observe(record)
+	if onAnswer := c.server.instance.config.OnAnswer; onAnswer != nil && !c.isRelay {
+		onAnswer(record)
 	}
 	r.response.body = nil
 	return c.writeResponse(b, body)
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -83,7 +83,7 @@
 	h.startServer("site-a", "s0")
 	h.startServer("site-a", "s1")
 	var last atomic.Pointer[RequestRecord]
-	g := startInstance(t, h, 2, func(c *Config) { c.Observe = func(r RequestRecord) { last.Store(&r) } })
+	g := startInstance(t, h, 2, func(c *Config) { c.OnAnswer = func(r RequestRecord) { last.Store(&r) } })
 	g.fillRetryBudget(h, 8)
 	last.Store(nil)
 	c := dial(t, g.addr)
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -206,7 +206,7 @@
 		Settings:     settings(i),
 		Classes:      classes(),
 		Licensees:    licenseeConfigs(),
-		Observe:      env.observe,
+		OnAnswer:     env.observe,
 		Trace:        env.observeTrace,
 		DrainTimeout: drainTimeout,
 	}
