--- a/cmd/gateway/run.go
+++ b/cmd/gateway/run.go
@@ -51,7 +51,7 @@
 		defer out.Close()
 		traces := gateway.NewTraceLog(out)
 		defer func() { err = errors.Join(err, traces.Close()) }()
-		f.Config.Trace = traces.Record
+		f.Config.OnTrace = traces.Record
 	}
 	logger := logging.New(e.stderr)
 	switch {
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -171,7 +171,7 @@
 		c.finishRelayed()
 	}
 	isReusable = c.writeAnswer()
-	r.recorder.finish(r.answerStatus(), c.output.err == nil, c.server.instance.config.Trace)
+	r.recorder.finish(r.answerStatus(), c.output.err == nil, c.server.instance.config.OnTrace)
 	return isReusable
 }
 
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -69,9 +69,9 @@
 	// OnAnswer, if set, is called with each final answer; it must not block.
 	OnAnswer func(RequestRecord)
 
-	// Trace, if set, is called with the trace of each request once its answer was written or could not be; it must not
+	// OnTrace, if set, is called with the trace of each request once its answer was written or could not be; it must not
 	// block.
-	Trace func(RequestTrace)
+	OnTrace func(RequestTrace)
 
 	listener net.Listener // open client listener, in tests and scenarios; nil: Listen is used
 	peerConn *net.UDPConn // open gossip socket, in tests and scenarios; nil: PeerListen is used
--- a/internal/gateway/relay_restart_test.go
+++ b/internal/gateway/relay_restart_test.go
@@ -75,7 +75,7 @@
 	h := newTestSites(t)
 	traces := &traceCollector{}
 	near, second, links := startTwoFarInstances(t, h)
-	near.config.Trace = traces.record
+	near.config.OnTrace = traces.record
 	c := dial(t, near.addr)
 	book := func(key string) *receivedRequest {
 		c.send(postRequest("POST /visits", `{}`, "Idempotency-Key: "+key))
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -64,7 +64,7 @@
 
 // newTraceRecorder returns a recorder for a request that has been matched, or nil if tracing is off.
 func (in *Instance) newTraceRecorder(r *pendingRequest, receivedAt time.Time) *traceRecorder {
-	if in.config.Trace == nil {
+	if in.config.OnTrace == nil {
 		return nil
 	}
 	t := &traceRecorder{trace: RequestTrace{
@@ -158,7 +158,7 @@
 // NewTraceLog starts a log that writes to w. Close stops it.
 func NewTraceLog(w io.Writer) *TraceLog { return &TraceLog{newLineLog[RequestTrace](w)} }
 
-// Record queues a trace. It can be used as [Config.Trace].
+// Record queues a trace. It can be used as [Config.OnTrace].
 func (l *TraceLog) Record(trace RequestTrace) { l.log.record(trace) }
 
 // Close writes the queued traces and returns the first write error. Record must not be called after Close.
--- a/internal/gateway/request_trace_test.go
+++ b/internal/gateway/request_trace_test.go
@@ -53,7 +53,7 @@
 	h.startServer("site-a", "s0")
 	h.startServer("site-a", "s1")
 	traces := &traceCollector{}
-	g := startInstance(t, h, 2, func(c *Config) { c.Trace = traces.record })
+	g := startInstance(t, h, 2, func(c *Config) { c.OnTrace = traces.record })
 	g.fillRetryBudget(h, 8)
 	c := dial(t, g.addr)
 	c.send(getRequest("GET /visits/1", "X-Trace-Id: r.0"))
@@ -81,7 +81,7 @@
 	h := newTestSites(t)
 	traces := &traceCollector{}
 	near, _, link := startTwoSites(t, h, nil)
-	near.config.Trace = traces.record // before the first request
+	near.config.OnTrace = traces.record // before the first request
 	c := dial(t, near.addr)
 	c.send(getRequest("GET /visits/1", "X-Trace-Id: r.0"))
 	attempt := h.nextRequest()
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -207,7 +207,7 @@
 		Classes:      classes(),
 		Licensees:    licenseeConfigs(),
 		OnAnswer:     env.observe,
-		Trace:        env.observeTrace,
+		OnTrace:      env.observeTrace,
 		DrainTimeout: drainTimeout,
 	}
 }
