--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -12,7 +12,7 @@
 
 // RequestRecord is the access log entry of a request that was charged or rejected.
 type RequestRecord struct {
-	Trace        string `json:"trace"` // X-Trace-Id
+	TraceID      string `json:"trace"` // X-Trace-Id
 	Operation    string `json:"operation"`
 	Licensee     string `json:"licensee"`
 	Version      uint64 `json:"version"` // of the setup by which the request was matched
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -16,7 +16,7 @@
 	var out bytes.Buffer
 	l := NewAccessLog(&out)
 	l.Record(RequestRecord{
-		Trace:     "t",
+		TraceID:   "t",
 		Operation: "slots",
 		Licensee:  "bahari",
 		Version:   3,
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -114,7 +114,7 @@
 		}
 	}
 	record := RequestRecord{
-		Trace: r.traceID, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number,
+		TraceID: r.traceID, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number,
 		Units: r.units, Sent: r.wasSent, Attempts: r.attempts,
 		Answer: r.answer.String(), KeyRejection: r.keyRejection, Status: r.answerStatus(),
 	}
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -65,13 +65,13 @@
 	for _, m := range c.instances() {
 		path := filepath.Join(c.dir, fmt.Sprintf("access-%d.jsonl", m.id))
 		eachLogLine(checker, path, func(r gateway.RequestRecord) {
-			if r.Trace == "" {
+			if r.TraceID == "" {
 				return // a line with the count of dropped lines
 			}
-			if _, isRepeated := records[r.Trace]; isRepeated {
-				checker.violation(ruleAnswers, "%s was answered twice by the instances", r.Trace)
+			if _, isRepeated := records[r.TraceID]; isRepeated {
+				checker.violation(ruleAnswers, "%s was answered twice by the instances", r.TraceID)
 			}
-			records[r.Trace] = r
+			records[r.TraceID] = r
 		})
 	}
 	return records
@@ -126,13 +126,13 @@
 	checker.verdict.UnitsCounted += r.Units
 	switch {
 	case !isKnown:
-		checker.violation(ruleVersions, "%s was matched with version %d, which is not in the history", r.Trace, r.Version)
+		checker.violation(ruleVersions, "%s was matched with version %d, which is not in the history", r.TraceID, r.Version)
 	case !r.Sent || r.Operation != first.Operation:
 		checker.violation(ruleOperations, "%s was charged as %s (sent: %v) and reached %s as %s",
-			r.Trace, r.Operation, r.Sent, first.Site, first.Operation)
+			r.TraceID, r.Operation, r.Sent, first.Site, first.Operation)
 	case r.Units != want:
 		checker.violation(ruleUnits, "%s (%s, version %d, variant %d) was charged %d units; %d are right",
-			r.Trace, r.Operation, r.Version, variant, r.Units, want)
+			r.TraceID, r.Operation, r.Version, variant, r.Units, want)
 	}
 	checker.checkSentVersions(arrivals, &r)
 }
--- a/internal/scenario/rule_checks_test.go
+++ b/internal/scenario/rule_checks_test.go
@@ -98,7 +98,7 @@
 
 // rightRecord is an instance's record of request a, and servedAttempt the attempt of its client.
 var (
-	rightRecord   = gateway.RequestRecord{Trace: "a", Operation: "op", Version: 1, Units: 2, Sent: true, Attempts: 2}
+	rightRecord   = gateway.RequestRecord{TraceID: "a", Operation: "op", Version: 1, Units: 2, Sent: true, Attempts: 2}
 	servedAttempt = testserver.Attempt{Trace: "a", At: millisecondsAfterStart(0), Ended: millisecondsAfterStart(30),
 		AnswerCount: 1, Status: 200, Served: true}
 )
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -91,10 +91,10 @@
 	arrivals, byTrace := env.arrivals()
 	records := map[string]gateway.RequestRecord{}
 	for _, r := range env.records {
-		if _, twice := records[r.Trace]; twice {
-			checker.violation(ruleAnswers, "%s was answered twice by the instances", r.Trace)
+		if _, twice := records[r.TraceID]; twice {
+			checker.violation(ruleAnswers, "%s was answered twice by the instances", r.TraceID)
 		}
-		records[r.Trace] = r
+		records[r.TraceID] = r
 	}
 	checker.checkAnswers(clientAttempts, func(testserver.Attempt) bool { return false })
 	checker.checkEffects(arrivals, byTrace)
@@ -313,15 +313,15 @@
 func (checker *ruleChecker) checkRecord(attempts []testserver.Arrival, r *gateway.RequestRecord) {
 	first := &attempts[0]
 	if r.Operation != first.Operation {
-		checker.violation(ruleOperations, "%s was charged as %s and reached %s as %s", r.Trace, r.Operation, first.Site,
+		checker.violation(ruleOperations, "%s was charged as %s and reached %s as %s", r.TraceID, r.Operation, first.Site,
 			first.Operation)
 	}
 	if r.Units != first.Units {
-		checker.violation(ruleUnits, "%s (%s, version %d) was charged %d units; %d were declared", r.Trace, r.Operation,
+		checker.violation(ruleUnits, "%s (%s, version %d) was charged %d units; %d were declared", r.TraceID, r.Operation,
 			r.Version, r.Units, first.Units)
 	}
 	if r.Attempts < len(attempts) {
-		checker.violation(ruleUnits, "%s: the instance knows of %d attempts of %d", r.Trace, r.Attempts, len(attempts))
+		checker.violation(ruleUnits, "%s: the instance knows of %d attempts of %d", r.TraceID, r.Attempts, len(attempts))
 	}
 	checker.checkSentVersions(attempts, r)
 }
@@ -330,7 +330,7 @@
 func (checker *ruleChecker) checkSentVersions(attempts []testserver.Arrival, r *gateway.RequestRecord) {
 	for i := range attempts {
 		if sent := attempts[i].Version; uint64(sent) != r.Version {
-			checker.violation(ruleVersions, "%s was matched with version %d and sent on with %d", r.Trace, r.Version, sent)
+			checker.violation(ruleVersions, "%s was matched with version %d and sent on with %d", r.TraceID, r.Version, sent)
 		}
 	}
 }
