--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -11,11 +11,11 @@
 )
 
 // RequestTrace records the steps of a request at one instance, with their times. Instances on one machine share a
-// clock, so that the traces of a relayed request at its two instances can be compared: Trace is the same in both, and
+// clock, so that the traces of a relayed request at its two instances can be compared: TraceID is the same in both, and
 // RelayID identifies the attempt of the relaying instance.
 type RequestTrace struct {
 	Instance     string      `json:"instance"`
-	Trace        string      `json:"trace"` // X-Trace-Id
+	TraceID      string      `json:"trace"` // X-Trace-Id
 	RelayID      string      `json:"relay_id,omitempty"`
 	Operation    string      `json:"operation"`
 	Idempotent   bool        `json:"idempotent"` // it may run any number of times
@@ -68,7 +68,7 @@
 		return nil
 	}
 	t := &traceRecorder{trace: RequestTrace{
-		Instance: in.config.Name, Trace: r.traceID, RelayID: r.relayID, Operation: r.operation.ID,
+		Instance: in.config.Name, TraceID: r.traceID, RelayID: r.relayID, Operation: r.operation.ID,
 		Idempotent: r.isIdempotent(), Deadline: r.deadline,
 	}}
 	if !r.isFromRelay {
--- a/internal/gateway/request_trace_test.go
+++ b/internal/gateway/request_trace_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
-		i := slices.IndexFunc(c.traces, func(trace RequestTrace) bool { return trace.Trace == id })
+		i := slices.IndexFunc(c.traces, func(trace RequestTrace) bool { return trace.TraceID == id })
 		if i >= 0 {
 			defer c.mu.Unlock()
 			return c.traces[i]
@@ -122,7 +122,7 @@
 func TestTraceLog(t *testing.T) {
 	var out bytes.Buffer
 	l := NewTraceLog(&out)
-	want := RequestTrace{Instance: "g", Trace: "r.0", Deadline: time.Unix(1, 0).UTC(),
+	want := RequestTrace{Instance: "g", TraceID: "r.0", Deadline: time.Unix(1, 0).UTC(),
 		Steps: []TraceStep{{At: time.Unix(0, 0).UTC(), Kind: StepBegun, Attempt: 1, Server: "site-a/s", Relayed: true}}}
 	l.Record(want)
 	if err := l.Close(); err != nil {
--- a/internal/scenario/request_traces.go
+++ b/internal/scenario/request_traces.go
@@ -30,7 +30,7 @@
 
 // add records a trace.
 func (t requestTraces) add(trace gateway.RequestTrace) {
-	t[trace.Trace] = append(t[trace.Trace], trace)
+	t[trace.TraceID] = append(t[trace.TraceID], trace)
 }
 
 // traceLogName returns the file name of an instance's trace log.
@@ -42,7 +42,7 @@
 	traces := requestTraces{}
 	for _, m := range c.instances() {
 		eachLogLine(checker, filepath.Join(c.dir, m.traceLogName()), func(trace gateway.RequestTrace) {
-			if trace.Trace != "" {
+			if trace.TraceID != "" {
 				traces.add(trace)
 			}
 		})
@@ -88,7 +88,7 @@
 	order := attemptOrder{}
 	for k := range trace.Steps {
 		if fault := order.addStep(trace, &trace.Steps[k]); fault != "" {
-			checker.requestViolation(trace.Trace, ruleSteps, "%s at %s: %s", trace.Trace, trace.Instance, fault)
+			checker.requestViolation(trace.TraceID, ruleSteps, "%s at %s: %s", trace.TraceID, trace.Instance, fault)
 		}
 	}
 }
@@ -166,9 +166,9 @@
 		waited += env.stoppedBetween(trace.Instance, trace.Deadline, last.At)
 	}
 	if late > waited+timerTolerance {
-		checker.requestViolation(trace.Trace, ruleSteps,
+		checker.requestViolation(trace.TraceID, ruleSteps,
 			"%s at %s: its answer was written %v after its deadline, and the instance "+
-				"waited %v for a processor", trace.Trace, trace.Instance, late, waited)
+				"waited %v for a processor", trace.TraceID, trace.Instance, late, waited)
 	}
 }
 
--- a/internal/scenario/request_traces_test.go
+++ b/internal/scenario/request_traces_test.go
@@ -56,7 +56,7 @@
 		{"after the peer's close", true, stepsOf(stepOf(gateway.StepClosedByPeer, ""), directAttempt(1)), 1},
 	} {
 		checker := newRuleChecker()
-		checker.checkAttemptOrder(&gateway.RequestTrace{Trace: "r", Idempotent: test.idempotent, Steps: test.steps})
+		checker.checkAttemptOrder(&gateway.RequestTrace{TraceID: "r", Idempotent: test.idempotent, Steps: test.steps})
 		if checker.verdict.Rules[ruleSteps] != test.violations {
 			t.Errorf("%s: %d violations, want %d: %v", test.name, checker.verdict.Rules[ruleSteps], test.violations,
 				checker.verdict.Examples)
@@ -72,7 +72,7 @@
 	steps[6].At = steps[3].At.Add(unansweredStatusWait)
 	for _, isIdempotent := range []bool{true, false} {
 		checker := newRuleChecker()
-		checker.checkAttemptOrder(&gateway.RequestTrace{Trace: "r", Idempotent: isIdempotent, Steps: steps})
+		checker.checkAttemptOrder(&gateway.RequestTrace{TraceID: "r", Idempotent: isIdempotent, Steps: steps})
 		if wasFound := checker.verdict.Rules[ruleSteps] > 0; wasFound == isIdempotent {
 			t.Errorf("idempotent %v: unexpected violations or none: %v", isIdempotent, checker.verdict.Examples)
 		}
@@ -88,7 +88,7 @@
 	}{{5, 0}, {30, 1}} {
 		checker := newRuleChecker()
 		env := &environment{waits: schedwait.New()}
-		env.checkAnswerTime(checker, &gateway.RequestTrace{Trace: "r", Instance: "g", Deadline: ruleTestStart,
+		env.checkAnswerTime(checker, &gateway.RequestTrace{TraceID: "r", Instance: "g", Deadline: ruleTestStart,
 			Steps: []gateway.TraceStep{{Kind: gateway.StepAnswerWritten, At: millisecondsAfterStart(test.lateMs)}}})
 		if checker.verdict.Rules[ruleSteps] != test.violations {
 			t.Errorf("answer %d ms late: unexpected number of violations: %v", test.lateMs, checker.verdict.Examples)
