--- a/internal/cluster/setup.go
+++ b/internal/cluster/setup.go
@@ -58,7 +58,7 @@
 	if err := b.compile(state, key, fullValidation); err != nil {
 		return setup, err
 	}
-	setup.Number, setup.Table, setup.Check = state.Version(), b.table, b.checker
+	setup.Number, setup.Table, setup.Checker = state.Version(), b.table, b.checker
 	setup.Plans = plansOf(state)
 	setup.Licensees = b.licenseesOf(state)
 	return setup, nil
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -87,7 +87,7 @@
 type Setup struct {
 	Number    uint64         // version number, which is sent to servers and clients
 	Table     *routing.Table // nil: the table in force stays
-	Check     Checker        // for Table; nil: only the values that determine the cost are checked
+	Checker   Checker        // for Table; nil: only the values that determine the cost are checked
 	Licensees map[string]Licensee
 	Plans     []policy.Plan // by index, as [policy.Engine.SetPlans] expects them
 	Sites     []Site
@@ -95,7 +95,7 @@
 
 // Setup returns the setup that the configuration contains.
 func (c *Config) Setup(number uint64, table *routing.Table, check Checker) Setup {
-	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees,
+	return Setup{Number: number, Table: table, Checker: check, Licensees: c.Licensees,
 		Plans: c.Settings.Plans, Sites: c.Sites}
 }
 
--- a/internal/gateway/instance.go
+++ b/internal/gateway/instance.go
@@ -94,7 +94,7 @@
 	in.host.handleEvent(func(now time.Duration, out policy.Actions) {
 		old := in.versions.current.Load()
 		if s.Table == nil {
-			s.Table, s.Check = old.table, old.checker
+			s.Table, s.Checker = old.table, old.checker
 		}
 		if err = in.setTables(now, s, old); err != nil {
 			return
@@ -126,7 +126,7 @@
 
 // newVersion returns the version for a setup. It keeps the counters of the old version if the table stays.
 func (in *Instance) newVersion(s Setup, old *version) *version {
-	v := &version{number: s.Number, table: s.Table, checker: s.Check, licensees: s.Licensees}
+	v := &version{number: s.Number, table: s.Table, checker: s.Checker, licensees: s.Licensees}
 	if s.Table == old.table {
 		v.counters = old.counters
 	} else {
