--- a/internal/edgeproxy/config.go
+++ b/internal/edgeproxy/config.go
@@ -32,9 +32,9 @@
 	GossipPeers     []netip.AddrPort // by instance index, including this node
 	GossipBroadcast netip.AddrPort   // reaches every edge node of the tier
 
-	SavedEndpoints discovery.EndpointList // the endpoint list that this node had last
-	Settings       policy.Settings
-	Transport      simwire.ConnectionSettings
+	SavedEndpoints    discovery.EndpointList // the endpoint list that this node had last
+	Settings          policy.Settings
+	ServerConnections simwire.ConnectionSettings
 
 	reread           func() (*Config, error) // reads the configuration again, for a reload
 	skippedEndpoints []error                 // invalid entries of the saved list
@@ -218,16 +218,16 @@
 		return errors.New("settings: field is missing")
 	}
 	var err error
-	if c.Settings, c.Transport, err = simwire.ParseSettings(text); err != nil {
+	if c.Settings, c.ServerConnections, err = simwire.ParseSettings(text); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.Transport.ConnIdleTimeout <= 0 {
-		c.Transport.ConnIdleTimeout = defaultConnIdle
+	if c.ServerConnections.ConnIdleTimeout <= 0 {
+		c.ServerConnections.ConnIdleTimeout = defaultConnIdle
 	}
-	if c.Transport.ConnectTimeout <= 0 {
-		c.Transport.ConnectTimeout = defaultConnectTimeout
+	if c.ServerConnections.ConnectTimeout <= 0 {
+		c.ServerConnections.ConnectTimeout = defaultConnectTimeout
 	}
-	c.Settings.ConnectTimeout = c.Transport.ConnectTimeout
+	c.Settings.ConnectTimeout = c.ServerConnections.ConnectTimeout
 	return nil
 }
 
--- a/internal/edgeproxy/config_test.go
+++ b/internal/edgeproxy/config_test.go
@@ -136,7 +136,7 @@
 		return respondWith(okAnswer)(c, r, body)
 	})
 	cfg := testConfig(d.app.instance("server-" + d.plan))
-	cfg.Settings, cfg.Transport = d.settings(t)
+	cfg.Settings, cfg.ServerConnections = d.settings(t)
 	d.node = runNode(t, cfg)
 }
 
--- a/internal/edgeproxy/fixture_test.go
+++ b/internal/edgeproxy/fixture_test.go
@@ -196,7 +196,7 @@
 	var b strings.Builder
 	for _, v := range []any{c.Name, c.Listen, c.Discovery, c.AdminListen, c.AcceptFD, c.HandoverSocket, c.Seed,
 		c.MemoryMB, c.MaxSockets, c.GossipListen, c.GossipPeers, c.GossipBroadcast,
-		c.SavedEndpoints, c.Settings, c.Transport} {
+		c.SavedEndpoints, c.Settings, c.ServerConnections} {
 		writeValues(&b, reflect.ValueOf(v))
 		b.WriteString("\n")
 	}
--- a/internal/edgeproxy/harness_test.go
+++ b/internal/edgeproxy/harness_test.go
@@ -105,7 +105,7 @@
 	return &Config{
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
 		MaxSockets: 256, SavedEndpoints: List{Generation: 7, IsComplete: true, Servers: servers},
-		Transport: simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 5 * time.Second},
+		ServerConnections: simwire.ConnectionSettings{ConnIdleTimeout: time.Minute, ConnectTimeout: 5 * time.Second},
 		Settings: policy.Settings{
 			InstanceCount: 1, Zone: "z", MaxAttempts: 3, AllowsCancel: true,
 			SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -75,7 +75,7 @@
 		engine:   engine,
 		requests: map[string]*pendingRequest{},
 	}
-	n.pool = newServerPool(cfg.Transport, serverPoolOptions{
+	n.pool = newServerPool(cfg.ServerConnections, serverPoolOptions{
 		maxConns:      maxConnsPerSide(cfg.MaxSockets),
 		minIdleTime:   cfg.minIdleTime,
 		subsetServers: n.subsetServers,
