--- a/internal/edgeproxy/server_pool.go
+++ b/internal/edgeproxy/server_pool.go
@@ -48,9 +48,9 @@
 	dialer := serverDialer{net.Dialer{Timeout: settings.ConnectTimeout, KeepAlive: -1}}
 	return &serverPool{Pool: serverpool.New(serverpool.Config[*serverConn]{
 		Config: conntable.Config{
-			MaxIdleTimeout: serverpool.MaxIdleTimeout(settings.ConnIdleTimeout),
-			MinIdleTime:    options.minIdleTime,
-			MaxOpen:        options.maxConns,
+			MaxIdleTimeout:     serverpool.MaxIdleTimeout(settings.ConnIdleTimeout),
+			MinIdleBeforeReuse: options.minIdleTime,
+			MaxOpen:            options.maxConns,
 		},
 		Dial:          dialer.dial,
 		SubsetServers: options.subsetServers,
--- a/internal/serverpool/conntable/acquire.go
+++ b/internal/serverpool/conntable/acquire.go
@@ -37,7 +37,7 @@
 	if server == nil || !server.isUp {
 		return Step[C]{}, ErrServerNotUp
 	}
-	if conn := server.takeLatestIdle(now, t.config.MinIdleTime); conn != nil {
+	if conn := server.takeLatestIdle(now, t.config.MinIdleBeforeReuse); conn != nil {
 		conn.idleTime = now.Sub(conn.idleSince)
 		if conn.idleTime < server.idleTimeout.current(now, t.config.MaxIdleTimeout) {
 			return Step[C]{Kind: Reuse, Conn: conn}, nil
--- a/internal/serverpool/conntable/table.go
+++ b/internal/serverpool/conntable/table.go
@@ -16,9 +16,9 @@
 
 // Config holds the limits of a table.
 type Config struct {
-	MaxIdleTimeout time.Duration // idle timeout for servers without a shorter learned one
-	MinIdleTime    time.Duration // time that a connection must be idle before it is reused
-	MaxOpen        int           // limit of open connections, since file descriptors are limited
+	MaxIdleTimeout     time.Duration // idle timeout for servers without a shorter learned one
+	MinIdleBeforeReuse time.Duration // time that a connection must be idle before it is reused
+	MaxOpen            int           // limit of open connections, since file descriptors are limited
 }
 
 // Table holds the app servers of the endpoint list and their idle connections. C is the host's connection type, which
--- a/internal/serverpool/conntable/table_test.go
+++ b/internal/serverpool/conntable/table_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-var testConfig = Config{MaxIdleTimeout: 8 * time.Second, MinIdleTime: 50 * time.Millisecond, MaxOpen: 4}
+var testConfig = Config{MaxIdleTimeout: 8 * time.Second, MinIdleBeforeReuse: 50 * time.Millisecond, MaxOpen: 4}
 
 // withMaxOpen returns a configuration with the given limit whose connections may be reused at once.
 func withMaxOpen(count int) Config { return Config{MaxIdleTimeout: 8 * time.Second, MaxOpen: count} }
 
-// The most recently used connection that has been idle for MinIdleTime is reused; a newer one stays idle.
+// The most recently used connection that has been idle for MinIdleBeforeReuse is reused; a newer one stays idle.
 func TestLatestIdleIsReused(t *testing.T) {
 	runTranscript(t, testConfig, `
 	> acquire a
