--- a/internal/cluster/link_test.go
+++ b/internal/cluster/link_test.go
@@ -13,11 +13,11 @@
 	relayAddr := netip.MustParseAddrPort(freeAddr(t))
 	relays := map[uint64]*gateway.RelayConfig{
 		1: {
-			Own:    []string{"hall-z"},
-			Listen: netip.MustParseAddrPort(freeAddr(t)),
-			Remote: map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: relayAddr}}},
+			OwnSites:    []string{"hall-z"},
+			Listen:      netip.MustParseAddrPort(freeAddr(t)),
+			PeersBySite: map[string][]gateway.RelayPeer{"hall-a": {{Member: 2, Addr: relayAddr}}},
 		},
-		2: {Own: []string{"hall-a"}, Listen: relayAddr},
+		2: {OwnSites: []string{"hall-a"}, Listen: relayAddr},
 	}
 	c := newTestClusterWith(t, 2, func(id uint64, m *testMember) { m.relay = relays[id] })
 	outcome := c.propose(c.initialProposal())
@@ -25,7 +25,7 @@
 	c.awaitServing(1)
 	sent := int64(0)
 	c.members[2].member.Instance().EachOperation(func(_ string, counters *gateway.Counters) {
-		sent += counters.Sent.Load()
+		sent += counters.SentRequests.Load()
 	})
 	if sent != 0 {
 		t.Errorf("member 2 counts %d requests that member 1 received, want 0", sent)
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -12,7 +12,7 @@
 
 // RequestRecord is the access log entry of a request that was charged or rejected.
 type RequestRecord struct {
-	Trace        string `json:"trace"` // X-Trace-Id
+	TraceID      string `json:"trace"` // X-Trace-Id
 	Operation    string `json:"operation"`
 	Licensee     string `json:"licensee"`
 	Version      uint64 `json:"version"` // of the setup by which the request was matched
@@ -32,7 +32,7 @@
 // NewAccessLog returns an access log that writes to w until Close is called.
 func NewAccessLog(w io.Writer) *AccessLog { return &AccessLog{newLineLog[accessLine](w)} }
 
-// Record queues a record. It can be used as [Config.Observe].
+// Record queues a record. It can be used as [Config.OnAnswer].
 func (l *AccessLog) Record(r RequestRecord) { l.log.record(accessLine{time.Now(), r}) }
 
 // Close writes the queued records and returns the first write error. Record must not be called after Close.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -138,8 +138,8 @@
 	if !r.isRelayed {
 		return result
 	}
-	deadline, isWanted := r.statusDeadline(time.Now(), a, result)
-	if !isWanted {
+	deadline, needsQuery := r.statusDeadline(time.Now(), a, result)
+	if !needsQuery {
 		return result
 	}
 	query := relayedStatusQuery{servers: in.servers, control: r.current, id: r.attemptRelayID(), startedAt: begunAt,
@@ -162,8 +162,8 @@
 	r.counters.Attempts.Add(1)
 	if !r.wasSent {
 		r.wasSent = true
-		r.counters.Sent.Add(1)
-		r.counters.Units.Add(int64(r.units))
+		r.counters.SentRequests.Add(1)
+		r.counters.SentUnits.Add(int64(r.units))
 	}
 }
 
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -66,12 +66,12 @@
 	DrainTimeout      time.Duration // for which a draining instance still accepts requests
 	FullValidation    bool          // check all parameters and bodies against their schemas
 
-	// Observe, if set, is called with each final answer; it must not block.
-	Observe func(RequestRecord)
+	// OnAnswer, if set, is called with each final answer; it must not block.
+	OnAnswer func(RequestRecord)
 
-	// Trace, if set, is called with the trace of each request once its answer was written or could not be; it must not
+	// OnTrace, if set, is called with the trace of each request once its answer was written or could not be; it must not
 	// block.
-	Trace func(RequestTrace)
+	OnTrace func(RequestTrace)
 
 	listener net.Listener // open client listener, in tests and scenarios; nil: Listen is used
 	peerConn *net.UDPConn // open gossip socket, in tests and scenarios; nil: PeerListen is used
@@ -87,7 +87,7 @@
 type Setup struct {
 	Number    uint64         // version number, which is sent to servers and clients
 	Table     *routing.Table // nil: the table in force stays
-	Check     Checker        // for Table; nil: only the values that determine the cost are checked
+	Checker   Checker        // for Table; nil: only the values that determine the cost are checked
 	Licensees map[string]Licensee
 	Plans     []policy.Plan // by index, as [policy.Engine.SetPlans] expects them
 	Sites     []Site
@@ -95,7 +95,7 @@
 
 // Setup returns the setup that the configuration contains.
 func (c *Config) Setup(number uint64, table *routing.Table, check Checker) Setup {
-	return Setup{Number: number, Table: table, Check: check, Licensees: c.Licensees,
+	return Setup{Number: number, Table: table, Checker: check, Licensees: c.Licensees,
 		Plans: c.Settings.Plans, Sites: c.Sites}
 }
 
--- a/internal/gateway/relay_harness_test.go
+++ b/internal/gateway/relay_harness_test.go
@@ -149,7 +149,7 @@
 		c := creds.TLSConfig()
 		c.SessionTicketsDisabled = true
 		verify := func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("test", s) }
-		return &RelayConfig{Own: []string{own}, TLS: c, Verify: verify}
+		return &RelayConfig{OwnSites: []string{own}, TLS: c, Verify: verify}
 	}
 	a, b := newConfig(1, "site-a"), newConfig(2, "site-b")
 	if b.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	w = newLinkForwarder(t, b.listener.Addr().String())
-	a.Remote = map[string][]RelayPeer{"site-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
+	a.PeersBySite = map[string][]RelayPeer{"site-b": {{2, w.ln.Addr().(*net.TCPAddr).AddrPort()}}}
 	if change != nil {
 		change(a, b)
 	}
--- a/internal/gateway/relay_late_test.go
+++ b/internal/gateway/relay_late_test.go
@@ -212,7 +212,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config := &RelayConfig{Own: []string{"site-b"}, TLS: credentials.TLSConfig(), listener: listener,
+	config := &RelayConfig{OwnSites: []string{"site-b"}, TLS: credentials.TLSConfig(), listener: listener,
 		Verify: func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember("test", s) }}
 	config.TLS.SessionTicketsDisabled = true
 	return startInstance(t, h, 1, func(c *Config) { c.Relay = config })
@@ -238,7 +238,7 @@
 	near, first, _ := startTwoSites(t, h, func(near, far *RelayConfig) {
 		holdFarReads(links[0])(near, far)
 		second := RelayPeer{secondMember, listener.Addr().(*net.TCPAddr).AddrPort()}
-		near.Remote["site-b"] = append(near.Remote["site-b"], second)
+		near.PeersBySite["site-b"] = append(near.PeersBySite["site-b"], second)
 	})
 	second = startFarInstance(t, h, links[1], secondMember)
 	for _, instance := range []*testInstance{near, first, second} {
--- a/internal/gateway/request_trace.go
+++ b/internal/gateway/request_trace.go
@@ -11,11 +11,11 @@
 )
 
 // RequestTrace records the steps of a request at one instance, with their times. Instances on one machine share a
-// clock, so that the traces of a relayed request at its two instances can be compared: Trace is the same in both, and
+// clock, so that the traces of a relayed request at its two instances can be compared: TraceID is the same in both, and
 // RelayID identifies the attempt of the relaying instance.
 type RequestTrace struct {
 	Instance     string      `json:"instance"`
-	Trace        string      `json:"trace"` // X-Trace-Id
+	TraceID      string      `json:"trace"` // X-Trace-Id
 	RelayID      string      `json:"relay_id,omitempty"`
 	Operation    string      `json:"operation"`
 	Idempotent   bool        `json:"idempotent"` // it may run any number of times
@@ -64,11 +64,11 @@
 
 // newTraceRecorder returns a recorder for a request that has been matched, or nil if tracing is off.
 func (in *Instance) newTraceRecorder(r *pendingRequest, receivedAt time.Time) *traceRecorder {
-	if in.config.Trace == nil {
+	if in.config.OnTrace == nil {
 		return nil
 	}
 	t := &traceRecorder{trace: RequestTrace{
-		Instance: in.config.Name, Trace: r.traceID, RelayID: r.relayID, Operation: r.operation.ID,
+		Instance: in.config.Name, TraceID: r.traceID, RelayID: r.relayID, Operation: r.operation.ID,
 		Idempotent: r.isIdempotent(), Deadline: r.deadline,
 	}}
 	if !r.isFromRelay {
@@ -96,15 +96,15 @@
 }
 
 // attemptExchanged records the steps of an attempt whose exchange with its server has ended.
-func (t *traceRecorder) attemptExchanged(number int, a attempt, rep *response, result policy.Result) {
+func (t *traceRecorder) attemptExchanged(number int, a attempt, resp *response, result policy.Result) {
 	if t == nil {
 		return
 	}
-	if rep.wasWritten {
-		t.add(TraceStep{At: rep.writtenAt, Kind: StepWritten, Attempt: number, Server: a.server})
+	if resp.wasWritten {
+		t.add(TraceStep{At: resp.writtenAt, Kind: StepWritten, Attempt: number, Server: a.server})
 	}
-	if !rep.closedAt.IsZero() {
-		t.add(TraceStep{At: rep.closedAt, Kind: StepConnClosed, Attempt: number, Server: a.server, Detail: result.String()})
+	if !resp.closedAt.IsZero() {
+		t.add(TraceStep{At: resp.closedAt, Kind: StepConnClosed, Attempt: number, Server: a.server, Detail: result.String()})
 	}
 }
 
@@ -158,7 +158,7 @@
 // NewTraceLog starts a log that writes to w. Close stops it.
 func NewTraceLog(w io.Writer) *TraceLog { return &TraceLog{newLineLog[RequestTrace](w)} }
 
-// Record queues a trace. It can be used as [Config.Trace].
+// Record queues a trace. It can be used as [Config.OnTrace].
 func (l *TraceLog) Record(trace RequestTrace) { l.log.record(trace) }
 
 // Close writes the queued traces and returns the first write error. Record must not be called after Close.
--- a/internal/gateway/request_trace_test.go
+++ b/internal/gateway/request_trace_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
-		i := slices.IndexFunc(c.traces, func(trace RequestTrace) bool { return trace.Trace == id })
+		i := slices.IndexFunc(c.traces, func(trace RequestTrace) bool { return trace.TraceID == id })
 		if i >= 0 {
 			defer c.mu.Unlock()
 			return c.traces[i]
@@ -53,7 +53,7 @@
 	h.startServer("site-a", "s0")
 	h.startServer("site-a", "s1")
 	traces := &traceCollector{}
-	g := startInstance(t, h, 2, func(c *Config) { c.Trace = traces.record })
+	g := startInstance(t, h, 2, func(c *Config) { c.OnTrace = traces.record })
 	g.fillRetryBudget(h, 8)
 	c := dial(t, g.addr)
 	c.send(getRequest("GET /visits/1", "X-Trace-Id: r.0"))
@@ -81,7 +81,7 @@
 	h := newTestSites(t)
 	traces := &traceCollector{}
 	near, _, link := startTwoSites(t, h, nil)
-	near.config.Trace = traces.record // before the first request
+	near.config.OnTrace = traces.record // before the first request
 	c := dial(t, near.addr)
 	c.send(getRequest("GET /visits/1", "X-Trace-Id: r.0"))
 	attempt := h.nextRequest()
@@ -122,7 +122,7 @@
 func TestTraceLog(t *testing.T) {
 	var out bytes.Buffer
 	l := NewTraceLog(&out)
-	want := RequestTrace{Instance: "g", Trace: "r.0", Deadline: time.Unix(1, 0).UTC(),
+	want := RequestTrace{Instance: "g", TraceID: "r.0", Deadline: time.Unix(1, 0).UTC(),
 		Steps: []TraceStep{{At: time.Unix(0, 0).UTC(), Kind: StepBegun, Attempt: 1, Server: "site-a/s", Relayed: true}}}
 	l.Record(want)
 	if err := l.Close(); err != nil {
--- a/internal/gateway/request_write.go
+++ b/internal/gateway/request_write.go
@@ -23,7 +23,7 @@
 	b = append(b, " HTTP/1.1\r\n"...)
 	for i := range h.Fields {
 		f := &h.Fields[i]
-		if httpwire.HopByHop(f.Name) || isSetByGateway(f.Name) {
+		if httpwire.IsHopByHop(f.Name) || isSetByGateway(f.Name) {
 			continue
 		}
 		b = httpwire.AppendField(b, f.Name, f.Value)
@@ -37,12 +37,12 @@
 	}
 	b = append(b, "\r\n"+versionField+": "...)
 	if from, n := h.Values(versionField); r.isFromRelay && n == 1 {
-		b = append(b, from...) // the version by which the first instance matched it
+		b = append(b, from...) // the version by which the relaying instance matched it
 	} else {
 		b = strconv.AppendUint(b, r.version.number, 10)
 	}
 	b = append(b, "\r\n"...)
-	if len(r.body) > 0 || h.Length >= 0 {
+	if len(r.body) > 0 || h.ContentLength >= 0 {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(r.body)), 10)
 		b = append(b, "\r\n"...)
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -114,14 +114,14 @@
 		}
 	}
 	record := RequestRecord{
-		Trace: r.traceID, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number,
+		TraceID: r.traceID, Operation: r.operation.ID, Licensee: r.licensee, Version: r.version.number,
 		Units: r.units, Sent: r.wasSent, Attempts: r.attempts,
 		Answer: r.answer.String(), KeyRejection: r.keyRejection, Status: r.answerStatus(),
 	}
 	b, body := c.appendAnswer(record.Status)
 	b = c.appendExplanation(b, &record)
-	if observe := c.server.instance.config.Observe; observe != nil && !c.isRelay {
-		observe(record)
+	if onAnswer := c.server.instance.config.OnAnswer; onAnswer != nil && !c.isRelay {
+		onAnswer(record)
 	}
 	r.response.body = nil
 	return c.writeResponse(b, body)
@@ -160,7 +160,7 @@
 	b := c.appendStatusLine(head.Status, head.Reason)
 	for i := range head.Fields {
 		field := &head.Fields[i]
-		if !isForGateway(field.Name) && !httpwire.HopByHop(field.Name) {
+		if !isForGateway(field.Name) && !httpwire.IsHopByHop(field.Name) {
 			b = httpwire.AppendField(b, field.Name, field.Value)
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 // declaredLength returns the Content-Length of a server's response, or noLength if it has none.
-func declaredLength(head *httpwire.Head) int { return max(int(head.Length), noLength) }
+func declaredLength(head *httpwire.Head) int { return max(int(head.ContentLength), noLength) }
 
 // appendGatewayResponse begins a response that the gateway itself generates and returns its body, a line of text. If
 // retryAfter is 0, the response has no Retry-After.
