--- a/internal/gatewayconfig/agreed.go
+++ b/internal/gatewayconfig/agreed.go
@@ -109,7 +109,7 @@
 		{fieldMaxInFlight, float64(plan.Open)},
 	} {
 		if !(f.value >= 0 && f.value < maxPlanValue) { // negated, so that NaN is out of range
-			p.addProblem(section+"."+f.name, "%v is out of range", f.value)
+			p.addProblem(section+"."+f.name, "%v is out of range: use a value from 0 to below 1e12", f.value)
 		}
 	}
 	if plan.Rate > 0 && plan.Burst <= 0 {
@@ -133,7 +133,7 @@
 			p.addProblem(section+".name", "%q is empty or used twice", l.Name)
 		}
 		if !plans[l.Plan] {
-			p.addProblem(section+".plan", "%q is no [[plan]] of this file", l.Plan)
+			p.addProblem(section+".plan", "%q is not the name of a [[plan]] in this file", l.Plan)
 		}
 		cfg.Licensees[l.Name] = gateway.Licensee{Plan: l.Plan, Customer: gateway.CustomerID(l.Name)}
 	}
--- a/internal/gatewayconfig/fields.go
+++ b/internal/gatewayconfig/fields.go
@@ -27,7 +27,7 @@
 const (
 	textNoSite        = "no site is described: add a [[hall]] with name and register"
 	textNoClass       = "no class is described: add a [[class]] with name, worth, aim and deadline"
-	textNoDeadline    = "aim and deadline must both be set, above 0"
+	textNoDeadline    = "aim and deadline must both be set and above 0"
 	textHardLimit     = "must not be below rate, and ceiling_burst must be above 0"
 	textZoneNoSite    = "%q is not the name of a [[hall]] in this file"
 	textZoneMissing   = "is missing: set it to the name of this instance's own hall"
@@ -35,7 +35,7 @@
 )
 
 // textUnknownValue is the text of the problem of a field that accepts only two values.
-const textUnknownValue = "%q is unknown: %q or %q is wanted"
+const textUnknownValue = "%q is unknown: use %q or %q"
 
 // Values of the field when_stale: an instance whose configuration is stale continues to serve, or rejects requests.
 const (
--- a/internal/gatewayconfig/membership.go
+++ b/internal/gatewayconfig/membership.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// staleness reads how long an instance's configuration may stay unconfirmed until it is stale, and whether the instance
+// staleness reads after which time without confirmation an instance's configuration is stale, and whether the instance
 // then rejects requests.
 func (p *parser) staleness(section string, staleAfter duration, whenStale string) *gateway.Agreement {
 	staleness := &gateway.Agreement{StaleAfter: staleAfter.d}
--- a/internal/gatewayconfig/parser.go
+++ b/internal/gatewayconfig/parser.go
@@ -40,7 +40,7 @@
 				File:  p.file,
 				Pos:   positionOf(&e),
 				Field: strings.Join(e.Key(), "."),
-				Text:  "is no field of this file",
+				Text:  "is not a field of this file",
 			})
 		}
 		return
