--- a/internal/scenario/scenario_table.go
+++ b/internal/scenario/scenario_table.go
@@ -27,21 +27,21 @@
 var scenarios = []Scenario{
 	{
 		Name:  "calm",
-		About: "two operations, no faults",
+		About: "two operations and no faults",
 		mix:   calmMix,
 		price: sameUnits,
 	},
 	{
 		Name: "mixed",
-		About: "all operations of the booking API; servers err, turn away, reset and fall " +
-			"silent",
+		About: "all operations of the booking API; servers return errors, reject requests, reset " +
+			"connections or do not answer",
 		mix:    mixedMix,
 		price:  sameUnits,
 		faults: mixedFaults,
 	},
 	{
 		Name:         "contract-change",
-		About:        "the same while the description changes ten times, twice to a bad one",
+		About:        "like mixed, while the description changes ten times, two of them invalid",
 		mix:          mixedMix,
 		price:        changingPrice,
 		runInProcess: changeContract,
@@ -49,30 +49,30 @@
 	},
 	{
 		Name:         "leader-lost",
-		About:        "processes that agree; the leader is killed three times in the middle of changes",
+		About:        "a cluster of processes; the leader is killed three times in the middle of changes",
 		mix:          mixedMix,
 		price:        sameUnits,
 		runOnCluster: leaderLost,
 	},
 	{
 		Name: "minority-cut",
-		About: "processes that agree; one is cut off and serves on, one is cut off and " +
-			"refuses past its bound",
+		About: "a cluster of processes; a member is partitioned and continues to serve, then another " +
+			"is partitioned and rejects requests beyond its staleness bound",
 		mix:          mixedMix,
 		price:        sameUnits,
 		runOnCluster: minorityCut,
 	},
 	{
 		Name:         "rolling-restart",
-		About:        "processes that agree; each is restarted in turn",
+		About:        "a cluster of processes; each member is restarted in turn",
 		mix:          mixedMix,
 		price:        sameUnits,
 		runOnCluster: rollingRestart,
 	},
 	{
 		Name: "hall-closes",
-		About: "processes that agree; halls are closed and opened for keyed requests, " +
-			"whose clients repeat them anywhere",
+		About: "a cluster of processes; sites are closed and reopened for requests with idempotency " +
+			"keys, which clients retry at any instance",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: siteCloses,
@@ -80,7 +80,7 @@
 	},
 	{
 		Name:         "instance-killed-holding-keys",
-		About:        "the same, and an instance is killed as each hall closes",
+		About:        "like hall-closes, and an instance is killed as each site closes",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: killedHoldingKeys,
@@ -89,8 +89,8 @@
 	},
 	{
 		Name: "hall-lost",
-		About: "processes that agree; a hall falls silent while it runs work, and comes " +
-			"back as it was or empty; nobody tells the instances",
+		About: "a cluster of processes; a site stops answering while it runs requests, and returns with " +
+			"its old servers or with cold ones; the instances must detect both",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: siteLost,
@@ -99,8 +99,8 @@
 	},
 	{
 		Name: "hall-returns-empty",
-		About: "the same with halls that come back cold: with one server, with all, with " +
-			"half of them, twice in a row",
+		About: "like hall-lost, with sites that return with cold servers only: one, all or half of " +
+			"them, sometimes the same site twice in a row",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: siteReturnsEmpty,
@@ -109,7 +109,7 @@
 	},
 	{
 		Name:         "flapping",
-		About:        "the same with a hall that falls silent and answers again all the time",
+		About:        "like hall-lost, with one site that repeatedly stops answering and returns",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: flapping,
@@ -118,7 +118,7 @@
 	},
 	{
 		Name:         "two-sites",
-		About:        "processes that agree, two at each of two sites, and no faults",
+		About:        "a cluster of processes, two at each of two sites, and no faults",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: runWithoutFaults,
@@ -126,8 +126,8 @@
 	},
 	{
 		Name: "hall-lost-surge",
-		About: "a hall that carries half of the load is lost and comes back cold; what is " +
-			"served is held against an oracle",
+		About: "a site that carries half of the load is lost and returns with cold servers; what is " +
+			"served is compared with a reference model",
 		mix:           repeatingMix,
 		price:         sameUnits,
 		runOnCluster:  siteLostSurge,
@@ -136,8 +136,8 @@
 	},
 	{
 		Name: "servers-replaced",
-		About: "a crowd asks for all that there is, and a hall's warm servers end a moment " +
-			"after a cold one has come",
+		About: "clients send more than the sites can serve, and the warm servers of a site are killed " +
+			"shortly after a cold one has started",
 		mix:           repeatingMix,
 		price:         sameUnits,
 		runOnCluster:  serversReplaced,
@@ -147,8 +147,8 @@
 	},
 	{
 		Name: "link-drops",
-		About: "processes that agree, two at each of two sites; the way between the sites " +
-			"falls silent and breaks all the time",
+		About: "a cluster of processes, two at each of two sites; links between the sites are " +
+			"repeatedly cut and healed",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: linkDrops,
@@ -157,8 +157,8 @@
 	},
 	{
 		Name: "relay-chaos",
-		About: "the same; links are cut, slow, silent one way or reset, instances are drained, killed or " +
-			"stopped, sites are lost and come back, by the seed",
+		About: "like link-drops; by the seed, links are cut, slow, reset or lose replies, instances are drained, " +
+			"killed or stopped, and sites are lost and return",
 		mix:            repeatingMix,
 		price:          sameUnits,
 		runOnCluster:   relayChaos,
@@ -168,7 +168,7 @@
 	},
 	{
 		Name:         "both-cut",
-		About:        "the same, and all ways between the sites stay cut: each is alone",
+		About:        "like link-drops, but the sites stay partitioned from each other for a third of the run",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: bothCut,
@@ -177,7 +177,7 @@
 	},
 	{
 		Name:          "followers",
-		About:         "three members that agree and two instances that follow, and no faults",
+		About:         "three members and two followers, and no faults",
 		mix:           mixedMix,
 		price:         sameUnits,
 		runOnCluster:  runWithoutFaults,
@@ -185,8 +185,8 @@
 	},
 	{
 		Name: "stream-breaks",
-		About: "three members that agree and two instances that follow; the ways between " +
-			"them fall silent all the time",
+		About: "three members and two followers; links from followers to members are repeatedly cut " +
+			"and healed",
 		mix:           mixedMix,
 		price:         sameUnits,
 		runOnCluster:  streamBreaks,
@@ -194,7 +194,7 @@
 	},
 	{
 		Name:          "follower-restarts",
-		About:         "the same; followers are killed and started again",
+		About:         "like followers; followers are killed and restarted",
 		mix:           mixedMix,
 		price:         sameUnits,
 		runOnCluster:  killInstances(func(c *clusterRun) []*clusterInstance { return c.followers }),
@@ -202,7 +202,7 @@
 	},
 	{
 		Name:          "member-dies-with-followers",
-		About:         "the same; members are killed and started again",
+		About:         "like followers; members are killed and restarted",
 		mix:           mixedMix,
 		price:         sameUnits,
 		runOnCluster:  killInstances(func(c *clusterRun) []*clusterInstance { return c.members }),
@@ -210,8 +210,8 @@
 	},
 	{
 		Name: "chaos-config",
-		About: "processes that agree; kills, cuts, lost, late and repeated messages, " +
-			"failing disks, by the seed",
+		About: "a cluster of processes; by the seed, members are killed or partitioned, messages are " +
+			"lost, delayed or repeated, and disks fail",
 		mix:          mixedMix,
 		price:        sameUnits,
 		runOnCluster: chaosConfig,
