--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -12,19 +12,19 @@
 // benchCmd measures the cost of requests, configuration changes, relayed requests and followers.
 type benchCmd struct {
 	For     time.Duration `help:"Length of each measurement." default:"3s"`
-	Conns   int           `help:"Connections of clients, each with one request at a time." default:"32"`
-	Rate    float64       `help:"Requests a second; 0 is as many as go through."`
-	Procs   []int         `help:"Processors of the front, one measurement each." default:"1"`
-	Rounds  int           `help:"Measurements of each; the medians count." default:"3"`
+	Conns   int           `help:"Client connections, each with one request at a time." default:"32"`
+	Rate    float64       `help:"Requests per second over all connections; 0 means no limit."`
+	Procs   []int         `help:"Values of GOMAXPROCS of the measured proxy, one measurement each." default:"1"`
+	Rounds  int           `help:"Repetitions of each measurement; the medians are reported." default:"3"`
 	Profile string        `help:"File for a CPU profile of the gateway's last measurement." type:"path"`
-	Changes time.Duration `help:"Measure instead what a change of the agreed configuration at each such gap costs an instance."`
-	Link    bool          `help:"Measure instead what a request costs that crosses the link between two sites."`
+	Changes time.Duration `help:"Measure instead what changes of the agreed configuration cost an instance, with one change in each such interval."`
+	Link    bool          `help:"Measure instead what a request costs that is relayed to another site."`
 	JSON    bool          `help:"Print all results as JSON."`
 
-	Parts     bool   `help:"Compare instead the ways to share out a fleet's servers among its nodes, by balance, movement and connections."`
-	Size      int    `help:"With --parts: servers in a part." default:"16"`
+	Parts     bool   `help:"Compute instead the balance, movement and connections of subsets of servers, for fleets of several sizes."`
+	Size      int    `help:"With --parts: target number of servers in a subset." default:"16"`
 	Seed      uint64 `help:"With --parts: seed of the fleets." default:"1"`
-	Followers int    `help:"Measure instead how soon so many followers have a change, and what they cost a member, by deltas and by whole versions."`
+	Followers int    `help:"Measure instead how soon this many followers install a change and what they cost a member, with deltas and with full versions."`
 }
 
 func (c *benchCmd) Run(e *environment) error {
--- a/cmd/gateway/certs.go
+++ b/cmd/gateway/certs.go
@@ -11,11 +11,11 @@
 
 // certsCmd issues certificates for members, operators and followers.
 type certsCmd struct {
-	Dir       string   `help:"Folder to write to; it is made where it is not there." required:"" type:"path"`
-	Cluster   string   `help:"Name of a new cluster. Without it the folder's authority issues for further members."`
+	Dir       string   `help:"Folder to write to; created if it is missing." required:"" type:"path"`
+	Cluster   string   `help:"Name of a new cluster. Without it, the authority in the folder issues the certificates."`
 	Members   []uint64 `help:"Numbers of the members."`
 	Operators []string `help:"Names of operators, who may then use gateway config."`
-	Followers []string `help:"Names of instances that are no members and follow."`
+	Followers []string `help:"Names of followers: instances that are not members and receive the agreed configuration."`
 }
 
 func (c *certsCmd) Run(e *environment) error {
--- a/cmd/gateway/check.go
+++ b/cmd/gateway/check.go
@@ -17,7 +17,7 @@
 // checkCmd checks descriptions and configurations without starting anything.
 type checkCmd struct {
 	Files  []string `arg:"" name:"file" help:"Descriptions and configurations."`
-	Config string   `help:"Configuration whose classes and limits the descriptions are checked with; the embedded default otherwise." type:"path"`
+	Config string   `help:"Configuration whose classes and limits the descriptions are checked with. Without it, the embedded default is used." type:"path"`
 	JSON   bool     `help:"Print the result as JSON."`
 }
 
--- a/cmd/gateway/config.go
+++ b/cmd/gateway/config.go
@@ -14,24 +14,24 @@
 
 // clusterFlags select the instances that a command is sent to, and the operator who sends it.
 type clusterFlags struct {
-	At       []string      `help:"Admin addresses of instances: the first that can be reached is asked." default:"127.0.0.1:7201" env:"MULLEINGATE_AT"`
+	At       []string      `help:"Admin addresses of members. Requests are sent to the first that can be reached." default:"127.0.0.1:7201" env:"MULLEINGATE_AT"`
 	Certs    string        `help:"Folder with the operator's certificate." default:"certs" env:"MULLEINGATE_CERTS" type:"path"`
-	Operator string        `help:"The operator, by the name in the certificate's file." default:"admin" env:"MULLEINGATE_OPERATOR"`
-	Timeout  time.Duration `help:"How long to wait." default:"10s"`
-	JSON     bool          `help:"Print the answer as JSON."`
+	Operator string        `help:"Name of the operator, as in the file name of the certificate." default:"admin" env:"MULLEINGATE_OPERATOR"`
+	Timeout  time.Duration `help:"How long to wait for the cluster." default:"10s"`
+	JSON     bool          `help:"Print the result as JSON."`
 }
 
 // configCmd shows the configuration that the instances of a cluster agree on, and changes it.
 type configCmd struct {
 	clusterFlags
 
-	Get     getCmd     `cmd:"" help:"Show what is agreed on. Example: gateway config get plan kubwa"`
-	History historyCmd `cmd:"" help:"Show the versions: when, who, why and what."`
-	Diff    diffCmd    `cmd:"" help:"Show what a file would change; exits 1 if it would. Example: gateway config diff fleet.toml"`
-	Apply   applyCmd   `cmd:"" help:"Have the instances agree on what a file says. Example: gateway config apply fleet.toml --why 'new tariff' --wait applied-everywhere"`
+	Get     getCmd     `cmd:"" help:"Show the agreed objects. Example: gateway config get plan kubwa"`
+	History historyCmd `cmd:"" help:"Show the versions with their times, authors, changes and reasons."`
+	Diff    diffCmd    `cmd:"" help:"Show what a file would change; exits with 1 if it would change anything. Example: gateway config diff fleet.toml"`
+	Apply   applyCmd   `cmd:"" help:"Propose the configuration in a file to the cluster. Example: gateway config apply fleet.toml --why 'new tariff' --wait applied-everywhere"`
 	Members membersCmd `cmd:"" help:"Change the members."`
 	Epoch   epochCmd   `cmd:"" help:"Begin a new epoch of versions, after members were restored from a backup."`
-	Status  statusCmd  `cmd:"" help:"Show how each member stands."`
+	Status  statusCmd  `cmd:"" help:"Show the status of each member."`
 }
 
 // newClient returns a client with the operator's certificate.
--- a/cmd/gateway/config_apply.go
+++ b/cmd/gateway/config_apply.go
@@ -14,11 +14,11 @@
 
 // applyCmd proposes the configuration in a file to the cluster.
 type applyCmd struct {
-	File  string `arg:"" help:"The file: all that is to be agreed on. What it lacks is removed; members stay." type:"path"`
-	Why   string `help:"Why, for the history."`
-	ID    string `help:"Id of the request: one that is asked for again takes place once."`
-	Check bool   `help:"Only tell whether it would be taken."`
-	Wait  string `help:"What to wait for: 'agreed', 'applied-everywhere' (at members and followers) or 'all-but-N', which leaves out up to N followers." default:"agreed"`
+	File  string `arg:"" help:"File with the whole configuration. Objects that it lacks are removed; members stay." type:"path"`
+	Why   string `help:"Reason, for the history."`
+	ID    string `help:"ID of the proposal. A proposal that is repeated with the same ID is applied once."`
+	Check bool   `help:"Only report whether the proposal would be accepted."`
+	Wait  string `help:"What to wait for: 'agreed', 'applied-everywhere' (at members and followers) or 'all-but-N', which allows up to N followers to be missing." default:"agreed"`
 }
 
 // noWait is the result of maxMissingFollowers if the command does not wait for instances to install the version.
--- a/cmd/gateway/config_diff.go
+++ b/cmd/gateway/config_diff.go
@@ -20,7 +20,7 @@
 
 // diffCmd shows what a file would change.
 type diffCmd struct {
-	File string `arg:"" help:"The file." type:"path"`
+	File string `arg:"" help:"File with the whole configuration." type:"path"`
 }
 
 // diffResult is what config diff --json prints.
--- a/cmd/gateway/config_epoch.go
+++ b/cmd/gateway/config_epoch.go
@@ -9,7 +9,7 @@
 
 // epochCmd begins a new epoch of versions.
 type epochCmd struct {
-	Why string `help:"Why, for the history."`
+	Why string `help:"Reason, for the history."`
 }
 
 // epochName is the name of the only object of kind [clusterconfig.KindEpoch].
--- a/cmd/gateway/config_get.go
+++ b/cmd/gateway/config_get.go
@@ -14,9 +14,9 @@
 
 // getCmd shows the agreed objects.
 type getCmd struct {
-	Kind  string `arg:"" optional:"" help:"Kind of objects; all otherwise."`
-	Name  string `arg:"" optional:"" help:"Name of one."`
-	Local bool   `help:"As applied at the instance asked, without asking the others: it may be old."`
+	Kind  string `arg:"" optional:"" help:"Kind of objects. Without it, all objects are shown."`
+	Name  string `arg:"" optional:"" help:"Name of one object of the kind."`
+	Local bool   `help:"Show the objects that the contacted member has applied, without confirmation by a quorum: they may be stale."`
 }
 
 func (c *getCmd) Run(e *environment, cc *configCmd) error {
--- a/cmd/gateway/config_history.go
+++ b/cmd/gateway/config_history.go
@@ -14,7 +14,7 @@
 
 // historyCmd shows the agreed versions.
 type historyCmd struct {
-	Last int `help:"So many of the latest versions; 0: all that are kept." default:"20"`
+	Last int `help:"Number of the latest versions to show; 0 means all that are kept." default:"20"`
 }
 
 func (c *historyCmd) Run(e *environment, cc *configCmd) error {
--- a/cmd/gateway/config_members.go
+++ b/cmd/gateway/config_members.go
@@ -11,35 +11,35 @@
 
 // membersCmd changes the members of a cluster.
 type membersCmd struct {
-	Add      addMemberCmd      `cmd:"" help:"Add a member; it votes once it has caught up. It must run, see gateway init --join. Example: gateway config members add 4 --raft 10.0.0.4:7101 --admin 10.0.0.4:7201"`
-	Replace  replaceMemberCmd  `cmd:"" help:"Put a new member in the place of one, in one step: of one that is dead, say."`
+	Add      addMemberCmd      `cmd:"" help:"Add a member, which votes once it has caught up. Its instance must be running: see gateway init --join. Example: gateway config members add 4 --raft 10.0.0.4:7101 --admin 10.0.0.4:7201"`
+	Replace  replaceMemberCmd  `cmd:"" help:"Replace a member, such as one that has failed, by a new one in a single step."`
 	Remove   removeMemberCmd   `cmd:"" help:"Remove a member. Its number is never used again."`
-	Transfer transferMemberCmd `cmd:"" help:"Have a member lead."`
+	Transfer transferMemberCmd `cmd:"" help:"Make a member the leader."`
 }
 
 // addMemberCmd adds a member.
 type addMemberCmd struct {
-	Member uint64 `arg:"" help:"Its number."`
+	Member uint64 `arg:"" help:"Number of the member."`
 	Raft   string `help:"Address for the other members." required:""`
 	Admin  string `help:"Address for operators." required:""`
 }
 
 // replaceMemberCmd replaces a member by a new one in one step.
 type replaceMemberCmd struct {
-	Member uint64 `arg:"" help:"Number of the one that goes."`
-	With   uint64 `help:"Number of the one that comes." required:""`
-	Raft   string `help:"Its address for the other members." required:""`
-	Admin  string `help:"Its address for operators." required:""`
+	Member uint64 `arg:"" help:"Number of the member to remove."`
+	With   uint64 `help:"Number of the new member." required:""`
+	Raft   string `help:"Address of the new member for the other members." required:""`
+	Admin  string `help:"Address of the new member for operators." required:""`
 }
 
 // removeMemberCmd removes a member.
 type removeMemberCmd struct {
-	Member uint64 `arg:"" help:"Its number."`
+	Member uint64 `arg:"" help:"Number of the member."`
 }
 
 // transferMemberCmd makes a member the leader.
 type transferMemberCmd struct {
-	Member uint64 `arg:"" help:"Its number."`
+	Member uint64 `arg:"" help:"Number of the member."`
 }
 
 func (c *addMemberCmd) Run(e *environment, cc *configCmd) error {
--- a/cmd/gateway/init.go
+++ b/cmd/gateway/init.go
@@ -13,10 +13,10 @@
 
 // initCmd creates the data file of a member, or adopts one that was moved.
 type initCmd struct {
-	Config     string `help:"The instance's file." required:"" type:"path"`
-	NewCluster bool   `help:"The members that the file has begin a new cluster." xor:"how" required:""`
-	Join       bool   `help:"This member joins a cluster that runs: see config members add." xor:"how" required:""`
-	Adopt      bool   `help:"The file was moved here and is the newest of its member: never an old copy." xor:"how" required:""`
+	Config     string `help:"Configuration file of the instance." required:"" type:"path"`
+	NewCluster bool   `help:"Begin a new cluster with the members that the file lists." xor:"how" required:""`
+	Join       bool   `help:"Join a running cluster: see gateway config members add." xor:"how" required:""`
+	Adopt      bool   `help:"Accept a data file that was moved here. It must be the newest of its member, never an old copy." xor:"how" required:""`
 }
 
 func (c *initCmd) Run(e *environment) error {
--- a/cmd/gateway/lab.go
+++ b/cmd/gateway/lab.go
@@ -10,13 +10,13 @@
 
 // labCmd runs a scenario.
 type labCmd struct {
-	Scenario     string        `help:"Scenario to play; see --list." default:"calm"`
-	For          time.Duration `help:"How long clients send." default:"20s"`
+	Scenario     string        `help:"Scenario to run; see --list." default:"calm"`
+	For          time.Duration `help:"How long clients send requests." default:"20s"`
 	Seed         uint64        `help:"Seed of clients and faults." default:"1"`
 	JSON         bool          `help:"Print the verdict as JSON."`
 	List         bool          `help:"List the scenarios."`
-	RampOff      bool          `help:"The instances take every server for warm: servers-replaced then shows one that is pushed over."`
-	KeysAnywhere bool          `help:"Without the guard of keys: hall-closes then shows double bookings."`
+	RampOff      bool          `help:"Disable slow start: servers-replaced then reports an overloaded cold server."`
+	KeysAnywhere bool          `help:"Disable key ownership: hall-closes then reports double bookings."`
 	Logs         string        `help:"File for the instances' logs." type:"path"`
 }
 
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -15,15 +15,15 @@
 
 // cli is the whole command line.
 type cli struct {
-	Lab    labCmd    `cmd:"" help:"Play a scenario: real instances on loopback between stand-in halls. Exits 0 only if every rule was kept. Example: gateway lab --scenario mixed --for 20s --seed 7 --json"`
+	Lab    labCmd    `cmd:"" help:"Run a scenario: real instances on loopback between simulated sites. Exits with 0 only if no rule was violated. Example: gateway lab --scenario mixed --for 20s --seed 7 --json"`
 	Check  checkCmd  `cmd:"" help:"Check descriptions (YAML, JSON) and configurations (TOML) without starting anything. Example: gateway check deploy/booking.yaml deploy/gateway.toml"`
-	Bench  benchCmd  `cmd:"" help:"Measure CPU a request and requests a second beside httputil.ReverseProxy. Example: gateway bench --for 3s --procs 1,2"`
+	Bench  benchCmd  `cmd:"" help:"Measure CPU time per request and requests per second, compared with httputil.ReverseProxy. Example: gateway bench --for 3s --procs 1,2"`
 	Part   partCmd   `cmd:"" name:"bench-part" hidden:""`
-	Certs  certsCmd  `cmd:"" help:"Make the certificates with which instances know each other. Example: gateway certs --cluster dodoma --members 1,2,3 --dir certs"`
-	Init   initCmd   `cmd:"" help:"Make the file of a member of a cluster, once. Example: gateway init --config gate-1.toml --new-cluster"`
-	Config configCmd `cmd:"" help:"Ask and change what the instances of a cluster agree on."`
-	Stream streamCmd `cmd:"" help:"Ask how the instances that follow stand."`
-	Run    runCmd    `cmd:"" help:"Run one instance until SIGTERM. SIGHUP reads its description again. Example: gateway run --config deploy/gateway.toml"`
+	Certs  certsCmd  `cmd:"" help:"Issue the certificates with which instances authenticate each other. Example: gateway certs --cluster dodoma --members 1,2,3 --dir certs"`
+	Init   initCmd   `cmd:"" help:"Create the data file of a cluster member. Example: gateway init --config gate-1.toml --new-cluster"`
+	Config configCmd `cmd:"" help:"Show and change the configuration that the members of a cluster agree on."`
+	Stream streamCmd `cmd:"" help:"Show the status of followers, and pin them to versions."`
+	Run    runCmd    `cmd:"" help:"Run one instance until SIGTERM. On SIGHUP it reads its description again. Example: gateway run --config deploy/gateway.toml"`
 }
 
 // environment holds the context and the outputs of a command, and environment variables for processes that it starts.
@@ -62,7 +62,7 @@
 	exit := -1
 	parser, err := kong.New(&c,
 		kong.Name("gateway"),
-		kong.Description("A gateway between halls of booking servers, by an OpenAPI description."),
+		kong.Description("A gateway that routes requests to sites of booking servers by an OpenAPI description."),
 		kong.Writers(stdout, stderr),
 		kong.Exit(func(code int) { exit = code }))
 	if err != nil {
--- a/cmd/gateway/run.go
+++ b/cmd/gateway/run.go
@@ -20,8 +20,8 @@
 
 // runCmd runs one instance.
 type runCmd struct {
-	Config string `help:"The instance's file." required:"" type:"path"`
-	Chaos  uint64 `help:"Seed of faults of the network between members and of the disk (the lab's)." hidden:""`
+	Config string `help:"Configuration file of the instance." required:"" type:"path"`
+	Chaos  uint64 `help:"Seed of the injected faults of the network between members and of the disk, for gateway lab." hidden:""`
 }
 
 func (c *runCmd) Run(e *environment) (err error) {
--- a/cmd/gateway/stream.go
+++ b/cmd/gateway/stream.go
@@ -8,8 +8,8 @@
 type streamCmd struct {
 	clusterFlags
 	Status  streamStatusCmd  `cmd:"" help:"Show which version each follower runs. Example: gateway stream status --watch"`
-	Pin     streamPinCmd     `cmd:"" help:"Have a follower stay at a version, or go up to it and stay there. Example: gateway stream pin edge-7 41"`
-	Unpin   streamUnpinCmd   `cmd:"" help:"Have it take the newest again."`
+	Pin     streamPinCmd     `cmd:"" help:"Pin a follower to a version, beyond which it does not update. Example: gateway stream pin edge-7 41"`
+	Unpin   streamUnpinCmd   `cmd:"" help:"Remove the pin of a follower, so that it installs the newest version again."`
 	Explain streamExplainCmd `cmd:"" help:"Show why a follower does not run the newest version. Example: gateway stream explain edge-7"`
 }
 
--- a/cmd/gateway/stream_explain.go
+++ b/cmd/gateway/stream_explain.go
@@ -12,7 +12,7 @@
 
 // streamExplainCmd shows why a follower does not run the newest version.
 type streamExplainCmd struct {
-	Follower string `arg:"" help:"Its name."`
+	Follower string `arg:"" help:"Name of the follower."`
 }
 
 func (c *streamExplainCmd) Run(e *environment, sc *streamCmd) error {
--- a/cmd/gateway/stream_pin.go
+++ b/cmd/gateway/stream_pin.go
@@ -9,15 +9,15 @@
 
 // streamPinCmd pins a follower to a version.
 type streamPinCmd struct {
-	Follower string `arg:"" help:"Its name."`
-	Version  uint64 `arg:"" help:"The version."`
-	Why      string `help:"Why, for the history."`
+	Follower string `arg:"" help:"Name of the follower."`
+	Version  uint64 `arg:"" help:"Version to pin it to."`
+	Why      string `help:"Reason, for the history."`
 }
 
-// streamUnpinCmd removes a follower's pin, so that it takes the newest version again.
+// streamUnpinCmd removes a follower's pin, so that it installs the newest version again.
 type streamUnpinCmd struct {
-	Follower string `arg:"" help:"Its name."`
-	Why      string `help:"Why, for the history."`
+	Follower string `arg:"" help:"Name of the follower."`
+	Why      string `help:"Reason, for the history."`
 }
 
 func (c *streamPinCmd) Run(e *environment, sc *streamCmd) error {
--- a/cmd/gateway/stream_status.go
+++ b/cmd/gateway/stream_status.go
@@ -12,8 +12,8 @@
 
 // streamStatusCmd shows the status of each follower.
 type streamStatusCmd struct {
-	Watch bool          `help:"Show it again and again until interrupted."`
-	Every time.Duration `help:"How often." default:"1s"`
+	Watch bool          `help:"Show the status repeatedly until interrupted."`
+	Every time.Duration `help:"Interval of --watch." default:"1s"`
 }
 
 // minWatchInterval is the lower bound of --every.
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -26,12 +26,12 @@
 type arguments struct {
 	Target   string        `help:"Program under test: ${enum}." enum:"edgeproxy,gateway" required:""`
 	Seeds    string        `help:"Seed, or range of seeds, such as 1-50." default:"1-10"`
-	For      time.Duration `help:"How long clients send before the first signal." default:"2s"`
-	Parallel int           `help:"Runs at once." default:"2"`
-	Busy     int           `help:"Busy loops beside the runs." default:"0"`
-	Program  string        `help:"The built program; empty: it is built." type:"path"`
-	JSON     bool          `help:"Print verdicts as JSON, one a line."`
-	Verbose  bool          `help:"Print every plan." short:"v"`
+	For      time.Duration `help:"How long clients send requests before the first signal." default:"2s"`
+	Parallel int           `help:"Number of runs at once." default:"2"`
+	Busy     int           `help:"Number of busy loops to run on the machine at the same time." default:"0"`
+	Program  string        `help:"Path of a built program. If empty, the program is built." type:"path"`
+	JSON     bool          `help:"Print verdicts as JSON, one per line."`
+	Verbose  bool          `help:"Print the plan of every run." short:"v"`
 }
 
 // Limits of the arguments.
@@ -180,7 +180,7 @@
 	s.runs++
 	if err != nil {
 		s.failedToRun++
-		fmt.Printf("seed %d: could not be played: %v\n", seed, err)
+		fmt.Printf("seed %d: could not be executed: %v\n", seed, err)
 		return
 	}
 	s.add(v)
@@ -242,7 +242,7 @@
 	defer s.mu.Unlock()
 	if !s.arguments.JSON {
 		fmt.Printf("%d runs of %s: %d broke a rule, %d were disturbed (%d of them with a rule broken), "+
-			"%d could not be played; %d requests, %d left, %d crossed, %d excused\n", s.runs, s.arguments.Target, s.broken,
+			"%d could not be executed; %d requests, %d left, %d crossed, %d excused\n", s.runs, s.arguments.Target, s.broken,
 			s.disturbed+s.disturbedBroken, s.disturbedBroken, s.failedToRun, s.requests, s.left, s.crossed, s.excused)
 	}
 	if s.broken > 0 {
