--- a/internal/scenario/chaos.go
+++ b/internal/scenario/chaos.go
@@ -51,7 +51,7 @@
 }
 
 // errInjectedSync is the error of an injected sync failure.
-var errInjectedSync = errors.New("fsync failed on purpose")
+var errInjectedSync = errors.New("scenario: injected sync failure")
 
 // Save implements [raftnode.Storage].
 func (d *faultyStorage) Save(hs *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, sync bool) error {
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -17,8 +17,8 @@
 	"mulleinmux/internal/testserver"
 )
 
-// Scenarios with processes run each instance as a process. The members agree on their configuration by Raft while
-// operators change it, and members are killed, partitioned and restarted.
+// Scenarios with processes run each instance in a process of its own. The members agree on their configuration by Raft
+// while operators change it, and members are killed, partitioned and restarted.
 
 // Sizes and times of scenarios with processes.
 const (
@@ -328,7 +328,7 @@
 		kills := c.killCount
 		c.mu.Unlock()
 		c.environment.options.Progress(fmt.Sprintf(
-			"%s %ds of %v: %d changes agreed on, %d kills, %d requests at the halls",
+			"%s %ds of %v: %d changes applied, %d kills, %d requests received by the sites",
 			c.environment.scenario.Name, n, c.environment.options.For, applied, kills,
 			len(c.environment.ledger.Arrivals())))
 	}
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -131,7 +131,7 @@
 		checker.violation(ruleOperations, "%s was charged as %s (sent: %v) and reached %s as %s",
 			r.Trace, r.Operation, r.Sent, first.Site, first.Operation)
 	case r.Units != want:
-		checker.violation(ruleUnits, "%s (%s, version %d, variant %d) was charged %d units; %d are right",
+		checker.violation(ruleUnits, "%s (%s, version %d, variant %d) was charged %d units, want %d",
 			r.Trace, r.Operation, r.Version, variant, r.Units, want)
 	}
 	checker.checkSentVersions(arrivals, &r)
@@ -151,8 +151,8 @@
 			if e.isAnswer {
 				newest = max(newest, e.version)
 			} else if e.version < newest {
-				checker.violation(ruleVersions, "%s was routed with version %d at %s, which had answered on %d", e.trace,
-					e.version, instance, newest)
+				checker.violation(ruleVersions, "%s was routed with version %d by %s, which had already answered with version %d",
+					e.trace, e.version, instance, newest)
 			}
 		}
 	}
@@ -201,7 +201,7 @@
 	versions := map[string]uint64{} // by the id of the change
 	for _, r := range history {
 		if _, isRepeated := versions[r.ID]; isRepeated {
-			checker.violation(ruleConfigChanges, "%s stands twice in the history", r.ID)
+			checker.violation(ruleConfigChanges, "%s is in the history more than once", r.ID)
 		}
 		versions[r.ID] = r.Version
 	}
@@ -212,8 +212,8 @@
 		}
 		known = append(known, o)
 		if o.isApplied && versions[o.id] != o.version && o.version >= history[0].Version {
-			checker.violation(ruleConfigChanges, "%s was answered as version %d; the history has it as %d (0: lost)", o.id,
-				o.version, versions[o.id])
+			checker.violation(ruleConfigChanges, "%s was reported as applied in version %d, but is version %d in the history (0: missing)",
+				o.id, o.version, versions[o.id])
 		}
 	}
 	checkRealTimeOrder(checker, known)
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -115,7 +115,7 @@
 	checker.verdict.Figures["losses_agreed"] = float64(lossCount)
 	checker.verdict.Figures["losses_at_most"] = float64(maxLosses)
 	if lossCount > maxLosses {
-		checker.violation(ruleScenario, "the halls were agreed to be lost %d times; their holds allow %d", lossCount,
+		checker.violation(ruleScenario, "%d losses of sites were agreed on, but the hold times allow at most %d", lossCount,
 			maxLosses)
 	}
 }
@@ -130,7 +130,7 @@
 	}
 	for _, site := range c.environment.sites {
 		if checker.verdict.Figures[figureBookedIsolated+site.Name] = float64(booked[site.Name]); booked[site.Name] == 0 {
-			checker.violation(ruleScenario, "%s took no bookings while the sites were cut from each other", site.Name)
+			checker.violation(ruleScenario, "%s served no bookings while the sites were partitioned from each other", site.Name)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 			return
 		}
 		if pause(ctx, 50*time.Millisecond); ctx.Err() != nil {
-			checker.violation(ruleAgreement, "the followers do not run what the members agree on %v after the last fault: %s",
+			checker.violation(ruleAgreement, "the followers do not run the newest version %v after the last fault: %s",
 				settleTimeout, behind)
 			return
 		}
@@ -242,7 +242,7 @@
 			text += fmt.Sprintf("member %d has version %d, and %s: %+v; ", list.MemberID, list.NewestVersion,
 				f.followerName, list.Followers)
 		} else if v, err := servedVersion(ctx, f); err != nil || v != list.NewestVersion {
-			text += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", list.MemberID,
+			text += fmt.Sprintf("member %d reports that %s runs version %d, but it runs %d: %v; ", list.MemberID,
 				f.followerName, list.NewestVersion, v, err)
 		}
 	}
--- a/internal/scenario/evidence.go
+++ b/internal/scenario/evidence.go
@@ -63,7 +63,7 @@
 
 func (e *evidence) addClient(t *testserver.Attempt) {
 	e.line(t.At, "client sends %s to %s", t.Operation, t.Instance)
-	e.line(t.Ended, "client has %d, %v later", t.Status, t.Ended.Sub(t.At))
+	e.line(t.Ended, "client's attempt ended with status %d after %v", t.Status, t.Ended.Sub(t.At))
 }
 
 func (e *evidence) addTrace(trace *gateway.RequestTrace) {
@@ -76,7 +76,7 @@
 func (e *evidence) addArrival(a *testserver.Arrival) {
 	e.line(a.At, "server %s/%s receives it", a.Site, a.Server)
 	if !a.Ended.IsZero() {
-		e.line(a.Ended, "server %s/%s sees its end, status %d, ran %v", a.Site, a.Server, a.Status, a.Ran)
+		e.line(a.Ended, "server %s/%s ended it, status %d, ran %v", a.Site, a.Server, a.Status, a.Ran)
 	}
 }
 
@@ -101,6 +101,6 @@
 		}
 	}
 	if lost > 0 {
-		fmt.Fprintf(&e.text, "  %d waits of the run were not kept\n", lost)
+		fmt.Fprintf(&e.text, "  %d waits of the run were not recorded\n", lost)
 	}
 }
--- a/internal/scenario/link.go
+++ b/internal/scenario/link.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// setDropsReplies makes the link lose the bytes that come back, or heals it as setCut does.
-func (l *link) setDropsReplies(silent bool) {
-	if l.dropsReplies.Swap(silent) && !silent {
+// setDropsReplies makes the link lose the bytes from the far instance, or heals it as setCut does.
+func (l *link) setDropsReplies(drops bool) {
+	if l.dropsReplies.Swap(drops) && !drops {
 		l.closeAll()
 	}
 }
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -310,12 +310,12 @@
 // addFullUseFigures adds how long the returned site took to reach fullUseFraction of its work rate before the loss, and
 // the shortest time in which its cold servers can reach it.
 func (s *siteOutage) addFullUseFigures(checker *ruleChecker, arrivals []testserver.Arrival, size siteSize) {
-	wanted := fullUseFraction * s.workRate(arrivals, s.baselineStart, s.lostAt)
-	fraction := wanted / size.coreCount() // of the site's cores, to do the wanted work
+	targetRate := fullUseFraction * s.workRate(arrivals, s.baselineStart, s.lostAt)
+	fraction := targetRate / size.coreCount() // of the site's cores, to do the target rate
 	shortest := math.Max((fraction-coldCapacity)/(1-coldCapacity)*slowStartWindow.Seconds(), 0)
 	checker.verdict.Figures[figureFullUseShortestSeconds] = math.Round(shortest*10) / 10
 	for at := s.returnedAt; at.Add(time.Second).Before(s.endedAt); at = at.Add(100 * time.Millisecond) {
-		if s.workRate(arrivals, at, at.Add(time.Second)) >= wanted {
+		if s.workRate(arrivals, at, at.Add(time.Second)) >= targetRate {
 			checker.verdict.Figures[figureFullUseSeconds] = math.Round(at.Add(time.Second/2).Sub(s.returnedAt).Seconds()*10) / 10
 			break
 		}
--- a/internal/scenario/request_traces.go
+++ b/internal/scenario/request_traces.go
@@ -143,7 +143,7 @@
 	hasWaited := !o.statusQueriedAt.IsZero() && step.At.Sub(o.statusQueriedAt) >= unansweredStatusWait-time.Millisecond
 	switch {
 	case o.isClosedByPeer:
-		fault = fmt.Sprintf("attempt %d begins after the near instance's close was seen", step.Attempt)
+		fault = fmt.Sprintf("attempt %d begins after the near instance closed its connection", step.Attempt)
 	case o.isInFlight && !(trace.Idempotent && hasWaited):
 		fault = fmt.Sprintf("attempt %d begins while attempt %d may be in flight", step.Attempt, o.attempt)
 	}
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -152,14 +152,14 @@
 // checkSites reports requests that no operation of the sites matched, and servers that collapsed while they warmed up.
 func (env *environment) checkSites(checker *ruleChecker) {
 	for _, s := range env.ledger.Unmatched() {
-		checker.violation(ruleOperations, "no operation of the halls matches %s", s)
+		checker.violation(ruleOperations, "no operation of the sites matches %s", s)
 	}
 	for _, s := range env.ledger.Collapsed() {
 		checker.violation(ruleWarmup, "cold server %s collapsed under overload", s)
 	}
 }
 
-// addScenarioViolations reports the violations that the scenario itself found.
+// addScenarioViolations adds the violations that the scenario itself found.
 func (env *environment) addScenarioViolations(checker *ruleChecker) {
 	for _, n := range env.scenarioViolations {
 		checker.violation(ruleScenario, "%s", n)
@@ -183,16 +183,16 @@
 		case t.AnswerCount == 0 && (wasInstanceDown(t) || checker.gaveUpWhileStopped(t)):
 		case t.AnswerCount == 0:
 			checker.verdict.Unanswered++
-			checker.requestViolation(t.Trace, ruleAnswers, "%s (%s) had no answer", t.Trace, t.Operation)
+			checker.requestViolation(t.Trace, ruleAnswers, "%s (%s) received no answer", t.Trace, t.Operation)
 		case t.AnswerCount > 1:
-			checker.violation(ruleAnswers, "%s (%s) had more than one answer", t.Trace, t.Operation)
+			checker.violation(ruleAnswers, "%s (%s) received more than one answer", t.Trace, t.Operation)
 		case t.Mismatch != "":
 			checker.violation(ruleAnswers, "%s: %s", t.Trace, t.Mismatch)
 		case t.Ended.Sub(t.At) > clientDeadline+deadlineSlack+checker.timeStopped(t):
 			checker.requestViolation(t.Trace, ruleAnswers, "%s was answered after %v", t.Trace, t.Ended.Sub(t.At))
 		}
 		if t.Status == 400 || t.Status == 404 || t.Status == 405 || t.Status == 403 {
-			checker.violation(ruleOperations, "%s (%s) was turned down with %d", t.Trace, t.Operation, t.Status)
+			checker.violation(ruleOperations, "%s (%s) was rejected with status %d", t.Trace, t.Operation, t.Status)
 		}
 	}
 }
@@ -203,7 +203,8 @@
 	serverByEffect := map[string]string{} // the server of each effect, by its idempotency key or trace
 	for _, a := range arrivals {
 		if a.Draining > drainGrace {
-			checker.violation(ruleDraining, "%s came to %s %v after it drained", a.Trace, a.Server, a.Draining)
+			checker.violation(ruleDraining, "%s was sent to server %s %v after it was listed as draining", a.Trace, a.Server,
+				a.Draining)
 		}
 		if !a.Effected || a.Effect == testserver.Idempotent {
 			continue
@@ -249,7 +250,8 @@
 		if checker.mayOverlap != nil && checker.mayOverlap(trace) {
 			checker.verdict.Figures[figureOverlapsAllowed]++
 		} else {
-			checker.requestViolation(trace, ruleEffects, "%s had two attempts out for %v", trace, before.Ended.Sub(a.At))
+			checker.requestViolation(trace, ruleEffects, "%s had two attempts in flight for %v", trace,
+				before.Ended.Sub(a.At))
 		}
 	}
 }
@@ -266,7 +268,7 @@
 		isKeyed := a.Effect == testserver.IdempotentWithKey
 		switch {
 		case a.Effect == testserver.NonIdempotent:
-			checker.violation(ruleEffects, "%s (%s) is unsafe, may have run and was sent again", trace, a.Operation)
+			checker.violation(ruleEffects, "%s (%s) is not idempotent, may have run and was sent again", trace, a.Operation)
 		case isKeyed && a.Site != ran.Site:
 			checker.violation(ruleEffects, "%s (%s) may have run at %s and was sent to %s", trace, a.Operation, ran.Site, a.Site)
 		case isKeyed && a.At.Sub(ran.At) > idempotencyTTL+keyTTLSlack:
@@ -299,7 +301,7 @@
 	}
 	for trace, r := range records {
 		if r.Sent && byTrace[trace] == nil {
-			checker.violation(ruleUnits, "%s (%s) was charged and reached no hall", trace, r.Operation)
+			checker.violation(ruleUnits, "%s (%s) was charged and reached no site", trace, r.Operation)
 		}
 	}
 	for _, f := range operations {
@@ -321,7 +323,8 @@
 			r.Version, r.Units, first.Units)
 	}
 	if r.Attempts < len(attempts) {
-		checker.violation(ruleUnits, "%s: the instance knows of %d attempts of %d", r.Trace, r.Attempts, len(attempts))
+		checker.violation(ruleUnits, "%s: the instance counted %d attempts, the sites received %d", r.Trace, r.Attempts,
+			len(attempts))
 	}
 	checker.checkSentVersions(attempts, r)
 }
@@ -330,7 +333,8 @@
 func (checker *ruleChecker) checkSentVersions(attempts []testserver.Arrival, r *gateway.RequestRecord) {
 	for i := range attempts {
 		if sent := attempts[i].Version; uint64(sent) != r.Version {
-			checker.violation(ruleVersions, "%s was matched with version %d and sent on with %d", r.Trace, r.Version, sent)
+			checker.violation(ruleVersions, "%s was matched with version %d and sent to a server with version %d", r.Trace,
+				r.Version, sent)
 		}
 	}
 }
@@ -359,7 +363,7 @@
 			for _, a := range as {
 				level = math.Min(level+p.HardLimitRate*a.At.Sub(at).Seconds(), p.HardLimitBurst) - float64(a.Units)
 				if at = a.At; level < -slack {
-					checker.violation(ruleHardLimits, "%s is %.0f units over its ceiling", name, -level)
+					checker.violation(ruleHardLimits, "%s exceeds its hard limit by %.0f units", name, -level)
 				}
 			}
 		}
@@ -386,7 +390,7 @@
 		}
 	}
 	if checker.verdict.UnitsCounted != checker.verdict.UnitsDeclared {
-		checker.violation(ruleUnits, "%d units counted in all, %d declared", checker.verdict.UnitsCounted,
+		checker.violation(ruleUnits, "%d units counted in total, %d declared", checker.verdict.UnitsCounted,
 			checker.verdict.UnitsDeclared)
 	}
 	if answers["served"] != checker.verdict.Served || answers["refused"] != checker.verdict.Refused ||
--- a/internal/testserver/appserver.go
+++ b/internal/testserver/appserver.go
@@ -121,7 +121,7 @@
 	return decision
 }
 
-// leaveQueue takes a request off the queue.
+// leaveQueue removes a request from the queue.
 func (server *AppServer) leaveQueue() {
 	server.mu.Lock()
 	server.waitingCount--
--- a/internal/testserver/connection.go
+++ b/internal/testserver/connection.go
@@ -32,11 +32,11 @@
 func ReadResponse(reader *bufio.Reader, method string) (Response, error) {
 	response, err := http.ReadResponse(reader, &http.Request{Method: method})
 	if err != nil {
-		return Response{}, fmt.Errorf("reading response: %w", err)
+		return Response{}, fmt.Errorf("testserver: reading response: %w", err)
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Response{}, fmt.Errorf("reading response body: %w", err)
+		return Response{}, fmt.Errorf("testserver: reading response body: %w", err)
 	}
 	return Response{response.StatusCode, response.Header, string(body), response.Close}, nil
 }
@@ -58,8 +58,8 @@
 	}
 }
 
-// errNotStopped is returned if something that was stopped still runs after the timeout.
-var errNotStopped = errors.New("not ended in time after it was stopped")
+// errNotStopped is the error of something that still runs when the timeout after its stop has passed.
+var errNotStopped = errors.New("testserver: did not end in time after it was stopped")
 
 // AwaitEnd waits for the result of something that was stopped and returns it, or an error after timeout.
 func AwaitEnd(done <-chan error, timeout time.Duration) error {
--- a/internal/testserver/ports.go
+++ b/internal/testserver/ports.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// The ports lie below the ephemeral range of common systems, so that no other socket is
-// bound to a port between the check that it is free and its use.
+// The ports lie below the ephemeral range of common systems, so that the system does not assign one of them to another
+// socket between the check that it is free and its use.
 const (
 	firstPort = 15000
 	lastPort  = 32000
@@ -16,8 +16,10 @@
 
 var nextPort atomic.Int64
 
-// FreeAddr finds a loopback address that no socket is bound to, for a network "tcp" or "udp". Processes may bind it
-// one after another.
+// FreeAddr returns a loopback address for a network "tcp" or "udp" to which no socket was bound during the call. The
+// address is not reserved: it stays free until a process binds it by its number. The system assigns it to no other
+// socket, and this process gets the same port again only after all others of the range, so a test can let several
+// processes bind it one after another. Another process that calls FreeAddr may get the same address.
 func FreeAddr(network string) (string, error) {
 	nextPort.CompareAndSwap(0, int64(os.Getpid())*131+1) // each process starts at a different port
 	for range lastPort - firstPort {
@@ -32,5 +34,5 @@
 			return addr, listener.Close()
 		}
 	}
-	return "", fmt.Errorf("no free %s port from %d to %d", network, firstPort, lastPort)
+	return "", fmt.Errorf("testserver: no free %s port from %d to %d", network, firstPort, lastPort)
 }
--- a/internal/testserver/site.go
+++ b/internal/testserver/site.go
@@ -19,7 +19,7 @@
 	lifecycleRemoved  = "removed"
 )
 
-// temperature tells whether a server has all its capacity from its start (warm) or has to warm up (cold).
+// temperature is whether a server has all its capacity from its start (warm) or has to warm up (cold).
 type temperature int
 
 const (
