--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -44,10 +44,10 @@
 
 // Names of the rules.
 const (
-	ruleAnswer   = "answer"   // each request gets one final response, in time
-	ruleAttempts = "attempts" // no two attempts of a request in flight, no retry of an unsafe one that may have run
-	ruleLeave    = "leave"    // no attempt begins after the client has closed its connection
-	ruleProcess  = "process"  // processes are ready in time, and exit in time with status 0 and no logged errors
+	ruleResponse     = "answer"   // each request gets one final response, in time
+	ruleAttempts     = "attempts" // no two attempts of a request in flight, no retry of an unsafe one that may have run
+	ruleClientClosed = "leave"    // no attempt begins after the client has closed its connection
+	ruleProcess      = "process"  // processes are ready in time, and exit in time with status 0 and no logged errors
 )
 
 // violation counts a violation and adds its description to the examples, up to maxExamples.
@@ -188,11 +188,11 @@
 // responseDeadline returns when a request must have got its response: after its own timeout, or after the response of
 // the request ahead of it if that is later.
 func (s *serviceTimes) responseDeadline(request *request) time.Time {
-	by := s.servableFrom(request).Add(request.timeout + responseSlack)
-	if ahead := request.ahead; ahead != nil && ahead.endedAt.After(by) {
+	deadline := s.servableFrom(request).Add(request.timeout + responseSlack)
+	if ahead := request.ahead; ahead != nil && ahead.endedAt.After(deadline) {
 		return ahead.endedAt
 	}
-	return by
+	return deadline
 }
 
 // checkResponse checks that a request got its final response in time.
@@ -203,18 +203,18 @@
 	case request.end == endAnswered:
 		v.countStatus(request.status)
 		if late := request.endedAt.Sub(service.responseDeadline(request)); late > responseTolerance {
-			v.violation(ruleAnswer, "%s got its response %v too late", request, late)
+			v.violation(ruleResponse, "%s got its response %v too late", request, late)
 		}
 		if request.err != nil {
-			v.violation(ruleAnswer, "%s: %v", request, request.err)
+			v.violation(ruleResponse, "%s: %v", request, request.err)
 		}
 	case service.wasOpenAtKill(request):
 		v.Excused++
 	case len(attempts) == 0 && request.end != endTimedOut && service.mayGoUnanswered(request):
 		v.Crossed++
 	default:
-		v.violation(ruleAnswer, "%s got no response (end %q after %v, error %v) after %d attempts", request, request.end,
-			request.endedAt.Sub(request.sentAt).Round(time.Millisecond), request.err, len(attempts))
+		v.violation(ruleResponse, "%s got no response (end %q after %v, error %v) after %d attempts", request,
+			request.end, request.endedAt.Sub(request.sentAt).Round(time.Millisecond), request.err, len(attempts))
 	}
 }
 
@@ -235,18 +235,18 @@
 	slices.SortFunc(attempts, func(a, b *attempt) int { return a.began.Compare(b.began) })
 	for i, a := range attempts {
 		if request.end == endClientClosed && a.began.After(request.endedAt.Add(clientCloseTolerance)) {
-			v.violation(ruleLeave, "%s: an attempt began %v after the client closed its connection", request,
+			v.violation(ruleClientClosed, "%s: an attempt began %v after the client closed its connection", request,
 				a.began.Sub(request.endedAt))
 		}
 		if i == 0 {
 			continue
 		}
-		before := attempts[i-1]
-		if before.ended.IsZero() || before.ended.After(a.began.Add(inFlightTolerance)) {
+		previous := attempts[i-1]
+		if previous.ended.IsZero() || previous.ended.After(a.began.Add(inFlightTolerance)) {
 			v.violation(ruleAttempts, "%s: a second attempt began at %v with the previous one in flight", request,
 				a.began.Format(timeFormat))
 		}
-		if request.class == classPay && !before.wasNeverRun {
+		if request.class == classPay && !previous.neverRan {
 			v.violation(ruleAttempts, "%s: unsafe request was retried though it may have run", request)
 		}
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -29,8 +29,8 @@
 
 // addAttempt records an attempt of the request between two times in milliseconds. An end of 0 means that the attempt is
 // still in flight.
-func (r *run) addAttempt(began, ended int, wasNeverRun bool) {
-	a := &attempt{id: "a", began: at(began), wasNeverRun: wasNeverRun}
+func (r *run) addAttempt(began, ended int, neverRan bool) {
+	a := &attempt{id: "a", began: at(began), neverRan: neverRan}
 	if ended > 0 {
 		a.ended = at(ended)
 	}
@@ -52,15 +52,17 @@
 		rule   string // the violated rule; empty if none is
 	}{
 		"served":           {func(*request, *run) {}, ""},
-		"late":             {func(q *request, _ *run) { q.endedAt = at(1700) }, ruleAnswer},
+		"late":             {func(q *request, _ *run) { q.endedAt = at(1700) }, ruleResponse},
 		"just in time":     {func(q *request, _ *run) { q.endedAt = at(1650) }, ""},
-		"another's answer": {func(q *request, _ *run) { q.err = errors.New("got the response of request b") }, ruleAnswer},
-		"closed":           {func(q *request, _ *run) { q.end, q.err = endClosed, io.EOF }, ruleAnswer},
-		"never answered":   {func(q *request, _ *run) { q.end = endTimedOut }, ruleAnswer},
+		"another's answer": {func(q *request, _ *run) {
+			q.err = errors.New("got the response of request b")
+		}, ruleResponse},
+		"closed":           {func(q *request, _ *run) { q.end, q.err = endClosed, io.EOF }, ruleResponse},
+		"never answered":   {func(q *request, _ *run) { q.end = endTimedOut }, ruleResponse},
 		"closed once forwarded, at the end": {func(q *request, r *run) {
 			q.sentAt, q.end, q.endedAt = at(1600), endClosed, at(1601)
 			r.addAttempt(1600, 1601, false)
-		}, ruleAnswer},
+		}, ruleResponse},
 		"behind a slow one": {func(q *request, _ *run) {
 			q.ahead, q.endedAt = &request{endedAt: at(1690)}, at(1700)
 		}, ""},
@@ -85,7 +87,7 @@
 		"begun after the client left": {func(q *request, r *run) {
 			q.end = endClientClosed
 			r.addAttempt(310, 320, false)
-		}, ruleLeave},
+		}, ruleClientClosed},
 		"begun as the client left": {func(q *request, r *run) {
 			q.end = endClientClosed
 			r.addAttempt(290, 320, false)
@@ -105,7 +107,7 @@
 		"closed before a restart": {func(q *request, r *run) {
 			r.restartProcess()
 			q.sentAt, q.end, q.endedAt = at(1400), endClosed, at(1400)
-		}, ruleAnswer},
+		}, ruleResponse},
 		"closed between the processes of a restart": {func(q *request, r *run) {
 			r.restartProcess()
 			q.sentAt, q.end, q.endedAt = at(1600), endClosed, at(1600)
@@ -117,7 +119,7 @@
 		"closed between the processes of a restart, on a connection opened after the exit": {func(q *request, r *run) {
 			r.restartProcess()
 			q.connectedAt, q.sentAt, q.end, q.endedAt = at(2010), at(2020), endClosed, at(2020)
-		}, ruleAnswer},
+		}, ruleResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := recordedRun(c.change).checkRules(0)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -22,16 +22,16 @@
 	maxPause           = 20 * time.Millisecond  // between a response and the next request
 	maxLongPause       = 900 * time.Millisecond // between requests of a clientPausing
 	maxPieceGap        = 30 * time.Millisecond  // between the pieces of a request
-	hangingEvery       = 8                      // servers respond to none of one pipelined batch in this many
+	hangingEvery       = 8                      // one pipelined batch in this many gets no responses from servers
 )
 
 // client sends requests, over one connection at a time.
 type client struct {
-	run    *run
-	kind   clientKind
-	name   string
-	random *rand.Rand
-	count  int
+	run          *run
+	kind         clientKind
+	name         string
+	random       *rand.Rand
+	requestCount int
 }
 
 // connection is a client's connection.
@@ -93,7 +93,7 @@
 
 // exchange sends a batch of pipelined requests, reads their responses and reports whether the connection is still open.
 func (c *client) exchange(conn *connection, batch int) (isOpen bool) {
-	var open []*request
+	var pending []*request
 	var text strings.Builder
 	hangs := batch > 1 && c.random.IntN(hangingEvery) == 0
 	for range batch {
@@ -101,41 +101,41 @@
 		if hangs {
 			r.id += hangingSuffix
 		}
-		if len(open) > 0 {
-			r.ahead = open[len(open)-1]
+		if len(pending) > 0 {
+			r.ahead = pending[len(pending)-1]
 		}
-		open = append(open, r)
+		pending = append(pending, r)
 		text.WriteString(c.run.target.requestText(r))
 	}
-	timeout := open[0].timeout
+	timeout := pending[0].timeout
 	conn.SetDeadline(time.Now().Add(timeout + clientTimeoutSlack))
 	if c.write(conn, text.String()) != nil {
 		// A request that was not fully written isn't recorded.
 		return false
 	}
-	for _, r := range open {
+	for _, r := range pending {
 		r.sentAt = time.Now()
 		c.run.records.addRequest(r)
 	}
 	if c.kind == clientDisconnects && c.random.IntN(2) == 0 {
 		time.Sleep(c.randomDuration(maxPieceGap))
-		c.recordEnd(open, endClientClosed, nil)
+		c.recordEnd(pending, endClientClosed, nil)
 		return false
 	}
-	for i, r := range open {
+	for i, r := range pending {
 		response, err := testserver.ReadResponse(conn.reader, r.method())
 		if err != nil {
 			end := endClosed
 			if netError, ok := errors.AsType[net.Error](err); ok && netError.Timeout() {
 				end = endTimedOut
 			}
-			c.recordEnd(open[i:], end, err)
+			c.recordEnd(pending[i:], end, err)
 			return false
 		}
 		c.recordResponse(r, response)
 		conn.lastResponseAt = r.endedAt
 		if response.Close {
-			c.recordUnansweredBehind(open[i+1:], response)
+			c.recordUnansweredBehind(pending[i+1:], response)
 			return false
 		}
 	}
@@ -145,9 +145,9 @@
 // nextRequest returns a new random request for a connection.
 func (c *client) nextRequest(conn *connection) *request {
 	classes := []class{classCheck, classCheck, classBook, classPay}
-	c.count++
+	c.requestCount++
 	r := &request{
-		id:          fmt.Sprint(c.name, "-", c.count),
+		id:          fmt.Sprint(c.name, "-", c.requestCount),
 		class:       classes[c.random.IntN(len(classes))],
 		isFirst:     conn.sent == 0,
 		isSecond:    conn.sent == 1,
@@ -186,20 +186,20 @@
 // recordUnansweredBehind records the end of the requests that were pipelined behind a response that closes the
 // connection. A 503 to the first request rejects a connection above the limit, so the requests behind it are not read
 // and need no response. Any other response must not close the connection while requests behind it have arrived.
-func (c *client) recordUnansweredBehind(open []*request, closing testserver.Response) {
+func (c *client) recordUnansweredBehind(pending []*request, closing testserver.Response) {
 	end := endClosed
-	if closing.Status == 503 && len(open) > 0 && open[0].isSecond {
+	if closing.Status == 503 && len(pending) > 0 && pending[0].isSecond {
 		end = endConnectionRejected
 	}
-	c.recordEnd(open, end, io.EOF)
+	c.recordEnd(pending, end, io.EOF)
 }
 
 // recordEnd records the same end for several requests.
-func (c *client) recordEnd(open []*request, end requestEnd, err error) {
+func (c *client) recordEnd(pending []*request, end requestEnd, err error) {
 	c.run.records.mu.Lock()
 	defer c.run.records.mu.Unlock()
 	now := time.Now()
-	for _, r := range open {
+	for _, r := range pending {
 		r.end, r.endedAt, r.err = end, now, err
 	}
 }
--- a/internal/soak/peers.go
+++ b/internal/soak/peers.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Messages of a handover. The tool takes the part of a predecessor or a successor to force a certain order of events.
+// Messages of a handover. The tool acts as a predecessor or a successor to force a certain order of events.
 // See internal/edgeproxy/hot_restart.go for the protocol.
 const (
 	handoverSocketName = "mulleinmux-handover" // in the $TMPDIR of the process
@@ -31,7 +31,7 @@
 	return conn, nil
 }
 
-// abandonHandover takes the part of a predecessor that dies in the middle of a handover. It waits for a successor,
+// abandonHandover acts as a predecessor that dies in the middle of a handover. It waits for a successor,
 // hands over the gossip socket and closes the connection without sending the message after which the successor starts.
 func (r *run) abandonHandover(listener *net.UnixListener) error {
 	defer listener.Close()
@@ -51,7 +51,7 @@
 	return r.peer.handOverSocket(conn)
 }
 
-// gossipPeer takes the part of another node of the tier, to check whether the node under test sends gossip.
+// gossipPeer acts as another node of the tier, to check whether the node under test sends gossip.
 type gossipPeer struct {
 	conn     *net.UDPConn
 	nodeAddr *net.UDPAddr // gossip address of the node under test
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -18,7 +18,7 @@
 	TargetGateway   Target = "gateway"
 )
 
-// series is the sequence of signals that a run sends.
+// series names the sequence of signals that a run sends.
 type series string
 
 const (
@@ -35,13 +35,14 @@
 	seriesSuccessorTerminated series = "upgrade-cancelled"   // SIGTERM to the successor, then to the old process
 	seriesOldKilled           series = "upgrade-old-sigkill" // SIGKILL to the old process while a successor waits
 	seriesLateHello           series = "late-hello"          // hello of a dead successor to a stopped process
-	seriesLostGo              series = "lost-go"             // the predecessor dies after handing over its gossip socket
+	seriesPredecessorLost     series = "lost-go"             // the predecessor dies after handing over its gossip socket
 )
 
 var (
 	gatewaySeries = []series{seriesTerm, seriesTermTwice, seriesHangupTerm, seriesTermHangup, seriesRestarts}
 	edgeSeries    = append([]series{seriesUpgrade, seriesUpgradeTwice, seriesUpgradeBoth, seriesSuccessorStopped,
-		seriesSuccessorKilled, seriesSuccessorTerminated, seriesOldKilled, seriesLateHello, seriesLostGo}, gatewaySeries...)
+		seriesSuccessorKilled, seriesSuccessorTerminated, seriesOldKilled, seriesLateHello,
+		seriesPredecessorLost}, gatewaySeries...)
 )
 
 // step is a step of a handover, named by the message that the process logs.
@@ -79,10 +80,10 @@
 	idleConnectionsEvery = 4                      // one run in this many has idle connections
 	minDeadline          = 600 * time.Millisecond // of classes
 	maxDeadline          = 2 * time.Second
-	maxSignalGap         = 700 * time.Millisecond // between the signals of a series
-	maxStepGap           = 5 * time.Millisecond   // from a handover step to the next signal
-	maxStop              = 1500 * time.Millisecond
-	minStop              = 20 * time.Millisecond
+	maxSignalGap         = 700 * time.Millisecond  // between the signals of a series
+	maxStepGap           = 5 * time.Millisecond    // from a handover step to the next signal
+	maxStopDuration      = 1500 * time.Millisecond // from SIGSTOP to SIGCONT
+	minStopDuration      = 20 * time.Millisecond
 )
 
 // Plan describes a run. It depends only on the target, the seed and the duration.
@@ -133,7 +134,7 @@
 		Gap:          between(0, maxSignalGap),
 		Step:         handoverSteps[random.IntN(len(handoverSteps))],
 		StepGap:      between(0, maxStepGap),
-		StopDuration: between(minStop, maxStop),
+		StopDuration: between(minStopDuration, maxStopDuration),
 	}
 	for range serverCount {
 		p.Servers = append(p.Servers, serverPlan{
@@ -153,10 +154,12 @@
 }
 
 // hasPeer reports whether the node under test gossips with a peer, which the tool simulates.
-func (p *Plan) hasPeer() bool { return p.Series == seriesLostGo }
+func (p *Plan) hasPeer() bool { return p.Series == seriesPredecessorLost }
 
 // isRestart reports whether each process is started only after the previous one has exited.
-func (p *Plan) isRestart() bool { return p.Series == seriesRestarts || p.Series == seriesLostGo }
+func (p *Plan) isRestart() bool {
+	return p.Series == seriesRestarts || p.Series == seriesPredecessorLost
+}
 
 // isUpgrade reports whether the series contains a handover to a successor.
 func (p *Plan) isUpgrade() bool {
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -56,7 +56,7 @@
 	id           string
 	server       int
 	began, ended time.Time // ended is zero while the attempt is in flight
-	wasNeverRun  bool      // rejected without having run
+	neverRan     bool      // rejected without having run
 }
 
 // records are the requests and attempts of a run.
@@ -81,5 +81,5 @@
 func (r *records) endAttempt(attempt *attempt, neverRan bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	attempt.ended, attempt.wasNeverRun = time.Now(), neverRan
+	attempt.ended, attempt.neverRan = time.Now(), neverRan
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -15,10 +15,10 @@
 	"mulleinmux/internal/testserver"
 )
 
-// Timings of a run. The tool plays the platform, whose load balancer still sends clients to a process for some time
+// Timings of a run. The tool acts as the platform, whose load balancer still sends clients to a process for some time
 // after its SIGTERM.
 const (
-	balancerDelay  = 400 * time.Millisecond // from a SIGTERM until no client connects any more
+	balancerDelay  = 400 * time.Millisecond // from a SIGTERM until no client opens a connection
 	readyTimeout   = 6 * time.Second
 	servingTime    = 300 * time.Millisecond // for which a new process serves before the next signal
 	stallThreshold = 50 * time.Millisecond  // a run with a stall as long as this counts as disturbed
@@ -172,7 +172,8 @@
 		p.readyAt = time.Now()
 		return true
 	}
-	r.processProblems = append(r.processProblems, fmt.Sprintf("process %d is not ready after %v", p.number, readyTimeout))
+	r.processProblems = append(r.processProblems,
+		fmt.Sprintf("process %d did not become ready within %v", p.number, readyTimeout))
 	return false
 }
 
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -34,8 +34,8 @@
 		last, err = r.upgrade(ctx, first)
 	case seriesLateHello:
 		err = r.runLateHello(ctx, first)
-	case seriesLostGo:
-		last, err = r.runLostGo(ctx, first)
+	case seriesPredecessorLost:
+		last, err = r.runPredecessorLost(ctx, first)
 	case seriesUpgradeTwice:
 		if last, err = r.upgrade(ctx, first); err == nil {
 			last, err = r.upgrade(ctx, last)
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// runLostGo restarts a node while the tool takes the part of its predecessor, which dies after handing over the gossip
+// runPredecessorLost restarts a node while the tool acts as its predecessor, which dies after handing over the gossip
 // socket. The node must start without inherited state, and must send gossip.
-func (r *run) runLostGo(ctx context.Context, first *process) (last *process, err error) {
+func (r *run) runPredecessorLost(ctx context.Context, first *process) (last *process, err error) {
 	r.terminate(first)
 	r.awaitTermination(first) // clients wait in the backlog of the inherited socket
 	listener, err := net.ListenUnix("unixpacket", r.handoverSocket())
@@ -237,8 +237,8 @@
 // handoverTimeout is longer than an old process waits for its successor.
 const handoverTimeout = 2500 * time.Millisecond
 
-// servesUntil returns when a process may stop accepting requests: drainDelay after its SIGTERM.
+// servesUntil returns the earliest time at which a process may stop accepting requests: drainDelay after its SIGTERM.
 func (p *process) servesUntil() time.Time { return p.sigtermAt.Add(drainDelay) }
 
-// drainDelay is how long a process keeps accepting requests after SIGTERM in every case.
+// drainDelay is how long a process keeps accepting requests after SIGTERM at least.
 const drainDelay = 500 * time.Millisecond
