--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -51,14 +51,14 @@
 		change func(*request, *run)
 		rule   string // the violated rule; empty if none is
 	}{
-		"served":           {func(*request, *run) {}, ""},
-		"late":             {func(q *request, _ *run) { q.endedAt = at(1700) }, ruleResponse},
-		"just in time":     {func(q *request, _ *run) { q.endedAt = at(1650) }, ""},
+		"served":       {func(*request, *run) {}, ""},
+		"late":         {func(q *request, _ *run) { q.endedAt = at(1700) }, ruleResponse},
+		"just in time": {func(q *request, _ *run) { q.endedAt = at(1650) }, ""},
 		"another's answer": {func(q *request, _ *run) {
 			q.err = errors.New("got the response of request b")
 		}, ruleResponse},
-		"closed":           {func(q *request, _ *run) { q.end, q.err = endClosed, io.EOF }, ruleResponse},
-		"never answered":   {func(q *request, _ *run) { q.end = endTimedOut }, ruleResponse},
+		"closed":         {func(q *request, _ *run) { q.end, q.err = endClosed, io.EOF }, ruleResponse},
+		"never answered": {func(q *request, _ *run) { q.end = endTimedOut }, ruleResponse},
 		"closed once forwarded, at the end": {func(q *request, r *run) {
 			q.sentAt, q.end, q.endedAt = at(1600), endClosed, at(1601)
 			r.addAttempt(1600, 1601, false)
