--- a/cmd/gateway/bench_changes.go
+++ b/cmd/gateway/bench_changes.go
@@ -25,7 +25,7 @@
 	if c.JSON {
 		return printJSON(e.stdout, results)
 	}
-	const summary = "with a change every %v: %.3f of the requests/s without (median of %d, from %.3f to %.3f)\n"
+	const summary = "with a change every %v: %.3f of the requests/s without changes (median of %d, from %.3f to %.3f)\n"
 	ratios := summarizeRatios(results, requestsPerSecond)
 	fmt.Fprintf(e.stdout, summary, c.Changes, ratios.median, ratios.count, ratios.lowest, ratios.highest)
 	return nil
--- a/cmd/gateway/bench_followers.go
+++ b/cmd/gateway/bench_followers.go
@@ -9,11 +9,11 @@
 // followerChangeCount is the number of changes that a measurement of followers makes one by one.
 const followerChangeCount = 10
 
-// runFollowers measures the cost of followers, first with deltas and then with whole versions.
+// runFollowers measures the cost of followers, first with deltas and then with full versions.
 func (c *benchCmd) runFollowers(e *environment, self string) error {
-	const line = "%d followers, %s: all there after %.1f s; a change in force after %.0f ms (p50), %.0f ms (p99), " +
-		"at all after %.0f ms; %.0f KB a follower; %.2f processors at ten changes a second; " +
-		"a member killed: all have the next version after %.1f s\n"
+	const line = "%d followers, %s: all ready after %.1f s; a change installed after %.0f ms (p50), %.0f ms (p99), " +
+		"by all after %.0f ms; %.0f KB per follower; %.2f processors at ten changes per second; " +
+		"with a member killed, the next version installed by all after %.1f s\n"
 	var results []benchmark.FollowersResult
 	for _, full := range []bool{false, true} {
 		load := benchmark.FollowersLoad{Followers: c.Followers, Changes: followerChangeCount, FullVersions: full}
@@ -27,7 +27,7 @@
 		}
 		sent := "deltas"
 		if full {
-			sent = "whole versions"
+			sent = "full versions"
 		}
 		fmt.Fprintf(e.stdout, line, r.Followers, sent, r.JoinS, r.P50Ms, r.P99Ms, r.AllMs,
 			r.MemoryKB, r.MemberCores, r.BackS)
--- a/cmd/gateway/bench_relay.go
+++ b/cmd/gateway/bench_relay.go
@@ -21,7 +21,7 @@
 	if c.JSON {
 		return printJSON(e.stdout, results)
 	}
-	const summary = "a crossing costs %.2f times the CPU of a direct request (median of %d, from %.2f to %.2f)\n"
+	const summary = "a relayed request costs %.2f times the CPU time of a direct one (median of %d, from %.2f to %.2f)\n"
 	ratios := summarizeRatios(results, cpuPerRequest)
 	fmt.Fprintf(e.stdout, summary, ratios.median, ratios.count, ratios.lowest, ratios.highest)
 	return nil
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -35,14 +35,14 @@
 	if err != nil {
 		return Result{}, err
 	}
-	res := Result{Front: front, Procs: procs}
-	res.Requests, res.Other = int(generator.served.Load()), int(generator.other.Load())
-	res.PerS = float64(res.Requests) / took.Seconds()
-	requests := float64(max(res.Requests, 1)) // the cost of rejected requests is charged to served ones
-	res.CPU = float64((after.cpu - before.cpu).Microseconds()) / requests
-	res.Allocs = float64(after.allocs-before.allocs) / requests
-	res.P50, res.P99 = quantiles(latencies)
-	return res, nil
+	result := Result{Front: front, Procs: procs}
+	result.Requests, result.Other = int(generator.served.Load()), int(generator.other.Load())
+	result.PerS = float64(result.Requests) / took.Seconds()
+	requests := float64(max(result.Requests, 1)) // the cost of rejected requests is charged to served ones
+	result.CPU = float64((after.cpu - before.cpu).Microseconds()) / requests
+	result.Allocs = float64(after.allocs-before.allocs) / requests
+	result.P50, result.P99 = quantiles(latencies)
+	return result, nil
 }
 
 // start starts to send requests on all connections. The function that it returns stops the sending, and returns the
@@ -102,12 +102,12 @@
 // sendOn sends one request at a time on the i-th connection, bookings and look-ups alternately. It returns the
 // latencies of the served ones in microseconds.
 func (g *loadGenerator) sendOn(addr string, i int) (latencies []float64, err error) {
-	nc, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	defer nc.Close()
-	reader := httpwire.NewReader(nc)
+	defer conn.Close()
+	reader := httpwire.NewReader(conn)
 	var head httpwire.Head
 	var request, body []byte
 	next := time.Now()
@@ -120,7 +120,7 @@
 		}
 		request = appendRequest(request[:0], i, n)
 		sentAt := time.Now()
-		if _, err := nc.Write(request); err != nil {
+		if _, err := conn.Write(request); err != nil {
 			return latencies, err
 		}
 		if body, err = readAnswer(reader, &head, body); err != nil {
--- a/internal/benchmark/reverseproxy.go
+++ b/internal/benchmark/reverseproxy.go
@@ -29,7 +29,7 @@
 			DisableCompression:  true,
 			IdleConnTimeout:     time.Minute,
 		},
-		BufferPool: &buffers{p: sync.Pool{New: func() any { return make([]byte, 4<<10) }}},
+		BufferPool: &bufferPool{pool: sync.Pool{New: func() any { return make([]byte, 4<<10) }}},
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,12 +39,12 @@
 	return []string{ln.Addr().String()}, nil
 }
 
-// buffers implements httputil.BufferPool.
-type buffers struct{ p sync.Pool }
+// bufferPool implements httputil.BufferPool.
+type bufferPool struct{ pool sync.Pool }
 
-func (b *buffers) Get() []byte { return b.p.Get().([]byte) }
+func (b *bufferPool) Get() []byte { return b.pool.Get().([]byte) }
 
-func (b *buffers) Put(x []byte) {
+func (b *bufferPool) Put(buffer []byte) {
 	//lint:ignore SA6002 the baseline is measured as its users build it
-	b.p.Put(x[:cap(x)])
+	b.pool.Put(buffer[:cap(buffer)])
 }
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -26,19 +26,19 @@
 	records := c.readAccessLogs(checker)
 	addKeyRejectionFraction(checker, clientAttempts, records)
 	attemptByTrace := map[string]testserver.Attempt{}
-	for _, t := range clientAttempts {
-		attemptByTrace[t.Trace] = t
+	for _, attempt := range clientAttempts {
+		attemptByTrace[attempt.Trace] = attempt
 	}
 	missingCount := 0
 	for trace, arrivals := range byTrace {
-		t, sentByClient := attemptByTrace[trace]
+		attempt, sentByClient := attemptByTrace[trace]
 		if !sentByClient {
 			continue // sent by the scenario itself
 		}
 		record, isRecorded := records[trace]
 		if !isRecorded {
 			missingCount++
-			checkMissingRecord(checker, arrivals[0], t, instanceByAddr[t.Instance])
+			checkMissingRecord(checker, arrivals[0], attempt, instanceByAddr[attempt.Instance])
 			continue
 		}
 		checkCharge(checker, arrivals, record, variants)
@@ -84,12 +84,12 @@
 	records map[string]gateway.RequestRecord,
 ) {
 	booked, rejected := 0, 0
-	for _, t := range clientAttempts {
-		if t.Operation != "bookVisit" || t.At.Sub(clientAttempts[0].At) <= keyHoldAfterStart {
+	for _, attempt := range clientAttempts {
+		if attempt.Operation != "bookVisit" || attempt.At.Sub(clientAttempts[0].At) <= keyHoldAfterStart {
 			continue
 		}
 		booked++
-		if records[t.Trace].KeyRejection != "" {
+		if records[attempt.Trace].KeyRejection != "" {
 			rejected++
 		}
 	}
@@ -100,13 +100,15 @@
 
 // checkMissingRecord checks a request that reached a site but is not in the access log of its instance m: m must have
 // been killed before it had to have written the record.
-func checkMissingRecord(checker *ruleChecker, first testserver.Arrival, t testserver.Attempt, m *clusterInstance) {
+func checkMissingRecord(
+	checker *ruleChecker, first testserver.Arrival, attempt testserver.Attempt, m *clusterInstance,
+) {
 	m.downMu.Lock()
 	isLost := slices.ContainsFunc(m.killed, func(killed time.Time) bool {
-		return t.At.Before(killed) && killed.Sub(t.Ended) < lostLogWindow
+		return attempt.At.Before(killed) && killed.Sub(attempt.Ended) < lostLogWindow
 	})
 	m.downMu.Unlock()
-	if !isLost && time.Since(t.Ended) > lostLogWindow {
+	if !isLost && time.Since(attempt.Ended) > lostLogWindow {
 		checker.violation(ruleUnits, "%s (%s) reached %s and was charged by no instance", first.Trace, first.Operation,
 			first.Site)
 	}
@@ -172,19 +174,19 @@
 	byTrace map[string][]testserver.Arrival,
 ) map[string][]versionEvent {
 	byInstance := map[string][]versionEvent{}
-	for _, t := range clientAttempts {
-		arrivals := byTrace[t.Trace]
+	for _, attempt := range clientAttempts {
+		arrivals := byTrace[attempt.Trace]
 		if len(arrivals) == 0 {
 			continue
 		}
 		for _, a := range arrivals {
-			begin := versionEvent{at: t.At, trace: t.Trace, version: a.Version}
-			byInstance[t.Instance] = append(byInstance[t.Instance], begin)
+			begin := versionEvent{at: attempt.At, trace: attempt.Trace, version: a.Version}
+			byInstance[attempt.Instance] = append(byInstance[attempt.Instance], begin)
 		}
-		if t.Served {
+		if attempt.Served {
 			last := arrivals[len(arrivals)-1]
-			answer := versionEvent{at: t.Ended, trace: t.Trace, version: last.Version, isAnswer: true}
-			byInstance[t.Instance] = append(byInstance[t.Instance], answer)
+			answer := versionEvent{at: attempt.Ended, trace: attempt.Trace, version: last.Version, isAnswer: true}
+			byInstance[attempt.Instance] = append(byInstance[attempt.Instance], answer)
 		}
 	}
 	return byInstance
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -31,14 +31,14 @@
 	traces := c.readTraces(checker)
 	if env.scenario.stopsInstances {
 		env.stoppedBetween = c.stoppedBetween
-		checker.stoppedFor = func(t testserver.Attempt) time.Duration {
-			return instanceByAddr[t.Instance].stoppedBetween(t.At, t.Ended)
+		checker.stoppedFor = func(attempt testserver.Attempt) time.Duration {
+			return instanceByAddr[attempt.Instance].stoppedBetween(attempt.At, attempt.Ended)
 		}
 		checker.mayOverlap = traces.mayOverlap
 	}
 	unansweredWhileDown := 0
-	checker.checkAnswers(clientAttempts, func(t testserver.Attempt) bool {
-		wasDown := instanceByAddr[t.Instance].wasDown(t.At, t.Ended)
+	checker.checkAnswers(clientAttempts, func(attempt testserver.Attempt) bool {
+		wasDown := instanceByAddr[attempt.Instance].wasDown(attempt.At, attempt.Ended)
 		if wasDown {
 			unansweredWhileDown++
 		}
--- a/internal/scenario/evidence.go
+++ b/internal/scenario/evidence.go
@@ -61,9 +61,10 @@
 	fmt.Fprintf(&e.text, "  %s %s\n", at.Format(evidenceTime), fmt.Sprintf(format, args...))
 }
 
-func (e *evidence) addClient(t *testserver.Attempt) {
-	e.line(t.At, "client sends %s to %s", t.Operation, t.Instance)
-	e.line(t.Ended, "client's attempt ended with status %d after %v", t.Status, t.Ended.Sub(t.At))
+func (e *evidence) addClient(attempt *testserver.Attempt) {
+	e.line(attempt.At, "client sends %s to %s", attempt.Operation, attempt.Instance)
+	e.line(attempt.Ended, "client's attempt ended with status %d after %v", attempt.Status,
+		attempt.Ended.Sub(attempt.At))
 }
 
 func (e *evidence) addTrace(trace *gateway.RequestTrace) {
@@ -82,7 +83,7 @@
 
 // addWaits adds the longest waits for a processor within the request's time, by process.
 func (e *evidence) addWaits(monitor *schedwait.Monitor) {
-	waits, lost := monitor.Between(e.from, e.to)
+	waits, dropped := monitor.Between(e.from, e.to)
 	sums, longest := map[string]time.Duration{}, map[string]time.Duration{}
 	for _, wait := range waits {
 		sums[wait.Process] += wait.Waited
@@ -100,7 +101,7 @@
 				wait.To.Format(evidenceTime), wait.Process, wait.Waited.Round(time.Millisecond))
 		}
 	}
-	if lost > 0 {
-		fmt.Fprintf(&e.text, "  %d waits of the run were not recorded\n", lost)
+	if dropped > 0 {
+		fmt.Fprintf(&e.text, "  %d waits of the run were not recorded\n", dropped)
 	}
 }
--- a/internal/scenario/faults_members.go
+++ b/internal/scenario/faults_members.go
@@ -17,9 +17,9 @@
 
 // Times of the scenario leader-lost.
 const (
-	leaderLossCount      = 3
-	maxLeaderLossTime    = 5 * time.Second // until a change must be applied again
-	leaderChangePollTime = 2 * time.Millisecond
+	leaderLossCount          = 3
+	maxLeaderLossTime        = 5 * time.Second // until a change must be applied again
+	leaderChangePollInterval = 2 * time.Millisecond
 )
 
 // leaderLost kills the leader in the middle of changes, three times, and restarts it.
@@ -65,7 +65,7 @@
 		if applied > appliedBefore && lastAppliedAt.After(killedAt) {
 			break
 		}
-		pause(ctx, leaderChangePollTime)
+		pause(ctx, leaderChangePollInterval)
 		if ctx.Err() != nil || time.Since(killedAt) > maxLeaderLossTime {
 			c.reportViolation("no change was applied within %v of the leader's kill", time.Since(killedAt))
 			return false
@@ -94,7 +94,7 @@
 		if m == first {
 			c.checkServesStale(ctx, m)
 		} else {
-			c.checkRefusesStale(ctx, m)
+			c.checkRejectsStale(ctx, m)
 		}
 		c.setPartitioned(m, false)
 		if !c.awaitHealed(ctx, m) {
@@ -115,8 +115,8 @@
 	}
 }
 
-// checkRefusesStale checks that a partitioned member serves until its staleness bound and no longer.
-func (c *clusterRun) checkRefusesStale(ctx context.Context, m *clusterInstance) {
+// checkRejectsStale checks that a partitioned member serves until its staleness bound and no longer.
+func (c *clusterRun) checkRejectsStale(ctx context.Context, m *clusterInstance) {
 	if !isReady(ctx, m) && ctx.Err() == nil {
 		c.reportViolation("member %d is not ready before its staleness bound", m.id)
 	}
--- a/internal/scenario/faults_relay.go
+++ b/internal/scenario/faults_relay.go
@@ -10,20 +10,20 @@
 
 // Times of the scenario relay-chaos.
 const (
-	minRelayFault   = 20 * time.Millisecond
-	maxRelayFault   = 1500 * time.Millisecond // of a stopped instance
-	maxLinkFault    = 600 * time.Millisecond
-	maxLinkDelay    = 80 * time.Millisecond // of each read on a slow link
-	maxSiteLoss     = 2500 * time.Millisecond
-	maxRelayPause   = 500 * time.Millisecond // between two faults
-	drainEndTimeout = 10 * time.Second
+	minFaultDuration     = 20 * time.Millisecond
+	maxStopDuration      = 1500 * time.Millisecond // for which an instance is stopped
+	maxLinkFaultDuration = 600 * time.Millisecond
+	maxLinkDelay         = 80 * time.Millisecond // of each read on a slow link
+	maxSiteLossDuration  = 2500 * time.Millisecond
+	maxFaultInterval     = 500 * time.Millisecond // between two faults
+	drainEndTimeout      = 10 * time.Second
 )
 
 // relayChaos injects faults into the links between the sites, the instances at both ends and the sites themselves, by
 // the seed.
 func relayChaos(ctx context.Context, c *clusterRun) {
 	for until := c.faultsEnd(ctx); time.Now().Before(until) && ctx.Err() == nil; {
-		pause(ctx, c.randomDuration(0, maxRelayPause))
+		pause(ctx, c.randomDuration(0, maxFaultInterval))
 		if err := c.injectRelayFault(ctx); err != nil {
 			c.reportViolation("%v", err)
 			return
@@ -57,17 +57,17 @@
 	case 4:
 		site := c.environment.sites[c.rng.IntN(len(c.environment.sites))]
 		site.SetPartitioned(true)
-		pause(ctx, c.randomDuration(minRelayFault, maxSiteLoss))
+		pause(ctx, c.randomDuration(minFaultDuration, maxSiteLossDuration))
 		site.SetPartitioned(false)
 		c.flapCount++
 	case 5:
 		c.kill(m)
-		pause(ctx, c.randomDuration(0, minRelayFault))
+		pause(ctx, c.randomDuration(0, minFaultDuration))
 		return c.restart(context.WithoutCancel(ctx), m)
 	case 6:
 		return c.drainAndRestart(ctx, m)
 	default:
-		c.stopFor(m, c.randomDuration(minRelayFault, maxRelayFault))
+		c.stopFor(m, c.randomDuration(minFaultDuration, maxStopDuration))
 	}
 	return nil
 }
@@ -81,7 +81,7 @@
 			set(l, true)
 		}
 	}
-	pause(ctx, c.randomDuration(minRelayFault, maxLinkFault))
+	pause(ctx, c.randomDuration(minFaultDuration, maxLinkFaultDuration))
 	for _, l := range disturbed {
 		set(l, false)
 	}
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -47,22 +47,22 @@
 		pause(ctx, time.Until(began.Add(time.Duration(fraction*float64(c.environment.options.For)))))
 	}
 	site := c.environment.sites[c.rng.IntN(2)]
-	s := &siteOutage{site: site.Name}
+	outage := &siteOutage{site: site.Name}
 	until(outageStartFraction / 2)
-	s.baselineStart = time.Now()
+	outage.baselineStart = time.Now()
 	until(outageStartFraction)
-	s.lostAt = time.Now()
+	outage.lostAt = time.Now()
 	site.SetPartitioned(true)
 	until(outageEndFraction)
 	ids := []string{"cold-0", "cold-1", "cold-2", "cold-3", "cold-4"}[:c.environment.serverCount()]
 	if err := site.ReplaceServers(ids...); err != nil {
 		c.reportViolation("%v", err)
 	}
-	s.returnedAt = time.Now()
+	outage.returnedAt = time.Now()
 	site.SetPartitioned(false)
 	until(0.99)
-	s.endedAt = time.Now()
-	c.outage = s
+	outage.endedAt = time.Now()
+	c.outage = outage
 }
 
 // clientRequest is one request of a client, over all its attempts.
@@ -86,35 +86,35 @@
 
 // newClientRequestBuilder returns a builder with the units of the requests that reached the sites.
 func newClientRequestBuilder(byTrace map[string][]testserver.Arrival) *clientRequestBuilder {
-	f := &clientRequestBuilder{plans: map[string]string{}, priorityFactors: map[string]float64{},
+	builder := &clientRequestBuilder{plans: map[string]string{}, priorityFactors: map[string]float64{},
 		units: map[string]int{}}
 	for _, l := range allLicensees() {
-		f.plans[l.Name] = l.Plan
+		builder.plans[l.Name] = l.Plan
 	}
 	for _, p := range settings(0).Plans {
-		f.priorityFactors[p.Name] = p.PriorityFactor
+		builder.priorityFactors[p.Name] = p.PriorityFactor
 	}
 	for _, arrivals := range byTrace {
-		f.units[arrivals[0].Operation] = arrivals[0].Units
+		builder.units[arrivals[0].Operation] = arrivals[0].Units
 	}
-	return f
+	return builder
 }
 
 // newClientRequest returns a request with the data of one of its attempts.
-func (f *clientRequestBuilder) newClientRequest(t *testserver.Attempt) *clientRequest {
+func (builder *clientRequestBuilder) newClientRequest(attempt *testserver.Attempt) *clientRequest {
 	class := classes()[0]
-	if t.Operation == "bookVisit" {
+	if attempt.Operation == "bookVisit" {
 		class = classes()[1]
 	}
-	factor := f.priorityFactors[f.plans[t.Licensee]]
+	factor := builder.priorityFactors[builder.plans[attempt.Licensee]]
 	return &clientRequest{
-		at:               t.At,
-		licensee:         t.Licensee,
-		units:            max(f.units[t.Operation], 1),
+		at:               attempt.At,
+		licensee:         attempt.Licensee,
+		units:            max(builder.units[attempt.Operation], 1),
 		value:            class.PriorityWeight * factor,
 		lateValue:        class.PriorityWeight * class.LateFraction * factor,
 		latencyObjective: class.LatencyObjective,
-		work:             operationWork(t.Operation).Seconds(),
+		work:             operationWork(attempt.Operation).Seconds(),
 	}
 }
 
@@ -125,18 +125,18 @@
 	byFirst := map[string]*clientRequest{}
 	var all []*clientRequest
 	for i := range clientAttempts {
-		t := &clientAttempts[i]
-		d := byFirst[t.FirstTrace]
-		if d == nil {
-			d = builder.newClientRequest(t)
-			byFirst[t.FirstTrace] = d
-			all = append(all, d)
+		attempt := &clientAttempts[i]
+		request := byFirst[attempt.FirstTrace]
+		if request == nil {
+			request = builder.newClientRequest(attempt)
+			byFirst[attempt.FirstTrace] = request
+			all = append(all, request)
 		}
-		if d.at.After(t.At) {
-			d.at = t.At
+		if request.at.After(attempt.At) {
+			request.at = attempt.At
 		}
-		if t.Served && (d.servedAt.IsZero() || t.Ended.Before(d.servedAt)) {
-			d.servedAt = t.Ended
+		if attempt.Served && (request.servedAt.IsZero() || attempt.Ended.Before(request.servedAt)) {
+			request.servedAt = attempt.Ended
 		}
 	}
 	slices.SortFunc(all, func(a, b *clientRequest) int { return a.at.Compare(b.at) })
@@ -145,20 +145,20 @@
 
 // capacity returns the work that all sites can do at a time, in core seconds per second, as the test servers compute
 // it.
-func (s *siteOutage) capacity(at time.Time, size siteSize) float64 {
+func (outage *siteOutage) capacity(at time.Time, size siteSize) float64 {
 	full := size.coreCount()
 	switch {
-	case at.Before(s.lostAt):
+	case at.Before(outage.lostAt):
 		return 2 * full
-	case at.Before(s.returnedAt):
+	case at.Before(outage.returnedAt):
 		return full
 	}
-	return full + full*s.capacityFraction(at)
+	return full + full*outage.capacityFraction(at)
 }
 
 // capacityFraction returns the fraction of its capacity that the returned site has at a time.
-func (s *siteOutage) capacityFraction(at time.Time) float64 {
-	gained := (1 - coldCapacity) * at.Sub(s.returnedAt).Seconds() / slowStartWindow.Seconds()
+func (outage *siteOutage) capacityFraction(at time.Time) float64 {
+	gained := (1 - coldCapacity) * at.Sub(outage.returnedAt).Seconds() / slowStartWindow.Seconds()
 	return math.Min(coldCapacity+gained, 1)
 }
 
@@ -182,8 +182,8 @@
 }
 
 // newReferenceModel returns a reference model with full buckets.
-func newReferenceModel(s *siteOutage, size siteSize) *referenceModel {
-	model := &referenceModel{outage: s, size: size, byName: map[string]*referenceBucket{},
+func newReferenceModel(outage *siteOutage, size siteSize) *referenceModel {
+	model := &referenceModel{outage: outage, size: size, byName: map[string]*referenceBucket{},
 		workLeft: map[*clientRequest]float64{}, served: map[*clientRequest]bool{}}
 	for _, l := range allLicensees() {
 		for _, p := range settings(0).Plans {
@@ -201,8 +201,8 @@
 // objectives. Each request takes units of its licensee's quota, in the order of arrival, and waits for them until its
 // objective has passed, like a client that retries. Of the requests that have their units, those with the highest value
 // per work are served first.
-func (s *siteOutage) runReferenceModel(all []*clientRequest, size siteSize) (served map[*clientRequest]bool) {
-	model := newReferenceModel(s, size)
+func (outage *siteOutage) runReferenceModel(all []*clientRequest, size siteSize) (served map[*clientRequest]bool) {
+	model := newReferenceModel(outage, size)
 	next := 0
 	for model.at = all[0].at; next < len(all) || len(model.admitted) > 0; model.at = model.at.Add(referenceStep) {
 		for ; next < len(all) && all[next].at.Before(model.at.Add(referenceStep)); next++ {
@@ -218,8 +218,8 @@
 }
 
 // isLate reports whether a request's latency objective has passed.
-func (model *referenceModel) isLate(d *clientRequest) bool {
-	return model.at.Sub(d.at) > d.latencyObjective
+func (model *referenceModel) isLate(request *clientRequest) bool {
+	return model.at.Sub(request.at) > request.latencyObjective
 }
 
 // admit refills a bucket for one step and admits the waiting requests for which it has units, in their order.
@@ -227,11 +227,11 @@
 	bucket.tokens = math.Min(bucket.tokens+bucket.plan.Rate*referenceStep.Seconds(), bucket.plan.Burst)
 	bucket.waiting = slices.DeleteFunc(bucket.waiting, model.isLate)
 	for len(bucket.waiting) > 0 && bucket.tokens >= float64(bucket.waiting[0].units) {
-		d := bucket.waiting[0]
+		request := bucket.waiting[0]
 		bucket.waiting = bucket.waiting[1:]
-		bucket.tokens -= float64(d.units)
-		model.admitted = append(model.admitted, d)
-		model.workLeft[d] = d.work
+		bucket.tokens -= float64(request.units)
+		model.admitted = append(model.admitted, request)
+		model.workLeft[request] = request.work
 	}
 }
 
@@ -241,15 +241,15 @@
 // serveStep simulates the work of one step. Requests with the highest value per work are served first.
 func (model *referenceModel) serveStep() {
 	model.admitted = slices.DeleteFunc(model.admitted,
-		func(d *clientRequest) bool { return model.workLeft[d] <= 0 || model.isLate(d) })
+		func(request *clientRequest) bool { return model.workLeft[request] <= 0 || model.isLate(request) })
 	slices.SortStableFunc(model.admitted,
 		func(a, b *clientRequest) int { return cmp.Compare(b.value/b.work, a.value/a.work) })
 	available := model.outage.capacity(model.at, model.size) * referenceStep.Seconds()
-	for _, d := range model.admitted {
-		workDone := math.Min(available, model.workLeft[d])
+	for _, request := range model.admitted {
+		workDone := math.Min(available, model.workLeft[request])
 		available -= workDone
-		if model.workLeft[d] -= workDone; model.workLeft[d] <= minWorkLeft {
-			model.workLeft[d], model.served[d] = 0, true
+		if model.workLeft[request] -= workDone; model.workLeft[request] <= minWorkLeft {
+			model.workLeft[request], model.served[request] = 0, true
 		}
 		if available <= 0 {
 			break
@@ -260,19 +260,19 @@
 // earnedValue returns the value of the requests that began in a time span: of those served in the run (got), and of
 // those that the reference model serves (best).
 func earnedValue(all []*clientRequest, servedByModel map[*clientRequest]bool, from, to time.Time) (got, best float64) {
-	for _, d := range all {
-		if d.at.Before(from) || !d.at.Before(to) {
+	for _, request := range all {
+		if request.at.Before(from) || !request.at.Before(to) {
 			continue
 		}
-		if servedByModel[d] {
-			best += d.value
+		if servedByModel[request] {
+			best += request.value
 		}
 		switch {
-		case d.servedAt.IsZero():
-		case d.servedAt.Sub(d.at) <= d.latencyObjective:
-			got += d.value
+		case request.servedAt.IsZero():
+		case request.servedAt.Sub(request.at) <= request.latencyObjective:
+			got += request.value
 		default:
-			got += d.lateValue
+			got += request.lateValue
 		}
 	}
 	return got, best
@@ -280,7 +280,7 @@
 
 // addFigures adds the value of what was served as fractions of what the reference model serves, and the time to full
 // use with the shortest possible one.
-func (s *siteOutage) addFigures(
+func (outage *siteOutage) addFigures(
 	checker *ruleChecker,
 	clientAttempts []testserver.Attempt,
 	arrivals []testserver.Arrival,
@@ -288,15 +288,16 @@
 	size siteSize,
 ) {
 	all := groupByRequest(clientAttempts, byTrace)
-	servedByModel := s.runReferenceModel(all, size)
+	servedByModel := outage.runReferenceModel(all, size)
 	addFraction := func(name string, from, to time.Time) {
 		got, best := earnedValue(all, servedByModel, from, to)
 		checker.verdict.Figures[name] = math.Round(got/best*1000) / 1000
 	}
-	addFraction(figureValueBeforeLoss, s.baselineStart, s.lostAt)
-	addFraction(figureValueAfterLoss, s.lostAt, earliest(s.lostAt.Add(afterLossWindow), s.returnedAt))
-	addFraction(figureValueAfterReturn, s.returnedAt, earliest(s.returnedAt.Add(afterReturnWindow), s.endedAt))
-	s.addFullUseFigures(checker, arrivals, size)
+	addFraction(figureValueBeforeLoss, outage.baselineStart, outage.lostAt)
+	addFraction(figureValueAfterLoss, outage.lostAt, earliest(outage.lostAt.Add(afterLossWindow), outage.returnedAt))
+	addFraction(figureValueAfterReturn, outage.returnedAt,
+		earliest(outage.returnedAt.Add(afterReturnWindow), outage.endedAt))
+	outage.addFullUseFigures(checker, arrivals, size)
 }
 
 // earliest returns the earlier of two times.
@@ -309,23 +310,24 @@
 
 // addFullUseFigures adds how long the returned site took to reach fullUseFraction of its work rate before the loss, and
 // the shortest time in which its cold servers can reach it.
-func (s *siteOutage) addFullUseFigures(checker *ruleChecker, arrivals []testserver.Arrival, size siteSize) {
-	targetRate := fullUseFraction * s.workRate(arrivals, s.baselineStart, s.lostAt)
+func (outage *siteOutage) addFullUseFigures(checker *ruleChecker, arrivals []testserver.Arrival, size siteSize) {
+	targetRate := fullUseFraction * outage.workRate(arrivals, outage.baselineStart, outage.lostAt)
 	fraction := targetRate / size.coreCount() // of the site's cores, to do the target rate
 	shortest := math.Max((fraction-coldCapacity)/(1-coldCapacity)*slowStartWindow.Seconds(), 0)
 	checker.verdict.Figures[figureFullUseShortestSeconds] = math.Round(shortest*10) / 10
-	for at := s.returnedAt; at.Add(time.Second).Before(s.endedAt); at = at.Add(100 * time.Millisecond) {
-		if s.workRate(arrivals, at, at.Add(time.Second)) >= targetRate {
-			checker.verdict.Figures[figureFullUseSeconds] = math.Round(at.Add(time.Second/2).Sub(s.returnedAt).Seconds()*10) / 10
+	for at := outage.returnedAt; at.Add(time.Second).Before(outage.endedAt); at = at.Add(100 * time.Millisecond) {
+		if outage.workRate(arrivals, at, at.Add(time.Second)) >= targetRate {
+			checker.verdict.Figures[figureFullUseSeconds] = math.Round(
+				at.Add(time.Second/2).Sub(outage.returnedAt).Seconds()*10) / 10
 			break
 		}
 	}
 }
 
 // workRate returns the work that the site did in a time span, in core seconds per second.
-func (s *siteOutage) workRate(arrivals []testserver.Arrival, from, to time.Time) (work float64) {
+func (outage *siteOutage) workRate(arrivals []testserver.Arrival, from, to time.Time) (work float64) {
 	for _, a := range arrivals {
-		if a.Site == s.site && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
+		if a.Site == outage.site && a.Status >= 200 && a.Status < 300 && !a.Ended.Before(from) && a.Ended.Before(to) {
 			work += operationWork(a.Operation).Seconds()
 		}
 	}
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -169,30 +169,33 @@
 // checkAnswers checks that each attempt of a client received exactly one complete answer, to its own request and in
 // time. An attempt without an answer is no violation if its instance was down, or stopped for long enough.
 func (checker *ruleChecker) checkAnswers(attempts []testserver.Attempt, wasInstanceDown func(testserver.Attempt) bool) {
-	for _, t := range attempts {
+	for _, attempt := range attempts {
 		checker.verdict.Requests++
 		switch {
-		case t.Served:
+		case attempt.Served:
 			checker.verdict.Served++
-		case t.Status == 429 || t.Status == 503:
+		case attempt.Status == 429 || attempt.Status == 503:
 			checker.verdict.Refused++
 		default:
 			checker.verdict.Failed++
 		}
 		switch {
-		case t.AnswerCount == 0 && (wasInstanceDown(t) || checker.gaveUpWhileStopped(t)):
-		case t.AnswerCount == 0:
+		case attempt.AnswerCount == 0 && (wasInstanceDown(attempt) || checker.gaveUpWhileStopped(attempt)):
+		case attempt.AnswerCount == 0:
 			checker.verdict.Unanswered++
-			checker.requestViolation(t.Trace, ruleAnswers, "%s (%s) received no answer", t.Trace, t.Operation)
-		case t.AnswerCount > 1:
-			checker.violation(ruleAnswers, "%s (%s) received more than one answer", t.Trace, t.Operation)
-		case t.Mismatch != "":
-			checker.violation(ruleAnswers, "%s: %s", t.Trace, t.Mismatch)
-		case t.Ended.Sub(t.At) > clientDeadline+deadlineSlack+checker.timeStopped(t):
-			checker.requestViolation(t.Trace, ruleAnswers, "%s was answered after %v", t.Trace, t.Ended.Sub(t.At))
+			checker.requestViolation(attempt.Trace, ruleAnswers, "%s (%s) received no answer", attempt.Trace,
+				attempt.Operation)
+		case attempt.AnswerCount > 1:
+			checker.violation(ruleAnswers, "%s (%s) received more than one answer", attempt.Trace, attempt.Operation)
+		case attempt.Mismatch != "":
+			checker.violation(ruleAnswers, "%s: %s", attempt.Trace, attempt.Mismatch)
+		case attempt.Ended.Sub(attempt.At) > clientDeadline+deadlineSlack+checker.timeStopped(attempt):
+			checker.requestViolation(attempt.Trace, ruleAnswers, "%s was answered after %v", attempt.Trace,
+				attempt.Ended.Sub(attempt.At))
 		}
-		if t.Status == 400 || t.Status == 404 || t.Status == 405 || t.Status == 403 {
-			checker.violation(ruleOperations, "%s (%s) was rejected with status %d", t.Trace, t.Operation, t.Status)
+		if attempt.Status == 400 || attempt.Status == 404 || attempt.Status == 405 || attempt.Status == 403 {
+			checker.violation(ruleOperations, "%s (%s) was rejected with status %d", attempt.Trace, attempt.Operation,
+				attempt.Status)
 		}
 	}
 }
@@ -226,18 +229,19 @@
 }
 
 // timeStopped returns how long an attempt's instance was stopped during the attempt.
-func (checker *ruleChecker) timeStopped(t testserver.Attempt) time.Duration {
+func (checker *ruleChecker) timeStopped(attempt testserver.Attempt) time.Duration {
 	if checker.stoppedFor == nil {
 		return 0
 	}
-	return checker.stoppedFor(t)
+	return checker.stoppedFor(attempt)
 }
 
 // gaveUpWhileStopped reports whether a client gave up, long after its deadline, because its instance was stopped:
 // without the time of the stop, it had waited no longer than an answer may take.
-func (checker *ruleChecker) gaveUpWhileStopped(t testserver.Attempt) bool {
-	stopped := checker.timeStopped(t)
-	return stopped > 0 && !t.ConnectionLost && t.Ended.Sub(t.At)-stopped <= clientDeadline+deadlineSlack
+func (checker *ruleChecker) gaveUpWhileStopped(attempt testserver.Attempt) bool {
+	stopped := checker.timeStopped(attempt)
+	return stopped > 0 && !attempt.ConnectionLost &&
+		attempt.Ended.Sub(attempt.At)-stopped <= clientDeadline+deadlineSlack
 }
 
 // checkInFlight checks that each attempt of a request had ended when the next one arrived.
@@ -403,9 +407,9 @@
 // addFigures adds the figures of how well clients were served.
 func (checker *ruleChecker) addFigures(clientAttempts []testserver.Attempt, attempts int, elapsed time.Duration) {
 	var latencies []float64
-	for _, t := range clientAttempts {
-		if t.Served {
-			latencies = append(latencies, t.Ended.Sub(t.At).Seconds()*1000)
+	for _, attempt := range clientAttempts {
+		if attempt.Served {
+			latencies = append(latencies, attempt.Ended.Sub(attempt.At).Seconds()*1000)
 		}
 	}
 	slices.Sort(latencies)
--- a/internal/schedwait/monitor_test.go
+++ b/internal/schedwait/monitor_test.go
@@ -26,10 +26,10 @@
 		writeSchedstat(t, file, text)
 		m.sampleThread("p", file, time.Now())
 	}
-	waits, lost := m.Between(began, time.Now())
-	if len(waits) != 1 || lost != 0 || waits[0].Waited != 40*time.Millisecond || waits[0].Process != "p" ||
+	waits, dropped := m.Between(began, time.Now())
+	if len(waits) != 1 || dropped != 0 || waits[0].Waited != 40*time.Millisecond || waits[0].Process != "p" ||
 		m.longest != 40*time.Millisecond {
-		t.Errorf("got waits %+v, %d dropped, longest %v; want one wait of 40ms of process p", waits, lost, m.longest)
+		t.Errorf("got waits %+v, %d dropped, longest %v; want one wait of 40ms of process p", waits, dropped, m.longest)
 	}
 	if waits, _ := m.Between(time.Now().Add(time.Second), time.Now().Add(time.Minute)); len(waits) != 0 {
 		t.Errorf("got waits %+v after the last sample, want none", waits)
