--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -190,7 +190,7 @@
 // add counts a verdict. The caller must hold s.mu.
 func (s *summary) add(v *soak.Verdict) {
 	s.requests += v.Requests
-	s.crossed += v.Crossed
+	s.crossed += v.ClosedUnforwarded
 	s.excused += v.Excused
 	s.left += v.Left
 	switch {
@@ -223,7 +223,7 @@
 		word = "BROKEN"
 	}
 	fmt.Printf("seed %d %s: %s; %d requests, %d served, %d rejected, %d failed, %d left, %d crossed, %d excused, "+
-		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.Left, v.Crossed,
+		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.Left, v.ClosedUnforwarded,
 		v.Excused, v.Attempts, v.Stall.Round(time.Millisecond))
 	if s.arguments.Verbose || !v.OK {
 		fmt.Println("    plan:", v.Plan)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -22,24 +22,24 @@
 
 // Verdict is the result of a run: the number of requests by outcome, and the violations of the rules.
 type Verdict struct {
-	Target    Target         `json:"target"`
-	Seed      uint64         `json:"seed"`
-	Series    string         `json:"series"`
-	OK        bool           `json:"ok"`
-	Disturbed bool           `json:"disturbed"`
-	Stall     time.Duration  `json:"stall_ns"` // longest time for which the tool or the program waited for a processor
-	Requests  int            `json:"requests"`
-	Served    int            `json:"served"`
-	Rejected  int            `json:"rejected"`
-	Failed    int            `json:"failed"`
-	Left      int            `json:"left"`
-	Crossed   int            `json:"crossed"` // sent as the connection was closed, and not forwarded
-	Excused   int            `json:"excused"` // open at a process as the plan killed it
-	Attempts  int            `json:"attempts"`
-	Broken    map[string]int `json:"broken,omitempty"` // number of violations by rule
-	Examples  []string       `json:"examples,omitempty"`
-	Plan      string         `json:"plan"`
-	Processes []string       `json:"processes"` // signals and exit of each process, with their times
+	Target            Target         `json:"target"`
+	Seed              uint64         `json:"seed"`
+	Series            string         `json:"series"`
+	OK                bool           `json:"ok"`
+	Disturbed         bool           `json:"disturbed"`
+	Stall             time.Duration  `json:"stall_ns"` // longest time for which the tool or the program waited for a processor
+	Requests          int            `json:"requests"`
+	Served            int            `json:"served"`
+	Rejected          int            `json:"rejected"`
+	Failed            int            `json:"failed"`
+	Left              int            `json:"left"`
+	ClosedUnforwarded int            `json:"crossed"` // sent as the connection was closed, and not forwarded
+	Excused           int            `json:"excused"` // open at a process as the plan killed it
+	Attempts          int            `json:"attempts"`
+	Broken            map[string]int `json:"broken,omitempty"` // number of violations by rule
+	Examples          []string       `json:"examples,omitempty"`
+	Plan              string         `json:"plan"`
+	Processes         []string       `json:"processes"` // signals and exit of each process, with their times
 }
 
 // Names of the rules.
@@ -211,7 +211,7 @@
 	case service.wasOpenAtKill(request):
 		v.Excused++
 	case len(attempts) == 0 && request.end != endTimedOut && service.mayGoUnanswered(request):
-		v.Crossed++
+		v.ClosedUnforwarded++
 	default:
 		v.violation(ruleResponse, "%s got no response (end %q after %v, error %v) after %d attempts", request,
 			request.end, request.endedAt.Sub(request.sentAt).Round(time.Millisecond), request.err, len(attempts))
