--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -191,7 +191,7 @@
 func (s *summary) add(v *soak.Verdict) {
 	s.requests += v.Requests
 	s.crossed += v.ClosedUnforwarded
-	s.excused += v.Excused
+	s.excused += v.OpenAtKill
 	s.left += v.Left
 	switch {
 	case v.Disturbed && !v.OK:
@@ -224,7 +224,7 @@
 	}
 	fmt.Printf("seed %d %s: %s; %d requests, %d served, %d rejected, %d failed, %d left, %d crossed, %d excused, "+
 		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.Left, v.ClosedUnforwarded,
-		v.Excused, v.Attempts, v.Stall.Round(time.Millisecond))
+		v.OpenAtKill, v.Attempts, v.Stall.Round(time.Millisecond))
 	if s.arguments.Verbose || !v.OK {
 		fmt.Println("    plan:", v.Plan)
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -34,7 +34,7 @@
 	Failed            int            `json:"failed"`
 	Left              int            `json:"left"`
 	ClosedUnforwarded int            `json:"crossed"` // sent as the connection was closed, and not forwarded
-	Excused           int            `json:"excused"` // open at a process as the plan killed it
+	OpenAtKill        int            `json:"excused"` // open at a process as the plan killed it
 	Attempts          int            `json:"attempts"`
 	Broken            map[string]int `json:"broken,omitempty"` // number of violations by rule
 	Examples          []string       `json:"examples,omitempty"`
@@ -209,7 +209,7 @@
 			v.violation(ruleResponse, "%s: %v", request, request.err)
 		}
 	case service.wasOpenAtKill(request):
-		v.Excused++
+		v.OpenAtKill++
 	case len(attempts) == 0 && request.end != endTimedOut && service.mayGoUnanswered(request):
 		v.ClosedUnforwarded++
 	default:
