--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -192,7 +192,7 @@
 	s.requests += v.Requests
 	s.crossed += v.ClosedUnforwarded
 	s.excused += v.OpenAtKill
-	s.left += v.Left
+	s.left += v.ClientClosed
 	switch {
 	case v.Disturbed && !v.OK:
 		s.disturbedBroken++
@@ -223,7 +223,7 @@
 		word = "BROKEN"
 	}
 	fmt.Printf("seed %d %s: %s; %d requests, %d served, %d rejected, %d failed, %d left, %d crossed, %d excused, "+
-		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.Left, v.ClosedUnforwarded,
+		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.ClientClosed, v.ClosedUnforwarded,
 		v.OpenAtKill, v.Attempts, v.Stall.Round(time.Millisecond))
 	if s.arguments.Verbose || !v.OK {
 		fmt.Println("    plan:", v.Plan)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -32,7 +32,7 @@
 	Served            int            `json:"served"`
 	Rejected          int            `json:"rejected"`
 	Failed            int            `json:"failed"`
-	Left              int            `json:"left"`
+	ClientClosed      int            `json:"left"`
 	ClosedUnforwarded int            `json:"crossed"` // sent as the connection was closed, and not forwarded
 	OpenAtKill        int            `json:"excused"` // open at a process as the plan killed it
 	Attempts          int            `json:"attempts"`
@@ -199,7 +199,7 @@
 func (v *Verdict) checkResponse(request *request, attempts []*attempt, service serviceTimes) {
 	switch {
 	case request.end == endClientClosed:
-		v.Left++
+		v.ClientClosed++
 	case request.end == endAnswered:
 		v.countStatus(request.status)
 		if late := request.endedAt.Sub(service.responseDeadline(request)); late > responseTolerance {
