--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -36,7 +36,7 @@
 	ClosedUnforwarded int            `json:"crossed"` // sent as the connection was closed, and not forwarded
 	OpenAtKill        int            `json:"excused"` // open at a process as the plan killed it
 	Attempts          int            `json:"attempts"`
-	Broken            map[string]int `json:"broken,omitempty"` // number of violations by rule
+	Violations        map[string]int `json:"broken,omitempty"` // number of violations by rule
 	Examples          []string       `json:"examples,omitempty"`
 	Plan              string         `json:"plan"`
 	Processes         []string       `json:"processes"` // signals and exit of each process, with their times
@@ -52,7 +52,7 @@
 
 // violation counts a violation and adds its description to the examples, up to maxExamples.
 func (v *Verdict) violation(rule, format string, arguments ...any) {
-	v.Broken[rule]++
+	v.Violations[rule]++
 	if len(v.Examples) < maxExamples {
 		v.Examples = append(v.Examples, rule+": "+fmt.Sprintf(format, arguments...))
 	}
@@ -65,7 +65,7 @@
 	defer r.records.mu.Unlock()
 	stall = max(stall, r.longestKillDelay())
 	v := &Verdict{Target: r.plan.Target, Seed: r.plan.Seed, Series: string(r.plan.Series), Stall: stall,
-		Disturbed: stall >= stallThreshold, Broken: map[string]int{}, Plan: r.plan.String()}
+		Disturbed: stall >= stallThreshold, Violations: map[string]int{}, Plan: r.plan.String()}
 	attempts := map[string][]*attempt{}
 	for _, a := range r.records.attempts {
 		attempts[a.id] = append(attempts[a.id], a)
@@ -84,7 +84,7 @@
 		v.checkProcess(p)
 		v.Processes = append(v.Processes, p.String())
 	}
-	v.OK = len(v.Broken) == 0
+	v.OK = len(v.Violations) == 0
 	return v
 }
 
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -123,8 +123,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := recordedRun(c.change).checkRules(0)
-			if v.OK != (c.rule == "") || c.rule != "" && v.Broken[c.rule] == 0 {
-				t.Errorf("got violations %v %v, want rule %q", v.Broken, v.Examples, c.rule)
+			if v.OK != (c.rule == "") || c.rule != "" && v.Violations[c.rule] == 0 {
+				t.Errorf("got violations %v %v, want rule %q", v.Violations, v.Examples, c.rule)
 			}
 		})
 	}
@@ -169,9 +169,9 @@
 			p := r.processes[0]
 			p.killedForTimeout, p.timedOutAt, p.exitedAt = true, at(2700), at(2700+test.exitDelayMs)
 		})
-		if v := r.checkRules(0); v.Disturbed != test.isDisturbed || v.Broken[ruleProcess] == 0 {
+		if v := r.checkRules(0); v.Disturbed != test.isDisturbed || v.Violations[ruleProcess] == 0 {
 			t.Errorf("exited %d ms after the kill: got disturbed %v, violations %v; want rule process, disturbed only at 600 ms",
-				test.exitDelayMs, v.Disturbed, v.Broken)
+				test.exitDelayMs, v.Disturbed, v.Violations)
 		}
 	}
 }
