--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -224,7 +224,7 @@
 	}
 	fmt.Printf("seed %d %s: %s; %d requests, %d served, %d rejected, %d failed, %d left, %d crossed, %d excused, "+
 		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.ClientClosed, v.ClosedUnforwarded,
-		v.OpenAtKill, v.Attempts, v.Stall.Round(time.Millisecond))
+		v.OpenAtKill, v.Attempts, v.LongestStall.Round(time.Millisecond))
 	if s.arguments.Verbose || !v.OK {
 		fmt.Println("    plan:", v.Plan)
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -27,7 +27,7 @@
 	Series            string         `json:"series"`
 	OK                bool           `json:"ok"`
 	Disturbed         bool           `json:"disturbed"`
-	Stall             time.Duration  `json:"stall_ns"` // longest time for which the tool or the program waited for a processor
+	LongestStall      time.Duration  `json:"stall_ns"` // longest time for which the tool or the program waited for a processor
 	Requests          int            `json:"requests"`
 	Served            int            `json:"served"`
 	Rejected          int            `json:"rejected"`
@@ -64,7 +64,7 @@
 	r.records.mu.Lock()
 	defer r.records.mu.Unlock()
 	stall = max(stall, r.longestKillDelay())
-	v := &Verdict{Target: r.plan.Target, Seed: r.plan.Seed, Series: string(r.plan.Series), Stall: stall,
+	v := &Verdict{Target: r.plan.Target, Seed: r.plan.Seed, Series: string(r.plan.Series), LongestStall: stall,
 		Disturbed: stall >= stallThreshold, Violations: map[string]int{}, Plan: r.plan.String()}
 	attempts := map[string][]*attempt{}
 	for _, a := range r.records.attempts {
