--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -93,7 +93,7 @@
 	Duration        time.Duration // how long clients send requests before the first signal
 	Series          series
 	Deadline        time.Duration // deadline of every class
-	Gap             time.Duration // between the signals of a series
+	SignalGap       time.Duration // between the signals of a series
 	Step            step          // handover step that the next signal waits for
 	StepGap         time.Duration // from that step to the signal
 	StopDuration    time.Duration // from SIGSTOP to SIGCONT
@@ -131,7 +131,7 @@
 	p := &Plan{
 		Target: target, Seed: seed, Duration: duration, Series: all[random.IntN(len(all))],
 		Deadline:     between(minDeadline, maxDeadline),
-		Gap:          between(0, maxSignalGap),
+		SignalGap:    between(0, maxSignalGap),
 		Step:         handoverSteps[random.IntN(len(handoverSteps))],
 		StepGap:      between(0, maxStepGap),
 		StopDuration: between(minStopDuration, maxStopDuration),
@@ -184,6 +184,6 @@
 func (p *Plan) String() string {
 	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 	return fmt.Sprintf("%s seed %d: %s, gap %v, step %q and %v, stop %v, deadline %v, crowd %d, inherits %v, servers %+v",
-		p.Target, p.Seed, p.Series, round(p.Gap), p.Step, p.StepGap, round(p.StopDuration), round(p.Deadline),
+		p.Target, p.Seed, p.Series, round(p.SignalGap), p.Step, p.StepGap, round(p.StopDuration), round(p.Deadline),
 		p.IdleConnections, p.InheritsSocket, p.Servers)
 }
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -10,7 +10,7 @@
 
 // runSignalSeries sends the signals of the plan, and waits until every process has exited.
 func (r *run) runSignalSeries(ctx context.Context, first *process) error {
-	gap := r.plan.Gap
+	gap := r.plan.SignalGap
 	last := first
 	var err error
 	switch r.plan.Series {
@@ -79,7 +79,7 @@
 			r.outages = append(r.outages, interval{before.servesUntil().Add(-drainTolerance), time.Now()})
 		}
 		r.clientsMayConnect.Store(true)
-		sleep(ctx, servingTime+r.plan.Gap)
+		sleep(ctx, servingTime+r.plan.SignalGap)
 	}
 	return p, nil
 }
@@ -89,7 +89,7 @@
 	if next, err = r.startSuccessor(old); err != nil {
 		return nil, err
 	}
-	sleep(ctx, r.plan.Gap/10)
+	sleep(ctx, r.plan.SignalGap/10)
 	r.terminate(old)
 	r.awaitReady(next)
 	sleep(ctx, servingTime)
@@ -167,7 +167,7 @@
 		return err
 	}
 	defer successor.Close()
-	sleep(ctx, r.plan.Gap)
+	sleep(ctx, r.plan.SignalGap)
 	began := time.Now()
 	old.signal(syscall.SIGSTOP)
 	if _, err := successor.Write([]byte(handoverHello)); err != nil {
