--- a/cmd/gateway/lab.go
+++ b/cmd/gateway/lab.go
@@ -23,7 +23,7 @@
 func (c *labCmd) Run(e *environment) error {
 	if c.List {
 		for _, s := range scenario.Scenarios() {
-			fmt.Fprintf(e.stdout, "%-28s %s\n", s.Name, s.About)
+			fmt.Fprintf(e.stdout, "%-28s %s\n", s.Name, s.Description)
 		}
 		return nil
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -34,12 +34,12 @@
 
 // Scenario describes a scenario that [Run] can run.
 type Scenario struct {
-	Name, About  string
-	mix          func() []testserver.RequestTemplate
-	faults       testserver.Faults
-	price        func(version int, operation string, units int) int
-	runInProcess func(context.Context, *environment) // runs concurrently with the clients, until ctx ends
-	runOnCluster func(context.Context, *clusterRun)  // likewise, with instances that are processes of a cluster
+	Name, Description string
+	mix               func() []testserver.RequestTemplate
+	faults            testserver.Faults
+	price             func(version int, operation string, units int) int
+	runInProcess      func(context.Context, *environment) // runs concurrently with the clients, until ctx ends
+	runOnCluster      func(context.Context, *clusterRun)  // likewise, with instances that are processes of a cluster
 	// Factor of the licensees' rates. 0 means 1, or 2 with small sites.
 	loadMultiple float64
 	// Sites have three servers with one core each, so that one site alone can't carry the load.
--- a/internal/scenario/scenario_table.go
+++ b/internal/scenario/scenario_table.go
@@ -26,14 +26,14 @@
 // scenarios are all scenarios, in the order in which they are listed.
 var scenarios = []Scenario{
 	{
-		Name:  "calm",
-		About: "two operations and no faults",
-		mix:   calmMix,
-		price: sameUnits,
+		Name:        "calm",
+		Description: "two operations and no faults",
+		mix:         calmMix,
+		price:       sameUnits,
 	},
 	{
 		Name: "mixed",
-		About: "all operations of the booking API; servers return errors, reject requests, reset " +
+		Description: "all operations of the booking API; servers return errors, reject requests, reset " +
 			"connections or do not answer",
 		mix:    mixedMix,
 		price:  sameUnits,
@@ -41,7 +41,7 @@
 	},
 	{
 		Name:         "contract-change",
-		About:        "like mixed, while the description changes ten times, two of them invalid",
+		Description:  "like mixed, while the description changes ten times, two of them invalid",
 		mix:          mixedMix,
 		price:        changingPrice,
 		runInProcess: changeContract,
@@ -49,14 +49,14 @@
 	},
 	{
 		Name:         "leader-lost",
-		About:        "a cluster of processes; the leader is killed three times in the middle of changes",
+		Description:  "a cluster of processes; the leader is killed three times in the middle of changes",
 		mix:          mixedMix,
 		price:        sameUnits,
 		runOnCluster: leaderLost,
 	},
 	{
 		Name: "minority-cut",
-		About: "a cluster of processes; a member is partitioned and continues to serve, then another " +
+		Description: "a cluster of processes; a member is partitioned and continues to serve, then another " +
 			"is partitioned and rejects requests beyond its staleness bound",
 		mix:          mixedMix,
 		price:        sameUnits,
@@ -64,14 +64,14 @@
 	},
 	{
 		Name:         "rolling-restart",
-		About:        "a cluster of processes; each member is restarted in turn",
+		Description:  "a cluster of processes; each member is restarted in turn",
 		mix:          mixedMix,
 		price:        sameUnits,
 		runOnCluster: rollingRestart,
 	},
 	{
 		Name: "hall-closes",
-		About: "a cluster of processes; sites are closed and reopened for requests with idempotency " +
+		Description: "a cluster of processes; sites are closed and reopened for requests with idempotency " +
 			"keys, which clients retry at any instance",
 		mix:          repeatingMix,
 		price:        sameUnits,
@@ -80,7 +80,7 @@
 	},
 	{
 		Name:         "instance-killed-holding-keys",
-		About:        "like hall-closes, and an instance is killed as each site closes",
+		Description:  "like hall-closes, and an instance is killed as each site closes",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: killedHoldingKeys,
@@ -89,7 +89,7 @@
 	},
 	{
 		Name: "hall-lost",
-		About: "a cluster of processes; a site stops answering while it runs requests, and returns with " +
+		Description: "a cluster of processes; a site stops answering while it runs requests, and returns with " +
 			"its old servers or with cold ones; the instances must detect both",
 		mix:          repeatingMix,
 		price:        sameUnits,
@@ -99,7 +99,7 @@
 	},
 	{
 		Name: "hall-returns-empty",
-		About: "like hall-lost, with sites that return with cold servers only: one, all or half of " +
+		Description: "like hall-lost, with sites that return with cold servers only: one, all or half of " +
 			"them, sometimes the same site twice in a row",
 		mix:          repeatingMix,
 		price:        sameUnits,
@@ -109,7 +109,7 @@
 	},
 	{
 		Name:         "flapping",
-		About:        "like hall-lost, with one site that repeatedly stops answering and returns",
+		Description:  "like hall-lost, with one site that repeatedly stops answering and returns",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: flapping,
@@ -118,7 +118,7 @@
 	},
 	{
 		Name:         "two-sites",
-		About:        "a cluster of processes, two at each of two sites, and no faults",
+		Description:  "a cluster of processes, two at each of two sites, and no faults",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: runWithoutFaults,
@@ -126,7 +126,7 @@
 	},
 	{
 		Name: "hall-lost-surge",
-		About: "a site that carries half of the load is lost and returns with cold servers; what is " +
+		Description: "a site that carries half of the load is lost and returns with cold servers; what is " +
 			"served is compared with a reference model",
 		mix:           repeatingMix,
 		price:         sameUnits,
@@ -136,7 +136,7 @@
 	},
 	{
 		Name: "servers-replaced",
-		About: "clients send more than the sites can serve, and the warm servers of a site are killed " +
+		Description: "clients send more than the sites can serve, and the warm servers of a site are killed " +
 			"shortly after a cold one has started",
 		mix:           repeatingMix,
 		price:         sameUnits,
@@ -147,7 +147,7 @@
 	},
 	{
 		Name: "link-drops",
-		About: "a cluster of processes, two at each of two sites; links between the sites are " +
+		Description: "a cluster of processes, two at each of two sites; links between the sites are " +
 			"repeatedly cut and healed",
 		mix:          repeatingMix,
 		price:        sameUnits,
@@ -157,7 +157,7 @@
 	},
 	{
 		Name: "relay-chaos",
-		About: "like link-drops; by the seed, links are cut, slow, reset or lose replies, instances are drained, " +
+		Description: "like link-drops; by the seed, links are cut, slow, reset or lose replies, instances are drained, " +
 			"killed or stopped, and sites are lost and return",
 		mix:            repeatingMix,
 		price:          sameUnits,
@@ -168,7 +168,7 @@
 	},
 	{
 		Name:         "both-cut",
-		About:        "like link-drops, but the sites stay partitioned from each other for a third of the run",
+		Description:  "like link-drops, but the sites stay partitioned from each other for a third of the run",
 		mix:          repeatingMix,
 		price:        sameUnits,
 		runOnCluster: bothCut,
@@ -177,7 +177,7 @@
 	},
 	{
 		Name:          "followers",
-		About:         "three members and two followers, and no faults",
+		Description:   "three members and two followers, and no faults",
 		mix:           mixedMix,
 		price:         sameUnits,
 		runOnCluster:  runWithoutFaults,
@@ -185,7 +185,7 @@
 	},
 	{
 		Name: "stream-breaks",
-		About: "three members and two followers; links from followers to members are repeatedly cut " +
+		Description: "three members and two followers; links from followers to members are repeatedly cut " +
 			"and healed",
 		mix:           mixedMix,
 		price:         sameUnits,
@@ -194,7 +194,7 @@
 	},
 	{
 		Name:          "follower-restarts",
-		About:         "like followers; followers are killed and restarted",
+		Description:   "like followers; followers are killed and restarted",
 		mix:           mixedMix,
 		price:         sameUnits,
 		runOnCluster:  killInstances(func(c *clusterRun) []*clusterInstance { return c.followers }),
@@ -202,7 +202,7 @@
 	},
 	{
 		Name:          "member-dies-with-followers",
-		About:         "like followers; members are killed and restarted",
+		Description:   "like followers; members are killed and restarted",
 		mix:           mixedMix,
 		price:         sameUnits,
 		runOnCluster:  killInstances(func(c *clusterRun) []*clusterInstance { return c.members }),
@@ -210,7 +210,7 @@
 	},
 	{
 		Name: "chaos-config",
-		About: "a cluster of processes; by the seed, members are killed or partitioned, messages are " +
+		Description: "a cluster of processes; by the seed, members are killed or partitioned, messages are " +
 			"lost, delayed or repeated, and disks fail",
 		mix:          mixedMix,
 		price:        sameUnits,
