--- a/cmd/gateway/lab.go
+++ b/cmd/gateway/lab.go
@@ -69,7 +69,7 @@
 	program, err := os.Executable()
 	return scenario.Options{
 		Scenario:     c.Scenario,
-		For:          c.For,
+		Duration:     c.For,
 		Seed:         c.Seed,
 		KeysAnywhere: c.KeysAnywhere,
 		RampOff:      c.RampOff,
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -131,7 +131,7 @@
 // returns once all three have ended.
 func (c *clusterRun) runClients(ctx context.Context) []testserver.Attempt {
 	env := c.environment
-	clientsCtx, end := context.WithTimeout(ctx, env.options.For)
+	clientsCtx, end := context.WithTimeout(ctx, env.options.Duration)
 	defer end()
 	operatorsCtx, stopOperators := context.WithCancel(ctx)
 	defer stopOperators()
@@ -329,7 +329,7 @@
 		c.mu.Unlock()
 		c.environment.options.Progress(fmt.Sprintf(
 			"%s %ds of %v: %d changes applied, %d kills, %d requests received by the sites",
-			c.environment.scenario.Name, n, c.environment.options.For, applied, kills,
+			c.environment.scenario.Name, n, c.environment.options.Duration, applied, kills,
 			len(c.environment.ledger.Arrivals())))
 	}
 }
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -108,7 +108,7 @@
 			lossCount++
 		}
 	}
-	for spent := time.Duration(0); spent < c.environment.options.For; maxLosses++ {
+	for spent := time.Duration(0); spent < c.environment.options.Duration; maxLosses++ {
 		spent += 500*time.Millisecond + time.Second<<min(maxLosses, 5)
 	}
 	checker.verdict.Figures["flaps"] = float64(c.flapCount)
--- a/internal/scenario/contract.go
+++ b/internal/scenario/contract.go
@@ -51,7 +51,7 @@
 
 // changeContract installs new descriptions at all instances, at equal intervals over the run.
 func changeContract(ctx context.Context, env *environment) {
-	gap := env.options.For / (changeCount + 1)
+	gap := env.options.Duration / (changeCount + 1)
 	number := 1
 	for n := 1; n <= changeCount; n++ {
 		select {
--- a/internal/scenario/faults_members.go
+++ b/internal/scenario/faults_members.go
@@ -25,7 +25,7 @@
 // leaderLost kills the leader in the middle of changes, three times, and restarts it.
 func leaderLost(ctx context.Context, c *clusterRun) {
 	for range leaderLossCount {
-		pause(ctx, c.environment.options.For/6)
+		pause(ctx, c.environment.options.Duration/6)
 		if !c.failCurrentLeader(ctx) {
 			return
 		}
@@ -48,7 +48,7 @@
 	c.kill(leader)
 	isApplied := c.awaitChangeAfterKill(ctx, appliedBefore, time.Now())
 	if isApplied {
-		pause(ctx, c.environment.options.For/12)
+		pause(ctx, c.environment.options.Duration/12)
 	}
 	if err := c.restart(context.WithoutCancel(ctx), leader); err != nil {
 		c.reportViolation("%v", err)
@@ -89,7 +89,7 @@
 func minorityCut(ctx context.Context, c *clusterRun) {
 	first, last := c.members[0], c.members[len(c.members)-1]
 	for _, m := range []*clusterInstance{first, last} {
-		pause(ctx, c.environment.options.For/10)
+		pause(ctx, c.environment.options.Duration/10)
 		c.setPartitioned(m, true)
 		if m == first {
 			c.checkServesStale(ctx, m)
@@ -159,7 +159,7 @@
 // rollingRestart restarts each member in turn, as for an update.
 func rollingRestart(ctx context.Context, c *clusterRun) {
 	for _, m := range c.members {
-		pause(ctx, c.environment.options.For/12)
+		pause(ctx, c.environment.options.Duration/12)
 		if err := c.drainAndRestart(ctx, m); err != nil {
 			c.reportViolation("%v", err)
 			return
@@ -170,7 +170,7 @@
 // chaosConfig kills and partitions members by the seed, until a sixth of the run is left.
 func chaosConfig(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
-	until = until.Add(-c.environment.options.For / 6)
+	until = until.Add(-c.environment.options.Duration / 6)
 	for time.Now().Before(until) && ctx.Err() == nil {
 		err := c.restartFailed(ctx)
 		if err == nil {
@@ -260,5 +260,5 @@
 // faultsEnd returns when the faults of a scenario end: a quarter of the run before its end.
 func (c *clusterRun) faultsEnd(ctx context.Context) time.Time {
 	until, _ := ctx.Deadline()
-	return until.Add(-c.environment.options.For / 4)
+	return until.Add(-c.environment.options.Duration / 4)
 }
--- a/internal/scenario/faults_sites.go
+++ b/internal/scenario/faults_sites.go
@@ -23,7 +23,7 @@
 // sent and not yet announced are lost with it.
 func killedHoldingKeys(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
-	faultsCtx, cancel := context.WithDeadline(ctx, until.Add(-c.environment.options.For/6))
+	faultsCtx, cancel := context.WithDeadline(ctx, until.Add(-c.environment.options.Duration/6))
 	defer cancel()
 	c.afterClose = func() {
 		m := c.members[c.rng.IntN(len(c.members))]
@@ -82,7 +82,7 @@
 func serversReplaced(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
 	site := c.environment.sites[c.rng.IntN(2)]
-	pause(ctx, c.environment.options.For/2)
+	pause(ctx, c.environment.options.Duration/2)
 	if _, err := site.StartCold("cold"); err != nil {
 		c.reportViolation("%v", err)
 	}
@@ -96,7 +96,7 @@
 // flapping partitions one site and heals it repeatedly, by the seed, until a quarter of the run is left.
 func flapping(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
-	until = until.Add(-c.environment.options.For / 4)
+	until = until.Add(-c.environment.options.Duration / 4)
 	site := c.environment.sites[c.rng.IntN(2)]
 	for cut := true; time.Now().Before(until) && ctx.Err() == nil; cut = !cut {
 		site.SetPartitioned(cut)
@@ -110,7 +110,7 @@
 // counts the losses from 0. If that is negative, the site returns with its old servers.
 func (c *clusterRun) partitionSites(ctx context.Context, coldServerCount func(n int) int) {
 	until, _ := ctx.Deadline()
-	until = until.Add(-c.environment.options.For / 8)
+	until = until.Add(-c.environment.options.Duration / 8)
 	var last *testserver.Site
 	for n := 0; ; n++ {
 		pause(ctx, time.Duration(1500+c.rng.IntN(1000))*time.Millisecond)
@@ -165,7 +165,7 @@
 // linkDrops repeatedly cuts random links between the sites and heals them, until a sixth of the run is left.
 func linkDrops(ctx context.Context, c *clusterRun) {
 	until, _ := ctx.Deadline()
-	until = until.Add(-c.environment.options.For / 6)
+	until = until.Add(-c.environment.options.Duration / 6)
 	for time.Now().Before(until) && ctx.Err() == nil {
 		for _, l := range c.relayLinks {
 			if c.rng.IntN(2) == 0 {
@@ -184,11 +184,11 @@
 // bothCut partitions the sites from each other for a third of the run, from its middle on: relay links and Raft links
 // are cut. Each site must continue to serve bookings whose keys it owns.
 func bothCut(ctx context.Context, c *clusterRun) {
-	pause(ctx, c.environment.options.For/2)
+	pause(ctx, c.environment.options.Duration/2)
 	c.setSitesPartitioned(true)
 	pause(ctx, cutSettleTime)
 	from := time.Now()
-	pause(ctx, c.environment.options.For/3-cutSettleTime)
+	pause(ctx, c.environment.options.Duration/3-cutSettleTime)
 	c.isolations = append(c.isolations, interval{from: from, to: time.Now()})
 	c.setSitesPartitioned(false)
 }
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -44,7 +44,7 @@
 func siteLostSurge(ctx context.Context, c *clusterRun) {
 	began := time.Now()
 	until := func(fraction float64) {
-		pause(ctx, time.Until(began.Add(time.Duration(fraction*float64(c.environment.options.For)))))
+		pause(ctx, time.Until(began.Add(time.Duration(fraction*float64(c.environment.options.Duration)))))
 	}
 	site := c.environment.sites[c.rng.IntN(2)]
 	outage := &siteOutage{site: site.Name}
--- a/internal/scenario/rule_checks_test.go
+++ b/internal/scenario/rule_checks_test.go
@@ -18,7 +18,7 @@
 // bypassing the gateway.
 func TestBrokenRuleIsFound(t *testing.T) {
 	t.Parallel()
-	v, err := Run(context.Background(), Options{Scenario: "calm", For: 2 * time.Second, Seed: 7,
+	v, err := Run(context.Background(), Options{Scenario: "calm", Duration: 2 * time.Second, Seed: 7,
 		breakRule: func(env *environment) {
 			for _, site := range env.sites {
 				bookDirectly(t, site, "twice", `{"installers":2}`)
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -27,8 +27,8 @@
 	if i < 0 {
 		return nil, fmt.Errorf("unknown scenario %q (--list prints all)", opt.Scenario)
 	}
-	if opt.For <= 0 {
-		opt.For = defaultDuration
+	if opt.Duration <= 0 {
+		opt.Duration = defaultDuration
 	}
 	if opt.Log == nil {
 		opt.Log = io.Discard
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	clientsCtx, end := context.WithTimeout(ctx, env.options.For)
+	clientsCtx, end := context.WithTimeout(ctx, env.options.Duration)
 	defer end()
 	var background sync.WaitGroup
 	if env.scenario.runInProcess != nil {
@@ -277,7 +277,7 @@
 		env.mu.Lock()
 		changes := env.changeCount
 		env.mu.Unlock()
-		line := fmt.Sprintf("%s %ds of %v: %d served, %d refused, %d failed", env.scenario.Name, n, env.options.For,
+		line := fmt.Sprintf("%s %ds of %v: %d served, %d refused, %d failed", env.scenario.Name, n, env.options.Duration,
 			served, refused, failed)
 		if changes > 0 {
 			line += fmt.Sprintf(", %d changes of the description", changes)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -19,7 +19,7 @@
 // Options are the parameters of a run.
 type Options struct {
 	Scenario string
-	For      time.Duration
+	Duration time.Duration
 	Seed     uint64
 	Progress func(line string) // receives a line each second; may be nil
 	Log      io.Writer         // receives the instances' logs; nil discards them
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -14,7 +14,7 @@
 		}
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			v, err := Run(context.Background(), Options{Scenario: s.Name, For: 4 * time.Second, Seed: 7})
+			v, err := Run(context.Background(), Options{Scenario: s.Name, Duration: 4 * time.Second, Seed: 7})
 			if err != nil {
 				t.Fatal(err)
 			}
