--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -22,7 +22,7 @@
 	Rules         map[string]int     `json:"rules"` // violations by rule
 	Requests      int                `json:"requests"`
 	Served        int                `json:"served"`
-	Refused       int                `json:"refused"`
+	Rejected      int                `json:"refused"`
 	Failed        int                `json:"failed"`
 	UnitsDeclared int                `json:"units_declared"` // read by the sites from the requests that reached them
 	UnitsCounted  int                `json:"units_counted"`  // charged by the instances
@@ -175,7 +175,7 @@
 		case attempt.Served:
 			checker.verdict.Served++
 		case attempt.Status == 429 || attempt.Status == 503:
-			checker.verdict.Refused++
+			checker.verdict.Rejected++
 		default:
 			checker.verdict.Failed++
 		}
@@ -397,10 +397,10 @@
 		checker.violation(ruleUnits, "%d units counted in total, %d declared", checker.verdict.UnitsCounted,
 			checker.verdict.UnitsDeclared)
 	}
-	if answers["served"] != checker.verdict.Served || answers["refused"] != checker.verdict.Refused ||
+	if answers["served"] != checker.verdict.Served || answers["refused"] != checker.verdict.Rejected ||
 		answers["failed"] != checker.verdict.Failed {
 		checker.violation(ruleAnswers, "the instances count %v; clients had %d served, %d refused, %d failed", answers,
-			checker.verdict.Served, checker.verdict.Refused, checker.verdict.Failed)
+			checker.verdict.Served, checker.verdict.Rejected, checker.verdict.Failed)
 	}
 }
 
@@ -436,7 +436,7 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, seed %d: %s\n\n", v.Scenario, v.Seed, word)
-	fmt.Fprintf(&b, "requests %d: %d served, %d refused, %d failed, %d unanswered\n", v.Requests, v.Served, v.Refused,
+	fmt.Fprintf(&b, "requests %d: %d served, %d refused, %d failed, %d unanswered\n", v.Requests, v.Served, v.Rejected,
 		v.Failed, v.Unanswered)
 	fmt.Fprintf(&b, "units %d declared, %d counted; %d duplicates\n", v.UnitsDeclared, v.UnitsCounted, v.Duplicates)
 	fmt.Fprintf(&b, "served within %.1f ms (median), %.1f ms (99 in 100)\n\n", v.Figures["served_p50_ms"],
