--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -40,7 +40,7 @@
 	Sent          int    `json:"sent"` // requests that reached a site
 	Attempts      int    `json:"attempts"`
 	UnitsDeclared int    `json:"units_declared"`
-	Counted       int    `json:"units_counted"`
+	UnitsCounted  int    `json:"units_counted"`
 }
 
 // Tolerances of the checks, as the records of clients, instances and sites are not exact.
@@ -389,8 +389,8 @@
 	}
 	for i := range checker.verdict.Operations {
 		f := &checker.verdict.Operations[i]
-		if f.Counted = counted[f.Operation]; f.Counted != f.UnitsDeclared {
-			checker.violation(ruleUnits, "%s: %d units counted, %d declared", f.Operation, f.Counted, f.UnitsDeclared)
+		if f.UnitsCounted = counted[f.Operation]; f.UnitsCounted != f.UnitsDeclared {
+			checker.violation(ruleUnits, "%s: %d units counted, %d declared", f.Operation, f.UnitsCounted, f.UnitsDeclared)
 		}
 	}
 	if checker.verdict.UnitsCounted != checker.verdict.UnitsDeclared {
@@ -451,7 +451,7 @@
 	}
 	fmt.Fprintf(&b, "\n%-20s %8s %8s %10s %10s\n", "operation", "sent", "attempts", "declared", "counted")
 	for _, o := range v.Operations {
-		fmt.Fprintf(&b, "%-20s %8d %8d %10d %10d\n", o.Operation, o.Sent, o.Attempts, o.UnitsDeclared, o.Counted)
+		fmt.Fprintf(&b, "%-20s %8d %8d %10d %10d\n", o.Operation, o.Sent, o.Attempts, o.UnitsDeclared, o.UnitsCounted)
 	}
 	for _, e := range slices.Concat(v.Examples, v.Evidence) {
 		fmt.Fprintf(&b, "\n%s", e)
