--- a/cmd/gateway/lab.go
+++ b/cmd/gateway/lab.go
@@ -68,14 +68,14 @@
 func (c *labCmd) scenarioOptions(e *environment) (scenario.Options, error) {
 	program, err := os.Executable()
 	return scenario.Options{
-		Scenario:         c.Scenario,
-		Duration:         c.For,
-		Seed:             c.Seed,
-		KeysAnywhere:     c.KeysAnywhere,
-		DisableSlowStart: c.RampOff,
-		Program:          program,
-		Env:              e.labEnv,
-		Progress:         func(line string) { fmt.Fprintln(e.stderr, line) },
+		Scenario:            c.Scenario,
+		Duration:            c.For,
+		Seed:                c.Seed,
+		DisableKeyOwnership: c.KeysAnywhere,
+		DisableSlowStart:    c.RampOff,
+		Program:             program,
+		Env:                 e.labEnv,
+		Progress:            func(line string) { fmt.Fprintln(e.stderr, line) },
 	}, err
 }
 
--- a/internal/scenario/cluster_process.go
+++ b/internal/scenario/cluster_process.go
@@ -84,7 +84,7 @@
 	m := c.members[i]
 	fmt.Fprintf(b, "[cluster]\nname = %q\nnumber = %d\ndata = \"gate-%d.db\"\ncerts = \"certs\"\ntick = %q\n",
 		clusterName, m.id, m.id, tickInterval)
-	if c.environment.options.KeysAnywhere {
+	if c.environment.options.DisableKeyOwnership {
 		b.WriteString("keys = \"anywhere\"\n")
 	}
 	if len(c.followers) > 0 {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -26,8 +26,8 @@
 	Program  string            // path of the gateway program, for scenarios with processes
 	Env      []string          // added to the program's environment
 
-	DisableSlowStart bool // disables slow start: servers-replaced must then report an overloaded server
-	KeysAnywhere     bool // disables key ownership: hall-closes must then report duplicate bookings
+	DisableSlowStart    bool // disables slow start: servers-replaced must then report an overloaded server
+	DisableKeyOwnership bool // disables key ownership: hall-closes must then report duplicate bookings
 
 	breakRule func(*environment) // lets a test break a rule during the run
 }
