--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -61,7 +61,7 @@
 	var results []benchmark.Result
 	err := benchmark.MeasureFronts(e.ctx, c.benchmarkOptions(self), func(r benchmark.Result) {
 		results = append(results, r)
-		fmt.Fprintf(e.stderr, progress, r.Front, r.Procs, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
+		fmt.Fprintf(e.stderr, progress, r.Front, r.Procs, r.RequestsPerSecond, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
 	})
 	if err != nil {
 		return err
@@ -94,7 +94,7 @@
 	}
 }
 
-func requestsPerSecond(r benchmark.Result) float64 { return r.PerS }
+func requestsPerSecond(r benchmark.Result) float64 { return r.RequestsPerSecond }
 
 func cpuPerRequest(r benchmark.Result) float64 { return r.CPU }
 
