--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -61,7 +61,7 @@
 	var results []benchmark.Result
 	err := benchmark.MeasureFronts(e.ctx, c.benchmarkOptions(self), func(r benchmark.Result) {
 		results = append(results, r)
-		fmt.Fprintf(e.stderr, progress, r.Front, r.Procs, r.RequestsPerSecond, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
+		fmt.Fprintf(e.stderr, progress, r.Front, r.Procs, r.RequestsPerSecond, r.CPUMicrosPerRequest, r.Allocs, r.P50, r.P99, r.Other)
 	})
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 
 func requestsPerSecond(r benchmark.Result) float64 { return r.RequestsPerSecond }
 
-func cpuPerRequest(r benchmark.Result) float64 { return r.CPU }
+func cpuPerRequest(r benchmark.Result) float64 { return r.CPUMicrosPerRequest }
 
 // medianOf returns the median of a figure over the measurements of one front.
 func medianOf(results []benchmark.Result, front string, procs int, figure func(benchmark.Result) float64) float64 {
--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -28,15 +28,15 @@
 
 // Result holds the measured figures of one front: a proxy that clients send to, or the servers themselves.
 type Result struct {
-	Front             string  `json:"front"` // "gateway", "reverseproxy" or "direct"
-	Procs             int     `json:"procs"`
-	Requests          int     `json:"requests"`
-	Other             int     `json:"other_answers"`
-	RequestsPerSecond float64 `json:"requests_per_s"`
-	CPU               float64 `json:"cpu_us_per_request"` // of the front process; 0 for direct calls
-	Allocs            float64 `json:"allocs_per_request"`
-	P50               float64 `json:"p50_us"`
-	P99               float64 `json:"p99_us"`
+	Front               string  `json:"front"` // "gateway", "reverseproxy" or "direct"
+	Procs               int     `json:"procs"`
+	Requests            int     `json:"requests"`
+	Other               int     `json:"other_answers"`
+	RequestsPerSecond   float64 `json:"requests_per_s"`
+	CPUMicrosPerRequest float64 `json:"cpu_us_per_request"` // of the front process; 0 for direct calls
+	Allocs              float64 `json:"allocs_per_request"`
+	P50                 float64 `json:"p50_us"`
+	P99                 float64 `json:"p99_us"`
 }
 
 // MeasureFronts measures the gateway, ReverseProxy and direct calls, and calls report with each result in turn.
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -39,7 +39,7 @@
 	result.Requests, result.Other = int(generator.served.Load()), int(generator.other.Load())
 	result.RequestsPerSecond = float64(result.Requests) / took.Seconds()
 	requests := float64(max(result.Requests, 1)) // the cost of rejected requests is charged to served ones
-	result.CPU = float64((after.cpu - before.cpu).Microseconds()) / requests
+	result.CPUMicrosPerRequest = float64((after.cpu - before.cpu).Microseconds()) / requests
 	result.Allocs = float64(after.allocs-before.allocs) / requests
 	result.P50, result.P99 = quantiles(latencies)
 	return result, nil
--- a/internal/benchmark/relay.go
+++ b/internal/benchmark/relay.go
@@ -150,7 +150,7 @@
 	// The far instance's usage covers the warm-up too, so it is scaled by the measurement's share of the elapsed time.
 	share := opt.For.Seconds() / time.Since(startedAt).Seconds()
 	requests := float64(max(result.Requests, 1))
-	result.CPU += float64((after.cpu - before.cpu).Microseconds()) * share / requests
+	result.CPUMicrosPerRequest += float64((after.cpu - before.cpu).Microseconds()) * share / requests
 	result.Allocs += float64(after.allocs-before.allocs) * share / requests
 	return result, nil
 }
