--- a/internal/benchmark/relay.go
+++ b/internal/benchmark/relay.go
@@ -151,6 +151,6 @@
 	share := opt.For.Seconds() / time.Since(startedAt).Seconds()
 	requests := float64(max(result.Requests, 1))
 	result.CPUMicrosPerRequest += float64((after.cpu - before.cpu).Microseconds()) * share / requests
-	result.Allocs += float64(after.allocs-before.allocs) * share / requests
+	result.AllocsPerRequest += float64(after.allocs-before.allocs) * share / requests
 	return result, nil
 }
