--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -31,7 +31,7 @@
 	Front               string  `json:"front"` // "gateway", "reverseproxy" or "direct"
 	Procs               int     `json:"procs"`
 	Requests            int     `json:"requests"`
-	Other               int     `json:"other_answers"`
+	OtherResponses      int     `json:"other_answers"`
 	RequestsPerSecond   float64 `json:"requests_per_s"`
 	CPUMicrosPerRequest float64 `json:"cpu_us_per_request"` // of the front process; 0 for direct calls
 	AllocsPerRequest    float64 `json:"allocs_per_request"`
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -36,7 +36,7 @@
 		return Result{}, err
 	}
 	result := Result{Front: front, Procs: procs}
-	result.Requests, result.Other = int(generator.served.Load()), int(generator.other.Load())
+	result.Requests, result.OtherResponses = int(generator.served.Load()), int(generator.other.Load())
 	result.RequestsPerSecond = float64(result.Requests) / took.Seconds()
 	requests := float64(max(result.Requests, 1)) // the cost of rejected requests is charged to served ones
 	result.CPUMicrosPerRequest = float64((after.cpu - before.cpu).Microseconds()) / requests
