--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -35,7 +35,7 @@
 	RequestsPerSecond   float64 `json:"requests_per_s"`
 	CPUMicrosPerRequest float64 `json:"cpu_us_per_request"` // of the front process; 0 for direct calls
 	AllocsPerRequest    float64 `json:"allocs_per_request"`
-	P50                 float64 `json:"p50_us"`
+	P50Micros           float64 `json:"p50_us"`
 	P99                 float64 `json:"p99_us"`
 }
 
