--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -36,7 +36,7 @@
 	CPUMicrosPerRequest float64 `json:"cpu_us_per_request"` // of the front process; 0 for direct calls
 	AllocsPerRequest    float64 `json:"allocs_per_request"`
 	P50Micros           float64 `json:"p50_us"`
-	P99                 float64 `json:"p99_us"`
+	P99Micros           float64 `json:"p99_us"`
 }
 
 // MeasureFronts measures the gateway, ReverseProxy and direct calls, and calls report with each result in turn.
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -41,7 +41,7 @@
 	requests := float64(max(result.Requests, 1)) // the cost of rejected requests is charged to served ones
 	result.CPUMicrosPerRequest = float64((after.cpu - before.cpu).Microseconds()) / requests
 	result.AllocsPerRequest = float64(after.allocs-before.allocs) / requests
-	result.P50Micros, result.P99 = quantiles(latencies)
+	result.P50Micros, result.P99Micros = quantiles(latencies)
 	return result, nil
 }
 
