--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -84,7 +84,7 @@
 // benchmarkOptions returns the options of a measurement; self is the path of this program.
 func (c *benchCmd) benchmarkOptions(self string) benchmark.Options {
 	return benchmark.Options{
-		Self:    self,
+		Program: self,
 		For:     c.For,
 		Conns:   c.Conns,
 		Rate:    c.Rate,
--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -17,7 +17,7 @@
 
 // Options are the parameters of a measurement.
 type Options struct {
-	Self    string        // path of this program, which is started again for each part
+	Program string        // path of this program, which is started again for each part
 	For     time.Duration // duration of each measurement
 	Conns   int           // client connections, each with one request at a time
 	Rate    float64       // requests a second over all connections; 0 means no limit
@@ -41,7 +41,7 @@
 
 // MeasureFronts measures the gateway, ReverseProxy and direct calls, and calls report with each result in turn.
 func MeasureFronts(ctx context.Context, opt Options, report func(Result)) error {
-	servers, err := startPart(ctx, opt.Self, 0, Part{Role: roleServers})
+	servers, err := startPart(ctx, opt.Program, 0, Part{Role: roleServers})
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 				if front == roleGateway {
 					part.Profile = opt.Profile
 				}
-				p, err := startPart(ctx, opt.Self, procs, part)
+				p, err := startPart(ctx, opt.Program, procs, part)
 				if err != nil {
 					return err
 				}
--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -106,7 +106,7 @@
 	if err := c.writeCertificates(); err != nil {
 		return c, err
 	}
-	registry, err := c.startServers(ctx, opt.Self)
+	registry, err := c.startServers(ctx, opt.Program)
 	if err != nil {
 		return c, err
 	}
@@ -191,7 +191,7 @@
 		if id == 1 {
 			part.Profile, procs = opt.Profile, opt.Procs[0]
 		}
-		member, err := startPart(ctx, opt.Self, procs, part)
+		member, err := startPart(ctx, opt.Program, procs, part)
 		if err != nil {
 			return err
 		}
--- a/internal/benchmark/relay.go
+++ b/internal/benchmark/relay.go
@@ -84,7 +84,7 @@
 	if err := errors.Join(authority.Write(dir), authority.WriteMembers(dir, []uint64{nearMember, farMember})); err != nil {
 		return s, err
 	}
-	servers, err := startPart(ctx, opt.Self, 0, Part{Role: roleServers})
+	servers, err := startPart(ctx, opt.Program, 0, Part{Role: roleServers})
 	if err != nil {
 		return s, err
 	}
@@ -99,7 +99,7 @@
 		process **process
 	}{{roleGateway, &s.direct}, {roleFar, &s.far}, {roleNear, &s.near}} {
 		part.Role = instance.role
-		p, err := startPart(ctx, opt.Self, opt.Procs[0], part)
+		p, err := startPart(ctx, opt.Program, opt.Procs[0], part)
 		if err != nil {
 			return s, err
 		}
