--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -84,13 +84,13 @@
 // benchmarkOptions returns the options of a measurement; self is the path of this program.
 func (c *benchCmd) benchmarkOptions(self string) benchmark.Options {
 	return benchmark.Options{
-		Program: self,
-		For:     c.For,
-		Conns:   c.Conns,
-		Rate:    c.Rate,
-		Procs:   c.Procs,
-		Rounds:  c.Rounds,
-		Profile: c.Profile,
+		Program:  self,
+		Duration: c.For,
+		Conns:    c.Conns,
+		Rate:     c.Rate,
+		Procs:    c.Procs,
+		Rounds:   c.Rounds,
+		Profile:  c.Profile,
 	}
 }
 
--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -17,13 +17,13 @@
 
 // Options are the parameters of a measurement.
 type Options struct {
-	Program string        // path of this program, which is started again for each part
-	For     time.Duration // duration of each measurement
-	Conns   int           // client connections, each with one request at a time
-	Rate    float64       // requests a second over all connections; 0 means no limit
-	Procs   []int         // values of GOMAXPROCS of the front, one measurement each
-	Rounds  int           // repetitions of each measurement, of which the medians are reported
-	Profile string        // file for a CPU profile of the gateway; empty for none
+	Program  string        // path of this program, which is started again for each part
+	Duration time.Duration // duration of each measurement
+	Conns    int           // client connections, each with one request at a time
+	Rate     float64       // requests a second over all connections; 0 means no limit
+	Procs    []int         // values of GOMAXPROCS of the front, one measurement each
+	Rounds   int           // repetitions of each measurement, of which the medians are reported
+	Profile  string        // file for a CPU profile of the gateway; empty for none
 }
 
 // Result holds the measured figures of one front: a proxy that clients send to, or the servers themselves.
--- a/internal/benchmark/followers.go
+++ b/internal/benchmark/followers.go
@@ -232,7 +232,7 @@
 		return 0, err
 	}
 	began := time.Now()
-	changing, stop := context.WithTimeout(ctx, opt.For)
+	changing, stop := context.WithTimeout(ctx, opt.Duration)
 	defer stop()
 	changeRepeatedly(changing, c.client, 100*time.Millisecond)
 	after, err := c.members[0].queryUsage()
--- a/internal/benchmark/measure.go
+++ b/internal/benchmark/measure.go
@@ -24,7 +24,7 @@
 	}
 	generator.counting.Store(true)
 	startedAt := time.Now()
-	time.Sleep(opt.For)
+	time.Sleep(opt.Duration)
 	generator.counting.Store(false)
 	took := time.Since(startedAt)
 	after, err := p.queryUsage()
--- a/internal/benchmark/relay.go
+++ b/internal/benchmark/relay.go
@@ -148,7 +148,7 @@
 		return result, err
 	}
 	// The far instance's usage covers the warm-up too, so it is scaled by the measurement's share of the elapsed time.
-	share := opt.For.Seconds() / time.Since(startedAt).Seconds()
+	share := opt.Duration.Seconds() / time.Since(startedAt).Seconds()
 	requests := float64(max(result.Requests, 1))
 	result.CPUMicrosPerRequest += float64((after.cpu - before.cpu).Microseconds()) * share / requests
 	result.AllocsPerRequest += float64(after.allocs-before.allocs) * share / requests
