--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -34,8 +34,8 @@
 	Servers []string `json:"servers,omitempty"`
 	Profile string   `json:"profile,omitempty"`
 
-	// Link is set for an instance at one of two sites.
-	Link string `json:"link,omitempty"` // the far instance's relay address
+	// RelayAddr is set for an instance at one of two sites.
+	RelayAddr string `json:"link,omitempty"` // the far instance's relay address
 
 	// The fields below are set for a member of a cluster, Dir also for an instance at one of two sites.
 	Member  uint64                          `json:"member,omitempty"`
--- a/internal/benchmark/relay.go
+++ b/internal/benchmark/relay.go
@@ -23,7 +23,7 @@
 
 // startSite starts the near or the far instance, as the part's role says.
 func startSite(ctx context.Context, p *Part) ([]string, error) {
-	farAddr, err := netip.ParseAddrPort(p.Link)
+	farAddr, err := netip.ParseAddrPort(p.RelayAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return s, err
 	}
-	part := Part{Servers: servers.addrs, Dir: dir, Link: farAddr}
+	part := Part{Servers: servers.addrs, Dir: dir, RelayAddr: farAddr}
 	for _, instance := range []struct {
 		role    string
 		process **process
