--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -31,7 +31,7 @@
 		DataFile:         filepath.Join(p.Dir, fmt.Sprint(p.Member, ".db")),
 		Credentials:      credentials,
 		Members:          p.Members,
-		StreamListenAddr: p.Stream,
+		StreamListenAddr: p.StreamAddr,
 		SendFullVersions: p.StreamFull,
 	}
 	if err := cluster.InitMember(memberConfig, false); err != nil {
@@ -184,7 +184,7 @@
 			Member:     id,
 			Dir:        c.dir,
 			Members:    members,
-			Stream:     c.streams[id],
+			StreamAddr: c.streams[id],
 			StreamFull: service == followersGetFullVersions,
 		}
 		procs := 1
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -38,10 +38,10 @@
 	RelayAddr string `json:"link,omitempty"` // the far instance's relay address
 
 	// The fields below are set for a member of a cluster, Dir also for an instance at one of two sites.
-	Member  uint64                          `json:"member,omitempty"`
-	Dir     string                          `json:"dir,omitempty"` // directory with certificates
-	Members map[uint64]clusterconfig.Member `json:"members,omitempty"`
-	Stream  string                          `json:"stream,omitempty"` // address for followers
+	Member     uint64                          `json:"member,omitempty"`
+	Dir        string                          `json:"dir,omitempty"` // directory with certificates
+	Members    map[uint64]clusterconfig.Member `json:"members,omitempty"`
+	StreamAddr string                          `json:"stream,omitempty"` // address for followers
 
 	StreamFull bool `json:"stream_full,omitempty"` // followers get full versions only, no deltas
 }
@@ -129,7 +129,7 @@
 	}
 	cmd := exec.CommandContext(ctx, self, "bench-part", string(text))
 	cmd.Env = os.Environ()
-	if p.Stream == "" { // the memory of members with followers is measured with the default GOGC
+	if p.StreamAddr == "" { // the memory of members with followers is measured with the default GOGC
 		cmd.Env = append(cmd.Env, "GOGC=400")
 	}
 	if procs > 0 {
