--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -32,7 +32,7 @@
 		Credentials:      credentials,
 		Members:          p.Members,
 		StreamListenAddr: p.StreamAddr,
-		SendFullVersions: p.StreamFull,
+		SendFullVersions: p.SendFullVersions,
 	}
 	if err := cluster.InitMember(memberConfig, false); err != nil {
 		return nil, err
@@ -180,12 +180,12 @@
 ) error {
 	for id := uint64(1); id <= clusterSize; id++ {
 		part := Part{
-			Role:       roleMember,
-			Member:     id,
-			Dir:        c.dir,
-			Members:    members,
-			StreamAddr: c.streams[id],
-			StreamFull: service == followersGetFullVersions,
+			Role:             roleMember,
+			Member:           id,
+			Dir:              c.dir,
+			Members:          members,
+			StreamAddr:       c.streams[id],
+			SendFullVersions: service == followersGetFullVersions,
 		}
 		procs := 1
 		if id == 1 {
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -43,7 +43,7 @@
 	Members    map[uint64]clusterconfig.Member `json:"members,omitempty"`
 	StreamAddr string                          `json:"stream,omitempty"` // address for followers
 
-	StreamFull bool `json:"stream_full,omitempty"` // followers get full versions only, no deltas
+	SendFullVersions bool `json:"stream_full,omitempty"` // followers get full versions only, no deltas
 }
 
 // RunPart runs the part that text describes until stdin ends. It prints the addresses on which the part listens, and
