--- a/internal/scenario/rule_checks_test.go
+++ b/internal/scenario/rule_checks_test.go
@@ -89,7 +89,7 @@
 
 // drained returns the attempt as one at a server that had been listed as draining for a time.
 func drained(a testserver.Arrival, since time.Duration) testserver.Arrival {
-	a.Draining = since
+	a.DrainingFor = since
 	return a
 }
 
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -205,9 +205,9 @@
 func (checker *ruleChecker) checkEffects(arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
 	serverByEffect := map[string]string{} // the server of each effect, by its idempotency key or trace
 	for _, a := range arrivals {
-		if a.Draining > drainGrace {
+		if a.DrainingFor > drainGrace {
 			checker.violation(ruleDraining, "%s was sent to server %s %v after it was listed as draining", a.Trace, a.Server,
-				a.Draining)
+				a.DrainingFor)
 		}
 		if !a.Effected || a.Effect == testserver.Idempotent {
 			continue
--- a/internal/testserver/appserver.go
+++ b/internal/testserver/appserver.go
@@ -109,7 +109,7 @@
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if !server.drainedAt.IsZero() {
-		arrival.Draining = now.Sub(server.drainedAt)
+		arrival.DrainingFor = now.Sub(server.drainedAt)
 	}
 	decision := admission{
 		isCollapse:  server.receive(now, cost),
