--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -124,7 +124,7 @@
 func (c *clusterRun) checkIsolated(checker *ruleChecker, s interval, arrivals []testserver.Arrival) {
 	booked := map[string]int{}
 	for _, a := range arrivals {
-		if a.Effected && a.Effect == testserver.IdempotentWithKey && a.At.After(s.from) && a.At.Before(s.to) {
+		if a.HadEffect && a.Effect == testserver.IdempotentWithKey && a.At.After(s.from) && a.At.Before(s.to) {
 			booked[a.Site]++
 		}
 	}
--- a/internal/scenario/rule_checks_test.go
+++ b/internal/scenario/rule_checks_test.go
@@ -82,7 +82,7 @@
 }
 
 // effected returns the attempt with its effect.
-func effected(a testserver.Arrival) testserver.Arrival { a.Effected = true; return a }
+func effected(a testserver.Arrival) testserver.Arrival { a.HadEffect = true; return a }
 
 // neverRan returns the attempt as one that the server did not run.
 func neverRan(a testserver.Arrival) testserver.Arrival { a.Ran = false; return a }
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -209,7 +209,7 @@
 			checker.violation(ruleDraining, "%s was sent to server %s %v after it was listed as draining", a.Trace, a.Server,
 				a.DrainingFor)
 		}
-		if !a.Effected || a.Effect == testserver.Idempotent {
+		if !a.HadEffect || a.Effect == testserver.Idempotent {
 			continue
 		}
 		name, server := a.Trace, a.Site+"/"+a.Server
--- a/internal/testserver/appserver.go
+++ b/internal/testserver/appserver.go
@@ -235,7 +235,7 @@
 		return
 	}
 	effected := exchange.route.Effect != IdempotentWithKey || site.rememberKey(exchange.arrival.Key, time.Now())
-	site.ledger.updateArrival(func() { exchange.arrival.Effected = effected })
+	site.ledger.updateArrival(func() { exchange.arrival.HadEffect = effected })
 }
 
 // answer writes the answer of a request that ran, or the fault that was drawn.
--- a/internal/testserver/ledger.go
+++ b/internal/testserver/ledger.go
@@ -13,7 +13,7 @@
 	Version, Units          int
 	At, Ended               time.Time     // Ended: its answer was written or its connection ended
 	Ran                     bool          // the server began to run it, so that it may have an effect
-	Effected                bool          // it had its effect; a repeat with a remembered key has none
+	HadEffect               bool          // it had its effect; a repeat with a remembered key has none
 	DrainingFor             time.Duration // how long the server had been listed as draining; 0: it was not
 	Status                  int           // 0: no answer
 }
