--- a/internal/scenario/faults_sites.go
+++ b/internal/scenario/faults_sites.go
@@ -14,7 +14,7 @@
 func repeatingMix() []testserver.RequestTemplate {
 	templates := calmMix()
 	for i := range templates {
-		templates[i].Repeat = true
+		templates[i].RetriesAnyFailure = true
 	}
 	return templates
 }
--- a/internal/testserver/clients.go
+++ b/internal/testserver/clients.go
@@ -27,12 +27,12 @@
 // RequestTemplate is one request that a licensee may send. In its texts, {n} is replaced by a
 // number drawn for each request, and {key} by an idempotency key of the request.
 type RequestTemplate struct {
-	Operation    string
-	Method       string
-	Target       string
-	Header, Body string  // Header: field lines without line ends, separated by "|"
-	Weight       float64 // share in the mix, relative to the other templates
-	Repeat       bool    // the client retries it after any failure; otherwise only after a rejection
+	Operation         string
+	Method            string
+	Target            string
+	Header, Body      string  // Header: field lines without line ends, separated by "|"
+	Weight            float64 // share in the mix, relative to the other templates
+	RetriesAnyFailure bool    // the client retries it after any failure; otherwise only after a rejection
 }
 
 // Attempt is one attempt of a client at a request, and how it ended.
@@ -187,6 +187,6 @@
 	case attempt.Status >= 400 && attempt.Status < 500:
 		return false
 	default:
-		return template.Repeat
+		return template.RetriesAnyFailure
 	}
 }
