--- a/cmd/gateway/bench.go
+++ b/cmd/gateway/bench.go
@@ -61,7 +61,8 @@
 	var results []benchmark.Result
 	err := benchmark.MeasureFronts(e.ctx, c.benchmarkOptions(self), func(r benchmark.Result) {
 		results = append(results, r)
-		fmt.Fprintf(e.stderr, progress, r.Front, r.Procs, r.RequestsPerSecond, r.CPUMicrosPerRequest, r.AllocsPerRequest, r.P50Micros, r.P99Micros, r.OtherResponses)
+		fmt.Fprintf(e.stderr, progress, r.Front, r.Procs, r.RequestsPerSecond, r.CPUMicrosPerRequest,
+			r.AllocsPerRequest, r.P50Micros, r.P99Micros, r.OtherResponses)
 	})
 	if err != nil {
 		return err
--- a/cmd/gateway/bench_changes.go
+++ b/cmd/gateway/bench_changes.go
@@ -17,7 +17,8 @@
 	var results []benchmark.Result
 	record := func(r benchmark.Result, changes int) {
 		results = append(results, r)
-		fmt.Fprintf(e.stderr, progress, r.Front, r.RequestsPerSecond, r.CPUMicrosPerRequest, r.P50Micros, r.P99Micros, r.OtherResponses, changes)
+		fmt.Fprintf(e.stderr, progress, r.Front, r.RequestsPerSecond, r.CPUMicrosPerRequest, r.P50Micros, r.P99Micros,
+			r.OtherResponses, changes)
 	}
 	if err := benchmark.MeasureChanges(e.ctx, c.benchmarkOptions(self), c.Changes, record); err != nil {
 		return err
--- a/cmd/gateway/bench_relay.go
+++ b/cmd/gateway/bench_relay.go
@@ -13,7 +13,8 @@
 	var results []benchmark.Result
 	record := func(r benchmark.Result) {
 		results = append(results, r)
-		fmt.Fprintf(e.stderr, progress, r.Front, r.RequestsPerSecond, r.CPUMicrosPerRequest, r.AllocsPerRequest, r.P50Micros, r.P99Micros, r.OtherResponses)
+		fmt.Fprintf(e.stderr, progress, r.Front, r.RequestsPerSecond, r.CPUMicrosPerRequest, r.AllocsPerRequest,
+			r.P50Micros, r.P99Micros, r.OtherResponses)
 	}
 	if err := benchmark.MeasureRelay(e.ctx, c.benchmarkOptions(self), record); err != nil {
 		return err
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -162,10 +162,11 @@
 type summary struct {
 	arguments *arguments
 
-	mu                               sync.Mutex // guards the fields below
-	runs, broken, disturbed          int
-	disturbedBroken, failedToRun     int
-	requests, crossed, excused, left int
+	mu                                          sync.Mutex // guards the fields below
+	runs, broken, disturbed                     int
+	disturbedBroken, failedToRun                int
+	requests                                    int
+	closedUnforwarded, openAtKill, clientClosed int
 }
 
 // runSeed executes the run of one seed and prints its verdict.
@@ -190,9 +191,9 @@
 // add counts a verdict. The caller must hold s.mu.
 func (s *summary) add(v *soak.Verdict) {
 	s.requests += v.Requests
-	s.crossed += v.ClosedUnforwarded
-	s.excused += v.OpenAtKill
-	s.left += v.ClientClosed
+	s.closedUnforwarded += v.ClosedUnforwarded
+	s.openAtKill += v.OpenAtKill
+	s.clientClosed += v.ClientClosed
 	switch {
 	case v.Disturbed && !v.OK:
 		s.disturbedBroken++
@@ -223,8 +224,8 @@
 		word = "BROKEN"
 	}
 	fmt.Printf("seed %d %s: %s; %d requests, %d served, %d rejected, %d failed, %d left, %d crossed, %d excused, "+
-		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.ClientClosed, v.ClosedUnforwarded,
-		v.OpenAtKill, v.Attempts, v.LongestStall.Round(time.Millisecond))
+		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.ClientClosed,
+		v.ClosedUnforwarded, v.OpenAtKill, v.Attempts, v.LongestStall.Round(time.Millisecond))
 	if s.arguments.Verbose || !v.OK {
 		fmt.Println("    plan:", v.Plan)
 	}
@@ -243,7 +244,8 @@
 	if !s.arguments.JSON {
 		fmt.Printf("%d runs of %s: %d broke a rule, %d were disturbed (%d of them with a rule broken), "+
 			"%d could not be executed; %d requests, %d left, %d crossed, %d excused\n", s.runs, s.arguments.Target, s.broken,
-			s.disturbed+s.disturbedBroken, s.disturbedBroken, s.failedToRun, s.requests, s.left, s.crossed, s.excused)
+			s.disturbed+s.disturbedBroken, s.disturbedBroken, s.failedToRun, s.requests, s.clientClosed,
+			s.closedUnforwarded, s.openAtKill)
 	}
 	if s.broken > 0 {
 		return errRuleBroken
--- a/internal/scenario/booking.go
+++ b/internal/scenario/booking.go
@@ -85,7 +85,8 @@
 	key := "Idempotency-Key: {key}"
 	return []testserver.RequestTemplate{
 		{Operation: "listDistricts", Method: "GET", Target: "/v1/districts", Weight: 4, RetriesAnyFailure: true},
-		{Operation: "getDistrict", Method: "GET", Target: "/v1/districts/Ilala%20{n}", Weight: 4, RetriesAnyFailure: true},
+		{Operation: "getDistrict", Method: "GET", Target: "/v1/districts/Ilala%20{n}", Weight: 4,
+			RetriesAnyFailure: true},
 		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?days=7", Weight: 8,
 			RetriesAnyFailure: true},
 		{Operation: "listDistrictSlots", Method: "GET", Target: "/v1/districts/d{n}/slots?x=%26days&days=1",
@@ -112,11 +113,13 @@
 		{Operation: "changeVisit", Method: "PATCH", Target: "/v1/visits/v{n}", Body: `{"slot":"s2"}`, Weight: 2},
 		{Operation: "cancelVisit", Method: "DELETE", Target: "/v1/visits/v{n}", Weight: 2},
 		{Operation: "confirmVisit", Method: "POST", Target: "/v1/visits/v{n}/confirm", Header: key, Weight: 3},
-		{Operation: "getVisitSheet", Method: "GET", Target: "/v1/visits/v{n}/sheet.pdf", Weight: 2, RetriesAnyFailure: true},
+		{Operation: "getVisitSheet", Method: "GET", Target: "/v1/visits/v{n}/sheet.pdf", Weight: 2,
+			RetriesAnyFailure: true},
 		{Operation: "holdSlot", Method: "POST", Target: "/v1/holds", Weight: 3},
 		{Operation: "releaseHold", Method: "DELETE", Target: "/v1/holds/h{n}", Weight: 2},
 		{Operation: "listInstallers", Method: "GET", Target: "/v1/installers", Weight: 2, RetriesAnyFailure: true},
 		{Operation: "getInstaller", Method: "GET", Target: "/v1/installers/i{n}", Weight: 2, RetriesAnyFailure: true},
-		{Operation: "getDayReport", Method: "GET", Target: "/v1/reports/2026-12-{n}.csv", Weight: 1, RetriesAnyFailure: true},
+		{Operation: "getDayReport", Method: "GET", Target: "/v1/reports/2026-12-{n}.csv", Weight: 1,
+			RetriesAnyFailure: true},
 	}
 }
--- a/internal/scenario/cluster_charges.go
+++ b/internal/scenario/cluster_charges.go
@@ -214,7 +214,8 @@
 		}
 		known = append(known, o)
 		if o.isApplied && versions[o.id] != o.version && o.version >= history[0].Version {
-			checker.violation(ruleConfigChanges, "%s was reported as applied in version %d, but is version %d in the history (0: missing)",
+			checker.violation(ruleConfigChanges,
+				"%s was reported as applied in version %d, but is version %d in the history (0: missing)",
 				o.id, o.version, versions[o.id])
 		}
 	}
--- a/internal/scenario/cluster_process.go
+++ b/internal/scenario/cluster_process.go
@@ -62,7 +62,8 @@
 	fmt.Fprintf(b, "]\naccess_log = \"access-%d.jsonl\"\ntrace_log = %q\n", m.id, m.traceLogName())
 	fmt.Fprintf(b, "[limits]\ndrain_for = %q\nanswer_slack = %q\nmax_attempts = 5\n", drainTimeout, responseSlack)
 	fmt.Fprintf(b, "[servers]\ndrain_grace = %q\n", drainGracePeriod)
-	if !c.environment.options.DisableSlowStart { // without these settings all servers are warm, and sites have no load bounds
+	// Without these settings instances treat all servers as warm and do not limit the load of cold ones.
+	if !c.environment.options.DisableSlowStart {
 		fmt.Fprintf(b, "cold_from = %v\nramp_time = %q\nfall_multiple = %v\noverload_for = %q\n",
 			coldCapacity, slowStartWindow, collapseMultiple, collapseWindow)
 	}
--- a/internal/scenario/scenario_table.go
+++ b/internal/scenario/scenario_table.go
@@ -157,8 +157,8 @@
 	},
 	{
 		Name: "relay-chaos",
-		Description: "like link-drops; by the seed, links are cut, slow, reset or lose replies, instances are drained, " +
-			"killed or stopped, and sites are lost and return",
+		Description: "like link-drops; by the seed, links are cut, slow, reset or lose replies, instances " +
+			"are drained, killed or stopped, and sites are lost and return",
 		mix:            repeatingMix,
 		price:          sameUnits,
 		runOnCluster:   relayChaos,
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -390,7 +390,8 @@
 	for i := range checker.verdict.Operations {
 		f := &checker.verdict.Operations[i]
 		if f.UnitsCounted = counted[f.Operation]; f.UnitsCounted != f.UnitsDeclared {
-			checker.violation(ruleUnits, "%s: %d units counted, %d declared", f.Operation, f.UnitsCounted, f.UnitsDeclared)
+			checker.violation(ruleUnits, "%s: %d units counted, %d declared", f.Operation, f.UnitsCounted,
+				f.UnitsDeclared)
 		}
 	}
 	if checker.verdict.UnitsCounted != checker.verdict.UnitsDeclared {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -26,15 +26,15 @@
 	Seed              uint64         `json:"seed"`
 	Series            string         `json:"series"`
 	OK                bool           `json:"ok"`
-	Disturbed         bool           `json:"disturbed"`
-	LongestStall      time.Duration  `json:"stall_ns"` // longest time for which the tool or the program waited for a processor
+	Disturbed         bool           `json:"disturbed"` // LongestStall reached stallThreshold
+	LongestStall      time.Duration  `json:"stall_ns"`  // for which the tool or the program waited for a processor
 	Requests          int            `json:"requests"`
 	Served            int            `json:"served"`
 	Rejected          int            `json:"rejected"`
 	Failed            int            `json:"failed"`
-	ClientClosed      int            `json:"left"`
-	ClosedUnforwarded int            `json:"crossed"` // sent as the connection was closed, and not forwarded
-	OpenAtKill        int            `json:"excused"` // open at a process as the plan killed it
+	ClientClosed      int            `json:"left"`    // requests whose client closed its connection
+	ClosedUnforwarded int            `json:"crossed"` // requests sent as the connection was closed
+	OpenAtKill        int            `json:"excused"` // requests at a process that the plan killed
 	Attempts          int            `json:"attempts"`
 	Violations        map[string]int `json:"broken,omitempty"` // number of violations by rule
 	Examples          []string       `json:"examples,omitempty"`
