--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -162,11 +162,10 @@
 type summary struct {
 	arguments *arguments
 
-	mu                                          sync.Mutex // guards the fields below
-	runs, broken, disturbed                     int
-	disturbedBroken, failedToRun                int
-	requests                                    int
-	closedUnforwarded, openAtKill, clientClosed int
+	mu                                                    sync.Mutex // guards the fields below
+	runs, broken, disturbed                               int
+	disturbedBroken, failedToRun                          int
+	requests, closedUnforwarded, openAtKill, clientClosed int
 }
 
 // runSeed executes the run of one seed and prints its verdict.
