--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -1,7 +1,7 @@
 // Package benchmark measures the throughput of a gateway instance and its CPU time per request, compared with
 // net/http/httputil's ReverseProxy and direct calls, all in one run on the same test servers. It also measures what
 // configuration changes, followers and relays cost. Each part runs in a process of its own, so that its CPU time can be
-// told from that of the others.
+// measured separately.
 package benchmark
 
 import (
--- a/internal/scenario/oracle.go
+++ b/internal/scenario/oracle.go
@@ -12,7 +12,7 @@
 )
 
 // The scenario hall-lost-surge partitions a site without which the load can't be carried, and has it return with cold
-// servers. It compares what was served with a reference model, which knows the true state of all servers at any time,
+// servers. It compares what was served with a reference model, which has the true state of all servers at any time,
 // has no latency between sites, and chooses among all requests. No gateway can serve more than the model.
 
 // Times of the scenario hall-lost-surge. Fractions are of its length.
--- a/internal/schedwait/monitor.go
+++ b/internal/schedwait/monitor.go
@@ -1,5 +1,5 @@
 // Package schedwait measures how long the threads of processes wait for a processor. A test on a busy machine can then
-// tell a slow program from one that was not scheduled.
+// distinguish a slow program from one that was not scheduled.
 package schedwait
 
 import (
--- a/internal/soak/peers.go
+++ b/internal/soak/peers.go
@@ -31,7 +31,7 @@
 	return conn, nil
 }
 
-// abandonHandover acts as a predecessor that dies in the middle of a handover. It waits for a successor,
+// abandonHandover acts as a predecessor that exits in the middle of a handover. It waits for a successor,
 // hands over the gossip socket and closes the connection without sending the message after which the successor starts.
 func (r *run) abandonHandover(listener *net.UnixListener) error {
 	defer listener.Close()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -34,8 +34,8 @@
 	seriesSuccessorKilled     series = "upgrade-sigkill"     // SIGKILL to the successor around the handover
 	seriesSuccessorTerminated series = "upgrade-cancelled"   // SIGTERM to the successor, then to the old process
 	seriesOldKilled           series = "upgrade-old-sigkill" // SIGKILL to the old process while a successor waits
-	seriesLateHello           series = "late-hello"          // hello of a dead successor to a stopped process
-	seriesPredecessorLost     series = "lost-go"             // the predecessor dies after handing over its gossip socket
+	seriesLateHello           series = "late-hello"          // hello of a successor that has exited, to a stopped process
+	seriesPredecessorLost     series = "lost-go"             // the predecessor exits after handing over its gossip socket
 )
 
 var (
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -158,7 +158,7 @@
 	sleep(ctx, r.plan.StepGap)
 }
 
-// runLateHello runs a handover to a successor that dies early. The successor's hello, its disconnect and the SIGTERM to
+// runLateHello runs a handover to a successor that exits early. The successor's hello, its disconnect and the SIGTERM to
 // the old process all arrive while the old process is stopped, so all are pending when it continues. The old process
 // must keep serving its clients.
 func (r *run) runLateHello(ctx context.Context, old *process) error {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// runPredecessorLost restarts a node while the tool acts as its predecessor, which dies after handing over the gossip
+// runPredecessorLost restarts a node while the tool acts as its predecessor, which exits after handing over the gossip
 // socket. The node must start without inherited state, and must send gossip.
 func (r *run) runPredecessorLost(ctx context.Context, first *process) (last *process, err error) {
 	r.terminate(first)
