--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -158,8 +158,8 @@
 	sleep(ctx, r.plan.StepGap)
 }
 
-// runLateHello runs a handover to a successor that exits early. The successor's hello, its disconnect and the SIGTERM to
-// the old process all arrive while the old process is stopped, so all are pending when it continues. The old process
+// runLateHello runs a handover to a successor that exits early. The successor's hello, its disconnect and the SIGTERM
+// to the old process all arrive while the old process is stopped, so all are pending when it continues. The old process
 // must keep serving its clients.
 func (r *run) runLateHello(ctx context.Context, old *process) error {
 	successor, err := r.connectAsSuccessor()
