--- a/cmd/gateway/bench_changes.go
+++ b/cmd/gateway/bench_changes.go
@@ -17,7 +17,8 @@
 	var results []benchmark.Result
 	record := func(r benchmark.Result, changes int) {
 		results = append(results, r)
-		fmt.Fprintf(e.stderr, progress, r.Front, r.PerS, r.CPU, r.P50, r.P99, r.Other, changes)
+		fmt.Fprintf(e.stderr, progress, r.Front, r.RequestsPerSecond, r.CPUMicrosPerRequest, r.P50Micros, r.P99Micros,
+			r.OtherResponses, changes)
 	}
 	if err := benchmark.MeasureChanges(e.ctx, c.benchmarkOptions(self), c.Changes, record); err != nil {
 		return err
@@ -25,7 +26,7 @@
 	if c.JSON {
 		return printJSON(e.stdout, results)
 	}
-	const summary = "with a change every %v: %.3f of the requests/s without (median of %d, from %.3f to %.3f)\n"
+	const summary = "with a change every %v: %.3f of the requests/s without changes (median of %d, from %.3f to %.3f)\n"
 	ratios := summarizeRatios(results, requestsPerSecond)
 	fmt.Fprintf(e.stdout, summary, c.Changes, ratios.median, ratios.count, ratios.lowest, ratios.highest)
 	return nil
--- a/cmd/gateway/bench_relay.go
+++ b/cmd/gateway/bench_relay.go
@@ -13,7 +13,8 @@
 	var results []benchmark.Result
 	record := func(r benchmark.Result) {
 		results = append(results, r)
-		fmt.Fprintf(e.stderr, progress, r.Front, r.PerS, r.CPU, r.Allocs, r.P50, r.P99, r.Other)
+		fmt.Fprintf(e.stderr, progress, r.Front, r.RequestsPerSecond, r.CPUMicrosPerRequest, r.AllocsPerRequest,
+			r.P50Micros, r.P99Micros, r.OtherResponses)
 	}
 	if err := benchmark.MeasureRelay(e.ctx, c.benchmarkOptions(self), record); err != nil {
 		return err
@@ -21,7 +22,7 @@
 	if c.JSON {
 		return printJSON(e.stdout, results)
 	}
-	const summary = "a crossing costs %.2f times the CPU of a direct request (median of %d, from %.2f to %.2f)\n"
+	const summary = "a relayed request costs %.2f times the CPU time of a direct one (median of %d, from %.2f to %.2f)\n"
 	ratios := summarizeRatios(results, cpuPerRequest)
 	fmt.Fprintf(e.stdout, summary, ratios.median, ratios.count, ratios.lowest, ratios.highest)
 	return nil
--- a/cmd/gateway/lab.go
+++ b/cmd/gateway/lab.go
@@ -10,20 +10,20 @@
 
 // labCmd runs a scenario.
 type labCmd struct {
-	Scenario     string        `help:"Scenario to play; see --list." default:"calm"`
-	For          time.Duration `help:"How long clients send." default:"20s"`
+	Scenario     string        `help:"Scenario to run; see --list." default:"calm"`
+	For          time.Duration `help:"How long clients send requests." default:"20s"`
 	Seed         uint64        `help:"Seed of clients and faults." default:"1"`
 	JSON         bool          `help:"Print the verdict as JSON."`
 	List         bool          `help:"List the scenarios."`
-	RampOff      bool          `help:"The instances take every server for warm: servers-replaced then shows one that is pushed over."`
-	KeysAnywhere bool          `help:"Without the guard of keys: hall-closes then shows double bookings."`
+	RampOff      bool          `help:"Disable slow start: servers-replaced then reports an overloaded cold server."`
+	KeysAnywhere bool          `help:"Disable key ownership: hall-closes then reports double bookings."`
 	Logs         string        `help:"File for the instances' logs." type:"path"`
 }
 
 func (c *labCmd) Run(e *environment) error {
 	if c.List {
 		for _, s := range scenario.Scenarios() {
-			fmt.Fprintf(e.stdout, "%-28s %s\n", s.Name, s.About)
+			fmt.Fprintf(e.stdout, "%-28s %s\n", s.Name, s.Description)
 		}
 		return nil
 	}
@@ -68,14 +68,14 @@
 func (c *labCmd) scenarioOptions(e *environment) (scenario.Options, error) {
 	program, err := os.Executable()
 	return scenario.Options{
-		Scenario:     c.Scenario,
-		For:          c.For,
-		Seed:         c.Seed,
-		KeysAnywhere: c.KeysAnywhere,
-		RampOff:      c.RampOff,
-		Program:      program,
-		Env:          e.labEnv,
-		Progress:     func(line string) { fmt.Fprintln(e.stderr, line) },
+		Scenario:            c.Scenario,
+		Duration:            c.For,
+		Seed:                c.Seed,
+		DisableKeyOwnership: c.KeysAnywhere,
+		DisableSlowStart:    c.RampOff,
+		Program:             program,
+		Env:                 e.labEnv,
+		Progress:            func(line string) { fmt.Fprintln(e.stderr, line) },
 	}, err
 }
 
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -26,12 +26,12 @@
 type arguments struct {
 	Target   string        `help:"Program under test: ${enum}." enum:"edgeproxy,gateway" required:""`
 	Seeds    string        `help:"Seed, or range of seeds, such as 1-50." default:"1-10"`
-	For      time.Duration `help:"How long clients send before the first signal." default:"2s"`
-	Parallel int           `help:"Runs at once." default:"2"`
-	Busy     int           `help:"Busy loops beside the runs." default:"0"`
-	Program  string        `help:"The built program; empty: it is built." type:"path"`
-	JSON     bool          `help:"Print verdicts as JSON, one a line."`
-	Verbose  bool          `help:"Print every plan." short:"v"`
+	For      time.Duration `help:"How long clients send requests before the first signal." default:"2s"`
+	Parallel int           `help:"Number of runs at once." default:"2"`
+	Busy     int           `help:"Number of busy loops to run on the machine at the same time." default:"0"`
+	Program  string        `help:"Path of a built program. If empty, the program is built." type:"path"`
+	JSON     bool          `help:"Print verdicts as JSON, one per line."`
+	Verbose  bool          `help:"Print the plan of every run." short:"v"`
 }
 
 // Limits of the arguments.
@@ -162,10 +162,10 @@
 type summary struct {
 	arguments *arguments
 
-	mu                               sync.Mutex // guards the fields below
-	runs, broken, disturbed          int
-	disturbedBroken, failedToRun     int
-	requests, crossed, excused, left int
+	mu                                                    sync.Mutex // guards the fields below
+	runs, broken, disturbed                               int
+	disturbedBroken, failedToRun                          int
+	requests, closedUnforwarded, openAtKill, clientClosed int
 }
 
 // runSeed executes the run of one seed and prints its verdict.
@@ -180,7 +180,7 @@
 	s.runs++
 	if err != nil {
 		s.failedToRun++
-		fmt.Printf("seed %d: could not be played: %v\n", seed, err)
+		fmt.Printf("seed %d: could not be executed: %v\n", seed, err)
 		return
 	}
 	s.add(v)
@@ -190,9 +190,9 @@
 // add counts a verdict. The caller must hold s.mu.
 func (s *summary) add(v *soak.Verdict) {
 	s.requests += v.Requests
-	s.crossed += v.Crossed
-	s.excused += v.Excused
-	s.left += v.Left
+	s.closedUnforwarded += v.ClosedUnforwarded
+	s.openAtKill += v.OpenAtKill
+	s.clientClosed += v.ClientClosed
 	switch {
 	case v.Disturbed && !v.OK:
 		s.disturbedBroken++
@@ -223,8 +223,8 @@
 		word = "BROKEN"
 	}
 	fmt.Printf("seed %d %s: %s; %d requests, %d served, %d rejected, %d failed, %d left, %d crossed, %d excused, "+
-		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.Left, v.Crossed,
-		v.Excused, v.Attempts, v.Stall.Round(time.Millisecond))
+		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.ClientClosed,
+		v.ClosedUnforwarded, v.OpenAtKill, v.Attempts, v.LongestStall.Round(time.Millisecond))
 	if s.arguments.Verbose || !v.OK {
 		fmt.Println("    plan:", v.Plan)
 	}
@@ -242,8 +242,9 @@
 	defer s.mu.Unlock()
 	if !s.arguments.JSON {
 		fmt.Printf("%d runs of %s: %d broke a rule, %d were disturbed (%d of them with a rule broken), "+
-			"%d could not be played; %d requests, %d left, %d crossed, %d excused\n", s.runs, s.arguments.Target, s.broken,
-			s.disturbed+s.disturbedBroken, s.disturbedBroken, s.failedToRun, s.requests, s.left, s.crossed, s.excused)
+			"%d could not be executed; %d requests, %d left, %d crossed, %d excused\n", s.runs, s.arguments.Target, s.broken,
+			s.disturbed+s.disturbedBroken, s.disturbedBroken, s.failedToRun, s.requests, s.clientClosed,
+			s.closedUnforwarded, s.openAtKill)
 	}
 	if s.broken > 0 {
 		return errRuleBroken
--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -31,8 +31,8 @@
 		DataFile:         filepath.Join(p.Dir, fmt.Sprint(p.Member, ".db")),
 		Credentials:      credentials,
 		Members:          p.Members,
-		StreamListenAddr: p.Stream,
-		SendFullVersions: p.StreamFull,
+		StreamListenAddr: p.StreamAddr,
+		SendFullVersions: p.SendFullVersions,
 	}
 	if err := cluster.InitMember(memberConfig, false); err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 	if err := c.writeCertificates(); err != nil {
 		return c, err
 	}
-	registry, err := c.startServers(ctx, opt.Self)
+	registry, err := c.startServers(ctx, opt.Program)
 	if err != nil {
 		return c, err
 	}
@@ -180,18 +180,18 @@
 ) error {
 	for id := uint64(1); id <= clusterSize; id++ {
 		part := Part{
-			Role:       roleMember,
-			Member:     id,
-			Dir:        c.dir,
-			Members:    members,
-			Stream:     c.streams[id],
-			StreamFull: service == followersGetFullVersions,
+			Role:             roleMember,
+			Member:           id,
+			Dir:              c.dir,
+			Members:          members,
+			StreamAddr:       c.streams[id],
+			SendFullVersions: service == followersGetFullVersions,
 		}
 		procs := 1
 		if id == 1 {
 			part.Profile, procs = opt.Profile, opt.Procs[0]
 		}
-		member, err := startPart(ctx, opt.Self, procs, part)
+		member, err := startPart(ctx, opt.Program, procs, part)
 		if err != nil {
 			return err
 		}
--- a/internal/benchmark/relay.go
+++ b/internal/benchmark/relay.go
@@ -23,7 +23,7 @@
 
 // startSite starts the near or the far instance, as the part's role says.
 func startSite(ctx context.Context, p *Part) ([]string, error) {
-	farAddr, err := netip.ParseAddrPort(p.Link)
+	farAddr, err := netip.ParseAddrPort(p.RelayAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	if err := errors.Join(authority.Write(dir), authority.WriteMembers(dir, []uint64{nearMember, farMember})); err != nil {
 		return s, err
 	}
-	servers, err := startPart(ctx, opt.Self, 0, Part{Role: roleServers})
+	servers, err := startPart(ctx, opt.Program, 0, Part{Role: roleServers})
 	if err != nil {
 		return s, err
 	}
@@ -93,13 +93,13 @@
 	if err != nil {
 		return s, err
 	}
-	part := Part{Servers: servers.addrs, Dir: dir, Link: farAddr}
+	part := Part{Servers: servers.addrs, Dir: dir, RelayAddr: farAddr}
 	for _, instance := range []struct {
 		role    string
 		process **process
 	}{{roleGateway, &s.direct}, {roleFar, &s.far}, {roleNear, &s.near}} {
 		part.Role = instance.role
-		p, err := startPart(ctx, opt.Self, opt.Procs[0], part)
+		p, err := startPart(ctx, opt.Program, opt.Procs[0], part)
 		if err != nil {
 			return s, err
 		}
@@ -148,9 +148,9 @@
 		return result, err
 	}
 	// The far instance's usage covers the warm-up too, so it is scaled by the measurement's share of the elapsed time.
-	share := opt.For.Seconds() / time.Since(startedAt).Seconds()
+	share := opt.Duration.Seconds() / time.Since(startedAt).Seconds()
 	requests := float64(max(result.Requests, 1))
-	result.CPU += float64((after.cpu - before.cpu).Microseconds()) * share / requests
-	result.Allocs += float64(after.allocs-before.allocs) * share / requests
+	result.CPUMicrosPerRequest += float64((after.cpu - before.cpu).Microseconds()) * share / requests
+	result.AllocsPerRequest += float64(after.allocs-before.allocs) * share / requests
 	return result, nil
 }
--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -17,8 +17,8 @@
 	"mulleinmux/internal/testserver"
 )
 
-// Scenarios with processes run each instance as a process. The members agree on their configuration by Raft while
-// operators change it, and members are killed, partitioned and restarted.
+// Scenarios with processes run each instance in a process of its own. The members agree on their configuration by Raft
+// while operators change it, and members are killed, partitioned and restarted.
 
 // Sizes and times of scenarios with processes.
 const (
@@ -131,7 +131,7 @@
 // returns once all three have ended.
 func (c *clusterRun) runClients(ctx context.Context) []testserver.Attempt {
 	env := c.environment
-	clientsCtx, end := context.WithTimeout(ctx, env.options.For)
+	clientsCtx, end := context.WithTimeout(ctx, env.options.Duration)
 	defer end()
 	operatorsCtx, stopOperators := context.WithCancel(ctx)
 	defer stopOperators()
@@ -328,8 +328,8 @@
 		kills := c.killCount
 		c.mu.Unlock()
 		c.environment.options.Progress(fmt.Sprintf(
-			"%s %ds of %v: %d changes agreed on, %d kills, %d requests at the halls",
-			c.environment.scenario.Name, n, c.environment.options.For, applied, kills,
+			"%s %ds of %v: %d changes applied, %d kills, %d requests received by the sites",
+			c.environment.scenario.Name, n, c.environment.options.Duration, applied, kills,
 			len(c.environment.ledger.Arrivals())))
 	}
 }
--- a/internal/scenario/cluster_process.go
+++ b/internal/scenario/cluster_process.go
@@ -62,7 +62,8 @@
 	fmt.Fprintf(b, "]\naccess_log = \"access-%d.jsonl\"\ntrace_log = %q\n", m.id, m.traceLogName())
 	fmt.Fprintf(b, "[limits]\ndrain_for = %q\nanswer_slack = %q\nmax_attempts = 5\n", drainTimeout, responseSlack)
 	fmt.Fprintf(b, "[servers]\ndrain_grace = %q\n", drainGracePeriod)
-	if !c.environment.options.RampOff { // without these settings all servers are warm, and sites have no load bounds
+	// Without these settings instances treat all servers as warm and do not limit the load of cold ones.
+	if !c.environment.options.DisableSlowStart {
 		fmt.Fprintf(b, "cold_from = %v\nramp_time = %q\nfall_multiple = %v\noverload_for = %q\n",
 			coldCapacity, slowStartWindow, collapseMultiple, collapseWindow)
 	}
@@ -84,7 +85,7 @@
 	m := c.members[i]
 	fmt.Fprintf(b, "[cluster]\nname = %q\nnumber = %d\ndata = \"gate-%d.db\"\ncerts = \"certs\"\ntick = %q\n",
 		clusterName, m.id, m.id, tickInterval)
-	if c.environment.options.KeysAnywhere {
+	if c.environment.options.DisableKeyOwnership {
 		b.WriteString("keys = \"anywhere\"\n")
 	}
 	if len(c.followers) > 0 {
--- a/internal/scenario/cluster_verdict.go
+++ b/internal/scenario/cluster_verdict.go
@@ -31,14 +31,14 @@
 	traces := c.readTraces(checker)
 	if env.scenario.stopsInstances {
 		env.stoppedBetween = c.stoppedBetween
-		checker.stoppedFor = func(t testserver.Attempt) time.Duration {
-			return instanceByAddr[t.Instance].stoppedBetween(t.At, t.Ended)
+		checker.stoppedFor = func(attempt testserver.Attempt) time.Duration {
+			return instanceByAddr[attempt.Instance].stoppedBetween(attempt.At, attempt.Ended)
 		}
 		checker.mayOverlap = traces.mayOverlap
 	}
 	unansweredWhileDown := 0
-	checker.checkAnswers(clientAttempts, func(t testserver.Attempt) bool {
-		wasDown := instanceByAddr[t.Instance].wasDown(t.At, t.Ended)
+	checker.checkAnswers(clientAttempts, func(attempt testserver.Attempt) bool {
+		wasDown := instanceByAddr[attempt.Instance].wasDown(attempt.At, attempt.Ended)
 		if wasDown {
 			unansweredWhileDown++
 		}
@@ -108,14 +108,14 @@
 			lossCount++
 		}
 	}
-	for spent := time.Duration(0); spent < c.environment.options.For; maxLosses++ {
+	for spent := time.Duration(0); spent < c.environment.options.Duration; maxLosses++ {
 		spent += 500*time.Millisecond + time.Second<<min(maxLosses, 5)
 	}
 	checker.verdict.Figures["flaps"] = float64(c.flapCount)
 	checker.verdict.Figures["losses_agreed"] = float64(lossCount)
 	checker.verdict.Figures["losses_at_most"] = float64(maxLosses)
 	if lossCount > maxLosses {
-		checker.violation(ruleScenario, "the halls were agreed to be lost %d times; their holds allow %d", lossCount,
+		checker.violation(ruleScenario, "%d losses of sites were agreed on, but the hold times allow at most %d", lossCount,
 			maxLosses)
 	}
 }
@@ -124,13 +124,13 @@
 func (c *clusterRun) checkIsolated(checker *ruleChecker, s interval, arrivals []testserver.Arrival) {
 	booked := map[string]int{}
 	for _, a := range arrivals {
-		if a.Effected && a.Effect == testserver.IdempotentWithKey && a.At.After(s.from) && a.At.Before(s.to) {
+		if a.HadEffect && a.Effect == testserver.IdempotentWithKey && a.At.After(s.from) && a.At.Before(s.to) {
 			booked[a.Site]++
 		}
 	}
 	for _, site := range c.environment.sites {
 		if checker.verdict.Figures[figureBookedIsolated+site.Name] = float64(booked[site.Name]); booked[site.Name] == 0 {
-			checker.violation(ruleScenario, "%s took no bookings while the sites were cut from each other", site.Name)
+			checker.violation(ruleScenario, "%s served no bookings while the sites were partitioned from each other", site.Name)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 			return
 		}
 		if pause(ctx, 50*time.Millisecond); ctx.Err() != nil {
-			checker.violation(ruleAgreement, "the followers do not run what the members agree on %v after the last fault: %s",
+			checker.violation(ruleAgreement, "the followers do not run the newest version %v after the last fault: %s",
 				settleTimeout, behind)
 			return
 		}
@@ -242,7 +242,7 @@
 			text += fmt.Sprintf("member %d has version %d, and %s: %+v; ", list.MemberID, list.NewestVersion,
 				f.followerName, list.Followers)
 		} else if v, err := servedVersion(ctx, f); err != nil || v != list.NewestVersion {
-			text += fmt.Sprintf("member %d says that %s runs %d, and it runs %d: %v; ", list.MemberID,
+			text += fmt.Sprintf("member %d reports that %s runs version %d, but it runs %d: %v; ", list.MemberID,
 				f.followerName, list.NewestVersion, v, err)
 		}
 	}
--- a/internal/scenario/rule_checks_test.go
+++ b/internal/scenario/rule_checks_test.go
@@ -18,7 +18,7 @@
 // bypassing the gateway.
 func TestBrokenRuleIsFound(t *testing.T) {
 	t.Parallel()
-	v, err := Run(context.Background(), Options{Scenario: "calm", For: 2 * time.Second, Seed: 7,
+	v, err := Run(context.Background(), Options{Scenario: "calm", Duration: 2 * time.Second, Seed: 7,
 		breakRule: func(env *environment) {
 			for _, site := range env.sites {
 				bookDirectly(t, site, "twice", `{"installers":2}`)
@@ -82,14 +82,14 @@
 }
 
 // effected returns the attempt with its effect.
-func effected(a testserver.Arrival) testserver.Arrival { a.Effected = true; return a }
+func effected(a testserver.Arrival) testserver.Arrival { a.HadEffect = true; return a }
 
 // neverRan returns the attempt as one that the server did not run.
 func neverRan(a testserver.Arrival) testserver.Arrival { a.Ran = false; return a }
 
 // drained returns the attempt as one at a server that had been listed as draining for a time.
 func drained(a testserver.Arrival, since time.Duration) testserver.Arrival {
-	a.Draining = since
+	a.DrainingFor = since
 	return a
 }
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -19,27 +19,27 @@
 // Options are the parameters of a run.
 type Options struct {
 	Scenario string
-	For      time.Duration
+	Duration time.Duration
 	Seed     uint64
 	Progress func(line string) // receives a line each second; may be nil
 	Log      io.Writer         // receives the instances' logs; nil discards them
 	Program  string            // path of the gateway program, for scenarios with processes
 	Env      []string          // added to the program's environment
 
-	RampOff      bool // disables slow start: servers-replaced must then report an overloaded server
-	KeysAnywhere bool // disables key ownership: hall-closes must then report duplicate bookings
+	DisableSlowStart    bool // disables slow start: servers-replaced must then report an overloaded server
+	DisableKeyOwnership bool // disables key ownership: hall-closes must then report duplicate bookings
 
 	breakRule func(*environment) // lets a test break a rule during the run
 }
 
 // Scenario describes a scenario that [Run] can run.
 type Scenario struct {
-	Name, About  string
-	mix          func() []testserver.RequestTemplate
-	faults       testserver.Faults
-	price        func(version int, operation string, units int) int
-	runInProcess func(context.Context, *environment) // runs concurrently with the clients, until ctx ends
-	runOnCluster func(context.Context, *clusterRun)  // likewise, with instances that are processes of a cluster
+	Name, Description string
+	mix               func() []testserver.RequestTemplate
+	faults            testserver.Faults
+	price             func(version int, operation string, units int) int
+	runInProcess      func(context.Context, *environment) // runs concurrently with the clients, until ctx ends
+	runOnCluster      func(context.Context, *clusterRun)  // likewise, with instances that are processes of a cluster
 	// Factor of the licensees' rates. 0 means 1, or 2 with small sites.
 	loadMultiple float64
 	// Sites have three servers with one core each, so that one site alone can't carry the load.
--- a/internal/scenario/verdict.go
+++ b/internal/scenario/verdict.go
@@ -22,7 +22,7 @@
 	Rules         map[string]int     `json:"rules"` // violations by rule
 	Requests      int                `json:"requests"`
 	Served        int                `json:"served"`
-	Refused       int                `json:"refused"`
+	Rejected      int                `json:"refused"`
 	Failed        int                `json:"failed"`
 	UnitsDeclared int                `json:"units_declared"` // read by the sites from the requests that reached them
 	UnitsCounted  int                `json:"units_counted"`  // charged by the instances
@@ -36,11 +36,11 @@
 
 // OperationFigures are the totals of one operation.
 type OperationFigures struct {
-	Operation string `json:"operation"`
-	Sent      int    `json:"sent"` // requests that reached a site
-	Attempts  int    `json:"attempts"`
-	Declared  int    `json:"units_declared"`
-	Counted   int    `json:"units_counted"`
+	Operation     string `json:"operation"`
+	Sent          int    `json:"sent"` // requests that reached a site
+	Attempts      int    `json:"attempts"`
+	UnitsDeclared int    `json:"units_declared"`
+	UnitsCounted  int    `json:"units_counted"`
 }
 
 // Tolerances of the checks, as the records of clients, instances and sites are not exact.
@@ -152,14 +152,14 @@
 // checkSites reports requests that no operation of the sites matched, and servers that collapsed while they warmed up.
 func (env *environment) checkSites(checker *ruleChecker) {
 	for _, s := range env.ledger.Unmatched() {
-		checker.violation(ruleOperations, "no operation of the halls matches %s", s)
+		checker.violation(ruleOperations, "no operation of the sites matches %s", s)
 	}
 	for _, s := range env.ledger.Collapsed() {
 		checker.violation(ruleWarmup, "cold server %s collapsed under overload", s)
 	}
 }
 
-// addScenarioViolations reports the violations that the scenario itself found.
+// addScenarioViolations adds the violations that the scenario itself found.
 func (env *environment) addScenarioViolations(checker *ruleChecker) {
 	for _, n := range env.scenarioViolations {
 		checker.violation(ruleScenario, "%s", n)
@@ -169,30 +169,33 @@
 // checkAnswers checks that each attempt of a client received exactly one complete answer, to its own request and in
 // time. An attempt without an answer is no violation if its instance was down, or stopped for long enough.
 func (checker *ruleChecker) checkAnswers(attempts []testserver.Attempt, wasInstanceDown func(testserver.Attempt) bool) {
-	for _, t := range attempts {
+	for _, attempt := range attempts {
 		checker.verdict.Requests++
 		switch {
-		case t.Served:
+		case attempt.Served:
 			checker.verdict.Served++
-		case t.Status == 429 || t.Status == 503:
-			checker.verdict.Refused++
+		case attempt.Status == 429 || attempt.Status == 503:
+			checker.verdict.Rejected++
 		default:
 			checker.verdict.Failed++
 		}
 		switch {
-		case t.AnswerCount == 0 && (wasInstanceDown(t) || checker.gaveUpWhileStopped(t)):
-		case t.AnswerCount == 0:
+		case attempt.AnswerCount == 0 && (wasInstanceDown(attempt) || checker.gaveUpWhileStopped(attempt)):
+		case attempt.AnswerCount == 0:
 			checker.verdict.Unanswered++
-			checker.requestViolation(t.Trace, ruleAnswers, "%s (%s) had no answer", t.Trace, t.Operation)
-		case t.AnswerCount > 1:
-			checker.violation(ruleAnswers, "%s (%s) had more than one answer", t.Trace, t.Operation)
-		case t.Mismatch != "":
-			checker.violation(ruleAnswers, "%s: %s", t.Trace, t.Mismatch)
-		case t.Ended.Sub(t.At) > clientDeadline+deadlineSlack+checker.timeStopped(t):
-			checker.requestViolation(t.Trace, ruleAnswers, "%s was answered after %v", t.Trace, t.Ended.Sub(t.At))
+			checker.requestViolation(attempt.Trace, ruleAnswers, "%s (%s) received no answer", attempt.Trace,
+				attempt.Operation)
+		case attempt.AnswerCount > 1:
+			checker.violation(ruleAnswers, "%s (%s) received more than one answer", attempt.Trace, attempt.Operation)
+		case attempt.Mismatch != "":
+			checker.violation(ruleAnswers, "%s: %s", attempt.Trace, attempt.Mismatch)
+		case attempt.Ended.Sub(attempt.At) > clientDeadline+deadlineSlack+checker.timeStopped(attempt):
+			checker.requestViolation(attempt.Trace, ruleAnswers, "%s was answered after %v", attempt.Trace,
+				attempt.Ended.Sub(attempt.At))
 		}
-		if t.Status == 400 || t.Status == 404 || t.Status == 405 || t.Status == 403 {
-			checker.violation(ruleOperations, "%s (%s) was turned down with %d", t.Trace, t.Operation, t.Status)
+		if attempt.Status == 400 || attempt.Status == 404 || attempt.Status == 405 || attempt.Status == 403 {
+			checker.violation(ruleOperations, "%s (%s) was rejected with status %d", attempt.Trace, attempt.Operation,
+				attempt.Status)
 		}
 	}
 }
@@ -202,10 +205,11 @@
 func (checker *ruleChecker) checkEffects(arrivals []testserver.Arrival, byTrace map[string][]testserver.Arrival) {
 	serverByEffect := map[string]string{} // the server of each effect, by its idempotency key or trace
 	for _, a := range arrivals {
-		if a.Draining > drainGrace {
-			checker.violation(ruleDraining, "%s came to %s %v after it drained", a.Trace, a.Server, a.Draining)
+		if a.DrainingFor > drainGrace {
+			checker.violation(ruleDraining, "%s was sent to server %s %v after it was listed as draining", a.Trace, a.Server,
+				a.DrainingFor)
 		}
-		if !a.Effected || a.Effect == testserver.Idempotent {
+		if !a.HadEffect || a.Effect == testserver.Idempotent {
 			continue
 		}
 		name, server := a.Trace, a.Site+"/"+a.Server
@@ -225,18 +229,19 @@
 }
 
 // timeStopped returns how long an attempt's instance was stopped during the attempt.
-func (checker *ruleChecker) timeStopped(t testserver.Attempt) time.Duration {
+func (checker *ruleChecker) timeStopped(attempt testserver.Attempt) time.Duration {
 	if checker.stoppedFor == nil {
 		return 0
 	}
-	return checker.stoppedFor(t)
+	return checker.stoppedFor(attempt)
 }
 
 // gaveUpWhileStopped reports whether a client gave up, long after its deadline, because its instance was stopped:
 // without the time of the stop, it had waited no longer than an answer may take.
-func (checker *ruleChecker) gaveUpWhileStopped(t testserver.Attempt) bool {
-	stopped := checker.timeStopped(t)
-	return stopped > 0 && !t.ConnectionLost && t.Ended.Sub(t.At)-stopped <= clientDeadline+deadlineSlack
+func (checker *ruleChecker) gaveUpWhileStopped(attempt testserver.Attempt) bool {
+	stopped := checker.timeStopped(attempt)
+	return stopped > 0 && !attempt.ConnectionLost &&
+		attempt.Ended.Sub(attempt.At)-stopped <= clientDeadline+deadlineSlack
 }
 
 // checkInFlight checks that each attempt of a request had ended when the next one arrived.
@@ -249,7 +254,8 @@
 		if checker.mayOverlap != nil && checker.mayOverlap(trace) {
 			checker.verdict.Figures[figureOverlapsAllowed]++
 		} else {
-			checker.requestViolation(trace, ruleEffects, "%s had two attempts out for %v", trace, before.Ended.Sub(a.At))
+			checker.requestViolation(trace, ruleEffects, "%s had two attempts in flight for %v", trace,
+				before.Ended.Sub(a.At))
 		}
 	}
 }
@@ -266,7 +272,7 @@
 		isKeyed := a.Effect == testserver.IdempotentWithKey
 		switch {
 		case a.Effect == testserver.NonIdempotent:
-			checker.violation(ruleEffects, "%s (%s) is unsafe, may have run and was sent again", trace, a.Operation)
+			checker.violation(ruleEffects, "%s (%s) is not idempotent, may have run and was sent again", trace, a.Operation)
 		case isKeyed && a.Site != ran.Site:
 			checker.violation(ruleEffects, "%s (%s) may have run at %s and was sent to %s", trace, a.Operation, ran.Site, a.Site)
 		case isKeyed && a.At.Sub(ran.At) > idempotencyTTL+keyTTLSlack:
@@ -289,7 +295,7 @@
 		}
 		f.Sent++
 		f.Attempts += len(attempts)
-		f.Declared += first.Units
+		f.UnitsDeclared += first.Units
 		checker.verdict.UnitsDeclared += first.Units
 		if r, isRecorded := records[trace]; isRecorded && r.Sent {
 			checker.checkRecord(attempts, &r)
@@ -299,7 +305,7 @@
 	}
 	for trace, r := range records {
 		if r.Sent && byTrace[trace] == nil {
-			checker.violation(ruleUnits, "%s (%s) was charged and reached no hall", trace, r.Operation)
+			checker.violation(ruleUnits, "%s (%s) was charged and reached no site", trace, r.Operation)
 		}
 	}
 	for _, f := range operations {
@@ -321,7 +327,8 @@
 			r.Version, r.Units, first.Units)
 	}
 	if r.Attempts < len(attempts) {
-		checker.violation(ruleUnits, "%s: the instance knows of %d attempts of %d", r.TraceID, r.Attempts, len(attempts))
+		checker.violation(ruleUnits, "%s: the instance counted %d attempts, the sites received %d", r.TraceID, r.Attempts,
+			len(attempts))
 	}
 	checker.checkSentVersions(attempts, r)
 }
@@ -330,7 +337,8 @@
 func (checker *ruleChecker) checkSentVersions(attempts []testserver.Arrival, r *gateway.RequestRecord) {
 	for i := range attempts {
 		if sent := attempts[i].Version; uint64(sent) != r.Version {
-			checker.violation(ruleVersions, "%s was matched with version %d and sent on with %d", r.TraceID, r.Version, sent)
+			checker.violation(ruleVersions, "%s was matched with version %d and sent to a server with version %d", r.TraceID,
+				r.Version, sent)
 		}
 	}
 }
@@ -359,7 +367,7 @@
 			for _, a := range as {
 				level = math.Min(level+p.HardLimitRate*a.At.Sub(at).Seconds(), p.HardLimitBurst) - float64(a.Units)
 				if at = a.At; level < -slack {
-					checker.violation(ruleHardLimits, "%s is %.0f units over its ceiling", name, -level)
+					checker.violation(ruleHardLimits, "%s exceeds its hard limit by %.0f units", name, -level)
 				}
 			}
 		}
@@ -381,27 +389,28 @@
 	}
 	for i := range checker.verdict.Operations {
 		f := &checker.verdict.Operations[i]
-		if f.Counted = counted[f.Operation]; f.Counted != f.Declared {
-			checker.violation(ruleUnits, "%s: %d units counted, %d declared", f.Operation, f.Counted, f.Declared)
+		if f.UnitsCounted = counted[f.Operation]; f.UnitsCounted != f.UnitsDeclared {
+			checker.violation(ruleUnits, "%s: %d units counted, %d declared", f.Operation, f.UnitsCounted,
+				f.UnitsDeclared)
 		}
 	}
 	if checker.verdict.UnitsCounted != checker.verdict.UnitsDeclared {
-		checker.violation(ruleUnits, "%d units counted in all, %d declared", checker.verdict.UnitsCounted,
+		checker.violation(ruleUnits, "%d units counted in total, %d declared", checker.verdict.UnitsCounted,
 			checker.verdict.UnitsDeclared)
 	}
-	if answers["served"] != checker.verdict.Served || answers["refused"] != checker.verdict.Refused ||
+	if answers["served"] != checker.verdict.Served || answers["refused"] != checker.verdict.Rejected ||
 		answers["failed"] != checker.verdict.Failed {
 		checker.violation(ruleAnswers, "the instances count %v; clients had %d served, %d refused, %d failed", answers,
-			checker.verdict.Served, checker.verdict.Refused, checker.verdict.Failed)
+			checker.verdict.Served, checker.verdict.Rejected, checker.verdict.Failed)
 	}
 }
 
 // addFigures adds the figures of how well clients were served.
 func (checker *ruleChecker) addFigures(clientAttempts []testserver.Attempt, attempts int, elapsed time.Duration) {
 	var latencies []float64
-	for _, t := range clientAttempts {
-		if t.Served {
-			latencies = append(latencies, t.Ended.Sub(t.At).Seconds()*1000)
+	for _, attempt := range clientAttempts {
+		if attempt.Served {
+			latencies = append(latencies, attempt.Ended.Sub(attempt.At).Seconds()*1000)
 		}
 	}
 	slices.Sort(latencies)
@@ -428,7 +437,7 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, seed %d: %s\n\n", v.Scenario, v.Seed, word)
-	fmt.Fprintf(&b, "requests %d: %d served, %d refused, %d failed, %d unanswered\n", v.Requests, v.Served, v.Refused,
+	fmt.Fprintf(&b, "requests %d: %d served, %d refused, %d failed, %d unanswered\n", v.Requests, v.Served, v.Rejected,
 		v.Failed, v.Unanswered)
 	fmt.Fprintf(&b, "units %d declared, %d counted; %d duplicates\n", v.UnitsDeclared, v.UnitsCounted, v.Duplicates)
 	fmt.Fprintf(&b, "served within %.1f ms (median), %.1f ms (99 in 100)\n\n", v.Figures["served_p50_ms"],
@@ -443,7 +452,7 @@
 	}
 	fmt.Fprintf(&b, "\n%-20s %8s %8s %10s %10s\n", "operation", "sent", "attempts", "declared", "counted")
 	for _, o := range v.Operations {
-		fmt.Fprintf(&b, "%-20s %8d %8d %10d %10d\n", o.Operation, o.Sent, o.Attempts, o.Declared, o.Counted)
+		fmt.Fprintf(&b, "%-20s %8d %8d %10d %10d\n", o.Operation, o.Sent, o.Attempts, o.UnitsDeclared, o.UnitsCounted)
 	}
 	for _, e := range slices.Concat(v.Examples, v.Evidence) {
 		fmt.Fprintf(&b, "\n%s", e)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -22,37 +22,37 @@
 
 // Verdict is the result of a run: the number of requests by outcome, and the violations of the rules.
 type Verdict struct {
-	Target    Target         `json:"target"`
-	Seed      uint64         `json:"seed"`
-	Series    string         `json:"series"`
-	OK        bool           `json:"ok"`
-	Disturbed bool           `json:"disturbed"`
-	Stall     time.Duration  `json:"stall_ns"` // longest time for which the tool or the program waited for a processor
-	Requests  int            `json:"requests"`
-	Served    int            `json:"served"`
-	Rejected  int            `json:"rejected"`
-	Failed    int            `json:"failed"`
-	Left      int            `json:"left"`
-	Crossed   int            `json:"crossed"` // sent as the connection was closed, and not forwarded
-	Excused   int            `json:"excused"` // open at a process as the plan killed it
-	Attempts  int            `json:"attempts"`
-	Broken    map[string]int `json:"broken,omitempty"` // number of violations by rule
-	Examples  []string       `json:"examples,omitempty"`
-	Plan      string         `json:"plan"`
-	Processes []string       `json:"processes"` // signals and exit of each process, with their times
+	Target            Target         `json:"target"`
+	Seed              uint64         `json:"seed"`
+	Series            string         `json:"series"`
+	OK                bool           `json:"ok"`
+	Disturbed         bool           `json:"disturbed"` // LongestStall reached stallThreshold
+	LongestStall      time.Duration  `json:"stall_ns"`  // for which the tool or the program waited for a processor
+	Requests          int            `json:"requests"`
+	Served            int            `json:"served"`
+	Rejected          int            `json:"rejected"`
+	Failed            int            `json:"failed"`
+	ClientClosed      int            `json:"left"`    // requests whose client closed its connection
+	ClosedUnforwarded int            `json:"crossed"` // requests sent as the connection was closed
+	OpenAtKill        int            `json:"excused"` // requests at a process that the plan killed
+	Attempts          int            `json:"attempts"`
+	Violations        map[string]int `json:"broken,omitempty"` // number of violations by rule
+	Examples          []string       `json:"examples,omitempty"`
+	Plan              string         `json:"plan"`
+	Processes         []string       `json:"processes"` // signals and exit of each process, with their times
 }
 
 // Names of the rules.
 const (
-	ruleAnswer   = "answer"   // each request gets one final response, in time
-	ruleAttempts = "attempts" // no two attempts of a request in flight, no retry of an unsafe one that may have run
-	ruleLeave    = "leave"    // no attempt begins after the client has closed its connection
-	ruleProcess  = "process"  // processes are ready in time, and exit in time with status 0 and no logged errors
+	ruleResponse     = "answer"   // each request gets one final response, in time
+	ruleAttempts     = "attempts" // no two attempts of a request in flight, no retry of an unsafe one that may have run
+	ruleClientClosed = "leave"    // no attempt begins after the client has closed its connection
+	ruleProcess      = "process"  // processes are ready in time, and exit in time with status 0 and no logged errors
 )
 
 // violation counts a violation and adds its description to the examples, up to maxExamples.
 func (v *Verdict) violation(rule, format string, arguments ...any) {
-	v.Broken[rule]++
+	v.Violations[rule]++
 	if len(v.Examples) < maxExamples {
 		v.Examples = append(v.Examples, rule+": "+fmt.Sprintf(format, arguments...))
 	}
@@ -64,8 +64,8 @@
 	r.records.mu.Lock()
 	defer r.records.mu.Unlock()
 	stall = max(stall, r.longestKillDelay())
-	v := &Verdict{Target: r.plan.Target, Seed: r.plan.Seed, Series: string(r.plan.Series), Stall: stall,
-		Disturbed: stall >= stallThreshold, Broken: map[string]int{}, Plan: r.plan.String()}
+	v := &Verdict{Target: r.plan.Target, Seed: r.plan.Seed, Series: string(r.plan.Series), LongestStall: stall,
+		Disturbed: stall >= stallThreshold, Violations: map[string]int{}, Plan: r.plan.String()}
 	attempts := map[string][]*attempt{}
 	for _, a := range r.records.attempts {
 		attempts[a.id] = append(attempts[a.id], a)
@@ -84,7 +84,7 @@
 		v.checkProcess(p)
 		v.Processes = append(v.Processes, p.String())
 	}
-	v.OK = len(v.Broken) == 0
+	v.OK = len(v.Violations) == 0
 	return v
 }
 
@@ -188,33 +188,33 @@
 // responseDeadline returns when a request must have got its response: after its own timeout, or after the response of
 // the request ahead of it if that is later.
 func (s *serviceTimes) responseDeadline(request *request) time.Time {
-	by := s.servableFrom(request).Add(request.timeout + responseSlack)
-	if ahead := request.ahead; ahead != nil && ahead.endedAt.After(by) {
+	deadline := s.servableFrom(request).Add(request.timeout + responseSlack)
+	if ahead := request.ahead; ahead != nil && ahead.endedAt.After(deadline) {
 		return ahead.endedAt
 	}
-	return by
+	return deadline
 }
 
 // checkResponse checks that a request got its final response in time.
 func (v *Verdict) checkResponse(request *request, attempts []*attempt, service serviceTimes) {
 	switch {
 	case request.end == endClientClosed:
-		v.Left++
+		v.ClientClosed++
 	case request.end == endAnswered:
 		v.countStatus(request.status)
 		if late := request.endedAt.Sub(service.responseDeadline(request)); late > responseTolerance {
-			v.violation(ruleAnswer, "%s got its response %v too late", request, late)
+			v.violation(ruleResponse, "%s got its response %v too late", request, late)
 		}
 		if request.err != nil {
-			v.violation(ruleAnswer, "%s: %v", request, request.err)
+			v.violation(ruleResponse, "%s: %v", request, request.err)
 		}
 	case service.wasOpenAtKill(request):
-		v.Excused++
+		v.OpenAtKill++
 	case len(attempts) == 0 && request.end != endTimedOut && service.mayGoUnanswered(request):
-		v.Crossed++
+		v.ClosedUnforwarded++
 	default:
-		v.violation(ruleAnswer, "%s got no response (end %q after %v, error %v) after %d attempts", request, request.end,
-			request.endedAt.Sub(request.sentAt).Round(time.Millisecond), request.err, len(attempts))
+		v.violation(ruleResponse, "%s got no response (end %q after %v, error %v) after %d attempts", request,
+			request.end, request.endedAt.Sub(request.sentAt).Round(time.Millisecond), request.err, len(attempts))
 	}
 }
 
@@ -235,18 +235,18 @@
 	slices.SortFunc(attempts, func(a, b *attempt) int { return a.began.Compare(b.began) })
 	for i, a := range attempts {
 		if request.end == endClientClosed && a.began.After(request.endedAt.Add(clientCloseTolerance)) {
-			v.violation(ruleLeave, "%s: an attempt began %v after the client closed its connection", request,
+			v.violation(ruleClientClosed, "%s: an attempt began %v after the client closed its connection", request,
 				a.began.Sub(request.endedAt))
 		}
 		if i == 0 {
 			continue
 		}
-		before := attempts[i-1]
-		if before.ended.IsZero() || before.ended.After(a.began.Add(inFlightTolerance)) {
+		previous := attempts[i-1]
+		if previous.ended.IsZero() || previous.ended.After(a.began.Add(inFlightTolerance)) {
 			v.violation(ruleAttempts, "%s: a second attempt began at %v with the previous one in flight", request,
 				a.began.Format(timeFormat))
 		}
-		if request.class == classPay && !before.wasNeverRun {
+		if request.class == classPay && !previous.neverRan {
 			v.violation(ruleAttempts, "%s: unsafe request was retried though it may have run", request)
 		}
 	}
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -10,7 +10,7 @@
 
 // runSignalSeries sends the signals of the plan, and waits until every process has exited.
 func (r *run) runSignalSeries(ctx context.Context, first *process) error {
-	gap := r.plan.Gap
+	gap := r.plan.SignalGap
 	last := first
 	var err error
 	switch r.plan.Series {
@@ -34,8 +34,8 @@
 		last, err = r.upgrade(ctx, first)
 	case seriesLateHello:
 		err = r.runLateHello(ctx, first)
-	case seriesLostGo:
-		last, err = r.runLostGo(ctx, first)
+	case seriesPredecessorLost:
+		last, err = r.runPredecessorLost(ctx, first)
 	case seriesUpgradeTwice:
 		if last, err = r.upgrade(ctx, first); err == nil {
 			last, err = r.upgrade(ctx, last)
@@ -79,7 +79,7 @@
 			r.outages = append(r.outages, interval{before.servesUntil().Add(-drainTolerance), time.Now()})
 		}
 		r.clientsMayConnect.Store(true)
-		sleep(ctx, servingTime+r.plan.Gap)
+		sleep(ctx, servingTime+r.plan.SignalGap)
 	}
 	return p, nil
 }
@@ -89,7 +89,7 @@
 	if next, err = r.startSuccessor(old); err != nil {
 		return nil, err
 	}
-	sleep(ctx, r.plan.Gap/10)
+	sleep(ctx, r.plan.SignalGap/10)
 	r.terminate(old)
 	r.awaitReady(next)
 	sleep(ctx, servingTime)
@@ -158,8 +158,8 @@
 	sleep(ctx, r.plan.StepGap)
 }
 
-// runLateHello runs a handover to a successor that dies early. The successor's hello, its disconnect and the SIGTERM to
-// the old process all arrive while the old process is stopped, so all are pending when it continues. The old process
+// runLateHello runs a handover to a successor that exits early. The successor's hello, its disconnect and the SIGTERM
+// to the old process all arrive while the old process is stopped, so all are pending when it continues. The old process
 // must keep serving its clients.
 func (r *run) runLateHello(ctx context.Context, old *process) error {
 	successor, err := r.connectAsSuccessor()
@@ -167,7 +167,7 @@
 		return err
 	}
 	defer successor.Close()
-	sleep(ctx, r.plan.Gap)
+	sleep(ctx, r.plan.SignalGap)
 	began := time.Now()
 	old.signal(syscall.SIGSTOP)
 	if _, err := successor.Write([]byte(handoverHello)); err != nil {
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// runLostGo restarts a node while the tool takes the part of its predecessor, which dies after handing over the gossip
+// runPredecessorLost restarts a node while the tool acts as its predecessor, which exits after handing over the gossip
 // socket. The node must start without inherited state, and must send gossip.
-func (r *run) runLostGo(ctx context.Context, first *process) (last *process, err error) {
+func (r *run) runPredecessorLost(ctx context.Context, first *process) (last *process, err error) {
 	r.terminate(first)
 	r.awaitTermination(first) // clients wait in the backlog of the inherited socket
 	listener, err := net.ListenUnix("unixpacket", r.handoverSocket())
@@ -237,8 +237,8 @@
 // handoverTimeout is longer than an old process waits for its successor.
 const handoverTimeout = 2500 * time.Millisecond
 
-// servesUntil returns when a process may stop accepting requests: drainDelay after its SIGTERM.
+// servesUntil returns the earliest time at which a process may stop accepting requests: drainDelay after its SIGTERM.
 func (p *process) servesUntil() time.Time { return p.sigtermAt.Add(drainDelay) }
 
-// drainDelay is how long a process keeps accepting requests after SIGTERM in every case.
+// drainDelay is how long a process keeps accepting requests after SIGTERM at least.
 const drainDelay = 500 * time.Millisecond
--- a/internal/testserver/appserver.go
+++ b/internal/testserver/appserver.go
@@ -109,7 +109,7 @@
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if !server.drainedAt.IsZero() {
-		arrival.Draining = now.Sub(server.drainedAt)
+		arrival.DrainingFor = now.Sub(server.drainedAt)
 	}
 	decision := admission{
 		isCollapse:  server.receive(now, cost),
@@ -121,7 +121,7 @@
 	return decision
 }
 
-// leaveQueue takes a request off the queue.
+// leaveQueue removes a request from the queue.
 func (server *AppServer) leaveQueue() {
 	server.mu.Lock()
 	server.waitingCount--
@@ -235,7 +235,7 @@
 		return
 	}
 	effected := exchange.route.Effect != IdempotentWithKey || site.rememberKey(exchange.arrival.Key, time.Now())
-	site.ledger.updateArrival(func() { exchange.arrival.Effected = effected })
+	site.ledger.updateArrival(func() { exchange.arrival.HadEffect = effected })
 }
 
 // answer writes the answer of a request that ran, or the fault that was drawn.
