--- a/multisite/forwarded_requests.go
+++ b/multisite/forwarded_requests.go
@@ -15,9 +15,12 @@
 // later, it is rejected. NeverExecuted is therefore final, and the other site may then send the request elsewhere.
 //
 // A request is recorded until the other site acknowledges its answer, or else for a TTL after it arrived, was voided or
-// completed. The caller must reject a request that arrives later than a TTL after it was sent (a link delivers in
-// order, and its connections end). While the table is full, no request is admitted and none can be voided: the status
-// of a request that has not arrived is ExecutionUnknown.
+// completed. The caller must reject a request that arrives later than a TTL after it was sent, since it may no longer be
+// recorded that the request was voided. A link meets this requirement if it delivers requests in order and its
+// connections end within the TTL.
+//
+// While the table is full, no request is admitted and none can be voided: the status of a request that has not arrived
+// is ExecutionUnknown.
 //
 // It is not safe for concurrent use.
 type ForwardedRequests struct {
--- a/routing/body.go
+++ b/routing/body.go
@@ -11,9 +11,9 @@
 
 // Errors of a body property whose value has the wrong type.
 var (
-	errWantString         = errors.New("a string is wanted")
-	errWantNumber         = errors.New("a number is wanted, not a string")
-	errWantNumberOrString = errors.New("a number or a string is wanted")
+	errWantString         = errors.New("must be a string")
+	errWantNumber         = errors.New("must be a number, not a string")
+	errWantNumberOrString = errors.New("must be a number or a string")
 )
 
 // checkJSONType checks that the header declares a body of JSON in UTF-8 without a content coding, since a server could
@@ -22,14 +22,14 @@
 	contentType, lines := h.Values("Content-Type")
 	media, params, _ := strings.Cut(contentType, ";")
 	if lines != 1 || !strings.EqualFold(strings.TrimSpace(media), "application/json") {
-		return &ChargeError{statusUnsupportedMediaType, "Content-Type: application/json is wanted"}
+		return &ChargeError{statusUnsupportedMediaType, "Content-Type: must be application/json"}
 	}
 	params = strings.ToLower(strings.ReplaceAll(params, " ", ""))
 	if params != "" && params != "charset=utf-8" {
-		return &ChargeError{statusUnsupportedMediaType, "Content-Type: no other charset than utf-8 is read"}
+		return &ChargeError{statusUnsupportedMediaType, "Content-Type: the only supported parameter is charset=utf-8"}
 	}
 	if _, lines := h.Values("Content-Encoding"); lines > 0 {
-		return &ChargeError{statusUnsupportedMediaType, "Content-Encoding: a packed body is not read"}
+		return &ChargeError{statusUnsupportedMediaType, "Content-Encoding: an encoded body is not supported"}
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 		return "", err
 	}
 	if start != json.Delim('{') {
-		return "", newChargeError("body: an object is wanted where %q stands", path[0])
+		return "", newChargeError("body: the value that contains %q must be a JSON object", path[0])
 	}
 	isFound := false
 	for r.decoder.More() {
@@ -81,7 +81,7 @@
 			return "", errDuplicate
 		}
 		if name != path[0] {
-			return "", fmt.Errorf("stands as %q: write it as described", name)
+			return "", fmt.Errorf("is spelled %q: use the exact name in the API description", name)
 		}
 		isFound = true
 		if value, err = r.readValue(path); err != nil {
@@ -140,5 +140,5 @@
 }
 
 func invalidJSON(err error) error {
-	return newChargeError("body: is no JSON, or is cut short: %v", err)
+	return newChargeError("body: invalid or truncated JSON: %v", err)
 }
--- a/routing/charge.go
+++ b/routing/charge.go
@@ -73,7 +73,7 @@
 	}
 	n, ok := parsePlainNumber(text)
 	if !ok {
-		return 0, newChargeError("%s: a whole number is wanted, in digits alone", source)
+		return 0, newChargeError("%s: must be a whole number, written with digits only", source)
 	}
 	if n < o.Units.Min || n > o.Units.Max {
 		return 0, newChargeError("%s: is outside %d to %d", source, o.Units.Min, o.Units.Max)
--- a/routing/query.go
+++ b/routing/query.go
@@ -9,7 +9,7 @@
 
 // Errors for queries that servers could parse differently.
 var (
-	errSemicolon      = errors.New("the query has a semicolon, which some take for a separator")
+	errSemicolon      = errors.New("the query has a semicolon, which some servers treat as a separator")
 	errBrokenEncoding = errors.New("the query has a broken percent-encoding")
 )
 
@@ -36,7 +36,7 @@
 			return "", errDuplicate
 		}
 		if key != name {
-			return "", fmt.Errorf("stands as %q: write it as described", key)
+			return "", fmt.Errorf("is spelled %q: use the exact name in the API description", key)
 		}
 		isFound = true
 		if value, err = unescapeQuery(rawValue); err != nil {
--- a/routing/source.go
+++ b/routing/source.go
@@ -12,7 +12,7 @@
 // Errors of a request's parameter.
 var (
 	errMissing   = errors.New("is missing")
-	errDuplicate = errors.New("stands more than once") // a parameter must occur once
+	errDuplicate = errors.New("occurs more than once") // a parameter must occur once
 )
 
 // Location is the part of a request that holds a parameter.
