--- a/internal/cluster/site_health.go
+++ b/internal/cluster/site_health.go
@@ -14,7 +14,7 @@
 // Parameters of site health. The loss of a site moves keys to other sites, so it takes a majority and half a second. If
 // a site flaps, the delay until it counts as recovered grows to half a minute.
 const (
-	minSiteMisses        = 3 // missed health checks
+	minSiteUnanswered    = 3 // consecutive unanswered attempts or health checks
 	siteLossTimeout      = 500 * time.Millisecond
 	siteViewTTL          = time.Second // lifetime of another member's view of a site
 	siteRecoveryDelay    = time.Second
@@ -29,7 +29,7 @@
 func siteHealthConfig(instance uint64, warmUpWindow time.Duration) *multisite.HealthConfig {
 	return &multisite.HealthConfig{
 		InstanceID:       instance,
-		MinUnanswered:    minSiteMisses,
+		MinUnanswered:    minSiteUnanswered,
 		LossTimeout:      siteLossTimeout,
 		ViewTTL:          siteViewTTL,
 		RecoveryDelay:    siteRecoveryDelay,
--- a/internal/gateway/request_trace_test.go
+++ b/internal/gateway/request_trace_test.go
@@ -63,8 +63,8 @@
 		t.Fatalf("retried request: got %+v, want status 200", got)
 	}
 	trace := traces.await(t, "r.0")
-	want := "received, attempt begun, attempt written, connection closed connection reset, attempt ended connection reset, " +
-		"attempt begun, attempt written, attempt ended OK, answer decided served, answer written 200"
+	want := "received, attempt begun, attempt written, connection closed connection reset, attempt ended " +
+		"connection reset, attempt begun, attempt written, attempt ended OK, answer decided served, answer written 200"
 	if got := stepSummary(trace); got != want {
 		t.Errorf("steps:\ngot  %s\nwant %s", got, want)
 	}
