--- a/cmd/gateway/fixture_cluster_test.go
+++ b/cmd/gateway/fixture_cluster_test.go
@@ -35,7 +35,7 @@
 	{regexp.MustCompile(`by member \d`), "by member NUMBER"},
 	{regexp.MustCompile(`leader \d`), "leader NUMBER"},
 	{regexp.MustCompile(`(?m)^(edge-1  +)[123]  `), "${1}NUMBER  "},
-	{regexp.MustCompile(`\bsince \d+(\.\d+)?m?s\b`), "since DURATION"},
+	{regexp.MustCompile(`\b(run version \d+( of epoch \d+)? for) \d+(\.\d+)?m?s\b`), "$1 DURATION"},
 }
 
 // maskVolatile replaces the parts of a command's output that differ from run to run by placeholders, and the run's
@@ -88,7 +88,7 @@
 		{"unknown age", `"age_ms": -1`, `"age_ms": -1`},
 		{"leader and age in a status", "2       1       3        4         0.0 s ago  true",
 			"2       LEADER       3        4         AGE s ago  true"},
-		{"age of a state", "runs 4 since 1.2s, pinned to 2", "runs 4 since DURATION, pinned to 2"},
+		{"age of a state", "has run version 4 for 1.2s, pinned to 2", "has run version 4 for DURATION, pinned to 2"},
 		{"folder", "/tmp/x/fleet.toml:1", "DIR/fleet.toml:1"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -101,6 +101,7 @@
 
 // The output and exit statuses of config and stream commands on a running cluster with two followers, one of which
 // runs, equal those recorded from the program before its first renaming, built from commit 49080d0 (./cmd/mulleingate).
+// Texts that were reworded later are replaced in the recording.
 //
 // Recorded with: MULLEINMUX_RECORD=1 MULLEINMUX_PROGRAM=/path/to/mulleingate go test ./cmd/gateway -run FixtureCluster
 func TestFixtureCluster(t *testing.T) {
@@ -179,7 +180,7 @@
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
 		got := r.mustRun(0, "stream", "--certs", r.certs, "--operator", "amina", "--at", r.adminAddrs[0], "explain", "edge-1")
-		if strings.Contains(got, "that is the newest") {
+		if strings.Contains(got, "this is the newest version") {
 			return
 		}
 		if time.Now().After(end) {
--- a/configstream/status.go
+++ b/configstream/status.go
@@ -93,13 +93,13 @@
 	case s.NameConflict != "":
 		return s.NameConflict
 	case s.State == StateRunning:
-		return fmt.Sprintf("runs %v since %v", *s.Running, age)
+		return fmt.Sprintf("has run version %v for %v", *s.Running, age)
 	case s.State == StateUnknown && s.Running != nil:
-		return fmt.Sprintf("has been unknown for %v; it ran %v", age, *s.Running)
+		return fmt.Sprintf("has been unknown for %v; it ran version %v", age, *s.Running)
 	case s.State == StateUnknown, s.State == StateWaiting:
 		return fmt.Sprintf("has been %s for %v", s.State, age)
 	case s.State == StateNeverConnected:
-		return "was never heard of"
+		return "has never connected"
 	}
 	return s.State
 }
@@ -118,20 +118,20 @@
 	const (
 		isOlder = "the members' newest version is %d, which is older: " +
 			"after a restore, the control service needs a new epoch before followers accept its versions"
-		isPinned = "it takes nothing newer until it is unpinned; what is older than what it runs it never takes"
-		isNever  = "no member has had a stream from it. " +
-			"Does it run, with a certificate of that name and the members' stream addresses?"
+		isPinned = "until it is unpinned, it accepts no newer version; it never accepts one older than the one that it runs"
+		isNever  = "no member has received a stream from it; " +
+			"check that it runs, that its certificate has this name, and that it has the members' stream addresses"
 	)
 	isRunning := s.State == StateRunning
 	switch {
 	case isRunning && s.Running.Number == newest && s.NameConflict == "":
-		return "that is the newest"
+		return "this is the newest version"
 	case s.PinnedVersion > 0 && isRunning && s.Running.Number >= s.PinnedVersion:
 		return isPinned
 	case isRunning && s.Running.Number > newest:
 		return fmt.Sprintf(isOlder, newest)
 	case s.LatestRejection != nil && s.LatestRejection.Number == newest:
-		return "it takes the next version that mends that"
+		return "it will accept the next version that corrects this"
 	case s.State == StateNeverConnected:
 		return isNever
 	case s.State == StateUnknown:
--- a/internal/cluster/admin_members.go
+++ b/internal/cluster/admin_members.go
@@ -41,7 +41,7 @@
 func (c *MembershipChange) check(voters, learners []uint64) error {
 	isMember := slices.Contains(voters, c.MemberID) || slices.Contains(learners, c.MemberID)
 	if c.Op != opAddMember && !isMember {
-		return newBadRequest("member: %d is none of voters %v and learners %v", c.MemberID, voters, learners)
+		return newBadRequest("member: %d is not in the cluster (voters %v, learners %v)", c.MemberID, voters, learners)
 	}
 	switch c.Op {
 	case opTransferLeadership:
--- a/internal/cluster/client_await.go
+++ b/internal/cluster/client_await.go
@@ -29,7 +29,7 @@
 		reason.record(missing, ctx.Err() != nil)
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("version %d is agreed on, and not in force everywhere%s", version, reason.text)
+			return fmt.Errorf("version %d is agreed, but not yet in force everywhere%s", version, reason.text)
 		case <-time.After(awaitPollInterval):
 		}
 	}
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -118,7 +118,7 @@
 	}
 	list, err := c.admin.Followers(c.ctx())
 	if err != nil || len(list.Followers) != 2 ||
-		!strings.Contains(list.Followers[0].Explain(list.NewestVersion), "mends that") {
+		!strings.Contains(list.Followers[0].Explain(list.NewestVersion), "corrects this") {
 		c.t.Errorf("got followers %+v, error %v, want 2 and an explanation of the rejection", list, err)
 	}
 }
@@ -143,8 +143,8 @@
 		c.start(id)
 	}
 	c.proposeChanges("four", newChange("remove", "description", "e", ""))
-	c.awaitFollower("north", "runs 4")
-	c.awaitFollower("south", "runs 4")
+	c.awaitFollower("north", "has run version 4")
+	c.awaitFollower("south", "has run version 4")
 	s := c.north.follower.Status()
 	if len(s.Rejected) != 1 || c.north.logs.HasLine("version installed", "version=3") ||
 		!c.north.logs.HasLine("version installed", "version=4") {
@@ -171,7 +171,7 @@
 		return c.south.logs.HasLine(msgWarning, "both called") && second.logs.HasLine(msgWarning, "both called")
 	})
 	c.stop(secondSouthID)
-	c.awaitFollower("south", "runs 2")
+	c.awaitFollower("south", "has run version 2")
 }
 
 // checkRemovedFollower checks that a removed follower receives no further version and continues to serve.
@@ -184,7 +184,7 @@
 	if r := c.get(southID, "/slots"); r.status != 200 || r.body != "4" {
 		c.t.Errorf("request to the removed follower: got %+v, want version 4", r)
 	}
-	c.awaitFollower("north", "runs 5")
+	c.awaitFollower("north", "has run version 5")
 }
 
 // checkFollowerCertificates checks that a follower's certificate gives no access to the admin API, and that a member's
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -36,7 +36,7 @@
 
 // confirmedAgeDesc describes the age of the version's last confirmation.
 var confirmedAgeDesc = newGaugeDesc("mulleingate_config_age_seconds",
-	"Since a quorum last confirmed it; -1: not since the start.")
+	"Seconds since a quorum last confirmed the configuration; -1 if none has since the start.")
 
 // statusGauges are the gauges of a member's status.
 var statusGauges = []statusGauge{
@@ -57,7 +57,7 @@
 		func(s *Status) float64 { return boolValue(s.IsServing) },
 	},
 	{
-		newGaugeDesc("mulleingate_raft_leader", "Number of the member that leads; 0: none is known."),
+		newGaugeDesc("mulleingate_raft_leader", "Number of the leading member; 0 if no leader is known."),
 		func(s *Status) float64 { return float64(s.Leader) },
 	},
 	{
@@ -68,7 +68,7 @@
 
 // followersDesc describes the number of followers in each state.
 var followersDesc = prometheus.NewDesc("mulleingate_followers",
-	"Followers agreed on, by how they stand.", []string{labelState}, nil)
+	"Configured followers by state.", []string{labelState}, nil)
 
 // followerGauge is a gauge of the followers whose status matches a condition.
 type followerGauge struct {
@@ -88,7 +88,7 @@
 		(*configstream.ObservedStatus).IsRejecting,
 	},
 	{
-		newGaugeDesc("mulleingate_followers_twins", "Names that two processes have."),
+		newGaugeDesc("mulleingate_followers_twins", "Configured followers whose name two processes use."),
 		func(s *configstream.ObservedStatus) bool { return s.NameConflict != "" },
 	},
 }
--- a/internal/cluster/verdict_test.go
+++ b/internal/cluster/verdict_test.go
@@ -26,7 +26,7 @@
 	{"remove a voter", MembershipChange{Op: "remove", MemberID: 1}, []uint64{1, 2}, nil, ""},
 	{"remove a learner", MembershipChange{Op: "remove", MemberID: 2}, []uint64{1}, []uint64{2}, ""},
 	{"remove the only voter", MembershipChange{Op: "remove", MemberID: 1}, []uint64{1}, []uint64{2}, "only voter"},
-	{"remove a stranger", MembershipChange{Op: "remove", MemberID: 9}, []uint64{1}, nil, "is none of voters [1]"},
+	{"remove a stranger", MembershipChange{Op: "remove", MemberID: 9}, []uint64{1}, nil, "not in the cluster (voters [1]"},
 	{
 		"replace", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 4, Addrs: newMemberAddrs},
 		[]uint64{1, 2, 3}, nil, "",
