--- a/policy/quota/grants.go
+++ b/policy/quota/grants.go
@@ -1,12 +1,22 @@
 package quota
 
 import (
+	"math"
 	"slices"
 	"time"
 )
 
-// maxRecentGrants is the maximum number of recent grants that an owner stores for one customer.
-const maxRecentGrants = 32
+const (
+	minGrantRecords = 32               // grants that an owner can record for one customer, even if its inbox is small
+	grantRecordTTL  = 2 * OwnerTimeout // time in which a message about a grant may still arrive
+)
+
+// maxGrantRecords returns how many grants an owner can record for one customer at a time: at least as many as its inbox
+// receives messages while a record is kept. A further request is rejected.
+func (f *Fleet) maxGrantRecords() int {
+	received := math.Ceil(f.MaxGossipInboxRate * grantRecordTTL.Seconds())
+	return max(minGrantRecords, int(received))
+}
 
 // lease permits an instance one attempt under a limit in flight, which an owner has granted. It is also used as the
 // record of a grant. It expires unless it is removed before.
@@ -24,10 +34,18 @@
 
 // recordGrant records that the units of a quota request have been taken, for as long as a repeat may arrive.
 func (g *ownerGrants) recordGrant(from int, number uint64, now time.Duration) {
+	g.recentGrants = append(g.recentGrants, lease{from, number, now + grantRecordTTL})
+}
+
+// hasRecordSpace reports whether fewer than limit unexpired records are stored.
+func (g *ownerGrants) hasRecordSpace(limit int, now time.Duration) bool {
 	g.expireGrants(now)
-	if len(g.recentGrants) < maxRecentGrants {
-		g.recentGrants = append(g.recentGrants, lease{from, number, now + 2*OwnerTimeout})
-	}
+	return len(g.recentGrants) < limit
+}
+
+// recordExpiryWait returns the time until the oldest record expires. There must be one.
+func (g *ownerGrants) recordExpiryWait(now time.Duration) time.Duration {
+	return g.recentGrants[0].expiresAt - now
 }
 
 // expireGrants removes grants whose requests can no longer be repeated.
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -47,15 +47,19 @@
 }
 
 // decideGrant decides whether an owner grants a member's demand: it must be within the quota and within the owner's
-// share of the hard limit. If it is rejected, RetryAfter is the wait before the member's next request.
+// share of the hard limit, and the owner must be able to record the grant, since a late usage report would charge its
+// units again otherwise. If it is rejected, RetryAfter is the wait before the member's next request.
 func (t *Table) decideGrant(
 	quota *Quota, demand Demand, inboxRate float64, now time.Duration,
 ) Decision {
 	decision := t.Check(quota, demand, now)
+	wait := decision.RetryAfter
 	if decision.IsWithinQuota && !quota.ExceedsHardLimit(t.PlanOf(quota), demand.Units) {
-		return Decision{IsWithinQuota: true}
+		if quota.hasRecordSpace(t.Fleet.maxGrantRecords(), now) {
+			return Decision{IsWithinQuota: true}
+		}
+		wait = quota.recordExpiryWait(now)
 	}
-	wait := decision.RetryAfter
 	if inboxRate > ownerOverloadFraction*t.Fleet.MaxGossipInboxRate {
 		wait = max(wait, t.Fleet.ownerOverloadWait(quota))
 	}
@@ -96,10 +100,11 @@
 }
 
 // ReceiveUsageReport charges units that a member has used without a response. If the owner has granted the member's
-// request, the units have already been taken.
+// request, the units have already been taken. Reports may use as many records again as grants; a report beyond that is
+// not charged, since a repeat of it would be charged as well.
 func (t *Table) ReceiveUsageReport(from int, m UsageReport, now time.Duration) {
 	quota := t.ownedQuota(from, m.Charge, now)
-	if quota == nil || quota.hasGrant(from, m.Number) {
+	if quota == nil || quota.hasGrant(from, m.Number) || !quota.hasRecordSpace(2*t.Fleet.maxGrantRecords(), now) {
 		return
 	}
 	quota.recordGrant(from, m.Number, now)
