--- a/policy/events.go
+++ b/policy/events.go
@@ -81,7 +81,7 @@
 // taken before.
 func (e *Engine) admit(r *request, decision quota.Decision) {
 	r.inQuota = decision.IsWithinQuota
-	s, rejected := e.chooseServer(r, decision.RetryAfter)
+	s, rejected := e.chooseServer(r, decision)
 	if s == nil {
 		e.returnUnits(r, r.Units)
 		e.reject(r.ID, rejected)
@@ -95,11 +95,11 @@
 }
 
 // chooseServer returns the server for a request's first attempt, or nil and the rejection if the request cannot be
-// forwarded. It checks the quota, then the hard limit, then overload control, then the servers.
-func (e *Engine) chooseServer(r *request, quotaWait time.Duration) (*server, rejection) {
+// forwarded. It checks the quota, on which decision is, then the hard limit, then overload control, then the servers.
+func (e *Engine) chooseServer(r *request, decision quota.Decision) (*server, rejection) {
 	plan := e.quotas.PlanOf(r.quota)
 	if !r.inQuota && !plan.MayExceedQuota(e.overload.HasSpareCapacity(e.subset.usesAllServers())) {
-		return nil, rejection{rejectQuota, quotaWait}
+		return nil, quotaRejection(decision)
 	}
 	if !r.isGranted && r.quota.ExceedsHardLimit(plan, r.Units) {
 		return nil, rejection{rejectHardLimit, e.quotas.RejectBeyondHardLimit(r.quota, r.Units)}
--- a/policy/quota/check.go
+++ b/policy/quota/check.go
@@ -22,8 +22,9 @@
 
 // Decision is whether a request is within its customer's quota and, if not, when to retry it.
 type Decision struct {
-	IsWithinQuota bool
-	RetryAfter    time.Duration
+	IsWithinQuota    bool
+	RetryAfter       time.Duration
+	ExceedsHardLimit bool // the owner has rejected the request for the hard limit alone
 }
 
 // Check decides whether a demand is within the customer's quota: its units within the rate, and one more attempt within
--- a/policy/quota/member.go
+++ b/policy/quota/member.go
@@ -21,6 +21,12 @@
 	return Decision{IsWithinQuota: draw < q.GrantFraction, RetryAfter: OwnerTimeout}
 }
 
+// ExceedsHardLimit reports whether the owner has rejected a request for the hard limit alone. Only then does its
+// response have no wait, except for a late request, which may have been rejected because the quota is contended.
+func (m Response) ExceedsHardLimit(isLate bool) bool {
+	return !m.IsGranted && m.Wait == 0 && !isLate
+}
+
 // RecordResponse records the owner's response to a request of this instance.
 func (q *Quota) RecordResponse(m Response, now time.Duration) {
 	q.GrantFraction = m.GrantFraction
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -58,7 +58,7 @@
 		if quota.hasRecordSpace(t.Fleet.maxGrantRecords(), now) {
 			return Decision{IsWithinQuota: true}
 		}
-		wait = quota.recordExpiryWait(now)
+		wait = max(quota.recordExpiryWait(now), t.Fleet.quotaUpdateWait())
 	}
 	if inboxRate > ownerOverloadFraction*t.Fleet.MaxGossipInboxRate {
 		wait = max(wait, t.Fleet.ownerOverloadWait(quota))
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -53,7 +53,11 @@
 	}
 	r.quota.RecordResponse(m, e.now)
 	r.isGranted = m.IsGranted
-	e.admit(r, quota.Decision{IsWithinQuota: m.IsGranted, RetryAfter: m.Wait})
+	e.admit(r, quota.Decision{
+		IsWithinQuota:    m.IsGranted,
+		RetryAfter:       m.Wait,
+		ExceedsHardLimit: m.ExceedsHardLimit(r.isLate),
+	})
 }
 
 // endOwnerWait ends a request's wait for the quota owner, and reports whether the request was answered during the wait.
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -321,3 +321,38 @@
 		})
 	}
 }
+
+// A request that its owner rejects for the hard limit alone counts as rejected for the hard limit. Such a response has
+// no wait, as has one to a late request while the quota is contended, which counts as rejected for the quota.
+func TestOwnersHardLimitRejectionsAreCounted(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		response quota.Response
+		isLate   bool
+		want     rejectReason
+	}{
+		{"hard limit", quota.Response{}, false, rejectHardLimit},
+		{"quota", quota.Response{Wait: 10 * ms}, false, rejectQuota},
+		{"late request of a contended quota", quota.Response{}, true, rejectQuota},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			x := sendQuotaRequest(t, "hard")
+			x.member.requests.byID["r1"].isLate = c.isLate
+			c.response.Number = x.member.requests.lastNumber
+			message := x.owner.quotas.Codec().EncodeResponse(c.response, quota.Report{})
+			x.member.GossipReceived(t0+ms, x.ownerIndex, message, x.memberRecorder)
+			var want [rejectReasonCount]uint64
+			want[c.want] = 1
+			if x.member.rejections != want {
+				t.Errorf("rejections by reason: got %v, want %v", x.member.rejections, want)
+			}
+		})
+	}
+	t.Run("owner without hard limit tokens", func(t *testing.T) {
+		x := sendQuotaRequest(t, "hard")
+		x.member.GossipReceived(t0+ms, x.ownerIndex, x.ownerRecorder.gossip[10][0], x.memberRecorder)
+		if got := x.member.rejections[rejectHardLimit]; got != 1 {
+			t.Errorf("got %d rejections for the hard limit, want 1: %v", got, x.member.rejections)
+		}
+	})
+}
--- a/policy/rejections.go
+++ b/policy/rejections.go
@@ -1,6 +1,10 @@
 package policy
 
-import "time"
+import (
+	"time"
+
+	"mulleinmux/policy/quota"
+)
 
 // rejection is the reason why a request is rejected, and the delay after which its client should retry.
 type rejection struct {
@@ -8,6 +12,16 @@
 	retryAfter time.Duration
 }
 
+// quotaRejection returns the rejection of a request that is not within its customer's quota or, if an owner has decided
+// on it, not within the owner's share of the hard limit.
+func quotaRejection(decision quota.Decision) rejection {
+	reason := rejectQuota
+	if decision.ExceedsHardLimit {
+		reason = rejectHardLimit
+	}
+	return rejection{reason, decision.RetryAfter}
+}
+
 // reject sends the final answer of a request that is rejected by a rule, which states to its client that a retry is
 // safe.
 func (e *Engine) reject(id string, rejected rejection) {
@@ -34,7 +48,7 @@
 	rejectLate                      // late request at high occupancy
 	rejectShortTimeout              // a timeout shorter than the mean latency
 	rejectQuota                     // beyond the quota
-	rejectHardLimit                 // beyond this node's part of the hard limit
+	rejectHardLimit                 // beyond this node's part of the hard limit, or the owner's
 	rejectThrottled                 // throttled by overload control
 	rejectNoServer                  // no server may serve it
 	rejectUnserved                  // no attempt succeeded in time, and a retry by the client is safe
