--- a/policy/quota/owner_test.go
+++ b/policy/quota/owner_test.go
@@ -55,3 +55,38 @@
 		t.Errorf("contended for %v, want 4s, in which two units are refilled", d)
 	}
 }
+
+// TestRepeatedRequestIsChargedOnce checks that a quota request that arrives twice, or after the usage report of the
+// same request, charges its units once, and that the owner grants it all the same.
+func TestRepeatedRequestIsChargedOnce(t *testing.T) {
+	charge := Charge{Number: 1, Customer: 77, Scope: ownedScope, Units: 2}
+	for _, c := range []struct {
+		name  string
+		first func(owner *Table)
+	}{
+		{"request twice", func(owner *Table) { owner.AnswerRequest(11, Request{Charge: charge}, OwnerState{}, t0) }},
+		{"usage report first", func(owner *Table) { owner.ReceiveUsageReport(11, UsageReport{charge}, t0) }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			owner, quota := newOwnerQuota(10)
+			c.first(owner)
+			tokens := quota.Tokens
+			response, _ := owner.AnswerRequest(11, Request{Charge: charge}, OwnerState{}, t0+ms)
+			if !response.IsGranted || quota.Tokens > tokens+0.1 || quota.Tokens < tokens {
+				t.Errorf("got response %+v and %v tokens, want a grant and %v tokens", response, quota.Tokens, tokens)
+			}
+		})
+	}
+}
+
+// TestGrantLeavesAbsentHardLimitAlone checks that a grant takes no units off the hard limit of a plan that has none.
+func TestGrantLeavesAbsentHardLimitAlone(t *testing.T) {
+	owner, quota := newOwnerQuota(10)
+	request := Request{Charge: Charge{Number: 1, Customer: quota.Customer, Scope: ownedScope, Units: 2}}
+	if response, _ := owner.AnswerRequest(11, request, OwnerState{}, t0); !response.IsGranted {
+		t.Fatalf("response: got %+v, want a grant", response)
+	}
+	if got := owner.Export(t0)[0].HardLimitTokens; got != 0 {
+		t.Errorf("exported hard limit tokens: got %v, want 0", got)
+	}
+}
