--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -134,6 +134,28 @@
 	}
 }
 
+// The result of a health check that was sent before a connection failed neither shows that the process has been running
+// since, nor ends the wait for the result of the check that the failed connection caused.
+func TestEarlierHealthCheckDoesNotClearFailures(t *testing.T) {
+	for _, earlier := range []Result{OK, TimedOut} {
+		t.Run(earlier.String(), func(t *testing.T) {
+			e, r := newEngine(t, healthCheckSettings(), testServers(1)...)
+			s := e.servers.list[0]
+			isCold := func() bool { return s.capacityFraction(e.now, &e.settings) < 1 }
+			e.healthChecks.send(t0-20*ms, s, r)
+			failConnection(e, r, 1, t0)
+			e.HealthCheckCompleted(t0+5*ms, "s0", earlier, nil, r)
+			if !isCold() {
+				t.Error("server is warm after the result of a check that was sent before the connection failed")
+			}
+			e.HealthCheckCompleted(t0+10*ms, "s0", OK, nil, r)
+			if isCold() {
+				t.Error("server is cold although the check that was sent at once was answered")
+			}
+		})
+	}
+}
+
 // A response on a connection that was established before a failed connection shows that the process was up. Connections
 // that failed before it was established still count as a sign of a restart.
 func TestResponseOnOlderConnectionClearsFailures(t *testing.T) {
