--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"testing"
 	"time"
 
@@ -228,6 +229,25 @@
 	}
 }
 
+// Findings of peers that may be about another server with the same ID in findings make no server suspected. The server
+// is checked, so that this node gets evidence of its own.
+func TestAmbiguousFindingsSuspectNoServer(t *testing.T) {
+	e, r := newSubsetEngine(t)
+	e.now, e.actions = t0+10*time.Second, r
+	member := e.subset.members[0]
+	outside := e.servers.list[slices.IndexFunc(e.servers.list, func(s *server) bool { return !s.inSubset })]
+	outside.gossipID = member.gossipID
+	for _, peer := range []int{9, 10} {
+		receiveFinding(e, peer, quota.Finding{ServerID: outside.gossipID})
+	}
+	if member.isSuspected(e.now) {
+		t.Errorf("server %s is suspected by findings that may be about %s", member.ID, outside.ID)
+	}
+	if want := "check " + member.ID; r.count(want) != 1 {
+		t.Errorf("got actions %v, want %s", r.actions, want)
+	}
+}
+
 // Old findings of peers do not count, and findings of peers count for less than a response received a moment ago.
 func TestSuspicionYieldsToEvidence(t *testing.T) {
 	e, r := newSubsetEngine(t)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -93,7 +93,8 @@
 // wireComponents gives each component of a new engine references to the other components' state that it reads.
 func wireComponents(e *Engine) {
 	e.failures = failureDetector{
-		settings: &e.settings, subset: &e.subset, zones: zonehealth.New(zonehealth.DefaultSettings),
+		settings: &e.settings, servers: &e.servers, subset: &e.subset,
+		zones: zonehealth.New(zonehealth.DefaultSettings),
 	}
 	e.healthChecks = healthChecker{settings: &e.settings, subset: &e.subset}
 	e.slowStart = slowStart{
--- a/policy/server.go
+++ b/policy/server.go
@@ -119,9 +119,8 @@
 	}
 }
 
-// gossipIDOf returns the hash that identifies a server in findings. If two servers have the same hash, a finding about
-// one counts for the other as well: a confirmed one causes a needless health check of the other, which may be suspected
-// until it responds or findingTTL has passed. See [failureDetector.recordPeerFinding].
+// gossipIDOf returns the hash that identifies a server in findings. If two servers have the same hash, a confirmed
+// finding about one causes a health check of both, and neither is suspected. See [failureDetector.recordPeerFinding].
 func gossipIDOf(id string) uint16 {
 	f := fnv.New32a()
 	f.Write([]byte(id))
--- a/policy/server_table.go
+++ b/policy/server_table.go
@@ -72,6 +72,15 @@
 	}
 }
 
+// hasGossipIDTwice reports whether several servers have a gossip ID.
+func (t *serverTable) hasGossipIDTwice(id uint16) bool {
+	count := 0
+	for _, s := range t.list {
+		count += boolToInt(s.gossipID == id)
+	}
+	return count > 1
+}
+
 // availableIn yields the servers of a zone that accept requests and are not unresponsive, with the capacity fraction
 // of each.
 func (t *serverTable) availableIn(
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -22,6 +22,7 @@
 // are used only by nodes with a subset: a node that uses all servers detects the failure of each soon enough by itself.
 type failureDetector struct {
 	settings *Settings
+	servers  *serverTable
 	subset   *serverSubset
 
 	zones    *zonehealth.Detector
@@ -142,7 +143,8 @@
 // it contradicts this node's view of the server. The finding of a single peer changes nothing about the server. If a
 // confirmed finding is that the server is down, the server is suspected: it gets no requests while others of the subset
 // can serve them. Such a finding is not confirmed if this node has fresh evidence that the server is up, nor once half
-// of the subset is suspected: a faulty node or link cannot empty the subset.
+// of the subset is suspected: a faulty node or link cannot empty the subset. If the finding may be about another
+// server, which has the same gossip ID, the server is not suspected.
 func (d *failureDetector) recordPeerFinding(now time.Duration, s *server, from int, finding quota.Finding) bool {
 	reports := &s.downReports
 	if finding.IsUp {
@@ -158,7 +160,9 @@
 	if hasFreshEvidence || 2*d.subset.suspectedCount(now) >= len(d.subset.members) {
 		return false
 	}
-	s.suspectedUntil = now + findingTTL
+	if !d.servers.hasGossipIDTwice(s.gossipID) {
+		s.suspectedUntil = now + findingTTL
+	}
 	return true
 }
 
