--- a/policy/connections.go
+++ b/policy/connections.go
@@ -1,16 +1,21 @@
 package policy
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 const (
 	idleConnectionTimeout = 10 * time.Second // idle time after which a connection may have been closed
 	maxConnectFailures    = 8                // failed connections that are recorded per server
 )
 
-// recordConnectFailure records that a connection could not be established: the server process may have restarted.
+// recordConnectFailure records that a connection could not be established: the server process may have restarted. At
+// the limit the first failure is kept and the next one dropped: a response on a connection that is older than the
+// latest failures must not clear the record of a restart before it.
 func (s *server) recordConnectFailure(now time.Duration) {
-	if len(s.connectFailures) == maxConnectFailures {
-		s.connectFailures = s.connectFailures[:maxConnectFailures-1]
+	if len(s.connectFailures) >= maxConnectFailures {
+		s.connectFailures = slices.Delete(s.connectFailures, 1, 2)
 	}
 	s.connectFailures = append(s.connectFailures, now)
 	s.connectFailedAt = now
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -178,6 +178,27 @@
 	}
 }
 
+// At its limit, the record of failed connections has the first one and the latest. A response on a connection that was
+// established among the latest leaves the last failure before it.
+func TestLatestConnectFailuresAreKept(t *testing.T) {
+	s := newServer("s0")
+	for i := range 2 * maxConnectFailures {
+		s.recordConnectFailure(t0 + time.Duration(i)*ms)
+	}
+	want := []time.Duration{t0}
+	for i := maxConnectFailures + 1; i < 2*maxConnectFailures; i++ {
+		want = append(want, t0+time.Duration(i)*ms)
+	}
+	if !slices.Equal(s.connectFailures, want) {
+		t.Errorf("failed connections: got %v, want %v", s.connectFailures, want)
+	}
+	upSince := t0 + (2*maxConnectFailures-4)*ms
+	s.clearConnectFailuresSince(upSince)
+	if s.connectFailedAt != upSince-ms {
+		t.Errorf("last failed connection: got %v, want %v", s.connectFailedAt, upSince-ms)
+	}
+}
+
 // receiveDownFindings passes a peer's findings that all servers are unresponsive to an engine.
 func receiveDownFindings(e *Engine, from int) {
 	for _, s := range e.servers.list {
