--- a/routing/charge_test.go
+++ b/routing/charge_test.go
@@ -71,6 +71,31 @@
 	})
 }
 
+// TestHeaderErrors checks that the error of a header names what is wrong: a field of another spelling is no duplicate.
+func TestHeaderErrors(t *testing.T) {
+	op := &Operation{Units: Units{Source: ParamSource{In: InHeader, Name: "X-Units"}, Min: 1, Max: 50}}
+	const other = "header X-Units: a field of a similar name, which servers could take for it, is not allowed"
+	for _, c := range []struct {
+		name   string
+		header testHeader
+		want   string
+	}{
+		{"missing", testHeader{}, "header X-Units: is missing"},
+		{"twice", testHeader{"X-Units": {"9", "1"}}, "header X-Units: stands more than once"},
+		{"another spelling", testHeader{"X_Units": {"9"}}, other},
+		{"another spelling beside it", testHeader{"X-Units": {"9"}, "X_Units": {"1"}}, other},
+		{"another spelling beside two", testHeader{"X-Units": {"9", "1"}, "X_Units": {"1"}},
+			"header X-Units: stands more than once"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := op.CheckAndReadUnits(Request{Header: c.header})
+			if err == nil || err.Error() != c.want {
+				t.Errorf("got error %v, want %s", err, c.want)
+			}
+		})
+	}
+}
+
 func TestChargeByBody(t *testing.T) {
 	checkCharges(t, InBody, "/n", 3, []chargeCase{
 		{Request{Header: jsonHeader, Body: []byte(`{"n": 5}`)}, 5},
--- a/routing/source.go
+++ b/routing/source.go
@@ -13,6 +13,7 @@
 var (
 	errMissing   = errors.New("is missing")
 	errDuplicate = errors.New("stands more than once") // a parameter must occur once
+	errSimilar   = errors.New("a field of a similar name, which servers could take for it, is not allowed")
 )
 
 // Location is the part of a request that holds a parameter.
@@ -70,12 +71,16 @@
 	return "", errMissing
 }
 
-// headerValue returns the value of a header field, which must have a single line.
+// headerValue returns the value of a header field, which must have a single line. A field whose name resembles its name
+// is an error.
 func headerValue(h Header, name string) (string, error) {
 	value, lines := h.Values(name)
-	if lines > 1 || h.Resembles(name) {
+	if lines > 1 {
 		return "", errDuplicate
 	}
+	if h.Resembles(name) {
+		return "", errSimilar
+	}
 	if lines == 0 {
 		return "", errMissing
 	}
