--- a/policy/quota_member_test.go
+++ b/policy/quota_member_test.go
@@ -149,3 +149,30 @@
 		t.Errorf("got actions %v, want one rejection", r.actions)
 	}
 }
+
+// The owner of a quota with a limit in flight is notified once that an attempt has ended. The message is sent twice, in
+// case one is lost.
+func TestEndOfAttemptIsReportedOnce(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		completed AttemptResult
+	}{
+		{"answered", AttemptResult{Result: OK, RequestAnswered: true}},
+		{"answered with an error", AttemptResult{Result: ErrorResponse, RequestAnswered: true}},
+		{"failed", AttemptResult{Result: NotSent}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			x := sendQuotaRequest(t, "open")
+			member, r := x.member, x.memberRecorder
+			number := member.requests.byID["r1"].number
+			member.GossipReceived(t0+ms, x.ownerIndex, x.ownerRecorder.gossip[10][0], r)
+			r.gossip = nil
+			c.completed.ID = "r1"
+			member.AttemptCompleted(t0+10*ms, c.completed, r)
+			ended := quota.Return{Number: number, Customer: ownedCustomer}
+			if got := returnsTo(member, r, x.ownerIndex); !slices.Equal(got, []quota.Return{ended, ended}) {
+				t.Errorf("got returns %+v, want %+v twice", got, ended)
+			}
+		})
+	}
+}
