--- a/internal/serverpool/conntable/idle_timeout.go
+++ b/internal/serverpool/conntable/idle_timeout.go
@@ -60,11 +60,13 @@
 	return t.takeIdle(conn.server)
 }
 
-// Prune removes the connections that have been idle for at least their timeout and returns them for the caller to
-// close. A nil subset means that all servers are in the subset.
+// Prune removes the connections that have been idle for at least their timeout, configured or learned, and returns them
+// for the caller to close. A nil subset means that all servers are in the subset.
 func (t *Table[C]) Prune(now time.Time, subset map[string]bool) (stale []*Conn[C]) {
 	for id, server := range t.servers {
-		timeout := t.config.pruneTimeout(subset == nil || subset[id])
+		configured := t.config.pruneTimeout(subset == nil || subset[id])
+		learned := server.idleTimeout.current(now, t.config.MaxIdleTimeout)
+		timeout := min(configured, learned)
 		stale = append(stale, server.takeIdleFor(now, timeout)...)
 	}
 	t.openCount -= len(stale)
--- a/internal/serverpool/conntable/table_test.go
+++ b/internal/serverpool/conntable/table_test.go
@@ -400,6 +400,35 @@
 	close a1, open 1`)
 }
 
+// Prune closes connections to a server with a learned idle timeout after that timeout, and those of other servers later.
+func TestPruneAfterLearnedTimeout(t *testing.T) {
+	runTranscript(t, withMaxOpen(9), twoServers+`
+	> wait 2s
+	at 2s, open 3
+	> acquire a
+	reuse a1, open 3
+	> reset a1 0s
+	close none, open 3
+	> discard a1
+	counted, open 2
+	> timeout a
+	1s, open 2
+	> release a2
+	idle, open 2
+	> wait 999ms
+	at 2.999s, open 2
+	> prune
+	close none, open 2
+	> wait 1ms
+	at 3s, open 2
+	> prune
+	close a2, open 1
+	> wait 5s
+	at 8s, open 1
+	> prune
+	close b1, open 0`)
+}
+
 // TakeAllIdle, which a hot restart calls, takes the idle connections and leaves those in use open.
 func TestTakeAllIdle(t *testing.T) {
 	runTranscript(t, withMaxOpen(9), twoServers+`
