--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -54,7 +54,8 @@
 		MaxRetryAfter, ConnIdle, ConnectTimeout          float64
 	}
 	Rules struct {
-		AnswerSlack, AskWithin, ColdFrom, DrainGrace, FallMultiple, OverloadFor, RampTime float64
+		AnswerSlack, ColdFrom, DrainGrace, FallMultiple, OverloadFor, RampTime float64
+		AskWithin                                                              float64 // checked to be a number only
 	}
 	Tariffs []struct {
 		Name                                                     string
@@ -94,7 +95,6 @@
 		ColdOverloadMultiple: rules.FallMultiple,
 		ColdOverloadWindow:   seconds(rules.OverloadFor),
 		PollsEndpoints:       in.RegistryMode == registryModePolled,
-		EndpointPollInterval: seconds(rules.AskWithin),
 
 		MaxAttempts:        limits.MostTries,
 		AllowsHedging:      limits.ParallelTries,
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -58,6 +58,26 @@
 	}
 }
 
+// TestUnusedSettingsAreChecked checks that a key whose value nothing reads is accepted with a number only, and that
+// unknown keys are ignored.
+func TestUnusedSettingsAreChecked(t *testing.T) {
+	for _, c := range []struct {
+		rules      string
+		isAccepted bool
+	}{
+		{`{}`, true},
+		{`{"askWithin":0.5}`, true},
+		{`{"askWithin":-1}`, true},
+		{`{"askWithin":"0.5"}`, false},
+		{`{"unknown":"0.5"}`, true},
+	} {
+		_, _, err := ParseSettings([]byte(`{"feedback":{"how":"none"},"rules":` + c.rules + `}`))
+		if isAccepted := err == nil; isAccepted != c.isAccepted {
+			t.Errorf("rules %s: got error %v, want accepted: %v", c.rules, err, c.isAccepted)
+		}
+	}
+}
+
 func TestReadEndpoints(t *testing.T) {
 	events := mustRead(t, "PAGE 0 2\nITEM s.a IN 1 k z 0 -\nITEM s.b LAME 1.5 k y 3 6.1\n"+
 		"FLEET 3 41 0 Persisted\nFLEET 3 42 - Error\n", 2)
