--- a/policy/quota/grants.go
+++ b/policy/quota/grants.go
@@ -18,48 +18,57 @@
 	return max(minGrantRecords, int(received))
 }
 
-// lease permits an instance one attempt under a limit in flight, which an owner has granted. It is also used as the
-// record of a grant. It expires unless it is removed before.
+// lease permits an instance one attempt under a limit in flight, which an owner has granted. It expires unless it is
+// removed before.
 type lease struct {
 	from      int    // instance index
 	number    uint64 // of the request at that instance
 	expiresAt time.Duration
 }
 
+// grantRecord states that the units of a member's request have been taken, by a grant or a usage report.
+type grantRecord struct {
+	from      int    // instance index
+	number    uint64 // of the request at that instance
+	expiresAt time.Duration
+}
+
 // ownerGrants are the grants that an owner has made from one customer's quota.
 type ownerGrants struct {
-	recentGrants []lease // requests whose units were taken recently, to recognize repeats
-	leases       []lease // attempts under a limit in flight
+	grantRecords []grantRecord // of recent requests, oldest first
+	leases       []lease       // attempts under a limit in flight
 }
 
-// recordGrant records that the units of a quota request have been taken, for as long as a repeat may arrive.
+// recordGrant records that the units of a member's request have been taken, for as long as a repeat may arrive.
 func (g *ownerGrants) recordGrant(from int, number uint64, now time.Duration) {
-	g.recentGrants = append(g.recentGrants, lease{from, number, now + grantRecordTTL})
+	g.grantRecords = append(g.grantRecords, grantRecord{from, number, now + grantRecordTTL})
 }
 
 // hasRecordSpace reports whether fewer than limit unexpired records are stored.
 func (g *ownerGrants) hasRecordSpace(limit int, now time.Duration) bool {
-	g.expireGrants(now)
-	return len(g.recentGrants) < limit
+	g.expireRecords(now)
+	return len(g.grantRecords) < limit
 }
 
 // recordExpiryWait returns the time until the oldest record expires. There must be one.
 func (g *ownerGrants) recordExpiryWait(now time.Duration) time.Duration {
-	return g.recentGrants[0].expiresAt - now
+	return g.grantRecords[0].expiresAt - now
 }
 
-// expireGrants removes grants whose requests can no longer be repeated.
-func (g *ownerGrants) expireGrants(now time.Duration) {
+// expireRecords removes the records of requests that can no longer be repeated.
+func (g *ownerGrants) expireRecords(now time.Duration) {
 	expired := 0
-	for expired < len(g.recentGrants) && now >= g.recentGrants[expired].expiresAt {
+	for expired < len(g.grantRecords) && now >= g.grantRecords[expired].expiresAt {
 		expired++
 	}
-	g.recentGrants = g.recentGrants[expired:]
+	g.grantRecords = g.grantRecords[expired:]
 }
 
 // hasGrant reports whether the units of a quota request have already been taken.
 func (g *ownerGrants) hasGrant(from int, number uint64) bool {
-	return slices.ContainsFunc(g.recentGrants, func(l lease) bool { return l.from == from && l.number == number })
+	return slices.ContainsFunc(g.grantRecords, func(r grantRecord) bool {
+		return r.from == from && r.number == number
+	})
 }
 
 // endLease removes the lease of a request.
--- a/policy/quota/grants_test.go
+++ b/policy/quota/grants_test.go
@@ -67,8 +67,8 @@
 	if quota.Tokens != tokens {
 		t.Errorf("repeated usage reports charged %v units, want 0", tokens-quota.Tokens)
 	}
-	if limit := owner.Fleet.maxGrantRecords(); len(quota.recentGrants) > 2*limit {
-		t.Errorf("%d records, want at most %d", len(quota.recentGrants), 2*limit)
+	if limit := owner.Fleet.maxGrantRecords(); len(quota.grantRecords) > 2*limit {
+		t.Errorf("%d records, want at most %d", len(quota.grantRecords), 2*limit)
 	}
 }
 
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -53,17 +53,25 @@
 	quota *Quota, demand Demand, inboxRate float64, now time.Duration,
 ) Decision {
 	decision := t.Check(quota, demand, now)
-	wait := decision.RetryAfter
-	if decision.IsWithinQuota && !quota.ExceedsHardLimit(t.PlanOf(quota), demand.Units) {
-		if quota.hasRecordSpace(t.Fleet.maxGrantRecords(), now) {
-			return Decision{IsWithinQuota: true}
-		}
-		wait = max(quota.recordExpiryWait(now), t.Fleet.quotaUpdateWait())
+	if decision.IsWithinQuota {
+		decision = t.checkGrant(quota, demand.Units, now)
+	}
+	if !decision.IsWithinQuota && inboxRate > ownerOverloadFraction*t.Fleet.MaxGossipInboxRate {
+		decision.RetryAfter = max(decision.RetryAfter, t.Fleet.ownerOverloadWait(quota))
+	}
+	return decision
+}
+
+// checkGrant decides whether an owner can grant units that are within the quota. A rejection for the hard limit has no
+// wait, which tells it from the others: see [Response.ExceedsHardLimit].
+func (t *Table) checkGrant(quota *Quota, units float64, now time.Duration) Decision {
+	if quota.ExceedsHardLimit(t.PlanOf(quota), units) {
+		return Decision{}
 	}
-	if inboxRate > ownerOverloadFraction*t.Fleet.MaxGossipInboxRate {
-		wait = max(wait, t.Fleet.ownerOverloadWait(quota))
+	if !quota.hasRecordSpace(t.Fleet.maxGrantRecords(), now) {
+		return Decision{RetryAfter: max(quota.recordExpiryWait(now), t.Fleet.quotaUpdateWait())}
 	}
-	return Decision{RetryAfter: wait}
+	return Decision{IsWithinQuota: true}
 }
 
 // ownerOverloadWait returns the shortest wait of a member whose request is rejected while the owner's inbox is
