--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -54,8 +54,7 @@
 		MaxRetryAfter, ConnIdle, ConnectTimeout          float64
 	}
 	Rules struct {
-		AnswerSlack, ColdFrom, DrainGrace, FallMultiple, OverloadFor, RampTime float64
-		AskWithin                                                              float64 // checked to be a number only
+		AnswerSlack, AskWithin, ColdFrom, DrainGrace, FallMultiple, OverloadFor, RampTime float64
 	}
 	Tariffs []struct {
 		Name                                                     string
@@ -95,6 +94,7 @@
 		ColdOverloadMultiple: rules.FallMultiple,
 		ColdOverloadWindow:   seconds(rules.OverloadFor),
 		PollsEndpoints:       in.RegistryMode == registryModePolled,
+		EndpointPollInterval: seconds(rules.AskWithin),
 
 		MaxAttempts:        limits.MostTries,
 		AllowsHedging:      limits.ParallelTries,
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -78,13 +78,14 @@
 	SendsRetryAfter    bool          // clients receive the Retry-After of a rejection
 	MaxRetryAfter      time.Duration // a longer Retry-After is cut to this
 
-	LoadReports      LoadReportMode
-	PollsEndpoints   bool          // the endpoint list must be subscribed to with [Actions.WatchEndpoints]
-	GossipInboxRate  float64       // maximum number of gossip messages per second that a node receives; 0: no limit
-	SettlesUnits     bool          // [Request.Units] is an estimate until the first OK response
-	MaxUnits         float64       // maximum number of units of one request; 0: not known
-	MinEventInterval time.Duration // shortest time between events
-	ConnectTimeout   time.Duration // an attempt may reach its server up to this much after it is sent
+	LoadReports          LoadReportMode
+	PollsEndpoints       bool          // the endpoint list must be subscribed to with [Actions.WatchEndpoints]
+	EndpointPollInterval time.Duration // with PollsEndpoints: interval at which an unsubscribed node must poll; unused
+	GossipInboxRate      float64       // maximum number of gossip messages per second that a node receives; 0: no limit
+	SettlesUnits         bool          // [Request.Units] is an estimate until the first OK response
+	MaxUnits             float64       // maximum number of units of one request; 0: not known
+	MinEventInterval     time.Duration // shortest time between events
+	ConnectTimeout       time.Duration // an attempt may reach its server up to this much after it is sent
 
 	// Prices, in points. The engine only checks whether CrossZonePrice is above 0; the others are unused.
 	CrossZonePrice   float64 // for attempts to other zones, as a fraction of requests
