--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"testing"
 	"time"
 
@@ -134,6 +135,28 @@
 	}
 }
 
+// The result of a health check that was sent before a connection failed neither shows that the process has been running
+// since, nor ends the wait for the result of the check that the failed connection caused.
+func TestEarlierHealthCheckDoesNotClearFailures(t *testing.T) {
+	for _, earlier := range []Result{OK, TimedOut} {
+		t.Run(earlier.String(), func(t *testing.T) {
+			e, r := newEngine(t, healthCheckSettings(), testServers(1)...)
+			s := e.servers.list[0]
+			isCold := func() bool { return s.capacityFraction(e.now, &e.settings) < 1 }
+			e.healthChecks.send(t0-20*ms, s, r)
+			failConnection(e, r, 1, t0)
+			e.HealthCheckCompleted(t0+5*ms, "s0", earlier, nil, r)
+			if !isCold() {
+				t.Error("server is warm after the result of a check that was sent before the connection failed")
+			}
+			e.HealthCheckCompleted(t0+10*ms, "s0", OK, nil, r)
+			if isCold() {
+				t.Error("server is cold although the check that was sent at once was answered")
+			}
+		})
+	}
+}
+
 // A response on a connection that was established before a failed connection shows that the process was up. Connections
 // that failed before it was established still count as a sign of a restart.
 func TestResponseOnOlderConnectionClearsFailures(t *testing.T) {
@@ -155,6 +178,27 @@
 	}
 }
 
+// At its limit, the record of failed connections has the first one and the latest. A response on a connection that was
+// established among the latest leaves the last failure before it.
+func TestLatestConnectFailuresAreKept(t *testing.T) {
+	s := newServer("s0")
+	for i := range 2 * maxConnectFailures {
+		s.recordConnectFailure(t0 + time.Duration(i)*ms)
+	}
+	want := []time.Duration{t0}
+	for i := maxConnectFailures + 1; i < 2*maxConnectFailures; i++ {
+		want = append(want, t0+time.Duration(i)*ms)
+	}
+	if !slices.Equal(s.connectFailures, want) {
+		t.Errorf("failed connections: got %v, want %v", s.connectFailures, want)
+	}
+	upSince := t0 + (2*maxConnectFailures-4)*ms
+	s.clearConnectFailuresSince(upSince)
+	if s.connectFailedAt != upSince-ms {
+		t.Errorf("last failed connection: got %v, want %v", s.connectFailedAt, upSince-ms)
+	}
+}
+
 // receiveDownFindings passes a peer's findings that all servers are unresponsive to an engine.
 func receiveDownFindings(e *Engine, from int) {
 	for _, s := range e.servers.list {
@@ -206,6 +250,25 @@
 	}
 }
 
+// Findings of peers that may be about another server with the same ID in findings make no server suspected. The server
+// is checked, so that this node gets evidence of its own.
+func TestAmbiguousFindingsSuspectNoServer(t *testing.T) {
+	e, r := newSubsetEngine(t)
+	e.now, e.actions = t0+10*time.Second, r
+	member := e.subset.members[0]
+	outside := e.servers.list[slices.IndexFunc(e.servers.list, func(s *server) bool { return !s.inSubset })]
+	outside.gossipID = member.gossipID
+	for _, peer := range []int{9, 10} {
+		receiveFinding(e, peer, quota.Finding{ServerID: outside.gossipID})
+	}
+	if member.isSuspected(e.now) {
+		t.Errorf("server %s is suspected by findings that may be about %s", member.ID, outside.ID)
+	}
+	if want := "check " + member.ID; r.count(want) != 1 {
+		t.Errorf("got actions %v, want %s", r.actions, want)
+	}
+}
+
 // Old findings of peers do not count, and findings of peers count for less than a response received a moment ago.
 func TestSuspicionYieldsToEvidence(t *testing.T) {
 	e, r := newSubsetEngine(t)
