--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -87,9 +87,17 @@
 	if _, err := os.Stat(c.DataFile); errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: %w", c.DataFile, ErrNotInitialized)
 	}
-	if id, err := c.Credentials.Identity(); err != nil || id.Cluster != c.Cluster || id.Member != c.MemberID {
-		return fmt.Errorf("certificate: issued to member %d of cluster %q, want member %d of cluster %q: %w",
-			id.Member, id.Cluster, c.MemberID, c.Cluster, err)
+	return checkCertificate(c.Credentials, raftnode.Identity{Cluster: c.Cluster, Member: c.MemberID})
+}
+
+// checkCertificate returns an error if a certificate does not identify the expected subject.
+func checkCertificate(credentials raftnode.Credentials, want raftnode.Identity) error {
+	got, err := credentials.Identity()
+	if err != nil {
+		return fmt.Errorf("certificate: want that of %v: %w", want, err)
+	}
+	if got != want {
+		return fmt.Errorf("certificate: issued to %v, want %v", got, want)
 	}
 	return nil
 }
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"strings"
 	"sync"
@@ -33,11 +32,7 @@
 
 // checkIdentity checks that the certificate identifies this follower.
 func (c *FollowerConfig) checkIdentity() error {
-	if id, err := c.Credentials.Identity(); err != nil || id.Cluster != c.Cluster || id.Follower != c.Name {
-		return fmt.Errorf("certificate: issued to follower %q of cluster %q, want follower %q of cluster %q: %w",
-			id.Follower, id.Cluster, c.Name, c.Cluster, err)
-	}
-	return nil
+	return checkCertificate(c.Credentials, raftnode.Identity{Cluster: c.Cluster, Follower: c.Name})
 }
 
 // setHeartbeatInterval replaces a zero interval by keyHeartbeatInterval if key ownership is enabled.
--- a/internal/cluster/verdict_test.go
+++ b/internal/cluster/verdict_test.go
@@ -193,3 +193,36 @@
 		})
 	}
 }
+
+// A certificate that identifies another member or follower is rejected with an error that names both.
+func TestCheckIdentity(t *testing.T) {
+	t.Parallel()
+	const memberTwo = `certificate: issued to member 2 of cluster "test", want `
+	credentials := memberCredentials(t, newTestAuthority(t, testClusterName), 2)
+	for _, test := range []struct {
+		name   string
+		config interface{ checkIdentity() error }
+		want   string // the error's text; empty if the certificate is accepted
+	}{
+		{"own", &MemberConfig{Cluster: "test", MemberID: 2}, ""},
+		{"another member", &MemberConfig{Cluster: "test", MemberID: 1}, memberTwo + `member 1 of cluster "test"`},
+		{"another cluster", &MemberConfig{Cluster: "d", MemberID: 2}, memberTwo + `member 2 of cluster "d"`},
+		{
+			"a follower", &FollowerConfig{Cluster: "test", Name: "north"},
+			memberTwo + `follower "north" of cluster "test"`,
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			switch config := test.config.(type) {
+			case *MemberConfig:
+				config.Credentials, config.DataFile = credentials, t.TempDir()
+			case *FollowerConfig:
+				config.Credentials = credentials
+			}
+			err := test.config.checkIdentity()
+			if (err == nil) != (test.want == "") || err != nil && err.Error() != test.want {
+				t.Errorf("checkIdentity: got error %v, want %q", err, test.want)
+			}
+		})
+	}
+}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -138,8 +138,12 @@
 	if err := c.HandshakeContext(ctx); err != nil {
 		return nil, fmt.Errorf("link: TLS handshake: %w", err)
 	}
-	if got, err := r.config.Verify(c.ConnectionState()); err != nil || got != want {
-		return nil, fmt.Errorf("link: peer certificate is for member %d, want member %d: %w", got, want, err)
+	got, err := r.config.Verify(c.ConnectionState())
+	if err != nil {
+		return nil, fmt.Errorf("link: %w", err)
+	}
+	if got != want {
+		return nil, fmt.Errorf("link: peer certificate is for member %d, want member %d", got, want)
 	}
 	return c, nil
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -271,6 +271,44 @@
 	h.expectNoRequest()
 }
 
+// A connection to an instance whose certificate is not that of the expected member is rejected with the reason.
+func TestRelayRejectsCertificateOfOtherMember(t *testing.T) {
+	authority, err := raftnode.NewAuthority("test")
+	if err != nil {
+		t.Fatal(err)
+	}
+	config := &RelayConfig{TLS: memberTLSConfig(t, authority, 1)}
+	r := &relay{config: config}
+	for name, test := range map[string]struct{ cluster, server, want string }{
+		"member":  {"test", "site-b/@7", "link: peer certificate is for member 2, want member 7"},
+		"cluster": {"other", "site-b/@2", `link: certificate of "test/2" is not the certificate of a member of cluster "other"`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			near, far := net.Pipe()
+			defer near.Close()
+			defer far.Close()
+			go tls.Server(far, memberTLSConfig(t, authority, 2)).HandshakeContext(t.Context())
+			config.Verify = func(s tls.ConnectionState) (uint64, error) { return raftnode.VerifyMember(test.cluster, s) }
+			_, err := r.secure(t.Context(), test.server, near)
+			if err == nil || err.Error() != test.want {
+				t.Errorf("secure: got error %v, want %q", err, test.want)
+			}
+		})
+	}
+}
+
+// memberTLSConfig returns the TLS configuration of a member with a new certificate.
+func memberTLSConfig(t *testing.T, authority *raftnode.Authority, member uint64) *tls.Config {
+	t.Helper()
+	credentials, err := authority.IssueCredentials(member)
+	if err != nil {
+		t.Fatal(err)
+	}
+	config := credentials.TLSConfig()
+	config.SessionTicketsDisabled = true
+	return config
+}
+
 // The near instance charges a relayed request. The far instance does not reject it even if the customer's quota is
 // exhausted there.
 func TestRelayIsChargedWhereItEntered(t *testing.T) {
--- a/internal/raftnode/certificate_files.go
+++ b/internal/raftnode/certificate_files.go
@@ -107,9 +107,12 @@
 		return nil, fmt.Errorf("authority: %w", err)
 	}
 	key, isECDSA := pair.PrivateKey.(*ecdsa.PrivateKey)
+	if !isECDSA {
+		return nil, fmt.Errorf("authority: the key is of type %T, want %T", pair.PrivateKey, key)
+	}
 	certificate, err := x509.ParseCertificate(pair.Certificate[0])
-	if err != nil || !isECDSA {
-		return nil, fmt.Errorf("authority: invalid certificate, or not an ECDSA key: %w", err)
+	if err != nil {
+		return nil, fmt.Errorf("authority: invalid certificate: %w", err)
 	}
 	return &Authority{Cluster: certificate.Subject.CommonName, certificate: certificate, key: key}, nil
 }
--- a/internal/raftnode/certificates_test.go
+++ b/internal/raftnode/certificates_test.go
@@ -1,11 +1,15 @@
 package raftnode
 
 import (
+	"crypto/ed25519"
+	"crypto/rand"
 	"crypto/tls"
 	"crypto/x509"
 	"encoding/pem"
 	"errors"
 	"io/fs"
+	"os"
+	"path/filepath"
 	"testing"
 	"time"
 )
@@ -71,6 +75,47 @@
 	}
 }
 
+// Tests that an authority whose key is of another type than ECDSA is rejected with an error that names both types.
+func TestLoadAuthorityWithOtherKeyType(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	writeEd25519Authority(t, dir)
+	_, err := LoadAuthority(dir)
+	const want = "authority: the key is of type ed25519.PrivateKey, want *ecdsa.PrivateKey"
+	if err == nil || err.Error() != want {
+		t.Errorf("LoadAuthority: got error %v, want %q", err, want)
+	}
+}
+
+// writeEd25519Authority writes the certificate and the key of an authority with an Ed25519 key.
+func writeEd25519Authority(t *testing.T, dir string) {
+	t.Helper()
+	publicKey, privateKey, err := ed25519.GenerateKey(rand.Reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	template, err := newTemplate("c")
+	if err != nil {
+		t.Fatal(err)
+	}
+	certificate, err := x509.CreateCertificate(rand.Reader, template, template, publicKey, privateKey)
+	if err != nil {
+		t.Fatal(err)
+	}
+	key, err := x509.MarshalPKCS8PrivateKey(privateKey)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, block := range map[string]*pem.Block{
+		authorityFile:    {Type: pemCertificate, Bytes: certificate},
+		authorityKeyFile: {Type: pemPrivateKey, Bytes: key},
+	} {
+		if err := os.WriteFile(filepath.Join(dir, name), pem.EncodeToMemory(block), keyMode); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 // Tests that a member whose clock is up to an hour behind the issuer's clock accepts a new certificate.
 func TestCertificateClockSkew(t *testing.T) {
 	t.Parallel()
--- a/internal/raftnode/identity.go
+++ b/internal/raftnode/identity.go
@@ -22,6 +22,18 @@
 	Follower string // follower name, or "" if the subject is not a follower
 }
 
+// String returns the subject's role, its id or name, and its cluster.
+func (i Identity) String() string {
+	switch {
+	case i.Operator != "":
+		return fmt.Sprintf("operator %q of cluster %q", i.Operator, i.Cluster)
+	case i.Follower != "":
+		return fmt.Sprintf("follower %q of cluster %q", i.Follower, i.Cluster)
+	default:
+		return fmt.Sprintf("member %d of cluster %q", i.Member, i.Cluster)
+	}
+}
+
 // IdentityOf returns the identity in a certificate. It does not verify the certificate's signature.
 func IdentityOf(certificate *x509.Certificate) (Identity, error) {
 	commonName := certificate.Subject.CommonName
