--- a/internal/raftnode/certificates_test.go
+++ b/internal/raftnode/certificates_test.go
@@ -26,6 +26,7 @@
 		"test/follower/3":            0,
 		"test/operator/3":            0,
 		"test/3x":                    0,
+		memberCommonName("test", 0):  0,
 	} {
 		t.Run(commonName, func(t *testing.T) {
 			encoded, _, err := authority.issueCertificate(commonName)
--- a/internal/raftnode/peer_identity.go
+++ b/internal/raftnode/peer_identity.go
@@ -32,14 +32,13 @@
 	if len(state.PeerCertificates) == 0 {
 		return 0, errNoCertificate
 	}
-	name := state.PeerCertificates[0].Subject.CommonName
-	peerCluster, number, ok := cutLast(name, "/")
-	var id uint64
-	_, err := fmt.Sscanf(number, "%d", &id)
-	if !ok || err != nil || peerCluster != cluster || name != memberCommonName(cluster, id) {
+	certificate := state.PeerCertificates[0]
+	identity, err := IdentityOf(certificate)
+	if err != nil || identity.Cluster != cluster || identity.Member == 0 {
+		name := certificate.Subject.CommonName
 		return 0, fmt.Errorf("certificate of %q is not the certificate of a member of cluster %q", name, cluster)
 	}
-	return id, nil
+	return identity.Member, nil
 }
 
 // memberCommonName returns the common name in a member's certificate.
