--- a/internal/raftnode/caller_error_test.go
+++ b/internal/raftnode/caller_error_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"runtime"
 	"testing"
 
 	"mulleinmux/clusterconfig"
@@ -40,6 +41,38 @@
 	}
 }
 
+// Tests that a request that is queued just as the member's event loop ends returns ErrStopped, before its context ends.
+func TestRequestQueuedAtStopReturnsErrStopped(t *testing.T) {
+	t.Parallel()
+	for name, call := range map[string]func(context.Context, *Node) error{
+		"read": func(ctx context.Context, n *Node) error {
+			return n.LinearizableRead(ctx, func(*clusterconfig.State) { t.Error("the state was read") })
+		},
+		"status": func(ctx context.Context, n *Node) error { _, err := n.Status(ctx); return err },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			loop := newEventLoop()
+			n := &Node{
+				cfg:  NodeConfig{TickInterval: testTimeout}, // no attempt ends by its own timeout
+				loop: loop,
+				core: &Core{cfg: Config{ElectionTicks: 1}},
+			}
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
+			defer cancel()
+			result := make(chan error, 1)
+			go func() { result <- call(ctx, n) }()
+			for len(loop.events) == 0 && ctx.Err() == nil {
+				runtime.Gosched()
+			}
+			close(loop.done)
+			if err := <-result; !errors.Is(err, ErrStopped) || ctx.Err() != nil {
+				t.Errorf("got error %v, context error %v; want ErrStopped before the context ends", err, ctx.Err())
+			}
+		})
+	}
+}
+
 // Tests that a read beyond the limit of pending reads is rejected with errTooManyReads and not with ErrStopped.
 func TestReadBeyondLimitIsNotErrStopped(t *testing.T) {
 	c := &Core{reads: newPendingReads()}
