--- a/internal/raftnode/caller_error_test.go
+++ b/internal/raftnode/caller_error_test.go
@@ -49,6 +49,10 @@
 			return n.LinearizableRead(ctx, func(*clusterconfig.State) { t.Error("the state was read") })
 		},
 		"status": func(ctx context.Context, n *Node) error { _, err := n.Status(ctx); return err },
+		"propose": func(ctx context.Context, n *Node) error {
+			_, err := n.Propose(ctx, &clusterconfig.Proposal{})
+			return err
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/raftnode/node_propose.go
+++ b/internal/raftnode/node_propose.go
@@ -16,11 +16,11 @@
 	proposalBytesPerElection = 1 << 20 // bytes of values for which the wait is one election timeout longer
 )
 
-// errNotEnqueued and errNoResult are the errors of an attempt to propose that do not come from the Core. They are not
+// errNotRun and errNoResult are the errors of an attempt to propose that do not come from the Core. They are not
 // returned to callers.
 var (
-	errNotEnqueued = errors.New("proposal not queued: the event loop or the context has ended")
-	errNoResult    = errors.New("no result of the proposal before the timeout or the end of the context")
+	errNotRun   = errors.New("proposal not run: the event loop or the context has ended")
+	errNoResult = errors.New("no result of the proposal before the timeout or the end of the context")
 )
 
 // proposalRetry decides after each attempt whether a proposal is repeated. A repeated proposal has the same id, so that
@@ -90,7 +90,7 @@
 	retry := newProposalRetry(p, n.electionTimeout())
 	for {
 		outcome, err := n.proposeOnce(ctx, p, retry.resultTimeout)
-		if errors.Is(err, errNotEnqueued) {
+		if errors.Is(err, errNotRun) {
 			err := n.loop.enqueueError(ctx)
 			if !errors.Is(err, ErrStopped) {
 				return clusterconfig.Outcome{}, retry.contextError(err)
@@ -115,8 +115,8 @@
 	return time.Duration(n.core.cfg.ElectionTicks) * n.cfg.TickInterval
 }
 
-// proposeOnce makes one attempt to propose. Besides the Core's errors, it returns errNotEnqueued if the event loop did
-// not accept the attempt, and errNoResult if the timeout or ctx ends before there is a result.
+// proposeOnce makes one attempt to propose. Besides the Core's errors, it returns errNotRun if the event loop or ctx has
+// ended before the attempt was run, and errNoResult if the timeout or ctx ends before there is a result.
 func (n *Node) proposeOnce(ctx context.Context, p *clusterconfig.Proposal,
 	timeout time.Duration) (clusterconfig.Outcome, error) {
 	type result struct {
@@ -129,7 +129,7 @@
 		once.Do(func() { results <- result{outcome, err} })
 	}
 	if !n.loop.enqueue(ctx, func() { n.core.Propose(p, done) }) {
-		return clusterconfig.Outcome{}, errNotEnqueued
+		return clusterconfig.Outcome{}, errNotRun
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -140,5 +140,12 @@
 		return clusterconfig.Outcome{}, errNoResult
 	case <-ctx.Done():
 		return clusterconfig.Outcome{}, errNoResult
+	case <-n.loop.done:
+	}
+	select {
+	case r := <-results:
+		return r.outcome, r.err
+	default: // the loop has ended without running the queued attempt
+		return clusterconfig.Outcome{}, errNotRun
 	}
 }
