--- a/internal/raftnode/core.go
+++ b/internal/raftnode/core.go
@@ -113,12 +113,13 @@
 }
 
 // confirmQuorum starts a linearizable read, by which a quorum confirms that the version applied by this member is the
-// newest. It does nothing if a quorum has confirmed that since the start, or while another read is pending.
+// newest. It does nothing if a quorum has confirmed that since the start, or while another read is pending, which has
+// the same effect.
 func (c *Core) confirmQuorum() {
 	if c.quorumConfirmed || len(c.reads.byID) > 0 {
 		return
 	}
-	c.ReadIndex(func(err error) { c.quorumConfirmed = c.quorumConfirmed || err == nil })
+	c.ReadIndex(func(error) {})
 }
 
 // Step handles a message from another member.
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	pb "go.etcd.io/raft/v3/raftpb"
+
 	"mulleinmux/clusterconfig"
 )
 
@@ -40,6 +42,32 @@
 	c.checkReads(501)
 }
 
+// Tests that a member is ready once any linearizable read is confirmed, not only a read of its own.
+func TestReadMakesMemberReady(t *testing.T) {
+	t.Parallel()
+	core, err := NewCore(Config{ID: 1, Voters: []uint64{1}}, &memoryStorage{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	isConfirmed := false
+	core.ReadIndex(func(err error) {
+		isConfirmed = true
+		if err != nil || !core.IsReady() {
+			t.Errorf("confirmed read: got error %v, ready %v; want a ready member", err, core.IsReady())
+		}
+	})
+	const maxTicks = 10 * defaultElectionTicks
+	for tick := 0; !isConfirmed; tick++ {
+		if tick == maxTicks {
+			t.Fatalf("the read is not confirmed after %d ticks", maxTicks)
+		}
+		core.Tick()
+		if err := core.ProcessReady(func(*pb.Message) {}); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 // checkReads checks that a linearizable read at each member returns the given version.
 func (c *liveCluster) checkReads(want uint64) {
 	c.t.Helper()
--- a/internal/raftnode/read_index.go
+++ b/internal/raftnode/read_index.go
@@ -89,7 +89,7 @@
 func decodeReadID(context []byte) uint64 { return binary.BigEndian.Uint64(context) }
 
 // ReadIndex calls done with nil as soon as this member has applied all entries that were committed in the cluster at
-// the time of the call, or with an error.
+// the time of the call, or with an error. The member is then ready (see [Core.IsReady]) unless there was an error.
 func (c *Core) ReadIndex(done func(error)) {
 	switch {
 	case c.stopErr != nil:
@@ -99,7 +99,12 @@
 		done(errTooManyReads)
 		return
 	}
-	c.requestReadIndex(c.reads.add(done))
+	c.requestReadIndex(c.reads.add(func(err error) {
+		if err == nil {
+			c.quorumConfirmed = true
+		}
+		done(err)
+	}))
 }
 
 // requestReadIndex requests the read index of a pending read from the leader.
