--- a/internal/cluster/admin_members.go
+++ b/internal/cluster/admin_members.go
@@ -58,6 +58,9 @@
 		if c.ReplacementID == c.MemberID {
 			return newBadRequest("with: must differ from member: the number of a removed member is never reused")
 		}
+		if err := c.checkReplacement(voters, learners); err != nil {
+			return err
+		}
 		return checkNewMember(c.ReplacementID, c.Addrs)
 	default:
 		return newBadRequest("op: must be add, remove, replace or transfer")
@@ -65,6 +68,17 @@
 	return nil
 }
 
+// checkReplacement returns an error if the replacement is a voter while the member to be replaced is still a member: the
+// change would only remove a member. The replacement may be a learner, since a replacement may be repeated.
+func (c *MembershipChange) checkReplacement(voters, learners []uint64) error {
+	isMember := slices.Contains(voters, c.MemberID) || slices.Contains(learners, c.MemberID)
+	if isMember && slices.Contains(voters, c.ReplacementID) {
+		return newBadRequest("with: %d is a voter already: use the number of a new member, or remove member %d",
+			c.ReplacementID, c.MemberID)
+	}
+	return nil
+}
+
 // checkNewMember returns an error if a new member has no ID or no addresses.
 func checkNewMember(id uint64, addrs *clusterconfig.Member) error {
 	if id == 0 || addrs == nil {
@@ -120,15 +134,23 @@
 	return a.proposeMemberAddrs(ctx, id, nil)
 }
 
-// replaceMember adds a member and removes another in one joint change.
+// replaceMember adds a member and removes another in one joint change. It returns an error if another change has made
+// the replacement a voter meanwhile.
 func (a *adminServer) replaceMember(ctx context.Context, change *MembershipChange) error {
 	add, remove := addVoter(change.ReplacementID), removeMember(change.MemberID)
+	var conflict error
 	swap := func(voters, learners []uint64) []*raftpb.ConfChangeSingle {
+		if conflict = change.checkReplacement(voters, learners); conflict != nil {
+			return nil
+		}
 		return append(add(voters, learners), remove(voters, learners)...)
 	}
 	if err := a.addMember(ctx, change.ReplacementID, change.Addrs, swap); err != nil {
 		return err
 	}
+	if conflict != nil {
+		return conflict
+	}
 	return a.proposeMemberAddrs(ctx, change.MemberID, nil)
 }
 
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -75,6 +75,33 @@
 	}
 }
 
+// A member cannot be replaced by a present voter, which would leave one voter fewer. Nothing of such a change is applied.
+func TestReplacementIsNotAVoter(t *testing.T) {
+	t.Parallel()
+	c := newTestCluster(t, 3)
+	c.propose(c.initialProposal())
+	c.awaitInstalled(1)
+	addrs := &clusterconfig.Member{RaftAddress: freeAddr(t), AdminAddress: freeAddr(t)}
+	replace := &MembershipChange{Op: "replace", MemberID: 3, ReplacementID: 2, Addrs: addrs}
+	if _, err := c.admin.ChangeMembers(c.ctx(), replace); !hasStatus(err, http.StatusBadRequest, "2 is a voter already") {
+		t.Errorf("replace member 3 by voter 2: got error %v, want status 400 and the reason", err)
+	}
+	c.checkMembersUnchanged()
+}
+
+// checkMembersUnchanged checks that the members are voters 1, 2 and 3 and that no addresses of members were agreed on.
+func (c *testCluster) checkMembersUnchanged() {
+	c.t.Helper()
+	status, err := c.admin.Status(c.ctx())
+	if err != nil || fmt.Sprint(status.Voters, status.Learners) != "[1 2 3] []" {
+		c.t.Errorf("got status %+v, error %v, want voters 1, 2 and 3 and no learner", status, err)
+	}
+	objects, err := c.admin.Objects(c.ctx(), false)
+	if agreed := objects.Objects[clusterconfig.KindMember]; err != nil || len(agreed) != 0 {
+		c.t.Errorf("got agreed addresses %s, error %v, want none", agreed, err)
+	}
+}
+
 // A new member that does not run stays a learner, does not count for the quorum, and can be removed. Not parallel: the
 // response is due 100 ms before the caller's timeout, and other clusters would delay it.
 func TestLearnerThatDoesNotRun(t *testing.T) {
--- a/internal/cluster/verdict_test.go
+++ b/internal/cluster/verdict_test.go
@@ -35,6 +35,14 @@
 		"replace by itself", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 1, Addrs: newMemberAddrs},
 		[]uint64{1, 2, 3}, nil, "with: must differ from member",
 	},
+	{
+		"replace by a voter", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 2, Addrs: newMemberAddrs},
+		[]uint64{1, 2, 3}, nil, "with: 2 is a voter already",
+	},
+	{
+		"replace by a learner", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 4, Addrs: newMemberAddrs},
+		[]uint64{1, 2, 3}, []uint64{4}, "",
+	},
 	{
 		"replace without addresses", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 4},
 		[]uint64{1, 2, 3}, nil, "needs a number",
