--- a/internal/cluster/admin_members.go
+++ b/internal/cluster/admin_members.go
@@ -68,6 +68,18 @@
 	return nil
 }
 
+// addedMember returns the ID of the member that a change adds. ok is false if the change adds none.
+func (c *MembershipChange) addedMember() (id uint64, ok bool) {
+	switch c.Op {
+	case opAddMember:
+		return c.MemberID, true
+	case opReplaceMember:
+		return c.ReplacementID, true
+	default:
+		return 0, false
+	}
+}
+
 // checkReplacement returns an error if the replacement is a voter while the member to be replaced is still a member: the
 // change would only remove a member. The replacement may be a learner, since a replacement may be repeated.
 func (c *MembershipChange) checkReplacement(voters, learners []uint64) error {
@@ -110,6 +122,9 @@
 	if err := change.check(status.Voters, status.Learners); err != nil {
 		return nil, err
 	}
+	if err := a.checkNewAddrs(ctx, change, &status); err != nil {
+		return nil, err
+	}
 	switch change.Op {
 	case opTransferLeadership:
 		err = a.member.node.TransferLeadership(ctx, change.MemberID)
--- a/internal/cluster/admin_proposals.go
+++ b/internal/cluster/admin_proposals.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 	"time"
 
@@ -103,34 +102,3 @@
 	}
 	return outcome, nil
 }
-
-// proposeMemberAddrs proposes the addresses of a member, or their removal if addrs is nil.
-func (a *adminServer) proposeMemberAddrs(ctx context.Context, id uint64, addrs *clusterconfig.Member) error {
-	name := fmt.Sprint(id)
-	change := clusterconfig.Change{Op: clusterconfig.OpRemove, Kind: clusterconfig.KindMember, Name: name}
-	if addrs != nil {
-		change = clusterconfig.NewPutChange(clusterconfig.KindMember, name, addrs)
-	}
-	state, err := a.member.node.AppliedState(ctx)
-	if err != nil {
-		return err
-	}
-	recorded, isRecorded := state.Get(clusterconfig.KindMember, name)
-	isRemoved := addrs == nil && !isRecorded
-	isUnchanged := addrs != nil && isRecorded && string(recorded) == string(change.Value)
-	if isRemoved || isUnchanged {
-		return nil
-	}
-	now := time.Now()
-	outcome, err := a.member.node.Propose(ctx, &clusterconfig.Proposal{
-		ID:           fmt.Sprintf("member-%d-%d", id, now.UnixNano()),
-		Author:       memberAuthor(a.member.cfg.MemberID),
-		Reason:       "change of members",
-		ProposedAtMs: now.UnixMilli(),
-		Changes:      []clusterconfig.Change{change},
-	})
-	if err == nil && !outcome.IsApplied {
-		err = newBadRequest("%s", outcome.RejectionReason)
-	}
-	return err
-}
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"log/slog"
 	"maps"
+	"net"
 	"net/http"
 	"path/filepath"
 	"strings"
@@ -89,6 +90,47 @@
 	c.checkMembersUnchanged()
 }
 
+// A member can be given new addresses only if it responds there: otherwise nothing is applied.
+func TestAddOfPresentMember(t *testing.T) {
+	t.Parallel()
+	c := newTestCluster(t, 3)
+	c.propose(c.initialProposal())
+	c.awaitInstalled(1)
+	first, second, unused := c.addrs[1], c.addrs[2], freeAddr(t)
+	for _, test := range []struct {
+		name        string
+		raft, admin string
+		status      int
+		want        string // part of the error
+	}{
+		{"no raft listener", unused, second.AdminAddress, http.StatusServiceUnavailable, "raft address " + unused},
+		{"no admin listener", second.RaftAddress, unused, http.StatusServiceUnavailable, "admin address " + unused},
+		{"another raft", first.RaftAddress, second.AdminAddress, http.StatusServiceUnavailable, "peer is member 1"},
+		{"another admin", second.RaftAddress, first.AdminAddress, http.StatusServiceUnavailable, "peer is member 1"},
+		{"invalid", "nowhere", second.AdminAddress, http.StatusBadRequest, "raft"},
+	} {
+		addrs := &clusterconfig.Member{RaftAddress: test.raft, AdminAddress: test.admin}
+		_, err := c.admin.ChangeMembers(c.ctx(), &MembershipChange{Op: "add", MemberID: 2, Addrs: addrs})
+		if !hasStatus(err, test.status, test.want) {
+			t.Errorf("add member 2 again, %s: got error %v, want status %d with %q", test.name, err, test.status, test.want)
+		}
+	}
+	c.checkMembersUnchanged()
+	_, port, err := net.SplitHostPort(second.RaftAddress)
+	if err != nil {
+		t.Fatal(err)
+	}
+	moved := &clusterconfig.Member{
+		RaftAddress:  net.JoinHostPort("::ffff:127.0.0.1", port), // reaches the listener on 127.0.0.1
+		AdminAddress: second.AdminAddress,
+	}
+	status, err := c.admin.ChangeMembers(c.ctx(), &MembershipChange{Op: "add", MemberID: 2, Addrs: moved})
+	if err != nil || fmt.Sprint(status.Voters) != "[1 2 3]" {
+		t.Errorf("add member 2 again where it responds: got status %+v, error %v, want voters 1, 2 and 3", status, err)
+	}
+	c.awaitAllStatuses("all members have the new address", 3, func(s Status) bool { return s.Members[2] == *moved })
+}
+
 // checkMembersUnchanged checks that the members are voters 1, 2 and 3 and that no addresses of members were agreed on.
 func (c *testCluster) checkMembersUnchanged() {
 	c.t.Helper()
--- a/internal/raftnode/node_membership.go
+++ b/internal/raftnode/node_membership.go
@@ -104,3 +104,14 @@
 		}
 	}
 }
+
+// CheckPeerAddress returns an error if a member does not accept connections of other members at an address. It verifies
+// the member's certificate and sends no message.
+func (n *Node) CheckPeerAddress(ctx context.Context, member uint64, address string) error {
+	conn, err := n.transport.dial(ctx, member, address)
+	if err != nil {
+		return err
+	}
+	conn.Close() // nothing was sent, so that a failure to close loses nothing
+	return nil
+}
--- a/internal/raftnode/peer_sender.go
+++ b/internal/raftnode/peer_sender.go
@@ -95,7 +95,7 @@
 	backoff := newRedialBackoff()
 	isFailureLogged := false
 	for ctx.Err() == nil {
-		conn, err := t.dial(ctx, sender)
+		conn, err := t.dial(ctx, sender.memberID, sender.address)
 		if err == nil {
 			backoff = newRedialBackoff()
 			isFailureLogged = false
@@ -154,10 +154,10 @@
 	}
 }
 
-// dial connects to a member and verifies that the peer is that member.
-func (t *transport) dial(ctx context.Context, sender *peerSender) (*tls.Conn, error) {
+// dial connects to a member at an address and verifies that the peer is that member.
+func (t *transport) dial(ctx context.Context, member uint64, address string) (*tls.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
-	rawConn, err := dialer.DialContext(ctx, "tcp", sender.address)
+	rawConn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 		rawConn.Close()
 		return nil, err
 	}
-	if _, err := t.verifyPeer(conn.ConnectionState(), sender.memberID); err != nil {
+	if _, err := t.verifyPeer(conn.ConnectionState(), member); err != nil {
 		rawConn.Close()
 		return nil, err
 	}
