--- a/internal/scenario/faults_members.go
+++ b/internal/scenario/faults_members.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"strconv"
 	"time"
 )
@@ -58,16 +59,28 @@
 }
 
 // awaitChangeAfterKill waits until a change is reported to an operator as applied after the leader's kill, and records
-// the delay. It reports whether there was one in time.
+// the delay. It reports whether there was one within maxLeaderLossTime. The wait may exceed the scenario's time, the
+// deadline of ctx, since the operators go on until the faults have ended. If ctx is canceled, the run has no verdict:
+// the wait ends without a violation.
 func (c *clusterRun) awaitChangeAfterKill(ctx context.Context, appliedBefore int, killedAt time.Time) bool {
+	waitCtx, cancelWait := context.WithDeadline(context.WithoutCancel(ctx), killedAt.Add(maxLeaderLossTime))
+	defer cancelWait()
+	stopWatching := context.AfterFunc(ctx, func() {
+		if errors.Is(ctx.Err(), context.Canceled) {
+			cancelWait()
+		}
+	})
+	defer stopWatching()
 	for {
 		applied, lastAppliedAt := c.countApplied()
 		if applied > appliedBefore && lastAppliedAt.After(killedAt) {
 			break
 		}
-		pause(ctx, leaderChangePollInterval)
-		if ctx.Err() != nil || time.Since(killedAt) > maxLeaderLossTime {
+		pause(waitCtx, leaderChangePollInterval)
+		if errors.Is(waitCtx.Err(), context.DeadlineExceeded) {
 			c.reportViolation("no change was applied within %v of the leader's kill", time.Since(killedAt))
+		}
+		if waitCtx.Err() != nil {
 			return false
 		}
 	}
--- a/internal/scenario/faults_members_test.go
+++ b/internal/scenario/faults_members_test.go
@@ -58,3 +58,50 @@
 		t.Errorf("got %d kills and violations %q, want one of each", run.killCount, run.environment.scenarioViolations)
 	}
 }
+
+// The wait for a change after a leader's kill must not be cut short by the end of the scenario's time: only the full
+// maxLeaderLossTime without a change is a violation.
+func TestAwaitChangeAfterKill(t *testing.T) {
+	t.Parallel()
+	for _, test := range []struct {
+		name       string
+		sinceKill  time.Duration // at the start of the wait
+		appliedIn  time.Duration // from the start of the wait until a change is applied; 0: none is
+		isCanceled bool          // the whole run, not only the scenario's time, has ended
+		want       bool
+		violations int
+	}{
+		{name: "change after the scenario's end", appliedIn: 50 * time.Millisecond, want: true},
+		{name: "no change in the full time", sinceKill: maxLeaderLossTime - 50*time.Millisecond, violations: 1},
+		{name: "canceled run", isCanceled: true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			run := &clusterRun{environment: &environment{}}
+			if test.appliedIn > 0 {
+				timer := time.AfterFunc(test.appliedIn, func() {
+					run.mu.Lock()
+					defer run.mu.Unlock()
+					run.configOperations = []configOperation{{isApplied: true, returned: time.Now()}}
+				})
+				defer timer.Stop()
+			}
+			runCtx, cancelRun := context.WithCancel(t.Context())
+			defer cancelRun()
+			if test.isCanceled {
+				cancelRun()
+			}
+			ctx, cancel := context.WithTimeout(runCtx, 0)
+			defer cancel()
+			killedAt := time.Now().Add(-test.sinceKill)
+			got := run.awaitChangeAfterKill(ctx, 0, killedAt)
+			violations := run.environment.scenarioViolations
+			if got != test.want || len(violations) != test.violations {
+				t.Errorf("got %v, violations %q; want %v and %d", got, violations, test.want, test.violations)
+			}
+			if waited := time.Since(killedAt); len(violations) > 0 && waited < maxLeaderLossTime {
+				t.Errorf("violation %v after the kill, want none before %v", waited, maxLeaderLossTime)
+			}
+		})
+	}
+}
