--- a/internal/configstreampb/stream.go
+++ b/internal/configstreampb/stream.go
@@ -97,7 +97,11 @@
 func Dial(ctx context.Context, client *http.Client, addr string, cancel context.CancelFunc) *FollowerStream {
 	c := connect.NewClient[FromFollower, FromMember](client, "https://"+addr+procedure,
 		connect.WithReadMaxBytes(MaxMessageBytes))
-	return &FollowerStream{c.CallBidiStream(ctx), cancel}
+	bidi := c.CallBidiStream(ctx)
+	// The HTTP/2 client does not notice the end of ctx while it waits for the next part of the request body, which would
+	// leave Receive waiting for the member. The end of the body ends that wait.
+	context.AfterFunc(ctx, func() { bidi.CloseRequest() })
+	return &FollowerStream{bidi, cancel}
 }
 
 // Abort ends the stream immediately. It may be called at any time and from any goroutine.
