--- a/internal/cluster/admin_members.go
+++ b/internal/cluster/admin_members.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// checkReplacement returns an error if the replacement is a voter while the member to be replaced is still a member: the
-// change would only remove a member. The replacement may be a learner, since a replacement may be repeated.
+// checkReplacement returns an error if the replacement is a voter while the member to be replaced is still a member:
+// the change would only remove a member. The replacement may be a learner, since a replacement may be repeated.
 func (c *MembershipChange) checkReplacement(voters, learners []uint64) error {
 	isMember := slices.Contains(voters, c.MemberID) || slices.Contains(learners, c.MemberID)
 	if isMember && slices.Contains(voters, c.ReplacementID) {
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// A member cannot be replaced by a present voter, which would leave one voter fewer. Nothing of such a change is applied.
+// A member cannot be replaced by a present voter, which would leave one voter fewer. Nothing of such a change is
+// applied.
 func TestReplacementIsNotAVoter(t *testing.T) {
 	t.Parallel()
 	c := newTestCluster(t, 3)
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -280,8 +280,10 @@
 	config := &RelayConfig{TLS: memberTLSConfig(t, authority, 1)}
 	r := &relay{config: config}
 	for name, test := range map[string]struct{ cluster, server, want string }{
-		"member":  {"test", "site-b/@7", "link: peer certificate is for member 2, want member 7"},
-		"cluster": {"other", "site-b/@2", `link: certificate of "test/2" is not the certificate of a member of cluster "other"`},
+		"member": {"test", "site-b/@7", "link: peer certificate is for member 2, want member 7"},
+		"cluster": {
+			"other", "site-b/@2", `link: certificate of "test/2" is not the certificate of a member of cluster "other"`,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := net.Pipe()
--- a/internal/raftnode/node_propose.go
+++ b/internal/raftnode/node_propose.go
@@ -115,8 +115,8 @@
 	return time.Duration(n.core.cfg.ElectionTicks) * n.cfg.TickInterval
 }
 
-// proposeOnce makes one attempt to propose. Besides the Core's errors, it returns errNotRun if the event loop or ctx has
-// ended before the attempt was run, and errNoResult if the timeout or ctx ends before there is a result.
+// proposeOnce makes one attempt to propose. Besides the Core's errors, it returns errNotRun if the event loop or ctx
+// has ended before the attempt was run, and errNoResult if the timeout or ctx ends before there is a result.
 func (n *Node) proposeOnce(ctx context.Context, p *clusterconfig.Proposal,
 	timeout time.Duration) (clusterconfig.Outcome, error) {
 	type result struct {
--- a/internal/raftnode/node_read.go
+++ b/internal/raftnode/node_read.go
@@ -11,8 +11,8 @@
 
 // LinearizableRead calls read with the state as soon as this member has applied all entries that were committed in the
 // cluster at the time of the call. read runs on the event loop: it must not block or retain the state. It is not called
-// after LinearizableRead has returned. The error is or wraps [ErrStopped] if the member has stopped, or [ErrNoLeader] if
-// ctx ends before the read is confirmed.
+// after LinearizableRead has returned. The error is or wraps [ErrStopped] if the member has stopped, or [ErrNoLeader]
+// if ctx ends before the read is confirmed.
 func (n *Node) LinearizableRead(ctx context.Context, read func(*clusterconfig.State)) error {
 	results := make(chan error, 1)
 	var mu sync.Mutex // guards hasReturned, and delays the return while read runs
