--- a/internal/cluster/admin_members.go
+++ b/internal/cluster/admin_members.go
@@ -58,6 +58,9 @@
 		if c.ReplacementID == c.MemberID {
 			return newBadRequest("with: must differ from member: the number of a removed member is never reused")
 		}
+		if err := c.checkReplacement(voters, learners); err != nil {
+			return err
+		}
 		return checkNewMember(c.ReplacementID, c.Addrs)
 	default:
 		return newBadRequest("op: must be add, remove, replace or transfer")
@@ -65,6 +68,29 @@
 	return nil
 }
 
+// addedMember returns the ID of the member that a change adds. ok is false if the change adds none.
+func (c *MembershipChange) addedMember() (id uint64, ok bool) {
+	switch c.Op {
+	case opAddMember:
+		return c.MemberID, true
+	case opReplaceMember:
+		return c.ReplacementID, true
+	default:
+		return 0, false
+	}
+}
+
+// checkReplacement returns an error if the replacement is a voter while the member to be replaced is still a member:
+// the change would only remove a member. The replacement may be a learner, since a replacement may be repeated.
+func (c *MembershipChange) checkReplacement(voters, learners []uint64) error {
+	isMember := slices.Contains(voters, c.MemberID) || slices.Contains(learners, c.MemberID)
+	if isMember && slices.Contains(voters, c.ReplacementID) {
+		return newBadRequest("with: %d is a voter already: use the number of a new member, or remove member %d",
+			c.ReplacementID, c.MemberID)
+	}
+	return nil
+}
+
 // checkNewMember returns an error if a new member has no ID or no addresses.
 func checkNewMember(id uint64, addrs *clusterconfig.Member) error {
 	if id == 0 || addrs == nil {
@@ -96,6 +122,9 @@
 	if err := change.check(status.Voters, status.Learners); err != nil {
 		return nil, err
 	}
+	if err := a.checkNewAddrs(ctx, change, &status); err != nil {
+		return nil, err
+	}
 	switch change.Op {
 	case opTransferLeadership:
 		err = a.member.node.TransferLeadership(ctx, change.MemberID)
@@ -120,15 +149,23 @@
 	return a.proposeMemberAddrs(ctx, id, nil)
 }
 
-// replaceMember adds a member and removes another in one joint change.
+// replaceMember adds a member and removes another in one joint change. It returns an error if another change has made
+// the replacement a voter meanwhile.
 func (a *adminServer) replaceMember(ctx context.Context, change *MembershipChange) error {
 	add, remove := addVoter(change.ReplacementID), removeMember(change.MemberID)
+	var conflict error
 	swap := func(voters, learners []uint64) []*raftpb.ConfChangeSingle {
+		if conflict = change.checkReplacement(voters, learners); conflict != nil {
+			return nil
+		}
 		return append(add(voters, learners), remove(voters, learners)...)
 	}
 	if err := a.addMember(ctx, change.ReplacementID, change.Addrs, swap); err != nil {
 		return err
 	}
+	if conflict != nil {
+		return conflict
+	}
 	return a.proposeMemberAddrs(ctx, change.MemberID, nil)
 }
 
--- a/internal/cluster/verdict_test.go
+++ b/internal/cluster/verdict_test.go
@@ -35,6 +35,14 @@
 		"replace by itself", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 1, Addrs: newMemberAddrs},
 		[]uint64{1, 2, 3}, nil, "with: must differ from member",
 	},
+	{
+		"replace by a voter", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 2, Addrs: newMemberAddrs},
+		[]uint64{1, 2, 3}, nil, "with: 2 is a voter already",
+	},
+	{
+		"replace by a learner", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 4, Addrs: newMemberAddrs},
+		[]uint64{1, 2, 3}, []uint64{4}, "",
+	},
 	{
 		"replace without addresses", MembershipChange{Op: "replace", MemberID: 1, ReplacementID: 4},
 		[]uint64{1, 2, 3}, nil, "needs a number",
@@ -193,3 +201,36 @@
 		})
 	}
 }
+
+// A certificate that identifies another member or follower is rejected with an error that names both.
+func TestCheckIdentity(t *testing.T) {
+	t.Parallel()
+	const memberTwo = `certificate: issued to member 2 of cluster "test", want `
+	credentials := memberCredentials(t, newTestAuthority(t, testClusterName), 2)
+	for _, test := range []struct {
+		name   string
+		config interface{ checkIdentity() error }
+		want   string // the error's text; empty if the certificate is accepted
+	}{
+		{"own", &MemberConfig{Cluster: "test", MemberID: 2}, ""},
+		{"another member", &MemberConfig{Cluster: "test", MemberID: 1}, memberTwo + `member 1 of cluster "test"`},
+		{"another cluster", &MemberConfig{Cluster: "d", MemberID: 2}, memberTwo + `member 2 of cluster "d"`},
+		{
+			"a follower", &FollowerConfig{Cluster: "test", Name: "north"},
+			memberTwo + `follower "north" of cluster "test"`,
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			switch config := test.config.(type) {
+			case *MemberConfig:
+				config.Credentials, config.DataFile = credentials, t.TempDir()
+			case *FollowerConfig:
+				config.Credentials = credentials
+			}
+			err := test.config.checkIdentity()
+			if (err == nil) != (test.want == "") || err != nil && err.Error() != test.want {
+				t.Errorf("checkIdentity: got error %v, want %q", err, test.want)
+			}
+		})
+	}
+}
