--- a/routing/charge_test.go
+++ b/routing/charge_test.go
@@ -81,11 +81,11 @@
 		want   string
 	}{
 		{"missing", testHeader{}, "header X-Units: is missing"},
-		{"twice", testHeader{"X-Units": {"9", "1"}}, "header X-Units: stands more than once"},
+		{"twice", testHeader{"X-Units": {"9", "1"}}, "header X-Units: occurs more than once"},
 		{"another spelling", testHeader{"X_Units": {"9"}}, other},
 		{"another spelling beside it", testHeader{"X-Units": {"9"}, "X_Units": {"1"}}, other},
 		{"another spelling beside two", testHeader{"X-Units": {"9", "1"}, "X_Units": {"1"}},
-			"header X-Units: stands more than once"},
+			"header X-Units: occurs more than once"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := op.CheckAndReadUnits(Request{Header: c.header})
