--- a/policy/events.go
+++ b/policy/events.go
@@ -124,10 +124,7 @@
 		e.quotas.Refill(r.quota, e.now)
 		e.returnUnits(r, unused)
 	}
-	if outcome.RequestAnswered || outcome.Result == OK {
-		e.closeRequest(r)
-	}
-	if r.isAnswered {
+	if r.isAnswered || outcome.RequestAnswered || outcome.Result == OK {
 		e.closeRequest(r)
 		return
 	}
