--- a/policy/quota/grants.go
+++ b/policy/quota/grants.go
@@ -31,6 +31,7 @@
 	from      int    // instance index
 	number    uint64 // of the request at that instance
 	expiresAt time.Duration
+	isLeased  bool // a lease has been recorded for the request, even if it has ended since
 }
 
 // ownerGrants are the grants that an owner has made from one customer's quota.
@@ -39,9 +40,20 @@
 	leases       []lease       // attempts under a limit in flight
 }
 
-// recordGrant records that the units of a member's request have been taken, for as long as a repeat may arrive.
-func (g *ownerGrants) recordGrant(from int, number uint64, now time.Duration) {
-	g.grantRecords = append(g.grantRecords, grantRecord{from, number, now + grantRecordTTL})
+// recordGrant records that the units of a member's request have been taken, for as long as a repeat may arrive. The
+// record is valid until the next one is added or removed.
+func (g *ownerGrants) recordGrant(from int, number uint64, now time.Duration) *grantRecord {
+	g.grantRecords = append(g.grantRecords, grantRecord{from: from, number: number, expiresAt: now + grantRecordTTL})
+	return &g.grantRecords[len(g.grantRecords)-1]
+}
+
+// addLease records a lease for a member's request, once: a repeat of the request may arrive after the lease has ended.
+func (g *ownerGrants) addLease(record *grantRecord, expiresAt time.Duration) {
+	if record.isLeased {
+		return
+	}
+	record.isLeased = true
+	g.leases = append(g.leases, lease{record.from, record.number, expiresAt})
 }
 
 // hasRecordSpace reports whether fewer than limit unexpired records are stored.
@@ -64,11 +76,15 @@
 	g.grantRecords = g.grantRecords[expired:]
 }
 
-// hasGrant reports whether the units of a quota request have already been taken.
-func (g *ownerGrants) hasGrant(from int, number uint64) bool {
-	return slices.ContainsFunc(g.grantRecords, func(r grantRecord) bool {
-		return r.from == from && r.number == number
-	})
+// findRecord returns the record of a member's request whose units have already been taken, or nil. An expired record
+// does not count, since a restarted member may use its number again.
+func (g *ownerGrants) findRecord(from int, number uint64, now time.Duration) *grantRecord {
+	g.expireRecords(now)
+	i := slices.IndexFunc(g.grantRecords, func(r grantRecord) bool { return r.from == from && r.number == number })
+	if i < 0 {
+		return nil
+	}
+	return &g.grantRecords[i]
 }
 
 // endLease removes the lease of a request.
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -18,8 +18,9 @@
 	LeaseTTL  time.Duration // time after which a granted attempt counts as ended
 }
 
-// AnswerRequest decides on a member's request for units and returns the response. If this instance does not own the
-// quota, isOwner is false and there is no response.
+// AnswerRequest decides on a member's request for units and returns the response. A request whose units have already
+// been taken, since it arrives twice or after its usage report, is granted without a charge. If this instance does not
+// own the quota, isOwner is false and there is no response.
 func (t *Table) AnswerRequest(
 	from int, m Request, owner OwnerState, now time.Duration,
 ) (response Response, isOwner bool) {
@@ -27,6 +28,10 @@
 	if quota == nil {
 		return Response{}, false
 	}
+	if record := quota.findRecord(from, m.Number, now); record != nil {
+		t.leaseAttempt(quota, record, owner.LeaseTTL, now)
+		return Response{Number: m.Number, IsGranted: true, GrantFraction: quota.GrantFraction}, true
+	}
 	decision := t.decideGrant(quota, Demand{m.Units, m.IsLate}, owner.InboxRate, now)
 	if decision.IsWithinQuota {
 		t.grant(quota, from, m.Charge, owner.LeaseTTL, now)
@@ -101,10 +106,15 @@
 func (t *Table) grant(quota *Quota, from int, m Charge, leaseTTL, now time.Duration) {
 	quota.HardLimitTokens -= m.Units
 	t.TakeUnits(quota, m.Units)
+	t.leaseAttempt(quota, quota.recordGrant(from, m.Number, now), leaseTTL, now)
+}
+
+// leaseAttempt records a lease for a member's request, if the plan limits the attempts in flight and the request has
+// had none.
+func (t *Table) leaseAttempt(quota *Quota, record *grantRecord, leaseTTL, now time.Duration) {
 	if t.PlanOf(quota).MaxInFlight > 0 {
-		quota.leases = append(quota.leases, lease{from, m.Number, now + leaseTTL})
+		quota.addLease(record, now+leaseTTL)
 	}
-	quota.recordGrant(from, m.Number, now)
 }
 
 // ReceiveUsageReport charges units that a member has used without a response. If the owner has granted the member's
@@ -112,7 +122,10 @@
 // not charged, since a repeat of it would be charged as well.
 func (t *Table) ReceiveUsageReport(from int, m UsageReport, now time.Duration) {
 	quota := t.ownedQuota(from, m.Charge, now)
-	if quota == nil || quota.hasGrant(from, m.Number) || !quota.hasRecordSpace(2*t.Fleet.maxGrantRecords(), now) {
+	if quota == nil || quota.findRecord(from, m.Number, now) != nil {
+		return
+	}
+	if !quota.hasRecordSpace(2*t.Fleet.maxGrantRecords(), now) {
 		return
 	}
 	quota.recordGrant(from, m.Number, now)
--- a/policy/quota/owner_test.go
+++ b/policy/quota/owner_test.go
@@ -79,6 +79,70 @@
 	}
 }
 
+// TestRepeatedRequestHasOneLease checks that a request of a plan with a limit in flight has one lease, however often it
+// arrives and whether its usage report arrives first, and none once the member has returned it.
+func TestRepeatedRequestHasOneLease(t *testing.T) {
+	scope := Scope{Plan: inFlightPlan, InstanceCount: 100, FirstInstance: 10}
+	charge := Charge{Number: 1, Customer: 77, Scope: scope, Units: 2}
+	request := func(owner *Table) {
+		owner.AnswerRequest(11, Request{Charge: charge}, OwnerState{LeaseTTL: time.Second}, t0)
+	}
+	report := func(owner *Table) { owner.ReceiveUsageReport(11, UsageReport{charge}, t0) }
+	returned := func(owner *Table) { owner.ReceiveReturn(11, Return{Number: 1, Customer: 77}, t0) }
+	for _, c := range []struct {
+		name     string
+		messages []func(owner *Table)
+		want     int
+	}{
+		{"request once", []func(*Table){request}, 1},
+		{"request twice", []func(*Table){request, request}, 1},
+		{"usage report first", []func(*Table){report, request}, 1},
+		{"usage report first, request twice", []func(*Table){report, request, request}, 1},
+		{"usage report last", []func(*Table){request, report}, 1},
+		{"request again after the return", []func(*Table){request, returned, request}, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			owner := newTable(10, 300, 40)
+			quota := owner.quotaFor(77, scope, t0)
+			for _, receive := range c.messages {
+				receive(owner)
+			}
+			if got := len(quota.leases); got != c.want {
+				t.Errorf("leases: got %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+// TestNumberIsChargedAgainAfterRestart checks that a request is charged once the records of an earlier request with the
+// same number have expired. A restarted member may use its earlier numbers again.
+func TestNumberIsChargedAgainAfterRestart(t *testing.T) {
+	charge := Charge{Number: 1, Customer: 77, Scope: ownedScope, Units: 2}
+	for _, c := range []struct {
+		name string
+		send func(owner *Table, now time.Duration)
+	}{
+		{"request", func(owner *Table, now time.Duration) {
+			owner.AnswerRequest(11, Request{Charge: charge}, OwnerState{}, now)
+		}},
+		{"usage report", func(owner *Table, now time.Duration) {
+			owner.ReceiveUsageReport(11, UsageReport{charge}, now)
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			owner, quota := newOwnerQuota(10)
+			c.send(owner, t0)
+			restarted := t0 + grantRecordTTL
+			owner.Refill(quota, restarted)
+			tokens := quota.Tokens
+			c.send(owner, restarted)
+			if got := tokens - quota.Tokens; got != charge.Units {
+				t.Errorf("charged %v units, want %v", got, charge.Units)
+			}
+		})
+	}
+}
+
 // TestGrantLeavesAbsentHardLimitAlone checks that a grant takes no units off the hard limit of a plan that has none.
 func TestGrantLeavesAbsentHardLimitAlone(t *testing.T) {
 	owner, quota := newOwnerQuota(10)
