--- a/policy/quota/hard_limit.go
+++ b/policy/quota/hard_limit.go
@@ -60,7 +60,8 @@
 	return plan.HardLimitRate > 0 && h.HardLimitTokens < units
 }
 
-// chargeHardLimit deducts units that this instance forwards from its share of the hard limit.
+// chargeHardLimit deducts units that this instance forwards or grants from its share of the hard limit, if the plan has
+// one.
 func (h *hardLimitShare) chargeHardLimit(plan *Plan, units float64) {
 	if plan.HardLimitRate > 0 {
 		h.HardLimitTokens -= units
--- a/policy/quota/owner.go
+++ b/policy/quota/owner.go
@@ -104,7 +104,7 @@
 
 // grant takes the units of a member's request, and records a lease if the plan limits the attempts in flight.
 func (t *Table) grant(quota *Quota, from int, m Charge, leaseTTL, now time.Duration) {
-	quota.HardLimitTokens -= m.Units
+	quota.chargeHardLimit(t.PlanOf(quota), m.Units)
 	t.TakeUnits(quota, m.Units)
 	t.leaseAttempt(quota, quota.recordGrant(from, m.Number, now), leaseTTL, now)
 }
