--- a/policy/actions.go
+++ b/policy/actions.go
@@ -19,7 +19,8 @@
 	CancelAttempt(id string, attempt int)
 	// SetTimer schedules one call of [Engine.TimerFired] with the token.
 	SetTimer(token uint64, after time.Duration)
-	// CheckHealth sends a health check. The host passes the result to [Engine.HealthCheckCompleted].
+	// CheckHealth sends a health check. The host passes one result for each check to [Engine.HealthCheckCompleted],
+	// within healthCheckExpiry. A result counts for the oldest check of the server that has none.
 	CheckHealth(server string)
 	// SendGossip sends a message of at most 256 bytes to a peer: an instance index or [AllInstances]. The host must not
 	// retain the message.
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -157,6 +157,33 @@
 	}
 }
 
+// A health check whose result is lost neither takes the result of a later check, nor keeps a later failed connection
+// from causing a check.
+func TestLostHealthCheckResult(t *testing.T) {
+	e, r := newEngine(t, healthCheckSettings(), testServers(1)...)
+	s := e.servers.list[0]
+	if !e.failures.recordConnectFailure(t0, s) {
+		t.Fatal("a failed connection needs no health check")
+	}
+	e.healthChecks.sendForFailedConnect(t0, s, r)
+	if e.failures.recordConnectFailure(t0+healthCheckExpiry-ms, s) {
+		t.Error("a failed connection needs a health check while the result of an earlier one is due")
+	}
+	failedAt := t0 + healthCheckExpiry
+	if !e.failures.recordConnectFailure(failedAt, s) {
+		t.Error("a failed connection needs no health check after the result of an earlier one was lost")
+	}
+	e.healthChecks.sendForFailedConnect(failedAt, s, r)
+	e.HealthCheckCompleted(failedAt+5*ms, "s0", OK, nil, r)
+	if want := []time.Duration{t0, failedAt - ms}; !slices.Equal(s.connectFailures, want) {
+		t.Errorf("failed connections after the response: got %v, want those before its check, %v",
+			s.connectFailures, want)
+	}
+	if len(s.checksInFlight) != 0 {
+		t.Errorf("got %d health checks in flight, want 0", len(s.checksInFlight))
+	}
+}
+
 // A response on a connection that was established before a failed connection shows that the process was up. Connections
 // that failed before it was established still count as a sign of a restart.
 func TestResponseOnOlderConnectionClearsFailures(t *testing.T) {
--- a/policy/server.go
+++ b/policy/server.go
@@ -31,13 +31,13 @@
 	consecutiveEjections int
 
 	// Liveness.
-	lastResponseAt     time.Duration    // clock reading of the last response of any kind
-	isUnresponsive     bool             // no response since a failed attempt or check; avoided until it responds
-	suspectedUntil     time.Duration    // until then considered down, by peers or by the detector of failed zones
-	downReports        suspicionReports // recent reports of peers that it is down
-	upReports          suspicionReports // recent reports of peers that it is up
-	restartCheckSentAt time.Duration    // when the check in flight after a failed connection was sent; 0: none
-	lastHealthCheckAt  time.Duration
+	lastResponseAt    time.Duration     // clock reading of the last response of any kind
+	isUnresponsive    bool              // no response since a failed attempt or check; avoided until it responds
+	suspectedUntil    time.Duration     // until then considered down, by peers or by the detector of failed zones
+	downReports       suspicionReports  // recent reports of peers that it is down
+	upReports         suspicionReports  // recent reports of peers that it is up
+	checksInFlight    []sentHealthCheck // oldest first
+	lastHealthCheckAt time.Duration
 
 	// Connections, as the engine estimates them.
 	connectFailedAt     time.Duration   // last failure that may be due to a restart; 0: none
--- a/policy/server_events.go
+++ b/policy/server_events.go
@@ -30,6 +30,7 @@
 	if s == nil {
 		return
 	}
+	check := s.endHealthCheck(now)
 	switch result {
 	case OK, RejectedByServer, ErrorResponse:
 		if result == OK {
@@ -37,14 +38,15 @@
 		}
 		e.log(e.failures.recordResponse(now, s))
 		s.recordHealthCheckAnswer(now)
-		s.clearConnectFailuresSince(s.restartCheckSentAt)
+		if check.isForFailedConnect {
+			s.clearConnectFailuresSince(check.sentAt)
+		}
 	case ConnectFailed:
 		s.recordConnectFailure(now)
 		e.log(e.failures.recordNoResponse(now, s, s.lastHealthCheckAt))
 	case TimedOut:
 		e.log(e.failures.recordNoResponse(now, s, s.lastHealthCheckAt))
 	}
-	s.restartCheckSentAt = 0
 }
 
 // learnFromAttempt updates the state of a server with the result of an attempt.
@@ -74,7 +76,7 @@
 		s.recordTimeout(outcome.Latency, e.latencies.forRequest(r).mean)
 	case ConnectFailed:
 		if e.failures.recordConnectFailure(e.now, s) {
-			e.healthChecks.send(e.now, s, e.actions)
+			e.healthChecks.sendForFailedConnect(e.now, s, e.actions)
 		}
 	}
 	if s.recordOutcome(e.now, outcome.Result) {
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -89,11 +89,7 @@
 // servers that are up, and the check or a response on an older connection corrects the assumption.
 func (d *failureDetector) recordConnectFailure(now time.Duration, s *server) (needsCheck bool) {
 	s.recordConnectFailure(now)
-	if !d.settings.usesHealthChecks() || s.restartCheckSentAt != 0 || !s.acceptsRequests() {
-		return false
-	}
-	s.restartCheckSentAt = now
-	return true
+	return d.settings.usesHealthChecks() && s.acceptsRequests() && !s.awaitsFailedConnectCheck(now)
 }
 
 // addFinding adds a finding to those for the next messages to peers. It replaces older findings on the same server.
