--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -48,6 +48,8 @@
 	ruleAttempts     = "attempts" // no two attempts of a request in flight, no retry of an unsafe one that may have run
 	ruleClientClosed = "leave"    // no attempt begins after the client has closed its connection
 	ruleProcess      = "process"  // processes are ready in time, and exit in time with status 0 and no logged errors
+
+	ruleDescriptors = "descriptors" // a process whose clients have left holds no more descriptors than when it was ready
 )
 
 // violation counts a violation and adds its description to the examples, up to maxExamples.
@@ -82,6 +84,7 @@
 	}
 	for _, p := range r.processes {
 		v.checkProcess(p)
+		v.checkDescriptors(p, r.records.attempts, len(r.plan.Servers))
 		v.Processes = append(v.Processes, p.String())
 	}
 	v.OK = len(v.Violations) == 0
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -37,6 +37,14 @@
 	r.records.attempts = append(r.records.attempts, a)
 }
 
+// recordIdle records the descriptors that the process held once its clients had left. When it was ready, it held 7, and
+// none of them was a connection.
+func (r *run) recordIdle(atIdle descriptorCounts) {
+	r.plan.Series = seriesIdle
+	r.processes[0].atReady, r.processes[0].atIdle = descriptorCounts{others: 7}, &atIdle
+	r.processes[0].idleAt = at(900)
+}
+
 // restartProcess records that the process exited at 2,000 ms and that the next one was ready at 2,050 ms.
 func (r *run) restartProcess() {
 	r.plan.Series = seriesRestarts
@@ -120,6 +128,29 @@
 			r.restartProcess()
 			q.connectedAt, q.sentAt, q.end, q.endedAt = at(2010), at(2020), endClosed, at(2020)
 		}, ruleResponse},
+		"descriptors as at readiness, and connections that may be kept": {func(_ *request, r *run) {
+			r.plan.Servers = make([]serverPlan, 1)
+			r.addAttempt(110, 190, false)
+			r.recordIdle(descriptorCounts{servers: 1 + spareConnectionsPerServer, discovery: 1, others: 7})
+		}, ""},
+		"more connections to servers than attempts needed": {func(_ *request, r *run) {
+			r.plan.Servers = make([]serverPlan, 1)
+			r.addAttempt(110, 190, false)
+			r.recordIdle(descriptorCounts{servers: 2 + spareConnectionsPerServer, discovery: 1, others: 7})
+		}, ruleDescriptors},
+		"a client's connection kept": {func(_ *request, r *run) {
+			r.recordIdle(descriptorCounts{clients: 1, others: 7})
+		}, ruleDescriptors},
+		"an attempt in flight without its client": {func(_ *request, r *run) {
+			r.addAttempt(110, 950, false)
+			r.recordIdle(descriptorCounts{others: 7})
+		}, ruleDescriptors},
+		"two watches": {func(_ *request, r *run) {
+			r.recordIdle(descriptorCounts{discovery: 2, others: 7})
+		}, ruleDescriptors},
+		"another descriptor": {func(_ *request, r *run) {
+			r.recordIdle(descriptorCounts{others: 8})
+		}, ruleDescriptors},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := recordedRun(c.change).checkRules(0)
@@ -144,7 +175,7 @@
 		}
 		seen[a.Series] = true
 	}
-	if len(seen) != len(edgeSeries) {
+	if want := len(edgeSeries) + 1; len(seen) != want || !seen[seriesIdle] {
 		t.Errorf("300 seeds draw only the series %v, want all", seen)
 	}
 	for _, err := range []error{planError("other", time.Second), planError(TargetGateway, 0)} {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -36,6 +36,7 @@
 	seriesOldKilled           series = "upgrade-old-sigkill" // SIGKILL to the old process while a successor waits
 	seriesLateHello           series = "late-hello"          // hello of a successor that has exited, to a stopped process
 	seriesPredecessorLost     series = "lost-go"             // the predecessor exits after handing over its gossip socket
+	seriesIdle                series = "idle"                // all clients leave, and later one SIGTERM
 )
 
 var (
@@ -78,6 +79,7 @@
 	serverCount          = 3
 	clientsOfEachKind    = 3
 	idleConnectionsEvery = 4                      // one run in this many has idle connections
+	seriesIdleEvery      = 8                      // one run in this many has seriesIdle in place of the series drawn
 	minDeadline          = 600 * time.Millisecond // of classes
 	maxDeadline          = 2 * time.Second
 	maxSignalGap         = 700 * time.Millisecond  // between the signals of a series
@@ -150,9 +152,21 @@
 		p.IdleConnections = 100 + random.IntN(400)
 	}
 	p.InheritsSocket = target == TargetEdgeProxy && (p.isUpgrade() || random.IntN(2) == 0)
+	p.drawAdditions(rand.New(rand.NewPCG(seed, additionsStream)))
 	return p, nil
 }
 
+// additionsStream separates the random numbers of drawAdditions from the others of a plan.
+const additionsStream = 1
+
+// drawAdditions draws what was added to plans later. Its random numbers are separate, so that the rest of a seed's plan
+// does not depend on the additions.
+func (p *Plan) drawAdditions(random *rand.Rand) {
+	if random.IntN(seriesIdleEvery) == 0 {
+		p.Series = seriesIdle
+	}
+}
+
 // hasPeer reports whether the node under test gossips with a peer, which the tool simulates.
 func (p *Plan) hasPeer() bool { return p.Series == seriesPredecessorLost }
 
@@ -164,7 +178,7 @@
 // isUpgrade reports whether the series contains a handover to a successor.
 func (p *Plan) isUpgrade() bool {
 	switch p.Series {
-	case seriesTerm, seriesTermTwice, seriesHangupTerm, seriesTermHangup, seriesRestarts:
+	case seriesTerm, seriesTermTwice, seriesHangupTerm, seriesTermHangup, seriesRestarts, seriesIdle:
 		return false
 	}
 	return true
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -20,6 +20,10 @@
 	logPath string
 	exited  chan struct{} // closed once it has exited
 
+	atReady descriptorCounts  // set for the first process
+	atIdle  *descriptorCounts // quietTime after its last client has left; nil if clients never left
+	idleAt  time.Time         // when atIdle was counted; set if atIdle is
+
 	mu               sync.Mutex // guards the fields below
 	readyAt          time.Time  // zero if its readiness was not awaited or not reached
 	sigtermAt        time.Time  // first SIGTERM; zero if there was none
@@ -132,7 +136,8 @@
 	<-p.exited
 }
 
-// String describes a process with the times at which it became ready, got its signals and exited.
+// String describes a process with the times at which it became ready, got its signals and exited, and with its
+// descriptors.
 func (p *process) String() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,6 +150,9 @@
 			text += fmt.Sprintf(", %s %s", event.name, event.at.Format(timeFormat))
 		}
 	}
+	if p.atIdle != nil {
+		text += fmt.Sprintf(", descriptors when ready: %v; when idle: %v", p.atReady, p.atIdle)
+	}
 	return text
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -21,6 +21,7 @@
 	balancerDelay  = 400 * time.Millisecond // from a SIGTERM until no client opens a connection
 	readyTimeout   = 6 * time.Second
 	servingTime    = 300 * time.Millisecond // for which a new process serves before the next signal
+	quietTime      = 300 * time.Millisecond // from the end of the last client to the count of descriptors
 	stallThreshold = 50 * time.Millisecond  // a run with a stall as long as this counts as disturbed
 )
 
@@ -42,6 +43,7 @@
 	stalls            *schedwait.Monitor
 	processProblems   []string // violations of ruleProcess found while the signals were sent
 	outages           []interval
+	stopClients       func() // stops the clients and waits until the last one has closed its connection
 }
 
 // Run executes a plan with a program and returns the verdict. It returns an error if the plan was not executed to its
@@ -118,17 +120,23 @@
 	if !r.awaitReady(first) {
 		return nil, fmt.Errorf("soak: the first process did not become ready; its log: %s", first.log())
 	}
+	if first.atReady, err = r.countDescriptors(first); err != nil {
+		return nil, err
+	}
 	r.stalls.Start()
-	clientsCtx, stopClients := context.WithCancel(ctx)
-	defer stopClients()
+	clientsCtx, cancelClients := context.WithCancel(ctx)
+	defer cancelClients()
 	r.clientsMayConnect.Store(true)
 	clients := r.startClients(clientsCtx)
+	r.stopClients = func() {
+		cancelClients()
+		clients.Wait()
+	}
 	sleep(ctx, r.plan.Duration)
 	if err := r.runSignalSeries(ctx, first); err != nil {
 		return nil, err
 	}
-	stopClients()
-	clients.Wait()
+	r.stopClients()
 	r.closeServers()
 	return r.checkRules(r.stalls.Stop()), ctx.Err()
 }
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -16,6 +16,10 @@
 	switch r.plan.Series {
 	case seriesTerm:
 		r.terminateLast(first)
+	case seriesIdle:
+		if err = r.awaitIdle(ctx, first); err == nil {
+			r.terminateLast(first)
+		}
 	case seriesTermTwice:
 		r.terminateLast(first)
 		sleep(ctx, gap)
@@ -58,6 +62,15 @@
 	return nil
 }
 
+// awaitIdle stops all clients, and counts the descriptors that a process then holds.
+func (r *run) awaitIdle(ctx context.Context, p *process) error {
+	r.stopClients()
+	sleep(ctx, quietTime)
+	counts, err := r.countDescriptors(p)
+	p.atIdle, p.idleAt = &counts, time.Now()
+	return err
+}
+
 // runRestarts terminates a process and starts the next, twice. Between them, clients wait in the backlog of an
 // inherited socket. Without one, they are blocked from connecting.
 func (r *run) runRestarts(ctx context.Context, p *process) (last *process, err error) {
