--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -166,6 +166,7 @@
 	runs, broken, disturbed                               int
 	disturbedBroken, failedToRun                          int
 	requests, closedUnforwarded, openAtKill, clientClosed int
+	heedingRequests, heedingRejected                      int
 }
 
 // runSeed executes the run of one seed and prints its verdict.
@@ -193,6 +194,8 @@
 	s.closedUnforwarded += v.ClosedUnforwarded
 	s.openAtKill += v.OpenAtKill
 	s.clientClosed += v.ClientClosed
+	s.heedingRequests += v.HeedingRequests
+	s.heedingRejected += v.HeedingRejected
 	switch {
 	case v.Disturbed && !v.OK:
 		s.disturbedBroken++
@@ -223,8 +226,9 @@
 		word = "BROKEN"
 	}
 	fmt.Printf("seed %d %s: %s; %d requests, %d served, %d rejected, %d failed, %d left, %d crossed, %d excused, "+
-		"%d attempts; stall %v\n", v.Seed, v.Series, word, v.Requests, v.Served, v.Rejected, v.Failed, v.ClientClosed,
-		v.ClosedUnforwarded, v.OpenAtKill, v.Attempts, v.LongestStall.Round(time.Millisecond))
+		"%d attempts; stall %v; rejected with Retry-After heeded %s\n", v.Seed, v.Series, word, v.Requests, v.Served,
+		v.Rejected, v.Failed, v.ClientClosed, v.ClosedUnforwarded, v.OpenAtKill, v.Attempts,
+		v.LongestStall.Round(time.Millisecond), share(v.HeedingRejected, v.HeedingRequests))
 	if s.arguments.Verbose || !v.OK {
 		fmt.Println("    plan:", v.Plan)
 	}
@@ -236,15 +240,20 @@
 	}
 }
 
+// share returns a part of a total with its percentage.
+func share(part, total int) string {
+	return fmt.Sprintf("%d of %d (%.0f%%)", part, total, 100*float64(part)/float64(max(total, 1)))
+}
+
 // finish prints the totals. It returns an error if an undisturbed run broke a rule, or if a run was not executed.
 func (s *summary) finish() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.arguments.JSON {
 		fmt.Printf("%d runs of %s: %d broke a rule, %d were disturbed (%d of them with a rule broken), "+
-			"%d could not be executed; %d requests, %d left, %d crossed, %d excused\n", s.runs, s.arguments.Target, s.broken,
-			s.disturbed+s.disturbedBroken, s.disturbedBroken, s.failedToRun, s.requests, s.clientClosed,
-			s.closedUnforwarded, s.openAtKill)
+			"%d could not be executed; %d requests, %d left, %d crossed, %d excused; rejected with Retry-After heeded %s\n",
+			s.runs, s.arguments.Target, s.broken, s.disturbed+s.disturbedBroken, s.disturbedBroken, s.failedToRun,
+			s.requests, s.clientClosed, s.closedUnforwarded, s.openAtKill, share(s.heedingRejected, s.heedingRequests))
 	}
 	if s.broken > 0 {
 		return errRuleBroken
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -36,6 +37,8 @@
 	ClosedUnforwarded int            `json:"crossed"` // requests sent as the connection was closed
 	OpenAtKill        int            `json:"excused"` // requests at a process that the plan killed
 	Attempts          int            `json:"attempts"`
+	HeedingRequests   int            `json:"heeding"`          // requests of clients that heed Retry-After
+	HeedingRejected   int            `json:"heeding_rejected"` // those of them that were rejected
 	Violations        map[string]int `json:"broken,omitempty"` // number of violations by rule
 	Examples          []string       `json:"examples,omitempty"`
 	Plan              string         `json:"plan"`
@@ -49,6 +52,7 @@
 	ruleClientClosed = "leave"    // no attempt begins after the client has closed its connection
 	ruleProcess      = "process"  // processes are ready in time, and exit in time with status 0 and no logged errors
 
+	ruleRejections  = "rejections"  // of the requests of clients that heed Retry-After, less than a third is rejected
 	ruleDescriptors = "descriptors" // a process whose clients have left holds no more descriptors than when it was ready
 )
 
@@ -79,6 +83,7 @@
 		v.checkResponse(request, attempts[request.id], service)
 		v.checkAttempts(request, attempts[request.id])
 	}
+	v.checkRejections(r)
 	for _, problem := range r.processProblems {
 		v.violation(ruleProcess, "%s", problem)
 	}
@@ -204,7 +209,7 @@
 	case request.end == endClientClosed:
 		v.ClientClosed++
 	case request.end == endAnswered:
-		v.countStatus(request.status)
+		v.countResponse(request)
 		if late := request.endedAt.Sub(service.responseDeadline(request)); late > responseTolerance {
 			v.violation(ruleResponse, "%s got its response %v too late", request, late)
 		}
@@ -221,12 +226,12 @@
 	}
 }
 
-// countStatus counts a response by its status.
-func (v *Verdict) countStatus(status int) {
-	switch status {
-	case 200:
+// countResponse counts a response by its status.
+func (v *Verdict) countResponse(request *request) {
+	switch {
+	case request.status == http.StatusOK:
 		v.Served++
-	case 429, 503:
+	case request.isRejected():
 		v.Rejected++
 	default:
 		v.Failed++
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -45,6 +45,17 @@
 	r.processes[0].idleAt = at(900)
 }
 
+// reject records that the request of a client that heeds Retry-After was rejected.
+func (r *request) reject() { r.isHeeding, r.status = true, 429 }
+
+// addHeedingRequests records served requests of a client that heeds Retry-After.
+func (r *run) addHeedingRequests(count int) {
+	for range count {
+		r.records.requests = append(r.records.requests, &request{id: "b", class: classCheck, isHeeding: true,
+			sentAt: at(100), timeout: time.Second, end: endAnswered, endedAt: at(200), status: 200})
+	}
+}
+
 // restartProcess records that the process exited at 2,000 ms and that the next one was ready at 2,050 ms.
 func (r *run) restartProcess() {
 	r.plan.Series = seriesRestarts
@@ -145,6 +156,26 @@
 			r.addAttempt(110, 950, false)
 			r.recordIdle(descriptorCounts{others: 7})
 		}, ruleDescriptors},
+		"a third of the requests rejected": {func(q *request, r *run) {
+			q.reject()
+			r.addHeedingRequests(2)
+		}, ruleRejections},
+		"less than a third of the requests rejected": {func(q *request, r *run) {
+			q.reject()
+			r.addHeedingRequests(3)
+		}, ""},
+		"rejected, of a client that does not heed Retry-After": {func(q *request, _ *run) {
+			q.reject()
+			q.isHeeding = false
+		}, ""},
+		"rejected, with servers that hang at the end": {func(q *request, r *run) {
+			q.reject()
+			r.plan.Servers = []serverPlan{{HangsAtEnd: true}}
+		}, ""},
+		"rejected, with a process away": {func(q *request, r *run) {
+			q.reject()
+			r.outages = []interval{{at(500), at(600)}}
+		}, ""},
 		"two watches": {func(_ *request, r *run) {
 			r.recordIdle(descriptorCounts{discovery: 2, others: 7})
 		}, ruleDescriptors},
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -8,6 +8,8 @@
 	"io"
 	"math/rand/v2"
 	"net"
+	"net/http"
+	"strconv"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -32,6 +34,7 @@
 	name         string
 	random       *rand.Rand
 	requestCount int
+	retryAt      time.Time // when the Retry-After of the last rejection is over; used if the client heeds it
 }
 
 // connection is a client's connection.
@@ -54,6 +57,7 @@
 // runUntil sends requests until ctx ends, and opens a new connection whenever the last one was closed.
 func (c *client) runUntil(ctx context.Context) {
 	for ctx.Err() == nil {
+		sleep(ctx, time.Until(c.retryAt))
 		if !c.run.clientsMayConnect.Load() {
 			sleep(ctx, time.Millisecond)
 			continue
@@ -82,7 +86,7 @@
 		if c.kind == clientPausing {
 			pause = c.randomDuration(maxLongPause)
 		}
-		sleep(ctx, pause)
+		sleep(ctx, max(pause, time.Until(c.retryAt)))
 	}
 }
 
@@ -153,6 +157,7 @@
 		isSecond:    conn.sent == 1,
 		idleFor:     conn.idleFor(),
 		connectedAt: conn.connectedAt,
+		isHeeding:   c.kind.heedsRetryAfter(),
 		timeout:     c.run.plan.Deadline - c.randomDuration(c.run.plan.Deadline/2),
 	}
 	conn.sent++
@@ -178,11 +183,24 @@
 	c.run.records.mu.Lock()
 	defer c.run.records.mu.Unlock()
 	r.end, r.endedAt, r.status = endAnswered, time.Now(), response.Status
+	if c.kind.heedsRetryAfter() && r.isRejected() {
+		c.retryAt = r.endedAt.Add(retryAfter(response.Header))
+	}
 	if response.Status == 200 && response.Body != r.id {
 		r.err = fmt.Errorf("got the response of request %q", response.Body)
 	}
 }
 
+// retryAfter returns the wait that a response's Retry-After field states in seconds, which may have decimals, or 0 if
+// there is none.
+func retryAfter(header http.Header) time.Duration {
+	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
+	if err != nil {
+		return 0
+	}
+	return time.Duration(seconds * float64(time.Second))
+}
+
 // recordUnansweredBehind records the end of the requests that were pipelined behind a response that closes the
 // connection. A 503 to the first request rejects a connection above the limit, so the requests behind it are not read
 // and need no response. Any other response must not close the connection while requests behind it have arrived.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -72,6 +72,10 @@
 var clientKinds = []clientKind{clientSequential, clientPipelines, clientPausing, clientSlowWriter, clientDisconnects,
 	clientReconnects}
 
+// heedsRetryAfter reports whether a client waits as long as the Retry-After of a rejection says. One that pipelines does
+// not: it sends requests before it has the responses of earlier ones.
+func (k clientKind) heedsRetryAfter() bool { return k != clientPipelines }
+
 // Bounds of the drawn values.
 const (
 	minDuration          = 100 * time.Millisecond
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -1,6 +1,7 @@
 package soak
 
 import (
+	"net/http"
 	"sync"
 	"time"
 )
@@ -35,6 +36,7 @@
 	idleFor     time.Duration // idle time of the connection before the request
 	connectedAt time.Time
 	sentAt      time.Time     // when the last byte was written
+	isHeeding   bool          // its client heeds Retry-After
 	ahead       *request      // the pipelined request before this one, whose response comes first; nil if none
 	timeout     time.Duration // remaining time that the request states
 	end         requestEnd
@@ -51,6 +53,11 @@
 	return "POST"
 }
 
+// isRejected reports whether the response rejects the request, so that the client may retry it later.
+func (r *request) isRejected() bool {
+	return r.end == endAnswered && (r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable)
+}
+
 // attempt is a server's record of an attempt of a request.
 type attempt struct {
 	id           string
