--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -53,6 +53,7 @@
 	ruleProcess      = "process"  // processes are ready in time, and exit in time with status 0 and no logged errors
 
 	ruleRejections  = "rejections"  // of the requests of clients that heed Retry-After, less than a third is rejected
+	ruleDrains      = "drains"      // no attempt begins at a server that was drained or removed a time ago
 	ruleDescriptors = "descriptors" // a process whose clients have left holds no more descriptors than when it was ready
 )
 
@@ -83,6 +84,7 @@
 		v.checkResponse(request, attempts[request.id], service)
 		v.checkAttempts(request, attempts[request.id])
 	}
+	v.checkDrains(r)
 	v.checkRejections(r)
 	for _, problem := range r.processProblems {
 		v.violation(ruleProcess, "%s", problem)
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -176,6 +176,28 @@
 			q.reject()
 			r.outages = []interval{{at(500), at(600)}}
 		}, ""},
+		"an attempt at a server drained a time ago": {func(_ *request, r *run) {
+			r.addAttempt(276, 290, false)
+			r.records.addDrain(serverDrain{at: at(200)})
+		}, ruleDrains},
+		"an attempt at a server drained just before": {func(_ *request, r *run) {
+			r.addAttempt(275, 290, false)
+			r.records.addDrain(serverDrain{at: at(200)})
+		}, ""},
+		"an attempt at another server": {func(_ *request, r *run) {
+			r.addAttempt(276, 290, false)
+			r.records.addDrain(serverDrain{server: 1, at: at(200)})
+		}, ""},
+		"an attempt at a server drained while no process could read the list": {func(_ *request, r *run) {
+			r.addAttempt(475, 490, false)
+			r.outages = []interval{{at(250), at(400)}}
+			r.records.addDrain(serverDrain{at: at(200)})
+		}, ""},
+		"an attempt long after processes could read of the drain": {func(_ *request, r *run) {
+			r.addAttempt(476, 490, false)
+			r.outages = []interval{{at(250), at(400)}}
+			r.records.addDrain(serverDrain{at: at(200)})
+		}, ruleDrains},
 		"two watches": {func(_ *request, r *run) {
 			r.recordIdle(descriptorCounts{discovery: 2, others: 7})
 		}, ruleDescriptors},
@@ -195,6 +217,7 @@
 // The same seed gives the same plan, all series are drawn, and an unknown target or a bad duration is an error.
 func TestNewPlan(t *testing.T) {
 	seen := map[series]bool{}
+	drains := map[bool]int{}
 	for seed := range uint64(300) {
 		a, err := NewPlan(TargetEdgeProxy, seed, time.Second)
 		if err != nil {
@@ -205,10 +228,14 @@
 			t.Errorf("seed %d: got the plans %v and %v, want equal ones", seed, a, b)
 		}
 		seen[a.Series] = true
+		drains[a.Drain != nil]++
 	}
 	if want := len(edgeSeries) + 1; len(seen) != want || !seen[seriesIdle] {
 		t.Errorf("300 seeds draw only the series %v, want all", seen)
 	}
+	if drains[true] == 0 || drains[false] == 0 {
+		t.Errorf("300 seeds: got %d plans with a drain and %d without one, want both", drains[true], drains[false])
+	}
 	for _, err := range []error{planError("other", time.Second), planError(TargetGateway, 0)} {
 		if err == nil {
 			t.Error("NewPlan accepted an unknown target or a duration of 0, want an error")
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -83,6 +83,7 @@
 	serverCount          = 3
 	clientsOfEachKind    = 3
 	idleConnectionsEvery = 4                      // one run in this many has idle connections
+	drainEvery           = 4                      // one run in this many has a server drain
 	seriesIdleEvery      = 8                      // one run in this many has seriesIdle in place of the series drawn
 	minDeadline          = 600 * time.Millisecond // of classes
 	maxDeadline          = 2 * time.Second
@@ -104,8 +105,24 @@
 	StepGap         time.Duration // from that step to the signal
 	StopDuration    time.Duration // from SIGSTOP to SIGCONT
 	Servers         []serverPlan
-	IdleConnections int  // connections that send nothing and use up the program's descriptors
-	InheritsSocket  bool // processes inherit the listening socket for clients
+	IdleConnections int        // connections that send nothing and use up the program's descriptors
+	InheritsSocket  bool       // processes inherit the listening socket for clients
+	Drain           *drainPlan // nil if no server drains
+}
+
+// drainPlan is the drain of a server in the service discovery.
+type drainPlan struct {
+	Server    int
+	After     time.Duration // from the start of the clients
+	IsRemoved bool          // the server is removed from the endpoint list; otherwise it is listed as draining
+}
+
+// String returns the drain's time and kind.
+func (d *drainPlan) String() string {
+	if d == nil {
+		return "none"
+	}
+	return fmt.Sprintf("server %d after %v, removed %v", d.Server, d.After.Round(time.Millisecond), d.IsRemoved)
 }
 
 // serverPlan is the behavior of a server. The fractions are probabilities per request.
@@ -169,6 +186,13 @@
 	if random.IntN(seriesIdleEvery) == 0 {
 		p.Series = seriesIdle
 	}
+	if random.IntN(drainEvery) == 0 {
+		p.Drain = &drainPlan{
+			Server:    random.IntN(len(p.Servers)),
+			After:     time.Duration(random.Int64N(int64(p.Duration + maxSignalGap))),
+			IsRemoved: random.IntN(2) == 0,
+		}
+	}
 }
 
 // hasPeer reports whether the node under test gossips with a peer, which the tool simulates.
@@ -201,7 +225,8 @@
 // String returns the plan in one line.
 func (p *Plan) String() string {
 	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
-	return fmt.Sprintf("%s seed %d: %s, gap %v, step %q and %v, stop %v, deadline %v, crowd %d, inherits %v, servers %+v",
+	return fmt.Sprintf("%s seed %d: %s, gap %v, step %q and %v, stop %v, deadline %v, crowd %d, inherits %v, drain %v, "+
+		"servers %+v",
 		p.Target, p.Seed, p.Series, round(p.SignalGap), p.Step, p.StepGap, round(p.StopDuration), round(p.Deadline),
-		p.IdleConnections, p.InheritsSocket, p.Servers)
+		p.IdleConnections, p.InheritsSocket, p.Drain, p.Servers)
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -66,11 +66,18 @@
 	neverRan     bool      // rejected without having run
 }
 
-// records are the requests and attempts of a run.
+// serverDrain records that a server was listed as draining or removed.
+type serverDrain struct {
+	server int
+	at     time.Time
+}
+
+// records are the requests, attempts and drains of a run.
 type records struct {
 	mu       sync.Mutex
 	requests []*request
 	attempts []*attempt
+	drains   []serverDrain
 }
 
 func (r *records) addRequest(request *request) {
@@ -85,6 +92,12 @@
 	r.attempts = append(r.attempts, attempt)
 }
 
+func (r *records) addDrain(drain serverDrain) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.drains = append(r.drains, drain)
+}
+
 func (r *records) endAttempt(attempt *attempt, neverRan bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -128,6 +128,10 @@
 	defer cancelClients()
 	r.clientsMayConnect.Store(true)
 	clients := r.startClients(clientsCtx)
+	if r.plan.Drain != nil {
+		timer := time.AfterFunc(r.plan.Drain.After, r.drainServer)
+		defer timer.Stop()
+	}
 	r.stopClients = func() {
 		cancelClients()
 		clients.Wait()
@@ -141,6 +145,16 @@
 	return r.checkRules(r.stalls.Stop()), ctx.Err()
 }
 
+// drainServer lists the plan's server as draining, or removes it from the list. The server itself goes on.
+func (r *run) drainServer() {
+	lifecycle := "draining"
+	if r.plan.Drain.IsRemoved {
+		lifecycle = "removed"
+	}
+	r.discovery.Put(r.servers[r.plan.Drain.Server].entry(lifecycle))
+	r.records.addDrain(serverDrain{r.plan.Drain.Server, time.Now()})
+}
+
 // closeServers closes the servers with the attempts that are in flight.
 func (r *run) closeServers() {
 	for _, server := range r.servers {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -45,11 +45,16 @@
 		random: rand.New(rand.NewPCG(p.Seed, uint64(index)+1))}
 	s.server = &http.Server{Handler: s, IdleTimeout: s.plan.IdleTimeout}
 	go s.server.Serve(listener) // returns once close is called
-	discovery.Put(testserver.Entry{InstanceID: fmt.Sprint("s", index), HostPort: listener.Addr().String(), Zone: "z",
-		MachineType: "k", Lifecycle: "up", Weight: 1})
+	discovery.Put(s.entry("up"))
 	return s, nil
 }
 
+// entry returns the server's entry in the endpoint list.
+func (s *appServer) entry(lifecycle string) testserver.Entry {
+	return testserver.Entry{InstanceID: fmt.Sprint("s", s.index), HostPort: s.listener.Addr().String(), Zone: "z",
+		MachineType: "k", Lifecycle: lifecycle, Weight: 1}
+}
+
 // behavior is how a server treats one request.
 type behavior struct {
 	latency                time.Duration
