--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -54,6 +54,7 @@
 
 	ruleRejections  = "rejections"  // of the requests of clients that heed Retry-After, less than a third is rejected
 	ruleDrains      = "drains"      // no attempt begins at a server that was drained or removed a time ago
+	ruleQuotas      = "quotas"      // a customer's units stay within its quota, also over an upgrade
 	ruleDescriptors = "descriptors" // a process whose clients have left holds no more descriptors than when it was ready
 )
 
@@ -85,6 +86,7 @@
 		v.checkAttempts(request, attempts[request.id])
 	}
 	v.checkDrains(r)
+	v.checkQuotas(r, attempts)
 	v.checkRejections(r)
 	for _, problem := range r.processProblems {
 		v.violation(ruleProcess, "%s", problem)
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"testing"
 	"time"
@@ -56,6 +57,20 @@
 	}
 }
 
+// addTightRequests records served requests of the tight contract. The last is sent a number of milliseconds after the
+// others.
+func (r *run) addTightRequests(count, lastAfter int) {
+	for i := range count {
+		id, sentAt := fmt.Sprint("tight-", i), at(100)
+		if i == count-1 {
+			sentAt = at(100 + lastAfter)
+		}
+		r.records.requests = append(r.records.requests, &request{id: id, class: classCheck, contract: contractTight,
+			sentAt: sentAt, timeout: time.Second, end: endAnswered, endedAt: sentAt, status: 200})
+		r.records.attempts = append(r.records.attempts, &attempt{id: id, began: sentAt, ended: sentAt})
+	}
+}
+
 // restartProcess records that the process exited at 2,000 ms and that the next one was ready at 2,050 ms.
 func (r *run) restartProcess() {
 	r.plan.Series = seriesRestarts
@@ -198,6 +213,27 @@
 			r.outages = []interval{{at(250), at(400)}}
 			r.records.addDrain(serverDrain{at: at(200)})
 		}, ruleDrains},
+		"units within the quota": {func(_ *request, r *run) { r.addTightRequests(21, 0) }, ""},
+		"units beyond the quota": {func(_ *request, r *run) { r.addTightRequests(23, 0) }, ruleQuotas},
+		"units within the quota, over time": {func(_ *request, r *run) {
+			r.addTightRequests(31, 1000)
+		}, ""},
+		"units beyond the quota, over time": {func(_ *request, r *run) {
+			r.addTightRequests(33, 1000)
+		}, ruleQuotas},
+		"units of two bursts, over a restart": {func(_ *request, r *run) {
+			r.restartProcess()
+			r.addTightRequests(41, 0)
+		}, ""},
+		"units beyond the bursts, over a restart": {func(_ *request, r *run) {
+			r.restartProcess()
+			r.addTightRequests(45, 0)
+		}, ruleQuotas},
+		"units beyond the quota, over an upgrade": {func(_ *request, r *run) {
+			r.restartProcess()
+			r.processes[1].logPath = "testdata/successor.log"
+			r.addTightRequests(41, 0)
+		}, ruleQuotas},
 		"two watches": {func(_ *request, r *run) {
 			r.recordIdle(descriptorCounts{discovery: 2, others: 7})
 		}, ruleDescriptors},
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -31,6 +31,7 @@
 type client struct {
 	run          *run
 	kind         clientKind
+	contract     contract
 	name         string
 	random       *rand.Rand
 	requestCount int
@@ -146,6 +147,13 @@
 	return true
 }
 
+// heedsRetryAfter reports whether the client waits as long as the Retry-After of a rejection says. One that pipelines
+// does not: it sends requests before it has the responses of earlier ones. Nor does one of a tight contract, so that it
+// uses up its quota.
+func (c *client) heedsRetryAfter() bool {
+	return c.kind != clientPipelines && c.contract != contractTight
+}
+
 // nextRequest returns a new random request for a connection.
 func (c *client) nextRequest(conn *connection) *request {
 	classes := []class{classCheck, classCheck, classBook, classPay}
@@ -153,11 +161,12 @@
 	r := &request{
 		id:          fmt.Sprint(c.name, "-", c.requestCount),
 		class:       classes[c.random.IntN(len(classes))],
+		contract:    c.contract,
 		isFirst:     conn.sent == 0,
 		isSecond:    conn.sent == 1,
 		idleFor:     conn.idleFor(),
 		connectedAt: conn.connectedAt,
-		isHeeding:   c.kind.heedsRetryAfter(),
+		isHeeding:   c.heedsRetryAfter(),
 		timeout:     c.run.plan.Deadline - c.randomDuration(c.run.plan.Deadline/2),
 	}
 	conn.sent++
@@ -183,7 +192,7 @@
 	c.run.records.mu.Lock()
 	defer c.run.records.mu.Unlock()
 	r.end, r.endedAt, r.status = endAnswered, time.Now(), response.Status
-	if c.kind.heedsRetryAfter() && r.isRejected() {
+	if c.heedsRetryAfter() && r.isRejected() {
 		c.retryAt = r.endedAt.Add(retryAfter(response.Header))
 	}
 	if response.Status == 200 && response.Body != r.id {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -72,16 +72,13 @@
 var clientKinds = []clientKind{clientSequential, clientPipelines, clientPausing, clientSlowWriter, clientDisconnects,
 	clientReconnects}
 
-// heedsRetryAfter reports whether a client waits as long as the Retry-After of a rejection says. One that pipelines does
-// not: it sends requests before it has the responses of earlier ones.
-func (k clientKind) heedsRetryAfter() bool { return k != clientPipelines }
-
 // Bounds of the drawn values.
 const (
 	minDuration          = 100 * time.Millisecond
 	maxDuration          = time.Hour
 	serverCount          = 3
 	clientsOfEachKind    = 3
+	tightClients         = 3                      // clients of the tight contract, at the edge proxy
 	idleConnectionsEvery = 4                      // one run in this many has idle connections
 	drainEvery           = 4                      // one run in this many has a server drain
 	seriesIdleEvery      = 8                      // one run in this many has seriesIdle in place of the series drawn
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -15,6 +15,14 @@
 	classPay   class = "pay"   // not idempotent
 )
 
+// contract is the name of the plan that a request's customer has, which determines its quota.
+type contract string
+
+const (
+	contractWide  contract = "wide"  // no quota that the clients reach
+	contractTight contract = "tight" // tightRate and tightBurst
+)
+
 // requestEnd is how a request ended for its client.
 type requestEnd string
 
@@ -31,6 +39,7 @@
 type request struct {
 	id          string
 	class       class
+	contract    contract
 	isFirst     bool          // first request on its connection
 	isSecond    bool          // second request on its connection
 	idleFor     time.Duration // idle time of the connection before the request
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -166,16 +166,27 @@
 func (r *run) startClients(ctx context.Context) *sync.WaitGroup {
 	var clients sync.WaitGroup
 	for i := range clientsOfEachKind * len(clientKinds) {
-		c := &client{run: r, kind: clientKinds[i%len(clientKinds)], name: fmt.Sprint("c", i),
-			random: rand.New(rand.NewPCG(r.plan.Seed, uint64(i)+1000))}
+		c := r.newClient(clientKinds[i%len(clientKinds)], contractWide, i)
 		clients.Go(func() { c.runUntil(ctx) })
 	}
+	if r.plan.Target == TargetEdgeProxy {
+		for i := range tightClients {
+			c := r.newClient(clientSequential, contractTight, clientsOfEachKind*len(clientKinds)+i)
+			clients.Go(func() { c.runUntil(ctx) })
+		}
+	}
 	if r.plan.IdleConnections > 0 {
 		clients.Go(func() { holdIdleConnections(ctx, r.address, r.plan.IdleConnections, &r.clientsMayConnect) })
 	}
 	return &clients
 }
 
+// newClient returns a client with a number of its own.
+func (r *run) newClient(kind clientKind, contract contract, number int) *client {
+	return &client{run: r, kind: kind, contract: contract, name: fmt.Sprint("c", number),
+		random: rand.New(rand.NewPCG(r.plan.Seed, uint64(number)+1000))}
+}
+
 // start starts one more process.
 func (r *run) start() (*process, error) {
 	cmd := r.target.command(r.socket)
--- a/internal/soak/target.go
+++ b/internal/soak/target.go
@@ -31,14 +31,16 @@
 	nodes                 int    // number of nodes in the tier
 }
 
-// edgeSettings are the policy settings. Its arguments are the deadline of classes in seconds and the number of nodes.
+// edgeSettings are the policy settings. Its arguments are the deadline of classes in seconds, the number of nodes, and
+// rate and burst of the tight contract.
 const edgeSettings = `{"instances":%[2]d,"familyInfo":{"inboxPerS":40},"lanes":[
 	{"name":"check","idempotency":"retryable","onTime":0.4,"deadline":%[1]v,"worth":1},
 	{"name":"book","idempotency":"dedup","keyScope":"all","memorySpan":30,"onTime":0.4,"deadline":%[1]v,"worth":2},
 	{"name":"pay","idempotency":"fragile","onTime":0.4,"deadline":%[1]v,"worth":2}],
-	"tariffs":[{"name":"wide","quotaRate":1e6,"peakUnits":1e6,"worthFactor":1}],
-	"policyLimits":{"cancel":true,"peers":true,"probes":true,"retryAfter":true,"mostTries":4,"maxRetryAfter":2,"connIdle":20,
-	"connectTimeout":0.25},"rules":{"answerSlack":0.008},"tick":0.002}`
+	"tariffs":[{"name":"wide","quotaRate":1e6,"peakUnits":1e6,"worthFactor":1},
+		{"name":"tight","quotaRate":%[3]d,"peakUnits":%[4]d,"worthFactor":1}],
+	"policyLimits":{"cancel":true,"peers":true,"probes":true,"retryAfter":true,"mostTries":4,"maxRetryAfter":2,
+	"connIdle":20,"connectTimeout":0.25},"rules":{"answerSlack":0.008},"tick":0.002}`
 
 func newEdgeTarget(
 	p *Plan, program, dir, address string, discovery netip.AddrPort, peer *gossipPeer,
@@ -49,7 +51,7 @@
 		t.nodes = 2
 		gossip = fmt.Sprintf(`"peer_listen":%q,"peers":[%[1]q,%q],"peers_all":%[2]q,`, peer.nodeAddr, peer.address())
 	}
-	settings := fmt.Sprintf(edgeSettings, p.Deadline.Seconds(), t.nodes)
+	settings := fmt.Sprintf(edgeSettings, p.Deadline.Seconds(), t.nodes, tightRate, tightBurst)
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"%x",%s"limits":{"memory_mb":192,"sockets":%d},
 		"settings":%s}`, address, discovery, p.Seed, gossip, descriptorLimit, settings)
 	return t, os.WriteFile(t.config, []byte(text), 0o600)
@@ -65,9 +67,20 @@
 	return cmd
 }
 
+// Customers of the contracts.
+const (
+	wideCustomer  = 0xb4d65521
+	tightCustomer = 0xb4d65522
+)
+
 func (t *edgeTarget) requestText(r *request) string {
-	text := fmt.Sprintf("%s /%s/a?customer=00000000b4d65521 HTTP/1.1\r\nHost: app.svc\r\nX-Qos: %s\r\n"+
-		"X-Contract: wide\r\nX-Metering: units=1,spread=%d,first=0\r\n", r.method(), r.class, r.class, t.nodes)
+	customer := wideCustomer
+	if r.contract == contractTight {
+		customer = tightCustomer
+	}
+	text := fmt.Sprintf("%s /%s/a?customer=%016x HTTP/1.1\r\nHost: app.svc\r\nX-Qos: %s\r\n"+
+		"X-Contract: %s\r\nX-Metering: units=1,spread=%d,first=0\r\n", r.method(), r.class, customer, r.class, r.contract,
+		t.nodes)
 	return text + commonFields(r)
 }
 
