--- a/internal/soak/check_rejections.go
+++ b/internal/soak/check_rejections.go
@@ -1,28 +1,52 @@
 package soak
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
-// maxRejectedShare is the share of the requests of clients that heed Retry-After from which rejections break the rule.
-const maxRejectedShare = 1.0 / 3
+// Rejections break the rule from maxRejectedShare of the judged requests of the clients that heed Retry-After. A run
+// with fewer than minJudgedRequests of them, two for each such client, is not judged.
+const (
+	maxRejectedShare  = 1.0 / 3
+	minJudgedRequests = 30
+)
 
-// checkRejections counts the rejections of the clients that heed Retry-After, and checks that their share is small.
+// latencyObjective is that of every class. The bound on work in flight admits what the servers respond to in that time
+// and only two attempts for each server while that is unknown, so that for as long after its start a process correctly
+// rejects many requests.
+const latencyObjective = 400 * time.Millisecond
+
+// checkRejections counts the rejections of the clients that heed Retry-After, and checks that they are a small share of
+// the requests sent once the first process knows its servers.
 func (v *Verdict) checkRejections(r *run) {
-	for _, request := range r.records.requests {
-		if !request.isHeeding {
+	all := countRejections(r.records.requests, time.Time{})
+	v.HeedingRequests, v.HeedingRejected = all.requests, all.rejected
+	judged := countRejections(r.records.requests, r.processes[0].readyAt.Add(latencyObjective))
+	if r.mayRejectMany() || judged.requests < minJudgedRequests {
+		return
+	}
+	if float64(judged.rejected) >= maxRejectedShare*float64(judged.requests) {
+		v.violation(ruleRejections, "%d of %d requests of clients that heed Retry-After were rejected", judged.rejected,
+			judged.requests)
+	}
+}
+
+// rejectionCount counts requests, and those of them that were rejected.
+type rejectionCount struct{ requests, rejected int }
+
+// countRejections counts the requests of clients that heed Retry-After that were sent after a time.
+func countRejections(requests []*request, after time.Time) (count rejectionCount) {
+	for _, request := range requests {
+		if !request.isHeeding || !request.sentAt.After(after) {
 			continue
 		}
-		v.HeedingRequests++
+		count.requests++
 		if request.isRejected() {
-			v.HeedingRejected++
+			count.rejected++
 		}
 	}
-	if r.mayRejectMany() {
-		return
-	}
-	if float64(v.HeedingRejected) >= maxRejectedShare*float64(v.HeedingRequests) && v.HeedingRejected > 0 {
-		v.violation(ruleRejections, "%d of %d requests of clients that heed Retry-After were rejected", v.HeedingRejected,
-			v.HeedingRequests)
-	}
+	return count
 }
 
 // mayRejectMany reports whether a large share of rejections is correct: a process was away for a time, or a server
