--- a/internal/soak/check_rejections.go
+++ b/internal/soak/check_rejections.go
@@ -13,16 +13,16 @@
 )
 
 // latencyObjective is that of every class. The bound on work in flight admits what the servers respond to in that time
-// and only two attempts for each server while that is unknown, so that for as long after its start a process correctly
-// rejects many requests.
+// and only two attempts for each server while that is unknown, so that for as long after its first request a process
+// correctly rejects many.
 const latencyObjective = 400 * time.Millisecond
 
 // checkRejections counts the rejections of the clients that heed Retry-After, and checks that they are a small share of
-// the requests sent once the first process knows its servers.
+// the requests sent once the first process may know its servers.
 func (v *Verdict) checkRejections(r *run) {
 	all := countRejections(r.records.requests, time.Time{})
 	v.HeedingRequests, v.HeedingRejected = all.requests, all.rejected
-	judged := countRejections(r.records.requests, r.processes[0].readyAt.Add(latencyObjective))
+	judged := countRejections(r.records.requests, firstSentAt(r.records.requests).Add(latencyObjective))
 	if r.mayRejectMany() || judged.requests < minJudgedRequests {
 		return
 	}
@@ -49,6 +49,16 @@
 	return count
 }
 
+// firstSentAt returns when the first request was sent, or the zero time if there is none.
+func firstSentAt(requests []*request) (first time.Time) {
+	for _, request := range requests {
+		if first.IsZero() || request.sentAt.Before(first) {
+			first = request.sentAt
+		}
+	}
+	return first
+}
+
 // mayRejectMany reports whether a large share of rejections is correct: a process was away for a time, or a server
 // responded to nothing at the end.
 func (r *run) mayRejectMany() bool {
