--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"testing"
 	"time"
@@ -37,6 +38,40 @@
 	r.records.attempts = append(r.records.attempts, a)
 }
 
+// recordIdle records the descriptors that the process held once its clients had left. When it was ready, it held 7, and
+// none of them was a connection.
+func (r *run) recordIdle(atIdle descriptorCounts) {
+	r.plan.Series = seriesIdle
+	r.processes[0].atReady, r.processes[0].atIdle = descriptorCounts{others: 7}, &atIdle
+	r.processes[0].idleAt = at(900)
+}
+
+// addHeedingRequests records requests of a client that heeds Retry-After, sent at 501 ms.
+func (r *run) addHeedingRequests(rejected, served int) {
+	for i := range rejected + served {
+		status := 200
+		if i < rejected {
+			status = 429
+		}
+		r.records.requests = append(r.records.requests, &request{id: "b", class: classCheck, isHeeding: true,
+			sentAt: at(501), timeout: time.Second, end: endAnswered, endedAt: at(600), status: status})
+	}
+}
+
+// addTightRequests records served requests of the tight contract. The last is sent a number of milliseconds after the
+// others.
+func (r *run) addTightRequests(count, lastAfter int) {
+	for i := range count {
+		id, sentAt := fmt.Sprint("tight-", i), at(100)
+		if i == count-1 {
+			sentAt = at(100 + lastAfter)
+		}
+		r.records.requests = append(r.records.requests, &request{id: id, class: classCheck, contract: contractTight,
+			sentAt: sentAt, timeout: time.Second, end: endAnswered, endedAt: sentAt, status: 200})
+		r.records.attempts = append(r.records.attempts, &attempt{id: id, began: sentAt, ended: sentAt})
+	}
+}
+
 // restartProcess records that the process exited at 2,000 ms and that the next one was ready at 2,050 ms.
 func (r *run) restartProcess() {
 	r.plan.Series = seriesRestarts
@@ -120,6 +155,79 @@
 			r.restartProcess()
 			q.connectedAt, q.sentAt, q.end, q.endedAt = at(2010), at(2020), endClosed, at(2020)
 		}, ruleResponse},
+		"descriptors as at readiness, and connections that may be kept": {func(_ *request, r *run) {
+			r.plan.Servers = make([]serverPlan, 1)
+			r.addAttempt(110, 190, false)
+			r.recordIdle(descriptorCounts{servers: 1 + spareConnectionsPerServer, discovery: 1, others: 7})
+		}, ""},
+		"more connections to servers than attempts needed": {func(_ *request, r *run) {
+			r.plan.Servers = make([]serverPlan, 1)
+			r.addAttempt(110, 190, false)
+			r.recordIdle(descriptorCounts{servers: 2 + spareConnectionsPerServer, discovery: 1, others: 7})
+		}, ruleDescriptors},
+		"a client's connection kept": {func(_ *request, r *run) {
+			r.recordIdle(descriptorCounts{clients: 1, others: 7})
+		}, ruleDescriptors},
+		"an attempt in flight without its client": {func(_ *request, r *run) {
+			r.addAttempt(110, 950, false)
+			r.recordIdle(descriptorCounts{others: 7})
+		}, ruleDescriptors},
+		"a third of the requests rejected": {func(_ *request, r *run) {
+			r.addHeedingRequests(10, 20)
+		}, ruleRejections},
+		"less than a third of the requests rejected": {func(_ *request, r *run) {
+			r.addHeedingRequests(10, 21)
+		}, ""},
+		"all of a few requests rejected": {func(_ *request, r *run) {
+			r.addHeedingRequests(29, 0)
+		}, ""},
+		"a third of the requests rejected, just after the first request": {func(_ *request, r *run) {
+			r.addHeedingRequests(10, 20)
+			for _, request := range r.records.requests {
+				request.sentAt = at(500)
+			}
+		}, ""},
+		"rejected, of a client that does not heed Retry-After": {func(_ *request, r *run) {
+			r.addHeedingRequests(30, 0)
+			for _, request := range r.records.requests {
+				request.isHeeding = false
+			}
+		}, ""},
+		"rejected, with servers that hang at the end": {func(_ *request, r *run) {
+			r.addHeedingRequests(30, 0)
+			r.plan.Servers = []serverPlan{{HangsAtEnd: true}}
+		}, ""},
+		"rejected, with a process away": {func(_ *request, r *run) {
+			r.addHeedingRequests(30, 0)
+			r.outages = []interval{{at(500), at(600)}}
+		}, ""},
+		"units within the quota": {func(_ *request, r *run) { r.addTightRequests(21, 0) }, ""},
+		"units beyond the quota": {func(_ *request, r *run) { r.addTightRequests(23, 0) }, ruleQuotas},
+		"units within the quota, over time": {func(_ *request, r *run) {
+			r.addTightRequests(31, 1000)
+		}, ""},
+		"units beyond the quota, over time": {func(_ *request, r *run) {
+			r.addTightRequests(33, 1000)
+		}, ruleQuotas},
+		"units of two bursts, over a restart": {func(_ *request, r *run) {
+			r.restartProcess()
+			r.addTightRequests(41, 0)
+		}, ""},
+		"units beyond the bursts, over a restart": {func(_ *request, r *run) {
+			r.restartProcess()
+			r.addTightRequests(45, 0)
+		}, ruleQuotas},
+		"units beyond the quota, over an upgrade": {func(_ *request, r *run) {
+			r.restartProcess()
+			r.processes[1].logPath = "testdata/successor.log"
+			r.addTightRequests(41, 0)
+		}, ruleQuotas},
+		"two watches": {func(_ *request, r *run) {
+			r.recordIdle(descriptorCounts{discovery: 2, others: 7})
+		}, ruleDescriptors},
+		"another descriptor": {func(_ *request, r *run) {
+			r.recordIdle(descriptorCounts{others: 8})
+		}, ruleDescriptors},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := recordedRun(c.change).checkRules(0)
@@ -133,6 +241,7 @@
 // The same seed gives the same plan, all series are drawn, and an unknown target or a bad duration is an error.
 func TestNewPlan(t *testing.T) {
 	seen := map[series]bool{}
+	drains := map[bool]int{}
 	for seed := range uint64(300) {
 		a, err := NewPlan(TargetEdgeProxy, seed, time.Second)
 		if err != nil {
@@ -143,10 +252,14 @@
 			t.Errorf("seed %d: got the plans %v and %v, want equal ones", seed, a, b)
 		}
 		seen[a.Series] = true
+		drains[a.Drain != nil]++
 	}
-	if len(seen) != len(edgeSeries) {
+	if want := len(edgeSeries) + 1; len(seen) != want || !seen[seriesIdle] {
 		t.Errorf("300 seeds draw only the series %v, want all", seen)
 	}
+	if drains[true] == 0 || drains[false] == 0 {
+		t.Errorf("300 seeds: got %d plans with a drain and %d without one, want both", drains[true], drains[false])
+	}
 	for _, err := range []error{planError("other", time.Second), planError(TargetGateway, 0)} {
 		if err == nil {
 			t.Error("NewPlan accepted an unknown target or a duration of 0, want an error")
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -1,6 +1,7 @@
 package soak
 
 import (
+	"net/http"
 	"sync"
 	"time"
 )
@@ -14,6 +15,14 @@
 	classPay   class = "pay"   // not idempotent
 )
 
+// contract is the name of the plan that a request's customer has, which determines its quota.
+type contract string
+
+const (
+	contractWide  contract = "wide"  // no quota that the clients reach
+	contractTight contract = "tight" // tightRate and tightBurst
+)
+
 // requestEnd is how a request ended for its client.
 type requestEnd string
 
@@ -30,11 +39,13 @@
 type request struct {
 	id          string
 	class       class
+	contract    contract
 	isFirst     bool          // first request on its connection
 	isSecond    bool          // second request on its connection
 	idleFor     time.Duration // idle time of the connection before the request
 	connectedAt time.Time
 	sentAt      time.Time     // when the last byte was written
+	isHeeding   bool          // its client heeds Retry-After
 	ahead       *request      // the pipelined request before this one, whose response comes first; nil if none
 	timeout     time.Duration // remaining time that the request states
 	end         requestEnd
@@ -51,6 +62,11 @@
 	return "POST"
 }
 
+// isRejected reports whether the response rejects the request, so that the client may retry it later.
+func (r *request) isRejected() bool {
+	return r.end == endAnswered && (r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable)
+}
+
 // attempt is a server's record of an attempt of a request.
 type attempt struct {
 	id           string
@@ -59,11 +75,18 @@
 	neverRan     bool      // rejected without having run
 }
 
-// records are the requests and attempts of a run.
+// serverDrain records that a server was listed as draining or removed.
+type serverDrain struct {
+	server int
+	at     time.Time
+}
+
+// records are the requests, attempts and drains of a run.
 type records struct {
 	mu       sync.Mutex
 	requests []*request
 	attempts []*attempt
+	drains   []serverDrain
 }
 
 func (r *records) addRequest(request *request) {
@@ -78,6 +101,12 @@
 	r.attempts = append(r.attempts, attempt)
 }
 
+func (r *records) addDrain(drain serverDrain) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.drains = append(r.drains, drain)
+}
+
 func (r *records) endAttempt(attempt *attempt, neverRan bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -21,6 +21,7 @@
 	balancerDelay  = 400 * time.Millisecond // from a SIGTERM until no client opens a connection
 	readyTimeout   = 6 * time.Second
 	servingTime    = 300 * time.Millisecond // for which a new process serves before the next signal
+	quietTime      = 300 * time.Millisecond // from the end of the last client to the count of descriptors
 	stallThreshold = 50 * time.Millisecond  // a run with a stall as long as this counts as disturbed
 )
 
@@ -42,6 +43,7 @@
 	stalls            *schedwait.Monitor
 	processProblems   []string // violations of ruleProcess found while the signals were sent
 	outages           []interval
+	stopClients       func() // stops the clients and waits until the last one has closed its connection
 }
 
 // Run executes a plan with a program and returns the verdict. It returns an error if the plan was not executed to its
@@ -118,21 +120,41 @@
 	if !r.awaitReady(first) {
 		return nil, fmt.Errorf("soak: the first process did not become ready; its log: %s", first.log())
 	}
+	if first.atReady, err = r.countDescriptors(first); err != nil {
+		return nil, err
+	}
 	r.stalls.Start()
-	clientsCtx, stopClients := context.WithCancel(ctx)
-	defer stopClients()
+	clientsCtx, cancelClients := context.WithCancel(ctx)
+	defer cancelClients()
 	r.clientsMayConnect.Store(true)
 	clients := r.startClients(clientsCtx)
+	if r.plan.Drain != nil {
+		timer := time.AfterFunc(r.plan.Drain.After, r.drainServer)
+		defer timer.Stop()
+	}
+	r.stopClients = func() {
+		cancelClients()
+		clients.Wait()
+	}
 	sleep(ctx, r.plan.Duration)
 	if err := r.runSignalSeries(ctx, first); err != nil {
 		return nil, err
 	}
-	stopClients()
-	clients.Wait()
+	r.stopClients()
 	r.closeServers()
 	return r.checkRules(r.stalls.Stop()), ctx.Err()
 }
 
+// drainServer lists the plan's server as draining, or removes it from the list. The server itself goes on.
+func (r *run) drainServer() {
+	lifecycle := "draining"
+	if r.plan.Drain.IsRemoved {
+		lifecycle = "removed"
+	}
+	r.discovery.Put(r.servers[r.plan.Drain.Server].entry(lifecycle))
+	r.records.addDrain(serverDrain{r.plan.Drain.Server, time.Now()})
+}
+
 // closeServers closes the servers with the attempts that are in flight.
 func (r *run) closeServers() {
 	for _, server := range r.servers {
@@ -144,16 +166,27 @@
 func (r *run) startClients(ctx context.Context) *sync.WaitGroup {
 	var clients sync.WaitGroup
 	for i := range clientsOfEachKind * len(clientKinds) {
-		c := &client{run: r, kind: clientKinds[i%len(clientKinds)], name: fmt.Sprint("c", i),
-			random: rand.New(rand.NewPCG(r.plan.Seed, uint64(i)+1000))}
+		c := r.newClient(clientKinds[i%len(clientKinds)], contractWide, i)
 		clients.Go(func() { c.runUntil(ctx) })
 	}
+	if r.plan.Target == TargetEdgeProxy {
+		for i := range tightClients {
+			c := r.newClient(clientSequential, contractTight, clientsOfEachKind*len(clientKinds)+i)
+			clients.Go(func() { c.runUntil(ctx) })
+		}
+	}
 	if r.plan.IdleConnections > 0 {
 		clients.Go(func() { holdIdleConnections(ctx, r.address, r.plan.IdleConnections, &r.clientsMayConnect) })
 	}
 	return &clients
 }
 
+// newClient returns a client with a number of its own.
+func (r *run) newClient(kind clientKind, contract contract, number int) *client {
+	return &client{run: r, kind: kind, contract: contract, name: fmt.Sprint("c", number),
+		random: rand.New(rand.NewPCG(r.plan.Seed, uint64(number)+1000))}
+}
+
 // start starts one more process.
 func (r *run) start() (*process, error) {
 	cmd := r.target.command(r.socket)
