--- a/internal/gateway/texts.go
+++ b/internal/gateway/texts.go
@@ -56,6 +56,6 @@
 )
 
 // errRelayConfig is the error for an incomplete relay configuration.
-var errRelayConfig = errors.New("link: own halls, TLS certificates and their verification are required")
+var errRelayConfig = errors.New("link: own sites, TLS certificates and their verification are required")
 
-const textDuplicateSite = "halls: %q is listed twice"
+const textDuplicateSite = "sites: %q is listed twice"
--- a/internal/gatewayconfig/fields.go
+++ b/internal/gatewayconfig/fields.go
@@ -30,8 +30,8 @@
 	textNoDeadline    = "aim and deadline must both be set and above 0"
 	textHardLimit     = "must not be below rate, and ceiling_burst must be above 0"
 	textZoneNoSite    = "%q is not the name of a [[hall]] in this file"
-	textZoneMissing   = "is missing: set it to the name of this instance's own hall"
-	textNotRemoteSite = "%q is empty or this instance's own hall: name a hall of another site"
+	textZoneMissing   = "is missing: set it to the name of this instance's own site"
+	textNotRemoteSite = "%q is empty or this instance's own site: name another site"
 )
 
 // textUnknownValue is the text of the problem of a field that accepts only two values.
--- a/internal/gatewayconfig/membership.go
+++ b/internal/gatewayconfig/membership.go
@@ -170,7 +170,7 @@
 		}
 		isSame := func(peer gateway.RelayPeer) bool { return peer.Member == f.Member }
 		if slices.ContainsFunc(relay.PeersBySite[f.Site], isSame) {
-			p.addProblem(section+".member", "%d is used twice for hall %s", f.Member, f.Site)
+			p.addProblem(section+".member", "%d is used twice for site %s", f.Member, f.Site)
 		}
 		peer := gateway.RelayPeer{Member: f.Member, Addr: p.address(section+".address", f.Address)}
 		relay.PeersBySite[f.Site] = append(relay.PeersBySite[f.Site], peer)
