--- a/internal/scenario/stop_at_step_test.go
+++ b/internal/scenario/stop_at_step_test.go
@@ -195,7 +195,7 @@
 		r.awaitAnswers()
 	}
 	run.offsets = map[stopPoint][]time.Duration{}
-	for trace, instanceTraces := range run.cluster.readTraces(&ruleChecker{verdict: &Verdict{}}) {
+	for trace, instanceTraces := range run.cluster.readTraces(newRuleChecker()) {
 		for i := range instanceTraces {
 			run.addOffsets(&instanceTraces[i], timesByTrace[trace])
 		}
@@ -288,7 +288,7 @@
 
 // reportHits logs which steps the stops of each case have hit, and fails if they had no request in flight.
 func (run *stopRun) reportHits() {
-	traces := run.cluster.readTraces(&ruleChecker{verdict: &Verdict{}})
+	traces := run.cluster.readTraces(newRuleChecker())
 	hitCount := 0
 	hitsByCase := map[string]map[string]int{}
 	for _, stop := range run.stops {
--- a/internal/scenario/stop_cluster_test.go
+++ b/internal/scenario/stop_cluster_test.go
@@ -164,16 +164,30 @@
 // awaitServed sends rounds until one is served completely.
 func (run *stopRun) awaitServed() {
 	isNotServed := func(attempt testserver.Attempt) bool { return !attempt.Served }
+	var notServed testserver.Attempt
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(servedInterval) {
 		r := run.send(stopTemplates...)
 		if run.hasLocalReads {
 			run.sendAllButOneByte(run.far, slices.Repeat(stopTemplates[:1], localReads)...).finish()
 		}
-		if r.awaitAnswers(); !slices.ContainsFunc(r.attempts, isNotServed) {
+		r.awaitAnswers()
+		i := slices.IndexFunc(r.attempts, isNotServed)
+		if i < 0 {
 			return
 		}
+		notServed = r.attempts[i]
 	}
-	run.t.Fatalf("requests are not served %v after the start or the last stop", readyTimeout)
+	run.t.Fatalf("requests are not served %v after the start or the last stop: %s", readyTimeout, run.describe(notServed))
+}
+
+// describe returns the records of clients and instances of an attempt.
+func (run *stopRun) describe(attempt testserver.Attempt) string {
+	records := &evidence{}
+	records.addClient(&attempt)
+	for _, trace := range run.cluster.readTraces(newRuleChecker())[attempt.Trace] {
+		records.addTrace(&trace)
+	}
+	return attempt.Trace + "\n" + records.text.String()
 }
 
 // round is a set of requests that are sent to an instance together, each on its own connection.
