--- a/policy/admission.go
+++ b/policy/admission.go
@@ -34,6 +34,15 @@
 	return c.samples >= minBatchSamples && timeout.Seconds() < c.mean
 }
 
+// discardStaleMean discards the mean latency of the class if it would reject a timeout and is older than latencyMaxAge.
+// Otherwise a few slow responses could raise the mean above the timeouts of all requests: each would be rejected, and
+// no response could lower the mean again.
+func (c *classLatency) discardStaleMean(now, timeout time.Duration) {
+	if c.isTooShort(timeout) && now-c.recordedAt >= latencyMaxAge {
+		c.mean, c.deviation, c.samples = 0, 0, 0
+	}
+}
+
 // inFlightBound decides whether so much work is in flight that a new request would not be answered in time. It collects
 // the [overload.Load] that package overload compares with its bound; zones with limits have bounds of their own.
 type inFlightBound struct {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -34,7 +34,7 @@
 func TestTimeoutBelowMeanLatencyIsRejected(t *testing.T) {
 	e, r := newEngine(t, testSettings(), testServers(4)...)
 	c := &e.latencies.classes[e.index.classes["safe"]]
-	c.samples, c.mean, c.deviation = minBatchSamples, 0.2, 0.01
+	c.samples, c.mean, c.deviation, c.recordedAt = minBatchSamples, 0.2, 0.01, t0
 	q := newRequest(1, "safe", "rate", 1)
 	q.Timeout = 100 * ms
 	e.RequestReceived(t0, q, r)
@@ -43,6 +43,32 @@
 	}
 }
 
+// A mean latency that a few slow responses have raised above the timeouts of all requests must not reject requests
+// forever, since then no response can lower it.
+func TestStaleMeanLatencyRejectsNoRequest(t *testing.T) {
+	e, r := newEngine(t, testSettings(), testServers(4)...)
+	c := &e.latencies.classes[e.index.classes["safe"]]
+	c.samples, c.mean, c.deviation, c.recordedAt = minBatchSamples, 0.2, 0.01, t0
+	send := func(n int, at time.Duration) (isSent bool) {
+		r.actions = nil
+		q := newRequest(n, "safe", "rate", 1)
+		q.Timeout = 100 * ms
+		e.RequestReceived(at, q, r)
+		if isSent = r.count("send") == 1; isSent {
+			e.AttemptCompleted(at+ms, AttemptResult{ID: q.ID, Result: OK, Latency: ms, RequestAnswered: true}, r)
+		}
+		return isSent
+	}
+	if send(1, t0+latencyMaxAge-ms) {
+		t.Error("request before latencyMaxAge: got sent, want rejected")
+	}
+	for n := range 3 * minBatchSamples {
+		if at := t0 + latencyMaxAge + time.Duration(10*n)*ms; !send(2+n, at) {
+			t.Fatalf("request %d after latencyMaxAge: got actions %v, want sent", n, r.actions)
+		}
+	}
+}
+
 // A late request, whose client has already waited for longer than the latency objective of its class, is rejected while
 // the quota of its customer is contended, and only then: the units are left for requests that can still be answered in
 // time.
--- a/policy/events.go
+++ b/policy/events.go
@@ -44,6 +44,7 @@
 func (e *Engine) findEarlyRejection(r *request) rejection {
 	plan := e.quotas.PlanOf(r.quota)
 	retryAfter := e.settings.classOf(r).overloadRetryAfter()
+	e.latencies.forRequest(r).discardStaleMean(e.now, r.Timeout)
 	switch {
 	case e.inFlightBound.isOverloaded(e.now, r.class, r.Zone, plan.PriorityFactor):
 		return rejection{rejectOverloaded, retryAfter}
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -91,7 +91,7 @@
 	}
 	for name, saved := range state.Classes {
 		if i, ok := e.index.classes[name]; ok {
-			e.latencies.restoreClass(i, saved, state.Kinds)
+			e.latencies.restoreClass(now, i, saved, state.Kinds)
 		}
 	}
 	e.latencies.restoreKinds(&state)
--- a/policy/hot_restart_learned.go
+++ b/policy/hot_restart_learned.go
@@ -21,10 +21,11 @@
 
 // restoreClass restores the latency statistics of a class. kinds holds the names of the machine kinds in the order of
 // the export, in which saved.Lowest is indexed.
-func (t *latencyTable) restoreClass(class int, saved latencyState, kinds []string) {
+func (t *latencyTable) restoreClass(now time.Duration, class int, saved latencyState, kinds []string) {
 	c := &t.classes[class]
 	c.mean, c.deviation, c.samples = saved.Mean, saved.Deviation, saved.Samples
 	c.firstTryTimeout = saved.FirstTryTimeout
+	c.recordedAt = now
 	c.kinds = nil
 	for k := range min(len(saved.Lowest), len(kinds)) {
 		i := t.addKind(kinds[k])
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -18,6 +18,8 @@
 
 	initialWorkDivisor = 4    // unknown work is estimated as the latency objective divided by this
 	minLatencyDivisor  = 1e-6 // seconds; avoids a division by 0
+
+	latencyMaxAge = time.Second // since the last response of a class; an older mean rejects no request
 )
 
 // latencyTable holds the latencies learned per class and per machine kind.
@@ -32,6 +34,7 @@
 type classLatency struct {
 	mean, deviation float64 // seconds
 	samples         int
+	recordedAt      time.Duration // when the last response was recorded, or the statistics were restored
 	kinds           []kindLatency // by kind index
 	firstTryTimeout time.Duration // estimated timeout of clients' first tries
 }
@@ -72,8 +75,9 @@
 }
 
 // record adds the latency, in seconds, of one response of a class from a machine kind.
-func (t *latencyTable) record(class int, kind string, seconds float64) latencySample {
+func (t *latencyTable) record(now time.Duration, class int, kind string, seconds float64) latencySample {
 	c := &t.classes[class]
+	c.recordedAt = now
 	c.record(seconds)
 	ratio := seconds / math.Max(c.mean, minLatencyDivisor)
 	i := t.kindIndex[kind]
--- a/policy/occupancy.go
+++ b/policy/occupancy.go
@@ -46,7 +46,7 @@
 // is 1 - lowest/mean.
 func (o *occupancyReadings) recordLatency(now time.Duration, s *server, class int, latency time.Duration) {
 	seconds := latency.Seconds()
-	sample := o.latencies.record(class, s.Kind, seconds)
+	sample := o.latencies.record(now, class, s.Kind, seconds)
 	s.latencyRatio += latencyWeight * (sample.ratio - s.latencyRatio)
 	if o.settings.LoadReports != LoadReportsNone && !o.lacksLoadReport(now, s) {
 		return
