--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -72,8 +72,9 @@
 }
 
 // Read counts the reads of a request. A request that does not arrive in a single read gets requestReadTimeout for the
-// rest, so that a slow client cannot hold a connection.
-func (i *requestInput) Read(p []byte) (int, error) {
+// rest, so that a slow client cannot hold a connection. Data received before the deadline passed is read even if this
+// process notices it later.
+func (i *requestInput) Read(p []byte) (n int, err error) {
 	if i.readCount == 1 {
 		i.setDeadline(time.Now().Add(requestReadTimeout))
 	}
@@ -83,6 +84,18 @@
 		p[0] = i.readAhead
 		return 1, nil
 	}
+	n, err = i.conn.Read(p)
+	if i.readCount > 1 && errors.Is(err, os.ErrDeadlineExceeded) && graceful.HasUnreadData(i.conn) {
+		return i.readReceived(p)
+	}
+	return n, err
+}
+
+// readReceived reads data that is already in the socket's receive buffer, though the read deadline has passed: it may
+// have been received in time, while this process did not run.
+func (i *requestInput) readReceived(p []byte) (n int, err error) {
+	i.conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
+	defer i.conn.SetReadDeadline(i.deadline)
 	return i.conn.Read(p)
 }
 
--- a/internal/scenario/stop_at_step_test.go
+++ b/internal/scenario/stop_at_step_test.go
@@ -104,6 +104,7 @@
 // hold the near instance at a step, it does so. Elsewhere it stops the instance at the time of the step in rounds
 // without a stop. The test logs the step that each stop has hit.
 func TestStopAtEachStep(t *testing.T) {
+	t.Parallel()
 	program := buildGateway(t)
 	for name, cases := range map[string][]stopCase{
 		"near":        stopCases(nearRole),
@@ -121,6 +122,7 @@
 
 // Relayed requests must be served again after the far instance was stopped, even if it has no other clients.
 func TestRelayedRequestsServedAfterStops(t *testing.T) {
+	t.Parallel()
 	run := startStopRun(t, buildGateway(t))
 	run.awaitServed()
 	for range clientlessStops {
