--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -246,3 +246,67 @@
 		}
 	}
 }
+
+// unitsAdmitted offers one request each 10 ms from a time on, for a duration, and returns how many were admitted. Each
+// request is completed before the next.
+func unitsAdmitted(e *Engine, r *recorder, from, duration time.Duration, q Request) (admitted float64) {
+	for now := from; now < from+duration; now += 10 * ms {
+		admitted += float64(offerRequests(e, r, now, 1, q))
+		completeAttempts(e, r, now+5*ms, 5*ms, OK)
+	}
+	return admitted
+}
+
+// slowUpgrade describes the quotas of a hot restart whose successor imports the state one second after its export.
+type slowUpgrade struct {
+	name  string
+	plan  Plan
+	rate  float64 // of the plan's limit that is under test
+	burst float64
+}
+
+// slowUpgrades returns an upgrade with a quota and one with a hard limit.
+func slowUpgrades() []slowUpgrade {
+	const rate, burst = 10, 20
+	quotaPlan := Plan{Name: "limited", Rate: rate, Burst: burst, PriorityFactor: 1}
+	hardLimitPlan := Plan{Name: "limited", HardLimitRate: rate, HardLimitBurst: burst, PriorityFactor: 1}
+	return []slowUpgrade{{"quota", quotaPlan, rate, burst}, {"hard limit", hardLimitPlan, rate, burst}}
+}
+
+// settings returns the settings of both processes.
+func (u slowUpgrade) settings() Settings {
+	s := testSettings()
+	s.Plans = []Plan{u.plan}
+	return s
+}
+
+// While a slow successor does not import the state yet, the predecessor admits requests and refills its quotas. The
+// successor does not refill that interval again: otherwise its units could be spent twice.
+func TestSlowSuccessorRefillsFromImport(t *testing.T) {
+	for _, upgrade := range slowUpgrades() {
+		t.Run(upgrade.name, func(t *testing.T) {
+			e, r := newEngine(t, upgrade.settings(), testServers(4)...)
+			exportedAt := t0 + 10*time.Second
+			importedAt := exportedAt + time.Second
+			q := newRequest(0, "safe", "limited", 1)
+			spent := float64(offerRequests(e, r, exportedAt, int(upgrade.burst), q))
+			completeAttempts(e, r, exportedAt, 5*ms, OK)
+			if spent != upgrade.burst {
+				t.Fatalf("units admitted before the export: got %v, want the burst of %v", spent, upgrade.burst)
+			}
+			text, err := e.ExportState(exportedAt)
+			if err != nil {
+				t.Fatal(err)
+			}
+			spent += unitsAdmitted(e, r, exportedAt, time.Second, q)
+			next, rn := newSuccessor(t, upgrade.settings(), importedAt, testServers(4)...)
+			if err := next.ImportState(importedAt, text); err != nil {
+				t.Fatal(err)
+			}
+			spent += unitsAdmitted(next, rn, importedAt, time.Second, q)
+			if allowed := upgrade.burst + upgrade.rate*2; spent > allowed {
+				t.Errorf("units admitted by both processes: got %v, want at most %v", spent, allowed)
+			}
+		})
+	}
+}
--- a/policy/quota/state.go
+++ b/policy/quota/state.go
@@ -85,8 +85,8 @@
 }
 
 // Restore restores a quota that had the plan oldPlan in the predecessor. The quota is skipped if a plan of that name no
-// longer exists or the customer already has a quota. Attempts that the predecessor still has in flight count for
-// leaseTTL.
+// longer exists or the customer already has a quota. The quota refills from now on: since the export, the predecessor
+// has refilled its own and spent the units. Attempts that the predecessor still has in flight count for leaseTTL.
 func (t *Table) Restore(saved State, oldPlan *Plan, now, leaseTTL time.Duration) {
 	plan := slices.IndexFunc(t.plans, func(p Plan) bool { return p.Name == oldPlan.Name })
 	if plan < 0 || t.Lookup(saved.Customer) != nil {
@@ -113,7 +113,7 @@
 // restore sets the quota to a saved state, except for the attempts in flight on this instance and whether the quota
 // needs gossip.
 func (q *Quota) restore(saved State, now time.Duration, fleetSize int) {
-	q.refilledAt = min(saved.RefilledAt, now)
+	q.refilledAt = now
 	q.RejectedUntil, q.ContendedUntil = saved.RejectedUntil, saved.ContendedUntil
 	q.Tokens, q.HardLimitTokens = saved.Tokens, saved.HardLimitTokens
 	q.unitsSinceGossip, q.pendingUnits = saved.UnitsSinceGossip, saved.PendingUnits
