--- a/internal/edgeproxy/hot_restart.go
+++ b/internal/edgeproxy/hot_restart.go
@@ -25,6 +25,9 @@
 //	                    has taken over; in between they wait in the kernel's backlog
 //	engine state        the predecessor until the state is exported; the successor from state complete on; after the
 //	                    export the engine of the predecessor only finishes the requests in flight
+//	quotas' tokens      split when the state is exported: the predecessor keeps a reserve for requests that arrive before
+//	                    their connections are handed over, and refills its quotas; those of the successor refill from
+//	                    state complete on
 //	gossip              the successor from state complete on; the predecessor sends nothing after the export
 //	client connection   the predecessor until no request is active on it; the successor once the connection is sent;
 //	                    none is closed
@@ -64,7 +67,7 @@
 	}
 	defer socket.Close()
 	ln.Close()
-	state, gossipSocket, err := s.node.exportState()
+	state, gossipSocket, err := s.node.handOverState()
 	if err == nil {
 		successors.stopListening()
 		err = successors.sendInheritedState(state, gossipSocket)
@@ -73,9 +76,7 @@
 		err = errNoSuccessor
 	}
 	if err != nil {
-		if gossipSocket != nil {
-			s.node.setGossipSocket(gossipSocket)
-		}
+		s.node.resume(gossipSocket)
 		reopened, listenErr := net.FileListener(socket)
 		return reopened, errors.Join(err, listenErr)
 	}
--- a/internal/edgeproxy/metrics.go
+++ b/internal/edgeproxy/metrics.go
@@ -90,7 +90,7 @@
 	n.engine.EachRejectionCount(func(rule string, count uint64) {
 		fmt.Fprintf(&b, metricRejectedByRule, rule, count)
 	})
-	overQuota := n.engine.OverQuotaUnits()
+	overQuota := n.engine.Quotas().OverQuota
 	fmt.Fprintf(&b, metricOverQuotaSent, overQuota.Sent)
 	fmt.Fprintf(&b, metricOverQuotaDiscovered, overQuota.Discovered)
 	n.mu.Unlock()
--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -154,16 +154,27 @@
 	return socket
 }
 
-// exportState returns the engine's state for the successor process, and the gossip socket, on which the node sends
-// nothing any more. The requests in flight continue.
-func (n *Node) exportState() (state []byte, socket *gossip.Socket, err error) {
+// handOverState returns the engine's state for the successor process, to which the quotas' tokens belong from here on,
+// and the gossip socket, on which the node sends nothing any more. The requests in flight continue. If the handover
+// fails, the caller calls resume.
+func (n *Node) handOverState() (state []byte, socket *gossip.Socket, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	socket, n.gossipSocket = n.gossipSocket, nil
-	state, err = n.engine.ExportState(n.now())
+	now := n.now()
+	n.engine.Quotas().HandOver(now)
+	state, err = n.engine.ExportState(now)
 	return state, socket, err
 }
 
+// resume takes back what handOverState has returned: the quotas' tokens, and the gossip socket, which may be nil.
+func (n *Node) resume(socket *gossip.Socket) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.engine.Quotas().TakeBack(n.now())
+	n.gossipSocket = socket
+}
+
 // importState imports the engine's state of the predecessor. An invalid state is logged and not used.
 func (n *Node) importState(state []byte) {
 	n.mu.Lock()
--- a/internal/edgeproxy/successor_listener_test.go
+++ b/internal/edgeproxy/successor_listener_test.go
@@ -1,6 +1,7 @@
 package edgeproxy
 
 import (
+	"fmt"
 	"log/slog"
 	"net"
 	"net/netip"
@@ -158,3 +159,55 @@
 	cfg.GossipBroadcast = cfg.GossipPeers[1]
 	cfg.Settings.Plans[1] = policy.Plan{Name: "tight", Rate: 0.001, Burst: 40, PriorityFactor: 1}
 }
+
+// requestStatuses sends requests of a customer with the plan tight, each on the connection that connect returns, and
+// returns how many were answered with each status.
+func requestStatuses(connect func() *client, count int) map[int]int {
+	statuses := map[int]int{}
+	for i := range count {
+		statuses[connect().do(quotaSpendingCheck(fmt.Sprint("q", i))).status]++
+	}
+	return statuses
+}
+
+// After the export of its state, the predecessor spends on the connections that it still has no more than its reserve
+// of a quota. If the handover then fails, it has the whole quota again.
+func TestQuotaDuringHandover(t *testing.T) {
+	t.Parallel()
+	const burst, reserve = 8, 2
+	for name, c := range map[string]struct {
+		handoverFails bool
+		wantAdmitted  int
+	}{
+		"successor does not take over yet": {false, reserve},
+		"handover failed":                  {true, burst},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			h := newRestartHarness(t, newAppServer(t, respondWith(okAnswer)))
+			cfg := h.config()
+			cfg.drainDelay = 3 * time.Second
+			cfg.Settings.Plans[1] = policy.Plan{Name: "tight", Rate: 0.001, Burst: burst, PriorityFactor: 1}
+			old := h.startFirst(cfg)
+			kept := dial(t, old.addr)
+			kept.do(request("check", "before"))
+			successor := connectAsSuccessor(t, cfg.HandoverSocket, hello)
+			old.awaitLog(t, "successor waiting")
+			old.stop()
+			successor.readUntil(msgStateComplete)
+			connect := func() *client { return kept }
+			if c.handoverFails {
+				successor.Close()
+				old.awaitLog(t, "handover failed")
+				connect = func() *client { return dial(t, old.addr) } // a draining process closes each after its answer
+			}
+			if got := requestStatuses(connect, burst+1); got[200] != c.wantAdmitted {
+				t.Errorf("statuses of %d requests: got %v, want %d times 200", burst+1, got, c.wantAdmitted)
+			}
+			if !c.handoverFails {
+				successor.send(string(msgTakenOver))
+			}
+			old.awaitEnd(t)
+		})
+	}
+}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -35,8 +35,5 @@
 	e.quotas.ReceiveEntries(from, e.gossip.AcceptMessage(from, decoded), now)
 }
 
-// OverQuotaUnits counts the units that were forwarded beyond customers' quotas since the start.
-type OverQuotaUnits = quota.OverQuotaUnits
-
-// OverQuotaUnits returns this instance's counts of the units forwarded beyond quotas.
-func (e *Engine) OverQuotaUnits() OverQuotaUnits { return e.quotas.OverQuota }
+// Quotas returns the customers' quotas. The host hands them over at a hot restart, and reads the units beyond them.
+func (e *Engine) Quotas() *quota.Table { return &e.quotas }
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -38,10 +38,12 @@
 	ResponseRate      float64 `json:"OKRate"`
 	WarmRate          float64
 	HealthCheckCredit float64 `json:"ProbeDue"`
+	HasQuotaReserve   bool    `json:",omitempty"` // the predecessor has kept a reserve of each quota
 }
 
-// ExportState returns the state for [Engine.ImportState], as JSON. The engine continues to serve its requests. An
-// error comes from the JSON encoder.
+// ExportState returns the state for [Engine.ImportState], as JSON. The engine continues to serve its requests. So that
+// the tokens in the state are not spent by both processes, call [quota.Table.HandOver] first. An error comes from the
+// JSON encoder.
 func (e *Engine) ExportState(now time.Duration) ([]byte, error) {
 	e.now = now
 	state := engineState{
@@ -60,6 +62,7 @@
 		ResponseRate:      e.load.responseRate,
 		WarmRate:          e.load.warmRate,
 		HealthCheckCredit: e.healthChecks.credit,
+		HasQuotaReserve:   e.quotas.IsHandedOver(),
 	}
 	for name, i := range e.index.classes {
 		state.Classes[name] = e.latencies.classes[i].export()
@@ -86,6 +89,9 @@
 		return err
 	}
 	e.now, e.startedAt, e.quotas.StartedAt = now, state.StartedAt, state.StartedAt
+	if state.HasQuotaReserve {
+		e.quotas.Inherit(now)
+	}
 	for _, saved := range state.Quotas {
 		e.quotas.Restore(saved, &state.Plans[saved.Plan], now, e.settings.maxLatencyObjective())
 	}
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -310,3 +310,87 @@
 		})
 	}
 }
+
+// handOverState hands the quotas of an engine over and returns its state.
+func handOverState(e *Engine, now time.Duration) ([]byte, error) {
+	e.Quotas().HandOver(now)
+	return e.ExportState(now)
+}
+
+// A full burst cannot be spent at the predecessor after the export and again at the successor, whether the customer had
+// sent requests before or not.
+func TestBurstIsNotSpentTwice(t *testing.T) {
+	for _, upgrade := range slowUpgrades() {
+		for _, isKnown := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, known before: %v", upgrade.name, isKnown), func(t *testing.T) {
+				exportedAt, q := t0+10*time.Second, newRequest(0, "safe", "limited", 1)
+				importedAt := exportedAt + time.Second
+				e, r := newEngine(t, upgrade.settings(), testServers(4)...)
+				if isKnown {
+					offerRequests(e, r, t0+5*time.Second, 1, q)
+					completeAttempts(e, r, t0+5*time.Second, 5*ms, OK)
+				}
+				text, err := handOverState(e, exportedAt)
+				if err != nil {
+					t.Fatal(err)
+				}
+				spent := offerRequests(e, r, exportedAt, 2*int(upgrade.burst), q)
+				next, rn := newSuccessor(t, upgrade.settings(), importedAt, testServers(4)...)
+				if err := next.ImportState(importedAt, text); err != nil {
+					t.Fatal(err)
+				}
+				spent += offerRequests(next, rn, importedAt, 2*int(upgrade.burst), q)
+				if float64(spent) > upgrade.burst {
+					t.Errorf("units admitted by both processes: got %v, want at most %v", spent, upgrade.burst)
+				}
+			})
+		}
+	}
+}
+
+// A customer below its rate is not rejected by a predecessor whose successor is slow, nor by the successor.
+func TestLightLoadIsAdmittedDuringHotRestart(t *testing.T) {
+	for _, upgrade := range slowUpgrades() {
+		t.Run(upgrade.name, func(t *testing.T) {
+			exportedAt, q := t0+10*time.Second, newRequest(0, "safe", "limited", 1)
+			importedAt := exportedAt + time.Second
+			e, r := newEngine(t, upgrade.settings(), testServers(4)...)
+			text, err := handOverState(e, exportedAt)
+			if err != nil {
+				t.Fatal(err)
+			}
+			next, rn := newSuccessor(t, upgrade.settings(), importedAt, testServers(4)...)
+			if err := next.ImportState(importedAt, text); err != nil {
+				t.Fatal(err)
+			}
+			for i := range 9 { // requests a second, of ten that the rate allows
+				after := time.Duration(i) * time.Second / 9
+				admitted := offerRequests(e, r, exportedAt+after, 1, q)
+				admittedNext := offerRequests(next, rn, importedAt+after, 1, q)
+				if admitted != 1 || admittedNext != 1 {
+					t.Errorf("request %d: admitted %d at the predecessor, %d at the successor, want 1 and 1",
+						i, admitted, admittedNext)
+				}
+			}
+		})
+	}
+}
+
+// After a failed handover the process admits the full burst again.
+func TestFailedHandoverReturnsBurst(t *testing.T) {
+	for _, upgrade := range slowUpgrades() {
+		t.Run(upgrade.name, func(t *testing.T) {
+			exportedAt, q := t0+10*time.Second, newRequest(0, "safe", "limited", 1)
+			e, r := newEngine(t, upgrade.settings(), testServers(4)...)
+			if _, err := handOverState(e, exportedAt); err != nil {
+				t.Fatal(err)
+			}
+			admitted := offerRequests(e, r, exportedAt, 1, q)
+			e.Quotas().TakeBack(exportedAt)
+			admitted += offerRequests(e, r, exportedAt, 2*int(upgrade.burst), q)
+			if float64(admitted) != upgrade.burst {
+				t.Errorf("units admitted: got %v, want the burst of %v", admitted, upgrade.burst)
+			}
+		})
+	}
+}
--- a/policy/quota/check.go
+++ b/policy/quota/check.go
@@ -92,9 +92,10 @@
 	return max(contentionWindow, refillTime(contentionRequests*units, plan.Rate/q.bucketCount))
 }
 
-// refillWait returns how long the bucket takes to hold the units of a request.
+// refillWait returns how long the bucket takes to hold the units of a request. Tokens that were handed over count: the
+// retry reaches the successor.
 func (q *Quota) refillWait(plan *Plan, units float64) time.Duration {
-	return refillTime(units-q.Tokens, plan.Rate/q.bucketCount)
+	return refillTime(units-q.Tokens-q.handedOver.quota, plan.Rate/q.bucketCount)
 }
 
 // quotaUpdateWait returns the shortest retry delay of a request beyond its quota: the time until this instance receives
--- a/policy/quota/hard_limit.go
+++ b/policy/quota/hard_limit.go
@@ -69,9 +69,10 @@
 }
 
 // hardLimitWait returns the delay after which a request beyond the hard limit should be retried: the time until this
-// instance's share holds its units or, where units are transferred, until a peer may have sent some.
+// instance's share holds its units or, where units are transferred, until a peer may have sent some. Tokens that were
+// handed over count: the retry reaches the successor.
 func (q *Quota) hardLimitWait(plan *Plan, units float64, gossipInterval time.Duration) time.Duration {
-	wait := refillTime(units-q.HardLimitTokens, plan.HardLimitRate*q.rateFraction)
+	wait := refillTime(units-q.HardLimitTokens-q.handedOver.hardLimit, plan.HardLimitRate*q.rateFraction)
 	if q.UsesOwner {
 		return wait
 	}
@@ -82,6 +83,9 @@
 // some, and returns the delay after which the request should be retried.
 func (t *Table) RejectBeyondHardLimit(quota *Quota, units float64) (retryAfter time.Duration) {
 	retryAfter = quota.hardLimitWait(t.PlanOf(quota), units, t.Fleet.GossipInterval)
+	if t.handover.isHandedOver {
+		retryAfter = max(retryAfter, t.Fleet.quotaUpdateWait())
+	}
 	quota.unmetUnits += units
 	t.MarkForGossip(quota)
 	return retryAfter
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -37,6 +37,7 @@
 	refilledAt time.Duration // clock reading of the last refill
 	Tokens     float64       // units left; negative after other instances took units that were not yet reported here
 	hardLimitShare
+	handedOver bucketTokens // given away to the successor process
 
 	// Attempts in flight.
 	InFlight     int         // attempts of this instance, counted by the caller
--- a/policy/quota/split.go
+++ b/policy/quota/split.go
@@ -1,6 +1,7 @@
 package quota
 
-// This file decides how a customer's quota is split among the instances that receive its requests.
+// This file decides how a customer's quota is split among the instances that receive its requests, and between a
+// process and its successor.
 
 import (
 	"math"
@@ -15,6 +16,10 @@
 	ownerInboxFraction  = 0.3 // fraction of an owner's gossip inbox limit for the quota requests of one customer
 )
 
+// handoverReserveFraction is the fraction of the tokens, in whole units, that the process keeps for requests that
+// arrive before their connections are handed over.
+const handoverReserveFraction = 0.25
+
 // Fleet describes this instance's place in the fleet that shares customers' quotas, and how the instances gossip.
 type Fleet struct {
 	InstanceIndex      int
@@ -111,3 +116,13 @@
 	}
 	return float64(q.partCount)
 }
+
+// successorPart returns the part of the tokens that the successor process receives at a handover: all but a reserve. It
+// receives all of a debt.
+func (b bucketTokens) successorPart() bucketTokens {
+	return bucketTokens{successorPart(b.quota), successorPart(b.hardLimit)}
+}
+
+func successorPart(tokens float64) float64 {
+	return tokens - math.Max(math.Floor(handoverReserveFraction*tokens), 0)
+}
--- a/policy/quota/state.go
+++ b/policy/quota/state.go
@@ -43,11 +43,16 @@
 	return hasPlan && hasCount && hasFirst && hasPeers && hasLeases
 }
 
-// Export returns the state of all quotas, refilled up to now.
+// Export returns the state of all quotas, refilled up to now. After [Table.HandOver] it has the successor's part of the
+// tokens.
 func (t *Table) Export(now time.Duration) (states []State) {
 	for _, quota := range t.list {
 		t.Refill(quota, now)
-		states = append(states, quota.export())
+		state := quota.export()
+		if t.handover.isHandedOver {
+			state.Tokens, state.HardLimitTokens = quota.handedOver.quota, quota.handedOver.hardLimit
+		}
+		states = append(states, state)
 	}
 	return states
 }
--- a/policy/quota/table.go
+++ b/policy/quota/table.go
@@ -20,6 +20,7 @@
 	list       []*Quota
 	sweepAt    int      // index in the list at which the next sweep begins
 	pending    []*Quota // quotas to be sent with the next broadcast
+	handover   handover
 }
 
 // sweepDivisor determines how many quotas a sweep examines: the size of the table divided by it, and one more. There is
@@ -51,10 +52,9 @@
 func (t *Table) quotaFor(customer uint64, scope Scope, now time.Duration) *Quota {
 	quota := t.Lookup(customer)
 	if quota == nil {
-		quota = &Quota{Customer: customer, Scope: scope, refilledAt: now, GrantFraction: 1}
-		plan := t.PlanOf(quota)
-		t.split(quota, plan)
-		quota.fillSinceStart(plan, now-t.StartedAt)
+		quota = &Quota{Customer: customer, Scope: scope, GrantFraction: 1}
+		t.split(quota, t.PlanOf(quota))
+		t.fillNew(quota, now)
 		t.add(quota)
 	}
 	t.Refill(quota, now)
