--- a/internal/edgeproxy/node.go
+++ b/internal/edgeproxy/node.go
@@ -185,6 +185,13 @@
 	}
 }
 
+// takeOverQuotas records that this process serves from now on in place of its predecessor.
+func (n *Node) takeOverQuotas() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.engine.Quotas().TakeOver(n.now())
+}
+
 // subsetServers returns the IDs of the servers to which idle connections are kept; nil means all servers.
 func (n *Node) subsetServers() map[string]bool {
 	n.mu.Lock()
--- a/internal/edgeproxy/run.go
+++ b/internal/edgeproxy/run.go
@@ -279,6 +279,7 @@
 	if predecessorConn == nil {
 		return
 	}
+	p.node.takeOverQuotas()
 	predecessorConn.confirmTakeover()
 	p.clients.hasPredecessor.Store(true)
 	p.background.Go(func() { p.clients.servePredecessor(predecessorConn) })
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -280,34 +280,40 @@
 	return s
 }
 
-// While a slow successor does not import the state yet, the predecessor admits requests and refills its quotas. The
-// successor does not refill that interval again: otherwise its units could be spent twice.
+// While a slow successor does not import the state yet, or does not serve yet, the predecessor admits requests and
+// refills its quotas. The successor does not refill that interval again: otherwise its units could be spent twice.
 func TestSlowSuccessorRefillsFromImport(t *testing.T) {
 	for _, upgrade := range slowUpgrades() {
-		t.Run(upgrade.name, func(t *testing.T) {
-			e, r := newEngine(t, upgrade.settings(), testServers(4)...)
-			exportedAt := t0 + 10*time.Second
-			importedAt := exportedAt + time.Second
-			q := newRequest(0, "safe", "limited", 1)
-			spent := float64(offerRequests(e, r, exportedAt, int(upgrade.burst), q))
-			completeAttempts(e, r, exportedAt, 5*ms, OK)
-			if spent != upgrade.burst {
-				t.Fatalf("units admitted before the export: got %v, want the burst of %v", spent, upgrade.burst)
-			}
-			text, err := e.ExportState(exportedAt)
-			if err != nil {
-				t.Fatal(err)
-			}
-			spent += unitsAdmitted(e, r, exportedAt, time.Second, q)
-			next, rn := newSuccessor(t, upgrade.settings(), importedAt, testServers(4)...)
-			if err := next.ImportState(importedAt, text); err != nil {
-				t.Fatal(err)
-			}
-			spent += unitsAdmitted(next, rn, importedAt, time.Second, q)
-			if allowed := upgrade.burst + upgrade.rate*2; spent > allowed {
-				t.Errorf("units admitted by both processes: got %v, want at most %v", spent, allowed)
-			}
-		})
+		t.Run(upgrade.name, func(t *testing.T) { testSlowSuccessor(t, upgrade, time.Second) })
+		t.Run(upgrade.name+", slow after the import", func(t *testing.T) { testSlowSuccessor(t, upgrade, 0) })
+	}
+}
+
+// testSlowSuccessor hands over to a successor that serves one second after the export, and imports the state after
+// importDelay.
+func testSlowSuccessor(t *testing.T, upgrade slowUpgrade, importDelay time.Duration) {
+	e, r := newEngine(t, upgrade.settings(), testServers(4)...)
+	exportedAt := t0 + 10*time.Second
+	importedAt, takenOverAt := exportedAt+importDelay, exportedAt+time.Second
+	q := newRequest(0, "safe", "limited", 1)
+	spent := float64(offerRequests(e, r, exportedAt, int(upgrade.burst), q))
+	completeAttempts(e, r, exportedAt, 5*ms, OK)
+	if spent != upgrade.burst {
+		t.Fatalf("units admitted before the export: got %v, want the burst of %v", spent, upgrade.burst)
+	}
+	text, err := e.ExportState(exportedAt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	next, rn := newSuccessor(t, upgrade.settings(), importedAt, testServers(4)...)
+	if err := next.ImportState(importedAt, text); err != nil {
+		t.Fatal(err)
+	}
+	spent += unitsAdmitted(e, r, exportedAt, time.Second, q)
+	next.Quotas().TakeOver(takenOverAt)
+	spent += unitsAdmitted(next, rn, takenOverAt, time.Second, q)
+	if allowed := upgrade.burst + upgrade.rate*2; spent > allowed {
+		t.Errorf("units admitted by both processes: got %v, want at most %v", spent, allowed)
 	}
 }
 
--- a/policy/quota/handover.go
+++ b/policy/quota/handover.go
@@ -13,6 +13,7 @@
 type handover struct {
 	isInherited  bool          // the table has the successor's part of its predecessor's tokens
 	inheritedAt  time.Duration // valid if isInherited
+	tookOverAt   time.Duration // when this process began to serve in place of its predecessor; 0: not yet
 	isHandedOver bool          // the table has given the successor's part of its tokens away
 	handedOverAt time.Duration // valid if isHandedOver
 }
@@ -56,6 +57,15 @@
 	t.handover.isInherited, t.handover.inheritedAt = true, now
 }
 
+// TakeOver records that this process serves from now on in place of its predecessor, which has refilled its own quotas
+// up to now: the quotas of this table refill from here on.
+func (t *Table) TakeOver(now time.Duration) {
+	t.handover.tookOverAt = now
+	for _, quota := range t.list {
+		quota.refilledAt = max(quota.refilledAt, now)
+	}
+}
+
 // fillNew sets the tokens of a quota that is not in the table, refilled up to now.
 func (t *Table) fillNew(quota *Quota, now time.Duration) {
 	if !t.handover.isHandedOver {
@@ -80,6 +90,7 @@
 	t.fillSinceStart(quota, t.handover.inheritedAt)
 	part := quota.tokens().successorPart()
 	quota.Tokens, quota.HardLimitTokens = part.quota, part.hardLimit
+	quota.refilledAt = max(quota.refilledAt, t.handover.tookOverAt)
 	t.Refill(quota, now)
 }
 
--- a/policy/quota/state.go
+++ b/policy/quota/state.go
@@ -90,8 +90,9 @@
 }
 
 // Restore restores a quota that had the plan oldPlan in the predecessor. The quota is skipped if a plan of that name no
-// longer exists or the customer already has a quota. The quota refills from now on: since the export, the predecessor
-// has refilled its own and spent the units. Attempts that the predecessor still has in flight count for leaseTTL.
+// longer exists or the customer already has a quota. The quota refills from now on, or from [Table.TakeOver] on: since
+// the export, the predecessor has refilled its own and spent the units. Attempts that the predecessor still has in
+// flight count for leaseTTL.
 func (t *Table) Restore(saved State, oldPlan *Plan, now, leaseTTL time.Duration) {
 	plan := slices.IndexFunc(t.plans, func(p Plan) bool { return p.Name == oldPlan.Name })
 	if plan < 0 || t.Lookup(saved.Customer) != nil {
